--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -4,8 +4,12 @@
 
 use crate::dice::Dice;
 use crate::interface::*;
+use crate::route_users::RouteUsers;
+use crate::state::*;
+use crate::timer_queue::TimerQueue;
 use crate::traffic::{Bucket, Count};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use crate::waiting::{Wait, WaitingIndex};
+use std::collections::{BTreeMap, BTreeSet};
 
 const SECOND: Micros = 1_000_000;
 /// Times told to this module are cut to this length (about 11 days): no sum of a few of them overflows.
@@ -72,29 +76,6 @@
 const PACE_GROW: f64 = 1.5;
 const PACE_FLEET: f64 = 8.0;
 
-type RouteId = usize;
-type CallId = u64;
-/// Place in a queue: stage (0 in time, 1 late), due time (late: how late, the least first), number.
-type Rank = (u8, Micros, MessageId);
-
-/// One message: what it is, what may have become of it so far, and where it stands in its queue.
-#[derive(Debug, Default)]
-struct Message {
-    destination: DestinationId,
-    class: Class,
-    key: Option<u64>,
-    aim_at: Micros,
-    deadline: Micros,
-    first_try: bool,
-    kept_untried: bool,
-    attempts: u32,
-    out: usize,
-    called_off: bool,
-    /// Send time, endpoint and zone of the first attempt that may have run.
-    may_have_run: Option<(Micros, EndpointId, usize)>,
-    rank: Option<Rank>,
-}
-
 impl Message {
     /// Rule of effects: until when it may be sent, given what may have run of it so far.
     fn repeats_until(&self) -> Micros {
@@ -106,107 +87,6 @@
     }
 }
 
-#[derive(Debug, Default)]
-struct Call {
-    endpoint: EndpointId,
-    zone: usize,
-    route: RouteId,
-    sent: Micros,
-    open: usize,
-    clean: bool,
-    judged: bool,
-    overdue: bool,
-    /// The message, where it is the only one; whether the call is alone.
-    only: Option<MessageId>,
-    alone: bool,
-    written_off: bool,
-}
-
-/// Messages of one order key: those not over in order, and what is still out of those that are.
-#[derive(Debug, Default)]
-struct KeyLine {
-    line: VecDeque<MessageId>,
-    strays: usize,
-    quiet_until: Micros,
-    quiet_for: MessageId,
-}
-
-#[derive(Debug, Default)]
-struct Endpoint {
-    destination: DestinationId,
-    route: RouteId,
-    zone: usize,
-    kind: Kind,
-    usable: bool,
-    /// The list names it no more.
-    gone: bool,
-    /// What health checks report, and whether they call a sister fitter.
-    report: Report,
-    passed_over: bool,
-    in_flight: usize,
-    idle: Vec<Micros>,
-    streak: u32,
-    /// When the latest of the calls was sent that it has answered well.
-    answered: Micros,
-    /// Unreadable answers since the last success.
-    spoilt: u32,
-    avoid_until: Micros,
-}
-
-#[derive(Debug, Default)]
-struct Destination {
-    endpoints: Vec<EndpointId>,
-    shared: Option<RouteId>,
-    queue: BTreeSet<Rank>,
-    in_flight: usize,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Health {
-    #[default]
-    Good,
-    Out,
-    Warming(Micros),
-}
-
-/// One route (a destination, or an endpoint where they are apart): window, pace, health.
-#[derive(Debug, Default)]
-struct Route {
-    window: f64,
-    /// After refusals: time between calls, as a window below one; 0 where none is needed.
-    gap: f64,
-    /// Calls a second in even parts of the limit, and those that may go now.
-    pace: f64,
-    bucket: Bucket,
-    in_flight: usize,
-    /// Calls out that are overdue, and those given up as lost when the route came back.
-    overdue: usize,
-    written_off: usize,
-    health: Health,
-    /// Push-backs since the last success, and whether any was more than a refusal.
-    streak: u32,
-    failing: bool,
-    timeouts: u32,
-    last_ok: Micros,
-    wait_until: Micros,
-    pause_until: Micros,
-    usual: f64,
-    deviation: f64,
-    weight: f64,
-    limit: f64,
-    /// Calls of the last `tip_after`.
-    sends: VecDeque<Micros>,
-    /// Calls served, and one to come.
-    served: Count,
-    /// The first push-back since the last success, and the last.
-    pushed: Option<(Micros, Micros)>,
-    /// Where the budget is under one call: the next draw, and whether the last lets a call go in this step.
-    draw_at: Micros,
-    drawn: Option<Micros>,
-    /// Health checks have left it no endpoint that is fit.
-    unfit: bool,
-}
-
 impl Route {
     fn new(now: Micros, saved: f64) -> Self {
         let (usual, deviation) = (UNKNOWN_USUAL, UNKNOWN_USUAL / 2.0);
@@ -294,8 +174,23 @@
     destinations: BTreeMap<DestinationId, Destination>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     routes: Vec<Route>,
+    users: RouteUsers,
+    /// Calls out on routes that are sick.
+    sick_calls: usize,
+    /// Destinations whose state has changed since they were indexed: as waiting, and as in trouble.
+    changed: Vec<DestinationId>,
+    unassessed: Vec<DestinationId>,
+    waiting: WaitingIndex,
+    troubled: BTreeSet<TroubledId>,
+    troubled_changed: bool,
+    /// When routes that come back end to be in trouble; when endpoints that are gone may be forgotten.
+    warming: TimerQueue<DestinationId>,
+    gone: BTreeSet<(Micros, EndpointId)>,
+    /// Destinations looked at, ever.
+    work: u64,
     message_wakes: BTreeSet<(Micros, MessageId)>,
     call_wakes: BTreeSet<(Micros, CallId)>,
+    route_calls: BTreeSet<(RouteId, CallId)>,
     timer_at: Micros,
     /// Share of the calls alone whose message took long.
     long: f64,
@@ -306,22 +201,29 @@
 impl Controller {
     /// A controller that has seen nothing; `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Controller { set: settings, dice: Dice::new(seed), timer_at: Micros::MAX, ..Controller::default() }
+        let (dice, timer_at, troubled_changed) = (Dice::new(seed), Micros::MAX, true);
+        Controller { set: settings, dice, timer_at, troubled_changed, ..Controller::default() }
     }
 
     /// Routes that are out, failing, or back but cold, for [`Event::Known`]: forgotten in a restart, messages
     /// that waited for them would break the rule of returns. An endpoint stands for a route apart.
-    pub fn troubled(&self) -> BTreeSet<(DestinationId, Option<EndpointId>)> {
-        let troubled = |route: &Route| match route.health {
-            Health::Out => true,
-            Health::Warming(since) => self.now - since < self.set.warm_within,
-            Health::Good => route.failing && route.streak >= 2,
-        };
-        let apart = self.endpoints.iter().filter(|(_, place)| place.kind.apart);
-        let apart = apart.map(|(id, place)| ((place.destination, Some(*id)), place.route));
-        // A destination in trouble may have no endpoint just now.
-        let shared = self.destinations.iter().filter_map(|(id, d)| d.shared.map(|r| ((*id, None), r)));
-        apart.chain(shared).filter(|(_, route)| troubled(&self.routes[*route])).map(|(id, _)| id).collect()
+    pub fn troubled(&self) -> BTreeSet<TroubledId> {
+        self.troubled.clone()
+    }
+
+    /// Whether [`Self::troubled`] has changed since this was last asked; at first it has.
+    pub fn take_troubled_changed(&mut self) -> bool {
+        std::mem::take(&mut self.troubled_changed)
+    }
+
+    /// How many destinations were looked at so far: the measure of a step's work.
+    pub fn work(&self) -> u64 {
+        self.work
+    }
+
+    /// The source of chance, as it stands.
+    pub fn dice(&self) -> &Dice {
+        &self.dice
     }
 
     /// Whether nothing but trial calls goes to an endpoint now.
@@ -340,6 +242,7 @@
         self.send_all(actions);
         self.forget_gone();
         self.set_timer(actions);
+        self.assess_troubled();
     }
 
     fn take_in(&mut self, event: &Event) {
@@ -368,6 +271,7 @@
                 (message.attempts, message.first_try) = (*attempts, *attempts == 0 && message.first_try);
                 message.kept_untried = *attempts == 0;
                 message.may_have_run = may_have_run.map(|(ago, place, zone)| (self.now - ago, place, zone));
+                self.changed.push(message.destination);
                 self.unsettled.push(*id);
             }
             Event::Known { destination: id, endpoint, out, wait } => {
@@ -377,16 +281,23 @@
                 if routes.is_empty() && endpoint.is_none() {
                     // One without endpoints just now keeps what is known for those to come.
                     routes.push(self.new_route(None));
-                    self.destinations.entry(*id).or_default().shared = Some(routes[0]);
+                    self.share_route(*id, Some(routes[0]));
                 }
                 for id in routes {
                     let route = &mut self.routes[id];
                     route.health = if *out { Health::Out } else { route.health };
                     route.wait_until = route.wait_until.max(self.now + (*wait).clamp(0, LONGEST));
+                    self.route_changed(id);
                 }
             }
-            Event::Settings(settings) => self.set = (**settings).clone(),
-            Event::Closing { time_left } => self.closes_at = Some(self.now + *time_left),
+            Event::Settings(settings) => {
+                self.set = (**settings).clone();
+                self.changed.extend(self.destinations.keys());
+            }
+            Event::Closing { time_left } => {
+                self.closes_at = Some(self.now + *time_left);
+                self.changed.extend(self.waiting.ids());
+            }
             Event::Hangup { id } => self.forget(*id),
             Event::Outcome(answer) => {
                 self.take_outcome(answer);
@@ -405,8 +316,13 @@
     fn take_list(&mut self, form: ListForm, entries: &[Entry]) {
         if matches!(form, ListForm::Whole | ListForm::Remembered) {
             self.endpoints.values_mut().for_each(|e| (e.usable, e.gone) = (false, true));
+            self.changed.extend(self.waiting.ids());
         }
         entries.iter().for_each(|entry| self.take_entry(entry));
+        if matches!(form, ListForm::Whole | ListForm::Remembered) {
+            let gone = self.endpoints.iter().filter(|(_, place)| place.gone);
+            self.gone.extend(gone.map(|(id, _)| (self.now, *id)));
+        }
         let told: BTreeSet<DestinationId> = entries.iter().map(|entry| entry.destination).collect();
         told.into_iter().for_each(|destination| self.mind_reports(destination));
     }
@@ -430,7 +346,10 @@
                 route.pushed = Some((route.pushed.map_or(self.now, |(first, _)| first), self.now));
             }
             route.unfit = unfit;
+            let id = place.route;
+            self.route_changed(id);
         }
+        self.changed.push(destination);
     }
 
     fn take_entry(&mut self, entry: &Entry) {
@@ -441,23 +360,43 @@
             known.usable = entry.state == Listed::On && known.destination == entry.destination;
             known.gone = entry.state == Listed::Gone;
             (known.zone, known.kind, known.report) = (entry.zone, kind, entry.report);
-            known.route = shared.unwrap_or(known.route);
-            self.routes[known.route].weight = entry.weight;
+            if known.gone {
+                self.gone.insert((self.now, entry.endpoint));
+            }
+            let (route, before) = (shared.unwrap_or(known.route), known.route);
+            known.route = route;
+            self.changed.push(known.destination);
+            self.users.leave(before, known.destination);
+            self.users.join(route, known.destination);
+            self.routes[route].weight = entry.weight;
+            self.route_changed(route);
             return;
         }
         if entry.state == Listed::Gone {
             return;
         }
-        let stays = destination.endpoints.iter().any(|e| !self.endpoints[e].gone);
+        let stays = destination.endpoints.iter().rev().any(|e| !self.endpoints[e].gone);
         let route = shared.filter(|_| stays).unwrap_or_else(|| self.new_route(shared));
-        let destination = self.destinations.entry(entry.destination).or_default();
-        destination.shared = (!kind.apart).then_some(route);
-        destination.endpoints.push(entry.endpoint);
+        self.share_route(entry.destination, (!kind.apart).then_some(route));
+        self.destinations.entry(entry.destination).or_default().endpoints.push(entry.endpoint);
+        self.users.join(route, entry.destination);
         let usable = entry.state == Listed::On;
         self.routes[route].weight = entry.weight;
         let Entry { destination, zone, report, .. } = *entry;
         let place = Endpoint { destination, route, zone, kind, usable, report, ..Endpoint::default() };
         self.endpoints.insert(entry.endpoint, place);
+        self.route_changed(route);
+    }
+
+    /// The route of a destination for its endpoints to come.
+    fn share_route(&mut self, id: DestinationId, route: Option<RouteId>) {
+        let destination = self.destinations.entry(id).or_default();
+        let before = std::mem::replace(&mut destination.shared, route);
+        if before != route {
+            route.into_iter().for_each(|route| self.users.join(route, id));
+            before.into_iter().for_each(|route| self.users.leave(route, id));
+            self.changed.push(id);
+        }
     }
 
     /// A new endpoint with no other beside it starts anew: what those before it did is not its doing.
@@ -469,13 +408,7 @@
             new.wait_until = before.wait_until;
             new.health = if before.health == Health::Good { Health::Good } else { Health::Warming(self.now) };
         }
-        let used: BTreeSet<RouteId> = self.endpoints.values().map(|e| e.route).collect();
-        let shared: BTreeSet<RouteId> = self.destinations.values().filter_map(|d| d.shared).collect();
-        let free = |id: &RouteId| {
-            let kept = shared.contains(id) && before != Some(*id);
-            !kept && !used.contains(id) && self.routes[*id].in_flight == 0
-        };
-        let place = (0..self.routes.len()).find(free).unwrap_or(self.routes.len());
+        let place = self.users.lowest_free(before);
         self.routes.resize_with(self.routes.len().max(place + 1), Route::default);
         self.routes[place] = new;
         place
@@ -483,14 +416,99 @@
 
     /// Endpoints that are gone are forgotten once nothing of theirs is out and no wait of theirs runs.
     fn forget_gone(&mut self) {
-        self.endpoints.retain(|id, place| {
-            let wait = self.routes[place.route].wait_until;
-            let over = place.gone && place.in_flight == 0 && wait <= self.now;
-            if over && let Some(destination) = self.destinations.get_mut(&place.destination) {
-                destination.endpoints.retain(|other| other != id);
+        while let Some(&(at, id)) = self.gone.first()
+            && at <= self.now
+        {
+            self.gone.pop_first();
+            let Some(place) = self.endpoints.get(&id).filter(|e| e.gone && e.in_flight == 0) else {
+                continue;
+            };
+            let (wait, owner, route) = (self.routes[place.route].wait_until, place.destination, place.route);
+            if wait > self.now {
+                self.gone.insert((wait, id));
+                continue;
             }
-            !over
-        });
+            self.endpoints.remove(&id);
+            self.users.leave(route, owner);
+            if let Some(destination) = self.destinations.get_mut(&owner) {
+                destination.endpoints.retain(|other| *other != id);
+            }
+            self.troubled_changed |= self.troubled.remove(&(owner, Some(id)));
+            self.changed.push(owner);
+        }
+    }
+
+    /// Tells the indexes that a route has changed: the count of sick calls, and the destinations on it.
+    fn route_changed(&mut self, id: RouteId) {
+        let route = &mut self.routes[id];
+        let calls = if route.sick() { route.in_flight } else { 0 };
+        self.sick_calls = self.sick_calls + calls - std::mem::replace(&mut route.sick_calls, calls);
+        self.changed.extend(self.users.destinations(id));
+    }
+
+    /// Brings the index of waiting destinations up to date with what has changed or come due.
+    fn index_changed(&mut self) {
+        self.changed.extend(self.waiting.pop_changed(self.now));
+        let mut changed = std::mem::take(&mut self.changed);
+        changed.sort_unstable();
+        changed.dedup();
+        for id in &changed {
+            let wait = self.destinations.get(id).filter(|d| !d.queue.is_empty()).map(|d| self.wait_of(d));
+            self.work += u64::from(wait.is_some());
+            self.waiting.set(*id, wait);
+        }
+        self.unassessed.append(&mut changed);
+    }
+
+    /// What a destination with a queue waits for.
+    fn wait_of(&self, destination: &Destination) -> Wait {
+        let routes = || destination.endpoints.iter().map(|e| self.endpoints[e].route);
+        let ready = self.next_of(destination, false);
+        let sick = ready.is_some() && routes().any(|route| self.routes[route].sick());
+        Wait {
+            found_at: self.now,
+            ready,
+            ready_healthy: if sick { self.next_of(destination, true) } else { ready },
+            changes_at: routes().filter_map(|route| self.changes_at(route)).min(),
+            draw_at: routes().filter(|r| self.budget(*r).is_some()).map(|r| self.routes[r].draw_at).min(),
+        }
+    }
+
+    /// Brings the set of routes in trouble up to date with what has changed or come due.
+    fn assess_troubled(&mut self) {
+        self.unassessed.extend(std::iter::from_fn(|| self.warming.pop_due(self.now)));
+        let mut unassessed = std::mem::take(&mut self.unassessed);
+        unassessed.sort_unstable();
+        unassessed.dedup();
+        for id in unassessed {
+            let Some(destination) = self.destinations.get(&id) else { continue };
+            let places = destination.endpoints.iter().map(|e| (Some(*e), &self.endpoints[e]));
+            let apart = places.map(|(id, place)| (id, Some(place.route).filter(|_| place.kind.apart)));
+            // A destination in trouble may have no endpoint just now.
+            let routes = apart.chain([(None, destination.shared)]);
+            let mut ends = None;
+            for (endpoint, route) in routes {
+                let route = route.map(|route| &self.routes[route]);
+                let troubled = route.is_some_and(|route| self.is_troubled(route));
+                if let Some(Health::Warming(since)) = route.map(|r| r.health).filter(|_| troubled) {
+                    let end = since + self.set.warm_within;
+                    ends = Some(ends.map_or(end, |other: Micros| other.min(end)));
+                }
+                let id = (id, endpoint);
+                let news = if troubled { self.troubled.insert(id) } else { self.troubled.remove(&id) };
+                self.troubled_changed |= news;
+            }
+            self.work += 1;
+            self.warming.set(id, ends);
+        }
+    }
+
+    fn is_troubled(&self, route: &Route) -> bool {
+        match route.health {
+            Health::Out => true,
+            Health::Warming(since) => self.now - since < self.set.warm_within,
+            Health::Good => route.failing && route.streak >= 2,
+        }
     }
 
     /// A message's last moment for an answer: two ticks and a stall before its deadline.
@@ -532,13 +550,23 @@
         let looks = if stage == 0 { message.aim_at } else { message.deadline };
         self.message_wakes.insert((looks.min(message.repeats_until()), id));
         message.rank = Some((stage, due, id));
-        self.destinations.entry(message.destination).or_default().queue.insert((stage, due, id));
+        let (destination, rank) = (message.destination, (stage, due, id));
+        self.change_queue(destination, |queue| queue.insert(rank));
+    }
+
+    fn change_queue(&mut self, id: DestinationId, change: impl FnOnce(&mut BTreeSet<Rank>) -> bool) {
+        let queue = &mut self.destinations.entry(id).or_default().queue;
+        let before = queue.len();
+        change(queue);
+        self.waiting.resize(id, before, queue.len());
+        self.changed.push(id);
     }
 
     fn unqueue(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(rank) = message.rank.take() else { return };
-        self.destinations.entry(message.destination).or_default().queue.remove(&rank);
+        let destination = message.destination;
+        self.change_queue(destination, |queue| queue.remove(&rank));
     }
 
     /// A message is over: out of its queue and its key's line.
@@ -613,7 +641,8 @@
     fn make_room(&mut self, actions: &mut Vec<Action>) {
         let most = self.set.max_open.saturating_sub((self.set.max_open / SPARE_ROOM).max(1)).max(1);
         while self.set.max_open > 0 && self.messages.len() > most {
-            let Some(longest) = self.destinations.values().max_by_key(|d| d.queue.len()) else { return };
+            let longest = self.waiting.longest().and_then(|id| self.destinations.get(&id));
+            let Some(longest) = longest else { return };
             let mut last = longest.queue.iter().rev().take(LOOK).map(|rank| rank.2);
             let victim =
                 last.find(|id| self.messages.get(id).is_some_and(|m| !m.kept_untried && self.may_refuse(m)));
@@ -626,7 +655,7 @@
         let (id, outcome) = (answer.id, answer.outcome);
         let Some((call_id, key)) = self.attempts.remove(&(id, answer.copy)) else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        let (endpoint, zone, sent) = (call.endpoint, call.zone, call.sent);
+        let (endpoint, zone, sent, route) = (call.endpoint, call.zone, call.sent, call.route);
         call.open -= 1;
         let (done, clean, overdue) = (call.open == 0, call.clean, call.overdue);
         let first = !std::mem::replace(&mut call.judged, true);
@@ -639,12 +668,15 @@
         // destination's wait holds for the endpoints that have come since, too.
         let shared =
             self.endpoints.get(&endpoint).and_then(|e| self.destinations.get(&e.destination)?.shared);
-        for route in [Some(call.route), shared].into_iter().flatten() {
+        for route in [Some(route), shared].into_iter().flatten() {
             let wait_until = &mut self.routes[route].wait_until;
             *wait_until = (*wait_until).max(self.now + answer.wait.clamp(0, LONGEST));
+            self.route_changed(route);
         }
         if first && outcome != Outcome::Moot && !self.is_noise(endpoint, outcome) {
             self.judge(endpoint, sent, answer, clean, overdue);
+            let route = self.endpoints.get(&endpoint).map(|place| place.route);
+            route.into_iter().for_each(|route| self.route_changed(route));
         }
         if done {
             self.close_call(call_id, outcome);
@@ -688,6 +720,13 @@
         route.overdue -= usize::from(call.overdue);
         route.written_off -= usize::from(call.written_off);
         self.destinations.entry(place.destination).or_default().in_flight -= 1;
+        if place.gone {
+            self.gone.insert((self.now, call.endpoint));
+        }
+        self.changed.push(place.destination);
+        self.route_calls.remove(&(call.route, id));
+        self.users.release(call.route);
+        self.route_changed(call.route);
     }
 
     /// One verdict for one call: the window, the waits and the health of its route.
@@ -776,7 +815,10 @@
     fn come_back(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         route.health = Health::Warming(self.now);
-        for call in self.calls.values_mut().filter(|c| c.route == id && !c.judged && !c.written_off) {
+        for (_, call) in self.route_calls.range((id, 0)..=(id, CallId::MAX)) {
+            let Some(call) = self.calls.get_mut(call).filter(|c| !c.judged && !c.written_off) else {
+                continue;
+            };
             call.written_off = true;
             route.written_off += 1;
         }
@@ -811,6 +853,7 @@
                 self.routes[route].streak += 1;
                 self.routes[route].failing = true;
                 self.mind_outage(route);
+                self.route_changed(route);
             }
         }
     }
@@ -831,11 +874,18 @@
     }
 
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        self.index_changed();
         let mut next = self.message_wakes.first().map_or(Micros::MAX, |w| w.0);
-        next = next.min(self.call_wakes.first().map_or(Micros::MAX, |w| w.0));
-        let waiting = self.destinations.values().filter(|d| !d.queue.is_empty());
-        let opens = waiting.flat_map(|d| &d.endpoints).map(|e| self.opens_at(self.endpoints[e].route));
-        next = opens.filter(|at| *at > self.now).fold(next, Micros::min);
+        next = next.min(self.call_wakes.first().map_or(Micros::MAX, |w| w.0)).min(self.timer_at);
+        for (earliest, id) in self.waiting.changes() {
+            if earliest >= next {
+                break;
+            }
+            self.work += 1;
+            let endpoints = self.destinations.get(&id).into_iter().flat_map(|d| &d.endpoints);
+            let opens = endpoints.map(|e| self.opens_at(self.endpoints[e].route));
+            next = opens.filter(|at| *at > self.now).fold(next, Micros::min);
+        }
         if next < self.timer_at {
             self.timer_at = next.max(self.now + 1);
             self.next_call += 1;
@@ -846,17 +896,62 @@
     /// When a route's waits, pauses and budget let the next call go (its window may still be full).
     fn opens_at(&self, id: RouteId) -> Micros {
         let route = &self.routes[id];
-        let budget = match self.budget(id) {
-            Some(calls) if calls < 1.0 && route.drawn != Some(self.now) => route.draw_at.max(self.now + 1),
-            Some(calls) if calls >= 1.0 && route.sends.len() >= calls as usize => {
-                route.sends[route.sends.len() - calls as usize] + self.set.tip_after
-            }
-            _ => self.now,
-        };
+        let budget = self.budget(id).map_or(self.now, |calls| self.budget_opens_at(route, calls));
         let paced = route.paced(&self.set).map_or(self.now, |rate| route.bucket.opens_at(self.now, rate));
         route.wait_until.max(route.pause_until).max(budget).max(paced).max(self.now)
     }
 
+    fn budget_opens_at(&self, route: &Route, calls: f64) -> Micros {
+        if calls < 1.0 && route.drawn != Some(self.now) {
+            route.draw_at.max(self.now + 1)
+        } else if calls >= 1.0 && route.sends.len() >= calls as usize {
+            route.sends[route.sends.len() - calls as usize] + self.set.tip_after
+        } else {
+            self.now
+        }
+    }
+
+    /// Not later than the moment from which `opens_at` is another by time alone; none where it stays.
+    fn changes_at(&self, id: RouteId) -> Option<Micros> {
+        let route = &self.routes[id];
+        let paced = route.paced(&self.set).map_or(self.now, |rate| route.bucket.opens_after(self.now, rate));
+        let fixed = route.wait_until.max(route.pause_until).max(paced);
+        let Some(calls) = self.budget(id) else { return Some(fixed).filter(|at| *at > self.now) };
+        let budget = self.budget_changes_at(route, calls);
+        if self.budget_opens_at(route, calls) > self.now {
+            budget.map(|at| at.max(fixed))
+        } else {
+            Some(fixed).filter(|at| *at > self.now).or(budget)
+        }
+    }
+
+    /// The same for the budget alone. Without a push-back the route's share follows the time, so its calls may
+    /// fall at any moment, but what opens it then is the next draw or the end of a send's span.
+    fn budget_changes_at(&self, route: &Route, calls: f64) -> Option<Micros> {
+        let steady = route.pushed.is_some();
+        let draw = (calls < 1.0 || !steady).then_some(route.draw_at);
+        let mut spans = route.sends.iter().map(|at| at + self.set.tip_after);
+        let span = spans.find(|end| *end > self.now).filter(|_| calls >= 1.0 || !steady);
+        let warmer = match route.health {
+            Health::Warming(since) if steady => Some(since + self.set.warm_within),
+            Health::Warming(since) => Some(since + self.next_call_after(route, calls)),
+            _ => None,
+        };
+        [draw, span, warmer].into_iter().flatten().min().map(|at| at.max(self.now + 1))
+    }
+
+    /// How long a route warms at least until its budget has grown by a whole call, or has no bounds.
+    fn next_call_after(&self, route: &Route, calls: f64) -> Micros {
+        let set = &self.set;
+        let warm = set.fall_multiple * route.share(self.now, set) * BUDGET_SHARE * set.tip_after as f64;
+        let part = (calls.max(0.0).floor() + 1.0) * SECOND as f64 / warm;
+        let risen = (part - set.cold_from) / (1.0 - set.cold_from);
+        // A rounding error may not make it later; where nothing rises there is no such moment.
+        let rises = warm > 0.0 && set.cold_from < 1.0;
+        let most = set.warm_within as f64;
+        if rises { (risen * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2 } else { set.warm_within }
+    }
+
     /// Calls that this forwarder may send to a route that is out or cold, in any span of `tip_after`.
     /// Return rule, argued from the settings: a route serves no more than it can, so the parts (`share`)
     /// sum to no more than that, and these parts of `fall_multiple` x present capacity x `tip_after` to no
@@ -871,24 +966,35 @@
 
     /// Under one call, chance decides, twice in a span of `tip_after`; a lull saves up nothing for later.
     fn draw_budgets(&mut self) {
-        let waiting = self.destinations.values().filter(|d| !d.queue.is_empty());
+        self.changed.extend(self.waiting.pop_draws(self.now));
+        let due: BTreeSet<DestinationId> = self.changed.iter().copied().collect();
+        let waiting = due.iter().filter_map(|id| self.destinations.get(id)).filter(|d| !d.queue.is_empty());
         for id in waiting.flat_map(|d| &d.endpoints).map(|e| self.endpoints[e].route).collect::<Vec<_>>() {
             if let Some(calls) = self.budget(id).filter(|_| self.routes[id].draw_at <= self.now) {
                 self.routes[id].draw_at = self.now + (self.set.tip_after / 2).max(1);
                 self.routes[id].drawn = (self.dice.part() < calls / 2.0).then_some(self.now);
+                self.route_changed(id);
             }
         }
     }
 
+    /// Whether all sick destinations together hold what they may.
+    fn sick_full(&self) -> bool {
+        self.sick_calls >= self.sick_cap()
+    }
+
+    fn sick_cap(&self) -> usize {
+        ((self.set.slots as f64 * SICK_CAP) as usize).max(1)
+    }
+
     /// Whole calls that the route's window and its state still allow.
-    fn has_room(&self, id: RouteId, destination: &Destination) -> bool {
+    fn has_room(&self, id: RouteId, destination: &Destination, sick_full: bool) -> bool {
         let route = &self.routes[id];
-        let half = ((self.set.slots as f64 * SICK_CAP) as usize).max(1);
-        let cap = if route.sick() { half } else { ((self.set.slots as f64 * CAP) as usize).max(1) };
-        let held = || self.routes.iter().filter(|r| r.sick()).map(|r| r.in_flight).sum::<usize>();
+        let most = ((self.set.slots as f64 * CAP) as usize).max(1);
+        let cap = if route.sick() { self.sick_cap() } else { most };
         // A call still out when the forwarder stops may have run: an unsafe message would be lost with it.
         let late = self.closes_at.is_some_and(|at| self.now + route.overdue_after() > at);
-        let full = late || destination.in_flight >= cap || (route.sick() && held() >= half);
+        let full = late || destination.in_flight >= cap || (route.sick() && sick_full);
         if full || self.opens_at(id) > self.now {
             return false;
         }
@@ -901,11 +1007,11 @@
     /// Rule of drains: nothing new to an endpoint that drains or is gone, from the moment it was told.
     /// Where calls carry batches, part of one waits while a call is out (as Nagle's rule): many small calls
     /// use up a limit for other forwarders too. It may hurt by one service time where nothing is short.
-    fn takes(&self, place: &Endpoint, destination: &Destination) -> bool {
+    fn takes(&self, place: &Endpoint, destination: &Destination, sick_full: bool) -> bool {
         let route = &self.routes[place.route];
         let idle = route.in_flight <= route.overdue.max(route.written_off);
         let fills = idle || destination.queue.len() >= place.kind.batch;
-        place.usable && !place.passed_over && fills && self.has_room(place.route, destination)
+        place.usable && !place.passed_over && fills && self.has_room(place.route, destination, sick_full)
     }
 
     fn warm(&self, place: &Endpoint) -> bool {
@@ -914,11 +1020,17 @@
     }
 
     /// Endpoints for a message now: usable, with room, allowed by what became of it so far.
-    fn fit<'a>(&'a self, message: &'a Message) -> impl Iterator<Item = (EndpointId, &'a Endpoint)> {
+    fn fit<'a>(
+        &'a self,
+        message: &'a Message,
+        sick_full: bool,
+    ) -> impl Iterator<Item = (EndpointId, &'a Endpoint)> {
         let destination = self.destinations.get(&message.destination).filter(|_| self.may_send(message));
         destination.into_iter().flat_map(move |d| {
             let places = d.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
-            places.filter(move |(id, place)| self.takes(place, d) && self.in_group(message, *id, place))
+            places.filter(move |(id, place)| {
+                self.takes(place, d, sick_full) && self.in_group(message, *id, place)
+            })
         })
     }
 
@@ -927,7 +1039,7 @@
         let mut draws = self.dice.clone();
         let message = self.messages.get(&message)?;
         let spread = SPREAD_COST / (1.0 + SPREAD_FLEET / f64::from(self.set.fleet_size.max(1)));
-        let costs = self.fit(message).map(|(id, place)| {
+        let costs = self.fit(message, self.sick_full()).map(|(id, place)| {
             let chance = -draws.part().max(1e-9).ln() / self.routes[place.route].weight.max(1e-3);
             (self.cost(place) + spread * chance.max(1e-9).ln(), id)
         });
@@ -964,23 +1076,32 @@
         }
     }
 
-    /// The first message of a queue that can go now.
-    fn next_of(&self, destination: &Destination) -> Option<Rank> {
-        if !destination.endpoints.iter().any(|e| self.takes(&self.endpoints[e], destination)) {
+    /// The first message of a queue that can go now, with or without room for sick destinations.
+    fn next_of(&self, destination: &Destination, sick_full: bool) -> Option<Rank> {
+        let mut places = destination.endpoints.iter().map(|e| &self.endpoints[e]);
+        if !places.any(|place| self.takes(place, destination, sick_full)) {
             return None;
         }
+        let fits = |m: &Message| self.fit(m, sick_full).next().is_some();
         let mut look = destination.queue.iter().take(LOOK);
-        let free = |rank: &&Rank| self.messages.get(&rank.2).is_some_and(|m| self.fit(m).next().is_some());
-        look.find(free).copied()
+        look.find(|rank| self.messages.get(&rank.2).is_some_and(fits)).copied()
     }
 
     fn send_all(&mut self, actions: &mut Vec<Action>) {
         self.draw_budgets();
+        self.index_changed();
         while self.calls.len() < self.set.slots {
-            let next = self.destinations.values().filter(|d| !d.queue.is_empty());
-            let Some((_, _, id)) = next.filter_map(|d| self.next_of(d)).min() else { return };
-            let Some(endpoint) = self.choose(id) else { return };
-            self.send_call(id, endpoint, actions);
+            let Some((rank, destination, found_at)) = self.waiting.first_ready(self.sick_full()) else {
+                return;
+            };
+            if found_at < self.now {
+                // It was ready in an earlier step, and may have closed since.
+                self.changed.push(destination);
+            } else {
+                let Some(endpoint) = self.choose(rank.2) else { return };
+                self.send_call(rank.2, endpoint, actions);
+            }
+            self.index_changed();
         }
     }
 
@@ -1009,6 +1130,7 @@
         }
         place.in_flight += 1;
         self.destinations.entry(place.destination).or_default().in_flight += 1;
+        self.changed.push(place.destination);
         let route = &mut self.routes[place.route];
         route.in_flight += 1;
         let weight = 1 + going.len() / 5;
@@ -1024,6 +1146,9 @@
         let only = going.first().copied().filter(|_| going.len() == 1);
         let call = Call { endpoint, route, zone, sent, open: going.len(), clean, only, ..Call::default() };
         self.calls.insert(self.next_call, call);
+        self.route_calls.insert((route, self.next_call));
+        self.users.hold(route);
+        self.route_changed(route);
     }
 
     fn send_one(&mut self, id: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
--- a/crates/core/src/dice.rs
+++ b/crates/core/src/dice.rs
@@ -3,7 +3,7 @@
 use crate::interface::Micros;
 
 /// Draws from a seed: the same seed, the same draws.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, PartialEq)]
 pub struct Dice(fastrand::Rng);
 
 impl Default for Dice {
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -13,6 +13,8 @@
 pub type EndpointId = u32;
 /// A destination.
 pub type DestinationId = u64;
+/// A route in trouble: a destination, or one endpoint of it where they are routes apart.
+pub type TroubledId = (DestinationId, Option<EndpointId>);
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,8 +9,12 @@
 pub mod dice;
 pub mod following;
 pub mod interface;
+mod route_users;
 pub mod settings;
+mod state;
+mod timer_queue;
 pub mod traffic;
 pub mod transport_map;
+mod waiting;
 
 pub use control::Controller;
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -7,6 +7,10 @@
 const SPAN: Micros = 60 * SECOND;
 const LEAST: f64 = 5.0 * SECOND as f64;
 
+/// A part of one event that counts as none, and the least rate in events a second that is told from none.
+const ROUNDING: f64 = 1e-6;
+const LEAST_RATE: f64 = 1e-6;
+
 /// Events counted since a moment; after [`SPAN`] half of them is forgotten.
 #[derive(Debug, Default)]
 pub struct Count {
@@ -71,7 +75,18 @@
     pub fn opens_at(&self, now: Micros, rate: f64) -> Micros {
         let short = 1.0 - self.room(now, rate, 1.0);
         // A rounding error is no debt; and a rate near nothing opens in days, not never.
-        if short < 1e-6 { now } else { now + (short / rate.max(1e-6) * SECOND as f64).ceil() as Micros }
+        if short < ROUNDING {
+            now
+        } else {
+            now + (short / rate.max(LEAST_RATE) * SECOND as f64).ceil() as Micros
+        }
+    }
+
+    /// Not later than any moment of opening that [`Self::opens_at`] gives from now on: those differ by rounding.
+    pub fn opens_after(&self, now: Micros, rate: f64) -> Micros {
+        let opens = self.opens_at(now, rate);
+        let rounding = (ROUNDING / rate.max(LEAST_RATE) * SECOND as f64).ceil() as Micros + 2;
+        if opens > now { (opens - rounding).max(now + 1) } else { now }
     }
 }
 
--- /dev/null
+++ b/crates/core/src/waiting.rs
@@ -0,0 +1,102 @@
+//! Destinations with messages in their queues, indexed by what they wait for: ready sets, and timer queues for
+//! those that open later.
+
+use crate::interface::{DestinationId, Micros};
+use crate::state::Rank;
+use crate::timer_queue::TimerQueue;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a destination waits for, as found at a moment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct Wait {
+    /// When this was found: a ready destination may have closed since.
+    pub found_at: Micros,
+    /// The first message that can go now, on any route.
+    pub ready: Option<Rank>,
+    /// The first message that can go on a route that is not sick.
+    pub ready_healthy: Option<Rank>,
+    /// Not later than the moment at which one of its routes opens or closes by time alone.
+    pub changes_at: Option<Micros>,
+    /// The next draw of one of its routes.
+    pub draw_at: Option<Micros>,
+}
+
+/// Index of the destinations with a queue.
+#[derive(Debug, Default)]
+pub(crate) struct WaitingIndex {
+    waits: BTreeMap<DestinationId, Wait>,
+    ready: BTreeSet<(Rank, DestinationId)>,
+    ready_healthy: BTreeSet<(Rank, DestinationId)>,
+    changes: TimerQueue<DestinationId>,
+    draws: TimerQueue<DestinationId>,
+    lengths: BTreeSet<(usize, DestinationId)>,
+}
+
+impl WaitingIndex {
+    /// Replaces what is known of a destination; none where its queue is empty.
+    pub fn set(&mut self, id: DestinationId, wait: Option<Wait>) {
+        let before = match wait {
+            Some(wait) => self.waits.insert(id, wait),
+            None => self.waits.remove(&id),
+        };
+        let (before, wait) = (before.unwrap_or_default(), wait.unwrap_or_default());
+        replace(&mut self.ready, id, before.ready, wait.ready);
+        replace(&mut self.ready_healthy, id, before.ready_healthy, wait.ready_healthy);
+        self.changes.set(id, wait.changes_at);
+        self.draws.set(id, wait.draw_at);
+    }
+
+    /// Notes a change of the length of a queue.
+    pub fn resize(&mut self, id: DestinationId, before: usize, length: usize) {
+        replace(&mut self.lengths, id, Some(before).filter(|l| *l > 0), Some(length).filter(|l| *l > 0));
+    }
+
+    /// The destination with the longest queue; of equals the one with the highest number.
+    pub fn longest(&self) -> Option<DestinationId> {
+        self.lengths.last().map(|(_, id)| *id)
+    }
+
+    /// The first message that can go, its destination, and when that was found.
+    pub fn first_ready(&self, healthy_only: bool) -> Option<(Rank, DestinationId, Micros)> {
+        let ready = if healthy_only { &self.ready_healthy } else { &self.ready };
+        let &(rank, id) = ready.first()?;
+        Some((rank, id, self.waits[&id].found_at))
+    }
+
+    /// Takes out the destinations whose routes may have opened or closed by now.
+    pub fn pop_changed(&mut self, now: Micros) -> impl Iterator<Item = DestinationId> {
+        std::iter::from_fn(move || self.changes.pop_due(now))
+    }
+
+    /// Takes out the destinations with a draw that is due.
+    pub fn pop_draws(&mut self, now: Micros) -> impl Iterator<Item = DestinationId> {
+        std::iter::from_fn(move || self.draws.pop_due(now))
+    }
+
+    /// Destinations by when they may open or close, the first first.
+    pub fn changes(&self) -> impl Iterator<Item = (Micros, DestinationId)> {
+        self.changes.iter()
+    }
+
+    /// All destinations with a queue that were found so far.
+    pub fn ids(&self) -> impl Iterator<Item = DestinationId> {
+        self.waits.keys().copied()
+    }
+}
+
+fn replace<Key: Ord + Copy>(
+    set: &mut BTreeSet<(Key, DestinationId)>,
+    id: DestinationId,
+    before: Option<Key>,
+    after: Option<Key>,
+) {
+    if before == after {
+        return;
+    }
+    if let Some(before) = before {
+        set.remove(&(before, id));
+    }
+    if let Some(after) = after {
+        set.insert((after, id));
+    }
+}
--- /dev/null
+++ b/crates/core/tests/differential.rs
@@ -0,0 +1,61 @@
+//! The controller decides as the one that walks all destinations in every step: the same actions, the same draws,
+//! the same routes in trouble, step by step.
+
+mod reference;
+
+use orchidyoke_core::Controller;
+use reference::control::Controller as Walking;
+use reference::world::{Counts, World};
+
+const STEPS: usize = 2_000;
+
+fn compare(seed: u64) -> Counts {
+    let mut world = World::new(seed);
+    let mut indexed = Controller::new(world.settings.clone(), seed);
+    let mut walking = Walking::new(world.settings.clone(), seed);
+    let mut events = world.first_list();
+    for step in 0..STEPS {
+        let (mut expected, mut actions) = (Vec::new(), Vec::new());
+        walking.step(world.now, &events, &mut expected);
+        indexed.step(world.now, &events, &mut actions);
+        let place = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
+        assert_eq!(actions, expected, "actions of {place}");
+        assert_eq!(indexed.dice(), walking.dice(), "draws of {place}");
+        assert_eq!(indexed.troubled(), walking.troubled(), "troubled after {place}");
+        if step % 20 == 0 {
+            let differs = world.endpoints().find(|id| indexed.avoids(*id) != walking.avoids(*id));
+            assert_eq!(differs, None, "avoided endpoint after {place}");
+        }
+        world.carry_out(&expected);
+        events = world.next_events();
+    }
+    world.counts
+}
+
+fn compare_all(seeds: std::ops::Range<u64>) {
+    let mut counts = Counts::default();
+    seeds.for_each(|seed| counts += compare(seed));
+    println!("{counts:?}");
+    assert!(counts.sent > 20_000 && counts.given_up > 5_000, "the events are of little use: {counts:?}");
+    assert!(2 * counts.with_messages > counts.destinations, "most destinations are at rest: {counts:?}");
+}
+
+#[test]
+fn decides_as_the_walking_version_seeds_0_to_24() {
+    compare_all(0..25);
+}
+
+#[test]
+fn decides_as_the_walking_version_seeds_25_to_49() {
+    compare_all(25..50);
+}
+
+#[test]
+fn decides_as_the_walking_version_seeds_50_to_74() {
+    compare_all(50..75);
+}
+
+#[test]
+fn decides_as_the_walking_version_seeds_75_to_99() {
+    compare_all(75..100);
+}
