--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -4,13 +4,13 @@
 
 use crate::dice::Dice;
 use crate::interface::*;
-use crate::route_users::RouteUsers;
 use crate::state::*;
-use crate::timer_queue::TimerQueue;
 use crate::traffic::{Bucket, Count};
-use crate::waiting::{Wait, WaitingIndex};
+use indexing::Index;
 use std::collections::{BTreeMap, BTreeSet};
 
+mod indexing;
+
 const SECOND: Micros = 1_000_000;
 /// Times told to this module are cut to this length (about 11 days): no sum of a few of them overflows.
 const LONGEST: Micros = 1_000_000 * SECOND;
@@ -32,7 +32,7 @@
 /// A call is overdue after its usual time plus this many mean deviations (four, as TCP's RTO).
 const DEVIATIONS: f64 = 4.0;
 /// Usual time of a destination never heard of, in microseconds: a slow system's answer and a handshake.
-const UNKNOWN_USUAL: f64 = 600_000.0;
+pub(crate) const UNKNOWN_USUAL: f64 = 600_000.0;
 /// Least time after which a call is overdue: short pauses of a busy system are no sickness.
 const OVERDUE_MIN: Micros = 600_000;
 /// A call is alone that is overdue while its endpoint answers what was sent later: its connection is dead, or
@@ -89,9 +89,8 @@
 
 impl Route {
     fn new(now: Micros, saved: f64) -> Self {
-        let (usual, deviation) = (UNKNOWN_USUAL, UNKNOWN_USUAL / 2.0);
         let (served, bucket) = (Count::starting(1.0, now), Bucket::starting(saved, now));
-        Route { window: 1.0, pace: 1.0, bucket, usual, deviation, served, ..Route::default() }
+        Route { bucket, served, ..Route::default() }
     }
 
     /// Failing or slow: push-backs in a row, or a call overdue before its time-out has ended.
@@ -174,23 +173,9 @@
     destinations: BTreeMap<DestinationId, Destination>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     routes: Vec<Route>,
-    users: RouteUsers,
-    /// Calls out on routes that are sick.
-    sick_calls: usize,
-    /// Destinations whose state has changed since they were indexed: as waiting, and as in trouble.
-    changed: Vec<DestinationId>,
-    unassessed: Vec<DestinationId>,
-    waiting: WaitingIndex,
-    troubled: BTreeSet<TroubledId>,
-    troubled_changed: bool,
-    /// When routes that come back end to be in trouble; when endpoints that are gone may be forgotten.
-    warming: TimerQueue<DestinationId>,
-    gone: BTreeSet<(Micros, EndpointId)>,
-    /// Destinations looked at, ever.
-    work: u64,
+    index: Index,
     message_wakes: BTreeSet<(Micros, MessageId)>,
     call_wakes: BTreeSet<(Micros, CallId)>,
-    route_calls: BTreeSet<(RouteId, CallId)>,
     timer_at: Micros,
     /// Share of the calls alone whose message took long.
     long: f64,
@@ -201,24 +186,23 @@
 impl Controller {
     /// A controller that has seen nothing; `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (dice, timer_at, troubled_changed) = (Dice::new(seed), Micros::MAX, true);
-        Controller { set: settings, dice, timer_at, troubled_changed, ..Controller::default() }
+        Controller { set: settings, dice: Dice::new(seed), timer_at: Micros::MAX, ..Controller::default() }
     }
 
     /// Routes that are out, failing, or back but cold, for [`Event::Known`]: forgotten in a restart, messages
     /// that waited for them would break the rule of returns. An endpoint stands for a route apart.
     pub fn troubled(&self) -> BTreeSet<TroubledId> {
-        self.troubled.clone()
+        self.index.troubled.clone()
     }
 
     /// Whether [`Self::troubled`] has changed since this was last asked; at first it has.
     pub fn take_troubled_changed(&mut self) -> bool {
-        std::mem::take(&mut self.troubled_changed)
+        std::mem::take(&mut self.index.troubled_changed)
     }
 
     /// How many destinations were looked at so far: the measure of a step's work.
     pub fn work(&self) -> u64 {
-        self.work
+        self.index.work
     }
 
     /// The source of chance, as it stands.
@@ -271,7 +255,7 @@
                 (message.attempts, message.first_try) = (*attempts, *attempts == 0 && message.first_try);
                 message.kept_untried = *attempts == 0;
                 message.may_have_run = may_have_run.map(|(ago, place, zone)| (self.now - ago, place, zone));
-                self.changed.push(message.destination);
+                self.index.changed.push(message.destination);
                 self.unsettled.push(*id);
             }
             Event::Known { destination: id, endpoint, out, wait } => {
@@ -292,11 +276,11 @@
             }
             Event::Settings(settings) => {
                 self.set = (**settings).clone();
-                self.changed.extend(self.destinations.keys());
+                self.index.changed.extend(self.destinations.keys());
             }
             Event::Closing { time_left } => {
                 self.closes_at = Some(self.now + *time_left);
-                self.changed.extend(self.waiting.ids());
+                self.index.changed.extend(self.index.waiting.ids());
             }
             Event::Hangup { id } => self.forget(*id),
             Event::Outcome(answer) => {
@@ -316,12 +300,12 @@
     fn take_list(&mut self, form: ListForm, entries: &[Entry]) {
         if matches!(form, ListForm::Whole | ListForm::Remembered) {
             self.endpoints.values_mut().for_each(|e| (e.usable, e.gone) = (false, true));
-            self.changed.extend(self.waiting.ids());
+            self.index.changed.extend(self.index.waiting.ids());
         }
         entries.iter().for_each(|entry| self.take_entry(entry));
         if matches!(form, ListForm::Whole | ListForm::Remembered) {
             let gone = self.endpoints.iter().filter(|(_, place)| place.gone);
-            self.gone.extend(gone.map(|(id, _)| (self.now, *id)));
+            self.index.gone.extend(gone.map(|(id, _)| (self.now, *id)));
         }
         let told: BTreeSet<DestinationId> = entries.iter().map(|entry| entry.destination).collect();
         told.into_iter().for_each(|destination| self.mind_reports(destination));
@@ -349,7 +333,7 @@
             let id = place.route;
             self.route_changed(id);
         }
-        self.changed.push(destination);
+        self.index.changed.push(destination);
     }
 
     fn take_entry(&mut self, entry: &Entry) {
@@ -361,13 +345,13 @@
             known.gone = entry.state == Listed::Gone;
             (known.zone, known.kind, known.report) = (entry.zone, kind, entry.report);
             if known.gone {
-                self.gone.insert((self.now, entry.endpoint));
+                self.index.gone.insert((self.now, entry.endpoint));
             }
             let (route, before) = (shared.unwrap_or(known.route), known.route);
             known.route = route;
-            self.changed.push(known.destination);
-            self.users.leave(before, known.destination);
-            self.users.join(route, known.destination);
+            self.index.changed.push(known.destination);
+            self.index.users.leave(before, known.destination);
+            self.index.users.join(route, known.destination);
             self.routes[route].weight = entry.weight;
             self.route_changed(route);
             return;
@@ -379,7 +363,7 @@
         let route = shared.filter(|_| stays).unwrap_or_else(|| self.new_route(shared));
         self.share_route(entry.destination, (!kind.apart).then_some(route));
         self.destinations.entry(entry.destination).or_default().endpoints.push(entry.endpoint);
-        self.users.join(route, entry.destination);
+        self.index.users.join(route, entry.destination);
         let usable = entry.state == Listed::On;
         self.routes[route].weight = entry.weight;
         let Entry { destination, zone, report, .. } = *entry;
@@ -388,17 +372,6 @@
         self.route_changed(route);
     }
 
-    /// The route of a destination for its endpoints to come.
-    fn share_route(&mut self, id: DestinationId, route: Option<RouteId>) {
-        let destination = self.destinations.entry(id).or_default();
-        let before = std::mem::replace(&mut destination.shared, route);
-        if before != route {
-            route.into_iter().for_each(|route| self.users.join(route, id));
-            before.into_iter().for_each(|route| self.users.leave(route, id));
-            self.changed.push(id);
-        }
-    }
-
     /// A new endpoint with no other beside it starts anew: what those before it did is not its doing.
     /// Two things are the destination's own: a wait that it told, and that it comes back cold.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
@@ -408,7 +381,7 @@
             new.wait_until = before.wait_until;
             new.health = if before.health == Health::Good { Health::Good } else { Health::Warming(self.now) };
         }
-        let place = self.users.lowest_free(before);
+        let place = self.index.users.lowest_free(before);
         self.routes.resize_with(self.routes.len().max(place + 1), Route::default);
         self.routes[place] = new;
         place
@@ -416,90 +389,25 @@
 
     /// Endpoints that are gone are forgotten once nothing of theirs is out and no wait of theirs runs.
     fn forget_gone(&mut self) {
-        while let Some(&(at, id)) = self.gone.first()
+        while let Some(&(at, id)) = self.index.gone.first()
             && at <= self.now
         {
-            self.gone.pop_first();
+            self.index.gone.pop_first();
             let Some(place) = self.endpoints.get(&id).filter(|e| e.gone && e.in_flight == 0) else {
                 continue;
             };
             let (wait, owner, route) = (self.routes[place.route].wait_until, place.destination, place.route);
             if wait > self.now {
-                self.gone.insert((wait, id));
+                self.index.gone.insert((wait, id));
                 continue;
             }
             self.endpoints.remove(&id);
-            self.users.leave(route, owner);
+            self.index.users.leave(route, owner);
             if let Some(destination) = self.destinations.get_mut(&owner) {
                 destination.endpoints.retain(|other| *other != id);
             }
-            self.troubled_changed |= self.troubled.remove(&(owner, Some(id)));
-            self.changed.push(owner);
-        }
-    }
-
-    /// Tells the indexes that a route has changed: the count of sick calls, and the destinations on it.
-    fn route_changed(&mut self, id: RouteId) {
-        let route = &mut self.routes[id];
-        let calls = if route.sick() { route.in_flight } else { 0 };
-        self.sick_calls = self.sick_calls + calls - std::mem::replace(&mut route.sick_calls, calls);
-        self.changed.extend(self.users.destinations(id));
-    }
-
-    /// Brings the index of waiting destinations up to date with what has changed or come due.
-    fn index_changed(&mut self) {
-        self.changed.extend(self.waiting.pop_changed(self.now));
-        let mut changed = std::mem::take(&mut self.changed);
-        changed.sort_unstable();
-        changed.dedup();
-        for id in &changed {
-            let wait = self.destinations.get(id).filter(|d| !d.queue.is_empty()).map(|d| self.wait_of(d));
-            self.work += u64::from(wait.is_some());
-            self.waiting.set(*id, wait);
-        }
-        self.unassessed.append(&mut changed);
-    }
-
-    /// What a destination with a queue waits for.
-    fn wait_of(&self, destination: &Destination) -> Wait {
-        let routes = || destination.endpoints.iter().map(|e| self.endpoints[e].route);
-        let ready = self.next_of(destination, false);
-        let sick = ready.is_some() && routes().any(|route| self.routes[route].sick());
-        Wait {
-            found_at: self.now,
-            ready,
-            ready_healthy: if sick { self.next_of(destination, true) } else { ready },
-            changes_at: routes().filter_map(|route| self.changes_at(route)).min(),
-            draw_at: routes().filter(|r| self.budget(*r).is_some()).map(|r| self.routes[r].draw_at).min(),
-        }
-    }
-
-    /// Brings the set of routes in trouble up to date with what has changed or come due.
-    fn assess_troubled(&mut self) {
-        self.unassessed.extend(std::iter::from_fn(|| self.warming.pop_due(self.now)));
-        let mut unassessed = std::mem::take(&mut self.unassessed);
-        unassessed.sort_unstable();
-        unassessed.dedup();
-        for id in unassessed {
-            let Some(destination) = self.destinations.get(&id) else { continue };
-            let places = destination.endpoints.iter().map(|e| (Some(*e), &self.endpoints[e]));
-            let apart = places.map(|(id, place)| (id, Some(place.route).filter(|_| place.kind.apart)));
-            // A destination in trouble may have no endpoint just now.
-            let routes = apart.chain([(None, destination.shared)]);
-            let mut ends = None;
-            for (endpoint, route) in routes {
-                let route = route.map(|route| &self.routes[route]);
-                let troubled = route.is_some_and(|route| self.is_troubled(route));
-                if let Some(Health::Warming(since)) = route.map(|r| r.health).filter(|_| troubled) {
-                    let end = since + self.set.warm_within;
-                    ends = Some(ends.map_or(end, |other: Micros| other.min(end)));
-                }
-                let id = (id, endpoint);
-                let news = if troubled { self.troubled.insert(id) } else { self.troubled.remove(&id) };
-                self.troubled_changed |= news;
-            }
-            self.work += 1;
-            self.warming.set(id, ends);
+            self.index.troubled_changed |= self.index.troubled.remove(&(owner, Some(id)));
+            self.index.changed.push(owner);
         }
     }
 
@@ -554,14 +462,6 @@
         self.change_queue(destination, |queue| queue.insert(rank));
     }
 
-    fn change_queue(&mut self, id: DestinationId, change: impl FnOnce(&mut BTreeSet<Rank>) -> bool) {
-        let queue = &mut self.destinations.entry(id).or_default().queue;
-        let before = queue.len();
-        change(queue);
-        self.waiting.resize(id, before, queue.len());
-        self.changed.push(id);
-    }
-
     fn unqueue(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(rank) = message.rank.take() else { return };
@@ -641,7 +541,7 @@
     fn make_room(&mut self, actions: &mut Vec<Action>) {
         let most = self.set.max_open.saturating_sub((self.set.max_open / SPARE_ROOM).max(1)).max(1);
         while self.set.max_open > 0 && self.messages.len() > most {
-            let longest = self.waiting.longest().and_then(|id| self.destinations.get(&id));
+            let longest = self.index.waiting.longest().and_then(|id| self.destinations.get(&id));
             let Some(longest) = longest else { return };
             let mut last = longest.queue.iter().rev().take(LOOK).map(|rank| rank.2);
             let victim =
@@ -721,11 +621,11 @@
         route.written_off -= usize::from(call.written_off);
         self.destinations.entry(place.destination).or_default().in_flight -= 1;
         if place.gone {
-            self.gone.insert((self.now, call.endpoint));
+            self.index.gone.insert((self.now, call.endpoint));
         }
-        self.changed.push(place.destination);
-        self.route_calls.remove(&(call.route, id));
-        self.users.release(call.route);
+        self.index.changed.push(place.destination);
+        self.index.route_calls.remove(&(call.route, id));
+        self.index.users.release(call.route);
         self.route_changed(call.route);
     }
 
@@ -815,7 +715,7 @@
     fn come_back(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         route.health = Health::Warming(self.now);
-        for (_, call) in self.route_calls.range((id, 0)..=(id, CallId::MAX)) {
+        for (_, call) in self.index.route_calls.range((id, 0)..=(id, CallId::MAX)) {
             let Some(call) = self.calls.get_mut(call).filter(|c| !c.judged && !c.written_off) else {
                 continue;
             };
@@ -877,11 +777,11 @@
         self.index_changed();
         let mut next = self.message_wakes.first().map_or(Micros::MAX, |w| w.0);
         next = next.min(self.call_wakes.first().map_or(Micros::MAX, |w| w.0)).min(self.timer_at);
-        for (earliest, id) in self.waiting.changes() {
+        for (earliest, id) in self.index.waiting.changes() {
             if earliest >= next {
                 break;
             }
-            self.work += 1;
+            self.index.work += 1;
             let endpoints = self.destinations.get(&id).into_iter().flat_map(|d| &d.endpoints);
             let opens = endpoints.map(|e| self.opens_at(self.endpoints[e].route));
             next = opens.filter(|at| *at > self.now).fold(next, Micros::min);
@@ -911,47 +811,6 @@
         }
     }
 
-    /// Not later than the moment from which `opens_at` is another by time alone; none where it stays.
-    fn changes_at(&self, id: RouteId) -> Option<Micros> {
-        let route = &self.routes[id];
-        let paced = route.paced(&self.set).map_or(self.now, |rate| route.bucket.opens_after(self.now, rate));
-        let fixed = route.wait_until.max(route.pause_until).max(paced);
-        let Some(calls) = self.budget(id) else { return Some(fixed).filter(|at| *at > self.now) };
-        let budget = self.budget_changes_at(route, calls);
-        if self.budget_opens_at(route, calls) > self.now {
-            budget.map(|at| at.max(fixed))
-        } else {
-            Some(fixed).filter(|at| *at > self.now).or(budget)
-        }
-    }
-
-    /// The same for the budget alone. Without a push-back the route's share follows the time, so its calls may
-    /// fall at any moment, but what opens it then is the next draw or the end of a send's span.
-    fn budget_changes_at(&self, route: &Route, calls: f64) -> Option<Micros> {
-        let steady = route.pushed.is_some();
-        let draw = (calls < 1.0 || !steady).then_some(route.draw_at);
-        let mut spans = route.sends.iter().map(|at| at + self.set.tip_after);
-        let span = spans.find(|end| *end > self.now).filter(|_| calls >= 1.0 || !steady);
-        let warmer = match route.health {
-            Health::Warming(since) if steady => Some(since + self.set.warm_within),
-            Health::Warming(since) => Some(since + self.next_call_after(route, calls)),
-            _ => None,
-        };
-        [draw, span, warmer].into_iter().flatten().min().map(|at| at.max(self.now + 1))
-    }
-
-    /// How long a route warms at least until its budget has grown by a whole call, or has no bounds.
-    fn next_call_after(&self, route: &Route, calls: f64) -> Micros {
-        let set = &self.set;
-        let warm = set.fall_multiple * route.share(self.now, set) * BUDGET_SHARE * set.tip_after as f64;
-        let part = (calls.max(0.0).floor() + 1.0) * SECOND as f64 / warm;
-        let risen = (part - set.cold_from) / (1.0 - set.cold_from);
-        // A rounding error may not make it later; where nothing rises there is no such moment.
-        let rises = warm > 0.0 && set.cold_from < 1.0;
-        let most = set.warm_within as f64;
-        if rises { (risen * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2 } else { set.warm_within }
-    }
-
     /// Calls that this forwarder may send to a route that is out or cold, in any span of `tip_after`.
     /// Return rule, argued from the settings: a route serves no more than it can, so the parts (`share`)
     /// sum to no more than that, and these parts of `fall_multiple` x present capacity x `tip_after` to no
@@ -966,8 +825,8 @@
 
     /// Under one call, chance decides, twice in a span of `tip_after`; a lull saves up nothing for later.
     fn draw_budgets(&mut self) {
-        self.changed.extend(self.waiting.pop_draws(self.now));
-        let due: BTreeSet<DestinationId> = self.changed.iter().copied().collect();
+        self.index.changed.extend(self.index.waiting.pop_draws(self.now));
+        let due: BTreeSet<DestinationId> = self.index.changed.iter().copied().collect();
         let waiting = due.iter().filter_map(|id| self.destinations.get(id)).filter(|d| !d.queue.is_empty());
         for id in waiting.flat_map(|d| &d.endpoints).map(|e| self.endpoints[e].route).collect::<Vec<_>>() {
             if let Some(calls) = self.budget(id).filter(|_| self.routes[id].draw_at <= self.now) {
@@ -980,7 +839,7 @@
 
     /// Whether all sick destinations together hold what they may.
     fn sick_full(&self) -> bool {
-        self.sick_calls >= self.sick_cap()
+        self.index.sick_calls >= self.sick_cap()
     }
 
     fn sick_cap(&self) -> usize {
@@ -1091,12 +950,12 @@
         self.draw_budgets();
         self.index_changed();
         while self.calls.len() < self.set.slots {
-            let Some((rank, destination, found_at)) = self.waiting.first_ready(self.sick_full()) else {
+            let Some((rank, destination, found_at)) = self.index.waiting.first_ready(self.sick_full()) else {
                 return;
             };
             if found_at < self.now {
                 // It was ready in an earlier step, and may have closed since.
-                self.changed.push(destination);
+                self.index.changed.push(destination);
             } else {
                 let Some(endpoint) = self.choose(rank.2) else { return };
                 self.send_call(rank.2, endpoint, actions);
@@ -1130,7 +989,7 @@
         }
         place.in_flight += 1;
         self.destinations.entry(place.destination).or_default().in_flight += 1;
-        self.changed.push(place.destination);
+        self.index.changed.push(place.destination);
         let route = &mut self.routes[place.route];
         route.in_flight += 1;
         let weight = 1 + going.len() / 5;
@@ -1146,8 +1005,8 @@
         let only = going.first().copied().filter(|_| going.len() == 1);
         let call = Call { endpoint, route, zone, sent, open: going.len(), clean, only, ..Call::default() };
         self.calls.insert(self.next_call, call);
-        self.route_calls.insert((route, self.next_call));
-        self.users.hold(route);
+        self.index.route_calls.insert((route, self.next_call));
+        self.index.users.hold(route);
         self.route_changed(route);
     }
 
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,8 +1,10 @@
 //! State of the decision module: messages, calls, endpoints, destinations and routes. Nothing is decided here.
 
+use crate::control::UNKNOWN_USUAL;
 use crate::interface::*;
 use crate::traffic::{Bucket, Count};
 use std::collections::{BTreeSet, VecDeque};
+use std::ops::{Deref, DerefMut};
 
 /// Place in the table of routes.
 pub(crate) type RouteId = usize;
@@ -55,7 +57,7 @@
     pub quiet_for: MessageId,
 }
 
-/// One endpoint of the list.
+/// One endpoint of the list: what is told of it, and its traffic so far.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub destination: DestinationId,
@@ -68,6 +70,13 @@
     /// What health checks report, and whether they call a sister fitter.
     pub report: Report,
     pub passed_over: bool,
+    /// Kept from the first call on.
+    pub traffic: Option<Box<EndpointTraffic>>,
+}
+
+/// What the calls to an endpoint have shown.
+#[derive(Debug)]
+pub(crate) struct EndpointTraffic {
     pub in_flight: usize,
     pub idle: Vec<Micros>,
     pub streak: u32,
@@ -78,6 +87,29 @@
     pub avoid_until: Micros,
 }
 
+/// The traffic of an endpoint that has had none.
+static NO_ENDPOINT_TRAFFIC: EndpointTraffic = EndpointTraffic::none();
+
+impl EndpointTraffic {
+    const fn none() -> Self {
+        EndpointTraffic { in_flight: 0, idle: Vec::new(), streak: 0, answered: 0, spoilt: 0, avoid_until: 0 }
+    }
+}
+
+impl Deref for Endpoint {
+    type Target = EndpointTraffic;
+
+    fn deref(&self) -> &EndpointTraffic {
+        self.traffic.as_deref().unwrap_or(&NO_ENDPOINT_TRAFFIC)
+    }
+}
+
+impl DerefMut for Endpoint {
+    fn deref_mut(&mut self) -> &mut EndpointTraffic {
+        self.traffic.get_or_insert_with(|| Box::new(EndpointTraffic::none()))
+    }
+}
+
 /// A destination and the messages that wait for it.
 #[derive(Debug, Default)]
 pub(crate) struct Destination {
@@ -99,42 +131,93 @@
     Warming(Micros),
 }
 
-/// One route (a destination, or an endpoint where they are apart): window, pace, health.
+/// One route (a destination, or an endpoint where they are apart): what is known of it, and its traffic so far.
 #[derive(Debug, Default)]
 pub(crate) struct Route {
+    pub weight: f64,
+    pub wait_until: Micros,
+    pub health: Health,
+    /// Health checks have left it no endpoint that is fit.
+    pub unfit: bool,
+    /// Calls that may go now, where the route is paced.
+    pub bucket: Bucket,
+    /// Calls served, and one to come.
+    pub served: Count,
+    /// Kept from the first call on: most routes of a long list have had none.
+    pub traffic: Option<Box<RouteTraffic>>,
+}
+
+/// What the calls to a route have shown: window, pace, push-backs.
+#[derive(Debug)]
+pub(crate) struct RouteTraffic {
     pub window: f64,
     /// After refusals: time between calls, as a window below one; 0 where none is needed.
     pub gap: f64,
-    /// Calls a second in even parts of the limit, and those that may go now.
+    /// Calls a second in even parts of the limit.
     pub pace: f64,
-    pub bucket: Bucket,
     pub in_flight: usize,
     /// Calls out that are overdue, and those given up as lost when the route came back.
     pub overdue: usize,
     pub written_off: usize,
-    pub health: Health,
     /// Push-backs since the last success, and whether any was more than a refusal.
     pub streak: u32,
     pub failing: bool,
     pub timeouts: u32,
     pub last_ok: Micros,
-    pub wait_until: Micros,
     pub pause_until: Micros,
     pub usual: f64,
     pub deviation: f64,
-    pub weight: f64,
     pub limit: f64,
     /// Calls of the last `tip_after`.
     pub sends: VecDeque<Micros>,
-    /// Calls served, and one to come.
-    pub served: Count,
     /// The first push-back since the last success, and the last.
     pub pushed: Option<(Micros, Micros)>,
     /// Where the budget is under one call: the next draw, and whether the last lets a call go in this step.
     pub draw_at: Micros,
     pub drawn: Option<Micros>,
-    /// Health checks have left it no endpoint that is fit.
-    pub unfit: bool,
     /// Its part of the count of calls on sick routes.
     pub sick_calls: usize,
 }
+
+/// The traffic of a route that has had none.
+static NO_ROUTE_TRAFFIC: RouteTraffic = RouteTraffic::none();
+
+impl RouteTraffic {
+    const fn none() -> Self {
+        RouteTraffic {
+            window: 1.0,
+            gap: 0.0,
+            pace: 1.0,
+            in_flight: 0,
+            overdue: 0,
+            written_off: 0,
+            streak: 0,
+            failing: false,
+            timeouts: 0,
+            last_ok: 0,
+            pause_until: 0,
+            usual: UNKNOWN_USUAL,
+            deviation: UNKNOWN_USUAL / 2.0,
+            limit: 0.0,
+            sends: VecDeque::new(),
+            pushed: None,
+            draw_at: 0,
+            drawn: None,
+            sick_calls: 0,
+        }
+    }
+}
+
+impl Deref for Route {
+    type Target = RouteTraffic;
+
+    fn deref(&self) -> &RouteTraffic {
+        self.traffic.as_deref().unwrap_or(&NO_ROUTE_TRAFFIC)
+    }
+}
+
+impl DerefMut for Route {
+    fn deref_mut(&mut self) -> &mut RouteTraffic {
+        self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::none()))
+    }
+}
