--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::transport_map::News;
-use orchidyoke_node::catalogue::{Catalogue, Teller};
+use orchidyoke_node::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_node::log;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,8 +47,8 @@
         &self.id
     }
 
-    fn follow(&self, held: News, teller: Teller) -> Pin<Box<dyn Future<Output = String>>> {
-        Box::pin(follow(self.settings.clone(), held, teller))
+    fn follow(&self, held: News, updates: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
+        Box::pin(follow(self.settings.clone(), held, updates))
     }
 }
 
@@ -60,7 +60,7 @@
     state: RefCell<State>,
     /// Something may be due earlier than a resting worker thinks.
     stir: Notify,
-    teller: Teller,
+    updates: UpdateSender,
 }
 
 struct State {
@@ -79,7 +79,7 @@
 }
 
 /// Runs until a worker panics; dropped, it closes all its connections.
-async fn follow(settings: Rc<Settings>, held: News, teller: Teller) -> String {
+async fn follow(settings: Rc<Settings>, held: News, updates: UpdateSender) -> String {
     let services = settings.services.len();
     // Where services take turns, two connections are for the hints that say whose turn comes first.
     let hinted = services > settings.connections;
@@ -105,7 +105,7 @@
         start: Instant::now(),
         state: RefCell::new(state),
         stir: Notify::new(),
-        teller,
+        updates,
     });
     let mut workers = JoinSet::new();
     for _ in 0..connections.min(services) {
@@ -196,7 +196,7 @@
                     let mut state = self.state.borrow_mut();
                     state.failing.remove(&service);
                     let change = state.picture.take(service, &entries);
-                    change.news.into_iter().for_each(|news| self.teller.tell(news));
+                    change.news.into_iter().for_each(|news| self.updates.send(news));
                     change.unusable.into_iter().for_each(|why| log!("Consul: left out: {why}"));
                 }
                 Err(error) => {
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -4,7 +4,7 @@
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::transport_map::{Checks, News, State, Target, TransportMap};
 use orchidyoke_node::catalogue::Catalogue;
-use orchidyoke_node::input::{Input, teller};
+use orchidyoke_node::input::{Input, update_sender};
 use orchidyoke_stand_ins::Consul;
 use orchidyoke_stand_ins::certificates::Authority;
 use orchidyoke_stand_ins::consul::{Fault, Instance};
@@ -53,7 +53,7 @@
 impl Seen {
     fn follow(settings: Settings, map: TransportMap) -> Self {
         let (inputs, news) = unbounded_channel();
-        let following = Source::new(settings).follow(map.whole(), teller(1, inputs));
+        let following = Source::new(settings).follow(map.whole(), update_sender(1, inputs));
         spawn_local(following);
         Seen { map, news }
     }
--- a/crates/epochs/src/agent.rs
+++ b/crates/epochs/src/agent.rs
@@ -5,7 +5,7 @@
 //! staged. It is in contact for a span after the moment at which it sent the last look that was answered: whatever was
 //! committed before that moment it has seen. Out of contact it serves on by what it holds, and says so.
 
-use crate::words::{Epoch, Numbered, Point, Standing, Vote};
+use crate::commit_point::{Epoch, MemberStatus, Numbered, Point, Vote};
 use orchidyoke_core::interface::Micros;
 
 /// What has happened.
@@ -29,7 +29,7 @@
     /// Keep this on the disk as committed and put it in force, before anything else is begun; then report.
     Apply(Numbered),
     /// Say this to the fleet.
-    Tell(Standing),
+    Tell(MemberStatus),
 }
 
 /// A forwarder's part.
@@ -76,7 +76,7 @@
     }
 
     /// Why it is not to be relied on for the fleet's policy, if it is not.
-    pub fn amiss(&self, now: Micros, span: Micros) -> Option<String> {
+    pub fn unready_reason(&self, now: Micros, span: Micros) -> Option<String> {
         if let Some(numbered) = &self.applying {
             return Some(format!("policy epoch {} is being put in force", numbered.epoch));
         }
@@ -90,14 +90,14 @@
     }
 
     /// What it says of itself.
-    pub fn standing(&self) -> Standing {
+    pub fn member_status(&self) -> MemberStatus {
         let refuses = self.refused.as_ref().map(|(_, why)| why.clone());
-        Standing { epoch: self.epoch(), vote: self.vote.clone(), refuses }
+        MemberStatus { epoch: self.epoch(), vote: self.vote.clone(), refuses }
     }
 
     /// Takes an input; what is to be done, in order.
     pub fn step(&mut self, input: Input) -> Vec<Effect> {
-        let before = self.standing();
+        let before = self.member_status();
         let mut effects = match input {
             Input::Looked(sent, point) => {
                 self.contact = self.contact.max(Some(sent));
@@ -114,8 +114,8 @@
                 Vec::new()
             }
         };
-        if self.standing() != before {
-            effects.push(Effect::Tell(self.standing()));
+        if self.member_status() != before {
+            effects.push(Effect::Tell(self.member_status()));
         }
         effects
     }
@@ -193,7 +193,7 @@
 
     fn told(epoch: Epoch, proposal: &str, no: Option<&str>) -> Effect {
         let vote = Some(Vote { proposal: proposal.to_owned(), no: no.map(str::to_owned) });
-        Effect::Tell(Standing { epoch, vote, refuses: None })
+        Effect::Tell(MemberStatus { epoch, vote, refuses: None })
     }
 
     // Guards against acting on what is only proposed, and against a vote before it is on the disk.
@@ -207,9 +207,9 @@
         assert_eq!(agent.epoch(), 0);
         let seen = agent.step(Input::Looked(2, point(Some(&one), None)));
         assert_eq!(seen[..2], [Effect::Apply(one.clone()), Effect::Unstage]);
-        assert!(agent.amiss(3, 100).is_some(), "not before it is in force");
+        assert!(agent.unready_reason(3, 100).is_some(), "not before it is in force");
         agent.step(Input::Applied("a".into(), Ok(())));
-        assert_eq!((agent.epoch(), agent.amiss(3, 100), agent.staged()), (1, None, None));
+        assert_eq!((agent.epoch(), agent.unready_reason(3, 100), agent.staged()), (1, None, None));
     }
 
     // Guards against a staged policy that outlasts its withdrawal.
@@ -225,7 +225,7 @@
         // Withdrawn while it was being checked.
         assert_eq!(agent.step(Input::Looked(1, point(None, None))), []);
         assert_eq!(agent.step(Input::Staged("a".into(), Ok(()))), [Effect::Unstage]);
-        assert_eq!(agent.standing(), Standing::default());
+        assert_eq!(agent.member_status(), MemberStatus::default());
     }
 
     #[test]
@@ -236,7 +236,7 @@
         assert_eq!(no, [told(0, "a", Some("slots: missing"))]);
         let no = agent.step(Input::Looked(1, point(None, Some(&two))));
         assert!(
-            matches!(&no[..], [Effect::Tell(Standing { vote: Some(Vote { no: Some(_), .. }), .. })]),
+            matches!(&no[..], [Effect::Tell(MemberStatus { vote: Some(Vote { no: Some(_), .. }), .. })]),
             "{no:?}"
         );
     }
@@ -245,13 +245,17 @@
     #[test]
     fn one_that_was_away_takes_what_is_committed_though_it_never_staged_it() {
         let (mut agent, three) = (Agent::new(Some(numbered("b", 2)), None), numbered("c", 3));
-        assert!(agent.amiss(0, 100).is_some_and(|why| why.contains("cut off") && why.contains("epoch 2")));
+        assert!(
+            agent
+                .unready_reason(0, 100)
+                .is_some_and(|why| why.contains("cut off") && why.contains("epoch 2"))
+        );
         assert_eq!(agent.step(Input::Looked(5, point(Some(&three), None))), [Effect::Apply(three.clone())]);
         assert_eq!(agent.step(Input::Looked(6, point(Some(&three), None))), []);
         agent.step(Input::Applied("c".into(), Ok(())));
-        assert_eq!((agent.epoch(), agent.amiss(105, 100)), (3, None));
+        assert_eq!((agent.epoch(), agent.unready_reason(105, 100)), (3, None));
         // Contact counts from when the look was sent.
-        assert!(agent.amiss(106, 100).is_some());
+        assert!(agent.unready_reason(106, 100).is_some());
     }
 
     // Guards against one that cannot use what the fleet agreed on and says nothing.
@@ -261,11 +265,11 @@
         agent.step(Input::Looked(0, point(Some(&one), None)));
         let told = agent.step(Input::Applied("a".into(), Err("its file is broken".into())));
         let refuses = Some("its file is broken".to_owned());
-        assert_eq!(told, [Effect::Tell(Standing { epoch: 0, vote: None, refuses })]);
-        assert!(agent.amiss(1, 100).is_some_and(|why| why.contains("file is broken")));
+        assert_eq!(told, [Effect::Tell(MemberStatus { epoch: 0, vote: None, refuses })]);
+        assert!(agent.unready_reason(1, 100).is_some_and(|why| why.contains("file is broken")));
         assert_eq!(agent.step(Input::Looked(1, point(Some(&one), None))), [], "not tried again and again");
         assert_eq!(agent.step(Input::Looked(2, point(Some(&two), None))), [Effect::Apply(two.clone())]);
         agent.step(Input::Applied("b".into(), Ok(())));
-        assert_eq!(agent.amiss(3, 100), None);
+        assert_eq!(agent.unready_reason(3, 100), None);
     }
 }
--- a/crates/epochs/src/words.rs
+++ b/crates/epochs/src/commit_point.rs
@@ -90,7 +90,7 @@
 
 /// What a forwarder says of itself, in its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct MemberStatus {
     /// The epoch in force here.
     pub epoch: Epoch,
     /// Its last vote.
@@ -132,7 +132,7 @@
     /// Its name and the number of its process.
     pub id: String,
     /// What it says of itself; none where that is not in form.
-    pub standing: Option<Standing>,
+    pub status: Option<MemberStatus>,
 }
 
 /// Those that are there: whose key is held by a session.
@@ -142,7 +142,7 @@
         .filter(|row| row.session.is_some())
         .filter_map(|row| {
             let id = row.key.strip_prefix(&prefix)?.to_owned();
-            Some(Member { id, standing: serde_json::from_str(&row.text()).ok() })
+            Some(Member { id, status: serde_json::from_str(&row.text()).ok() })
         })
         .collect()
 }
--- a/crates/epochs/src/follow.rs
+++ b/crates/epochs/src/follow.rs
@@ -2,13 +2,14 @@
 //! and the policy in force and the staged one as files of the forwarder's folder.
 
 use crate::agent::{Agent, Effect, Input};
-use crate::words::{self, Numbered, Point, Policy, Settings};
+use crate::commit_point::{self, Numbered, Point, Policy, Settings};
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_node::accord::{Accord, Standing, Task};
 use orchidyoke_node::config::{Config, ConfigError};
 use orchidyoke_node::input;
+use orchidyoke_node::policy_agent::{PolicyAgent, PolicyStatus, Task};
+use orchidyoke_node::policy_overlay::PolicyOverlay;
 use orchidyoke_node::reload::Source;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -36,9 +37,9 @@
     /// The session with its key.
     session: RefCell<Option<String>>,
     /// What its key says, as far as it is known.
-    told: RefCell<Option<words::Standing>>,
+    told: RefCell<Option<commit_point::MemberStatus>>,
     index: Cell<u64>,
-    /// Its standing has changed: for the fleet, and for this process.
+    /// Its status has changed: for the fleet, and for this process.
     tell: Notify,
     changed: Notify,
 }
@@ -211,14 +212,14 @@
             _ => (locks.create(&self.id, self.settings.ttl, Duration::ZERO, Behavior::Delete).await?, true),
         };
         *self.session.borrow_mut() = Some(session.clone());
-        let standing = self.agent.borrow().standing();
+        let status = self.agent.borrow().member_status();
         // A renewal costs Consul's leader next to nothing, a write goes through its log.
-        if !fresh && self.told.borrow().as_ref() == Some(&standing) {
+        if !fresh && self.told.borrow().as_ref() == Some(&status) {
             return Ok(());
         }
-        let value = Bytes::from(serde_json::to_vec(&standing).unwrap_or_default());
+        let value = Bytes::from(serde_json::to_vec(&status).unwrap_or_default());
         if locks.acquire(key, &session, value).await? {
-            *self.told.borrow_mut() = Some(standing);
+            *self.told.borrow_mut() = Some(status);
         } else {
             tracing::warn!(key, "another session holds this forwarder's key");
         }
@@ -227,7 +228,7 @@
 
     /// Tells the forwarder how it stands, whenever that changes, by the clock too.
     async fn clock(&self, inputs: &UnboundedSender<input::Input>) {
-        let mut last = self.standing();
+        let mut last = self.status();
         loop {
             let until = self.agent.borrow().contact_until(self.span()).filter(|until| *until > self.now());
             let lapse = async {
@@ -240,23 +241,23 @@
                 () = self.changed.notified() => {}
                 () = lapse => {}
             }
-            let standing = self.standing();
-            if standing != last {
-                match (&standing.amiss, &last.amiss) {
+            let status = self.status();
+            if status != last {
+                match (&status.unready_reason, &last.unready_reason) {
                     (Some(why), before) if Some(why) != before.as_ref() => {
                         tracing::warn!(why, "fleet policy")
                     }
                     (None, Some(_)) => {
                         tracing::info!(
-                            epoch = self.number(),
+                            epoch = self.version(),
                             "fleet policy: in contact with the commit point"
                         );
                     }
                     _ => {}
                 }
-                last = standing.clone();
+                last = status.clone();
                 // The receiver is gone only when the forwarder ends.
-                let _ = inputs.send(input::Input::Accord(standing));
+                let _ = inputs.send(input::Input::PolicyStatus(status));
             }
         }
     }
@@ -270,7 +271,17 @@
     |text| Policy::read(&numbered.policy).and_then(|policy| policy.lay_over(text)).map_err(ConfigError::new)
 }
 
-impl Accord for Follower {
+impl PolicyOverlay for Follower {
+    fn apply(&self, configuration: &str) -> Result<String, ConfigError> {
+        self.agent.borrow().held().map_or(Ok(configuration.to_owned()), |held| lay(held)(configuration))
+    }
+
+    fn version(&self) -> u64 {
+        self.agent.borrow().epoch()
+    }
+}
+
+impl PolicyAgent for Follower {
     fn join<'a>(&'a self, source: &'a Source) -> Task<'a> {
         Box::pin(async move {
             let mut locks = self.locks();
@@ -285,7 +296,7 @@
             match timeout(JOIN, look).await {
                 Ok(effects) => self.carry_out(source, None, effects).await,
                 Err(_) => {
-                    let epoch = self.number();
+                    let epoch = self.version();
                     tracing::warn!(
                         epoch,
                         "commit point not reached: starts by the policy epoch last in force"
@@ -295,26 +306,18 @@
         })
     }
 
-    fn lay_over(&self, configuration: &str) -> Result<String, ConfigError> {
-        self.agent.borrow().held().map_or(Ok(configuration.to_owned()), |held| lay(held)(configuration))
-    }
-
-    fn number(&self) -> u64 {
-        self.agent.borrow().epoch()
-    }
-
-    fn standing(&self) -> Standing {
+    fn status(&self) -> PolicyStatus {
         let agent = self.agent.borrow();
-        let amiss = agent.amiss(self.now(), self.span());
+        let unready_reason = agent.unready_reason(self.now(), self.span());
         let contact = agent.contact_until(self.span()).is_some_and(|until| self.now() < until);
-        let refused = agent.standing().refuses.is_some();
+        let refused = agent.member_status().refuses.is_some();
         let figures = format!(
             "app_policy_epoch {}\napp_policy_contact {}\napp_policy_refused {}\n",
             agent.epoch(),
             u8::from(contact),
             u8::from(refused)
         );
-        Standing { amiss, figures }
+        PolicyStatus { unready_reason, figures }
     }
 
     fn follow(self: Rc<Self>, source: Rc<Source>, inputs: UnboundedSender<input::Input>) -> Task<'static> {
--- a/crates/epochs/src/proposal.rs
+++ b/crates/epochs/src/proposal.rs
@@ -1,6 +1,6 @@
 //! When a proposer may commit. No I/O.
 
-use crate::words::{Member, Numbered, Point};
+use crate::commit_point::{Member, Numbered, Point};
 
 /// What a proposer is to do, by what it has seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         return Verdict::Lost;
     }
     let vote = |member: &Member| {
-        let vote = member.standing.as_ref()?.vote.as_ref()?;
+        let vote = member.status.as_ref()?.vote.as_ref()?;
         (vote.proposal == mine.id).then(|| vote.no.clone())
     };
     let no: Vec<_> = members.iter().filter_map(|m| Some((m.id.clone(), vote(m)??))).collect();
@@ -48,11 +48,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::words::{Standing, Vote};
+    use crate::commit_point::{MemberStatus, Vote};
 
     fn member(id: &str, vote: Option<(&str, Option<&str>)>) -> Member {
         let vote = vote.map(|(proposal, no)| Vote { proposal: proposal.into(), no: no.map(str::to_owned) });
-        Member { id: id.into(), standing: Some(Standing { vote, ..Standing::default() }) }
+        Member { id: id.into(), status: Some(MemberStatus { vote, ..MemberStatus::default() }) }
     }
 
     fn numbered(id: &str, epoch: u64) -> Numbered {
@@ -69,7 +69,7 @@
             |others: &[Member]| verdict(&mine, &point, &[std::slice::from_ref(&yes), others].concat());
         assert_eq!(asked(&[]), Verdict::Commit { proposal: 9, committed: 5 });
         // A vote for another proposal is none, and what cannot be read is none.
-        let garbled = Member { id: "f3".into(), standing: None };
+        let garbled = Member { id: "f3".into(), status: None };
         assert_eq!(
             asked(&[member("f2", Some(("b", None))), garbled]),
             Verdict::Wait(vec!["f2".into(), "f3".into()])
--- a/crates/epochs/src/propose.rs
+++ b/crates/epochs/src/propose.rs
@@ -5,8 +5,8 @@
 //! commit is one transaction: the proposal is still this one and held by this session, what is committed is what it was,
 //! and both change together or not at all.
 
+use crate::commit_point::{Epoch, Member, Numbered, Point, Policy, PolicyError, Settings, members};
 use crate::proposal::{Verdict, verdict};
-use crate::words::{Epoch, Member, Numbered, Point, Policy, PolicyError, Settings, members};
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
 use std::rc::Rc;
@@ -236,7 +236,7 @@
             match timeout_at(began + patience, self.members(index)).await {
                 Ok(Ok((at, members))) => {
                     index = at;
-                    let has = |member: &Member| member.standing.as_ref().is_some_and(|s| s.epoch >= epoch);
+                    let has = |member: &Member| member.status.as_ref().is_some_and(|s| s.epoch >= epoch);
                     missing = members
                         .iter()
                         .filter(|member| !has(member))
--- a/crates/epochs/tests/model.rs
+++ b/crates/epochs/tests/model.rs
@@ -4,8 +4,8 @@
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_epochs::agent::{Agent, Effect, Input};
+use orchidyoke_epochs::commit_point::{Member, MemberStatus, Numbered, Point};
 use orchidyoke_epochs::proposal::{Verdict, verdict};
-use orchidyoke_epochs::words::{Member, Numbered, Point, Standing};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// A step of the clock is one unit. The store gives a silent forwarder up after this long; a look counts for less.
@@ -80,7 +80,7 @@
     point: Point,
     index: u64,
     /// The forwarders' keys, with when each was renewed.
-    keys: Vec<Option<(Standing, Micros)>>,
+    keys: Vec<Option<(MemberStatus, Micros)>>,
     nodes: Vec<Node>,
     proposers: Vec<Proposer>,
     /// All that was ever committed, and when.
@@ -141,9 +141,9 @@
     }
 
     fn members(&self) -> Vec<Member> {
-        let member = |(place, key): (usize, &Option<(Standing, Micros)>)| {
-            let (standing, _) = key.clone()?;
-            Some(Member { id: place.to_string(), standing: Some(standing) })
+        let member = |(place, key): (usize, &Option<(MemberStatus, Micros)>)| {
+            let (status, _) = key.clone()?;
+            Some(Member { id: place.to_string(), status: Some(status) })
         };
         self.keys.iter().enumerate().filter_map(member).collect()
     }
@@ -177,7 +177,7 @@
             clock: 0,
             point: Point::default(),
             index: 0,
-            keys: vec![Some((Standing::default(), 0)); 2],
+            keys: vec![Some((MemberStatus::default(), 0)); 2],
             nodes: vec![node; 2],
             proposers: vec![Proposer::Idle; self.proposers],
             history: Vec::new(),
@@ -239,7 +239,7 @@
             }
             Step::Tell(place) => {
                 world.nodes[place].tells = false;
-                world.keys[place] = Some((world.nodes[place].agent.standing(), world.clock));
+                world.keys[place] = Some((world.nodes[place].agent.member_status(), world.clock));
             }
             Step::Expire(place) => {
                 world.away = true;
@@ -324,7 +324,8 @@
                     let behind = |(numbered, at): &(Numbered, Micros)| {
                         numbered.epoch > node.agent.epoch() && world.clock >= at + SPAN
                     };
-                    node.agent.amiss(world.clock, SPAN).is_some() || !world.history.iter().any(behind)
+                    node.agent.unready_reason(world.clock, SPAN).is_some()
+                        || !world.history.iter().any(behind)
                 })
             }),
             Property::always(USABLE, |_, world: &World| {
--- a/crates/node/src/catalogue.rs
+++ b/crates/node/src/catalogue.rs
@@ -6,24 +6,24 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// What a watch tells goes this way.
+/// Takes the updates of one watch.
 #[derive(Clone)]
-pub struct Teller(Rc<dyn Fn(News)>);
+pub struct UpdateSender(Rc<dyn Fn(News)>);
 
-impl fmt::Debug for Teller {
+impl fmt::Debug for UpdateSender {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Teller")
+        f.write_str("UpdateSender")
     }
 }
 
-impl Teller {
-    /// The teller of one watch: `tell` hands on what it tells.
-    pub fn new(tell: impl Fn(News) + 'static) -> Self {
-        Teller(Rc::new(tell))
+impl UpdateSender {
+    /// A sender that passes each update on to `deliver`.
+    pub fn new(deliver: impl Fn(News) + 'static) -> Self {
+        UpdateSender(Rc::new(deliver))
     }
 
-    /// Hands on what was told.
-    pub fn tell(&self, news: News) {
+    /// Passes an update on.
+    pub fn send(&self, news: News) {
         (self.0)(news);
     }
 }
@@ -39,5 +39,5 @@
     /// Follows it from the list held on, and tells changes to that list, with versions that go on from its own. It
     /// is not to empty the list because the catalogue is silent. It ends with the reason in one line; whoever asked
     /// may ask again.
-    fn follow(&self, held: News, teller: Teller) -> Pin<Box<dyn Future<Output = String>>>;
+    fn follow(&self, held: News, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/client_api.rs
@@ -1,7 +1,7 @@
-//! The front: the platform's protocol on the sender side. The core knows nothing of it; another front would
-//! hand in the same [`Handed`] messages and give the same [`DoorAnswer`]s in its own words.
+//! The HTTP API for clients: the platform's protocol on the sender side. The core knows nothing of it; another API
+//! would submit the same [`Submission`]s and map the same [`SubmitAnswer`]s to its own responses.
 
-use crate::input::{DoorAnswer, Handed, IDEMPOTENCY_KEY, Input, Ticket};
+use crate::input::{IDEMPOTENCY_KEY, Input, Submission, SubmitAnswer, Ticket};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -26,34 +26,34 @@
 /// A body that has not come by then does not come: a client itself gives up 400 ms after its request.
 const BODY_TIME: Duration = Duration::from_millis(600);
 
-/// The door between the sender side's connections and the reducer.
-pub struct Door {
+/// Connects the requests of clients with the reducer.
+pub struct ClientGateway {
     inputs: UnboundedSender<Input>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<DoorAnswer>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<SubmitAnswer>>>,
     next: Cell<Ticket>,
 }
 
-impl Door {
-    /// A door that hands in to the reducer behind `inputs`.
+impl ClientGateway {
+    /// A gateway to the reducer behind `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
-        Rc::new(Door { inputs, waiting: RefCell::default(), next: Cell::new(0) })
+        Rc::new(ClientGateway { inputs, waiting: RefCell::default(), next: Cell::new(0) })
     }
 
     /// Answers a request that waits; one that is gone needs no answer.
-    pub fn answer(&self, ticket: Ticket, answer: DoorAnswer) {
+    pub fn answer(&self, ticket: Ticket, answer: SubmitAnswer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             let _ = waiting.send(answer);
         }
     }
 
-    async fn hand_in(&self, message: Handed) -> DoorAnswer {
+    async fn submit(&self, message: Submission) -> SubmitAnswer {
         let ticket = self.next.get();
         self.next.set(ticket + 1);
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
-        let _guard = Waiting { door: self, ticket };
-        self.tell(Input::Handed { ticket, message });
-        receiver.await.unwrap_or(DoorAnswer::Failed)
+        let _guard = Waiting { gateway: self, ticket };
+        self.tell(Input::Submitted { ticket, message });
+        receiver.await.unwrap_or(SubmitAnswer::Failed)
     }
 
     /// Reports to the reducer.
@@ -65,14 +65,14 @@
 
 /// A request that waits. Dropped unanswered, its client has closed the connection.
 struct Waiting<'a> {
-    door: &'a Door,
+    gateway: &'a ClientGateway,
     ticket: Ticket,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        if self.door.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.door.tell(Input::Withdrawn { ticket: self.ticket });
+        if self.gateway.waiting.borrow_mut().remove(&self.ticket).is_some() {
+            self.gateway.tell(Input::Withdrawn { ticket: self.ticket });
         }
     }
 }
@@ -88,7 +88,11 @@
 }
 
 /// Answers one request. An answer with `Connection: close` is the last: its client does not keep to the protocol.
-pub async fn respond(door: &Door, request: Request<Incoming>, ending: bool) -> Response<Full<Bytes>> {
+pub async fn respond(
+    gateway: &ClientGateway,
+    request: Request<Incoming>,
+    ending: bool,
+) -> Response<Full<Bytes>> {
     if request.headers().contains_key(TRANSFER_ENCODING) {
         // Beside a Content-Length it may hide another request in the body, and the library keeps only one of them.
         return refuse(Fault(StatusCode::LENGTH_REQUIRED, "Content-Length alone says where a body ends\n"));
@@ -101,7 +105,7 @@
         };
     }
     match take(request).await {
-        Ok(message) => tell(door.hand_in(message).await),
+        Ok(message) => tell(gateway.submit(message).await),
         Err(fault) => refuse(fault),
     }
 }
@@ -113,7 +117,7 @@
 }
 
 /// Reads a message out of a request.
-async fn take(request: Request<Incoming>) -> Result<Handed, Fault> {
+async fn take(request: Request<Incoming>) -> Result<Submission, Fault> {
     let came = Instant::now();
     if request.method() != Method::POST {
         return Err(Fault(StatusCode::METHOD_NOT_ALLOWED, "POST only\n"));
@@ -152,7 +156,7 @@
 }
 
 /// A message without its body yet. Whether its class needs a key, and the deployment tenants, the reducer knows.
-fn read_head(class: &str, headers: &HeaderMap) -> Result<Handed, Fault> {
+fn read_head(class: &str, headers: &HeaderMap) -> Result<Submission, Fault> {
     let name = |header: &str| {
         let only = only(headers, header, false).ok().flatten();
         let text = only.and_then(|value| value.to_str().ok()).unwrap_or_default().trim();
@@ -175,7 +179,7 @@
     let dest = dest.filter(|number| number.bytes().all(|byte| byte.is_ascii_digit()));
     let dest =
         dest.and_then(|number| number.parse().ok()).ok_or(bad("X-Consignee: no dest=NUMBER in it\n"))?;
-    Ok(Handed {
+    Ok(Submission {
         txn,
         class: class.to_owned(),
         org,
@@ -187,18 +191,18 @@
     })
 }
 
-fn tell(answer: DoorAnswer) -> Response<Full<Bytes>> {
+fn tell(answer: SubmitAnswer) -> Response<Full<Bytes>> {
     let mut response = match answer {
-        DoorAnswer::TakenOn => plain(StatusCode::ACCEPTED, ""),
-        DoorAnswer::Deferred(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "deferred\n"),
-        DoorAnswer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
-        DoorAnswer::Incomplete(words) => plain(StatusCode::BAD_REQUEST, words),
-        DoorAnswer::UnknownClass => plain(StatusCode::NOT_FOUND, "there is no such class\n"),
-        DoorAnswer::UnknownDestination => {
+        SubmitAnswer::TakenOn => plain(StatusCode::ACCEPTED, ""),
+        SubmitAnswer::Deferred(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "deferred\n"),
+        SubmitAnswer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
+        SubmitAnswer::Incomplete(words) => plain(StatusCode::BAD_REQUEST, words),
+        SubmitAnswer::UnknownClass => plain(StatusCode::NOT_FOUND, "there is no such class\n"),
+        SubmitAnswer::UnknownDestination => {
             plain(StatusCode::UNPROCESSABLE_ENTITY, "there is no such destination\n")
         }
     };
-    if let DoorAnswer::Deferred(pause @ 1..) = answer
+    if let SubmitAnswer::Deferred(pause @ 1..) = answer
         && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", pause as f64 / 1e6))
     {
         response.headers_mut().insert(RETRY_AFTER, seconds);
@@ -274,9 +278,9 @@
     // Guards against a refusal that does not say when to come back.
     #[test]
     fn a_deferred_client_is_told_when_to_come_back() {
-        let response = tell(DoorAnswer::Deferred(1_250_000));
+        let response = tell(SubmitAnswer::Deferred(1_250_000));
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(response.headers()[RETRY_AFTER], "1.250");
-        assert!(!tell(DoorAnswer::Deferred(0)).headers().contains_key(RETRY_AFTER));
+        assert!(!tell(SubmitAnswer::Deferred(0)).headers().contains_key(RETRY_AFTER));
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch that follows discovery's list of endpoints.
 
-use crate::catalogue::Teller;
-use crate::told_wait;
+use crate::catalogue::UpdateSender;
+use crate::retry_after;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, StatusCode};
@@ -64,9 +64,9 @@
 }
 
 /// Follows the list from a version on until the watch ends; whoever asked may ask again.
-pub async fn follow(discovery: SocketAddr, since: u64, teller: Teller) -> Ended {
+pub async fn follow(discovery: SocketAddr, since: u64, updates: UpdateSender) -> Ended {
     let heard = Cell::new(Instant::now());
-    let ended = watch(discovery, since, &teller, &heard).await;
+    let ended = watch(discovery, since, &updates, &heard).await;
     let unheard = heard.get().elapsed();
     match ended {
         Ok(()) => Ended { why: "it ended".to_owned(), wait_ms: 0, unheard },
@@ -80,7 +80,7 @@
 async fn watch(
     discovery: SocketAddr,
     since: u64,
-    teller: &Teller,
+    updates: &UpdateSender,
     heard: &Cell<Instant>,
 ) -> Result<(), WatchError> {
     let stream = timeout(DIAL, TcpStream::connect(discovery)).await.map_err(|_| WatchError::Silent)?;
@@ -95,7 +95,7 @@
         let answer = timeout(SILENCE, sender.send_request(request)).await.map_err(|_| WatchError::Silent)?;
         let answer = answer.map_err(broken)?;
         if answer.status() != StatusCode::OK {
-            let wait = told_wait::retry_after(answer.headers(), SystemTime::now());
+            let wait = retry_after::server_wait_ms(answer.headers(), SystemTime::now());
             return Err(WatchError::Refused(answer.status(), wait));
         }
         let mut body = answer.into_body();
@@ -106,7 +106,7 @@
             let Some(frame) = frame else { return Ok(()) };
             let Ok(data) = frame.map_err(broken)?.into_data() else { continue };
             buffer.extend_from_slice(&data);
-            if take_whole(&mut buffer, |news| teller.tell(news))? {
+            if take_whole(&mut buffer, |news| updates.send(news))? {
                 heard.set(Instant::now());
             }
         }
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -10,7 +10,7 @@
 pub enum End {
     /// Delivered.
     Success,
-    /// Refused at the door, or handed back.
+    /// Refused before it was taken on, or handed back.
     Overload,
     /// Failed.
     Error,
@@ -59,7 +59,7 @@
 
 /// What is counted when it is asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct Gauges {
     /// Messages taken and not yet ended.
     pub concurrent: usize,
     /// Endpoints on the list.
@@ -142,10 +142,10 @@
     }
 
     /// A line each.
-    pub fn lines(&self, standing: Standing) -> String {
+    pub fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
-        let _ = self.write(&mut text, standing);
+        let _ = self.write(&mut text, gauges);
         text
     }
 
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    fn write(&self, text: &mut String, standing: Standing) -> fmt::Result {
+    fn write(&self, text: &mut String, gauges: Gauges) -> fmt::Result {
         for (class, ends) in &self.by_class {
             let class = quoted(class);
             for (name, count) in
@@ -180,9 +180,9 @@
             }
         }
         writeln!(text, "app_dispatches {}", self.dispatches)?;
-        writeln!(text, "app_concurrent {}", standing.concurrent)?;
-        writeln!(text, "app_targets {}", standing.targets)?;
-        writeln!(text, "app_targets_disabled {}", standing.targets_disabled)
+        writeln!(text, "app_concurrent {}", gauges.concurrent)?;
+        writeln!(text, "app_targets {}", gauges.targets)?;
+        writeln!(text, "app_targets_disabled {}", gauges.targets_disabled)
     }
 }
 
@@ -228,9 +228,9 @@
         figures.turned_away("orders", End::Overload);
         figures.dispatched(3);
         assert_eq!(figures.open(), 1);
-        let standing = Standing { concurrent: 1, targets: 4, targets_disabled: 2 };
+        let gauges = Gauges { concurrent: 1, targets: 4, targets_disabled: 2 };
         assert_eq!(
-            figures.lines(standing),
+            figures.lines(gauges),
             "app_success{type=\"orders\"} 1\napp_overload{type=\"orders\"} 1\napp_error{type=\"orders\"} 0\n\
              app_success{type=\"st\\\"atus\"} 0\napp_overload{type=\"st\\\"atus\"} 0\n\
              app_error{type=\"st\\\"atus\"} 0\napp_dispatches 3\napp_concurrent 1\napp_targets 4\n\
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -1,6 +1,6 @@
-//! What happens to the forwarder and what it is to do: the words between the reducer and its surroundings.
+//! What happens to the forwarder and what it is to do: the messages between the reducer and its surroundings.
 
-use crate::catalogue::{Catalogue, Teller};
+use crate::catalogue::{Catalogue, UpdateSender};
 use crate::config::Config;
 use crate::console;
 use crate::hop_call::{Call, HopError, Reply};
@@ -23,11 +23,11 @@
 /// The header of a key that has repeats dropped, on both sides.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
-/// How this process stands to what the fleet has agreed on.
+/// Whether this process has the policy of its fleet in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
-    /// Why it is not to be relied on for that, if it is not: the console's `ready` says it in the place of yes.
-    pub amiss: Option<String>,
+pub struct PolicyStatus {
+    /// Why it is not ready for want of that, if so: the console's `ready` answers it in the place of yes.
+    pub unready_reason: Option<String>,
     /// Lines for the figures.
     pub figures: String,
 }
@@ -47,17 +47,17 @@
     pub ended: bool,
 }
 
-/// The teller of one watch: what it tells comes in under the watch's number, and is passed over once there is another.
-pub fn teller(watch: WatchId, inputs: UnboundedSender<Input>) -> Teller {
-    Teller::new(move |news| {
+/// The sender of one watch: its updates come in under the number of the watch, and are ignored once there is another.
+pub fn update_sender(watch: WatchId, inputs: UnboundedSender<Input>) -> UpdateSender {
+    UpdateSender::new(move |news| {
         // The receiver is gone only when the forwarder ends.
         let _ = inputs.send(Input::News { watch, news });
     })
 }
 
-/// A message as the sender side handed it in.
+/// A message as a client submitted it.
 #[derive(Clone, Debug)]
-pub struct Handed {
+pub struct Submission {
     /// Its id.
     pub txn: String,
     /// Name of its class.
@@ -70,15 +70,15 @@
     pub dest: DestinationId,
     /// How long it may still be delivered.
     pub time_left: Micros,
-    /// Marked as handed in again.
+    /// Marked as submitted again.
     pub repeat: bool,
     /// Its body.
     pub body: Bytes,
 }
 
-/// What the sender side is told.
+/// The answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DoorAnswer {
+pub enum SubmitAnswer {
     /// Taken on.
     TakenOn,
     /// Deferred: handing it in again is harmless, after this time.
@@ -96,12 +96,12 @@
 /// What has happened.
 #[derive(Debug)]
 pub enum Input {
-    /// A message was handed in.
-    Handed {
+    /// A message was submitted.
+    Submitted {
         /// The request that waits.
         ticket: Ticket,
         /// The message.
-        message: Handed,
+        message: Submission,
     },
     /// A client closed its connection before it had its answer.
     Withdrawn {
@@ -113,8 +113,8 @@
         /// Connected.
         joined: bool,
     },
-    /// Clients that connect are taken from now on.
-    DoorOpen,
+    /// Clients that connect are accepted from now on.
+    AcceptingClients,
     /// The files of other processes on the folder have shown something: all that there is at one moment.
     Siblings {
         /// What they have shown.
@@ -187,8 +187,8 @@
         /// With 204.
         accepted: bool,
     },
-    /// How this process stands to what the fleet has agreed on has changed.
-    Accord(Standing),
+    /// The status towards the policy of the fleet has changed.
+    PolicyStatus(PolicyStatus),
     /// The configuration was read again and is good.
     Reconfigured(Box<Config>),
     /// The process was told to end.
@@ -239,7 +239,7 @@
         /// The request.
         ticket: Ticket,
         /// The answer.
-        answer: DoorAnswer,
+        answer: SubmitAnswer,
     },
     /// Give an operator the reply.
     Reply {
@@ -314,7 +314,7 @@
     /// answer: they are the successor's.
     HandOver,
     /// Take no new connections, and close those of clients when what they have asked is answered.
-    CloseDoor,
+    StopAccepting,
     /// End the process.
     Exit,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,16 +3,15 @@
 //! [`reducer`] makes every change of state, on what [`input`] says has happened; the other modules read, write and
 //! report to it.
 
-pub mod accord;
 pub mod backoff;
 pub mod catalogue;
+pub mod client_api;
 pub mod config;
 pub mod connection_limit;
 pub mod console;
 pub mod console_listener;
 pub mod discovery;
 pub mod figures;
-pub mod front;
 pub mod hop_call;
 pub mod inherited;
 pub mod input;
@@ -20,11 +19,13 @@
 pub mod log;
 pub mod next_hop;
 pub mod notices;
+pub mod policy_agent;
+pub mod policy_overlay;
 pub mod pool;
 pub mod reducer;
 pub mod reload;
+mod retry_after;
 pub mod serve;
 pub mod shutdown;
 pub mod succession;
-mod told_wait;
-pub mod written;
+pub mod write_progress;
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -1,11 +1,11 @@
-//! The sender side's connections on sockets: each is taken, served by the front and closed, within its bounds.
+//! The sender side's connections on sockets: each is taken, served by the client API and closed, within its bounds.
 //!
 //! Every close lingers (RFC 9112, section 9.6): nothing more is read as a request once the close is decided on, what was
 //! read whole is answered, the sending is ended, and what the client still sends is read and dropped until it closes too.
 //! A close over unread bytes would reset the connection, and an answer not yet taken would go with it.
 
+use super::client_api::{ClientGateway, respond};
 use super::connection_limit::{ConnectionId, ConnectionLimit, Eviction};
-use super::front::{Door, respond};
 use crate::input::Input;
 use crate::log;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -47,7 +47,7 @@
 pub struct Connections {
     limit: RefCell<ConnectionLimit>,
     changed: Notify,
-    told: RefCell<HashMap<ConnectionId, Rc<Told>>>,
+    told: RefCell<HashMap<ConnectionId, Rc<AnswerHints>>>,
     /// What comes from clients whose connection is closing goes here, and no further.
     sink: RefCell<Box<[u8]>>,
     ending: watch::Sender<bool>,
@@ -104,7 +104,7 @@
 
 /// What a connection is told when its place is wanted.
 #[derive(Default)]
-struct Told {
+struct AnswerHints {
     close: Notify,
     /// To linger no more.
     cut: Notify,
@@ -114,8 +114,8 @@
 struct Member {
     id: ConnectionId,
     connections: Rc<Connections>,
-    door: Rc<Door>,
-    told: Rc<Told>,
+    gateway: Rc<ClientGateway>,
+    told: Rc<AnswerHints>,
     /// A request of it has been read.
     has_asked: Cell<bool>,
     /// Its answer is not yet there.
@@ -123,14 +123,15 @@
 }
 
 impl Member {
-    fn new(connections: Rc<Connections>, door: Rc<Door>) -> Rc<Self> {
-        let (id, told) = (connections.limit.borrow_mut().join(Instant::now()), Rc::new(Told::default()));
+    fn new(connections: Rc<Connections>, gateway: Rc<ClientGateway>) -> Rc<Self> {
+        let (id, told) =
+            (connections.limit.borrow_mut().join(Instant::now()), Rc::new(AnswerHints::default()));
         connections.told.borrow_mut().insert(id, told.clone());
-        door.tell(Input::Sender { joined: true });
+        gateway.tell(Input::Sender { joined: true });
         Rc::new(Member {
             id,
             connections,
-            door,
+            gateway,
             told,
             has_asked: Cell::new(false),
             in_hand: Cell::new(false),
@@ -155,13 +156,13 @@
         self.connections.limit.borrow_mut().leaves(self.id);
         self.connections.told.borrow_mut().remove(&self.id);
         self.connections.changed.notify_one();
-        self.door.tell(Input::Sender { joined: false });
+        self.gateway.tell(Input::Sender { joined: false });
     }
 }
 
 /// Takes connections until the forwarder ends. Runs in a `LocalSet`. Connections that wait to be taken by then are taken
 /// too: closed unread, they would be reset.
-pub async fn listen(listener: TcpListener, door: Rc<Door>, connections: Rc<Connections>) {
+pub async fn listen(listener: TcpListener, gateway: Rc<ClientGateway>, connections: Rc<Connections>) {
     let mut ending = connections.ending.subscribe();
     loop {
         let taken = tokio::select! {
@@ -172,7 +173,7 @@
             _ = ending.wait_for(|ending| *ending) => break,
         };
         match taken {
-            Ok((stream, _)) => attend(stream, &door, &connections),
+            Ok((stream, _)) => attend(stream, &gateway, &connections),
             Err(error) => {
                 log!("sender side: a connection could not be taken: {error}");
                 connections.evict();
@@ -185,13 +186,13 @@
         && let Ok((stream, _)) = listener.accept()
     {
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-        stream.into_iter().for_each(|stream| attend(stream, &door, &connections));
+        stream.into_iter().for_each(|stream| attend(stream, &gateway, &connections));
     }
 }
 
 /// Serves one client's connection to its end. What goes wrong there, a panic included, ends this one alone.
-fn attend(stream: TcpStream, door: &Rc<Door>, connections: &Rc<Connections>) {
-    let member = Member::new(connections.clone(), door.clone());
+fn attend(stream: TcpStream, gateway: &Rc<ClientGateway>, connections: &Rc<Connections>) {
+    let member = Member::new(connections.clone(), gateway.clone());
     tokio::task::spawn_local(async move {
         match stream.set_nodelay(true) {
             Ok(()) => linger(serve(stream, &member).await, &member).await,
@@ -208,7 +209,7 @@
         Box::pin(async move {
             member.asks();
             let ending = *member.connections.ending.borrow();
-            let mut response = respond(&member.door, request, ending).await;
+            let mut response = respond(&member.gateway, request, ending).await;
             if member.connections.moving.get() {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
--- a/crates/node/src/next_hop.rs
+++ b/crates/node/src/next_hop.rs
@@ -2,9 +2,9 @@
 
 use super::hop_call::{Call, Cause, HopError, Progress, Reply};
 use super::pool::LinkId;
-use super::written::{HEAD_END, Written};
+use super::write_progress::{HEAD_END, WriteProgress};
 use crate::input::{IDEMPOTENCY_KEY, Input};
-use crate::told_wait::{come_back, text};
+use crate::retry_after::{header_text, partner_wait_ms};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -96,7 +96,7 @@
 /// One exchange as the socket has seen it.
 #[derive(Debug, Default)]
 struct Meter {
-    written: Written,
+    written: WriteProgress,
     seen: Seen,
 }
 
@@ -250,7 +250,7 @@
             },
         };
         let body = call.body();
-        *lock(&meter) = Meter { written: Written::of_body(body.len()), ..Meter::default() };
+        *lock(&meter) = Meter { written: WriteProgress::of_body(body.len()), ..Meter::default() };
         *if_panicked = broken(Progress::FullyWritten, "the connection's task panicked");
         let answer = exchange(&mut sender, address, &call, body);
         let driven = drive(answer, &mut connection, orders, due, &meter).await;
@@ -402,8 +402,8 @@
     let (parts, body) = answer.into_parts();
     let reply = Reply {
         status: parts.status.as_u16(),
-        wait_ms: come_back(&parts.headers),
-        line_busy: text(&parts.headers, "X-Line-Busy") == Some("1"),
+        wait_ms: partner_wait_ms(&parts.headers),
+        line_busy: header_text(&parts.headers, "X-Line-Busy") == Some("1"),
         limit: report(&parts.headers, "x1"),
         left: report(&parts.headers, "x0"),
         bulk,
@@ -418,6 +418,6 @@
 }
 
 fn report(headers: &HeaderMap, field: &str) -> Option<f64> {
-    let pairs = text(headers, "X-Pressure")?.split(',').filter_map(|pair| pair.split_once('='));
+    let pairs = header_text(headers, "X-Pressure")?.split(',').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(name, _)| name.trim() == field).find_map(|(_, value)| number(value))
 }
--- a/crates/node/src/notices.rs
+++ b/crates/node/src/notices.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 /// The platform answers at once; without an answer by then the notices are posted again.
-const PATIENCE: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -45,7 +45,7 @@
 
 /// Posts notices once and reports whether they were accepted; whoever asked may ask again.
 pub async fn post(platform: SocketAddr, notices: Vec<(String, Verdict)>, inputs: UnboundedSender<Input>) {
-    let accepted = match timeout(PATIENCE, exchange(platform, lines(&notices))).await {
+    let accepted = match timeout(ANSWER_TIMEOUT, exchange(platform, lines(&notices))).await {
         Ok(Ok(StatusCode::NO_CONTENT)) => true,
         Ok(Ok(status)) => {
             log!("notices: answered {status}");
--- a/crates/node/src/reducer/attempts.rs
+++ b/crates/node/src/reducer/attempts.rs
@@ -1,12 +1,12 @@
 //! Delivery attempts: from the module's sends to the end of each.
 
 use super::messages::Message;
-use super::{Reducer, Stored};
+use super::{AfterAppend, Reducer};
 use crate::figures::End;
 use crate::hop_call::{self, Call, HopError, Part, Reply};
 use crate::input::Effect;
 use crate::pool::{CallId, Claim, LinkId};
-use crate::told_wait;
+use crate::retry_after;
 use orchidyoke_core::interface::{
     Answer, Effect as ClassEffect, EndpointId, Event, Group, Listed, MessageId, Micros, NO_ZONE, Outcome,
 };
@@ -17,7 +17,7 @@
 
 /// A delivery attempt for one message, or for several that share a call.
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlightCall {
     pub hop: EndpointId,
     pub parts: Vec<(MessageId, u32)>,
     /// Their ids, from when the call begins: a message may be over before the call is.
@@ -30,7 +30,7 @@
     begun: bool,
 }
 
-impl Flight {
+impl InFlightCall {
     /// Whether its record is in the journal: it may have been written.
     pub fn has_begun(&self) -> bool {
         self.begun
@@ -39,7 +39,7 @@
 
 /// What an answer tells beside the ends of its messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Told {
+pub(super) struct AnswerHints {
     wait: Micros,
     limit: Option<f64>,
     left: Option<f64>,
@@ -50,7 +50,7 @@
 impl Reducer {
     /// Sends of one turn to one endpoint share calls, as far as its kind takes them.
     pub(super) fn send(&mut self, now: Micros, sends: Vec<(MessageId, EndpointId, Micros)>) {
-        let mut calls: Vec<Flight> = Vec::new();
+        let mut calls: Vec<InFlightCall> = Vec::new();
         for (id, hop, timeout) in sends {
             let Some(message) = self.messages.get_mut(&id) else { continue };
             let part = (id, message.taken.attempts);
@@ -66,7 +66,15 @@
                 None => {
                     let parts = vec![part];
                     let txns = Vec::new();
-                    calls.push(Flight { hop, parts, txns, sent: now, due, reused: false, begun: false });
+                    calls.push(InFlightCall {
+                        hop,
+                        parts,
+                        txns,
+                        sent: now,
+                        due,
+                        reused: false,
+                        begun: false,
+                    });
                 }
             }
         }
@@ -75,7 +83,7 @@
             let call = self.next_call;
             let claim = self.pool.claim(flight.hop, call, now);
             let reused = matches!(claim, Claim::Idle(_));
-            self.flights.insert(call, Flight { reused, ..flight });
+            self.in_flight.insert(call, InFlightCall { reused, ..flight });
             match claim {
                 Claim::Idle(link) => self.begin(now, call, link),
                 Claim::Dial(link) => self.dial(now, call, link),
@@ -88,7 +96,7 @@
     }
 
     pub(super) fn dial(&mut self, now: Micros, call: CallId, link: LinkId) {
-        let Some(flight) = self.flights.get(&call) else { return };
+        let Some(flight) = self.in_flight.get(&call) else { return };
         let target = self.hops.get(&flight.hop).and_then(|hop| self.map.get(&hop.uid));
         let Some(target) = target else {
             self.pool.closed(link);
@@ -100,7 +108,7 @@
 
     /// A connection is there: whether the call may still go is decided now, and its record comes first.
     pub(super) fn begin(&mut self, now: Micros, call: CallId, link: LinkId) {
-        let Some(flight) = self.flights.get(&call) else { return };
+        let Some(flight) = self.in_flight.get(&call) else { return };
         if self.pool.is_retired(link) {
             // Its endpoint has moved while the connection came up.
             let to = flight.hop;
@@ -111,14 +119,14 @@
         }
         let Some(hop) = self.hops.get(&flight.hop) else { return };
         let in_service = self.state_of(&hop.uid) == Some(Listed::On);
-        let Some(flight) = self.flights.get(&call) else { return };
+        let Some(flight) = self.in_flight.get(&call) else { return };
         let waiting = self.is_waiting(now, flight.hop);
         let az = self.map.get(&hop.uid).map_or_else(String::new, |target| target.az.clone());
         let trace = Trace { at: now, uid: hop.uid.clone(), az };
         let goes =
             |(id, _): &(MessageId, u32)| self.messages.get(id).is_some_and(|m| self.may_go(now, m, &trace));
         let (parts, gone): (Vec<_>, Vec<_>) = flight.parts.iter().copied().partition(goes);
-        let Some(flight) = self.flights.get_mut(&call) else { return };
+        let Some(flight) = self.in_flight.get_mut(&call) else { return };
         flight.parts = parts;
         let begun = std::mem::replace(&mut flight.begun, true);
         let sent = flight.sent;
@@ -126,7 +134,7 @@
         let txns: Vec<_> = txns.map(|m| m.taken.txn.clone()).collect();
         flight.txns.clone_from(&txns);
         for part in gone {
-            self.report(now, part, Outcome::Moot, sent, Told::default());
+            self.report(now, part, Outcome::Moot, sent, AnswerHints::default());
         }
         if txns.is_empty() || !in_service || waiting {
             self.pool.release(link, now);
@@ -135,8 +143,8 @@
         if begun {
             return self.write(now, call, true);
         }
-        self.append(&[(&Record::Begun { txns, trace: trace.clone() }, b"")], Some(Stored::Begin(call)));
-        for (id, _) in self.flights.get(&call).map(|f| f.parts.clone()).into_iter().flatten() {
+        self.append(&[(&Record::Begun { txns, trace: trace.clone() }, b"")], Some(AfterAppend::Begin(call)));
+        for (id, _) in self.in_flight.get(&call).map(|f| f.parts.clone()).into_iter().flatten() {
             if let Some(message) = self.messages.get_mut(&id) {
                 message.taken.out = Some(trace.clone());
             }
@@ -169,7 +177,7 @@
     /// The record of a call is in the journal: its first byte may go.
     pub(super) fn write(&mut self, now: Micros, call: CallId, stored: bool) {
         let Some(link) = self.pool.link_of(call) else { return };
-        let Some(flight) = self.flights.get(&call) else { return };
+        let Some(flight) = self.in_flight.get(&call) else { return };
         let parts = flight.parts.iter().filter_map(|(id, _)| self.messages.get(id)).filter(|m| m.stored);
         let parts: Vec<_> = parts
             .map(|m| Part { txn: m.taken.txn.clone(), key: m.taken.key.clone(), body: m.body.clone() })
@@ -185,15 +193,15 @@
 
     /// The last byte of a call has gone.
     pub(super) fn written(&mut self, link: LinkId) {
-        let flight = self.pool.call_of(link).and_then(|call| self.flights.get(&call));
+        let flight = self.pool.call_of(link).and_then(|call| self.in_flight.get(&call));
         self.figures.dispatched(flight.map_or(0, |flight| flight.txns.len()));
     }
 
     /// A call that was not written: none of its messages ran, and the next hop saw nothing.
     pub(super) fn not_sent(&mut self, now: Micros, call: CallId) {
-        let Some(flight) = self.flights.remove(&call) else { return };
+        let Some(flight) = self.in_flight.remove(&call) else { return };
         for part in flight.parts {
-            self.report(now, part, Outcome::Moot, flight.sent, Told::default());
+            self.report(now, part, Outcome::Moot, flight.sent, AnswerHints::default());
         }
     }
 
@@ -202,8 +210,8 @@
         if reusable {
             self.pool.release(link, now);
         }
-        let Some(flight) = call.and_then(|call| self.flights.remove(&call)) else { return };
-        let wait = told_wait::micros(reply.wait_ms);
+        let Some(flight) = call.and_then(|call| self.in_flight.remove(&call)) else { return };
+        let wait = retry_after::to_micros(reply.wait_ms);
         self.told_to_wait(now, flight.hop, wait);
         let ends = hop_call::ends(reply, &flight.txns);
         let mut ends: Vec<_> = flight.parts.iter().zip(ends).collect();
@@ -215,7 +223,7 @@
         });
         let over = |(id, _): &(MessageId, u32)| self.messages.get(id).is_none_or(|m| m.taken.deadline <= now);
         let late = flight.parts.iter().any(over);
-        let told = Told { wait, limit: reply.limit, left: reply.left, late };
+        let told = AnswerHints { wait, limit: reply.limit, left: reply.left, late };
         for (part, end) in ends {
             if end.over {
                 // Over for the next hop, as of a client that has gone. Whether the platform still waits for an end
@@ -228,7 +236,7 @@
 
     /// A connection broke with a call on it, before or after the call was written.
     pub(super) fn broken(&mut self, now: Micros, call: CallId, error: &HopError) {
-        let Some(flight) = self.flights.get_mut(&call) else { return };
+        let Some(flight) = self.in_flight.get_mut(&call) else { return };
         // An idle connection may close just as it is chosen. Nothing whole was written, so the same attempt
         // goes on a new connection; a refusal to connect would be laid to the next hop.
         let goes_on = self.stage != Stage::Yielded;
@@ -236,7 +244,7 @@
             let link = self.pool.dial(flight.hop, call);
             return self.dial(now, call, link);
         }
-        let Some(flight) = self.flights.remove(&call) else { return };
+        let Some(flight) = self.in_flight.remove(&call) else { return };
         // The other end closes a kept connection when it likes: that pushes nothing back.
         let closed = flight.reused && error.outcome() == Outcome::Reset;
         let outcome = if closed { Outcome::Spoilt } else { error.outcome() };
@@ -244,12 +252,12 @@
             self.log(format!("next hop {}: {error}", hop.uid));
         }
         for part in flight.parts {
-            self.report(now, part, outcome, flight.sent, Told::default());
+            self.report(now, part, outcome, flight.sent, AnswerHints::default());
         }
     }
 
     pub(super) fn cancel(&mut self, id: MessageId, copy: u32) {
-        let call = self.flights.iter().find(|(_, f)| f.parts.contains(&(id, copy))).map(|(call, _)| *call);
+        let call = self.in_flight.iter().find(|(_, f)| f.parts.contains(&(id, copy))).map(|(call, _)| *call);
         if let Some(link) = call.and_then(|call| self.pool.link_of(call)) {
             // The end comes with the report that the connection is closed: not before may a next copy go.
             self.effects.push(Effect::Close { link });
@@ -263,7 +271,7 @@
         part: (MessageId, u32),
         outcome: Outcome,
         sent: Micros,
-        told: Told,
+        told: AnswerHints,
     ) {
         let (id, copy) = part;
         if outcome == Outcome::Ok && told.late {
--- a/crates/node/src/reducer/hops.rs
+++ b/crates/node/src/reducer/hops.rs
@@ -159,7 +159,7 @@
     pub(super) fn forget_hops(&mut self) {
         for id in self.unlisted.iter().copied().collect::<Vec<_>>() {
             self.close_idle(id);
-            if !self.flights.values().any(|flight| flight.hop == id)
+            if !self.in_flight.values().any(|flight| flight.hop == id)
                 && let Some(hop) = self.hops.remove(&id)
             {
                 self.hop_numbers.remove(&hop.uid);
--- a/crates/node/src/reducer/messages.rs
+++ b/crates/node/src/reducer/messages.rs
@@ -1,19 +1,21 @@
-//! Messages: at the door, taken on, ended.
+//! Messages: submitted, taken on, ended.
 
-use super::succession::MESSAGE_RECORD;
-use super::{NO_ROOM_PAUSE, Reducer, Stored};
+use super::{AfterAppend, NO_ROOM_PAUSE, Reducer};
 use crate::figures::End;
-use crate::input::{DoorAnswer, Handed, Ticket};
+use crate::input::{Submission, SubmitAnswer, Ticket};
 use bytes::Bytes;
 use orchidyoke_core::interface::{Effect, EndpointId, Event, MessageId, Micros};
 use orchidyoke_journal::{Record, Stage, Taken, Trace, Verdict};
 
+/// About the bytes of a message's record beside its body and id, never less.
+const MESSAGE_RECORD: usize = 512;
+
 /// One message from its coming to its end.
 #[derive(Debug)]
 pub(super) struct Message {
     pub taken: Taken,
     pub body: Bytes,
-    /// Requests that wait for what the module says at the door.
+    /// Requests that wait for what the module says before it is taken on.
     pub waiting: Vec<Ticket>,
     /// Its record is in the journal.
     pub stored: bool,
@@ -34,46 +36,46 @@
 }
 
 impl Reducer {
-    pub(super) fn take_handed(&mut self, now: Micros, ticket: Ticket, handed: Handed) {
+    pub(super) fn submit(&mut self, now: Micros, ticket: Ticket, handed: Submission) {
         // A client sends a request once more when a close crosses it: the same id is the same message.
         if self.recent.contains(&handed.txn) || self.owed.contains(&handed.txn) {
-            return self.answer(ticket, DoorAnswer::TakenOn);
+            return self.answer(ticket, SubmitAnswer::TakenOn);
         }
         if let Some(message) = self.by_txn.get(&handed.txn).and_then(|id| self.messages.get_mut(id)) {
             if message.stored {
-                return self.answer(ticket, DoorAnswer::TakenOn);
+                return self.answer(ticket, SubmitAnswer::TakenOn);
             }
             message.waiting.push(ticket);
             if let Some(id) = self.by_txn.get(&handed.txn)
-                && !self.at_door.contains(id)
+                && !self.unadmitted.contains(id)
             {
-                self.at_door.push(*id);
+                self.unadmitted.push(*id);
             }
             return;
         }
         if self.is_elsewhere(&handed.txn) {
-            return self.answer(ticket, DoorAnswer::TakenOn);
+            return self.answer(ticket, SubmitAnswer::TakenOn);
         }
         let class = self.names.classes.iter().position(|class| *class == handed.class);
         let Some(class) = class.and_then(|class| self.settings.classes.get(class)) else {
-            return self.answer(ticket, DoorAnswer::UnknownClass);
+            return self.answer(ticket, SubmitAnswer::UnknownClass);
         };
         let longest = class.deadline;
         if handed.org.is_none() && !self.names.tenants.is_empty() {
-            return self.answer(ticket, DoorAnswer::Incomplete("X-Org: missing\n"));
+            return self.answer(ticket, SubmitAnswer::Incomplete("X-Org: missing\n"));
         }
         if handed.key.is_none() && matches!(class.effect, Effect::Keyed { .. }) {
             return self
-                .answer(ticket, DoorAnswer::Incomplete("Idempotency-Key: missing, its class has one\n"));
+                .answer(ticket, SubmitAnswer::Incomplete("Idempotency-Key: missing, its class has one\n"));
         }
         if !self.destinations.contains(&handed.dest) {
-            return self.answer(ticket, DoorAnswer::UnknownDestination);
+            return self.answer(ticket, SubmitAnswer::UnknownDestination);
         }
         let full = self.settings.max_open > 0 && self.messages.len() >= self.settings.max_open;
         let cost = message_size(&handed.txn, handed.key.as_deref(), &handed.body);
         if full || !self.space.admits(self.live_size(), cost) {
             self.figures.turned_away(&handed.class, End::Overload);
-            return self.answer(ticket, DoorAnswer::Deferred(self.no_room_pause()));
+            return self.answer(ticket, SubmitAnswer::Deferred(self.no_room_pause()));
         }
         let taken = Taken {
             txn: handed.txn,
@@ -90,7 +92,7 @@
         let message =
             Message { taken, body: handed.body, waiting: vec![ticket], stored: false, came: Some(now) };
         let id = self.hold(message, now, handed.repeat);
-        self.at_door.push(id);
+        self.unadmitted.push(id);
     }
 
     /// What a client is told that comes when there is no room, as far as the settings let it be told anything.
@@ -140,10 +142,11 @@
         id
     }
 
-    /// Nobody waits any more for a message that is still at the door: it is not taken on.
+    /// Nobody waits any more for a message that is not taken on yet: it is dropped.
     pub(super) fn withdraw(&mut self, ticket: Ticket) {
         let waits = |message: &Message| !message.stored && message.waiting == [ticket];
-        if let Some(id) = self.at_door.iter().copied().find(|id| self.messages.get(id).is_some_and(waits)) {
+        if let Some(id) = self.unadmitted.iter().copied().find(|id| self.messages.get(id).is_some_and(waits))
+        {
             self.drop_message(id);
             self.events.push(Event::Hangup { id });
         }
@@ -169,7 +172,7 @@
                 self.events.push(Event::Hangup { id });
             }
             let answer =
-                if stored { DoorAnswer::TakenOn } else { DoorAnswer::Deferred(self.no_room_pause()) };
+                if stored { SubmitAnswer::TakenOn } else { SubmitAnswer::Deferred(self.no_room_pause()) };
             tickets.into_iter().for_each(|ticket| self.answer(ticket, answer));
             if stored && self.stage == Stage::Yielded {
                 self.hand_over(id);
@@ -177,7 +180,7 @@
         }
     }
 
-    /// The module's final answer: at the door it is the request's, later a notice's.
+    /// The module's final answer: before it is taken on it answers the request, later it is a notice.
     pub(super) fn end(&mut self, now: Micros, id: MessageId, verdict: Verdict) {
         let end = match verdict {
             Verdict::Failed => End::Error,
@@ -195,8 +198,8 @@
             self.owed.push(txn, verdict, now);
         }
         let answer = match verdict {
-            Verdict::Failed => DoorAnswer::Failed,
-            Verdict::Returned { after_ms } => DoorAnswer::Deferred(after_ms * 1000),
+            Verdict::Failed => SubmitAnswer::Failed,
+            Verdict::Returned { after_ms } => SubmitAnswer::Deferred(after_ms * 1000),
         };
         let Some(message) = self.drop_message(id) else { return };
         if message.stored {
@@ -220,17 +223,17 @@
         self.recent.remember(txn, now);
     }
 
-    /// What the module has not turned away at the door goes into the journal.
+    /// What the module has not turned away goes into the journal.
     pub(super) fn take_on(&mut self) {
-        let at_door = std::mem::take(&mut self.at_door);
+        let unadmitted = std::mem::take(&mut self.unadmitted);
         let waiting = |id: MessageId| Some((id, std::mem::take(&mut self.messages.get_mut(&id)?.waiting)));
-        let taken: Vec<_> = at_door.into_iter().filter_map(waiting).collect();
+        let taken: Vec<_> = unadmitted.into_iter().filter_map(waiting).collect();
         if taken.is_empty() {
             return;
         }
         let new = taken.iter().filter_map(|(id, _)| self.messages.get(id));
         let new: Vec<_> = new.map(|m| (Record::Taken(m.taken.clone()), m.body.clone())).collect();
         let records: Vec<(&Record, &[u8])> = new.iter().map(|(record, body)| (record, &body[..])).collect();
-        self.append(&records, Some(Stored::TakeOn(taken)));
+        self.append(&records, Some(AfterAppend::TakeOn(taken)));
     }
 }
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -19,10 +19,10 @@
 use crate::catalogue::Catalogue;
 use crate::config::Config;
 use crate::figures::Figures;
-use crate::input::{DoorAnswer, Effect, Input, Receipt, Standing, Ticket, WatchId};
+use crate::input::{Effect, Input, PolicyStatus, Receipt, SubmitAnswer, Ticket, WatchId};
 use crate::pool::{CallId, Pool};
-use crate::told_wait;
-use attempts::Flight;
+use crate::retry_after;
+use attempts::InFlightCall;
 use bytes::Bytes;
 use hops::Hop;
 use messages::Message;
@@ -41,7 +41,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use stop::Leaving;
-use succession::{Estate, Sibling};
+use succession::{Sibling, Takeover};
 
 const SECOND: Micros = 1_000_000;
 /// What a deferred client is told where the journal has no room: about when some messages will have ended.
@@ -61,12 +61,12 @@
 /// A watch that has lasted for so long was taken on: one that waits for discovery in vain is closed before.
 const FOLLOWED: Micros = 4 * SECOND;
 
-/// What an append is for.
+/// What follows once an append is reported.
 #[derive(Debug)]
-enum Stored {
+enum AfterAppend {
     TakeOn(Vec<(MessageId, Vec<Ticket>)>),
     Begin(CallId),
-    Adopted(Estate),
+    Adopted(Takeover),
     Yielded,
     ByHand { ticket: Ticket, uid: String, call: ByHand },
 }
@@ -92,7 +92,7 @@
     last_turn: Micros,
     messages: BTreeMap<MessageId, Message>,
     /// Those that wait to be taken on.
-    at_door: Vec<MessageId>,
+    unadmitted: Vec<MessageId>,
     by_txn: HashMap<String, MessageId>,
     next_message: MessageId,
     recent: Recent,
@@ -123,12 +123,12 @@
     followed_since: Micros,
     follow_pause: Backoff,
     pool: Pool,
-    flights: BTreeMap<CallId, Flight>,
+    in_flight: BTreeMap<CallId, InFlightCall>,
     next_call: CallId,
     space: Space,
     /// About the bytes that a snapshot takes up for messages.
     live: usize,
-    stored: BTreeMap<Receipt, Stored>,
+    stored: BTreeMap<Receipt, AfterAppend>,
     next_receipt: Receipt,
     /// Appends that something waits for, until they are reported.
     unreported: BTreeMap<Receipt, Bytes>,
@@ -146,8 +146,8 @@
     /// The limit of the folder.
     disk: usize,
     figures: Figures,
-    /// How it stands to what the fleet has agreed on, and the endpoints that it leaves out by that.
-    accord: Standing,
+    /// The status towards the policy of the fleet, and the endpoints that the policy leaves out.
+    policy_status: PolicyStatus,
     policy_out: BTreeSet<String>,
     leaving: Option<Leaving>,
     effects: Vec<Effect>,
@@ -177,7 +177,7 @@
             timers: BTreeSet::new(),
             last_turn: now - settings.tick,
             messages: BTreeMap::new(),
-            at_door: Vec::new(),
+            unadmitted: Vec::new(),
             by_txn: HashMap::new(),
             next_message: 0,
             recent: Recent::new(bounds.recent),
@@ -202,7 +202,7 @@
             followed_since: now,
             follow_pause,
             pool: Pool::new(settings.idle_close, bounds.links),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_call: 0,
             live: 0,
             space: Space::new(bounds.disk, journal_size),
@@ -218,7 +218,7 @@
             slots: settings.slots,
             disk: bounds.disk,
             figures: Figures::default(),
-            accord: Standing::default(),
+            policy_status: PolicyStatus::default(),
             policy_out: config.policy_out,
             leaving: None,
             effects: Vec::new(),
@@ -257,7 +257,7 @@
     /// Takes one input; gives what is to be done, in order. `now` is Unix time and never goes back.
     pub fn step(&mut self, now: Micros, input: Input) -> Vec<Effect> {
         match input {
-            Input::Handed { ticket, message } => self.take_handed(now, ticket, message),
+            Input::Submitted { ticket, message } => self.submit(now, ticket, message),
             Input::Withdrawn { ticket } => self.withdraw(ticket),
             Input::Sender { joined } => {
                 self.senders = if joined { self.senders + 1 } else { self.senders.saturating_sub(1) };
@@ -266,11 +266,11 @@
                 self.space.holds(size);
                 self.unreported.remove(&receipt);
                 match self.stored.remove(&receipt) {
-                    Some(Stored::TakeOn(taken)) => self.taken_on(taken, stored),
-                    Some(Stored::Adopted(estate)) => self.adopted(now, estate, stored),
-                    Some(Stored::Yielded) => self.yielded(stored),
-                    Some(Stored::Begin(call)) => self.write(now, call, stored),
-                    Some(Stored::ByHand { ticket, uid, call }) => {
+                    Some(AfterAppend::TakeOn(taken)) => self.taken_on(taken, stored),
+                    Some(AfterAppend::Adopted(takeover)) => self.adopted(now, takeover, stored),
+                    Some(AfterAppend::Yielded) => self.yielded(stored),
+                    Some(AfterAppend::Begin(call)) => self.write(now, call, stored),
+                    Some(AfterAppend::ByHand { ticket, uid, call }) => {
                         self.put_stored(now, ticket, &uid, call, stored);
                     }
                     None => {}
@@ -281,7 +281,7 @@
                     self.begin(now, call, link);
                 }
             }
-            Input::DoorOpen => self.open_door(),
+            Input::AcceptingClients => self.accept_clients(),
             Input::Siblings { shown, gone } => self.siblings(now, shown, &gone),
             Input::Operator { ticket, call } => self.operate(now, ticket, call),
             Input::Written { link } => self.written(link),
@@ -301,7 +301,7 @@
                 // What discovery has may be as old as the last word that came, or the call in vain: a wait that was told
                 // is cut to what is left until it binds. Those who were told the same still come one by one.
                 let left = (TOLD_AFTER - ASK_TIME - unheard.max(0)).max(0);
-                let told = told_wait::micros(wait_ms);
+                let told = retry_after::to_micros(wait_ms);
                 let pause = if served && told == 0 {
                     // One that served and ended is asked again as at a start.
                     self.follow_pause.within(follow_soon(&self.settings)).min(left)
@@ -316,7 +316,7 @@
             // A watch before this one, that told more or ended as it was left.
             Input::News { .. } | Input::MapLost { .. } => {}
             Input::Posted { accepted } => self.posted(now, accepted),
-            Input::Accord(standing) => self.accord = standing,
+            Input::PolicyStatus(status) => self.policy_status = status,
             Input::Reconfigured(config) => self.reconfigure(now, *config),
             Input::Terminate => self.terminate(now),
             Input::Alarm => self.alarm(now),
@@ -354,7 +354,7 @@
     }
 
     /// Clients that connect are taken: the process before may be told to end.
-    fn open_door(&mut self) {
+    fn accept_clients(&mut self) {
         self.append(&[(&Record::Stage { stage: Stage::Ready }, b"")], None);
         (self.takes_clients, self.stage) = (true, Stage::Ready);
     }
@@ -363,7 +363,7 @@
         self.effects.push(Effect::Log { line });
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: DoorAnswer) {
+    fn answer(&mut self, ticket: Ticket, answer: SubmitAnswer) {
         self.effects.push(Effect::Answer { ticket, answer });
     }
 
--- a/crates/node/src/reducer/operators.rs
+++ b/crates/node/src/reducer/operators.rs
@@ -2,9 +2,9 @@
 //!
 //! What is out by hand lies over the transport map: no list, reload, restart or upgrade ends it.
 
-use super::{Reducer, Stored};
+use super::{AfterAppend, Reducer};
 use crate::console::{Call, Reply};
-use crate::figures::{Figures, Standing};
+use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, Ticket};
 use orchidyoke_core::interface::{Event, ListForm, Listed, Micros};
 use orchidyoke_core::transport_map::State;
@@ -84,8 +84,8 @@
     pub(super) fn operate(&mut self, now: Micros, ticket: Ticket, call: Call) {
         let reply = match call {
             Call::Ready if !self.takes_clients => Reply::No("takes no clients".to_owned()),
-            Call::Ready => self.accord.amiss.clone().map_or(Reply::Yes("ready"), Reply::No),
-            Call::ShowStat => Reply::Figures(self.figures.lines(self.standing()) + &self.accord.figures),
+            Call::Ready => self.policy_status.unready_reason.clone().map_or(Reply::Yes("ready"), Reply::No),
+            Call::ShowStat => Reply::Figures(self.figures.lines(self.gauges()) + &self.policy_status.figures),
             Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
             Call::DisableServer(uid) => return self.put(now, ticket, uid, true),
             Call::EnableServer(uid) => return self.put(now, ticket, uid, false),
@@ -101,7 +101,7 @@
         // Written also where it changes nothing here: another process may have heard otherwise since.
         let call = ByHand { at: now, out };
         let record = Record::ByHand { uid: uid.clone(), at: now, out };
-        self.append(&[(&record, b"")], Some(Stored::ByHand { ticket, uid, call }));
+        self.append(&[(&record, b"")], Some(AfterAppend::ByHand { ticket, uid, call }));
     }
 
     /// An operator's call is in the journal, or is not: it is in force from here on.
@@ -191,12 +191,12 @@
     }
 
     /// What is counted as it stands now.
-    pub fn standing(&self) -> Standing {
+    pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
             let chosen = self.hop_numbers.get(uid).is_some_and(|hop| self.controller.avoids(*hop));
             chosen || self.state_of(uid) != Some(Listed::On)
         };
-        Standing {
+        Gauges {
             concurrent: self.messages.values().filter(|message| message.stored).count(),
             targets: self.map.len(),
             targets_disabled: self.map.iter().filter(|target| avoided(&target.uid)).count(),
--- a/crates/node/src/reducer/records.rs
+++ b/crates/node/src/reducer/records.rs
@@ -4,7 +4,7 @@
 use super::notices::SHORT_RECORD;
 use super::operators::{ByHand, Overlay};
 use super::routes::{RouteKey, Troubled};
-use super::{Reducer, Stored, routes};
+use super::{AfterAppend, Reducer, routes};
 use crate::config::Limits;
 use crate::input::Effect;
 use bytes::{Bytes, BytesMut};
@@ -121,7 +121,7 @@
 
 impl Reducer {
     /// Asks for an append. Call it before the state changes: a rewrite that it needs holds the state so far.
-    pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<Stored>) {
+    pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
         // What has yielded is read by the successor as it grows, and stays as it is.
@@ -132,10 +132,13 @@
         }
         self.next_receipt += 1;
         // Beside other processes there may be no room: then only what has to be written is.
-        let may_wait = matches!(then, Some(Stored::TakeOn(_) | Stored::Adopted(_) | Stored::ByHand { .. }));
+        let may_wait = matches!(
+            then,
+            Some(AfterAppend::TakeOn(_) | AfterAppend::Adopted(_) | AfterAppend::ByHand { .. })
+        );
         let refused = may_wait && !self.siblings.is_empty() && !self.space.takes(bytes.len());
         // What a begun attempt changes is in the state at once.
-        let waits = then.as_ref().is_some_and(|then| !matches!(then, Stored::Begin(_)));
+        let waits = then.as_ref().is_some_and(|then| !matches!(then, AfterAppend::Begin(_)));
         if let Some(then) = then {
             self.stored.insert(self.next_receipt, then);
         }
--- a/crates/node/src/reducer/stop.rs
+++ b/crates/node/src/reducer/stop.rs
@@ -8,7 +8,7 @@
 const LEAVE_AFTER: Micros = 3_250_000;
 /// With nothing held and no client connected, a forwarder told to end does so after this time.
 const QUIET: Micros = 500_000;
-/// Time for the sender side's last answers once the door is closed, and for its closes to linger. What is left of the
+/// Time for the sender side's last answers once no client is accepted, and for its closes to linger. What is left of the
 /// 3.7 s is for a stall.
 const LAST_ANSWERS: Micros = 250_000;
 
@@ -20,7 +20,7 @@
 pub(super) struct Leaving {
     at: Micros,
     quiet_since: Micros,
-    /// When the door was closed.
+    /// When accepting clients was stopped.
     closed: Option<Micros>,
 }
 
@@ -34,7 +34,7 @@
         self.exit_at(senders).unwrap_or(self.at.min(self.quiet_since + QUIET))
     }
 
-    /// When the process ends, once the door is closed.
+    /// When the process ends, once no client is accepted any more.
     fn exit_at(&self, senders: usize) -> Option<Micros> {
         self.closed.map(|closed| closed + if senders == 0 { LAST_TAKEN } else { LAST_ANSWERS })
     }
@@ -62,7 +62,7 @@
                 // What clients have sent by now is still taken on: an end without an answer would lose it.
                 leaving.closed = Some(now);
                 self.takes_clients = false;
-                self.effects.push(Effect::CloseDoor);
+                self.effects.push(Effect::StopAccepting);
             }
             Some(exit) if now >= exit => self.effects.push(Effect::Exit),
             _ => {}
--- a/crates/node/src/reducer/succession.rs
+++ b/crates/node/src/reducer/succession.rs
@@ -11,7 +11,7 @@
 use super::operators::ByHand;
 use super::records::Replayed;
 use super::routes::RouteKey;
-use super::{Reducer, Stored};
+use super::{AfterAppend, Reducer};
 use crate::figures::End;
 use crate::input::{Effect, Shown};
 use bytes::Bytes;
@@ -19,9 +19,6 @@
 use orchidyoke_journal::{Generation, Record, Stage, Taken, Verdict};
 use std::collections::BTreeSet;
 
-/// About the bytes of a message's record beside its body and id, never less.
-pub(super) const MESSAGE_RECORD: usize = 512;
-
 /// Another process on this folder, as its file tells of it.
 #[derive(Debug, Default)]
 pub(super) struct Sibling {
@@ -67,7 +64,7 @@
 
 /// What is taken over from another process at once.
 #[derive(Debug)]
-pub(super) struct Estate {
+pub(super) struct Takeover {
     generation: Generation,
     taken: Vec<(Taken, Bytes)>,
     owed: Vec<(String, Verdict, Micros)>,
@@ -131,7 +128,7 @@
         self.take_newer_list(now, generation);
     }
 
-    fn append_all(&mut self, records: &[Record], then: Option<Stored>) {
+    fn append_all(&mut self, records: &[Record], then: Option<AfterAppend>) {
         if !records.is_empty() {
             let records: Vec<(&Record, &[u8])> = records.iter().map(|record| (record, &b""[..])).collect();
             self.append(&records, then);
@@ -241,13 +238,13 @@
         let records: Vec<_> = ended.chain(ends).chain(held).collect();
         let records: Vec<(&Record, &[u8])> =
             records.iter().map(|(record, body)| (record, &body[..])).collect();
-        let estate = Estate { generation, taken, owed, over, whole };
-        self.append(&records, Some(Stored::Adopted(estate)));
+        let takeover = Takeover { generation, taken, owed, over, whole };
+        self.append(&records, Some(AfterAppend::Adopted(takeover)));
     }
 
     /// What a process left that has ended, where the folder has no room for it: each message has its end at once.
-    fn end_estate(&mut self, now: Micros, estate: &mut Estate) {
-        for (taken, _) in std::mem::take(&mut estate.taken) {
+    fn end_takeover(&mut self, now: Micros, takeover: &mut Takeover) {
+        for (taken, _) in std::mem::take(&mut takeover.taken) {
             let may_have_run = taken.ran.is_some() || taken.out.is_some();
             let (verdict, end) = if may_have_run {
                 (Verdict::Failed, End::Error)
@@ -255,9 +252,9 @@
                 (Verdict::Returned { after_ms: self.no_room_pause() / 1000 }, End::Overload)
             };
             self.figures.turned_away(&taken.class, end);
-            estate.owed.push((taken.txn, verdict, now));
+            takeover.owed.push((taken.txn, verdict, now));
         }
-        let owed = estate.owed.iter().map(|(txn, verdict, at)| {
+        let owed = takeover.owed.iter().map(|(txn, verdict, at)| {
             let (txn, at, verdict) = (txn.clone(), *at, *verdict);
             Record::Owed { txn, at, verdict }
         });
@@ -266,13 +263,13 @@
     }
 
     /// What another process left is in this one's file, or could not be: then it stays where it is for now.
-    pub(super) fn adopted(&mut self, now: Micros, estate: Estate, stored: bool) {
-        let mut estate = estate;
-        if !stored && estate.whole {
-            self.log(format!("succession: no room for {} messages, each is ended", estate.taken.len()));
-            self.end_estate(now, &mut estate);
+    pub(super) fn adopted(&mut self, now: Micros, takeover: Takeover, stored: bool) {
+        let mut takeover = takeover;
+        if !stored && takeover.whole {
+            self.log(format!("succession: no room for {} messages, each is ended", takeover.taken.len()));
+            self.end_takeover(now, &mut takeover);
         }
-        let Estate { generation, taken, owed, over, whole } = estate;
+        let Takeover { generation, taken, owed, over, whole } = takeover;
         if !stored && !whole {
             return self.log(format!("succession: no room yet for {} messages", taken.len()));
         }
@@ -338,7 +335,7 @@
         }
         let mut records = self.running_waits(now);
         records.push(Record::Stage { stage: Stage::Yielded });
-        self.append_all(&records, Some(Stored::Yielded));
+        self.append_all(&records, Some(AfterAppend::Yielded));
     }
 
     /// It stands in the journal that this process has yielded: the successor may begin at once.
@@ -351,9 +348,9 @@
         self.takes_clients = false;
         self.effects.push(Effect::HandOver);
         let unbegun: Vec<_> =
-            self.flights.iter().filter(|(_, f)| !f.has_begun()).map(|(call, _)| *call).collect();
+            self.in_flight.iter().filter(|(_, f)| !f.has_begun()).map(|(call, _)| *call).collect();
         for call in unbegun {
-            self.flights.remove(&call);
+            self.in_flight.remove(&call);
             if let Some(link) = self.pool.link_of(call) {
                 self.pool.closed(link);
                 self.effects.push(Effect::Close { link });
@@ -367,7 +364,7 @@
         self.log(format!(
             "succession: {} messages handed over, {} calls out",
             free.len(),
-            self.flights.len()
+            self.in_flight.len()
         ));
         for id in free {
             self.hand_over(id);
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,10 +1,10 @@
 //! New configurations: at SIGHUP the file is read again and checked whole; only a good one is handed on.
 
 use super::config::{Config, ConfigError, address};
-use crate::accord::Accord;
 use crate::catalogue::Catalogue;
 use crate::input::Input;
 use crate::log;
+use crate::policy_overlay::PolicyOverlay;
 use std::cell::RefCell;
 use std::future::Future;
 use std::io;
@@ -34,21 +34,21 @@
     pub console: Option<String>,
     /// Settings beyond the file.
     pub installation: Option<Box<dyn Installation>>,
-    /// What the fleet has agreed on, laid over the file.
-    pub accord: Option<Rc<dyn Accord>>,
+    /// The policy of the fleet, applied to the file's text.
+    pub policy: Option<Rc<dyn PolicyOverlay>>,
     /// The catalogue that the installation's settings last asked for.
     pub catalogue: RefCell<Option<Rc<dyn Catalogue>>>,
 }
 
 impl Source {
-    /// Reads and checks the configuration as it is now, with what the fleet has agreed on.
+    /// Reads and checks the configuration as it is now, with the policy of the fleet.
     pub async fn load(&self) -> Result<Config, ConfigError> {
-        let Some(accord) = &self.accord else { return self.load_with(|text| Ok(text.to_owned())).await };
+        let Some(policy) = &self.policy else { return self.load_with(|text| Ok(text.to_owned())).await };
         loop {
-            let number = accord.number();
-            let config = self.load_with(|text| accord.lay_over(text)).await;
-            // What has been agreed on meanwhile holds already: this one is older.
-            if accord.number() == number {
+            let version = policy.version();
+            let config = self.load_with(|text| policy.apply(text)).await;
+            // A policy that came into force meanwhile counts already: this configuration would be older.
+            if policy.version() == version {
                 return config;
             }
         }
--- a/crates/node/src/told_wait.rs
+++ b/crates/node/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! How long a far end says to wait, as its answer's head tells it.
+//! Waiting times from response headers: `Retry-After`, and a partner's own `X-Come-Back-Ms`.
 
 use hyper::HeaderMap;
 use hyper::header::RETRY_AFTER;
@@ -6,34 +6,37 @@
 use std::time::SystemTime;
 
 /// The wait of a partner, in milliseconds; 0 where it tells none that can be read.
-pub(crate) fn come_back(headers: &HeaderMap) -> u64 {
-    text(headers, "X-Come-Back-Ms").map_or(0, |wait| whole(wait, 1.0))
+pub(crate) fn partner_wait_ms(headers: &HeaderMap) -> u64 {
+    header_text(headers, "X-Come-Back-Ms").map_or(0, |wait| round_up(wait, 1.0))
 }
 
 /// The wait of a server that refused, in milliseconds, in either form of HTTP or as a partner tells it; the longest
 /// where there are more, 0 where none can be read.
-pub(crate) fn retry_after(headers: &HeaderMap, now: SystemTime) -> u64 {
-    let told = text(headers, RETRY_AFTER.as_str()).map_or(0, |wait| {
+pub(crate) fn server_wait_ms(headers: &HeaderMap, now: SystemTime) -> u64 {
+    let told = header_text(headers, RETRY_AFTER.as_str()).map_or(0, |wait| {
         // In seconds, or a date, from which on it may be asked again.
         let date = httpdate::parse_http_date(wait.trim()).ok().and_then(|at| at.duration_since(now).ok());
-        date.map_or_else(|| whole(wait, 1000.0), |left| u64::try_from(left.as_millis()).unwrap_or(u64::MAX))
+        date.map_or_else(
+            || round_up(wait, 1000.0),
+            |left| u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+        )
     });
-    told.max(come_back(headers))
+    told.max(partner_wait_ms(headers))
 }
 
 /// Milliseconds that were told, on the clock of the decisions: the sum of one with any moment overflows nothing.
-pub(crate) fn micros(wait_ms: u64) -> Micros {
+pub(crate) fn to_micros(wait_ms: u64) -> Micros {
     Micros::try_from(wait_ms).unwrap_or(Micros::MAX).saturating_mul(1000).min(Micros::MAX / 2)
 }
 
 /// Whole or decimal; a wait that is not kept for want of a digit is a broken rule.
-fn whole(text: &str, unit: f64) -> u64 {
+fn round_up(text: &str, unit: f64) -> u64 {
     let number = text.trim().parse::<f64>().ok().filter(|wait| wait.is_finite());
     number.map_or(0, |wait| (wait * unit).ceil() as u64)
 }
 
 /// A header that can be read.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
@@ -64,18 +67,18 @@
             ("99999999999999999999999", u64::MAX),
         ];
         for (value, wait) in partner.into_iter().chain(large) {
-            assert_eq!(come_back(&headers("x-come-back-ms", value.as_bytes())), wait, "{value:?}");
+            assert_eq!(partner_wait_ms(&headers("x-come-back-ms", value.as_bytes())), wait, "{value:?}");
         }
-        assert_eq!(come_back(&headers("x-come-back-ms", b"\xff\xfe")), 0);
-        assert_eq!(come_back(&HeaderMap::new()), 0);
+        assert_eq!(partner_wait_ms(&headers("x-come-back-ms", b"\xff\xfe")), 0);
+        assert_eq!(partner_wait_ms(&HeaderMap::new()), 0);
         let seconds = [("2", 2000), ("0.25", 250), ("later", 0), ("1e300", u64::MAX)];
         let dates = [("47 GMT", 10_000), ("27 GMT", 0), ("99 GMT", 0)].map(|(end, wait)| (date(end), wait));
         for (value, wait) in seconds.map(|(value, wait)| (value.to_owned(), wait)).into_iter().chain(dates) {
-            assert_eq!(retry_after(&headers("retry-after", value.as_bytes()), now), wait, "{value:?}");
+            assert_eq!(server_wait_ms(&headers("retry-after", value.as_bytes()), now), wait, "{value:?}");
         }
         let mut both = headers("retry-after", b"1");
         both.extend(headers("x-come-back-ms", b"1500"));
-        assert_eq!(retry_after(&both, now), 1500);
+        assert_eq!(server_wait_ms(&both, now), 1500);
     }
 
     fn date(end: &str) -> String {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,8 +1,8 @@
 //! The running forwarder: a clock, the reducer, and the effects that it asks for on sockets and files.
 
+use super::client_api::ClientGateway;
 use super::console_listener::{self, Console};
 use super::discovery::Ended;
-use super::front::Door;
 use super::listener::{self, Connections};
 use super::next_hop::{self, Order};
 use super::pool::LinkId;
@@ -11,8 +11,9 @@
 use super::shutdown::Signals;
 use super::succession::Siblings;
 use super::{discovery, inherited, notices};
-use crate::input::{Effect, Following, Input, WatchId, teller};
+use crate::input::{Effect, Following, Input, WatchId, update_sender};
 use crate::log;
+use crate::policy_agent::PolicyAgent;
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_journal::{Journal, Opened};
@@ -28,8 +29,8 @@
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// For the word to the fleet that this process is gone, at its end.
-const LEAVE: Duration = Duration::from_millis(200);
+/// Time for leaving the fleet, at the end of the process.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Unix time that never goes back while the process runs.
 #[derive(Clone, Copy)]
@@ -53,11 +54,11 @@
     }
 }
 
-/// Carries out effects.
-struct Hands {
+/// Carries out the effects that the reducer asks for.
+struct EffectRunner {
     clock: Clock,
     journal: Journal,
-    door: Rc<Door>,
+    gateway: Rc<ClientGateway>,
     console: Rc<Console>,
     links: HashMap<LinkId, UnboundedSender<Order>>,
     inputs: UnboundedSender<Input>,
@@ -71,11 +72,11 @@
     ending: bool,
 }
 
-impl Hands {
+impl EffectRunner {
     /// Carries out one effect; what is known at once comes back as an input.
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Answer { ticket, answer } => self.door.answer(ticket, answer),
+            Effect::Answer { ticket, answer } => self.gateway.answer(ticket, answer),
             Effect::Reply { ticket, reply } => self.console.reply(ticket, reply),
             Effect::Append { receipt, bytes } => {
                 let stored = self.journal.append(&bytes).inspect_err(|e| log!("journal: {e}")).is_ok();
@@ -113,7 +114,7 @@
                 self.siblings.end();
                 self.connections.move_on();
             }
-            Effect::CloseDoor => self.connections.end(),
+            Effect::StopAccepting => self.connections.end(),
             Effect::Exit => self.ending = true,
         }
         None
@@ -121,12 +122,12 @@
 
     fn follow(&mut self, watch: WatchId, from: Following) {
         self.watch.iter().for_each(AbortHandle::abort);
-        let (inputs, teller) = (self.inputs.clone(), teller(watch, self.inputs.clone()));
+        let (inputs, updates) = (self.inputs.clone(), update_sender(watch, self.inputs.clone()));
         let task = spawn_local(async move {
             let Ended { why, wait_ms, unheard } = match from {
-                Following::Discovery { at, since } => discovery::follow(at, since, teller).await,
+                Following::Discovery { at, since } => discovery::follow(at, since, updates).await,
                 Following::Catalogue { catalogue, held } => {
-                    Ended { why: catalogue.follow(held, teller).await, wait_ms: 0, unheard: Duration::ZERO }
+                    Ended { why: catalogue.follow(held, updates).await, wait_ms: 0, unheard: Duration::ZERO }
                 }
             };
             let unheard = unheard.as_micros() as Micros;
@@ -149,7 +150,7 @@
         // What depends on what another process holds is decided on with its file as it is now.
         let mut inputs = VecDeque::from_iter(match input {
             Input::Terminate => self.siblings.all(),
-            Input::Handed { .. } | Input::Operator { .. } => self.siblings.look(),
+            Input::Submitted { .. } | Input::Operator { .. } => self.siblings.look(),
             _ => None,
         });
         inputs.push_back(input);
@@ -161,24 +162,30 @@
     }
 }
 
-/// Serves until the process is told to end. `fd` is the descriptor of the clients' listening socket, where whoever
+/// Serves until the process is told to end, by the policy of a fleet where there is an agent for it. `fd` is the descriptor of the clients' listening socket, where whoever
 /// started the process holds it.
-pub fn serve(source: Source, state: &Path, fd: Option<RawFd>) -> Result<(), Box<dyn Error>> {
+pub fn serve(
+    source: Source,
+    policy: Option<Rc<dyn PolicyAgent>>,
+    state: &Path,
+    fd: Option<RawFd>,
+) -> Result<(), Box<dyn Error>> {
     let inherited =
         fd.map(|fd| inherited::listener(fd).map_err(|e| format!("descriptor {fd}: {e}"))).transpose()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(LocalSet::new().run_until(run(source, state, inherited)))
+    runtime.block_on(LocalSet::new().run_until(run(source, policy, state, inherited)))
 }
 
 async fn run(
     source: Source,
+    policy: Option<Rc<dyn PolicyAgent>>,
     state: &Path,
     inherited: Option<std::net::TcpListener>,
 ) -> Result<(), Box<dyn Error>> {
     let (signals, reloads) = (Signals::listen()?, Reloads::listen()?);
     let source = Rc::new(source);
-    if let Some(accord) = &source.accord {
-        accord.join(&source).await;
+    if let Some(policy) = &policy {
+        policy.join(&source).await;
     }
     let config = source.load().await?;
     let clock = Clock::start();
@@ -192,13 +199,13 @@
     let most_clients = config.limits.clients(config.settings.slots, callers);
     log!("{} starts: {} records in its journal", config.name, records.len());
     let mut reducer = Reducer::new(config, generation, records, size, clock.now());
-    let door = Door::new(inputs.clone());
+    let gateway = ClientGateway::new(inputs.clone());
     let console = Console::new(inputs.clone());
     let connections = Connections::new(most_clients);
-    let mut hands = Hands {
+    let mut runner = EffectRunner {
         clock,
         journal,
-        door: door.clone(),
+        gateway: gateway.clone(),
         console: console.clone(),
         links: HashMap::new(),
         inputs: inputs.clone(),
@@ -208,37 +215,37 @@
         listening: None,
         ending: false,
     };
-    if let Some(accord) = &source.accord {
-        hands.take(&mut reducer, Input::Accord(accord.standing()));
+    if let Some(policy) = &policy {
+        runner.take(&mut reducer, Input::PolicyStatus(policy.status()));
     }
     // What was left over is decided on before anyone is told that the forwarder is ready.
-    if let Some(input) = hands.siblings.look() {
-        hands.take(&mut reducer, input);
+    if let Some(input) = runner.siblings.look() {
+        runner.take(&mut reducer, input);
     }
-    hands.take(&mut reducer, Input::Alarm);
+    runner.take(&mut reducer, Input::Alarm);
     let listener = match inherited {
         Some(inherited) => TcpListener::from_std(inherited)?,
         None => bind(listen).await?,
     };
     log!("listens on {}", listener.local_addr()?);
-    let listening = spawn_local(listener::listen(listener, door, connections));
-    hands.listening = Some(listening.abort_handle());
-    hands.take(&mut reducer, Input::DoorOpen);
+    let listening = spawn_local(listener::listen(listener, gateway, connections));
+    runner.listening = Some(listening.abort_handle());
+    runner.take(&mut reducer, Input::AcceptingClients);
     if let Some(at) = console_at {
         let listener = bind(at).await?;
         log!("console at {}", listener.local_addr()?);
         spawn_local(console_listener::listen(listener, console));
     }
     spawn_local(signals.report(inputs.clone()));
-    if let Some(accord) = &source.accord {
-        spawn_local(accord.clone().follow(source.clone(), inputs.clone()));
+    if let Some(policy) = &policy {
+        spawn_local(policy.clone().follow(source.clone(), inputs.clone()));
     }
     spawn_local(reloads.report(source.clone(), inputs));
-    while !hands.ending {
-        step(&mut hands, &mut reducer, &mut came).await;
+    while !runner.ending {
+        step(&mut runner, &mut reducer, &mut came).await;
     }
-    if let Some(accord) = &source.accord {
-        drop(timeout(LEAVE, accord.leave()).await);
+    if let Some(policy) = &policy {
+        drop(timeout(LEAVE_TIMEOUT, policy.leave()).await);
     }
     log!("ends");
     Ok(())
@@ -249,9 +256,9 @@
 }
 
 /// Waits for what comes next, takes in all that is there, and lets the reducer decide when its time has come.
-async fn step(hands: &mut Hands, reducer: &mut Reducer, came: &mut UnboundedReceiver<Input>) {
-    let clock = hands.clock;
-    let (alarm, look) = (reducer.wake_at(), hands.siblings.wake_at());
+async fn step(runner: &mut EffectRunner, reducer: &mut Reducer, came: &mut UnboundedReceiver<Input>) {
+    let clock = runner.clock;
+    let (alarm, look) = (reducer.wake_at(), runner.siblings.wake_at());
     let wait = async {
         match alarm.map(|at| clock.instant(at)).into_iter().chain(look).min() {
             Some(at) => sleep_until(at).await,
@@ -260,16 +267,16 @@
     };
     tokio::select! {
         biased;
-        Some(input) = came.recv() => hands.take(reducer, input),
+        Some(input) = came.recv() => runner.take(reducer, input),
         () = wait => {}
     }
-    if let Some(input) = hands.siblings.due() {
-        hands.take(reducer, input);
+    if let Some(input) = runner.siblings.due() {
+        runner.take(reducer, input);
     }
     while let Ok(input) = came.try_recv() {
-        hands.take(reducer, input);
+        runner.take(reducer, input);
     }
     if reducer.wake_at().is_some_and(|at| at <= clock.now()) {
-        hands.take(reducer, Input::Alarm);
+        runner.take(reducer, Input::Alarm);
     }
 }
--- a/crates/node/src/written.rs
+++ b/crates/node/src/write_progress.rs
@@ -7,16 +7,16 @@
 
 /// How much of a request has been written: its head ends with an empty line, and its body's length is known.
 #[derive(Debug, Default)]
-pub struct Written {
+pub struct WriteProgress {
     begun: bool,
     head_end: usize,
     body_left: usize,
 }
 
-impl Written {
+impl WriteProgress {
     /// Nothing yet of a request with so many bytes of body.
     pub fn of_body(body: usize) -> Self {
-        Written { begun: false, head_end: 0, body_left: body }
+        WriteProgress { begun: false, head_end: 0, body_left: body }
     }
 
     /// These bytes have gone.
--- a/crates/node/tests/closes.rs
+++ b/crates/node/tests/closes.rs
@@ -1,9 +1,9 @@
 //! Closes of the sender side's connections in the instant in which something is still owed. The listener is the program's
-//! own on real sockets; the test stands in for the reducer behind the door, and clients act between its steps: nothing
+//! own on real sockets; the test stands in for the reducer behind the gateway, and clients act between its steps: nothing
 //! else runs on this thread while they do.
 
-use orchidyoke_node::front::Door;
-use orchidyoke_node::input::{DoorAnswer, Input, Ticket};
+use orchidyoke_node::client_api::ClientGateway;
+use orchidyoke_node::input::{Input, SubmitAnswer, Ticket};
 use orchidyoke_node::listener::{Connections, listen};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
@@ -21,7 +21,7 @@
 
 struct Stage {
     address: SocketAddr,
-    door: Rc<Door>,
+    gateway: Rc<ClientGateway>,
     connections: Rc<Connections>,
     inputs: UnboundedReceiver<Input>,
 }
@@ -37,8 +37,13 @@
     fn new(most: usize) -> Self {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
-        let stage = Stage { address, door: Door::new(sender), connections: Connections::new(most), inputs };
-        spawn_local(listen(listener, stage.door.clone(), stage.connections.clone()));
+        let stage = Stage {
+            address,
+            gateway: ClientGateway::new(sender),
+            connections: Connections::new(most),
+            inputs,
+        };
+        spawn_local(listen(listener, stage.gateway.clone(), stage.connections.clone()));
         stage
     }
 
@@ -46,7 +51,7 @@
     async fn handed(&mut self) -> (String, Ticket) {
         loop {
             match timeout(PATIENCE, self.inputs.recv()).await.expect("a request has to come") {
-                Some(Input::Handed { ticket, message }) => return (message.txn, ticket),
+                Some(Input::Submitted { ticket, message }) => return (message.txn, ticket),
                 other => assert!(matches!(other, Some(Input::Sender { .. })), "{other:?}"),
             }
         }
@@ -55,7 +60,7 @@
     async fn take_on(&mut self, txn: &str) {
         let (handed, ticket) = self.handed().await;
         assert_eq!(handed, txn);
-        self.door.answer(ticket, DoorAnswer::TakenOn);
+        self.gateway.answer(ticket, SubmitAnswer::TakenOn);
     }
 
     /// What comes next: a request, or none before a connection is closed for good.
@@ -63,7 +68,7 @@
         loop {
             match timeout(PATIENCE, self.inputs.recv()).await.expect("it closes") {
                 Some(Input::Sender { joined: false }) => return None,
-                handed @ Some(Input::Handed { .. }) => return handed,
+                handed @ Some(Input::Submitted { .. }) => return handed,
                 _ => {}
             }
         }
@@ -134,7 +139,7 @@
         let (_, ticket) = stage.handed().await;
         stage.connections.end();
         sleep(PAST_THE_CUT).await;
-        stage.door.answer(ticket, DoorAnswer::TakenOn);
+        stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
         let heard = rest_of(client).await;
         assert!(is_taken_on(&heard), "{heard:?}");
     });
@@ -153,7 +158,7 @@
             matches!(withdrawn, Some(Input::Withdrawn { ticket: other }) if other == ticket),
             "{withdrawn:?}"
         );
-        stage.door.answer(ticket, DoorAnswer::TakenOn);
+        stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
         assert_eq!(rest_of(client).await.expect("no reset"), "", "nobody is told that it was taken on");
     });
 }
@@ -181,8 +186,8 @@
             // Read before the end of the sending, it is answered; after that it is no request at all.
             let heard = spawn_local(rest_of(resting));
             let mut handed = 0;
-            while let Some(Input::Handed { ticket, .. }) = stage.until_left().await {
-                stage.door.answer(ticket, DoorAnswer::TakenOn);
+            while let Some(Input::Submitted { ticket, .. }) = stage.until_left().await {
+                stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
                 handed += 1;
             }
             let text = heard.await.expect("it reads").expect("no reset");
@@ -203,7 +208,7 @@
         let (_, ticket) = stage.handed().await;
         // Nobody reads this any more, and it is there when the connection closes.
         client.write_all(request("b", "").as_bytes()).expect("written");
-        stage.door.answer(ticket, DoorAnswer::TakenOn);
+        stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
         let heard = rest_of(client).await;
         assert!(is_taken_on(&heard), "{heard:?}");
         assert!(stage.until_left().await.is_none(), "what follows a close is no request");
@@ -253,20 +258,20 @@
     });
 }
 
-// Guards against connections that have come, and were not yet taken when the stop closes the door: they would be reset.
+// Guards against connections that have come, and were not yet taken when the stop ends accepting: they would be reset.
 #[test]
 fn connections_that_wait_to_be_taken_are_answered_at_the_stop() {
     run(async {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
-        let (door, connections) = (Door::new(sender), Connections::new(64));
+        let (gateway, connections) = (ClientGateway::new(sender), Connections::new(64));
         let waiting: Vec<_> = (0..20).map(|n| client(address, &request(&n.to_string(), ""))).collect();
         connections.end();
-        spawn_local(listen(listener, door.clone(), connections.clone()));
-        let mut stage = Stage { address, door, connections, inputs };
+        spawn_local(listen(listener, gateway.clone(), connections.clone()));
+        let mut stage = Stage { address, gateway, connections, inputs };
         for _ in 0..waiting.len() {
             let (_, ticket) = stage.handed().await;
-            stage.door.answer(ticket, DoorAnswer::TakenOn);
+            stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
         }
         for client in waiting {
             let heard = rest_of(client).await;
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery's list, on real sockets: the far end is a script that writes, waits or closes.
 
 use orchidyoke_core::transport_map::News;
-use orchidyoke_node::catalogue::Teller;
+use orchidyoke_node::catalogue::UpdateSender;
 use orchidyoke_node::discovery::{Ended, follow};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -55,12 +55,12 @@
 
 async fn follow_at(at: SocketAddr) -> (Vec<News>, Ended, Duration) {
     let told = Rc::new(RefCell::new(Vec::new()));
-    let teller = Teller::new({
+    let updates = UpdateSender::new({
         let told = told.clone();
         move |news| told.borrow_mut().push(news)
     });
     let began = Instant::now();
-    let ended = follow(at, 0, teller).await;
+    let ended = follow(at, 0, updates).await;
     let took = began.elapsed();
     (told.take(), ended, took)
 }
--- a/crates/node/tests/next_hop.rs
+++ b/crates/node/tests/next_hop.rs
@@ -6,7 +6,7 @@
 use orchidyoke_node::hop_call::{Call, Cause, HopError, Part, Progress};
 use orchidyoke_node::input::Input;
 use orchidyoke_node::next_hop::{Order, run};
-use orchidyoke_node::written::Written;
+use orchidyoke_node::write_progress::WriteProgress;
 use quickcheck::{Gen, QuickCheck};
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -110,7 +110,7 @@
     fn keep(body: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut request = b"POST /inbox HTTP/1.1\r\nx-txn: a\r\n\r\n".to_vec();
         request.extend_from_slice(&body);
-        let mut written = Written::of_body(body.len());
+        let mut written = WriteProgress::of_body(body.len());
         let (mut rest, mut cuts) = (&request[..], cuts.into_iter().cycle());
         while !rest.is_empty() {
             assert_eq!(written.progress(), Progress::NotFullyWritten);
--- a/crates/node/tests/reducer.rs
+++ b/crates/node/tests/reducer.rs
@@ -7,11 +7,11 @@
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::transport_map::{News, State, Target};
 use orchidyoke_journal::{Record, Verdict, replay};
-use orchidyoke_node::catalogue::{Catalogue, Teller};
+use orchidyoke_node::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_node::config::Config;
 use orchidyoke_node::console::{self, Reply as Said};
 use orchidyoke_node::hop_call::{Call, Cause, HopError, Progress, Reply};
-use orchidyoke_node::input::{DoorAnswer, Effect, Following, Handed, Input, Ticket};
+use orchidyoke_node::input::{Effect, Following, Input, Submission, SubmitAnswer, Ticket};
 use orchidyoke_node::pool::LinkId;
 use orchidyoke_node::reducer::Reducer;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -157,10 +157,10 @@
     /// Endpoints that are out by the forwarder's yes.
     out: BTreeSet<String>,
     replies: BTreeMap<Ticket, Said>,
-    /// Seen in this process: messages written whole, and requests turned away at the door.
+    /// Seen in this process: messages written whole, and requests turned away before they were taken on.
     written: u64,
     turned_away: u64,
-    door_closed: bool,
+    stopped_accepting: bool,
     exited: bool,
     rewritten: bool,
 }
@@ -189,7 +189,7 @@
         self.0
     }
 
-    fn follow(&self, _: News, _: Teller) -> Pin<Box<dyn Future<Output = String>>> {
+    fn follow(&self, _: News, _: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
         Box::pin(std::future::pending())
     }
 }
@@ -226,7 +226,7 @@
             replies: BTreeMap::new(),
             written: 0,
             turned_away: 0,
-            door_closed: false,
+            stopped_accepting: false,
             exited: false,
             rewritten: false,
         };
@@ -269,11 +269,11 @@
         match effect {
             Effect::Answer { ticket, answer } => {
                 let txn = self.tickets.remove(&ticket).expect("each request is answered once");
-                if answer == DoorAnswer::TakenOn {
+                if answer == SubmitAnswer::TakenOn {
                     assert!(self.recorded.contains(&txn), "durable before visible");
                     self.fates.get_mut(&txn).expect("handed in").taken_on = true;
                 } else {
-                    assert!(matches!(answer, DoorAnswer::Deferred(_)), "{answer:?}");
+                    assert!(matches!(answer, SubmitAnswer::Deferred(_)), "{answer:?}");
                     self.turned_away += 1;
                 }
             }
@@ -320,7 +320,7 @@
             Effect::Retire { .. } | Effect::HandOver | Effect::NoRoom { .. } => {
                 unreachable!("there is no other process")
             }
-            Effect::CloseDoor => assert!(!std::mem::replace(&mut self.door_closed, true)),
+            Effect::StopAccepting => assert!(!std::mem::replace(&mut self.stopped_accepting, true)),
             Effect::Exit => self.exited = true,
         }
         None
@@ -388,7 +388,7 @@
         (!fit.is_empty()).then(|| fit[which % fit.len()])
     }
 
-    fn hand_in(&mut self, txn: String, orders: bool, dest: u64, size: usize) {
+    fn submit(&mut self, txn: String, orders: bool, dest: u64, size: usize) {
         self.hand_in_for(txn, orders, dest, size, self.shape.class(orders).1);
     }
 
@@ -399,8 +399,8 @@
         self.fates.entry(txn.clone()).or_insert(fate);
         let (org, key) = (self.shape.org(), self.shape.key(&txn, orders));
         let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
-        let message = Handed { txn, class, org, key, dest, time_left, repeat: false, body };
-        self.input(Input::Handed { ticket, message });
+        let message = Submission { txn, class, org, key, dest, time_left, repeat: false, body };
+        self.input(Input::Submitted { ticket, message });
     }
 
     fn answer(&mut self, which: usize, how: u8) {
@@ -487,7 +487,7 @@
         }
         self.tickets.clear();
         (self.written, self.turned_away) = (0, 0);
-        (self.posting, self.door_closed, self.exited) = (None, false, false);
+        (self.posting, self.stopped_accepting, self.exited) = (None, false, false);
         self.now += S;
         self.waits.clear();
         if self.shape == Shape::Second {
@@ -499,14 +499,14 @@
 
     fn step(&mut self, number: usize, step: Step) {
         match step {
-            Step::HandIn { orders, dest, size } => self.hand_in(format!("m{number}"), orders, dest, size),
+            Step::HandIn { orders, dest, size } => self.submit(format!("m{number}"), orders, dest, size),
             Step::HandInAgain(which) => {
                 let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
                 let Some((txn, fate)) = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2) else {
                     return;
                 };
                 let (txn, orders, dest) = (txn.clone(), fate.orders, fate.dest);
-                self.hand_in(txn, orders, dest, 10);
+                self.submit(txn, orders, dest, 10);
             }
             Step::Connect { which, up } => {
                 let Some(id) = self.pick(which, |l| !l.up) else { return };
@@ -576,17 +576,15 @@
 
     /// Each message is counted once: what was taken has ended once or is still open.
     fn check_figures(&self) {
-        let (figures, standing) = (self.reducer.figures(), self.reducer.standing());
-        assert_eq!(figures.open(), standing.concurrent as u64, "taken is ended and concurrent");
+        let (figures, gauges) = (self.reducer.figures(), self.reducer.gauges());
+        assert_eq!(figures.open(), gauges.concurrent as u64, "taken is ended and concurrent");
         let ends: u64 = figures.ends().values().map(|ends| ends.all()).sum();
         assert_eq!(ends, figures.taken() - figures.open() + self.turned_away);
         assert_eq!(figures.dispatches(), self.written);
-        let (out, listed) = (|t: &&Target| self.out.contains(&t.uid), self.reducer.standing().targets);
+        let (out, listed) = (|t: &&Target| self.out.contains(&t.uid), self.reducer.gauges().targets);
         let in_list = self.list.iter().filter(|t| t.state != State::Terminated);
         assert_eq!(in_list.clone().count(), listed);
-        assert!(
-            in_list.filter(out).count() <= standing.targets_disabled && standing.targets_disabled <= listed
-        );
+        assert!(in_list.filter(out).count() <= gauges.targets_disabled && gauges.targets_disabled <= listed);
     }
 
     /// All that was taken on has its end when its time is up.
@@ -639,7 +637,7 @@
     let mut world = World::new();
     world.step(0, Step::List { which: 3, state: State::Terminating });
     world.restart();
-    world.hand_in("x".to_owned(), false, 2, 10);
+    world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(world.fates["x"].taken_on && !world.links.is_empty(), "destination 2 is still known and dialled");
 }
@@ -650,7 +648,7 @@
     let mut world = World::new();
     world.step(0, Step::List { which: 2, state: State::Terminating });
     world.restart();
-    world.hand_in("x".to_owned(), false, 2, 10);
+    world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(world.fates["x"].taken_on && world.links.is_empty());
 }
@@ -660,7 +658,7 @@
 fn a_full_folder_defers_at_the_door() {
     let mut world = World::new();
     for number in 0..8 {
-        world.hand_in(format!("m{number}"), true, 2, 60_000);
+        world.submit(format!("m{number}"), true, 2, 60_000);
         world.wait(5_000);
     }
     let taken = world.fates.values().filter(|fate| fate.taken_on).count();
@@ -673,11 +671,11 @@
 #[test]
 fn a_stale_connection_costs_no_attempt() {
     let mut world = World::new();
-    world.hand_in("a".to_owned(), true, 2, 10);
+    world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
-    world.hand_in("b".to_owned(), true, 2, 10);
+    world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
     let link = world.pick(0, |l| l.call.is_some()).expect("on the same connection");
     let call = world.links.remove(&link).and_then(|l| l.call).expect("out");
@@ -690,18 +688,18 @@
 }
 
 // Guards against a forwarder that is still there when it is killed, and against a message lost in its last moment:
-// what clients have sent when the door closes is still taken on and answered.
+// what clients have sent when accepting ends is still taken on and answered.
 #[test]
 fn a_stop_ends_in_time_and_answers_to_the_last() {
     let mut world = World::new();
     world.input(Input::Sender { joined: true });
-    world.hand_in("a".to_owned(), true, 2, 10);
+    world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
     world.step(1, Step::Terminate);
     world.wait(3_360_000);
-    assert!(world.door_closed && !world.exited, "its call is out to the last");
-    world.hand_in("b".to_owned(), true, 2, 10);
+    assert!(world.stopped_accepting && !world.exited, "its call is out to the last");
+    world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
     assert!(world.fates["b"].taken_on);
     // The client's connection lingers; it is gone when the process is.
@@ -724,7 +722,7 @@
         let targets = vec![world.list[2].clone()];
         world.news(targets);
     };
-    world.hand_in("a".to_owned(), false, 2, 10);
+    world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
     moves(&mut world, 41);
     // The one that comes up now goes to the old address.
@@ -734,7 +732,7 @@
     assert_eq!(world.links[&link].address, "127.0.0.1:41");
     moves(&mut world, 42);
     world.answer(0, 0);
-    world.hand_in("b".to_owned(), false, 2, 10);
+    world.submit("b".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(world.pick(0, |l| l.up && l.address.ends_with(":41")).is_none(), "its connection is closed");
     world.step(0, Step::Connect { which: 0, up: true });
@@ -749,11 +747,11 @@
     let mut world = World::new();
     // Nothing may go there: the message stays held.
     world.step(0, Step::List { which: 2, state: State::Terminating });
-    world.hand_in("kept".to_owned(), true, 2, 10);
+    world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
     let mut rewrites = 0;
     for number in 0..2000 {
-        world.hand_in(format!("m{number}"), false, 3, 10);
+        world.submit(format!("m{number}"), false, 3, 10);
         world.wait(10_000);
         world.step(number, Step::Connect { which: number, up: true });
         world.answer(0, 0);
@@ -780,7 +778,7 @@
     let mut world = World::new();
     world.step(0, Step::List { which: 3, state: State::Terminating });
     world.input(Input::MapLost { watch: 1, why: "silent".to_owned(), wait_ms: 0, unheard: 0 });
-    world.hand_in("x".to_owned(), false, 2, 10);
+    world.submit("x".to_owned(), false, 2, 10);
     world.wait(S);
     assert_eq!(
         world.follows,
@@ -795,7 +793,7 @@
 #[test]
 fn a_message_out_of_time_spoils_no_call() {
     let mut world = World::new();
-    world.hand_in("order".to_owned(), true, 1, 10);
+    world.submit("order".to_owned(), true, 1, 10);
     world.hand_in_for("status".to_owned(), false, 1, 10, 2 * S);
     world.wait(10_000);
     world.step(1, Step::Connect { which: 0, up: true });
@@ -803,7 +801,7 @@
     world.post(true);
     assert!(world.fates["status"].notice.is_some() && world.fates["order"].notice.is_none());
     world.answer(0, 0);
-    world.hand_in("next".to_owned(), true, 1, 10);
+    world.submit("next".to_owned(), true, 1, 10);
     world.wait(10_000);
     // To either of its endpoints.
     world.step(0, Step::Connect { which: 0, up: true });
@@ -815,7 +813,7 @@
 #[test]
 fn a_reload_asks_the_new_discovery_at_once_and_carries_on() {
     let mut world = World::new();
-    world.hand_in("a".to_owned(), true, 2, 10);
+    world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
     let text =
         common::config("127.0.0.1:1", "127.0.0.1:3", Vec::new()).replace("\"slots\":6", "\"slots\":12");
@@ -827,7 +825,7 @@
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
     assert!(world.fates["a"].delivered);
-    world.hand_in("b".to_owned(), true, 2, 10);
+    world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
     assert!(world.pick(0, |l| l.call.is_some()).is_some(), "the list stays in use");
 }
@@ -869,7 +867,7 @@
     let mut world = World::new();
     let mut sizes = Vec::new();
     for number in 0..400 {
-        world.hand_in(format!("m{number}"), true, 2, 10);
+        world.submit(format!("m{number}"), true, 2, 10);
         world.wait(10_000);
         if number % 2 == 0 {
             world.step(0, Step::Connect { which: number, up: true });
@@ -898,7 +896,7 @@
 #[test]
 fn an_answer_after_the_messages_time_leaves_no_end_owed() {
     let mut world = World::new();
-    world.hand_in("late".to_owned(), true, 2, 10);
+    world.submit("late".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
     world.now += 28 * S;
@@ -911,7 +909,7 @@
 #[test]
 fn a_message_called_over_is_ended_all_the_same() {
     let mut world = World::new();
-    world.hand_in("gone".to_owned(), true, 2, 10);
+    world.submit("gone".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
     let link = world.pick(0, |l| l.call.is_some()).expect("out");
@@ -925,7 +923,7 @@
 #[test]
 fn an_answer_later_than_one_of_its_messages_leaves_no_end_owed() {
     let mut world = World::new();
-    world.hand_in("order".to_owned(), true, 1, 10);
+    world.submit("order".to_owned(), true, 1, 10);
     world.hand_in_for("status".to_owned(), false, 1, 10, 2 * S);
     world.wait(10_000);
     world.step(1, Step::Connect { which: 0, up: true });
@@ -957,7 +955,7 @@
     };
     world.input(Input::News { watch: first, news: gone("") });
     world.input(Input::MapLost { watch: first, why: "left".to_owned(), wait_ms: 0, unheard: 0 });
-    world.hand_in("a".to_owned(), false, 2, 10);
+    world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(world.pick(0, |l| !l.up).is_some(), "the list is as it was");
     world.input(Input::Reconfigured(config(Some("c1"))));
@@ -1129,7 +1127,7 @@
     // The same watch goes back, twice: it lags.
     for rev in [41, 42] {
         told(&mut world, rev, false);
-        world.hand_in(format!("m{rev}"), false, 2, 10);
+        world.submit(format!("m{rev}"), false, 2, 10);
         world.wait(10_000);
         assert!(world.links.is_empty(), "version {rev}: it drains");
     }
@@ -1164,10 +1162,10 @@
     let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
     world.input(Input::Reconfigured(Box::new(Config::read(&text, None, None).expect("a configuration"))));
     world.restart();
-    world.hand_in("m".to_owned(), true, 2, 10);
+    world.submit("m".to_owned(), true, 2, 10);
     world.wait(2 * S);
     assert!(world.links.is_empty(), "nothing is even dialled");
-    assert_eq!(world.reducer.standing().targets_disabled, 1);
+    assert_eq!(world.reducer.gauges().targets_disabled, 1);
     assert!(world.operate(back.clone()) && world.operate(back));
     world.out.clear();
     world.wait(S);
@@ -1182,7 +1180,7 @@
     let mut world = World::new();
     assert!(world.operate(console::Call::DisableServer("s-c".to_owned())));
     for number in 0..10 {
-        world.hand_in(format!("m{number}"), true, 2, 10);
+        world.submit(format!("m{number}"), true, 2, 10);
     }
     world.wait(S);
     assert!(world.operate(console::Call::EnableServer("s-c".to_owned())));
@@ -1198,7 +1196,7 @@
     for size in (100..1300).step_by(60) {
         let mut world = World::new();
         for number in 0..400 {
-            world.hand_in(format!("m{number}"), true, 2, size);
+            world.submit(format!("m{number}"), true, 2, size);
             world.wait(5_000);
             while let Some(link) = world.pick(0, |link| !link.up) {
                 world.links.get_mut(&link).expect("there").up = true;
@@ -1226,14 +1224,14 @@
         let (org, key) = (org.map(str::to_owned), key.map(str::to_owned));
         let body = Bytes::from_static(b"x");
         let message =
-            Handed { txn: "a".to_owned(), class, org, key, dest: 2, time_left: S, repeat: false, body };
-        let effects = reducer.step(START, Input::Handed { ticket: 1, message });
+            Submission { txn: "a".to_owned(), class, org, key, dest: 2, time_left: S, repeat: false, body };
+        let effects = reducer.step(START, Input::Submitted { ticket: 1, message });
         let told = effects.iter().find_map(|effect| match effect {
             Effect::Answer { answer, .. } => Some(*answer),
             _ => None,
         });
         assert_eq!(told.is_none(), good, "{shape:?}: {told:?}");
-        assert!(good || matches!(told, Some(DoorAnswer::Incomplete(_))), "{shape:?}: {told:?}");
+        assert!(good || matches!(told, Some(SubmitAnswer::Incomplete(_))), "{shape:?}: {told:?}");
         assert_eq!(reducer.figures().ends().values().map(|ends| ends.all()).sum::<u64>(), 0);
     }
 }
@@ -1244,7 +1242,7 @@
 fn a_wait_of_a_route_apart_leaves_its_sister_free() {
     let mut world = World::of(Shape::Second);
     for number in 0..2 {
-        world.hand_in(format!("m{number}"), false, 2, 10);
+        world.submit(format!("m{number}"), false, 2, 10);
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
     }
@@ -1266,7 +1264,7 @@
 fn a_kill_keeps_key_building_and_window() {
     for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * S, false, 1)] {
         let mut world = World::of(Shape::Second);
-        world.hand_in("held".to_owned(), true, 2, 10);
+        world.submit("held".to_owned(), true, 2, 10);
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
         assert_eq!(world.fates["held"].calls, 1);
@@ -1294,7 +1292,7 @@
 #[test]
 fn a_repeat_whose_connection_comes_after_its_window_is_not_written() {
     let mut world = World::of(Shape::Second);
-    world.hand_in("held".to_owned(), true, 3, 10);
+    world.submit("held".to_owned(), true, 3, 10);
     world.wait(10_000);
     world.step(1, Step::Connect { which: 0, up: true });
     world.wait(1_500_000);
@@ -1326,14 +1324,14 @@
             let (class, body) = ("state".to_owned(), Bytes::from_static(b"x"));
             let txn = format!("m{ticket}");
             let message =
-                Handed { txn, class, org: None, key: None, dest: 2, time_left: S, repeat: false, body };
-            for effect in reducer.step(START, Input::Handed { ticket, message }) {
+                Submission { txn, class, org: None, key: None, dest: 2, time_left: S, repeat: false, body };
+            for effect in reducer.step(START, Input::Submitted { ticket, message }) {
                 if let Effect::Answer { ticket: 1, answer } = effect {
                     told = Some(answer);
                 }
             }
         }
-        assert_eq!(told, Some(DoorAnswer::Deferred(expected)), "{change:?}");
+        assert_eq!(told, Some(SubmitAnswer::Deferred(expected)), "{change:?}");
     }
 }
 
@@ -1341,7 +1339,7 @@
 /// every dial comes up at once and nothing answers. When calls were written, and when which final answers were posted.
 fn with_a_short_window(
     file: &mut Vec<u8>,
-    handed: Option<Handed>,
+    handed: Option<Submission>,
     from: Micros,
     span: Micros,
 ) -> (Vec<Micros>, Vec<(Micros, Verdict)>) {
@@ -1352,7 +1350,7 @@
     let mut reducer = Reducer::new(config, 0, records, whole, from);
     let (mut written, mut posted) = (Vec::new(), Vec::new());
     let mut inputs = VecDeque::from([Input::Alarm]);
-    inputs.extend(handed.map(|message| Input::Handed { ticket: 1, message }));
+    inputs.extend(handed.map(|message| Input::Submitted { ticket: 1, message }));
     let mut now = from;
     while now < from + span {
         while let Some(input) = inputs.pop_front() {
@@ -1383,7 +1381,7 @@
 #[test]
 fn a_window_of_one_second_is_counted_over_a_restart() {
     for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
-        let handed = Handed {
+        let handed = Submission {
             txn: "a".to_owned(),
             class: "bread".to_owned(),
             org: None,
@@ -1416,7 +1414,7 @@
 #[test]
 fn a_withdrawal_that_crosses_the_202_leaves_one_end() {
     let mut world = World::new();
-    world.hand_in("kept".to_owned(), true, 2, 10);
+    world.submit("kept".to_owned(), true, 2, 10);
     let ticket = *world.tickets.keys().last().expect("it waits");
     world.wait(10_000);
     assert!(world.fates["kept"].taken_on, "its 202 is on the way");
@@ -1424,7 +1422,7 @@
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
     assert!(world.fates["kept"].delivered);
-    world.hand_in("left".to_owned(), true, 2, 10);
+    world.submit("left".to_owned(), true, 2, 10);
     let ticket = *world.tickets.keys().last().expect("it waits");
     world.input(Input::Withdrawn { ticket });
     world.wait(S);
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -9,7 +9,7 @@
 use orchidyoke_node::config::Config;
 use orchidyoke_node::console;
 use orchidyoke_node::hop_call::{Call, Cause, HopError, Progress, Reply};
-use orchidyoke_node::input::{DoorAnswer, Effect, Handed, Input, Shown, Ticket};
+use orchidyoke_node::input::{Effect, Input, Shown, Submission, SubmitAnswer, Ticket};
 use orchidyoke_node::pool::LinkId;
 use orchidyoke_node::reducer::Reducer;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -187,7 +187,7 @@
         self.look(at);
         self.input(at, Input::Alarm);
         if at < self.processes.len() {
-            self.input(at, Input::DoorOpen);
+            self.input(at, Input::AcceptingClients);
         }
     }
 
@@ -206,7 +206,7 @@
             }
         }
         let process = &self.processes[at];
-        assert_eq!(process.reducer.figures().open(), process.reducer.standing().concurrent as u64);
+        assert_eq!(process.reducer.figures().open(), process.reducer.gauges().concurrent as u64);
     }
 
     fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
@@ -214,7 +214,7 @@
         match effect {
             Effect::Answer { ticket, answer } => {
                 let txn = self.processes[at].tickets.remove(&ticket).expect("each request is answered once");
-                if answer == DoorAnswer::TakenOn {
+                if answer == SubmitAnswer::TakenOn {
                     self.fates.get_mut(&txn).expect("handed in").taken_on = true;
                 }
             }
@@ -259,7 +259,7 @@
             Effect::Post { notices, .. } => {
                 assert!(self.processes[at].posting.replace(notices).is_none());
             }
-            Effect::Follow { .. } | Effect::Log { .. } | Effect::CloseDoor | Effect::Exit => {}
+            Effect::Follow { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
         }
         None
     }
@@ -375,7 +375,7 @@
         (!fit.is_empty()).then(|| fit[which % fit.len()])
     }
 
-    fn hand_in(&mut self, at: usize, txn: String, orders: bool, dest: u64, size: usize) {
+    fn submit(&mut self, at: usize, txn: String, orders: bool, dest: u64, size: usize) {
         let ticket = self.processes[at].tickets.keys().last().map_or(self.now as u64, |t| t + 1);
         let time_left = if orders { 28 * S } else { 8 * S };
         let fate = Fate { orders, dest, deadline: self.now + time_left, ..Fate::default() };
@@ -387,8 +387,8 @@
         self.look(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
             self.processes[at].tickets.insert(ticket, txn.clone());
-            let message = Handed { txn, class, org, key: None, dest, time_left, repeat: false, body };
-            self.input(at, Input::Handed { ticket, message });
+            let message = Submission { txn, class, org, key: None, dest, time_left, repeat: false, body };
+            self.input(at, Input::Submitted { ticket, message });
         }
     }
 
@@ -499,13 +499,13 @@
             (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
         match step {
             Step::HandIn { at, orders, dest, size } if !open.is_empty() => {
-                self.hand_in(open[at % open.len()], format!("m{number}"), orders, dest, size);
+                self.submit(open[at % open.len()], format!("m{number}"), orders, dest, size);
             }
             Step::HandInAgain { at, which } => {
                 let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
                 let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
                 if let Some((txn, orders, dest)) = known.map(|(txn, f)| (txn.clone(), f.orders, f.dest)) {
-                    self.hand_in(at % self.processes.len(), txn, orders, dest, 10);
+                    self.submit(at % self.processes.len(), txn, orders, dest, 10);
                 }
             }
             Step::Connect { which, up } => {
@@ -595,14 +595,14 @@
 fn what_is_queued_goes_to_the_successor_and_what_is_out_stays() {
     let mut world = World::new();
     for number in 0..3 {
-        world.hand_in(0, format!("m{number}"), true, 2, 10);
+        world.submit(0, format!("m{number}"), true, 2, 10);
     }
     world.wait(S / 10);
     let (_, first) = world.pick(0, |link| !link.up).expect("dialled");
     world.processes[0].links.get_mut(&first).expect("there").up = true;
     world.input(0, Input::LinkUp { link: first });
     world.start();
-    world.hand_in(1, "m3".to_owned(), true, 2, 10);
+    world.submit(1, "m3".to_owned(), true, 2, 10);
     world.wait(S);
     assert!(world.processes[1].links.is_empty(), "while the elder works, the newcomer begins nothing");
     world.look(0);
@@ -611,7 +611,7 @@
     world.wait(S / 20);
     assert_eq!(world.processes[0].links.len(), 1, "its call goes on");
     assert_eq!(world.processes[1].links.len(), 1, "the successor has begun");
-    let mine = |world: &World, at: usize| world.processes[at].reducer.standing().concurrent;
+    let mine = |world: &World, at: usize| world.processes[at].reducer.gauges().concurrent;
     assert_eq!((mine(&world, 0), mine(&world, 1)), (1, 3));
     // It ends without delivery and never ran: from then on it is the successor's.
     let call = world.processes[0].links.get_mut(&first).and_then(|link| link.call.take()).expect("a call");
@@ -632,7 +632,7 @@
 fn what_a_dead_newcomer_took_on_is_the_elders() {
     let mut world = World::new();
     world.start();
-    world.hand_in(1, "a".to_owned(), true, 2, 10);
+    world.submit(1, "a".to_owned(), true, 2, 10);
     world.wait(S / 50);
     assert!(world.fates["a"].taken_on);
     world.kill(1);
@@ -648,9 +648,9 @@
         world.start();
         world.operate(at, "s-c", true);
         world.wait(S / 50);
-        assert!(world.processes.iter().all(|process| process.reducer.standing().targets_disabled >= 1));
+        assert!(world.processes.iter().all(|process| process.reducer.gauges().targets_disabled >= 1));
         world.input(0, Input::Terminate);
-        world.hand_in(1, "a".to_owned(), true, 2, 10);
+        world.submit(1, "a".to_owned(), true, 2, 10);
         world.wait(3 * S);
         assert!(world.processes.iter().all(|process| process.links.is_empty()), "called at {at}");
         let last = world.processes.len() - 1;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -113,6 +113,9 @@
     settings: Option<PathBuf>,
 }
 
+/// Where the configuration comes from, and who follows the policy of the fleet.
+type SourceAndPolicy = (Source, Option<std::rc::Rc<dyn orchidyoke_node::policy_agent::PolicyAgent>>);
+
 impl Given {
     fn source(self) -> Result<Source, ConfigError> {
         let missing = "no configuration: give --config FILE, or EDGE_CONFIG in the environment";
@@ -129,10 +132,10 @@
         })
     }
 
-    /// The source of a forwarder that serves with this folder: with what its fleet agrees on, where its settings ask for
-    /// that.
+    /// The source of a forwarder that serves with this folder, and the agent of its fleet's policy where its settings
+    /// ask for one.
     #[cfg(feature = "installations")]
-    fn source_for(self, state: &std::path::Path) -> Result<Source, Box<dyn Error>> {
+    fn source_for(self, state: &std::path::Path) -> Result<SourceAndPolicy, Box<dyn Error>> {
         let settings = self.settings.clone();
         let mut source = self.source()?;
         if let Some(path) = settings
@@ -140,14 +143,16 @@
         {
             let own = || source.reread_with(|text| Ok(text.to_owned())).map(|config| config.name);
             let name = policy.name.clone().map_or_else(own, Ok)?;
-            source.accord = Some(orchidyoke_epochs::Follower::new(policy, &name, state));
+            let follower = orchidyoke_epochs::Follower::new(policy, &name, state);
+            source.policy = Some(follower.clone());
+            return Ok((source, Some(follower)));
         }
-        Ok(source)
+        Ok((source, None))
     }
 
     #[cfg(not(feature = "installations"))]
-    fn source_for(self, _: &std::path::Path) -> Result<Source, Box<dyn Error>> {
-        Ok(self.source()?)
+    fn source_for(self, _: &std::path::Path) -> Result<SourceAndPolicy, Box<dyn Error>> {
+        Ok((self.source()?, None))
     }
 
     #[cfg(feature = "installations")]
@@ -337,7 +342,7 @@
     let done = match Cli::parse().command {
         Command::Serve { given, state, fd, log } => {
             log::start(log.into());
-            given.source_for(&state).and_then(|source| serve(source, &state, fd))
+            given.source_for(&state).and_then(|(source, policy)| serve(source, policy, &state, fd))
         }
         Command::Check { given } => given.check(),
         #[cfg(feature = "installations")]
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_config::Installation as Wanted;
 use orchidyoke_consul::Consul;
-use orchidyoke_epochs::words::{Member, Point, Vote};
+use orchidyoke_epochs::commit_point::{Member, Point, Vote};
 use orchidyoke_node::config::{Config, ConfigError};
 use orchidyoke_node::reload::Installation;
 use std::future::Future;
@@ -88,20 +88,20 @@
         format!("proposed: epoch {}, digest {}, by {}", numbered.epoch, numbered.digest, numbered.by)
     }));
     for member in members {
-        lines.push(match &member.standing {
+        lines.push(match &member.status {
             None => format!("{}: what it says of itself cannot be read", member.id),
-            Some(standing) => {
+            Some(status) => {
                 let vote = point.proposal.as_ref().map(|(proposal, ..)| {
-                    match standing.vote.as_ref().filter(|vote| vote.proposal == proposal.id) {
+                    match status.vote.as_ref().filter(|vote| vote.proposal == proposal.id) {
                         None => ", has not voted".to_owned(),
                         Some(Vote { no: None, .. }) => ", votes yes".to_owned(),
                         Some(Vote { no: Some(why), .. }) => format!(", votes no: {why}"),
                     }
                 });
                 let refuses =
-                    standing.refuses.as_ref().map(|why| format!(", cannot use what is committed: {why}"));
+                    status.refuses.as_ref().map(|why| format!(", cannot use what is committed: {why}"));
                 let (vote, refuses) = (vote.unwrap_or_default(), refuses.unwrap_or_default());
-                format!("{}: epoch {}{vote}{refuses}", member.id, standing.epoch)
+                format!("{}: epoch {}{vote}{refuses}", member.id, status.epoch)
             }
         });
     }
