--- a/crates/consul/src/standing.rs
+++ b/crates/consul/src/instance_health.rs
@@ -8,7 +8,7 @@
 
 /// Whether an instance takes anything new, and what its checks say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct InstanceHealth {
     /// Whether it takes anything new.
     pub state: State,
     /// What its checks say.
@@ -40,7 +40,7 @@
 /// | any | `draining` as a tag, or as meta data with `true` | terminating | as the checks say |
 /// | none, or all pass | weight for passing is 0 or less | terminating | passing |
 /// | one warns, none critical | weight for warning is 0 or less | terminating | warning |
-pub fn standing(entry: &ServiceEntry) -> Standing {
+pub fn instance_health(entry: &ServiceEntry) -> InstanceHealth {
     let worst = |a: Checks, b: Checks| match (a, b) {
         (Checks::Critical, _) | (_, Checks::Critical) => Checks::Critical,
         (Checks::Warning, _) | (_, Checks::Warning) => Checks::Warning,
@@ -56,7 +56,7 @@
         Checks::Critical => false,
     };
     let drained = marked || weightless || entry.checks.iter().any(is_maintenance);
-    Standing { state: if drained { State::Terminating } else { State::InService }, checks }
+    InstanceHealth { state: if drained { State::Terminating } else { State::InService }, checks }
 }
 
 #[cfg(test)]
@@ -92,7 +92,7 @@
             (&[("_service_maintenance:web-1", "passing")], InService, Passing),
         ];
         for (checks, state, told) in cases {
-            assert_eq!(standing(&entry(checks)), Standing { state, checks: told }, "{checks:?}");
+            assert_eq!(instance_health(&entry(checks)), InstanceHealth { state, checks: told }, "{checks:?}");
         }
     }
 
@@ -101,17 +101,21 @@
         for (status, told) in [("passing", Checks::Passing), ("critical", Checks::Critical)] {
             let mut tagged = entry(&[("web", status)]);
             tagged.service.tags = vec!["v2".to_owned(), DRAINING.to_owned()];
-            assert_eq!(standing(&tagged), Standing { state: State::Terminating, checks: told });
+            assert_eq!(instance_health(&tagged), InstanceHealth { state: State::Terminating, checks: told });
             let mut meta = entry(&[("web", status)]);
             meta.service.meta.insert(DRAINING.to_owned(), "true".to_owned());
-            assert_eq!(standing(&meta), Standing { state: State::Terminating, checks: told });
+            assert_eq!(instance_health(&meta), InstanceHealth { state: State::Terminating, checks: told });
             meta.service.meta.insert(DRAINING.to_owned(), "false".to_owned());
-            assert_eq!(standing(&meta).state, State::InService);
+            assert_eq!(instance_health(&meta).state, State::InService);
         }
         let mut weightless = entry(&[("web", "warning")]);
         weightless.service.weights = Weights { passing: 0, warning: 1 };
-        assert_eq!(standing(&weightless).state, State::InService, "the weight for passing does not count");
+        assert_eq!(
+            instance_health(&weightless).state,
+            State::InService,
+            "the weight for passing does not count"
+        );
         weightless.service.weights = Weights { passing: 1, warning: 0 };
-        assert_eq!(standing(&weightless).state, State::Terminating);
+        assert_eq!(instance_health(&weightless).state, State::Terminating);
     }
 }
--- a/crates/consul/src/rota.rs
+++ b/crates/consul/src/query_schedule.rs
@@ -20,18 +20,18 @@
 
 /// What a connection is to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum NextQuery {
     /// This service; Consul may hold the question.
-    Stand(usize),
+    Blocking(usize),
     /// This service; the answer is wanted at once.
-    Visit(usize),
+    Immediate(usize),
     /// Nothing before this moment.
-    Rest(Micros),
+    NotBefore(Micros),
 }
 
 /// The order in which services are asked.
 #[derive(Debug)]
-pub struct Rota {
+pub struct QuerySchedule {
     /// Services by when they are due, but for those out.
     due: BTreeSet<(Micros, usize)>,
     /// When each is due, unless it is out.
@@ -48,10 +48,10 @@
     hurried: Micros,
 }
 
-impl Rota {
+impl QuerySchedule {
     /// So many services over so many connections (at least one).
     pub fn new(services: usize, connections: usize) -> Self {
-        Rota {
+        QuerySchedule {
             due: (0..services).map(|service| (0, service)).collect(),
             due_at: vec![Some(0); services],
             least: vec![0; services],
@@ -75,7 +75,7 @@
     }
 
     /// The next question for a connection that is free.
-    pub fn next(&mut self, now: Micros) -> Turn {
+    pub fn next(&mut self, now: Micros) -> NextQuery {
         // Hints come first, but every other turn is for those that are due: a hint that is never quiet starves nobody.
         let waits = self.due.first().is_some_and(|(at, _)| *at <= now);
         if (!self.hinted || !waits)
@@ -87,17 +87,17 @@
         self.hinted = false;
         match self.due.first().copied() {
             Some((at, service)) if at <= now => self.take(service),
-            Some((at, _)) => Turn::Rest(at),
-            None => Turn::Rest(Micros::MAX),
+            Some((at, _)) => NextQuery::NotBefore(at),
+            None => NextQuery::NotBefore(Micros::MAX),
         }
     }
 
-    fn take(&mut self, service: usize) -> Turn {
+    fn take(&mut self, service: usize) -> NextQuery {
         self.urgent.retain(|other| *other != service);
         if let Some(at) = self.due_at[service].take() {
             self.due.remove(&(at, service));
         }
-        if self.stands { Turn::Stand(service) } else { Turn::Visit(service) }
+        if self.stands { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
     }
 
     /// A service that was asked may be asked again, not before this moment. `failed`: its answer was none.
@@ -146,43 +146,50 @@
 
     #[test]
     fn few_services_stand_and_many_take_turns() {
-        let mut few = Rota::new(2, 2);
+        let mut few = QuerySchedule::new(2, 2);
         assert_eq!(
             (few.next(0), few.next(0), few.next(0)),
-            (Turn::Stand(0), Turn::Stand(1), Turn::Rest(Micros::MAX))
+            (NextQuery::Blocking(0), NextQuery::Blocking(1), NextQuery::NotBefore(Micros::MAX))
         );
         few.back(5, 1, 5, false);
-        assert_eq!(few.next(5), Turn::Stand(1));
-        let mut many = Rota::new(3, 2);
-        assert_eq!((many.next(0), many.next(0)), (Turn::Visit(0), Turn::Visit(1)));
+        assert_eq!(few.next(5), NextQuery::Blocking(1));
+        let mut many = QuerySchedule::new(3, 2);
+        assert_eq!((many.next(0), many.next(0)), (NextQuery::Immediate(0), NextQuery::Immediate(1)));
         many.back(MS, 0, MS, false);
-        assert_eq!((many.next(MS), many.next(MS)), (Turn::Visit(2), Turn::Rest(MS + ROUND_LEAST)));
+        assert_eq!(
+            (many.next(MS), many.next(MS)),
+            (NextQuery::Immediate(2), NextQuery::NotBefore(MS + ROUND_LEAST))
+        );
     }
 
     #[test]
     fn a_hint_comes_before_all_others_even_while_its_service_is_out() {
-        let mut rota = Rota::new(4, 1);
-        assert_eq!(rota.next(0), Turn::Visit(0));
-        rota.hint(3);
-        rota.hint(0);
-        assert_eq!(rota.next(0), Turn::Visit(3));
-        rota.back(MS, 0, MS, false);
-        assert_eq!(rota.next(MS), Turn::Visit(1));
-        rota.hint(2);
-        assert_eq!((rota.next(MS), rota.next(MS)), (Turn::Visit(2), Turn::Visit(0)), "once more: it was out");
+        let mut schedule = QuerySchedule::new(4, 1);
+        assert_eq!(schedule.next(0), NextQuery::Immediate(0));
+        schedule.hint(3);
+        schedule.hint(0);
+        assert_eq!(schedule.next(0), NextQuery::Immediate(3));
+        schedule.back(MS, 0, MS, false);
+        assert_eq!(schedule.next(MS), NextQuery::Immediate(1));
+        schedule.hint(2);
+        assert_eq!(
+            (schedule.next(MS), schedule.next(MS)),
+            (NextQuery::Immediate(2), NextQuery::Immediate(0)),
+            "once more: it was out"
+        );
     }
 
     #[test]
     fn in_a_hurry_a_round_is_short_and_never_shorter() {
-        let mut rota = Rota::new(2000, 4);
-        assert_eq!(rota.round(), 4 * ROUND_LEAST);
-        while let Turn::Visit(service) = rota.next(0) {
-            rota.back(0, service, 0, false);
+        let mut schedule = QuerySchedule::new(2000, 4);
+        assert_eq!(schedule.round(), 4 * ROUND_LEAST);
+        while let NextQuery::Immediate(service) = schedule.next(0) {
+            schedule.back(0, service, 0, false);
         }
-        assert_eq!(rota.next(0), Turn::Rest(4 * ROUND_LEAST));
+        assert_eq!(schedule.next(0), NextQuery::NotBefore(4 * ROUND_LEAST));
         for _ in 0..100 {
-            rota.hurry();
-            assert_eq!(rota.next(0), Turn::Rest(600_000));
+            schedule.hurry();
+            assert_eq!(schedule.next(0), NextQuery::NotBefore(600_000));
         }
     }
 
@@ -193,24 +200,24 @@
         // the same few, each is visited within two rounds.
         #[test]
         fn no_service_is_starved(services in 2usize..300, connections in 1usize..8, hinted in 0usize..3, took in 1i64..4) {
-            let mut rota = Rota::new(services, connections);
+            let mut schedule = QuerySchedule::new(services, connections);
             let mut last = vec![0; services];
             let mut out = VecDeque::new();
             let mut now = 0;
-            let end = rota.round() * 6;
+            let end = schedule.round() * 6;
             while now < end {
                 now += took * MS;
-                (0..hinted.min(services)).for_each(|service| rota.hint(service));
+                (0..hinted.min(services)).for_each(|service| schedule.hint(service));
                 while out.len() < connections {
-                    let (Turn::Stand(service) | Turn::Visit(service)) = rota.next(now) else { break };
+                    let (NextQuery::Blocking(service) | NextQuery::Immediate(service)) = schedule.next(now) else { break };
                     prop_assert!(!out.contains(&service), "asked twice at once");
                     last[service] = now;
                     out.push_back(service);
                 }
                 if let Some(service) = out.pop_front() {
-                    rota.back(now, service, now, false);
+                    schedule.back(now, service, now, false);
                 }
-                let bound = 2 * rota.round() + (services as Micros + 1) * 2 * took * MS;
+                let bound = 2 * schedule.round() + (services as Micros + 1) * 2 * took * MS;
                 prop_assert!(last.iter().all(|at| now - at <= bound), "starved");
             }
         }
--- a/crates/consul/src/picture.rs
+++ b/crates/consul/src/snapshot.rs
@@ -1,8 +1,8 @@
-//! The picture of all services that are followed, and the changes from one answer to the next. No I/O, no clock.
+//! The snapshot of all services that are followed, and the changes from one answer to the next. No I/O, no clock.
 
 use crate::api::ServiceEntry;
+use crate::instance_health::instance_health;
 use crate::settings::{Service, Settings};
-use crate::standing::standing;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
 use orchidyoke_core::transport_map::{Checks, News, State, Target};
@@ -81,7 +81,7 @@
 
 /// All services as they were told last.
 #[derive(Debug)]
-pub struct Picture {
+pub struct CatalogueSnapshot {
     origin: String,
     rev: u64,
     networks: Networks,
@@ -93,8 +93,8 @@
     known: BTreeSet<u64>,
 }
 
-impl Picture {
-    /// A picture that goes on from the list held, whoever told that.
+impl CatalogueSnapshot {
+    /// A snapshot that goes on from the list held, whoever told that.
     pub fn new(settings: &Settings, held: &News) -> Self {
         let mut strays: BTreeMap<_, _> = held.targets.iter().map(|t| (t.uid.clone(), t.clone())).collect();
         let known = |service: &Service| {
@@ -106,7 +106,7 @@
             Known { service: service.clone(), heard: false, targets, unusable: BTreeSet::new() }
         };
         let services = settings.services.iter().map(known).collect();
-        Picture {
+        CatalogueSnapshot {
             origin: settings.id(),
             rev: held.rev,
             networks: Networks::new(&settings.networks),
@@ -228,7 +228,7 @@
     if !networks.allow(address) {
         return Err(Unusable::Outside(endpoint));
     }
-    let standing = standing(entry);
+    let health = instance_health(entry);
     let meta = |key: &String| instance.meta.get(key).or_else(|| node.meta.get(key));
     Ok(Target {
         uid: format!("{}{}/{}@{endpoint}", prefix(service), node.node, instance.id),
@@ -236,9 +236,9 @@
         az: service.zone_meta.as_ref().and_then(meta).unwrap_or(&service.zone).clone(),
         model: service.kind.clone(),
         pod_group: service.destination,
-        state: standing.state,
+        state: health.state,
         capacity_hint: service.capacity,
-        checks: standing.checks,
+        checks: health.checks,
     })
 }
 
@@ -283,9 +283,9 @@
 
     #[test]
     fn the_same_id_elsewhere_is_another_endpoint_and_the_old_one_goes_first() {
-        let mut picture = Picture::new(&settings(&[("web", 3)]), &held(vec![]));
-        picture.take(0, &[entry("n1", "web-1", "", 8001, "passing")]);
-        let change = picture.take(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
+        let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+        snapshot.take(0, &[entry("n1", "web-1", "", 8001, "passing")]);
+        let change = snapshot.take(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
         assert_eq!(
             uids(&change.news[0]),
             [
@@ -293,16 +293,16 @@
                 ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), State::InService),
             ]
         );
-        let change = picture.take(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
+        let change = snapshot.take(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
         assert_eq!(change.news[0].targets.len(), 2, "the same id on another node");
         let both =
             [entry("n1", "web-1", "", 8001, "passing"), entry("n2", "web-1", "127.0.0.2", 8001, "passing")];
-        assert_eq!(picture.take(0, &both).news[0].targets.len(), 1, "one id on two nodes is two endpoints");
+        assert_eq!(snapshot.take(0, &both).news[0].targets.len(), 1, "one id on two nodes is two endpoints");
     }
 
     #[test]
     fn what_lies_elsewhere_or_nowhere_is_never_an_endpoint_and_told_once() {
-        let mut picture = Picture::new(&settings(&[("web", 3)]), &held(vec![]));
+        let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
         let bad = [
             entry("n1", "out", "10.0.0.1", 80, "passing"),
             entry("n1", "name", "web.example", 80, "passing"),
@@ -310,36 +310,36 @@
             entry("n1", "portless", "127.0.0.1", 0, "passing"),
             entry("n1", "high", "127.0.0.1", 65_536, "passing"),
         ];
-        let change = picture.take(0, &bad);
+        let change = snapshot.take(0, &bad);
         assert_eq!((change.news.len(), change.unusable.len()), (0, 5), "{:?}", change.unusable);
-        assert_eq!(picture.take(0, &bad), Change::default());
+        assert_eq!(snapshot.take(0, &bad), Change::default());
         let mapped = entry("n1", "in", "::ffff:127.0.0.1", 80, "passing");
-        assert_eq!(picture.take(0, &[mapped]).news.len(), 1);
+        assert_eq!(snapshot.take(0, &[mapped]).news.len(), 1);
     }
 
     #[test]
     fn zone_state_and_checks_come_from_the_entry() {
-        let mut picture = Picture::new(&settings(&[("web", 3)]), &held(vec![]));
+        let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
         let mut one = entry("n1", "w", "", 80, "warning");
         one.node.meta.insert("zone".to_owned(), "b".to_owned());
-        let target = picture.take(0, &[one.clone()]).news[0].targets[0].clone();
+        let target = snapshot.take(0, &[one.clone()]).news[0].targets[0].clone();
         assert_eq!(
             (target.az.as_str(), target.state, target.checks),
             ("b", State::InService, Checks::Warning)
         );
         one.service.meta.insert("zone".to_owned(), "c".to_owned());
-        assert_eq!(picture.take(0, &[one]).news[0].targets[0].az, "c", "the instance's own comes first");
+        assert_eq!(snapshot.take(0, &[one]).news[0].targets[0].az, "c", "the instance's own comes first");
     }
 
     // Guards against a partner that only the catalogue saw leave, and that gets its whole load when it is back.
     #[test]
     fn a_destination_that_was_empty_comes_back_unfit_first() {
-        let mut picture = Picture::new(&settings(&[("web", 3)]), &held(vec![]));
+        let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
         let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
-        assert_eq!(picture.take(0, &all).news.len(), 1, "new, not back");
-        let gone = picture.take(0, &[]).news;
+        assert_eq!(snapshot.take(0, &all).news.len(), 1, "new, not back");
+        let gone = snapshot.take(0, &[]).news;
         assert!(gone[0].targets.iter().all(|t| (t.state, t.checks) == (State::Terminated, Checks::Critical)));
-        let back = picture.take(0, &all).news;
+        let back = snapshot.take(0, &all).news;
         let checks: Vec<_> = back.iter().map(|n| n.targets[0].checks).collect();
         assert_eq!(checks, [Checks::Critical, Checks::Passing]);
         assert!(back[0].rev < back[1].rev && back.iter().all(|n| n.targets.len() == 2));
@@ -358,14 +358,14 @@
             checks: Checks::Passing,
         };
         let held = held(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
-        let mut picture = Picture::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
+        let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
         let gone = |news: &[News]| -> Vec<String> {
             let all = news.iter().flat_map(|n| &n.targets);
             all.filter(|t| t.state == State::Terminated).map(|t| t.uid.clone()).collect()
         };
-        assert_eq!(gone(&picture.take(0, &[entry("n1", "w", "", 80, "passing")]).news), ["s3"]);
-        assert_eq!(gone(&picture.take(1, &[]).news), ["s1"], "both services of destination 3 are known now");
-        let last = picture.take(2, &[]).news;
+        assert_eq!(gone(&snapshot.take(0, &[entry("n1", "w", "", 80, "passing")]).news), ["s3"]);
+        assert_eq!(gone(&snapshot.take(1, &[]).news), ["s1"], "both services of destination 3 are known now");
+        let last = snapshot.take(2, &[]).news;
         assert_eq!(
             (gone(&last), last[0].rev),
             (vec!["s2".to_owned()], 10),
@@ -380,9 +380,9 @@
             TransportMap::default(),
             [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")],
         );
-        let mut picture = Picture::new(&settings, &held(vec![]));
-        picture.take(0, &both).news.iter().for_each(|news| map.take(news));
-        let mut again = Picture::new(&settings, &map.whole());
+        let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
+        snapshot.take(0, &both).news.iter().for_each(|news| map.take(news));
+        let mut again = CatalogueSnapshot::new(&settings, &map.whole());
         assert!(again.take(0, &both).news.is_empty(), "nothing has changed");
         assert_eq!(again.take(0, &both[1..]).news[0].targets.len(), 1);
         assert_eq!((again.len_of(0), again.on_node("n2").count(), again.on_node("n1").count()), (1, 1, 0));
@@ -398,7 +398,7 @@
             answers in prop::collection::vec((0usize..3, prop::collection::vec((0u8..3, 0u8..4, 0u8..3), 0..6)), 1..40)
         ) {
             let settings = settings(&[("web", 3), ("api", 4), ("more", 4)]);
-            let mut picture = Picture::new(&settings, &held(vec![]));
+            let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
             let (mut map, mut last) = (TransportMap::default(), BTreeMap::new());
             for (service, instances) in answers {
                 let status = ["passing", "warning", "critical"];
@@ -406,7 +406,7 @@
                     .iter()
                     .map(|(n, i, s)| entry(&format!("n{n}"), &format!("i{i}"), "", 80 + i64::from(*i), status[usize::from(*s)]))
                     .collect();
-                for news in picture.take(service, &entries).news {
+                for news in snapshot.take(service, &entries).news {
                     prop_assert!(news.rev > map.rev() && !news.targets.is_empty());
                     map.take(&news);
                 }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -2,10 +2,10 @@
 
 use crate::api::{Check, ServiceEntry};
 use crate::client::{Client, Connection, Question};
-use crate::picture::Picture;
 use crate::query::{Head, Query, Refusal, Verdict};
-use crate::rota::{Rota, Turn};
+use crate::query_schedule::{NextQuery, QuerySchedule};
 use crate::settings::Settings;
+use crate::snapshot::CatalogueSnapshot;
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::transport_map::News;
@@ -64,9 +64,9 @@
 }
 
 struct State {
-    rota: Rota,
+    schedule: QuerySchedule,
     queries: Vec<Query>,
-    picture: Picture,
+    snapshot: CatalogueSnapshot,
     /// Services by name: a name may stand for several destinations.
     by_name: BTreeMap<String, Vec<usize>>,
     /// Services whose last question had no answer that counts.
@@ -89,9 +89,9 @@
         by_name.entry(service.name.clone()).or_default().push(place);
     }
     let state = State {
-        rota: Rota::new(services, connections),
+        schedule: QuerySchedule::new(services, connections),
         queries: vec![Query::default(); services],
-        picture: Picture::new(&settings, &held),
+        snapshot: CatalogueSnapshot::new(&settings, &held),
         by_name,
         failing: BTreeSet::new(),
         why: String::new(),
@@ -195,7 +195,7 @@
                 Ok(entries) => {
                     let mut state = self.state.borrow_mut();
                     state.failing.remove(&service);
-                    let change = state.picture.take(service, &entries);
+                    let change = state.snapshot.take(service, &entries);
                     change.news.into_iter().for_each(|news| self.updates.send(news));
                     change.unusable.into_iter().for_each(|why| log!("Consul: left out: {why}"));
                 }
@@ -214,11 +214,11 @@
 async fn work(shared: Rc<Shared>) {
     let mut connection = None;
     loop {
-        let turn = shared.state.borrow_mut().rota.next(shared.now());
+        let turn = shared.state.borrow_mut().schedule.next(shared.now());
         let (service, wait) = match turn {
-            Turn::Stand(service) => (service, shared.settings.wait),
-            Turn::Visit(service) => (service, Duration::ZERO),
-            Turn::Rest(until) => {
+            NextQuery::Blocking(service) => (service, shared.settings.wait),
+            NextQuery::Immediate(service) => (service, Duration::ZERO),
+            NextQuery::NotBefore(until) => {
                 tokio::select! {
                     () = shared.stir.notified() => {}
                     () = sleep_until(shared.instant(until)) => {}
@@ -239,7 +239,7 @@
         let answer = shared.ask(&mut connection, &question).await;
         let failed = answer.is_err();
         let again = shared.take(service, answer);
-        shared.state.borrow_mut().rota.back(shared.now(), service, again, failed);
+        shared.state.borrow_mut().schedule.back(shared.now(), service, again, failed);
         // Whoever rests may have this one to wait for now.
         shared.stir.notify_one();
     }
@@ -276,11 +276,11 @@
         let mut named = BTreeSet::new();
         for (service, node, _) in now.symmetric_difference(&before) {
             match service.as_str() {
-                "" => named.extend(state.picture.on_node(node)),
+                "" => named.extend(state.snapshot.on_node(node)),
                 service => named.extend(state.by_name.get(service).into_iter().flatten().copied()),
             }
         }
-        named.into_iter().for_each(|service| state.rota.hint(service));
+        named.into_iter().for_each(|service| state.schedule.hint(service));
         before = now;
         drop(state);
         shared.stir.notify_waiters();
@@ -300,8 +300,8 @@
             now.keys().chain(before.keys()).filter(|n| now.get(*n) != before.get(*n)).collect();
         let named: Vec<_> =
             names.iter().flat_map(|n| state.by_name.get(*n).into_iter().flatten().copied()).collect();
-        named.into_iter().for_each(|service| state.rota.hint(service));
-        state.rota.hurry();
+        named.into_iter().for_each(|service| state.schedule.hint(service));
+        state.schedule.hurry();
         before = now;
         drop(state);
         shared.stir.notify_waiters();
@@ -327,7 +327,7 @@
                     state.failing.iter().map(|service| now - state.queries[*service].heard().unwrap_or(0));
                 let age = ages.max().unwrap_or(0) / 1_000_000;
                 let endpoints: usize =
-                    state.failing.iter().map(|service| state.picture.len_of(*service)).sum();
+                    state.failing.iter().map(|service| state.snapshot.len_of(*service)).sum();
                 log!(
                     "Consul: {count} of {} services are not answered: {}; their last list of {endpoints} endpoints \
                      stays in use, {age} s old",
