--- a/crates/config/src/words.rs
+++ b/crates/config/src/builtins.rs
@@ -1,4 +1,5 @@
-//! The words that a script has beside Starlark's own: `consul`, `policy`, `service` and `tls`. All their fields are named.
+//! The functions that a script has beside Starlark's own: `consul`, `policy`, `service` and `tls`. All their
+//! arguments are named.
 //!
 //! `service(...)` and `tls(...)` give a value that goes into `consul(...)`; that last one says what is wanted, once.
 
@@ -15,19 +16,19 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// What a script has asked for so far: the forms as JSON, by their word, and its folder by [`FOLDER`]. The evaluator
-/// hands a value on to words only if its type is one of the standard library's.
-pub(crate) type Asked = RefCell<BTreeMap<String, String>>;
+/// What a script has asked for so far: the forms as JSON, by their function, and its folder by [`FOLDER`]. The evaluator
+/// hands a value on to functions only if its type is one of the standard library's.
+pub(crate) type Requests = RefCell<BTreeMap<String, String>>;
 
 /// Where the folder of the script stands among what it has asked for.
 pub(crate) const FOLDER: &str = "";
 
-fn asked<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Asked> {
+fn requests_of<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Requests> {
     eval.extra.and_then(|extra| extra.downcast_ref()).ok_or_else(|| anyhow!("this word has no place here"))
 }
 
-/// Reads the fields of a word into its form and checks it.
-fn form<F: Form>(word: &str, fields: &SmallMap<String, Value<'_>>, asked: &Asked) -> anyhow::Result<F> {
+/// Reads the arguments of a function into its form and checks it.
+fn form<F: Form>(word: &str, fields: &SmallMap<String, Value<'_>>, requests: &Requests) -> anyhow::Result<F> {
     let mut json = Map::new();
     for (name, value) in fields {
         if !F::FIELDS.contains(&name.as_str()) {
@@ -41,19 +42,19 @@
         "." => anyhow!("{word}: {}", error.inner()),
         path => anyhow!("{word}: {path}: {}", error.inner()),
     })?;
-    let folder = asked.borrow().get(FOLDER).map(PathBuf::from).unwrap_or_default();
+    let folder = requests.borrow().get(FOLDER).map(PathBuf::from).unwrap_or_default();
     form.check(&folder).map_err(|why| anyhow!("{word}: {why}"))?;
     Ok(form)
 }
 
 #[starlark_module]
-pub(crate) fn words(builder: &mut GlobalsBuilder) {
+pub(crate) fn builtins(builder: &mut GlobalsBuilder) {
     /// TLS towards a server: `ca`, and perhaps `cert` with `key`, and `server_name`.
     fn tls<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: TlsForm = form("tls", &fields, asked(eval)?)?;
+        let form: TlsForm = form("tls", &fields, requests_of(eval)?)?;
         Ok(eval.heap().alloc(serde_json::to_value(form)?))
     }
 
@@ -63,7 +64,7 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: ServiceForm = form("service", &fields, asked(eval)?)?;
+        let form: ServiceForm = form("service", &fields, requests_of(eval)?)?;
         Ok(eval.heap().alloc(serde_json::to_value(form)?))
     }
 
@@ -73,9 +74,9 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let asked = asked(eval)?;
-        let form: ConsulForm = form("consul", &fields, asked)?;
-        if asked.borrow_mut().insert("consul".to_owned(), serde_json::to_string(&form)?).is_some() {
+        let requests = requests_of(eval)?;
+        let form: ConsulForm = form("consul", &fields, requests)?;
+        if requests.borrow_mut().insert("consul".to_owned(), serde_json::to_string(&form)?).is_some() {
             return Err(anyhow!("consul: is asked for twice: the transport map has one source"));
         }
         Ok(NoneType)
@@ -87,9 +88,9 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let asked = asked(eval)?;
-        let form: PolicyForm = form("policy", &fields, asked)?;
-        if asked.borrow_mut().insert("policy".to_owned(), serde_json::to_string(&form)?).is_some() {
+        let requests = requests_of(eval)?;
+        let form: PolicyForm = form("policy", &fields, requests)?;
+        if requests.borrow_mut().insert("policy".to_owned(), serde_json::to_string(&form)?).is_some() {
             return Err(anyhow!("policy: is asked for twice: a fleet has one commit point"));
         }
         Ok(NoneType)
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,16 +3,16 @@
 //!
 //! [`load`] evaluates a script in a process of its own: what runs away there, in time or memory, harms nobody.
 //!
-//! The language is <https://github.com/bazelbuild/starlark/blob/master/spec.md>; beside its own words a script has
-//! those of [`words`].
+//! The language is <https://github.com/bazelbuild/starlark/blob/master/spec.md>; a script has the
+//! functions of [`builtins`] beside the language's own.
 
-mod apart;
+mod builtins;
 mod forms;
 mod script;
-mod words;
+mod subprocess;
 
-pub use apart::{load, serve};
 pub use script::{Bounds, Fault, evaluate, read};
+pub use subprocess::{load, serve};
 
 use orchidyoke_core::settings::Names;
 use serde::{Deserialize, Serialize};
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -1,8 +1,8 @@
 //! Scripts: read, parsed and evaluated within bounds.
 
 use crate::Installation;
+use crate::builtins::{FOLDER, Requests, builtins};
 use crate::forms::{ConsulForm, PolicyForm};
-use crate::words::{Asked, FOLDER, words};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use starlark::codemap::FileSpan;
@@ -83,12 +83,12 @@
     let failed = |error: &starlark::Error| fault(path, error);
     let dialect = Dialect { enable_f_strings: true, enable_top_level_stmt: true, ..Dialect::Standard };
     let ast = AstModule::parse(&path.display().to_string(), text, &dialect).map_err(|e| failed(&e))?;
-    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::StructType]).with(words).build();
+    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::StructType]).with(builtins).build();
     let folder = path.parent().map(|folder| folder.display().to_string()).unwrap_or_default();
-    let asked = Asked::new(BTreeMap::from([(FOLDER.to_owned(), folder)]));
+    let requests = Requests::new(BTreeMap::from([(FOLDER.to_owned(), folder)]));
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
-        eval.extra = Some(&asked);
+        eval.extra = Some(&requests);
         let limits = eval
             .set_max_tick_count(bounds.ticks)
             .and_then(|()| eval.set_max_heap_size(bounds.heap))
@@ -97,14 +97,14 @@
         eval.eval_module(ast, &globals).map(drop).map_err(|error| failed(&error))
     })?;
     let fault = |why: String| Fault { file: path.to_owned(), place: None, why };
-    let consul = wanted(&asked, "consul", ConsulForm::settings).map_err(fault)?;
-    let policy = wanted(&asked, "policy", PolicyForm::settings).map_err(fault)?;
+    let consul = wanted(&requests, "consul", ConsulForm::settings).map_err(fault)?;
+    let policy = wanted(&requests, "policy", PolicyForm::settings).map_err(fault)?;
     Ok(Installation { consul, policy })
 }
 
 /// The settings that a word has asked for, if it stands in the script.
 fn wanted<F: DeserializeOwned, S>(
-    asked: &Asked,
+    requests: &Requests,
     word: &str,
     settings: impl Fn(&F) -> Result<S, String>,
 ) -> Result<Option<S>, String> {
@@ -112,5 +112,5 @@
         let form: F = serde_json::from_str(text).map_err(|error| error.to_string())?;
         settings(&form)
     };
-    asked.borrow().get(word).map(read).transpose()
+    requests.borrow().get(word).map(read).transpose()
 }
--- a/crates/config/src/apart.rs
+++ b/crates/config/src/subprocess.rs
@@ -12,25 +12,25 @@
 use std::time::{Duration, Instant};
 
 /// Address space and processor time of that process.
-const MEMORY: u64 = 512 << 20;
-const PROCESSOR: u64 = 5;
+const MEMORY_LIMIT: u64 = 512 << 20;
+const CPU_SECONDS: u64 = 5;
 /// Time that it has by the clock, and how often it is looked at.
-const PATIENCE: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(5);
+const TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Serialize, Deserialize)]
-enum Said {
+enum Outcome {
     Good(Box<Installation>),
     Bad(Fault),
 }
 
 /// The other process: evaluates the script and writes what it says to standard output.
 pub fn serve(path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    Resource::AS.set(MEMORY, MEMORY)?;
-    Resource::CPU.set(PROCESSOR, PROCESSOR)?;
+    Resource::AS.set(MEMORY_LIMIT, MEMORY_LIMIT)?;
+    Resource::CPU.set(CPU_SECONDS, CPU_SECONDS)?;
     Resource::CORE.set(0, 0)?;
-    let said = read(path).map_or_else(Said::Bad, |good| Said::Good(Box::new(good)));
-    serde_json::to_writer(std::io::stdout(), &said)?;
+    let output = read(path).map_or_else(Outcome::Bad, |good| Outcome::Good(Box::new(good)));
+    serde_json::to_writer(std::io::stdout(), &output)?;
     Ok(())
 }
 
@@ -41,33 +41,33 @@
     let mut child = started.map_err(|error| fault(format!("the evaluator does not start: {error}")))?;
     let reader = child.stdout.take().map(|mut stdout| {
         thread::spawn(move || {
-            let mut said = Vec::new();
+            let mut output = Vec::new();
             // What cannot be read is not whole, and shows as such.
-            drop(stdout.read_to_end(&mut said));
-            said
+            drop(stdout.read_to_end(&mut output));
+            output
         })
     });
     let ended = wait(&mut child);
-    let said = reader.and_then(|reader| reader.join().ok()).unwrap_or_default();
-    match serde_json::from_slice(&said) {
-        Ok(Said::Good(installation)) => Ok(*installation),
-        Ok(Said::Bad(fault)) => Err(fault),
+    let output = reader.and_then(|reader| reader.join().ok()).unwrap_or_default();
+    match serde_json::from_slice(&output) {
+        Ok(Outcome::Good(installation)) => Ok(*installation),
+        Ok(Outcome::Bad(fault)) => Err(fault),
         Err(_) => Err(fault(format!(
-            "the script was ended ({}): it may use {} MiB of memory, {PROCESSOR} s of processor time and {} s in all",
+            "the script was ended ({}): it may use {} MiB of memory, {CPU_SECONDS} s of processor time and {} s in all",
             ended.as_deref().unwrap_or("out of time"),
-            MEMORY >> 20,
-            PATIENCE.as_secs()
+            MEMORY_LIMIT >> 20,
+            TIMEOUT.as_secs()
         ))),
     }
 }
 
 /// How it ended, within its time; after that it is killed.
 fn wait(child: &mut Child) -> Option<String> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while Instant::now() < until {
         match child.try_wait() {
             Ok(Some(status)) => return Some(status.to_string()),
-            Ok(None) => thread::sleep(LOOK),
+            Ok(None) => thread::sleep(POLL_INTERVAL),
             Err(error) => return Some(error.to_string()),
         }
     }
