--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,87 +1,22 @@
-//! Configurations for tests: two classes, three destinations of two kinds, small limits; in two shapes, as the
-//! deployments of two operators differ.
+//! What the tests of this package share: configurations, and the reducer played in memory.
 #![allow(dead_code)]
 
-use orchidyoke_core::transport_map::{Checks, News, State, Target};
+pub mod deployments;
+pub mod processes;
+pub mod shape;
+pub mod steps;
+pub mod world;
 
-/// What it lists: two endpoints of the kind that takes several messages in a call, two that take one.
-pub fn targets() -> Vec<Target> {
-    let places = [("s-a", "many", 1), ("s-b", "many", 1), ("s-c", "one", 2), ("s-d", "one", 3)];
-    let target = |(number, (uid, model, dest)): (usize, (&str, &str, u64))| Target {
-        uid: uid.to_owned(),
-        endpoint: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
-        az: "a".to_owned(),
-        model: model.to_owned(),
-        pod_group: dest,
-        state: State::InService,
-        capacity_hint: 20.0,
-        checks: Checks::Passing,
-    };
-    places.into_iter().enumerate().map(target).collect()
-}
+pub use deployments::{config, second_config, second_targets, targets};
 
-/// The text of the configuration.
-pub fn config(listen: &str, discovery: &str, targets: Vec<Target>) -> String {
-    let known =
-        serde_json::to_string(&News { rev: 1, all: true, targets, origin: String::new() }).expect("a list");
-    format!(
-        r#"{{"name":"t0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":0.2}},"known":{known},
-        "settings":{{"az":"a","zones":["a"],"classes":[
-          {{"name":"status","effect":"retryable","on_time_us":1000000,"hard_limit_us":8000000,"credit":1,"late_share":0.1}},
-          {{"name":"orders","effect":"fragile","on_time_us":3000000,"hard_limit_us":28000000,"credit":1,"late_share":0.4}}],
-        "family_info":{{"batch_by_kind":[5,1],"own_limits":[false,false],"loses_worth":"halving","slots":6,"toll":[0]}},
-        "fleet_size":1,"host_types":["many","one"],"registry_mode":"pushed","tick_us":5000,"weights":"nominal",
-        "limits":{{"dial_timeout_us":1000000,"idle_close_us":10000000,"max_open":40,"max_retry_after_us":3000000,
-          "may_cancel":true,"multiplex":1,"retry_after":true,"second_copies":false,"try_limit":8}},
-        "rules":{{"answer_slack_us":20000,"cold_from":0.18,"drain_grace_us":250000,"fall_multiple":2,
-          "tip_after_us":2000000,"warm_within_us":9400000}},
-        "tenants":[{{"name":"acme","quota_rps":20}}]}}}}"#
-    )
-}
+use orchidyoke_core::interface::Micros;
+use orchidyoke_node::hop_call::Call;
 
-/// Endpoints of a deployment without tenants, in two buildings: one destination that takes several messages in a call,
-/// two whose endpoints are routes apart.
-pub fn second_targets() -> Vec<Target> {
-    let places = [
-        ("s-a", "a", "chains", 1),
-        ("s-b", "b", "chains", 1),
-        ("s-c", "a", "shops", 2),
-        ("s-d", "b", "shops", 2),
-        ("s-e", "b", "shops", 3),
-    ];
-    let target = |(number, (uid, az, model, dest)): (usize, (&str, &str, &str, u64))| Target {
-        uid: uid.to_owned(),
-        endpoint: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
-        az: az.to_owned(),
-        model: model.to_owned(),
-        pod_group: dest,
-        state: State::InService,
-        capacity_hint: 1.0,
-        checks: Checks::Passing,
-    };
-    places.into_iter().enumerate().map(target).collect()
-}
+pub const S: Micros = 1_000_000;
+pub const START: Micros = 1_800_000_000 * S;
+pub const DISK: usize = 200_000;
 
-/// Its configuration: a keyed class whose repeats are dropped by building for two seconds, six attempts, no tenants.
-pub fn second_config(listen: &str, discovery: &str, targets: Vec<Target>) -> String {
-    let known =
-        serde_json::to_string(&News { rev: 1, all: true, targets, origin: String::new() }).expect("a list");
-    format!(
-        r#"{{"name":"t1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":0.2}},"known":{known},
-        "settings":{{"az":"a","zones":["a","b"],"classes":[
-          {{"name":"state","effect":"retryable","on_time_us":4000000,"hard_limit_us":8000000,"credit":3,"late_share":0.4}},
-          {{"name":"bread","effect":"dedup","group":"zone","window_us":2000000,"on_time_us":2000000,"hard_limit_us":24000000,
-            "credit":1,"late_share":0.5}}],
-        "family_info":{{"batch_by_kind":[20,1],"own_limits":[false,true],"loses_worth":"halving","slots":6,"toll":[0.01,0.04],
-          "report_x0":"left","report_x1":"limit"}},
-        "feedback":{{"names":["x0","x1"],"source":"piggyback"}},
-        "fleet_size":1,"host_types":["chains","shops"],"registry_mode":"pushed","tick_us":5000,"weights":"silent",
-        "limits":{{"dial_timeout_us":1000000,"idle_close_us":10000000,"max_open":40,"max_retry_after_us":2000000,
-          "may_cancel":true,"may_probe":false,"multiplex":1,"retry_after":true,"second_copies":true,"try_limit":6}},
-        "rules":{{"answer_slack_us":20000,"cold_from":0.2,"drain_grace_us":1000000,"fall_multiple":2,
-          "tip_after_us":3000000,"warm_within_us":11000000}},
-        "tenants":[]}}}}"#
-    )
+/// The messages of a call.
+pub fn ids(call: &Call) -> impl Iterator<Item = &str> {
+    call.parts.iter().map(|part| &part.txn[..])
 }
--- /dev/null
+++ b/crates/node/tests/common/processes.rs
@@ -0,0 +1,551 @@
+//! Several processes on one folder, in memory, with a kill between any two effects.
+
+use super::world::Link;
+use super::{DISK, S, START, ids};
+use bytes::Bytes;
+use orchidyoke_core::interface::Micros;
+use orchidyoke_journal::{Generation, Record, Verdict, replay};
+use orchidyoke_node::config::Config;
+use orchidyoke_node::console;
+use orchidyoke_node::hop_call::{Call, Cause, HopError, Reply};
+use orchidyoke_node::input::{Effect, Input, Shown, Submission, SubmitAnswer, Ticket};
+use orchidyoke_node::pool::LinkId;
+use orchidyoke_node::reducer::Reducer;
+use quickcheck::{Arbitrary, Gen};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+const SLOTS: usize = 6;
+/// Each process looks at the others' files this often.
+const LOOK: Micros = 10_000;
+const DRAIN_GRACE: Micros = 250_000;
+
+#[derive(Clone, Copy, Debug)]
+pub enum Step {
+    Submit {
+        at: usize,
+        orders: bool,
+        dest: u64,
+        size: usize,
+    },
+    Resubmit {
+        at: usize,
+        which: usize,
+    },
+    Connect {
+        which: usize,
+        up: bool,
+    },
+    Answer {
+        which: usize,
+        how: u8,
+    },
+    Break(usize),
+    Wait(Micros),
+    Operator {
+        at: usize,
+        which: usize,
+        out: bool,
+    },
+    /// Another process is started beside those that run.
+    Upgrade,
+    /// The eldest is told to end, if another takes clients.
+    Terminate,
+    /// A process dies after so many of the effects that come next.
+    Kill {
+        at: usize,
+        after: usize,
+    },
+}
+
+impl Arbitrary for Step {
+    fn arbitrary(g: &mut Gen) -> Self {
+        let (which, at, flag) = (usize::arbitrary(g), usize::arbitrary(g), bool::arbitrary(g));
+        match u8::arbitrary(g) % 48 {
+            0..=11 => Step::Submit { at, orders: flag, dest: 1 + which as u64 % 3, size: which % 2000 },
+            12 => Step::Resubmit { at, which },
+            13..=20 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
+            21..=31 => Step::Answer { which, how: u8::arbitrary(g) },
+            32 => Step::Break(which),
+            33..=39 => Step::Wait(which as Micros % 200_000),
+            40 | 41 => Step::Operator { at, which, out: flag },
+            42 | 43 => Step::Upgrade,
+            44 | 45 => Step::Terminate,
+            46 => Step::Kill { at, after: which % 6 },
+            _ => Step::Wait(S),
+        }
+    }
+}
+
+/// A file of the folder.
+#[derive(Default)]
+pub struct File {
+    pub bytes: Vec<u8>,
+    pub inode: u64,
+    /// The process that has its lock.
+    pub lock: Option<usize>,
+}
+
+pub struct Process {
+    pub number: usize,
+    pub reducer: Reducer,
+    pub generation: Generation,
+    pub links: BTreeMap<LinkId, Link>,
+    /// How far it has read each other file.
+    pub read: BTreeMap<Generation, (u64, usize)>,
+    pub tickets: BTreeMap<Ticket, String>,
+    pub replies: BTreeMap<Ticket, console::Reply>,
+    pub posting: Option<Vec<(String, Verdict)>>,
+    /// It looks at no other file any more.
+    pub handed_over: bool,
+    pub terminated: bool,
+    /// Effects until it dies.
+    pub dies_after: Option<usize>,
+}
+
+#[derive(Default)]
+pub struct Fate {
+    pub orders: bool,
+    pub dest: u64,
+    pub deadline: Micros,
+    pub taken_on: bool,
+    pub calls: usize,
+    pub may_have_run: bool,
+    pub delivered: bool,
+    pub notices: BTreeSet<String>,
+}
+
+#[derive(Default)]
+pub struct Processes {
+    pub now: Micros,
+    pub processes: Vec<Process>,
+    pub started: usize,
+    pub inodes: u64,
+    pub files: BTreeMap<Generation, File>,
+    pub fates: BTreeMap<String, Fate>,
+    /// Who was told to wait for a destination, and until when.
+    pub waits: Vec<(Generation, u64, Micros)>,
+    /// Endpoints out by a yes, and since when.
+    pub out: BTreeMap<String, Micros>,
+    pub upgrades: usize,
+}
+
+impl Processes {
+    pub fn new() -> Self {
+        let mut world = Processes { now: START, ..Processes::default() };
+        world.start();
+        world
+    }
+
+    /// As `Journal::open` does: the newest file whose process is gone is its own, or a new one.
+    pub fn start(&mut self) {
+        let newest = self.files.last_key_value().map(|(generation, file)| (*generation, file.lock.is_some()));
+        let generation = match newest {
+            Some((generation, locked)) => generation + u64::from(locked),
+            None => 0,
+        };
+        self.started += 1;
+        self.inodes += 1;
+        let (number, inode) = (self.started, self.inodes);
+        let file = self.files.entry(generation).or_insert(File { inode, ..File::default() });
+        file.lock = Some(number);
+        let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes));
+        assert_eq!(whole, file.bytes.len());
+        let text = super::config("127.0.0.1:1", "127.0.0.1:2", super::targets());
+        let mut config = Config::read(&text, None, None).expect("a configuration");
+        config.seed += number as u64;
+        let reducer = Reducer::new(config, generation, records, whole, self.now);
+        self.processes.push(Process {
+            number,
+            reducer,
+            generation,
+            links: BTreeMap::new(),
+            read: BTreeMap::new(),
+            tickets: BTreeMap::new(),
+            replies: BTreeMap::new(),
+            posting: None,
+            handed_over: false,
+            terminated: false,
+            dies_after: None,
+        });
+        let at = self.processes.len() - 1;
+        self.look(at);
+        self.input(at, Input::Alarm);
+        if at < self.processes.len() {
+            self.input(at, Input::AcceptingClients);
+        }
+    }
+
+    pub fn input(&mut self, at: usize, input: Input) {
+        let mut inputs = VecDeque::from([input]);
+        while let Some(input) = inputs.pop_front() {
+            for effect in self.processes[at].reducer.step(self.now, input) {
+                if self.processes[at].dies_after == Some(0) {
+                    return self.kill(at);
+                }
+                self.processes[at].dies_after = self.processes[at].dies_after.map(|left| left - 1);
+                if matches!(effect, Effect::Exit) {
+                    return self.kill(at);
+                }
+                inputs.extend(self.carry_out(at, effect));
+            }
+        }
+        let process = &self.processes[at];
+        assert_eq!(process.reducer.figures().open(), process.reducer.gauges().concurrent as u64);
+    }
+
+    pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
+        let generation = self.processes[at].generation;
+        match effect {
+            Effect::Answer { ticket, answer } => {
+                let txn = self.processes[at].tickets.remove(&ticket).expect("each request is answered once");
+                if answer == SubmitAnswer::TakenOn {
+                    self.fates.get_mut(&txn).expect("submitted").taken_on = true;
+                }
+            }
+            Effect::Reply { ticket, reply } => drop(self.processes[at].replies.insert(ticket, reply)),
+            Effect::Append { receipt, bytes } => {
+                let file = self.files.get_mut(&generation).expect("its own");
+                file.bytes.extend_from_slice(&bytes);
+                let size = file.bytes.len();
+                let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
+                assert!(all <= DISK, "the folder is over its limit");
+                return Some(Input::Appended { receipt, stored: true, size });
+            }
+            Effect::NoRoom { receipt } => {
+                let size = self.files[&generation].bytes.len();
+                return Some(Input::Appended { receipt, stored: false, size });
+            }
+            Effect::Rewrite { bytes } => {
+                let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
+                assert!(all + bytes.len() <= DISK, "old and new file are over the limit");
+                self.inodes += 1;
+                let file = self.files.get_mut(&generation).expect("its own");
+                (file.bytes, file.inode) = (bytes.to_vec(), self.inodes);
+            }
+            Effect::Retire { generation } => {
+                let file = self.files.remove(&generation).expect("there");
+                assert_eq!(file.lock, Some(self.processes[at].number), "only what is its own to take up");
+                self.processes[at].read.remove(&generation);
+            }
+            Effect::HandOver => {
+                self.processes[at].handed_over = true;
+                self.unlock(self.processes[at].number, generation);
+            }
+            Effect::Dial { link, address, until } => {
+                let new = Link { address: address.to_string(), until, ..Link::default() };
+                assert!(self.processes[at].links.insert(link, new).is_none());
+            }
+            Effect::Write { link, call } => {
+                self.write(at, link, call);
+                return Some(Input::Written { link });
+            }
+            Effect::Close { link } => return self.close(at, link, Cause::CalledOff),
+            Effect::Post { notices, .. } => {
+                assert!(self.processes[at].posting.replace(notices).is_none());
+            }
+            Effect::Follow { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
+        }
+        None
+    }
+
+    /// The locks of a process on files that are not its own.
+    pub fn unlock(&mut self, number: usize, own: Generation) {
+        let held = self.files.iter_mut().filter(|(g, file)| **g != own && file.lock == Some(number));
+        held.for_each(|(_, file)| file.lock = None);
+    }
+
+    pub fn write(&mut self, at: usize, link: LinkId, call: Call) {
+        let links = || self.processes.iter().flat_map(|process| process.links.values());
+        let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
+        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
+        assert!(
+            links().filter(|link| link.call.is_some()).count() < SLOTS,
+            "the slots are those of all together"
+        );
+        let address = &self.processes[at].links[&link].address;
+        let targets = super::targets();
+        let target = targets.iter().find(|t| t.endpoint.to_string() == *address).expect("listed");
+        let out = self.out.get(&target.uid);
+        assert!(out.is_none_or(|since| self.now - since <= DRAIN_GRACE), "out by hand for all of them");
+        let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.pod_group);
+        let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
+        assert!(until <= self.now + 100_000, "a wait told to one is kept by all");
+        for txn in ids(&call) {
+            let fate = self.fates.get_mut(txn).expect("submitted");
+            assert!(!fate.orders || !fate.may_have_run, "never twice what may not be repeated: {txn}");
+            assert!(self.now < fate.deadline);
+            fate.calls += 1;
+            assert!(fate.calls <= 8, "eight attempts over all processes");
+        }
+        self.processes[at].links.get_mut(&link).expect("open").call = Some(call);
+    }
+
+    pub fn may_have_run(&mut self, link: &Link) {
+        for txn in link.call.iter().flat_map(ids) {
+            self.fates.get_mut(txn).expect("submitted").may_have_run = true;
+        }
+    }
+
+    pub fn close(&mut self, at: usize, link: LinkId, cause: Cause) -> Option<Input> {
+        let closed = self.processes[at].links.remove(&link)?;
+        let progress = closed.progress();
+        self.may_have_run(&closed);
+        Some(Input::LinkClosed { link, error: HopError { progress, cause } })
+    }
+
+    pub fn kill(&mut self, at: usize) {
+        let mut process = self.processes.remove(at);
+        for link in std::mem::take(&mut process.links).into_values() {
+            self.may_have_run(&link);
+        }
+        let file = self.files.get_mut(&process.generation).expect("its own");
+        file.lock = None;
+        // A wait that no file holds ends with the process that was told: nobody else could know of it.
+        let written = replay(Bytes::copy_from_slice(&file.bytes)).0;
+        let written = written.into_iter().filter_map(|(record, _)| match record {
+            Record::Wait { dest, until, .. } => Some((dest, until)),
+            _ => None,
+        });
+        let written: Vec<_> = written.collect();
+        self.waits
+            .retain(|(by, dest, until)| *by != process.generation || written.contains(&(*dest, *until)));
+        self.unlock(process.number, process.generation);
+        if self.processes.is_empty() {
+            self.waits.clear();
+        }
+    }
+
+    /// As `Siblings::look` does.
+    pub fn look(&mut self, at: usize) {
+        if self.processes[at].handed_over {
+            return;
+        }
+        let (number, own) = (self.processes[at].number, self.processes[at].generation);
+        let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
+        let others: BTreeSet<Generation> = self.files.keys().copied().filter(|g| *g != own).collect();
+        let (mut shown, mut gone) = (Vec::new(), Vec::new());
+        for generation in known.union(&others).copied() {
+            let Some(file) = self.files.get_mut(&generation) else {
+                self.processes[at].read.remove(&generation);
+                gone.push(generation);
+                continue;
+            };
+            file.lock = file.lock.or(Some(number));
+            let ended = file.lock == Some(number);
+            let (inode, read) = self.processes[at].read.get(&generation).copied().unwrap_or_default();
+            let anew = inode != file.inode || file.bytes.len() < read;
+            let from = if anew { 0 } else { read };
+            let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
+            self.processes[at].read.insert(generation, (file.inode, from + whole));
+            if anew || ended || !records.is_empty() {
+                let size = file.bytes.len();
+                shown.push(Shown { generation, anew, records, size, ended });
+            }
+        }
+        if !shown.is_empty() || !gone.is_empty() {
+            self.input(at, Input::Siblings { shown, gone });
+        }
+    }
+
+    /// Whose connection, of all that are fit.
+    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, LinkId)> {
+        let links =
+            self.processes.iter().enumerate().flat_map(|(at, p)| p.links.iter().map(move |l| (at, l)));
+        let fit: Vec<_> = links.filter(|(_, (_, link))| fit(link)).map(|(at, (id, _))| (at, *id)).collect();
+        (!fit.is_empty()).then(|| fit[which % fit.len()])
+    }
+
+    pub fn submit(&mut self, at: usize, txn: String, orders: bool, dest: u64, size: usize) {
+        let ticket = self.processes[at].tickets.keys().last().map_or(self.now as u64, |t| t + 1);
+        let time_left = if orders { 28 * S } else { 8 * S };
+        let fate = Fate { orders, dest, deadline: self.now + time_left, ..Fate::default() };
+        self.fates.entry(txn.clone()).or_insert(fate);
+        let class = if orders { "orders" } else { "status" }.to_owned();
+        let (org, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
+        // As the shell does: decided on with the others' files as they are now.
+        let number = self.processes[at].number;
+        self.look(at);
+        if self.processes.get(at).is_some_and(|process| process.number == number) {
+            self.processes[at].tickets.insert(ticket, txn.clone());
+            let message = Submission { txn, class, org, key: None, dest, time_left, repeat: false, body };
+            self.input(at, Input::Submitted { ticket, message });
+        }
+    }
+
+    pub fn answer(&mut self, which: usize, how: u8) {
+        let Some((at, id)) = self.pick(which, |link| link.call.is_some()) else { return };
+        let call = self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is out");
+        let (status, wait_ms) = match how % 10 {
+            0..=4 => (200, 0),
+            5 => (429, 200 + u64::from(how)),
+            6 => (503, 0),
+            7 => (500, 0),
+            8 => (504, 0),
+            _ => (429, 0),
+        };
+        let dest = self.fates[ids(&call).next().expect("a message")].dest;
+        let mut body = String::new();
+        for (number, txn) in ids(&call).enumerate() {
+            let fate = self.fates.get_mut(txn).expect("submitted");
+            fate.delivered |= status == 200;
+            fate.may_have_run |= status == 500 || status == 200;
+            body +=
+                &format!("{}{{\"id\":\"{txn}\",\"state\":\"accepted\"}}", if number > 0 { "," } else { "[" });
+        }
+        if wait_ms > 0 {
+            self.waits.push((self.processes[at].generation, dest, self.now + wait_ms as Micros * 1000));
+        }
+        let body = Bytes::from(body + "]");
+        let reply = Reply { status, wait_ms, bulk: call.bulk, body, ..Reply::default() };
+        self.input(at, Input::Answered { link: id, reply, reusable: true });
+    }
+
+    /// Time passes for all of them.
+    pub fn wait(&mut self, span: Micros) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now = end.min(self.now + LOOK);
+            for number in self.processes.iter().map(|process| process.number).collect::<Vec<_>>() {
+                let place = |world: &Processes| world.processes.iter().position(|p| p.number == number);
+                if let Some(at) = place(self) {
+                    self.look(at);
+                }
+                while let Some(at) = place(self) {
+                    let due = |link: &Link| match &link.call {
+                        Some(call) => call.due <= self.now,
+                        None => !link.up && link.until <= self.now,
+                    };
+                    let Some(link) = self.processes[at].links.iter().find(|(_, l)| due(l)).map(|(id, _)| *id)
+                    else {
+                        break;
+                    };
+                    let input = self.close(at, link, Cause::TimedOut);
+                    input.into_iter().for_each(|input| self.input(at, input));
+                }
+                if let Some(at) = place(self)
+                    && self.processes[at].reducer.wake_at().is_some_and(|wake| wake <= self.now)
+                {
+                    self.input(at, Input::Alarm);
+                }
+                if let Some(at) = place(self)
+                    && let Some(notices) = self.processes[at].posting.take()
+                {
+                    for (txn, verdict) in notices {
+                        let fate = self.fates.get_mut(&txn).expect("submitted");
+                        let kept = !matches!(verdict, Verdict::Returned { .. })
+                            || !fate.orders
+                            || !fate.may_have_run;
+                        assert!(kept, "a promise that a repeat is harmless: {txn}");
+                        fate.notices.insert(format!("{verdict:?}"));
+                        assert!(fate.notices.len() == 1, "two different ends: {txn} {:?}", fate.notices);
+                    }
+                    self.input(at, Input::Posted { accepted: true });
+                }
+            }
+        }
+    }
+
+    pub fn operate(&mut self, at: usize, uid: &str, out: bool) {
+        let number = self.processes[at].number;
+        self.now += 1;
+        self.look(at);
+        if self.processes.get(at).is_none_or(|process| process.number != number) {
+            return;
+        }
+        let ticket = self.now as Ticket;
+        let id = uid.to_owned();
+        let call = if out { console::Call::DisableServer(id) } else { console::Call::EnableServer(id) };
+        self.input(at, Input::Operator { ticket, call });
+        let process = self.processes.get(at).filter(|process| process.number == number);
+        if process.is_some_and(|p| matches!(p.replies.get(&ticket), Some(console::Reply::Yes(_)))) {
+            if out {
+                self.out.entry(uid.to_owned()).or_insert(self.now);
+            } else {
+                self.out.remove(uid);
+            }
+        } else {
+            // Killed before the reply: it may be either way.
+            self.out.remove(uid);
+        }
+    }
+
+    pub fn step(&mut self, number: usize, step: Step) {
+        if self.processes.is_empty() {
+            self.now += S / 2;
+            self.start();
+        }
+        // Who takes clients; after a kill there may be none until the next start.
+        let open: Vec<usize> =
+            (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
+        match step {
+            Step::Submit { at, orders, dest, size } if !open.is_empty() => {
+                self.submit(open[at % open.len()], format!("m{number}"), orders, dest, size);
+            }
+            Step::Resubmit { at, which } => {
+                let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
+                let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
+                if let Some((txn, orders, dest)) = known.map(|(txn, f)| (txn.clone(), f.orders, f.dest)) {
+                    self.submit(at % self.processes.len(), txn, orders, dest, 10);
+                }
+            }
+            Step::Connect { which, up } => {
+                if let Some((at, id)) = self.pick(which, |link| !link.up) {
+                    if up {
+                        self.processes[at].links.get_mut(&id).expect("there").up = true;
+                        self.input(at, Input::LinkUp { link: id });
+                    } else {
+                        let input = self.close(at, id, Cause::Broken("refused".to_owned()));
+                        input.into_iter().for_each(|input| self.input(at, input));
+                    }
+                }
+            }
+            Step::Answer { which, how } => self.answer(which, how),
+            Step::Break(which) => {
+                if let Some((at, id)) = self.pick(which, |link| link.up) {
+                    let input = self.close(at, id, Cause::Broken("reset".to_owned()));
+                    input.into_iter().for_each(|input| self.input(at, input));
+                }
+            }
+            Step::Wait(span) => self.wait(span),
+            Step::Operator { at, which, out } => {
+                let uid = super::targets()[which % 4].uid.clone();
+                self.operate(at % self.processes.len(), &uid, out);
+            }
+            Step::Upgrade if self.processes.len() < 3 => {
+                self.upgrades += 1;
+                self.start();
+            }
+            Step::Terminate => {
+                // The platform waits for the newcomer's yes, and looks at the eldest that still runs.
+                let elder =
+                    (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
+                if let Some(at) = elder {
+                    let number = self.processes[at].number;
+                    self.look(at);
+                    if self.processes.get(at).is_some_and(|process| process.number == number) {
+                        self.processes[at].terminated = true;
+                        self.input(at, Input::Terminate);
+                    }
+                }
+            }
+            Step::Kill { at, after } => {
+                let at = at % self.processes.len();
+                self.processes[at].dies_after = Some(after);
+            }
+            _ => {}
+        }
+        self.wait(5_000);
+    }
+
+    pub fn finish(&mut self) {
+        for _ in 0..45 {
+            if self.processes.iter().all(|process| process.handed_over) {
+                self.start();
+            }
+            self.wait(S);
+        }
+        for (txn, fate) in &self.fates {
+            assert!(!fate.taken_on || fate.delivered || !fate.notices.is_empty(), "{txn} has no end");
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/tests/common/steps.rs
@@ -0,0 +1,122 @@
+//! Random steps for [`World`].
+
+use super::S;
+use super::world::World;
+use orchidyoke_core::interface::Micros;
+use orchidyoke_core::transport_map::State;
+use orchidyoke_node::console;
+use orchidyoke_node::hop_call::Cause;
+use orchidyoke_node::input::Input;
+use quickcheck::{Arbitrary, Gen};
+
+#[derive(Clone, Copy, Debug)]
+pub enum Step {
+    Submit { orders: bool, dest: u64, size: usize },
+    Resubmit(usize),
+    Connect { which: usize, up: bool },
+    Answer { which: usize, how: u8 },
+    Break(usize),
+    Wait(Micros),
+    Post(bool),
+    List { which: usize, state: State },
+    Move(usize),
+    Operator { which: usize, out: bool },
+    Kill,
+    Terminate,
+}
+
+impl Arbitrary for Step {
+    fn arbitrary(g: &mut Gen) -> Self {
+        let (which, flag) = (usize::arbitrary(g), bool::arbitrary(g));
+        match u8::arbitrary(g) % 42 {
+            0..=9 => Step::Submit { orders: flag, dest: 1 + which as u64 % 3, size: which % 6000 },
+            10 => Step::Resubmit(which),
+            11..=17 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
+            18..=26 => Step::Answer { which, how: u8::arbitrary(g) },
+            27 => Step::Break(which),
+            28..=34 => Step::Wait(which as Micros % 400_000),
+            35 | 36 => Step::Post(flag),
+            37 => {
+                let states = [State::InService, State::Terminating, State::Terminated];
+                Step::List { which, state: *g.choose(&states).expect("some") }
+            }
+            38 if flag => Step::Move(which),
+            38 => Step::Kill,
+            39 | 40 => Step::Operator { which, out: flag },
+            _ if which.is_multiple_of(4) => Step::Terminate,
+            _ => Step::Wait(3 * S),
+        }
+    }
+}
+
+impl World {
+    pub fn step(&mut self, number: usize, step: Step) {
+        match step {
+            Step::Submit { orders, dest, size } => self.submit(format!("m{number}"), orders, dest, size),
+            Step::Resubmit(which) => {
+                let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
+                let Some((txn, fate)) = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2) else {
+                    return;
+                };
+                let (txn, orders, dest) = (txn.clone(), fate.orders, fate.dest);
+                self.submit(txn, orders, dest, 10);
+            }
+            Step::Connect { which, up } => {
+                let Some(id) = self.pick(which, |l| !l.up) else { return };
+                if up {
+                    self.links.get_mut(&id).expect("there").up = true;
+                    self.input(Input::LinkUp { link: id });
+                } else if let Some(input) = self.close(id, Cause::Broken("refused".to_owned())) {
+                    self.input(input);
+                }
+            }
+            Step::Answer { which, how } => self.answer(which, how),
+            Step::Break(which) => {
+                let Some(id) = self.pick(which, |l| l.up) else { return };
+                let input = self.close(id, Cause::Broken("reset".to_owned()));
+                input.into_iter().for_each(|input| self.input(input));
+            }
+            Step::Wait(span) => self.wait(span),
+            Step::Post(accepted) => self.post(accepted),
+            Step::List { which, state } => {
+                self.rev += 1;
+                let place = which % self.list.len();
+                self.list[place].state = state;
+                let targets = vec![self.list[place].clone()];
+                self.news(targets);
+            }
+            Step::Move(which) => {
+                // To the other building, under its name and at its address.
+                self.rev += 1;
+                let place = which % self.list.len();
+                self.list[place].az = if self.list[place].az == "a" { "b" } else { "a" }.to_owned();
+                let targets = vec![self.list[place].clone()];
+                self.news(targets);
+            }
+            Step::Operator { which, out } => {
+                let uid = self.list[which % self.list.len()].uid.clone();
+                if self.operate(if out {
+                    console::Call::DisableServer(uid.clone())
+                } else {
+                    console::Call::EnableServer(uid.clone())
+                }) {
+                    if out {
+                        self.out.insert(uid)
+                    } else {
+                        self.out.remove(&uid)
+                    };
+                }
+            }
+            Step::Kill => self.restart(),
+            Step::Terminate => self.input(Input::Terminate),
+        }
+        if self.exited {
+            self.restart();
+        }
+        self.check_figures();
+        // Now and then two steps fall between the module's turns.
+        if !number.is_multiple_of(3) {
+            self.wait(5_000);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/tests/common/world.rs
@@ -0,0 +1,449 @@
+//! One process on a folder of its own, in memory: what the reducer asks for is checked as the far ends of its connections,
+//! the journal's folder and the platform would see it. Clock, network and kills are made up.
+
+use super::shape::Shape;
+use super::{DISK, S, START, ids};
+use bytes::Bytes;
+use orchidyoke_core::interface::Micros;
+use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_journal::{Record, Verdict, replay};
+use orchidyoke_node::catalogue::{Catalogue, UpdateSender};
+use orchidyoke_node::config::Config;
+use orchidyoke_node::console::{self, Reply as Said};
+use orchidyoke_node::hop_call::{Call, Cause, HopError, Progress, Reply};
+use orchidyoke_node::input::{Effect, Following, Input, Submission, SubmitAnswer, Ticket};
+use orchidyoke_node::pool::LinkId;
+use orchidyoke_node::reducer::Reducer;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::future::Future;
+use std::pin::Pin;
+
+/// A connection as its far end sees it.
+#[derive(Default)]
+pub struct Link {
+    pub address: String,
+    pub up: bool,
+    pub until: Micros,
+    pub call: Option<Call>,
+    /// When it was written, and in which building.
+    pub sent: (Micros, String),
+}
+
+impl Link {
+    /// How far a call had come whose connection closes now.
+    pub fn progress(&self) -> Progress {
+        match (&self.call, self.up) {
+            (Some(_), _) => Progress::FullyWritten,
+            (None, true) => Progress::NotFullyWritten,
+            (None, false) => Progress::NotConnected,
+        }
+    }
+}
+
+/// A message as its client and the next hops know it.
+#[derive(Default)]
+pub struct Fate {
+    pub orders: bool,
+    pub dest: u64,
+    pub deadline: Micros,
+    pub taken_on: bool,
+    pub calls: usize,
+    /// Calls that may have run, and that have ended as delivered.
+    pub may_have_run: bool,
+    /// The first of them: when it was written, and in which building.
+    pub ran: Option<(Micros, String)>,
+    pub delivered: bool,
+    pub notice: Option<Verdict>,
+}
+
+pub struct World {
+    pub shape: Shape,
+    pub reducer: Reducer,
+    pub now: Micros,
+    pub file: Vec<u8>,
+    pub begun: BTreeSet<String>,
+    pub recorded: BTreeSet<String>,
+    pub links: BTreeMap<LinkId, Link>,
+    pub fates: BTreeMap<String, Fate>,
+    pub tickets: BTreeMap<Ticket, String>,
+    pub posting: Option<Vec<(String, Verdict)>>,
+    pub list: Vec<Target>,
+    pub rev: u64,
+    /// Watches asked for: number, port of discovery, version held.
+    pub follows: Vec<(u64, u16, u64)>,
+    pub waits: BTreeMap<(u64, String), Micros>,
+    /// Endpoints that are out by the forwarder's yes.
+    pub out: BTreeSet<String>,
+    pub replies: BTreeMap<Ticket, Said>,
+    /// Seen in this process: messages written whole, and requests turned away before they were taken on.
+    pub written: u64,
+    pub turned_away: u64,
+    pub stopped_accepting: bool,
+    pub exited: bool,
+    pub rewritten: bool,
+}
+
+pub fn reducer(shape: Shape, file: &[u8], now: Micros) -> Reducer {
+    let config = Config::read(&shape.config(), None, None).expect("a configuration");
+    let (records, whole) = replay(Bytes::copy_from_slice(file));
+    assert_eq!(whole, file.len());
+    Reducer::new(config, 0, records, whole, now)
+}
+
+/// Whom a watch follows, as a port, and from which version on. A catalogue has port 0.
+pub fn followed(from: &Following) -> (u16, u64) {
+    match from {
+        Following::Discovery { at, since } => (at.port(), *since),
+        Following::Catalogue { held, .. } => (0, held.rev),
+    }
+}
+
+/// A catalogue that tells nothing by itself.
+#[derive(Debug)]
+pub struct Still(pub &'static str);
+
+impl Catalogue for Still {
+    fn id(&self) -> &str {
+        self.0
+    }
+
+    fn follow(&self, _: News, _: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
+        Box::pin(std::future::pending())
+    }
+}
+
+impl World {
+    /// Changes of the list, by the watch that is followed.
+    pub fn news(&mut self, targets: Vec<Target>) {
+        let Some((watch, ..)) = self.follows.last().copied() else { return };
+        let news = News { rev: self.rev, all: false, targets, origin: String::new() };
+        self.input(Input::News { watch, news });
+    }
+
+    pub fn new() -> Self {
+        World::of(Shape::First)
+    }
+
+    pub fn of(shape: Shape) -> Self {
+        let mut world = World {
+            shape,
+            reducer: reducer(shape, &[], START),
+            now: START,
+            file: Vec::new(),
+            begun: BTreeSet::new(),
+            recorded: BTreeSet::new(),
+            links: BTreeMap::new(),
+            fates: BTreeMap::new(),
+            tickets: BTreeMap::new(),
+            posting: None,
+            list: shape.targets(),
+            rev: 1,
+            follows: Vec::new(),
+            waits: BTreeMap::new(),
+            out: BTreeSet::new(),
+            replies: BTreeMap::new(),
+            written: 0,
+            turned_away: 0,
+            stopped_accepting: false,
+            exited: false,
+            rewritten: false,
+        };
+        world.input(Input::Alarm);
+        world
+    }
+
+    pub fn input(&mut self, input: Input) {
+        let mut inputs = VecDeque::from([input]);
+        while let Some(input) = inputs.pop_front() {
+            for effect in self.reducer.step(self.now, input) {
+                inputs.extend(self.carry_out(effect));
+            }
+        }
+        if std::mem::take(&mut self.rewritten) {
+            self.check_journal();
+        }
+    }
+
+    /// What was taken on and has not ended stands in the file, whatever was rewritten.
+    pub fn check_journal(&self) {
+        let mut there = BTreeSet::new();
+        for (record, _) in replay(Bytes::copy_from_slice(&self.file)).0 {
+            match record {
+                Record::Taken(taken) => drop(there.insert(taken.txn)),
+                Record::Owed { txn, .. } | Record::Over { txn, .. } => drop(there.insert(txn)),
+                _ => {}
+            }
+        }
+        let open = self.fates.iter().filter(|(_, f)| f.taken_on && !f.delivered && f.notice.is_none());
+        let lost: Vec<_> = open.filter(|(txn, _)| !there.contains(*txn)).collect();
+        assert!(
+            lost.is_empty(),
+            "taken on, and not in the journal: {:?}",
+            lost.iter().map(|l| l.0).collect::<Vec<_>>()
+        );
+    }
+
+    pub fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+        match effect {
+            Effect::Answer { ticket, answer } => {
+                let txn = self.tickets.remove(&ticket).expect("each request is answered once");
+                if answer == SubmitAnswer::TakenOn {
+                    assert!(self.recorded.contains(&txn), "durable before visible");
+                    self.fates.get_mut(&txn).expect("submitted").taken_on = true;
+                } else {
+                    assert!(matches!(answer, SubmitAnswer::Deferred(_)), "{answer:?}");
+                    self.turned_away += 1;
+                }
+            }
+            Effect::Reply { ticket, reply } => {
+                assert!(self.replies.insert(ticket, reply).is_none(), "one reply");
+            }
+            Effect::Append { receipt, bytes } => {
+                self.file.extend_from_slice(&bytes);
+                assert!(self.file.len() <= DISK, "the folder is over its limit");
+                for (record, _) in replay(bytes).0 {
+                    match record {
+                        Record::Taken(taken) => drop(self.recorded.insert(taken.txn)),
+                        Record::Begun { txns, .. } => self.begun.extend(txns),
+                        _ => {}
+                    }
+                }
+                return Some(Input::Appended { receipt, stored: true, size: self.file.len() });
+            }
+            Effect::Rewrite { bytes } => {
+                assert!(self.file.len() + bytes.len() <= DISK, "old and new file are over the limit");
+                self.file = bytes.to_vec();
+                self.rewritten = true;
+            }
+            Effect::Dial { link, address, until } => {
+                let new = Link { address: address.to_string(), until, ..Link::default() };
+                assert!(self.links.insert(link, new).is_none());
+            }
+            Effect::Write { link, call } => {
+                self.written += call.parts.len() as u64;
+                self.write(link, call);
+                return Some(Input::Written { link });
+            }
+            Effect::Close { link } => return self.close(link, Cause::CalledOff),
+            Effect::Post { notices, .. } => assert!(self.posting.replace(notices).is_none()),
+            Effect::Follow { watch, from } => {
+                let (port, since) = followed(&from);
+                self.follows.push((watch, port, since));
+                // What it has missed while it was dead is told at once.
+                let targets = self.list.iter().filter(|t| t.state != State::Terminated).cloned().collect();
+                let news = News { rev: self.rev, all: true, targets, origin: String::new() };
+                return (self.shape == Shape::Second).then_some(Input::News { watch, news });
+            }
+            Effect::Log { .. } => {}
+            Effect::Retire { .. } | Effect::HandOver | Effect::NoRoom { .. } => {
+                unreachable!("there is no other process")
+            }
+            Effect::StopAccepting => assert!(!std::mem::replace(&mut self.stopped_accepting, true)),
+            Effect::Exit => self.exited = true,
+        }
+        None
+    }
+
+    pub fn write(&mut self, link: LinkId, call: Call) {
+        let out: Vec<&str> = self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
+        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
+        let link = self.links.get_mut(&link).expect("open");
+        assert!(link.up && link.call.is_none(), "one call at a time, on a connection that is up");
+        let target = self.list.iter().find(|t| t.endpoint.to_string() == link.address).expect("listed");
+        assert_eq!(target.state, State::InService, "nothing new to an endpoint that drains or is gone");
+        assert!(!self.out.contains(&target.uid), "nothing new to one that is out by hand");
+        let route = self.shape.route(target);
+        assert!(self.waits.get(&route).is_none_or(|until| *until <= self.now), "a wait is kept");
+        link.sent = (self.now, target.az.clone());
+        for txn in ids(&call) {
+            let fate = self.fates.get_mut(txn).expect("submitted");
+            assert_eq!(fate.dest, target.pod_group);
+            assert!(fate.taken_on || self.recorded.contains(txn));
+            assert!(self.begun.contains(txn), "an attempt is recorded before its first byte");
+            match (self.shape, &fate.ran) {
+                (Shape::First, _) => {
+                    assert!(!fate.orders || !fate.may_have_run, "never twice what may not be repeated")
+                }
+                (Shape::Second, Some((first, az))) if fate.orders => {
+                    assert_eq!(*az, target.az, "only that building drops a repeat");
+                    assert!(self.now < first + 2 * S, "its window has ended");
+                }
+                (Shape::Second, _) => {}
+            }
+            assert!(self.now < fate.deadline);
+            fate.calls += 1;
+            assert!(fate.calls <= self.shape.attempts(), "attempts, restarts or not");
+        }
+        for part in &call.parts {
+            let orders = self.fates[&part.txn].orders;
+            assert_eq!(part.key, self.shape.key(&part.txn, orders), "the key as it came");
+        }
+        link.call = Some(call);
+    }
+
+    /// The connection closes; what was out may have run.
+    pub fn close(&mut self, link: LinkId, cause: Cause) -> Option<Input> {
+        let link_state = self.links.remove(&link)?;
+        let progress = link_state.progress();
+        self.may_have_run(&link_state);
+        Some(Input::LinkClosed { link, error: HopError { progress, cause } })
+    }
+
+    pub fn may_have_run(&mut self, link: &Link) {
+        for txn in link.call.iter().flat_map(ids) {
+            let fate = self.fates.get_mut(txn).expect("submitted");
+            fate.may_have_run = true;
+            fate.ran.get_or_insert_with(|| link.sent.clone());
+        }
+    }
+
+    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<LinkId> {
+        let fit: Vec<LinkId> = self.links.iter().filter(|(_, l)| fit(l)).map(|(id, _)| *id).collect();
+        (!fit.is_empty()).then(|| fit[which % fit.len()])
+    }
+
+    pub fn submit(&mut self, txn: String, orders: bool, dest: u64, size: usize) {
+        self.submit_for(txn, orders, dest, size, self.shape.class(orders).1);
+    }
+
+    pub fn submit_for(&mut self, txn: String, orders: bool, dest: u64, size: usize, time_left: Micros) {
+        let ticket = self.tickets.keys().last().map_or(self.now as u64, |t| t + 1);
+        self.tickets.insert(ticket, txn.clone());
+        let fate = Fate { orders, dest, deadline: self.now + time_left, ..Fate::default() };
+        self.fates.entry(txn.clone()).or_insert(fate);
+        let (org, key) = (self.shape.org(), self.shape.key(&txn, orders));
+        let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
+        let message = Submission { txn, class, org, key, dest, time_left, repeat: false, body };
+        self.input(Input::Submitted { ticket, message });
+    }
+
+    pub fn answer(&mut self, which: usize, how: u8) {
+        let Some(id) = self.pick(which, |l| l.call.is_some()) else { return };
+        let link = self.links.get_mut(&id).expect("open");
+        let (call, sent) = (link.call.take().expect("a call is out"), link.sent.clone());
+        let (status, wait_ms) = match how % 10 {
+            0..=4 => (200, if how > 240 { 300 } else { 0 }),
+            5 => (429, 200 + u64::from(how)),
+            6 => (503, 0),
+            7 => (500, 0),
+            8 => (504, 0),
+            _ => (429, 0),
+        };
+        let mut body = String::new();
+        for (number, txn) in ids(&call).enumerate() {
+            let fate = self.fates.get_mut(txn).expect("submitted");
+            let deferred = call.bulk && number % 3 == 2;
+            fate.delivered |= status == 200 && !deferred;
+            if status == 500 || status == 200 && !deferred {
+                fate.may_have_run = true;
+                fate.ran.get_or_insert_with(|| sent.clone());
+            }
+            let state = if deferred { "deferred" } else { "accepted" };
+            body +=
+                &format!("{}{{\"id\":\"{txn}\",\"state\":\"{state}\"}}", if number > 0 { "," } else { "[" });
+        }
+        let address = &self.links[&id].address;
+        let target = self.list.iter().find(|t| t.endpoint.to_string() == *address);
+        if let Some(target) = target.filter(|_| wait_ms > 0) {
+            let until = self.now + wait_ms as Micros * 1000;
+            let wait = self.waits.entry(self.shape.route(target)).or_default();
+            *wait = until.max(*wait);
+        }
+        let body = Bytes::from(body + "]");
+        let reply = Reply { status, wait_ms, bulk: call.bulk, body, ..Reply::default() };
+        let reusable = how < 200;
+        if !reusable {
+            self.links.remove(&id);
+        }
+        self.input(Input::Answered { link: id, reply, reusable });
+    }
+
+    /// Time passes; what is due in it comes in its order.
+    pub fn wait(&mut self, span: Micros) {
+        let end = self.now + span;
+        loop {
+            let dials = self.links.iter().filter(|(_, l)| !l.up).map(|(id, l)| (l.until, *id));
+            let calls = self.links.iter().filter_map(|(id, l)| l.call.as_ref().map(|call| (call.due, *id)));
+            let timeout = dials.chain(calls).min();
+            let wake = self.reducer.wake_at().unwrap_or(Micros::MAX);
+            let next = timeout.map_or(wake, |(at, _)| at.min(wake));
+            if next > end || self.exited {
+                break;
+            }
+            self.now = self.now.max(next);
+            if let Some((at, link)) = timeout
+                && at <= self.now
+                && let Some(input) = self.close(link, Cause::TimedOut)
+            {
+                self.input(input);
+            } else {
+                self.input(Input::Alarm);
+            }
+        }
+        self.now = self.now.max(end);
+    }
+
+    pub fn post(&mut self, accepted: bool) {
+        let Some(notices) = self.posting.take() else { return };
+        for (txn, verdict) in notices.into_iter().filter(|_| accepted) {
+            let fate = self.fates.get_mut(&txn).expect("submitted");
+            let kept = !matches!(verdict, Verdict::Returned { .. }) || !fate.orders || !fate.may_have_run;
+            assert!(kept, "a promise that a repeat is harmless");
+            assert!(fate.notice.replace(verdict).is_none(), "one notice");
+        }
+        self.input(Input::Posted { accepted });
+    }
+
+    /// The process is killed and starts again with what the folder holds.
+    pub fn restart(&mut self) {
+        for link in std::mem::take(&mut self.links).into_values() {
+            self.may_have_run(&link);
+        }
+        self.tickets.clear();
+        (self.written, self.turned_away) = (0, 0);
+        (self.posting, self.stopped_accepting, self.exited) = (None, false, false);
+        self.now += S;
+        self.waits.clear();
+        if self.shape == Shape::Second {
+            self.follows.clear();
+        }
+        self.reducer = reducer(self.shape, &self.file, self.now);
+        self.input(Input::Alarm);
+    }
+
+    /// An operator's call; whether the reply was a yes.
+    pub fn operate(&mut self, call: console::Call) -> bool {
+        let ticket = self.replies.keys().last().map_or(0, |ticket| ticket + 1);
+        self.input(Input::Operator { ticket, call });
+        matches!(self.replies[&ticket], Said::Yes(_))
+    }
+
+    /// Each message is counted once: what was taken has ended once or is still open.
+    pub fn check_figures(&self) {
+        let (figures, gauges) = (self.reducer.figures(), self.reducer.gauges());
+        assert_eq!(figures.open(), gauges.concurrent as u64, "taken is ended and concurrent");
+        let ends: u64 = figures.ends().values().map(|ends| ends.all()).sum();
+        assert_eq!(ends, figures.taken() - figures.open() + self.turned_away);
+        assert_eq!(figures.dispatches(), self.written);
+        let (out, listed) = (|t: &&Target| self.out.contains(&t.uid), self.reducer.gauges().targets);
+        let in_list = self.list.iter().filter(|t| t.state != State::Terminated);
+        assert_eq!(in_list.clone().count(), listed);
+        assert!(in_list.filter(out).count() <= gauges.targets_disabled && gauges.targets_disabled <= listed);
+    }
+
+    /// All that was taken on has its end when its time is up.
+    pub fn finish(&mut self) {
+        for _ in 0..40 {
+            self.wait(S);
+            if self.exited {
+                self.restart();
+            }
+            while self.posting.is_some() {
+                self.post(true);
+            }
+        }
+        for (txn, fate) in &self.fates {
+            assert!(!fate.taken_on || fate.delivered || fate.notice.is_some(), "{txn} has no end");
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/tests/reducer_operators.rs
@@ -0,0 +1,59 @@
+//! Calls of operators to the reducer.
+
+mod common;
+
+use common::S;
+use common::world::World;
+use orchidyoke_core::transport_map::State;
+use orchidyoke_node::config::Config;
+use orchidyoke_node::console;
+use orchidyoke_node::input::Input;
+
+// Guards against an endpoint that comes back by itself: a list that drops it and names it again, a reload and a restart
+// leave it out, and one call back undoes two out. An id that nobody has named is a no.
+#[test]
+fn an_endpoint_out_by_hand_stays_out_until_the_call_back() {
+    let (out, back) =
+        (console::Call::DisableServer("s-c".to_owned()), console::Call::EnableServer("s-c".to_owned()));
+    let mut world = World::new();
+    assert!(
+        !world.operate(console::Call::DisableServer("s-x".to_owned()))
+            && !world.operate(console::Call::EnableServer("s-x".to_owned()))
+    );
+    assert!(world.operate(out.clone()) && world.operate(out.clone()));
+    world.out.insert("s-c".to_owned());
+    for state in [State::Terminated, State::InService] {
+        world.rev += 1;
+        world.list[2].state = state;
+        let targets = vec![world.list[2].clone()];
+        world.news(targets);
+    }
+    let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
+    world.input(Input::Reconfigured(Box::new(Config::read(&text, None, None).expect("a configuration"))));
+    world.restart();
+    world.submit("m".to_owned(), true, 2, 10);
+    world.wait(2 * S);
+    assert!(world.links.is_empty(), "nothing is even dialled");
+    assert_eq!(world.reducer.gauges().targets_disabled, 1);
+    assert!(world.operate(back.clone()) && world.operate(back));
+    world.out.clear();
+    world.wait(S);
+    assert_eq!(world.links.len(), 1, "one call back undoes both, and what has waited goes");
+    assert!(!world.operate(console::Call::Ready), "nobody listens for clients here");
+}
+
+// Guards against a destination pushed over by what has waited: its only endpoint was restarted while it was out, so a
+// trial call goes, and no crowd.
+#[test]
+fn an_endpoint_put_back_is_taken_for_cold() {
+    let mut world = World::new();
+    assert!(world.operate(console::Call::DisableServer("s-c".to_owned())));
+    for number in 0..10 {
+        world.submit(format!("m{number}"), true, 2, 10);
+    }
+    world.wait(S);
+    assert!(world.operate(console::Call::EnableServer("s-c".to_owned())));
+    world.wait(4 * S);
+    assert!(world.links.len() <= 1, "only a trial call goes");
+    assert_eq!(world.reducer.troubled().count(), 1);
+}
--- /dev/null
+++ b/crates/node/tests/reducer_restarts.rs
@@ -0,0 +1,255 @@
+//! Restarts of the reducer on what its journal holds.
+
+mod common;
+
+use bytes::Bytes;
+use common::shape::Shape;
+use common::steps::Step;
+use common::world::{Still, World, followed, reducer};
+use common::{S, START};
+use orchidyoke_core::interface::Micros;
+use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_journal::{Record, Verdict, replay};
+use orchidyoke_node::catalogue::Catalogue;
+use orchidyoke_node::config::Config;
+use orchidyoke_node::input::{Effect, Following, Input, Submission};
+use orchidyoke_node::reducer::Reducer;
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+// Guards against changes to a list being taken for the whole of it: the configuration's list was not in the
+// journal, so after a restart only the endpoints that had changed since were left.
+#[test]
+fn a_restart_keeps_the_endpoints_that_never_changed() {
+    let mut world = World::new();
+    world.step(0, Step::List { which: 3, state: State::Terminating });
+    world.restart();
+    world.submit("x".to_owned(), false, 2, 10);
+    world.wait(10_000);
+    assert!(world.fates["x"].taken_on && !world.links.is_empty(), "destination 2 is still known and dialled");
+}
+
+// Guards against a drain that a restart forgets: the configuration's list is older than what was told.
+#[test]
+fn a_restart_keeps_a_drain_that_was_told() {
+    let mut world = World::new();
+    world.step(0, Step::List { which: 2, state: State::Terminating });
+    world.restart();
+    world.submit("x".to_owned(), false, 2, 10);
+    world.wait(10_000);
+    assert!(world.fates["x"].taken_on && world.links.is_empty());
+}
+
+// Guards against a restart whose first append needs a rewrite: held before the messages were back, that rewrite
+// wrote a journal without them.
+#[test]
+fn a_restart_with_a_full_file_loses_no_message() {
+    let mut world = World::new();
+    // Nothing may go there: the message stays held.
+    world.step(0, Step::List { which: 2, state: State::Terminating });
+    world.submit("kept".to_owned(), true, 2, 10);
+    world.wait(10_000);
+    let mut rewrites = 0;
+    for number in 0..2000 {
+        world.submit(format!("m{number}"), false, 3, 10);
+        world.wait(10_000);
+        world.step(number, Step::Connect { which: number, up: true });
+        world.answer(0, 0);
+        if world.file.len() > 160_000 {
+            let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::Alarm);
+            for effect in first {
+                if let Effect::Rewrite { bytes } = effect {
+                    rewrites += 1;
+                    let kept = |(record, _): &(Record, Bytes)| {
+                        matches!(record, Record::Taken(taken) if taken.txn == "kept")
+                            || matches!(record, Record::Owed { txn, .. } if txn == "kept")
+                    };
+                    assert!(replay(bytes).0.iter().any(kept), "after message {number}");
+                }
+            }
+        }
+    }
+    assert!(rewrites > 0, "the case did not come up");
+}
+
+// Guards against a restart that goes back to the address given at the first start, which the reload superseded,
+// and against staying with the file when another address is given: that is newer.
+#[test]
+fn a_restart_after_a_reload_keeps_to_the_file() {
+    let config = |port: u16, given: Option<&str>| {
+        let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::targets());
+        Config::read(&text, None, given).expect("a configuration")
+    };
+    let asked = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
+        let (records, whole) = replay(Bytes::copy_from_slice(file));
+        let mut reducer = Reducer::new(config, 0, records, whole, START);
+        let inputs = [Some(Input::Alarm), reload.map(|config| Input::Reconfigured(Box::new(config)))];
+        let mut port = 0;
+        for effect in inputs.into_iter().flatten().flat_map(|input| reducer.step(START, input)) {
+            match effect {
+                Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
+                Effect::Follow { from, .. } => port = followed(&from).0,
+                _ => {}
+            }
+        }
+        port
+    };
+    let (old, new) = (Some("127.0.0.1:2"), Some("127.0.0.1:5"));
+    let mut file = Vec::new();
+    assert_eq!(asked(&mut file, config(3, old), None), 2, "what is given comes first at a start");
+    assert_eq!(asked(&mut file, config(2, old), Some(config(3, old))), 3);
+    assert_eq!(asked(&mut file, config(4, old), None), 4, "the file as it is now");
+    assert_eq!(asked(&mut file, config(4, new), None), 5);
+}
+
+// Guards against a restart that drops what a catalogue told last for the configuration's list.
+#[test]
+fn the_last_list_of_a_catalogue_outlasts_a_restart() {
+    let config = || {
+        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
+        let catalogue = Some(Rc::new(Still("c1")) as Rc<dyn Catalogue>);
+        Config { catalogue, ..Config::read(&text, None, None).expect("a configuration") }
+    };
+    let mut file = Vec::new();
+    let mut held = Vec::new();
+    for start in 0..2 {
+        let (records, whole) = replay(Bytes::copy_from_slice(&file));
+        let mut reducer = Reducer::new(config(), 0, records, whole, START);
+        let told = Target { uid: format!("n1/web-{start}"), ..common::targets()[0].clone() };
+        let targets = vec![Target { state: State::Terminated, ..common::targets()[3].clone() }, told];
+        let news = News { rev: 0, all: false, targets, origin: "c1".to_owned() };
+        let inputs = [Input::Alarm, Input::News { watch: 1, news }];
+        for effect in inputs.into_iter().flat_map(|input| reducer.step(START, input)) {
+            match effect {
+                Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
+                Effect::Follow { from: Following::Catalogue { held: news, .. }, .. } => held.push(news),
+                _ => {}
+            }
+        }
+    }
+    let uids: Vec<_> = held[1].targets.iter().map(|t| t.uid.as_str()).collect();
+    assert_eq!((held[0].targets.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
+}
+
+// Guards against a message that was taken on and stands in no file: where the journal was rewritten in the very step in
+// which the message's record had been appended, the new file did not have it.
+#[test]
+fn a_rewrite_keeps_what_was_appended_in_the_same_step() {
+    for size in (100..1300).step_by(60) {
+        let mut world = World::new();
+        for number in 0..400 {
+            world.submit(format!("m{number}"), true, 2, size);
+            world.wait(5_000);
+            while let Some(link) = world.pick(0, |link| !link.up) {
+                world.links.get_mut(&link).expect("there").up = true;
+                world.input(Input::LinkUp { link });
+            }
+            world.answer(0, 0);
+        }
+        world.check_journal();
+    }
+}
+
+// Guards against a key, or the building of an attempt that may have run, that a kill forgets; and against a window
+// that begins anew with the process.
+#[test]
+fn a_kill_keeps_key_building_and_window() {
+    for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * S, false, 1)] {
+        let mut world = World::of(Shape::Second);
+        world.submit("held".to_owned(), true, 2, 10);
+        world.wait(10_000);
+        world.step(1, Step::Connect { which: 0, up: true });
+        assert_eq!(world.fates["held"].calls, 1);
+        let first = world.links.values().find(|l| l.call.is_some()).map(|l| l.sent.1.clone()).expect("out");
+        world.now += pause;
+        if moves {
+            // While the process is dead; it is at the other building under its name.
+            let place = world.list.iter().position(|t| t.pod_group == 2 && t.az == first).expect("listed");
+            world.rev += 1;
+            world.list[place].az = if first == "a" { "b" } else { "a" }.to_owned();
+        }
+        world.restart();
+        for _ in 0..40 {
+            world.wait(50_000);
+            world.step(1, Step::Connect { which: 0, up: true });
+        }
+        assert_eq!(world.fates["held"].calls, calls, "again in its building and window alone, with its key");
+        world.wait(5 * S);
+        world.post(true);
+        assert_eq!(world.fates["held"].notice, Some(Verdict::Failed), "nobody drops its repeat any more");
+    }
+}
+
+/// A reducer of the second shape whose window for repeats is one second, on what a file holds: it is driven for a while,
+/// every dial comes up at once and nothing answers. When calls were written, and when which final answers were posted.
+fn with_a_short_window(
+    file: &mut Vec<u8>,
+    handed: Option<Submission>,
+    from: Micros,
+    span: Micros,
+) -> (Vec<Micros>, Vec<(Micros, Verdict)>) {
+    let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_targets());
+    let text = text.replace("\"window_us\":2000000", "\"window_us\":1000000");
+    let config = Config::read(&text, None, None).expect("a configuration");
+    let (records, whole) = replay(Bytes::copy_from_slice(file));
+    let mut reducer = Reducer::new(config, 0, records, whole, from);
+    let (mut written, mut posted) = (Vec::new(), Vec::new());
+    let mut inputs = VecDeque::from([Input::Alarm]);
+    inputs.extend(handed.map(|message| Input::Submitted { ticket: 1, message }));
+    let mut now = from;
+    while now < from + span {
+        while let Some(input) = inputs.pop_front() {
+            for effect in reducer.step(now, input) {
+                match effect {
+                    Effect::Append { receipt, bytes } => {
+                        file.extend_from_slice(&bytes);
+                        inputs.push_back(Input::Appended { receipt, stored: true, size: file.len() });
+                    }
+                    Effect::Dial { link, .. } => inputs.push_back(Input::LinkUp { link }),
+                    Effect::Write { .. } => written.push(now),
+                    Effect::Post { notices, .. } => {
+                        posted.extend(notices.into_iter().map(|(_, verdict)| (now, verdict)));
+                        inputs.push_back(Input::Posted { accepted: true });
+                    }
+                    _ => {}
+                }
+            }
+        }
+        now += 5_000;
+        inputs.push_back(Input::Alarm);
+    }
+    (written, posted)
+}
+
+// Guards against a window for repeats that a restart forgets, or counts from its own start: of one second, with the process
+// killed while the first attempt was out, a repeat goes within it and never after, and then the end is told at once.
+#[test]
+fn a_window_of_one_second_is_counted_over_a_restart() {
+    for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
+        let handed = Submission {
+            txn: "a".to_owned(),
+            class: "bread".to_owned(),
+            org: None,
+            key: Some("k".to_owned()),
+            dest: 2,
+            time_left: 20 * S,
+            repeat: false,
+            body: Bytes::from_static(b"x"),
+        };
+        let mut file = Vec::new();
+        let (written, _) = with_a_short_window(&mut file, Some(handed), START, 20_000);
+        assert_eq!(written.len(), 1, "it is out");
+        let first = written[0];
+        let (written, posted) = with_a_short_window(&mut file, None, first + gap, 4 * S);
+        assert!(written.iter().all(|at| *at < first + S), "{gap}: {written:?} after {first}");
+        assert!(!written.is_empty() || !repeats || gap > 850_000, "{gap}: there was time for a repeat");
+        if written.is_empty() {
+            let (at, _) = posted[0];
+            assert!(
+                at <= first + gap.max(S) + 100_000,
+                "{gap}: told at {at}, {} after the start",
+                at - first - gap
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/tests/reducer_submissions.rs
@@ -0,0 +1,126 @@
+//! Submissions to the reducer: what is taken on, deferred or refused, and how a stop ends.
+
+mod common;
+
+use bytes::Bytes;
+use common::shape::Shape;
+use common::steps::Step;
+use common::world::{World, reducer};
+use common::{S, START};
+use orchidyoke_journal::Verdict;
+use orchidyoke_node::config::Config;
+use orchidyoke_node::input::{Effect, Input, Submission, SubmitAnswer};
+use orchidyoke_node::reducer::Reducer;
+
+// Guards against a crash or a lost message when the folder is full: what does not fit is deferred.
+#[test]
+fn a_full_folder_defers_at_the_door() {
+    let mut world = World::new();
+    for number in 0..8 {
+        world.submit(format!("m{number}"), true, 2, 60_000);
+        world.wait(5_000);
+    }
+    let taken = world.fates.values().filter(|fate| fate.taken_on).count();
+    assert!((1..8).contains(&taken), "{taken} taken on");
+    assert!(world.tickets.is_empty(), "all are answered");
+}
+
+// Guards against a forwarder that is still there when it is killed, and against a message lost in its last moment:
+// what clients have sent when accepting ends is still taken on and answered.
+#[test]
+fn a_stop_ends_in_time_and_answers_to_the_last() {
+    let mut world = World::new();
+    world.input(Input::Sender { joined: true });
+    world.submit("a".to_owned(), true, 2, 10);
+    world.wait(10_000);
+    world.step(0, Step::Connect { which: 0, up: true });
+    world.step(1, Step::Terminate);
+    world.wait(3_360_000);
+    assert!(world.stopped_accepting && !world.exited, "its call is out to the last");
+    world.submit("b".to_owned(), true, 2, 10);
+    world.wait(10_000);
+    assert!(world.fates["b"].taken_on);
+    // The client's connection lingers; it is gone when the process is.
+    world.wait(160_000);
+    assert!(world.exited && world.now - START < 3_600_000);
+    world.restart();
+    world.wait(10_000);
+    let owed = world.posting.clone().expect("the order that was out is ended at once");
+    assert_eq!(owed, [("a".to_owned(), Verdict::Failed)]);
+}
+
+// Guards against a deployment without tenants that takes nothing, against a message without what its class or deployment
+// asks for that is taken all the same, and against a refusal that counts as an end.
+#[test]
+fn what_a_message_has_to_carry_is_settled_by_the_settings() {
+    for (shape, org, key, good) in [
+        (Shape::First, Some("acme"), None, true),
+        (Shape::First, None, None, false),
+        (Shape::Second, None, Some("k"), true),
+        (Shape::Second, Some("acme"), Some("k"), true),
+        (Shape::Second, None, None, false),
+    ] {
+        let mut reducer = reducer(shape, &[], START);
+        let class = shape.class(true).0.to_owned();
+        let (org, key) = (org.map(str::to_owned), key.map(str::to_owned));
+        let body = Bytes::from_static(b"x");
+        let message =
+            Submission { txn: "a".to_owned(), class, org, key, dest: 2, time_left: S, repeat: false, body };
+        let effects = reducer.step(START, Input::Submitted { ticket: 1, message });
+        let told = effects.iter().find_map(|effect| match effect {
+            Effect::Answer { answer, .. } => Some(*answer),
+            _ => None,
+        });
+        assert_eq!(told.is_none(), good, "{shape:?}: {told:?}");
+        assert!(good || matches!(told, Some(SubmitAnswer::Incomplete(_))), "{shape:?}: {told:?}");
+        assert_eq!(reducer.figures().ends().values().map(|ends| ends.all()).sum::<u64>(), 0);
+    }
+}
+
+// Guards against a time to come back that the settings do not allow, or that is longer than any client waits.
+#[test]
+fn a_full_house_tells_when_to_come_back_as_the_settings_say() {
+    for (change, expected) in [
+        (("\"retry_after\":true", "\"retry_after\":true"), S),
+        (("\"retry_after\":true", "\"retry_after\":false"), 0),
+        (("\"max_retry_after_us\":2000000", "\"max_retry_after_us\":300000"), 300_000),
+    ] {
+        let text =
+            Shape::Second.config().replace(change.0, change.1).replace("\"max_open\":40", "\"max_open\":1");
+        let config = Config::read(&text, None, None).expect("a configuration");
+        let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
+        let mut told = None;
+        for ticket in 0..2 {
+            let (class, body) = ("state".to_owned(), Bytes::from_static(b"x"));
+            let txn = format!("m{ticket}");
+            let message =
+                Submission { txn, class, org: None, key: None, dest: 2, time_left: S, repeat: false, body };
+            for effect in reducer.step(START, Input::Submitted { ticket, message }) {
+                if let Effect::Answer { ticket: 1, answer } = effect {
+                    told = Some(answer);
+                }
+            }
+        }
+        assert_eq!(told, Some(SubmitAnswer::Deferred(expected)), "{change:?}");
+    }
+}
+
+// Guards against a client's leaving that crosses its 202: what is in the journal by then is delivered, once, and what is not
+// is no message.
+#[test]
+fn a_withdrawal_that_crosses_the_202_leaves_one_end() {
+    let mut world = World::new();
+    world.submit("kept".to_owned(), true, 2, 10);
+    let ticket = *world.tickets.keys().last().expect("it waits");
+    world.wait(10_000);
+    assert!(world.fates["kept"].taken_on, "its 202 is on the way");
+    world.input(Input::Withdrawn { ticket });
+    world.step(0, Step::Connect { which: 0, up: true });
+    world.answer(0, 0);
+    assert!(world.fates["kept"].delivered);
+    world.submit("left".to_owned(), true, 2, 10);
+    let ticket = *world.tickets.keys().last().expect("it waits");
+    world.input(Input::Withdrawn { ticket });
+    world.wait(S);
+    assert!(!world.fates["left"].taken_on && world.pick(0, |l| l.call.is_some()).is_none());
+}
