--- /dev/null
+++ b/crates/core/tests/limits.rs
@@ -0,0 +1,161 @@
+//! Limits and quotas, what goes first within them, and odd input.
+
+mod common;
+
+use common::*;
+use orchidyoke_core::Controller;
+use orchidyoke_core::interface::*;
+
+#[test]
+fn attempts_end_at_their_limit_with_an_answer() {
+    let set = Settings { max_attempts: 3, ..settings() };
+    let mut bench = Bench::new(set, &[entry(1, 1, 0, 0)]);
+    bench.hand_in(1, 0, 1);
+    for attempt in 1..=3 {
+        let mut actions = bench.end(1, Outcome::ConnectFailed);
+        actions.extend(bench.later(4 * S));
+        assert_eq!(sends(&actions).len(), usize::from(attempt < 3));
+        assert_eq!(refused(&actions).len(), usize::from(attempt == 3));
+    }
+}
+
+#[test]
+fn a_full_house_refuses_the_least_worth_with_advice_and_never_what_is_out() {
+    let set = Settings { max_open: 10, tenant_quotas: vec![1.0], ..settings() };
+    let mut bench = Bench::new(set, &[entry(1, 1, 0, 0)]);
+    let actions = bench.hand_in(1, 0, 12);
+    let turned_away = refused(&actions);
+    assert_eq!(turned_away.len(), 3);
+    assert!(
+        turned_away.iter().all(|r| r.1 > 0 && r.1 <= 3 * S),
+        "honest advice within what a client follows"
+    );
+    assert!(turned_away.iter().all(|r| r.0 > 4), "what is over its tenant's share goes first");
+}
+
+#[test]
+fn slots_are_never_overrun_and_no_slots_means_no_sends() {
+    let all: Vec<Entry> = (1..=30).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let mut bench = Bench::new(settings(), &all);
+    let events: Vec<Event> = (1..=30).map(|d| bench.message(d, 0)).collect();
+    assert_eq!(sends(&bench.step(&events)).len(), 8);
+    let mut bench = Bench::new(Settings { slots: 0, ..settings() }, &all);
+    assert!(sends(&bench.hand_in(1, 0, 3)).is_empty());
+}
+
+#[test]
+fn a_warm_connection_comes_first() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
+    bench.list(ListForm::Changes, &[Entry { state: Listed::Draining, ..entry(1, 1, 0, 0) }]);
+    bench.warm_up(1, 1);
+    bench.list(ListForm::Changes, &[entry(1, 1, 0, 0)]);
+    assert_eq!(sends(&bench.hand_in(1, 0, 1))[0].1, 2);
+}
+
+#[test]
+fn settings_of_nothing_and_odd_events_do_no_harm() {
+    let mut controller = Controller::new(Settings::default(), 0);
+    let mut actions = Vec::new();
+    let answer = Answer {
+        id: 9,
+        copy: 3,
+        outcome: Outcome::Ok,
+        took: -5,
+        finished: true,
+        wait: i64::MAX,
+        limit: Some(f64::NAN),
+        left: None,
+    };
+    let message = |id, time_left| Event::Message {
+        id,
+        destination: 77,
+        class: 99,
+        tenant: 99,
+        key: Some(1),
+        time_left,
+        repeat: true,
+    };
+    let events = [
+        Event::Outcome(answer),
+        Event::Hangup { id: 4 },
+        Event::Timer { token: 12 },
+        Event::List { form: ListForm::Changes, entries: vec![] },
+        Event::List { form: ListForm::Failed, entries: vec![] },
+        message(1, -5),
+        message(2, i64::MAX),
+        message(3, i64::MIN),
+        Event::Started { id: 8, copy: 0 },
+        Event::Probed { endpoint: 3, outcome: Outcome::Full },
+        Event::Peer { from: 1, bytes: vec![1] },
+    ];
+    controller.step(5, &events, &mut actions);
+    assert_eq!(refused(&actions).iter().map(|r| r.0).collect::<Vec<_>>(), [3, 1], "their time is up");
+}
+
+#[test]
+fn endpoints_are_drawn_by_their_listed_rate() {
+    // Guards against hundreds of forwarders that all see the same fees and choose the same route.
+    let entries =
+        [Entry { weight: 3000.0, ..entry(1, 1, 0, 1) }, Entry { weight: 1000.0, ..entry(2, 1, 0, 1) }];
+    let mut counts = [0, 0];
+    for seed in 0..200 {
+        let mut bench = Bench::new(settings(), &[]);
+        bench.controller = Controller::new(Settings { fleet_size: 300, ..settings() }, seed);
+        bench.list(ListForm::Whole, &entries);
+        counts[sends(&bench.hand_in(1, 0, 1))[0].1 as usize - 1] += 1;
+    }
+    assert!((130..=170).contains(&counts[0]) && counts[1] > 0, "three of four go to the larger: {counts:?}");
+}
+
+#[test]
+fn part_of_a_batch_waits_while_a_call_is_out() {
+    // Guards against a limit on calls that is used up by calls with single messages.
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
+    bench.warm_up(1, 20);
+    assert_eq!(sends(&bench.hand_in(1, 0, 1)).len(), 1, "nothing is out: no reason to wait");
+    assert!(sends(&bench.hand_in(1, 0, 4)).is_empty(), "four of five wait");
+    assert_eq!(sends(&bench.hand_in(1, 0, 1)).len(), 5, "a full batch goes");
+    assert!(sends(&bench.hand_in(1, 0, 2)).is_empty());
+    assert_eq!(sends(&bench.later(2 * S)).len(), 2, "calls that hang hold nobody back");
+}
+
+#[test]
+fn of_late_messages_the_one_that_has_lost_least_goes_first() {
+    // Guards against a queue that spends what a limit still allows on its oldest messages, worth least.
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    let first = sends(&bench.hand_in(1, 0, 1))[0].0;
+    for _ in 0..3 {
+        bench.hand_in(1, 0, 1);
+        bench.later(500 * MS);
+    }
+    bench.later(3 * S);
+    let next = sends(&bench.end(first, Outcome::Ok));
+    assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [first + 3], "the last handed in");
+}
+
+#[test]
+fn a_limit_that_is_no_limit_paces_nobody() {
+    // Guards against a list that omits limits, or has odd ones, stopping deliveries; and an odd size of the fleet.
+    for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
+        for fleet_size in [0, 1, 100, u32::MAX] {
+            let set = Settings { fleet_size, ..settings() };
+            let mut bench = Bench::new(set, &[Entry { weight, ..entry(1, 1, 0, 0) }]);
+            bench.warm_up(1, 10);
+        }
+    }
+    // A limit that is a fleet's, on the other hand, is shared: one call in five seconds, and what was saved up.
+    for (fleet_size, calls) in [(0, 10..=10), (1, 10..=10), (100, 0..=2)] {
+        let set = Settings { fleet_size, ..settings() };
+        let mut bench = Bench::new(set, &[entry(1, 1, 0, 0)]);
+        let mut sent = 0;
+        for _ in 0..10 {
+            if let Some(call) = sends(&bench.hand_in(1, 0, 1)).first() {
+                sent += 1;
+                bench.now += 100 * MS;
+                bench.step(&[Event::Hangup { id: call.0 }]);
+                bench.end(call.0, Outcome::Ok);
+            }
+        }
+        assert!(calls.contains(&sent), "{sent} calls of one in a fleet of {fleet_size}");
+    }
+}
--- /dev/null
+++ b/crates/core/tests/messages.rs
@@ -0,0 +1,181 @@
+//! What becomes of each message: its answer, its repeats, its order and the endpoints that it may go to.
+
+mod common;
+
+use common::*;
+use orchidyoke_core::interface::*;
+
+#[test]
+fn a_message_that_cannot_go_is_answered_once_and_in_time() {
+    let mut bench = Bench::new(settings(), &[]);
+    bench.hand_in(9, 2, 1);
+    assert!(bench.later(16 * S - 80 * MS).iter().all(|a| matches!(a, Action::Timer { .. })));
+    let actions = bench.later(20 * MS);
+    assert_eq!(refused(&actions).len(), 1, "never sent: a refusal is harmless");
+    assert!(refused(&bench.later(S)).is_empty() && failed(&bench.later(S)).is_empty());
+}
+
+#[test]
+fn a_stall_at_the_end_of_a_messages_time_does_not_make_its_answer_late() {
+    // Guards against an end decided on so late that a forwarder with part of a core, which stands still for 28 ms
+    // and more now and then, tells it after the deadline: queued messages and calls that are out alike.
+    let (stall, set) = (50 * MS, settings());
+    let timer = |actions: &[Action]| {
+        let delay = |a: &Action| if let Action::Timer { delay, .. } = a { Some(*delay) } else { None };
+        actions.iter().find_map(delay)
+    };
+    let mut queued = Bench::new(settings(), &[]);
+    let mut wakes = timer(&queued.hand_in(9, 2, 1)).expect("it is looked at again");
+    while let actions = queued.later(wakes)
+        && refused(&actions).is_empty()
+    {
+        wakes = timer(&actions).unwrap_or(MS);
+    }
+    assert!(queued.now + stall <= 17 * S, "decided on at {}", queued.now);
+    let mut out = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    let sent = sends(&out.hand_in(1, 2, 1));
+    assert!(sent[0].2 + stall + set.tick <= 16 * S, "an unsafe call ends after {}", sent[0].2);
+}
+
+#[test]
+fn a_hung_up_message_gets_no_answer_and_no_send() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.hand_in(1, 0, 2);
+    bench.step(&[Event::Hangup { id: 2 }]);
+    assert!(sends(&bench.end(1, Outcome::Ok)).is_empty());
+    assert!(refused(&bench.later(20 * S)).is_empty());
+}
+
+#[test]
+fn an_unsafe_message_that_may_have_run_fails_at_once() {
+    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
+        let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+        let id = sends(&bench.hand_in(1, 2, 1))[0].0;
+        let actions = bench.end(id, outcome);
+        assert_eq!(failed(&actions), [id], "{outcome:?}");
+        assert!(refused(&actions).is_empty() && sends(&bench.later(5 * S)).is_empty());
+    }
+}
+
+// Guards against a hung call that keeps its slot for as long as its message lives: with one at each of nine destinations
+// all slots for sick ones were held, and nothing went anywhere for up to 12 s.
+#[test]
+fn a_hung_unsafe_call_gives_its_slot_back_as_soon_as_any_other() {
+    let timeout = |class: usize| {
+        let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+        bench.warm_up(1, 20);
+        sends(&bench.hand_in(1, class, 1))[0].2
+    };
+    assert_eq!(timeout(2), timeout(0));
+    assert!(timeout(2) <= 6 * S, "its message lives for 16 s");
+}
+
+#[test]
+fn an_unsafe_message_that_never_ran_is_tried_again() {
+    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+        let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+        let id = sends(&bench.hand_in(1, 2, 1))[0].0;
+        let mut again = sends(&bench.end(id, outcome));
+        again.extend(sends(&bench.later(7 * S)));
+        assert_eq!(again.len(), 1, "{outcome:?}");
+    }
+}
+
+#[test]
+fn a_keyed_message_that_may_have_run_stays_in_its_zone_and_window() {
+    let zones = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
+    let mut bench = Bench::new(settings(), &zones);
+    let (id, first, _) = sends(&bench.hand_in(1, 1, 1))[0];
+    assert_eq!(first, 1, "the own zone comes first");
+    bench.list(ListForm::Changes, &[Entry { state: Listed::Gone, ..zones[0] }]);
+    bench.end(id, Outcome::Timeout);
+    assert!(sends(&bench.later(5 * S)).is_empty(), "the other zone would not drop the repeat");
+    let actions = bench.later(5 * S);
+    assert_eq!(failed(&actions), [id], "past its window it can be neither sent nor refused");
+}
+
+#[test]
+fn a_keyed_message_of_a_group_of_all_may_go_anywhere_and_be_refused() {
+    let zones = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
+    let mut bench = Bench::new(settings(), &zones);
+    let (id, ..) = sends(&bench.hand_in(1, 4, 1))[0];
+    let again = sends(&bench.end(id, Outcome::Error));
+    assert_eq!(again.iter().map(|s| s.1).collect::<Vec<_>>(), [2]);
+    bench.end(id, Outcome::Error);
+    bench.list(ListForm::Whole, &[]);
+    assert_eq!(refused(&bench.later(15 * S)).len(), 1);
+}
+
+#[test]
+fn nothing_new_goes_to_an_endpoint_that_drains_or_is_gone() {
+    for state in [Listed::Draining, Listed::Gone] {
+        let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+        bench.list(ListForm::Changes, &[Entry { state, ..entry(1, 1, 0, 0) }]);
+        assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
+        assert_eq!(sends(&bench.list(ListForm::Changes, &[entry(1, 1, 0, 0)])).len(), 1);
+    }
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.list(ListForm::Whole, &[entry(2, 1, 0, 0)]);
+    assert_eq!(sends(&bench.hand_in(1, 0, 1))[0].1, 2, "what a whole list leaves out is gone");
+}
+
+#[test]
+fn a_told_wait_holds_for_the_destination_or_for_the_route() {
+    for (kind, others) in [(0, 0), (1, 1)] {
+        let mut bench = Bench::new(settings(), &[entry(1, 1, 0, kind), entry(2, 1, 0, kind)]);
+        let id = sends(&bench.hand_in(1, 0, 1))[0].0;
+        let answer = Answer { wait: 700 * MS, ..bench.answer(id, Outcome::Full) };
+        let now = sends(&bench.step(&[Event::Outcome(answer)]));
+        assert_eq!(now.len(), others, "kind {kind}");
+        assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
+        assert!(sends(&bench.later(699 * MS)).is_empty());
+        assert!(!sends(&bench.later(7 * S)).is_empty(), "after it, and after a gap, calls go on");
+    }
+}
+
+#[test]
+fn each_message_of_a_batched_call_may_tell_a_wait() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
+    let sent = sends(&bench.hand_in(1, 0, 2));
+    let answer = |n: usize, wait| Event::Outcome(Answer { wait, ..bench.answer(sent[n].0, Outcome::Full) });
+    let answers = [answer(0, 300 * MS), answer(1, 900 * MS)];
+    bench.step(&answers);
+    assert!(sends(&bench.later(899 * MS)).is_empty());
+    assert_eq!(sends(&bench.later(7 * S)).len(), 2);
+}
+
+// Guards against a wait told beside a delivery being passed over: it binds whatever the answer was.
+#[test]
+fn a_wait_binds_whatever_the_outcome() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.hand_in(1, 0, 1);
+    let answer = Answer { wait: 500 * MS, ..bench.answer(1, Outcome::Ok) };
+    bench.step(&[Event::Outcome(answer)]);
+    assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
+    bench.now += 500 * MS;
+    assert_eq!(sends(&bench.step(&[Event::Timer { token: 0 }])).len(), 1);
+}
+
+#[test]
+fn keys_go_one_at_a_time_in_order_and_rest_after_a_time_out() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
+    let events: Vec<Event> = (0..3).map(|_| bench.keyed(1, 3, Some(5))).collect();
+    assert_eq!(sends(&bench.step(&events)).iter().map(|s| s.0).collect::<Vec<_>>(), [1]);
+    let next = bench.end(1, Outcome::Ok);
+    assert_eq!(sends(&next).iter().map(|s| s.0).collect::<Vec<_>>(), [2]);
+    let after = bench.end(2, Outcome::Timeout);
+    assert_eq!(failed(&after), [2]);
+    assert!(sends(&after).is_empty() && sends(&bench.later(299 * MS)).is_empty(), "the key rests");
+    assert_eq!(sends(&bench.later(MS)).iter().map(|s| s.0).collect::<Vec<_>>(), [3]);
+}
+
+#[test]
+fn a_key_waits_for_what_is_still_out_of_a_message_that_is_over() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
+    let events: Vec<Event> = (0..2).map(|_| bench.keyed(1, 3, Some(5))).collect();
+    bench.step(&events);
+    assert!(sends(&bench.step(&[Event::Hangup { id: 1 }])).is_empty(), "its attempt is still out");
+    let mut answer = bench.answer(1, Outcome::Ok);
+    answer.finished = true;
+    assert_eq!(sends(&bench.step(&[Event::Outcome(answer)])).len(), 1);
+}
--- /dev/null
+++ b/crates/core/tests/outages.rs
@@ -0,0 +1,246 @@
+//! Outages and refusals: trial calls, the ramp after a return, and budgets that a fleet keeps without a word.
+
+mod common;
+
+use common::*;
+use orchidyoke_core::Controller;
+use orchidyoke_core::interface::*;
+
+#[test]
+fn an_outage_gets_trial_calls_and_a_ramp_within_the_budget() {
+    let mut bench = Bench::new(settings(), &[Entry { weight: 7.0, ..entry(1, 1, 0, 0) }]);
+    bench.warm_up(1, 40);
+    let mut arrivals = Vec::new();
+    let mut back = false;
+    let mut out: Vec<MessageId> = Vec::new();
+    let start = bench.now;
+    while bench.now < start + 30 * S {
+        back |= bench.now > start + 10 * S;
+        let mut events: Vec<Event> = out
+            .drain(..)
+            .map(|id| Event::Outcome(bench.answer(id, if back { Outcome::Ok } else { Outcome::Timeout })))
+            .collect();
+        events.push(bench.message(1, 0));
+        bench.now += 50 * MS;
+        let sent = sends(&bench.step(&events));
+        arrivals.extend(sent.iter().map(|_| bench.now));
+        out.extend(sent.iter().map(|s| s.0));
+    }
+    // Capacity 7 a second from a fifth on, twice that is too much: no span of two seconds may hold more.
+    for at in (10..20).map(|s| start + s * S) {
+        let count = arrivals.iter().filter(|a| (at..at + 2 * S).contains(*a)).count();
+        let part = 0.2 + 0.8 * ((at - start - 9 * S) as f64 / (12 * S) as f64).min(1.0);
+        assert!(count as f64 <= 2.0 * 7.0 * part * 2.0, "{count} calls in the span from {at}");
+    }
+    let down = arrivals.iter().filter(|a| (start + 4 * S..start + 10 * S).contains(*a)).count();
+    assert!((1..=20).contains(&down), "trial calls go on, a few: {down}");
+    let warm = arrivals.iter().filter(|a| (start + 24 * S..start + 28 * S).contains(*a)).count();
+    assert!(warm >= 60, "recovery starts by itself and is full again: {warm}");
+}
+
+#[test]
+fn a_partial_failure_is_no_outage() {
+    // Guards against trial calls for a destination that fails often while it serves in between.
+    let mut bench = Bench::new(settings(), &[Entry { weight: 1.0, ..entry(1, 1, 0, 0) }]);
+    bench.warm_up(1, 3);
+    for round in 0..30 {
+        let sent = sends(&bench.hand_in(1, 0, 1));
+        let Some((id, ..)) = sent.first().copied() else { panic!("round {round}: nothing goes out") };
+        bench.now += 300 * MS;
+        bench.step(&[Event::Hangup { id }]);
+        bench.end(id, if round % 4 == 3 { Outcome::Ok } else { Outcome::Timeout });
+    }
+}
+
+#[test]
+fn refusals_at_the_floor_draw_the_next_call_from_a_span_that_doubles() {
+    // Guards against a fleet that comes back at once, or in step, to a limit which refused calls use up.
+    let mut gaps: [Vec<Micros>; 2] = [Vec::new(), Vec::new()];
+    for seed in 0..100 {
+        let mut bench = Bench::new(Settings { weights: Weights::None, ..settings() }, &[]);
+        bench.controller = Controller::new(Settings { weights: Weights::None, ..settings() }, seed);
+        bench.list(ListForm::Whole, &[entry(1, 1, 0, 0)]);
+        for _ in 0..5 {
+            bench.warm_up(1, 1);
+            bench.now += 1900 * MS;
+        }
+        let id = sends(&bench.hand_in(1, 0, 1))[0].0;
+        for gaps in &mut gaps {
+            let refused_at = bench.now;
+            let answer = Answer { wait: 10 * MS, ..bench.answer(id, Outcome::Full) };
+            assert!(sends(&bench.step(&[Event::Outcome(answer)])).is_empty(), "never at once");
+            while sends(&bench.later(20 * MS)).is_empty() {}
+            gaps.push(bench.now - refused_at);
+        }
+        assert_eq!(sends(&bench.hand_in(1, 0, 1)).len(), 0);
+        assert_eq!(sends(&bench.end(id, Outcome::Ok)).len(), 1, "one served: there is room again");
+    }
+    let mean = |gaps: &[Micros]| gaps.iter().sum::<Micros>() / gaps.len() as Micros;
+    // Served 6 in 10 s; 0.64 of that is twice what a cold partner of that size takes: a call in 2.6 s.
+    assert!((S..1800 * MS).contains(&mean(&gaps[0])), "{}", mean(&gaps[0]));
+    assert!((15..30).contains(&(mean(&gaps[1]) * 10 / mean(&gaps[0]))), "twice as long after the next");
+    let spread = |gaps: &[Micros]| (*gaps.iter().min().unwrap(), *gaps.iter().max().unwrap());
+    let (soonest, latest) = spread(&gaps[0]);
+    assert!(soonest < 300 * MS && latest > 2 * S && latest < 3 * S, "spread out: {soonest} to {latest}");
+}
+
+/// Plays forwarders with one destination that serves, refuses all from 30 s to 45 s, and serves again. Gives the
+/// most calls in any span of two seconds after the return, and how many were served by 75 s.
+fn calls_after_a_return(forwarders: u32, seed: u64) -> (usize, usize) {
+    let set =
+        Settings { fleet_size: forwarders, weights: Weights::None, slots: 4, max_open: 28, ..settings() };
+    let (start, mut rng) = (100 * S, fastrand::Rng::with_seed(seed));
+    let mut fleet: Vec<Bench> = Vec::new();
+    for n in 0..forwarders {
+        let mut bench = Bench::new(set.clone(), &[]);
+        bench.controller = Controller::new(set.clone(), seed * 1000 + u64::from(n));
+        bench.now = start;
+        bench.list(ListForm::Whole, &[entry(1, 1, 0, 0)]);
+        fleet.push(bench);
+    }
+    let mut out: Vec<Vec<(Micros, MessageId, Outcome)>> = vec![Vec::new(); fleet.len()];
+    let (mut calls, mut served) = (Vec::new(), 0);
+    for tick in 1..1500 {
+        let at = tick * 50 * MS;
+        for (bench, out) in fleet.iter_mut().zip(&mut out) {
+            bench.now = start + at;
+            let mut events = vec![Event::Timer { token: u64::MAX }];
+            // Two messages a second for all; at 41 s a clump of one for every second forwarder.
+            let clump = at == 41 * S && rng.bool();
+            if clump || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
+                events.push(bench.message(1, 0));
+            }
+            let ended = out.iter().filter(|o| o.0 <= at).map(|o| Event::Outcome(bench.answer(o.1, o.2)));
+            events.extend(ended);
+            served += out.iter().filter(|o| o.0 <= at && o.2 == Outcome::Ok).count();
+            out.retain(|o| o.0 > at);
+            for (id, ..) in sends(&bench.step(&events)) {
+                let refused = (30 * S..45 * S).contains(&at);
+                out.push((at + 150 * MS, id, if refused { Outcome::Full } else { Outcome::Ok }));
+                calls.push(at);
+            }
+        }
+    }
+    let in_span = |from: Micros| calls.iter().filter(|at| (from..from + 2 * S).contains(*at)).count();
+    let most = (0..40).map(|n| in_span(45 * S + n * 50 * MS)).max().unwrap_or(0);
+    (most, served)
+}
+
+#[test]
+fn a_fleet_that_was_refused_during_an_outage_does_not_push_over_what_returns() {
+    // Guards against forwarders with one or two refusals each, too few for any to see an outage, that all come
+    // back a fixed pause later. A partner of 28 calls a second that returns at a fifth can do 6.7 a second on
+    // the mean of the first spans; twice that, for two seconds, and three standard deviations of chance.
+    let budget = 2.0 * 6.7 * 2.0;
+    for seed in 1..=4 {
+        let (most, served) = calls_after_a_return(280, seed);
+        assert!(most as f64 <= budget + 3.0 * f64::sqrt(budget), "{most} calls in two seconds");
+        assert!(served >= 150, "nothing stays shut: {served}");
+    }
+}
+
+#[test]
+fn waits_told_are_enough_where_the_window_is_off_its_floor() {
+    // Guards against gaps in small fleets, whose windows themselves take the load off.
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.warm_up(1, 9);
+    let id = sends(&bench.hand_in(1, 0, 1))[0].0;
+    let answer = Answer { wait: 400 * MS, ..bench.answer(id, Outcome::Full) };
+    assert!(sends(&bench.step(&[Event::Outcome(answer)])).is_empty());
+    assert_eq!(sends(&bench.later(400 * MS)).len(), 1);
+}
+
+#[test]
+fn a_fleet_that_saw_an_outage_sends_its_trial_calls_by_chance() {
+    // Guards against one rounded-up call from each of hundreds of forwarders that saw a call fail.
+    let set = Settings { fleet_size: 200, ..settings() };
+    let mut seen = 0;
+    for seed in 0..100 {
+        let fast = Entry { weight: 200.0, ..entry(1, 1, 0, 0) };
+        let mut bench = Bench::new(set.clone(), &[fast]);
+        bench.controller = Controller::new(set.clone(), seed);
+        bench.list(ListForm::Whole, &[fast]);
+        let mut sent = sends(&bench.hand_in(1, 0, 1));
+        for _ in 0..3 {
+            for _ in 0..20 {
+                // Its part is one call a second.
+                sent.extend(sends(&bench.later(if sent.is_empty() { 50 * MS } else { 0 })));
+            }
+            assert_eq!(sent.len(), 1);
+            bench.now += 800 * MS;
+            sent = sends(&bench.end(1, Outcome::Timeout));
+        }
+        seen += sent.len();
+        for _ in 0..40 {
+            seen += sends(&bench.later(50 * MS)).len();
+        }
+    }
+    // A fifth of 200 calls a second, twice that is too much: 160 calls in the 2 s that were watched.
+    assert!((1..=160).contains(&seen), "{seen} calls in two seconds");
+}
+
+#[test]
+fn full_connection_tables_are_no_outage() {
+    // Guards against a ramp because of tables that are full for a moment.
+    let set = Settings { connect_timeout: S, ..settings() };
+    let mut bench = Bench::new(set, &[Entry { weight: 1.0, ..entry(1, 1, 0, 0) }, entry(2, 2, 0, 0)]);
+    let id = sends(&bench.hand_in(2, 0, 1))[0].0;
+    assert!(!bench.end(id, Outcome::Ok).contains(&Action::Close { endpoint: 2 }), "kept while none is short");
+    let mut id = sends(&bench.hand_in(1, 0, 1))[0].0;
+    for _ in 0..2 {
+        bench.end(id, Outcome::ConnectFailed);
+        let failed_at = bench.now;
+        id = loop {
+            let mut next = sends(&bench.hand_in(1, 0, 1));
+            next.extend(sends(&bench.later(50 * MS)));
+            if let Some(sent) = next.first() {
+                break sent.0;
+            }
+            assert!(bench.now - failed_at < 32 * S, "no trial calls of an outage, and nothing stays shut");
+        };
+    }
+    let id = sends(&bench.hand_in(2, 0, 1))[0].0;
+    let after = bench.end(id, Outcome::Ok);
+    assert!(
+        !after.contains(&Action::Close { endpoint: 2 }),
+        "another's connections are none of its business"
+    );
+}
+
+#[test]
+fn refusals_for_a_moment_are_no_outage_and_need_no_ramp() {
+    // Guards against a ramp of twelve seconds after a second or two over the limit, and after some seconds more
+    // where this forwarder is served rarely anyhow.
+    let rate_after = |outcome: Outcome, between: Micros, apart: Micros| {
+        let mut bench = Bench::new(settings(), &[Entry { weight: 3.0, ..entry(1, 1, 0, 0) }]);
+        for _ in 0..30 {
+            bench.warm_up(1, 1);
+            bench.now += between;
+        }
+        for _ in 0..3 {
+            let id = sends(&bench.hand_in(1, 0, 1))[0].0;
+            bench.end(id, outcome);
+            bench.step(&[Event::Hangup { id }]);
+            bench.now += apart;
+        }
+        let mut served = 0;
+        let mut sent = sends(&bench.hand_in(1, 0, 60));
+        let end = bench.now + 4 * S;
+        while bench.now < end {
+            bench.now += 50 * MS;
+            let mut next = Vec::new();
+            for (id, ..) in sent.drain(..) {
+                served += 1;
+                next.extend(sends(&bench.end(id, Outcome::Ok)));
+            }
+            next.extend(sends(&bench.later(0)));
+            sent = next;
+        }
+        served
+    };
+    for (between, apart) in [(0, 800 * MS), (1400 * MS, 1200 * MS)] {
+        let (refused, broken) =
+            (rate_after(Outcome::Full, between, apart), rate_after(Outcome::Reset, between, apart));
+        assert!(refused > 2 * broken, "{refused} served after refusals, {broken} after resets");
+    }
+}
--- /dev/null
+++ b/crates/core/tests/window.rs
@@ -0,0 +1,187 @@
+//! The window of a destination or route: how it grows and shrinks, and what shares the slots.
+
+mod common;
+
+use common::*;
+use orchidyoke_core::interface::*;
+
+#[test]
+fn the_window_starts_at_one() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1);
+}
+
+#[test]
+fn eight_clean_first_tries_make_room_for_two() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.warm_up(1, 7);
+    assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1, "1.1^7 is under two");
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.warm_up(1, 8);
+    assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 2, "1.1^8 is over two");
+}
+
+#[test]
+fn every_push_back_halves_and_the_floor_is_one() {
+    for outcome in [Outcome::Full, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset] {
+        let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+        bench.warm_up(1, 15);
+        let sent = sends(&bench.hand_in(1, 0, 9));
+        assert_eq!(sent.len(), 4, "1.1^15 is over four");
+        let mut after = Vec::new();
+        for (id, ..) in &sent[1..] {
+            after.extend(sends(&bench.end(*id, outcome)));
+        }
+        after.extend(sends(&bench.end(sent[0].0, Outcome::Ok)));
+        after.extend(sends(&bench.later(2 * S)));
+        assert_eq!(after.len(), 1, "{outcome:?}: three push-backs leave the floor");
+    }
+}
+
+#[test]
+fn a_retried_or_marked_success_does_not_grow_the_window() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.warm_up(1, 7);
+    let id = sends(&bench.hand_in(1, 0, 1))[0].0;
+    // One refusal halves to the floor; eight successes of pushed-back messages leave it there.
+    bench.end(id, Outcome::Full);
+    bench.now += 3 * S;
+    assert_eq!(sends(&bench.later(0)).len(), 1);
+    bench.end(id, Outcome::Ok);
+    for _ in 0..10 {
+        let mut event = bench.message(1, 0);
+        if let Event::Message { repeat, .. } = &mut event {
+            *repeat = true;
+        }
+        let id = sends(&bench.step(&[event]))[0].0;
+        bench.end(id, Outcome::Ok);
+    }
+    assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1);
+}
+
+#[test]
+fn one_destination_stays_under_three_quarters_of_the_slots() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.warm_up(1, 40);
+    assert_eq!(sends(&bench.hand_in(1, 0, 20)).len(), 6);
+}
+
+#[test]
+fn overdue_calls_mark_a_hang_before_the_time_out_and_leave_half_the_slots() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
+    bench.warm_up(1, 40);
+    bench.warm_up(2, 40);
+    assert_eq!(sends(&bench.hand_in(1, 0, 4)).len(), 4);
+    bench.later(S);
+    assert_eq!(sends(&bench.hand_in(1, 0, 9)).len(), 0, "a sick destination gets half at most");
+    assert_eq!(sends(&bench.hand_in(2, 0, 9)).len(), 4, "a healthy one gets the rest");
+}
+
+#[test]
+fn sick_destinations_together_hold_half_the_slots() {
+    let all: Vec<Entry> = (1..=6).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let mut bench = Bench::new(settings(), &all);
+    for destination in 1..=6 {
+        bench.warm_up(destination, 16);
+    }
+    for destination in 1..=2 {
+        assert_eq!(sends(&bench.hand_in(destination, 0, 2)).len(), 2);
+    }
+    bench.later(S);
+    for destination in 1..=2 {
+        assert_eq!(
+            sends(&bench.hand_in(destination, 0, 2)).len(),
+            0,
+            "four of eight slots are with sick ones"
+        );
+    }
+    assert_eq!(sends(&bench.hand_in(3, 0, 4)).len(), 4);
+}
+
+#[test]
+fn a_batched_call_is_one_call_and_one_update() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
+    let sent = sends(&bench.hand_in(1, 0, 12));
+    assert_eq!(sent.len(), 5, "one call of five messages fits a window of one");
+    let answers: Vec<Event> = sent.iter().map(|s| Event::Outcome(bench.answer(s.0, Outcome::Ok))).collect();
+    assert_eq!(
+        sends(&bench.step(&answers)).len(),
+        5,
+        "five successes in one call grow it once: still one call"
+    );
+}
+
+#[test]
+fn routes_apart_have_windows_of_their_own() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
+    assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 2);
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
+    assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1);
+}
+
+#[test]
+fn a_spoilt_answer_is_no_push_back_until_they_come_in_a_row() {
+    let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0)]);
+    bench.warm_up(7, 8);
+    let sent = sends(&bench.hand_in(7, 2, 2));
+    assert_eq!(sent.len(), 2, "the window is two");
+    let over = bench.end(sent[0].0, Outcome::Spoilt);
+    assert_eq!(failed(&over), [sent[0].0], "it may have run");
+    bench.end(sent[1].0, Outcome::Spoilt);
+    let sent = sends(&bench.hand_in(7, 2, 2));
+    assert_eq!(sent.len(), 2, "the window still is");
+    bench.end(sent[0].0, Outcome::Spoilt);
+    bench.end(sent[1].0, Outcome::Spoilt);
+    assert!(sends(&bench.hand_in(7, 2, 2)).is_empty(), "four in a row are pushed back");
+}
+
+// Guards against an endpoint judged by the one before it, at a destination of one; and against what the destination
+// itself has said or suffered being forgotten with it.
+#[test]
+fn a_new_endpoint_with_none_beside_it_starts_anew() {
+    let gone = |id| Entry { state: Listed::Gone, ..entry(id, 7, 0, 0) };
+    let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0)]);
+    bench.warm_up(7, 8);
+    assert_eq!(sends(&bench.hand_in(7, 0, 3)).len(), 2, "the window is two");
+    bench.list(ListForm::Changes, &[gone(1)]);
+    let sent = sends(&bench.list(ListForm::Changes, &[entry(2, 7, 0, 0)]));
+    assert_eq!(
+        sent.iter().map(|sent| sent.1).collect::<Vec<_>>(),
+        [2],
+        "one, beside two still out at the old one"
+    );
+    let mut answer = bench.answer(sent[0].0, Outcome::Full);
+    answer.wait = S;
+    bench.step(&[Event::Outcome(answer)]);
+    bench.list(ListForm::Changes, &[gone(2)]);
+    assert!(sends(&bench.list(ListForm::Changes, &[entry(3, 7, 0, 0)])).is_empty(), "the wait stands");
+    assert_eq!(sends(&bench.later(S)).len(), 1);
+}
+
+// Guards against memory that grows with every endpoint that ever was.
+#[test]
+fn endpoints_that_are_gone_are_forgotten() {
+    let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0), entry(2, 8, 0, 1)]);
+    let mut sizes = Vec::new();
+    for id in 1..200 {
+        bench.now += S;
+        let sent = sends(&bench.hand_in(7, 0, 1));
+        let gone = |id, dest, kind| Entry { state: Listed::Gone, ..entry(id, dest, 0, kind) };
+        let (old, new) = (2 * id - 1, 2 * id + 1);
+        bench.list(ListForm::Changes, &[entry(new, 7, 0, 0), entry(new + 1, 8, 0, 1)]);
+        bench.list(ListForm::Changes, &[gone(old, 7, 0), gone(old + 1, 8, 1)]);
+        sent.iter().for_each(|sent| drop(bench.end(sent.0, Outcome::Ok)));
+        sizes.push(format!("{:?}", bench.controller).len());
+    }
+    // A few more digits in the numbers, and no more.
+    assert!(sizes[198] < sizes[50] * 11 / 10, "{} and then {}", sizes[50], sizes[198]);
+}
+
+#[test]
+fn moot_is_no_verdict() {
+    let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
+    bench.warm_up(1, 8);
+    let sent = sends(&bench.hand_in(1, 0, 2));
+    assert_eq!(sent.len(), 2);
+    assert_eq!(sends(&bench.end(sent[0].0, Outcome::Moot)).len(), 1, "the window still allows two");
+}
