--- /dev/null
+++ b/crates/consul/tests/instance_health.rs
@@ -0,0 +1,56 @@
+//! Tests of [`orchidyoke_consul::instance_health`].
+
+use orchidyoke_consul::api::{Check, ServiceEntry, Weights};
+use orchidyoke_consul::instance_health::{DRAINING, InstanceHealth, instance_health};
+use orchidyoke_core::transport_map::{Checks, State};
+
+fn entry(checks: &[(&str, &str)]) -> ServiceEntry {
+    let check = |(id, status): &(&str, &str)| Check {
+        id: (*id).to_owned(),
+        status: (*status).to_owned(),
+        ..Check::default()
+    };
+    ServiceEntry { checks: checks.iter().map(check).collect(), ..ServiceEntry::default() }
+}
+
+// Guards against a line of the table that the code reads otherwise.
+#[test]
+fn each_combination_stands_as_the_table_says() {
+    use Checks::{Critical, Passing, Warning};
+    use State::{InService, Terminating};
+    type Case = (&'static [(&'static str, &'static str)], State, Checks);
+    let cases: [Case; 10] = [
+        (&[], InService, Passing),
+        (&[("serfHealth", "passing"), ("web", "passing")], InService, Passing),
+        (&[("serfHealth", "passing"), ("web", "warning")], InService, Warning),
+        (&[("a", "warning"), ("b", "critical"), ("c", "passing")], InService, Critical),
+        (&[("serfHealth", "critical"), ("web", "passing")], InService, Critical),
+        (&[("web", "unheard-of")], InService, Critical),
+        (&[("web", "")], InService, Critical),
+        (&[("_node_maintenance", "critical"), ("web", "passing")], Terminating, Critical),
+        (&[("_service_maintenance:web-1", "critical")], Terminating, Critical),
+        (&[("_service_maintenance:web-1", "passing")], InService, Passing),
+    ];
+    for (checks, state, told) in cases {
+        assert_eq!(instance_health(&entry(checks)), InstanceHealth { state, checks: told }, "{checks:?}");
+    }
+}
+
+#[test]
+fn marks_and_weights_drain_whatever_the_checks_say() {
+    for (status, told) in [("passing", Checks::Passing), ("critical", Checks::Critical)] {
+        let mut tagged = entry(&[("web", status)]);
+        tagged.service.tags = vec!["v2".to_owned(), DRAINING.to_owned()];
+        assert_eq!(instance_health(&tagged), InstanceHealth { state: State::Terminating, checks: told });
+        let mut meta = entry(&[("web", status)]);
+        meta.service.meta.insert(DRAINING.to_owned(), "true".to_owned());
+        assert_eq!(instance_health(&meta), InstanceHealth { state: State::Terminating, checks: told });
+        meta.service.meta.insert(DRAINING.to_owned(), "false".to_owned());
+        assert_eq!(instance_health(&meta).state, State::InService);
+    }
+    let mut weightless = entry(&[("web", "warning")]);
+    weightless.service.weights = Weights { passing: 0, warning: 1 };
+    assert_eq!(instance_health(&weightless).state, State::InService, "the weight for passing does not count");
+    weightless.service.weights = Weights { passing: 1, warning: 0 };
+    assert_eq!(instance_health(&weightless).state, State::Terminating);
+}
--- /dev/null
+++ b/crates/consul/tests/query_schedule.rs
@@ -0,0 +1,89 @@
+//! Tests of [`orchidyoke_consul::query_schedule`].
+
+use orchidyoke_consul::query_schedule::{NextQuery, QuerySchedule};
+use orchidyoke_core::interface::Micros;
+use proptest::prelude::*;
+use std::collections::VecDeque;
+
+const MS: Micros = 1_000;
+/// The least time between two visits of one service.
+const ROUND_LEAST: Micros = 1_000_000;
+
+#[test]
+fn few_services_stand_and_many_take_turns() {
+    let mut few = QuerySchedule::new(2, 2);
+    assert_eq!(
+        (few.next(0), few.next(0), few.next(0)),
+        (NextQuery::Blocking(0), NextQuery::Blocking(1), NextQuery::NotBefore(Micros::MAX))
+    );
+    few.back(5, 1, 5, false);
+    assert_eq!(few.next(5), NextQuery::Blocking(1));
+    let mut many = QuerySchedule::new(3, 2);
+    assert_eq!((many.next(0), many.next(0)), (NextQuery::Immediate(0), NextQuery::Immediate(1)));
+    many.back(MS, 0, MS, false);
+    assert_eq!(
+        (many.next(MS), many.next(MS)),
+        (NextQuery::Immediate(2), NextQuery::NotBefore(MS + ROUND_LEAST))
+    );
+}
+
+#[test]
+fn a_hint_comes_before_all_others_even_while_its_service_is_out() {
+    let mut schedule = QuerySchedule::new(4, 1);
+    assert_eq!(schedule.next(0), NextQuery::Immediate(0));
+    schedule.hint(3);
+    schedule.hint(0);
+    assert_eq!(schedule.next(0), NextQuery::Immediate(3));
+    schedule.back(MS, 0, MS, false);
+    assert_eq!(schedule.next(MS), NextQuery::Immediate(1));
+    schedule.hint(2);
+    assert_eq!(
+        (schedule.next(MS), schedule.next(MS)),
+        (NextQuery::Immediate(2), NextQuery::Immediate(0)),
+        "once more: it was out"
+    );
+}
+
+#[test]
+fn in_a_hurry_a_round_is_short_and_never_shorter() {
+    let mut schedule = QuerySchedule::new(2000, 4);
+    assert_eq!(schedule.round(), 4 * ROUND_LEAST);
+    while let NextQuery::Immediate(service) = schedule.next(0) {
+        schedule.back(0, service, 0, false);
+    }
+    assert_eq!(schedule.next(0), NextQuery::NotBefore(4 * ROUND_LEAST));
+    for _ in 0..100 {
+        schedule.hurry();
+        assert_eq!(schedule.next(0), NextQuery::NotBefore(600_000));
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 60, rng_seed: prop::test_runner::RngSeed::Fixed(11), ..Default::default() })]
+
+    // Guards against a service that is starved, or out twice: however many there are, however often hints name
+    // the same few, each is visited within two rounds.
+    #[test]
+    fn no_service_is_starved(services in 2usize..300, connections in 1usize..8, hinted in 0usize..3, took in 1i64..4) {
+        let mut schedule = QuerySchedule::new(services, connections);
+        let mut last = vec![0; services];
+        let mut out = VecDeque::new();
+        let mut now = 0;
+        let end = schedule.round() * 6;
+        while now < end {
+            now += took * MS;
+            (0..hinted.min(services)).for_each(|service| schedule.hint(service));
+            while out.len() < connections {
+                let (NextQuery::Blocking(service) | NextQuery::Immediate(service)) = schedule.next(now) else { break };
+                prop_assert!(!out.contains(&service), "asked twice at once");
+                last[service] = now;
+                out.push_back(service);
+            }
+            if let Some(service) = out.pop_front() {
+                schedule.back(now, service, now, false);
+            }
+            let bound = 2 * schedule.round() + (services as Micros + 1) * 2 * took * MS;
+            prop_assert!(last.iter().all(|at| now - at <= bound), "starved");
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/tests/figures.rs
@@ -0,0 +1,46 @@
+//! Tests of [`orchidyoke_node::figures`].
+
+use orchidyoke_node::figures::{End, Figures, Gauges};
+
+// Guards against counts that do not add up, a message of another process counted, and a time beyond bounds lost.
+#[test]
+fn times_to_delivery_are_told_in_rising_counts() {
+    let mut figures = Figures::default();
+    figures.took(5);
+    for after in [Some(100), Some(90), Some(40_000), Some(i64::MAX), None] {
+        figures.delivered("orders", after);
+    }
+    let lines = figures.latency_lines();
+    let counts: Vec<(&str, u64)> = lines
+        .lines()
+        .map(|line| {
+            let (label, count) = line.rsplit_once(' ').expect("a count");
+            let le = label.split("le=\"").nth(1).and_then(|rest| rest.split('"').next());
+            (le.expect("a bound"), count.parse().expect("a count"))
+        })
+        .collect();
+    assert_eq!(counts.iter().map(|(_, count)| *count).collect::<Vec<_>>(), [1, 2, 3, 4, 4], "{lines}");
+    assert_eq!((counts[0].0, counts[1].0, counts[4].0), ("90", "100", "+Inf"));
+    assert!(counts[2].0.parse::<u64>().is_ok_and(|us| (40_000..40_600).contains(&us)), "{lines}");
+    assert_eq!(figures.ends()["orders"].success, 5);
+}
+
+// Guards against a class without a line until something of it has ended, and against another form of the lines.
+#[test]
+fn every_class_has_its_lines_from_the_start() {
+    let mut figures = Figures::default();
+    figures.name(&["orders".to_owned(), "st\"atus".to_owned()]);
+    figures.took(2);
+    figures.ended("orders", End::Success);
+    figures.turned_away("orders", End::Overload);
+    figures.dispatched(3);
+    assert_eq!(figures.open(), 1);
+    let gauges = Gauges { concurrent: 1, targets: 4, targets_disabled: 2 };
+    assert_eq!(
+        figures.lines(gauges),
+        "app_success{type=\"orders\"} 1\napp_overload{type=\"orders\"} 1\napp_error{type=\"orders\"} 0\n\
+         app_success{type=\"st\\\"atus\"} 0\napp_overload{type=\"st\\\"atus\"} 0\n\
+         app_error{type=\"st\\\"atus\"} 0\napp_dispatches 3\napp_concurrent 1\napp_targets 4\n\
+         app_targets_disabled 2\n"
+    );
+}
--- /dev/null
+++ b/crates/node/tests/hop_call.rs
@@ -0,0 +1,59 @@
+//! Tests of [`orchidyoke_node::hop_call`].
+
+use bytes::Bytes;
+use orchidyoke_core::interface::Outcome;
+use orchidyoke_node::hop_call::*;
+
+fn bulk(body: &str) -> Reply {
+    Reply { status: 200, bulk: true, body: Bytes::copy_from_slice(body.as_bytes()), ..Reply::default() }
+}
+
+// Guards against a message of a call being ended by another's end, and against calling undelivered or
+// never run what an unreadable answer leaves open.
+#[test]
+fn each_message_of_a_call_has_its_own_end() {
+    let told = r#"[{"id":"b","state":"deferred"},{"id":"a","state":"accepted"},{"id":"c","state":"fault"},
+        {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
+    let txns = ["a", "b", "c", "d", "e", "left out"].map(str::to_owned);
+    let got = ends(&bulk(told), &txns);
+    let outcomes: Vec<_> = got.iter().map(|end| (end.outcome, end.over)).collect();
+    let expected = [
+        (Outcome::Ok, false),
+        (Outcome::Full, false),
+        (Outcome::Error, false),
+        (Outcome::Moot, true),
+        (Outcome::Moot, false),
+        (Outcome::Error, false),
+    ];
+    assert_eq!(outcomes, expected);
+    assert!(ends(&bulk("[{\"id\":"), &txns).iter().all(|end| end.outcome == Outcome::Spoilt));
+}
+
+// Guards against "never ran" being said of a call whose last byte went out.
+#[test]
+fn only_what_was_not_fully_written_never_ran() {
+    use Progress::*;
+    for progress in [NotConnected, NotFullyWritten, FullyWritten, Answered] {
+        let spoilt = Cause::Spoilt("noise".to_owned());
+        for cause in [Cause::TimedOut, Cause::CalledOff, Cause::Broken("reset".to_owned()), spoilt] {
+            let error = HopError { progress, cause };
+            let never = error.outcome() == Outcome::ConnectFailed;
+            assert_eq!(never, matches!(progress, NotConnected | NotFullyWritten), "{error}");
+        }
+    }
+}
+
+// Guards against a key that is left out of a call, or put beside a message that has none.
+#[test]
+fn each_message_of_a_call_has_its_own_key() {
+    let part = |txn: &str, key: Option<&str>| Part {
+        txn: txn.to_owned(),
+        key: key.map(str::to_owned),
+        body: Bytes::from_static(b"hello"),
+    };
+    let parts = vec![part("a", Some("5c\"0f")), part("b", None)];
+    let call = Call { parts, bulk: true, remaining: 1, due: 1 };
+    let text = call.body();
+    let expected = r#"[{"id":"a","key":"5c\"0f","body":"aGVsbG8="},{"id":"b","body":"aGVsbG8="}]"#;
+    assert_eq!(text, expected);
+}
