--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -1,6 +1,5 @@
-//! All decisions of orchidyoke. Its types, events, actions and settings are in `interface.rs` beside it.
-//! The ordinary path is the paper's adaptive window (`docs/design.md`): each route has a window on calls in
-//! flight, grown by a clean first try, halved by any push-back. The rest keeps the rules.
+//! All decisions of orchidyoke; their types are in `interface.rs`. The ordinary path is the paper's adaptive
+//! window (`docs/design.md`) on each route's calls in flight: a clean first try grows, a push-back halves it.
 
 use crate::dice::Dice;
 use crate::interface::*;
@@ -20,8 +19,7 @@
 const SICK_CAP: f64 = 0.5;
 /// Unreadable answers of one endpoint with no success between that count as its errors.
 const SPOILT_STREAK: u32 = 3;
-/// Push-backs that mean an outage, if no success was seen for so long: fewer are met on any busy day, and a
-/// system that fails or refuses a part of its calls is not out.
+/// Push-backs with no success for so long mean an outage: who fails or refuses a part of its calls is up.
 const OUTAGE: (u32, Micros) = (3, 1_500_000);
 /// The same where all were refused, with no limit told, and with one: over it a system does that too.
 const SHUT: [(u32, Micros); 2] = [(3, 4 * SECOND), (8, 6 * SECOND)];
@@ -266,6 +264,15 @@
         self.bucket.take(now, rate, most_parts(set), calls);
     }
 
+    /// Push-backs with no success between mean an outage: from here on only trial calls.
+    fn mind_outage(&mut self, now: Micros, set: &Settings) {
+        let (streak, silence) =
+            if self.failing { OUTAGE } else { SHUT[usize::from(self.paced(set).is_some())] };
+        if self.streak >= streak && now - self.last_ok >= silence {
+            self.health = Health::Out;
+        }
+    }
+
     /// Present capacity that the route is sure to have, as a part of its own; none where nothing binds.
     fn sure_part(&self, now: Micros, set: &Settings) -> Option<f64> {
         let warm = match self.health {
@@ -708,7 +715,10 @@
             // A call sent before the last push-back tells nothing of the time after it, unless it took long.
             if route.pushed.is_none_or(|(_, last)| sent >= last || self.now - last >= self.set.tip_after) {
                 let cold = route.sure_part(self.now, &self.set).is_some();
-                let back = route.health == Health::Out || cold && route.pushed.is_some();
+                // Refused all at once, then in a pause: no later refusal came that would show the outage.
+                let shut = !route.failing && self.set.fleet_size > 1 && route.even_part(&self.set).is_none();
+                let shut = shut && route.streak >= SHUT[1].0 && self.now - route.last_ok >= SHUT[1].1;
+                let back = shut || route.health == Health::Out || cold && route.pushed.is_some();
                 (route.streak, route.timeouts, route.failing, route.last_ok) = (0, 0, false, self.now);
                 let pushed = route.pushed.take().map_or(self.now, |(first, _)| first);
                 if back {
@@ -759,17 +769,7 @@
             place.streak += 1;
             place.avoid_until = self.now + self.dice.jitter(SECOND << place.streak.min(4));
         }
-        self.mind_outage(id);
-    }
-
-    /// Push-backs with no success between mean an outage: from here on only trial calls.
-    fn mind_outage(&mut self, id: RouteId) {
-        let route = &mut self.routes[id];
-        let told = usize::from(route.paced(&self.set).is_some());
-        let (streak, silence) = if route.failing { OUTAGE } else { SHUT[told] };
-        if route.streak >= streak && self.now - route.last_ok >= silence && route.health != Health::Out {
-            route.health = Health::Out;
-        }
+        route.mind_outage(self.now, &self.set);
     }
 
     /// The first success after an outage: what is still out is taken as lost, and the ramp starts.
@@ -805,12 +805,12 @@
             // A hang shows before its time-out: an overdue call marks its route sick at once.
             let Some(call) = self.calls.get_mut(&id).filter(|c| !c.judged) else { continue };
             self.call_wakes.insert((self.now + OVERDUE_MIN / 2, id));
-            let route = call.route;
             if !std::mem::replace(&mut call.overdue, true) {
-                self.routes[route].overdue += 1;
-                self.routes[route].streak += 1;
-                self.routes[route].failing = true;
-                self.mind_outage(route);
+                let route = &mut self.routes[call.route];
+                route.overdue += 1;
+                route.streak += 1;
+                route.failing = true;
+                route.mind_outage(self.now, &self.set);
             }
         }
     }
