--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -262,15 +262,26 @@
         events.push(Event::Message { id, destination, class, tenant: 0, key, time_left, repeat });
         self.open.insert(id, (destination, 0));
         if self.chance.one_in(15) {
-            let attempts = self.chance.below(3) as u32;
-            let endpoint = self.chance.below(u64::from(self.next_endpoint)) as EndpointId;
-            let ran = (self.chance.span(5 * S), endpoint, self.chance.of(&[0, 1, NO_ZONE]));
-            let may_have_run = Some(ran).filter(|_| attempts > 0);
-            events.push(Event::History { id, attempts, may_have_run });
-            self.open.insert(id, (destination, attempts));
+            events.push(self.history(id, destination));
         }
     }
 
+    fn history(&mut self, id: MessageId, destination: DestinationId) -> Event {
+        let attempts = self.chance.below(3) as u32;
+        let endpoint = self.chance.below(u64::from(self.next_endpoint)) as EndpointId;
+        let ran = (self.chance.span(5 * S), endpoint, self.chance.of(&[0, 1, NO_ZONE]));
+        let may_have_run = Some(ran).filter(|_| attempts > 0);
+        self.open.insert(id, (destination, attempts));
+        Event::History { id, attempts, may_have_run }
+    }
+
+    /// What became of a message that waits without an attempt, told after its queue was looked at.
+    fn late_history(&mut self) -> Option<Event> {
+        let waiting = self.open.iter().find(|(_, (_, next))| *next == 0);
+        let (id, destination) = waiting.map(|(id, (destination, _))| (*id, *destination))?;
+        Some(self.history(id, destination))
+    }
+
     fn rare_event(&mut self) -> Option<Event> {
         let destination = 1 + self.chance.below(self.destinations);
         match self.chance.below(12) {
@@ -299,6 +310,7 @@
                 self.open.remove(&id);
                 Some(Event::Hangup { id })
             }
+            11 => self.late_history(),
             _ => Some(Event::List { form: ListForm::Failed, entries: Vec::new() }),
         }
     }
--- /dev/null
+++ b/crates/core/tests/scale.rs
@@ -0,0 +1,173 @@
+//! A step costs what changes: the work of a step, as a count of destinations looked at, does not follow the number of
+//! destinations that are listed, nor of those that wait because they are down.
+
+use orchidyoke_core::Controller;
+use orchidyoke_core::interface::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+const MS: Micros = 1000;
+const S: Micros = 1_000_000;
+const MESSAGES: u64 = 2_000;
+/// Between two messages: 109 a second, one of 450 forwarders at 49,000 a second.
+const GAP: Micros = S / 109;
+const AT_MOST: f64 = 1.5;
+
+fn settings() -> Settings {
+    let class = Class { aim: 600 * S, deadline: 3600 * S, worth: 1.0, late_share: 0.5, ..Class::default() };
+    Settings {
+        fleet_size: 450,
+        classes: vec![Class { effect: Effect::Safe, ..class }],
+        kinds: vec![Kind { batch: 1, apart: false }],
+        slots: 400,
+        streams: 1,
+        idle_close: 5 * S,
+        weights: Weights::Nominal,
+        tick: MS,
+        fall_multiple: 2.0,
+        tip_after: 2 * S,
+        cold_from: 0.2,
+        warm_within: 60 * S,
+        ..Settings::default()
+    }
+}
+
+fn entry(number: u32) -> Entry {
+    let (state, report) = (Listed::On, Report::Fit);
+    Entry { endpoint: number, destination: number.into(), zone: 0, kind: 0, state, report, weight: 200.0 }
+}
+
+/// A controller with a list of which some destinations are down, each with a message that waits.
+struct Forwarder {
+    controller: Controller,
+    now: Micros,
+    listed: u64,
+    down: u64,
+    next: MessageId,
+    ends: BTreeMap<Micros, Vec<(MessageId, u32, bool)>>,
+    copies: BTreeMap<MessageId, u32>,
+    timers: BTreeSet<(Micros, u64)>,
+    /// Events of the steps in which no timer came due, destinations looked at in them, and in the others.
+    events: u64,
+    work: u64,
+    timer_work: u64,
+}
+
+impl Forwarder {
+    fn new(listed: u32, down: u64) -> Self {
+        let mut forwarder = Forwarder {
+            controller: Controller::new(settings(), 7),
+            now: S,
+            listed: listed.into(),
+            down,
+            next: 0,
+            ends: BTreeMap::new(),
+            copies: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            events: 0,
+            work: 0,
+            timer_work: 0,
+        };
+        let entries = (1..=listed).map(entry).collect();
+        forwarder.step(vec![Event::List { form: ListForm::Whole, entries }]);
+        for destination in 1..=down {
+            let known = Event::Known { destination, endpoint: None, out: true, wait: 0 };
+            let message = forwarder.message(destination);
+            forwarder.step(vec![known, message]);
+        }
+        forwarder.run_until(30 * S);
+        forwarder
+    }
+
+    fn message(&mut self, destination: DestinationId) -> Event {
+        self.next += 1;
+        let id = self.next;
+        Event::Message { id, destination, class: 0, tenant: 0, key: None, time_left: 3600 * S, repeat: false }
+    }
+
+    fn step(&mut self, events: Vec<Event>) {
+        let mut actions = Vec::new();
+        let before = self.controller.work();
+        self.controller.step(self.now, &events, &mut actions);
+        let work = self.controller.work() - before;
+        if events.iter().any(|event| matches!(event, Event::Timer { .. })) {
+            self.timer_work += work;
+        } else {
+            self.events += events.len() as u64;
+            self.work += work;
+        }
+        for action in actions {
+            match action {
+                Action::Send { id, endpoint, .. } => {
+                    let copy = self.copies.entry(id).or_default();
+                    let serves = u64::from(endpoint) > self.down;
+                    self.ends.entry(self.now + 20 * MS).or_default().push((id, *copy, serves));
+                    *copy += 1;
+                }
+                Action::Timer { delay, token } => {
+                    self.timers.insert((self.now + delay, token));
+                }
+                other => panic!("nothing is given up here: {other:?}"),
+            }
+        }
+    }
+
+    /// Runs timers and ends of calls until a moment, in steps of their own.
+    fn run_until(&mut self, until: Micros) {
+        loop {
+            let timer = self.timers.first().map(|(at, _)| *at);
+            let end = self.ends.keys().next().copied();
+            let Some(next) = timer.into_iter().chain(end).min().filter(|at| *at <= until) else { break };
+            self.now = next;
+            let mut events = Vec::new();
+            while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= next) {
+                self.timers.pop_first();
+                events.push(Event::Timer { token });
+            }
+            events.extend(self.ends.remove(&next).into_iter().flatten().map(|(id, copy, serves)| {
+                let outcome = if serves { Outcome::Ok } else { Outcome::ConnectFailed };
+                let (took, finished) = (20 * MS, serves);
+                Event::Outcome(Answer { id, copy, outcome, took, finished, wait: 0, limit: None, left: None })
+            }));
+            self.step(events);
+        }
+        self.now = until;
+    }
+
+    /// Destinations looked at while messages go to destinations that serve: for each event of a step in which no
+    /// timer came due, and for each draw of a destination that is down in the others.
+    fn work_of_events(&mut self) -> [f64; 2] {
+        let (work, timer_work, events, since) = (self.work, self.timer_work, self.events, self.now);
+        for number in 0..MESSAGES {
+            self.run_until(self.now + GAP);
+            let destination = self.down + 1 + number * 7 % (self.listed - self.down);
+            let message = self.message(destination);
+            self.step(vec![message]);
+        }
+        let draws = self.down as f64 * (self.now - since) as f64 / (settings().tip_after / 2) as f64;
+        let event = (self.work - work) as f64 / (self.events - events) as f64;
+        [event, (self.timer_work - timer_work) as f64 / draws]
+    }
+}
+
+/// A destination that is down draws twice in `tip_after` whether it may be tried: that is due, and in proportion to
+/// those that are down. All other work is not.
+#[test]
+fn the_work_of_a_step_does_not_follow_the_listed_nor_the_waiting() {
+    let few = Forwarder::new(1_000, 29).work_of_events();
+    let many = Forwarder::new(100_000, 2_900).work_of_events();
+    println!("destinations looked at for each event, for each draw: {few:.2?} and {many:.2?}");
+    assert!(many[0] <= AT_MOST * few[0], "for each event: {many:.2?} of 100,000, {few:.2?} of 1,000");
+    assert!(many[1] <= AT_MOST * few[1], "for each draw: {many:.2?} of 100,000, {few:.2?} of 1,000");
+}
+
+#[test]
+fn the_work_of_a_list_is_linear() {
+    let work = [10_000, 100_000].map(|listed| {
+        let mut controller = Controller::new(settings(), 7);
+        let entries = (1..=listed).map(entry).collect();
+        controller.step(S, &[Event::List { form: ListForm::Whole, entries }], &mut Vec::new());
+        controller.work() as f64
+    });
+    println!("destinations looked at for a list: {work:?}");
+    assert!(work[1] <= 13.0 * work[0], "destinations looked at: {work:?}");
+}
--- a/crates/node/src/reducer/routes.rs
+++ b/crates/node/src/reducer/routes.rs
@@ -107,6 +107,10 @@
 
     /// What the module knows of routes in trouble outlasts the process.
     pub(super) fn keep_troubled(&mut self) {
+        // An endpoint that the list names no more is about to lose its name, be the set another or not.
+        if !self.controller.take_troubled_changed() && self.unlisted.is_empty() {
+            return;
+        }
         let troubled = self.controller.troubled().into_iter();
         let name = |id: EndpointId| self.hops.get(&id).map(|hop| hop.uid.clone());
         let keys = troubled.filter_map(|(dest, endpoint)| match endpoint {
