--- a/crates/core/src/transport_map.rs
+++ b/crates/core/src/transport_map.rs
@@ -1,8 +1,13 @@
 //! The transport map as data: the list of endpoints, its form, and how news changes it.
 
+mod bounds;
+mod map;
+
+pub use bounds::{LARGEST_LIST, ListError, MOST_ENTRIES, bounded_news, read_list};
+pub use map::{MapEntry, TransportMap};
+
 use crate::interface::{Listed, Report};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// What the list says of an endpoint.
@@ -57,6 +62,14 @@
     }
 }
 
+/// Bytes of a line of the list beside its names and its address, at most: all its numbers at their longest.
+const LINE_SIZE: usize = 160;
+/// Bytes of an address at most.
+const IPV4_SIZE: usize = "255.255.255.255:65535".len();
+const IPV6_SIZE: usize = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".len();
+/// A byte of a name that JSON does not write as it is takes up to so many more.
+const ESCAPE_SIZE: usize = "\\u0000".len() - 1;
+
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
@@ -85,10 +98,20 @@
 impl Target {
     /// About the bytes of its line, never less.
     pub fn size(&self) -> usize {
-        300 + self.uid.len() + self.az.len() + self.model.len()
+        line_size(&self.endpoint, [&self.uid, &self.az, &self.model])
     }
 }
 
+/// About the bytes of a line with this address and these names, never less.
+fn line_size(endpoint: &SocketAddr, names: [&str; 3]) -> usize {
+    let address = if endpoint.is_ipv4() { IPV4_SIZE } else { IPV6_SIZE };
+    let name_size = |name: &str| {
+        let escaped = name.bytes().filter(|byte| matches!(byte, 0..0x20 | b'"' | b'\\' | 0x7f));
+        name.len() + escaped.count() * ESCAPE_SIZE
+    };
+    LINE_SIZE + address + names.into_iter().map(name_size).sum::<usize>()
+}
+
 /// The whole list, or what has changed in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
@@ -103,93 +126,6 @@
     pub origin: String,
 }
 
-/// The list as it stands.
-#[derive(Clone, Debug, Default)]
-pub struct TransportMap {
-    rev: u64,
-    origin: String,
-    targets: BTreeMap<String, Target>,
-    size: usize,
-}
-
-impl TransportMap {
-    /// Takes in news. A target missing from a whole list is gone; one that is gone is not kept.
-    pub fn take(&mut self, news: &News) {
-        if news.all {
-            self.targets.clear();
-            self.size = 0;
-        }
-        for target in &news.targets {
-            let before = if target.state == State::Terminated {
-                self.targets.remove(&target.uid)
-            } else {
-                self.size += target.size();
-                self.targets.insert(target.uid.clone(), target.clone())
-            };
-            self.size -= before.map_or(0, |target| target.size());
-        }
-        self.rev = news.rev;
-        self.origin.clone_from(&news.origin);
-    }
-
-    /// News that is older than the list held, as it is to be taken: it puts nothing into service. What the list held has
-    /// drained since, or names no more, may not be sent to again on the word of an older one.
-    pub fn older(&self, mut news: News) -> News {
-        for target in &mut news.targets {
-            let serves = self.targets.get(&target.uid).is_some_and(|held| held.state == State::InService);
-            if target.state == State::InService && !serves {
-                target.state = State::Terminating;
-            }
-        }
-        news
-    }
-
-    /// Version of the list.
-    pub fn rev(&self) -> u64 {
-        self.rev
-    }
-
-    /// Who told the list; see [`News::origin`].
-    pub fn origin(&self) -> &str {
-        &self.origin
-    }
-
-    /// About the bytes of the list as news, never less.
-    pub fn size(&self) -> usize {
-        300 + self.origin.len() + self.size
-    }
-
-    /// Endpoints in the list.
-    pub fn len(&self) -> usize {
-        self.targets.len()
-    }
-
-    /// Whether the list names no endpoint.
-    pub fn is_empty(&self) -> bool {
-        self.targets.is_empty()
-    }
-
-    /// An endpoint, unless it is gone.
-    pub fn get(&self, uid: &str) -> Option<&Target> {
-        self.targets.get(uid)
-    }
-
-    /// The endpoints, by uid.
-    pub fn iter(&self) -> impl Iterator<Item = &Target> {
-        self.targets.values()
-    }
-
-    /// The whole list as one piece of news.
-    pub fn whole(&self) -> News {
-        News {
-            rev: self.rev,
-            all: true,
-            targets: self.targets.values().cloned().collect(),
-            origin: self.origin.clone(),
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/crates/journal/tests/large_lists.rs
@@ -0,0 +1,107 @@
+//! A list of 100,000 entries in the journal: written, read back, and torn by a kill at any place.
+
+use bytes::BytesMut;
+use orchidyoke_core::transport_map::{Checks, News, State, Target, TransportMap};
+use orchidyoke_journal::{Journal, Opened, Record, Stage};
+use std::fs;
+use std::path::PathBuf;
+
+const LISTED: usize = 100_000;
+
+fn target(number: usize) -> Target {
+    Target {
+        uid: format!("s-{number:08x}"),
+        endpoint: "127.0.0.1:8000".parse().expect("an address"),
+        az: "a".to_owned(),
+        model: "one".to_owned(),
+        pod_group: number as u64,
+        state: State::InService,
+        capacity_hint: 20.0,
+        checks: Checks::Passing,
+    }
+}
+
+fn list(rev: u64) -> Record {
+    let targets = (0..LISTED).map(target).collect();
+    Record::Map(News { rev, all: true, targets, origin: String::new() })
+}
+
+fn bytes_of(record: &Record) -> BytesMut {
+    let mut bytes = BytesMut::new();
+    record.encode(b"", &mut bytes);
+    bytes
+}
+
+/// A folder of its own, removed at the end.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
+        fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+
+    fn open(&self) -> Opened {
+        Journal::open(&self.0).expect("opens")
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        drop(fs::remove_dir_all(&self.0));
+    }
+}
+
+// Guards against a list that can be written and not read, or that hides the records before it where it was torn.
+#[test]
+fn a_large_list_is_read_back_or_torn_as_any_record() {
+    let folder = Folder::new("large-lists");
+    let (ready, large) = (Record::Stage { stage: Stage::Ready }, list(7));
+    let (before, bytes) = (bytes_of(&ready), bytes_of(&large));
+    let mut journal = folder.open().journal;
+    journal.append(&before).expect("appends");
+    journal.append(&bytes).expect("appends");
+    drop(journal);
+    let Opened { journal, records, .. } = folder.open();
+    assert_eq!(journal.size(), before.len() + bytes.len());
+    assert!(records.iter().map(|(record, _)| record).eq([&ready, &large]));
+    drop((journal, records));
+
+    let file = folder.0.join("journal");
+    for kept in [bytes.len() - 1, bytes.len() / 2, 9, 1] {
+        let torn = [&before[..], &bytes[..kept]].concat();
+        fs::write(&file, torn).expect("writes");
+        let Opened { journal, records, .. } = folder.open();
+        assert!(records.iter().map(|(record, _)| record).eq([&ready]), "{kept} bytes of it");
+        assert_eq!(journal.size(), before.len(), "the torn tail is cut off");
+    }
+}
+
+// Guards against a snapshot that is larger than was reckoned with: old file and new one would pass the folder's limit.
+#[test]
+fn a_list_is_never_larger_in_the_file_than_reckoned() {
+    let longest = Target {
+        uid: "\u{1}\"\\\u{7f}é".to_owned(),
+        endpoint: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
+        az: "\n".to_owned(),
+        model: String::new(),
+        pod_group: u64::MAX,
+        state: State::Terminating,
+        capacity_hint: -f64::MIN_POSITIVE,
+        checks: Checks::Critical,
+    };
+    let mut map = TransportMap::default();
+    let mut check = |targets: Vec<Target>| {
+        map.take(&News { rev: u64::MAX, all: false, targets, origin: "consul:1".to_owned() });
+        let (size, written) = (map.size(), bytes_of(&Record::Map(map.whole())).len());
+        assert!(size >= written, "{} entries: {size} for {written}", map.len());
+        assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", map.len());
+    };
+    check(vec![longest.clone()]);
+    check((0..100).map(target).collect());
+    check(vec![Target { state: State::Terminated, ..longest }]);
+    let gone = |number| Target { state: State::Terminated, ..target(number) };
+    check((0..100).map(gone).collect());
+    assert_eq!(map.len(), 0);
+}
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::Catalogue;
 use orchidyoke_core::interface::Settings;
 use orchidyoke_core::settings::{self, Names};
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::{News, bounded_news};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -21,6 +21,7 @@
     #[serde(default)]
     seed: String,
     limits: Limits,
+    #[serde(deserialize_with = "bounded_news")]
     known: News,
     #[serde(default)]
     policy_out: BTreeSet<String>,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,12 +1,13 @@
 //! The watch that follows discovery's list of endpoints.
 
 use crate::catalogue::UpdateSender;
+use crate::list_reader::ListReader;
 use crate::retry_after;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::ListError;
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,8 +22,9 @@
 const NOTHING_WHOLE: Duration = Duration::from_millis(4_500);
 /// A dial to the agent on the forwarder's own machine is up at once; one that hangs leaves time for another.
 const DIAL: Duration = Duration::from_secs(1);
-/// What is longer than this is no list.
-const LONGEST_LIST: usize = 8 << 20;
+/// Unless a large list is coming: at this many bytes a second or more it may go on. Asked for once more it would come no
+/// sooner, and one that is cut off each time never comes. Ordinary lists of 100,000 entries gain 8 s by it.
+const LEAST_RATE: usize = 2 << 20;
 
 /// How a watch ended.
 #[derive(Debug)]
@@ -42,7 +44,9 @@
     Broken(String),
     /// Its status, and how many milliseconds it says to wait.
     Refused(StatusCode, u64),
-    Unreadable(String),
+    Unreadable(ListError),
+    /// It ended after so many bytes of a list.
+    CutOff(usize),
 }
 
 impl fmt::Display for WatchError {
@@ -55,6 +59,7 @@
                 write!(f, "discovery answered {status}, and to wait {wait} ms")
             }
             WatchError::Unreadable(why) => write!(f, "discovery sent what is no list: {why}"),
+            WatchError::CutOff(bytes) => write!(f, "it ended in the middle of a list, after {bytes} bytes"),
         }
     }
 }
@@ -99,14 +104,14 @@
             return Err(WatchError::Refused(answer.status(), wait));
         }
         let mut body = answer.into_body();
-        let mut buffer = Vec::new();
+        let mut lists = ListReader::default();
         loop {
-            let due = (Instant::now() + SILENCE).min(heard.get() + NOTHING_WHOLE);
+            let due = (Instant::now() + SILENCE).min(heard.get() + time_for(lists.unfinished_bytes()));
             let frame = timeout_at(due, body.frame()).await.map_err(|_| WatchError::Silent)?;
-            let Some(frame) = frame else { return Ok(()) };
+            let Some(frame) = frame else { return ended_with(lists.unfinished_bytes()) };
             let Ok(data) = frame.map_err(broken)?.into_data() else { continue };
-            buffer.extend_from_slice(&data);
-            if take_whole(&mut buffer, |news| updates.send(news))? {
+            let came_whole = lists.take(&data, |news| updates.send(news));
+            if came_whole.map_err(WatchError::Unreadable)? {
                 heard.set(Instant::now());
             }
         }
@@ -120,28 +125,12 @@
     }
 }
 
-/// Takes the whole lists out of what has come so far, on however many lines they are; blank lines between them only say
-/// that there is no news. Tells whether anything whole has come.
-fn take_whole(buffer: &mut Vec<u8>, mut take: impl FnMut(News)) -> Result<bool, WatchError> {
-    let mut lists = serde_json::Deserializer::from_slice(buffer).into_iter::<News>();
-    let mut whole = 0;
-    loop {
-        match lists.next() {
-            Some(Ok(news)) => {
-                take(news);
-                whole = lists.byte_offset();
-            }
-            None => {
-                whole = buffer.len();
-                break;
-            }
-            Some(Err(error)) if error.is_eof() => break,
-            Some(Err(error)) => return Err(WatchError::Unreadable(error.to_string())),
-        }
-    }
-    buffer.drain(..whole);
-    if buffer.len() > LONGEST_LIST {
-        return Err(WatchError::Unreadable("a list without an end".to_owned()));
-    }
-    Ok(whole > 0)
+/// How long it may be until the next thing comes whole, with so many bytes of a list there.
+fn time_for(unfinished_bytes: usize) -> Duration {
+    NOTHING_WHOLE + Duration::from_secs_f64(unfinished_bytes as f64 / LEAST_RATE as f64)
+}
+
+/// The end of a watch with so many bytes of a list there.
+fn ended_with(unfinished_bytes: usize) -> Result<(), WatchError> {
+    if unfinished_bytes > 0 { Err(WatchError::CutOff(unfinished_bytes)) } else { Ok(()) }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod hop_call;
 pub mod inherited;
 pub mod input;
+pub mod list_reader;
 pub mod listener;
 pub mod log;
 pub mod next_hop;
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -137,6 +137,11 @@
         self.take_idle(|to, _| to == hop)
     }
 
+    /// The same for many endpoints at once.
+    pub fn drop_idle_of(&mut self, hops: &BTreeSet<EndpointId>) -> Vec<LinkId> {
+        self.take_idle(|to, _| hops.contains(&to))
+    }
+
     /// Takes out the idle connections that are too old, and the oldest where there are too many.
     pub fn reap(&mut self, now: Micros) -> Vec<LinkId> {
         let keep = self.keep;
--- a/crates/node/src/reducer/attempts.rs
+++ b/crates/node/src/reducer/attempts.rs
@@ -121,8 +121,8 @@
         let in_service = self.state_of(&hop.uid) == Some(Listed::On);
         let Some(flight) = self.in_flight.get(&call) else { return };
         let waiting = self.is_waiting(now, flight.hop);
-        let az = self.map.get(&hop.uid).map_or_else(String::new, |target| target.az.clone());
-        let trace = Trace { at: now, uid: hop.uid.clone(), az };
+        let az = self.map.get(&hop.uid).map_or_else(String::new, |target| target.az.to_string());
+        let trace = Trace { at: now, uid: hop.uid.to_string(), az };
         let goes =
             |(id, _): &(MessageId, u32)| self.messages.get(id).is_some_and(|m| self.may_go(now, m, &trace));
         let (parts, gone): (Vec<_>, Vec<_>) = flight.parts.iter().copied().partition(goes);
@@ -162,7 +162,7 @@
             (Some(_), ClassEffect::Unsafe) => false,
             (Some(ran), ClassEffect::Keyed { group, window }) => {
                 let (_, hop, zone) = self.trace_of(now, ran);
-                let same = self.hop_numbers.get(&to.uid) == Some(&hop);
+                let same = self.hop_numbers.get(to.uid.as_str()) == Some(&hop);
                 now < ran.at.saturating_add(window)
                     && match group {
                         Group::All => true,
--- a/crates/node/src/reducer/hops.rs
+++ b/crates/node/src/reducer/hops.rs
@@ -8,22 +8,108 @@
 use orchidyoke_core::interface::{
     DestinationId, EndpointId, Entry, Event, Kind, ListForm, Listed, Micros, Report,
 };
-use orchidyoke_core::transport_map::{Checks, News, State, Target};
+use orchidyoke_core::transport_map::{Checks, MOST_ENTRIES, MapEntry, News, State, Target};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 use std::rc::Rc;
+use std::sync::Arc;
 
 /// A discovery that told an older list than before is asked once more after this time: one that lags has caught up, and
 /// what counts as told 6 s after it was known is still in time.
 const GOES_BACK: Micros = 2 * SECOND;
 
+/// A list that is too large is asked for again within this time.
+const TOO_LARGE_PAUSE: Micros = 10 * SECOND;
+
 /// An endpoint that some list has named.
 #[derive(Debug)]
 pub(super) struct Hop {
-    pub uid: String,
+    pub uid: Arc<str>,
     pub destination: DestinationId,
 }
 
+/// What a list says of an endpoint, as far as the module is told of it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Line<'a> {
+    uid: &'a str,
+    az: &'a str,
+    model: &'a str,
+    destination: DestinationId,
+    weight: f64,
+    state: State,
+    checks: Checks,
+}
+
+impl<'a> From<&'a Target> for Line<'a> {
+    fn from(target: &'a Target) -> Self {
+        Line {
+            uid: &target.uid,
+            az: &target.az,
+            model: &target.model,
+            destination: target.pod_group,
+            weight: target.capacity_hint,
+            state: target.state,
+            checks: target.checks,
+        }
+    }
+}
+
+impl<'a> From<&'a MapEntry> for Line<'a> {
+    fn from(entry: &'a MapEntry) -> Self {
+        Line {
+            uid: &entry.uid,
+            az: &entry.az,
+            model: &entry.model,
+            destination: entry.pod_group,
+            weight: entry.capacity_hint,
+            state: entry.state,
+            checks: entry.checks,
+        }
+    }
+}
+
+/// Destinations that some list has named, and the endpoints of each that are not forgotten.
+#[derive(Debug, Default)]
+pub(super) struct Destinations {
+    endpoints: BTreeSet<(DestinationId, EndpointId)>,
+    /// Those that have no endpoint any more.
+    without: BTreeSet<DestinationId>,
+}
+
+impl Destinations {
+    /// Whether some list has named it.
+    pub fn knows(&self, destination: DestinationId) -> bool {
+        self.endpoints_of(destination).next().is_some() || self.without.contains(&destination)
+    }
+
+    pub fn endpoints_of(&self, destination: DestinationId) -> impl Iterator<Item = EndpointId> {
+        let all = (destination, EndpointId::MIN)..=(destination, EndpointId::MAX);
+        self.endpoints.range(all).map(|(_, endpoint)| *endpoint)
+    }
+
+    fn add(&mut self, hops: &[(EndpointId, Hop)]) {
+        let mut endpoints = hops.iter().map(|(id, hop)| (hop.destination, *id)).collect();
+        // Merging packs a tree full; for a few it would be more work than putting each in.
+        if hops.len() > self.endpoints.len() / 2 {
+            self.endpoints.append(&mut endpoints);
+        } else {
+            self.endpoints.extend(endpoints);
+        }
+        if !self.without.is_empty() {
+            for (_, hop) in hops {
+                self.without.remove(&hop.destination);
+            }
+        }
+    }
+
+    fn forget(&mut self, id: EndpointId, destination: DestinationId) {
+        self.endpoints.remove(&(destination, id));
+        if self.endpoints_of(destination).next().is_none() {
+            self.without.insert(destination);
+        }
+    }
+}
+
 impl Reducer {
     /// Takes over what can change while the process runs. What is held and what is out carries on; the list
     /// stays in use until discovery, perhaps at another address, has told more.
@@ -57,13 +143,16 @@
         self.slots = settings.slots;
         self.events.push(Event::Settings(Box::new(settings)));
         // The numbers of zones and kinds may have changed.
-        let whole = self.map.whole();
-        self.take_list(now, &whole, ListForm::Whole);
+        let number = |uid: &str| self.hop_numbers.get(uid).copied();
+        let entries =
+            self.map.iter().filter_map(|held| Some(self.entry(now, number(&held.uid)?, held.into())));
+        let entries = entries.collect();
+        self.events.push(Event::List { form: ListForm::Whole, entries });
     }
 
     /// What the settings say of an endpoint's kind, while it is listed.
     pub(super) fn kind_of(&self, uid: &str) -> Option<Kind> {
-        let model = &self.map.get(uid)?.model;
+        let model = &*self.map.get(uid)?.model;
         let place = self.names.kinds.iter().position(|kind| kind == model)?;
         self.settings.kinds.get(place).copied()
     }
@@ -88,25 +177,28 @@
     }
 
     /// What the module is told of an endpoint.
-    pub(super) fn entry(&self, now: Micros, hop: EndpointId, target: &Target) -> Entry {
-        let out = target.state == State::InService
-            && (self.overlay.is_out(&target.uid) || self.policy_out.contains(&target.uid));
-        let cold = target.checks == Checks::Passing && self.is_cold(now, &target.uid);
+    pub(super) fn entry(&self, now: Micros, hop: EndpointId, line: Line<'_>) -> Entry {
+        let out = line.state == State::InService
+            && (self.overlay.is_out(line.uid) || self.policy_out.contains(line.uid));
+        let cold = line.checks == Checks::Passing && self.is_cold(now, line.uid);
         Entry {
             endpoint: hop,
-            destination: target.pod_group,
-            zone: self.zone(&target.az),
-            kind: self.names.kinds.iter().position(|kind| *kind == target.model).unwrap_or(usize::MAX),
-            state: if out { Listed::Draining } else { target.state.into() },
+            destination: line.destination,
+            zone: self.zone(line.az),
+            kind: self.names.kinds.iter().position(|kind| kind == line.model).unwrap_or(usize::MAX),
+            state: if out { Listed::Draining } else { line.state.into() },
             // Cold beside others that serve: they go before it.
-            report: if cold { Report::Warning } else { target.checks.into() },
-            weight: target.capacity_hint,
+            report: if cold { Report::Warning } else { line.checks.into() },
+            weight: line.weight,
         }
     }
 
     /// A watch has told something. What is older than the list held comes from a discovery that lags, or that counts its
     /// versions anew: it is taken as far as it is safe, and the whole list asked for once more; what that says holds.
     pub(super) fn take_news(&mut self, now: Micros, mut news: News) {
+        if !self.map.has_room_for(&news) {
+            return self.refuse_news(now, news.rev);
+        }
         let older = news.origin == *self.map.origin() && news.rev < self.newest_rev;
         if !older || news.all && self.went_back.is_some_and(|watch| watch != self.watch) {
             (self.newest_rev, self.went_back) = (news.rev, None);
@@ -120,29 +212,38 @@
             news = self.map.older(news);
         }
         let form = if news.all { ListForm::Whole } else { ListForm::Changes };
-        let record = Record::Map(news.clone());
+        let record = Record::Map(news);
         self.append(&[(&record, b"")], None);
-        self.take_list(now, &news, form);
+        if let Record::Map(news) = &record {
+            self.take_list(now, news, form);
+        }
+    }
+
+    /// News with which the list would pass its bound is left out, and so is what this watch tells after it: that would
+    /// be changes to a list that is not held. Another watch begins from the list held.
+    fn refuse_news(&mut self, now: Micros, rev: u64) {
+        self.log(format!(
+            "transport map: version {rev} has more than {MOST_ENTRIES} entries; the last list stays in use"
+        ));
+        self.watch += 1;
+        self.following = false;
+        self.follow_at = now + self.follow_pause.pause(TOO_LARGE_PAUSE);
     }
 
     pub(super) fn take_list(&mut self, now: Micros, news: &News, form: ListForm) {
-        let mut entries = Vec::new();
+        let mut entries = Vec::with_capacity(news.targets.len());
+        let mut new_hops = Vec::new();
         for target in &news.targets {
-            let hop = *self.hop_numbers.entry(target.uid.clone()).or_insert(self.next_hop);
-            if hop == self.next_hop {
-                self.next_hop += 1;
-                self.hops.insert(hop, Hop { uid: target.uid.clone(), destination: target.pod_group });
-                self.destinations.insert(target.pod_group);
-            }
+            let hop = self.number(target, &mut new_hops);
             if self.map.get(&target.uid).is_some_and(|known| known.endpoint != target.endpoint) {
                 self.close_idle(hop);
                 self.pool.retire(hop);
             }
-            entries.push(self.entry(now, hop, target));
+            entries.push(self.entry(now, hop, target.into()));
         }
+        self.keep_hops(new_hops);
         if news.all {
-            let named: BTreeSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
-            self.unlisted.extend(self.hops.keys().filter(|hop| !named.contains(hop)));
+            self.unlist_all_but(&entries);
         }
         for entry in &entries {
             match entry.state {
@@ -150,20 +251,56 @@
                 Listed::On | Listed::Draining => self.unlisted.remove(&entry.endpoint),
             };
         }
-        self.map.take(news);
+        let numbers = &self.hop_numbers;
+        let shared =
+            |uid: &str| numbers.get_key_value(uid).map_or_else(|| uid.into(), |(uid, _)| uid.clone());
+        self.map.take_sharing(news, shared);
         self.events.push(Event::List { form, entries });
     }
 
+    /// The number of an endpoint; a new one is put among `new_hops`, to be kept.
+    fn number(&mut self, target: &Target, new_hops: &mut Vec<(EndpointId, Hop)>) -> EndpointId {
+        if let Some(known) = self.hop_numbers.get(target.uid.as_str()) {
+            return *known;
+        }
+        let (id, uid) = (self.next_hop, Arc::<str>::from(target.uid.as_str()));
+        self.next_hop += 1;
+        self.hop_numbers.insert(uid.clone(), id);
+        new_hops.push((id, Hop { uid, destination: target.pod_group }));
+        id
+    }
+
+    fn keep_hops(&mut self, new_hops: Vec<(EndpointId, Hop)>) {
+        self.destinations.add(&new_hops);
+        // Merging packs a tree full; for a few it would be more work than putting each in.
+        if new_hops.len() > self.hops.len() / 2 {
+            self.hops.append(&mut new_hops.into_iter().collect());
+        } else {
+            self.hops.extend(new_hops);
+        }
+    }
+
+    /// Endpoints that a whole list does not name are listed no more.
+    fn unlist_all_but(&mut self, entries: &[Entry]) {
+        let mut named: Vec<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        named.sort_unstable();
+        self.unlisted.extend(self.hops.keys().filter(|hop| named.binary_search(hop).is_err()));
+    }
+
     /// An endpoint that the list names no more is forgotten when nothing of it is out, and its connections close:
     /// another at its address is another endpoint.
     pub(super) fn forget_hops(&mut self) {
-        for id in self.unlisted.iter().copied().collect::<Vec<_>>() {
-            self.close_idle(id);
-            if !self.in_flight.values().any(|flight| flight.hop == id)
-                && let Some(hop) = self.hops.remove(&id)
-            {
+        if self.unlisted.is_empty() {
+            return;
+        }
+        for link in self.pool.drop_idle_of(&self.unlisted) {
+            self.effects.push(Effect::Close { link });
+        }
+        let busy: BTreeSet<EndpointId> = self.in_flight.values().map(|flight| flight.hop).collect();
+        for id in self.unlisted.extract_if(.., |id| !busy.contains(id)) {
+            if let Some(hop) = self.hops.remove(&id) {
                 self.hop_numbers.remove(&hop.uid);
-                self.unlisted.remove(&id);
+                self.destinations.forget(id, hop.destination);
             }
         }
     }
--- a/crates/node/src/reducer/messages.rs
+++ b/crates/node/src/reducer/messages.rs
@@ -68,7 +68,7 @@
             return self
                 .answer(ticket, SubmitAnswer::Incomplete("Idempotency-Key: missing, its class has one\n"));
         }
-        if !self.destinations.contains(&handed.dest) {
+        if !self.destinations.knows(handed.dest) {
             return self.answer(ticket, SubmitAnswer::UnknownDestination);
         }
         let full = self.settings.max_open > 0 && self.messages.len() >= self.settings.max_open;
@@ -116,8 +116,8 @@
     /// How long ago an attempt began, and where: in which zone is kept with it, for the endpoint may be gone since, or
     /// listed elsewhere. Only a record of a version before has none.
     pub(super) fn trace_of(&self, now: Micros, trace: &Trace) -> (Micros, EndpointId, usize) {
-        let hop = self.hop_numbers.get(&trace.uid).copied().unwrap_or(EndpointId::MAX);
-        let listed = || self.map.get(&trace.uid).map_or("", |target| &target.az);
+        let hop = self.hop_numbers.get(trace.uid.as_str()).copied().unwrap_or(EndpointId::MAX);
+        let listed = || self.map.get(&trace.uid).map_or("", |target| &*target.az);
         let zone = if trace.az.is_empty() { listed() } else { &trace.az };
         ((now - trace.at).max(0), hop, self.zone(zone))
     }
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -14,6 +14,8 @@
 mod routes;
 mod stop;
 mod succession;
+mod unreported;
+mod waits;
 
 use crate::backoff::Backoff;
 use crate::catalogue::Catalogue;
@@ -24,24 +26,25 @@
 use crate::retry_after;
 use attempts::InFlightCall;
 use bytes::Bytes;
-use hops::Hop;
+use hops::{Destinations, Hop};
 use messages::Message;
 use notices::{Owed, Recent};
 use operators::{ByHand, Overlay};
 use orchidyoke_core::Controller;
-use orchidyoke_core::interface::{
-    Action, DestinationId, EndpointId, Event, ListForm, MessageId, Micros, Settings,
-};
+use orchidyoke_core::interface::{Action, EndpointId, Event, ListForm, MessageId, Micros, Settings};
 use orchidyoke_core::settings::Names;
 use orchidyoke_core::transport_map::{News, TransportMap};
 use orchidyoke_journal::{Entries, Generation, Record, Space, Stage, Verdict};
 use records::{Bounds, replay};
-use routes::{RouteKey, Troubled};
+use routes::Troubled;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::sync::Arc;
 use stop::Leaving;
 use succession::{Sibling, Takeover};
+use unreported::Unreported;
+use waits::Waits;
 
 const SECOND: Micros = 1_000_000;
 /// What a deferred client is told where the journal has no room: about when some messages will have ended.
@@ -104,9 +107,9 @@
     /// Those that it names no more.
     unlisted: BTreeSet<EndpointId>,
     /// Destinations that some list has named.
-    destinations: BTreeSet<DestinationId>,
-    hop_numbers: HashMap<String, EndpointId>,
-    waits: BTreeMap<RouteKey, Micros>,
+    destinations: Destinations,
+    hop_numbers: HashMap<Arc<str>, EndpointId>,
+    waits: Waits,
     /// Routes in trouble, as the journal has them.
     troubled: Troubled,
     /// Where discovery answers, and the address given apart from the file that it has superseded.
@@ -131,7 +134,7 @@
     stored: BTreeMap<Receipt, AfterAppend>,
     next_receipt: Receipt,
     /// Appends that something waits for, until they are reported.
-    unreported: BTreeMap<Receipt, Bytes>,
+    unreported: Unreported,
     senders: usize,
     /// Clients that connect are taken.
     takes_clients: bool,
@@ -186,9 +189,9 @@
             hops: BTreeMap::new(),
             next_hop: 0,
             unlisted: BTreeSet::new(),
-            destinations: BTreeSet::new(),
+            destinations: Destinations::default(),
             hop_numbers: HashMap::new(),
-            waits: BTreeMap::new(),
+            waits: Waits::default(),
             troubled: left.troubled,
             discovery: config.discovery.at_start(left.superseded),
             catalogue: config.catalogue,
@@ -208,7 +211,7 @@
             space: Space::new(bounds.disk, journal_size),
             stored: BTreeMap::new(),
             next_receipt: 0,
-            unreported: BTreeMap::new(),
+            unreported: Unreported::default(),
             senders: 0,
             takes_clients: false,
             overlay: left.overlay,
@@ -234,11 +237,16 @@
         let known = News { all: true, ..config.known };
         // A catalogue counts versions of its own: what it told last holds until it tells more.
         let catalogued = !left.map.origin().is_empty() && reducer.catalogue.is_some();
-        let newest = if catalogued || left.map.rev() > known.rev { left.map.whole() } else { known.clone() };
+        let told_since = catalogued || left.map.rev() > known.rev;
         reducer.figures.name(&reducer.names.classes);
         reducer.take_list(now, &known, ListForm::Remembered);
-        reducer.take_list(now, &newest, ListForm::Remembered);
-        reducer.newest_rev = newest.rev;
+        drop(known);
+        if told_since {
+            reducer.take_list(now, &left.map.whole(), ListForm::Remembered);
+        }
+        reducer.newest_rev = reducer.map.rev();
+        let journaled = reducer.map == left.map;
+        drop(left.map);
         let known = reducer.troubled.iter().filter_map(|route| reducer.known(route, true, 0));
         let known: Vec<_> = known.collect();
         reducer.events.extend(known);
@@ -246,11 +254,20 @@
             reducer.heed(now, route, until);
         }
         for (taken, body) in left.taken.into_values() {
-            reducer.restore(taken, body, now);
+            // A part of the file that was read would keep all of that in memory.
+            reducer.restore(taken, Bytes::copy_from_slice(&body), now);
         }
         // Only now: an append may need a rewrite, which holds what the reducer holds.
-        let started = Record::Stage { stage: Stage::Started };
-        reducer.append(&[(&started, b""), (&Record::Map(newest), b"")], None);
+        if journaled {
+            // The list is not written again. A file that has no room for it is rewritten all the same: at a start nobody
+            // waits for that yet.
+            reducer.make_room(reducer.map.size());
+        }
+        reducer.append(&[(&Record::Stage { stage: Stage::Started }, b"")], None);
+        if !journaled {
+            let list = Record::Map(reducer.map.whole());
+            reducer.append(&[(&list, b"")], None);
+        }
         reducer
     }
 
@@ -264,7 +281,7 @@
             }
             Input::Appended { receipt, stored, size } => {
                 self.space.holds(size);
-                self.unreported.remove(&receipt);
+                self.unreported.remove(receipt);
                 match self.stored.remove(&receipt) {
                     Some(AfterAppend::TakeOn(taken)) => self.taken_on(taken, stored),
                     Some(AfterAppend::Adopted(takeover)) => self.adopted(now, takeover, stored),
--- a/crates/node/src/reducer/notices.rs
+++ b/crates/node/src/reducer/notices.rs
@@ -4,6 +4,7 @@
 use crate::input::Effect;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_journal::{Record, Verdict};
+use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
 /// An id that is over is remembered for so long: a client may still be sending it once more.
@@ -76,17 +77,21 @@
     /// How many of them are being posted.
     posting: usize,
     post_at: Micros,
+    /// How many answers are owed for each id.
+    by_id: HashMap<String, usize>,
     bytes: usize,
 }
 
 impl Owed {
     pub fn new(answers: Vec<(String, Verdict, Micros)>, now: Micros) -> Self {
-        let bytes = answers.iter().map(|(txn, ..)| id_size(txn)).sum();
-        Owed { answers: answers.into(), posting: 0, post_at: now, bytes }
+        let (posting, post_at, bytes) = (0, now, 0);
+        let mut owed = Owed { answers: VecDeque::new(), posting, post_at, by_id: HashMap::new(), bytes };
+        answers.into_iter().for_each(|(txn, verdict, at)| owed.push(txn, verdict, at));
+        owed
     }
 
     pub fn contains(&self, txn: &str) -> bool {
-        self.answers.iter().any(|(other, ..)| other == txn)
+        self.by_id.contains_key(txn)
     }
 
     pub fn is_empty(&self) -> bool {
@@ -104,6 +109,7 @@
 
     pub fn push(&mut self, txn: String, verdict: Verdict, now: Micros) {
         self.bytes += id_size(&txn);
+        *self.by_id.entry(txn.clone()).or_default() += 1;
         self.answers.push_back((txn, verdict, now));
     }
 
@@ -138,6 +144,12 @@
     fn forget(&mut self, count: usize) {
         for (txn, ..) in self.answers.drain(..count) {
             self.bytes -= id_size(&txn);
+            if let Entry::Occupied(mut owed) = self.by_id.entry(txn) {
+                *owed.get_mut() -= 1;
+                if *owed.get() == 0 {
+                    owed.remove();
+                }
+            }
         }
     }
 }
--- a/crates/node/src/reducer/operators.rs
+++ b/crates/node/src/reducer/operators.rs
@@ -6,10 +6,10 @@
 use crate::console::{Call, Reply};
 use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, Ticket};
-use orchidyoke_core::interface::{Event, ListForm, Listed, Micros};
+use orchidyoke_core::interface::{DestinationId, Event, ListForm, Listed, Micros};
 use orchidyoke_core::transport_map::State;
 use orchidyoke_journal::Record;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Endpoints out by hand that no list names may be so many; beyond, the call that lies furthest back is forgotten.
 const UNLISTED_MOST: usize = 256;
@@ -27,6 +27,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Overlay {
     calls: BTreeMap<String, ByHand>,
+    /// Those that put an endpoint back, in their order.
+    back: BTreeSet<(Micros, String)>,
     bytes: usize,
 }
 
@@ -36,8 +38,12 @@
         if !self.is_news(uid, call) {
             return false;
         }
-        if self.calls.insert(uid.to_owned(), call).is_none() {
-            self.bytes += uid.len() + CALL_RECORD;
+        match self.calls.insert(uid.to_owned(), call) {
+            Some(before) => drop(self.back.remove(&(before.at, uid.to_owned()))),
+            None => self.bytes += uid.len() + CALL_RECORD,
+        }
+        if !call.out {
+            self.back.insert((call.at, uid.to_owned()));
         }
         true
     }
@@ -56,6 +62,11 @@
         self.calls.get(uid).filter(|call| !call.out).map(|call| call.at)
     }
 
+    /// The earliest call that put an endpoint back.
+    fn first_back(&self) -> Option<Micros> {
+        self.back.first().map(|(at, _)| *at)
+    }
+
     /// About the bytes that the calls take up in a snapshot, never less.
     pub fn bytes(&self) -> usize {
         self.bytes
@@ -68,12 +79,14 @@
     /// Forgets calls back once their endpoints are warm, and the oldest of those that are unlisted and too many.
     fn prune(&mut self, warm_since: Micros, listed: impl Fn(&str) -> bool) {
         self.calls.retain(|_, call| call.out || call.at > warm_since);
+        self.back.retain(|(at, _)| *at > warm_since);
         let mut unlisted: Vec<_> =
             self.calls.iter().filter(|(uid, _)| !listed(uid)).map(|(uid, c)| (c.at, uid.clone())).collect();
         unlisted.sort_unstable();
         let surplus = unlisted.len().saturating_sub(UNLISTED_MOST);
-        for (_, uid) in unlisted.drain(..surplus) {
+        for (at, uid) in unlisted.drain(..surplus) {
             self.calls.remove(&uid);
+            self.back.remove(&(at, uid));
         }
         self.bytes = self.calls.keys().map(|uid| uid.len() + CALL_RECORD).sum();
     }
@@ -133,17 +146,24 @@
             // It was restarted meanwhile. Beside others that serve it waits until it is warm; alone, its
             // destination comes back as after an outage.
             let destination = target.pod_group;
-            let mut sisters = self.map.iter().filter(|t| t.pod_group == destination && t.uid != uid);
-            if !sisters.any(|sister| self.state_of(&sister.uid) == Some(Listed::On)) {
+            if !self.has_other_in_service(destination, uid) {
                 self.events.push(Event::Known { destination, endpoint: None, out: true, wait: 0 });
             }
         }
     }
 
+    /// Whether a destination has an endpoint in service beside this one.
+    fn has_other_in_service(&self, destination: DestinationId, uid: &str) -> bool {
+        let uids = self.destinations.endpoints_of(destination).filter_map(|id| self.hops.get(&id));
+        let others = uids.map(|hop| &*hop.uid).filter(|other| *other != uid);
+        let still = |other: &&str| self.map.get(other).is_some_and(|entry| entry.pod_group == destination);
+        others.filter(still).any(|other| self.state_of(other) == Some(Listed::On))
+    }
+
     /// Tells the module of an endpoint's state anew.
     fn relist(&mut self, now: Micros, uid: &str) {
         if let (Some(target), Some(hop)) = (self.map.get(uid), self.hop_numbers.get(uid)) {
-            let entry = self.entry(now, *hop, target);
+            let entry = self.entry(now, *hop, target.into());
             self.events.push(Event::List { form: ListForm::Changes, entries: vec![entry] });
         }
     }
@@ -162,8 +182,7 @@
 
     /// When the next endpoint that was put back is warm.
     pub(super) fn warm_at(&self) -> Option<Micros> {
-        let back = self.overlay.iter().filter(|(_, call)| !call.out);
-        back.map(|(_, call)| call.at + self.settings.warm_within).min()
+        self.overlay.first_back().map(|at| at + self.settings.warm_within)
     }
 
     /// Endpoints that were put back and are warm by now are as all others.
--- a/crates/node/src/reducer/records.rs
+++ b/crates/node/src/reducer/records.rs
@@ -124,12 +124,7 @@
     pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
-        // What has yielded is read by the successor as it grows, and stays as it is.
-        let live = self.live_size();
-        let fits = self.siblings.is_empty() || self.space.fits(live);
-        if self.stage != Stage::Yielded && fits && self.space.is_short(live, bytes.len()) {
-            self.rewrite();
-        }
+        self.make_room(bytes.len());
         self.next_receipt += 1;
         // Beside other processes there may be no room: then only what has to be written is.
         let may_wait = matches!(
@@ -153,6 +148,16 @@
         self.effects.push(Effect::Append { receipt: self.next_receipt, bytes });
     }
 
+    /// Rewrites the file where later there would be no room to do it, with so many bytes more in it.
+    pub(super) fn make_room(&mut self, more: usize) {
+        // What has yielded is read by the successor as it grows, and stays as it is.
+        let live = self.live_size();
+        let fits = self.siblings.is_empty() || self.space.fits(live);
+        if self.stage != Stage::Yielded && fits && self.space.is_short(live, more) {
+            self.rewrite();
+        }
+    }
+
     pub(super) fn rewrite(&mut self) {
         let all = self.snapshot();
         self.space.holds(all.len());
@@ -164,8 +169,8 @@
         // Counted as it comes and goes: this is asked for with each append.
         debug_assert_eq!(self.live, self.messages.values().map(Message::size).sum::<usize>());
         let known = self.map.size() + self.known_routes_size() + 300;
-        let unreported = self.unreported.values().map(Bytes::len).sum::<usize>();
-        unreported + self.live + self.owed.bytes() + self.recent.bytes() + self.overlay.bytes() + known
+        let ended = self.owed.bytes() + self.recent.bytes();
+        self.unreported.bytes() + self.live + ended + self.overlay.bytes() + known
     }
 
     /// All that still counts.
@@ -194,7 +199,7 @@
         }
         // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
         // that it went to is gone with the rewrite.
-        self.unreported.values().for_each(|appended| bytes.extend_from_slice(appended));
+        self.unreported.iter().for_each(|appended| bytes.extend_from_slice(appended));
         bytes.freeze()
     }
 }
--- a/crates/node/src/reducer/routes.rs
+++ b/crates/node/src/reducer/routes.rs
@@ -15,7 +15,25 @@
 }
 
 /// Routes in trouble.
-pub(super) type Troubled = BTreeSet<RouteKey>;
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(super) struct Troubled {
+    routes: BTreeSet<RouteKey>,
+    record_bytes: usize,
+}
+
+impl FromIterator<RouteKey> for Troubled {
+    fn from_iter<I: IntoIterator<Item = RouteKey>>(routes: I) -> Self {
+        let routes = BTreeSet::from_iter(routes);
+        let record_bytes = routes.iter().map(RouteKey::record_size).sum();
+        Troubled { routes, record_bytes }
+    }
+}
+
+impl Troubled {
+    pub fn iter(&self) -> impl Iterator<Item = &RouteKey> {
+        self.routes.iter()
+    }
+}
 
 impl RouteKey {
     pub fn new(dest: DestinationId, uid: Option<String>) -> Self {
@@ -28,7 +46,7 @@
     }
 
     /// About the bytes of its record, never less.
-    fn size(&self) -> usize {
+    pub fn record_size(&self) -> usize {
         96 + self.uid.as_ref().map_or(0, String::len)
     }
 }
@@ -50,16 +68,15 @@
     fn route_of(&self, hop: EndpointId) -> Option<RouteKey> {
         let hop = self.hops.get(&hop)?;
         let apart = self.kind_of(&hop.uid).is_some_and(|kind| kind.apart);
-        Some(RouteKey::new(hop.destination, apart.then(|| hop.uid.clone())))
+        Some(RouteKey::new(hop.destination, apart.then(|| hop.uid.to_string())))
     }
 
     /// An endpoint's answer told to wait: until when, for which route.
     pub(super) fn told_to_wait(&mut self, now: Micros, hop: EndpointId, wait: Micros) {
         let Some(route) = self.route_of(hop).filter(|_| wait > 0) else { return };
-        self.waits.retain(|_, until| *until > now);
-        let until = self.waits.entry(route.clone()).or_default();
-        *until = (*until).max(now.saturating_add(wait));
-        let record = route.wait(*until);
+        self.waits.expire(now);
+        let until = self.waits.extend_to(route.clone(), now.saturating_add(wait));
+        let record = route.wait(until);
         if self.is_shared() || self.stage == orchidyoke_journal::Stage::Yielded {
             self.append(&[(&record, b"")], None);
         }
@@ -68,16 +85,15 @@
     /// Whether a wait holds an endpoint: its own, or one of its whole destination.
     pub(super) fn is_waiting(&self, now: Micros, hop: EndpointId) -> bool {
         let Some(hop) = self.hops.get(&hop) else { return false };
-        let keys = [None, Some(hop.uid.clone())].map(|uid| RouteKey::new(hop.destination, uid));
-        keys.iter().any(|key| self.waits.get(key).is_some_and(|until| *until > now))
+        let keys = [None, Some(hop.uid.to_string())].map(|uid| RouteKey::new(hop.destination, uid));
+        keys.iter().any(|key| self.waits.runs(now, key))
     }
 
     /// A wait that was told to another process of this forwarder.
     pub(super) fn heed(&mut self, now: Micros, route: RouteKey, until: Micros) {
         if until > now {
             self.events.extend(self.known(&route, false, until - now));
-            let known = self.waits.entry(route).or_default();
-            *known = (*known).max(until);
+            self.waits.extend_to(route, until);
         }
     }
 
@@ -89,7 +105,7 @@
     /// What the module is told of a route; nothing where its endpoint is not listed: one that comes later is another.
     pub(super) fn known(&self, route: &RouteKey, out: bool, wait: Micros) -> Option<Event> {
         let endpoint = match &route.uid {
-            Some(uid) => Some(*self.hop_numbers.get(uid)?),
+            Some(uid) => Some(*self.hop_numbers.get(uid.as_str())?),
             None => None,
         };
         Some(Event::Known { destination: route.dest, endpoint, out, wait })
@@ -97,7 +113,7 @@
 
     /// About the bytes of the records of what is known of routes, never less.
     pub(super) fn known_routes_size(&self) -> usize {
-        self.troubled.iter().chain(self.waits.keys()).map(RouteKey::size).sum()
+        self.troubled.record_bytes + self.waits.record_bytes()
     }
 
     /// Destinations with a route in trouble, as the journal has them.
@@ -108,7 +124,7 @@
     /// What the module knows of routes in trouble outlasts the process.
     pub(super) fn keep_troubled(&mut self) {
         let troubled = self.controller.troubled().into_iter();
-        let name = |id: EndpointId| self.hops.get(&id).map(|hop| hop.uid.clone());
+        let name = |id: EndpointId| self.hops.get(&id).map(|hop| hop.uid.to_string());
         let keys = troubled.filter_map(|(dest, endpoint)| match endpoint {
             Some(endpoint) => Some(RouteKey::new(dest, Some(name(endpoint)?))),
             None => Some(RouteKey::new(dest, None)),
--- a/crates/node/src/reducer/succession.rs
+++ b/crates/node/src/reducer/succession.rs
@@ -202,9 +202,12 @@
         let Some(sibling) = self.siblings.get(&generation) else { return };
         let map = &sibling.left.map;
         if map.origin() == self.map.origin() && map.rev() > self.map.rev() {
-            let whole = map.whole();
-            self.append(&[(&Record::Map(whole.clone()), b"")], None);
-            self.take_list(now, &whole, ListForm::Whole);
+            // Only what differs is written: the other process may have heard of one change.
+            let record = Record::Map(self.map.changes_to(map));
+            self.append(&[(&record, b"")], None);
+            if let Record::Map(changes) = &record {
+                self.take_list(now, changes, ListForm::Changes);
+            }
         }
     }
 
--- /dev/null
+++ b/crates/node/src/reducer/unreported.rs
@@ -0,0 +1,35 @@
+//! Appends that something waits for, until the journal has reported them.
+
+use crate::input::Receipt;
+use bytes::Bytes;
+use std::collections::BTreeMap;
+
+/// Their bytes, in the order in which they were asked for.
+#[derive(Debug, Default)]
+pub(super) struct Unreported {
+    appends: BTreeMap<Receipt, Bytes>,
+    bytes: usize,
+}
+
+impl Unreported {
+    /// An append was asked for.
+    pub fn insert(&mut self, receipt: Receipt, bytes: Bytes) {
+        self.bytes += bytes.len();
+        self.appends.insert(receipt, bytes);
+    }
+
+    /// An append was reported; others are none of these.
+    pub fn remove(&mut self, receipt: Receipt) {
+        self.bytes -= self.appends.remove(&receipt).map_or(0, |bytes| bytes.len());
+    }
+
+    /// The bytes of each.
+    pub fn iter(&self) -> impl Iterator<Item = &Bytes> {
+        self.appends.values()
+    }
+
+    /// All bytes together.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+}
--- /dev/null
+++ b/crates/node/src/reducer/waits.rs
@@ -0,0 +1,53 @@
+//! Waits that were told, by route, and in the order of their ends.
+
+use super::routes::RouteKey;
+use orchidyoke_core::interface::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Until when each route is to be waited for.
+#[derive(Debug, Default)]
+pub(super) struct Waits {
+    until: BTreeMap<RouteKey, Micros>,
+    by_end: BTreeSet<(Micros, RouteKey)>,
+    record_bytes: usize,
+}
+
+impl Waits {
+    /// A wait was told; an earlier one may last longer. Gives the end of the longer one.
+    pub fn extend_to(&mut self, route: RouteKey, until: Micros) -> Micros {
+        match self.until.get(&route).copied() {
+            Some(known) if known >= until => return known,
+            Some(known) => drop(self.by_end.remove(&(known, route.clone()))),
+            None => self.record_bytes += route.record_size(),
+        }
+        self.by_end.insert((until, route.clone()));
+        self.until.insert(route, until);
+        until
+    }
+
+    /// Forgets those that are over.
+    pub fn expire(&mut self, now: Micros) {
+        while let Some((until, _)) = self.by_end.first()
+            && *until <= now
+            && let Some((_, route)) = self.by_end.pop_first()
+        {
+            self.until.remove(&route);
+            self.record_bytes -= route.record_size();
+        }
+    }
+
+    /// Whether a wait of this route runs.
+    pub fn runs(&self, now: Micros, route: &RouteKey) -> bool {
+        self.until.get(route).is_some_and(|until| *until > now)
+    }
+
+    /// By route.
+    pub fn iter(&self) -> impl Iterator<Item = (&RouteKey, &Micros)> {
+        self.until.iter()
+    }
+
+    /// About the bytes of their records, never less.
+    pub fn record_bytes(&self) -> usize {
+        self.record_bytes
+    }
+}
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -5,15 +5,20 @@
 use crate::input::Input;
 use crate::log;
 use crate::policy_overlay::PolicyOverlay;
+use orchidyoke_core::transport_map::LARGEST_LIST;
 use std::cell::RefCell;
+use std::fs::File;
 use std::future::Future;
-use std::io;
-use std::path::PathBuf;
+use std::io::{self, Read};
+use std::path::{Path, PathBuf};
 use std::pin::Pin;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::UnboundedSender;
 
+/// Bytes of a configuration at most: the largest list, and room for the settings beside it.
+const LARGEST_CONFIGURATION: usize = LARGEST_LIST + (4 << 20);
+
 /// Settings beyond the platform's file, which other installations have.
 pub trait Installation {
     /// Reads and checks them as they are now, and adds them to the configuration. It may take its time, off the
@@ -85,7 +90,7 @@
         lay_over: impl Fn(&str) -> Result<String, ConfigError>,
     ) -> Result<Config, ConfigError> {
         let within = |error| ConfigError::new(format!("{}: {error}", self.path.display()));
-        let text = std::fs::read_to_string(&self.path).map_err(|error| within(ConfigError::new(error)))?;
+        let text = read_bounded(&self.path).map_err(within)?;
         let text = lay_over(&text).map_err(within)?;
         let config = Config::read(&text, self.listen.as_deref(), self.discovery.as_deref());
         let mut config = config.map_err(within)?;
@@ -96,6 +101,18 @@
     }
 }
 
+/// Reads the text of a configuration, but no more than one may be long.
+fn read_bounded(path: &Path) -> Result<String, ConfigError> {
+    let file = File::open(path).map_err(ConfigError::new)?;
+    let mut text = String::new();
+    let most = LARGEST_CONFIGURATION as u64;
+    file.take(most + 1).read_to_string(&mut text).map_err(ConfigError::new)?;
+    if text.len() > LARGEST_CONFIGURATION {
+        return Err(ConfigError::new(format!("more than {} MiB", LARGEST_CONFIGURATION >> 20)));
+    }
+    Ok(text)
+}
+
 /// SIGHUP, listened for from here on.
 pub struct Reloads(Signal);
 
--- /dev/null
+++ b/crates/node/tests/large_lists.rs
@@ -0,0 +1,327 @@
+//! The forwarder with a list of 100,000 entries: read, kept in the journal, found at the next start, reloaded, changed;
+//! and what becomes of one that is not good.
+
+mod common;
+
+use bytes::Bytes;
+use orchidyoke_core::interface::Micros;
+use orchidyoke_core::transport_map::{Checks, MOST_ENTRIES, News, State, Target, TransportMap};
+use orchidyoke_journal::{Record, replay};
+use orchidyoke_node::catalogue::UpdateSender;
+use orchidyoke_node::config::Config;
+use orchidyoke_node::console;
+use orchidyoke_node::discovery::{Ended, follow};
+use orchidyoke_node::input::{Effect, Following, Input};
+use orchidyoke_node::reducer::Reducer;
+use orchidyoke_node::reload::Source;
+use std::cell::RefCell;
+use std::fs;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{Instant, sleep};
+
+const LISTED: usize = 100_000;
+const SECOND: Micros = 1_000_000;
+const START: Micros = 1_800_000_000 * SECOND;
+/// More than a record of one entry takes up, and far less than the list.
+const SMALL_RECORD: usize = 1_000;
+
+fn target(number: usize) -> Target {
+    Target {
+        uid: format!("s-{number:08x}"),
+        endpoint: "127.0.0.1:8000".parse().expect("an address"),
+        az: "a".to_owned(),
+        model: "one".to_owned(),
+        pod_group: number as u64,
+        state: State::InService,
+        capacity_hint: 20.0,
+        checks: Checks::Passing,
+    }
+}
+
+fn targets(count: usize) -> Vec<Target> {
+    (0..count).map(target).collect()
+}
+
+fn news(rev: u64, all: bool, targets: Vec<Target>) -> News {
+    News { rev, all, targets, origin: String::new() }
+}
+
+/// A configuration that knows these, with a folder that is large enough for them.
+fn text(targets: Vec<Target>) -> String {
+    common::config("127.0.0.1:1", "127.0.0.1:2", targets).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
+}
+
+fn config(targets: Vec<Target>) -> Config {
+    Config::read(&text(targets), None, None).expect("a configuration")
+}
+
+/// A forwarder and its journal's file.
+struct World {
+    reducer: Reducer,
+    file: Vec<u8>,
+    now: Micros,
+    watch: u64,
+    log: Vec<String>,
+}
+
+impl World {
+    /// A start on what the file holds.
+    fn start(config: Config, file: Vec<u8>) -> Self {
+        let (records, whole) = replay(Bytes::copy_from_slice(&file));
+        assert_eq!(whole, file.len());
+        let reducer = Reducer::new(config, 0, records, whole, START);
+        let mut world = World { reducer, file, now: START, watch: 0, log: Vec::new() };
+        // The module's turn is not due yet: it would take in the list, which is not looked at here.
+        world.input(Input::Withdrawn { ticket: 0 });
+        world
+    }
+
+    /// One input; bytes that it writes to the file.
+    fn input(&mut self, input: Input) -> usize {
+        let mut inputs = vec![input];
+        let mut written = 0;
+        while let Some(input) = inputs.pop() {
+            for effect in self.reducer.step(self.now, input) {
+                match effect {
+                    Effect::Append { receipt, bytes } => {
+                        self.file.extend_from_slice(&bytes);
+                        written += bytes.len();
+                        inputs.push(Input::Appended { receipt, stored: true, size: self.file.len() });
+                    }
+                    Effect::Rewrite { bytes } => {
+                        written += bytes.len();
+                        self.file = bytes.to_vec();
+                    }
+                    Effect::Follow { watch, .. } => self.watch = watch,
+                    Effect::Log { line } => self.log.push(line),
+                    _ => {}
+                }
+            }
+        }
+        written
+    }
+
+    /// News by the watch that is followed; bytes that it writes.
+    fn news(&mut self, news: News) -> usize {
+        let watch = self.watch;
+        self.input(Input::News { watch, news })
+    }
+
+    /// The list as a start would find it.
+    fn journaled(&self) -> TransportMap {
+        let mut map = TransportMap::default();
+        let (records, whole) = replay(Bytes::copy_from_slice(&self.file));
+        assert_eq!(whole, self.file.len());
+        for (record, _) in records {
+            if let Record::Map(news) = record {
+                map.take(&news);
+            }
+        }
+        map
+    }
+
+    /// Endpoints as the forwarder holds them.
+    fn listed(&self) -> usize {
+        self.reducer.gauges().targets
+    }
+}
+
+// Guards against a large list that a restart forgets or writes once more, and against a change of one entry that costs
+// as much as all of them: in bytes written, or told to the module.
+#[test]
+fn a_large_list_outlasts_the_process_and_a_small_change_stays_small() {
+    let mut world = World::start(config(targets(4)), Vec::new());
+    assert!(world.news(news(2, true, targets(LISTED))) > 100 * LISTED, "it is written");
+    assert_eq!(world.listed(), LISTED);
+    let draining = Target { state: State::Terminating, ..target(LISTED / 2) };
+    for (rev, changed) in [(3, draining.clone()), (4, target(LISTED)), (5, target(0))] {
+        let written = world.news(news(rev, false, vec![changed]));
+        assert!(written < SMALL_RECORD, "version {rev}: {written} bytes");
+    }
+    let out = console::Call::DisableServer(target(7).uid);
+    assert!(world.input(Input::Operator { ticket: 1, call: out }) < SMALL_RECORD);
+
+    let mut world = World::start(config(targets(4)), world.file);
+    assert_eq!(world.listed(), LISTED + 1);
+    let map = world.journaled();
+    assert_eq!((map.rev(), map.len()), (5, LISTED + 1));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(State::Terminating));
+    assert!(world.news(news(6, false, vec![target(1)])) < SMALL_RECORD);
+    let size = world.file.len();
+    let world = World::start(config(targets(4)), world.file);
+    assert!(world.file.len() < size + SMALL_RECORD, "the list that the file has is not written again");
+}
+
+// Guards against a list in the configuration that is read and not kept, and against a reload that forgets what
+// discovery has told since.
+#[tokio::test(flavor = "current_thread")]
+async fn a_large_list_is_reloaded_with_the_configuration() {
+    let folder = Folder::new("reload");
+    let source = folder.source(&text(targets(LISTED)));
+    let mut world = World::start(source.load().await.expect("good"), Vec::new());
+    assert_eq!((world.listed(), world.journaled().len()), (LISTED, LISTED));
+    world.news(news(2, false, vec![target(LISTED)]));
+    let reloaded = source.load().await.expect("good");
+    let written = world.input(Input::Reconfigured(Box::new(reloaded)));
+    assert!(written < SMALL_RECORD, "{written} bytes");
+    assert_eq!((world.listed(), world.journaled().rev()), (LISTED + 1, 2));
+}
+
+// Guards against a list in the configuration that is taken in part, and against a reason that is not said, or not in
+// one line.
+#[tokio::test(flavor = "current_thread")]
+async fn a_list_in_the_configuration_that_is_not_good_is_an_error_of_one_line() {
+    let good = text(targets(LISTED));
+    let last = format!("\"uid\":\"{}\"", target(LISTED - 1).uid);
+    let too_large = " ".repeat(64 << 20);
+    for (what, text, why) in [
+        ("cut off", good[..good.len() / 2].to_owned(), "EOF"),
+        ("malformed in its last entry", good.replace(&last, "\"uid\":7"), "invalid type"),
+        ("too many entries", text(targets(MOST_ENTRIES + 1)), "more than 200000 entries"),
+        ("too many bytes", too_large + &good, "more than 52 MiB"),
+    ] {
+        let folder = Folder::new("bad-list");
+        let error = folder.source(&text).load().await.expect_err(what).to_string();
+        assert!(error.contains(why) && error.lines().count() == 1, "{what}: {error}");
+    }
+}
+
+// Guards against a list that grows beyond its bound change by change, and against changes taken in after one that was
+// left out.
+#[test]
+fn changes_that_would_pass_the_bound_change_nothing_and_are_said_once() {
+    let mut world = World::start(config(targets(4)), Vec::new());
+    world.news(news(2, true, targets(MOST_ENTRIES)));
+    let (size, lines) = (world.file.len(), world.log.len());
+    assert_eq!(world.news(news(3, false, vec![target(MOST_ENTRIES)])), 0);
+    assert_eq!(
+        world.news(news(4, false, vec![target(MOST_ENTRIES + 1)])),
+        0,
+        "this follows what was left out"
+    );
+    assert_eq!((world.listed(), world.file.len()), (MOST_ENTRIES, size));
+    assert_eq!(world.log.len(), lines + 1, "{:?}", &world.log[lines..]);
+    assert!(world.log[lines].contains("more than 200000 entries"), "{}", world.log[lines]);
+
+    let asked = world.watch;
+    world.now += 20 * SECOND;
+    let effects = world.reducer.step(world.now, Input::Withdrawn { ticket: 0 });
+    let since = effects.iter().find_map(|effect| match effect {
+        Effect::Follow { watch, from: Following::Discovery { since, .. } } => Some((*watch, *since)),
+        _ => None,
+    });
+    let (watch, since) = since.expect("it is asked for again");
+    assert!(watch > asked && since == 2, "watch {watch} from version {since}");
+    world.watch = watch;
+    let gone = Target { state: State::Terminated, ..target(0) };
+    assert!(world.news(news(5, false, vec![gone, target(MOST_ENTRIES)])) > 0);
+    assert_eq!(world.listed(), MOST_ENTRIES);
+}
+
+// Guards against a watch that ends in the middle of a large list and changes something, or is not said in one line.
+#[test]
+fn a_watch_that_was_cut_off_is_said_in_one_line_and_changes_nothing() {
+    let mut world = World::start(config(targets(4)), Vec::new());
+    let (size, lines) = (world.file.len(), world.log.len());
+    let why = "it ended in the middle of a list, after 9000000 bytes".to_owned();
+    let (watch, wait_ms, unheard) = (world.watch, 0, 0);
+    assert_eq!(world.input(Input::MapLost { watch, why, wait_ms, unheard }), 0);
+    assert_eq!((world.listed(), world.file.len()), (4, size));
+    assert!(world.log[lines..].iter().eq([
+        "transport map: it ended in the middle of a list, after 9000000 bytes; the last list stays in use"
+    ]));
+}
+
+/// A folder of its own with a configuration, removed at the end.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("orchidyoke-lists-{name}-{}", std::process::id()));
+        fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+
+    fn source(&self, text: &str) -> Source {
+        let path = self.0.join("config.json");
+        fs::write(&path, text).expect("writes");
+        Source { path, ..Source::default() }
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        drop(fs::remove_dir_all(&self.0));
+    }
+}
+
+/// Follows a far end that writes these chunks, with a pause after each, and closes. What was told, how it ended, and
+/// after what time.
+async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<News>, Ended, Duration) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let at = listener.local_addr().expect("its address");
+    let far_end = async {
+        let (mut stream, _) = listener.accept().await.expect("a watch");
+        let mut request = Vec::new();
+        while !request.ends_with(b"\r\n\r\n") {
+            request.push(stream.read_u8().await.expect("its request"));
+        }
+        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("an answer");
+        for chunk in chunks {
+            let chunk = format!("{:x}\r\n{chunk}\r\n", chunk.len());
+            if stream.write_all(chunk.as_bytes()).await.is_err() {
+                return;
+            }
+            sleep(pause).await;
+        }
+        drop(stream.write_all(b"0\r\n\r\n").await);
+        until_closed(stream).await;
+    };
+    let told = Rc::new(RefCell::new(Vec::new()));
+    let updates = UpdateSender::new({
+        let told = told.clone();
+        move |news| told.borrow_mut().push(news)
+    });
+    let began = Instant::now();
+    let (ended, ()) = tokio::join!(follow(at, 0, updates), far_end);
+    (told.take(), ended, began.elapsed())
+}
+
+async fn until_closed(mut stream: TcpStream) {
+    while stream.read(&mut [0; 1024]).await.is_ok_and(|count| count > 0) {}
+}
+
+fn in_chunks(text: &str, size: usize) -> Vec<String> {
+    text.as_bytes().chunks(size).map(|part| String::from_utf8_lossy(part).into_owned()).collect()
+}
+
+// Guards against a large list that a watch does not bring, one of which a part is told, and one whose end says nothing.
+#[tokio::test(flavor = "current_thread")]
+async fn a_watch_brings_a_large_list_whole_or_not_at_all() {
+    let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
+    let (told, ended, _) = followed(in_chunks(&text, 20_000), Duration::ZERO).await;
+    assert_eq!(told.iter().map(|news| news.targets.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
+    let last = format!("\"uid\":\"{}\"", target(LISTED - 1).uid);
+    for (what, text, why) in [
+        ("cut off", text[..text.len() / 2].to_owned(), "in the middle of a list"),
+        ("malformed in its last entry", text.replace(&last, "\"uid\":7"), "no list"),
+    ] {
+        let (told, ended, _) = followed(in_chunks(&text, 200_000), Duration::ZERO).await;
+        assert!(told.is_empty() && ended.why.contains(why), "{what}: {ended:?}");
+        assert_eq!(ended.why.lines().count(), 1, "{what}: {ended:?}");
+    }
+}
+
+// Guards against a large list that comes steadily and is cut off each time before it is whole: it would never come.
+#[tokio::test(flavor = "current_thread")]
+async fn a_large_list_that_comes_steadily_is_waited_for() {
+    let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
+    let chunks = in_chunks(&text, text.len() / 25);
+    let (told, ended, took) = followed(chunks, Duration::from_millis(210)).await;
+    assert!(took > Duration::from_millis(4_800), "after {took:?}");
+    assert_eq!(told.len(), 1, "after {took:?}: {ended:?}");
+}
--- /dev/null
+++ b/crates/node/tests/list_reader.rs
@@ -0,0 +1,117 @@
+//! Lists out of frames: what is handed on, what is not, and how much work it is, at the size of 100,000 entries.
+
+use orchidyoke_core::transport_map::{LARGEST_LIST, ListError, MOST_ENTRIES, News, State};
+use orchidyoke_node::list_reader::ListReader;
+use std::fmt::Write;
+
+const LISTED: usize = 100_000;
+/// A frame as a socket gives it.
+const FRAME: usize = 64 << 10;
+
+fn entry(number: usize) -> String {
+    format!(
+        "{{\"uid\":\"s-{number:08x}\",\"endpoint\":\"127.0.0.1:8000\",\"az\":\"a\",\"model\":\"one\",\
+         \"pod_group\":{number},\"state\":\"in_service\",\"capacity_hint\":20.0,\"boot_ms\":0}}"
+    )
+}
+
+/// A whole list of so many entries, with this in the place of its end.
+fn list_with_end(entries: usize, end: &str) -> String {
+    let mut text = "{\"rev\":1,\"all\":true,\"targets\":[".to_owned();
+    for number in 0..entries {
+        let comma = if number == 0 { "" } else { "," };
+        write!(text, "{comma}{}", entry(number)).expect("a string");
+    }
+    text + end
+}
+
+fn list(entries: usize) -> String {
+    list_with_end(entries, "]}\n")
+}
+
+/// What is handed on of a text in frames of this size, and the error that ended it.
+fn read(reader: &mut ListReader, text: &[u8], frame: usize) -> (Vec<News>, Option<ListError>) {
+    let mut lists = Vec::new();
+    for part in text.chunks(frame) {
+        if let Err(error) = reader.take(part, |news| lists.push(news)) {
+            return (lists, Some(error));
+        }
+    }
+    (lists, None)
+}
+
+// Guards against a list that is parsed again from its beginning with each frame, and against one that is read otherwise
+// because it is large.
+#[test]
+fn a_list_of_100_000_entries_is_parsed_once_however_it_is_cut() {
+    let text = list(LISTED);
+    for frame in [1_000, FRAME, text.len()] {
+        let mut reader = ListReader::default();
+        let (lists, error) = read(&mut reader, text.as_bytes(), frame);
+        assert!(error.is_none(), "frames of {frame}: {error:?}");
+        assert_eq!((lists.len(), lists[0].targets.len()), (1, LISTED), "frames of {frame}");
+        assert_eq!(lists[0].targets[LISTED - 1].uid, format!("s-{:08x}", LISTED - 1));
+        assert!(reader.parsed_bytes() <= text.len(), "{} of {}", reader.parsed_bytes(), text.len());
+        assert_eq!(reader.unfinished_bytes(), 0);
+    }
+}
+
+// Guards against brackets, quotes and backslashes within names that are taken for those of the list, and against blank
+// lines that are not told from a part of a list.
+#[test]
+fn names_may_hold_what_ends_a_list_and_blank_lines_are_told() {
+    let first = list(2).replace("s-00000001", r#"}]\"{\\"#);
+    let text = format!("\r\n \n{first}\n\n{}\n", list(1));
+    for frame in [1, 2, 3, 50, text.len()] {
+        let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), frame);
+        assert!(error.is_none(), "{error:?}");
+        assert_eq!(lists.iter().map(|news| news.targets.len()).collect::<Vec<_>>(), [2, 1]);
+        assert_eq!(lists[0].targets[1].uid, r#"}]"{\"#);
+    }
+    let mut reader = ListReader::default();
+    let mut whole = |bytes: &[u8]| reader.take(bytes, |_| {}).expect("no error");
+    assert!(whole(b"\n"), "a blank line says that all is well");
+    assert!(!whole(b"{"), "the beginning of a list is nothing whole");
+    assert!(!whole(b" \n "), "nor are blanks within it");
+}
+
+// Guards against a part of a list that is handed on: cut off, malformed in its last entry, or beyond the bounds; and
+// against a list that is kept though it is larger than any may be.
+#[test]
+fn nothing_is_handed_on_of_a_list_that_is_not_good() {
+    let cut_off = list_with_end(LISTED, "");
+    let mut reader = ListReader::default();
+    let (lists, error) = read(&mut reader, cut_off.as_bytes(), FRAME);
+    assert!(lists.is_empty() && error.is_none(), "{error:?}");
+    assert_eq!(reader.unfinished_bytes(), cut_off.len());
+
+    let malformed = list_with_end(LISTED, ",{\"uid\":\"s-x\"}]}\n");
+    let too_many = list(MOST_ENTRIES + 1);
+    let too_large =
+        format!("{{\"rev\":1,\"all\":true,\"targets\":[],\"origin\":\"{}\"}}", "x".repeat(LARGEST_LIST));
+    for (what, text) in [("malformed", malformed), ("too many", too_many), ("too large", too_large)] {
+        let mut reader = ListReader::default();
+        let (lists, error) = read(&mut reader, text.as_bytes(), FRAME);
+        let error = error.unwrap_or_else(|| panic!("{what} is an error"));
+        let expected = match what {
+            "malformed" => matches!(error, ListError::Malformed(_)),
+            "too many" => matches!(error, ListError::TooManyEntries),
+            _ => matches!(error, ListError::TooLarge),
+        };
+        assert!(expected, "{what}: {error:?}");
+        assert!(lists.is_empty(), "{what}");
+        assert_eq!(error.to_string().lines().count(), 1, "{what}: one line");
+        assert!(reader.unfinished_bytes() <= LARGEST_LIST, "{what}");
+    }
+}
+
+// Guards against a bound that keeps out what it is made for: twice the size that the forwarder is built for.
+#[test]
+fn the_largest_list_that_is_allowed_is_read() {
+    let text = list(MOST_ENTRIES);
+    assert!(text.len() <= LARGEST_LIST, "{} bytes", text.len());
+    let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME);
+    assert!(error.is_none(), "{error:?}");
+    assert_eq!(lists[0].targets.len(), MOST_ENTRIES);
+    assert!(lists[0].targets.iter().all(|target| target.state == State::InService));
+}
