--- a/crates/node/src/reducer/hops.rs
+++ b/crates/node/src/reducer/hops.rs
@@ -68,48 +68,6 @@
     }
 }
 
-/// Destinations that some list has named, and the endpoints of each that are not forgotten.
-#[derive(Debug, Default)]
-pub(super) struct Destinations {
-    endpoints: BTreeSet<(DestinationId, EndpointId)>,
-    /// Those that have no endpoint any more.
-    without: BTreeSet<DestinationId>,
-}
-
-impl Destinations {
-    /// Whether some list has named it.
-    pub fn knows(&self, destination: DestinationId) -> bool {
-        self.endpoints_of(destination).next().is_some() || self.without.contains(&destination)
-    }
-
-    pub fn endpoints_of(&self, destination: DestinationId) -> impl Iterator<Item = EndpointId> {
-        let all = (destination, EndpointId::MIN)..=(destination, EndpointId::MAX);
-        self.endpoints.range(all).map(|(_, endpoint)| *endpoint)
-    }
-
-    fn add(&mut self, hops: &[(EndpointId, Hop)]) {
-        let mut endpoints = hops.iter().map(|(id, hop)| (hop.destination, *id)).collect();
-        // Merging packs a tree full; for a few it would be more work than putting each in.
-        if hops.len() > self.endpoints.len() / 2 {
-            self.endpoints.append(&mut endpoints);
-        } else {
-            self.endpoints.extend(endpoints);
-        }
-        if !self.without.is_empty() {
-            for (_, hop) in hops {
-                self.without.remove(&hop.destination);
-            }
-        }
-    }
-
-    fn forget(&mut self, id: EndpointId, destination: DestinationId) {
-        self.endpoints.remove(&(destination, id));
-        if self.endpoints_of(destination).next().is_none() {
-            self.without.insert(destination);
-        }
-    }
-}
-
 impl Reducer {
     /// Takes over what can change while the process runs. What is held and what is out carries on; the list
     /// stays in use until discovery, perhaps at another address, has told more.
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -6,6 +6,7 @@
 //! stored.
 
 mod attempts;
+mod destinations;
 mod hops;
 mod messages;
 mod notices;
@@ -26,7 +27,8 @@
 use crate::retry_after;
 use attempts::InFlightCall;
 use bytes::Bytes;
-use hops::{Destinations, Hop};
+use destinations::Destinations;
+use hops::Hop;
 use messages::Message;
 use notices::{Owed, Recent};
 use operators::{ByHand, Overlay};
--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -1,7 +1,8 @@
 //! The forwarder with a list of 100,000 entries: read, kept in the journal, found at the next start, reloaded, changed;
 //! and what becomes of one that is not good.
 
-mod common;
+#[path = "common/deployments.rs"]
+mod deployments;
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
@@ -11,7 +12,7 @@
 use orchidyoke_node::config::Config;
 use orchidyoke_node::console;
 use orchidyoke_node::discovery::{Ended, follow};
-use orchidyoke_node::input::{Effect, Following, Input};
+use orchidyoke_node::input::{Effect, Following, Input, Shown};
 use orchidyoke_node::reducer::Reducer;
 use orchidyoke_node::reload::Source;
 use std::cell::RefCell;
@@ -52,7 +53,7 @@
 
 /// A configuration that knows these, with a folder that is large enough for them.
 fn text(targets: Vec<Target>) -> String {
-    common::config("127.0.0.1:1", "127.0.0.1:2", targets).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
+    deployments::config("127.0.0.1:1", "127.0.0.1:2", targets).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
 }
 
 fn config(targets: Vec<Target>) -> Config {
@@ -156,6 +157,27 @@
     assert!(world.file.len() < size + SMALL_RECORD, "the list that the file has is not written again");
 }
 
+// Guards against a change that another process of this forwarder has heard of and that costs as much as the list.
+#[test]
+fn a_change_heard_by_another_process_is_written_as_a_change() {
+    let mut world = World::start(config(targets(4)), Vec::new());
+    world.news(news(2, true, targets(LISTED)));
+    let draining = Target { state: State::Terminating, ..target(5) };
+    let gone = Target { state: State::Terminated, ..target(6) };
+    let heard = [
+        news(2, true, targets(LISTED)),
+        news(3, false, vec![draining.clone(), gone.clone(), target(LISTED), target(LISTED + 1)]),
+    ];
+    let records = heard.into_iter().map(|news| (Record::Map(news), Bytes::new())).collect();
+    let shown = vec![Shown { generation: 1, anew: true, records, size: 20_000_000, ended: false }];
+    let written = world.input(Input::Siblings { shown, gone: Vec::new() });
+    assert!(written < 2 * SMALL_RECORD, "{written} bytes");
+    let map = world.journaled();
+    assert_eq!((map.rev(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(State::Terminating));
+    assert!(map.get(&gone.uid).is_none() && map.get(&target(LISTED).uid).is_some());
+}
+
 // Guards against a list in the configuration that is read and not kept, and against a reload that forgets what
 // discovery has told since.
 #[tokio::test(flavor = "current_thread")]
--- a/crates/node/tests/list_reader.rs
+++ b/crates/node/tests/list_reader.rs
@@ -105,6 +105,17 @@
     }
 }
 
+// Guards against a bound that is looked at only when the list has come whole: one without an end would fill the memory.
+#[test]
+fn a_list_beyond_the_bounds_is_given_up_before_its_end() {
+    let too_many = list_with_end(MOST_ENTRIES + 1, "");
+    let too_large = format!("{{\"origin\":\"{}", "x".repeat(LARGEST_LIST));
+    let (_, error) = read(&mut ListReader::default(), too_many.as_bytes(), FRAME);
+    assert!(matches!(error, Some(ListError::TooManyEntries)), "{error:?}");
+    let (_, error) = read(&mut ListReader::default(), too_large.as_bytes(), FRAME);
+    assert!(matches!(error, Some(ListError::TooLarge)), "{error:?}");
+}
+
 // Guards against a bound that keeps out what it is made for: twice the size that the forwarder is built for.
 #[test]
 fn the_largest_list_that_is_allowed_is_read() {
