--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -81,11 +81,11 @@
 // Guards against a snapshot that is larger than was reckoned with: old file and new one would pass the folder's limit.
 #[test]
 fn a_list_is_never_larger_in_the_file_than_reckoned() {
-    let longest = Target {
-        uid: "\u{1}\"\\\u{7f}é".to_owned(),
+    let longest = |number: usize| Target {
+        uid: format!("\u{1}\u{2}{number:04}"),
         endpoint: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
-        az: "\n".to_owned(),
-        model: String::new(),
+        az: "\u{3}".to_owned(),
+        model: "\u{4}".to_owned(),
         pod_group: u64::MAX,
         state: State::Terminating,
         capacity_hint: -f64::MIN_POSITIVE,
@@ -98,9 +98,9 @@
         assert!(size >= written, "{} entries: {size} for {written}", map.len());
         assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", map.len());
     };
-    check(vec![longest.clone()]);
+    check((0..1000).map(longest).collect());
     check((0..100).map(target).collect());
-    check(vec![Target { state: State::Terminated, ..longest }]);
+    check((0..1000).map(|number| Target { state: State::Terminated, ..longest(number) }).collect());
     let gone = |number| Target { state: State::Terminated, ..target(number) };
     check((0..100).map(gone).collect());
     assert_eq!(map.len(), 0);
