--- /dev/null
+++ b/crates/lab/src/capacity/process.rs
@@ -0,0 +1,93 @@
+//! What the system counts of a process: processor time, resident memory, threads and descriptors.
+
+use nix::time::clock_getcpuclockid;
+use nix::unistd::Pid;
+use std::collections::BTreeMap;
+use std::fs;
+use std::io::{self, ErrorKind};
+use std::time::Duration;
+
+/// The number of a process.
+pub type ProcessId = u32;
+
+/// A process as the system counts it at one moment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Usage {
+    /// Processor time that it has used since its start, in user and kernel mode, threads that have ended included.
+    pub processor: Duration,
+    /// Bytes of its memory that are resident.
+    pub resident: u64,
+    /// Its threads.
+    pub threads: usize,
+}
+
+/// What a process uses now; an error where it has ended.
+pub fn usage(process: ProcessId) -> io::Result<Usage> {
+    let status = fs::read_to_string(format!("/proc/{process}/status"))?;
+    Ok(Usage {
+        processor: processor_time(process)?,
+        resident: status_field(&status, "VmRSS:")? << 10,
+        threads: status_field(&status, "Threads:")? as usize,
+    })
+}
+
+/// Processor time of a process, by its own clock: to the nanosecond, where `/proc/PID/stat` counts in ticks.
+pub fn processor_time(process: ProcessId) -> io::Result<Duration> {
+    let process = i32::try_from(process).map_err(|_| missing("process number"))?;
+    Ok(clock_getcpuclockid(Pid::from_raw(process))?.now()?.into())
+}
+
+/// Descriptors that a process has open.
+pub fn descriptors(process: ProcessId) -> io::Result<usize> {
+    Ok(fs::read_dir(format!("/proc/{process}/fd"))?.count())
+}
+
+/// Most descriptors that a process may have open.
+pub fn descriptor_limit(process: ProcessId) -> io::Result<usize> {
+    let limits = fs::read_to_string(format!("/proc/{process}/limits"))?;
+    let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
+    let soft = line.and_then(|line| line.split_whitespace().next());
+    soft.and_then(|number| number.parse().ok()).ok_or_else(|| missing("Max open files"))
+}
+
+/// A process and all below it: its children, theirs, and so on. Those that end meanwhile are left out.
+pub fn family(root: ProcessId) -> io::Result<Vec<ProcessId>> {
+    let mut children: BTreeMap<ProcessId, Vec<ProcessId>> = BTreeMap::new();
+    for entry in fs::read_dir("/proc")? {
+        let name = entry?.file_name();
+        let Some(process) = name.to_str().and_then(|name| name.parse().ok()) else { continue };
+        if let Some(parent) = parent(process) {
+            children.entry(parent).or_default().push(process);
+        }
+    }
+    let mut family = vec![root];
+    let mut next = 0;
+    while let Some(process) = family.get(next) {
+        let below = children.remove(process).unwrap_or_default();
+        family.extend(below);
+        next += 1;
+    }
+    Ok(family)
+}
+
+/// Bytes of memory that the machine has.
+pub fn machine_memory() -> io::Result<u64> {
+    Ok(status_field(&fs::read_to_string("/proc/meminfo")?, "MemTotal:")? << 10)
+}
+
+fn parent(process: ProcessId) -> Option<ProcessId> {
+    let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
+    // The name stands in brackets and may hold anything; the state and the parent's number follow it.
+    stat.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
+}
+
+/// The number behind a name, as in `VmRSS:  1024 kB`.
+fn status_field(text: &str, name: &str) -> io::Result<u64> {
+    let line = text.lines().find_map(|line| line.strip_prefix(name));
+    let number = line.and_then(|line| line.split_whitespace().next());
+    number.and_then(|number| number.parse().ok()).ok_or_else(|| missing(name))
+}
+
+fn missing(what: &str) -> io::Error {
+    io::Error::new(ErrorKind::InvalidData, format!("{what}: missing or not a number"))
+}
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,6 +4,7 @@
 //! The last line on standard output is one JSON object. The exit status says whether all rules were kept: 0 they were,
 //! 1 one was broken, 2 the experiment could not be run.
 
+mod capacity;
 mod cold;
 mod drain;
 mod fleet;
--- /dev/null
+++ b/crates/lab/tests/budget.rs
@@ -0,0 +1,92 @@
+//! The budget of an experiment: measured over its processes, and plain about what is over it.
+
+#[path = "../src/capacity"]
+mod capacity {
+    pub mod budget;
+    pub mod process;
+}
+
+use capacity::budget::{Budget, BudgetError, Used};
+use capacity::process;
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// A child that waits, and a child of its own.
+struct Waiting(Child);
+
+impl Waiting {
+    fn start() -> Self {
+        let script = "sleep 60 & read line; kill $!";
+        let child = Command::new("sh").args(["-c", script]).stdin(Stdio::piped()).spawn();
+        Waiting(child.expect("a shell"))
+    }
+}
+
+impl Drop for Waiting {
+    fn drop(&mut self) {
+        // The end of its input ends both.
+        drop(self.0.stdin.take());
+        drop(self.0.wait());
+    }
+}
+
+fn within(patience: Duration, mut holds: impl FnMut() -> bool) -> bool {
+    let until = Instant::now() + patience;
+    while Instant::now() < until {
+        if holds() {
+            return true;
+        }
+        std::thread::sleep(Duration::from_millis(5));
+    }
+    false
+}
+
+// Guards against an experiment whose children, or theirs, go uncounted.
+#[test]
+fn children_and_theirs_are_counted() {
+    let waiting = Waiting::start();
+    let own = std::process::id();
+    let family = || process::family(own).expect("a list of processes");
+    assert!(within(Duration::from_secs(10), || {
+        family().contains(&waiting.0.id()) && process::family(waiting.0.id()).is_ok_and(|all| all.len() == 2)
+    }));
+    let tight = Budget { processes: 2, ..Budget::of_this_machine().expect("a machine") };
+    let Err(BudgetError::Processes { count, most: 2 }) = tight.check() else { panic!("two are below it") };
+    assert!(count >= 3, "{count}");
+}
+
+// Guards against a stop that comes only after the step that goes over.
+#[test]
+fn the_next_step_is_held_against_the_budget() {
+    let budget = Budget::of_this_machine().expect("a machine");
+    let used = budget.check().expect("within it");
+    assert!(used.resident > 0 && used.processes >= 1 && used.descriptors >= 3, "{used:?}");
+    let memory = Used { resident: budget.resident, ..Used::default() };
+    let error = budget.check_with(&memory).expect_err("more than half of the machine");
+    assert!(matches!(error, BudgetError::Memory { .. }) && error.to_string().contains("MiB are allowed"));
+    let processes = Used { processes: budget.processes, ..Used::default() };
+    let error = budget.check_with(&processes).expect_err("too many processes");
+    assert!(error.to_string().contains("processes, 300 are allowed"), "{error}");
+    let limit = process::descriptor_limit(std::process::id()).expect("a limit");
+    let error = budget.check_with(&Used { descriptors: limit, ..Used::default() }).expect_err("too many");
+    assert!(matches!(error, BudgetError::Descriptors { .. }), "{error}");
+}
+
+// Guards against a clock that counts ticks, or another process's time.
+#[test]
+fn processor_time_is_that_of_the_process() {
+    let waiting = Waiting::start();
+    let own = || process::processor_time(std::process::id()).expect("this process");
+    let (before, begin) = (own(), Instant::now());
+    let mut sum = 0u64;
+    while own() - before < Duration::from_millis(30) {
+        sum = std::hint::black_box(sum.wrapping_add(1));
+        assert!(begin.elapsed() < Duration::from_secs(30), "its clock stands still");
+    }
+    let child = process::usage(waiting.0.id()).expect("it waits");
+    assert!(
+        child.processor < Duration::from_secs(1) && child.resident > 0 && child.threads == 1,
+        "{child:?}"
+    );
+    assert!(process::usage(u32::MAX >> 1).is_err(), "there is no such process");
+}
--- /dev/null
+++ b/crates/lab/tests/fit.rs
@@ -0,0 +1,53 @@
+//! Lines by least squares: exact where the points lie on one, and telling where they do not.
+
+#[path = "../src/capacity/fit.rs"]
+mod fit;
+
+use fit::{Point, growth_exponent, line};
+
+const SIZES: [f64; 5] = [1e3, 3e3, 1e4, 3e4, 1e5];
+
+fn points(of: impl Fn(f64) -> f64) -> Vec<Point> {
+    SIZES.iter().map(|size| (*size, of(*size))).collect()
+}
+
+fn close(left: f64, right: f64) -> bool {
+    (left - right).abs() <= 1e-6 * right.abs().max(1.0)
+}
+
+// Guards against a slope that depends on where the line begins, or on the sign of either.
+#[test]
+fn points_on_a_line_give_that_line() {
+    for (slope, intercept) in [(0.002, 7.0), (-3.0, 1e6), (1600.0, -5.0), (0.0, 4.0)] {
+        let fit = line(&points(|x| intercept + slope * x)).expect("five places");
+        assert!(close(fit.slope, slope) && close(fit.intercept, intercept), "{fit:?}");
+        assert!(close(fit.r_squared, 1.0) && fit.points == SIZES.len(), "{fit:?}");
+        assert!(fit.residual < 1e-6 * fit.at(1e5).abs().max(1.0), "{fit:?}");
+    }
+}
+
+// Guards against a fit that calls anything a line. The figures are those of a fit done by hand: x 0 to 3, y 0, 2, 1, 3.
+#[test]
+fn points_beside_a_line_show_how_far() {
+    let fit = line(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]).expect("four places");
+    assert!(close(fit.slope, 0.8) && close(fit.intercept, 0.3), "{fit:?}");
+    assert!(close(fit.r_squared, 0.64) && close(fit.residual, 0.45f64.sqrt()), "{fit:?}");
+}
+
+// Guards against a cost by the square that passes for one in proportion.
+#[test]
+fn the_exponent_tells_a_square_from_a_proportion() {
+    let exponent = |of: fn(f64) -> f64| growth_exponent(&points(of)).expect("five places");
+    assert!(close(exponent(|x| 5.0 * x), 1.0));
+    assert!(close(exponent(|x| 1e-7 * x * x), 2.0));
+    assert!(close(exponent(|_| 3.0), 0.0));
+}
+
+// Guards against a line drawn through one point.
+#[test]
+fn one_place_has_no_line() {
+    assert_eq!(line(&[]), None);
+    assert_eq!(line(&[(5.0, 1.0)]), None);
+    assert_eq!(line(&[(5.0, 1.0), (5.0, 2.0)]), None);
+    assert_eq!(growth_exponent(&[(0.0, 1.0), (5.0, 2.0), (6.0, -1.0)]), None);
+}
