--- /dev/null
+++ b/crates/lab/src/capacity/destinations.rs
@@ -0,0 +1,110 @@
+//! The destinations that a forwarder is told of: some served by a partner, some down, which refuse connections.
+
+use super::client::{LIFE_SECONDS, TENANT};
+use orchidyoke_stand_ins::Partner;
+use orchidyoke_stand_ins::forwarder::{Setup, target};
+use orchidyoke_stand_ins::loopback;
+use orchidyoke_stand_ins::partner::Bearing;
+use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
+use serde_json::{Value, json};
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpSocket;
+
+/// Addresses that serve; destinations share them, because each has a socket that listens.
+const SERVING: usize = 50;
+/// Limit of the folder: journals of a million messages have room to be rewritten.
+const DISK_MB: f64 = 4096.0;
+/// Nobody's worth sinks for going over a quota.
+const QUOTA: f64 = 1e6;
+
+/// Addresses of endpoints: those of a partner, and one that refuses connections.
+#[derive(Debug)]
+pub struct Endpoints {
+    _partner: Partner,
+    serving: Vec<SocketAddr>,
+    refusing: SocketAddr,
+    /// Bound and not listening: the system refuses whoever connects, and gives the port to nobody else.
+    _bound: TcpSocket,
+}
+
+impl Endpoints {
+    /// Opens them.
+    pub fn open() -> io::Result<Self> {
+        let partner = Partner::new(Bearing::default());
+        let serving = (0..SERVING).map(|_| partner.endpoint()).collect();
+        let bound = TcpSocket::new_v4()?;
+        bound.bind(SocketAddr::new(loopback(), 0))?;
+        Ok(Endpoints { _partner: partner, serving, refusing: bound.local_addr()?, _bound: bound })
+    }
+}
+
+/// Destinations 1 to `count` with one endpoint each.
+#[derive(Clone, Debug)]
+pub struct Destinations {
+    /// Those whose endpoint serves.
+    pub up: Vec<u64>,
+    /// Those whose endpoint refuses connections.
+    pub down: Vec<u64>,
+    /// One entry each, in discovery's form.
+    pub targets: Vec<Value>,
+}
+
+impl Destinations {
+    /// Draws which are down.
+    pub fn new(endpoints: &Endpoints, count: usize, part_down: f64, rng: &mut StdRng) -> Self {
+        let mut drawn: Vec<u64> = (1..=count as u64).collect();
+        drawn.shuffle(rng);
+        let up = drawn.split_off((count as f64 * part_down).round() as usize);
+        let mut addresses = vec![endpoints.refusing; count];
+        for destination in &up {
+            let place = *destination as usize;
+            addresses[place - 1] = endpoints.serving[place % SERVING];
+        }
+        let entry = |(place, address): (usize, &SocketAddr)| entry(place as u64 + 1, *address);
+        let targets = addresses.iter().enumerate().map(entry).collect();
+        Destinations { up, down: drawn, targets }
+    }
+
+    /// Adds one more that serves; gives its number.
+    pub fn add(&mut self, endpoints: &Endpoints) -> u64 {
+        let destination = self.targets.len() as u64 + 1;
+        self.targets.push(entry(destination, endpoints.serving[0]));
+        self.up.push(destination);
+        destination
+    }
+
+    /// The configuration of a forwarder that knows them from its start.
+    pub fn config(&self, discovery: SocketAddr, seed: u64) -> String {
+        let mut setup = Setup::new(discovery);
+        setup.max_open = 0;
+        setup.disk_mb = DISK_MB;
+        let mut config: Value = serde_json::from_str(&setup.text()).unwrap_or_default();
+        config["seed"] = json!(format!("{seed:016x}"));
+        config["known"]["targets"] = json!(self.targets);
+        let settings = &mut config["settings"];
+        settings["limits"]["try_limit"] = json!(0);
+        settings["tenants"] = json!([{"name": TENANT, "quota_rps": QUOTA}]);
+        let life = u64::from(LIFE_SECONDS) * 1_000_000;
+        for class in settings["classes"].as_array_mut().into_iter().flatten() {
+            class["hard_limit_us"] = json!(life);
+            class["on_time_us"] = json!(life / 2);
+        }
+        config.to_string()
+    }
+
+    /// The whole list, as discovery tells it.
+    pub fn whole_list(&self, version: u64) -> String {
+        json!({"rev": version, "all": true, "targets": self.targets}).to_string()
+    }
+
+    /// The last entry alone, as discovery tells a change.
+    pub fn last_entry(&self, version: u64) -> String {
+        json!({"rev": version, "all": false, "targets": [self.targets.last()]}).to_string()
+    }
+}
+
+fn entry(destination: u64, address: SocketAddr) -> Value {
+    target(&format!("server-{destination:06}"), address, destination)
+}
--- /dev/null
+++ b/crates/lab/src/capacity/forwarder.rs
@@ -0,0 +1,79 @@
+//! `capacity-forwarder`: what one forwarder costs by destinations listed and by messages waiting, as lines through
+//! measured points, held against the aims for 100,000 destinations.
+
+mod aims;
+mod listed;
+mod plan;
+mod quantities;
+mod ratio;
+mod rig;
+mod waiting;
+
+use crate::Run;
+use crate::capacity::series::{COLUMNS, Quantity};
+use crate::report::Outcome;
+use aims::{Aim, Gathered};
+use plan::Plan;
+use rig::Rig;
+use serde_json::{Value, json};
+use std::path::Path;
+
+/// Quantities that get a chart of their own beside the main one.
+const CHARTS: [(&str, Quantity); 4] = [
+    ("ready", quantities::READY),
+    ("resident", quantities::RESIDENT),
+    ("waiting-resident", quantities::WAITING_RESIDENT),
+    ("waiting-ready", quantities::WAITING_READY),
+];
+
+/// Measures, and holds the aims against what was measured. Sabotage has the list read again along with every message, so
+/// that a message costs in proportion to it; only the ratio of costs is measured then.
+pub fn run(run: &Run) -> Result<Outcome, String> {
+    let plan = if run.quick { Plan::quick() } else { Plan::full() };
+    let mut rig = Rig::new(run, plan)?;
+    let mut gathered = Gathered::default();
+    if !run.sabotage {
+        gathered.unplayed.extend(listed::measure(&mut rig)?);
+        gathered.unplayed.extend(waiting::measure_taking(&mut rig)?);
+        gathered.unplayed.extend(waiting::measure_starts(&mut rig)?);
+    }
+    gathered.ratio = ratio::measure(&mut rig)?;
+    let aims = aims::all(&rig, &gathered);
+    let outcome = outcome(&rig, &gathered, &aims);
+    if let Some(folder) = &run.out {
+        write_more(&rig, folder).map_err(|error| format!("{}: {error}", folder.display()))?;
+    }
+    aims.iter().for_each(|aim| println!("{aim}"));
+    Ok(outcome)
+}
+
+fn outcome(rig: &Rig, gathered: &Gathered, aims: &[Aim]) -> Outcome {
+    let missed = aims.iter().filter(|aim| !aim.is_held()).map(ToString::to_string);
+    let highest = rig.guard.highest();
+    Outcome {
+        columns: COLUMNS.to_vec(),
+        rows: rig.measurements.rows(),
+        chart: rig.measurements.chart(quantities::MESSAGE),
+        broken: missed.chain(gathered.unplayed.iter().cloned()).collect(),
+        json: json!({
+            "experiment": "capacity-forwarder", "seed": rig.seed, "quick": rig.quick, "sabotage": rig.sabotage,
+            "aims": aims.iter().map(Aim::json).collect::<Value>(),
+            "unplayed": gathered.unplayed, "series": rig.measurements.json(),
+            "highest": {"resident_mib": highest.resident >> 20, "processes": highest.processes,
+                "descriptors": highest.descriptors},
+        }),
+    }
+}
+
+/// Writes every point, and a chart each for the quantities that the main one does not show.
+fn write_more(rig: &Rig, folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    std::fs::create_dir_all(folder)?;
+    std::fs::write(folder.join("capacity-forwarder-points.csv"), rig.measurements.points_csv())?;
+    for (name, quantity) in CHARTS {
+        let chart = rig.measurements.chart(quantity);
+        if !chart.lines.is_empty() {
+            chart.draw(&folder.join(format!("capacity-forwarder-{name}.svg")))?;
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/lab/src/capacity/forwarder/listed.rs
@@ -0,0 +1,169 @@
+//! Costs by destinations listed: a start, rest, messages, changes of the list, a reload, and a start on the journal.
+
+use super::plan::PARTS_DOWN;
+use super::quantities::{self, milliseconds};
+use super::rig::{Cost, Rig, Started, cost_of};
+use crate::capacity::client::{Client, hand_in_all};
+use crate::capacity::error::CapacityError;
+use crate::capacity::forwarder_process::ForwarderProcess;
+use std::time::{Duration, Instant};
+
+const POLL: Duration = Duration::from_millis(2);
+const ACCEPTED: u16 = 202;
+
+/// Plays every size with each part of the destinations down; gives what could not be played. Where a size fails, larger
+/// ones are left out.
+pub fn measure(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
+    for listed in rig.plan.listed.clone() {
+        for part_down in PARTS_DOWN {
+            eprintln!("capacity-forwarder: {listed} listed, {} down", percent(part_down));
+            match play(rig, listed, part_down) {
+                Ok(()) => {}
+                Err(error @ CapacityError::TooSlow { .. }) => {
+                    return Ok(vec![format!(
+                        "{listed} listed, {} down: {error}; larger lists were not played",
+                        percent(part_down)
+                    )]);
+                }
+                Err(error) => return Err(error),
+            }
+        }
+    }
+    Ok(Vec::new())
+}
+
+fn percent(part: f64) -> String {
+    format!("{}%", (part * 1000.0).round() / 10.0)
+}
+
+fn play(rig: &mut Rig, listed: usize, part_down: f64) -> Result<(), CapacityError> {
+    let setting = format!("{} down", percent(part_down));
+    let started = rig.start(listed, part_down)?;
+    add_start(rig, &started, &setting, listed);
+    let rest = rig.at_rest(&started.process)?;
+    rig.add_listed(quantities::REST, &setting, listed, rest);
+    measure_messages(rig, &started, &setting, listed)?;
+    if started.destinations.down.is_empty() {
+        measure_changes(rig, started, &setting, listed)?;
+    }
+    Ok(())
+}
+
+fn add_start(rig: &mut Rig, started: &Started, setting: &str, listed: usize) {
+    let cost = started.cost;
+    rig.add_listed(quantities::READY, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::READY_PROCESSOR, setting, listed, milliseconds(cost.usage.processor));
+    rig.add_listed(quantities::RESIDENT, setting, listed, cost.usage.resident as f64);
+}
+
+/// A message waits for each destination that is down, up to a number; others are handed in one by one then, to
+/// destinations that serve if there are any.
+fn measure_messages(
+    rig: &mut Rig,
+    started: &Started,
+    setting: &str,
+    listed: usize,
+) -> Result<(), CapacityError> {
+    let Started { process, destinations, .. } = started;
+    let given = destinations.down.len().min(rig.plan.most_down_given);
+    let mut rest = 0.0;
+    if given > 0 {
+        rig.give_each(process, &destinations.down[..given])?;
+        rest = rig.at_rest(process)?;
+        rig.add_listed(quantities::REST_WAITING, setting, listed, rest);
+    }
+    let to = if destinations.up.is_empty() { &destinations.down[..given] } else { &destinations.up[..] };
+    let messages = rig.messages_to_some(to, rig.plan.messages);
+    let mut client = [Client::connect(process.clients)?];
+    let limit = rig.plan.hand_in_limit;
+    let (taken, cost) = cost_of(process, || hand_in_all(&mut client, &mut messages.into_iter(), limit))?;
+    if taken == 0 {
+        return Err(CapacityError::TooSlow { what: "a message", limit });
+    }
+    let each = |used: f64| used / taken as f64;
+    let used = milliseconds(cost.processor);
+    rig.add_listed(quantities::MESSAGE, setting, listed, each(used));
+    let without_rest = used - rest * cost.elapsed.as_secs_f64();
+    rig.add_listed(quantities::MESSAGE_ALONE, setting, listed, each(without_rest.max(0.0)));
+    Ok(())
+}
+
+/// One entry is added by a change, another by the whole list; a reload reads the configuration as it was at the start;
+/// and a start on the journal finds all of it.
+fn measure_changes(
+    rig: &mut Rig,
+    mut started: Started,
+    setting: &str,
+    listed: usize,
+) -> Result<(), CapacityError> {
+    let limit = rig.plan.change_limit;
+    wait_until("a watch on the list", limit, || Ok(started.platform.asked() > 0))?;
+    let added = started.destinations.add(&rig.endpoints);
+    let cost = take_list(rig, &started, &started.destinations.last_entry(2), added)?;
+    rig.add_listed(quantities::CHANGE, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::CHANGE_PROCESSOR, setting, listed, milliseconds(cost.processor));
+    rig.add_listed(quantities::CHANGE_DISK, setting, listed, cost.journal as f64);
+    let added = started.destinations.add(&rig.endpoints);
+    let cost = take_list(rig, &started, &started.destinations.whole_list(3), added)?;
+    rig.add_listed(quantities::LIST, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::LIST_PROCESSOR, setting, listed, milliseconds(cost.processor));
+    rig.add_listed(quantities::LIST_DISK, setting, listed, cost.journal as f64);
+    let process = &started.process;
+    let ((), cost) = cost_of(process, || {
+        process.signal_reload()?;
+        process.wait_for_reload(limit)?;
+        wait_for_destination(rig, process, added, limit)
+    })?;
+    rig.add_listed(quantities::RELOAD, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::RELOAD_PROCESSOR, setting, listed, milliseconds(cost.processor));
+    let Started { process, folder, .. } = started;
+    drop(process);
+    let (_, cost) = rig.start_on(&folder, listed)?;
+    rig.add_listed(quantities::RESTART, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::RESTART_PROCESSOR, setting, listed, milliseconds(cost.usage.processor));
+    Ok(())
+}
+
+/// Has discovery tell this, and waits until the destination that is new in it is known.
+fn take_list(rig: &mut Rig, started: &Started, list: &str, added: u64) -> Result<Cost, CapacityError> {
+    let Started { process, platform, .. } = started;
+    let limit = rig.plan.change_limit;
+    let journal = process.journal_size()?;
+    let ((), cost) = cost_of(process, || {
+        platform.tell(list);
+        // What it has taken in is journaled before it is used: until then it is not disturbed by questions.
+        wait_until("a change of the list", limit, || Ok(process.journal_size()? != journal))?;
+        wait_for_destination(rig, process, added, limit)
+    })?;
+    Ok(cost)
+}
+
+/// Waits until a message to a destination is taken on.
+fn wait_for_destination(
+    rig: &mut Rig,
+    process: &ForwarderProcess,
+    destination: u64,
+    limit: Duration,
+) -> Result<(), CapacityError> {
+    let mut client = Client::connect(process.clients)?;
+    wait_until(
+        "a change of the list",
+        limit,
+        || Ok(client.hand_in(&rig.message_to(destination))? == ACCEPTED),
+    )
+}
+
+fn wait_until(
+    what: &'static str,
+    limit: Duration,
+    mut holds: impl FnMut() -> Result<bool, CapacityError>,
+) -> Result<(), CapacityError> {
+    let begin = Instant::now();
+    while !holds()? {
+        if begin.elapsed() > limit {
+            return Err(CapacityError::TooSlow { what, limit });
+        }
+        std::thread::sleep(POLL);
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/lab/src/capacity/forwarder/waiting.rs
@@ -0,0 +1,104 @@
+//! Costs by messages waiting, for destinations that are all down: taken on one after another, and read from a journal at
+//! a start.
+
+use super::quantities::{self, milliseconds};
+use super::rig::{MANY_CLIENTS, Rig, cost_of};
+use crate::capacity::client::{BODY, CLASS, Client, LIFE_SECONDS, TENANT, hand_in_all};
+use crate::capacity::error::CapacityError;
+use crate::capacity::series::{Quantity, Size};
+use bytes::BytesMut;
+use orchidyoke_journal::{Journal, Record, Taken};
+use std::path::Path;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Bytes of records that are written at once.
+const WRITE_BYTES: usize = 4 << 20;
+const SETTING: &str = "all down";
+
+/// Takes messages on until there are as many as planned, and measures at each step; gives what could not be played.
+pub fn measure_taking(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
+    let listed = rig.plan.listed_while_waiting;
+    let started = rig.start(listed, 1.0)?;
+    let process = &started.process;
+    let mut clients = Client::connect_many(process.clients, MANY_CLIENTS)?;
+    let mut held = 0;
+    for wanted in rig.plan.taken.clone() {
+        eprintln!("capacity-forwarder: {wanted} messages taken on");
+        let messages = rig.messages_to_some(&started.destinations.down, wanted - held);
+        // A share of the time for each step, as its messages are a share of all.
+        let limit = rig.plan.hand_in_limit * 2;
+        let (taken, cost) = cost_of(process, || hand_in_all(&mut clients, &mut messages.into_iter(), limit))?;
+        held += taken;
+        if taken > 0 {
+            let each = milliseconds(cost.processor) / taken as f64;
+            add(rig, quantities::TAKING, held, each);
+            add(rig, quantities::TAKING_RESIDENT, held, process.usage()?.resident as f64);
+            add(rig, quantities::TAKING_DISK, held, process.journal_size()? as f64);
+            let rest = rig.at_rest(process)?;
+            add(rig, quantities::TAKING_REST, held, rest);
+        }
+        if held < wanted {
+            let seconds = limit.as_secs();
+            return Ok(vec![format!("{held} of {wanted} messages were taken on; a step has {seconds} s")]);
+        }
+    }
+    Ok(Vec::new())
+}
+
+/// Starts a forwarder on journals of rising sizes; gives what could not be played.
+pub fn measure_starts(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
+    let listed = rig.plan.listed_while_waiting;
+    for count in rig.plan.journaled.clone() {
+        eprintln!("capacity-forwarder: {count} messages in the journal");
+        let (folder, destinations, _platform) = rig.prepare(listed, 1.0);
+        let size = write_journal(&folder.path().join("state"), &destinations.down, count)?;
+        let (process, cost) = match rig.start_on(&folder, listed + count) {
+            Ok(started) => started,
+            Err(error @ CapacityError::TooSlow { .. }) => {
+                return Ok(vec![format!("{count} messages in the journal: {error}; larger were not played")]);
+            }
+            Err(error) => return Err(error),
+        };
+        add(rig, quantities::WAITING_READY, count, milliseconds(cost.elapsed));
+        add(rig, quantities::WAITING_READY_PROCESSOR, count, milliseconds(cost.usage.processor));
+        add(rig, quantities::WAITING_RESIDENT, count, cost.usage.resident as f64);
+        add(rig, quantities::WAITING_DISK, count, size as f64);
+        let rest = rig.at_rest(&process)?;
+        add(rig, quantities::WAITING_REST, count, rest);
+    }
+    Ok(Vec::new())
+}
+
+fn add(rig: &mut Rig, quantity: Quantity, waiting: usize, value: f64) {
+    rig.measurements.add(quantity, SETTING, Size::Waiting, waiting, value);
+}
+
+/// Writes the journal of a forwarder that has taken on so many messages and died; gives its size.
+fn write_journal(state: &Path, destinations: &[u64], count: usize) -> Result<usize, CapacityError> {
+    let mut journal = Journal::open(state)?.journal;
+    let deadline = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+        + Duration::from_secs(LIFE_SECONDS.into());
+    let deadline = i64::try_from(deadline.as_micros()).unwrap_or(i64::MAX);
+    let body = [b'x'; BODY];
+    let mut bytes = BytesMut::new();
+    for (number, destination) in (0..count).zip(destinations.iter().cycle()) {
+        let taken = Taken {
+            txn: format!("j{number:09}"),
+            class: CLASS.to_owned(),
+            org: TENANT.to_owned(),
+            key: None,
+            dest: *destination,
+            deadline,
+            attempts: 0,
+            ran: None,
+            out: None,
+        };
+        Record::Taken(taken).encode(&body, &mut bytes);
+        if bytes.len() >= WRITE_BYTES {
+            journal.append(&bytes)?;
+            bytes.clear();
+        }
+    }
+    journal.append(&bytes)?;
+    Ok(journal.size())
+}
--- /dev/null
+++ b/crates/lab/src/capacity/forwarder_process.rs
@@ -0,0 +1,155 @@
+//! One forwarder as a child process that is measured: a start with a time limit, its console, and its journal.
+
+use super::error::CapacityError;
+use super::process::{self, Usage};
+use nix::sys::signal::{Signal, kill};
+use nix::unistd::Pid;
+use orchidyoke_stand_ins::forwarder::Folder;
+use std::io::{self, BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Between two questions whether something is done.
+const POLL: Duration = Duration::from_millis(1);
+
+/// A forwarder that runs. It is killed when it is dropped.
+#[derive(Debug)]
+pub struct ForwarderProcess {
+    child: Child,
+    /// Where clients connect.
+    pub clients: SocketAddr,
+    console: SocketAddr,
+    journal: PathBuf,
+    log: Receiver<String>,
+}
+
+/// What a start has cost.
+#[derive(Clone, Copy, Debug)]
+pub struct StartCost {
+    /// From the start of the process until its console said that it is ready.
+    pub elapsed: Duration,
+    /// What it had used by then.
+    pub usage: Usage,
+}
+
+impl ForwarderProcess {
+    /// Starts it with `config.json` of a folder and its state in the folder's `state`, and waits until it is ready.
+    pub fn start(
+        program: &Path,
+        folder: &Folder,
+        limit: Duration,
+    ) -> Result<(Self, StartCost), CapacityError> {
+        let begin = Instant::now();
+        let state = folder.path().join("state");
+        let mut command = Command::new(program);
+        command.arg("serve").arg("--config").arg(folder.path().join("config.json"));
+        command.arg("--state").arg(&state).args(["--console", "127.0.0.1:0"]);
+        command.env("NO_COLOR", "1").stdout(Stdio::null()).stderr(Stdio::piped());
+        let mut child = command.spawn()?;
+        let log = follow(child.stderr.take());
+        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let journal = state.join("journal");
+        // From here on an error ends the child.
+        let mut started = ForwarderProcess { child, clients: nowhere, console: nowhere, journal, log };
+        started.clients = started.address_after("listens on ", begin, limit)?;
+        started.console = started.address_after("console at ", begin, limit)?;
+        while !started.ask("ready")?.starts_with("200") {
+            if begin.elapsed() > limit {
+                return Err(CapacityError::TooSlow { what: "ready", limit });
+            }
+            thread::sleep(POLL);
+        }
+        let usage = started.usage()?;
+        Ok((started, StartCost { elapsed: begin.elapsed(), usage }))
+    }
+
+    /// What it has used so far, and holds now.
+    pub fn usage(&self) -> io::Result<Usage> {
+        process::usage(self.child.id())
+    }
+
+    /// Processor time that it has used so far.
+    pub fn processor(&self) -> io::Result<Duration> {
+        process::processor_time(self.child.id())
+    }
+
+    /// Bytes in its journal.
+    pub fn journal_size(&self) -> io::Result<u64> {
+        Ok(std::fs::metadata(&self.journal)?.len())
+    }
+
+    /// The reply of its console to one call.
+    pub fn ask(&self, call: &str) -> io::Result<String> {
+        let mut stream = TcpStream::connect(self.console)?;
+        stream.set_read_timeout(Some(Duration::from_secs(60)))?;
+        stream.write_all(format!("{call}\n").as_bytes())?;
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply)?;
+        Ok(reply)
+    }
+
+    /// Tells it to read its configuration again.
+    pub fn signal_reload(&self) -> io::Result<()> {
+        let process = i32::try_from(self.child.id()).map_err(io::Error::other)?;
+        Ok(kill(Pid::from_raw(process), Signal::SIGHUP)?)
+    }
+
+    /// Waits until its log says that it has read its configuration again.
+    pub fn wait_for_reload(&self, limit: Duration) -> Result<(), CapacityError> {
+        self.logged("configuration: read again", "a reload", Instant::now(), limit).map(|_| ())
+    }
+
+    fn address_after(
+        &self,
+        words: &'static str,
+        begin: Instant,
+        limit: Duration,
+    ) -> Result<SocketAddr, CapacityError> {
+        let line = self.logged(words, "ready", begin, limit)?;
+        let address = line.split_once(words).and_then(|(_, address)| address.trim().parse().ok());
+        address.ok_or(CapacityError::Ended(vec![line]))
+    }
+
+    /// Waits for a line of the log with these words in it.
+    fn logged(
+        &self,
+        words: &str,
+        what: &'static str,
+        begin: Instant,
+        limit: Duration,
+    ) -> Result<String, CapacityError> {
+        let mut before = Vec::new();
+        loop {
+            let left = limit.saturating_sub(begin.elapsed());
+            match self.log.recv_timeout(left) {
+                Ok(line) if line.contains(words) => return Ok(line),
+                Ok(line) => before.push(line),
+                Err(RecvTimeoutError::Timeout) => return Err(CapacityError::TooSlow { what, limit }),
+                Err(RecvTimeoutError::Disconnected) => return Err(CapacityError::Ended(before)),
+            }
+        }
+    }
+}
+
+impl Drop for ForwarderProcess {
+    fn drop(&mut self) {
+        drop(self.child.kill());
+        drop(self.child.wait());
+    }
+}
+
+/// The lines of a log as they come.
+fn follow(log: Option<ChildStderr>) -> Receiver<String> {
+    let (sender, lines) = channel();
+    if let Some(log) = log {
+        thread::spawn(move || {
+            let lines = BufReader::new(log).lines().map_while(Result::ok);
+            lines.for_each(|line| drop(sender.send(line)));
+        });
+    }
+    lines
+}
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,5 +1,12 @@
 //! Experiments that measure how a cost grows with a size: what they share, and one module for each.
 
 pub mod budget;
+pub mod client;
+pub mod destinations;
+pub mod error;
 pub mod fit;
+pub mod forwarder;
+pub mod forwarder_process;
+pub mod guard;
 pub mod process;
+pub mod series;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -44,6 +44,7 @@
 
 /// How an experiment is run.
 #[derive(Args, Clone, Debug)]
+#[group(id = "options")]
 struct Run {
     /// Where all chance comes from.
     #[arg(long, default_value_t = 1)]
@@ -60,6 +61,9 @@
     /// Take away what the experiment is to prove: the run must fail.
     #[arg(long, alias = "unrestrained")]
     sabotage: bool,
+    /// Smaller sizes, in seconds (capacity-forwarder).
+    #[arg(long)]
+    quick: bool,
 }
 
 impl Run {
@@ -80,7 +84,13 @@
     run: fn(&Run) -> Result<Outcome, String>,
 }
 
-const EXPERIMENTS: [Experiment; 7] = [
+const EXPERIMENTS: [Experiment; 8] = [
+    Experiment {
+        name: "capacity-forwarder",
+        shows: "one forwarder's cost by destinations listed and messages waiting, as lines, against the aims",
+        sabotage: "the list is read again along with every message",
+        run: capacity::forwarder::run,
+    },
     Experiment {
         name: "consul-drain",
         shows: "endpoints flap, drain and vanish under load: from Consul's answer to the last new call",
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -55,7 +55,8 @@
 }
 
 impl Chart {
-    fn draw(&self, path: &Path) -> Result<(), Box<dyn Error>> {
+    /// Draws it into an SVG file.
+    pub fn draw(&self, path: &Path) -> Result<(), Box<dyn Error>> {
         let points = || self.lines.iter().flat_map(|line| &line.points);
         let most = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max).max(1e-6);
         let (right, top) = (most(&mut points().map(|p| p.0)), most(&mut points().map(|p| p.1)) * 1.1);
