--- a/crates/lab/src/capacity/forwarder.rs
+++ b/crates/lab/src/capacity/forwarder.rs
@@ -14,6 +14,7 @@
 use crate::report::Outcome;
 use aims::{Aim, Gathered};
 use plan::Plan;
+use ratio::Case;
 use rig::Rig;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -37,7 +38,10 @@
         gathered.unplayed.extend(waiting::measure_taking(&mut rig)?);
         gathered.unplayed.extend(waiting::measure_starts(&mut rig)?);
     }
-    gathered.ratio = ratio::measure(&mut rig)?;
+    gathered.part_down = ratio::measure(&mut rig, Case::PartDown)?;
+    if !run.sabotage {
+        gathered.all_down = ratio::measure(&mut rig, Case::AllDown)?;
+    }
     let aims = aims::all(&rig, &gathered);
     let outcome = outcome(&rig, &gathered, &aims);
     if let Some(folder) = &run.out {
--- a/crates/lab/src/capacity/forwarder/rig.rs
+++ b/crates/lab/src/capacity/forwarder/rig.rs
@@ -62,7 +62,7 @@
 impl Rig {
     /// Opens the stand-ins, and checks that there is room to begin.
     pub fn new(run: &Run, plan: Plan) -> Result<Self, CapacityError> {
-        let guard = Guard::start(Budget::of_this_machine()?);
+        let guard = Guard::start(budget(run)?);
         guard.check(&Used::default())?;
         Ok(Rig {
             program: run.program().map_err(std::io::Error::other)?,
@@ -149,6 +149,15 @@
     }
 }
 
+/// Half of the machine, or less where the command line says so.
+fn budget(run: &Run) -> Result<Budget, CapacityError> {
+    let mut budget = Budget::of_this_machine()?;
+    if let Some(mb) = run.memory_mb {
+        budget.resident = budget.resident.min(mb << 20);
+    }
+    Ok(budget)
+}
+
 /// What a part of a play has cost.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -64,6 +64,9 @@
     /// Smaller sizes, in seconds (capacity-forwarder).
     #[arg(long)]
     quick: bool,
+    /// Memory that the experiment may use, in MB, where half of the machine's is too much (capacity-forwarder).
+    #[arg(long, value_name = "MB")]
+    memory_mb: Option<u64>,
 }
 
 impl Run {
--- /dev/null
+++ b/crates/lab/tests/capacity.rs
@@ -0,0 +1,74 @@
+//! The short form of `capacity-forwarder`, with real processes: the aims are held, and a cost that grows with the list is
+//! found. It goes by ratios, counts of bytes and processor time only; no time on the clock decides.
+
+use serde_json::Value;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+
+const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-lab");
+
+/// The forwarder that was built beside the lab. A test of the whole workspace builds it; a test of this package alone
+/// takes the last one that was built.
+fn forwarder() -> PathBuf {
+    let program = Path::new(LAB).with_file_name("orchidyoke");
+    assert!(program.is_file(), "{}: build it first (cargo build)", program.display());
+    program
+}
+
+fn run(options: &[&str]) -> Output {
+    let mut command = Command::new(LAB);
+    command.args(["run", "capacity-forwarder", "--quick", "--program"]).arg(forwarder());
+    command.args(options).output().expect("the lab runs")
+}
+
+/// The JSON line, which is the last.
+fn told(output: &Output) -> Value {
+    let text = String::from_utf8_lossy(&output.stdout);
+    let last = text.lines().last().unwrap_or_default();
+    serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {output:?}"))
+}
+
+fn aims(told: &Value) -> Vec<(String, bool)> {
+    let aims = told["aims"].as_array().expect("aims");
+    aims.iter().map(|aim| (aim.to_string(), aim["held"] == true)).collect()
+}
+
+// Guards against a cost that grows by the square of a list, or with the list where it should not, and against figures
+// that are left out.
+#[test]
+fn the_aims_are_held_at_small_sizes() {
+    let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-test-{}", std::process::id()));
+    let output = run(&["--out", &folder.display().to_string()]);
+    let told = told(&output);
+    let missed: Vec<_> = aims(&told).into_iter().filter(|(_, held)| !held).collect();
+    assert!(missed.is_empty() && output.status.success(), "{missed:#?}, {:?}", told["unplayed"]);
+    assert_eq!(aims(&told).len(), 4);
+    for series in told["series"].as_array().expect("series") {
+        let points = series["points"].as_array().expect("points").len();
+        assert!(points >= 3 && series["r_squared"].is_number(), "{series}");
+    }
+    for name in ["capacity-forwarder.csv", "capacity-forwarder.md", "capacity-forwarder.svg"] {
+        assert!(folder.join(name).is_file(), "{name}");
+    }
+    let points = std::fs::read_to_string(folder.join("capacity-forwarder-points.csv")).expect("points");
+    assert!(points.contains("\ntime to be ready,ms,0% down,destinations listed,3000,"), "{points}");
+    std::fs::remove_dir_all(folder).expect("cleans up");
+}
+
+// Guards against a check that nothing fails: the list is read again with every message.
+#[test]
+fn a_message_that_costs_more_with_a_longer_list_is_found() {
+    let output = run(&["--sabotage"]);
+    assert_eq!(output.status.code(), Some(1), "{output:?}");
+    let aims = aims(&told(&output));
+    assert!(matches!(&aims[..], [(_, false)]), "{aims:?}");
+}
+
+// Guards against an experiment that goes on where it may not, or ends without a word.
+#[test]
+fn too_little_memory_stops_it_with_a_plain_error() {
+    let output = run(&["--memory-mb", "10"]);
+    assert_eq!(output.status.code(), Some(2), "{output:?}");
+    let error = String::from_utf8_lossy(&output.stderr);
+    assert!(error.contains("over the budget: ") && error.contains("10 MiB are allowed"), "{error}");
+}
--- /dev/null
+++ b/crates/lab/tests/guard.rs
@@ -0,0 +1,45 @@
+//! The watch over the budget, in a process of its own: it ends all children of the process that it is in.
+
+#[path = "../src/capacity"]
+mod capacity {
+    pub mod budget;
+    pub mod guard;
+    pub mod process;
+}
+
+use capacity::budget::{Budget, BudgetError, Used};
+use capacity::guard::Guard;
+use std::os::unix::process::ExitStatusExt;
+use std::process::Command;
+use std::time::{Duration, Instant};
+
+const SIGKILL: i32 = 9;
+
+// Guards against an experiment that goes on over its budget while it waits for something.
+#[test]
+fn what_goes_over_the_budget_is_ended() {
+    let machine = Budget::of_this_machine().expect("a machine");
+    let mut child = Command::new("sleep").arg("60").spawn().expect("a child");
+    let guard = Guard::start(machine);
+    guard.check(&Used::default()).expect("within it");
+    drop(guard);
+    assert!(child.try_wait().expect("a child").is_none(), "it waits");
+
+    let guard = Guard::start(Budget { resident: 1 << 10, ..machine });
+    let ended = child.wait().expect("it ends");
+    assert_eq!(ended.signal(), Some(SIGKILL), "{ended}");
+    assert!(matches!(guard.check(&Used::default()), Err(BudgetError::Memory { most: 1024, .. })));
+    assert_eq!(guard.highest(), Used::default(), "what was over it is not counted as used");
+}
+
+// Guards against a figure of what was used that stays at nothing.
+#[test]
+fn what_was_used_is_told() {
+    let guard = Guard::start(Budget::of_this_machine().expect("a machine"));
+    let until = Instant::now() + Duration::from_secs(30);
+    while guard.highest().resident == 0 {
+        assert!(Instant::now() < until, "it never looked");
+        std::thread::sleep(Duration::from_millis(10));
+    }
+    assert!(guard.highest().processes >= 1);
+}
