--- a/crates/lab/src/capacity/forwarder/ratio.rs
+++ b/crates/lab/src/capacity/forwarder/ratio.rs
@@ -13,7 +13,6 @@
 /// One side of the comparison.
 struct Side {
     started: Started,
-    client: [Client; 1],
     /// Destinations that messages are handed in to.
     to: Vec<u64>,
     /// Milliseconds of processor time a second with the waiting messages alone.
@@ -94,15 +93,16 @@
     }
     let to = if destinations.up.is_empty() { waiting.to_vec() } else { destinations.up.clone() };
     let rest = rig.at_rest(&started.process)?;
-    let client = [Client::connect(started.process.clients)?];
-    Ok(Side { started, client, to, rest, least: f64::INFINITY })
+    Ok(Side { started, to, rest, least: f64::INFINITY })
 }
 
 fn take_turn(rig: &mut Rig, side: &mut Side) -> Result<(), CapacityError> {
     let messages = rig.messages_to_some(&side.to, rig.plan.messages_in_turn);
     let (limit, reloads) = (rig.plan.hand_in_limit, rig.sabotage);
-    let (process, client) = (&side.started.process, &mut side.client);
-    let (taken, cost) = cost_of(process, || hand_in(process, client, messages, reloads, limit))?;
+    let process = &side.started.process;
+    // An idle connection is closed by the forwarder while the other side has its turn.
+    let mut client = [Client::connect(process.clients)?];
+    let (taken, cost) = cost_of(process, || hand_in(process, &mut client, messages, reloads, limit))?;
     if taken == 0 {
         return Err(CapacityError::TooSlow { what: "a message", limit });
     }
--- a/crates/lab/src/capacity/forwarder/waiting.rs
+++ b/crates/lab/src/capacity/forwarder/waiting.rs
@@ -20,13 +20,12 @@
     let listed = rig.plan.listed_while_waiting;
     let started = rig.start(listed, 1.0)?;
     let process = &started.process;
-    let mut clients = Client::connect_many(process.clients, MANY_CLIENTS)?;
     let mut held = 0;
     for wanted in rig.plan.taken.clone() {
         eprintln!("capacity-forwarder: {wanted} messages taken on");
         let messages = rig.messages_to_some(&started.destinations.down, wanted - held);
-        // A share of the time for each step, as its messages are a share of all.
         let limit = rig.plan.hand_in_limit * 2;
+        let mut clients = Client::connect_many(process.clients, MANY_CLIENTS)?;
         let (taken, cost) = cost_of(process, || hand_in_all(&mut clients, &mut messages.into_iter(), limit))?;
         held += taken;
         if taken > 0 {
