--- a/crates/lab/src/capacity/forwarder/listed.rs
+++ b/crates/lab/src/capacity/forwarder/listed.rs
@@ -69,6 +69,7 @@
     let mut rest = 0.0;
     if given > 0 {
         rig.give_each(process, &destinations.down[..given])?;
+        std::thread::sleep(rig.plan.settle);
         rest = rig.at_rest(process)?;
         rig.add_listed(quantities::REST_WAITING, setting, listed, rest);
     }
--- a/crates/lab/src/capacity/forwarder/plan.rs
+++ b/crates/lab/src/capacity/forwarder/plan.rs
@@ -26,6 +26,9 @@
     pub turns: usize,
     /// Messages in a turn.
     pub messages_in_turn: usize,
+    /// Time from the messages that come to wait until anything is measured: trial calls at destinations that are down
+    /// are most frequent at first.
+    pub settle: Duration,
     /// Time for which a forwarder at rest is watched.
     pub rest: Duration,
     /// A start that takes longer ends the rising of its sizes.
@@ -48,6 +51,7 @@
             messages: 400,
             turns: 5,
             messages_in_turn: 100,
+            settle: Duration::from_secs(8),
             rest: Duration::from_secs(2),
             start_limit: Duration::from_secs(20),
             hand_in_limit: Duration::from_secs(6),
@@ -65,6 +69,7 @@
             most_down_given: 300,
             messages: 60,
             messages_in_turn: 40,
+            settle: Duration::from_millis(500),
             rest: Duration::from_millis(500),
             ..Plan::full()
         }
--- a/crates/lab/src/capacity/forwarder/ratio.rs
+++ b/crates/lab/src/capacity/forwarder/ratio.rs
@@ -73,6 +73,10 @@
         Err(CapacityError::TooSlow { .. }) => return Ok(None),
         Err(error) => return Err(error),
     };
+    std::thread::sleep(rig.plan.settle);
+    for side in &mut sides {
+        side.rest = rig.at_rest(&side.started.process)?;
+    }
     for _ in 0..rig.plan.turns {
         for side in &mut sides {
             take_turn(rig, side)?;
@@ -92,8 +96,7 @@
         return Err(CapacityError::TooSlow { what: "messages to wait", limit: rig.plan.hand_in_limit });
     }
     let to = if destinations.up.is_empty() { waiting.to_vec() } else { destinations.up.clone() };
-    let rest = rig.at_rest(&started.process)?;
-    Ok(Side { started, to, rest, least: f64::INFINITY })
+    Ok(Side { started, to, rest: 0.0, least: f64::INFINITY })
 }
 
 fn take_turn(rig: &mut Rig, side: &mut Side) -> Result<(), CapacityError> {
