--- a/crates/lab/src/capacity/forwarder/plan.rs
+++ b/crates/lab/src/capacity/forwarder/plan.rs
@@ -68,6 +68,7 @@
             listed_while_waiting: 300,
             most_down_given: 300,
             messages: 60,
+            turns: 8,
             messages_in_turn: 40,
             settle: Duration::from_millis(500),
             rest: Duration::from_millis(500),
