--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,6 +4,7 @@
 //! The last line on standard output is one JSON object. The exit status says whether all rules were kept: 0 they were,
 //! 1 one was broken, 2 the experiment could not be run.
 
+mod capacity;
 mod cold;
 mod drain;
 mod fleet;
@@ -43,6 +44,7 @@
 
 /// How an experiment is run.
 #[derive(Args, Clone, Debug)]
+#[group(id = "options")]
 struct Run {
     /// Where all chance comes from.
     #[arg(long, default_value_t = 1)]
@@ -59,6 +61,12 @@
     /// Take away what the experiment is to prove: the run must fail.
     #[arg(long, alias = "unrestrained")]
     sabotage: bool,
+    /// Smaller sizes, in seconds (capacity-forwarder).
+    #[arg(long)]
+    quick: bool,
+    /// Memory that the experiment may use, in MB, where half of the machine's is too much (capacity-forwarder).
+    #[arg(long, value_name = "MB")]
+    memory_mb: Option<u64>,
 }
 
 impl Run {
@@ -79,7 +87,13 @@
     run: fn(&Run) -> Result<Outcome, String>,
 }
 
-const EXPERIMENTS: [Experiment; 7] = [
+const EXPERIMENTS: [Experiment; 8] = [
+    Experiment {
+        name: "capacity-forwarder",
+        shows: "one forwarder's cost by destinations listed and messages waiting, as lines, against the aims",
+        sabotage: "the list is read again along with every message",
+        run: capacity::forwarder::run,
+    },
     Experiment {
         name: "consul-drain",
         shows: "endpoints flap, drain and vanish under load: from Consul's answer to the last new call",
