--- /dev/null
+++ b/crates/lab/src/capacity/control/hollow.rs
@@ -0,0 +1,178 @@
+//! Hollow forwarders: the policy agent, the membership and the keeper of duties of several, with their own sockets and
+//! files, and no traffic.
+
+use super::child::report;
+use super::messages::{InForce, MembersRole, Report, Request, clock};
+use orchidyoke_consul::Settings as ConsulSettings;
+use orchidyoke_consul::locks::Locks;
+use orchidyoke_duties::keeper::{Keeper, Member};
+use orchidyoke_duties::lease::Terms;
+use orchidyoke_epochs::{Follower, Settings as PolicySettings};
+use orchidyoke_node::accord::Accord;
+use orchidyoke_node::input::Input;
+use orchidyoke_node::reload::Source;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{sleep, timeout};
+
+/// Where the policy's keys are.
+pub const POLICY_PREFIX: &str = "lab/policy";
+/// Where the duties' keys are, in each region's store.
+pub const DUTIES_PREFIX: &str = "lab/duties";
+/// How long a duty's lock stays closed after its session has ended.
+pub const LOCK_DELAY: Duration = Duration::from_secs(1);
+/// How much faster or slower than another any clock may run.
+const DRIFT: f64 = 0.001;
+/// The longest that an act of a duty takes.
+const ACT: Duration = Duration::from_millis(500);
+/// Time to the next attempt after one that failed.
+const RETRY: Duration = Duration::from_secs(1);
+/// Locks that are asked for at once, at most.
+const LOCKS_AT_ONCE: usize = 4;
+/// How long a member that leaves in good order may take; then it ends all the same.
+const LEAVE: Duration = Duration::from_secs(5);
+
+/// The settings of the policy at this address.
+pub fn policy_settings(address: SocketAddr, ttl: Duration) -> PolicySettings {
+    let consul = ConsulSettings { addresses: vec![address], ..ConsulSettings::default() };
+    PolicySettings { consul, prefix: POLICY_PREFIX.to_owned(), name: None, ttl }
+}
+
+/// One hollow forwarder that runs.
+struct Hollow {
+    follower: Rc<Follower>,
+    following: JoinHandle<()>,
+    keeper: Rc<Keeper>,
+    keeping: JoinHandle<()>,
+    /// Only under sabotage.
+    reading_all: Option<JoinHandle<()>>,
+}
+
+impl Hollow {
+    fn start(role: &MembersRole, name: &str) -> Self {
+        let (follower, following) = start_follower(role, name);
+        let (keeper, keeping) = start_keeper(role, name);
+        let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
+        let reading_all = role.reads_all_members.then(read_all);
+        Hollow { follower, following, keeper, keeping, reading_all }
+    }
+
+    /// Gives back what it holds, and ends.
+    async fn leave(mut self) {
+        // What still runs would open another session.
+        self.following.abort();
+        self.follower.leave().await;
+        self.keeper.leave();
+        if timeout(LEAVE, &mut self.keeping).await.is_err() {
+            eprintln!("a member has not left within {LEAVE:?}");
+        }
+    }
+}
+
+impl Drop for Hollow {
+    fn drop(&mut self) {
+        self.following.abort();
+        self.keeping.abort();
+        self.reading_all.iter().for_each(JoinHandle::abort);
+    }
+}
+
+fn start_follower(role: &MembersRole, name: &str) -> (Rc<Follower>, JoinHandle<()>) {
+    let folder = role.folder.join(name);
+    if let Err(error) = std::fs::create_dir_all(&folder) {
+        eprintln!("{}: {error}", folder.display());
+    }
+    let follower = Follower::new(policy_settings(role.policy, role.ttl), name, &folder);
+    let source = Rc::new(Source { path: role.configuration.clone(), ..Source::default() });
+    let (following, name) = (follower.clone(), name.to_owned());
+    let task = spawn_local(async move {
+        let (inputs, mut received) = unbounded_channel();
+        following.join(&source).await;
+        let told = async {
+            while let Some(input) = received.recv().await {
+                if matches!(input, Input::Reconfigured(_)) {
+                    let (name, epoch) = (name.clone(), following.number());
+                    report(&Report::InForce(InForce { name, epoch, at: clock() }));
+                }
+            }
+        };
+        tokio::join!(following.clone().follow(source, inputs), told);
+    });
+    (follower, task)
+}
+
+fn start_keeper(role: &MembersRole, name: &str) -> (Rc<Keeper>, JoinHandle<()>) {
+    let micros = |span: Duration| span.as_micros() as i64;
+    let terms = Terms {
+        ttl: micros(role.ttl),
+        drift: DRIFT,
+        act: micros(ACT),
+        retry: micros(RETRY),
+        asks: LOCKS_AT_ONCE,
+    };
+    let member = Member {
+        name: name.to_owned(),
+        weight: 1.0,
+        prefix: DUTIES_PREFIX.to_owned(),
+        duties: (0..role.duty_count).collect(),
+        lock_delay: LOCK_DELAY,
+        terms,
+    };
+    let settings = ConsulSettings { addresses: vec![role.duties], ..ConsulSettings::default() };
+    let keeper = Rc::new(Keeper::new(member, Rc::new(settings)));
+    let running = keeper.clone();
+    (keeper, spawn_local(async move { running.run().await }))
+}
+
+/// Reads all members of the fleet at each change to one of them, one look after another without a pause.
+async fn read_all_members(settings: PolicySettings) {
+    let mut locks = Locks::new(Rc::new(settings.consul.clone()));
+    let mut index = 0;
+    loop {
+        match locks.look(&settings.members(), index, settings.ttl).await {
+            Ok((at, _)) => index = at,
+            Err(_) => sleep(RETRY).await,
+        }
+    }
+}
+
+/// Runs them until the requests end.
+pub async fn run(role: MembersRole, mut requests: UnboundedReceiver<Request>) {
+    report(&Report::Up);
+    let role = Rc::new(role);
+    let mut members: BTreeMap<String, Hollow> = BTreeMap::new();
+    // Members that leave in good order, and come back.
+    let (returned, mut returning) = unbounded_channel();
+    loop {
+        let request = tokio::select! {
+            request = requests.recv() => request,
+            Some((name, member)) = returning.recv() => {
+                members.insert(name, member);
+                continue;
+            }
+        };
+        match request {
+            None => return,
+            Some(Request::Begin) => {
+                members = role.names.iter().map(|name| (name.clone(), Hollow::start(&role, name))).collect();
+            }
+            Some(Request::Restart(name)) => {
+                let Some(member) = members.remove(&name) else { continue };
+                let (role, returned) = (role.clone(), returned.clone());
+                spawn_local(async move {
+                    member.leave().await;
+                    report(&Report::Restarted(name.clone()));
+                    let member = Hollow::start(&role, &name);
+                    // The receiver is gone only when the process ends.
+                    drop(returned.send((name, member)));
+                });
+            }
+            Some(Request::Kill(name)) => drop(members.remove(&name)),
+            Some(request) => eprintln!("members are not asked for this: {request:?}"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/control/phases.rs
@@ -0,0 +1,399 @@
+//! The phases that a fleet of one size goes through, and what each of them showed.
+
+use super::fleet::{Fleet, FleetPlan, REGIONS, ZONES_PER_REGION};
+use super::hollow::policy_settings;
+use super::load::{Load, Snapshot};
+use super::messages::clock;
+use super::proposer::{Proposal, Proposer};
+use crate::capacity::budget::Budget;
+use orchidyoke_consul::Settings as ConsulSettings;
+use orchidyoke_consul::locks::Locks;
+use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
+use rand::{RngExt, SeedableRng};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A second is the shortest span that is told apart.
+const SECOND: Duration = Duration::from_secs(1);
+/// How long a fleet may take until all are members and all duties are held.
+const SETTLE: Duration = Duration::from_secs(120);
+/// How often that is looked at.
+const SETTLE_LOOK: Duration = Duration::from_millis(250);
+/// How long after a proposal is done its last report may come.
+const LATE_REPORT: Duration = Duration::from_secs(10);
+/// The zone of the process that is killed, and the zone that is lost, which has no store.
+const LOST_MACHINE_ZONE: usize = 1;
+const LOST_ZONE: usize = 3;
+/// The region that is cut off.
+const CUT_REGION: usize = 2;
+
+/// How long the phases are.
+#[derive(Clone, Copy, Debug)]
+pub struct Spans {
+    /// The TTL of all sessions.
+    pub ttl: Duration,
+    /// At rest: as long as Consul holds a look, so that each forwarder looks once.
+    pub rest: Duration,
+    /// Changes of policy, and the time from one to the next.
+    pub changes: u32,
+    /// The time from one change to the next.
+    pub change_every: Duration,
+    /// Restarts, one after another.
+    pub restarts: u32,
+    /// The time from one restart to the next.
+    pub restart_every: Duration,
+    /// What follows a loss, beyond the time after which sessions end.
+    pub after_loss: Duration,
+    /// What follows the joining of a region.
+    pub after_join: Duration,
+}
+
+/// What a fleet goes through.
+#[derive(Clone, Debug)]
+pub struct Course {
+    /// How long the phases are.
+    pub spans: Spans,
+    /// A forwarder dies before a change, with sessions that end after so many times their TTL; one run each.
+    pub deaths: Vec<f64>,
+    /// Whether a machine, a zone and a region are lost.
+    pub losses: bool,
+    /// Whether forwarders are restarted.
+    pub restarts: bool,
+}
+
+/// A phase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Phase {
+    /// Nothing happens.
+    Rest,
+    /// Changes at the peak rate.
+    Changes,
+    /// Restarts, one after another.
+    Restarts,
+    /// A process with its forwarders is killed, and a policy proposed at once.
+    MachineLost,
+    /// The same with a zone.
+    ZoneLost,
+    /// The same with a region that is cut off from its stores.
+    RegionCut,
+    /// The region is joined again.
+    RegionJoined,
+}
+
+/// When a policy was in force.
+#[derive(Clone, Debug)]
+pub struct PolicyTime {
+    /// What had just happened.
+    pub after: String,
+    /// Forwarders that took it.
+    pub members: usize,
+    /// Seconds from the proposal to the commit.
+    pub committed: f64,
+    /// Seconds from the proposal until it was in force, of the middle and of the last forwarder.
+    pub middle: f64,
+    /// The same of the last forwarder.
+    pub last: f64,
+}
+
+/// What a phase showed.
+#[derive(Clone, Debug)]
+pub struct PhaseLoad {
+    /// The load.
+    pub load: Load,
+    /// How long it was measured.
+    pub seconds: f64,
+    /// Changes or restarts in it.
+    pub events: usize,
+}
+
+/// What a fleet of one size showed.
+#[derive(Clone, Debug)]
+pub struct FleetResult {
+    /// Forwarders at the start.
+    pub members: usize,
+    /// Seconds from the start of all until all were members and all duties were held.
+    pub settled: f64,
+    /// The phases.
+    pub phases: BTreeMap<Phase, PhaseLoad>,
+    /// When policies were in force.
+    pub times: Vec<PolicyTime>,
+    /// Seconds from the joining of a region until its last forwarder had the policy in force; none where none was cut.
+    pub caught_up: Option<f64>,
+}
+
+/// What happens at a moment of a window.
+enum Happening {
+    Propose,
+    Restart(String),
+}
+
+/// A fleet on its course.
+struct Journey {
+    fleet: Fleet,
+    proposer: Proposer,
+    spans: Spans,
+    base: BTreeMap<usize, u64>,
+    chance: StdRng,
+    result: FleetResult,
+}
+
+/// Takes a fleet of this size through its course.
+///
+/// # Errors
+///
+/// It does not settle, a child ends, or the experiment would use more than it may.
+pub async fn measure(plan: FleetPlan, course: &Course, seed: u64) -> Result<FleetResult, String> {
+    let mut journey = Journey::start(plan, course.spans, seed).await?;
+    journey.rest().await?;
+    journey.changes().await?;
+    if course.restarts {
+        journey.restarts().await?;
+    }
+    for ttls in &course.deaths {
+        journey.death(*ttls).await?;
+    }
+    if course.losses {
+        journey.losses().await?;
+    }
+    Ok(journey.result)
+}
+
+impl Journey {
+    async fn start(plan: FleetPlan, spans: Spans, seed: u64) -> Result<Self, String> {
+        let mut fleet = Fleet::start(plan, Budget::of_this_machine()?).await?;
+        let commit_point = fleet.commit_point().ok_or("there is no commit point")?;
+        let proposer = Proposer::start(commit_point, plan.ttl);
+        let base = Snapshot::take(&mut fleet, 0).await?.host_resident();
+        let result = FleetResult {
+            members: plan.members,
+            settled: 0.0,
+            phases: BTreeMap::new(),
+            times: Vec::new(),
+            caught_up: None,
+        };
+        let chance = StdRng::seed_from_u64(seed);
+        let mut journey = Journey { fleet, proposer, spans, base, chance, result };
+        let began = Instant::now();
+        journey.fleet.sessions_end_after(1.0)?;
+        journey.fleet.begin()?;
+        journey.settle().await?;
+        journey.result.settled = began.elapsed().as_secs_f64();
+        Ok(journey)
+    }
+
+    async fn rest(&mut self) -> Result<(), String> {
+        self.window(Phase::Rest, self.spans.rest, Vec::new(), 0).await
+    }
+
+    async fn changes(&mut self) -> Result<(), String> {
+        let Spans { changes, change_every, .. } = self.spans;
+        let happenings = (0..changes).map(|number| (change_every * number, Happening::Propose)).collect();
+        self.window(Phase::Changes, change_every * changes, happenings, changes as usize).await?;
+        for _ in 0..changes {
+            self.policy_time("a change").await?;
+        }
+        Ok(())
+    }
+
+    async fn restarts(&mut self) -> Result<(), String> {
+        let Spans { restarts, restart_every, .. } = self.spans;
+        let mut names: Vec<String> = self.fleet.members().cloned().collect();
+        names.shuffle(&mut self.chance);
+        names.truncate(restarts as usize);
+        let count = names.len();
+        let place = |(number, name)| (restart_every * number as u32, Happening::Restart(name));
+        let happenings = names.into_iter().enumerate().map(place).collect();
+        let span = restart_every * count as u32 + SECOND;
+        let before = self.fleet.restarted;
+        self.window(Phase::Restarts, span, happenings, count).await?;
+        self.fleet.wait_until(SETTLE, "restarts", |fleet| fleet.restarted >= before + count).await?;
+        self.settle().await
+    }
+
+    /// A forwarder dies, and a policy is proposed at once.
+    async fn death(&mut self, ttls: f64) -> Result<(), String> {
+        self.sessions_end_after(ttls).await?;
+        let names: Vec<String> = self.fleet.members().cloned().collect();
+        let name = names[self.chance.random_range(0..names.len())].clone();
+        self.fleet.kill_member(&name)?;
+        self.proposer.propose();
+        self.policy_time(&format!("a forwarder's death, sessions end after {ttls} TTL")).await
+    }
+
+    async fn losses(&mut self) -> Result<(), String> {
+        self.sessions_end_after(1.0).await?;
+        let span = self.spans.ttl + self.spans.after_loss;
+        let machine = self.fleet.hosts.iter().position(|host| host.zone == LOST_MACHINE_ZONE);
+        self.fleet.kill_host(machine.ok_or("no process to kill")?);
+        self.loss(Phase::MachineLost, span, "a machine's loss").await?;
+        self.fleet.kill_zone(LOST_ZONE);
+        self.loss(Phase::ZoneLost, span, "a zone's loss").await?;
+        self.region(span).await
+    }
+
+    async fn region(&mut self, span: Duration) -> Result<(), String> {
+        self.fleet.cut_region(CUT_REGION, true)?;
+        self.loss(Phase::RegionCut, span, "a region's cut").await?;
+        let policies = self.fleet.in_force.len();
+        let joined = clock();
+        self.fleet.cut_region(CUT_REGION, false)?;
+        self.window(Phase::RegionJoined, self.spans.after_join, Vec::new(), 1).await?;
+        self.settle().await?;
+        let last = self.fleet.in_force[policies..].iter().map(|in_force| in_force.at).max();
+        self.result.caught_up = last.map(|at| seconds(joined, at));
+        Ok(())
+    }
+
+    /// What follows a loss, with a policy that is proposed at once.
+    async fn loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
+        self.window(phase, span, vec![(Duration::ZERO, Happening::Propose)], 1).await?;
+        self.policy_time(&format!("{what}, sessions end after 1 TTL")).await
+    }
+
+    /// Measures for this long, second by second, while these things happen.
+    async fn window(
+        &mut self,
+        phase: Phase,
+        span: Duration,
+        happenings: Vec<(Duration, Happening)>,
+        events: usize,
+    ) -> Result<(), String> {
+        let mut happenings = happenings.into_iter().peekable();
+        let first = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
+        let start = Instant::now();
+        let (mut busiest, mut last) = (0.0_f64, first.clone());
+        let mut look = start;
+        while start.elapsed() < span {
+            while let Some((_, happening)) = happenings.next_if(|(at, _)| start + *at <= Instant::now()) {
+                match happening {
+                    Happening::Propose => self.proposer.propose(),
+                    Happening::Restart(name) => self.fleet.restart_member(&name)?,
+                }
+            }
+            if Instant::now() >= look + SECOND {
+                look = Instant::now();
+                let now = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
+                busiest = busiest.max(now.bytes_since(&last));
+                last = now;
+            }
+            let next = happenings.peek().map_or(start + span, |(at, _)| start + *at);
+            self.fleet.receive_until(next.min(look + SECOND).min(start + span)).await?;
+        }
+        let end = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
+        let load = end.load_since(&first, &self.base, busiest);
+        let measured = PhaseLoad { load, seconds: end.seconds_since(&first), events };
+        self.result.phases.insert(phase, measured);
+        Ok(())
+    }
+
+    /// Waits until the next proposal is in force on all that can be reached; notes how long that took.
+    async fn policy_time(&mut self, after: &str) -> Result<(), String> {
+        let proposal = loop {
+            tokio::select! {
+                proposal = self.proposer.next() => break proposal?,
+                () = self.fleet.receive() => self.fleet.check()?,
+            }
+        };
+        let reachable = self.reachable();
+        let has_it = |fleet: &Fleet| times(fleet, &proposal, &reachable).len() == reachable.len();
+        self.fleet.wait_until(LATE_REPORT, "a policy in force on all", has_it).await?;
+        let times = times(&self.fleet, &proposal, &reachable);
+        self.result.times.push(PolicyTime {
+            after: after.to_owned(),
+            members: times.len(),
+            committed: seconds(proposal.began, proposal.committed),
+            middle: times[times.len() / 2],
+            last: times[times.len() - 1],
+        });
+        Ok(())
+    }
+
+    /// The forwarders that run and are not cut off.
+    fn reachable(&self) -> BTreeSet<String> {
+        let cut_off = |zone: usize| self.fleet.is_cut(zone / ZONES_PER_REGION);
+        let hosts = self.fleet.hosts.iter().filter(|host| !cut_off(host.zone));
+        hosts.flat_map(|host| host.members.iter().cloned()).collect()
+    }
+
+    /// From now on sessions end after so many times their TTL, those too that were renewed before.
+    async fn sessions_end_after(&mut self, ttls: f64) -> Result<(), String> {
+        self.fleet.sessions_end_after(ttls)?;
+        // All are renewed at a third of the TTL; a fourth is for what is late.
+        self.fleet.receive_until(Instant::now() + self.spans.ttl / 3 + self.spans.ttl / 4).await
+    }
+
+    /// Waits until all forwarders are members at the commit point and in their region, and all duties are held.
+    async fn settle(&mut self) -> Result<(), String> {
+        let until = Instant::now() + SETTLE;
+        let mut commit_point = Locks::new(consul_settings(self.fleet.commit_point())?);
+        let mut stores = Vec::new();
+        for region in 0..REGIONS {
+            stores.push(Locks::new(consul_settings(self.fleet.duties_store(region))?));
+        }
+        loop {
+            let what = match self.unsettled(&mut commit_point, &mut stores).await? {
+                None => return Ok(()),
+                Some(what) => what,
+            };
+            if Instant::now() > until {
+                return Err(format!("not settled within {} s: {what}", SETTLE.as_secs()));
+            }
+            self.fleet.receive_until(Instant::now() + SETTLE_LOOK).await?;
+        }
+    }
+
+    /// What keeps the fleet from being settled; none: it is.
+    async fn unsettled(
+        &self,
+        commit_point: &mut Locks,
+        stores: &mut [Locks],
+    ) -> Result<Option<String>, String> {
+        let commit_address = self.fleet.commit_point().ok_or("there is no commit point")?;
+        let folder = policy_settings(commit_address, self.spans.ttl).members();
+        let members = held(commit_point, &folder).await?;
+        let expected = self.fleet.members().count();
+        if members != expected {
+            return Ok(Some(format!("{members} of {expected} are members at the commit point")));
+        }
+        for (region, store) in stores.iter_mut().enumerate() {
+            let held = held(store, &self.fleet.duties_prefix()).await?;
+            let expected = self.fleet.members_in(region) + self.fleet.duty_count(region);
+            if held != expected {
+                return Ok(Some(format!("region {region} has {held} of {expected} memberships and duties")));
+            }
+        }
+        Ok(None)
+    }
+}
+
+/// How many keys below a folder are held by a session.
+async fn held(store: &mut Locks, folder: &str) -> Result<usize, String> {
+    let (_, rows) = store.look(folder, 0, Duration::ZERO).await.map_err(|error| error.to_string())?;
+    Ok(rows.iter().filter(|row| row.session.is_some()).count())
+}
+
+fn consul_settings(address: Option<std::net::SocketAddr>) -> Result<Rc<ConsulSettings>, String> {
+    let address = address.ok_or("a store is missing")?;
+    Ok(Rc::new(ConsulSettings { addresses: vec![address], ..ConsulSettings::default() }))
+}
+
+/// Seconds from a proposal until it was in force, of each of these on which it is, in order.
+fn times(fleet: &Fleet, proposal: &Proposal, members: &BTreeSet<String>) -> Vec<f64> {
+    let mut first: BTreeMap<&str, u64> = BTreeMap::new();
+    for in_force in fleet.in_force.iter().filter(|in_force| in_force.epoch >= proposal.epoch) {
+        if members.contains(&in_force.name) {
+            let at = first.entry(&in_force.name).or_insert(in_force.at);
+            *at = in_force.at.min(*at);
+        }
+    }
+    let mut times: Vec<f64> = first.values().map(|at| seconds(proposal.began, *at)).collect();
+    times.sort_by(f64::total_cmp);
+    times
+}
+
+fn seconds(from: u64, to: u64) -> f64 {
+    to.saturating_sub(from) as f64 / 1e6
+}
--- /dev/null
+++ b/crates/lab/src/capacity/control/proposer.rs
@@ -0,0 +1,82 @@
+//! Proposes policies at the commit point, one after another, as the operators' tool does.
+
+use super::hollow::policy_settings;
+use super::messages::clock;
+use orchidyoke_epochs::propose::Office;
+use orchidyoke_stand_ins::{FaultProxy, Stage, loopback};
+use serde_json::json;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::task::spawn_local;
+
+/// How long a policy may take to be committed, and then to be in force on all.
+const PATIENCE: Duration = Duration::from_secs(60);
+/// The policies differ in this setting, by a microsecond.
+const FIRST_IDLE_CLOSE_US: u64 = 8_000_000;
+
+/// A policy that was committed.
+#[derive(Clone, Copy, Debug)]
+pub struct Proposal {
+    /// Its number.
+    pub epoch: u64,
+    /// When it was proposed, in microseconds of the machine's clock.
+    pub began: u64,
+    /// When the answer came that it is committed.
+    pub committed: u64,
+}
+
+/// Who proposes. Proposals wait for each other.
+pub struct Proposer {
+    asked: UnboundedSender<()>,
+    done: UnboundedReceiver<Result<Proposal, String>>,
+    link: FaultProxy,
+    _stage: Stage,
+}
+
+impl Proposer {
+    /// One for the commit point at this address.
+    pub fn start(commit_point: SocketAddr, ttl: Duration) -> Self {
+        let stage = Stage::new();
+        let link = FaultProxy::start(&stage, loopback(), commit_point);
+        let mut office = Office::new(policy_settings(link.address, ttl));
+        let (asked, mut requests) = unbounded_channel();
+        let (sender, done) = unbounded_channel();
+        spawn_local(async move {
+            let mut number = 0;
+            while let Some(()) = requests.recv().await {
+                number += 1;
+                let proposed = propose(&mut office, number).await;
+                // The receiver is gone only when the experiment ends.
+                drop(sender.send(proposed));
+            }
+        });
+        Proposer { asked, done, link, _stage: stage }
+    }
+
+    /// Proposes a policy once those before it are done.
+    pub fn propose(&self) {
+        // The receiver lives as long as this.
+        let _ = self.asked.send(());
+    }
+
+    /// The next policy that is committed and in force on all that are there.
+    pub async fn next(&mut self) -> Result<Proposal, String> {
+        self.done.recv().await.unwrap_or_else(|| Err("nobody proposes any more".to_owned()))
+    }
+
+    /// Bytes with the commit point, both ways.
+    pub fn bytes(&self) -> u64 {
+        self.link.counts().carried
+    }
+}
+
+async fn propose(office: &mut Office, number: u64) -> Result<Proposal, String> {
+    let idle_close = FIRST_IDLE_CLOSE_US + number;
+    let policy = json!({"settings": {"limits": {"idle_close_us": idle_close}}}).to_string();
+    let began = clock();
+    let taken = office.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
+    let since_commit = office.last_commit().map_or(Duration::ZERO, |at| at.elapsed());
+    let committed = clock() - since_commit.as_micros() as u64;
+    Ok(Proposal { epoch: taken.epoch, began, committed })
+}
--- /dev/null
+++ b/crates/lab/src/capacity/control/rules.rs
@@ -0,0 +1,58 @@
+//! The rules that a run has to keep. They are about counts of work and about the operators' budget; none is about a time.
+
+use super::scenario::{ONE_CHANGE, ONE_RESTART, ORDINARY_DAY, REST, Row};
+
+/// What must not grow with the fleet may do so by this factor from the smallest to the largest, for what chance does.
+const LEVEL: f64 = 1.6;
+/// What may grow in proportion to the fleet may do so by this factor more.
+const PROPORTIONAL: f64 = 1.5;
+
+/// A bound on how a quantity grows from the smallest fleet to the largest.
+struct GrowthRule {
+    scenario: &'static str,
+    quantity: &'static str,
+    /// Whether it may grow in proportion to the fleet.
+    proportional: bool,
+}
+
+const GROWTH_RULES: [GrowthRule; 6] = [
+    GrowthRule { scenario: REST, quantity: "policy B/s a forwarder", proportional: false },
+    GrowthRule { scenario: REST, quantity: "policy requests/s a forwarder", proportional: false },
+    GrowthRule { scenario: ONE_CHANGE, quantity: "policy B/s a forwarder", proportional: false },
+    GrowthRule { scenario: ONE_CHANGE, quantity: "policy requests/s a forwarder", proportional: false },
+    GrowthRule { scenario: ONE_RESTART, quantity: "duties requests/s a forwarder", proportional: false },
+    // Each change is read by all members of a region, with all of them in it.
+    GrowthRule { scenario: ONE_RESTART, quantity: "duties B/s a forwarder", proportional: true },
+];
+
+/// Scenarios in which the operators' budget is held, and has to stay so.
+const BUDGETED: [&str; 2] = [REST, ORDINARY_DAY];
+
+/// The rules that these rows break, each in a sentence.
+pub fn broken(rows: &[Row]) -> Vec<String> {
+    let grown = GROWTH_RULES.iter().filter_map(|rule| grows_too_much(rule, rows));
+    let budgeted = rows.iter().filter(|row| BUDGETED.contains(&row.scenario.as_str()));
+    grown.chain(budgeted.filter_map(over_budget)).collect()
+}
+
+fn grows_too_much(rule: &GrowthRule, rows: &[Row]) -> Option<String> {
+    let row = rows.iter().find(|row| row.scenario == rule.scenario && row.quantity == rule.quantity)?;
+    let ((smallest, _), (largest, _)) = (row.points.first()?, row.points.last()?);
+    let most = if rule.proportional { PROPORTIONAL * largest / smallest } else { LEVEL };
+    let ratio = row.ratio();
+    (ratio > most).then(|| {
+        format!(
+            "{}, {}: {ratio:.2} times as much with {largest} forwarders as with {smallest}, {most:.2} at most",
+            rule.scenario, rule.quantity
+        )
+    })
+}
+
+fn over_budget(row: &Row) -> Option<String> {
+    let budget = row.budget?;
+    let (forwarders, value) = row.points.iter().find(|(_, value)| *value > budget)?;
+    Some(format!(
+        "{}, {}: {value:.1} with {forwarders} forwarders, {budget} at most",
+        row.scenario, row.quantity
+    ))
+}
--- /dev/null
+++ b/crates/lab/src/capacity/control/stand_in.rs
@@ -0,0 +1,89 @@
+//! A control stand-in: the process that the forwarders of one zone connect to.
+//!
+//! It has two links, to the commit point and to the duties of its region, each a fault proxy that counts bytes, and the
+//! stores that are kept in its zone.
+
+use super::child::report;
+use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
+use orchidyoke_stand_ins::{Consul, Fault, FaultProxy, Stage, loopback};
+use std::net::SocketAddr;
+use tokio::sync::mpsc::UnboundedReceiver;
+
+/// A link of the zone, and the store behind it where that is kept here.
+struct Link {
+    proxy: FaultProxy,
+    store: Option<Consul>,
+}
+
+impl Link {
+    fn new(stage: &Stage, store: Store) -> Self {
+        let (store, upstream) = match store {
+            Store::At(address) => (None, address),
+            Store::Here => {
+                let store = Consul::start();
+                let address = store.address();
+                (Some(store), address)
+            }
+        };
+        Link { proxy: FaultProxy::start(stage, loopback(), upstream), store }
+    }
+
+    fn store_address(&self) -> Option<SocketAddr> {
+        self.store.as_ref().map(Consul::address)
+    }
+
+    fn bytes(&self) -> u64 {
+        self.proxy.counts().carried
+    }
+
+    fn requests(&self) -> u64 {
+        self.store.as_ref().map_or(0, Consul::questions)
+    }
+
+    fn cut(&self, cut: bool) {
+        self.proxy.set(if cut { Fault::Partition } else { Fault::Pass });
+    }
+
+    fn sessions_end_after(&self, ttls: f64) {
+        if let Some(store) = &self.store {
+            store.sessions_end_after(ttls);
+        }
+    }
+}
+
+/// Runs until the requests end.
+pub async fn run(role: &ControlRole, mut requests: UnboundedReceiver<Request>) {
+    let stage = Stage::new();
+    let policy = Link::new(&stage, role.policy);
+    let duties = Link::new(&stage, role.duties);
+    report(&Report::Listens(Listens {
+        policy_link: policy.proxy.address,
+        duties_link: duties.proxy.address,
+        policy_store: policy.store_address(),
+        duties_store: duties.store_address(),
+    }));
+    while let Some(request) = requests.recv().await {
+        match request {
+            Request::Count(number) => {
+                let counts = Counts {
+                    policy_bytes: policy.bytes(),
+                    duties_bytes: duties.bytes(),
+                    policy_requests: policy.requests(),
+                    duties_requests: duties.requests(),
+                };
+                report(&Report::Counted(number, counts));
+            }
+            Request::Cut(cut) => {
+                policy.cut(cut);
+                duties.cut(cut);
+            }
+            Request::SessionsEndAfter(ttls) => {
+                policy.sessions_end_after(ttls);
+                duties.sessions_end_after(ttls);
+            }
+            Request::Begin | Request::Restart(_) | Request::Kill(_) => {
+                eprintln!("a control stand-in has no members: {request:?}");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/control/table.rs
@@ -0,0 +1,119 @@
+//! The table, the chart and the JSON line of the experiment.
+
+use super::load::Quantity;
+use super::scenario::{Basis, Row};
+use crate::Run;
+use crate::report::{Chart, Line, Outcome};
+use serde_json::{Value, json};
+
+/// A size of the fleet, and the name of its column.
+#[derive(Clone, Copy, Debug)]
+pub struct FleetSize {
+    /// Forwarders.
+    pub members: usize,
+    /// The column.
+    pub column: &'static str,
+}
+
+/// All that the experiment has shown.
+pub fn outcome(run: &Run, sizes: &[FleetSize], rows: &[Row], broken: Vec<String>) -> Outcome {
+    Outcome {
+        columns: columns(sizes),
+        rows: rows.iter().map(|row| cells(sizes, row)).collect(),
+        chart: chart(rows),
+        json: json!({
+            "experiment": "capacity-control",
+            "seed": run.seed,
+            "sabotage": run.sabotage,
+            "sizes": sizes.iter().map(|size| size.members).collect::<Vec<_>>(),
+            "missed": missed(rows),
+            "rows": rows.iter().map(row_json).collect::<Vec<_>>(),
+            "broken": broken.len(),
+        }),
+        broken,
+    }
+}
+
+fn columns(sizes: &[FleetSize]) -> Vec<&'static str> {
+    let sizes = sizes.iter().map(|size| size.column);
+    let before = ["scenario", "how", "what"].into_iter();
+    let after = ["budget", "factor", "verdict", "grows with", "power", "slope", "at 0", "R²", "missed from"];
+    before.chain(sizes).chain(after).collect()
+}
+
+fn cells(sizes: &[FleetSize], row: &Row) -> Vec<String> {
+    let value = |size: &FleetSize| {
+        let point = row.points.iter().find(|(members, _)| *members == size.members as f64);
+        point.map_or("-".to_owned(), |(_, value)| figure(*value))
+    };
+    let optional = |value: Option<f64>| value.map_or("-".to_owned(), figure);
+    let trend = row.trend();
+    let scenario = row.scenario.replace(',', ";");
+    let mut cells = vec![scenario, row.basis.label().to_owned(), row.quantity.replace(',', ";")];
+    cells.extend(sizes.iter().map(value));
+    cells.extend([
+        optional(row.budget),
+        optional(row.factor()),
+        verdict(row).to_owned(),
+        trend.map_or("-", |trend| trend.growth.label()).to_owned(),
+        optional(trend.and_then(|trend| trend.power)),
+        optional(trend.map(|trend| trend.fit.slope)),
+        optional(trend.map(|trend| trend.fit.intercept)),
+        trend.map_or("-".to_owned(), |trend| format!("{:.3}", trend.fit.r_squared)),
+        optional(row.fails_from()),
+    ]);
+    cells
+}
+
+fn verdict(row: &Row) -> &'static str {
+    match row.factor() {
+        None => "-",
+        Some(factor) if factor > 1.0 => "missed",
+        Some(_) => "held",
+    }
+}
+
+/// Three digits that count.
+fn figure(value: f64) -> String {
+    let digits = match value.abs() {
+        0.0 => return "0".to_owned(),
+        size => (2 - size.log10().floor() as i32).clamp(0, 6) as usize,
+    };
+    format!("{value:.digits$}")
+}
+
+/// The budgets that the largest fleet misses, the furthest first.
+fn missed(rows: &[Row]) -> Vec<Value> {
+    let mut missed: Vec<(&Row, f64)> =
+        rows.iter().filter_map(|row| Some((row, row.factor().filter(|factor| *factor > 1.0)?))).collect();
+    missed.sort_by(|a, b| b.1.total_cmp(&a.1));
+    let value = |(row, factor): (&Row, f64)| json!({"scenario": row.scenario, "what": row.quantity, "factor": factor, "from": row.fails_from()});
+    missed.into_iter().map(value).collect()
+}
+
+fn row_json(row: &Row) -> Value {
+    json!({"scenario": row.scenario, "how": row.basis.label(), "what": row.quantity, "budget": row.budget,
+        "values": row.points.iter().map(|(members, value)| json!([members, value])).collect::<Vec<_>>(),
+        "slope": row.trend().map(|trend| trend.fit.slope),
+        "grows_with": row.trend().map(|trend| trend.growth.label())})
+}
+
+/// Bytes a second of a forwarder in each scenario with a budget, and the lines fitted to them.
+fn chart(rows: &[Row]) -> Chart {
+    let label = Quantity::Bytes.label();
+    let shown = rows.iter().filter(|row| row.quantity == label && row.basis != Basis::CostOfOne);
+    let mut lines = Vec::new();
+    for row in shown {
+        let points = row.points.iter().map(|(members, value)| (*members, value / 1e3)).collect();
+        let fitted = row.trend().map_or(String::new(), |trend| {
+            format!(": {} B/s a forwarder more, R² {:.2}", figure(trend.fit.slope), trend.fit.r_squared)
+        });
+        lines.push(Line { name: format!("{}{fitted}", row.scenario), points });
+    }
+    Chart {
+        title: "Control of a forwarder; 6 KB a second is its budget".to_owned(),
+        x: "forwarders in the fleet".to_owned(),
+        y: "KB a second".to_owned(),
+        lines,
+    }
+}
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -40,10 +40,15 @@
         #[command(flatten)]
         run: Run,
     },
+    /// A child process of `capacity-control`.
+    #[command(name = capacity::control::CHILD_COMMAND, hide = true)]
+    CapacityChild,
 }
 
 /// How an experiment is run.
 #[derive(Args, Clone, Debug)]
+// The sub-command of this name has a group of its own, and no two groups may share one.
+#[group(skip)]
 struct Run {
     /// Where all chance comes from.
     #[arg(long, default_value_t = 1)]
@@ -60,6 +65,9 @@
     /// Take away what the experiment is to prove: the run must fail.
     #[arg(long, alias = "unrestrained")]
     sabotage: bool,
+    /// Small sizes and short spans, in seconds (capacity-control).
+    #[arg(long)]
+    quick: bool,
 }
 
 impl Run {
@@ -80,7 +88,7 @@
     run: fn(&Run) -> Result<Outcome, String>,
 }
 
-const EXPERIMENTS: [Experiment; 7] = [
+const EXPERIMENTS: [Experiment; 8] = [
     Experiment {
         name: "consul-drain",
         shows: "endpoints flap, drain and vanish under load: from Consul's answer to the last new call",
@@ -123,6 +131,12 @@
         sabotage: "one of ten forwarders is cut off from Consul before the change",
         run: policy::run,
     },
+    Experiment {
+        name: "capacity-control",
+        shows: "50, 150 and 450 forwarders without traffic: what control costs at rest, with changes and restarts, in losses",
+        sabotage: "each forwarder also reads all members of the fleet at each change to one of them",
+        run: capacity::control::run,
+    },
 ];
 
 fn run(name: &str, run: &Run) -> Result<bool, String> {
@@ -148,6 +162,13 @@
             }
             ExitCode::SUCCESS
         }
+        Command::CapacityChild => match capacity::control::child::run() {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                eprintln!("orchidyoke-lab: {error}");
+                ExitCode::from(2)
+            }
+        },
         Command::Run { name, run: how } => match run(&name, &how) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::FAILURE,
