--- a/crates/lab/src/capacity/control.rs
+++ b/crates/lab/src/capacity/control.rs
@@ -50,6 +50,8 @@
     rest: Duration::from_secs(31),
     changes: 3,
     change_every: PEAK_CHANGE_EVERY,
+    large_changes: 3,
+    large_change_every: Duration::from_secs(2),
     restarts: 20,
     restart_every: Duration::from_millis(500),
     after_loss: Duration::from_secs(2),
@@ -57,10 +59,13 @@
 };
 
 const QUICK_SPANS: Spans = Spans {
-    ttl: Duration::from_secs(10),
+    // Several looks and renewals of each fall into the span at rest, so that one more or less is no great part.
+    ttl: Duration::from_secs(3),
     rest: Duration::from_secs(5),
     changes: 3,
     change_every: Duration::from_millis(500),
+    large_changes: 2,
+    large_change_every: Duration::from_millis(500),
     restarts: 5,
     restart_every: Duration::from_millis(300),
     after_loss: Duration::ZERO,
--- a/crates/lab/src/capacity/control/load.rs
+++ b/crates/lab/src/capacity/control/load.rs
@@ -10,6 +10,8 @@
 const BYTES_BUDGET: f64 = 6_000.0;
 const CORE_BUDGET: f64 = 2.6;
 const RESIDENT_BUDGET: f64 = 32.0;
+/// One percent of a core for a second.
+const MILLISECONDS_A_PERCENT: f64 = 10.0;
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -75,6 +77,22 @@
         }
     }
 
+    /// What it is called for one event, where that has a meaning, and how many of that unit one of this is for a second.
+    pub fn of_one_event(self) -> Option<(&'static str, f64)> {
+        match self {
+            Quantity::PolicyBytes => Some(("policy B a forwarder", 1.0)),
+            Quantity::DutiesBytes => Some(("duties B a forwarder", 1.0)),
+            Quantity::Bytes => Some(("B a forwarder", 1.0)),
+            Quantity::PolicyRequests => Some(("policy requests a forwarder", 1.0)),
+            Quantity::DutiesRequests => Some(("duties requests a forwarder", 1.0)),
+            Quantity::Core => Some(("ms of a core a forwarder", MILLISECONDS_A_PERCENT)),
+            Quantity::ControlBytes => Some(("B busiest control process", 1.0)),
+            Quantity::ControlRequests => Some(("requests busiest control process", 1.0)),
+            Quantity::ControlCore => Some(("ms of a core busiest control process", MILLISECONDS_A_PERCENT)),
+            Quantity::BusiestBytes | Quantity::Resident | Quantity::ControlResident => None,
+        }
+    }
+
     /// The most that the operators allow, where they say.
     pub fn budget(self) -> Option<f64> {
         match self {
@@ -87,7 +105,7 @@
 
     /// Whether the cost of one event times their rate comes on top of what it is at rest.
     fn adds_up(self) -> bool {
-        !matches!(self, Quantity::BusiestBytes | Quantity::Resident | Quantity::ControlResident)
+        self.of_one_event().is_some()
     }
 }
 
--- a/crates/lab/src/capacity/control/phases.rs
+++ b/crates/lab/src/capacity/control/phases.rs
@@ -4,7 +4,7 @@
 use super::hollow::policy_settings;
 use super::load::{Load, Snapshot};
 use super::messages::clock;
-use super::proposer::{Proposal, Proposer};
+use super::proposer::{PolicySize, Proposal, Proposer};
 use crate::capacity::budget::Budget;
 use orchidyoke_consul::Settings as ConsulSettings;
 use orchidyoke_consul::locks::Locks;
@@ -24,6 +24,9 @@
 const SETTLE_LOOK: Duration = Duration::from_millis(250);
 /// How long after a proposal is done its last report may come.
 const LATE_REPORT: Duration = Duration::from_secs(10);
+/// Sessions that are not renewed end after so many times their TTL, and in the losses.
+const USUAL_SESSION_END: f64 = 1.5;
+const LOSSES_SESSION_END: f64 = 1.0;
 /// The zone of the process that is killed, and the zone that is lost, which has no store.
 const LOST_MACHINE_ZONE: usize = 1;
 const LOST_ZONE: usize = 3;
@@ -37,10 +40,14 @@
     pub ttl: Duration,
     /// At rest: as long as Consul holds a look, so that each forwarder looks once.
     pub rest: Duration,
-    /// Changes of policy, and the time from one to the next.
+    /// Changes of policy, one after another.
     pub changes: u32,
     /// The time from one change to the next.
     pub change_every: Duration,
+    /// Changes with a large policy, one after another.
+    pub large_changes: u32,
+    /// The time from one of them to the next.
+    pub large_change_every: Duration,
     /// Restarts, one after another.
     pub restarts: u32,
     /// The time from one restart to the next.
@@ -71,6 +78,8 @@
     Rest,
     /// Changes at the peak rate.
     Changes,
+    /// Changes with a large policy.
+    LargeChanges,
     /// Restarts, one after another.
     Restarts,
     /// A process with its forwarders is killed, and a policy proposed at once.
@@ -88,8 +97,6 @@
 pub struct PolicyTime {
     /// What had just happened.
     pub after: String,
-    /// Forwarders that took it.
-    pub members: usize,
     /// Seconds from the proposal to the commit.
     pub committed: f64,
     /// Seconds from the proposal until it was in force, of the middle and of the last forwarder.
@@ -126,7 +133,7 @@
 
 /// What happens at a moment of a window.
 enum Happening {
-    Propose,
+    Propose(PolicySize),
     Restart(String),
 }
 
@@ -177,7 +184,7 @@
         let chance = StdRng::seed_from_u64(seed);
         let mut journey = Journey { fleet, proposer, spans, base, chance, result };
         let began = Instant::now();
-        journey.fleet.sessions_end_after(1.0)?;
+        journey.fleet.sessions_end_after(USUAL_SESSION_END)?;
         journey.fleet.begin()?;
         journey.settle().await?;
         journey.result.settled = began.elapsed().as_secs_f64();
@@ -190,10 +197,25 @@
 
     async fn changes(&mut self) -> Result<(), String> {
         let Spans { changes, change_every, .. } = self.spans;
-        let happenings = (0..changes).map(|number| (change_every * number, Happening::Propose)).collect();
-        self.window(Phase::Changes, change_every * changes, happenings, changes as usize).await?;
-        for _ in 0..changes {
-            self.policy_time("a change").await?;
+        self.changes_of(Phase::Changes, changes, change_every, PolicySize::Small, "a change").await?;
+        let Spans { large_changes, large_change_every, .. } = self.spans;
+        let size = PolicySize::Large;
+        self.changes_of(Phase::LargeChanges, large_changes, large_change_every, size, "a change of 17 KB")
+            .await
+    }
+
+    async fn changes_of(
+        &mut self,
+        phase: Phase,
+        count: u32,
+        every: Duration,
+        size: PolicySize,
+        what: &str,
+    ) -> Result<(), String> {
+        let happenings = (0..count).map(|number| (every * number, Happening::Propose(size))).collect();
+        self.window(phase, every * count, happenings, count as usize).await?;
+        for _ in 0..count {
+            self.policy_time(what).await?;
         }
         Ok(())
     }
@@ -219,12 +241,12 @@
         let names: Vec<String> = self.fleet.members().cloned().collect();
         let name = names[self.chance.random_range(0..names.len())].clone();
         self.fleet.kill_member(&name)?;
-        self.proposer.propose();
+        self.proposer.propose(PolicySize::Small);
         self.policy_time(&format!("a forwarder's death, sessions end after {ttls} TTL")).await
     }
 
     async fn losses(&mut self) -> Result<(), String> {
-        self.sessions_end_after(1.0).await?;
+        self.sessions_end_after(LOSSES_SESSION_END).await?;
         let span = self.spans.ttl + self.spans.after_loss;
         let machine = self.fleet.hosts.iter().position(|host| host.zone == LOST_MACHINE_ZONE);
         self.fleet.kill_host(machine.ok_or("no process to kill")?);
@@ -249,7 +271,7 @@
 
     /// What follows a loss, with a policy that is proposed at once.
     async fn loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
-        self.window(phase, span, vec![(Duration::ZERO, Happening::Propose)], 1).await?;
+        self.window(phase, span, vec![(Duration::ZERO, Happening::Propose(PolicySize::Small))], 1).await?;
         self.policy_time(&format!("{what}, sessions end after 1 TTL")).await
     }
 
@@ -269,7 +291,7 @@
         while start.elapsed() < span {
             while let Some((_, happening)) = happenings.next_if(|(at, _)| start + *at <= Instant::now()) {
                 match happening {
-                    Happening::Propose => self.proposer.propose(),
+                    Happening::Propose(size) => self.proposer.propose(size),
                     Happening::Restart(name) => self.fleet.restart_member(&name)?,
                 }
             }
@@ -303,7 +325,6 @@
         let times = times(&self.fleet, &proposal, &reachable);
         self.result.times.push(PolicyTime {
             after: after.to_owned(),
-            members: times.len(),
             committed: seconds(proposal.began, proposal.committed),
             middle: times[times.len() / 2],
             last: times[times.len() - 1],
--- a/crates/lab/src/capacity/control/proposer.rs
+++ b/crates/lab/src/capacity/control/proposer.rs
@@ -14,6 +14,27 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 /// The policies differ in this setting, by a microsecond.
 const FIRST_IDLE_CLOSE_US: u64 = 8_000_000;
+/// Endpoints that a large policy leaves out; each takes 17 bytes of it.
+const LARGE_POLICY_ENDPOINTS: usize = 1_000;
+
+/// How large a policy is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PolicySize {
+    /// One setting: some 60 bytes.
+    Small,
+    /// A thousand endpoints left out: 17 KB.
+    Large,
+}
+
+impl PolicySize {
+    fn endpoints_left_out(self) -> Vec<String> {
+        let count = match self {
+            PolicySize::Small => 0,
+            PolicySize::Large => LARGE_POLICY_ENDPOINTS,
+        };
+        (0..count).map(|number| format!("endpoint-{number:05}")).collect()
+    }
+}
 
 /// A policy that was committed.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +49,7 @@
 
 /// Who proposes. Proposals wait for each other.
 pub struct Proposer {
-    asked: UnboundedSender<()>,
+    asked: UnboundedSender<PolicySize>,
     done: UnboundedReceiver<Result<Proposal, String>>,
     link: FaultProxy,
     _stage: Stage,
@@ -44,9 +65,9 @@
         let (sender, done) = unbounded_channel();
         spawn_local(async move {
             let mut number = 0;
-            while let Some(()) = requests.recv().await {
+            while let Some(size) = requests.recv().await {
                 number += 1;
-                let proposed = propose(&mut office, number).await;
+                let proposed = propose(&mut office, number, size).await;
                 // The receiver is gone only when the experiment ends.
                 drop(sender.send(proposed));
             }
@@ -55,9 +76,9 @@
     }
 
     /// Proposes a policy once those before it are done.
-    pub fn propose(&self) {
+    pub fn propose(&self, size: PolicySize) {
         // The receiver lives as long as this.
-        let _ = self.asked.send(());
+        let _ = self.asked.send(size);
     }
 
     /// The next policy that is committed and in force on all that are there.
@@ -71,9 +92,10 @@
     }
 }
 
-async fn propose(office: &mut Office, number: u64) -> Result<Proposal, String> {
+async fn propose(office: &mut Office, number: u64, size: PolicySize) -> Result<Proposal, String> {
     let idle_close = FIRST_IDLE_CLOSE_US + number;
-    let policy = json!({"settings": {"limits": {"idle_close_us": idle_close}}}).to_string();
+    let settings = json!({"limits": {"idle_close_us": idle_close}});
+    let policy = json!({"settings": settings, "out": size.endpoints_left_out()}).to_string();
     let began = clock();
     let taken = office.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
     let since_commit = office.last_commit().map_or(Duration::ZERO, |at| at.elapsed());
--- a/crates/lab/src/capacity/control/rules.rs
+++ b/crates/lab/src/capacity/control/rules.rs
@@ -18,11 +18,11 @@
 const GROWTH_RULES: [GrowthRule; 6] = [
     GrowthRule { scenario: REST, quantity: "policy B/s a forwarder", proportional: false },
     GrowthRule { scenario: REST, quantity: "policy requests/s a forwarder", proportional: false },
-    GrowthRule { scenario: ONE_CHANGE, quantity: "policy B/s a forwarder", proportional: false },
-    GrowthRule { scenario: ONE_CHANGE, quantity: "policy requests/s a forwarder", proportional: false },
-    GrowthRule { scenario: ONE_RESTART, quantity: "duties requests/s a forwarder", proportional: false },
+    GrowthRule { scenario: ONE_CHANGE, quantity: "policy B a forwarder", proportional: false },
+    GrowthRule { scenario: ONE_CHANGE, quantity: "policy requests a forwarder", proportional: false },
+    GrowthRule { scenario: ONE_RESTART, quantity: "duties requests a forwarder", proportional: false },
     // Each change is read by all members of a region, with all of them in it.
-    GrowthRule { scenario: ONE_RESTART, quantity: "duties B/s a forwarder", proportional: true },
+    GrowthRule { scenario: ONE_RESTART, quantity: "duties B a forwarder", proportional: true },
 ];
 
 /// Scenarios in which the operators' budget is held, and has to stay so.
--- a/crates/lab/src/capacity/control/scenario.rs
+++ b/crates/lab/src/capacity/control/scenario.rs
@@ -8,6 +8,8 @@
 /// Changes of configuration a day.
 const CHANGES_A_DAY: f64 = 2_500.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
+/// All of them within eight hours, and three times as many at the peak of these.
+const PEAK_CHANGES_A_SECOND: f64 = 3.0 * CHANGES_A_DAY / 28_800.0;
 /// A rolling restart of all takes so long.
 const ROLLING_RESTART_SECONDS: f64 = 3_600.0;
 /// A policy is to be in force everywhere within so many seconds of its proposal.
@@ -155,15 +157,16 @@
     let loads: Option<Vec<(f64, Load)>> =
         results.iter().map(|result| Some((result.members as f64, load(result)?))).collect();
     let loads = loads.unwrap_or_default();
-    let measured = |quantity: &Quantity| loads.iter().any(|(_, load)| load.has(*quantity));
-    let row = |quantity: Quantity| Row {
-        scenario: scenario.to_owned(),
-        basis,
-        quantity: quantity.label(),
-        budget: quantity.budget().filter(|_| basis != Basis::CostOfOne),
-        points: loads.iter().map(|(members, load)| (*members, load.get(quantity))).collect(),
+    let known = |quantity: &Quantity| loads.iter().any(|(_, load)| load.has(*quantity));
+    let row = |quantity: Quantity| {
+        let (label, budget, unit) = match basis {
+            Basis::CostOfOne => quantity.of_one_event().map(|(label, unit)| (label, None, unit))?,
+            Basis::Measured | Basis::CostTimesRate => (quantity.label(), quantity.budget(), 1.0),
+        };
+        let points = loads.iter().map(|(members, load)| (*members, unit * load.get(quantity))).collect();
+        Some(Row { scenario: scenario.to_owned(), basis, quantity: label, budget, points })
     };
-    Quantity::ALL.into_iter().filter(measured).map(row).collect()
+    Quantity::ALL.into_iter().filter(known).filter_map(row).collect()
 }
 
 fn measured(results: &[FleetResult], scenario: &str, phase: Phase) -> Vec<Row> {
@@ -190,6 +193,10 @@
         rows(results, ORDINARY_DAY, Basis::CostTimesRate, by_day),
         measured(results, "changes at the peak rate", Phase::Changes),
         rows(results, ONE_CHANGE, Basis::CostOfOne, |result| cost(result, Phase::Changes)),
+        rows(results, "one change of 17 KB", Basis::CostOfOne, |result| cost(result, Phase::LargeChanges)),
+        rows(results, "changes of 17 KB at the peak rate", Basis::CostTimesRate, |result| {
+            at_rate(result, Phase::LargeChanges, PEAK_CHANGES_A_SECOND)
+        }),
         rows(results, "rolling restart of all in an hour", Basis::CostTimesRate, rolling),
         measured(results, "restarts, one after another", Phase::Restarts),
         rows(results, ONE_RESTART, Basis::CostOfOne, |result| cost(result, Phase::Restarts)),
--- a/crates/lab/src/capacity/control/table.rs
+++ b/crates/lab/src/capacity/control/table.rs
@@ -27,8 +27,8 @@
             "sabotage": run.sabotage,
             "sizes": sizes.iter().map(|size| size.members).collect::<Vec<_>>(),
             "missed": missed(rows),
-            "rows": rows.iter().map(row_json).collect::<Vec<_>>(),
             "broken": broken.len(),
+            "rows": rows.iter().map(row_json).collect::<Vec<_>>(),
         }),
         broken,
     }
@@ -92,10 +92,8 @@
 }
 
 fn row_json(row: &Row) -> Value {
-    json!({"scenario": row.scenario, "how": row.basis.label(), "what": row.quantity, "budget": row.budget,
-        "values": row.points.iter().map(|(members, value)| json!([members, value])).collect::<Vec<_>>(),
-        "slope": row.trend().map(|trend| trend.fit.slope),
-        "grows_with": row.trend().map(|trend| trend.growth.label())})
+    let values = row.points.iter().map(|(members, value)| json!([members, value]));
+    json!({"scenario": row.scenario, "what": row.quantity, "values": values.collect::<Vec<_>>()})
 }
 
 /// Bytes a second of a forwarder in each scenario with a budget, and the lines fitted to them.
--- /dev/null
+++ b/crates/lab/tests/capacity_control.rs
@@ -0,0 +1,91 @@
+//! The experiment `capacity-control` in its short form: the counts of its work, its sabotage, and where it stops.
+
+use serde_json::Value;
+use std::io::Write;
+use std::path::Path;
+use std::process::{Command, Output, Stdio};
+
+const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-lab");
+
+fn quick(more: &[&str]) -> Output {
+    let arguments = ["run", "capacity-control", "--quick"];
+    Command::new(LAB).args(arguments).args(more).output().expect("the lab starts")
+}
+
+fn text(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
+
+/// The JSON object on the last line of the output.
+fn result(output: &Output) -> Value {
+    let text = text(&output.stdout);
+    let last = text.lines().last().expect("a line");
+    serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {last}"))
+}
+
+/// A quantity of a scenario with the smaller fleet and with the larger one.
+fn values(result: &Value, scenario: &str, what: &str) -> [f64; 2] {
+    let rows = result["rows"].as_array().expect("rows");
+    let row = rows.iter().find(|row| row["scenario"] == scenario && row["what"] == what);
+    let row = row.unwrap_or_else(|| panic!("no row {scenario}, {what}"));
+    [0, 1].map(|size| row["values"][size][1].as_f64().expect("a number"))
+}
+
+// Guards against control whose work for a change or at rest grows with the fleet, and against a run that measures nothing.
+#[test]
+fn the_work_of_a_forwarder_does_not_grow_with_the_fleet() {
+    let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-control-{}", std::process::id()));
+    let output = quick(&["--seed", "7", "--out", folder.to_str().expect("a path")]);
+    assert_eq!(output.status.code(), Some(0), "{}{}", text(&output.stdout), text(&output.stderr));
+    let result = result(&output);
+    let level = |scenario: &str, what: &str, least: f64| {
+        let [small, large] = values(&result, scenario, what);
+        assert!(small >= least && large >= least, "{scenario}, {what}: {small} and {large}");
+        assert!(large <= 1.6 * small, "{scenario}, {what}: {small} with 10 and {large} with 30");
+    };
+    // A renewal and a look within the TTL; for a change two looks, a vote and what is in force, each with a renewal.
+    level("at rest", "policy requests/s a forwarder", 0.5);
+    level("one change", "policy requests a forwarder", 4.0);
+    level("one change", "policy B a forwarder", 1_000.0);
+    // Each restart is read by all members of its region, with all of them in it.
+    let [small, large] = values(&result, "one restart", "duties B a forwarder");
+    assert!(small > 0.0 && large <= 3.0 * 1.5 * small, "{small} with 10 and {large} with 30");
+    for kind in ["csv", "md", "svg"] {
+        assert!(Path::new(&folder).join(format!("capacity-control.{kind}")).is_file(), "{kind}");
+    }
+    drop(std::fs::remove_dir_all(&folder));
+}
+
+// Guards against rules that hold whatever is done: each forwarder that reads all of the others must break one.
+#[test]
+fn a_fleet_whose_members_read_each_other_breaks_a_rule() {
+    let output = quick(&["--sabotage"]);
+    assert_eq!(output.status.code(), Some(1), "{}{}", text(&output.stdout), text(&output.stderr));
+    let text = text(&output.stdout);
+    let broken: Vec<&str> = text.lines().filter(|line| line.starts_with("broken: one change")).collect();
+    assert!(!broken.is_empty(), "{text}");
+}
+
+// Guards against an experiment that takes more of the machine than it may, or fails halfway for want of it.
+#[test]
+fn it_stops_before_it_goes_over_what_it_may_use() {
+    let script = "ulimit -n 80; exec \"$0\" run capacity-control --quick";
+    let output = Command::new("sh").args(["-c", script, LAB]).output().expect("a shell");
+    assert_eq!(output.status.code(), Some(2), "{}", text(&output.stdout));
+    let error = text(&output.stderr);
+    assert!(error.contains("over the budget") && error.contains("descriptors"), "{error}");
+}
+
+#[test]
+fn a_child_without_a_role_says_so() {
+    let child = Command::new(LAB)
+        .arg("capacity-child")
+        .stdin(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the lab starts");
+    writeln!(child.stdin.as_ref().expect("a pipe"), "{{}}").expect("written");
+    let output = child.wait_with_output().expect("it ends");
+    assert_eq!(output.status.code(), Some(2));
+    assert!(text(&output.stderr).contains("no role"), "{}", text(&output.stderr));
+}
