--- a/crates/lab/src/capacity/control/hollow.rs
+++ b/crates/lab/src/capacity/control/hollow.rs
@@ -8,8 +8,9 @@
 use orchidyoke_duties::keeper::{Keeper, Member};
 use orchidyoke_duties::lease::Terms;
 use orchidyoke_epochs::{Follower, Settings as PolicySettings};
-use orchidyoke_node::accord::Accord;
 use orchidyoke_node::input::Input;
+use orchidyoke_node::policy_agent::PolicyAgent;
+use orchidyoke_node::policy_overlay::PolicyOverlay;
 use orchidyoke_node::reload::Source;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -95,7 +96,7 @@
         let told = async {
             while let Some(input) = received.recv().await {
                 if matches!(input, Input::Reconfigured(_)) {
-                    let (name, epoch) = (name.clone(), following.number());
+                    let (name, epoch) = (name.clone(), following.version());
                     report(&Report::InForce(InForce { name, epoch, at: clock() }));
                 }
             }
--- a/crates/lab/src/capacity/control/load.rs
+++ b/crates/lab/src/capacity/control/load.rs
@@ -282,7 +282,7 @@
             let policy = self.growth(before, other, |counts| counts.policy_bytes);
             let duties = self.growth(before, other, |counts| counts.duties_bytes);
             let has_commit_point = zone == 0;
-            let has_duties = zone % ZONES_PER_REGION == 0 && region_of(other) == region_of(zone);
+            let has_duties = zone.is_multiple_of(ZONES_PER_REGION) && region_of(other) == region_of(zone);
             match other == zone {
                 true => policy + duties,
                 false => f64::from(has_commit_point) * policy + f64::from(has_duties) * duties,
--- a/crates/stand-ins/src/consul/http.rs
+++ b/crates/stand-ins/src/consul/http.rs
@@ -149,6 +149,7 @@
         self.expire();
         let now = Instant::now();
         let mut state = self.state();
+        let before = state.store.index;
         let store = &mut state.store;
         let json = || serde_json::from_slice(body).unwrap_or(Value::Null);
         let done = if path == "/v1/session/create" {
@@ -178,7 +179,10 @@
         } else {
             Err((405, "method not allowed".to_owned()))
         };
-        self.changed.send_replace(state.store.index);
+        // A renewal changes nothing that anybody waits for.
+        if state.store.index != before {
+            self.changed.send_replace(state.store.index);
+        }
         match done {
             Ok(body) => told(body.to_string().into_bytes(), None, true),
             Err((status, why)) => plain(status, &why, None),
