--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -47,8 +47,7 @@
 
 /// How an experiment is run.
 #[derive(Args, Clone, Debug)]
-// The sub-command of this name has a group of its own, and no two groups may share one.
-#[group(skip)]
+#[group(id = "options")]
 struct Run {
     /// Where all chance comes from.
     #[arg(long, default_value_t = 1)]
@@ -65,9 +64,12 @@
     /// Take away what the experiment is to prove: the run must fail.
     #[arg(long, alias = "unrestrained")]
     sabotage: bool,
-    /// Small sizes and short spans, in seconds (capacity-control).
+    /// Smaller sizes, in seconds (capacity-forwarder, capacity-control).
     #[arg(long)]
     quick: bool,
+    /// Memory that the experiment may use, in MB, where half of the machine's is too much (capacity-forwarder).
+    #[arg(long, value_name = "MB")]
+    memory_mb: Option<u64>,
 }
 
 impl Run {
@@ -88,7 +90,13 @@
     run: fn(&Run) -> Result<Outcome, String>,
 }
 
-const EXPERIMENTS: [Experiment; 8] = [
+const EXPERIMENTS: [Experiment; 9] = [
+    Experiment {
+        name: "capacity-forwarder",
+        shows: "one forwarder's cost by destinations listed and messages waiting, as lines, against the aims",
+        sabotage: "the list is read again along with every message",
+        run: capacity::forwarder::run,
+    },
     Experiment {
         name: "consul-drain",
         shows: "endpoints flap, drain and vanish under load: from Consul's answer to the last new call",
