--- a/crates/lab/src/capacity/control/rules.rs
+++ b/crates/lab/src/capacity/control/rules.rs
@@ -25,6 +25,17 @@
     GrowthRule { scenario: ONE_RESTART, quantity: "duties B a forwarder", proportional: true },
 ];
 
+/// A bound on a quantity, whatever the size of the fleet.
+struct CeilingRule {
+    scenario: &'static str,
+    quantity: &'static str,
+    most: f64,
+}
+
+/// A change of a policy of some 60 bytes costs a forwarder 3,200 to 3,500 bytes: its looks, its vote, what it has in force.
+const CEILING_RULES: [CeilingRule; 1] =
+    [CeilingRule { scenario: ONE_CHANGE, quantity: "policy B a forwarder", most: 6_000.0 }];
+
 /// Scenarios in which the operators' budget is held, and has to stay so.
 const BUDGETED: [&str; 2] = [REST, ORDINARY_DAY];
 
@@ -32,7 +43,15 @@
 pub fn broken(rows: &[Row]) -> Vec<String> {
     let grown = GROWTH_RULES.iter().filter_map(|rule| grows_too_much(rule, rows));
     let budgeted = rows.iter().filter(|row| BUDGETED.contains(&row.scenario.as_str()));
-    grown.chain(budgeted.filter_map(over_budget)).collect()
+    let high = CEILING_RULES.iter().filter_map(|rule| goes_too_high(rule, rows));
+    grown.chain(high).chain(budgeted.filter_map(over_budget)).collect()
+}
+
+fn goes_too_high(rule: &CeilingRule, rows: &[Row]) -> Option<String> {
+    let row = rows.iter().find(|row| row.scenario == rule.scenario && row.quantity == rule.quantity)?;
+    let (forwarders, value) = row.points.iter().find(|(_, value)| *value > rule.most)?;
+    let CeilingRule { scenario, quantity, most } = rule;
+    Some(format!("{scenario}, {quantity}: {value:.0} with {forwarders} forwarders, {most} at most"))
 }
 
 fn grows_too_much(rule: &GrowthRule, rows: &[Row]) -> Option<String> {
