--- a/crates/lab/src/capacity/control/phases.rs
+++ b/crates/lab/src/capacity/control/phases.rs
@@ -79,6 +79,8 @@
     Changes,
     /// Changes with a large policy.
     LargeChanges,
+    /// Nothing happens, with a large policy in force.
+    LargeRest,
     /// Restarts, one after another.
     Restarts,
     /// A process with its forwarders is killed, and a policy proposed at once.
@@ -198,7 +200,13 @@
         let Spans { large_changes, large_change_every, .. } = self.spans;
         let size = PolicySize::Large;
         self.changes_of(Phase::LargeChanges, large_changes, large_change_every, size, "a change of 17 KB")
-            .await
+            .await?;
+        // A look at the commit point is held for a fourth of the TTL and a thirty-second part more, and then answered with
+        // the whole policy: this is two of them.
+        self.window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
+        // What follows is measured with a small policy in force, as the rest was.
+        self.proposer.propose(PolicySize::Small);
+        self.policy_time("a change back").await
     }
 
     async fn changes_of(
--- a/crates/lab/src/capacity/control/scenario.rs
+++ b/crates/lab/src/capacity/control/scenario.rs
@@ -206,6 +206,7 @@
             at_rate(result, Phase::Changes, PEAK_CHANGES_A_SECOND)
         }),
         rows(results, ONE_CHANGE, Basis::CostOfOne, |result| cost(result, Phase::Changes)),
+        measured(results, "at rest with 17 KB in force", Phase::LargeRest),
         rows(results, "one change of 17 KB", Basis::CostOfOne, |result| cost(result, Phase::LargeChanges)),
         rows(results, "changes of 17 KB at the peak rate", Basis::CostTimesRate, |result| {
             at_rate(result, Phase::LargeChanges, PEAK_CHANGES_A_SECOND)
