--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod budget;
 pub mod client;
+pub mod control;
 pub mod destinations;
 pub mod error;
 pub mod fit;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -40,6 +40,9 @@
         #[command(flatten)]
         run: Run,
     },
+    /// A child process of `capacity-control`.
+    #[command(name = capacity::control::CHILD_COMMAND, hide = true)]
+    CapacityChild,
 }
 
 /// How an experiment is run.
@@ -61,7 +64,7 @@
     /// Take away what the experiment is to prove: the run must fail.
     #[arg(long, alias = "unrestrained")]
     sabotage: bool,
-    /// Smaller sizes, in seconds (capacity-forwarder).
+    /// Smaller sizes, in seconds (capacity-forwarder, capacity-control).
     #[arg(long)]
     quick: bool,
     /// Memory that the experiment may use, in MB, where half of the machine's is too much (capacity-forwarder).
@@ -87,7 +90,7 @@
     run: fn(&Run) -> Result<Outcome, String>,
 }
 
-const EXPERIMENTS: [Experiment; 8] = [
+const EXPERIMENTS: [Experiment; 9] = [
     Experiment {
         name: "capacity-forwarder",
         shows: "one forwarder's cost by destinations listed and messages waiting, as lines, against the aims",
@@ -136,6 +139,12 @@
         sabotage: "one of ten forwarders is cut off from Consul before the change",
         run: policy::run,
     },
+    Experiment {
+        name: "capacity-control",
+        shows: "50, 150 and 450 forwarders without traffic: what control costs at rest, with changes and restarts, in losses",
+        sabotage: "each forwarder also reads all members of the fleet at each change to one of them",
+        run: capacity::control::run,
+    },
 ];
 
 fn run(name: &str, run: &Run) -> Result<bool, String> {
@@ -161,6 +170,13 @@
             }
             ExitCode::SUCCESS
         }
+        Command::CapacityChild => match capacity::control::child::run() {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                eprintln!("orchidyoke-lab: {error}");
+                ExitCode::from(2)
+            }
+        },
         Command::Run { name, run: how } => match run(&name, &how) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::FAILURE,
