--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -12,6 +12,6 @@
 mod space;
 
 pub use file::{Generation, Journal, Look, Opened, Other, others};
-pub use record::{Entries, Record, Stage, Taken, Trace, Verdict};
+pub use record::{Custody, Entries, Offered, Record, Stage, Taken, Trace, Verdict};
 pub use recovery::{Reading, read, replay};
 pub use space::Space;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -57,6 +57,50 @@
     pub ran: Option<Trace>,
     /// The attempt that is out.
     pub out: Option<Trace>,
+    /// Where it stands between the forwarders of a fleet: kept in records of its own, which versions that know nothing
+    /// of them must not pass over.
+    #[serde(skip)]
+    pub custody: Custody,
+}
+
+/// Where a message stands between the forwarders of a fleet.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Custody {
+    /// The forwarder that it was offered to and that may have taken it.
+    pub offered: Option<Offered>,
+    /// It is delivered by this forwarder, whoever owns its destination.
+    pub kept: bool,
+}
+
+/// An offer of a message to the forwarder that owns its destination.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Offered {
+    /// The owner's name.
+    pub to: String,
+    /// When it was first offered to it.
+    pub at: Micros,
+}
+
+impl Taken {
+    /// The records that follow the message's own in a snapshot.
+    pub fn custody_records(&self) -> Vec<Record> {
+        let offered = self.custody.offered.iter().map(|Offered { to, at }| Record::Offered {
+            txn: self.txn.clone(),
+            to: to.clone(),
+            at: *at,
+        });
+        let kept = self.custody.kept.then(|| Record::Kept { txn: self.txn.clone() });
+        offered.chain(kept).collect()
+    }
+
+    /// What it was offered to may have it and is not asked any more: from now on that counts as an attempt that may have
+    /// run, at an endpoint that nobody here knows.
+    pub fn count_offer_as_attempt(&mut self) {
+        if let Some(offered) = self.custody.offered.take() {
+            let unknown = Trace { at: offered.at, uid: String::new(), az: String::new() };
+            self.ran.get_or_insert(unknown);
+        }
+    }
 }
 
 /// What the journal holds. Times are Unix time in microseconds.
@@ -104,6 +148,39 @@
         /// When.
         at: Micros,
     },
+    /// The message is about to be offered to the forwarder that owns its destination.
+    Offered {
+        /// The message.
+        txn: String,
+        /// The owner's name.
+        to: String,
+        /// When.
+        at: Micros,
+    },
+    /// The forwarder that it was offered to never took it.
+    Declined {
+        /// The message.
+        txn: String,
+    },
+    /// The forwarder that it was offered to may have it and is not asked any more.
+    Unresolved {
+        /// The message.
+        txn: String,
+    },
+    /// The message is delivered by this forwarder, whoever owns its destination.
+    Kept {
+        /// The message.
+        txn: String,
+    },
+    /// The owner has taken the message on: nothing more is owed here.
+    HandedOver {
+        /// The message.
+        txn: String,
+        /// The owner's name.
+        to: String,
+        /// When.
+        at: Micros,
+    },
     /// News of the transport map.
     Map(News),
     /// A reload has put the file's discovery in the place of this address, which was given apart from it.
@@ -218,6 +295,12 @@
             at: Micros,
         }
         #[derive(Deserialize)]
+        struct ToOwner {
+            txn: String,
+            to: String,
+            at: Micros,
+        }
+        #[derive(Deserialize)]
         struct Superseded {
             discovery: SocketAddr,
         }
@@ -265,6 +348,17 @@
                 let Over { txn, at } = serde_json::from_slice(text)?;
                 Record::Over { txn, at }
             }
+            "offered" => {
+                let ToOwner { txn, to, at } = serde_json::from_slice(text)?;
+                Record::Offered { txn, to, at }
+            }
+            "declined" => Record::Declined { txn: txn(text)? },
+            "unresolved" => Record::Unresolved { txn: txn(text)? },
+            "kept" => Record::Kept { txn: txn(text)? },
+            "handed_over" => {
+                let ToOwner { txn, to, at } = serde_json::from_slice(text)?;
+                Record::HandedOver { txn, to, at }
+            }
             "map" => Record::Map(serde_json::from_slice(text)?),
             "superseded" => {
                 let Superseded { discovery } = serde_json::from_slice(text)?;
@@ -319,6 +413,7 @@
             attempts: 2,
             ran: None,
             out: trace,
+            custody: Custody::default(),
         })
     }
 
@@ -337,7 +432,12 @@
             Record::Missed { txn: txn.clone() },
             Record::Owed { txn: txn.clone(), at: -5, verdict: Verdict::Failed },
             Record::Owed { txn: txn.clone(), at: 5, verdict: Verdict::Returned { after_ms: 7 } },
-            Record::Over { txn, at: 0 },
+            Record::Over { txn: txn.clone(), at: 0 },
+            Record::Offered { txn: txn.clone(), to: "f\"2".to_owned(), at: 7 },
+            Record::Declined { txn: txn.clone() },
+            Record::Unresolved { txn: txn.clone() },
+            Record::Kept { txn: txn.clone() },
+            Record::HandedOver { txn, to: "f2".to_owned(), at: 8 },
             Record::Map(news),
             Record::Superseded { discovery: "127.0.0.1:5".parse().expect("an address") },
             Record::ByHand { uid: "s".to_owned(), at: 6, out: true },
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,7 @@
 //! The configuration: what the platform tells a forwarder at its start.
 
 use crate::catalogue::Catalogue;
+use crate::ownership::Owners;
 use orchidyoke_core::interface::Settings;
 use orchidyoke_core::settings::{self, Names};
 use orchidyoke_core::transport_map::News;
@@ -106,6 +107,8 @@
     pub console: Option<SocketAddr>,
     /// The catalogue that tells the transport map in the place of discovery.
     pub catalogue: Option<Rc<dyn Catalogue>>,
+    /// The owners of destinations; without them this forwarder delivers everything itself.
+    pub owners: Option<Rc<dyn Owners>>,
     /// Seed of the module's chance.
     pub seed: u64,
     /// What the machine allows.
@@ -167,6 +170,7 @@
             discovery,
             console: file.console.map(|text| address("console", Some(&text), None)).transpose()?,
             catalogue: None,
+            owners: None,
             seed,
             limits: file.limits,
             known: file.known,
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -2,6 +2,7 @@
 //! hand in the same [`Handed`] messages and give the same [`DoorAnswer`]s in its own words.
 
 use crate::input::{DoorAnswer, Handed, IDEMPOTENCY_KEY, Input, Ticket};
+use crate::ownership::Marked;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -183,6 +184,7 @@
         dest,
         time_left: (remaining * 1e6) as Micros,
         repeat: headers.get("X-Resent").is_some_and(|value| value == "1"),
+        marked: Marked::read(headers),
         body: Bytes::new(),
     })
 }
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -4,9 +4,10 @@
 use crate::config::Config;
 use crate::console;
 use crate::hop_call::{Call, HopError, Reply};
+use crate::ownership::{Marked, Offer, OfferEnd, Owners};
 use crate::pool::LinkId;
 use bytes::Bytes;
-use orchidyoke_core::interface::{DestinationId, Micros};
+use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
 use orchidyoke_core::transport_map::News;
 use orchidyoke_journal::{Entries, Generation, Verdict};
 use std::net::SocketAddr;
@@ -72,6 +73,8 @@
     pub time_left: Micros,
     /// Marked as handed in again.
     pub repeat: bool,
+    /// Marked as handed over by another forwarder.
+    pub marked: Marked,
     /// Its body.
     pub body: Bytes,
 }
@@ -189,6 +192,15 @@
     },
     /// How this process stands to what the fleet has agreed on has changed.
     Accord(Standing),
+    /// Destinations have these owners from now on.
+    Owners(Rc<dyn Owners>),
+    /// An offer of a message to its owner has ended.
+    OfferEnded {
+        /// The message.
+        id: MessageId,
+        /// How.
+        end: OfferEnd,
+    },
     /// The configuration was read again and is good.
     Reconfigured(Box<Config>),
     /// The process was told to end.
@@ -286,6 +298,8 @@
         /// The connection.
         link: LinkId,
     },
+    /// Offer a message to the forwarder that owns its destination and report.
+    Offer(Box<Offer>),
     /// Post these notices and report.
     Post {
         /// Where to.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,6 +20,8 @@
 pub mod log;
 pub mod next_hop;
 pub mod notices;
+pub mod ownership;
+pub mod peer_call;
 pub mod pool;
 pub mod reducer;
 pub mod reload;
--- /dev/null
+++ b/crates/node/src/reducer/handover.rs
@@ -0,0 +1,400 @@
+//! Hand-overs: which messages wait for the owners of their destinations, when each is offered, and what is done here
+//! for lack of an owner. No I/O and no journal; see `docs/handover.md`.
+//!
+//! Work in a call is proportional to what is due in it: owners with something due stand in an ordered set, and so do
+//! the ends of time.
+
+use crate::backoff::Backoff;
+use crate::ownership::{OfferEnd, Peer};
+use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+const SECOND: Micros = 1_000_000;
+/// An offer without an answer by then is over; the owner may have taken the message.
+pub(super) const ANSWER_TIME: Micros = SECOND;
+/// A message in doubt is offered again for so long after its first offer: the owner remembers ids that are over for
+/// longer than this.
+pub(super) const DOUBT_TIME: Micros = 20 * SECOND;
+/// An owner that has failed for so long is done without.
+const PATIENCE: Micros = 2 * SECOND;
+/// Offers out at once, to one owner.
+const OFFERS_PER_PEER: usize = 16;
+/// Offers out at once, in all.
+const OFFERS_IN_ALL: usize = 64;
+/// Messages that are delivered here at once for lack of an owner; one of a destination.
+const SUBSTITUTES_MOST: usize = 32;
+/// Messages that wait for one owner; more are refused at the door.
+const WAITING_PER_PEER: usize = 1000;
+/// The bounds of the pause before an offer is repeated.
+const FIRST_PAUSE: Micros = 100_000;
+const LONGEST_PAUSE: Micros = 2 * SECOND;
+
+/// What a message is to its hand-over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Terms {
+    /// Its destination.
+    pub destination: DestinationId,
+    /// When no more is to be waited for: its deadline, or in doubt the end of that.
+    pub ends_at: Micros,
+    /// It may be delivered here for lack of an owner.
+    pub substitutable: bool,
+    /// The owner may have it.
+    pub in_doubt: bool,
+}
+
+/// What is to be done with a message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum Decision {
+    /// Offer it to its owner.
+    Offer(MessageId, Peer),
+    /// Deliver it here for lack of an owner.
+    Substitute(MessageId),
+    /// Its time is up.
+    TimeUp(MessageId),
+}
+
+/// A message that waits for its owner.
+#[derive(Debug)]
+struct Waiting {
+    terms: Terms,
+    peer: String,
+    due: Micros,
+    refusals: u32,
+}
+
+/// An owner that messages wait for.
+#[derive(Debug)]
+struct Queue {
+    address: SocketAddr,
+    /// Those that are not out, by when they are due.
+    due: BTreeSet<(Micros, MessageId)>,
+    /// Those of them that it may have: the first to be offered again while it fails.
+    in_doubt: BTreeSet<MessageId>,
+    /// Those of them that may be delivered here.
+    substitutable: BTreeSet<(DestinationId, MessageId)>,
+    waiting: usize,
+    out: usize,
+    failing_since: Option<Micros>,
+    not_before: Micros,
+    pause: Backoff,
+    /// Its entry in the set of those that are due.
+    timer: Option<Micros>,
+}
+
+impl Queue {
+    fn new(address: SocketAddr, seed: u64) -> Self {
+        Queue {
+            address,
+            due: BTreeSet::new(),
+            in_doubt: BTreeSet::new(),
+            substitutable: BTreeSet::new(),
+            waiting: 0,
+            out: 0,
+            failing_since: None,
+            not_before: 0,
+            pause: Backoff::new(FIRST_PAUSE, seed),
+            timer: None,
+        }
+    }
+
+    /// When something may be offered to it next.
+    fn wake_at(&self) -> Option<Micros> {
+        let most = if self.failing_since.is_some() { 1 } else { OFFERS_PER_PEER };
+        let (first, _) = self.due.first()?;
+        (self.out < most).then_some((*first).max(self.not_before))
+    }
+
+    /// The next message to offer. One that fails is asked about what it may have already, where there is any.
+    fn next(&self, now: Micros) -> Option<MessageId> {
+        if self.failing_since.is_some()
+            && let Some(id) = self.in_doubt.first()
+        {
+            return Some(*id);
+        }
+        self.due.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
+    }
+
+    fn is_done_without(&self, now: Micros) -> bool {
+        self.failing_since.is_some_and(|since| now - since >= PATIENCE)
+    }
+}
+
+/// All hand-overs of a forwarder.
+#[derive(Debug, Default)]
+pub(super) struct Handovers {
+    waiting: BTreeMap<MessageId, Waiting>,
+    peers: BTreeMap<String, Queue>,
+    /// Owners by when something may be offered to them.
+    timers: BTreeSet<(Micros, String)>,
+    ends: BTreeSet<(Micros, MessageId)>,
+    /// Offers that are out, with their owners; the message may be gone meanwhile.
+    out: BTreeMap<MessageId, String>,
+    /// Owners that fail.
+    failing: BTreeSet<String>,
+    /// When owners that fail will be done without.
+    patience: BTreeSet<(Micros, String)>,
+    /// Those delivered here for lack of an owner.
+    substitutes: BTreeMap<DestinationId, MessageId>,
+    substituted: BTreeMap<MessageId, DestinationId>,
+    /// Whether more of those may be possible than when it was last looked at.
+    look_for_substitutes: bool,
+    seed: u64,
+}
+
+impl Handovers {
+    /// None yet; chance follows from `seed`.
+    pub fn new(seed: u64) -> Self {
+        Handovers { seed, ..Handovers::default() }
+    }
+
+    /// Whether its offer is out.
+    pub fn is_out(&self, id: MessageId) -> bool {
+        self.out.contains_key(&id)
+    }
+
+    /// Whether the owner may have it since before its last offer.
+    pub fn is_in_doubt(&self, id: MessageId) -> bool {
+        self.waiting.get(&id).is_some_and(|waiting| waiting.terms.in_doubt)
+    }
+
+    /// The owner that a message waits for.
+    pub fn peer_of(&self, id: MessageId) -> Option<&str> {
+        self.waiting.get(&id).map(|waiting| waiting.peer.as_str())
+    }
+
+    /// All that wait.
+    pub fn ids(&self) -> Vec<MessageId> {
+        self.waiting.keys().copied().collect()
+    }
+
+    /// How many wait, and how many are delivered here for lack of an owner.
+    pub fn counts(&self) -> (usize, usize) {
+        (self.waiting.len(), self.substitutes.len())
+    }
+
+    /// Whether so many wait for this owner that no more are to be taken on.
+    pub fn is_full(&self, peer: &str) -> bool {
+        self.peers.get(peer).is_some_and(|queue| queue.waiting >= WAITING_PER_PEER)
+    }
+
+    /// A message waits for its owner from now on.
+    pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: Terms) {
+        self.seed = self.seed.wrapping_add(1);
+        let seed = self.seed;
+        let queue = self.peers.entry(peer.name.clone()).or_insert_with(|| Queue::new(peer.address, seed));
+        queue.address = peer.address;
+        queue.waiting += 1;
+        self.ends.insert((terms.ends_at, id));
+        self.waiting.insert(id, Waiting { terms, peer: peer.name.clone(), due: now, refusals: 0 });
+        self.queue(id, now);
+    }
+
+    /// A message does not wait for its owner any more, or is not here any more: all that is known of it goes, but for an
+    /// offer that is out.
+    pub fn remove(&mut self, id: MessageId) {
+        if let Some(destination) = self.substituted.remove(&id) {
+            self.substitutes.remove(&destination);
+            self.look_for_substitutes = true;
+        }
+        let Some(waiting) = self.waiting.get(&id) else { return };
+        self.ends.remove(&(waiting.terms.ends_at, id));
+        let peer = waiting.peer.clone();
+        self.unqueue(id);
+        self.waiting.remove(&id);
+        if let Some(queue) = self.peers.get_mut(&peer) {
+            queue.waiting -= 1;
+        }
+        self.schedule(&peer);
+    }
+
+    /// The terms of a message have changed.
+    pub fn change(&mut self, id: MessageId, terms: Terms) {
+        let queued = !self.out.contains_key(&id);
+        if queued {
+            self.unqueue(id);
+        }
+        let Some(waiting) = self.waiting.get_mut(&id) else { return };
+        self.ends.remove(&(waiting.terms.ends_at, id));
+        self.ends.insert((terms.ends_at, id));
+        waiting.terms = terms;
+        let due = waiting.due;
+        if queued {
+            self.queue(id, due);
+        }
+    }
+
+    /// An offer is not made after all: as one that did not reach its owner, which is not to blame.
+    pub fn withheld(&mut self, now: Micros, id: MessageId) {
+        if let Some(peer) = self.offer_over(id) {
+            self.queue(id, now + LONGEST_PAUSE);
+            self.schedule(&peer);
+        }
+    }
+
+    /// An offer has ended. What it means for the message is not decided here; it is due again unless it is removed.
+    pub fn ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+        let Some(peer) = self.offer_over(id) else { return };
+        let Some(queue) = self.peers.get_mut(&peer) else { return };
+        let mut due = now;
+        if let OfferEnd::Taken | OfferEnd::Refused(_) = end {
+            queue.failing_since = None;
+            queue.not_before = 0;
+            queue.pause.reset();
+            self.failing.remove(&peer);
+        } else {
+            if queue.failing_since.is_none() {
+                queue.failing_since = Some(now);
+                self.patience.insert((now + PATIENCE, peer.clone()));
+            }
+            queue.not_before = now + queue.pause.pause(LONGEST_PAUSE);
+            due = queue.not_before;
+            self.failing.insert(peer.clone());
+        }
+        if let (OfferEnd::Refused(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
+            let bound = FIRST_PAUSE.saturating_mul(1 << waiting.refusals.min(10)).min(LONGEST_PAUSE);
+            waiting.refusals += 1;
+            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.pause.within(bound / 2));
+        }
+        self.queue(id, due);
+        self.schedule(&peer);
+    }
+
+    /// What is due: one decision after another, until there is none.
+    pub fn next(&mut self, now: Micros) -> Option<Decision> {
+        if let Some((at, id)) = self.ends.first().copied()
+            && at <= now
+        {
+            self.ends.pop_first();
+            return Some(Decision::TimeUp(id));
+        }
+        self.next_offer(now).or_else(|| self.next_substitute(now))
+    }
+
+    /// When something is due next.
+    pub fn wake_at(&self) -> Option<Micros> {
+        let room = self.out.len() < OFFERS_IN_ALL;
+        let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
+        let substitute = self.patience.first().map(|(at, _)| *at);
+        let end = self.ends.first().map(|(at, _)| *at);
+        [offer, substitute, end].into_iter().flatten().min()
+    }
+
+    fn next_offer(&mut self, now: Micros) -> Option<Decision> {
+        while self.out.len() < OFFERS_IN_ALL
+            && let Some((at, peer)) = self.timers.first().cloned()
+            && at <= now
+        {
+            let queue = self.peers.get(&peer)?;
+            let (next, address) = (queue.next(now), queue.address);
+            if let Some(id) = next {
+                self.unqueue(id);
+                self.out.insert(id, peer.clone());
+                if let Some(queue) = self.peers.get_mut(&peer) {
+                    queue.out += 1;
+                }
+                self.schedule(&peer);
+                return Some(Decision::Offer(id, Peer { name: peer, address }));
+            }
+            self.schedule(&peer);
+            debug_assert!(
+                self.timers.first().is_none_or(|(at, _)| *at > now),
+                "an owner is due with nothing"
+            );
+        }
+        None
+    }
+
+    fn next_substitute(&mut self, now: Micros) -> Option<Decision> {
+        while self.patience.first().is_some_and(|(at, _)| *at <= now) {
+            self.patience.pop_first();
+            self.look_for_substitutes = true;
+        }
+        if !self.look_for_substitutes || self.substitutes.len() >= SUBSTITUTES_MOST {
+            return None;
+        }
+        for peer in &self.failing {
+            let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_done_without(now)) else {
+                continue;
+            };
+            if let Some(id) = first_of_other_destination(&queue.substitutable, &self.substitutes) {
+                let destination = self.waiting.get(&id)?.terms.destination;
+                self.remove(id);
+                self.substitutes.insert(destination, id);
+                self.substituted.insert(id, destination);
+                return Some(Decision::Substitute(id));
+            }
+        }
+        self.look_for_substitutes = false;
+        None
+    }
+
+    /// An offer is out no more; its owner, where the message still waits for one.
+    fn offer_over(&mut self, id: MessageId) -> Option<String> {
+        let peer = self.out.remove(&id)?;
+        if let Some(queue) = self.peers.get_mut(&peer) {
+            queue.out -= 1;
+        }
+        Some(peer)
+    }
+
+    fn queue(&mut self, id: MessageId, due: Micros) {
+        self.unqueue(id);
+        let Some(waiting) = self.waiting.get_mut(&id) else { return };
+        waiting.due = due;
+        let (peer, terms) = (waiting.peer.clone(), waiting.terms);
+        let Some(queue) = self.peers.get_mut(&peer) else { return };
+        queue.due.insert((due, id));
+        if terms.in_doubt {
+            queue.in_doubt.insert(id);
+        }
+        if terms.substitutable {
+            queue.substitutable.insert((terms.destination, id));
+            self.look_for_substitutes |= queue.failing_since.is_some();
+        }
+        self.schedule(&peer);
+    }
+
+    fn unqueue(&mut self, id: MessageId) {
+        let Some(waiting) = self.waiting.get(&id) else { return };
+        let Some(queue) = self.peers.get_mut(&waiting.peer) else { return };
+        queue.due.remove(&(waiting.due, id));
+        queue.in_doubt.remove(&id);
+        queue.substitutable.remove(&(waiting.terms.destination, id));
+    }
+
+    /// Puts an owner where it belongs among those that are due; one that nothing waits for is forgotten, unless it fails.
+    fn schedule(&mut self, peer: &str) {
+        let Some(queue) = self.peers.get_mut(peer) else { return };
+        let (before, after) = (queue.timer, queue.wake_at());
+        queue.timer = after;
+        if let Some(at) = before.filter(|at| Some(*at) != after) {
+            self.timers.remove(&(at, peer.to_owned()));
+        }
+        if let Some(at) = after.filter(|at| Some(*at) != before) {
+            self.timers.insert((at, peer.to_owned()));
+        }
+    }
+
+    /// Forgets owners that are no members.
+    pub fn keep_peers(&mut self, is_member: impl Fn(&str) -> bool) {
+        self.peers.retain(|name, queue| is_member(name) || queue.waiting > 0 || queue.out > 0);
+        self.failing.retain(|name| self.peers.contains_key(name));
+    }
+}
+
+/// The first message of a destination of which none is delivered here. At most as many are passed over as there are
+/// substitutes.
+fn first_of_other_destination(
+    messages: &BTreeSet<(DestinationId, MessageId)>,
+    taken: &BTreeMap<DestinationId, MessageId>,
+) -> Option<MessageId> {
+    let mut from = 0;
+    loop {
+        let (destination, id) = messages.range((from, 0)..).next()?;
+        if !taken.contains_key(destination) {
+            return Some(*id);
+        }
+        from = destination.checked_add(1)?;
+    }
+}
--- a/crates/node/src/reducer/hops.rs
+++ b/crates/node/src/reducer/hops.rs
@@ -28,7 +28,7 @@
     /// Takes over what can change while the process runs. What is held and what is out carries on; the list
     /// stays in use until discovery, perhaps at another address, has told more.
     pub(super) fn reconfigure(&mut self, now: Micros, config: Config) {
-        let Config { discovery, catalogue, settings, names, limits, policy_out, .. } = config;
+        let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
         self.log(format!("configuration: read again, discovery is at {}", discovery.file));
         if let Some(discovery) = discovery.given.filter(|given| Some(*given) != self.superseded) {
             self.append(&[(&Record::Superseded { discovery }, b"")], None);
@@ -59,6 +59,7 @@
         // The numbers of zones and kinds may have changed.
         let whole = self.map.whole();
         self.take_list(now, &whole, ListForm::Whole);
+        self.replace_owners(now, owners);
     }
 
     /// What the settings say of an endpoint's kind, while it is listed.
--- a/crates/node/src/reducer/messages.rs
+++ b/crates/node/src/reducer/messages.rs
@@ -6,7 +6,7 @@
 use crate::input::{DoorAnswer, Handed, Ticket};
 use bytes::Bytes;
 use orchidyoke_core::interface::{Effect, EndpointId, Event, MessageId, Micros};
-use orchidyoke_journal::{Record, Stage, Taken, Trace, Verdict};
+use orchidyoke_journal::{Custody, Record, Stage, Taken, Trace, Verdict};
 
 /// One message from its coming to its end.
 #[derive(Debug)]
@@ -19,6 +19,10 @@
     pub stored: bool,
     /// When it was handed in; None where that was to another process.
     pub came: Option<Micros>,
+    /// The module has it; else it waits for the owner of its destination.
+    pub in_module: bool,
+    /// What its custody may take up in a snapshot.
+    pub reserve: usize,
 }
 
 /// About the bytes that a message takes up in a snapshot, never less. Its key may be all that JSON writes twice as long.
@@ -29,7 +33,7 @@
 impl Message {
     /// About the bytes that it takes up in a snapshot, never less.
     pub fn size(&self) -> usize {
-        message_size(&self.taken.txn, self.taken.key.as_deref(), &self.body)
+        message_size(&self.taken.txn, self.taken.key.as_deref(), &self.body) + self.reserve
     }
 }
 
@@ -69,27 +73,57 @@
         if !self.destinations.contains(&handed.dest) {
             return self.answer(ticket, DoorAnswer::UnknownDestination);
         }
-        let full = self.settings.max_open > 0 && self.messages.len() >= self.settings.max_open;
-        let cost = message_size(&handed.txn, handed.key.as_deref(), &handed.body);
+        let mark = match self.accept_mark(handed.marked) {
+            Ok(mark) => mark,
+            Err(words) => return self.answer(ticket, DoorAnswer::Incomplete(words)),
+        };
+        let peer = if mark.is_some() { None } else { self.ownership.peer(handed.dest) };
+        let pushed_back = peer.as_ref().is_some_and(|peer| self.handovers.is_full(&peer.name));
+        let full = pushed_back || self.settings.max_open > 0 && self.messages.len() >= self.settings.max_open;
+        let reserve = self.ownership.reserve(&handed.txn);
+        let cost = message_size(&handed.txn, handed.key.as_deref(), &handed.body) + reserve;
         if full || !self.space.admits(self.live_size(), cost) {
             self.figures.turned_away(&handed.class, End::Overload);
             return self.answer(ticket, DoorAnswer::Deferred(self.no_room_pause()));
         }
+        // A client that says more than its class allows does not keep a message here for ever.
+        let mut deadline = now.saturating_add(handed.time_left.min(longest));
+        let (mut attempts, mut ran) = (0, None);
+        let custody = Custody { kept: mark.is_some(), ..Custody::default() };
+        if let Some(mark) = mark {
+            self.note_sender(&mark);
+            deadline = deadline.min(mark.deadline);
+            (attempts, ran) = (mark.attempts, mark.ran);
+        }
+        let had_attempts = attempts > 0 || ran.is_some();
         let taken = Taken {
             txn: handed.txn,
             class: handed.class,
             org: handed.org.unwrap_or_default(),
             key: handed.key,
             dest: handed.dest,
-            // A client that says more than its class allows does not keep a message here for ever.
-            deadline: now.saturating_add(handed.time_left.min(longest)),
-            attempts: 0,
-            ran: None,
+            deadline,
+            attempts,
+            ran,
             out: None,
+            custody,
         };
-        let message =
-            Message { taken, body: handed.body, waiting: vec![ticket], stored: false, came: Some(now) };
-        let id = self.hold(message, now, handed.repeat);
+        let message = Message {
+            taken,
+            body: handed.body,
+            waiting: vec![ticket],
+            stored: false,
+            came: Some(now),
+            in_module: false,
+            reserve,
+        };
+        let id = self.hold(message);
+        if peer.is_none() {
+            self.tell_module(now, id, handed.repeat);
+            if had_attempts {
+                self.tell_history(now, id);
+            }
+        }
         self.at_door.push(id);
     }
 
@@ -103,12 +137,12 @@
         // Out when the process ended: it may have run.
         taken.ran = taken.ran.take().or(taken.out.take());
         taken.out = None;
-        let attempts = taken.attempts;
-        let may_have_run = taken.ran.as_ref().map(|trace| self.trace_of(now, trace));
         self.figures.took(1);
-        let message = Message { taken, body, waiting: Vec::new(), stored: true, came: None };
-        let id = self.hold(message, now, false);
-        self.events.push(Event::History { id, attempts, may_have_run });
+        let reserve = self.ownership.reserve(&taken.txn);
+        let message =
+            Message { taken, body, waiting: Vec::new(), stored: true, came: None, in_module: false, reserve };
+        let id = self.hold(message);
+        self.place(now, id);
     }
 
     /// How long ago an attempt began, and where: in which zone is kept with it, for the endpoint may be gone since, or
@@ -120,9 +154,19 @@
         ((now - trace.at).max(0), hop, self.zone(zone))
     }
 
-    pub(super) fn hold(&mut self, message: Message, now: Micros, repeat: bool) -> MessageId {
+    fn hold(&mut self, message: Message) -> MessageId {
         let id = self.next_message;
         self.next_message += 1;
+        self.by_txn.insert(message.taken.txn.clone(), id);
+        self.live += message.size();
+        self.messages.insert(id, message);
+        id
+    }
+
+    /// The module has a message from now on.
+    pub(super) fn tell_module(&mut self, now: Micros, id: MessageId, repeat: bool) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.in_module = true;
         let taken = &message.taken;
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         self.events.push(Event::Message {
@@ -134,10 +178,14 @@
             time_left: taken.deadline.saturating_sub(now),
             repeat,
         });
-        self.by_txn.insert(taken.txn.clone(), id);
-        self.live += message.size();
-        self.messages.insert(id, message);
-        id
+    }
+
+    /// The module is told what has become of a message before, if anything has.
+    pub(super) fn tell_history(&mut self, now: Micros, id: MessageId) {
+        let Some(taken) = self.messages.get(&id).map(|message| &message.taken) else { return };
+        let attempts = taken.attempts;
+        let may_have_run = taken.ran.as_ref().map(|trace| self.trace_of(now, trace));
+        self.events.push(Event::History { id, attempts, may_have_run });
     }
 
     /// Nobody waits any more for a message that is still at the door: it is not taken on.
@@ -151,18 +199,20 @@
 
     pub(super) fn drop_message(&mut self, id: MessageId) -> Option<Message> {
         let message = self.messages.remove(&id)?;
+        self.handovers.remove(id);
         self.live -= message.size();
         self.by_txn.remove(&message.taken.txn);
         Some(message)
     }
 
-    pub(super) fn taken_on(&mut self, taken: Vec<(MessageId, Vec<Ticket>)>, stored: bool) {
+    pub(super) fn taken_on(&mut self, now: Micros, taken: Vec<(MessageId, Vec<Ticket>)>, stored: bool) {
         for (id, tickets) in taken {
             if stored {
                 if let Some(message) = self.messages.get_mut(&id)
                     && !std::mem::replace(&mut message.stored, true)
                 {
                     self.figures.took(1);
+                    self.ownership.count_taken_over(&message.taken);
                 }
             } else if let Some(message) = self.drop_message(id) {
                 self.figures.turned_away(&message.taken.class, End::Overload);
@@ -173,6 +223,8 @@
             tickets.into_iter().for_each(|ticket| self.answer(ticket, answer));
             if stored && self.stage == Stage::Yielded {
                 self.hand_over(id);
+            } else if stored && self.messages.get(&id).is_some_and(|message| !message.in_module) {
+                self.place(now, id);
             }
         }
     }
@@ -229,7 +281,11 @@
             return;
         }
         let new = taken.iter().filter_map(|(id, _)| self.messages.get(id));
-        let new: Vec<_> = new.map(|m| (Record::Taken(m.taken.clone()), m.body.clone())).collect();
+        let new = new.flat_map(|message| {
+            let records = message.taken.custody_records().into_iter().map(|record| (record, Bytes::new()));
+            std::iter::once((Record::Taken(message.taken.clone()), message.body.clone())).chain(records)
+        });
+        let new: Vec<_> = new.collect();
         let records: Vec<(&Record, &[u8])> = new.iter().map(|(record, body)| (record, &body[..])).collect();
         self.append(&records, Some(Stored::TakeOn(taken)));
     }
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -6,6 +6,8 @@
 //! stored.
 
 mod attempts;
+mod custody;
+mod handover;
 mod hops;
 mod messages;
 mod notices;
@@ -20,10 +22,13 @@
 use crate::config::Config;
 use crate::figures::Figures;
 use crate::input::{DoorAnswer, Effect, Input, Receipt, Standing, Ticket, WatchId};
+use crate::ownership::Peer;
 use crate::pool::{CallId, Pool};
 use crate::told_wait;
 use attempts::Flight;
 use bytes::Bytes;
+use custody::Ownership;
+use handover::Handovers;
 use hops::Hop;
 use messages::Message;
 use notices::{Owed, Recent};
@@ -66,6 +71,7 @@
 enum Stored {
     TakeOn(Vec<(MessageId, Vec<Ticket>)>),
     Begin(CallId),
+    Offered(MessageId, Peer),
     Adopted(Estate),
     Yielded,
     ByHand { ticket: Ticket, uid: String, call: ByHand },
@@ -149,6 +155,9 @@
     /// How it stands to what the fleet has agreed on, and the endpoints that it leaves out by that.
     accord: Standing,
     policy_out: BTreeSet<String>,
+    /// Who owns destinations, and the messages that wait for owners.
+    ownership: Ownership,
+    handovers: Handovers,
     leaving: Option<Leaving>,
     effects: Vec<Effect>,
 }
@@ -220,6 +229,8 @@
             figures: Figures::default(),
             accord: Standing::default(),
             policy_out: config.policy_out,
+            ownership: Ownership::new(config.owners, now),
+            handovers: Handovers::new(config.seed),
             leaving: None,
             effects: Vec::new(),
             settings,
@@ -266,7 +277,8 @@
                 self.space.holds(size);
                 self.unreported.remove(&receipt);
                 match self.stored.remove(&receipt) {
-                    Some(Stored::TakeOn(taken)) => self.taken_on(taken, stored),
+                    Some(Stored::TakeOn(taken)) => self.taken_on(now, taken, stored),
+                    Some(Stored::Offered(id, peer)) => self.offer_stored(now, id, &peer, stored),
                     Some(Stored::Adopted(estate)) => self.adopted(now, estate, stored),
                     Some(Stored::Yielded) => self.yielded(stored),
                     Some(Stored::Begin(call)) => self.write(now, call, stored),
@@ -317,10 +329,13 @@
             Input::News { .. } | Input::MapLost { .. } => {}
             Input::Posted { accepted } => self.posted(now, accepted),
             Input::Accord(standing) => self.accord = standing,
+            Input::Owners(view) => self.take_owners(now, view),
+            Input::OfferEnded { id, end } => self.offer_ended(now, id, &end),
             Input::Reconfigured(config) => self.reconfigure(now, *config),
             Input::Terminate => self.terminate(now),
             Input::Alarm => self.alarm(now),
         }
+        self.hand_over_due(now);
         self.follow(now);
         self.post(now);
         self.leave(now);
@@ -329,12 +344,16 @@
 
     /// When [`Input::Alarm`] is due, if nothing else comes before.
     pub fn wake_at(&self) -> Option<Micros> {
-        let turn = (!self.events.is_empty()).then_some(self.last_turn + self.settings.tick);
+        let turn = self.has_turn().then_some(self.last_turn + self.settings.tick);
         let timer = self.timers.first().map(|(at, _)| *at);
         let post = self.owed.wake_at();
         let follow = (!self.following).then_some(self.follow_at);
+        let hand_over = self.handovers.wake_at().filter(|_| self.stage != Stage::Yielded);
         let leave = self.leaving.as_ref().map(|leaving| leaving.wake_at(self.senders));
-        [turn, timer, post, follow, leave, self.pool.reap_at(), self.warm_at()].into_iter().flatten().min()
+        [turn, timer, post, follow, hand_over, leave, self.pool.reap_at(), self.warm_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn alarm(&mut self, now: Micros) {
@@ -348,11 +367,16 @@
             self.timers.pop_first();
             self.events.push(Event::Timer { token });
         }
-        if !self.events.is_empty() && now >= self.last_turn + self.settings.tick {
+        if self.has_turn() && now >= self.last_turn + self.settings.tick {
             self.turn(now);
         }
     }
 
+    /// Whether there is something for the module to decide on, or to be taken on.
+    fn has_turn(&self) -> bool {
+        !self.events.is_empty() || !self.at_door.is_empty()
+    }
+
     /// Clients that connect are taken: the process before may be told to end.
     fn open_door(&mut self) {
         self.append(&[(&Record::Stage { stage: Stage::Ready }, b"")], None);
--- a/crates/node/src/reducer/operators.rs
+++ b/crates/node/src/reducer/operators.rs
@@ -85,7 +85,9 @@
         let reply = match call {
             Call::Ready if !self.takes_clients => Reply::No("takes no clients".to_owned()),
             Call::Ready => self.accord.amiss.clone().map_or(Reply::Yes("ready"), Reply::No),
-            Call::ShowStat => Reply::Figures(self.figures.lines(self.standing()) + &self.accord.figures),
+            Call::ShowStat => Reply::Figures(
+                self.figures.lines(self.standing()) + &self.accord.figures + &self.ownership_figures(now),
+            ),
             Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
             Call::DisableServer(uid) => return self.put(now, ticket, uid, true),
             Call::EnableServer(uid) => return self.put(now, ticket, uid, false),
--- a/crates/node/src/reducer/records.rs
+++ b/crates/node/src/reducer/records.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::interface::{Micros, Settings};
 use orchidyoke_core::transport_map::TransportMap;
-use orchidyoke_journal::{Entries, Record, Stage, Taken, Verdict};
+use orchidyoke_journal::{Entries, Offered, Record, Stage, Taken, Verdict};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -93,14 +93,28 @@
                 self.taken.remove(&txn);
                 self.owed.push((txn, verdict, at));
             }
-            Record::Over { txn, at } => {
-                self.taken.remove(&txn);
-                self.owed.retain(|(other, _, _)| *other != txn);
-                self.over.push((txn, at));
-                if self.over.len() > 2 * OVER_KEPT {
-                    self.over.drain(..OVER_KEPT);
+            Record::Over { txn, at } => self.end(txn, at),
+            Record::Offered { txn, to, at } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.custody.offered.get_or_insert(Offered { to, at });
+                }
+            }
+            Record::Declined { txn } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.custody.offered = None;
+                }
+            }
+            Record::Unresolved { txn } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.count_offer_as_attempt();
+                }
+            }
+            Record::Kept { txn } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.custody.kept = true;
                 }
             }
+            Record::HandedOver { txn, at, .. } => self.end(txn, at),
             Record::Map(news) => self.map.take(&news),
             Record::Superseded { discovery } => self.superseded = Some(discovery),
             Record::ByHand { uid, at, out } => {
@@ -117,6 +131,16 @@
             }
         }
     }
+
+    /// Nothing more is owed for this message.
+    fn end(&mut self, txn: String, at: Micros) {
+        self.taken.remove(&txn);
+        self.owed.retain(|(other, _, _)| *other != txn);
+        self.over.push((txn, at));
+        if self.over.len() > 2 * OVER_KEPT {
+            self.over.drain(..OVER_KEPT);
+        }
+    }
 }
 
 impl Reducer {
@@ -135,7 +159,7 @@
         let may_wait = matches!(then, Some(Stored::TakeOn(_) | Stored::Adopted(_) | Stored::ByHand { .. }));
         let refused = may_wait && !self.siblings.is_empty() && !self.space.takes(bytes.len());
         // What a begun attempt changes is in the state at once.
-        let waits = then.as_ref().is_some_and(|then| !matches!(then, Stored::Begin(_)));
+        let waits = then.as_ref().is_some_and(|then| !matches!(then, Stored::Begin(_) | Stored::Offered(..)));
         if let Some(then) = then {
             self.stored.insert(self.next_receipt, then);
         }
@@ -188,6 +212,7 @@
         }
         for message in self.messages.values().filter(|m| m.stored) {
             Record::Taken(message.taken.clone()).encode(&message.body, &mut bytes);
+            message.taken.custody_records().iter().for_each(|record| record.encode(b"", &mut bytes));
         }
         // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
         // that it went to is gone with the rewrite.
--- a/crates/node/src/reducer/succession.rs
+++ b/crates/node/src/reducer/succession.rs
@@ -237,7 +237,10 @@
             (Record::Owed { txn, at, verdict }, Bytes::new())
         });
         let ended = over.iter().map(|(txn, at)| (Record::Over { txn: txn.clone(), at: *at }, Bytes::new()));
-        let held = taken.iter().map(|(taken, body)| (Record::Taken(taken.clone()), body.clone()));
+        let held = taken.iter().flat_map(|(taken, body)| {
+            let records = taken.custody_records().into_iter().map(|record| (record, Bytes::new()));
+            std::iter::once((Record::Taken(taken.clone()), body.clone())).chain(records)
+        });
         let records: Vec<_> = ended.chain(ends).chain(held).collect();
         let records: Vec<(&Record, &[u8])> =
             records.iter().map(|(record, body)| (record, &body[..])).collect();
@@ -312,6 +315,8 @@
         let mut both = own.taken.clone();
         both.attempts = both.attempts.max(theirs.attempts);
         both.ran = both.ran.or_else(|| theirs.ran.clone()).or_else(|| theirs.out.clone());
+        both.custody.offered = both.custody.offered.or_else(|| theirs.custody.offered.clone());
+        both.custody.kept |= theirs.custody.kept;
         (both != own.taken || !own.stored).then(|| (both, own.body.clone()))
     }
 
@@ -321,10 +326,10 @@
         if !std::mem::replace(&mut message.stored, true) {
             self.figures.took(1);
         }
-        let (attempts, ran) = (both.attempts, both.ran.clone());
         message.taken = both;
-        let may_have_run = ran.map(|trace| self.trace_of(now, &trace));
-        self.events.push(Event::History { id, attempts, may_have_run });
+        if message.in_module {
+            self.tell_history(now, id);
+        }
     }
 
     /// Told to end beside a successor that takes clients: hands over what is not out.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -5,6 +5,7 @@
 use super::front::Door;
 use super::listener::{self, Connections};
 use super::next_hop::{self, Order};
+use super::peer_call::PeerConnections;
 use super::pool::LinkId;
 use super::reducer::Reducer;
 use super::reload::{Reloads, Source};
@@ -60,6 +61,8 @@
     door: Rc<Door>,
     console: Rc<Console>,
     links: HashMap<LinkId, UnboundedSender<Order>>,
+    /// Connections to the forwarders that own destinations.
+    peers: Rc<PeerConnections>,
     inputs: UnboundedSender<Input>,
     connections: Rc<Connections>,
     /// The other processes on the folder.
@@ -102,6 +105,11 @@
             Effect::Close { link } => {
                 self.links.remove(&link);
             }
+            Effect::Offer(offer) => {
+                let until = self.clock.instant(offer.until);
+                let deadline = self.clock.instant(offer.taken.deadline);
+                spawn_local(self.peers.clone().offer(offer, until, deadline, self.inputs.clone()));
+            }
             Effect::Post { to, notices } => {
                 spawn_local(notices::post(to, notices, self.inputs.clone()));
             }
@@ -201,6 +209,7 @@
         door: door.clone(),
         console: console.clone(),
         links: HashMap::new(),
+        peers: Rc::default(),
         inputs: inputs.clone(),
         connections: connections.clone(),
         siblings,
--- /dev/null
+++ b/crates/node/tests/handover.rs
@@ -0,0 +1,711 @@
+//! Hand-overs in the reducer: what is offered to whom, what stands in the journal before, and what becomes of a message
+//! after each way in which an offer can end. Clock, owners and far ends are made up.
+
+mod common;
+
+use bytes::Bytes;
+use orchidyoke_core::interface::{DestinationId, Micros};
+use orchidyoke_core::transport_map::Target;
+use orchidyoke_journal::{Record, Trace, Verdict, replay};
+use orchidyoke_node::config::Config;
+use orchidyoke_node::console::{Call, Reply};
+use orchidyoke_node::hop_call::Reply as HopReply;
+use orchidyoke_node::input::{DoorAnswer, Effect, Handed, Input};
+use orchidyoke_node::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
+use orchidyoke_node::reducer::Reducer;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+const S: Micros = 1_000_000;
+const MS: Micros = 1_000;
+const START: Micros = 1_800_000_000 * S;
+
+/// A view: this forwarder is `f0`, and the owner of each destination of the test configurations is told.
+#[derive(Clone, Debug)]
+struct Fleet {
+    version: u64,
+    owners: BTreeMap<DestinationId, &'static str>,
+    members: Vec<&'static str>,
+}
+
+impl Fleet {
+    /// Each of these owns the destination of its place, from 1 on.
+    fn of(version: u64, owners: [&'static str; 3]) -> Rc<dyn Owners> {
+        let mut members: Vec<_> = owners.into_iter().chain(["f0"]).collect();
+        members.sort_unstable();
+        members.dedup();
+        Rc::new(Fleet { version, owners: (1..).zip(owners).collect(), members })
+    }
+}
+
+fn address(name: &str) -> SocketAddr {
+    let number: u16 = name.trim_start_matches('f').parse().expect("a number");
+    SocketAddr::from(([127, 0, 0, 1], 9000 + number))
+}
+
+impl Owners for Fleet {
+    fn version(&self) -> u64 {
+        self.version
+    }
+
+    fn own_name(&self) -> &str {
+        "f0"
+    }
+
+    fn owner_of(&self, destination: DestinationId) -> Owner {
+        match self.owners.get(&destination) {
+            Some(&"f0") => Owner::Local,
+            Some(name) => Owner::Peer(Peer { name: (*name).to_owned(), address: address(name) }),
+            None => Owner::Unknown,
+        }
+    }
+
+    fn member(&self, name: &str) -> Option<SocketAddr> {
+        self.members.contains(&name).then(|| address(name))
+    }
+
+    fn members(&self) -> usize {
+        self.members.len()
+    }
+}
+
+/// Classes of the test configurations.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Class {
+    Safe,
+    Unsafe,
+    KeyedByZone,
+    KeyedEverywhere,
+}
+
+impl Class {
+    fn name(self) -> &'static str {
+        match self {
+            Class::Safe => "status",
+            Class::Unsafe => "orders",
+            Class::KeyedByZone | Class::KeyedEverywhere => "bread",
+        }
+    }
+
+    fn is_keyed(self) -> bool {
+        matches!(self, Class::KeyedByZone | Class::KeyedEverywhere)
+    }
+
+    fn config(self) -> String {
+        let (listen, discovery) = ("127.0.0.1:1", "127.0.0.1:2");
+        match self {
+            Class::Safe | Class::Unsafe => common::config(listen, discovery, common::targets()),
+            Class::KeyedByZone => common::second_config(listen, discovery, common::second_targets()),
+            Class::KeyedEverywhere => common::second_config(listen, discovery, common::second_targets())
+                .replace(r#""group":"zone""#, r#""group":"all""#),
+        }
+    }
+}
+
+/// One forwarder, and what it has asked for so far.
+struct World {
+    class: Class,
+    reducer: Reducer,
+    now: Micros,
+    file: Vec<u8>,
+    answers: Vec<DoorAnswer>,
+    /// Connections to endpoints come up.
+    endpoints_answer: bool,
+    /// Offers that are out.
+    offers: VecDeque<Offer>,
+    /// Ids written to endpoints.
+    written: Vec<String>,
+    notices: Vec<(String, Verdict)>,
+    figures: String,
+    logged: Vec<String>,
+}
+
+impl World {
+    fn new(class: Class, owners: Option<Rc<dyn Owners>>) -> Self {
+        World::with_journal(class, owners, &[], START)
+    }
+
+    fn with_config(config: &str, owners: Option<Rc<dyn Owners>>) -> Self {
+        World::start(Class::Safe, config, owners, &[], START)
+    }
+
+    fn with_journal(class: Class, owners: Option<Rc<dyn Owners>>, file: &[u8], now: Micros) -> Self {
+        World::start(class, &class.config(), owners, file, now)
+    }
+
+    fn start(class: Class, config: &str, owners: Option<Rc<dyn Owners>>, file: &[u8], now: Micros) -> Self {
+        let config = Config::read(config, None, None).expect("a configuration");
+        let (records, whole) = replay(Bytes::copy_from_slice(file));
+        assert_eq!(whole, file.len());
+        let reducer = Reducer::new(Config { owners, ..config }, 0, records, whole, now);
+        let mut world = World {
+            class,
+            reducer,
+            now,
+            file: file.to_vec(),
+            answers: Vec::new(),
+            endpoints_answer: true,
+            offers: VecDeque::new(),
+            written: Vec::new(),
+            notices: Vec::new(),
+            figures: String::new(),
+            logged: Vec::new(),
+        };
+        world.input(Input::Alarm);
+        world.input(Input::DoorOpen);
+        world
+    }
+
+    /// The process is killed and started again, with these owners.
+    fn restarted(self, owners: Option<Rc<dyn Owners>>) -> Self {
+        World::with_journal(self.class, owners, &self.file, self.now)
+    }
+
+    fn input(&mut self, input: Input) {
+        let mut inputs = VecDeque::from([input]);
+        while let Some(input) = inputs.pop_front() {
+            for effect in self.reducer.step(self.now, input) {
+                inputs.extend(self.carry_out(effect));
+            }
+        }
+    }
+
+    fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+        match effect {
+            Effect::Append { receipt, bytes } => {
+                self.file.extend_from_slice(&bytes);
+                return Some(Input::Appended { receipt, stored: true, size: self.file.len() });
+            }
+            Effect::Rewrite { bytes } => self.file = bytes.to_vec(),
+            Effect::Answer { answer, .. } => self.answers.push(answer),
+            Effect::Offer(offer) => {
+                self.assert_journaled(&offer);
+                self.offers.push_back(*offer);
+            }
+            Effect::Dial { link, .. } if self.endpoints_answer => return Some(Input::LinkUp { link }),
+            Effect::Write { link, call } => {
+                self.written.extend(call.parts.into_iter().map(|part| part.txn));
+                let reply = HopReply { status: 200, bulk: call.bulk, ..HopReply::default() };
+                return Some(Input::Answered { link, reply, reusable: false });
+            }
+            Effect::Post { notices, .. } => {
+                self.notices.extend(notices);
+                return Some(Input::Posted { accepted: true });
+            }
+            Effect::Reply { reply: Reply::Figures(text), .. } => self.figures = text,
+            Effect::Log { line } => self.logged.push(line),
+            _ => {}
+        }
+        None
+    }
+
+    /// Before its first byte goes, the journal says to whom.
+    fn assert_journaled(&self, offer: &Offer) {
+        let records = replay(Bytes::copy_from_slice(&self.file)).0;
+        let is_there = records.iter().any(
+            |(record, _)| matches!(record, Record::Offered { txn, to, .. } if *txn == offer.taken.txn && address(to) == offer.to),
+        );
+        assert!(is_there, "{} is offered without a record", offer.taken.txn);
+    }
+
+    /// Time passes, with all that is due in it.
+    fn wait(&mut self, span: Micros) {
+        let until = self.now + span;
+        while let Some(at) = self.reducer.wake_at().filter(|at| *at <= until) {
+            self.now = self.now.max(at);
+            self.input(Input::Alarm);
+        }
+        self.now = until;
+    }
+
+    fn handed(&self, txn: &str, dest: DestinationId) -> Handed {
+        Handed {
+            txn: txn.to_owned(),
+            class: self.class.name().to_owned(),
+            org: (!self.class.is_keyed()).then(|| "acme".to_owned()),
+            key: self.class.is_keyed().then(|| format!("key of {txn}")),
+            dest,
+            time_left: 8 * S,
+            repeat: false,
+            marked: Marked::No,
+            body: Bytes::from_static(b"body"),
+        }
+    }
+
+    fn hand_in(&mut self, message: Handed) -> DoorAnswer {
+        self.input(Input::Handed { ticket: 1, message });
+        self.wait(20 * MS);
+        self.answers.pop().expect("an answer")
+    }
+
+    /// A client hands in a message for this destination, and it is taken on.
+    fn take(&mut self, txn: &str, dest: DestinationId) {
+        let message = self.handed(txn, dest);
+        assert_eq!(self.hand_in(message), DoorAnswer::TakenOn, "{txn}");
+    }
+
+    fn offer(&mut self) -> Offer {
+        self.offers.pop_front().expect("an offer")
+    }
+
+    fn end(&mut self, offer: &Offer, end: OfferEnd) {
+        self.input(Input::OfferEnded { id: offer.id, end });
+    }
+
+    /// Each offer of the time to come ends so.
+    fn wait_with(&mut self, span: Micros, end: &OfferEnd) -> usize {
+        let (until, mut ended) = (self.now + span, 0);
+        while self.now < until {
+            while let Some(offer) = self.offers.pop_front() {
+                self.end(&offer, end.clone());
+                ended += 1;
+            }
+            self.wait(10 * MS);
+        }
+        ended
+    }
+
+    fn records(&self) -> Vec<Record> {
+        replay(Bytes::copy_from_slice(&self.file)).0.into_iter().map(|(record, _)| record).collect()
+    }
+
+    fn figure(&mut self, name: &str) -> u64 {
+        self.input(Input::Operator { ticket: 2, call: Call::ShowStat });
+        let line = self.figures.lines().find_map(|line| line.strip_prefix(&format!("app_{name} ")));
+        line.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name}: {}", self.figures))
+    }
+}
+
+fn unanswered() -> OfferEnd {
+    OfferEnd::Unanswered("no answer in time".to_owned())
+}
+
+fn unreached() -> OfferEnd {
+    OfferEnd::Unreached("refused".to_owned())
+}
+
+fn marked(from: &str, now: Micros) -> Marked {
+    Marked::Yes(Mark { from: from.to_owned(), deadline: now + 8 * S, attempts: 0, ran: None })
+}
+
+// Guards against a message that is delivered by who does not own its destination, or with less than it came with.
+#[test]
+fn a_message_goes_to_its_owner_with_all_that_it_has() {
+    let mut world = World::new(Class::KeyedByZone, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    world.take("own", 2);
+    let offer = world.offer();
+    assert_eq!(offer.to, address("f1"));
+    assert_eq!((offer.taken.txn.as_str(), offer.taken.class.as_str(), offer.taken.dest), ("a", "bread", 1));
+    assert_eq!(offer.taken.key.as_deref(), Some("key of a"));
+    assert_eq!(offer.body, Bytes::from_static(b"body"));
+    let mark = Mark { from: "f0".to_owned(), deadline: START + 8 * S, attempts: 0, ran: None };
+    assert_eq!(offer.mark, mark);
+    assert!(world.offers.is_empty(), "its own is not offered");
+    assert_eq!(world.written, ["own"]);
+    world.end(&offer, OfferEnd::Taken);
+    world.wait(10 * S);
+    assert_eq!(world.written, ["own"]);
+    assert!(world.notices.is_empty() && world.offers.is_empty());
+    let handed_over =
+        |r: &Record| matches!(r, Record::HandedOver { txn, to, .. } if txn == "a" && to == "f1");
+    assert!(world.records().iter().any(handed_over));
+    assert_eq!(world.figure("handed_over"), 1);
+    assert_eq!(world.figure("owned"), 1);
+}
+
+// Guards against a second message in the place of a repeat, at the holder and after its restart.
+#[test]
+fn who_hands_in_once_more_what_is_handed_over_is_told_that_it_was_taken_on() {
+    let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
+    let mut world = World::new(Class::Unsafe, fleet());
+    world.take("a", 1);
+    world.take("a", 1);
+    let offer = world.offer();
+    assert!(world.offers.is_empty());
+    world.end(&offer, OfferEnd::Taken);
+    world.take("a", 1);
+    assert!(world.offers.is_empty());
+    let mut world = world.restarted(fleet());
+    world.take("a", 1);
+    assert!(world.offers.is_empty());
+}
+
+// Guards against a way without an end: two forwarders that each think that the other is the owner.
+#[test]
+fn a_marked_message_is_delivered_here_whoever_owns_it_also_after_a_restart() {
+    let fleet = || Some(Fleet::of(1, ["f1", "f1", "f1"]));
+    let mut world = World::new(Class::Unsafe, fleet());
+    let message = Handed { marked: marked("f2", world.now), ..world.handed("a", 1) };
+    // Killed before it is sent.
+    world.endpoints_answer = false;
+    assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+    let mut world = world.restarted(fleet());
+    world.wait(S);
+    assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
+}
+
+// Guards against a duplicate at the owner: the holder asks again about what is open, and about what is over.
+#[test]
+fn an_owner_answers_a_repeat_as_taken_on_while_open_and_when_over() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
+    for _ in 0..3 {
+        let message = Handed { marked: marked("f1", world.now), ..world.handed("a", 1) };
+        assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+        world.wait(2 * S);
+    }
+    assert_eq!(world.written, ["a"]);
+    assert_eq!(world.figure("taken_over"), 1);
+}
+
+// Guards against a repeat at the owner of what may have run before: the trace goes along.
+#[test]
+fn what_may_have_run_before_binds_the_owner() {
+    for (class, is_sent) in [(Class::Unsafe, false), (Class::Safe, true)] {
+        let mut world = World::new(class, Some(Fleet::of(1, ["f0", "f0", "f0"])));
+        let ran = Some(Trace { at: START - S, uid: "s-a".to_owned(), az: "a".to_owned() });
+        let deadline = world.now + 4 * S;
+        let mark = Mark { from: "f1".to_owned(), deadline, attempts: 1, ran };
+        let message = Handed { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+        let answer = world.hand_in(message);
+        assert_eq!(!world.written.is_empty(), is_sent, "{class:?}: {answer:?}");
+    }
+}
+
+// Guards against an owner that delivers after the holder has ended the message: a freeze must not lengthen its time.
+#[test]
+fn an_owner_holds_to_the_deadline_and_not_to_the_time_left() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
+    let deadline = world.now - S;
+    let mark = Mark { from: "f1".to_owned(), deadline, attempts: 0, ran: None };
+    let message = Handed { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+    let answer = world.hand_in(message);
+    assert!(answer != DoorAnswer::TakenOn && world.written.is_empty(), "{answer:?}");
+}
+
+// Guards against a mark that is half understood, and against one that means anything where there are no owners.
+#[test]
+fn a_malformed_mark_is_refused_and_without_owners_none_counts() {
+    for (owners, expected) in [
+        (Some(Fleet::of(1, ["f0", "f0", "f0"])), DoorAnswer::Incomplete("X-Handover: malformed\n")),
+        (None, DoorAnswer::TakenOn),
+    ] {
+        let mut world = World::new(Class::Safe, owners);
+        let message = Handed { marked: Marked::Malformed, ..world.handed("a", 1) };
+        assert_eq!(world.hand_in(message), expected);
+    }
+    let mut world = World::new(Class::Safe, None);
+    world.take("b", 1);
+    world.input(Input::Operator { ticket: 2, call: Call::ShowStat });
+    assert!(world.offers.is_empty() && !world.figures.contains("owners"));
+}
+
+// Guards against a message that is lost, or handed on without bound, because its sender is not known here.
+#[test]
+fn a_message_from_who_is_no_member_is_delivered_here_and_counted() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f1", "f1"])));
+    for txn in ["a", "b"] {
+        let message = Handed { marked: marked("f77", world.now), ..world.handed(txn, 1) };
+        assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+    }
+    assert_eq!((world.written.len(), world.offers.len()), (2, 0));
+    assert_eq!(world.figure("taken_over_from_strangers"), 2);
+    assert_eq!(world.logged.iter().filter(|line| line.contains("f77")).count(), 1, "{:?}", world.logged);
+}
+
+// Guards against a refusal that is taken for a doubt, and against an owner that is pressed on or gone around.
+#[test]
+fn a_refused_message_is_offered_again_after_the_wait_and_never_delivered_here() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    let offer = world.offer();
+    world.end(&offer, OfferEnd::Refused(3 * S));
+    world.wait(2_900 * MS);
+    assert!(world.offers.is_empty(), "before the wait is over");
+    world.wait(400 * MS);
+    let offers = world.wait_with(7 * S, &OfferEnd::Refused(0));
+    assert!((2..40).contains(&offers), "{offers} offers");
+    assert!(world.written.is_empty());
+    // Never taken: the client may hand it in again.
+    assert_eq!(world.notices, [("a".to_owned(), Verdict::Returned { after_ms: 0 })]);
+}
+
+// Guards against a lost answer that ends a message, or that sends it elsewhere while the owner may have it.
+#[test]
+fn after_a_lost_answer_the_same_owner_is_asked_under_the_same_id() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    let offer = world.offer();
+    world.end(&offer, unanswered());
+    // Another owns the destination now, and the one before is still a member.
+    world.input(Input::Owners(Rc::new(Fleet {
+        version: 2,
+        owners: BTreeMap::from([(1, "f2")]),
+        members: vec!["f0", "f1", "f2"],
+    })));
+    world.wait(3 * S);
+    let again = world.offer();
+    assert_eq!((again.to, again.taken.txn.as_str()), (address("f1"), "a"));
+    assert!(world.written.is_empty() && world.offers.is_empty());
+    world.end(&again, OfferEnd::Taken);
+    world.wait(10 * S);
+    assert!(world.written.is_empty() && world.notices.is_empty());
+}
+
+// Guards against a doubt that a later refusal, or an owner that cannot be reached, is taken to end.
+#[test]
+fn a_doubt_outlasts_what_later_offers_say() {
+    for later in [OfferEnd::Refused(0), unreached()] {
+        let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+        world.take("a", 1);
+        let offer = world.offer();
+        world.end(&offer, unanswered());
+        world.wait_with(9 * S, &later);
+        assert!(world.written.is_empty(), "{later:?}");
+        assert_eq!(world.notices, [("a".to_owned(), Verdict::Failed)], "{later:?}");
+    }
+}
+
+// Guards against a forbidden repeat once the owner is no member, and against a message kept back that may be repeated.
+#[test]
+fn an_owner_that_is_gone_is_treated_by_class() {
+    let gone = |version| Fleet::of(version, ["f0", "f0", "f2"]);
+    for (class, is_sent) in [
+        (Class::Safe, true),
+        (Class::Unsafe, false),
+        (Class::KeyedByZone, false),
+        (Class::KeyedEverywhere, true),
+    ] {
+        let mut world = World::new(class, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+        world.take("a", 1);
+        let offer = world.offer();
+        world.end(&offer, unanswered());
+        world.input(Input::Owners(gone(2)));
+        world.wait(S);
+        assert_eq!(world.written == ["a"], is_sent, "{class:?}");
+        let failed = world.notices == [("a".to_owned(), Verdict::Failed)];
+        assert_eq!(failed, !is_sent, "{class:?}: {:?}", world.notices);
+    }
+    // A window that has ended counts as none.
+    let mut world = World::new(Class::KeyedEverywhere, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    let offer = world.offer();
+    world.end(&offer, unanswered());
+    world.wait_with(2_100 * MS, &unanswered());
+    world.written.clear();
+    let was_substituted = world.figure("delivered_for_lack_of_owner") == 1;
+    world.input(Input::Owners(gone(2)));
+    world.wait(S);
+    assert!(!was_substituted && world.written.is_empty(), "{:?}", world.written);
+}
+
+// Guards against a message that waits for who has left the fleet, or that counts as run where it never went.
+#[test]
+fn what_was_never_taken_goes_to_the_new_owner() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    for txn in ["a", "b"] {
+        world.take(txn, 1);
+    }
+    for _ in 0..2 {
+        let offer = world.offer();
+        world.end(&offer, unreached());
+    }
+    world.input(Input::Owners(Fleet::of(2, ["f2", "f0", "f2"])));
+    let offers = [world.offer(), world.offer()];
+    assert!(offers.iter().all(|offer| offer.to == address("f2") && offer.mark.ran.is_none()));
+    world.end(&offers[0], unreached());
+    world.input(Input::Owners(Fleet::of(3, ["f0", "f0", "f2"])));
+    world.wait(S);
+    assert_eq!(world.written.len(), 1, "one is this forwarder's own now, the other still out");
+}
+
+// Guards against an offer that was out when its answer lost its meaning: the owner left while it was asked.
+#[test]
+fn an_offer_that_is_out_ends_before_its_message_goes_elsewhere() {
+    let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    let offer = world.offer();
+    world.input(Input::Owners(Fleet::of(2, ["f0", "f0", "f2"])));
+    world.wait(900 * MS);
+    assert!(world.written.is_empty());
+    world.end(&offer, OfferEnd::Taken);
+    world.wait(S);
+    assert!(world.written.is_empty() && world.notices.is_empty());
+}
+
+// Guards against a view that goes back.
+#[test]
+fn an_older_view_is_passed_over() {
+    let mut world = World::new(Class::Safe, Some(Fleet::of(5, ["f1", "f1", "f1"])));
+    world.input(Input::Owners(Fleet::of(4, ["f2", "f2", "f2"])));
+    world.take("a", 1);
+    assert_eq!(world.offer().to, address("f1"));
+    assert!(world.logged.iter().any(|line| line.contains("view 4 is older than view 5")));
+    assert_eq!(world.figure("owners_view"), 5);
+}
+
+// Guards against a restart that forgets what was offered: it is asked again, and counts as run when nobody can be asked.
+#[test]
+fn after_a_restart_what_was_offered_is_asked_again_under_its_id() {
+    let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
+    let mut world = World::new(Class::Unsafe, fleet());
+    world.take("a", 1);
+    let first = world.offer();
+    let mut world = world.restarted(fleet());
+    let again = world.offer();
+    assert_eq!((again.to, &again.taken.txn), (first.to, &first.taken.txn));
+    world.end(&again, unreached());
+    // In doubt since before the restart: not reached now says nothing of then.
+    let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
+    world.wait(S);
+    assert!(world.written.is_empty() && world.offers.is_empty());
+    assert_eq!(world.notices, [("a".to_owned(), Verdict::Failed)]);
+}
+
+// Guards against a restart that takes for doubtful what was never taken.
+#[test]
+fn after_a_restart_what_was_declined_is_free() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    let offer = world.offer();
+    world.end(&offer, unreached());
+    let mut world = world.restarted(Some(Fleet::of(2, ["f2", "f0", "f2"])));
+    let offer = world.offer();
+    assert_eq!((offer.to, offer.mark.ran), (address("f2"), None));
+}
+
+// Guards against a journal rewrite that drops where a message stands.
+#[test]
+fn a_snapshot_keeps_the_doubt() {
+    let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
+    let mut world = World::new(Class::Unsafe, fleet());
+    world.take("a", 1);
+    let offer = world.offer();
+    world.end(&offer, unanswered());
+    // Fills the journal until it is rewritten.
+    let mut number = 0;
+    while world.records().iter().any(|record| matches!(record, Record::Declined { .. })) || number < 100 {
+        number += 1;
+        let size = world.file.len();
+        let message =
+            Handed { body: Bytes::from(vec![0; 6_000]), ..world.handed(&format!("own {number}"), 2) };
+        assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+        if world.file.len() < size {
+            break;
+        }
+    }
+    let mut world = world.restarted(None);
+    world.wait(S);
+    assert!(world.notices.contains(&("a".to_owned(), Verdict::Failed)), "{:?}", world.notices);
+    assert!(!world.written.contains(&"a".to_owned()));
+}
+
+// Guards against a flood at partners when an owner is dead: bounded in sum, one of a destination, by class.
+#[test]
+fn for_lack_of_an_owner_a_bounded_part_is_delivered_here() {
+    let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
+    world.take("a1", 1);
+    world.take("a2", 1);
+    world.take("c1", 3);
+    // Delivered here is not over: endpoints are slow.
+    world.wait_with(1_900 * MS, &unreached());
+    assert!(world.written.is_empty(), "not at the first failure");
+    world.wait_with(S, &unreached());
+    world.written.sort();
+    assert_eq!(world.written, ["a1", "a2", "c1"], "one after the other");
+    assert_eq!(world.figure("delivered_for_lack_of_owner"), 3);
+    // One that refuses is there: nothing goes around it.
+    let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
+    world.take("a1", 1);
+    world.wait_with(5 * S, &OfferEnd::Refused(0));
+    assert!(world.written.is_empty());
+}
+
+// Guards against an owner that is asked by everyone at once when it comes back, or all the time while it is dead.
+#[test]
+fn a_failing_owner_gets_one_offer_at_a_time_with_growing_pauses() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.endpoints_answer = false;
+    for number in 0..30 {
+        world.take(&format!("m{number}"), 1);
+    }
+    assert_eq!(world.offers.len(), 16, "the bound of one owner");
+    while let Some(offer) = world.offers.pop_front() {
+        world.end(&offer, unanswered());
+    }
+    let mut offers = 0;
+    for _ in 0..300 {
+        world.wait(10 * MS);
+        assert!(world.offers.len() <= 1);
+        if let Some(offer) = world.offers.pop_front() {
+            world.end(&offer, unanswered());
+            offers += 1;
+        }
+    }
+    assert!((2..20).contains(&offers), "{offers} offers in 3 s");
+    world.wait(2 * S);
+    let offer = world.offer();
+    world.end(&offer, OfferEnd::Taken);
+    assert_eq!(world.offers.len(), 16, "it answers");
+}
+
+// Guards against a doubt that is forgotten when another owner is asked: what may have run goes along.
+#[test]
+fn a_doubt_goes_along_to_the_next_owner() {
+    let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
+    world.take("a", 1);
+    let offer = world.offer();
+    let offered_at = world.now;
+    world.end(&offer, unanswered());
+    world.input(Input::Owners(Fleet::of(2, ["f2", "f0", "f2"])));
+    world.wait(MS);
+    let next = world.offer();
+    let ran = next.mark.ran.expect("it may have run");
+    assert_eq!((next.to, ran.uid.as_str()), (address("f2"), ""));
+    assert!(ran.at <= offered_at, "not later than it was offered");
+}
+
+// Guards against a start that offers again what has been begun here in doubt.
+#[test]
+fn what_was_begun_here_in_doubt_stays_here_after_a_restart() {
+    let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
+    let mut world = World::new(Class::Safe, fleet());
+    world.endpoints_answer = false;
+    world.take("a", 1);
+    world.wait_with(3 * S, &unanswered());
+    assert_eq!(world.figure("delivering_for_lack_of_owner"), 1);
+    let mut world = world.restarted(fleet());
+    world.wait(S);
+    assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
+}
+
+// Guards against a flood at partners when an owner is dead: one message of a destination, and a bound on all of them.
+#[test]
+fn what_is_delivered_for_lack_of_an_owner_is_bounded_by_destination_and_in_sum() {
+    for (destinations, expected) in [(1, 1), (5, 5), (50, 32)] {
+        let mut world = World::with_config(&wide_config(destinations), Some(one_owner(destinations)));
+        world.endpoints_answer = false;
+        for number in 0..2 * destinations {
+            world.take(&format!("m{number}"), 1 + number % destinations);
+        }
+        world.wait_with(3 * S, &unreached());
+        assert_eq!(world.figure("delivering_for_lack_of_owner"), expected);
+        assert_eq!(world.figure("handover_waiting"), 2 * destinations - expected);
+    }
+}
+
+// Guards against a queue without bound behind an owner that takes nothing: clients are told to wait.
+#[test]
+fn clients_are_pushed_back_when_too_much_waits_for_one_owner() {
+    let mut world = World::with_config(&wide_config(2), Some(one_owner(1)));
+    let messages: Vec<_> = (0..1_020).map(|number| world.handed(&format!("m{number}"), 1)).collect();
+    for message in messages {
+        world.input(Input::Handed { ticket: 1, message });
+        world.wait(5 * MS);
+    }
+    world.wait(20 * MS);
+    let deferred = world.answers.iter().filter(|answer| matches!(answer, DoorAnswer::Deferred(_))).count();
+    assert_eq!(deferred, 20);
+    world.take("another destination", 2);
+}
--- a/crates/node/tests/reducer.rs
+++ b/crates/node/tests/reducer.rs
@@ -12,6 +12,7 @@
 use orchidyoke_node::console::{self, Reply as Said};
 use orchidyoke_node::hop_call::{Call, Cause, HopError, Progress, Reply};
 use orchidyoke_node::input::{DoorAnswer, Effect, Following, Handed, Input, Ticket};
+use orchidyoke_node::ownership::Marked;
 use orchidyoke_node::pool::LinkId;
 use orchidyoke_node::reducer::Reducer;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -399,7 +400,8 @@
         self.fates.entry(txn.clone()).or_insert(fate);
         let (org, key) = (self.shape.org(), self.shape.key(&txn, orders));
         let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
-        let message = Handed { txn, class, org, key, dest, time_left, repeat: false, body };
+        let message =
+            Handed { txn, class, org, key, dest, time_left, repeat: false, marked: Marked::No, body };
         self.input(Input::Handed { ticket, message });
     }
 
