--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,10 +8,12 @@
 
 mod apart;
 mod forms;
+mod ownership;
 mod script;
 mod words;
 
 pub use apart::{load, serve};
+pub use ownership::{MemberSettings, Ownership};
 pub use script::{Bounds, Fault, evaluate, read};
 
 use orchidyoke_core::settings::Names;
@@ -25,14 +27,17 @@
     /// Policy epochs: what the fleet agrees on, laid over the platform's file.
     #[serde(default)]
     pub policy: Option<orchidyoke_epochs::Settings>,
+    /// Owners of destinations: the forwarders of the fleet.
+    #[serde(default)]
+    pub ownership: Option<Ownership>,
 }
 
 impl Installation {
     /// Checks what these settings say against those of the platform: names of kinds and zones, and the connections
     /// that are to be had. Gives every fault found.
     pub fn check(&self, names: &Names, sockets: usize) -> Vec<String> {
-        let Some(consul) = &self.consul else { return Vec::new() };
-        let mut faults = Vec::new();
+        let mut faults = self.check_zones(names);
+        let Some(consul) = &self.consul else { return faults };
         for service in &consul.services {
             let name = &service.name;
             if !names.kinds.contains(&service.kind) {
@@ -55,4 +60,12 @@
         }
         faults
     }
+
+    /// The zones of the region, which endpoints lie in as well, are those of the platform.
+    fn check_zones(&self, names: &Names) -> Vec<String> {
+        let zones = self.ownership.iter().flat_map(|ownership| &ownership.zones);
+        let missing = zones.filter(|zone| !names.zones.contains(zone));
+        let fault = |zone| forms::unknown("zone", zone, names.zones.iter().map(String::as_str));
+        missing.map(|zone| format!("ownership: regions: {}", fault(zone))).collect()
+    }
 }
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -2,6 +2,7 @@
 
 use crate::Installation;
 use crate::forms::{ConsulForm, PolicyForm};
+use crate::ownership::OwnershipForm;
 use crate::words::{Asked, FOLDER, words};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -99,7 +100,8 @@
     let fault = |why: String| Fault { file: path.to_owned(), place: None, why };
     let consul = wanted(&asked, "consul", ConsulForm::settings).map_err(fault)?;
     let policy = wanted(&asked, "policy", PolicyForm::settings).map_err(fault)?;
-    Ok(Installation { consul, policy })
+    let ownership = wanted(&asked, "ownership", OwnershipForm::settings).map_err(fault)?;
+    Ok(Installation { consul, policy, ownership })
 }
 
 /// The settings that a word has asked for, if it stands in the script.
--- a/crates/config/src/words.rs
+++ b/crates/config/src/words.rs
@@ -1,8 +1,11 @@
-//! The words that a script has beside Starlark's own: `consul`, `policy`, `service` and `tls`. All their fields are named.
+//! The words that a script has beside Starlark's own: `consul`, `ownership`, `policy`, `member`, `service` and `tls`. All
+//! their fields are named.
 //!
-//! `service(...)` and `tls(...)` give a value that goes into `consul(...)`; that last one says what is wanted, once.
+//! `service(...)`, `tls(...)` and `member(...)` give a value that goes into one of the others, each of which says what is
+//! wanted, once.
 
 use crate::forms::{ConsulForm, Form, PolicyForm, ServiceForm, TlsForm, unknown};
+use crate::ownership::{MemberForm, OwnershipForm};
 use anyhow::anyhow;
 use serde_json::{Map, Value as Json};
 use starlark::collections::SmallMap;
@@ -81,6 +84,28 @@
         Ok(NoneType)
     }
 
+    /// A forwarder of the fleet: `name`, `zone`, `address`, and perhaps `region` and `weight`.
+    fn member<'v>(
+        #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        let form: MemberForm = form("member", &fields, asked(eval)?)?;
+        Ok(eval.heap().alloc(serde_json::to_value(form)?))
+    }
+
+    /// Owners of destinations: `name` and `region` of this forwarder, `regions` with the zones of each, and `members`.
+    fn ownership<'v>(
+        #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<NoneType> {
+        let asked = asked(eval)?;
+        let form: OwnershipForm = form("ownership", &fields, asked)?;
+        if asked.borrow_mut().insert("ownership".to_owned(), serde_json::to_string(&form)?).is_some() {
+            return Err(anyhow!("ownership: is asked for twice: a forwarder stands in one region"));
+        }
+        Ok(NoneType)
+    }
+
     /// Policy epochs of the fleet, with their commit point in Consul: `addresses`, and perhaps `prefix`, `name`, `ttl`,
     /// `tls`, `token_file`, `datacenter` and `namespace`.
     fn policy<'v>(
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -1,5 +1,6 @@
 //! An installation's own settings: the script, what it asks for, and how that joins the platform's configuration.
 
+use crate::owners::StaticOwners;
 use orchidyoke_config::Installation as Wanted;
 use orchidyoke_consul::Consul;
 use orchidyoke_epochs::words::{Member, Point, Vote};
@@ -32,7 +33,9 @@
         return Err(ConfigError::new(format!("{}: {}", path.display(), faults.join("; "))));
     }
     let catalogue = wanted.consul.map(|settings| Rc::new(Consul::new(settings)) as Rc<_>);
-    Ok(Config { catalogue, ..config })
+    let owners = wanted.ownership.map(StaticOwners::new).transpose().map_err(ConfigError::new)?;
+    let owners = owners.map(|owners| Rc::new(owners) as Rc<_>);
+    Ok(Config { catalogue, owners, ..config })
 }
 
 impl Installation for Script {
@@ -51,8 +54,12 @@
     if let Some(policy) = &wanted.policy {
         println!("policy epochs: below {} in Consul at {:?}", policy.prefix, policy.consul.addresses);
     }
+    if let Some(ownership) = &wanted.ownership {
+        let (name, region) = (&ownership.name, &ownership.region);
+        println!("owners of destinations: {name} in region {region}, of {} members", ownership.members.len());
+    }
     let Some(consul) = &wanted.consul else {
-        if wanted.policy.is_none() {
+        if wanted.policy.is_none() && wanted.ownership.is_none() {
             println!("settings: nothing is asked for beyond the configuration");
         }
         return;
