--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -52,6 +52,9 @@
 
     /// How many members there are, this forwarder among them.
     fn members(&self) -> usize;
+
+    /// How many forwarders of the fleet own a destination, each for the messages of its region: they share its limit.
+    fn owners_of_each(&self) -> u32;
 }
 
 /// What goes along with a message that is handed over.
--- a/crates/node/src/peer_call.rs
+++ b/crates/node/src/peer_call.rs
@@ -2,7 +2,7 @@
 
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::ownership::{HANDOVER, Offer, OfferEnd};
-use crate::told_wait;
+use crate::retry_after::{server_wait_ms, to_micros};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -169,11 +169,11 @@
 /// What an answer says, and whether it has a body that was not read.
 fn read(answer: &Response<Incoming>) -> (OfferEnd, bool) {
     use hyper::body::Body;
-    let wait = told_wait::retry_after(answer.headers(), SystemTime::now());
+    let wait = server_wait_ms(answer.headers(), SystemTime::now());
     let end = match answer.status() {
         StatusCode::OK | StatusCode::ACCEPTED => OfferEnd::Taken,
-        StatusCode::SERVICE_UNAVAILABLE => OfferEnd::Refused(told_wait::micros(wait)),
-        status if status.is_client_error() => OfferEnd::Refused(told_wait::micros(wait)),
+        StatusCode::SERVICE_UNAVAILABLE => OfferEnd::Refused(to_micros(wait)),
+        status if status.is_client_error() => OfferEnd::Refused(to_micros(wait)),
         status => OfferEnd::Unanswered(format!("answered {status}")),
     };
     (end, !answer.body().is_end_stream())
--- a/crates/node/src/reducer/custody.rs
+++ b/crates/node/src/reducer/custody.rs
@@ -2,10 +2,10 @@
 //! owner's answer. When what is due is decided in [`handover`](super::handover).
 
 use super::handover::{ANSWER_TIME, DOUBT_TIME, Decision, Terms};
-use super::{Reducer, Stored};
+use super::{AfterAppend, Reducer};
 use crate::input::Effect;
 use crate::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
-use orchidyoke_core::interface::{DestinationId, Effect as ClassEffect, Group, MessageId, Micros};
+use orchidyoke_core::interface::{DestinationId, Effect as ClassEffect, Event, Group, MessageId, Micros};
 use orchidyoke_journal::{Custody, Offered, Record, Stage, Taken, Verdict};
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -13,6 +13,8 @@
 
 /// About the bytes of the records of a message's custody, beside its id and the longest name of an owner.
 const CUSTODY_RECORDS: usize = 320;
+/// The owners of so many destinations are looked up for the figures: a look-up costs a hash for each member.
+const OWNED_LOOKED_UP: usize = 1000;
 /// Names of forwarders that are no members are logged once each, and so many of them in a view.
 const STRANGERS_LOGGED: usize = 64;
 
@@ -66,6 +68,19 @@
         Some(Peer { name: name.to_owned(), address })
     }
 
+    /// How many forwarders share a destination's limit, where each destination has owners.
+    pub fn sharers(&self) -> Option<u32> {
+        self.view.as_ref().map(|view| view.owners_of_each())
+    }
+
+    /// How many of these destinations this forwarder owns; beyond some, reckoned from evenly chosen ones.
+    fn owned(&self, destinations: &BTreeSet<DestinationId>) -> u64 {
+        let Some(view) = &self.view else { return 0 };
+        let step = destinations.len().div_ceil(OWNED_LOOKED_UP).max(1);
+        let is_owned = |destination: &&DestinationId| view.owner_of(**destination) == Owner::Local;
+        (destinations.iter().step_by(step).filter(is_owned).count() * step) as u64
+    }
+
     /// What the snapshot of a message may hold beside its record.
     pub fn reserve(&self, txn: &str) -> usize {
         if self.is_on() { CUSTODY_RECORDS + 2 * txn.len() } else { 0 }
@@ -132,6 +147,11 @@
         }
         let view = self.ownership.view.as_ref();
         self.handovers.keep_peers(|name| view.is_some_and(|view| view.member(name).is_some()));
+        let settings = self.module_settings();
+        if settings.fleet_size != self.sharers {
+            self.sharers = settings.fleet_size;
+            self.events.push(Event::Settings(Box::new(settings)));
+        }
     }
 
     /// Where a message goes that is in the journal and that the module does not have: to the owner of its destination, or
@@ -265,7 +285,7 @@
         }
         let (txn, to) = (message.taken.txn.clone(), peer.name.clone());
         let record = Record::Offered { txn, to: to.clone(), at: now };
-        self.append(&[(&record, b"")], Some(Stored::Offered(id, peer.clone())));
+        self.append(&[(&record, b"")], Some(AfterAppend::Offered(id, peer.clone())));
         if let Some(message) = self.messages.get_mut(&id) {
             message.taken.custody.offered = Some(Offered { to, at: now });
         }
@@ -397,11 +417,10 @@
         let Some(view) = &self.ownership.view else { return String::new() };
         let counts = &self.ownership.counts;
         let (waiting, substitutes) = self.handovers.counts();
-        let owned = |destination: &&DestinationId| view.owner_of(**destination) == Owner::Local;
         let age = (now - self.ownership.taken_in).max(0) / 1_000_000;
         let mut lines = String::new();
         for (name, value) in [
-            ("owned", self.destinations.iter().filter(owned).count() as u64),
+            ("owned", self.ownership.owned(&self.destinations)),
             ("handed_over", counts.handed_over),
             ("taken_over", counts.taken_over),
             ("taken_over_from_strangers", counts.from_strangers),
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -10,7 +10,7 @@
 use orchidyoke_node::config::Config;
 use orchidyoke_node::console::{Call, Reply};
 use orchidyoke_node::hop_call::Reply as HopReply;
-use orchidyoke_node::input::{DoorAnswer, Effect, Handed, Input};
+use orchidyoke_node::input::{SubmitAnswer, Effect, Submission, Input};
 use orchidyoke_node::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
 use orchidyoke_node::reducer::Reducer;
 use std::collections::{BTreeMap, VecDeque};
@@ -68,6 +68,10 @@
     fn members(&self) -> usize {
         self.members.len()
     }
+
+    fn owners_of_each(&self) -> u32 {
+        1
+    }
 }
 
 /// Classes of the test configurations.
@@ -109,7 +113,7 @@
     reducer: Reducer,
     now: Micros,
     file: Vec<u8>,
-    answers: Vec<DoorAnswer>,
+    answers: Vec<SubmitAnswer>,
     /// Connections to endpoints come up.
     endpoints_answer: bool,
     /// Offers that are out.
@@ -153,7 +157,7 @@
             logged: Vec::new(),
         };
         world.input(Input::Alarm);
-        world.input(Input::DoorOpen);
+        world.input(Input::AcceptingClients);
         world
     }
 
@@ -219,8 +223,8 @@
         self.now = until;
     }
 
-    fn handed(&self, txn: &str, dest: DestinationId) -> Handed {
-        Handed {
+    fn handed(&self, txn: &str, dest: DestinationId) -> Submission {
+        Submission {
             txn: txn.to_owned(),
             class: self.class.name().to_owned(),
             org: (!self.class.is_keyed()).then(|| "acme".to_owned()),
@@ -233,8 +237,8 @@
         }
     }
 
-    fn hand_in(&mut self, message: Handed) -> DoorAnswer {
-        self.input(Input::Handed { ticket: 1, message });
+    fn hand_in(&mut self, message: Submission) -> SubmitAnswer {
+        self.input(Input::Submitted { ticket: 1, message });
         self.wait(20 * MS);
         self.answers.pop().expect("an answer")
     }
@@ -242,7 +246,7 @@
     /// A client hands in a message for this destination, and it is taken on.
     fn take(&mut self, txn: &str, dest: DestinationId) {
         let message = self.handed(txn, dest);
-        assert_eq!(self.hand_in(message), DoorAnswer::TakenOn, "{txn}");
+        assert_eq!(self.hand_in(message), SubmitAnswer::TakenOn, "{txn}");
     }
 
     fn offer(&mut self) -> Offer {
@@ -309,7 +313,7 @@
     assert_eq!(world.written, ["own"]);
     assert!(world.notices.is_empty() && world.offers.is_empty());
     let handed_over =
-        |r: &Record| matches!(r, Record::HandedOver { txn, to, .. } if txn == "a" && to == "f1");
+        |r: &Record| matches!(r, Record::SubmissionOver { txn, to, .. } if txn == "a" && to == "f1");
     assert!(world.records().iter().any(handed_over));
     assert_eq!(world.figure("handed_over"), 1);
     assert_eq!(world.figure("owned"), 1);
@@ -337,10 +341,10 @@
 fn a_marked_message_is_delivered_here_whoever_owns_it_also_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f1", "f1"]));
     let mut world = World::new(Class::Unsafe, fleet());
-    let message = Handed { marked: marked("f2", world.now), ..world.handed("a", 1) };
+    let message = Submission { marked: marked("f2", world.now), ..world.handed("a", 1) };
     // Killed before it is sent.
     world.endpoints_answer = false;
-    assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+    assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
     let mut world = world.restarted(fleet());
     world.wait(S);
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
@@ -351,8 +355,8 @@
 fn an_owner_answers_a_repeat_as_taken_on_while_open_and_when_over() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     for _ in 0..3 {
-        let message = Handed { marked: marked("f1", world.now), ..world.handed("a", 1) };
-        assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+        let message = Submission { marked: marked("f1", world.now), ..world.handed("a", 1) };
+        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
         world.wait(2 * S);
     }
     assert_eq!(world.written, ["a"]);
@@ -367,7 +371,7 @@
         let ran = Some(Trace { at: START - S, uid: "s-a".to_owned(), az: "a".to_owned() });
         let deadline = world.now + 4 * S;
         let mark = Mark { from: "f1".to_owned(), deadline, attempts: 1, ran };
-        let message = Handed { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+        let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
         let answer = world.hand_in(message);
         assert_eq!(!world.written.is_empty(), is_sent, "{class:?}: {answer:?}");
     }
@@ -379,20 +383,20 @@
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let deadline = world.now - S;
     let mark = Mark { from: "f1".to_owned(), deadline, attempts: 0, ran: None };
-    let message = Handed { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+    let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
     let answer = world.hand_in(message);
-    assert!(answer != DoorAnswer::TakenOn && world.written.is_empty(), "{answer:?}");
+    assert!(answer != SubmitAnswer::TakenOn && world.written.is_empty(), "{answer:?}");
 }
 
 // Guards against a mark that is half understood, and against one that means anything where there are no owners.
 #[test]
 fn a_malformed_mark_is_refused_and_without_owners_none_counts() {
     for (owners, expected) in [
-        (Some(Fleet::of(1, ["f0", "f0", "f0"])), DoorAnswer::Incomplete("X-Handover: malformed\n")),
-        (None, DoorAnswer::TakenOn),
+        (Some(Fleet::of(1, ["f0", "f0", "f0"])), SubmitAnswer::Incomplete("X-Handover: malformed\n")),
+        (None, SubmitAnswer::TakenOn),
     ] {
         let mut world = World::new(Class::Safe, owners);
-        let message = Handed { marked: Marked::Malformed, ..world.handed("a", 1) };
+        let message = Submission { marked: Marked::Malformed, ..world.handed("a", 1) };
         assert_eq!(world.hand_in(message), expected);
     }
     let mut world = World::new(Class::Safe, None);
@@ -406,8 +410,8 @@
 fn a_message_from_who_is_no_member_is_delivered_here_and_counted() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f1", "f1"])));
     for txn in ["a", "b"] {
-        let message = Handed { marked: marked("f77", world.now), ..world.handed(txn, 1) };
-        assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+        let message = Submission { marked: marked("f77", world.now), ..world.handed(txn, 1) };
+        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
     }
     assert_eq!((world.written.len(), world.offers.len()), (2, 0));
     assert_eq!(world.figure("taken_over_from_strangers"), 2);
@@ -589,8 +593,8 @@
         number += 1;
         let size = world.file.len();
         let message =
-            Handed { body: Bytes::from(vec![0; 6_000]), ..world.handed(&format!("own {number}"), 2) };
-        assert_eq!(world.hand_in(message), DoorAnswer::TakenOn);
+            Submission { body: Bytes::from(vec![0; 6_000]), ..world.handed(&format!("own {number}"), 2) };
+        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
         if world.file.len() < size {
             break;
         }
@@ -701,11 +705,11 @@
     let mut world = World::with_config(&wide_config(2), Some(one_owner(1)));
     let messages: Vec<_> = (0..1_020).map(|number| world.handed(&format!("m{number}"), 1)).collect();
     for message in messages {
-        world.input(Input::Handed { ticket: 1, message });
+        world.input(Input::Submitted { ticket: 1, message });
         world.wait(5 * MS);
     }
     world.wait(20 * MS);
-    let deferred = world.answers.iter().filter(|answer| matches!(answer, DoorAnswer::Deferred(_))).count();
+    let deferred = world.answers.iter().filter(|answer| matches!(answer, SubmitAnswer::Deferred(_))).count();
     assert_eq!(deferred, 20);
     world.take("another destination", 2);
 }
