--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,12 +1,13 @@
 //! Periodic duties shared among forwarders, one owner each, over the sessions and locks of a store such as Consul's.
 //!
-//! Three modules have no I/O and no clock: [`placement`] says who should have which duty, [`lease`] who has it and until when, and
-//! [`fence`] which of two owners' results counts. [`keeper`] carries that out on Consul. `docs/duties.md` has the protocol and what it rests on.
+//! These modules have no I/O and no clock: [`placement`] says who should have which duty, by the hashing of [`rendezvous`],
+//! [`lease`] who has it and until when, and [`fence`] which of two owners' results counts. [`keeper`] carries that out on Consul. `docs/duties.md` has the protocol and what it rests on.
 
 pub mod fence;
 pub mod keeper;
 pub mod lease;
 pub mod placement;
+pub mod rendezvous;
 
 /// A duty, by its place in the settings' list.
 pub type Duty = u32;
--- a/crates/duties/src/placement.rs
+++ b/crates/duties/src/placement.rs
@@ -2,26 +2,21 @@
 //!
 //! Each member gets its quota, which is its exact share rounded down or up. A member keeps what it has up to that; what
 //! is left over goes to the members with room, each duty to the one that weighted rendezvous hashing ranks first for it
-//! (Thaler and Ravishankar, 1998; the weighted form is Schindelhauer and Schomaker's logarithmic method, 2005).
+//! ([`rendezvous`]).
 //! Hashing alone would need no view of who has what, but leaves shares as uneven as chance does: with 20 duties a
 //! member the largest is a good half above the mean.
 //!
 //! All members that see the same come to the same. Where they don't, the store's locks decide, and the next look mends it.
 
-use crate::Duty;
+use crate::{Duty, rendezvous};
 use std::collections::{BTreeMap, BTreeSet};
-use xxhash_rust::xxh3::xxh3_64;
 
 /// A member's name. It stays the same over its restarts.
 pub type Name = String;
 
 /// How well a duty suits a member: the highest gets it. Members are drawn by weight, whoever else there is.
 fn score(duty: Duty, name: &str, weight: f64) -> f64 {
-    let mut text = duty.to_le_bytes().to_vec();
-    text.extend_from_slice(name.as_bytes());
-    // In (0, 1), both ends left out.
-    let chance = ((xxh3_64(&text) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
-    -weight / chance.ln()
+    rendezvous::score(&duty.to_le_bytes(), name, weight)
 }
 
 /// The exact shares rounded, so that they sum to all duties. Who has more than its rounded share already is rounded up
--- /dev/null
+++ b/crates/ownership/src/member.rs
@@ -0,0 +1,136 @@
+//! One forwarder as the registry of its region has it: an entry below its name, written by the forwarder itself.
+
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// The region that a forwarder stands in, as its settings tell it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Region {
+    /// Its name.
+    pub name: String,
+    /// The names of its zones.
+    pub zones: BTreeSet<String>,
+}
+
+/// One forwarder of a region.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Member {
+    /// Its name, the only one in its region, and the same over its restarts.
+    pub name: String,
+    /// The region that it says it stands in.
+    pub region: String,
+    /// The zone that it says it stands in.
+    pub zone: String,
+    /// Where it takes on messages, those of other forwarders too.
+    pub address: SocketAddr,
+    /// Its part of the destinations is its part of the sum of weights.
+    pub weight: f64,
+}
+
+/// Why a member's entry is of no use.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum EntryError {
+    /// It is not of the form.
+    #[error("the entry of {name} cannot be read: {reason}")]
+    Unreadable {
+        /// The name that the entry stands under.
+        name: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// It has no name.
+    #[error("the forwarder at {address} has no name")]
+    NoName {
+        /// Its address.
+        address: SocketAddr,
+    },
+    /// Its weight cannot be one.
+    #[error("the weight of {name} is {weight}: it has to be a finite number above 0")]
+    Weight {
+        /// Its name.
+        name: String,
+        /// The weight given.
+        weight: f64,
+    },
+    /// It says that it stands in another region.
+    #[error("{name} is of region {region}, here is {here}")]
+    Region {
+        /// Its name.
+        name: String,
+        /// Its region.
+        region: String,
+        /// The region of this registry.
+        here: String,
+    },
+    /// It stands in a zone that its region does not have.
+    #[error("{name} is of zone {zone}, which region {region} does not have")]
+    Zone {
+        /// Its name.
+        name: String,
+        /// Its zone.
+        zone: String,
+        /// Its region.
+        region: String,
+    },
+}
+
+/// A member's entry as it is written; the name is its key's.
+#[derive(Deserialize, Serialize)]
+struct Entry {
+    region: String,
+    zone: String,
+    address: SocketAddr,
+    weight: f64,
+}
+
+impl Member {
+    /// Reads the entry below a name, and checks it.
+    pub fn read(name: &str, entry: &str, region: &Region) -> Result<Member, EntryError> {
+        let unreadable = |error: serde_json::Error| EntryError::Unreadable {
+            name: name.to_owned(),
+            reason: error.to_string(),
+        };
+        let entry: Entry = serde_json::from_str(entry).map_err(unreadable)?;
+        let member = Member {
+            name: name.to_owned(),
+            region: entry.region,
+            zone: entry.zone,
+            address: entry.address,
+            weight: entry.weight,
+        };
+        member.check(region)?;
+        Ok(member)
+    }
+
+    /// The entry that [`Member::read`] reads.
+    pub fn entry(&self) -> String {
+        let entry = Entry {
+            region: self.region.clone(),
+            zone: self.zone.clone(),
+            address: self.address,
+            weight: self.weight,
+        };
+        serde_json::to_string(&entry).expect("plain fields can be written as JSON")
+    }
+
+    /// Whether it may be a member of this region.
+    pub fn check(&self, region: &Region) -> Result<(), EntryError> {
+        let name = self.name.clone();
+        if name.is_empty() {
+            return Err(EntryError::NoName { address: self.address });
+        }
+        if !self.weight.is_finite() || self.weight <= 0.0 {
+            return Err(EntryError::Weight { name, weight: self.weight });
+        }
+        if self.region != region.name {
+            let here = region.name.clone();
+            return Err(EntryError::Region { name, region: self.region.clone(), here });
+        }
+        if !region.zones.contains(&self.zone) {
+            return Err(EntryError::Zone { name, zone: self.zone.clone(), region: region.name.clone() });
+        }
+        Ok(())
+    }
+}
