--- a/crates/config/src/ownership.rs
+++ b/crates/config/src/ownership.rs
@@ -82,7 +82,9 @@
     fn settings(&self) -> Result<MemberSettings, String> {
         let MemberForm { name, zone, address, weight, .. } = self.clone();
         let address = address.parse().map_err(|_| {
-            format!("address: {address:?} is no IP address with a port, as 10.2.0.1:8080; names are not looked up")
+            format!(
+                "address: {address:?} is no IP address with a port, as 10.2.0.1:8080; names are not looked up"
+            )
         })?;
         Ok(MemberSettings { name, zone, address, weight })
     }
@@ -148,7 +150,10 @@
     let mut seen = BTreeMap::new();
     for member in members {
         if let Some(other) = seen.insert(member.address, &member.name) {
-            return Err(format!("members: {other:?} and {:?} have one address, {}", member.name, member.address));
+            return Err(format!(
+                "members: {other:?} and {:?} have one address, {}",
+                member.name, member.address
+            ));
         }
     }
     Ok(())
--- /dev/null
+++ b/crates/config/tests/ownership.rs
@@ -0,0 +1,90 @@
+//! `ownership(...)` in a script: good, and each way in which it cannot be used.
+
+use orchidyoke_config::{Bounds, Installation, evaluate};
+use orchidyoke_core::settings::Names;
+use std::path::Path;
+
+const GOOD: &str = r#"
+ownership(
+    name = "f2",
+    region = "north",
+    regions = {"north": ["a", "b"], "south": ["c"]},
+    members = [
+        member(name = "f1", zone = "a", address = "10.0.0.1:8080"),
+        member(name = "f2", zone = "b", address = "10.0.0.2:8080", weight = 2.5),
+        member(name = "f3", region = "south", zone = "c", address = "10.0.0.3:8080"),
+    ],
+)
+"#;
+
+fn run(text: &str) -> Result<Installation, String> {
+    evaluate(Path::new("site/edge.star"), text.to_owned(), Bounds::default())
+        .map_err(|fault| fault.to_string())
+}
+
+#[test]
+fn a_script_names_the_members_of_the_own_region() {
+    let ownership = run(GOOD).expect("good").ownership.expect("asked for");
+    let members: Vec<_> = ownership.members.iter().map(|m| (m.name.as_str(), m.weight)).collect();
+    assert_eq!(members, [("f1", 1.0), ("f2", 2.5)]);
+    assert_eq!((ownership.name.as_str(), ownership.region.as_str(), ownership.regions), ("f2", "north", 2));
+    let view = ownership.view().expect("a view");
+    assert!((1..100).any(|destination| view.owner(destination).is_some_and(|member| member.name == "f1")));
+}
+
+// Guards against settings that are taken in part, or guessed at.
+#[test]
+fn each_fault_is_told_with_its_place() {
+    for (part, instead, why) in [
+        (
+            "region = \"north\"",
+            "region = \"norht\"",
+            "region: there is no region \"norht\": is \"north\" meant?",
+        ),
+        ("region = \"south\"", "region = \"west\"", "members[2]: there is no region \"west\""),
+        ("zone = \"a\"", "zone = \"c\"", "members[0]: there is no zone \"c\""),
+        ("name = \"f1\"", "name = \"f2\"", "members: two forwarders are called f2"),
+        ("name = \"f1\"", "name = \"\"", "members: the forwarder at 10.0.0.1:8080 has no name"),
+        (
+            "    name = \"f2\",\n    region",
+            "    name = \"f9\",\n    region",
+            "name: there is no member \"f9\"",
+        ),
+        (
+            "    name = \"f2\",\n    region",
+            "    name = \"f3\",\n    region",
+            "\"f3\", the own name, is of region \"south\"",
+        ),
+        ("weight = 2.5", "weight = \"heavy\"", "member: weight: "),
+        ("weight = 2.5", "weight = None", "member: weight: "),
+        ("weight = 2.5", "weight = float(\"nan\")", "weight"),
+        ("weight = 2.5", "weight = float(\"inf\")", "weight"),
+        ("weight = 2.5", "weight = 0", "the weight of f2 is 0: it has to be a finite number above 0"),
+        ("weight = 2.5", "weight = -1.0", "the weight of f2 is -1"),
+        ("10.0.0.1:8080", "f1.example:8080", "names are not looked up"),
+        ("10.0.0.1:8080", "10.0.0.2:8080", "have one address, 10.0.0.2:8080"),
+        ("weight = 2.5", "wieght = 2.5", "is \"weight\" meant?"),
+    ] {
+        let text = GOOD.replacen(part, instead, 1);
+        assert_ne!(text, GOOD, "{part}");
+        let fault = run(&text).expect_err(instead);
+        assert!(fault.contains(why) && fault.contains("edge.star:"), "{instead}: {fault}");
+        assert_eq!(fault.lines().count(), 1, "{fault}");
+    }
+    assert!(run(&format!("{GOOD}{GOOD}")).expect_err("twice").contains("one region"));
+}
+
+#[test]
+fn zones_are_those_of_the_platform() {
+    let good = run(GOOD).expect("good");
+    let names = |zones: &[&str]| Names {
+        zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
+        ..Names::default()
+    };
+    assert_eq!(good.check(&names(&["a", "b"]), 1024), Vec::<String>::new());
+    let faults = good.check(&names(&["a"]), 1024);
+    assert!(
+        faults.len() == 1 && faults[0].contains("ownership: regions: there is no zone \"b\""),
+        "{faults:?}"
+    );
+}
--- a/crates/node/src/reducer/hops.rs
+++ b/crates/node/src/reducer/hops.rs
@@ -54,7 +54,7 @@
         (self.settings, self.names, self.policy_out) = (settings, names, policy_out);
         self.figures.name(&self.names.classes);
         let settings = self.module_settings();
-        self.slots = settings.slots;
+        (self.slots, self.sharers) = (settings.slots, settings.fleet_size);
         self.events.push(Event::Settings(Box::new(settings)));
         // The numbers of zones and kinds may have changed.
         let whole = self.map.whole();
--- a/crates/node/src/reducer/operators.rs
+++ b/crates/node/src/reducer/operators.rs
@@ -86,7 +86,9 @@
             Call::Ready if !self.takes_clients => Reply::No("takes no clients".to_owned()),
             Call::Ready => self.policy_status.unready_reason.clone().map_or(Reply::Yes("ready"), Reply::No),
             Call::ShowStat => Reply::Figures(
-                self.figures.lines(self.gauges()) + &self.policy_status.figures + &self.ownership_figures(now),
+                self.figures.lines(self.gauges())
+                    + &self.policy_status.figures
+                    + &self.ownership_figures(now),
             ),
             Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
             Call::DisableServer(uid) => return self.put(now, ticket, uid, true),
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -10,7 +10,7 @@
 use orchidyoke_node::config::Config;
 use orchidyoke_node::console::{Call, Reply};
 use orchidyoke_node::hop_call::Reply as HopReply;
-use orchidyoke_node::input::{SubmitAnswer, Effect, Submission, Input};
+use orchidyoke_node::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_node::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
 use orchidyoke_node::reducer::Reducer;
 use std::collections::{BTreeMap, VecDeque};
@@ -313,7 +313,7 @@
     assert_eq!(world.written, ["own"]);
     assert!(world.notices.is_empty() && world.offers.is_empty());
     let handed_over =
-        |r: &Record| matches!(r, Record::SubmissionOver { txn, to, .. } if txn == "a" && to == "f1");
+        |r: &Record| matches!(r, Record::HandedOver { txn, to, .. } if txn == "a" && to == "f1");
     assert!(world.records().iter().any(handed_over));
     assert_eq!(world.figure("handed_over"), 1);
     assert_eq!(world.figure("owned"), 1);
@@ -684,6 +684,21 @@
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
 }
 
+/// A configuration with room for many messages, and with this many destinations of one endpoint each.
+fn wide_config(destinations: u64) -> String {
+    let first = common::targets().remove(2);
+    let target = |number: u64| Target { uid: format!("s{number}"), pod_group: number, ..first.clone() };
+    common::config("127.0.0.1:1", "127.0.0.1:2", (1..=destinations).map(target).collect())
+        .replace(r#""max_open":40"#, r#""max_open":4000"#)
+        .replace(r#""disk_mb":0.2"#, r#""disk_mb":16"#)
+}
+
+/// A fleet in which one other forwarder owns all of so many destinations.
+fn one_owner(destinations: u64) -> Rc<dyn Owners> {
+    let owners = (1..=destinations).map(|number| (number, "f1")).collect();
+    Rc::new(Fleet { version: 1, owners, members: vec!["f0", "f1"] })
+}
+
 // Guards against a flood at partners when an owner is dead: one message of a destination, and a bound on all of them.
 #[test]
 fn what_is_delivered_for_lack_of_an_owner_is_bounded_by_destination_and_in_sum() {
--- a/crates/node/tests/reducer.rs
+++ b/crates/node/tests/reducer.rs
@@ -308,6 +308,7 @@
                 return Some(Input::Written { link });
             }
             Effect::Close { link } => return self.close(link, Cause::CalledOff),
+            Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::Post { notices, .. } => assert!(self.posting.replace(notices).is_none()),
             Effect::Follow { watch, from } => {
                 let (port, since) = followed(&from);
@@ -1225,8 +1226,17 @@
         let class = shape.class(true).0.to_owned();
         let (org, key) = (org.map(str::to_owned), key.map(str::to_owned));
         let body = Bytes::from_static(b"x");
-        let message =
-            Submission { txn: "a".to_owned(), class, org, key, dest: 2, time_left: S, repeat: false, body };
+        let message = Submission {
+            txn: "a".to_owned(),
+            class,
+            org,
+            key,
+            dest: 2,
+            time_left: S,
+            repeat: false,
+            marked: Marked::No,
+            body,
+        };
         let effects = reducer.step(START, Input::Submitted { ticket: 1, message });
         let told = effects.iter().find_map(|effect| match effect {
             Effect::Answer { answer, .. } => Some(*answer),
@@ -1325,8 +1335,17 @@
         for ticket in 0..2 {
             let (class, body) = ("state".to_owned(), Bytes::from_static(b"x"));
             let txn = format!("m{ticket}");
-            let message =
-                Submission { txn, class, org: None, key: None, dest: 2, time_left: S, repeat: false, body };
+            let message = Submission {
+                txn,
+                class,
+                org: None,
+                key: None,
+                dest: 2,
+                time_left: S,
+                repeat: false,
+                marked: Marked::No,
+                body,
+            };
             for effect in reducer.step(START, Input::Submitted { ticket, message }) {
                 if let Effect::Answer { ticket: 1, answer } = effect {
                     told = Some(answer);
@@ -1391,6 +1410,7 @@
             dest: 2,
             time_left: 20 * S,
             repeat: false,
+            marked: Marked::No,
             body: Bytes::from_static(b"x"),
         };
         let mut file = Vec::new();
