--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -216,9 +216,12 @@
     /// Time passes, with all that is due in it.
     fn wait(&mut self, span: Micros) {
         let until = self.now + span;
+        let mut alarms = 0;
         while let Some(at) = self.reducer.wake_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.input(Input::Alarm);
+            alarms += 1;
+            assert!(alarms < 100_000, "it is busy without an end");
         }
         self.now = until;
     }
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -10,6 +10,7 @@
 use orchidyoke_node::console;
 use orchidyoke_node::hop_call::{Call, Cause, HopError, Progress, Reply};
 use orchidyoke_node::input::{Effect, Input, Shown, Submission, SubmitAnswer, Ticket};
+use orchidyoke_node::ownership::Marked;
 use orchidyoke_node::pool::LinkId;
 use orchidyoke_node::reducer::Reducer;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -256,6 +257,7 @@
                 return Some(Input::Written { link });
             }
             Effect::Close { link } => return self.close(at, link, Cause::CalledOff),
+            Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::Post { notices, .. } => {
                 assert!(self.processes[at].posting.replace(notices).is_none());
             }
@@ -387,7 +389,17 @@
         self.look(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
             self.processes[at].tickets.insert(ticket, txn.clone());
-            let message = Submission { txn, class, org, key: None, dest, time_left, repeat: false, body };
+            let message = Submission {
+                txn,
+                class,
+                org,
+                key: None,
+                dest,
+                time_left,
+                repeat: false,
+                marked: Marked::No,
+                body,
+            };
             self.input(at, Input::Submitted { ticket, message });
         }
     }
