--- a/crates/node/src/reducer/custody.rs
+++ b/crates/node/src/reducer/custody.rs
@@ -146,7 +146,7 @@
             }
         }
         let view = self.ownership.view.as_ref();
-        self.handovers.keep_peers(|name| view.is_some_and(|view| view.member(name).is_some()));
+        self.handovers.take_members(|name| view.and_then(|view| view.member(name)));
         let settings = self.module_settings();
         if settings.fleet_size != self.sharers {
             self.sharers = settings.fleet_size;
--- a/crates/node/src/reducer/handover.rs
+++ b/crates/node/src/reducer/handover.rs
@@ -376,9 +376,13 @@
         }
     }
 
-    /// Forgets owners that are no members.
-    pub fn keep_peers(&mut self, is_member: impl Fn(&str) -> bool) {
-        self.peers.retain(|name, queue| is_member(name) || queue.waiting > 0 || queue.out > 0);
+    /// Owners answer where the members do now; those that are no members are forgotten.
+    pub fn take_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
+        self.peers.retain(|name, queue| {
+            let address = member(name);
+            queue.address = address.unwrap_or(queue.address);
+            address.is_some() || queue.waiting > 0 || queue.out > 0
+        });
         self.failing.retain(|name| self.peers.contains_key(name));
     }
 }
