--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use bytes::Bytes;
+use common::{S, START};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_core::transport_map::Target;
 use orchidyoke_journal::{Record, Trace, Verdict, replay};
@@ -17,9 +18,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
-const START: Micros = 1_800_000_000 * S;
 
 /// A view: this forwarder is `f0`, and the owner of each destination of the test configurations is told.
 #[derive(Clone, Debug)]
