--- a/crates/node/src/reducer/custody.rs
+++ b/crates/node/src/reducer/custody.rs
@@ -23,6 +23,10 @@
 pub(super) struct Ownership {
     view: Option<Rc<dyn Owners>>,
     taken_in: Micros,
+    /// The view before it.
+    before: Option<Rc<dyn Owners>>,
+    /// Destinations that were begun as cold since it was taken in.
+    begun_cold: BTreeSet<DestinationId>,
     counts: Counts,
     /// Forwarders that hand over and are no members.
     strangers: BTreeSet<String>,
@@ -68,6 +72,22 @@
         Some(Peer { name: name.to_owned(), address })
     }
 
+    /// Takes in another view.
+    fn replace(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
+        self.before = std::mem::replace(&mut self.view, view);
+        self.taken_in = now;
+        self.strangers.clear();
+        self.begun_cold.clear();
+    }
+
+    /// Whether this forwarder does not own a destination, or so lately that the owner before it may still send there.
+    fn is_new_to(&self, now: Micros, destination: DestinationId, cold_time: Micros) -> bool {
+        let owns = |view: &Rc<dyn Owners>| view.owner_of(destination) == Owner::Local;
+        let Some(view) = &self.view else { return false };
+        let was_owner = self.before.as_ref().is_none_or(owns);
+        !owns(view) || !was_owner && now - self.taken_in < cold_time
+    }
+
     /// How many forwarders share a destination's limit, where each destination has owners.
     pub fn sharers(&self) -> Option<u32> {
         self.view.as_ref().map(|view| view.owners_of_each())
@@ -136,9 +156,7 @@
 
     /// Another view holds, or none: what waits for an owner goes where it belongs now.
     pub(super) fn replace_owners(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
-        self.ownership.view = view;
-        self.ownership.taken_in = now;
-        self.ownership.strangers.clear();
+        self.ownership.replace(now, view);
         for id in self.handovers.ids() {
             // One that is out is looked at when its offer has ended.
             if !self.handovers.is_out(id) {
@@ -232,6 +250,17 @@
         untouched || matches!(effect, ClassEffect::Safe | ClassEffect::Keyed { group: Group::All, .. })
     }
 
+    /// The first message of a destination that is not, or not for long, this forwarder's own: the module begins there as
+    /// after an outage, with a trial and a ramp.
+    pub(super) fn begin_cold(&mut self, now: Micros, destination: DestinationId) {
+        let cold_time = self.settings.warm_within;
+        if self.ownership.is_new_to(now, destination, cold_time)
+            && self.ownership.begun_cold.insert(destination)
+        {
+            self.events.push(Event::Known { destination, endpoint: None, out: true, wait: 0 });
+        }
+    }
+
     /// The owner that may have a message is asked no more: its class says what becomes of it.
     fn resolve_without_owner(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
--- a/crates/node/src/reducer/messages.rs
+++ b/crates/node/src/reducer/messages.rs
@@ -167,6 +167,8 @@
 
     /// The module has a message from now on.
     pub(super) fn tell_module(&mut self, now: Micros, id: MessageId, repeat: bool) {
+        let Some(destination) = self.messages.get(&id).map(|message| message.taken.dest) else { return };
+        self.begin_cold(now, destination);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.in_module = true;
         let taken = &message.taken;
