--- a/crates/node/src/reducer/custody.rs
+++ b/crates/node/src/reducer/custody.rs
@@ -363,7 +363,10 @@
         }
         if let OfferEnd::Unreached(why) | OfferEnd::Unanswered(why) = end {
             let peer = self.handovers.peer_of(id).unwrap_or_default();
-            self.log(format!("hand-over to {peer}: {why}"));
+            let doubt = if matches!(end, OfferEnd::Unanswered(_)) { " (in doubt)" } else { "" };
+            let txn = self.messages.get(&id).map_or("", |message| &message.taken.txn);
+            let line = format!("hand-over of {txn} to {peer}{doubt}: {why}");
+            self.log(line);
         }
         if self.stage == Stage::Yielded {
             return self.hand_over(id);
