--- a/crates/node/src/reducer/custody.rs
+++ b/crates/node/src/reducer/custody.rs
@@ -94,7 +94,7 @@
     }
 
     /// How many of these destinations this forwarder owns; beyond some, reckoned from evenly chosen ones.
-    fn owned(&self, destinations: &BTreeSet<DestinationId>) -> u64 {
+    fn owned(&self, destinations: &[DestinationId]) -> u64 {
         let Some(view) = &self.view else { return 0 };
         let step = destinations.len().div_ceil(OWNED_LOOKED_UP).max(1);
         let is_owned = |destination: &&DestinationId| view.owner_of(**destination) == Owner::Local;
@@ -452,7 +452,7 @@
         let age = (now - self.ownership.taken_in).max(0) / 1_000_000;
         let mut lines = String::new();
         for (name, value) in [
-            ("owned", self.ownership.owned(&self.destinations)),
+            ("owned", self.ownership.owned(&self.destinations.with_endpoints())),
             ("handed_over", counts.handed_over),
             ("taken_over", counts.taken_over),
             ("taken_over_from_strangers", counts.from_strangers),
