--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,6 +20,8 @@
 pub mod log;
 pub mod next_hop;
 pub mod notices;
+pub mod ownership;
+pub mod peer_call;
 pub mod policy_agent;
 pub mod policy_overlay;
 pub mod pool;
--- a/crates/node/src/reducer/destinations.rs
+++ b/crates/node/src/reducer/destinations.rs
@@ -24,6 +24,13 @@
         self.endpoints.range(all).map(|(_, endpoint)| *endpoint)
     }
 
+    /// Those that have endpoints, in their order.
+    pub fn with_endpoints(&self) -> Vec<DestinationId> {
+        let mut all: Vec<_> = self.endpoints.iter().map(|(destination, _)| *destination).collect();
+        all.dedup();
+        all
+    }
+
     /// New endpoints, many of them where a whole list has come.
     pub fn add(&mut self, hops: &[(EndpointId, Hop)]) {
         let mut endpoints = hops.iter().map(|(id, hop)| (hop.destination, *id)).collect();
--- a/crates/node/src/reducer/hops.rs
+++ b/crates/node/src/reducer/hops.rs
@@ -72,7 +72,7 @@
     /// Takes over what can change while the process runs. What is held and what is out carries on; the list
     /// stays in use until discovery, perhaps at another address, has told more.
     pub(super) fn reconfigure(&mut self, now: Micros, config: Config) {
-        let Config { discovery, catalogue, settings, names, limits, policy_out, .. } = config;
+        let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
         self.log(format!("configuration: read again, discovery is at {}", discovery.file));
         if let Some(discovery) = discovery.given.filter(|given| Some(*given) != self.superseded) {
             self.append(&[(&Record::Superseded { discovery }, b"")], None);
@@ -98,7 +98,7 @@
         (self.settings, self.names, self.policy_out) = (settings, names, policy_out);
         self.figures.name(&self.names.classes);
         let settings = self.module_settings();
-        self.slots = settings.slots;
+        (self.slots, self.sharers) = (settings.slots, settings.fleet_size);
         self.events.push(Event::Settings(Box::new(settings)));
         // The numbers of zones and kinds may have changed.
         let number = |uid: &str| self.hop_numbers.get(uid).copied();
@@ -106,6 +106,7 @@
             self.map.iter().filter_map(|held| Some(self.entry(now, number(&held.uid)?, held.into())));
         let entries = entries.collect();
         self.events.push(Event::List { form: ListForm::Whole, entries });
+        self.replace_owners(now, owners);
     }
 
     /// What the settings say of an endpoint's kind, while it is listed.
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -6,7 +6,9 @@
 //! stored.
 
 mod attempts;
+mod custody;
 mod destinations;
+mod handover;
 mod hops;
 mod messages;
 mod notices;
@@ -23,11 +25,14 @@
 use crate::config::Config;
 use crate::figures::Figures;
 use crate::input::{Effect, Input, PolicyStatus, Receipt, SubmitAnswer, Ticket, WatchId};
+use crate::ownership::Peer;
 use crate::pool::{CallId, Pool};
 use crate::retry_after;
 use attempts::InFlightCall;
 use bytes::Bytes;
+use custody::Ownership;
 use destinations::Destinations;
+use handover::Handovers;
 use hops::Hop;
 use messages::Message;
 use notices::{Owed, Recent};
@@ -71,6 +76,7 @@
 enum AfterAppend {
     TakeOn(Vec<(MessageId, Vec<Ticket>)>),
     Begin(CallId),
+    Offered(MessageId, Peer),
     Adopted(Takeover),
     Yielded,
     ByHand { ticket: Ticket, uid: String, call: ByHand },
@@ -154,6 +160,11 @@
     /// The status towards the policy of the fleet, and the endpoints that the policy leaves out.
     policy_status: PolicyStatus,
     policy_out: BTreeSet<String>,
+    /// Who owns destinations, and the messages that wait for owners.
+    ownership: Ownership,
+    /// How many forwarders share a destination's limit, as the module was told.
+    sharers: u32,
+    handovers: Handovers,
     leaving: Option<Leaving>,
     effects: Vec<Effect>,
 }
@@ -176,8 +187,10 @@
         // that. Forwarders of a release start together; those that are turned away come in turn.
         let soon = follow_soon(&settings);
         let follow_at = now + follow_pause.within(soon);
+        let ownership = Ownership::new(config.owners, now);
+        let sharers = ownership.sharers().unwrap_or(settings.fleet_size);
         let mut reducer = Reducer {
-            controller: Controller::new(settings.clone(), config.seed),
+            controller: Controller::new(Settings { fleet_size: sharers, ..settings.clone() }, config.seed),
             events: Vec::new(),
             timers: BTreeSet::new(),
             last_turn: now - settings.tick,
@@ -225,6 +238,9 @@
             figures: Figures::default(),
             policy_status: PolicyStatus::default(),
             policy_out: config.policy_out,
+            ownership,
+            sharers,
+            handovers: Handovers::new(config.seed),
             leaving: None,
             effects: Vec::new(),
             settings,
@@ -285,7 +301,8 @@
                 self.space.holds(size);
                 self.unreported.remove(receipt);
                 match self.stored.remove(&receipt) {
-                    Some(AfterAppend::TakeOn(taken)) => self.taken_on(taken, stored),
+                    Some(AfterAppend::TakeOn(taken)) => self.taken_on(now, taken, stored),
+                    Some(AfterAppend::Offered(id, peer)) => self.offer_stored(now, id, &peer, stored),
                     Some(AfterAppend::Adopted(takeover)) => self.adopted(now, takeover, stored),
                     Some(AfterAppend::Yielded) => self.yielded(stored),
                     Some(AfterAppend::Begin(call)) => self.write(now, call, stored),
@@ -336,10 +353,13 @@
             Input::News { .. } | Input::MapLost { .. } => {}
             Input::Posted { accepted } => self.posted(now, accepted),
             Input::PolicyStatus(status) => self.policy_status = status,
+            Input::Owners(view) => self.take_owners(now, view),
+            Input::OfferEnded { id, end } => self.offer_ended(now, id, &end),
             Input::Reconfigured(config) => self.reconfigure(now, *config),
             Input::Terminate => self.terminate(now),
             Input::Alarm => self.alarm(now),
         }
+        self.hand_over_due(now);
         self.follow(now);
         self.post(now);
         self.leave(now);
@@ -348,12 +368,16 @@
 
     /// When [`Input::Alarm`] is due, if nothing else comes before.
     pub fn wake_at(&self) -> Option<Micros> {
-        let turn = (!self.events.is_empty()).then_some(self.last_turn + self.settings.tick);
+        let turn = self.has_turn().then_some(self.last_turn + self.settings.tick);
         let timer = self.timers.first().map(|(at, _)| *at);
         let post = self.owed.wake_at();
         let follow = (!self.following).then_some(self.follow_at);
+        let hand_over = self.handovers.wake_at().filter(|_| self.stage != Stage::Yielded);
         let leave = self.leaving.as_ref().map(|leaving| leaving.wake_at(self.senders));
-        [turn, timer, post, follow, leave, self.pool.reap_at(), self.warm_at()].into_iter().flatten().min()
+        [turn, timer, post, follow, hand_over, leave, self.pool.reap_at(), self.warm_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn alarm(&mut self, now: Micros) {
@@ -367,11 +391,16 @@
             self.timers.pop_first();
             self.events.push(Event::Timer { token });
         }
-        if !self.events.is_empty() && now >= self.last_turn + self.settings.tick {
+        if self.has_turn() && now >= self.last_turn + self.settings.tick {
             self.turn(now);
         }
     }
 
+    /// Whether there is something for the module to decide on, or to be taken on.
+    fn has_turn(&self) -> bool {
+        !self.events.is_empty() || !self.unadmitted.is_empty()
+    }
+
     /// Clients that connect are taken: the process before may be told to end.
     fn accept_clients(&mut self) {
         self.append(&[(&Record::Stage { stage: Stage::Ready }, b"")], None);
--- a/crates/node/tests/common/world.rs
+++ b/crates/node/tests/common/world.rs
@@ -12,6 +12,7 @@
 use orchidyoke_node::console::{self, Reply as Said};
 use orchidyoke_node::hop_call::{Call, Cause, HopError, Progress, Reply};
 use orchidyoke_node::input::{Effect, Following, Input, Submission, SubmitAnswer, Ticket};
+use orchidyoke_node::ownership::Marked;
 use orchidyoke_node::pool::LinkId;
 use orchidyoke_node::reducer::Reducer;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -225,6 +226,7 @@
                 return Some(Input::Written { link });
             }
             Effect::Close { link } => return self.close(link, Cause::CalledOff),
+            Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::Post { notices, .. } => assert!(self.posting.replace(notices).is_none()),
             Effect::Follow { watch, from } => {
                 let (port, since) = followed(&from);
@@ -313,7 +315,8 @@
         self.fates.entry(txn.clone()).or_insert(fate);
         let (org, key) = (self.shape.org(), self.shape.key(&txn, orders));
         let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
-        let message = Submission { txn, class, org, key, dest, time_left, repeat: false, body };
+        let message =
+            Submission { txn, class, org, key, dest, time_left, repeat: false, marked: Marked::No, body };
         self.input(Input::Submitted { ticket, message });
     }
 
--- a/crates/node/tests/reducer_restarts.rs
+++ b/crates/node/tests/reducer_restarts.rs
@@ -13,6 +13,7 @@
 use orchidyoke_node::catalogue::Catalogue;
 use orchidyoke_node::config::Config;
 use orchidyoke_node::input::{Effect, Following, Input, Submission};
+use orchidyoke_node::ownership::Marked;
 use orchidyoke_node::reducer::Reducer;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -234,6 +235,7 @@
             dest: 2,
             time_left: 20 * S,
             repeat: false,
+            marked: Marked::No,
             body: Bytes::from_static(b"x"),
         };
         let mut file = Vec::new();
