--- /dev/null
+++ b/crates/duties/tests/rendezvous.rs
@@ -0,0 +1,38 @@
+//! The hash that duties and destinations share: pinned, since members of two versions stand in one fleet.
+
+use orchidyoke_duties::rendezvous::score;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// The score as placement had it before the hash became a module of its own.
+fn reference(duty: u32, name: &str, weight: f64) -> f64 {
+    let mut text = duty.to_le_bytes().to_vec();
+    text.extend_from_slice(name.as_bytes());
+    let chance = ((xxh3_64(&text) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
+    -weight / chance.ln()
+}
+
+// Guards against duties that all move when a fleet is upgraded, short names and ones past the inline buffer alike.
+#[test]
+fn scores_of_duties_are_as_they_were() {
+    for length in [0, 1, 2, 60, 123, 124, 125, 300] {
+        let name = "f".repeat(length);
+        for duty in 0_u32..200 {
+            for weight in [0.5, 1.0, 3.0] {
+                assert_eq!(score(&duty.to_le_bytes(), &name, weight), reference(duty, &name, weight));
+            }
+        }
+    }
+}
+
+// Guards against a change of the hash function itself.
+#[test]
+fn first_ranks_are_pinned() {
+    let first = |key: u64| {
+        let names = ["a", "b", "c", "d"];
+        let key = key.to_le_bytes();
+        let rank = |left: &&&str, right: &&&str| score(&key, left, 1.0).total_cmp(&score(&key, right, 1.0));
+        *names.iter().max_by(rank).expect("there are names")
+    };
+    let ranked: String = (0..24).map(first).collect();
+    assert_eq!(ranked, "bdaacdbaccbbadbadbadabbc");
+}
--- a/crates/ownership/src/member.rs
+++ b/crates/ownership/src/member.rs
@@ -1,7 +1,10 @@
 //! One forwarder as the registry of its region has it: an entry below its name, written by the forwarder itself.
 
-use serde::{Deserialize, Serialize};
+use serde::de::Error as _;
+use serde::{Deserialize, Deserializer, Serialize};
+use serde_json::value::RawValue;
 use std::collections::BTreeSet;
+use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 use thiserror::Error;
 
@@ -29,6 +32,15 @@
     pub weight: f64,
 }
 
+// The weight of a member that was checked is a number.
+impl Eq for Member {}
+
+impl Hash for Member {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        (&self.name, &self.region, &self.zone, self.address, self.weight.to_bits()).hash(state);
+    }
+}
+
 /// Why a member's entry is of no use.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EntryError {
@@ -82,9 +94,16 @@
     region: String,
     zone: String,
     address: SocketAddr,
+    #[serde(deserialize_with = "exact_number")]
     weight: f64,
 }
 
+/// Reads a number to the last bit, as a read of floating-point numbers in JSON does not by itself.
+fn exact_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let text: Box<RawValue> = Deserialize::deserialize(deserializer)?;
+    text.get().parse().map_err(D::Error::custom)
+}
+
 impl Member {
     /// Reads the entry below a name, and checks it.
     pub fn read(name: &str, entry: &str, region: &Region) -> Result<Member, EntryError> {
--- a/crates/ownership/src/partition.rs
+++ b/crates/ownership/src/partition.rs
@@ -8,18 +8,35 @@
 use crate::view::{StaleView, View, score};
 use orchidyoke_core::interface::DestinationId;
 use std::collections::{BTreeMap, BTreeSet};
+use std::hash::{Hash, Hasher};
+use std::sync::Arc;
 
 /// An owner, by its place among the view's members, with the score that it has won by.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug)]
 struct Owner {
     place: usize,
     score: f64,
 }
 
+// In one view the score follows from the place and the destination.
+impl PartialEq for Owner {
+    fn eq(&self, other: &Owner) -> bool {
+        self.place == other.place
+    }
+}
+
+impl Eq for Owner {}
+
+impl Hash for Owner {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        self.place.hash(state);
+    }
+}
+
 /// The owners of a list of destinations in one view.
-#[derive(Clone, Debug, Default, PartialEq)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Partition {
-    view: View,
+    view: Arc<View>,
     owners: BTreeMap<DestinationId, Option<Owner>>,
 }
 
@@ -37,7 +54,7 @@
 impl Partition {
     /// The owners of these destinations in a view.
     pub fn new(view: View, destinations: impl IntoIterator<Item = DestinationId>) -> Partition {
-        let mut partition = Partition { view, owners: BTreeMap::new() };
+        let mut partition = Partition { view: Arc::new(view), owners: BTreeMap::new() };
         partition.list(destinations);
         partition
     }
@@ -64,20 +81,32 @@
             .map(|(destination, _)| *destination)
     }
 
-    /// Takes another list of destinations.
-    pub fn list(&mut self, destinations: impl IntoIterator<Item = DestinationId>) {
+    /// Whether a destination is listed.
+    pub fn is_listed(&self, destination: DestinationId) -> bool {
+        self.owners.contains_key(&destination)
+    }
+
+    /// Takes another list of destinations, and says which of them are new.
+    pub fn list(&mut self, destinations: impl IntoIterator<Item = DestinationId>) -> Vec<DestinationId> {
         let listed: BTreeSet<DestinationId> = destinations.into_iter().collect();
         self.owners.retain(|destination, _| listed.contains(destination));
-        for destination in listed {
-            let owner = || best(&self.view, destination);
-            self.owners.entry(destination).or_insert_with(owner);
-        }
+        let new: Vec<DestinationId> = listed.into_iter().filter(|listed| !self.is_listed(*listed)).collect();
+        let owners = new.iter().map(|destination| (*destination, best(&self.view, *destination)));
+        self.owners.extend(owners);
+        new
     }
 
     /// Takes a newer view and says which destinations have another owner by it; an older one is refused.
     pub fn replace(&mut self, view: View) -> Result<Vec<Move>, StaleView> {
-        let before = self.view.clone();
-        self.view.replace(view)?;
+        if view.version() < self.view.version() {
+            return Err(StaleView { offered: view.version(), held: self.view.version() });
+        }
+        Ok(self.reset(view))
+    }
+
+    /// Takes a view whatever its version, and says which destinations have another owner by it.
+    pub fn reset(&mut self, view: View) -> Vec<Move> {
+        let before = std::mem::replace(&mut self.view, Arc::new(view));
         let change = Change::new(&before, &self.view);
         let mut moves = Vec::new();
         for (destination, owner) in &mut self.owners {
@@ -89,7 +118,7 @@
                 moves.push(Move { destination: *destination, from, to });
             }
         }
-        Ok(moves)
+        moves
     }
 }
 
@@ -120,7 +149,8 @@
         for place in &self.joined {
             let score = score(destination, &view.members()[*place]);
             // Of equal scores the first name's counts, as in a lookup.
-            if (score, owner.place) > (owner.score, *place) {
+            let is_better = score > owner.score || score == owner.score && *place < owner.place;
+            if is_better {
                 owner = Owner { place: *place, score };
             }
         }
--- a/crates/ownership/src/view.rs
+++ b/crates/ownership/src/view.rs
@@ -35,7 +35,7 @@
 
 /// The members of a region at one version. Whoever has the same version has the same owners, in whatever order the
 /// members came.
-#[derive(Clone, Debug, Default, PartialEq)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct View {
     version: Version,
     /// In the order of their names.
@@ -98,21 +98,21 @@
         self.best(destination).map(|(place, _)| &self.members[place])
     }
 
+    /// All members, the owner first, and behind each the one that owns the destination once it has gone as well.
+    pub fn ranking(&self, destination: DestinationId) -> Vec<&Member> {
+        let mut ranked: Vec<(f64, &Member)> =
+            self.members.iter().map(|member| (score(destination, member), member)).collect();
+        // The sort is stable, so of equal scores the first name's counts.
+        ranked.sort_by(|left, right| right.0.total_cmp(&left.0));
+        ranked.into_iter().map(|(_, member)| member).collect()
+    }
+
     /// The owner's place among the members, and its score.
     pub(crate) fn best(&self, destination: DestinationId) -> Option<(usize, f64)> {
         let scores = self.members.iter().map(|member| score(destination, member)).enumerate();
         // Of equal scores the first name's counts.
         scores.reduce(|best, next| if next.1 > best.1 { next } else { best })
     }
-
-    /// Takes a newer view in the place of this one. An older one is refused: it would bring back members that have left.
-    pub fn replace(&mut self, offered: View) -> Result<(), StaleView> {
-        if offered.version < self.version {
-            return Err(StaleView { offered: offered.version, held: self.version });
-        }
-        *self = offered;
-        Ok(())
-    }
 }
 
 /// How well a member suits a destination.
--- /dev/null
+++ b/crates/ownership/tests/view.rs
@@ -0,0 +1,178 @@
+//! Views: who can be a member, and that a change moves what it has to.
+
+mod common;
+
+use common::{member, members, region, view};
+use orchidyoke_ownership::{EntryError, Member, View, ViewError};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+use std::collections::BTreeMap;
+
+const DESTINATIONS: u64 = 20_000;
+
+fn config(cases: u32) -> ProptestConfig {
+    ProptestConfig {
+        cases,
+        rng_seed: RngSeed::Fixed(35),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
+}
+
+fn owners(view: &View) -> Vec<Option<String>> {
+    (0..DESTINATIONS).map(|destination| view.owner(destination).map(|owner| owner.name.clone())).collect()
+}
+
+/// How many destinations each member has.
+fn counts(view: &View) -> BTreeMap<String, u64> {
+    let mut counts = BTreeMap::new();
+    for owner in owners(view).into_iter().flatten() {
+        *counts.entry(owner).or_default() += 1;
+    }
+    counts
+}
+
+/// Whether a count is within six standard deviations of a share of all destinations.
+fn is_share(count: u64, share: f64) -> bool {
+    let expected = DESTINATIONS as f64 * share;
+    (count as f64 - expected).abs() < 6.0 * (expected * (1.0 - share)).sqrt() + 1.0
+}
+
+proptest! {
+    #![proptest_config(config(24))]
+
+    #[test]
+    fn the_order_in_which_members_came_changes_nothing(
+        weights in prop::collection::vec(0.1_f64..8.0, 1..30),
+        seed in any::<u64>(),
+    ) {
+        let ordered: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
+        let mut shuffled = ordered.clone();
+        shuffled.sort_by_key(|member| (member.address.port() as u64).wrapping_mul(seed | 1));
+        prop_assert_eq!(view(1, ordered), view(1, shuffled));
+    }
+
+    #[test]
+    fn who_leaves_moves_its_own_and_who_joins_takes_its_share(
+        weights in prop::collection::vec(0.5_f64..4.0, 2..40),
+        place in any::<prop::sample::Index>(),
+    ) {
+        let all: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
+        let gone = place.index(all.len());
+        let share = weights[gone] / weights.iter().sum::<f64>();
+        let mut rest = all.clone();
+        let gone = rest.remove(gone).name;
+        let (whole, rest) = (owners(&view(1, all)), owners(&view(2, rest)));
+        let moved = whole.iter().zip(&rest).filter(|(with, without)| with != without);
+        let moved: Vec<_> = moved.collect();
+        prop_assert!(moved.iter().all(|(with, _)| with.as_deref() == Some(&gone)), "only its own move");
+        prop_assert!(is_share(moved.len() as u64, share), "{} of a share of {share}", moved.len());
+    }
+
+    #[test]
+    fn each_has_the_part_of_its_weight(weights in prop::collection::vec(0.5_f64..4.0, 1..20)) {
+        let all: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
+        let (counts, sum) = (counts(&view(1, all.clone())), weights.iter().sum::<f64>());
+        for member in all {
+            let count = counts.get(&member.name).copied().unwrap_or(0);
+            prop_assert!(is_share(count, member.weight / sum), "{}: {count}", member.name);
+        }
+    }
+
+    #[test]
+    fn a_lost_zone_moves_what_it_had_and_spreads_it_by_weight(count in 4_usize..40) {
+        let whole = view(1, members(count));
+        let left: Vec<Member> = members(count).into_iter().filter(|member| member.zone == "z0").collect();
+        let rest = view(2, left.clone());
+        let mut taken: BTreeMap<String, u64> = BTreeMap::new();
+        for (with, without) in owners(&whole).into_iter().zip(owners(&rest)) {
+            if with != without {
+                let lost = with.and_then(|name| whole.member(&name)).expect("it had an owner");
+                prop_assert_eq!(&lost.zone, "z1");
+                *taken.entry(without.expect("it has an owner")).or_default() += 1;
+            }
+        }
+        let lost = (count - left.len()) as f64 / count as f64;
+        for member in left {
+            let part = lost / (count as f64 - count as f64 * lost);
+            prop_assert!(is_share(taken[&member.name], part), "{}: {}", member.name, taken[&member.name]);
+        }
+    }
+
+    #[test]
+    fn an_entry_is_read_as_it_was_written(weight in 0.1_f64..1e6, port in 1_u16.., number in 0_usize..1000) {
+        let mut written = member(number, weight);
+        written.address.set_port(port);
+        prop_assert_eq!(Member::read(&written.name, &written.entry(), &region()), Ok(written));
+    }
+
+    #[test]
+    fn no_entry_whatever_is_read_as_a_member_by_mistake(text in ".{0,80}") {
+        prop_assert!(Member::read("f", &text, &region()).is_err());
+    }
+}
+
+#[test]
+fn what_cannot_be_a_member_is_said() {
+    let changed = |change: fn(&mut Member)| {
+        let mut one = member(1, 1.0);
+        change(&mut one);
+        View::new(1, &region(), vec![member(0, 1.0), one]).expect_err("it is no member").to_string()
+    };
+    assert_eq!(changed(|one| one.region = "r9".to_owned()), "f001 is of region r9, here is r0");
+    assert_eq!(
+        changed(|one| one.zone = "z9".to_owned()),
+        "f001 is of zone z9, which region r0 does not have"
+    );
+    assert_eq!(changed(|one| one.name = "f000".to_owned()), "two forwarders are called f000");
+    assert_eq!(changed(|one| one.name = String::new()), "the forwarder at 127.0.0.1:1001 has no name");
+    for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, -f64::INFINITY] {
+        let mut one = member(1, weight);
+        one.weight = weight;
+        let error = View::new(1, &region(), vec![one]).expect_err("it is no weight").to_string();
+        assert_eq!(error, format!("the weight of f001 is {weight}: it has to be a finite number above 0"));
+    }
+}
+
+// Guards against one bad entry that stops a region, and against two members that see it differently.
+#[test]
+fn an_entry_that_cannot_be_read_is_left_out_and_said() {
+    let good = member(0, 1.0);
+    let foreign = member(2, 1.0).entry().replace("r0", "r9");
+    let text = good.entry();
+    let cut = &text[..text.len() / 2];
+    let entries =
+        [("f000", text.as_str()), ("f001", cut), ("f002", foreign.as_str()), ("f003", ""), ("f000", &text)];
+    let (view, errors) = View::of_entries(7, &region(), entries);
+    assert_eq!((view.version(), view.members()), (7, &[good][..]));
+    assert!(matches!(
+        &errors[..],
+        [
+            ViewError::Entry(EntryError::Unreadable { .. }),
+            ViewError::Entry(EntryError::Region { .. }),
+            ViewError::Entry(EntryError::Unreadable { .. }),
+            ViewError::SameName { .. },
+        ]
+    ));
+    let no_number = text.replace("1.0", "1e999");
+    assert!(Member::read("f000", &no_number, &region()).is_err(), "{no_number}");
+}
+
+#[test]
+fn nobody_owns_anything_where_there_is_nobody() {
+    assert_eq!(View::default().owner(1), None);
+    assert_eq!(View::default().members(), []);
+}
+
+#[test]
+fn the_order_of_ranks_is_that_of_who_owns_it_as_others_go() {
+    for destination in 0..50 {
+        let whole = view(1, members(12));
+        let ranked: Vec<&Member> = whole.ranking(destination);
+        let mut left = members(12);
+        for member in ranked {
+            assert_eq!(view(2, left.clone()).owner(destination), Some(member));
+            left.retain(|other| other.name != member.name);
+        }
+    }
+}
