--- /dev/null
+++ b/crates/ownership/examples/compare_placements.rs
@@ -0,0 +1,209 @@
+//! Ways to give destinations to forwarders, counted for the size of two years from now: one of three regions with 150
+//! forwarders in two zones and 100,000 destinations. Prints the tables of `docs/ownership.md`.
+//!
+//!     cargo run --release -p orchidyoke-ownership --example compare_placements
+
+use orchidyoke_duties::placement::place;
+use orchidyoke_duties::rendezvous::score;
+use orchidyoke_ownership::{Member, Partition, Region, View};
+use std::collections::{BTreeMap, BTreeSet};
+use std::hint::black_box;
+use std::time::Instant;
+
+const MEMBERS: usize = 150;
+const DESTINATIONS: u64 = 100_000;
+/// Points of each member on the ring of consistent hashing.
+const RING_POINTS: u32 = 100;
+/// A member's load on that ring is bounded by so many times the mean.
+const LOAD_BOUNDS: [f64; 2] = [1.25, 1.1];
+const SLOTS: u32 = 4096;
+
+/// The members' numbers; every other one stands in the second zone.
+type Members = BTreeSet<usize>;
+/// The owner of each destination.
+type Owners = Vec<usize>;
+
+fn name(member: usize) -> String {
+    format!("f{member:03}")
+}
+
+/// A fraction in (0, 1) that follows from two numbers and a salt.
+fn chance(key: u64, salt: &str) -> f64 {
+    (-1.0 / score(&key.to_le_bytes(), salt, 1.0)).exp()
+}
+
+fn view(version: u64, members: &Members) -> View {
+    let zones = ["z0", "z1"].map(str::to_owned).into_iter().collect();
+    let region = Region { name: "r0".to_owned(), zones };
+    let member = |number: &usize| Member {
+        name: name(*number),
+        region: "r0".to_owned(),
+        zone: format!("z{}", number % 2),
+        address: ([127, 0, 0, 1], 1000 + *number as u16).into(),
+        weight: 1.0,
+    };
+    View::new(version, &region, members.iter().map(member).collect()).expect("they can be members")
+}
+
+fn by_rendezvous(members: &Members, _before: Option<&Owners>) -> Owners {
+    let view = view(1, members);
+    let number = |member: &Member| member.address.port() as usize - 1000;
+    (0..DESTINATIONS).map(|destination| number(view.owner(destination).expect("there is one"))).collect()
+}
+
+/// Mirrokni, Thorup and Zadimoghaddam (2018): clockwise from its point, a destination goes to the first with room.
+fn by_bounded_ring(members: &Members, bound: f64) -> Owners {
+    let points = members.iter().flat_map(|member| {
+        (0..RING_POINTS).map(|point| (chance(u64::from(point), &name(*member)).to_bits(), *member))
+    });
+    let ring: BTreeMap<u64, usize> = points.collect();
+    let room = (bound * DESTINATIONS as f64 / members.len() as f64).ceil() as usize;
+    let mut load: BTreeMap<usize, usize> = BTreeMap::new();
+    let mut owner_of = |destination: u64| {
+        let from = chance(destination, "destination").to_bits();
+        let clockwise = ring.range(from..).chain(ring.range(..from)).map(|(_, member)| *member);
+        let owner = clockwise.into_iter().find(|member| load.get(member).copied().unwrap_or(0) < room);
+        let owner = owner.expect("there is room for all");
+        *load.entry(owner).or_default() += 1;
+        owner
+    };
+    (0..DESTINATIONS).map(&mut owner_of).collect()
+}
+
+/// Slots given out evenly by one who writes it into Consul; what has a slot keeps it.
+fn by_slots(members: &Members, before: Option<&Owners>) -> Owners {
+    let slot = |destination: u64| (chance(destination, "slot") * f64::from(SLOTS)) as u32;
+    let held = before.into_iter().flat_map(|owners| {
+        owners.iter().enumerate().map(|(destination, owner)| (slot(destination as u64), name(*owner)))
+    });
+    let weights = members.iter().map(|member| (name(*member), 1.0)).collect();
+    let placed = place(&weights, &(0..SLOTS).collect(), &held.collect());
+    let number = |name: &str| name[1..].parse().expect("it is a number");
+    (0..DESTINATIONS).map(|destination| number(&placed[&slot(destination)])).collect()
+}
+
+fn moves(before: &Owners, after: &Owners) -> usize {
+    before.iter().zip(after).filter(|(before, after)| before != after).count()
+}
+
+/// The largest and the least load as parts of the mean, for weights of destinations.
+fn skew(members: &Members, owners: &Owners, weight: impl Fn(u64) -> f64) -> (f64, f64) {
+    let mut load: BTreeMap<usize, f64> = members.iter().map(|member| (*member, 0.0)).collect();
+    for (destination, owner) in owners.iter().enumerate() {
+        *load.entry(*owner).or_default() += weight(destination as u64);
+    }
+    let mean = load.values().sum::<f64>() / load.len() as f64;
+    let extreme = |pick: fn(f64, f64) -> f64| load.values().copied().reduce(pick).unwrap_or(0.0) / mean;
+    (extreme(f64::max), extreme(f64::min))
+}
+
+/// The place of each destination in the order of traffic, by Zipf's law with exponent 1: dealt out by another hash, so that
+/// no way can know it.
+fn ranks() -> Vec<usize> {
+    let mut order: Vec<u64> = (0..DESTINATIONS).collect();
+    order.sort_by(|left, right| chance(*left, "rank").total_cmp(&chance(*right, "rank")));
+    let mut ranks = vec![0; order.len()];
+    for (place, destination) in order.into_iter().enumerate() {
+        ranks[destination as usize] = place + 1;
+    }
+    ranks
+}
+
+fn compare(way: &str, owners: impl Fn(&Members, Option<&Owners>) -> Owners) {
+    let all: Members = (0..MEMBERS).collect();
+    let without_one: Members = all.iter().copied().filter(|member| *member != 77).collect();
+    let one_zone: Members = all.iter().copied().filter(|member| member % 2 == 0).collect();
+    let whole = owners(&all, None);
+    let left = owners(&without_one, Some(&whole));
+    let back = owners(&all, Some(&left));
+    let zone = owners(&one_zone, Some(&whole));
+    let needless = whole.iter().zip(&zone).filter(|(from, to)| from != to && *from % 2 == 0).count();
+    let (most, least) = skew(&all, &whole, |_| 1.0);
+    let (zone_most, _) = skew(&one_zone, &zone, |_| 1.0);
+    let ranks = ranks();
+    let (traffic, _) = skew(&all, &whole, |destination| 1.0 / ranks[destination as usize] as f64);
+    println!(
+        "| {way} | {most:.3} | {least:.3} | {} | {} | {} | {needless} | {zone_most:.3} | {traffic:.2} |",
+        moves(&whole, &left),
+        moves(&left, &back),
+        moves(&whole, &zone),
+    );
+}
+
+/// Runs something and gives the microseconds that it took.
+fn micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
+    let start = Instant::now();
+    let result = black_box(work());
+    (start.elapsed().as_secs_f64() * 1e6, result)
+}
+
+/// What the owners cost in `orchidyoke-ownership` itself.
+fn costs() {
+    let all: Members = (0..MEMBERS).collect();
+    let without_one: Members = all.iter().copied().filter(|member| *member != 77).collect();
+    let (whole, rest) = (view(1, &all), view(2, &without_one));
+    println!(
+        "\n| destinations | a lookup in the view, ns | in the table, ns | table made, ms | one leaves, ms | one joins, ms |"
+    );
+    println!("| --- | --- | --- | --- | --- | --- |");
+    for destinations in [667, 10_000, DESTINATIONS] {
+        let (lookups, _) =
+            micros(|| (0..destinations).filter(|d| black_box(whole.owner(*d)).is_some()).count());
+        let (made, mut table) = micros(|| Partition::new(whole.clone(), 0..destinations));
+        let (at_hand, _) =
+            micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
+        let (left, _) = micros(|| table.replace(rest.clone()).expect("it is newer").len());
+        let (joined, _) = micros(|| table.replace(view(3, &all)).expect("it is newer").len());
+        let each = |time: f64| 1e3 * time / destinations as f64;
+        println!(
+            "| {destinations} | {:.0} | {:.0} | {:.2} | {:.2} | {:.2} |",
+            each(lookups),
+            each(at_hand),
+            made / 1e3,
+            left / 1e3,
+            joined / 1e3
+        );
+    }
+}
+
+/// Bytes of Consul's answers to a look at all members, and what they come to when a region's forwarders are all restarted.
+fn control() {
+    let all: Members = (0..MEMBERS).collect();
+    let row = |member: &Member| {
+        let value = "=".repeat(member.entry().len().div_ceil(3) * 4);
+        let key = format!("orchidyoke/ownership/{}/members/{}", member.region, member.name);
+        let session = "adf4238a-882b-9ddc-4a9d-5b6758e4159e";
+        format!(
+            r#"{{"LockIndex":1,"Key":"{key}","Flags":0,"Value":"{value}","Session":"{session}","CreateIndex":1234567,"ModifyIndex":2345678}},"#
+        )
+    };
+    let entries: usize = view(1, &all).members().iter().map(|member| row(member).len()).sum();
+    let key = |member: &Member| {
+        format!(r#""orchidyoke/o/{};{};{};{}","#, member.name, member.zone, member.address, member.weight)
+    };
+    let keys: usize = view(1, &all).members().iter().map(|member| key(member).len()).sum();
+    println!(
+        "\n| a look at {MEMBERS} members | bytes | of 6 KB/s, looks at most every 5 s | a look for each change, 300 changes in 10 min |"
+    );
+    println!("| --- | --- | --- | --- |");
+    for (what, bytes) in [("rows with entries", entries), ("keys alone, the entry in the key", keys)] {
+        let bytes = bytes + 250;
+        let (coalesced, each) = (bytes as f64 / 5.0, bytes as f64 * 300.0 / 600.0);
+        println!("| {what} | {bytes} | {coalesced:.0} B/s ({:.0}%) | {each:.0} B/s |", coalesced / 60.0);
+    }
+}
+
+fn main() {
+    println!(
+        "| way | most / mean | least / mean | moves, one leaves | moves, it is back | moves, a zone is lost | of them needless | most / mean then | most traffic / mean |"
+    );
+    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    compare("weighted rendezvous", by_rendezvous);
+    for bound in LOAD_BOUNDS {
+        let way = format!("consistent hashing, loads up to {bound}");
+        compare(&way, |members, _| by_bounded_ring(members, bound));
+    }
+    compare(&format!("{SLOTS} assigned slots"), by_slots);
+    costs();
+    control();
+}
