--- a/crates/ownership/src/role.rs
+++ b/crates/ownership/src/role.rs
@@ -7,7 +7,8 @@
 //!    renewal that took effect was *sent*, and its view counts, counted from when the last look was *sent*, both shortened
 //!    by the drift that clocks may have. Who is not confirmed goes on at the cold rate.
 //! 2. A new owner sends at the cold rate until [`Terms::cold_time`] is over, which is no shorter than a view counts: by then
-//!    the old one has seen the change, or is not confirmed any more.
+//!    the old one has seen the change, or is not confirmed any more. Who is registered under a new session is a new owner
+//!    of all that it owns.
 //! 3. Who delivers a message without owning its destination, because the message was handed over to it or nobody else is
 //!    there, does so at the cold rate.
 
@@ -120,7 +121,9 @@
     /// Its name among the members.
     name: String,
     partition: Partition,
-    /// When the last renewal of its registration that took effect was sent.
+    /// Since when it knows of its present registration.
+    registered: Option<Micros>,
+    /// When the last renewal of it that took effect was sent.
     renewed: Option<Micros>,
     /// When the look that gave the view was sent.
     looked: Option<Micros>,
@@ -135,6 +138,7 @@
         Roles {
             name: name.into(),
             partition: Partition::default(),
+            registered: None,
             renewed: None,
             looked: None,
             gained: BTreeMap::new(),
@@ -147,13 +151,23 @@
         &self.partition
     }
 
-    /// Its registration was made, or its session renewed; that was asked for then.
+    /// It was registered under a session made for that, which was asked for then. It begins anew with all that it owns:
+    /// between two sessions another may have owned it, though no view that was seen here shows that.
+    pub fn registered(&mut self, now: Micros, sent: Micros) {
+        self.registered = Some(now);
+        self.renewed = Some(sent);
+    }
+
+    /// The session of its registration was renewed; that was asked for then.
     pub fn renewed(&mut self, sent: Micros) {
-        self.renewed = self.renewed.max(Some(sent));
+        if self.registered.is_some() {
+            self.renewed = self.renewed.max(Some(sent));
+        }
     }
 
     /// The registry knows its session no more.
     pub fn session_lost(&mut self) {
+        self.registered = None;
         self.renewed = None;
     }
 
@@ -239,8 +253,8 @@
         if !self.is_confirmed(terms, now) {
             return Role::Deliver(Rate::Cold(ColdReason::Unconfirmed));
         }
-        let is_new = |since: &Micros| now < since + terms.lengthened(terms.cold_time);
-        if self.gained.get(&destination).is_some_and(is_new) {
+        let since = self.gained.get(&destination).copied().max(self.registered);
+        if since.is_some_and(|since| now < since + terms.lengthened(terms.cold_time)) {
             return Role::Deliver(Rate::Cold(ColdReason::NewOwner));
         }
         Role::Deliver(Rate::Full)
--- a/crates/ownership/tests/roles.rs
+++ b/crates/ownership/tests/roles.rs
@@ -18,7 +18,7 @@
     let mut roles = Roles::new("f000");
     roles.list(0, 0..LISTED);
     roles.looked(&terms(), 0, 0, view(5, members)).expect("it is the first");
-    roles.renewed(0);
+    roles.registered(0, 0);
     roles
 }
 
@@ -77,13 +77,23 @@
     assert_eq!(rate(&roles, 90 * S, own(&roles)), Rate::Cold(ColdReason::Unconfirmed));
 }
 
+// Guards against an owner that was away between two sessions and has not seen that another owned what it owns.
 #[test]
-fn a_lost_session_ends_the_whole_rate_at_once() {
+fn a_lost_session_ends_the_whole_rate_at_once_and_the_next_begins_anew() {
     let mut roles = warm(members(3), 20 * S);
     roles.session_lost();
     assert_eq!(rate(&roles, 20 * S, own(&roles)), Rate::Cold(ColdReason::Unconfirmed));
     roles.renewed(21 * S);
-    assert_eq!(rate(&roles, 21 * S, own(&roles)), Rate::Full, "nothing has moved meanwhile");
+    assert_eq!(
+        rate(&roles, 21 * S, own(&roles)),
+        Rate::Cold(ColdReason::Unconfirmed),
+        "an answer that was late"
+    );
+    roles.registered(22 * S, 21 * S);
+    assert_eq!(rate(&roles, 22 * S, own(&roles)), Rate::Cold(ColdReason::NewOwner));
+    roles.looked(&terms(), 34 * S, 34 * S, view(5, members(3))).expect("it is the same");
+    roles.renewed(34 * S);
+    assert_eq!(rate(&roles, 35 * S, own(&roles)), Rate::Full);
 }
 
 #[test]
