--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -99,7 +99,7 @@
 
 /// What is asked, but for where and with which token.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Question {
+pub struct ApiRequest {
     /// The path, whole and escaped.
     pub path: String,
     /// A filter expression.
@@ -116,32 +116,32 @@
     pub write: Option<Bytes>,
 }
 
-impl Question {
+impl ApiRequest {
     /// The instances of a service, with their checks.
     pub fn service(name: &str, filter: Option<&String>, index: u64, wait: Duration) -> Self {
-        Question {
+        ApiRequest {
             path: format!("/v1/health/service/{}", text(name)),
             filter: filter.cloned(),
             index,
             wait,
-            ..Question::default()
+            ..ApiRequest::default()
         }
     }
 
     /// A fixed path that takes an index.
     pub fn path(path: &str, index: u64, wait: Duration) -> Self {
-        Question { path: path.to_owned(), index, wait, ..Question::default() }
+        ApiRequest { path: path.to_owned(), index, wait, ..ApiRequest::default() }
     }
 
     /// The keys below a path, from the leader.
     pub fn keys(below: &str, index: u64, wait: Duration) -> Self {
         let path = format!("/v1/kv/{}", path(below));
-        Question { path, index, wait, more: vec![("recurse", None)], leader: true, ..Question::default() }
+        ApiRequest { path, index, wait, more: vec![("recurse", None)], leader: true, ..ApiRequest::default() }
     }
 
     /// A write of a session or a key.
     pub fn write(path: String, more: Vec<(&'static str, Option<String>)>, body: Bytes) -> Self {
-        Question { path, more, leader: true, write: Some(body), ..Question::default() }
+        ApiRequest { path, more, leader: true, write: Some(body), ..ApiRequest::default() }
     }
 
     fn holds(&self) -> bool {
@@ -174,7 +174,7 @@
 
     /// How long to wait for the head of the answer. Consul adds up to a sixteenth to the wait
     /// (<https://developer.hashicorp.com/consul/api-docs/features/blocking>).
-    fn patience(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         if self.holds() { self.wait + self.wait / 16 + GRACE } else { GRACE }
     }
 }
@@ -241,9 +241,9 @@
     pub async fn ask(
         &self,
         connection: &mut Connection,
-        question: &Question,
+        request: &ApiRequest,
     ) -> Result<(Head, Bytes), ClientError> {
-        let answered = self.exchange(connection, question).await;
+        let answered = self.exchange(connection, request).await;
         let cut_off = match &answered {
             Ok((head, _)) => head.refusal().is_some_and(|refusal| refusal.is_of_the_server()),
             Err(_) => true,
@@ -257,13 +257,13 @@
     async fn exchange(
         &self,
         connection: &mut Connection,
-        question: &Question,
+        api_request: &ApiRequest,
     ) -> Result<(Head, Bytes), ClientError> {
         let broken = |error: hyper::Error| ClientError::Broken(error.to_string());
-        let method = if question.write.is_some() { Method::PUT } else { Method::GET };
+        let method = if api_request.write.is_some() { Method::PUT } else { Method::GET };
         let mut request = Request::builder()
             .method(method)
-            .uri(question.uri(&self.settings))
+            .uri(api_request.uri(&self.settings))
             .header(HOST, connection.address.to_string());
         if let Some(path) = &self.settings.token_file {
             let token = std::fs::read_to_string(path);
@@ -274,14 +274,12 @@
             request = request.header(TOKEN, token);
         }
         let request = request
-            .body(Full::new(question.write.clone().unwrap_or_default()))
+            .body(Full::new(api_request.write.clone().unwrap_or_default()))
             .map_err(|error| ClientError::Broken(error.to_string()))?;
-        let patience = question.patience();
-        within(patience, ClientError::Silent(patience), async {
-            connection.sender.ready().await.map_err(broken)
-        })
-        .await?;
-        let answer = within(patience, ClientError::Silent(patience), async {
+        let limit = api_request.timeout();
+        within(limit, ClientError::Silent(limit), async { connection.sender.ready().await.map_err(broken) })
+            .await?;
+        let answer = within(limit, ClientError::Silent(limit), async {
             connection.sender.send_request(request).await.map_err(broken)
         })
         .await?;
@@ -335,15 +333,15 @@
     fn a_question_says_all_that_the_settings_ask_for() {
         let mut settings = Settings::default();
         let wait = Duration::from_secs(30);
-        let question = Question::service("a b/c", None, 0, wait);
-        assert_eq!(question.uri(&settings), "/v1/health/service/a%20b%2Fc");
-        assert_eq!(question.patience(), GRACE);
+        let request = ApiRequest::service("a b/c", None, 0, wait);
+        assert_eq!(request.uri(&settings), "/v1/health/service/a%20b%2Fc");
+        assert_eq!(request.timeout(), GRACE);
         settings.consistency = Consistency::Stale;
         (settings.datacenter, settings.namespace) = (Some("dc1".to_owned()), Some("n s".to_owned()));
         let filter = Some("Service.Meta.v == \"2\"".to_owned());
-        let question = Question::service("web", filter.as_ref(), 7, wait);
+        let request = ApiRequest::service("web", filter.as_ref(), 7, wait);
         let uri = "/v1/health/service/web?index=7&wait=30000ms&stale&dc=dc1&ns=n%20s&\
                    filter=Service.Meta.v%20%3D%3D%20%222%22";
-        assert_eq!((question.uri(&settings).as_str(), question.patience()), (uri, wait + wait / 16 + GRACE));
+        assert_eq!((request.uri(&settings).as_str(), request.timeout()), (uri, wait + wait / 16 + GRACE));
     }
 }
--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -5,7 +5,7 @@
 //! A write without an answer may have taken effect, or may do so later: [`LockError::Unsure`] says so, and no write is sent
 //! a second time here.
 
-use crate::client::{Client, ClientError, Connection, Question, path};
+use crate::client::{ApiRequest, Client, ClientError, Connection, path};
 use crate::query::{Head, Refusal};
 use crate::settings::Settings;
 use base64::Engine as _;
@@ -113,13 +113,13 @@
         Locks { client: Client::new(settings), connection: None }
     }
 
-    async fn ask(&mut self, question: &Question) -> Result<(Head, Bytes), LockError> {
+    async fn ask(&mut self, request: &ApiRequest) -> Result<(Head, Bytes), LockError> {
         let at_hand = self.connection.take().filter(|connection| self.client.is_good(connection));
         let mut connection = match at_hand {
             Some(connection) => connection,
             None => self.client.connect().await.map_err(LockError::Unsent)?,
         };
-        let answer = self.client.ask(&mut connection, question).await.map_err(LockError::Unsure)?;
+        let answer = self.client.ask(&mut connection, request).await.map_err(LockError::Unsure)?;
         self.connection = Some(connection);
         Ok(answer)
     }
@@ -130,7 +130,7 @@
         more: Vec<(&'static str, Option<String>)>,
         body: Bytes,
     ) -> Result<(Head, Bytes), LockError> {
-        self.ask(&Question::write(path, more, body)).await
+        self.ask(&ApiRequest::write(path, more, body)).await
     }
 
     /// Makes a session that ends when it is not renewed within `ttl`; locks that it held then stay closed for
@@ -220,7 +220,7 @@
         index: u64,
         wait: Duration,
     ) -> Result<(u64, Vec<Row>), LockError> {
-        let (head, body) = self.ask(&Question::keys(prefix, index, wait)).await?;
+        let (head, body) = self.ask(&ApiRequest::keys(prefix, index, wait)).await?;
         let index = head.index.as_deref().and_then(|text| text.trim().parse().ok()).unwrap_or(0);
         match head.refusal() {
             None => Ok((index, read(&body)?)),
--- a/crates/consul/src/query_schedule.rs
+++ b/crates/consul/src/query_schedule.rs
@@ -1,7 +1,7 @@
 //! Many services over few connections: who is asked next, and how long Consul may hold the question. No I/O, no
 //! clock.
 //!
-//! As long as there are no more services than connections, each service has a standing question, and Consul answers
+//! As long as there are no more services than connections, each service has a blocking query out, and Consul answers
 //! the moment that something changes. Beyond that the services take turns: the one that has waited longest is asked
 //! next, with no wait, so that none is starved; what a hint names comes before all others.
 
@@ -9,14 +9,14 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Between two visits of one service there is at least this time: a round of idle services is not asked for nothing.
-const ROUND_LEAST: Micros = 1_000_000;
-/// In a hurry there is at least this time.
-const HURRY_LEAST: Micros = 150_000;
+const ROUND_MIN: Micros = 1_000_000;
+/// When expedited there is at least this time.
+const EXPEDITED_ROUND_MIN: Micros = 150_000;
 /// Time that a visit costs this thread, with some to spare (75 µs were measured). A round is so long that visits use
-/// up a twentieth of it; in a hurry, a third.
+/// up a twentieth of it; when expedited, a third.
 const VISIT_COST: Micros = 100;
 const VISIT_SHARE: Micros = 20;
-const HURRY_SHARE: Micros = 3;
+const EXPEDITED_SHARE: Micros = 3;
 
 /// What a connection is to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,16 +36,16 @@
     due: BTreeSet<(Micros, usize)>,
     /// When each is due, unless it is out.
     due_at: Vec<Option<Micros>>,
-    /// How early each may be asked where there is a hurry.
-    least: Vec<Micros>,
-    urgent: VecDeque<usize>,
+    /// How early each may be asked when expedited.
+    earliest: Vec<Micros>,
+    hinted_services: VecDeque<usize>,
     /// The last turn was for a hint.
     hinted: bool,
     /// Named by a hint while they were out: the answer may be older than the hint.
-    again: BTreeSet<usize>,
-    stands: bool,
+    hinted_in_flight: BTreeSet<usize>,
+    blocking: bool,
     round: Micros,
-    hurried: Micros,
+    expedited_round: Micros,
 }
 
 impl QuerySchedule {
@@ -54,19 +54,19 @@
         QuerySchedule {
             due: (0..services).map(|service| (0, service)).collect(),
             due_at: vec![Some(0); services],
-            least: vec![0; services],
-            urgent: VecDeque::new(),
+            earliest: vec![0; services],
+            hinted_services: VecDeque::new(),
             hinted: false,
-            again: BTreeSet::new(),
-            stands: services <= connections.max(1),
-            round: ROUND_LEAST.max(services as Micros * VISIT_COST * VISIT_SHARE),
-            hurried: HURRY_LEAST.max(services as Micros * VISIT_COST * HURRY_SHARE),
+            hinted_in_flight: BTreeSet::new(),
+            blocking: services <= connections.max(1),
+            round: ROUND_MIN.max(services as Micros * VISIT_COST * VISIT_SHARE),
+            expedited_round: EXPEDITED_ROUND_MIN.max(services as Micros * VISIT_COST * EXPEDITED_SHARE),
         }
     }
 
     /// Whether each service has a connection of its own.
-    pub fn stands(&self) -> bool {
-        self.stands
+    pub fn is_blocking(&self) -> bool {
+        self.blocking
     }
 
     /// Time from one visit of a service to the next, where they take turns.
@@ -79,7 +79,7 @@
         // Hints come first, but every other turn is for those that are due: a hint that is never quiet starves nobody.
         let waits = self.due.first().is_some_and(|(at, _)| *at <= now);
         if (!self.hinted || !waits)
-            && let Some(service) = self.urgent.pop_front()
+            && let Some(service) = self.hinted_services.pop_front()
         {
             self.hinted = true;
             return self.take(service);
@@ -93,35 +93,35 @@
     }
 
     fn take(&mut self, service: usize) -> NextQuery {
-        self.urgent.retain(|other| *other != service);
+        self.hinted_services.retain(|other| *other != service);
         if let Some(at) = self.due_at[service].take() {
             self.due.remove(&(at, service));
         }
-        if self.stands { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
+        if self.blocking { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
     }
 
     /// A service that was asked may be asked again, not before this moment. `failed`: its answer was none.
-    pub fn back(&mut self, now: Micros, service: usize, not_before: Micros, failed: bool) {
-        let named = self.again.remove(&service);
-        let at = match (self.stands, failed || named) {
+    pub fn answered(&mut self, now: Micros, service: usize, not_before: Micros, failed: bool) {
+        let named = self.hinted_in_flight.remove(&service);
+        let at = match (self.blocking, failed || named) {
             (true, _) | (false, true) => not_before,
             (false, false) => not_before.max(now + self.round),
         };
-        self.least[service] = not_before.max(now + self.hurried);
+        self.earliest[service] = not_before.max(now + self.expedited_round);
         self.due_at[service] = Some(at);
         self.due.insert((at, service));
     }
 
-    /// Something has changed, and it is not told where: all are asked sooner, though not within a hurried round
+    /// Something has changed, and it is not told where: all are asked sooner, though not within an expedited round
     /// of their last visit.
-    pub fn hurry(&mut self) {
-        if self.stands {
+    pub fn expedite(&mut self) {
+        if self.blocking {
             return;
         }
         for (service, due) in self.due_at.iter_mut().enumerate() {
-            if let Some(at) = due.as_mut().filter(|at| **at > self.least[service]) {
+            if let Some(at) = due.as_mut().filter(|at| **at > self.earliest[service]) {
                 self.due.remove(&(*at, service));
-                *at = self.least[service];
+                *at = self.earliest[service];
                 self.due.insert((*at, service));
             }
         }
@@ -130,9 +130,9 @@
     /// Something tells that this service has changed: it is asked next.
     pub fn hint(&mut self, service: usize) {
         if self.due_at[service].is_none() {
-            self.again.insert(service);
-        } else if !self.urgent.contains(&service) {
-            self.urgent.push_back(service);
+            self.hinted_in_flight.insert(service);
+        } else if !self.hinted_services.contains(&service) {
+            self.hinted_services.push_back(service);
         }
     }
 }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -1,7 +1,7 @@
 //! Consul as a catalogue: workers that ask, one connection each, and what all of them know.
 
 use crate::api::{Check, ServiceEntry};
-use crate::client::{Client, Connection, Question};
+use crate::client::{ApiRequest, Client, Connection};
 use crate::query::{Head, Query, Refusal, Verdict};
 use crate::query_schedule::{NextQuery, QuerySchedule};
 use crate::settings::Settings;
@@ -163,10 +163,10 @@
     async fn ask(
         &self,
         at_hand: &mut Option<Connection>,
-        question: &Question,
+        request: &ApiRequest,
     ) -> Result<(Head, Bytes), String> {
         let mut connection = self.connection(at_hand.take()).await?;
-        let answer = self.client.ask(&mut connection, question).await.map_err(|error| error.to_string())?;
+        let answer = self.client.ask(&mut connection, request).await.map_err(|error| error.to_string())?;
         *at_hand = Some(connection);
         Ok(answer)
     }
@@ -235,11 +235,11 @@
             }
         };
         let of = &shared.settings.services[service];
-        let question = Question::service(&of.name, of.filter.as_ref(), index, wait);
-        let answer = shared.ask(&mut connection, &question).await;
+        let request = ApiRequest::service(&of.name, of.filter.as_ref(), index, wait);
+        let answer = shared.ask(&mut connection, &request).await;
         let failed = answer.is_err();
         let again = shared.take(service, answer);
-        shared.state.borrow_mut().schedule.back(shared.now(), service, again, failed);
+        shared.state.borrow_mut().schedule.answered(shared.now(), service, again, failed);
         // Whoever rests may have this one to wait for now.
         shared.stir.notify_one();
     }
@@ -250,8 +250,8 @@
     let (mut connection, mut query) = (None, Query::default());
     loop {
         let index = query.ask(shared.now());
-        let question = Question::path(path, index, shared.settings.wait);
-        let again = match shared.ask(&mut connection, &question).await {
+        let request = ApiRequest::path(path, index, shared.settings.wait);
+        let again = match shared.ask(&mut connection, &request).await {
             Ok((head, body)) => {
                 let (verdict, again) = query.answered(shared.now(), &head, fastrand::f64());
                 if verdict == Verdict::Take {
@@ -301,7 +301,7 @@
         let named: Vec<_> =
             names.iter().flat_map(|n| state.by_name.get(*n).into_iter().flatten().copied()).collect();
         named.into_iter().for_each(|service| state.schedule.hint(service));
-        state.schedule.hurry();
+        state.schedule.expedite();
         before = now;
         drop(state);
         shared.stir.notify_waiters();
--- a/crates/consul/tests/query_schedule.rs
+++ b/crates/consul/tests/query_schedule.rs
@@ -7,7 +7,7 @@
 
 const MS: Micros = 1_000;
 /// The least time between two visits of one service.
-const ROUND_LEAST: Micros = 1_000_000;
+const ROUND_MIN: Micros = 1_000_000;
 
 #[test]
 fn few_services_stand_and_many_take_turns() {
@@ -16,14 +16,14 @@
         (few.next(0), few.next(0), few.next(0)),
         (NextQuery::Blocking(0), NextQuery::Blocking(1), NextQuery::NotBefore(Micros::MAX))
     );
-    few.back(5, 1, 5, false);
+    few.answered(5, 1, 5, false);
     assert_eq!(few.next(5), NextQuery::Blocking(1));
     let mut many = QuerySchedule::new(3, 2);
     assert_eq!((many.next(0), many.next(0)), (NextQuery::Immediate(0), NextQuery::Immediate(1)));
-    many.back(MS, 0, MS, false);
+    many.answered(MS, 0, MS, false);
     assert_eq!(
         (many.next(MS), many.next(MS)),
-        (NextQuery::Immediate(2), NextQuery::NotBefore(MS + ROUND_LEAST))
+        (NextQuery::Immediate(2), NextQuery::NotBefore(MS + ROUND_MIN))
     );
 }
 
@@ -34,7 +34,7 @@
     schedule.hint(3);
     schedule.hint(0);
     assert_eq!(schedule.next(0), NextQuery::Immediate(3));
-    schedule.back(MS, 0, MS, false);
+    schedule.answered(MS, 0, MS, false);
     assert_eq!(schedule.next(MS), NextQuery::Immediate(1));
     schedule.hint(2);
     assert_eq!(
@@ -47,13 +47,13 @@
 #[test]
 fn in_a_hurry_a_round_is_short_and_never_shorter() {
     let mut schedule = QuerySchedule::new(2000, 4);
-    assert_eq!(schedule.round(), 4 * ROUND_LEAST);
+    assert_eq!(schedule.round(), 4 * ROUND_MIN);
     while let NextQuery::Immediate(service) = schedule.next(0) {
-        schedule.back(0, service, 0, false);
+        schedule.answered(0, service, 0, false);
     }
-    assert_eq!(schedule.next(0), NextQuery::NotBefore(4 * ROUND_LEAST));
+    assert_eq!(schedule.next(0), NextQuery::NotBefore(4 * ROUND_MIN));
     for _ in 0..100 {
-        schedule.hurry();
+        schedule.expedite();
         assert_eq!(schedule.next(0), NextQuery::NotBefore(600_000));
     }
 }
@@ -80,7 +80,7 @@
                 out.push_back(service);
             }
             if let Some(service) = out.pop_front() {
-                schedule.back(now, service, now, false);
+                schedule.answered(now, service, now, false);
             }
             let bound = 2 * schedule.round() + (services as Micros + 1) * 2 * took * MS;
             prop_assert!(last.iter().all(|at| now - at <= bound), "starved");
--- a/crates/epochs/src/agent.rs
+++ b/crates/epochs/src/agent.rs
@@ -5,7 +5,7 @@
 //! staged. It is in contact for a span after the moment at which it sent the last look that was answered: whatever was
 //! committed before that moment it has seen. Out of contact it serves on by what it holds, and says so.
 
-use crate::commit_point::{Epoch, MemberStatus, Numbered, Point, Vote};
+use crate::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
 use orchidyoke_core::interface::Micros;
 
 /// What has happened.
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Check this whole and keep it on the disk as staged; then report.
-    Stage(Numbered),
+    Stage(NumberedPolicy),
     /// Nothing is staged any more.
     Unstage,
     /// Keep this on the disk as committed and put it in force, before anything else is begun; then report.
-    Apply(Numbered),
+    Apply(NumberedPolicy),
     /// Say this to the fleet.
     Tell(MemberStatus),
 }
@@ -36,14 +36,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Agent {
     /// What is in force.
-    held: Option<Numbered>,
+    in_force: Option<NumberedPolicy>,
     /// What is committed and being put in force.
-    applying: Option<Numbered>,
+    applying: Option<NumberedPolicy>,
     /// What is committed and cannot be used here, with the reason.
-    refused: Option<(Numbered, String)>,
+    refused: Option<(NumberedPolicy, String)>,
     /// What is proposed and being checked, and what is staged.
-    checking: Option<Numbered>,
-    staged: Option<Numbered>,
+    checking: Option<NumberedPolicy>,
+    staged: Option<NumberedPolicy>,
     vote: Option<Vote>,
     /// When the last look was sent that was answered.
     contact: Option<Micros>,
@@ -51,39 +51,39 @@
 
 impl Agent {
     /// One that starts with what its disk says was in force, and what was staged.
-    pub fn new(held: Option<Numbered>, staged: Option<Numbered>) -> Self {
-        Agent { held, staged, ..Agent::default() }
+    pub fn new(in_force: Option<NumberedPolicy>, staged: Option<NumberedPolicy>) -> Self {
+        Agent { in_force, staged, ..Agent::default() }
     }
 
     /// The epoch in force.
     pub fn epoch(&self) -> Epoch {
-        self.held.as_ref().map_or(0, |held| held.epoch)
+        self.in_force.as_ref().map_or(0, |policy| policy.epoch)
     }
 
     /// The policy in force.
-    pub fn held(&self) -> Option<&Numbered> {
-        self.held.as_ref()
+    pub fn in_force(&self) -> Option<&NumberedPolicy> {
+        self.in_force.as_ref()
     }
 
     /// What is staged.
-    pub fn staged(&self) -> Option<&Numbered> {
+    pub fn staged(&self) -> Option<&NumberedPolicy> {
         self.staged.as_ref()
     }
 
     /// Until when it is in contact, if it has been.
-    pub fn contact_until(&self, span: Micros) -> Option<Micros> {
-        self.contact.map(|sent| sent + span)
+    pub fn contact_until(&self, contact_time: Micros) -> Option<Micros> {
+        self.contact.map(|sent| sent + contact_time)
     }
 
     /// Why it is not to be relied on for the fleet's policy, if it is not.
-    pub fn unready_reason(&self, now: Micros, span: Micros) -> Option<String> {
+    pub fn unready_reason(&self, now: Micros, contact_time: Micros) -> Option<String> {
         if let Some(numbered) = &self.applying {
             return Some(format!("policy epoch {} is being put in force", numbered.epoch));
         }
         if let Some((numbered, why)) = &self.refused {
             return Some(format!("policy epoch {} cannot be used here: {why}", numbered.epoch));
         }
-        match self.contact_until(span) {
+        match self.contact_until(contact_time) {
             Some(until) if now < until => None,
             _ => Some(format!("cut off from the commit point: serves by policy epoch {}", self.epoch())),
         }
@@ -107,7 +107,7 @@
             Input::Applied(id, outcome) => {
                 if let Some(numbered) = self.applying.take_if(|applying| applying.id == id) {
                     match outcome {
-                        Ok(()) => (self.held, self.refused) = (Some(numbered), None),
+                        Ok(()) => (self.in_force, self.refused) = (Some(numbered), None),
                         Err(why) => self.refused = Some((numbered, why)),
                     }
                 }
@@ -122,7 +122,8 @@
 
     fn see(&mut self, point: Point) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let known = |other: &Option<Numbered>, id: &str| other.as_ref().is_some_and(|other| other.id == id);
+        let known =
+            |other: &Option<NumberedPolicy>, id: &str| other.as_ref().is_some_and(|other| other.id == id);
         if let Some((committed, _)) = point.committed
             && committed.epoch > self.epoch()
             && !known(&self.applying, &committed.id)
--- a/crates/epochs/src/commit_point.rs
+++ b/crates/epochs/src/commit_point.rs
@@ -48,7 +48,7 @@
 
 /// A policy with its number: proposed, or committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Numbered {
+pub struct NumberedPolicy {
     /// Tells it from every other proposal, also from one with the same number.
     pub id: String,
     /// Its number, once it is committed.
@@ -61,11 +61,11 @@
     pub by: String,
 }
 
-impl Numbered {
+impl NumberedPolicy {
     /// Numbers a policy.
     pub fn new(id: String, epoch: Epoch, policy: String, by: String) -> Self {
         let digest = digest(&policy);
-        Numbered { id, epoch, digest, policy, by }
+        NumberedPolicy { id, epoch, digest, policy, by }
     }
 
     /// Whether its text is the one that it was written with.
@@ -103,9 +103,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Point {
     /// What is committed, and the index of that write.
-    pub committed: Option<(Numbered, u64)>,
+    pub committed: Option<(NumberedPolicy, u64)>,
     /// What is proposed, the index of that write, and the session that holds it.
-    pub proposal: Option<(Numbered, u64, Option<String>)>,
+    pub proposal: Option<(NumberedPolicy, u64, Option<String>)>,
 }
 
 impl Point {
@@ -113,7 +113,8 @@
     pub fn read(settings: &Settings, rows: &[Row]) -> Point {
         let find = |key: String| {
             let row = rows.iter().find(|row| row.key == key)?;
-            let numbered: Numbered = serde_json::from_str(&row.text()).ok().filter(Numbered::is_whole)?;
+            let numbered: NumberedPolicy =
+                serde_json::from_str(&row.text()).ok().filter(NumberedPolicy::is_whole)?;
             Some((numbered, row.modify_index, row.session.clone()))
         };
         let committed = find(settings.committed()).map(|(numbered, index, _)| (numbered, index));
--- a/crates/epochs/src/follow.rs
+++ b/crates/epochs/src/follow.rs
@@ -2,7 +2,7 @@
 //! and the policy in force and the staged one as files of the forwarder's folder.
 
 use crate::agent::{Agent, Effect, Input};
-use crate::commit_point::{self, Numbered, Point, Policy, Settings};
+use crate::commit_point::{self, NumberedPolicy, Point, Policy, Settings};
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks};
 use orchidyoke_core::interface::Micros;
@@ -22,9 +22,9 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// How long a start waits for the commit point before it serves by what it holds.
-const JOIN: Duration = Duration::from_secs(3);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause after a look or a write that came to nothing.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// A forwarder's part in the fleet's policy.
 pub struct Follower {
@@ -37,10 +37,10 @@
     /// The session with its key.
     session: RefCell<Option<String>>,
     /// What its key says, as far as it is known.
-    told: RefCell<Option<commit_point::MemberStatus>>,
+    published: RefCell<Option<commit_point::MemberStatus>>,
     index: Cell<u64>,
     /// Its status has changed: for the fleet, and for this process.
-    tell: Notify,
+    republish: Notify,
     changed: Notify,
 }
 
@@ -53,11 +53,11 @@
     /// One that keeps its files in this folder, under this name. Nothing is opened yet.
     pub fn new(settings: Settings, name: &str, folder: &Path) -> Rc<Self> {
         let folder = folder.to_owned();
-        let kept = |name: &str| -> Option<Numbered> {
+        let read_file = |name: &str| -> Option<NumberedPolicy> {
             let text = std::fs::read(folder.join(name)).ok()?;
-            serde_json::from_slice(&text).ok().filter(Numbered::is_whole)
+            serde_json::from_slice(&text).ok().filter(NumberedPolicy::is_whole)
         };
-        let agent = Agent::new(kept(HELD), kept(STAGED));
+        let agent = Agent::new(read_file(IN_FORCE_FILE), read_file(STAGED_FILE));
         let id = format!("{name}.{}", std::process::id());
         Rc::new(Follower {
             settings,
@@ -66,9 +66,9 @@
             start: Instant::now(),
             agent: RefCell::new(agent),
             session: RefCell::default(),
-            told: RefCell::default(),
+            published: RefCell::default(),
             index: Cell::default(),
-            tell: Notify::new(),
+            republish: Notify::new(),
             changed: Notify::new(),
         })
     }
@@ -78,7 +78,7 @@
     }
 
     /// How long a look counts: less than the store takes to give up a forwarder that it does not hear of.
-    fn span(&self) -> Micros {
+    fn contact_time(&self) -> Micros {
         (self.settings.ttl * 2 / 3).as_micros() as Micros
     }
 
@@ -86,7 +86,7 @@
         Locks::new(Rc::new(self.settings.consul.clone()))
     }
 
-    fn keep(&self, name: &str, numbered: &Numbered) -> Result<(), String> {
+    fn write_file(&self, name: &str, numbered: &NumberedPolicy) -> Result<(), String> {
         let path = self.folder.join(name);
         let beside = path.with_extension("new");
         let write = || -> std::io::Result<()> {
@@ -124,24 +124,24 @@
             let more = match effect {
                 Effect::Stage(numbered) => {
                     let checked = self.check(source, &numbered).await.map(drop);
-                    let outcome = checked.and_then(|()| self.keep(STAGED, &numbered));
+                    let outcome = checked.and_then(|()| self.write_file(STAGED_FILE, &numbered));
                     tracing::info!(epoch = numbered.epoch, id = %numbered.id, by = %numbered.by, ?outcome,
                         "policy proposed");
                     self.step(Input::Staged(numbered.id, outcome))
                 }
                 Effect::Unstage => {
-                    drop(std::fs::remove_file(self.folder.join(STAGED)));
+                    drop(std::fs::remove_file(self.folder.join(STAGED_FILE)));
                     Vec::new()
                 }
                 Effect::Apply(numbered) => {
                     let config = match inputs {
                         // From here to the configuration's way to the forwarder nothing is waited for: no attempt begins
                         // by the policy before, once it is known that there is another.
-                        Some(_) => source.reread_with(lay(&numbered)).map_err(|error| error.to_string()),
+                        Some(_) => source.reread_with(overlay(&numbered)).map_err(|error| error.to_string()),
                         None => self.check(source, &numbered).await,
                     };
                     if config.is_ok()
-                        && let Err(why) = self.keep(HELD, &numbered)
+                        && let Err(why) = self.write_file(IN_FORCE_FILE, &numbered)
                     {
                         // It holds all the same; a start without it learns of it before it is ready.
                         tracing::error!(why, "policy epoch not kept");
@@ -163,7 +163,7 @@
                     self.step(Input::Applied(numbered.id, outcome))
                 }
                 Effect::Tell(_) => {
-                    self.tell.notify_one();
+                    self.republish.notify_one();
                     Vec::new()
                 }
             };
@@ -172,8 +172,8 @@
     }
 
     /// The configuration with this policy, checked whole.
-    async fn check(&self, source: &Source, numbered: &Numbered) -> Result<Config, String> {
-        source.load_with(lay(numbered)).await.map_err(|error| error.to_string())
+    async fn check(&self, source: &Source, numbered: &NumberedPolicy) -> Result<Config, String> {
+        source.load_with(overlay(numbered)).await.map_err(|error| error.to_string())
     }
 
     async fn watch(&self, source: &Source, inputs: &UnboundedSender<input::Input>) {
@@ -185,23 +185,23 @@
                     tracing::debug!(%error, "commit point not seen");
                     // Whatever it was, the next look is answered at once.
                     self.index.set(0);
-                    sleep(PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
     /// Keeps its key: with a session that is renewed, and what it says of itself.
-    async fn member(&self) {
+    async fn keep_registered(&self) {
         let mut locks = self.locks();
         let key = format!("{}{}", self.settings.members(), self.id);
         loop {
             if let Err(error) = self.renew(&mut locks, &key).await {
                 tracing::debug!(%error, "key among the members not kept");
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
                 continue;
             }
-            drop(timeout(self.settings.ttl / 3, self.tell.notified()).await);
+            drop(timeout(self.settings.ttl / 3, self.republish.notified()).await);
         }
     }
 
@@ -214,12 +214,12 @@
         *self.session.borrow_mut() = Some(session.clone());
         let status = self.agent.borrow().member_status();
         // A renewal costs Consul's leader next to nothing, a write goes through its log.
-        if !fresh && self.told.borrow().as_ref() == Some(&status) {
+        if !fresh && self.published.borrow().as_ref() == Some(&status) {
             return Ok(());
         }
         let value = Bytes::from(serde_json::to_vec(&status).unwrap_or_default());
         if locks.acquire(key, &session, value).await? {
-            *self.told.borrow_mut() = Some(status);
+            *self.published.borrow_mut() = Some(status);
         } else {
             tracing::warn!(key, "another session holds this forwarder's key");
         }
@@ -227,10 +227,11 @@
     }
 
     /// Tells the forwarder how it stands, whenever that changes, by the clock too.
-    async fn clock(&self, inputs: &UnboundedSender<input::Input>) {
+    async fn report_status(&self, inputs: &UnboundedSender<input::Input>) {
         let mut last = self.status();
         loop {
-            let until = self.agent.borrow().contact_until(self.span()).filter(|until| *until > self.now());
+            let until =
+                self.agent.borrow().contact_until(self.contact_time()).filter(|until| *until > self.now());
             let lapse = async {
                 match until {
                     Some(until) => sleep_until(self.start + Duration::from_micros(until as u64)).await,
@@ -264,16 +265,19 @@
 }
 
 /// The policy in force, and the one that is staged, in the forwarder's folder.
-const HELD: &str = "policy-held.json";
-const STAGED: &str = "policy-staged.json";
+const IN_FORCE_FILE: &str = "policy-held.json";
+const STAGED_FILE: &str = "policy-staged.json";
 
-fn lay(numbered: &Numbered) -> impl Fn(&str) -> Result<String, ConfigError> + '_ {
+fn overlay(numbered: &NumberedPolicy) -> impl Fn(&str) -> Result<String, ConfigError> + '_ {
     |text| Policy::read(&numbered.policy).and_then(|policy| policy.lay_over(text)).map_err(ConfigError::new)
 }
 
 impl PolicyOverlay for Follower {
     fn apply(&self, configuration: &str) -> Result<String, ConfigError> {
-        self.agent.borrow().held().map_or(Ok(configuration.to_owned()), |held| lay(held)(configuration))
+        self.agent
+            .borrow()
+            .in_force()
+            .map_or(Ok(configuration.to_owned()), |policy| overlay(policy)(configuration))
     }
 
     fn version(&self) -> u64 {
@@ -289,11 +293,11 @@
                 loop {
                     match self.look(&mut locks, Duration::ZERO).await {
                         Ok(effects) => return effects,
-                        Err(_) => sleep(PAUSE).await,
+                        Err(_) => sleep(RETRY_PAUSE).await,
                     }
                 }
             };
-            match timeout(JOIN, look).await {
+            match timeout(JOIN_TIMEOUT, look).await {
                 Ok(effects) => self.carry_out(source, None, effects).await,
                 Err(_) => {
                     let epoch = self.version();
@@ -308,8 +312,8 @@
 
     fn status(&self) -> PolicyStatus {
         let agent = self.agent.borrow();
-        let unready_reason = agent.unready_reason(self.now(), self.span());
-        let contact = agent.contact_until(self.span()).is_some_and(|until| self.now() < until);
+        let unready_reason = agent.unready_reason(self.now(), self.contact_time());
+        let contact = agent.contact_until(self.contact_time()).is_some_and(|until| self.now() < until);
         let refused = agent.member_status().refuses.is_some();
         let figures = format!(
             "app_policy_epoch {}\napp_policy_contact {}\napp_policy_refused {}\n",
@@ -322,7 +326,7 @@
 
     fn follow(self: Rc<Self>, source: Rc<Source>, inputs: UnboundedSender<input::Input>) -> Task<'static> {
         Box::pin(async move {
-            tokio::join!(self.watch(&source, &inputs), self.member(), self.clock(&inputs));
+            tokio::join!(self.watch(&source, &inputs), self.keep_registered(), self.report_status(&inputs));
         })
     }
 
--- a/crates/epochs/src/proposal.rs
+++ b/crates/epochs/src/proposal.rs
@@ -1,6 +1,6 @@
 //! When a proposer may commit. No I/O.
 
-use crate::commit_point::{Member, Numbered, Point};
+use crate::commit_point::{Member, NumberedPolicy, Point};
 
 /// What a proposer is to do, by what it has seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 /// What to do with this proposal. The members have to be looked at after the proposal could be seen: one that has come
 /// since then and has not voted learns what is committed before it is ready.
-pub fn verdict(mine: &Numbered, point: &Point, members: &[Member]) -> Verdict {
+pub fn verdict(mine: &NumberedPolicy, point: &Point, members: &[Member]) -> Verdict {
     let proposal = match &point.proposal {
         Some((proposal, index, _)) if proposal.id == mine.id => *index,
         _ => return Verdict::Lost,
--- a/crates/epochs/src/propose.rs
+++ b/crates/epochs/src/propose.rs
@@ -5,7 +5,7 @@
 //! commit is one transaction: the proposal is still this one and held by this session, what is committed is what it was,
 //! and both change together or not at all.
 
-use crate::commit_point::{Epoch, Member, Numbered, Point, Policy, PolicyError, Settings, members};
+use crate::commit_point::{Epoch, Member, NumberedPolicy, Point, Policy, PolicyError, Settings, members};
 use crate::proposal::{Verdict, verdict};
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
@@ -14,9 +14,9 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// The largest policy: Consul takes values of up to 512 KiB, and this one stands in JSON in base 64.
-pub const LARGEST: usize = 128 << 10;
+pub const LARGEST_POLICY: usize = 128 << 10;
 /// Pause after a question that came to nothing.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// Why a policy was not committed; in each case it is in force nowhere.
 #[derive(Debug, thiserror::Error)]
@@ -25,7 +25,7 @@
     #[error(transparent)]
     Policy(#[from] PolicyError),
     /// It is too large.
-    #[error("the policy has {0} bytes; {LARGEST} are the most")]
+    #[error("the policy has {0} bytes; {LARGEST_POLICY} are the most")]
     Large(usize),
     /// Consul could not be asked.
     #[error("Consul: {0}")]
@@ -53,7 +53,7 @@
 
 /// How a committed policy came to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct CommitReport {
     /// Its number.
     pub epoch: Epoch,
     /// From the commit's answer until the last forwarder that is there had said that it is in force; none where that did
@@ -101,7 +101,7 @@
     }
 
     /// Takes the proposal away that is under way; whether there was one. Its proposer then cannot commit it.
-    pub async fn abort(&mut self) -> Result<Option<Numbered>, LockError> {
+    pub async fn abort(&mut self) -> Result<Option<NumberedPolicy>, LockError> {
         let Some((proposal, index, _)) = self.point().await?.proposal else { return Ok(None) };
         let key = self.settings.proposal();
         let done = self.locks.transact(&[Operation::DeleteCas(key, index)]).await?;
@@ -115,9 +115,9 @@
         policy: &str,
         by: &str,
         patience: Duration,
-    ) -> Result<Taken, ProposeError> {
+    ) -> Result<CommitReport, ProposeError> {
         Policy::read(policy)?;
-        if policy.len() > LARGEST {
+        if policy.len() > LARGEST_POLICY {
             return Err(ProposeError::Large(policy.len()));
         }
         let ttl = self.settings.ttl;
@@ -137,14 +137,15 @@
         policy: &str,
         by: &str,
         patience: Duration,
-    ) -> Result<Numbered, ProposeError> {
+    ) -> Result<NumberedPolicy, ProposeError> {
         let until = Instant::now() + patience;
         let point = self.point().await?;
         if let Some((other, ..)) = point.proposal {
             return Err(ProposeError::Busy(other.by, other.epoch));
         }
         // The session's id is used once: it tells this proposal from all others.
-        let mine = Numbered::new(session.to_owned(), point.epoch() + 1, policy.to_owned(), by.to_owned());
+        let mine =
+            NumberedPolicy::new(session.to_owned(), point.epoch() + 1, policy.to_owned(), by.to_owned());
         let value = Bytes::from(serde_json::to_vec(&mine).map_err(PolicyError::from)?);
         let key = self.settings.proposal();
         if !self.locks.acquire(&key, session, value).await? {
@@ -183,12 +184,12 @@
     /// The one write that commits. Without an answer, what is committed is read until it says which it was.
     async fn commit(
         &mut self,
-        mine: Numbered,
+        mine: NumberedPolicy,
         proposal: u64,
         committed: u64,
         session: &str,
         until: Instant,
-    ) -> Result<Numbered, ProposeError> {
+    ) -> Result<NumberedPolicy, ProposeError> {
         let value = Bytes::from(serde_json::to_vec(&mine).map_err(PolicyError::from)?);
         let operations = [
             Operation::CheckHeld(self.settings.proposal(), proposal, session.to_owned()),
@@ -225,11 +226,11 @@
             if Instant::now() >= until {
                 return Err(ProposeError::Unknown(mine.epoch, last));
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn await_everywhere(&mut self, epoch: Epoch, patience: Duration) -> Taken {
+    async fn await_everywhere(&mut self, epoch: Epoch, patience: Duration) -> CommitReport {
         let (began, mut index) = (self.committed_at.unwrap_or_else(Instant::now), 0);
         let mut missing = Vec::new();
         while began.elapsed() < patience {
@@ -244,16 +245,16 @@
                         .collect();
                     if missing.is_empty() {
                         let everywhere = Some(began.elapsed());
-                        return Taken { epoch, everywhere, missing };
+                        return CommitReport { epoch, everywhere, missing };
                     }
                 }
                 Ok(Err(_)) => {
                     index = 0;
-                    sleep(PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                 }
                 Err(_) => break,
             }
         }
-        Taken { epoch, everywhere: None, missing }
+        CommitReport { epoch, everywhere: None, missing }
     }
 }
--- a/crates/epochs/tests/agent.rs
+++ b/crates/epochs/tests/agent.rs
@@ -1,13 +1,13 @@
 //! Tests of [`orchidyoke_epochs::agent`].
 
 use orchidyoke_epochs::agent::{Agent, Effect, Input};
-use orchidyoke_epochs::commit_point::{Epoch, MemberStatus, Numbered, Point, Vote};
+use orchidyoke_epochs::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
 
-fn numbered(id: &str, epoch: Epoch) -> Numbered {
-    Numbered::new(id.to_owned(), epoch, format!("{{\"out\": [\"{id}\"]}}"), "op".to_owned())
+fn numbered(id: &str, epoch: Epoch) -> NumberedPolicy {
+    NumberedPolicy::new(id.to_owned(), epoch, format!("{{\"out\": [\"{id}\"]}}"), "op".to_owned())
 }
 
-fn point(committed: Option<&Numbered>, proposal: Option<&Numbered>) -> Box<Point> {
+fn point(committed: Option<&NumberedPolicy>, proposal: Option<&NumberedPolicy>) -> Box<Point> {
     Box::new(Point {
         committed: committed.map(|numbered| (numbered.clone(), 7)),
         proposal: proposal.map(|numbered| (numbered.clone(), 9, Some("s".to_owned()))),
--- a/crates/epochs/tests/commit_point.rs
+++ b/crates/epochs/tests/commit_point.rs
@@ -33,8 +33,8 @@
         name: None,
         ttl: Duration::from_secs(10),
     };
-    let mut numbered = Numbered::new("a".into(), 1, "{}".into(), "x".into());
-    let row = |numbered: &Numbered| {
+    let mut numbered = NumberedPolicy::new("a".into(), 1, "{}".into(), "x".into());
+    let row = |numbered: &NumberedPolicy| {
         let value = serde_json::to_string(numbered).unwrap();
         let json = json!([{"Key": "p/epoch/committed", "ModifyIndex": 7, "Session": null,
             "Value": base64(&value)}]);
--- a/crates/epochs/tests/model.rs
+++ b/crates/epochs/tests/model.rs
@@ -4,7 +4,7 @@
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_epochs::agent::{Agent, Effect, Input};
-use orchidyoke_epochs::commit_point::{Member, MemberStatus, Numbered, Point};
+use orchidyoke_epochs::commit_point::{Member, MemberStatus, NumberedPolicy, Point};
 use orchidyoke_epochs::proposal::{Verdict, verdict};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -48,14 +48,14 @@
 struct Node {
     agent: Agent,
     /// What its disk holds.
-    held: Option<Numbered>,
-    staged: Option<Numbered>,
+    held: Option<NumberedPolicy>,
+    staged: Option<NumberedPolicy>,
     /// A look on its way back, with when it was sent.
     looked: Option<(Micros, Point)>,
     /// It has something to say to the store.
     tells: bool,
     /// What it acts by.
-    acts_by: Option<Numbered>,
+    acts_by: Option<NumberedPolicy>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -64,10 +64,10 @@
     /// Has read the commit point.
     Read(Point),
     /// Holds the proposal; what it has seen of the members.
-    Proposed(Numbered, Option<Vec<Member>>),
+    Proposed(NumberedPolicy, Option<Vec<Member>>),
     /// Its commit is on its way.
     Sent {
-        mine: Numbered,
+        mine: NumberedPolicy,
         proposal: u64,
         committed: u64,
     },
@@ -84,7 +84,7 @@
     nodes: Vec<Node>,
     proposers: Vec<Proposer>,
     /// All that was ever committed, and when.
-    history: Vec<(Numbered, Micros)>,
+    history: Vec<(NumberedPolicy, Micros)>,
     /// Forwarders that were given up by the store or have crashed.
     away: bool,
     crashes: u8,
@@ -113,7 +113,7 @@
         let node = &mut self.nodes[place];
         let mut effects: std::collections::VecDeque<_> = node.agent.step(input).into();
         while let Some(effect) = effects.pop_front() {
-            let usable = |numbered: &Numbered| {
+            let usable = |numbered: &NumberedPolicy| {
                 if place == 1 && numbered.policy == BAD { Err("not here".to_owned()) } else { Ok(()) }
             };
             match effect {
@@ -148,11 +148,11 @@
         self.keys.iter().enumerate().filter_map(member).collect()
     }
 
-    fn holds(&self, mine: &Numbered, index: u64) -> bool {
+    fn holds(&self, mine: &NumberedPolicy, index: u64) -> bool {
         self.point.proposal.as_ref().is_some_and(|(there, at, _)| there.id == mine.id && *at == index)
     }
 
-    fn withdraw(&mut self, mine: &Numbered) {
+    fn withdraw(&mut self, mine: &NumberedPolicy) {
         if self.point.proposal.as_ref().is_some_and(|(there, ..)| there.id == mine.id) {
             self.index += 1;
             self.point.proposal = None;
@@ -255,8 +255,12 @@
             Step::Acquire(place) => {
                 let Proposer::Read(point) = &last.proposers[place] else { return None };
                 let policy = if self.bad && place + 1 == self.proposers { BAD } else { "good" };
-                let mine =
-                    Numbered::new(place.to_string(), point.epoch() + 1, policy.to_owned(), String::new());
+                let mine = NumberedPolicy::new(
+                    place.to_string(),
+                    point.epoch() + 1,
+                    policy.to_owned(),
+                    String::new(),
+                );
                 world.proposers[place] = if world.point.proposal.is_some() {
                     Proposer::Over
                 } else {
@@ -313,7 +317,7 @@
         vec![
             Property::always(COMMITTED, |_, world: &World| {
                 let committed =
-                    |numbered: &Numbered| world.history.iter().any(|(there, _)| there == numbered);
+                    |numbered: &NumberedPolicy| world.history.iter().any(|(there, _)| there == numbered);
                 world.nodes.iter().all(|node| node.acts_by.as_ref().is_none_or(committed))
             }),
             Property::always(ONCE, |_, world: &World| {
@@ -321,7 +325,7 @@
             }),
             Property::always(BOUND, |_, world: &World| {
                 world.nodes.iter().all(|node| {
-                    let behind = |(numbered, at): &(Numbered, Micros)| {
+                    let behind = |(numbered, at): &(NumberedPolicy, Micros)| {
                         numbered.epoch > node.agent.epoch() && world.clock >= at + SPAN
                     };
                     node.agent.unready_reason(world.clock, SPAN).is_some()
--- a/crates/epochs/tests/proposal.rs
+++ b/crates/epochs/tests/proposal.rs
@@ -1,6 +1,6 @@
 //! Tests of [`orchidyoke_epochs::proposal`].
 
-use orchidyoke_epochs::commit_point::{Member, MemberStatus, Numbered, Point, Vote};
+use orchidyoke_epochs::commit_point::{Member, MemberStatus, NumberedPolicy, Point, Vote};
 use orchidyoke_epochs::proposal::{Verdict, verdict};
 
 fn member(id: &str, vote: Option<(&str, Option<&str>)>) -> Member {
@@ -8,8 +8,8 @@
     Member { id: id.into(), status: Some(MemberStatus { vote, ..MemberStatus::default() }) }
 }
 
-fn numbered(id: &str, epoch: u64) -> Numbered {
-    Numbered::new(id.into(), epoch, "{}".into(), "op".into())
+fn numbered(id: &str, epoch: u64) -> NumberedPolicy {
+    NumberedPolicy::new(id.into(), epoch, "{}".into(), "op".into())
 }
 
 #[test]
