--- a/crates/node/src/connection_limit.rs
+++ b/crates/node/src/connection_limit.rs
@@ -8,13 +8,13 @@
 pub type ConnectionId = u64;
 
 /// Who connects to ask does so at once: a connection that has asked nothing for longer goes first.
-const SILENT: Duration = Duration::from_millis(100);
+const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
 /// One part in so many is kept for connections whose close lingers: a place wanted at once costs no client its answer.
 const LINGERING_SHARE: usize = 8;
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum ConnectionState {
     /// It has not yet sent a whole request.
     New,
     /// A request of it is being answered.
@@ -29,9 +29,9 @@
     Cut,
 }
 
-impl Doing {
+impl ConnectionState {
     fn is_staying(self) -> bool {
-        matches!(self, Doing::New | Doing::Busy | Doing::Idle)
+        matches!(self, ConnectionState::New | ConnectionState::Busy | ConnectionState::Idle)
     }
 }
 
@@ -47,7 +47,7 @@
 /// All connections of the sender side: what each is doing, and since when.
 #[derive(Debug)]
 pub struct ConnectionLimit {
-    members: BTreeMap<ConnectionId, (Doing, Instant)>,
+    connections: BTreeMap<ConnectionId, (ConnectionState, Instant)>,
     next: ConnectionId,
     most: usize,
 }
@@ -55,47 +55,48 @@
 impl ConnectionLimit {
     /// Nobody yet, and so many at once.
     pub fn new(most: usize) -> Self {
-        ConnectionLimit { members: BTreeMap::new(), next: 0, most }
+        ConnectionLimit { connections: BTreeMap::new(), next: 0, most }
     }
 
     /// Whether another has to wait.
     pub fn is_full(&self) -> bool {
-        self.members.len() >= self.most
+        self.connections.len() >= self.most
     }
 
     /// Another has connected.
     pub fn join(&mut self, now: Instant) -> ConnectionId {
         self.next += 1;
-        self.members.insert(self.next, (Doing::New, now));
+        self.connections.insert(self.next, (ConnectionState::New, now));
         self.next
     }
 
     /// It has sent a request.
     pub fn asks(&mut self, id: ConnectionId, now: Instant) {
-        self.turn(id, Doing::Busy, now);
+        self.turn(id, ConnectionState::Busy, now);
     }
 
     /// Its request is answered.
     pub fn answered(&mut self, id: ConnectionId, now: Instant) {
-        self.turn(id, Doing::Idle, now);
+        self.turn(id, ConnectionState::Idle, now);
     }
 
     /// Its sending is ended: only its client keeps it.
     pub fn lingers(&mut self, id: ConnectionId, now: Instant) {
-        if let Some(member) = self.members.get_mut(&id) {
-            *member = (Doing::Lingering, now);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            *connection = (ConnectionState::Lingering, now);
         }
     }
 
-    fn turn(&mut self, id: ConnectionId, to: Doing, now: Instant) {
-        if let Some(member) = self.members.get_mut(&id).filter(|member| member.0.is_staying()) {
-            *member = (to, now);
+    fn turn(&mut self, id: ConnectionId, to: ConnectionState, now: Instant) {
+        if let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.0.is_staying())
+        {
+            *connection = (to, now);
         }
     }
 
     /// Its connection is closed.
     pub fn leaves(&mut self, id: ConnectionId) {
-        self.members.remove(&id);
+        self.connections.remove(&id);
     }
 
     /// Who has to go next, if one has to and one can. With no place left the one that lingers longest is cut. Where the
@@ -104,30 +105,32 @@
     /// are busy or going.
     pub fn evict(&mut self, now: Instant) -> Option<Eviction> {
         let spare = (self.most / LINGERING_SHARE).max(1);
-        let count =
-            |which: fn(Doing) -> bool| self.members.values().filter(|(doing, _)| which(*doing)).count();
-        let (staying, cut) = (count(Doing::is_staying), count(|doing| doing == Doing::Cut));
-        let closing = count(|doing| doing == Doing::Closing);
+        let count = |which: fn(ConnectionState) -> bool| {
+            self.connections.values().filter(|(state, _)| which(*state)).count()
+        };
+        let (staying, cut) =
+            (count(ConnectionState::is_staying), count(|state| state == ConnectionState::Cut));
+        let closing = count(|state| state == ConnectionState::Closing);
         let full = self.is_full();
-        let lingers = |(id, (doing, since)): (&ConnectionId, &(Doing, Instant))| {
-            (*doing == Doing::Lingering).then_some((*since, *id))
+        let lingers = |(id, (state, since)): (&ConnectionId, &(ConnectionState, Instant))| {
+            (*state == ConnectionState::Lingering).then_some((*since, *id))
         };
-        let longest = self.members.iter().filter_map(lingers).min().filter(|_| full && cut == 0);
+        let longest = self.connections.iter().filter_map(lingers).min().filter(|_| full && cut == 0);
         if let Some((_, id)) = longest {
-            self.members.insert(id, (Doing::Cut, now));
+            self.connections.insert(id, (ConnectionState::Cut, now));
             return Some(Eviction::Cut(id));
         }
         if staying + spare <= self.most && !(full && cut + closing == 0) {
             return None;
         }
-        let rank = |(id, (doing, since)): (&ConnectionId, &(Doing, Instant))| match doing {
-            Doing::New if now - *since >= SILENT => Some((0, *since, *id)),
-            Doing::Idle => Some((1, *since, *id)),
-            Doing::New if full => Some((2, *since, *id)),
+        let rank = |(id, (state, since)): (&ConnectionId, &(ConnectionState, Instant))| match state {
+            ConnectionState::New if now - *since >= FIRST_REQUEST_TIME => Some((0, *since, *id)),
+            ConnectionState::Idle => Some((1, *since, *id)),
+            ConnectionState::New if full => Some((2, *since, *id)),
             _ => None,
         };
-        let (_, _, id) = self.members.iter().filter_map(rank).min()?;
-        self.members.insert(id, (Doing::Closing, now));
+        let (_, _, id) = self.connections.iter().filter_map(rank).min()?;
+        self.connections.insert(id, (ConnectionState::Closing, now));
         Some(Eviction::Close(id))
     }
 }
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -47,12 +47,12 @@
 pub struct Connections {
     limit: RefCell<ConnectionLimit>,
     changed: Notify,
-    told: RefCell<HashMap<ConnectionId, Rc<AnswerHints>>>,
+    signals: RefCell<HashMap<ConnectionId, Rc<EvictionSignals>>>,
     /// What comes from clients whose connection is closing goes here, and no further.
     sink: RefCell<Box<[u8]>>,
     ending: watch::Sender<bool>,
     /// A successor takes the clients: each connection ends with its next answer.
-    moving: Cell<bool>,
+    handing_over: Cell<bool>,
 }
 
 impl Connections {
@@ -61,10 +61,10 @@
         Rc::new(Connections {
             limit: RefCell::new(ConnectionLimit::new(most)),
             changed: Notify::new(),
-            told: RefCell::default(),
+            signals: RefCell::default(),
             sink: RefCell::new(vec![0; 64 << 10].into()),
             ending: watch::Sender::new(false),
-            moving: Cell::new(false),
+            handing_over: Cell::new(false),
         })
     }
 
@@ -75,7 +75,7 @@
 
     /// A successor takes the clients: each connection says with its next answer that it closes.
     pub fn move_on(&self) {
-        self.moving.set(true);
+        self.handing_over.set(true);
     }
 
     /// Waits until another connection fits in, and sees to it that one does: some go before there is need, so that their
@@ -93,68 +93,68 @@
     /// Sends one off, if one has to go and one can.
     fn evict(&self) -> bool {
         let Some(eviction) = self.limit.borrow_mut().evict(Instant::now()) else { return false };
-        let told = |id: ConnectionId| self.told.borrow().get(&id).cloned();
+        let signals_of = |id: ConnectionId| self.signals.borrow().get(&id).cloned();
         match eviction {
-            Eviction::Close(id) => told(id).iter().for_each(|told| told.close.notify_one()),
-            Eviction::Cut(id) => told(id).iter().for_each(|told| told.cut.notify_one()),
+            Eviction::Close(id) => signals_of(id).iter().for_each(|signals| signals.close.notify_one()),
+            Eviction::Cut(id) => signals_of(id).iter().for_each(|signals| signals.cut.notify_one()),
         }
         true
     }
 }
 
-/// What a connection is told when its place is wanted.
+/// Tells a connection that its place is wanted.
 #[derive(Default)]
-struct AnswerHints {
+struct EvictionSignals {
     close: Notify,
     /// To linger no more.
     cut: Notify,
 }
 
 /// A connection as the others see it, for as long as it lasts, also when its task panics.
-struct Member {
+struct ClientConnection {
     id: ConnectionId,
     connections: Rc<Connections>,
     gateway: Rc<ClientGateway>,
-    told: Rc<AnswerHints>,
+    signals: Rc<EvictionSignals>,
     /// A request of it has been read.
     has_asked: Cell<bool>,
     /// Its answer is not yet there.
-    in_hand: Cell<bool>,
+    is_answering: Cell<bool>,
 }
 
-impl Member {
+impl ClientConnection {
     fn new(connections: Rc<Connections>, gateway: Rc<ClientGateway>) -> Rc<Self> {
-        let (id, told) =
-            (connections.limit.borrow_mut().join(Instant::now()), Rc::new(AnswerHints::default()));
-        connections.told.borrow_mut().insert(id, told.clone());
+        let (id, signals) =
+            (connections.limit.borrow_mut().join(Instant::now()), Rc::new(EvictionSignals::default()));
+        connections.signals.borrow_mut().insert(id, signals.clone());
         gateway.tell(Input::Sender { joined: true });
-        Rc::new(Member {
+        Rc::new(ClientConnection {
             id,
             connections,
             gateway,
-            told,
+            signals,
             has_asked: Cell::new(false),
-            in_hand: Cell::new(false),
+            is_answering: Cell::new(false),
         })
     }
 
     fn asks(&self) {
         self.has_asked.set(true);
-        self.in_hand.set(true);
+        self.is_answering.set(true);
         self.connections.limit.borrow_mut().asks(self.id, Instant::now());
     }
 
     fn answered(&self) {
-        self.in_hand.set(false);
+        self.is_answering.set(false);
         self.connections.limit.borrow_mut().answered(self.id, Instant::now());
         self.connections.changed.notify_one();
     }
 }
 
-impl Drop for Member {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.connections.limit.borrow_mut().leaves(self.id);
-        self.connections.told.borrow_mut().remove(&self.id);
+        self.connections.signals.borrow_mut().remove(&self.id);
         self.connections.changed.notify_one();
         self.gateway.tell(Input::Sender { joined: false });
     }
@@ -173,7 +173,7 @@
             _ = ending.wait_for(|ending| *ending) => break,
         };
         match taken {
-            Ok((stream, _)) => attend(stream, &gateway, &connections),
+            Ok((stream, _)) => spawn_connection(stream, &gateway, &connections),
             Err(error) => {
                 log!("sender side: a connection could not be taken: {error}");
                 connections.evict();
@@ -186,16 +186,16 @@
         && let Ok((stream, _)) = listener.accept()
     {
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-        stream.into_iter().for_each(|stream| attend(stream, &gateway, &connections));
+        stream.into_iter().for_each(|stream| spawn_connection(stream, &gateway, &connections));
     }
 }
 
 /// Serves one client's connection to its end. What goes wrong there, a panic included, ends this one alone.
-fn attend(stream: TcpStream, gateway: &Rc<ClientGateway>, connections: &Rc<Connections>) {
-    let member = Member::new(connections.clone(), gateway.clone());
+fn spawn_connection(stream: TcpStream, gateway: &Rc<ClientGateway>, connections: &Rc<Connections>) {
+    let client = ClientConnection::new(connections.clone(), gateway.clone());
     tokio::task::spawn_local(async move {
         match stream.set_nodelay(true) {
-            Ok(()) => linger(serve(stream, &member).await, &member).await,
+            Ok(()) => linger(serve(stream, &client).await, &client).await,
             Err(error) => log!("sender side: {error}"),
         }
     });
@@ -203,17 +203,17 @@
 
 /// Serves requests until the connection is to be closed, whoever wants that, and gives its socket back. What has been read
 /// whole by then is answered.
-async fn serve(stream: TcpStream, member: &Rc<Member>) -> TcpStream {
+async fn serve(stream: TcpStream, client: &Rc<ClientConnection>) -> TcpStream {
     let service = service_fn(|request| {
-        let member = member.clone();
+        let client = client.clone();
         Box::pin(async move {
-            member.asks();
-            let ending = *member.connections.ending.borrow();
-            let mut response = respond(&member.gateway, request, ending).await;
-            if member.connections.moving.get() {
+            client.asks();
+            let ending = *client.connections.ending.borrow();
+            let mut response = respond(&client.gateway, request, ending).await;
+            if client.connections.handing_over.get() {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            member.answered();
+            client.answered();
             Ok::<_, Infallible>(response)
         })
     });
@@ -224,15 +224,15 @@
         .half_close(true)
         .max_buf_size(READ_AHEAD)
         .serve_connection(TokioIo::new(stream), service);
-    let mut ending = member.connections.ending.subscribe();
+    let mut ending = client.connections.ending.subscribe();
     let mut go_on = std::pin::pin!(poll_fn(|context| connection.poll_without_shutdown(context)));
     let ended = tokio::select! {
         biased;
         ended = &mut go_on => Some(ended),
         () = async {
             tokio::select! {
-                () = member.told.close.notified() => {}
-                _ = ending.wait_for(|ending| *ending) => if !member.has_asked.get() {
+                () = client.signals.close.notified() => {}
+                _ = ending.wait_for(|ending| *ending) => if !client.has_asked.get() {
                     // It has only just connected: its request is on its way.
                     sleep(LAST_MOMENT).await;
                 },
@@ -250,7 +250,7 @@
             loop {
                 match timeout(LAST_MOMENT, &mut last).await {
                     Ok(ended) => break ended,
-                    Err(_) if member.in_hand.get() && Instant::now() < cut => {}
+                    Err(_) if client.is_answering.get() && Instant::now() < cut => {}
                     Err(_) => break Ok(()),
                 }
             }
@@ -267,9 +267,9 @@
 
 /// Ends the sending, so that the client takes its last answer, and drops what still comes until the client has done too,
 /// or the place is wanted.
-async fn linger(mut stream: TcpStream, member: &Member) {
-    let connections = &member.connections;
-    connections.limit.borrow_mut().lingers(member.id, Instant::now());
+async fn linger(mut stream: TcpStream, client: &ClientConnection) {
+    let connections = &client.connections;
+    connections.limit.borrow_mut().lingers(client.id, Instant::now());
     connections.changed.notify_one();
     let lingered = async {
         stream.shutdown().await?;
@@ -289,6 +289,6 @@
     // Whether the client has heard is its own affair from here on.
     tokio::select! {
         _ = timeout(LINGER_TIME, lingered) => {}
-        () = member.told.cut.notified() => {}
+        () = client.signals.cut.notified() => {}
     }
 }
--- a/crates/node/tests/common/deployments.rs
+++ b/crates/node/tests/common/deployments.rs
@@ -6,18 +6,24 @@
 
 /// What it lists: two endpoints of the kind that takes several messages in a call, two that take one.
 pub fn targets() -> Vec<Target> {
-    let places = [("s-a", "many", 1), ("s-b", "many", 1), ("s-c", "one", 2), ("s-d", "one", 3)];
-    let target = |(number, (uid, model, dest)): (usize, (&str, &str, u64))| Target {
-        uid: uid.to_owned(),
+    let listed =
+        [("s-a", "a", "many", 1), ("s-b", "a", "many", 1), ("s-c", "a", "one", 2), ("s-d", "a", "one", 3)];
+    numbered(&listed, 20.0)
+}
+
+/// Endpoints by uid, zone, kind and destination, at addresses that are numbered from port 9 on.
+fn numbered(listed: &[(&str, &str, &str, u64)], capacity_hint: f64) -> Vec<Target> {
+    let target = |(number, (uid, az, model, pod_group)): (usize, &(&str, &str, &str, u64))| Target {
+        uid: (*uid).to_owned(),
         endpoint: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
-        az: "a".to_owned(),
-        model: model.to_owned(),
-        pod_group: dest,
+        az: (*az).to_owned(),
+        model: (*model).to_owned(),
+        pod_group: *pod_group,
         state: State::InService,
-        capacity_hint: 20.0,
+        capacity_hint,
         checks: Checks::Passing,
     };
-    places.into_iter().enumerate().map(target).collect()
+    listed.iter().enumerate().map(target).collect()
 }
 
 /// The text of the configuration.
@@ -43,24 +49,14 @@
 /// Endpoints of a deployment without tenants, in two buildings: one destination that takes several messages in a call,
 /// two whose endpoints are routes apart.
 pub fn second_targets() -> Vec<Target> {
-    let places = [
+    let listed = [
         ("s-a", "a", "chains", 1),
         ("s-b", "b", "chains", 1),
         ("s-c", "a", "shops", 2),
         ("s-d", "b", "shops", 2),
         ("s-e", "b", "shops", 3),
     ];
-    let target = |(number, (uid, az, model, dest)): (usize, (&str, &str, &str, u64))| Target {
-        uid: uid.to_owned(),
-        endpoint: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
-        az: az.to_owned(),
-        model: model.to_owned(),
-        pod_group: dest,
-        state: State::InService,
-        capacity_hint: 1.0,
-        checks: Checks::Passing,
-    };
-    places.into_iter().enumerate().map(target).collect()
+    numbered(&listed, 1.0)
 }
 
 /// Its configuration: a keyed class whose repeats are dropped by building for two seconds, six attempts, no tenants.
