--- a/crates/stand-ins/src/consul.rs
+++ b/crates/stand-ins/src/consul.rs
@@ -5,6 +5,7 @@
 
 mod bodies;
 mod connection;
+mod duration;
 mod fault;
 mod http;
 mod instance;
--- a/crates/stand-ins/src/consul/http.rs
+++ b/crates/stand-ins/src/consul/http.rs
@@ -1,6 +1,7 @@
 //! The HTTP API: requests answered from the state, at once or when it has changed.
 
 use super::bodies::{self, Endless};
+use super::duration::parse_duration;
 use super::{Fault, Inner, kv};
 use crate::stage::Never;
 use bytes::Bytes;
@@ -29,7 +30,8 @@
             pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
         };
         let index = field("index").and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-        let wait = field("wait").and_then(|text| span(&text)).unwrap_or(USUAL_WAIT).min(LONGEST_WAIT);
+        let wait =
+            field("wait").and_then(|text| parse_duration(&text)).unwrap_or(USUAL_WAIT).min(LONGEST_WAIT);
         // Consul adds up to a sixteenth, so that questions do not come back together.
         let ends = Instant::now() + wait + wait / 32;
         let mut changed = self.changed.subscribe();
@@ -192,15 +194,6 @@
     }
 }
 
-/// A span as Go writes it, of one unit.
-pub(super) fn span(text: &str) -> Option<Duration> {
-    let units = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
-    units.iter().find_map(|(unit, factor)| {
-        let number: u64 = text.strip_suffix(unit)?.parse().ok()?;
-        Some(Duration::from_millis(number.checked_mul(*factor)?))
-    })
-}
-
 fn told(body: Vec<u8>, index: Option<String>, leader: bool) -> Answer {
     let mut answer = Response::builder()
         .header("Content-Type", "application/json")
--- a/crates/stand-ins/src/consul/kv.rs
+++ b/crates/stand-ins/src/consul/kv.rs
@@ -85,9 +85,9 @@
     pub(crate) fn create(&mut self, now: Instant, body: &Value) -> Result<String, String> {
         let span = |name: &str| match body.get(name).and_then(Value::as_str) {
             None | Some("") => Ok(None),
-            Some(text) => {
-                super::http::span(text).map(Some).ok_or_else(|| format!("Request decode failed: {name}"))
-            }
+            Some(text) => super::duration::parse_duration(text)
+                .map(Some)
+                .ok_or_else(|| format!("Request decode failed: {name}")),
         };
         let (ttl, lock_delay) = (span("TTL")?, span("LockDelay")?.unwrap_or(Duration::from_secs(15)));
         let deletes = body.get("Behavior").and_then(Value::as_str) == Some("delete");
