--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -3,6 +3,7 @@
 use crate::Installation;
 use crate::builtins::{FOLDER, Requests, builtins};
 use crate::forms::{ConsulForm, PolicyForm};
+use crate::ownership::OwnershipForm;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use starlark::codemap::FileSpan;
@@ -99,7 +100,8 @@
     let fault = |why: String| Fault { file: path.to_owned(), place: None, why };
     let consul = wanted(&requests, "consul", ConsulForm::settings).map_err(fault)?;
     let policy = wanted(&requests, "policy", PolicyForm::settings).map_err(fault)?;
-    Ok(Installation { consul, policy })
+    let ownership = wanted(&requests, "ownership", OwnershipForm::settings).map_err(fault)?;
+    Ok(Installation { consul, policy, ownership })
 }
 
 /// The settings that a word has asked for, if it stands in the script.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,6 +4,7 @@
 //! The last line on standard output is one JSON object. The exit status says whether all rules were kept: 0 they were,
 //! 1 one was broken, 2 the experiment could not be run.
 
+mod capacity;
 mod cold;
 mod drain;
 mod fleet;
@@ -39,10 +40,14 @@
         #[command(flatten)]
         run: Run,
     },
+    /// A child process of `capacity-control`.
+    #[command(name = capacity::control::CHILD_COMMAND, hide = true)]
+    CapacityChild,
 }
 
 /// How an experiment is run.
 #[derive(Args, Clone, Debug)]
+#[group(id = "options")]
 struct Run {
     /// Where all chance comes from.
     #[arg(long, default_value_t = 1)]
@@ -59,6 +64,12 @@
     /// Take away what the experiment is to prove: the run must fail.
     #[arg(long, alias = "unrestrained")]
     sabotage: bool,
+    /// Smaller sizes, in seconds (capacity-forwarder, capacity-control).
+    #[arg(long)]
+    quick: bool,
+    /// Memory that the experiment may use, in MB, where half of the machine's is too much (capacity-forwarder).
+    #[arg(long, value_name = "MB")]
+    memory_mb: Option<u64>,
 }
 
 impl Run {
@@ -79,7 +90,13 @@
     run: fn(&Run) -> Result<Outcome, String>,
 }
 
-const EXPERIMENTS: [Experiment; 7] = [
+const EXPERIMENTS: [Experiment; 9] = [
+    Experiment {
+        name: "capacity-forwarder",
+        shows: "one forwarder's cost by destinations listed and messages waiting, as lines, against the aims",
+        sabotage: "the list is read again along with every message",
+        run: capacity::forwarder::run,
+    },
     Experiment {
         name: "consul-drain",
         shows: "endpoints flap, drain and vanish under load: from Consul's answer to the last new call",
@@ -122,6 +139,12 @@
         sabotage: "one of ten forwarders is cut off from Consul before the change",
         run: policy::run,
     },
+    Experiment {
+        name: "capacity-control",
+        shows: "50, 150 and 450 forwarders without traffic: what control costs at rest, with changes and restarts, in losses",
+        sabotage: "each forwarder also reads all members of the fleet at each change to one of them",
+        run: capacity::control::run,
+    },
 ];
 
 fn run(name: &str, run: &Run) -> Result<bool, String> {
@@ -147,6 +170,13 @@
             }
             ExitCode::SUCCESS
         }
+        Command::CapacityChild => match capacity::control::child::run() {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                eprintln!("orchidyoke-lab: {error}");
+                ExitCode::from(2)
+            }
+        },
         Command::Run { name, run: how } => match run(&name, &how) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::FAILURE,
--- a/crates/node/src/client_api.rs
+++ b/crates/node/src/client_api.rs
@@ -2,6 +2,7 @@
 //! would submit the same [`Submission`]s and map the same [`SubmitAnswer`]s to its own responses.
 
 use crate::input::{IDEMPOTENCY_KEY, Input, Submission, SubmitAnswer, Ticket};
+use crate::ownership::Marked;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -187,6 +188,7 @@
         dest,
         time_left: (remaining * 1e6) as Micros,
         repeat: headers.get("X-Resent").is_some_and(|value| value == "1"),
+        marked: Marked::read(headers),
         body: Bytes::new(),
     })
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,9 +1,10 @@
 //! The configuration: what the platform tells a forwarder at its start.
 
 use crate::catalogue::Catalogue;
+use crate::ownership::Owners;
 use orchidyoke_core::interface::Settings;
 use orchidyoke_core::settings::{self, Names};
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::{News, bounded_news};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -21,6 +22,7 @@
     #[serde(default)]
     seed: String,
     limits: Limits,
+    #[serde(deserialize_with = "bounded_news")]
     known: News,
     #[serde(default)]
     policy_out: BTreeSet<String>,
@@ -106,6 +108,8 @@
     pub console: Option<SocketAddr>,
     /// The catalogue that tells the transport map in the place of discovery.
     pub catalogue: Option<Rc<dyn Catalogue>>,
+    /// The owners of destinations; without them this forwarder delivers everything itself.
+    pub owners: Option<Rc<dyn Owners>>,
     /// Seed of the module's chance.
     pub seed: u64,
     /// What the machine allows.
@@ -167,6 +171,7 @@
             discovery,
             console: file.console.map(|text| address("console", Some(&text), None)).transpose()?,
             catalogue: None,
+            owners: None,
             seed,
             limits: file.limits,
             known: file.known,
--- a/crates/node/src/reducer/mod.rs
+++ b/crates/node/src/reducer/mod.rs
@@ -6,6 +6,9 @@
 //! stored.
 
 mod attempts;
+mod custody;
+mod destinations;
+mod handover;
 mod hops;
 mod messages;
 mod notices;
@@ -14,34 +17,41 @@
 mod routes;
 mod stop;
 mod succession;
+mod unreported;
+mod waits;
 
 use crate::backoff::Backoff;
 use crate::catalogue::Catalogue;
 use crate::config::Config;
 use crate::figures::Figures;
 use crate::input::{Effect, Input, PolicyStatus, Receipt, SubmitAnswer, Ticket, WatchId};
+use crate::ownership::Peer;
 use crate::pool::{CallId, Pool};
 use crate::retry_after;
 use attempts::InFlightCall;
 use bytes::Bytes;
+use custody::Ownership;
+use destinations::Destinations;
+use handover::Handovers;
 use hops::Hop;
 use messages::Message;
 use notices::{Owed, Recent};
 use operators::{ByHand, Overlay};
 use orchidyoke_core::Controller;
-use orchidyoke_core::interface::{
-    Action, DestinationId, EndpointId, Event, ListForm, MessageId, Micros, Settings,
-};
+use orchidyoke_core::interface::{Action, EndpointId, Event, ListForm, MessageId, Micros, Settings};
 use orchidyoke_core::settings::Names;
 use orchidyoke_core::transport_map::{News, TransportMap};
 use orchidyoke_journal::{Entries, Generation, Record, Space, Stage, Verdict};
 use records::{Bounds, replay};
-use routes::{RouteKey, Troubled};
+use routes::Troubled;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::sync::Arc;
 use stop::Leaving;
 use succession::{Sibling, Takeover};
+use unreported::Unreported;
+use waits::Waits;
 
 const SECOND: Micros = 1_000_000;
 /// What a deferred client is told where the journal has no room: about when some messages will have ended.
@@ -66,6 +76,7 @@
 enum AfterAppend {
     TakeOn(Vec<(MessageId, Vec<Ticket>)>),
     Begin(CallId),
+    Offered(MessageId, Peer),
     Adopted(Takeover),
     Yielded,
     ByHand { ticket: Ticket, uid: String, call: ByHand },
@@ -104,9 +115,9 @@
     /// Those that it names no more.
     unlisted: BTreeSet<EndpointId>,
     /// Destinations that some list has named.
-    destinations: BTreeSet<DestinationId>,
-    hop_numbers: HashMap<String, EndpointId>,
-    waits: BTreeMap<RouteKey, Micros>,
+    destinations: Destinations,
+    hop_numbers: HashMap<Arc<str>, EndpointId>,
+    waits: Waits,
     /// Routes in trouble, as the journal has them.
     troubled: Troubled,
     /// Where discovery answers, and the address given apart from the file that it has superseded.
@@ -131,7 +142,7 @@
     stored: BTreeMap<Receipt, AfterAppend>,
     next_receipt: Receipt,
     /// Appends that something waits for, until they are reported.
-    unreported: BTreeMap<Receipt, Bytes>,
+    unreported: Unreported,
     senders: usize,
     /// Clients that connect are taken.
     takes_clients: bool,
@@ -149,6 +160,11 @@
     /// The status towards the policy of the fleet, and the endpoints that the policy leaves out.
     policy_status: PolicyStatus,
     policy_out: BTreeSet<String>,
+    /// Who owns destinations, and the messages that wait for owners.
+    ownership: Ownership,
+    /// How many forwarders share a destination's limit, as the module was told.
+    sharers: u32,
+    handovers: Handovers,
     leaving: Option<Leaving>,
     effects: Vec<Effect>,
 }
@@ -171,8 +187,10 @@
         // that. Forwarders of a release start together; those that are turned away come in turn.
         let soon = follow_soon(&settings);
         let follow_at = now + follow_pause.within(soon);
+        let ownership = Ownership::new(config.owners, now);
+        let sharers = ownership.sharers().unwrap_or(settings.fleet_size);
         let mut reducer = Reducer {
-            controller: Controller::new(settings.clone(), config.seed),
+            controller: Controller::new(Settings { fleet_size: sharers, ..settings.clone() }, config.seed),
             events: Vec::new(),
             timers: BTreeSet::new(),
             last_turn: now - settings.tick,
@@ -186,9 +204,9 @@
             hops: BTreeMap::new(),
             next_hop: 0,
             unlisted: BTreeSet::new(),
-            destinations: BTreeSet::new(),
+            destinations: Destinations::default(),
             hop_numbers: HashMap::new(),
-            waits: BTreeMap::new(),
+            waits: Waits::default(),
             troubled: left.troubled,
             discovery: config.discovery.at_start(left.superseded),
             catalogue: config.catalogue,
@@ -208,7 +226,7 @@
             space: Space::new(bounds.disk, journal_size),
             stored: BTreeMap::new(),
             next_receipt: 0,
-            unreported: BTreeMap::new(),
+            unreported: Unreported::default(),
             senders: 0,
             takes_clients: false,
             overlay: left.overlay,
@@ -220,6 +238,9 @@
             figures: Figures::default(),
             policy_status: PolicyStatus::default(),
             policy_out: config.policy_out,
+            ownership,
+            sharers,
+            handovers: Handovers::new(config.seed),
             leaving: None,
             effects: Vec::new(),
             settings,
@@ -234,11 +255,16 @@
         let known = News { all: true, ..config.known };
         // A catalogue counts versions of its own: what it told last holds until it tells more.
         let catalogued = !left.map.origin().is_empty() && reducer.catalogue.is_some();
-        let newest = if catalogued || left.map.rev() > known.rev { left.map.whole() } else { known.clone() };
+        let told_since = catalogued || left.map.rev() > known.rev;
         reducer.figures.name(&reducer.names.classes);
         reducer.take_list(now, &known, ListForm::Remembered);
-        reducer.take_list(now, &newest, ListForm::Remembered);
-        reducer.newest_rev = newest.rev;
+        drop(known);
+        if told_since {
+            reducer.take_list(now, &left.map.whole(), ListForm::Remembered);
+        }
+        reducer.newest_rev = reducer.map.rev();
+        let journaled = reducer.map == left.map;
+        drop(left.map);
         let known = reducer.troubled.iter().filter_map(|route| reducer.known(route, true, 0));
         let known: Vec<_> = known.collect();
         reducer.events.extend(known);
@@ -246,11 +272,20 @@
             reducer.heed(now, route, until);
         }
         for (taken, body) in left.taken.into_values() {
-            reducer.restore(taken, body, now);
+            // A part of the file that was read would keep all of that in memory.
+            reducer.restore(taken, Bytes::copy_from_slice(&body), now);
         }
         // Only now: an append may need a rewrite, which holds what the reducer holds.
-        let started = Record::Stage { stage: Stage::Started };
-        reducer.append(&[(&started, b""), (&Record::Map(newest), b"")], None);
+        if journaled {
+            // The list is not written again. A file that has no room for it is rewritten all the same: at a start nobody
+            // waits for that yet.
+            reducer.make_room(reducer.map.size());
+        }
+        reducer.append(&[(&Record::Stage { stage: Stage::Started }, b"")], None);
+        if !journaled {
+            let list = Record::Map(reducer.map.whole());
+            reducer.append(&[(&list, b"")], None);
+        }
         reducer
     }
 
@@ -264,9 +299,10 @@
             }
             Input::Appended { receipt, stored, size } => {
                 self.space.holds(size);
-                self.unreported.remove(&receipt);
+                self.unreported.remove(receipt);
                 match self.stored.remove(&receipt) {
-                    Some(AfterAppend::TakeOn(taken)) => self.taken_on(taken, stored),
+                    Some(AfterAppend::TakeOn(taken)) => self.taken_on(now, taken, stored),
+                    Some(AfterAppend::Offered(id, peer)) => self.offer_stored(now, id, &peer, stored),
                     Some(AfterAppend::Adopted(takeover)) => self.adopted(now, takeover, stored),
                     Some(AfterAppend::Yielded) => self.yielded(stored),
                     Some(AfterAppend::Begin(call)) => self.write(now, call, stored),
@@ -317,10 +353,13 @@
             Input::News { .. } | Input::MapLost { .. } => {}
             Input::Posted { accepted } => self.posted(now, accepted),
             Input::PolicyStatus(status) => self.policy_status = status,
+            Input::Owners(view) => self.take_owners(now, view),
+            Input::OfferEnded { id, end } => self.offer_ended(now, id, &end),
             Input::Reconfigured(config) => self.reconfigure(now, *config),
             Input::Terminate => self.terminate(now),
             Input::Alarm => self.alarm(now),
         }
+        self.hand_over_due(now);
         self.follow(now);
         self.post(now);
         self.leave(now);
@@ -329,12 +368,16 @@
 
     /// When [`Input::Alarm`] is due, if nothing else comes before.
     pub fn wake_at(&self) -> Option<Micros> {
-        let turn = (!self.events.is_empty()).then_some(self.last_turn + self.settings.tick);
+        let turn = self.has_turn().then_some(self.last_turn + self.settings.tick);
         let timer = self.timers.first().map(|(at, _)| *at);
         let post = self.owed.wake_at();
         let follow = (!self.following).then_some(self.follow_at);
+        let hand_over = self.handovers.wake_at().filter(|_| self.stage != Stage::Yielded);
         let leave = self.leaving.as_ref().map(|leaving| leaving.wake_at(self.senders));
-        [turn, timer, post, follow, leave, self.pool.reap_at(), self.warm_at()].into_iter().flatten().min()
+        [turn, timer, post, follow, hand_over, leave, self.pool.reap_at(), self.warm_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn alarm(&mut self, now: Micros) {
@@ -348,11 +391,16 @@
             self.timers.pop_first();
             self.events.push(Event::Timer { token });
         }
-        if !self.events.is_empty() && now >= self.last_turn + self.settings.tick {
+        if self.has_turn() && now >= self.last_turn + self.settings.tick {
             self.turn(now);
         }
     }
 
+    /// Whether there is something for the module to decide on, or to be taken on.
+    fn has_turn(&self) -> bool {
+        !self.events.is_empty() || !self.unadmitted.is_empty()
+    }
+
     /// Clients that connect are taken: the process before may be told to end.
     fn accept_clients(&mut self) {
         self.append(&[(&Record::Stage { stage: Stage::Ready }, b"")], None);
--- a/crates/node/src/reducer/records.rs
+++ b/crates/node/src/reducer/records.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::interface::{Micros, Settings};
 use orchidyoke_core::transport_map::TransportMap;
-use orchidyoke_journal::{Entries, Record, Stage, Taken, Verdict};
+use orchidyoke_journal::{Entries, Offered, Record, Stage, Taken, Verdict};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -93,14 +93,28 @@
                 self.taken.remove(&txn);
                 self.owed.push((txn, verdict, at));
             }
-            Record::Over { txn, at } => {
-                self.taken.remove(&txn);
-                self.owed.retain(|(other, _, _)| *other != txn);
-                self.over.push((txn, at));
-                if self.over.len() > 2 * OVER_KEPT {
-                    self.over.drain(..OVER_KEPT);
+            Record::Over { txn, at } => self.end(txn, at),
+            Record::Offered { txn, to, at } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.custody.offered.get_or_insert(Offered { to, at });
                 }
             }
+            Record::Declined { txn } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.custody.offered = None;
+                }
+            }
+            Record::Unresolved { txn } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.count_offer_as_attempt();
+                }
+            }
+            Record::Kept { txn } => {
+                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    taken.custody.kept = true;
+                }
+            }
+            Record::HandedOver { txn, at, .. } => self.end(txn, at),
             Record::Map(news) => self.map.take(&news),
             Record::Superseded { discovery } => self.superseded = Some(discovery),
             Record::ByHand { uid, at, out } => {
@@ -117,6 +131,16 @@
             }
         }
     }
+
+    /// Nothing more is owed for this message.
+    fn end(&mut self, txn: String, at: Micros) {
+        self.taken.remove(&txn);
+        self.owed.retain(|(other, _, _)| *other != txn);
+        self.over.push((txn, at));
+        if self.over.len() > 2 * OVER_KEPT {
+            self.over.drain(..OVER_KEPT);
+        }
+    }
 }
 
 impl Reducer {
@@ -124,12 +148,7 @@
     pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
-        // What has yielded is read by the successor as it grows, and stays as it is.
-        let live = self.live_size();
-        let fits = self.siblings.is_empty() || self.space.fits(live);
-        if self.stage != Stage::Yielded && fits && self.space.is_short(live, bytes.len()) {
-            self.rewrite();
-        }
+        self.make_room(bytes.len());
         self.next_receipt += 1;
         // Beside other processes there may be no room: then only what has to be written is.
         let may_wait = matches!(
@@ -138,7 +157,9 @@
         );
         let refused = may_wait && !self.siblings.is_empty() && !self.space.takes(bytes.len());
         // What a begun attempt changes is in the state at once.
-        let waits = then.as_ref().is_some_and(|then| !matches!(then, AfterAppend::Begin(_)));
+        let waits = then
+            .as_ref()
+            .is_some_and(|then| !matches!(then, AfterAppend::Begin(_) | AfterAppend::Offered(..)));
         if let Some(then) = then {
             self.stored.insert(self.next_receipt, then);
         }
@@ -153,6 +174,16 @@
         self.effects.push(Effect::Append { receipt: self.next_receipt, bytes });
     }
 
+    /// Rewrites the file where later there would be no room to do it, with so many bytes more in it.
+    pub(super) fn make_room(&mut self, more: usize) {
+        // What has yielded is read by the successor as it grows, and stays as it is.
+        let live = self.live_size();
+        let fits = self.siblings.is_empty() || self.space.fits(live);
+        if self.stage != Stage::Yielded && fits && self.space.is_short(live, more) {
+            self.rewrite();
+        }
+    }
+
     pub(super) fn rewrite(&mut self) {
         let all = self.snapshot();
         self.space.holds(all.len());
@@ -164,8 +195,8 @@
         // Counted as it comes and goes: this is asked for with each append.
         debug_assert_eq!(self.live, self.messages.values().map(Message::size).sum::<usize>());
         let known = self.map.size() + self.known_routes_size() + 300;
-        let unreported = self.unreported.values().map(Bytes::len).sum::<usize>();
-        unreported + self.live + self.owed.bytes() + self.recent.bytes() + self.overlay.bytes() + known
+        let ended = self.owed.bytes() + self.recent.bytes();
+        self.unreported.bytes() + self.live + ended + self.overlay.bytes() + known
     }
 
     /// All that still counts.
@@ -191,10 +222,11 @@
         }
         for message in self.messages.values().filter(|m| m.stored) {
             Record::Taken(message.taken.clone()).encode(&message.body, &mut bytes);
+            message.taken.custody_records().iter().for_each(|record| record.encode(b"", &mut bytes));
         }
         // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
         // that it went to is gone with the rewrite.
-        self.unreported.values().for_each(|appended| bytes.extend_from_slice(appended));
+        self.unreported.iter().for_each(|appended| bytes.extend_from_slice(appended));
         bytes.freeze()
     }
 }
--- a/crates/node/tests/reducer_submissions.rs
+++ b/crates/node/tests/reducer_submissions.rs
@@ -10,6 +10,7 @@
 use orchidyoke_journal::Verdict;
 use orchidyoke_node::config::Config;
 use orchidyoke_node::input::{Effect, Input, Submission, SubmitAnswer};
+use orchidyoke_node::ownership::Marked;
 use orchidyoke_node::reducer::Reducer;
 
 // Guards against a crash or a lost message when the folder is full: what does not fit is deferred.
@@ -64,8 +65,17 @@
         let class = shape.class(true).0.to_owned();
         let (org, key) = (org.map(str::to_owned), key.map(str::to_owned));
         let body = Bytes::from_static(b"x");
-        let message =
-            Submission { txn: "a".to_owned(), class, org, key, dest: 2, time_left: S, repeat: false, body };
+        let message = Submission {
+            txn: "a".to_owned(),
+            class,
+            org,
+            key,
+            dest: 2,
+            time_left: S,
+            repeat: false,
+            marked: Marked::No,
+            body,
+        };
         let effects = reducer.step(START, Input::Submitted { ticket: 1, message });
         let told = effects.iter().find_map(|effect| match effect {
             Effect::Answer { answer, .. } => Some(*answer),
@@ -93,8 +103,17 @@
         for ticket in 0..2 {
             let (class, body) = ("state".to_owned(), Bytes::from_static(b"x"));
             let txn = format!("m{ticket}");
-            let message =
-                Submission { txn, class, org: None, key: None, dest: 2, time_left: S, repeat: false, body };
+            let message = Submission {
+                txn,
+                class,
+                org: None,
+                key: None,
+                dest: 2,
+                time_left: S,
+                repeat: false,
+                marked: Marked::No,
+                body,
+            };
             for effect in reducer.step(START, Input::Submitted { ticket, message }) {
                 if let Effect::Answer { ticket: 1, answer } = effect {
                     told = Some(answer);
