--- a/crates/lab/src/capacity/forwarder/waiting.rs
+++ b/crates/lab/src/capacity/forwarder/waiting.rs
@@ -7,7 +7,7 @@
 use crate::capacity::error::CapacityError;
 use crate::capacity::series::{Quantity, Size};
 use bytes::BytesMut;
-use orchidyoke_journal::{Journal, Record, Taken};
+use orchidyoke_journal::{Custody, Journal, Record, Taken};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -91,6 +91,7 @@
             attempts: 0,
             ran: None,
             out: None,
+            custody: Custody::default(),
         };
         Record::Taken(taken).encode(&body, &mut bytes);
         if bytes.len() >= WRITE_BYTES {
