--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -11,7 +11,7 @@
 
 /// The header that marks a message as handed over by another forwarder. Who gets it delivers the message itself.
 pub const HANDOVER: &str = "X-Handover";
-/// Longest value of that header: names of a forwarder, an endpoint and a zone, and three numbers.
+/// Longest value of that header: names of a forwarder, an endpoint and a zone, and four numbers.
 const LONGEST_MARK: usize = 2048;
 /// The latest moment that a mark may name: sums with it overflow nothing.
 const LATEST: Micros = Micros::MAX / 2;
@@ -64,6 +64,9 @@
     pub from: String,
     /// When the message's time is up, as Unix time in microseconds.
     pub deadline: Micros,
+    /// Until when the offer holds, as Unix time in microseconds. Who reads it later may have forgotten the message's id, and
+    /// would take for new what it has delivered already.
+    pub valid_until: Micros,
     /// Attempts used up.
     pub attempts: u32,
     /// The first attempt that may have run.
@@ -87,7 +90,8 @@
     /// Whether its times are ones that a clock can show.
     fn is_sound(&self) -> bool {
         let times = 0..=LATEST;
-        times.contains(&self.deadline) && self.ran.as_ref().is_none_or(|ran| times.contains(&ran.at))
+        let bounds = times.contains(&self.deadline) && times.contains(&self.valid_until);
+        bounds && self.ran.as_ref().is_none_or(|ran| times.contains(&ran.at))
     }
 
     /// The value of the header.
--- a/crates/node/src/reducer/custody.rs
+++ b/crates/node/src/reducer/custody.rs
@@ -338,11 +338,13 @@
         };
         let taken = message.taken.clone();
         let (deadline, attempts, ran) = (taken.deadline, taken.attempts, taken.ran.clone());
+        let first_offer = taken.custody.offered.as_ref().map_or(now, |offered| offered.at);
+        let valid_until = first_offer + DOUBT_TIME;
         self.effects.push(Effect::Offer(Box::new(Offer {
             id,
             to: peer.address,
             body: message.body.clone(),
-            mark: Mark { from, deadline, attempts, ran },
+            mark: Mark { from, deadline, valid_until, attempts, ran },
             until: taken.deadline.min(now + ANSWER_TIME),
             taken,
         })));
--- a/crates/node/src/reducer/messages.rs
+++ b/crates/node/src/reducer/messages.rs
@@ -81,7 +81,10 @@
         };
         let peer = if mark.is_some() { None } else { self.ownership.peer(handed.dest) };
         let pushed_back = peer.as_ref().is_some_and(|peer| self.handovers.is_full(&peer.name));
-        let full = pushed_back || self.settings.max_open > 0 && self.messages.len() >= self.settings.max_open;
+        let late = mark.as_ref().is_some_and(|mark| mark.valid_until < now);
+        let full = late
+            || pushed_back
+            || self.settings.max_open > 0 && self.messages.len() >= self.settings.max_open;
         let reserve = self.ownership.reserve(&handed.txn);
         let cost = message_size(&handed.txn, handed.key.as_deref(), &handed.body) + reserve;
         if full || !self.space.admits(self.live_size(), cost) {
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -302,7 +302,8 @@
 }
 
 fn marked(from: &str, now: Micros) -> Marked {
-    Marked::Yes(Mark { from: from.to_owned(), deadline: now + 8 * S, attempts: 0, ran: None })
+    let (deadline, valid_until) = (now + 8 * S, now + 20 * S);
+    Marked::Yes(Mark { from: from.to_owned(), deadline, valid_until, attempts: 0, ran: None })
 }
 
 // Guards against a message that is delivered by who does not own its destination, or with less than it came with.
@@ -316,8 +317,10 @@
     assert_eq!((offer.taken.txn.as_str(), offer.taken.class.as_str(), offer.taken.dest), ("a", "bread", 1));
     assert_eq!(offer.taken.key.as_deref(), Some("key of a"));
     assert_eq!(offer.body, Bytes::from_static(b"body"));
-    let mark = Mark { from: "f0".to_owned(), deadline: START + 8 * S, attempts: 0, ran: None };
+    let (deadline, valid_until) = (START + 8 * S, offer.mark.valid_until);
+    let mark = Mark { from: "f0".to_owned(), deadline, valid_until, attempts: 0, ran: None };
     assert_eq!(offer.mark, mark);
+    assert!((START + 20 * S..=START + 21 * S).contains(&valid_until), "20 s after the first offer");
     assert!(world.offers.is_empty(), "its own is not offered");
     assert_eq!(world.written, ["own"]);
     world.end(&offer, OfferEnd::Taken);
@@ -382,7 +385,8 @@
         let mut world = World::new(class, Some(Fleet::of(1, ["f0", "f0", "f0"])));
         let ran = Some(Trace { at: START - S, uid: "s-a".to_owned(), az: "a".to_owned() });
         let deadline = world.now + 4 * S;
-        let mark = Mark { from: "f1".to_owned(), deadline, attempts: 1, ran };
+        let valid_until = world.now + 20 * S;
+        let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 1, ran };
         let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
         let answer = world.hand_in(message);
         assert_eq!(!world.written.is_empty(), is_sent, "{class:?}: {answer:?}");
@@ -394,12 +398,28 @@
 fn an_owner_holds_to_the_deadline_and_not_to_the_time_left() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let deadline = world.now - S;
-    let mark = Mark { from: "f1".to_owned(), deadline, attempts: 0, ran: None };
+    let valid_until = world.now + 20 * S;
+    let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, ran: None };
     let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
     let answer = world.hand_in(message);
     assert!(answer != SubmitAnswer::TakenOn && world.written.is_empty(), "{answer:?}");
 }
 
+// Guards against a second delivery of what a cut link brings late: the id, told as known for 30 s, may be forgotten by then.
+#[test]
+fn an_offer_that_is_read_after_its_time_is_refused() {
+    let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
+    let (deadline, valid_until) = (world.now + 8 * S, world.now - 1);
+    let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, ran: None };
+    let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+    let answer = world.hand_in(message);
+    assert!(matches!(answer, SubmitAnswer::Deferred(_)), "{answer:?}");
+    world.wait(S);
+    assert!(world.written.is_empty());
+    let message = Submission { marked: marked("f1", world.now), ..world.handed("b", 1) };
+    assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+}
+
 // Guards against a mark that is half understood, and against one that means anything where there are no owners.
 #[test]
 fn a_malformed_mark_is_refused_and_without_owners_none_counts() {
