--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -245,7 +245,10 @@
                 site.partner = Partner::new(Bearing { capacity, above, ..Bearing::default() });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
                 let setup = Setup { slots: 512, ..Setup::new(site.platform.address()) };
-                let bold = [("\"fall_multiple\":2", "\"fall_multiple\":1000000"), ("0.18", "1.0")];
+                let bold = [
+                    ("\"fall_multiple\":2", "\"fall_multiple\":1000000"),
+                    ("\"cold_from\":0.18", "\"cold_from\":1.0"),
+                ];
                 let text =
                     bold.iter().filter(|_| !restrained).fold(setup.text(), |t, (a, b)| t.replace(a, b));
                 site.folder.write("config.json", &text);
