--- a/crates/config/src/forms.rs
+++ b/crates/config/src/forms.rs
@@ -162,7 +162,7 @@
 
 impl PolicyForm {
     /// The settings, if all can be used.
-    pub(crate) fn settings(&self) -> Result<orchidyoke_epochs::Settings, String> {
+    pub(crate) fn settings(&self) -> Result<orchidyoke_policy_commit::Settings, String> {
         let addresses = addresses(&self.addresses)?;
         if addresses.is_empty() {
             return Err("addresses: is empty: say where a Consul agent or server answers".to_owned());
@@ -184,7 +184,7 @@
             namespace: self.namespace.clone(),
             ..Settings::default()
         };
-        Ok(orchidyoke_epochs::Settings { consul, prefix, name: self.name.clone(), ttl })
+        Ok(orchidyoke_policy_commit::Settings { consul, prefix, name: self.name.clone(), ttl })
     }
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -26,7 +26,7 @@
     pub consul: Option<orchidyoke_consul::Settings>,
     /// Policy epochs: what the fleet agrees on, laid over the platform's file.
     #[serde(default)]
-    pub policy: Option<orchidyoke_epochs::Settings>,
+    pub policy: Option<orchidyoke_policy_commit::Settings>,
     /// Owners of destinations: the forwarders of the fleet.
     #[serde(default)]
     pub ownership: Option<Ownership>,
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -4,7 +4,7 @@
 //! clock: [`query`] (one blocking query and its index), [`query_schedule`] (many services over few connections),
 //! [`instance_health`] (what the checks of an instance come to) and [`snapshot`] (all services, and the changes from one
 //! answer to the next). [`locks`] has sessions and locks for whoever shares work over them. [`client`] and [`tls`] are
-//! the sockets, and [`source`] puts both together as a [`Catalogue`](orchidyoke_node::catalogue::Catalogue).
+//! the sockets, and [`source`] puts both together as a [`Catalogue`](orchidyoke_forwarder::catalogue::Catalogue).
 //!
 //! The HTTP API is the published one: <https://developer.hashicorp.com/consul/api-docs/health> and
 //! <https://developer.hashicorp.com/consul/api-docs/features/blocking>.
--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -11,7 +11,7 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use orchidyoke_node::log;
+use orchidyoke_forwarder::log;
 use serde::Deserialize;
 use serde_json::json;
 use std::rc::Rc;
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -3,12 +3,12 @@
 use orchidyoke_consul::Consul as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::transport_map::{Checks, News, State, Target, TransportMap};
-use orchidyoke_node::catalogue::Catalogue;
-use orchidyoke_node::input::{Input, update_sender};
-use orchidyoke_stand_ins::Consul;
-use orchidyoke_stand_ins::certificates::Authority;
-use orchidyoke_stand_ins::consul::{Fault, Instance};
-use orchidyoke_stand_ins::forwarder::Folder;
+use orchidyoke_fakes::Consul;
+use orchidyoke_fakes::certificates::Authority;
+use orchidyoke_fakes::consul::{Fault, Instance};
+use orchidyoke_fakes::forwarder::Folder;
+use orchidyoke_forwarder::catalogue::Catalogue;
+use orchidyoke_forwarder::input::{Input, update_sender};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/lab/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -2,8 +2,8 @@
 
 use super::hollow::policy_settings;
 use super::messages::clock;
-use orchidyoke_epochs::propose::Office;
-use orchidyoke_stand_ins::{FaultProxy, Stage, loopback};
+use orchidyoke_fakes::{FaultProxy, Stage, loopback};
+use orchidyoke_policy_commit::propose::Office;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/lab/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -5,7 +5,7 @@
 
 use super::child::report;
 use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
-use orchidyoke_stand_ins::{Consul, Fault, FaultProxy, Stage, loopback};
+use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
 
--- a/crates/lab/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -1,10 +1,10 @@
 //! The destinations that a forwarder is told of: some served by a partner, some down, which refuse connections.
 
 use super::client::{LIFE_SECONDS, TENANT};
-use orchidyoke_stand_ins::Partner;
-use orchidyoke_stand_ins::forwarder::{Setup, target};
-use orchidyoke_stand_ins::loopback;
-use orchidyoke_stand_ins::partner::Bearing;
+use orchidyoke_fakes::Partner;
+use orchidyoke_fakes::forwarder::{Setup, target};
+use orchidyoke_fakes::loopback;
+use orchidyoke_fakes::partner::Bearing;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use serde_json::{Value, json};
--- a/crates/lab/src/capacity/forwarder_process.rs
+++ b/crates/experiments/src/capacity/forwarder_process.rs
@@ -4,7 +4,7 @@
 use super::process::{self, Usage};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use orchidyoke_stand_ins::forwarder::Folder;
+use orchidyoke_fakes::forwarder::Folder;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/cold.rs
+++ b/crates/experiments/src/cold.rs
@@ -4,7 +4,7 @@
 use crate::load;
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{DESTINATION, Site, progress, script, wait_until};
-use orchidyoke_stand_ins::partner::{Above, Bearing, Mode};
+use orchidyoke_fakes::partner::{Above, Bearing, Mode};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/crates/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -23,7 +23,7 @@
 
 /// Experiments on the forwarder.
 #[derive(Parser)]
-#[command(name = "orchidyoke-lab", version)]
+#[command(name = "orchidyoke-experiments", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -173,7 +173,7 @@
         Command::CapacityChild => match capacity::control::child::run() {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
-                eprintln!("orchidyoke-lab: {error}");
+                eprintln!("orchidyoke-experiments: {error}");
                 ExitCode::from(2)
             }
         },
@@ -181,7 +181,7 @@
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::FAILURE,
             Err(error) => {
-                eprintln!("orchidyoke-lab: {error}");
+                eprintln!("orchidyoke-experiments: {error}");
                 ExitCode::from(2)
             }
         },
--- a/crates/lab/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -4,13 +4,13 @@
 
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
-use orchidyoke_epochs::propose::Office;
-use orchidyoke_epochs::{Follower, Settings};
-use orchidyoke_node::input::Input;
-use orchidyoke_node::policy_agent::PolicyAgent;
-use orchidyoke_node::reload::Source;
-use orchidyoke_stand_ins::forwarder::{Folder, Setup};
-use orchidyoke_stand_ins::{Consul, Fault, FaultProxy, Stage, loopback};
+use orchidyoke_fakes::forwarder::{Folder, Setup};
+use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
+use orchidyoke_forwarder::input::Input;
+use orchidyoke_forwarder::policy_agent::PolicyAgent;
+use orchidyoke_forwarder::reload::Source;
+use orchidyoke_policy_commit::propose::Office;
+use orchidyoke_policy_commit::{Follower, Settings};
 use serde_json::json;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/lab/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -7,9 +7,9 @@
 
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
+use orchidyoke_fakes::Fleet;
+use orchidyoke_fakes::fleet::Load;
 use orchidyoke_rollout::fleet::{call, parse};
-use orchidyoke_stand_ins::Fleet;
-use orchidyoke_stand_ins::fleet::Load;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
--- a/crates/lab/src/silent.rs
+++ b/crates/experiments/src/silent.rs
@@ -4,8 +4,8 @@
 use crate::load::{self, Handed};
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{DESTINATION, Site, progress, script, wait_until};
-use orchidyoke_stand_ins::consul::Fault;
-use orchidyoke_stand_ins::partner::Bearing;
+use orchidyoke_fakes::consul::Fault;
+use orchidyoke_fakes::partner::Bearing;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -77,7 +77,7 @@
         }
         let kept = if undisturbed > 0.0 { share / undisturbed } else { 0.0 };
         let second =
-            |call: &orchidyoke_stand_ins::partner::Call| call.at.saturating_duration_since(start).as_secs();
+            |call: &orchidyoke_fakes::partner::Call| call.at.saturating_duration_since(start).as_secs();
         let each: Vec<f64> = (0..SPAN.as_secs())
             .map(|n| ends.calls.iter().filter(|call| call.served && second(call) == n).count() as f64)
             .collect();
--- a/crates/lab/src/site.rs
+++ b/crates/experiments/src/site.rs
@@ -2,10 +2,10 @@
 
 use crate::load::Handed;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use orchidyoke_stand_ins::consul::Instance;
-use orchidyoke_stand_ins::forwarder::{Folder, Setup};
-use orchidyoke_stand_ins::partner::{Bearing, Call};
-use orchidyoke_stand_ins::{Consul, Forwarder, Partner, Platform};
+use orchidyoke_fakes::consul::Instance;
+use orchidyoke_fakes::forwarder::{Folder, Setup};
+use orchidyoke_fakes::partner::{Bearing, Call};
+use orchidyoke_fakes::{Consul, Forwarder, Partner, Platform};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/experiments/tests/capacity.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
 
 /// The forwarder that was built beside the lab. A test of the whole workspace builds it; a test of this package alone
 /// takes the last one that was built.
--- a/crates/lab/tests/capacity_control.rs
+++ b/crates/experiments/tests/capacity_control.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
-const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
 
 fn quick(more: &[&str]) -> Output {
     let arguments = ["run", "capacity-control", "--quick"];
--- a/crates/stand-ins/tests/kv.rs
+++ b/crates/fakes/tests/kv.rs
@@ -1,7 +1,7 @@
 //! Sessions and keys of the stand-in Consul over HTTP, and the faults that writes can have.
 
-use orchidyoke_stand_ins::Consul;
-use orchidyoke_stand_ins::consul::Fault;
+use orchidyoke_fakes::Consul;
+use orchidyoke_fakes::consul::Fault;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/stand-ins/tests/proxy.rs
+++ b/crates/fakes/tests/proxy.rs
@@ -1,7 +1,7 @@
 //! The fault proxy does to a path what it is told, for new connections and for those already through it.
 //! Guards against a fault that is set but not felt: each test fails where the proxy lets bytes through as they came.
 
-use orchidyoke_stand_ins::{Fault, FaultProxy, Stage, loopback};
+use orchidyoke_fakes::{Fault, FaultProxy, Stage, loopback};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/node/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! Pauses between calls for the list: what a fleet that lost discovery in one moment does to it, and when it is back.
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_node::backoff::Backoff;
+use orchidyoke_forwarder::backoff::Backoff;
 use std::collections::{BTreeSet, VecDeque};
 
 const SECOND: Micros = 1_000_000;
--- a/crates/node/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -2,9 +2,9 @@
 //! own on real sockets; the test stands in for the reducer behind the gateway, and clients act between its steps: nothing
 //! else runs on this thread while they do.
 
-use orchidyoke_node::client_api::ClientGateway;
-use orchidyoke_node::input::{Input, SubmitAnswer, Ticket};
-use orchidyoke_node::listener::{Connections, listen};
+use orchidyoke_forwarder::client_api::ClientGateway;
+use orchidyoke_forwarder::input::{Input, SubmitAnswer, Ticket};
+use orchidyoke_forwarder::listener::{Connections, listen};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/node/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -4,9 +4,9 @@
 use super::world::World;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::transport_map::State;
-use orchidyoke_node::console;
-use orchidyoke_node::hop_call::Cause;
-use orchidyoke_node::input::Input;
+use orchidyoke_forwarder::console;
+use orchidyoke_forwarder::hop_call::Cause;
+use orchidyoke_forwarder::input::Input;
 use quickcheck::{Arbitrary, Gen};
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/node/tests/connection_limit.rs
+++ b/crates/forwarder/tests/connection_limit.rs
@@ -1,6 +1,6 @@
 //! Who of the sender side's connections has to go: the limit against a model of it, in random steps.
 
-use orchidyoke_node::connection_limit::{ConnectionId, ConnectionLimit, Eviction};
+use orchidyoke_forwarder::connection_limit::{ConnectionId, ConnectionLimit, Eviction};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/node/tests/console.rs
+++ b/crates/forwarder/tests/console.rs
@@ -1,6 +1,6 @@
-//! Tests of [`orchidyoke_node::console`].
+//! Tests of [`orchidyoke_forwarder::console`].
 
-use orchidyoke_node::console::*;
+use orchidyoke_forwarder::console::*;
 use quickcheck::{Gen, QuickCheck};
 
 // Guards against a call that is half understood, or that answers what nobody asked.
--- a/crates/node/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! Descriptors: what each part may have at once, added up.
 
-use orchidyoke_node::config::Limits;
-use orchidyoke_node::console_listener::PLACES;
+use orchidyoke_forwarder::config::Limits;
+use orchidyoke_forwarder::console_listener::PLACES;
 
 // Guards against clients that fill the descriptors and leave none for next hops, operators, or discovery when it is asked
 // again: with any limit and any number of slots that fits into it, all parts together stay within.
--- a/crates/node/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! The watch on discovery's list, on real sockets: the far end is a script that writes, waits or closes.
 
 use orchidyoke_core::transport_map::News;
-use orchidyoke_node::catalogue::UpdateSender;
-use orchidyoke_node::discovery::{Ended, follow};
+use orchidyoke_forwarder::catalogue::UpdateSender;
+use orchidyoke_forwarder::discovery::{Ended, follow};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -1,7 +1,7 @@
 //! Lists out of frames: what is handed on, what is not, and how much work it is, at the size of 100,000 entries.
 
 use orchidyoke_core::transport_map::{LARGEST_LIST, ListError, MOST_ENTRIES, News, State};
-use orchidyoke_node::list_reader::ListReader;
+use orchidyoke_forwarder::list_reader::ListReader;
 use std::fmt::Write;
 
 const LISTED: usize = 100_000;
--- a/crates/node/tests/next_hop.rs
+++ b/crates/forwarder/tests/next_hop.rs
@@ -3,10 +3,10 @@
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
-use orchidyoke_node::hop_call::{Call, Cause, HopError, Part, Progress};
-use orchidyoke_node::input::Input;
-use orchidyoke_node::next_hop::{Order, run};
-use orchidyoke_node::write_progress::WriteProgress;
+use orchidyoke_forwarder::hop_call::{Call, Cause, HopError, Part, Progress};
+use orchidyoke_forwarder::input::Input;
+use orchidyoke_forwarder::next_hop::{Order, run};
+use orchidyoke_forwarder::write_progress::WriteProgress;
 use quickcheck::{Gen, QuickCheck};
 use socket2::SockRef;
 use std::io::{Read, Write};
--- a/crates/node/tests/pool.rs
+++ b/crates/forwarder/tests/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops: the pool against a model of their far ends, in random steps.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
-use orchidyoke_node::pool::{CallId, Claim, LinkId, Pool};
+use orchidyoke_forwarder::pool::{CallId, Claim, LinkId, Pool};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/node/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -6,9 +6,9 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
+use orchidyoke_forwarder::hop_call::{Cause, HopError, Progress, Reply};
+use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::Verdict;
-use orchidyoke_node::hop_call::{Cause, HopError, Progress, Reply};
-use orchidyoke_node::input::Input;
 
 // Guards against an idle connection that closes as it is chosen being laid to the next hop, or ending a message
 // that may not be repeated: nothing was written, so the same attempt goes on a new connection.
--- a/crates/node/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -7,10 +7,10 @@
 use common::{S, START};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::transport_map::{News, State, Target};
-use orchidyoke_node::catalogue::Catalogue;
-use orchidyoke_node::config::Config;
-use orchidyoke_node::input::{Effect, Input};
-use orchidyoke_node::reducer::Reducer;
+use orchidyoke_forwarder::catalogue::Catalogue;
+use orchidyoke_forwarder::config::Config;
+use orchidyoke_forwarder::input::{Effect, Input};
+use orchidyoke_forwarder::reducer::Reducer;
 use std::rc::Rc;
 
 // Guards against a forwarder that stops, or never hears of its list again, when discovery is down.
--- a/crates/node/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -5,9 +5,9 @@
 use common::S;
 use common::world::World;
 use orchidyoke_core::transport_map::State;
-use orchidyoke_node::config::Config;
-use orchidyoke_node::console;
-use orchidyoke_node::input::Input;
+use orchidyoke_forwarder::config::Config;
+use orchidyoke_forwarder::console;
+use orchidyoke_forwarder::input::Input;
 
 // Guards against an endpoint that comes back by itself: a list that drops it and names it again, a reload and a restart
 // leave it out, and one call back undoes two out. An id that nobody has named is a no.
--- a/crates/node/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -9,12 +9,12 @@
 use common::{S, START};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_forwarder::catalogue::Catalogue;
+use orchidyoke_forwarder::config::Config;
+use orchidyoke_forwarder::input::{Effect, Following, Input, Submission};
+use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{Record, Verdict, replay};
-use orchidyoke_node::catalogue::Catalogue;
-use orchidyoke_node::config::Config;
-use orchidyoke_node::input::{Effect, Following, Input, Submission};
-use orchidyoke_node::ownership::Marked;
-use orchidyoke_node::reducer::Reducer;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
--- a/crates/node/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -7,11 +7,11 @@
 use common::steps::Step;
 use common::world::{World, reducer};
 use common::{S, START};
+use orchidyoke_forwarder::config::Config;
+use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
+use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::Verdict;
-use orchidyoke_node::config::Config;
-use orchidyoke_node::input::{Effect, Input, Submission, SubmitAnswer};
-use orchidyoke_node::ownership::Marked;
-use orchidyoke_node::reducer::Reducer;
 
 // Guards against a crash or a lost message when the folder is full: what does not fit is deferred.
 #[test]
--- a/crates/node/tests/succession.rs
+++ b/crates/forwarder/tests/succession.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use common::S;
 use common::processes::{Processes, Step};
+use orchidyoke_forwarder::hop_call::Reply;
+use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::{Record, Stage, replay};
-use orchidyoke_node::hop_call::Reply;
-use orchidyoke_node::input::Input;
 use quickcheck::{Gen, QuickCheck};
 
 // Guards against a message lost, sent by both or ended twice in an upgrade, against waits, outs and attempts that one
--- a/crates/duties/src/keeper.rs
+++ b/crates/leases/src/keeper.rs
@@ -11,7 +11,7 @@
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Row};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_node::log;
+use orchidyoke_forwarder::log;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/duties/tests/keeper.rs
+++ b/crates/leases/tests/keeper.rs
@@ -1,11 +1,11 @@
 //! Leases of several members on the stand-in Consul, over sockets.
 
 use orchidyoke_consul::Settings;
-use orchidyoke_duties::keeper::{Keeper, Member};
-use orchidyoke_duties::lease::Terms;
-use orchidyoke_duties::{Duty, Token};
-use orchidyoke_stand_ins::Consul;
-use orchidyoke_stand_ins::consul::Fault;
+use orchidyoke_fakes::Consul;
+use orchidyoke_fakes::consul::Fault;
+use orchidyoke_leases::keeper::{Keeper, Member};
+use orchidyoke_leases::lease::Terms;
+use orchidyoke_leases::{Duty, Token};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::rc::Rc;
--- a/crates/duties/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -2,9 +2,9 @@
 //! more, over every order of answers, losses, crashes, stalls and expiries within the bounds given.
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_duties::fence::Fence;
-use orchidyoke_duties::lease::{Effect, Input, Leases, Lock, Session, Terms};
-use orchidyoke_duties::{Duty, Token};
+use orchidyoke_leases::fence::Fence;
+use orchidyoke_leases::lease::{Effect, Input, Leases, Lock, Session, Terms};
+use orchidyoke_leases::{Duty, Token};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -369,7 +369,7 @@
 }
 
 #[test]
-#[ignore = "a minute on four cores: cargo test -p orchidyoke-duties --test model -- --ignored"]
+#[ignore = "a minute on four cores: cargo test -p orchidyoke-leases --test model -- --ignored"]
 fn two_duties_have_an_owner_each() {
     holds("two duties", Bounds { duties: 2, ..SMALL });
 }
--- a/crates/duties/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -1,6 +1,6 @@
 //! The hash that duties and destinations share: pinned, since members of two versions stand in one fleet.
 
-use orchidyoke_duties::rendezvous::score;
+use orchidyoke_leases::rendezvous::score;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The score as placement had it before the hash became a module of its own.
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -3,8 +3,8 @@
 //!
 //!     cargo run --release -p orchidyoke-ownership --example compare_placements
 
-use orchidyoke_duties::placement::place;
-use orchidyoke_duties::rendezvous::score;
+use orchidyoke_leases::placement::place;
+use orchidyoke_leases::rendezvous::score;
 use orchidyoke_ownership::{Member, Partition, Region, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
--- a/crates/ownership/src/view.rs
+++ b/crates/ownership/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::member::{EntryError, Member, Region};
 use orchidyoke_core::interface::DestinationId;
-use orchidyoke_duties::rendezvous;
+use orchidyoke_leases::rendezvous;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
--- a/crates/epochs/src/lib.rs
+++ b/crates/policy-commit/src/lib.rs
@@ -1,5 +1,5 @@
 //! Policy epochs: a change of policy takes hold on every forwarder of a fleet or on none, also while some are down or cut
-//! off ([docs/epochs.md](../../../docs/epochs.md)).
+//! off ([docs/policy-commit.md](../../../docs/policy-commit.md)).
 //!
 //! - [`commit_point`]: what stands at the commit point, and in what form.
 //! - [`agent`]: what a forwarder does with what it sees there; no I/O, no clock.
--- a/crates/epochs/tests/agent.rs
+++ b/crates/policy-commit/tests/agent.rs
@@ -1,7 +1,7 @@
-//! Tests of [`orchidyoke_epochs::agent`].
+//! Tests of [`orchidyoke_policy_commit::agent`].
 
-use orchidyoke_epochs::agent::{Agent, Effect, Input};
-use orchidyoke_epochs::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
+use orchidyoke_policy_commit::agent::{Agent, Effect, Input};
+use orchidyoke_policy_commit::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
 
 fn numbered(id: &str, epoch: Epoch) -> NumberedPolicy {
     NumberedPolicy::new(id.to_owned(), epoch, format!("{{\"out\": [\"{id}\"]}}"), "op".to_owned())
--- a/crates/epochs/tests/commit_point.rs
+++ b/crates/policy-commit/tests/commit_point.rs
@@ -1,7 +1,7 @@
-//! Tests of [`orchidyoke_epochs::commit_point`].
+//! Tests of [`orchidyoke_policy_commit::commit_point`].
 
 use orchidyoke_consul::locks::Row;
-use orchidyoke_epochs::commit_point::*;
+use orchidyoke_policy_commit::commit_point::*;
 use serde_json::{Value, json};
 use std::time::Duration;
 
--- a/src/bin/orchidyoke-sim/main.rs
+++ b/src/bin/orchidyoke-simulator/main.rs
@@ -117,7 +117,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("orchidyoke-sim: {problem}");
+            eprintln!("orchidyoke-simulator: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,10 +1,10 @@
 //! The command line.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use orchidyoke_node::config::{Config, ConfigError};
-use orchidyoke_node::log;
-use orchidyoke_node::reload::Source;
-use orchidyoke_node::serve::serve;
+use orchidyoke_forwarder::config::{Config, ConfigError};
+use orchidyoke_forwarder::log;
+use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::serve::serve;
 use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -114,7 +114,7 @@
 }
 
 /// Where the configuration comes from, and who follows the policy of the fleet.
-type SourceAndPolicy = (Source, Option<std::rc::Rc<dyn orchidyoke_node::policy_agent::PolicyAgent>>);
+type SourceAndPolicy = (Source, Option<std::rc::Rc<dyn orchidyoke_forwarder::policy_agent::PolicyAgent>>);
 
 impl Given {
     fn source(self) -> Result<Source, ConfigError> {
@@ -143,7 +143,7 @@
         {
             let own = || source.reread_with(|text| Ok(text.to_owned())).map(|config| config.name);
             let name = policy.name.clone().map_or_else(own, Ok)?;
-            let follower = orchidyoke_epochs::Follower::new(policy, &name, state);
+            let follower = orchidyoke_policy_commit::Follower::new(policy, &name, state);
             source.policy = Some(follower.clone());
             return Ok((source, Some(follower)));
         }
@@ -288,10 +288,10 @@
         let settings = wanted.policy.ok_or("these settings ask for no policy(...)")?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         tokio::task::LocalSet::new()
-            .block_on(&runtime, self.at(orchidyoke_epochs::propose::Office::new(settings)))
+            .block_on(&runtime, self.at(orchidyoke_policy_commit::propose::Office::new(settings)))
     }
 
-    async fn at(self, mut office: orchidyoke_epochs::propose::Office) -> Result<(), Box<dyn Error>> {
+    async fn at(self, mut office: orchidyoke_policy_commit::propose::Office) -> Result<(), Box<dyn Error>> {
         match self {
             PolicyCommand::Propose { policy, patience, by, .. } => {
                 let text =
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -3,9 +3,9 @@
 use crate::owners::StaticOwners;
 use orchidyoke_config::Installation as Wanted;
 use orchidyoke_consul::Consul;
-use orchidyoke_epochs::commit_point::{Member, Point, Vote};
-use orchidyoke_node::config::{Config, ConfigError};
-use orchidyoke_node::reload::Installation;
+use orchidyoke_forwarder::config::{Config, ConfigError};
+use orchidyoke_forwarder::reload::Installation;
+use orchidyoke_policy_commit::commit_point::{Member, Point, Vote};
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::pin::Pin;
--- a/src/owners.rs
+++ b/src/owners.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_config::Ownership;
 use orchidyoke_core::interface::DestinationId;
-use orchidyoke_node::ownership::{Owner, Owners, Peer};
+use orchidyoke_forwarder::ownership::{Owner, Owners, Peer};
 use orchidyoke_ownership::{Member, View, ViewError};
 use std::net::SocketAddr;
 
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,10 +1,10 @@
 //! The program with Consul as the source of its transport map: real sockets, a stand-in Consul, kills and reloads.
 
-use orchidyoke_stand_ins::certificates::Authority;
-use orchidyoke_stand_ins::consul::{Fault, Instance};
-use orchidyoke_stand_ins::forwarder::{Folder, Setup, hand_in, target};
-use orchidyoke_stand_ins::partner::{Above, Bearing, Call, Mode};
-use orchidyoke_stand_ins::{Consul, Forwarder, Partner, Platform};
+use orchidyoke_fakes::certificates::Authority;
+use orchidyoke_fakes::consul::{Fault, Instance};
+use orchidyoke_fakes::forwarder::{Folder, Setup, hand_in, target};
+use orchidyoke_fakes::partner::{Above, Bearing, Call, Mode};
+use orchidyoke_fakes::{Consul, Forwarder, Partner, Platform};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,9 +1,9 @@
 //! The program on a deployment of a second shape: no tenants, a keyed class whose repeats are dropped by building, routes
 //! apart, six attempts. Real processes, killed, replaced and told to end; partners are stand-ins that keep all calls.
 
-use orchidyoke_stand_ins::forwarder::{Folder, Forwarder, Setup, target};
-use orchidyoke_stand_ins::partner::{Bearing, Call, Mode, Partner};
-use orchidyoke_stand_ins::platform::Platform;
+use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
+use orchidyoke_fakes::partner::{Bearing, Call, Mode, Partner};
+use orchidyoke_fakes::platform::Platform;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,9 +1,9 @@
 //! The program itself, started, told to end and killed in the instant in which something is owed. Every wait is for
 //! something that has to come; where a span is waited for, it is one that the program keeps.
 
-use orchidyoke_stand_ins::forwarder::{Folder, Forwarder, Setup, target};
-use orchidyoke_stand_ins::partner::{Bearing, Mode, Partner};
-use orchidyoke_stand_ins::platform::Platform;
+use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
+use orchidyoke_fakes::partner::{Bearing, Mode, Partner};
+use orchidyoke_fakes::platform::Platform;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,9 +1,9 @@
 //! Real forwarders of one region whose destinations have owners, under load, with a fault proxy on each link between two of
 //! them. Every message that was taken on is followed to its one end at the partners or in the platform's notices.
 
-use orchidyoke_stand_ins::forwarder::{Folder, Forwarder, Setup, hand_in, target};
-use orchidyoke_stand_ins::partner::{Bearing, Partner};
-use orchidyoke_stand_ins::{Fault, FaultProxy, Platform, Stage, loopback};
+use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, hand_in, target};
+use orchidyoke_fakes::partner::{Bearing, Partner};
+use orchidyoke_fakes::{Fault, FaultProxy, Platform, Stage, loopback};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,8 +1,8 @@
 //! A fleet of five real forwarders under load that agree on their policy at a Consul, each over a fault proxy of its own;
 //! whoever proposes is a process too. Every message handed in is followed to its one end.
 
-use orchidyoke_stand_ins::Fault;
-use orchidyoke_stand_ins::fleet::{Fleet, Load, TTL};
+use orchidyoke_fakes::Fault;
+use orchidyoke_fakes::fleet::{Fleet, Load, TTL};
 use serde_json::json;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,7 +1,7 @@
 //! The program itself on loopback sockets, across kills and stops. The far ends are a few lines each; every
 //! wait is for something that has to come, with a long time-out only so that a failure ends.
 
-#[path = "../crates/node/tests/common/deployments.rs"]
+#[path = "../crates/forwarder/tests/common/deployments.rs"]
 mod common;
 
 use std::io::{BufRead, BufReader, Read, Write};
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,9 +1,9 @@
 //! A rollout over six real forwarders under load, the tool itself a process, a fault proxy on each path from the tool
 //! to a forwarder. Every message handed in is followed to its one end: delivered once, or told in a notice.
 
-use orchidyoke_stand_ins::fleet::{Fleet, Load};
-use orchidyoke_stand_ins::partner::Mode;
-use orchidyoke_stand_ins::{Fault, FaultProxy};
+use orchidyoke_fakes::fleet::{Fleet, Load};
+use orchidyoke_fakes::partner::Mode;
+use orchidyoke_fakes::{Fault, FaultProxy};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
--- a/tests/sim.rs
+++ b/tests/sim.rs
@@ -6,7 +6,7 @@
 const OPTIONS: &str = r#"{"az": "a", "zones": ["a", "b"], "classes": [{"credit": 1.0, "effect": "retryable", "group": "all", "hard_limit_us": 6000000, "late_share": 0.1, "name": "reading", "on_time_us": 1500000, "streamed": false, "window_us": 0}], "family_info": {"batch_by_kind": [1], "own_limits": [false], "loses_worth": "halving", "slots": 4, "toll": []}, "host_types": ["plain"], "fleet_size": 1, "limits": {"max_open": 50, "multiplex": 1, "retry_after": true, "try_limit": 4, "max_retry_after_us": 3000000, "idle_close_us": 5000000}, "registry_mode": "pushed", "rules": {"answer_slack_us": 20000, "fall_multiple": 2, "tip_after_us": 2000000, "cold_from": 0.2, "warm_within_us": 12000000}, "tick_us": 5000, "weights": "rough", "new_key": {"x": [1]}}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_orchidyoke-sim"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_orchidyoke-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
