--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::settings::{Service, Settings};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
-use orchidyoke_core::transport_map::{Checks, News, State, Target};
+use orchidyoke_core::transport_map::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -65,7 +65,7 @@
 struct Known {
     service: Service,
     heard: bool,
-    targets: BTreeMap<String, Target>,
+    targets: BTreeMap<String, EndpointEntry>,
     /// Instances that are no endpoints, as told last.
     unusable: BTreeSet<String>,
 }
@@ -74,7 +74,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Change {
     /// For the transport map, in this order.
-    pub news: Vec<News>,
+    pub news: Vec<WatchEvent>,
     /// Instances that are no endpoints and were not so before, each with its reason.
     pub unusable: Vec<String>,
 }
@@ -88,19 +88,19 @@
     services: Vec<Known>,
     /// Endpoints of the list held at the start that no service has named: they stay in use until all services of
     /// their destination are known.
-    strays: BTreeMap<String, Target>,
+    strays: BTreeMap<String, EndpointEntry>,
     /// Destinations that have had an endpoint.
     known: BTreeSet<u64>,
 }
 
 impl CatalogueSnapshot {
     /// A snapshot that goes on from the list held, whoever told that.
-    pub fn new(settings: &Settings, held: &News) -> Self {
-        let mut strays: BTreeMap<_, _> = held.targets.iter().map(|t| (t.uid.clone(), t.clone())).collect();
+    pub fn new(settings: &Settings, held: &WatchEvent) -> Self {
+        let mut strays: BTreeMap<_, _> = held.endpoints.iter().map(|t| (t.uid.clone(), t.clone())).collect();
         let known = |service: &Service| {
             let prefix = prefix(service);
-            let mine = |uid: &String, target: &mut Target| {
-                uid.starts_with(&prefix) && target.pod_group == service.destination
+            let mine = |uid: &String, target: &mut EndpointEntry| {
+                uid.starts_with(&prefix) && target.destination == service.destination
             };
             let targets = strays.extract_if(.., mine).collect();
             Known { service: service.clone(), heard: false, targets, unusable: BTreeSet::new() }
@@ -108,11 +108,11 @@
         let services = settings.services.iter().map(known).collect();
         CatalogueSnapshot {
             origin: settings.id(),
-            rev: held.rev,
+            rev: held.version,
             networks: Networks::new(&settings.networks),
             services,
             strays,
-            known: held.targets.iter().map(|target| target.pod_group).collect(),
+            known: held.endpoints.iter().map(|target| target.destination).collect(),
         }
     }
 
@@ -149,29 +149,35 @@
     }
 
     /// The changes that lead to these targets. What is gone comes first: an address may have a new owner.
-    fn changes(&mut self, service: usize, now: BTreeMap<String, Target>) -> Vec<News> {
+    fn changes(&mut self, service: usize, now: BTreeMap<String, EndpointEntry>) -> Vec<WatchEvent> {
         let destination = self.services[service].service.destination;
         let empty = !self.has_endpoints(destination);
         let known = &mut self.services[service];
         known.heard = true;
         let before = std::mem::replace(&mut known.targets, now);
         let after = &known.targets;
-        let mut gone: Vec<Target> =
+        let mut gone: Vec<EndpointEntry> =
             before.values().filter(|t| !after.contains_key(&t.uid)).cloned().collect();
-        let changed: Vec<Target> =
+        let changed: Vec<EndpointEntry> =
             after.values().filter(|t| before.get(&t.uid) != Some(t)).cloned().collect();
         gone.extend(self.strays_over(destination));
         // Gone is unfit: where the last one goes, the destination is in trouble, and comes back cold.
-        let gone =
-            gone.into_iter().map(|t| Target { state: State::Terminated, checks: Checks::Critical, ..t });
+        let gone = gone.into_iter().map(|t| EndpointEntry {
+            state: ListedState::Removed,
+            health: HealthChecks::Critical,
+            ..t
+        });
         let back = empty && self.known.contains(&destination);
         if !changed.is_empty() {
             self.known.insert(destination);
         }
         // A destination that had none for a while was away, though only the catalogue saw it: its endpoints are told
         // as unfit first, so that their good report alone does not open them.
-        let unfit = changed.iter().filter(|_| back).map(|t| Target { checks: Checks::Critical, ..t.clone() });
-        let first: Vec<Target> = gone.chain(unfit).collect();
+        let unfit = changed
+            .iter()
+            .filter(|_| back)
+            .map(|t| EndpointEntry { health: HealthChecks::Critical, ..t.clone() });
+        let first: Vec<EndpointEntry> = gone.chain(unfit).collect();
         let (first, then) =
             if back { (first, changed) } else { (first.into_iter().chain(changed).collect(), vec![]) };
         [first, then]
@@ -181,28 +187,28 @@
             .collect()
     }
 
-    fn news(&mut self, targets: Vec<Target>) -> News {
+    fn news(&mut self, targets: Vec<EndpointEntry>) -> WatchEvent {
         self.rev += 1;
-        News { rev: self.rev, all: false, targets, origin: self.origin.clone() }
+        WatchEvent { version: self.rev, is_snapshot: false, endpoints: targets, origin: self.origin.clone() }
     }
 
     fn has_endpoints(&self, destination: u64) -> bool {
         let of = |known: &&Known| known.service.destination == destination;
         self.services.iter().filter(of).any(|known| !known.targets.is_empty())
-            || self.strays.values().any(|target| target.pod_group == destination)
+            || self.strays.values().any(|target| target.destination == destination)
     }
 
     /// Strays whose time is over: those of a destination whose services are all known, and, with the first answer,
     /// those of destinations that no service stands for.
-    fn strays_over(&mut self, destination: u64) -> Vec<Target> {
+    fn strays_over(&mut self, destination: u64) -> Vec<EndpointEntry> {
         if self.strays.is_empty() {
             return Vec::new();
         }
         let followed: BTreeSet<u64> = self.services.iter().map(|known| known.service.destination).collect();
         let mut of = self.services.iter().filter(|known| known.service.destination == destination);
         let all_heard = of.all(|known| known.heard);
-        let over = |_: &String, target: &mut Target| {
-            !followed.contains(&target.pod_group) || all_heard && target.pod_group == destination
+        let over = |_: &String, target: &mut EndpointEntry| {
+            !followed.contains(&target.destination) || all_heard && target.destination == destination
         };
         self.strays.extract_if(.., over).map(|(_, target)| target).collect()
     }
@@ -219,7 +225,7 @@
 
 /// An instance as an endpoint. Its uid holds all that makes it another one: the same id on another node or at another
 /// address inherits nothing.
-fn target(service: &Service, networks: &Networks, entry: &ServiceEntry) -> Result<Target, Unusable> {
+fn target(service: &Service, networks: &Networks, entry: &ServiceEntry) -> Result<EndpointEntry, Unusable> {
     let (node, instance) = (&entry.node, &entry.service);
     let text = if instance.address.is_empty() { &node.address } else { &instance.address };
     let address: IpAddr = text.parse().map_err(|_| Unusable::Address(text.clone()))?;
@@ -230,15 +236,15 @@
     }
     let health = instance_health(entry);
     let meta = |key: &String| instance.meta.get(key).or_else(|| node.meta.get(key));
-    Ok(Target {
+    Ok(EndpointEntry {
         uid: format!("{}{}/{}@{endpoint}", prefix(service), node.node, instance.id),
-        endpoint,
-        az: service.zone_meta.as_ref().and_then(meta).unwrap_or(&service.zone).clone(),
-        model: service.kind.clone(),
-        pod_group: service.destination,
+        address: endpoint,
+        zone: service.zone_meta.as_ref().and_then(meta).unwrap_or(&service.zone).clone(),
+        kind: service.kind.clone(),
+        destination: service.destination,
         state: health.state,
         capacity_hint: service.capacity,
-        checks: health.checks,
+        health: health.checks,
     })
 }
 
@@ -246,7 +252,7 @@
 mod tests {
     use super::*;
     use crate::api::{Check, Instance, Node};
-    use orchidyoke_core::transport_map::TransportMap;
+    use orchidyoke_core::transport_map::EndpointList;
     use proptest::prelude::*;
 
     fn settings(services: &[(&str, u64)]) -> Settings {
@@ -273,12 +279,12 @@
         }
     }
 
-    fn held(targets: Vec<Target>) -> News {
-        News { rev: 7, all: true, targets, origin: String::new() }
+    fn held(targets: Vec<EndpointEntry>) -> WatchEvent {
+        WatchEvent { version: 7, is_snapshot: true, endpoints: targets, origin: String::new() }
     }
 
-    fn uids(news: &News) -> Vec<(String, State)> {
-        news.targets.iter().map(|t| (t.uid.clone(), t.state)).collect()
+    fn uids(news: &WatchEvent) -> Vec<(String, ListedState)> {
+        news.endpoints.iter().map(|t| (t.uid.clone(), t.state)).collect()
     }
 
     #[test]
@@ -289,15 +295,19 @@
         assert_eq!(
             uids(&change.news[0]),
             [
-                ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), State::Terminated),
-                ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), State::InService),
+                ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), ListedState::Removed),
+                ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), ListedState::Active),
             ]
         );
         let change = snapshot.take(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
-        assert_eq!(change.news[0].targets.len(), 2, "the same id on another node");
+        assert_eq!(change.news[0].endpoints.len(), 2, "the same id on another node");
         let both =
             [entry("n1", "web-1", "", 8001, "passing"), entry("n2", "web-1", "127.0.0.2", 8001, "passing")];
-        assert_eq!(snapshot.take(0, &both).news[0].targets.len(), 1, "one id on two nodes is two endpoints");
+        assert_eq!(
+            snapshot.take(0, &both).news[0].endpoints.len(),
+            1,
+            "one id on two nodes is two endpoints"
+        );
     }
 
     #[test]
@@ -322,13 +332,13 @@
         let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
         let mut one = entry("n1", "w", "", 80, "warning");
         one.node.meta.insert("zone".to_owned(), "b".to_owned());
-        let target = snapshot.take(0, &[one.clone()]).news[0].targets[0].clone();
+        let target = snapshot.take(0, &[one.clone()]).news[0].endpoints[0].clone();
         assert_eq!(
-            (target.az.as_str(), target.state, target.checks),
-            ("b", State::InService, Checks::Warning)
+            (target.zone.as_str(), target.state, target.health),
+            ("b", ListedState::Active, HealthChecks::Warning)
         );
         one.service.meta.insert("zone".to_owned(), "c".to_owned());
-        assert_eq!(snapshot.take(0, &[one]).news[0].targets[0].az, "c", "the instance's own comes first");
+        assert_eq!(snapshot.take(0, &[one]).news[0].endpoints[0].zone, "c", "the instance's own comes first");
     }
 
     // Guards against a partner that only the catalogue saw leave, and that gets its whole load when it is back.
@@ -338,36 +348,41 @@
         let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
         assert_eq!(snapshot.take(0, &all).news.len(), 1, "new, not back");
         let gone = snapshot.take(0, &[]).news;
-        assert!(gone[0].targets.iter().all(|t| (t.state, t.checks) == (State::Terminated, Checks::Critical)));
+        assert!(
+            gone[0]
+                .endpoints
+                .iter()
+                .all(|t| (t.state, t.health) == (ListedState::Removed, HealthChecks::Critical))
+        );
         let back = snapshot.take(0, &all).news;
-        let checks: Vec<_> = back.iter().map(|n| n.targets[0].checks).collect();
-        assert_eq!(checks, [Checks::Critical, Checks::Passing]);
-        assert!(back[0].rev < back[1].rev && back.iter().all(|n| n.targets.len() == 2));
+        let checks: Vec<_> = back.iter().map(|n| n.endpoints[0].health).collect();
+        assert_eq!(checks, [HealthChecks::Critical, HealthChecks::Passing]);
+        assert!(back[0].version < back[1].version && back.iter().all(|n| n.endpoints.len() == 2));
     }
 
     #[test]
     fn the_list_of_another_source_stays_until_its_destination_is_known() {
-        let old = |uid: &str, destination| Target {
+        let old = |uid: &str, destination| EndpointEntry {
             uid: uid.to_owned(),
-            endpoint: "127.0.0.1:9".parse().expect("an address"),
-            az: String::new(),
-            model: "one".to_owned(),
-            pod_group: destination,
-            state: State::InService,
+            address: "127.0.0.1:9".parse().expect("an address"),
+            zone: String::new(),
+            kind: "one".to_owned(),
+            destination,
+            state: ListedState::Active,
             capacity_hint: 1.0,
-            checks: Checks::Passing,
+            health: HealthChecks::Passing,
         };
         let held = held(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
         let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
-        let gone = |news: &[News]| -> Vec<String> {
-            let all = news.iter().flat_map(|n| &n.targets);
-            all.filter(|t| t.state == State::Terminated).map(|t| t.uid.clone()).collect()
+        let gone = |news: &[WatchEvent]| -> Vec<String> {
+            let all = news.iter().flat_map(|n| &n.endpoints);
+            all.filter(|t| t.state == ListedState::Removed).map(|t| t.uid.clone()).collect()
         };
         assert_eq!(gone(&snapshot.take(0, &[entry("n1", "w", "", 80, "passing")]).news), ["s3"]);
         assert_eq!(gone(&snapshot.take(1, &[]).news), ["s1"], "both services of destination 3 are known now");
         let last = snapshot.take(2, &[]).news;
         assert_eq!(
-            (gone(&last), last[0].rev),
+            (gone(&last), last[0].version),
             (vec!["s2".to_owned()], 10),
             "an authoritative nothing is obeyed"
         );
@@ -377,14 +392,14 @@
     fn a_restart_goes_on_from_what_the_same_catalogue_told() {
         let settings = settings(&[("web", 3)]);
         let (mut map, both) = (
-            TransportMap::default(),
+            EndpointList::default(),
             [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")],
         );
         let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
-        snapshot.take(0, &both).news.iter().for_each(|news| map.take(news));
-        let mut again = CatalogueSnapshot::new(&settings, &map.whole());
+        snapshot.take(0, &both).news.iter().for_each(|news| map.apply(news));
+        let mut again = CatalogueSnapshot::new(&settings, &map.snapshot());
         assert!(again.take(0, &both).news.is_empty(), "nothing has changed");
-        assert_eq!(again.take(0, &both[1..]).news[0].targets.len(), 1);
+        assert_eq!(again.take(0, &both[1..]).news[0].endpoints.len(), 1);
         assert_eq!((again.len_of(0), again.on_node("n2").count(), again.on_node("n1").count()), (1, 1, 0));
     }
 
@@ -399,7 +414,7 @@
         ) {
             let settings = settings(&[("web", 3), ("api", 4), ("more", 4)]);
             let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
-            let (mut map, mut last) = (TransportMap::default(), BTreeMap::new());
+            let (mut map, mut last) = (EndpointList::default(), BTreeMap::new());
             for (service, instances) in answers {
                 let status = ["passing", "warning", "critical"];
                 let entries: Vec<_> = instances
@@ -407,8 +422,8 @@
                     .map(|(n, i, s)| entry(&format!("n{n}"), &format!("i{i}"), "", 80 + i64::from(*i), status[usize::from(*s)]))
                     .collect();
                 for news in snapshot.take(service, &entries).news {
-                    prop_assert!(news.rev > map.rev() && !news.targets.is_empty());
-                    map.take(&news);
+                    prop_assert!(news.version > map.version() && !news.endpoints.is_empty());
+                    map.apply(&news);
                 }
                 last.insert(service, entries);
                 let mut expected = BTreeMap::new();
@@ -419,7 +434,7 @@
                         expected.insert(target.uid.clone(), target);
                     }
                 }
-                let held: BTreeMap<_, _> = map.whole().targets.into_iter().map(|t| (t.uid.clone(), t)).collect();
+                let held: BTreeMap<_, _> = map.snapshot().endpoints.into_iter().map(|t| (t.uid.clone(), t)).collect();
                 prop_assert_eq!(held, expected);
             }
         }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -8,7 +8,7 @@
 use crate::snapshot::CatalogueSnapshot;
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::WatchEvent;
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::log;
 use std::cell::RefCell;
@@ -47,7 +47,7 @@
         &self.id
     }
 
-    fn follow(&self, held: News, updates: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
+    fn follow(&self, held: WatchEvent, updates: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
         Box::pin(follow(self.settings.clone(), held, updates))
     }
 }
@@ -79,7 +79,7 @@
 }
 
 /// Runs until a worker panics; dropped, it closes all its connections.
-async fn follow(settings: Rc<Settings>, held: News, updates: UpdateSender) -> String {
+async fn follow(settings: Rc<Settings>, held: WatchEvent, updates: UpdateSender) -> String {
     let services = settings.services.len();
     // Where services take turns, two connections are for the hints that say whose turn comes first.
     let hinted = services > settings.connections;
--- a/crates/consul/tests/instance_health.rs
+++ b/crates/consul/tests/instance_health.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_consul::api::{Check, ServiceEntry, Weights};
 use orchidyoke_consul::instance_health::{DRAINING, InstanceHealth, instance_health};
-use orchidyoke_core::transport_map::{Checks, State};
+use orchidyoke_core::transport_map::{HealthChecks, ListedState};
 
 fn entry(checks: &[(&str, &str)]) -> ServiceEntry {
     let check = |(id, status): &(&str, &str)| Check {
@@ -16,20 +16,20 @@
 // Guards against a line of the table that the code reads otherwise.
 #[test]
 fn each_combination_stands_as_the_table_says() {
-    use Checks::{Critical, Passing, Warning};
-    use State::{InService, Terminating};
-    type Case = (&'static [(&'static str, &'static str)], State, Checks);
+    use HealthChecks::{Critical, Passing, Warning};
+    use ListedState::{Active, Draining};
+    type Case = (&'static [(&'static str, &'static str)], ListedState, HealthChecks);
     let cases: [Case; 10] = [
-        (&[], InService, Passing),
-        (&[("serfHealth", "passing"), ("web", "passing")], InService, Passing),
-        (&[("serfHealth", "passing"), ("web", "warning")], InService, Warning),
-        (&[("a", "warning"), ("b", "critical"), ("c", "passing")], InService, Critical),
-        (&[("serfHealth", "critical"), ("web", "passing")], InService, Critical),
-        (&[("web", "unheard-of")], InService, Critical),
-        (&[("web", "")], InService, Critical),
-        (&[("_node_maintenance", "critical"), ("web", "passing")], Terminating, Critical),
-        (&[("_service_maintenance:web-1", "critical")], Terminating, Critical),
-        (&[("_service_maintenance:web-1", "passing")], InService, Passing),
+        (&[], Active, Passing),
+        (&[("serfHealth", "passing"), ("web", "passing")], Active, Passing),
+        (&[("serfHealth", "passing"), ("web", "warning")], Active, Warning),
+        (&[("a", "warning"), ("b", "critical"), ("c", "passing")], Active, Critical),
+        (&[("serfHealth", "critical"), ("web", "passing")], Active, Critical),
+        (&[("web", "unheard-of")], Active, Critical),
+        (&[("web", "")], Active, Critical),
+        (&[("_node_maintenance", "critical"), ("web", "passing")], Draining, Critical),
+        (&[("_service_maintenance:web-1", "critical")], Draining, Critical),
+        (&[("_service_maintenance:web-1", "passing")], Active, Passing),
     ];
     for (checks, state, told) in cases {
         assert_eq!(instance_health(&entry(checks)), InstanceHealth { state, checks: told }, "{checks:?}");
@@ -38,19 +38,23 @@
 
 #[test]
 fn marks_and_weights_drain_whatever_the_checks_say() {
-    for (status, told) in [("passing", Checks::Passing), ("critical", Checks::Critical)] {
+    for (status, told) in [("passing", HealthChecks::Passing), ("critical", HealthChecks::Critical)] {
         let mut tagged = entry(&[("web", status)]);
         tagged.service.tags = vec!["v2".to_owned(), DRAINING.to_owned()];
-        assert_eq!(instance_health(&tagged), InstanceHealth { state: State::Terminating, checks: told });
+        assert_eq!(instance_health(&tagged), InstanceHealth { state: ListedState::Draining, checks: told });
         let mut meta = entry(&[("web", status)]);
         meta.service.meta.insert(DRAINING.to_owned(), "true".to_owned());
-        assert_eq!(instance_health(&meta), InstanceHealth { state: State::Terminating, checks: told });
+        assert_eq!(instance_health(&meta), InstanceHealth { state: ListedState::Draining, checks: told });
         meta.service.meta.insert(DRAINING.to_owned(), "false".to_owned());
-        assert_eq!(instance_health(&meta).state, State::InService);
+        assert_eq!(instance_health(&meta).state, ListedState::Active);
     }
     let mut weightless = entry(&[("web", "warning")]);
     weightless.service.weights = Weights { passing: 0, warning: 1 };
-    assert_eq!(instance_health(&weightless).state, State::InService, "the weight for passing does not count");
+    assert_eq!(
+        instance_health(&weightless).state,
+        ListedState::Active,
+        "the weight for passing does not count"
+    );
     weightless.service.weights = Weights { passing: 1, warning: 0 };
-    assert_eq!(instance_health(&weightless).state, State::Terminating);
+    assert_eq!(instance_health(&weightless).state, ListedState::Draining);
 }
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_consul::Consul as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
-use orchidyoke_core::transport_map::{Checks, News, State, Target, TransportMap};
+use orchidyoke_core::transport_map::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::certificates::Authority;
 use orchidyoke_fakes::consul::{Fault, Instance};
@@ -46,27 +46,27 @@
 
 /// The map as the source tells it.
 struct Seen {
-    map: TransportMap,
+    map: EndpointList,
     news: UnboundedReceiver<Input>,
 }
 
 impl Seen {
-    fn follow(settings: Settings, map: TransportMap) -> Self {
+    fn follow(settings: Settings, map: EndpointList) -> Self {
         let (inputs, news) = unbounded_channel();
-        let following = Source::new(settings).follow(map.whole(), update_sender(1, inputs));
+        let following = Source::new(settings).follow(map.snapshot(), update_sender(1, inputs));
         spawn_local(following);
         Seen { map, news }
     }
 
-    fn states(&self) -> Vec<(String, State, Checks)> {
-        let name = |target: &Target| target.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
-        self.map.whole().targets.iter().map(|t| (name(t), t.state, t.checks)).collect()
+    fn states(&self) -> Vec<(String, ListedState, HealthChecks)> {
+        let name = |target: &EndpointEntry| target.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
+        self.map.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
     }
 
     fn take(&mut self, input: Input) {
-        let Input::News { news, .. } = input else { panic!("news only") };
-        assert!(!news.all && news.rev > self.map.rev());
-        self.map.take(&news);
+        let Input::WatchEvent { event: news, .. } = input else { panic!("news only") };
+        assert!(!news.is_snapshot && news.version > self.map.version());
+        self.map.apply(&news);
     }
 
     /// Waits until the map holds so many endpoints.
@@ -80,7 +80,7 @@
     }
 
     /// Waits until an endpoint stands so.
-    async fn stands(&mut self, id: &str, state: State, checks: Checks) {
+    async fn stands(&mut self, id: &str, state: ListedState, checks: HealthChecks) {
         while !self.states().contains(&(id.to_owned(), state, checks)) {
             let news = timeout(PATIENCE, self.news.recv()).await;
             self.take(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
@@ -107,7 +107,7 @@
     for number in 1..=count {
         consul.register(web(&format!("w{number}"), 8000 + number));
     }
-    let mut seen = Seen::follow(settings(&consul), TransportMap::default());
+    let mut seen = Seen::follow(settings(&consul), EndpointList::default());
     seen.holds(usize::from(count)).await;
     (consul, seen)
 }
@@ -126,19 +126,19 @@
     run(async {
         let (consul, mut seen) = followed(2).await;
         consul.status("n1", "w1", "critical");
-        seen.stands("w1", State::InService, Checks::Critical).await;
+        seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
         consul.tag("n1", "w1", "draining", true);
-        seen.stands("w1", State::Terminating, Checks::Critical).await;
+        seen.stands("w1", ListedState::Draining, HealthChecks::Critical).await;
         consul.tag("n1", "w1", "draining", false);
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", State::InService, Checks::Warning).await;
+        seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
         consul.maintenance("n1", "w2", true);
-        seen.stands("w2", State::Terminating, Checks::Critical).await;
+        seen.stands("w2", ListedState::Draining, HealthChecks::Critical).await;
         consul.maintenance("n1", "w2", false);
-        seen.stands("w2", State::InService, Checks::Passing).await;
+        seen.stands("w2", ListedState::Active, HealthChecks::Passing).await;
         consul.node_check("n1", "serfHealth", Some("critical"));
-        seen.stands("w1", State::InService, Checks::Critical).await;
-        seen.stands("w2", State::InService, Checks::Critical).await;
+        seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
+        seen.stands("w2", ListedState::Active, HealthChecks::Critical).await;
         consul.node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
         seen.holds(1).await;
@@ -165,7 +165,7 @@
             );
             assert_eq!(seen.map.len(), 2, "{fault:?}");
             consul.fault(Fault::None);
-            seen.stands("w3", State::InService, Checks::Passing).await;
+            seen.stands("w3", ListedState::Active, HealthChecks::Passing).await;
             seen.holds(2).await;
         });
     }
@@ -188,7 +188,7 @@
                 max_stale: Duration::from_secs(1),
                 ..settings(&cut_off)
             };
-            let mut seen = Seen::follow(settings, TransportMap::default());
+            let mut seen = Seen::follow(settings, EndpointList::default());
             seen.holds(2).await;
             cut_off.fault(Fault::Behind(behind));
             if counts {
@@ -224,7 +224,7 @@
             let (cut_off, other) = (Consul::start(), Consul::start());
             let addresses = vec![cut_off.address(), other.address()];
             let mut seen =
-                Seen::follow(Settings { addresses, ..settings(&cut_off) }, TransportMap::default());
+                Seen::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
             cut_off.register(web("w1", 8001));
             seen.holds(1).await;
             cut_off.fault(fault.clone());
@@ -247,7 +247,7 @@
         let wait = Duration::from_secs(1);
         let addresses = vec![silent.address(), other.address()];
         let mut seen =
-            Seen::follow(Settings { addresses, wait, ..settings(&silent) }, TransportMap::default());
+            Seen::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
         seen.holds(1).await;
         silent.fault(Fault::Silent);
         other.register(web("w2", 8002));
@@ -295,7 +295,7 @@
 fn a_new_owner_of_an_address_is_a_new_endpoint() {
     run(async {
         let (consul, mut seen) = followed(1).await;
-        let uid = |seen: &Seen| seen.map.whole().targets[0].uid.clone();
+        let uid = |seen: &Seen| seen.map.snapshot().endpoints[0].uid.clone();
         let first = uid(&seen);
         consul.register(web("w1", 8009));
         while uid(&seen) == first {
@@ -310,7 +310,7 @@
         }
         consul.register(Instance::new("web", "n1", "w1", address(8009)));
         seen.holds(2).await;
-        let before = seen.map.whole().targets;
+        let before = seen.map.snapshot().endpoints;
         for (node, back) in [("n1", false), ("n2", false), ("n1", true), ("n2", true)] {
             if back {
                 consul.register(Instance::new("web", node, "w1", address(8009)));
@@ -320,7 +320,7 @@
         }
         consul.register(Instance::new("web", "n3", "w1", address(8010)));
         seen.holds(3).await;
-        assert_eq!(seen.map.whole().targets[..2], before);
+        assert_eq!(seen.map.snapshot().endpoints[..2], before);
     });
 }
 
@@ -334,7 +334,7 @@
             sleep(Duration::from_millis(1)).await;
         }
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", State::InService, Checks::Warning).await;
+        seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
         assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
     });
 }
@@ -360,7 +360,7 @@
     let settings = Settings { tls: Some(tls), token_file, ..settings(&consul) };
     run(async {
         consul.register(web("w1", 8001));
-        let mut seen = Seen::follow(settings.clone(), TransportMap::default());
+        let mut seen = Seen::follow(settings.clone(), EndpointList::default());
         seen.holds(1).await;
         consul.require(Some("second"));
         consul.register(web("w2", 8002));
@@ -434,13 +434,13 @@
                 Instance::new(&format!("s{number}"), "n1", &format!("i{number}"), address(8000 + number));
             consul.register(instance);
         }
-        let mut seen = Seen::follow(settings, TransportMap::default());
+        let mut seen = Seen::follow(settings, EndpointList::default());
         seen.holds(all.len()).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
             consul.status("n1", &format!("i{number}"), "critical");
-            seen.stands(&format!("i{number}"), State::InService, Checks::Critical).await;
+            seen.stands(&format!("i{number}"), ListedState::Active, HealthChecks::Critical).await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
         for number in &all {
@@ -461,12 +461,13 @@
         consul.deregister("n1", "w1");
         consul.fault(Fault::None);
         again.holds(0).await;
-        let other = News { rev: 4, all: true, targets: Vec::new(), origin: String::new() };
-        let mut map = TransportMap::default();
-        map.take(&other);
+        let other =
+            WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
+        let mut map = EndpointList::default();
+        map.apply(&other);
         consul.register(web("w2", 8002));
         let mut fresh = Seen::follow(settings(&consul), map);
         fresh.holds(1).await;
-        assert_eq!(fresh.map.rev(), 5, "versions go on from the list held");
+        assert_eq!(fresh.map.version(), 5, "versions go on from the list held");
     });
 }
--- a/crates/core/src/control/indexing.rs
+++ b/crates/core/src/control/indexing.rs
@@ -2,7 +2,7 @@
 //! when, is asked of the decisions, for the destinations whose state has changed or whose time has come.
 
 use super::{BUDGET_SHARE, Controller, SECOND};
-use crate::interface::{DestinationId, EndpointId, Micros, TroubledId};
+use crate::interface::{DestinationId, EndpointId, FaultyRouteId, Micros};
 use crate::route_users::RouteUsers;
 use crate::state::{CallId, Destination, Health, Rank, Route, RouteId};
 use crate::timer_queue::TimerQueue;
@@ -22,7 +22,7 @@
     pub unassessed: Vec<DestinationId>,
     pub waiting: WaitingIndex,
     /// Routes in trouble, and whether there are others since this was last asked.
-    pub troubled: BTreeSet<TroubledId>,
+    pub troubled: BTreeSet<FaultyRouteId>,
     pub troubled_changed: bool,
     /// When destinations that come back end to be in trouble.
     pub warming: TimerQueue<DestinationId>,
@@ -132,10 +132,10 @@
     fn budget_changes_at(&self, route: &Route, calls: f64) -> Option<Micros> {
         let steady = route.pushed.is_some();
         let draw = (calls < 1.0 || !steady).then_some(route.draw_at);
-        let mut spans = route.sends.iter().map(|at| at + self.set.tip_after);
+        let mut spans = route.sends.iter().map(|at| at + self.set.overload_window);
         let span = spans.find(|end| *end > self.now).filter(|_| calls >= 1.0 || !steady);
         let warmer = match route.health {
-            Health::Warming(since) if steady => Some(since + self.set.warm_within),
+            Health::Warming(since) if steady => Some(since + self.set.warm_up_time),
             Health::Warming(since) => Some(since + self.next_call_after(route, calls)),
             _ => None,
         };
@@ -145,13 +145,14 @@
     /// How long a route warms at least until its budget has grown by a whole call, or has no bounds.
     fn next_call_after(&self, route: &Route, calls: f64) -> Micros {
         let set = &self.set;
-        let warm = set.fall_multiple * route.share(self.now, set) * BUDGET_SHARE * set.tip_after as f64;
+        let warm =
+            set.overload_factor * route.share(self.now, set) * BUDGET_SHARE * set.overload_window as f64;
         let part = (calls.max(0.0).floor() + 1.0) * SECOND as f64 / warm;
-        let risen = (part - set.cold_from) / (1.0 - set.cold_from);
+        let risen = (part - set.cold_capacity_share) / (1.0 - set.cold_capacity_share);
         // A rounding error may not make it later; where nothing rises there is no such moment.
-        let rises = warm > 0.0 && set.cold_from < 1.0;
-        let most = set.warm_within as f64;
-        if rises { (risen * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2 } else { set.warm_within }
+        let rises = warm > 0.0 && set.cold_capacity_share < 1.0;
+        let most = set.warm_up_time as f64;
+        if rises { (risen * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2 } else { set.warm_up_time }
     }
 
     /// Brings the set of routes in trouble up to date with what has changed or come due.
@@ -163,7 +164,8 @@
         for id in unassessed {
             let Some(destination) = self.destinations.get(&id) else { continue };
             let places = destination.endpoints.iter().map(|e| (Some(*e), &self.endpoints[e]));
-            let apart = places.map(|(id, place)| (id, Some(place.route).filter(|_| place.kind.apart)));
+            let apart =
+                places.map(|(id, place)| (id, Some(place.route).filter(|_| place.kind.separate_routes)));
             // A destination in trouble may have no endpoint just now.
             let routes = apart.chain([(None, destination.shared)]);
             let mut ends = None;
@@ -171,7 +173,7 @@
                 let route = route.map(|route| &self.routes[route]);
                 let troubled = route.is_some_and(|route| self.is_troubled(route));
                 if let Some(Health::Warming(since)) = route.map(|r| r.health).filter(|_| troubled) {
-                    let end = since + self.set.warm_within;
+                    let end = since + self.set.warm_up_time;
                     ends = Some(ends.map_or(end, |other: Micros| other.min(end)));
                 }
                 let id = (id, endpoint);
--- a/crates/core/src/dice.rs
+++ b/crates/core/src/dice.rs
@@ -4,27 +4,27 @@
 
 /// Draws from a seed: the same seed, the same draws.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dice(fastrand::Rng);
+pub struct SeededRng(fastrand::Rng);
 
-impl Default for Dice {
+impl Default for SeededRng {
     fn default() -> Self {
-        Dice::new(0)
+        SeededRng::new(0)
     }
 }
 
-impl Dice {
+impl SeededRng {
     /// Draws that follow from `seed`.
     pub fn new(seed: u64) -> Self {
-        Dice(fastrand::Rng::with_seed(seed))
+        SeededRng(fastrand::Rng::with_seed(seed))
     }
 
     /// A part of one, from 0 up to but without 1.
-    pub fn part(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.f64()
     }
 
     /// A span up to a quarter shorter or longer, so that forwarders do not act in step.
     pub fn jitter(&mut self, span: Micros) -> Micros {
-        (span as f64 * (0.75 + 0.5 * self.part())) as Micros
+        (span as f64 * (0.75 + 0.5 * self.uniform())) as Micros
     }
 }
--- a/crates/core/src/following.rs
+++ b/crates/core/src/following.rs
@@ -1,41 +1,43 @@
 //! When to ask for the list, where it comes on request only: a subscription at the start, and another after a failure.
 //! Who hosts the module asks; the module takes the list as it comes.
 
-use crate::dice::Dice;
-use crate::interface::{Directory, ListForm, Micros, Settings};
+use crate::dice::SeededRng;
+use crate::interface::{DiscoveryMode, ListEventKind, Micros, Settings};
 
 /// First pause before the list is asked for again, doubled up to a quarter of the time allowed.
-const ASK_FIRST: Micros = 500_000;
+const FIRST_BACKOFF: Micros = 500_000;
 
 /// The list of one forwarder, as far as asking for it goes.
 #[derive(Debug)]
-pub struct Following {
+pub struct PollSchedule {
     longest: Micros,
-    ask_at: Micros,
+    poll_at: Micros,
     failures: u32,
-    dice: Dice,
+    dice: SeededRng,
 }
 
-impl Following {
+impl PollSchedule {
     /// Nothing asked for yet; none where the list comes unprompted. `seed` spreads those that fail together.
     pub fn new(settings: &Settings, seed: u64) -> Option<Self> {
-        let longest = (settings.ask_every / 4).max(ASK_FIRST);
-        let new = Following { longest, ask_at: Micros::MIN, failures: 0, dice: Dice::new(seed) };
-        (settings.directory == Directory::OnRequest).then_some(new)
+        let longest = (settings.max_poll_interval / 4).max(FIRST_BACKOFF);
+        let new = PollSchedule { longest, poll_at: Micros::MIN, failures: 0, dice: SeededRng::new(seed) };
+        (settings.discovery_mode == DiscoveryMode::Poll).then_some(new)
     }
 
     /// News has come, or a failure.
-    pub fn take(&mut self, now: Micros, form: ListForm) {
+    pub fn on_event(&mut self, now: Micros, form: ListEventKind) {
         match form {
-            ListForm::Failed => self.later(now),
-            ListForm::Remembered => {}
-            ListForm::Changes | ListForm::Whole => (self.ask_at, self.failures) = (Micros::MAX, 0),
+            ListEventKind::Failed => self.later(now),
+            ListEventKind::Restored => {}
+            ListEventKind::Delta | ListEventKind::Snapshot => {
+                (self.poll_at, self.failures) = (Micros::MAX, 0)
+            }
         }
     }
 
     /// Whether to ask now; without an answer it is asked for once more.
-    pub fn asks(&mut self, now: Micros) -> bool {
-        let due = now >= self.ask_at;
+    pub fn should_poll(&mut self, now: Micros) -> bool {
+        let due = now >= self.poll_at;
         if due {
             self.later(now);
         }
@@ -43,14 +45,14 @@
     }
 
     /// When to look next.
-    pub fn wake_at(&self) -> Micros {
-        self.ask_at
+    pub fn next_poll_at(&self) -> Micros {
+        self.poll_at
     }
 
     fn later(&mut self, now: Micros) {
-        let pause = (ASK_FIRST << self.failures.min(6)).min(self.longest);
+        let pause = (FIRST_BACKOFF << self.failures.min(6)).min(self.longest);
         self.failures += 1;
-        self.ask_at = now + self.dice.jitter(pause);
+        self.poll_at = now + self.dice.jitter(pause);
     }
 }
 
@@ -62,20 +64,24 @@
     #[test]
     fn a_list_on_request_is_asked_for_again_in_time() {
         let every = 10_000_000;
-        let set = |directory| Settings { directory, ask_every: every, ..Settings::default() };
-        assert!(Following::new(&set(Directory::Pushed), 1).is_none());
-        let mut list = Following::new(&set(Directory::OnRequest), 1).expect("asked for");
-        assert!(list.asks(0), "at the start");
+        let set = |directory| Settings {
+            discovery_mode: directory,
+            max_poll_interval: every,
+            ..Settings::default()
+        };
+        assert!(PollSchedule::new(&set(DiscoveryMode::Push), 1).is_none());
+        let mut list = PollSchedule::new(&set(DiscoveryMode::Poll), 1).expect("asked for");
+        assert!(list.should_poll(0), "at the start");
         let (mut last, mut calls) = (0, 1);
         for now in (100_000..100_000_000).step_by(100_000) {
             assert!(now - last <= every, "never more than the time allowed between two calls");
-            if list.asks(now) {
+            if list.should_poll(now) {
                 (last, calls) = (now, calls + 1);
-                list.take(now, ListForm::Failed);
+                list.on_event(now, ListEventKind::Failed);
             }
         }
         assert!(calls > 20, "{calls} calls: asked for all the time");
-        list.take(100_000_000, ListForm::Changes);
-        assert!(!list.asks(i64::MAX - 1), "a subscription is not asked for twice");
+        list.on_event(100_000_000, ListEventKind::Delta);
+        assert!(!list.should_poll(i64::MAX - 1), "a subscription is not asked for twice");
     }
 }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -2,7 +2,7 @@
 //!
 //! Classes, tenants, zones and kinds are numbers: places in the lists of [`Settings`]. Messages, endpoints and
 //! order keys are numbers that the forwarder chooses. A number with no place in the settings is legal in an
-//! event: an unknown class is handled as [`Effect::Unsafe`] with no worth, an unknown tenant has no quota, an
+//! event: an unknown class is handled as [`Idempotency::NonIdempotent`] with no worth, an unknown tenant has no quota, an
 //! unknown zone is a zone apart, and an unknown kind is plain (no batches, endpoints not apart).
 
 /// Microseconds: a point on the forwarder's clock, or a span.
@@ -14,11 +14,11 @@
 /// A destination.
 pub type DestinationId = u64;
 /// A route in trouble: a destination, or one endpoint of it where they are routes apart.
-pub type TroubledId = (DestinationId, Option<EndpointId>);
+pub type FaultyRouteId = (DestinationId, Option<EndpointId>);
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Decay {
+pub enum WeightDecay {
     /// Evenly, down to the late share at the deadline.
     #[default]
     Linear,
@@ -28,7 +28,7 @@
 
 /// Which endpoints of a destination drop a repeat of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those in the zone of the first attempt.
@@ -39,50 +39,50 @@
 
 /// What a second delivery of a message of this class would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Effect {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// It is dropped within the group, for `window` from the send of the first attempt that may have run.
-    Keyed {
+    IdempotencyKey {
         /// Who drops it.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long.
         window: Micros,
     },
     /// Harm: the effect happens twice.
     #[default]
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Class {
     /// Delivered within this time it earns its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Given up after this time.
     pub deadline: Micros,
     /// Worth of one message.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that is left at the deadline.
-    pub late_share: f64,
+    pub late_weight_share: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Messages with one key go one at a time, in the order of their taking.
     pub keep_order: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kind {
+pub struct DestinationKind {
     /// Messages in one call at most; 1 or more.
-    pub batch: usize,
+    pub max_batch: usize,
     /// Endpoints are separate routes, each with limit, pace and outages of its own.
-    pub apart: bool,
+    pub separate_routes: bool,
 }
 
 /// What the weights of the list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Weights {
+pub enum CapacityHints {
     /// Nothing.
     #[default]
     None,
@@ -94,12 +94,12 @@
 
 /// Who starts the news of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Directory {
+pub enum DiscoveryMode {
     /// Changes arrive unprompted.
     #[default]
-    Pushed,
-    /// Only after [`Action::Watch`] or [`Action::Fetch`].
-    OnRequest,
+    Push,
+    /// Only after [`Action::Watch`] or [`Action::PollList`].
+    Poll,
 }
 
 /// What a forwarder is told at its start.
@@ -112,31 +112,31 @@
     /// Classes of messages.
     pub classes: Vec<Class>,
     /// Kinds of destinations.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
     /// Messages a second within its share, for each tenant, over all forwarders.
     pub tenant_quotas: Vec<f64>,
     /// Part of the worth that a message over its tenant's share keeps.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// How worth falls.
-    pub decay: Decay,
+    pub decay: WeightDecay,
     /// Calls out at once.
-    pub slots: usize,
+    pub max_calls: usize,
     /// Messages held at once, sent or not; 0 means any number.
-    pub max_open: usize,
+    pub max_open_messages: usize,
     /// Attempts for one message; 0 means any number.
     pub max_attempts: u32,
     /// A message may have two attempts out together.
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub allow_cancel: bool,
     /// Refused clients get pause advice.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest pause that a client follows.
     pub max_retry_after: Micros,
     /// Calls that one connection carries at once.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// An idle connection closes after this time.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// A connection not up by then has failed.
     pub connect_timeout: Micros,
     /// Points for a fresh connection, by first try.
@@ -144,48 +144,48 @@
     /// Points for an attempt into another zone, by first try.
     pub cross_zone_cost: f64,
     /// Points for a message taken on by a route apart, for each zone.
-    pub zone_fees: Vec<f64>,
+    pub zone_costs: Vec<f64>,
     /// What weights mean.
-    pub weights: Weights,
+    pub capacity_hints: CapacityHints,
     /// Who starts the news of the list.
-    pub directory: Directory,
+    pub discovery_mode: DiscoveryMode,
     /// Least time between two steps.
     pub tick: Micros,
     /// A final answer counts until this long after the deadline.
-    pub answer_slack: Micros,
+    pub final_answer_grace: Micros,
     /// Without a subscription the list must be asked for within this time; 0 means never.
-    pub ask_every: Micros,
+    pub max_poll_interval: Micros,
     /// Sends to a draining endpoint must stop within this time.
     pub drain_grace: Micros,
     /// A cold destination falls over at more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... kept up for this long.
-    pub tip_after: Micros,
+    pub overload_window: Micros,
     /// After an outage a destination has this share of its capacity or more ...
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// ... and all of it after this time.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// A key rests this long after an attempt that may still be running.
-    pub key_quiet: Micros,
+    pub key_cooldown: Micros,
 }
 
 /// What the list says of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// To be used; says nothing of its health.
-    On,
+    Active,
     /// Nothing new may go there.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// What health checks say of an endpoint, where somebody makes any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Report {
+pub enum HealthStatus {
     /// Fit, or nothing is told. By itself this opens nothing.
     #[default]
-    Fit,
+    Passing,
     /// Ailing: others go before it.
     Warning,
     /// Unfit: nothing goes there while another of its destination is fit. Where none is, calls have to show it.
@@ -194,7 +194,7 @@
 
 /// A line of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointUpdate {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// The destination that it belongs to.
@@ -204,38 +204,38 @@
     /// The kind of its destination.
     pub kind: usize,
     /// Its state.
-    pub state: Listed,
+    pub state: EndpointState,
     /// What health checks say of it.
-    pub report: Report,
-    /// See [`Settings::weights`].
-    pub weight: f64,
+    pub health: HealthStatus,
+    /// See [`Settings::capacity_hints`].
+    pub capacity_hint: f64,
 }
 
 /// What kind of news a list event is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum ListEventKind {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The whole list.
-    Whole,
+    Snapshot,
     /// The whole list as this forwarder had it last; it may be old.
-    Remembered,
+    Restored,
     /// Asking failed or the subscription broke.
     Failed,
 }
 
 /// The number of a zone that the settings do not name: each such zone is one by itself.
-pub const NO_ZONE: usize = usize::MAX;
+pub const UNKNOWN_ZONE: usize = usize::MAX;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Delivered.
-    Ok,
+    Success,
     /// Answered with an error; may have taken effect.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; may have taken effect.
     Timeout,
     /// No connection was made; never ran.
@@ -244,32 +244,32 @@
     Reset,
     /// Spoilt on the way back: an answer came that cannot be read, or a kept connection closed under the call;
     /// may have taken effect.
-    Spoilt,
+    InvalidResponse,
     /// Called off; may have taken effect.
     Cancelled,
     /// Not sent at all.
-    Moot,
+    NotSent,
 }
 
 /// How an attempt ended, and what was told with it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Answer {
+pub struct AttemptResult {
     /// The message.
     pub id: MessageId,
     /// Number of the attempt, from 0.
-    pub copy: u32,
+    pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since the send.
-    pub took: Micros,
+    pub latency: Micros,
     /// The message is over.
-    pub finished: bool,
+    pub message_finished: bool,
     /// Told to wait this long, whatever the outcome; 0: nothing told.
-    pub wait: Micros,
+    pub retry_after: Micros,
     /// Reported limit in calls a second, if any.
-    pub limit: Option<f64>,
+    pub reported_limit: Option<f64>,
     /// Reported share of the limit that is left, if any.
-    pub left: Option<f64>,
+    pub reported_remaining: Option<f64>,
 }
 
 /// What has happened.
@@ -286,52 +286,52 @@
         /// Its tenant.
         tenant: usize,
         /// Its key of order, where its class keeps one; a key that has repeats dropped is not the module's.
-        key: Option<u64>,
+        order_key: Option<u64>,
         /// Time until it is given up.
         time_left: Micros,
         /// The client marked it as a repeat.
-        repeat: bool,
+        is_retry: bool,
     },
     /// What became of a message before a restart; comes right after its [`Event::Message`].
-    History {
+    AttemptHistory {
         /// Its number.
         id: MessageId,
         /// Attempts used up.
         attempts: u32,
         /// The first attempt that may have run: how long ago, where to, and the endpoint's zone at that time.
-        may_have_run: Option<(Micros, EndpointId, usize)>,
+        possible_delivery: Option<(Micros, EndpointId, usize)>,
     },
     /// What is known of a destination from elsewhere: an earlier process of this forwarder, or an operator.
-    Known {
+    RouteState {
         /// Its number.
         destination: DestinationId,
         /// The endpoint that it is about, where they are routes apart; none: all of them.
         endpoint: Option<EndpointId>,
-        /// It is in trouble (see [`troubled`](crate::Controller::troubled)), or comes back cold.
-        out: bool,
+        /// It is in trouble (see [`faulty_routes`](crate::Controller::faulty_routes)), or comes back cold.
+        ejected: bool,
         /// It told to wait, so much longer; 0: nothing told.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// Other settings hold from now on; the list comes again right after.
     Settings(Box<Settings>),
     /// The forwarder stops: what cannot end by then is not begun.
-    Closing {
+    ShuttingDown {
         /// How long it still runs.
         time_left: Micros,
     },
     /// Nobody wants this message any more.
-    Hangup {
+    Withdrawn {
         /// Its number.
         id: MessageId,
     },
     /// An attempt has ended.
-    Outcome(Answer),
+    AttemptEnded(AttemptResult),
     /// The answer to an attempt has started to flow; the attempt is the client's from now on.
-    Started {
+    ResponseStarted {
         /// The message.
         id: MessageId,
         /// Number of the attempt.
-        copy: u32,
+        attempt: u32,
     },
     /// A timer has come due.
     Timer {
@@ -339,21 +339,21 @@
         token: u64,
     },
     /// News of the list.
-    List {
+    EndpointList {
         /// What kind of news.
-        form: ListForm,
+        kind: ListEventKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointUpdate>,
     },
     /// A probe has ended.
-    Probed {
+    HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
     },
     /// Bytes from another forwarder.
-    Peer {
+    Gossip {
         /// Its number.
         from: u32,
         /// The bytes.
@@ -374,11 +374,11 @@
         timeout: Micros,
     },
     /// End the message undelivered; the client may safely hand it in again after `pause`.
-    Refuse {
+    Reject {
         /// The message.
         id: MessageId,
         /// Advice on when to come back; 0: none.
-        pause: Micros,
+        retry_after: Micros,
     },
     /// End the message undelivered, with no promise about its effect.
     Fail {
@@ -390,7 +390,7 @@
         /// The message.
         id: MessageId,
         /// Number of the attempt.
-        copy: u32,
+        attempt: u32,
     },
     /// Ask for an [`Event::Timer`].
     Timer {
@@ -405,19 +405,19 @@
         on: bool,
     },
     /// Ask for the whole list once.
-    Fetch,
+    PollList,
     /// Send a check to an endpoint.
-    Probe {
+    HealthCheck {
         /// The endpoint.
         endpoint: EndpointId,
     },
     /// Close idle connections to an endpoint.
-    Close {
+    CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
     /// Send bytes to one forwarder, or to all.
-    Tell {
+    Gossip {
         /// Its number; `None`: all.
         to: Option<u32>,
         /// The bytes.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,6 +1,9 @@
 //! The settings JSON, as the simulator and the platform both give it, read into the module's settings.
 
-use crate::interface::{Class, Decay, Directory, Effect, Group, Kind, Settings, Weights};
+use crate::interface::{
+    CapacityHints, Class, DeduplicationScope, DestinationKind, DiscoveryMode, Idempotency, Settings,
+    WeightDecay,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize, Default)]
@@ -122,9 +125,9 @@
     });
     let family = options.family_info;
     let kinds = options.host_types.iter().enumerate();
-    let kinds = kinds.map(|(k, _)| Kind {
-        batch: family.batch_by_kind.get(k).copied().unwrap_or(1).max(1),
-        apart: family.own_limits.get(k).copied().unwrap_or(false),
+    let kinds = kinds.map(|(k, _)| DestinationKind {
+        max_batch: family.batch_by_kind.get(k).copied().unwrap_or(1).max(1),
+        separate_routes: family.own_limits.get(k).copied().unwrap_or(false),
     });
     let settings = Settings {
         fleet_size: options.fleet_size,
@@ -132,39 +135,39 @@
         classes: options.classes.iter().map(class).collect(),
         kinds: kinds.collect(),
         tenant_quotas: options.tenants.iter().map(|t| t.quota_rps).collect(),
-        over_share_worth: options.over_share_worth,
-        decay: if family.loses_worth == "halving" { Decay::Halving } else { Decay::Linear },
-        slots: family.slots,
-        max_open: options.limits.max_open,
+        over_quota_weight: options.over_share_worth,
+        decay: if family.loses_worth == "halving" { WeightDecay::Halving } else { WeightDecay::Linear },
+        max_calls: family.slots,
+        max_open_messages: options.limits.max_open,
         max_attempts: options.limits.try_limit,
-        second_copies: options.limits.second_copies,
-        may_cancel: options.limits.may_cancel,
-        retry_after: options.limits.retry_after,
+        allow_hedging: options.limits.second_copies,
+        allow_cancel: options.limits.may_cancel,
+        send_retry_after: options.limits.retry_after,
         max_retry_after: options.limits.max_retry_after_us,
-        streams: options.limits.multiplex,
-        idle_close: options.limits.idle_close_us,
+        streams_per_connection: options.limits.multiplex,
+        idle_timeout: options.limits.idle_close_us,
         connect_timeout: options.limits.dial_timeout_us,
         handshake_cost: options.costs.handshake,
         cross_zone_cost: options.costs.cross_zone,
-        zone_fees: family.toll,
-        weights: match options.weights.as_str() {
-            "nominal" => Weights::Nominal,
-            "rough" => Weights::Rough,
-            _ => Weights::None,
+        zone_costs: family.toll,
+        capacity_hints: match options.weights.as_str() {
+            "nominal" => CapacityHints::Nominal,
+            "rough" => CapacityHints::Rough,
+            _ => CapacityHints::None,
         },
-        directory: match options.registry_mode.as_str() {
-            "on_request" => Directory::OnRequest,
-            _ => Directory::Pushed,
+        discovery_mode: match options.registry_mode.as_str() {
+            "on_request" => DiscoveryMode::Poll,
+            _ => DiscoveryMode::Push,
         },
         tick: options.tick_us,
-        answer_slack: options.rules.answer_slack_us,
-        ask_every: options.rules.ask_every_us,
+        final_answer_grace: options.rules.answer_slack_us,
+        max_poll_interval: options.rules.ask_every_us,
         drain_grace: options.rules.drain_grace_us,
-        fall_multiple: options.rules.fall_multiple,
-        tip_after: options.rules.tip_after_us,
-        cold_from: options.rules.cold_from,
-        warm_within: options.rules.warm_within_us,
-        key_quiet: options.rules.key_quiet_us,
+        overload_factor: options.rules.fall_multiple,
+        overload_window: options.rules.tip_after_us,
+        cold_capacity_share: options.rules.cold_from,
+        warm_up_time: options.rules.warm_within_us,
+        key_cooldown: options.rules.key_quiet_us,
     };
     let names = Names {
         classes: options.classes.into_iter().map(|c| c.name).collect(),
@@ -177,18 +180,18 @@
 
 fn class(class: &WireClass) -> Class {
     Class {
-        aim: class.on_time_us,
+        latency_objective: class.on_time_us,
         deadline: class.hard_limit_us,
-        worth: class.credit,
-        late_share: class.late_share,
-        effect: match class.effect {
-            WireEffect::Retryable => Effect::Safe,
-            WireEffect::Fragile => Effect::Unsafe,
-            WireEffect::Dedup => Effect::Keyed {
-                group: match class.group.as_str() {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    _ => Group::Endpoint,
+        priority_weight: class.credit,
+        late_weight_share: class.late_share,
+        idempotency: match class.effect {
+            WireEffect::Retryable => Idempotency::Idempotent,
+            WireEffect::Fragile => Idempotency::NonIdempotent,
+            WireEffect::Dedup => Idempotency::IdempotencyKey {
+                scope: match class.group.as_str() {
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Endpoint,
                 },
                 window: class.window_us,
             },
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::control::UNKNOWN_USUAL;
 use crate::interface::*;
-use crate::traffic::{Bucket, Count};
+use crate::traffic::{RateEstimator, TokenBucket};
 use std::collections::{BTreeSet, VecDeque};
 use std::ops::{Deref, DerefMut};
 
@@ -63,12 +63,12 @@
     pub destination: DestinationId,
     pub route: RouteId,
     pub zone: usize,
-    pub kind: Kind,
+    pub kind: DestinationKind,
     pub usable: bool,
     /// The list names it no more.
     pub gone: bool,
     /// What health checks report, and whether they call a sister fitter.
-    pub report: Report,
+    pub report: HealthStatus,
     pub passed_over: bool,
     /// Kept from the first call on.
     pub traffic: Option<Box<EndpointTraffic>>,
@@ -140,9 +140,9 @@
     /// Health checks have left it no endpoint that is fit.
     pub unfit: bool,
     /// Calls that may go now, where the route is paced.
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// Calls served, and one to come.
-    pub served: Count,
+    pub served: RateEstimator,
     /// Kept from the first call on: most routes of a long list have had none.
     pub traffic: Option<Box<RouteTraffic>>,
 }
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -13,15 +13,15 @@
 
 /// Events counted since a moment; after [`SPAN`] half of them is forgotten.
 #[derive(Debug, Default)]
-pub struct Count {
+pub struct RateEstimator {
     events: f64,
     since: Micros,
 }
 
-impl Count {
+impl RateEstimator {
     /// A count that begins now with some events already in it.
     pub fn starting(events: f64, now: Micros) -> Self {
-        Count { events, since: now }
+        RateEstimator { events, since: now }
     }
 
     /// Events a second.
@@ -45,20 +45,20 @@
 
 /// A token bucket: what a rate lets go now. It may owe.
 #[derive(Debug, Default)]
-pub struct Bucket {
-    room: f64,
+pub struct TokenBucket {
+    available: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A bucket with so much in it now.
     pub fn starting(room: f64, now: Micros) -> Self {
-        Bucket { room, at: now }
+        TokenBucket { available: room, at: now }
     }
 
     /// What is in it, filled by `rate` a second up to `depth`.
     pub fn room(&self, now: Micros, rate: f64, depth: f64) -> f64 {
-        (self.room + rate * self.age(now)).min(depth)
+        (self.available + rate * self.age(now)).min(depth)
     }
 
     /// Seconds since something was last taken out.
@@ -68,7 +68,7 @@
 
     /// Takes out so much, be it there or not.
     pub fn take(&mut self, now: Micros, rate: f64, depth: f64, much: f64) {
-        (self.room, self.at) = (self.room(now, rate, depth) - much, now);
+        (self.available, self.at) = (self.room(now, rate, depth) - much, now);
     }
 
     /// When one is in it.
@@ -97,7 +97,7 @@
     // Guards against a rate that one event makes high, that an outage makes low, or that never forgets.
     #[test]
     fn a_rate_follows_the_traffic() {
-        let mut count = Count::starting(1.0, 0);
+        let mut count = RateEstimator::starting(1.0, 0);
         assert_eq!(count.rate(SECOND), 0.2);
         (1..=50).for_each(|second| count.add(second * SECOND));
         assert!((count.rate(50 * SECOND) - 1.0).abs() < 0.05);
@@ -111,7 +111,7 @@
     // which the bucket is still short.
     #[test]
     fn a_bucket_fills_to_its_depth_and_pays_its_debts() {
-        let mut bucket = Bucket::starting(1.0, 0);
+        let mut bucket = TokenBucket::starting(1.0, 0);
         assert_eq!(bucket.opens_at(0, 0.3), 0);
         bucket.take(0, 0.3, 2.0, 1.0);
         let opens = bucket.opens_at(0, 0.3);
--- a/crates/core/src/transport_map.rs
+++ b/crates/core/src/transport_map.rs
@@ -3,31 +3,34 @@
 mod bounds;
 mod map;
 
-pub use bounds::{LARGEST_LIST, ListError, MOST_ENTRIES, bounded_news, read_list};
-pub use map::{MapEntry, TransportMap};
+pub use bounds::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, bounded_watch_event, parse_list};
+pub use map::{EndpointList, ListedEndpoint};
 
-use crate::interface::{Listed, Report};
+use crate::interface::{EndpointState, HealthStatus};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// What the list says of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum ListedState {
     /// To be used.
-    InService,
+    #[serde(rename = "in_service")]
+    Active,
     /// Nothing new may go there.
-    Terminating,
+    #[serde(rename = "terminating")]
+    Draining,
     /// Gone; only among changes.
-    Terminated,
+    #[serde(rename = "terminated")]
+    Removed,
 }
 
-impl From<State> for Listed {
-    fn from(state: State) -> Self {
+impl From<ListedState> for EndpointState {
+    fn from(state: ListedState) -> Self {
         match state {
-            State::InService => Listed::On,
-            State::Terminating => Listed::Draining,
-            State::Terminated => Listed::Gone,
+            ListedState::Active => EndpointState::Active,
+            ListedState::Draining => EndpointState::Draining,
+            ListedState::Removed => EndpointState::Removed,
         }
     }
 }
@@ -35,7 +38,7 @@
 /// What health checks say of an endpoint; discovery tells nothing of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Checks {
+pub enum HealthChecks {
     /// All pass, or there are none.
     #[default]
     Passing,
@@ -45,19 +48,19 @@
     Critical,
 }
 
-impl Checks {
+impl HealthChecks {
     /// Whether there is nothing to tell.
     pub fn pass(&self) -> bool {
-        *self == Checks::Passing
+        *self == HealthChecks::Passing
     }
 }
 
-impl From<Checks> for Report {
-    fn from(checks: Checks) -> Self {
+impl From<HealthChecks> for HealthStatus {
+    fn from(checks: HealthChecks) -> Self {
         match checks {
-            Checks::Passing => Report::Fit,
-            Checks::Warning => Report::Warning,
-            Checks::Critical => Report::Critical,
+            HealthChecks::Passing => HealthStatus::Passing,
+            HealthChecks::Warning => HealthStatus::Warning,
+            HealthChecks::Critical => HealthStatus::Critical,
         }
     }
 }
@@ -72,33 +75,35 @@
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Target {
+pub struct EndpointEntry {
     /// The same at every forwarder, and across restarts.
     pub uid: String,
     /// Where this forwarder reaches it.
-    pub endpoint: SocketAddr,
+    #[serde(rename = "endpoint")]
+    pub address: SocketAddr,
     /// Its zone.
-    #[serde(default)]
-    pub az: String,
+    #[serde(rename = "az", default)]
+    pub zone: String,
     /// The kind of its destination.
-    #[serde(default)]
-    pub model: String,
+    #[serde(rename = "model", default)]
+    pub kind: String,
     /// Its destination.
-    pub pod_group: u64,
+    #[serde(rename = "pod_group")]
+    pub destination: u64,
     /// Whether it takes anything new.
-    pub state: State,
+    pub state: ListedState,
     /// What its destination takes, in calls a second.
     #[serde(default)]
     pub capacity_hint: f64,
     /// What health checks say of it.
-    #[serde(default, skip_serializing_if = "Checks::pass")]
-    pub checks: Checks,
+    #[serde(rename = "checks", default, skip_serializing_if = "HealthChecks::pass")]
+    pub health: HealthChecks,
 }
 
-impl Target {
+impl EndpointEntry {
     /// About the bytes of its line, never less.
     pub fn size(&self) -> usize {
-        line_size(&self.endpoint, [&self.uid, &self.az, &self.model])
+        line_size(&self.address, [&self.uid, &self.zone, &self.kind])
     }
 }
 
@@ -114,13 +119,16 @@
 
 /// The whole list, or what has changed in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchEvent {
     /// Version of the list after this news.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub version: u64,
     /// Whether this is the whole list.
-    pub all: bool,
+    #[serde(rename = "all")]
+    pub is_snapshot: bool,
     /// The entries.
-    pub targets: Vec<Target>,
+    #[serde(rename = "targets")]
+    pub endpoints: Vec<EndpointEntry>,
     /// Who told it: the id of a catalogue; empty for discovery.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub origin: String,
--- a/crates/core/src/transport_map/bounds.rs
+++ b/crates/core/src/transport_map/bounds.rs
@@ -1,21 +1,21 @@
 //! How large a list may be, and reading one within these bounds.
 
-use super::{News, Target};
+use super::{EndpointEntry, WatchEvent};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, SeqAccess, Visitor};
 use std::fmt;
 
 /// Entries of a list at most: twice the 100,000 for which the forwarder is built.
-pub const MOST_ENTRIES: usize = 200_000;
+pub const MAX_ENTRIES: usize = 200_000;
 /// Bytes of a list at most: 251 for each entry, where an ordinary one takes about 170.
-pub const LARGEST_LIST: usize = 48 << 20;
+pub const MAX_LIST_BYTES: usize = 48 << 20;
 
 /// Why a text is not taken as a list, in one line.
 #[derive(Debug)]
 pub enum ListError {
-    /// It is longer than [`LARGEST_LIST`].
+    /// It is longer than [`MAX_LIST_BYTES`].
     TooLarge,
-    /// It has more entries than [`MOST_ENTRIES`].
+    /// It has more entries than [`MAX_ENTRIES`].
     TooManyEntries,
     /// It is no list, or not a whole one.
     Malformed(serde_json::Error),
@@ -24,8 +24,8 @@
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ListError::TooLarge => write!(f, "a list of more than {} MiB", LARGEST_LIST >> 20),
-            ListError::TooManyEntries => write!(f, "a list of more than {MOST_ENTRIES} entries"),
+            ListError::TooLarge => write!(f, "a list of more than {} MiB", MAX_LIST_BYTES >> 20),
+            ListError::TooManyEntries => write!(f, "a list of more than {MAX_ENTRIES} entries"),
             ListError::Malformed(error) => error.fmt(f),
         }
     }
@@ -38,12 +38,12 @@
 /// # Errors
 ///
 /// The text is no list, or one beyond the bounds.
-pub fn read_list(text: &[u8]) -> Result<News, ListError> {
-    if text.len() > LARGEST_LIST {
+pub fn parse_list(text: &[u8]) -> Result<WatchEvent, ListError> {
+    if text.len() > MAX_LIST_BYTES {
         return Err(ListError::TooLarge);
     }
     let mut deserializer = serde_json::Deserializer::from_slice(text);
-    let news = bounded_news(&mut deserializer).map_err(ListError::Malformed)?;
+    let news = bounded_watch_event(&mut deserializer).map_err(ListError::Malformed)?;
     deserializer.end().map_err(ListError::Malformed)?;
     Ok(news)
 }
@@ -52,36 +52,36 @@
 ///
 /// # Errors
 ///
-/// It is no list, or has more entries than [`MOST_ENTRIES`].
-pub fn bounded_news<'de, D: Deserializer<'de>>(deserializer: D) -> Result<News, D::Error> {
-    /// The form of [`News`], its entries counted as they are read.
+/// It is no list, or has more entries than [`MAX_ENTRIES`].
+pub fn bounded_watch_event<'de, D: Deserializer<'de>>(deserializer: D) -> Result<WatchEvent, D::Error> {
+    /// The form of [`WatchEvent`], its entries counted as they are read.
     #[derive(Deserialize)]
     struct Bounded {
         rev: u64,
         all: bool,
         #[serde(deserialize_with = "bounded_targets")]
-        targets: Vec<Target>,
+        targets: Vec<EndpointEntry>,
         #[serde(default)]
         origin: String,
     }
     let Bounded { rev, all, targets, origin } = Bounded::deserialize(deserializer)?;
-    Ok(News { rev, all, targets, origin })
+    Ok(WatchEvent { version: rev, is_snapshot: all, endpoints: targets, origin })
 }
 
-fn bounded_targets<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Target>, D::Error> {
+fn bounded_targets<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<EndpointEntry>, D::Error> {
     struct Targets;
 
     impl<'de> Visitor<'de> for Targets {
-        type Value = Vec<Target>;
+        type Value = Vec<EndpointEntry>;
 
         fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             f.write_str("a list of targets")
         }
 
-        fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Vec<Target>, A::Error> {
+        fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Vec<EndpointEntry>, A::Error> {
             let mut targets = Vec::new();
             while let Some(target) = entries.next_element()? {
-                if targets.len() == MOST_ENTRIES {
+                if targets.len() == MAX_ENTRIES {
                     return Err(A::Error::custom(ListError::TooManyEntries));
                 }
                 targets.push(target);
--- a/crates/core/src/transport_map/map.rs
+++ b/crates/core/src/transport_map/map.rs
@@ -1,6 +1,6 @@
 //! The list as it stands, in a form that is small in memory.
 
-use super::{Checks, MOST_ENTRIES, News, State, Target, line_size};
+use super::{EndpointEntry, HealthChecks, ListedState, MAX_ENTRIES, WatchEvent, line_size};
 use std::borrow::Borrow;
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -10,50 +10,50 @@
 /// About the bytes that a list takes up beside its entries, never less.
 const HEAD_SIZE: usize = 300;
 
-/// An endpoint as the map holds it: a [`Target`] whose names are shared.
+/// An endpoint as the map holds it: a [`EndpointEntry`] whose names are shared.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MapEntry {
-    /// See [`Target::uid`].
+pub struct ListedEndpoint {
+    /// See [`EndpointEntry::uid`].
     pub uid: Arc<str>,
-    /// See [`Target::endpoint`].
-    pub endpoint: SocketAddr,
-    /// See [`Target::az`].
-    pub az: Arc<str>,
-    /// See [`Target::model`].
-    pub model: Arc<str>,
-    /// See [`Target::pod_group`].
-    pub pod_group: u64,
-    /// See [`Target::capacity_hint`].
+    /// See [`EndpointEntry::address`].
+    pub address: SocketAddr,
+    /// See [`EndpointEntry::zone`].
+    pub zone: Arc<str>,
+    /// See [`EndpointEntry::kind`].
+    pub kind: Arc<str>,
+    /// See [`EndpointEntry::destination`].
+    pub destination: u64,
+    /// See [`EndpointEntry::capacity_hint`].
     pub capacity_hint: f64,
-    /// See [`Target::state`].
-    pub state: State,
-    /// See [`Target::checks`].
-    pub checks: Checks,
+    /// See [`EndpointEntry::state`].
+    pub state: ListedState,
+    /// See [`EndpointEntry::health`].
+    pub health: HealthChecks,
 }
 
-impl MapEntry {
+impl ListedEndpoint {
     /// The entry as a line of the list.
-    pub fn to_target(&self) -> Target {
-        Target {
+    pub fn to_entry(&self) -> EndpointEntry {
+        EndpointEntry {
             uid: self.uid.to_string(),
-            endpoint: self.endpoint,
-            az: self.az.to_string(),
-            model: self.model.to_string(),
-            pod_group: self.pod_group,
+            address: self.address,
+            zone: self.zone.to_string(),
+            kind: self.kind.to_string(),
+            destination: self.destination,
             state: self.state,
             capacity_hint: self.capacity_hint,
-            checks: self.checks,
+            health: self.health,
         }
     }
 
     fn size(&self) -> usize {
-        line_size(&self.endpoint, [&self.uid, &self.az, &self.model])
+        line_size(&self.address, [&self.uid, &self.zone, &self.kind])
     }
 }
 
 /// An entry in the order of the uids, which are looked up in it.
 #[derive(Clone, Debug)]
-struct ByUid(MapEntry);
+struct ByUid(ListedEndpoint);
 
 impl Borrow<str> for ByUid {
     fn borrow(&self) -> &str {
@@ -98,8 +98,8 @@
 
 /// The list as it stands.
 #[derive(Clone, Debug, Default)]
-pub struct TransportMap {
-    rev: u64,
+pub struct EndpointList {
+    version: u64,
     origin: String,
     entries: BTreeSet<ByUid>,
     /// Zones and kinds.
@@ -107,43 +107,43 @@
     size: usize,
 }
 
-impl PartialEq for TransportMap {
+impl PartialEq for EndpointList {
     fn eq(&self, other: &Self) -> bool {
-        (self.rev, &self.origin) == (other.rev, &other.origin) && self.iter().eq(other.iter())
+        (self.version, &self.origin) == (other.version, &other.origin) && self.iter().eq(other.iter())
     }
 }
 
-impl TransportMap {
+impl EndpointList {
     /// Takes in news. A target missing from a whole list is gone; one that is gone is not kept.
-    pub fn take(&mut self, news: &News) {
-        self.take_sharing(news, |uid| uid.into());
+    pub fn apply(&mut self, news: &WatchEvent) {
+        self.apply_sharing(news, |uid| uid.into());
     }
 
     /// The same, with the copies of uids that `uid_of` gives: others keep them too.
-    pub fn take_sharing(&mut self, news: &News, uid_of: impl Fn(&str) -> Arc<str>) {
-        if news.all {
-            self.take_whole(&news.targets, uid_of);
+    pub fn apply_sharing(&mut self, news: &WatchEvent, uid_of: impl Fn(&str) -> Arc<str>) {
+        if news.is_snapshot {
+            self.apply_snapshot(&news.endpoints, uid_of);
         } else {
-            self.take_changes(&news.targets, uid_of);
+            self.apply_delta(&news.endpoints, uid_of);
         }
-        self.rev = news.rev;
+        self.version = news.version;
         self.origin.clone_from(&news.origin);
     }
 
-    fn take_whole(&mut self, targets: &[Target], uid_of: impl Fn(&str) -> Arc<str>) {
+    fn apply_snapshot(&mut self, targets: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
         // Names that are in no entry any more are given up.
         (self.entries, self.names) = (BTreeSet::new(), SharedNames::default());
         // Built in one go, a tree is packed full; of two lines for one endpoint the later counts.
         let mut entries: BTreeSet<ByUid> =
             targets.iter().map(|target| ByUid(self.entry(target, &uid_of))).collect();
-        entries.retain(|entry| entry.0.state != State::Terminated);
+        entries.retain(|entry| entry.0.state != ListedState::Removed);
         self.size = entries.iter().map(|entry| entry.0.size()).sum();
         self.entries = entries;
     }
 
-    fn take_changes(&mut self, targets: &[Target], uid_of: impl Fn(&str) -> Arc<str>) {
+    fn apply_delta(&mut self, targets: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
         for target in targets {
-            let before = if target.state == State::Terminated {
+            let before = if target.state == ListedState::Removed {
                 self.entries.take(target.uid.as_str())
             } else {
                 self.size += target.size();
@@ -154,53 +154,53 @@
         }
     }
 
-    fn entry(&mut self, target: &Target, uid_of: impl Fn(&str) -> Arc<str>) -> MapEntry {
-        MapEntry {
+    fn entry(&mut self, target: &EndpointEntry, uid_of: impl Fn(&str) -> Arc<str>) -> ListedEndpoint {
+        ListedEndpoint {
             uid: uid_of(&target.uid),
-            endpoint: target.endpoint,
-            az: self.names.share(&target.az),
-            model: self.names.share(&target.model),
-            pod_group: target.pod_group,
+            address: target.address,
+            zone: self.names.share(&target.zone),
+            kind: self.names.share(&target.kind),
+            destination: target.destination,
             capacity_hint: target.capacity_hint,
             state: target.state,
-            checks: target.checks,
+            health: target.health,
         }
     }
 
-    /// Whether the list still keeps to [`MOST_ENTRIES`] with this news taken in.
-    pub fn has_room_for(&self, news: &News) -> bool {
-        let is_listed = |target: &&Target| target.state != State::Terminated;
-        if news.all {
-            return news.targets.iter().filter(is_listed).count() <= MOST_ENTRIES;
+    /// Whether the list still keeps to [`MAX_ENTRIES`] with this news taken in.
+    pub fn has_room_for(&self, news: &WatchEvent) -> bool {
+        let is_listed = |target: &&EndpointEntry| target.state != ListedState::Removed;
+        if news.is_snapshot {
+            return news.endpoints.iter().filter(is_listed).count() <= MAX_ENTRIES;
         }
         // Most changes are a few: only near the bound is it worth the while to see which are new.
-        if self.len() + news.targets.len() <= MOST_ENTRIES {
+        if self.len() + news.endpoints.len() <= MAX_ENTRIES {
             return true;
         }
-        let (listed, gone): (Vec<_>, Vec<_>) = news.targets.iter().partition(is_listed);
+        let (listed, gone): (Vec<_>, Vec<_>) = news.endpoints.iter().partition(is_listed);
         let new = listed.into_iter().filter(|target| self.get(&target.uid).is_none()).count();
         let removed = gone.into_iter().filter(|target| self.get(&target.uid).is_some()).count();
-        self.len() + new <= MOST_ENTRIES + removed
+        self.len() + new <= MAX_ENTRIES + removed
     }
 
     /// News that is older than the list held, as it is to be taken: it puts nothing into service. What the list held has
     /// drained since, or names no more, may not be sent to again on the word of an older one.
-    pub fn older(&self, mut news: News) -> News {
-        for target in &mut news.targets {
-            let serves = self.get(&target.uid).is_some_and(|held| held.state == State::InService);
-            if target.state == State::InService && !serves {
-                target.state = State::Terminating;
+    pub fn without_activations(&self, mut news: WatchEvent) -> WatchEvent {
+        for target in &mut news.endpoints {
+            let serves = self.get(&target.uid).is_some_and(|held| held.state == ListedState::Active);
+            if target.state == ListedState::Active && !serves {
+                target.state = ListedState::Draining;
             }
         }
         news
     }
 
     /// Version of the list.
-    pub fn rev(&self) -> u64 {
-        self.rev
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
-    /// Who told the list; see [`News::origin`].
+    /// Who told the list; see [`WatchEvent::origin`].
     pub fn origin(&self) -> &str {
         &self.origin
     }
@@ -221,34 +221,34 @@
     }
 
     /// An endpoint, unless it is gone.
-    pub fn get(&self, uid: &str) -> Option<&MapEntry> {
+    pub fn get(&self, uid: &str) -> Option<&ListedEndpoint> {
         self.entries.get(uid).map(|entry| &entry.0)
     }
 
     /// The endpoints, by uid.
-    pub fn iter(&self) -> impl Iterator<Item = &MapEntry> {
+    pub fn iter(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.entries.iter().map(|entry| &entry.0)
     }
 
     /// The news that makes this map the same as another: its new and changed entries, and those that it lacks as gone.
-    pub fn changes_to(&self, other: &TransportMap) -> News {
+    pub fn delta_to(&self, other: &EndpointList) -> WatchEvent {
         let gone = self.iter().filter(|entry| other.get(&entry.uid).is_none());
-        let gone = gone.map(|entry| Target { state: State::Terminated, ..entry.to_target() });
+        let gone = gone.map(|entry| EndpointEntry { state: ListedState::Removed, ..entry.to_entry() });
         let changed = other.iter().filter(|entry| self.get(&entry.uid) != Some(entry));
-        News {
-            rev: other.rev,
-            all: false,
-            targets: gone.chain(changed.map(MapEntry::to_target)).collect(),
+        WatchEvent {
+            version: other.version,
+            is_snapshot: false,
+            endpoints: gone.chain(changed.map(ListedEndpoint::to_entry)).collect(),
             origin: other.origin.clone(),
         }
     }
 
     /// The whole list as one piece of news.
-    pub fn whole(&self) -> News {
-        News {
-            rev: self.rev,
-            all: true,
-            targets: self.iter().map(MapEntry::to_target).collect(),
+    pub fn snapshot(&self) -> WatchEvent {
+        WatchEvent {
+            version: self.version,
+            is_snapshot: true,
+            endpoints: self.iter().map(ListedEndpoint::to_entry).collect(),
             origin: self.origin.clone(),
         }
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,9 +7,16 @@
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     let (aim, deadline) = (2500 * MS, 16 * S);
-    Class { aim, deadline, worth: 1.0, late_share: 0.5, effect, keep_order: false }
+    Class {
+        latency_objective: aim,
+        deadline,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        idempotency: effect,
+        keep_order: false,
+    }
 }
 
 /// Classes: 0 safe, 1 keyed by zone, 2 unsafe, 3 unsafe in order, 4 keyed by all.
@@ -17,41 +24,49 @@
     Settings {
         fleet_size: 1,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Keyed { group: Group::Zone, window: 10 * S }),
-            class(Effect::Unsafe),
-            Class { keep_order: true, ..class(Effect::Unsafe) },
-            class(Effect::Keyed { group: Group::All, window: 10 * S }),
+            class(Idempotency::Idempotent),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 10 * S }),
+            class(Idempotency::NonIdempotent),
+            Class { keep_order: true, ..class(Idempotency::NonIdempotent) },
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 10 * S }),
         ],
         kinds: vec![
-            Kind { batch: 1, apart: false },
-            Kind { batch: 1, apart: true },
-            Kind { batch: 5, apart: false },
+            DestinationKind { max_batch: 1, separate_routes: false },
+            DestinationKind { max_batch: 1, separate_routes: true },
+            DestinationKind { max_batch: 5, separate_routes: false },
         ],
-        slots: 8,
-        max_open: 100,
+        max_calls: 8,
+        max_open_messages: 100,
         max_attempts: 8,
-        retry_after: true,
+        send_retry_after: true,
         max_retry_after: 3 * S,
-        streams: 1,
-        idle_close: 5 * S,
+        streams_per_connection: 1,
+        idle_timeout: 5 * S,
         handshake_cost: 0.06,
-        weights: Weights::Nominal,
+        capacity_hints: CapacityHints::Nominal,
         tick: 5 * MS,
-        answer_slack: 20 * MS,
-        ask_every: 10 * S,
+        final_answer_grace: 20 * MS,
+        max_poll_interval: 10 * S,
         drain_grace: 500 * MS,
-        fall_multiple: 2.0,
-        tip_after: 2 * S,
-        cold_from: 0.2,
-        warm_within: 12 * S,
-        key_quiet: 300 * MS,
+        overload_factor: 2.0,
+        overload_window: 2 * S,
+        cold_capacity_share: 0.2,
+        warm_up_time: 12 * S,
+        key_cooldown: 300 * MS,
         ..Settings::default()
     }
 }
 
-pub fn entry(endpoint: EndpointId, destination: DestinationId, zone: usize, kind: usize) -> Entry {
-    Entry { endpoint, destination, zone, kind, state: Listed::On, report: Report::Fit, weight: 20.0 }
+pub fn entry(endpoint: EndpointId, destination: DestinationId, zone: usize, kind: usize) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint,
+        destination,
+        zone,
+        kind,
+        state: EndpointState::Active,
+        health: HealthStatus::Passing,
+        capacity_hint: 20.0,
+    }
 }
 
 /// A controller with a clock, and what it did last.
@@ -63,14 +78,14 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, entries: &[Entry]) -> Self {
+    pub fn new(settings: Settings, entries: &[EndpointUpdate]) -> Self {
         let mut bench = Bench {
             controller: Controller::new(settings, 7),
             now: S,
             next: 0,
             copies: std::collections::BTreeMap::new(),
         };
-        bench.list(ListForm::Remembered, entries);
+        bench.list(ListEventKind::Restored, entries);
         bench
     }
 
@@ -85,8 +100,8 @@
         actions
     }
 
-    pub fn list(&mut self, form: ListForm, entries: &[Entry]) -> Vec<Action> {
-        self.step(&[Event::List { form, entries: entries.to_vec() }])
+    pub fn list(&mut self, form: ListEventKind, entries: &[EndpointUpdate]) -> Vec<Action> {
+        self.step(&[Event::EndpointList { kind: form, entries: entries.to_vec() }])
     }
 
     pub fn message(&mut self, destination: DestinationId, class: usize) -> Event {
@@ -96,7 +111,7 @@
     pub fn keyed(&mut self, destination: DestinationId, class: usize, key: Option<u64>) -> Event {
         self.next += 1;
         let (id, time_left) = (self.next, 16 * S);
-        Event::Message { id, destination, class, tenant: 0, key, time_left, repeat: false }
+        Event::Message { id, destination, class, tenant: 0, order_key: key, time_left, is_retry: false }
     }
 
     pub fn hand_in(&mut self, destination: DestinationId, class: usize, count: usize) -> Vec<Action> {
@@ -104,15 +119,24 @@
         self.step(&events)
     }
 
-    pub fn answer(&self, id: MessageId, outcome: Outcome) -> Answer {
+    pub fn answer(&self, id: MessageId, outcome: Outcome) -> AttemptResult {
         let copy = self.copies[&id] - 1;
-        let finished = outcome == Outcome::Ok;
-        Answer { id, copy, outcome, took: 100 * MS, finished, wait: 0, limit: None, left: None }
+        let finished = outcome == Outcome::Success;
+        AttemptResult {
+            id,
+            attempt: copy,
+            outcome,
+            latency: 100 * MS,
+            message_finished: finished,
+            retry_after: 0,
+            reported_limit: None,
+            reported_remaining: None,
+        }
     }
 
     pub fn end(&mut self, id: MessageId, outcome: Outcome) -> Vec<Action> {
         let answer = self.answer(id, outcome);
-        self.step(&[Event::Outcome(answer)])
+        self.step(&[Event::AttemptEnded(answer)])
     }
 
     pub fn later(&mut self, span: Micros) -> Vec<Action> {
@@ -126,7 +150,7 @@
             let sent = sends(&self.hand_in(destination, 0, 1));
             assert_eq!(sent.len(), 1, "an idle destination takes a message at once");
             self.now += 100 * MS;
-            self.end(sent[0].0, Outcome::Ok);
+            self.end(sent[0].0, Outcome::Success);
         }
     }
 }
@@ -141,7 +165,7 @@
 
 pub fn refused(actions: &[Action]) -> Vec<(MessageId, Micros)> {
     let refuse = |a: &Action| match a {
-        Action::Refuse { id, pause } => Some((*id, *pause)),
+        Action::Reject { id, retry_after: pause } => Some((*id, *pause)),
         _ => None,
     };
     actions.iter().filter_map(refuse).collect()
--- a/crates/core/tests/deployments.rs
+++ b/crates/core/tests/deployments.rs
@@ -8,11 +8,11 @@
 
 /// Class 0 safe, 1 keyed by zone, 2 unsafe; kind 1 has routes apart.
 fn set() -> Settings {
-    Settings { may_cancel: true, ..settings() }
+    Settings { allow_cancel: true, ..settings() }
 }
 
 fn cancelled(actions: &[Action]) -> Vec<MessageId> {
-    let cancelled = |a: &Action| if let Action::Cancel { id, copy: 0 } = a { Some(*id) } else { None };
+    let cancelled = |a: &Action| if let Action::Cancel { id, attempt: 0 } = a { Some(*id) } else { None };
     actions.iter().filter_map(cancelled).collect()
 }
 
@@ -23,7 +23,7 @@
     bench.later(400 * MS);
     let second = sends(&bench.hand_in(1, 0, 1));
     bench.now += 100 * MS;
-    bench.end(second[0].0, Outcome::Ok);
+    bench.end(second[0].0, Outcome::Success);
     (cancelled(&bench.later(150 * MS)), first)
 }
 
@@ -37,8 +37,8 @@
     let again = sends(&bench.end(id, Outcome::Cancelled));
     assert_eq!(again.iter().map(|send| send.0).collect::<Vec<_>>(), [id], "its slot and its window are free");
     bench.now += 100 * MS;
-    bench.end(id, Outcome::Ok);
-    assert!(bench.controller.troubled().is_empty(), "the endpoint is not to blame");
+    bench.end(id, Outcome::Success);
+    assert!(bench.controller.faulty_routes().is_empty(), "the endpoint is not to blame");
 }
 
 // Guards against giving up what may not be repeated, what has been called off once, or an endpoint that is silent as a
@@ -48,7 +48,7 @@
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 16);
     assert!(beside_a_quick_one(&mut bench, 2).0.is_empty(), "an unsafe message would be lost");
-    let mut bench = Bench::new(Settings { may_cancel: false, ..set() }, &[entry(1, 1, 0, 0)]);
+    let mut bench = Bench::new(Settings { allow_cancel: false, ..set() }, &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 16);
     assert!(beside_a_quick_one(&mut bench, 0).0.is_empty(), "the deployment cancels nothing");
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0)]);
@@ -62,7 +62,7 @@
     bench.later(400 * MS);
     let second = sends(&bench.hand_in(1, 0, 1))[0].0;
     bench.now += 100 * MS;
-    bench.end(second, Outcome::Ok);
+    bench.end(second, Outcome::Success);
     assert!(cancelled(&bench.later(300 * MS)).is_empty(), "once for each message");
 }
 
@@ -76,14 +76,14 @@
     assert_eq!(off, [id]);
     bench.end(id, Outcome::Cancelled);
     bench.later(900 * MS);
-    bench.end(id, Outcome::Ok);
+    bench.end(id, Outcome::Success);
     let (off, long) = beside_a_quick_one(&mut bench, 0);
     assert!(off.is_empty(), "the repeat took long too");
     bench.now += 900 * MS;
     let mut again = sends(&bench.end(long, Outcome::Timeout));
     again.extend(sends(&bench.later(5 * S)));
     assert_eq!(again[0].0, long);
-    bench.end(long, Outcome::Ok);
+    bench.end(long, Outcome::Success);
     bench.warm_up(1, 16);
     let (off, id) = beside_a_quick_one(&mut bench, 0);
     assert_eq!(off, [id], "one that was left alone was never answered");
@@ -98,7 +98,7 @@
         let (id, ..) = sends(&bench.hand_in(1, 1, 1))[0];
         let mut places = vec![entry(2, 1, 1, 0), entry(3, 1, 0, 0)];
         places.extend(moved.map(|zone| entry(1, 1, zone, 0)));
-        bench.list(ListForm::Whole, &places);
+        bench.list(ListEventKind::Snapshot, &places);
         let mut went = sends(&bench.end(id, Outcome::Error));
         for _ in 0..40 {
             went.extend(sends(&bench.later(100 * MS)));
@@ -110,7 +110,7 @@
 // Guards against two zones that the settings do not name being taken for one building.
 #[test]
 fn zones_without_a_name_are_no_building() {
-    let mut bench = Bench::new(set(), &[entry(1, 1, NO_ZONE, 0), entry(2, 1, NO_ZONE, 0)]);
+    let mut bench = Bench::new(set(), &[entry(1, 1, UNKNOWN_ZONE, 0), entry(2, 1, UNKNOWN_ZONE, 0)]);
     let (id, first, _) = sends(&bench.hand_in(1, 1, 1))[0];
     let mut went = sends(&bench.end(id, Outcome::Error));
     for _ in 0..60 {
@@ -126,7 +126,7 @@
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0), entry(2, 1, 1, 0)]);
     let (id, endpoint, _) = sends(&bench.hand_in(1, 1, 1))[0];
     let zone = entry(endpoint, 1, endpoint as usize - 1, 0);
-    bench.list(ListForm::Changes, &[Entry { state: Listed::Draining, ..zone }]);
+    bench.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Draining, ..zone }]);
     let sent = bench.now;
     bench.now += 100 * MS;
     assert!(sends(&bench.end(id, Outcome::Error)).is_empty(), "the other building does not drop it");
@@ -145,16 +145,17 @@
 #[test]
 fn trouble_and_waits_of_a_route_apart_are_its_own() {
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
-    let known = |out, wait| Event::Known { destination: 1, endpoint: Some(1), out, wait };
+    let known =
+        |out, wait| Event::RouteState { destination: 1, endpoint: Some(1), ejected: out, retry_after: wait };
     bench.step(&[known(true, 0)]);
-    assert_eq!(bench.controller.troubled().into_iter().collect::<Vec<_>>(), [(1, Some(1))]);
+    assert_eq!(bench.controller.faulty_routes().into_iter().collect::<Vec<_>>(), [(1, Some(1))]);
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     bench.step(&[known(false, S)]);
     assert_eq!(sends(&bench.hand_in(1, 0, 1))[0].1, 2, "its sister takes it at once");
     assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
     assert_eq!(sends(&bench.later(S + 100 * MS))[0].1, 1, "after the wait it serves");
-    bench.step(&[Event::Known { destination: 1, endpoint: Some(9), out: true, wait: 0 }]);
-    assert!(bench.controller.troubled().is_empty(), "one that is not listed says nothing of the others");
+    bench.step(&[Event::RouteState { destination: 1, endpoint: Some(9), ejected: true, retry_after: 0 }]);
+    assert!(bench.controller.faulty_routes().is_empty(), "one that is not listed says nothing of the others");
 }
 
 // Guards against an absurd report that overflows a clock, starves a route for good, or lets a message go without an
@@ -162,11 +163,15 @@
 #[test]
 fn an_absurd_report_harms_nobody_for_long() {
     for limit in [0.0, 1e-300, 1e-9, 1e300, f64::MAX, f64::NAN, f64::INFINITY, -5.0] {
-        let set = Settings { fleet_size: 3, weights: Weights::None, ..set() };
+        let set = Settings { fleet_size: 3, capacity_hints: CapacityHints::None, ..set() };
         let mut bench = Bench::new(set, &[entry(1, 1, 0, 1)]);
         let report = |bench: &mut Bench, id, limit| {
-            let answer = Answer { limit: Some(limit), left: Some(limit), ..bench.answer(id, Outcome::Ok) };
-            bench.step(&[Event::Outcome(answer)])
+            let answer = AttemptResult {
+                reported_limit: Some(limit),
+                reported_remaining: Some(limit),
+                ..bench.answer(id, Outcome::Success)
+            };
+            bench.step(&[Event::AttemptEnded(answer)])
         };
         let first = sends(&bench.hand_in(1, 0, 1))[0].0;
         report(&mut bench, first, limit);
@@ -192,22 +197,22 @@
 #[test]
 fn the_last_slot_goes_to_the_quick_route_while_others_wait() {
     for (slots, waiting, expected) in [(8, 0, 1), (2, 20, 2)] {
-        let set = Settings { slots, zone_fees: vec![0.01, 0.04], ..set() };
+        let set = Settings { max_calls: slots, zone_costs: vec![0.01, 0.04], ..set() };
         let slow_and_quick = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
         let mut bench = Bench::new(set, &[entry(3, 2, 0, 0), entry(1, 1, 0, 1), entry(2, 1, 1, 1)]);
         // Both are known: the one with the low fee takes 400 ms, the other 50.
         for place in 0..2 {
-            let others = Entry { state: Listed::Draining, ..slow_and_quick[1 - place] };
-            bench.list(ListForm::Changes, &[slow_and_quick[place], others]);
+            let others = EndpointUpdate { state: EndpointState::Draining, ..slow_and_quick[1 - place] };
+            bench.list(ListEventKind::Delta, &[slow_and_quick[place], others]);
             for _ in 0..8 {
                 let id = sends(&bench.hand_in(1, 0, 1))[0].0;
                 let took = [400, 50][place] * MS;
                 bench.now += took;
-                let answer = Answer { took, ..bench.answer(id, Outcome::Ok) };
-                bench.step(&[Event::Outcome(answer)]);
+                let answer = AttemptResult { latency: took, ..bench.answer(id, Outcome::Success) };
+                bench.step(&[Event::AttemptEnded(answer)]);
             }
         }
-        bench.list(ListForm::Changes, &slow_and_quick);
+        bench.list(ListEventKind::Delta, &slow_and_quick);
         // One slot is taken; those that wait are for a destination whose window is full.
         assert_eq!(sends(&bench.hand_in(2, 0, 1 + waiting)).len(), 1);
         let sent = sends(&bench.hand_in(1, 0, 1));
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -21,9 +21,9 @@
         let place = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
         assert_eq!(actions, expected, "actions of {place}");
         assert_eq!(indexed.dice(), walking.dice(), "draws of {place}");
-        assert_eq!(indexed.troubled(), walking.troubled(), "troubled after {place}");
+        assert_eq!(indexed.faulty_routes(), walking.troubled(), "troubled after {place}");
         if step % 20 == 0 {
-            let differs = world.endpoints().find(|id| indexed.avoids(*id) != walking.avoids(*id));
+            let differs = world.endpoints().find(|id| indexed.is_avoided(*id) != walking.avoids(*id));
             assert_eq!(differs, None, "avoided endpoint after {place}");
         }
         world.carry_out(&expected);
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_full_house_refuses_the_least_worth_with_advice_and_never_what_is_out() {
-    let set = Settings { max_open: 10, tenant_quotas: vec![1.0], ..settings() };
+    let set = Settings { max_open_messages: 10, tenant_quotas: vec![1.0], ..settings() };
     let mut bench = Bench::new(set, &[entry(1, 1, 0, 0)]);
     let actions = bench.hand_in(1, 0, 12);
     let turned_away = refused(&actions);
@@ -35,20 +35,23 @@
 
 #[test]
 fn slots_are_never_overrun_and_no_slots_means_no_sends() {
-    let all: Vec<Entry> = (1..=30).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let all: Vec<EndpointUpdate> = (1..=30).map(|n| entry(n, u64::from(n), 0, 0)).collect();
     let mut bench = Bench::new(settings(), &all);
     let events: Vec<Event> = (1..=30).map(|d| bench.message(d, 0)).collect();
     assert_eq!(sends(&bench.step(&events)).len(), 8);
-    let mut bench = Bench::new(Settings { slots: 0, ..settings() }, &all);
+    let mut bench = Bench::new(Settings { max_calls: 0, ..settings() }, &all);
     assert!(sends(&bench.hand_in(1, 0, 3)).is_empty());
 }
 
 #[test]
 fn a_warm_connection_comes_first() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
-    bench.list(ListForm::Changes, &[Entry { state: Listed::Draining, ..entry(1, 1, 0, 0) }]);
+    bench.list(
+        ListEventKind::Delta,
+        &[EndpointUpdate { state: EndpointState::Draining, ..entry(1, 1, 0, 0) }],
+    );
     bench.warm_up(1, 1);
-    bench.list(ListForm::Changes, &[entry(1, 1, 0, 0)]);
+    bench.list(ListEventKind::Delta, &[entry(1, 1, 0, 0)]);
     assert_eq!(sends(&bench.hand_in(1, 0, 1))[0].1, 2);
 }
 
@@ -56,37 +59,37 @@
 fn settings_of_nothing_and_odd_events_do_no_harm() {
     let mut controller = Controller::new(Settings::default(), 0);
     let mut actions = Vec::new();
-    let answer = Answer {
+    let answer = AttemptResult {
         id: 9,
-        copy: 3,
-        outcome: Outcome::Ok,
-        took: -5,
-        finished: true,
-        wait: i64::MAX,
-        limit: Some(f64::NAN),
-        left: None,
+        attempt: 3,
+        outcome: Outcome::Success,
+        latency: -5,
+        message_finished: true,
+        retry_after: i64::MAX,
+        reported_limit: Some(f64::NAN),
+        reported_remaining: None,
     };
     let message = |id, time_left| Event::Message {
         id,
         destination: 77,
         class: 99,
         tenant: 99,
-        key: Some(1),
+        order_key: Some(1),
         time_left,
-        repeat: true,
+        is_retry: true,
     };
     let events = [
-        Event::Outcome(answer),
-        Event::Hangup { id: 4 },
+        Event::AttemptEnded(answer),
+        Event::Withdrawn { id: 4 },
         Event::Timer { token: 12 },
-        Event::List { form: ListForm::Changes, entries: vec![] },
-        Event::List { form: ListForm::Failed, entries: vec![] },
+        Event::EndpointList { kind: ListEventKind::Delta, entries: vec![] },
+        Event::EndpointList { kind: ListEventKind::Failed, entries: vec![] },
         message(1, -5),
         message(2, i64::MAX),
         message(3, i64::MIN),
-        Event::Started { id: 8, copy: 0 },
-        Event::Probed { endpoint: 3, outcome: Outcome::Full },
-        Event::Peer { from: 1, bytes: vec![1] },
+        Event::ResponseStarted { id: 8, attempt: 0 },
+        Event::HealthChecked { endpoint: 3, outcome: Outcome::Rejected },
+        Event::Gossip { from: 1, bytes: vec![1] },
     ];
     controller.step(5, &events, &mut actions);
     assert_eq!(refused(&actions).iter().map(|r| r.0).collect::<Vec<_>>(), [3, 1], "their time is up");
@@ -95,13 +98,15 @@
 #[test]
 fn endpoints_are_drawn_by_their_listed_rate() {
     // Guards against hundreds of forwarders that all see the same fees and choose the same route.
-    let entries =
-        [Entry { weight: 3000.0, ..entry(1, 1, 0, 1) }, Entry { weight: 1000.0, ..entry(2, 1, 0, 1) }];
+    let entries = [
+        EndpointUpdate { capacity_hint: 3000.0, ..entry(1, 1, 0, 1) },
+        EndpointUpdate { capacity_hint: 1000.0, ..entry(2, 1, 0, 1) },
+    ];
     let mut counts = [0, 0];
     for seed in 0..200 {
         let mut bench = Bench::new(settings(), &[]);
         bench.controller = Controller::new(Settings { fleet_size: 300, ..settings() }, seed);
-        bench.list(ListForm::Whole, &entries);
+        bench.list(ListEventKind::Snapshot, &entries);
         counts[sends(&bench.hand_in(1, 0, 1))[0].1 as usize - 1] += 1;
     }
     assert!((130..=170).contains(&counts[0]) && counts[1] > 0, "three of four go to the larger: {counts:?}");
@@ -129,7 +134,7 @@
         bench.later(500 * MS);
     }
     bench.later(3 * S);
-    let next = sends(&bench.end(first, Outcome::Ok));
+    let next = sends(&bench.end(first, Outcome::Success));
     assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [first + 3], "the last handed in");
 }
 
@@ -139,7 +144,7 @@
     for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         for fleet_size in [0, 1, 100, u32::MAX] {
             let set = Settings { fleet_size, ..settings() };
-            let mut bench = Bench::new(set, &[Entry { weight, ..entry(1, 1, 0, 0) }]);
+            let mut bench = Bench::new(set, &[EndpointUpdate { capacity_hint: weight, ..entry(1, 1, 0, 0) }]);
             bench.warm_up(1, 10);
         }
     }
@@ -152,8 +157,8 @@
             if let Some(call) = sends(&bench.hand_in(1, 0, 1)).first() {
                 sent += 1;
                 bench.now += 100 * MS;
-                bench.step(&[Event::Hangup { id: call.0 }]);
-                bench.end(call.0, Outcome::Ok);
+                bench.step(&[Event::Withdrawn { id: call.0 }]);
+                bench.end(call.0, Outcome::Success);
             }
         }
         assert!(calls.contains(&sent), "{sent} calls of one in a fleet of {fleet_size}");
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -41,8 +41,8 @@
 fn a_hung_up_message_gets_no_answer_and_no_send() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.hand_in(1, 0, 2);
-    bench.step(&[Event::Hangup { id: 2 }]);
-    assert!(sends(&bench.end(1, Outcome::Ok)).is_empty());
+    bench.step(&[Event::Withdrawn { id: 2 }]);
+    assert!(sends(&bench.end(1, Outcome::Success)).is_empty());
     assert!(refused(&bench.later(20 * S)).is_empty());
 }
 
@@ -72,7 +72,7 @@
 
 #[test]
 fn an_unsafe_message_that_never_ran_is_tried_again() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
         let id = sends(&bench.hand_in(1, 2, 1))[0].0;
         let mut again = sends(&bench.end(id, outcome));
@@ -87,7 +87,7 @@
     let mut bench = Bench::new(settings(), &zones);
     let (id, first, _) = sends(&bench.hand_in(1, 1, 1))[0];
     assert_eq!(first, 1, "the own zone comes first");
-    bench.list(ListForm::Changes, &[Entry { state: Listed::Gone, ..zones[0] }]);
+    bench.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Removed, ..zones[0] }]);
     bench.end(id, Outcome::Timeout);
     assert!(sends(&bench.later(5 * S)).is_empty(), "the other zone would not drop the repeat");
     let actions = bench.later(5 * S);
@@ -102,20 +102,20 @@
     let again = sends(&bench.end(id, Outcome::Error));
     assert_eq!(again.iter().map(|s| s.1).collect::<Vec<_>>(), [2]);
     bench.end(id, Outcome::Error);
-    bench.list(ListForm::Whole, &[]);
+    bench.list(ListEventKind::Snapshot, &[]);
     assert_eq!(refused(&bench.later(15 * S)).len(), 1);
 }
 
 #[test]
 fn nothing_new_goes_to_an_endpoint_that_drains_or_is_gone() {
-    for state in [Listed::Draining, Listed::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
-        bench.list(ListForm::Changes, &[Entry { state, ..entry(1, 1, 0, 0) }]);
+        bench.list(ListEventKind::Delta, &[EndpointUpdate { state, ..entry(1, 1, 0, 0) }]);
         assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
-        assert_eq!(sends(&bench.list(ListForm::Changes, &[entry(1, 1, 0, 0)])).len(), 1);
+        assert_eq!(sends(&bench.list(ListEventKind::Delta, &[entry(1, 1, 0, 0)])).len(), 1);
     }
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
-    bench.list(ListForm::Whole, &[entry(2, 1, 0, 0)]);
+    bench.list(ListEventKind::Snapshot, &[entry(2, 1, 0, 0)]);
     assert_eq!(sends(&bench.hand_in(1, 0, 1))[0].1, 2, "what a whole list leaves out is gone");
 }
 
@@ -124,8 +124,8 @@
     for (kind, others) in [(0, 0), (1, 1)] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, kind), entry(2, 1, 0, kind)]);
         let id = sends(&bench.hand_in(1, 0, 1))[0].0;
-        let answer = Answer { wait: 700 * MS, ..bench.answer(id, Outcome::Full) };
-        let now = sends(&bench.step(&[Event::Outcome(answer)]));
+        let answer = AttemptResult { retry_after: 700 * MS, ..bench.answer(id, Outcome::Rejected) };
+        let now = sends(&bench.step(&[Event::AttemptEnded(answer)]));
         assert_eq!(now.len(), others, "kind {kind}");
         assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
         assert!(sends(&bench.later(699 * MS)).is_empty());
@@ -137,7 +137,9 @@
 fn each_message_of_a_batched_call_may_tell_a_wait() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
     let sent = sends(&bench.hand_in(1, 0, 2));
-    let answer = |n: usize, wait| Event::Outcome(Answer { wait, ..bench.answer(sent[n].0, Outcome::Full) });
+    let answer = |n: usize, wait| {
+        Event::AttemptEnded(AttemptResult { retry_after: wait, ..bench.answer(sent[n].0, Outcome::Rejected) })
+    };
     let answers = [answer(0, 300 * MS), answer(1, 900 * MS)];
     bench.step(&answers);
     assert!(sends(&bench.later(899 * MS)).is_empty());
@@ -149,8 +151,8 @@
 fn a_wait_binds_whatever_the_outcome() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.hand_in(1, 0, 1);
-    let answer = Answer { wait: 500 * MS, ..bench.answer(1, Outcome::Ok) };
-    bench.step(&[Event::Outcome(answer)]);
+    let answer = AttemptResult { retry_after: 500 * MS, ..bench.answer(1, Outcome::Success) };
+    bench.step(&[Event::AttemptEnded(answer)]);
     assert!(sends(&bench.hand_in(1, 0, 1)).is_empty());
     bench.now += 500 * MS;
     assert_eq!(sends(&bench.step(&[Event::Timer { token: 0 }])).len(), 1);
@@ -161,7 +163,7 @@
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..3).map(|_| bench.keyed(1, 3, Some(5))).collect();
     assert_eq!(sends(&bench.step(&events)).iter().map(|s| s.0).collect::<Vec<_>>(), [1]);
-    let next = bench.end(1, Outcome::Ok);
+    let next = bench.end(1, Outcome::Success);
     assert_eq!(sends(&next).iter().map(|s| s.0).collect::<Vec<_>>(), [2]);
     let after = bench.end(2, Outcome::Timeout);
     assert_eq!(failed(&after), [2]);
@@ -174,8 +176,8 @@
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..2).map(|_| bench.keyed(1, 3, Some(5))).collect();
     bench.step(&events);
-    assert!(sends(&bench.step(&[Event::Hangup { id: 1 }])).is_empty(), "its attempt is still out");
-    let mut answer = bench.answer(1, Outcome::Ok);
-    answer.finished = true;
-    assert_eq!(sends(&bench.step(&[Event::Outcome(answer)])).len(), 1);
+    assert!(sends(&bench.step(&[Event::Withdrawn { id: 1 }])).is_empty(), "its attempt is still out");
+    let mut answer = bench.answer(1, Outcome::Success);
+    answer.message_finished = true;
+    assert_eq!(sends(&bench.step(&[Event::AttemptEnded(answer)])).len(), 1);
 }
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn an_outage_gets_trial_calls_and_a_ramp_within_the_budget() {
-    let mut bench = Bench::new(settings(), &[Entry { weight: 7.0, ..entry(1, 1, 0, 0) }]);
+    let mut bench = Bench::new(settings(), &[EndpointUpdate { capacity_hint: 7.0, ..entry(1, 1, 0, 0) }]);
     bench.warm_up(1, 40);
     let mut arrivals = Vec::new();
     let mut back = false;
@@ -18,7 +18,9 @@
         back |= bench.now > start + 10 * S;
         let mut events: Vec<Event> = out
             .drain(..)
-            .map(|id| Event::Outcome(bench.answer(id, if back { Outcome::Ok } else { Outcome::Timeout })))
+            .map(|id| {
+                Event::AttemptEnded(bench.answer(id, if back { Outcome::Success } else { Outcome::Timeout }))
+            })
             .collect();
         events.push(bench.message(1, 0));
         bench.now += 50 * MS;
@@ -41,14 +43,14 @@
 #[test]
 fn a_partial_failure_is_no_outage() {
     // Guards against trial calls for a destination that fails often while it serves in between.
-    let mut bench = Bench::new(settings(), &[Entry { weight: 1.0, ..entry(1, 1, 0, 0) }]);
+    let mut bench = Bench::new(settings(), &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }]);
     bench.warm_up(1, 3);
     for round in 0..30 {
         let sent = sends(&bench.hand_in(1, 0, 1));
         let Some((id, ..)) = sent.first().copied() else { panic!("round {round}: nothing goes out") };
         bench.now += 300 * MS;
-        bench.step(&[Event::Hangup { id }]);
-        bench.end(id, if round % 4 == 3 { Outcome::Ok } else { Outcome::Timeout });
+        bench.step(&[Event::Withdrawn { id }]);
+        bench.end(id, if round % 4 == 3 { Outcome::Success } else { Outcome::Timeout });
     }
 }
 
@@ -57,9 +59,10 @@
     // Guards against a fleet that comes back at once, or in step, to a limit which refused calls use up.
     let mut gaps: [Vec<Micros>; 2] = [Vec::new(), Vec::new()];
     for seed in 0..100 {
-        let mut bench = Bench::new(Settings { weights: Weights::None, ..settings() }, &[]);
-        bench.controller = Controller::new(Settings { weights: Weights::None, ..settings() }, seed);
-        bench.list(ListForm::Whole, &[entry(1, 1, 0, 0)]);
+        let mut bench = Bench::new(Settings { capacity_hints: CapacityHints::None, ..settings() }, &[]);
+        bench.controller =
+            Controller::new(Settings { capacity_hints: CapacityHints::None, ..settings() }, seed);
+        bench.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         for _ in 0..5 {
             bench.warm_up(1, 1);
             bench.now += 1900 * MS;
@@ -67,13 +70,13 @@
         let id = sends(&bench.hand_in(1, 0, 1))[0].0;
         for gaps in &mut gaps {
             let refused_at = bench.now;
-            let answer = Answer { wait: 10 * MS, ..bench.answer(id, Outcome::Full) };
-            assert!(sends(&bench.step(&[Event::Outcome(answer)])).is_empty(), "never at once");
+            let answer = AttemptResult { retry_after: 10 * MS, ..bench.answer(id, Outcome::Rejected) };
+            assert!(sends(&bench.step(&[Event::AttemptEnded(answer)])).is_empty(), "never at once");
             while sends(&bench.later(20 * MS)).is_empty() {}
             gaps.push(bench.now - refused_at);
         }
         assert_eq!(sends(&bench.hand_in(1, 0, 1)).len(), 0);
-        assert_eq!(sends(&bench.end(id, Outcome::Ok)).len(), 1, "one served: there is room again");
+        assert_eq!(sends(&bench.end(id, Outcome::Success)).len(), 1, "one served: there is room again");
     }
     let mean = |gaps: &[Micros]| gaps.iter().sum::<Micros>() / gaps.len() as Micros;
     // Served 6 in 10 s; 0.64 of that is twice what a cold partner of that size takes: a call in 2.6 s.
@@ -87,15 +90,20 @@
 /// Plays forwarders with one destination that serves, refuses all from 30 s to 45 s, and serves again. Gives the
 /// most calls in any span of two seconds after the return, and how many were served by 75 s.
 fn calls_after_a_return(forwarders: u32, seed: u64) -> (usize, usize) {
-    let set =
-        Settings { fleet_size: forwarders, weights: Weights::None, slots: 4, max_open: 28, ..settings() };
+    let set = Settings {
+        fleet_size: forwarders,
+        capacity_hints: CapacityHints::None,
+        max_calls: 4,
+        max_open_messages: 28,
+        ..settings()
+    };
     let (start, mut rng) = (100 * S, fastrand::Rng::with_seed(seed));
     let mut fleet: Vec<Bench> = Vec::new();
     for n in 0..forwarders {
         let mut bench = Bench::new(set.clone(), &[]);
         bench.controller = Controller::new(set.clone(), seed * 1000 + u64::from(n));
         bench.now = start;
-        bench.list(ListForm::Whole, &[entry(1, 1, 0, 0)]);
+        bench.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         fleet.push(bench);
     }
     let mut out: Vec<Vec<(Micros, MessageId, Outcome)>> = vec![Vec::new(); fleet.len()];
@@ -110,13 +118,13 @@
             if clump || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
                 events.push(bench.message(1, 0));
             }
-            let ended = out.iter().filter(|o| o.0 <= at).map(|o| Event::Outcome(bench.answer(o.1, o.2)));
+            let ended = out.iter().filter(|o| o.0 <= at).map(|o| Event::AttemptEnded(bench.answer(o.1, o.2)));
             events.extend(ended);
-            served += out.iter().filter(|o| o.0 <= at && o.2 == Outcome::Ok).count();
+            served += out.iter().filter(|o| o.0 <= at && o.2 == Outcome::Success).count();
             out.retain(|o| o.0 > at);
             for (id, ..) in sends(&bench.step(&events)) {
                 let refused = (30 * S..45 * S).contains(&at);
-                out.push((at + 150 * MS, id, if refused { Outcome::Full } else { Outcome::Ok }));
+                out.push((at + 150 * MS, id, if refused { Outcome::Rejected } else { Outcome::Success }));
                 calls.push(at);
             }
         }
@@ -145,8 +153,8 @@
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 9);
     let id = sends(&bench.hand_in(1, 0, 1))[0].0;
-    let answer = Answer { wait: 400 * MS, ..bench.answer(id, Outcome::Full) };
-    assert!(sends(&bench.step(&[Event::Outcome(answer)])).is_empty());
+    let answer = AttemptResult { retry_after: 400 * MS, ..bench.answer(id, Outcome::Rejected) };
+    assert!(sends(&bench.step(&[Event::AttemptEnded(answer)])).is_empty());
     assert_eq!(sends(&bench.later(400 * MS)).len(), 1);
 }
 
@@ -156,10 +164,10 @@
     let set = Settings { fleet_size: 200, ..settings() };
     let mut seen = 0;
     for seed in 0..100 {
-        let fast = Entry { weight: 200.0, ..entry(1, 1, 0, 0) };
+        let fast = EndpointUpdate { capacity_hint: 200.0, ..entry(1, 1, 0, 0) };
         let mut bench = Bench::new(set.clone(), &[fast]);
         bench.controller = Controller::new(set.clone(), seed);
-        bench.list(ListForm::Whole, &[fast]);
+        bench.list(ListEventKind::Snapshot, &[fast]);
         let mut sent = sends(&bench.hand_in(1, 0, 1));
         for _ in 0..3 {
             for _ in 0..20 {
@@ -183,9 +191,13 @@
 fn full_connection_tables_are_no_outage() {
     // Guards against a ramp because of tables that are full for a moment.
     let set = Settings { connect_timeout: S, ..settings() };
-    let mut bench = Bench::new(set, &[Entry { weight: 1.0, ..entry(1, 1, 0, 0) }, entry(2, 2, 0, 0)]);
+    let mut bench =
+        Bench::new(set, &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }, entry(2, 2, 0, 0)]);
     let id = sends(&bench.hand_in(2, 0, 1))[0].0;
-    assert!(!bench.end(id, Outcome::Ok).contains(&Action::Close { endpoint: 2 }), "kept while none is short");
+    assert!(
+        !bench.end(id, Outcome::Success).contains(&Action::CloseIdle { endpoint: 2 }),
+        "kept while none is short"
+    );
     let mut id = sends(&bench.hand_in(1, 0, 1))[0].0;
     for _ in 0..2 {
         bench.end(id, Outcome::ConnectFailed);
@@ -200,9 +212,9 @@
         };
     }
     let id = sends(&bench.hand_in(2, 0, 1))[0].0;
-    let after = bench.end(id, Outcome::Ok);
+    let after = bench.end(id, Outcome::Success);
     assert!(
-        !after.contains(&Action::Close { endpoint: 2 }),
+        !after.contains(&Action::CloseIdle { endpoint: 2 }),
         "another's connections are none of its business"
     );
 }
@@ -212,7 +224,7 @@
     // Guards against a ramp of twelve seconds after a second or two over the limit, and after some seconds more
     // where this forwarder is served rarely anyhow.
     let rate_after = |outcome: Outcome, between: Micros, apart: Micros| {
-        let mut bench = Bench::new(settings(), &[Entry { weight: 3.0, ..entry(1, 1, 0, 0) }]);
+        let mut bench = Bench::new(settings(), &[EndpointUpdate { capacity_hint: 3.0, ..entry(1, 1, 0, 0) }]);
         for _ in 0..30 {
             bench.warm_up(1, 1);
             bench.now += between;
@@ -220,7 +232,7 @@
         for _ in 0..3 {
             let id = sends(&bench.hand_in(1, 0, 1))[0].0;
             bench.end(id, outcome);
-            bench.step(&[Event::Hangup { id }]);
+            bench.step(&[Event::Withdrawn { id }]);
             bench.now += apart;
         }
         let mut served = 0;
@@ -231,7 +243,7 @@
             let mut next = Vec::new();
             for (id, ..) in sent.drain(..) {
                 served += 1;
-                next.extend(sends(&bench.end(id, Outcome::Ok)));
+                next.extend(sends(&bench.end(id, Outcome::Success)));
             }
             next.extend(sends(&bench.later(0)));
             sent = next;
@@ -240,7 +252,7 @@
     };
     for (between, apart) in [(0, 800 * MS), (1400 * MS, 1200 * MS)] {
         let (refused, broken) =
-            (rate_after(Outcome::Full, between, apart), rate_after(Outcome::Reset, between, apart));
+            (rate_after(Outcome::Rejected, between, apart), rate_after(Outcome::Reset, between, apart));
         assert!(refused > 2 * broken, "{refused} served after refusals, {broken} after resets");
     }
 }
--- a/crates/core/tests/reference/control.rs
+++ b/crates/core/tests/reference/control.rs
@@ -1,9 +1,9 @@
 //! All decisions of orchidyoke; their types are in `interface.rs`. The ordinary path is the paper's adaptive
 //! window (`docs/design.md`) on each route's calls in flight: a clean first try grows, a push-back halves it.
 
-use orchidyoke_core::dice::Dice;
+use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
-use orchidyoke_core::traffic::{Bucket, Count};
+use orchidyoke_core::traffic::{RateEstimator, TokenBucket};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const SECOND: Micros = 1_000_000;
@@ -96,10 +96,12 @@
 impl Message {
     /// Rule of effects: until when it may be sent, given what may have run of it so far.
     fn repeats_until(&self) -> Micros {
-        match (self.may_have_run, self.class.effect) {
-            (None, _) | (_, Effect::Safe) => Micros::MAX,
-            (Some((sent, ..)), Effect::Keyed { window, .. }) => sent.saturating_add(window) - STALL,
-            (Some(_), Effect::Unsafe) => Micros::MIN,
+        match (self.may_have_run, self.class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => Micros::MAX,
+            (Some((sent, ..)), Idempotency::IdempotencyKey { window, .. }) => {
+                sent.saturating_add(window) - STALL
+            }
+            (Some(_), Idempotency::NonIdempotent) => Micros::MIN,
         }
     }
 }
@@ -134,12 +136,12 @@
     destination: DestinationId,
     route: RouteId,
     zone: usize,
-    kind: Kind,
+    kind: DestinationKind,
     usable: bool,
     /// The list names it no more.
     gone: bool,
     /// What health checks report, and whether they call a sister fitter.
-    report: Report,
+    report: HealthStatus,
     passed_over: bool,
     in_flight: usize,
     idle: Vec<Micros>,
@@ -175,7 +177,7 @@
     gap: f64,
     /// Calls a second in even parts of the limit, and those that may go now.
     pace: f64,
-    bucket: Bucket,
+    bucket: TokenBucket,
     in_flight: usize,
     /// Calls out that are overdue, and those given up as lost when the route came back.
     overdue: usize,
@@ -195,7 +197,7 @@
     /// Calls of the last `tip_after`.
     sends: VecDeque<Micros>,
     /// Calls served, and one to come.
-    served: Count,
+    served: RateEstimator,
     /// The first push-back since the last success, and the last.
     pushed: Option<(Micros, Micros)>,
     /// Where the budget is under one call: the next draw, and whether the last lets a call go in this step.
@@ -208,7 +210,7 @@
 impl Route {
     fn new(now: Micros, saved: f64) -> Self {
         let (usual, deviation) = (UNKNOWN_USUAL, UNKNOWN_USUAL / 2.0);
-        let (served, bucket) = (Count::starting(1.0, now), Bucket::starting(saved, now));
+        let (served, bucket) = (RateEstimator::starting(1.0, now), TokenBucket::starting(saved, now));
         Route { window: 1.0, pace: 1.0, bucket, usual, deviation, served, ..Route::default() }
     }
 
@@ -244,10 +246,10 @@
 
     /// An even part of the capacity that is told, in calls a second.
     fn even_part(&self, set: &Settings) -> Option<f64> {
-        let told = match set.weights {
-            Weights::None => self.limit,
-            Weights::Nominal => self.weight,
-            Weights::Rough => self.weight * ROUGH,
+        let told = match set.capacity_hints {
+            CapacityHints::None => self.limit,
+            CapacityHints::Nominal => self.weight,
+            CapacityHints::Rough => self.weight * ROUGH,
         };
         Some(told / f64::from(set.fleet_size.max(1))).filter(|even| *even > 0.0)
     }
@@ -276,12 +278,15 @@
     /// Present capacity that the route is sure to have, as a part of its own; none where nothing binds.
     fn sure_part(&self, now: Micros, set: &Settings) -> Option<f64> {
         let warm = match self.health {
-            Health::Warming(since) if now - since >= set.warm_within => return None,
+            Health::Warming(since) if now - since >= set.warm_up_time => return None,
             Health::Warming(since) if self.pushed.is_none() => now - since,
             Health::Warming(_) | Health::Out => 0,
             Health::Good => return None,
         };
-        Some(set.cold_from + (1.0 - set.cold_from) * warm as f64 / set.warm_within.max(1) as f64)
+        Some(
+            set.cold_capacity_share
+                + (1.0 - set.cold_capacity_share) * warm as f64 / set.warm_up_time.max(1) as f64,
+        )
     }
 }
 
@@ -289,7 +294,7 @@
 #[derive(Debug, Default)]
 pub struct Controller {
     set: Settings,
-    dice: Dice,
+    dice: SeededRng,
     now: Micros,
     messages: BTreeMap<MessageId, Message>,
     /// Messages with an attempt that ended in this batch, still to be decided on.
@@ -313,18 +318,23 @@
 impl Controller {
     /// A controller that has seen nothing; `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Controller { set: settings, dice: Dice::new(seed), timer_at: Micros::MAX, ..Controller::default() }
+        Controller {
+            set: settings,
+            dice: SeededRng::new(seed),
+            timer_at: Micros::MAX,
+            ..Controller::default()
+        }
     }
 
-    /// Routes that are out, failing, or back but cold, for [`Event::Known`]: forgotten in a restart, messages
+    /// Routes that are out, failing, or back but cold, for [`Event::RouteState`]: forgotten in a restart, messages
     /// that waited for them would break the rule of returns. An endpoint stands for a route apart.
     pub fn troubled(&self) -> BTreeSet<(DestinationId, Option<EndpointId>)> {
         let troubled = |route: &Route| match route.health {
             Health::Out => true,
-            Health::Warming(since) => self.now - since < self.set.warm_within,
+            Health::Warming(since) => self.now - since < self.set.warm_up_time,
             Health::Good => route.failing && route.streak >= 2,
         };
-        let apart = self.endpoints.iter().filter(|(_, place)| place.kind.apart);
+        let apart = self.endpoints.iter().filter(|(_, place)| place.kind.separate_routes);
         let apart = apart.map(|(id, place)| ((place.destination, Some(*id)), place.route));
         // A destination in trouble may have no endpoint just now.
         let shared = self.destinations.iter().filter_map(|(id, d)| d.shared.map(|r| ((*id, None), r)));
@@ -332,7 +342,7 @@
     }
 
     /// The source of chance, as it stands.
-    pub fn dice(&self) -> &Dice {
+    pub fn dice(&self) -> &SeededRng {
         &self.dice
     }
 
@@ -356,13 +366,15 @@
 
     fn take_in(&mut self, event: &Event) {
         match event {
-            Event::Message { id, destination, class, key, time_left, repeat, .. } => {
+            Event::Message {
+                id, destination, class, order_key: key, time_left, is_retry: repeat, ..
+            } => {
                 let class = self.set.classes.get(*class).cloned().unwrap_or_default();
                 let deadline = self.now + (*time_left).clamp(-LONGEST, LONGEST);
                 let message = Message {
                     destination: *destination,
                     key: key.filter(|_| class.keep_order),
-                    aim_at: deadline.saturating_sub(class.deadline).saturating_add(class.aim),
+                    aim_at: deadline.saturating_sub(class.deadline).saturating_add(class.latency_objective),
                     deadline,
                     first_try: !repeat,
                     class,
@@ -375,14 +387,14 @@
                 self.messages.insert(*id, message);
                 self.enqueue(*id);
             }
-            Event::History { id, attempts, may_have_run } => {
+            Event::AttemptHistory { id, attempts, possible_delivery: may_have_run } => {
                 let Some(message) = self.messages.get_mut(id) else { return };
                 (message.attempts, message.first_try) = (*attempts, *attempts == 0 && message.first_try);
                 message.kept_untried = *attempts == 0;
                 message.may_have_run = may_have_run.map(|(ago, place, zone)| (self.now - ago, place, zone));
                 self.unsettled.push(*id);
             }
-            Event::Known { destination: id, endpoint, out, wait } => {
+            Event::RouteState { destination: id, endpoint, ejected: out, retry_after: wait } => {
                 let places = self.destinations.get(id).map_or(&[][..], |d| &d.endpoints).iter();
                 let meant = places.filter(|place| endpoint.is_none_or(|only| only == **place));
                 let mut routes: Vec<RouteId> = meant.map(|e| self.endpoints[e].route).collect();
@@ -398,24 +410,27 @@
                 }
             }
             Event::Settings(settings) => self.set = (**settings).clone(),
-            Event::Closing { time_left } => self.closes_at = Some(self.now + *time_left),
-            Event::Hangup { id } => self.forget(*id),
-            Event::Outcome(answer) => {
+            Event::ShuttingDown { time_left } => self.closes_at = Some(self.now + *time_left),
+            Event::Withdrawn { id } => self.forget(*id),
+            Event::AttemptEnded(answer) => {
                 self.take_outcome(answer);
-                if answer.finished || answer.outcome == Outcome::Ok {
+                if answer.message_finished || answer.outcome == Outcome::Success {
                     self.forget(answer.id);
                 } else {
                     self.unsettled.push(answer.id);
                 }
             }
-            Event::List { form, entries } => self.take_list(*form, entries),
+            Event::EndpointList { kind: form, entries } => self.take_list(*form, entries),
             Event::Timer { .. } if self.now >= self.timer_at => self.timer_at = Micros::MAX,
-            Event::Timer { .. } | Event::Started { .. } | Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::Timer { .. }
+            | Event::ResponseStarted { .. }
+            | Event::HealthChecked { .. }
+            | Event::Gossip { .. } => {}
         }
     }
 
-    fn take_list(&mut self, form: ListForm, entries: &[Entry]) {
-        if matches!(form, ListForm::Whole | ListForm::Remembered) {
+    fn take_list(&mut self, form: ListEventKind, entries: &[EndpointUpdate]) {
+        if matches!(form, ListEventKind::Snapshot | ListEventKind::Restored) {
             self.endpoints.values_mut().for_each(|e| (e.usable, e.gone) = (false, true));
         }
         entries.iter().for_each(|entry| self.take_entry(entry));
@@ -428,11 +443,11 @@
     fn mind_reports(&mut self, destination: DestinationId) {
         let Some(ids) = self.destinations.get(&destination).map(|d| d.endpoints.clone()) else { return };
         let places = ids.iter().map(|id| &self.endpoints[id]);
-        let fit = places.filter(|e| e.usable && e.report != Report::Critical);
+        let fit = places.filter(|e| e.usable && e.report != HealthStatus::Critical);
         let fit: BTreeSet<RouteId> = fit.map(|e| e.route).collect();
         for id in ids {
             let Some(place) = self.endpoints.get_mut(&id) else { continue };
-            let critical = place.report == Report::Critical;
+            let critical = place.report == HealthStatus::Critical;
             place.passed_over = critical && !fit.is_empty();
             let route = &mut self.routes[place.route];
             let unfit = !fit.contains(&place.route) && (critical || route.unfit);
@@ -445,29 +460,34 @@
         }
     }
 
-    fn take_entry(&mut self, entry: &Entry) {
-        let kind = self.set.kinds.get(entry.kind).copied().unwrap_or(Kind { batch: 1, apart: false });
+    fn take_entry(&mut self, entry: &EndpointUpdate) {
+        let kind = self
+            .set
+            .kinds
+            .get(entry.kind)
+            .copied()
+            .unwrap_or(DestinationKind { max_batch: 1, separate_routes: false });
         let destination = self.destinations.entry(entry.destination).or_default();
-        let shared = destination.shared.filter(|_| !kind.apart);
+        let shared = destination.shared.filter(|_| !kind.separate_routes);
         if let Some(known) = self.endpoints.get_mut(&entry.endpoint) {
-            known.usable = entry.state == Listed::On && known.destination == entry.destination;
-            known.gone = entry.state == Listed::Gone;
-            (known.zone, known.kind, known.report) = (entry.zone, kind, entry.report);
+            known.usable = entry.state == EndpointState::Active && known.destination == entry.destination;
+            known.gone = entry.state == EndpointState::Removed;
+            (known.zone, known.kind, known.report) = (entry.zone, kind, entry.health);
             known.route = shared.unwrap_or(known.route);
-            self.routes[known.route].weight = entry.weight;
+            self.routes[known.route].weight = entry.capacity_hint;
             return;
         }
-        if entry.state == Listed::Gone {
+        if entry.state == EndpointState::Removed {
             return;
         }
         let stays = destination.endpoints.iter().any(|e| !self.endpoints[e].gone);
         let route = shared.filter(|_| stays).unwrap_or_else(|| self.new_route(shared));
         let destination = self.destinations.entry(entry.destination).or_default();
-        destination.shared = (!kind.apart).then_some(route);
+        destination.shared = (!kind.separate_routes).then_some(route);
         destination.endpoints.push(entry.endpoint);
-        let usable = entry.state == Listed::On;
-        self.routes[route].weight = entry.weight;
-        let Entry { destination, zone, report, .. } = *entry;
+        let usable = entry.state == EndpointState::Active;
+        self.routes[route].weight = entry.capacity_hint;
+        let EndpointUpdate { destination, zone, health: report, .. } = *entry;
         let place = Endpoint { destination, route, zone, kind, usable, report, ..Endpoint::default() };
         self.endpoints.insert(entry.endpoint, place);
     }
@@ -476,7 +496,7 @@
     /// Two things are the destination's own: a wait that it told, and that it comes back cold.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
         // A large fleet that starts together does not send its first calls together.
-        let mut new = Route::new(self.now, most_parts(&self.set) - self.dice.part());
+        let mut new = Route::new(self.now, most_parts(&self.set) - self.dice.uniform());
         if let Some(before) = before.map(|route| &self.routes[route]) {
             new.wait_until = before.wait_until;
             new.health = if before.health == Health::Good { Health::Good } else { Health::Warming(self.now) };
@@ -536,10 +556,10 @@
         self.unqueue(id);
         let Some(message) = self.messages.get_mut(&id) else { return };
         let weight = (stake(&message.class) / least.max(1e-6)).clamp(1.0, 10.0);
-        let given = message.aim_at - message.class.aim;
+        let given = message.aim_at - message.class.latency_objective;
         let stage = u8::from(self.now >= message.aim_at);
         // In time the first due goes first; of those that are late the last, which has lost least.
-        let due = given + (message.class.aim as f64 / weight) as Micros;
+        let due = given + (message.class.latency_objective as f64 / weight) as Micros;
         let due = if stage == 0 { due } else { -message.aim_at };
         let looks = if stage == 0 { message.aim_at } else { message.deadline };
         self.message_wakes.insert((looks.min(message.repeats_until()), id));
@@ -582,8 +602,10 @@
 
     /// Rule of effects: a refusal promises that trying again is harmless.
     fn may_refuse(&self, message: &Message) -> bool {
-        match message.class.effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        match message.class.idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
+                true
+            }
             _ => message.may_have_run.is_none() && message.out == 0,
         }
     }
@@ -591,7 +613,7 @@
     /// The one final answer of a message that is given up, at once: a refusal where it is harmless.
     fn give_up(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
-        let refusal = Action::Refuse { id, pause: self.pause_advice(message.destination) };
+        let refusal = Action::Reject { id, retry_after: self.pause_advice(message.destination) };
         actions.push(if self.may_refuse(message) { refusal } else { Action::Fail { id } });
         self.forget(id);
     }
@@ -604,7 +626,7 @@
         let turns =
             routes.map(|r| self.routes[r].usual / self.routes[r].window).fold(f64::INFINITY, f64::min);
         let drain = (destination.queue.len() as f64 * turns) as Micros;
-        let most = Micros::from(self.set.retry_after) * self.set.max_retry_after.max(0);
+        let most = Micros::from(self.set.send_retry_after) * self.set.max_retry_after.max(0);
         opens.saturating_add(drain).clamp(0, most)
     }
 
@@ -623,8 +645,12 @@
 
     /// A full house turns work away unseen, so the least worth goes first: from the longest queue, its last.
     fn make_room(&mut self, actions: &mut Vec<Action>) {
-        let most = self.set.max_open.saturating_sub((self.set.max_open / SPARE_ROOM).max(1)).max(1);
-        while self.set.max_open > 0 && self.messages.len() > most {
+        let most = self
+            .set
+            .max_open_messages
+            .saturating_sub((self.set.max_open_messages / SPARE_ROOM).max(1))
+            .max(1);
+        while self.set.max_open_messages > 0 && self.messages.len() > most {
             let Some(longest) = self.destinations.values().max_by_key(|d| d.queue.len()) else { return };
             let mut last = longest.queue.iter().rev().take(LOOK).map(|rank| rank.2);
             let victim =
@@ -634,17 +660,17 @@
         }
     }
 
-    fn take_outcome(&mut self, answer: &Answer) {
+    fn take_outcome(&mut self, answer: &AttemptResult) {
         let (id, outcome) = (answer.id, answer.outcome);
-        let Some((call_id, key)) = self.attempts.remove(&(id, answer.copy)) else { return };
+        let Some((call_id, key)) = self.attempts.remove(&(id, answer.attempt)) else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         let (endpoint, zone, sent) = (call.endpoint, call.zone, call.sent);
         call.open -= 1;
         let (done, clean, overdue) = (call.open == 0, call.clean, call.overdue);
         let first = !std::mem::replace(&mut call.judged, true);
         let again = self.messages.get(&id).is_some_and(|m| m.called_off);
-        if first && (again || call.alone) && matches!(outcome, Outcome::Ok | Outcome::Timeout) {
-            let long = if again { overdue } else { outcome == Outcome::Ok };
+        if first && (again || call.alone) && matches!(outcome, Outcome::Success | Outcome::Timeout) {
+            let long = if again { overdue } else { outcome == Outcome::Success };
             self.long += ALONE_WEIGHT * (f64::from(long) - self.long);
         }
         // Rule of waits: told to wait, nothing goes to this route; each message of a call may tell. A
@@ -653,27 +679,29 @@
             self.endpoints.get(&endpoint).and_then(|e| self.destinations.get(&e.destination)?.shared);
         for route in [Some(call.route), shared].into_iter().flatten() {
             let wait_until = &mut self.routes[route].wait_until;
-            *wait_until = (*wait_until).max(self.now + answer.wait.clamp(0, LONGEST));
+            *wait_until = (*wait_until).max(self.now + answer.retry_after.clamp(0, LONGEST));
         }
-        if first && outcome != Outcome::Moot && !self.is_noise(endpoint, outcome) {
+        if first && outcome != Outcome::NotSent && !self.is_noise(endpoint, outcome) {
             self.judge(endpoint, sent, answer, clean, overdue);
         }
         if done {
             self.close_call(call_id, outcome);
         }
-        let may_run =
-            !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let may_run = !matches!(
+            outcome,
+            Outcome::Success | Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        );
         let stray = !self.messages.contains_key(&id);
         if let Some(message) = self.messages.get_mut(&id) {
             message.out -= 1;
-            message.first_try &= outcome == Outcome::Ok;
+            message.first_try &= outcome == Outcome::Success;
             message.may_have_run = message.may_have_run.or(may_run.then_some((sent, endpoint, zone)));
         }
         let Some(key) = key else { return };
         let line = self.keys.entry(key).or_default();
         line.strays -= usize::from(stray);
         if may_run && outcome != Outcome::Error {
-            (line.quiet_until, line.quiet_for) = (self.now + self.set.key_quiet, id);
+            (line.quiet_until, line.quiet_for) = (self.now + self.set.key_cooldown, id);
         }
         self.next_of_key(key);
     }
@@ -682,8 +710,8 @@
     /// back. Only several in a row, with no success between, are laid to it as errors are.
     fn is_noise(&mut self, endpoint: EndpointId, outcome: Outcome) -> bool {
         let Some(place) = self.endpoints.get_mut(&endpoint) else { return false };
-        let spoilt = outcome == Outcome::Spoilt;
-        place.spoilt = if outcome == Outcome::Ok { 0 } else { place.spoilt + u32::from(spoilt) };
+        let spoilt = outcome == Outcome::InvalidResponse;
+        place.spoilt = if outcome == Outcome::Success { 0 } else { place.spoilt + u32::from(spoilt) };
         spoilt && place.spoilt < SPOILT_STREAK
     }
 
@@ -691,8 +719,8 @@
         let Some(call) = self.calls.remove(&id) else { return };
         let Some(place) = self.endpoints.get_mut(&call.endpoint) else { return };
         place.in_flight -= 1;
-        let kept = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
-        if kept && place.in_flight.is_multiple_of(self.set.streams.max(1)) {
+        let kept = matches!(outcome, Outcome::Success | Outcome::Error | Outcome::Rejected);
+        if kept && place.in_flight.is_multiple_of(self.set.streams_per_connection.max(1)) {
             place.idle.push(self.now);
         }
         let route = &mut self.routes[call.route];
@@ -703,22 +731,32 @@
     }
 
     /// One verdict for one call: the window, the waits and the health of its route.
-    fn judge(&mut self, endpoint: EndpointId, sent: Micros, answer: &Answer, clean: bool, was_overdue: bool) {
+    fn judge(
+        &mut self,
+        endpoint: EndpointId,
+        sent: Micros,
+        answer: &AttemptResult,
+        clean: bool,
+        was_overdue: bool,
+    ) {
         let outcome = answer.outcome;
         let Some(place) = self.endpoints.get_mut(&endpoint) else { return };
         let id = place.route;
         let route = &mut self.routes[id];
-        route.limit = answer.limit.unwrap_or(route.limit);
-        if outcome == Outcome::Ok {
+        route.limit = answer.reported_limit.unwrap_or(route.limit);
+        if outcome == Outcome::Success {
             (place.streak, place.avoid_until, place.answered) = (0, 0, place.answered.max(sent));
-            route.observe(answer.took as f64);
+            route.observe(answer.latency as f64);
             if clean {
-                route.window = (route.window * GROW).min((self.set.slots as f64 * CAP).max(1.0));
+                route.window = (route.window * GROW).min((self.set.max_calls as f64 * CAP).max(1.0));
             }
             (route.gap, route.pause_until) = (0.0, 0);
             route.served.add(self.now);
             // A call sent before the last push-back tells nothing of the time after it, unless it took long.
-            if route.pushed.is_none_or(|(_, last)| sent >= last || self.now - last >= self.set.tip_after) {
+            if route
+                .pushed
+                .is_none_or(|(_, last)| sent >= last || self.now - last >= self.set.overload_window)
+            {
                 let cold = route.sure_part(self.now, &self.set).is_some();
                 // Refused all at once, then in a pause: no later refusal came that would show the outage.
                 let shut = !route.failing && self.set.fleet_size > 1 && route.even_part(&self.set).is_none();
@@ -734,18 +772,18 @@
             return;
         }
         route.pushed = Some((route.pushed.map_or(self.now, |(first, _)| first), self.now));
-        if outcome == Outcome::Full && route.health == Health::Good {
+        if outcome == Outcome::Rejected && route.health == Health::Good {
             // What was saved up is gone, and those refused together do not come back together.
             let saved = |rate| route.bucket.room(self.now, rate, most_parts(&self.set));
             let saved = route.paced(&self.set).map_or(0.0, saved);
-            route.pay(self.now, &self.set, saved.max(0.0) + self.dice.part());
+            route.pay(self.now, &self.set, saved.max(0.0) + self.dice.uniform());
             route.pace = (route.pace * PACE_SHRINK).max(PACE_LEAST);
         }
         let at_floor = route.window < 2.0;
         route.window = (route.window * SHRINK).max(1.0);
-        let turned_away = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+        let turned_away = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
         // Where no limit is told, nothing else holds a fleet back from what refused connections.
-        route.failing |= !turned_away || outcome != Outcome::Full && route.paced(&self.set).is_none();
+        route.failing |= !turned_away || outcome != Outcome::Rejected && route.paced(&self.set).is_none();
         route.streak += u32::from(!was_overdue);
         route.timeouts += u32::from(outcome == Outcome::Timeout);
         if at_floor && outcome != Outcome::Timeout && (turned_away || route.streak >= 2) {
@@ -754,23 +792,24 @@
             // on the span keeps to this forwarder's part of a cold budget (`budget`); after the first it is
             // half that. Twice that span is enough where a limit is told; else it is two message lives.
             let life = self.set.classes.iter().map(|c| c.deadline).fold(PAUSE_FIRST, Micros::max) as f64;
-            let cold = (BUDGET_SHARE / SHRINK * self.set.fall_multiple * self.set.cold_from).clamp(0.1, 1.0);
+            let cold = (BUDGET_SHARE / SHRINK * self.set.overload_factor * self.set.cold_capacity_share)
+                .clamp(0.1, 1.0);
             let least = (SECOND as f64 / cold / route.share(self.now, &self.set).max(1e-3)).min(life);
             let most = if route.paced(&self.set).is_some() { 4.0 * least } else { 2.0 * life };
             route.gap = (route.gap / SHRINK).clamp(least, most);
-            route.pause_until = self.now + (self.dice.part() * route.gap) as Micros;
+            route.pause_until = self.now + (self.dice.uniform() * route.gap) as Micros;
         } else if outcome != Outcome::Timeout {
             let pause = (PAUSE_FIRST << (route.streak.saturating_sub(1)).min(8)).min(PAUSE_LAST);
             // A wait told is enough for a few; of many, those told the same come after it one by one.
             let others = f64::from(self.set.fleet_size.saturating_sub(1));
             let spread = pause as f64 * others / (others + SPREAD_FLEET);
             route.pause_until = self.now
-                + match answer.wait {
+                + match answer.retry_after {
                     ..=0 => self.dice.jitter(pause),
-                    told => told.min(LONGEST) + (spread * self.dice.part()) as Micros,
+                    told => told.min(LONGEST) + (spread * self.dice.uniform()) as Micros,
                 };
         }
-        if outcome != Outcome::Full {
+        if outcome != Outcome::Rejected {
             place.streak += 1;
             place.avoid_until = self.now + self.dice.jitter(SECOND << place.streak.min(4));
         }
@@ -828,10 +867,10 @@
         let Some(id) = call.only else { return };
         let Some(message) = self.messages.get_mut(&id) else { return };
         let first = message.attempts == 1 && self.set.max_attempts != 1;
-        let again = first && message.class.effect != Effect::Unsafe;
-        if call.alone && again && self.set.may_cancel && self.long < ALONE_LONG {
+        let again = first && message.class.idempotency != Idempotency::NonIdempotent;
+        if call.alone && again && self.set.allow_cancel && self.long < ALONE_LONG {
             (call.judged, message.called_off) = (true, true);
-            actions.push(Action::Cancel { id, copy: 0 });
+            actions.push(Action::Cancel { id, attempt: 0 });
         }
     }
 
@@ -854,7 +893,7 @@
         let budget = match self.budget(id) {
             Some(calls) if calls < 1.0 && route.drawn != Some(self.now) => route.draw_at.max(self.now + 1),
             Some(calls) if calls >= 1.0 && route.sends.len() >= calls as usize => {
-                route.sends[route.sends.len() - calls as usize] + self.set.tip_after
+                route.sends[route.sends.len() - calls as usize] + self.set.overload_window
             }
             _ => self.now,
         };
@@ -870,8 +909,8 @@
     fn budget(&self, id: RouteId) -> Option<f64> {
         let (route, set) = (&self.routes[id], &self.set);
         let part = route.sure_part(self.now, set)?;
-        let rate = set.fall_multiple * part * route.share(self.now, set);
-        Some(BUDGET_SHARE * rate * set.tip_after as f64 / SECOND as f64)
+        let rate = set.overload_factor * part * route.share(self.now, set);
+        Some(BUDGET_SHARE * rate * set.overload_window as f64 / SECOND as f64)
     }
 
     /// Under one call, chance decides, twice in a span of `tip_after`; a lull saves up nothing for later.
@@ -879,8 +918,8 @@
         let waiting = self.destinations.values().filter(|d| !d.queue.is_empty());
         for id in waiting.flat_map(|d| &d.endpoints).map(|e| self.endpoints[e].route).collect::<Vec<_>>() {
             if let Some(calls) = self.budget(id).filter(|_| self.routes[id].draw_at <= self.now) {
-                self.routes[id].draw_at = self.now + (self.set.tip_after / 2).max(1);
-                self.routes[id].drawn = (self.dice.part() < calls / 2.0).then_some(self.now);
+                self.routes[id].draw_at = self.now + (self.set.overload_window / 2).max(1);
+                self.routes[id].drawn = (self.dice.uniform() < calls / 2.0).then_some(self.now);
             }
         }
     }
@@ -888,8 +927,8 @@
     /// Whole calls that the route's window and its state still allow.
     fn has_room(&self, id: RouteId, destination: &Destination) -> bool {
         let route = &self.routes[id];
-        let half = ((self.set.slots as f64 * SICK_CAP) as usize).max(1);
-        let cap = if route.sick() { half } else { ((self.set.slots as f64 * CAP) as usize).max(1) };
+        let half = ((self.set.max_calls as f64 * SICK_CAP) as usize).max(1);
+        let cap = if route.sick() { half } else { ((self.set.max_calls as f64 * CAP) as usize).max(1) };
         let held = || self.routes.iter().filter(|r| r.sick()).map(|r| r.in_flight).sum::<usize>();
         // A call still out when the forwarder stops may have run: an unsafe message would be lost with it.
         let late = self.closes_at.is_some_and(|at| self.now + route.overdue_after() > at);
@@ -909,13 +948,13 @@
     fn takes(&self, place: &Endpoint, destination: &Destination) -> bool {
         let route = &self.routes[place.route];
         let idle = route.in_flight <= route.overdue.max(route.written_off);
-        let fills = idle || destination.queue.len() >= place.kind.batch;
+        let fills = idle || destination.queue.len() >= place.kind.max_batch;
         place.usable && !place.passed_over && fills && self.has_room(place.route, destination)
     }
 
     fn warm(&self, place: &Endpoint) -> bool {
-        !place.in_flight.is_multiple_of(self.set.streams.max(1))
-            || place.idle.last().is_some_and(|since| self.now - since < self.set.idle_close)
+        !place.in_flight.is_multiple_of(self.set.streams_per_connection.max(1))
+            || place.idle.last().is_some_and(|since| self.now - since < self.set.idle_timeout)
     }
 
     /// Endpoints for a message now: usable, with room, allowed by what became of it so far.
@@ -933,7 +972,7 @@
         let message = self.messages.get(&message)?;
         let spread = SPREAD_COST / (1.0 + SPREAD_FLEET / f64::from(self.set.fleet_size.max(1)));
         let costs = self.fit(message).map(|(id, place)| {
-            let chance = -draws.part().max(1e-9).ln() / self.routes[place.route].weight.max(1e-3);
+            let chance = -draws.uniform().max(1e-9).ln() / self.routes[place.route].weight.max(1e-3);
             (self.cost(place) + spread * chance.max(1e-9).ln(), id)
         });
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id);
@@ -944,27 +983,27 @@
     /// Points that a call there costs: handshake, zone, fee, slowness; load and sickness weigh in too.
     fn cost(&self, place: &Endpoint) -> f64 {
         let (route, set) = (&self.routes[place.route], &self.set);
-        let short = f64::from(self.calls.len() + 1 >= set.slots);
-        let held = short * SLOT_COST * self.messages.len() as f64 / set.slots as f64;
+        let short = f64::from(self.calls.len() + 1 >= set.max_calls);
+        let held = short * SLOT_COST * self.messages.len() as f64 / set.max_calls as f64;
         let usual = if route.last_ok == 0 { 0.0 } else { route.usual };
         let (cold, far) = (!self.warm(place), place.zone != set.zone);
-        let fee = set.zone_fees.get(place.zone).copied().unwrap_or(0.0);
+        let fee = set.zone_costs.get(place.zone).copied().unwrap_or(0.0);
         f64::from(cold) * set.handshake_cost
             + f64::from(far) * set.cross_zone_cost
-            + f64::from(place.kind.apart) * (fee + (SECOND_COST + held) * usual / SECOND as f64)
+            + f64::from(place.kind.separate_routes) * (fee + (SECOND_COST + held) * usual / SECOND as f64)
             + LOAD_COST * place.in_flight as f64
             + f64::from(route.sick())
-            + f64::from(place.avoid_until > self.now || place.report == Report::Warning)
+            + f64::from(place.avoid_until > self.now || place.report == HealthStatus::Warning)
     }
 
     /// Rule of effects: a keyed message that may have run goes only where its repeat is dropped.
     fn in_group(&self, message: &Message, id: EndpointId, place: &Endpoint) -> bool {
         let Some((_, first, zone)) = message.may_have_run else { return true };
-        match message.class.effect {
-            Effect::Keyed { group: Group::Zone, .. } => {
-                zone == place.zone && (zone != NO_ZONE || first == id)
+        match message.class.idempotency {
+            Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, .. } => {
+                zone == place.zone && (zone != UNKNOWN_ZONE || first == id)
             }
-            Effect::Keyed { group: Group::Endpoint, .. } => first == id,
+            Idempotency::IdempotencyKey { scope: DeduplicationScope::Endpoint, .. } => first == id,
             _ => true,
         }
     }
@@ -981,7 +1020,7 @@
 
     fn send_all(&mut self, actions: &mut Vec<Action>) {
         self.draw_budgets();
-        while self.calls.len() < self.set.slots {
+        while self.calls.len() < self.set.max_calls {
             let next = self.destinations.values().filter(|d| !d.queue.is_empty());
             let Some((_, _, id)) = next.filter_map(|d| self.next_of(d)).min() else { return };
             let Some(endpoint) = self.choose(id) else { return };
@@ -993,7 +1032,7 @@
     fn send_call(&mut self, first: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         let Some(place) = self.endpoints.get(&endpoint) else { return };
         let trial = self.routes[place.route].health == Health::Out;
-        let most = if trial { 1 } else { place.kind.batch };
+        let most = if trial { 1 } else { place.kind.max_batch };
         let queue = self.destinations.get(&place.destination).map(|d| &d.queue);
         let others = queue.into_iter().flatten().map(|rank| rank.2).filter(|id| *id != first);
         let allowed = |m: &Message| self.may_send(m) && self.in_group(m, endpoint, place);
@@ -1008,8 +1047,8 @@
     fn open_call(&mut self, endpoint: EndpointId, going: &[MessageId]) {
         let clean = going.iter().all(|id| self.messages.get(id).is_some_and(|m| m.first_try));
         let Some(place) = self.endpoints.get_mut(&endpoint) else { return };
-        if place.in_flight.is_multiple_of(self.set.streams.max(1)) {
-            place.idle.retain(|since| self.now - since < self.set.idle_close);
+        if place.in_flight.is_multiple_of(self.set.streams_per_connection.max(1)) {
+            place.idle.retain(|since| self.now - since < self.set.idle_timeout);
             place.idle.pop();
         }
         place.in_flight += 1;
@@ -1019,9 +1058,9 @@
         let weight = 1 + going.len() / 5;
         route.sends.extend(std::iter::repeat_n(self.now, weight));
         route.pay(self.now, &self.set, 1.0);
-        route.draw_at = self.now + weight as Micros * self.set.tip_after / 2;
+        route.draw_at = self.now + weight as Micros * self.set.overload_window / 2;
         route.drawn = None;
-        let old = route.sends.partition_point(|at| self.now - at >= self.set.tip_after);
+        let old = route.sends.partition_point(|at| self.now - at >= self.set.overload_window);
         route.sends.drain(..old);
         self.next_call += 1;
         self.call_wakes.insert((self.now + route.overdue_after(), self.next_call));
@@ -1047,7 +1086,7 @@
 
 /// What a message loses by coming late.
 fn stake(class: &Class) -> f64 {
-    class.worth * (1.0 - class.late_share)
+    class.priority_weight * (1.0 - class.late_weight_share)
 }
 
 /// Even parts of a limit that a route is paced at, and calls that it saves up, at most.
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -1,7 +1,7 @@
 //! Random events for the decision module: destinations that are mostly down, lists, outcomes, stops. Nothing is
 //! modelled beyond what makes the events legal: an attempt ends once, and only after its send.
 
-use orchidyoke_core::dice::Dice;
+use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,63 +10,70 @@
 const CLASSES: usize = 6;
 const KINDS: usize = 4;
 
-fn class(effect: Effect, aim: Micros, worth: f64) -> Class {
-    Class { aim, deadline: 6 * aim, worth, late_share: 0.4, effect, keep_order: false }
+fn class(effect: Idempotency, aim: Micros, worth: f64) -> Class {
+    Class {
+        latency_objective: aim,
+        deadline: 6 * aim,
+        priority_weight: worth,
+        late_weight_share: 0.4,
+        idempotency: effect,
+        keep_order: false,
+    }
 }
 
 /// Settings of one of several shapes, chosen by the draws.
 pub fn settings(dice: &mut Chance) -> Settings {
-    let keyed = |group| Effect::Keyed { group, window: 4 * S };
+    let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: 4 * S };
     let tip_after = dice.of(&[500 * MS, 2 * S, 5 * S]);
     Settings {
         fleet_size: dice.of(&[1, 2, 10, 100, 450]),
         zone: 0,
         classes: vec![
-            class(Effect::Safe, dice.of(&[S, 2500 * MS, 10 * S]), 1.0),
-            class(keyed(Group::Zone), 2 * S, 3.0),
-            class(Effect::Unsafe, S, 0.5),
-            Class { keep_order: true, ..class(Effect::Unsafe, 2 * S, 1.0) },
-            Class { keep_order: true, ..class(keyed(Group::All), 2 * S, 8.0) },
-            class(keyed(Group::Endpoint), 3 * S, 2.0),
+            class(Idempotency::Idempotent, dice.of(&[S, 2500 * MS, 10 * S]), 1.0),
+            class(keyed(DeduplicationScope::Zone), 2 * S, 3.0),
+            class(Idempotency::NonIdempotent, S, 0.5),
+            Class { keep_order: true, ..class(Idempotency::NonIdempotent, 2 * S, 1.0) },
+            Class { keep_order: true, ..class(keyed(DeduplicationScope::All), 2 * S, 8.0) },
+            class(keyed(DeduplicationScope::Endpoint), 3 * S, 2.0),
         ],
         kinds: vec![
-            Kind { batch: 1, apart: false },
-            Kind { batch: 1, apart: true },
-            Kind { batch: 5, apart: false },
-            Kind { batch: 7, apart: true },
+            DestinationKind { max_batch: 1, separate_routes: false },
+            DestinationKind { max_batch: 1, separate_routes: true },
+            DestinationKind { max_batch: 5, separate_routes: false },
+            DestinationKind { max_batch: 7, separate_routes: true },
         ],
-        slots: dice.of(&[1, 3, 8, 40, 200]),
-        max_open: dice.of(&[0, 0, 30, 300]),
+        max_calls: dice.of(&[1, 3, 8, 40, 200]),
+        max_open_messages: dice.of(&[0, 0, 30, 300]),
         max_attempts: dice.of(&[0, 1, 3, 8]),
-        may_cancel: dice.one_in(2),
-        retry_after: dice.one_in(2),
+        allow_cancel: dice.one_in(2),
+        send_retry_after: dice.one_in(2),
         max_retry_after: 3 * S,
-        streams: dice.of(&[1, 4]),
-        idle_close: 5 * S,
+        streams_per_connection: dice.of(&[1, 4]),
+        idle_timeout: 5 * S,
         handshake_cost: 0.06,
         cross_zone_cost: 0.02,
-        zone_fees: vec![0.0, 0.1, 0.3],
-        weights: dice.of(&[Weights::None, Weights::Nominal, Weights::Rough]),
+        zone_costs: vec![0.0, 0.1, 0.3],
+        capacity_hints: dice.of(&[CapacityHints::None, CapacityHints::Nominal, CapacityHints::Rough]),
         tick: 5 * MS,
-        fall_multiple: dice.of(&[1.2, 2.0, 6.0]),
-        tip_after,
-        cold_from: dice.of(&[0.02, 0.2, 1.0]),
-        warm_within: dice.of(&[0, 3 * S, 12 * S]),
-        key_quiet: 300 * MS,
+        overload_factor: dice.of(&[1.2, 2.0, 6.0]),
+        overload_window: tip_after,
+        cold_capacity_share: dice.of(&[0.02, 0.2, 1.0]),
+        warm_up_time: dice.of(&[0, 3 * S, 12 * S]),
+        key_cooldown: 300 * MS,
         ..Settings::default()
     }
 }
 
 /// Draws for the events.
-pub struct Chance(Dice);
+pub struct Chance(SeededRng);
 
 impl Chance {
     pub fn new(seed: u64) -> Self {
-        Chance(Dice::new(seed))
+        Chance(SeededRng::new(seed))
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
-        (self.0.part() * bound as f64) as u64
+        (self.0.uniform() * bound as f64) as u64
     }
 
     pub fn one_in(&mut self, bound: u64) -> bool {
@@ -107,7 +114,7 @@
     chance: Chance,
     destinations: u64,
     modes: BTreeMap<DestinationId, Mode>,
-    entries: BTreeMap<EndpointId, Entry>,
+    entries: BTreeMap<EndpointId, EndpointUpdate>,
     next_endpoint: EndpointId,
     next_message: MessageId,
     /// Messages that are not over, with the number of the next attempt.
@@ -180,21 +187,21 @@
         self.modes.insert(id, mode);
     }
 
-    fn new_endpoint(&mut self, destination: DestinationId) -> Entry {
+    fn new_endpoint(&mut self, destination: DestinationId) -> EndpointUpdate {
         let endpoint = self.next_endpoint;
         self.next_endpoint += 1;
         let known = self.entries.values().find(|entry| entry.destination == destination).map(|e| e.kind);
         // Mostly one kind for a destination; a configuration may change it.
         let kind = known.filter(|_| !self.chance.one_in(20));
         let kind = kind.unwrap_or(self.chance.below(KINDS as u64) as usize);
-        let entry = Entry {
+        let entry = EndpointUpdate {
             endpoint,
             destination,
-            zone: self.chance.of(&[0, 1, 2, NO_ZONE]),
+            zone: self.chance.of(&[0, 1, 2, UNKNOWN_ZONE]),
             kind,
-            state: Listed::On,
-            report: Report::Fit,
-            weight: self.chance.of(&[0.5, 5.0, 20.0, 200.0]),
+            state: EndpointState::Active,
+            health: HealthStatus::Passing,
+            capacity_hint: self.chance.of(&[0.5, 5.0, 20.0, 200.0]),
         };
         self.entries.insert(endpoint, entry);
         entry
@@ -259,7 +266,15 @@
         let time_left = if self.chance.one_in(10) { self.chance.span(time_left) } else { time_left };
         let key = Some(self.chance.below(3 * self.destinations)).filter(|_| !self.chance.one_in(3));
         let repeat = self.chance.one_in(10);
-        events.push(Event::Message { id, destination, class, tenant: 0, key, time_left, repeat });
+        events.push(Event::Message {
+            id,
+            destination,
+            class,
+            tenant: 0,
+            order_key: key,
+            time_left,
+            is_retry: repeat,
+        });
         self.open.insert(id, (destination, 0));
         if self.chance.one_in(15) {
             events.push(self.history(id, destination));
@@ -269,10 +284,10 @@
     fn history(&mut self, id: MessageId, destination: DestinationId) -> Event {
         let attempts = self.chance.below(3) as u32;
         let endpoint = self.chance.below(u64::from(self.next_endpoint)) as EndpointId;
-        let ran = (self.chance.span(5 * S), endpoint, self.chance.of(&[0, 1, NO_ZONE]));
+        let ran = (self.chance.span(5 * S), endpoint, self.chance.of(&[0, 1, UNKNOWN_ZONE]));
         let may_have_run = Some(ran).filter(|_| attempts > 0);
         self.open.insert(id, (destination, attempts));
-        Event::History { id, attempts, may_have_run }
+        Event::AttemptHistory { id, attempts, possible_delivery: may_have_run }
     }
 
     /// What became of a message that waits without an attempt, told after its queue was looked at.
@@ -289,11 +304,11 @@
             1..=4 => Some(self.changes()),
             5 | 6 => {
                 let endpoint = self.chance.below(u64::from(self.next_endpoint)) as EndpointId;
-                Some(Event::Known {
+                Some(Event::RouteState {
                     destination,
                     endpoint: Some(endpoint).filter(|_| self.chance.one_in(2)),
-                    out: self.chance.one_in(2),
-                    wait: self.chance.of(&[0, 0, 300 * MS, 3 * S]),
+                    ejected: self.chance.one_in(2),
+                    retry_after: self.chance.of(&[0, 0, 300 * MS, 3 * S]),
                 })
             }
             7 if self.chance.one_in(12) => {
@@ -303,15 +318,15 @@
                 Some(Event::Settings(Box::new(self.settings.clone())))
             }
             // A stop is the end of most, unless another moment is told; so it is rare.
-            8 if self.chance.one_in(200) => Some(Event::Closing { time_left: self.chance.span(20 * S) }),
+            8 if self.chance.one_in(200) => Some(Event::ShuttingDown { time_left: self.chance.span(20 * S) }),
             9 | 10 => {
                 let place = self.chance.below(self.open.len() as u64) as usize;
                 let id = *self.open.keys().nth(place)?;
                 self.open.remove(&id);
-                Some(Event::Hangup { id })
+                Some(Event::Withdrawn { id })
             }
             11 => self.late_history(),
-            _ => Some(Event::List { form: ListForm::Failed, entries: Vec::new() }),
+            _ => Some(Event::EndpointList { kind: ListEventKind::Failed, entries: Vec::new() }),
         }
     }
 
@@ -322,8 +337,8 @@
                 self.entries.remove(&endpoint);
             }
         }
-        let form = self.chance.of(&[ListForm::Whole, ListForm::Remembered]);
-        Event::List { form, entries: self.entries.values().copied().collect() }
+        let form = self.chance.of(&[ListEventKind::Snapshot, ListEventKind::Restored]);
+        Event::EndpointList { kind: form, entries: self.entries.values().copied().collect() }
     }
 
     fn changes(&mut self) -> Event {
@@ -337,41 +352,61 @@
             let place = self.chance.below(self.entries.len() as u64) as usize;
             let Some(mut entry) = self.entries.values().nth(place).copied() else { continue };
             match self.chance.below(8) {
-                0 | 1 => entry.state = Listed::Draining,
-                2 | 3 => entry.state = Listed::Gone,
-                4 => entry.report = self.chance.of(&[Report::Fit, Report::Warning, Report::Critical]),
-                5 => entry.weight = self.chance.of(&[0.5, 5.0, 20.0, 200.0]),
+                0 | 1 => entry.state = EndpointState::Draining,
+                2 | 3 => entry.state = EndpointState::Removed,
+                4 => {
+                    entry.health = self.chance.of(&[
+                        HealthStatus::Passing,
+                        HealthStatus::Warning,
+                        HealthStatus::Critical,
+                    ])
+                }
+                5 => entry.capacity_hint = self.chance.of(&[0.5, 5.0, 20.0, 200.0]),
                 6 if self.chance.one_in(10) => entry.destination = destination,
                 7 if self.chance.one_in(10) => entry.kind = self.chance.below(KINDS as u64) as usize,
-                _ => entry.report = Report::Critical,
+                _ => entry.health = HealthStatus::Critical,
             }
             if entry.destination == self.entries[&entry.endpoint].destination {
                 // One that is gone may come back in a later list.
-                let kept =
-                    if entry.state == Listed::Gone && self.chance.one_in(2) { None } else { Some(entry) };
+                let kept = if entry.state == EndpointState::Removed && self.chance.one_in(2) {
+                    None
+                } else {
+                    Some(entry)
+                };
                 match kept {
-                    Some(kept) => self.entries.insert(entry.endpoint, Entry { state: Listed::On, ..kept }),
+                    Some(kept) => self
+                        .entries
+                        .insert(entry.endpoint, EndpointUpdate { state: EndpointState::Active, ..kept }),
                     None => self.entries.remove(&entry.endpoint),
                 };
             }
             entries.push(entry);
         }
-        Event::List { form: ListForm::Changes, entries }
+        Event::EndpointList { kind: ListEventKind::Delta, entries }
     }
 
     fn end_attempt(&mut self, number: u64) -> Option<Event> {
         let attempt = self.attempts.remove(&number)?;
         let Attempt { id, copy, sent, outcome } = attempt;
         let over = !self.open.contains_key(&id);
-        let finished = outcome == Outcome::Ok || over || self.chance.one_in(40);
+        let finished = outcome == Outcome::Success || over || self.chance.one_in(40);
         if finished {
             self.open.remove(&id);
         }
-        let told = outcome == Outcome::Full && self.chance.one_in(2) || self.chance.one_in(30);
+        let told = outcome == Outcome::Rejected && self.chance.one_in(2) || self.chance.one_in(30);
         let wait = if told { self.chance.of(&[200 * MS, S, 4 * S]) } else { 0 };
         let limit = Some(self.chance.of(&[0.2, 3.0, 50.0])).filter(|_| self.chance.one_in(10));
         let took = self.now - sent;
-        Some(Event::Outcome(Answer { id, copy, outcome, took, finished, wait, limit, left: None }))
+        Some(Event::AttemptEnded(AttemptResult {
+            id,
+            attempt: copy,
+            outcome,
+            latency: took,
+            message_finished: finished,
+            retry_after: wait,
+            reported_limit: limit,
+            reported_remaining: None,
+        }))
     }
 
     /// Carries out what the module has decided.
@@ -379,11 +414,11 @@
         for action in actions {
             match action {
                 Action::Send { id, timeout, .. } => self.send(*id, *timeout),
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.counts.given_up += 1;
                     self.open.remove(id);
                 }
-                Action::Cancel { id, copy } => {
+                Action::Cancel { id, attempt: copy } => {
                     let found = self.attempts.iter().find(|(_, a)| a.id == *id && a.copy == *copy);
                     let Some(number) = found.map(|(number, _)| *number) else { continue };
                     if let Some(attempt) = self.attempts.get_mut(&number)
@@ -410,10 +445,10 @@
         let mode = self.modes.get(destination).copied().unwrap_or(Mode::Serves);
         let quick = self.chance.of(&[5 * MS, 60 * MS, 500 * MS]);
         let (outcome, took) = match (mode, self.chance.below(12)) {
-            (_, 0) => (self.chance.of(&[Outcome::Spoilt, Outcome::Moot, Outcome::Reset]), quick),
-            (_, 1) | (Mode::Serves, _) => (Outcome::Ok, quick),
+            (_, 0) => (self.chance.of(&[Outcome::InvalidResponse, Outcome::NotSent, Outcome::Reset]), quick),
+            (_, 1) | (Mode::Serves, _) => (Outcome::Success, quick),
             (Mode::Refuses, _) => (Outcome::ConnectFailed, MS),
-            (Mode::Full, _) => (Outcome::Full, 10 * MS),
+            (Mode::Full, _) => (Outcome::Rejected, 10 * MS),
             (Mode::Fails, _) => (Outcome::Error, quick),
             (Mode::Hangs, _) => (Outcome::Timeout, timeout),
         };
@@ -432,6 +467,6 @@
     /// The first list.
     pub fn first_list(&self) -> Vec<Event> {
         let entries = self.entries.values().copied().collect();
-        vec![Event::List { form: ListForm::Remembered, entries }]
+        vec![Event::EndpointList { kind: ListEventKind::Restored, entries }]
     }
 }
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -5,8 +5,8 @@
 use common::*;
 use orchidyoke_core::interface::*;
 
-fn told(endpoint: EndpointId, kind: usize, report: Report) -> Entry {
-    Entry { report, ..entry(endpoint, 1, 0, kind) }
+fn told(endpoint: EndpointId, kind: usize, report: HealthStatus) -> EndpointUpdate {
+    EndpointUpdate { health: report, ..entry(endpoint, 1, 0, kind) }
 }
 
 /// Calls in so long, each answered at once, and those that went to one endpoint.
@@ -31,14 +31,14 @@
 #[test]
 fn a_success_sent_before_a_bad_report_opens_nothing() {
     for before in [true, false] {
-        let mut bench = Bench::new(settings(), &[told(1, 0, Report::Fit)]);
-        tried(&mut bench, 5 * S, Outcome::Ok, 1);
+        let mut bench = Bench::new(settings(), &[told(1, 0, HealthStatus::Passing)]);
+        tried(&mut bench, 5 * S, Outcome::Success, 1);
         let mut calls = Vec::new();
         if before {
             calls = sends(&bench.hand_in(1, 0, 1));
         }
         bench.now += 10 * MS;
-        bench.list(ListForm::Changes, &[told(1, 0, Report::Critical)]);
+        bench.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Critical)]);
         bench.now += 10 * MS;
         if !before {
             while calls.is_empty() {
@@ -46,53 +46,64 @@
                 bench.now += 50 * MS;
             }
         }
-        bench.end(calls[0].0, Outcome::Ok);
+        bench.end(calls[0].0, Outcome::Success);
         // A ramp that ran from here on would be over.
         bench.later(13 * S);
-        assert_eq!(bench.controller.troubled().is_empty(), !before, "sent before the report: {before}");
+        assert_eq!(bench.controller.faulty_routes().is_empty(), !before, "sent before the report: {before}");
     }
 }
 
 #[test]
 fn a_critical_endpoint_gets_nothing_while_another_is_fit() {
     for kind in [0, 1] {
-        let mut bench = Bench::new(settings(), &[told(1, kind, Report::Fit), told(2, kind, Report::Fit)]);
-        bench.list(ListForm::Changes, &[told(2, kind, Report::Critical)]);
-        let (all, there) = tried(&mut bench, 5 * S, Outcome::Ok, 2);
+        let mut bench = Bench::new(
+            settings(),
+            &[told(1, kind, HealthStatus::Passing), told(2, kind, HealthStatus::Passing)],
+        );
+        bench.list(ListEventKind::Delta, &[told(2, kind, HealthStatus::Critical)]);
+        let (all, there) = tried(&mut bench, 5 * S, Outcome::Success, 2);
         assert!(all >= 90 && there == 0, "kind {kind}: {all} calls, {there} to the critical one");
-        assert_eq!(bench.controller.troubled().is_empty(), kind == 0, "a route of its own is in trouble");
+        assert_eq!(
+            bench.controller.faulty_routes().is_empty(),
+            kind == 0,
+            "a route of its own is in trouble"
+        );
     }
 }
 
 #[test]
 fn a_warning_is_a_last_choice_and_no_more() {
-    let mut bench = Bench::new(settings(), &[told(1, 0, Report::Warning), told(2, 0, Report::Fit)]);
-    assert_eq!(tried(&mut bench, 2 * S, Outcome::Ok, 1).1, 0);
-    bench.list(ListForm::Changes, &[Entry { state: Listed::Draining, ..told(2, 0, Report::Fit) }]);
-    assert!(tried(&mut bench, 2 * S, Outcome::Ok, 1).1 >= 30);
-    assert!(bench.controller.troubled().is_empty());
+    let mut bench =
+        Bench::new(settings(), &[told(1, 0, HealthStatus::Warning), told(2, 0, HealthStatus::Passing)]);
+    assert_eq!(tried(&mut bench, 2 * S, Outcome::Success, 1).1, 0);
+    bench.list(
+        ListEventKind::Delta,
+        &[EndpointUpdate { state: EndpointState::Draining, ..told(2, 0, HealthStatus::Passing) }],
+    );
+    assert!(tried(&mut bench, 2 * S, Outcome::Success, 1).1 >= 30);
+    assert!(bench.controller.faulty_routes().is_empty());
 }
 
 // Guards against a partner that only the health checks saw fail getting everything at once when they pass again.
 #[test]
 fn a_good_report_alone_opens_nothing() {
-    for state in [Listed::On, Listed::Draining, Listed::Gone] {
-        let mut bench = Bench::new(settings(), &[told(1, 0, Report::Fit)]);
-        tried(&mut bench, 5 * S, Outcome::Ok, 1);
-        bench.list(ListForm::Changes, &[Entry { state, ..told(1, 0, Report::Critical) }]);
+    for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
+        let mut bench = Bench::new(settings(), &[told(1, 0, HealthStatus::Passing)]);
+        tried(&mut bench, 5 * S, Outcome::Success, 1);
+        bench.list(ListEventKind::Delta, &[EndpointUpdate { state, ..told(1, 0, HealthStatus::Critical) }]);
         bench.later(5 * S);
         // Trial calls meanwhile are none of this test: they are over before it comes back.
         for (id, ..) in sends(&bench.hand_in(1, 0, 30)) {
             bench.end(id, Outcome::Timeout);
         }
-        let back = told(if state == Listed::Gone { 2 } else { 1 }, 0, Report::Fit);
-        let (mut sent, mut calls) = (0, sends(&bench.list(ListForm::Changes, &[back])));
-        assert!(!bench.controller.troubled().is_empty(), "{state:?}: back, but not yet trusted");
+        let back = told(if state == EndpointState::Removed { 2 } else { 1 }, 0, HealthStatus::Passing);
+        let (mut sent, mut calls) = (0, sends(&bench.list(ListEventKind::Delta, &[back])));
+        assert!(!bench.controller.faulty_routes().is_empty(), "{state:?}: back, but not yet trusted");
         for _ in 0..20 {
             calls.extend(sends(&bench.later(100 * MS)));
             sent += calls.len();
             for (id, ..) in std::mem::take(&mut calls) {
-                calls.extend(sends(&bench.end(id, Outcome::Ok)));
+                calls.extend(sends(&bench.end(id, Outcome::Success)));
             }
         }
         // Twice a fifth of 20 calls a second, somewhat risen, for 2 s.
@@ -102,34 +113,34 @@
 
 #[test]
 fn calls_overrule_a_bad_report_and_failing_calls_a_good_one() {
-    let mut bench = Bench::new(settings(), &[told(1, 0, Report::Critical)]);
-    assert!(!bench.controller.troubled().is_empty());
-    tried(&mut bench, 14 * S, Outcome::Ok, 1);
-    assert!(bench.controller.troubled().is_empty(), "calls that end well end the trouble");
-    bench.list(ListForm::Changes, &[told(1, 0, Report::Critical)]);
-    assert!(bench.controller.troubled().is_empty(), "the same report again is no news");
-    bench.list(ListForm::Changes, &[told(1, 0, Report::Fit)]);
+    let mut bench = Bench::new(settings(), &[told(1, 0, HealthStatus::Critical)]);
+    assert!(!bench.controller.faulty_routes().is_empty());
+    tried(&mut bench, 14 * S, Outcome::Success, 1);
+    assert!(bench.controller.faulty_routes().is_empty(), "calls that end well end the trouble");
+    bench.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Critical)]);
+    assert!(bench.controller.faulty_routes().is_empty(), "the same report again is no news");
+    bench.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Passing)]);
     tried(&mut bench, 5 * S, Outcome::Reset, 1);
-    bench.list(ListForm::Changes, &[told(1, 0, Report::Fit)]);
-    assert!(!bench.controller.troubled().is_empty(), "checks that pass do not hide calls that fail");
+    bench.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Passing)]);
+    assert!(!bench.controller.faulty_routes().is_empty(), "checks that pass do not hide calls that fail");
 }
 
 // Guards against a budget that is not kept because it is larger than what is remembered of the sends: a partner that
 // takes 400 calls a second was sent all that waited for it as soon as it could do 64 in 2 s.
 #[test]
 fn a_large_budget_binds_as_a_small_one_does() {
-    let set = Settings { slots: 400, max_open: 4000, ..settings() };
-    let large = |report| Entry { weight: 400.0, ..told(1, 0, report) };
-    let mut bench = Bench::new(set, &[large(Report::Fit)]);
-    bench.list(ListForm::Changes, &[large(Report::Critical)]);
-    let mut calls = sends(&bench.list(ListForm::Changes, &[large(Report::Fit)]));
+    let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
+    let large = |report| EndpointUpdate { capacity_hint: 400.0, ..told(1, 0, report) };
+    let mut bench = Bench::new(set, &[large(HealthStatus::Passing)]);
+    bench.list(ListEventKind::Delta, &[large(HealthStatus::Critical)]);
+    let mut calls = sends(&bench.list(ListEventKind::Delta, &[large(HealthStatus::Passing)]));
     calls.extend(sends(&bench.hand_in(1, 0, 3000)));
     let mut times = Vec::new();
     for _ in 0..400 {
         times.extend(calls.iter().map(|_| bench.now));
         bench.now += 20 * MS;
         for (id, ..) in std::mem::take(&mut calls) {
-            calls.extend(sends(&bench.end(id, Outcome::Ok)));
+            calls.extend(sends(&bench.end(id, Outcome::Success)));
         }
         calls.extend(sends(&bench.later(0)));
     }
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -11,11 +11,11 @@
 fn what_may_have_run_before_a_restart_is_not_sent_again() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     let message = bench.message(1, 2);
-    let history = Event::History { id: 1, attempts: 1, may_have_run: Some((S, 1, 0)) };
+    let history = Event::AttemptHistory { id: 1, attempts: 1, possible_delivery: Some((S, 1, 0)) };
     let actions = bench.step(&[message, history]);
     assert_eq!((failed(&actions), sends(&actions).len()), (vec![1], 0));
     let message = bench.message(1, 2);
-    let history = Event::History { id: 2, attempts: 1, may_have_run: None };
+    let history = Event::AttemptHistory { id: 2, attempts: 1, possible_delivery: None };
     assert_eq!(sends(&bench.step(&[message, history])).len(), 1, "what never ran goes again");
 }
 
@@ -24,7 +24,8 @@
 fn attempts_before_a_restart_count() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     let message = bench.message(1, 0);
-    let actions = bench.step(&[message, Event::History { id: 1, attempts: 8, may_have_run: None }]);
+    let actions =
+        bench.step(&[message, Event::AttemptHistory { id: 1, attempts: 8, possible_delivery: None }]);
     assert_eq!((refused(&actions).len(), sends(&actions).len()), (1, 0));
 }
 
@@ -32,7 +33,7 @@
 #[test]
 fn nothing_is_begun_that_cannot_end_before_the_stop() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
-    bench.step(&[Event::Closing { time_left: 4 * S }]);
+    bench.step(&[Event::ShuttingDown { time_left: 4 * S }]);
     assert_eq!(sends(&bench.hand_in(1, 2, 1)).len(), 1, "there is time");
     bench.now += 3 * S;
     let actions = bench.hand_in(2, 2, 1);
@@ -43,15 +44,20 @@
 #[test]
 fn trouble_before_a_restart_is_minded() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
-    assert!(bench.controller.troubled().is_empty());
-    bench.step(&[1, 99].map(|destination| Event::Known { destination, endpoint: None, out: true, wait: 0 }));
-    assert_eq!(bench.controller.troubled().into_iter().collect::<Vec<_>>(), [(1, None), (99, None)]);
+    assert!(bench.controller.faulty_routes().is_empty());
+    bench.step(&[1, 99].map(|destination| Event::RouteState {
+        destination,
+        endpoint: None,
+        ejected: true,
+        retry_after: 0,
+    }));
+    assert_eq!(bench.controller.faulty_routes().into_iter().collect::<Vec<_>>(), [(1, None), (99, None)]);
     let healthy = sends(&bench.hand_in(2, 0, 1));
     assert_eq!(healthy.len(), 1);
     let mut calls = sends(&bench.hand_in(1, 0, 20));
     for _ in 0..40 {
         for (id, _, _) in std::mem::take(&mut calls) {
-            calls.extend(sends(&bench.end(id, Outcome::Full)));
+            calls.extend(sends(&bench.end(id, Outcome::Rejected)));
         }
         calls.extend(sends(&bench.later(50 * MS)));
     }
@@ -67,22 +73,22 @@
     for troubled in [false, true] {
         let mut bench = Bench::new(settings(), &[]);
         if troubled {
-            bench.step(&[1, 2].map(|destination| Event::Known {
+            bench.step(&[1, 2].map(|destination| Event::RouteState {
                 destination,
                 endpoint: None,
-                out: true,
-                wait: 0,
+                ejected: true,
+                retry_after: 0,
             }));
         }
         bench.later(5 * S);
-        bench.list(ListForm::Whole, &[entry(1, 1, 0, 0)]);
-        assert_eq!(bench.controller.troubled().contains(&(1, None)), troubled);
+        bench.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
+        assert_eq!(bench.controller.faulty_routes().contains(&(1, None)), troubled);
         let (mut calls, mut sent) = (sends(&bench.hand_in(1, 0, 80)), 0);
         for _ in 0..20 {
             sent += calls.len();
             bench.now += 100 * MS;
             for (id, ..) in std::mem::take(&mut calls) {
-                calls.extend(sends(&bench.end(id, Outcome::Ok)));
+                calls.extend(sends(&bench.end(id, Outcome::Success)));
             }
             calls.extend(sends(&bench.later(0)));
         }
@@ -96,17 +102,27 @@
 #[test]
 fn what_a_start_finds_untried_is_not_given_up_for_room() {
     let mut set = settings();
-    set.max_open = 10;
+    set.max_open_messages = 10;
     let mut bench = Bench::new(set, &[entry(1, 7, 0, 0)]);
     let mut events = Vec::new();
     for _ in 0..4 {
-        let Event::Message { id, destination, class, tenant, key, repeat, .. } = bench.message(7, 0) else {
+        let Event::Message { id, destination, class, tenant, order_key: key, is_retry: repeat, .. } =
+            bench.message(7, 0)
+        else {
             unreachable!()
         };
         // Half of its time is left, and its aim has passed.
         let time_left = 8 * S;
-        events.push(Event::Message { id, destination, class, tenant, key, time_left, repeat });
-        events.push(Event::History { id, attempts: 0, may_have_run: None });
+        events.push(Event::Message {
+            id,
+            destination,
+            class,
+            tenant,
+            order_key: key,
+            time_left,
+            is_retry: repeat,
+        });
+        events.push(Event::AttemptHistory { id, attempts: 0, possible_delivery: None });
     }
     let new: Vec<Event> = (0..12).map(|_| bench.message(7, 0)).collect();
     events.extend(new);
@@ -117,7 +133,7 @@
     while order.len() < 10 - given_up.len().saturating_sub(6) {
         let id = *order.last().expect("one at a time at first");
         bench.now += 100 * MS;
-        let actions = bench.end(id, Outcome::Ok);
+        let actions = bench.end(id, Outcome::Success);
         let next = sends(&actions);
         if next.is_empty() {
             break;
