--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -10,46 +10,46 @@
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
     let class = |effect, keep_order| Class {
-        aim: 2 * S,
+        latency_objective: 2 * S,
         deadline: 8 * S,
-        worth: 1.0,
-        late_share: 0.3,
-        effect,
+        priority_weight: 1.0,
+        late_weight_share: 0.3,
+        idempotency: effect,
         keep_order,
     };
     Settings {
         fleet_size: rng.u32(1..4),
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Keyed { group: Group::Zone, window: 3 * S }, false),
-            class(Effect::Keyed { group: Group::All, window: 3 * S }, false),
-            class(Effect::Unsafe, false),
-            class(Effect::Unsafe, true),
-            class(Effect::Safe, true),
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 3 * S }, false),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 3 * S }, false),
+            class(Idempotency::NonIdempotent, false),
+            class(Idempotency::NonIdempotent, true),
+            class(Idempotency::Idempotent, true),
         ],
         kinds: vec![
-            Kind { batch: 1, apart: false },
-            Kind { batch: 1, apart: true },
-            Kind { batch: 4, apart: rng.bool() },
+            DestinationKind { max_batch: 1, separate_routes: false },
+            DestinationKind { max_batch: 1, separate_routes: true },
+            DestinationKind { max_batch: 4, separate_routes: rng.bool() },
         ],
         tenant_quotas: vec![2.0, 20.0],
-        slots: rng.usize(1..12),
-        max_open: rng.usize(1..60),
+        max_calls: rng.usize(1..12),
+        max_open_messages: rng.usize(1..60),
         max_attempts: rng.u32(1..6),
-        retry_after: rng.bool(),
+        send_retry_after: rng.bool(),
         max_retry_after: 3 * S,
-        streams: rng.usize(0..3),
-        idle_close: 5 * S,
-        weights: Weights::Rough,
-        directory: if rng.bool() { Directory::Pushed } else { Directory::OnRequest },
+        streams_per_connection: rng.usize(0..3),
+        idle_timeout: 5 * S,
+        capacity_hints: CapacityHints::Rough,
+        discovery_mode: if rng.bool() { DiscoveryMode::Push } else { DiscoveryMode::Poll },
         tick: 5 * MS,
-        answer_slack: 20 * MS,
-        ask_every: 10 * S,
-        fall_multiple: 2.0,
-        tip_after: 2 * S,
-        cold_from: 0.2,
-        warm_within: 10 * S,
-        key_quiet: 300 * MS,
+        final_answer_grace: 20 * MS,
+        max_poll_interval: 10 * S,
+        overload_factor: 2.0,
+        overload_window: 2 * S,
+        cold_capacity_share: 0.2,
+        warm_up_time: 10 * S,
+        key_cooldown: 300 * MS,
         ..Settings::default()
     }
 }
@@ -70,7 +70,7 @@
     rng: fastrand::Rng,
     controller: Controller,
     now: Micros,
-    entries: BTreeMap<EndpointId, Entry>,
+    entries: BTreeMap<EndpointId, EndpointUpdate>,
     messages: BTreeMap<MessageId, Held>,
     out: BTreeMap<(MessageId, u32), (EndpointId, Micros, Micros)>,
     waits: BTreeMap<u64, Micros>,
@@ -101,7 +101,11 @@
     /// What a told wait is kept by: the route where routes are apart, else the destination.
     fn route(&self, endpoint: EndpointId) -> u64 {
         let entry = self.entries[&endpoint];
-        if self.set.kinds[entry.kind].apart { 1000 + u64::from(endpoint) } else { entry.destination }
+        if self.set.kinds[entry.kind].separate_routes {
+            1000 + u64::from(endpoint)
+        } else {
+            entry.destination
+        }
     }
 
     fn news(&mut self) -> Event {
@@ -110,22 +114,32 @@
             let endpoint = self.rng.u32(0..12);
             let destination = u64::from(endpoint % 4);
             let state = match self.rng.u8(0..6) {
-                0 => Listed::Draining,
-                1 => Listed::Gone,
-                _ => Listed::On,
+                0 => EndpointState::Draining,
+                1 => EndpointState::Removed,
+                _ => EndpointState::Active,
             };
             let (zone, kind) = (endpoint as usize % 3, destination as usize % 3);
-            let report = [Report::Fit, Report::Warning, Report::Critical][self.rng.usize(0..3)];
-            entries.push(Entry { endpoint, destination, zone, kind, state, report, weight: 5.0 });
+            let report =
+                [HealthStatus::Passing, HealthStatus::Warning, HealthStatus::Critical][self.rng.usize(0..3)];
+            entries.push(EndpointUpdate {
+                endpoint,
+                destination,
+                zone,
+                kind,
+                state,
+                health: report,
+                capacity_hint: 5.0,
+            });
         }
-        let form = [ListForm::Changes, ListForm::Changes, ListForm::Whole][self.rng.usize(0..3)];
-        if form == ListForm::Whole {
-            self.entries.values_mut().for_each(|e| e.state = Listed::Gone);
+        let form =
+            [ListEventKind::Delta, ListEventKind::Delta, ListEventKind::Snapshot][self.rng.usize(0..3)];
+        if form == ListEventKind::Snapshot {
+            self.entries.values_mut().for_each(|e| e.state = EndpointState::Removed);
         }
         for entry in &entries {
             self.entries.insert(entry.endpoint, *entry);
         }
-        Event::List { form, entries }
+        Event::EndpointList { kind: form, entries }
     }
 
     fn message(&mut self) -> Event {
@@ -138,12 +152,13 @@
         let held = Held { class, destination, key, deadline, attempts: 0, out, may_have_run, over: false };
         self.messages.insert(id, held);
         let (tenant, repeat) = (self.rng.usize(0..3), self.rng.bool());
-        Event::Message { id, destination, class, tenant, key, time_left, repeat }
+        Event::Message { id, destination, class, tenant, order_key: key, time_left, is_retry: repeat }
     }
 
     fn outcome(&mut self, attempt: (MessageId, u32), outcome: Outcome) -> Event {
         let (endpoint, sent, _) = self.out.remove(&attempt).expect("an attempt that is out");
-        let wait = if outcome == Outcome::Full && self.rng.bool() { self.rng.i64(1..900) * MS } else { 0 };
+        let wait =
+            if outcome == Outcome::Rejected && self.rng.bool() { self.rng.i64(1..900) * MS } else { 0 };
         if wait > 0 {
             let until = self.waits.entry(self.route(endpoint)).or_default();
             *until = (*until).max(self.now + wait);
@@ -151,16 +166,25 @@
         let zone = self.entries[&endpoint].zone;
         let held = self.messages.get_mut(&attempt.0).expect("a message that was handed in");
         held.out.remove(&attempt.1);
-        held.over |= outcome == Outcome::Ok;
+        held.over |= outcome == Outcome::Success;
         if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             held.may_have_run = held.may_have_run.or(Some((sent, zone)));
             if let (Some(key), true) = (held.key, outcome != Outcome::Error) {
-                self.rests.insert(key, (self.now + self.set.key_quiet, attempt.0));
+                self.rests.insert(key, (self.now + self.set.key_cooldown, attempt.0));
             }
         }
         let (id, copy) = attempt;
         let (took, finished) = (self.now - sent, held.over);
-        Event::Outcome(Answer { id, copy, outcome, took, finished, wait, limit: Some(3.0), left: None })
+        Event::AttemptEnded(AttemptResult {
+            id,
+            attempt: copy,
+            outcome,
+            latency: took,
+            message_finished: finished,
+            retry_after: wait,
+            reported_limit: Some(3.0),
+            reported_remaining: None,
+        })
     }
 
     fn step(&mut self) {
@@ -173,7 +197,7 @@
             events.push(self.news());
         }
         if self.rng.u8(0..100) == 0 {
-            events.push(Event::List { form: ListForm::Failed, entries: Vec::new() });
+            events.push(Event::EndpointList { kind: ListEventKind::Failed, entries: Vec::new() });
         }
         for _ in 0..self.rng.usize(0..3) {
             events.push(self.message());
@@ -184,7 +208,18 @@
                 events.push(self.outcome(attempt, Outcome::Timeout));
             } else if self.rng.u8(0..8) == 0 {
                 use Outcome::*;
-                let all = [Ok, Ok, Ok, Error, Full, Full, ConnectFailed, Reset, Cancelled, Moot];
+                let all = [
+                    Success,
+                    Success,
+                    Success,
+                    Error,
+                    Rejected,
+                    Rejected,
+                    ConnectFailed,
+                    Reset,
+                    Cancelled,
+                    NotSent,
+                ];
                 let outcome = all[self.rng.usize(0..all.len())];
                 events.push(self.outcome(attempt, outcome));
             }
@@ -192,7 +227,7 @@
         if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
             let id = self.rng.u64(0..self.messages.len() as u64);
             self.messages.get_mut(&id).expect("known").over = true;
-            events.push(Event::Hangup { id });
+            events.push(Event::Withdrawn { id });
         }
         if events.is_empty() {
             return;
@@ -205,21 +240,22 @@
         }
         for (id, held) in &self.messages {
             // In time: what was due before the last timer's time is over by now.
-            let late = self.now > held.deadline + self.set.answer_slack && held.deadline > 0;
+            let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
             assert!(held.over || !late, "message {id} has no answer in time");
         }
         let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
-        assert!(calls.len() <= self.set.slots, "more calls out than slots");
+        assert!(calls.len() <= self.set.max_calls, "more calls out than slots");
     }
 
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send { id, endpoint, timeout } => self.check_send(*id, *endpoint, *timeout),
-            Action::Refuse { id, pause } => {
+            Action::Reject { id, retry_after: pause } => {
                 let held = self.messages.get_mut(id).expect("refuses what was handed in");
                 assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
-                let harmless = match self.set.classes[held.class].effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                let harmless = match self.set.classes[held.class].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     _ => held.may_have_run.is_none() && held.out.is_empty(),
                 };
                 assert!(harmless, "message {id} may have run and was refused");
@@ -233,7 +269,7 @@
                 assert!(*delay > 0);
                 self.timers.insert(self.now + delay);
             }
-            Action::Watch { .. } => assert_eq!(self.set.directory, Directory::OnRequest),
+            Action::Watch { .. } => assert_eq!(self.set.discovery_mode, DiscoveryMode::Poll),
             other => panic!("not permitted here: {other:?}"),
         }
     }
@@ -245,24 +281,27 @@
         let held = &self.messages[&id];
         assert!(!held.over, "message {id} sent after its end");
         assert_eq!(entry.destination, held.destination);
-        assert_eq!(entry.state, Listed::On, "sent to a draining or gone endpoint");
+        assert_eq!(entry.state, EndpointState::Active, "sent to a draining or gone endpoint");
         let mut sisters = self.entries.values().filter(|e| e.destination == entry.destination);
-        let fit = sisters.any(|e| e.state == Listed::On && e.report != Report::Critical);
+        let fit = sisters.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
         assert!(
-            !fit || entry.report != Report::Critical,
+            !fit || entry.health != HealthStatus::Critical,
             "sent to a critical endpoint with a fit one beside it"
         );
         assert!(held.out.is_empty(), "two attempts of message {id} out together");
         assert!(held.attempts < self.set.max_attempts);
         assert!(timeout > 0);
         if let Some((sent, zone)) = held.may_have_run {
-            match self.set.classes[held.class].effect {
-                Effect::Safe => {}
-                Effect::Keyed { group, window } => {
+            match self.set.classes[held.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::IdempotencyKey { scope: group, window } => {
                     assert!(self.now < sent + window, "message {id} sent again past its window");
-                    assert!(group == Group::All || entry.zone == zone, "message {id} left its zone");
+                    assert!(
+                        group == DeduplicationScope::All || entry.zone == zone,
+                        "message {id} left its zone"
+                    );
                 }
-                Effect::Unsafe => panic!("message {id} may have run and was sent again"),
+                Idempotency::NonIdempotent => panic!("message {id} may have run and was sent again"),
             }
         }
         if let Some(key) = held.key {
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -13,27 +13,41 @@
 const AT_MOST: f64 = 1.5;
 
 fn settings() -> Settings {
-    let class = Class { aim: 600 * S, deadline: 3600 * S, worth: 1.0, late_share: 0.5, ..Class::default() };
+    let class = Class {
+        latency_objective: 600 * S,
+        deadline: 3600 * S,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        ..Class::default()
+    };
     Settings {
         fleet_size: 450,
-        classes: vec![Class { effect: Effect::Safe, ..class }],
-        kinds: vec![Kind { batch: 1, apart: false }],
-        slots: 400,
-        streams: 1,
-        idle_close: 5 * S,
-        weights: Weights::Nominal,
+        classes: vec![Class { idempotency: Idempotency::Idempotent, ..class }],
+        kinds: vec![DestinationKind { max_batch: 1, separate_routes: false }],
+        max_calls: 400,
+        streams_per_connection: 1,
+        idle_timeout: 5 * S,
+        capacity_hints: CapacityHints::Nominal,
         tick: MS,
-        fall_multiple: 2.0,
-        tip_after: 2 * S,
-        cold_from: 0.2,
-        warm_within: 60 * S,
+        overload_factor: 2.0,
+        overload_window: 2 * S,
+        cold_capacity_share: 0.2,
+        warm_up_time: 60 * S,
         ..Settings::default()
     }
 }
 
-fn entry(number: u32) -> Entry {
-    let (state, report) = (Listed::On, Report::Fit);
-    Entry { endpoint: number, destination: number.into(), zone: 0, kind: 0, state, report, weight: 200.0 }
+fn entry(number: u32) -> EndpointUpdate {
+    let (state, report) = (EndpointState::Active, HealthStatus::Passing);
+    EndpointUpdate {
+        endpoint: number,
+        destination: number.into(),
+        zone: 0,
+        kind: 0,
+        state,
+        health: report,
+        capacity_hint: 200.0,
+    }
 }
 
 /// A controller with a list of which some destinations are down, each with a message that waits.
@@ -68,9 +82,9 @@
             timer_work: 0,
         };
         let entries = (1..=listed).map(entry).collect();
-        forwarder.step(vec![Event::List { form: ListForm::Whole, entries }]);
+        forwarder.step(vec![Event::EndpointList { kind: ListEventKind::Snapshot, entries }]);
         for destination in 1..=down {
-            let known = Event::Known { destination, endpoint: None, out: true, wait: 0 };
+            let known = Event::RouteState { destination, endpoint: None, ejected: true, retry_after: 0 };
             let message = forwarder.message(destination);
             forwarder.step(vec![known, message]);
         }
@@ -81,7 +95,15 @@
     fn message(&mut self, destination: DestinationId) -> Event {
         self.next += 1;
         let id = self.next;
-        Event::Message { id, destination, class: 0, tenant: 0, key: None, time_left: 3600 * S, repeat: false }
+        Event::Message {
+            id,
+            destination,
+            class: 0,
+            tenant: 0,
+            order_key: None,
+            time_left: 3600 * S,
+            is_retry: false,
+        }
     }
 
     fn step(&mut self, events: Vec<Event>) {
@@ -124,9 +146,18 @@
                 events.push(Event::Timer { token });
             }
             events.extend(self.ends.remove(&next).into_iter().flatten().map(|(id, copy, serves)| {
-                let outcome = if serves { Outcome::Ok } else { Outcome::ConnectFailed };
+                let outcome = if serves { Outcome::Success } else { Outcome::ConnectFailed };
                 let (took, finished) = (20 * MS, serves);
-                Event::Outcome(Answer { id, copy, outcome, took, finished, wait: 0, limit: None, left: None })
+                Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt: copy,
+                    outcome,
+                    latency: took,
+                    message_finished: finished,
+                    retry_after: 0,
+                    reported_limit: None,
+                    reported_remaining: None,
+                })
             }));
             self.step(events);
         }
@@ -143,7 +174,7 @@
             let message = self.message(destination);
             self.step(vec![message]);
         }
-        let draws = self.down as f64 * (self.now - since) as f64 / (settings().tip_after / 2) as f64;
+        let draws = self.down as f64 * (self.now - since) as f64 / (settings().overload_window / 2) as f64;
         let event = (self.work - work) as f64 / (self.events - events) as f64;
         [event, (self.timer_work - timer_work) as f64 / draws]
     }
@@ -165,7 +196,11 @@
     let work = [10_000, 100_000].map(|listed| {
         let mut controller = Controller::new(settings(), 7);
         let entries = (1..=listed).map(entry).collect();
-        controller.step(S, &[Event::List { form: ListForm::Whole, entries }], &mut Vec::new());
+        controller.step(
+            S,
+            &[Event::EndpointList { kind: ListEventKind::Snapshot, entries }],
+            &mut Vec::new(),
+        );
         controller.work() as f64
     });
     println!("destinations looked at for a list: {work:?}");
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -6,7 +6,7 @@
 
 use common::{MS, S};
 use orchidyoke_core::Controller;
-use orchidyoke_core::dice::Dice;
+use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     size: u32,
-    weights: Weights,
+    weights: CapacityHints,
     /// Calls a second that the destination bears when it is warm, and the part of them that is asked for.
     bears: f64,
     load: f64,
@@ -26,16 +26,23 @@
 }
 
 fn settings(case: &Case) -> Settings {
-    let (aim, effect) = (2500 * MS, Effect::Safe);
-    let class = Class { aim, deadline: DEADLINE, worth: 1.0, late_share: 0.5, effect, keep_order: false };
+    let (aim, effect) = (2500 * MS, Idempotency::Idempotent);
+    let class = Class {
+        latency_objective: aim,
+        deadline: DEADLINE,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        idempotency: effect,
+        keep_order: false,
+    };
     Settings {
         fleet_size: case.size,
         classes: vec![class],
-        kinds: vec![Kind { batch: 1, apart: false }],
-        slots: 12,
-        max_open: 200,
+        kinds: vec![DestinationKind { max_batch: 1, separate_routes: false }],
+        max_calls: 12,
+        max_open_messages: 200,
         connect_timeout: S,
-        weights: case.weights,
+        capacity_hints: case.weights,
         ..common::settings()
     }
 }
@@ -45,7 +52,7 @@
     share: f64,
     next: MessageId,
     attempts: BTreeMap<MessageId, u32>,
-    out: Vec<(Micros, Answer)>,
+    out: Vec<(Micros, AttemptResult)>,
     /// It has seen a call fail, or be refused, in the outage.
     told: bool,
 }
@@ -53,7 +60,7 @@
 struct Fleet {
     now: Micros,
     forwarders: Vec<Forwarder>,
-    chance: Dice,
+    chance: SeededRng,
     /// Calls since the return: when, and whether who made it had been told.
     calls: Vec<(Micros, bool)>,
     served: usize,
@@ -62,18 +69,26 @@
 impl Fleet {
     fn new(case: &Case, known_size: u32, seed: u64) -> Self {
         let set = Settings { fleet_size: known_size, ..settings(case) };
-        let (state, report) = (Listed::On, Report::Fit);
+        let (state, report) = (EndpointState::Active, HealthStatus::Passing);
         let weight = case.bears;
-        let partner = Entry { endpoint: 1, destination: 1, zone: 0, kind: 0, state, report, weight };
-        let mut chance = Dice::new(seed);
+        let partner = EndpointUpdate {
+            endpoint: 1,
+            destination: 1,
+            zone: 0,
+            kind: 0,
+            state,
+            health: report,
+            capacity_hint: weight,
+        };
+        let mut chance = SeededRng::new(seed);
         // Some see several times the mean.
-        let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + chance.part().powi(3) * 4.0).collect();
+        let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + chance.uniform().powi(3) * 4.0).collect();
         let all: f64 = shares.iter().sum();
         let forwarder = |(number, share): (u64, f64)| {
             let mut controller = Controller::new(set.clone(), seed * 1000 + number);
             controller.step(
                 S,
-                &[Event::List { form: ListForm::Whole, entries: vec![partner] }],
+                &[Event::EndpointList { kind: ListEventKind::Snapshot, entries: vec![partner] }],
                 &mut Vec::new(),
             );
             let (attempts, out) = (BTreeMap::new(), Vec::new());
@@ -91,27 +106,44 @@
             for one in &mut self.forwarders {
                 let mut events = vec![Event::Timer { token: u64::MAX }];
                 for (_, answer) in one.out.extract_if(.., |(ends, _)| *ends <= now) {
-                    one.told |= outage && answer.outcome != Outcome::Ok;
-                    self.served += usize::from(answer.outcome == Outcome::Ok);
-                    events.push(Event::Outcome(answer));
+                    one.told |= outage && answer.outcome != Outcome::Success;
+                    self.served += usize::from(answer.outcome == Outcome::Success);
+                    events.push(Event::AttemptEnded(answer));
                 }
-                if self.chance.part() < load * one.share * STEP as f64 / S as f64 {
+                if self.chance.uniform() < load * one.share * STEP as f64 / S as f64 {
                     one.next += 1;
                     let (id, time_left) = (one.next, DEADLINE);
                     let (destination, class, tenant, key, repeat) = (1, 0, 0, None, false);
-                    events.push(Event::Message { id, destination, class, tenant, key, time_left, repeat });
+                    events.push(Event::Message {
+                        id,
+                        destination,
+                        class,
+                        tenant,
+                        order_key: key,
+                        time_left,
+                        is_retry: repeat,
+                    });
                 }
                 let mut actions = Vec::new();
                 one.controller.step(now, &events, &mut actions);
                 for action in actions {
                     let Action::Send { id, timeout, .. } = action else { continue };
                     let copy = one.attempts.entry(id).or_default();
-                    let ((outcome, took), finished) = (end, end.0 == Outcome::Ok);
+                    let ((outcome, took), finished) = (end, end.0 == Outcome::Success);
                     let took = took.min(timeout);
                     let (wait, limit, left) = (0, None, None);
                     one.out.push((
                         now + took,
-                        Answer { id, copy: *copy, outcome, took, finished, wait, limit, left },
+                        AttemptResult {
+                            id,
+                            attempt: *copy,
+                            outcome,
+                            latency: took,
+                            message_finished: finished,
+                            retry_after: wait,
+                            reported_limit: limit,
+                            reported_remaining: left,
+                        },
                     ));
                     *copy += 1;
                     self.calls.push((now, one.told));
@@ -136,30 +168,30 @@
     let set = settings(case);
     let load = case.load * case.bears;
     let mut fleet = Fleet::new(case, known_size, seed);
-    fleet.play(15 * S, load, false, (Outcome::Ok, SERVICE));
+    fleet.play(15 * S, load, false, (Outcome::Success, SERVICE));
     let took = match case.fault {
         Outcome::Timeout => DEADLINE,
-        Outcome::ConnectFailed | Outcome::Full => STEP,
+        Outcome::ConnectFailed | Outcome::Rejected => STEP,
         _ => SERVICE,
     };
     fleet.play(case.lasts, load, true, (case.fault, took));
     let back = fleet.now;
     fleet.calls.clear();
-    fleet.play(set.warm_within, load, false, (Outcome::Ok, SERVICE));
+    fleet.play(set.warm_up_time, load, false, (Outcome::Success, SERVICE));
     let calls = std::mem::take(&mut fleet.calls);
     fleet.served = 0;
-    fleet.play(10 * S, load, false, (Outcome::Ok, SERVICE));
+    fleet.play(10 * S, load, false, (Outcome::Success, SERVICE));
     let mut returned = Returned { served: fleet.served as f64 / (10.0 * load), ..Returned::default() };
     for (first, (from, _)) in calls.iter().enumerate() {
         // Counted at its end, when it bears most: the span is over the budget of each of its moments.
-        let risen = (from + set.tip_after - back) as f64 / set.warm_within as f64;
+        let risen = (from + set.overload_window - back) as f64 / set.warm_up_time as f64;
         if risen >= 1.0 {
             break;
         }
-        let present = case.bears * (set.cold_from + (1.0 - set.cold_from) * risen);
-        let bears = set.fall_multiple * present * set.tip_after as f64 / S as f64;
+        let present = case.bears * (set.cold_capacity_share + (1.0 - set.cold_capacity_share) * risen);
+        let bears = set.overload_factor * present * set.overload_window as f64 / S as f64;
         let allowed = bears + 2.0 * bears.sqrt() + 2.0;
-        let span = calls[first..].iter().take_while(|(at, _)| *at < from + set.tip_after);
+        let span = calls[first..].iter().take_while(|(at, _)| *at < from + set.overload_window);
         let (mut all, mut told) = (0, 0);
         span.for_each(|(_, was_told)| (all, told) = (all + 1, told + usize::from(*was_told)));
         returned.used = returned.used.max(f64::from(told as u32) / allowed);
@@ -171,12 +203,12 @@
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
     for (size, bears) in [(20, 12.0), (30, 60.0)] {
-        for weights in [Weights::None, Weights::Nominal] {
+        for weights in [CapacityHints::None, CapacityHints::Nominal] {
             for (fault, lasts) in [
                 (Outcome::ConnectFailed, 6 * S),
                 (Outcome::Timeout, 14 * S),
                 (Outcome::Error, 6 * S),
-                (Outcome::Full, 12 * S),
+                (Outcome::Rejected, 12 * S),
             ] {
                 cases.push(Case { size, weights, bears, load: 0.9, fault, lasts });
             }
@@ -203,8 +235,9 @@
 // own part: refused connections, hung calls, errors, and refusals where a limit is told.
 #[test]
 fn a_fleet_keeps_to_what_a_cold_destination_bears() {
-    for case in
-        cases().into_iter().filter(|case| case.fault != Outcome::Full || case.weights != Weights::None)
+    for case in cases()
+        .into_iter()
+        .filter(|case| case.fault != Outcome::Rejected || case.weights != CapacityHints::None)
     {
         let returns = over_seeds(&case, case.size, 0..100);
         let worst = returns.iter().map(|one| one.used).fold(0.0, f64::max);
@@ -219,8 +252,9 @@
 // the others, as a limit does that as well.
 #[test]
 fn a_fleet_that_is_only_refused_and_told_no_limit_keeps_to_what_a_cold_destination_bears() {
-    for case in
-        cases().into_iter().filter(|case| case.fault == Outcome::Full && case.weights == Weights::None)
+    for case in cases()
+        .into_iter()
+        .filter(|case| case.fault == Outcome::Rejected && case.weights == CapacityHints::None)
     {
         let returns = over_seeds(&case, case.size, 0..100);
         let over: Vec<_> = returns.iter().map(|one| one.used).filter(|used| *used > 1.0).collect();
@@ -231,7 +265,7 @@
 // Without its part the fleet must do worse: each takes the whole budget for its own.
 #[test]
 fn a_fleet_in_which_each_takes_the_whole_budget_does_not() {
-    for case in cases().into_iter().filter(|case| case.weights == Weights::Nominal) {
+    for case in cases().into_iter().filter(|case| case.weights == CapacityHints::Nominal) {
         let returns = over_seeds(&case, 1, 0..20);
         let over = returns.iter().filter(|one| one.used > 1.0).count();
         assert!(over >= 10, "{case:?}: only {over} of 20 go over");
--- a/crates/core/tests/transport_map.rs
+++ b/crates/core/tests/transport_map.rs
@@ -1,6 +1,6 @@
 //! How news changes the transport map.
 
-use orchidyoke_core::transport_map::{News, State, TransportMap};
+use orchidyoke_core::transport_map::{EndpointList, ListedState, WatchEvent};
 
 fn line(rev: u64, all: bool, uid: &str, state: &str) -> String {
     format!(
@@ -13,14 +13,14 @@
 // Guards against an endpoint that stays in use though a whole list no longer names it.
 #[test]
 fn what_a_whole_list_leaves_out_is_gone() {
-    let news = |text: &str| serde_json::from_str::<News>(text).expect("news");
-    let mut map = TransportMap::default();
-    map.take(&news(&line(1, true, "s1", "in_service")));
-    map.take(&news(&line(2, false, "s2", "in_service")));
+    let news = |text: &str| serde_json::from_str::<WatchEvent>(text).expect("news");
+    let mut map = EndpointList::default();
+    map.apply(&news(&line(1, true, "s1", "in_service")));
+    map.apply(&news(&line(2, false, "s2", "in_service")));
     assert!(map.get("s1").is_some() && map.get("s2").is_some());
-    map.take(&news(&line(3, true, "s2", "terminating")));
+    map.apply(&news(&line(3, true, "s2", "terminating")));
     assert!(map.get("s1").is_none());
-    assert_eq!(map.get("s2").map(|t| t.state), Some(State::Terminating));
-    map.take(&news(&line(4, false, "s2", "terminated")));
-    assert!(map.get("s2").is_none() && map.rev() == 4);
+    assert_eq!(map.get("s2").map(|t| t.state), Some(ListedState::Draining));
+    map.apply(&news(&line(4, false, "s2", "terminated")));
+    assert!(map.get("s2").is_none() && map.version() == 4);
 }
--- a/crates/core/tests/window.rs
+++ b/crates/core/tests/window.rs
@@ -23,7 +23,9 @@
 
 #[test]
 fn every_push_back_halves_and_the_floor_is_one() {
-    for outcome in [Outcome::Full, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset] {
+    for outcome in
+        [Outcome::Rejected, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset]
+    {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
         bench.warm_up(1, 15);
         let sent = sends(&bench.hand_in(1, 0, 9));
@@ -32,7 +34,7 @@
         for (id, ..) in &sent[1..] {
             after.extend(sends(&bench.end(*id, outcome)));
         }
-        after.extend(sends(&bench.end(sent[0].0, Outcome::Ok)));
+        after.extend(sends(&bench.end(sent[0].0, Outcome::Success)));
         after.extend(sends(&bench.later(2 * S)));
         assert_eq!(after.len(), 1, "{outcome:?}: three push-backs leave the floor");
     }
@@ -44,17 +46,17 @@
     bench.warm_up(1, 7);
     let id = sends(&bench.hand_in(1, 0, 1))[0].0;
     // One refusal halves to the floor; eight successes of pushed-back messages leave it there.
-    bench.end(id, Outcome::Full);
+    bench.end(id, Outcome::Rejected);
     bench.now += 3 * S;
     assert_eq!(sends(&bench.later(0)).len(), 1);
-    bench.end(id, Outcome::Ok);
+    bench.end(id, Outcome::Success);
     for _ in 0..10 {
         let mut event = bench.message(1, 0);
-        if let Event::Message { repeat, .. } = &mut event {
+        if let Event::Message { is_retry: repeat, .. } = &mut event {
             *repeat = true;
         }
         let id = sends(&bench.step(&[event]))[0].0;
-        bench.end(id, Outcome::Ok);
+        bench.end(id, Outcome::Success);
     }
     assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1);
 }
@@ -79,7 +81,7 @@
 
 #[test]
 fn sick_destinations_together_hold_half_the_slots() {
-    let all: Vec<Entry> = (1..=6).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let all: Vec<EndpointUpdate> = (1..=6).map(|n| entry(n, u64::from(n), 0, 0)).collect();
     let mut bench = Bench::new(settings(), &all);
     for destination in 1..=6 {
         bench.warm_up(destination, 16);
@@ -103,7 +105,8 @@
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
     let sent = sends(&bench.hand_in(1, 0, 12));
     assert_eq!(sent.len(), 5, "one call of five messages fits a window of one");
-    let answers: Vec<Event> = sent.iter().map(|s| Event::Outcome(bench.answer(s.0, Outcome::Ok))).collect();
+    let answers: Vec<Event> =
+        sent.iter().map(|s| Event::AttemptEnded(bench.answer(s.0, Outcome::Success))).collect();
     assert_eq!(
         sends(&bench.step(&answers)).len(),
         5,
@@ -125,13 +128,13 @@
     bench.warm_up(7, 8);
     let sent = sends(&bench.hand_in(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window is two");
-    let over = bench.end(sent[0].0, Outcome::Spoilt);
+    let over = bench.end(sent[0].0, Outcome::InvalidResponse);
     assert_eq!(failed(&over), [sent[0].0], "it may have run");
-    bench.end(sent[1].0, Outcome::Spoilt);
+    bench.end(sent[1].0, Outcome::InvalidResponse);
     let sent = sends(&bench.hand_in(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window still is");
-    bench.end(sent[0].0, Outcome::Spoilt);
-    bench.end(sent[1].0, Outcome::Spoilt);
+    bench.end(sent[0].0, Outcome::InvalidResponse);
+    bench.end(sent[1].0, Outcome::InvalidResponse);
     assert!(sends(&bench.hand_in(7, 2, 2)).is_empty(), "four in a row are pushed back");
 }
 
@@ -139,22 +142,22 @@
 // itself has said or suffered being forgotten with it.
 #[test]
 fn a_new_endpoint_with_none_beside_it_starts_anew() {
-    let gone = |id| Entry { state: Listed::Gone, ..entry(id, 7, 0, 0) };
+    let gone = |id| EndpointUpdate { state: EndpointState::Removed, ..entry(id, 7, 0, 0) };
     let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0)]);
     bench.warm_up(7, 8);
     assert_eq!(sends(&bench.hand_in(7, 0, 3)).len(), 2, "the window is two");
-    bench.list(ListForm::Changes, &[gone(1)]);
-    let sent = sends(&bench.list(ListForm::Changes, &[entry(2, 7, 0, 0)]));
+    bench.list(ListEventKind::Delta, &[gone(1)]);
+    let sent = sends(&bench.list(ListEventKind::Delta, &[entry(2, 7, 0, 0)]));
     assert_eq!(
         sent.iter().map(|sent| sent.1).collect::<Vec<_>>(),
         [2],
         "one, beside two still out at the old one"
     );
-    let mut answer = bench.answer(sent[0].0, Outcome::Full);
-    answer.wait = S;
-    bench.step(&[Event::Outcome(answer)]);
-    bench.list(ListForm::Changes, &[gone(2)]);
-    assert!(sends(&bench.list(ListForm::Changes, &[entry(3, 7, 0, 0)])).is_empty(), "the wait stands");
+    let mut answer = bench.answer(sent[0].0, Outcome::Rejected);
+    answer.retry_after = S;
+    bench.step(&[Event::AttemptEnded(answer)]);
+    bench.list(ListEventKind::Delta, &[gone(2)]);
+    assert!(sends(&bench.list(ListEventKind::Delta, &[entry(3, 7, 0, 0)])).is_empty(), "the wait stands");
     assert_eq!(sends(&bench.later(S)).len(), 1);
 }
 
@@ -166,11 +169,12 @@
     for id in 1..200 {
         bench.now += S;
         let sent = sends(&bench.hand_in(7, 0, 1));
-        let gone = |id, dest, kind| Entry { state: Listed::Gone, ..entry(id, dest, 0, kind) };
+        let gone =
+            |id, dest, kind| EndpointUpdate { state: EndpointState::Removed, ..entry(id, dest, 0, kind) };
         let (old, new) = (2 * id - 1, 2 * id + 1);
-        bench.list(ListForm::Changes, &[entry(new, 7, 0, 0), entry(new + 1, 8, 0, 1)]);
-        bench.list(ListForm::Changes, &[gone(old, 7, 0), gone(old + 1, 8, 1)]);
-        sent.iter().for_each(|sent| drop(bench.end(sent.0, Outcome::Ok)));
+        bench.list(ListEventKind::Delta, &[entry(new, 7, 0, 0), entry(new + 1, 8, 0, 1)]);
+        bench.list(ListEventKind::Delta, &[gone(old, 7, 0), gone(old + 1, 8, 1)]);
+        sent.iter().for_each(|sent| drop(bench.end(sent.0, Outcome::Success)));
         sizes.push(format!("{:?}", bench.controller).len());
     }
     // A few more digits in the numbers, and no more.
@@ -183,5 +187,5 @@
     bench.warm_up(1, 8);
     let sent = sends(&bench.hand_in(1, 0, 2));
     assert_eq!(sent.len(), 2);
-    assert_eq!(sends(&bench.end(sent[0].0, Outcome::Moot)).len(), 1, "the window still allows two");
+    assert_eq!(sends(&bench.end(sent[0].0, Outcome::NotSent)).len(), 1, "the window still allows two");
 }
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -95,7 +95,7 @@
         following.join(&source).await;
         let told = async {
             while let Some(input) = received.recv().await {
-                if matches!(input, Input::Reconfigured(_)) {
+                if matches!(input, Input::ConfigReloaded(_)) {
                     let (name, epoch) = (name.clone(), following.version());
                     report(&Report::InForce(InForce { name, epoch, at: clock() }));
                 }
--- a/crates/experiments/src/capacity/forwarder/waiting.rs
+++ b/crates/experiments/src/capacity/forwarder/waiting.rs
@@ -7,7 +7,7 @@
 use crate::capacity::error::CapacityError;
 use crate::capacity::series::{Quantity, Size};
 use bytes::BytesMut;
-use orchidyoke_journal::{Custody, Journal, Record, Taken};
+use orchidyoke_journal::{AcceptedMessage, HandoverState, Journal, Record};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -81,19 +81,19 @@
     let body = [b'x'; BODY];
     let mut bytes = BytesMut::new();
     for (number, destination) in (0..count).zip(destinations.iter().cycle()) {
-        let taken = Taken {
-            txn: format!("j{number:09}"),
+        let taken = AcceptedMessage {
+            id: format!("j{number:09}"),
             class: CLASS.to_owned(),
-            org: TENANT.to_owned(),
-            key: None,
-            dest: *destination,
+            tenant: TENANT.to_owned(),
+            idempotency_key: None,
+            destination: *destination,
             deadline,
             attempts: 0,
-            ran: None,
-            out: None,
-            custody: Custody::default(),
+            possible_delivery: None,
+            in_flight: None,
+            handover: HandoverState::default(),
         };
-        Record::Taken(taken).encode(&body, &mut bytes);
+        Record::Accepted(taken).encode(&body, &mut bytes);
         if bytes.len() >= WRITE_BYTES {
             journal.append(&bytes)?;
             bytes.clear();
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::Run;
 use crate::report::{Chart, Line, Outcome as Shown};
 use orchidyoke_core::Controller;
-use orchidyoke_core::dice::Dice;
+use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -25,33 +25,40 @@
 /// How a call that is made now ends: its outcome, after how long, and with what wait told.
 type End = (Outcome, Micros, Micros);
 
-const SERVED: End = (Outcome::Ok, 100 * MS, 0);
-const NEVER: End = (Outcome::Ok, 60 * S, 0);
+const SERVED: End = (Outcome::Success, 100 * MS, 0);
+const NEVER: End = (Outcome::Success, 60 * S, 0);
 
 fn settings(fleet_size: u32) -> Settings {
-    let (aim, effect) = (2500 * MS, Effect::Safe);
-    let class = Class { aim, deadline: DEADLINE, worth: 1.0, late_share: 0.5, effect, keep_order: false };
+    let (aim, effect) = (2500 * MS, Idempotency::Idempotent);
+    let class = Class {
+        latency_objective: aim,
+        deadline: DEADLINE,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        idempotency: effect,
+        keep_order: false,
+    };
     Settings {
         fleet_size,
         classes: vec![class],
-        kinds: vec![Kind { batch: 1, apart: false }],
-        slots: 4,
-        max_open: 100,
+        kinds: vec![DestinationKind { max_batch: 1, separate_routes: false }],
+        max_calls: 4,
+        max_open_messages: 100,
         max_attempts: 8,
-        retry_after: true,
+        send_retry_after: true,
         max_retry_after: 3 * S,
-        streams: 1,
-        idle_close: 5 * S,
+        streams_per_connection: 1,
+        idle_timeout: 5 * S,
         handshake_cost: 0.06,
-        weights: Weights::Nominal,
+        capacity_hints: CapacityHints::Nominal,
         tick: 5 * MS,
-        answer_slack: 20 * MS,
-        ask_every: 10 * S,
+        final_answer_grace: 20 * MS,
+        max_poll_interval: 10 * S,
         drain_grace: 500 * MS,
-        fall_multiple: 2.0,
-        tip_after: 2 * S,
-        cold_from: 0.2,
-        warm_within: 12 * S,
+        overload_factor: 2.0,
+        overload_window: 2 * S,
+        cold_capacity_share: 0.2,
+        warm_up_time: 12 * S,
         ..Settings::default()
     }
 }
@@ -61,14 +68,14 @@
     controller: Controller,
     handed: MessageId,
     attempts: BTreeMap<MessageId, u32>,
-    out: Vec<(Micros, Answer)>,
+    out: Vec<(Micros, AttemptResult)>,
 }
 
 /// Forwarders that send to one partner, played in steps.
 struct Fleet {
     now: Micros,
     forwarders: Vec<Forwarder>,
-    chance: Dice,
+    chance: SeededRng,
     /// When calls were made, and by whom; when they ended, and how.
     calls: Vec<(Micros, usize)>,
     ends: Vec<(Micros, Outcome)>,
@@ -77,33 +84,53 @@
 impl Fleet {
     /// A fleet of `size`, whatever it is told, whose partner is listed with a limit; each has its own chance.
     fn new(size: u32, set: &Settings, weight: f64, seed: impl Fn(u64) -> u64) -> Self {
-        let (state, report) = (Listed::On, Report::Fit);
-        let partner = Entry { endpoint: 1, destination: 1, zone: 0, kind: 0, state, report, weight };
+        let (state, report) = (EndpointState::Active, HealthStatus::Passing);
+        let partner = EndpointUpdate {
+            endpoint: 1,
+            destination: 1,
+            zone: 0,
+            kind: 0,
+            state,
+            health: report,
+            capacity_hint: weight,
+        };
         let forwarder = |number| {
             let mut controller = Controller::new(set.clone(), seed(number));
-            let list = Event::List { form: ListForm::Whole, entries: vec![partner] };
+            let list = Event::EndpointList { kind: ListEventKind::Snapshot, entries: vec![partner] };
             controller.step(S, &[list], &mut Vec::new());
             Forwarder { controller, ..Forwarder::default() }
         };
         let forwarders = (0..u64::from(size)).map(forwarder).collect();
-        Fleet { now: S, forwarders, chance: Dice::new(seed(0)), calls: Vec::new(), ends: Vec::new() }
+        Fleet { now: S, forwarders, chance: SeededRng::new(seed(0)), calls: Vec::new(), ends: Vec::new() }
     }
 
     /// One step, in which each is handed so many messages.
-    fn step(&mut self, mut handed: impl FnMut(&mut Dice) -> usize, partner: &mut dyn FnMut(Micros) -> End) {
+    fn step(
+        &mut self,
+        mut handed: impl FnMut(&mut SeededRng) -> usize,
+        partner: &mut dyn FnMut(Micros) -> End,
+    ) {
         self.now += STEP;
         let now = self.now;
         for (number, forwarder) in self.forwarders.iter_mut().enumerate() {
             let mut events = vec![Event::Timer { token: u64::MAX }];
             for (_, answer) in forwarder.out.extract_if(.., |(ends, _)| *ends <= now) {
                 self.ends.push((now, answer.outcome));
-                events.push(Event::Outcome(answer));
+                events.push(Event::AttemptEnded(answer));
             }
             for _ in 0..handed(&mut self.chance) {
                 forwarder.handed += 1;
                 let (id, time_left) = (forwarder.handed, DEADLINE);
                 let (destination, class, tenant, key, repeat) = (1, 0, 0, None, false);
-                events.push(Event::Message { id, destination, class, tenant, key, time_left, repeat });
+                events.push(Event::Message {
+                    id,
+                    destination,
+                    class,
+                    tenant,
+                    order_key: key,
+                    time_left,
+                    is_retry: repeat,
+                });
             }
             let mut actions = Vec::new();
             forwarder.controller.step(now, &events, &mut actions);
@@ -111,10 +138,19 @@
                 let Action::Send { id, .. } = action else { continue };
                 let attempts = forwarder.attempts.entry(id).or_default();
                 let (outcome, took, wait) = partner(now);
-                let (copy, finished) = (*attempts, outcome == Outcome::Ok);
+                let (copy, finished) = (*attempts, outcome == Outcome::Success);
                 *attempts += 1;
                 self.calls.push((now, number));
-                let answer = Answer { id, copy, outcome, took, finished, wait, limit: None, left: None };
+                let answer = AttemptResult {
+                    id,
+                    attempt: copy,
+                    outcome,
+                    latency: took,
+                    message_finished: finished,
+                    retry_after: wait,
+                    reported_limit: None,
+                    reported_remaining: None,
+                };
                 forwarder.out.push((now + took, answer));
             }
         }
@@ -124,7 +160,7 @@
     fn play(&mut self, span: Micros, load: f64, mut partner: impl FnMut(Micros) -> End) {
         let each = load / self.forwarders.len() as f64 * STEP as f64 / S as f64;
         for _ in 0..span / STEP {
-            self.step(|chance| usize::from(chance.part() < each), &mut partner);
+            self.step(|chance| usize::from(chance.uniform() < each), &mut partner);
         }
     }
 
@@ -158,7 +194,7 @@
         self.at = now;
         let room = self.level < LIMIT * Self::DEPTH;
         self.level = (self.level + 1.0).min(2.0 * LIMIT * Self::DEPTH);
-        (if room { Outcome::Ok } else { Outcome::Full }, 50 * MS, 0)
+        (if room { Outcome::Success } else { Outcome::Rejected }, 50 * MS, 0)
     }
 }
 
@@ -193,7 +229,7 @@
         fleet.play(SERVED.1, 0.0, |_| SERVED);
     }
     let wait = 700 * MS;
-    fleet.hand(1, (Outcome::Full, STEP, wait));
+    fleet.hand(1, (Outcome::Rejected, STEP, wait));
     let (refused, ends) = (fleet.now + STEP, fleet.now + STEP + wait);
     fleet.play(wait + S + STEP, 0.0, |_| NEVER);
     [(refused, wait), (ends, 2 * STEP), (ends, S)].map(|(from, span)| fleet.calls_in(from, span))
@@ -208,18 +244,18 @@
     let took = if fault == Outcome::ConnectFailed { STEP } else { SERVED.1 };
     fleet.play(lasts, load, |_| (fault, took, 0));
     let back = fleet.now;
-    fleet.play(set.warm_within, load, |_| SERVED);
-    let before = fleet.ended(Outcome::Ok);
+    fleet.play(set.warm_up_time, load, |_| SERVED);
+    let before = fleet.ended(Outcome::Success);
     fleet.play(10 * S, load, |_| SERVED);
     let used = |from: Micros| {
-        let risen = (from + set.tip_after - back) as f64 / set.warm_within as f64;
-        let present = WIDER * (set.cold_from + (1.0 - set.cold_from) * risen.min(1.0));
-        let bears = set.fall_multiple * present * set.tip_after as f64 / S as f64;
+        let risen = (from + set.overload_window - back) as f64 / set.warm_up_time as f64;
+        let present = WIDER * (set.cold_capacity_share + (1.0 - set.cold_capacity_share) * risen.min(1.0));
+        let bears = set.overload_factor * present * set.overload_window as f64 / S as f64;
         // Three standard deviations are for chance.
-        fleet.calls_in(from, set.tip_after) as f64 / (bears + 3.0 * bears.sqrt())
+        fleet.calls_in(from, set.overload_window) as f64 / (bears + 3.0 * bears.sqrt())
     };
     let spans = fleet.calls.iter().map(|call| call.0).filter(|at| (back..back + 8 * S).contains(at));
-    (spans.map(used).fold(0.0, f64::max), fleet.ended(Outcome::Ok) - before)
+    (spans.map(used).fold(0.0, f64::max), fleet.ended(Outcome::Success) - before)
 }
 
 /// One question to a fleet, what it may come to, and what it comes to with settings and a seed.
@@ -233,7 +269,7 @@
     Case {
         asks: "refused a second, of 52 to a limit of 40",
         most: 8.0,
-        measure: |set, seed| a_second(&overload(set, 1.3, seed), Outcome::Full),
+        measure: |set, seed| a_second(&overload(set, 1.3, seed), Outcome::Rejected),
     },
     Case {
         asks: "calls in the first second after a start, two messages each, limit 40",
@@ -244,7 +280,7 @@
         asks: "calls in the first 40 ms after a told wait",
         most: 35.0,
         measure: |set, seed| {
-            after_a_told_wait(FORWARDERS, &Settings { slots: 8, ..set.clone() }, seed)[1] as f64
+            after_a_told_wait(FORWARDERS, &Settings { max_calls: 8, ..set.clone() }, seed)[1] as f64
         },
     },
     Case {
@@ -265,12 +301,12 @@
     Case {
         asks: "the same, 5 s of refusals",
         most: 1.0,
-        measure: |set, seed| cold_return(set, Outcome::Full, 5 * S, seed).0,
+        measure: |set, seed| cold_return(set, Outcome::Rejected, 5 * S, seed).0,
     },
     Case {
         asks: "the same, 15 s of refusals",
         most: 1.0,
-        measure: |set, seed| cold_return(set, Outcome::Full, 15 * S, seed).0,
+        measure: |set, seed| cold_return(set, Outcome::Rejected, 15 * S, seed).0,
     },
 ];
 
@@ -304,7 +340,7 @@
         let second = |s: i64, times: &mut dyn Iterator<Item = Micros>| {
             (s as f64, times.filter(|at| (at - S) / S == s).count() as f64)
         };
-        let served = || fleet.ends.iter().filter(|end| end.1 == Outcome::Ok).map(|end| end.0);
+        let served = || fleet.ends.iter().filter(|end| end.1 == Outcome::Success).map(|end| end.0);
         let sent = |s| second(s, &mut fleet.calls.iter().map(|call| call.0));
         lines.push(Line { name: format!("sent, {name}"), points: (0..OVERLOAD / S).map(sent).collect() });
         let served = |s| second(s, &mut served());
@@ -359,29 +395,33 @@
     fn what_can_be_served_is_served() {
         let set = settings(FORWARDERS);
         for seed in 0..3 {
-            assert!(a_second(&overload(&set, 1.3, seed), Outcome::Ok) > 0.75 * LIMIT);
+            assert!(a_second(&overload(&set, 1.3, seed), Outcome::Success) > 0.75 * LIMIT);
             let calm = overload(&set, 0.6, seed);
             let handed: u64 = calm.forwarders.iter().map(|one| one.handed).sum();
-            assert!(calm.ended(Outcome::Ok) as f64 > 0.92 * handed as f64, "nothing is short");
-            let unknown = overload(&Settings { weights: Weights::None, ..set.clone() }, 1.3, seed);
-            assert!(a_second(&unknown, Outcome::Full) > 0.4 * LIMIT, "no limit told: no share to keep to");
+            assert!(calm.ended(Outcome::Success) as f64 > 0.92 * handed as f64, "nothing is short");
+            let unknown =
+                overload(&Settings { capacity_hints: CapacityHints::None, ..set.clone() }, 1.3, seed);
+            assert!(
+                a_second(&unknown, Outcome::Rejected) > 0.4 * LIMIT,
+                "no limit told: no share to keep to"
+            );
             let started = first_second(&set, 0, |number| seed * 1000 + number);
             assert!(started >= LIMIT as usize / 2);
             let lull = first_second(&set, 60 * S, |number| seed * 1000 + number);
             assert!((100..=110).contains(&lull), "{lull}: each its first, few a second one");
-            let wide = Settings { slots: 8, ..set.clone() };
+            let wide = Settings { max_calls: 8, ..set.clone() };
             let [before, _, soon] = after_a_told_wait(FORWARDERS, &wide, seed);
             assert_eq!((before, soon), (0, 100), "the wait is heeded, and nobody stays away");
             let pauses = pauses(&set, seed);
             assert!(pauses.iter().all(|pause| *pause <= 21 * S), "as long as the limit says is enough");
             assert!(pauses.iter().any(|pause| *pause < 3 * S) && pauses.iter().any(|pause| *pause > 8 * S));
         }
-        for (fault, lasts) in [(Outcome::ConnectFailed, 12), (Outcome::Reset, 12), (Outcome::Full, 15)] {
+        for (fault, lasts) in [(Outcome::ConnectFailed, 12), (Outcome::Reset, 12), (Outcome::Rejected, 15)] {
             let (used, served) = cold_return(&set, fault, lasts * S, 4);
             assert!(used <= 1.0 && served >= 400, "{fault:?}: {used:.2}, {served} of 540 once it is warm");
         }
         // A lone forwarder comes when it was told to; with the same chance everywhere all stay in step.
-        assert_eq!(after_a_told_wait(1, &Settings { slots: 8, ..settings(1) }, 0), [0, 1, 1]);
+        assert_eq!(after_a_told_wait(1, &Settings { max_calls: 8, ..settings(1) }, 0), [0, 1, 1]);
         let in_step: Vec<_> = (0..20).map(|seed| first_second(&set, 0, |_| seed)).collect();
         assert!(in_step.iter().any(|calls| *calls >= 100) && in_step.contains(&0));
     }
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -144,7 +144,7 @@
             follower.join(&source).await;
             let follow = spawn_local(follower.clone().follow(source, inputs));
             while let Some(input) = came.recv().await {
-                if matches!(input, Input::Reconfigured(_)) {
+                if matches!(input, Input::ConfigReloaded(_)) {
                     // The receiver is gone only when the experiment ends.
                     let _ = took.send(Instant::now());
                 }
--- a/crates/experiments/src/scale.rs
+++ b/crates/experiments/src/scale.rs
@@ -4,7 +4,7 @@
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{Site, progress, quantile, wait_until};
-use orchidyoke_core::transport_map::{State, TransportMap};
+use orchidyoke_core::transport_map::{EndpointList, ListedState};
 use orchidyoke_fakes::consul::{Fault, Instance};
 use orchidyoke_fakes::partner::Bearing;
 use orchidyoke_journal::{Record, replay};
@@ -33,16 +33,16 @@
     path: PathBuf,
     file: Option<(u64, File)>,
     rest: Vec<u8>,
-    map: TransportMap,
+    map: EndpointList,
 }
 
 impl Tail {
     fn new(path: PathBuf) -> Self {
-        Tail { path, file: None, rest: Vec::new(), map: TransportMap::default() }
+        Tail { path, file: None, rest: Vec::new(), map: EndpointList::default() }
     }
 
     /// Takes in what is new; gives the uids and states told in it.
-    fn look(&mut self) -> Vec<(String, State)> {
+    fn look(&mut self) -> Vec<(String, ListedState)> {
         let inode = std::fs::metadata(&self.path).map(|data| data.ino()).ok();
         if self.file.as_ref().map(|(known, _)| *known) != inode {
             self.file = inode.zip(File::open(&self.path).ok());
@@ -58,9 +58,9 @@
         self.rest.drain(..whole);
         let mut told = Vec::new();
         for (record, _) in records {
-            if let Record::Map(news) = record {
-                told.extend(news.targets.iter().map(|target| (target.uid.clone(), target.state)));
-                self.map.take(&news);
+            if let Record::EndpointList(news) = record {
+                told.extend(news.endpoints.iter().map(|target| (target.uid.clone(), target.state)));
+                self.map.apply(&news);
             }
         }
         told
@@ -125,7 +125,7 @@
         site.consul.fault(Fault::Silent);
     }
     let mut rng = StdRng::seed_from_u64(run.seed);
-    let mut waiting: BTreeMap<String, (Instant, State)> = BTreeMap::new();
+    let mut waiting: BTreeMap<String, (Instant, ListedState)> = BTreeMap::new();
     let mut times = Vec::new();
     let (mut made, begin) = (0, Instant::now());
     while begin.elapsed() < CHANGES || !waiting.is_empty() && begin.elapsed() < CHANGES + BOUND {
@@ -135,10 +135,13 @@
             let number = rng.random_range(0..endpoints);
             let (node, id) = (format!("node-{}", number / 20), format!("i{number}"));
             let uid = format!("s{0}.{0}/{node}/{id}@{1}", number % services, address(number));
-            let drained = tail.map.get(&uid).is_some_and(|target| target.state == State::Terminating);
+            let drained = tail.map.get(&uid).is_some_and(|target| target.state == ListedState::Draining);
             if let Entry::Vacant(place) = waiting.entry(uid) {
                 site.consul.tag(&node, &id, "draining", !drained);
-                place.insert((Instant::now(), if drained { State::InService } else { State::Terminating }));
+                place.insert((
+                    Instant::now(),
+                    if drained { ListedState::Active } else { ListedState::Draining },
+                ));
             }
         }
         for (uid, state) in tail.look() {
--- a/crates/forwarder/src/backoff.rs
+++ b/crates/forwarder/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Pauses between tries of something that many forwarders may lose in the same moment.
 
-use orchidyoke_core::dice::Dice;
+use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::Micros;
 
 /// Capped exponential back-off with jitter: each pause is drawn between nothing and a bound that doubles with each failure
@@ -8,7 +8,7 @@
 /// failed together do not come back together, and the longer it lasts the less they ask.
 #[derive(Debug)]
 pub struct Backoff {
-    dice: Dice,
+    dice: SeededRng,
     first: Micros,
     failures: u32,
 }
@@ -16,7 +16,7 @@
 impl Backoff {
     /// The first bound, with chance from `seed`.
     pub fn new(first: Micros, seed: u64) -> Self {
-        Backoff { dice: Dice::new(seed), first, failures: 0 }
+        Backoff { dice: SeededRng::new(seed), first, failures: 0 }
     }
 
     /// Another first bound.
@@ -33,7 +33,7 @@
 
     /// A span between nothing and the bound.
     pub fn within(&mut self, bound: Micros) -> Micros {
-        (bound as f64 * self.dice.part()) as Micros
+        (bound as f64 * self.dice.uniform()) as Micros
     }
 
     /// After a success: the next failure is the first again.
--- a/crates/forwarder/src/catalogue.rs
+++ b/crates/forwarder/src/catalogue.rs
@@ -1,6 +1,6 @@
 //! Where the transport map may come from beside discovery.
 
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::WatchEvent;
 use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 
 /// Takes the updates of one watch.
 #[derive(Clone)]
-pub struct UpdateSender(Rc<dyn Fn(News)>);
+pub struct UpdateSender(Rc<dyn Fn(WatchEvent)>);
 
 impl fmt::Debug for UpdateSender {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -18,12 +18,12 @@
 
 impl UpdateSender {
     /// A sender that passes each update on to `deliver`.
-    pub fn new(deliver: impl Fn(News) + 'static) -> Self {
+    pub fn new(deliver: impl Fn(WatchEvent) + 'static) -> Self {
         UpdateSender(Rc::new(deliver))
     }
 
     /// Passes an update on.
-    pub fn send(&self, news: News) {
+    pub fn send(&self, news: WatchEvent) {
         (self.0)(news);
     }
 }
@@ -39,5 +39,5 @@
     /// Follows it from the list held on, and tells changes to that list, with versions that go on from its own. It
     /// is not to empty the list because the catalogue is silent. It ends with the reason in one line; whoever asked
     /// may ask again.
-    fn follow(&self, held: News, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
+    fn follow(&self, held: WatchEvent, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
 }
--- a/crates/forwarder/src/client_api.rs
+++ b/crates/forwarder/src/client_api.rs
@@ -1,7 +1,7 @@
 //! The HTTP API for clients: the platform's protocol on the sender side. The core knows nothing of it; another API
 //! would submit the same [`Submission`]s and map the same [`SubmitAnswer`]s to its own responses.
 
-use crate::input::{IDEMPOTENCY_KEY, Input, Submission, SubmitAnswer, Ticket};
+use crate::input::{IDEMPOTENCY_KEY, Input, RequestId, Submission, SubmitAnswer};
 use crate::ownership::Marked;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -30,8 +30,8 @@
 /// Connects the requests of clients with the reducer.
 pub struct ClientGateway {
     inputs: UnboundedSender<Input>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<SubmitAnswer>>>,
-    next: Cell<Ticket>,
+    waiting: RefCell<HashMap<RequestId, oneshot::Sender<SubmitAnswer>>>,
+    next: Cell<RequestId>,
 }
 
 impl ClientGateway {
@@ -41,7 +41,7 @@
     }
 
     /// Answers a request that waits; one that is gone needs no answer.
-    pub fn answer(&self, ticket: Ticket, answer: SubmitAnswer) {
+    pub fn answer(&self, ticket: RequestId, answer: SubmitAnswer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             let _ = waiting.send(answer);
         }
@@ -53,7 +53,7 @@
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         let _guard = Waiting { gateway: self, ticket };
-        self.tell(Input::Submitted { ticket, message });
+        self.tell(Input::Submitted { request: ticket, message });
         receiver.await.unwrap_or(SubmitAnswer::Failed)
     }
 
@@ -67,13 +67,13 @@
 /// A request that waits. Dropped unanswered, its client has closed the connection.
 struct Waiting<'a> {
     gateway: &'a ClientGateway,
-    ticket: Ticket,
+    ticket: RequestId,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if self.gateway.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.gateway.tell(Input::Withdrawn { ticket: self.ticket });
+            self.gateway.tell(Input::Withdrawn { request: self.ticket });
         }
     }
 }
@@ -181,22 +181,22 @@
     let dest =
         dest.and_then(|number| number.parse().ok()).ok_or(bad("X-Consignee: no dest=NUMBER in it\n"))?;
     Ok(Submission {
-        txn,
+        id: txn,
         class: class.to_owned(),
-        org,
-        key,
-        dest,
+        tenant: org,
+        idempotency_key: key,
+        destination: dest,
         time_left: (remaining * 1e6) as Micros,
-        repeat: headers.get("X-Resent").is_some_and(|value| value == "1"),
-        marked: Marked::read(headers),
+        is_retry: headers.get("X-Resent").is_some_and(|value| value == "1"),
+        handover_mark: Marked::read(headers),
         body: Bytes::new(),
     })
 }
 
 fn tell(answer: SubmitAnswer) -> Response<Full<Bytes>> {
     let mut response = match answer {
-        SubmitAnswer::TakenOn => plain(StatusCode::ACCEPTED, ""),
-        SubmitAnswer::Deferred(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "deferred\n"),
+        SubmitAnswer::Accepted => plain(StatusCode::ACCEPTED, ""),
+        SubmitAnswer::Rejected(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "deferred\n"),
         SubmitAnswer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
         SubmitAnswer::Incomplete(words) => plain(StatusCode::BAD_REQUEST, words),
         SubmitAnswer::UnknownClass => plain(StatusCode::NOT_FOUND, "there is no such class\n"),
@@ -204,7 +204,7 @@
             plain(StatusCode::UNPROCESSABLE_ENTITY, "there is no such destination\n")
         }
     };
-    if let SubmitAnswer::Deferred(pause @ 1..) = answer
+    if let SubmitAnswer::Rejected(pause @ 1..) = answer
         && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", pause as f64 / 1e6))
     {
         response.headers_mut().insert(RETRY_AFTER, seconds);
@@ -230,8 +230,8 @@
     #[test]
     fn malformed_headers_are_named() {
         let good = read_head("status", &headers(&[("X-Resent", "again")])).expect("well formed");
-        assert_eq!((good.dest, good.time_left, good.repeat), (7, 480_000, false));
-        assert!(read_head("status", &headers(&[("X-Resent", "1")])).expect("well formed").repeat);
+        assert_eq!((good.destination, good.time_left, good.is_retry), (7, 480_000, false));
+        assert!(read_head("status", &headers(&[("X-Resent", "1")])).expect("well formed").is_retry);
         for (name, value, words) in [
             ("X-Txn", "", "X-Txn"),
             ("X-Org", " ", "X-Org"),
@@ -266,7 +266,7 @@
             for (name, value) in pairs {
                 headers.append(*name, HeaderValue::from_static(value));
             }
-            read_head("pedidos", &headers).map(|handed| (handed.org, handed.key))
+            read_head("pedidos", &headers).map(|handed| (handed.tenant, handed.idempotency_key))
         };
         assert_eq!(key(&[]), Ok((None, None)));
         let odd = "\"5c0F , 1\"";
@@ -280,9 +280,9 @@
     // Guards against a refusal that does not say when to come back.
     #[test]
     fn a_deferred_client_is_told_when_to_come_back() {
-        let response = tell(SubmitAnswer::Deferred(1_250_000));
+        let response = tell(SubmitAnswer::Rejected(1_250_000));
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(response.headers()[RETRY_AFTER], "1.250");
-        assert!(!tell(SubmitAnswer::Deferred(0)).headers().contains_key(RETRY_AFTER));
+        assert!(!tell(SubmitAnswer::Rejected(0)).headers().contains_key(RETRY_AFTER));
     }
 }
--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -4,7 +4,7 @@
 use crate::ownership::Owners;
 use orchidyoke_core::interface::Settings;
 use orchidyoke_core::settings::{self, Names};
-use orchidyoke_core::transport_map::{News, bounded_news};
+use orchidyoke_core::transport_map::{WatchEvent, bounded_watch_event};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -22,8 +22,8 @@
     #[serde(default)]
     seed: String,
     limits: Limits,
-    #[serde(deserialize_with = "bounded_news")]
-    known: News,
+    #[serde(deserialize_with = "bounded_watch_event")]
+    known: WatchEvent,
     #[serde(default)]
     policy_out: BTreeSet<String>,
     settings: Box<serde_json::value::RawValue>,
@@ -115,7 +115,7 @@
     /// What the machine allows.
     pub limits: Limits,
     /// The transport map as last held.
-    pub known: News,
+    pub known: WatchEvent,
     /// Endpoints that the fleet has agreed to leave out, by id.
     pub policy_out: BTreeSet<String>,
     /// The module's settings.
@@ -144,9 +144,9 @@
         for (what, missing) in [
             ("classes", settings.classes.is_empty()),
             ("host_types", settings.kinds.is_empty()),
-            ("family_info.slots", settings.slots == 0),
+            ("family_info.slots", settings.max_calls == 0),
             ("limits.dial_timeout_us", settings.connect_timeout <= 0),
-            ("limits.idle_close_us", settings.idle_close <= 0),
+            ("limits.idle_close_us", settings.idle_timeout <= 0),
         ] {
             if missing {
                 return Err(ConfigError(format!("settings: {what}: missing or nothing in it")));
--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -2,7 +2,7 @@
 //! for the next caller.
 
 use super::console::{Call, CallError, Reply, read};
-use crate::input::{Input, Ticket};
+use crate::input::{Input, RequestId};
 use crate::log;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -26,12 +26,12 @@
 /// The console between its connections and the reducer.
 pub struct Console {
     inputs: UnboundedSender<Input>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply>>>,
+    waiting: RefCell<HashMap<RequestId, oneshot::Sender<Reply>>>,
     /// Connections in the order in which they came: who has no whole line yet may have to go.
-    callers: RefCell<BTreeMap<Ticket, AbortHandle>>,
+    callers: RefCell<BTreeMap<RequestId, AbortHandle>>,
     /// Connections, until their tasks have ended.
     open: Cell<usize>,
-    next: Cell<Ticket>,
+    next: Cell<RequestId>,
 }
 
 impl Console {
@@ -42,17 +42,17 @@
     }
 
     /// Gives a caller its reply; one that is gone needs none.
-    pub fn reply(&self, ticket: Ticket, reply: Reply) {
+    pub fn reply(&self, ticket: RequestId, reply: Reply) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             let _ = waiting.send(reply);
         }
     }
 
-    async fn ask(&self, ticket: Ticket, call: Call) -> Reply {
+    async fn ask(&self, ticket: RequestId, call: Call) -> Reply {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         // The receiver is gone only when the forwarder ends.
-        let _ = self.inputs.send(Input::Operator { ticket, call });
+        let _ = self.inputs.send(Input::Operator { request: ticket, call });
         receiver.await.unwrap_or_else(|_| Reply::No("the forwarder ends".to_owned()))
     }
 
@@ -69,7 +69,7 @@
 /// A connection as the others see it, until its task ends, in whatever way.
 struct Place {
     console: Rc<Console>,
-    ticket: Ticket,
+    ticket: RequestId,
     /// It was among those that may have to go, or is past that.
     asked: Cell<bool>,
 }
@@ -179,8 +179,8 @@
         let local = LocalSet::new();
         local.spawn_local(listen(listener, console.clone()));
         local.spawn_local(async move {
-            while let Some(Input::Operator { ticket, call }) = came.recv().await {
-                answering.reply(ticket, Reply::No(format!("{call:?}")));
+            while let Some(Input::Operator { request, call }) = came.recv().await {
+                answering.reply(request, Reply::No(format!("{call:?}")));
             }
         });
         local
--- a/crates/forwarder/src/hop_call.rs
+++ b/crates/forwarder/src/hop_call.rs
@@ -111,27 +111,27 @@
     match reply.status {
         200 if reply.bulk => {
             let Ok(told) = serde_json::from_slice::<Vec<BulkEnd>>(&reply.body) else {
-                return all(Outcome::Spoilt);
+                return all(Outcome::InvalidResponse);
             };
             let told: HashMap<_, _> = told.into_iter().map(|end| (end.id, end.state)).collect();
             txns.iter().map(|txn| bulk_end(told.get(txn).map(String::as_str))).collect()
         }
-        200 => all(Outcome::Ok),
+        200 => all(Outcome::Success),
         // Not of the form or too many messages: nothing was looked at.
-        400 | 413 | 429 => all(Outcome::Full),
-        503 if reply.line_busy => all(Outcome::Moot),
-        503 => all(Outcome::Full),
-        504 => all(Outcome::Moot),
-        410 => vec![End { outcome: Outcome::Moot, over: true }; txns.len()],
+        400 | 413 | 429 => all(Outcome::Rejected),
+        503 if reply.line_busy => all(Outcome::NotSent),
+        503 => all(Outcome::Rejected),
+        504 => all(Outcome::NotSent),
+        410 => vec![End { outcome: Outcome::NotSent, over: true }; txns.len()],
         _ => all(Outcome::Error),
     }
 }
 
 fn bulk_end(state: Option<&str>) -> End {
     let outcome = match state {
-        Some("accepted") => Outcome::Ok,
-        Some("deferred") => Outcome::Full,
-        Some("expired" | "no_more") => Outcome::Moot,
+        Some("accepted") => Outcome::Success,
+        Some("deferred") => Outcome::Rejected,
+        Some("expired" | "no_more") => Outcome::NotSent,
         // A fault, a word that is not known, or a message left out: it may have run.
         _ => Outcome::Error,
     };
@@ -166,14 +166,14 @@
 
 /// A failed attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HopError {
+pub struct EndpointCallError {
     /// How far it had come.
     pub progress: Progress,
     /// What ended it.
     pub cause: Cause,
 }
 
-impl HopError {
+impl EndpointCallError {
     /// Whether it is sure that nothing ran.
     pub fn never_ran(&self) -> bool {
         self.progress < Progress::FullyWritten
@@ -191,12 +191,12 @@
             Cause::TimedOut => Outcome::Timeout,
             Cause::CalledOff => Outcome::Cancelled,
             Cause::Broken(_) => Outcome::Reset,
-            Cause::Spoilt(_) => Outcome::Spoilt,
+            Cause::Spoilt(_) => Outcome::InvalidResponse,
         }
     }
 }
 
-impl fmt::Display for HopError {
+impl fmt::Display for EndpointCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let progress = match self.progress {
             Progress::NotConnected => "not connected",
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -3,21 +3,21 @@
 use crate::catalogue::{Catalogue, UpdateSender};
 use crate::config::Config;
 use crate::console;
-use crate::hop_call::{Call, HopError, Reply};
+use crate::hop_call::{Call, EndpointCallError, Reply};
 use crate::ownership::{Marked, Offer, OfferEnd, Owners};
-use crate::pool::LinkId;
+use crate::pool::EndpointConnectionId;
 use bytes::Bytes;
 use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
-use orchidyoke_core::transport_map::News;
-use orchidyoke_journal::{Entries, Generation, Verdict};
+use orchidyoke_core::transport_map::WatchEvent;
+use orchidyoke_journal::{FinalAnswer, Generation, RecordsWithBodies};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
 /// One request of the sender side, or one call of an operator, that waits for its answer.
-pub type Ticket = u64;
+pub type RequestId = u64;
 /// One append to the journal.
-pub type Receipt = u64;
+pub type AppendId = u64;
 /// One watch on the list; the next has another number.
 pub type WatchId = u64;
 
@@ -35,13 +35,13 @@
 
 /// What another process's file has shown; see [`Input::Siblings`].
 #[derive(Debug)]
-pub struct Shown {
+pub struct SiblingUpdate {
     /// Number of its file.
     pub generation: Generation,
     /// The file was rewritten: the records begin anew.
-    pub anew: bool,
+    pub rewritten: bool,
     /// What has come since the last look.
-    pub records: Entries,
+    pub records: RecordsWithBodies,
     /// Bytes in the file.
     pub size: usize,
     /// The process has ended, and its file is this process's to take up.
@@ -52,7 +52,7 @@
 pub fn update_sender(watch: WatchId, inputs: UnboundedSender<Input>) -> UpdateSender {
     UpdateSender::new(move |news| {
         // The receiver is gone only when the forwarder ends.
-        let _ = inputs.send(Input::News { watch, news });
+        let _ = inputs.send(Input::WatchEvent { watch, event: news });
     })
 }
 
@@ -60,21 +60,21 @@
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// Its id.
-    pub txn: String,
+    pub id: String,
     /// Name of its class.
     pub class: String,
     /// Its tenant, where it names one.
-    pub org: Option<String>,
+    pub tenant: Option<String>,
     /// Its idempotency key, as it came.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Its destination.
-    pub dest: DestinationId,
+    pub destination: DestinationId,
     /// How long it may still be delivered.
     pub time_left: Micros,
     /// Marked as submitted again.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Marked as handed over by another forwarder.
-    pub marked: Marked,
+    pub handover_mark: Marked,
     /// Its body.
     pub body: Bytes,
 }
@@ -83,9 +83,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitAnswer {
     /// Taken on.
-    TakenOn,
+    Accepted,
     /// Deferred: handing it in again is harmless, after this time.
-    Deferred(Micros),
+    Rejected(Micros),
     /// Given up.
     Failed,
     /// It lacks what the settings ask of it; in words.
@@ -102,98 +102,98 @@
     /// A message was submitted.
     Submitted {
         /// The request that waits.
-        ticket: Ticket,
+        request: RequestId,
         /// The message.
         message: Submission,
     },
     /// A client closed its connection before it had its answer.
     Withdrawn {
         /// The request that waited.
-        ticket: Ticket,
+        request: RequestId,
     },
     /// A client has connected, or one is gone.
-    Sender {
+    ClientConnection {
         /// Connected.
-        joined: bool,
+        connected: bool,
     },
     /// Clients that connect are accepted from now on.
     AcceptingClients,
     /// The files of other processes on the folder have shown something: all that there is at one moment.
     Siblings {
         /// What they have shown.
-        shown: Vec<Shown>,
+        updates: Vec<SiblingUpdate>,
         /// Numbers of those that are gone.
         gone: Vec<Generation>,
     },
     /// An operator asks for something.
     Operator {
         /// The call that waits.
-        ticket: Ticket,
+        request: RequestId,
         /// What for.
         call: console::Call,
     },
     /// The journal was asked to append, and did or could not.
     Appended {
         /// Which append.
-        receipt: Receipt,
+        append: AppendId,
         /// It is in the file.
         stored: bool,
         /// Bytes in the file now.
         size: usize,
     },
     /// A connection to a next hop is up.
-    LinkUp {
+    ConnectionUp {
         /// Which.
-        link: LinkId,
+        connection: EndpointConnectionId,
     },
     /// A call's last byte has been written.
-    Written {
+    CallWritten {
         /// On this connection.
-        link: LinkId,
+        connection: EndpointConnectionId,
     },
     /// A next hop has answered a call.
-    Answered {
+    CallAnswered {
         /// On this connection.
-        link: LinkId,
+        connection: EndpointConnectionId,
         /// What it said.
         reply: Reply,
         /// The connection can carry another call.
         reusable: bool,
     },
     /// A connection to a next hop is closed.
-    LinkClosed {
+    ConnectionClosed {
         /// Which.
-        link: LinkId,
+        connection: EndpointConnectionId,
         /// How far its call had come, if it had one.
-        error: HopError,
+        error: EndpointCallError,
     },
     /// A watch on the list has told something.
-    News {
+    WatchEvent {
         /// Which watch.
         watch: WatchId,
         /// What.
-        news: News,
+        event: WatchEvent,
     },
     /// The watch has ended.
-    MapLost {
+    WatchEnded {
         /// Which watch.
         watch: WatchId,
         /// Why, for the log.
-        why: String,
+        reason: String,
         /// How long discovery says to wait before it is asked again; 0 where it says nothing.
-        wait_ms: u64,
+        retry_after_ms: u64,
         /// How long ago it last said something whole, or was asked: since then it may have had more to tell.
-        unheard: Micros,
+        silence: Micros,
     },
     /// The post of notices was answered.
-    Posted {
+    NotificationsPosted {
         /// With 204.
         accepted: bool,
     },
     /// The status towards the policy of the fleet has changed.
     PolicyStatus(PolicyStatus),
     /// Destinations have these owners from now on.
-    Owners(Rc<dyn Owners>),
+    OwnersChanged(Rc<dyn Owners>),
     /// An offer of a message to its owner has ended.
     OfferEnded {
         /// The message.
@@ -202,16 +202,16 @@
         end: OfferEnd,
     },
     /// The configuration was read again and is good.
-    Reconfigured(Box<Config>),
+    ConfigReloaded(Box<Config>),
     /// The process was told to end.
-    Terminate,
+    Shutdown,
     /// Time has come; see [`Reducer::wake_at`](crate::reducer::Reducer::wake_at).
-    Alarm,
+    TimerDue,
 }
 
 /// Who a watch follows, and from what on.
 #[derive(Clone, Debug)]
-pub enum Following {
+pub enum WatchSource {
     /// Discovery at this address, from a version on.
     Discovery {
         /// Where it answers.
@@ -224,19 +224,19 @@
         /// Which.
         catalogue: Rc<dyn Catalogue>,
         /// The list held, whoever told it.
-        held: News,
+        held: WatchEvent,
     },
 }
 
-impl PartialEq for Following {
+impl PartialEq for WatchSource {
     fn eq(&self, other: &Self) -> bool {
         match (self, other) {
-            (Following::Discovery { at, since }, Following::Discovery { at: other, since: from }) => {
+            (WatchSource::Discovery { at, since }, WatchSource::Discovery { at: other, since: from }) => {
                 (at, since) == (other, from)
             }
             (
-                Following::Catalogue { catalogue, held },
-                Following::Catalogue { catalogue: other, held: with },
+                WatchSource::Catalogue { catalogue, held },
+                WatchSource::Catalogue { catalogue: other, held: with },
             ) => catalogue.id() == other.id() && held == with,
             _ => false,
         }
@@ -249,70 +249,70 @@
     /// Answer a request of the sender side.
     Answer {
         /// The request.
-        ticket: Ticket,
+        request: RequestId,
         /// The answer.
         answer: SubmitAnswer,
     },
     /// Give an operator the reply.
     Reply {
         /// The call.
-        ticket: Ticket,
+        request: RequestId,
         /// The reply.
         reply: console::Reply,
     },
     /// Append to the journal and report.
     Append {
         /// For the report.
-        receipt: Receipt,
+        append: AppendId,
         /// What to append.
         bytes: Bytes,
     },
     /// Report that this append is not made: the folder has no room for it.
-    NoRoom {
+    ReportJournalFull {
         /// For the report.
-        receipt: Receipt,
+        append: AppendId,
     },
     /// Put this in the place of the whole journal.
-    Rewrite {
+    CompactJournal {
         /// What still counts.
         bytes: Bytes,
     },
     /// Open a connection to a next hop and report.
-    Dial {
+    Connect {
         /// Its number.
-        link: LinkId,
+        connection: EndpointConnectionId,
         /// Where to.
         address: SocketAddr,
         /// When it has failed if it is not up.
         until: Micros,
     },
     /// Write a call on a connection that is up, and report.
-    Write {
+    SendCall {
         /// The connection.
-        link: LinkId,
+        connection: EndpointConnectionId,
         /// The call.
         call: Call,
     },
     /// Close a connection; what it carries is given up.
-    Close {
+    CloseConnection {
         /// The connection.
-        link: LinkId,
+        connection: EndpointConnectionId,
     },
     /// Offer a message to the forwarder that owns its destination and report.
     Offer(Box<Offer>),
     /// Post these notices and report.
-    Post {
+    PostNotifications {
         /// Where to.
         to: SocketAddr,
         /// The final answers.
-        notices: Vec<(String, Verdict)>,
+        notifications: Vec<(String, FinalAnswer)>,
     },
     /// Follow the list; a watch before it ends.
-    Follow {
+    StartWatch {
         /// Number of the watch.
         watch: WatchId,
         /// Who is followed.
-        from: Following,
+        from: WatchSource,
     },
     /// Write a line to the log.
     Log {
@@ -320,13 +320,13 @@
         line: String,
     },
     /// What the file of a process that has ended held is kept in this one's: remove it.
-    Retire {
+    RemoveJournal {
         /// Its number.
         generation: Generation,
     },
     /// Take no new connections, look at no other process's file, and end each of the clients' connections with its next
     /// answer: they are the successor's.
-    HandOver,
+    HandOverClients,
     /// Take no new connections, and close those of clients when what they have asked is answered.
     StopAccepting,
     /// End the process.
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -1,6 +1,6 @@
 //! Lists out of a stream of bytes, however the stream is cut into frames. No socket is here.
 
-use orchidyoke_core::transport_map::{LARGEST_LIST, ListError, MOST_ENTRIES, News, read_list};
+use orchidyoke_core::transport_map::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent, parse_list};
 
 /// A buffer that has grown beyond this is given back once its list has been read.
 const KEPT_CAPACITY: usize = 64 << 10;
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// What comes is no list, or one beyond the bounds. Nothing of that list was handed on.
-    pub fn take(&mut self, frame: &[u8], mut hand_on: impl FnMut(News)) -> Result<bool, ListError> {
+    pub fn take(&mut self, frame: &[u8], mut hand_on: impl FnMut(WatchEvent)) -> Result<bool, ListError> {
         let mut came_whole = false;
         let mut rest = frame;
         loop {
@@ -82,7 +82,7 @@
                     None => return Ok(came_whole),
                     Some(b'{' | b'[') => {}
                     // No list begins so: parsing says what is wrong.
-                    Some(_) => return read_list(&rest[..1]).map(|_| came_whole),
+                    Some(_) => return parse_list(&rest[..1]).map(|_| came_whole),
                 }
             }
             let Some(end) = self.find_end(rest)? else {
@@ -109,25 +109,25 @@
     /// Looks for the end of the list that has begun; gives the bytes up to it.
     fn find_end(&mut self, bytes: &[u8]) -> Result<Option<usize>, ListError> {
         let end = bytes.iter().position(|byte| self.position.pass(*byte)).map(|last| last + 1);
-        if self.buffer.len() + end.unwrap_or(bytes.len()) > LARGEST_LIST {
+        if self.buffer.len() + end.unwrap_or(bytes.len()) > MAX_LIST_BYTES {
             return Err(ListError::TooLarge);
         }
-        if self.position.entries > MOST_ENTRIES {
+        if self.position.entries > MAX_ENTRIES {
             return Err(ListError::TooManyEntries);
         }
         Ok(end)
     }
 
     /// Parses the list that ends with these bytes.
-    fn parse(&mut self, last: &[u8]) -> Result<News, ListError> {
+    fn parse(&mut self, last: &[u8]) -> Result<WatchEvent, ListError> {
         self.position = Position::default();
         if self.buffer.is_empty() {
             self.parsed_bytes += last.len();
-            return read_list(last);
+            return parse_list(last);
         }
         self.buffer.extend_from_slice(last);
         self.parsed_bytes += self.buffer.len();
-        let news = read_list(&self.buffer);
+        let news = parse_list(&self.buffer);
         if self.buffer.capacity() > KEPT_CAPACITY {
             self.buffer = Vec::new();
         }
--- a/crates/forwarder/src/listener.rs
+++ b/crates/forwarder/src/listener.rs
@@ -127,7 +127,7 @@
         let (id, signals) =
             (connections.limit.borrow_mut().join(Instant::now()), Rc::new(EvictionSignals::default()));
         connections.signals.borrow_mut().insert(id, signals.clone());
-        gateway.tell(Input::Sender { joined: true });
+        gateway.tell(Input::ClientConnection { connected: true });
         Rc::new(ClientConnection {
             id,
             connections,
@@ -156,7 +156,7 @@
         self.connections.limit.borrow_mut().leaves(self.id);
         self.connections.signals.borrow_mut().remove(&self.id);
         self.connections.changed.notify_one();
-        self.gateway.tell(Input::Sender { joined: false });
+        self.gateway.tell(Input::ClientConnection { connected: false });
     }
 }
 
--- a/crates/forwarder/src/next_hop.rs
+++ b/crates/forwarder/src/next_hop.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops on sockets: one task each, which dials, writes one call at a time and reports.
 
-use super::hop_call::{Call, Cause, HopError, Progress, Reply};
-use super::pool::LinkId;
+use super::hop_call::{Call, Cause, EndpointCallError, Progress, Reply};
+use super::pool::EndpointConnectionId;
 use super::write_progress::{HEAD_END, WriteProgress};
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::retry_after::{header_text, partner_wait_ms};
@@ -105,7 +105,7 @@
     stream: TcpStream,
     meter: Arc<Mutex<Meter>>,
     /// Told when a request's last byte has gone.
-    link: LinkId,
+    link: EndpointConnectionId,
     inputs: UnboundedSender<Input>,
 }
 
@@ -160,7 +160,7 @@
             };
             if whole {
                 // The receiver is gone only when the forwarder ends.
-                let _ = self.inputs.send(Input::Written { link: self.link });
+                let _ = self.inputs.send(Input::CallWritten { connection: self.link });
             }
         }
         done
@@ -177,25 +177,26 @@
 
 /// Says that a connection is closed when its task ends, also in a panic, which must not hold a call for ever.
 struct Closing {
-    link: LinkId,
+    link: EndpointConnectionId,
     inputs: UnboundedSender<Input>,
-    error: HopError,
+    error: EndpointCallError,
 }
 
 impl Drop for Closing {
     fn drop(&mut self) {
         // The receiver is gone only when the forwarder ends.
-        let _ = self.inputs.send(Input::LinkClosed { link: self.link, error: self.error.clone() });
+        let _ =
+            self.inputs.send(Input::ConnectionClosed { connection: self.link, error: self.error.clone() });
     }
 }
 
-fn broken(progress: Progress, why: impl ToString) -> HopError {
-    HopError { progress, cause: Cause::Broken(why.to_string()) }
+fn broken(progress: Progress, why: impl ToString) -> EndpointCallError {
+    EndpointCallError { progress, cause: Cause::Broken(why.to_string()) }
 }
 
 /// One connection from its dial to its end. Closing the channel of orders closes it.
 pub async fn run(
-    link: LinkId,
+    link: EndpointConnectionId,
     address: SocketAddr,
     until: Instant,
     mut orders: UnboundedReceiver<Order>,
@@ -208,14 +209,14 @@
 }
 
 async fn serve(
-    link: LinkId,
+    link: EndpointConnectionId,
     address: SocketAddr,
     until: Instant,
     orders: &mut UnboundedReceiver<Order>,
     inputs: &UnboundedSender<Input>,
-    if_panicked: &mut HopError,
-) -> HopError {
-    let called_off = |progress| HopError { progress, cause: Cause::CalledOff };
+    if_panicked: &mut EndpointCallError,
+) -> EndpointCallError {
+    let called_off = |progress| EndpointCallError { progress, cause: Cause::CalledOff };
     let dialled = tokio::select! {
         dialled = timeout_at(until, TcpStream::connect(address)) => dialled,
         _ = orders.recv() => return called_off(Progress::NotConnected),
@@ -223,7 +224,7 @@
     let stream = match dialled {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return broken(Progress::NotConnected, error),
-        Err(_) => return HopError { progress: Progress::NotConnected, cause: Cause::TimedOut },
+        Err(_) => return EndpointCallError { progress: Progress::NotConnected, cause: Cause::TimedOut },
     };
     if let Err(error) = stream.set_nodelay(true) {
         return broken(Progress::NotConnected, error);
@@ -236,7 +237,7 @@
         Err(error) => return broken(Progress::NotConnected, error),
     };
     let mut connection = Box::pin(connection);
-    let _ = inputs.send(Input::LinkUp { link });
+    let _ = inputs.send(Input::ConnectionUp { connection: link });
     loop {
         let (call, due) = tokio::select! {
             biased;
@@ -259,21 +260,24 @@
         match driven {
             Driven::Answered(Ok(reply), open) => {
                 let reusable = open && is_free(&mut sender, &mut connection, due).await;
-                let _ = inputs.send(Input::Answered { link, reply, reusable });
+                let _ = inputs.send(Input::CallAnswered { connection: link, reply, reusable });
                 if !reusable {
                     return broken(Progress::Answered, "closed after its answer");
                 }
             }
             Driven::Answered(Err(_), _) | Driven::Ended(_) if delivered => {
                 let reply = Reply { status: 200, ..Reply::default() };
-                let _ = inputs.send(Input::Answered { link, reply, reusable: false });
+                let _ = inputs.send(Input::CallAnswered { connection: link, reply, reusable: false });
                 return broken(Progress::Answered, "spoilt after its first line");
             }
             Driven::Answered(Err(cause), _) | Driven::Ended(cause) => {
                 let meter = lock(&meter);
                 let written = meter.written.progress();
                 let answered = meter.seen.begun.is_some() && written == Progress::FullyWritten;
-                return HopError { progress: if answered { Progress::Answered } else { written }, cause };
+                return EndpointCallError {
+                    progress: if answered { Progress::Answered } else { written },
+                    cause,
+                };
             }
         }
     }
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -7,7 +7,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use orchidyoke_journal::Verdict;
+use orchidyoke_journal::FinalAnswer;
 use serde::Serialize;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -28,12 +28,12 @@
 }
 
 /// One JSON object a line.
-fn lines(notices: &[(String, Verdict)]) -> Vec<u8> {
+fn lines(notices: &[(String, FinalAnswer)]) -> Vec<u8> {
     let mut text = Vec::new();
     for (id, verdict) in notices {
         let line = match verdict {
-            Verdict::Failed => Line { id, state: "failed", after_ms: None },
-            Verdict::Returned { after_ms } => {
+            FinalAnswer::Failed => Line { id, state: "failed", after_ms: None },
+            FinalAnswer::Rejected { retry_after_ms: after_ms } => {
                 Line { id, state: "returned", after_ms: Some(*after_ms).filter(|ms| *ms > 0) }
             }
         };
@@ -44,7 +44,7 @@
 }
 
 /// Posts notices once and reports whether they were accepted; whoever asked may ask again.
-pub async fn post(platform: SocketAddr, notices: Vec<(String, Verdict)>, inputs: UnboundedSender<Input>) {
+pub async fn post(platform: SocketAddr, notices: Vec<(String, FinalAnswer)>, inputs: UnboundedSender<Input>) {
     let accepted = match timeout(ANSWER_TIMEOUT, exchange(platform, lines(&notices))).await {
         Ok(Ok(StatusCode::NO_CONTENT)) => true,
         Ok(Ok(status)) => {
@@ -61,7 +61,7 @@
         }
     };
     // The receiver is gone only when the forwarder ends.
-    let _ = inputs.send(Input::Posted { accepted });
+    let _ = inputs.send(Input::NotificationsPosted { accepted });
 }
 
 async fn exchange(platform: SocketAddr, body: Vec<u8>) -> Result<StatusCode, Box<dyn Error + Send + Sync>> {
@@ -93,9 +93,9 @@
     #[test]
     fn a_notice_is_one_line_in_the_platforms_words() {
         let notices = [
-            ("a\"b".to_owned(), Verdict::Failed),
-            ("c".to_owned(), Verdict::Returned { after_ms: 500 }),
-            ("d".to_owned(), Verdict::Returned { after_ms: 0 }),
+            ("a\"b".to_owned(), FinalAnswer::Failed),
+            ("c".to_owned(), FinalAnswer::Rejected { retry_after_ms: 500 }),
+            ("d".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 }),
         ];
         let expected = "{\"id\":\"a\\\"b\",\"state\":\"failed\"}\n\
              {\"id\":\"c\",\"state\":\"returned\",\"after_ms\":500}\n{\"id\":\"d\",\"state\":\"returned\"}\n";
--- a/crates/forwarder/src/ownership.rs
+++ b/crates/forwarder/src/ownership.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
-use orchidyoke_journal::{Taken, Trace};
+use orchidyoke_journal::{AcceptedMessage, AttemptStart};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     pub attempts: u32,
     /// The first attempt that may have run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ran: Option<Trace>,
+    pub ran: Option<AttemptStart>,
 }
 
 /// The mark of a request, as far as it has one.
@@ -91,7 +91,7 @@
     fn is_sound(&self) -> bool {
         let times = 0..=LATEST;
         let bounds = times.contains(&self.deadline) && times.contains(&self.valid_until);
-        bounds && self.ran.as_ref().is_none_or(|ran| times.contains(&ran.at))
+        bounds && self.ran.as_ref().is_none_or(|ran| times.contains(&ran.started_at))
     }
 
     /// The value of the header.
@@ -119,7 +119,7 @@
     /// Where the owner takes messages.
     pub to: SocketAddr,
     /// The message.
-    pub taken: Taken,
+    pub taken: AcceptedMessage,
     /// Its body.
     pub body: Bytes,
     /// What goes along.
--- a/crates/forwarder/src/peer_call.rs
+++ b/crates/forwarder/src/peer_call.rs
@@ -153,14 +153,14 @@
     let left = deadline.saturating_duration_since(Instant::now());
     let mut request = Request::post(format!("/{}", taken.class))
         .header(HOST, offer.to.to_string())
-        .header("X-Txn", &taken.txn)
+        .header("X-Txn", &taken.id)
         .header("X-Remaining", format!("{:.6}", left.as_secs_f64()))
-        .header("X-Consignee", format!("dest={}", taken.dest))
+        .header("X-Consignee", format!("dest={}", taken.destination))
         .header(HANDOVER, HeaderValue::from_bytes(&offer.mark.to_header())?);
-    if !taken.org.is_empty() {
-        request = request.header("X-Org", &taken.org);
+    if !taken.tenant.is_empty() {
+        request = request.header("X-Org", &taken.tenant);
     }
-    if let Some(key) = &taken.key {
+    if let Some(key) = &taken.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY, key);
     }
     request.body(Full::new(offer.body.clone()))
--- a/crates/forwarder/src/pool.rs
+++ b/crates/forwarder/src/pool.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A connection, numbered anew each time.
-pub type LinkId = u64;
+pub type EndpointConnectionId = u64;
 /// A call, numbered anew each time.
 pub type CallId = u64;
 
@@ -22,14 +22,14 @@
 /// All connections to next hops.
 #[derive(Debug)]
 pub struct Pool {
-    links: BTreeMap<LinkId, (EndpointId, State)>,
-    next: LinkId,
+    links: BTreeMap<EndpointConnectionId, (EndpointId, State)>,
+    next: EndpointConnectionId,
     /// An idle connection is not used again after this time: the other end may close it any moment.
     keep: Micros,
     /// Connections at once, idle ones counted.
     most: usize,
     /// Those that go to an address that their endpoint has left.
-    retired: BTreeSet<LinkId>,
+    retired: BTreeSet<EndpointConnectionId>,
     /// No connection has been idle since before this; with none, none is idle.
     idle_since: Option<Micros>,
 }
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
     /// On this idle connection, at once.
-    Idle(LinkId),
+    Idle(EndpointConnectionId),
     /// On this new connection, once it is up.
-    Dial(LinkId),
+    Dial(EndpointConnectionId),
 }
 
 impl Pool {
@@ -62,7 +62,7 @@
 
     /// A connection for a call: the one used last, so that the others get old and close.
     pub fn claim(&mut self, hop: EndpointId, call: CallId, now: Micros) -> Claim {
-        let fresh = |(id, (to, state)): (&LinkId, &(EndpointId, State))| match state {
+        let fresh = |(id, (to, state)): (&EndpointConnectionId, &(EndpointId, State))| match state {
             State::Idle(since) if *to == hop && now - since < self.keep && !self.is_retired(*id) => {
                 Some((*since, *id))
             }
@@ -76,14 +76,14 @@
     }
 
     /// A new connection for a call.
-    pub fn dial(&mut self, hop: EndpointId, call: CallId) -> LinkId {
+    pub fn dial(&mut self, hop: EndpointId, call: CallId) -> EndpointConnectionId {
         self.next += 1;
         self.links.insert(self.next, (hop, State::Dialling(call)));
         self.next
     }
 
     /// A connection is up: the call that waited for it.
-    pub fn is_up(&mut self, id: LinkId) -> Option<CallId> {
+    pub fn is_up(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let (_, state) = self.links.get_mut(&id)?;
         let State::Dialling(call) = *state else { return None };
         *state = State::Busy(call);
@@ -91,7 +91,7 @@
     }
 
     /// The call on a connection is over, and the connection can carry another; none that is retired.
-    pub fn release(&mut self, id: LinkId, now: Micros) {
+    pub fn release(&mut self, id: EndpointConnectionId, now: Micros) {
         let since = if self.retired.contains(&id) { now - self.keep } else { now };
         if let Some((_, state @ State::Busy(_))) = self.links.get_mut(&id) {
             *state = State::Idle(since);
@@ -106,12 +106,12 @@
     }
 
     /// Whether a connection goes to an address that its endpoint has left.
-    pub fn is_retired(&self, id: LinkId) -> bool {
+    pub fn is_retired(&self, id: EndpointConnectionId) -> bool {
         self.retired.contains(&id)
     }
 
     /// A connection is gone: the call that it takes with it.
-    pub fn closed(&mut self, id: LinkId) -> Option<CallId> {
+    pub fn closed(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let call = self.call_of(id);
         self.links.remove(&id);
         self.retired.remove(&id);
@@ -119,13 +119,13 @@
     }
 
     /// The connection that a call has, up or not.
-    pub fn link_of(&self, call: CallId) -> Option<LinkId> {
+    pub fn link_of(&self, call: CallId) -> Option<EndpointConnectionId> {
         let has = |state: &State| matches!(state, State::Dialling(c) | State::Busy(c) if *c == call);
         self.links.iter().find(|(_, (_, state))| has(state)).map(|(id, _)| *id)
     }
 
     /// The call that a connection has.
-    pub fn call_of(&self, id: LinkId) -> Option<CallId> {
+    pub fn call_of(&self, id: EndpointConnectionId) -> Option<CallId> {
         match self.links.get(&id)?.1 {
             State::Dialling(call) | State::Busy(call) => Some(call),
             State::Idle(_) => None,
@@ -133,17 +133,17 @@
     }
 
     /// Takes out the idle connections to an endpoint, to be closed.
-    pub fn drop_idle(&mut self, hop: EndpointId) -> Vec<LinkId> {
+    pub fn drop_idle(&mut self, hop: EndpointId) -> Vec<EndpointConnectionId> {
         self.take_idle(|to, _| to == hop)
     }
 
     /// The same for many endpoints at once.
-    pub fn drop_idle_of(&mut self, hops: &BTreeSet<EndpointId>) -> Vec<LinkId> {
+    pub fn drop_idle_of(&mut self, hops: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
         self.take_idle(|to, _| hops.contains(&to))
     }
 
     /// Takes out the idle connections that are too old, and the oldest where there are too many.
-    pub fn reap(&mut self, now: Micros) -> Vec<LinkId> {
+    pub fn reap(&mut self, now: Micros) -> Vec<EndpointConnectionId> {
         let keep = self.keep;
         let mut out = self.take_idle(|_, since| now - since >= keep);
         while self.links.len() > self.most {
@@ -168,7 +168,7 @@
         self.idle_since.map(|since| since + self.keep)
     }
 
-    fn take_idle(&mut self, which: impl Fn(EndpointId, Micros) -> bool) -> Vec<LinkId> {
+    fn take_idle(&mut self, which: impl Fn(EndpointId, Micros) -> bool) -> Vec<EndpointConnectionId> {
         let gone = self.links.extract_if(.., |_, (hop, state)| match state {
             State::Idle(since) => which(*hop, *since),
             _ => false,
--- a/crates/forwarder/src/reducer/custody.rs
+++ b/crates/forwarder/src/reducer/custody.rs
@@ -5,8 +5,10 @@
 use super::{AfterAppend, Reducer};
 use crate::input::Effect;
 use crate::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
-use orchidyoke_core::interface::{DestinationId, Effect as ClassEffect, Event, Group, MessageId, Micros};
-use orchidyoke_journal::{Custody, Offered, Record, Stage, Taken, Verdict};
+use orchidyoke_core::interface::{
+    DeduplicationScope, DestinationId, Event, Idempotency as ClassEffect, MessageId, Micros,
+};
+use orchidyoke_journal::{AcceptedMessage, FinalAnswer, HandoverOffer, HandoverState, ProcessStage, Record};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -107,8 +109,8 @@
     }
 
     /// A message is taken on: whether another forwarder handed it over is in its custody.
-    pub fn count_taken_over(&mut self, taken: &Taken) {
-        self.counts.taken_over += u64::from(taken.custody.kept);
+    pub fn count_taken_over(&mut self, taken: &AcceptedMessage) {
+        self.counts.taken_over += u64::from(taken.handover.kept_local);
     }
 }
 
@@ -177,16 +179,16 @@
     pub(super) fn place(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         let taken = &message.taken;
-        let peer = match &taken.custody {
-            Custody { kept: true, .. } => None,
+        let peer = match &taken.handover {
+            HandoverState { kept_local: true, .. } => None,
             // Who may have it is asked as long as it is a member.
-            Custody { offered: Some(offered), .. } => match self.ownership.member(&offered.to) {
+            HandoverState { offered: Some(offered), .. } => match self.ownership.member(&offered.owner) {
                 Some(peer) => Some(peer),
                 None => return self.resolve_without_owner(now, id),
             },
             // What may have run and must not be repeated is the module's to end.
             _ if !self.may_repeat(now, taken) => None,
-            _ => self.ownership.peer(taken.dest),
+            _ => self.ownership.peer(taken.destination),
         };
         match peer {
             Some(peer) => {
@@ -200,9 +202,9 @@
     /// A message waits for an owner that may not be the one any more.
     fn place_again(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let goes_to = match &message.taken.custody.offered {
-            Some(offered) => self.ownership.member(&offered.to),
-            None => self.ownership.peer(message.taken.dest),
+        let goes_to = match &message.taken.handover.offered {
+            Some(offered) => self.ownership.member(&offered.owner),
+            None => self.ownership.peer(message.taken.destination),
         };
         if goes_to.as_ref().map(|peer| peer.name.as_str()) != self.handovers.peer_of(id) {
             self.handovers.remove(id);
@@ -210,54 +212,68 @@
         }
     }
 
-    fn terms(&self, now: Micros, taken: &Taken) -> Terms {
-        let doubt_ends = taken.custody.offered.as_ref().map(|offered| offered.at + DOUBT_TIME);
+    fn terms(&self, now: Micros, taken: &AcceptedMessage) -> Terms {
+        let doubt_ends = taken.handover.offered.as_ref().map(|offered| offered.offered_at + DOUBT_TIME);
         Terms {
-            destination: taken.dest,
+            destination: taken.destination,
             ends_at: doubt_ends.map_or(taken.deadline, |at| at.min(taken.deadline)),
             substitutable: self.may_repeat(now, taken),
-            in_doubt: taken.custody.offered.is_some(),
+            in_doubt: taken.handover.offered.is_some(),
         }
     }
 
-    fn effect_of(&self, taken: &Taken) -> ClassEffect {
+    fn effect_of(&self, taken: &AcceptedMessage) -> ClassEffect {
         let class = self.names.classes.iter().position(|class| *class == taken.class);
-        class.and_then(|class| self.settings.classes.get(class)).map(|class| class.effect).unwrap_or_default()
+        class
+            .and_then(|class| self.settings.classes.get(class))
+            .map(|class| class.idempotency)
+            .unwrap_or_default()
     }
 
     /// Whether a message may still be delivered though an attempt, or another forwarder, may have run it: by its class.
     /// Which endpoints of a group may be tried after an attempt is the module's to know; where another forwarder would
     /// have sent it, nobody here knows.
-    fn may_repeat(&self, now: Micros, taken: &Taken) -> bool {
-        let offered = taken.custody.offered.as_ref().map(|offered| offered.at);
-        let Some(first) = taken.ran.as_ref().map(|trace| trace.at).into_iter().chain(offered).min() else {
+    fn may_repeat(&self, now: Micros, taken: &AcceptedMessage) -> bool {
+        let offered = taken.handover.offered.as_ref().map(|offered| offered.offered_at);
+        let Some(first) =
+            taken.possible_delivery.as_ref().map(|trace| trace.started_at).into_iter().chain(offered).min()
+        else {
             return true;
         };
         match self.effect_of(taken) {
-            ClassEffect::Safe => true,
-            ClassEffect::Unsafe => false,
-            ClassEffect::Keyed { group, window } => {
-                let reaches_all = offered.is_none() || group == Group::All;
+            ClassEffect::Idempotent => true,
+            ClassEffect::NonIdempotent => false,
+            ClassEffect::IdempotencyKey { scope: group, window } => {
+                let reaches_all = offered.is_none() || group == DeduplicationScope::All;
                 reaches_all && now < first.saturating_add(window)
             }
         }
     }
 
     /// Whether who is told that a message has not been delivered may hand it in again: as the module has it.
-    fn may_return(&self, taken: &Taken) -> bool {
-        let untouched = taken.custody.offered.is_none() && taken.ran.is_none();
+    fn may_return(&self, taken: &AcceptedMessage) -> bool {
+        let untouched = taken.handover.offered.is_none() && taken.possible_delivery.is_none();
         let effect = self.effect_of(taken);
-        untouched || matches!(effect, ClassEffect::Safe | ClassEffect::Keyed { group: Group::All, .. })
+        untouched
+            || matches!(
+                effect,
+                ClassEffect::Idempotent | ClassEffect::IdempotencyKey { scope: DeduplicationScope::All, .. }
+            )
     }
 
     /// The first message of a destination that is not, or not for long, this forwarder's own: the module begins there as
     /// after an outage, with a trial and a ramp.
     pub(super) fn begin_cold(&mut self, now: Micros, destination: DestinationId) {
-        let cold_time = self.settings.warm_within;
+        let cold_time = self.settings.warm_up_time;
         if self.ownership.is_new_to(now, destination, cold_time)
             && self.ownership.begun_cold.insert(destination)
         {
-            self.events.push(Event::Known { destination, endpoint: None, out: true, wait: 0 });
+            self.events.push(Event::RouteState {
+                destination,
+                endpoint: None,
+                ejected: true,
+                retry_after: 0,
+            });
         }
     }
 
@@ -265,7 +281,7 @@
     fn resolve_without_owner(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if !self.may_repeat(now, &message.taken) {
-            return self.end(now, id, Verdict::Failed);
+            return self.end(now, id, FinalAnswer::Failed);
         }
         self.count_offer_as_attempt(id);
         self.place(now, id);
@@ -273,11 +289,11 @@
 
     fn count_offer_as_attempt(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        if message.taken.custody.offered.is_none() {
+        if message.taken.handover.offered.is_none() {
             return;
         }
-        let txn = message.taken.txn.clone();
-        self.append(&[(&Record::Unresolved { txn }, b"")], None);
+        let txn = message.taken.id.clone();
+        self.append(&[(&Record::HandoverInDoubt { message: txn }, b"")], None);
         if let Some(message) = self.messages.get_mut(&id) {
             message.taken.count_offer_as_attempt();
         }
@@ -294,7 +310,7 @@
 
     /// Offers what is due, and ends what is out of time.
     pub(super) fn hand_over_due(&mut self, now: Micros) {
-        if self.stage == Stage::Yielded {
+        if self.stage == ProcessStage::HandedOff {
             return;
         }
         while let Some(decision) = self.handovers.next(now) {
@@ -309,24 +325,24 @@
     /// The journal says whom a message is offered to before the first byte goes there.
     fn prepare_offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
         let Some(message) = self.messages.get(&id) else { return };
-        if message.taken.custody.offered.is_some() {
+        if message.taken.handover.offered.is_some() {
             return self.offer(now, id, peer);
         }
-        let (txn, to) = (message.taken.txn.clone(), peer.name.clone());
-        let record = Record::Offered { txn, to: to.clone(), at: now };
+        let (txn, to) = (message.taken.id.clone(), peer.name.clone());
+        let record = Record::HandoverOffered { message: txn, owner: to.clone(), at: now };
         self.append(&[(&record, b"")], Some(AfterAppend::Offered(id, peer.clone())));
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.custody.offered = Some(Offered { to, at: now });
+            message.taken.handover.offered = Some(HandoverOffer { owner: to, offered_at: now });
         }
     }
 
     /// The record of an offer is in the journal, or could not be: then nothing is offered.
     pub(super) fn offer_stored(&mut self, now: Micros, id: MessageId, peer: &Peer, stored: bool) {
-        if stored && self.stage != Stage::Yielded {
+        if stored && self.stage != ProcessStage::HandedOff {
             return self.offer(now, id, peer);
         }
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.custody.offered = None;
+            message.taken.handover.offered = None;
         }
         self.handovers.withheld(now, id);
     }
@@ -337,8 +353,8 @@
             return self.handovers.withheld(now, id);
         };
         let taken = message.taken.clone();
-        let (deadline, attempts, ran) = (taken.deadline, taken.attempts, taken.ran.clone());
-        let first_offer = taken.custody.offered.as_ref().map_or(now, |offered| offered.at);
+        let (deadline, attempts, ran) = (taken.deadline, taken.attempts, taken.possible_delivery.clone());
+        let first_offer = taken.handover.offered.as_ref().map_or(now, |offered| offered.offered_at);
         let valid_until = first_offer + DOUBT_TIME;
         self.effects.push(Effect::Offer(Box::new(Offer {
             id,
@@ -366,11 +382,11 @@
         if let OfferEnd::Unreached(why) | OfferEnd::Unanswered(why) = end {
             let peer = self.handovers.peer_of(id).unwrap_or_default();
             let doubt = if matches!(end, OfferEnd::Unanswered(_)) { " (in doubt)" } else { "" };
-            let txn = self.messages.get(&id).map_or("", |message| &message.taken.txn);
+            let txn = self.messages.get(&id).map_or("", |message| &message.taken.id);
             let line = format!("hand-over of {txn} to {peer}{doubt}: {why}");
             self.log(line);
         }
-        if self.stage == Stage::Yielded {
+        if self.stage == ProcessStage::HandedOff {
             return self.hand_over(id);
         }
         if let Some(message) = self.messages.get(&id) {
@@ -383,10 +399,10 @@
     /// Its owner has the message: here it is over.
     fn handed_over(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.txn.clone();
+        let txn = message.taken.id.clone();
         let to =
-            message.taken.custody.offered.as_ref().map_or_else(String::new, |offered| offered.to.clone());
-        self.append(&[(&Record::HandedOver { txn: txn.clone(), to, at: now }, b"")], None);
+            message.taken.handover.offered.as_ref().map_or_else(String::new, |offered| offered.owner.clone());
+        self.append(&[(&Record::HandedOver { message: txn.clone(), owner: to, at: now }, b"")], None);
         self.ownership.counts.handed_over += 1;
         self.figures.handed_over();
         self.drop_message(id);
@@ -396,10 +412,10 @@
     /// The owner never took the message.
     fn declined(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.txn.clone();
-        self.append(&[(&Record::Declined { txn }, b"")], None);
+        let txn = message.taken.id.clone();
+        self.append(&[(&Record::HandoverDeclined { message: txn }, b"")], None);
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.custody.offered = None;
+            message.taken.handover.offered = None;
         }
     }
 
@@ -410,7 +426,7 @@
             // A window has ended since.
             return self.place(now, id);
         }
-        if message.taken.custody.offered.is_some() {
+        if message.taken.handover.offered.is_some() {
             // A start must not offer again what has been begun here.
             self.count_offer_as_attempt(id);
             self.keep(id);
@@ -421,10 +437,10 @@
 
     fn keep(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.txn.clone();
-        self.append(&[(&Record::Kept { txn }, b"")], None);
+        let txn = message.taken.id.clone();
+        self.append(&[(&Record::KeptLocal { message: txn }, b"")], None);
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.custody.kept = true;
+            message.taken.handover.kept_local = true;
         }
     }
 
@@ -441,8 +457,11 @@
             self.handovers.remove(id);
             return self.resolve_without_owner(now, id);
         }
-        let verdict =
-            if self.may_return(taken) { Verdict::Returned { after_ms: 0 } } else { Verdict::Failed };
+        let verdict = if self.may_return(taken) {
+            FinalAnswer::Rejected { retry_after_ms: 0 }
+        } else {
+            FinalAnswer::Failed
+        };
         self.end(now, id, verdict);
     }
 
--- a/crates/forwarder/src/reducer/hops.rs
+++ b/crates/forwarder/src/reducer/hops.rs
@@ -4,11 +4,14 @@
 use super::{Reducer, SECOND, follow_pause};
 use crate::catalogue::Catalogue;
 use crate::config::Config;
-use crate::input::{Effect, Following};
+use crate::input::{Effect, WatchSource};
 use orchidyoke_core::interface::{
-    DestinationId, EndpointId, Entry, Event, Kind, ListForm, Listed, Micros, Report,
+    DestinationId, DestinationKind, EndpointId, EndpointState, EndpointUpdate, Event, HealthStatus,
+    ListEventKind, Micros,
+};
+use orchidyoke_core::transport_map::{
+    EndpointEntry, HealthChecks, ListedEndpoint, ListedState, MAX_ENTRIES, WatchEvent,
 };
-use orchidyoke_core::transport_map::{Checks, MOST_ENTRIES, MapEntry, News, State, Target};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -36,34 +39,34 @@
     model: &'a str,
     destination: DestinationId,
     weight: f64,
-    state: State,
-    checks: Checks,
+    state: ListedState,
+    checks: HealthChecks,
 }
 
-impl<'a> From<&'a Target> for Line<'a> {
-    fn from(target: &'a Target) -> Self {
+impl<'a> From<&'a EndpointEntry> for Line<'a> {
+    fn from(target: &'a EndpointEntry) -> Self {
         Line {
             uid: &target.uid,
-            az: &target.az,
-            model: &target.model,
-            destination: target.pod_group,
+            az: &target.zone,
+            model: &target.kind,
+            destination: target.destination,
             weight: target.capacity_hint,
             state: target.state,
-            checks: target.checks,
+            checks: target.health,
         }
     }
 }
 
-impl<'a> From<&'a MapEntry> for Line<'a> {
-    fn from(entry: &'a MapEntry) -> Self {
+impl<'a> From<&'a ListedEndpoint> for Line<'a> {
+    fn from(entry: &'a ListedEndpoint) -> Self {
         Line {
             uid: &entry.uid,
-            az: &entry.az,
-            model: &entry.model,
-            destination: entry.pod_group,
+            az: &entry.zone,
+            model: &entry.kind,
+            destination: entry.destination,
             weight: entry.capacity_hint,
             state: entry.state,
-            checks: entry.checks,
+            checks: entry.health,
         }
     }
 }
@@ -75,7 +78,7 @@
         let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
         self.log(format!("configuration: read again, discovery is at {}", discovery.file));
         if let Some(discovery) = discovery.given.filter(|given| Some(*given) != self.superseded) {
-            self.append(&[(&Record::Superseded { discovery }, b"")], None);
+            self.append(&[(&Record::DiscoverySuperseded { discovery }, b"")], None);
             self.superseded = Some(discovery);
         }
         let id = |catalogue: &Option<Rc<dyn Catalogue>>| catalogue.as_ref().map(|c| c.id().to_owned());
@@ -90,7 +93,7 @@
         }
         (self.discovery, self.catalogue) = (discovery.file, catalogue);
         let bounds = Bounds::new(&settings, limits);
-        self.pool.bound(settings.idle_close, bounds.links);
+        self.pool.bound(settings.idle_timeout, bounds.links);
         self.disk = bounds.disk;
         self.share_space();
         self.recent.bound(bounds.recent);
@@ -98,20 +101,20 @@
         (self.settings, self.names, self.policy_out) = (settings, names, policy_out);
         self.figures.name(&self.names.classes);
         let settings = self.module_settings();
-        (self.slots, self.sharers) = (settings.slots, settings.fleet_size);
+        (self.slots, self.sharers) = (settings.max_calls, settings.fleet_size);
         self.events.push(Event::Settings(Box::new(settings)));
         // The numbers of zones and kinds may have changed.
         let number = |uid: &str| self.hop_numbers.get(uid).copied();
         let entries =
             self.map.iter().filter_map(|held| Some(self.entry(now, number(&held.uid)?, held.into())));
         let entries = entries.collect();
-        self.events.push(Event::List { form: ListForm::Whole, entries });
+        self.events.push(Event::EndpointList { kind: ListEventKind::Snapshot, entries });
         self.replace_owners(now, owners);
     }
 
     /// What the settings say of an endpoint's kind, while it is listed.
-    pub(super) fn kind_of(&self, uid: &str) -> Option<Kind> {
-        let model = &*self.map.get(uid)?.model;
+    pub(super) fn kind_of(&self, uid: &str) -> Option<DestinationKind> {
+        let model = &*self.map.get(uid)?.kind;
         let place = self.names.kinds.iter().position(|kind| kind == model)?;
         self.settings.kinds.get(place).copied()
     }
@@ -122,58 +125,58 @@
             self.watch += 1;
             let from = match &self.catalogue {
                 Some(catalogue) => {
-                    Following::Catalogue { catalogue: catalogue.clone(), held: self.map.whole() }
+                    WatchSource::Catalogue { catalogue: catalogue.clone(), held: self.map.snapshot() }
                 }
                 // A version that a catalogue has counted says nothing to discovery.
                 None => {
                     let known = self.map.origin().is_empty() && self.went_back.is_none();
-                    let since = if known { self.map.rev() } else { 0 };
-                    Following::Discovery { at: self.discovery, since }
+                    let since = if known { self.map.version() } else { 0 };
+                    WatchSource::Discovery { at: self.discovery, since }
                 }
             };
-            self.effects.push(Effect::Follow { watch: self.watch, from });
+            self.effects.push(Effect::StartWatch { watch: self.watch, from });
         }
     }
 
     /// What the module is told of an endpoint.
-    pub(super) fn entry(&self, now: Micros, hop: EndpointId, line: Line<'_>) -> Entry {
-        let out = line.state == State::InService
+    pub(super) fn entry(&self, now: Micros, hop: EndpointId, line: Line<'_>) -> EndpointUpdate {
+        let out = line.state == ListedState::Active
             && (self.overlay.is_out(line.uid) || self.policy_out.contains(line.uid));
-        let cold = line.checks == Checks::Passing && self.is_cold(now, line.uid);
-        Entry {
+        let cold = line.checks == HealthChecks::Passing && self.is_cold(now, line.uid);
+        EndpointUpdate {
             endpoint: hop,
             destination: line.destination,
             zone: self.zone(line.az),
             kind: self.names.kinds.iter().position(|kind| kind == line.model).unwrap_or(usize::MAX),
-            state: if out { Listed::Draining } else { line.state.into() },
+            state: if out { EndpointState::Draining } else { line.state.into() },
             // Cold beside others that serve: they go before it.
-            report: if cold { Report::Warning } else { line.checks.into() },
-            weight: line.weight,
+            health: if cold { HealthStatus::Warning } else { line.checks.into() },
+            capacity_hint: line.weight,
         }
     }
 
     /// A watch has told something. What is older than the list held comes from a discovery that lags, or that counts its
     /// versions anew: it is taken as far as it is safe, and the whole list asked for once more; what that says holds.
-    pub(super) fn take_news(&mut self, now: Micros, mut news: News) {
+    pub(super) fn take_news(&mut self, now: Micros, mut news: WatchEvent) {
         if !self.map.has_room_for(&news) {
-            return self.refuse_news(now, news.rev);
+            return self.refuse_news(now, news.version);
         }
-        let older = news.origin == *self.map.origin() && news.rev < self.newest_rev;
-        if !older || news.all && self.went_back.is_some_and(|watch| watch != self.watch) {
-            (self.newest_rev, self.went_back) = (news.rev, None);
+        let older = news.origin == *self.map.origin() && news.version < self.newest_rev;
+        if !older || news.is_snapshot && self.went_back.is_some_and(|watch| watch != self.watch) {
+            (self.newest_rev, self.went_back) = (news.version, None);
         } else {
             if self.went_back.is_none() {
-                let line = format!("version {} after {}: asked for once more", news.rev, self.newest_rev);
+                let line = format!("version {} after {}: asked for once more", news.version, self.newest_rev);
                 self.log(format!("transport map: {line}"));
                 (self.went_back, self.following) = (Some(self.watch), false);
                 self.follow_at = now + GOES_BACK;
             }
-            news = self.map.older(news);
+            news = self.map.without_activations(news);
         }
-        let form = if news.all { ListForm::Whole } else { ListForm::Changes };
-        let record = Record::Map(news);
+        let form = if news.is_snapshot { ListEventKind::Snapshot } else { ListEventKind::Delta };
+        let record = Record::EndpointList(news);
         self.append(&[(&record, b"")], None);
-        if let Record::Map(news) = &record {
+        if let Record::EndpointList(news) = &record {
             self.take_list(now, news, form);
         }
     }
@@ -182,50 +185,50 @@
     /// be changes to a list that is not held. Another watch begins from the list held.
     fn refuse_news(&mut self, now: Micros, rev: u64) {
         self.log(format!(
-            "transport map: version {rev} has more than {MOST_ENTRIES} entries; the last list stays in use"
+            "transport map: version {rev} has more than {MAX_ENTRIES} entries; the last list stays in use"
         ));
         self.watch += 1;
         self.following = false;
         self.follow_at = now + self.follow_pause.pause(TOO_LARGE_PAUSE);
     }
 
-    pub(super) fn take_list(&mut self, now: Micros, news: &News, form: ListForm) {
-        let mut entries = Vec::with_capacity(news.targets.len());
+    pub(super) fn take_list(&mut self, now: Micros, news: &WatchEvent, form: ListEventKind) {
+        let mut entries = Vec::with_capacity(news.endpoints.len());
         let mut new_hops = Vec::new();
-        for target in &news.targets {
+        for target in &news.endpoints {
             let hop = self.number(target, &mut new_hops);
-            if self.map.get(&target.uid).is_some_and(|known| known.endpoint != target.endpoint) {
+            if self.map.get(&target.uid).is_some_and(|known| known.address != target.address) {
                 self.close_idle(hop);
                 self.pool.retire(hop);
             }
             entries.push(self.entry(now, hop, target.into()));
         }
         self.keep_hops(new_hops);
-        if news.all {
+        if news.is_snapshot {
             self.unlist_all_but(&entries);
         }
         for entry in &entries {
             match entry.state {
-                Listed::Gone => self.unlisted.insert(entry.endpoint),
-                Listed::On | Listed::Draining => self.unlisted.remove(&entry.endpoint),
+                EndpointState::Removed => self.unlisted.insert(entry.endpoint),
+                EndpointState::Active | EndpointState::Draining => self.unlisted.remove(&entry.endpoint),
             };
         }
         let numbers = &self.hop_numbers;
         let shared =
             |uid: &str| numbers.get_key_value(uid).map_or_else(|| uid.into(), |(uid, _)| uid.clone());
-        self.map.take_sharing(news, shared);
-        self.events.push(Event::List { form, entries });
+        self.map.apply_sharing(news, shared);
+        self.events.push(Event::EndpointList { kind: form, entries });
     }
 
     /// The number of an endpoint; a new one is put among `new_hops`, to be kept.
-    fn number(&mut self, target: &Target, new_hops: &mut Vec<(EndpointId, Hop)>) -> EndpointId {
+    fn number(&mut self, target: &EndpointEntry, new_hops: &mut Vec<(EndpointId, Hop)>) -> EndpointId {
         if let Some(known) = self.hop_numbers.get(target.uid.as_str()) {
             return *known;
         }
         let (id, uid) = (self.next_hop, Arc::<str>::from(target.uid.as_str()));
         self.next_hop += 1;
         self.hop_numbers.insert(uid.clone(), id);
-        new_hops.push((id, Hop { uid, destination: target.pod_group }));
+        new_hops.push((id, Hop { uid, destination: target.destination }));
         id
     }
 
@@ -240,7 +243,7 @@
     }
 
     /// Endpoints that a whole list does not name are listed no more.
-    fn unlist_all_but(&mut self, entries: &[Entry]) {
+    fn unlist_all_but(&mut self, entries: &[EndpointUpdate]) {
         let mut named: Vec<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         named.sort_unstable();
         self.unlisted.extend(self.hops.keys().filter(|hop| named.binary_search(hop).is_err()));
@@ -253,7 +256,7 @@
             return;
         }
         for link in self.pool.drop_idle_of(&self.unlisted) {
-            self.effects.push(Effect::Close { link });
+            self.effects.push(Effect::CloseConnection { connection: link });
         }
         let busy: BTreeSet<EndpointId> = self.in_flight.values().map(|flight| flight.hop).collect();
         for id in self.unlisted.extract_if(.., |id| !busy.contains(id)) {
@@ -266,7 +269,7 @@
 
     pub(super) fn close_idle(&mut self, hop: EndpointId) {
         for link in self.pool.drop_idle(hop) {
-            self.effects.push(Effect::Close { link });
+            self.effects.push(Effect::CloseConnection { connection: link });
         }
     }
 }
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -24,7 +24,7 @@
 use crate::catalogue::Catalogue;
 use crate::config::Config;
 use crate::figures::Figures;
-use crate::input::{Effect, Input, PolicyStatus, Receipt, SubmitAnswer, Ticket, WatchId};
+use crate::input::{AppendId, Effect, Input, PolicyStatus, RequestId, SubmitAnswer, WatchId};
 use crate::ownership::Peer;
 use crate::pool::{CallId, Pool};
 use crate::retry_after;
@@ -38,10 +38,10 @@
 use notices::{Owed, Recent};
 use operators::{ByHand, Overlay};
 use orchidyoke_core::Controller;
-use orchidyoke_core::interface::{Action, EndpointId, Event, ListForm, MessageId, Micros, Settings};
+use orchidyoke_core::interface::{Action, EndpointId, Event, ListEventKind, MessageId, Micros, Settings};
 use orchidyoke_core::settings::Names;
-use orchidyoke_core::transport_map::{News, TransportMap};
-use orchidyoke_journal::{Entries, Generation, Record, Space, Stage, Verdict};
+use orchidyoke_core::transport_map::{EndpointList, WatchEvent};
+use orchidyoke_journal::{FinalAnswer, Generation, ProcessStage, Record, RecordsWithBodies, Space};
 use records::{Bounds, replay};
 use routes::Troubled;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -74,12 +74,12 @@
 /// What follows once an append is reported.
 #[derive(Debug)]
 enum AfterAppend {
-    TakeOn(Vec<(MessageId, Vec<Ticket>)>),
+    TakeOn(Vec<(MessageId, Vec<RequestId>)>),
     Begin(CallId),
     Offered(MessageId, Peer),
     Adopted(Takeover),
     Yielded,
-    ByHand { ticket: Ticket, uid: String, call: ByHand },
+    ByHand { ticket: RequestId, uid: String, call: ByHand },
 }
 
 /// The first bound of the pause before the list is asked for again, by the size of the fleet.
@@ -108,7 +108,7 @@
     next_message: MessageId,
     recent: Recent,
     owed: Owed,
-    map: TransportMap,
+    map: EndpointList,
     /// Endpoints that the list names, and others for as long as something of theirs is out.
     hops: BTreeMap<EndpointId, Hop>,
     next_hop: EndpointId,
@@ -139,8 +139,8 @@
     space: Space,
     /// About the bytes that a snapshot takes up for messages.
     live: usize,
-    stored: BTreeMap<Receipt, AfterAppend>,
-    next_receipt: Receipt,
+    stored: BTreeMap<AppendId, AfterAppend>,
+    next_receipt: AppendId,
     /// Appends that something waits for, until they are reported.
     unreported: Unreported,
     senders: usize,
@@ -150,7 +150,7 @@
     overlay: Overlay,
     /// Number of this process's file, how far the process is, and the other processes on the folder.
     generation: Generation,
-    stage: Stage,
+    stage: ProcessStage,
     siblings: BTreeMap<Generation, Sibling>,
     /// The slots that the module was told of.
     slots: usize,
@@ -175,7 +175,7 @@
     pub fn new(
         config: Config,
         generation: Generation,
-        records: Entries,
+        records: RecordsWithBodies,
         journal_size: usize,
         now: Micros,
     ) -> Self {
@@ -200,7 +200,7 @@
             next_message: 0,
             recent: Recent::new(bounds.recent),
             owed: Owed::new(left.owed, now),
-            map: TransportMap::default(),
+            map: EndpointList::default(),
             hops: BTreeMap::new(),
             next_hop: 0,
             unlisted: BTreeSet::new(),
@@ -219,7 +219,7 @@
             follow_at,
             followed_since: now,
             follow_pause,
-            pool: Pool::new(settings.idle_close, bounds.links),
+            pool: Pool::new(settings.idle_timeout, bounds.links),
             in_flight: BTreeMap::new(),
             next_call: 0,
             live: 0,
@@ -231,9 +231,9 @@
             takes_clients: false,
             overlay: left.overlay,
             generation,
-            stage: Stage::Started,
+            stage: ProcessStage::Started,
             siblings: BTreeMap::new(),
-            slots: settings.slots,
+            slots: settings.max_calls,
             disk: bounds.disk,
             figures: Figures::default(),
             policy_status: PolicyStatus::default(),
@@ -252,17 +252,17 @@
         // The configuration's list names destinations that may have no endpoint just now; what discovery told
         // before the restart binds. Changes told later are journaled as such: without the whole list before
         // them they would be all of it.
-        let known = News { all: true, ..config.known };
+        let known = WatchEvent { is_snapshot: true, ..config.known };
         // A catalogue counts versions of its own: what it told last holds until it tells more.
         let catalogued = !left.map.origin().is_empty() && reducer.catalogue.is_some();
-        let told_since = catalogued || left.map.rev() > known.rev;
+        let told_since = catalogued || left.map.version() > known.version;
         reducer.figures.name(&reducer.names.classes);
-        reducer.take_list(now, &known, ListForm::Remembered);
+        reducer.take_list(now, &known, ListEventKind::Restored);
         drop(known);
         if told_since {
-            reducer.take_list(now, &left.map.whole(), ListForm::Remembered);
+            reducer.take_list(now, &left.map.snapshot(), ListEventKind::Restored);
         }
-        reducer.newest_rev = reducer.map.rev();
+        reducer.newest_rev = reducer.map.version();
         let journaled = reducer.map == left.map;
         drop(left.map);
         let known = reducer.troubled.iter().filter_map(|route| reducer.known(route, true, 0));
@@ -281,9 +281,9 @@
             // waits for that yet.
             reducer.make_room(reducer.map.size());
         }
-        reducer.append(&[(&Record::Stage { stage: Stage::Started }, b"")], None);
+        reducer.append(&[(&Record::ProcessStage { stage: ProcessStage::Started }, b"")], None);
         if !journaled {
-            let list = Record::Map(reducer.map.whole());
+            let list = Record::EndpointList(reducer.map.snapshot());
             reducer.append(&[(&list, b"")], None);
         }
         reducer
@@ -292,12 +292,12 @@
     /// Takes one input; gives what is to be done, in order. `now` is Unix time and never goes back.
     pub fn step(&mut self, now: Micros, input: Input) -> Vec<Effect> {
         match input {
-            Input::Submitted { ticket, message } => self.submit(now, ticket, message),
-            Input::Withdrawn { ticket } => self.withdraw(ticket),
-            Input::Sender { joined } => {
+            Input::Submitted { request: ticket, message } => self.submit(now, ticket, message),
+            Input::Withdrawn { request: ticket } => self.withdraw(ticket),
+            Input::ClientConnection { connected: joined } => {
                 self.senders = if joined { self.senders + 1 } else { self.senders.saturating_sub(1) };
             }
-            Input::Appended { receipt, stored, size } => {
+            Input::Appended { append: receipt, stored, size } => {
                 self.space.holds(size);
                 self.unreported.remove(receipt);
                 match self.stored.remove(&receipt) {
@@ -312,23 +312,27 @@
                     None => {}
                 }
             }
-            Input::LinkUp { link } => {
+            Input::ConnectionUp { connection: link } => {
                 if let Some(call) = self.pool.is_up(link) {
                     self.begin(now, call, link);
                 }
             }
             Input::AcceptingClients => self.accept_clients(),
-            Input::Siblings { shown, gone } => self.siblings(now, shown, &gone),
-            Input::Operator { ticket, call } => self.operate(now, ticket, call),
-            Input::Written { link } => self.written(link),
-            Input::Answered { link, reply, reusable } => self.answered(now, link, &reply, reusable),
-            Input::LinkClosed { link, error } => {
+            Input::Siblings { updates: shown, gone } => self.siblings(now, shown, &gone),
+            Input::Operator { request: ticket, call } => self.operate(now, ticket, call),
+            Input::CallWritten { connection: link } => self.written(link),
+            Input::CallAnswered { connection: link, reply, reusable } => {
+                self.answered(now, link, &reply, reusable)
+            }
+            Input::ConnectionClosed { connection: link, error } => {
                 if let Some(call) = self.pool.closed(link) {
                     self.broken(now, call, &error);
                 }
             }
-            Input::News { watch, news } if watch == self.watch => self.take_news(now, news),
-            Input::MapLost { watch, why, wait_ms, unheard } if watch == self.watch => {
+            Input::WatchEvent { watch, event: news } if watch == self.watch => self.take_news(now, news),
+            Input::WatchEnded { watch, reason: why, retry_after_ms: wait_ms, silence: unheard }
+                if watch == self.watch =>
+            {
                 self.log(format!("transport map: {why}; the last list stays in use"));
                 let served = now - self.followed_since >= FOLLOWED;
                 if served {
@@ -350,14 +354,14 @@
                 (self.following, self.follow_at) = (false, now + pause);
             }
             // A watch before this one, that told more or ended as it was left.
-            Input::News { .. } | Input::MapLost { .. } => {}
-            Input::Posted { accepted } => self.posted(now, accepted),
+            Input::WatchEvent { .. } | Input::WatchEnded { .. } => {}
+            Input::NotificationsPosted { accepted } => self.posted(now, accepted),
             Input::PolicyStatus(status) => self.policy_status = status,
-            Input::Owners(view) => self.take_owners(now, view),
+            Input::OwnersChanged(view) => self.take_owners(now, view),
             Input::OfferEnded { id, end } => self.offer_ended(now, id, &end),
-            Input::Reconfigured(config) => self.reconfigure(now, *config),
-            Input::Terminate => self.terminate(now),
-            Input::Alarm => self.alarm(now),
+            Input::ConfigReloaded(config) => self.reconfigure(now, *config),
+            Input::Shutdown => self.terminate(now),
+            Input::TimerDue => self.alarm(now),
         }
         self.hand_over_due(now);
         self.follow(now);
@@ -366,13 +370,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Input::Alarm`] is due, if nothing else comes before.
+    /// When [`Input::TimerDue`] is due, if nothing else comes before.
     pub fn wake_at(&self) -> Option<Micros> {
         let turn = self.has_turn().then_some(self.last_turn + self.settings.tick);
         let timer = self.timers.first().map(|(at, _)| *at);
         let post = self.owed.wake_at();
         let follow = (!self.following).then_some(self.follow_at);
-        let hand_over = self.handovers.wake_at().filter(|_| self.stage != Stage::Yielded);
+        let hand_over = self.handovers.wake_at().filter(|_| self.stage != ProcessStage::HandedOff);
         let leave = self.leaving.as_ref().map(|leaving| leaving.wake_at(self.senders));
         [turn, timer, post, follow, hand_over, leave, self.pool.reap_at(), self.warm_at()]
             .into_iter()
@@ -382,7 +386,7 @@
 
     fn alarm(&mut self, now: Micros) {
         for link in self.pool.reap(now) {
-            self.effects.push(Effect::Close { link });
+            self.effects.push(Effect::CloseConnection { connection: link });
         }
         self.warmed(now);
         while let Some((at, token)) = self.timers.first().copied()
@@ -403,16 +407,16 @@
 
     /// Clients that connect are taken: the process before may be told to end.
     fn accept_clients(&mut self) {
-        self.append(&[(&Record::Stage { stage: Stage::Ready }, b"")], None);
-        (self.takes_clients, self.stage) = (true, Stage::Ready);
+        self.append(&[(&Record::ProcessStage { stage: ProcessStage::Ready }, b"")], None);
+        (self.takes_clients, self.stage) = (true, ProcessStage::Ready);
     }
 
     fn log(&mut self, line: String) {
         self.effects.push(Effect::Log { line });
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: SubmitAnswer) {
-        self.effects.push(Effect::Answer { ticket, answer });
+    fn answer(&mut self, ticket: RequestId, answer: SubmitAnswer) {
+        self.effects.push(Effect::Answer { request: ticket, answer });
     }
 
     /// Lets the module decide on what has come since the last turn, and carries it out.
@@ -425,19 +429,22 @@
         for action in actions {
             match action {
                 Action::Send { id, endpoint, timeout } => sends.push((id, endpoint, timeout)),
-                Action::Refuse { id, pause } => {
-                    self.end(now, id, Verdict::Returned { after_ms: (pause + 999) / 1000 });
+                Action::Reject { id, retry_after: pause } => {
+                    self.end(now, id, FinalAnswer::Rejected { retry_after_ms: (pause + 999) / 1000 });
                 }
-                Action::Fail { id } => self.end(now, id, Verdict::Failed),
-                Action::Cancel { id, copy } => self.cancel(id, copy),
+                Action::Fail { id } => self.end(now, id, FinalAnswer::Failed),
+                Action::Cancel { id, attempt: copy } => self.cancel(id, copy),
                 Action::Timer { delay, token } => {
                     self.timers.insert((now + delay, token));
                 }
-                Action::Close { endpoint } => self.close_idle(endpoint),
+                Action::CloseIdle { endpoint } => self.close_idle(endpoint),
                 Action::Log { text } => self.log(format!("module: {text}")),
                 // The list is followed all the time, and the platform has neither probes asked for by the
                 // module nor words between forwarders.
-                Action::Watch { .. } | Action::Fetch | Action::Probe { .. } | Action::Tell { .. } => {}
+                Action::Watch { .. }
+                | Action::PollList
+                | Action::HealthCheck { .. }
+                | Action::Gossip { .. } => {}
             }
         }
         self.keep_troubled();
--- a/crates/forwarder/src/reducer/notices.rs
+++ b/crates/forwarder/src/reducer/notices.rs
@@ -3,7 +3,7 @@
 use super::{Reducer, SECOND};
 use crate::input::Effect;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_journal::{Record, Verdict};
+use orchidyoke_journal::{FinalAnswer, Record};
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
@@ -73,7 +73,7 @@
 /// Final answers whose notice is not yet accepted, in their order.
 #[derive(Debug)]
 pub(super) struct Owed {
-    answers: VecDeque<(String, Verdict, Micros)>,
+    answers: VecDeque<(String, FinalAnswer, Micros)>,
     /// How many of them are being posted.
     posting: usize,
     post_at: Micros,
@@ -83,7 +83,7 @@
 }
 
 impl Owed {
-    pub fn new(answers: Vec<(String, Verdict, Micros)>, now: Micros) -> Self {
+    pub fn new(answers: Vec<(String, FinalAnswer, Micros)>, now: Micros) -> Self {
         let (posting, post_at, bytes) = (0, now, 0);
         let mut owed = Owed { answers: VecDeque::new(), posting, post_at, by_id: HashMap::new(), bytes };
         answers.into_iter().for_each(|(txn, verdict, at)| owed.push(txn, verdict, at));
@@ -103,11 +103,11 @@
         self.bytes
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &(String, Verdict, Micros)> {
+    pub fn iter(&self) -> impl Iterator<Item = &(String, FinalAnswer, Micros)> {
         self.answers.iter()
     }
 
-    pub fn push(&mut self, txn: String, verdict: Verdict, now: Micros) {
+    pub fn push(&mut self, txn: String, verdict: FinalAnswer, now: Micros) {
         self.bytes += id_size(&txn);
         *self.by_id.entry(txn.clone()).or_default() += 1;
         self.answers.push_back((txn, verdict, now));
@@ -124,7 +124,7 @@
     }
 
     /// The next post, if it is due.
-    fn take_post(&mut self, now: Micros) -> Option<Vec<(String, Verdict)>> {
+    fn take_post(&mut self, now: Micros) -> Option<Vec<(String, FinalAnswer)>> {
         self.wake_at().filter(|at| *at <= now)?;
         self.posting = self.answers.len().min(POST_MOST);
         let notices = self.answers.iter().take(self.posting);
@@ -157,7 +157,7 @@
 impl Reducer {
     pub(super) fn post(&mut self, now: Micros) {
         if let Some(notices) = self.owed.take_post(now) {
-            self.effects.push(Effect::Post { to: self.discovery, notices });
+            self.effects.push(Effect::PostNotifications { to: self.discovery, notifications: notices });
         }
     }
 
@@ -166,7 +166,8 @@
         if txns.is_empty() {
             return;
         }
-        let over: Vec<Record> = txns.iter().map(|txn| Record::Over { txn: txn.clone(), at: now }).collect();
+        let over: Vec<Record> =
+            txns.iter().map(|txn| Record::Finished { message: txn.clone(), at: now }).collect();
         let records: Vec<(&Record, &[u8])> = over.iter().map(|record| (record, &b""[..])).collect();
         self.append(&records, None);
         self.owed.forget(txns.len());
--- a/crates/forwarder/src/reducer/operators.rs
+++ b/crates/forwarder/src/reducer/operators.rs
@@ -5,9 +5,9 @@
 use super::{AfterAppend, Reducer};
 use crate::console::{Call, Reply};
 use crate::figures::{Figures, Gauges};
-use crate::input::{Effect, Ticket};
-use orchidyoke_core::interface::{DestinationId, Event, ListForm, Listed, Micros};
-use orchidyoke_core::transport_map::State;
+use crate::input::{Effect, RequestId};
+use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
+use orchidyoke_core::transport_map::ListedState;
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -94,7 +94,7 @@
 
 impl Reducer {
     /// One call of an operator. What changes something is answered once it is in the journal.
-    pub(super) fn operate(&mut self, now: Micros, ticket: Ticket, call: Call) {
+    pub(super) fn operate(&mut self, now: Micros, ticket: RequestId, call: Call) {
         let reply = match call {
             Call::Ready if !self.takes_clients => Reply::No("takes no clients".to_owned()),
             Call::Ready => self.policy_status.unready_reason.clone().map_or(Reply::Yes("ready"), Reply::No),
@@ -107,22 +107,29 @@
             Call::DisableServer(uid) => return self.put(now, ticket, uid, true),
             Call::EnableServer(uid) => return self.put(now, ticket, uid, false),
         };
-        self.effects.push(Effect::Reply { ticket, reply });
+        self.effects.push(Effect::Reply { request: ticket, reply });
     }
 
-    fn put(&mut self, now: Micros, ticket: Ticket, uid: String, out: bool) {
+    fn put(&mut self, now: Micros, ticket: RequestId, uid: String, out: bool) {
         if self.map.get(&uid).is_none() && !self.overlay.is_out(&uid) {
             let reply = Reply::No(format!("no endpoint {uid} is listed"));
-            return self.effects.push(Effect::Reply { ticket, reply });
+            return self.effects.push(Effect::Reply { request: ticket, reply });
         }
         // Written also where it changes nothing here: another process may have heard otherwise since.
         let call = ByHand { at: now, out };
-        let record = Record::ByHand { uid: uid.clone(), at: now, out };
+        let record = Record::OperatorOverride { endpoint: uid.clone(), at: now, ejected: out };
         self.append(&[(&record, b"")], Some(AfterAppend::ByHand { ticket, uid, call }));
     }
 
     /// An operator's call is in the journal, or is not: it is in force from here on.
-    pub(super) fn put_stored(&mut self, now: Micros, ticket: Ticket, uid: &str, call: ByHand, stored: bool) {
+    pub(super) fn put_stored(
+        &mut self,
+        now: Micros,
+        ticket: RequestId,
+        uid: &str,
+        call: ByHand,
+        stored: bool,
+    ) {
         let reply = if stored {
             self.by_hand(now, uid, call);
             self.prune(now);
@@ -131,7 +138,7 @@
         } else {
             Reply::No("the journal has no room for it, or cannot be written".to_owned())
         };
-        self.effects.push(Effect::Reply { ticket, reply });
+        self.effects.push(Effect::Reply { request: ticket, reply });
     }
 
     /// Puts a call in force, wherever it came from.
@@ -149,9 +156,14 @@
         if let (false, Some(target)) = (call.out, self.map.get(uid)) {
             // It was restarted meanwhile. Beside others that serve it waits until it is warm; alone, its
             // destination comes back as after an outage.
-            let destination = target.pod_group;
+            let destination = target.destination;
             if !self.has_other_in_service(destination, uid) {
-                self.events.push(Event::Known { destination, endpoint: None, out: true, wait: 0 });
+                self.events.push(Event::RouteState {
+                    destination,
+                    endpoint: None,
+                    ejected: true,
+                    retry_after: 0,
+                });
             }
         }
     }
@@ -160,33 +172,33 @@
     fn has_other_in_service(&self, destination: DestinationId, uid: &str) -> bool {
         let uids = self.destinations.endpoints_of(destination).filter_map(|id| self.hops.get(&id));
         let others = uids.map(|hop| &*hop.uid).filter(|other| *other != uid);
-        let still = |other: &&str| self.map.get(other).is_some_and(|entry| entry.pod_group == destination);
-        others.filter(still).any(|other| self.state_of(other) == Some(Listed::On))
+        let still = |other: &&str| self.map.get(other).is_some_and(|entry| entry.destination == destination);
+        others.filter(still).any(|other| self.state_of(other) == Some(EndpointState::Active))
     }
 
     /// Tells the module of an endpoint's state anew.
     fn relist(&mut self, now: Micros, uid: &str) {
         if let (Some(target), Some(hop)) = (self.map.get(uid), self.hop_numbers.get(uid)) {
             let entry = self.entry(now, *hop, target.into());
-            self.events.push(Event::List { form: ListForm::Changes, entries: vec![entry] });
+            self.events.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
         }
     }
 
     /// What the list and the operators together say of an endpoint.
-    pub(super) fn state_of(&self, uid: &str) -> Option<Listed> {
+    pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
         let state = self.map.get(uid)?.state;
-        let out = state == State::InService && self.overlay.is_out(uid);
-        Some(if out { Listed::Draining } else { state.into() })
+        let out = state == ListedState::Active && self.overlay.is_out(uid);
+        Some(if out { EndpointState::Draining } else { state.into() })
     }
 
     /// Whether an endpoint was put back so lately that it is still cold.
     pub(super) fn is_cold(&self, now: Micros, uid: &str) -> bool {
-        self.overlay.back_since(uid).is_some_and(|since| now - since < self.settings.warm_within)
+        self.overlay.back_since(uid).is_some_and(|since| now - since < self.settings.warm_up_time)
     }
 
     /// When the next endpoint that was put back is warm.
     pub(super) fn warm_at(&self) -> Option<Micros> {
-        self.overlay.first_back().map(|at| at + self.settings.warm_within)
+        self.overlay.first_back().map(|at| at + self.settings.warm_up_time)
     }
 
     /// Endpoints that were put back and are warm by now are as all others.
@@ -205,7 +217,7 @@
 
     fn prune(&mut self, now: Micros) {
         let map = &self.map;
-        self.overlay.prune(now - self.settings.warm_within, |uid| map.get(uid).is_some());
+        self.overlay.prune(now - self.settings.warm_up_time, |uid| map.get(uid).is_some());
     }
 
     /// The counts of this process.
@@ -216,8 +228,8 @@
     /// What is counted as it stands now.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen = self.hop_numbers.get(uid).is_some_and(|hop| self.controller.avoids(*hop));
-            chosen || self.state_of(uid) != Some(Listed::On)
+            let chosen = self.hop_numbers.get(uid).is_some_and(|hop| self.controller.is_avoided(*hop));
+            chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
             concurrent: self.messages.values().filter(|message| message.stored).count(),
--- a/crates/forwarder/src/reducer/records.rs
+++ b/crates/forwarder/src/reducer/records.rs
@@ -9,8 +9,10 @@
 use crate::input::Effect;
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::interface::{Micros, Settings};
-use orchidyoke_core::transport_map::TransportMap;
-use orchidyoke_journal::{Entries, Offered, Record, Stage, Taken, Verdict};
+use orchidyoke_core::transport_map::EndpointList;
+use orchidyoke_journal::{
+    AcceptedMessage, FinalAnswer, HandoverOffer, ProcessStage, Record, RecordsWithBodies,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -27,21 +29,21 @@
     pub fn new(settings: &Settings, limits: Limits) -> Self {
         let disk = (limits.disk_mb * 1e6) as usize;
         let recent = disk / RECENT_SHARE / SHORT_RECORD;
-        Bounds { disk, recent, links: limits.next_hops(settings.slots) }
+        Bounds { disk, recent, links: limits.next_hops(settings.max_calls) }
     }
 }
 
 /// What a journal says, as far as it was read.
 #[derive(Debug, Default)]
 pub(super) struct Replayed {
-    pub taken: BTreeMap<String, (Taken, Bytes)>,
-    pub owed: Vec<(String, Verdict, Micros)>,
+    pub taken: BTreeMap<String, (AcceptedMessage, Bytes)>,
+    pub owed: Vec<(String, FinalAnswer, Micros)>,
     pub over: Vec<(String, Micros)>,
-    pub map: TransportMap,
+    pub map: EndpointList,
     pub troubled: Troubled,
     pub superseded: Option<SocketAddr>,
     pub overlay: Overlay,
-    pub stage: Stage,
+    pub stage: ProcessStage,
     /// Waits that were told beside another process, which may still run.
     pub waits: BTreeMap<RouteKey, Micros>,
 }
@@ -49,7 +51,7 @@
 /// Ids that are over are kept of another process's file up to twice so many.
 const OVER_KEPT: usize = 4096;
 
-pub(super) fn replay(records: Entries) -> Replayed {
+pub(super) fn replay(records: RecordsWithBodies) -> Replayed {
     let mut left = Replayed::default();
     for (record, body) in records {
         left.take(record, body);
@@ -61,70 +63,70 @@
     /// The next record of the file.
     pub fn take(&mut self, record: Record, body: Bytes) {
         match record {
-            Record::Taken(taken) => {
-                self.taken.insert(taken.txn.clone(), (taken, body));
+            Record::Accepted(taken) => {
+                self.taken.insert(taken.id.clone(), (taken, body));
             }
-            Record::Begun { txns, trace } => {
+            Record::AttemptStarted { messages: txns, attempt: trace } => {
                 for txn in txns {
                     if let Some((taken, _)) = self.taken.get_mut(&txn) {
                         // One that is still out was so when its process ended, and may have run first.
-                        taken.ran = taken.ran.take().or(taken.out.take());
-                        (taken.attempts, taken.out) = (taken.attempts + 1, Some(trace.clone()));
+                        taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
+                        (taken.attempts, taken.in_flight) = (taken.attempts + 1, Some(trace.clone()));
                     }
                 }
             }
-            Record::Ran { txn } => {
+            Record::AttemptInDoubt { message: txn } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
-                    taken.ran = taken.ran.take().or(taken.out.take());
-                    taken.out = None;
+                    taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
+                    taken.in_flight = None;
                 }
             }
-            Record::Unseen { txn } => {
+            Record::AttemptNotDelivered { message: txn } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
-                    taken.out = None;
+                    taken.in_flight = None;
                 }
             }
-            Record::Missed { txn } => {
+            Record::AttemptNotSent { message: txn } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
                     taken.attempts += 1;
                 }
             }
-            Record::Owed { txn, at, verdict } => {
+            Record::AnswerDecided { message: txn, at, answer: verdict } => {
                 self.taken.remove(&txn);
                 self.owed.push((txn, verdict, at));
             }
-            Record::Over { txn, at } => self.end(txn, at),
-            Record::Offered { txn, to, at } => {
+            Record::Finished { message: txn, at } => self.end(txn, at),
+            Record::HandoverOffered { message: txn, owner: to, at } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
-                    taken.custody.offered.get_or_insert(Offered { to, at });
+                    taken.handover.offered.get_or_insert(HandoverOffer { owner: to, offered_at: at });
                 }
             }
-            Record::Declined { txn } => {
+            Record::HandoverDeclined { message: txn } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
-                    taken.custody.offered = None;
+                    taken.handover.offered = None;
                 }
             }
-            Record::Unresolved { txn } => {
+            Record::HandoverInDoubt { message: txn } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
                     taken.count_offer_as_attempt();
                 }
             }
-            Record::Kept { txn } => {
+            Record::KeptLocal { message: txn } => {
                 if let Some((taken, _)) = self.taken.get_mut(&txn) {
-                    taken.custody.kept = true;
+                    taken.handover.kept_local = true;
                 }
             }
-            Record::HandedOver { txn, at, .. } => self.end(txn, at),
-            Record::Map(news) => self.map.take(&news),
-            Record::Superseded { discovery } => self.superseded = Some(discovery),
-            Record::ByHand { uid, at, out } => {
+            Record::HandedOver { message: txn, at, .. } => self.end(txn, at),
+            Record::EndpointList(news) => self.map.apply(&news),
+            Record::DiscoverySuperseded { discovery } => self.superseded = Some(discovery),
+            Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
                 self.overlay.take(&uid, ByHand { at, out });
             }
-            Record::Wait { dest, uid, until } => {
+            Record::RetryAfter { destination: dest, endpoint: uid, until } => {
                 self.waits.insert(RouteKey::new(dest, uid), until);
             }
-            Record::Stage { stage } => self.stage = stage,
-            Record::Troubled { dests, routes } => {
+            Record::ProcessStage { stage } => self.stage = stage,
+            Record::FaultyRoutes { destinations: dests, routes } => {
                 let routes = routes.into_iter().map(|(dest, uid)| RouteKey::new(dest, Some(uid)));
                 self.troubled =
                     dests.into_iter().map(|dest| RouteKey::new(dest, None)).chain(routes).collect();
@@ -164,14 +166,14 @@
             self.stored.insert(self.next_receipt, then);
         }
         if refused {
-            return self.effects.push(Effect::NoRoom { receipt: self.next_receipt });
+            return self.effects.push(Effect::ReportJournalFull { append: self.next_receipt });
         }
         self.space.grew(bytes.len());
         let bytes = bytes.freeze();
         if waits {
             self.unreported.insert(self.next_receipt, bytes.clone());
         }
-        self.effects.push(Effect::Append { receipt: self.next_receipt, bytes });
+        self.effects.push(Effect::Append { append: self.next_receipt, bytes });
     }
 
     /// Rewrites the file where later there would be no room to do it, with so many bytes more in it.
@@ -179,7 +181,7 @@
         // What has yielded is read by the successor as it grows, and stays as it is.
         let live = self.live_size();
         let fits = self.siblings.is_empty() || self.space.fits(live);
-        if self.stage != Stage::Yielded && fits && self.space.is_short(live, more) {
+        if self.stage != ProcessStage::HandedOff && fits && self.space.is_short(live, more) {
             self.rewrite();
         }
     }
@@ -187,7 +189,7 @@
     pub(super) fn rewrite(&mut self) {
         let all = self.snapshot();
         self.space.holds(all.len());
-        self.effects.push(Effect::Rewrite { bytes: all });
+        self.effects.push(Effect::CompactJournal { bytes: all });
     }
 
     /// About the bytes of a snapshot, never less.
@@ -202,27 +204,28 @@
     /// All that still counts.
     pub(super) fn snapshot(&self) -> Bytes {
         let mut bytes = BytesMut::new();
-        Record::Map(self.map.whole()).encode(b"", &mut bytes);
-        Record::Stage { stage: self.stage }.encode(b"", &mut bytes);
+        Record::EndpointList(self.map.snapshot()).encode(b"", &mut bytes);
+        Record::ProcessStage { stage: self.stage }.encode(b"", &mut bytes);
         routes::troubled_record(&self.troubled).encode(b"", &mut bytes);
         for (route, until) in self.waits.iter().filter(|_| self.is_shared()) {
             route.wait(*until).encode(b"", &mut bytes);
         }
         if let Some(discovery) = self.superseded {
-            Record::Superseded { discovery }.encode(b"", &mut bytes);
+            Record::DiscoverySuperseded { discovery }.encode(b"", &mut bytes);
         }
         for (uid, call) in self.overlay.iter() {
-            Record::ByHand { uid: uid.clone(), at: call.at, out: call.out }.encode(b"", &mut bytes);
+            Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.out }
+                .encode(b"", &mut bytes);
         }
         for (at, txn) in self.recent.iter() {
-            Record::Over { txn: txn.clone(), at: *at }.encode(b"", &mut bytes);
+            Record::Finished { message: txn.clone(), at: *at }.encode(b"", &mut bytes);
         }
         for (txn, verdict, at) in self.owed.iter() {
-            Record::Owed { txn: txn.clone(), at: *at, verdict: *verdict }.encode(b"", &mut bytes);
+            Record::AnswerDecided { message: txn.clone(), at: *at, answer: *verdict }.encode(b"", &mut bytes);
         }
         for message in self.messages.values().filter(|m| m.stored) {
-            Record::Taken(message.taken.clone()).encode(&message.body, &mut bytes);
-            message.taken.custody_records().iter().for_each(|record| record.encode(b"", &mut bytes));
+            Record::Accepted(message.taken.clone()).encode(&message.body, &mut bytes);
+            message.taken.handover_records().iter().for_each(|record| record.encode(b"", &mut bytes));
         }
         // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
         // that it went to is gone with the rewrite.
--- a/crates/forwarder/src/reducer/routes.rs
+++ b/crates/forwarder/src/reducer/routes.rs
@@ -42,7 +42,7 @@
 
     /// The record of a wait.
     pub fn wait(&self, until: Micros) -> Record {
-        Record::Wait { dest: self.dest, uid: self.uid.clone(), until }
+        Record::RetryAfter { destination: self.dest, endpoint: self.uid.clone(), until }
     }
 
     /// About the bytes of its record, never less.
@@ -55,19 +55,23 @@
 pub(super) fn troubled_record(troubled: &Troubled) -> Record {
     let dests = troubled.iter().filter(|route| route.uid.is_none()).map(|route| route.dest).collect();
     let routes = troubled.iter().filter_map(|route| Some((route.dest, route.uid.clone()?))).collect();
-    Record::Troubled { dests, routes }
+    Record::FaultyRoutes { destinations: dests, routes }
 }
 
 impl Reducer {
     /// The number of a zone for the module.
     pub(super) fn zone(&self, name: &str) -> usize {
-        self.names.zones.iter().position(|zone| zone == name).unwrap_or(orchidyoke_core::interface::NO_ZONE)
+        self.names
+            .zones
+            .iter()
+            .position(|zone| zone == name)
+            .unwrap_or(orchidyoke_core::interface::UNKNOWN_ZONE)
     }
 
     /// The route that an endpoint is on, as far as the list still tells its kind.
     fn route_of(&self, hop: EndpointId) -> Option<RouteKey> {
         let hop = self.hops.get(&hop)?;
-        let apart = self.kind_of(&hop.uid).is_some_and(|kind| kind.apart);
+        let apart = self.kind_of(&hop.uid).is_some_and(|kind| kind.separate_routes);
         Some(RouteKey::new(hop.destination, apart.then(|| hop.uid.to_string())))
     }
 
@@ -77,7 +81,7 @@
         self.waits.expire(now);
         let until = self.waits.extend_to(route.clone(), now.saturating_add(wait));
         let record = route.wait(until);
-        if self.is_shared() || self.stage == orchidyoke_journal::Stage::Yielded {
+        if self.is_shared() || self.stage == orchidyoke_journal::ProcessStage::HandedOff {
             self.append(&[(&record, b"")], None);
         }
     }
@@ -108,7 +112,7 @@
             Some(uid) => Some(*self.hop_numbers.get(uid.as_str())?),
             None => None,
         };
-        Some(Event::Known { destination: route.dest, endpoint, out, wait })
+        Some(Event::RouteState { destination: route.dest, endpoint, ejected: out, retry_after: wait })
     }
 
     /// About the bytes of the records of what is known of routes, never less.
@@ -124,10 +128,10 @@
     /// What the module knows of routes in trouble outlasts the process.
     pub(super) fn keep_troubled(&mut self) {
         // An endpoint that the list names no more is about to lose its name, be the set another or not.
-        if !self.controller.take_troubled_changed() && self.unlisted.is_empty() {
+        if !self.controller.take_faulty_routes_changed() && self.unlisted.is_empty() {
             return;
         }
-        let troubled = self.controller.troubled().into_iter();
+        let troubled = self.controller.faulty_routes().into_iter();
         let name = |id: EndpointId| self.hops.get(&id).map(|hop| hop.uid.to_string());
         let keys = troubled.filter_map(|(dest, endpoint)| match endpoint {
             Some(endpoint) => Some(RouteKey::new(dest, Some(name(endpoint)?))),
--- a/crates/forwarder/src/reducer/stop.rs
+++ b/crates/forwarder/src/reducer/stop.rs
@@ -44,7 +44,7 @@
     pub(super) fn terminate(&mut self, now: Micros) {
         if self.leaving.is_none() {
             self.leaving = Some(Leaving::new(now));
-            self.events.push(Event::Closing { time_left: LEAVE_AFTER });
+            self.events.push(Event::ShuttingDown { time_left: LEAVE_AFTER });
             if self.is_successor_ready() {
                 self.yield_up(now);
             }
--- a/crates/forwarder/src/reducer/succession.rs
+++ b/crates/forwarder/src/reducer/succession.rs
@@ -13,10 +13,10 @@
 use super::routes::RouteKey;
 use super::{AfterAppend, Reducer};
 use crate::figures::End;
-use crate::input::{Effect, Shown};
+use crate::input::{Effect, SiblingUpdate};
 use bytes::Bytes;
-use orchidyoke_core::interface::{Event, ListForm, MessageId, Micros, Settings};
-use orchidyoke_journal::{Generation, Record, Stage, Taken, Verdict};
+use orchidyoke_core::interface::{Event, ListEventKind, MessageId, Micros, Settings};
+use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, ProcessStage, Record};
 use std::collections::BTreeSet;
 
 /// Another process on this folder, as its file tells of it.
@@ -30,7 +30,7 @@
 impl Sibling {
     /// Whether it begins no more attempts.
     fn has_stopped(&self) -> bool {
-        self.ended || self.left.stage == Stage::Yielded
+        self.ended || self.left.stage == ProcessStage::HandedOff
     }
 
     /// Whether the message is, or was, this process's own.
@@ -49,7 +49,7 @@
             .left
             .taken
             .values()
-            .map(|(taken, body)| message_size(&taken.txn, taken.key.as_deref(), body));
+            .map(|(taken, body)| message_size(&taken.id, taken.idempotency_key.as_deref(), body));
         let short =
             self.left.owed.iter().map(|(txn, ..)| txn).chain(self.left.over.iter().map(|(txn, _)| txn));
         taken.chain(short.map(|txn| id_size(txn))).sum::<usize>() + self.left.map.size()
@@ -57,8 +57,8 @@
 
     /// Its calls that are out.
     fn calls_out(&self) -> usize {
-        let out = self.left.taken.values().filter_map(|(taken, _)| taken.out.as_ref());
-        out.map(|trace| (trace.at, &trace.uid)).collect::<BTreeSet<_>>().len()
+        let out = self.left.taken.values().filter_map(|(taken, _)| taken.in_flight.as_ref());
+        out.map(|trace| (trace.started_at, &trace.endpoint)).collect::<BTreeSet<_>>().len()
     }
 }
 
@@ -66,8 +66,8 @@
 #[derive(Debug)]
 pub(super) struct Takeover {
     generation: Generation,
-    taken: Vec<(Taken, Bytes)>,
-    owed: Vec<(String, Verdict, Micros)>,
+    taken: Vec<(AcceptedMessage, Bytes)>,
+    owed: Vec<(String, FinalAnswer, Micros)>,
     over: Vec<(String, Micros)>,
     /// The process has ended, and this is all that it left.
     whole: bool,
@@ -76,7 +76,7 @@
 impl Reducer {
     /// The files of other processes have shown something, or are gone since a third process has taken them up. What
     /// follows is decided on when all of them are known.
-    pub(super) fn siblings(&mut self, now: Micros, shown: Vec<Shown>, gone: &[Generation]) {
+    pub(super) fn siblings(&mut self, now: Micros, shown: Vec<SiblingUpdate>, gone: &[Generation]) {
         let held = self.is_held();
         self.siblings.retain(|generation, _| !gone.contains(generation));
         for shown in shown {
@@ -88,8 +88,8 @@
         self.settle(held);
     }
 
-    fn shown(&mut self, now: Micros, shown: Shown) {
-        let Shown { generation, anew, records, size, ended } = shown;
+    fn shown(&mut self, now: Micros, shown: SiblingUpdate) {
+        let SiblingUpdate { generation, rewritten: anew, records, size, ended } = shown;
         if !self.siblings.contains_key(&generation) && !ended {
             // It was not there when they were told.
             let waits = self.running_waits(now);
@@ -104,8 +104,12 @@
         let mut waits = Vec::new();
         for (record, body) in records {
             match &record {
-                Record::ByHand { uid, at, out } => calls.push((uid.clone(), ByHand { at: *at, out: *out })),
-                Record::Wait { dest, uid, until } => waits.push((RouteKey::new(*dest, uid.clone()), *until)),
+                Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
+                    calls.push((uid.clone(), ByHand { at: *at, out: *out }))
+                }
+                Record::RetryAfter { destination: dest, endpoint: uid, until } => {
+                    waits.push((RouteKey::new(*dest, uid.clone()), *until))
+                }
                 _ => {}
             }
             sibling.left.take(record, body);
@@ -113,7 +117,7 @@
         for (uid, call) in
             calls.into_iter().filter(|(uid, call)| self.overlay.is_news(uid, *call)).collect::<Vec<_>>()
         {
-            let record = Record::ByHand { uid: uid.clone(), at: call.at, out: call.out };
+            let record = Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.out };
             self.append(&[(&record, b"")], None);
             self.by_hand(now, &uid, call);
         }
@@ -159,7 +163,7 @@
     /// Whether a process after this one runs and takes clients.
     pub(super) fn is_successor_ready(&self) -> bool {
         let mut later = self.siblings.range(self.generation + 1..);
-        later.any(|(_, sibling)| !sibling.ended && sibling.left.stage == Stage::Ready)
+        later.any(|(_, sibling)| !sibling.ended && sibling.left.stage == ProcessStage::Ready)
     }
 
     /// Whether another process runs that what this one is told has to reach.
@@ -174,18 +178,18 @@
 
     /// The settings as the module is to have them: the slots are those of all processes together.
     pub(super) fn module_settings(&self) -> Settings {
-        let stopped = self.stage == Stage::Yielded || self.is_held();
+        let stopped = self.stage == ProcessStage::HandedOff || self.is_held();
         let elders = self.siblings.range(..self.generation).filter(|(_, elder)| !elder.ended);
         let taken: usize = elders.map(|(_, elder)| elder.calls_out()).sum();
-        let slots = if stopped { 0 } else { self.settings.slots.saturating_sub(taken).max(1) };
+        let slots = if stopped { 0 } else { self.settings.max_calls.saturating_sub(taken).max(1) };
         let fleet_size = self.ownership.sharers().unwrap_or(self.settings.fleet_size);
-        Settings { slots, fleet_size, ..self.settings.clone() }
+        Settings { max_calls: slots, fleet_size, ..self.settings.clone() }
     }
 
     pub(super) fn tell_slots(&mut self) {
         let settings = self.module_settings();
-        if settings.slots != self.slots {
-            self.slots = settings.slots;
+        if settings.max_calls != self.slots {
+            self.slots = settings.max_calls;
             self.events.push(Event::Settings(Box::new(settings)));
         }
     }
@@ -202,12 +206,12 @@
     fn take_newer_list(&mut self, now: Micros, generation: Generation) {
         let Some(sibling) = self.siblings.get(&generation) else { return };
         let map = &sibling.left.map;
-        if map.origin() == self.map.origin() && map.rev() > self.map.rev() {
+        if map.origin() == self.map.origin() && map.version() > self.map.version() {
             // Only what differs is written: the other process may have heard of one change.
-            let record = Record::Map(self.map.changes_to(map));
+            let record = Record::EndpointList(self.map.delta_to(map));
             self.append(&[(&record, b"")], None);
-            if let Record::Map(changes) = &record {
-                self.take_list(now, changes, ListForm::Changes);
+            if let Record::EndpointList(changes) = &record {
+                self.take_list(now, changes, ListEventKind::Delta);
             }
         }
     }
@@ -217,13 +221,13 @@
         let Some(sibling) = self.siblings.get(&generation) else { return };
         let whole = sibling.ended;
         let inherits = whole || generation < self.generation && sibling.has_stopped() && !self.is_held();
-        if self.stage == Stage::Yielded || !inherits {
+        if self.stage == ProcessStage::HandedOff || !inherits {
             return;
         }
         let later = |txn: &str| self.siblings.range(generation + 1..).any(|(_, other)| other.knows(txn));
         let known = |txn: &str| self.recent.contains(txn) || self.owed.contains(txn) || later(txn);
-        let free = sibling.left.taken.values().filter(|(taken, _)| whole || taken.out.is_none());
-        let free = free.filter(|(taken, _)| !known(&taken.txn));
+        let free = sibling.left.taken.values().filter(|(taken, _)| whole || taken.in_flight.is_none());
+        let free = free.filter(|(taken, _)| !known(&taken.id));
         let taken: Vec<_> = free.filter_map(|(taken, body)| self.with_own(taken, body)).collect();
         let (mut owed, mut over) = (Vec::new(), Vec::new());
         if whole {
@@ -235,12 +239,13 @@
         }
         let ends = owed.iter().map(|(txn, verdict, at)| {
             let (txn, at, verdict) = (txn.clone(), *at, *verdict);
-            (Record::Owed { txn, at, verdict }, Bytes::new())
+            (Record::AnswerDecided { message: txn, at, answer: verdict }, Bytes::new())
         });
-        let ended = over.iter().map(|(txn, at)| (Record::Over { txn: txn.clone(), at: *at }, Bytes::new()));
+        let ended =
+            over.iter().map(|(txn, at)| (Record::Finished { message: txn.clone(), at: *at }, Bytes::new()));
         let held = taken.iter().flat_map(|(taken, body)| {
-            let records = taken.custody_records().into_iter().map(|record| (record, Bytes::new()));
-            std::iter::once((Record::Taken(taken.clone()), body.clone())).chain(records)
+            let records = taken.handover_records().into_iter().map(|record| (record, Bytes::new()));
+            std::iter::once((Record::Accepted(taken.clone()), body.clone())).chain(records)
         });
         let records: Vec<_> = ended.chain(ends).chain(held).collect();
         let records: Vec<(&Record, &[u8])> =
@@ -252,18 +257,18 @@
     /// What a process left that has ended, where the folder has no room for it: each message has its end at once.
     fn end_takeover(&mut self, now: Micros, takeover: &mut Takeover) {
         for (taken, _) in std::mem::take(&mut takeover.taken) {
-            let may_have_run = taken.ran.is_some() || taken.out.is_some();
+            let may_have_run = taken.possible_delivery.is_some() || taken.in_flight.is_some();
             let (verdict, end) = if may_have_run {
-                (Verdict::Failed, End::Error)
+                (FinalAnswer::Failed, End::Error)
             } else {
-                (Verdict::Returned { after_ms: self.no_room_pause() / 1000 }, End::Overload)
+                (FinalAnswer::Rejected { retry_after_ms: self.no_room_pause() / 1000 }, End::Overload)
             };
             self.figures.turned_away(&taken.class, end);
-            takeover.owed.push((taken.txn, verdict, now));
+            takeover.owed.push((taken.id, verdict, now));
         }
         let owed = takeover.owed.iter().map(|(txn, verdict, at)| {
             let (txn, at, verdict) = (txn.clone(), *at, *verdict);
-            Record::Owed { txn, at, verdict }
+            Record::AnswerDecided { message: txn, at, answer: verdict }
         });
         let owed: Vec<_> = owed.collect();
         self.append_all(&owed, None);
@@ -289,9 +294,9 @@
         let count = taken.len();
         for (taken, body) in taken {
             if let Some(sibling) = self.siblings.get_mut(&generation) {
-                sibling.left.taken.remove(&taken.txn);
+                sibling.left.taken.remove(&taken.id);
             }
-            match self.by_txn.get(&taken.txn).copied() {
+            match self.by_txn.get(&taken.id).copied() {
                 Some(id) => self.join(now, id, taken),
                 None => self.restore(taken, Bytes::copy_from_slice(&body), now),
             }
@@ -301,7 +306,7 @@
         }
         if whole {
             self.siblings.remove(&generation);
-            self.effects.push(Effect::Retire { generation });
+            self.effects.push(Effect::RemoveJournal { generation });
             self.share_space();
             self.tell_slots();
         }
@@ -309,20 +314,23 @@
 
     /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
     /// itself: an earlier process with this file had taken it over, or a client handed it to both.
-    fn with_own(&self, theirs: &Taken, body: &Bytes) -> Option<(Taken, Bytes)> {
-        let Some(own) = self.by_txn.get(&theirs.txn).and_then(|id| self.messages.get(id)) else {
+    fn with_own(&self, theirs: &AcceptedMessage, body: &Bytes) -> Option<(AcceptedMessage, Bytes)> {
+        let Some(own) = self.by_txn.get(&theirs.id).and_then(|id| self.messages.get(id)) else {
             return Some((theirs.clone(), body.clone()));
         };
         let mut both = own.taken.clone();
         both.attempts = both.attempts.max(theirs.attempts);
-        both.ran = both.ran.or_else(|| theirs.ran.clone()).or_else(|| theirs.out.clone());
-        both.custody.offered = both.custody.offered.or_else(|| theirs.custody.offered.clone());
-        both.custody.kept |= theirs.custody.kept;
+        both.possible_delivery = both
+            .possible_delivery
+            .or_else(|| theirs.possible_delivery.clone())
+            .or_else(|| theirs.in_flight.clone());
+        both.handover.offered = both.handover.offered.or_else(|| theirs.handover.offered.clone());
+        both.handover.kept_local |= theirs.handover.kept_local;
         (both != own.taken || !own.stored).then(|| (both, own.body.clone()))
     }
 
     /// What has become of a message elsewhere counts here too.
-    fn join(&mut self, now: Micros, id: MessageId, both: Taken) {
+    fn join(&mut self, now: Micros, id: MessageId, both: AcceptedMessage) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if !std::mem::replace(&mut message.stored, true) {
             self.figures.took(1);
@@ -335,7 +343,7 @@
 
     /// Told to end beside a successor that takes clients: hands over what is not out.
     pub(super) fn yield_up(&mut self, now: Micros) {
-        if self.stage == Stage::Yielded {
+        if self.stage == ProcessStage::HandedOff {
             return;
         }
         // What the successor has to read, and finds room beside, is what still counts.
@@ -343,7 +351,7 @@
             self.rewrite();
         }
         let mut records = self.running_waits(now);
-        records.push(Record::Stage { stage: Stage::Yielded });
+        records.push(Record::ProcessStage { stage: ProcessStage::HandedOff });
         self.append_all(&records, Some(AfterAppend::Yielded));
     }
 
@@ -353,22 +361,23 @@
             return self
                 .log("succession: could not be handed over, the successor waits for the end".to_owned());
         }
-        self.stage = Stage::Yielded;
+        self.stage = ProcessStage::HandedOff;
         self.takes_clients = false;
-        self.effects.push(Effect::HandOver);
+        self.effects.push(Effect::HandOverClients);
         let unbegun: Vec<_> =
             self.in_flight.iter().filter(|(_, f)| !f.has_begun()).map(|(call, _)| *call).collect();
         for call in unbegun {
             self.in_flight.remove(&call);
             if let Some(link) = self.pool.link_of(call) {
                 self.pool.closed(link);
-                self.effects.push(Effect::Close { link });
+                self.effects.push(Effect::CloseConnection { connection: link });
             }
         }
         for hop in self.hops.keys().copied().collect::<Vec<_>>() {
             self.close_idle(hop);
         }
-        let free = self.messages.iter().filter(|(_, message)| message.stored && message.taken.out.is_none());
+        let free =
+            self.messages.iter().filter(|(_, message)| message.stored && message.taken.in_flight.is_none());
         let free: Vec<MessageId> = free.map(|(id, _)| *id).collect();
         self.log(format!(
             "succession: {} messages handed over, {} calls out",
@@ -385,8 +394,8 @@
     pub(super) fn hand_over(&mut self, id: MessageId) {
         if let Some(message) = self.drop_message(id) {
             self.figures.handed_over();
-            self.recent.remember(message.taken.txn, self.last_turn);
-            self.events.push(Event::Hangup { id });
+            self.recent.remember(message.taken.id, self.last_turn);
+            self.events.push(Event::Withdrawn { id });
         }
     }
 }
--- a/crates/forwarder/src/reducer/unreported.rs
+++ b/crates/forwarder/src/reducer/unreported.rs
@@ -1,25 +1,25 @@
 //! Appends that something waits for, until the journal has reported them.
 
-use crate::input::Receipt;
+use crate::input::AppendId;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
 /// Their bytes, in the order in which they were asked for.
 #[derive(Debug, Default)]
 pub(super) struct Unreported {
-    appends: BTreeMap<Receipt, Bytes>,
+    appends: BTreeMap<AppendId, Bytes>,
     bytes: usize,
 }
 
 impl Unreported {
     /// An append was asked for.
-    pub fn insert(&mut self, receipt: Receipt, bytes: Bytes) {
+    pub fn insert(&mut self, receipt: AppendId, bytes: Bytes) {
         self.bytes += bytes.len();
         self.appends.insert(receipt, bytes);
     }
 
     /// An append was reported; others are none of these.
-    pub fn remove(&mut self, receipt: Receipt) {
+    pub fn remove(&mut self, receipt: AppendId) {
         self.bytes -= self.appends.remove(&receipt).map_or(0, |bytes| bytes.len());
     }
 
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -5,7 +5,7 @@
 use crate::input::Input;
 use crate::log;
 use crate::policy_overlay::PolicyOverlay;
-use orchidyoke_core::transport_map::LARGEST_LIST;
+use orchidyoke_core::transport_map::MAX_LIST_BYTES;
 use std::cell::RefCell;
 use std::fs::File;
 use std::future::Future;
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Bytes of a configuration at most: the largest list, and room for the settings beside it.
-const LARGEST_CONFIGURATION: usize = LARGEST_LIST + (4 << 20);
+const LARGEST_CONFIGURATION: usize = MAX_LIST_BYTES + (4 << 20);
 
 /// Settings beyond the platform's file, which other installations have.
 pub trait Installation {
@@ -127,7 +127,7 @@
         while self.0.recv().await.is_some() {
             match source.load().await {
                 // The receiver is gone only when the forwarder ends.
-                Ok(config) => drop(inputs.send(Input::Reconfigured(Box::new(config)))),
+                Ok(config) => drop(inputs.send(Input::ConfigReloaded(Box::new(config)))),
                 Err(error) => log!("configuration: the old one stays in use: {error}"),
             }
         }
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -6,13 +6,13 @@
 use super::listener::{self, Connections};
 use super::next_hop::{self, Order};
 use super::peer_call::PeerConnections;
-use super::pool::LinkId;
+use super::pool::EndpointConnectionId;
 use super::reducer::Reducer;
 use super::reload::{Reloads, Source};
 use super::shutdown::Signals;
 use super::succession::Siblings;
 use super::{discovery, inherited, notices};
-use crate::input::{Effect, Following, Input, WatchId, update_sender};
+use crate::input::{Effect, Input, WatchId, WatchSource, update_sender};
 use crate::log;
 use crate::policy_agent::PolicyAgent;
 use bytes::Bytes;
@@ -61,7 +61,7 @@
     journal: Journal,
     gateway: Rc<ClientGateway>,
     console: Rc<Console>,
-    links: HashMap<LinkId, UnboundedSender<Order>>,
+    links: HashMap<EndpointConnectionId, UnboundedSender<Order>>,
     /// Connections to the forwarders that own destinations.
     peers: Rc<PeerConnections>,
     inputs: UnboundedSender<Input>,
@@ -79,31 +79,31 @@
     /// Carries out one effect; what is known at once comes back as an input.
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Answer { ticket, answer } => self.gateway.answer(ticket, answer),
-            Effect::Reply { ticket, reply } => self.console.reply(ticket, reply),
-            Effect::Append { receipt, bytes } => {
+            Effect::Answer { request: ticket, answer } => self.gateway.answer(ticket, answer),
+            Effect::Reply { request: ticket, reply } => self.console.reply(ticket, reply),
+            Effect::Append { append: receipt, bytes } => {
                 let stored = self.journal.append(&bytes).inspect_err(|e| log!("journal: {e}")).is_ok();
                 let size = self.journal.size();
-                return Some(Input::Appended { receipt, stored, size });
+                return Some(Input::Appended { append: receipt, stored, size });
             }
-            Effect::NoRoom { receipt } => {
-                return Some(Input::Appended { receipt, stored: false, size: self.journal.size() });
+            Effect::ReportJournalFull { append: receipt } => {
+                return Some(Input::Appended { append: receipt, stored: false, size: self.journal.size() });
             }
-            Effect::Rewrite { bytes } => self.rewrite(&bytes),
-            Effect::Dial { link, address, until } => {
+            Effect::CompactJournal { bytes } => self.rewrite(&bytes),
+            Effect::Connect { connection: link, address, until } => {
                 let (sender, orders) = unbounded_channel();
                 self.links.insert(link, sender);
                 let until = self.clock.instant(until);
                 spawn_local(next_hop::run(link, address, until, orders, self.inputs.clone()));
             }
-            Effect::Write { link, call } => {
+            Effect::SendCall { connection: link, call } => {
                 let due = self.clock.instant(call.due);
                 if let Some(orders) = self.links.get(&link) {
                     // A connection that has closed meanwhile reports that itself.
                     let _ = orders.send((call, due));
                 }
             }
-            Effect::Close { link } => {
+            Effect::CloseConnection { connection: link } => {
                 self.links.remove(&link);
             }
             Effect::Offer(offer) => {
@@ -111,13 +111,13 @@
                 let deadline = self.clock.instant(offer.taken.deadline);
                 spawn_local(self.peers.clone().offer(offer, until, deadline, self.inputs.clone()));
             }
-            Effect::Post { to, notices } => {
+            Effect::PostNotifications { to, notifications: notices } => {
                 spawn_local(notices::post(to, notices, self.inputs.clone()));
             }
-            Effect::Follow { watch, from } => self.follow(watch, from),
+            Effect::StartWatch { watch, from } => self.follow(watch, from),
             Effect::Log { line } => log!("{line}"),
-            Effect::Retire { generation } => self.siblings.retire(generation),
-            Effect::HandOver => {
+            Effect::RemoveJournal { generation } => self.siblings.retire(generation),
+            Effect::HandOverClients => {
                 self.listening.take().iter().for_each(AbortHandle::abort);
                 self.siblings.end();
                 self.connections.move_on();
@@ -128,19 +128,24 @@
         None
     }
 
-    fn follow(&mut self, watch: WatchId, from: Following) {
+    fn follow(&mut self, watch: WatchId, from: WatchSource) {
         self.watch.iter().for_each(AbortHandle::abort);
         let (inputs, updates) = (self.inputs.clone(), update_sender(watch, self.inputs.clone()));
         let task = spawn_local(async move {
             let Ended { why, wait_ms, unheard } = match from {
-                Following::Discovery { at, since } => discovery::follow(at, since, updates).await,
-                Following::Catalogue { catalogue, held } => {
+                WatchSource::Discovery { at, since } => discovery::follow(at, since, updates).await,
+                WatchSource::Catalogue { catalogue, held } => {
                     Ended { why: catalogue.follow(held, updates).await, wait_ms: 0, unheard: Duration::ZERO }
                 }
             };
             let unheard = unheard.as_micros() as Micros;
             // The receiver is gone only when the forwarder ends.
-            let _ = inputs.send(Input::MapLost { watch, why, wait_ms, unheard });
+            let _ = inputs.send(Input::WatchEnded {
+                watch,
+                reason: why,
+                retry_after_ms: wait_ms,
+                silence: unheard,
+            });
         });
         self.watch = Some(task.abort_handle());
     }
@@ -152,12 +157,12 @@
     }
 
     fn take(&mut self, reducer: &mut Reducer, input: Input) {
-        if let Input::LinkClosed { link, .. } = &input {
+        if let Input::ConnectionClosed { connection: link, .. } = &input {
             self.links.remove(link);
         }
         // What depends on what another process holds is decided on with its file as it is now.
         let mut inputs = VecDeque::from_iter(match input {
-            Input::Terminate => self.siblings.all(),
+            Input::Shutdown => self.siblings.all(),
             Input::Submitted { .. } | Input::Operator { .. } => self.siblings.look(),
             _ => None,
         });
@@ -204,7 +209,7 @@
     let siblings = Siblings::new(state, generation, others, inherited.is_some());
     let (listen, console_at) = (config.listen, config.console);
     let callers = if console_at.is_some() { console_listener::PLACES } else { 0 };
-    let most_clients = config.limits.clients(config.settings.slots, callers);
+    let most_clients = config.limits.clients(config.settings.max_calls, callers);
     log!("{} starts: {} records in its journal", config.name, records.len());
     let mut reducer = Reducer::new(config, generation, records, size, clock.now());
     let gateway = ClientGateway::new(inputs.clone());
@@ -231,7 +236,7 @@
     if let Some(input) = runner.siblings.look() {
         runner.take(&mut reducer, input);
     }
-    runner.take(&mut reducer, Input::Alarm);
+    runner.take(&mut reducer, Input::TimerDue);
     let listener = match inherited {
         Some(inherited) => TcpListener::from_std(inherited)?,
         None => bind(listen).await?,
@@ -286,6 +291,6 @@
         runner.take(reducer, input);
     }
     if reducer.wake_at().is_some_and(|at| at <= clock.now()) {
-        runner.take(reducer, Input::Alarm);
+        runner.take(reducer, Input::TimerDue);
     }
 }
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -27,6 +27,6 @@
             _ = self.interrupt.recv() => {}
         }
         // The receiver is gone only when the forwarder ends.
-        let _ = inputs.send(Input::Terminate);
+        let _ = inputs.send(Input::Shutdown);
     }
 }
