--- a/crates/forwarder/src/succession.rs
+++ b/crates/forwarder/src/succession.rs
@@ -1,6 +1,6 @@
 //! The files of other processes on the folder, looked at in time: what they show comes in as inputs.
 
-use crate::input::{Input, Shown};
+use crate::input::{Input, SiblingUpdate};
 use crate::log;
 use orchidyoke_journal::{Generation, Other, others};
 use std::path::{Path, PathBuf};
@@ -88,7 +88,7 @@
                         }
                         (known.size, known.ended) = (look.size, look.ended);
                         let (anew, records, size, ended) = (look.anew, look.records, look.size, look.ended);
-                        shown.push(Shown { generation, anew, records, size, ended });
+                        shown.push(SiblingUpdate { generation, rewritten: anew, records, size, ended });
                     }
                     true
                 }
@@ -109,7 +109,7 @@
                 }
             }
         });
-        (!shown.is_empty() || !gone.is_empty()).then_some(Input::Siblings { shown, gone })
+        (!shown.is_empty() || !gone.is_empty()).then_some(Input::Siblings { updates: shown, gone })
     }
 
     fn scan(&mut self) {
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -3,7 +3,7 @@
 //! else runs on this thread while they do.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
-use orchidyoke_forwarder::input::{Input, SubmitAnswer, Ticket};
+use orchidyoke_forwarder::input::{Input, RequestId, SubmitAnswer};
 use orchidyoke_forwarder::listener::{Connections, listen};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
@@ -48,11 +48,11 @@
     }
 
     /// The next request that reaches the reducer: its id and the ticket to answer it with.
-    async fn handed(&mut self) -> (String, Ticket) {
+    async fn handed(&mut self) -> (String, RequestId) {
         loop {
             match timeout(PATIENCE, self.inputs.recv()).await.expect("a request has to come") {
-                Some(Input::Submitted { ticket, message }) => return (message.txn, ticket),
-                other => assert!(matches!(other, Some(Input::Sender { .. })), "{other:?}"),
+                Some(Input::Submitted { request: ticket, message }) => return (message.id, ticket),
+                other => assert!(matches!(other, Some(Input::ClientConnection { .. })), "{other:?}"),
             }
         }
     }
@@ -60,14 +60,14 @@
     async fn take_on(&mut self, txn: &str) {
         let (handed, ticket) = self.handed().await;
         assert_eq!(handed, txn);
-        self.gateway.answer(ticket, SubmitAnswer::TakenOn);
+        self.gateway.answer(ticket, SubmitAnswer::Accepted);
     }
 
     /// What comes next: a request, or none before a connection is closed for good.
     async fn until_left(&mut self) -> Option<Input> {
         loop {
             match timeout(PATIENCE, self.inputs.recv()).await.expect("it closes") {
-                Some(Input::Sender { joined: false }) => return None,
+                Some(Input::ClientConnection { connected: false }) => return None,
                 handed @ Some(Input::Submitted { .. }) => return handed,
                 _ => {}
             }
@@ -139,7 +139,7 @@
         let (_, ticket) = stage.handed().await;
         stage.connections.end();
         sleep(PAST_THE_CUT).await;
-        stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
+        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         let heard = rest_of(client).await;
         assert!(is_taken_on(&heard), "{heard:?}");
     });
@@ -155,10 +155,10 @@
         stage.connections.end();
         let withdrawn = timeout(PATIENCE, stage.inputs.recv()).await.expect("it is cut");
         assert!(
-            matches!(withdrawn, Some(Input::Withdrawn { ticket: other }) if other == ticket),
+            matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == ticket),
             "{withdrawn:?}"
         );
-        stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
+        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         assert_eq!(rest_of(client).await.expect("no reset"), "", "nobody is told that it was taken on");
     });
 }
@@ -186,8 +186,8 @@
             // Read before the end of the sending, it is answered; after that it is no request at all.
             let heard = spawn_local(rest_of(resting));
             let mut handed = 0;
-            while let Some(Input::Submitted { ticket, .. }) = stage.until_left().await {
-                stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
+            while let Some(Input::Submitted { request: ticket, .. }) = stage.until_left().await {
+                stage.gateway.answer(ticket, SubmitAnswer::Accepted);
                 handed += 1;
             }
             let text = heard.await.expect("it reads").expect("no reset");
@@ -208,7 +208,7 @@
         let (_, ticket) = stage.handed().await;
         // Nobody reads this any more, and it is there when the connection closes.
         client.write_all(request("b", "").as_bytes()).expect("written");
-        stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
+        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         let heard = rest_of(client).await;
         assert!(is_taken_on(&heard), "{heard:?}");
         assert!(stage.until_left().await.is_none(), "what follows a close is no request");
@@ -271,7 +271,7 @@
         let mut stage = Stage { address, gateway, connections, inputs };
         for _ in 0..waiting.len() {
             let (_, ticket) = stage.handed().await;
-            stage.gateway.answer(ticket, SubmitAnswer::TakenOn);
+            stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         }
         for client in waiting {
             let heard = rest_of(client).await;
@@ -286,7 +286,7 @@
     run(async {
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, "");
-        assert!(matches!(stage.inputs.recv().await, Some(Input::Sender { joined: true })));
+        assert!(matches!(stage.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
         stage.connections.end();
         // Within the moment that it is given; after a stall that outlasts both, this wakes first.
         sleep(Duration::from_millis(10)).await;
@@ -309,8 +309,10 @@
         let all_join = async {
             let mut joined = 0;
             while joined < 600 {
-                joined +=
-                    usize::from(matches!(stage.inputs.recv().await, Some(Input::Sender { joined: true })));
+                joined += usize::from(matches!(
+                    stage.inputs.recv().await,
+                    Some(Input::ClientConnection { connected: true })
+                ));
             }
         };
         timeout(Duration::from_secs(5), all_join).await.expect("none is kept out");
--- a/crates/forwarder/tests/common/deployments.rs
+++ b/crates/forwarder/tests/common/deployments.rs
@@ -2,34 +2,39 @@
 //! deployments of two operators differ.
 #![allow(dead_code)]
 
-use orchidyoke_core::transport_map::{Checks, News, State, Target};
+use orchidyoke_core::transport_map::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
 
 /// What it lists: two endpoints of the kind that takes several messages in a call, two that take one.
-pub fn targets() -> Vec<Target> {
+pub fn targets() -> Vec<EndpointEntry> {
     let listed =
         [("s-a", "a", "many", 1), ("s-b", "a", "many", 1), ("s-c", "a", "one", 2), ("s-d", "a", "one", 3)];
     numbered(&listed, 20.0)
 }
 
 /// Endpoints by uid, zone, kind and destination, at addresses that are numbered from port 9 on.
-fn numbered(listed: &[(&str, &str, &str, u64)], capacity_hint: f64) -> Vec<Target> {
-    let target = |(number, (uid, az, model, pod_group)): (usize, &(&str, &str, &str, u64))| Target {
+fn numbered(listed: &[(&str, &str, &str, u64)], capacity_hint: f64) -> Vec<EndpointEntry> {
+    let target = |(number, (uid, az, model, pod_group)): (usize, &(&str, &str, &str, u64))| EndpointEntry {
         uid: (*uid).to_owned(),
-        endpoint: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
-        az: (*az).to_owned(),
-        model: (*model).to_owned(),
-        pod_group: *pod_group,
-        state: State::InService,
+        address: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
+        zone: (*az).to_owned(),
+        kind: (*model).to_owned(),
+        destination: *pod_group,
+        state: ListedState::Active,
         capacity_hint,
-        checks: Checks::Passing,
+        health: HealthChecks::Passing,
     };
     listed.iter().enumerate().map(target).collect()
 }
 
 /// The text of the configuration.
-pub fn config(listen: &str, discovery: &str, targets: Vec<Target>) -> String {
-    let known =
-        serde_json::to_string(&News { rev: 1, all: true, targets, origin: String::new() }).expect("a list");
+pub fn config(listen: &str, discovery: &str, targets: Vec<EndpointEntry>) -> String {
+    let known = serde_json::to_string(&WatchEvent {
+        version: 1,
+        is_snapshot: true,
+        endpoints: targets,
+        origin: String::new(),
+    })
+    .expect("a list");
     format!(
         r#"{{"name":"t0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":0.2}},"known":{known},
@@ -48,7 +53,7 @@
 
 /// Endpoints of a deployment without tenants, in two buildings: one destination that takes several messages in a call,
 /// two whose endpoints are routes apart.
-pub fn second_targets() -> Vec<Target> {
+pub fn second_targets() -> Vec<EndpointEntry> {
     let listed = [
         ("s-a", "a", "chains", 1),
         ("s-b", "b", "chains", 1),
@@ -60,9 +65,14 @@
 }
 
 /// Its configuration: a keyed class whose repeats are dropped by building for two seconds, six attempts, no tenants.
-pub fn second_config(listen: &str, discovery: &str, targets: Vec<Target>) -> String {
-    let known =
-        serde_json::to_string(&News { rev: 1, all: true, targets, origin: String::new() }).expect("a list");
+pub fn second_config(listen: &str, discovery: &str, targets: Vec<EndpointEntry>) -> String {
+    let known = serde_json::to_string(&WatchEvent {
+        version: 1,
+        is_snapshot: true,
+        endpoints: targets,
+        origin: String::new(),
+    })
+    .expect("a list");
     format!(
         r#"{{"name":"t1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":0.2}},"known":{known},
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -6,12 +6,12 @@
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
-use orchidyoke_forwarder::hop_call::{Call, Cause, HopError, Reply};
-use orchidyoke_forwarder::input::{Effect, Input, Shown, Submission, SubmitAnswer, Ticket};
+use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Reply};
+use orchidyoke_forwarder::input::{Effect, Input, RequestId, SiblingUpdate, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::Marked;
-use orchidyoke_forwarder::pool::LinkId;
+use orchidyoke_forwarder::pool::EndpointConnectionId;
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_journal::{Generation, Record, Verdict, replay};
+use orchidyoke_journal::{FinalAnswer, Generation, Record, replay};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -90,12 +90,12 @@
     pub number: usize,
     pub reducer: Reducer,
     pub generation: Generation,
-    pub links: BTreeMap<LinkId, Link>,
+    pub links: BTreeMap<EndpointConnectionId, Link>,
     /// How far it has read each other file.
     pub read: BTreeMap<Generation, (u64, usize)>,
-    pub tickets: BTreeMap<Ticket, String>,
-    pub replies: BTreeMap<Ticket, console::Reply>,
-    pub posting: Option<Vec<(String, Verdict)>>,
+    pub tickets: BTreeMap<RequestId, String>,
+    pub replies: BTreeMap<RequestId, console::Reply>,
+    pub posting: Option<Vec<(String, FinalAnswer)>>,
     /// It looks at no other file any more.
     pub handed_over: bool,
     pub terminated: bool,
@@ -170,7 +170,7 @@
         });
         let at = self.processes.len() - 1;
         self.look(at);
-        self.input(at, Input::Alarm);
+        self.input(at, Input::TimerDue);
         if at < self.processes.len() {
             self.input(at, Input::AcceptingClients);
         }
@@ -197,55 +197,57 @@
     pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
         let generation = self.processes[at].generation;
         match effect {
-            Effect::Answer { ticket, answer } => {
+            Effect::Answer { request: ticket, answer } => {
                 let txn = self.processes[at].tickets.remove(&ticket).expect("each request is answered once");
-                if answer == SubmitAnswer::TakenOn {
+                if answer == SubmitAnswer::Accepted {
                     self.fates.get_mut(&txn).expect("submitted").taken_on = true;
                 }
             }
-            Effect::Reply { ticket, reply } => drop(self.processes[at].replies.insert(ticket, reply)),
-            Effect::Append { receipt, bytes } => {
+            Effect::Reply { request: ticket, reply } => {
+                drop(self.processes[at].replies.insert(ticket, reply))
+            }
+            Effect::Append { append: receipt, bytes } => {
                 let file = self.files.get_mut(&generation).expect("its own");
                 file.bytes.extend_from_slice(&bytes);
                 let size = file.bytes.len();
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
                 assert!(all <= DISK, "the folder is over its limit");
-                return Some(Input::Appended { receipt, stored: true, size });
+                return Some(Input::Appended { append: receipt, stored: true, size });
             }
-            Effect::NoRoom { receipt } => {
+            Effect::ReportJournalFull { append: receipt } => {
                 let size = self.files[&generation].bytes.len();
-                return Some(Input::Appended { receipt, stored: false, size });
+                return Some(Input::Appended { append: receipt, stored: false, size });
             }
-            Effect::Rewrite { bytes } => {
+            Effect::CompactJournal { bytes } => {
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
                 assert!(all + bytes.len() <= DISK, "old and new file are over the limit");
                 self.inodes += 1;
                 let file = self.files.get_mut(&generation).expect("its own");
                 (file.bytes, file.inode) = (bytes.to_vec(), self.inodes);
             }
-            Effect::Retire { generation } => {
+            Effect::RemoveJournal { generation } => {
                 let file = self.files.remove(&generation).expect("there");
                 assert_eq!(file.lock, Some(self.processes[at].number), "only what is its own to take up");
                 self.processes[at].read.remove(&generation);
             }
-            Effect::HandOver => {
+            Effect::HandOverClients => {
                 self.processes[at].handed_over = true;
                 self.unlock(self.processes[at].number, generation);
             }
-            Effect::Dial { link, address, until } => {
+            Effect::Connect { connection: link, address, until } => {
                 let new = Link { address: address.to_string(), until, ..Link::default() };
                 assert!(self.processes[at].links.insert(link, new).is_none());
             }
-            Effect::Write { link, call } => {
+            Effect::SendCall { connection: link, call } => {
                 self.write(at, link, call);
-                return Some(Input::Written { link });
+                return Some(Input::CallWritten { connection: link });
             }
-            Effect::Close { link } => return self.close(at, link, Cause::CalledOff),
+            Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::CalledOff),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
-            Effect::Post { notices, .. } => {
+            Effect::PostNotifications { notifications: notices, .. } => {
                 assert!(self.processes[at].posting.replace(notices).is_none());
             }
-            Effect::Follow { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
+            Effect::StartWatch { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
         }
         None
     }
@@ -256,7 +258,7 @@
         held.for_each(|(_, file)| file.lock = None);
     }
 
-    pub fn write(&mut self, at: usize, link: LinkId, call: Call) {
+    pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: Call) {
         let links = || self.processes.iter().flat_map(|process| process.links.values());
         let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
         assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
@@ -266,10 +268,10 @@
         );
         let address = &self.processes[at].links[&link].address;
         let targets = super::targets();
-        let target = targets.iter().find(|t| t.endpoint.to_string() == *address).expect("listed");
+        let target = targets.iter().find(|t| t.address.to_string() == *address).expect("listed");
         let out = self.out.get(&target.uid);
         assert!(out.is_none_or(|since| self.now - since <= DRAIN_GRACE), "out by hand for all of them");
-        let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.pod_group);
+        let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
         let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
         assert!(until <= self.now + 100_000, "a wait told to one is kept by all");
         for txn in ids(&call) {
@@ -288,11 +290,11 @@
         }
     }
 
-    pub fn close(&mut self, at: usize, link: LinkId, cause: Cause) -> Option<Input> {
+    pub fn close(&mut self, at: usize, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
         let closed = self.processes[at].links.remove(&link)?;
         let progress = closed.progress();
         self.may_have_run(&closed);
-        Some(Input::LinkClosed { link, error: HopError { progress, cause } })
+        Some(Input::ConnectionClosed { connection: link, error: EndpointCallError { progress, cause } })
     }
 
     pub fn kill(&mut self, at: usize) {
@@ -305,7 +307,7 @@
         // A wait that no file holds ends with the process that was told: nobody else could know of it.
         let written = replay(Bytes::copy_from_slice(&file.bytes)).0;
         let written = written.into_iter().filter_map(|(record, _)| match record {
-            Record::Wait { dest, until, .. } => Some((dest, until)),
+            Record::RetryAfter { destination: dest, until, .. } => Some((dest, until)),
             _ => None,
         });
         let written: Vec<_> = written.collect();
@@ -341,16 +343,16 @@
             self.processes[at].read.insert(generation, (file.inode, from + whole));
             if anew || ended || !records.is_empty() {
                 let size = file.bytes.len();
-                shown.push(Shown { generation, anew, records, size, ended });
+                shown.push(SiblingUpdate { generation, rewritten: anew, records, size, ended });
             }
         }
         if !shown.is_empty() || !gone.is_empty() {
-            self.input(at, Input::Siblings { shown, gone });
+            self.input(at, Input::Siblings { updates: shown, gone });
         }
     }
 
     /// Whose connection, of all that are fit.
-    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, LinkId)> {
+    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, EndpointConnectionId)> {
         let links =
             self.processes.iter().enumerate().flat_map(|(at, p)| p.links.iter().map(move |l| (at, l)));
         let fit: Vec<_> = links.filter(|(_, (_, link))| fit(link)).map(|(at, (id, _))| (at, *id)).collect();
@@ -370,17 +372,17 @@
         if self.processes.get(at).is_some_and(|process| process.number == number) {
             self.processes[at].tickets.insert(ticket, txn.clone());
             let message = Submission {
-                txn,
+                id: txn,
                 class,
-                org,
-                key: None,
-                dest,
+                tenant: org,
+                idempotency_key: None,
+                destination: dest,
                 time_left,
-                repeat: false,
-                marked: Marked::No,
+                is_retry: false,
+                handover_mark: Marked::No,
                 body,
             };
-            self.input(at, Input::Submitted { ticket, message });
+            self.input(at, Input::Submitted { request: ticket, message });
         }
     }
 
@@ -409,7 +411,7 @@
         }
         let body = Bytes::from(body + "]");
         let reply = Reply { status, wait_ms, bulk: call.bulk, body, ..Reply::default() };
-        self.input(at, Input::Answered { link: id, reply, reusable: true });
+        self.input(at, Input::CallAnswered { connection: id, reply, reusable: true });
     }
 
     /// Time passes for all of them.
@@ -437,21 +439,21 @@
                 if let Some(at) = place(self)
                     && self.processes[at].reducer.wake_at().is_some_and(|wake| wake <= self.now)
                 {
-                    self.input(at, Input::Alarm);
+                    self.input(at, Input::TimerDue);
                 }
                 if let Some(at) = place(self)
                     && let Some(notices) = self.processes[at].posting.take()
                 {
                     for (txn, verdict) in notices {
                         let fate = self.fates.get_mut(&txn).expect("submitted");
-                        let kept = !matches!(verdict, Verdict::Returned { .. })
+                        let kept = !matches!(verdict, FinalAnswer::Rejected { .. })
                             || !fate.orders
                             || !fate.may_have_run;
                         assert!(kept, "a promise that a repeat is harmless: {txn}");
                         fate.notices.insert(format!("{verdict:?}"));
                         assert!(fate.notices.len() == 1, "two different ends: {txn} {:?}", fate.notices);
                     }
-                    self.input(at, Input::Posted { accepted: true });
+                    self.input(at, Input::NotificationsPosted { accepted: true });
                 }
             }
         }
@@ -464,10 +466,10 @@
         if self.processes.get(at).is_none_or(|process| process.number != number) {
             return;
         }
-        let ticket = self.now as Ticket;
+        let ticket = self.now as RequestId;
         let id = uid.to_owned();
         let call = if out { console::Call::DisableServer(id) } else { console::Call::EnableServer(id) };
-        self.input(at, Input::Operator { ticket, call });
+        self.input(at, Input::Operator { request: ticket, call });
         let process = self.processes.get(at).filter(|process| process.number == number);
         if process.is_some_and(|p| matches!(p.replies.get(&ticket), Some(console::Reply::Yes(_)))) {
             if out {
@@ -504,7 +506,7 @@
                 if let Some((at, id)) = self.pick(which, |link| !link.up) {
                     if up {
                         self.processes[at].links.get_mut(&id).expect("there").up = true;
-                        self.input(at, Input::LinkUp { link: id });
+                        self.input(at, Input::ConnectionUp { connection: id });
                     } else {
                         let input = self.close(at, id, Cause::Broken("refused".to_owned()));
                         input.into_iter().for_each(|input| self.input(at, input));
@@ -536,7 +538,7 @@
                     self.look(at);
                     if self.processes.get(at).is_some_and(|process| process.number == number) {
                         self.processes[at].terminated = true;
-                        self.input(at, Input::Terminate);
+                        self.input(at, Input::Shutdown);
                     }
                 }
             }
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -2,7 +2,7 @@
 
 use super::S;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::Target;
+use orchidyoke_core::transport_map::EndpointEntry;
 
 /// What the two deployments of this module differ in, for who looks from outside.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,7 +12,7 @@
 }
 
 impl Shape {
-    pub fn targets(self) -> Vec<Target> {
+    pub fn targets(self) -> Vec<EndpointEntry> {
         if self == Shape::First { super::targets() } else { super::second_targets() }
     }
 
@@ -45,8 +45,8 @@
     }
 
     /// What a wait of this endpoint holds: its destination, or the endpoint alone.
-    pub fn route(self, target: &Target) -> (u64, String) {
-        let apart = self == Shape::Second && target.model == "shops";
-        (target.pod_group, if apart { target.uid.clone() } else { String::new() })
+    pub fn route(self, target: &EndpointEntry) -> (u64, String) {
+        let apart = self == Shape::Second && target.kind == "shops";
+        (target.destination, if apart { target.uid.clone() } else { String::new() })
     }
 }
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -3,7 +3,7 @@
 use super::S;
 use super::world::World;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::State;
+use orchidyoke_core::transport_map::ListedState;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::hop_call::Cause;
 use orchidyoke_forwarder::input::Input;
@@ -18,7 +18,7 @@
     Break(usize),
     Wait(Micros),
     Post(bool),
-    List { which: usize, state: State },
+    List { which: usize, state: ListedState },
     Move(usize),
     Operator { which: usize, out: bool },
     Kill,
@@ -37,7 +37,7 @@
             28..=34 => Step::Wait(which as Micros % 400_000),
             35 | 36 => Step::Post(flag),
             37 => {
-                let states = [State::InService, State::Terminating, State::Terminated];
+                let states = [ListedState::Active, ListedState::Draining, ListedState::Removed];
                 Step::List { which, state: *g.choose(&states).expect("some") }
             }
             38 if flag => Step::Move(which),
@@ -65,7 +65,7 @@
                 let Some(id) = self.pick(which, |l| !l.up) else { return };
                 if up {
                     self.links.get_mut(&id).expect("there").up = true;
-                    self.input(Input::LinkUp { link: id });
+                    self.input(Input::ConnectionUp { connection: id });
                 } else if let Some(input) = self.close(id, Cause::Broken("refused".to_owned())) {
                     self.input(input);
                 }
@@ -89,7 +89,7 @@
                 // To the other building, under its name and at its address.
                 self.rev += 1;
                 let place = which % self.list.len();
-                self.list[place].az = if self.list[place].az == "a" { "b" } else { "a" }.to_owned();
+                self.list[place].zone = if self.list[place].zone == "a" { "b" } else { "a" }.to_owned();
                 let targets = vec![self.list[place].clone()];
                 self.news(targets);
             }
@@ -108,7 +108,7 @@
                 }
             }
             Step::Kill => self.restart(),
-            Step::Terminate => self.input(Input::Terminate),
+            Step::Terminate => self.input(Input::Shutdown),
         }
         if self.exited {
             self.restart();
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -5,16 +5,16 @@
 use super::{DISK, S, START, ids};
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_core::transport_map::{EndpointEntry, ListedState, WatchEvent};
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console::{self, Reply as Said};
-use orchidyoke_forwarder::hop_call::{Call, Cause, HopError, Progress, Reply};
-use orchidyoke_forwarder::input::{Effect, Following, Input, Submission, SubmitAnswer, Ticket};
+use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Progress, Reply};
+use orchidyoke_forwarder::input::{Effect, Input, RequestId, Submission, SubmitAnswer, WatchSource};
 use orchidyoke_forwarder::ownership::Marked;
-use orchidyoke_forwarder::pool::LinkId;
+use orchidyoke_forwarder::pool::EndpointConnectionId;
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_journal::{Record, Verdict, replay};
+use orchidyoke_journal::{FinalAnswer, Record, replay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::Future;
 use std::pin::Pin;
@@ -54,7 +54,7 @@
     /// The first of them: when it was written, and in which building.
     pub ran: Option<(Micros, String)>,
     pub delivered: bool,
-    pub notice: Option<Verdict>,
+    pub notice: Option<FinalAnswer>,
 }
 
 pub struct World {
@@ -64,18 +64,18 @@
     pub file: Vec<u8>,
     pub begun: BTreeSet<String>,
     pub recorded: BTreeSet<String>,
-    pub links: BTreeMap<LinkId, Link>,
+    pub links: BTreeMap<EndpointConnectionId, Link>,
     pub fates: BTreeMap<String, Fate>,
-    pub tickets: BTreeMap<Ticket, String>,
-    pub posting: Option<Vec<(String, Verdict)>>,
-    pub list: Vec<Target>,
+    pub tickets: BTreeMap<RequestId, String>,
+    pub posting: Option<Vec<(String, FinalAnswer)>>,
+    pub list: Vec<EndpointEntry>,
     pub rev: u64,
     /// Watches asked for: number, port of discovery, version held.
     pub follows: Vec<(u64, u16, u64)>,
     pub waits: BTreeMap<(u64, String), Micros>,
     /// Endpoints that are out by the forwarder's yes.
     pub out: BTreeSet<String>,
-    pub replies: BTreeMap<Ticket, Said>,
+    pub replies: BTreeMap<RequestId, Said>,
     /// Seen in this process: messages written whole, and requests turned away before they were taken on.
     pub written: u64,
     pub turned_away: u64,
@@ -92,10 +92,10 @@
 }
 
 /// Whom a watch follows, as a port, and from which version on. A catalogue has port 0.
-pub fn followed(from: &Following) -> (u16, u64) {
+pub fn followed(from: &WatchSource) -> (u16, u64) {
     match from {
-        Following::Discovery { at, since } => (at.port(), *since),
-        Following::Catalogue { held, .. } => (0, held.rev),
+        WatchSource::Discovery { at, since } => (at.port(), *since),
+        WatchSource::Catalogue { held, .. } => (0, held.version),
     }
 }
 
@@ -108,17 +108,18 @@
         self.0
     }
 
-    fn follow(&self, _: News, _: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
+    fn follow(&self, _: WatchEvent, _: UpdateSender) -> Pin<Box<dyn Future<Output = String>>> {
         Box::pin(std::future::pending())
     }
 }
 
 impl World {
     /// Changes of the list, by the watch that is followed.
-    pub fn news(&mut self, targets: Vec<Target>) {
+    pub fn news(&mut self, targets: Vec<EndpointEntry>) {
         let Some((watch, ..)) = self.follows.last().copied() else { return };
-        let news = News { rev: self.rev, all: false, targets, origin: String::new() };
-        self.input(Input::News { watch, news });
+        let news =
+            WatchEvent { version: self.rev, is_snapshot: false, endpoints: targets, origin: String::new() };
+        self.input(Input::WatchEvent { watch, event: news });
     }
 
     pub fn new() -> Self {
@@ -149,7 +150,7 @@
             exited: false,
             rewritten: false,
         };
-        world.input(Input::Alarm);
+        world.input(Input::TimerDue);
         world
     }
 
@@ -170,8 +171,12 @@
         let mut there = BTreeSet::new();
         for (record, _) in replay(Bytes::copy_from_slice(&self.file)).0 {
             match record {
-                Record::Taken(taken) => drop(there.insert(taken.txn)),
-                Record::Owed { txn, .. } | Record::Over { txn, .. } => drop(there.insert(txn)),
+                Record::Accepted(accepted) => {
+                    there.insert(accepted.id);
+                }
+                Record::AnswerDecided { message, .. } | Record::Finished { message, .. } => {
+                    there.insert(message);
+                }
                 _ => {}
             }
         }
@@ -186,58 +191,65 @@
 
     pub fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Answer { ticket, answer } => {
+            Effect::Answer { request: ticket, answer } => {
                 let txn = self.tickets.remove(&ticket).expect("each request is answered once");
-                if answer == SubmitAnswer::TakenOn {
+                if answer == SubmitAnswer::Accepted {
                     assert!(self.recorded.contains(&txn), "durable before visible");
                     self.fates.get_mut(&txn).expect("submitted").taken_on = true;
                 } else {
-                    assert!(matches!(answer, SubmitAnswer::Deferred(_)), "{answer:?}");
+                    assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
                     self.turned_away += 1;
                 }
             }
-            Effect::Reply { ticket, reply } => {
+            Effect::Reply { request: ticket, reply } => {
                 assert!(self.replies.insert(ticket, reply).is_none(), "one reply");
             }
-            Effect::Append { receipt, bytes } => {
+            Effect::Append { append: receipt, bytes } => {
                 self.file.extend_from_slice(&bytes);
                 assert!(self.file.len() <= DISK, "the folder is over its limit");
                 for (record, _) in replay(bytes).0 {
                     match record {
-                        Record::Taken(taken) => drop(self.recorded.insert(taken.txn)),
-                        Record::Begun { txns, .. } => self.begun.extend(txns),
+                        Record::Accepted(taken) => drop(self.recorded.insert(taken.id)),
+                        Record::AttemptStarted { messages: txns, .. } => self.begun.extend(txns),
                         _ => {}
                     }
                 }
-                return Some(Input::Appended { receipt, stored: true, size: self.file.len() });
+                return Some(Input::Appended { append: receipt, stored: true, size: self.file.len() });
             }
-            Effect::Rewrite { bytes } => {
+            Effect::CompactJournal { bytes } => {
                 assert!(self.file.len() + bytes.len() <= DISK, "old and new file are over the limit");
                 self.file = bytes.to_vec();
                 self.rewritten = true;
             }
-            Effect::Dial { link, address, until } => {
+            Effect::Connect { connection: link, address, until } => {
                 let new = Link { address: address.to_string(), until, ..Link::default() };
                 assert!(self.links.insert(link, new).is_none());
             }
-            Effect::Write { link, call } => {
+            Effect::SendCall { connection: link, call } => {
                 self.written += call.parts.len() as u64;
                 self.write(link, call);
-                return Some(Input::Written { link });
+                return Some(Input::CallWritten { connection: link });
             }
-            Effect::Close { link } => return self.close(link, Cause::CalledOff),
+            Effect::CloseConnection { connection: link } => return self.close(link, Cause::CalledOff),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
-            Effect::Post { notices, .. } => assert!(self.posting.replace(notices).is_none()),
-            Effect::Follow { watch, from } => {
+            Effect::PostNotifications { notifications: notices, .. } => {
+                assert!(self.posting.replace(notices).is_none())
+            }
+            Effect::StartWatch { watch, from } => {
                 let (port, since) = followed(&from);
                 self.follows.push((watch, port, since));
                 // What it has missed while it was dead is told at once.
-                let targets = self.list.iter().filter(|t| t.state != State::Terminated).cloned().collect();
-                let news = News { rev: self.rev, all: true, targets, origin: String::new() };
-                return (self.shape == Shape::Second).then_some(Input::News { watch, news });
+                let targets = self.list.iter().filter(|t| t.state != ListedState::Removed).cloned().collect();
+                let news = WatchEvent {
+                    version: self.rev,
+                    is_snapshot: true,
+                    endpoints: targets,
+                    origin: String::new(),
+                };
+                return (self.shape == Shape::Second).then_some(Input::WatchEvent { watch, event: news });
             }
             Effect::Log { .. } => {}
-            Effect::Retire { .. } | Effect::HandOver | Effect::NoRoom { .. } => {
+            Effect::RemoveJournal { .. } | Effect::HandOverClients | Effect::ReportJournalFull { .. } => {
                 unreachable!("there is no other process")
             }
             Effect::StopAccepting => assert!(!std::mem::replace(&mut self.stopped_accepting, true)),
@@ -246,20 +258,20 @@
         None
     }
 
-    pub fn write(&mut self, link: LinkId, call: Call) {
+    pub fn write(&mut self, link: EndpointConnectionId, call: Call) {
         let out: Vec<&str> = self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
         assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
         let link = self.links.get_mut(&link).expect("open");
         assert!(link.up && link.call.is_none(), "one call at a time, on a connection that is up");
-        let target = self.list.iter().find(|t| t.endpoint.to_string() == link.address).expect("listed");
-        assert_eq!(target.state, State::InService, "nothing new to an endpoint that drains or is gone");
+        let target = self.list.iter().find(|t| t.address.to_string() == link.address).expect("listed");
+        assert_eq!(target.state, ListedState::Active, "nothing new to an endpoint that drains or is gone");
         assert!(!self.out.contains(&target.uid), "nothing new to one that is out by hand");
         let route = self.shape.route(target);
         assert!(self.waits.get(&route).is_none_or(|until| *until <= self.now), "a wait is kept");
-        link.sent = (self.now, target.az.clone());
+        link.sent = (self.now, target.zone.clone());
         for txn in ids(&call) {
             let fate = self.fates.get_mut(txn).expect("submitted");
-            assert_eq!(fate.dest, target.pod_group);
+            assert_eq!(fate.dest, target.destination);
             assert!(fate.taken_on || self.recorded.contains(txn));
             assert!(self.begun.contains(txn), "an attempt is recorded before its first byte");
             match (self.shape, &fate.ran) {
@@ -267,7 +279,7 @@
                     assert!(!fate.orders || !fate.may_have_run, "never twice what may not be repeated")
                 }
                 (Shape::Second, Some((first, az))) if fate.orders => {
-                    assert_eq!(*az, target.az, "only that building drops a repeat");
+                    assert_eq!(*az, target.zone, "only that building drops a repeat");
                     assert!(self.now < first + 2 * S, "its window has ended");
                 }
                 (Shape::Second, _) => {}
@@ -284,11 +296,11 @@
     }
 
     /// The connection closes; what was out may have run.
-    pub fn close(&mut self, link: LinkId, cause: Cause) -> Option<Input> {
+    pub fn close(&mut self, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
         let link_state = self.links.remove(&link)?;
         let progress = link_state.progress();
         self.may_have_run(&link_state);
-        Some(Input::LinkClosed { link, error: HopError { progress, cause } })
+        Some(Input::ConnectionClosed { connection: link, error: EndpointCallError { progress, cause } })
     }
 
     pub fn may_have_run(&mut self, link: &Link) {
@@ -299,8 +311,9 @@
         }
     }
 
-    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<LinkId> {
-        let fit: Vec<LinkId> = self.links.iter().filter(|(_, l)| fit(l)).map(|(id, _)| *id).collect();
+    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<EndpointConnectionId> {
+        let fit: Vec<EndpointConnectionId> =
+            self.links.iter().filter(|(_, l)| fit(l)).map(|(id, _)| *id).collect();
         (!fit.is_empty()).then(|| fit[which % fit.len()])
     }
 
@@ -315,9 +328,18 @@
         self.fates.entry(txn.clone()).or_insert(fate);
         let (org, key) = (self.shape.org(), self.shape.key(&txn, orders));
         let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
-        let message =
-            Submission { txn, class, org, key, dest, time_left, repeat: false, marked: Marked::No, body };
-        self.input(Input::Submitted { ticket, message });
+        let message = Submission {
+            id: txn,
+            class,
+            tenant: org,
+            idempotency_key: key,
+            destination: dest,
+            time_left,
+            is_retry: false,
+            handover_mark: Marked::No,
+            body,
+        };
+        self.input(Input::Submitted { request: ticket, message });
     }
 
     pub fn answer(&mut self, which: usize, how: u8) {
@@ -346,7 +368,7 @@
                 &format!("{}{{\"id\":\"{txn}\",\"state\":\"{state}\"}}", if number > 0 { "," } else { "[" });
         }
         let address = &self.links[&id].address;
-        let target = self.list.iter().find(|t| t.endpoint.to_string() == *address);
+        let target = self.list.iter().find(|t| t.address.to_string() == *address);
         if let Some(target) = target.filter(|_| wait_ms > 0) {
             let until = self.now + wait_ms as Micros * 1000;
             let wait = self.waits.entry(self.shape.route(target)).or_default();
@@ -358,7 +380,7 @@
         if !reusable {
             self.links.remove(&id);
         }
-        self.input(Input::Answered { link: id, reply, reusable });
+        self.input(Input::CallAnswered { connection: id, reply, reusable });
     }
 
     /// Time passes; what is due in it comes in its order.
@@ -380,7 +402,7 @@
             {
                 self.input(input);
             } else {
-                self.input(Input::Alarm);
+                self.input(Input::TimerDue);
             }
         }
         self.now = self.now.max(end);
@@ -390,11 +412,11 @@
         let Some(notices) = self.posting.take() else { return };
         for (txn, verdict) in notices.into_iter().filter(|_| accepted) {
             let fate = self.fates.get_mut(&txn).expect("submitted");
-            let kept = !matches!(verdict, Verdict::Returned { .. }) || !fate.orders || !fate.may_have_run;
+            let kept = !matches!(verdict, FinalAnswer::Rejected { .. }) || !fate.orders || !fate.may_have_run;
             assert!(kept, "a promise that a repeat is harmless");
             assert!(fate.notice.replace(verdict).is_none(), "one notice");
         }
-        self.input(Input::Posted { accepted });
+        self.input(Input::NotificationsPosted { accepted });
     }
 
     /// The process is killed and starts again with what the folder holds.
@@ -411,13 +433,13 @@
             self.follows.clear();
         }
         self.reducer = reducer(self.shape, &self.file, self.now);
-        self.input(Input::Alarm);
+        self.input(Input::TimerDue);
     }
 
     /// An operator's call; whether the reply was a yes.
     pub fn operate(&mut self, call: console::Call) -> bool {
         let ticket = self.replies.keys().last().map_or(0, |ticket| ticket + 1);
-        self.input(Input::Operator { ticket, call });
+        self.input(Input::Operator { request: ticket, call });
         matches!(self.replies[&ticket], Said::Yes(_))
     }
 
@@ -428,8 +450,8 @@
         let ends: u64 = figures.ends().values().map(|ends| ends.all()).sum();
         assert_eq!(ends, figures.taken() - figures.open() + self.turned_away);
         assert_eq!(figures.dispatches(), self.written);
-        let (out, listed) = (|t: &&Target| self.out.contains(&t.uid), self.reducer.gauges().targets);
-        let in_list = self.list.iter().filter(|t| t.state != State::Terminated);
+        let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().targets);
+        let in_list = self.list.iter().filter(|t| t.state != ListedState::Removed);
         assert_eq!(in_list.clone().count(), listed);
         assert!(in_list.filter(out).count() <= gauges.targets_disabled && gauges.targets_disabled <= listed);
     }
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery's list, on real sockets: the far end is a script that writes, waits or closes.
 
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::WatchEvent;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::discovery::{Ended, follow};
 use std::cell::RefCell;
@@ -38,7 +38,7 @@
 
 /// Follows a far end that does this with the connection once it has read the request. What was told, how it ended, and
 /// after what time.
-async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<News>, Ended, Duration) {
+async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<WatchEvent>, Ended, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let served = async {
@@ -53,7 +53,7 @@
     (told, ended, took)
 }
 
-async fn follow_at(at: SocketAddr) -> (Vec<News>, Ended, Duration) {
+async fn follow_at(at: SocketAddr) -> (Vec<WatchEvent>, Ended, Duration) {
     let told = Rc::new(RefCell::new(Vec::new()));
     let updates = UpdateSender::new({
         let told = told.clone();
@@ -95,7 +95,7 @@
             until_closed(stream).await;
         })
         .await;
-        let revs: Vec<_> = told.iter().map(|news| (news.rev, news.all)).collect();
+        let revs: Vec<_> = told.iter().map(|news| (news.version, news.is_snapshot)).collect();
         assert_eq!(revs, [(1, true), (2, true), (3, false), (4, true)], "cut by {size}: {ended:?}");
         assert!(ended.unheard < SLACK, "{ended:?}");
     }
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use common::{S, START};
 use orchidyoke_core::interface::{DestinationId, Micros};
-use orchidyoke_core::transport_map::Target;
+use orchidyoke_core::transport_map::EndpointEntry;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console::{Call, Reply};
 use orchidyoke_forwarder::hop_call::Reply as HopReply;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_journal::{Record, Trace, Verdict, replay};
+use orchidyoke_journal::{AttemptStart, FinalAnswer, Record, replay};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -128,7 +128,7 @@
     offers: VecDeque<Offer>,
     /// Ids written to endpoints.
     written: Vec<String>,
-    notices: Vec<(String, Verdict)>,
+    notices: Vec<(String, FinalAnswer)>,
     figures: String,
     logged: Vec<String>,
 }
@@ -164,7 +164,7 @@
             figures: String::new(),
             logged: Vec::new(),
         };
-        world.input(Input::Alarm);
+        world.input(Input::TimerDue);
         world.input(Input::AcceptingClients);
         world
     }
@@ -185,25 +185,27 @@
 
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Append { receipt, bytes } => {
+            Effect::Append { append: receipt, bytes } => {
                 self.file.extend_from_slice(&bytes);
-                return Some(Input::Appended { receipt, stored: true, size: self.file.len() });
+                return Some(Input::Appended { append: receipt, stored: true, size: self.file.len() });
             }
-            Effect::Rewrite { bytes } => self.file = bytes.to_vec(),
+            Effect::CompactJournal { bytes } => self.file = bytes.to_vec(),
             Effect::Answer { answer, .. } => self.answers.push(answer),
             Effect::Offer(offer) => {
                 self.assert_journaled(&offer);
                 self.offers.push_back(*offer);
             }
-            Effect::Dial { link, .. } if self.endpoints_answer => return Some(Input::LinkUp { link }),
-            Effect::Write { link, call } => {
+            Effect::Connect { connection: link, .. } if self.endpoints_answer => {
+                return Some(Input::ConnectionUp { connection: link });
+            }
+            Effect::SendCall { connection: link, call } => {
                 self.written.extend(call.parts.into_iter().map(|part| part.txn));
                 let reply = HopReply { status: 200, bulk: call.bulk, ..HopReply::default() };
-                return Some(Input::Answered { link, reply, reusable: false });
+                return Some(Input::CallAnswered { connection: link, reply, reusable: false });
             }
-            Effect::Post { notices, .. } => {
+            Effect::PostNotifications { notifications: notices, .. } => {
                 self.notices.extend(notices);
-                return Some(Input::Posted { accepted: true });
+                return Some(Input::NotificationsPosted { accepted: true });
             }
             Effect::Reply { reply: Reply::Figures(text), .. } => self.figures = text,
             Effect::Log { line } => self.logged.push(line),
@@ -214,12 +216,14 @@
 
     /// Before its first byte goes, the journal says to whom.
     fn assert_journaled(&self, offer: &Offer) {
-        let owner = offer.taken.custody.offered.as_ref().map(|offered| offered.to.as_str());
+        let owner = offer.taken.handover.offered.as_ref().map(|offered| offered.owner.as_str());
         let is_there = |record: &Record| match record {
-            Record::Offered { txn, to, .. } => *txn == offer.taken.txn && Some(to.as_str()) == owner,
+            Record::HandoverOffered { message: txn, owner: to, .. } => {
+                *txn == offer.taken.id && Some(to.as_str()) == owner
+            }
             _ => false,
         };
-        assert!(self.records().iter().any(is_there), "{} is offered without a record", offer.taken.txn);
+        assert!(self.records().iter().any(is_there), "{} is offered without a record", offer.taken.id);
     }
 
     /// Time passes, with all that is due in it.
@@ -228,7 +232,7 @@
         let mut alarms = 0;
         while let Some(at) = self.reducer.wake_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.input(Input::Alarm);
+            self.input(Input::TimerDue);
             alarms += 1;
             assert!(alarms < 100_000, "it is busy without an end");
         }
@@ -237,20 +241,20 @@
 
     fn handed(&self, txn: &str, dest: DestinationId) -> Submission {
         Submission {
-            txn: txn.to_owned(),
+            id: txn.to_owned(),
             class: self.class.name().to_owned(),
-            org: (!self.class.is_keyed()).then(|| "acme".to_owned()),
-            key: self.class.is_keyed().then(|| format!("key of {txn}")),
-            dest,
+            tenant: (!self.class.is_keyed()).then(|| "acme".to_owned()),
+            idempotency_key: self.class.is_keyed().then(|| format!("key of {txn}")),
+            destination: dest,
             time_left: 8 * S,
-            repeat: false,
-            marked: Marked::No,
+            is_retry: false,
+            handover_mark: Marked::No,
             body: Bytes::from_static(b"body"),
         }
     }
 
     fn hand_in(&mut self, message: Submission) -> SubmitAnswer {
-        self.input(Input::Submitted { ticket: 1, message });
+        self.input(Input::Submitted { request: 1, message });
         self.wait(20 * MS);
         self.answers.pop().expect("an answer")
     }
@@ -258,7 +262,7 @@
     /// A client hands in a message for this destination, and it is taken on.
     fn take(&mut self, txn: &str, dest: DestinationId) {
         let message = self.handed(txn, dest);
-        assert_eq!(self.hand_in(message), SubmitAnswer::TakenOn, "{txn}");
+        assert_eq!(self.hand_in(message), SubmitAnswer::Accepted, "{txn}");
     }
 
     fn offer(&mut self) -> Offer {
@@ -287,7 +291,7 @@
     }
 
     fn figure(&mut self, name: &str) -> u64 {
-        self.input(Input::Operator { ticket: 2, call: Call::ShowStat });
+        self.input(Input::Operator { request: 2, call: Call::ShowStat });
         let line = self.figures.lines().find_map(|line| line.strip_prefix(&format!("app_{name} ")));
         line.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name}: {}", self.figures))
     }
@@ -314,8 +318,11 @@
     world.take("own", 2);
     let offer = world.offer();
     assert_eq!(offer.to, address("f1"));
-    assert_eq!((offer.taken.txn.as_str(), offer.taken.class.as_str(), offer.taken.dest), ("a", "bread", 1));
-    assert_eq!(offer.taken.key.as_deref(), Some("key of a"));
+    assert_eq!(
+        (offer.taken.id.as_str(), offer.taken.class.as_str(), offer.taken.destination),
+        ("a", "bread", 1)
+    );
+    assert_eq!(offer.taken.idempotency_key.as_deref(), Some("key of a"));
     assert_eq!(offer.body, Bytes::from_static(b"body"));
     let (deadline, valid_until) = (START + 8 * S, offer.mark.valid_until);
     let mark = Mark { from: "f0".to_owned(), deadline, valid_until, attempts: 0, ran: None };
@@ -327,8 +334,7 @@
     world.wait(10 * S);
     assert_eq!(world.written, ["own"]);
     assert!(world.notices.is_empty() && world.offers.is_empty());
-    let handed_over =
-        |r: &Record| matches!(r, Record::HandedOver { txn, to, .. } if txn == "a" && to == "f1");
+    let handed_over = |r: &Record| matches!(r, Record::HandedOver { message, owner, .. } if message == "a" && owner == "f1");
     assert!(world.records().iter().any(handed_over));
     assert_eq!(world.figure("handed_over"), 1);
     assert_eq!(world.figure("owned"), 1);
@@ -356,10 +362,10 @@
 fn a_marked_message_is_delivered_here_whoever_owns_it_also_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f1", "f1"]));
     let mut world = World::new(Class::Unsafe, fleet());
-    let message = Submission { marked: marked("f2", world.now), ..world.handed("a", 1) };
+    let message = Submission { handover_mark: marked("f2", world.now), ..world.handed("a", 1) };
     // Killed before it is sent.
     world.endpoints_answer = false;
-    assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+    assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
     let mut world = world.restarted(fleet());
     world.wait(S);
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
@@ -370,8 +376,8 @@
 fn an_owner_answers_a_repeat_as_taken_on_while_open_and_when_over() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     for _ in 0..3 {
-        let message = Submission { marked: marked("f1", world.now), ..world.handed("a", 1) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+        let message = Submission { handover_mark: marked("f1", world.now), ..world.handed("a", 1) };
+        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
         world.wait(2 * S);
     }
     assert_eq!(world.written, ["a"]);
@@ -383,11 +389,12 @@
 fn what_may_have_run_before_binds_the_owner() {
     for (class, is_sent) in [(Class::Unsafe, false), (Class::Safe, true)] {
         let mut world = World::new(class, Some(Fleet::of(1, ["f0", "f0", "f0"])));
-        let ran = Some(Trace { at: START - S, uid: "s-a".to_owned(), az: "a".to_owned() });
+        let ran =
+            Some(AttemptStart { started_at: START - S, endpoint: "s-a".to_owned(), zone: "a".to_owned() });
         let deadline = world.now + 4 * S;
         let valid_until = world.now + 20 * S;
         let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 1, ran };
-        let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+        let message = Submission { handover_mark: Marked::Yes(mark), ..world.handed("a", 1) };
         let answer = world.hand_in(message);
         assert_eq!(!world.written.is_empty(), is_sent, "{class:?}: {answer:?}");
     }
@@ -400,9 +407,9 @@
     let deadline = world.now - S;
     let valid_until = world.now + 20 * S;
     let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, ran: None };
-    let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+    let message = Submission { handover_mark: Marked::Yes(mark), ..world.handed("a", 1) };
     let answer = world.hand_in(message);
-    assert!(answer != SubmitAnswer::TakenOn && world.written.is_empty(), "{answer:?}");
+    assert!(answer != SubmitAnswer::Accepted && world.written.is_empty(), "{answer:?}");
 }
 
 // Guards against a second delivery of what a cut link brings late: the id, told as known for 30 s, may be forgotten by then.
@@ -411,13 +418,13 @@
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let (deadline, valid_until) = (world.now + 8 * S, world.now - 1);
     let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, ran: None };
-    let message = Submission { marked: Marked::Yes(mark), ..world.handed("a", 1) };
+    let message = Submission { handover_mark: Marked::Yes(mark), ..world.handed("a", 1) };
     let answer = world.hand_in(message);
-    assert!(matches!(answer, SubmitAnswer::Deferred(_)), "{answer:?}");
+    assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
     world.wait(S);
     assert!(world.written.is_empty());
-    let message = Submission { marked: marked("f1", world.now), ..world.handed("b", 1) };
-    assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+    let message = Submission { handover_mark: marked("f1", world.now), ..world.handed("b", 1) };
+    assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
 }
 
 // Guards against a mark that is half understood, and against one that means anything where there are no owners.
@@ -425,15 +432,15 @@
 fn a_malformed_mark_is_refused_and_without_owners_none_counts() {
     for (owners, expected) in [
         (Some(Fleet::of(1, ["f0", "f0", "f0"])), SubmitAnswer::Incomplete("X-Handover: malformed\n")),
-        (None, SubmitAnswer::TakenOn),
+        (None, SubmitAnswer::Accepted),
     ] {
         let mut world = World::new(Class::Safe, owners);
-        let message = Submission { marked: Marked::Malformed, ..world.handed("a", 1) };
+        let message = Submission { handover_mark: Marked::Malformed, ..world.handed("a", 1) };
         assert_eq!(world.hand_in(message), expected);
     }
     let mut world = World::new(Class::Safe, None);
     world.take("b", 1);
-    world.input(Input::Operator { ticket: 2, call: Call::ShowStat });
+    world.input(Input::Operator { request: 2, call: Call::ShowStat });
     assert!(world.offers.is_empty() && !world.figures.contains("owners"));
 }
 
@@ -442,8 +449,8 @@
 fn a_message_from_who_is_no_member_is_delivered_here_and_counted() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f1", "f1"])));
     for txn in ["a", "b"] {
-        let message = Submission { marked: marked("f77", world.now), ..world.handed(txn, 1) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+        let message = Submission { handover_mark: marked("f77", world.now), ..world.handed(txn, 1) };
+        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
     }
     assert_eq!((world.written.len(), world.offers.len()), (2, 0));
     assert_eq!(world.figure("taken_over_from_strangers"), 2);
@@ -464,7 +471,7 @@
     assert!((2..40).contains(&offers), "{offers} offers");
     assert!(world.written.is_empty());
     // Never taken: the client may hand it in again.
-    assert_eq!(world.notices, [("a".to_owned(), Verdict::Returned { after_ms: 0 })]);
+    assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 })]);
 }
 
 // Guards against a lost answer that ends a message, or that sends it elsewhere while the owner may have it.
@@ -475,7 +482,7 @@
     let offer = world.offer();
     world.end(&offer, unanswered());
     // Another owns the destination now, and the one before is still a member.
-    world.input(Input::Owners(Rc::new(Fleet {
+    world.input(Input::OwnersChanged(Rc::new(Fleet {
         version: 2,
         owners: BTreeMap::from([(1, "f2")]),
         members: vec!["f0", "f1", "f2"],
@@ -483,7 +490,7 @@
     })));
     world.wait(3 * S);
     let again = world.offer();
-    assert_eq!((again.to, again.taken.txn.as_str()), (address("f1"), "a"));
+    assert_eq!((again.to, again.taken.id.as_str()), (address("f1"), "a"));
     assert!(world.written.is_empty() && world.offers.is_empty());
     world.end(&again, OfferEnd::Taken);
     world.wait(10 * S);
@@ -500,7 +507,7 @@
         world.end(&offer, unanswered());
         world.wait_with(9 * S, &later);
         assert!(world.written.is_empty(), "{later:?}");
-        assert_eq!(world.notices, [("a".to_owned(), Verdict::Failed)], "{later:?}");
+        assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Failed)], "{later:?}");
     }
 }
 
@@ -518,10 +525,10 @@
         world.take("a", 1);
         let offer = world.offer();
         world.end(&offer, unanswered());
-        world.input(Input::Owners(gone(2)));
+        world.input(Input::OwnersChanged(gone(2)));
         world.wait(S);
         assert_eq!(world.written == ["a"], is_sent, "{class:?}");
-        let failed = world.notices == [("a".to_owned(), Verdict::Failed)];
+        let failed = world.notices == [("a".to_owned(), FinalAnswer::Failed)];
         assert_eq!(failed, !is_sent, "{class:?}: {:?}", world.notices);
     }
     // A window that has ended counts as none.
@@ -532,7 +539,7 @@
     world.wait_with(2_100 * MS, &unanswered());
     world.written.clear();
     let was_substituted = world.figure("delivered_for_lack_of_owner") == 1;
-    world.input(Input::Owners(gone(2)));
+    world.input(Input::OwnersChanged(gone(2)));
     world.wait(S);
     assert!(!was_substituted && world.written.is_empty(), "{:?}", world.written);
 }
@@ -548,11 +555,11 @@
         let offer = world.offer();
         world.end(&offer, unreached());
     }
-    world.input(Input::Owners(Fleet::of(2, ["f2", "f0", "f2"])));
+    world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     let offers = [world.offer(), world.offer()];
     assert!(offers.iter().all(|offer| offer.to == address("f2") && offer.mark.ran.is_none()));
     world.end(&offers[0], unreached());
-    world.input(Input::Owners(Fleet::of(3, ["f0", "f0", "f2"])));
+    world.input(Input::OwnersChanged(Fleet::of(3, ["f0", "f0", "f2"])));
     world.wait(S);
     assert_eq!(world.written.len(), 1, "one is this forwarder's own now, the other still out");
 }
@@ -563,7 +570,7 @@
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
-    world.input(Input::Owners(Fleet::of(2, ["f0", "f0", "f2"])));
+    world.input(Input::OwnersChanged(Fleet::of(2, ["f0", "f0", "f2"])));
     world.wait(900 * MS);
     assert!(world.written.is_empty());
     world.end(&offer, OfferEnd::Taken);
@@ -579,7 +586,7 @@
     let offer = world.offer();
     world.end(&offer, unanswered());
     let (owners, members) = (BTreeMap::from([(1, "f1")]), vec!["f0", "f1"]);
-    world.input(Input::Owners(Rc::new(Fleet { version: 2, owners, members, moved: 500 })));
+    world.input(Input::OwnersChanged(Rc::new(Fleet { version: 2, owners, members, moved: 500 })));
     world.wait(S);
     assert_eq!(world.offer().to.port(), address("f1").port() + 500);
 }
@@ -590,11 +597,11 @@
     let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, marked: Marked| {
         let [before, after] = owners;
         let mut world = World::new(Class::Safe, Some(before));
-        world.input(Input::Owners(after));
+        world.input(Input::OwnersChanged(after));
         world.wait(wait);
         world.endpoints_answer = false;
-        let message = Submission { marked, ..world.handed("a", 3) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+        let message = Submission { handover_mark: marked, ..world.handed("a", 3) };
+        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
         world.reducer.troubled().any(|destination| destination == 3)
     };
     let own = || Fleet::of(2, ["f0", "f0", "f0"]);
@@ -610,7 +617,7 @@
 #[test]
 fn an_older_view_is_passed_over() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(5, ["f1", "f1", "f1"])));
-    world.input(Input::Owners(Fleet::of(4, ["f2", "f2", "f2"])));
+    world.input(Input::OwnersChanged(Fleet::of(4, ["f2", "f2", "f2"])));
     world.take("a", 1);
     assert_eq!(world.offer().to, address("f1"));
     assert!(world.logged.iter().any(|line| line.contains("view 4 is older than view 5")));
@@ -626,13 +633,13 @@
     let first = world.offer();
     let mut world = world.restarted(fleet());
     let again = world.offer();
-    assert_eq!((again.to, &again.taken.txn), (first.to, &first.taken.txn));
+    assert_eq!((again.to, &again.taken.id), (first.to, &first.taken.id));
     world.end(&again, unreached());
     // In doubt since before the restart: not reached now says nothing of then.
     let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
     world.wait(S);
     assert!(world.written.is_empty() && world.offers.is_empty());
-    assert_eq!(world.notices, [("a".to_owned(), Verdict::Failed)]);
+    assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Failed)]);
 }
 
 // Guards against a restart that takes for doubtful what was never taken.
@@ -657,19 +664,21 @@
     world.end(&offer, unanswered());
     // Fills the journal until it is rewritten.
     let mut number = 0;
-    while world.records().iter().any(|record| matches!(record, Record::Declined { .. })) || number < 100 {
+    while world.records().iter().any(|record| matches!(record, Record::HandoverDeclined { .. }))
+        || number < 100
+    {
         number += 1;
         let size = world.file.len();
         let message =
             Submission { body: Bytes::from(vec![0; 6_000]), ..world.handed(&format!("own {number}"), 2) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::TakenOn);
+        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
         if world.file.len() < size {
             break;
         }
     }
     let mut world = world.restarted(None);
     world.wait(S);
-    assert!(world.notices.contains(&("a".to_owned(), Verdict::Failed)), "{:?}", world.notices);
+    assert!(world.notices.contains(&("a".to_owned(), FinalAnswer::Failed)), "{:?}", world.notices);
     assert!(!world.written.contains(&"a".to_owned()));
 }
 
@@ -730,12 +739,12 @@
     let offer = world.offer();
     let offered_at = world.now;
     world.end(&offer, unanswered());
-    world.input(Input::Owners(Fleet::of(2, ["f2", "f0", "f2"])));
+    world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     world.wait(MS);
     let next = world.offer();
     let ran = next.mark.ran.expect("it may have run");
-    assert_eq!((next.to, ran.uid.as_str()), (address("f2"), ""));
-    assert!(ran.at <= offered_at, "not later than it was offered");
+    assert_eq!((next.to, ran.endpoint.as_str()), (address("f2"), ""));
+    assert!(ran.started_at <= offered_at, "not later than it was offered");
 }
 
 // Guards against a start that offers again what has been begun here in doubt.
@@ -755,7 +764,8 @@
 /// A configuration with room for many messages, and with this many destinations of one endpoint each.
 fn wide_config(destinations: u64) -> String {
     let first = common::targets().remove(2);
-    let target = |number: u64| Target { uid: format!("s{number}"), pod_group: number, ..first.clone() };
+    let target =
+        |number: u64| EndpointEntry { uid: format!("s{number}"), destination: number, ..first.clone() };
     common::config("127.0.0.1:1", "127.0.0.1:2", (1..=destinations).map(target).collect())
         .replace(r#""max_open":40"#, r#""max_open":4000"#)
         .replace(r#""disk_mb":0.2"#, r#""disk_mb":16"#)
@@ -788,11 +798,11 @@
     let mut world = World::with_config(&wide_config(2), Some(one_owner(1)));
     let messages: Vec<_> = (0..1_020).map(|number| world.handed(&format!("m{number}"), 1)).collect();
     for message in messages {
-        world.input(Input::Submitted { ticket: 1, message });
+        world.input(Input::Submitted { request: 1, message });
         world.wait(5 * MS);
     }
     world.wait(20 * MS);
-    let deferred = world.answers.iter().filter(|answer| matches!(answer, SubmitAnswer::Deferred(_))).count();
+    let deferred = world.answers.iter().filter(|answer| matches!(answer, SubmitAnswer::Rejected(_))).count();
     assert_eq!(deferred, 20);
     world.take("another destination", 2);
 }
--- a/crates/forwarder/tests/hop_call.rs
+++ b/crates/forwarder/tests/hop_call.rs
@@ -18,15 +18,15 @@
     let got = ends(&bulk(told), &txns);
     let outcomes: Vec<_> = got.iter().map(|end| (end.outcome, end.over)).collect();
     let expected = [
-        (Outcome::Ok, false),
-        (Outcome::Full, false),
+        (Outcome::Success, false),
+        (Outcome::Rejected, false),
         (Outcome::Error, false),
-        (Outcome::Moot, true),
-        (Outcome::Moot, false),
+        (Outcome::NotSent, true),
+        (Outcome::NotSent, false),
         (Outcome::Error, false),
     ];
     assert_eq!(outcomes, expected);
-    assert!(ends(&bulk("[{\"id\":"), &txns).iter().all(|end| end.outcome == Outcome::Spoilt));
+    assert!(ends(&bulk("[{\"id\":"), &txns).iter().all(|end| end.outcome == Outcome::InvalidResponse));
 }
 
 // Guards against "never ran" being said of a call whose last byte went out.
@@ -36,7 +36,7 @@
     for progress in [NotConnected, NotFullyWritten, FullyWritten, Answered] {
         let spoilt = Cause::Spoilt("noise".to_owned());
         for cause in [Cause::TimedOut, Cause::CalledOff, Cause::Broken("reset".to_owned()), spoilt] {
-            let error = HopError { progress, cause };
+            let error = EndpointCallError { progress, cause };
             let never = error.outcome() == Outcome::ConnectFailed;
             assert_eq!(never, matches!(progress, NotConnected | NotFullyWritten), "{error}");
         }
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -6,12 +6,14 @@
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::{Checks, MOST_ENTRIES, News, State, Target, TransportMap};
+use orchidyoke_core::transport_map::{
+    EndpointEntry, EndpointList, HealthChecks, ListedState, MAX_ENTRIES, WatchEvent,
+};
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::discovery::{Ended, follow};
-use orchidyoke_forwarder::input::{Effect, Following, Input, Shown};
+use orchidyoke_forwarder::input::{Effect, Input, SiblingUpdate, WatchSource};
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_forwarder::reload::Source;
 use orchidyoke_journal::{Record, replay};
@@ -30,33 +32,33 @@
 /// More than a record of one entry takes up, and far less than the list.
 const SMALL_RECORD: usize = 1_000;
 
-fn target(number: usize) -> Target {
-    Target {
+fn target(number: usize) -> EndpointEntry {
+    EndpointEntry {
         uid: format!("s-{number:08x}"),
-        endpoint: "127.0.0.1:8000".parse().expect("an address"),
-        az: "a".to_owned(),
-        model: "one".to_owned(),
-        pod_group: number as u64,
-        state: State::InService,
+        address: "127.0.0.1:8000".parse().expect("an address"),
+        zone: "a".to_owned(),
+        kind: "one".to_owned(),
+        destination: number as u64,
+        state: ListedState::Active,
         capacity_hint: 20.0,
-        checks: Checks::Passing,
+        health: HealthChecks::Passing,
     }
 }
 
-fn targets(count: usize) -> Vec<Target> {
+fn targets(count: usize) -> Vec<EndpointEntry> {
     (0..count).map(target).collect()
 }
 
-fn news(rev: u64, all: bool, targets: Vec<Target>) -> News {
-    News { rev, all, targets, origin: String::new() }
+fn news(rev: u64, all: bool, targets: Vec<EndpointEntry>) -> WatchEvent {
+    WatchEvent { version: rev, is_snapshot: all, endpoints: targets, origin: String::new() }
 }
 
 /// A configuration that knows these, with a folder that is large enough for them.
-fn text(targets: Vec<Target>) -> String {
+fn text(targets: Vec<EndpointEntry>) -> String {
     deployments::config("127.0.0.1:1", "127.0.0.1:2", targets).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
 }
 
-fn config(targets: Vec<Target>) -> Config {
+fn config(targets: Vec<EndpointEntry>) -> Config {
     Config::read(&text(targets), None, None).expect("a configuration")
 }
 
@@ -77,7 +79,7 @@
         let reducer = Reducer::new(config, 0, records, whole, START);
         let mut world = World { reducer, file, now: START, watch: 0, log: Vec::new() };
         // The module's turn is not due yet: it would take in the list, which is not looked at here.
-        world.input(Input::Withdrawn { ticket: 0 });
+        world.input(Input::Withdrawn { request: 0 });
         world
     }
 
@@ -88,16 +90,16 @@
         while let Some(input) = inputs.pop() {
             for effect in self.reducer.step(self.now, input) {
                 match effect {
-                    Effect::Append { receipt, bytes } => {
+                    Effect::Append { append: receipt, bytes } => {
                         self.file.extend_from_slice(&bytes);
                         written += bytes.len();
-                        inputs.push(Input::Appended { receipt, stored: true, size: self.file.len() });
+                        inputs.push(Input::Appended { append: receipt, stored: true, size: self.file.len() });
                     }
-                    Effect::Rewrite { bytes } => {
+                    Effect::CompactJournal { bytes } => {
                         written += bytes.len();
                         self.file = bytes.to_vec();
                     }
-                    Effect::Follow { watch, .. } => self.watch = watch,
+                    Effect::StartWatch { watch, .. } => self.watch = watch,
                     Effect::Log { line } => self.log.push(line),
                     _ => {}
                 }
@@ -107,19 +109,19 @@
     }
 
     /// News by the watch that is followed; bytes that it writes.
-    fn news(&mut self, news: News) -> usize {
+    fn news(&mut self, news: WatchEvent) -> usize {
         let watch = self.watch;
-        self.input(Input::News { watch, news })
+        self.input(Input::WatchEvent { watch, event: news })
     }
 
     /// The list as a start would find it.
-    fn journaled(&self) -> TransportMap {
-        let mut map = TransportMap::default();
+    fn journaled(&self) -> EndpointList {
+        let mut map = EndpointList::default();
         let (records, whole) = replay(Bytes::copy_from_slice(&self.file));
         assert_eq!(whole, self.file.len());
         for (record, _) in records {
-            if let Record::Map(news) = record {
-                map.take(&news);
+            if let Record::EndpointList(news) = record {
+                map.apply(&news);
             }
         }
         map
@@ -138,19 +140,19 @@
     let mut world = World::start(config(targets(4)), Vec::new());
     assert!(world.news(news(2, true, targets(LISTED))) > 100 * LISTED, "it is written");
     assert_eq!(world.listed(), LISTED);
-    let draining = Target { state: State::Terminating, ..target(LISTED / 2) };
+    let draining = EndpointEntry { state: ListedState::Draining, ..target(LISTED / 2) };
     for (rev, changed) in [(3, draining.clone()), (4, target(LISTED)), (5, target(0))] {
         let written = world.news(news(rev, false, vec![changed]));
         assert!(written < SMALL_RECORD, "version {rev}: {written} bytes");
     }
     let out = console::Call::DisableServer(target(7).uid);
-    assert!(world.input(Input::Operator { ticket: 1, call: out }) < SMALL_RECORD);
+    assert!(world.input(Input::Operator { request: 1, call: out }) < SMALL_RECORD);
 
     let mut world = World::start(config(targets(4)), world.file);
     assert_eq!(world.listed(), LISTED + 1);
     let map = world.journaled();
-    assert_eq!((map.rev(), map.len()), (5, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(State::Terminating));
+    assert_eq!((map.version(), map.len()), (5, LISTED + 1));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(ListedState::Draining));
     assert!(world.news(news(6, false, vec![target(1)])) < SMALL_RECORD);
     let size = world.file.len();
     let world = World::start(config(targets(4)), world.file);
@@ -162,19 +164,20 @@
 fn a_change_heard_by_another_process_is_written_as_a_change() {
     let mut world = World::start(config(targets(4)), Vec::new());
     world.news(news(2, true, targets(LISTED)));
-    let draining = Target { state: State::Terminating, ..target(5) };
-    let gone = Target { state: State::Terminated, ..target(6) };
+    let draining = EndpointEntry { state: ListedState::Draining, ..target(5) };
+    let gone = EndpointEntry { state: ListedState::Removed, ..target(6) };
     let heard = [
         news(2, true, targets(LISTED)),
         news(3, false, vec![draining.clone(), gone.clone(), target(LISTED), target(LISTED + 1)]),
     ];
-    let records = heard.into_iter().map(|news| (Record::Map(news), Bytes::new())).collect();
-    let shown = vec![Shown { generation: 1, anew: true, records, size: 20_000_000, ended: false }];
-    let written = world.input(Input::Siblings { shown, gone: Vec::new() });
+    let records = heard.into_iter().map(|news| (Record::EndpointList(news), Bytes::new())).collect();
+    let shown =
+        vec![SiblingUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
+    let written = world.input(Input::Siblings { updates: shown, gone: Vec::new() });
     assert!(written < 2 * SMALL_RECORD, "{written} bytes");
     let map = world.journaled();
-    assert_eq!((map.rev(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(State::Terminating));
+    assert_eq!((map.version(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(ListedState::Draining));
     assert!(map.get(&gone.uid).is_none() && map.get(&target(LISTED).uid).is_some());
 }
 
@@ -188,9 +191,9 @@
     assert_eq!((world.listed(), world.journaled().len()), (LISTED, LISTED));
     world.news(news(2, false, vec![target(LISTED)]));
     let reloaded = source.load().await.expect("good");
-    let written = world.input(Input::Reconfigured(Box::new(reloaded)));
+    let written = world.input(Input::ConfigReloaded(Box::new(reloaded)));
     assert!(written < SMALL_RECORD, "{written} bytes");
-    assert_eq!((world.listed(), world.journaled().rev()), (LISTED + 1, 2));
+    assert_eq!((world.listed(), world.journaled().version()), (LISTED + 1, 2));
 }
 
 // Guards against a list in the configuration that is taken in part, and against a reason that is not said, or not in
@@ -203,7 +206,7 @@
     for (what, text, why) in [
         ("cut off", good[..good.len() / 2].to_owned(), "EOF"),
         ("malformed in its last entry", good.replace(&last, "\"uid\":7"), "invalid type"),
-        ("too many entries", text(targets(MOST_ENTRIES + 1)), "more than 200000 entries"),
+        ("too many entries", text(targets(MAX_ENTRIES + 1)), "more than 200000 entries"),
         ("too many bytes", too_large + &good, "more than 52 MiB"),
     ] {
         let folder = Folder::new("bad-list");
@@ -217,31 +220,31 @@
 #[test]
 fn changes_that_would_pass_the_bound_change_nothing_and_are_said_once() {
     let mut world = World::start(config(targets(4)), Vec::new());
-    world.news(news(2, true, targets(MOST_ENTRIES)));
+    world.news(news(2, true, targets(MAX_ENTRIES)));
     let (size, lines) = (world.file.len(), world.log.len());
-    assert_eq!(world.news(news(3, false, vec![target(MOST_ENTRIES)])), 0);
+    assert_eq!(world.news(news(3, false, vec![target(MAX_ENTRIES)])), 0);
     assert_eq!(
-        world.news(news(4, false, vec![target(MOST_ENTRIES + 1)])),
+        world.news(news(4, false, vec![target(MAX_ENTRIES + 1)])),
         0,
         "this follows what was left out"
     );
-    assert_eq!((world.listed(), world.file.len()), (MOST_ENTRIES, size));
+    assert_eq!((world.listed(), world.file.len()), (MAX_ENTRIES, size));
     assert_eq!(world.log.len(), lines + 1, "{:?}", &world.log[lines..]);
     assert!(world.log[lines].contains("more than 200000 entries"), "{}", world.log[lines]);
 
     let asked = world.watch;
     world.now += 20 * SECOND;
-    let effects = world.reducer.step(world.now, Input::Withdrawn { ticket: 0 });
+    let effects = world.reducer.step(world.now, Input::Withdrawn { request: 0 });
     let since = effects.iter().find_map(|effect| match effect {
-        Effect::Follow { watch, from: Following::Discovery { since, .. } } => Some((*watch, *since)),
+        Effect::StartWatch { watch, from: WatchSource::Discovery { since, .. } } => Some((*watch, *since)),
         _ => None,
     });
     let (watch, since) = since.expect("it is asked for again");
     assert!(watch > asked && since == 2, "watch {watch} from version {since}");
     world.watch = watch;
-    let gone = Target { state: State::Terminated, ..target(0) };
-    assert!(world.news(news(5, false, vec![gone, target(MOST_ENTRIES)])) > 0);
-    assert_eq!(world.listed(), MOST_ENTRIES);
+    let gone = EndpointEntry { state: ListedState::Removed, ..target(0) };
+    assert!(world.news(news(5, false, vec![gone, target(MAX_ENTRIES)])) > 0);
+    assert_eq!(world.listed(), MAX_ENTRIES);
 }
 
 // Guards against a watch that ends in the middle of a large list and changes something, or is not said in one line.
@@ -251,7 +254,10 @@
     let (size, lines) = (world.file.len(), world.log.len());
     let why = "it ended in the middle of a list, after 9000000 bytes".to_owned();
     let (watch, wait_ms, unheard) = (world.watch, 0, 0);
-    assert_eq!(world.input(Input::MapLost { watch, why, wait_ms, unheard }), 0);
+    assert_eq!(
+        world.input(Input::WatchEnded { watch, reason: why, retry_after_ms: wait_ms, silence: unheard }),
+        0
+    );
     assert_eq!((world.listed(), world.file.len()), (4, size));
     assert!(world.log[lines..].iter().eq([
         "transport map: it ended in the middle of a list, after 9000000 bytes; the last list stays in use"
@@ -283,7 +289,7 @@
 
 /// Follows a far end that writes these chunks, with a pause after each, and closes. What was told, how it ended, and
 /// after what time.
-async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<News>, Ended, Duration) {
+async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, Ended, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let far_end = async {
@@ -326,7 +332,7 @@
 async fn a_watch_brings_a_large_list_whole_or_not_at_all() {
     let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
     let (told, ended, _) = followed(in_chunks(&text, 20_000), Duration::ZERO).await;
-    assert_eq!(told.iter().map(|news| news.targets.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
+    assert_eq!(told.iter().map(|news| news.endpoints.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
     let last = format!("\"uid\":\"{}\"", target(LISTED - 1).uid);
     for (what, text, why) in [
         ("cut off", text[..text.len() / 2].to_owned(), "in the middle of a list"),
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -1,6 +1,6 @@
 //! Lists out of frames: what is handed on, what is not, and how much work it is, at the size of 100,000 entries.
 
-use orchidyoke_core::transport_map::{LARGEST_LIST, ListError, MOST_ENTRIES, News, State};
+use orchidyoke_core::transport_map::{ListError, ListedState, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent};
 use orchidyoke_forwarder::list_reader::ListReader;
 use std::fmt::Write;
 
@@ -30,7 +30,7 @@
 }
 
 /// What is handed on of a text in frames of this size, and the error that ended it.
-fn read(reader: &mut ListReader, text: &[u8], frame: usize) -> (Vec<News>, Option<ListError>) {
+fn read(reader: &mut ListReader, text: &[u8], frame: usize) -> (Vec<WatchEvent>, Option<ListError>) {
     let mut lists = Vec::new();
     for part in text.chunks(frame) {
         if let Err(error) = reader.take(part, |news| lists.push(news)) {
@@ -49,8 +49,8 @@
         let mut reader = ListReader::default();
         let (lists, error) = read(&mut reader, text.as_bytes(), frame);
         assert!(error.is_none(), "frames of {frame}: {error:?}");
-        assert_eq!((lists.len(), lists[0].targets.len()), (1, LISTED), "frames of {frame}");
-        assert_eq!(lists[0].targets[LISTED - 1].uid, format!("s-{:08x}", LISTED - 1));
+        assert_eq!((lists.len(), lists[0].endpoints.len()), (1, LISTED), "frames of {frame}");
+        assert_eq!(lists[0].endpoints[LISTED - 1].uid, format!("s-{:08x}", LISTED - 1));
         assert!(reader.parsed_bytes() <= text.len(), "{} of {}", reader.parsed_bytes(), text.len());
         assert_eq!(reader.unfinished_bytes(), 0);
     }
@@ -65,8 +65,8 @@
     for frame in [1, 2, 3, 50, text.len()] {
         let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), frame);
         assert!(error.is_none(), "{error:?}");
-        assert_eq!(lists.iter().map(|news| news.targets.len()).collect::<Vec<_>>(), [2, 1]);
-        assert_eq!(lists[0].targets[1].uid, r#"}]"{\"#);
+        assert_eq!(lists.iter().map(|news| news.endpoints.len()).collect::<Vec<_>>(), [2, 1]);
+        assert_eq!(lists[0].endpoints[1].uid, r#"}]"{\"#);
     }
     let mut reader = ListReader::default();
     let mut whole = |bytes: &[u8]| reader.take(bytes, |_| {}).expect("no error");
@@ -86,9 +86,9 @@
     assert_eq!(reader.unfinished_bytes(), cut_off.len());
 
     let malformed = list_with_end(LISTED, ",{\"uid\":\"s-x\"}]}\n");
-    let too_many = list(MOST_ENTRIES + 1);
+    let too_many = list(MAX_ENTRIES + 1);
     let too_large =
-        format!("{{\"rev\":1,\"all\":true,\"targets\":[],\"origin\":\"{}\"}}", "x".repeat(LARGEST_LIST));
+        format!("{{\"rev\":1,\"all\":true,\"targets\":[],\"origin\":\"{}\"}}", "x".repeat(MAX_LIST_BYTES));
     for (what, text) in [("malformed", malformed), ("too many", too_many), ("too large", too_large)] {
         let mut reader = ListReader::default();
         let (lists, error) = read(&mut reader, text.as_bytes(), FRAME);
@@ -101,15 +101,15 @@
         assert!(expected, "{what}: {error:?}");
         assert!(lists.is_empty(), "{what}");
         assert_eq!(error.to_string().lines().count(), 1, "{what}: one line");
-        assert!(reader.unfinished_bytes() <= LARGEST_LIST, "{what}");
+        assert!(reader.unfinished_bytes() <= MAX_LIST_BYTES, "{what}");
     }
 }
 
 // Guards against a bound that is looked at only when the list has come whole: one without an end would fill the memory.
 #[test]
 fn a_list_beyond_the_bounds_is_given_up_before_its_end() {
-    let too_many = list_with_end(MOST_ENTRIES + 1, "");
-    let too_large = format!("{{\"origin\":\"{}", "x".repeat(LARGEST_LIST));
+    let too_many = list_with_end(MAX_ENTRIES + 1, "");
+    let too_large = format!("{{\"origin\":\"{}", "x".repeat(MAX_LIST_BYTES));
     let (_, error) = read(&mut ListReader::default(), too_many.as_bytes(), FRAME);
     assert!(matches!(error, Some(ListError::TooManyEntries)), "{error:?}");
     let (_, error) = read(&mut ListReader::default(), too_large.as_bytes(), FRAME);
@@ -119,10 +119,10 @@
 // Guards against a bound that keeps out what it is made for: twice the size that the forwarder is built for.
 #[test]
 fn the_largest_list_that_is_allowed_is_read() {
-    let text = list(MOST_ENTRIES);
-    assert!(text.len() <= LARGEST_LIST, "{} bytes", text.len());
+    let text = list(MAX_ENTRIES);
+    assert!(text.len() <= MAX_LIST_BYTES, "{} bytes", text.len());
     let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME);
     assert!(error.is_none(), "{error:?}");
-    assert_eq!(lists[0].targets.len(), MOST_ENTRIES);
-    assert!(lists[0].targets.iter().all(|target| target.state == State::InService));
+    assert_eq!(lists[0].endpoints.len(), MAX_ENTRIES);
+    assert!(lists[0].endpoints.iter().all(|target| target.state == ListedState::Active));
 }
--- a/crates/forwarder/tests/next_hop.rs
+++ b/crates/forwarder/tests/next_hop.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
-use orchidyoke_forwarder::hop_call::{Call, Cause, HopError, Part, Progress};
+use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Part, Progress};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::next_hop::{Order, run};
 use orchidyoke_forwarder::write_progress::WriteProgress;
@@ -36,19 +36,19 @@
         std::future::pending::<()>().await;
     };
     let near_end = async {
-        assert!(matches!(came.recv().await, Some(Input::LinkUp { .. })));
+        assert!(matches!(came.recv().await, Some(Input::ConnectionUp { .. })));
         sender.send((call.clone(), until)).expect("it takes calls");
         let mut end = async || {
             loop {
                 match came.recv().await {
-                    Some(Input::Written { .. }) => {}
+                    Some(Input::CallWritten { .. }) => {}
                     other => break other,
                 }
             }
         };
         let first = end().await.expect("an end");
         let _ = sender.send((call.clone(), Instant::now() + Duration::from_millis(300)));
-        (first, matches!(end().await, Some(Input::Answered { .. })))
+        (first, matches!(end().await, Some(Input::CallAnswered { .. })))
     };
     tokio::select! {
         ends = near_end => ends,
@@ -90,10 +90,10 @@
         let text = String::from_utf8_lossy(answer);
         let (first, answered_again) = runtime.block_on(call(answer, goes_on, bulk));
         match first {
-            Input::Answered { reply, .. } => {
+            Input::CallAnswered { reply, .. } => {
                 assert_eq!((reply.status, reply.limit, reply.left), (expected, None, None), "{text}");
             }
-            Input::LinkClosed { error, .. } => {
+            Input::ConnectionClosed { error, .. } => {
                 assert!(expected == SPOILT && matches!(error.cause, Cause::Spoilt(_)), "{text}: {error}");
                 assert!(!error.never_ran(), "{text}: {error}");
             }
@@ -147,7 +147,7 @@
         let ((orders, taken), (inputs, came)) = (unbounded_channel(), unbounded_channel());
         spawn_local(run(1, address, Instant::now() + PATIENCE, taken, inputs));
         let mut pair = Pair { far: dialled(listener).await, orders: Some(orders), came };
-        assert!(matches!(pair.next().await, Input::LinkUp { .. }));
+        assert!(matches!(pair.next().await, Input::ConnectionUp { .. }));
         pair
     }
 
@@ -165,7 +165,7 @@
 
     /// The call's last byte has gone, and the far end has read all of it.
     async fn written(&mut self) {
-        assert!(matches!(self.next().await, Input::Written { .. }));
+        assert!(matches!(self.next().await, Input::CallWritten { .. }));
         self.far.set_nonblocking(false).expect("a socket");
         let mut request = Vec::new();
         while !request.ends_with(b"body") {
@@ -180,15 +180,15 @@
         self.send(PATIENCE);
         self.written().await;
         self.far.write_all(OK).expect("written");
-        assert!(matches!(self.next().await, Input::Answered { reusable: true, .. }));
+        assert!(matches!(self.next().await, Input::CallAnswered { reusable: true, .. }));
     }
 
     /// How the connection's last call ended, and what the far end was sent of it.
-    async fn end(&mut self) -> (HopError, usize) {
+    async fn end(&mut self) -> (EndpointCallError, usize) {
         let error = loop {
             match self.next().await {
-                Input::LinkClosed { error, .. } => break error,
-                Input::Written { .. } => {}
+                Input::ConnectionClosed { error, .. } => break error,
+                Input::CallWritten { .. } => {}
                 other => panic!("{other:?}"),
             }
         };
@@ -241,8 +241,8 @@
             }
             let error = loop {
                 match pair.next().await {
-                    Input::LinkClosed { error, .. } => break error,
-                    Input::Answered { reply, .. } => panic!("{what}: taken for an answer: {reply:?}"),
+                    Input::ConnectionClosed { error, .. } => break error,
+                    Input::CallAnswered { reply, .. } => panic!("{what}: taken for an answer: {reply:?}"),
                     _ => {}
                 }
             };
@@ -278,7 +278,7 @@
                     pair.orders = None;
                 }
                 match pair.next().await {
-                    Input::Answered { reply, reusable, .. } => {
+                    Input::CallAnswered { reply, reusable, .. } => {
                         assert_eq!((reply.status, reply.wait_ms), (status, wait), "called off: {called_off}");
                         assert!(!reusable || !called_off, "nobody has it any more");
                     }
@@ -318,7 +318,7 @@
             let near = std::net::TcpStream::connect(other.local_addr().expect("bound")).expect("taken");
             drop(std::mem::replace(&mut pair.far, near));
             match pair.next().await {
-                Input::LinkClosed { error, .. } => {
+                Input::ConnectionClosed { error, .. } => {
                     assert_eq!((error.progress, error.outcome()), (Progress::FullyWritten, Outcome::Reset));
                 }
                 other => panic!("{other:?}"),
@@ -336,13 +336,13 @@
         pair.send(PATIENCE);
         pair.written().await;
         pair.far.write_all(&[OK, OK].concat()).expect("written");
-        assert!(matches!(pair.next().await, Input::Answered { .. }));
+        assert!(matches!(pair.next().await, Input::CallAnswered { .. }));
         // Its task may have ended, or has yet to see what is there.
         let _ =
             pair.orders.as_ref().expect("not called off").send((call_of(false), Instant::now() + PATIENCE));
         let end = pair.next().await;
         assert!(
-            matches!(&end, Input::LinkClosed { error, .. } if error.progress != Progress::FullyWritten),
+            matches!(&end, Input::ConnectionClosed { error, .. } if error.progress != Progress::FullyWritten),
             "{end:?}"
         );
         let mut sent = Vec::new();
@@ -371,7 +371,7 @@
             spawn_local(run(1, address, Instant::now() + until, taken, inputs));
             let _orders = (!called_off).then_some(orders);
             let end = timeout(Duration::from_secs(5), came.recv()).await.expect("in time");
-            let Some(Input::LinkClosed { error, .. }) = end else { panic!("{end:?}") };
+            let Some(Input::ConnectionClosed { error, .. }) = end else { panic!("{end:?}") };
             assert!(error.progress == Progress::NotConnected && error.given_up(), "{error}");
         }
     });
--- a/crates/forwarder/tests/pool.rs
+++ b/crates/forwarder/tests/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops: the pool against a model of their far ends, in random steps.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
-use orchidyoke_forwarder::pool::{CallId, Claim, LinkId, Pool};
+use orchidyoke_forwarder::pool::{CallId, Claim, EndpointConnectionId, Pool};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,11 @@
 /// What a connection is, seen from its far end.
 #[derive(Default)]
 struct Model {
-    open: BTreeMap<LinkId, (EndpointId, Option<Micros>)>,
-    calls: BTreeMap<CallId, (LinkId, bool)>,
-    closed: BTreeSet<LinkId>,
+    open: BTreeMap<EndpointConnectionId, (EndpointId, Option<Micros>)>,
+    calls: BTreeMap<CallId, (EndpointConnectionId, bool)>,
+    closed: BTreeSet<EndpointConnectionId>,
     /// To an address that its endpoint has left.
-    retired: BTreeSet<LinkId>,
+    retired: BTreeSet<EndpointConnectionId>,
 }
 
 // Guards against two calls on one connection, a call on one that is closed, about to be closed by the
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -6,9 +6,9 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
-use orchidyoke_forwarder::hop_call::{Cause, HopError, Progress, Reply};
+use orchidyoke_forwarder::hop_call::{Cause, EndpointCallError, Progress, Reply};
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_journal::Verdict;
+use orchidyoke_journal::FinalAnswer;
 
 // Guards against an idle connection that closes as it is chosen being laid to the next hop, or ending a message
 // that may not be repeated: nothing was written, so the same attempt goes on a new connection.
@@ -24,8 +24,9 @@
     let link = world.pick(0, |l| l.call.is_some()).expect("on the same connection");
     let call = world.links.remove(&link).and_then(|l| l.call).expect("out");
     world.fates.get_mut("b").expect("submitted").calls -= 1;
-    let error = HopError { progress: Progress::NotFullyWritten, cause: Cause::Broken("closed".to_owned()) };
-    world.input(Input::LinkClosed { link, error });
+    let error =
+        EndpointCallError { progress: Progress::NotFullyWritten, cause: Cause::Broken("closed".to_owned()) };
+    world.input(Input::ConnectionClosed { connection: link, error });
     world.step(1, Step::Connect { which: 0, up: true });
     let again = world.links.values().find_map(|l| l.call.as_ref()).expect("written again");
     assert_eq!(again.parts, call.parts);
@@ -38,7 +39,7 @@
     let mut world = World::new();
     let moves = |world: &mut World, port: u16| {
         world.rev += 1;
-        world.list[2].endpoint.set_port(port);
+        world.list[2].address.set_port(port);
         let targets = vec![world.list[2].clone()];
         world.news(targets);
     };
@@ -90,7 +91,7 @@
     world.step(0, Step::Connect { which: 0, up: true });
     world.now += 28 * S;
     world.answer(0, 0);
-    assert_eq!(world.posting.clone().expect("a notice"), [("late".to_owned(), Verdict::Failed)]);
+    assert_eq!(world.posting.clone().expect("a notice"), [("late".to_owned(), FinalAnswer::Failed)]);
 }
 
 // Guards against a message that no one ends: a next hop called it over (its client had gone), and the platform still
@@ -103,8 +104,8 @@
     world.step(0, Step::Connect { which: 0, up: true });
     let link = world.pick(0, |l| l.call.is_some()).expect("out");
     let reply = Reply { status: 410, ..Reply::default() };
-    world.input(Input::Answered { link, reply, reusable: true });
-    assert_eq!(world.posting.clone().expect("a notice"), [("gone".to_owned(), Verdict::Failed)]);
+    world.input(Input::CallAnswered { connection: link, reply, reusable: true });
+    assert_eq!(world.posting.clone().expect("a notice"), [("gone".to_owned(), FinalAnswer::Failed)]);
 }
 
 // Guards against orders without an end: the call that they shared with a status was answered after the status had run
@@ -119,7 +120,7 @@
     world.wait(2 * S + 100_000);
     world.post(true);
     world.answer(0, 0);
-    assert_eq!(world.posting.clone().expect("a notice"), [("order".to_owned(), Verdict::Failed)]);
+    assert_eq!(world.posting.clone().expect("a notice"), [("order".to_owned(), FinalAnswer::Failed)]);
 }
 
 // Guards against one route's wait that holds its sister, so that the module's sends there come back unsent and use up
@@ -160,5 +161,5 @@
     assert_eq!(world.fates["held"].calls, 1);
     world.wait(S);
     world.post(true);
-    assert_eq!(world.fates["held"].notice, Some(Verdict::Failed));
+    assert_eq!(world.fates["held"].notice, Some(FinalAnswer::Failed));
 }
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -6,7 +6,7 @@
 use common::world::{Still, World};
 use common::{S, START};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_core::transport_map::{EndpointEntry, ListedState, WatchEvent};
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::input::{Effect, Input};
@@ -17,8 +17,8 @@
 #[test]
 fn a_lost_discovery_is_asked_again_and_its_list_stays_in_use() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 3, state: State::Terminating });
-    world.input(Input::MapLost { watch: 1, why: "silent".to_owned(), wait_ms: 0, unheard: 0 });
+    world.step(0, Step::List { which: 3, state: ListedState::Draining });
+    world.input(Input::WatchEnded { watch: 1, reason: "silent".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(S);
     assert_eq!(
@@ -38,9 +38,9 @@
     world.wait(10_000);
     let text =
         common::config("127.0.0.1:1", "127.0.0.1:3", Vec::new()).replace("\"slots\":6", "\"slots\":12");
-    world.input(Input::Reconfigured(Box::new(Config::read(&text, None, None).expect("a configuration"))));
+    world.input(Input::ConfigReloaded(Box::new(Config::read(&text, None, None).expect("a configuration"))));
     assert_eq!(world.follows, [(1, 2, 1), (2, 3, 1)]);
-    world.input(Input::MapLost { watch: 1, why: "it ended".to_owned(), wait_ms: 0, unheard: 0 });
+    world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
     world.wait(S / 2);
     assert_eq!(world.follows.len(), 2, "nothing is asked again for the old one's end");
     world.step(0, Step::Connect { which: 0, up: true });
@@ -62,24 +62,24 @@
     };
     let mut world = World::new();
     let (first, ..) = world.follows[0];
-    world.input(Input::Reconfigured(config(Some("c1"))));
+    world.input(Input::ConfigReloaded(config(Some("c1"))));
     let (second, port, held) = *world.follows.last().expect("followed");
     assert_eq!((world.follows.len(), port, held), (2, 0, 1), "it goes on from the list that discovery told");
-    let gone = |origin: &str| News {
-        rev: 2,
-        all: false,
-        targets: vec![Target { state: State::Terminated, ..common::targets()[2].clone() }],
+    let gone = |origin: &str| WatchEvent {
+        version: 2,
+        is_snapshot: false,
+        endpoints: vec![EndpointEntry { state: ListedState::Removed, ..common::targets()[2].clone() }],
         origin: origin.to_owned(),
     };
-    world.input(Input::News { watch: first, news: gone("") });
-    world.input(Input::MapLost { watch: first, why: "left".to_owned(), wait_ms: 0, unheard: 0 });
+    world.input(Input::WatchEvent { watch: first, event: gone("") });
+    world.input(Input::WatchEnded { watch: first, reason: "left".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(world.pick(0, |l| !l.up).is_some(), "the list is as it was");
-    world.input(Input::Reconfigured(config(Some("c1"))));
+    world.input(Input::ConfigReloaded(config(Some("c1"))));
     assert_eq!(world.follows.len(), 2, "the same catalogue is not followed anew");
-    world.input(Input::News { watch: second, news: gone("c1") });
-    world.input(Input::Reconfigured(config(None)));
+    world.input(Input::WatchEvent { watch: second, event: gone("c1") });
+    world.input(Input::ConfigReloaded(config(None)));
     let (_, port, since) = *world.follows.last().expect("followed");
     assert_eq!(
         (port, since),
@@ -93,8 +93,8 @@
 fn fleet_asks(size: u32, lasted: Micros, wait_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
     let asks = |reducer: &mut Reducer, from: Micros| {
         let at = (0..20_000).map(|n| from + n * S / 100).find(|now| {
-            let effects = reducer.step(*now, Input::Alarm);
-            effects.iter().any(|effect| matches!(effect, Effect::Follow { .. }))
+            let effects = reducer.step(*now, Input::TimerDue);
+            effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }))
         });
         at.expect("asked") - from
     };
@@ -103,13 +103,20 @@
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
         let mut config = Config::read(&text, None, None).expect("a configuration");
         assert_eq!(config.settings.fleet_size, size);
-        (config.seed, config.settings.ask_every) = (u64::from(seed), 10 * S);
+        (config.seed, config.settings.max_poll_interval) = (u64::from(seed), 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let first = asks(&mut reducer, START);
         let lost = START + first + lasted * S;
-        let effects =
-            reducer.step(lost, Input::MapLost { watch: 1, why: "it ended".to_owned(), wait_ms, unheard: 0 });
-        let at_once = effects.iter().any(|effect| matches!(effect, Effect::Follow { .. }));
+        let effects = reducer.step(
+            lost,
+            Input::WatchEnded {
+                watch: 1,
+                reason: "it ended".to_owned(),
+                retry_after_ms: wait_ms,
+                silence: 0,
+            },
+        );
+        let at_once = effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }));
         (first, if at_once { 0 } else { asks(&mut reducer, lost) })
     };
     (0..size).map(one).unzip()
@@ -168,7 +175,7 @@
     for (seed, size) in [(1, 1), (2, 3), (3, 100), (4, 300)] {
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
         let mut config = Config::read(&text, None, None).expect("a configuration");
-        (config.seed, config.settings.ask_every) = (seed, 10 * S);
+        (config.seed, config.settings.max_poll_interval) = (seed, 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let mut now = START;
         // Refused at once, with waits; a dial that hangs; silent before its first line; silent, and dribbling, after it.
@@ -182,19 +189,24 @@
             (9 * S, 9 * S / 2, 0),
         ];
         let asks =
-            |effects: Vec<Effect>| effects.iter().any(|effect| matches!(effect, Effect::Follow { .. }));
-        while !asks(reducer.step(now, Input::Alarm)) {
+            |effects: Vec<Effect>| effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }));
+        while !asks(reducer.step(now, Input::TimerDue)) {
             now += S / 100;
         }
         for (watch, (lasts, unheard, wait_ms)) in (1..).zip(ways.into_iter().cycle().take(70)) {
             now += lasts;
             let last_word = now - unheard;
-            let lost = Input::MapLost { watch, why: "lost".to_owned(), wait_ms, unheard };
+            let lost = Input::WatchEnded {
+                watch,
+                reason: "lost".to_owned(),
+                retry_after_ms: wait_ms,
+                silence: unheard,
+            };
             let mut asked = asks(reducer.step(now, lost));
             while !asked {
                 now += S / 100;
                 assert!(now - last_word <= 5 * S + S / 100, "{size}: not asked after watch {watch}");
-                asked = asks(reducer.step(now, Input::Alarm));
+                asked = asks(reducer.step(now, Input::TimerDue));
             }
         }
     }
@@ -207,10 +219,10 @@
     let mut world = World::new();
     let told = |world: &mut World, rev: u64, drains: bool| {
         let mut targets = common::targets();
-        targets[2].state = if drains { State::Terminating } else { State::InService };
-        let news = News { rev, all: true, targets, origin: String::new() };
+        targets[2].state = if drains { ListedState::Draining } else { ListedState::Active };
+        let news = WatchEvent { version: rev, is_snapshot: true, endpoints: targets, origin: String::new() };
         let watch = world.follows.last().expect("followed").0;
-        world.input(Input::News { watch, news });
+        world.input(Input::WatchEvent { watch, event: news });
     };
     told(&mut world, 43, true);
     // The same watch goes back, twice: it lags.
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -4,7 +4,7 @@
 
 use common::S;
 use common::world::World;
-use orchidyoke_core::transport_map::State;
+use orchidyoke_core::transport_map::ListedState;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::input::Input;
@@ -22,14 +22,14 @@
     );
     assert!(world.operate(out.clone()) && world.operate(out.clone()));
     world.out.insert("s-c".to_owned());
-    for state in [State::Terminated, State::InService] {
+    for state in [ListedState::Removed, ListedState::Active] {
         world.rev += 1;
         world.list[2].state = state;
         let targets = vec![world.list[2].clone()];
         world.news(targets);
     }
     let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
-    world.input(Input::Reconfigured(Box::new(Config::read(&text, None, None).expect("a configuration"))));
+    world.input(Input::ConfigReloaded(Box::new(Config::read(&text, None, None).expect("a configuration"))));
     world.restart();
     world.submit("m".to_owned(), true, 2, 10);
     world.wait(2 * S);
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -8,13 +8,13 @@
 use common::world::{Still, World, followed, reducer};
 use common::{S, START};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_core::transport_map::{EndpointEntry, ListedState, WatchEvent};
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::config::Config;
-use orchidyoke_forwarder::input::{Effect, Following, Input, Submission};
+use orchidyoke_forwarder::input::{Effect, Input, Submission, WatchSource};
 use orchidyoke_forwarder::ownership::Marked;
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_journal::{Record, Verdict, replay};
+use orchidyoke_journal::{FinalAnswer, Record, replay};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 #[test]
 fn a_restart_keeps_the_endpoints_that_never_changed() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 3, state: State::Terminating });
+    world.step(0, Step::List { which: 3, state: ListedState::Draining });
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -34,7 +34,7 @@
 #[test]
 fn a_restart_keeps_a_drain_that_was_told() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 2, state: State::Terminating });
+    world.step(0, Step::List { which: 2, state: ListedState::Draining });
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -47,7 +47,7 @@
 fn a_restart_with_a_full_file_loses_no_message() {
     let mut world = World::new();
     // Nothing may go there: the message stays held.
-    world.step(0, Step::List { which: 2, state: State::Terminating });
+    world.step(0, Step::List { which: 2, state: ListedState::Draining });
     world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
     let mut rewrites = 0;
@@ -57,13 +57,13 @@
         world.step(number, Step::Connect { which: number, up: true });
         world.answer(0, 0);
         if world.file.len() > 160_000 {
-            let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::Alarm);
+            let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::TimerDue);
             for effect in first {
-                if let Effect::Rewrite { bytes } = effect {
+                if let Effect::CompactJournal { bytes } = effect {
                     rewrites += 1;
                     let kept = |(record, _): &(Record, Bytes)| {
-                        matches!(record, Record::Taken(taken) if taken.txn == "kept")
-                            || matches!(record, Record::Owed { txn, .. } if txn == "kept")
+                        matches!(record, Record::Accepted(taken) if taken.id == "kept")
+                            || matches!(record, Record::AnswerDecided { message, .. } if message == "kept")
                     };
                     assert!(replay(bytes).0.iter().any(kept), "after message {number}");
                 }
@@ -84,12 +84,12 @@
     let asked = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
         let (records, whole) = replay(Bytes::copy_from_slice(file));
         let mut reducer = Reducer::new(config, 0, records, whole, START);
-        let inputs = [Some(Input::Alarm), reload.map(|config| Input::Reconfigured(Box::new(config)))];
+        let inputs = [Some(Input::TimerDue), reload.map(|config| Input::ConfigReloaded(Box::new(config)))];
         let mut port = 0;
         for effect in inputs.into_iter().flatten().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::Follow { from, .. } => port = followed(&from).0,
+                Effect::StartWatch { from, .. } => port = followed(&from).0,
                 _ => {}
             }
         }
@@ -116,20 +116,21 @@
     for start in 0..2 {
         let (records, whole) = replay(Bytes::copy_from_slice(&file));
         let mut reducer = Reducer::new(config(), 0, records, whole, START);
-        let told = Target { uid: format!("n1/web-{start}"), ..common::targets()[0].clone() };
-        let targets = vec![Target { state: State::Terminated, ..common::targets()[3].clone() }, told];
-        let news = News { rev: 0, all: false, targets, origin: "c1".to_owned() };
-        let inputs = [Input::Alarm, Input::News { watch: 1, news }];
+        let told = EndpointEntry { uid: format!("n1/web-{start}"), ..common::targets()[0].clone() };
+        let targets =
+            vec![EndpointEntry { state: ListedState::Removed, ..common::targets()[3].clone() }, told];
+        let news = WatchEvent { version: 0, is_snapshot: false, endpoints: targets, origin: "c1".to_owned() };
+        let inputs = [Input::TimerDue, Input::WatchEvent { watch: 1, event: news }];
         for effect in inputs.into_iter().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::Follow { from: Following::Catalogue { held: news, .. }, .. } => held.push(news),
+                Effect::StartWatch { from: WatchSource::Catalogue { held: news, .. }, .. } => held.push(news),
                 _ => {}
             }
         }
     }
-    let uids: Vec<_> = held[1].targets.iter().map(|t| t.uid.as_str()).collect();
-    assert_eq!((held[0].targets.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
+    let uids: Vec<_> = held[1].endpoints.iter().map(|t| t.uid.as_str()).collect();
+    assert_eq!((held[0].endpoints.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
 }
 
 // Guards against a message that was taken on and stands in no file: where the journal was rewritten in the very step in
@@ -143,7 +144,7 @@
             world.wait(5_000);
             while let Some(link) = world.pick(0, |link| !link.up) {
                 world.links.get_mut(&link).expect("there").up = true;
-                world.input(Input::LinkUp { link });
+                world.input(Input::ConnectionUp { connection: link });
             }
             world.answer(0, 0);
         }
@@ -165,9 +166,10 @@
         world.now += pause;
         if moves {
             // While the process is dead; it is at the other building under its name.
-            let place = world.list.iter().position(|t| t.pod_group == 2 && t.az == first).expect("listed");
+            let place =
+                world.list.iter().position(|t| t.destination == 2 && t.zone == first).expect("listed");
             world.rev += 1;
-            world.list[place].az = if first == "a" { "b" } else { "a" }.to_owned();
+            world.list[place].zone = if first == "a" { "b" } else { "a" }.to_owned();
         }
         world.restart();
         for _ in 0..40 {
@@ -177,7 +179,7 @@
         assert_eq!(world.fates["held"].calls, calls, "again in its building and window alone, with its key");
         world.wait(5 * S);
         world.post(true);
-        assert_eq!(world.fates["held"].notice, Some(Verdict::Failed), "nobody drops its repeat any more");
+        assert_eq!(world.fates["held"].notice, Some(FinalAnswer::Failed), "nobody drops its repeat any more");
     }
 }
 
@@ -188,36 +190,38 @@
     handed: Option<Submission>,
     from: Micros,
     span: Micros,
-) -> (Vec<Micros>, Vec<(Micros, Verdict)>) {
+) -> (Vec<Micros>, Vec<(Micros, FinalAnswer)>) {
     let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_targets());
     let text = text.replace("\"window_us\":2000000", "\"window_us\":1000000");
     let config = Config::read(&text, None, None).expect("a configuration");
     let (records, whole) = replay(Bytes::copy_from_slice(file));
     let mut reducer = Reducer::new(config, 0, records, whole, from);
     let (mut written, mut posted) = (Vec::new(), Vec::new());
-    let mut inputs = VecDeque::from([Input::Alarm]);
-    inputs.extend(handed.map(|message| Input::Submitted { ticket: 1, message }));
+    let mut inputs = VecDeque::from([Input::TimerDue]);
+    inputs.extend(handed.map(|message| Input::Submitted { request: 1, message }));
     let mut now = from;
     while now < from + span {
         while let Some(input) = inputs.pop_front() {
             for effect in reducer.step(now, input) {
                 match effect {
-                    Effect::Append { receipt, bytes } => {
+                    Effect::Append { append: receipt, bytes } => {
                         file.extend_from_slice(&bytes);
-                        inputs.push_back(Input::Appended { receipt, stored: true, size: file.len() });
+                        inputs.push_back(Input::Appended { append: receipt, stored: true, size: file.len() });
                     }
-                    Effect::Dial { link, .. } => inputs.push_back(Input::LinkUp { link }),
-                    Effect::Write { .. } => written.push(now),
-                    Effect::Post { notices, .. } => {
+                    Effect::Connect { connection: link, .. } => {
+                        inputs.push_back(Input::ConnectionUp { connection: link })
+                    }
+                    Effect::SendCall { .. } => written.push(now),
+                    Effect::PostNotifications { notifications: notices, .. } => {
                         posted.extend(notices.into_iter().map(|(_, verdict)| (now, verdict)));
-                        inputs.push_back(Input::Posted { accepted: true });
+                        inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
                     _ => {}
                 }
             }
         }
         now += 5_000;
-        inputs.push_back(Input::Alarm);
+        inputs.push_back(Input::TimerDue);
     }
     (written, posted)
 }
@@ -228,14 +232,14 @@
 fn a_window_of_one_second_is_counted_over_a_restart() {
     for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
         let handed = Submission {
-            txn: "a".to_owned(),
+            id: "a".to_owned(),
             class: "bread".to_owned(),
-            org: None,
-            key: Some("k".to_owned()),
-            dest: 2,
+            tenant: None,
+            idempotency_key: Some("k".to_owned()),
+            destination: 2,
             time_left: 20 * S,
-            repeat: false,
-            marked: Marked::No,
+            is_retry: false,
+            handover_mark: Marked::No,
             body: Bytes::from_static(b"x"),
         };
         let mut file = Vec::new();
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -11,7 +11,7 @@
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::Marked;
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_journal::Verdict;
+use orchidyoke_journal::FinalAnswer;
 
 // Guards against a crash or a lost message when the folder is full: what does not fit is deferred.
 #[test]
@@ -31,7 +31,7 @@
 #[test]
 fn a_stop_ends_in_time_and_answers_to_the_last() {
     let mut world = World::new();
-    world.input(Input::Sender { joined: true });
+    world.input(Input::ClientConnection { connected: true });
     world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
@@ -47,7 +47,7 @@
     world.restart();
     world.wait(10_000);
     let owed = world.posting.clone().expect("the order that was out is ended at once");
-    assert_eq!(owed, [("a".to_owned(), Verdict::Failed)]);
+    assert_eq!(owed, [("a".to_owned(), FinalAnswer::Failed)]);
 }
 
 // Guards against a deployment without tenants that takes nothing, against a message without what its class or deployment
@@ -66,17 +66,17 @@
         let (org, key) = (org.map(str::to_owned), key.map(str::to_owned));
         let body = Bytes::from_static(b"x");
         let message = Submission {
-            txn: "a".to_owned(),
+            id: "a".to_owned(),
             class,
-            org,
-            key,
-            dest: 2,
+            tenant: org,
+            idempotency_key: key,
+            destination: 2,
             time_left: S,
-            repeat: false,
-            marked: Marked::No,
+            is_retry: false,
+            handover_mark: Marked::No,
             body,
         };
-        let effects = reducer.step(START, Input::Submitted { ticket: 1, message });
+        let effects = reducer.step(START, Input::Submitted { request: 1, message });
         let told = effects.iter().find_map(|effect| match effect {
             Effect::Answer { answer, .. } => Some(*answer),
             _ => None,
@@ -104,23 +104,23 @@
             let (class, body) = ("state".to_owned(), Bytes::from_static(b"x"));
             let txn = format!("m{ticket}");
             let message = Submission {
-                txn,
+                id: txn,
                 class,
-                org: None,
-                key: None,
-                dest: 2,
+                tenant: None,
+                idempotency_key: None,
+                destination: 2,
                 time_left: S,
-                repeat: false,
-                marked: Marked::No,
+                is_retry: false,
+                handover_mark: Marked::No,
                 body,
             };
-            for effect in reducer.step(START, Input::Submitted { ticket, message }) {
-                if let Effect::Answer { ticket: 1, answer } = effect {
+            for effect in reducer.step(START, Input::Submitted { request: ticket, message }) {
+                if let Effect::Answer { request: 1, answer } = effect {
                     told = Some(answer);
                 }
             }
         }
-        assert_eq!(told, Some(SubmitAnswer::Deferred(expected)), "{change:?}");
+        assert_eq!(told, Some(SubmitAnswer::Rejected(expected)), "{change:?}");
     }
 }
 
@@ -133,13 +133,13 @@
     let ticket = *world.tickets.keys().last().expect("it waits");
     world.wait(10_000);
     assert!(world.fates["kept"].taken_on, "its 202 is on the way");
-    world.input(Input::Withdrawn { ticket });
+    world.input(Input::Withdrawn { request: ticket });
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
     assert!(world.fates["kept"].delivered);
     world.submit("left".to_owned(), true, 2, 10);
     let ticket = *world.tickets.keys().last().expect("it waits");
-    world.input(Input::Withdrawn { ticket });
+    world.input(Input::Withdrawn { request: ticket });
     world.wait(S);
     assert!(!world.fates["left"].taken_on && world.pick(0, |l| l.call.is_some()).is_none());
 }
--- a/crates/forwarder/tests/succession.rs
+++ b/crates/forwarder/tests/succession.rs
@@ -8,7 +8,7 @@
 use common::processes::{Processes, Step};
 use orchidyoke_forwarder::hop_call::Reply;
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_journal::{Record, Stage, replay};
+use orchidyoke_journal::{ProcessStage, Record, replay};
 use quickcheck::{Gen, QuickCheck};
 
 // Guards against a message lost, sent by both or ended twice in an upgrade, against waits, outs and attempts that one
@@ -41,13 +41,13 @@
     world.wait(S / 10);
     let (_, first) = world.pick(0, |link| !link.up).expect("dialled");
     world.processes[0].links.get_mut(&first).expect("there").up = true;
-    world.input(0, Input::LinkUp { link: first });
+    world.input(0, Input::ConnectionUp { connection: first });
     world.start();
     world.submit(1, "m3".to_owned(), true, 2, 10);
     world.wait(S);
     assert!(world.processes[1].links.is_empty(), "while the elder works, the newcomer begins nothing");
     world.look(0);
-    world.input(0, Input::Terminate);
+    world.input(0, Input::Shutdown);
     assert!(world.processes[0].handed_over);
     world.wait(S / 20);
     assert_eq!(world.processes[0].links.len(), 1, "its call goes on");
@@ -57,14 +57,14 @@
     // It ends without delivery and never ran: from then on it is the successor's.
     let call = world.processes[0].links.get_mut(&first).and_then(|link| link.call.take()).expect("a call");
     let reply = Reply { status: 503, bulk: call.bulk, ..Reply::default() };
-    world.input(0, Input::Answered { link: first, reply, reusable: true });
+    world.input(0, Input::CallAnswered { connection: first, reply, reusable: true });
     world.wait(S / 20);
     assert_eq!(mine(&world, world.processes.len() - 1), 4);
     world.wait(S);
     assert_eq!(world.processes.len(), 1, "nothing is left to do: it ends by itself");
     assert_eq!(world.files.len(), 1, "and its file is taken up");
     let (records, _) = replay(Bytes::copy_from_slice(&world.files[&1].bytes));
-    assert!(records.iter().any(|(record, _)| *record == Record::Stage { stage: Stage::Ready }));
+    assert!(records.iter().any(|(record, _)| *record == Record::ProcessStage { stage: ProcessStage::Ready }));
 }
 
 // Guards against a newcomer that dies before the elder is told to end, or without a word: what it had taken on is the
@@ -90,7 +90,7 @@
         world.operate(at, "s-c", true);
         world.wait(S / 50);
         assert!(world.processes.iter().all(|process| process.reducer.gauges().targets_disabled >= 1));
-        world.input(0, Input::Terminate);
+        world.input(0, Input::Shutdown);
         world.submit(1, "a".to_owned(), true, 2, 10);
         world.wait(3 * S);
         assert!(world.processes.iter().all(|process| process.links.is_empty()), "called at {at}");
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -1,6 +1,6 @@
 //! The files of a folder: this process's own, and those of the others that share it.
 
-use crate::record::Entries;
+use crate::record::RecordsWithBodies;
 use crate::recovery::{Reading, read};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -22,7 +22,7 @@
     /// The process's own file: the newest whose process has ended, or a new one.
     pub journal: Journal,
     /// What is in it.
-    pub records: Entries,
+    pub records: RecordsWithBodies,
     /// The files of all others, those of processes that have ended too.
     pub others: Vec<Other>,
 }
@@ -190,7 +190,7 @@
     /// The file was rewritten: the records begin anew.
     pub anew: bool,
     /// What has come since the last look.
-    pub records: Entries,
+    pub records: RecordsWithBodies,
     /// Bytes in the file.
     pub size: usize,
     /// Its process has ended: nothing more will come, and this process holds the lock.
@@ -311,7 +311,7 @@
             bytes
         };
         let seen = |look: Look| -> Vec<String> {
-            let txn = |record| if let Record::Taken(taken) = record { taken.txn } else { String::new() };
+            let txn = |record| if let Record::Accepted(taken) = record { taken.id } else { String::new() };
             look.records.into_iter().map(|(record, _)| txn(record)).collect()
         };
         let mut elder = Journal::open(&folder).expect("opens").journal;
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -12,6 +12,9 @@
 mod space;
 
 pub use file::{Generation, Journal, Look, Opened, Other, others};
-pub use record::{Custody, Entries, Offered, Record, Stage, Taken, Trace, Verdict};
+pub use record::{
+    AcceptedMessage, AttemptStart, FinalAnswer, HandoverOffer, HandoverState, ProcessStage, Record,
+    RecordsWithBodies,
+};
 pub use recovery::{Reading, read, replay};
 pub use space::Space;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::News;
+use orchidyoke_core::transport_map::WatchEvent;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -12,93 +12,101 @@
 /// How a message ended without delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// Given up, with no promise.
     Failed,
     /// Deferred: it may be handed in again, after so many milliseconds.
-    Returned {
+    #[serde(rename = "returned")]
+    Rejected {
         /// When to come back.
-        after_ms: i64,
+        #[serde(rename = "after_ms")]
+        retry_after_ms: i64,
     },
 }
 
 /// A delivery attempt that may have run: when it began, and at which endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trace {
+pub struct AttemptStart {
     /// When it began.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub started_at: Micros,
     /// The endpoint's uid.
-    pub uid: String,
+    #[serde(rename = "uid")]
+    pub endpoint: String,
     /// Its zone when the attempt began: only there is a repeat dropped, wherever the endpoint is listed later. Empty in
     /// records of versions before.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub az: String,
+    #[serde(rename = "az", default, skip_serializing_if = "String::is_empty")]
+    pub zone: String,
 }
 
 /// A message, as far as what comes later depends on it. Its body stands apart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// Its id.
-    pub txn: String,
+    #[serde(rename = "txn")]
+    pub id: String,
     /// Name of its class.
     pub class: String,
     /// Its tenant; empty where the deployment has none.
-    pub org: String,
+    #[serde(rename = "org")]
+    pub tenant: String,
     /// Its idempotency key, as it came.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub key: Option<String>,
+    #[serde(rename = "key", default, skip_serializing_if = "Option::is_none")]
+    pub idempotency_key: Option<String>,
     /// Its destination.
-    pub dest: u64,
+    #[serde(rename = "dest")]
+    pub destination: u64,
     /// When its time is up.
     pub deadline: Micros,
     /// Attempts used.
     pub attempts: u32,
     /// The first attempt that may have run.
-    pub ran: Option<Trace>,
+    #[serde(rename = "ran")]
+    pub possible_delivery: Option<AttemptStart>,
     /// The attempt that is out.
-    pub out: Option<Trace>,
+    #[serde(rename = "out")]
+    pub in_flight: Option<AttemptStart>,
     /// Where it stands between the forwarders of a fleet: kept in records of its own, which versions that know nothing
     /// of them must not pass over.
     #[serde(skip)]
-    pub custody: Custody,
+    pub handover: HandoverState,
 }
 
 /// Where a message stands between the forwarders of a fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Custody {
+pub struct HandoverState {
     /// The forwarder that it was offered to and that may have taken it.
-    pub offered: Option<Offered>,
+    pub offered: Option<HandoverOffer>,
     /// It is delivered by this forwarder, whoever owns its destination.
-    pub kept: bool,
+    pub kept_local: bool,
 }
 
 /// An offer of a message to the forwarder that owns its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Offered {
+pub struct HandoverOffer {
     /// The owner's name.
-    pub to: String,
+    pub owner: String,
     /// When it was first offered to it.
-    pub at: Micros,
+    pub offered_at: Micros,
 }
 
-impl Taken {
+impl AcceptedMessage {
     /// The records that follow the message's own in a snapshot.
-    pub fn custody_records(&self) -> Vec<Record> {
-        let offered = self.custody.offered.iter().map(|Offered { to, at }| Record::Offered {
-            txn: self.txn.clone(),
-            to: to.clone(),
-            at: *at,
+    pub fn handover_records(&self) -> Vec<Record> {
+        let offered = self.handover.offered.iter().map(|HandoverOffer { owner: to, offered_at: at }| {
+            Record::HandoverOffered { message: self.id.clone(), owner: to.clone(), at: *at }
         });
-        let kept = self.custody.kept.then(|| Record::Kept { txn: self.txn.clone() });
+        let kept = self.handover.kept_local.then(|| Record::KeptLocal { message: self.id.clone() });
         offered.chain(kept).collect()
     }
 
     /// What it was offered to may have it and is not asked any more: from now on that counts as an attempt that may have
     /// run, at an endpoint that nobody here knows.
     pub fn count_offer_as_attempt(&mut self) {
-        if let Some(offered) = self.custody.offered.take() {
-            let unknown = Trace { at: offered.at, uid: String::new(), az: String::new() };
-            self.ran.get_or_insert(unknown);
+        if let Some(offered) = self.handover.offered.take() {
+            let unknown =
+                AttemptStart { started_at: offered.offered_at, endpoint: String::new(), zone: String::new() };
+            self.possible_delivery.get_or_insert(unknown);
         }
     }
 }
@@ -109,113 +117,149 @@
 pub enum Record {
     /// A message was taken on. One with a key is written as a kind of its own: versions that know of no keys must not
     /// read it, for they would send it without.
-    Taken(Taken),
+    #[serde(rename = "taken")]
+    Accepted(AcceptedMessage),
     /// A call is about to be written.
-    Begun {
+    #[serde(rename = "begun")]
+    AttemptStarted {
         /// The messages in it.
-        txns: Vec<String>,
+        #[serde(rename = "txns")]
+        messages: Vec<String>,
         /// When and where.
-        trace: Trace,
+        #[serde(rename = "trace")]
+        attempt: AttemptStart,
     },
     /// The attempt that was out has ended and may have run.
-    Ran {
+    #[serde(rename = "ran")]
+    AttemptInDoubt {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
     },
     /// The attempt that was out never ran.
-    Unseen {
+    #[serde(rename = "unseen")]
+    AttemptNotDelivered {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
     },
     /// An attempt was used up with nothing written.
-    Missed {
+    #[serde(rename = "missed")]
+    AttemptNotSent {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
     },
     /// The final answer is decided, and its notice still owed.
-    Owed {
+    #[serde(rename = "owed")]
+    AnswerDecided {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
         /// When.
         at: Micros,
         /// The answer.
-        verdict: Verdict,
+        #[serde(rename = "verdict")]
+        answer: FinalAnswer,
     },
     /// Nothing more is owed.
-    Over {
+    #[serde(rename = "over")]
+    Finished {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
         /// When.
         at: Micros,
     },
     /// The message is about to be offered to the forwarder that owns its destination.
-    Offered {
+    #[serde(rename = "offered")]
+    HandoverOffered {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
         /// The owner's name.
-        to: String,
+        #[serde(rename = "to")]
+        owner: String,
         /// When.
         at: Micros,
     },
     /// The forwarder that it was offered to never took it.
-    Declined {
+    #[serde(rename = "declined")]
+    HandoverDeclined {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
     },
     /// The forwarder that it was offered to may have it and is not asked any more.
-    Unresolved {
+    #[serde(rename = "unresolved")]
+    HandoverInDoubt {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
     },
     /// The message is delivered by this forwarder, whoever owns its destination.
-    Kept {
+    #[serde(rename = "kept")]
+    KeptLocal {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
     },
     /// The owner has taken the message on: nothing more is owed here.
     HandedOver {
         /// The message.
-        txn: String,
+        #[serde(rename = "txn")]
+        message: String,
         /// The owner's name.
-        to: String,
+        #[serde(rename = "to")]
+        owner: String,
         /// When.
         at: Micros,
     },
     /// News of the transport map.
-    Map(News),
+    #[serde(rename = "map")]
+    EndpointList(WatchEvent),
     /// A reload has put the file's discovery in the place of this address, which was given apart from it.
-    Superseded {
+    #[serde(rename = "superseded")]
+    DiscoverySuperseded {
         /// The address given.
         discovery: SocketAddr,
     },
     /// An operator has taken an endpoint out, or put it back.
-    ByHand {
+    #[serde(rename = "by_hand")]
+    OperatorOverride {
         /// The endpoint.
-        uid: String,
+        #[serde(rename = "uid")]
+        endpoint: String,
         /// When.
         at: Micros,
         /// Out, or back.
-        out: bool,
+        #[serde(rename = "out")]
+        ejected: bool,
     },
     /// A destination told to wait.
-    Wait {
+    #[serde(rename = "wait")]
+    RetryAfter {
         /// The destination.
-        dest: u64,
+        #[serde(rename = "dest")]
+        destination: u64,
         /// The endpoint, where its endpoints are routes apart.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        uid: Option<String>,
+        #[serde(rename = "uid", default, skip_serializing_if = "Option::is_none")]
+        endpoint: Option<String>,
         /// Until when.
         until: Micros,
     },
     /// How far this process is: in the order of a life, each once.
-    Stage {
+    #[serde(rename = "stage")]
+    ProcessStage {
         /// From here on.
-        stage: Stage,
+        stage: ProcessStage,
     },
     /// The destinations and routes in trouble, all of them.
-    Troubled {
+    #[serde(rename = "troubled")]
+    FaultyRoutes {
         /// Numbers of the destinations.
-        dests: Vec<u64>,
+        #[serde(rename = "dests")]
+        destinations: Vec<u64>,
         /// Routes apart: the destination's number and the endpoint's uid.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         routes: Vec<(u64, String)>,
@@ -225,7 +269,7 @@
 /// How far a process is, for those that share its folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum ProcessStage {
     /// It has started.
     #[default]
     Started,
@@ -233,26 +277,27 @@
     Ready,
     /// It was told to end beside a successor: it begins no more attempts, and what it holds and has not out is the
     /// successor's, as is each message whose attempt ends without delivery from here on.
-    Yielded,
+    #[serde(rename = "yielded")]
+    HandedOff,
 }
 
 /// The kinds of records that came after the first version and change what an earlier kind means.
 #[derive(Serialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 enum WithKey<'a> {
-    Keyed(&'a Taken),
+    Keyed(&'a AcceptedMessage),
 }
 
 /// Records with the bodies of those that have one, in the order of the file.
-pub type Entries = Vec<(Record, Bytes)>;
+pub type RecordsWithBodies = Vec<(Record, Bytes)>;
 
 impl Record {
-    /// The framed bytes of this record; only [`Record::Taken`] has a body.
+    /// The framed bytes of this record; only [`Record::Accepted`] has a body.
     pub fn encode(&self, body: &[u8], into: &mut BytesMut) {
         let start = into.len();
         into.put_bytes(0, FRAME + 4);
         let written = match self {
-            Record::Taken(taken) if taken.key.is_some() => {
+            Record::Accepted(taken) if taken.idempotency_key.is_some() => {
                 serde_json::to_writer(into.writer(), &WithKey::Keyed(taken))
             }
             _ => serde_json::to_writer(into.writer(), self),
@@ -277,7 +322,7 @@
         #[derive(Deserialize)]
         struct Begun {
             txns: Vec<String>,
-            trace: Trace,
+            trace: AttemptStart,
         }
         #[derive(Deserialize)]
         struct Txn {
@@ -287,7 +332,7 @@
         struct Owed {
             txn: String,
             at: Micros,
-            verdict: Verdict,
+            verdict: FinalAnswer,
         }
         #[derive(Deserialize)]
         struct Over {
@@ -319,7 +364,7 @@
         }
         #[derive(Deserialize)]
         struct StageOf {
-            stage: Stage,
+            stage: ProcessStage,
         }
         #[derive(Deserialize)]
         struct Troubled {
@@ -332,53 +377,53 @@
         }
         let kind: Kind<'_> = serde_json::from_slice(text)?;
         Ok(match kind.is {
-            "taken" | "keyed" => Record::Taken(serde_json::from_slice(text)?),
+            "taken" | "keyed" => Record::Accepted(serde_json::from_slice(text)?),
             "begun" => {
                 let Begun { txns, trace } = serde_json::from_slice(text)?;
-                Record::Begun { txns, trace }
+                Record::AttemptStarted { messages: txns, attempt: trace }
             }
-            "ran" => Record::Ran { txn: txn(text)? },
-            "unseen" => Record::Unseen { txn: txn(text)? },
-            "missed" => Record::Missed { txn: txn(text)? },
+            "ran" => Record::AttemptInDoubt { message: txn(text)? },
+            "unseen" => Record::AttemptNotDelivered { message: txn(text)? },
+            "missed" => Record::AttemptNotSent { message: txn(text)? },
             "owed" => {
                 let Owed { txn, at, verdict } = serde_json::from_slice(text)?;
-                Record::Owed { txn, at, verdict }
+                Record::AnswerDecided { message: txn, at, answer: verdict }
             }
             "over" => {
                 let Over { txn, at } = serde_json::from_slice(text)?;
-                Record::Over { txn, at }
+                Record::Finished { message: txn, at }
             }
             "offered" => {
                 let ToOwner { txn, to, at } = serde_json::from_slice(text)?;
-                Record::Offered { txn, to, at }
+                Record::HandoverOffered { message: txn, owner: to, at }
             }
-            "declined" => Record::Declined { txn: txn(text)? },
-            "unresolved" => Record::Unresolved { txn: txn(text)? },
-            "kept" => Record::Kept { txn: txn(text)? },
+            "declined" => Record::HandoverDeclined { message: txn(text)? },
+            "unresolved" => Record::HandoverInDoubt { message: txn(text)? },
+            "kept" => Record::KeptLocal { message: txn(text)? },
             "handed_over" => {
                 let ToOwner { txn, to, at } = serde_json::from_slice(text)?;
-                Record::HandedOver { txn, to, at }
+                Record::HandedOver { message: txn, owner: to, at }
             }
-            "map" => Record::Map(serde_json::from_slice(text)?),
+            "map" => Record::EndpointList(serde_json::from_slice(text)?),
             "superseded" => {
                 let Superseded { discovery } = serde_json::from_slice(text)?;
-                Record::Superseded { discovery }
+                Record::DiscoverySuperseded { discovery }
             }
             "by_hand" => {
                 let ByHand { uid, at, out } = serde_json::from_slice(text)?;
-                Record::ByHand { uid, at, out }
+                Record::OperatorOverride { endpoint: uid, at, ejected: out }
             }
             "wait" => {
                 let Wait { dest, uid, until } = serde_json::from_slice(text)?;
-                Record::Wait { dest, uid, until }
+                Record::RetryAfter { destination: dest, endpoint: uid, until }
             }
             "stage" => {
                 let StageOf { stage } = serde_json::from_slice(text)?;
-                Record::Stage { stage }
+                Record::ProcessStage { stage }
             }
             "troubled" => {
                 let Troubled { dests, routes } = serde_json::from_slice(text)?;
-                Record::Troubled { dests, routes }
+                Record::FaultyRoutes { destinations: dests, routes }
             }
             other => return Err(serde::de::Error::custom(format!("no kind of record: {other}"))),
         })
@@ -402,50 +447,61 @@
 
     pub(crate) fn taken(txn: &str) -> Record {
         let (class, org) = ("status".to_owned(), "acme".to_owned());
-        let trace = Some(Trace { at: 5, uid: "s".to_owned(), az: String::new() });
-        Record::Taken(Taken {
-            txn: txn.to_owned(),
+        let trace = Some(AttemptStart { started_at: 5, endpoint: "s".to_owned(), zone: String::new() });
+        Record::Accepted(AcceptedMessage {
+            id: txn.to_owned(),
             class,
-            org,
-            key: None,
-            dest: 3,
+            tenant: org,
+            idempotency_key: None,
+            destination: 3,
             deadline: 9,
             attempts: 2,
-            ran: None,
-            out: trace,
-            custody: Custody::default(),
+            possible_delivery: None,
+            in_flight: trace,
+            handover: HandoverState::default(),
         })
     }
 
     // Guards against a kind of record that is written and not read.
     #[test]
     fn every_kind_of_record_is_read_as_it_was_written() {
-        let (txn, trace) =
-            ("a\"b".to_owned(), Trace { at: i64::MAX, uid: "s".to_owned(), az: "b".to_owned() });
-        let news = News { rev: 3, all: true, targets: Vec::new(), origin: "consul:1".to_owned() };
+        let (txn, trace) = (
+            "a\"b".to_owned(),
+            AttemptStart { started_at: i64::MAX, endpoint: "s".to_owned(), zone: "b".to_owned() },
+        );
+        let news = WatchEvent {
+            version: 3,
+            is_snapshot: true,
+            endpoints: Vec::new(),
+            origin: "consul:1".to_owned(),
+        };
         let records = [
             taken("a"),
             keyed("k"),
-            Record::Begun { txns: vec![txn.clone(), String::new()], trace },
-            Record::Ran { txn: txn.clone() },
-            Record::Unseen { txn: txn.clone() },
-            Record::Missed { txn: txn.clone() },
-            Record::Owed { txn: txn.clone(), at: -5, verdict: Verdict::Failed },
-            Record::Owed { txn: txn.clone(), at: 5, verdict: Verdict::Returned { after_ms: 7 } },
-            Record::Over { txn: txn.clone(), at: 0 },
-            Record::Offered { txn: txn.clone(), to: "f\"2".to_owned(), at: 7 },
-            Record::Declined { txn: txn.clone() },
-            Record::Unresolved { txn: txn.clone() },
-            Record::Kept { txn: txn.clone() },
-            Record::HandedOver { txn, to: "f2".to_owned(), at: 8 },
-            Record::Map(news),
-            Record::Superseded { discovery: "127.0.0.1:5".parse().expect("an address") },
-            Record::ByHand { uid: "s".to_owned(), at: 6, out: true },
-            Record::Wait { dest: 3, uid: None, until: i64::MAX },
-            Record::Wait { dest: 3, uid: Some("s".to_owned()), until: 4 },
-            Record::Stage { stage: Stage::Yielded },
-            Record::Troubled { dests: vec![0, u64::MAX], routes: Vec::new() },
-            Record::Troubled { dests: Vec::new(), routes: vec![(3, "s".to_owned())] },
+            Record::AttemptStarted { messages: vec![txn.clone(), String::new()], attempt: trace },
+            Record::AttemptInDoubt { message: txn.clone() },
+            Record::AttemptNotDelivered { message: txn.clone() },
+            Record::AttemptNotSent { message: txn.clone() },
+            Record::AnswerDecided { message: txn.clone(), at: -5, answer: FinalAnswer::Failed },
+            Record::AnswerDecided {
+                message: txn.clone(),
+                at: 5,
+                answer: FinalAnswer::Rejected { retry_after_ms: 7 },
+            },
+            Record::Finished { message: txn.clone(), at: 0 },
+            Record::HandoverOffered { message: txn.clone(), owner: "f\"2".to_owned(), at: 7 },
+            Record::HandoverDeclined { message: txn.clone() },
+            Record::HandoverInDoubt { message: txn.clone() },
+            Record::KeptLocal { message: txn.clone() },
+            Record::HandedOver { message: txn, owner: "f2".to_owned(), at: 8 },
+            Record::EndpointList(news),
+            Record::DiscoverySuperseded { discovery: "127.0.0.1:5".parse().expect("an address") },
+            Record::OperatorOverride { endpoint: "s".to_owned(), at: 6, ejected: true },
+            Record::RetryAfter { destination: 3, endpoint: None, until: i64::MAX },
+            Record::RetryAfter { destination: 3, endpoint: Some("s".to_owned()), until: 4 },
+            Record::ProcessStage { stage: ProcessStage::HandedOff },
+            Record::FaultyRoutes { destinations: vec![0, u64::MAX], routes: Vec::new() },
+            Record::FaultyRoutes { destinations: Vec::new(), routes: vec![(3, "s".to_owned())] },
         ];
         let mut bytes = BytesMut::new();
         records.iter().for_each(|record| record.encode(b"", &mut bytes));
@@ -455,7 +511,9 @@
 
     fn keyed(txn: &str) -> Record {
         match taken(txn) {
-            Record::Taken(taken) => Record::Taken(Taken { key: Some("5c\"0f".to_owned()), ..taken }),
+            Record::Accepted(taken) => {
+                Record::Accepted(AcceptedMessage { idempotency_key: Some("5c\"0f".to_owned()), ..taken })
+            }
             other => other,
         }
     }
@@ -469,9 +527,12 @@
             "ran":null,"out":{"at":5,"uid":"s"}}"#;
         assert_eq!(Record::read(old).expect("read"), taken("a"));
         let old = br#"{"is":"wait","dest":3,"until":4}"#;
-        assert_eq!(Record::read(old).expect("read"), Record::Wait { dest: 3, uid: None, until: 4 });
+        assert_eq!(
+            Record::read(old).expect("read"),
+            Record::RetryAfter { destination: 3, endpoint: None, until: 4 }
+        );
         let old = br#"{"is":"troubled","dests":[3]}"#;
-        let troubled = Record::Troubled { dests: vec![3], routes: Vec::new() };
+        let troubled = Record::FaultyRoutes { destinations: vec![3], routes: Vec::new() };
         assert_eq!(Record::read(old).expect("read"), troubled);
         let text = |record: &Record| {
             let mut bytes = BytesMut::new();
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,13 +1,13 @@
 //! Recovery: what of a file can be read after a process has ended in whatever way.
 
-use crate::record::{Entries, Record};
+use crate::record::{Record, RecordsWithBodies};
 use bytes::{Buf, Bytes};
 
 /// What can be read of a file.
 #[derive(Debug, Default)]
 pub struct Reading {
     /// The records up to the first that is not whole or not known.
-    pub records: Entries,
+    pub records: RecordsWithBodies,
     /// The bytes that they take up.
     pub whole: usize,
     /// Why the next record, though whole, cannot be read: a later version wrote it. It is not to be cut off.
@@ -41,7 +41,7 @@
 }
 
 /// The records of a file up to the first that cannot be read, and the bytes that they take up.
-pub fn replay(file: Bytes) -> (Entries, usize) {
+pub fn replay(file: Bytes) -> (RecordsWithBodies, usize) {
     let reading = read(file);
     (reading.records, reading.whole)
 }
@@ -59,7 +59,7 @@
         let mut bytes = BytesMut::new();
         taken("a").encode(b"\0any\xffbytes", &mut bytes);
         let first = bytes.len();
-        Record::Over { txn: "a".to_owned(), at: 7 }.encode(b"", &mut bytes);
+        Record::Finished { message: "a".to_owned(), at: 7 }.encode(b"", &mut bytes);
         for cut in 0..bytes.len() {
             let (records, whole) = replay(Bytes::copy_from_slice(&bytes[..cut]));
             assert_eq!((records.len(), whole), if cut < first { (0, 0) } else { (1, first) }, "cut at {cut}");
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -1,29 +1,34 @@
 //! A list of 100,000 entries in the journal: written, read back, and torn by a kill at any place.
 
 use bytes::BytesMut;
-use orchidyoke_core::transport_map::{Checks, News, State, Target, TransportMap};
-use orchidyoke_journal::{Journal, Opened, Record, Stage};
+use orchidyoke_core::transport_map::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_journal::{Journal, Opened, ProcessStage, Record};
 use std::fs;
 use std::path::PathBuf;
 
 const LISTED: usize = 100_000;
 
-fn target(number: usize) -> Target {
-    Target {
+fn target(number: usize) -> EndpointEntry {
+    EndpointEntry {
         uid: format!("s-{number:08x}"),
-        endpoint: "127.0.0.1:8000".parse().expect("an address"),
-        az: "a".to_owned(),
-        model: "one".to_owned(),
-        pod_group: number as u64,
-        state: State::InService,
+        address: "127.0.0.1:8000".parse().expect("an address"),
+        zone: "a".to_owned(),
+        kind: "one".to_owned(),
+        destination: number as u64,
+        state: ListedState::Active,
         capacity_hint: 20.0,
-        checks: Checks::Passing,
+        health: HealthChecks::Passing,
     }
 }
 
 fn list(rev: u64) -> Record {
     let targets = (0..LISTED).map(target).collect();
-    Record::Map(News { rev, all: true, targets, origin: String::new() })
+    Record::EndpointList(WatchEvent {
+        version: rev,
+        is_snapshot: true,
+        endpoints: targets,
+        origin: String::new(),
+    })
 }
 
 fn bytes_of(record: &Record) -> BytesMut {
@@ -57,7 +62,7 @@
 #[test]
 fn a_large_list_is_read_back_or_torn_as_any_record() {
     let folder = Folder::new("large-lists");
-    let (ready, large) = (Record::Stage { stage: Stage::Ready }, list(7));
+    let (ready, large) = (Record::ProcessStage { stage: ProcessStage::Ready }, list(7));
     let (before, bytes) = (bytes_of(&ready), bytes_of(&large));
     let mut journal = folder.open().journal;
     journal.append(&before).expect("appends");
@@ -81,27 +86,32 @@
 // Guards against a snapshot that is larger than was reckoned with: old file and new one would pass the folder's limit.
 #[test]
 fn a_list_is_never_larger_in_the_file_than_reckoned() {
-    let longest = |number: usize| Target {
+    let longest = |number: usize| EndpointEntry {
         uid: format!("\u{1}\u{2}{number:04}"),
-        endpoint: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
-        az: "\u{3}".to_owned(),
-        model: "\u{4}".to_owned(),
-        pod_group: u64::MAX,
-        state: State::Terminating,
+        address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
+        zone: "\u{3}".to_owned(),
+        kind: "\u{4}".to_owned(),
+        destination: u64::MAX,
+        state: ListedState::Draining,
         capacity_hint: -f64::MIN_POSITIVE,
-        checks: Checks::Critical,
+        health: HealthChecks::Critical,
     };
-    let mut map = TransportMap::default();
-    let mut check = |targets: Vec<Target>| {
-        map.take(&News { rev: u64::MAX, all: false, targets, origin: "consul:1".to_owned() });
-        let (size, written) = (map.size(), bytes_of(&Record::Map(map.whole())).len());
+    let mut map = EndpointList::default();
+    let mut check = |targets: Vec<EndpointEntry>| {
+        map.apply(&WatchEvent {
+            version: u64::MAX,
+            is_snapshot: false,
+            endpoints: targets,
+            origin: "consul:1".to_owned(),
+        });
+        let (size, written) = (map.size(), bytes_of(&Record::EndpointList(map.snapshot())).len());
         assert!(size >= written, "{} entries: {size} for {written}", map.len());
         assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", map.len());
     };
     check((0..1000).map(longest).collect());
     check((0..100).map(target).collect());
-    check((0..1000).map(|number| Target { state: State::Terminated, ..longest(number) }).collect());
-    let gone = |number| Target { state: State::Terminated, ..target(number) };
+    check((0..1000).map(|number| EndpointEntry { state: ListedState::Removed, ..longest(number) }).collect());
+    let gone = |number| EndpointEntry { state: ListedState::Removed, ..target(number) };
     check((0..100).map(gone).collect());
     assert_eq!(map.len(), 0);
 }
--- a/crates/policy-commit/src/follow.rs
+++ b/crates/policy-commit/src/follow.rs
@@ -149,7 +149,7 @@
                     let outcome = config.map(|config| {
                         if let Some(inputs) = inputs {
                             // The receiver is gone only when the forwarder ends.
-                            let _ = inputs.send(input::Input::Reconfigured(Box::new(config)));
+                            let _ = inputs.send(input::Input::ConfigReloaded(Box::new(config)));
                         }
                     });
                     match &outcome {
--- a/src/bin/orchidyoke-simulator/instance.rs
+++ b/src/bin/orchidyoke-simulator/instance.rs
@@ -2,8 +2,10 @@
 
 use crate::fields::{Fields, Problem};
 use orchidyoke_core::Controller;
-use orchidyoke_core::following::Following;
-use orchidyoke_core::interface::{Action, Answer, Entry, Event, ListForm, Listed, Outcome, Report};
+use orchidyoke_core::following::PollSchedule;
+use orchidyoke_core::interface::{
+    Action, AttemptResult, EndpointState, EndpointUpdate, Event, HealthStatus, ListEventKind, Outcome,
+};
 use orchidyoke_core::settings::{self, Names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
@@ -28,7 +30,7 @@
     zone: String,
     kind: String,
     destination: u64,
-    state: Listed,
+    state: EndpointState,
     weight: f64,
 }
 
@@ -40,9 +42,9 @@
             kind: fields.get("model").unwrap_or("").to_owned(),
             destination: fields.whole_or("destination", 0)?,
             state: match fields.get("state") {
-                None | Some("on") => Listed::On,
-                Some("fading") => Listed::Draining,
-                Some("off") => Listed::Gone,
+                None | Some("on") => EndpointState::Active,
+                Some("fading") => EndpointState::Draining,
+                Some("off") => EndpointState::Removed,
                 Some(other) => return Err(Problem::new("state", &format!("unknown: {other}"))),
             },
             weight: fields.whole_or("weight", 0.0)?,
@@ -74,7 +76,7 @@
 /// One running instance.
 pub struct Instance {
     controller: Controller,
-    following: Option<Following>,
+    following: Option<PollSchedule>,
     names: Names,
     messages: Numbers,
     targets: Numbers,
@@ -88,14 +90,14 @@
 
 fn outcome(fields: &Fields) -> Result<Outcome, Problem> {
     Ok(match fields.whole::<u8>("result")? {
-        0 => Outcome::Ok,
+        0 => Outcome::Success,
         1 => Outcome::Error,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(Problem::new("result", &format!("unknown: {other}"))),
     })
 }
@@ -133,7 +135,7 @@
         let (settings, names) =
             settings::read(text).map_err(|e| Problem::new("options", &format!("invalid settings: {e}")))?;
         Ok(Instance {
-            following: Following::new(&settings, seed),
+            following: PollSchedule::new(&settings, seed),
             controller: Controller::new(settings, seed),
             names,
             messages: Numbers::default(),
@@ -156,37 +158,40 @@
                 destination: fields.whole_or("dest", 0)?,
                 class: place(&self.names.classes, fields.text("profile")?),
                 tenant: place(&self.names.tenants, fields.get("realm").unwrap_or("")),
-                key: match fields.get("route_key") {
+                order_key: match fields.get("route_key") {
                     None => None,
                     Some(key) => {
                         Some(u64::from_str_radix(key, 16).map_err(|_| Problem::new("route_key", "not hex"))?)
                     }
                 },
                 time_left: fields.whole("patience_left_us")?,
-                repeat: fields.flag("repeat")?,
+                is_retry: fields.flag("repeat")?,
             },
-            "STARTED" => Event::Started { id: self.message(fields)?, copy: fields.whole_or("copy", 0)? },
-            "HANGUP" => Event::Hangup { id: self.message(fields)? },
+            "STARTED" => {
+                Event::ResponseStarted { id: self.message(fields)?, attempt: fields.whole_or("copy", 0)? }
+            }
+            "HANGUP" => Event::Withdrawn { id: self.message(fields)? },
             "ELAPSED" => Event::Timer { token: fields.whole("handle")? },
-            "DONE" => Event::Outcome(Answer {
+            "DONE" => Event::AttemptEnded(AttemptResult {
                 id: self.message(fields)?,
-                copy: fields.whole_or("copy", 0)?,
+                attempt: fields.whole_or("copy", 0)?,
                 outcome: outcome(fields)?,
-                took: fields.whole_or("cost_time_us", 0)?,
-                finished: fields.flag("finished")?,
+                latency: fields.whole_or("cost_time_us", 0)?,
+                message_finished: fields.flag("finished")?,
                 // A moot outcome's note is no wait; the field is milliseconds elsewhere.
-                wait: if fields.get("result") == Some("2") {
+                retry_after: if fields.get("result") == Some("2") {
                     fields.whole_or::<i64>("hold_ms", 0)?.saturating_mul(1000)
                 } else {
                     0
                 },
-                limit: report(fields, "x1")?,
-                left: report(fields, "x0")?,
+                reported_limit: report(fields, "x1")?,
+                reported_remaining: report(fields, "x0")?,
             }),
-            "PROBE_DONE" => {
-                Event::Probed { endpoint: self.target(fields.text("target")?), outcome: outcome(fields)? }
-            }
-            "HEARD" => Event::Peer {
+            "PROBE_DONE" => Event::HealthChecked {
+                endpoint: self.target(fields.text("target")?),
+                outcome: outcome(fields)?,
+            },
+            "HEARD" => Event::Gossip {
                 from: fields.whole("src")?,
                 bytes: unhex(fields.text("payload")?).ok_or(Problem::new("payload", "not hex"))?,
             },
@@ -214,26 +219,26 @@
 
     fn list(&mut self, fields: &Fields, sheets: &BTreeMap<u64, Vec<ListedTarget>>) -> Result<Event, Problem> {
         let form = match fields.text("form")? {
-            "D" => ListForm::Changes,
-            "F" => ListForm::Whole,
-            "C" => ListForm::Remembered,
+            "D" => ListEventKind::Delta,
+            "F" => ListEventKind::Snapshot,
+            "C" => ListEventKind::Restored,
             "X" => {
-                return Ok(Event::List { form: ListForm::Failed, entries: Vec::new() });
+                return Ok(Event::EndpointList { kind: ListEventKind::Failed, entries: Vec::new() });
             }
             other => return Err(Problem::new("form", &format!("unknown: {other}"))),
         };
         let sheet = sheets.get(&fields.whole("sheet")?).ok_or(Problem::new("sheet", "no such CENSUS"))?;
-        let entries = sheet.iter().map(|line| Entry {
+        let entries = sheet.iter().map(|line| EndpointUpdate {
             endpoint: self.target(&line.target),
             destination: line.destination,
             zone: self.zone(&line.zone),
             kind: place(&self.names.kinds, &line.kind),
             state: line.state,
-            report: Report::Fit,
-            weight: line.weight,
+            health: HealthStatus::Passing,
+            capacity_hint: line.weight,
         });
         let entries = entries.collect();
-        Ok(Event::List { form, entries })
+        Ok(Event::EndpointList { kind: form, entries })
     }
 
     /// Lets the controller decide on the events so far, and writes what it decides.
@@ -250,16 +255,16 @@
     /// Asks for the list where it comes on request.
     fn follow(&mut self, now: i64) {
         let Some(following) = &mut self.following else { return };
-        let before = following.wake_at();
+        let before = following.next_poll_at();
         for event in &self.events {
-            if let Event::List { form, .. } = event {
-                following.take(now, *form);
+            if let Event::EndpointList { kind: form, .. } = event {
+                following.on_event(now, *form);
             }
         }
-        if following.asks(now) {
+        if following.should_poll(now) {
             self.actions.push(Action::Watch { on: true });
         }
-        let at = following.wake_at();
+        let at = following.next_poll_at();
         if at != before && at != i64::MAX {
             self.actions.push(Action::Timer { delay: at - now, token: LIST_TIMER });
         }
@@ -273,23 +278,25 @@
                 let target = target(endpoint);
                 writeln!(out, "ATTEMPT forwarder_id={me} id={} limit_us={timeout} target={target}", id(m))
             }
-            Action::Refuse { id: m, pause } => {
+            Action::Reject { id: m, retry_after: pause } => {
                 writeln!(out, "SHED forwarder_id={me} id={} pause_us={pause}", id(m))
             }
             Action::Fail { id: m } => writeln!(out, "ABORT forwarder_id={me} id={}", id(m)),
-            Action::Cancel { id: m, copy } => {
+            Action::Cancel { id: m, attempt: copy } => {
                 writeln!(out, "RETRACT forwarder_id={me} id={} copy={copy}", id(m))
             }
             Action::Timer { delay, token } => {
                 writeln!(out, "AFTER forwarder_id={me} delay_us={delay} handle={token}")
             }
             Action::Watch { on } => writeln!(out, "WATCH forwarder_id={me} on={}", u8::from(*on)),
-            Action::Fetch => writeln!(out, "RELOAD forwarder_id={me}"),
-            Action::Probe { endpoint } => writeln!(out, "POLL forwarder_id={me} target={}", target(endpoint)),
-            Action::Close { endpoint } => {
+            Action::PollList => writeln!(out, "RELOAD forwarder_id={me}"),
+            Action::HealthCheck { endpoint } => {
+                writeln!(out, "POLL forwarder_id={me} target={}", target(endpoint))
+            }
+            Action::CloseIdle { endpoint } => {
                 writeln!(out, "HANG_UP forwarder_id={me} target={}", target(endpoint))
             }
-            Action::Tell { to, bytes } => {
+            Action::Gossip { to, bytes } => {
                 let to = to.map_or("*".to_owned(), |n| n.to_string());
                 writeln!(out, "TELL forwarder_id={me} recipient={to} payload={}", hex(bytes))
             }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -183,10 +183,10 @@
     println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_start(None));
     println!("classes: {}", config.names.classes.join(", "));
     println!("kinds of destination: {}", config.names.kinds.join(", "));
-    println!("endpoints known: {} (version {})", config.known.targets.len(), config.known.rev);
+    println!("endpoints known: {} (version {})", config.known.endpoints.len(), config.known.version);
     println!(
         "{} calls out at once, {} messages held, {} attempts each",
-        set.slots, set.max_open, set.max_attempts
+        set.max_calls, set.max_open_messages, set.max_attempts
     );
 }
 
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -138,7 +138,7 @@
     let folder = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut targets = common::targets();
-    targets[2].endpoint = hop;
+    targets[2].address = hop;
     let text = common::config("127.0.0.1:0", &platform.to_string(), targets);
     std::fs::write(folder.join("config.json"), text).expect("written");
     folder
