--- a/crates/consul/src/instance_health.rs
+++ b/crates/consul/src/instance_health.rs
@@ -1,7 +1,7 @@
 //! What the checks, marks and weights of an instance come to: one table, one function.
 
 use crate::api::{Check, NODE_MAINTENANCE, SERVICE_MAINTENANCE, ServiceEntry};
-use orchidyoke_core::transport_map::{HealthChecks, ListedState};
+use orchidyoke_core::endpoint_list::{HealthChecks, ListedState};
 
 /// A tag, or a key of the meta data with the value `true`, by which operators drain an instance.
 pub const DRAINING: &str = "draining";
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::settings::{Service, Settings};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
-use orchidyoke_core::transport_map::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -252,7 +252,7 @@
 mod tests {
     use super::*;
     use crate::api::{Check, Instance, Node};
-    use orchidyoke_core::transport_map::EndpointList;
+    use orchidyoke_core::endpoint_list::EndpointList;
     use proptest::prelude::*;
 
     fn settings(services: &[(&str, u64)]) -> Settings {
--- a/crates/consul/tests/instance_health.rs
+++ b/crates/consul/tests/instance_health.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_consul::api::{Check, ServiceEntry, Weights};
 use orchidyoke_consul::instance_health::{DRAINING, InstanceHealth, instance_health};
-use orchidyoke_core::transport_map::{HealthChecks, ListedState};
+use orchidyoke_core::endpoint_list::{HealthChecks, ListedState};
 
 fn entry(checks: &[(&str, &str)]) -> ServiceEntry {
     let check = |(id, status): &(&str, &str)| Check {
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_consul::Consul as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
-use orchidyoke_core::transport_map::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::certificates::Authority;
 use orchidyoke_fakes::consul::{Fault, Instance};
--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -1,8 +1,8 @@
 //! All decisions of orchidyoke; their types are in `interface.rs`. The ordinary path is the paper's adaptive
 //! window (`docs/design.md`) on each route's calls in flight: a clean first try grows, a push-back halves it.
 
-use crate::dice::SeededRng;
 use crate::interface::*;
+use crate::rng::SeededRng;
 use crate::state::*;
 use crate::traffic::{RateEstimator, TokenBucket};
 use indexing::Index;
--- a/crates/core/src/transport_map.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,10 +1,10 @@
 //! The transport map as data: the list of endpoints, its form, and how news changes it.
 
 mod bounds;
-mod map;
+mod list;
 
 pub use bounds::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, bounded_watch_event, parse_list};
-pub use map::{EndpointList, ListedEndpoint};
+pub use list::{EndpointList, ListedEndpoint};
 
 use crate::interface::{EndpointState, HealthStatus};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,15 +6,15 @@
 //! Nothing here opens a connection, reads a clock or starts a thread.
 
 pub mod control;
-pub mod dice;
-pub mod following;
+pub mod endpoint_list;
 pub mod interface;
+pub mod poll_schedule;
+pub mod rng;
 mod route_users;
 pub mod settings;
 mod state;
 mod timer_queue;
 pub mod traffic;
-pub mod transport_map;
 mod waiting;
 
 pub use control::Controller;
--- a/crates/core/src/following.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,8 +1,8 @@
 //! When to ask for the list, where it comes on request only: a subscription at the start, and another after a failure.
 //! Who hosts the module asks; the module takes the list as it comes.
 
-use crate::dice::SeededRng;
 use crate::interface::{DiscoveryMode, ListEventKind, Micros, Settings};
+use crate::rng::SeededRng;
 
 /// First pause before the list is asked for again, doubled up to a quarter of the time allowed.
 const FIRST_BACKOFF: Micros = 500_000;
--- a/crates/core/tests/transport_map.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! How news changes the transport map.
 
-use orchidyoke_core::transport_map::{EndpointList, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointList, ListedState, WatchEvent};
 
 fn line(rev: u64, all: bool, uid: &str, state: &str) -> String {
     format!(
--- a/crates/core/tests/reference/control.rs
+++ b/crates/core/tests/reference/control.rs
@@ -1,8 +1,8 @@
 //! All decisions of orchidyoke; their types are in `interface.rs`. The ordinary path is the paper's adaptive
 //! window (`docs/design.md`) on each route's calls in flight: a clean first try grows, a push-back halves it.
 
-use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
+use orchidyoke_core::rng::SeededRng;
 use orchidyoke_core::traffic::{RateEstimator, TokenBucket};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -1,8 +1,8 @@
 //! Random events for the decision module: destinations that are mostly down, lists, outcomes, stops. Nothing is
 //! modelled beyond what makes the events legal: an attempt ends once, and only after its send.
 
-use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
+use orchidyoke_core::rng::SeededRng;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Micros = 1000;
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -6,8 +6,8 @@
 
 use common::{MS, S};
 use orchidyoke_core::Controller;
-use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
+use orchidyoke_core::rng::SeededRng;
 use std::collections::BTreeMap;
 
 const STEP: Micros = 20 * MS;
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -6,8 +6,8 @@
 use crate::Run;
 use crate::report::{Chart, Line, Outcome as Shown};
 use orchidyoke_core::Controller;
-use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::*;
+use orchidyoke_core::rng::SeededRng;
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/crates/experiments/src/scale.rs
+++ b/crates/experiments/src/scale.rs
@@ -4,7 +4,7 @@
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{Site, progress, quantile, wait_until};
-use orchidyoke_core::transport_map::{EndpointList, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointList, ListedState};
 use orchidyoke_fakes::consul::{Fault, Instance};
 use orchidyoke_fakes::partner::Bearing;
 use orchidyoke_journal::{Record, replay};
--- a/crates/forwarder/src/backoff.rs
+++ b/crates/forwarder/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Pauses between tries of something that many forwarders may lose in the same moment.
 
-use orchidyoke_core::dice::SeededRng;
 use orchidyoke_core::interface::Micros;
+use orchidyoke_core::rng::SeededRng;
 
 /// Capped exponential back-off with jitter: each pause is drawn between nothing and a bound that doubles with each failure
 /// in a row. A bound beyond what a pause may be is cut to that, and the pause drawn from its upper half. Forwarders that
--- a/crates/forwarder/src/catalogue.rs
+++ b/crates/forwarder/src/catalogue.rs
@@ -1,6 +1,6 @@
 //! Where the transport map may come from beside discovery.
 
-use orchidyoke_core::transport_map::WatchEvent;
+use orchidyoke_core::endpoint_list::WatchEvent;
 use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -2,9 +2,9 @@
 
 use crate::catalogue::Catalogue;
 use crate::ownership::Owners;
+use orchidyoke_core::endpoint_list::{WatchEvent, bounded_watch_event};
 use orchidyoke_core::interface::Settings;
 use orchidyoke_core::settings::{self, Names};
-use orchidyoke_core::transport_map::{WatchEvent, bounded_watch_event};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use orchidyoke_core::transport_map::ListError;
+use orchidyoke_core::endpoint_list::ListError;
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -1,6 +1,6 @@
 //! Lists out of a stream of bytes, however the stream is cut into frames. No socket is here.
 
-use orchidyoke_core::transport_map::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent, parse_list};
+use orchidyoke_core::endpoint_list::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent, parse_list};
 
 /// A buffer that has grown beyond this is given back once its list has been read.
 const KEPT_CAPACITY: usize = 64 << 10;
--- a/crates/forwarder/src/reducer/hops.rs
+++ b/crates/forwarder/src/reducer/hops.rs
@@ -5,13 +5,13 @@
 use crate::catalogue::Catalogue;
 use crate::config::Config;
 use crate::input::{Effect, WatchSource};
+use orchidyoke_core::endpoint_list::{
+    EndpointEntry, HealthChecks, ListedEndpoint, ListedState, MAX_ENTRIES, WatchEvent,
+};
 use orchidyoke_core::interface::{
     DestinationId, DestinationKind, EndpointId, EndpointState, EndpointUpdate, Event, HealthStatus,
     ListEventKind, Micros,
 };
-use orchidyoke_core::transport_map::{
-    EndpointEntry, HealthChecks, ListedEndpoint, ListedState, MAX_ENTRIES, WatchEvent,
-};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/crates/forwarder/src/reducer/operators.rs
+++ b/crates/forwarder/src/reducer/operators.rs
@@ -6,8 +6,8 @@
 use crate::console::{Call, Reply};
 use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, RequestId};
+use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
-use orchidyoke_core::transport_map::ListedState;
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/forwarder/src/reducer/records.rs
+++ b/crates/forwarder/src/reducer/records.rs
@@ -8,8 +8,8 @@
 use crate::config::Limits;
 use crate::input::Effect;
 use bytes::{Bytes, BytesMut};
+use orchidyoke_core::endpoint_list::EndpointList;
 use orchidyoke_core::interface::{Micros, Settings};
-use orchidyoke_core::transport_map::EndpointList;
 use orchidyoke_journal::{
     AcceptedMessage, FinalAnswer, HandoverOffer, ProcessStage, Record, RecordsWithBodies,
 };
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -5,7 +5,7 @@
 use crate::input::Input;
 use crate::log;
 use crate::policy_overlay::PolicyOverlay;
-use orchidyoke_core::transport_map::MAX_LIST_BYTES;
+use orchidyoke_core::endpoint_list::MAX_LIST_BYTES;
 use std::cell::RefCell;
 use std::fs::File;
 use std::future::Future;
--- a/crates/forwarder/tests/common/deployments.rs
+++ b/crates/forwarder/tests/common/deployments.rs
@@ -2,7 +2,7 @@
 //! deployments of two operators differ.
 #![allow(dead_code)]
 
-use orchidyoke_core::transport_map::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
 
 /// What it lists: two endpoints of the kind that takes several messages in a call, two that take one.
 pub fn targets() -> Vec<EndpointEntry> {
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -1,8 +1,8 @@
 //! The two deployments of the test configurations, for who looks from outside.
 
 use super::S;
+use orchidyoke_core::endpoint_list::EndpointEntry;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::EndpointEntry;
 
 /// What the two deployments of this module differ in, for who looks from outside.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -2,8 +2,8 @@
 
 use super::S;
 use super::world::World;
+use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::ListedState;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::hop_call::Cause;
 use orchidyoke_forwarder::input::Input;
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -4,8 +4,8 @@
 use super::shape::Shape;
 use super::{DISK, S, START, ids};
 use bytes::Bytes;
+use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::{EndpointEntry, ListedState, WatchEvent};
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console::{self, Reply as Said};
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery's list, on real sockets: the far end is a script that writes, waits or closes.
 
-use orchidyoke_core::transport_map::WatchEvent;
+use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::discovery::{Ended, follow};
 use std::cell::RefCell;
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use common::{S, START};
+use orchidyoke_core::endpoint_list::EndpointEntry;
 use orchidyoke_core::interface::{DestinationId, Micros};
-use orchidyoke_core::transport_map::EndpointEntry;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console::{Call, Reply};
 use orchidyoke_forwarder::hop_call::Reply as HopReply;
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -5,10 +5,10 @@
 mod deployments;
 
 use bytes::Bytes;
-use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::{
+use orchidyoke_core::endpoint_list::{
     EndpointEntry, EndpointList, HealthChecks, ListedState, MAX_ENTRIES, WatchEvent,
 };
+use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -1,6 +1,6 @@
 //! Lists out of frames: what is handed on, what is not, and how much work it is, at the size of 100,000 entries.
 
-use orchidyoke_core::transport_map::{ListError, ListedState, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent};
+use orchidyoke_core::endpoint_list::{ListError, ListedState, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent};
 use orchidyoke_forwarder::list_reader::ListReader;
 use std::fmt::Write;
 
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
-use orchidyoke_core::transport_map::{EndpointEntry, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState};
 use quickcheck::{Gen, QuickCheck};
 
 // Guards against the breaks that no single case shows: a message lost or ended twice by a kill at a bad moment,
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -4,7 +4,7 @@
 
 use common::S;
 use common::world::World;
-use orchidyoke_core::transport_map::ListedState;
+use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::input::Input;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,8 +1,8 @@
 //! Records: what the journal holds, and the bytes of each.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
+use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_core::transport_map::WatchEvent;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -1,7 +1,7 @@
 //! A list of 100,000 entries in the journal: written, read back, and torn by a kill at any place.
 
 use bytes::BytesMut;
-use orchidyoke_core::transport_map::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
 use orchidyoke_journal::{Journal, Opened, ProcessStage, Record};
 use std::fs;
 use std::path::PathBuf;
--- a/src/bin/orchidyoke-simulator/instance.rs
+++ b/src/bin/orchidyoke-simulator/instance.rs
@@ -2,10 +2,10 @@
 
 use crate::fields::{Fields, Problem};
 use orchidyoke_core::Controller;
-use orchidyoke_core::following::PollSchedule;
 use orchidyoke_core::interface::{
     Action, AttemptResult, EndpointState, EndpointUpdate, Event, HealthStatus, ListEventKind, Outcome,
 };
+use orchidyoke_core::poll_schedule::PollSchedule;
 use orchidyoke_core::settings::{self, Names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
