--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -35,7 +35,7 @@
 
 /// What another process's file has shown; see [`Input::Siblings`].
 #[derive(Debug)]
-pub struct SiblingUpdate {
+pub struct OtherProcessUpdate {
     /// Number of its file.
     pub generation: Generation,
     /// The file was rewritten: the records begin anew.
@@ -119,9 +119,9 @@
     /// Clients that connect are accepted from now on.
     AcceptingClients,
     /// The files of other processes on the folder have shown something: all that there is at one moment.
-    Siblings {
+    OtherProcessesUpdated {
         /// What they have shown.
-        updates: Vec<SiblingUpdate>,
+        updates: Vec<OtherProcessUpdate>,
         /// Numbers of those that are gone.
         gone: Vec<Generation>,
     },
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -14,67 +14,67 @@
 use orchidyoke_journal::{AttemptStart, FinalAnswer, ProcessStage, Record};
 
 /// A dial ends this long after the time that the settings allow: one that comes up in its last moment counts.
-const DIAL_MARGIN: Micros = 1_000;
+const CONNECT_MARGIN_US: Micros = 1_000;
 
 /// A delivery attempt for one message, or for several that share a call.
 #[derive(Debug)]
 pub(super) struct InFlightCall {
-    pub hop: EndpointId,
-    pub parts: Vec<(MessageId, u32)>,
+    pub endpoint: EndpointId,
+    pub attempts: Vec<(MessageId, u32)>,
     /// Their ids, from when the call begins: a message may be over before the call is.
-    txns: Vec<String>,
-    sent: Micros,
-    due: Micros,
+    message_names: Vec<String>,
+    sent_at: Micros,
+    times_out_at: Micros,
     /// It went on a connection that had been idle.
-    reused: bool,
+    reused_connection: bool,
     /// Its record is in the journal.
-    begun: bool,
+    is_recorded: bool,
 }
 
 impl InFlightCall {
     /// Whether its record is in the journal: it may have been written.
-    pub fn has_begun(&self) -> bool {
-        self.begun
+    pub fn may_be_written(&self) -> bool {
+        self.is_recorded
     }
 }
 
 /// What an answer tells beside the ends of its messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct AnswerHints {
-    wait: Micros,
-    limit: Option<f64>,
-    left: Option<f64>,
+pub(super) struct ReplyInfo {
+    retry_after: Micros,
+    reported_limit: Option<f64>,
+    reported_remaining: Option<f64>,
     /// It came after the time of a message in its call.
     late: bool,
 }
 
 impl Reducer {
     /// Sends of one turn to one endpoint share calls, as far as its kind takes them.
-    pub(super) fn send(&mut self, now: Micros, sends: Vec<(MessageId, EndpointId, Micros)>) {
+    pub(super) fn start_calls(&mut self, now: Micros, sends: Vec<(MessageId, EndpointId, Micros)>) {
         let mut calls: Vec<InFlightCall> = Vec::new();
         for (id, hop, timeout) in sends {
             let Some(message) = self.messages.get_mut(&id) else { continue };
-            let part = (id, message.taken.attempts);
-            message.taken.attempts += 1;
-            let batch = self.batch(hop);
+            let part = (id, message.accepted.attempts);
+            message.accepted.attempts += 1;
+            let batch = self.max_batch(hop);
             let due = now + timeout.max(1);
-            match calls.iter_mut().find(|c| c.hop == hop && c.parts.len() < batch) {
+            match calls.iter_mut().find(|c| c.endpoint == hop && c.attempts.len() < batch) {
                 Some(call) => {
-                    call.parts.push(part);
+                    call.attempts.push(part);
                     // One connection, one end: the call waits for the one of its messages that waits longest.
-                    call.due = call.due.max(due);
+                    call.times_out_at = call.times_out_at.max(due);
                 }
                 None => {
                     let parts = vec![part];
                     let txns = Vec::new();
                     calls.push(InFlightCall {
-                        hop,
-                        parts,
-                        txns,
-                        sent: now,
-                        due,
-                        reused: false,
-                        begun: false,
+                        endpoint: hop,
+                        attempts: parts,
+                        message_names: txns,
+                        sent_at: now,
+                        times_out_at: due,
+                        reused_connection: false,
+                        is_recorded: false,
                     });
                 }
             }
@@ -82,96 +82,97 @@
         for flight in calls {
             self.next_call += 1;
             let call = self.next_call;
-            let claim = self.pool.claim(flight.hop, call, now);
+            let claim = self.pool.claim(flight.endpoint, call, now);
             let reused = matches!(claim, Claim::Idle(_));
-            self.in_flight.insert(call, InFlightCall { reused, ..flight });
+            self.in_flight.insert(call, InFlightCall { reused_connection: reused, ..flight });
             match claim {
-                Claim::Idle(link) => self.begin(now, call, link),
-                Claim::Dial(link) => self.dial(now, call, link),
+                Claim::Idle(link) => self.on_connection_up(now, call, link),
+                Claim::Dial(link) => self.connect(now, call, link),
             }
         }
     }
 
-    pub(super) fn batch(&self, hop: EndpointId) -> usize {
-        self.hops.get(&hop).and_then(|hop| self.kind_of(&hop.uid)).map_or(1, |kind| kind.max_batch)
+    pub(super) fn max_batch(&self, hop: EndpointId) -> usize {
+        self.endpoints.get(&hop).and_then(|hop| self.kind_of(&hop.uid)).map_or(1, |kind| kind.max_batch)
     }
 
-    pub(super) fn dial(&mut self, now: Micros, call: CallId, link: EndpointConnectionId) {
+    pub(super) fn connect(&mut self, now: Micros, call: CallId, link: EndpointConnectionId) {
         let Some(flight) = self.in_flight.get(&call) else { return };
-        let target = self.hops.get(&flight.hop).and_then(|hop| self.map.get(&hop.uid));
+        let target = self.endpoints.get(&flight.endpoint).and_then(|hop| self.endpoint_list.get(&hop.uid));
         let Some(target) = target else {
             self.pool.closed(link);
-            return self.not_sent(now, call);
+            return self.abandon_call(now, call);
         };
-        let until = flight.due.min(now + self.settings.connect_timeout + DIAL_MARGIN);
+        let until = flight.times_out_at.min(now + self.settings.connect_timeout + CONNECT_MARGIN_US);
         self.effects.push(Effect::Connect { connection: link, address: target.address, until });
     }
 
     /// A connection is there: whether the call may still go is decided now, and its record comes first.
-    pub(super) fn begin(&mut self, now: Micros, call: CallId, link: EndpointConnectionId) {
+    pub(super) fn on_connection_up(&mut self, now: Micros, call: CallId, link: EndpointConnectionId) {
         let Some(flight) = self.in_flight.get(&call) else { return };
         if self.pool.is_retired(link) {
             // Its endpoint has moved while the connection came up.
-            let to = flight.hop;
+            let to = flight.endpoint;
             self.pool.closed(link);
             self.effects.push(Effect::CloseConnection { connection: link });
             let link = self.pool.dial(to, call);
-            return self.dial(now, call, link);
+            return self.connect(now, call, link);
         }
-        let Some(hop) = self.hops.get(&flight.hop) else { return };
+        let Some(hop) = self.endpoints.get(&flight.endpoint) else { return };
         let in_service = self.state_of(&hop.uid) == Some(EndpointState::Active);
         let Some(flight) = self.in_flight.get(&call) else { return };
-        let waiting = self.is_waiting(now, flight.hop);
-        let az = self.map.get(&hop.uid).map_or_else(String::new, |target| target.zone.to_string());
+        let waiting = self.is_held_by_retry_after(now, flight.endpoint);
+        let az = self.endpoint_list.get(&hop.uid).map_or_else(String::new, |target| target.zone.to_string());
         let trace = AttemptStart { started_at: now, endpoint: hop.uid.to_string(), zone: az };
-        let goes =
-            |(id, _): &(MessageId, u32)| self.messages.get(id).is_some_and(|m| self.may_go(now, m, &trace));
-        let (parts, gone): (Vec<_>, Vec<_>) = flight.parts.iter().copied().partition(goes);
+        let goes = |(id, _): &(MessageId, u32)| {
+            self.messages.get(id).is_some_and(|m| self.may_send_to(now, m, &trace))
+        };
+        let (parts, gone): (Vec<_>, Vec<_>) = flight.attempts.iter().copied().partition(goes);
         let Some(flight) = self.in_flight.get_mut(&call) else { return };
-        flight.parts = parts;
-        let begun = std::mem::replace(&mut flight.begun, true);
-        let sent = flight.sent;
-        let txns = flight.parts.iter().filter_map(|(id, _)| self.messages.get(id));
-        let txns: Vec<_> = txns.map(|m| m.taken.id.clone()).collect();
-        flight.txns.clone_from(&txns);
+        flight.attempts = parts;
+        let begun = std::mem::replace(&mut flight.is_recorded, true);
+        let sent = flight.sent_at;
+        let txns = flight.attempts.iter().filter_map(|(id, _)| self.messages.get(id));
+        let txns: Vec<_> = txns.map(|m| m.accepted.id.clone()).collect();
+        flight.message_names.clone_from(&txns);
         for part in gone {
-            self.report(now, part, Outcome::NotSent, sent, AnswerHints::default());
+            self.finish_attempt(now, part, Outcome::NotSent, sent, ReplyInfo::default());
         }
         if txns.is_empty() || !in_service || waiting {
             self.pool.release(link, now);
-            return self.not_sent(now, call);
+            return self.abandon_call(now, call);
         }
         if begun {
-            return self.write(now, call, true);
+            return self.on_attempt_recorded(now, call, true);
         }
         self.append(
             &[(&Record::AttemptStarted { messages: txns, attempt: trace.clone() }, b"")],
-            Some(AfterAppend::Begin(call)),
+            Some(AfterAppend::SendCall(call)),
         );
-        for (id, _) in self.in_flight.get(&call).map(|f| f.parts.clone()).into_iter().flatten() {
+        for (id, _) in self.in_flight.get(&call).map(|f| f.attempts.clone()).into_iter().flatten() {
             if let Some(message) = self.messages.get_mut(&id) {
-                message.taken.in_flight = Some(trace.clone());
+                message.accepted.in_flight = Some(trace.clone());
             }
         }
     }
 
     /// Whether a message may still go to this endpoint: the dial took time, and the list may have moved the endpoint.
     /// One that may have run is repeated only in time and where the repeat is dropped.
-    fn may_go(&self, now: Micros, message: &Message, to: &AttemptStart) -> bool {
-        let taken = &message.taken;
+    fn may_send_to(&self, now: Micros, message: &Message, to: &AttemptStart) -> bool {
+        let taken = &message.accepted;
         let class = self.names.classes.iter().position(|class| *class == taken.class);
         let effect = class.and_then(|class| self.settings.classes.get(class)).map(|class| class.idempotency);
         let repeats = match (&taken.possible_delivery, effect.unwrap_or_default()) {
             (None, _) | (_, ClassEffect::Idempotent) => true,
             (Some(_), ClassEffect::NonIdempotent) => false,
             (Some(ran), ClassEffect::IdempotencyKey { scope: group, window }) => {
-                let (_, hop, zone) = self.trace_of(now, ran);
-                let same = self.hop_numbers.get(to.endpoint.as_str()) == Some(&hop);
+                let (_, hop, zone) = self.attempt_origin(now, ran);
+                let same = self.endpoint_ids.get(to.endpoint.as_str()) == Some(&hop);
                 now < ran.started_at.saturating_add(window)
                     && match group {
                         DeduplicationScope::All => true,
                         DeduplicationScope::Zone => {
-                            zone == self.zone(&to.zone) && (zone != UNKNOWN_ZONE || same)
+                            zone == self.zone_number(&to.zone) && (zone != UNKNOWN_ZONE || same)
                         }
                         DeduplicationScope::Endpoint => same,
                     }
@@ -181,41 +182,41 @@
     }
 
     /// The record of a call is in the journal: its first byte may go.
-    pub(super) fn write(&mut self, now: Micros, call: CallId, stored: bool) {
+    pub(super) fn on_attempt_recorded(&mut self, now: Micros, call: CallId, stored: bool) {
         let Some(link) = self.pool.link_of(call) else { return };
         let Some(flight) = self.in_flight.get(&call) else { return };
-        let parts = flight.parts.iter().filter_map(|(id, _)| self.messages.get(id)).filter(|m| m.stored);
+        let parts = flight.attempts.iter().filter_map(|(id, _)| self.messages.get(id)).filter(|m| m.stored);
         let parts: Vec<_> = parts
             .map(|m| Part {
-                txn: m.taken.id.clone(),
-                key: m.taken.idempotency_key.clone(),
+                txn: m.accepted.id.clone(),
+                key: m.accepted.idempotency_key.clone(),
                 body: m.body.clone(),
             })
             .collect();
         if !stored || parts.is_empty() {
             self.pool.release(link, now);
-            return self.not_sent(now, call);
+            return self.abandon_call(now, call);
         }
-        let bulk = self.batch(flight.hop) > 1 && parts.len() > 1;
-        let call = Call { parts, bulk, remaining: flight.due - now, due: flight.due };
+        let bulk = self.max_batch(flight.endpoint) > 1 && parts.len() > 1;
+        let call = Call { parts, bulk, remaining: flight.times_out_at - now, due: flight.times_out_at };
         self.effects.push(Effect::SendCall { connection: link, call });
     }
 
     /// The last byte of a call has gone.
-    pub(super) fn written(&mut self, link: EndpointConnectionId) {
+    pub(super) fn on_call_written(&mut self, link: EndpointConnectionId) {
         let flight = self.pool.call_of(link).and_then(|call| self.in_flight.get(&call));
-        self.figures.dispatched(flight.map_or(0, |flight| flight.txns.len()));
+        self.figures.dispatched(flight.map_or(0, |flight| flight.message_names.len()));
     }
 
     /// A call that was not written: none of its messages ran, and the next hop saw nothing.
-    pub(super) fn not_sent(&mut self, now: Micros, call: CallId) {
+    pub(super) fn abandon_call(&mut self, now: Micros, call: CallId) {
         let Some(flight) = self.in_flight.remove(&call) else { return };
-        for part in flight.parts {
-            self.report(now, part, Outcome::NotSent, flight.sent, AnswerHints::default());
+        for part in flight.attempts {
+            self.finish_attempt(now, part, Outcome::NotSent, flight.sent_at, ReplyInfo::default());
         }
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_call_answered(
         &mut self,
         now: Micros,
         link: EndpointConnectionId,
@@ -228,52 +229,60 @@
         }
         let Some(flight) = call.and_then(|call| self.in_flight.remove(&call)) else { return };
         let wait = retry_after::to_micros(reply.wait_ms);
-        self.told_to_wait(now, flight.hop, wait);
-        let ends = hop_call::ends(reply, &flight.txns);
-        let mut ends: Vec<_> = flight.parts.iter().zip(ends).collect();
+        self.on_retry_after(now, flight.endpoint, wait);
+        let ends = hop_call::ends(reply, &flight.message_names);
+        let mut ends: Vec<_> = flight.attempts.iter().zip(ends).collect();
         // The module judges a call by the first of its ends: push-back before success, not sent last.
         ends.sort_by_key(|(_, end)| match end.outcome {
             Outcome::Success => 1,
             Outcome::NotSent => 2,
             _ => 0,
         });
-        let over = |(id, _): &(MessageId, u32)| self.messages.get(id).is_none_or(|m| m.taken.deadline <= now);
-        let late = flight.parts.iter().any(over);
-        let told = AnswerHints { wait, limit: reply.limit, left: reply.left, late };
+        let over =
+            |(id, _): &(MessageId, u32)| self.messages.get(id).is_none_or(|m| m.accepted.deadline <= now);
+        let late = flight.attempts.iter().any(over);
+        let told = ReplyInfo {
+            retry_after: wait,
+            reported_limit: reply.limit,
+            reported_remaining: reply.left,
+            late,
+        };
         for (part, end) in ends {
             if end.over {
                 // Over for the next hop, as of a client that has gone. Whether the platform still waits for an end
                 // is not known here, and a notice for what is over does no harm.
-                self.end(now, part.0, FinalAnswer::Failed);
+                self.finish(now, part.0, FinalAnswer::Failed);
             }
-            self.report(now, *part, end.outcome, flight.sent, told);
+            self.finish_attempt(now, *part, end.outcome, flight.sent_at, told);
         }
     }
 
     /// A connection broke with a call on it, before or after the call was written.
-    pub(super) fn broken(&mut self, now: Micros, call: CallId, error: &EndpointCallError) {
+    pub(super) fn on_call_broken(&mut self, now: Micros, call: CallId, error: &EndpointCallError) {
         let Some(flight) = self.in_flight.get_mut(&call) else { return };
         // An idle connection may close just as it is chosen. Nothing whole was written, so the same attempt
         // goes on a new connection; a refusal to connect would be laid to the next hop.
         let goes_on = self.stage != ProcessStage::HandedOff;
-        if goes_on && error.never_ran() && !error.given_up() && std::mem::take(&mut flight.reused) {
-            let link = self.pool.dial(flight.hop, call);
-            return self.dial(now, call, link);
+        if goes_on && error.never_ran() && !error.given_up() && std::mem::take(&mut flight.reused_connection)
+        {
+            let link = self.pool.dial(flight.endpoint, call);
+            return self.connect(now, call, link);
         }
         let Some(flight) = self.in_flight.remove(&call) else { return };
         // The other end closes a kept connection when it likes: that pushes nothing back.
-        let closed = flight.reused && error.outcome() == Outcome::Reset;
+        let closed = flight.reused_connection && error.outcome() == Outcome::Reset;
         let outcome = if closed { Outcome::InvalidResponse } else { error.outcome() };
-        if let Some(hop) = self.hops.get(&flight.hop) {
+        if let Some(hop) = self.endpoints.get(&flight.endpoint) {
             self.log(format!("next hop {}: {error}", hop.uid));
         }
-        for part in flight.parts {
-            self.report(now, part, outcome, flight.sent, AnswerHints::default());
+        for part in flight.attempts {
+            self.finish_attempt(now, part, outcome, flight.sent_at, ReplyInfo::default());
         }
     }
 
-    pub(super) fn cancel(&mut self, id: MessageId, copy: u32) {
-        let call = self.in_flight.iter().find(|(_, f)| f.parts.contains(&(id, copy))).map(|(call, _)| *call);
+    pub(super) fn cancel_attempt(&mut self, id: MessageId, copy: u32) {
+        let call =
+            self.in_flight.iter().find(|(_, f)| f.attempts.contains(&(id, copy))).map(|(call, _)| *call);
         if let Some(link) = call.and_then(|call| self.pool.link_of(call)) {
             // The end comes with the report that the connection is closed: not before may a next copy go.
             self.effects.push(Effect::CloseConnection { connection: link });
@@ -281,37 +290,37 @@
     }
 
     /// An attempt has ended: into the journal, and to the module.
-    pub(super) fn report(
+    pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
         part: (MessageId, u32),
         outcome: Outcome,
         sent: Micros,
-        told: AnswerHints,
+        told: ReplyInfo,
     ) {
         let (id, copy) = part;
         if outcome == Outcome::Success && told.late {
             // It came after the time of this message or of another in its call, or was read late: whether it still
             // counts is not known here, and a notice for what is over does no harm.
             // The next hop says that it was delivered: so it is counted.
-            self.end_as(now, id, FinalAnswer::Failed, End::Success);
+            self.finish_counted_as(now, id, FinalAnswer::Failed, End::Success);
         } else if outcome == Outcome::Success {
-            self.over(now, id);
+            self.finish_delivered(now, id);
         } else if let Some(message) = self.messages.get(&id) {
-            let txn = message.taken.id.clone();
+            let txn = message.accepted.id.clone();
             let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
-            let record = match (never_ran, &message.taken.in_flight) {
+            let record = match (never_ran, &message.accepted.in_flight) {
                 (false, _) => Record::AttemptInDoubt { message: txn },
                 (true, Some(_)) => Record::AttemptNotDelivered { message: txn },
                 (true, None) => Record::AttemptNotSent { message: txn },
             };
             self.append(&[(&record, b"")], None);
             if let Some(message) = self.messages.get_mut(&id) {
-                let out = message.taken.in_flight.take().filter(|_| !never_ran);
-                message.taken.possible_delivery = message.taken.possible_delivery.take().or(out);
+                let out = message.accepted.in_flight.take().filter(|_| !never_ran);
+                message.accepted.possible_delivery = message.accepted.possible_delivery.take().or(out);
             }
             if self.stage == ProcessStage::HandedOff {
-                self.hand_over(id);
+                self.release_to_successor(id);
             }
         }
         self.events.push(Event::AttemptEnded(AttemptResult {
@@ -320,9 +329,9 @@
             outcome,
             latency: now - sent,
             message_finished: !self.messages.contains_key(&id),
-            retry_after: told.wait,
-            reported_limit: told.limit,
-            reported_remaining: told.left,
+            retry_after: told.retry_after,
+            reported_limit: told.reported_limit,
+            reported_remaining: told.reported_remaining,
         }));
     }
 }
--- a/crates/forwarder/src/reducer/custody.rs
+++ b/crates/forwarder/src/reducer/custody.rs
@@ -1,7 +1,7 @@
 //! Custody: what the reducer does with a message whose destination another forwarder owns, from its taking to the
 //! owner's answer. When what is due is decided in [`handover`](super::handover).
 
-use super::handover::{ANSWER_TIME, DOUBT_TIME, Decision, Terms};
+use super::handover::{HandoverDecision, HandoverTerms, MAX_IN_DOUBT_US, OFFER_TIMEOUT_US};
 use super::{AfterAppend, Reducer};
 use crate::input::Effect;
 use crate::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
@@ -14,24 +14,24 @@
 use std::rc::Rc;
 
 /// About the bytes of the records of a message's custody, beside its id and the longest name of an owner.
-const CUSTODY_RECORDS: usize = 320;
+const HANDOVER_RECORDS_BYTES: usize = 320;
 /// The owners of so many destinations are looked up for the figures: a look-up costs a hash for each member.
-const OWNED_LOOKED_UP: usize = 1000;
+const MAX_OWNER_LOOKUPS: usize = 1000;
 /// Names of forwarders that are no members are logged once each, and so many of them in a view.
-const STRANGERS_LOGGED: usize = 64;
+const MAX_LOGGED_NON_MEMBERS: usize = 64;
 
 /// The view of owners that a forwarder has, and counts of what followed from it.
 #[derive(Debug, Default)]
 pub(super) struct Ownership {
     view: Option<Rc<dyn Owners>>,
-    taken_in: Micros,
+    view_since: Micros,
     /// The view before it.
-    before: Option<Rc<dyn Owners>>,
+    previous_view: Option<Rc<dyn Owners>>,
     /// Destinations that were begun as cold since it was taken in.
-    begun_cold: BTreeSet<DestinationId>,
+    slow_started: BTreeSet<DestinationId>,
     counts: Counts,
     /// Forwarders that hand over and are no members.
-    strangers: BTreeSet<String>,
+    non_members: BTreeSet<String>,
 }
 
 /// Counts from 0 in each process.
@@ -42,9 +42,9 @@
     /// Messages that other forwarders have handed over to this one.
     taken_over: u64,
     /// Of those, the ones from a forwarder that is no member.
-    from_strangers: u64,
+    from_non_members: u64,
     /// Messages delivered here for lack of an owner.
-    substituted: u64,
+    delivered_for_owner: u64,
     /// Offers without an answer.
     unanswered: u64,
 }
@@ -52,7 +52,7 @@
 impl Ownership {
     /// At a start.
     pub fn new(view: Option<Rc<dyn Owners>>, now: Micros) -> Self {
-        Ownership { view, taken_in: now, ..Ownership::default() }
+        Ownership { view, view_since: now, ..Ownership::default() }
     }
 
     /// Whether there are owners at all.
@@ -75,37 +75,37 @@
     }
 
     /// Takes in another view.
-    fn replace(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
-        self.before = std::mem::replace(&mut self.view, view);
-        self.taken_in = now;
-        self.strangers.clear();
-        self.begun_cold.clear();
+    fn replace_view(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
+        self.previous_view = std::mem::replace(&mut self.view, view);
+        self.view_since = now;
+        self.non_members.clear();
+        self.slow_started.clear();
     }
 
     /// Whether this forwarder does not own a destination, or so lately that the owner before it may still send there.
     fn is_new_to(&self, now: Micros, destination: DestinationId, cold_time: Micros) -> bool {
         let owns = |view: &Rc<dyn Owners>| view.owner_of(destination) == Owner::Local;
         let Some(view) = &self.view else { return false };
-        let was_owner = self.before.as_ref().is_none_or(owns);
-        !owns(view) || !was_owner && now - self.taken_in < cold_time
+        let was_owner = self.previous_view.as_ref().is_none_or(owns);
+        !owns(view) || !was_owner && now - self.view_since < cold_time
     }
 
     /// How many forwarders share a destination's limit, where each destination has owners.
-    pub fn sharers(&self) -> Option<u32> {
+    pub fn owners_of_each(&self) -> Option<u32> {
         self.view.as_ref().map(|view| view.owners_of_each())
     }
 
     /// How many of these destinations this forwarder owns; beyond some, reckoned from evenly chosen ones.
     fn owned(&self, destinations: &[DestinationId]) -> u64 {
         let Some(view) = &self.view else { return 0 };
-        let step = destinations.len().div_ceil(OWNED_LOOKED_UP).max(1);
+        let step = destinations.len().div_ceil(MAX_OWNER_LOOKUPS).max(1);
         let is_owned = |destination: &&DestinationId| view.owner_of(**destination) == Owner::Local;
         (destinations.iter().step_by(step).filter(is_owned).count() * step) as u64
     }
 
     /// What the snapshot of a message may hold beside its record.
-    pub fn reserve(&self, txn: &str) -> usize {
-        if self.is_on() { CUSTODY_RECORDS + 2 * txn.len() } else { 0 }
+    pub fn reserve_bytes(&self, txn: &str) -> usize {
+        if self.is_on() { HANDOVER_RECORDS_BYTES + 2 * txn.len() } else { 0 }
     }
 
     /// A message is taken on: whether another forwarder handed it over is in its custody.
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// It cannot be read.
-    pub(super) fn accept_mark(&mut self, marked: Marked) -> Result<Option<Mark>, &'static str> {
+    pub(super) fn read_handover_mark(&mut self, marked: Marked) -> Result<Option<Mark>, &'static str> {
         if !self.ownership.is_on() {
             return Ok(None);
         }
@@ -133,13 +133,13 @@
 
     /// A message is taken over from another forwarder. From who is no member it is taken all the same: the other may know
     /// a later view, and to hand it on would unbind its way.
-    pub(super) fn note_sender(&mut self, mark: &Mark) {
-        let Ownership { view, strangers, counts, .. } = &mut self.ownership;
+    pub(super) fn count_handover_from(&mut self, mark: &Mark) {
+        let Ownership { view, non_members: strangers, counts, .. } = &mut self.ownership;
         if view.as_ref().is_some_and(|view| view.member(&mark.from).is_some()) {
             return;
         }
-        counts.from_strangers += 1;
-        if strangers.len() < STRANGERS_LOGGED && strangers.insert(mark.from.clone()) {
+        counts.from_non_members += 1;
+        if strangers.len() < MAX_LOGGED_NON_MEMBERS && strangers.insert(mark.from.clone()) {
             self.log(format!(
                 "hand-over: a message from {:?}, who is no member, is delivered here",
                 mark.from
@@ -148,7 +148,7 @@
     }
 
     /// Another view holds. One that is older than the one held changes nothing.
-    pub(super) fn take_owners(&mut self, now: Micros, view: Rc<dyn Owners>) {
+    pub(super) fn on_owners_changed(&mut self, now: Micros, view: Rc<dyn Owners>) {
         if let Some(held) = self.ownership.view.as_ref().filter(|held| view.version() < held.version()) {
             let (old, held) = (view.version(), held.version());
             return self.log(format!("owners: view {old} is older than view {held}, and is passed over"));
@@ -158,18 +158,18 @@
 
     /// Another view holds, or none: what waits for an owner goes where it belongs now.
     pub(super) fn replace_owners(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
-        self.ownership.replace(now, view);
+        self.ownership.replace_view(now, view);
         for id in self.handovers.ids() {
             // One that is out is looked at when its offer has ended.
-            if !self.handovers.is_out(id) {
-                self.place_again(now, id);
+            if !self.handovers.is_offer_in_flight(id) {
+                self.replace_owner(now, id);
             }
         }
         let view = self.ownership.view.as_ref();
-        self.handovers.take_members(|name| view.and_then(|view| view.member(name)));
-        let settings = self.module_settings();
-        if settings.fleet_size != self.sharers {
-            self.sharers = settings.fleet_size;
+        self.handovers.update_members(|name| view.and_then(|view| view.member(name)));
+        let settings = self.controller_settings();
+        if settings.fleet_size != self.fleet_size_in_force {
+            self.fleet_size_in_force = settings.fleet_size;
             self.events.push(Event::Settings(Box::new(settings)));
         }
     }
@@ -178,13 +178,13 @@
     /// to the module.
     pub(super) fn place(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let taken = &message.taken;
+        let taken = &message.accepted;
         let peer = match &taken.handover {
             HandoverState { kept_local: true, .. } => None,
             // Who may have it is asked as long as it is a member.
             HandoverState { offered: Some(offered), .. } => match self.ownership.member(&offered.owner) {
                 Some(peer) => Some(peer),
-                None => return self.resolve_without_owner(now, id),
+                None => return self.resolve_in_doubt(now, id),
             },
             // What may have run and must not be repeated is the module's to end.
             _ if !self.may_repeat(now, taken) => None,
@@ -195,16 +195,16 @@
                 let terms = self.terms(now, taken);
                 self.handovers.add(now, id, &peer, terms);
             }
-            None => self.deliver_here(now, id),
+            None => self.deliver_locally(now, id),
         }
     }
 
     /// A message waits for an owner that may not be the one any more.
-    fn place_again(&mut self, now: Micros, id: MessageId) {
+    fn replace_owner(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let goes_to = match &message.taken.handover.offered {
+        let goes_to = match &message.accepted.handover.offered {
             Some(offered) => self.ownership.member(&offered.owner),
-            None => self.ownership.peer(message.taken.destination),
+            None => self.ownership.peer(message.accepted.destination),
         };
         if goes_to.as_ref().map(|peer| peer.name.as_str()) != self.handovers.peer_of(id) {
             self.handovers.remove(id);
@@ -212,17 +212,17 @@
         }
     }
 
-    fn terms(&self, now: Micros, taken: &AcceptedMessage) -> Terms {
-        let doubt_ends = taken.handover.offered.as_ref().map(|offered| offered.offered_at + DOUBT_TIME);
-        Terms {
+    fn terms(&self, now: Micros, taken: &AcceptedMessage) -> HandoverTerms {
+        let doubt_ends = taken.handover.offered.as_ref().map(|offered| offered.offered_at + MAX_IN_DOUBT_US);
+        HandoverTerms {
             destination: taken.destination,
             ends_at: doubt_ends.map_or(taken.deadline, |at| at.min(taken.deadline)),
-            substitutable: self.may_repeat(now, taken),
+            local_delivery_allowed: self.may_repeat(now, taken),
             in_doubt: taken.handover.offered.is_some(),
         }
     }
 
-    fn effect_of(&self, taken: &AcceptedMessage) -> ClassEffect {
+    fn idempotency_of(&self, taken: &AcceptedMessage) -> ClassEffect {
         let class = self.names.classes.iter().position(|class| *class == taken.class);
         class
             .and_then(|class| self.settings.classes.get(class))
@@ -240,7 +240,7 @@
         else {
             return true;
         };
-        match self.effect_of(taken) {
+        match self.idempotency_of(taken) {
             ClassEffect::Idempotent => true,
             ClassEffect::NonIdempotent => false,
             ClassEffect::IdempotencyKey { scope: group, window } => {
@@ -251,9 +251,9 @@
     }
 
     /// Whether who is told that a message has not been delivered may hand it in again: as the module has it.
-    fn may_return(&self, taken: &AcceptedMessage) -> bool {
+    fn may_be_rejected(&self, taken: &AcceptedMessage) -> bool {
         let untouched = taken.handover.offered.is_none() && taken.possible_delivery.is_none();
-        let effect = self.effect_of(taken);
+        let effect = self.idempotency_of(taken);
         untouched
             || matches!(
                 effect,
@@ -263,10 +263,10 @@
 
     /// The first message of a destination that is not, or not for long, this forwarder's own: the module begins there as
     /// after an outage, with a trial and a ramp.
-    pub(super) fn begin_cold(&mut self, now: Micros, destination: DestinationId) {
+    pub(super) fn slow_start_destination(&mut self, now: Micros, destination: DestinationId) {
         let cold_time = self.settings.warm_up_time;
         if self.ownership.is_new_to(now, destination, cold_time)
-            && self.ownership.begun_cold.insert(destination)
+            && self.ownership.slow_started.insert(destination)
         {
             self.events.push(Event::RouteState {
                 destination,
@@ -278,10 +278,10 @@
     }
 
     /// The owner that may have a message is asked no more: its class says what becomes of it.
-    fn resolve_without_owner(&mut self, now: Micros, id: MessageId) {
+    fn resolve_in_doubt(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        if !self.may_repeat(now, &message.taken) {
-            return self.end(now, id, FinalAnswer::Failed);
+        if !self.may_repeat(now, &message.accepted) {
+            return self.finish(now, id, FinalAnswer::Failed);
         }
         self.count_offer_as_attempt(id);
         self.place(now, id);
@@ -289,35 +289,35 @@
 
     fn count_offer_as_attempt(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        if message.taken.handover.offered.is_none() {
+        if message.accepted.handover.offered.is_none() {
             return;
         }
-        let txn = message.taken.id.clone();
+        let txn = message.accepted.id.clone();
         self.append(&[(&Record::HandoverInDoubt { message: txn }, b"")], None);
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.count_offer_as_attempt();
+            message.accepted.count_offer_as_attempt();
         }
     }
 
     /// A message is the module's from now on, with what is known of it.
-    fn deliver_here(&mut self, now: Micros, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|message| message.in_module) {
+    fn deliver_locally(&mut self, now: Micros, id: MessageId) {
+        if self.messages.get(&id).is_none_or(|message| message.in_controller) {
             return;
         }
-        self.tell_module(now, id, false);
-        self.tell_history(now, id);
+        self.pass_to_controller(now, id, false);
+        self.report_history(now, id);
     }
 
     /// Offers what is due, and ends what is out of time.
-    pub(super) fn hand_over_due(&mut self, now: Micros) {
+    pub(super) fn run_handover_decisions(&mut self, now: Micros) {
         if self.stage == ProcessStage::HandedOff {
             return;
         }
         while let Some(decision) = self.handovers.next(now) {
             match decision {
-                Decision::Offer(id, peer) => self.prepare_offer(now, id, &peer),
-                Decision::Substitute(id) => self.substitute(now, id),
-                Decision::TimeUp(id) => self.end_in_time(now, id),
+                HandoverDecision::Offer(id, peer) => self.prepare_offer(now, id, &peer),
+                HandoverDecision::DeliverLocally(id) => self.deliver_for_owner(now, id),
+                HandoverDecision::TimeUp(id) => self.on_handover_time_up(now, id),
             }
         }
     }
@@ -325,144 +325,148 @@
     /// The journal says whom a message is offered to before the first byte goes there.
     fn prepare_offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
         let Some(message) = self.messages.get(&id) else { return };
-        if message.taken.handover.offered.is_some() {
+        if message.accepted.handover.offered.is_some() {
             return self.offer(now, id, peer);
         }
-        let (txn, to) = (message.taken.id.clone(), peer.name.clone());
+        let (txn, to) = (message.accepted.id.clone(), peer.name.clone());
         let record = Record::HandoverOffered { message: txn, owner: to.clone(), at: now };
-        self.append(&[(&record, b"")], Some(AfterAppend::Offered(id, peer.clone())));
+        self.append(&[(&record, b"")], Some(AfterAppend::SendOffer(id, peer.clone())));
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.handover.offered = Some(HandoverOffer { owner: to, offered_at: now });
+            message.accepted.handover.offered = Some(HandoverOffer { owner: to, offered_at: now });
         }
     }
 
     /// The record of an offer is in the journal, or could not be: then nothing is offered.
-    pub(super) fn offer_stored(&mut self, now: Micros, id: MessageId, peer: &Peer, stored: bool) {
+    pub(super) fn on_offer_recorded(&mut self, now: Micros, id: MessageId, peer: &Peer, stored: bool) {
         if stored && self.stage != ProcessStage::HandedOff {
             return self.offer(now, id, peer);
         }
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.handover.offered = None;
+            message.accepted.handover.offered = None;
         }
-        self.handovers.withheld(now, id);
+        self.handovers.on_offer_withheld(now, id);
     }
 
     fn offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
         let view = self.ownership.view.as_ref().map(|view| view.own_name().to_owned());
         let (Some(message), Some(from)) = (self.messages.get(&id), view) else {
-            return self.handovers.withheld(now, id);
+            return self.handovers.on_offer_withheld(now, id);
         };
-        let taken = message.taken.clone();
+        let taken = message.accepted.clone();
         let (deadline, attempts, ran) = (taken.deadline, taken.attempts, taken.possible_delivery.clone());
         let first_offer = taken.handover.offered.as_ref().map_or(now, |offered| offered.offered_at);
-        let valid_until = first_offer + DOUBT_TIME;
+        let valid_until = first_offer + MAX_IN_DOUBT_US;
         self.effects.push(Effect::Offer(Box::new(Offer {
             id,
             to: peer.address,
             body: message.body.clone(),
             mark: Mark { from, deadline, valid_until, attempts, ran },
-            until: taken.deadline.min(now + ANSWER_TIME),
+            until: taken.deadline.min(now + OFFER_TIMEOUT_US),
             taken,
         })));
     }
 
     /// An offer has ended.
-    pub(super) fn offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+    pub(super) fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
         let was_in_doubt = self.handovers.is_in_doubt(id);
-        self.handovers.ended(now, id, end);
-        if self.messages.get(&id).is_none_or(|message| message.in_module) {
+        self.handovers.on_offer_ended(now, id, end);
+        if self.messages.get(&id).is_none_or(|message| message.in_controller) {
             return;
         }
         match end {
-            OfferEnd::Taken => return self.handed_over(now, id),
-            OfferEnd::Refused(_) | OfferEnd::Unreached(_) if !was_in_doubt => self.declined(id),
+            OfferEnd::Taken => return self.finish_handed_over(now, id),
+            OfferEnd::Refused(_) | OfferEnd::Unreached(_) if !was_in_doubt => self.record_declined(id),
             OfferEnd::Refused(_) | OfferEnd::Unreached(_) => {}
             OfferEnd::Unanswered(_) => self.ownership.counts.unanswered += 1,
         }
         if let OfferEnd::Unreached(why) | OfferEnd::Unanswered(why) = end {
             let peer = self.handovers.peer_of(id).unwrap_or_default();
             let doubt = if matches!(end, OfferEnd::Unanswered(_)) { " (in doubt)" } else { "" };
-            let txn = self.messages.get(&id).map_or("", |message| &message.taken.id);
+            let txn = self.messages.get(&id).map_or("", |message| &message.accepted.id);
             let line = format!("hand-over of {txn} to {peer}{doubt}: {why}");
             self.log(line);
         }
         if self.stage == ProcessStage::HandedOff {
-            return self.hand_over(id);
+            return self.release_to_successor(id);
         }
         if let Some(message) = self.messages.get(&id) {
-            let terms = self.terms(now, &message.taken);
+            let terms = self.terms(now, &message.accepted);
             self.handovers.change(id, terms);
         }
-        self.place_again(now, id);
+        self.replace_owner(now, id);
     }
 
     /// Its owner has the message: here it is over.
-    fn handed_over(&mut self, now: Micros, id: MessageId) {
+    fn finish_handed_over(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.id.clone();
-        let to =
-            message.taken.handover.offered.as_ref().map_or_else(String::new, |offered| offered.owner.clone());
+        let txn = message.accepted.id.clone();
+        let to = message
+            .accepted
+            .handover
+            .offered
+            .as_ref()
+            .map_or_else(String::new, |offered| offered.owner.clone());
         self.append(&[(&Record::HandedOver { message: txn.clone(), owner: to, at: now }, b"")], None);
         self.ownership.counts.handed_over += 1;
         self.figures.handed_over();
         self.drop_message(id);
-        self.recent.remember(txn, now);
+        self.finished.remember(txn, now);
     }
 
     /// The owner never took the message.
-    fn declined(&mut self, id: MessageId) {
+    fn record_declined(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.id.clone();
+        let txn = message.accepted.id.clone();
         self.append(&[(&Record::HandoverDeclined { message: txn }, b"")], None);
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.handover.offered = None;
+            message.accepted.handover.offered = None;
         }
     }
 
     /// A message is delivered here for lack of an owner.
-    fn substitute(&mut self, now: Micros, id: MessageId) {
+    fn deliver_for_owner(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        if !self.may_repeat(now, &message.taken) {
+        if !self.may_repeat(now, &message.accepted) {
             // A window has ended since.
             return self.place(now, id);
         }
-        if message.taken.handover.offered.is_some() {
+        if message.accepted.handover.offered.is_some() {
             // A start must not offer again what has been begun here.
             self.count_offer_as_attempt(id);
-            self.keep(id);
+            self.record_kept_local(id);
         }
-        self.ownership.counts.substituted += 1;
-        self.deliver_here(now, id);
+        self.ownership.counts.delivered_for_owner += 1;
+        self.deliver_locally(now, id);
     }
 
-    fn keep(&mut self, id: MessageId) {
+    fn record_kept_local(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.id.clone();
+        let txn = message.accepted.id.clone();
         self.append(&[(&Record::KeptLocal { message: txn }, b"")], None);
         if let Some(message) = self.messages.get_mut(&id) {
-            message.taken.handover.kept_local = true;
+            message.accepted.handover.kept_local = true;
         }
     }
 
     /// The time of a message is up while it waits for its owner. In doubt before its deadline, its class says what becomes
     /// of it.
-    fn end_in_time(&mut self, now: Micros, id: MessageId) {
-        if self.handovers.is_out(id) {
+    fn on_handover_time_up(&mut self, now: Micros, id: MessageId) {
+        if self.handovers.is_offer_in_flight(id) {
             // Its offer ends no later than that, and may bring the answer.
             return;
         }
         let Some(message) = self.messages.get(&id) else { return };
-        let taken = &message.taken;
+        let taken = &message.accepted;
         if now < taken.deadline {
             self.handovers.remove(id);
-            return self.resolve_without_owner(now, id);
+            return self.resolve_in_doubt(now, id);
         }
-        let verdict = if self.may_return(taken) {
+        let verdict = if self.may_be_rejected(taken) {
             FinalAnswer::Rejected { retry_after_ms: 0 }
         } else {
             FinalAnswer::Failed
         };
-        self.end(now, id, verdict);
+        self.finish(now, id, verdict);
     }
 
     /// The figures of hand-overs, a line each; none where there are no owners.
@@ -470,14 +474,14 @@
         let Some(view) = &self.ownership.view else { return String::new() };
         let counts = &self.ownership.counts;
         let (waiting, substitutes) = self.handovers.counts();
-        let age = (now - self.ownership.taken_in).max(0) / 1_000_000;
+        let age = (now - self.ownership.view_since).max(0) / 1_000_000;
         let mut lines = String::new();
         for (name, value) in [
             ("owned", self.ownership.owned(&self.destinations.with_endpoints())),
             ("handed_over", counts.handed_over),
             ("taken_over", counts.taken_over),
-            ("taken_over_from_strangers", counts.from_strangers),
-            ("delivered_for_lack_of_owner", counts.substituted),
+            ("taken_over_from_strangers", counts.from_non_members),
+            ("delivered_for_lack_of_owner", counts.delivered_for_owner),
             ("delivering_for_lack_of_owner", substitutes as u64),
             ("handover_unanswered", counts.unanswered),
             ("handover_waiting", waiting as u64),
--- a/crates/forwarder/src/reducer/destinations.rs
+++ b/crates/forwarder/src/reducer/destinations.rs
@@ -1,6 +1,6 @@
 //! The destinations that lists have named, and an index of their endpoints.
 
-use super::hops::Hop;
+use super::hops::KnownEndpoint;
 use orchidyoke_core::interface::{DestinationId, EndpointId};
 use std::collections::BTreeSet;
 
@@ -32,7 +32,7 @@
     }
 
     /// New endpoints, many of them where a whole list has come.
-    pub fn add(&mut self, hops: &[(EndpointId, Hop)]) {
+    pub fn add(&mut self, hops: &[(EndpointId, KnownEndpoint)]) {
         let mut endpoints = hops.iter().map(|(id, hop)| (hop.destination, *id)).collect();
         // Merging packs a tree full; for a few it would be more work than putting each in.
         if hops.len() > self.endpoints.len() / 2 {
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -10,54 +10,54 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 /// An offer without an answer by then is over; the owner may have taken the message.
-pub(super) const ANSWER_TIME: Micros = SECOND;
+pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
 /// A message in doubt is offered again for so long after its first offer: the owner remembers ids that are over for
 /// longer than this.
-pub(super) const DOUBT_TIME: Micros = 20 * SECOND;
+pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
 /// An owner that has failed for so long is done without.
-const PATIENCE: Micros = 2 * SECOND;
+const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
 /// Offers out at once, to one owner.
-const OFFERS_PER_PEER: usize = 16;
+const MAX_OFFERS_PER_OWNER: usize = 16;
 /// Offers out at once, in all.
-const OFFERS_IN_ALL: usize = 64;
+const MAX_OFFERS: usize = 64;
 /// Messages that are delivered here at once for lack of an owner; one of a destination.
-const SUBSTITUTES_MOST: usize = 32;
+const MAX_LOCAL_DELIVERIES: usize = 32;
 /// Messages that wait for one owner; more are refused at the door.
-const WAITING_PER_PEER: usize = 1000;
+const MAX_WAITING_PER_OWNER: usize = 1000;
 /// The bounds of the pause before an offer is repeated.
-const FIRST_PAUSE: Micros = 100_000;
-const LONGEST_PAUSE: Micros = 2 * SECOND;
+const FIRST_OFFER_BACKOFF_US: Micros = 100_000;
+const MAX_OFFER_BACKOFF_US: Micros = 2 * SECOND_US;
 
 /// What a message is to its hand-over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Terms {
+pub(super) struct HandoverTerms {
     /// Its destination.
     pub destination: DestinationId,
     /// When no more is to be waited for: its deadline, or in doubt the end of that.
     pub ends_at: Micros,
     /// It may be delivered here for lack of an owner.
-    pub substitutable: bool,
+    pub local_delivery_allowed: bool,
     /// The owner may have it.
     pub in_doubt: bool,
 }
 
 /// What is to be done with a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Decision {
+pub(super) enum HandoverDecision {
     /// Offer it to its owner.
     Offer(MessageId, Peer),
     /// Deliver it here for lack of an owner.
-    Substitute(MessageId),
+    DeliverLocally(MessageId),
     /// Its time is up.
     TimeUp(MessageId),
 }
 
 /// A message that waits for its owner.
 #[derive(Debug)]
-struct Waiting {
-    terms: Terms,
+struct WaitingMessage {
+    terms: HandoverTerms,
     peer: String,
     due: Micros,
     refusals: u32,
@@ -65,44 +65,44 @@
 
 /// An owner that messages wait for.
 #[derive(Debug)]
-struct Queue {
+struct OwnerQueue {
     address: SocketAddr,
     /// Those that are not out, by when they are due.
     due: BTreeSet<(Micros, MessageId)>,
     /// Those of them that it may have: the first to be offered again while it fails.
     in_doubt: BTreeSet<MessageId>,
     /// Those of them that may be delivered here.
-    substitutable: BTreeSet<(DestinationId, MessageId)>,
+    local_delivery_allowed: BTreeSet<(DestinationId, MessageId)>,
     waiting: usize,
-    out: usize,
+    offers_in_flight: usize,
     failing_since: Option<Micros>,
     not_before: Micros,
-    pause: Backoff,
+    backoff: Backoff,
     /// Its entry in the set of those that are due.
     timer: Option<Micros>,
 }
 
-impl Queue {
+impl OwnerQueue {
     fn new(address: SocketAddr, seed: u64) -> Self {
-        Queue {
+        OwnerQueue {
             address,
             due: BTreeSet::new(),
             in_doubt: BTreeSet::new(),
-            substitutable: BTreeSet::new(),
+            local_delivery_allowed: BTreeSet::new(),
             waiting: 0,
-            out: 0,
+            offers_in_flight: 0,
             failing_since: None,
             not_before: 0,
-            pause: Backoff::new(FIRST_PAUSE, seed),
+            backoff: Backoff::new(FIRST_OFFER_BACKOFF_US, seed),
             timer: None,
         }
     }
 
     /// When something may be offered to it next.
     fn wake_at(&self) -> Option<Micros> {
-        let most = if self.failing_since.is_some() { 1 } else { OFFERS_PER_PEER };
+        let most = if self.failing_since.is_some() { 1 } else { MAX_OFFERS_PER_OWNER };
         let (first, _) = self.due.first()?;
-        (self.out < most).then_some((*first).max(self.not_before))
+        (self.offers_in_flight < most).then_some((*first).max(self.not_before))
     }
 
     /// The next message to offer. One that fails is asked about what it may have already, where there is any.
@@ -116,41 +116,41 @@
     }
 
     fn is_done_without(&self, now: Micros) -> bool {
-        self.failing_since.is_some_and(|since| now - since >= PATIENCE)
+        self.failing_since.is_some_and(|since| now - since >= OWNER_FAILING_LIMIT_US)
     }
 }
 
 /// All hand-overs of a forwarder.
 #[derive(Debug, Default)]
-pub(super) struct Handovers {
-    waiting: BTreeMap<MessageId, Waiting>,
-    peers: BTreeMap<String, Queue>,
+pub(super) struct HandoverSchedule {
+    waiting: BTreeMap<MessageId, WaitingMessage>,
+    peers: BTreeMap<String, OwnerQueue>,
     /// Owners by when something may be offered to them.
     timers: BTreeSet<(Micros, String)>,
     ends: BTreeSet<(Micros, MessageId)>,
     /// Offers that are out, with their owners; the message may be gone meanwhile.
-    out: BTreeMap<MessageId, String>,
+    offers_in_flight: BTreeMap<MessageId, String>,
     /// Owners that fail.
     failing: BTreeSet<String>,
     /// When owners that fail will be done without.
-    patience: BTreeSet<(Micros, String)>,
+    give_up_at: BTreeSet<(Micros, String)>,
     /// Those delivered here for lack of an owner.
-    substitutes: BTreeMap<DestinationId, MessageId>,
-    substituted: BTreeMap<MessageId, DestinationId>,
+    local_deliveries: BTreeMap<DestinationId, MessageId>,
+    local_delivery_ids: BTreeMap<MessageId, DestinationId>,
     /// Whether more of those may be possible than when it was last looked at.
-    look_for_substitutes: bool,
+    check_local_delivery: bool,
     seed: u64,
 }
 
-impl Handovers {
+impl HandoverSchedule {
     /// None yet; chance follows from `seed`.
     pub fn new(seed: u64) -> Self {
-        Handovers { seed, ..Handovers::default() }
+        HandoverSchedule { seed, ..HandoverSchedule::default() }
     }
 
     /// Whether its offer is out.
-    pub fn is_out(&self, id: MessageId) -> bool {
-        self.out.contains_key(&id)
+    pub fn is_offer_in_flight(&self, id: MessageId) -> bool {
+        self.offers_in_flight.contains_key(&id)
     }
 
     /// Whether the owner may have it since before its last offer.
@@ -170,32 +170,33 @@
 
     /// How many wait, and how many are delivered here for lack of an owner.
     pub fn counts(&self) -> (usize, usize) {
-        (self.waiting.len(), self.substitutes.len())
+        (self.waiting.len(), self.local_deliveries.len())
     }
 
     /// Whether so many wait for this owner that no more are to be taken on.
     pub fn is_full(&self, peer: &str) -> bool {
-        self.peers.get(peer).is_some_and(|queue| queue.waiting >= WAITING_PER_PEER)
+        self.peers.get(peer).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
     }
 
     /// A message waits for its owner from now on.
-    pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: Terms) {
+    pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: HandoverTerms) {
         self.seed = self.seed.wrapping_add(1);
         let seed = self.seed;
-        let queue = self.peers.entry(peer.name.clone()).or_insert_with(|| Queue::new(peer.address, seed));
+        let queue =
+            self.peers.entry(peer.name.clone()).or_insert_with(|| OwnerQueue::new(peer.address, seed));
         queue.address = peer.address;
         queue.waiting += 1;
         self.ends.insert((terms.ends_at, id));
-        self.waiting.insert(id, Waiting { terms, peer: peer.name.clone(), due: now, refusals: 0 });
+        self.waiting.insert(id, WaitingMessage { terms, peer: peer.name.clone(), due: now, refusals: 0 });
         self.queue(id, now);
     }
 
     /// A message does not wait for its owner any more, or is not here any more: all that is known of it goes, but for an
     /// offer that is out.
     pub fn remove(&mut self, id: MessageId) {
-        if let Some(destination) = self.substituted.remove(&id) {
-            self.substitutes.remove(&destination);
-            self.look_for_substitutes = true;
+        if let Some(destination) = self.local_delivery_ids.remove(&id) {
+            self.local_deliveries.remove(&destination);
+            self.check_local_delivery = true;
         }
         let Some(waiting) = self.waiting.get(&id) else { return };
         self.ends.remove(&(waiting.terms.ends_at, id));
@@ -209,8 +210,8 @@
     }
 
     /// The terms of a message have changed.
-    pub fn change(&mut self, id: MessageId, terms: Terms) {
-        let queued = !self.out.contains_key(&id);
+    pub fn change(&mut self, id: MessageId, terms: HandoverTerms) {
+        let queued = !self.offers_in_flight.contains_key(&id);
         if queued {
             self.unqueue(id);
         }
@@ -225,63 +226,65 @@
     }
 
     /// An offer is not made after all: as one that did not reach its owner, which is not to blame.
-    pub fn withheld(&mut self, now: Micros, id: MessageId) {
-        if let Some(peer) = self.offer_over(id) {
-            self.queue(id, now + LONGEST_PAUSE);
+    pub fn on_offer_withheld(&mut self, now: Micros, id: MessageId) {
+        if let Some(peer) = self.remove_offer(id) {
+            self.queue(id, now + MAX_OFFER_BACKOFF_US);
             self.schedule(&peer);
         }
     }
 
     /// An offer has ended. What it means for the message is not decided here; it is due again unless it is removed.
-    pub fn ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
-        let Some(peer) = self.offer_over(id) else { return };
+    pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+        let Some(peer) = self.remove_offer(id) else { return };
         let Some(queue) = self.peers.get_mut(&peer) else { return };
         let mut due = now;
         if let OfferEnd::Taken | OfferEnd::Refused(_) = end {
             queue.failing_since = None;
             queue.not_before = 0;
-            queue.pause.reset();
+            queue.backoff.reset();
             self.failing.remove(&peer);
         } else {
             if queue.failing_since.is_none() {
                 queue.failing_since = Some(now);
-                self.patience.insert((now + PATIENCE, peer.clone()));
+                self.give_up_at.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
             }
-            queue.not_before = now + queue.pause.pause(LONGEST_PAUSE);
+            queue.not_before = now + queue.backoff.pause(MAX_OFFER_BACKOFF_US);
             due = queue.not_before;
             self.failing.insert(peer.clone());
         }
         if let (OfferEnd::Refused(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
-            let bound = FIRST_PAUSE.saturating_mul(1 << waiting.refusals.min(10)).min(LONGEST_PAUSE);
+            let bound = FIRST_OFFER_BACKOFF_US
+                .saturating_mul(1 << waiting.refusals.min(10))
+                .min(MAX_OFFER_BACKOFF_US);
             waiting.refusals += 1;
-            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.pause.within(bound / 2));
+            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.within(bound / 2));
         }
         self.queue(id, due);
         self.schedule(&peer);
     }
 
     /// What is due: one decision after another, until there is none.
-    pub fn next(&mut self, now: Micros) -> Option<Decision> {
+    pub fn next(&mut self, now: Micros) -> Option<HandoverDecision> {
         if let Some((at, id)) = self.ends.first().copied()
             && at <= now
         {
             self.ends.pop_first();
-            return Some(Decision::TimeUp(id));
+            return Some(HandoverDecision::TimeUp(id));
         }
-        self.next_offer(now).or_else(|| self.next_substitute(now))
+        self.next_offer(now).or_else(|| self.next_local_delivery(now))
     }
 
     /// When something is due next.
     pub fn wake_at(&self) -> Option<Micros> {
-        let room = self.out.len() < OFFERS_IN_ALL;
+        let room = self.offers_in_flight.len() < MAX_OFFERS;
         let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
-        let substitute = self.patience.first().map(|(at, _)| *at);
+        let substitute = self.give_up_at.first().map(|(at, _)| *at);
         let end = self.ends.first().map(|(at, _)| *at);
         [offer, substitute, end].into_iter().flatten().min()
     }
 
-    fn next_offer(&mut self, now: Micros) -> Option<Decision> {
-        while self.out.len() < OFFERS_IN_ALL
+    fn next_offer(&mut self, now: Micros) -> Option<HandoverDecision> {
+        while self.offers_in_flight.len() < MAX_OFFERS
             && let Some((at, peer)) = self.timers.first().cloned()
             && at <= now
         {
@@ -289,12 +292,12 @@
             let (next, address) = (queue.next(now), queue.address);
             if let Some(id) = next {
                 self.unqueue(id);
-                self.out.insert(id, peer.clone());
+                self.offers_in_flight.insert(id, peer.clone());
                 if let Some(queue) = self.peers.get_mut(&peer) {
-                    queue.out += 1;
+                    queue.offers_in_flight += 1;
                 }
                 self.schedule(&peer);
-                return Some(Decision::Offer(id, Peer { name: peer, address }));
+                return Some(HandoverDecision::Offer(id, Peer { name: peer, address }));
             }
             self.schedule(&peer);
             debug_assert!(
@@ -305,35 +308,37 @@
         None
     }
 
-    fn next_substitute(&mut self, now: Micros) -> Option<Decision> {
-        while self.patience.first().is_some_and(|(at, _)| *at <= now) {
-            self.patience.pop_first();
-            self.look_for_substitutes = true;
+    fn next_local_delivery(&mut self, now: Micros) -> Option<HandoverDecision> {
+        while self.give_up_at.first().is_some_and(|(at, _)| *at <= now) {
+            self.give_up_at.pop_first();
+            self.check_local_delivery = true;
         }
-        if !self.look_for_substitutes || self.substitutes.len() >= SUBSTITUTES_MOST {
+        if !self.check_local_delivery || self.local_deliveries.len() >= MAX_LOCAL_DELIVERIES {
             return None;
         }
         for peer in &self.failing {
             let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_done_without(now)) else {
                 continue;
             };
-            if let Some(id) = first_of_other_destination(&queue.substitutable, &self.substitutes) {
+            if let Some(id) =
+                first_of_other_destination(&queue.local_delivery_allowed, &self.local_deliveries)
+            {
                 let destination = self.waiting.get(&id)?.terms.destination;
                 self.remove(id);
-                self.substitutes.insert(destination, id);
-                self.substituted.insert(id, destination);
-                return Some(Decision::Substitute(id));
+                self.local_deliveries.insert(destination, id);
+                self.local_delivery_ids.insert(id, destination);
+                return Some(HandoverDecision::DeliverLocally(id));
             }
         }
-        self.look_for_substitutes = false;
+        self.check_local_delivery = false;
         None
     }
 
     /// An offer is out no more; its owner, where the message still waits for one.
-    fn offer_over(&mut self, id: MessageId) -> Option<String> {
-        let peer = self.out.remove(&id)?;
+    fn remove_offer(&mut self, id: MessageId) -> Option<String> {
+        let peer = self.offers_in_flight.remove(&id)?;
         if let Some(queue) = self.peers.get_mut(&peer) {
-            queue.out -= 1;
+            queue.offers_in_flight -= 1;
         }
         Some(peer)
     }
@@ -348,9 +353,9 @@
         if terms.in_doubt {
             queue.in_doubt.insert(id);
         }
-        if terms.substitutable {
-            queue.substitutable.insert((terms.destination, id));
-            self.look_for_substitutes |= queue.failing_since.is_some();
+        if terms.local_delivery_allowed {
+            queue.local_delivery_allowed.insert((terms.destination, id));
+            self.check_local_delivery |= queue.failing_since.is_some();
         }
         self.schedule(&peer);
     }
@@ -360,7 +365,7 @@
         let Some(queue) = self.peers.get_mut(&waiting.peer) else { return };
         queue.due.remove(&(waiting.due, id));
         queue.in_doubt.remove(&id);
-        queue.substitutable.remove(&(waiting.terms.destination, id));
+        queue.local_delivery_allowed.remove(&(waiting.terms.destination, id));
     }
 
     /// Puts an owner where it belongs among those that are due; one that nothing waits for is forgotten, unless it fails.
@@ -377,11 +382,11 @@
     }
 
     /// Owners answer where the members do now; those that are no members are forgotten.
-    pub fn take_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
+    pub fn update_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
         self.peers.retain(|name, queue| {
             let address = member(name);
             queue.address = address.unwrap_or(queue.address);
-            address.is_some() || queue.waiting > 0 || queue.out > 0
+            address.is_some() || queue.waiting > 0 || queue.offers_in_flight > 0
         });
         self.failing.retain(|name| self.peers.contains_key(name));
     }
--- a/crates/forwarder/src/reducer/messages.rs
+++ b/crates/forwarder/src/reducer/messages.rs
@@ -1,6 +1,6 @@
 //! Messages: submitted, taken on, ended.
 
-use super::{AfterAppend, NO_ROOM_PAUSE, Reducer};
+use super::{AfterAppend, JOURNAL_FULL_RETRY_AFTER_US, Reducer};
 use crate::figures::End;
 use crate::input::{RequestId, Submission, SubmitAnswer};
 use bytes::Bytes;
@@ -8,56 +8,57 @@
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState, ProcessStage, Record};
 
 /// About the bytes of a message's record beside its body and id, never less.
-const MESSAGE_RECORD: usize = 512;
+const MESSAGE_RECORD_BYTES: usize = 512;
 
 /// One message from its coming to its end.
 #[derive(Debug)]
 pub(super) struct Message {
-    pub taken: AcceptedMessage,
+    pub accepted: AcceptedMessage,
     pub body: Bytes,
     /// Requests that wait for what the module says before it is taken on.
-    pub waiting: Vec<RequestId>,
+    pub waiting_requests: Vec<RequestId>,
     /// Its record is in the journal.
     pub stored: bool,
     /// When it was handed in; None where that was to another process.
-    pub came: Option<Micros>,
+    pub received_at: Option<Micros>,
     /// The module has it; else it waits for the owner of its destination.
-    pub in_module: bool,
+    pub in_controller: bool,
     /// What its custody may take up in a snapshot.
-    pub reserve: usize,
+    pub handover_reserve_bytes: usize,
 }
 
 /// About the bytes that a message takes up in a snapshot, never less. Its key may be all that JSON writes twice as long.
 pub(super) fn message_size(txn: &str, key: Option<&str>, body: &[u8]) -> usize {
-    body.len() + txn.len() + key.map_or(0, |key| 2 * key.len()) + MESSAGE_RECORD
+    body.len() + txn.len() + key.map_or(0, |key| 2 * key.len()) + MESSAGE_RECORD_BYTES
 }
 
 impl Message {
     /// About the bytes that it takes up in a snapshot, never less.
     pub fn size(&self) -> usize {
-        message_size(&self.taken.id, self.taken.idempotency_key.as_deref(), &self.body) + self.reserve
+        message_size(&self.accepted.id, self.accepted.idempotency_key.as_deref(), &self.body)
+            + self.handover_reserve_bytes
     }
 }
 
 impl Reducer {
     pub(super) fn submit(&mut self, now: Micros, ticket: RequestId, handed: Submission) {
         // A client sends a request once more when a close crosses it: the same id is the same message.
-        if self.recent.contains(&handed.id) || self.owed.contains(&handed.id) {
+        if self.finished.contains(&handed.id) || self.final_answers.contains(&handed.id) {
             return self.answer(ticket, SubmitAnswer::Accepted);
         }
-        if let Some(message) = self.by_txn.get(&handed.id).and_then(|id| self.messages.get_mut(id)) {
+        if let Some(message) = self.message_ids.get(&handed.id).and_then(|id| self.messages.get_mut(id)) {
             if message.stored {
                 return self.answer(ticket, SubmitAnswer::Accepted);
             }
-            message.waiting.push(ticket);
-            if let Some(id) = self.by_txn.get(&handed.id)
-                && !self.unadmitted.contains(id)
+            message.waiting_requests.push(ticket);
+            if let Some(id) = self.message_ids.get(&handed.id)
+                && !self.awaiting_decision.contains(id)
             {
-                self.unadmitted.push(*id);
+                self.awaiting_decision.push(*id);
             }
             return;
         }
-        if self.is_elsewhere(&handed.id) {
+        if self.is_known_elsewhere(&handed.id) {
             return self.answer(ticket, SubmitAnswer::Accepted);
         }
         let class = self.names.classes.iter().position(|class| *class == handed.class);
@@ -76,7 +77,7 @@
         if !self.destinations.knows(handed.destination) {
             return self.answer(ticket, SubmitAnswer::UnknownDestination);
         }
-        let mark = match self.accept_mark(handed.handover_mark) {
+        let mark = match self.read_handover_mark(handed.handover_mark) {
             Ok(mark) => mark,
             Err(words) => return self.answer(ticket, SubmitAnswer::Incomplete(words)),
         };
@@ -86,18 +87,18 @@
         let full = late
             || pushed_back
             || self.settings.max_open_messages > 0 && self.messages.len() >= self.settings.max_open_messages;
-        let reserve = self.ownership.reserve(&handed.id);
+        let reserve = self.ownership.reserve_bytes(&handed.id);
         let cost = message_size(&handed.id, handed.idempotency_key.as_deref(), &handed.body) + reserve;
-        if full || !self.space.admits(self.live_size(), cost) {
+        if full || !self.space.admits(self.live_bytes(), cost) {
             self.figures.turned_away(&handed.class, End::Overload);
-            return self.answer(ticket, SubmitAnswer::Rejected(self.no_room_pause()));
+            return self.answer(ticket, SubmitAnswer::Rejected(self.journal_full_retry_after()));
         }
         // A client that says more than its class allows does not keep a message here for ever.
         let mut deadline = now.saturating_add(handed.time_left.min(longest));
         let (mut attempts, mut ran) = (0, None);
         let custody = HandoverState { kept_local: mark.is_some(), ..HandoverState::default() };
         if let Some(mark) = mark {
-            self.note_sender(&mark);
+            self.count_handover_from(&mark);
             deadline = deadline.min(mark.deadline);
             (attempts, ran) = (mark.attempts, mark.ran);
         }
@@ -115,28 +116,28 @@
             handover: custody,
         };
         let message = Message {
-            taken,
+            accepted: taken,
             body: handed.body,
-            waiting: vec![ticket],
+            waiting_requests: vec![ticket],
             stored: false,
-            came: Some(now),
-            in_module: false,
-            reserve,
+            received_at: Some(now),
+            in_controller: false,
+            handover_reserve_bytes: reserve,
         };
-        let id = self.hold(message);
+        let id = self.insert_message(message);
         if peer.is_none() {
-            self.tell_module(now, id, handed.is_retry);
+            self.pass_to_controller(now, id, handed.is_retry);
             if had_attempts {
-                self.tell_history(now, id);
+                self.report_history(now, id);
             }
         }
-        self.unadmitted.push(id);
+        self.awaiting_decision.push(id);
     }
 
     /// What a client is told that comes when there is no room, as far as the settings let it be told anything.
-    pub(super) fn no_room_pause(&self) -> Micros {
+    pub(super) fn journal_full_retry_after(&self) -> Micros {
         if self.settings.send_retry_after {
-            NO_ROOM_PAUSE.min(self.settings.max_retry_after.max(0))
+            JOURNAL_FULL_RETRY_AFTER_US.min(self.settings.max_retry_after.max(0))
         } else {
             0
         }
@@ -148,40 +149,47 @@
         taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
         taken.in_flight = None;
         self.figures.took(1);
-        let reserve = self.ownership.reserve(&taken.id);
-        let message =
-            Message { taken, body, waiting: Vec::new(), stored: true, came: None, in_module: false, reserve };
-        let id = self.hold(message);
+        let reserve = self.ownership.reserve_bytes(&taken.id);
+        let message = Message {
+            accepted: taken,
+            body,
+            waiting_requests: Vec::new(),
+            stored: true,
+            received_at: None,
+            in_controller: false,
+            handover_reserve_bytes: reserve,
+        };
+        let id = self.insert_message(message);
         self.place(now, id);
     }
 
     /// How long ago an attempt began, and where: in which zone is kept with it, for the endpoint may be gone since, or
     /// listed elsewhere. Only a record of a version before has none.
-    pub(super) fn trace_of(&self, now: Micros, trace: &AttemptStart) -> (Micros, EndpointId, usize) {
-        let hop = self.hop_numbers.get(trace.endpoint.as_str()).copied().unwrap_or(EndpointId::MAX);
-        let listed = || self.map.get(&trace.endpoint).map_or("", |target| &*target.zone);
+    pub(super) fn attempt_origin(&self, now: Micros, trace: &AttemptStart) -> (Micros, EndpointId, usize) {
+        let hop = self.endpoint_ids.get(trace.endpoint.as_str()).copied().unwrap_or(EndpointId::MAX);
+        let listed = || self.endpoint_list.get(&trace.endpoint).map_or("", |target| &*target.zone);
         let zone = if trace.zone.is_empty() { listed() } else { &trace.zone };
-        ((now - trace.started_at).max(0), hop, self.zone(zone))
+        ((now - trace.started_at).max(0), hop, self.zone_number(zone))
     }
 
-    fn hold(&mut self, message: Message) -> MessageId {
+    fn insert_message(&mut self, message: Message) -> MessageId {
         let id = self.next_message;
         self.next_message += 1;
-        self.by_txn.insert(message.taken.id.clone(), id);
-        self.live += message.size();
+        self.message_ids.insert(message.accepted.id.clone(), id);
+        self.live_message_bytes += message.size();
         self.messages.insert(id, message);
         id
     }
 
     /// The module has a message from now on.
-    pub(super) fn tell_module(&mut self, now: Micros, id: MessageId, repeat: bool) {
-        let Some(destination) = self.messages.get(&id).map(|message| message.taken.destination) else {
+    pub(super) fn pass_to_controller(&mut self, now: Micros, id: MessageId, repeat: bool) {
+        let Some(destination) = self.messages.get(&id).map(|message| message.accepted.destination) else {
             return;
         };
-        self.begin_cold(now, destination);
+        self.slow_start_destination(now, destination);
         let Some(message) = self.messages.get_mut(&id) else { return };
-        message.in_module = true;
-        let taken = &message.taken;
+        message.in_controller = true;
+        let taken = &message.accepted;
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         self.events.push(Event::Message {
             id,
@@ -195,17 +203,18 @@
     }
 
     /// The module is told what has become of a message before, if anything has.
-    pub(super) fn tell_history(&mut self, now: Micros, id: MessageId) {
-        let Some(taken) = self.messages.get(&id).map(|message| &message.taken) else { return };
+    pub(super) fn report_history(&mut self, now: Micros, id: MessageId) {
+        let Some(taken) = self.messages.get(&id).map(|message| &message.accepted) else { return };
         let attempts = taken.attempts;
-        let may_have_run = taken.possible_delivery.as_ref().map(|trace| self.trace_of(now, trace));
+        let may_have_run = taken.possible_delivery.as_ref().map(|trace| self.attempt_origin(now, trace));
         self.events.push(Event::AttemptHistory { id, attempts, possible_delivery: may_have_run });
     }
 
     /// Nobody waits any more for a message that is not taken on yet: it is dropped.
     pub(super) fn withdraw(&mut self, ticket: RequestId) {
-        let waits = |message: &Message| !message.stored && message.waiting == [ticket];
-        if let Some(id) = self.unadmitted.iter().copied().find(|id| self.messages.get(id).is_some_and(waits))
+        let waits = |message: &Message| !message.stored && message.waiting_requests == [ticket];
+        if let Some(id) =
+            self.awaiting_decision.iter().copied().find(|id| self.messages.get(id).is_some_and(waits))
         {
             self.drop_message(id);
             self.events.push(Event::Withdrawn { id });
@@ -215,54 +224,62 @@
     pub(super) fn drop_message(&mut self, id: MessageId) -> Option<Message> {
         let message = self.messages.remove(&id)?;
         self.handovers.remove(id);
-        self.live -= message.size();
-        self.by_txn.remove(&message.taken.id);
+        self.live_message_bytes -= message.size();
+        self.message_ids.remove(&message.accepted.id);
         Some(message)
     }
 
-    pub(super) fn taken_on(&mut self, now: Micros, taken: Vec<(MessageId, Vec<RequestId>)>, stored: bool) {
+    pub(super) fn on_messages_recorded(
+        &mut self,
+        now: Micros,
+        taken: Vec<(MessageId, Vec<RequestId>)>,
+        stored: bool,
+    ) {
         for (id, tickets) in taken {
             if stored {
                 if let Some(message) = self.messages.get_mut(&id)
                     && !std::mem::replace(&mut message.stored, true)
                 {
                     self.figures.took(1);
-                    self.ownership.count_taken_over(&message.taken);
+                    self.ownership.count_taken_over(&message.accepted);
                 }
             } else if let Some(message) = self.drop_message(id) {
-                self.figures.turned_away(&message.taken.class, End::Overload);
+                self.figures.turned_away(&message.accepted.class, End::Overload);
                 self.events.push(Event::Withdrawn { id });
             }
-            let answer =
-                if stored { SubmitAnswer::Accepted } else { SubmitAnswer::Rejected(self.no_room_pause()) };
+            let answer = if stored {
+                SubmitAnswer::Accepted
+            } else {
+                SubmitAnswer::Rejected(self.journal_full_retry_after())
+            };
             tickets.into_iter().for_each(|ticket| self.answer(ticket, answer));
             if stored && self.stage == ProcessStage::HandedOff {
-                self.hand_over(id);
-            } else if stored && self.messages.get(&id).is_some_and(|message| !message.in_module) {
+                self.release_to_successor(id);
+            } else if stored && self.messages.get(&id).is_some_and(|message| !message.in_controller) {
                 self.place(now, id);
             }
         }
     }
 
     /// The module's final answer: before it is taken on it answers the request, later it is a notice.
-    pub(super) fn end(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer) {
+    pub(super) fn finish(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer) {
         let end = match verdict {
             FinalAnswer::Failed => End::Error,
             FinalAnswer::Rejected { .. } => End::Overload,
         };
-        self.end_as(now, id, verdict, end);
+        self.finish_counted_as(now, id, verdict, end);
     }
 
     /// A final answer that counts as this end.
-    pub(super) fn end_as(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer, end: End) {
+    pub(super) fn finish_counted_as(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer, end: End) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.id.clone();
+        let txn = message.accepted.id.clone();
         if message.stored {
             self.append(
                 &[(&Record::AnswerDecided { message: txn.clone(), at: now, answer: verdict }, b"")],
                 None,
             );
-            self.owed.push(txn, verdict, now);
+            self.final_answers.push(txn, verdict, now);
         }
         let answer = match verdict {
             FinalAnswer::Failed => SubmitAnswer::Failed,
@@ -270,41 +287,43 @@
         };
         let Some(message) = self.drop_message(id) else { return };
         if message.stored {
-            self.figures.ended(&message.taken.class, end);
+            self.figures.ended(&message.accepted.class, end);
         } else {
-            self.figures.turned_away(&message.taken.class, end);
+            self.figures.turned_away(&message.accepted.class, end);
         }
-        for ticket in message.waiting {
+        for ticket in message.waiting_requests {
             self.answer(ticket, answer);
         }
     }
 
     /// Delivered: nothing more is owed.
-    pub(super) fn over(&mut self, now: Micros, id: MessageId) {
+    pub(super) fn finish_delivered(&mut self, now: Micros, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let txn = message.taken.id.clone();
+        let txn = message.accepted.id.clone();
         self.append(&[(&Record::Finished { message: txn.clone(), at: now }, b"")], None);
         if let Some(message) = self.drop_message(id) {
-            self.figures.delivered(&message.taken.class, message.came.map(|came| now - came));
+            self.figures.delivered(&message.accepted.class, message.received_at.map(|came| now - came));
         }
-        self.recent.remember(txn, now);
+        self.finished.remember(txn, now);
     }
 
     /// What the module has not turned away goes into the journal.
-    pub(super) fn take_on(&mut self) {
-        let unadmitted = std::mem::take(&mut self.unadmitted);
-        let waiting = |id: MessageId| Some((id, std::mem::take(&mut self.messages.get_mut(&id)?.waiting)));
+    pub(super) fn record_admitted(&mut self) {
+        let unadmitted = std::mem::take(&mut self.awaiting_decision);
+        let waiting =
+            |id: MessageId| Some((id, std::mem::take(&mut self.messages.get_mut(&id)?.waiting_requests)));
         let taken: Vec<_> = unadmitted.into_iter().filter_map(waiting).collect();
         if taken.is_empty() {
             return;
         }
         let new = taken.iter().filter_map(|(id, _)| self.messages.get(id));
         let new = new.flat_map(|message| {
-            let records = message.taken.handover_records().into_iter().map(|record| (record, Bytes::new()));
-            std::iter::once((Record::Accepted(message.taken.clone()), message.body.clone())).chain(records)
+            let records =
+                message.accepted.handover_records().into_iter().map(|record| (record, Bytes::new()));
+            std::iter::once((Record::Accepted(message.accepted.clone()), message.body.clone())).chain(records)
         });
         let new: Vec<_> = new.collect();
         let records: Vec<(&Record, &[u8])> = new.iter().map(|(record, body)| (record, &body[..])).collect();
-        self.append(&records, Some(AfterAppend::TakeOn(taken)));
+        self.append(&records, Some(AfterAppend::AdmitMessages(taken)));
     }
 }
--- a/crates/forwarder/src/reducer/notices.rs
+++ b/crates/forwarder/src/reducer/notices.rs
@@ -1,6 +1,6 @@
 //! What is over: ids that are remembered for a while, and final answers whose notice is still owed.
 
-use super::{Reducer, SECOND};
+use super::{Reducer, SECOND_US};
 use crate::input::Effect;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_journal::{FinalAnswer, Record};
@@ -8,34 +8,34 @@
 use std::collections::{HashMap, VecDeque};
 
 /// An id that is over is remembered for so long: a client may still be sending it once more.
-const RECENT: Micros = 30 * SECOND;
+const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
 /// About the bytes of the record of an id that is over, or whose notice is owed, beside the id.
-pub(super) const SHORT_RECORD: usize = 160;
+pub(super) const SHORT_RECORD_BYTES: usize = 160;
 /// Pause before a notice is posted again.
-const POST_AGAIN: Micros = 100_000;
+const NOTIFICATION_RETRY_US: Micros = 100_000;
 /// Notices in one post.
-const POST_MOST: usize = 200;
+const MAX_NOTIFICATIONS_PER_POST: usize = 200;
 
 pub(super) fn id_size(txn: &str) -> usize {
-    txn.len() + SHORT_RECORD
+    txn.len() + SHORT_RECORD_BYTES
 }
 
 /// Ids that are over, bounded in time and number.
 #[derive(Debug)]
-pub(super) struct Recent {
+pub(super) struct FinishedIds {
     since: HashMap<String, Micros>,
     order: VecDeque<(Micros, String)>,
-    most: usize,
+    max_ids: usize,
     bytes: usize,
 }
 
-impl Recent {
+impl FinishedIds {
     pub fn new(most: usize) -> Self {
-        Recent { since: HashMap::new(), order: VecDeque::new(), most, bytes: 0 }
+        FinishedIds { since: HashMap::new(), order: VecDeque::new(), max_ids: most, bytes: 0 }
     }
 
-    pub fn bound(&mut self, most: usize) {
-        self.most = most;
+    pub fn set_max_ids(&mut self, most: usize) {
+        self.max_ids = most;
     }
 
     pub fn contains(&self, txn: &str) -> bool {
@@ -59,7 +59,7 @@
             self.bytes += size;
         }
         while let Some((first, _)) = self.order.front()
-            && (at - first > RECENT || self.order.len() > self.most)
+            && (at - first > FINISHED_ID_LIFETIME_US || self.order.len() > self.max_ids)
         {
             if let Some((_, txn)) = self.order.pop_front()
                 && self.since.remove(&txn).is_some()
@@ -72,26 +72,32 @@
 
 /// Final answers whose notice is not yet accepted, in their order.
 #[derive(Debug)]
-pub(super) struct Owed {
+pub(super) struct PendingAnswers {
     answers: VecDeque<(String, FinalAnswer, Micros)>,
     /// How many of them are being posted.
     posting: usize,
     post_at: Micros,
     /// How many answers are owed for each id.
-    by_id: HashMap<String, usize>,
+    pending_by_id: HashMap<String, usize>,
     bytes: usize,
 }
 
-impl Owed {
+impl PendingAnswers {
     pub fn new(answers: Vec<(String, FinalAnswer, Micros)>, now: Micros) -> Self {
         let (posting, post_at, bytes) = (0, now, 0);
-        let mut owed = Owed { answers: VecDeque::new(), posting, post_at, by_id: HashMap::new(), bytes };
+        let mut owed = PendingAnswers {
+            answers: VecDeque::new(),
+            posting,
+            post_at,
+            pending_by_id: HashMap::new(),
+            bytes,
+        };
         answers.into_iter().for_each(|(txn, verdict, at)| owed.push(txn, verdict, at));
         owed
     }
 
     pub fn contains(&self, txn: &str) -> bool {
-        self.by_id.contains_key(txn)
+        self.pending_by_id.contains_key(txn)
     }
 
     pub fn is_empty(&self) -> bool {
@@ -109,7 +115,7 @@
 
     pub fn push(&mut self, txn: String, verdict: FinalAnswer, now: Micros) {
         self.bytes += id_size(&txn);
-        *self.by_id.entry(txn.clone()).or_default() += 1;
+        *self.pending_by_id.entry(txn.clone()).or_default() += 1;
         self.answers.push_back((txn, verdict, now));
     }
 
@@ -126,16 +132,16 @@
     /// The next post, if it is due.
     fn take_post(&mut self, now: Micros) -> Option<Vec<(String, FinalAnswer)>> {
         self.wake_at().filter(|at| *at <= now)?;
-        self.posting = self.answers.len().min(POST_MOST);
+        self.posting = self.answers.len().min(MAX_NOTIFICATIONS_PER_POST);
         let notices = self.answers.iter().take(self.posting);
         Some(notices.map(|(txn, verdict, _)| (txn.clone(), *verdict)).collect())
     }
 
     /// The post is over: the ids that were accepted, or none and a pause.
-    fn posted(&mut self, now: Micros, accepted: bool) -> Vec<String> {
+    fn on_posted(&mut self, now: Micros, accepted: bool) -> Vec<String> {
         let posted = std::mem::take(&mut self.posting);
         if !accepted {
-            self.post_at = now + POST_AGAIN;
+            self.post_at = now + NOTIFICATION_RETRY_US;
             return Vec::new();
         }
         self.answers.iter().take(posted).map(|(txn, ..)| txn.clone()).collect()
@@ -144,7 +150,7 @@
     fn forget(&mut self, count: usize) {
         for (txn, ..) in self.answers.drain(..count) {
             self.bytes -= id_size(&txn);
-            if let Entry::Occupied(mut owed) = self.by_id.entry(txn) {
+            if let Entry::Occupied(mut owed) = self.pending_by_id.entry(txn) {
                 *owed.get_mut() -= 1;
                 if *owed.get() == 0 {
                     owed.remove();
@@ -155,14 +161,15 @@
 }
 
 impl Reducer {
-    pub(super) fn post(&mut self, now: Micros) {
-        if let Some(notices) = self.owed.take_post(now) {
-            self.effects.push(Effect::PostNotifications { to: self.discovery, notifications: notices });
+    pub(super) fn post_notifications(&mut self, now: Micros) {
+        if let Some(notices) = self.final_answers.take_post(now) {
+            self.effects
+                .push(Effect::PostNotifications { to: self.discovery_address, notifications: notices });
         }
     }
 
-    pub(super) fn posted(&mut self, now: Micros, accepted: bool) {
-        let txns = self.owed.posted(now, accepted);
+    pub(super) fn on_notifications_posted(&mut self, now: Micros, accepted: bool) {
+        let txns = self.final_answers.on_posted(now, accepted);
         if txns.is_empty() {
             return;
         }
@@ -170,9 +177,9 @@
             txns.iter().map(|txn| Record::Finished { message: txn.clone(), at: now }).collect();
         let records: Vec<(&Record, &[u8])> = over.iter().map(|record| (record, &b""[..])).collect();
         self.append(&records, None);
-        self.owed.forget(txns.len());
+        self.final_answers.forget(txns.len());
         for txn in txns {
-            self.recent.remember(txn, now);
+            self.finished.remember(txn, now);
         }
     }
 }
--- a/crates/forwarder/src/reducer/operators.rs
+++ b/crates/forwarder/src/reducer/operators.rs
@@ -12,59 +12,59 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Endpoints out by hand that no list names may be so many; beyond, the call that lies furthest back is forgotten.
-const UNLISTED_MOST: usize = 256;
+const MAX_UNLISTED_OVERRIDES: usize = 256;
 /// About the bytes of the record of a call, beside the id.
-const CALL_RECORD: usize = 96;
+const OVERRIDE_RECORD_BYTES: usize = 96;
 
 /// An operator's last call about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ByHand {
+pub(super) struct OverrideChange {
     pub at: Micros,
-    pub out: bool,
+    pub ejected: bool,
 }
 
 /// The operators' calls about endpoints, by uid: the last of each counts.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Overlay {
-    calls: BTreeMap<String, ByHand>,
+pub(super) struct OperatorOverrides {
+    changes: BTreeMap<String, OverrideChange>,
     /// Those that put an endpoint back, in their order.
-    back: BTreeSet<(Micros, String)>,
+    restored: BTreeSet<(Micros, String)>,
     bytes: usize,
 }
 
-impl Overlay {
+impl OperatorOverrides {
     /// Takes in a call; whether it is news: one that lies further back than what is known is not.
-    pub fn take(&mut self, uid: &str, call: ByHand) -> bool {
-        if !self.is_news(uid, call) {
+    pub fn apply(&mut self, uid: &str, call: OverrideChange) -> bool {
+        if !self.is_change(uid, call) {
             return false;
         }
-        match self.calls.insert(uid.to_owned(), call) {
-            Some(before) => drop(self.back.remove(&(before.at, uid.to_owned()))),
-            None => self.bytes += uid.len() + CALL_RECORD,
+        match self.changes.insert(uid.to_owned(), call) {
+            Some(before) => drop(self.restored.remove(&(before.at, uid.to_owned()))),
+            None => self.bytes += uid.len() + OVERRIDE_RECORD_BYTES,
         }
-        if !call.out {
-            self.back.insert((call.at, uid.to_owned()));
+        if !call.ejected {
+            self.restored.insert((call.at, uid.to_owned()));
         }
         true
     }
 
     /// Whether a call changes anything.
-    pub fn is_news(&self, uid: &str, call: ByHand) -> bool {
-        self.calls.get(uid).map_or(call.out, |known| known.at <= call.at && *known != call)
+    pub fn is_change(&self, uid: &str, call: OverrideChange) -> bool {
+        self.changes.get(uid).map_or(call.ejected, |known| known.at <= call.at && *known != call)
     }
 
-    pub fn is_out(&self, uid: &str) -> bool {
-        self.calls.get(uid).is_some_and(|call| call.out)
+    pub fn is_ejected(&self, uid: &str) -> bool {
+        self.changes.get(uid).is_some_and(|call| call.ejected)
     }
 
     /// When an endpoint was put back, if that was its last call.
-    pub fn back_since(&self, uid: &str) -> Option<Micros> {
-        self.calls.get(uid).filter(|call| !call.out).map(|call| call.at)
+    pub fn restored_at(&self, uid: &str) -> Option<Micros> {
+        self.changes.get(uid).filter(|call| !call.ejected).map(|call| call.at)
     }
 
     /// The earliest call that put an endpoint back.
-    fn first_back(&self) -> Option<Micros> {
-        self.back.first().map(|(at, _)| *at)
+    fn first_restored_at(&self) -> Option<Micros> {
+        self.restored.first().map(|(at, _)| *at)
     }
 
     /// About the bytes that the calls take up in a snapshot, never less.
@@ -72,31 +72,31 @@
         self.bytes
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&String, &ByHand)> {
-        self.calls.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &OverrideChange)> {
+        self.changes.iter()
     }
 
     /// Forgets calls back once their endpoints are warm, and the oldest of those that are unlisted and too many.
     fn prune(&mut self, warm_since: Micros, listed: impl Fn(&str) -> bool) {
-        self.calls.retain(|_, call| call.out || call.at > warm_since);
-        self.back.retain(|(at, _)| *at > warm_since);
+        self.changes.retain(|_, call| call.ejected || call.at > warm_since);
+        self.restored.retain(|(at, _)| *at > warm_since);
         let mut unlisted: Vec<_> =
-            self.calls.iter().filter(|(uid, _)| !listed(uid)).map(|(uid, c)| (c.at, uid.clone())).collect();
+            self.changes.iter().filter(|(uid, _)| !listed(uid)).map(|(uid, c)| (c.at, uid.clone())).collect();
         unlisted.sort_unstable();
-        let surplus = unlisted.len().saturating_sub(UNLISTED_MOST);
+        let surplus = unlisted.len().saturating_sub(MAX_UNLISTED_OVERRIDES);
         for (at, uid) in unlisted.drain(..surplus) {
-            self.calls.remove(&uid);
-            self.back.remove(&(at, uid));
+            self.changes.remove(&uid);
+            self.restored.remove(&(at, uid));
         }
-        self.bytes = self.calls.keys().map(|uid| uid.len() + CALL_RECORD).sum();
+        self.bytes = self.changes.keys().map(|uid| uid.len() + OVERRIDE_RECORD_BYTES).sum();
     }
 }
 
 impl Reducer {
     /// One call of an operator. What changes something is answered once it is in the journal.
-    pub(super) fn operate(&mut self, now: Micros, ticket: RequestId, call: Call) {
+    pub(super) fn on_operator_call(&mut self, now: Micros, ticket: RequestId, call: Call) {
         let reply = match call {
-            Call::Ready if !self.takes_clients => Reply::No("takes no clients".to_owned()),
+            Call::Ready if !self.accepts_clients => Reply::No("takes no clients".to_owned()),
             Call::Ready => self.policy_status.unready_reason.clone().map_or(Reply::Yes("ready"), Reply::No),
             Call::ShowStat => Reply::Figures(
                 self.figures.lines(self.gauges())
@@ -104,37 +104,37 @@
                     + &self.ownership_figures(now),
             ),
             Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
-            Call::DisableServer(uid) => return self.put(now, ticket, uid, true),
-            Call::EnableServer(uid) => return self.put(now, ticket, uid, false),
+            Call::DisableServer(uid) => return self.record_override(now, ticket, uid, true),
+            Call::EnableServer(uid) => return self.record_override(now, ticket, uid, false),
         };
         self.effects.push(Effect::Reply { request: ticket, reply });
     }
 
-    fn put(&mut self, now: Micros, ticket: RequestId, uid: String, out: bool) {
-        if self.map.get(&uid).is_none() && !self.overlay.is_out(&uid) {
+    fn record_override(&mut self, now: Micros, ticket: RequestId, uid: String, out: bool) {
+        if self.endpoint_list.get(&uid).is_none() && !self.operator_overrides.is_ejected(&uid) {
             let reply = Reply::No(format!("no endpoint {uid} is listed"));
             return self.effects.push(Effect::Reply { request: ticket, reply });
         }
         // Written also where it changes nothing here: another process may have heard otherwise since.
-        let call = ByHand { at: now, out };
+        let call = OverrideChange { at: now, ejected: out };
         let record = Record::OperatorOverride { endpoint: uid.clone(), at: now, ejected: out };
-        self.append(&[(&record, b"")], Some(AfterAppend::ByHand { ticket, uid, call }));
+        self.append(&[(&record, b"")], Some(AfterAppend::ApplyOverride { ticket, uid, call }));
     }
 
     /// An operator's call is in the journal, or is not: it is in force from here on.
-    pub(super) fn put_stored(
+    pub(super) fn on_override_recorded(
         &mut self,
         now: Micros,
         ticket: RequestId,
         uid: &str,
-        call: ByHand,
+        call: OverrideChange,
         stored: bool,
     ) {
         let reply = if stored {
-            self.by_hand(now, uid, call);
-            self.prune(now);
-            self.log(format!("operator: {uid} is {}", if call.out { "out" } else { "back" }));
-            Reply::Yes(if call.out { "out" } else { "back" })
+            self.apply_override(now, uid, call);
+            self.prune_overrides(now);
+            self.log(format!("operator: {uid} is {}", if call.ejected { "out" } else { "back" }));
+            Reply::Yes(if call.ejected { "out" } else { "back" })
         } else {
             Reply::No("the journal has no room for it, or cannot be written".to_owned())
         };
@@ -142,22 +142,22 @@
     }
 
     /// Puts a call in force, wherever it came from.
-    pub(super) fn by_hand(&mut self, now: Micros, uid: &str, call: ByHand) {
-        let was_out = self.overlay.is_out(uid);
-        if !self.overlay.take(uid, call) || was_out == call.out {
+    pub(super) fn apply_override(&mut self, now: Micros, uid: &str, call: OverrideChange) {
+        let was_out = self.operator_overrides.is_ejected(uid);
+        if !self.operator_overrides.apply(uid, call) || was_out == call.ejected {
             return;
         }
-        if call.out
-            && let Some(hop) = self.hop_numbers.get(uid).copied()
+        if call.ejected
+            && let Some(hop) = self.endpoint_ids.get(uid).copied()
         {
             self.close_idle(hop);
         }
-        self.relist(now, uid);
-        if let (false, Some(target)) = (call.out, self.map.get(uid)) {
+        self.report_endpoint(now, uid);
+        if let (false, Some(target)) = (call.ejected, self.endpoint_list.get(uid)) {
             // It was restarted meanwhile. Beside others that serve it waits until it is warm; alone, its
             // destination comes back as after an outage.
             let destination = target.destination;
-            if !self.has_other_in_service(destination, uid) {
+            if !self.has_other_active(destination, uid) {
                 self.events.push(Event::RouteState {
                     destination,
                     endpoint: None,
@@ -169,55 +169,57 @@
     }
 
     /// Whether a destination has an endpoint in service beside this one.
-    fn has_other_in_service(&self, destination: DestinationId, uid: &str) -> bool {
-        let uids = self.destinations.endpoints_of(destination).filter_map(|id| self.hops.get(&id));
+    fn has_other_active(&self, destination: DestinationId, uid: &str) -> bool {
+        let uids = self.destinations.endpoints_of(destination).filter_map(|id| self.endpoints.get(&id));
         let others = uids.map(|hop| &*hop.uid).filter(|other| *other != uid);
-        let still = |other: &&str| self.map.get(other).is_some_and(|entry| entry.destination == destination);
+        let still = |other: &&str| {
+            self.endpoint_list.get(other).is_some_and(|entry| entry.destination == destination)
+        };
         others.filter(still).any(|other| self.state_of(other) == Some(EndpointState::Active))
     }
 
     /// Tells the module of an endpoint's state anew.
-    fn relist(&mut self, now: Micros, uid: &str) {
-        if let (Some(target), Some(hop)) = (self.map.get(uid), self.hop_numbers.get(uid)) {
-            let entry = self.entry(now, *hop, target.into());
+    fn report_endpoint(&mut self, now: Micros, uid: &str) {
+        if let (Some(target), Some(hop)) = (self.endpoint_list.get(uid), self.endpoint_ids.get(uid)) {
+            let entry = self.endpoint_update(now, *hop, target.into());
             self.events.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
         }
     }
 
     /// What the list and the operators together say of an endpoint.
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
-        let state = self.map.get(uid)?.state;
-        let out = state == ListedState::Active && self.overlay.is_out(uid);
+        let state = self.endpoint_list.get(uid)?.state;
+        let out = state == ListedState::Active && self.operator_overrides.is_ejected(uid);
         Some(if out { EndpointState::Draining } else { state.into() })
     }
 
     /// Whether an endpoint was put back so lately that it is still cold.
-    pub(super) fn is_cold(&self, now: Micros, uid: &str) -> bool {
-        self.overlay.back_since(uid).is_some_and(|since| now - since < self.settings.warm_up_time)
+    pub(super) fn is_warming_up(&self, now: Micros, uid: &str) -> bool {
+        self.operator_overrides.restored_at(uid).is_some_and(|since| now - since < self.settings.warm_up_time)
     }
 
     /// When the next endpoint that was put back is warm.
-    pub(super) fn warm_at(&self) -> Option<Micros> {
-        self.overlay.first_back().map(|at| at + self.settings.warm_up_time)
+    pub(super) fn next_warm_at(&self) -> Option<Micros> {
+        self.operator_overrides.first_restored_at().map(|at| at + self.settings.warm_up_time)
     }
 
     /// Endpoints that were put back and are warm by now are as all others.
-    pub(super) fn warmed(&mut self, now: Micros) {
-        if self.warm_at().is_none_or(|at| at > now) {
+    pub(super) fn end_warm_ups(&mut self, now: Micros) {
+        if self.next_warm_at().is_none_or(|at| at > now) {
             return;
         }
-        let known: Vec<String> = self.overlay.iter().map(|(uid, _)| uid.clone()).collect();
-        self.prune(now);
+        let known: Vec<String> = self.operator_overrides.iter().map(|(uid, _)| uid.clone()).collect();
+        self.prune_overrides(now);
         for uid in known {
-            if !self.overlay.calls.contains_key(&uid) {
-                self.relist(now, &uid);
+            if !self.operator_overrides.changes.contains_key(&uid) {
+                self.report_endpoint(now, &uid);
             }
         }
     }
 
-    fn prune(&mut self, now: Micros) {
-        let map = &self.map;
-        self.overlay.prune(now - self.settings.warm_up_time, |uid| map.get(uid).is_some());
+    fn prune_overrides(&mut self, now: Micros) {
+        let map = &self.endpoint_list;
+        self.operator_overrides.prune(now - self.settings.warm_up_time, |uid| map.get(uid).is_some());
     }
 
     /// The counts of this process.
@@ -228,13 +230,13 @@
     /// What is counted as it stands now.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen = self.hop_numbers.get(uid).is_some_and(|hop| self.controller.is_avoided(*hop));
+            let chosen = self.endpoint_ids.get(uid).is_some_and(|hop| self.controller.is_avoided(*hop));
             chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
             concurrent: self.messages.values().filter(|message| message.stored).count(),
-            targets: self.map.len(),
-            targets_disabled: self.map.iter().filter(|target| avoided(&target.uid)).count(),
+            targets: self.endpoint_list.len(),
+            targets_disabled: self.endpoint_list.iter().filter(|target| avoided(&target.uid)).count(),
         }
     }
 }
--- a/crates/forwarder/src/reducer/records.rs
+++ b/crates/forwarder/src/reducer/records.rs
@@ -1,9 +1,9 @@
 //! The journal as the reducer uses it: what is appended, what a snapshot holds, and what a start finds.
 
 use super::messages::Message;
-use super::notices::SHORT_RECORD;
-use super::operators::{ByHand, Overlay};
-use super::routes::{RouteKey, Troubled};
+use super::notices::SHORT_RECORD_BYTES;
+use super::operators::{OperatorOverrides, OverrideChange};
+use super::routes::{FaultyRoutes, RouteKey};
 use super::{AfterAppend, Reducer, routes};
 use crate::config::Limits;
 use crate::input::Effect;
@@ -17,58 +17,58 @@
 use std::net::SocketAddr;
 
 /// Ids that are over take up no more than this part of the folder: they must not keep messages out.
-const RECENT_SHARE: usize = 16;
+const FINISHED_IDS_DISK_DIVISOR: usize = 16;
 /// What follows from the machine's limits.
 pub(super) struct Bounds {
-    pub disk: usize,
-    pub recent: usize,
-    pub links: usize,
+    pub disk_bytes: usize,
+    pub finished_ids: usize,
+    pub connections: usize,
 }
 
 impl Bounds {
     pub fn new(settings: &Settings, limits: Limits) -> Self {
         let disk = (limits.disk_mb * 1e6) as usize;
-        let recent = disk / RECENT_SHARE / SHORT_RECORD;
-        Bounds { disk, recent, links: limits.next_hops(settings.max_calls) }
+        let recent = disk / FINISHED_IDS_DISK_DIVISOR / SHORT_RECORD_BYTES;
+        Bounds { disk_bytes: disk, finished_ids: recent, connections: limits.next_hops(settings.max_calls) }
     }
 }
 
 /// What a journal says, as far as it was read.
 #[derive(Debug, Default)]
-pub(super) struct Replayed {
-    pub taken: BTreeMap<String, (AcceptedMessage, Bytes)>,
-    pub owed: Vec<(String, FinalAnswer, Micros)>,
-    pub over: Vec<(String, Micros)>,
-    pub map: EndpointList,
-    pub troubled: Troubled,
+pub(super) struct RecoveredState {
+    pub accepted: BTreeMap<String, (AcceptedMessage, Bytes)>,
+    pub undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
+    pub finished: Vec<(String, Micros)>,
+    pub endpoint_list: EndpointList,
+    pub faulty_routes: FaultyRoutes,
     pub superseded: Option<SocketAddr>,
-    pub overlay: Overlay,
+    pub operator_overrides: OperatorOverrides,
     pub stage: ProcessStage,
     /// Waits that were told beside another process, which may still run.
-    pub waits: BTreeMap<RouteKey, Micros>,
+    pub retry_after: BTreeMap<RouteKey, Micros>,
 }
 
 /// Ids that are over are kept of another process's file up to twice so many.
-const OVER_KEPT: usize = 4096;
+const MIN_FINISHED_IDS_KEPT: usize = 4096;
 
-pub(super) fn replay(records: RecordsWithBodies) -> Replayed {
-    let mut left = Replayed::default();
+pub(super) fn replay(records: RecordsWithBodies) -> RecoveredState {
+    let mut left = RecoveredState::default();
     for (record, body) in records {
-        left.take(record, body);
+        left.apply(record, body);
     }
     left
 }
 
-impl Replayed {
+impl RecoveredState {
     /// The next record of the file.
-    pub fn take(&mut self, record: Record, body: Bytes) {
+    pub fn apply(&mut self, record: Record, body: Bytes) {
         match record {
             Record::Accepted(taken) => {
-                self.taken.insert(taken.id.clone(), (taken, body));
+                self.accepted.insert(taken.id.clone(), (taken, body));
             }
             Record::AttemptStarted { messages: txns, attempt: trace } => {
                 for txn in txns {
-                    if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                    if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                         // One that is still out was so when its process ended, and may have run first.
                         taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
                         (taken.attempts, taken.in_flight) = (taken.attempts + 1, Some(trace.clone()));
@@ -76,71 +76,71 @@
                 }
             }
             Record::AttemptInDoubt { message: txn } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
                     taken.in_flight = None;
                 }
             }
             Record::AttemptNotDelivered { message: txn } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.in_flight = None;
                 }
             }
             Record::AttemptNotSent { message: txn } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.attempts += 1;
                 }
             }
             Record::AnswerDecided { message: txn, at, answer: verdict } => {
-                self.taken.remove(&txn);
-                self.owed.push((txn, verdict, at));
+                self.accepted.remove(&txn);
+                self.undelivered_answers.push((txn, verdict, at));
             }
-            Record::Finished { message: txn, at } => self.end(txn, at),
+            Record::Finished { message: txn, at } => self.finish(txn, at),
             Record::HandoverOffered { message: txn, owner: to, at } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.handover.offered.get_or_insert(HandoverOffer { owner: to, offered_at: at });
                 }
             }
             Record::HandoverDeclined { message: txn } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.handover.offered = None;
                 }
             }
             Record::HandoverInDoubt { message: txn } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.count_offer_as_attempt();
                 }
             }
             Record::KeptLocal { message: txn } => {
-                if let Some((taken, _)) = self.taken.get_mut(&txn) {
+                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
                     taken.handover.kept_local = true;
                 }
             }
-            Record::HandedOver { message: txn, at, .. } => self.end(txn, at),
-            Record::EndpointList(news) => self.map.apply(&news),
+            Record::HandedOver { message: txn, at, .. } => self.finish(txn, at),
+            Record::EndpointList(news) => self.endpoint_list.apply(&news),
             Record::DiscoverySuperseded { discovery } => self.superseded = Some(discovery),
             Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
-                self.overlay.take(&uid, ByHand { at, out });
+                self.operator_overrides.apply(&uid, OverrideChange { at, ejected: out });
             }
             Record::RetryAfter { destination: dest, endpoint: uid, until } => {
-                self.waits.insert(RouteKey::new(dest, uid), until);
+                self.retry_after.insert(RouteKey::new(dest, uid), until);
             }
             Record::ProcessStage { stage } => self.stage = stage,
             Record::FaultyRoutes { destinations: dests, routes } => {
                 let routes = routes.into_iter().map(|(dest, uid)| RouteKey::new(dest, Some(uid)));
-                self.troubled =
+                self.faulty_routes =
                     dests.into_iter().map(|dest| RouteKey::new(dest, None)).chain(routes).collect();
             }
         }
     }
 
     /// Nothing more is owed for this message.
-    fn end(&mut self, txn: String, at: Micros) {
-        self.taken.remove(&txn);
-        self.owed.retain(|(other, _, _)| *other != txn);
-        self.over.push((txn, at));
-        if self.over.len() > 2 * OVER_KEPT {
-            self.over.drain(..OVER_KEPT);
+    fn finish(&mut self, txn: String, at: Micros) {
+        self.accepted.remove(&txn);
+        self.undelivered_answers.retain(|(other, _, _)| *other != txn);
+        self.finished.push((txn, at));
+        if self.finished.len() > 2 * MIN_FINISHED_IDS_KEPT {
+            self.finished.drain(..MIN_FINISHED_IDS_KEPT);
         }
     }
 }
@@ -151,85 +151,93 @@
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
         self.make_room(bytes.len());
-        self.next_receipt += 1;
+        self.last_append += 1;
         // Beside other processes there may be no room: then only what has to be written is.
         let may_wait = matches!(
             then,
-            Some(AfterAppend::TakeOn(_) | AfterAppend::Adopted(_) | AfterAppend::ByHand { .. })
+            Some(
+                AfterAppend::AdmitMessages(_)
+                    | AfterAppend::CompleteTakeover(_)
+                    | AfterAppend::ApplyOverride { .. }
+            )
         );
-        let refused = may_wait && !self.siblings.is_empty() && !self.space.takes(bytes.len());
+        let refused = may_wait && !self.other_processes.is_empty() && !self.space.has_room_for(bytes.len());
         // What a begun attempt changes is in the state at once.
         let waits = then
             .as_ref()
-            .is_some_and(|then| !matches!(then, AfterAppend::Begin(_) | AfterAppend::Offered(..)));
+            .is_some_and(|then| !matches!(then, AfterAppend::SendCall(_) | AfterAppend::SendOffer(..)));
         if let Some(then) = then {
-            self.stored.insert(self.next_receipt, then);
+            self.after_append.insert(self.last_append, then);
         }
         if refused {
-            return self.effects.push(Effect::ReportJournalFull { append: self.next_receipt });
+            return self.effects.push(Effect::ReportJournalFull { append: self.last_append });
         }
-        self.space.grew(bytes.len());
+        self.space.record_append(bytes.len());
         let bytes = bytes.freeze();
         if waits {
-            self.unreported.insert(self.next_receipt, bytes.clone());
+            self.pending_appends.insert(self.last_append, bytes.clone());
         }
-        self.effects.push(Effect::Append { append: self.next_receipt, bytes });
+        self.effects.push(Effect::Append { append: self.last_append, bytes });
     }
 
     /// Rewrites the file where later there would be no room to do it, with so many bytes more in it.
     pub(super) fn make_room(&mut self, more: usize) {
         // What has yielded is read by the successor as it grows, and stays as it is.
-        let live = self.live_size();
-        let fits = self.siblings.is_empty() || self.space.fits(live);
-        if self.stage != ProcessStage::HandedOff && fits && self.space.is_short(live, more) {
-            self.rewrite();
+        let live = self.live_bytes();
+        let fits = self.other_processes.is_empty() || self.space.can_compact(live);
+        if self.stage != ProcessStage::HandedOff && fits && self.space.needs_compaction(live, more) {
+            self.compact();
         }
     }
 
-    pub(super) fn rewrite(&mut self) {
+    pub(super) fn compact(&mut self) {
         let all = self.snapshot();
-        self.space.holds(all.len());
+        self.space.set_file_bytes(all.len());
         self.effects.push(Effect::CompactJournal { bytes: all });
     }
 
     /// About the bytes of a snapshot, never less.
-    pub(super) fn live_size(&self) -> usize {
+    pub(super) fn live_bytes(&self) -> usize {
         // Counted as it comes and goes: this is asked for with each append.
-        debug_assert_eq!(self.live, self.messages.values().map(Message::size).sum::<usize>());
-        let known = self.map.size() + self.known_routes_size() + 300;
-        let ended = self.owed.bytes() + self.recent.bytes();
-        self.unreported.bytes() + self.live + ended + self.overlay.bytes() + known
+        debug_assert_eq!(self.live_message_bytes, self.messages.values().map(Message::size).sum::<usize>());
+        let known = self.endpoint_list.size() + self.known_routes_size() + 300;
+        let ended = self.final_answers.bytes() + self.finished.bytes();
+        self.pending_appends.bytes()
+            + self.live_message_bytes
+            + ended
+            + self.operator_overrides.bytes()
+            + known
     }
 
     /// All that still counts.
     pub(super) fn snapshot(&self) -> Bytes {
         let mut bytes = BytesMut::new();
-        Record::EndpointList(self.map.snapshot()).encode(b"", &mut bytes);
+        Record::EndpointList(self.endpoint_list.snapshot()).encode(b"", &mut bytes);
         Record::ProcessStage { stage: self.stage }.encode(b"", &mut bytes);
-        routes::troubled_record(&self.troubled).encode(b"", &mut bytes);
-        for (route, until) in self.waits.iter().filter(|_| self.is_shared()) {
-            route.wait(*until).encode(b"", &mut bytes);
+        routes::faulty_routes_record(&self.faulty_routes).encode(b"", &mut bytes);
+        for (route, until) in self.retry_after.iter().filter(|_| self.has_other_process()) {
+            route.retry_after_record(*until).encode(b"", &mut bytes);
         }
-        if let Some(discovery) = self.superseded {
+        if let Some(discovery) = self.superseded_discovery {
             Record::DiscoverySuperseded { discovery }.encode(b"", &mut bytes);
         }
-        for (uid, call) in self.overlay.iter() {
-            Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.out }
+        for (uid, call) in self.operator_overrides.iter() {
+            Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.ejected }
                 .encode(b"", &mut bytes);
         }
-        for (at, txn) in self.recent.iter() {
+        for (at, txn) in self.finished.iter() {
             Record::Finished { message: txn.clone(), at: *at }.encode(b"", &mut bytes);
         }
-        for (txn, verdict, at) in self.owed.iter() {
+        for (txn, verdict, at) in self.final_answers.iter() {
             Record::AnswerDecided { message: txn.clone(), at: *at, answer: *verdict }.encode(b"", &mut bytes);
         }
         for message in self.messages.values().filter(|m| m.stored) {
-            Record::Accepted(message.taken.clone()).encode(&message.body, &mut bytes);
-            message.taken.handover_records().iter().for_each(|record| record.encode(b"", &mut bytes));
+            Record::Accepted(message.accepted.clone()).encode(&message.body, &mut bytes);
+            message.accepted.handover_records().iter().for_each(|record| record.encode(b"", &mut bytes));
         }
         // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
         // that it went to is gone with the rewrite.
-        self.unreported.iter().for_each(|appended| bytes.extend_from_slice(appended));
+        self.pending_appends.iter().for_each(|appended| bytes.extend_from_slice(appended));
         bytes.freeze()
     }
 }
--- a/crates/forwarder/src/reducer/succession.rs
+++ b/crates/forwarder/src/reducer/succession.rs
@@ -8,12 +8,12 @@
 
 use super::messages::message_size;
 use super::notices::id_size;
-use super::operators::ByHand;
-use super::records::Replayed;
+use super::operators::OverrideChange;
+use super::records::RecoveredState;
 use super::routes::RouteKey;
 use super::{AfterAppend, Reducer};
 use crate::figures::End;
-use crate::input::{Effect, SiblingUpdate};
+use crate::input::{Effect, OtherProcessUpdate};
 use bytes::Bytes;
 use orchidyoke_core::interface::{Event, ListEventKind, MessageId, Micros, Settings};
 use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, ProcessStage, Record};
@@ -21,43 +21,47 @@
 
 /// Another process on this folder, as its file tells of it.
 #[derive(Debug, Default)]
-pub(super) struct Sibling {
-    left: Replayed,
+pub(super) struct OtherProcess {
+    state: RecoveredState,
     size: usize,
     ended: bool,
 }
 
-impl Sibling {
+impl OtherProcess {
     /// Whether it begins no more attempts.
     fn has_stopped(&self) -> bool {
-        self.ended || self.left.stage == ProcessStage::HandedOff
+        self.ended || self.state.stage == ProcessStage::HandedOff
     }
 
     /// Whether the message is, or was, this process's own.
     fn knows(&self, txn: &str) -> bool {
-        self.left.taken.contains_key(txn)
-            || self.left.owed.iter().any(|(other, ..)| other == txn)
-            || self.left.over.iter().any(|(other, _)| other == txn)
+        self.state.accepted.contains_key(txn)
+            || self.state.undelivered_answers.iter().any(|(other, ..)| other == txn)
+            || self.state.finished.iter().any(|(other, _)| other == txn)
     }
 
     /// About the bytes that it needs to rewrite its file, while it still may.
-    fn live(&self) -> usize {
+    fn live_bytes(&self) -> usize {
         if self.has_stopped() {
             return 0;
         }
         let taken = self
-            .left
-            .taken
+            .state
+            .accepted
             .values()
             .map(|(taken, body)| message_size(&taken.id, taken.idempotency_key.as_deref(), body));
-        let short =
-            self.left.owed.iter().map(|(txn, ..)| txn).chain(self.left.over.iter().map(|(txn, _)| txn));
-        taken.chain(short.map(|txn| id_size(txn))).sum::<usize>() + self.left.map.size()
+        let short = self
+            .state
+            .undelivered_answers
+            .iter()
+            .map(|(txn, ..)| txn)
+            .chain(self.state.finished.iter().map(|(txn, _)| txn));
+        taken.chain(short.map(|txn| id_size(txn))).sum::<usize>() + self.state.endpoint_list.size()
     }
 
     /// Its calls that are out.
     fn calls_out(&self) -> usize {
-        let out = self.left.taken.values().filter_map(|(taken, _)| taken.in_flight.as_ref());
+        let out = self.state.accepted.values().filter_map(|(taken, _)| taken.in_flight.as_ref());
         out.map(|trace| (trace.started_at, &trace.endpoint)).collect::<BTreeSet<_>>().len()
     }
 }
@@ -66,38 +70,43 @@
 #[derive(Debug)]
 pub(super) struct Takeover {
     generation: Generation,
-    taken: Vec<(AcceptedMessage, Bytes)>,
-    owed: Vec<(String, FinalAnswer, Micros)>,
-    over: Vec<(String, Micros)>,
+    messages: Vec<(AcceptedMessage, Bytes)>,
+    undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
+    finished: Vec<(String, Micros)>,
     /// The process has ended, and this is all that it left.
-    whole: bool,
+    is_complete: bool,
 }
 
 impl Reducer {
     /// The files of other processes have shown something, or are gone since a third process has taken them up. What
     /// follows is decided on when all of them are known.
-    pub(super) fn siblings(&mut self, now: Micros, shown: Vec<SiblingUpdate>, gone: &[Generation]) {
-        let held = self.is_held();
-        self.siblings.retain(|generation, _| !gone.contains(generation));
+    pub(super) fn on_other_processes(
+        &mut self,
+        now: Micros,
+        shown: Vec<OtherProcessUpdate>,
+        gone: &[Generation],
+    ) {
+        let held = self.waits_for_older_process();
+        self.other_processes.retain(|generation, _| !gone.contains(generation));
         for shown in shown {
-            self.shown(now, shown);
+            self.apply_process_update(now, shown);
         }
-        if self.is_successor_ready() && self.leaving.is_some() {
-            self.yield_up(now);
+        if self.is_successor_ready() && self.shutdown.is_some() {
+            self.hand_off(now);
         }
-        self.settle(held);
+        self.take_over_what_is_free(held);
     }
 
-    fn shown(&mut self, now: Micros, shown: SiblingUpdate) {
-        let SiblingUpdate { generation, rewritten: anew, records, size, ended } = shown;
-        if !self.siblings.contains_key(&generation) && !ended {
+    fn apply_process_update(&mut self, now: Micros, shown: OtherProcessUpdate) {
+        let OtherProcessUpdate { generation, rewritten: anew, records, size, ended } = shown;
+        if !self.other_processes.contains_key(&generation) && !ended {
             // It was not there when they were told.
-            let waits = self.running_waits(now);
+            let waits = self.running_retry_afters(now);
             self.append_all(&waits, None);
         }
-        let sibling = self.siblings.entry(generation).or_default();
+        let sibling = self.other_processes.entry(generation).or_default();
         if anew {
-            sibling.left = Replayed::default();
+            sibling.state = RecoveredState::default();
         }
         (sibling.size, sibling.ended) = (size, ended);
         let mut calls = Vec::new();
@@ -105,31 +114,34 @@
         for (record, body) in records {
             match &record {
                 Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
-                    calls.push((uid.clone(), ByHand { at: *at, out: *out }))
+                    calls.push((uid.clone(), OverrideChange { at: *at, ejected: *out }))
                 }
                 Record::RetryAfter { destination: dest, endpoint: uid, until } => {
                     waits.push((RouteKey::new(*dest, uid.clone()), *until))
                 }
                 _ => {}
             }
-            sibling.left.take(record, body);
+            sibling.state.apply(record, body);
         }
-        for (uid, call) in
-            calls.into_iter().filter(|(uid, call)| self.overlay.is_news(uid, *call)).collect::<Vec<_>>()
+        for (uid, call) in calls
+            .into_iter()
+            .filter(|(uid, call)| self.operator_overrides.is_change(uid, *call))
+            .collect::<Vec<_>>()
         {
-            let record = Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.out };
+            let record =
+                Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.ejected };
             self.append(&[(&record, b"")], None);
-            self.by_hand(now, &uid, call);
+            self.apply_override(now, &uid, call);
         }
         for (route, until) in waits {
-            self.heed(now, route, until);
+            self.adopt_retry_after(now, route, until);
         }
         if ended {
             // Its file goes; a third process reads this one's.
-            let waits = self.running_waits(now);
+            let waits = self.running_retry_afters(now);
             self.append_all(&waits, None);
         }
-        self.take_newer_list(now, generation);
+        self.adopt_newer_list(now, generation);
     }
 
     fn append_all(&mut self, records: &[Record], then: Option<AfterAppend>) {
@@ -140,99 +152,107 @@
     }
 
     /// What follows from what the others have shown.
-    fn settle(&mut self, held: bool) {
+    fn take_over_what_is_free(&mut self, held: bool) {
         self.share_space();
-        if held && !self.is_held() {
+        if held && !self.waits_for_older_process() {
             self.log("succession: the process before has stopped, this one goes on".to_owned());
-            for (_, elder) in self.siblings.range(..self.generation) {
-                let known = elder.left.troubled.iter().filter_map(|route| self.known(route, true, 0));
+            for (_, elder) in self.other_processes.range(..self.generation) {
+                let known = elder
+                    .state
+                    .faulty_routes
+                    .iter()
+                    .filter_map(|route| self.route_state_event(route, true, 0));
                 self.events.extend(known.collect::<Vec<_>>());
             }
         }
-        for generation in self.siblings.keys().copied().collect::<Vec<_>>() {
-            self.adopt(generation);
+        for generation in self.other_processes.keys().copied().collect::<Vec<_>>() {
+            self.take_over(generation);
         }
-        self.tell_slots();
+        self.update_max_calls();
     }
 
     /// Whether a process before this one still begins attempts: until it has stopped, this one begins none.
-    pub(super) fn is_held(&self) -> bool {
-        self.siblings.range(..self.generation).any(|(_, elder)| !elder.has_stopped())
+    pub(super) fn waits_for_older_process(&self) -> bool {
+        self.other_processes.range(..self.generation).any(|(_, elder)| !elder.has_stopped())
     }
 
     /// Whether a process after this one runs and takes clients.
     pub(super) fn is_successor_ready(&self) -> bool {
-        let mut later = self.siblings.range(self.generation + 1..);
-        later.any(|(_, sibling)| !sibling.ended && sibling.left.stage == ProcessStage::Ready)
+        let mut later = self.other_processes.range(self.generation + 1..);
+        later.any(|(_, sibling)| !sibling.ended && sibling.state.stage == ProcessStage::Ready)
     }
 
     /// Whether another process runs that what this one is told has to reach.
-    pub(super) fn is_shared(&self) -> bool {
-        self.siblings.values().any(|sibling| !sibling.ended)
+    pub(super) fn has_other_process(&self) -> bool {
+        self.other_processes.values().any(|sibling| !sibling.ended)
     }
 
     /// Whether another process holds the message, or has ended it.
-    pub(super) fn is_elsewhere(&self, txn: &str) -> bool {
-        self.siblings.values().any(|sibling| sibling.knows(txn))
+    pub(super) fn is_known_elsewhere(&self, txn: &str) -> bool {
+        self.other_processes.values().any(|sibling| sibling.knows(txn))
     }
 
     /// The settings as the module is to have them: the slots are those of all processes together.
-    pub(super) fn module_settings(&self) -> Settings {
-        let stopped = self.stage == ProcessStage::HandedOff || self.is_held();
-        let elders = self.siblings.range(..self.generation).filter(|(_, elder)| !elder.ended);
+    pub(super) fn controller_settings(&self) -> Settings {
+        let stopped = self.stage == ProcessStage::HandedOff || self.waits_for_older_process();
+        let elders = self.other_processes.range(..self.generation).filter(|(_, elder)| !elder.ended);
         let taken: usize = elders.map(|(_, elder)| elder.calls_out()).sum();
         let slots = if stopped { 0 } else { self.settings.max_calls.saturating_sub(taken).max(1) };
-        let fleet_size = self.ownership.sharers().unwrap_or(self.settings.fleet_size);
+        let fleet_size = self.ownership.owners_of_each().unwrap_or(self.settings.fleet_size);
         Settings { max_calls: slots, fleet_size, ..self.settings.clone() }
     }
 
-    pub(super) fn tell_slots(&mut self) {
-        let settings = self.module_settings();
-        if settings.max_calls != self.slots {
-            self.slots = settings.max_calls;
+    pub(super) fn update_max_calls(&mut self) {
+        let settings = self.controller_settings();
+        if settings.max_calls != self.max_calls_in_force {
+            self.max_calls_in_force = settings.max_calls;
             self.events.push(Event::Settings(Box::new(settings)));
         }
     }
 
     /// The folder's limit is for all files together.
     pub(super) fn share_space(&mut self) {
-        let others: usize = self.siblings.values().map(|sibling| sibling.size + sibling.live()).sum();
-        let own = self.disk.saturating_sub(others);
+        let others: usize =
+            self.other_processes.values().map(|sibling| sibling.size + sibling.live_bytes()).sum();
+        let own = self.disk_limit_bytes.saturating_sub(others);
         // Each of two needs room: who has more has its file rewritten.
-        self.space.limit(if self.is_shared() { own.min(self.disk / 2) } else { own });
+        self.space.set_limit(if self.has_other_process() { own.min(self.disk_limit_bytes / 2) } else { own });
     }
 
     /// A list that another process has heard binds here too.
-    fn take_newer_list(&mut self, now: Micros, generation: Generation) {
-        let Some(sibling) = self.siblings.get(&generation) else { return };
-        let map = &sibling.left.map;
-        if map.origin() == self.map.origin() && map.version() > self.map.version() {
+    fn adopt_newer_list(&mut self, now: Micros, generation: Generation) {
+        let Some(sibling) = self.other_processes.get(&generation) else { return };
+        let map = &sibling.state.endpoint_list;
+        if map.origin() == self.endpoint_list.origin() && map.version() > self.endpoint_list.version() {
             // Only what differs is written: the other process may have heard of one change.
-            let record = Record::EndpointList(self.map.delta_to(map));
+            let record = Record::EndpointList(self.endpoint_list.delta_to(map));
             self.append(&[(&record, b"")], None);
             if let Record::EndpointList(changes) = &record {
-                self.take_list(now, changes, ListEventKind::Delta);
+                self.apply_list(now, changes, ListEventKind::Delta);
             }
         }
     }
 
     /// Takes over what another process no longer owns, once it is in this one's file.
-    fn adopt(&mut self, generation: Generation) {
-        let Some(sibling) = self.siblings.get(&generation) else { return };
+    fn take_over(&mut self, generation: Generation) {
+        let Some(sibling) = self.other_processes.get(&generation) else { return };
         let whole = sibling.ended;
-        let inherits = whole || generation < self.generation && sibling.has_stopped() && !self.is_held();
+        let inherits =
+            whole || generation < self.generation && sibling.has_stopped() && !self.waits_for_older_process();
         if self.stage == ProcessStage::HandedOff || !inherits {
             return;
         }
-        let later = |txn: &str| self.siblings.range(generation + 1..).any(|(_, other)| other.knows(txn));
-        let known = |txn: &str| self.recent.contains(txn) || self.owed.contains(txn) || later(txn);
-        let free = sibling.left.taken.values().filter(|(taken, _)| whole || taken.in_flight.is_none());
+        let later =
+            |txn: &str| self.other_processes.range(generation + 1..).any(|(_, other)| other.knows(txn));
+        let known = |txn: &str| self.finished.contains(txn) || self.final_answers.contains(txn) || later(txn);
+        let free = sibling.state.accepted.values().filter(|(taken, _)| whole || taken.in_flight.is_none());
         let free = free.filter(|(taken, _)| !known(&taken.id));
-        let taken: Vec<_> = free.filter_map(|(taken, body)| self.with_own(taken, body)).collect();
+        let taken: Vec<_> = free.filter_map(|(taken, body)| self.merged_with_own(taken, body)).collect();
         let (mut owed, mut over) = (Vec::new(), Vec::new());
         if whole {
-            owed = sibling.left.owed.iter().filter(|(txn, ..)| !known(txn)).cloned().collect();
-            over = sibling.left.over.iter().filter(|(txn, _)| !known(txn)).cloned().collect();
+            owed =
+                sibling.state.undelivered_answers.iter().filter(|(txn, ..)| !known(txn)).cloned().collect();
+            over = sibling.state.finished.iter().filter(|(txn, _)| !known(txn)).cloned().collect();
         }
         if taken.is_empty() && !whole {
             return;
@@ -250,23 +270,32 @@
         let records: Vec<_> = ended.chain(ends).chain(held).collect();
         let records: Vec<(&Record, &[u8])> =
             records.iter().map(|(record, body)| (record, &body[..])).collect();
-        let takeover = Takeover { generation, taken, owed, over, whole };
-        self.append(&records, Some(AfterAppend::Adopted(takeover)));
+        let takeover = Takeover {
+            generation,
+            messages: taken,
+            undelivered_answers: owed,
+            finished: over,
+            is_complete: whole,
+        };
+        self.append(&records, Some(AfterAppend::CompleteTakeover(takeover)));
     }
 
     /// What a process left that has ended, where the folder has no room for it: each message has its end at once.
-    fn end_takeover(&mut self, now: Micros, takeover: &mut Takeover) {
-        for (taken, _) in std::mem::take(&mut takeover.taken) {
+    fn finish_without_takeover(&mut self, now: Micros, takeover: &mut Takeover) {
+        for (taken, _) in std::mem::take(&mut takeover.messages) {
             let may_have_run = taken.possible_delivery.is_some() || taken.in_flight.is_some();
             let (verdict, end) = if may_have_run {
                 (FinalAnswer::Failed, End::Error)
             } else {
-                (FinalAnswer::Rejected { retry_after_ms: self.no_room_pause() / 1000 }, End::Overload)
+                (
+                    FinalAnswer::Rejected { retry_after_ms: self.journal_full_retry_after() / 1000 },
+                    End::Overload,
+                )
             };
             self.figures.turned_away(&taken.class, end);
-            takeover.owed.push((taken.id, verdict, now));
+            takeover.undelivered_answers.push((taken.id, verdict, now));
         }
-        let owed = takeover.owed.iter().map(|(txn, verdict, at)| {
+        let owed = takeover.undelivered_answers.iter().map(|(txn, verdict, at)| {
             let (txn, at, verdict) = (txn.clone(), *at, *verdict);
             Record::AnswerDecided { message: txn, at, answer: verdict }
         });
@@ -275,29 +304,35 @@
     }
 
     /// What another process left is in this one's file, or could not be: then it stays where it is for now.
-    pub(super) fn adopted(&mut self, now: Micros, takeover: Takeover, stored: bool) {
+    pub(super) fn on_takeover_recorded(&mut self, now: Micros, takeover: Takeover, stored: bool) {
         let mut takeover = takeover;
-        if !stored && takeover.whole {
-            self.log(format!("succession: no room for {} messages, each is ended", takeover.taken.len()));
-            self.end_takeover(now, &mut takeover);
-        }
-        let Takeover { generation, taken, owed, over, whole } = takeover;
+        if !stored && takeover.is_complete {
+            self.log(format!("succession: no room for {} messages, each is ended", takeover.messages.len()));
+            self.finish_without_takeover(now, &mut takeover);
+        }
+        let Takeover {
+            generation,
+            messages: taken,
+            undelivered_answers: owed,
+            finished: over,
+            is_complete: whole,
+        } = takeover;
         if !stored && !whole {
             return self.log(format!("succession: no room yet for {} messages", taken.len()));
         }
         for (txn, at) in over {
-            self.recent.remember(txn, at);
+            self.finished.remember(txn, at);
         }
         for (txn, verdict, at) in owed {
-            self.owed.push(txn, verdict, at);
+            self.final_answers.push(txn, verdict, at);
         }
         let count = taken.len();
         for (taken, body) in taken {
-            if let Some(sibling) = self.siblings.get_mut(&generation) {
-                sibling.left.taken.remove(&taken.id);
+            if let Some(sibling) = self.other_processes.get_mut(&generation) {
+                sibling.state.accepted.remove(&taken.id);
             }
-            match self.by_txn.get(&taken.id).copied() {
-                Some(id) => self.join(now, id, taken),
+            match self.message_ids.get(&taken.id).copied() {
+                Some(id) => self.merge_message(now, id, taken),
                 None => self.restore(taken, Bytes::copy_from_slice(&body), now),
             }
         }
@@ -305,20 +340,20 @@
             self.log(format!("succession: {count} messages taken over from process {generation}"));
         }
         if whole {
-            self.siblings.remove(&generation);
+            self.other_processes.remove(&generation);
             self.effects.push(Effect::RemoveJournal { generation });
             self.share_space();
-            self.tell_slots();
+            self.update_max_calls();
         }
     }
 
     /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
     /// itself: an earlier process with this file had taken it over, or a client handed it to both.
-    fn with_own(&self, theirs: &AcceptedMessage, body: &Bytes) -> Option<(AcceptedMessage, Bytes)> {
-        let Some(own) = self.by_txn.get(&theirs.id).and_then(|id| self.messages.get(id)) else {
+    fn merged_with_own(&self, theirs: &AcceptedMessage, body: &Bytes) -> Option<(AcceptedMessage, Bytes)> {
+        let Some(own) = self.message_ids.get(&theirs.id).and_then(|id| self.messages.get(id)) else {
             return Some((theirs.clone(), body.clone()));
         };
-        let mut both = own.taken.clone();
+        let mut both = own.accepted.clone();
         both.attempts = both.attempts.max(theirs.attempts);
         both.possible_delivery = both
             .possible_delivery
@@ -326,46 +361,46 @@
             .or_else(|| theirs.in_flight.clone());
         both.handover.offered = both.handover.offered.or_else(|| theirs.handover.offered.clone());
         both.handover.kept_local |= theirs.handover.kept_local;
-        (both != own.taken || !own.stored).then(|| (both, own.body.clone()))
+        (both != own.accepted || !own.stored).then(|| (both, own.body.clone()))
     }
 
     /// What has become of a message elsewhere counts here too.
-    fn join(&mut self, now: Micros, id: MessageId, both: AcceptedMessage) {
+    fn merge_message(&mut self, now: Micros, id: MessageId, both: AcceptedMessage) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if !std::mem::replace(&mut message.stored, true) {
             self.figures.took(1);
         }
-        message.taken = both;
-        if message.in_module {
-            self.tell_history(now, id);
+        message.accepted = both;
+        if message.in_controller {
+            self.report_history(now, id);
         }
     }
 
     /// Told to end beside a successor that takes clients: hands over what is not out.
-    pub(super) fn yield_up(&mut self, now: Micros) {
+    pub(super) fn hand_off(&mut self, now: Micros) {
         if self.stage == ProcessStage::HandedOff {
             return;
         }
         // What the successor has to read, and finds room beside, is what still counts.
-        if self.space.fits(self.live_size()) {
-            self.rewrite();
+        if self.space.can_compact(self.live_bytes()) {
+            self.compact();
         }
-        let mut records = self.running_waits(now);
+        let mut records = self.running_retry_afters(now);
         records.push(Record::ProcessStage { stage: ProcessStage::HandedOff });
-        self.append_all(&records, Some(AfterAppend::Yielded));
+        self.append_all(&records, Some(AfterAppend::CompleteHandOff));
     }
 
     /// It stands in the journal that this process has yielded: the successor may begin at once.
-    pub(super) fn yielded(&mut self, stored: bool) {
+    pub(super) fn on_hand_off_recorded(&mut self, stored: bool) {
         if !stored {
             return self
                 .log("succession: could not be handed over, the successor waits for the end".to_owned());
         }
         self.stage = ProcessStage::HandedOff;
-        self.takes_clients = false;
+        self.accepts_clients = false;
         self.effects.push(Effect::HandOverClients);
         let unbegun: Vec<_> =
-            self.in_flight.iter().filter(|(_, f)| !f.has_begun()).map(|(call, _)| *call).collect();
+            self.in_flight.iter().filter(|(_, f)| !f.may_be_written()).map(|(call, _)| *call).collect();
         for call in unbegun {
             self.in_flight.remove(&call);
             if let Some(link) = self.pool.link_of(call) {
@@ -373,11 +408,13 @@
                 self.effects.push(Effect::CloseConnection { connection: link });
             }
         }
-        for hop in self.hops.keys().copied().collect::<Vec<_>>() {
+        for hop in self.endpoints.keys().copied().collect::<Vec<_>>() {
             self.close_idle(hop);
         }
-        let free =
-            self.messages.iter().filter(|(_, message)| message.stored && message.taken.in_flight.is_none());
+        let free = self
+            .messages
+            .iter()
+            .filter(|(_, message)| message.stored && message.accepted.in_flight.is_none());
         let free: Vec<MessageId> = free.map(|(id, _)| *id).collect();
         self.log(format!(
             "succession: {} messages handed over, {} calls out",
@@ -385,16 +422,16 @@
             self.in_flight.len()
         ));
         for id in free {
-            self.hand_over(id);
+            self.release_to_successor(id);
         }
-        self.tell_slots();
+        self.update_max_calls();
     }
 
     /// The successor's from here on. Who hands it in once more is told that it was taken on.
-    pub(super) fn hand_over(&mut self, id: MessageId) {
+    pub(super) fn release_to_successor(&mut self, id: MessageId) {
         if let Some(message) = self.drop_message(id) {
             self.figures.handed_over();
-            self.recent.remember(message.taken.id, self.last_turn);
+            self.finished.remember(message.accepted.id, self.last_decision_at);
             self.events.push(Event::Withdrawn { id });
         }
     }
--- a/crates/forwarder/src/reducer/unreported.rs
+++ b/crates/forwarder/src/reducer/unreported.rs
@@ -6,12 +6,12 @@
 
 /// Their bytes, in the order in which they were asked for.
 #[derive(Debug, Default)]
-pub(super) struct Unreported {
+pub(super) struct PendingAppends {
     appends: BTreeMap<AppendId, Bytes>,
     bytes: usize,
 }
 
-impl Unreported {
+impl PendingAppends {
     /// An append was asked for.
     pub fn insert(&mut self, receipt: AppendId, bytes: Bytes) {
         self.bytes += bytes.len();
--- a/crates/forwarder/src/reducer/waits.rs
+++ b/crates/forwarder/src/reducer/waits.rs
@@ -6,13 +6,13 @@
 
 /// Until when each route is to be waited for.
 #[derive(Debug, Default)]
-pub(super) struct Waits {
+pub(super) struct RetryAfterTable {
     until: BTreeMap<RouteKey, Micros>,
     by_end: BTreeSet<(Micros, RouteKey)>,
     record_bytes: usize,
 }
 
-impl Waits {
+impl RetryAfterTable {
     /// A wait was told; an earlier one may last longer. Gives the end of the longer one.
     pub fn extend_to(&mut self, route: RouteKey, until: Micros) -> Micros {
         match self.until.get(&route).copied() {
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -17,7 +17,7 @@
 use crate::policy_agent::PolicyAgent;
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_journal::{Journal, Opened};
+use orchidyoke_journal::{Journal, OpenedJournal};
 use std::collections::{HashMap, VecDeque};
 use std::error::Error;
 use std::net::SocketAddr;
@@ -204,7 +204,8 @@
     let clock = Clock::start();
     let (inputs, mut came) = unbounded_channel();
     let opened = Journal::open(state);
-    let Opened { journal, records, others } = opened.map_err(|e| format!("{}: {e}", state.display()))?;
+    let OpenedJournal { journal, records, other_journals: others } =
+        opened.map_err(|e| format!("{}: {e}", state.display()))?;
     let (generation, size) = (journal.generation(), journal.size());
     let siblings = Siblings::new(state, generation, others, inherited.is_some());
     let (listen, console_at) = (config.listen, config.console);
--- a/crates/forwarder/src/succession.rs
+++ b/crates/forwarder/src/succession.rs
@@ -1,8 +1,8 @@
 //! The files of other processes on the folder, looked at in time: what they show comes in as inputs.
 
-use crate::input::{Input, SiblingUpdate};
+use crate::input::{Input, OtherProcessUpdate};
 use crate::log;
-use orchidyoke_journal::{Generation, Other, others};
+use orchidyoke_journal::{Generation, OtherJournal, find_other_journals};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -14,7 +14,7 @@
 
 /// One of them, and what was last told of it.
 struct Known {
-    other: Other,
+    other: OtherJournal,
     size: usize,
     ended: bool,
     /// Why it could not be read at the last look.
@@ -35,7 +35,7 @@
 
 impl Siblings {
     /// Those found at the start; more may come where they are expected.
-    pub fn new(folder: &Path, own: Generation, found: Vec<Other>, expected: bool) -> Self {
+    pub fn new(folder: &Path, own: Generation, found: Vec<OtherJournal>, expected: bool) -> Self {
         let (folder, now) = (folder.to_owned(), Instant::now());
         let known =
             found.into_iter().map(|other| Known { other, size: 0, ended: false, error: None }).collect();
@@ -79,16 +79,17 @@
         let (mut shown, mut gone) = (Vec::new(), Vec::new());
         self.known.retain_mut(|known| {
             let generation = known.other.generation();
-            match known.other.look() {
+            match known.other.read_new() {
                 Ok(Some(look)) => {
                     // One that has ended is told of until it is retired: there may have been no room for what it left.
-                    if look.anew || look.ended || look.size != known.size || !look.records.is_empty() {
+                    if look.rewritten || look.ended || look.size != known.size || !look.records.is_empty() {
                         if look.ended && !known.ended {
                             log!("succession: process {generation} has ended");
                         }
                         (known.size, known.ended) = (look.size, look.ended);
-                        let (anew, records, size, ended) = (look.anew, look.records, look.size, look.ended);
-                        shown.push(SiblingUpdate { generation, rewritten: anew, records, size, ended });
+                        let (anew, records, size, ended) =
+                            (look.rewritten, look.records, look.size, look.ended);
+                        shown.push(OtherProcessUpdate { generation, rewritten: anew, records, size, ended });
                     }
                     true
                 }
@@ -109,7 +110,8 @@
                 }
             }
         });
-        (!shown.is_empty() || !gone.is_empty()).then_some(Input::Siblings { updates: shown, gone })
+        (!shown.is_empty() || !gone.is_empty())
+            .then_some(Input::OtherProcessesUpdated { updates: shown, gone })
     }
 
     fn scan(&mut self) {
@@ -117,7 +119,7 @@
         let known = |generation| {
             generation == self.own || self.known.iter().any(|known| known.other.generation() == generation)
         };
-        match others(&self.folder, known) {
+        match find_other_journals(&self.folder, known) {
             Ok(new) => {
                 for other in new {
                     log!("succession: process {} is there", other.generation());
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -7,7 +7,7 @@
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Reply};
-use orchidyoke_forwarder::input::{Effect, Input, RequestId, SiblingUpdate, Submission, SubmitAnswer};
+use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, RequestId, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::Marked;
 use orchidyoke_forwarder::pool::EndpointConnectionId;
 use orchidyoke_forwarder::reducer::Reducer;
@@ -343,11 +343,11 @@
             self.processes[at].read.insert(generation, (file.inode, from + whole));
             if anew || ended || !records.is_empty() {
                 let size = file.bytes.len();
-                shown.push(SiblingUpdate { generation, rewritten: anew, records, size, ended });
+                shown.push(OtherProcessUpdate { generation, rewritten: anew, records, size, ended });
             }
         }
         if !shown.is_empty() || !gone.is_empty() {
-            self.input(at, Input::Siblings { updates: shown, gone });
+            self.input(at, Input::OtherProcessesUpdated { updates: shown, gone });
         }
     }
 
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -602,7 +602,7 @@
         world.endpoints_answer = false;
         let message = Submission { handover_mark: marked, ..world.handed("a", 3) };
         assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
-        world.reducer.troubled().any(|destination| destination == 3)
+        world.reducer.faulty_destinations().any(|destination| destination == 3)
     };
     let own = || Fleet::of(2, ["f0", "f0", "f0"]);
     let others = |version| Fleet::of(version, ["f0", "f0", "f1"]);
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -13,7 +13,7 @@
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::discovery::{Ended, follow};
-use orchidyoke_forwarder::input::{Effect, Input, SiblingUpdate, WatchSource};
+use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, WatchSource};
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_forwarder::reload::Source;
 use orchidyoke_journal::{Record, replay};
@@ -172,8 +172,8 @@
     ];
     let records = heard.into_iter().map(|news| (Record::EndpointList(news), Bytes::new())).collect();
     let shown =
-        vec![SiblingUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
-    let written = world.input(Input::Siblings { updates: shown, gone: Vec::new() });
+        vec![OtherProcessUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
+    let written = world.input(Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() });
     assert!(written < 2 * SMALL_RECORD, "{written} bytes");
     let map = world.journaled();
     assert_eq!((map.version(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -55,5 +55,5 @@
     assert!(world.operate(console::Call::EnableServer("s-c".to_owned())));
     world.wait(4 * S);
     assert!(world.links.len() <= 1, "only a trial call goes");
-    assert_eq!(world.reducer.troubled().count(), 1);
+    assert_eq!(world.reducer.faulty_destinations().count(), 1);
 }
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -1,7 +1,7 @@
 //! The files of a folder: this process's own, and those of the others that share it.
 
 use crate::record::RecordsWithBodies;
-use crate::recovery::{Reading, read};
+use crate::recovery::{RecoveredRecords, read};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::MetadataExt;
@@ -18,13 +18,13 @@
 
 /// A folder as a process finds it at its start.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedJournal {
     /// The process's own file: the newest whose process has ended, or a new one.
     pub journal: Journal,
     /// What is in it.
     pub records: RecordsWithBodies,
     /// The files of all others, those of processes that have ended too.
-    pub others: Vec<Other>,
+    pub other_journals: Vec<OtherJournal>,
 }
 
 impl Journal {
@@ -33,22 +33,26 @@
     /// # Errors
     ///
     /// The folder or a file in it cannot be read or written, or holds a record of a later version: that stays as it is.
-    pub fn open(folder: &Path) -> io::Result<Opened> {
+    pub fn open(folder: &Path) -> io::Result<OpenedJournal> {
         let generations = generations(folder)?;
         let newest = generations.last().copied();
-        let (generation, file) = match newest.map(|g| own(folder, g)).transpose()?.flatten() {
+        let (generation, file) = match newest.map(|g| take_over_ended(folder, g)).transpose()?.flatten() {
             Some(file) => (newest.unwrap_or_default(), file),
             None => create(folder, newest.map_or(0, |newest| newest + 1))?,
         };
         let path = path_of(folder, generation);
-        let Reading { records, whole, unknown } = read(fs::read(&path)?.into());
-        refuse(&path, unknown)?;
+        let RecoveredRecords { records, complete_bytes: whole, unreadable } = read(fs::read(&path)?.into());
+        reject_unreadable(&path, unreadable)?;
         // A rewrite that a kill cut short: the journal itself is still whole.
-        remove(&spare_of(&path))?;
+        remove(&compaction_path(&path))?;
         file.set_len(whole as u64)?;
         let others = generations.into_iter().filter(|other| *other != generation);
-        let others = others.map(|other| Other::new(folder, other)).collect();
-        Ok(Opened { journal: Journal { generation, path, file, size: whole }, records, others })
+        let others = others.map(|other| OtherJournal::new(folder, other)).collect();
+        Ok(OpenedJournal {
+            journal: Journal { generation, path, file, size: whole },
+            records,
+            other_journals: others,
+        })
     }
 
     /// Number of the file: that of a process which started later is higher.
@@ -73,7 +77,7 @@
 
     /// Puts these bytes in the place of all that is there.
     pub fn rewrite(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let spare = spare_of(&self.path);
+        let spare = compaction_path(&self.path);
         let written: io::Result<File> = (|| {
             let mut file = OpenOptions::new().create(true).append(true).open(&spare)?;
             file.set_len(0)?;
@@ -90,8 +94,8 @@
 }
 
 /// A record that is whole and cannot be read ends the reading, and nothing is cut off or guessed.
-fn refuse(path: &Path, unknown: Option<String>) -> io::Result<()> {
-    match unknown {
+fn reject_unreadable(path: &Path, unreadable: Option<String>) -> io::Result<()> {
+    match unreadable {
         None => Ok(()),
         Some(why) => {
             let why = format!("{}: written by a later version, which has to read it: {why}", path.display());
@@ -103,13 +107,17 @@
 /// Number of a file in the folder: 0 is `journal`, 7 is `journal.7`.
 pub type Generation = u64;
 
-const NAME: &str = "journal";
+const JOURNAL_FILE_NAME: &str = "journal";
 
 fn path_of(folder: &Path, generation: Generation) -> PathBuf {
-    folder.join(if generation == 0 { NAME.to_owned() } else { format!("{NAME}.{generation}") })
+    folder.join(if generation == 0 {
+        JOURNAL_FILE_NAME.to_owned()
+    } else {
+        format!("{JOURNAL_FILE_NAME}.{generation}")
+    })
 }
 
-fn spare_of(path: &Path) -> PathBuf {
+fn compaction_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
     name.into()
@@ -127,7 +135,7 @@
     let mut found = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
-        let rest = name.to_str().and_then(|name| name.strip_prefix(NAME));
+        let rest = name.to_str().and_then(|name| name.strip_prefix(JOURNAL_FILE_NAME));
         match rest {
             Some("") => found.push(0),
             Some(rest) => found.extend(rest.strip_prefix('.').and_then(|n| n.parse::<Generation>().ok())),
@@ -148,14 +156,14 @@
 }
 
 /// Takes over the file of a process that has ended; none where it goes on.
-fn own(folder: &Path, generation: Generation) -> io::Result<Option<File>> {
+fn take_over_ended(folder: &Path, generation: Generation) -> io::Result<Option<File>> {
     let path = path_of(folder, generation);
     let file = OpenOptions::new().append(true).open(&path)?;
-    Ok((lock(&file)? && is_at(&file, &path)?).then_some(file))
+    Ok((lock(&file)? && is_still_named(&file, &path)?).then_some(file))
 }
 
 /// Whether this is still the file with that name: a rewrite puts another in its place.
-fn is_at(file: &File, path: &Path) -> io::Result<bool> {
+fn is_still_named(file: &File, path: &Path) -> io::Result<bool> {
     Ok(fs::metadata(path).is_ok_and(|there| file.metadata().is_ok_and(|held| held.ino() == there.ino())))
 }
 
@@ -175,7 +183,7 @@
 
 /// The file of another process, read as it grows.
 #[derive(Debug)]
-pub struct Other {
+pub struct OtherJournal {
     generation: Generation,
     path: PathBuf,
     inode: u64,
@@ -186,9 +194,9 @@
 
 /// What a look at another process's file has shown.
 #[derive(Debug)]
-pub struct Look {
+pub struct JournalUpdate {
     /// The file was rewritten: the records begin anew.
-    pub anew: bool,
+    pub rewritten: bool,
     /// What has come since the last look.
     pub records: RecordsWithBodies,
     /// Bytes in the file.
@@ -197,9 +205,9 @@
     pub ended: bool,
 }
 
-impl Other {
+impl OtherJournal {
     fn new(folder: &Path, generation: Generation) -> Self {
-        Other { generation, path: path_of(folder, generation), inode: 0, read: 0, lock: None }
+        OtherJournal { generation, path: path_of(folder, generation), inode: 0, read: 0, lock: None }
     }
 
     /// Number of the file.
@@ -212,7 +220,7 @@
     /// # Errors
     ///
     /// The file cannot be read.
-    pub fn look(&mut self) -> io::Result<Option<Look>> {
+    pub fn read_new(&mut self) -> io::Result<Option<JournalUpdate>> {
         let mut file = match File::open(&self.path) {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -221,7 +229,7 @@
         // First the lock: whoever held it has written its last byte then.
         if self.lock.is_none() {
             let probe = File::open(&self.path)?;
-            if lock(&probe)? && is_at(&probe, &self.path)? {
+            if lock(&probe)? && is_still_named(&probe, &self.path)? {
                 self.lock = Some(probe);
             }
         }
@@ -234,16 +242,16 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
         let size = self.read + bytes.len();
-        let Reading { records, whole, unknown } = read(bytes.into());
+        let RecoveredRecords { records, complete_bytes: whole, unreadable } = read(bytes.into());
         // What a later version writes behind a record of its own kind is not for this one; what came before is told, and
         // the file of one that has ended is left where it is.
         if records.is_empty() || self.lock.is_some() {
             let ended = self.lock.take();
-            refuse(&self.path, unknown)?;
+            reject_unreadable(&self.path, unreadable)?;
             self.lock = ended;
         }
         self.read += whole;
-        Ok(Some(Look { anew, records, size, ended: self.lock.is_some() }))
+        Ok(Some(JournalUpdate { rewritten: anew, records, size, ended: self.lock.is_some() }))
     }
 
     /// Removes the file of a process that has ended, once what it held is kept elsewhere.
@@ -252,7 +260,7 @@
     ///
     /// The file cannot be removed.
     pub fn remove(&self) -> io::Result<()> {
-        remove(&spare_of(&self.path))?;
+        remove(&compaction_path(&self.path))?;
         remove(&self.path)
     }
 }
@@ -262,9 +270,12 @@
 /// # Errors
 ///
 /// The folder cannot be read.
-pub fn others(folder: &Path, known: impl Fn(Generation) -> bool) -> io::Result<Vec<Other>> {
+pub fn find_other_journals(
+    folder: &Path,
+    known: impl Fn(Generation) -> bool,
+) -> io::Result<Vec<OtherJournal>> {
     let found = generations(folder)?.into_iter().filter(|generation| !known(*generation));
-    Ok(found.map(|generation| Other::new(folder, generation)).collect())
+    Ok(found.map(|generation| OtherJournal::new(folder, generation)).collect())
 }
 
 #[cfg(test)]
@@ -292,7 +303,7 @@
         let size = journal.size();
         assert_eq!(size, 2 * bytes("b").len());
         drop(journal);
-        let Opened { journal, records, .. } = Journal::open(&folder).expect("opens");
+        let OpenedJournal { journal, records, .. } = Journal::open(&folder).expect("opens");
         assert_eq!(journal.size(), size);
         assert_eq!(records.iter().map(|r| &r.0).collect::<Vec<_>>(), [&taken("b"), &taken("c")]);
         assert!(!folder.join("journal.new").exists());
@@ -310,7 +321,7 @@
             taken(txn).encode(b"x", &mut bytes);
             bytes
         };
-        let seen = |look: Look| -> Vec<String> {
+        let seen = |look: JournalUpdate| -> Vec<String> {
             let txn = |record| if let Record::Accepted(taken) = record { taken.id } else { String::new() };
             look.records.into_iter().map(|(record, _)| txn(record)).collect()
         };
@@ -318,27 +329,30 @@
         elder.append(&bytes("a")).expect("appends");
         let mut opened = Journal::open(&folder).expect("opens");
         assert_eq!((elder.generation(), opened.journal.generation(), opened.records.len()), (0, 1, 0));
-        let other = &mut opened.others[0];
-        let look = other.look().expect("read").expect("there");
-        assert!(look.anew && !look.ended);
+        let other = &mut opened.other_journals[0];
+        let look = other.read_new().expect("read").expect("there");
+        assert!(look.rewritten && !look.ended);
         assert_eq!(seen(look), ["a"]);
         let half = bytes("b");
         elder.file.write_all(&half[..half.len() / 2]).expect("writes");
-        assert!(seen(other.look().expect("read").expect("there")).is_empty(), "half a record is none yet");
+        assert!(
+            seen(other.read_new().expect("read").expect("there")).is_empty(),
+            "half a record is none yet"
+        );
         elder.file.write_all(&half[half.len() / 2..]).expect("writes");
-        let look = other.look().expect("read").expect("there");
-        assert!(!look.anew && !look.ended);
+        let look = other.read_new().expect("read").expect("there");
+        assert!(!look.rewritten && !look.ended);
         assert_eq!(seen(look), ["b"]);
         elder.rewrite(&bytes("c")).expect("rewrites");
-        let look = other.look().expect("read").expect("there");
-        assert!(look.anew && !look.ended, "a rewrite is no end");
+        let look = other.read_new().expect("read").expect("there");
+        assert!(look.rewritten && !look.ended, "a rewrite is no end");
         assert_eq!(seen(look), ["c"]);
-        assert!(others(&folder, |known| known < 2).expect("read").is_empty());
+        assert!(find_other_journals(&folder, |known| known < 2).expect("read").is_empty());
         drop(elder);
-        let look = other.look().expect("read").expect("there");
-        assert!(look.ended && !look.anew && look.records.is_empty());
+        let look = other.read_new().expect("read").expect("there");
+        assert!(look.ended && !look.rewritten && look.records.is_empty());
         other.remove().expect("removed");
-        assert!(other.look().expect("read").is_none());
+        assert!(other.read_new().expect("read").is_none());
         drop(opened);
         assert_eq!(Journal::open(&folder).expect("opens").journal.generation(), 1, "the newest goes on");
         fs::remove_dir_all(&folder).expect("cleans up");
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -11,10 +11,10 @@
 mod recovery;
 mod space;
 
-pub use file::{Generation, Journal, Look, Opened, Other, others};
+pub use file::{Generation, Journal, JournalUpdate, OpenedJournal, OtherJournal, find_other_journals};
 pub use record::{
     AcceptedMessage, AttemptStart, FinalAnswer, HandoverOffer, HandoverState, ProcessStage, Record,
     RecordsWithBodies,
 };
-pub use recovery::{Reading, read, replay};
-pub use space::Space;
+pub use recovery::{RecoveredRecords, read, replay};
+pub use space::DiskSpace;
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -5,20 +5,20 @@
 
 /// What can be read of a file.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct RecoveredRecords {
     /// The records up to the first that is not whole or not known.
     pub records: RecordsWithBodies,
     /// The bytes that they take up.
-    pub whole: usize,
+    pub complete_bytes: usize,
     /// Why the next record, though whole, cannot be read: a later version wrote it. It is not to be cut off.
-    pub unknown: Option<String>,
+    pub unreadable: Option<String>,
 }
 
 /// Reads a file. A tail that is not whole was torn by a kill; a record that is whole and not known was not.
-pub fn read(mut file: Bytes) -> Reading {
-    let (mut reading, all) = (Reading::default(), file.len());
+pub fn read(mut file: Bytes) -> RecoveredRecords {
+    let (mut reading, all) = (RecoveredRecords::default(), file.len());
     loop {
-        reading.whole = all - file.len();
+        reading.complete_bytes = all - file.len();
         let mut rest = file.clone();
         let (Ok(length), Ok(sum)) = (rest.try_get_u32_le(), rest.try_get_u32_le()) else { return reading };
         if length as usize > rest.len() {
@@ -32,7 +32,7 @@
         match Record::decode(content) {
             Ok(record) => reading.records.push(record),
             Err(why) => {
-                reading.unknown = Some(why);
+                reading.unreadable = Some(why);
                 return reading;
             }
         }
@@ -43,7 +43,7 @@
 /// The records of a file up to the first that cannot be read, and the bytes that they take up.
 pub fn replay(file: Bytes) -> (RecordsWithBodies, usize) {
     let reading = read(file);
-    (reading.records, reading.whole)
+    (reading.records, reading.complete_bytes)
 }
 
 #[cfg(test)]
@@ -83,11 +83,11 @@
         bytes.extend_from_slice(&crc32fast::hash(&content).to_le_bytes());
         bytes.extend_from_slice(&content);
         let reading = read(bytes.clone().freeze());
-        assert_eq!((reading.records.len(), reading.whole), (1, first));
-        assert!(reading.unknown.is_some_and(|why| why.contains("from_tomorrow")));
+        assert_eq!((reading.records.len(), reading.complete_bytes), (1, first));
+        assert!(reading.unreadable.is_some_and(|why| why.contains("from_tomorrow")));
         // Torn, it is a tail like any other; so are zeros.
-        assert_eq!(read(bytes.clone().freeze().slice(..bytes.len() - 1)).unknown, None);
+        assert_eq!(read(bytes.clone().freeze().slice(..bytes.len() - 1)).unreadable, None);
         let zeros = [&bytes[..first], &[0; 64]].concat();
-        assert_eq!(read(zeros.into()).unknown, None);
+        assert_eq!(read(zeros.into()).unreadable, None);
     }
 }
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
-use orchidyoke_journal::{Journal, Opened, ProcessStage, Record};
+use orchidyoke_journal::{Journal, OpenedJournal, ProcessStage, Record};
 use std::fs;
 use std::path::PathBuf;
 
@@ -47,7 +47,7 @@
         Folder(path)
     }
 
-    fn open(&self) -> Opened {
+    fn open(&self) -> OpenedJournal {
         Journal::open(&self.0).expect("opens")
     }
 }
@@ -68,7 +68,7 @@
     journal.append(&before).expect("appends");
     journal.append(&bytes).expect("appends");
     drop(journal);
-    let Opened { journal, records, .. } = folder.open();
+    let OpenedJournal { journal, records, .. } = folder.open();
     assert_eq!(journal.size(), before.len() + bytes.len());
     assert!(records.iter().map(|(record, _)| record).eq([&ready, &large]));
     drop((journal, records));
@@ -77,7 +77,7 @@
     for kept in [bytes.len() - 1, bytes.len() / 2, 9, 1] {
         let torn = [&before[..], &bytes[..kept]].concat();
         fs::write(&file, torn).expect("writes");
-        let Opened { journal, records, .. } = folder.open();
+        let OpenedJournal { journal, records, .. } = folder.open();
         assert!(records.iter().map(|(record, _)| record).eq([&ready]), "{kept} bytes of it");
         assert_eq!(journal.size(), before.len(), "the torn tail is cut off");
     }
