--- /dev/null
+++ b/crates/journal/tests/stored_format.rs
@@ -0,0 +1,234 @@
+//! Protects journals of earlier versions: a file that they wrote is read with every field of every kind of record, and
+//! the same records are written as the same bytes, under the same names of files.
+
+use bytes::{Bytes, BytesMut};
+use orchidyoke_core::transport_map::{Checks, News, State, Target};
+use orchidyoke_journal::{
+    Custody, Journal, Offered, Opened, Reading, Record, Stage, Taken, Trace, Verdict, read,
+};
+use std::fs;
+use std::path::PathBuf;
+
+/// The journal as it was written before.
+const STORED: &[u8] = include_bytes!("fixtures/journal");
+/// The texts of its records, one a line.
+const TEXTS: &str = include_str!("fixtures/journal.jsonl");
+
+fn string(text: &str) -> String {
+    text.to_owned()
+}
+
+fn trace(at: i64, uid: &str, az: &str) -> Trace {
+    Trace { at, uid: string(uid), az: string(az) }
+}
+
+/// A message with nothing that may be left out.
+fn bare(txn: &str) -> Taken {
+    Taken {
+        txn: string(txn),
+        class: string("c-2"),
+        org: String::new(),
+        key: None,
+        dest: 0,
+        deadline: -1,
+        attempts: 0,
+        ran: None,
+        out: None,
+        custody: Custody::default(),
+    }
+}
+
+/// A message with all that there may be beside its key. Its custody is in records of its own.
+fn full(txn: &str) -> Taken {
+    Taken {
+        txn: string(txn),
+        class: string("c-1"),
+        org: string("o \"1\""),
+        key: None,
+        dest: u64::MAX,
+        deadline: 1_800_000_008_000_000,
+        attempts: 3,
+        ran: Some(trace(1_800_000_000_000_001, "u-1", "z-1")),
+        out: Some(trace(1_800_000_000_000_002, "u-2", "")),
+        custody: Custody::default(),
+    }
+}
+
+fn target(uid: &str, state: State, checks: Checks) -> Target {
+    Target {
+        uid: string(uid),
+        endpoint: "127.0.0.1:8001".parse().expect("an address"),
+        az: string("z-1"),
+        model: string("m-1"),
+        pod_group: 11,
+        state,
+        capacity_hint: 20.0,
+        checks,
+    }
+}
+
+/// An endpoint whose optional parts are empty, at an address of the other kind.
+fn sparse_target(uid: &str) -> Target {
+    Target {
+        uid: string(uid),
+        endpoint: "[2001:db8::1]:8002".parse().expect("an address"),
+        az: String::new(),
+        model: String::new(),
+        pod_group: u64::MAX,
+        state: State::InService,
+        capacity_hint: 0.1,
+        checks: Checks::Passing,
+    }
+}
+
+/// What the file holds: each record with its body, in its order.
+fn expected() -> Vec<(Record, Bytes)> {
+    let long_body: Vec<u8> = (0..=255).collect();
+    let bodies = [Bytes::from_static(b"{\"is\":\"body\"}\n"), long_body.into()];
+    let [text_body, long_body] = bodies;
+    let whole = vec![
+        target("u-1", State::InService, Checks::Warning),
+        target("u-2", State::Terminating, Checks::Critical),
+        sparse_target("u-3"),
+    ];
+    let changes = vec![
+        target("u-1", State::Terminated, Checks::Passing),
+        target("u \"\u{e9}\u{1}\"", State::InService, Checks::Passing),
+    ];
+    let (first, second) = (string("t-1"), string("t-2"));
+    let plain = [
+        Record::Begun { txns: vec![first.clone(), second.clone()], trace: trace(5, "u-1", "z-1") },
+        Record::Begun { txns: vec![first.clone()], trace: trace(i64::MAX, "u-2", "") },
+        Record::Ran { txn: first.clone() },
+        Record::Unseen { txn: second.clone() },
+        Record::Missed { txn: string("t \"3\"") },
+        Record::Owed { txn: first.clone(), at: 6, verdict: Verdict::Failed },
+        Record::Owed { txn: second.clone(), at: -6, verdict: Verdict::Returned { after_ms: 1500 } },
+        Record::Over { txn: first.clone(), at: 7 },
+        Record::Offered { txn: second.clone(), to: string("f-2"), at: 8 },
+        Record::Declined { txn: string("t-5") },
+        Record::Unresolved { txn: string("t-6") },
+        Record::Kept { txn: string("t-7") },
+        Record::HandedOver { txn: string("t-8"), to: string("f-3"), at: 9 },
+        Record::Map(News { rev: 12, all: true, targets: whole, origin: string("consul:0a1b2c3d.1f") }),
+        Record::Map(News { rev: u64::MAX, all: false, targets: changes, origin: String::new() }),
+        Record::Map(News { rev: 0, all: true, targets: Vec::new(), origin: String::new() }),
+        Record::Superseded { discovery: "127.0.0.1:7001".parse().expect("an address") },
+        Record::Superseded { discovery: "[::1]:7001".parse().expect("an address") },
+        Record::ByHand { uid: string("u-1"), at: 10, out: true },
+        Record::ByHand { uid: string("u-2"), at: 11, out: false },
+        Record::Wait { dest: 1, uid: Some(string("u-1")), until: 12 },
+        Record::Wait { dest: 2, uid: None, until: 13 },
+        Record::Stage { stage: Stage::Started },
+        Record::Stage { stage: Stage::Ready },
+        Record::Stage { stage: Stage::Yielded },
+        Record::Troubled { dests: vec![1, u64::MAX], routes: vec![(2, string("u-1")), (3, string("u-2"))] },
+        Record::Troubled { dests: Vec::new(), routes: Vec::new() },
+    ];
+    let taken = [
+        (Record::Taken(bare("t-1")), Bytes::new()),
+        (Record::Taken(full("t-2")), text_body),
+        (Record::Taken(Taken { key: Some(string("k \"1\"")), ..full("t-3") }), long_body),
+        (Record::Taken(Taken { key: Some(String::new()), ..bare("t-4") }), Bytes::from_static(b"\0")),
+    ];
+    taken.into_iter().chain(plain.map(|record| (record, Bytes::new()))).collect()
+}
+
+fn written(records: &[(Record, Bytes)]) -> BytesMut {
+    let mut bytes = BytesMut::new();
+    records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
+    bytes
+}
+
+/// The text of each record, as the frames of a file hold them: the content's length, its sum, the text's length.
+fn texts(mut file: &[u8]) -> String {
+    let number = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
+    let mut texts = String::new();
+    while !file.is_empty() {
+        let (content, text) = (number(&file[..4]), number(&file[8..12]));
+        texts += std::str::from_utf8(&file[12..12 + text]).expect("text");
+        texts.push('\n');
+        file = &file[8 + content..];
+    }
+    texts
+}
+
+/// A folder of its own, removed at the end.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
+        fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        drop(fs::remove_dir_all(&self.0));
+    }
+}
+
+#[test]
+fn journal_of_the_previous_version_is_read_field_by_field() {
+    let Reading { records, whole, unknown } = read(Bytes::from_static(STORED));
+    assert_eq!((whole, unknown), (STORED.len(), None));
+    let expected = expected();
+    for (place, (read, expected)) in records.iter().zip(&expected).enumerate() {
+        assert_eq!(read, expected, "record {place}");
+    }
+    assert_eq!(records.len(), expected.len());
+}
+
+#[test]
+fn the_same_records_are_written_as_the_same_bytes() {
+    let expected = expected();
+    let lines = TEXTS.lines().zip(&expected);
+    for (place, (line, record)) in lines.enumerate() {
+        let bytes = written(std::slice::from_ref(record));
+        assert_eq!(texts(&bytes).trim_end_matches('\n'), line, "record {place}");
+    }
+    assert_eq!(texts(STORED), TEXTS);
+    assert!(written(&expected) == STORED, "frames or bodies differ");
+}
+
+#[test]
+fn what_was_read_is_written_back_as_the_same_bytes() {
+    let records = read(Bytes::from_static(STORED)).records;
+    assert!(written(&records) == STORED);
+}
+
+// Guards against custody that a snapshot holds in other records than before.
+#[test]
+fn custody_is_written_as_the_records_that_stand_for_it() {
+    let custody = Custody { offered: Some(Offered { to: string("f-2"), at: 8 }), kept: true };
+    let records = Taken { custody, ..bare("t-2") }.custody_records();
+    let (to, txn) = (string("f-2"), string("t-2"));
+    assert_eq!(records, [Record::Offered { txn: txn.clone(), to, at: 8 }, Record::Kept { txn }]);
+    assert_eq!(bare("t-2").custody_records(), []);
+}
+
+#[test]
+fn a_folder_of_the_previous_version_is_opened_under_its_names() {
+    let folder = Folder::new("stored-format");
+    let (older, newest) = (folder.0.join("journal"), folder.0.join("journal.7"));
+    fs::write(&older, STORED).expect("writes");
+    fs::write(&newest, &STORED[..STORED.len() - 1]).expect("writes");
+    fs::write(folder.0.join("journal.7.new"), STORED).expect("writes");
+    let Opened { mut journal, records, mut others } = Journal::open(&folder.0).expect("opens");
+    let expected = expected();
+    assert_eq!((journal.generation(), others.len()), (7, 1));
+    assert!(records == expected[..expected.len() - 1], "the torn one is cut off");
+    assert!(!folder.0.join("journal.7.new").exists(), "a rewrite that was cut short is gone");
+    let look = others[0].look().expect("read").expect("there");
+    assert_eq!((others[0].generation(), look.ended, look.size), (0, true, STORED.len()));
+    assert!(look.records == expected);
+    journal.append(&written(&expected[expected.len() - 1..])).expect("appends");
+    assert!(fs::read(&newest).expect("read") == STORED);
+    journal.rewrite(STORED).expect("rewrites");
+    assert!(fs::read(&newest).expect("read") == STORED);
+    let beside = Journal::open(&folder.0).expect("opens").journal;
+    assert_eq!(beside.generation(), 8);
+    assert!(folder.0.join("journal.8").exists());
+}
