--- /dev/null
+++ b/crates/node/tests/stored_format.rs
@@ -0,0 +1,412 @@
+//! Protects what a forwarder takes over from the journal of an earlier version: messages, ids that are over, notices
+//! that are owed, waits, routes in trouble, endpoints out by hand, the list, and what is between forwarders.
+
+mod common;
+
+use bytes::{Bytes, BytesMut};
+use common::{DISK, S, START, second_config, second_targets};
+use orchidyoke_core::interface::{DestinationId, Micros};
+use orchidyoke_core::transport_map::{News, State, Target};
+use orchidyoke_journal::{Custody, Offered, Record, Stage, Taken, Trace, Verdict, replay};
+use orchidyoke_node::config::Config;
+use orchidyoke_node::hop_call::Reply;
+use orchidyoke_node::input::{Effect, Following, Input, Submission, SubmitAnswer};
+use orchidyoke_node::ownership::{Mark, Marked, Offer, Owner, Owners, Peer};
+use orchidyoke_node::reducer::Reducer;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// The journal as it was written before, up to the moment `START`.
+const STORED: &[u8] = include_bytes!("fixtures/journal");
+/// What a start on it wrote in its place where the folder was nearly full.
+const REWRITTEN: &[u8] = include_bytes!("fixtures/journal-rewritten");
+
+const MS: Micros = 1_000;
+
+/// The messages that are still to be delivered, in the order of their ids.
+const PENDING: [&str; 9] =
+    ["m-declined", "m-free", "m-kept", "m-missed", "m-offered", "m-out", "m-ran", "m-unresolved", "m-unseen"];
+/// Those that are over, or whose final answer is decided.
+const ENDED: [&str; 5] = ["m-over", "m-told", "m-handed", "m-failed", "m-returned"];
+
+fn string(text: &str) -> String {
+    text.to_owned()
+}
+
+/// A message of the class without a key.
+fn taken(txn: &str, dest: DestinationId) -> Taken {
+    Taken {
+        txn: string(txn),
+        class: string("state"),
+        org: String::new(),
+        key: None,
+        dest,
+        deadline: START + 7 * S,
+        attempts: 0,
+        ran: None,
+        out: None,
+        custody: Custody::default(),
+    }
+}
+
+/// The one message with a key.
+fn keyed() -> Taken {
+    Taken { class: string("bread"), key: Some(string("k \"1\"")), ..taken("m-ran", 2) }
+}
+
+fn body(txn: &str) -> Bytes {
+    Bytes::from(format!("body of {txn}"))
+}
+
+fn trace(ago: Micros) -> Trace {
+    Trace { at: START - ago, uid: string("s-c"), az: string("a") }
+}
+
+/// The list as it stands after the changes.
+fn list() -> Vec<Target> {
+    let mut list = second_targets();
+    list[1].state = State::Terminating;
+    let last = list.pop().expect("an endpoint");
+    let endpoint = "127.0.0.1:14".parse().expect("an address");
+    list.push(Target { uid: string("s-f"), endpoint, pod_group: 4, ..last });
+    list
+}
+
+/// What the journal holds.
+fn held() -> Vec<Record> {
+    let (txn, at) = (string, START - 300 * MS);
+    let begun = |txn: &str, ago: Micros| Record::Begun { txns: vec![string(txn)], trace: trace(ago) };
+    let offered = |txn: &str| Record::Offered { txn: string(txn), to: string("f2"), at };
+    let owed = |txn: &str, verdict: Verdict| Record::Owed { txn: string(txn), at, verdict };
+    let mut before = second_targets();
+    before[1].state = State::Terminating;
+    let gone = Target { state: State::Terminated, ..before[4].clone() };
+    let come = list()[4].clone();
+    let mut records = vec![
+        Record::Map(News { rev: 7, all: true, targets: before, origin: String::new() }),
+        Record::Map(News { rev: 9, all: false, targets: vec![gone, come], origin: String::new() }),
+        Record::Stage { stage: Stage::Started },
+        Record::Stage { stage: Stage::Ready },
+        Record::Troubled { dests: vec![4], routes: vec![(2, string("s-d"))] },
+        Record::Wait { dest: 1, uid: None, until: START + 3 * S },
+        Record::Wait { dest: 2, uid: Some(string("s-c")), until: START + S },
+        Record::Superseded { discovery: "127.0.0.1:2".parse().expect("an address") },
+        Record::ByHand { uid: string("s-d"), at: START - 60 * S, out: true },
+        Record::ByHand { uid: string("s-a"), at: START - 7 * S, out: true },
+        Record::ByHand { uid: string("s-a"), at: START - 6 * S, out: false },
+    ];
+    let dest = |txn: &str| if matches!(txn, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
+    records.extend(
+        PENDING.iter().filter(|txn| **txn != "m-ran").map(|txn| Record::Taken(taken(txn, dest(txn)))),
+    );
+    records.push(Record::Taken(keyed()));
+    records.extend(ENDED.map(|txn| Record::Taken(taken(txn, 1))));
+    records.extend([
+        begun("m-ran", 500 * MS),
+        Record::Ran { txn: txn("m-ran") },
+        begun("m-out", 200 * MS),
+        begun("m-unseen", 400 * MS),
+        Record::Unseen { txn: txn("m-unseen") },
+        Record::Missed { txn: txn("m-missed") },
+        Record::Missed { txn: txn("m-missed") },
+        owed("m-failed", Verdict::Failed),
+        owed("m-returned", Verdict::Returned { after_ms: 1500 }),
+        Record::Over { txn: txn("m-over"), at },
+        owed("m-told", Verdict::Failed),
+        Record::Over { txn: txn("m-told"), at: at + 1 },
+        offered("m-offered"),
+        offered("m-declined"),
+        Record::Declined { txn: txn("m-declined") },
+        offered("m-unresolved"),
+        Record::Unresolved { txn: txn("m-unresolved") },
+        Record::Kept { txn: txn("m-kept") },
+        offered("m-handed"),
+        Record::HandedOver { txn: txn("m-handed"), to: txn("f2"), at: at + 2 },
+    ]);
+    records
+}
+
+/// What a rewrite at the start leaves of it.
+fn kept() -> Vec<Record> {
+    let at = START - 300 * MS;
+    let over = |txn: &str, at: Micros| Record::Over { txn: string(txn), at };
+    let owed = |txn: &str, verdict: Verdict| Record::Owed { txn: string(txn), at, verdict };
+    let message = |txn: &str| {
+        let dest = if matches!(txn, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
+        let plain = taken(txn, dest);
+        let unknown = Trace { at, uid: String::new(), az: String::new() };
+        Record::Taken(match txn {
+            "m-missed" => Taken { attempts: 2, ..plain },
+            "m-unseen" => Taken { attempts: 1, ..plain },
+            "m-out" => Taken { attempts: 1, ran: Some(trace(200 * MS)), ..plain },
+            "m-ran" => Taken { attempts: 1, ran: Some(trace(500 * MS)), ..keyed() },
+            "m-unresolved" => Taken { ran: Some(unknown), ..plain },
+            _ => plain,
+        })
+    };
+    let mut records = vec![
+        Record::Map(News { rev: 9, all: true, targets: list(), origin: String::new() }),
+        Record::Stage { stage: Stage::Started },
+        Record::Troubled { dests: vec![4], routes: vec![(2, string("s-d"))] },
+        Record::Superseded { discovery: "127.0.0.1:2".parse().expect("an address") },
+        Record::ByHand { uid: string("s-a"), at: START - 6 * S, out: false },
+        Record::ByHand { uid: string("s-d"), at: START - 60 * S, out: true },
+        over("m-over", at),
+        over("m-told", at + 1),
+        over("m-handed", at + 2),
+        owed("m-failed", Verdict::Failed),
+        owed("m-returned", Verdict::Returned { after_ms: 1500 }),
+    ];
+    for txn in PENDING {
+        records.push(message(txn));
+        match txn {
+            "m-offered" => records.push(Record::Offered { txn: string(txn), to: string("f2"), at }),
+            "m-kept" => records.push(Record::Kept { txn: string(txn) }),
+            _ => {}
+        }
+    }
+    records
+}
+
+fn written(records: &[Record]) -> BytesMut {
+    let mut bytes = BytesMut::new();
+    for record in records {
+        let body = if let Record::Taken(taken) = record { body(&taken.txn) } else { Bytes::new() };
+        record.encode(&body, &mut bytes);
+    }
+    bytes
+}
+
+/// `f2` owns destination 1, and this forwarder all others.
+#[derive(Debug)]
+struct TwoForwarders;
+
+impl Owners for TwoForwarders {
+    fn version(&self) -> u64 {
+        1
+    }
+
+    fn own_name(&self) -> &str {
+        "f1"
+    }
+
+    fn owner_of(&self, destination: DestinationId) -> Owner {
+        let peer = self.member("f2").map(|address| Owner::Peer(Peer { name: string("f2"), address }));
+        peer.filter(|_| destination == 1).unwrap_or(Owner::Local)
+    }
+
+    fn member(&self, name: &str) -> Option<SocketAddr> {
+        let port = match name {
+            "f1" => 9001,
+            "f2" => 9002,
+            _ => return None,
+        };
+        Some(SocketAddr::from(([127, 0, 0, 1], port)))
+    }
+
+    fn members(&self) -> usize {
+        2
+    }
+
+    fn owners_of_each(&self) -> u32 {
+        1
+    }
+}
+
+/// A start on the stored journal, with so many bytes in the file.
+fn start(owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
+    start_without(|_| false, owners, size)
+}
+
+/// The same, as if these records were not in it.
+fn start_without(left_out: fn(&Record) -> bool, owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
+    let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
+    let config = Config::read(&text, None, Some("127.0.0.1:2")).expect("a configuration");
+    let (mut records, whole) = replay(Bytes::from_static(STORED));
+    assert_eq!(whole, STORED.len());
+    records.retain(|(record, _)| !left_out(record));
+    Reducer::new(Config { owners, ..config }, 0, records, size, START)
+}
+
+/// What a forwarder has asked for.
+#[derive(Default)]
+struct Asked {
+    /// Messages written to endpoints: when, to which port, with which key and body.
+    written: BTreeMap<String, (Micros, u16, Option<String>, Bytes)>,
+    notices: Vec<(String, Verdict)>,
+    /// Port of discovery, and the version that is held.
+    followed: Vec<(u16, u64)>,
+    offers: Vec<Offer>,
+}
+
+/// Drives a reducer for a while: connections come up, endpoints deliver, notices are accepted, offers are not answered.
+fn drive(reducer: &mut Reducer, span: Micros) -> Asked {
+    let (mut asked, mut links, mut inputs) = (Asked::default(), BTreeMap::new(), VecDeque::new());
+    let mut size = STORED.len();
+    for now in (START..START + span).step_by(5_000) {
+        inputs.push_back(Input::Alarm);
+        while let Some(input) = inputs.pop_front() {
+            for effect in reducer.step(now, input) {
+                match effect {
+                    Effect::Append { receipt, bytes } => {
+                        size += bytes.len();
+                        inputs.push_back(Input::Appended { receipt, stored: true, size });
+                    }
+                    Effect::Dial { link, address, .. } => {
+                        links.insert(link, address.port());
+                        inputs.push_back(Input::LinkUp { link });
+                    }
+                    Effect::Write { link, call } => {
+                        let state = |txn: &str| format!(r#"{{"id":"{txn}","state":"accepted"}}"#);
+                        let states: Vec<_> = call.parts.iter().map(|part| state(&part.txn)).collect();
+                        for part in call.parts {
+                            let sent = (now - START, links[&link], part.key, part.body);
+                            assert!(asked.written.insert(part.txn, sent).is_none(), "twice");
+                        }
+                        let body = format!("[{}]", states.join(",")).into();
+                        let reply = Reply { status: 200, bulk: call.bulk, body, ..Reply::default() };
+                        inputs.push_back(Input::Answered { link, reply, reusable: false });
+                    }
+                    Effect::Post { notices, .. } => {
+                        asked.notices.extend(notices);
+                        inputs.push_back(Input::Posted { accepted: true });
+                    }
+                    Effect::Follow { from: Following::Discovery { at, since }, .. } => {
+                        asked.followed.push((at.port(), since));
+                    }
+                    Effect::Offer(offer) => asked.offers.push(*offer),
+                    _ => {}
+                }
+            }
+        }
+    }
+    asked
+}
+
+fn submission(txn: &str) -> Submission {
+    Submission {
+        txn: string(txn),
+        class: string("state"),
+        org: None,
+        key: None,
+        dest: 1,
+        time_left: S,
+        repeat: false,
+        marked: Marked::No,
+        body: Bytes::from_static(b"again"),
+    }
+}
+
+#[test]
+fn the_same_records_make_up_the_stored_journal() {
+    let (records, whole) = replay(Bytes::from_static(STORED));
+    assert_eq!(whole, STORED.len());
+    let read: Vec<_> = records.into_iter().map(|(record, _)| record).collect();
+    assert_eq!(read, held());
+    assert!(written(&held()) == STORED);
+}
+
+#[test]
+fn a_start_in_a_full_folder_writes_back_all_that_counts_as_before() {
+    let mut reducer = start(Some(Rc::new(TwoForwarders)), DISK - 15_000);
+    let effects = reducer.step(START, Input::Alarm);
+    let rewrites: Vec<_> = effects
+        .into_iter()
+        .filter_map(|effect| if let Effect::Rewrite { bytes } = effect { Some(bytes) } else { None })
+        .collect();
+    let [bytes] = &rewrites[..] else { panic!("{} rewrites", rewrites.len()) };
+    let (records, whole) = replay(bytes.clone());
+    let expected = kept();
+    for (place, ((read, _), expected)) in records.iter().zip(&expected).enumerate() {
+        assert_eq!(read, expected, "record {place}");
+    }
+    assert_eq!((records.len(), whole), (expected.len(), bytes.len()));
+    assert!(*bytes == REWRITTEN && written(&expected) == REWRITTEN);
+}
+
+#[test]
+fn messages_that_were_pending_are_taken_over_and_counted() {
+    let reducer = start(None, STORED.len());
+    let (figures, gauges) = (reducer.figures(), reducer.gauges());
+    assert_eq!((figures.taken(), figures.open()), (9, 9));
+    assert_eq!((gauges.concurrent, gauges.targets), (9, 5));
+}
+
+#[test]
+fn an_id_that_is_pending_or_over_is_answered_as_taken_on_at_once() {
+    let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
+    let mut answers = |txn: &str| -> Vec<SubmitAnswer> {
+        let input = Input::Submitted { ticket: 1, message: submission(txn) };
+        let answer = |effect| if let Effect::Answer { answer, .. } = effect { Some(answer) } else { None };
+        reducer.step(START, input).into_iter().filter_map(answer).collect()
+    };
+    for txn in PENDING.iter().chain(&ENDED) {
+        assert_eq!(answers(txn), [SubmitAnswer::TakenOn], "{txn}");
+    }
+    assert_eq!(answers("m-new"), [], "one that is new waits for its record");
+}
+
+#[test]
+fn notices_that_were_owed_are_posted_in_their_order() {
+    let asked = drive(&mut start(None, STORED.len()), 20 * MS);
+    let owed = [("m-failed", Verdict::Failed), ("m-returned", Verdict::Returned { after_ms: 1500 })];
+    assert_eq!(asked.notices, owed.map(|(txn, verdict)| (string(txn), verdict)));
+}
+
+#[test]
+fn the_list_is_followed_from_its_version_at_the_address_that_a_reload_gave() {
+    let asked = drive(&mut start(None, STORED.len()), 20 * MS);
+    assert_eq!(asked.followed, [(3, 9)]);
+}
+
+#[test]
+fn routes_in_trouble_and_endpoints_out_by_hand_stay_so() {
+    let reducer = start(None, STORED.len());
+    assert_eq!(reducer.troubled().collect::<Vec<_>>(), [2, 4]);
+    let avoided = |left_out: fn(&Record) -> bool| {
+        let mut reducer = start_without(left_out, None, STORED.len());
+        drive(&mut reducer, 20 * MS);
+        reducer.gauges().targets_disabled
+    };
+    assert_eq!(avoided(|_| false), 3, "one drains, one is out by hand, one is of a destination in trouble");
+    assert_eq!(avoided(|record| matches!(record, Record::Troubled { .. })), 2);
+    assert_eq!(avoided(|record| matches!(record, Record::Troubled { .. } | Record::ByHand { .. })), 1);
+}
+
+#[test]
+fn waits_keys_and_attempts_hold_and_each_message_is_delivered() {
+    let mut reducer = start(None, STORED.len());
+    let asked = drive(&mut reducer, 8 * S);
+    let written: BTreeSet<_> = asked.written.keys().map(String::as_str).collect();
+    assert_eq!(written, BTreeSet::from(PENDING));
+    for (txn, (at, port, key, sent)) in &asked.written {
+        // Of destination 2 one endpoint waits, and the other is out by hand; all of destination 1 waits.
+        let to_second = matches!(&txn[..], "m-out" | "m-unseen" | "m-missed" | "m-ran");
+        let (from, endpoint) = if to_second { (S, 11) } else { (3 * S, 9) };
+        assert!(*at >= from && *port == endpoint, "{txn}: at {at}, to {port}");
+        assert_eq!(*sent, body(txn));
+        assert_eq!(*key, (txn == "m-ran").then(|| string("k \"1\"")), "{txn}");
+    }
+    let window_end = 1500 * MS;
+    assert!(asked.written["m-ran"].0 < window_end, "its window runs from its first attempt");
+    assert_eq!((reducer.figures().open(), asked.notices.len()), (0, 2));
+}
+
+#[test]
+fn what_was_offered_goes_to_the_same_owner_and_what_was_kept_does_not() {
+    let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
+    let asked = drive(&mut reducer, 800 * MS);
+    let offer = |txn: &str| asked.offers.iter().find(|offer| offer.taken.txn == txn).expect("offered");
+    let txns: BTreeSet<_> = asked.offers.iter().map(|offer| &offer.taken.txn[..]).collect();
+    assert_eq!(txns, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
+    let (first, again) = (START - 300 * MS, offer("m-offered"));
+    let deadline = START + 7 * S;
+    let mark = Mark { from: string("f1"), deadline, valid_until: first + 20 * S, attempts: 0, ran: None };
+    assert_eq!((&again.mark, again.to.port(), &again.body), (&mark, 9002, &body("m-offered")));
+    let custody = Custody { offered: Some(Offered { to: string("f2"), at: first }), kept: false };
+    assert_eq!(again.taken, Taken { custody, ..taken("m-offered", 1) });
+    let unknown = Trace { at: first, uid: String::new(), az: String::new() };
+    assert_eq!(offer("m-unresolved").mark.ran, Some(unknown), "that offer counts as an attempt");
+    assert!(offer("m-declined").mark.valid_until > mark.valid_until, "its first offer was declined");
+}
