--- /dev/null
+++ b/crates/consul/tests/stored_format.rs
@@ -0,0 +1,77 @@
+//! Protects what Consul's catalogue leaves in a forwarder's journal: the id that a list is told under, and the uids of
+//! its endpoints. A start with other ones would take the list held for somebody else's, and its endpoints for new ones.
+
+use orchidyoke_consul::Settings;
+use orchidyoke_consul::api::ServiceEntry;
+use orchidyoke_consul::settings::{Consistency, Service, Tls};
+use orchidyoke_consul::snapshot::CatalogueSnapshot;
+use orchidyoke_core::transport_map::{Checks, News, State, Target};
+use std::time::Duration;
+
+/// The ids of the settings below, one a line.
+const IDS: &str = include_str!("fixtures/ids");
+
+fn service() -> Service {
+    Service {
+        name: "web".to_owned(),
+        destination: 11,
+        kind: "m-1".to_owned(),
+        zone: "z-1".to_owned(),
+        zone_meta: Some("where".to_owned()),
+        capacity: 20.5,
+        filter: Some("x == \"1\"".to_owned()),
+    }
+}
+
+fn full() -> Settings {
+    Settings {
+        addresses: vec!["127.0.0.1:8500".parse().expect("an address")],
+        tls: Some(Tls {
+            ca: "/etc/ca.pem".into(),
+            cert: Some("/etc/cert.pem".into()),
+            key: Some("/etc/key.pem".into()),
+            server_name: Some("server.dc1.consul".to_owned()),
+        }),
+        token_file: Some("/etc/token".into()),
+        datacenter: Some("dc1".to_owned()),
+        namespace: Some("n-1".to_owned()),
+        consistency: Consistency::Stale,
+        max_stale: Duration::from_millis(1500),
+        wait: Duration::from_secs(20),
+        connections: 7,
+        services: vec![service(), Service { name: "other".to_owned(), ..Service::default() }],
+        networks: vec!["10.0.0.0/8".parse().expect("a network")],
+    }
+}
+
+fn ids() -> String {
+    let consistency = Consistency::Consistent;
+    let all = [Settings::default(), full(), Settings { consistency, ..Settings::default() }];
+    all.iter().map(|settings| settings.id() + "\n").collect()
+}
+
+#[test]
+fn the_same_settings_have_the_id_that_the_previous_version_wrote() {
+    assert_eq!(ids(), IDS);
+}
+
+#[test]
+fn an_instance_is_listed_under_the_uid_that_the_previous_version_wrote() {
+    let text = r#"[{"Node": {"Node": "n-1", "Address": "10.0.0.1", "Meta": {"where": "z-2"}},
+        "Service": {"ID": "web-1", "Port": 8001}, "Checks": []}]"#;
+    let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
+    let held = News { rev: 3, all: true, targets: Vec::new(), origin: String::new() };
+    let change = CatalogueSnapshot::new(&full(), &held).take(0, &entries);
+    let target = Target {
+        uid: "web.11/n-1/web-1@10.0.0.1:8001".to_owned(),
+        endpoint: "10.0.0.1:8001".parse().expect("an address"),
+        az: "z-2".to_owned(),
+        model: "m-1".to_owned(),
+        pod_group: 11,
+        state: State::InService,
+        capacity_hint: 20.5,
+        checks: Checks::Passing,
+    };
+    let origin = IDS.lines().nth(1).expect("an id").to_owned();
+    assert_eq!(change.news, [News { rev: 4, all: false, targets: vec![target], origin }]);
+}
