--- a/crates/supervisor/src/run.rs
+++ b/crates/supervisor/src/run.rs
@@ -364,3 +364,6 @@
         };
     }
 }
+
+#[cfg(test)]
+mod tests;
