--- a/crates/epochs/tests/stored_format.rs
+++ b/crates/epochs/tests/stored_format.rs
@@ -22,11 +22,11 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-const COMMITTED: &str = include_str!("fixtures/committed.json");
-const PROPOSED: &str = include_str!("fixtures/proposed.json");
-const SILENT: &str = include_str!("fixtures/member-silent.json");
-const AGREES: &str = include_str!("fixtures/member-agrees.json");
-const REFUSES: &str = include_str!("fixtures/member-refuses.json");
+const COMMITTED: &str = include_str!("fixtures/epoch-3.json");
+const PROPOSED: &str = include_str!("fixtures/epoch-4.json");
+const SILENT: &str = include_str!("fixtures/said-nothing.json");
+const AGREES: &str = include_str!("fixtures/said-yes.json");
+const REFUSES: &str = include_str!("fixtures/said-no.json");
 /// What a commit wrote, with a word in the place of its id, which is that of a session.
 const FIRST: &str = include_str!("fixtures/first-commit.json");
 
