--- a/crates/node/tests/stored_format.rs
+++ b/crates/node/tests/stored_format.rs
@@ -7,10 +7,10 @@
 use common::{DISK, S, START, second_config, second_targets};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_core::transport_map::{News, State, Target};
-use orchidyoke_journal::{Custody, Offered, Record, Stage, Taken, Trace, Verdict, replay};
+use orchidyoke_journal::{Custody, Generation, Offered, Record, Stage, Taken, Trace, Verdict, replay};
 use orchidyoke_node::config::Config;
 use orchidyoke_node::hop_call::Reply;
-use orchidyoke_node::input::{Effect, Following, Input, Submission, SubmitAnswer};
+use orchidyoke_node::input::{Effect, Following, Input, Shown, Submission, SubmitAnswer};
 use orchidyoke_node::ownership::{Mark, Marked, Offer, Owner, Owners, Peer};
 use orchidyoke_node::reducer::Reducer;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -238,11 +238,18 @@
     /// Port of discovery, and the version that is held.
     followed: Vec<(u16, u64)>,
     offers: Vec<Offer>,
+    /// Files of other processes that are not needed any more.
+    retired: Vec<Generation>,
 }
 
 /// Drives a reducer for a while: connections come up, endpoints deliver, notices are accepted, offers are not answered.
 fn drive(reducer: &mut Reducer, span: Micros) -> Asked {
-    let (mut asked, mut links, mut inputs) = (Asked::default(), BTreeMap::new(), VecDeque::new());
+    drive_from(reducer, Input::Alarm, span)
+}
+
+/// The same, with this input first.
+fn drive_from(reducer: &mut Reducer, first: Input, span: Micros) -> Asked {
+    let (mut asked, mut links, mut inputs) = (Asked::default(), BTreeMap::new(), VecDeque::from([first]));
     let mut size = STORED.len();
     for now in (START..START + span).step_by(5_000) {
         inputs.push_back(Input::Alarm);
@@ -276,6 +283,7 @@
                         asked.followed.push((at.port(), since));
                     }
                     Effect::Offer(offer) => asked.offers.push(*offer),
+                    Effect::Retire { generation } => asked.retired.push(generation),
                     _ => {}
                 }
             }
@@ -410,3 +418,29 @@
     assert_eq!(offer("m-unresolved").mark.ran, Some(unknown), "that offer counts as an attempt");
     assert!(offer("m-declined").mark.valid_until > mark.valid_until, "its first offer was declined");
 }
+
+// An upgrade: this process has a file of its own, and the one before it ends beside it.
+#[test]
+fn what_a_process_of_the_previous_version_leaves_beside_this_one_is_taken_over() {
+    let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
+    let config = Config::read(&text, None, None).expect("a configuration");
+    let mut reducer = Reducer::new(config, 1, Vec::new(), 0, START);
+    let (records, size) = replay(Bytes::from_static(STORED));
+    let shown = vec![Shown { generation: 0, anew: true, records, size, ended: true }];
+    let asked = drive_from(&mut reducer, Input::Siblings { shown, gone: Vec::new() }, 8 * S);
+    assert_eq!((asked.retired, asked.followed), (vec![0], vec![(3, 9)]));
+    assert_eq!((reducer.figures().taken(), reducer.figures().open()), (9, 0));
+    let owed = [("m-failed", Verdict::Failed), ("m-returned", Verdict::Returned { after_ms: 1500 })];
+    assert_eq!(asked.notices[..2], owed.map(|(txn, verdict)| (string(txn), verdict)));
+    // Destination 1 comes back as after an outage, for its endpoint was put back by hand: some may be handed back.
+    let later = asked.notices[2..].iter().map(|(txn, _)| txn);
+    assert_eq!(
+        asked.written.keys().chain(later).collect::<BTreeSet<_>>(),
+        PENDING.map(string).iter().collect()
+    );
+    for txn in ["m-out", "m-unseen", "m-missed", "m-ran"] {
+        let (at, port, key, sent) = &asked.written[txn];
+        assert!(*at >= S && *port == 11, "{txn}: at {at}, to {port}: the wait is kept");
+        assert_eq!((key, sent), (&(txn == "m-ran").then(|| string("k \"1\"")), &body(txn)));
+    }
+}
