--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -38,7 +38,7 @@
         let newest = generations.last().copied();
         let (generation, file) = match newest.map(|g| own(folder, g)).transpose()?.flatten() {
             Some(file) => (newest.unwrap_or_default(), file),
-            None => create(folder, newest.map_or(0, |newest| newest + 1))?,
+            None => create(folder, newest.map_or(0, |newest| newest + 1), make)?,
         };
         let path = path_of(folder, generation);
         let Reading { records, whole, unknown } = read(fs::read(&path)?.into());
@@ -159,12 +159,17 @@
     Ok(fs::metadata(path).is_ok_and(|there| file.metadata().is_ok_and(|held| held.ino() == there.ino())))
 }
 
-/// Makes a file of this generation, or of the next that nobody else makes at the same time.
-fn create(folder: &Path, first: Generation) -> io::Result<(Generation, File)> {
+/// Makes a file of this generation, or of the next that nobody else makes at the same time or has removed.
+fn create(
+    folder: &Path,
+    first: Generation,
+    make: impl Fn(&Path) -> io::Result<File>,
+) -> io::Result<(Generation, File)> {
     for generation in first.. {
-        let made = OpenOptions::new().create_new(true).append(true).open(path_of(folder, generation));
-        match made {
-            Ok(file) if lock(&file)? => return Ok((generation, file)),
+        let path = path_of(folder, generation);
+        match make(&path) {
+            // Between its name and its lock another process may have taken it for one that ended, and removed it.
+            Ok(file) if lock(&file)? && is_at(&file, &path)? => return Ok((generation, file)),
             Ok(_) => {}
             Err(error) if error.kind() == io::ErrorKind::AlreadyExists => {}
             Err(error) => return Err(error),
@@ -173,6 +178,10 @@
     Err(io::Error::other("no generation is left"))
 }
 
+fn make(path: &Path) -> io::Result<File> {
+    OpenOptions::new().create_new(true).append(true).open(path)
+}
+
 /// The file of another process, read as it grows.
 #[derive(Debug)]
 pub struct Other {
@@ -267,6 +276,9 @@
     Ok(found.map(|generation| Other::new(folder, generation)).collect())
 }
 
+#[cfg(test)]
+mod making_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
