--- /dev/null
+++ b/crates/node/tests/wire_client.rs
@@ -0,0 +1,175 @@
+//! Protects what clients write to the forwarder and read from it: the headers of a submission, and status, headers and body
+//! of each answer.
+
+#[path = "common/golden.rs"]
+mod golden;
+
+use bytes::Bytes;
+use golden::{assert_golden, side, whole_length};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use orchidyoke_node::client_api::{ClientGateway, respond};
+use orchidyoke_node::input::{Input, Submission, SubmitAnswer};
+use orchidyoke_node::listener::{Connections, listen};
+use orchidyoke_node::ownership::Marked;
+use std::cell::RefCell;
+use std::convert::Infallible;
+use std::rc::Rc;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+use tokio::task::LocalSet;
+
+/// What the reducer would say to a submission, by the path that the client chose.
+fn answer_to(path: &str) -> SubmitAnswer {
+    match path {
+        "deferred" => SubmitAnswer::Deferred(0),
+        "deferred-soon" => SubmitAnswer::Deferred(1_250_000),
+        "deferred-long" => SubmitAnswer::Deferred(3_000_000),
+        "failed" => SubmitAnswer::Failed,
+        "incomplete" => SubmitAnswer::Incomplete("words of the reducer\n"),
+        "no-class" => SubmitAnswer::UnknownClass,
+        "no-destination" => SubmitAnswer::UnknownDestination,
+        _ => SubmitAnswer::TakenOn,
+    }
+}
+
+type Submitted = Rc<RefCell<Vec<Submission>>>;
+
+async fn decide(gateway: Rc<ClientGateway>, mut inputs: UnboundedReceiver<Input>, submitted: Submitted) {
+    while let Some(input) = inputs.recv().await {
+        if let Input::Submitted { ticket, message } = input {
+            gateway.answer(ticket, answer_to(&message.class));
+            submitted.borrow_mut().push(message);
+        }
+    }
+}
+
+/// Writes a request and reads its answer.
+async fn exchange(mut stream: impl AsyncRead + AsyncWrite + Unpin, request: &str) -> Vec<u8> {
+    stream.write_all(request.as_bytes()).await.expect("written");
+    let mut answer = Vec::new();
+    let has_body = !request.starts_with("HEAD");
+    while whole_length(&answer, has_body).is_none_or(|length| answer.len() < length) {
+        let count = stream.read_buf(&mut answer).await.expect("an answer");
+        assert!(count > 0, "a whole answer: {}", String::from_utf8_lossy(&answer));
+    }
+    answer
+}
+
+/// Makes these requests, each on a connection of its own: what was said, and what was submitted.
+fn talk(requests: &[String]) -> (String, Vec<Submission>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let at = listener.local_addr().expect("bound");
+        let (sender, inputs) = unbounded_channel();
+        let (gateway, submitted) = (ClientGateway::new(sender), Submitted::default());
+        tokio::task::spawn_local(listen(listener, gateway.clone(), Connections::new(64)));
+        tokio::task::spawn_local(decide(gateway, inputs, submitted.clone()));
+        let mut said = String::new();
+        for request in requests {
+            let stream = TcpStream::connect(at).await.expect("taken");
+            let answer = exchange(stream, request).await;
+            said += &format!("{}{}\n", side("> ", request.as_bytes()), side("< ", &answer));
+        }
+        (said, submitted.take())
+    })
+}
+
+/// A submission with these lines in its head beside those that it needs.
+fn submission(path: &str, more: &str) -> String {
+    let needed = "X-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\nX-Remaining: 0.480\r\nX-Consignee: dest=7\r\n";
+    format!("POST /{path} HTTP/1.1\r\nHost: origin.svc\r\n{needed}{more}Content-Length: 5\r\n\r\nhello")
+}
+
+/// One whose head has this line in the place of another, or nothing.
+fn with(line: &str, instead: &str) -> String {
+    let changed = submission("status", "").replace(line, instead);
+    assert_ne!(changed, submission("status", ""), "{line}");
+    changed
+}
+
+#[test]
+fn each_answer_to_a_submission_stays_the_same() {
+    let paths = [
+        "taken",
+        "deferred",
+        "deferred-soon",
+        "deferred-long",
+        "failed",
+        "incomplete",
+        "no-class",
+        "no-destination",
+    ];
+    let (said, submitted) = talk(&paths.map(|path| submission(path, "")));
+    assert_golden("client_answers.txt", &said);
+    assert_eq!(submitted.len(), paths.len());
+}
+
+#[test]
+fn each_refusal_of_a_request_stays_the_same() {
+    let requests = [
+        "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
+        "HEAD /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
+        "POST /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        "GET /status HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
+        "POST /status HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".to_owned(),
+        with("Content-Length: 5\r\n\r\nhello", "Content-Length: 65537\r\n\r\n"),
+        with("X-Txn: 9b1f03aa5c7e2d41\r\n", ""),
+        with("X-Org: acme", "X-Org: "),
+        with("X-Remaining: 0.480\r\n", ""),
+        with("X-Remaining: 0.480", "X-Remaining: soon"),
+        with("X-Consignee: dest=7\r\n", ""),
+        with("X-Consignee: dest=7", "X-Consignee: 7"),
+        submission("status", "Idempotency-Key: a\r\nIdempotency-Key: b\r\n"),
+        submission("status", "Idempotency-Key: \r\n"),
+        "NONSENSE\r\n\r\n".to_owned(),
+    ];
+    let (said, submitted) = talk(&requests);
+    assert_golden("client_refusals.txt", &said);
+    assert!(submitted.is_empty());
+}
+
+#[test]
+fn a_forwarder_that_ends_says_so_at_its_health_address() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let said = LocalSet::new().block_on(&runtime, async {
+        let (near, far) = tokio::io::duplex(4096);
+        let gateway = ClientGateway::new(unbounded_channel().0);
+        let service = service_fn(move |request| {
+            let gateway = gateway.clone();
+            async move { Ok::<_, Infallible>(respond(&gateway, request, true).await) }
+        });
+        tokio::task::spawn_local(http1::Builder::new().serve_connection(TokioIo::new(far), service));
+        exchange(near, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await
+    });
+    assert_golden("client_ending.txt", &side("< ", &said));
+}
+
+#[test]
+fn each_header_of_a_submission_is_read_by_its_name() {
+    let mark = "X-Handover: {\"from\":\"n1\",\"deadline\":1800000000000000,\"valid_until\":1800000000400000,\
+                \"attempts\":3,\"ran\":{\"at\":1799999999000000,\"uid\":\"s-5be2a07c\",\"az\":\"b\"}}\r\n";
+    let requests = [
+        submission("orders/more", "X-Resent: 1\r\nIdempotency-Key: 5c0f6e1a\r\n"),
+        submission("status", "X-Resent: again\r\n").replace("X-Org: acme\r\n", ""),
+        submission("status", mark),
+        submission("status", "X-Handover: {\"from\":\"n1\"}\r\n"),
+    ];
+    let (_, submitted) = talk(&requests);
+    let [whole, plain, handed_over, malformed] = &submitted[..] else { panic!("{submitted:?}") };
+    assert_eq!((&whole.txn[..], &whole.class[..]), ("9b1f03aa5c7e2d41", "orders"));
+    assert_eq!((whole.org.as_deref(), whole.key.as_deref()), (Some("acme"), Some("5c0f6e1a")));
+    assert_eq!((whole.dest, whole.repeat, &whole.body), (7, true, &Bytes::from_static(b"hello")));
+    assert!((1..=480_000).contains(&whole.time_left), "{}", whole.time_left);
+    assert_eq!((plain.org.as_deref(), plain.key.as_deref(), plain.repeat), (None, None, false));
+    assert_eq!(plain.marked, Marked::No);
+    assert_eq!(malformed.marked, Marked::Malformed);
+    let Marked::Yes(mark) = &handed_over.marked else { panic!("{:?}", handed_over.marked) };
+    assert_eq!((&mark.from[..], mark.attempts), ("n1", 3));
+    assert_eq!((mark.deadline, mark.valid_until), (1_800_000_000_000_000, 1_800_000_000_400_000));
+    let ran = mark.ran.as_ref().expect("it has run");
+    assert_eq!((ran.at, &ran.uid[..], &ran.az[..]), (1_799_999_999_000_000, "s-5be2a07c", "b"));
+}
--- /dev/null
+++ b/crates/node/tests/wire_console.rs
@@ -0,0 +1,261 @@
+//! Protects what operators and their tools write to the console and read from it: the forms of the calls, each reply, and
+//! the names of all figures.
+
+mod common;
+#[path = "common/golden.rs"]
+mod golden;
+
+use bytes::Bytes;
+use common::world::reducer;
+use common::{S, START, shape::Shape};
+use golden::assert_golden;
+use orchidyoke_core::interface::{DestinationId, Micros};
+use orchidyoke_node::console::{Call, LONGEST_LINE, Reply, read};
+use orchidyoke_node::figures::{End, Figures, Gauges};
+use orchidyoke_node::input::{Effect, Input, PolicyStatus, Submission, SubmitAnswer, Ticket};
+use orchidyoke_node::ownership::{Mark, Marked, OfferEnd, Owner, Owners, Peer};
+use orchidyoke_node::reducer::Reducer;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+#[test]
+fn lines_that_are_no_call_are_answered_as_before() {
+    let long = [vec![b'x'; LONGEST_LINE + 1], b"\n".to_vec()].concat();
+    let lines: [&[u8]; 12] = [
+        b"\n",
+        b"  \r\n",
+        b"READY\n",
+        b"show\n",
+        b"ready now\n",
+        b"show-stat now\n",
+        b"show-latency now\n",
+        b"disable-server\n",
+        b"enable-server a b\n",
+        b"ready\nready\n",
+        b"disable-server \xff\n",
+        &long,
+    ];
+    let mut said = String::new();
+    for line in lines {
+        let error = read(line).expect("a whole line").expect_err("no call");
+        let text = String::from_utf8_lossy(&line[..line.len().min(40)]).escape_debug().to_string();
+        said += &format!("> {text}\n< {}", Reply::from(error));
+    }
+    assert_golden("console_errors.txt", &said);
+    let endless = read(&long[..=LONGEST_LINE]).expect("too long").expect_err("no call");
+    assert_eq!(Reply::from(endless).to_string(), "400 the line is too long\n");
+}
+
+/// A reducer whose appends are stored at once, or cannot be.
+struct Forwarder {
+    reducer: Reducer,
+    now: Micros,
+    disk_is_full: bool,
+    tickets: Ticket,
+    offers: VecDeque<u64>,
+    answers: Vec<SubmitAnswer>,
+    replies: Vec<String>,
+}
+
+impl Forwarder {
+    fn new(shape: Shape) -> Self {
+        let mut forwarder = Forwarder {
+            reducer: reducer(shape, &[], START),
+            now: START,
+            disk_is_full: false,
+            tickets: 0,
+            offers: VecDeque::new(),
+            answers: Vec::new(),
+            replies: Vec::new(),
+        };
+        forwarder.input(Input::Alarm);
+        forwarder
+    }
+
+    fn input(&mut self, input: Input) {
+        let mut inputs = VecDeque::from([input]);
+        while let Some(input) = inputs.pop_front() {
+            for effect in self.reducer.step(self.now, input) {
+                match effect {
+                    Effect::Append { receipt, .. } | Effect::NoRoom { receipt } => {
+                        let stored = !self.disk_is_full;
+                        inputs.push_back(Input::Appended { receipt, stored, size: 1000 });
+                    }
+                    Effect::Offer(offer) => self.offers.push_back(offer.id),
+                    Effect::Answer { answer, .. } => self.answers.push(answer),
+                    Effect::Reply { reply, .. } => self.replies.push(reply.to_string()),
+                    _ => {}
+                }
+            }
+        }
+    }
+
+    /// Says a line at the console; the reply.
+    fn say(&mut self, line: &str) -> String {
+        let call: Call = read(format!("{line}\n").as_bytes()).expect("whole").expect("a call");
+        self.tickets += 1;
+        self.input(Input::Operator { ticket: self.tickets, call });
+        format!("> {line}\n< {}", self.replies.pop().expect("a reply"))
+    }
+
+    fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: Marked) {
+        self.tickets += 1;
+        let message = Submission {
+            txn: txn.to_owned(),
+            class: "status".to_owned(),
+            org: org.map(str::to_owned),
+            key: None,
+            dest,
+            time_left: 7 * S,
+            repeat: false,
+            marked,
+            body: Bytes::from_static(b"hello"),
+        };
+        self.input(Input::Submitted { ticket: self.tickets, message });
+        // Those that come together are taken on together, a moment later.
+        self.now += S / 100;
+        self.input(Input::Alarm);
+    }
+
+    fn offer_ends(&mut self, end: OfferEnd) {
+        let id = self.offers.pop_front().expect("an offer");
+        self.input(Input::OfferEnded { id, end });
+    }
+}
+
+#[test]
+fn replies_of_the_console_stay_the_same() {
+    let mut forwarder = Forwarder::new(Shape::First);
+    let mut said = forwarder.say("ready");
+    forwarder.input(Input::AcceptingClients);
+    said += &forwarder.say("ready");
+    for line in [
+        "disable-server s-x",
+        "enable-server s-x",
+        "disable-server s-c",
+        "disable-server s-c",
+        "show-stat",
+        "enable-server s-c",
+        "show-latency",
+    ] {
+        said += &forwarder.say(line);
+    }
+    forwarder.disk_is_full = true;
+    said += &forwarder.say("disable-server s-c");
+    let figures = "lines of the fleet's policy 1\n".to_owned();
+    let unready_reason = Some("a reason of the fleet's policy".to_owned());
+    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, figures }));
+    said += &forwarder.say("ready");
+    said += &forwarder.say("show-stat");
+    assert_golden("console_replies.txt", &said);
+}
+
+#[test]
+fn metric_names_stay_the_same() {
+    let mut figures = Figures::default();
+    figures.name(&["orders".to_owned(), "st\"at\\us".to_owned()]);
+    figures.took(9);
+    for class in ["orders", "st\"at\\us"] {
+        figures.delivered(class, Some(1_000));
+        figures.delivered(class, Some(1_000));
+        figures.delivered(class, Some(40_000));
+        figures.ended(class, End::Error);
+        figures.turned_away(class, End::Overload);
+    }
+    figures.handed_over();
+    figures.dispatched(11);
+    let gauges = Gauges { concurrent: 12, targets: 13, targets_disabled: 14 };
+    let said = format!("{}\n{}", figures.lines(gauges), figures.latency_lines());
+    assert_golden("metrics.txt", &said);
+}
+
+/// Destination 1 belongs to another forwarder.
+#[derive(Debug)]
+struct Fleet;
+
+const PEER: &str = "n1";
+
+impl Owners for Fleet {
+    fn version(&self) -> u64 {
+        7
+    }
+
+    fn own_name(&self) -> &str {
+        "t0"
+    }
+
+    fn owner_of(&self, destination: DestinationId) -> Owner {
+        match (destination, self.member(PEER)) {
+            (1, Some(address)) => Owner::Peer(Peer { name: PEER.to_owned(), address }),
+            _ => Owner::Local,
+        }
+    }
+
+    fn member(&self, name: &str) -> Option<SocketAddr> {
+        (name == PEER).then(|| ([127, 0, 0, 1], 9).into())
+    }
+
+    fn members(&self) -> usize {
+        2
+    }
+
+    fn owners_of_each(&self) -> u32 {
+        1
+    }
+}
+
+#[test]
+fn names_of_the_figures_of_owners_stay_the_same() {
+    let mut forwarder = Forwarder::new(Shape::First);
+    forwarder.input(Input::Owners(Rc::new(Fleet)));
+    let deadline = forwarder.now + 6 * S;
+    let mark = |from: &str| {
+        Marked::Yes(Mark { from: from.to_owned(), deadline, valid_until: deadline, attempts: 0, ran: None })
+    };
+    forwarder.submit("from-a-member", 2, Some("acme"), mark(PEER));
+    forwarder.submit("from-a-stranger", 3, Some("acme"), mark("n9"));
+    forwarder.submit("taken", 1, Some("acme"), Marked::No);
+    forwarder.offer_ends(OfferEnd::Taken);
+    forwarder.submit("unanswered", 1, Some("acme"), Marked::No);
+    forwarder.offer_ends(OfferEnd::Unanswered("no answer".to_owned()));
+    forwarder.submit("unreached", 1, Some("acme"), Marked::No);
+    for _ in 0..40 {
+        while !forwarder.offers.is_empty() {
+            forwarder.offer_ends(OfferEnd::Unreached("nobody there".to_owned()));
+        }
+        forwarder.now += S / 10;
+        forwarder.input(Input::Alarm);
+    }
+    assert_golden("metrics_of_owners.txt", &forwarder.say("show-stat"));
+}
+
+#[test]
+fn what_a_submission_lacks_is_said_as_before() {
+    let mut forwarder = Forwarder::new(Shape::First);
+    forwarder.submit("no-tenant", 2, None, Marked::No);
+    forwarder.input(Input::Owners(Rc::new(Fleet)));
+    forwarder.submit("bad-mark", 2, Some("acme"), Marked::Malformed);
+    let mut keyed = Forwarder::new(Shape::Second);
+    keyed.tickets += 1;
+    let message = Submission {
+        txn: "no-key".to_owned(),
+        class: "bread".to_owned(),
+        org: None,
+        key: None,
+        dest: 1,
+        time_left: S,
+        repeat: false,
+        marked: Marked::No,
+        body: Bytes::new(),
+    };
+    keyed.input(Input::Submitted { ticket: keyed.tickets, message });
+    let words = |answer: &SubmitAnswer| match answer {
+        SubmitAnswer::Incomplete(words) => *words,
+        other => panic!("{other:?}"),
+    };
+    let said: Vec<_> = forwarder.answers.iter().chain(&keyed.answers).map(words).collect();
+    let expected =
+        ["X-Org: missing\n", "X-Handover: malformed\n", "Idempotency-Key: missing, its class has one\n"];
+    assert_eq!(said, expected);
+}
--- /dev/null
+++ b/crates/node/tests/wire_outbound.rs
@@ -0,0 +1,260 @@
+//! Protects what the forwarder writes to others and reads in their answers: calls to endpoints, notices to the platform,
+//! the watch on discovery, and offers to other forwarders.
+
+#[path = "common/golden.rs"]
+mod golden;
+
+use bytes::Bytes;
+use golden::{assert_golden, side, whole_length};
+use orchidyoke_core::interface::Outcome;
+use orchidyoke_core::transport_map::{Checks, News, State, Target};
+use orchidyoke_journal::{Custody, Taken, Trace, Verdict};
+use orchidyoke_node::catalogue::UpdateSender;
+use orchidyoke_node::discovery::follow;
+use orchidyoke_node::hop_call::{Call, Part, Reply, ends};
+use orchidyoke_node::input::Input;
+use orchidyoke_node::next_hop::run;
+use orchidyoke_node::notices::post;
+use orchidyoke_node::ownership::{Mark, Offer, OfferEnd};
+use orchidyoke_node::peer_call::PeerConnections;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::unbounded_channel;
+use tokio::task::LocalSet;
+use tokio::time::Instant;
+
+/// A far end that takes one request, gives this answer and stays; what it read, and what `near` came to.
+fn asked<T>(answer: &str, near: impl AsyncFnOnce(SocketAddr) -> T) -> (Vec<u8>, T) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let at = listener.local_addr().expect("bound");
+        let far = async {
+            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let mut request = Vec::new();
+            while whole_length(&request, true).is_none_or(|length| request.len() < length) {
+                assert!(stream.read_buf(&mut request).await.expect("a request") > 0, "a whole request");
+            }
+            stream.write_all(answer.as_bytes()).await.expect("written");
+            (request, stream)
+        };
+        let ((request, _), came) = tokio::join!(far, near(at));
+        (request, came)
+    })
+}
+
+fn soon() -> Instant {
+    Instant::now() + Duration::from_secs(20)
+}
+
+/// Makes a call to an endpoint that gives this answer.
+fn call(call: Call, answer: &str) -> (Vec<u8>, Reply) {
+    asked(answer, async |at| {
+        let ((orders, taken), (sender, mut inputs)) = (unbounded_channel(), unbounded_channel());
+        tokio::task::spawn_local(run(1, at, soon(), taken, sender));
+        loop {
+            match inputs.recv().await.expect("an end") {
+                Input::LinkUp { .. } => orders.send((call.clone(), soon())).expect("it takes calls"),
+                Input::Answered { reply, .. } => return reply,
+                Input::LinkClosed { error, .. } => panic!("{error}"),
+                _ => {}
+            }
+        }
+    })
+}
+
+fn part(txn: &str, key: Option<&str>, body: &'static [u8]) -> Part {
+    Part { txn: txn.to_owned(), key: key.map(str::to_owned), body: Bytes::from_static(body) }
+}
+
+fn single(key: Option<&str>) -> Call {
+    Call { parts: vec![part("9b1f03aa5c7e2d41", key, b"hello")], bulk: false, remaining: 1_500_000, due: 0 }
+}
+
+fn several() -> Call {
+    let parts = vec![part("9b1f", Some("5c\"0f"), b"hello"), part("9b20", None, b"\xff\x00")];
+    Call { parts, bulk: true, remaining: 2_000_400, due: 0 }
+}
+
+const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+
+#[test]
+fn calls_to_endpoints_stay_the_same() {
+    let ends = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]";
+    let one = Call { parts: several().parts[..1].to_vec(), ..several() };
+    let said = [(single(None), OK), (single(Some("5c0f6e1a")), OK), (several(), ends), (one, ends)]
+        .map(|(it, answer)| side("> ", &call(it, answer).0));
+    assert_golden("calls.txt", &said.join("\n"));
+}
+
+#[test]
+fn headers_of_an_endpoints_answer_are_read_by_their_names() {
+    let told = "HTTP/1.1 503 Service Unavailable\r\nX-Come-Back-Ms: 250\r\nX-Line-Busy: 1\r\n\
+                X-Pressure: x0=0.4,x1=25\r\nContent-Length: 4\r\n\r\nbusy";
+    let (_, reply) = call(single(None), told);
+    assert_eq!((reply.status, reply.wait_ms, reply.line_busy), (503, 250, true));
+    assert_eq!((reply.limit, reply.left, reply.bulk), (Some(25.0), Some(0.4), false));
+    assert_eq!(reply.body, Bytes::from_static(b"busy"));
+    let (_, reply) = call(single(None), OK);
+    assert_eq!((reply.status, reply.wait_ms, reply.line_busy), (200, 0, false));
+    assert_eq!((reply.limit, reply.left), (None, None));
+}
+
+#[test]
+fn each_state_in_an_answer_for_several_is_read_by_its_word() {
+    let body = r#"[{"id":"a","state":"accepted"},{"id":"b","state":"fault"},{"id":"c","state":"deferred"},
+        {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
+    let reply =
+        Reply { status: 200, bulk: true, body: Bytes::from_static(body.as_bytes()), ..Reply::default() };
+    assert!(reply.is_readable());
+    let got = ends(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
+    let got: Vec<_> = got.iter().map(|end| (end.outcome, end.over)).collect();
+    let expected = [
+        (Outcome::Ok, false),
+        (Outcome::Error, false),
+        (Outcome::Full, false),
+        (Outcome::Moot, true),
+        (Outcome::Moot, false),
+    ];
+    assert_eq!(got, expected);
+}
+
+#[test]
+fn notices_stay_the_same() {
+    let notices = vec![
+        ("9b1f".to_owned(), Verdict::Failed),
+        ("9b\"20".to_owned(), Verdict::Returned { after_ms: 500 }),
+        ("9b21".to_owned(), Verdict::Returned { after_ms: 0 }),
+    ];
+    for (answer, taken) in [
+        ("HTTP/1.1 204 No Content\r\n\r\n", true),
+        ("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", false),
+    ] {
+        let (said, inputs) = asked(answer, async |at| {
+            let (sender, inputs) = unbounded_channel();
+            post(at, notices.clone(), sender).await;
+            inputs
+        });
+        assert_golden("notices.txt", &side("> ", &said));
+        let mut inputs = inputs;
+        assert!(matches!(inputs.try_recv(), Ok(Input::Posted { accepted }) if accepted == taken), "{answer}");
+    }
+}
+
+#[test]
+fn the_watch_on_discovery_stays_the_same() {
+    let lists = include_str!("fixtures/wire/lists.txt");
+    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{lists}", lists.len());
+    let (said, told) = asked(&answer, async |at| {
+        let told = Rc::new(RefCell::new(Vec::new()));
+        let updates = told.clone();
+        follow(at, 41, UpdateSender::new(move |news| updates.borrow_mut().push(news))).await;
+        told.take()
+    });
+    assert_golden("watch.txt", &side("> ", &said));
+    let target = |uid: &str, state, capacity_hint, checks| Target {
+        uid: uid.to_owned(),
+        endpoint: "10.1.0.18:8000".parse().expect("an address"),
+        az: "a".to_owned(),
+        model: "m2".to_owned(),
+        pod_group: 3,
+        state,
+        capacity_hint,
+        checks,
+    };
+    let bare = Target {
+        az: String::new(),
+        model: String::new(),
+        ..target("s-3", State::Terminated, 0.0, Checks::Passing)
+    };
+    let expected = [
+        News {
+            rev: 41,
+            all: true,
+            targets: vec![
+                target("s-1", State::InService, 1.5, Checks::Passing),
+                target("s-2", State::InService, 2.5, Checks::Warning),
+            ],
+            origin: String::new(),
+        },
+        News {
+            rev: 43,
+            all: false,
+            targets: vec![target("s-1", State::Terminating, 1.5, Checks::Critical), bare],
+            origin: "consul:5be2".to_owned(),
+        },
+    ];
+    assert_eq!(told, expected);
+}
+
+fn offer(to: SocketAddr, whole: bool) -> Box<Offer> {
+    let ran = Trace { at: 1_799_999_999_000_000, uid: "s-5be2a07c".to_owned(), az: "b".to_owned() };
+    let deadline = 1_800_000_000_000_000;
+    let taken = Taken {
+        txn: "9b1f03aa5c7e2d41".to_owned(),
+        class: "orders".to_owned(),
+        org: if whole { "acme".to_owned() } else { String::new() },
+        key: whole.then(|| "5c0f6e1a".to_owned()),
+        dest: 7,
+        deadline,
+        attempts: 3,
+        ran: None,
+        out: None,
+        custody: Custody::default(),
+    };
+    let mark = Mark {
+        from: "n1".to_owned(),
+        deadline,
+        valid_until: 1_800_000_000_400_000,
+        attempts: 3,
+        ran: whole.then_some(ran),
+    };
+    Box::new(Offer { id: 5, to, taken, body: Bytes::from_static(b"hello"), mark, until: 0 })
+}
+
+/// Makes an offer that gets this answer; its end, and what was said, with the time left out.
+fn offered(answer: &str, whole: bool) -> (String, OfferEnd) {
+    let (said, end) = asked(answer, async |at| {
+        let (sender, mut inputs) = unbounded_channel();
+        let until = soon();
+        Rc::new(PeerConnections::default()).offer(offer(at, whole), until, until, sender).await;
+        match inputs.recv().await {
+            Some(Input::OfferEnded { id: 5, end }) => end,
+            other => panic!("{other:?}"),
+        }
+    });
+    let said = side("> ", &said);
+    let line = said.lines().find(|line| line.starts_with("> x-remaining: ")).expect("the time left");
+    let left: f64 = line["> x-remaining: ".len()..].parse().expect("seconds");
+    assert!((10.0..=20.0).contains(&left), "{line}");
+    assert_eq!(line.split_once('.').map(|(_, decimals)| decimals.len()), Some(6), "{line}");
+    (said.replace(line, "> x-remaining: SECONDS"), end)
+}
+
+#[test]
+fn offers_between_forwarders_stay_the_same() {
+    let taken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+    let (whole, bare) = (offered(taken, true), offered(taken, false));
+    assert_golden("offers.txt", &format!("{}\n{}", whole.0, bare.0));
+    assert_eq!((whole.1, bare.1), (OfferEnd::Taken, OfferEnd::Taken));
+}
+
+#[test]
+fn answers_to_an_offer_are_read_by_their_status_and_headers() {
+    for (head, expected) in [
+        ("200 OK", OfferEnd::Taken),
+        ("503 Service Unavailable\r\nRetry-After: 1.250", OfferEnd::Refused(1_250_000)),
+        ("503 Service Unavailable\r\nX-Come-Back-Ms: 700", OfferEnd::Refused(700_000)),
+        ("400 Bad Request", OfferEnd::Refused(0)),
+        ("404 Not Found", OfferEnd::Refused(0)),
+    ] {
+        let (_, end) = offered(&format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"), true);
+        assert_eq!(end, expected, "{head}");
+    }
+    let (_, end) = offered("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true);
+    assert!(matches!(end, OfferEnd::Unanswered(_)), "{end:?}");
+}
