--- /dev/null
+++ b/tests/help.rs
@@ -0,0 +1,175 @@
+//! Protects the command line: its options and what their help says, and what `check` prints of a configuration that cannot
+//! be used.
+
+#[path = "../crates/node/tests/common/golden.rs"]
+mod golden;
+
+use golden::assert_golden;
+use std::path::PathBuf;
+use std::process::{Command, Output};
+
+/// Runs the program with nothing in its environment.
+fn run(folder: Option<&PathBuf>, words: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_orchidyoke"));
+    command.env_clear().args(words);
+    if let Some(folder) = folder {
+        command.current_dir(folder);
+    }
+    command.output().expect("the program runs")
+}
+
+fn text(bytes: Vec<u8>) -> String {
+    String::from_utf8(bytes).expect("text")
+}
+
+#[test]
+fn the_help_of_each_command_stays_the_same() {
+    for words in [
+        &[][..],
+        &["serve"],
+        &["check"],
+        &["rollout"],
+        &["policy"],
+        &["policy", "propose"],
+        &["policy", "status"],
+        &["policy", "abort"],
+        &["supervise"],
+        &["version"],
+        &["evaluate-settings"],
+    ] {
+        let output = run(None, &[words, &["--help"]].concat());
+        assert!(output.status.success() && output.stderr.is_empty(), "{words:?}");
+        let name = [&["help"][..], words].concat().join("-");
+        assert_golden(&format!("{name}.txt"), &text(output.stdout));
+    }
+}
+
+#[test]
+fn the_short_help_stays_the_same() {
+    let mut said = String::new();
+    for words in [&["-h"][..], &["serve", "-h"], &["supervise", "-h"]] {
+        said += &text(run(None, words).stdout);
+    }
+    assert_golden("short_help.txt", &said);
+}
+
+#[test]
+fn the_version_is_said_as_before() {
+    let output = run(None, &["version"]);
+    assert_eq!(text(output.stdout), concat!("orchidyoke ", env!("CARGO_PKG_VERSION"), "\n"));
+}
+
+#[test]
+fn options_are_read_from_the_environment_by_the_same_names() {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_orchidyoke"));
+    let config = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
+    command.env_clear().env("EDGE_CONFIG", config).env("EDGE_LISTEN", "127.0.0.1:8123");
+    command.env("EDGE_DISCOVERY", "127.0.0.1:8456").arg("check");
+    let output = command.output().expect("the program runs");
+    assert!(output.status.success());
+    let printed = text(output.stdout);
+    assert!(printed.contains("127.0.0.1:8123") && printed.contains("127.0.0.1:8456"), "{printed}");
+}
+
+const CONFIG: &str = include_str!("../examples/config.json");
+
+/// A folder of its own for one test, gone when the test is over.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("help-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn what_check_prints_of_a_bad_configuration_stays_the_same() {
+    let folder = Folder::new("config");
+    let mut said = String::new();
+    for (part, instead) in [
+        ("{\n  \"name\"", "{\n  name"),
+        ("\"settings\"", "\"setings\""),
+        ("\"known\"", "\"unknown\""),
+        ("\"rev\": 1,", ""),
+        ("\"state\": \"in_service\"", "\"state\": \"out\""),
+        ("\"127.0.0.1:8600\"", "\"nowhere\""),
+        ("\"sockets\": 1024", "\"sockets\": 63"),
+        ("\"sockets\": 1024, ", ""),
+        ("\"disk_mb\": 3", "\"disk_mb\": 0"),
+        ("8c1f30d27a5be964", "seed"),
+        ("127.0.0.1:8000", "somewhere"),
+        ("  \"listen\": \"127.0.0.1:8000\",\n", ""),
+        ("  \"discovery\": \"127.0.0.1:8500\",\n", ""),
+        ("\"discovery\"", "\"console\": \"here\", \"discovery\""),
+        ("\"retryable\"", "\"repeatable\""),
+        ("\"on_time_us\": 1000000, ", ""),
+        ("\"host_types\"", "\"hosts\""),
+        ("\"slots\": 14", "\"slots\": 0"),
+        ("\"dial_timeout_us\": 1000000, ", ""),
+        ("\"idle_close_us\": 10000000, ", ""),
+        ("\"try_limit\": 8", "\"try_limit\": -8"),
+        ("\"classes\"", "\"kinds\""),
+    ] {
+        assert!(CONFIG.contains(part), "{part}");
+        std::fs::write(folder.0.join("config.json"), CONFIG.replace(part, instead)).expect("written");
+        let output = run(Some(&folder.0), &["check", "--config", "config.json"]);
+        assert!(!output.status.success() && output.stdout.is_empty(), "{part}: {instead}");
+        said += &format!("{part:?} -> {instead:?}\n{}", text(output.stderr));
+    }
+    assert_golden("check_bad_configurations.txt", &said);
+}
+
+#[test]
+fn what_check_prints_without_a_file_stays_the_same() {
+    let folder = Folder::new("none");
+    let mut said = String::new();
+    for words in [
+        &["check"][..],
+        &["check", "--config", "none.json"],
+        &["check", "--settings", "none.star"],
+        &["check", "--console", "here", "--config", "none.json"],
+    ] {
+        let output = run(Some(&folder.0), words);
+        assert!(!output.status.success() && output.stdout.is_empty(), "{words:?}");
+        said += &format!("{words:?}\n{}", text(output.stderr));
+    }
+    assert_golden("check_nothing.txt", &said);
+}
+
+#[test]
+fn what_check_prints_of_bad_settings_stays_the_same() {
+    let folder = Folder::new("settings");
+    std::fs::write(folder.0.join("config.json"), CONFIG).expect("written");
+    let consul = |more: &str| {
+        format!(
+            "consul(addresses = [\"127.0.0.1:8500\"], networks = [\"127.0.0.0/8\"], services = [service(name = \"shops\", \
+             destination = 7, {more})])\n"
+        )
+    };
+    let mut said = String::new();
+    for script in [
+        "x = \n".to_owned(),
+        "konsul()\n".to_owned(),
+        "consul(adresses = [])\n".to_owned(),
+        "policy()\n".to_owned(),
+        "policy(addresses = [\"127.0.0.1:8500\"], ttl = \"1ms\")\n".to_owned(),
+        "tls(ca = \"none.pem\")\n".to_owned(),
+        consul("kind = \"shop\", zone = \"a\""),
+        consul("kind = \"shops\", zone = \"b\""),
+    ] {
+        std::fs::write(folder.0.join("edge.star"), &script).expect("written");
+        let words = ["check", "--config", "config.json", "--settings", "edge.star"];
+        let output = run(Some(&folder.0), &words);
+        assert!(!output.status.success(), "{script}");
+        said += &format!("{script}{}", text(output.stderr));
+    }
+    assert_golden("check_bad_settings.txt", &said);
+}
--- /dev/null
+++ b/tests/wire.rs
@@ -0,0 +1,172 @@
+//! Protects what is said to the processes themselves on their sockets: at a forwarder's console, by its clients and to its
+//! endpoints, and at a supervisor's control address.
+
+#[path = "../crates/node/tests/common/golden.rs"]
+mod golden;
+
+use golden::{assert_golden, side, whole_length};
+use orchidyoke_stand_ins::Platform;
+use orchidyoke_stand_ins::forwarder::{Folder, Forwarder, Setup, target};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::Path;
+use std::process::{Child, Command, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
+
+const PATIENCE: Duration = Duration::from_secs(20);
+
+fn program() -> &'static Path {
+    Path::new(env!("CARGO_BIN_EXE_orchidyoke"))
+}
+
+fn connect(at: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(at).expect("it takes connections");
+    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream
+}
+
+/// Says a line on a connection of its own; the line and the reply.
+fn say(at: SocketAddr, line: &str) -> String {
+    let mut stream = connect(at);
+    stream.write_all(format!("{line}\n").as_bytes()).expect("written");
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).expect("a reply");
+    format!("> {line}\n{}", side("< ", reply.as_bytes()))
+}
+
+/// Reads one request or answer.
+fn read_whole(stream: &mut TcpStream) -> Vec<u8> {
+    let (mut came, mut piece) = (Vec::new(), [0; 4096]);
+    while whole_length(&came, true).is_none_or(|length| came.len() < length) {
+        let count = stream.read(&mut piece).expect("it goes on");
+        assert!(count > 0, "whole: {}", String::from_utf8_lossy(&came));
+        came.extend_from_slice(&piece[..count]);
+    }
+    came
+}
+
+/// A forwarder of a region with one member: its own.
+fn owner() -> String {
+    "ownership(name = \"f0\", region = \"east\", regions = {\"east\": [\"a\", \"b\"]},\n\
+     members = [member(name = \"f0\", zone = \"a\", address = \"127.0.0.1:9\")])\n"
+        .to_owned()
+}
+
+/// The rest of a figure that is another in each run is left out.
+fn without_moments(reply: &str) -> String {
+    let moment = |line: &str| match line.rsplit_once(' ') {
+        Some((name @ ("< app_owners_view" | "< app_owners_view_age_s"), _)) => format!("{name} NUMBER\n"),
+        _ => format!("{line}\n"),
+    };
+    reply.lines().map(moment).collect()
+}
+
+#[test]
+fn a_forwarder_answers_at_its_console_as_before() {
+    let platform = Platform::start("");
+    let endpoint = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut setup = Setup::new(platform.address());
+    setup.targets = vec![target("p1", endpoint.local_addr().expect("bound"), 7)];
+    let folder = Folder::new("wire-console");
+    folder.write("config.json", &setup.text());
+    let settings = folder.write("settings.star", &owner()).display().to_string();
+    let options = ["--settings", &settings[..]];
+    let (forwarder, console) = Forwarder::start_supervised(program(), &folder, "127.0.0.1:0", &options);
+    let mut said = String::new();
+    for line in [
+        "ready",
+        "show-stat",
+        "show-latency",
+        "disable-server p1",
+        "enable-server p1",
+        "disable-server p2",
+        "enable-server",
+        "ready now",
+        "help",
+        "",
+    ] {
+        said += &say(console, line);
+    }
+    assert_golden("console.txt", &without_moments(&said));
+    forwarder.kill();
+}
+
+#[test]
+fn a_message_goes_from_its_client_to_its_endpoint_as_before() {
+    let platform = Platform::start("");
+    let endpoint = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut setup = Setup::new(platform.address());
+    setup.targets = vec![target("p1", endpoint.local_addr().expect("bound"), 7)];
+    let folder = Folder::new("wire-message");
+    folder.write("config.json", &setup.text());
+    let forwarder = Forwarder::start(program(), &folder, &[]);
+    let request = "POST /refund HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\n\
+                   X-Remaining: 12.000\r\nX-Consignee: dest=7\r\nIdempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n\r\nhello";
+    let mut client = connect(forwarder.address);
+    client.write_all(request.as_bytes()).expect("written");
+    let answer = read_whole(&mut client);
+    let (mut call, _) = endpoint.accept().expect("a call");
+    call.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    let called = side("> ", &read_whole(&mut call));
+    call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+    let left = called.lines().find(|line| line.starts_with("> x-remaining: ")).expect("the time left");
+    let seconds = left["> x-remaining: ".len()..].parse::<f64>();
+    assert!(seconds.is_ok_and(|seconds| seconds > 0.0 && seconds <= 12.0), "{left}");
+    let called = called.replace(left, "> x-remaining: SECONDS");
+    assert_golden("message.txt", &format!("{}\n{called}", side("< ", &answer)));
+    forwarder.kill();
+}
+
+/// A supervisor; it is ended with its forwarder when it is dropped.
+struct Supervisor(Child);
+
+impl Drop for Supervisor {
+    fn drop(&mut self) {
+        let _ = Command::new("kill").args(["-TERM", &self.0.id().to_string()]).status();
+        let _ = self.0.wait();
+    }
+}
+
+fn free() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+}
+
+#[test]
+fn a_supervisor_answers_at_its_control_address_as_before() {
+    let platform = Platform::start("");
+    let folder = Folder::new("wire-control");
+    folder.write("config.json", &Setup::new(platform.address()).text());
+    let releases = folder.path().join("releases");
+    std::fs::create_dir_all(&releases).expect("a folder");
+    std::os::unix::fs::symlink(program(), releases.join("v1")).expect("a release");
+    let (listen, control) = (free().to_string(), free());
+    let child = Command::new(program())
+        .args(["supervise", "--release", "v1", "--listen", &listen, "--control", &control.to_string()])
+        .args(["--console", &free().to_string(), "--console", &free().to_string()])
+        .arg("--releases")
+        .arg(&releases)
+        .arg("--folder")
+        .arg(folder.path().join("supervisor"))
+        .args(["--", "--config"])
+        .arg(folder.path().join("config.json"))
+        .arg("--state")
+        .arg(folder.path().join("state"))
+        .stderr(Stdio::null())
+        .spawn();
+    let _supervisor = Supervisor(child.expect("the supervisor starts"));
+    let until = Instant::now() + PATIENCE;
+    let is_settled =
+        || TcpStream::connect(control).is_ok() && say(control, "show").contains("\"settled\":true");
+    while !is_settled() {
+        assert!(Instant::now() < until, "its forwarder does not serve");
+        thread::sleep(Duration::from_millis(20));
+    }
+    let mut said = String::new();
+    for line in ["show", "upgrade none", "upgrade ../v1", "upgrade", "ready"] {
+        said += &say(control, line);
+    }
+    let pid = said.split("\"pid\":").nth(1).and_then(|rest| rest.split('}').next()).expect("a process");
+    assert!(pid.parse::<u32>().is_ok(), "{pid}");
+    assert_golden("control.txt", &said.replace(&format!("\"pid\":{pid}"), "\"pid\":NUMBER"));
+}
