--- /dev/null
+++ b/crates/consul/tests/wire_api.rs
@@ -0,0 +1,159 @@
+//! Protects what is said to Consul and read from it: the queries of the catalogue, of sessions and of keys, and the endpoints
+//! that come of an answer.
+
+#[path = "../../node/tests/common/golden.rs"]
+mod golden;
+
+use bytes::Bytes;
+use golden::{assert_golden, side, whole_length};
+use orchidyoke_consul::Consul as Source;
+use orchidyoke_consul::client::{ApiRequest, Client};
+use orchidyoke_consul::locks::{Behavior, Locks, Operation, Row};
+use orchidyoke_consul::settings::{Consistency, Service, Settings};
+use orchidyoke_core::transport_map::News;
+use orchidyoke_node::catalogue::{Catalogue, UpdateSender};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::unbounded_channel;
+use tokio::task::LocalSet;
+
+const HEALTH: &str = include_str!("fixtures/wire/health.json");
+
+/// A far end that gives these answers in turn on one connection and stays; what it was asked, and what `near` came to.
+fn asked<T>(answers: &[String], near: impl AsyncFnOnce(SocketAddr) -> T) -> (String, T) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let at = listener.local_addr().expect("bound");
+        let far = async {
+            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let mut said = Vec::new();
+            for answer in answers {
+                let mut request = Vec::new();
+                while whole_length(&request, true).is_none_or(|length| request.len() < length) {
+                    assert!(stream.read_buf(&mut request).await.expect("a request") > 0, "a whole request");
+                }
+                said.push(side("> ", &request));
+                stream.write_all(answer.as_bytes()).await.expect("written");
+            }
+            (said.join("\n"), stream)
+        };
+        let ((said, _), came) = tokio::join!(far, near(at));
+        (said, came)
+    })
+}
+
+fn answer(status: &str, headers: &str, body: &str) -> String {
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+}
+
+fn settings(at: SocketAddr) -> Settings {
+    Settings {
+        addresses: vec![at],
+        datacenter: Some("dc1".to_owned()),
+        namespace: Some("edge".to_owned()),
+        consistency: Consistency::Stale,
+        wait: Duration::from_secs(5),
+        services: vec![Service {
+            name: "web".to_owned(),
+            destination: 3,
+            kind: "one".to_owned(),
+            zone: "a".to_owned(),
+            zone_meta: Some("rack".to_owned()),
+            capacity: 20.0,
+            filter: Some("Service.Meta.live == \"yes\"".to_owned()),
+        }],
+        networks: vec!["127.0.0.0/8".parse().expect("a network")],
+        ..Settings::default()
+    }
+}
+
+#[test]
+fn questions_of_the_catalogue_stay_the_same() {
+    let token = std::env::temp_dir().join(format!("wire-token-{}", std::process::id()));
+    std::fs::write(&token, "5be2a07c\n").expect("written");
+    let headers = "X-Consul-Index: 41\r\nX-Consul-KnownLeader: false\r\nX-Consul-LastContact: 20000\r\nRetry-After: 3\r\n";
+    let answers = [answer("200 OK", headers, "[]"), answer("200 OK", "", "[]"), answer("200 OK", "", "[]")];
+    let (said, head) = asked(&answers, async |at| {
+        let settings = Settings { token_file: Some(token.clone()), ..settings(at) };
+        let filter = settings.services[0].filter.clone();
+        let client = Client::new(Rc::new(settings));
+        let mut connection = client.connect().await.expect("connected");
+        let wait = Duration::from_secs(5);
+        let mut heads = Vec::new();
+        for request in [
+            ApiRequest::service("web a/b", filter.as_ref(), 0, wait),
+            ApiRequest::service("web", None, 41, wait),
+            ApiRequest::path("/v1/health/state/any", 42, wait),
+        ] {
+            heads.push(client.ask(&mut connection, &request).await.expect("answered").0);
+        }
+        heads.swap_remove(0)
+    });
+    std::fs::remove_file(&token).expect("cleans up");
+    assert_golden("catalogue_questions.txt", &said);
+    assert_eq!((head.status, head.index.as_deref(), head.leaderless), (200, Some("41"), true));
+    assert_eq!((head.too_old, head.retry_after), (Some(Duration::from_secs(20)), Some(3)));
+}
+
+#[test]
+fn questions_of_sessions_and_keys_stay_the_same() {
+    let row = r#"[{"LockIndex":1,"Key":"duties/a b","Flags":0,"Value":"ZjE=","Session":"adf4","CreateIndex":5,"ModifyIndex":7}]"#;
+    let ok = |body: &str| answer("200 OK", "X-Consul-Index: 9\r\n", body);
+    let answers = [
+        ok(r#"{"ID":"adf4"}"#),
+        ok(r#"{"ID":"adf5"}"#),
+        ok("[]"),
+        ok("true"),
+        ok("true"),
+        ok(row),
+        ok(row),
+        ok(r#"{"Results":[],"Errors":null}"#),
+        ok("true"),
+    ];
+    let (said, rows) = asked(&answers, async |at| {
+        let mut locks = Locks::new(Rc::new(settings(at)));
+        let (ttl, delay) = (Duration::from_secs(10), Duration::from_millis(300));
+        let session = locks.create("n1", ttl, delay, Behavior::Delete).await.expect("made");
+        assert_eq!(session, "adf4");
+        let other = locks.create("n2", ttl, delay, Behavior::Release).await.expect("made");
+        assert!(locks.renew(&other).await.expect("asked"));
+        assert!(locks.acquire("duties/a b", &session, Bytes::from_static(b"f1")).await.expect("asked"));
+        assert!(locks.release("duties/a b", &session).await.expect("asked"));
+        let (index, rows) = locks.look("duties/", 0, ttl).await.expect("looked");
+        assert_eq!(index, 9);
+        locks.look("duties/", 9, ttl).await.expect("looked");
+        let operations = [
+            Operation::Cas("k/a".to_owned(), 7, Bytes::from_static(b"f1")),
+            Operation::DeleteCas("k/b".to_owned(), 8),
+            Operation::CheckHeld("k/c".to_owned(), 9, session.clone()),
+        ];
+        assert!(locks.transact(&operations).await.expect("asked"));
+        locks.destroy(&session).await;
+        rows
+    });
+    assert_golden("lock_questions.txt", &said);
+    let key = "duties/a b".to_owned();
+    let row = Row { key, value: Some("ZjE=".to_owned()), session: Some("adf4".to_owned()), modify_index: 7 };
+    assert_eq!(rows, [row]);
+    assert_eq!(rows[0].text(), "f1");
+}
+
+#[test]
+fn endpoints_come_of_an_answer_as_before() {
+    let (_, told) = asked(&[answer("200 OK", "X-Consul-Index: 41\r\n", HEALTH)], async |at| {
+        let (sender, mut news) = unbounded_channel();
+        let updates = UpdateSender::new(move |told| drop(sender.send(told)));
+        let held = News { rev: 0, all: true, targets: Vec::new(), origin: String::new() };
+        let following = Source::new(settings(at)).follow(held, updates);
+        tokio::select! {
+            told = news.recv() => told.expect("news"),
+            why = following => panic!("{why}"),
+        }
+    });
+    let lines: Vec<_> = told.targets.iter().map(|t| serde_json::to_string(t).expect("JSON") + "\n").collect();
+    assert_golden("endpoints.txt", &lines.concat());
+}
