--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -369,8 +369,7 @@
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
     let mut answers = |txn: &str| -> Vec<SubmitAnswer> {
         let input = Input::Submitted { request: 1, message: submission(txn) };
-        let answer =
-            |effect| if let Effect::Answer { answer, .. } = effect { Some(answer) } else { None };
+        let answer = |effect| if let Effect::Answer { answer, .. } = effect { Some(answer) } else { None };
         reducer.step(START, input).into_iter().filter_map(answer).collect()
     };
     for txn in PENDING.iter().chain(&ENDED) {
