--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -9,7 +9,7 @@
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::hop_call::Reply;
-use orchidyoke_forwarder::input::{Effect, Input, SiblingUpdate, Submission, SubmitAnswer, WatchSource};
+use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, Submission, SubmitAnswer, WatchSource};
 use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, Owner, Owners, Peer};
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{
@@ -395,7 +395,7 @@
 #[test]
 fn routes_in_trouble_and_endpoints_out_by_hand_stay_so() {
     let reducer = start(None, STORED.len());
-    assert_eq!(reducer.troubled().collect::<Vec<_>>(), [2, 4]);
+    assert_eq!(reducer.faulty_destinations().collect::<Vec<_>>(), [2, 4]);
     let avoided = |left_out: fn(&Record) -> bool| {
         let mut reducer = start_without(left_out, None, STORED.len());
         drive(&mut reducer, 20 * MS);
@@ -456,8 +456,9 @@
     let config = Config::read(&text, None, None).expect("a configuration");
     let mut reducer = Reducer::new(config, 1, Vec::new(), 0, START);
     let (records, size) = replay(Bytes::from_static(STORED));
-    let shown = vec![SiblingUpdate { generation: 0, rewritten: true, records, size, ended: true }];
-    let asked = drive_from(&mut reducer, Input::Siblings { updates: shown, gone: Vec::new() }, 8 * S);
+    let shown = vec![OtherProcessUpdate { generation: 0, rewritten: true, records, size, ended: true }];
+    let asked =
+        drive_from(&mut reducer, Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() }, 8 * S);
     assert_eq!((asked.retired, asked.followed), (vec![0], vec![(3, 9)]));
     assert_eq!((reducer.figures().taken(), reducer.figures().open()), (9, 0));
     let owed =
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -177,7 +177,7 @@
         let path = path_of(folder, generation);
         match make(&path) {
             // Between its name and its lock another process may have taken it for one that ended, and removed it.
-            Ok(file) if lock(&file)? && is_at(&file, &path)? => return Ok((generation, file)),
+            Ok(file) if lock(&file)? && is_still_named(&file, &path)? => return Ok((generation, file)),
             Ok(_) => {}
             Err(error) if error.kind() == io::ErrorKind::AlreadyExists => {}
             Err(error) => return Err(error),
--- a/crates/journal/src/file/making_tests.rs
+++ b/crates/journal/src/file/making_tests.rs
@@ -22,10 +22,10 @@
 }
 
 /// Takes the file of this generation for one of a process that has ended, as a scan of the folder does, and removes it.
-fn scan_and_remove(folder: &Path, generation: Generation) -> Other {
-    let mut found = others(folder, |known| known != generation).expect("read");
+fn scan_and_remove(folder: &Path, generation: Generation) -> OtherJournal {
+    let mut found = find_other_journals(folder, |known| known != generation).expect("read");
     let mut other = found.pop().expect("the file has its name");
-    let look = other.look().expect("read").expect("there");
+    let look = other.read_new().expect("read").expect("there");
     assert!(look.ended && look.records.is_empty(), "nobody holds its lock");
     other.remove().expect("removed");
     other
@@ -50,7 +50,7 @@
     let made = create(&folder.0, 3, making(|| drop(scan_and_remove(&folder.0, 3))));
     let (generation, file) = made.expect("made");
     let path = path_of(&folder.0, generation);
-    assert!(is_at(&file, &path).expect("read"), "{} is the file that is locked", path.display());
+    assert!(is_still_named(&file, &path).expect("read"), "{} is the file that is locked", path.display());
     assert_eq!(generations(&folder.0).expect("read"), [generation], "and the only one");
     assert!(!lock(&File::open(&path).expect("there")).expect("asked"), "others see its lock");
 }
@@ -62,6 +62,6 @@
     let held = Cell::new(None);
     let made = create(&folder.0, 0, making(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
     let (generation, file) = made.expect("made");
-    assert!(is_at(&file, &path_of(&folder.0, generation)).expect("read"));
+    assert!(is_still_named(&file, &path_of(&folder.0, generation)).expect("read"));
     assert!(held.take().is_some(), "the other process was there");
 }
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -4,8 +4,8 @@
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
 use orchidyoke_journal::{
-    AcceptedMessage, AttemptStart, FinalAnswer, HandoverOffer, HandoverState, Journal, Opened, ProcessStage,
-    Reading, Record, read,
+    AcceptedMessage, AttemptStart, FinalAnswer, HandoverOffer, HandoverState, Journal, OpenedJournal,
+    ProcessStage, Record, RecoveredRecords, read,
 };
 use std::fs;
 use std::path::PathBuf;
@@ -204,8 +204,8 @@
 
 #[test]
 fn journal_of_the_previous_version_is_read_field_by_field() {
-    let Reading { records, whole, unknown } = read(Bytes::from_static(STORED));
-    assert_eq!((whole, unknown), (STORED.len(), None));
+    let RecoveredRecords { records, complete_bytes, unreadable } = read(Bytes::from_static(STORED));
+    assert_eq!((complete_bytes, unreadable), (STORED.len(), None));
     let expected = expected();
     for (place, (read, expected)) in records.iter().zip(&expected).enumerate() {
         assert_eq!(read, expected, "record {place}");
@@ -257,13 +257,13 @@
     fs::write(&older, STORED).expect("writes");
     fs::write(&newest, &STORED[..STORED.len() - 1]).expect("writes");
     fs::write(folder.0.join("journal.7.new"), STORED).expect("writes");
-    let Opened { mut journal, records, mut others } = Journal::open(&folder.0).expect("opens");
+    let OpenedJournal { mut journal, records, mut other_journals } = Journal::open(&folder.0).expect("opens");
     let expected = expected();
-    assert_eq!((journal.generation(), others.len()), (7, 1));
+    assert_eq!((journal.generation(), other_journals.len()), (7, 1));
     assert!(records == expected[..expected.len() - 1], "the torn one is cut off");
     assert!(!folder.0.join("journal.7.new").exists(), "a rewrite that was cut short is gone");
-    let look = others[0].look().expect("read").expect("there");
-    assert_eq!((others[0].generation(), look.ended, look.size), (0, true, STORED.len()));
+    let look = other_journals[0].read_new().expect("read").expect("there");
+    assert_eq!((other_journals[0].generation(), look.ended, look.size), (0, true, STORED.len()));
     assert!(look.records == expected);
     journal.append(&written(&expected[expected.len() - 1..])).expect("appends");
     assert!(fs::read(&newest).expect("read") == STORED);
