--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -1,6 +1,6 @@
 //! Delivery attempts: from the module's sends to the end of each.
 
-use super::messages::Message;
+use super::message_table::Message;
 use super::{AfterAppend, Reducer};
 use crate::figures::End;
 use crate::hop_call::{self, Call, EndpointCallError, Part, Reply};
--- a/crates/forwarder/src/reducer/records.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -1,10 +1,10 @@
 //! The journal as the reducer uses it: what is appended, what a snapshot holds, and what a start finds.
 
-use super::messages::Message;
-use super::notices::SHORT_RECORD_BYTES;
-use super::operators::{OperatorOverrides, OverrideChange};
-use super::routes::{FaultyRoutes, RouteKey};
-use super::{AfterAppend, Reducer, routes};
+use super::final_answers::SHORT_RECORD_BYTES;
+use super::message_table::Message;
+use super::operator_overrides::{OperatorOverrides, OverrideChange};
+use super::route_state::{FaultyRoutes, RouteKey};
+use super::{AfterAppend, Reducer, route_state};
 use crate::config::Limits;
 use crate::input::Effect;
 use bytes::{Bytes, BytesMut};
@@ -214,7 +214,7 @@
         let mut bytes = BytesMut::new();
         Record::EndpointList(self.endpoint_list.snapshot()).encode(b"", &mut bytes);
         Record::ProcessStage { stage: self.stage }.encode(b"", &mut bytes);
-        routes::faulty_routes_record(&self.faulty_routes).encode(b"", &mut bytes);
+        route_state::faulty_routes_record(&self.faulty_routes).encode(b"", &mut bytes);
         for (route, until) in self.retry_after.iter().filter(|_| self.has_other_process()) {
             route.retry_after_record(*until).encode(b"", &mut bytes);
         }
--- a/crates/forwarder/src/reducer/hops.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -1,6 +1,6 @@
 //! The transport map: where it comes from, the endpoints in it, and a new configuration.
 
-use super::records::Bounds;
+use super::durability::Bounds;
 use super::{Reducer, SECOND_US, first_watch_backoff};
 use crate::catalogue::Catalogue;
 use crate::config::Config;
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -1,409 +1,497 @@
-//! Hand-overs: which messages wait for the owners of their destinations, when each is offered, and what is done here
-//! for lack of an owner. No I/O and no journal; see `docs/handover.md`.
-//!
-//! Work in a call is proportional to what is due in it: owners with something due stand in an ordered set, and so do
-//! the ends of time.
-
-use crate::backoff::Backoff;
-use crate::ownership::{OfferEnd, Peer};
-use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
-
-const SECOND_US: Micros = 1_000_000;
-/// An offer without an answer by then is over; the owner may have taken the message.
-pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
-/// A message in doubt is offered again for so long after its first offer: the owner remembers ids that are over for
-/// longer than this.
-pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
-/// An owner that has failed for so long is done without.
-const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
-/// Offers out at once, to one owner.
-const MAX_OFFERS_PER_OWNER: usize = 16;
-/// Offers out at once, in all.
-const MAX_OFFERS: usize = 64;
-/// Messages that are delivered here at once for lack of an owner; one of a destination.
-const MAX_LOCAL_DELIVERIES: usize = 32;
-/// Messages that wait for one owner; more are refused at the door.
-const MAX_WAITING_PER_OWNER: usize = 1000;
-/// The bounds of the pause before an offer is repeated.
-const FIRST_OFFER_BACKOFF_US: Micros = 100_000;
-const MAX_OFFER_BACKOFF_US: Micros = 2 * SECOND_US;
-
-/// What a message is to its hand-over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct HandoverTerms {
-    /// Its destination.
-    pub destination: DestinationId,
-    /// When no more is to be waited for: its deadline, or in doubt the end of that.
-    pub ends_at: Micros,
-    /// It may be delivered here for lack of an owner.
-    pub local_delivery_allowed: bool,
-    /// The owner may have it.
-    pub in_doubt: bool,
+//! Custody: what the reducer does with a message whose destination another forwarder owns, from its taking to the
+//! owner's answer. When what is due is decided in [`handover`](super::handover_schedule).
+
+use super::handover_schedule::{HandoverDecision, HandoverTerms, MAX_IN_DOUBT_US, OFFER_TIMEOUT_US};
+use super::{AfterAppend, Reducer};
+use crate::input::Effect;
+use crate::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
+use orchidyoke_core::interface::{
+    DeduplicationScope, DestinationId, Event, Idempotency as ClassEffect, MessageId, Micros,
+};
+use orchidyoke_journal::{AcceptedMessage, FinalAnswer, HandoverOffer, HandoverState, ProcessStage, Record};
+use std::collections::BTreeSet;
+use std::fmt::Write;
+use std::rc::Rc;
+
+/// About the bytes of the records of a message's custody, beside its id and the longest name of an owner.
+const HANDOVER_RECORDS_BYTES: usize = 320;
+/// The owners of so many destinations are looked up for the figures: a look-up costs a hash for each member.
+const MAX_OWNER_LOOKUPS: usize = 1000;
+/// Names of forwarders that are no members are logged once each, and so many of them in a view.
+const MAX_LOGGED_NON_MEMBERS: usize = 64;
+
+/// The view of owners that a forwarder has, and counts of what followed from it.
+#[derive(Debug, Default)]
+pub(super) struct Ownership {
+    view: Option<Rc<dyn Owners>>,
+    view_since: Micros,
+    /// The view before it.
+    previous_view: Option<Rc<dyn Owners>>,
+    /// Destinations that were begun as cold since it was taken in.
+    slow_started: BTreeSet<DestinationId>,
+    counts: Counts,
+    /// Forwarders that hand over and are no members.
+    non_members: BTreeSet<String>,
 }
 
-/// What is to be done with a message.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum HandoverDecision {
-    /// Offer it to its owner.
-    Offer(MessageId, Peer),
-    /// Deliver it here for lack of an owner.
-    DeliverLocally(MessageId),
-    /// Its time is up.
-    TimeUp(MessageId),
+/// Counts from 0 in each process.
+#[derive(Debug, Default)]
+struct Counts {
+    /// Messages that their owners have taken.
+    handed_over: u64,
+    /// Messages that other forwarders have handed over to this one.
+    taken_over: u64,
+    /// Of those, the ones from a forwarder that is no member.
+    from_non_members: u64,
+    /// Messages delivered here for lack of an owner.
+    delivered_for_owner: u64,
+    /// Offers without an answer.
+    unanswered: u64,
 }
 
-/// A message that waits for its owner.
-#[derive(Debug)]
-struct WaitingMessage {
-    terms: HandoverTerms,
-    peer: String,
-    due: Micros,
-    refusals: u32,
-}
+impl Ownership {
+    /// At a start.
+    pub fn new(view: Option<Rc<dyn Owners>>, now: Micros) -> Self {
+        Ownership { view, view_since: now, ..Ownership::default() }
+    }
 
-/// An owner that messages wait for.
-#[derive(Debug)]
-struct OwnerQueue {
-    address: SocketAddr,
-    /// Those that are not out, by when they are due.
-    due: BTreeSet<(Micros, MessageId)>,
-    /// Those of them that it may have: the first to be offered again while it fails.
-    in_doubt: BTreeSet<MessageId>,
-    /// Those of them that may be delivered here.
-    local_delivery_allowed: BTreeSet<(DestinationId, MessageId)>,
-    waiting: usize,
-    offers_in_flight: usize,
-    failing_since: Option<Micros>,
-    not_before: Micros,
-    backoff: Backoff,
-    /// Its entry in the set of those that are due.
-    timer: Option<Micros>,
-}
+    /// Whether there are owners at all.
+    pub fn is_on(&self) -> bool {
+        self.view.is_some()
+    }
 
-impl OwnerQueue {
-    fn new(address: SocketAddr, seed: u64) -> Self {
-        OwnerQueue {
-            address,
-            due: BTreeSet::new(),
-            in_doubt: BTreeSet::new(),
-            local_delivery_allowed: BTreeSet::new(),
-            waiting: 0,
-            offers_in_flight: 0,
-            failing_since: None,
-            not_before: 0,
-            backoff: Backoff::new(FIRST_OFFER_BACKOFF_US, seed),
-            timer: None,
-        }
-    }
-
-    /// When something may be offered to it next.
-    fn wake_at(&self) -> Option<Micros> {
-        let most = if self.failing_since.is_some() { 1 } else { MAX_OFFERS_PER_OWNER };
-        let (first, _) = self.due.first()?;
-        (self.offers_in_flight < most).then_some((*first).max(self.not_before))
-    }
-
-    /// The next message to offer. One that fails is asked about what it may have already, where there is any.
-    fn next(&self, now: Micros) -> Option<MessageId> {
-        if self.failing_since.is_some()
-            && let Some(id) = self.in_doubt.first()
-        {
-            return Some(*id);
+    /// The other forwarder that owns a destination.
+    pub fn peer(&self, destination: DestinationId) -> Option<Peer> {
+        match self.view.as_ref()?.owner_of(destination) {
+            Owner::Peer(peer) => Some(peer),
+            Owner::Local | Owner::Unknown => None,
         }
-        self.due.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
     }
 
-    fn is_done_without(&self, now: Micros) -> bool {
-        self.failing_since.is_some_and(|since| now - since >= OWNER_FAILING_LIMIT_US)
+    /// The member of this name.
+    fn member(&self, name: &str) -> Option<Peer> {
+        let address = self.view.as_ref()?.member(name)?;
+        Some(Peer { name: name.to_owned(), address })
     }
-}
 
-/// All hand-overs of a forwarder.
-#[derive(Debug, Default)]
-pub(super) struct HandoverSchedule {
-    waiting: BTreeMap<MessageId, WaitingMessage>,
-    peers: BTreeMap<String, OwnerQueue>,
-    /// Owners by when something may be offered to them.
-    timers: BTreeSet<(Micros, String)>,
-    ends: BTreeSet<(Micros, MessageId)>,
-    /// Offers that are out, with their owners; the message may be gone meanwhile.
-    offers_in_flight: BTreeMap<MessageId, String>,
-    /// Owners that fail.
-    failing: BTreeSet<String>,
-    /// When owners that fail will be done without.
-    give_up_at: BTreeSet<(Micros, String)>,
-    /// Those delivered here for lack of an owner.
-    local_deliveries: BTreeMap<DestinationId, MessageId>,
-    local_delivery_ids: BTreeMap<MessageId, DestinationId>,
-    /// Whether more of those may be possible than when it was last looked at.
-    check_local_delivery: bool,
-    seed: u64,
-}
+    /// Takes in another view.
+    fn replace_view(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
+        self.previous_view = std::mem::replace(&mut self.view, view);
+        self.view_since = now;
+        self.non_members.clear();
+        self.slow_started.clear();
+    }
 
-impl HandoverSchedule {
-    /// None yet; chance follows from `seed`.
-    pub fn new(seed: u64) -> Self {
-        HandoverSchedule { seed, ..HandoverSchedule::default() }
+    /// Whether this forwarder does not own a destination, or so lately that the owner before it may still send there.
+    fn is_new_to(&self, now: Micros, destination: DestinationId, cold_time: Micros) -> bool {
+        let owns = |view: &Rc<dyn Owners>| view.owner_of(destination) == Owner::Local;
+        let Some(view) = &self.view else { return false };
+        let was_owner = self.previous_view.as_ref().is_none_or(owns);
+        !owns(view) || !was_owner && now - self.view_since < cold_time
     }
 
-    /// Whether its offer is out.
-    pub fn is_offer_in_flight(&self, id: MessageId) -> bool {
-        self.offers_in_flight.contains_key(&id)
+    /// How many forwarders share a destination's limit, where each destination has owners.
+    pub fn owners_of_each(&self) -> Option<u32> {
+        self.view.as_ref().map(|view| view.owners_of_each())
     }
 
-    /// Whether the owner may have it since before its last offer.
-    pub fn is_in_doubt(&self, id: MessageId) -> bool {
-        self.waiting.get(&id).is_some_and(|waiting| waiting.terms.in_doubt)
+    /// How many of these destinations this forwarder owns; beyond some, reckoned from evenly chosen ones.
+    fn owned(&self, destinations: &[DestinationId]) -> u64 {
+        let Some(view) = &self.view else { return 0 };
+        let step = destinations.len().div_ceil(MAX_OWNER_LOOKUPS).max(1);
+        let is_owned = |destination: &&DestinationId| view.owner_of(**destination) == Owner::Local;
+        (destinations.iter().step_by(step).filter(is_owned).count() * step) as u64
     }
 
-    /// The owner that a message waits for.
-    pub fn peer_of(&self, id: MessageId) -> Option<&str> {
-        self.waiting.get(&id).map(|waiting| waiting.peer.as_str())
+    /// What the snapshot of a message may hold beside its record.
+    pub fn reserve_bytes(&self, txn: &str) -> usize {
+        if self.is_on() { HANDOVER_RECORDS_BYTES + 2 * txn.len() } else { 0 }
     }
 
-    /// All that wait.
-    pub fn ids(&self) -> Vec<MessageId> {
-        self.waiting.keys().copied().collect()
+    /// A message is taken on: whether another forwarder handed it over is in its custody.
+    pub fn count_taken_over(&mut self, taken: &AcceptedMessage) {
+        self.counts.taken_over += u64::from(taken.handover.kept_local);
     }
+}
 
-    /// How many wait, and how many are delivered here for lack of an owner.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.waiting.len(), self.local_deliveries.len())
+impl Reducer {
+    /// The mark of a message that is handed in, as far as it counts here.
+    ///
+    /// # Errors
+    ///
+    /// It cannot be read.
+    pub(super) fn read_handover_mark(&mut self, marked: Marked) -> Result<Option<Mark>, &'static str> {
+        if !self.ownership.is_on() {
+            return Ok(None);
+        }
+        match marked {
+            Marked::No => Ok(None),
+            Marked::Malformed => Err("X-Handover: malformed\n"),
+            Marked::Yes(mark) => Ok(Some(mark)),
+        }
     }
 
-    /// Whether so many wait for this owner that no more are to be taken on.
-    pub fn is_full(&self, peer: &str) -> bool {
-        self.peers.get(peer).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
+    /// A message is taken over from another forwarder. From who is no member it is taken all the same: the other may know
+    /// a later view, and to hand it on would unbind its way.
+    pub(super) fn count_handover_from(&mut self, mark: &Mark) {
+        let Ownership { view, non_members: strangers, counts, .. } = &mut self.ownership;
+        if view.as_ref().is_some_and(|view| view.member(&mark.from).is_some()) {
+            return;
+        }
+        counts.from_non_members += 1;
+        if strangers.len() < MAX_LOGGED_NON_MEMBERS && strangers.insert(mark.from.clone()) {
+            self.log(format!(
+                "hand-over: a message from {:?}, who is no member, is delivered here",
+                mark.from
+            ));
+        }
     }
 
-    /// A message waits for its owner from now on.
-    pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: HandoverTerms) {
-        self.seed = self.seed.wrapping_add(1);
-        let seed = self.seed;
-        let queue =
-            self.peers.entry(peer.name.clone()).or_insert_with(|| OwnerQueue::new(peer.address, seed));
-        queue.address = peer.address;
-        queue.waiting += 1;
-        self.ends.insert((terms.ends_at, id));
-        self.waiting.insert(id, WaitingMessage { terms, peer: peer.name.clone(), due: now, refusals: 0 });
-        self.queue(id, now);
+    /// Another view holds. One that is older than the one held changes nothing.
+    pub(super) fn on_owners_changed(&mut self, now: Micros, view: Rc<dyn Owners>) {
+        if let Some(held) = self.ownership.view.as_ref().filter(|held| view.version() < held.version()) {
+            let (old, held) = (view.version(), held.version());
+            return self.log(format!("owners: view {old} is older than view {held}, and is passed over"));
+        }
+        self.replace_owners(now, Some(view));
     }
 
-    /// A message does not wait for its owner any more, or is not here any more: all that is known of it goes, but for an
-    /// offer that is out.
-    pub fn remove(&mut self, id: MessageId) {
-        if let Some(destination) = self.local_delivery_ids.remove(&id) {
-            self.local_deliveries.remove(&destination);
-            self.check_local_delivery = true;
+    /// Another view holds, or none: what waits for an owner goes where it belongs now.
+    pub(super) fn replace_owners(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
+        self.ownership.replace_view(now, view);
+        for id in self.handovers.ids() {
+            // One that is out is looked at when its offer has ended.
+            if !self.handovers.is_offer_in_flight(id) {
+                self.replace_owner(now, id);
+            }
         }
-        let Some(waiting) = self.waiting.get(&id) else { return };
-        self.ends.remove(&(waiting.terms.ends_at, id));
-        let peer = waiting.peer.clone();
-        self.unqueue(id);
-        self.waiting.remove(&id);
-        if let Some(queue) = self.peers.get_mut(&peer) {
-            queue.waiting -= 1;
+        let view = self.ownership.view.as_ref();
+        self.handovers.update_members(|name| view.and_then(|view| view.member(name)));
+        let settings = self.controller_settings();
+        if settings.fleet_size != self.fleet_size_in_force {
+            self.fleet_size_in_force = settings.fleet_size;
+            self.events.push(Event::Settings(Box::new(settings)));
         }
-        self.schedule(&peer);
     }
 
-    /// The terms of a message have changed.
-    pub fn change(&mut self, id: MessageId, terms: HandoverTerms) {
-        let queued = !self.offers_in_flight.contains_key(&id);
-        if queued {
-            self.unqueue(id);
+    /// Where a message goes that is in the journal and that the module does not have: to the owner of its destination, or
+    /// to the module.
+    pub(super) fn place(&mut self, now: Micros, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let taken = &message.accepted;
+        let peer = match &taken.handover {
+            HandoverState { kept_local: true, .. } => None,
+            // Who may have it is asked as long as it is a member.
+            HandoverState { offered: Some(offered), .. } => match self.ownership.member(&offered.owner) {
+                Some(peer) => Some(peer),
+                None => return self.resolve_in_doubt(now, id),
+            },
+            // What may have run and must not be repeated is the module's to end.
+            _ if !self.may_repeat(now, taken) => None,
+            _ => self.ownership.peer(taken.destination),
+        };
+        match peer {
+            Some(peer) => {
+                let terms = self.terms(now, taken);
+                self.handovers.add(now, id, &peer, terms);
+            }
+            None => self.deliver_locally(now, id),
         }
-        let Some(waiting) = self.waiting.get_mut(&id) else { return };
-        self.ends.remove(&(waiting.terms.ends_at, id));
-        self.ends.insert((terms.ends_at, id));
-        waiting.terms = terms;
-        let due = waiting.due;
-        if queued {
-            self.queue(id, due);
+    }
+
+    /// A message waits for an owner that may not be the one any more.
+    fn replace_owner(&mut self, now: Micros, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let goes_to = match &message.accepted.handover.offered {
+            Some(offered) => self.ownership.member(&offered.owner),
+            None => self.ownership.peer(message.accepted.destination),
+        };
+        if goes_to.as_ref().map(|peer| peer.name.as_str()) != self.handovers.peer_of(id) {
+            self.handovers.remove(id);
+            self.place(now, id);
         }
     }
 
-    /// An offer is not made after all: as one that did not reach its owner, which is not to blame.
-    pub fn on_offer_withheld(&mut self, now: Micros, id: MessageId) {
-        if let Some(peer) = self.remove_offer(id) {
-            self.queue(id, now + MAX_OFFER_BACKOFF_US);
-            self.schedule(&peer);
+    fn terms(&self, now: Micros, taken: &AcceptedMessage) -> HandoverTerms {
+        let doubt_ends = taken.handover.offered.as_ref().map(|offered| offered.offered_at + MAX_IN_DOUBT_US);
+        HandoverTerms {
+            destination: taken.destination,
+            ends_at: doubt_ends.map_or(taken.deadline, |at| at.min(taken.deadline)),
+            local_delivery_allowed: self.may_repeat(now, taken),
+            in_doubt: taken.handover.offered.is_some(),
         }
     }
 
-    /// An offer has ended. What it means for the message is not decided here; it is due again unless it is removed.
-    pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
-        let Some(peer) = self.remove_offer(id) else { return };
-        let Some(queue) = self.peers.get_mut(&peer) else { return };
-        let mut due = now;
-        if let OfferEnd::Taken | OfferEnd::Refused(_) = end {
-            queue.failing_since = None;
-            queue.not_before = 0;
-            queue.backoff.reset();
-            self.failing.remove(&peer);
-        } else {
-            if queue.failing_since.is_none() {
-                queue.failing_since = Some(now);
-                self.give_up_at.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
+    fn idempotency_of(&self, taken: &AcceptedMessage) -> ClassEffect {
+        let class = self.names.classes.iter().position(|class| *class == taken.class);
+        class
+            .and_then(|class| self.settings.classes.get(class))
+            .map(|class| class.idempotency)
+            .unwrap_or_default()
+    }
+
+    /// Whether a message may still be delivered though an attempt, or another forwarder, may have run it: by its class.
+    /// Which endpoints of a group may be tried after an attempt is the module's to know; where another forwarder would
+    /// have sent it, nobody here knows.
+    fn may_repeat(&self, now: Micros, taken: &AcceptedMessage) -> bool {
+        let offered = taken.handover.offered.as_ref().map(|offered| offered.offered_at);
+        let Some(first) =
+            taken.possible_delivery.as_ref().map(|trace| trace.started_at).into_iter().chain(offered).min()
+        else {
+            return true;
+        };
+        match self.idempotency_of(taken) {
+            ClassEffect::Idempotent => true,
+            ClassEffect::NonIdempotent => false,
+            ClassEffect::IdempotencyKey { scope: group, window } => {
+                let reaches_all = offered.is_none() || group == DeduplicationScope::All;
+                reaches_all && now < first.saturating_add(window)
             }
-            queue.not_before = now + queue.backoff.pause(MAX_OFFER_BACKOFF_US);
-            due = queue.not_before;
-            self.failing.insert(peer.clone());
-        }
-        if let (OfferEnd::Refused(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
-            let bound = FIRST_OFFER_BACKOFF_US
-                .saturating_mul(1 << waiting.refusals.min(10))
-                .min(MAX_OFFER_BACKOFF_US);
-            waiting.refusals += 1;
-            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.within(bound / 2));
         }
-        self.queue(id, due);
-        self.schedule(&peer);
     }
 
-    /// What is due: one decision after another, until there is none.
-    pub fn next(&mut self, now: Micros) -> Option<HandoverDecision> {
-        if let Some((at, id)) = self.ends.first().copied()
-            && at <= now
+    /// Whether who is told that a message has not been delivered may hand it in again: as the module has it.
+    fn may_be_rejected(&self, taken: &AcceptedMessage) -> bool {
+        let untouched = taken.handover.offered.is_none() && taken.possible_delivery.is_none();
+        let effect = self.idempotency_of(taken);
+        untouched
+            || matches!(
+                effect,
+                ClassEffect::Idempotent | ClassEffect::IdempotencyKey { scope: DeduplicationScope::All, .. }
+            )
+    }
+
+    /// The first message of a destination that is not, or not for long, this forwarder's own: the module begins there as
+    /// after an outage, with a trial and a ramp.
+    pub(super) fn slow_start_destination(&mut self, now: Micros, destination: DestinationId) {
+        let cold_time = self.settings.warm_up_time;
+        if self.ownership.is_new_to(now, destination, cold_time)
+            && self.ownership.slow_started.insert(destination)
         {
-            self.ends.pop_first();
-            return Some(HandoverDecision::TimeUp(id));
+            self.events.push(Event::RouteState {
+                destination,
+                endpoint: None,
+                ejected: true,
+                retry_after: 0,
+            });
         }
-        self.next_offer(now).or_else(|| self.next_local_delivery(now))
     }
 
-    /// When something is due next.
-    pub fn wake_at(&self) -> Option<Micros> {
-        let room = self.offers_in_flight.len() < MAX_OFFERS;
-        let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
-        let substitute = self.give_up_at.first().map(|(at, _)| *at);
-        let end = self.ends.first().map(|(at, _)| *at);
-        [offer, substitute, end].into_iter().flatten().min()
+    /// The owner that may have a message is asked no more: its class says what becomes of it.
+    fn resolve_in_doubt(&mut self, now: Micros, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if !self.may_repeat(now, &message.accepted) {
+            return self.finish(now, id, FinalAnswer::Failed);
+        }
+        self.count_offer_as_attempt(id);
+        self.place(now, id);
     }
 
-    fn next_offer(&mut self, now: Micros) -> Option<HandoverDecision> {
-        while self.offers_in_flight.len() < MAX_OFFERS
-            && let Some((at, peer)) = self.timers.first().cloned()
-            && at <= now
-        {
-            let queue = self.peers.get(&peer)?;
-            let (next, address) = (queue.next(now), queue.address);
-            if let Some(id) = next {
-                self.unqueue(id);
-                self.offers_in_flight.insert(id, peer.clone());
-                if let Some(queue) = self.peers.get_mut(&peer) {
-                    queue.offers_in_flight += 1;
-                }
-                self.schedule(&peer);
-                return Some(HandoverDecision::Offer(id, Peer { name: peer, address }));
-            }
-            self.schedule(&peer);
-            debug_assert!(
-                self.timers.first().is_none_or(|(at, _)| *at > now),
-                "an owner is due with nothing"
-            );
-        }
-        None
-    }
-
-    fn next_local_delivery(&mut self, now: Micros) -> Option<HandoverDecision> {
-        while self.give_up_at.first().is_some_and(|(at, _)| *at <= now) {
-            self.give_up_at.pop_first();
-            self.check_local_delivery = true;
-        }
-        if !self.check_local_delivery || self.local_deliveries.len() >= MAX_LOCAL_DELIVERIES {
-            return None;
-        }
-        for peer in &self.failing {
-            let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_done_without(now)) else {
-                continue;
-            };
-            if let Some(id) =
-                first_of_other_destination(&queue.local_delivery_allowed, &self.local_deliveries)
-            {
-                let destination = self.waiting.get(&id)?.terms.destination;
-                self.remove(id);
-                self.local_deliveries.insert(destination, id);
-                self.local_delivery_ids.insert(id, destination);
-                return Some(HandoverDecision::DeliverLocally(id));
+    fn count_offer_as_attempt(&mut self, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if message.accepted.handover.offered.is_none() {
+            return;
+        }
+        let txn = message.accepted.id.clone();
+        self.append(&[(&Record::HandoverInDoubt { message: txn }, b"")], None);
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.accepted.count_offer_as_attempt();
+        }
+    }
+
+    /// A message is the module's from now on, with what is known of it.
+    fn deliver_locally(&mut self, now: Micros, id: MessageId) {
+        if self.messages.get(&id).is_none_or(|message| message.in_controller) {
+            return;
+        }
+        self.pass_to_controller(now, id, false);
+        self.report_history(now, id);
+    }
+
+    /// Offers what is due, and ends what is out of time.
+    pub(super) fn run_handover_decisions(&mut self, now: Micros) {
+        if self.stage == ProcessStage::HandedOff {
+            return;
+        }
+        while let Some(decision) = self.handovers.next(now) {
+            match decision {
+                HandoverDecision::Offer(id, peer) => self.prepare_offer(now, id, &peer),
+                HandoverDecision::DeliverLocally(id) => self.deliver_for_owner(now, id),
+                HandoverDecision::TimeUp(id) => self.on_handover_time_up(now, id),
             }
         }
-        self.check_local_delivery = false;
-        None
     }
 
-    /// An offer is out no more; its owner, where the message still waits for one.
-    fn remove_offer(&mut self, id: MessageId) -> Option<String> {
-        let peer = self.offers_in_flight.remove(&id)?;
-        if let Some(queue) = self.peers.get_mut(&peer) {
-            queue.offers_in_flight -= 1;
+    /// The journal says whom a message is offered to before the first byte goes there.
+    fn prepare_offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if message.accepted.handover.offered.is_some() {
+            return self.offer(now, id, peer);
+        }
+        let (txn, to) = (message.accepted.id.clone(), peer.name.clone());
+        let record = Record::HandoverOffered { message: txn, owner: to.clone(), at: now };
+        self.append(&[(&record, b"")], Some(AfterAppend::SendOffer(id, peer.clone())));
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.accepted.handover.offered = Some(HandoverOffer { owner: to, offered_at: now });
         }
-        Some(peer)
     }
 
-    fn queue(&mut self, id: MessageId, due: Micros) {
-        self.unqueue(id);
-        let Some(waiting) = self.waiting.get_mut(&id) else { return };
-        waiting.due = due;
-        let (peer, terms) = (waiting.peer.clone(), waiting.terms);
-        let Some(queue) = self.peers.get_mut(&peer) else { return };
-        queue.due.insert((due, id));
-        if terms.in_doubt {
-            queue.in_doubt.insert(id);
+    /// The record of an offer is in the journal, or could not be: then nothing is offered.
+    pub(super) fn on_offer_recorded(&mut self, now: Micros, id: MessageId, peer: &Peer, stored: bool) {
+        if stored && self.stage != ProcessStage::HandedOff {
+            return self.offer(now, id, peer);
         }
-        if terms.local_delivery_allowed {
-            queue.local_delivery_allowed.insert((terms.destination, id));
-            self.check_local_delivery |= queue.failing_since.is_some();
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.accepted.handover.offered = None;
         }
-        self.schedule(&peer);
+        self.handovers.on_offer_withheld(now, id);
     }
 
-    fn unqueue(&mut self, id: MessageId) {
-        let Some(waiting) = self.waiting.get(&id) else { return };
-        let Some(queue) = self.peers.get_mut(&waiting.peer) else { return };
-        queue.due.remove(&(waiting.due, id));
-        queue.in_doubt.remove(&id);
-        queue.local_delivery_allowed.remove(&(waiting.terms.destination, id));
+    fn offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
+        let view = self.ownership.view.as_ref().map(|view| view.own_name().to_owned());
+        let (Some(message), Some(from)) = (self.messages.get(&id), view) else {
+            return self.handovers.on_offer_withheld(now, id);
+        };
+        let taken = message.accepted.clone();
+        let (deadline, attempts, ran) = (taken.deadline, taken.attempts, taken.possible_delivery.clone());
+        let first_offer = taken.handover.offered.as_ref().map_or(now, |offered| offered.offered_at);
+        let valid_until = first_offer + MAX_IN_DOUBT_US;
+        self.effects.push(Effect::Offer(Box::new(Offer {
+            id,
+            to: peer.address,
+            body: message.body.clone(),
+            mark: Mark { from, deadline, valid_until, attempts, ran },
+            until: taken.deadline.min(now + OFFER_TIMEOUT_US),
+            taken,
+        })));
     }
 
-    /// Puts an owner where it belongs among those that are due; one that nothing waits for is forgotten, unless it fails.
-    fn schedule(&mut self, peer: &str) {
-        let Some(queue) = self.peers.get_mut(peer) else { return };
-        let (before, after) = (queue.timer, queue.wake_at());
-        queue.timer = after;
-        if let Some(at) = before.filter(|at| Some(*at) != after) {
-            self.timers.remove(&(at, peer.to_owned()));
+    /// An offer has ended.
+    pub(super) fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+        let was_in_doubt = self.handovers.is_in_doubt(id);
+        self.handovers.on_offer_ended(now, id, end);
+        if self.messages.get(&id).is_none_or(|message| message.in_controller) {
+            return;
+        }
+        match end {
+            OfferEnd::Taken => return self.finish_handed_over(now, id),
+            OfferEnd::Refused(_) | OfferEnd::Unreached(_) if !was_in_doubt => self.record_declined(id),
+            OfferEnd::Refused(_) | OfferEnd::Unreached(_) => {}
+            OfferEnd::Unanswered(_) => self.ownership.counts.unanswered += 1,
+        }
+        if let OfferEnd::Unreached(why) | OfferEnd::Unanswered(why) = end {
+            let peer = self.handovers.peer_of(id).unwrap_or_default();
+            let doubt = if matches!(end, OfferEnd::Unanswered(_)) { " (in doubt)" } else { "" };
+            let txn = self.messages.get(&id).map_or("", |message| &message.accepted.id);
+            let line = format!("hand-over of {txn} to {peer}{doubt}: {why}");
+            self.log(line);
+        }
+        if self.stage == ProcessStage::HandedOff {
+            return self.release_to_successor(id);
         }
-        if let Some(at) = after.filter(|at| Some(*at) != before) {
-            self.timers.insert((at, peer.to_owned()));
+        if let Some(message) = self.messages.get(&id) {
+            let terms = self.terms(now, &message.accepted);
+            self.handovers.change(id, terms);
         }
+        self.replace_owner(now, id);
     }
 
-    /// Owners answer where the members do now; those that are no members are forgotten.
-    pub fn update_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
-        self.peers.retain(|name, queue| {
-            let address = member(name);
-            queue.address = address.unwrap_or(queue.address);
-            address.is_some() || queue.waiting > 0 || queue.offers_in_flight > 0
-        });
-        self.failing.retain(|name| self.peers.contains_key(name));
+    /// Its owner has the message: here it is over.
+    fn finish_handed_over(&mut self, now: Micros, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let txn = message.accepted.id.clone();
+        let to = message
+            .accepted
+            .handover
+            .offered
+            .as_ref()
+            .map_or_else(String::new, |offered| offered.owner.clone());
+        self.append(&[(&Record::HandedOver { message: txn.clone(), owner: to, at: now }, b"")], None);
+        self.ownership.counts.handed_over += 1;
+        self.figures.handed_over();
+        self.drop_message(id);
+        self.finished.remember(txn, now);
     }
-}
 
-/// The first message of a destination of which none is delivered here. At most as many are passed over as there are
-/// substitutes.
-fn first_of_other_destination(
-    messages: &BTreeSet<(DestinationId, MessageId)>,
-    taken: &BTreeMap<DestinationId, MessageId>,
-) -> Option<MessageId> {
-    let mut from = 0;
-    loop {
-        let (destination, id) = messages.range((from, 0)..).next()?;
-        if !taken.contains_key(destination) {
-            return Some(*id);
-        }
-        from = destination.checked_add(1)?;
+    /// The owner never took the message.
+    fn record_declined(&mut self, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let txn = message.accepted.id.clone();
+        self.append(&[(&Record::HandoverDeclined { message: txn }, b"")], None);
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.accepted.handover.offered = None;
+        }
+    }
+
+    /// A message is delivered here for lack of an owner.
+    fn deliver_for_owner(&mut self, now: Micros, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if !self.may_repeat(now, &message.accepted) {
+            // A window has ended since.
+            return self.place(now, id);
+        }
+        if message.accepted.handover.offered.is_some() {
+            // A start must not offer again what has been begun here.
+            self.count_offer_as_attempt(id);
+            self.record_kept_local(id);
+        }
+        self.ownership.counts.delivered_for_owner += 1;
+        self.deliver_locally(now, id);
+    }
+
+    fn record_kept_local(&mut self, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let txn = message.accepted.id.clone();
+        self.append(&[(&Record::KeptLocal { message: txn }, b"")], None);
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.accepted.handover.kept_local = true;
+        }
+    }
+
+    /// The time of a message is up while it waits for its owner. In doubt before its deadline, its class says what becomes
+    /// of it.
+    fn on_handover_time_up(&mut self, now: Micros, id: MessageId) {
+        if self.handovers.is_offer_in_flight(id) {
+            // Its offer ends no later than that, and may bring the answer.
+            return;
+        }
+        let Some(message) = self.messages.get(&id) else { return };
+        let taken = &message.accepted;
+        if now < taken.deadline {
+            self.handovers.remove(id);
+            return self.resolve_in_doubt(now, id);
+        }
+        let verdict = if self.may_be_rejected(taken) {
+            FinalAnswer::Rejected { retry_after_ms: 0 }
+        } else {
+            FinalAnswer::Failed
+        };
+        self.finish(now, id, verdict);
+    }
+
+    /// The figures of hand-overs, a line each; none where there are no owners.
+    pub(super) fn ownership_figures(&self, now: Micros) -> String {
+        let Some(view) = &self.ownership.view else { return String::new() };
+        let counts = &self.ownership.counts;
+        let (waiting, substitutes) = self.handovers.counts();
+        let age = (now - self.ownership.view_since).max(0) / 1_000_000;
+        let mut lines = String::new();
+        for (name, value) in [
+            ("owned", self.ownership.owned(&self.destinations.with_endpoints())),
+            ("handed_over", counts.handed_over),
+            ("taken_over", counts.taken_over),
+            ("taken_over_from_strangers", counts.from_non_members),
+            ("delivered_for_lack_of_owner", counts.delivered_for_owner),
+            ("delivering_for_lack_of_owner", substitutes as u64),
+            ("handover_unanswered", counts.unanswered),
+            ("handover_waiting", waiting as u64),
+            ("owners_members", view.members() as u64),
+            ("owners_view", view.version()),
+            ("owners_view_age_s", age.unsigned_abs()),
+        ] {
+            // Writing to a string does not fail.
+            let _ = writeln!(lines, "app_{name} {value}");
+        }
+        lines
     }
 }
--- /dev/null
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -0,0 +1,409 @@
+//! Hand-overs: which messages wait for the owners of their destinations, when each is offered, and what is done here
+//! for lack of an owner. No I/O and no journal; see `docs/handover.md`.
+//!
+//! Work in a call is proportional to what is due in it: owners with something due stand in an ordered set, and so do
+//! the ends of time.
+
+use crate::backoff::Backoff;
+use crate::ownership::{OfferEnd, Peer};
+use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+const SECOND_US: Micros = 1_000_000;
+/// An offer without an answer by then is over; the owner may have taken the message.
+pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
+/// A message in doubt is offered again for so long after its first offer: the owner remembers ids that are over for
+/// longer than this.
+pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
+/// An owner that has failed for so long is done without.
+const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
+/// Offers out at once, to one owner.
+const MAX_OFFERS_PER_OWNER: usize = 16;
+/// Offers out at once, in all.
+const MAX_OFFERS: usize = 64;
+/// Messages that are delivered here at once for lack of an owner; one of a destination.
+const MAX_LOCAL_DELIVERIES: usize = 32;
+/// Messages that wait for one owner; more are refused at the door.
+const MAX_WAITING_PER_OWNER: usize = 1000;
+/// The bounds of the pause before an offer is repeated.
+const FIRST_OFFER_BACKOFF_US: Micros = 100_000;
+const MAX_OFFER_BACKOFF_US: Micros = 2 * SECOND_US;
+
+/// What a message is to its hand-over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct HandoverTerms {
+    /// Its destination.
+    pub destination: DestinationId,
+    /// When no more is to be waited for: its deadline, or in doubt the end of that.
+    pub ends_at: Micros,
+    /// It may be delivered here for lack of an owner.
+    pub local_delivery_allowed: bool,
+    /// The owner may have it.
+    pub in_doubt: bool,
+}
+
+/// What is to be done with a message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum HandoverDecision {
+    /// Offer it to its owner.
+    Offer(MessageId, Peer),
+    /// Deliver it here for lack of an owner.
+    DeliverLocally(MessageId),
+    /// Its time is up.
+    TimeUp(MessageId),
+}
+
+/// A message that waits for its owner.
+#[derive(Debug)]
+struct WaitingMessage {
+    terms: HandoverTerms,
+    peer: String,
+    due: Micros,
+    refusals: u32,
+}
+
+/// An owner that messages wait for.
+#[derive(Debug)]
+struct OwnerQueue {
+    address: SocketAddr,
+    /// Those that are not out, by when they are due.
+    due: BTreeSet<(Micros, MessageId)>,
+    /// Those of them that it may have: the first to be offered again while it fails.
+    in_doubt: BTreeSet<MessageId>,
+    /// Those of them that may be delivered here.
+    local_delivery_allowed: BTreeSet<(DestinationId, MessageId)>,
+    waiting: usize,
+    offers_in_flight: usize,
+    failing_since: Option<Micros>,
+    not_before: Micros,
+    backoff: Backoff,
+    /// Its entry in the set of those that are due.
+    timer: Option<Micros>,
+}
+
+impl OwnerQueue {
+    fn new(address: SocketAddr, seed: u64) -> Self {
+        OwnerQueue {
+            address,
+            due: BTreeSet::new(),
+            in_doubt: BTreeSet::new(),
+            local_delivery_allowed: BTreeSet::new(),
+            waiting: 0,
+            offers_in_flight: 0,
+            failing_since: None,
+            not_before: 0,
+            backoff: Backoff::new(FIRST_OFFER_BACKOFF_US, seed),
+            timer: None,
+        }
+    }
+
+    /// When something may be offered to it next.
+    fn wake_at(&self) -> Option<Micros> {
+        let most = if self.failing_since.is_some() { 1 } else { MAX_OFFERS_PER_OWNER };
+        let (first, _) = self.due.first()?;
+        (self.offers_in_flight < most).then_some((*first).max(self.not_before))
+    }
+
+    /// The next message to offer. One that fails is asked about what it may have already, where there is any.
+    fn next(&self, now: Micros) -> Option<MessageId> {
+        if self.failing_since.is_some()
+            && let Some(id) = self.in_doubt.first()
+        {
+            return Some(*id);
+        }
+        self.due.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
+    }
+
+    fn is_done_without(&self, now: Micros) -> bool {
+        self.failing_since.is_some_and(|since| now - since >= OWNER_FAILING_LIMIT_US)
+    }
+}
+
+/// All hand-overs of a forwarder.
+#[derive(Debug, Default)]
+pub(super) struct HandoverSchedule {
+    waiting: BTreeMap<MessageId, WaitingMessage>,
+    peers: BTreeMap<String, OwnerQueue>,
+    /// Owners by when something may be offered to them.
+    timers: BTreeSet<(Micros, String)>,
+    ends: BTreeSet<(Micros, MessageId)>,
+    /// Offers that are out, with their owners; the message may be gone meanwhile.
+    offers_in_flight: BTreeMap<MessageId, String>,
+    /// Owners that fail.
+    failing: BTreeSet<String>,
+    /// When owners that fail will be done without.
+    give_up_at: BTreeSet<(Micros, String)>,
+    /// Those delivered here for lack of an owner.
+    local_deliveries: BTreeMap<DestinationId, MessageId>,
+    local_delivery_ids: BTreeMap<MessageId, DestinationId>,
+    /// Whether more of those may be possible than when it was last looked at.
+    check_local_delivery: bool,
+    seed: u64,
+}
+
+impl HandoverSchedule {
+    /// None yet; chance follows from `seed`.
+    pub fn new(seed: u64) -> Self {
+        HandoverSchedule { seed, ..HandoverSchedule::default() }
+    }
+
+    /// Whether its offer is out.
+    pub fn is_offer_in_flight(&self, id: MessageId) -> bool {
+        self.offers_in_flight.contains_key(&id)
+    }
+
+    /// Whether the owner may have it since before its last offer.
+    pub fn is_in_doubt(&self, id: MessageId) -> bool {
+        self.waiting.get(&id).is_some_and(|waiting| waiting.terms.in_doubt)
+    }
+
+    /// The owner that a message waits for.
+    pub fn peer_of(&self, id: MessageId) -> Option<&str> {
+        self.waiting.get(&id).map(|waiting| waiting.peer.as_str())
+    }
+
+    /// All that wait.
+    pub fn ids(&self) -> Vec<MessageId> {
+        self.waiting.keys().copied().collect()
+    }
+
+    /// How many wait, and how many are delivered here for lack of an owner.
+    pub fn counts(&self) -> (usize, usize) {
+        (self.waiting.len(), self.local_deliveries.len())
+    }
+
+    /// Whether so many wait for this owner that no more are to be taken on.
+    pub fn is_full(&self, peer: &str) -> bool {
+        self.peers.get(peer).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
+    }
+
+    /// A message waits for its owner from now on.
+    pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: HandoverTerms) {
+        self.seed = self.seed.wrapping_add(1);
+        let seed = self.seed;
+        let queue =
+            self.peers.entry(peer.name.clone()).or_insert_with(|| OwnerQueue::new(peer.address, seed));
+        queue.address = peer.address;
+        queue.waiting += 1;
+        self.ends.insert((terms.ends_at, id));
+        self.waiting.insert(id, WaitingMessage { terms, peer: peer.name.clone(), due: now, refusals: 0 });
+        self.queue(id, now);
+    }
+
+    /// A message does not wait for its owner any more, or is not here any more: all that is known of it goes, but for an
+    /// offer that is out.
+    pub fn remove(&mut self, id: MessageId) {
+        if let Some(destination) = self.local_delivery_ids.remove(&id) {
+            self.local_deliveries.remove(&destination);
+            self.check_local_delivery = true;
+        }
+        let Some(waiting) = self.waiting.get(&id) else { return };
+        self.ends.remove(&(waiting.terms.ends_at, id));
+        let peer = waiting.peer.clone();
+        self.unqueue(id);
+        self.waiting.remove(&id);
+        if let Some(queue) = self.peers.get_mut(&peer) {
+            queue.waiting -= 1;
+        }
+        self.schedule(&peer);
+    }
+
+    /// The terms of a message have changed.
+    pub fn change(&mut self, id: MessageId, terms: HandoverTerms) {
+        let queued = !self.offers_in_flight.contains_key(&id);
+        if queued {
+            self.unqueue(id);
+        }
+        let Some(waiting) = self.waiting.get_mut(&id) else { return };
+        self.ends.remove(&(waiting.terms.ends_at, id));
+        self.ends.insert((terms.ends_at, id));
+        waiting.terms = terms;
+        let due = waiting.due;
+        if queued {
+            self.queue(id, due);
+        }
+    }
+
+    /// An offer is not made after all: as one that did not reach its owner, which is not to blame.
+    pub fn on_offer_withheld(&mut self, now: Micros, id: MessageId) {
+        if let Some(peer) = self.remove_offer(id) {
+            self.queue(id, now + MAX_OFFER_BACKOFF_US);
+            self.schedule(&peer);
+        }
+    }
+
+    /// An offer has ended. What it means for the message is not decided here; it is due again unless it is removed.
+    pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+        let Some(peer) = self.remove_offer(id) else { return };
+        let Some(queue) = self.peers.get_mut(&peer) else { return };
+        let mut due = now;
+        if let OfferEnd::Taken | OfferEnd::Refused(_) = end {
+            queue.failing_since = None;
+            queue.not_before = 0;
+            queue.backoff.reset();
+            self.failing.remove(&peer);
+        } else {
+            if queue.failing_since.is_none() {
+                queue.failing_since = Some(now);
+                self.give_up_at.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
+            }
+            queue.not_before = now + queue.backoff.pause(MAX_OFFER_BACKOFF_US);
+            due = queue.not_before;
+            self.failing.insert(peer.clone());
+        }
+        if let (OfferEnd::Refused(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
+            let bound = FIRST_OFFER_BACKOFF_US
+                .saturating_mul(1 << waiting.refusals.min(10))
+                .min(MAX_OFFER_BACKOFF_US);
+            waiting.refusals += 1;
+            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.within(bound / 2));
+        }
+        self.queue(id, due);
+        self.schedule(&peer);
+    }
+
+    /// What is due: one decision after another, until there is none.
+    pub fn next(&mut self, now: Micros) -> Option<HandoverDecision> {
+        if let Some((at, id)) = self.ends.first().copied()
+            && at <= now
+        {
+            self.ends.pop_first();
+            return Some(HandoverDecision::TimeUp(id));
+        }
+        self.next_offer(now).or_else(|| self.next_local_delivery(now))
+    }
+
+    /// When something is due next.
+    pub fn wake_at(&self) -> Option<Micros> {
+        let room = self.offers_in_flight.len() < MAX_OFFERS;
+        let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
+        let substitute = self.give_up_at.first().map(|(at, _)| *at);
+        let end = self.ends.first().map(|(at, _)| *at);
+        [offer, substitute, end].into_iter().flatten().min()
+    }
+
+    fn next_offer(&mut self, now: Micros) -> Option<HandoverDecision> {
+        while self.offers_in_flight.len() < MAX_OFFERS
+            && let Some((at, peer)) = self.timers.first().cloned()
+            && at <= now
+        {
+            let queue = self.peers.get(&peer)?;
+            let (next, address) = (queue.next(now), queue.address);
+            if let Some(id) = next {
+                self.unqueue(id);
+                self.offers_in_flight.insert(id, peer.clone());
+                if let Some(queue) = self.peers.get_mut(&peer) {
+                    queue.offers_in_flight += 1;
+                }
+                self.schedule(&peer);
+                return Some(HandoverDecision::Offer(id, Peer { name: peer, address }));
+            }
+            self.schedule(&peer);
+            debug_assert!(
+                self.timers.first().is_none_or(|(at, _)| *at > now),
+                "an owner is due with nothing"
+            );
+        }
+        None
+    }
+
+    fn next_local_delivery(&mut self, now: Micros) -> Option<HandoverDecision> {
+        while self.give_up_at.first().is_some_and(|(at, _)| *at <= now) {
+            self.give_up_at.pop_first();
+            self.check_local_delivery = true;
+        }
+        if !self.check_local_delivery || self.local_deliveries.len() >= MAX_LOCAL_DELIVERIES {
+            return None;
+        }
+        for peer in &self.failing {
+            let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_done_without(now)) else {
+                continue;
+            };
+            if let Some(id) =
+                first_of_other_destination(&queue.local_delivery_allowed, &self.local_deliveries)
+            {
+                let destination = self.waiting.get(&id)?.terms.destination;
+                self.remove(id);
+                self.local_deliveries.insert(destination, id);
+                self.local_delivery_ids.insert(id, destination);
+                return Some(HandoverDecision::DeliverLocally(id));
+            }
+        }
+        self.check_local_delivery = false;
+        None
+    }
+
+    /// An offer is out no more; its owner, where the message still waits for one.
+    fn remove_offer(&mut self, id: MessageId) -> Option<String> {
+        let peer = self.offers_in_flight.remove(&id)?;
+        if let Some(queue) = self.peers.get_mut(&peer) {
+            queue.offers_in_flight -= 1;
+        }
+        Some(peer)
+    }
+
+    fn queue(&mut self, id: MessageId, due: Micros) {
+        self.unqueue(id);
+        let Some(waiting) = self.waiting.get_mut(&id) else { return };
+        waiting.due = due;
+        let (peer, terms) = (waiting.peer.clone(), waiting.terms);
+        let Some(queue) = self.peers.get_mut(&peer) else { return };
+        queue.due.insert((due, id));
+        if terms.in_doubt {
+            queue.in_doubt.insert(id);
+        }
+        if terms.local_delivery_allowed {
+            queue.local_delivery_allowed.insert((terms.destination, id));
+            self.check_local_delivery |= queue.failing_since.is_some();
+        }
+        self.schedule(&peer);
+    }
+
+    fn unqueue(&mut self, id: MessageId) {
+        let Some(waiting) = self.waiting.get(&id) else { return };
+        let Some(queue) = self.peers.get_mut(&waiting.peer) else { return };
+        queue.due.remove(&(waiting.due, id));
+        queue.in_doubt.remove(&id);
+        queue.local_delivery_allowed.remove(&(waiting.terms.destination, id));
+    }
+
+    /// Puts an owner where it belongs among those that are due; one that nothing waits for is forgotten, unless it fails.
+    fn schedule(&mut self, peer: &str) {
+        let Some(queue) = self.peers.get_mut(peer) else { return };
+        let (before, after) = (queue.timer, queue.wake_at());
+        queue.timer = after;
+        if let Some(at) = before.filter(|at| Some(*at) != after) {
+            self.timers.remove(&(at, peer.to_owned()));
+        }
+        if let Some(at) = after.filter(|at| Some(*at) != before) {
+            self.timers.insert((at, peer.to_owned()));
+        }
+    }
+
+    /// Owners answer where the members do now; those that are no members are forgotten.
+    pub fn update_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
+        self.peers.retain(|name, queue| {
+            let address = member(name);
+            queue.address = address.unwrap_or(queue.address);
+            address.is_some() || queue.waiting > 0 || queue.offers_in_flight > 0
+        });
+        self.failing.retain(|name| self.peers.contains_key(name));
+    }
+}
+
+/// The first message of a destination of which none is delivered here. At most as many are passed over as there are
+/// substitutes.
+fn first_of_other_destination(
+    messages: &BTreeSet<(DestinationId, MessageId)>,
+    taken: &BTreeMap<DestinationId, MessageId>,
+) -> Option<MessageId> {
+    let mut from = 0;
+    loop {
+        let (destination, id) = messages.range((from, 0)..).next()?;
+        if !taken.contains_key(destination) {
+            return Some(*id);
+        }
+        from = destination.checked_add(1)?;
+    }
+}
--- a/crates/forwarder/src/reducer/waits.rs
+++ b/crates/forwarder/src/reducer/retry_after_table.rs
@@ -1,6 +1,6 @@
 //! Waits that were told, by route, and in the order of their ends.
 
-use super::routes::RouteKey;
+use super::route_state::RouteKey;
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/forwarder/src/reducer/succession.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -6,11 +6,11 @@
 //! own, and only what is in its own file does a process send. So at each moment, and over a kill at any of them, one
 //! process alone may begin an attempt for a message.
 
-use super::messages::message_size;
-use super::notices::id_size;
-use super::operators::OverrideChange;
-use super::records::RecoveredState;
-use super::routes::RouteKey;
+use super::durability::RecoveredState;
+use super::final_answers::id_size;
+use super::message_table::message_size;
+use super::operator_overrides::OverrideChange;
+use super::route_state::RouteKey;
 use super::{AfterAppend, Reducer};
 use crate::figures::End;
 use crate::input::{Effect, OtherProcessUpdate};
