--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -1,337 +1,232 @@
-//! Delivery attempts: from the module's sends to the end of each.
+//! Delivery attempts up to the first byte: the controller's sends become calls, a call gets a connection, and its record
+//! is in the journal before it is written. What becomes of a call is in [`call_results`](super::call_results).
 
+use super::Reducer;
+use super::call_results::ReplyInfo;
+use super::call_table::{AttemptId, Call};
+use super::durability::AfterAppend;
 use super::message_table::Message;
-use super::{AfterAppend, Reducer};
-use crate::figures::End;
-use crate::hop_call::{self, Call, EndpointCallError, Part, Reply};
+use crate::hop_call::{self, Part};
 use crate::input::Effect;
 use crate::pool::{CallId, Claim, EndpointConnectionId};
-use crate::retry_after;
 use orchidyoke_core::interface::{
-    AttemptResult, DeduplicationScope, EndpointId, EndpointState, Event, Idempotency as ClassEffect,
-    MessageId, Micros, Outcome, UNKNOWN_ZONE,
+    DeduplicationScope, EndpointId, EndpointState, Idempotency, MessageId, Micros, Outcome, UNKNOWN_ZONE,
 };
-use orchidyoke_journal::{AttemptStart, FinalAnswer, ProcessStage, Record};
+use orchidyoke_journal::{AttemptStart, Record};
 
-/// A dial ends this long after the time that the settings allow: one that comes up in its last moment counts.
+/// A connection attempt ends this long after the time that the settings allow: one that comes up in its last moment
+/// counts.
 const CONNECT_MARGIN_US: Micros = 1_000;
 
-/// A delivery attempt for one message, or for several that share a call.
-#[derive(Debug)]
-pub(super) struct InFlightCall {
+/// A send of the controller.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Send {
+    pub message: MessageId,
     pub endpoint: EndpointId,
-    pub attempts: Vec<(MessageId, u32)>,
-    /// Their ids, from when the call begins: a message may be over before the call is.
-    message_names: Vec<String>,
-    sent_at: Micros,
-    times_out_at: Micros,
-    /// It went on a connection that had been idle.
-    reused_connection: bool,
-    /// Its record is in the journal.
-    is_recorded: bool,
-}
-
-impl InFlightCall {
-    /// Whether its record is in the journal: it may have been written.
-    pub fn may_be_written(&self) -> bool {
-        self.is_recorded
-    }
-}
-
-/// What an answer tells beside the ends of its messages.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ReplyInfo {
-    retry_after: Micros,
-    reported_limit: Option<f64>,
-    reported_remaining: Option<f64>,
-    /// It came after the time of a message in its call.
-    late: bool,
+    pub timeout: Micros,
 }
 
 impl Reducer {
-    /// Sends of one turn to one endpoint share calls, as far as its kind takes them.
-    pub(super) fn start_calls(&mut self, now: Micros, sends: Vec<(MessageId, EndpointId, Micros)>) {
-        let mut calls: Vec<InFlightCall> = Vec::new();
-        for (id, hop, timeout) in sends {
-            let Some(message) = self.messages.get_mut(&id) else { continue };
-            let part = (id, message.accepted.attempts);
+    /// Sends of one round to one endpoint share calls, as far as its kind takes them.
+    pub(super) fn start_calls(&mut self, now: Micros, sends: Vec<Send>) {
+        let mut calls: Vec<Call> = Vec::new();
+        for Send { message: number, endpoint, timeout } in sends {
+            let Some(message) = self.messages.get_mut(number) else { continue };
+            let attempt = AttemptId { message: number, attempt: message.accepted.attempts };
             message.accepted.attempts += 1;
-            let batch = self.max_batch(hop);
-            let due = now + timeout.max(1);
-            match calls.iter_mut().find(|c| c.endpoint == hop && c.attempts.len() < batch) {
+            let max_batch = self.max_batch(endpoint);
+            let times_out_at = now + timeout.max(1);
+            match calls.iter_mut().find(|c| c.endpoint == endpoint && c.attempts.len() < max_batch) {
                 Some(call) => {
-                    call.attempts.push(part);
-                    // One connection, one end: the call waits for the one of its messages that waits longest.
-                    call.times_out_at = call.times_out_at.max(due);
-                }
-                None => {
-                    let parts = vec![part];
-                    let txns = Vec::new();
-                    calls.push(InFlightCall {
-                        endpoint: hop,
-                        attempts: parts,
-                        message_names: txns,
-                        sent_at: now,
-                        times_out_at: due,
-                        reused_connection: false,
-                        is_recorded: false,
-                    });
+                    call.attempts.push(attempt);
+                    // One connection, one end: the call waits for the message that waits longest.
+                    call.times_out_at = call.times_out_at.max(times_out_at);
                 }
+                None => calls.push(Call::new(endpoint, attempt, now, times_out_at)),
             }
         }
-        for flight in calls {
-            self.next_call += 1;
-            let call = self.next_call;
-            let claim = self.pool.claim(flight.endpoint, call, now);
-            let reused = matches!(claim, Claim::Idle(_));
-            self.in_flight.insert(call, InFlightCall { reused_connection: reused, ..flight });
-            match claim {
-                Claim::Idle(link) => self.on_connection_up(now, call, link),
-                Claim::Dial(link) => self.connect(now, call, link),
-            }
+        for call in calls {
+            self.start_call(now, call);
+        }
+    }
+
+    fn start_call(&mut self, now: Micros, mut call: Call) {
+        let id = self.calls.next_id();
+        let claim = self.pool.claim(call.endpoint, id, now);
+        call.reused_connection = matches!(claim, Claim::Idle(_));
+        self.calls.insert(id, call);
+        match claim {
+            Claim::Idle(connection) => self.on_connection_ready(now, id, connection),
+            Claim::Dial(connection) => self.connect(now, id, connection),
         }
     }
 
-    pub(super) fn max_batch(&self, hop: EndpointId) -> usize {
-        self.endpoints.get(&hop).and_then(|hop| self.kind_of(&hop.uid)).map_or(1, |kind| kind.max_batch)
+    /// How many messages a call to an endpoint may have.
+    fn max_batch(&self, endpoint: EndpointId) -> usize {
+        let known = self.endpoints.get(endpoint);
+        known.and_then(|known| self.kind_of(&known.uid)).map_or(1, |kind| kind.max_batch)
     }
 
-    pub(super) fn connect(&mut self, now: Micros, call: CallId, link: EndpointConnectionId) {
-        let Some(flight) = self.in_flight.get(&call) else { return };
-        let target = self.endpoints.get(&flight.endpoint).and_then(|hop| self.endpoint_list.get(&hop.uid));
-        let Some(target) = target else {
-            self.pool.closed(link);
-            return self.abandon_call(now, call);
+    /// Opens a new connection for a call.
+    pub(super) fn connect(&mut self, now: Micros, id: CallId, connection: EndpointConnectionId) {
+        let Some(call) = self.calls.get(id) else { return };
+        let known = self.endpoints.get(call.endpoint);
+        let Some(listed) = known.and_then(|known| self.endpoints.listed(&known.uid)) else {
+            self.pool.closed(connection);
+            return self.abandon_call(now, id);
         };
-        let until = flight.times_out_at.min(now + self.settings.connect_timeout + CONNECT_MARGIN_US);
-        self.effects.push(Effect::Connect { connection: link, address: target.address, until });
+        let until = call.times_out_at.min(now + self.settings.connect_timeout + CONNECT_MARGIN_US);
+        self.effects.push(Effect::Connect { connection, address: listed.address, until });
     }
 
-    /// A connection is there: whether the call may still go is decided now, and its record comes first.
-    pub(super) fn on_connection_up(&mut self, now: Micros, call: CallId, link: EndpointConnectionId) {
-        let Some(flight) = self.in_flight.get(&call) else { return };
-        if self.pool.is_retired(link) {
-            // Its endpoint has moved while the connection came up.
-            let to = flight.endpoint;
-            self.pool.closed(link);
-            self.effects.push(Effect::CloseConnection { connection: link });
-            let link = self.pool.dial(to, call);
-            return self.connect(now, call, link);
+    /// A connection is up.
+    pub(super) fn on_connection_up(&mut self, now: Micros, connection: EndpointConnectionId) {
+        if let Some(call) = self.pool.is_up(connection) {
+            self.on_connection_ready(now, call, connection);
         }
-        let Some(hop) = self.endpoints.get(&flight.endpoint) else { return };
-        let in_service = self.state_of(&hop.uid) == Some(EndpointState::Active);
-        let Some(flight) = self.in_flight.get(&call) else { return };
-        let waiting = self.is_held_by_retry_after(now, flight.endpoint);
-        let az = self.endpoint_list.get(&hop.uid).map_or_else(String::new, |target| target.zone.to_string());
-        let trace = AttemptStart { started_at: now, endpoint: hop.uid.to_string(), zone: az };
-        let goes = |(id, _): &(MessageId, u32)| {
-            self.messages.get(id).is_some_and(|m| self.may_send_to(now, m, &trace))
+    }
+
+    /// A call has a connection: which of its messages may still go is decided now, and its record comes first.
+    fn on_connection_ready(&mut self, now: Micros, id: CallId, connection: EndpointConnectionId) {
+        let Some(call) = self.calls.get(id) else { return };
+        let endpoint = call.endpoint;
+        if self.pool.is_retired(connection) {
+            // Its endpoint has moved while the connection came up.
+            self.pool.closed(connection);
+            self.effects.push(Effect::CloseConnection { connection });
+            let connection = self.pool.dial(endpoint, id);
+            return self.connect(now, id, connection);
+        }
+        let Some(known) = self.endpoints.get(endpoint) else { return };
+        let is_active = self.state_of(&known.uid) == Some(EndpointState::Active);
+        let is_held = self.is_held_by_retry_after(now, endpoint);
+        let listed = self.endpoints.listed(&known.uid);
+        let zone = listed.map_or_else(String::new, |listed| listed.zone.to_string());
+        let start = AttemptStart { started_at: now, endpoint: known.uid.to_string(), zone };
+        self.drop_attempts_that_may_not_go(now, id, &start);
+        let Some(call) = self.calls.get_mut(id) else { return };
+        let was_recorded = std::mem::replace(&mut call.is_recorded, true);
+        if call.attempts.is_empty() || !is_active || is_held {
+            self.pool.release(connection, now);
+            return self.abandon_call(now, id);
+        }
+        if was_recorded {
+            return self.on_attempt_recorded(now, id, true);
+        }
+        self.record_attempts(id, start);
+    }
+
+    /// The connection took time, and a message may have reached its deadline or the list may have moved the endpoint.
+    fn drop_attempts_that_may_not_go(&mut self, now: Micros, id: CallId, start: &AttemptStart) {
+        let Some(call) = self.calls.get(id) else { return };
+        let sent_at = call.sent_at;
+        let may_go = |attempt: &AttemptId| {
+            let message = self.messages.get(attempt.message);
+            message.is_some_and(|message| self.may_send_to(now, message, start))
         };
-        let (parts, gone): (Vec<_>, Vec<_>) = flight.attempts.iter().copied().partition(goes);
-        let Some(flight) = self.in_flight.get_mut(&call) else { return };
-        flight.attempts = parts;
-        let begun = std::mem::replace(&mut flight.is_recorded, true);
-        let sent = flight.sent_at;
-        let txns = flight.attempts.iter().filter_map(|(id, _)| self.messages.get(id));
-        let txns: Vec<_> = txns.map(|m| m.accepted.id.clone()).collect();
-        flight.message_names.clone_from(&txns);
-        for part in gone {
-            self.finish_attempt(now, part, Outcome::NotSent, sent, ReplyInfo::default());
-        }
-        if txns.is_empty() || !in_service || waiting {
-            self.pool.release(link, now);
-            return self.abandon_call(now, call);
-        }
-        if begun {
-            return self.on_attempt_recorded(now, call, true);
+        let (going, dropped): (Vec<_>, Vec<_>) = call.attempts.iter().copied().partition(may_go);
+        let messages = going.iter().filter_map(|attempt| self.messages.get(attempt.message));
+        let message_ids = messages.map(|message| message.accepted.id.clone()).collect();
+        let Some(call) = self.calls.get_mut(id) else { return };
+        call.attempts = going;
+        call.message_ids = message_ids;
+        for attempt in dropped {
+            self.finish_attempt(now, attempt, Outcome::NotSent, sent_at, ReplyInfo::default());
         }
-        self.append(
-            &[(&Record::AttemptStarted { messages: txns, attempt: trace.clone() }, b"")],
-            Some(AfterAppend::SendCall(call)),
-        );
-        for (id, _) in self.in_flight.get(&call).map(|f| f.attempts.clone()).into_iter().flatten() {
-            if let Some(message) = self.messages.get_mut(&id) {
-                message.accepted.in_flight = Some(trace.clone());
+    }
+
+    /// The journal says which messages go where before the first byte does.
+    fn record_attempts(&mut self, id: CallId, start: AttemptStart) {
+        let Some(call) = self.calls.get(id) else { return };
+        let attempts = call.attempts.clone();
+        let messages = call.message_ids.clone();
+        let record = Record::AttemptStarted { messages, attempt: start.clone() };
+        self.append(&[(&record, b"")], Some(AfterAppend::SendCall(id)));
+        for attempt in attempts {
+            if let Some(message) = self.messages.get_mut(attempt.message) {
+                message.accepted.in_flight = Some(start.clone());
             }
         }
     }
 
-    /// Whether a message may still go to this endpoint: the dial took time, and the list may have moved the endpoint.
-    /// One that may have run is repeated only in time and where the repeat is dropped.
+    /// Whether a message may still go to this endpoint. One that may have been delivered is sent again only before its
+    /// deadline and where the endpoint drops the repeat.
     fn may_send_to(&self, now: Micros, message: &Message, to: &AttemptStart) -> bool {
-        let taken = &message.accepted;
-        let class = self.names.classes.iter().position(|class| *class == taken.class);
-        let effect = class.and_then(|class| self.settings.classes.get(class)).map(|class| class.idempotency);
-        let repeats = match (&taken.possible_delivery, effect.unwrap_or_default()) {
-            (None, _) | (_, ClassEffect::Idempotent) => true,
-            (Some(_), ClassEffect::NonIdempotent) => false,
-            (Some(ran), ClassEffect::IdempotencyKey { scope: group, window }) => {
-                let (_, hop, zone) = self.attempt_origin(now, ran);
-                let same = self.endpoint_ids.get(to.endpoint.as_str()) == Some(&hop);
-                now < ran.started_at.saturating_add(window)
-                    && match group {
-                        DeduplicationScope::All => true,
-                        DeduplicationScope::Zone => {
-                            zone == self.zone_number(&to.zone) && (zone != UNKNOWN_ZONE || same)
-                        }
-                        DeduplicationScope::Endpoint => same,
-                    }
+        let accepted = &message.accepted;
+        let may_repeat = match (&accepted.possible_delivery, self.idempotency_of(accepted)) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NonIdempotent) => false,
+            (Some(first), Idempotency::IdempotencyKey { scope, window }) => {
+                let in_window = now < first.started_at.saturating_add(window);
+                in_window && self.is_in_scope(now, scope, first, to)
             }
         };
-        repeats && now < taken.deadline
+        may_repeat && now < accepted.deadline
     }
 
-    /// The record of a call is in the journal: its first byte may go.
-    pub(super) fn on_attempt_recorded(&mut self, now: Micros, call: CallId, stored: bool) {
-        let Some(link) = self.pool.link_of(call) else { return };
-        let Some(flight) = self.in_flight.get(&call) else { return };
-        let parts = flight.attempts.iter().filter_map(|(id, _)| self.messages.get(id)).filter(|m| m.stored);
-        let parts: Vec<_> = parts
-            .map(|m| Part {
-                txn: m.accepted.id.clone(),
-                key: m.accepted.idempotency_key.clone(),
-                body: m.body.clone(),
-            })
-            .collect();
-        if !stored || parts.is_empty() {
-            self.pool.release(link, now);
-            return self.abandon_call(now, call);
-        }
-        let bulk = self.max_batch(flight.endpoint) > 1 && parts.len() > 1;
-        let call = Call { parts, bulk, remaining: flight.times_out_at - now, due: flight.times_out_at };
-        self.effects.push(Effect::SendCall { connection: link, call });
-    }
-
-    /// The last byte of a call has gone.
-    pub(super) fn on_call_written(&mut self, link: EndpointConnectionId) {
-        let flight = self.pool.call_of(link).and_then(|call| self.in_flight.get(&call));
-        self.figures.dispatched(flight.map_or(0, |flight| flight.message_names.len()));
-    }
-
-    /// A call that was not written: none of its messages ran, and the next hop saw nothing.
-    pub(super) fn abandon_call(&mut self, now: Micros, call: CallId) {
-        let Some(flight) = self.in_flight.remove(&call) else { return };
-        for part in flight.attempts {
-            self.finish_attempt(now, part, Outcome::NotSent, flight.sent_at, ReplyInfo::default());
+    /// Whether `to` drops a repeat of what the first attempt may have delivered.
+    fn is_in_scope(
+        &self,
+        now: Micros,
+        scope: DeduplicationScope,
+        first: &AttemptStart,
+        to: &AttemptStart,
+    ) -> bool {
+        let origin = self.attempt_origin(now, first);
+        let same_endpoint = self.endpoints.id_of(&to.endpoint) == Some(origin.endpoint);
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => {
+                let same_zone = origin.zone == self.zone_number(&to.zone);
+                same_zone && (origin.zone != UNKNOWN_ZONE || same_endpoint)
+            }
+            DeduplicationScope::Endpoint => same_endpoint,
         }
     }
 
-    pub(super) fn on_call_answered(
-        &mut self,
-        now: Micros,
-        link: EndpointConnectionId,
-        reply: &Reply,
-        reusable: bool,
-    ) {
-        let call = if reusable { self.pool.call_of(link) } else { self.pool.closed(link) };
-        if reusable {
-            self.pool.release(link, now);
-        }
-        let Some(flight) = call.and_then(|call| self.in_flight.remove(&call)) else { return };
-        let wait = retry_after::to_micros(reply.wait_ms);
-        self.on_retry_after(now, flight.endpoint, wait);
-        let ends = hop_call::ends(reply, &flight.message_names);
-        let mut ends: Vec<_> = flight.attempts.iter().zip(ends).collect();
-        // The module judges a call by the first of its ends: push-back before success, not sent last.
-        ends.sort_by_key(|(_, end)| match end.outcome {
-            Outcome::Success => 1,
-            Outcome::NotSent => 2,
-            _ => 0,
-        });
-        let over =
-            |(id, _): &(MessageId, u32)| self.messages.get(id).is_none_or(|m| m.accepted.deadline <= now);
-        let late = flight.attempts.iter().any(over);
-        let told = ReplyInfo {
-            retry_after: wait,
-            reported_limit: reply.limit,
-            reported_remaining: reply.left,
-            late,
+    /// The record of a call is in the journal, or could not be: its first byte may go, or the call does not.
+    pub(super) fn on_attempt_recorded(&mut self, now: Micros, id: CallId, stored: bool) {
+        let Some(connection) = self.pool.link_of(id) else { return };
+        let Some(call) = self.calls.get(id) else { return };
+        let messages = call.attempts.iter().filter_map(|attempt| self.messages.get(attempt.message));
+        let part = |message: &Message| Part {
+            txn: message.accepted.id.clone(),
+            key: message.accepted.idempotency_key.clone(),
+            body: message.body.clone(),
         };
-        for (part, end) in ends {
-            if end.over {
-                // Over for the next hop, as of a client that has gone. Whether the platform still waits for an end
-                // is not known here, and a notice for what is over does no harm.
-                self.finish(now, part.0, FinalAnswer::Failed);
-            }
-            self.finish_attempt(now, *part, end.outcome, flight.sent_at, told);
+        let parts: Vec<_> = messages.filter(|message| message.stored).map(part).collect();
+        if !stored || parts.is_empty() {
+            self.pool.release(connection, now);
+            return self.abandon_call(now, id);
         }
+        let bulk = self.max_batch(call.endpoint) > 1 && parts.len() > 1;
+        let due = call.times_out_at;
+        let call = hop_call::Call { parts, bulk, remaining: due - now, due };
+        self.effects.push(Effect::SendCall { connection, call });
     }
 
-    /// A connection broke with a call on it, before or after the call was written.
-    pub(super) fn on_call_broken(&mut self, now: Micros, call: CallId, error: &EndpointCallError) {
-        let Some(flight) = self.in_flight.get_mut(&call) else { return };
-        // An idle connection may close just as it is chosen. Nothing whole was written, so the same attempt
-        // goes on a new connection; a refusal to connect would be laid to the next hop.
-        let goes_on = self.stage != ProcessStage::HandedOff;
-        if goes_on && error.never_ran() && !error.given_up() && std::mem::take(&mut flight.reused_connection)
-        {
-            let link = self.pool.dial(flight.endpoint, call);
-            return self.connect(now, call, link);
-        }
-        let Some(flight) = self.in_flight.remove(&call) else { return };
-        // The other end closes a kept connection when it likes: that pushes nothing back.
-        let closed = flight.reused_connection && error.outcome() == Outcome::Reset;
-        let outcome = if closed { Outcome::InvalidResponse } else { error.outcome() };
-        if let Some(hop) = self.endpoints.get(&flight.endpoint) {
-            self.log(format!("next hop {}: {error}", hop.uid));
-        }
-        for part in flight.attempts {
-            self.finish_attempt(now, part, outcome, flight.sent_at, ReplyInfo::default());
-        }
+    /// The last byte of a call has gone.
+    pub(super) fn on_call_written(&mut self, connection: EndpointConnectionId) {
+        let call = self.pool.call_of(connection).and_then(|id| self.calls.get(id));
+        self.figures.dispatched(call.map_or(0, |call| call.message_ids.len()));
     }
 
-    pub(super) fn cancel_attempt(&mut self, id: MessageId, copy: u32) {
-        let call =
-            self.in_flight.iter().find(|(_, f)| f.attempts.contains(&(id, copy))).map(|(call, _)| *call);
-        if let Some(link) = call.and_then(|call| self.pool.link_of(call)) {
-            // The end comes with the report that the connection is closed: not before may a next copy go.
-            self.effects.push(Effect::CloseConnection { connection: link });
+    /// A call that was not written: none of its messages ran, and the endpoint saw nothing.
+    pub(super) fn abandon_call(&mut self, now: Micros, id: CallId) {
+        let Some(call) = self.calls.remove(id) else { return };
+        for attempt in call.attempts {
+            self.finish_attempt(now, attempt, Outcome::NotSent, call.sent_at, ReplyInfo::default());
         }
     }
 
-    /// An attempt has ended: into the journal, and to the module.
-    pub(super) fn finish_attempt(
-        &mut self,
-        now: Micros,
-        part: (MessageId, u32),
-        outcome: Outcome,
-        sent: Micros,
-        told: ReplyInfo,
-    ) {
-        let (id, copy) = part;
-        if outcome == Outcome::Success && told.late {
-            // It came after the time of this message or of another in its call, or was read late: whether it still
-            // counts is not known here, and a notice for what is over does no harm.
-            // The next hop says that it was delivered: so it is counted.
-            self.finish_counted_as(now, id, FinalAnswer::Failed, End::Success);
-        } else if outcome == Outcome::Success {
-            self.finish_delivered(now, id);
-        } else if let Some(message) = self.messages.get(&id) {
-            let txn = message.accepted.id.clone();
-            let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
-            let record = match (never_ran, &message.accepted.in_flight) {
-                (false, _) => Record::AttemptInDoubt { message: txn },
-                (true, Some(_)) => Record::AttemptNotDelivered { message: txn },
-                (true, None) => Record::AttemptNotSent { message: txn },
-            };
-            self.append(&[(&record, b"")], None);
-            if let Some(message) = self.messages.get_mut(&id) {
-                let out = message.accepted.in_flight.take().filter(|_| !never_ran);
-                message.accepted.possible_delivery = message.accepted.possible_delivery.take().or(out);
-            }
-            if self.stage == ProcessStage::HandedOff {
-                self.release_to_successor(id);
+    /// Calls without a record go with their connections: this process begins no more attempts.
+    pub(super) fn drop_unrecorded_calls(&mut self) {
+        for id in self.calls.unrecorded() {
+            self.calls.remove(id);
+            if let Some(connection) = self.pool.link_of(id) {
+                self.pool.closed(connection);
+                self.effects.push(Effect::CloseConnection { connection });
             }
         }
-        self.events.push(Event::AttemptEnded(AttemptResult {
-            id,
-            attempt: copy,
-            outcome,
-            latency: now - sent,
-            message_finished: !self.messages.contains_key(&id),
-            retry_after: told.retry_after,
-            reported_limit: told.reported_limit,
-            reported_remaining: told.reported_remaining,
-        }));
     }
 }
--- a/crates/forwarder/src/reducer/destinations.rs
+++ b/crates/forwarder/src/reducer/destinations.rs
@@ -1,6 +1,6 @@
 //! The destinations that lists have named, and an index of their endpoints.
 
-use super::endpoint_discovery::KnownEndpoint;
+use super::endpoint_table::KnownEndpoint;
 use orchidyoke_core::interface::{DestinationId, EndpointId};
 use std::collections::BTreeSet;
 
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -1,23 +1,32 @@
-//! The journal as the reducer uses it: what is appended, what a snapshot holds, and what a start finds.
+//! Durability: which bytes go into the journal, what waits until they are there, and when the file is compacted.
+//!
+//! Before a 202 is sent, the journal's file holds the message's record with its body and, for a message that another
+//! forwarder handed over, the record that it stays here. Before the first byte of a call or of an offer goes out, the
+//! file holds the record that names its messages, the endpoint or owner, and the time. "Holds" means that the write to
+//! the file has returned ([`Input::Appended`](crate::input::Input::Appended) with `stored`): the bytes survive the end
+//! of the process in whatever way, and are not synced against a loss of the machine. Any other change of state is
+//! appended before the effects that follow from it, in the same list of effects.
 
 use super::final_answers::SHORT_RECORD_BYTES;
-use super::message_table::Message;
-use super::operator_overrides::{OperatorOverrides, OverrideChange};
-use super::route_state::{FaultyRoutes, RouteKey};
-use super::{AfterAppend, Reducer, route_state};
+use super::message_table::DecidedMessage;
+use super::operator_overrides::OverrideRequest;
+use super::pending_appends::PendingAppends;
+use super::takeover::Takeover;
+use super::{Reducer, route_state};
 use crate::config::Limits;
-use crate::input::Effect;
+use crate::input::{AppendId, Effect};
+use crate::ownership::Peer;
+use crate::pool::CallId;
 use bytes::{Bytes, BytesMut};
-use orchidyoke_core::endpoint_list::EndpointList;
-use orchidyoke_core::interface::{Micros, Settings};
-use orchidyoke_journal::{
-    AcceptedMessage, FinalAnswer, HandoverOffer, ProcessStage, Record, RecordsWithBodies,
-};
+use orchidyoke_core::interface::{MessageId, Micros, Settings};
+use orchidyoke_journal::{DiskSpace, Record};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 
-/// Ids that are over take up no more than this part of the folder: they must not keep messages out.
+/// Ids of finished messages take up no more than this part of the folder: they must not keep messages out.
 const FINISHED_IDS_DISK_DIVISOR: usize = 16;
+/// About the bytes of the records in a snapshot that are there once.
+const SINGLE_RECORDS_BYTES: usize = 300;
+
 /// What follows from the machine's limits.
 pub(super) struct Bounds {
     pub disk_bytes: usize,
@@ -27,198 +36,207 @@
 
 impl Bounds {
     pub fn new(settings: &Settings, limits: Limits) -> Self {
-        let disk = (limits.disk_mb * 1e6) as usize;
-        let recent = disk / FINISHED_IDS_DISK_DIVISOR / SHORT_RECORD_BYTES;
-        Bounds { disk_bytes: disk, finished_ids: recent, connections: limits.next_hops(settings.max_calls) }
+        let disk_bytes = (limits.disk_mb * 1e6) as usize;
+        Bounds {
+            disk_bytes,
+            finished_ids: disk_bytes / FINISHED_IDS_DISK_DIVISOR / SHORT_RECORD_BYTES,
+            connections: limits.next_hops(settings.max_calls),
+        }
     }
 }
 
-/// What a journal says, as far as it was read.
-#[derive(Debug, Default)]
-pub(super) struct RecoveredState {
-    pub accepted: BTreeMap<String, (AcceptedMessage, Bytes)>,
-    pub undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
-    pub finished: Vec<(String, Micros)>,
-    pub endpoint_list: EndpointList,
-    pub faulty_routes: FaultyRoutes,
-    pub superseded: Option<SocketAddr>,
-    pub operator_overrides: OperatorOverrides,
-    pub stage: ProcessStage,
-    /// Waits that were told beside another process, which may still run.
-    pub retry_after: BTreeMap<RouteKey, Micros>,
+/// What is to be done once an append is reported, stored or not.
+#[derive(Debug)]
+pub(super) enum AfterAppend {
+    /// Answer the requests that wait for these messages.
+    AdmitMessages(Vec<DecidedMessage>),
+    /// Write the call.
+    SendCall(CallId),
+    /// Offer the message to its owner.
+    SendOffer(MessageId, Peer),
+    /// Own what another process left.
+    CompleteTakeover(Takeover),
+    /// Release to the successor what is not in flight.
+    CompleteHandOff,
+    /// Put an operator's call in force.
+    ApplyOverride(OverrideRequest),
 }
 
-/// Ids that are over are kept of another process's file up to twice so many.
-const MIN_FINISHED_IDS_KEPT: usize = 4096;
+impl AfterAppend {
+    /// Whether it may be refused for want of room beside other processes; all else has to be written.
+    fn may_be_refused(&self) -> bool {
+        matches!(
+            self,
+            AfterAppend::AdmitMessages(_) | AfterAppend::CompleteTakeover(_) | AfterAppend::ApplyOverride(_)
+        )
+    }
 
-pub(super) fn replay(records: RecordsWithBodies) -> RecoveredState {
-    let mut left = RecoveredState::default();
-    for (record, body) in records {
-        left.apply(record, body);
+    /// Whether the state changes only once the append is reported. What an attempt or an offer changes is in it at once.
+    fn changes_state_later(&self) -> bool {
+        !matches!(self, AfterAppend::SendCall(_) | AfterAppend::SendOffer(..))
     }
-    left
 }
 
-impl RecoveredState {
-    /// The next record of the file.
-    pub fn apply(&mut self, record: Record, body: Bytes) {
-        match record {
-            Record::Accepted(taken) => {
-                self.accepted.insert(taken.id.clone(), (taken, body));
-            }
-            Record::AttemptStarted { messages: txns, attempt: trace } => {
-                for txn in txns {
-                    if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                        // One that is still out was so when its process ended, and may have run first.
-                        taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
-                        (taken.attempts, taken.in_flight) = (taken.attempts + 1, Some(trace.clone()));
-                    }
-                }
-            }
-            Record::AttemptInDoubt { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
-                    taken.in_flight = None;
-                }
-            }
-            Record::AttemptNotDelivered { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.in_flight = None;
-                }
-            }
-            Record::AttemptNotSent { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.attempts += 1;
-                }
-            }
-            Record::AnswerDecided { message: txn, at, answer: verdict } => {
-                self.accepted.remove(&txn);
-                self.undelivered_answers.push((txn, verdict, at));
-            }
-            Record::Finished { message: txn, at } => self.finish(txn, at),
-            Record::HandoverOffered { message: txn, owner: to, at } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.handover.offered.get_or_insert(HandoverOffer { owner: to, offered_at: at });
-                }
-            }
-            Record::HandoverDeclined { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.handover.offered = None;
-                }
-            }
-            Record::HandoverInDoubt { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.count_offer_as_attempt();
-                }
-            }
-            Record::KeptLocal { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.handover.kept_local = true;
-                }
-            }
-            Record::HandedOver { message: txn, at, .. } => self.finish(txn, at),
-            Record::EndpointList(news) => self.endpoint_list.apply(&news),
-            Record::DiscoverySuperseded { discovery } => self.superseded = Some(discovery),
-            Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
-                self.operator_overrides.apply(&uid, OverrideChange { at, ejected: out });
-            }
-            Record::RetryAfter { destination: dest, endpoint: uid, until } => {
-                self.retry_after.insert(RouteKey::new(dest, uid), until);
-            }
-            Record::ProcessStage { stage } => self.stage = stage,
-            Record::FaultyRoutes { destinations: dests, routes } => {
-                let routes = routes.into_iter().map(|(dest, uid)| RouteKey::new(dest, Some(uid)));
-                self.faulty_routes =
-                    dests.into_iter().map(|dest| RouteKey::new(dest, None)).chain(routes).collect();
-            }
+/// The journal's file as the reducer reckons it, and the appends that are not yet reported.
+#[derive(Debug)]
+pub(super) struct Durability {
+    space: DiskSpace,
+    /// What the folder may hold, all processes together.
+    limit_bytes: usize,
+    last_append: AppendId,
+    after_append: BTreeMap<AppendId, AfterAppend>,
+    pending: PendingAppends,
+}
+
+impl Durability {
+    /// A folder with this limit, and a file of `file_bytes` in it.
+    pub fn new(limit_bytes: usize, file_bytes: usize) -> Self {
+        Durability {
+            space: DiskSpace::new(limit_bytes, file_bytes),
+            limit_bytes,
+            last_append: 0,
+            after_append: BTreeMap::new(),
+            pending: PendingAppends::default(),
         }
     }
 
-    /// Nothing more is owed for this message.
-    fn finish(&mut self, txn: String, at: Micros) {
-        self.accepted.remove(&txn);
-        self.undelivered_answers.retain(|(other, _, _)| *other != txn);
-        self.finished.push((txn, at));
-        if self.finished.len() > 2 * MIN_FINISHED_IDS_KEPT {
-            self.finished.drain(..MIN_FINISHED_IDS_KEPT);
+    /// Another limit of the folder. It is in force once [`Durability::share_with`] is called.
+    pub fn set_limit_bytes(&mut self, limit_bytes: usize) {
+        self.limit_bytes = limit_bytes;
+    }
+
+    /// The folder's limit is for the files of all processes: others take up, or may need, so many bytes.
+    pub fn share_with(&mut self, other_bytes: usize, other_runs: bool) {
+        let own = self.limit_bytes.saturating_sub(other_bytes);
+        // Each of two needs room: who has more has its file compacted.
+        self.space.set_limit(if other_runs { own.min(self.limit_bytes / 2) } else { own });
+    }
+
+    /// Whether a message of so many bytes may be accepted beside a snapshot of `live_bytes`.
+    pub fn admits(&self, live_bytes: usize, message_bytes: usize) -> bool {
+        self.space.admits(live_bytes, message_bytes)
+    }
+
+    /// Whether the file can be compacted as it is, the old and the new beside each other.
+    pub fn can_compact(&self, live_bytes: usize) -> bool {
+        self.space.can_compact(live_bytes)
+    }
+
+    /// Whether the file has to be compacted before `more` bytes go in.
+    fn needs_compaction(&self, live_bytes: usize, more: usize) -> bool {
+        self.space.needs_compaction(live_bytes, more)
+    }
+
+    /// The file is replaced by a snapshot of so many bytes.
+    fn compacted(&mut self, snapshot_bytes: usize) {
+        self.space.set_file_bytes(snapshot_bytes);
+    }
+
+    /// One append: the effect that asks for it, or that reports it as not made.
+    fn append(&mut self, bytes: Bytes, then: Option<AfterAppend>, has_other_processes: bool) -> Effect {
+        self.last_append += 1;
+        let append = self.last_append;
+        let may_be_refused = then.as_ref().is_some_and(AfterAppend::may_be_refused);
+        let refused = may_be_refused && has_other_processes && !self.space.has_room_for(bytes.len());
+        let changes_state_later = then.as_ref().is_some_and(AfterAppend::changes_state_later);
+        if let Some(then) = then {
+            self.after_append.insert(append, then);
         }
+        if refused {
+            return Effect::ReportJournalFull { append };
+        }
+        self.space.record_append(bytes.len());
+        if changes_state_later {
+            self.pending.insert(append, bytes.clone());
+        }
+        Effect::Append { append, bytes }
+    }
+
+    /// An append is reported, and how many bytes the file has now: what is to be done next.
+    fn on_reported(&mut self, append: AppendId, file_bytes: usize) -> Option<AfterAppend> {
+        self.space.set_file_bytes(file_bytes);
+        self.pending.remove(append);
+        self.after_append.remove(&append)
     }
 }
 
 impl Reducer {
-    /// Asks for an append. Call it before the state changes: a rewrite that it needs holds the state so far.
+    /// Asks for an append. Call it before the state changes: a compaction that it needs holds the state so far.
     pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
         self.make_room(bytes.len());
-        self.last_append += 1;
-        // Beside other processes there may be no room: then only what has to be written is.
-        let may_wait = matches!(
-            then,
-            Some(
-                AfterAppend::AdmitMessages(_)
-                    | AfterAppend::CompleteTakeover(_)
-                    | AfterAppend::ApplyOverride { .. }
-            )
-        );
-        let refused = may_wait && !self.other_processes.is_empty() && !self.space.has_room_for(bytes.len());
-        // What a begun attempt changes is in the state at once.
-        let waits = then
-            .as_ref()
-            .is_some_and(|then| !matches!(then, AfterAppend::SendCall(_) | AfterAppend::SendOffer(..)));
-        if let Some(then) = then {
-            self.after_append.insert(self.last_append, then);
-        }
-        if refused {
-            return self.effects.push(Effect::ReportJournalFull { append: self.last_append });
+        let effect = self.durability.append(bytes.freeze(), then, self.upgrade.has_others());
+        self.effects.push(effect);
+    }
+
+    /// The same for records without a body; nothing where there are none.
+    pub(super) fn append_all(&mut self, records: &[Record], then: Option<AfterAppend>) {
+        if !records.is_empty() {
+            let records: Vec<(&Record, &[u8])> = records.iter().map(|record| (record, &b""[..])).collect();
+            self.append(&records, then);
         }
-        self.space.record_append(bytes.len());
-        let bytes = bytes.freeze();
-        if waits {
-            self.pending_appends.insert(self.last_append, bytes.clone());
+    }
+
+    /// The same for one record without a body, after which nothing waits.
+    pub(super) fn append_record(&mut self, record: &Record) {
+        self.append(&[(record, b"")], None);
+    }
+
+    /// The journal has stored an append, or could not.
+    pub(super) fn on_appended(&mut self, now: Micros, append: AppendId, stored: bool, file_bytes: usize) {
+        match self.durability.on_reported(append, file_bytes) {
+            Some(AfterAppend::AdmitMessages(decided)) => self.on_messages_recorded(now, decided, stored),
+            Some(AfterAppend::SendOffer(id, peer)) => self.on_offer_recorded(now, id, &peer, stored),
+            Some(AfterAppend::CompleteTakeover(takeover)) => self.on_takeover_recorded(now, takeover, stored),
+            Some(AfterAppend::CompleteHandOff) => self.on_hand_off_recorded(stored),
+            Some(AfterAppend::SendCall(call)) => self.on_attempt_recorded(now, call, stored),
+            Some(AfterAppend::ApplyOverride(request)) => self.on_override_recorded(now, request, stored),
+            None => {}
         }
-        self.effects.push(Effect::Append { append: self.last_append, bytes });
     }
 
-    /// Rewrites the file where later there would be no room to do it, with so many bytes more in it.
+    /// Compacts the file where later there would be no room to do it, with so many bytes more in it.
     pub(super) fn make_room(&mut self, more: usize) {
-        // What has yielded is read by the successor as it grows, and stays as it is.
+        if self.upgrade.has_handed_off() {
+            // The successor reads the file as it grows: it stays as it is.
+            return;
+        }
         let live = self.live_bytes();
-        let fits = self.other_processes.is_empty() || self.space.can_compact(live);
-        if self.stage != ProcessStage::HandedOff && fits && self.space.needs_compaction(live, more) {
+        let fits = !self.upgrade.has_others() || self.durability.can_compact(live);
+        if fits && self.durability.needs_compaction(live, more) {
             self.compact();
         }
     }
 
     pub(super) fn compact(&mut self) {
-        let all = self.snapshot();
-        self.space.set_file_bytes(all.len());
-        self.effects.push(Effect::CompactJournal { bytes: all });
+        let snapshot = self.snapshot();
+        self.durability.compacted(snapshot.len());
+        self.effects.push(Effect::CompactJournal { bytes: snapshot });
     }
 
     /// About the bytes of a snapshot, never less.
     pub(super) fn live_bytes(&self) -> usize {
-        // Counted as it comes and goes: this is asked for with each append.
-        debug_assert_eq!(self.live_message_bytes, self.messages.values().map(Message::size).sum::<usize>());
-        let known = self.endpoint_list.size() + self.known_routes_size() + 300;
-        let ended = self.final_answers.bytes() + self.finished.bytes();
-        self.pending_appends.bytes()
-            + self.live_message_bytes
-            + ended
+        self.durability.pending.bytes()
+            + self.messages.live_bytes()
+            + self.final_answers.bytes()
+            + self.finished.bytes()
             + self.operator_overrides.bytes()
-            + known
+            + self.endpoints.list().size()
+            + self.known_routes_size()
+            + SINGLE_RECORDS_BYTES
     }
 
     /// All that still counts.
     pub(super) fn snapshot(&self) -> Bytes {
         let mut bytes = BytesMut::new();
-        Record::EndpointList(self.endpoint_list.snapshot()).encode(b"", &mut bytes);
-        Record::ProcessStage { stage: self.stage }.encode(b"", &mut bytes);
+        Record::EndpointList(self.endpoints.list().snapshot()).encode(b"", &mut bytes);
+        Record::ProcessStage { stage: self.upgrade.stage() }.encode(b"", &mut bytes);
         route_state::faulty_routes_record(&self.faulty_routes).encode(b"", &mut bytes);
-        for (route, until) in self.retry_after.iter().filter(|_| self.has_other_process()) {
+        for (route, until) in self.retry_after.iter().filter(|_| self.upgrade.other_runs()) {
             route.retry_after_record(*until).encode(b"", &mut bytes);
         }
-        if let Some(discovery) = self.superseded_discovery {
+        if let Some(discovery) = self.discovery.superseded() {
             Record::DiscoverySuperseded { discovery }.encode(b"", &mut bytes);
         }
         for (uid, call) in self.operator_overrides.iter() {
@@ -236,8 +254,8 @@
             message.accepted.handover_records().iter().for_each(|record| record.encode(b"", &mut bytes));
         }
         // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
-        // that it went to is gone with the rewrite.
-        self.pending_appends.iter().for_each(|appended| bytes.extend_from_slice(appended));
+        // that it went to is gone with the compaction.
+        self.durability.pending.iter().for_each(|appended| bytes.extend_from_slice(appended));
         bytes.freeze()
     }
 }
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -1,290 +1,274 @@
-//! The transport map: where it comes from, the endpoints in it, and a new configuration.
+//! Endpoint discovery: which watch on the endpoint list is in force, when the next one starts, and what is done about
+//! versions that go back.
+//!
+//! A watch follows discovery at its address, or a catalogue in its place. One that ends is followed by another after a
+//! backoff, which a Retry-After lengthens and the age that a list may have cuts short.
 
-use super::durability::Bounds;
-use super::{Reducer, SECOND_US, first_watch_backoff};
+use super::{Reducer, SECOND_US};
+use crate::backoff::Backoff;
 use crate::catalogue::Catalogue;
-use crate::config::Config;
-use crate::input::{Effect, WatchSource};
-use orchidyoke_core::endpoint_list::{
-    EndpointEntry, HealthChecks, ListedEndpoint, ListedState, MAX_ENTRIES, WatchEvent,
-};
-use orchidyoke_core::interface::{
-    DestinationId, DestinationKind, EndpointId, EndpointState, EndpointUpdate, Event, HealthStatus,
-    ListEventKind, Micros,
-};
+use crate::config::Discovery;
+use crate::input::{Effect, WatchId, WatchSource};
+use crate::retry_after;
+use orchidyoke_core::endpoint_list::{EndpointList, MAX_ENTRIES, WatchEvent};
+use orchidyoke_core::interface::{ListEventKind, Micros, Settings};
 use orchidyoke_journal::Record;
-use std::collections::BTreeSet;
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Arc;
 
-/// A discovery that told an older list than before is asked once more after this time: one that lags has caught up, and
-/// what counts as told 6 s after it was known is still in time.
+/// Bound of the first backoff, for each forwarder of the fleet: a fleet that was cut off together starts about twenty
+/// watches a second at first.
+const FIRST_BACKOFF_PER_FORWARDER_US: Micros = 50_000;
+/// Limits of that bound.
+const MIN_FIRST_BACKOFF_US: Micros = 250_000;
+const MAX_FIRST_BACKOFF_US: Micros = 4 * SECOND_US;
+/// A change of the list is in force at most so long after discovery had it and could be reached, whatever has become of
+/// the watches until then and whatever their Retry-After said. The platform counts a change as known after this.
+const MAX_LIST_AGE_US: Micros = 6 * SECOND_US;
+/// Of that, what the watch that brings the change takes: its connection, its answer, a stall.
+const WATCH_SETUP_TIME_US: Micros = SECOND_US;
+/// A watch that has lasted for so long was accepted: one that waits for discovery in vain is closed before.
+const ESTABLISHED_WATCH_AGE_US: Micros = 4 * SECOND_US;
+/// Discovery that told an older version is watched anew after this: one that lags has caught up, and a change still
+/// comes in time.
 const REGRESSION_RETRY_US: Micros = 2 * SECOND_US;
-
-/// A list that is too large is asked for again within this time.
+/// A list with too many entries is asked for again within this.
 const OVERSIZED_LIST_BACKOFF_US: Micros = 10 * SECOND_US;
 
-/// An endpoint that some list has named.
-#[derive(Debug)]
-pub(super) struct KnownEndpoint {
-    pub uid: Arc<str>,
-    pub destination: DestinationId,
+/// How the version of a watch event stands to those before it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum VersionOrder {
+    /// It is not older, or the snapshot that was asked for to settle a regression.
+    InOrder,
+    /// It is the first that is older than this one.
+    FirstRegression { newest_version: u64 },
+    /// It is older, as others before it.
+    Regressed,
 }
 
-/// What a list says of an endpoint, as far as the module is told of it.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct ListedView<'a> {
-    uid: &'a str,
-    zone: &'a str,
-    kind: &'a str,
-    destination: DestinationId,
-    capacity_hint: f64,
-    state: ListedState,
-    health: HealthChecks,
+/// The watch in force, and when there will be another.
+#[derive(Debug)]
+pub(super) struct EndpointDiscovery {
+    address: SocketAddr,
+    /// The address that was given apart from the file and that a reload has superseded.
+    superseded: Option<SocketAddr>,
+    /// Watched in the place of discovery.
+    catalogue: Option<Rc<dyn Catalogue>>,
+    watch: WatchId,
+    watching: bool,
+    watch_at: Micros,
+    watch_started_at: Micros,
+    backoff: Backoff,
+    newest_version: u64,
+    /// The watch that told an older version than the newest, until a later watch settles it.
+    regressed_watch: Option<WatchId>,
 }
 
-impl<'a> From<&'a EndpointEntry> for ListedView<'a> {
-    fn from(target: &'a EndpointEntry) -> Self {
-        ListedView {
-            uid: &target.uid,
-            zone: &target.zone,
-            kind: &target.kind,
-            destination: target.destination,
-            capacity_hint: target.capacity_hint,
-            state: target.state,
-            health: target.health,
+impl EndpointDiscovery {
+    /// At a start: `recovered_superseded` is the address that the journal says was superseded.
+    pub fn new(
+        discovery: &Discovery,
+        catalogue: Option<Rc<dyn Catalogue>>,
+        recovered_superseded: Option<SocketAddr>,
+        settings: &Settings,
+        seed: u64,
+        now: Micros,
+    ) -> Self {
+        let mut backoff = Backoff::new(first_backoff(settings), seed);
+        // A drain may have been announced while there was no watch, and is in force after its grace: the first watch
+        // starts within that. Forwarders of a release start together; those that are rejected come in turn.
+        let watch_at = now + backoff.within(first_watch_delay(settings));
+        EndpointDiscovery {
+            address: discovery.at_start(recovered_superseded),
+            // Another address given since then is new: it counts, and the record does not.
+            superseded: recovered_superseded.filter(|address| discovery.given == Some(*address)),
+            catalogue,
+            watch: 0,
+            watching: false,
+            watch_at,
+            watch_started_at: now,
+            backoff,
+            newest_version: 0,
+            regressed_watch: None,
         }
     }
-}
 
-impl<'a> From<&'a ListedEndpoint> for ListedView<'a> {
-    fn from(entry: &'a ListedEndpoint) -> Self {
-        ListedView {
-            uid: &entry.uid,
-            zone: &entry.zone,
-            kind: &entry.kind,
-            destination: entry.destination,
-            capacity_hint: entry.capacity_hint,
-            state: entry.state,
-            health: entry.health,
-        }
+    /// Where discovery answers.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
-}
 
-impl Reducer {
-    /// Takes over what can change while the process runs. What is held and what is out carries on; the list
-    /// stays in use until discovery, perhaps at another address, has told more.
-    pub(super) fn reload_config(&mut self, now: Micros, config: Config) {
-        let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
-        self.log(format!("configuration: read again, discovery is at {}", discovery.file));
-        if let Some(discovery) = discovery.given.filter(|given| Some(*given) != self.superseded_discovery) {
-            self.append(&[(&Record::DiscoverySuperseded { discovery }, b"")], None);
-            self.superseded_discovery = Some(discovery);
-        }
-        let id = |catalogue: &Option<Rc<dyn Catalogue>>| catalogue.as_ref().map(|c| c.id().to_owned());
-        if self.discovery_address != discovery.file {
-            self.final_answers.post_now(now);
-        }
-        if id(&self.catalogue) != id(&catalogue)
-            || catalogue.is_none() && self.discovery_address != discovery.file
-        {
-            (self.watching, self.watch_at) = (false, now);
-            // What failed was another, and this one may count its versions anew.
-            self.watch_backoff.reset();
-            (self.newest_version, self.regressed_watch) = (0, None);
-        }
-        (self.discovery_address, self.catalogue) = (discovery.file, catalogue);
-        let bounds = Bounds::new(&settings, limits);
-        self.pool.bound(settings.idle_timeout, bounds.connections);
-        self.disk_limit_bytes = bounds.disk_bytes;
-        self.share_space();
-        self.finished.set_max_ids(bounds.finished_ids);
-        self.watch_backoff.bound(first_watch_backoff(&settings));
-        (self.settings, self.names, self.policy_ejected) = (settings, names, policy_out);
-        self.figures.name(&self.names.classes);
-        let settings = self.controller_settings();
-        (self.max_calls_in_force, self.fleet_size_in_force) = (settings.max_calls, settings.fleet_size);
-        self.events.push(Event::Settings(Box::new(settings)));
-        // The numbers of zones and kinds may have changed.
-        let number = |uid: &str| self.endpoint_ids.get(uid).copied();
-        let entries = self
-            .endpoint_list
-            .iter()
-            .filter_map(|held| Some(self.endpoint_update(now, number(&held.uid)?, held.into())));
-        let entries = entries.collect();
-        self.events.push(Event::EndpointList { kind: ListEventKind::Snapshot, entries });
-        self.replace_owners(now, owners);
+    /// The address that was given apart from the file and that a reload has superseded.
+    pub fn superseded(&self) -> Option<SocketAddr> {
+        self.superseded
     }
 
-    /// What the settings say of an endpoint's kind, while it is listed.
-    pub(super) fn kind_of(&self, uid: &str) -> Option<DestinationKind> {
-        let model = &*self.endpoint_list.get(uid)?.kind;
-        let place = self.names.kinds.iter().position(|kind| kind == model)?;
-        self.settings.kinds.get(place).copied()
+    /// Whether a catalogue is watched in the place of discovery.
+    pub fn has_catalogue(&self) -> bool {
+        self.catalogue.is_some()
     }
 
-    pub(super) fn start_watch_if_due(&mut self, now: Micros) {
-        if !self.watching && now >= self.watch_at {
-            (self.watching, self.watch_started_at) = (true, now);
-            self.watch += 1;
-            let from = match &self.catalogue {
-                Some(catalogue) => WatchSource::Catalogue {
-                    catalogue: catalogue.clone(),
-                    held: self.endpoint_list.snapshot(),
-                },
-                // A version that a catalogue has counted says nothing to discovery.
-                None => {
-                    let known = self.endpoint_list.origin().is_empty() && self.regressed_watch.is_none();
-                    let since = if known { self.endpoint_list.version() } else { 0 };
-                    WatchSource::Discovery { at: self.discovery_address, since }
-                }
-            };
-            self.effects.push(Effect::StartWatch { watch: self.watch, from });
-        }
+    /// Whether this watch is the last that was started.
+    pub fn is_current(&self, watch: WatchId) -> bool {
+        watch == self.watch
+    }
+
+    /// When the next watch starts, unless one is in force.
+    pub fn wake_at(&self) -> Option<Micros> {
+        (!self.watching).then_some(self.watch_at)
+    }
+
+    /// Versions before this one are older.
+    pub fn set_newest_version(&mut self, version: u64) {
+        self.newest_version = version;
+    }
+
+    /// The address given apart from the file is superseded by the file's.
+    pub fn supersede(&mut self, given: SocketAddr) {
+        self.superseded = Some(given);
     }
 
-    /// What the module is told of an endpoint.
-    pub(super) fn endpoint_update(
-        &self,
+    /// A new configuration: another source is watched at once.
+    pub fn reload(
+        &mut self,
         now: Micros,
-        hop: EndpointId,
-        line: ListedView<'_>,
-    ) -> EndpointUpdate {
-        let out = line.state == ListedState::Active
-            && (self.operator_overrides.is_ejected(line.uid) || self.policy_ejected.contains(line.uid));
-        let cold = line.health == HealthChecks::Passing && self.is_warming_up(now, line.uid);
-        EndpointUpdate {
-            endpoint: hop,
-            destination: line.destination,
-            zone: self.zone_number(line.zone),
-            kind: self.names.kinds.iter().position(|kind| kind == line.kind).unwrap_or(usize::MAX),
-            state: if out { EndpointState::Draining } else { line.state.into() },
-            // Cold beside others that serve: they go before it.
-            health: if cold { HealthStatus::Warning } else { line.health.into() },
-            capacity_hint: line.capacity_hint,
+        address: SocketAddr,
+        catalogue: Option<Rc<dyn Catalogue>>,
+        settings: &Settings,
+    ) {
+        let catalogue_id = |catalogue: &Option<Rc<dyn Catalogue>>| {
+            catalogue.as_ref().map(|catalogue| catalogue.id().to_owned())
+        };
+        let other_catalogue = catalogue_id(&self.catalogue) != catalogue_id(&catalogue);
+        if other_catalogue || catalogue.is_none() && self.address != address {
+            self.watching = false;
+            self.watch_at = now;
+            // What failed was another source, and this one may count its versions anew.
+            self.backoff.reset();
+            self.newest_version = 0;
+            self.regressed_watch = None;
         }
+        self.address = address;
+        self.catalogue = catalogue;
+        self.backoff.bound(first_backoff(settings));
     }
 
-    /// A watch has told something. What is older than the list held comes from a discovery that lags, or that counts its
-    /// versions anew: it is taken as far as it is safe, and the whole list asked for once more; what that says holds.
-    pub(super) fn on_watch_event(&mut self, now: Micros, mut news: WatchEvent) {
-        if !self.endpoint_list.has_room_for(&news) {
-            return self.reject_oversized_list(now, news.version);
+    /// The next watch, if it is due.
+    fn next_watch(&mut self, now: Micros, list: &EndpointList) -> Option<Effect> {
+        if self.watching || now < self.watch_at {
+            return None;
         }
-        let older = news.origin == *self.endpoint_list.origin() && news.version < self.newest_version;
-        if !older || news.is_snapshot && self.regressed_watch.is_some_and(|watch| watch != self.watch) {
-            (self.newest_version, self.regressed_watch) = (news.version, None);
-        } else {
-            if self.regressed_watch.is_none() {
-                let line =
-                    format!("version {} after {}: asked for once more", news.version, self.newest_version);
-                self.log(format!("transport map: {line}"));
-                (self.regressed_watch, self.watching) = (Some(self.watch), false);
-                self.watch_at = now + REGRESSION_RETRY_US;
+        self.watching = true;
+        self.watch_started_at = now;
+        self.watch += 1;
+        let from = match &self.catalogue {
+            Some(catalogue) => WatchSource::Catalogue { catalogue: catalogue.clone(), held: list.snapshot() },
+            None => {
+                // A version that a catalogue has counted says nothing to discovery.
+                let is_known = list.origin().is_empty() && self.regressed_watch.is_none();
+                let since = if is_known { list.version() } else { 0 };
+                WatchSource::Discovery { at: self.address, since }
             }
-            news = self.endpoint_list.without_activations(news);
-        }
-        let form = if news.is_snapshot { ListEventKind::Snapshot } else { ListEventKind::Delta };
-        let record = Record::EndpointList(news);
-        self.append(&[(&record, b"")], None);
-        if let Record::EndpointList(news) = &record {
-            self.apply_list(now, news, form);
-        }
+        };
+        Some(Effect::StartWatch { watch: self.watch, from })
     }
 
-    /// News with which the list would pass its bound is left out, and so is what this watch tells after it: that would
-    /// be changes to a list that is not held. Another watch begins from the list held.
-    fn reject_oversized_list(&mut self, now: Micros, rev: u64) {
-        self.log(format!(
-            "transport map: version {rev} has more than {MAX_ENTRIES} entries; the last list stays in use"
-        ));
-        self.watch += 1;
+    /// The watch has ended: `silence` ago it last said something complete, or was started.
+    fn on_watch_ended(&mut self, now: Micros, retry_after: Micros, silence: Micros, settings: &Settings) {
+        let established = now - self.watch_started_at >= ESTABLISHED_WATCH_AGE_US;
+        if established {
+            self.backoff.reset();
+        }
+        // Discovery may have had a change since the last word that came: a Retry-After is cut to what is left until that
+        // has to be in force. Forwarders with the same Retry-After still come one by one.
+        let time_left = (MAX_LIST_AGE_US - WATCH_SETUP_TIME_US - silence.max(0)).max(0);
+        let pause = if established && retry_after == 0 {
+            // As at a start.
+            self.backoff.within(first_watch_delay(settings)).min(time_left)
+        } else if retry_after < time_left / 2 {
+            retry_after + self.backoff.pause(time_left - retry_after)
+        } else {
+            time_left - self.backoff.within(time_left / 2)
+        };
         self.watching = false;
-        self.watch_at = now + self.watch_backoff.pause(OVERSIZED_LIST_BACKOFF_US);
+        self.watch_at = now + pause;
     }
 
-    pub(super) fn apply_list(&mut self, now: Micros, news: &WatchEvent, form: ListEventKind) {
-        let mut entries = Vec::with_capacity(news.endpoints.len());
-        let mut new_hops = Vec::new();
-        for target in &news.endpoints {
-            let hop = self.endpoint_id(target, &mut new_hops);
-            if self.endpoint_list.get(&target.uid).is_some_and(|known| known.address != target.address) {
-                self.close_idle(hop);
-                self.pool.retire(hop);
-            }
-            entries.push(self.endpoint_update(now, hop, target.into()));
-        }
-        self.add_endpoints(new_hops);
-        if news.is_snapshot {
-            self.unlist_all_but(&entries);
+    /// What the version of an event of the watch in force says; a regression has the list watched anew.
+    fn observe_version(&mut self, now: Micros, event: &WatchEvent, list_origin: &str) -> VersionOrder {
+        let older = event.origin == *list_origin && event.version < self.newest_version;
+        let settles = event.is_snapshot && self.regressed_watch.is_some_and(|watch| watch != self.watch);
+        if !older || settles {
+            self.newest_version = event.version;
+            self.regressed_watch = None;
+            return VersionOrder::InOrder;
         }
-        for entry in &entries {
-            match entry.state {
-                EndpointState::Removed => self.unlisted.insert(entry.endpoint),
-                EndpointState::Active | EndpointState::Draining => self.unlisted.remove(&entry.endpoint),
-            };
+        if self.regressed_watch.is_some() {
+            return VersionOrder::Regressed;
         }
-        let numbers = &self.endpoint_ids;
-        let shared =
-            |uid: &str| numbers.get_key_value(uid).map_or_else(|| uid.into(), |(uid, _)| uid.clone());
-        self.endpoint_list.apply_sharing(news, shared);
-        self.events.push(Event::EndpointList { kind: form, entries });
+        self.regressed_watch = Some(self.watch);
+        self.watching = false;
+        self.watch_at = now + REGRESSION_RETRY_US;
+        VersionOrder::FirstRegression { newest_version: self.newest_version }
     }
 
-    /// The number of an endpoint; a new one is put among `new_hops`, to be kept.
-    fn endpoint_id(
-        &mut self,
-        target: &EndpointEntry,
-        new_hops: &mut Vec<(EndpointId, KnownEndpoint)>,
-    ) -> EndpointId {
-        if let Some(known) = self.endpoint_ids.get(target.uid.as_str()) {
-            return *known;
-        }
-        let (id, uid) = (self.next_endpoint, Arc::<str>::from(target.uid.as_str()));
-        self.next_endpoint += 1;
-        self.endpoint_ids.insert(uid.clone(), id);
-        new_hops.push((id, KnownEndpoint { uid, destination: target.destination }));
-        id
+    /// An event was left out, and what this watch tells after it: those are changes to a list that is not held.
+    fn abandon_watch(&mut self, now: Micros) {
+        self.watch += 1;
+        self.watching = false;
+        self.watch_at = now + self.backoff.pause(OVERSIZED_LIST_BACKOFF_US);
     }
+}
 
-    fn add_endpoints(&mut self, new_hops: Vec<(EndpointId, KnownEndpoint)>) {
-        self.destinations.add(&new_hops);
-        // Merging packs a tree full; for a few it would be more work than putting each in.
-        if new_hops.len() > self.endpoints.len() / 2 {
-            self.endpoints.append(&mut new_hops.into_iter().collect());
-        } else {
-            self.endpoints.extend(new_hops);
-        }
+/// Bound of the first backoff, by the size of the fleet.
+fn first_backoff(settings: &Settings) -> Micros {
+    Micros::from(settings.fleet_size)
+        .saturating_mul(FIRST_BACKOFF_PER_FORWARDER_US)
+        .clamp(MIN_FIRST_BACKOFF_US, MAX_FIRST_BACKOFF_US)
+}
+
+/// The first watch starts within this: at once for a forwarder that is alone.
+fn first_watch_delay(settings: &Settings) -> Micros {
+    if settings.fleet_size > 1 { settings.drain_grace.clamp(0, MIN_FIRST_BACKOFF_US) } else { 0 }
+}
+
+impl Reducer {
+    /// Starts the next watch when it is due.
+    pub(super) fn start_watch_if_due(&mut self, now: Micros) {
+        let next = self.discovery.next_watch(now, self.endpoints.list());
+        self.effects.extend(next);
     }
 
-    /// Endpoints that a whole list does not name are listed no more.
-    fn unlist_all_but(&mut self, entries: &[EndpointUpdate]) {
-        let mut named: Vec<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
-        named.sort_unstable();
-        self.unlisted.extend(self.endpoints.keys().filter(|hop| named.binary_search(hop).is_err()));
+    /// A watch has ended, for this reason.
+    pub(super) fn on_watch_ended(&mut self, now: Micros, reason: &str, retry_after_ms: u64, silence: Micros) {
+        self.log(format!("transport map: {reason}; the last list stays in use"));
+        let retry_after = retry_after::to_micros(retry_after_ms);
+        self.discovery.on_watch_ended(now, retry_after, silence, &self.settings);
     }
 
-    /// An endpoint that the list names no more is forgotten when nothing of it is out, and its connections close:
-    /// another at its address is another endpoint.
-    pub(super) fn forget_unlisted(&mut self) {
-        if self.unlisted.is_empty() {
-            return;
+    /// A watch has told something. What is older than the list held comes from a discovery that lags, or that counts its
+    /// versions anew: it is taken in as far as it is safe, and a snapshot asked for, which holds.
+    pub(super) fn on_watch_event(&mut self, now: Micros, mut event: WatchEvent) {
+        if !self.endpoints.list().has_room_for(&event) {
+            let version = event.version;
+            self.log(format!(
+                "transport map: version {version} has more than {MAX_ENTRIES} entries; the last list stays in use"
+            ));
+            return self.discovery.abandon_watch(now);
         }
-        for link in self.pool.drop_idle_of(&self.unlisted) {
-            self.effects.push(Effect::CloseConnection { connection: link });
+        let order = self.discovery.observe_version(now, &event, self.endpoints.list().origin());
+        if let VersionOrder::FirstRegression { newest_version } = order {
+            let version = event.version;
+            self.log(format!("transport map: version {version} after {newest_version}: asked for once more"));
         }
-        let busy: BTreeSet<EndpointId> = self.in_flight.values().map(|flight| flight.endpoint).collect();
-        for id in self.unlisted.extract_if(.., |id| !busy.contains(id)) {
-            if let Some(hop) = self.endpoints.remove(&id) {
-                self.endpoint_ids.remove(&hop.uid);
-                self.destinations.forget(id, hop.destination);
-            }
+        if order != VersionOrder::InOrder {
+            event = self.endpoints.list().without_activations(event);
         }
-    }
-
-    pub(super) fn close_idle(&mut self, hop: EndpointId) {
-        for link in self.pool.drop_idle(hop) {
-            self.effects.push(Effect::CloseConnection { connection: link });
+        let kind = if event.is_snapshot { ListEventKind::Snapshot } else { ListEventKind::Delta };
+        let record = Record::EndpointList(event);
+        self.append_record(&record);
+        if let Record::EndpointList(event) = &record {
+            self.apply_list(now, event, kind);
         }
     }
 }
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -1,8 +1,10 @@
-//! What is over: ids that are remembered for a while, and final answers whose notice is still owed.
+//! Final answers: the end of each message, the ids of finished messages, and the answers that the platform is still to be
+//! notified of.
 
 use super::{Reducer, SECOND_US};
-use crate::input::Effect;
-use orchidyoke_core::interface::Micros;
+use crate::figures::End;
+use crate::input::{Effect, SubmitAnswer};
+use orchidyoke_core::interface::{MessageId, Micros};
 use orchidyoke_journal::{FinalAnswer, Record};
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -161,10 +163,61 @@
 }
 
 impl Reducer {
+    /// The final answer to a message that is not delivered: before it is accepted it answers the request, later it is a
+    /// notification.
+    pub(super) fn finish(&mut self, now: Micros, number: MessageId, answer: FinalAnswer) {
+        let end = match answer {
+            FinalAnswer::Failed => End::Error,
+            FinalAnswer::Rejected { .. } => End::Overload,
+        };
+        self.finish_counted_as(now, number, answer, end);
+    }
+
+    /// A final answer that counts as this end in the figures.
+    pub(super) fn finish_counted_as(
+        &mut self,
+        now: Micros,
+        number: MessageId,
+        answer: FinalAnswer,
+        end: End,
+    ) {
+        let Some(message) = self.messages.get(number) else { return };
+        if message.stored {
+            let id = message.accepted.id.clone();
+            self.append_record(&Record::AnswerDecided { message: id.clone(), at: now, answer });
+            self.final_answers.push(id, answer, now);
+        }
+        let submit_answer = match answer {
+            FinalAnswer::Failed => SubmitAnswer::Failed,
+            FinalAnswer::Rejected { retry_after_ms } => SubmitAnswer::Rejected(retry_after_ms * 1000),
+        };
+        let Some(message) = self.drop_message(number) else { return };
+        if message.stored {
+            self.figures.ended(&message.accepted.class, end);
+        } else {
+            self.figures.turned_away(&message.accepted.class, end);
+        }
+        for request in message.waiting_requests {
+            self.answer(request, submit_answer);
+        }
+    }
+
+    /// A message is delivered: nobody needs to be notified.
+    pub(super) fn finish_delivered(&mut self, now: Micros, number: MessageId) {
+        let Some(message) = self.messages.get(number) else { return };
+        let id = message.accepted.id.clone();
+        self.append_record(&Record::Finished { message: id.clone(), at: now });
+        if let Some(message) = self.drop_message(number) {
+            let latency = message.received_at.map(|received_at| now - received_at);
+            self.figures.delivered(&message.accepted.class, latency);
+        }
+        self.finished.remember(id, now);
+    }
+
     pub(super) fn post_notifications(&mut self, now: Micros) {
         if let Some(notices) = self.final_answers.take_post(now) {
             self.effects
-                .push(Effect::PostNotifications { to: self.discovery_address, notifications: notices });
+                .push(Effect::PostNotifications { to: self.discovery.address(), notifications: notices });
         }
     }
 
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -1,14 +1,13 @@
 //! Custody: what the reducer does with a message whose destination another forwarder owns, from its taking to the
 //! owner's answer. When what is due is decided in [`handover`](super::handover_schedule).
 
+use super::Reducer;
+use super::durability::AfterAppend;
 use super::handover_schedule::{HandoverDecision, HandoverTerms, MAX_IN_DOUBT_US, OFFER_TIMEOUT_US};
-use super::{AfterAppend, Reducer};
 use crate::input::Effect;
 use crate::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
-use orchidyoke_core::interface::{
-    DeduplicationScope, DestinationId, Event, Idempotency as ClassEffect, MessageId, Micros,
-};
-use orchidyoke_journal::{AcceptedMessage, FinalAnswer, HandoverOffer, HandoverState, ProcessStage, Record};
+use orchidyoke_core::interface::{DeduplicationScope, DestinationId, Event, Idempotency, MessageId, Micros};
+use orchidyoke_journal::{AcceptedMessage, FinalAnswer, HandoverOffer, HandoverState, Record};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -120,14 +119,14 @@
     /// # Errors
     ///
     /// It cannot be read.
-    pub(super) fn read_handover_mark(&mut self, marked: Marked) -> Result<Option<Mark>, &'static str> {
+    pub(super) fn read_handover_mark(&self, marked: &Marked) -> Result<Option<Mark>, &'static str> {
         if !self.ownership.is_on() {
             return Ok(None);
         }
         match marked {
             Marked::No => Ok(None),
             Marked::Malformed => Err("X-Handover: malformed\n"),
-            Marked::Yes(mark) => Ok(Some(mark)),
+            Marked::Yes(mark) => Ok(Some(mark.clone())),
         }
     }
 
@@ -162,22 +161,18 @@
         for id in self.handovers.ids() {
             // One that is out is looked at when its offer has ended.
             if !self.handovers.is_offer_in_flight(id) {
-                self.replace_owner(now, id);
+                self.reassign_owner(now, id);
             }
         }
         let view = self.ownership.view.as_ref();
         self.handovers.update_members(|name| view.and_then(|view| view.member(name)));
-        let settings = self.controller_settings();
-        if settings.fleet_size != self.fleet_size_in_force {
-            self.fleet_size_in_force = settings.fleet_size;
-            self.events.push(Event::Settings(Box::new(settings)));
-        }
+        self.controller.update_fleet_size(self.controller_settings());
     }
 
     /// Where a message goes that is in the journal and that the module does not have: to the owner of its destination, or
     /// to the module.
     pub(super) fn place(&mut self, now: Micros, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         let taken = &message.accepted;
         let peer = match &taken.handover {
             HandoverState { kept_local: true, .. } => None,
@@ -200,8 +195,8 @@
     }
 
     /// A message waits for an owner that may not be the one any more.
-    fn replace_owner(&mut self, now: Micros, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+    fn reassign_owner(&mut self, now: Micros, id: MessageId) {
+        let Some(message) = self.messages.get(id) else { return };
         let goes_to = match &message.accepted.handover.offered {
             Some(offered) => self.ownership.member(&offered.owner),
             None => self.ownership.peer(message.accepted.destination),
@@ -222,7 +217,7 @@
         }
     }
 
-    fn idempotency_of(&self, taken: &AcceptedMessage) -> ClassEffect {
+    pub(super) fn idempotency_of(&self, taken: &AcceptedMessage) -> Idempotency {
         let class = self.names.classes.iter().position(|class| *class == taken.class);
         class
             .and_then(|class| self.settings.classes.get(class))
@@ -241,9 +236,9 @@
             return true;
         };
         match self.idempotency_of(taken) {
-            ClassEffect::Idempotent => true,
-            ClassEffect::NonIdempotent => false,
-            ClassEffect::IdempotencyKey { scope: group, window } => {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::IdempotencyKey { scope: group, window } => {
                 let reaches_all = offered.is_none() || group == DeduplicationScope::All;
                 reaches_all && now < first.saturating_add(window)
             }
@@ -257,7 +252,7 @@
         untouched
             || matches!(
                 effect,
-                ClassEffect::Idempotent | ClassEffect::IdempotencyKey { scope: DeduplicationScope::All, .. }
+                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
             )
     }
 
@@ -268,7 +263,7 @@
         if self.ownership.is_new_to(now, destination, cold_time)
             && self.ownership.slow_started.insert(destination)
         {
-            self.events.push(Event::RouteState {
+            self.controller.push(Event::RouteState {
                 destination,
                 endpoint: None,
                 ejected: true,
@@ -279,7 +274,7 @@
 
     /// The owner that may have a message is asked no more: its class says what becomes of it.
     fn resolve_in_doubt(&mut self, now: Micros, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         if !self.may_repeat(now, &message.accepted) {
             return self.finish(now, id, FinalAnswer::Failed);
         }
@@ -288,20 +283,20 @@
     }
 
     fn count_offer_as_attempt(&mut self, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         if message.accepted.handover.offered.is_none() {
             return;
         }
         let txn = message.accepted.id.clone();
-        self.append(&[(&Record::HandoverInDoubt { message: txn }, b"")], None);
-        if let Some(message) = self.messages.get_mut(&id) {
+        self.append_record(&Record::HandoverInDoubt { message: txn });
+        if let Some(message) = self.messages.get_mut(id) {
             message.accepted.count_offer_as_attempt();
         }
     }
 
     /// A message is the module's from now on, with what is known of it.
     fn deliver_locally(&mut self, now: Micros, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|message| message.in_controller) {
+        if self.messages.get(id).is_none_or(|message| message.in_controller) {
             return;
         }
         self.pass_to_controller(now, id, false);
@@ -310,7 +305,7 @@
 
     /// Offers what is due, and ends what is out of time.
     pub(super) fn run_handover_decisions(&mut self, now: Micros) {
-        if self.stage == ProcessStage::HandedOff {
+        if self.upgrade.has_handed_off() {
             return;
         }
         while let Some(decision) = self.handovers.next(now) {
@@ -324,24 +319,24 @@
 
     /// The journal says whom a message is offered to before the first byte goes there.
     fn prepare_offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         if message.accepted.handover.offered.is_some() {
             return self.offer(now, id, peer);
         }
         let (txn, to) = (message.accepted.id.clone(), peer.name.clone());
         let record = Record::HandoverOffered { message: txn, owner: to.clone(), at: now };
         self.append(&[(&record, b"")], Some(AfterAppend::SendOffer(id, peer.clone())));
-        if let Some(message) = self.messages.get_mut(&id) {
+        if let Some(message) = self.messages.get_mut(id) {
             message.accepted.handover.offered = Some(HandoverOffer { owner: to, offered_at: now });
         }
     }
 
     /// The record of an offer is in the journal, or could not be: then nothing is offered.
     pub(super) fn on_offer_recorded(&mut self, now: Micros, id: MessageId, peer: &Peer, stored: bool) {
-        if stored && self.stage != ProcessStage::HandedOff {
+        if stored && !self.upgrade.has_handed_off() {
             return self.offer(now, id, peer);
         }
-        if let Some(message) = self.messages.get_mut(&id) {
+        if let Some(message) = self.messages.get_mut(id) {
             message.accepted.handover.offered = None;
         }
         self.handovers.on_offer_withheld(now, id);
@@ -349,7 +344,7 @@
 
     fn offer(&mut self, now: Micros, id: MessageId, peer: &Peer) {
         let view = self.ownership.view.as_ref().map(|view| view.own_name().to_owned());
-        let (Some(message), Some(from)) = (self.messages.get(&id), view) else {
+        let (Some(message), Some(from)) = (self.messages.get(id), view) else {
             return self.handovers.on_offer_withheld(now, id);
         };
         let taken = message.accepted.clone();
@@ -370,7 +365,7 @@
     pub(super) fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
         let was_in_doubt = self.handovers.is_in_doubt(id);
         self.handovers.on_offer_ended(now, id, end);
-        if self.messages.get(&id).is_none_or(|message| message.in_controller) {
+        if self.messages.get(id).is_none_or(|message| message.in_controller) {
             return;
         }
         match end {
@@ -382,23 +377,23 @@
         if let OfferEnd::Unreached(why) | OfferEnd::Unanswered(why) = end {
             let peer = self.handovers.peer_of(id).unwrap_or_default();
             let doubt = if matches!(end, OfferEnd::Unanswered(_)) { " (in doubt)" } else { "" };
-            let txn = self.messages.get(&id).map_or("", |message| &message.accepted.id);
+            let txn = self.messages.get(id).map_or("", |message| &message.accepted.id);
             let line = format!("hand-over of {txn} to {peer}{doubt}: {why}");
             self.log(line);
         }
-        if self.stage == ProcessStage::HandedOff {
+        if self.upgrade.has_handed_off() {
             return self.release_to_successor(id);
         }
-        if let Some(message) = self.messages.get(&id) {
+        if let Some(message) = self.messages.get(id) {
             let terms = self.terms(now, &message.accepted);
             self.handovers.change(id, terms);
         }
-        self.replace_owner(now, id);
+        self.reassign_owner(now, id);
     }
 
     /// Its owner has the message: here it is over.
     fn finish_handed_over(&mut self, now: Micros, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         let txn = message.accepted.id.clone();
         let to = message
             .accepted
@@ -406,7 +401,7 @@
             .offered
             .as_ref()
             .map_or_else(String::new, |offered| offered.owner.clone());
-        self.append(&[(&Record::HandedOver { message: txn.clone(), owner: to, at: now }, b"")], None);
+        self.append_record(&Record::HandedOver { message: txn.clone(), owner: to, at: now });
         self.ownership.counts.handed_over += 1;
         self.figures.handed_over();
         self.drop_message(id);
@@ -415,17 +410,17 @@
 
     /// The owner never took the message.
     fn record_declined(&mut self, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         let txn = message.accepted.id.clone();
-        self.append(&[(&Record::HandoverDeclined { message: txn }, b"")], None);
-        if let Some(message) = self.messages.get_mut(&id) {
+        self.append_record(&Record::HandoverDeclined { message: txn });
+        if let Some(message) = self.messages.get_mut(id) {
             message.accepted.handover.offered = None;
         }
     }
 
     /// A message is delivered here for lack of an owner.
     fn deliver_for_owner(&mut self, now: Micros, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         if !self.may_repeat(now, &message.accepted) {
             // A window has ended since.
             return self.place(now, id);
@@ -440,10 +435,10 @@
     }
 
     fn record_kept_local(&mut self, id: MessageId) {
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         let txn = message.accepted.id.clone();
-        self.append(&[(&Record::KeptLocal { message: txn }, b"")], None);
-        if let Some(message) = self.messages.get_mut(&id) {
+        self.append_record(&Record::KeptLocal { message: txn });
+        if let Some(message) = self.messages.get_mut(id) {
             message.accepted.handover.kept_local = true;
         }
     }
@@ -455,7 +450,7 @@
             // Its offer ends no later than that, and may bring the answer.
             return;
         }
-        let Some(message) = self.messages.get(&id) else { return };
+        let Some(message) = self.messages.get(id) else { return };
         let taken = &message.accepted;
         if now < taken.deadline {
             self.handovers.remove(id);
@@ -477,7 +472,7 @@
         let age = (now - self.ownership.view_since).max(0) / 1_000_000;
         let mut lines = String::new();
         for (name, value) in [
-            ("owned", self.ownership.owned(&self.destinations.with_endpoints())),
+            ("owned", self.ownership.owned(&self.endpoints.destinations().with_endpoints())),
             ("handed_over", counts.handed_over),
             ("taken_over", counts.taken_over),
             ("taken_over_from_strangers", counts.from_non_members),
--- /dev/null
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -0,0 +1,123 @@
+//! What the endpoint list, the settings, the operators and the fleet's policy together say of an endpoint, as the
+//! controller is told of it; and what follows where the list changes.
+
+use super::Reducer;
+use super::endpoint_table::NewEndpoints;
+use crate::input::Effect;
+use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedEndpoint, ListedState, WatchEvent};
+use orchidyoke_core::interface::{
+    DestinationId, DestinationKind, EndpointId, EndpointState, EndpointUpdate, Event, HealthStatus,
+    ListEventKind, Micros, UNKNOWN_ZONE,
+};
+
+/// What a list says of an endpoint, as far as the module is told of it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ListedView<'a> {
+    uid: &'a str,
+    zone: &'a str,
+    kind: &'a str,
+    destination: DestinationId,
+    capacity_hint: f64,
+    state: ListedState,
+    health: HealthChecks,
+}
+
+impl<'a> From<&'a EndpointEntry> for ListedView<'a> {
+    fn from(target: &'a EndpointEntry) -> Self {
+        ListedView {
+            uid: &target.uid,
+            zone: &target.zone,
+            kind: &target.kind,
+            destination: target.destination,
+            capacity_hint: target.capacity_hint,
+            state: target.state,
+            health: target.health,
+        }
+    }
+}
+
+impl<'a> From<&'a ListedEndpoint> for ListedView<'a> {
+    fn from(entry: &'a ListedEndpoint) -> Self {
+        ListedView {
+            uid: &entry.uid,
+            zone: &entry.zone,
+            kind: &entry.kind,
+            destination: entry.destination,
+            capacity_hint: entry.capacity_hint,
+            state: entry.state,
+            health: entry.health,
+        }
+    }
+}
+
+impl Reducer {
+    /// What the settings say of an endpoint's kind, while it is listed.
+    pub(super) fn kind_of(&self, uid: &str) -> Option<DestinationKind> {
+        let model = &*self.endpoints.listed(uid)?.kind;
+        let place = self.names.kinds.iter().position(|kind| kind == model)?;
+        self.settings.kinds.get(place).copied()
+    }
+
+    /// What the module is told of an endpoint.
+    pub(super) fn endpoint_update(
+        &self,
+        now: Micros,
+        hop: EndpointId,
+        line: ListedView<'_>,
+    ) -> EndpointUpdate {
+        let out = line.state == ListedState::Active
+            && (self.operator_overrides.is_ejected(line.uid) || self.policy.ejects(line.uid));
+        let cold = line.health == HealthChecks::Passing && self.is_warming_up(now, line.uid);
+        EndpointUpdate {
+            endpoint: hop,
+            destination: line.destination,
+            zone: self.zone_number(line.zone),
+            kind: self.names.kinds.iter().position(|kind| kind == line.kind).unwrap_or(usize::MAX),
+            state: if out { EndpointState::Draining } else { line.state.into() },
+            // Cold beside others that serve: they go before it.
+            health: if cold { HealthStatus::Warning } else { line.health.into() },
+            capacity_hint: line.capacity_hint,
+        }
+    }
+
+    /// A watch event is taken into the list, and the controller told of it.
+    pub(super) fn apply_list(&mut self, now: Micros, event: &WatchEvent, kind: ListEventKind) {
+        let mut updates = Vec::with_capacity(event.endpoints.len());
+        let mut new_endpoints = NewEndpoints::new();
+        for listed in &event.endpoints {
+            let id = self.endpoints.number(listed, &mut new_endpoints);
+            if self.endpoints.listed(&listed.uid).is_some_and(|known| known.address != listed.address) {
+                self.close_idle(id);
+                self.pool.retire(id);
+            }
+            updates.push(self.endpoint_update(now, id, listed.into()));
+        }
+        self.endpoints.apply(event, new_endpoints, &updates);
+        self.controller.push(Event::EndpointList { kind, entries: updates });
+    }
+
+    /// An endpoint that the list no longer names is forgotten when no call to it is in flight, and its connections
+    /// close: another at its address is another endpoint.
+    pub(super) fn forget_unlisted(&mut self) {
+        if self.endpoints.unlisted().is_empty() {
+            return;
+        }
+        for connection in self.pool.drop_idle_of(self.endpoints.unlisted()) {
+            self.effects.push(Effect::CloseConnection { connection });
+        }
+        let busy = self.calls.endpoints();
+        self.endpoints.forget_unlisted(&busy);
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub(super) fn close_idle(&mut self, endpoint: EndpointId) {
+        for connection in self.pool.drop_idle(endpoint) {
+            self.effects.push(Effect::CloseConnection { connection });
+        }
+    }
+
+    /// The number of a zone for the controller.
+    pub(super) fn zone_number(&self, name: &str) -> usize {
+        self.names.zones.iter().position(|zone| zone == name).unwrap_or(UNKNOWN_ZONE)
+    }
+}
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -2,7 +2,8 @@
 //!
 //! What is out by hand lies over the transport map: no list, reload, restart or upgrade ends it.
 
-use super::{AfterAppend, Reducer};
+use super::Reducer;
+use super::durability::AfterAppend;
 use crate::console::{Call, Reply};
 use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, RequestId};
@@ -23,6 +24,15 @@
     pub ejected: bool,
 }
 
+/// A call that waits until its record is in the journal.
+#[derive(Debug)]
+pub(super) struct OverrideRequest {
+    pub request: RequestId,
+    /// The endpoint's uid.
+    pub endpoint: String,
+    pub change: OverrideChange,
+}
+
 /// The operators' calls about endpoints, by uid: the last of each counts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OperatorOverrides {
@@ -96,12 +106,10 @@
     /// One call of an operator. What changes something is answered once it is in the journal.
     pub(super) fn on_operator_call(&mut self, now: Micros, ticket: RequestId, call: Call) {
         let reply = match call {
-            Call::Ready if !self.accepts_clients => Reply::No("takes no clients".to_owned()),
-            Call::Ready => self.policy_status.unready_reason.clone().map_or(Reply::Yes("ready"), Reply::No),
+            Call::Ready if !self.clients.are_accepted() => Reply::No("takes no clients".to_owned()),
+            Call::Ready => self.policy.unready_reason().map_or(Reply::Yes("ready"), Reply::No),
             Call::ShowStat => Reply::Figures(
-                self.figures.lines(self.gauges())
-                    + &self.policy_status.figures
-                    + &self.ownership_figures(now),
+                self.figures.lines(self.gauges()) + self.policy.figures() + &self.ownership_figures(now),
             ),
             Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
             Call::DisableServer(uid) => return self.record_override(now, ticket, uid, true),
@@ -110,35 +118,31 @@
         self.effects.push(Effect::Reply { request: ticket, reply });
     }
 
-    fn record_override(&mut self, now: Micros, ticket: RequestId, uid: String, out: bool) {
-        if self.endpoint_list.get(&uid).is_none() && !self.operator_overrides.is_ejected(&uid) {
-            let reply = Reply::No(format!("no endpoint {uid} is listed"));
-            return self.effects.push(Effect::Reply { request: ticket, reply });
+    fn record_override(&mut self, now: Micros, request: RequestId, endpoint: String, ejected: bool) {
+        if self.endpoints.listed(&endpoint).is_none() && !self.operator_overrides.is_ejected(&endpoint) {
+            let reply = Reply::No(format!("no endpoint {endpoint} is listed"));
+            return self.effects.push(Effect::Reply { request, reply });
         }
-        // Written also where it changes nothing here: another process may have heard otherwise since.
-        let call = OverrideChange { at: now, ejected: out };
-        let record = Record::OperatorOverride { endpoint: uid.clone(), at: now, ejected: out };
-        self.append(&[(&record, b"")], Some(AfterAppend::ApplyOverride { ticket, uid, call }));
-    }
-
-    /// An operator's call is in the journal, or is not: it is in force from here on.
-    pub(super) fn on_override_recorded(
-        &mut self,
-        now: Micros,
-        ticket: RequestId,
-        uid: &str,
-        call: OverrideChange,
-        stored: bool,
-    ) {
+        // Written also where it changes nothing here: another process may have been told otherwise since.
+        let record = Record::OperatorOverride { endpoint: endpoint.clone(), at: now, ejected };
+        let change = OverrideChange { at: now, ejected };
+        let then = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
+        self.append(&[(&record, b"")], Some(then));
+    }
+
+    /// An operator's call is in the journal, or could not be: it is in force from here on, and answered.
+    pub(super) fn on_override_recorded(&mut self, now: Micros, call: OverrideRequest, stored: bool) {
+        let OverrideRequest { request, endpoint, change } = call;
         let reply = if stored {
-            self.apply_override(now, uid, call);
+            self.apply_override(now, &endpoint, change);
             self.prune_overrides(now);
-            self.log(format!("operator: {uid} is {}", if call.ejected { "out" } else { "back" }));
-            Reply::Yes(if call.ejected { "out" } else { "back" })
+            let state = if change.ejected { "out" } else { "back" };
+            self.log(format!("operator: {endpoint} is {state}"));
+            Reply::Yes(state)
         } else {
             Reply::No("the journal has no room for it, or cannot be written".to_owned())
         };
-        self.effects.push(Effect::Reply { request: ticket, reply });
+        self.effects.push(Effect::Reply { request, reply });
     }
 
     /// Puts a call in force, wherever it came from.
@@ -148,17 +152,17 @@
             return;
         }
         if call.ejected
-            && let Some(hop) = self.endpoint_ids.get(uid).copied()
+            && let Some(hop) = self.endpoints.id_of(uid)
         {
             self.close_idle(hop);
         }
         self.report_endpoint(now, uid);
-        if let (false, Some(target)) = (call.ejected, self.endpoint_list.get(uid)) {
+        if let (false, Some(target)) = (call.ejected, self.endpoints.listed(uid)) {
             // It was restarted meanwhile. Beside others that serve it waits until it is warm; alone, its
             // destination comes back as after an outage.
             let destination = target.destination;
             if !self.has_other_active(destination, uid) {
-                self.events.push(Event::RouteState {
+                self.controller.push(Event::RouteState {
                     destination,
                     endpoint: None,
                     ejected: true,
@@ -170,25 +174,25 @@
 
     /// Whether a destination has an endpoint in service beside this one.
     fn has_other_active(&self, destination: DestinationId, uid: &str) -> bool {
-        let uids = self.destinations.endpoints_of(destination).filter_map(|id| self.endpoints.get(&id));
+        let uids =
+            self.endpoints.destinations().endpoints_of(destination).filter_map(|id| self.endpoints.get(id));
         let others = uids.map(|hop| &*hop.uid).filter(|other| *other != uid);
-        let still = |other: &&str| {
-            self.endpoint_list.get(other).is_some_and(|entry| entry.destination == destination)
-        };
+        let still =
+            |other: &&str| self.endpoints.listed(other).is_some_and(|entry| entry.destination == destination);
         others.filter(still).any(|other| self.state_of(other) == Some(EndpointState::Active))
     }
 
     /// Tells the module of an endpoint's state anew.
     fn report_endpoint(&mut self, now: Micros, uid: &str) {
-        if let (Some(target), Some(hop)) = (self.endpoint_list.get(uid), self.endpoint_ids.get(uid)) {
-            let entry = self.endpoint_update(now, *hop, target.into());
-            self.events.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
+        if let (Some(target), Some(hop)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
+            let entry = self.endpoint_update(now, hop, target.into());
+            self.controller.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
         }
     }
 
     /// What the list and the operators together say of an endpoint.
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
-        let state = self.endpoint_list.get(uid)?.state;
+        let state = self.endpoints.listed(uid)?.state;
         let out = state == ListedState::Active && self.operator_overrides.is_ejected(uid);
         Some(if out { EndpointState::Draining } else { state.into() })
     }
@@ -218,7 +222,7 @@
     }
 
     fn prune_overrides(&mut self, now: Micros) {
-        let map = &self.endpoint_list;
+        let map = &self.endpoints.list();
         self.operator_overrides.prune(now - self.settings.warm_up_time, |uid| map.get(uid).is_some());
     }
 
@@ -230,13 +234,13 @@
     /// What is counted as it stands now.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen = self.endpoint_ids.get(uid).is_some_and(|hop| self.controller.is_avoided(*hop));
+            let chosen = self.endpoints.id_of(uid).is_some_and(|hop| self.controller.is_avoided(hop));
             chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
             concurrent: self.messages.values().filter(|message| message.stored).count(),
-            targets: self.endpoint_list.len(),
-            targets_disabled: self.endpoint_list.iter().filter(|target| avoided(&target.uid)).count(),
+            targets: self.endpoints.list().len(),
+            targets_disabled: self.endpoints.list().iter().filter(|target| avoided(&target.uid)).count(),
         }
     }
 }
--- /dev/null
+++ b/crates/forwarder/src/reducer/reload.rs
@@ -0,0 +1,48 @@
+//! A configuration that was read again: what can change while the process runs.
+
+use super::Reducer;
+use super::durability::Bounds;
+use crate::config::Config;
+use orchidyoke_core::interface::{Event, ListEventKind, Micros};
+use orchidyoke_journal::Record;
+
+impl Reducer {
+    /// Takes over a configuration that is good. Messages and calls in flight carry on; the list stays in use until
+    /// discovery, perhaps at another address, has told more.
+    pub(super) fn reload_config(&mut self, now: Micros, config: Config) {
+        let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
+        self.log(format!("configuration: read again, discovery is at {}", discovery.file));
+        let superseded = discovery.given.filter(|given| Some(*given) != self.discovery.superseded());
+        if let Some(discovery) = superseded {
+            self.append_record(&Record::DiscoverySuperseded { discovery });
+            self.discovery.supersede(discovery);
+        }
+        if self.discovery.address() != discovery.file {
+            self.final_answers.post_now(now);
+        }
+        self.discovery.reload(now, discovery.file, catalogue, &settings);
+        let bounds = Bounds::new(&settings, limits);
+        self.pool.bound(settings.idle_timeout, bounds.connections);
+        self.durability.set_limit_bytes(bounds.disk_bytes);
+        self.share_space();
+        self.finished.set_max_ids(bounds.finished_ids);
+        self.settings = settings;
+        self.names = names;
+        self.policy.set_ejected(policy_out);
+        self.figures.name(&self.names.classes);
+        self.controller.replace_settings(self.controller_settings());
+        self.report_all_endpoints(now);
+        self.replace_owners(now, owners);
+    }
+
+    /// Tells the controller of the whole list: the numbers of zones and kinds may have changed.
+    fn report_all_endpoints(&mut self, now: Micros) {
+        let listed = self.endpoints.list().iter();
+        let updates = listed.filter_map(|listed| {
+            let id = self.endpoints.id_of(&listed.uid)?;
+            Some(self.endpoint_update(now, id, listed.into()))
+        });
+        let entries = updates.collect();
+        self.controller.push(Event::EndpointList { kind: ListEventKind::Snapshot, entries });
+    }
+}
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -61,18 +61,9 @@
 }
 
 impl Reducer {
-    /// The number of a zone for the module.
-    pub(super) fn zone_number(&self, name: &str) -> usize {
-        self.names
-            .zones
-            .iter()
-            .position(|zone| zone == name)
-            .unwrap_or(orchidyoke_core::interface::UNKNOWN_ZONE)
-    }
-
     /// The route that an endpoint is on, as far as the list still tells its kind.
     fn route_of(&self, hop: EndpointId) -> Option<RouteKey> {
-        let hop = self.endpoints.get(&hop)?;
+        let hop = self.endpoints.get(hop)?;
         let apart = self.kind_of(&hop.uid).is_some_and(|kind| kind.separate_routes);
         Some(RouteKey::new(hop.destination, apart.then(|| hop.uid.to_string())))
     }
@@ -83,14 +74,14 @@
         self.retry_after.expire(now);
         let until = self.retry_after.extend_to(route.clone(), now.saturating_add(wait));
         let record = route.retry_after_record(until);
-        if self.has_other_process() || self.stage == orchidyoke_journal::ProcessStage::HandedOff {
-            self.append(&[(&record, b"")], None);
+        if self.upgrade.other_runs() || self.upgrade.has_handed_off() {
+            self.append_record(&record);
         }
     }
 
     /// Whether a wait holds an endpoint: its own, or one of its whole destination.
     pub(super) fn is_held_by_retry_after(&self, now: Micros, hop: EndpointId) -> bool {
-        let Some(hop) = self.endpoints.get(&hop) else { return false };
+        let Some(hop) = self.endpoints.get(hop) else { return false };
         let keys = [None, Some(hop.uid.to_string())].map(|uid| RouteKey::new(hop.destination, uid));
         keys.iter().any(|key| self.retry_after.runs(now, key))
     }
@@ -98,7 +89,7 @@
     /// A wait that was told to another process of this forwarder.
     pub(super) fn adopt_retry_after(&mut self, now: Micros, route: RouteKey, until: Micros) {
         if until > now {
-            self.events.extend(self.route_state_event(&route, false, until - now));
+            self.controller.extend(self.route_state_event(&route, false, until - now));
             self.retry_after.extend_to(route, until);
         }
     }
@@ -111,7 +102,7 @@
     /// What the module is told of a route; nothing where its endpoint is not listed: one that comes later is another.
     pub(super) fn route_state_event(&self, route: &RouteKey, out: bool, wait: Micros) -> Option<Event> {
         let endpoint = match &route.endpoint {
-            Some(uid) => Some(*self.endpoint_ids.get(uid.as_str())?),
+            Some(uid) => Some(self.endpoints.id_of(uid.as_str())?),
             None => None,
         };
         Some(Event::RouteState { destination: route.destination, endpoint, ejected: out, retry_after: wait })
@@ -130,11 +121,11 @@
     /// What the module knows of routes in trouble outlasts the process.
     pub(super) fn record_faulty_routes(&mut self) {
         // An endpoint that the list names no more is about to lose its name, be the set another or not.
-        if !self.controller.take_faulty_routes_changed() && self.unlisted.is_empty() {
+        if !self.controller.take_faulty_routes_changed() && self.endpoints.unlisted().is_empty() {
             return;
         }
         let troubled = self.controller.faulty_routes().into_iter();
-        let name = |id: EndpointId| self.endpoints.get(&id).map(|hop| hop.uid.to_string());
+        let name = |id: EndpointId| self.endpoints.get(id).map(|hop| hop.uid.to_string());
         let keys = troubled.filter_map(|(dest, endpoint)| match endpoint {
             Some(endpoint) => Some(RouteKey::new(dest, Some(name(endpoint)?))),
             None => Some(RouteKey::new(dest, None)),
--- a/crates/forwarder/src/reducer/shutdown.rs
+++ b/crates/forwarder/src/reducer/shutdown.rs
@@ -44,24 +44,25 @@
     pub(super) fn begin_shutdown(&mut self, now: Micros) {
         if self.shutdown.is_none() {
             self.shutdown = Some(ShutdownState::new(now));
-            self.events.push(Event::ShuttingDown { time_left: ACCEPT_PERIOD_US });
-            if self.is_successor_ready() {
+            self.controller.push(Event::ShuttingDown { time_left: ACCEPT_PERIOD_US });
+            if self.upgrade.is_successor_ready() {
                 self.hand_off(now);
             }
         }
     }
 
     pub(super) fn advance_shutdown(&mut self, now: Micros) {
-        let busy = self.connected_clients > 0 || !self.messages.is_empty() || !self.final_answers.is_empty();
+        let busy =
+            self.clients.connected() > 0 || !self.messages.is_empty() || !self.final_answers.is_empty();
         let Some(leaving) = &mut self.shutdown else { return };
         if busy {
             leaving.quiet_since = now;
         }
-        match leaving.exit_at(self.connected_clients) {
+        match leaving.exit_at(self.clients.connected()) {
             None if now >= leaving.stop_accepting_at || now - leaving.quiet_since >= IDLE_EXIT_AFTER_US => {
                 // What clients have sent by now is still taken on: an end without an answer would lose it.
                 leaving.closed_at = Some(now);
-                self.accepts_clients = false;
+                self.clients.set_accepted(false);
                 self.effects.push(Effect::StopAccepting);
             }
             Some(exit) if now >= exit => self.effects.push(Effect::Exit),
--- /dev/null
+++ b/crates/forwarder/src/reducer/start.rs
@@ -0,0 +1,135 @@
+//! The start of a forwarder: its state from the configuration and from what its journal holds.
+
+use super::Reducer;
+use super::call_table::CallTable;
+use super::clients::Clients;
+use super::controller_driver::ControllerDriver;
+use super::durability::{Bounds, Durability};
+use super::endpoint_discovery::EndpointDiscovery;
+use super::endpoint_table::EndpointTable;
+use super::final_answers::{FinishedIds, PendingAnswers};
+use super::fleet_policy::FleetPolicy;
+use super::handover::Ownership;
+use super::handover_schedule::HandoverSchedule;
+use super::message_table::MessageTable;
+use super::recovered_state::{RecoveredState, replay};
+use super::retry_after_table::RetryAfterTable;
+use super::upgrade::Upgrade;
+use crate::config::Config;
+use crate::figures::Figures;
+use crate::pool::Pool;
+use bytes::Bytes;
+use orchidyoke_core::endpoint_list::{EndpointList, WatchEvent};
+use orchidyoke_core::interface::{ListEventKind, Micros, Settings};
+use orchidyoke_journal::{Generation, ProcessStage, Record, RecordsWithBodies};
+
+impl Reducer {
+    /// A forwarder at its start, with what its journal holds: `generation` is the number of that file, and
+    /// `journal_size` the bytes in it. `now` is Unix time in microseconds.
+    pub fn new(
+        mut config: Config,
+        generation: Generation,
+        records: RecordsWithBodies,
+        journal_size: usize,
+        now: Micros,
+    ) -> Self {
+        let mut recovered = replay(records);
+        let configured_list = std::mem::replace(&mut config.known, EndpointList::default().snapshot());
+        let mut reducer = Reducer::with_components(config, generation, &mut recovered, journal_size, now);
+        for (id, at) in std::mem::take(&mut recovered.finished) {
+            reducer.finished.remember(id, at);
+        }
+        reducer.figures.name(&reducer.names.classes);
+        let recovered_list = std::mem::take(&mut recovered.endpoint_list);
+        let is_list_recorded = reducer.restore_list(now, configured_list, recovered_list);
+        let faulty = reducer.faulty_routes.iter();
+        let events: Vec<_> = faulty.filter_map(|route| reducer.route_state_event(route, true, 0)).collect();
+        reducer.controller.extend(events);
+        for (route, until) in recovered.retry_after {
+            reducer.adopt_retry_after(now, route, until);
+        }
+        for (accepted, body) in recovered.accepted.into_values() {
+            // A part of the file that was read would keep all of that in memory.
+            reducer.restore(accepted, Bytes::copy_from_slice(&body), now);
+        }
+        // Only now: an append may need a compaction, which holds what the reducer holds.
+        reducer.record_start(is_list_recorded);
+        reducer
+    }
+
+    fn with_components(
+        config: Config,
+        generation: Generation,
+        recovered: &mut RecoveredState,
+        journal_size: usize,
+        now: Micros,
+    ) -> Self {
+        let Config { settings, seed, .. } = config;
+        let bounds = Bounds::new(&settings, config.limits);
+        let ownership = Ownership::new(config.owners, now);
+        let fleet_size = ownership.owners_of_each().unwrap_or(settings.fleet_size);
+        let answers = std::mem::take(&mut recovered.undelivered_answers);
+        Reducer {
+            controller: ControllerDriver::new(Settings { fleet_size, ..settings.clone() }, seed, now),
+            discovery: EndpointDiscovery::new(
+                &config.discovery,
+                config.catalogue,
+                recovered.superseded,
+                &settings,
+                seed,
+                now,
+            ),
+            endpoints: EndpointTable::default(),
+            retry_after: RetryAfterTable::default(),
+            faulty_routes: std::mem::take(&mut recovered.faulty_routes),
+            messages: MessageTable::default(),
+            calls: CallTable::default(),
+            pool: Pool::new(settings.idle_timeout, bounds.connections),
+            durability: Durability::new(bounds.disk_bytes, journal_size),
+            finished: FinishedIds::new(bounds.finished_ids),
+            final_answers: PendingAnswers::new(answers, now),
+            ownership,
+            handovers: HandoverSchedule::new(seed),
+            upgrade: Upgrade::new(generation),
+            operator_overrides: std::mem::take(&mut recovered.operator_overrides),
+            policy: FleetPolicy::new(config.policy_out),
+            clients: Clients::default(),
+            shutdown: None,
+            figures: Figures::default(),
+            effects: Vec::new(),
+            settings,
+            names: config.names,
+        }
+    }
+
+    /// The configuration's list and the journal's. The former names destinations that may have no endpoint just now; what
+    /// discovery told before the restart is in force. Gives whether the journal holds the list that results.
+    fn restore_list(&mut self, now: Micros, configured: WatchEvent, recovered: EndpointList) -> bool {
+        // Changes told later are journaled as such: without a snapshot before them they would be all of the list.
+        let configured = WatchEvent { is_snapshot: true, ..configured };
+        // A catalogue counts versions of its own: what it told last holds until it tells more.
+        let from_catalogue = !recovered.origin().is_empty() && self.discovery.has_catalogue();
+        let is_newer = from_catalogue || recovered.version() > configured.version;
+        self.apply_list(now, &configured, ListEventKind::Restored);
+        drop(configured);
+        if is_newer {
+            self.apply_list(now, &recovered.snapshot(), ListEventKind::Restored);
+        }
+        self.discovery.set_newest_version(self.endpoints.list().version());
+        *self.endpoints.list() == recovered
+    }
+
+    /// The journal is told that this process has started, and of the list if it does not hold that.
+    fn record_start(&mut self, is_list_recorded: bool) {
+        if is_list_recorded {
+            // The list is not written again. A file that has no room for it is compacted all the same: at a start nobody
+            // waits for that yet.
+            self.make_room(self.endpoints.list().size());
+        }
+        self.append_record(&Record::ProcessStage { stage: ProcessStage::Started });
+        if !is_list_recorded {
+            let list = Record::EndpointList(self.endpoints.list().snapshot());
+            self.append_record(&list);
+        }
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -0,0 +1,314 @@
+//! Submissions: which are answered at once, which become messages, and when those are answered as accepted.
+//!
+//! A new message waits for the controller's next round. Unless the controller rejects it there, its record is appended,
+//! and the request is answered with 202 once that is stored.
+
+use super::Reducer;
+use super::durability::AfterAppend;
+use super::message_table::{DecidedMessage, Message, message_size};
+use crate::figures::End;
+use crate::input::{RequestId, Submission, SubmitAnswer};
+use crate::ownership::{Mark, Peer};
+use bytes::Bytes;
+use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros};
+use orchidyoke_journal::{AcceptedMessage, AttemptStart, HandoverState, Record, RecordsWithBodies};
+
+/// Retry-After where the journal has no room: about when some messages will be finished.
+const JOURNAL_FULL_RETRY_AFTER_US: Micros = 1_000_000;
+
+/// What the checks of a submission have found.
+struct CheckedSubmission {
+    /// The longest time to its deadline that its class allows.
+    max_time_left: Micros,
+    /// It was handed over by another forwarder, and stays here.
+    mark: Option<Mark>,
+    /// The other forwarder that owns its destination.
+    owner: Option<Peer>,
+}
+
+/// Where an earlier attempt was made, as the controller is told.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptOrigin {
+    /// How long ago it began.
+    pub age: Micros,
+    pub endpoint: EndpointId,
+    /// Number of its zone.
+    pub zone: usize,
+}
+
+impl Reducer {
+    /// A client submits a message.
+    pub(super) fn submit(&mut self, now: Micros, request: RequestId, submission: Submission) {
+        if self.join_known_message(request, &submission.id) {
+            return;
+        }
+        let checked = match self.check_submission(&submission) {
+            Ok(checked) => checked,
+            Err(answer) => return self.answer(request, answer),
+        };
+        let reserve_bytes = self.ownership.reserve_bytes(&submission.id);
+        if !self.has_room_for(now, &submission, &checked, reserve_bytes) {
+            self.figures.turned_away(&submission.class, End::Overload);
+            return self.answer(request, SubmitAnswer::Rejected(self.journal_full_retry_after()));
+        }
+        let is_retry = submission.is_retry;
+        let has_owner = checked.owner.is_some();
+        let body = submission.body.clone();
+        let accepted = self.accepted_message(now, submission, checked);
+        let has_history = accepted.attempts > 0 || accepted.possible_delivery.is_some();
+        let number = self.messages.insert(Message {
+            accepted,
+            body,
+            waiting_requests: vec![request],
+            stored: false,
+            received_at: Some(now),
+            in_controller: false,
+            handover_reserve_bytes: reserve_bytes,
+        });
+        if !has_owner {
+            self.pass_to_controller(now, number, is_retry);
+            if has_history {
+                self.report_history(now, number);
+            }
+        }
+        self.messages.await_decision(number);
+    }
+
+    /// A client submits again when a close crosses its request: the same id is the same message. Whether it is known, and
+    /// the request answered or to be answered with it.
+    fn join_known_message(&mut self, request: RequestId, id: &str) -> bool {
+        if self.finished.contains(id) || self.final_answers.contains(id) {
+            self.answer(request, SubmitAnswer::Accepted);
+            return true;
+        }
+        if let Some(number) = self.messages.number_of(id)
+            && let Some(message) = self.messages.get_mut(number)
+        {
+            if message.stored {
+                self.answer(request, SubmitAnswer::Accepted);
+            } else {
+                message.waiting_requests.push(request);
+                self.messages.await_decision_again(number);
+            }
+            return true;
+        }
+        let is_elsewhere = self.upgrade.others_know(id);
+        if is_elsewhere {
+            self.answer(request, SubmitAnswer::Accepted);
+        }
+        is_elsewhere
+    }
+
+    /// Whether a submission has what the settings ask of it.
+    ///
+    /// # Errors
+    ///
+    /// The answer that says what it lacks.
+    fn check_submission(&mut self, submission: &Submission) -> Result<CheckedSubmission, SubmitAnswer> {
+        let class = self.names.classes.iter().position(|class| *class == submission.class);
+        let class = class.and_then(|class| self.settings.classes.get(class));
+        let class = class.ok_or(SubmitAnswer::UnknownClass)?;
+        let max_time_left = class.deadline;
+        if submission.tenant.is_none() && !self.names.tenants.is_empty() {
+            return Err(SubmitAnswer::Incomplete("X-Org: missing\n"));
+        }
+        let needs_key = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
+        if submission.idempotency_key.is_none() && needs_key {
+            return Err(SubmitAnswer::Incomplete("Idempotency-Key: missing, its class has one\n"));
+        }
+        if !self.endpoints.destinations().knows(submission.destination) {
+            return Err(SubmitAnswer::UnknownDestination);
+        }
+        let mark = self.read_handover_mark(&submission.handover_mark).map_err(SubmitAnswer::Incomplete)?;
+        let owner = if mark.is_some() { None } else { self.ownership.peer(submission.destination) };
+        Ok(CheckedSubmission { max_time_left, mark, owner })
+    }
+
+    /// Whether a message may be accepted beside those that there are, here and for its owner.
+    fn has_room_for(
+        &self,
+        now: Micros,
+        submission: &Submission,
+        checked: &CheckedSubmission,
+        reserve_bytes: usize,
+    ) -> bool {
+        let handover_expired = checked.mark.as_ref().is_some_and(|mark| mark.valid_until < now);
+        let owner_is_full = checked.owner.as_ref().is_some_and(|owner| self.handovers.is_full(&owner.name));
+        let max_open = self.settings.max_open_messages;
+        let too_many_open = max_open > 0 && self.messages.len() >= max_open;
+        if handover_expired || owner_is_full || too_many_open {
+            return false;
+        }
+        let key = submission.idempotency_key.as_deref();
+        let bytes = message_size(&submission.id, key, &submission.body) + reserve_bytes;
+        self.durability.admits(self.live_bytes(), bytes)
+    }
+
+    /// The message of a submission, with what the forwarder that handed it over says of it.
+    fn accepted_message(
+        &mut self,
+        now: Micros,
+        submission: Submission,
+        checked: CheckedSubmission,
+    ) -> AcceptedMessage {
+        // A client that says more than its class allows does not keep a message here for ever.
+        let deadline = now.saturating_add(submission.time_left.min(checked.max_time_left));
+        let mut accepted = AcceptedMessage {
+            id: submission.id,
+            class: submission.class,
+            tenant: submission.tenant.unwrap_or_default(),
+            idempotency_key: submission.idempotency_key,
+            destination: submission.destination,
+            deadline,
+            attempts: 0,
+            possible_delivery: None,
+            in_flight: None,
+            handover: HandoverState::default(),
+        };
+        if let Some(mark) = checked.mark {
+            self.count_handover_from(&mark);
+            accepted.handover.kept_local = true;
+            accepted.deadline = deadline.min(mark.deadline);
+            accepted.attempts = mark.attempts;
+            accepted.possible_delivery = mark.ran;
+        }
+        accepted
+    }
+
+    /// Retry-After where there is no room, as far as the settings let a client be told any.
+    pub(super) fn journal_full_retry_after(&self) -> Micros {
+        if self.settings.send_retry_after {
+            JOURNAL_FULL_RETRY_AFTER_US.min(self.settings.max_retry_after.max(0))
+        } else {
+            0
+        }
+    }
+
+    /// A message that a journal held, as it was.
+    pub(super) fn restore(&mut self, mut accepted: AcceptedMessage, body: Bytes, now: Micros) {
+        // In flight when the process ended: it may have run.
+        let in_flight = accepted.in_flight.take();
+        accepted.possible_delivery = accepted.possible_delivery.or(in_flight);
+        self.figures.took(1);
+        let handover_reserve_bytes = self.ownership.reserve_bytes(&accepted.id);
+        let number = self.messages.insert(Message {
+            accepted,
+            body,
+            waiting_requests: Vec::new(),
+            stored: true,
+            received_at: None,
+            in_controller: false,
+            handover_reserve_bytes,
+        });
+        self.place(now, number);
+    }
+
+    /// Where an attempt was made. Its zone is kept with it, for the endpoint may be gone since, or listed elsewhere; only
+    /// a record of a version before has none.
+    pub(super) fn attempt_origin(&self, now: Micros, start: &AttemptStart) -> AttemptOrigin {
+        let listed = || self.endpoints.listed(&start.endpoint).map_or("", |listed| &*listed.zone);
+        let zone = if start.zone.is_empty() { listed() } else { &start.zone };
+        AttemptOrigin {
+            age: (now - start.started_at).max(0),
+            endpoint: self.endpoints.id_of(&start.endpoint).unwrap_or(EndpointId::MAX),
+            zone: self.zone_number(zone),
+        }
+    }
+
+    /// The controller has a message from now on.
+    pub(super) fn pass_to_controller(&mut self, now: Micros, number: MessageId, is_retry: bool) {
+        let Some(message) = self.messages.get(number) else { return };
+        let destination = message.accepted.destination;
+        self.slow_start_destination(now, destination);
+        let Some(message) = self.messages.get_mut(number) else { return };
+        message.in_controller = true;
+        let accepted = &message.accepted;
+        let position =
+            |names: &[String], name: &str| names.iter().position(|known| known == name).unwrap_or(usize::MAX);
+        self.controller.push(Event::Message {
+            id: number,
+            destination,
+            class: position(&self.names.classes, &accepted.class),
+            tenant: position(&self.names.tenants, &accepted.tenant),
+            order_key: None,
+            time_left: accepted.deadline.saturating_sub(now),
+            is_retry,
+        });
+    }
+
+    /// The controller is told what has become of a message before, if anything has.
+    pub(super) fn report_history(&mut self, now: Micros, number: MessageId) {
+        let Some(message) = self.messages.get(number) else { return };
+        let attempts = message.accepted.attempts;
+        let first = message.accepted.possible_delivery.as_ref();
+        let possible_delivery = first.map(|start| {
+            let origin = self.attempt_origin(now, start);
+            (origin.age, origin.endpoint, origin.zone)
+        });
+        self.controller.push(Event::AttemptHistory { id: number, attempts, possible_delivery });
+    }
+
+    /// Nobody waits any more for a message that is not accepted yet: it is dropped.
+    pub(super) fn withdraw(&mut self, request: RequestId) {
+        if let Some(number) = self.messages.undecided_for(request) {
+            self.drop_message(number);
+            self.controller.push(Event::Withdrawn { id: number });
+        }
+    }
+
+    /// A message is not here any more.
+    pub(super) fn drop_message(&mut self, number: MessageId) -> Option<Message> {
+        let message = self.messages.remove(number)?;
+        self.handovers.remove(number);
+        Some(message)
+    }
+
+    /// What the controller has not rejected goes into the journal.
+    pub(super) fn record_admitted(&mut self) {
+        let decided = self.messages.take_decided();
+        if decided.is_empty() {
+            return;
+        }
+        let mut records = RecordsWithBodies::new();
+        for message in decided.iter().filter_map(|decided| self.messages.get(decided.number)) {
+            records.push((Record::Accepted(message.accepted.clone()), message.body.clone()));
+            let handover = message.accepted.handover_records();
+            records.extend(handover.into_iter().map(|record| (record, Bytes::new())));
+        }
+        let records: Vec<(&Record, &[u8])> =
+            records.iter().map(|(record, body)| (record, &body[..])).collect();
+        self.append(&records, Some(AfterAppend::AdmitMessages(decided)));
+    }
+
+    /// The records of new messages are in the journal, or could not be: their requests are answered.
+    pub(super) fn on_messages_recorded(&mut self, now: Micros, decided: Vec<DecidedMessage>, stored: bool) {
+        for DecidedMessage { number, requests } in decided {
+            if stored {
+                self.count_stored(number);
+            } else if let Some(message) = self.drop_message(number) {
+                self.figures.turned_away(&message.accepted.class, End::Overload);
+                self.controller.push(Event::Withdrawn { id: number });
+            }
+            let answer = if stored {
+                SubmitAnswer::Accepted
+            } else {
+                SubmitAnswer::Rejected(self.journal_full_retry_after())
+            };
+            requests.into_iter().for_each(|request| self.answer(request, answer));
+            if stored && self.upgrade.has_handed_off() {
+                self.release_to_successor(number);
+            } else if stored && self.messages.get(number).is_some_and(|message| !message.in_controller) {
+                self.place(now, number);
+            }
+        }
+    }
+
+    fn count_stored(&mut self, number: MessageId) {
+        if let Some(message) = self.messages.get_mut(number)
+            && !std::mem::replace(&mut message.stored, true)
+        {
+            self.figures.took(1);
+            self.ownership.count_taken_over(&message.accepted);
+        }
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -0,0 +1,177 @@
+//! Takeover: what another process on the folder left becomes this one's, once it is in this one's file.
+//!
+//! Whether it may be taken over is decided in [`upgrade`](super::upgrade).
+
+use super::Reducer;
+use super::durability::AfterAppend;
+use crate::figures::End;
+use crate::input::Effect;
+use bytes::Bytes;
+use orchidyoke_core::interface::{MessageId, Micros};
+use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, Record, RecordsWithBodies};
+
+/// What is taken over from another process at once.
+#[derive(Debug)]
+pub(super) struct Takeover {
+    generation: Generation,
+    messages: Vec<(AcceptedMessage, Bytes)>,
+    undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
+    finished: Vec<(String, Micros)>,
+    /// The process has ended, and this is all that it left.
+    is_complete: bool,
+}
+
+impl Takeover {
+    /// The records of all this, in the order in which a journal holds them.
+    fn records(&self) -> RecordsWithBodies {
+        let mut records = RecordsWithBodies::new();
+        for (id, at) in &self.finished {
+            records.push((Record::Finished { message: id.clone(), at: *at }, Bytes::new()));
+        }
+        records.extend(self.answer_records().into_iter().map(|record| (record, Bytes::new())));
+        for (accepted, body) in &self.messages {
+            records.push((Record::Accepted(accepted.clone()), body.clone()));
+            let handover = accepted.handover_records();
+            records.extend(handover.into_iter().map(|record| (record, Bytes::new())));
+        }
+        records
+    }
+
+    fn answer_records(&self) -> Vec<Record> {
+        let answers = self.undelivered_answers.iter();
+        let record = |(id, answer, at): &(String, FinalAnswer, Micros)| Record::AnswerDecided {
+            message: id.clone(),
+            at: *at,
+            answer: *answer,
+        };
+        answers.map(record).collect()
+    }
+}
+
+impl Reducer {
+    /// Takes over what another process no longer owns: it is appended to this one's file.
+    pub(super) fn take_over(&mut self, generation: Generation) {
+        if !self.upgrade.may_take_over(generation) {
+            return;
+        }
+        let Some(takeover) = self.free_of(generation) else { return };
+        if takeover.messages.is_empty() && !takeover.is_complete {
+            return;
+        }
+        let records = takeover.records();
+        let records: Vec<(&Record, &[u8])> =
+            records.iter().map(|(record, body)| (record, &body[..])).collect();
+        self.append(&records, Some(AfterAppend::CompleteTakeover(takeover)));
+    }
+
+    /// What is there to be taken over, but for what this process or a later one has already.
+    fn free_of(&self, generation: Generation) -> Option<Takeover> {
+        let other = self.upgrade.other(generation)?;
+        let state = other.state();
+        let is_complete = other.has_ended();
+        let is_known = |id: &str| {
+            self.finished.contains(id)
+                || self.final_answers.contains(id)
+                || self.upgrade.later_know(generation, id)
+        };
+        let messages = state.accepted.values();
+        let messages = messages.filter(|(accepted, _)| is_complete || accepted.in_flight.is_none());
+        let messages = messages.filter(|(accepted, _)| !is_known(&accepted.id));
+        let mut takeover = Takeover {
+            generation,
+            messages: messages.filter_map(|(accepted, body)| self.merged_with_own(accepted, body)).collect(),
+            undelivered_answers: Vec::new(),
+            finished: Vec::new(),
+            is_complete,
+        };
+        if is_complete {
+            let answers = state.undelivered_answers.iter();
+            takeover.undelivered_answers = answers.filter(|(id, ..)| !is_known(id)).cloned().collect();
+            let finished = state.finished.iter();
+            takeover.finished = finished.filter(|(id, _)| !is_known(id)).cloned().collect();
+        }
+        Some(takeover)
+    }
+
+    /// What another process left is in this one's file, or could not be: then it stays where it is for now. Where that
+    /// process has ended, each message that there is no room for is finished at once.
+    pub(super) fn on_takeover_recorded(&mut self, now: Micros, mut takeover: Takeover, stored: bool) {
+        let count = takeover.messages.len();
+        if !stored && !takeover.is_complete {
+            return self.log(format!("succession: no room yet for {count} messages"));
+        }
+        if !stored {
+            self.log(format!("succession: no room for {count} messages, each is ended"));
+            self.finish_without_room(now, &mut takeover);
+        }
+        let generation = takeover.generation;
+        for (id, at) in takeover.finished {
+            self.finished.remember(id, at);
+        }
+        for (id, answer, at) in takeover.undelivered_answers {
+            self.final_answers.push(id, answer, at);
+        }
+        let count = takeover.messages.len();
+        for (accepted, body) in takeover.messages {
+            self.upgrade.release_message(generation, &accepted.id);
+            match self.messages.number_of(&accepted.id) {
+                Some(number) => self.merge_message(now, number, accepted),
+                // A part of the file that was read would keep all of that in memory.
+                None => self.restore(accepted, Bytes::copy_from_slice(&body), now),
+            }
+        }
+        if count > 0 {
+            self.log(format!("succession: {count} messages taken over from process {generation}"));
+        }
+        if takeover.is_complete {
+            self.upgrade.remove(generation);
+            self.effects.push(Effect::RemoveJournal { generation });
+            self.share_space();
+            self.controller.update_max_calls(self.controller_settings());
+        }
+    }
+
+    /// What a process left that has ended, where the folder has no room for it: each message has its final answer now.
+    fn finish_without_room(&mut self, now: Micros, takeover: &mut Takeover) {
+        let retry_after_ms = self.journal_full_retry_after() / 1000;
+        for (accepted, _) in std::mem::take(&mut takeover.messages) {
+            if accepted.possible_delivery.is_some() || accepted.in_flight.is_some() {
+                self.figures.turned_away(&accepted.class, End::Error);
+                takeover.undelivered_answers.push((accepted.id, FinalAnswer::Failed, now));
+            } else {
+                self.figures.turned_away(&accepted.class, End::Overload);
+                let answer = FinalAnswer::Rejected { retry_after_ms };
+                takeover.undelivered_answers.push((accepted.id, answer, now));
+            }
+        }
+        self.append_all(&takeover.answer_records(), None);
+    }
+
+    /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
+    /// itself: an earlier process with this file had taken it over, or a client submitted it to both.
+    fn merged_with_own(&self, theirs: &AcceptedMessage, body: &Bytes) -> Option<(AcceptedMessage, Bytes)> {
+        let own = self.messages.number_of(&theirs.id).and_then(|number| self.messages.get(number));
+        let Some(own) = own else { return Some((theirs.clone(), body.clone())) };
+        let mut both = own.accepted.clone();
+        both.attempts = both.attempts.max(theirs.attempts);
+        both.possible_delivery = both
+            .possible_delivery
+            .or_else(|| theirs.possible_delivery.clone())
+            .or_else(|| theirs.in_flight.clone());
+        both.handover.offered = both.handover.offered.or_else(|| theirs.handover.offered.clone());
+        both.handover.kept_local |= theirs.handover.kept_local;
+        (both != own.accepted || !own.stored).then(|| (both, own.body.clone()))
+    }
+
+    /// What has become of a message in another process counts here too.
+    fn merge_message(&mut self, now: Micros, number: MessageId, merged: AcceptedMessage) {
+        let Some(message) = self.messages.get_mut(number) else { return };
+        if !std::mem::replace(&mut message.stored, true) {
+            self.figures.took(1);
+        }
+        message.accepted = merged;
+        if message.in_controller {
+            self.report_history(now, number);
+        }
+    }
+}
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -1,388 +1,319 @@
-//! Two processes, one forwarder: what this process learns from the journals of others in its folder, and what passes
-//! from one that ends to the one that was started in its place.
+//! An upgrade: two processes on one folder, and what passes from the one that ends to the one started in its place.
 //!
 //! Each process writes its own file and reads those of the others. A message belongs to the process whose file has it,
-//! until that file says that the process has yielded, or the process is gone. Only then does another write it into its
-//! own, and only what is in its own file does a process send. So at each moment, and over a kill at any of them, one
-//! process alone may begin an attempt for a message.
+//! until that file says that the process has handed off, or the process has ended. Only then does another write it into
+//! its own ([`takeover`](super::takeover)), and only what is in its own file does a process send. So at each moment, and
+//! over a kill at any of them, one process alone may begin an attempt for a message.
 
-use super::durability::RecoveredState;
+use super::Reducer;
+use super::durability::AfterAppend;
 use super::final_answers::id_size;
 use super::message_table::message_size;
 use super::operator_overrides::OverrideChange;
+use super::recovered_state::RecoveredState;
 use super::route_state::RouteKey;
-use super::{AfterAppend, Reducer};
-use crate::figures::End;
 use crate::input::{Effect, OtherProcessUpdate};
-use bytes::Bytes;
 use orchidyoke_core::interface::{Event, ListEventKind, MessageId, Micros, Settings};
-use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, ProcessStage, Record};
-use std::collections::BTreeSet;
+use orchidyoke_journal::{Generation, ProcessStage, Record, RecordsWithBodies};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Another process on this folder, as its file tells of it.
 #[derive(Debug, Default)]
 pub(super) struct OtherProcess {
     state: RecoveredState,
-    size: usize,
+    file_bytes: usize,
     ended: bool,
 }
 
 impl OtherProcess {
+    /// What its file says.
+    pub fn state(&self) -> &RecoveredState {
+        &self.state
+    }
+
+    /// Whether it has ended.
+    pub fn has_ended(&self) -> bool {
+        self.ended
+    }
+
     /// Whether it begins no more attempts.
-    fn has_stopped(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         self.ended || self.state.stage == ProcessStage::HandedOff
     }
 
     /// Whether the message is, or was, this process's own.
-    fn knows(&self, txn: &str) -> bool {
-        self.state.accepted.contains_key(txn)
-            || self.state.undelivered_answers.iter().any(|(other, ..)| other == txn)
-            || self.state.finished.iter().any(|(other, _)| other == txn)
+    pub fn knows(&self, id: &str) -> bool {
+        self.state.accepted.contains_key(id)
+            || self.state.undelivered_answers.iter().any(|(other, ..)| other == id)
+            || self.state.finished.iter().any(|(other, _)| other == id)
     }
 
-    /// About the bytes that it needs to rewrite its file, while it still may.
+    /// About the bytes that it needs to compact its file, while it still may.
     fn live_bytes(&self) -> usize {
         if self.has_stopped() {
             return 0;
         }
-        let taken = self
-            .state
-            .accepted
-            .values()
-            .map(|(taken, body)| message_size(&taken.id, taken.idempotency_key.as_deref(), body));
-        let short = self
-            .state
-            .undelivered_answers
-            .iter()
-            .map(|(txn, ..)| txn)
-            .chain(self.state.finished.iter().map(|(txn, _)| txn));
-        taken.chain(short.map(|txn| id_size(txn))).sum::<usize>() + self.state.endpoint_list.size()
-    }
-
-    /// Its calls that are out.
-    fn calls_out(&self) -> usize {
-        let out = self.state.accepted.values().filter_map(|(taken, _)| taken.in_flight.as_ref());
-        out.map(|trace| (trace.started_at, &trace.endpoint)).collect::<BTreeSet<_>>().len()
+        let messages =
+            self.state.accepted.values().map(|(accepted, body)| {
+                message_size(&accepted.id, accepted.idempotency_key.as_deref(), body)
+            });
+        let answers = self.state.undelivered_answers.iter().map(|(id, ..)| id_size(id));
+        let finished = self.state.finished.iter().map(|(id, _)| id_size(id));
+        messages.chain(answers).chain(finished).sum::<usize>() + self.state.endpoint_list.size()
     }
-}
 
-/// What is taken over from another process at once.
-#[derive(Debug)]
-pub(super) struct Takeover {
-    generation: Generation,
-    messages: Vec<(AcceptedMessage, Bytes)>,
-    undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
-    finished: Vec<(String, Micros)>,
-    /// The process has ended, and this is all that it left.
-    is_complete: bool,
-}
-
-impl Reducer {
-    /// The files of other processes have shown something, or are gone since a third process has taken them up. What
-    /// follows is decided on when all of them are known.
-    pub(super) fn on_other_processes(
-        &mut self,
-        now: Micros,
-        shown: Vec<OtherProcessUpdate>,
-        gone: &[Generation],
-    ) {
-        let held = self.waits_for_older_process();
-        self.other_processes.retain(|generation, _| !gone.contains(generation));
-        for shown in shown {
-            self.apply_process_update(now, shown);
-        }
-        if self.is_successor_ready() && self.shutdown.is_some() {
-            self.hand_off(now);
-        }
-        self.take_over_what_is_free(held);
+    /// How many of its calls are in flight.
+    fn calls_in_flight(&self) -> usize {
+        let attempts = self.state.accepted.values().filter_map(|(accepted, _)| accepted.in_flight.as_ref());
+        let calls: BTreeSet<_> = attempts.map(|attempt| (attempt.started_at, &attempt.endpoint)).collect();
+        calls.len()
     }
 
-    fn apply_process_update(&mut self, now: Micros, shown: OtherProcessUpdate) {
-        let OtherProcessUpdate { generation, rewritten: anew, records, size, ended } = shown;
-        if !self.other_processes.contains_key(&generation) && !ended {
-            // It was not there when they were told.
-            let waits = self.running_retry_afters(now);
-            self.append_all(&waits, None);
-        }
-        let sibling = self.other_processes.entry(generation).or_default();
-        if anew {
-            sibling.state = RecoveredState::default();
-        }
-        (sibling.size, sibling.ended) = (size, ended);
-        let mut calls = Vec::new();
-        let mut waits = Vec::new();
+    /// Takes in new records; gives what this process has to put in force too.
+    fn apply(&mut self, records: RecordsWithBodies) -> SharedChanges {
+        let mut changes = SharedChanges::default();
         for (record, body) in records {
             match &record {
-                Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
-                    calls.push((uid.clone(), OverrideChange { at: *at, ejected: *out }))
+                Record::OperatorOverride { endpoint, at, ejected } => {
+                    let change = OverrideChange { at: *at, ejected: *ejected };
+                    changes.overrides.push((endpoint.clone(), change));
                 }
-                Record::RetryAfter { destination: dest, endpoint: uid, until } => {
-                    waits.push((RouteKey::new(*dest, uid.clone()), *until))
+                Record::RetryAfter { destination, endpoint, until } => {
+                    changes.retry_after.push((RouteKey::new(*destination, endpoint.clone()), *until));
                 }
                 _ => {}
             }
-            sibling.state.apply(record, body);
-        }
-        for (uid, call) in calls
-            .into_iter()
-            .filter(|(uid, call)| self.operator_overrides.is_change(uid, *call))
-            .collect::<Vec<_>>()
-        {
-            let record =
-                Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.ejected };
-            self.append(&[(&record, b"")], None);
-            self.apply_override(now, &uid, call);
-        }
-        for (route, until) in waits {
-            self.adopt_retry_after(now, route, until);
-        }
-        if ended {
-            // Its file goes; a third process reads this one's.
-            let waits = self.running_retry_afters(now);
-            self.append_all(&waits, None);
+            self.state.apply(record, body);
         }
-        self.adopt_newer_list(now, generation);
+        changes
     }
+}
 
-    fn append_all(&mut self, records: &[Record], then: Option<AfterAppend>) {
-        if !records.is_empty() {
-            let records: Vec<(&Record, &[u8])> = records.iter().map(|record| (record, &b""[..])).collect();
-            self.append(&records, then);
-        }
+/// What another process was told and this one has to heed.
+#[derive(Debug, Default)]
+struct SharedChanges {
+    overrides: Vec<(String, OverrideChange)>,
+    retry_after: Vec<(RouteKey, Micros)>,
+}
+
+/// How far this process is, and the others on the folder.
+#[derive(Debug)]
+pub(super) struct Upgrade {
+    /// Number of this process's file; that of a process started later is higher.
+    generation: Generation,
+    stage: ProcessStage,
+    others: BTreeMap<Generation, OtherProcess>,
+}
+
+impl Upgrade {
+    /// A process that has started, with this file.
+    pub fn new(generation: Generation) -> Self {
+        Upgrade { generation, stage: ProcessStage::Started, others: BTreeMap::new() }
     }
 
-    /// What follows from what the others have shown.
-    fn take_over_what_is_free(&mut self, held: bool) {
-        self.share_space();
-        if held && !self.waits_for_older_process() {
-            self.log("succession: the process before has stopped, this one goes on".to_owned());
-            for (_, elder) in self.other_processes.range(..self.generation) {
-                let known = elder
-                    .state
-                    .faulty_routes
-                    .iter()
-                    .filter_map(|route| self.route_state_event(route, true, 0));
-                self.events.extend(known.collect::<Vec<_>>());
-            }
-        }
-        for generation in self.other_processes.keys().copied().collect::<Vec<_>>() {
-            self.take_over(generation);
-        }
-        self.update_max_calls();
+    /// How far this process is.
+    pub fn stage(&self) -> ProcessStage {
+        self.stage
+    }
+
+    /// It accepts clients.
+    pub fn set_ready(&mut self) {
+        self.stage = ProcessStage::Ready;
+    }
+
+    /// Whether it has handed off to its successor: it begins no more attempts.
+    pub fn has_handed_off(&self) -> bool {
+        self.stage == ProcessStage::HandedOff
+    }
+
+    /// Whether there is another file, its process ended or not.
+    pub fn has_others(&self) -> bool {
+        !self.others.is_empty()
+    }
+
+    /// Whether another process runs, which what this one is told has to reach.
+    pub fn other_runs(&self) -> bool {
+        self.others.values().any(|other| !other.ended)
     }
 
     /// Whether a process before this one still begins attempts: until it has stopped, this one begins none.
-    pub(super) fn waits_for_older_process(&self) -> bool {
-        self.other_processes.range(..self.generation).any(|(_, elder)| !elder.has_stopped())
+    pub fn older_runs(&self) -> bool {
+        self.older().any(|older| !older.has_stopped())
     }
 
-    /// Whether a process after this one runs and takes clients.
-    pub(super) fn is_successor_ready(&self) -> bool {
-        let mut later = self.other_processes.range(self.generation + 1..);
-        later.any(|(_, sibling)| !sibling.ended && sibling.state.stage == ProcessStage::Ready)
+    /// Whether a process after this one runs and accepts clients.
+    pub fn is_successor_ready(&self) -> bool {
+        let mut later = self.others.range(self.generation + 1..);
+        later.any(|(_, other)| !other.ended && other.state.stage == ProcessStage::Ready)
     }
 
-    /// Whether another process runs that what this one is told has to reach.
-    pub(super) fn has_other_process(&self) -> bool {
-        self.other_processes.values().any(|sibling| !sibling.ended)
+    /// Whether another process holds the message, or has finished it.
+    pub fn others_know(&self, id: &str) -> bool {
+        self.others.values().any(|other| other.knows(id))
     }
 
-    /// Whether another process holds the message, or has ended it.
-    pub(super) fn is_known_elsewhere(&self, txn: &str) -> bool {
-        self.other_processes.values().any(|sibling| sibling.knows(txn))
+    /// The same for processes after this generation.
+    pub fn later_know(&self, generation: Generation, id: &str) -> bool {
+        self.others.range(generation + 1..).any(|(_, other)| other.knows(id))
     }
 
-    /// The settings as the module is to have them: the slots are those of all processes together.
-    pub(super) fn controller_settings(&self) -> Settings {
-        let stopped = self.stage == ProcessStage::HandedOff || self.waits_for_older_process();
-        let elders = self.other_processes.range(..self.generation).filter(|(_, elder)| !elder.ended);
-        let taken: usize = elders.map(|(_, elder)| elder.calls_out()).sum();
-        let slots = if stopped { 0 } else { self.settings.max_calls.saturating_sub(taken).max(1) };
-        let fleet_size = self.ownership.owners_of_each().unwrap_or(self.settings.fleet_size);
-        Settings { max_calls: slots, fleet_size, ..self.settings.clone() }
+    /// Whether what a process left is this one's to take over: all of it where it has ended, and what is not in flight
+    /// of one before that has stopped.
+    pub fn may_take_over(&self, generation: Generation) -> bool {
+        let Some(other) = self.others.get(&generation) else { return false };
+        let from_older = generation < self.generation && other.has_stopped() && !self.older_runs();
+        !self.has_handed_off() && (other.ended || from_older)
     }
 
-    pub(super) fn update_max_calls(&mut self) {
-        let settings = self.controller_settings();
-        if settings.max_calls != self.max_calls_in_force {
-            self.max_calls_in_force = settings.max_calls;
-            self.events.push(Event::Settings(Box::new(settings)));
+    /// Another process.
+    pub fn other(&self, generation: Generation) -> Option<&OtherProcess> {
+        self.others.get(&generation)
+    }
+
+    /// A message of another process is this one's from now on.
+    pub fn release_message(&mut self, generation: Generation, id: &str) {
+        if let Some(other) = self.others.get_mut(&generation) {
+            other.state.accepted.remove(id);
         }
     }
 
-    /// The folder's limit is for all files together.
-    pub(super) fn share_space(&mut self) {
-        let others: usize =
-            self.other_processes.values().map(|sibling| sibling.size + sibling.live_bytes()).sum();
-        let own = self.disk_limit_bytes.saturating_sub(others);
-        // Each of two needs room: who has more has its file rewritten.
-        self.space.set_limit(if self.has_other_process() { own.min(self.disk_limit_bytes / 2) } else { own });
+    /// The file of another process goes.
+    pub fn remove(&mut self, generation: Generation) {
+        self.others.remove(&generation);
     }
 
-    /// A list that another process has heard binds here too.
-    fn adopt_newer_list(&mut self, now: Micros, generation: Generation) {
-        let Some(sibling) = self.other_processes.get(&generation) else { return };
-        let map = &sibling.state.endpoint_list;
-        if map.origin() == self.endpoint_list.origin() && map.version() > self.endpoint_list.version() {
-            // Only what differs is written: the other process may have heard of one change.
-            let record = Record::EndpointList(self.endpoint_list.delta_to(map));
-            self.append(&[(&record, b"")], None);
-            if let Record::EndpointList(changes) = &record {
-                self.apply_list(now, changes, ListEventKind::Delta);
-            }
-        }
+    fn older(&self) -> impl Iterator<Item = &OtherProcess> {
+        self.others.range(..self.generation).map(|(_, other)| other)
     }
 
-    /// Takes over what another process no longer owns, once it is in this one's file.
-    fn take_over(&mut self, generation: Generation) {
-        let Some(sibling) = self.other_processes.get(&generation) else { return };
-        let whole = sibling.ended;
-        let inherits =
-            whole || generation < self.generation && sibling.has_stopped() && !self.waits_for_older_process();
-        if self.stage == ProcessStage::HandedOff || !inherits {
-            return;
-        }
-        let later =
-            |txn: &str| self.other_processes.range(generation + 1..).any(|(_, other)| other.knows(txn));
-        let known = |txn: &str| self.finished.contains(txn) || self.final_answers.contains(txn) || later(txn);
-        let free = sibling.state.accepted.values().filter(|(taken, _)| whole || taken.in_flight.is_none());
-        let free = free.filter(|(taken, _)| !known(&taken.id));
-        let taken: Vec<_> = free.filter_map(|(taken, body)| self.merged_with_own(taken, body)).collect();
-        let (mut owed, mut over) = (Vec::new(), Vec::new());
-        if whole {
-            owed =
-                sibling.state.undelivered_answers.iter().filter(|(txn, ..)| !known(txn)).cloned().collect();
-            over = sibling.state.finished.iter().filter(|(txn, _)| !known(txn)).cloned().collect();
+    fn generations(&self) -> Vec<Generation> {
+        self.others.keys().copied().collect()
+    }
+
+    /// What the files of others take up, or may need.
+    fn bytes_of_others(&self) -> usize {
+        self.others.values().map(|other| other.file_bytes + other.live_bytes()).sum()
+    }
+
+    /// Calls in flight of older processes that have not ended.
+    fn older_calls_in_flight(&self) -> usize {
+        self.older().filter(|older| !older.ended).map(OtherProcess::calls_in_flight).sum()
+    }
+}
+
+impl Reducer {
+    /// The files of other processes have shown something, or are gone since a third process has taken them up. What
+    /// follows is decided when all of them are known.
+    pub(super) fn on_other_processes(
+        &mut self,
+        now: Micros,
+        updates: Vec<OtherProcessUpdate>,
+        gone: &[Generation],
+    ) {
+        let older_ran = self.upgrade.older_runs();
+        self.upgrade.others.retain(|generation, _| !gone.contains(generation));
+        for update in updates {
+            self.apply_process_update(now, update);
         }
-        if taken.is_empty() && !whole {
-            return;
+        if self.upgrade.is_successor_ready() && self.shutdown.is_some() {
+            self.hand_off(now);
         }
-        let ends = owed.iter().map(|(txn, verdict, at)| {
-            let (txn, at, verdict) = (txn.clone(), *at, *verdict);
-            (Record::AnswerDecided { message: txn, at, answer: verdict }, Bytes::new())
-        });
-        let ended =
-            over.iter().map(|(txn, at)| (Record::Finished { message: txn.clone(), at: *at }, Bytes::new()));
-        let held = taken.iter().flat_map(|(taken, body)| {
-            let records = taken.handover_records().into_iter().map(|record| (record, Bytes::new()));
-            std::iter::once((Record::Accepted(taken.clone()), body.clone())).chain(records)
-        });
-        let records: Vec<_> = ended.chain(ends).chain(held).collect();
-        let records: Vec<(&Record, &[u8])> =
-            records.iter().map(|(record, body)| (record, &body[..])).collect();
-        let takeover = Takeover {
-            generation,
-            messages: taken,
-            undelivered_answers: owed,
-            finished: over,
-            is_complete: whole,
-        };
-        self.append(&records, Some(AfterAppend::CompleteTakeover(takeover)));
-    }
-
-    /// What a process left that has ended, where the folder has no room for it: each message has its end at once.
-    fn finish_without_takeover(&mut self, now: Micros, takeover: &mut Takeover) {
-        for (taken, _) in std::mem::take(&mut takeover.messages) {
-            let may_have_run = taken.possible_delivery.is_some() || taken.in_flight.is_some();
-            let (verdict, end) = if may_have_run {
-                (FinalAnswer::Failed, End::Error)
-            } else {
-                (
-                    FinalAnswer::Rejected { retry_after_ms: self.journal_full_retry_after() / 1000 },
-                    End::Overload,
-                )
-            };
-            self.figures.turned_away(&taken.class, end);
-            takeover.undelivered_answers.push((taken.id, verdict, now));
+        self.share_space();
+        if older_ran && !self.upgrade.older_runs() {
+            self.take_lead();
         }
-        let owed = takeover.undelivered_answers.iter().map(|(txn, verdict, at)| {
-            let (txn, at, verdict) = (txn.clone(), *at, *verdict);
-            Record::AnswerDecided { message: txn, at, answer: verdict }
-        });
-        let owed: Vec<_> = owed.collect();
-        self.append_all(&owed, None);
-    }
-
-    /// What another process left is in this one's file, or could not be: then it stays where it is for now.
-    pub(super) fn on_takeover_recorded(&mut self, now: Micros, takeover: Takeover, stored: bool) {
-        let mut takeover = takeover;
-        if !stored && takeover.is_complete {
-            self.log(format!("succession: no room for {} messages, each is ended", takeover.messages.len()));
-            self.finish_without_takeover(now, &mut takeover);
+        for generation in self.upgrade.generations() {
+            self.take_over(generation);
         }
-        let Takeover {
-            generation,
-            messages: taken,
-            undelivered_answers: owed,
-            finished: over,
-            is_complete: whole,
-        } = takeover;
-        if !stored && !whole {
-            return self.log(format!("succession: no room yet for {} messages", taken.len()));
+        self.controller.update_max_calls(self.controller_settings());
+    }
+
+    fn apply_process_update(&mut self, now: Micros, update: OtherProcessUpdate) {
+        let OtherProcessUpdate { generation, rewritten, records, size, ended } = update;
+        if !self.upgrade.others.contains_key(&generation) && !ended {
+            // It was not there when this process was told to wait.
+            self.append_all(&self.running_retry_afters(now), None);
+        }
+        let other = self.upgrade.others.entry(generation).or_default();
+        if rewritten {
+            other.state = RecoveredState::default();
+        }
+        other.file_bytes = size;
+        other.ended = ended;
+        let changes = other.apply(records);
+        self.adopt_overrides(now, changes.overrides);
+        for (route, until) in changes.retry_after {
+            self.adopt_retry_after(now, route, until);
         }
-        for (txn, at) in over {
-            self.finished.remember(txn, at);
+        if ended {
+            // Its file goes; a third process reads this one's.
+            self.append_all(&self.running_retry_afters(now), None);
         }
-        for (txn, verdict, at) in owed {
-            self.final_answers.push(txn, verdict, at);
+        self.adopt_newer_list(now, generation);
+    }
+
+    /// What operators have told another process is in force here too.
+    fn adopt_overrides(&mut self, now: Micros, mut overrides: Vec<(String, OverrideChange)>) {
+        overrides.retain(|(uid, change)| self.operator_overrides.is_change(uid, *change));
+        for (uid, change) in overrides {
+            let record =
+                Record::OperatorOverride { endpoint: uid.clone(), at: change.at, ejected: change.ejected };
+            self.append_record(&record);
+            self.apply_override(now, &uid, change);
         }
-        let count = taken.len();
-        for (taken, body) in taken {
-            if let Some(sibling) = self.other_processes.get_mut(&generation) {
-                sibling.state.accepted.remove(&taken.id);
-            }
-            match self.message_ids.get(&taken.id).copied() {
-                Some(id) => self.merge_message(now, id, taken),
-                None => self.restore(taken, Bytes::copy_from_slice(&body), now),
+    }
+
+    /// A list that another process has heard is in force here too.
+    fn adopt_newer_list(&mut self, now: Micros, generation: Generation) {
+        let Some(other) = self.upgrade.other(generation) else { return };
+        let own = self.endpoints.list();
+        let theirs = &other.state.endpoint_list;
+        if theirs.origin() == own.origin() && theirs.version() > own.version() {
+            // Only what differs is written: the other process may have heard of one change.
+            let record = Record::EndpointList(own.delta_to(theirs));
+            self.append_record(&record);
+            if let Record::EndpointList(changes) = &record {
+                self.apply_list(now, changes, ListEventKind::Delta);
             }
         }
-        if count > 0 {
-            self.log(format!("succession: {count} messages taken over from process {generation}"));
-        }
-        if whole {
-            self.other_processes.remove(&generation);
-            self.effects.push(Effect::RemoveJournal { generation });
-            self.share_space();
-            self.update_max_calls();
-        }
     }
 
-    /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
-    /// itself: an earlier process with this file had taken it over, or a client handed it to both.
-    fn merged_with_own(&self, theirs: &AcceptedMessage, body: &Bytes) -> Option<(AcceptedMessage, Bytes)> {
-        let Some(own) = self.message_ids.get(&theirs.id).and_then(|id| self.messages.get(id)) else {
-            return Some((theirs.clone(), body.clone()));
-        };
-        let mut both = own.accepted.clone();
-        both.attempts = both.attempts.max(theirs.attempts);
-        both.possible_delivery = both
-            .possible_delivery
-            .or_else(|| theirs.possible_delivery.clone())
-            .or_else(|| theirs.in_flight.clone());
-        both.handover.offered = both.handover.offered.or_else(|| theirs.handover.offered.clone());
-        both.handover.kept_local |= theirs.handover.kept_local;
-        (both != own.accepted || !own.stored).then(|| (both, own.body.clone()))
-    }
-
-    /// What has become of a message elsewhere counts here too.
-    fn merge_message(&mut self, now: Micros, id: MessageId, both: AcceptedMessage) {
-        let Some(message) = self.messages.get_mut(&id) else { return };
-        if !std::mem::replace(&mut message.stored, true) {
-            self.figures.took(1);
-        }
-        message.accepted = both;
-        if message.in_controller {
-            self.report_history(now, id);
-        }
+    /// The older processes have stopped: this one begins attempts, with what they knew of faulty routes.
+    fn take_lead(&mut self) {
+        self.log("succession: the process before has stopped, this one goes on".to_owned());
+        let faulty = self.upgrade.older().flat_map(|older| older.state.faulty_routes.iter());
+        let events: Vec<_> = faulty.filter_map(|route| self.route_state_event(route, true, 0)).collect();
+        self.controller.extend(events);
+    }
+
+    /// The settings as the controller is to have them: calls of all processes together keep to the limit.
+    pub(super) fn controller_settings(&self) -> Settings {
+        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_runs();
+        let of_older = self.upgrade.older_calls_in_flight();
+        let max_calls = if stopped { 0 } else { self.settings.max_calls.saturating_sub(of_older).max(1) };
+        let fleet_size = self.ownership.owners_of_each().unwrap_or(self.settings.fleet_size);
+        Settings { max_calls, fleet_size, ..self.settings.clone() }
     }
 
-    /// Told to end beside a successor that takes clients: hands over what is not out.
+    /// The folder's limit is for all files together.
+    pub(super) fn share_space(&mut self) {
+        self.durability.share_with(self.upgrade.bytes_of_others(), self.upgrade.other_runs());
+    }
+
+    /// Clients that connect are accepted: the process before may be told to end.
+    pub(super) fn accept_clients(&mut self) {
+        self.append_record(&Record::ProcessStage { stage: ProcessStage::Ready });
+        self.clients.set_accepted(true);
+        self.upgrade.set_ready();
+    }
+
+    /// Told to end beside a successor that accepts clients: hands off what is not in flight.
     pub(super) fn hand_off(&mut self, now: Micros) {
-        if self.stage == ProcessStage::HandedOff {
+        if self.upgrade.has_handed_off() {
             return;
         }
         // What the successor has to read, and finds room beside, is what still counts.
-        if self.space.can_compact(self.live_bytes()) {
+        if self.durability.can_compact(self.live_bytes()) {
             self.compact();
         }
         let mut records = self.running_retry_afters(now);
@@ -390,49 +321,34 @@
         self.append_all(&records, Some(AfterAppend::CompleteHandOff));
     }
 
-    /// It stands in the journal that this process has yielded: the successor may begin at once.
+    /// The journal says that this process has handed off, or could not be told: the successor may begin at once.
     pub(super) fn on_hand_off_recorded(&mut self, stored: bool) {
         if !stored {
             return self
                 .log("succession: could not be handed over, the successor waits for the end".to_owned());
         }
-        self.stage = ProcessStage::HandedOff;
-        self.accepts_clients = false;
+        self.upgrade.stage = ProcessStage::HandedOff;
+        self.clients.set_accepted(false);
         self.effects.push(Effect::HandOverClients);
-        let unbegun: Vec<_> =
-            self.in_flight.iter().filter(|(_, f)| !f.may_be_written()).map(|(call, _)| *call).collect();
-        for call in unbegun {
-            self.in_flight.remove(&call);
-            if let Some(link) = self.pool.link_of(call) {
-                self.pool.closed(link);
-                self.effects.push(Effect::CloseConnection { connection: link });
-            }
-        }
-        for hop in self.endpoints.keys().copied().collect::<Vec<_>>() {
-            self.close_idle(hop);
-        }
+        self.drop_unrecorded_calls();
+        let endpoints: Vec<_> = self.endpoints.ids().collect();
+        endpoints.into_iter().for_each(|endpoint| self.close_idle(endpoint));
         let free = self
             .messages
             .iter()
             .filter(|(_, message)| message.stored && message.accepted.in_flight.is_none());
-        let free: Vec<MessageId> = free.map(|(id, _)| *id).collect();
-        self.log(format!(
-            "succession: {} messages handed over, {} calls out",
-            free.len(),
-            self.in_flight.len()
-        ));
-        for id in free {
-            self.release_to_successor(id);
-        }
-        self.update_max_calls();
+        let free: Vec<MessageId> = free.map(|(number, _)| number).collect();
+        self.log(format!("succession: {} messages handed over, {} calls out", free.len(), self.calls.len()));
+        free.into_iter().for_each(|number| self.release_to_successor(number));
+        self.controller.update_max_calls(self.controller_settings());
     }
 
-    /// The successor's from here on. Who hands it in once more is told that it was taken on.
-    pub(super) fn release_to_successor(&mut self, id: MessageId) {
-        if let Some(message) = self.drop_message(id) {
+    /// A message is the successor's from here on. Who submits it again is told that it was accepted.
+    pub(super) fn release_to_successor(&mut self, number: MessageId) {
+        if let Some(message) = self.drop_message(number) {
             self.figures.handed_over();
-            self.finished.remember(message.accepted.id, self.last_decision_at);
-            self.events.push(Event::Withdrawn { id });
+            self.finished.remember(message.accepted.id, self.controller.last_round_at());
+            self.controller.push(Event::Withdrawn { id: number });
         }
     }
 }
