--- /dev/null
+++ b/crates/rollout/tests/fleet.rs
@@ -0,0 +1,29 @@
+//! Figures as the forwarders' consoles give them.
+
+use orchidyoke_rollout::fleet::{parse, parse_times};
+use orchidyoke_rollout::judge::Tally;
+
+#[test]
+fn figures_are_summed_over_classes() {
+    let reply = "200 figures\napp_success{type=\"a\"} 5\napp_overload{type=\"a\"} 1\napp_error{type=\"a\"} 0\n\
+                 app_success{type=\"b\"} 7\napp_overload{type=\"b\"} 0\napp_error{type=\"b\"} 2\napp_dispatches 12\n\
+                 app_concurrent 3\nEOF\n";
+    assert_eq!(parse(reply), Some(Tally { success: 12, overload: 1, error: 2 }));
+    // Guards against a refusal or a cut reply read as no ends at all.
+    assert_eq!(parse("400 unknown\n"), None);
+    assert_eq!(parse("200 figures\napp_success{type=\"a\"} 5\n"), None);
+}
+
+#[test]
+fn times_are_read_class_by_class() {
+    let bucket = |class: &str, le: &str, count| {
+        format!("app_latency_us_bucket{{type=\"{class}\",le=\"{le}\"}} {count}\n")
+    };
+    let lines = [bucket("a", "90", 2), bucket("a", "200", 5), bucket("a", "+Inf", 5), bucket("b", "90", 1)];
+    let reply = format!("200 figures\n{}{}EOF\n", lines.concat(), bucket("b", "+Inf", 1));
+    let times = parse_times(&reply).unwrap();
+    assert_eq!((times.len(), times.count_at(90), times.count_at(200)), (6, 3, 3));
+    // Guards against a release that does not know the call, and a cut reply, read as no deliveries.
+    assert_eq!(parse_times("400 unknown\n"), None);
+    assert_eq!(parse_times(reply.strip_suffix("EOF\n").unwrap()), None);
+}
--- /dev/null
+++ b/crates/rollout/tests/plan.rs
@@ -0,0 +1,69 @@
+//! What a plan may say.
+
+use orchidyoke_rollout::judge::Criteria;
+use orchidyoke_rollout::plan::{Change, Consoles, Member, Plan};
+use serde_json::json;
+
+fn plan(size: usize, stages: &[&str]) -> Plan {
+    let forwarders = (0..size)
+        .map(|i| Member {
+            name: format!("f{i}"),
+            console: Consoles::One("127.0.0.1:1".parse().unwrap()),
+            config: Some(format!("f{i}.json").into()),
+            pid_file: Some(format!("f{i}.pid").into()),
+            control: None,
+        })
+        .collect();
+    Plan {
+        forwarders,
+        settings_patch: Some(json!({})),
+        release: None,
+        stages: stages.iter().map(|s| s.to_string()).collect(),
+        warm_up_ms: None,
+        bake_ms: 1,
+        max_bake_ms: 2,
+        poll_ms: 1,
+        criteria: Criteria::default(),
+    }
+}
+
+#[test]
+fn stages_count_forwarders() {
+    assert_eq!(plan(20, &["1", "10%", "50%", "all"]).counts().unwrap(), [1, 2, 10, 20]);
+    assert_eq!(plan(6, &["1", "50%", "all"]).counts().unwrap(), [1, 3, 6]);
+    // Guards against a plan that never reaches everyone or stands still.
+    assert!(plan(6, &["1", "50%"]).counts().is_err());
+    assert!(plan(6, &["1", "10%", "all"]).counts().is_err());
+    assert!(plan(1, &["all"]).counts().is_err());
+}
+
+// Guards against a plan that is found wanting only when some forwarders have the change already.
+#[test]
+fn a_change_needs_what_it_is_made_by() {
+    let mut settings = plan(3, &["1", "all"]);
+    assert_eq!(settings.change().unwrap(), Change::Settings(json!({})));
+    settings.forwarders[2].pid_file = None;
+    assert!(settings.change().unwrap_err().to_string().contains("f2"));
+    let mut release = Plan { settings_patch: None, release: Some("v2".into()), ..plan(3, &["1", "all"]) };
+    assert!(release.change().unwrap_err().to_string().contains("f0"));
+    for member in &mut release.forwarders {
+        let address = "127.0.0.1:1".parse().unwrap();
+        (member.control, member.console) = (Some(address), Consoles::InTurn([address; 2]));
+    }
+    assert_eq!(release.change().unwrap(), Change::Release("v2".into()));
+    release.release = Some("../v2".into());
+    assert!(release.change().is_err());
+    (release.release, release.settings_patch) = (Some("v2".into()), Some(json!({})));
+    assert!(release.change().is_err(), "one change at a time");
+}
+
+#[test]
+fn a_merge_patch_replaces_adds_and_removes() {
+    let mut config =
+        json!({"name": "f1", "settings": {"limits": {"max_open": 4000, "try_limit": 8}, "az": "a"}});
+    json_patch::merge(
+        &mut config,
+        &json!({"settings": {"limits": {"max_open": 100, "try_limit": null}, "x": [1]}}),
+    );
+    assert_eq!(config, json!({"name": "f1", "settings": {"limits": {"max_open": 100}, "az": "a", "x": [1]}}));
+}
