--- a/crates/rollout/src/fleet.rs
+++ b/crates/rollout/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use crate::judge::{Reading, Tally, Times, no_times};
 use crate::plan::{Change, Member};
-use orchidyoke_supervisor::control::{self, CallError, Refusal, Shown};
+use orchidyoke_supervisor::control::{self, CallError, FailedUpgrade, SupervisorStatus};
 use serde_json::Value;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -36,11 +36,11 @@
     #[error(transparent)]
     Supervisor(#[from] CallError),
     /// Its supervisor gave the release up.
-    #[error("release {} was given up: {}", .0.release, .0.why)]
-    Refused(Refusal),
+    #[error("release {} was given up: {}", .0.release, .0.reason)]
+    Refused(FailedUpgrade),
     /// Its supervisor had not replaced it in time; how things stood.
     #[error("not replaced within {0:?}: {1:?}")]
-    NotReplaced(Duration, Option<Box<Shown>>),
+    NotReplaced(Duration, Option<Box<SupervisorStatus>>),
     /// The plan does not say what is needed to reach it.
     #[error("the plan does not give its {0}")]
     NotGiven(&'static str),
@@ -64,9 +64,9 @@
 pub fn read(member: &Member) -> Result<Process, ReachError> {
     let (console, pid) = match member.control {
         Some(control) => {
-            let shown = control::show(control, PATIENCE)?;
+            let shown = control::status(control, PATIENCE)?;
             let pid = shown.pid.ok_or_else(|| ReachError::Signal("it is not running".to_owned()))?;
-            (member.console.at(shown.place), pid)
+            (member.console.at(shown.slot), pid)
         }
         None => (member.console.at(0), pid_of(member)?),
     };
@@ -149,7 +149,7 @@
         }
         Change::Release(release) => {
             if !before.exists() {
-                let shown = control::show(control_of(member)?, PATIENCE)?;
+                let shown = control::status(control_of(member)?, PATIENCE)?;
                 write_whole(&before, shown.release.as_bytes())?;
             }
             replace(member, release)
@@ -197,17 +197,19 @@
         if !asked {
             match control::call(control, &format!("upgrade {release}"), PATIENCE) {
                 Ok(_) => asked = true,
-                Err(CallError::No(why)) if !why.starts_with("busy") => return Err(CallError::No(why).into()),
+                Err(CallError::Rejected(why)) if !why.starts_with("busy") => {
+                    return Err(CallError::Rejected(why).into());
+                }
                 // Busy with an earlier one: once more.
-                Err(CallError::No(why)) => {
+                Err(CallError::Rejected(why)) => {
                     tracing::debug!(forwarder = %member.name, why, "upgrade not asked for yet")
                 }
                 Err(error) if began.elapsed() >= ASKED_WITHIN => return Err(error.into()),
                 Err(error) => tracing::debug!(forwarder = %member.name, %error, "upgrade not asked for yet"),
             }
         }
-        if asked && let Ok(shown) = control::show(control, PATIENCE) {
-            if let Some(refusal) = shown.refused.clone().filter(|refusal| refusal.release == release) {
+        if asked && let Ok(shown) = control::status(control, PATIENCE) {
+            if let Some(refusal) = shown.failed_upgrade.clone().filter(|refusal| refusal.release == release) {
                 return Err(ReachError::Refused(refusal));
             }
             if shown.release == release && shown.settled {
@@ -263,7 +265,7 @@
 /// The number of a forwarder's process, as its supervisor says or has written it.
 fn pid_of(member: &Member) -> Result<u32, ReachError> {
     if let Some(control) = member.control {
-        let shown = control::show(control, PATIENCE)?;
+        let shown = control::status(control, PATIENCE)?;
         return shown.pid.ok_or_else(|| ReachError::Signal("it is not running".to_owned()));
     }
     let path = member.pid_file.as_ref().ok_or(ReachError::NotGiven("process's number (pid_file)"))?;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a rollout, in the configuration's form (JSON): the fleet, the change, the stages and the criteria.
 
 use crate::judge::Criteria;
-use orchidyoke_supervisor::control::is_name;
+use orchidyoke_supervisor::control::is_release_name;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
                     member.config.is_some() && (member.pid_file.is_some() || member.control.is_some())
                 })
             }
-            (None, Some(release)) if !is_name(release) => {
+            (None, Some(release)) if !is_release_name(release) => {
                 return unsound(format!("release {release:?} is not the name of a file"));
             }
             (None, Some(release)) => {
--- a/crates/supervisor/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -12,4 +12,4 @@
 pub mod machine;
 pub mod run;
 
-pub use run::{Setup, SupervisorError, run};
+pub use run::{SupervisorConfig, SupervisorError, run};
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -262,10 +262,10 @@
 impl Supervised {
     fn run(self) -> Result<(), Box<dyn Error>> {
         let consoles = self.console.try_into().map_err(|_| "--console is given twice, for two addresses")?;
-        if !orchidyoke_supervisor::control::is_name(&self.release) {
+        if !orchidyoke_supervisor::control::is_release_name(&self.release) {
             return Err("--release is the name of a file in the folder of releases".into());
         }
-        orchidyoke_supervisor::run(orchidyoke_supervisor::Setup {
+        orchidyoke_supervisor::run(orchidyoke_supervisor::SupervisorConfig {
             listen: self.listen,
             consoles,
             control: self.control,
