--- a/crates/rollout/src/fleet.rs
+++ b/crates/rollout/src/fleet.rs
@@ -4,7 +4,8 @@
 
 use crate::judge::{Reading, Tally, Times, no_times};
 use crate::plan::{Change, Member};
-use orchidyoke_supervisor::control::{self, CallError, FailedUpgrade, SupervisorStatus};
+use orchidyoke_supervisor::client::{self, CallError};
+use orchidyoke_supervisor::protocol::{FailedUpgrade, SupervisorStatus};
 use serde_json::Value;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -48,7 +49,7 @@
 
 /// One call at a console: the reply whole.
 pub fn call(console: SocketAddr, line: &str) -> Result<String, ReachError> {
-    control::exchange(console, line, PATIENCE).map_err(|error| ReachError::Console(console, error))
+    client::exchange_line(console, line, PATIENCE).map_err(|error| ReachError::Console(console, error))
 }
 
 /// A forwarder's process, and what its figures say now.
@@ -64,7 +65,7 @@
 pub fn read(member: &Member) -> Result<Process, ReachError> {
     let (console, pid) = match member.control {
         Some(control) => {
-            let shown = control::status(control, PATIENCE)?;
+            let shown = client::status(control, PATIENCE)?;
             let pid = shown.pid.ok_or_else(|| ReachError::Signal("it is not running".to_owned()))?;
             (member.console.at(shown.slot), pid)
         }
@@ -149,7 +150,7 @@
         }
         Change::Release(release) => {
             if !before.exists() {
-                let shown = control::status(control_of(member)?, PATIENCE)?;
+                let shown = client::status(control_of(member)?, PATIENCE)?;
                 write_whole(&before, shown.release.as_bytes())?;
             }
             replace(member, release)
@@ -195,20 +196,17 @@
     let (began, mut asked, mut last) = (Instant::now(), false, None);
     while began.elapsed() < REPLACED_WITHIN {
         if !asked {
-            match control::call(control, &format!("upgrade {release}"), PATIENCE) {
-                Ok(_) => asked = true,
-                Err(CallError::Rejected(why)) if !why.starts_with("busy") => {
-                    return Err(CallError::Rejected(why).into());
-                }
-                // Busy with an earlier one: once more.
-                Err(CallError::Rejected(why)) => {
-                    tracing::debug!(forwarder = %member.name, why, "upgrade not asked for yet")
+            match client::request_upgrade(control, release, PATIENCE) {
+                Ok(()) => asked = true,
+                Err(error) if error.is_busy() => {
+                    tracing::debug!(forwarder = %member.name, %error, "upgrade not accepted yet");
                 }
+                Err(error @ CallError::Rejected { .. }) => return Err(error.into()),
                 Err(error) if began.elapsed() >= ASKED_WITHIN => return Err(error.into()),
-                Err(error) => tracing::debug!(forwarder = %member.name, %error, "upgrade not asked for yet"),
+                Err(error) => tracing::debug!(forwarder = %member.name, %error, "upgrade not accepted yet"),
             }
         }
-        if asked && let Ok(shown) = control::status(control, PATIENCE) {
+        if asked && let Ok(shown) = client::status(control, PATIENCE) {
             if let Some(refusal) = shown.failed_upgrade.clone().filter(|refusal| refusal.release == release) {
                 return Err(ReachError::Refused(refusal));
             }
@@ -265,7 +263,7 @@
 /// The number of a forwarder's process, as its supervisor says or has written it.
 fn pid_of(member: &Member) -> Result<u32, ReachError> {
     if let Some(control) = member.control {
-        let shown = control::status(control, PATIENCE)?;
+        let shown = client::status(control, PATIENCE)?;
         return shown.pid.ok_or_else(|| ReachError::Signal("it is not running".to_owned()));
     }
     let path = member.pid_file.as_ref().ok_or(ReachError::NotGiven("process's number (pid_file)"))?;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a rollout, in the configuration's form (JSON): the fleet, the change, the stages and the criteria.
 
 use crate::judge::Criteria;
-use orchidyoke_supervisor::control::is_release_name;
+use orchidyoke_supervisor::protocol::is_release_name;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -1,63 +1,84 @@
-//! The choices of the supervisor: one forwarder serves, at most one other stands beside it (a successor that is not yet
-//! ready, or a predecessor that ends). No I/O and no clock: times are milliseconds from any start.
+//! The choices of the supervisor: when a forwarder is started, restarted, replaced, terminated and killed. One forwarder
+//! is active; at most one other process stands beside it: a successor that is not ready yet, or a predecessor that
+//! ends. No I/O and no clock: times are milliseconds since the supervisor began.
+//!
+//! - Upgrade: the successor starts beside the active forwarder. Once it is ready it becomes active, its release is
+//!   persisted, and the predecessor is terminated. A successor that ends or is not ready in time is given up.
+//! - Restart: an active forwarder that dies is started again after a backoff that doubles at each death. Beside a
+//!   successor it is not: the successor becomes active, as there is no predecessor left to go back to.
+//! - Shutdown: all processes are terminated, nothing is started.
 
-use crate::control::{FailedUpgrade, SupervisorStatus};
+use crate::protocol::{FailedUpgrade, RejectReason, SupervisorStatus};
+use crate::slot::{PerSlot, Slot};
 use std::time::Duration;
 
-/// A successor has this long to take clients; then the predecessor stays.
+/// How often the machine needs an [`Input::Tick`].
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// A successor that does not take clients for this long is given up.
 pub const READY_TIMEOUT_MS: u64 = 6_000;
 /// From SIGTERM to SIGKILL.
 pub const TERMINATION_GRACE_MS: u64 = 3_700;
-/// Pause before a forwarder that died is restarted: the first, doubled each time, at most the last.
+/// Backoff before the first restart; doubled at each further death, up to [`MAX_RESTART_BACKOFF_MS`].
 const INITIAL_RESTART_BACKOFF_MS: u64 = 100;
 const MAX_RESTART_BACKOFF_MS: u64 = 5_000;
-/// One that has served this long before it died has its pauses begin anew.
+/// A forwarder that served for this long before it died starts the backoff anew.
 const BACKOFF_RESET_AFTER_MS: u64 = 10_000;
-
-/// The two places for a process, each with a console of its own.
-pub type Slot = usize;
+/// Doublings that are counted: more of them than it takes to reach the longest backoff, and no overflow.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 /// What happens to the supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// It begins.
     Start,
-    /// Time has passed.
+    /// Time has passed; wanted every [`TICK_INTERVAL`].
     Tick,
-    /// The process at this slot says that it takes clients.
+    /// The process in this slot says that it takes clients.
     Ready(Slot),
-    /// The process at this slot has ended, or could not be started; how.
-    Exited(Slot, String),
-    /// It is told to end.
+    /// A process has ended, or could not be started.
+    Exited {
+        /// Its slot.
+        slot: Slot,
+        /// How it ended, for people.
+        cause: String,
+    },
+    /// The supervisor is to shut down.
     Shutdown,
 }
 
 /// What the supervisor does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Starts this release at this slot.
-    Spawn(Slot, String),
-    /// Asks the process there whether it takes clients.
+    /// Starts a process.
+    Spawn {
+        /// Where.
+        slot: Slot,
+        /// Of which release.
+        release: String,
+    },
+    /// Asks the process in this slot whether it takes clients.
     CheckReadiness(Slot),
-    /// SIGTERM.
+    /// Sends SIGTERM to the process in this slot.
     Terminate(Slot),
-    /// SIGKILL.
+    /// Sends SIGKILL to the process in this slot.
     Kill(Slot),
-    /// Keeps this release as the one to be started from now on.
+    /// Persists this release as the one to be started from now on.
     PersistRelease(String),
-    /// Ends.
+    /// Ends the supervisor.
     Exit,
 }
 
-/// Where a process stands.
+/// The life of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Not yet ready, since then.
-    Starting(u64),
-    /// Takes clients, since then.
-    Serving(u64),
-    /// Told to end; killed at that time.
-    Terminating(u64),
+    /// Not ready yet.
+    Starting { since_ms: u64 },
+    /// Takes clients.
+    Serving { since_ms: u64 },
+    /// SIGTERM was sent.
+    Terminating { kill_at_ms: u64 },
+    /// SIGKILL was sent.
+    Killed,
 }
 
 #[derive(Clone, Debug)]
@@ -66,12 +87,26 @@
     phase: Phase,
 }
 
+impl Process {
+    fn is_starting(&self) -> bool {
+        matches!(self.phase, Phase::Starting { .. })
+    }
+
+    fn is_serving(&self) -> bool {
+        matches!(self.phase, Phase::Serving { .. })
+    }
+
+    fn is_ending(&self) -> bool {
+        matches!(self.phase, Phase::Terminating { .. } | Phase::Killed)
+    }
+}
+
 /// The supervisor's state.
 #[derive(Debug)]
 pub struct Machine {
     /// The release to be started.
     target_release: String,
-    processes: [Option<Process>; 2],
+    processes: PerSlot<Option<Process>>,
     /// The slot of the forwarder: of the one that serves, or that is to serve again after it died.
     active_slot: Slot,
     /// When the forwarder that died is to be started again.
@@ -83,12 +118,12 @@
 }
 
 impl Machine {
-    /// One that is to run this release.
+    /// A machine that starts with this release.
     pub fn new(release: String) -> Self {
         Machine {
             target_release: release,
-            processes: [None, None],
-            active_slot: 0,
+            processes: PerSlot::default(),
+            active_slot: Slot::First,
             restart_at_ms: None,
             consecutive_failures: 0,
             restarts: 0,
@@ -97,63 +132,70 @@
         }
     }
 
-    /// Takes an input; what is to be done, in order.
+    /// Takes an input at `now_ms`; returns what is to be done, in order.
     pub fn step(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Start => self.start(now_ms, self.active_slot, self.target_release.clone()),
             Input::Tick => self.on_tick(now_ms),
             Input::Ready(slot) => self.on_ready(now_ms, slot),
-            Input::Exited(slot, how) => self.on_exit(now_ms, slot, how),
+            Input::Exited { slot, cause } => self.on_exit(now_ms, slot, &cause),
             Input::Shutdown => self.shut_down(now_ms),
         }
     }
 
     fn start(&mut self, now_ms: u64, slot: Slot, release: String) -> Vec<Effect> {
         self.restart_at_ms = None;
-        self.processes[slot] = Some(Process { release: release.clone(), phase: Phase::Starting(now_ms) });
-        vec![Effect::Spawn(slot, release)]
+        let phase = Phase::Starting { since_ms: now_ms };
+        self.processes[slot] = Some(Process { release: release.clone(), phase });
+        vec![Effect::Spawn { slot, release }]
     }
 
     fn terminate(&mut self, now_ms: u64, slot: Slot) -> Vec<Effect> {
         let Some(process) = &mut self.processes[slot] else { return Vec::new() };
-        if matches!(process.phase, Phase::Terminating(_)) {
+        if process.is_ending() {
             return Vec::new();
         }
-        process.phase = Phase::Terminating(now_ms + TERMINATION_GRACE_MS);
+        process.phase = Phase::Terminating { kill_at_ms: now_ms + TERMINATION_GRACE_MS };
         vec![Effect::Terminate(slot)]
     }
 
     fn on_tick(&mut self, now_ms: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for slot in 0..self.processes.len() {
-            let Some(process) = &mut self.processes[slot] else { continue };
-            match process.phase {
-                Phase::Starting(since) if slot != self.active_slot && now_ms >= since + READY_TIMEOUT_MS => {
-                    let reason = format!("it did not take clients within {READY_TIMEOUT_MS} ms");
-                    self.failed_upgrade = Some(FailedUpgrade { release: process.release.clone(), reason });
-                    process.phase = Phase::Terminating(u64::MAX);
-                    effects.push(Effect::Kill(slot));
-                }
-                Phase::Starting(_) => effects.push(Effect::CheckReadiness(slot)),
-                Phase::Terminating(until) if now_ms >= until => {
-                    process.phase = Phase::Terminating(u64::MAX);
-                    effects.push(Effect::Kill(slot));
-                }
-                Phase::Serving(_) | Phase::Terminating(_) => {}
-            }
+        for slot in Slot::ALL {
+            effects.extend(self.check_process(now_ms, slot));
         }
-        if !self.shutting_down && self.restart_at_ms.is_some_and(|at| now_ms >= at) {
+        if !self.shutting_down && self.restart_at_ms.is_some_and(|at_ms| now_ms >= at_ms) {
             effects.extend(self.start(now_ms, self.active_slot, self.target_release.clone()));
         }
         effects
     }
 
+    /// Asks a starting process whether it is ready, and kills one whose time is over.
+    fn check_process(&mut self, now_ms: u64, slot: Slot) -> Option<Effect> {
+        let is_successor = slot != self.active_slot;
+        let process = self.processes[slot].as_mut()?;
+        match process.phase {
+            Phase::Starting { since_ms } if is_successor && now_ms >= since_ms + READY_TIMEOUT_MS => {
+                let reason = format!("it did not take clients within {READY_TIMEOUT_MS} ms");
+                self.failed_upgrade = Some(FailedUpgrade { release: process.release.clone(), reason });
+                process.phase = Phase::Killed;
+                Some(Effect::Kill(slot))
+            }
+            Phase::Starting { .. } => Some(Effect::CheckReadiness(slot)),
+            Phase::Terminating { kill_at_ms } if now_ms >= kill_at_ms => {
+                process.phase = Phase::Killed;
+                Some(Effect::Kill(slot))
+            }
+            Phase::Serving { .. } | Phase::Terminating { .. } | Phase::Killed => None,
+        }
+    }
+
     fn on_ready(&mut self, now_ms: u64, slot: Slot) -> Vec<Effect> {
         let Some(process) = &mut self.processes[slot] else { return Vec::new() };
-        if !matches!(process.phase, Phase::Starting(_)) {
+        if !process.is_starting() {
             return Vec::new();
         }
-        process.phase = Phase::Serving(now_ms);
+        process.phase = Phase::Serving { since_ms: now_ms };
         let mut effects = Vec::new();
         if self.target_release != process.release {
             self.target_release = process.release.clone();
@@ -166,100 +208,110 @@
         effects
     }
 
-    fn on_exit(&mut self, now_ms: u64, slot: Slot, how: String) -> Vec<Effect> {
+    fn on_exit(&mut self, now_ms: u64, slot: Slot, cause: &str) -> Vec<Effect> {
         let Some(process) = self.processes[slot].take() else { return Vec::new() };
         if self.shutting_down {
-            return if self.processes.iter().all(Option::is_none) { vec![Effect::Exit] } else { Vec::new() };
+            return if self.none_left() { vec![Effect::Exit] } else { Vec::new() };
         }
         if slot != self.active_slot {
-            if matches!(process.phase, Phase::Starting(_)) {
-                let reason = format!("it ended before it took clients: {how}");
+            if process.is_starting() {
+                let reason = format!("it ended before it took clients: {cause}");
                 self.failed_upgrade = Some(FailedUpgrade { release: process.release, reason });
             }
             return Vec::new();
         }
-        let other = 1 - slot;
-        if let Some(Process { phase: Phase::Starting(_), .. }) = self.processes[other] {
-            // The predecessor died beside its successor: that one takes over what is left, and there is nothing to go back to.
+        let other = slot.other();
+        if self.processes[other].as_ref().is_some_and(Process::is_starting) {
+            // The successor takes over what is left; there is no predecessor to go back to.
             self.active_slot = other;
             return Vec::new();
         }
-        if matches!(process.phase, Phase::Serving(since) if now_ms >= since + BACKOFF_RESET_AFTER_MS) {
+        self.schedule_restart(now_ms, &process);
+        Vec::new()
+    }
+
+    fn schedule_restart(&mut self, now_ms: u64, died: &Process) {
+        if matches!(died.phase, Phase::Serving { since_ms } if now_ms >= since_ms + BACKOFF_RESET_AFTER_MS) {
             self.consecutive_failures = 0;
         }
-        let pause = INITIAL_RESTART_BACKOFF_MS
-            .saturating_mul(1 << self.consecutive_failures.min(16))
-            .min(MAX_RESTART_BACKOFF_MS);
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_ms = (INITIAL_RESTART_BACKOFF_MS << doublings).min(MAX_RESTART_BACKOFF_MS);
         self.consecutive_failures += 1;
         self.restarts += 1;
-        self.restart_at_ms = Some(now_ms + pause);
-        Vec::new()
+        self.restart_at_ms = Some(now_ms + backoff_ms);
     }
 
     fn shut_down(&mut self, now_ms: u64) -> Vec<Effect> {
         self.shutting_down = true;
         self.restart_at_ms = None;
-        if self.processes.iter().all(Option::is_none) {
+        if self.none_left() {
             return vec![Effect::Exit];
         }
-        (0..self.processes.len()).flat_map(|slot| self.terminate(now_ms, slot)).collect()
+        Slot::ALL.into_iter().flat_map(|slot| self.terminate(now_ms, slot)).collect()
     }
 
-    /// Replaces the forwarder by this release. The one that is there stays until the successor takes clients; one that
-    /// has it already, or is on its way to it, is left as it is.
+    fn none_left(&self) -> bool {
+        self.processes.iter().all(Option::is_none)
+    }
+
+    /// Replaces the forwarder by this release. The active one stays until its successor is ready; a release that is
+    /// active already, or being started, is left as it is.
     ///
     /// # Errors
     ///
-    /// Another upgrade is under way, or the supervisor ends.
-    pub fn upgrade(&mut self, now_ms: u64, release: &str) -> Result<Vec<Effect>, &'static str> {
+    /// [`RejectReason::Busy`] while another process stands beside the active one, [`RejectReason::ShuttingDown`]
+    /// during a shutdown.
+    pub fn upgrade(&mut self, now_ms: u64, release: &str) -> Result<Vec<Effect>, RejectReason> {
         if self.shutting_down {
-            return Err("the supervisor ends");
+            return Err(RejectReason::ShuttingDown);
         }
-        let other = 1 - self.active_slot;
-        match (&self.processes[self.active_slot], &self.processes[other]) {
-            (_, Some(beside)) if beside.release == release && matches!(beside.phase, Phase::Starting(_)) => {
-                Ok(Vec::new())
-            }
-            (Some(here), _) if here.release == release && !matches!(here.phase, Phase::Terminating(_)) => {
+        let beside = self.active_slot.other();
+        match (&self.processes[self.active_slot], &self.processes[beside]) {
+            (_, Some(other)) if other.release == release && other.is_starting() => Ok(Vec::new()),
+            (Some(active), _) if active.release == release && !active.is_ending() => {
                 self.failed_upgrade = None;
                 Ok(Vec::new())
             }
-            (_, Some(_)) => Err("busy: another process still stands beside the one that serves"),
-            (Some(Process { phase: Phase::Serving(_), .. }), None) => {
+            (_, Some(_)) => Err(RejectReason::Busy),
+            (Some(active), None) if active.is_serving() => {
                 self.failed_upgrade = None;
-                Ok(self.start(now_ms, other, release.to_owned()))
-            }
-            // Nobody serves: there is nothing to keep, and the next one started is of that release.
-            (here, None) => {
-                let gone = here.is_none();
-                (self.target_release, self.failed_upgrade) = (release.to_owned(), None);
-                let mut effects = vec![Effect::PersistRelease(release.to_owned())];
-                effects.extend(if gone {
-                    self.start(now_ms, self.active_slot, release.to_owned())
-                } else {
-                    self.terminate(now_ms, self.active_slot)
-                });
-                Ok(effects)
+                Ok(self.start(now_ms, beside, release.to_owned()))
             }
+            (_, None) => Ok(self.replace_unready(now_ms, release)),
         }
     }
 
-    /// What it shows to a caller; the numbers of processes are the surroundings' to fill in.
+    /// Makes this release the one to start where no forwarder serves, so that there is none to keep.
+    fn replace_unready(&mut self, now_ms: u64, release: &str) -> Vec<Effect> {
+        self.target_release = release.to_owned();
+        self.failed_upgrade = None;
+        let mut effects = vec![Effect::PersistRelease(release.to_owned())];
+        let slot = self.active_slot;
+        effects.extend(match self.processes[slot] {
+            None => self.start(now_ms, slot, release.to_owned()),
+            Some(_) => self.terminate(now_ms, slot),
+        });
+        effects
+    }
+
+    /// The status for a caller, without the process id, which the machine does not know.
     pub fn status(&self) -> SupervisorStatus {
-        let here = self.processes[self.active_slot].as_ref();
-        let alone = self.processes[1 - self.active_slot].is_none();
+        let active = self.processes[self.active_slot].as_ref();
+        let is_alone = self.processes[self.active_slot.other()].is_none();
         SupervisorStatus {
-            release: here.map_or(&self.target_release, |process| &process.release).clone(),
-            slot: self.active_slot,
-            settled: alone && here.is_some_and(|process| matches!(process.phase, Phase::Serving(_))),
+            release: active.map_or(&self.target_release, |process| &process.release).clone(),
+            slot: self.active_slot.index(),
+            settled: is_alone && active.is_some_and(Process::is_serving),
             restarts: self.restarts,
             failed_upgrade: self.failed_upgrade.clone(),
             pid: None,
         }
     }
 
-    /// How often time has to be told to it.
-    pub const TICK: Duration = Duration::from_millis(50);
+    /// The slot of the forwarder that serves, or that is to serve again.
+    pub fn active_slot(&self) -> Slot {
+        self.active_slot
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/supervisor/src/process_identity.rs
@@ -0,0 +1,58 @@
+//! Which process of the system a process id stands for. Process ids are given out again, so that one written down by
+//! an earlier supervisor may be that of a stranger by now; the start time tells them apart.
+
+use crate::machine::TERMINATION_GRACE_MS;
+use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
+use serde::{Deserialize, Serialize};
+use std::time::{Duration, Instant};
+
+/// How often a terminated process is looked at until it is gone.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Index of the start time among the fields that follow the command in proc(5)'s stat: field 22 of all.
+const START_TIME_FIELD: usize = 19;
+
+/// A process, told from later ones with the same id by its start time.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProcessIdentity {
+    pid: u32,
+    /// Start time in clock ticks since the system's start.
+    #[serde(rename = "ticks")]
+    start_ticks: u64,
+}
+
+impl ProcessIdentity {
+    /// The identity of the process that has this id now; none where it has ended, reaped or not.
+    pub fn of(pid: u32) -> Option<Self> {
+        let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
+        let (_, after_command) = stat.rsplit_once(')')?;
+        let fields: Vec<&str> = after_command.split_whitespace().collect();
+        let is_zombie = fields.first() == Some(&"Z");
+        let start_ticks = fields.get(START_TIME_FIELD)?.parse().ok()?;
+        (!is_zombie).then_some(ProcessIdentity { pid, start_ticks })
+    }
+
+    fn is_running(&self) -> bool {
+        ProcessIdentity::of(self.pid).as_ref() == Some(self)
+    }
+
+    /// Ends the process if it still runs, and waits until it is gone: SIGTERM, then SIGKILL after
+    /// [`TERMINATION_GRACE_MS`].
+    pub fn terminate_and_wait(&self) {
+        let Some(pid) = i32::try_from(self.pid).ok().and_then(Pid::from_raw) else { return };
+        let Ok(pidfd) = pidfd_open(pid, PidfdFlags::empty()) else { return };
+        // Compared only now: the open descriptor keeps the id from being given to another process.
+        if !self.is_running() {
+            return;
+        }
+        tracing::warn!(pid = self.pid, "terminating the forwarder that an earlier supervisor left running");
+        // The process may have ended by itself, here and below.
+        let _ = pidfd_send_signal(&pidfd, Signal::TERM);
+        let kill_at = Instant::now() + Duration::from_millis(TERMINATION_GRACE_MS);
+        while self.is_running() {
+            if Instant::now() >= kill_at {
+                let _ = pidfd_send_signal(&pidfd, Signal::KILL);
+            }
+            std::thread::sleep(EXIT_POLL_INTERVAL);
+        }
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/protocol.rs
@@ -0,0 +1,118 @@
+//! The control protocol: one request line a connection, one reply line that begins with `200` or `400`, as at the
+//! forwarder's console. Used by the supervisor to read requests and by [`crate::client`] to write them.
+
+use serde::{Deserialize, Serialize};
+use std::fmt::{Display, Formatter};
+
+/// Longest request line that the supervisor reads, without its line feed.
+pub const MAX_LINE_BYTES: usize = 256;
+
+/// An upgrade that was given up: the release before it goes on serving.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FailedUpgrade {
+    /// The release that was to replace the forwarder.
+    pub release: String,
+    /// Why it was given up, for people.
+    #[serde(rename = "why")]
+    pub reason: String,
+}
+
+/// The reply to a status request, as JSON on the wire.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SupervisorStatus {
+    /// The release that runs, or that is started next.
+    pub release: String,
+    /// The slot of the forwarder, 0 or 1: the number of its console among the supervisor's two.
+    #[serde(rename = "place")]
+    pub slot: usize,
+    /// The forwarder takes clients, and no other process stands beside it.
+    pub settled: bool,
+    /// Restarts after the forwarder had died, since the supervisor began.
+    pub restarts: u64,
+    /// The last upgrade requested, if it was given up.
+    #[serde(rename = "refused")]
+    pub failed_upgrade: Option<FailedUpgrade>,
+    /// The process id of the forwarder; none while it is not running.
+    pub pid: Option<u32>,
+}
+
+/// A request at the control address.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Request {
+    /// Reply with the [`SupervisorStatus`].
+    Status,
+    /// Replace the forwarder by this release.
+    Upgrade(String),
+}
+
+impl Request {
+    /// The line that stands for this request on the wire, without its line feed.
+    pub fn to_line(&self) -> String {
+        match self {
+            Request::Status => "show".to_owned(),
+            Request::Upgrade(release) => format!("upgrade {release}"),
+        }
+    }
+
+    /// Reads a request line.
+    ///
+    /// # Errors
+    ///
+    /// The line is no request, or names no release.
+    pub fn parse(line: &str) -> Result<Request, RejectReason> {
+        let words: Vec<&str> = line.split_ascii_whitespace().collect();
+        match words[..] {
+            ["show"] => Ok(Request::Status),
+            ["upgrade", release] if is_release_name(release) => Ok(Request::Upgrade(release.to_owned())),
+            ["upgrade", _] => Err(RejectReason::InvalidReleaseName),
+            _ => Err(RejectReason::UnknownRequest),
+        }
+    }
+}
+
+impl Display for Request {
+    fn fmt(&self, out: &mut Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Request::Status => out.write_str("status request"),
+            Request::Upgrade(release) => write!(out, "upgrade to {release}"),
+        }
+    }
+}
+
+/// Why the supervisor rejects a request. The texts are part of the protocol: they follow `400` on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RejectReason {
+    /// The line is longer than [`MAX_LINE_BYTES`].
+    #[error("the line is too long")]
+    LineTooLong,
+    /// The release is not a plain file name.
+    #[error("a release is the name of a file in the folder of releases")]
+    InvalidReleaseName,
+    /// The line is no request.
+    #[error("unknown: show, or upgrade RELEASE")]
+    UnknownRequest,
+    /// The folder of releases has no such file.
+    #[error("there is no such release")]
+    ReleaseNotFound,
+    /// Another process stands beside the forwarder; see [`is_busy`].
+    #[error("busy: another process still stands beside the one that serves")]
+    Busy,
+    /// The supervisor is shutting down.
+    #[error("the supervisor ends")]
+    ShuttingDown,
+    /// The status could not be written as JSON.
+    #[error("it cannot be written")]
+    StatusNotSerializable,
+}
+
+/// Whether a reject reason on the wire is [`RejectReason::Busy`]: worth asking again.
+pub fn is_busy(reason: &str) -> bool {
+    reason.starts_with("busy")
+}
+
+/// Whether this names a file in a folder, and nothing outside of it.
+pub fn is_release_name(release: &str) -> bool {
+    !release.is_empty()
+        && !release.starts_with('.')
+        && release.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"._-+".contains(&byte))
+}
--- /dev/null
+++ b/crates/supervisor/src/state_file.rs
@@ -0,0 +1,84 @@
+//! What outlasts a supervisor, in `supervised.json` of its folder: the release to start, and the processes that it had
+//! started. Read when a supervisor begins, written whenever one of them changes.
+
+use crate::process_identity::ProcessIdentity;
+use crate::run::SupervisorError;
+use serde::{Deserialize, Serialize};
+use std::fs::File;
+use std::io::Write;
+use std::path::{Path, PathBuf};
+
+/// The contents of the file.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct PersistedState {
+    /// The release to start.
+    pub release: String,
+    /// The processes that run, or ran when the supervisor was killed.
+    pub processes: Vec<ProcessIdentity>,
+}
+
+/// The file, and the lock that keeps a second supervisor out of its folder.
+pub struct StateFile {
+    path: PathBuf,
+    state: PersistedState,
+    /// Held for as long as the supervisor runs.
+    _lock: File,
+}
+
+impl StateFile {
+    /// Opens the folder, creating it where it is missing; `release` is the one to start where none is kept yet.
+    pub fn open(folder: &Path, release: &str) -> Result<StateFile, SupervisorError> {
+        let unusable = |source| SupervisorError::Folder { folder: folder.to_owned(), source };
+        std::fs::create_dir_all(folder).map_err(unusable)?;
+        let lock = File::create(folder.join("lock")).map_err(unusable)?;
+        lock.try_lock().map_err(|_| SupervisorError::InUse { folder: folder.to_owned() })?;
+        let path = folder.join("supervised.json");
+        let state = match std::fs::read(&path) {
+            Ok(text) => serde_json::from_slice(&text)
+                .map_err(|source| SupervisorError::InvalidState { file: path.clone(), source })?,
+            Err(error) if error.kind() == std::io::ErrorKind::NotFound => {
+                PersistedState { release: release.to_owned(), processes: Vec::new() }
+            }
+            Err(error) => return Err(unusable(error)),
+        };
+        Ok(StateFile { path, state, _lock: lock })
+    }
+
+    /// The release to start.
+    pub fn release(&self) -> &str {
+        &self.state.release
+    }
+
+    /// Takes out the processes that an earlier supervisor had started.
+    pub fn take_processes(&mut self) -> Vec<ProcessIdentity> {
+        std::mem::take(&mut self.state.processes)
+    }
+
+    /// Persists the release to start.
+    pub fn set_release(&mut self, release: String) {
+        self.state.release = release;
+        self.save();
+    }
+
+    /// Persists the processes that run.
+    pub fn set_processes(&mut self, processes: Vec<ProcessIdentity>) {
+        self.state.processes = processes;
+        self.save();
+    }
+
+    /// A supervisor that cannot save goes on: its forwarder matters more than its own restart.
+    fn save(&self) {
+        if let Err(error) = self.replace_file() {
+            tracing::error!(file = %self.path.display(), %error, "cannot save the supervisor's state");
+        }
+    }
+
+    /// Writes a new file and renames it, so that a kill leaves the old or the new one whole.
+    fn replace_file(&self) -> std::io::Result<()> {
+        let temporary = self.path.with_extension("new");
+        let mut file = File::create(&temporary)?;
+        file.write_all(&serde_json::to_vec(&self.state)?)?;
+        file.sync_all()?;
+        std::fs::rename(&temporary, &self.path)
+    }
+}
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -262,7 +262,7 @@
 impl Supervised {
     fn run(self) -> Result<(), Box<dyn Error>> {
         let consoles = self.console.try_into().map_err(|_| "--console is given twice, for two addresses")?;
-        if !orchidyoke_supervisor::control::is_release_name(&self.release) {
+        if !orchidyoke_supervisor::protocol::is_release_name(&self.release) {
             return Err("--release is the name of a file in the folder of releases".into());
         }
         orchidyoke_supervisor::run(orchidyoke_supervisor::SupervisorConfig {
@@ -272,7 +272,7 @@
             releases: self.releases,
             release: self.release,
             folder: self.folder,
-            options: self.options,
+            forwarder_options: self.options,
         })?;
         Ok(())
     }
