--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -9,7 +9,7 @@
 use crate::report::{Chart, Line, Outcome};
 use orchidyoke_fakes::Fleet;
 use orchidyoke_fakes::fleet::Load;
-use orchidyoke_rollout::fleet::{call, parse};
+use orchidyoke_rollout::fleet::{ask_console, parse_outcome_counts};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -179,8 +179,12 @@
         .spawn()
         .map_err(|error| format!("the tool: {error}"))?;
     let lines = BufReader::new(tool.stderr.take().ok_or("no pipe")?).lines().map_while(Result::ok);
-    let ended =
-        || call(fleet.console(0), "show-stat").ok().and_then(|reply| parse(&reply)).map(|t| t.ended());
+    let ended = || {
+        ask_console(fleet.console(0), "show-stat")
+            .ok()
+            .and_then(|reply| parse_outcome_counts(&reply))
+            .map(|counts| counts.total())
+    };
     let (mut began, mut stop, mut before, mut after, mut share) = (None, None, None, None, String::new());
     for line in lines {
         if line.contains("forwarder changed") && before.is_none() {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -11,35 +11,38 @@
 /// One forwarder of the fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Member {
+pub struct PlannedForwarder {
     /// Its name, unique in the plan; the record speaks of it by this.
     pub name: String,
     /// Where its console answers.
-    pub console: Consoles,
+    #[serde(rename = "console")]
+    pub consoles: ConsoleAddresses,
     /// The configuration file it reads at a start and at SIGHUP; needed where settings are changed.
-    pub config: Option<PathBuf>,
+    #[serde(rename = "config")]
+    pub config_file: Option<PathBuf>,
     /// A file that holds the number of its process, where no control address gives it.
     pub pid_file: Option<PathBuf>,
     /// Where its supervisor (`orchidyoke supervise`) is asked; needed where the release is changed.
-    pub control: Option<SocketAddr>,
+    #[serde(rename = "control")]
+    pub supervisor: Option<SocketAddr>,
 }
 
 /// Where a forwarder's console answers.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
-pub enum Consoles {
+pub enum ConsoleAddresses {
     /// At one address.
-    One(SocketAddr),
+    Single(SocketAddr),
     /// At two in turn, as its supervisor gives them to one process after another.
-    InTurn([SocketAddr; 2]),
+    PerSlot([SocketAddr; 2]),
 }
 
-impl Consoles {
+impl ConsoleAddresses {
     /// That of the process at this place of its supervisor's.
-    pub fn at(&self, place: usize) -> SocketAddr {
+    pub fn at_slot(&self, slot: usize) -> SocketAddr {
         match self {
-            Consoles::One(address) => *address,
-            Consoles::InTurn(addresses) => addresses[place % 2],
+            ConsoleAddresses::Single(address) => *address,
+            ConsoleAddresses::PerSlot(addresses) => addresses[slot % 2],
         }
     }
 }
@@ -58,7 +61,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// The fleet, in the order in which its forwarders are changed.
-    pub forwarders: Vec<Member>,
+    pub forwarders: Vec<PlannedForwarder>,
     /// The change, where it is one of settings: a JSON merge patch (RFC 7386) laid over each forwarder's own
     /// configuration.
     pub settings_patch: Option<Value>,
@@ -76,14 +79,14 @@
     /// How long a stage may wait for enough traffic before it is stopped as undecided, in milliseconds.
     pub max_bake_ms: u64,
     /// How often figures are read during a stage, in milliseconds.
-    #[serde(default = "poll_ms")]
-    pub poll_ms: u64,
+    #[serde(rename = "poll_ms", default = "default_poll_interval_ms")]
+    pub poll_interval_ms: u64,
     /// What a stage is judged by.
     #[serde(default)]
     pub criteria: Criteria,
 }
 
-fn poll_ms() -> u64 {
+fn default_poll_interval_ms() -> u64 {
     1000
 }
 
@@ -95,17 +98,17 @@
     Read(#[from] std::io::Error),
     /// It is no plan.
     #[error("the plan is not in form: {0}")]
-    Form(#[from] serde_json::Error),
+    Invalid(#[from] serde_json::Error),
     /// It is a plan that cannot be carried out; why.
     #[error("the plan cannot be carried out: {0}")]
-    Unsound(String),
+    Unworkable(String),
 }
 
 impl Plan {
     /// Reads and checks a plan whole.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
         let plan: Plan = serde_json::from_slice(&std::fs::read(path)?)?;
-        plan.counts()?;
+        plan.stage_sizes()?;
         plan.change()?;
         Ok(plan)
     }
@@ -118,25 +121,27 @@
 
     /// What it changes; every forwarder has to give what that needs.
     pub fn change(&self) -> Result<Change, PlanError> {
-        let unsound = |why: String| Err(PlanError::Unsound(why));
-        let (change, needs, has): (_, _, fn(&Member) -> bool) = match (&self.settings_patch, &self.release) {
-            (Some(patch), None) => {
-                (Change::Settings(patch.clone()), "config and a pid_file or control", |member| {
-                    member.config.is_some() && (member.pid_file.is_some() || member.control.is_some())
-                })
-            }
-            (None, Some(release)) if !is_release_name(release) => {
-                return unsound(format!("release {release:?} is not the name of a file"));
-            }
-            (None, Some(release)) => {
-                (Change::Release(release.clone()), "a control and two consoles", |member| {
-                    member.control.is_some() && matches!(member.console, Consoles::InTurn(_))
-                })
-            }
-            _ => return unsound("it gives either settings_patch or release".into()),
-        };
+        let unworkable = |why: String| Err(PlanError::Unworkable(why));
+        let (change, needs, has): (_, _, fn(&PlannedForwarder) -> bool) =
+            match (&self.settings_patch, &self.release) {
+                (Some(patch), None) => {
+                    (Change::Settings(patch.clone()), "config and a pid_file or control", |member| {
+                        member.config_file.is_some()
+                            && (member.pid_file.is_some() || member.supervisor.is_some())
+                    })
+                }
+                (None, Some(release)) if !is_release_name(release) => {
+                    return unworkable(format!("release {release:?} is not the name of a file"));
+                }
+                (None, Some(release)) => {
+                    (Change::Release(release.clone()), "a control and two consoles", |member| {
+                        member.supervisor.is_some() && matches!(member.consoles, ConsoleAddresses::PerSlot(_))
+                    })
+                }
+                _ => return unworkable("it gives either settings_patch or release".into()),
+            };
         match self.forwarders.iter().find(|member| !has(member)) {
-            Some(member) => unsound(format!("forwarder {} needs {needs}", member.name)),
+            Some(member) => unworkable(format!("forwarder {} needs {needs}", member.name)),
             None => Ok(change),
         }
     }
@@ -149,19 +154,19 @@
     }
 
     /// How many forwarders have the change once each stage has begun, rising, the last one all.
-    pub fn counts(&self) -> Result<Vec<usize>, PlanError> {
+    pub fn stage_sizes(&self) -> Result<Vec<usize>, PlanError> {
         let size = self.forwarders.len();
-        let unsound = |why: String| Err(PlanError::Unsound(why));
+        let unworkable = |why: String| Err(PlanError::Unworkable(why));
         if size < 2 {
-            return unsound("a fleet of fewer than two has nothing to compare with".into());
+            return unworkable("a fleet of fewer than two has nothing to compare with".into());
         }
         let mut names: Vec<&str> = self.forwarders.iter().map(|m| m.name.as_str()).collect();
         names.sort_unstable();
         if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return unsound(format!("two forwarders are named {}", pair[0]));
+            return unworkable(format!("two forwarders are named {}", pair[0]));
         }
-        if self.poll_ms == 0 || self.bake_ms > self.max_bake_ms {
-            return unsound("poll_ms must be over 0 and bake_ms at most max_bake_ms".into());
+        if self.poll_interval_ms == 0 || self.bake_ms > self.max_bake_ms {
+            return unworkable("poll_ms must be over 0 and bake_ms at most max_bake_ms".into());
         }
         let mut counts = Vec::new();
         for stage in &self.stages {
@@ -172,21 +177,21 @@
                     Ok(share) if share > 0.0 && share <= 100.0 => {
                         ((share / 100.0) * size as f64).ceil() as usize
                     }
-                    _ => return unsound(format!("stage {stage}: a share is over 0% and at most 100%")),
+                    _ => return unworkable(format!("stage {stage}: a share is over 0% and at most 100%")),
                 }
             } else {
                 match stage.parse::<usize>() {
                     Ok(count) if (1..=size).contains(&count) => count,
-                    _ => return unsound(format!("stage {stage}: a count is from 1 to {size}")),
+                    _ => return unworkable(format!("stage {stage}: a count is from 1 to {size}")),
                 }
             };
             if counts.last().is_some_and(|last| *last >= count) {
-                return unsound(format!("stage {stage} has no more forwarders than the one before"));
+                return unworkable(format!("stage {stage} has no more forwarders than the one before"));
             }
             counts.push(count);
         }
         if counts.last() != Some(&size) {
-            return unsound("the last stage must reach all forwarders".into());
+            return unworkable("the last stage must reach all forwarders".into());
         }
         Ok(counts)
     }
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -13,124 +13,138 @@
 
 /// One line of the record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Record {
+pub enum ProgressRecord {
     /// The rollout began, by the plan of this digest.
-    Began {
+    #[serde(rename = "began")]
+    Started {
         /// [`crate::plan::Plan::digest`].
-        plan: String,
+        #[serde(rename = "plan")]
+        plan_digest: String,
     },
     /// The change of this forwarder began.
-    Changing(String),
+    #[serde(rename = "changing")]
+    ChangeStarted(String),
     /// This forwarder has the change.
-    Changed(String),
+    #[serde(rename = "changed")]
+    ChangeApplied(String),
     /// The stage of this number (from 0) passed.
-    Passed(usize),
+    #[serde(rename = "passed")]
+    StagePassed(usize),
     /// The rollout stops; why.
+    #[serde(rename = "stopped")]
     Stopped(String),
     /// Taking this forwarder back began.
-    TakingBack(String),
+    #[serde(rename = "taking_back")]
+    RollbackStarted(String),
     /// This forwarder has its configuration from before.
-    TakenBack(String),
+    #[serde(rename = "taken_back")]
+    RolledBack(String),
     /// All forwarders have the change, and the rollout is over.
-    Done,
+    #[serde(rename = "done")]
+    Completed,
 }
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Change this forwarder (by its place in the plan).
-    Change(usize),
+    ApplyChange(usize),
     /// Run the stage of this number and judge it.
-    Bake(usize),
+    RunStage(usize),
     /// Take this forwarder back.
-    TakeBack(usize),
+    RollBack(usize),
     /// Write that all have it.
-    Finish,
+    Complete,
     /// Nothing more: all have the change.
-    Over,
+    Completed,
     /// Nothing more: it was stopped and all are taken back; why it stopped.
-    TakenBack(String),
+    RolledBack(String),
 }
 
 /// What the records say.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
     /// The digest of the plan that began it.
-    pub plan: Option<String>,
+    pub plan_digest: Option<String>,
     /// Forwarders whose change began, done or not.
-    pub touched: BTreeSet<String>,
+    pub change_started: BTreeSet<String>,
     /// Forwarders that have the change.
     pub changed: BTreeSet<String>,
     /// Stages that passed.
-    pub passed: usize,
+    pub stages_passed: usize,
     /// Why it stopped, if it did.
-    pub stopped: Option<String>,
+    pub stop_reason: Option<String>,
     /// Forwarders taken back.
-    pub taken_back: BTreeSet<String>,
+    pub rolled_back: BTreeSet<String>,
     /// Whether it is over.
-    pub done: bool,
+    pub completed: bool,
 }
 
 impl Progress {
     /// Folds the records in their order.
-    pub fn of(records: &[Record]) -> Progress {
+    pub fn of(records: &[ProgressRecord]) -> Progress {
         let mut progress = Progress::default();
         for record in records {
             match record {
-                Record::Began { plan } => progress.plan = Some(plan.clone()),
-                Record::Changing(name) => drop(progress.touched.insert(name.clone())),
-                Record::Changed(name) => drop(progress.changed.insert(name.clone())),
-                Record::Passed(stage) => progress.passed = progress.passed.max(stage + 1),
-                Record::Stopped(why) => progress.stopped = progress.stopped.clone().or(Some(why.clone())),
-                Record::TakingBack(_) => {}
-                Record::TakenBack(name) => drop(progress.taken_back.insert(name.clone())),
-                Record::Done => progress.done = true,
+                ProgressRecord::Started { plan_digest: plan } => progress.plan_digest = Some(plan.clone()),
+                ProgressRecord::ChangeStarted(name) => drop(progress.change_started.insert(name.clone())),
+                ProgressRecord::ChangeApplied(name) => drop(progress.changed.insert(name.clone())),
+                ProgressRecord::StagePassed(stage) => {
+                    progress.stages_passed = progress.stages_passed.max(stage + 1)
+                }
+                ProgressRecord::Stopped(why) => {
+                    progress.stop_reason = progress.stop_reason.clone().or(Some(why.clone()))
+                }
+                ProgressRecord::RollbackStarted(_) => {}
+                ProgressRecord::RolledBack(name) => drop(progress.rolled_back.insert(name.clone())),
+                ProgressRecord::Completed => progress.completed = true,
             }
         }
         progress
     }
 
     /// The next step, for a fleet of these names (in the plan's order) and these counts of stages.
-    pub fn next(&self, names: &[&str], counts: &[usize]) -> Step {
-        if self.done {
-            return Step::Over;
+    pub fn next_step(&self, names: &[&str], counts: &[usize]) -> Step {
+        if self.completed {
+            return Step::Completed;
         }
-        if let Some(why) = &self.stopped {
+        if let Some(why) = &self.stop_reason {
             // Whatever was touched, changed whole or perhaps half, goes back.
-            return match names.iter().position(|n| self.touched.contains(*n) && !self.taken_back.contains(*n))
+            return match names
+                .iter()
+                .position(|n| self.change_started.contains(*n) && !self.rolled_back.contains(*n))
             {
-                Some(place) => Step::TakeBack(place),
-                None => Step::TakenBack(why.clone()),
+                Some(place) => Step::RollBack(place),
+                None => Step::RolledBack(why.clone()),
             };
         }
         // One begun and not done is finished first, before anything else is begun.
         if let Some(place) =
-            names.iter().position(|n| self.touched.contains(*n) && !self.changed.contains(*n))
+            names.iter().position(|n| self.change_started.contains(*n) && !self.changed.contains(*n))
         {
-            return Step::Change(place);
+            return Step::ApplyChange(place);
         }
-        let stage = self.passed;
-        let Some(&wanted) = counts.get(stage) else { return Step::Finish };
+        let stage = self.stages_passed;
+        let Some(&wanted) = counts.get(stage) else { return Step::Complete };
         if self.changed.len() < wanted {
             let place = names.iter().position(|n| !self.changed.contains(*n));
-            return place.map_or(Step::Finish, Step::Change);
+            return place.map_or(Step::Complete, Step::ApplyChange);
         }
         // The last stage has nobody left to be compared with: it is over once all have the change.
-        if stage + 1 == counts.len() { Step::Finish } else { Step::Bake(stage) }
+        if stage + 1 == counts.len() { Step::Complete } else { Step::RunStage(stage) }
     }
 }
 
 /// The file of records, appended a line at a time; each line is on disk before the act it announces.
 #[derive(Debug)]
-pub struct Log {
+pub struct ProgressFile {
     path: PathBuf,
     file: std::fs::File,
 }
 
-impl Log {
+impl ProgressFile {
     /// Opens the record in this folder, reading what it holds; a torn last line, which a kill leaves, is cut off.
-    pub fn open(folder: &Path) -> std::io::Result<(Log, Vec<Record>)> {
+    pub fn open(folder: &Path) -> std::io::Result<(ProgressFile, Vec<ProgressRecord>)> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join("rollout.jsonl");
         let text = match std::fs::read_to_string(&path) {
@@ -150,7 +164,7 @@
         }
         let file = std::fs::OpenOptions::new().create(true).append(true).open(&path)?;
         file.set_len(whole as u64)?;
-        Ok((Log { path, file }, records))
+        Ok((ProgressFile { path, file }, records))
     }
 
     /// Where it is.
@@ -159,7 +173,7 @@
     }
 
     /// Appends a record and waits until it is on disk.
-    pub fn write(&mut self, record: &Record) -> std::io::Result<()> {
+    pub fn write(&mut self, record: &ProgressRecord) -> std::io::Result<()> {
         let mut line = serde_json::to_string(record).map_err(std::io::Error::other)?;
         line.push('\n');
         self.file.write_all(line.as_bytes())?;
--- a/crates/rollout/tests/judge.rs
+++ b/crates/rollout/tests/judge.rs
@@ -1,20 +1,20 @@
 //! The comparison of changed and unchanged forwarders.
 
-use orchidyoke_rollout::judge::{Criteria, Reading, Tally, Verdict, judge as compare};
+use orchidyoke_rollout::judge::{Criteria, Metrics, OutcomeCounts, Verdict, judge as compare};
 
-fn tally(success: u64, overload: u64, error: u64) -> Tally {
-    Tally { success, overload, error }
+fn tally(success: u64, overload: u64, error: u64) -> OutcomeCounts {
+    OutcomeCounts { success, overload, error }
 }
 
-fn judge(changed: Tally, unchanged: Tally, criteria: &Criteria, baked: bool) -> Verdict {
-    let silent = |ended| Reading { ended, times: None };
+fn judge(changed: OutcomeCounts, unchanged: OutcomeCounts, criteria: &Criteria, baked: bool) -> Verdict {
+    let silent = |ended| Metrics { outcomes: ended, latencies: None };
     compare(&silent(changed), &[silent(unchanged)], criteria, baked)
 }
 
 /// A thousand deliveries of 20 to 29 ms, and so many of `late` ms.
-fn deliveries(late: u64, count: u64) -> Reading {
-    let mut reading = Reading { ended: tally(1000 + count, 0, 0), ..Reading::default() };
-    let times = reading.times.as_mut().unwrap();
+fn deliveries(late: u64, count: u64) -> Metrics {
+    let mut reading = Metrics { outcomes: tally(1000 + count, 0, 0), ..Metrics::default() };
+    let times = reading.latencies.as_mut().unwrap();
     (0..1000).for_each(|n| times.record(20_000 + n % 10 * 1000).unwrap());
     times.record_n(late * 1000, count).unwrap();
     reading
@@ -30,25 +30,25 @@
     // Slow for everyone is not the change.
     assert_eq!(compare(&deliveries(60, 100), &[deliveries(60, 100)], &criteria, true), Verdict::Pass);
     // A release that does not tell its times is judged by its ends.
-    let silent = Reading { times: None, ..unchanged };
+    let silent = Metrics { latencies: None, ..unchanged };
     assert_eq!(compare(&deliveries(60, 100), &[silent], &criteria, true), Verdict::Pass);
 }
 
 #[test]
 fn times_are_those_of_the_interval() {
     let (before, mut now) = (deliveries(60, 5), deliveries(60, 8));
-    assert_eq!(now.since(&before).unwrap().times.unwrap().len(), 3);
+    assert_eq!(now.since(&before).unwrap().latencies.unwrap().len(), 3);
     assert_eq!(before.since(&now), None);
-    now.times = None;
-    assert_eq!(now.since(&before).unwrap().times, None);
+    now.latencies = None;
+    assert_eq!(now.since(&before).unwrap().latencies, None);
 }
 
 // Guards against a pass on little traffic: a group that has ended ten messages, all well, is not judged.
 #[test]
 fn too_little_is_not_yet() {
     let criteria = Criteria::default();
-    assert_eq!(judge(tally(10, 0, 0), tally(1000, 5, 5), &criteria, true), Verdict::NotYet);
-    assert_eq!(judge(tally(1000, 5, 5), tally(10, 0, 0), &criteria, true), Verdict::NotYet);
+    assert_eq!(judge(tally(10, 0, 0), tally(1000, 5, 5), &criteria, true), Verdict::Undecided);
+    assert_eq!(judge(tally(1000, 5, 5), tally(10, 0, 0), &criteria, true), Verdict::Undecided);
 }
 
 // Guards against a pass before the bake time is over, and for a change equal to the rest.
@@ -56,7 +56,7 @@
 fn the_same_passes_once_baked() {
     let criteria = Criteria::default();
     let (a, b) = (tally(950, 30, 20), tally(4750, 150, 100));
-    assert_eq!(judge(a, b, &criteria, false), Verdict::NotYet);
+    assert_eq!(judge(a, b, &criteria, false), Verdict::Undecided);
     assert_eq!(judge(a, b, &criteria, true), Verdict::Pass);
 }
 
@@ -81,10 +81,10 @@
 // where one unchanged forwarder of five had recovered before the rest.
 #[test]
 fn what_some_unchanged_forwarders_show_as_well_is_not_the_change() {
-    let reading = |success, error| Reading { ended: tally(success, 0, error), times: None };
+    let reading = |success, error| Metrics { outcomes: tally(success, 0, error), latencies: None };
     let rest = [reading(63, 48), reading(63, 48), reading(410, 47), reading(63, 48), reading(111, 15)];
     let criteria = Criteria::default();
-    assert_eq!(compare(&reading(63, 48), &rest, &criteria, true), Verdict::NotYet);
+    assert_eq!(compare(&reading(63, 48), &rest, &criteria, true), Verdict::Undecided);
     // Far worse than each of them is worse; so is worse than all but one of ten or more.
     let verdict = compare(&reading(30, 81), &rest, &criteria, true);
     assert!(matches!(&verdict, Verdict::Worse(why) if why.contains("5 of 5 unchanged")), "{verdict:?}");
@@ -98,7 +98,7 @@
 fn a_doubt_past_the_margin_is_not_yet() {
     let criteria = Criteria::default();
     // 3% against 2% over 300 and 1500: the difference may be 0 or 4 points.
-    assert_eq!(judge(tally(291, 9, 0), tally(1470, 30, 0), &criteria, true), Verdict::NotYet);
+    assert_eq!(judge(tally(291, 9, 0), tally(1470, 30, 0), &criteria, true), Verdict::Undecided);
 }
 
 #[test]
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -1,17 +1,17 @@
 //! What a plan may say.
 
 use orchidyoke_rollout::judge::Criteria;
-use orchidyoke_rollout::plan::{Change, Consoles, Member, Plan};
+use orchidyoke_rollout::plan::{Change, ConsoleAddresses, Plan, PlannedForwarder};
 use serde_json::json;
 
 fn plan(size: usize, stages: &[&str]) -> Plan {
     let forwarders = (0..size)
-        .map(|i| Member {
+        .map(|i| PlannedForwarder {
             name: format!("f{i}"),
-            console: Consoles::One("127.0.0.1:1".parse().unwrap()),
-            config: Some(format!("f{i}.json").into()),
+            consoles: ConsoleAddresses::Single("127.0.0.1:1".parse().unwrap()),
+            config_file: Some(format!("f{i}.json").into()),
             pid_file: Some(format!("f{i}.pid").into()),
-            control: None,
+            supervisor: None,
         })
         .collect();
     Plan {
@@ -22,19 +22,19 @@
         warm_up_ms: None,
         bake_ms: 1,
         max_bake_ms: 2,
-        poll_ms: 1,
+        poll_interval_ms: 1,
         criteria: Criteria::default(),
     }
 }
 
 #[test]
 fn stages_count_forwarders() {
-    assert_eq!(plan(20, &["1", "10%", "50%", "all"]).counts().unwrap(), [1, 2, 10, 20]);
-    assert_eq!(plan(6, &["1", "50%", "all"]).counts().unwrap(), [1, 3, 6]);
+    assert_eq!(plan(20, &["1", "10%", "50%", "all"]).stage_sizes().unwrap(), [1, 2, 10, 20]);
+    assert_eq!(plan(6, &["1", "50%", "all"]).stage_sizes().unwrap(), [1, 3, 6]);
     // Guards against a plan that never reaches everyone or stands still.
-    assert!(plan(6, &["1", "50%"]).counts().is_err());
-    assert!(plan(6, &["1", "10%", "all"]).counts().is_err());
-    assert!(plan(1, &["all"]).counts().is_err());
+    assert!(plan(6, &["1", "50%"]).stage_sizes().is_err());
+    assert!(plan(6, &["1", "10%", "all"]).stage_sizes().is_err());
+    assert!(plan(1, &["all"]).stage_sizes().is_err());
 }
 
 // Guards against a plan that is found wanting only when some forwarders have the change already.
@@ -48,7 +48,7 @@
     assert!(release.change().unwrap_err().to_string().contains("f0"));
     for member in &mut release.forwarders {
         let address = "127.0.0.1:1".parse().unwrap();
-        (member.control, member.console) = (Some(address), Consoles::InTurn([address; 2]));
+        (member.supervisor, member.consoles) = (Some(address), ConsoleAddresses::PerSlot([address; 2]));
     }
     assert_eq!(release.change().unwrap(), Change::Release("v2".into()));
     release.release = Some("../v2".into());
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -1,43 +1,47 @@
 //! The progress record and the next step chosen from it.
 
-use orchidyoke_rollout::progress::{Log, Progress, Record, Step};
+use orchidyoke_rollout::progress::{Progress, ProgressFile, ProgressRecord, Step};
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const COUNTS: [usize; 3] = [1, 2, 4];
 
-fn next(records: &[Record]) -> Step {
-    Progress::of(records).next(&NAMES, &COUNTS)
+fn next(records: &[ProgressRecord]) -> Step {
+    Progress::of(records).next_step(&NAMES, &COUNTS)
 }
 
-fn changed(name: &str) -> [Record; 2] {
-    [Record::Changing(name.into()), Record::Changed(name.into())]
+fn changed(name: &str) -> [ProgressRecord; 2] {
+    [ProgressRecord::ChangeStarted(name.into()), ProgressRecord::ChangeApplied(name.into())]
 }
 
 #[test]
 fn goes_stage_by_stage() {
-    assert_eq!(next(&[]), Step::Change(0));
+    assert_eq!(next(&[]), Step::ApplyChange(0));
     let mut records = changed("a").to_vec();
-    assert_eq!(next(&records), Step::Bake(0));
-    records.push(Record::Passed(0));
-    assert_eq!(next(&records), Step::Change(1));
+    assert_eq!(next(&records), Step::RunStage(0));
+    records.push(ProgressRecord::StagePassed(0));
+    assert_eq!(next(&records), Step::ApplyChange(1));
     records.extend(changed("b"));
-    assert_eq!(next(&records), Step::Bake(1));
-    records.push(Record::Passed(1));
+    assert_eq!(next(&records), Step::RunStage(1));
+    records.push(ProgressRecord::StagePassed(1));
     records.extend(changed("c"));
-    assert_eq!(next(&records), Step::Change(3));
+    assert_eq!(next(&records), Step::ApplyChange(3));
     records.extend(changed("d"));
-    assert_eq!(next(&records), Step::Finish);
-    records.push(Record::Done);
-    assert_eq!(next(&records), Step::Over);
+    assert_eq!(next(&records), Step::Complete);
+    records.push(ProgressRecord::Completed);
+    assert_eq!(next(&records), Step::Completed);
 }
 
 // Guards against a forwarder left half-changed by a kill between the two records, and against changing one twice.
 #[test]
 fn a_change_begun_is_finished_first_and_none_twice() {
-    let records = [changed("a").to_vec(), vec![Record::Passed(0), Record::Changing("b".into())]].concat();
-    assert_eq!(next(&records), Step::Change(1));
-    let records = [records, vec![Record::Changed("b".into())]].concat();
-    assert_eq!(next(&records), Step::Bake(1));
+    let records = [
+        changed("a").to_vec(),
+        vec![ProgressRecord::StagePassed(0), ProgressRecord::ChangeStarted("b".into())],
+    ]
+    .concat();
+    assert_eq!(next(&records), Step::ApplyChange(1));
+    let records = [records, vec![ProgressRecord::ChangeApplied("b".into())]].concat();
+    assert_eq!(next(&records), Step::RunStage(1));
 }
 
 // Guards against a stop that leaves a changed forwarder, or one half-changed, as it is.
@@ -45,38 +49,46 @@
 fn a_stop_takes_back_all_that_was_touched() {
     let records = [
         changed("a").to_vec(),
-        vec![Record::Passed(0), Record::Changing("b".into()), Record::Stopped("worse".into())],
+        vec![
+            ProgressRecord::StagePassed(0),
+            ProgressRecord::ChangeStarted("b".into()),
+            ProgressRecord::Stopped("worse".into()),
+        ],
     ]
     .concat();
-    assert_eq!(next(&records), Step::TakeBack(0));
-    let records = [records, vec![Record::TakingBack("a".into()), Record::TakenBack("a".into())]].concat();
-    assert_eq!(next(&records), Step::TakeBack(1));
-    let records = [records, vec![Record::TakenBack("b".into())]].concat();
-    assert_eq!(next(&records), Step::TakenBack("worse".into()));
+    assert_eq!(next(&records), Step::RollBack(0));
+    let records =
+        [records, vec![ProgressRecord::RollbackStarted("a".into()), ProgressRecord::RolledBack("a".into())]]
+            .concat();
+    assert_eq!(next(&records), Step::RollBack(1));
+    let records = [records, vec![ProgressRecord::RolledBack("b".into())]].concat();
+    assert_eq!(next(&records), Step::RolledBack("worse".into()));
 }
 
 /// Carries out steps as `run` writes them, from these records on, until nothing is left; a stop is written
 /// when stage `stop_at` is baked.
-fn drive(mut records: Vec<Record>, stop_at: Option<usize>) -> Vec<Record> {
+fn drive(mut records: Vec<ProgressRecord>, stop_at: Option<usize>) -> Vec<ProgressRecord> {
     loop {
-        match Progress::of(&records).next(&NAMES, &COUNTS) {
-            Step::Change(place) => {
-                records.push(Record::Changing(NAMES[place].into()));
-                records.push(Record::Changed(NAMES[place].into()));
+        match Progress::of(&records).next_step(&NAMES, &COUNTS) {
+            Step::ApplyChange(place) => {
+                records.push(ProgressRecord::ChangeStarted(NAMES[place].into()));
+                records.push(ProgressRecord::ChangeApplied(NAMES[place].into()));
+            }
+            Step::RunStage(stage) if Some(stage) == stop_at => {
+                records.push(ProgressRecord::Stopped("worse".into()))
             }
-            Step::Bake(stage) if Some(stage) == stop_at => records.push(Record::Stopped("worse".into())),
-            Step::Bake(stage) => records.push(Record::Passed(stage)),
-            Step::TakeBack(place) => {
-                records.push(Record::TakingBack(NAMES[place].into()));
-                records.push(Record::TakenBack(NAMES[place].into()));
+            Step::RunStage(stage) => records.push(ProgressRecord::StagePassed(stage)),
+            Step::RollBack(place) => {
+                records.push(ProgressRecord::RollbackStarted(NAMES[place].into()));
+                records.push(ProgressRecord::RolledBack(NAMES[place].into()));
             }
-            Step::Finish => records.push(Record::Done),
-            Step::Over | Step::TakenBack(_) => return records,
+            Step::Complete => records.push(ProgressRecord::Completed),
+            Step::Completed | Step::RolledBack(_) => return records,
         }
     }
 }
 
-fn count(records: &[Record], wanted: impl Fn(&Record) -> bool) -> usize {
+fn count(records: &[ProgressRecord], wanted: impl Fn(&ProgressRecord) -> bool) -> usize {
     records.iter().filter(|record| wanted(record)).count()
 }
 
@@ -90,18 +102,18 @@
             let resumed = drive(whole[..cut].to_vec(), stop_at);
             let progress = Progress::of(&resumed);
             for name in NAMES {
-                let changed = count(&resumed, |r| *r == Record::Changed(name.into()));
+                let changed = count(&resumed, |r| *r == ProgressRecord::ChangeApplied(name.into()));
                 assert!(changed <= 1, "{name} changed twice after a cut at {cut}: {resumed:?}");
                 match stop_at {
                     None => assert_eq!(changed, 1, "{name} after a cut at {cut}"),
                     Some(_) => assert_eq!(
-                        progress.touched.contains(name),
-                        progress.taken_back.contains(name),
+                        progress.change_started.contains(name),
+                        progress.rolled_back.contains(name),
                         "{name} after a cut at {cut}: {resumed:?}"
                     ),
                 }
             }
-            assert_eq!(progress.done, stop_at.is_none(), "after a cut at {cut}");
+            assert_eq!(progress.completed, stop_at.is_none(), "after a cut at {cut}");
         }
     }
 }
@@ -110,19 +122,19 @@
 fn the_file_keeps_what_was_whole_and_cuts_a_torn_line() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-rollout-log-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&folder));
-    let (mut log, records) = Log::open(&folder).unwrap();
+    let (mut log, records) = ProgressFile::open(&folder).unwrap();
     assert!(records.is_empty());
-    log.write(&Record::Changing("a".into())).unwrap();
-    log.write(&Record::Changed("a".into())).unwrap();
+    log.write(&ProgressRecord::ChangeStarted("a".into())).unwrap();
+    log.write(&ProgressRecord::ChangeApplied("a".into())).unwrap();
     drop(log);
     let path = folder.join("rollout.jsonl");
     let mut text = std::fs::read_to_string(&path).unwrap();
     text.push_str("{\"chang");
     std::fs::write(&path, text).unwrap();
-    let (mut log, records) = Log::open(&folder).unwrap();
+    let (mut log, records) = ProgressFile::open(&folder).unwrap();
     assert_eq!(records, changed("a"));
-    log.write(&Record::Passed(0)).unwrap();
-    let (_, records) = Log::open(&folder).unwrap();
-    assert_eq!(records.last(), Some(&Record::Passed(0)));
+    log.write(&ProgressRecord::StagePassed(0)).unwrap();
+    let (_, records) = ProgressFile::open(&folder).unwrap();
+    assert_eq!(records.last(), Some(&ProgressRecord::StagePassed(0)));
     drop(std::fs::remove_dir_all(&folder));
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -327,11 +327,11 @@
 #[cfg(feature = "installations")]
 fn rollout(plan: &std::path::Path, state: &std::path::Path) -> Result<(), Box<dyn Error>> {
     match orchidyoke_rollout::run(&orchidyoke_rollout::Plan::read(plan)?, state)? {
-        orchidyoke_rollout::Outcome::Done => {
+        orchidyoke_rollout::Outcome::Completed => {
             println!("rollout done: every forwarder has the change");
             Ok(())
         }
-        orchidyoke_rollout::Outcome::TakenBack(why) => {
+        orchidyoke_rollout::Outcome::RolledBack(why) => {
             Err(format!("rollout stopped and taken back: {why}").into())
         }
     }
