--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -9,7 +9,7 @@
 use crate::report::{Chart, Line, Outcome};
 use orchidyoke_fakes::Fleet;
 use orchidyoke_fakes::fleet::Load;
-use orchidyoke_rollout::fleet::{ask_console, parse_outcome_counts};
+use orchidyoke_rollout::console::{ask, parse_outcome_counts};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -180,7 +180,7 @@
         .map_err(|error| format!("the tool: {error}"))?;
     let lines = BufReader::new(tool.stderr.take().ok_or("no pipe")?).lines().map_while(Result::ok);
     let ended = || {
-        ask_console(fleet.console(0), "show-stat")
+        ask(fleet.console(0), "show-stat")
             .ok()
             .and_then(|reply| parse_outcome_counts(&reply))
             .map(|counts| counts.total())
--- /dev/null
+++ b/crates/rollout/src/files.rs
@@ -0,0 +1,40 @@
+//! Files of the rollout and of the forwarders: read whole, and replaced so that a kill leaves the old or the new one.
+
+use crate::error::ForwarderError;
+use std::fs::File;
+use std::io::Write;
+use std::path::Path;
+
+/// Reads a file whole.
+pub fn read(path: &Path) -> Result<Vec<u8>, ForwarderError> {
+    std::fs::read(path).map_err(failure("read", path))
+}
+
+/// Reads a file whole; None where there is none.
+pub fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, ForwarderError> {
+    match std::fs::read(path) {
+        Ok(text) => Ok(Some(text)),
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(failure("read", path)(error)),
+    }
+}
+
+/// Replaces a file; it is on disk when this returns.
+pub fn replace(path: &Path, text: &[u8]) -> Result<(), ForwarderError> {
+    let failed = failure("write", path);
+    let temporary = path.with_extension("rollout-new");
+    let mut file = File::create(&temporary).map_err(&failed)?;
+    file.write_all(text).map_err(&failed)?;
+    file.sync_all().map_err(&failed)?;
+    std::fs::rename(&temporary, path).map_err(&failed)?;
+    if let Some(folder) = path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
+        // The new name is durable only once the folder is.
+        File::open(folder).and_then(|folder| folder.sync_all()).map_err(&failed)?;
+    }
+    Ok(())
+}
+
+fn failure(operation: &'static str, path: &Path) -> impl Fn(std::io::Error) -> ForwarderError {
+    let path = path.to_owned();
+    move |source| ForwarderError::File { operation, path: path.clone(), source }
+}
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,19 +1,33 @@
-//! A change of settings rolled out over a fleet of forwarders in stages, old and new side by side, stopped and
-//! taken back when a stage does worse ([docs/rollout.md](../../../docs/rollout.md)).
+//! Rolls a change of settings or of the program out over a fleet of forwarders in stages: canary forwarders, which have
+//! the change, and baseline forwarders, which do not, serve side by side; a stage whose canaries do worse stops the
+//! rollout, and every canary is rolled back ([docs/rollout.md](../../../docs/rollout.md)).
 //!
-//! - [`plan`]: the plan, in the configuration's form.
-//! - [`judge`]: the changed group against the unchanged one over the same interval; no I/O.
-//! - [`progress`]: the durable record and the next step chosen from it alone; no I/O but the file.
-//! - [`fleet`]: figures from consoles; a change made or taken back by a whole file and SIGHUP.
-//! - [`run`](mod@run): the steps carried out.
+//! - [`plan`]: the plan file: the fleet, the change, the stages, the criteria.
+//! - [`progress`] and [`progress_file`]: the durable record, and the next step chosen from it alone.
+//! - [`run`](mod@run): carries the steps out; a stage and its observations are modules below it.
+//! - [`analysis`] and [`metrics`]: canaries against baseline over the same interval; no I/O, no clock.
+//! - [`console`]: metrics as a forwarder's console gives them.
+//! - [`change`]: a change applied to one forwarder, or rolled back.
 //!
-//! Nothing here runs inside a forwarder: the tool is a command of its own, and `serve` knows nothing of it.
+//! Nothing here runs inside a forwarder: the rollout is a command of its own, and `serve` knows nothing of it.
 
-pub mod fleet;
-pub mod judge;
+#![deny(missing_docs)]
+
+pub mod analysis;
+pub mod change;
+pub mod console;
+pub mod error;
+mod files;
+pub mod metrics;
+mod observation;
 pub mod plan;
+mod process_metrics;
 pub mod progress;
+pub mod progress_file;
+mod release_upgrade;
+mod reload;
 pub mod run;
+mod stage;
 
 pub use plan::Plan;
 pub use run::{Outcome, RolloutError, run};
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,28 +1,37 @@
-//! The plan of a rollout, in the configuration's form (JSON): the fleet, the change, the stages and the criteria.
+//! The plan of a rollout, a JSON file: the fleet, the change, the stages and the criteria. Read and checked whole before
+//! the first forwarder is changed.
 
-use crate::judge::Criteria;
+mod stage_size;
+
+use crate::analysis::Criteria;
 use orchidyoke_supervisor::protocol::is_release_name;
 use serde::Deserialize;
 use serde_json::Value;
+use stage_size::StageSize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// Warm-up after an upgrade where the plan gives none, in milliseconds: a process is slow until its concurrency
+/// windows have grown.
+const DEFAULT_RELEASE_WARM_UP_MS: u64 = 5_000;
+const DEFAULT_POLL_INTERVAL_MS: u64 = 1_000;
+
 /// One forwarder of the fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedForwarder {
-    /// Its name, unique in the plan; the record speaks of it by this.
+    /// Its name, unique in the plan; the progress record speaks of it by this.
     pub name: String,
     /// Where its console answers.
     #[serde(rename = "console")]
     pub consoles: ConsoleAddresses,
-    /// The configuration file it reads at a start and at SIGHUP; needed where settings are changed.
+    /// The configuration file that it reads at a start and at SIGHUP; needed where settings are changed.
     #[serde(rename = "config")]
     pub config_file: Option<PathBuf>,
-    /// A file that holds the number of its process, where no control address gives it.
+    /// A file that holds its process id, where no supervisor gives it.
     pub pid_file: Option<PathBuf>,
-    /// Where its supervisor (`orchidyoke supervise`) is asked; needed where the release is changed.
+    /// The control address of its supervisor (`orchidyoke supervise`); needed where the release is changed.
     #[serde(rename = "control")]
     pub supervisor: Option<SocketAddr>,
 }
@@ -33,16 +42,16 @@
 pub enum ConsoleAddresses {
     /// At one address.
     Single(SocketAddr),
-    /// At two in turn, as its supervisor gives them to one process after another.
+    /// At the address of the supervisor's slot that its process is in.
     PerSlot([SocketAddr; 2]),
 }
 
 impl ConsoleAddresses {
-    /// That of the process at this place of its supervisor's.
+    /// The console of the process in this slot of its supervisor.
     pub fn at_slot(&self, slot: usize) -> SocketAddr {
         match self {
             ConsoleAddresses::Single(address) => *address,
-            ConsoleAddresses::PerSlot(addresses) => addresses[slot % 2],
+            ConsoleAddresses::PerSlot(addresses) => addresses[slot % addresses.len()],
         }
     }
 }
@@ -50,9 +59,9 @@
 /// What is changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Settings: a JSON merge patch (RFC 7386) laid over each forwarder's own configuration.
+    /// Settings: a JSON merge patch (RFC 7386) over each forwarder's own configuration.
     Settings(Value),
-    /// The program: the release of this name, in each supervisor's folder of releases.
+    /// The program: the release of this name in each supervisor's folder of releases.
     Release(String),
 }
 
@@ -62,23 +71,22 @@
 pub struct Plan {
     /// The fleet, in the order in which its forwarders are changed.
     pub forwarders: Vec<PlannedForwarder>,
-    /// The change, where it is one of settings: a JSON merge patch (RFC 7386) laid over each forwarder's own
-    /// configuration.
+    /// A change of settings: a JSON merge patch (RFC 7386) over each forwarder's own configuration.
     pub settings_patch: Option<Value>,
-    /// The change, where it is one of the program: the name of a release.
+    /// A change of the program: the name of a release.
     pub release: Option<String>,
-    /// How many forwarders have the change once each stage has begun: a count (`"1"`), a share (`"10%"`) or
-    /// `"all"`; each stage has more than the one before.
+    /// How many forwarders have the change in each stage: a count (`"1"`), a share (`"10%"`) or `"all"`; each stage
+    /// has more than the one before.
     pub stages: Vec<String>,
-    /// How long after a stage's changes its times to delivery do not count yet, and its ends only against it, in
-    /// milliseconds: a process that has just started is slow until its windows have grown, whatever its release. Where
-    /// it is left out: none for settings, 5 s for a release.
+    /// Warm-up: how long after a stage's changes latencies do not count, and outcomes can stop the stage but not pass
+    /// it, in milliseconds. Where it is left out: none for settings, 5 s for a release.
     pub warm_up_ms: Option<u64>,
-    /// How long each stage runs from then on before it may pass, in milliseconds.
+    /// Bake time: how long each stage runs from then on before it may pass, in milliseconds.
     pub bake_ms: u64,
-    /// How long a stage may wait for enough traffic before it is stopped as undecided, in milliseconds.
+    /// How long a stage may bake without being decided, in milliseconds; also how long unreachable forwarders are
+    /// waited for in a rollback.
     pub max_bake_ms: u64,
-    /// How often figures are read during a stage, in milliseconds.
+    /// How often metrics are read during a stage, in milliseconds.
     #[serde(rename = "poll_ms", default = "default_poll_interval_ms")]
     pub poll_interval_ms: u64,
     /// What a stage is judged by.
@@ -87,112 +95,180 @@
 }
 
 fn default_poll_interval_ms() -> u64 {
-    1000
+    DEFAULT_POLL_INTERVAL_MS
 }
 
 /// Why a plan cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// The file could not be read.
-    #[error("the plan cannot be read: {0}")]
-    Read(#[from] std::io::Error),
-    /// It is no plan.
-    #[error("the plan is not in form: {0}")]
-    Invalid(#[from] serde_json::Error),
-    /// It is a plan that cannot be carried out; why.
+    #[error("cannot read the plan {}: {source}", .path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What failed.
+        source: std::io::Error,
+    },
+    /// The file holds no plan.
+    #[error("cannot parse the plan {}: {source}", .path.display())]
+    Parse {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong in it.
+        source: serde_json::Error,
+    },
+    /// The plan cannot be carried out.
     #[error("the plan cannot be carried out: {0}")]
-    Unworkable(String),
+    Invalid(#[from] PlanFault),
+}
+
+/// What makes a plan one that cannot be carried out.
+#[derive(Debug, thiserror::Error)]
+pub enum PlanFault {
+    /// There is no baseline to compare with.
+    #[error("a fleet of fewer than two has nothing to compare with")]
+    FleetTooSmall,
+    /// Names have to be unique.
+    #[error("two forwarders are named {0}")]
+    DuplicateName(String),
+    /// The times contradict each other.
+    #[error("poll_ms must be over 0 and bake_ms at most max_bake_ms")]
+    InvalidTimes,
+    /// A stage given as a share that is none.
+    #[error("stage {0}: a share is over 0% and at most 100%")]
+    InvalidShare(String),
+    /// A stage given as a count that is none.
+    #[error("stage {stage}: a count is from 1 to {fleet_size}")]
+    InvalidCount {
+        /// The stage as given.
+        stage: String,
+        /// The number of forwarders.
+        fleet_size: usize,
+    },
+    /// A stage has to reach more forwarders than the one before.
+    #[error("stage {0} has no more forwarders than the one before")]
+    StageNotLarger(String),
+    /// The last stage leaves forwarders out.
+    #[error("the last stage must reach all forwarders")]
+    LastStageNotAll,
+    /// There is no change, or there are two.
+    #[error("it gives either settings_patch or release")]
+    NotOneChange,
+    /// The release is no plain file name.
+    #[error("release {0:?} is not the name of a file")]
+    InvalidReleaseName(String),
+    /// A forwarder lacks what the change needs.
+    #[error("forwarder {forwarder} needs {needs}")]
+    MissingForChange {
+        /// Its name.
+        forwarder: String,
+        /// The keys that the change needs.
+        needs: &'static str,
+    },
 }
 
 impl Plan {
     /// Reads and checks a plan whole.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, is no plan, or its plan cannot be carried out.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
-        let plan: Plan = serde_json::from_slice(&std::fs::read(path)?)?;
+        let text = std::fs::read(path).map_err(|source| PlanError::Read { path: path.to_owned(), source })?;
+        let plan: Plan = serde_json::from_slice(&text)
+            .map_err(|source| PlanError::Parse { path: path.to_owned(), source })?;
         plan.stage_sizes()?;
         plan.change()?;
         Ok(plan)
     }
 
-    /// How long after a stage's changes its times to delivery do not count yet.
+    /// How long after a stage's changes the warm-up lasts.
     pub fn warm_up(&self) -> Duration {
-        let usual = if self.release.is_some() { 5_000 } else { 0 };
-        Duration::from_millis(self.warm_up_ms.unwrap_or(usual))
+        let default_ms = if self.release.is_some() { DEFAULT_RELEASE_WARM_UP_MS } else { 0 };
+        Duration::from_millis(self.warm_up_ms.unwrap_or(default_ms))
     }
 
-    /// What it changes; every forwarder has to give what that needs.
+    /// What the plan changes.
+    ///
+    /// # Errors
+    ///
+    /// It gives no change or two, or a forwarder lacks what the change needs.
     pub fn change(&self) -> Result<Change, PlanError> {
-        let unworkable = |why: String| Err(PlanError::Unworkable(why));
-        let (change, needs, has): (_, _, fn(&PlannedForwarder) -> bool) =
-            match (&self.settings_patch, &self.release) {
-                (Some(patch), None) => {
-                    (Change::Settings(patch.clone()), "config and a pid_file or control", |member| {
-                        member.config_file.is_some()
-                            && (member.pid_file.is_some() || member.supervisor.is_some())
-                    })
-                }
-                (None, Some(release)) if !is_release_name(release) => {
-                    return unworkable(format!("release {release:?} is not the name of a file"));
-                }
-                (None, Some(release)) => {
-                    (Change::Release(release.clone()), "a control and two consoles", |member| {
-                        member.supervisor.is_some() && matches!(member.consoles, ConsoleAddresses::PerSlot(_))
-                    })
-                }
-                _ => return unworkable("it gives either settings_patch or release".into()),
-            };
-        match self.forwarders.iter().find(|member| !has(member)) {
-            Some(member) => unworkable(format!("forwarder {} needs {needs}", member.name)),
-            None => Ok(change),
+        let change = match (&self.settings_patch, &self.release) {
+            (Some(patch), None) => Change::Settings(patch.clone()),
+            (None, Some(release)) if is_release_name(release) => Change::Release(release.clone()),
+            (None, Some(release)) => return Err(PlanFault::InvalidReleaseName(release.clone()).into()),
+            _ => return Err(PlanFault::NotOneChange.into()),
+        };
+        for forwarder in &self.forwarders {
+            forwarder.check_for(&change)?;
         }
+        Ok(change)
     }
 
-    /// A digest of the plan's text as understood, so that a record is resumed only by the plan that began it.
+    /// A digest of the plan's meaning, so that a progress record is resumed only by the plan that began it.
     pub fn digest(&self) -> String {
-        let names: Vec<&str> = self.forwarders.iter().map(|m| m.name.as_str()).collect();
+        let names: Vec<&str> = self.forwarders.iter().map(|forwarder| forwarder.name.as_str()).collect();
         let text = serde_json::json!([names, self.settings_patch, self.release, self.stages]).to_string();
         format!("{:016x}", xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
     }
 
-    /// How many forwarders have the change once each stage has begun, rising, the last one all.
+    /// How many forwarders have the change in each stage: rising, the last one all.
+    ///
+    /// # Errors
+    ///
+    /// The fleet, its names, the times or the stages make a plan that cannot be carried out.
     pub fn stage_sizes(&self) -> Result<Vec<usize>, PlanError> {
-        let size = self.forwarders.len();
-        let unworkable = |why: String| Err(PlanError::Unworkable(why));
-        if size < 2 {
-            return unworkable("a fleet of fewer than two has nothing to compare with".into());
-        }
-        let mut names: Vec<&str> = self.forwarders.iter().map(|m| m.name.as_str()).collect();
-        names.sort_unstable();
-        if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return unworkable(format!("two forwarders are named {}", pair[0]));
-        }
+        self.check_fleet()?;
         if self.poll_interval_ms == 0 || self.bake_ms > self.max_bake_ms {
-            return unworkable("poll_ms must be over 0 and bake_ms at most max_bake_ms".into());
+            return Err(PlanFault::InvalidTimes.into());
         }
-        let mut counts = Vec::new();
+        let fleet_size = self.forwarders.len();
+        let mut sizes = Vec::new();
         for stage in &self.stages {
-            let count = if stage == "all" {
-                size
-            } else if let Some(share) = stage.strip_suffix('%') {
-                match share.parse::<f64>() {
-                    Ok(share) if share > 0.0 && share <= 100.0 => {
-                        ((share / 100.0) * size as f64).ceil() as usize
-                    }
-                    _ => return unworkable(format!("stage {stage}: a share is over 0% and at most 100%")),
-                }
-            } else {
-                match stage.parse::<usize>() {
-                    Ok(count) if (1..=size).contains(&count) => count,
-                    _ => return unworkable(format!("stage {stage}: a count is from 1 to {size}")),
-                }
-            };
-            if counts.last().is_some_and(|last| *last >= count) {
-                return unworkable(format!("stage {stage} has no more forwarders than the one before"));
+            let size = StageSize::parse(stage, fleet_size)?.of(fleet_size);
+            if sizes.last().is_some_and(|last| *last >= size) {
+                return Err(PlanFault::StageNotLarger(stage.clone()).into());
             }
-            counts.push(count);
+            sizes.push(size);
+        }
+        if sizes.last() != Some(&fleet_size) {
+            return Err(PlanFault::LastStageNotAll.into());
         }
-        if counts.last() != Some(&size) {
-            return unworkable("the last stage must reach all forwarders".into());
+        Ok(sizes)
+    }
+
+    fn check_fleet(&self) -> Result<(), PlanFault> {
+        if self.forwarders.len() < 2 {
+            return Err(PlanFault::FleetTooSmall);
+        }
+        let mut names: Vec<&str> = self.forwarders.iter().map(|forwarder| forwarder.name.as_str()).collect();
+        names.sort_unstable();
+        match names.windows(2).find(|pair| pair[0] == pair[1]) {
+            Some(pair) => Err(PlanFault::DuplicateName(pair[0].to_owned())),
+            None => Ok(()),
+        }
+    }
+}
+
+impl PlannedForwarder {
+    /// Whether the plan gives all that the change of this forwarder needs.
+    fn check_for(&self, change: &Change) -> Result<(), PlanFault> {
+        let has_supervisor = self.supervisor.is_some();
+        let (is_complete, needs) = match change {
+            Change::Settings(_) => (
+                self.config_file.is_some() && (self.pid_file.is_some() || has_supervisor),
+                "config and a pid_file or control",
+            ),
+            Change::Release(_) => (
+                has_supervisor && matches!(self.consoles, ConsoleAddresses::PerSlot(_)),
+                "a control and two consoles",
+            ),
+        };
+        if is_complete {
+            Ok(())
+        } else {
+            Err(PlanFault::MissingForChange { forwarder: self.name.clone(), needs })
         }
-        Ok(counts)
     }
 }
--- /dev/null
+++ b/crates/rollout/src/plan/stage_size.rs
@@ -0,0 +1,42 @@
+//! The size of a stage as a plan gives it: a count, a share of the fleet, or all of it.
+
+use super::PlanFault;
+
+/// How many forwarders have the change in a stage.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum StageSize {
+    /// So many.
+    Count(usize),
+    /// So many of a hundred, rounded up.
+    Percent(f64),
+    /// All.
+    All,
+}
+
+impl StageSize {
+    /// Reads a stage of a fleet of this size.
+    pub fn parse(stage: &str, fleet_size: usize) -> Result<StageSize, PlanFault> {
+        if stage == "all" {
+            return Ok(StageSize::All);
+        }
+        if let Some(percent) = stage.strip_suffix('%') {
+            return match percent.parse::<f64>() {
+                Ok(percent) if percent > 0.0 && percent <= 100.0 => Ok(StageSize::Percent(percent)),
+                _ => Err(PlanFault::InvalidShare(stage.to_owned())),
+            };
+        }
+        match stage.parse::<usize>() {
+            Ok(count) if (1..=fleet_size).contains(&count) => Ok(StageSize::Count(count)),
+            _ => Err(PlanFault::InvalidCount { stage: stage.to_owned(), fleet_size }),
+        }
+    }
+
+    /// The number of forwarders in a fleet of this size.
+    pub fn of(self, fleet_size: usize) -> usize {
+        match self {
+            StageSize::Count(count) => count,
+            StageSize::Percent(percent) => ((percent / 100.0) * fleet_size as f64).ceil() as usize,
+            StageSize::All => fleet_size,
+        }
+    }
+}
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -1,42 +1,39 @@
-//! What a rollout has done, as records in a file of the state folder, and what it does next. The choice is made
-//! from the records alone, so that a tool killed at any step and started again goes on from what was written.
+//! What a rollout has done, and what it does next. The next step is chosen from the records alone, so that a rollout
+//! killed at any step and started again goes on from what was written.
 //!
-//! Every act on a forwarder is written as begun before it is done and as done after: a forwarder begun but not
-//! done may be half-changed, and is changed again (the act writes a whole file and asks for a reload, so doing it
-//! twice leaves what doing it once does) or, after a stop, taken back. A forwarder recorded as changed is never
-//! changed again.
+//! Every act on a forwarder is recorded before it is begun and after it is done. A forwarder begun but not done may be
+//! half-changed: it is changed again, which leaves what doing it once does, or, after a stop, rolled back. A forwarder
+//! recorded as changed is never changed again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use std::io::Write;
-use std::path::{Path, PathBuf};
 
-/// One line of the record.
+/// One record of the progress file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProgressRecord {
-    /// The rollout began, by the plan of this digest.
+    /// The rollout began.
     #[serde(rename = "began")]
     Started {
-        /// [`crate::plan::Plan::digest`].
+        /// [`crate::plan::Plan::digest`] of its plan.
         #[serde(rename = "plan")]
         plan_digest: String,
     },
-    /// The change of this forwarder began.
+    /// The change of the forwarder of this name began.
     #[serde(rename = "changing")]
     ChangeStarted(String),
-    /// This forwarder has the change.
+    /// The forwarder of this name has the change.
     #[serde(rename = "changed")]
     ChangeApplied(String),
     /// The stage of this number (from 0) passed.
     #[serde(rename = "passed")]
     StagePassed(usize),
-    /// The rollout stops; why.
+    /// The rollout was stopped, for this reason.
     #[serde(rename = "stopped")]
     Stopped(String),
-    /// Taking this forwarder back began.
+    /// The rollback of the forwarder of this name began.
     #[serde(rename = "taking_back")]
     RollbackStarted(String),
-    /// This forwarder has its configuration from before.
+    /// The forwarder of this name has its state from before the change.
     #[serde(rename = "taken_back")]
     RolledBack(String),
     /// All forwarders have the change, and the rollout is over.
@@ -47,36 +44,36 @@
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Change this forwarder (by its place in the plan).
+    /// Apply the change to the forwarder at this index of the plan.
     ApplyChange(usize),
-    /// Run the stage of this number and judge it.
+    /// Run the stage of this number, from 0.
     RunStage(usize),
-    /// Take this forwarder back.
+    /// Roll back the forwarder at this index of the plan.
     RollBack(usize),
-    /// Write that all have it.
-    Complete,
-    /// Nothing more: all have the change.
+    /// Record that all forwarders have the change.
+    RecordCompletion,
+    /// Nothing more: all forwarders have the change.
     Completed,
-    /// Nothing more: it was stopped and all are taken back; why it stopped.
+    /// Nothing more: the rollout was stopped for this reason, and all is rolled back.
     RolledBack(String),
 }
 
-/// What the records say.
+/// The records folded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
-    /// The digest of the plan that began it.
+    /// The digest of the plan that began the rollout.
     pub plan_digest: Option<String>,
-    /// Forwarders whose change began, done or not.
+    /// Names of forwarders whose change began, done or not.
     pub change_started: BTreeSet<String>,
-    /// Forwarders that have the change.
+    /// Names of forwarders that have the change.
     pub changed: BTreeSet<String>,
-    /// Stages that passed.
+    /// Number of stages that passed.
     pub stages_passed: usize,
-    /// Why it stopped, if it did.
+    /// Why the rollout was stopped, if it was.
     pub stop_reason: Option<String>,
-    /// Forwarders taken back.
+    /// Names of forwarders that are rolled back.
     pub rolled_back: BTreeSet<String>,
-    /// Whether it is over.
+    /// All forwarders have the change, and the rollout is over.
     pub completed: bool,
 }
 
@@ -84,99 +81,63 @@
     /// Folds the records in their order.
     pub fn of(records: &[ProgressRecord]) -> Progress {
         let mut progress = Progress::default();
-        for record in records {
-            match record {
-                ProgressRecord::Started { plan_digest: plan } => progress.plan_digest = Some(plan.clone()),
-                ProgressRecord::ChangeStarted(name) => drop(progress.change_started.insert(name.clone())),
-                ProgressRecord::ChangeApplied(name) => drop(progress.changed.insert(name.clone())),
-                ProgressRecord::StagePassed(stage) => {
-                    progress.stages_passed = progress.stages_passed.max(stage + 1)
-                }
-                ProgressRecord::Stopped(why) => {
-                    progress.stop_reason = progress.stop_reason.clone().or(Some(why.clone()))
-                }
-                ProgressRecord::RollbackStarted(_) => {}
-                ProgressRecord::RolledBack(name) => drop(progress.rolled_back.insert(name.clone())),
-                ProgressRecord::Completed => progress.completed = true,
+        records.iter().for_each(|record| progress.apply(record));
+        progress
+    }
+
+    /// Takes in the next record.
+    pub fn apply(&mut self, record: &ProgressRecord) {
+        match record {
+            ProgressRecord::Started { plan_digest } => self.plan_digest = Some(plan_digest.clone()),
+            ProgressRecord::ChangeStarted(name) => {
+                self.change_started.insert(name.clone());
+            }
+            ProgressRecord::ChangeApplied(name) => {
+                self.changed.insert(name.clone());
+            }
+            ProgressRecord::StagePassed(stage) => self.stages_passed = self.stages_passed.max(stage + 1),
+            // The first reason stands.
+            ProgressRecord::Stopped(reason) => {
+                self.stop_reason.get_or_insert_with(|| reason.clone());
             }
+            ProgressRecord::RollbackStarted(_) => {}
+            ProgressRecord::RolledBack(name) => {
+                self.rolled_back.insert(name.clone());
+            }
+            ProgressRecord::Completed => self.completed = true,
         }
-        progress
     }
 
-    /// The next step, for a fleet of these names (in the plan's order) and these counts of stages.
-    pub fn next_step(&self, names: &[&str], counts: &[usize]) -> Step {
+    /// Whether this forwarder was changed, completely or perhaps by half, and is not rolled back.
+    pub fn needs_rollback(&self, forwarder: &str) -> bool {
+        self.change_started.contains(forwarder) && !self.rolled_back.contains(forwarder)
+    }
+
+    /// The next step, for a fleet of these names (in the plan's order) and stages of these sizes.
+    pub fn next_step(&self, names: &[&str], stage_sizes: &[usize]) -> Step {
         if self.completed {
             return Step::Completed;
         }
-        if let Some(why) = &self.stop_reason {
-            // Whatever was touched, changed whole or perhaps half, goes back.
-            return match names
-                .iter()
-                .position(|n| self.change_started.contains(*n) && !self.rolled_back.contains(*n))
-            {
-                Some(place) => Step::RollBack(place),
-                None => Step::RolledBack(why.clone()),
+        if let Some(reason) = &self.stop_reason {
+            return match names.iter().position(|name| self.needs_rollback(name)) {
+                Some(index) => Step::RollBack(index),
+                None => Step::RolledBack(reason.clone()),
             };
         }
-        // One begun and not done is finished first, before anything else is begun.
-        if let Some(place) =
-            names.iter().position(|n| self.change_started.contains(*n) && !self.changed.contains(*n))
-        {
-            return Step::ApplyChange(place);
+        // A change that began is finished before anything else begins.
+        let is_unfinished =
+            |name: &&str| self.change_started.contains(*name) && !self.changed.contains(*name);
+        if let Some(index) = names.iter().position(is_unfinished) {
+            return Step::ApplyChange(index);
         }
         let stage = self.stages_passed;
-        let Some(&wanted) = counts.get(stage) else { return Step::Complete };
-        if self.changed.len() < wanted {
-            let place = names.iter().position(|n| !self.changed.contains(*n));
-            return place.map_or(Step::Complete, Step::ApplyChange);
+        let Some(&stage_size) = stage_sizes.get(stage) else { return Step::RecordCompletion };
+        if self.changed.len() < stage_size {
+            let next = names.iter().position(|name| !self.changed.contains(*name));
+            return next.map_or(Step::RecordCompletion, Step::ApplyChange);
         }
-        // The last stage has nobody left to be compared with: it is over once all have the change.
-        if stage + 1 == counts.len() { Step::Complete } else { Step::RunStage(stage) }
-    }
-}
-
-/// The file of records, appended a line at a time; each line is on disk before the act it announces.
-#[derive(Debug)]
-pub struct ProgressFile {
-    path: PathBuf,
-    file: std::fs::File,
-}
-
-impl ProgressFile {
-    /// Opens the record in this folder, reading what it holds; a torn last line, which a kill leaves, is cut off.
-    pub fn open(folder: &Path) -> std::io::Result<(ProgressFile, Vec<ProgressRecord>)> {
-        std::fs::create_dir_all(folder)?;
-        let path = folder.join("rollout.jsonl");
-        let text = match std::fs::read_to_string(&path) {
-            Ok(text) => text,
-            Err(error) if error.kind() == std::io::ErrorKind::NotFound => String::new(),
-            Err(error) => return Err(error),
-        };
-        let mut records = Vec::new();
-        let mut whole = 0;
-        for line in text.split_inclusive('\n') {
-            let Some(line) = line.strip_suffix('\n') else { break };
-            match serde_json::from_str(line) {
-                Ok(record) => records.push(record),
-                Err(error) => return Err(std::io::Error::new(std::io::ErrorKind::InvalidData, error)),
-            }
-            whole += line.len() + 1;
-        }
-        let file = std::fs::OpenOptions::new().create(true).append(true).open(&path)?;
-        file.set_len(whole as u64)?;
-        Ok((ProgressFile { path, file }, records))
-    }
-
-    /// Where it is.
-    pub fn path(&self) -> &Path {
-        &self.path
-    }
-
-    /// Appends a record and waits until it is on disk.
-    pub fn write(&mut self, record: &ProgressRecord) -> std::io::Result<()> {
-        let mut line = serde_json::to_string(record).map_err(std::io::Error::other)?;
-        line.push('\n');
-        self.file.write_all(line.as_bytes())?;
-        self.file.sync_data()
+        // The last stage has no baseline left: it is over once all have the change.
+        let is_last = stage + 1 == stage_sizes.len();
+        if is_last { Step::RecordCompletion } else { Step::RunStage(stage) }
     }
 }
--- a/crates/rollout/tests/judge.rs
+++ b/crates/rollout/tests/analysis.rs
@@ -1,6 +1,7 @@
 //! The comparison of changed and unchanged forwarders.
 
-use orchidyoke_rollout::judge::{Criteria, Metrics, OutcomeCounts, Verdict, judge as compare};
+use orchidyoke_rollout::analysis::{Criteria, Verdict, compare};
+use orchidyoke_rollout::metrics::{Metrics, OutcomeCounts};
 
 fn tally(success: u64, overload: u64, error: u64) -> OutcomeCounts {
     OutcomeCounts { success, overload, error }
@@ -25,7 +26,10 @@
 fn more_slow_deliveries_are_worse() {
     let (criteria, unchanged) = (Criteria::default(), deliveries(25, 0));
     let verdict = compare(&deliveries(60, 100), std::slice::from_ref(&unchanged), &criteria, false);
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.starts_with("slow share")), "{verdict:?}");
+    assert!(
+        matches!(&verdict, Verdict::Worse(share) if share.to_string().starts_with("slow share")),
+        "{verdict:?}"
+    );
     assert_eq!(compare(&deliveries(60, 2), std::slice::from_ref(&unchanged), &criteria, true), Verdict::Pass);
     // Slow for everyone is not the change.
     assert_eq!(compare(&deliveries(60, 100), &[deliveries(60, 100)], &criteria, true), Verdict::Pass);
@@ -35,7 +39,7 @@
 }
 
 #[test]
-fn times_are_those_of_the_interval() {
+fn latencies_since_a_reading_are_those_of_the_interval() {
     let (before, mut now) = (deliveries(60, 5), deliveries(60, 8));
     assert_eq!(now.since(&before).unwrap().latencies.unwrap().len(), 3);
     assert_eq!(before.since(&now), None);
@@ -45,7 +49,7 @@
 
 // Guards against a pass on little traffic: a group that has ended ten messages, all well, is not judged.
 #[test]
-fn too_little_is_not_yet() {
+fn too_little_traffic_is_undecided() {
     let criteria = Criteria::default();
     assert_eq!(judge(tally(10, 0, 0), tally(1000, 5, 5), &criteria, true), Verdict::Undecided);
     assert_eq!(judge(tally(1000, 5, 5), tally(10, 0, 0), &criteria, true), Verdict::Undecided);
@@ -53,7 +57,7 @@
 
 // Guards against a pass before the bake time is over, and for a change equal to the rest.
 #[test]
-fn the_same_passes_once_baked() {
+fn equal_groups_pass_once_the_bake_time_is_over() {
     let criteria = Criteria::default();
     let (a, b) = (tally(950, 30, 20), tally(4750, 150, 100));
     assert_eq!(judge(a, b, &criteria, false), Verdict::Undecided);
@@ -62,32 +66,41 @@
 
 // Guards against blaming the change for what all forwarders see: shares high in both groups alike pass.
 #[test]
-fn trouble_for_everyone_is_not_the_change() {
+fn fault_seen_by_both_groups_passes() {
     let criteria = Criteria::default();
     assert_eq!(judge(tally(1830, 1050, 120), tally(9000, 5400, 600), &criteria, true), Verdict::Pass);
 }
 
 // Guards against a change that refuses more going on: 12% overload against 2% is worse at once, baked or not.
 #[test]
-fn more_refused_is_worse() {
+fn more_overload_or_errors_are_worse_before_the_bake_time_is_over() {
     let criteria = Criteria::default();
     let verdict = judge(tally(440, 60, 0), tally(2450, 50, 0), &criteria, false);
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.starts_with("overload share")), "{verdict:?}");
+    assert!(
+        matches!(&verdict, Verdict::Worse(share) if share.to_string().starts_with("overload share")),
+        "{verdict:?}"
+    );
     let verdict = judge(tally(440, 0, 60), tally(2450, 0, 50), &criteria, false);
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.starts_with("error share")), "{verdict:?}");
+    assert!(
+        matches!(&verdict, Verdict::Worse(share) if share.to_string().starts_with("error share")),
+        "{verdict:?}"
+    );
 }
 
 // Guards against blaming the change for an outage that forwarders come through one by one: what was seen in a trace,
 // where one unchanged forwarder of five had recovered before the rest.
 #[test]
-fn what_some_unchanged_forwarders_show_as_well_is_not_the_change() {
+fn share_that_some_baseline_forwarders_show_is_undecided() {
     let reading = |success, error| Metrics { outcomes: tally(success, 0, error), latencies: None };
     let rest = [reading(63, 48), reading(63, 48), reading(410, 47), reading(63, 48), reading(111, 15)];
     let criteria = Criteria::default();
     assert_eq!(compare(&reading(63, 48), &rest, &criteria, true), Verdict::Undecided);
     // Far worse than each of them is worse; so is worse than all but one of ten or more.
     let verdict = compare(&reading(30, 81), &rest, &criteria, true);
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.contains("5 of 5 unchanged")), "{verdict:?}");
+    assert!(
+        matches!(&verdict, Verdict::Worse(share) if share.to_string().contains("5 of 5 unchanged")),
+        "{verdict:?}"
+    );
     let mut ten = vec![reading(500, 2); 9];
     ten.push(reading(100, 400));
     assert!(matches!(compare(&reading(300, 100), &ten, &criteria, true), Verdict::Worse(_)));
@@ -95,14 +108,14 @@
 
 // Guards against a stage that passes while the interval still reaches past the margin.
 #[test]
-fn a_doubt_past_the_margin_is_not_yet() {
+fn interval_past_the_margin_is_undecided() {
     let criteria = Criteria::default();
     // 3% against 2% over 300 and 1500: the difference may be 0 or 4 points.
     assert_eq!(judge(tally(291, 9, 0), tally(1470, 30, 0), &criteria, true), Verdict::Undecided);
 }
 
 #[test]
-fn counts_that_fall_tell_a_restart() {
+fn falling_counts_have_no_difference() {
     assert_eq!(tally(5, 1, 0).since(tally(6, 0, 0)), None);
     assert_eq!(tally(9, 2, 1).since(tally(6, 1, 1)), Some(tally(3, 1, 0)));
 }
--- a/crates/rollout/tests/fleet.rs
+++ b/crates/rollout/tests/console.rs
@@ -1,10 +1,10 @@
 //! Figures as the forwarders' consoles give them.
 
-use orchidyoke_rollout::fleet::{parse_latencies, parse_outcome_counts};
-use orchidyoke_rollout::judge::OutcomeCounts;
+use orchidyoke_rollout::console::{parse_latencies, parse_outcome_counts};
+use orchidyoke_rollout::metrics::OutcomeCounts;
 
 #[test]
-fn figures_are_summed_over_classes() {
+fn outcome_counts_are_summed_over_classes() {
     let reply = "200 figures\napp_success{type=\"a\"} 5\napp_overload{type=\"a\"} 1\napp_error{type=\"a\"} 0\n\
                  app_success{type=\"b\"} 7\napp_overload{type=\"b\"} 0\napp_error{type=\"b\"} 2\napp_dispatches 12\n\
                  app_concurrent 3\nEOF\n";
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn times_are_read_class_by_class() {
+fn latencies_are_read_class_by_class() {
     let bucket = |class: &str, le: &str, count| {
         format!("app_latency_us_bucket{{type=\"{class}\",le=\"{le}\"}} {count}\n")
     };
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -1,6 +1,6 @@
 //! What a plan may say.
 
-use orchidyoke_rollout::judge::Criteria;
+use orchidyoke_rollout::analysis::Criteria;
 use orchidyoke_rollout::plan::{Change, ConsoleAddresses, Plan, PlannedForwarder};
 use serde_json::json;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn stages_count_forwarders() {
+fn stage_sizes_accept_counts_shares_and_all() {
     assert_eq!(plan(20, &["1", "10%", "50%", "all"]).stage_sizes().unwrap(), [1, 2, 10, 20]);
     assert_eq!(plan(6, &["1", "50%", "all"]).stage_sizes().unwrap(), [1, 3, 6]);
     // Guards against a plan that never reaches everyone or stands still.
@@ -39,7 +39,7 @@
 
 // Guards against a plan that is found wanting only when some forwarders have the change already.
 #[test]
-fn a_change_needs_what_it_is_made_by() {
+fn change_needs_its_keys_on_every_forwarder() {
     let mut settings = plan(3, &["1", "all"]);
     assert_eq!(settings.change().unwrap(), Change::Settings(json!({})));
     settings.forwarders[2].pid_file = None;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_merge_patch_replaces_adds_and_removes() {
+fn merge_patch_replaces_adds_and_removes_keys() {
     let mut config =
         json!({"name": "f1", "settings": {"limits": {"max_open": 4000, "try_limit": 8}, "az": "a"}});
     json_patch::merge(
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -1,6 +1,7 @@
 //! The progress record and the next step chosen from it.
 
-use orchidyoke_rollout::progress::{Progress, ProgressFile, ProgressRecord, Step};
+use orchidyoke_rollout::progress::{Progress, ProgressRecord, Step};
+use orchidyoke_rollout::progress_file::ProgressFile;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const COUNTS: [usize; 3] = [1, 2, 4];
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn goes_stage_by_stage() {
+fn next_step_goes_stage_by_stage() {
     assert_eq!(next(&[]), Step::ApplyChange(0));
     let mut records = changed("a").to_vec();
     assert_eq!(next(&records), Step::RunStage(0));
@@ -26,14 +27,14 @@
     records.extend(changed("c"));
     assert_eq!(next(&records), Step::ApplyChange(3));
     records.extend(changed("d"));
-    assert_eq!(next(&records), Step::Complete);
+    assert_eq!(next(&records), Step::RecordCompletion);
     records.push(ProgressRecord::Completed);
     assert_eq!(next(&records), Step::Completed);
 }
 
 // Guards against a forwarder left half-changed by a kill between the two records, and against changing one twice.
 #[test]
-fn a_change_begun_is_finished_first_and_none_twice() {
+fn unfinished_change_is_repeated_first_and_a_finished_one_never() {
     let records = [
         changed("a").to_vec(),
         vec![ProgressRecord::StagePassed(0), ProgressRecord::ChangeStarted("b".into())],
@@ -46,7 +47,7 @@
 
 // Guards against a stop that leaves a changed forwarder, or one half-changed, as it is.
 #[test]
-fn a_stop_takes_back_all_that_was_touched() {
+fn stop_rolls_back_every_forwarder_whose_change_started() {
     let records = [
         changed("a").to_vec(),
         vec![
@@ -82,7 +83,7 @@
                 records.push(ProgressRecord::RollbackStarted(NAMES[place].into()));
                 records.push(ProgressRecord::RolledBack(NAMES[place].into()));
             }
-            Step::Complete => records.push(ProgressRecord::Completed),
+            Step::RecordCompletion => records.push(ProgressRecord::Completed),
             Step::Completed | Step::RolledBack(_) => return records,
         }
     }
@@ -95,7 +96,7 @@
 // Guards against a tool killed between any two records that then changes a forwarder twice, leaves one
 // unchanged, or after a stop leaves one touched and not taken back.
 #[test]
-fn a_kill_between_any_two_records_ends_the_same() {
+fn kill_between_any_two_records_leads_to_the_same_end() {
     for stop_at in [None, Some(0), Some(1)] {
         let whole = drive(Vec::new(), stop_at);
         for cut in 0..=whole.len() {
@@ -119,21 +120,21 @@
 }
 
 #[test]
-fn the_file_keeps_what_was_whole_and_cuts_a_torn_line() {
+fn progress_file_keeps_whole_lines_and_cuts_a_torn_one() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-rollout-log-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&folder));
-    let (mut log, records) = ProgressFile::open(&folder).unwrap();
+    let (mut file, records) = ProgressFile::open(&folder).unwrap();
     assert!(records.is_empty());
-    log.write(&ProgressRecord::ChangeStarted("a".into())).unwrap();
-    log.write(&ProgressRecord::ChangeApplied("a".into())).unwrap();
-    drop(log);
+    file.append(&ProgressRecord::ChangeStarted("a".into())).unwrap();
+    file.append(&ProgressRecord::ChangeApplied("a".into())).unwrap();
+    drop(file);
     let path = folder.join("rollout.jsonl");
     let mut text = std::fs::read_to_string(&path).unwrap();
     text.push_str("{\"chang");
     std::fs::write(&path, text).unwrap();
-    let (mut log, records) = ProgressFile::open(&folder).unwrap();
+    let (mut file, records) = ProgressFile::open(&folder).unwrap();
     assert_eq!(records, changed("a"));
-    log.write(&ProgressRecord::StagePassed(0)).unwrap();
+    file.append(&ProgressRecord::StagePassed(0)).unwrap();
     let (_, records) = ProgressFile::open(&folder).unwrap();
     assert_eq!(records.last(), Some(&ProgressRecord::StagePassed(0)));
     drop(std::fs::remove_dir_all(&folder));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -331,8 +331,8 @@
             println!("rollout done: every forwarder has the change");
             Ok(())
         }
-        orchidyoke_rollout::Outcome::RolledBack(why) => {
-            Err(format!("rollout stopped and taken back: {why}").into())
+        orchidyoke_rollout::Outcome::RolledBack { reason } => {
+            Err(format!("rollout stopped and taken back: {reason}").into())
         }
     }
 }
