--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -46,14 +46,16 @@
     assert!(settings.change().unwrap_err().to_string().contains("f2"));
     let mut release = Plan { settings_patch: None, release: Some("v2".into()), ..plan(3, &["1", "all"]) };
     assert!(release.change().unwrap_err().to_string().contains("f0"));
-    for member in &mut release.forwarders {
+    for forwarder in &mut release.forwarders {
         let address = "127.0.0.1:1".parse().unwrap();
-        (member.supervisor, member.consoles) = (Some(address), ConsoleAddresses::PerSlot([address; 2]));
+        forwarder.supervisor = Some(address);
+        forwarder.consoles = ConsoleAddresses::PerSlot([address; 2]);
     }
     assert_eq!(release.change().unwrap(), Change::Release("v2".into()));
     release.release = Some("../v2".into());
     assert!(release.change().is_err());
-    (release.release, release.settings_patch) = (Some("v2".into()), Some(json!({})));
+    release.release = Some("v2".into());
+    release.settings_patch = Some(json!({}));
     assert!(release.change().is_err(), "one change at a time");
 }
 
@@ -67,3 +69,28 @@
     );
     assert_eq!(config, json!({"name": "f1", "settings": {"limits": {"max_open": 100}, "az": "a", "x": [1]}}));
 }
+
+// Guards against a renamed key: plans are files of the operators, and a digest of one resumes its rollout.
+#[test]
+fn plan_file_keeps_its_keys_and_digest() {
+    let text = json!({
+        "forwarders": [
+            {"name": "f1", "console": "10.0.0.1:7001", "config": "f1.json", "pid_file": "f1.pid"},
+            {"name": "f2", "console": ["10.0.0.2:7001", "10.0.0.2:7002"], "config": "f2.json",
+             "control": "10.0.0.2:7000"}],
+        "settings_patch": {"settings": {"limits": {"max_open": 3000}}},
+        "stages": ["1", "all"], "warm_up_ms": 1, "bake_ms": 2, "max_bake_ms": 3, "poll_ms": 4,
+        "criteria": {"margin": 0.5, "z": 1.5, "min_ended": 6, "latency_ratio": 7.5}});
+    let plan: Plan = serde_json::from_value(text).unwrap();
+    let supervised = &plan.forwarders[1];
+    assert_eq!(plan.forwarders[0].consoles.at_slot(1).to_string(), "10.0.0.1:7001");
+    assert_eq!(plan.forwarders[0].pid_file.as_deref(), Some("f1.pid".as_ref()));
+    assert_eq!(supervised.consoles.at_slot(1).to_string(), "10.0.0.2:7002");
+    assert_eq!(supervised.config_file.as_deref(), Some("f2.json".as_ref()));
+    assert_eq!(supervised.supervisor.unwrap().to_string(), "10.0.0.2:7000");
+    assert_eq!((plan.warm_up_ms, plan.bake_ms, plan.max_bake_ms, plan.poll_interval_ms), (Some(1), 2, 3, 4));
+    let criteria = Criteria { margin: 0.5, z_score: 1.5, min_finished: 6, latency_ratio: 7.5 };
+    assert_eq!(plan.criteria, criteria);
+    assert_eq!(plan.stage_sizes().unwrap(), [1, 2]);
+    assert_eq!(plan.digest(), "574212374aabf893");
+}
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -139,3 +139,22 @@
     assert_eq!(records.last(), Some(&ProgressRecord::StagePassed(0)));
     drop(std::fs::remove_dir_all(&folder));
 }
+
+// Guards against a record renamed: a rollout is resumed from the file of an earlier program.
+#[test]
+fn records_keep_their_stored_form() {
+    let stored = [
+        (ProgressRecord::Started { plan_digest: "d".into() }, r#"{"began":{"plan":"d"}}"#),
+        (ProgressRecord::ChangeStarted("f".into()), r#"{"changing":"f"}"#),
+        (ProgressRecord::ChangeApplied("f".into()), r#"{"changed":"f"}"#),
+        (ProgressRecord::StagePassed(1), r#"{"passed":1}"#),
+        (ProgressRecord::Stopped("worse".into()), r#"{"stopped":"worse"}"#),
+        (ProgressRecord::RollbackStarted("f".into()), r#"{"taking_back":"f"}"#),
+        (ProgressRecord::RolledBack("f".into()), r#"{"taken_back":"f"}"#),
+        (ProgressRecord::Completed, r#""done""#),
+    ];
+    for (record, line) in stored {
+        assert_eq!(serde_json::to_string(&record).unwrap(), line);
+        assert_eq!(serde_json::from_str::<ProgressRecord>(line).unwrap(), record);
+    }
+}
--- a/crates/supervisor/tests/protocol.rs
+++ b/crates/supervisor/tests/protocol.rs
@@ -1,6 +1,6 @@
 //! Requests at the supervisor's control address.
 
-use orchidyoke_supervisor::protocol::Request;
+use orchidyoke_supervisor::protocol::{FailedUpgrade, RejectReason, Request, SupervisorStatus, is_busy};
 
 // Guards against a release named so that something outside of the folder is started.
 #[test]
@@ -18,3 +18,33 @@
             && Request::parse("show me").is_err()
     );
 }
+
+// Guards against a renamed key: operators' scripts and rollouts of other versions read the status.
+#[test]
+fn status_keeps_its_form_on_the_wire() {
+    let failed = FailedUpgrade { release: "v2".into(), reason: "exit status: 1".into() };
+    let status = SupervisorStatus {
+        release: "v1".into(),
+        slot: 1,
+        settled: true,
+        restarts: 3,
+        failed_upgrade: Some(failed),
+        pid: Some(4711),
+    };
+    let line = r#"{"release":"v1","place":1,"settled":true,"restarts":3,"refused":{"release":"v2","why":"exit status: 1"},"pid":4711}"#;
+    assert_eq!(serde_json::to_string(&status).unwrap(), line);
+    assert_eq!(serde_json::from_str::<SupervisorStatus>(line).unwrap(), status);
+}
+
+// Guards against a request or a reason that the other side no longer understands.
+#[test]
+fn requests_and_reject_reasons_keep_their_lines() {
+    assert_eq!(Request::Status.to_line(), "show");
+    assert_eq!(Request::Upgrade("v2".into()).to_line(), "upgrade v2");
+    let busy = RejectReason::Busy.to_string();
+    assert_eq!(busy, "busy: another process still stands beside the one that serves");
+    assert!(is_busy(&busy) && !is_busy(&RejectReason::ReleaseNotFound.to_string()));
+    assert_eq!(RejectReason::ReleaseNotFound.to_string(), "there is no such release");
+    assert_eq!(RejectReason::UnknownRequest.to_string(), "unknown: show, or upgrade RELEASE");
+    assert_eq!(RejectReason::ShuttingDown.to_string(), "the supervisor ends");
+}
