--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,6 @@
-//! The program on a deployment of a second shape: no tenants, a keyed class whose repeats are dropped by building, routes
-//! apart, six attempts. Real processes, killed, replaced and told to end; partners are stand-ins that keep all calls.
+//! The program on a deployment of a second shape: no tenants, a class with idempotency keys whose retries are deduplicated
+//! by zone, separate routes, six attempts. Real processes, killed, upgraded and shut down; partners are fakes that keep all
+//! calls.
 
 use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
 use orchidyoke_fakes::partner::{Bearing, Call, Mode, Partner};
@@ -11,39 +12,39 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_orchidyoke"))
 }
 
-fn wait(what: &str, done: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+fn wait_until(what: &str, done: impl Fn() -> bool) {
+    let until = Instant::now() + TIMEOUT;
     while !done() {
-        assert!(Instant::now() < until, "it did not come about that {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Two buildings with an endpoint of destination 1 each, the platform, and a folder with the configuration.
+/// Two zones with an endpoint of destination 1 each, the platform, and a folder with the configuration.
 struct Deployment {
     folder: Folder,
     platform: Platform,
-    /// One partner in each building, with one endpoint.
-    buildings: [(Partner, SocketAddr); 2],
+    /// One partner in each zone, with one endpoint.
+    zones: [(Partner, SocketAddr); 2],
 }
 
 impl Deployment {
-    /// Repeats are dropped for so long.
+    /// Retries are deduplicated for as long as `window`.
     fn new(name: &str, window: Duration) -> Self {
         let platform = Platform::start("");
-        let buildings = [(); 2].map(|()| {
+        let zones = [(); 2].map(|()| {
             let partner = Partner::new(Bearing::default());
             let endpoint = partner.endpoint();
             (partner, endpoint)
         });
         let folder = Folder::new(name);
-        let deployment = Deployment { folder, platform, buildings };
+        let deployment = Deployment { folder, platform, zones };
         let targets = deployment.targets(["a", "b"]);
         let setup = Setup { targets, fleet: 2, ..Setup::new(deployment.platform.address()) };
         let mut text: Value = serde_json::from_str(&setup.text()).expect("JSON");
@@ -64,7 +65,7 @@
     }
 
     fn targets(&self, zones: [&str; 2]) -> Vec<Value> {
-        let listed = self.buildings.iter().zip(["s-a", "s-b"]).zip(zones);
+        let listed = self.zones.iter().zip(["s-a", "s-b"]).zip(zones);
         let listed = listed.map(|(((_, endpoint), uid), zone)| {
             let mut target = target(uid, *endpoint, 1);
             target["az"] = json!(zone);
@@ -77,35 +78,35 @@
         Forwarder::start(program(), &self.folder, &[])
     }
 
-    fn calls(&self, building: usize, txn: &str) -> Vec<Call> {
-        self.buildings[building].0.calls().into_iter().filter(|call| call.txn == txn).collect()
+    fn calls(&self, zone: usize, txn: &str) -> Vec<Call> {
+        self.zones[zone].0.calls().into_iter().filter(|call| call.txn == txn).collect()
     }
 
-    /// The building that has been called with a message.
-    fn called(&self, txn: &str) -> usize {
-        wait("a building is called", || (0..2).any(|building| !self.calls(building, txn).is_empty()));
+    /// The index of the zone that has been called with a message.
+    fn called_zone(&self, txn: &str) -> usize {
+        wait_until("a zone is called", || (0..2).any(|zone| !self.calls(zone, txn).is_empty()));
         usize::from(self.calls(0, txn).is_empty())
     }
 
     fn set(&self, mode: Mode) {
-        self.buildings.iter().for_each(|(partner, _)| partner.set(mode));
+        self.zones.iter().for_each(|(partner, _)| partner.set(mode));
     }
 }
 
-/// Makes one call at a console.
-fn ask(console: SocketAddr, call: &str) -> Option<String> {
+/// Sends one request line to a console; returns the reply.
+fn ask_console(console: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(console).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
-    stream.write_all(format!("{call}\n").as_bytes()).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
+    stream.write_all(format!("{line}\n").as_bytes()).ok()?;
     let mut reply = String::new();
     stream.read_to_string(&mut reply).ok()?;
     Some(reply)
 }
 
-/// Hands a message in as a client of a deployment without tenants does; the status.
-fn hand_in(forwarder: &Forwarder, class: &str, txn: &str, keys: &[&str]) -> u16 {
+/// Submits a message as a client of a deployment without tenants does; returns the status.
+fn submit(forwarder: &Forwarder, class: &str, txn: &str, keys: &[&str]) -> u16 {
     let mut stream = TcpStream::connect(forwarder.address).expect("it takes connections");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     let keys: String = keys.iter().map(|key| format!("Idempotency-Key: {key}\r\n")).collect();
     let head = format!("POST /{class} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining: 12\r\n{keys}");
     let request = head + "X-Consignee: dest=1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx";
@@ -115,67 +116,67 @@
     text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
 }
 
-// Guards against a deployment without tenants that takes nothing, and a key that is lost, changed or chosen on its way.
+// Guards against a deployment without tenants that accepts nothing, and a key that is lost, changed or made up on its
+// way.
 #[test]
-fn messages_without_tenant_go_out_with_the_key_that_came() {
+fn messages_without_tenant_are_forwarded_with_their_idempotency_key() {
     let deployment = Deployment::new("second-keys", Duration::from_secs(10));
     let forwarder = deployment.start();
     let key = "\"5c0F, e;1a=2\"";
-    assert_eq!(hand_in(&forwarder, "bread", "with", &[key]), 202);
-    assert_eq!(hand_in(&forwarder, "bread", "without", &[]), 400);
-    assert_eq!(hand_in(&forwarder, "bread", "two", &["a", "b"]), 400);
-    assert_eq!(hand_in(&forwarder, "state", "safe", &[]), 202);
-    let building = deployment.called("with");
-    assert_eq!(deployment.calls(building, "with")[0].key.as_deref(), Some(key));
-    let building = deployment.called("safe");
-    assert_eq!(deployment.calls(building, "safe")[0].key, None);
-    assert!((0..2).all(|building| deployment.calls(building, "without").is_empty()));
-    assert!((0..2).all(|building| deployment.calls(building, "two").is_empty()));
+    assert_eq!(submit(&forwarder, "bread", "with", &[key]), 202);
+    assert_eq!(submit(&forwarder, "bread", "without", &[]), 400);
+    assert_eq!(submit(&forwarder, "bread", "two", &["a", "b"]), 400);
+    assert_eq!(submit(&forwarder, "state", "safe", &[]), 202);
+    let zone = deployment.called_zone("with");
+    assert_eq!(deployment.calls(zone, "with")[0].key.as_deref(), Some(key));
+    let zone = deployment.called_zone("safe");
+    assert_eq!(deployment.calls(zone, "safe")[0].key, None);
+    assert!((0..2).all(|zone| deployment.calls(zone, "without").is_empty()));
+    assert!((0..2).all(|zone| deployment.calls(zone, "two").is_empty()));
 }
 
-// Guards against a key, or the building of the attempt that was out, that SIGKILL forgets: the repeat goes to the same
-// building with the same key, while a safe message may go anywhere.
+// Guards against a key, or the zone of the attempt in flight, that is lost by SIGKILL: the retry goes to the same zone with
+// the same key, while an idempotent message may go anywhere.
 #[test]
-fn a_kill_repeats_in_the_same_building_with_the_same_key() {
+fn retry_after_a_kill_goes_to_the_same_zone_with_the_same_key() {
     let deployment = Deployment::new("second-kill", Duration::from_secs(10));
     deployment.set(Mode::Hang);
     let first = deployment.start();
-    assert_eq!(hand_in(&first, "bread", "loaf", &["k-1"]), 202);
-    let building = deployment.called("loaf");
+    assert_eq!(submit(&first, "bread", "loaf", &["k-1"]), 202);
+    let zone = deployment.called_zone("loaf");
     first.kill();
     deployment.set(Mode::Serve);
     let second = deployment.start();
-    wait("it is delivered", || deployment.calls(building, "loaf").iter().any(|call| call.served));
-    let calls = deployment.calls(building, "loaf");
+    wait_until("it is delivered", || deployment.calls(zone, "loaf").iter().any(|call| call.served));
+    let calls = deployment.calls(zone, "loaf");
     assert!(calls.len() >= 2 && calls.iter().all(|call| call.key.as_deref() == Some("k-1")), "{calls:?}");
-    assert!(deployment.calls(1 - building, "loaf").is_empty(), "the other building drops no repeat");
+    assert!(deployment.calls(1 - zone, "loaf").is_empty(), "the other zone does not deduplicate the retry");
     assert!(deployment.platform.notices().is_empty());
     second.kill();
 }
 
-// Guards against a message whose record is written and whose first attempt never was: after SIGKILL it goes out with its
-// key, wherever it likes.
+// Guards against a message that was accepted and never attempted: after SIGKILL it is forwarded with its key, to any zone.
 #[test]
-fn a_key_is_kept_from_the_taking_on_to_the_first_attempt() {
+fn key_survives_a_kill_before_the_first_attempt() {
     let deployment = Deployment::new("second-before", Duration::from_secs(10));
-    // Refused: nothing has run, and the message waits.
+    // The connection is refused: nothing was delivered, and the message waits.
     deployment.set(Mode::Shut);
     let first = deployment.start();
-    assert_eq!(hand_in(&first, "bread", "loaf", &["k-2"]), 202);
+    assert_eq!(submit(&first, "bread", "loaf", &["k-2"]), 202);
     first.kill();
     deployment.set(Mode::Serve);
     let second = deployment.start();
-    let served = |building: usize| deployment.calls(building, "loaf").into_iter().find(|call| call.served);
-    wait("it is delivered", || (0..2).any(|building| served(building).is_some()));
+    let served = |zone: usize| deployment.calls(zone, "loaf").into_iter().find(|call| call.served);
+    wait_until("it is delivered", || (0..2).any(|zone| served(zone).is_some()));
     let call = (0..2).find_map(served).expect("delivered");
     assert_eq!(call.key.as_deref(), Some("k-2"));
     second.kill();
 }
 
-// Guards against a repeat in a building that does not drop it: the endpoint of the attempt that was out has moved there
-// under its name while the process was dead, or the window has ended. Then nobody may have it any more: it is failed.
+// Guards against a retry in a zone that does not deduplicate it: the endpoint of the attempt in flight has moved there
+// under its name while the process was dead, or the window has ended. Then no endpoint may get it: it fails.
 #[test]
-fn what_may_have_run_is_failed_when_no_endpoint_drops_its_repeat() {
+fn possible_delivery_fails_when_no_endpoint_deduplicates_its_retry() {
     for (name, window, moves) in [
         ("second-moved", Duration::from_secs(10), true),
         ("second-window", Duration::from_millis(1500), false),
@@ -183,14 +184,14 @@
         let deployment = Deployment::new(name, window);
         deployment.set(Mode::Hang);
         let first = deployment.start();
-        assert_eq!(hand_in(&first, "bread", "loaf", &["k-3"]), 202);
-        let building = deployment.called("loaf");
-        let sent = Instant::now();
+        assert_eq!(submit(&first, "bread", "loaf", &["k-3"]), 202);
+        let zone = deployment.called_zone("loaf");
+        let sent_at = Instant::now();
         first.kill();
         deployment.set(Mode::Serve);
         if moves {
-            // Both are in the building that has not been called.
-            let zone = ["b", "a"][building];
+            // Both are now in the zone that has not been called.
+            let zone = ["b", "a"][zone];
             let news = json!({"rev": 2, "all": true, "targets": deployment.targets([zone, zone])});
             deployment.platform.tell(&news.to_string());
             let mut text: Value = serde_json::from_str(
@@ -200,62 +201,68 @@
             text["known"] = news;
             deployment.folder.write("config.json", &text.to_string());
         } else {
-            thread::sleep((window + Duration::from_millis(100)).saturating_sub(sent.elapsed()));
+            thread::sleep((window + Duration::from_millis(100)).saturating_sub(sent_at.elapsed()));
         }
         let second = deployment.start();
         // It works: another message is delivered.
-        assert_eq!(hand_in(&second, "bread", "next", &["k-4"]), 202);
-        wait("the next is delivered", || {
-            (0..2).any(|building| deployment.calls(building, "next").iter().any(|call| call.served))
+        assert_eq!(submit(&second, "bread", "next", &["k-4"]), 202);
+        wait_until("the next is delivered", || {
+            (0..2).any(|zone| deployment.calls(zone, "next").iter().any(|call| call.served))
         });
-        wait("it is failed", || deployment.platform.notices().contains_key("loaf"));
+        wait_until("it is failed", || deployment.platform.notices().contains_key("loaf"));
         assert_eq!(deployment.platform.notices()["loaf"], ["failed"], "{name}");
-        let calls: usize = (0..2).map(|building| deployment.calls(building, "loaf").len()).sum();
+        let calls: usize = (0..2).map(|zone| deployment.calls(zone, "loaf").len()).sum();
         assert_eq!(calls, 1, "{name}: sent once, and never again");
         second.kill();
     }
 }
 
-// Guards against a key, or the building of an attempt, that is lost between two processes: what waits is handed over with
-// its key, and what is out when the elder ends is repeated by the newcomer in its building alone.
+// Guards against a key, or the zone of an attempt, that is lost between two processes: a waiting message is handed over
+// with its key, and one in flight when the predecessor ends is retried by the successor in its zone alone.
 #[test]
-fn an_upgrade_hands_over_key_and_building() {
+fn upgrade_hands_over_key_and_zone() {
     let deployment = Deployment::new("second-upgrade", Duration::from_secs(15));
-    let held = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (elder, _) = Forwarder::start_beside(program(), &deployment.folder, &held);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (predecessor, _) = Forwarder::start_beside(program(), &deployment.folder, &listener);
     deployment.set(Mode::Hang);
-    assert_eq!(hand_in(&elder, "bread", "out", &["k-out"]), 202);
-    let building = deployment.called("out");
+    assert_eq!(submit(&predecessor, "bread", "out", &["k-out"]), 202);
+    let zone = deployment.called_zone("out");
     deployment.set(Mode::Shut);
-    assert_eq!(hand_in(&elder, "bread", "waiting", &["k-waiting"]), 202);
-    deployment.called("waiting");
-    let (newcomer, console) = Forwarder::start_beside(program(), &deployment.folder, &held);
-    wait("the newcomer is ready", || ask(console, "ready").is_some_and(|reply| reply.starts_with("200")));
-    elder.signal("TERM");
-    assert!(newcomer.logged("taken over from process", PATIENCE).is_some(), "what waits is handed over");
+    assert_eq!(submit(&predecessor, "bread", "waiting", &["k-waiting"]), 202);
+    deployment.called_zone("waiting");
+    let (successor, console) = Forwarder::start_beside(program(), &deployment.folder, &listener);
+    wait_until("the successor is ready", || {
+        ask_console(console, "ready").is_some_and(|reply| reply.starts_with("200"))
+    });
+    predecessor.signal("TERM");
+    assert!(
+        successor.logged("taken over from process", TIMEOUT).is_some(),
+        "the waiting message is handed over"
+    );
     deployment.set(Mode::Serve);
-    let served = |building: usize, txn: &str| deployment.calls(building, txn).iter().any(|call| call.served);
-    wait("what waited is delivered", || (0..2).any(|building| served(building, "waiting")));
-    wait("what was out is delivered", || served(building, "out"));
-    assert!(deployment.calls(1 - building, "out").is_empty(), "the other building drops no repeat");
+    let served = |zone: usize, txn: &str| deployment.calls(zone, txn).iter().any(|call| call.served);
+    wait_until("the waiting message is delivered", || (0..2).any(|zone| served(zone, "waiting")));
+    wait_until("the message in flight is delivered", || served(zone, "out"));
+    assert!(deployment.calls(1 - zone, "out").is_empty(), "the other zone does not deduplicate the retry");
     for txn in ["out", "waiting"] {
-        let mut calls = (0..2).flat_map(|building| deployment.calls(building, txn));
+        let mut calls = (0..2).flat_map(|zone| deployment.calls(zone, txn));
         assert!(calls.all(|call| call.key == Some(format!("k-{txn}"))), "{txn}");
     }
-    assert!(elder.wait().success());
+    assert!(predecessor.wait().success());
     assert!(deployment.platform.notices().is_empty());
-    newcomer.kill();
+    successor.kill();
 }
 
-// Guards against connections that stay open after SIGTERM and are served no more: a client that keeps its connection
-// goes on handing in, and each is answered up to the end.
+// Guards against connections that stay open after SIGTERM and are served no more: a client on a persistent connection goes
+// on submitting, and each request is answered up to the end.
 #[test]
-fn kept_connections_are_served_up_to_the_end() {
+fn persistent_connections_are_served_until_the_shutdown_ends() {
     let deployment = Deployment::new("second-term", Duration::from_secs(10));
     let forwarder = deployment.start();
     let mut stream = TcpStream::connect(forwarder.address).expect("it takes connections");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-    let (mut answered, mut ended) = (0, None);
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    let mut answered = 0;
+    let mut terminated_at = None;
     for number in 0.. {
         let head = format!("POST /bread HTTP/1.1\r\nHost: x\r\nX-Txn: t{number}\r\nX-Remaining: 12\r\n");
         let request =
@@ -270,14 +277,17 @@
         answered += 1;
         if number == 5 {
             forwarder.signal("TERM");
-            ended = Some(Instant::now());
+            terminated_at = Some(Instant::now());
         }
         if text.contains("connection: close") {
             break;
         }
         thread::sleep(Duration::from_millis(20));
     }
-    let span = ended.expect("told to end").elapsed();
-    assert!(answered > 20 && span < Duration::from_millis(3700), "{answered} answers, closed after {span:?}");
+    let shutdown_time = terminated_at.expect("SIGTERM was sent").elapsed();
+    assert!(
+        answered > 20 && shutdown_time < Duration::from_millis(3700),
+        "{answered} answers, closed after {shutdown_time:?}"
+    );
     assert!(forwarder.wait().success());
 }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,5 @@
-//! The program itself, started, told to end and killed in the instant in which something is owed. Every wait is for
-//! something that has to come; where a span is waited for, it is one that the program keeps.
+//! The program itself, started, shut down and killed while a message or an answer is due. Every wait is for an event that
+//! has to come; where a duration is waited for, it is one of the program's limits.
 
 use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
 use orchidyoke_fakes::partner::{Bearing, Mode, Partner};
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_orchidyoke"))
@@ -34,14 +34,14 @@
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("taken");
+    let stream = TcpStream::connect(address).expect("accepted");
     stream.set_nodelay(true).expect("a socket");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     stream
 }
 
-/// Reads one answer's status; None where the connection ends in order before it.
-fn status(stream: &mut TcpStream) -> Option<u16> {
+/// Reads one answer's status; None where the connection is closed without a reset before it.
+fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -60,9 +60,13 @@
     text.split(' ').nth(1)?.parse().ok()
 }
 
-/// Waits until each of these has ended, delivered or by notice; gives how often each was called.
-fn settled(partner: &Partner, platform: &Platform, txns: &[String]) -> BTreeMap<String, usize> {
-    let until = Instant::now() + PATIENCE;
+/// Waits until each of these messages has its final answer, delivered or notified; returns the number of calls of each.
+fn wait_for_final_answers(
+    partner: &Partner,
+    platform: &Platform,
+    txns: &[String],
+) -> BTreeMap<String, usize> {
+    let until = Instant::now() + TIMEOUT;
     loop {
         let calls = partner.calls();
         let notices = platform.notices();
@@ -76,96 +80,100 @@
     }
 }
 
-// Guards against a request that crosses the stop: half of it before SIGTERM, the rest long after; and against one on a
-// connection that rests until the forwarder ends it. Each is answered, or its connection ends with no answer and no reset
-// and it was never taken on; what was taken on ends once, by this process or the next. A second SIGTERM changes nothing.
+// Guards against a request that crosses the shutdown: half of it before SIGTERM, the rest long after; and against one on a
+// connection that is idle until the forwarder closes it. Each is answered, or its connection is closed with no answer and
+// no reset and it was never accepted; what was accepted has one final answer, from this process or the next. A second
+// SIGTERM changes nothing.
 #[test]
-fn requests_around_a_stop_are_answered_or_never_taken_on() {
+fn requests_around_a_shutdown_are_answered_or_never_accepted() {
     let partner = Partner::new(Bearing { service: Duration::from_millis(150), ..Bearing::default() });
     let platform = Platform::start("");
     let folder = folder("around-stop", &platform, partner.endpoint(), |_| {});
     let forwarder = Forwarder::start(program(), &folder, &[]);
     let address = forwarder.address;
     let text = request("orders", "halved");
-    let mut halved = connect(address);
-    halved.write_all(&text.as_bytes()[..60]).expect("written");
-    let mut resting = connect(address);
-    resting.write_all(request("orders", "rested").as_bytes()).expect("written");
-    assert_eq!(status(&mut resting), Some(202));
-    let told = Instant::now();
+    let mut split = connect(address);
+    split.write_all(&text.as_bytes()[..60]).expect("written");
+    let mut idle = connect(address);
+    idle.write_all(request("orders", "rested").as_bytes()).expect("written");
+    assert_eq!(read_status(&mut idle), Some(202));
+    let terminated_at = Instant::now();
     forwarder.signal("TERM");
     let clients: Vec<_> = (0..6)
         .map(|client| {
             std::thread::spawn(move || {
                 // Sends on one connection for as long as it stays open.
-                let (mut stream, mut taken, mut unheard) = (connect(address), Vec::new(), None);
+                let mut stream = connect(address);
+                let mut accepted = Vec::new();
+                let mut unanswered = None;
                 for number in 0.. {
                     let txn = format!("c{client}-{number}");
                     // A write after the end of the connection may fail; that it was reset shows in the read.
                     if stream.write_all(request("orders", &txn).as_bytes()).is_err() {
                         break;
                     }
-                    match status(&mut stream) {
-                        Some(202) => taken.push(txn),
+                    match read_status(&mut stream) {
+                        Some(202) => accepted.push(txn),
                         Some(503) => {}
                         Some(other) => panic!("{txn}: {other}"),
                         None => {
-                            unheard = Some(txn);
+                            unanswered = Some(txn);
                             break;
                         }
                     }
                     std::thread::sleep(Duration::from_millis(10));
                 }
-                (taken, unheard)
+                (accepted, unanswered)
             })
         })
         .collect();
     std::thread::sleep(Duration::from_millis(600));
     forwarder.signal("TERM");
-    halved.write_all(&text.as_bytes()[60..]).expect("written");
-    assert_eq!(status(&mut halved), Some(202));
-    let (mut taken, mut unheard) = (vec!["halved".to_owned(), "rested".to_owned()], Vec::new());
+    split.write_all(&text.as_bytes()[60..]).expect("written");
+    assert_eq!(read_status(&mut split), Some(202));
+    let mut accepted = vec!["halved".to_owned(), "rested".to_owned()];
+    let mut unanswered = Vec::new();
     for client in clients {
         let (some, none) = client.join().expect("no reset, no answer of another kind");
-        taken.extend(some);
-        unheard.extend(none);
+        accepted.extend(some);
+        unanswered.extend(none);
     }
     assert!(forwarder.wait().success());
-    assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
-    assert!(taken.len() > 20, "{taken:?}");
+    assert!(terminated_at.elapsed() < Duration::from_millis(3_700), "{:?}", terminated_at.elapsed());
+    assert!(accepted.len() > 20, "{accepted:?}");
     let next = Forwarder::start(program(), &folder, &[]);
-    let calls = settled(&partner, &platform, &taken);
+    let calls = wait_for_final_answers(&partner, &platform, &accepted);
     assert!(calls.values().all(|count| *count <= 1), "an order goes once: {calls:?}");
     let all = partner.calls();
     assert!(
-        unheard.iter().all(|txn| !all.iter().any(|call| call.txn == *txn)),
-        "{unheard:?} were taken on unheard"
+        unanswered.iter().all(|txn| !all.iter().any(|call| call.txn == *txn)),
+        "{unanswered:?} were accepted without an answer"
     );
     drop(next);
 }
 
-// Guards against messages that were taken on in the last moment, or never tried, and are given up at the next start; and
-// against a start that waits for discovery, or takes long with a full journal: ready within 10 s while it is down, and
-// each message is tried.
+// Guards against messages that were accepted in the last moment, or never attempted, and are given up at the next start;
+// and against a start that waits for discovery, or takes long with a full journal: ready within 10 s while it is down, and
+// each message is attempted.
 #[test]
-fn a_start_with_a_full_journal_and_discovery_down_tries_what_is_untried() {
+fn start_with_a_full_journal_and_discovery_down_attempts_every_message() {
     let partner = Partner::new(Bearing::default());
     let platform = Platform::start("");
     let hop = partner.endpoint();
     partner.set(Mode::Hang);
     let folder = folder("full-start", &platform, hop, |setup| setup.slots = 4);
     let first = Forwarder::start(program(), &folder, &[]);
-    let taken: Vec<String> = (0..400).map(|number| format!("m{number}")).collect();
+    let accepted: Vec<String> = (0..400).map(|number| format!("m{number}")).collect();
     let mut stream = connect(first.address);
-    for txn in &taken {
+    for txn in &accepted {
         stream.write_all(request("status", txn).as_bytes()).expect("written");
-        assert_eq!(status(&mut stream), Some(202));
+        assert_eq!(read_status(&mut stream), Some(202));
     }
     first.kill();
-    let tried = partner.calls().len();
-    assert!(tried < 10, "{tried} were tried");
+    let attempted = partner.calls().len();
+    assert!(attempted < 10, "{attempted} were attempted");
     partner.set(Mode::Serve);
-    // Nobody answers there any more.
+    // Nothing answers there any more.
     let dead = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("bound")
@@ -173,22 +181,22 @@
     let mut setup = Setup::new(dead);
     (setup.slots, setup.targets) = (4, vec![target("s-1", hop, 2)]);
     folder.write("config.json", &setup.text());
-    let began = Instant::now();
+    let started_at = Instant::now();
     let second = Forwarder::start(program(), &folder, &[]);
     let mut ready = connect(second.address);
     ready.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
-    assert_eq!(status(&mut ready), Some(200));
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    let until = Instant::now() + PATIENCE;
+    assert_eq!(read_status(&mut ready), Some(200));
+    assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
+    let until = Instant::now() + TIMEOUT;
     loop {
         let calls = partner.calls();
         let served: std::collections::BTreeSet<_> =
             calls.iter().filter(|call| call.served).map(|call| call.txn.clone()).collect();
-        // The few that had been tried hung; the rest had not.
-        if served.len() + 10 >= taken.len() {
+        // The few attempts before the kill hung; the other messages had none.
+        if served.len() + 10 >= accepted.len() {
             break;
         }
-        assert!(Instant::now() < until, "{} of {} were delivered", served.len(), taken.len());
+        assert!(Instant::now() < until, "{} of {} were delivered", served.len(), accepted.len());
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -196,14 +204,14 @@
 // Guards against SIGTERM at any instant of a start, and SIGKILL right after it, that loses a message or leaves a journal
 // that the next start cannot read.
 #[test]
-fn a_stop_or_a_kill_at_any_instant_of_a_start_loses_nothing() {
+fn shutdown_or_kill_at_any_instant_of_a_start_loses_no_message() {
     let partner = Partner::new(Bearing::default());
     let platform = Platform::start("");
     partner.set(Mode::Shut);
     let folder = folder("start-stop", &platform, partner.endpoint(), |_| {});
     let first = Forwarder::start(program(), &folder, &[]);
-    let taken: Vec<String> = (0..40).map(|number| format!("m{number}")).collect();
-    for txn in &taken {
+    let accepted: Vec<String> = (0..40).map(|number| format!("m{number}")).collect();
+    for txn in &accepted {
         assert_eq!(first.hand_in("status", txn, 2), 202);
     }
     first.kill();
@@ -227,15 +235,15 @@
     }
     partner.set(Mode::Serve);
     let last = Forwarder::start(program(), &folder, &[]);
-    let calls = settled(&partner, &platform, &taken);
-    assert_eq!(calls.len(), taken.len());
+    let calls = wait_for_final_answers(&partner, &platform, &accepted);
+    assert_eq!(calls.len(), accepted.len());
     drop(last);
 }
 
-// Guards against idle clients that fill the descriptors and leave none for discovery when it has to be asked anew, or for
-// a client that asks: the process may hold 64 at once.
+// Guards against idle clients that use up the descriptors and leave none for discovery when it has to be polled anew, or
+// for a new client: the process may hold 64 at once.
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_and_for_who_asks() {
+fn idle_clients_leave_descriptors_for_discovery_and_new_clients() {
     let partner = Partner::new(Bearing::default());
     let (platform, other) = (Platform::start(""), Platform::start(""));
     let hop = partner.endpoint();
@@ -256,9 +264,9 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(forwarder.hand_in("status", "asks", 2), 202);
-    settled(&partner, &platform, &["asks".to_owned()]);
+    wait_for_final_answers(&partner, &platform, &["asks".to_owned()]);
     let lines: Vec<String> =
-        forwarder.log.try_iter().filter(|line| line.contains("could not be taken")).collect();
+        forwarder.log.try_iter().filter(|line| line.contains("could not be accepted")).collect();
     assert!(lines.is_empty(), "{lines:?}");
     drop(idle);
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,5 +1,5 @@
-//! The program itself on loopback sockets, across kills and stops. The far ends are a few lines each; every
-//! wait is for something that has to come, with a long time-out only so that a failure ends.
+//! The program itself on loopback sockets, across kills and shutdowns, against scripted servers. Every wait is for an event
+//! that has to come; its long time-out only ends a failure.
 
 #[path = "../crates/forwarder/tests/common/deployments.rs"]
 mod common;
@@ -14,9 +14,9 @@
 use std::thread;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads one request: its first line, its headers in small letters, its body. None at the end.
+/// Reads one request: its first line, its headers in lower case, its body. None at the end of the connection.
 fn read_request(stream: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
     let mut lines = Vec::new();
     loop {
@@ -36,19 +36,21 @@
     Some((lines[0].clone(), headers, body))
 }
 
-/// Serves requests on loopback: each is sent to the test, and answered with what `answer` gives; nothing leaves
-/// it unanswered on an open connection.
-fn far_end(
+/// Serves requests on loopback. Each is passed to the test and answered with what `answer` gives; where that is None, it
+/// stays unanswered on an open connection.
+fn scripted_server(
     answer: impl Fn(&str) -> Option<&'static str> + Send + Sync + 'static,
 ) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (sender, receiver) = channel();
-    let (answer, held) = (Arc::new(answer), Arc::new(Mutex::new(Vec::new())));
+    let answer = Arc::new(answer);
+    let unanswered = Arc::new(Mutex::new(Vec::new()));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (answer, held, sender): (_, _, Sender<String>) =
-                (answer.clone(), held.clone(), sender.clone());
+            let answer = answer.clone();
+            let unanswered = unanswered.clone();
+            let sender: Sender<String> = sender.clone();
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
                 let mut stream = stream;
@@ -56,7 +58,7 @@
                     let _ = sender.send(format!("{line}\n{headers}\n\n{}", String::from_utf8_lossy(&body)));
                     match answer(&line) {
                         Some(text) if stream.write_all(text.as_bytes()).is_ok() => {}
-                        _ => return held.lock().expect("a list").push(stream),
+                        _ => return unanswered.lock().expect("a list").push(stream),
                     }
                 }
             });
@@ -65,9 +67,9 @@
     (address, receiver)
 }
 
-/// The platform: a watch that stays open without news, and notices that are accepted.
+/// The platform: a watch without events, and notifications that are accepted.
 fn platform() -> (SocketAddr, Receiver<String>) {
-    far_end(|line| match line {
+    scripted_server(|line| match line {
         _ if line.starts_with("POST /v1/outcomes") => Some("HTTP/1.1 204 No Content\r\n\r\n"),
         _ => Some("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n"),
     })
@@ -76,7 +78,7 @@
 struct Forwarder {
     child: Child,
     address: SocketAddr,
-    /// Its log from then on.
+    /// Its log from the moment on in which it listens.
     log: Receiver<String>,
 }
 
@@ -113,10 +115,10 @@
         self.child.wait().expect("ended");
     }
 
-    /// Sends one request on a connection of its own; gives the status and the whole answer.
-    fn ask(&self, request: &str, body: &str) -> (u16, String) {
+    /// Sends one request on a connection of its own; returns the status and the whole answer.
+    fn request(&self, request: &str, body: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.address).expect("it takes connections");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         let head =
             format!("{request}\r\nHost: x\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all((head + body).as_bytes()).expect("written");
@@ -125,28 +127,29 @@
         (text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status"), text)
     }
 
-    fn hand_in(&self, class: &str, txn: &str) -> u16 {
+    fn submit(&self, class: &str, txn: &str) -> u16 {
         let head = format!(
             "POST /{class} HTTP/1.1\r\nX-Txn: {txn}\r\nX-Org: acme\r\nX-Remaining: 7.5\r\nX-Consignee: dest=2"
         );
-        self.ask(&head, &format!("body of {txn}")).0
+        self.request(&head, &format!("body of {txn}")).0
     }
 }
 
-/// A folder of its own with a configuration in it: destination 2 has one endpoint, at `hop`.
-fn folder(name: &str, hop: SocketAddr, platform: SocketAddr) -> PathBuf {
+/// A folder of its own with a configuration in it: destination 2 has one endpoint.
+fn folder(name: &str, endpoint: SocketAddr, platform: SocketAddr) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut targets = common::targets();
-    targets[2].endpoint = hop;
+    targets[2].endpoint = endpoint;
     let text = common::config("127.0.0.1:0", &platform.to_string(), targets);
     std::fs::write(folder.join("config.json"), text).expect("written");
     folder
 }
 
-fn next(receiver: &Receiver<String>, word: &str) -> String {
+/// Waits for a text that contains this word.
+fn wait_for(receiver: &Receiver<String>, word: &str) -> String {
     loop {
-        let text = receiver.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("{word} has to come"));
+        let text = receiver.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("{word} has to come"));
         if text.contains(word) {
             return text;
         }
@@ -154,88 +157,88 @@
 }
 
 // Guards against an order that takes effect twice, and against a message forgotten, when the process is killed
-// with both out: the order's end is a notice, the status goes out again as it came.
+// with both in flight: the order ends with a notification, the status is retried unchanged.
 #[test]
-fn a_kill_forgets_nothing_and_repeats_no_order() {
+fn killed_process_recovers_all_messages_and_repeats_no_order() {
     let up = Arc::new(AtomicBool::new(false));
     let seen_up = up.clone();
-    let (hop, calls) = far_end(move |_| {
+    let (endpoint, calls) = scripted_server(move |_| {
         seen_up.load(Ordering::SeqCst).then_some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     });
-    let (platform, notices) = platform();
-    let folder = folder("kill", hop, platform);
+    let (platform, notifications) = platform();
+    let folder = folder("kill", endpoint, platform);
     let first = Forwarder::start(&folder);
-    assert_eq!(first.hand_in("orders", "order-1"), 202);
-    next(&calls, "order-1");
-    assert_eq!(first.hand_in("status", "status-1"), 202);
+    assert_eq!(first.submit("orders", "order-1"), 202);
+    wait_for(&calls, "order-1");
+    assert_eq!(first.submit("status", "status-1"), 202);
     first.kill();
     up.store(true, Ordering::SeqCst);
     let second = Forwarder::start(&folder);
-    assert!(next(&notices, "order-1").contains(r#"{"id":"order-1","state":"failed"}"#));
-    let again = next(&calls, "status-1");
+    assert!(wait_for(&notifications, "order-1").contains(r#"{"id":"order-1","state":"failed"}"#));
+    let again = wait_for(&calls, "status-1");
     assert!(again.ends_with("\n\nbody of status-1"), "{again}");
-    assert_eq!(second.hand_in("orders", "order-2"), 202);
-    let then = next(&calls, "order-");
+    assert_eq!(second.submit("orders", "order-2"), 202);
+    let then = wait_for(&calls, "order-");
     assert!(then.contains("order-2"), "the first order is not sent again: {then}");
     second.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-// Guards against a message sent twice because its client sent it once more, before a restart or after.
+// Guards against a message delivered twice because its client retried it, before a restart or after.
 #[test]
-fn the_same_id_is_one_message() {
-    let (hop, calls) = far_end(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notices) = platform();
-    let folder = folder("twice", hop, platform);
+fn repeated_id_is_one_message_across_a_restart() {
+    let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+    let (platform, _notifications) = platform();
+    let folder = folder("twice", endpoint, platform);
     let first = Forwarder::start(&folder);
-    assert_eq!((first.hand_in("orders", "a"), first.hand_in("orders", "a")), (202, 202));
-    next(&calls, "x-txn: a");
+    assert_eq!((first.submit("orders", "a"), first.submit("orders", "a")), (202, 202));
+    wait_for(&calls, "x-txn: a");
     first.kill();
     let second = Forwarder::start(&folder);
-    assert_eq!((second.hand_in("orders", "a"), second.hand_in("status", "b")), (202, 202));
-    assert!(next(&calls, "x-txn: ").contains("x-txn: b"));
+    assert_eq!((second.submit("orders", "a"), second.submit("status", "b")), (202, 202));
+    assert!(wait_for(&calls, "x-txn: ").contains("x-txn: b"));
     second.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
 // Guards against an exit that counts as a crash, or that comes while a client could still be served.
 #[test]
-fn sigterm_ends_it_in_order() {
-    let (hop, calls) = far_end(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notices) = platform();
-    let folder = folder("stop", hop, platform);
+fn sigterm_shuts_down_gracefully() {
+    let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+    let (platform, _notifications) = platform();
+    let folder = folder("stop", endpoint, platform);
     let mut forwarder = Forwarder::start(&folder);
-    assert_eq!(forwarder.ask("GET /healthz HTTP/1.1", "").0, 200);
+    assert_eq!(forwarder.request("GET /healthz HTTP/1.1", "").0, 200);
     forwarder.signal("TERM");
     // An open connection holds it up, and is served.
     let _client = TcpStream::connect(forwarder.address).expect("new connections are still answered");
-    assert_eq!(forwarder.hand_in("status", "late"), 202);
-    next(&calls, "late");
+    assert_eq!(forwarder.submit("status", "late"), 202);
+    wait_for(&calls, "late");
     assert!(forwarder.child.wait().expect("ends").success());
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-// Guards against clients shut out, or descriptors used up, by connections that stand idle: of the 64 descriptors
-// allowed here, half are for clients.
+// Guards against clients shut out, or descriptors used up, by idle connections: of the 64 descriptors allowed here, half
+// are for clients.
 #[test]
-fn idle_clients_make_room_for_others() {
-    let (platform, _notices) = platform();
+fn idle_connections_make_room_for_new_ones() {
+    let (platform, _notifications) = platform();
     let folder = folder("crowd", platform, platform);
     let path = folder.join("config.json");
     let text = std::fs::read_to_string(&path).expect("written").replace("\"sockets\":1024", "\"sockets\":64");
     std::fs::write(&path, text).expect("written");
     let forwarder = Forwarder::start(&folder);
-    let crowd: Vec<_> = (0..80).map(|_| TcpStream::connect(forwarder.address).expect("taken")).collect();
-    assert_eq!(forwarder.hand_in("status", "a"), 202);
-    drop(crowd);
+    let idle: Vec<_> = (0..80).map(|_| TcpStream::connect(forwarder.address).expect("taken")).collect();
+    assert_eq!(forwarder.submit("status", "a"), 202);
+    drop(idle);
     forwarder.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
 // Guards against a panic, or a connection closed without an answer, on what a client got wrong.
 #[test]
-fn bad_requests_get_plain_answers() {
-    let (platform, _notices) = platform();
+fn invalid_requests_get_their_status() {
+    let (platform, _notifications) = platform();
     let folder = folder("bad", platform, platform);
     let forwarder = Forwarder::start(&folder);
     let head = |class: &str, dest: &str| {
@@ -253,7 +256,7 @@
         ("NONSENSE".to_owned(), "", 400),
         ("GET /healthz HTTP/1.1".to_owned(), "", 200),
     ] {
-        assert_eq!(forwarder.ask(&request, body).0, status, "{request}");
+        assert_eq!(forwarder.request(&request, body).0, status, "{request}");
     }
     forwarder.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
@@ -261,8 +264,8 @@
 
 // Guards against a panic or a page of text where one line says what is wrong with the configuration.
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
-    let (platform, _notices) = platform();
+fn invalid_configuration_is_named_in_one_line() {
+    let (platform, _notifications) = platform();
     let folder = folder("config", platform, platform);
     let path = folder.join("config.json");
     let good = std::fs::read_to_string(&path).expect("written");
@@ -298,43 +301,45 @@
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-// Guards against SIGHUP ending the program, as it does where nobody takes it, against a broken file taken half, and
-// against notices that still go to the address before. What was given on the command line is superseded.
+// Guards against SIGHUP ending the program, as it does where nobody handles it, against an invalid file applied by half, and
+// against notifications that still go to the address before. What the command line gave is superseded.
 #[test]
-fn sighup_takes_a_good_file_and_leaves_a_bad_one() {
-    let (hop, _calls) = far_end(|_| Some("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"));
-    let ((old, old_asked), (new, new_asked)) = (platform(), platform());
-    let folder = folder("reload", hop, old);
+fn sighup_applies_a_valid_configuration_and_ignores_an_invalid_one() {
+    let (endpoint, _calls) =
+        scripted_server(|_| Some("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"));
+    let (old, old_requests) = platform();
+    let (new, new_requests) = platform();
+    let folder = folder("reload", endpoint, old);
     let path = folder.join("config.json");
     let good = std::fs::read_to_string(&path).expect("written");
     let mut forwarder = Forwarder::start_with(&folder, &["--discovery", &old.to_string()]);
-    next(&old_asked, "GET /v1/servers?follow=1");
+    wait_for(&old_requests, "GET /v1/servers?follow=1");
     for bad in [Some("{"), None] {
         std::fs::remove_file(&path).expect("there");
         bad.into_iter().for_each(|text| std::fs::write(&path, text).expect("written"));
         forwarder.signal("HUP");
-        next(&forwarder.log, "the old one stays in use");
+        wait_for(&forwarder.log, "the old one stays in use");
     }
     std::fs::write(&path, good.replace(&old.to_string(), &new.to_string())).expect("written");
     forwarder.signal("HUP");
-    next(&new_asked, "GET /v1/servers?follow=1");
-    assert_eq!(forwarder.hand_in("orders", "a"), 202);
-    next(&new_asked, r#"{"id":"a","state":"failed"}"#);
-    assert!(old_asked.try_iter().all(|asked| !asked.contains("outcomes")));
+    wait_for(&new_requests, "GET /v1/servers?follow=1");
+    assert_eq!(forwarder.submit("orders", "a"), 202);
+    wait_for(&new_requests, r#"{"id":"a","state":"failed"}"#);
+    assert!(old_requests.try_iter().all(|request| !request.contains("outcomes")));
     assert!(forwarder.child.try_wait().expect("a child").is_none(), "it goes on");
     forwarder.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-/// Sends this on a connection of its own, then perhaps so much more at full speed, and reads to the end.
-fn bad_client(address: SocketAddr, text: &str, more: usize) -> String {
+/// Sends a text on a connection of its own, then `filler_bytes` more at full speed, and reads to the end.
+fn malformed_client(address: SocketAddr, text: &str, filler_bytes: usize) -> String {
     let mut stream = TcpStream::connect(address).expect("it takes connections");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     stream.write_all(text.as_bytes()).expect("written");
     let mut sending = stream.try_clone().expect("a socket");
     let sender = thread::spawn(move || {
         let chunk = [b'a'; 60_000];
-        (0..more / chunk.len()).all(|_| sending.write_all(&chunk).is_ok())
+        (0..filler_bytes / chunk.len()).all(|_| sending.write_all(&chunk).is_ok())
     });
     let mut heard = Vec::new();
     let mut chunk = [0; 1024];
@@ -342,17 +347,20 @@
         heard.extend_from_slice(&chunk[..count]);
     }
     let sent = sender.join().expect("it sends");
-    assert!(sent || more != 60_000_000, "it is let send to the end, so that no reset overtakes its answer");
+    assert!(
+        sent || filler_bytes != 60_000_000,
+        "it is let send to the end, so that no reset overtakes its answer"
+    );
     String::from_utf8_lossy(&heard).into_owned()
 }
 
-// Guards against clients that hold a connection for ever, are never told, or hide a request where only one end sees
-// it; and against any of it reaching a next hop. Each read here ends by the forwarder's close, in any case.
+// Guards against clients that hold a connection for ever, get no answer, or smuggle a request that only one end sees;
+// and against any of it reaching an endpoint. Each read here ends by the forwarder's close, in any case.
 #[test]
-fn what_cannot_be_read_is_refused_and_closed() {
-    let (hop, calls) = far_end(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notices) = platform();
-    let folder = folder("rude", hop, platform);
+fn malformed_requests_are_rejected_and_closed() {
+    let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+    let (platform, _notifications) = platform();
+    let folder = folder("rude", endpoint, platform);
     let forwarder = Forwarder::start(&folder);
     let head =
         "POST /status HTTP/1.1\r\nX-Txn: bad\r\nX-Org: acme\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n";
@@ -378,25 +386,25 @@
         (format!("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\nnoise\r\n\r\n{hidden}"), 0, "200"),
     ];
     thread::scope(|scope| {
-        for (text, more, status) in &cases {
+        for (text, filler_bytes, status) in &cases {
             let address = forwarder.address;
             scope.spawn(move || {
-                let heard = bad_client(address, text, *more);
+                let heard = malformed_client(address, text, *filler_bytes);
                 assert_eq!(heard.split(' ').nth(1).unwrap_or_default(), *status, "{text}: {heard}");
                 assert!(heard.matches("HTTP/1.1 202").count() == 0, "{text}: {heard}");
             });
         }
     });
-    assert_eq!(forwarder.hand_in("status", "good"), 202);
-    let first = next(&calls, "x-txn");
+    assert_eq!(forwarder.submit("status", "good"), 202);
+    let first = wait_for(&calls, "x-txn");
     assert!(first.contains("x-txn: good"), "none of theirs goes on: {first}");
     forwarder.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-/// A process beside others: whoever starts it holds the clients' socket and hands it down as descriptor 4.
-fn start_beside(folder: &Path, held: &TcpListener) -> (Forwarder, SocketAddr) {
-    let socket = std::os::fd::OwnedFd::from(held.try_clone().expect("a socket"));
+/// Starts a process beside others, on a listening socket that it inherits as descriptor 4.
+fn start_beside(folder: &Path, listener: &TcpListener) -> (Forwarder, SocketAddr) {
+    let socket = std::os::fd::OwnedFd::from(listener.try_clone().expect("a socket"));
     let mut child = Command::new("sh")
         .args([
             "-c",
@@ -410,58 +418,61 @@
         .spawn()
         .expect("the program starts");
     let mut lines = BufReader::new(child.stderr.take().expect("a pipe")).lines().map_while(Result::ok);
-    let mut told = |words: &str| {
-        let at = lines.find_map(|line| line.split_once(words).map(|(_, at)| at.to_owned()));
-        at.expect(words).parse().expect("an address")
+    let mut logged_address = |words: &str| {
+        let address = lines.find_map(|line| line.split_once(words).map(|(_, rest)| rest.to_owned()));
+        address.expect(words).parse().expect("an address")
     };
-    let (address, console) = (told("listens on "), told("console at "));
+    let address = logged_address("listens on ");
+    let console = logged_address("console at ");
     let (sender, log) = channel();
     thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
     (Forwarder { child, address, log }, console)
 }
 
-/// Makes one call at a console.
-fn operate(console: SocketAddr, call: &str) -> String {
+/// Sends one request line to a console; returns the reply.
+fn ask_console(console: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(console).expect("it takes callers");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-    stream.write_all(format!("{call}\n").as_bytes()).expect("written");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    stream.write_all(format!("{line}\n").as_bytes()).expect("written");
     let mut reply = String::new();
     stream.read_to_string(&mut reply).expect("a reply");
     reply
 }
 
-fn figure(stat: &str, name: &str) -> u64 {
+fn metric(stat: &str, name: &str) -> u64 {
     let value = stat.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     value.unwrap_or_else(|| panic!("{name} in {stat}")).parse().expect("a count")
 }
 
-// Guards against a message lost, sent twice or refused while a process is replaced under load, twice in a row; against
-// a kept connection that is closed without a word; and against an endpoint out by hand that comes back with the new one.
+// Guards against a message lost, delivered twice or rejected while a process is replaced under load, twice in a row;
+// against a persistent connection closed without notice; and against an endpoint disabled by an operator that comes back
+// with the successor.
 #[test]
-fn a_process_is_replaced_under_load_and_nobody_notices() {
-    let (hop, calls) = far_end(|_| {
+fn upgrade_under_load_loses_and_repeats_no_message() {
+    let (endpoint, calls) = scripted_server(|_| {
         thread::sleep(Duration::from_millis(3));
         Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     });
-    let (platform, notices) = platform();
-    let folder = folder("upgrade", hop, platform);
+    let (platform, notifications) = platform();
+    let folder = folder("upgrade", endpoint, platform);
     std::fs::create_dir_all(folder.join("state")).expect("a folder");
-    let held = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut elder, mut console) = start_beside(&folder, &held);
-    assert!(operate(console, "ready").starts_with("200 "));
-    assert!(operate(console, "disable-server s-d").starts_with("200 "));
-    assert!(operate(console, "disable-server s-unknown").starts_with("400 "));
-    let going_on = Arc::new(AtomicBool::new(true));
-    let (client, address) = (going_on.clone(), elder.address);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (mut predecessor, mut console) = start_beside(&folder, &listener);
+    assert!(ask_console(console, "ready").starts_with("200 "));
+    assert!(ask_console(console, "disable-server s-d").starts_with("200 "));
+    assert!(ask_console(console, "disable-server s-unknown").starts_with("400 "));
+    let running = Arc::new(AtomicBool::new(true));
+    let load_running = running.clone();
+    let address = predecessor.address;
     let load = thread::spawn(move || {
         let mut number = 0;
-        while client.load(Ordering::SeqCst) {
+        while load_running.load(Ordering::SeqCst) {
             let head = format!(
                 "POST /orders HTTP/1.1\r\nHost: x\r\nX-Txn: load-{number}.\r\nX-Org: acme\r\nX-Remaining: 20\r\n\
                  X-Consignee: dest=2\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"
             );
             let mut stream = TcpStream::connect(address).expect("no connection is refused");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+            stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
             stream.write_all(head.as_bytes()).expect("written");
             let mut answer = String::new();
             stream.read_to_string(&mut answer).expect("none is reset or left unread");
@@ -477,62 +488,69 @@
                  X-Consignee: dest=2\r\nContent-Length: 1\r\n\r\nx"
             )
         };
-        let mut kept = BufReader::new(TcpStream::connect(address).expect("taken"));
-        kept.get_mut().write_all(request("first").as_bytes()).expect("written");
-        assert!(read_request(&mut kept).expect("an answer").0.starts_with("HTTP/1.1 202"));
-        let (newcomer, at) = start_beside(&folder, &held);
-        assert!(operate(at, "ready").starts_with("200 "), "it takes clients before the elder is told to end");
-        elder.signal("TERM");
-        next(&elder.log, "messages handed over");
-        kept.get_mut().write_all(request("last").as_bytes()).expect("written");
-        let (status, headers, _) = read_request(&mut kept).expect("an answer");
+        let mut persistent = BufReader::new(TcpStream::connect(address).expect("taken"));
+        persistent.get_mut().write_all(request("first").as_bytes()).expect("written");
+        assert!(read_request(&mut persistent).expect("an answer").0.starts_with("HTTP/1.1 202"));
+        let (successor, successor_console) = start_beside(&folder, &listener);
+        assert!(
+            ask_console(successor_console, "ready").starts_with("200 "),
+            "it takes clients before the predecessor is terminated"
+        );
+        predecessor.signal("TERM");
+        wait_for(&predecessor.log, "messages handed over");
+        persistent.get_mut().write_all(request("last").as_bytes()).expect("written");
+        let (status, headers, _) = read_request(&mut persistent).expect("an answer");
         assert!(
             status.starts_with("HTTP/1.1 202") && headers.contains("connection: close"),
             "{status} {headers}"
         );
-        assert!(elder.child.wait().expect("ends").success());
-        next(&newcomer.log, "this one goes on");
-        (elder, console) = (newcomer, at);
+        assert!(predecessor.child.wait().expect("ends").success());
+        wait_for(&successor.log, "this one goes on");
+        predecessor = successor;
+        console = successor_console;
     }
-    going_on.store(false, Ordering::SeqCst);
-    let count = load.join().expect("every request was taken on");
+    running.store(false, Ordering::SeqCst);
+    let count = load.join().expect("every request was accepted");
     let all = count + 4;
     let mut delivered = std::collections::BTreeMap::<String, usize>::new();
     while delivered.len() < all {
-        let call = next(&calls, "x-txn: ");
+        let call = wait_for(&calls, "x-txn: ");
         let txn = call.lines().find_map(|line| line.strip_prefix("x-txn: ")).expect("an id");
         *delivered.entry(txn.to_owned()).or_default() += 1;
     }
     let stat = loop {
-        let stat = operate(console, "show-stat");
-        if figure(&stat, "app_concurrent") == 0 {
+        let stat = ask_console(console, "show-stat");
+        if metric(&stat, "app_concurrent") == 0 {
             break stat;
         }
     };
     assert!(stat.starts_with("200 ") && stat.ends_with("\nEOF\n"), "{stat}");
     assert!(
-        figure(&stat, "app_success{type=\"orders\"}") > 0
-            && figure(&stat, "app_success{type=\"status\"}") == 0
+        metric(&stat, "app_success{type=\"orders\"}") > 0
+            && metric(&stat, "app_success{type=\"status\"}") == 0
     );
-    assert_eq!((figure(&stat, "app_targets"), figure(&stat, "app_targets_disabled")), (4, 1));
+    assert_eq!((metric(&stat, "app_targets"), metric(&stat, "app_targets_disabled")), (4, 1));
     assert!(
         calls.try_iter().next().is_none() && delivered.values().all(|times| *times == 1),
         "{delivered:?}"
     );
-    assert!(notices.try_iter().all(|asked| !asked.contains("outcomes")), "none was failed or handed back");
-    assert!(operate(console, "enable-server s-d").starts_with("200 "));
+    assert!(
+        notifications.try_iter().all(|request| !request.contains("outcomes")),
+        "none failed or was rejected"
+    );
+    assert!(ask_console(console, "enable-server s-d").starts_with("200 "));
     assert_eq!(std::fs::read_dir(folder.join("state")).expect("a folder").count(), 1, "one journal is left");
-    elder.kill();
+    predecessor.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-// Guards against a request that is misread, refused or lost because it came in pieces: cut at each of its bytes, and at
-// pairs of them; and against connections that fall quiet in the middle and keep out those that go on.
+// Guards against a request that is misread, rejected or lost because it came in pieces: split at each of its bytes, and
+// at pairs of them; and against connections that fall silent in the middle and keep out those that go on.
 #[test]
-fn a_request_may_come_cut_at_any_byte() {
-    let (hop, calls) = far_end(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notices) = platform();
-    let folder = folder("pieces", hop, platform);
+fn request_split_at_any_byte_is_accepted() {
+    let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+    let (platform, _notifications) = platform();
+    let folder = folder("pieces", endpoint, platform);
     let forwarder = Forwarder::start(&folder);
     let request = |number: usize| {
         format!(
@@ -545,7 +563,7 @@
     let pairs =
         (1..length).step_by(7).flat_map(|cut| (cut + 1..length).step_by(31).map(move |to| vec![cut, to]));
     let all: Vec<Vec<usize>> = single.chain(pairs).collect();
-    let quiet: Vec<TcpStream> = (1..60)
+    let silent: Vec<TcpStream> = (1..60)
         .map(|cut| {
             let mut stream = TcpStream::connect(forwarder.address).expect("taken");
             stream.write_all(&request(9999).as_bytes()[..cut]).expect("written");
@@ -561,7 +579,7 @@
                     let text = request(first + number);
                     let mut stream = TcpStream::connect(address).expect("taken");
                     stream.set_nodelay(true).expect("a socket");
-                    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+                    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
                     let ends = cuts.iter().copied().chain([text.len()]);
                     ends.fold(0, |from, to| {
                         stream.write_all(&text.as_bytes()[from..to]).expect("written");
@@ -579,9 +597,9 @@
             });
         }
     });
-    let first = next(&calls, "x-txn: ");
+    let first = wait_for(&calls, "x-txn: ");
     assert!(first.ends_with("body") && !first.contains("9999"), "{first}");
-    drop(quiet);
+    drop(silent);
     forwarder.kill();
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
