--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,17 +1,11 @@
-//! The command line.
+//! The command line: commands, options and their help, and the exit status.
 
+use crate::commands;
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use orchidyoke_forwarder::config::{Config, ConfigError};
 use orchidyoke_forwarder::log;
-use orchidyoke_forwarder::reload::Source;
-use orchidyoke_forwarder::serve::serve;
-use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-#[cfg(feature = "installations")]
-use crate::installation::{self, Script};
-
 /// Forwards messages: takes them on over HTTP, journals them, delivers each or says that it could not.
 #[derive(Parser)]
 #[command(name = "orchidyoke")]
@@ -25,7 +19,7 @@
     /// Run the forwarder until SIGTERM.
     Serve {
         #[command(flatten)]
-        given: Given,
+        config: ConfigArgs,
         /// The folder that outlasts the process; it holds the journal.
         #[arg(long, env = "EDGE_STATE", value_name = "FOLDER")]
         state: PathBuf,
@@ -40,11 +34,11 @@
     /// in them.
     Check {
         #[command(flatten)]
-        given: Given,
+        config: ConfigArgs,
     },
     /// Evaluate settings for another process of this program.
     #[cfg(feature = "installations")]
-    #[command(name = installation::EVALUATE, hide = true)]
+    #[command(name = crate::installation::EVALUATE_COMMAND, hide = true)]
     Evaluate {
         /// The script.
         script: PathBuf,
@@ -66,18 +60,18 @@
     #[cfg(feature = "installations")]
     Policy {
         #[command(subcommand)]
-        what: PolicyCommand,
+        command: PolicyCommand,
     },
     /// Keep one forwarder running: hold the clients' socket, start it again when it dies, and replace it under load by
     /// another release when the control address is asked to.
     #[cfg(feature = "installations")]
-    Supervise(Supervised),
+    Supervise(SuperviseArgs),
     /// Print the version.
     Version,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+pub enum LogForm {
     /// Lines of text.
     Text,
     /// A JSON object a line.
@@ -93,112 +87,36 @@
     }
 }
 
+// Where the configuration comes from. A doc comment here would become the help of the commands that take these options.
 #[derive(Args)]
-struct Given {
+pub struct ConfigArgs {
     /// The configuration, as JSON.
     #[arg(long, env = "EDGE_CONFIG", value_name = "FILE")]
-    config: Option<PathBuf>,
+    pub config: Option<PathBuf>,
     /// Where clients connect, in place of what the configuration says.
     #[arg(long, env = "EDGE_LISTEN", value_name = "ADDRESS:PORT")]
-    listen: Option<String>,
+    pub listen: Option<String>,
     /// Where discovery answers, in place of what the configuration says until that is read again (SIGHUP).
     #[arg(long, env = "EDGE_DISCOVERY", value_name = "ADDRESS:PORT")]
-    discovery: Option<String>,
+    pub discovery: Option<String>,
     /// Where operators connect, in place of what the configuration says.
     #[arg(long, env = "EDGE_CONSOLE", value_name = "ADDRESS:PORT")]
-    console: Option<String>,
+    pub console: Option<String>,
     /// The installation's own settings, a Starlark script; read again with the configuration at SIGHUP.
     #[cfg(feature = "installations")]
     #[arg(long, value_name = "FILE")]
-    settings: Option<PathBuf>,
-}
-
-/// Where the configuration comes from, and who follows the policy of the fleet.
-type SourceAndPolicy = (Source, Option<std::rc::Rc<dyn orchidyoke_forwarder::policy_agent::PolicyAgent>>);
-
-impl Given {
-    fn source(self) -> Result<Source, ConfigError> {
-        let missing = "no configuration: give --config FILE, or EDGE_CONFIG in the environment";
-        Ok(Source {
-            path: self.config.ok_or_else(|| ConfigError::new(missing))?,
-            listen: self.listen,
-            discovery: self.discovery,
-            console: self.console,
-            #[cfg(feature = "installations")]
-            installation: self.settings.map(|path| Box::new(Script(path)) as Box<_>),
-            #[cfg(not(feature = "installations"))]
-            installation: None,
-            ..Source::default()
-        })
-    }
-
-    /// The source of a forwarder that serves with this folder, and the agent of its fleet's policy where its settings
-    /// ask for one.
-    #[cfg(feature = "installations")]
-    fn source_for(self, state: &std::path::Path) -> Result<SourceAndPolicy, Box<dyn Error>> {
-        let settings = self.settings.clone();
-        let mut source = self.source()?;
-        if let Some(path) = settings
-            && let Some(policy) = installation::read(&path)?.policy
-        {
-            let own = || source.reread_with(|text| Ok(text.to_owned())).map(|config| config.name);
-            let name = policy.name.clone().map_or_else(own, Ok)?;
-            let follower = orchidyoke_policy_commit::Follower::new(policy, &name, state);
-            source.policy = Some(follower.clone());
-            return Ok((source, Some(follower)));
-        }
-        Ok((source, None))
-    }
-
-    #[cfg(not(feature = "installations"))]
-    fn source_for(self, _: &std::path::Path) -> Result<SourceAndPolicy, Box<dyn Error>> {
-        Ok((self.source()?, None))
-    }
-
-    #[cfg(feature = "installations")]
-    fn check(self) -> Result<(), Box<dyn Error>> {
-        let settings = self.settings.clone();
-        if let Some(path) = &settings {
-            installation::print(&installation::read(path)?);
-        }
-        if settings.is_none() || self.config.is_some() { self.check_config() } else { Ok(()) }
-    }
-
-    #[cfg(not(feature = "installations"))]
-    fn check(self) -> Result<(), Box<dyn Error>> {
-        self.check_config()
-    }
-
-    fn check_config(self) -> Result<(), Box<dyn Error>> {
-        let source = self.source()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().build()?;
-        print(&runtime.block_on(source.load())?);
-        Ok(())
-    }
-}
-
-fn print(config: &Config) {
-    let set = &config.settings;
-    println!("name: {}", config.name);
-    println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_start(None));
-    println!("classes: {}", config.names.classes.join(", "));
-    println!("kinds of destination: {}", config.names.kinds.join(", "));
-    println!("endpoints known: {} (version {})", config.known.targets.len(), config.known.rev);
-    println!(
-        "{} calls out at once, {} messages held, {} attempts each",
-        set.slots, set.max_open, set.max_attempts
-    );
+    pub settings: Option<PathBuf>,
 }
 
 #[cfg(feature = "installations")]
 #[derive(Subcommand)]
-enum PolicyCommand {
+pub enum PolicyCommand {
     /// Propose a policy: every forwarder that is there checks it, then it is committed, or none applies it.
     Propose {
         /// The policy, as JSON: `settings`, a merge patch over the configuration's settings, and `out`, endpoints left out.
         policy: PathBuf,
         #[command(flatten)]
-        at: CommitPoint,
+        commit_point: CommitPointArgs,
         /// How long all may take to answer, and then to have it in force, in seconds.
         #[arg(long, value_name = "SECONDS", default_value_t = 30)]
         patience: u64,
@@ -209,162 +127,85 @@
     /// Say what is committed and proposed, and how each forwarder that is there stands to it.
     Status {
         #[command(flatten)]
-        at: CommitPoint,
+        commit_point: CommitPointArgs,
     },
     /// Withdraw the proposal that is under way. What is committed stays.
     Abort {
         #[command(flatten)]
-        at: CommitPoint,
+        commit_point: CommitPointArgs,
     },
 }
 
+// Where the fleet's commit point is. No doc comment, as for `ConfigArgs`.
 #[cfg(feature = "installations")]
 #[derive(Args)]
-struct CommitPoint {
+pub struct CommitPointArgs {
     /// The settings of any forwarder of the fleet, a Starlark script with `policy(...)`.
     #[arg(long, value_name = "FILE")]
-    settings: PathBuf,
+    pub settings: PathBuf,
     /// The form of the log, on standard error.
     #[arg(long, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
+    pub log: LogForm,
 }
 
+// No doc comment, as for `ConfigArgs`.
 #[cfg(feature = "installations")]
 #[derive(Args)]
-struct Supervised {
+pub struct SuperviseArgs {
     /// Where clients connect.
     #[arg(long, value_name = "ADDRESS:PORT")]
-    listen: std::net::SocketAddr,
+    pub listen: std::net::SocketAddr,
     /// The two consoles that a forwarder and the one that replaces it use in turn; given twice.
     #[arg(long, value_name = "ADDRESS:PORT", required = true, num_args = 1)]
-    console: Vec<std::net::SocketAddr>,
+    pub console: Vec<std::net::SocketAddr>,
     /// Where the supervisor itself is asked: show, or upgrade RELEASE.
     #[arg(long, value_name = "ADDRESS:PORT")]
-    control: std::net::SocketAddr,
+    pub control: std::net::SocketAddr,
     /// The folder of releases: each file in it is a program of the forwarder.
     #[arg(long, value_name = "FOLDER")]
-    releases: PathBuf,
+    pub releases: PathBuf,
     /// The release to start with, where no other has replaced it since.
     #[arg(long, value_name = "NAME")]
-    release: String,
+    pub release: String,
     /// The supervisor's own folder.
     #[arg(long, value_name = "FOLDER")]
-    folder: PathBuf,
+    pub folder: PathBuf,
     /// The form of the log, on standard error.
     #[arg(long, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
+    pub log: LogForm,
     /// What follows `serve` on each forwarder's command line.
     #[arg(last = true)]
-    options: Vec<String>,
-}
-
-#[cfg(feature = "installations")]
-impl Supervised {
-    fn run(self) -> Result<(), Box<dyn Error>> {
-        let consoles = self.console.try_into().map_err(|_| "--console is given twice, for two addresses")?;
-        if !orchidyoke_supervisor::protocol::is_release_name(&self.release) {
-            return Err("--release is the name of a file in the folder of releases".into());
-        }
-        orchidyoke_supervisor::run(orchidyoke_supervisor::SupervisorConfig {
-            listen: self.listen,
-            consoles,
-            control: self.control,
-            releases: self.releases,
-            release: self.release,
-            folder: self.folder,
-            forwarder_options: self.options,
-        })?;
-        Ok(())
-    }
-}
-
-#[cfg(feature = "installations")]
-impl PolicyCommand {
-    fn run(self) -> Result<(), Box<dyn Error>> {
-        let (PolicyCommand::Propose { at, .. } | PolicyCommand::Status { at } | PolicyCommand::Abort { at }) =
-            &self;
-        log::start(at.log.into());
-        let wanted = installation::read(&at.settings)?;
-        let settings = wanted.policy.ok_or("these settings ask for no policy(...)")?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        tokio::task::LocalSet::new()
-            .block_on(&runtime, self.at(orchidyoke_policy_commit::propose::Office::new(settings)))
-    }
-
-    async fn at(self, mut office: orchidyoke_policy_commit::propose::Office) -> Result<(), Box<dyn Error>> {
-        match self {
-            PolicyCommand::Propose { policy, patience, by, .. } => {
-                let text =
-                    std::fs::read_to_string(&policy).map_err(|e| format!("{}: {e}", policy.display()))?;
-                let taken = office.propose(&text, &by, std::time::Duration::from_secs(patience)).await?;
-                match taken.everywhere {
-                    Some(after) => {
-                        println!("epoch {} committed, in force everywhere after {after:?}", taken.epoch)
-                    }
-                    None => println!(
-                        "epoch {} committed; not yet told to be in force by {}",
-                        taken.epoch,
-                        taken.missing.join(", ")
-                    ),
-                }
-            }
-            PolicyCommand::Status { .. } => {
-                let (point, members) = office.status().await?;
-                print!("{}", installation::policy_status(&point, &members));
-            }
-            PolicyCommand::Abort { .. } => match office.abort().await? {
-                Some(proposal) => {
-                    println!("the proposal of epoch {} by {} is withdrawn", proposal.epoch, proposal.by)
-                }
-                None => println!("no proposal was withdrawn: none is under way"),
-            },
-        }
-        Ok(())
-    }
-}
-
-/// Carries out a rollout and says how it ended; a stop that took the change back is a failure of the command.
-#[cfg(feature = "installations")]
-fn rollout(plan: &std::path::Path, state: &std::path::Path) -> Result<(), Box<dyn Error>> {
-    match orchidyoke_rollout::run(&orchidyoke_rollout::Plan::read(plan)?, state)? {
-        orchidyoke_rollout::Outcome::Completed => {
-            println!("rollout done: every forwarder has the change");
-            Ok(())
-        }
-        orchidyoke_rollout::Outcome::RolledBack { reason } => {
-            Err(format!("rollout stopped and taken back: {reason}").into())
-        }
-    }
+    pub options: Vec<String>,
 }
 
-/// Does what the command line says. What goes wrong is said in one line.
+/// Carries out the command line. An error is printed as one line.
 pub fn run() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Serve { given, state, fd, log } => {
+    let result = match Cli::parse().command {
+        Command::Serve { config, state, fd, log } => {
             log::start(log.into());
-            given.source_for(&state).and_then(|(source, policy)| serve(source, policy, &state, fd))
+            commands::serve::run(config, &state, fd)
         }
-        Command::Check { given } => given.check(),
+        Command::Check { config } => commands::check::run(config),
         #[cfg(feature = "installations")]
         Command::Evaluate { script } => orchidyoke_config::serve(&script),
         #[cfg(feature = "installations")]
         Command::Rollout { plan, state, log } => {
             log::start(log.into());
-            rollout(&plan, &state)
+            commands::rollout::run(&plan, &state)
         }
         #[cfg(feature = "installations")]
-        Command::Policy { what } => what.run(),
+        Command::Policy { command } => commands::policy::run(command),
         #[cfg(feature = "installations")]
-        Command::Supervise(supervised) => {
-            log::start(supervised.log.into());
-            supervised.run()
+        Command::Supervise(args) => {
+            log::start(args.log.into());
+            commands::supervise::run(args)
         }
         Command::Version => {
             println!("orchidyoke {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("orchidyoke: {error}");
--- /dev/null
+++ b/src/commands/serve.rs
@@ -0,0 +1,33 @@
+//! `serve`: runs the forwarder.
+
+use super::CommandResult;
+use crate::cli::ConfigArgs;
+use crate::config_source;
+use orchidyoke_forwarder::serve::serve;
+use std::path::Path;
+
+/// Runs the forwarder until SIGTERM.
+#[cfg(feature = "installations")]
+pub fn run(args: ConfigArgs, state_folder: &Path, listen_fd: Option<i32>) -> CommandResult {
+    let settings = args.settings.clone();
+    let mut source = config_source::from_args(args)?;
+    let policy = match settings {
+        Some(script) => crate::installation::read(&script)?.policy,
+        None => None,
+    };
+    let Some(policy) = policy else { return serve(source, None, state_folder, listen_fd) };
+    let name = match &policy.name {
+        Some(name) => name.clone(),
+        // The policy takes effect on the configuration, so that the name has to be read without it.
+        None => source.reread_with(|text| Ok(text.to_owned()))?.name,
+    };
+    let follower = orchidyoke_policy_commit::Follower::new(policy, &name, state_folder);
+    source.policy = Some(follower.clone());
+    serve(source, Some(follower), state_folder, listen_fd)
+}
+
+/// Runs the forwarder until SIGTERM.
+#[cfg(not(feature = "installations"))]
+pub fn run(args: ConfigArgs, state_folder: &Path, listen_fd: Option<i32>) -> CommandResult {
+    serve(config_source::from_args(args)?, None, state_folder, listen_fd)
+}
--- /dev/null
+++ b/src/commands/supervise.rs
@@ -0,0 +1,34 @@
+//! `supervise`: keeps one forwarder running.
+
+use super::CommandResult;
+use crate::cli::SuperviseArgs;
+use orchidyoke_supervisor::SupervisorConfig;
+use orchidyoke_supervisor::protocol::is_release_name;
+use std::net::SocketAddr;
+
+/// Options that a supervisor cannot run with.
+#[derive(Debug, thiserror::Error)]
+enum InvalidOption {
+    #[error("--console is given twice, for two addresses")]
+    ConsoleCount,
+    #[error("--release is the name of a file in the folder of releases")]
+    ReleaseName,
+}
+
+/// Runs a supervisor until SIGTERM or SIGINT.
+pub fn run(args: SuperviseArgs) -> CommandResult {
+    let consoles: [SocketAddr; 2] = args.console.try_into().map_err(|_| InvalidOption::ConsoleCount)?;
+    if !is_release_name(&args.release) {
+        return Err(InvalidOption::ReleaseName.into());
+    }
+    orchidyoke_supervisor::run(SupervisorConfig {
+        listen: args.listen,
+        consoles,
+        control: args.control,
+        releases: args.releases,
+        release: args.release,
+        folder: args.folder,
+        forwarder_options: args.options,
+    })?;
+    Ok(())
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,8 @@
-//! The forwarder's program.
+//! The forwarder's program: the command line, and one module for each command.
 
 mod cli;
+mod commands;
+mod config_source;
 #[cfg(feature = "installations")]
 mod installation;
 #[cfg(feature = "installations")]
