--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -36,10 +36,10 @@
     println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_start(None));
     println!("classes: {}", config.names.classes.join(", "));
     println!("kinds of destination: {}", config.names.kinds.join(", "));
-    println!("endpoints known: {} (version {})", config.known.targets.len(), config.known.rev);
+    println!("endpoints known: {} (version {})", config.known.endpoints.len(), config.known.version);
     println!(
         "{} calls out at once, {} messages held, {} attempts each",
-        settings.slots, settings.max_open, settings.max_attempts
+        settings.max_calls, settings.max_open_messages, settings.max_attempts
     );
 }
 
