--- a/crates/supervisor/src/client.rs
+++ b/crates/supervisor/src/client.rs
@@ -70,7 +70,11 @@
 }
 
 /// Makes one request and returns what follows `200` in the reply. `timeout` is that of [`exchange_line`].
-fn call(address: SocketAddr, request: &Request, timeout: Duration) -> Result<String, CallError> {
+///
+/// # Errors
+///
+/// The supervisor does not answer, rejects the request, or its reply is not one of the protocol.
+pub fn call(address: SocketAddr, request: &Request, timeout: Duration) -> Result<String, CallError> {
     let reply = exchange_line(address, &request.to_line(), timeout)
         .map_err(|source| CallError::NoAnswer { address, request: request.clone(), source })?;
     match reply.trim_end().split_once(' ') {
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,4 +1,4 @@
-//! A toy for trying the forwarder: two next hops and the platform, on the addresses of `config.json`.
+//! A toy server for trying the forwarder: two endpoints and the platform, on the addresses of `config.json`.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Full};
@@ -14,10 +14,13 @@
 use tokio::net::TcpListener;
 use tokio::time::{Interval, interval};
 
-/// A watch on a list that never changes: an empty line every 2 s.
-struct Quiet(Interval);
+/// Between two lines of an idle watch; the forwarder gives a silent one up after 3 s.
+const WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
-impl Body for Quiet {
+/// A watch on an endpoint list that never changes: an empty line at each tick.
+struct IdleWatch(Interval);
+
+impl Body for IdleWatch {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -29,33 +32,34 @@
     }
 }
 
-type Answer = Response<Either<Full<Bytes>, Quiet>>;
+type ToyResponse = Response<Either<Full<Bytes>, IdleWatch>>;
 
-/// What a server plays.
+/// What a server stands for.
 #[derive(Clone, Copy)]
-enum Part {
-    /// A next hop that takes all, or fails all.
-    Hop { good: bool },
-    /// Discovery, and the place where notices go.
+enum Role {
+    /// An endpoint that accepts all messages, or fails all.
+    Endpoint { healthy: bool },
+    /// Discovery, and the receiver of notifications.
     Platform,
 }
 
-async fn answer(part: Part, request: Request<Incoming>) -> Result<Answer, hyper::Error> {
+async fn answer(role: Role, request: Request<Incoming>) -> Result<ToyResponse, hyper::Error> {
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
     let text = String::from_utf8_lossy(&body);
-    let status = match part {
-        Part::Platform if head.uri.path() == "/v1/servers" => {
-            return Ok(Response::new(Either::Right(Quiet(interval(Duration::from_secs(2))))));
+    let status = match role {
+        Role::Platform if head.uri.path() == "/v1/servers" => {
+            return Ok(Response::new(Either::Right(IdleWatch(interval(WATCH_INTERVAL)))));
         }
-        Part::Platform => {
-            text.lines().for_each(|line| println!("notice: {line}"));
+        Role::Platform => {
+            text.lines().for_each(|line| println!("notification: {line}"));
             StatusCode::NO_CONTENT
         }
-        Part::Hop { good } => {
+        Role::Endpoint { healthy } => {
             let txn = head.headers.get("X-Txn").and_then(|value| value.to_str().ok()).unwrap_or("none");
-            println!("call to {}: message {txn}: {text}", if good { "the good hop" } else { "the bad hop" });
-            if good { StatusCode::OK } else { StatusCode::INTERNAL_SERVER_ERROR }
+            let endpoint = if healthy { "healthy" } else { "failing" };
+            println!("call to the {endpoint} endpoint: message {txn}: {text}");
+            if healthy { StatusCode::OK } else { StatusCode::INTERNAL_SERVER_ERROR }
         }
     };
     let mut response = Response::new(Either::Left(Full::default()));
@@ -63,12 +67,12 @@
     Ok(response)
 }
 
-async fn play(address: &str, part: Part) -> std::io::Result<()> {
+async fn serve(address: &str, role: Role) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     loop {
         let (stream, _) = listener.accept().await?;
         tokio::spawn(async move {
-            let service = service_fn(move |request| answer(part, request));
+            let service = service_fn(move |request| answer(role, request));
             if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
                 eprintln!("toy server: {error}");
             }
@@ -79,9 +83,9 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<()> {
     tokio::try_join!(
-        play("127.0.0.1:8500", Part::Platform),
-        play("127.0.0.1:8600", Part::Hop { good: true }),
-        play("127.0.0.1:8601", Part::Hop { good: false }),
+        serve("127.0.0.1:8500", Role::Platform),
+        serve("127.0.0.1:8600", Role::Endpoint { healthy: true }),
+        serve("127.0.0.1:8601", Role::Endpoint { healthy: false }),
     )?;
     Ok(())
 }
