--- a/crates/supervisor/src/process_identity.rs
+++ b/crates/supervisor/src/process_identity.rs
@@ -14,10 +14,11 @@
 /// A process, told from later ones with the same id by its start time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessIdentity {
-    pid: u32,
+    /// The process id.
+    pub pid: u32,
     /// Start time in clock ticks since the system's start.
     #[serde(rename = "ticks")]
-    start_ticks: u64,
+    pub start_ticks: u64,
 }
 
 impl ProcessIdentity {
--- a/crates/supervisor/src/state_file.rs
+++ b/crates/supervisor/src/state_file.rs
@@ -82,3 +82,6 @@
         std::fs::rename(&temporary, &self.path)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/supervisor/tests/protocol.rs
+++ b/crates/supervisor/tests/protocol.rs
@@ -2,6 +2,9 @@
 
 use orchidyoke_supervisor::protocol::{FailedUpgrade, RejectReason, Request, SupervisorStatus, is_busy};
 
+/// Replies to a status request, one a line: the caller may be of another version.
+const STATUS_REPLIES: &str = include_str!("fixtures/shown.jsonl");
+
 // Guards against a release named so that something outside of the folder is started.
 #[test]
 fn upgrade_request_accepts_only_plain_release_names() {
@@ -48,3 +51,35 @@
     assert_eq!(RejectReason::UnknownRequest.to_string(), "unknown: show, or upgrade RELEASE");
     assert_eq!(RejectReason::ShuttingDown.to_string(), "the supervisor ends");
 }
+
+fn statuses() -> [SupervisorStatus; 2] {
+    let failed_upgrade =
+        Some(FailedUpgrade { release: "v2".to_owned(), reason: "it ended: \"x\"".to_owned() });
+    let full = SupervisorStatus {
+        release: "v1".to_owned(),
+        slot: 1,
+        settled: true,
+        restarts: 3,
+        failed_upgrade,
+        pid: Some(17),
+    };
+    let bare = SupervisorStatus {
+        slot: 0,
+        settled: false,
+        restarts: 0,
+        failed_upgrade: None,
+        pid: None,
+        ..full.clone()
+    };
+    [full, bare]
+}
+
+#[test]
+fn status_replies_of_the_previous_version_are_read_and_written() {
+    let lines: Vec<&str> = STATUS_REPLIES.lines().collect();
+    let texts = statuses().map(|status| serde_json::to_string(&status).expect("written"));
+    assert_eq!(lines, texts);
+    let read: Vec<SupervisorStatus> =
+        lines.iter().map(|line| serde_json::from_str(line).expect("read")).collect();
+    assert_eq!(read, statuses());
+}
