--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -6,7 +6,7 @@
 //! Agresti–Caffo interval of the difference of two proportions is taken, `z` standard errors either side. Messages of
 //! one forwarder share its fate, so that the interval alone is not enough:
 //!
-//! - worse: the whole interval lies above `margin`, and the canaries' share is higher by `margin` than in nine of ten
+//! - worse: the interval lies above `margin`, and the canaries' share is higher by `margin` than in nine of ten
 //!   baseline forwarders one by one;
 //! - pass: every interval lies at or below `margin`, the bake time is over, and each group has finished at least
 //!   `min_finished` messages;
@@ -21,7 +21,7 @@
 /// Of the baseline's times to delivery; the bound for slow deliveries is a multiple of it.
 const REFERENCE_QUANTILE: f64 = 0.99;
 
-/// What a stage is judged by; the plan gives it.
+/// The thresholds of the comparison, from the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Criteria {
@@ -55,7 +55,7 @@
     Worse(WorseShare),
 }
 
-/// Part of a whole, in messages.
+/// A part of all messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Proportion {
     /// Messages of the kind in question.
@@ -154,16 +154,16 @@
         ComparedShare { name, canary: share(canary), baseline: baseline.iter().map(share).collect() }
     }
 
-    /// The share of slow deliveries; None unless every forwarder gives its latencies.
+    /// The share of slow deliveries; None unless every forwarder reports its latencies.
     fn of_slow_deliveries(canary: &Metrics, baseline: &[Metrics], latency_ratio: f64) -> Option<Self> {
         let canary = canary.latencies.as_ref()?;
         let baseline: Vec<&LatencyHistogram> =
             baseline.iter().map(|metrics| metrics.latencies.as_ref()).collect::<Option<_>>()?;
-        let mut whole_baseline = empty_histogram();
+        let mut baseline_sum = empty_histogram();
         for latencies in &baseline {
-            whole_baseline.add(*latencies).ok()?;
+            baseline_sum.add(*latencies).ok()?;
         }
-        let reference_us = whole_baseline.value_at_quantile(REFERENCE_QUANTILE);
+        let reference_us = baseline_sum.value_at_quantile(REFERENCE_QUANTILE);
         // No time is so long that an f64 would not hold it exactly.
         let bound_us = (reference_us as f64 * latency_ratio) as u64;
         let share = |latencies: &LatencyHistogram| Proportion {
--- a/crates/rollout/src/change.rs
+++ b/crates/rollout/src/change.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// The forwarder's files, process or supervisor cannot be reached, or the supervisor gives the upgrade up.
+/// The forwarder's files, process or supervisor cannot be reached, or the upgrade fails.
 pub fn apply(
     state_folder: &Path,
     forwarder: &PlannedForwarder,
--- a/crates/rollout/src/console.rs
+++ b/crates/rollout/src/console.rs
@@ -1,4 +1,4 @@
-//! Metrics as a forwarder's console gives them: the replies to `show-stat` and `show-latency`.
+//! Metrics from a forwarder's console: the replies to `show-stat` and `show-latency`.
 
 use crate::error::ForwarderError;
 use crate::metrics::{LatencyHistogram, OutcomeCounts, empty_histogram};
@@ -9,7 +9,7 @@
 /// How long a console, or a supervisor, may take to accept the connection, and for each piece of its reply.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends one request line to a console and returns its whole reply.
+/// Sends one request line to a console and returns its complete reply.
 ///
 /// # Errors
 ///
@@ -23,13 +23,13 @@
 }
 
 /// Whether a reply is one of metrics, and not cut off.
-fn is_whole(reply: &str) -> bool {
+fn is_complete(reply: &str) -> bool {
     reply.starts_with("200") && reply.lines().any(|line| line == "EOF")
 }
 
 /// The outcomes in a reply to `show-stat`, over all classes; None where it is not one.
 pub fn parse_outcome_counts(reply: &str) -> Option<OutcomeCounts> {
-    if !is_whole(reply) {
+    if !is_complete(reply) {
         return None;
     }
     let mut counts = OutcomeCounts::default();
@@ -52,7 +52,7 @@
 /// The times to delivery in a reply to `show-latency`, over all classes; None where it is not one, as from a release
 /// that does not know the request.
 pub fn parse_latencies(reply: &str) -> Option<LatencyHistogram> {
-    if !is_whole(reply) {
+    if !is_complete(reply) {
         return None;
     }
     let mut latencies = empty_histogram();
--- a/crates/rollout/src/error.rs
+++ b/crates/rollout/src/error.rs
@@ -77,8 +77,8 @@
     /// The supervisor did not answer, or rejected a request.
     #[error(transparent)]
     Supervisor(#[from] CallError),
-    /// The supervisor gave an upgrade up.
-    #[error("supervisor at {supervisor} gave up the upgrade to {release}: {reason}")]
+    /// An upgrade failed; the release before it goes on serving.
+    #[error("supervisor at {supervisor} failed to upgrade to {release}: {reason}")]
     UpgradeFailed {
         /// The supervisor's control address.
         supervisor: SocketAddr,
--- a/crates/rollout/src/files.rs
+++ b/crates/rollout/src/files.rs
@@ -1,16 +1,17 @@
-//! Files of the rollout and of the forwarders: read whole, and replaced so that a kill leaves the old or the new one.
+//! Files of the rollout and of the forwarders. They are replaced by renaming, so that a kill leaves the old or the new one
+//! complete.
 
 use crate::error::ForwarderError;
 use std::fs::File;
 use std::io::Write;
 use std::path::Path;
 
-/// Reads a file whole.
+/// Reads a file.
 pub fn read(path: &Path) -> Result<Vec<u8>, ForwarderError> {
     std::fs::read(path).map_err(failure("read", path))
 }
 
-/// Reads a file whole; None where there is none.
+/// Reads a file; None where there is none.
 pub fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, ForwarderError> {
     match std::fs::read(path) {
         Ok(text) => Ok(Some(text)),
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`progress`] and [`progress_file`]: the durable record, and the next step chosen from it alone.
 //! - [`run`](mod@run): carries the steps out; a stage and its observations are modules below it.
 //! - [`analysis`] and [`metrics`]: canaries against baseline over the same interval; no I/O, no clock.
-//! - [`console`]: metrics as a forwarder's console gives them.
+//! - [`console`]: metrics from a forwarder's console.
 //! - [`change`]: a change applied to one forwarder, or rolled back.
 //!
 //! Nothing here runs inside a forwarder: the rollout is a command of its own, and `serve` knows nothing of it.
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -42,7 +42,7 @@
 /// Times to delivery in microseconds. All have the same buckets, so that they can be added and subtracted.
 pub type LatencyHistogram = Histogram<u64>;
 
-/// Longest time to delivery that is told apart.
+/// Longest time to delivery that a histogram can hold.
 const MAX_LATENCY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
@@ -62,7 +62,7 @@
 pub struct Metrics {
     /// Messages finished.
     pub outcomes: OutcomeCounts,
-    /// Times to delivery; None where a forwarder does not give them (a release from before `show-latency`).
+    /// Times to delivery; None where a forwarder does not report them (a release from before `show-latency`).
     pub latencies: Option<LatencyHistogram>,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Metrics {
-    /// The sum of both; latencies only where both give them.
+    /// The sum of both; latencies only where both report them.
     pub fn plus(&self, other: &Metrics) -> Metrics {
         let both = self.latencies.clone().zip(other.latencies.as_ref());
         let latencies = both.and_then(|(mut sum, other)| sum.add(other).ok().map(|()| sum));
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// The counts at the start of a process. What it does not give now it did not give then.
+/// The counts at the start of a process. One that does not report latencies now did not report them then.
 fn zero_like(metrics: &Metrics) -> Metrics {
     let zero = Metrics::default();
     Metrics { latencies: zero.latencies.filter(|_| metrics.latencies.is_some()), ..zero }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a rollout, a JSON file: the fleet, the change, the stages and the criteria. Read and checked whole before
-//! the first forwarder is changed.
+//! The plan of a rollout, a JSON file: the fleet, the change, the stages and the criteria. Read and checked
+//! completely before the first forwarder is changed.
 
 mod stage_size;
 
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Warm-up after an upgrade where the plan gives none, in milliseconds: a process is slow until its concurrency
+/// Warm-up after an upgrade where the plan sets none, in milliseconds: a process is slow until its concurrency
 /// windows have grown.
 const DEFAULT_RELEASE_WARM_UP_MS: u64 = 5_000;
 const DEFAULT_POLL_INTERVAL_MS: u64 = 1_000;
@@ -29,7 +29,7 @@
     /// The configuration file that it reads at a start and at SIGHUP; needed where settings are changed.
     #[serde(rename = "config")]
     pub config_file: Option<PathBuf>,
-    /// A file that holds its process id, where no supervisor gives it.
+    /// A file that holds its process id, where there is no supervisor to ask.
     pub pid_file: Option<PathBuf>,
     /// The control address of its supervisor (`orchidyoke supervise`); needed where the release is changed.
     #[serde(rename = "control")]
@@ -89,7 +89,7 @@
     /// How often metrics are read during a stage, in milliseconds.
     #[serde(rename = "poll_ms", default = "default_poll_interval_ms")]
     pub poll_interval_ms: u64,
-    /// What a stage is judged by.
+    /// The thresholds of the comparison.
     #[serde(default)]
     pub criteria: Criteria,
 }
@@ -168,7 +168,7 @@
 }
 
 impl Plan {
-    /// Reads and checks a plan whole.
+    /// Reads and checks a plan.
     ///
     /// # Errors
     ///
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// It gives no change or two, or a forwarder lacks what the change needs.
+    /// The plan contains no change or two, or a forwarder lacks a key that the change needs.
     pub fn change(&self) -> Result<Change, PlanError> {
         let change = match (&self.settings_patch, &self.release) {
             (Some(patch), None) => Change::Settings(patch.clone()),
@@ -252,7 +252,7 @@
 }
 
 impl PlannedForwarder {
-    /// Whether the plan gives all that the change of this forwarder needs.
+    /// Checks that this forwarder has the keys that the change needs.
     fn check_for(&self, change: &Change) -> Result<(), PlanFault> {
         let has_supervisor = self.supervisor.is_some();
         let (is_complete, needs) = match change {
--- a/crates/rollout/src/process_metrics.rs
+++ b/crates/rollout/src/process_metrics.rs
@@ -15,7 +15,7 @@
 /// A forwarder's process, and its metrics since its start.
 #[derive(Clone, Debug)]
 pub struct ProcessMetrics {
-    /// Tells a restarted process from the one before.
+    /// The process id; a restarted process has another.
     pub pid: u32,
     /// What it has done since its start.
     pub metrics: Metrics,
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -96,7 +96,7 @@
                 self.changed.insert(name.clone());
             }
             ProgressRecord::StagePassed(stage) => self.stages_passed = self.stages_passed.max(stage + 1),
-            // The first reason stands.
+            // The first reason is kept.
             ProgressRecord::Stopped(reason) => {
                 self.stop_reason.get_or_insert_with(|| reason.clone());
             }
--- a/crates/rollout/src/progress_file.rs
+++ b/crates/rollout/src/progress_file.rs
@@ -28,22 +28,22 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read or written, or a whole line of it is no record.
+    /// The file cannot be read or written, or a complete line of it is no record.
     pub fn open(folder: &Path) -> Result<(ProgressFile, Vec<ProgressRecord>), ProgressFileError> {
         let path = folder.join("rollout.jsonl");
         std::fs::create_dir_all(folder).map_err(failure("create the folder of", &path))?;
         let text = read_if_present(&path).map_err(failure("read", &path))?;
         let mut records = Vec::new();
-        let mut whole_bytes = 0;
+        let mut complete_bytes = 0;
         for line in text.split_inclusive('\n') {
             let Some(record) = line.strip_suffix('\n') else { break };
             let record = serde_json::from_str(record).map_err(std::io::Error::from);
             records.push(record.map_err(failure("parse", &path))?);
-            whole_bytes += line.len() as u64;
+            complete_bytes += line.len() as u64;
         }
         let file =
             OpenOptions::new().create(true).append(true).open(&path).map_err(failure("open", &path))?;
-        file.set_len(whole_bytes).map_err(failure("truncate", &path))?;
+        file.set_len(complete_bytes).map_err(failure("truncate", &path))?;
         Ok((ProgressFile { path, file }, records))
     }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// The record cannot be written; part of its line may stand in the file.
+    /// The record cannot be written; part of its line may be in the file.
     pub fn append(&mut self, record: &ProgressRecord) -> Result<(), ProgressFileError> {
         let failed = failure("write", &self.path);
         let mut line = serde_json::to_string(record).map_err(std::io::Error::from).map_err(&failed)?;
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -142,7 +142,8 @@
         let baseline_outcomes = Metrics::sum(baseline).outcomes;
         match compare(canary, baseline, &self.plan.criteria, bake_time_over) {
             Verdict::Pass => {
-                let (changed, unchanged) = (&canary.outcomes, &baseline_outcomes);
+                let changed = &canary.outcomes;
+                let unchanged = &baseline_outcomes;
                 tracing::info!(stage = self.stage, ?changed, ?unchanged, "stage judged not worse");
                 Ok(true)
             }
--- a/crates/supervisor/src/client.rs
+++ b/crates/supervisor/src/client.rs
@@ -31,7 +31,7 @@
         address: SocketAddr,
         /// What was requested.
         request: Request,
-        /// Its reason, as it stands on the wire.
+        /// Its reason, as on the wire.
         reason: String,
     },
     /// The reply is not one of the control protocol.
--- a/crates/supervisor/src/control_server.rs
+++ b/crates/supervisor/src/control_server.rs
@@ -20,7 +20,7 @@
 /// What a request brings: the rest of the reply line after `200`, or why it is rejected.
 pub type Reply = Result<String, RejectReason>;
 
-/// Serves callers until the supervisor ends.
+/// Serves callers until the supervisor exits.
 pub async fn serve(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -40,7 +40,7 @@
 
 async fn answer(mut stream: TcpStream, events: mpsc::UnboundedSender<Event>) -> std::io::Result<()> {
     let request = match read_line(&mut stream).await? {
-        Line::Whole(line) => Request::parse(&line),
+        Line::Complete(line) => Request::parse(&line),
         Line::TooLong => Err(RejectReason::LineTooLong),
         Line::Closed => return Ok(()),
     };
@@ -58,9 +58,9 @@
 
 /// What a connection brought.
 enum Line {
-    Whole(String),
+    Complete(String),
     TooLong,
-    /// Closed before its first line was whole.
+    /// Closed before its first line was complete.
     Closed,
 }
 
@@ -69,7 +69,7 @@
     let mut chunk = [0; MAX_LINE_BYTES];
     loop {
         if let Some(end) = received.iter().position(|byte| *byte == b'\n') {
-            return Ok(Line::Whole(String::from_utf8_lossy(&received[..end]).into_owned()));
+            return Ok(Line::Complete(String::from_utf8_lossy(&received[..end]).into_owned()));
         }
         match stream.read(&mut chunk).await? {
             0 => return Ok(Line::Closed),
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -1,9 +1,10 @@
 //! The choices of the supervisor: when a forwarder is started, restarted, replaced, terminated and killed. One forwarder
-//! is active; at most one other process stands beside it: a successor that is not ready yet, or a predecessor that
-//! ends. No I/O and no clock: times are milliseconds since the supervisor began.
+//! is active; at most one other process runs beside it: a successor that is not ready yet, or a predecessor that is
+//! terminating. No I/O and no clock: times are milliseconds since the supervisor began.
 //!
 //! - Upgrade: the successor starts beside the active forwarder. Once it is ready it becomes active, its release is
-//!   persisted, and the predecessor is terminated. A successor that ends or is not ready in time is given up.
+//!   persisted, and the predecessor is terminated. If the successor exits or is not ready in
+//!   time, the upgrade has failed.
 //! - Restart: an active forwarder that dies is started again after a backoff that doubles at each death. Beside a
 //!   successor it is not: the successor becomes active, as there is no predecessor left to go back to.
 //! - Shutdown: all processes are terminated, nothing is started.
@@ -14,7 +15,7 @@
 
 /// How often the machine needs an [`Input::Tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A successor that does not take clients for this long is given up.
+/// An upgrade fails when its successor is not ready after this time.
 pub const READY_TIMEOUT_MS: u64 = 6_000;
 /// From SIGTERM to SIGKILL.
 pub const TERMINATION_GRACE_MS: u64 = 3_700;
@@ -64,7 +65,7 @@
     Kill(Slot),
     /// Persists this release as the one to be started from now on.
     PersistRelease(String),
-    /// Ends the supervisor.
+    /// Exits the supervisor.
     Exit,
 }
 
@@ -259,7 +260,7 @@
     ///
     /// # Errors
     ///
-    /// [`RejectReason::Busy`] while another process stands beside the active one, [`RejectReason::ShuttingDown`]
+    /// [`RejectReason::Busy`] while another process runs beside the active one, [`RejectReason::ShuttingDown`]
     /// during a shutdown.
     pub fn upgrade(&mut self, now_ms: u64, release: &str) -> Result<Vec<Effect>, RejectReason> {
         if self.shutting_down {
--- a/crates/supervisor/src/machine/tests.rs
+++ b/crates/supervisor/src/machine/tests.rs
@@ -20,7 +20,7 @@
     Effect::Spawn { slot, release: release.into() }
 }
 
-// Guards against a predecessor told to end before its successor takes clients, and against one never killed.
+// Guards against a predecessor terminated before its successor is ready, and against one never killed.
 #[test]
 fn ready_successor_terminates_its_predecessor() {
     let mut machine = serving();
--- a/crates/supervisor/src/process_identity.rs
+++ b/crates/supervisor/src/process_identity.rs
@@ -1,5 +1,5 @@
-//! Which process of the system a process id stands for. Process ids are given out again, so that one written down by
-//! an earlier supervisor may be that of a stranger by now; the start time tells them apart.
+//! The identity of a process beyond its id. The system reuses ids, so that one saved by an earlier supervisor may belong to
+//! an unrelated process by now; the start time distinguishes them.
 
 use crate::machine::TERMINATION_GRACE_MS;
 use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
@@ -11,7 +11,7 @@
 /// Index of the start time among the fields that follow the command in proc(5)'s stat: field 22 of all.
 const START_TIME_FIELD: usize = 19;
 
-/// A process, told from later ones with the same id by its start time.
+/// A process, distinguished from later ones with the same id by its start time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessIdentity {
     /// The process id.
@@ -36,12 +36,12 @@
         ProcessIdentity::of(self.pid).as_ref() == Some(self)
     }
 
-    /// Ends the process if it still runs, and waits until it is gone: SIGTERM, then SIGKILL after
+    /// Terminates the process if it still runs, and waits until it has exited: SIGTERM, then SIGKILL after
     /// [`TERMINATION_GRACE_MS`].
     pub fn terminate_and_wait(&self) {
         let Some(pid) = i32::try_from(self.pid).ok().and_then(Pid::from_raw) else { return };
         let Ok(pidfd) = pidfd_open(pid, PidfdFlags::empty()) else { return };
-        // Compared only now: the open descriptor keeps the id from being given to another process.
+        // Compared only now: the open descriptor keeps the id from being reused.
         if !self.is_running() {
             return;
         }
--- a/crates/supervisor/src/processes.rs
+++ b/crates/supervisor/src/processes.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// The receiver is gone only when the supervisor ends, and then nobody is left to be told.
+/// Sends an input to the loop. It is gone only when the supervisor exits, and then no input matters.
 fn report(events: &mpsc::UnboundedSender<Event>, input: Input) {
     let _ = events.send(Event::Input(input));
 }
--- a/crates/supervisor/src/protocol.rs
+++ b/crates/supervisor/src/protocol.rs
@@ -7,12 +7,12 @@
 /// Longest request line that the supervisor reads, without its line feed.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// An upgrade that was given up: the release before it goes on serving.
+/// An upgrade that failed: the release before it goes on serving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedUpgrade {
     /// The release that was to replace the forwarder.
     pub release: String,
-    /// Why it was given up, for people.
+    /// Why it failed, for people.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -25,11 +25,11 @@
     /// The slot of the forwarder, 0 or 1: the number of its console among the supervisor's two.
     #[serde(rename = "place")]
     pub slot: usize,
-    /// The forwarder takes clients, and no other process stands beside it.
+    /// The forwarder takes clients, and no other process runs beside it.
     pub settled: bool,
     /// Restarts after the forwarder had died, since the supervisor began.
     pub restarts: u64,
-    /// The last upgrade requested, if it was given up.
+    /// The last upgrade requested, if it failed.
     #[serde(rename = "refused")]
     pub failed_upgrade: Option<FailedUpgrade>,
     /// The process id of the forwarder; none while it is not running.
@@ -46,7 +46,7 @@
 }
 
 impl Request {
-    /// The line that stands for this request on the wire, without its line feed.
+    /// This request on the wire, without its line feed.
     pub fn to_line(&self) -> String {
         match self {
             Request::Status => "show".to_owned(),
@@ -94,7 +94,7 @@
     /// The folder of releases has no such file.
     #[error("there is no such release")]
     ReleaseNotFound,
-    /// Another process stands beside the forwarder; see [`is_busy`].
+    /// Another process runs beside the forwarder; see [`is_busy`].
     #[error("busy: another process still stands beside the one that serves")]
     Busy,
     /// The supervisor is shutting down.
--- a/crates/supervisor/src/run.rs
+++ b/crates/supervisor/src/run.rs
@@ -68,7 +68,7 @@
         /// What failed.
         source: std::io::Error,
     },
-    /// The system refused something else.
+    /// Another system call failed.
     #[error("cannot {operation}: {source}")]
     System {
         /// What was tried.
--- a/crates/supervisor/src/state_file.rs
+++ b/crates/supervisor/src/state_file.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Writes a new file and renames it, so that a kill leaves the old or the new one whole.
+    /// Writes a new file and renames it, so that a kill leaves the old or the new one complete.
     fn replace_file(&self) -> std::io::Result<()> {
         let temporary = self.path.with_extension("new");
         let mut file = File::create(&temporary)?;
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -13,5 +13,5 @@
 #[cfg(feature = "installations")]
 pub mod supervise;
 
-/// The outcome of a command. The errors are those of the packages; nothing tells them apart any more, they are printed.
+/// The outcome of a command. Its error is only printed, so that its type no longer matters.
 pub type CommandResult = Result<(), Box<dyn Error>>;
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -444,6 +444,25 @@
     value.unwrap_or_else(|| panic!("{name} in {stat}")).parse().expect("a count")
 }
 
+/// Submits orders on a connection each for as long as `running`; each has to be accepted. Returns their number.
+fn submit_while(running: &AtomicBool, address: SocketAddr) -> usize {
+    let mut number = 0;
+    while running.load(Ordering::SeqCst) {
+        let head = format!(
+            "POST /orders HTTP/1.1\r\nHost: x\r\nX-Txn: load-{number}.\r\nX-Org: acme\r\nX-Remaining: 20\r\n\
+             X-Consignee: dest=2\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"
+        );
+        let mut stream = TcpStream::connect(address).expect("no connection is refused");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+        stream.write_all(head.as_bytes()).expect("written");
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).expect("none is reset or left unread");
+        assert!(answer.starts_with("HTTP/1.1 202"), "load-{number}: {answer}");
+        number += 1;
+    }
+    number
+}
+
 // Guards against a message lost, delivered twice or rejected while a process is replaced under load, twice in a row;
 // against a persistent connection closed without notice; and against an endpoint disabled by an operator that comes back
 // with the successor.
@@ -464,23 +483,7 @@
     let running = Arc::new(AtomicBool::new(true));
     let load_running = running.clone();
     let address = predecessor.address;
-    let load = thread::spawn(move || {
-        let mut number = 0;
-        while load_running.load(Ordering::SeqCst) {
-            let head = format!(
-                "POST /orders HTTP/1.1\r\nHost: x\r\nX-Txn: load-{number}.\r\nX-Org: acme\r\nX-Remaining: 20\r\n\
-                 X-Consignee: dest=2\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"
-            );
-            let mut stream = TcpStream::connect(address).expect("no connection is refused");
-            stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
-            stream.write_all(head.as_bytes()).expect("written");
-            let mut answer = String::new();
-            stream.read_to_string(&mut answer).expect("none is reset or left unread");
-            assert!(answer.starts_with("HTTP/1.1 202"), "load-{number}: {answer}");
-            number += 1;
-        }
-        number
-    });
+    let load = thread::spawn(move || submit_while(&load_running, address));
     for upgrade in 0..2 {
         let request = |txn: &str| {
             format!(
