--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -19,7 +19,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::LocalSet;
+use tokio::time::timeout;
 
+const PATIENCE: Duration = Duration::from_secs(20);
 const HEALTH: &str = include_str!("fixtures/wire/health.json");
 
 /// A far end that gives these answers in turn on one connection and stays; what it was asked, and what `near` came to.
@@ -41,7 +43,9 @@
             }
             (said.join("\n"), stream)
         };
-        let ((said, _), came) = tokio::join!(far, near(at));
+        // What cannot be read is asked for again without end.
+        let both = timeout(PATIENCE, async { tokio::join!(far, near(at)) }).await;
+        let ((said, _), came) = both.expect("in time");
         (said, came)
     })
 }
