--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -56,7 +56,7 @@
     let observations = plan.forwarders.iter().map(|f| (f.name.as_str(), Observation::default())).collect();
     tracing::info!(stage, changed = canaries.len(), "stage begins");
     let mut run = StageRun { plan, canaries, stage, phase_started_at: Instant::now(), warm_up, observations };
-    while !run.observe()? {
+    while !run.poll()? {
         std::thread::sleep(Duration::from_millis(plan.poll_interval_ms));
     }
     Ok(())
@@ -81,8 +81,8 @@
 }
 
 impl StageRun<'_> {
-    /// Reads all forwarders once and judges them; whether the stage passes.
-    fn observe(&mut self) -> Result<bool, StageFailure> {
+    /// Reads all forwarders once and judges them. Returns whether the stage passes.
+    fn poll(&mut self) -> Result<bool, StageFailure> {
         for (forwarder, result) in read_all(&self.plan.forwarders) {
             if let Some(observation) = self.observations.get_mut(forwarder.name.as_str()) {
                 observation.on_read(&forwarder.name, result);
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Whether the stage passes.
+    /// Returns whether the stage passes.
     fn judge_bake(&self, canary: &Metrics, baseline: &[Metrics]) -> Result<bool, StageFailure> {
         let elapsed = self.phase_started_at.elapsed();
         let bake_time_over = elapsed >= Duration::from_millis(self.plan.bake_ms);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -80,6 +80,34 @@
     }
 }
 
+/// What became of the requests of one client.
+struct ClientReport {
+    accepted: Vec<String>,
+    /// The request on whose connection the close came first.
+    unanswered: Option<String>,
+}
+
+/// Submits orders on one connection for as long as it stays open.
+fn submit_until_closed(address: SocketAddr, client: usize) -> ClientReport {
+    let mut stream = connect(address);
+    let mut accepted = Vec::new();
+    for number in 0.. {
+        let txn = format!("c{client}-{number}");
+        // A write after the end of the connection may fail; that it was reset shows in the read.
+        if stream.write_all(request("orders", &txn).as_bytes()).is_err() {
+            break;
+        }
+        match read_status(&mut stream) {
+            Some(202) => accepted.push(txn),
+            Some(503) => {}
+            Some(other) => panic!("{txn}: {other}"),
+            None => return ClientReport { accepted, unanswered: Some(txn) },
+        }
+        std::thread::sleep(Duration::from_millis(10));
+    }
+    ClientReport { accepted, unanswered: None }
+}
+
 // Guards against a request that crosses the shutdown: half of it before SIGTERM, the rest long after; and against one on a
 // connection that is idle until the forwarder closes it. Each is answered, or its connection is closed with no answer and
 // no reset and it was never accepted; what was accepted has one final answer, from this process or the next. A second
@@ -99,34 +127,8 @@
     assert_eq!(read_status(&mut idle), Some(202));
     let terminated_at = Instant::now();
     forwarder.signal("TERM");
-    let clients: Vec<_> = (0..6)
-        .map(|client| {
-            std::thread::spawn(move || {
-                // Sends on one connection for as long as it stays open.
-                let mut stream = connect(address);
-                let mut accepted = Vec::new();
-                let mut unanswered = None;
-                for number in 0.. {
-                    let txn = format!("c{client}-{number}");
-                    // A write after the end of the connection may fail; that it was reset shows in the read.
-                    if stream.write_all(request("orders", &txn).as_bytes()).is_err() {
-                        break;
-                    }
-                    match read_status(&mut stream) {
-                        Some(202) => accepted.push(txn),
-                        Some(503) => {}
-                        Some(other) => panic!("{txn}: {other}"),
-                        None => {
-                            unanswered = Some(txn);
-                            break;
-                        }
-                    }
-                    std::thread::sleep(Duration::from_millis(10));
-                }
-                (accepted, unanswered)
-            })
-        })
-        .collect();
+    let clients: Vec<_> =
+        (0..6).map(|client| std::thread::spawn(move || submit_until_closed(address, client))).collect();
     std::thread::sleep(Duration::from_millis(600));
     forwarder.signal("TERM");
     split.write_all(&text.as_bytes()[60..]).expect("written");
@@ -134,9 +136,9 @@
     let mut accepted = vec!["halved".to_owned(), "rested".to_owned()];
     let mut unanswered = Vec::new();
     for client in clients {
-        let (some, none) = client.join().expect("no reset, no answer of another kind");
-        accepted.extend(some);
-        unanswered.extend(none);
+        let report = client.join().expect("no reset, no answer of another kind");
+        accepted.extend(report.accepted);
+        unanswered.extend(report.unanswered);
     }
     assert!(forwarder.wait().success());
     assert!(terminated_at.elapsed() < Duration::from_millis(3_700), "{:?}", terminated_at.elapsed());
@@ -179,7 +181,8 @@
         listener.local_addr().expect("bound")
     };
     let mut setup = Setup::new(dead);
-    (setup.slots, setup.targets) = (4, vec![target("s-1", hop, 2)]);
+    setup.slots = 4;
+    setup.targets = vec![target("s-1", hop, 2)];
     folder.write("config.json", &setup.text());
     let started_at = Instant::now();
     let second = Forwarder::start(program(), &folder, &[]);
@@ -245,9 +248,13 @@
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_new_clients() {
     let partner = Partner::new(Bearing::default());
-    let (platform, other) = (Platform::start(""), Platform::start(""));
+    let platform = Platform::start("");
+    let other = Platform::start("");
     let hop = partner.endpoint();
-    let folder = folder("idle", &platform, hop, |setup| (setup.sockets, setup.slots) = (64, 6));
+    let folder = folder("idle", &platform, hop, |setup| {
+        setup.sockets = 64;
+        setup.slots = 6;
+    });
     let limited =
         folder.write("limited", &format!("#!/bin/sh\nulimit -n 64\nexec {} \"$@\"\n", program().display()));
     let chmod = format!("chmod +x {}", limited.display());
@@ -255,7 +262,9 @@
     let forwarder = Forwarder::start(&limited, &folder, &[]);
     let idle: Vec<_> = (0..120).map(|_| connect(forwarder.address)).collect();
     let mut setup = Setup::new(other.address());
-    (setup.sockets, setup.slots, setup.targets) = (64, 6, vec![target("s-1", hop, 2)]);
+    setup.sockets = 64;
+    setup.slots = 6;
+    setup.targets = vec![target("s-1", hop, 2)];
     folder.write("config.json", &setup.text());
     forwarder.signal("HUP");
     let until = Instant::now() + Duration::from_secs(6);
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -547,6 +547,23 @@
     std::fs::remove_dir_all(&folder).expect("cleans up");
 }
 
+/// Sends a request on a connection of its own, split at these bytes; returns the answer.
+fn send_in_pieces(address: SocketAddr, text: &str, cuts: &[usize]) -> String {
+    let mut stream = TcpStream::connect(address).expect("accepted");
+    stream.set_nodelay(true).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    let mut from = 0;
+    for to in cuts.iter().copied().chain([text.len()]) {
+        stream.write_all(&text.as_bytes()[from..to]).expect("written");
+        // Only so that the pieces do not travel together; no result depends on it.
+        thread::sleep(Duration::from_millis(1));
+        from = to;
+    }
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).expect("an answer");
+    answer
+}
+
 // Guards against a request that is misread, rejected or lost because it came in pieces: split at each of its bytes, and
 // at pairs of them; and against connections that fall silent in the middle and keep out those that go on.
 #[test]
@@ -580,18 +597,7 @@
             scope.spawn(move || {
                 for (number, cuts) in cuts.iter().enumerate() {
                     let text = request(first + number);
-                    let mut stream = TcpStream::connect(address).expect("taken");
-                    stream.set_nodelay(true).expect("a socket");
-                    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
-                    let ends = cuts.iter().copied().chain([text.len()]);
-                    ends.fold(0, |from, to| {
-                        stream.write_all(&text.as_bytes()[from..to]).expect("written");
-                        // Only so that the pieces do not travel together; nothing hangs on it.
-                        thread::sleep(Duration::from_millis(1));
-                        to
-                    });
-                    let mut answer = String::new();
-                    stream.read_to_string(&mut answer).expect("an answer");
+                    let answer = send_in_pieces(address, &text, cuts);
                     assert!(
                         answer.starts_with("HTTP/1.1 202") || answer.starts_with("HTTP/1.1 503"),
                         "{cuts:?}: {answer}"
