--- /dev/null
+++ b/crates/core/src/capacity_share.rs
@@ -0,0 +1,36 @@
+//! Decides how much of a route's capacity this forwarder counts as its own, in calls a second.
+//!
+//! Inputs are the capacity that the endpoint list hints at or that answers report, the fleet's size, and the rate at
+//! which this forwarder was served. Pacing and slow start divide by it; the shares of a fleet must not sum to more
+//! than the route's capacity.
+
+use crate::interface::{CapacityHints, Settings};
+
+/// A rough hint may be half too high: the capacity is at least this part of it.
+const ROUGH_HINT_FACTOR: f64 = 0.67;
+
+/// What is told of a route's capacity, in calls a second; 0 where nothing is.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct KnownCapacity {
+    /// From the endpoint list.
+    pub hint: f64,
+    /// From the answers of the route.
+    pub reported_limit: f64,
+}
+
+impl KnownCapacity {
+    /// The capacity divided evenly among the fleet, in calls a second; none where nothing is told.
+    pub fn even_share(&self, settings: &Settings) -> Option<f64> {
+        let capacity = match settings.capacity_hints {
+            CapacityHints::None => self.reported_limit,
+            CapacityHints::Nominal => self.hint,
+            CapacityHints::Rough => self.hint * ROUGH_HINT_FACTOR,
+        };
+        Some(capacity / f64::from(settings.fleet_size.max(1))).filter(|share| *share > 0.0)
+    }
+}
+
+/// This forwarder's share, in calls a second: what it was served, averaged with the even share where one is known.
+pub(crate) fn own_share(served_rate: f64, even_share: Option<f64>) -> f64 {
+    even_share.map_or(served_rate, |even| (served_rate + even) / 2.0)
+}
--- /dev/null
+++ b/crates/core/src/controller/calls.rs
@@ -0,0 +1,225 @@
+//! The calls that go out: which message is next, which endpoint takes it, and what goes with it in one call.
+
+use super::Controller;
+use crate::call::{Attempt, AttemptId, Call};
+use crate::concurrency_limit;
+use crate::draining;
+use crate::endpoint::{Destination, Endpoint};
+use crate::interface::*;
+use crate::message::Message;
+use crate::outlier_detection::RouteHealth;
+use crate::queue::{QUEUE_SCAN_MESSAGES, QueueRank};
+use crate::retry;
+use crate::route::RouteId;
+use crate::selection::{self, CostInputs, SlotPressure};
+use crate::timeouts;
+use std::collections::BTreeSet;
+
+impl Controller {
+    /// Sends what can go now, the lowest rank of all queues first, while there are call slots.
+    pub(super) fn send_ready_messages(&mut self, actions: &mut Vec<Action>) {
+        self.draw_slow_start_calls();
+        self.update_waiting_index();
+        while self.calls.len() < self.settings.max_calls {
+            let faulty_at_limit = self.faulty_calls_at_limit();
+            let Some(ready) = self.schedule.waiting.first_ready(faulty_at_limit) else { return };
+            if ready.found_at < self.now {
+                // Found in an earlier step: its routes may have closed since.
+                self.schedule.changed.push(ready.destination);
+            } else {
+                let id = ready.rank.message;
+                let Some(endpoint) = self.choose_endpoint(id) else { return };
+                self.send_call(id, endpoint, actions);
+            }
+            self.update_waiting_index();
+        }
+    }
+
+    /// Draws for the routes whose slow-start budget is below one call and whose draw is due.
+    fn draw_slow_start_calls(&mut self) {
+        self.schedule.changed.extend(self.schedule.waiting.pop_draws(self.now));
+        let due: BTreeSet<DestinationId> = self.schedule.changed.iter().copied().collect();
+        let destinations = due.iter().filter_map(|id| self.destinations.get(id));
+        let waiting = destinations.filter(|destination| !destination.queue.is_empty());
+        let endpoints = waiting.flat_map(|destination| &destination.endpoints);
+        let routes: Vec<RouteId> = endpoints.map(|id| self.endpoints[id].route).collect();
+        for id in routes {
+            let route = &mut self.routes[id];
+            let Some(budget) = route.call_budget(self.now, &self.settings) else { continue };
+            if route.traffic().budget_use.next_draw_at() <= self.now {
+                let budget_use = &mut route.traffic_mut().budget_use;
+                budget_use.draw(budget, self.now, &self.settings, &mut self.rng);
+                self.route_changed(id);
+            }
+        }
+    }
+
+    /// Whether all faulty destinations together have as many calls in flight as they may.
+    fn faulty_calls_at_limit(&self) -> bool {
+        self.schedule.faulty_calls >= concurrency_limit::faulty_call_limit(self.settings.max_calls)
+    }
+
+    /// Whether a new call may go to an endpoint now, as far as any message goes.
+    fn takes_call(&self, endpoint: &Endpoint, destination: &Destination, faulty_at_limit: bool) -> bool {
+        if !endpoint.accepts_calls || endpoint.is_excluded {
+            return false;
+        }
+        let route = &self.routes[endpoint.route];
+        // As Nagle's algorithm: part of a batch waits while a call is in flight, since many small calls use up a limit.
+        let fills_batch = destination.queue.len() >= endpoint.kind.max_batch;
+        if !fills_batch && !route.traffic().is_idle() {
+            return false;
+        }
+        let is_faulty = route.is_faulty();
+        let limit = concurrency_limit::destination_call_limit(self.settings.max_calls, is_faulty);
+        if destination.in_flight >= limit || (is_faulty && faulty_at_limit) {
+            return false;
+        }
+        let overdue_after = route.traffic().latency.overdue_after();
+        draining::ends_before_shutdown(self.now, overdue_after, self.shutdown_at)
+            && route.takes_call(self.now, &self.settings)
+    }
+
+    fn may_be_sent(&self, message: &Message) -> bool {
+        message.may_be_sent(self.now, self.settings.max_attempts)
+    }
+
+    /// Endpoints that take a message now.
+    fn eligible_endpoints<'a>(
+        &'a self,
+        message: &'a Message,
+        faulty_at_limit: bool,
+    ) -> impl Iterator<Item = (EndpointId, &'a Endpoint)> {
+        let destination = self.destinations.get(&message.destination);
+        let destination = destination.filter(|_| self.may_be_sent(message));
+        destination.into_iter().flat_map(move |destination| {
+            let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
+            endpoints.filter(move |(id, endpoint)| {
+                self.takes_call(endpoint, destination, faulty_at_limit)
+                    && is_endpoint_allowed(message, *id, endpoint)
+            })
+        })
+    }
+
+    /// The first message of a queue that can go now.
+    pub(super) fn first_sendable(
+        &self,
+        destination: &Destination,
+        faulty_at_limit: bool,
+    ) -> Option<QueueRank> {
+        let mut endpoints = destination.endpoints.iter().map(|id| &self.endpoints[id]);
+        if !endpoints.any(|endpoint| self.takes_call(endpoint, destination, faulty_at_limit)) {
+            return None;
+        }
+        let can_go = |message: &Message| self.eligible_endpoints(message, faulty_at_limit).next().is_some();
+        let mut first = destination.queue.iter().take(QUEUE_SCAN_MESSAGES);
+        first.find(|rank| self.messages.get(&rank.message).is_some_and(can_go)).copied()
+    }
+
+    /// The eligible endpoint that costs a message least.
+    fn choose_endpoint(&mut self, id: MessageId) -> Option<EndpointId> {
+        let message = self.messages.get(&id)?;
+        let mut rng = self.rng.clone();
+        let costs = self.eligible_endpoints(message, self.faulty_calls_at_limit()).map(|(id, endpoint)| {
+            let capacity_hint = self.routes[endpoint.route].capacity_hint;
+            let chance = selection::chance_cost(rng.uniform(), capacity_hint, self.settings.fleet_size);
+            (self.cost(endpoint) + chance, id)
+        });
+        let cheapest = costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id);
+        self.rng = rng;
+        cheapest
+    }
+
+    fn cost(&self, endpoint: &Endpoint) -> f64 {
+        let route = &self.routes[endpoint.route];
+        let traffic = route.traffic();
+        let has_latency = !traffic.failures.never_succeeded();
+        let had_errors = endpoint.traffic().avoid_until > self.now;
+        let inputs = CostInputs {
+            needs_connection: endpoint.needs_connection(self.now, &self.settings),
+            is_cross_zone: endpoint.zone != self.settings.zone,
+            zone: endpoint.zone,
+            is_separate_route: endpoint.kind.separate_routes,
+            latency_us: if has_latency { traffic.latency.mean_us() } else { 0.0 },
+            in_flight: endpoint.traffic().in_flight,
+            is_faulty: route.is_faulty(),
+            is_suspect: had_errors || endpoint.health == HealthStatus::Warning,
+        };
+        let pressure = SlotPressure { calls: self.calls.len(), open_messages: self.messages.len() };
+        selection::cost(&inputs, pressure, &self.settings)
+    }
+
+    /// One call to an endpoint: the message given, and others of its queue as far as a call takes them.
+    fn send_call(&mut self, first: MessageId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
+        let Some(endpoint) = self.endpoints.get(&endpoint_id) else { return };
+        let batch = self.batch(first, endpoint_id, endpoint);
+        self.open_call(endpoint_id, &batch);
+        for id in batch {
+            self.send_attempt(id, endpoint_id, actions);
+        }
+    }
+
+    /// The messages of a call: a trial call takes one only.
+    fn batch(&self, first: MessageId, endpoint_id: EndpointId, endpoint: &Endpoint) -> Vec<MessageId> {
+        let is_trial = self.routes[endpoint.route].health == RouteHealth::Ejected;
+        let most = if is_trial { 1 } else { endpoint.kind.max_batch };
+        let may_join = |id: &MessageId| {
+            let message = self.messages.get(id);
+            message.is_some_and(|m| self.may_be_sent(m) && is_endpoint_allowed(m, endpoint_id, endpoint))
+        };
+        let queue = self.destinations.get(&endpoint.destination).map(|destination| &destination.queue);
+        let others = queue.into_iter().flatten().map(|rank| rank.message).filter(|id| *id != first);
+        let joining = others.take(QUEUE_SCAN_MESSAGES.max(most)).filter(may_join);
+        std::iter::once(first).chain(joining).take(most).collect()
+    }
+
+    fn open_call(&mut self, endpoint_id: EndpointId, batch: &[MessageId]) {
+        let is_first_try = batch.iter().all(|id| self.messages.get(id).is_some_and(|m| m.is_first_try));
+        let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
+        endpoint.traffic_mut().open_call(self.now, &self.settings);
+        self.destinations.entry(endpoint.destination).or_default().in_flight += 1;
+        self.schedule.changed.push(endpoint.destination);
+        let call = Call {
+            endpoint: endpoint_id,
+            zone: endpoint.zone,
+            route: endpoint.route,
+            sent_at: self.now,
+            open_attempts: batch.len(),
+            is_first_try,
+            only_message: batch.first().copied().filter(|_| batch.len() == 1),
+            ..Call::default()
+        };
+        let route = &mut self.routes[call.route];
+        route.take_pace_tokens(1.0, self.now, &self.settings);
+        let traffic = route.traffic_mut();
+        traffic.in_flight += 1;
+        traffic.budget_use.record_call(batch.len(), self.now, &self.settings);
+        let overdue_at = self.now + traffic.latency.overdue_after();
+        self.last_number += 1;
+        self.schedule.call_timers.insert((overdue_at, self.last_number));
+        self.schedule.route_calls.insert((call.route, self.last_number));
+        self.schedule.route_users.hold(call.route);
+        self.calls.insert(self.last_number, call);
+        self.route_changed(call.route);
+    }
+
+    /// Sends a message with the call opened last. A message that must not be sent twice has a time-out too: a hanging call
+    /// would keep its slot from all others.
+    fn send_attempt(&mut self, id: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
+        self.unqueue(id);
+        let Some(route) = self.endpoints.get(&endpoint).map(|endpoint| endpoint.route) else { return };
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let route_timeout = self.routes[route].traffic().latency.timeout();
+        let timeout =
+            timeouts::attempt_timeout(route_timeout, self.now, message.deadline, self.settings.tick);
+        let attempt = Attempt { call: self.last_number, order_key: message.order_key };
+        self.attempts.insert(AttemptId { message: id, number: message.attempts }, attempt);
+        message.attempts += 1;
+        message.in_flight += 1;
+        actions.push(Action::Send { id, endpoint, timeout });
+    }
+}
+
+fn is_endpoint_allowed(message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
+    retry::is_endpoint_allowed(message.possible_delivery, message.class.idempotency, id, endpoint.zone)
+}
--- /dev/null
+++ b/crates/core/src/controller/indexing.rs
@@ -0,0 +1,99 @@
+//! Keeps the schedule's indexes up to date with what has changed or come due. It holds no rule.
+
+use super::Controller;
+use crate::endpoint::Destination;
+use crate::interface::{DestinationId, FaultyRouteId, Micros};
+use crate::outlier_detection::RouteHealth;
+use crate::route::RouteId;
+use crate::waiting_index::Wait;
+
+/// A route of a destination, as it is named outside.
+struct NamedRoute {
+    id: FaultyRouteId,
+    route: Option<RouteId>,
+}
+
+impl Controller {
+    /// A route has changed: the count of calls on faulty routes, and the destinations on it.
+    pub(super) fn route_changed(&mut self, id: RouteId) {
+        let route = &mut self.routes[id];
+        let calls = if route.is_faulty() { route.traffic().in_flight } else { 0 };
+        let counted = route.traffic().counted_faulty_calls;
+        if calls != counted {
+            self.schedule.faulty_calls = self.schedule.faulty_calls + calls - counted;
+            route.traffic_mut().counted_faulty_calls = calls;
+        }
+        self.schedule.changed.extend(self.schedule.route_users.destinations(id));
+    }
+
+    /// Brings the index of waiting destinations up to date with what has changed or come due.
+    pub(super) fn update_waiting_index(&mut self) {
+        self.schedule.changed.extend(self.schedule.waiting.pop_changed(self.now));
+        let mut changed = std::mem::take(&mut self.schedule.changed);
+        changed.sort_unstable();
+        changed.dedup();
+        for id in &changed {
+            let destination = self.destinations.get(id).filter(|d| !d.queue.is_empty());
+            let wait = destination.map(|destination| self.wait_of(destination));
+            self.schedule.work += u64::from(wait.is_some());
+            self.schedule.waiting.set(*id, wait);
+        }
+        self.schedule.unassessed.append(&mut changed);
+    }
+
+    /// What a destination with a queue waits for.
+    fn wait_of(&self, destination: &Destination) -> Wait {
+        let routes = || destination.endpoints.iter().map(|id| &self.routes[self.endpoints[id].route]);
+        let ready = self.first_sendable(destination, false);
+        let may_be_faulty = ready.is_some() && routes().any(|route| route.is_faulty());
+        let ready_healthy = if may_be_faulty { self.first_sendable(destination, true) } else { ready };
+        let budgeted = routes().filter(|route| route.call_budget(self.now, &self.settings).is_some());
+        Wait {
+            found_at: self.now,
+            ready,
+            ready_healthy,
+            changes_at: routes().filter_map(|route| route.changes_at(self.now, &self.settings)).min(),
+            draw_at: budgeted.map(|route| route.traffic().budget_use.next_draw_at()).min(),
+        }
+    }
+
+    /// Brings the set of faulty routes up to date with what has changed or come due.
+    pub(super) fn update_faulty_routes(&mut self) {
+        let due = std::iter::from_fn(|| self.schedule.warming.pop_due(self.now));
+        self.schedule.unassessed.extend(due);
+        let mut unassessed = std::mem::take(&mut self.schedule.unassessed);
+        unassessed.sort_unstable();
+        unassessed.dedup();
+        for id in unassessed {
+            let Some(destination) = self.destinations.get(&id) else { continue };
+            let routes = self.named_routes(id, destination);
+            let warm_at = routes.iter().filter_map(|route| self.update_faulty_route(route)).min();
+            self.schedule.work += 1;
+            self.schedule.warming.set(id, warm_at);
+        }
+    }
+
+    /// The separate routes of a destination's endpoints, and its shared one, which it may have without endpoints.
+    fn named_routes(&self, id: DestinationId, destination: &Destination) -> Vec<NamedRoute> {
+        let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
+        let separate = endpoints.map(|(endpoint_id, endpoint)| NamedRoute {
+            id: (id, Some(endpoint_id)),
+            route: Some(endpoint.route).filter(|_| endpoint.kind.separate_routes),
+        });
+        let shared = NamedRoute { id: (id, None), route: destination.shared_route };
+        separate.chain([shared]).collect()
+    }
+
+    /// Lists a route as faulty, or not; gives the time at which it has warmed up.
+    fn update_faulty_route(&mut self, named: &NamedRoute) -> Option<Micros> {
+        let route = named.route.map(|id| &self.routes[id]);
+        let faulty = route.filter(|route| route.needs_recovery(self.now, &self.settings));
+        let warm_at = match faulty.map(|route| route.health) {
+            Some(RouteHealth::WarmingUp(since)) => Some(since + self.settings.warm_up_time),
+            _ => None,
+        };
+        let is_faulty = faulty.is_some();
+        self.schedule.set_faulty(named.id, is_faulty);
+        warm_at
+    }
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,20 +1,48 @@
 //! The decisions of a forwarder of outbound messages, and the data that they rest on.
 //!
-//! [`control`] and [`interface`] hold the decisions alone: a forwarder feeds
-//! [`Controller::step`](control::Controller::step) with what has happened and carries out the
-//! [`Action`](interface::Action)s that come back: what to send, where and when, what to refuse, what to fail.
-//! Nothing here opens a connection, reads a clock or starts a thread.
+//! A forwarder feeds [`Controller::step`] with [`Event`](interface::Event)s and carries out the
+//! [`Action`](interface::Action)s that come back: what to send, where and when, what to reject, what to fail. Each rule
+//! has a module of its own, without I/O and without a clock:
+//!
+//! | module | decides |
+//! |---|---|
+//! | `admission` | which queued message is shed when capacity runs out, and the Retry-After of a rejection |
+//! | `queue` | the order of waiting messages |
+//! | `retry` | whether, where and when a message is attempted again, and whether it may be rejected |
+//! | `selection` | which endpoint a call goes to |
+//! | `concurrency_limit` | how many calls a route has in flight |
+//! | `pacing` | the rate of calls where one in flight is too many |
+//! | `capacity_share` | this forwarder's share of a route's capacity |
+//! | `outlier_detection` | when a route is ejected |
+//! | `slow_start` | how much an ejected or recovering route gets |
+//! | `timeouts` | when a call is overdue, timed out or cancelled |
+//! | `draining` | what still goes to an endpoint that leaves, and what is begun before a shutdown |
 
-pub mod control;
+mod admission;
+mod call;
+mod capacity_share;
+mod concurrency_limit;
+mod controller;
+mod draining;
+mod endpoint;
 pub mod endpoint_list;
 pub mod interface;
+mod message;
+mod outlier_detection;
+mod pacing;
 pub mod poll_schedule;
+mod queue;
+mod retry;
 pub mod rng;
+mod route;
 mod route_users;
+mod schedule;
+mod selection;
 pub mod settings;
-mod state;
+mod slow_start;
+mod timeouts;
 mod timer_queue;
 pub mod traffic;
-mod waiting;
+mod waiting_index;
 
-pub use control::Controller;
+pub use controller::Controller;
--- /dev/null
+++ b/crates/core/src/route.rs
@@ -0,0 +1,218 @@
+//! What the controller knows of a route, and how the rules combine on it: whether and when it takes a call.
+//!
+//! A route is a destination, or one endpoint of it where the endpoints are separate routes. It takes a call when its
+//! Retry-After, its backoff, its pace and its slow-start budget allow, and its window has room.
+
+use crate::capacity_share::{self, KnownCapacity};
+use crate::concurrency_limit::ConcurrencyWindow;
+use crate::interface::{Micros, Settings};
+use crate::outlier_detection::{FailureHistory, RouteHealth};
+use crate::pacing::{self, Pace};
+use crate::retry::RetryBackoff;
+use crate::slow_start::{self, BudgetUse};
+use crate::timeouts::LatencyEstimate;
+use crate::traffic::{RateEstimator, TokenBucket};
+
+/// Place in the table of routes.
+pub(crate) type RouteId = usize;
+
+/// Events with which the estimate of the served rate starts, so that every forwarder may try.
+const INITIAL_SERVED_CALLS: f64 = 1.0;
+
+/// One route.
+#[derive(Debug, Default)]
+pub(crate) struct Route {
+    /// Capacity that the endpoint list hints at.
+    pub capacity_hint: f64,
+    /// End of the Retry-After that its answers set.
+    pub retry_after_until: Micros,
+    pub health: RouteHealth,
+    /// No endpoint of it passes its health checks.
+    pub is_critical: bool,
+    /// Calls that may go now, where the route is paced.
+    pub pace_bucket: TokenBucket,
+    /// Calls that succeeded.
+    pub served: RateEstimator,
+    /// Allocated with the first call: most routes of a long list have none.
+    traffic: Option<Box<RouteTraffic>>,
+}
+
+/// What the calls to a route have shown.
+#[derive(Debug)]
+pub(crate) struct RouteTraffic {
+    pub window: ConcurrencyWindow,
+    pub pace: Pace,
+    pub latency: LatencyEstimate,
+    pub failures: FailureHistory,
+    pub backoff: RetryBackoff,
+    pub budget_use: BudgetUse,
+    /// Capacity that its answers report, in calls a second; 0 where none is.
+    pub reported_limit: f64,
+    /// Calls in flight.
+    pub in_flight: usize,
+    /// Calls in flight that are overdue.
+    pub overdue: usize,
+    /// Calls in flight that were presumed lost when the route recovered.
+    pub presumed_lost: usize,
+    /// Its part of the count of calls on faulty routes.
+    pub counted_faulty_calls: usize,
+}
+
+/// The traffic of a route that has had none.
+static NO_TRAFFIC: RouteTraffic = RouteTraffic::initial();
+
+impl RouteTraffic {
+    const fn initial() -> Self {
+        RouteTraffic {
+            window: ConcurrencyWindow::initial(),
+            pace: Pace::initial(),
+            latency: LatencyEstimate::initial(),
+            failures: FailureHistory::initial(),
+            backoff: RetryBackoff::initial(),
+            budget_use: BudgetUse::initial(),
+            reported_limit: 0.0,
+            in_flight: 0,
+            overdue: 0,
+            presumed_lost: 0,
+            counted_faulty_calls: 0,
+        }
+    }
+
+    /// Whether all calls in flight are overdue, or all were presumed lost.
+    pub fn is_idle(&self) -> bool {
+        self.in_flight <= self.overdue.max(self.presumed_lost)
+    }
+}
+
+impl Route {
+    /// A route without traffic.
+    pub fn new(now: Micros, pace_bucket: TokenBucket) -> Self {
+        let served = RateEstimator::starting(INITIAL_SERVED_CALLS, now);
+        Route { pace_bucket, served, ..Route::default() }
+    }
+
+    /// What its calls have shown so far.
+    pub fn traffic(&self) -> &RouteTraffic {
+        self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
+    }
+
+    /// The same, to be changed.
+    pub fn traffic_mut(&mut self) -> &mut RouteTraffic {
+        self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()))
+    }
+
+    /// Failing or slow: ejected, failing repeatedly, or with a call overdue.
+    pub fn is_faulty(&self) -> bool {
+        let traffic = self.traffic();
+        self.health == RouteHealth::Ejected || traffic.failures.is_failing_repeatedly() || traffic.overdue > 0
+    }
+
+    /// Whether a later process has to know of its state: ejected, failing with errors, or warming up.
+    pub fn needs_recovery(&self, now: Micros, settings: &Settings) -> bool {
+        let failures = &self.traffic().failures;
+        match self.health {
+            RouteHealth::Ejected => true,
+            RouteHealth::WarmingUp(since) => now - since < settings.warm_up_time,
+            RouteHealth::Healthy => failures.has_errors && failures.is_failing_repeatedly(),
+        }
+    }
+
+    /// Its capacity divided evenly among the fleet, in calls a second; none where nothing is told of it.
+    pub fn even_share(&self, settings: &Settings) -> Option<f64> {
+        let reported_limit = self.traffic().reported_limit;
+        KnownCapacity { hint: self.capacity_hint, reported_limit }.even_share(settings)
+    }
+
+    /// This forwarder's share of its capacity, in calls a second; failures do not lower it.
+    pub fn own_share(&self, now: Micros, settings: &Settings) -> f64 {
+        let served_until = self.traffic().failures.first_failure_at().unwrap_or(now);
+        capacity_share::own_share(self.served.rate(served_until), self.even_share(settings))
+    }
+
+    /// Calls a second where it has to be paced.
+    pub fn paced_rate(&self, settings: &Settings) -> Option<f64> {
+        let traffic = self.traffic();
+        let even_share = self.even_share(settings)?;
+        let is_paced = pacing::is_needed(even_share, traffic.latency.mean_us(), settings);
+        is_paced.then(|| traffic.pace.rate(even_share))
+    }
+
+    /// Takes tokens for calls, where it is paced.
+    pub fn take_pace_tokens(&mut self, calls: f64, now: Micros, settings: &Settings) {
+        let Some(rate) = self.paced_rate(settings) else { return };
+        let traffic = self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()));
+        traffic.pace.take_tokens(&mut self.pace_bucket, now, rate, calls, settings);
+    }
+
+    /// Ejects it once its failures mean an outage.
+    pub fn update_outage_state(&mut self, now: Micros, settings: &Settings) {
+        let is_paced = self.paced_rate(settings).is_some();
+        if self.traffic().failures.is_outage(now, is_paced) {
+            self.health = RouteHealth::Ejected;
+        }
+    }
+
+    /// Its present capacity as a share of the full one, while slow start bounds it.
+    pub fn present_capacity(&self, now: Micros, settings: &Settings) -> Option<f64> {
+        let is_failing = self.traffic().failures.span.is_some();
+        slow_start::present_capacity(self.health, is_failing, now, settings)
+    }
+
+    /// Calls in any span of `overload_window`, while slow start bounds them.
+    pub fn call_budget(&self, now: Micros, settings: &Settings) -> Option<f64> {
+        let present_capacity = self.present_capacity(now, settings)?;
+        Some(slow_start::call_budget(present_capacity, self.own_share(now, settings), settings))
+    }
+
+    /// When Retry-After, backoff, pace and budget allow the next call (its window may still be full).
+    pub fn opens_at(&self, now: Micros, settings: &Settings) -> Micros {
+        let traffic = self.traffic();
+        let budget = self.call_budget(now, settings);
+        let budget_at = budget.map_or(now, |calls| traffic.budget_use.opens_at(calls, now, settings));
+        let rate = self.paced_rate(settings);
+        let paced_at = rate.map_or(now, |rate| self.pace_bucket.opens_at(now, rate));
+        self.retry_after_until.max(traffic.backoff.until()).max(budget_at).max(paced_at).max(now)
+    }
+
+    /// Not later than the moment from which [`Self::opens_at`] differs by time alone; none where it stays.
+    pub fn changes_at(&self, now: Micros, settings: &Settings) -> Option<Micros> {
+        let traffic = self.traffic();
+        let rate = self.paced_rate(settings);
+        let paced_at = rate.map_or(now, |rate| self.pace_bucket.opens_after(now, rate));
+        let fixed_at = self.retry_after_until.max(traffic.backoff.until()).max(paced_at);
+        let fixed_change = Some(fixed_at).filter(|at| *at > now);
+        let Some(budget) = self.call_budget(now, settings) else { return fixed_change };
+        let budget_change = self.budget_changes_at(budget, now, settings);
+        if traffic.budget_use.opens_at(budget, now, settings) > now {
+            budget_change.map(|at| at.max(fixed_at))
+        } else {
+            fixed_change.or(budget_change)
+        }
+    }
+
+    fn budget_changes_at(&self, budget: f64, now: Micros, settings: &Settings) -> Option<Micros> {
+        let traffic = self.traffic();
+        let is_failing = traffic.failures.span.is_some();
+        let grows_at = match self.health {
+            RouteHealth::WarmingUp(since) if is_failing => Some(since + settings.warm_up_time),
+            RouteHealth::WarmingUp(since) => {
+                let share = self.own_share(now, settings);
+                Some(since + slow_start::ramp_time_to_next_call(budget, share, settings))
+            }
+            RouteHealth::Healthy | RouteHealth::Ejected => None,
+        };
+        traffic.budget_use.changes_at(budget, !is_failing, grows_at, now, settings)
+    }
+
+    /// Whether it takes a call now: it is open and its window has room, or it is ejected and no trial call is in flight.
+    pub fn takes_call(&self, now: Micros, settings: &Settings) -> bool {
+        if self.opens_at(now, settings) > now {
+            return false;
+        }
+        let traffic = self.traffic();
+        if self.health == RouteHealth::Ejected {
+            return traffic.in_flight <= traffic.overdue;
+        }
+        traffic.window.has_room(traffic.in_flight - traffic.presumed_lost)
+    }
+}
--- a/crates/core/src/route_users.rs
+++ b/crates/core/src/route_users.rs
@@ -1,7 +1,7 @@
 //! Who uses each route, and the free list of those that nobody uses.
 
 use crate::interface::DestinationId;
-use crate::state::RouteId;
+use crate::route::RouteId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Users of the routes: endpoints, destinations that keep one for their endpoints to come, and calls out. A route
--- /dev/null
+++ b/crates/core/src/timeouts.rs
@@ -0,0 +1,133 @@
+//! Decides when a call counts as overdue, when it times out, and whether a stalled call is cancelled early.
+//!
+//! Inputs are the latencies of answered calls, in microseconds. The estimate is that of TCP's retransmission timer
+//! (RFC 6298): a smoothed mean and mean deviation. A call is overdue well before it times out, so that a hanging
+//! destination is noticed early while a slow answer is still accepted.
+
+use crate::interface::Micros;
+
+/// Latency assumed before the first answer.
+const INITIAL_LATENCY_US: f64 = 600_000.0;
+/// Gain of the mean (RFC 6298, alpha).
+const MEAN_GAIN: f64 = 0.125;
+/// Gain of the mean deviation (RFC 6298, beta).
+const DEVIATION_GAIN: f64 = 0.25;
+/// Mean deviations beyond the mean after which a call is overdue (RFC 6298, K).
+const OVERDUE_DEVIATIONS: f64 = 4.0;
+/// A short pause of a busy destination does not make its calls overdue.
+const MIN_OVERDUE_US: Micros = 600_000;
+/// Time between two checks of a call that is overdue.
+pub(crate) const OVERDUE_RECHECK_US: Micros = MIN_OVERDUE_US / 2;
+/// Below this a pause would look like a hang.
+const MIN_TIMEOUT_US: Micros = 1_500_000;
+/// Above this a hanging call would hold its slot for too long.
+const MAX_TIMEOUT_US: Micros = 6_000_000;
+/// Time-out as a multiple of the overdue time, before the backoff.
+const TIMEOUT_PER_OVERDUE: f64 = 2.0;
+/// The time-out doubles with each consecutive time-out, up to so many times.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
+/// The forwarder itself may be descheduled for so long; everything with a deadline ends this much sooner.
+pub(crate) const SCHEDULING_MARGIN_US: Micros = 50_000;
+/// Stalled calls are cancelled while fewer than this share of them turn out to be slow messages.
+const MAX_SLOW_SHARE: f64 = 0.3;
+/// Gain of that share; one slow message alone stops the cancelling until a stall proves to be a dead connection.
+const SLOW_SHARE_GAIN: f64 = 0.4;
+
+/// Smoothed latency of a route.
+#[derive(Debug)]
+pub(crate) struct LatencyEstimate {
+    mean_us: f64,
+    deviation_us: f64,
+    consecutive_timeouts: u32,
+}
+
+impl LatencyEstimate {
+    /// The estimate before any answer.
+    pub const fn initial() -> Self {
+        LatencyEstimate {
+            mean_us: INITIAL_LATENCY_US,
+            deviation_us: INITIAL_LATENCY_US / 2.0,
+            consecutive_timeouts: 0,
+        }
+    }
+
+    /// Smoothed latency, in microseconds.
+    pub fn mean_us(&self) -> f64 {
+        self.mean_us
+    }
+
+    /// Takes in the latency of an answered call; `is_first` replaces the initial assumption.
+    pub fn observe(&mut self, latency: Micros, is_first: bool) {
+        let latency_us = latency as f64;
+        if is_first {
+            self.mean_us = latency_us;
+            self.deviation_us = latency_us / 2.0;
+        }
+        self.deviation_us += DEVIATION_GAIN * ((latency_us - self.mean_us).abs() - self.deviation_us);
+        self.mean_us += MEAN_GAIN * (latency_us - self.mean_us);
+    }
+
+    /// Counts a time-out, which lengthens the next.
+    pub fn record_timeout(&mut self) {
+        self.consecutive_timeouts += 1;
+    }
+
+    /// Ends the backoff of the time-out.
+    pub fn reset_timeouts(&mut self) {
+        self.consecutive_timeouts = 0;
+    }
+
+    /// Time from send after which a call is overdue.
+    pub fn overdue_after(&self) -> Micros {
+        let usual_us = self.mean_us + OVERDUE_DEVIATIONS * self.deviation_us;
+        (usual_us as Micros).max(MIN_OVERDUE_US)
+    }
+
+    /// Time from send after which a call fails.
+    pub fn timeout(&self) -> Micros {
+        let doublings = self.consecutive_timeouts.min(MAX_TIMEOUT_DOUBLINGS);
+        let timeout_us = TIMEOUT_PER_OVERDUE * self.overdue_after() as f64 * f64::from(1 << doublings);
+        (timeout_us as Micros).clamp(MIN_TIMEOUT_US, MAX_TIMEOUT_US)
+    }
+}
+
+/// The time-out of one attempt: the route's, or less where the message's deadline comes first.
+pub(crate) fn attempt_timeout(
+    route_timeout: Micros,
+    now: Micros,
+    deadline: Micros,
+    step_interval: Micros,
+) -> Micros {
+    let time_left = (deadline - now - step_interval - SCHEDULING_MARGIN_US).max(1);
+    route_timeout.min(time_left)
+}
+
+/// The last moment at which the final answer of a message can be given in time: two steps before its deadline.
+pub(crate) fn answer_by(deadline: Micros, step_interval: Micros) -> Micros {
+    deadline.saturating_sub(2 * step_interval + SCHEDULING_MARGIN_US)
+}
+
+/// Whether an overdue call is stalled alone: its endpoint has answered a call sent in the later half of its time, so
+/// its connection is dead or its message takes long.
+pub(crate) fn is_stalled(sent_at: Micros, now: Micros, latest_answered_sent_at: Micros) -> bool {
+    let halfway = sent_at + (now - sent_at) / 2;
+    latest_answered_sent_at > halfway
+}
+
+/// What stalled calls have turned out to be: slow messages, or dead connections.
+#[derive(Debug, Default)]
+pub(crate) struct StallHistory {
+    slow_share: f64,
+}
+
+impl StallHistory {
+    /// Takes in how a stalled call ended.
+    pub fn record(&mut self, was_slow_message: bool) {
+        self.slow_share += SLOW_SHARE_GAIN * (f64::from(was_slow_message) - self.slow_share);
+    }
+
+    /// Whether cancelling a stalled call is likely to help.
+    pub fn favours_cancel(&self) -> bool {
+        self.slow_share < MAX_SLOW_SHARE
+    }
+}
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting_index.rs
@@ -2,7 +2,7 @@
 //! those that open later.
 
 use crate::interface::{DestinationId, Micros};
-use crate::state::Rank;
+use crate::queue::QueueRank;
 use crate::timer_queue::TimerQueue;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,21 +12,30 @@
     /// When this was found: a ready destination may have closed since.
     pub found_at: Micros,
     /// The first message that can go now, on any route.
-    pub ready: Option<Rank>,
-    /// The first message that can go on a route that is not sick.
-    pub ready_healthy: Option<Rank>,
+    pub ready: Option<QueueRank>,
+    /// The first message that can go on a route that is not faulty.
+    pub ready_healthy: Option<QueueRank>,
     /// Not later than the moment at which one of its routes opens or closes by time alone.
     pub changes_at: Option<Micros>,
     /// The next draw of one of its routes.
     pub draw_at: Option<Micros>,
 }
 
+/// A message that can go.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReadyMessage {
+    pub rank: QueueRank,
+    pub destination: DestinationId,
+    /// When this was found.
+    pub found_at: Micros,
+}
+
 /// Index of the destinations with a queue.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingIndex {
     waits: BTreeMap<DestinationId, Wait>,
-    ready: BTreeSet<(Rank, DestinationId)>,
-    ready_healthy: BTreeSet<(Rank, DestinationId)>,
+    ready: BTreeSet<(QueueRank, DestinationId)>,
+    ready_healthy: BTreeSet<(QueueRank, DestinationId)>,
     changes: TimerQueue<DestinationId>,
     draws: TimerQueue<DestinationId>,
     lengths: BTreeSet<(usize, DestinationId)>,
@@ -39,7 +48,8 @@
             Some(wait) => self.waits.insert(id, wait),
             None => self.waits.remove(&id),
         };
-        let (before, wait) = (before.unwrap_or_default(), wait.unwrap_or_default());
+        let before = before.unwrap_or_default();
+        let wait = wait.unwrap_or_default();
         replace(&mut self.ready, id, before.ready, wait.ready);
         replace(&mut self.ready_healthy, id, before.ready_healthy, wait.ready_healthy);
         self.changes.set(id, wait.changes_at);
@@ -56,11 +66,11 @@
         self.lengths.last().map(|(_, id)| *id)
     }
 
-    /// The first message that can go, its destination, and when that was found.
-    pub fn first_ready(&self, healthy_only: bool) -> Option<(Rank, DestinationId, Micros)> {
+    /// The first message that can go.
+    pub fn first_ready(&self, healthy_only: bool) -> Option<ReadyMessage> {
         let ready = if healthy_only { &self.ready_healthy } else { &self.ready };
-        let &(rank, id) = ready.first()?;
-        Some((rank, id, self.waits[&id].found_at))
+        let &(rank, destination) = ready.first()?;
+        Some(ReadyMessage { rank, destination, found_at: self.waits[&destination].found_at })
     }
 
     /// Takes out the destinations whose routes may have opened or closed by now.
