--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -36,3 +36,6 @@
     let queue_time = (backlog.queued as f64 * backlog.time_per_message_us) as Micros;
     backlog.opens_in.saturating_add(queue_time).clamp(0, most)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/capacity_share.rs
+++ b/crates/core/src/capacity_share.rs
@@ -34,3 +34,6 @@
 pub(crate) fn own_share(served_rate: f64, even_share: Option<f64>) -> f64 {
     even_share.map_or(served_rate, |even| (served_rate + even) / 2.0)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/concurrency_limit.rs
+++ b/crates/core/src/concurrency_limit.rs
@@ -71,3 +71,6 @@
 fn slots(max_calls: usize, share: f64) -> usize {
     ((max_calls as f64 * share) as usize).max(1)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/draining.rs
+++ b/crates/core/src/draining.rs
@@ -29,3 +29,6 @@
 pub(crate) fn removal(retry_after_until: Micros, now: Micros) -> Removal {
     if retry_after_until > now { Removal::KeepUntil(retry_after_until) } else { Removal::Forget }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -177,3 +177,6 @@
         route_is_critical: !route_has_passing && (is_critical || route_was_critical),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/pacing.rs
+++ b/crates/core/src/pacing.rs
@@ -71,3 +71,6 @@
         self.multiple = (self.multiple * MULTIPLE_DECREASE).max(MIN_MULTIPLE);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -141,3 +141,6 @@
         self.waiting.is_empty() && self.orphaned_attempts == 0 && now >= self.cooldown_until
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -200,3 +200,6 @@
 pub(crate) fn retry_after_until(now: Micros, retry_after: Micros) -> Micros {
     now + retry_after.clamp(0, MAX_REPORTED_US)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/retry/tests.rs
@@ -0,0 +1,160 @@
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+const KEYED: [DeduplicationScope; 3] =
+    [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Endpoint];
+
+fn keyed(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::IdempotencyKey { scope, window: 10 * SECOND }
+}
+
+fn delivery(zone: usize) -> Option<PossibleDelivery> {
+    Some(PossibleDelivery { sent_at: SECOND, endpoint: 7, zone })
+}
+
+#[test]
+fn only_outcomes_that_cannot_have_run_leave_no_possible_delivery() {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
+        assert!(!may_have_been_executed(outcome), "{outcome:?}");
+    }
+    for outcome in
+        [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::InvalidResponse, Outcome::Cancelled]
+    {
+        assert!(may_have_been_executed(outcome), "{outcome:?}");
+    }
+}
+
+#[test]
+fn answered_error_is_not_running_any_more() {
+    assert!(!may_still_run(Outcome::Error));
+    assert!(may_still_run(Outcome::Timeout));
+    assert!(!may_still_run(Outcome::Rejected));
+}
+
+#[test]
+fn message_that_cannot_have_run_may_be_sent_at_any_time() {
+    assert_eq!(resendable_until(None, Idempotency::NonIdempotent), Micros::MAX);
+    assert_eq!(resendable_until(delivery(0), Idempotency::Idempotent), Micros::MAX);
+}
+
+#[test]
+fn possible_delivery_ends_resending_with_the_key_window() {
+    assert_eq!(resendable_until(delivery(0), keyed(KEYED[0])), 11 * SECOND - 50_000);
+    assert_eq!(resendable_until(delivery(0), Idempotency::NonIdempotent), Micros::MIN);
+}
+
+#[test]
+fn attempts_end_at_their_limit() {
+    assert!(has_attempts_left(2, 3) && !has_attempts_left(3, 3));
+    assert!(has_attempts_left(1_000, 0), "0 is no limit");
+}
+
+#[test]
+fn rejection_needs_a_harmless_repeat() {
+    assert!(may_be_rejected(Idempotency::Idempotent, delivery(0), 1));
+    assert!(may_be_rejected(keyed(DeduplicationScope::All), delivery(0), 1));
+    for idempotency in [Idempotency::NonIdempotent, keyed(KEYED[1]), keyed(KEYED[2])] {
+        assert!(may_be_rejected(idempotency, None, 0), "{idempotency:?}");
+        assert!(!may_be_rejected(idempotency, None, 1), "{idempotency:?}: an attempt is in flight");
+        assert!(!may_be_rejected(idempotency, delivery(0), 0), "{idempotency:?}: it may have run");
+    }
+}
+
+#[test]
+fn possible_delivery_binds_message_to_its_deduplication_scope() {
+    let allowed = |scope, endpoint, zone| is_endpoint_allowed(delivery(1), keyed(scope), endpoint, zone);
+    assert!(allowed(DeduplicationScope::All, 8, 2));
+    assert!(allowed(DeduplicationScope::Zone, 8, 1) && !allowed(DeduplicationScope::Zone, 8, 2));
+    assert!(allowed(DeduplicationScope::Endpoint, 7, 1) && !allowed(DeduplicationScope::Endpoint, 8, 1));
+    assert!(is_endpoint_allowed(None, keyed(DeduplicationScope::Endpoint), 8, 2));
+}
+
+#[test]
+fn unknown_zone_is_the_endpoint_alone() {
+    let allowed =
+        |endpoint| is_endpoint_allowed(delivery(UNKNOWN_ZONE), keyed(KEYED[1]), endpoint, UNKNOWN_ZONE);
+    assert!(allowed(7) && !allowed(8));
+}
+
+#[test]
+fn stalled_call_is_replaced_once_and_only_if_it_may_run_twice() {
+    let class = |idempotency| Class { idempotency, ..Class::default() };
+    let idempotent = class(Idempotency::Idempotent);
+    assert!(may_replace_first_attempt(&idempotent, 1, 0));
+    assert!(!may_replace_first_attempt(&idempotent, 2, 0));
+    assert!(!may_replace_first_attempt(&idempotent, 1, 1));
+    assert!(!may_replace_first_attempt(&class(Idempotency::NonIdempotent), 1, 0));
+}
+
+fn settings() -> Settings {
+    let class = Class { deadline: 16 * SECOND, ..Class::default() };
+    Settings {
+        classes: vec![class],
+        overload_factor: 2.0,
+        cold_capacity_share: 0.25,
+        fleet_size: 17,
+        ..Settings::default()
+    }
+}
+
+#[test]
+fn span_keeps_to_the_budget_of_a_cold_route() {
+    let paced = SpanBounds::new(1.0, true, &settings());
+    assert_eq!(paced.least_us, 1_250_000.0);
+    assert_eq!(paced.most_us, 5_000_000.0);
+    let unpaced = SpanBounds::new(1.0, false, &settings());
+    assert_eq!(unpaced.most_us, 32_000_000.0, "two message lifetimes");
+    assert_eq!(SpanBounds::new(0.0, false, &settings()).least_us, 16_000_000.0);
+}
+
+#[test]
+fn backoff_below_one_call_is_drawn_from_a_span_that_doubles() {
+    let bounds = SpanBounds { least_us: 1e6, most_us: 4e6 };
+    let mut rng = SeededRng::new(3);
+    let mut backoff = RetryBackoff::initial();
+    for most in [1, 2, 4, 4] {
+        let mut expected = rng.clone();
+        backoff.back_off_below_one_call(0, bounds, &mut rng);
+        assert_eq!(backoff.until(), (expected.uniform() * most as f64 * 1e6) as Micros);
+    }
+    backoff.reset();
+    assert_eq!(backoff.until(), 0);
+}
+
+#[test]
+fn exponential_backoff_doubles_with_jitter_up_to_its_maximum() {
+    let mut rng = SeededRng::new(3);
+    for (failures, usual) in [(0, 150_000), (1, 150_000), (2, 300_000), (4, 1_200_000), (40, 2_000_000)] {
+        let mut backoff = RetryBackoff::initial();
+        backoff.back_off(SECOND, failures, 0, 1, &mut rng);
+        let pause = backoff.until() - SECOND;
+        assert!((usual * 3 / 4..=usual * 5 / 4).contains(&pause), "{failures} failures: {pause}");
+    }
+}
+
+#[test]
+fn retry_after_extends_backoff_and_spreads_a_fleet() {
+    let mut rng = SeededRng::new(3);
+    let mut backoff = RetryBackoff::initial();
+    backoff.back_off(0, 1, 5 * SECOND, 1, &mut rng);
+    assert_eq!(backoff.until(), 5 * SECOND, "one forwarder needs no spread");
+    for _ in 0..100 {
+        backoff.back_off(0, 1, 5 * SECOND, 17, &mut rng);
+        assert!((5 * SECOND..5 * SECOND + 75_000).contains(&backoff.until()), "half of the backoff at most");
+    }
+}
+
+#[test]
+fn reported_retry_after_is_bounded() {
+    assert_eq!(retry_after_until(SECOND, -1), SECOND);
+    assert_eq!(retry_after_until(SECOND, Micros::MAX), SECOND + MAX_REPORTED_US);
+}
+
+#[test]
+fn endpoint_avoidance_doubles_four_times() {
+    let mut rng = SeededRng::new(3);
+    for (errors, seconds) in [(1, 2), (4, 16), (40, 16)] {
+        let time = avoidance_time(errors, &mut rng);
+        assert!((seconds * 750_000..=seconds * 1_250_000).contains(&time), "{errors} errors: {time}");
+    }
+}
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -78,3 +78,6 @@
     let variate = -uniform.max(MIN_UNIFORM).ln() / capacity_hint.max(MIN_CAPACITY_HINT);
     spread * variate.max(MIN_UNIFORM).ln()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -125,3 +125,6 @@
     let most = settings.warm_up_time as f64;
     (ramp_part * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/slow_start/tests.rs
@@ -0,0 +1,109 @@
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+
+fn settings() -> Settings {
+    Settings {
+        overload_factor: 2.0,
+        overload_window: 2 * SECOND,
+        cold_capacity_share: 0.25,
+        warm_up_time: 10 * SECOND,
+        ..Settings::default()
+    }
+}
+
+#[test]
+fn healthy_route_has_no_budget() {
+    assert_eq!(present_capacity(RouteHealth::Healthy, true, 0, &settings()), None);
+}
+
+#[test]
+fn ejected_route_counts_as_cold() {
+    assert_eq!(present_capacity(RouteHealth::Ejected, true, 9 * SECOND, &settings()), Some(0.25));
+}
+
+#[test]
+fn capacity_rises_evenly_over_the_warm_up_time() {
+    let health = RouteHealth::WarmingUp(SECOND);
+    let at = |now| present_capacity(health, false, now, &settings());
+    assert_eq!(at(SECOND), Some(0.25));
+    assert_eq!(at(6 * SECOND), Some(0.625));
+    assert_eq!(at(11 * SECOND), None);
+}
+
+#[test]
+fn failure_returns_ramp_to_its_start() {
+    let health = RouteHealth::WarmingUp(SECOND);
+    assert_eq!(present_capacity(health, true, 6 * SECOND, &settings()), Some(0.25));
+}
+
+#[test]
+fn budget_is_most_of_what_the_share_bears_in_a_window() {
+    let budget = call_budget(0.5, 10.0, &settings());
+    assert!((budget - 0.8 * 2.0 * 0.5 * 10.0 * 2.0).abs() < 1e-9, "{budget}");
+}
+
+#[test]
+fn budget_of_whole_calls_opens_when_the_oldest_leaves_the_window() {
+    let set = settings();
+    let mut budget_use = BudgetUse::initial();
+    budget_use.record_call(1, SECOND, &set);
+    assert_eq!(budget_use.opens_at(2.5, SECOND, &set), SECOND);
+    budget_use.record_call(1, 2 * SECOND, &set);
+    assert_eq!(budget_use.opens_at(2.5, 2 * SECOND, &set), 3 * SECOND);
+    assert_eq!(budget_use.opens_at(1.0, 2 * SECOND, &set), 4 * SECOND);
+}
+
+#[test]
+fn large_batch_counts_as_several_calls() {
+    let set = settings();
+    let mut budget_use = BudgetUse::initial();
+    budget_use.record_call(10, SECOND, &set);
+    assert_eq!(budget_use.opens_at(3.0, SECOND, &set), 3 * SECOND);
+    assert_eq!(budget_use.next_draw_at(), 4 * SECOND);
+}
+
+#[test]
+fn budget_below_one_call_opens_by_a_won_draw_for_one_step() {
+    let set = settings();
+    let mut rng = SeededRng::new(1);
+    let mut budget_use = BudgetUse::initial();
+    let mut won = 0;
+    for step in 1..=1_000 {
+        let now = step * SECOND;
+        budget_use.draw(0.5, now, &set, &mut rng);
+        assert_eq!(budget_use.next_draw_at(), now + SECOND, "two draws in a window of two seconds");
+        let opens_at = budget_use.opens_at(0.5, now, &set);
+        assert!(opens_at == now || opens_at == now + SECOND);
+        won += u32::from(opens_at == now);
+        assert!(budget_use.opens_at(0.5, now + 1, &set) > now + 1, "a draw is not saved up");
+    }
+    assert!((200..300).contains(&won), "a quarter of the draws wins: {won}");
+}
+
+#[test]
+fn changes_are_foreseen_not_later_than_they_come() {
+    let set = settings();
+    let mut budget_use = BudgetUse::initial();
+    budget_use.record_call(1, SECOND, &set);
+    let at = |budget, varies, grows_at| budget_use.changes_at(budget, varies, grows_at, SECOND, &set);
+    assert_eq!(at(1.0, false, None), Some(3 * SECOND), "the call leaves the window");
+    assert_eq!(at(0.5, false, None), Some(2 * SECOND), "the next draw");
+    assert_eq!(at(1.0, true, None), Some(2 * SECOND), "the budget may fall below one call");
+    assert_eq!(at(1.0, false, Some(0)), Some(SECOND + 1), "never at once");
+}
+
+#[test]
+fn ramp_reaches_the_next_whole_call_in_time() {
+    let set = settings();
+    let share = 10.0;
+    let budget_at = |now| {
+        let capacity = present_capacity(RouteHealth::WarmingUp(0), false, now, &set).expect("still warming");
+        call_budget(capacity, share, &set)
+    };
+    let budget = budget_at(0);
+    let wait = ramp_time_to_next_call(budget, share, &set);
+    assert!(budget_at(wait) < budget.floor() + 1.0, "not later than the next call");
+    assert!(budget_at(wait + 10) >= budget.floor() + 1.0, "nor much sooner");
+    assert_eq!(ramp_time_to_next_call(0.0, 0.0, &set), set.warm_up_time, "nothing grows");
+}
--- a/crates/core/src/timeouts.rs
+++ b/crates/core/src/timeouts.rs
@@ -131,3 +131,6 @@
         self.slow_share < MAX_SLOW_SHARE
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/timeouts/tests.rs
@@ -0,0 +1,70 @@
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+
+#[test]
+fn first_latency_replaces_initial_assumption() {
+    let mut estimate = LatencyEstimate::initial();
+    assert_eq!(estimate.mean_us(), 600_000.0);
+    estimate.observe(200_000, true);
+    assert_eq!(estimate.mean_us(), 200_000.0);
+    // The deviation starts at half of the latency, and decays by a quarter with an answer that fits.
+    assert_eq!(estimate.overdue_after(), 200_000 + 4 * 75_000 + 100_000);
+}
+
+#[test]
+fn steady_latency_lowers_overdue_time_to_its_minimum() {
+    let mut estimate = LatencyEstimate::initial();
+    (0..100).for_each(|number| estimate.observe(100_000, number == 0));
+    assert_eq!(estimate.overdue_after(), 600_000);
+    assert_eq!(estimate.timeout(), 1_500_000);
+}
+
+#[test]
+fn consecutive_timeouts_double_timeout_twice_at_most() {
+    let mut estimate = LatencyEstimate::initial();
+    (0..100).for_each(|number| estimate.observe(100_000, number == 0));
+    let mut timeouts = Vec::new();
+    for _ in 0..4 {
+        estimate.record_timeout();
+        timeouts.push(estimate.timeout());
+    }
+    assert_eq!(timeouts, [2_400_000, 4_800_000, 4_800_000, 4_800_000]);
+    estimate.reset_timeouts();
+    assert_eq!(estimate.timeout(), 1_500_000);
+}
+
+#[test]
+fn slow_route_times_out_at_the_maximum() {
+    let mut estimate = LatencyEstimate::initial();
+    estimate.observe(60 * SECOND, true);
+    assert_eq!(estimate.timeout(), 6 * SECOND);
+}
+
+#[test]
+fn deadline_cuts_attempt_timeout() {
+    assert_eq!(attempt_timeout(6 * SECOND, 0, 60 * SECOND, 1_000), 6 * SECOND);
+    assert_eq!(attempt_timeout(6 * SECOND, 0, SECOND, 1_000), SECOND - 51_000);
+    assert_eq!(attempt_timeout(6 * SECOND, SECOND, SECOND, 1_000), 1);
+}
+
+#[test]
+fn final_answer_is_due_two_steps_and_a_margin_before_deadline() {
+    assert_eq!(answer_by(SECOND, 1_000), SECOND - 52_000);
+}
+
+#[test]
+fn call_is_stalled_once_endpoint_answers_one_of_its_later_half() {
+    assert!(is_stalled(SECOND, 3 * SECOND, 2 * SECOND + 1));
+    assert!(!is_stalled(SECOND, 3 * SECOND, 2 * SECOND));
+}
+
+#[test]
+fn one_slow_message_stops_cancelling_until_a_dead_connection() {
+    let mut stalls = StallHistory::default();
+    assert!(stalls.favours_cancel());
+    stalls.record(true);
+    assert!(!stalls.favours_cancel());
+    stalls.record(false);
+    assert!(stalls.favours_cancel());
+}
