--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,11 +1,11 @@
 //! Periodic duties shared among forwarders, one owner each, over the sessions and locks of a store such as Consul's.
 //!
 //! These modules have no I/O and no clock: [`placement`] says who should have which duty, by the hashing of [`rendezvous`],
-//! [`lease`] who has it and until when, and [`fence`] which of two owners' results counts. [`keeper`] carries that out on Consul. `docs/leases.md` has the protocol and what it rests on.
+//! [`state_machine`] who has it and until when, and [`fencing`] which of two owners' results counts. [`manager`] carries that out on Consul. `docs/leases.md` has the protocol and what it rests on.
 
-pub mod fence;
-pub mod keeper;
-pub mod lease;
+pub mod fencing;
+pub mod manager;
+pub mod state_machine;
 pub mod placement;
 pub mod rendezvous;
 
--- a/crates/leases/src/keeper.rs
+++ b/crates/leases/src/manager.rs
@@ -4,7 +4,7 @@
 //! leases a forwarder's place among the members is one more lock, that placement always gives to it. One blocking
 //! query on both tells who is there and who holds what; placement and leases go by that.
 
-use crate::lease::{Effect, Input, Leases, Lock, Terms};
+use crate::state_machine::{Effect, Input, Leases, Lock, Terms};
 use crate::placement::{Name, place};
 use crate::{Duty, Token};
 use bytes::Bytes;
--- a/crates/leases/src/lease.rs
+++ b/crates/leases/src/state_machine.rs
@@ -7,7 +7,7 @@
 //! session has ended is given to nobody for the lock-delay. What this adds: the owner counts its TTL from the moment at
 //! which it *sent* that renewal, on its own clock, shortened by the drift that clocks may have, and begins no act that
 //! may not end before. So it has stopped before the store may give the duty away, whatever is lost or late in between.
-//! An owner that was frozen in the middle of an act is the one case left; its token is old by then ([`crate::fence`]).
+//! An owner that was frozen in the middle of an act is the one case left; its token is old by then ([`crate::fencing`]).
 
 use crate::{Duty, Token};
 use orchidyoke_core::interface::Micros;
--- a/crates/leases/tests/keeper.rs
+++ b/crates/leases/tests/manager.rs
@@ -3,8 +3,8 @@
 use orchidyoke_consul::Settings;
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::consul::Fault;
-use orchidyoke_leases::keeper::{Keeper, Member};
-use orchidyoke_leases::lease::Terms;
+use orchidyoke_leases::manager::{Keeper, Member};
+use orchidyoke_leases::state_machine::Terms;
 use orchidyoke_leases::{Duty, Token};
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -2,8 +2,8 @@
 //! more, over every order of answers, losses, crashes, stalls and expiries within the bounds given.
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_leases::fence::Fence;
-use orchidyoke_leases::lease::{Effect, Input, Leases, Lock, Session, Terms};
+use orchidyoke_leases::fencing::Fence;
+use orchidyoke_leases::state_machine::{Effect, Input, Leases, Lock, Session, Terms};
 use orchidyoke_leases::{Duty, Token};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
