--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow forwarders: the policy agent, the membership and the keeper of duties of several, with their own sockets and
+//! Hollow forwarders: the policy agent, the membership and the lease manager of several, with their own sockets and
 //! files, and no traffic.
 
 use super::child::report;
@@ -9,8 +9,7 @@
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::reload::Source;
-use orchidyoke_leases::manager::{Keeper, Member};
-use orchidyoke_leases::state_machine::Terms;
+use orchidyoke_leases::{LeaseConfig, LeaseManager, ManagerConfig};
 use orchidyoke_policy_commit::{Follower, Settings as PolicySettings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -47,8 +46,8 @@
 struct Hollow {
     follower: Rc<Follower>,
     following: JoinHandle<()>,
-    keeper: Rc<Keeper>,
-    keeping: JoinHandle<()>,
+    lease_manager: Rc<LeaseManager>,
+    managing: JoinHandle<()>,
     /// Only under sabotage.
     reading_all: Option<JoinHandle<()>>,
 }
@@ -56,10 +55,10 @@
 impl Hollow {
     fn start(role: &MembersRole, name: &str) -> Self {
         let (follower, following) = start_follower(role, name);
-        let (keeper, keeping) = start_keeper(role, name);
+        let (lease_manager, managing) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
         let reading_all = role.reads_all_members.then(read_all);
-        Hollow { follower, following, keeper, keeping, reading_all }
+        Hollow { follower, following, lease_manager, managing, reading_all }
     }
 
     /// Gives back what it holds, and ends.
@@ -67,8 +66,8 @@
         // What still runs would open another session.
         self.following.abort();
         self.follower.leave().await;
-        self.keeper.leave();
-        if timeout(LEAVE, &mut self.keeping).await.is_err() {
+        self.lease_manager.shut_down();
+        if timeout(LEAVE, &mut self.managing).await.is_err() {
             eprintln!("a member has not left within {LEAVE:?}");
         }
     }
@@ -77,7 +76,7 @@
 impl Drop for Hollow {
     fn drop(&mut self) {
         self.following.abort();
-        self.keeping.abort();
+        self.managing.abort();
         self.reading_all.iter().for_each(JoinHandle::abort);
     }
 }
@@ -106,27 +105,27 @@
     (follower, task)
 }
 
-fn start_keeper(role: &MembersRole, name: &str) -> (Rc<Keeper>, JoinHandle<()>) {
+fn start_lease_manager(role: &MembersRole, name: &str) -> (Rc<LeaseManager>, JoinHandle<()>) {
     let micros = |span: Duration| span.as_micros() as i64;
-    let terms = Terms {
+    let protocol = LeaseConfig {
         ttl: micros(role.ttl),
-        drift: DRIFT,
-        act: micros(ACT),
-        retry: micros(RETRY),
-        asks: LOCKS_AT_ONCE,
+        clock_drift: DRIFT,
+        max_action_time: micros(ACT),
+        retry_interval: micros(RETRY),
+        max_concurrent_acquires: LOCKS_AT_ONCE,
     };
-    let member = Member {
+    let config = ManagerConfig {
         name: name.to_owned(),
         weight: 1.0,
-        prefix: DUTIES_PREFIX.to_owned(),
-        duties: (0..role.duty_count).collect(),
+        key_prefix: DUTIES_PREFIX.to_owned(),
+        leases: (0..role.duty_count).collect(),
         lock_delay: LOCK_DELAY,
-        terms,
+        protocol,
     };
     let settings = ConsulSettings { addresses: vec![role.duties], ..ConsulSettings::default() };
-    let keeper = Rc::new(Keeper::new(member, Rc::new(settings)));
-    let running = keeper.clone();
-    (keeper, spawn_local(async move { running.run().await }))
+    let lease_manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
+    let running = lease_manager.clone();
+    (lease_manager, spawn_local(async move { running.run().await }))
 }
 
 /// Reads all members of the fleet at each change to one of them, one look after another without a pause.
--- a/crates/leases/src/fencing.rs
+++ b/crates/leases/src/fencing.rs
@@ -1,39 +1,31 @@
-//! Which results count: whoever stores or uses one refuses those of an owner that another has followed.
+//! Rejects results of earlier lease holders, by their fencing tokens.
+//!
+//! A holder that was suspended in the middle of an action finishes it after its lease has passed to another. Whoever
+//! stores or uses results of actions keeps a [`FencingGuard`] and asks it before each.
 
-use crate::{Duty, Token};
+use crate::{FencingToken, LeaseId};
 use std::collections::BTreeMap;
 
-/// The newest token that was seen of each duty.
+/// The highest fencing token seen of each lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Fence {
-    newest: BTreeMap<Duty, Token>,
+pub struct FencingGuard {
+    highest: BTreeMap<LeaseId, FencingToken>,
 }
 
-impl Fence {
-    /// Whether something that was done under this token counts. One that does bars all older ones from then on.
-    pub fn accept(&mut self, duty: Duty, token: Token) -> bool {
-        let newest = self.newest.entry(duty).or_insert(token);
-        let counts = token >= *newest;
-        *newest = token.max(*newest);
-        counts
+impl FencingGuard {
+    /// Whether a result under this token is accepted. An accepted token bars all lower ones of its lease.
+    pub fn accept(&mut self, lease: LeaseId, token: FencingToken) -> bool {
+        let highest = self.highest.entry(lease).or_insert(token);
+        let accepted = token >= *highest;
+        *highest = token.max(*highest);
+        accepted
     }
 
-    /// The newest token of a duty, if any was seen.
-    pub fn newest(&self, duty: Duty) -> Option<Token> {
-        self.newest.get(&duty).copied()
+    /// The highest token seen of a lease, if any was.
+    pub fn highest(&self, lease: LeaseId) -> Option<FencingToken> {
+        self.highest.get(&lease).copied()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_an_older_owner_did_is_refused_for_its_duty_alone() {
-        let mut fence = Fence::default();
-        let told = [(1, 5), (1, 5), (1, 9), (1, 5), (2, 5), (1, 8), (1, 9), (2, 6)];
-        let counted = told.map(|(duty, token)| fence.accept(duty, token));
-        assert_eq!(counted, [true, true, true, false, true, false, true, true]);
-        assert_eq!((fence.newest(1), fence.newest(2), fence.newest(3)), (Some(9), Some(6), None));
-    }
-}
+mod tests;
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,17 +1,27 @@
-//! Periodic duties shared among forwarders, one owner each, over the sessions and locks of a store such as Consul's.
+//! Leases over the sessions and locks of Consul: each lease has at most one holder among the forwarders of a fleet.
 //!
-//! These modules have no I/O and no clock: [`placement`] says who should have which duty, by the hashing of [`rendezvous`],
-//! [`state_machine`] who has it and until when, and [`fencing`] which of two owners' results counts. [`manager`] carries that out on Consul. `docs/leases.md` has the protocol and what it rests on.
+//! For periodic work that one forwarder at a time may do, such as checking the health of a partner's endpoints. Four
+//! modules have no I/O and no clock: [`placement`] assigns leases to members, by the hashing of [`rendezvous`];
+//! [`state_machine`] tells which leases a member holds and until when; [`fencing`] rejects the results of earlier
+//! holders. [`manager`] runs the state machine against Consul, with the keys of [`keys`]. `docs/leases.md` has the
+//! protocol and the promises of the store that it rests on.
 
+#![deny(missing_docs)]
+
+pub mod config;
 pub mod fencing;
+pub mod keys;
 pub mod manager;
-pub mod state_machine;
 pub mod placement;
 pub mod rendezvous;
+pub mod state_machine;
+
+pub use config::LeaseConfig;
+pub use manager::{LeaseManager, ManagerConfig};
 
-/// A duty, by its place in the settings' list.
-pub type Duty = u32;
+/// The id of a lease: its position in the list of leases that all members of a fleet share.
+pub type LeaseId = u32;
 
-/// Where a lock stands in the order of all writes to the store. A later owner's is higher: it is the store's own index
-/// at the write that took the lock, which nothing takes back, the removal of the key included.
-pub type Token = u64;
+/// A fencing token: Consul's `ModifyIndex` of the write that acquired the lock. A later holder's is higher; Consul never
+/// reuses an index, also after the key was deleted.
+pub type FencingToken = u64;
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -1,12 +1,14 @@
-//! A forwarder's leases on Consul: carries out what [`Leases`] asks for, and tells it what came of it.
+//! The leases of one forwarder on Consul: carries out the effects of the [`LeaseStateMachine`] and feeds it their answers.
 //!
-//! Below a prefix there are two folders: `members/NAME`, held by each forwarder's session, and `duties/NUMBER`. To the
-//! leases a forwarder's place among the members is one more lock, that placement always gives to it. One blocking
-//! query on both tells who is there and who holds what; placement and leases go by that.
+//! Each member holds its own key among the members ([`LeaseKeys`]), which to the state machine is one more lease that is
+//! always assigned to it. One blocking query on all keys tells which members are alive and who holds which lease; the
+//! placement is computed from that. One more connection carries the writes, one at a time.
 
-use crate::state_machine::{Effect, Input, Leases, Lock, Terms};
-use crate::placement::{Name, place};
-use crate::{Duty, Token};
+use crate::config::LeaseConfig;
+use crate::keys::{LeaseKey, LeaseKeys};
+use crate::placement::{MemberName, assign_leases};
+use crate::state_machine::{Effect, Input, LeaseStateMachine, Lock, SessionId};
+use crate::{FencingToken, LeaseId};
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Row};
@@ -20,213 +22,267 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// The place among the members, where the leases have duties.
-const MEMBERSHIP: Duty = Duty::MAX;
+/// The lease that stands for the forwarder's own key among the members.
+const MEMBERSHIP: LeaseId = LeaseId::MAX;
+/// Shortest and longest sleep between two steps, in microseconds.
+const MIN_SLEEP_US: Micros = 1_000;
+const MAX_SLEEP_US: Micros = 3_600_000_000;
 
-/// What a forwarder brings along.
+/// One forwarder as a member of the fleet that shares the leases.
 #[derive(Clone, Debug)]
-pub struct Member {
-    /// Its name, the only one below the prefix, and the same over its restarts.
-    pub name: Name,
-    /// Its weight among the others.
+pub struct ManagerConfig {
+    /// Its name, unique below the prefix, and the same over restarts.
+    pub name: MemberName,
+    /// Its weight: its share of the leases is its share of the sum of weights.
     pub weight: f64,
-    /// Where the keys are, without a slash at its end.
-    pub prefix: String,
-    /// The duties that are shared, the same for all members; the highest number is none.
-    pub duties: BTreeSet<Duty>,
-    /// How long a lock stays closed after its session has ended.
+    /// The prefix of the keys, without a slash at its end.
+    pub key_prefix: String,
+    /// The leases that are shared, the same for all members. [`LeaseId::MAX`] is reserved.
+    pub leases: BTreeSet<LeaseId>,
+    /// How long Consul keeps a lock closed after its session has ended.
     pub lock_delay: Duration,
-    /// What the leases go by.
-    pub terms: Terms,
+    /// Times and limits of the protocol.
+    pub protocol: LeaseConfig,
 }
 
-/// The leases of one forwarder, for as long as [`Keeper::run`] is polled.
-pub struct Keeper {
-    member: Member,
-    settings: Rc<Settings>,
+/// An effect of the state machine, with the time at which it was asked for.
+struct Request {
+    effect: Effect,
+    sent_at: Micros,
+}
+
+/// The leases of one forwarder, for as long as [`LeaseManager::run`] is polled.
+pub struct LeaseManager {
+    config: ManagerConfig,
+    keys: LeaseKeys,
+    consul: Rc<Settings>,
     start: Instant,
-    leases: RefCell<Leases>,
-    leaving: Notify,
+    state: RefCell<LeaseStateMachine>,
+    shutdown: Notify,
 }
 
-impl Keeper {
+impl LeaseManager {
     /// For the Consul of these settings. Nothing is opened yet.
-    pub fn new(mut member: Member, settings: Rc<Settings>) -> Self {
-        member.duties.remove(&MEMBERSHIP);
-        let (leases, leaving) = (RefCell::default(), Notify::new());
-        Keeper { member, settings, start: Instant::now(), leases, leaving }
+    pub fn new(mut config: ManagerConfig, consul: Rc<Settings>) -> Self {
+        config.leases.remove(&MEMBERSHIP);
+        let keys = LeaseKeys::new(&config.key_prefix);
+        let start = Instant::now();
+        LeaseManager { config, keys, consul, start, state: RefCell::default(), shutdown: Notify::new() }
     }
 
     fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// The token to act under, if an act may begin now. To be asked right before each.
-    pub fn may_act(&self, duty: Duty) -> Option<Token> {
-        self.leases.borrow().may_act(&self.member.terms, self.now(), duty)
+    /// The token to act under, if an action may start now. To be asked right before each action.
+    pub fn may_act(&self, lease: LeaseId) -> Option<FencingToken> {
+        self.state.borrow().may_act(&self.config.protocol, self.now(), lease)
     }
 
-    /// The duties held, with their tokens.
-    pub fn held(&self) -> BTreeMap<Duty, Token> {
-        self.leases.borrow().held().filter(|(duty, _)| *duty != MEMBERSHIP).collect()
+    /// The leases held, with their tokens.
+    pub fn held(&self) -> BTreeMap<LeaseId, FencingToken> {
+        self.state.borrow().held().filter(|(lease, _)| *lease != MEMBERSHIP).collect()
     }
 
-    /// Gives all back; [`Keeper::run`] ends when that is done. A store that does not answer can make it long: whoever
-    /// stops waits no longer than it has.
-    pub fn leave(&self) {
-        self.leaving.notify_one();
+    /// Releases all leases; [`LeaseManager::run`] ends when that is done. It has no time limit of its own while Consul
+    /// does not answer: the caller sets one.
+    pub fn shut_down(&self) {
+        self.shutdown.notify_one();
     }
 
-    /// Keeps them until it has left. Dropped, it stops without a word, as a process does that is killed.
+    /// Acquires, renews and releases leases until it is shut down. Dropped, it releases nothing, as a process that is
+    /// killed.
     pub async fn run(&self) {
-        let (inputs, heard) = unbounded_channel();
-        let (effects, asked) = unbounded_channel();
-        let kept = async { tokio::join!(self.step(heard, effects), self.write(asked, &inputs)) };
+        let (inputs, received_inputs) = unbounded_channel();
+        let (requests, received_requests) = unbounded_channel();
+        let state_and_writes = async {
+            tokio::join!(
+                self.run_state_machine(received_inputs, requests),
+                self.carry_out_requests(received_requests, &inputs)
+            )
+        };
         tokio::select! {
-            _ = kept => {}
-            () = self.watch(&inputs) => {}
+            _ = state_and_writes => {}
+            () = self.watch_locks(&inputs) => {}
         }
     }
 
-    async fn step(&self, mut heard: UnboundedReceiver<Input>, effects: UnboundedSender<(Effect, Micros)>) {
-        let mut input = Some(Input::Tick);
+    async fn run_state_machine(
+        &self,
+        mut inputs: UnboundedReceiver<Input>,
+        requests: UnboundedSender<Request>,
+    ) {
+        let mut input = Input::Tick;
         loop {
             let now = self.now();
-            let (asked, wake) = {
-                let mut leases = self.leases.borrow_mut();
-                let asked = leases.step(&self.member.terms, now, input.take().unwrap_or(Input::Tick));
-                (asked, leases.wake_at(&self.member.terms))
-            };
-            for effect in asked {
-                match effect {
-                    // One is always under way: it is answered as soon as anything has changed.
-                    Effect::Look => {}
-                    effect => drop(effects.send((effect, now))),
+            let effects = self.state.borrow_mut().step(&self.config.protocol, now, input);
+            for effect in effects {
+                // The blocking query of `watch_locks` is always in flight, and answered as soon as a lock changes.
+                if effect != Effect::ReadLocks {
+                    drop(requests.send(Request { effect, sent_at: now }));
                 }
             }
-            if self.leases.borrow().has_left() {
-                // What is asked for is still carried out, and then the writing ends too.
+            if self.state.borrow().is_shut_down() {
+                // Ends `carry_out_requests` too, after the requests that are queued.
                 return;
             }
-            let wake = self.start + Duration::from_micros(wake.clamp(now + 1000, now + 3_600_000_000) as u64);
+            let next_tick = self.state.borrow().next_tick_at(&self.config.protocol);
+            let next_tick = next_tick.clamp(now + MIN_SLEEP_US, now + MAX_SLEEP_US);
             tokio::select! {
-                next = heard.recv() => input = next,
-                () = self.leaving.notified() => input = Some(Input::Leave),
-                () = sleep_until(wake) => {}
+                next = inputs.recv() => input = next.unwrap_or(Input::Tick),
+                () = self.shutdown.notified() => input = Input::Shutdown,
+                () = sleep_until(self.start + Duration::from_micros(next_tick as u64)) => input = Input::Tick,
             }
         }
     }
 
-    async fn write(&self, mut asked: UnboundedReceiver<(Effect, Micros)>, inputs: &UnboundedSender<Input>) {
-        let mut locks = Locks::new(self.settings.clone());
-        let member = &self.member;
-        let key = |duty| match duty {
-            MEMBERSHIP => format!("{}/members/{}", member.prefix, member.name),
-            duty => format!("{}/duties/{duty}", member.prefix),
-        };
-        // Three questions for a renewal in a TTL, so one that is not answered leaves time for another.
-        let patience = Duration::from_micros(member.terms.ttl as u64 / 3);
-        while let Some((effect, at)) = asked.recv().await {
-            let late = matches!(effect, Effect::Create | Effect::Renew(_)).then_some(Input::Unheard);
-            let lost = match &effect {
-                Effect::Acquire(duty, _) => Some(Input::Asked(*duty)),
-                Effect::Release(duty, _) => Some(Input::Unsure(*duty)),
-                _ => late,
-            };
-            let answer = timeout(patience, async {
-                Ok::<_, LockError>(match effect {
-                    Effect::Create => {
-                        let ttl = Duration::from_micros(member.terms.ttl as u64);
-                        let id =
-                            locks.create(&member.name, ttl, member.lock_delay, Behavior::Release).await?;
-                        Some(Input::Created(id, at))
-                    }
-                    Effect::Renew(id) => match locks.renew(&id).await? {
-                        true => Some(Input::Renewed(id, at)),
-                        false => Some(Input::Gone(id)),
-                    },
-                    Effect::Destroy(id) => {
-                        locks.destroy(&id).await;
-                        None
-                    }
-                    Effect::Acquire(duty, id) => {
-                        // Only a member's has a use; who holds a duty is its session's matter.
-                        locks.acquire(&key(duty), &id, Bytes::from(member.weight.to_string())).await?;
-                        Some(Input::Asked(duty))
-                    }
-                    Effect::Release(duty, id) => {
-                        locks.release(&key(duty), &id).await?;
-                        Some(Input::Released(duty))
-                    }
-                    Effect::Look => None,
-                })
-            });
-            let input = match answer.await {
+    async fn carry_out_requests(
+        &self,
+        mut requests: UnboundedReceiver<Request>,
+        inputs: &UnboundedSender<Input>,
+    ) {
+        let mut locks = Locks::new(self.consul.clone());
+        // A request that is not answered leaves time for another within the TTL.
+        let request_timeout = Duration::from_micros(self.config.protocol.renewal_interval() as u64);
+        while let Some(request) = requests.recv().await {
+            let without_answer = input_without_answer(&request.effect);
+            let input = match timeout(request_timeout, self.carry_out(&mut locks, request)).await {
                 Ok(Ok(input)) => input,
                 Ok(Err(error)) => {
-                    log!("duties: {error}");
-                    lost
+                    log!("request for leases failed: member={} error={error}", self.config.name);
+                    without_answer
                 }
                 Err(_) => {
-                    locks = Locks::new(self.settings.clone());
-                    lost
+                    locks = Locks::new(self.consul.clone());
+                    without_answer
                 }
             };
-            input.into_iter().for_each(|input| drop(inputs.send(input)));
+            if let Some(input) = input {
+                drop(inputs.send(input));
+            }
         }
     }
 
-    async fn watch(&self, inputs: &UnboundedSender<Input>) {
-        let mut locks = Locks::new(self.settings.clone());
-        let (mut index, prefix) = (0, format!("{}/", self.member.prefix));
-        let pause = Duration::from_micros(self.member.terms.retry as u64);
+    /// Carries out one request; the input that its answer is, if it is one.
+    async fn carry_out(&self, locks: &mut Locks, request: Request) -> Result<Option<Input>, LockError> {
+        let sent_at = request.sent_at;
+        let input = match request.effect {
+            Effect::CreateSession => {
+                let ttl = Duration::from_micros(self.config.protocol.ttl as u64);
+                let lock_delay = self.config.lock_delay;
+                let session = locks.create(&self.config.name, ttl, lock_delay, Behavior::Release).await?;
+                Some(Input::SessionCreated { session, sent_at })
+            }
+            Effect::RenewSession(session) => match locks.renew(&session).await? {
+                true => Some(Input::SessionRenewed { session, sent_at }),
+                false => Some(Input::SessionNotFound(session)),
+            },
+            Effect::DestroySession(session) => {
+                locks.destroy(&session).await;
+                None
+            }
+            Effect::Acquire { lease, session } => {
+                // Only the value of a member's key is read.
+                let value = Bytes::from(self.config.weight.to_string());
+                locks.acquire(&self.key(lease), &session, value).await?;
+                Some(Input::AcquireFinished(lease))
+            }
+            Effect::Release { lease, session } => {
+                locks.release(&self.key(lease), &session).await?;
+                Some(Input::Released(lease))
+            }
+            Effect::ReadLocks => None,
+        };
+        Ok(input)
+    }
+
+    fn key(&self, lease: LeaseId) -> String {
+        match lease {
+            MEMBERSHIP => self.keys.name(&LeaseKey::Member(self.config.name.clone())),
+            lease => self.keys.name(&LeaseKey::Lease(lease)),
+        }
+    }
+
+    async fn watch_locks(&self, inputs: &UnboundedSender<Input>) {
+        let mut locks = Locks::new(self.consul.clone());
+        let mut index = 0;
+        let folder = self.keys.folder();
+        let retry_interval = Duration::from_micros(self.config.protocol.retry_interval as u64);
         loop {
-            // What waited may be no newer than its question, for all that is known here.
-            let asked = self.now();
-            match locks.look(&prefix, index, self.settings.wait).await {
+            // The answer of a blocking query may be no newer than its request.
+            let sent_at = self.now();
+            match locks.look(&folder, index, self.consul.wait).await {
                 Ok((at, rows)) => {
                     index = at;
-                    let (placed, seen) = self.picture(&rows);
-                    drop(inputs.send(Input::Placed(placed)));
-                    drop(inputs.send(Input::Seen(seen, asked)));
+                    let picture = Picture::new(&self.keys, &self.config.name, &rows);
+                    let assigned = picture.assigned_to(&self.config.name, &self.config.leases);
+                    drop(inputs.send(Input::AssignmentChanged(assigned)));
+                    drop(inputs.send(Input::LocksRead { locks: picture.locks, sent_at }));
                 }
                 Err(error) => {
-                    log!("duties: the locks cannot be read: {error}");
-                    (index, locks) = (0, Locks::new(self.settings.clone()));
-                    sleep(pause).await;
+                    log!("cannot read the locks of leases: folder={folder} error={error}");
+                    index = 0;
+                    locks = Locks::new(self.consul.clone());
+                    sleep(retry_interval).await;
                 }
             }
         }
     }
+}
+
+/// What the state machine is told of a request that failed or was not answered in time.
+fn input_without_answer(effect: &Effect) -> Option<Input> {
+    match effect {
+        Effect::CreateSession | Effect::RenewSession(_) => Some(Input::SessionRequestFailed),
+        Effect::Acquire { lease, .. } => Some(Input::AcquireFinished(*lease)),
+        Effect::Release { lease, .. } => Some(Input::ReleaseInDoubt(*lease)),
+        Effect::DestroySession(_) | Effect::ReadLocks => None,
+    }
+}
 
-    /// What placement gives this member, and the locks of all duties.
-    fn picture(&self, rows: &[Row]) -> (BTreeSet<Duty>, BTreeMap<Duty, Lock>) {
-        let (mut members, mut names, mut locks) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+/// The members and locks at one read of the keys.
+#[derive(Default)]
+struct Picture {
+    /// The members whose key a session holds, with their weights.
+    weights: BTreeMap<MemberName, f64>,
+    member_of_session: BTreeMap<SessionId, MemberName>,
+    /// The locks of the leases, that of the own member's key among them.
+    locks: BTreeMap<LeaseId, Lock>,
+}
+
+impl Picture {
+    fn new(keys: &LeaseKeys, own_name: &str, rows: &[Row]) -> Self {
+        let mut picture = Picture::default();
         for row in rows {
-            let lock = || Lock { session: row.session.clone(), index: row.modify_index };
-            let below = row.key.strip_prefix(&self.member.prefix).and_then(|rest| rest.strip_prefix('/'));
-            match below.and_then(|below| below.split_once('/')) {
-                Some(("members", name)) => {
-                    if name == self.member.name {
-                        locks.insert(MEMBERSHIP, lock());
+            let lock = Lock { session: row.session.clone(), modify_index: row.modify_index };
+            match keys.parse(row) {
+                Some(LeaseKey::Member(name)) => {
+                    if name == own_name {
+                        picture.locks.insert(MEMBERSHIP, lock);
                     }
                     if let Some(session) = &row.session {
-                        names.insert(session.clone(), name.to_owned());
-                        members.insert(name.to_owned(), row.text().parse().unwrap_or(0.0));
-                    }
-                }
-                Some(("duties", duty)) => {
-                    if let Ok(duty) = duty.parse() {
-                        locks.insert(duty, lock());
+                        picture.member_of_session.insert(session.clone(), name.clone());
+                        picture.weights.insert(name, row.text().parse().unwrap_or(0.0));
                     }
                 }
-                _ => {}
+                Some(LeaseKey::Lease(lease)) => drop(picture.locks.insert(lease, lock)),
+                None => {}
+            }
+        }
+        picture
+    }
+
+    /// The leases that placement assigns to a member, and its membership.
+    fn assigned_to(&self, name: &str, leases: &BTreeSet<LeaseId>) -> BTreeSet<LeaseId> {
+        let mut holders = BTreeMap::new();
+        for (lease, lock) in &self.locks {
+            let holder = lock.session.as_ref().and_then(|session| self.member_of_session.get(session));
+            if let Some(holder) = holder {
+                holders.insert(*lease, holder.clone());
             }
         }
-        let owner = |lock: &Lock| lock.session.as_ref().and_then(|session| names.get(session)).cloned();
-        let held = locks.iter().filter_map(|(duty, lock)| Some((*duty, owner(lock)?))).collect();
-        let placed = place(&members, &self.member.duties, &held);
-        let mine = placed.into_iter().filter(|(_, name)| *name == self.member.name).map(|(duty, _)| duty);
-        (mine.chain([MEMBERSHIP]).collect(), locks)
+        let assignment = assign_leases(&self.weights, leases, &holders);
+        let own = assignment.into_iter().filter(|(_, holder)| holder == name).map(|(lease, _)| lease);
+        own.chain([MEMBERSHIP]).collect()
     }
 }
--- /dev/null
+++ b/crates/leases/src/state_machine/tests.rs
@@ -0,0 +1,195 @@
+use super::*;
+
+const S: Micros = 1_000_000;
+
+fn config() -> LeaseConfig {
+    LeaseConfig {
+        ttl: 10 * S,
+        clock_drift: 0.01,
+        max_action_time: S,
+        retry_interval: S,
+        max_concurrent_acquires: 2,
+    }
+}
+
+fn locks(of: &[(LeaseId, Option<&str>, FencingToken)]) -> BTreeMap<LeaseId, Lock> {
+    let lock = |(lease, session, index): &(LeaseId, Option<&str>, FencingToken)| {
+        (*lease, Lock { session: session.map(str::to_owned), modify_index: *index })
+    };
+    of.iter().map(lock).collect()
+}
+
+fn with_session(assigned: &[LeaseId]) -> LeaseStateMachine {
+    let mut leases = LeaseStateMachine::default();
+    assert_eq!(
+        leases.step(&config(), 0, Input::AssignmentChanged(assigned.iter().copied().collect())),
+        [Effect::CreateSession]
+    );
+    assert_eq!(
+        leases.step(&config(), S, Input::SessionCreated { session: "s".to_owned(), sent_at: 0 }),
+        [Effect::ReadLocks]
+    );
+    leases
+}
+
+fn holder() -> LeaseStateMachine {
+    let mut leases = with_session(&[1]);
+    let asked = leases.step(&config(), S, Input::LocksRead { locks: locks(&[(1, None, 4)]), sent_at: S });
+    assert_eq!(asked, [Effect::Acquire { lease: 1, session: "s".to_owned() }]);
+    assert_eq!(leases.step(&config(), S, Input::AcquireFinished(1)), [Effect::ReadLocks]);
+    assert_eq!(leases.may_act(&config(), S, 1), None, "not before a read of the locks shows it");
+    leases.step(&config(), S, Input::LocksRead { locks: locks(&[(1, Some("s"), 5)]), sent_at: S });
+    leases
+}
+
+#[test]
+fn lease_lasts_from_sending_the_renewal_until_its_duration_on_the_local_clock() {
+    let mut leases = holder();
+    assert_eq!(leases.may_act(&config(), S, 1), Some(5));
+    assert_eq!(leases.step(&config(), 4 * S, Input::Tick), [Effect::RenewSession("s".to_owned())]);
+    // Its answer takes 5 s.
+    assert_eq!(
+        leases.step(&config(), 9 * S, Input::SessionRenewed { session: "s".to_owned(), sent_at: 4 * S }),
+        [Effect::RenewSession("s".to_owned())]
+    );
+    let end = 4 * S + config().lease_duration();
+    assert_eq!(leases.may_act(&config(), end - S - 1, 1), Some(5));
+    assert_eq!(leases.may_act(&config(), end - S, 1), None, "it might not end in time");
+    assert!(leases.step(&config(), end, Input::Tick).contains(&Effect::DestroySession("s".to_owned())));
+    leases.step(&config(), end, Input::SessionRenewed { session: "s".to_owned(), sent_at: 9 * S });
+    assert_eq!(
+        (leases.session(), leases.held().count()),
+        (None, 0),
+        "an answer after the expiry changes nothing"
+    );
+}
+
+// Guards against a holder that was suspended past its lease and acts when it wakes.
+#[test]
+fn late_wake_up_finds_the_lease_expired() {
+    let leases = holder();
+    assert_eq!(leases.may_act(&config(), 60 * S, 1), None);
+    let mut woken = leases.clone();
+    woken.step(&config(), 60 * S, Input::LocksRead { locks: locks(&[(1, Some("s"), 5)]), sent_at: 59 * S });
+    assert_eq!(woken.may_act(&config(), 60 * S, 1), None);
+}
+
+// Guards against a lock that is held and never used, because the answer to its request was lost.
+#[test]
+fn lock_acquired_without_an_answer_is_used_or_released() {
+    let mut leases = with_session(&[1]);
+    leases.step(&config(), S, Input::LocksRead { locks: locks(&[(1, None, 4)]), sent_at: S });
+    leases.step(&config(), S, Input::AcquireFinished(1));
+    let mut other = leases.clone();
+    leases.step(&config(), 2 * S, Input::LocksRead { locks: locks(&[(1, Some("s"), 9)]), sent_at: 2 * S });
+    assert_eq!(leases.may_act(&config(), 2 * S, 1), Some(9));
+    other.step(&config(), 2 * S, Input::AssignmentChanged(BTreeSet::new()));
+    let effects =
+        other.step(&config(), 2 * S, Input::LocksRead { locks: locks(&[(1, Some("s"), 9)]), sent_at: 2 * S });
+    assert_eq!(effects, [Effect::Release { lease: 1, session: "s".to_owned() }]);
+}
+
+// Guards against a lock believed held after its release, because a read that was sent before came late; and against a
+// lock acquired again while its release may still be in flight.
+#[test]
+fn released_lock_is_not_held() {
+    for in_doubt in [false, true] {
+        let mut leases = holder();
+        assert_eq!(
+            leases.step(&config(), 2 * S, Input::AssignmentChanged(BTreeSet::new())),
+            [Effect::Release { lease: 1, session: "s".to_owned() }]
+        );
+        assert_eq!(leases.may_act(&config(), 2 * S, 1), None);
+        leases.step(&config(), 3 * S, if in_doubt { Input::ReleaseInDoubt(1) } else { Input::Released(1) });
+        leases.step(&config(), 3 * S, Input::AssignmentChanged(BTreeSet::from([1])));
+        leases.step(
+            &config(),
+            3 * S,
+            Input::LocksRead { locks: locks(&[(1, Some("s"), 5)]), sent_at: 2 * S },
+        );
+        assert_eq!(leases.may_act(&config(), 3 * S, 1), None, "in doubt: {in_doubt}");
+        let asked = leases.step(
+            &config(),
+            3 * S,
+            Input::LocksRead { locks: locks(&[(1, None, 6)]), sent_at: 3 * S + 1 },
+        );
+        assert_eq!(asked.is_empty(), in_doubt, "{asked:?}");
+    }
+}
+
+#[test]
+fn session_or_lock_ended_by_others_is_no_longer_used() {
+    let mut leases = holder();
+    leases.step(&config(), 2 * S, Input::LocksRead { locks: locks(&[(1, None, 8)]), sent_at: 2 * S });
+    assert_eq!(leases.may_act(&config(), 2 * S, 1), None, "released by hand");
+    for end in
+        [Input::LocksRead { locks: BTreeMap::new(), sent_at: 2 * S }, Input::SessionNotFound("s".to_owned())]
+    {
+        let mut leases = holder();
+        let made = leases.step(&config(), 2 * S, end.clone());
+        assert_eq!(leases.may_act(&config(), 2 * S, 1), None);
+        assert_eq!(made.contains(&Effect::CreateSession), matches!(end, Input::SessionNotFound(_)));
+    }
+}
+
+// Guards against leases that nobody may acquire for a lock-delay, or a TTL, after a graceful shutdown.
+#[test]
+fn shutdown_releases_all_locks_and_acquires_none() {
+    for answered in [true, false] {
+        let mut leases = holder();
+        assert_eq!(
+            leases.step(&config(), 2 * S, Input::Shutdown),
+            [Effect::Release { lease: 1, session: "s".to_owned() }]
+        );
+        assert_eq!((leases.may_act(&config(), 2 * S, 1), leases.is_shut_down()), (None, false));
+        assert_eq!(
+            leases.step(&config(), 5 * S, Input::AssignmentChanged(BTreeSet::from([1]))),
+            [],
+            "no renewal either"
+        );
+        let end = leases.step(
+            &config(),
+            5 * S,
+            if answered { Input::Released(1) } else { Input::ReleaseInDoubt(1) },
+        );
+        assert_eq!(end, [Effect::DestroySession("s".to_owned())]);
+        assert!(leases.is_shut_down());
+        assert_eq!(
+            leases.step(
+                &config(),
+                60 * S,
+                Input::LocksRead { locks: locks(&[(1, None, 9)]), sent_at: 60 * S }
+            ),
+            []
+        );
+    }
+    let mut without_session = LeaseStateMachine::default();
+    without_session.step(&config(), 0, Input::Shutdown);
+    assert!(without_session.is_shut_down());
+    let late =
+        without_session.step(&config(), S, Input::SessionCreated { session: "s".to_owned(), sent_at: 0 });
+    assert!(
+        late.contains(&Effect::DestroySession("s".to_owned())),
+        "a session created during the shutdown is ended"
+    );
+}
+
+// Guards against requests without a pause while Consul is unavailable, and against requests for all locks at once.
+#[test]
+fn requests_are_limited_in_rate_and_number() {
+    let mut leases = with_session(&[1, 2, 3, 4]);
+    let all = locks(&[(1, None, 1), (2, None, 1), (3, None, 1), (4, None, 1)]);
+    assert_eq!(leases.step(&config(), S, Input::LocksRead { locks: all.clone(), sent_at: S }).len(), 2);
+    assert_eq!(leases.step(&config(), S, Input::LocksRead { locks: all, sent_at: S }).len(), 0);
+    assert_eq!(leases.step(&config(), S, Input::AcquireFinished(1)).len(), 2, "a read, and one more request");
+    let mut unanswered = LeaseStateMachine::default();
+    let mut asked = 0;
+    for tenth in 0..300 {
+        let now = tenth * S / 10;
+        asked += unanswered.step(&config(), now, Input::Tick).len();
+        if tenth % 3 == 0 {
+            unanswered.step(&config(), now, Input::SessionRequestFailed);
+        }
+    }
+    assert!((20..=31).contains(&asked), "{asked} requests in 30 s");
+}
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -1,11 +1,9 @@
-//! Leases of several members on the stand-in Consul, over sockets.
+//! Several lease managers against the fake Consul, over sockets.
 
 use orchidyoke_consul::Settings;
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::consul::Fault;
-use orchidyoke_leases::manager::{Keeper, Member};
-use orchidyoke_leases::state_machine::Terms;
-use orchidyoke_leases::{Duty, Token};
+use orchidyoke_leases::{FencingToken, LeaseConfig, LeaseId, LeaseManager, ManagerConfig};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::rc::Rc;
@@ -13,29 +11,35 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-const DUTIES: Duty = 12;
+const LEASES: LeaseId = 12;
 const TTL: Duration = Duration::from_secs(4);
 const LOCK_DELAY: Duration = Duration::from_millis(500);
 
 struct Running {
-    keeper: Rc<Keeper>,
+    manager: Rc<LeaseManager>,
     task: JoinHandle<()>,
 }
 
 fn start(consul: &Consul, name: &str) -> Running {
-    let terms = Terms { ttl: TTL.as_micros() as i64, drift: 0.01, act: 100_000, retry: 200_000, asks: 8 };
-    let member = Member {
+    let protocol = LeaseConfig {
+        ttl: TTL.as_micros() as i64,
+        clock_drift: 0.01,
+        max_action_time: 100_000,
+        retry_interval: 200_000,
+        max_concurrent_acquires: 8,
+    };
+    let config = ManagerConfig {
         name: name.to_owned(),
         weight: 1.0,
-        prefix: "orchidyoke/one".to_owned(),
-        duties: (0..DUTIES).collect(),
+        key_prefix: "orchidyoke/one".to_owned(),
+        leases: (0..LEASES).collect(),
         lock_delay: LOCK_DELAY,
-        terms,
+        protocol,
     };
     let settings = Settings { addresses: vec![consul.address()], ..Settings::default() };
-    let keeper = Rc::new(Keeper::new(member, Rc::new(settings)));
-    let running = keeper.clone();
-    Running { task: spawn_local(async move { running.run().await }), keeper }
+    let manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
+    let running = manager.clone();
+    Running { task: spawn_local(async move { running.run().await }), manager }
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -44,27 +48,27 @@
     runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
 }
 
-/// Who may act on each duty now; never two.
-fn owners(members: &[&Running]) -> BTreeMap<Duty, Token> {
-    let mut owners = BTreeMap::new();
+/// The tokens under which members may act now; fails where two members may act under one lease.
+fn holders(members: &[&Running]) -> BTreeMap<LeaseId, FencingToken> {
+    let mut holders = BTreeMap::new();
     for member in members {
-        for duty in 0..DUTIES {
-            if let Some(token) = member.keeper.may_act(duty) {
-                assert!(owners.insert(duty, token).is_none(), "two may act on {duty}");
+        for lease in 0..LEASES {
+            if let Some(token) = member.manager.may_act(lease) {
+                assert!(holders.insert(lease, token).is_none(), "two may act under lease {lease}");
             }
         }
     }
-    owners
+    holders
 }
 
 /// Waits until each of these may act on so many duties, and watches meanwhile that no two may act on one.
 async fn settle(members: &[&Running], each: usize) {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
-        owners(members);
+        holders(members);
         let counts: Vec<_> = members
             .iter()
-            .map(|member| (0..DUTIES).filter(|duty| member.keeper.may_act(*duty).is_some()).count())
+            .map(|member| (0..LEASES).filter(|lease| member.manager.may_act(*lease).is_some()).count())
             .collect();
         if counts.iter().all(|count| *count == each) {
             return;
@@ -83,69 +87,69 @@
 }
 
 #[test]
-fn duties_are_shared_evenly_and_taken_over_from_who_dies() {
+fn leases_are_shared_evenly_and_taken_over_from_a_dead_member() {
     run(async {
         let (consul, a, b) = two().await;
         let c = start(&consul, "c");
         settle(&[&a, &b, &c], 4).await;
-        let before = owners(&[&a, &b, &c]);
+        let before = holders(&[&a, &b, &c]);
         c.task.abort();
         let died = Instant::now();
         settle(&[&a, &b], 6).await;
-        // A session ends one to two TTLs after its last renewal, and its locks stay closed for the delay.
+        // A session ends one to two TTLs after its last renewal, then the lock-delay starts.
         assert!(died.elapsed() >= LOCK_DELAY, "{:?}", died.elapsed());
-        let after = owners(&[&a, &b]);
-        let moved = after.iter().filter(|(duty, token)| before[duty] != **token).count();
-        assert_eq!(moved, 4, "those of the one that died, and no others");
+        let after = holders(&[&a, &b]);
+        let moved = after.iter().filter(|(lease, token)| before[lease] != **token).count();
+        assert_eq!(moved, 4, "those of the member that died, and no others");
     });
 }
 
 // Guards against a rolling deployment in which each stop leaves duties orphaned for a TTL and a lock-delay.
 #[test]
-fn who_leaves_in_good_order_hands_over_at_once_and_may_come_back() {
+fn graceful_shutdown_passes_leases_at_once_and_the_member_may_return() {
     run(async {
         let (consul, a, b) = two().await;
-        b.keeper.leave();
+        b.manager.shut_down();
         let left = Instant::now();
         settle(&[&a], 12).await;
         assert!(left.elapsed() < TTL, "{:?}: a killed one takes more than a TTL", left.elapsed());
-        b.task.await.expect("it has ended by itself");
+        b.task.await.expect("the manager ends by itself");
         let b = start(&consul, "b");
         settle(&[&a, &b], 6).await;
         assert!(left.elapsed() < 2 * TTL, "its name is free again");
     });
 }
 
-// Guards against an owner that goes on while the store may have given its duty away, and against one that does not
-// come back.
+// Guards against a holder that goes on while Consul may have given its lease away, and against one that does not
+// reacquire.
 #[test]
-fn a_silent_store_ends_all_acts_within_a_lease_and_they_come_back() {
+fn unresponsive_consul_suspends_all_leases_until_it_answers() {
     run(async {
         let (consul, a, b) = two().await;
         consul.fault(Fault::Silent);
         sleep(TTL).await;
-        assert_eq!(owners(&[&a, &b]), BTreeMap::new(), "no act without a lease");
+        assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "no act without a lease");
         consul.fault(Fault::None);
         settle(&[&a, &b], 6).await;
     });
 }
 
-// Guards against a member that its fleet forgets when somebody deletes its key, and against a lock deleted by hand that
-// its owner goes on with under the old token.
+// Guards against a member that its fleet forgets when its key is deleted, and against a holder that goes on under the
+// old token when the key of its lock is deleted.
 #[test]
-fn keys_that_are_deleted_by_hand_are_taken_anew_under_higher_tokens() {
+fn deleted_keys_are_reacquired_under_higher_tokens() {
     run(async {
         let (consul, a, b) = two().await;
-        let before = owners(&[&a, &b]);
+        let before = holders(&[&a, &b]);
         consul.delete_keys("orchidyoke/one/members/a");
         consul.delete_keys("orchidyoke/one/duties/");
         let end = Instant::now() + Duration::from_secs(40);
         loop {
-            // The old owner may act until it hears of it: two at once are what the tokens are for here.
-            let held: BTreeMap<Duty, Token> =
-                [&a, &b].iter().flat_map(|member| member.keeper.held()).collect();
-            let counts = [&a, &b].map(|member| member.keeper.held().len());
-            if counts == [6, 6] && held.iter().all(|(duty, token)| *token > before[duty]) {
+            // The earlier holder may act until it reads the locks again: the tokens guard against that.
+            let held: BTreeMap<LeaseId, FencingToken> =
+                [&a, &b].iter().flat_map(|member| member.manager.held()).collect();
+            let counts = [&a, &b].map(|member| member.manager.held().len());
+            if counts == [6, 6] && held.iter().all(|(lease, token)| *token > before[lease]) {
                 break;
             }
             assert!(Instant::now() < end, "{counts:?}");
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,197 +1,208 @@
-//! Model checking of the protocol: the reducer that forwarders run, against a store that keeps its promises and nothing
-//! more, over every order of answers, losses, crashes, stalls and expiries within the bounds given.
+//! Model checking of the lease protocol: the state machine that members run, against a store that keeps its promises and
+//! nothing more, over every order of answers, losses, crashes, suspensions and expiries within the bounds given.
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_leases::fencing::Fence;
-use orchidyoke_leases::state_machine::{Effect, Input, Leases, Lock, Session, Terms};
-use orchidyoke_leases::{Duty, Token};
+use orchidyoke_leases::fencing::FencingGuard;
+use orchidyoke_leases::state_machine::{Effect, Input, LeaseStateMachine, Lock, SessionId};
+use orchidyoke_leases::{FencingToken, LeaseConfig, LeaseId};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A step of the store's clock is one unit; a session's TTL is three. No lock-delay: nothing rests on it here.
+/// The TTL of sessions, in units of the store's clock. There is no lock-delay: safety must not rest on it.
 const TTL: Micros = 3;
 const LOCK_DELAY: Micros = 0;
 
-/// What is taken away, so that the check must find what it was there for.
+/// The part of the protocol that is left out, so that the check must find the property that it guards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// Results are taken whatever their token.
+    /// Results are accepted whatever their token.
     NoFence,
-    /// An owner believes that all clocks run alike.
+    /// A holder assumes that all clocks run alike.
     NoDrift,
-    /// An owner counts its lease from the answer.
+    /// A holder counts its lease from the answer to the renewal.
     FromAnswer,
 }
 
 struct Bounds {
-    forwarders: usize,
-    duties: Duty,
-    /// Units of time.
+    members: usize,
+    leases: LeaseId,
+    /// The last time of the store's clock.
     until: Micros,
-    /// Answers and questions that are lost.
+    /// Requests and answers that are lost.
     losses: u8,
     crashes: u8,
-    /// Acts that end late: their forwarder was frozen in the middle.
-    freezes: u8,
+    /// Actions that end late, because their member was suspended in the middle.
+    suspensions: u8,
     mutant: Mutant,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Node {
-    leases: Leases,
-    /// Questions on their way to the store, each with the moment it was sent, by the forwarder's own clock. Looks are
-    /// not among them: whatever the locks are, they may be looked at any time.
-    asked: Vec<(Effect, Micros)>,
-    /// Answers about the session; those about locks tell nothing that a look does not.
+struct Member {
+    state: LeaseStateMachine,
+    /// Requests on their way to the store, each with the time at which it was sent, by the member's own clock. Reads of
+    /// the locks are not among them: they may happen any time.
+    requests: Vec<(Effect, Micros)>,
+    /// Answers about the session; those about locks tell nothing that a read of the locks does not.
     answers: Vec<Input>,
-    /// An act in the middle of which the forwarder was frozen.
-    frozen: Option<(Duty, Token)>,
+    /// An action in the middle of which the member was suspended.
+    suspended: Option<(LeaseId, FencingToken)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     clock: Micros,
-    nodes: Vec<Node>,
-    sessions: BTreeMap<Session, Micros>,
-    locks: BTreeMap<Duty, Lock>,
-    free_from: BTreeMap<Duty, Micros>,
-    index: Token,
-    made: u32,
-    fence: Fence,
-    newest: BTreeMap<Duty, Token>,
-    owners: BTreeSet<(Duty, usize)>,
-    /// An older result was taken after a newer one.
-    broken: bool,
+    members: Vec<Member>,
+    sessions: BTreeMap<SessionId, Micros>,
+    locks: BTreeMap<LeaseId, Lock>,
+    closed_until: BTreeMap<LeaseId, Micros>,
+    index: FencingToken,
+    sessions_created: u32,
+    guard: FencingGuard,
+    highest: BTreeMap<LeaseId, FencingToken>,
+    holders: BTreeSet<(LeaseId, usize)>,
+    /// A result of an earlier holder was accepted after one of a later holder.
+    fencing_violated: bool,
     losses: u8,
     crashes: u8,
-    freezes: u8,
+    suspensions: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Pass,
+    Tick,
     Wake(usize),
     Serve(usize),
-    LoseQuestion(usize),
-    Hear(usize),
+    LoseRequest(usize),
+    Receive(usize),
     LoseAnswer(usize),
-    Expire(Session),
-    Look(usize),
-    Act(usize, Duty),
-    Freeze(usize, Duty),
-    Thaw(usize),
+    Expire(SessionId),
+    ReadLocks(usize),
+    Act(usize, LeaseId),
+    Suspend(usize, LeaseId),
+    Resume(usize),
     Crash(usize),
 }
 
-/// What a forwarder hears where there is no answer: its time-out.
-fn silence(effect: &Effect) -> Option<Input> {
+/// The input of a member whose request is not answered in time.
+fn input_without_answer(effect: &Effect) -> Option<Input> {
     match effect {
-        Effect::Create | Effect::Renew(_) => Some(Input::Unheard),
-        Effect::Acquire(duty, _) => Some(Input::Asked(*duty)),
-        Effect::Release(duty, _) => Some(Input::Unsure(*duty)),
-        Effect::Destroy(_) | Effect::Look => None,
+        Effect::CreateSession | Effect::RenewSession(_) => Some(Input::SessionRequestFailed),
+        Effect::Acquire { lease, .. } => Some(Input::AcquireFinished(*lease)),
+        Effect::Release { lease, .. } => Some(Input::ReleaseInDoubt(*lease)),
+        Effect::DestroySession(_) | Effect::ReadLocks => None,
     }
 }
 
 impl Bounds {
-    fn terms(&self) -> Terms {
-        let drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 1.0 / 2.0 };
-        Terms { ttl: TTL, drift, act: 0, retry: 1, asks: 2 }
+    fn config(&self) -> LeaseConfig {
+        let clock_drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 1.0 / 2.0 };
+        LeaseConfig {
+            ttl: TTL,
+            clock_drift,
+            max_action_time: 0,
+            retry_interval: 1,
+            max_concurrent_acquires: 2,
+        }
     }
 
-    /// The first forwarder's clock is slow by a third: a half is what the others are faster than it.
-    fn local(&self, node: usize, clock: Micros) -> Micros {
-        if node == 0 { clock * 2 / 3 } else { clock }
+    /// The first member's clock is slow by a third: the others are faster by a half of its rate.
+    fn local(&self, member: usize, clock: Micros) -> Micros {
+        if member == 0 { clock * 2 / 3 } else { clock }
     }
 
-    fn may_act(&self, world: &World, node: usize, duty: Duty) -> Option<Token> {
-        world.nodes[node].leases.may_act(&self.terms(), self.local(node, world.clock), duty)
+    fn may_act(&self, world: &World, member: usize, lease: LeaseId) -> Option<FencingToken> {
+        world.members[member].state.may_act(&self.config(), self.local(member, world.clock), lease)
     }
 
-    /// Answers about locks are heard at once, those about the session whenever they come.
-    fn answer(&self, world: &mut World, node: usize, answer: Option<Input>) {
+    /// Answers about locks are received at once, those about the session any time later.
+    fn answer(&self, world: &mut World, member: usize, answer: Option<Input>) {
         match answer {
-            Some(Input::Asked(_) | Input::Released(_) | Input::Unsure(_)) => {
-                answer.into_iter().for_each(|input| self.tell(world, node, input));
+            Some(Input::AcquireFinished(_) | Input::Released(_) | Input::ReleaseInDoubt(_)) => {
+                answer.into_iter().for_each(|input| self.step(world, member, input));
             }
-            answer => world.nodes[node].answers.extend(answer),
+            answer => world.members[member].answers.extend(answer),
         }
     }
 
-    fn tell(&self, world: &mut World, node: usize, input: Input) {
-        let now = self.local(node, world.clock);
+    fn step(&self, world: &mut World, member: usize, input: Input) {
+        let now = self.local(member, world.clock);
         let input = match (self.mutant, input) {
-            (Mutant::FromAnswer, Input::Created(id, _)) => Input::Created(id, now),
-            (Mutant::FromAnswer, Input::Renewed(id, _)) => Input::Renewed(id, now),
+            (Mutant::FromAnswer, Input::SessionCreated { session, .. }) => {
+                Input::SessionCreated { session, sent_at: now }
+            }
+            (Mutant::FromAnswer, Input::SessionRenewed { session, .. }) => {
+                Input::SessionRenewed { session, sent_at: now }
+            }
             (_, input) => input,
         };
-        let effects = world.nodes[node].leases.step(&self.terms(), now, input);
+        let effects = world.members[member].state.step(&self.config(), now, input);
         for effect in effects {
-            if effect != Effect::Look {
-                world.nodes[node].asked.push((effect, now));
+            if effect != Effect::ReadLocks {
+                world.members[member].requests.push((effect, now));
             }
         }
     }
 }
 
 impl World {
-    fn end(&mut self, session: &Session) {
+    fn end(&mut self, session: &SessionId) {
         self.sessions.remove(session);
-        for (duty, lock) in self.locks.iter_mut().filter(|(_, lock)| lock.session.as_ref() == Some(session)) {
+        for (lease, lock) in self.locks.iter_mut().filter(|(_, lock)| lock.session.as_ref() == Some(session))
+        {
             self.index += 1;
-            *lock = Lock { session: None, index: self.index };
-            self.free_from.insert(*duty, self.clock + LOCK_DELAY);
+            *lock = Lock { session: None, modify_index: self.index };
+            self.closed_until.insert(*lease, self.clock + LOCK_DELAY);
         }
     }
 
-    /// What an act has brought comes to whoever uses it.
-    fn result(&mut self, mutant: Mutant, node: usize, duty: Duty, token: Token) {
-        if self.fence.accept(duty, token) || mutant == Mutant::NoFence {
-            let newest = self.newest.entry(duty).or_insert(token);
-            self.broken |= token < *newest;
-            *newest = token.max(*newest);
-            self.owners.insert((duty, node));
+    /// The result of an action reaches its receiver.
+    fn result(&mut self, mutant: Mutant, member: usize, lease: LeaseId, token: FencingToken) {
+        if self.guard.accept(lease, token) || mutant == Mutant::NoFence {
+            let highest = self.highest.entry(lease).or_insert(token);
+            self.fencing_violated |= token < *highest;
+            *highest = token.max(*highest);
+            self.holders.insert((lease, member));
         }
     }
 
-    fn serve(&mut self, effect: Effect, asked: Micros) -> Option<Input> {
+    fn serve(&mut self, effect: Effect, sent_at: Micros) -> Option<Input> {
         Some(match effect {
-            Effect::Create => {
-                self.made += 1;
-                let id = format!("s{}", self.made);
+            Effect::CreateSession => {
+                self.sessions_created += 1;
+                let id = format!("s{}", self.sessions_created);
                 self.sessions.insert(id.clone(), self.clock);
-                Input::Created(id, asked)
+                Input::SessionCreated { session: id, sent_at }
             }
-            Effect::Renew(id) => match self.sessions.get_mut(&id) {
+            Effect::RenewSession(id) => match self.sessions.get_mut(&id) {
                 Some(renewed) => {
                     *renewed = self.clock;
-                    Input::Renewed(id, asked)
+                    Input::SessionRenewed { session: id, sent_at }
                 }
-                None => Input::Gone(id),
+                None => Input::SessionNotFound(id),
             },
-            Effect::Destroy(id) => {
+            Effect::DestroySession(id) => {
                 self.end(&id);
                 return None;
             }
-            Effect::Acquire(duty, id) => {
-                let open = self.locks.get(&duty).is_none_or(|lock| lock.session.is_none());
-                let free = self.free_from.get(&duty).is_none_or(|from| self.clock >= *from);
+            Effect::Acquire { lease, session: id } => {
+                let open = self.locks.get(&lease).is_none_or(|lock| lock.session.is_none());
+                let free = self.closed_until.get(&lease).is_none_or(|from| self.clock >= *from);
                 if open && free && self.sessions.contains_key(&id) {
                     self.index += 1;
-                    self.locks.insert(duty, Lock { session: Some(id), index: self.index });
+                    self.locks.insert(lease, Lock { session: Some(id), modify_index: self.index });
                 }
-                Input::Asked(duty)
+                Input::AcquireFinished(lease)
             }
-            Effect::Release(duty, id) => {
-                let lock = self.locks.entry(duty).or_insert(Lock { session: None, index: 0 });
+            Effect::Release { lease, session: id } => {
+                let lock = self.locks.entry(lease).or_insert(Lock { session: None, modify_index: 0 });
                 if lock.session == Some(id) {
                     self.index += 1;
-                    *lock = Lock { session: None, index: self.index };
+                    *lock = Lock { session: None, modify_index: self.index };
                 }
-                Input::Released(duty)
+                Input::Released(lease)
             }
-            Effect::Look => return None,
+            Effect::ReadLocks => return None,
         })
     }
 }
@@ -201,62 +212,67 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node { leases: Leases::default(), asked: Vec::new(), answers: Vec::new(), frozen: None };
-        let locks = (0..self.duties).map(|duty| (duty, Lock { session: None, index: 0 }));
+        let member = Member {
+            state: LeaseStateMachine::default(),
+            requests: Vec::new(),
+            answers: Vec::new(),
+            suspended: None,
+        };
+        let locks = (0..self.leases).map(|lease| (lease, Lock { session: None, modify_index: 0 }));
         let mut world = World {
             clock: 0,
-            nodes: vec![node; self.forwarders],
+            members: vec![member; self.members],
             sessions: BTreeMap::new(),
             locks: locks.collect(),
-            free_from: BTreeMap::new(),
+            closed_until: BTreeMap::new(),
             index: 0,
-            made: 0,
-            fence: Fence::default(),
-            newest: BTreeMap::new(),
-            owners: BTreeSet::new(),
-            broken: false,
+            sessions_created: 0,
+            guard: FencingGuard::default(),
+            highest: BTreeMap::new(),
+            holders: BTreeSet::new(),
+            fencing_violated: false,
             losses: self.losses,
             crashes: self.crashes,
-            freezes: self.freezes,
+            suspensions: self.suspensions,
         };
-        for node in 0..self.forwarders {
-            // Each wants all: placement is no help to safety, whatever it says.
-            self.tell(&mut world, node, Input::Placed((0..self.duties).collect()));
+        for member in 0..self.members {
+            // Each member is assigned all leases: safety must not rest on placement.
+            self.step(&mut world, member, Input::AssignmentChanged((0..self.leases).collect()));
         }
         vec![world]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         if world.clock < self.until {
-            steps.push(Step::Pass);
+            steps.push(Step::Tick);
         }
-        for (number, node) in world.nodes.iter().enumerate() {
-            if node.leases.wake_at(&self.terms()) <= self.local(number, world.clock) {
+        for (number, member) in world.members.iter().enumerate() {
+            if member.state.next_tick_at(&self.config()) <= self.local(number, world.clock) {
                 steps.push(Step::Wake(number));
             }
-            if !node.asked.is_empty() {
+            if !member.requests.is_empty() {
                 steps.push(Step::Serve(number));
             }
-            if !node.answers.is_empty() {
-                steps.push(Step::Hear(number));
+            if !member.answers.is_empty() {
+                steps.push(Step::Receive(number));
             }
             if world.losses > 0 {
-                steps.extend((!node.asked.is_empty()).then_some(Step::LoseQuestion(number)));
-                steps.extend((!node.answers.is_empty()).then_some(Step::LoseAnswer(number)));
+                steps.extend((!member.requests.is_empty()).then_some(Step::LoseRequest(number)));
+                steps.extend((!member.answers.is_empty()).then_some(Step::LoseAnswer(number)));
             }
             if world.crashes > 0 {
                 steps.push(Step::Crash(number));
             }
-            if node.leases.session().is_some() {
-                steps.push(Step::Look(number));
+            if member.state.session().is_some() {
+                steps.push(Step::ReadLocks(number));
             }
-            if node.frozen.is_some() {
-                steps.push(Step::Thaw(number));
+            if member.suspended.is_some() {
+                steps.push(Step::Resume(number));
                 continue;
             }
-            for duty in (0..self.duties).filter(|duty| self.may_act(world, number, *duty).is_some()) {
-                steps.push(Step::Act(number, duty));
-                steps.extend((world.freezes > 0).then_some(Step::Freeze(number, duty)));
+            for lease in (0..self.leases).filter(|lease| self.may_act(world, number, *lease).is_some()) {
+                steps.push(Step::Act(number, lease));
+                steps.extend((world.suspensions > 0).then_some(Step::Suspend(number, lease)));
             }
         }
         let over = world.sessions.iter().filter(|(_, renewed)| world.clock >= *renewed + TTL);
@@ -266,51 +282,55 @@
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut next = world.clone();
         match step {
-            Step::Pass => next.clock += 1,
-            Step::Wake(node) => self.tell(&mut next, node, Input::Tick),
-            Step::Serve(node) => {
-                let (effect, asked) = next.nodes[node].asked.remove(0);
-                let answer = next.serve(effect, asked);
-                self.answer(&mut next, node, answer);
+            Step::Tick => next.clock += 1,
+            Step::Wake(member) => self.step(&mut next, member, Input::Tick),
+            Step::Serve(member) => {
+                let (effect, sent_at) = next.members[member].requests.remove(0);
+                let answer = next.serve(effect, sent_at);
+                self.answer(&mut next, member, answer);
             }
-            Step::LoseQuestion(node) => {
+            Step::LoseRequest(member) => {
                 next.losses -= 1;
-                let (effect, _) = next.nodes[node].asked.remove(0);
-                self.answer(&mut next, node, silence(&effect));
+                let (effect, _) = next.members[member].requests.remove(0);
+                self.answer(&mut next, member, input_without_answer(&effect));
             }
-            Step::Hear(node) => {
-                let answer = next.nodes[node].answers.remove(0);
-                self.tell(&mut next, node, answer);
+            Step::Receive(member) => {
+                let answer = next.members[member].answers.remove(0);
+                self.step(&mut next, member, answer);
             }
-            Step::LoseAnswer(node) => {
+            Step::LoseAnswer(member) => {
                 next.losses -= 1;
-                next.nodes[node].answers.remove(0);
-                self.tell(&mut next, node, Input::Unheard);
+                next.members[member].answers.remove(0);
+                self.step(&mut next, member, Input::SessionRequestFailed);
             }
             Step::Expire(id) => next.end(&id),
-            Step::Look(node) => {
-                // Nothing is given back here, so how old a look is says nothing, and all may bear the same time.
-                let seen = Input::Seen(next.locks.clone(), 0);
-                self.tell(&mut next, node, seen);
+            Step::ReadLocks(member) => {
+                // No lock is released here, so the time of a read does not matter, and all may have the same.
+                let seen = Input::LocksRead { locks: next.locks.clone(), sent_at: 0 };
+                self.step(&mut next, member, seen);
             }
-            Step::Act(node, duty) => {
-                let token = self.may_act(world, node, duty)?;
-                next.result(self.mutant, node, duty, token);
+            Step::Act(member, lease) => {
+                let token = self.may_act(world, member, lease)?;
+                next.result(self.mutant, member, lease, token);
             }
-            Step::Freeze(node, duty) => {
-                next.freezes -= 1;
-                next.nodes[node].frozen = Some((duty, self.may_act(world, node, duty)?));
+            Step::Suspend(member, lease) => {
+                next.suspensions -= 1;
+                next.members[member].suspended = Some((lease, self.may_act(world, member, lease)?));
             }
-            Step::Thaw(node) => {
-                let (duty, token) = next.nodes[node].frozen.take()?;
-                next.result(self.mutant, node, duty, token);
+            Step::Resume(member) => {
+                let (lease, token) = next.members[member].suspended.take()?;
+                next.result(self.mutant, member, lease, token);
             }
-            Step::Crash(node) => {
+            Step::Crash(member) => {
                 next.crashes -= 1;
-                let fresh =
-                    Node { leases: Leases::default(), asked: Vec::new(), answers: Vec::new(), frozen: None };
-                next.nodes[node] = fresh;
-                self.tell(&mut next, node, Input::Placed((0..self.duties).collect()));
+                let fresh = Member {
+                    state: LeaseStateMachine::default(),
+                    requests: Vec::new(),
+                    answers: Vec::new(),
+                    suspended: None,
+                };
+                next.members[member] = fresh;
+                self.step(&mut next, member, Input::AssignmentChanged((0..self.leases).collect()));
             }
         }
         (next != *world).then_some(next)
@@ -318,16 +338,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("one owner at a time", |model, world| {
-                (0..model.duties).all(|duty| {
-                    (0..model.forwarders).filter(|node| model.may_act(world, *node, duty).is_some()).count()
+            Property::<Self>::always("one holder at a time", |model, world| {
+                (0..model.leases).all(|lease| {
+                    (0..model.members).filter(|member| model.may_act(world, *member, lease).is_some()).count()
                         <= 1
                 })
             }),
-            Property::<Self>::always("no older result counts after a newer one", |_, world| !world.broken),
-            Property::<Self>::sometimes("a duty passes from one to another", |_, world| {
-                let owners = |duty| world.owners.iter().filter(|(other, _)| *other == duty).count();
-                world.newest.keys().any(|duty| owners(*duty) > 1)
+            Property::<Self>::always(
+                "no result of an earlier holder is accepted after one of a later",
+                |_, world| !world.fencing_violated,
+            ),
+            Property::<Self>::sometimes("a lease passes from one to another", |_, world| {
+                let holders = |lease| world.holders.iter().filter(|(other, _)| *other == lease).count();
+                world.highest.keys().any(|lease| holders(*lease) > 1)
             }),
         ]
     }
@@ -338,8 +361,8 @@
     bounds.checker().threads(threads).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join()
 }
 
-/// Everything within the bounds keeps all properties; gives how many states that were.
-fn holds(what: &str, bounds: Bounds) {
+/// Fails where a state within the bounds violates a property; prints the number of states.
+fn assert_holds(what: &str, bounds: Bounds) {
     let checked = check(bounds);
     println!(
         "{what}: {} states, the longest path {} steps",
@@ -350,41 +373,41 @@
 }
 
 const SMALL: Bounds =
-    Bounds { forwarders: 2, duties: 1, until: 3, losses: 0, crashes: 0, freezes: 0, mutant: Mutant::None };
+    Bounds { members: 2, leases: 1, until: 3, losses: 0, crashes: 0, suspensions: 0, mutant: Mutant::None };
 
 #[test]
-fn one_owner_whatever_is_late() {
-    holds("late", Bounds { until: 4, ..SMALL });
+fn one_holder_under_any_delay() {
+    assert_holds("late", Bounds { until: 4, ..SMALL });
 }
 
 #[test]
-fn one_owner_whatever_is_lost() {
-    holds("a loss", Bounds { losses: 1, ..SMALL });
+fn one_holder_when_a_request_or_answer_is_lost() {
+    assert_holds("a loss", Bounds { losses: 1, ..SMALL });
 }
 
 #[test]
-fn one_owner_over_a_crash_and_over_a_freeze_in_the_middle_of_an_act() {
-    holds("a crash", Bounds { crashes: 1, ..SMALL });
-    holds("a freeze", Bounds { freezes: 1, ..SMALL });
+fn one_holder_across_a_crash_and_a_suspension_during_an_action() {
+    assert_holds("a crash", Bounds { crashes: 1, ..SMALL });
+    assert_holds("a suspension", Bounds { suspensions: 1, ..SMALL });
 }
 
 #[test]
 #[ignore = "a minute on four cores: cargo test -p orchidyoke-leases --test model -- --ignored"]
-fn two_duties_have_an_owner_each() {
-    holds("two duties", Bounds { duties: 2, ..SMALL });
+fn two_leases_have_one_holder_each() {
+    assert_holds("two leases", Bounds { leases: 2, ..SMALL });
 }
 
-// What has to be found when a part of the protocol is taken away.
+// The check has to find a violation when a part of the protocol is left out.
 #[test]
-fn each_mutant_is_found() {
+fn each_mutant_violates_its_property() {
     let cases = [
-        (Mutant::NoDrift, "one owner at a time"),
-        (Mutant::FromAnswer, "one owner at a time"),
-        (Mutant::NoFence, "no older result counts after a newer one"),
+        (Mutant::NoDrift, "one holder at a time"),
+        (Mutant::FromAnswer, "one holder at a time"),
+        (Mutant::NoFence, "no result of an earlier holder is accepted after one of a later"),
     ];
     for (mutant, property) in cases {
-        let freezes = u8::from(mutant == Mutant::NoFence);
-        let checked = check(Bounds { mutant, freezes, until: 4, ..SMALL });
+        let suspensions = u8::from(mutant == Mutant::NoFence);
+        let checked = check(Bounds { mutant, suspensions, until: 4, ..SMALL });
         let path = checked.discovery(property).unwrap_or_else(|| panic!("{mutant:?}: {property}"));
         println!(
             "{mutant:?}: found after {} states, by {} steps",
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo run --release -p orchidyoke-ownership --example compare_placements
 
-use orchidyoke_leases::placement::place;
+use orchidyoke_leases::placement::assign_leases;
 use orchidyoke_leases::rendezvous::score;
 use orchidyoke_ownership::{Member, Partition, Region, View};
 use std::collections::{BTreeMap, BTreeSet};
@@ -77,7 +77,7 @@
         owners.iter().enumerate().map(|(destination, owner)| (slot(destination as u64), name(*owner)))
     });
     let weights = members.iter().map(|member| (name(*member), 1.0)).collect();
-    let placed = place(&weights, &(0..SLOTS).collect(), &held.collect());
+    let placed = assign_leases(&weights, &(0..SLOTS).collect(), &held.collect());
     let number = |name: &str| name[1..].parse().expect("it is a number");
     (0..DESTINATIONS).map(|destination| number(&placed[&slot(destination)])).collect()
 }
