--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -3,7 +3,7 @@
 use super::hollow::policy_settings;
 use super::messages::clock;
 use orchidyoke_fakes::{FaultProxy, Stage, loopback};
-use orchidyoke_policy_commit::propose::Office;
+use orchidyoke_policy_commit::coordinator::Office;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -9,7 +9,7 @@
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::reload::Source;
-use orchidyoke_policy_commit::propose::Office;
+use orchidyoke_policy_commit::coordinator::Office;
 use orchidyoke_policy_commit::{Follower, Settings};
 use serde_json::json;
 use std::rc::Rc;
--- a/crates/policy-commit/src/follow.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -1,7 +1,7 @@
 //! The agent on Consul, inside a forwarder: one blocking query on the commit point, one session with the forwarder's key,
 //! and the policy in force and the staged one as files of the forwarder's folder.
 
-use crate::agent::{Agent, Effect, Input};
+use crate::participant::{Agent, Effect, Input};
 use crate::commit_point::{self, NumberedPolicy, Point, Policy, Settings};
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks};
--- a/crates/policy-commit/src/propose.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -6,7 +6,7 @@
 //! and both change together or not at all.
 
 use crate::commit_point::{Epoch, Member, NumberedPolicy, Point, Policy, PolicyError, Settings, members};
-use crate::proposal::{Verdict, verdict};
+use crate::commit_decision::{Verdict, verdict};
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
 use std::rc::Rc;
--- a/crates/policy-commit/src/lib.rs
+++ b/crates/policy-commit/src/lib.rs
@@ -2,18 +2,18 @@
 //! off ([docs/policy-commit.md](../../../docs/policy-commit.md)).
 //!
 //! - [`commit_point`]: what stands at the commit point, and in what form.
-//! - [`agent`]: what a forwarder does with what it sees there; no I/O, no clock.
-//! - [`proposal`]: when a proposer may commit; no I/O.
-//! - [`follow`](mod@follow): the agent on Consul, inside a forwarder.
-//! - [`propose`](mod@propose): the operators' side: propose, status, abort.
+//! - [`participant`]: what a forwarder does with what it sees there; no I/O, no clock.
+//! - [`commit_decision`]: when a proposer may commit; no I/O.
+//! - [`consul_participant`]: the agent on Consul, inside a forwarder.
+//! - [`coordinator`]: the operators' side: propose, status, abort.
 //!
 //! A forwarder whose settings do not ask for it starts nothing of it.
 
-pub mod agent;
+pub mod participant;
 pub mod commit_point;
-pub mod follow;
-pub mod proposal;
-pub mod propose;
+pub mod consul_participant;
+pub mod commit_decision;
+pub mod coordinator;
 
 pub use commit_point::{Epoch, Settings};
-pub use follow::Follower;
+pub use consul_participant::Follower;
--- a/crates/policy-commit/tests/proposal.rs
+++ b/crates/policy-commit/tests/commit_decision.rs
@@ -1,7 +1,7 @@
-//! Tests of [`orchidyoke_policy_commit::proposal`].
+//! Tests of [`orchidyoke_policy_commit::commit_decision`].
 
 use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, NumberedPolicy, Point, Vote};
-use orchidyoke_policy_commit::proposal::{Verdict, verdict};
+use orchidyoke_policy_commit::commit_decision::{Verdict, verdict};
 
 fn member(id: &str, vote: Option<(&str, Option<&str>)>) -> Member {
     let vote = vote.map(|(proposal, no)| Vote { proposal: proposal.into(), no: no.map(str::to_owned) });
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -3,9 +3,9 @@
 //! bounds given.
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_policy_commit::agent::{Agent, Effect, Input};
+use orchidyoke_policy_commit::participant::{Agent, Effect, Input};
 use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, NumberedPolicy, Point};
-use orchidyoke_policy_commit::proposal::{Verdict, verdict};
+use orchidyoke_policy_commit::commit_decision::{Verdict, verdict};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// A step of the clock is one unit. The store gives a silent forwarder up after this long; a look counts for less.
--- a/crates/policy-commit/tests/agent.rs
+++ b/crates/policy-commit/tests/participant.rs
@@ -1,6 +1,6 @@
-//! Tests of [`orchidyoke_policy_commit::agent`].
+//! Tests of [`orchidyoke_policy_commit::participant`].
 
-use orchidyoke_policy_commit::agent::{Agent, Effect, Input};
+use orchidyoke_policy_commit::participant::{Agent, Effect, Input};
 use orchidyoke_policy_commit::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
 
 fn numbered(id: &str, epoch: Epoch) -> NumberedPolicy {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -288,10 +288,10 @@
         let settings = wanted.policy.ok_or("these settings ask for no policy(...)")?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         tokio::task::LocalSet::new()
-            .block_on(&runtime, self.at(orchidyoke_policy_commit::propose::Office::new(settings)))
+            .block_on(&runtime, self.at(orchidyoke_policy_commit::coordinator::Office::new(settings)))
     }
 
-    async fn at(self, mut office: orchidyoke_policy_commit::propose::Office) -> Result<(), Box<dyn Error>> {
+    async fn at(self, mut office: orchidyoke_policy_commit::coordinator::Office) -> Result<(), Box<dyn Error>> {
         match self {
             PolicyCommand::Propose { policy, patience, by, .. } => {
                 let text =
