--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -10,7 +10,7 @@
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::reload::Source;
 use orchidyoke_leases::{LeaseConfig, LeaseManager, ManagerConfig};
-use orchidyoke_policy_commit::{Follower, Settings as PolicySettings};
+use orchidyoke_policy_commit::{ConsulParticipant, Settings as PolicySettings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 
 /// One hollow forwarder that runs.
 struct Hollow {
-    follower: Rc<Follower>,
+    participant: Rc<ConsulParticipant>,
     following: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
     managing: JoinHandle<()>,
@@ -54,18 +54,18 @@
 
 impl Hollow {
     fn start(role: &MembersRole, name: &str) -> Self {
-        let (follower, following) = start_follower(role, name);
+        let (participant, following) = start_participant(role, name);
         let (lease_manager, managing) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
         let reading_all = role.reads_all_members.then(read_all);
-        Hollow { follower, following, lease_manager, managing, reading_all }
+        Hollow { participant, following, lease_manager, managing, reading_all }
     }
 
     /// Gives back what it holds, and ends.
     async fn leave(mut self) {
         // What still runs would open another session.
         self.following.abort();
-        self.follower.leave().await;
+        self.participant.leave().await;
         self.lease_manager.shut_down();
         if timeout(LEAVE, &mut self.managing).await.is_err() {
             eprintln!("a member has not left within {LEAVE:?}");
@@ -81,14 +81,14 @@
     }
 }
 
-fn start_follower(role: &MembersRole, name: &str) -> (Rc<Follower>, JoinHandle<()>) {
+fn start_participant(role: &MembersRole, name: &str) -> (Rc<ConsulParticipant>, JoinHandle<()>) {
     let folder = role.folder.join(name);
     if let Err(error) = std::fs::create_dir_all(&folder) {
         eprintln!("{}: {error}", folder.display());
     }
-    let follower = Follower::new(policy_settings(role.policy, role.ttl), name, &folder);
+    let participant = ConsulParticipant::new(policy_settings(role.policy, role.ttl), name, &folder);
     let source = Rc::new(Source { path: role.configuration.clone(), ..Source::default() });
-    let (following, name) = (follower.clone(), name.to_owned());
+    let (following, name) = (participant.clone(), name.to_owned());
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
         following.join(&source).await;
@@ -102,7 +102,7 @@
         };
         tokio::join!(following.clone().follow(source, inputs), told);
     });
-    (follower, task)
+    (participant, task)
 }
 
 fn start_lease_manager(role: &MembersRole, name: &str) -> (Rc<LeaseManager>, JoinHandle<()>) {
@@ -133,7 +133,7 @@
     let mut locks = Locks::new(Rc::new(settings.consul.clone()));
     let mut index = 0;
     loop {
-        match locks.look(&settings.members(), index, settings.ttl).await {
+        match locks.look(&settings.members_folder(), index, settings.ttl).await {
             Ok((at, _)) => index = at,
             Err(_) => sleep(RETRY).await,
         }
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -377,7 +377,7 @@
         stores: &mut [Locks],
     ) -> Result<Option<String>, String> {
         let commit_address = self.fleet.commit_point().ok_or("there is no commit point")?;
-        let folder = policy_settings(commit_address, self.spans.ttl).members();
+        let folder = policy_settings(commit_address, self.spans.ttl).members_folder();
         let members = held(commit_point, &folder).await?;
         let expected = self.fleet.members().count();
         if members != expected {
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -3,7 +3,7 @@
 use super::hollow::policy_settings;
 use super::messages::clock;
 use orchidyoke_fakes::{FaultProxy, Stage, loopback};
-use orchidyoke_policy_commit::coordinator::Office;
+use orchidyoke_policy_commit::Coordinator;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -60,14 +60,14 @@
     pub fn start(commit_point: SocketAddr, ttl: Duration) -> Self {
         let stage = Stage::new();
         let link = FaultProxy::start(&stage, loopback(), commit_point);
-        let mut office = Office::new(policy_settings(link.address, ttl));
+        let mut coordinator = Coordinator::new(policy_settings(link.address, ttl));
         let (asked, mut requests) = unbounded_channel();
         let (sender, done) = unbounded_channel();
         spawn_local(async move {
             let mut number = 0;
             while let Some(size) = requests.recv().await {
                 number += 1;
-                let proposed = propose(&mut office, number, size).await;
+                let proposed = propose(&mut coordinator, number, size).await;
                 // The receiver is gone only when the experiment ends.
                 drop(sender.send(proposed));
             }
@@ -92,13 +92,13 @@
     }
 }
 
-async fn propose(office: &mut Office, number: u64, size: PolicySize) -> Result<Proposal, String> {
+async fn propose(coordinator: &mut Coordinator, number: u64, size: PolicySize) -> Result<Proposal, String> {
     let idle_close = FIRST_IDLE_CLOSE_US + number;
     let settings = json!({"limits": {"idle_close_us": idle_close}});
     let policy = json!({"settings": settings, "out": size.endpoints_left_out()}).to_string();
     let began = clock();
-    let taken = office.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
-    let since_commit = office.last_commit().map_or(Duration::ZERO, |at| at.elapsed());
+    let report = coordinator.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
+    let since_commit = coordinator.last_commit().map_or(Duration::ZERO, |at| at.elapsed());
     let committed = clock() - since_commit.as_micros() as u64;
-    Ok(Proposal { epoch: taken.epoch, began, committed })
+    Ok(Proposal { epoch: report.version, began, committed })
 }
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -1,5 +1,5 @@
 //! `policy-epochs`: how long a committed policy takes to be in force on fleets of 10, 100 and 1,000 forwarders, and what
-//! that asks of Consul. The followers are those of the real forwarder, all in one process, each with connections of its
+//! that asks of Consul. The participants are those of the real forwarder, all in one process, each with connections of its
 //! own to a stand-in; nothing but them is emulated.
 
 use crate::Run;
@@ -9,8 +9,7 @@
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::reload::Source;
-use orchidyoke_policy_commit::coordinator::Office;
-use orchidyoke_policy_commit::{Follower, Settings};
+use orchidyoke_policy_commit::{ConsulParticipant, Coordinator, Settings};
 use serde_json::json;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -136,13 +135,13 @@
         let late = sabotage && number == 0;
         let at = if late { path.address } else { consul.address() };
         let folder = Folder::new(&format!("lab-policy-{forwarders}-{number}"));
-        let follower = Follower::new(settings(at), &format!("f{number}"), folder.path());
+        let participant = ConsulParticipant::new(settings(at), &format!("f{number}"), folder.path());
         let source = Rc::new(Source { path: config.clone(), ..Source::default() });
         let (inputs, mut came) = unbounded_channel();
         let took = took.clone();
         spawn_local(async move {
-            follower.join(&source).await;
-            let follow = spawn_local(follower.clone().follow(source, inputs));
+            participant.join(&source).await;
+            let follow = spawn_local(participant.clone().follow(source, inputs));
             while let Some(input) = came.recv().await {
                 if matches!(input, Input::Reconfigured(_)) {
                     // The receiver is gone only when the experiment ends.
@@ -153,9 +152,9 @@
             drop(folder);
         });
     }
-    let mut office = Office::new(settings(consul.address()));
+    let mut coordinator = Coordinator::new(settings(consul.address()));
     let all_there = async {
-        while office.status().await.map_or(0, |(_, members)| members.len()) < forwarders {
+        while coordinator.status().await.map_or(0, |fleet| fleet.members.len()) < forwarders {
             sleep(Duration::from_millis(100)).await;
         }
     };
@@ -169,14 +168,14 @@
     for change in 0..changes {
         if sabotage {
             path.set(Fault::Partition);
-            while office.status().await.map_or(0, |(_, members)| members.len()) >= forwarders {
+            while coordinator.status().await.map_or(0, |fleet| fleet.members.len()) >= forwarders {
                 sleep(Duration::from_millis(100)).await;
             }
         }
         let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + change}}}).to_string();
         let (before, began) = (consul.questions(), Instant::now());
-        office.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
-        let committed = office.last_commit().ok_or("no commit")?;
+        coordinator.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
+        let committed = coordinator.last_commit().ok_or("no commit")?;
         // One that has not taken it by then is told as having taken as long.
         let until = committed + PATIENCE;
         let mut times = Vec::new();
--- a/crates/policy-commit/src/commit_decision.rs
+++ b/crates/policy-commit/src/commit_decision.rs
@@ -1,46 +1,65 @@
-//! When a proposer may commit. No I/O.
+//! When a coordinator may commit its proposal. No I/O.
 
-use crate::commit_point::{Member, NumberedPolicy, Point};
+use crate::commit_point::{CommitPoint, Member};
+use crate::policy::VersionedPolicy;
 
-/// What a proposer is to do, by what it has seen.
+/// A participant's vote against a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// These have not voted yet.
+pub struct Rejection {
+    /// The participant's id.
+    pub member: String,
+    /// Why it cannot use the policy.
+    pub reason: String,
+}
+
+/// The indices that a commit is conditional on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct CommitCondition {
+    /// The proposal is the one written at this index.
+    pub proposal_index: u64,
+    /// The committed policy is the one written at this index; 0: none is committed.
+    pub committed_index: u64,
+}
+
+/// What the coordinator is to do next.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CommitDecision {
+    /// Wait: these participants have not voted yet.
     Wait(Vec<String>),
-    /// These cannot use it, each with its reason: withdraw it.
-    Refused(Vec<(String, String)>),
-    /// It is not proposed any more, or something else was committed: nothing is to be done.
-    Lost,
-    /// All that are there have said yes: commit it on these indices, and on no others.
-    Commit {
-        /// That of the proposal.
-        proposal: u64,
-        /// That of what is committed; 0: nothing is.
-        committed: u64,
-    },
+    /// Withdraw the proposal: these participants voted against it.
+    Rejected(Vec<Rejection>),
+    /// Give up: the proposal is gone, or another policy was committed first.
+    Superseded,
+    /// Commit it under this condition: all participants voted for it.
+    Commit(CommitCondition),
 }
 
-/// What to do with this proposal. The members have to be looked at after the proposal could be seen: one that has come
-/// since then and has not voted learns what is committed before it is ready.
-pub fn verdict(mine: &NumberedPolicy, point: &Point, members: &[Member]) -> Verdict {
-    let proposal = match &point.proposal {
-        Some((proposal, index, _)) if proposal.id == mine.id => *index,
-        _ => return Verdict::Lost,
+/// Decides on a proposal. The members have to be read after the proposal became visible: one that joined since and has
+/// not voted reads what is committed before it is ready.
+pub fn decide(proposed: &VersionedPolicy, point: &CommitPoint, members: &[Member]) -> CommitDecision {
+    let proposal_index = match &point.proposal {
+        Some(proposal) if proposal.policy.id == proposed.id => proposal.modify_index,
+        _ => return CommitDecision::Superseded,
     };
-    if point.epoch() + 1 != mine.epoch {
-        return Verdict::Lost;
+    if point.version() + 1 != proposed.version {
+        return CommitDecision::Superseded;
     }
-    let vote = |member: &Member| {
-        let vote = member.status.as_ref()?.vote.as_ref()?;
-        (vote.proposal == mine.id).then(|| vote.no.clone())
-    };
-    let no: Vec<_> = members.iter().filter_map(|m| Some((m.id.clone(), vote(m)??))).collect();
-    if !no.is_empty() {
-        return Verdict::Refused(no);
+    let rejections = rejections(proposed, members);
+    if !rejections.is_empty() {
+        return CommitDecision::Rejected(rejections);
     }
-    let silent: Vec<_> = members.iter().filter(|m| vote(m).is_none()).map(|m| m.id.clone()).collect();
-    if !silent.is_empty() {
-        return Verdict::Wait(silent);
+    let missing = members.iter().filter(|member| member.vote_on(&proposed.id).is_none());
+    let missing: Vec<String> = missing.map(|member| member.id.clone()).collect();
+    if !missing.is_empty() {
+        return CommitDecision::Wait(missing);
     }
-    Verdict::Commit { proposal, committed: point.committed.as_ref().map_or(0, |(_, index)| *index) }
+    CommitDecision::Commit(CommitCondition { proposal_index, committed_index: point.committed_index() })
+}
+
+fn rejections(proposed: &VersionedPolicy, members: &[Member]) -> Vec<Rejection> {
+    let rejection = |member: &Member| {
+        let reason = member.vote_on(&proposed.id)?.rejection.clone()?;
+        Some(Rejection { member: member.id.clone(), reason })
+    };
+    members.iter().filter_map(rejection).collect()
 }
--- a/crates/policy-commit/src/commit_point.rs
+++ b/crates/policy-commit/src/commit_point.rs
@@ -1,186 +1,118 @@
-//! What stands at the commit point, and in what form.
+//! The commit point on Consul: the committed and the proposed policy, and the participants with their votes.
 //!
-//! Below a prefix there are two folders. `epoch/committed` and `epoch/proposal` are the two keys that every forwarder
-//! watches; `members/ID` is held by a forwarder's session and watched by who proposes.
+//! Below a prefix there are two folders ([`Settings`]). Every forwarder watches the one with the committed and the
+//! proposed policy. The other has a key for each participant, held by its session, and is watched by coordinators alone.
 
+use crate::policy::{PolicyVersion, VersionedPolicy};
+use crate::settings::Settings;
 use orchidyoke_consul::locks::Row;
 use serde::{Deserialize, Serialize};
-use serde_json::Value;
-use std::time::Duration;
 
-/// Numbers the policies that were committed; 0: none was.
-pub type Epoch = u64;
-
-/// Where an installation's policy epochs are kept, and under which name this forwarder takes part.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Settings {
-    /// The Consul with the commit point.
-    pub consul: orchidyoke_consul::Settings,
-    /// Where the keys are, without a slash at its end.
-    pub prefix: String,
-    /// The forwarder's name, the only one in the fleet; what its configuration names it where this is left out.
-    pub name: Option<String>,
-    /// How long a forwarder that is not heard of counts as one that is there.
-    pub ttl: Duration,
-}
-
-impl Settings {
-    /// The folder that every forwarder watches.
-    pub fn epoch(&self) -> String {
-        format!("{}/epoch/", self.prefix)
-    }
-
-    /// The key of what was committed.
-    pub fn committed(&self) -> String {
-        format!("{}/epoch/committed", self.prefix)
-    }
-
-    /// The key of what is proposed.
-    pub fn proposal(&self) -> String {
-        format!("{}/epoch/proposal", self.prefix)
-    }
-
-    /// The folder of those that are there.
-    pub fn members(&self) -> String {
-        format!("{}/members/", self.prefix)
-    }
-}
-
-/// A policy with its number: proposed, or committed.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct NumberedPolicy {
-    /// Tells it from every other proposal, also from one with the same number.
-    pub id: String,
-    /// Its number, once it is committed.
-    pub epoch: Epoch,
-    /// A digest of the policy's text.
-    pub digest: String,
-    /// The policy as JSON text.
-    pub policy: String,
-    /// Who proposed it.
-    pub by: String,
-}
-
-impl NumberedPolicy {
-    /// Numbers a policy.
-    pub fn new(id: String, epoch: Epoch, policy: String, by: String) -> Self {
-        let digest = digest(&policy);
-        NumberedPolicy { id, epoch, digest, policy, by }
-    }
-
-    /// Whether its text is the one that it was written with.
-    pub fn is_whole(&self) -> bool {
-        digest(&self.policy) == self.digest
-    }
-}
-
-/// The digest of a policy's text.
-pub fn digest(policy: &str) -> String {
-    format!("{:016x}", xxhash_rust::xxh3::xxh3_64(policy.as_bytes()))
-}
-
-/// What a forwarder says to a proposal.
+/// A participant's vote on a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vote {
-    /// The proposal's id.
-    pub proposal: String,
-    /// Why it cannot be used here; none: it is checked, staged and can be.
-    pub no: Option<String>,
+    /// The id of the proposal.
+    #[serde(rename = "proposal")]
+    pub proposal_id: String,
+    /// Why the participant rejects it; none: it is checked and staged.
+    #[serde(rename = "no")]
+    pub rejection: Option<String>,
 }
 
-/// What a forwarder says of itself, in its key.
+/// What a participant publishes in its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The epoch in force here.
-    pub epoch: Epoch,
+    /// The version in force on it.
+    #[serde(rename = "epoch")]
+    pub version: PolicyVersion,
     /// Its last vote.
     pub vote: Option<Vote>,
-    /// Why it does not use what is committed, where it cannot.
-    pub refuses: Option<String>,
+    /// Why it cannot use the committed policy, if it cannot.
+    #[serde(rename = "refuses")]
+    pub unusable_reason: Option<String>,
+}
+
+/// The committed policy.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Committed {
+    /// The policy.
+    pub policy: VersionedPolicy,
+    /// Consul's index of the write that committed it.
+    pub modify_index: u64,
 }
 
-/// What stands in `epoch/`.
+/// The proposed policy.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Proposal {
+    /// The policy.
+    pub policy: VersionedPolicy,
+    /// Consul's index of the write that proposed it.
+    pub modify_index: u64,
+    /// The coordinator's session, which holds the key.
+    pub session: Option<String>,
+}
+
+/// The committed and the proposed policy at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Point {
-    /// What is committed, and the index of that write.
-    pub committed: Option<(NumberedPolicy, u64)>,
-    /// What is proposed, the index of that write, and the session that holds it.
-    pub proposal: Option<(NumberedPolicy, u64, Option<String>)>,
+pub struct CommitPoint {
+    /// The committed policy, if one was committed.
+    pub committed: Option<Committed>,
+    /// The proposed policy, while a proposal is open.
+    pub proposal: Option<Proposal>,
 }
 
-impl Point {
-    /// Reads it from its rows. One that is not in form counts as not there: nobody acts on it.
-    pub fn read(settings: &Settings, rows: &[Row]) -> Point {
+impl CommitPoint {
+    /// Reads it from the rows of its folder. A value that is not in form, or does not match its digest, is left out.
+    pub fn from_rows(settings: &Settings, rows: &[Row]) -> CommitPoint {
         let find = |key: String| {
             let row = rows.iter().find(|row| row.key == key)?;
-            let numbered: NumberedPolicy =
-                serde_json::from_str(&row.text()).ok().filter(NumberedPolicy::is_whole)?;
-            Some((numbered, row.modify_index, row.session.clone()))
+            let policy: VersionedPolicy = serde_json::from_str(&row.text()).ok()?;
+            policy.is_intact().then_some((row, policy))
         };
-        let committed = find(settings.committed()).map(|(numbered, index, _)| (numbered, index));
-        Point { committed, proposal: find(settings.proposal()) }
+        let committed = find(settings.committed_key())
+            .map(|(row, policy)| Committed { policy, modify_index: row.modify_index });
+        let proposal = find(settings.proposal_key()).map(|(row, policy)| Proposal {
+            policy,
+            modify_index: row.modify_index,
+            session: row.session.clone(),
+        });
+        CommitPoint { committed, proposal }
     }
 
-    /// The epoch that is committed.
-    pub fn epoch(&self) -> Epoch {
-        self.committed.as_ref().map_or(0, |(numbered, _)| numbered.epoch)
+    /// The committed version.
+    pub fn version(&self) -> PolicyVersion {
+        self.committed.as_ref().map_or(0, |committed| committed.policy.version)
+    }
+
+    /// Consul's index of the last commit; 0 before the first, as a check-and-set of a new key has it.
+    pub fn committed_index(&self) -> u64 {
+        self.committed.as_ref().map_or(0, |committed| committed.modify_index)
     }
 }
 
-/// A forwarder that is there, by its key.
+/// A participant whose session is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Its name and the number of its process.
+    /// The forwarder's name and the id of its process.
     pub id: String,
-    /// What it says of itself; none where that is not in form.
+    /// What it publishes; none where that is not in form.
     pub status: Option<MemberStatus>,
 }
 
-/// Those that are there: whose key is held by a session.
-pub fn members(settings: &Settings, rows: &[Row]) -> Vec<Member> {
-    let prefix = settings.members();
-    rows.iter()
-        .filter(|row| row.session.is_some())
-        .filter_map(|row| {
-            let id = row.key.strip_prefix(&prefix)?.to_owned();
-            Some(Member { id, status: serde_json::from_str(&row.text()).ok() })
-        })
-        .collect()
-}
-
-/// Why a text is no policy.
-#[derive(Debug, thiserror::Error)]
-pub enum PolicyError {
-    /// It is not JSON, or not of the form.
-    #[error("the policy is not in form: {0}")]
-    Form(#[from] serde_json::Error),
-}
-
-/// A policy: what the fleet agrees on.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Policy {
-    /// A JSON merge patch (RFC 7396) laid over the configuration's `settings`: the module's settings and limits.
-    #[serde(default, skip_serializing_if = "Value::is_null")]
-    pub settings: Value,
-    /// Endpoints of the transport map that are left out, by id.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub out: Vec<String>,
-}
-
-impl Policy {
-    /// Reads a policy's text.
-    pub fn read(text: &str) -> Result<Policy, PolicyError> {
-        Ok(serde_json::from_str(text)?)
+impl Member {
+    /// Its vote on a proposal, if it has voted.
+    pub fn vote_on(&self, proposal_id: &str) -> Option<&Vote> {
+        let vote = self.status.as_ref()?.vote.as_ref()?;
+        (vote.proposal_id == proposal_id).then_some(vote)
     }
+}
 
-    /// Lays it over the text of a configuration.
-    pub fn lay_over(&self, configuration: &str) -> Result<String, PolicyError> {
-        let mut document: Value = serde_json::from_str(configuration)?;
-        if !self.settings.is_null() {
-            json_patch::merge(&mut document["settings"], &self.settings);
-        }
-        document["policy_out"] = self.out.clone().into();
-        Ok(document.to_string())
-    }
+/// The participants whose key a session holds, from the rows of their folder.
+pub fn members_from_rows(settings: &Settings, rows: &[Row]) -> Vec<Member> {
+    let folder = settings.members_folder();
+    let member = |row: &Row| {
+        let id = row.key.strip_prefix(&folder)?.to_owned();
+        Some(Member { id, status: serde_json::from_str(&row.text()).ok() })
+    };
+    rows.iter().filter(|row| row.session.is_some()).filter_map(member).collect()
 }
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -1,8 +1,11 @@
-//! The agent on Consul, inside a forwarder: one blocking query on the commit point, one session with the forwarder's key,
-//! and the policy in force and the staged one as files of the forwarder's folder.
+//! The participant of a forwarder on Consul: watches the commit point with one blocking query, keeps the forwarder's key
+//! with one session, and puts committed policies in force.
 
-use crate::participant::{Agent, Effect, Input};
-use crate::commit_point::{self, NumberedPolicy, Point, Policy, Settings};
+use crate::commit_point::{CommitPoint, MemberStatus};
+use crate::participant::{Effect, Input, Participant};
+use crate::policy::{Policy, VersionedPolicy};
+use crate::settings::Settings;
+use crate::staging::PolicyFiles;
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks};
 use orchidyoke_core::interface::Micros;
@@ -13,63 +16,52 @@
 use orchidyoke_forwarder::reload::Source;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
-use std::io::Write;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long a start waits for the commit point before it serves by what it holds.
+/// How long a start waits for the commit point before it serves by the policy on disk.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a look or a write that came to nothing.
+/// Pause after a read or a write that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// A forwarder's part in the fleet's policy.
-pub struct Follower {
+/// The participant of one forwarder.
+pub struct ConsulParticipant {
     settings: Settings,
-    /// Its name and the number of its process: an upgrade has two.
+    /// The forwarder's name and the id of its process: during an upgrade there are two.
     id: String,
-    folder: PathBuf,
+    files: PolicyFiles,
     start: Instant,
-    agent: RefCell<Agent>,
-    /// The session with its key.
+    state: RefCell<Participant>,
+    /// The session that holds the participant's key.
     session: RefCell<Option<String>>,
-    /// What its key says, as far as it is known.
-    published: RefCell<Option<commit_point::MemberStatus>>,
+    /// What the key holds, as far as it is known.
+    published: RefCell<Option<MemberStatus>>,
+    /// Consul's index of the last read of the commit point; 0: the next read is answered at once.
     index: Cell<u64>,
-    /// Its status has changed: for the fleet, and for this process.
-    republish: Notify,
-    changed: Notify,
+    publish: Notify,
+    state_changed: Notify,
 }
 
-/// What keeps a file from being read or written.
-fn file(path: &Path) -> impl Fn(std::io::Error) -> String + '_ {
-    move |error| format!("{}: {error}", path.display())
-}
-
-impl Follower {
-    /// One that keeps its files in this folder, under this name. Nothing is opened yet.
+impl ConsulParticipant {
+    /// A participant of this name with its files in this folder. Nothing is opened yet.
     pub fn new(settings: Settings, name: &str, folder: &Path) -> Rc<Self> {
-        let folder = folder.to_owned();
-        let read_file = |name: &str| -> Option<NumberedPolicy> {
-            let text = std::fs::read(folder.join(name)).ok()?;
-            serde_json::from_slice(&text).ok().filter(NumberedPolicy::is_whole)
-        };
-        let agent = Agent::new(read_file(IN_FORCE_FILE), read_file(STAGED_FILE));
-        let id = format!("{name}.{}", std::process::id());
-        Rc::new(Follower {
+        let files = PolicyFiles::new(folder);
+        let state = Participant::new(files.read_in_force(), files.read_staged());
+        Rc::new(ConsulParticipant {
             settings,
-            id,
-            folder,
+            id: format!("{name}.{}", std::process::id()),
+            files,
             start: Instant::now(),
-            agent: RefCell::new(agent),
+            state: RefCell::new(state),
             session: RefCell::default(),
             published: RefCell::default(),
             index: Cell::default(),
-            republish: Notify::new(),
-            changed: Notify::new(),
+            publish: Notify::new(),
+            state_changed: Notify::new(),
         })
     }
 
@@ -77,42 +69,38 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// How long a look counts: less than the store takes to give up a forwarder that it does not hear of.
+    /// How long a read counts as contact. Shorter than a session's TTL, so that a forwarder says that it is out of
+    /// contact before the others may commit without it.
     fn contact_time(&self) -> Micros {
         (self.settings.ttl * 2 / 3).as_micros() as Micros
     }
 
-    fn locks(&self) -> Locks {
-        Locks::new(Rc::new(self.settings.consul.clone()))
+    fn contact_until(&self) -> Option<Micros> {
+        self.state.borrow().contact_until(self.contact_time())
     }
 
-    fn write_file(&self, name: &str, numbered: &NumberedPolicy) -> Result<(), String> {
-        let path = self.folder.join(name);
-        let beside = path.with_extension("new");
-        let write = || -> std::io::Result<()> {
-            let mut file = std::fs::File::create(&beside)?;
-            file.write_all(&serde_json::to_vec(numbered)?)?;
-            file.sync_all()?;
-            std::fs::rename(&beside, &path)
-        };
-        write().map_err(file(&path))
+    fn locks(&self) -> Locks {
+        Locks::new(Rc::new(self.settings.consul.clone()))
     }
 
-    /// One look; what the agent asks for then.
-    async fn look(&self, locks: &mut Locks, wait: Duration) -> Result<Vec<Effect>, LockError> {
-        let sent = self.now();
-        let (index, rows) = locks.look(&self.settings.epoch(), self.index.get(), wait).await?;
+    /// Reads the commit point once it has changed, or after `wait`; the effects to carry out.
+    async fn read_commit_point(&self, locks: &mut Locks, wait: Duration) -> Result<Vec<Effect>, LockError> {
+        let sent_at = self.now();
+        let folder = self.settings.commit_point_folder();
+        let (index, rows) = locks.look(&folder, self.index.get(), wait).await?;
         self.index.set(index);
-        Ok(self.step(Input::Looked(sent, Box::new(Point::read(&self.settings, &rows)))))
+        let point = Box::new(CommitPoint::from_rows(&self.settings, &rows));
+        Ok(self.step(Input::CommitPointRead { sent_at, point }))
     }
 
     fn step(&self, input: Input) -> Vec<Effect> {
-        let effects = self.agent.borrow_mut().step(input);
-        self.changed.notify_one();
+        let effects = self.state.borrow_mut().step(input);
+        self.state_changed.notify_one();
         effects
     }
 
-    /// Carries out what the agent asks for. A new configuration goes to `inputs`; before the start there are none.
+    /// Carries out effects, and those that follow from them. A new configuration goes to `inputs`; before the start there
+    /// are none.
     async fn carry_out(
         &self,
         source: &Source,
@@ -121,69 +109,73 @@
     ) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
-            let more = match effect {
-                Effect::Stage(numbered) => {
-                    let checked = self.check(source, &numbered).await.map(drop);
-                    let outcome = checked.and_then(|()| self.write_file(STAGED_FILE, &numbered));
-                    tracing::info!(epoch = numbered.epoch, id = %numbered.id, by = %numbered.by, ?outcome,
-                        "policy proposed");
-                    self.step(Input::Staged(numbered.id, outcome))
-                }
-                Effect::Unstage => {
-                    drop(std::fs::remove_file(self.folder.join(STAGED_FILE)));
-                    Vec::new()
-                }
-                Effect::Apply(numbered) => {
-                    let config = match inputs {
-                        // From here to the configuration's way to the forwarder nothing is waited for: no attempt begins
-                        // by the policy before, once it is known that there is another.
-                        Some(_) => source.reread_with(overlay(&numbered)).map_err(|error| error.to_string()),
-                        None => self.check(source, &numbered).await,
-                    };
-                    if config.is_ok()
-                        && let Err(why) = self.write_file(IN_FORCE_FILE, &numbered)
-                    {
-                        // It holds all the same; a start without it learns of it before it is ready.
-                        tracing::error!(why, "policy epoch not kept");
-                    }
-                    let outcome = config.map(|config| {
-                        if let Some(inputs) = inputs {
-                            // The receiver is gone only when the forwarder ends.
-                            let _ = inputs.send(input::Input::Reconfigured(Box::new(config)));
-                        }
-                    });
-                    match &outcome {
-                        Ok(()) => {
-                            tracing::info!(epoch = numbered.epoch, id = %numbered.id, "policy epoch in force")
-                        }
-                        Err(why) => {
-                            tracing::error!(epoch = numbered.epoch, why, "policy epoch cannot be used here")
-                        }
-                    }
-                    self.step(Input::Applied(numbered.id, outcome))
+            match effect {
+                Effect::Stage(policy) => {
+                    let outcome = self.stage(source, &policy).await;
+                    effects.extend(self.step(Input::Staged { id: policy.id, outcome }));
                 }
-                Effect::Tell(_) => {
-                    self.republish.notify_one();
-                    Vec::new()
+                Effect::Unstage => self.files.remove_staged(),
+                Effect::Apply(policy) => {
+                    let outcome = self.apply(source, inputs, &policy).await;
+                    effects.extend(self.step(Input::Applied { id: policy.id, outcome }));
                 }
-            };
-            effects.extend(more);
+                Effect::Publish(_) => self.publish.notify_one(),
+            }
         }
     }
 
-    /// The configuration with this policy, checked whole.
-    async fn check(&self, source: &Source, numbered: &NumberedPolicy) -> Result<Config, String> {
-        source.load_with(overlay(numbered)).await.map_err(|error| error.to_string())
+    /// Checks a proposed policy and keeps it on disk.
+    async fn stage(&self, source: &Source, policy: &VersionedPolicy) -> Result<(), String> {
+        let outcome = match self.check(source, policy).await {
+            Ok(_) => self.files.write_staged(policy).map_err(|error| error.to_string()),
+            Err(reason) => Err(reason),
+        };
+        tracing::info!(version = policy.version, id = %policy.id, proposed_by = %policy.proposed_by, ?outcome,
+            "voted on a proposed policy");
+        outcome
     }
 
-    async fn watch(&self, source: &Source, inputs: &UnboundedSender<input::Input>) {
+    /// Puts a committed policy in force and keeps it on disk.
+    async fn apply(
+        &self,
+        source: &Source,
+        inputs: Option<&UnboundedSender<input::Input>>,
+        policy: &VersionedPolicy,
+    ) -> Result<(), String> {
+        let config = match inputs {
+            // No await from here until the configuration is sent: no attempt may start by the policy before, once a newer
+            // one is known.
+            Some(_) => source.reread_with(overlay(policy)).map_err(|error| error.to_string()),
+            None => self.check(source, policy).await,
+        };
+        let config = config.inspect_err(|reason| {
+            tracing::error!(version = policy.version, reason, "cannot use the committed policy");
+        })?;
+        if let Err(error) = self.files.write_in_force(policy) {
+            // It is in force all the same; a restart reads it from the commit point before it is ready.
+            tracing::error!(version = policy.version, %error, "policy in force not kept on disk");
+        }
+        if let Some(inputs) = inputs {
+            // The receiver is gone only when the forwarder ends.
+            let _ = inputs.send(input::Input::Reconfigured(Box::new(config)));
+        }
+        tracing::info!(version = policy.version, id = %policy.id, "policy in force");
+        Ok(())
+    }
+
+    /// The configuration with this policy, checked with all that it refers to.
+    async fn check(&self, source: &Source, policy: &VersionedPolicy) -> Result<Config, String> {
+        source.load_with(overlay(policy)).await.map_err(|error| error.to_string())
+    }
+
+    async fn watch_commit_point(&self, source: &Source, inputs: &UnboundedSender<input::Input>) {
         let mut locks = self.locks();
         loop {
-            match self.look(&mut locks, self.settings.ttl / 4).await {
+            match self.read_commit_point(&mut locks, self.settings.ttl / 4).await {
                 Ok(effects) => self.carry_out(source, Some(inputs), effects).await,
                 Err(error) => {
-                    tracing::debug!(%error, "commit point not seen");
-                    // Whatever it was, the next look is answered at once.
+                    let folder = self.settings.commit_point_folder();
+                    tracing::debug!(folder, %error, retry_in = ?RETRY_PAUSE, "cannot read the policy commit point");
                     self.index.set(0);
                     sleep(RETRY_PAUSE).await;
                 }
@@ -191,142 +183,148 @@
         }
     }
 
-    /// Keeps its key: with a session that is renewed, and what it says of itself.
-    async fn keep_registered(&self) {
+    /// Keeps the participant's key: renews its session and publishes its status.
+    async fn maintain_registration(&self) {
         let mut locks = self.locks();
-        let key = format!("{}{}", self.settings.members(), self.id);
+        let key = self.settings.member_key(&self.id);
         loop {
-            if let Err(error) = self.renew(&mut locks, &key).await {
-                tracing::debug!(%error, "key among the members not kept");
+            if let Err(error) = self.register(&mut locks, &key).await {
+                tracing::debug!(key, %error, retry_in = ?RETRY_PAUSE, "cannot renew this forwarder's policy registration");
                 sleep(RETRY_PAUSE).await;
                 continue;
             }
-            drop(timeout(self.settings.ttl / 3, self.republish.notified()).await);
+            drop(timeout(self.settings.ttl / 3, self.publish.notified()).await);
         }
     }
 
-    async fn renew(&self, locks: &mut Locks, key: &str) -> Result<(), LockError> {
+    async fn register(&self, locks: &mut Locks, key: &str) -> Result<(), LockError> {
         let known = self.session.borrow().clone();
-        let (session, fresh) = match known {
-            Some(session) if locks.renew(&session).await? => (session, false),
-            _ => (locks.create(&self.id, self.settings.ttl, Duration::ZERO, Behavior::Delete).await?, true),
+        let mut is_new = false;
+        let session = match known {
+            Some(session) if locks.renew(&session).await? => session,
+            _ => {
+                is_new = true;
+                locks.create(&self.id, self.settings.ttl, Duration::ZERO, Behavior::Delete).await?
+            }
         };
         *self.session.borrow_mut() = Some(session.clone());
-        let status = self.agent.borrow().member_status();
-        // A renewal costs Consul's leader next to nothing, a write goes through its log.
-        if !fresh && self.published.borrow().as_ref() == Some(&status) {
+        let status = self.state.borrow().member_status();
+        // Written only when it has changed: unlike a renewal, a write goes through the log of Consul's leader.
+        if !is_new && self.published.borrow().as_ref() == Some(&status) {
             return Ok(());
         }
         let value = Bytes::from(serde_json::to_vec(&status).unwrap_or_default());
         if locks.acquire(key, &session, value).await? {
             *self.published.borrow_mut() = Some(status);
         } else {
-            tracing::warn!(key, "another session holds this forwarder's key");
+            tracing::warn!(key, "another session holds this forwarder's policy registration");
         }
         Ok(())
     }
 
-    /// Tells the forwarder how it stands, whenever that changes, by the clock too.
+    /// Reports the status to the forwarder whenever it changes, also when contact lapses.
     async fn report_status(&self, inputs: &UnboundedSender<input::Input>) {
         let mut last = self.status();
         loop {
-            let until =
-                self.agent.borrow().contact_until(self.contact_time()).filter(|until| *until > self.now());
-            let lapse = async {
-                match until {
-                    Some(until) => sleep_until(self.start + Duration::from_micros(until as u64)).await,
-                    None => std::future::pending().await,
-                }
-            };
             tokio::select! {
-                () = self.changed.notified() => {}
-                () = lapse => {}
+                () = self.state_changed.notified() => {}
+                () = self.contact_lapse() => {}
             }
             let status = self.status();
             if status != last {
-                match (&status.unready_reason, &last.unready_reason) {
-                    (Some(why), before) if Some(why) != before.as_ref() => {
-                        tracing::warn!(why, "fleet policy")
-                    }
-                    (None, Some(_)) => {
-                        tracing::info!(
-                            epoch = self.version(),
-                            "fleet policy: in contact with the commit point"
-                        );
-                    }
-                    _ => {}
-                }
+                self.log_readiness(&last, &status);
                 last = status.clone();
                 // The receiver is gone only when the forwarder ends.
                 let _ = inputs.send(input::Input::PolicyStatus(status));
             }
         }
     }
-}
 
-/// The policy in force, and the one that is staged, in the forwarder's folder.
-const IN_FORCE_FILE: &str = "policy-held.json";
-const STAGED_FILE: &str = "policy-staged.json";
+    /// Ends when contact with the commit point lapses; never, if it has already.
+    async fn contact_lapse(&self) {
+        match self.contact_until().filter(|until| *until > self.now()) {
+            Some(until) => sleep_until(self.start + Duration::from_micros(until as u64)).await,
+            None => std::future::pending().await,
+        }
+    }
+
+    fn log_readiness(&self, before: &PolicyStatus, after: &PolicyStatus) {
+        match (&before.unready_reason, &after.unready_reason) {
+            (before, Some(reason)) if before.as_ref() != Some(reason) => {
+                tracing::warn!(reason, "forwarder is not ready for the fleet's policy");
+            }
+            (Some(_), None) => {
+                tracing::info!(version = self.version(), "in contact with the policy commit point");
+            }
+            _ => {}
+        }
+    }
+}
 
-fn overlay(numbered: &NumberedPolicy) -> impl Fn(&str) -> Result<String, ConfigError> + '_ {
-    |text| Policy::read(&numbered.policy).and_then(|policy| policy.lay_over(text)).map_err(ConfigError::new)
+fn overlay(policy: &VersionedPolicy) -> impl Fn(&str) -> Result<String, ConfigError> + '_ {
+    |configuration| {
+        let policy = Policy::parse(&policy.text).map_err(ConfigError::new)?;
+        policy.apply_to(configuration).map_err(ConfigError::new)
+    }
 }
 
-impl PolicyOverlay for Follower {
+impl PolicyOverlay for ConsulParticipant {
     fn apply(&self, configuration: &str) -> Result<String, ConfigError> {
-        self.agent
-            .borrow()
-            .in_force()
-            .map_or(Ok(configuration.to_owned()), |policy| overlay(policy)(configuration))
+        match self.state.borrow().in_force() {
+            Some(policy) => overlay(policy)(configuration),
+            None => Ok(configuration.to_owned()),
+        }
     }
 
     fn version(&self) -> u64 {
-        self.agent.borrow().epoch()
+        self.state.borrow().version()
     }
 }
 
-impl PolicyAgent for Follower {
+impl PolicyAgent for ConsulParticipant {
     fn join<'a>(&'a self, source: &'a Source) -> Task<'a> {
         Box::pin(async move {
             let mut locks = self.locks();
-            let look = async {
+            let read = async {
                 loop {
-                    match self.look(&mut locks, Duration::ZERO).await {
+                    match self.read_commit_point(&mut locks, Duration::ZERO).await {
                         Ok(effects) => return effects,
                         Err(_) => sleep(RETRY_PAUSE).await,
                     }
                 }
             };
-            match timeout(JOIN_TIMEOUT, look).await {
+            match timeout(JOIN_TIMEOUT, read).await {
                 Ok(effects) => self.carry_out(source, None, effects).await,
                 Err(_) => {
-                    let epoch = self.version();
-                    tracing::warn!(
-                        epoch,
-                        "commit point not reached: starts by the policy epoch last in force"
-                    );
+                    let version = self.version();
+                    tracing::warn!(version, timeout = ?JOIN_TIMEOUT,
+                        "cannot read the policy commit point: starts by the policy on disk");
                 }
             }
         })
     }
 
     fn status(&self) -> PolicyStatus {
-        let agent = self.agent.borrow();
-        let unready_reason = agent.unready_reason(self.now(), self.contact_time());
-        let contact = agent.contact_until(self.contact_time()).is_some_and(|until| self.now() < until);
-        let refused = agent.member_status().refuses.is_some();
+        let state = self.state.borrow();
+        let unready_reason = state.unready_reason(self.now(), self.contact_time());
+        let has_contact = self.contact_until().is_some_and(|until| self.now() < until);
+        let is_unusable = state.member_status().unusable_reason.is_some();
         let figures = format!(
             "app_policy_epoch {}\napp_policy_contact {}\napp_policy_refused {}\n",
-            agent.epoch(),
-            u8::from(contact),
-            u8::from(refused)
+            state.version(),
+            u8::from(has_contact),
+            u8::from(is_unusable)
         );
         PolicyStatus { unready_reason, figures }
     }
 
     fn follow(self: Rc<Self>, source: Rc<Source>, inputs: UnboundedSender<input::Input>) -> Task<'static> {
         Box::pin(async move {
-            tokio::join!(self.watch(&source, &inputs), self.keep_registered(), self.report_status(&inputs));
+            tokio::join!(
+                self.watch_commit_point(&source, &inputs),
+                self.maintain_registration(),
+                self.report_status(&inputs)
+            );
         })
     }
 
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -1,251 +1,325 @@
-//! The operators' side: a policy proposed, prepared by all that are there, and committed or withdrawn; how things stand;
-//! and a proposal taken away.
+//! The coordinator of a policy change on Consul, for operators: propose a policy, wait for the participants' votes, and
+//! commit or withdraw it; read the state of the fleet; abort an open proposal.
 //!
-//! The proposal is a key that the proposer's session holds and that goes with it: one that dies leaves none. The
-//! commit is one transaction: the proposal is still this one and held by this session, what is committed is what it was,
-//! and both change together or not at all.
+//! The proposal is a key that the coordinator's session holds and that is deleted with it: a coordinator that dies leaves
+//! none. The commit is one transaction: the proposal is still this one and held by this session, the committed policy is
+//! still the one before, and both keys change together or not at all.
 
-use crate::commit_point::{Epoch, Member, NumberedPolicy, Point, Policy, PolicyError, Settings, members};
-use crate::commit_decision::{Verdict, verdict};
+use crate::commit_decision::{CommitCondition, CommitDecision, Rejection, decide};
+use crate::commit_point::{CommitPoint, Member, Proposal, members_from_rows};
+use crate::policy::{Policy, PolicyError, PolicyVersion, VersionedPolicy};
+use crate::settings::Settings;
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The largest policy: Consul takes values of up to 512 KiB, and this one stands in JSON in base 64.
-pub const LARGEST_POLICY: usize = 128 << 10;
-/// Pause after a question that came to nothing.
+/// The largest policy, in bytes. Consul takes values of up to 512 KiB, and the policy stands in JSON in base 64.
+pub const MAX_POLICY_BYTES: usize = 128 << 10;
+/// Pause after a request to Consul that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Why a policy was not committed; in each case it is in force nowhere.
+/// Why a policy was not committed. Except for [`CommitError::OutcomeUnknown`] it is in force nowhere.
 #[derive(Debug, thiserror::Error)]
-pub enum ProposeError {
-    /// It is no policy.
+pub enum CommitError {
+    /// The text is not a policy.
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    /// It is too large.
-    #[error("the policy has {0} bytes; {LARGEST_POLICY} are the most")]
-    Large(usize),
-    /// Consul could not be asked.
-    #[error("Consul: {0}")]
+    /// The text is too large.
+    #[error("the policy has {bytes} bytes; {MAX_POLICY_BYTES} are the most")]
+    TooLarge {
+        /// Its length.
+        bytes: usize,
+    },
+    /// A request to Consul failed.
+    #[error("a request to the commit point on Consul failed: {0}")]
     Consul(#[from] LockError),
-    /// Another proposal is under way.
-    #[error("{0} proposes epoch {1} at this moment: wait for its end, or withdraw it (policy abort)")]
-    Busy(String, Epoch),
-    /// Forwarders cannot use it.
+    /// Another proposal is open.
+    #[error("{by} proposes epoch {version} at this moment: wait for its end, or withdraw it (policy abort)")]
+    ProposalOpen {
+        /// Who proposed it.
+        by: String,
+        /// Its version.
+        version: PolicyVersion,
+    },
+    /// Participants voted against it.
     #[error("not committed, refused by {}", list(.0))]
-    Refused(Vec<(String, String)>),
-    /// Forwarders that are there did not answer in time.
-    #[error("not committed, no answer within {0:?} from {names}", names = .1.join(", "))]
-    NoAnswer(Duration, Vec<String>),
-    /// Another policy was committed first, or this one was withdrawn.
+    Rejected(Vec<Rejection>),
+    /// Participants did not vote in time.
+    #[error("not committed, no answer within {patience:?} from {members}", members = members.join(", "))]
+    VotesMissing {
+        /// How long the coordinator waited.
+        patience: Duration,
+        /// The participants.
+        members: Vec<String>,
+    },
+    /// Another policy was committed first, or this proposal was withdrawn.
     #[error("not committed: it was withdrawn, or another was committed first")]
-    Lost,
+    Superseded,
     /// The commit was sent and not answered, and the commit point could not be read since.
-    #[error("it is not known whether epoch {0} was committed ({1}): see policy status")]
-    Unknown(Epoch, LockError),
+    #[error("it is not known whether epoch {version} was committed ({source}): see policy status")]
+    OutcomeUnknown {
+        /// The version.
+        version: PolicyVersion,
+        /// Why the last request failed.
+        source: LockError,
+    },
 }
 
-fn list(refusals: &[(String, String)]) -> String {
-    refusals.iter().map(|(name, why)| format!("{name}: {why}")).collect::<Vec<_>>().join("; ")
+fn list(rejections: &[Rejection]) -> String {
+    let texts = rejections.iter().map(|rejection| format!("{}: {}", rejection.member, rejection.reason));
+    texts.collect::<Vec<_>>().join("; ")
 }
 
-/// How a committed policy came to the fleet.
+/// A committed policy, and how it reached the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommitReport {
-    /// Its number.
-    pub epoch: Epoch,
-    /// From the commit's answer until the last forwarder that is there had said that it is in force; none where that did
-    /// not come in time.
-    pub everywhere: Option<Duration>,
-    /// Those that had not said so.
-    pub missing: Vec<String>,
+    /// Its version.
+    pub version: PolicyVersion,
+    /// From the answer to the commit until the last participant reported it in force; none where one did not in time.
+    pub in_force_everywhere_after: Option<Duration>,
+    /// Participants that had not reported it in force.
+    pub not_in_force: Vec<String>,
 }
 
-/// Whoever asks at the commit point.
-pub struct Office {
+/// The state of a fleet's policy.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FleetStatus {
+    /// The committed and the proposed policy.
+    pub point: CommitPoint,
+    /// The participants.
+    pub members: Vec<Member>,
+}
+
+/// A proposal on its way to the commit.
+struct OpenProposal<'a> {
+    policy: VersionedPolicy,
+    session: &'a str,
+    patience: Duration,
+    deadline: Instant,
+}
+
+/// A read of the participants, with Consul's index of it.
+struct MembersRead {
+    index: u64,
+    members: Vec<Member>,
+}
+
+/// Proposes policies at one commit point, and reads its state.
+pub struct Coordinator {
     settings: Settings,
     locks: Locks,
     committed_at: Option<Instant>,
 }
 
-impl Office {
-    /// For these settings. Nothing is opened yet.
+impl Coordinator {
+    /// For the commit point of these settings. Nothing is opened yet.
     pub fn new(settings: Settings) -> Self {
         let locks = Locks::new(Rc::new(settings.consul.clone()));
-        Office { settings, locks, committed_at: None }
+        Coordinator { settings, locks, committed_at: None }
     }
 
-    /// When the answer came that the last policy proposed here is committed, if it is.
+    /// When the commit of the last policy proposed here was answered, if it was committed.
     pub fn last_commit(&self) -> Option<Instant> {
         self.committed_at
     }
 
-    /// What stands at the commit point.
-    pub async fn point(&mut self) -> Result<Point, LockError> {
-        let (_, rows) = self.locks.look(&self.settings.epoch(), 0, Duration::ZERO).await?;
-        Ok(Point::read(&self.settings, &rows))
+    /// The committed and the proposed policy.
+    ///
+    /// # Errors
+    ///
+    /// Consul did not answer, or rejected the request.
+    pub async fn commit_point(&mut self) -> Result<CommitPoint, LockError> {
+        let folder = self.settings.commit_point_folder();
+        let (_, rows) = self.locks.look(&folder, 0, Duration::ZERO).await?;
+        Ok(CommitPoint::from_rows(&self.settings, &rows))
     }
 
-    /// Who is there, at this index or later; with an index it waits for news.
-    async fn members(&mut self, index: u64) -> Result<(u64, Vec<Member>), LockError> {
-        let (index, rows) = self.locks.look(&self.settings.members(), index, self.settings.ttl / 4).await?;
-        Ok((index, members(&self.settings, &rows)))
+    /// The participants; with an index above 0, once they have changed since or a quarter of the TTL is over.
+    async fn members(&mut self, index: u64) -> Result<MembersRead, LockError> {
+        let folder = self.settings.members_folder();
+        let (index, rows) = self.locks.look(&folder, index, self.settings.ttl / 4).await?;
+        Ok(MembersRead { index, members: members_from_rows(&self.settings, &rows) })
     }
 
-    /// The whole picture: the commit point, and who is there.
-    pub async fn status(&mut self) -> Result<(Point, Vec<Member>), LockError> {
-        let point = self.point().await?;
-        Ok((point, self.members(0).await?.1))
+    /// The commit point and the participants.
+    ///
+    /// # Errors
+    ///
+    /// Consul did not answer, or rejected a request.
+    pub async fn status(&mut self) -> Result<FleetStatus, LockError> {
+        let point = self.commit_point().await?;
+        let members = self.members(0).await?.members;
+        Ok(FleetStatus { point, members })
     }
 
-    /// Takes the proposal away that is under way; whether there was one. Its proposer then cannot commit it.
-    pub async fn abort(&mut self) -> Result<Option<NumberedPolicy>, LockError> {
-        let Some((proposal, index, _)) = self.point().await?.proposal else { return Ok(None) };
-        let key = self.settings.proposal();
-        let done = self.locks.transact(&[Operation::DeleteCas(key, index)]).await?;
-        Ok(done.then_some(proposal))
+    /// Withdraws the open proposal, if there is one, and returns it. Its coordinator then cannot commit it.
+    ///
+    /// # Errors
+    ///
+    /// Consul did not answer, or rejected a request.
+    pub async fn abort(&mut self) -> Result<Option<VersionedPolicy>, LockError> {
+        let Some(proposal) = self.commit_point().await?.proposal else { return Ok(None) };
+        let is_withdrawn = self.withdraw(proposal.modify_index).await?;
+        Ok(is_withdrawn.then_some(proposal.policy))
     }
 
-    /// Proposes a policy and commits it once all that are there have said yes; waits up to `patience` for that, and once
-    /// more for all to have it in force.
+    /// Deletes the proposal that was written at this index; false where it is another by now.
+    async fn withdraw(&mut self, proposal_index: u64) -> Result<bool, LockError> {
+        let key = self.settings.proposal_key();
+        self.locks.transact(&[Operation::DeleteCas(key, proposal_index)]).await
+    }
+
+    /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on all.
+    /// Waits up to `patience` for the votes, and up to `patience` again for the latter.
+    ///
+    /// # Errors
+    ///
+    /// The policy was not committed, or that is not known.
     pub async fn propose(
         &mut self,
         policy: &str,
         by: &str,
         patience: Duration,
-    ) -> Result<CommitReport, ProposeError> {
-        Policy::read(policy)?;
-        if policy.len() > LARGEST_POLICY {
-            return Err(ProposeError::Large(policy.len()));
+    ) -> Result<CommitReport, CommitError> {
+        Policy::parse(policy)?;
+        if policy.len() > MAX_POLICY_BYTES {
+            return Err(CommitError::TooLarge { bytes: policy.len() });
         }
         let ttl = self.settings.ttl;
         let session = self.locks.create(by, ttl, Duration::ZERO, Behavior::Delete).await?;
-        let outcome = self.under(&session, policy, by, patience).await;
+        let outcome = self.propose_under(&session, policy, by, patience).await;
         self.committed_at = outcome.is_ok().then(Instant::now);
-        // With the session goes the proposal, if it is still there.
+        // Deletes the proposal too, if it is still there.
         self.locks.destroy(&session).await;
-        let numbered = outcome?;
-        tracing::info!(epoch = numbered.epoch, id = %numbered.id, "policy committed");
-        Ok(self.await_everywhere(numbered.epoch, patience).await)
+        let committed = outcome?;
+        tracing::info!(version = committed.version, id = %committed.id, "policy committed");
+        Ok(self.await_in_force(committed.version, patience).await)
     }
 
-    async fn under(
+    async fn propose_under(
         &mut self,
         session: &str,
         policy: &str,
         by: &str,
         patience: Duration,
-    ) -> Result<NumberedPolicy, ProposeError> {
-        let until = Instant::now() + patience;
-        let point = self.point().await?;
-        if let Some((other, ..)) = point.proposal {
-            return Err(ProposeError::Busy(other.by, other.epoch));
+    ) -> Result<VersionedPolicy, CommitError> {
+        let deadline = Instant::now() + patience;
+        let point = self.commit_point().await?;
+        if let Some(other) = point.proposal {
+            return Err(proposal_open(other));
         }
-        // The session's id is used once: it tells this proposal from all others.
-        let mine =
-            NumberedPolicy::new(session.to_owned(), point.epoch() + 1, policy.to_owned(), by.to_owned());
-        let value = Bytes::from(serde_json::to_vec(&mine).map_err(PolicyError::from)?);
-        let key = self.settings.proposal();
-        if !self.locks.acquire(&key, session, value).await? {
-            let other = self.point().await?.proposal.map(|(other, ..)| other);
-            let (by, epoch) = other.map_or(("somebody".to_owned(), mine.epoch), |o| (o.by, o.epoch));
-            return Err(ProposeError::Busy(by, epoch));
+        // A session's id is used once, so it tells this proposal from all others.
+        let id = session.to_owned();
+        let policy = VersionedPolicy::new(id, point.version() + 1, policy.to_owned(), by.to_owned());
+        self.write_proposal(&policy, session).await?;
+        tracing::info!(version = policy.version, id = %policy.id, digest = %policy.digest, "policy proposed");
+        let proposal = OpenProposal { policy, session, patience, deadline };
+        let condition = self.collect_votes(&proposal).await?;
+        self.commit(proposal, condition).await
+    }
+
+    async fn write_proposal(&mut self, policy: &VersionedPolicy, session: &str) -> Result<(), CommitError> {
+        let value = Bytes::from(serde_json::to_vec(policy).map_err(PolicyError::from)?);
+        if self.locks.acquire(&self.settings.proposal_key(), session, value).await? {
+            return Ok(());
         }
-        tracing::info!(epoch = mine.epoch, id = %mine.id, digest = %mine.digest, "policy proposed");
-        let (mut index, mut renewed, mut silent) = (0, Instant::now(), Vec::new());
-        loop {
-            if Instant::now() >= until {
-                return Err(ProposeError::NoAnswer(patience, silent));
-            }
-            if renewed.elapsed() >= self.settings.ttl / 3 {
-                renewed = Instant::now();
-                if !self.locks.renew(session).await? {
-                    return Err(ProposeError::Lost);
+        Err(match self.commit_point().await?.proposal {
+            Some(other) => proposal_open(other),
+            None => CommitError::ProposalOpen { by: "somebody".to_owned(), version: policy.version },
+        })
+    }
+
+    /// Waits until all participants have voted for the proposal; the condition of its commit.
+    async fn collect_votes(&mut self, proposal: &OpenProposal<'_>) -> Result<CommitCondition, CommitError> {
+        let mut index = 0;
+        let mut renewed_at = Instant::now();
+        let mut missing = Vec::new();
+        while Instant::now() < proposal.deadline {
+            if renewed_at.elapsed() >= self.settings.ttl / 3 {
+                renewed_at = Instant::now();
+                if !self.locks.renew(proposal.session).await? {
+                    return Err(CommitError::Superseded);
                 }
             }
-            let looked = timeout_at(until, self.members(index)).await;
-            let Ok(looked) = looked else { return Err(ProposeError::NoAnswer(patience, silent)) };
-            let (at, members) = looked?;
-            index = at;
-            let point = self.point().await?;
-            match verdict(&mine, &point, &members) {
-                Verdict::Wait(names) => silent = names,
-                Verdict::Refused(why) => return Err(ProposeError::Refused(why)),
-                Verdict::Lost => return Err(ProposeError::Lost),
-                Verdict::Commit { proposal, committed } => {
-                    return self.commit(mine, proposal, committed, session, until).await;
-                }
+            let Ok(read) = timeout_at(proposal.deadline, self.members(index)).await else { break };
+            let read = read?;
+            index = read.index;
+            let point = self.commit_point().await?;
+            match decide(&proposal.policy, &point, &read.members) {
+                CommitDecision::Wait(members) => missing = members,
+                CommitDecision::Rejected(rejections) => return Err(CommitError::Rejected(rejections)),
+                CommitDecision::Superseded => return Err(CommitError::Superseded),
+                CommitDecision::Commit(condition) => return Ok(condition),
             }
         }
+        Err(CommitError::VotesMissing { patience: proposal.patience, members: missing })
     }
 
-    /// The one write that commits. Without an answer, what is committed is read until it says which it was.
+    /// Commits the proposal in one transaction.
     async fn commit(
         &mut self,
-        mine: NumberedPolicy,
-        proposal: u64,
-        committed: u64,
-        session: &str,
-        until: Instant,
-    ) -> Result<NumberedPolicy, ProposeError> {
-        let value = Bytes::from(serde_json::to_vec(&mine).map_err(PolicyError::from)?);
+        proposal: OpenProposal<'_>,
+        condition: CommitCondition,
+    ) -> Result<VersionedPolicy, CommitError> {
+        let value = Bytes::from(serde_json::to_vec(&proposal.policy).map_err(PolicyError::from)?);
+        let proposal_key = self.settings.proposal_key();
+        let session = proposal.session.to_owned();
         let operations = [
-            Operation::CheckHeld(self.settings.proposal(), proposal, session.to_owned()),
-            Operation::Cas(self.settings.committed(), committed, value),
-            Operation::DeleteCas(self.settings.proposal(), proposal),
+            Operation::CheckHeld(proposal_key.clone(), condition.proposal_index, session),
+            Operation::Cas(self.settings.committed_key(), condition.committed_index, value),
+            Operation::DeleteCas(proposal_key, condition.proposal_index),
         ];
-        let unsure = match self.locks.transact(&operations).await {
-            Ok(true) => return Ok(mine),
-            Ok(false) => return Err(ProposeError::Lost),
-            Err(LockError::Unsure(error)) => LockError::Unsure(error),
-            Err(error) => return Err(error.into()),
-        };
-        // Sent and not answered: as long as the proposal is there it may still be carried out.
-        let mut last = unsure;
+        match self.locks.transact(&operations).await {
+            Ok(true) => Ok(proposal.policy),
+            Ok(false) => Err(CommitError::Superseded),
+            Err(error @ LockError::Unsure(_)) => self.resolve_commit(proposal, condition, error).await,
+            Err(error) => Err(error.into()),
+        }
+    }
+
+    /// Finds out whether a commit that was not answered took effect. While the proposal is there the commit may still be
+    /// carried out, so it is withdrawn first: then the commit's checks fail whenever it arrives.
+    async fn resolve_commit(
+        &mut self,
+        proposal: OpenProposal<'_>,
+        condition: CommitCondition,
+        error: LockError,
+    ) -> Result<VersionedPolicy, CommitError> {
+        let policy = proposal.policy;
+        let mut last_error = error;
         loop {
-            match self.point().await {
-                Ok(point) if point.committed.as_ref().is_some_and(|(there, _)| there.id == mine.id) => {
-                    return Ok(mine);
-                }
-                Ok(point) if point.proposal.as_ref().is_none_or(|(there, ..)| there.id != mine.id) => {
-                    return Err(ProposeError::Lost);
+            match self.commit_point().await {
+                Ok(point) if is_committed(&point, &policy) => return Ok(policy),
+                Ok(point) if !is_proposed(&point, &policy) => return Err(CommitError::Superseded),
+                Ok(_) => {
+                    if let Err(error) = self.withdraw(condition.proposal_index).await {
+                        last_error = error;
+                    }
                 }
-                // Withdrawn by a write of its own: then the commit's checks fail whenever it comes.
-                Ok(_) => match self
-                    .locks
-                    .transact(&[Operation::DeleteCas(self.settings.proposal(), proposal)])
-                    .await
-                {
-                    Ok(_) => {}
-                    Err(error) => last = error,
-                },
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
-            if Instant::now() >= until {
-                return Err(ProposeError::Unknown(mine.epoch, last));
+            if Instant::now() >= proposal.deadline {
+                return Err(CommitError::OutcomeUnknown { version: policy.version, source: last_error });
             }
             sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn await_everywhere(&mut self, epoch: Epoch, patience: Duration) -> CommitReport {
-        let (began, mut index) = (self.committed_at.unwrap_or_else(Instant::now), 0);
-        let mut missing = Vec::new();
-        while began.elapsed() < patience {
-            match timeout_at(began + patience, self.members(index)).await {
-                Ok(Ok((at, members))) => {
-                    index = at;
-                    let has = |member: &Member| member.status.as_ref().is_some_and(|s| s.epoch >= epoch);
-                    missing = members
-                        .iter()
-                        .filter(|member| !has(member))
-                        .map(|member| member.id.clone())
-                        .collect();
-                    if missing.is_empty() {
-                        let everywhere = Some(began.elapsed());
-                        return CommitReport { epoch, everywhere, missing };
+    /// Waits until all participants report this version in force.
+    async fn await_in_force(&mut self, version: PolicyVersion, patience: Duration) -> CommitReport {
+        let committed_at = self.committed_at.unwrap_or_else(Instant::now);
+        let mut index = 0;
+        let mut not_in_force = Vec::new();
+        while committed_at.elapsed() < patience {
+            match timeout_at(committed_at + patience, self.members(index)).await {
+                Ok(Ok(read)) => {
+                    index = read.index;
+                    not_in_force = members_below(version, &read.members);
+                    if not_in_force.is_empty() {
+                        let in_force_everywhere_after = Some(committed_at.elapsed());
+                        return CommitReport { version, in_force_everywhere_after, not_in_force };
                     }
                 }
                 Ok(Err(_)) => {
@@ -255,6 +329,24 @@
                 Err(_) => break,
             }
         }
-        CommitReport { epoch, everywhere: None, missing }
+        CommitReport { version, in_force_everywhere_after: None, not_in_force }
     }
 }
+
+fn proposal_open(other: Proposal) -> CommitError {
+    CommitError::ProposalOpen { by: other.policy.proposed_by, version: other.policy.version }
+}
+
+fn is_committed(point: &CommitPoint, policy: &VersionedPolicy) -> bool {
+    point.committed.as_ref().is_some_and(|committed| committed.policy.id == policy.id)
+}
+
+fn is_proposed(point: &CommitPoint, policy: &VersionedPolicy) -> bool {
+    point.proposal.as_ref().is_some_and(|proposal| proposal.policy.id == policy.id)
+}
+
+/// The ids of the participants that do not report at least this version in force.
+fn members_below(version: PolicyVersion, members: &[Member]) -> Vec<String> {
+    let is_below = |member: &&Member| member.status.as_ref().is_none_or(|status| status.version < version);
+    members.iter().filter(is_below).map(|member| member.id.clone()).collect()
+}
--- a/crates/policy-commit/src/lib.rs
+++ b/crates/policy-commit/src/lib.rs
@@ -1,19 +1,30 @@
-//! Policy epochs: a change of policy takes hold on every forwarder of a fleet or on none, also while some are down or cut
-//! off ([docs/policy-commit.md](../../../docs/policy-commit.md)).
+//! Atomic commit of a policy over a fleet: a change is in force on every forwarder or on none, also while some are down
+//! or disconnected ([docs/policy-commit.md](../../../docs/policy-commit.md)).
 //!
-//! - [`commit_point`]: what stands at the commit point, and in what form.
-//! - [`participant`]: what a forwarder does with what it sees there; no I/O, no clock.
-//! - [`commit_decision`]: when a proposer may commit; no I/O.
-//! - [`consul_participant`]: the agent on Consul, inside a forwarder.
-//! - [`coordinator`]: the operators' side: propose, status, abort.
+//! A coordinator proposes a policy, the forwarders vote as participants, and one transaction on Consul commits it.
 //!
-//! A forwarder whose settings do not ask for it starts nothing of it.
+//! - [`policy`]: a policy, its version, and how it changes a forwarder's configuration.
+//! - [`commit_point`]: the keys on Consul and their values.
+//! - [`participant`]: what a forwarder does as the commit point changes; no I/O, no clock.
+//! - [`consul_participant`]: runs the participant against Consul, inside a forwarder.
+//! - [`staging`]: the policies that a participant keeps on disk.
+//! - [`commit_decision`]: when the coordinator may commit; no I/O.
+//! - [`coordinator`]: proposes, commits and aborts on Consul, for operators.
+//!
+//! A forwarder whose settings do not ask for it starts none of this.
 
-pub mod participant;
+#![deny(missing_docs)]
+
+pub mod commit_decision;
 pub mod commit_point;
 pub mod consul_participant;
-pub mod commit_decision;
 pub mod coordinator;
+pub mod participant;
+pub mod policy;
+mod settings;
+pub mod staging;
 
-pub use commit_point::{Epoch, Settings};
-pub use consul_participant::Follower;
+pub use consul_participant::ConsulParticipant;
+pub use coordinator::Coordinator;
+pub use policy::PolicyVersion;
+pub use settings::Settings;
--- a/crates/policy-commit/src/participant.rs
+++ b/crates/policy-commit/src/participant.rs
@@ -1,178 +1,222 @@
-//! What a forwarder does with what it sees at the commit point. No I/O and no clock: times are microseconds from any
-//! start.
+//! What a forwarder does as the commit point changes. No I/O and no clock: times are microseconds on a monotonic clock.
 //!
-//! It takes what is committed at once, stages what is proposed once it is checked, and never acts on what is only
-//! staged. It is in contact for a span after the moment at which it sent the last look that was answered: whatever was
-//! committed before that moment it has seen. Out of contact it serves on by what it holds, and says so.
+//! It applies a committed policy at once, stages a proposed one after checking it, and never applies one that is only
+//! staged. It is in contact with the commit point for a fixed time after it sent the last read that was answered:
+//! everything that was committed before that, it has seen. Out of contact it serves on by the policy in force, and
+//! reports that it is not ready.
 
-use crate::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
+use crate::commit_point::{CommitPoint, MemberStatus, Vote};
+use crate::policy::{PolicyVersion, VersionedPolicy};
 use orchidyoke_core::interface::Micros;
 
 /// What has happened.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// A look was answered, that was sent then.
-    Looked(Micros, Box<Point>),
-    /// A proposal was checked whole and staged on the disk, or could not be; which, by its id.
-    Staged(String, Result<(), String>),
-    /// What is committed was put in force, or could not be; which, by its id.
-    Applied(String, Result<(), String>),
+    /// The commit point was read.
+    CommitPointRead {
+        /// When the request was sent.
+        sent_at: Micros,
+        /// What it holds.
+        point: Box<CommitPoint>,
+    },
+    /// A proposal was checked and staged on disk, or could not be.
+    Staged {
+        /// The id of the proposal.
+        id: String,
+        /// The reason, if it could not be.
+        outcome: Result<(), String>,
+    },
+    /// A committed policy was put in force, or could not be.
+    Applied {
+        /// The id of the policy.
+        id: String,
+        /// The reason, if it could not be.
+        outcome: Result<(), String>,
+    },
 }
 
 /// What is to be done, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Check this whole and keep it on the disk as staged; then report.
-    Stage(NumberedPolicy),
-    /// Nothing is staged any more.
+    /// Check this policy and keep it on disk as staged; the answer is [`Input::Staged`].
+    Stage(VersionedPolicy),
+    /// Remove the staged policy.
     Unstage,
-    /// Keep this on the disk as committed and put it in force, before anything else is begun; then report.
-    Apply(NumberedPolicy),
-    /// Say this to the fleet.
-    Tell(MemberStatus),
+    /// Keep this policy on disk as committed and put it in force before any new attempt starts; the answer is
+    /// [`Input::Applied`].
+    Apply(VersionedPolicy),
+    /// Publish this status in the participant's key.
+    Publish(MemberStatus),
 }
 
-/// A forwarder's part.
+/// A committed policy that cannot be used here.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct UnusablePolicy {
+    policy: VersionedPolicy,
+    reason: String,
+}
+
+/// A forwarder as a participant of its fleet's policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Agent {
-    /// What is in force.
-    in_force: Option<NumberedPolicy>,
-    /// What is committed and being put in force.
-    applying: Option<NumberedPolicy>,
-    /// What is committed and cannot be used here, with the reason.
-    refused: Option<(NumberedPolicy, String)>,
-    /// What is proposed and being checked, and what is staged.
-    checking: Option<NumberedPolicy>,
-    staged: Option<NumberedPolicy>,
+pub struct Participant {
+    in_force: Option<VersionedPolicy>,
+    /// Committed, and being put in force.
+    applying: Option<VersionedPolicy>,
+    /// Committed, and not usable here.
+    unusable: Option<UnusablePolicy>,
+    /// Proposed, and being checked.
+    checking: Option<VersionedPolicy>,
+    /// Proposed, checked, and on disk.
+    staged: Option<VersionedPolicy>,
     vote: Option<Vote>,
-    /// When the last look was sent that was answered.
-    contact: Option<Micros>,
+    /// When the last read that was answered was sent.
+    last_read_sent_at: Option<Micros>,
 }
 
-impl Agent {
-    /// One that starts with what its disk says was in force, and what was staged.
-    pub fn new(in_force: Option<NumberedPolicy>, staged: Option<NumberedPolicy>) -> Self {
-        Agent { in_force, staged, ..Agent::default() }
+fn has_id(policy: &Option<VersionedPolicy>, id: &str) -> bool {
+    policy.as_ref().is_some_and(|policy| policy.id == id)
+}
+
+impl Participant {
+    /// Starts with the policies that are on disk: the one last in force, and the staged one.
+    pub fn new(in_force: Option<VersionedPolicy>, staged: Option<VersionedPolicy>) -> Self {
+        Participant { in_force, staged, ..Participant::default() }
     }
 
-    /// The epoch in force.
-    pub fn epoch(&self) -> Epoch {
-        self.in_force.as_ref().map_or(0, |policy| policy.epoch)
+    /// The version in force.
+    pub fn version(&self) -> PolicyVersion {
+        self.in_force.as_ref().map_or(0, |policy| policy.version)
     }
 
     /// The policy in force.
-    pub fn in_force(&self) -> Option<&NumberedPolicy> {
+    pub fn in_force(&self) -> Option<&VersionedPolicy> {
         self.in_force.as_ref()
     }
 
-    /// What is staged.
-    pub fn staged(&self) -> Option<&NumberedPolicy> {
+    /// The staged policy.
+    pub fn staged(&self) -> Option<&VersionedPolicy> {
         self.staged.as_ref()
     }
 
-    /// Until when it is in contact, if it has been.
+    /// Until when it is in contact with the commit point, if it has been; `contact_time` is how long a read counts.
     pub fn contact_until(&self, contact_time: Micros) -> Option<Micros> {
-        self.contact.map(|sent| sent + contact_time)
+        self.last_read_sent_at.map(|sent_at| sent_at + contact_time)
     }
 
-    /// Why it is not to be relied on for the fleet's policy, if it is not.
+    /// Why this forwarder may not have the fleet's policy in force, if so.
     pub fn unready_reason(&self, now: Micros, contact_time: Micros) -> Option<String> {
-        if let Some(numbered) = &self.applying {
-            return Some(format!("policy epoch {} is being put in force", numbered.epoch));
+        if let Some(policy) = &self.applying {
+            return Some(format!("policy epoch {} is being put in force", policy.version));
         }
-        if let Some((numbered, why)) = &self.refused {
-            return Some(format!("policy epoch {} cannot be used here: {why}", numbered.epoch));
+        if let Some(unusable) = &self.unusable {
+            let version = unusable.policy.version;
+            return Some(format!("policy epoch {version} cannot be used here: {}", unusable.reason));
         }
         match self.contact_until(contact_time) {
             Some(until) if now < until => None,
-            _ => Some(format!("cut off from the commit point: serves by policy epoch {}", self.epoch())),
+            _ => Some(format!("cut off from the commit point: serves by policy epoch {}", self.version())),
         }
     }
 
-    /// What it says of itself.
+    /// What it publishes.
     pub fn member_status(&self) -> MemberStatus {
-        let refuses = self.refused.as_ref().map(|(_, why)| why.clone());
-        MemberStatus { epoch: self.epoch(), vote: self.vote.clone(), refuses }
+        let unusable_reason = self.unusable.as_ref().map(|unusable| unusable.reason.clone());
+        MemberStatus { version: self.version(), vote: self.vote.clone(), unusable_reason }
     }
 
-    /// Takes an input; what is to be done, in order.
+    /// Takes one input and returns the effects to carry out, in order.
     pub fn step(&mut self, input: Input) -> Vec<Effect> {
-        let before = self.member_status();
-        let mut effects = match input {
-            Input::Looked(sent, point) => {
-                self.contact = self.contact.max(Some(sent));
-                self.see(*point)
-            }
-            Input::Staged(id, outcome) => self.staged_or_not(&id, outcome),
-            Input::Applied(id, outcome) => {
-                if let Some(numbered) = self.applying.take_if(|applying| applying.id == id) {
-                    match outcome {
-                        Ok(()) => (self.in_force, self.refused) = (Some(numbered), None),
-                        Err(why) => self.refused = Some((numbered, why)),
-                    }
-                }
-                Vec::new()
+        let status_before = self.member_status();
+        let mut effects = Vec::new();
+        match input {
+            Input::CommitPointRead { sent_at, point } => {
+                self.last_read_sent_at = self.last_read_sent_at.max(Some(sent_at));
+                self.on_commit_point(*point, &mut effects);
             }
-        };
-        if self.member_status() != before {
-            effects.push(Effect::Tell(self.member_status()));
+            Input::Staged { id, outcome } => self.on_staged(&id, outcome, &mut effects),
+            Input::Applied { id, outcome } => self.on_applied(&id, outcome),
+        }
+        let status = self.member_status();
+        if status != status_before {
+            effects.push(Effect::Publish(status));
         }
         effects
     }
 
-    fn see(&mut self, point: Point) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        let known =
-            |other: &Option<NumberedPolicy>, id: &str| other.as_ref().is_some_and(|other| other.id == id);
-        if let Some((committed, _)) = point.committed
-            && committed.epoch > self.epoch()
-            && !known(&self.applying, &committed.id)
-            && self.refused.as_ref().is_none_or(|(refused, _)| refused.id != committed.id)
-        {
-            self.applying = Some(committed.clone());
-            effects.push(Effect::Apply(committed));
+    fn on_commit_point(&mut self, point: CommitPoint, effects: &mut Vec<Effect>) {
+        if let Some(committed) = point.committed {
+            self.apply_committed(committed.policy, effects);
+        }
+        let proposed = point.proposal.map(|proposal| proposal.policy);
+        self.discard_other_proposals(proposed.as_ref(), effects);
+        match proposed {
+            Some(proposed) => self.vote_on(proposed, effects),
+            None => self.vote = None,
+        }
+    }
+
+    /// Applies a committed policy that is newer than the one in force, once.
+    fn apply_committed(&mut self, policy: VersionedPolicy, effects: &mut Vec<Effect>) {
+        let is_newer = policy.version > self.version();
+        let is_applying = has_id(&self.applying, &policy.id);
+        let is_unusable = self.unusable.as_ref().is_some_and(|unusable| unusable.policy.id == policy.id);
+        if is_newer && !is_applying && !is_unusable {
+            self.applying = Some(policy.clone());
+            effects.push(Effect::Apply(policy));
         }
-        let wanted = point.proposal.map(|(proposal, ..)| proposal);
-        let wanted_id = wanted.as_ref().map_or("", |wanted| &wanted.id);
-        if self.staged.is_some() && !known(&self.staged, wanted_id) {
+    }
+
+    /// Drops what is staged or being checked and is no longer proposed.
+    fn discard_other_proposals(&mut self, proposed: Option<&VersionedPolicy>, effects: &mut Vec<Effect>) {
+        let proposed_id = proposed.map_or("", |proposed| &proposed.id);
+        if self.staged.is_some() && !has_id(&self.staged, proposed_id) {
             self.staged = None;
             effects.push(Effect::Unstage);
         }
-        if !known(&self.checking, wanted_id) {
+        if !has_id(&self.checking, proposed_id) {
             self.checking = None;
         }
-        let Some(proposal) = wanted else {
-            self.vote = None;
-            return effects;
-        };
-        let voted = self.vote.as_ref().is_some_and(|vote| vote.proposal == proposal.id);
-        if voted || self.checking.is_some() {
-            return effects;
-        }
-        // Not before what is committed is in force: the next look asks again.
-        if self.applying.is_some() {
-            return effects;
+    }
+
+    /// Stages a proposal, or votes against it, if neither was done yet.
+    fn vote_on(&mut self, proposed: VersionedPolicy, effects: &mut Vec<Effect>) {
+        let has_voted = self.vote.as_ref().is_some_and(|vote| vote.proposal_id == proposed.id);
+        // While a committed policy is being applied the proposal waits for the next read.
+        if has_voted || self.checking.is_some() || self.applying.is_some() {
+            return;
         }
-        if proposal.epoch == self.epoch() + 1 && self.refused.is_none() {
-            self.checking = Some(proposal.clone());
-            effects.push(Effect::Stage(proposal));
-        } else {
-            let no =
-                Some(format!("it is at epoch {}, which {} does not follow", self.epoch(), proposal.epoch));
-            self.vote = Some(Vote { proposal: proposal.id, no });
+        if proposed.version == self.version() + 1 && self.unusable.is_none() {
+            self.checking = Some(proposed.clone());
+            effects.push(Effect::Stage(proposed));
+            return;
         }
-        effects
+        let reason = format!("it is at epoch {}, which {} does not follow", self.version(), proposed.version);
+        self.vote = Some(Vote { proposal_id: proposed.id, rejection: Some(reason) });
     }
 
-    fn staged_or_not(&mut self, id: &str, outcome: Result<(), String>) -> Vec<Effect> {
-        // One that has been withdrawn meanwhile is nothing to vote on.
-        let Some(proposal) = self.checking.take_if(|checking| checking.id == id) else {
-            return if outcome.is_ok() { vec![Effect::Unstage] } else { Vec::new() };
+    fn on_staged(&mut self, id: &str, outcome: Result<(), String>, effects: &mut Vec<Effect>) {
+        let Some(proposed) = self.checking.take_if(|checking| checking.id == id) else {
+            // The proposal was withdrawn while it was being checked.
+            if outcome.is_ok() {
+                effects.push(Effect::Unstage);
+            }
+            return;
         };
-        self.vote = Some(Vote { proposal: proposal.id.clone(), no: outcome.as_ref().err().cloned() });
-        if outcome.is_ok() {
-            self.staged = Some(proposal);
+        let rejection = outcome.err();
+        if rejection.is_none() {
+            self.staged = Some(proposed.clone());
+        }
+        self.vote = Some(Vote { proposal_id: proposed.id, rejection });
+    }
+
+    fn on_applied(&mut self, id: &str, outcome: Result<(), String>) {
+        let Some(policy) = self.applying.take_if(|applying| applying.id == id) else { return };
+        match outcome {
+            Ok(()) => {
+                self.in_force = Some(policy);
+                self.unusable = None;
+            }
+            Err(reason) => self.unusable = Some(UnusablePolicy { policy, reason }),
         }
-        Vec::new()
     }
 }
--- a/crates/policy-commit/tests/commit_decision.rs
+++ b/crates/policy-commit/tests/commit_decision.rs
@@ -1,39 +1,51 @@
 //! Tests of [`orchidyoke_policy_commit::commit_decision`].
 
-use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, NumberedPolicy, Point, Vote};
-use orchidyoke_policy_commit::commit_decision::{Verdict, verdict};
+use orchidyoke_policy_commit::commit_decision::{CommitCondition, CommitDecision, Rejection, decide};
+use orchidyoke_policy_commit::commit_point::{CommitPoint, Committed, Member, MemberStatus, Proposal, Vote};
+use orchidyoke_policy_commit::policy::VersionedPolicy;
 
 fn member(id: &str, vote: Option<(&str, Option<&str>)>) -> Member {
-    let vote = vote.map(|(proposal, no)| Vote { proposal: proposal.into(), no: no.map(str::to_owned) });
+    let vote = vote.map(|(proposal, rejection)| Vote {
+        proposal_id: proposal.into(),
+        rejection: rejection.map(str::to_owned),
+    });
     Member { id: id.into(), status: Some(MemberStatus { vote, ..MemberStatus::default() }) }
 }
 
-fn numbered(id: &str, epoch: u64) -> NumberedPolicy {
-    NumberedPolicy::new(id.into(), epoch, "{}".into(), "op".into())
+fn policy(id: &str, version: u64) -> VersionedPolicy {
+    VersionedPolicy::new(id.into(), version, "{}".into(), "op".into())
 }
 
 #[test]
-fn only_the_yes_of_all_that_are_there_commits() {
-    let (mine, one) = (numbered("a", 2), numbered("z", 1));
-    let point =
-        Point { committed: Some((one.clone(), 5)), proposal: Some((mine.clone(), 9, Some("s".into()))) };
+fn proposal_is_committed_only_when_all_members_have_voted_for_it() {
+    let proposed = policy("a", 2);
+    let point = CommitPoint {
+        committed: Some(Committed { policy: policy("z", 1), modify_index: 5 }),
+        proposal: Some(Proposal { policy: proposed.clone(), modify_index: 9, session: Some("s".into()) }),
+    };
     let yes = member("f1", Some(("a", None)));
-    let asked = |others: &[Member]| verdict(&mine, &point, &[std::slice::from_ref(&yes), others].concat());
-    assert_eq!(asked(&[]), Verdict::Commit { proposal: 9, committed: 5 });
-    // A vote for another proposal is none, and what cannot be read is none.
-    let garbled = Member { id: "f3".into(), status: None };
+    let decide_with =
+        |others: &[Member]| decide(&proposed, &point, &[std::slice::from_ref(&yes), others].concat());
     assert_eq!(
-        asked(&[member("f2", Some(("b", None))), garbled]),
-        Verdict::Wait(vec!["f2".into(), "f3".into()])
+        decide_with(&[]),
+        CommitDecision::Commit(CommitCondition { proposal_index: 9, committed_index: 5 })
     );
+    // A vote on another proposal does not count, nor does a status that cannot be read.
+    let unreadable = Member { id: "f3".into(), status: None };
     assert_eq!(
-        asked(&[member("f2", None), member("f3", Some(("a", Some("slots"))))]),
-        Verdict::Refused(vec![("f3".into(), "slots".into())])
+        decide_with(&[member("f2", Some(("b", None))), unreadable]),
+        CommitDecision::Wait(vec!["f2".into(), "f3".into()])
     );
-    // Somebody was faster, or it was withdrawn.
-    let faster = Point { committed: Some((numbered("b", 2), 11)), ..point.clone() };
-    assert_eq!(verdict(&mine, &faster, &[]), Verdict::Lost);
-    let other = Point { proposal: Some((numbered("b", 2), 11, None)), ..point.clone() };
-    assert_eq!(verdict(&mine, &other, &[]), Verdict::Lost);
-    assert_eq!(verdict(&mine, &Point { proposal: None, ..point }, &[]), Verdict::Lost);
+    assert_eq!(
+        decide_with(&[member("f2", None), member("f3", Some(("a", Some("slots"))))]),
+        CommitDecision::Rejected(vec![Rejection { member: "f3".into(), reason: "slots".into() }])
+    );
+    // Another policy was committed first, or the proposal was withdrawn.
+    let committed = Some(Committed { policy: policy("b", 2), modify_index: 11 });
+    let other_committed = CommitPoint { committed, ..point.clone() };
+    assert_eq!(decide(&proposed, &other_committed, &[]), CommitDecision::Superseded);
+    let proposal = Some(Proposal { policy: policy("b", 2), modify_index: 11, session: None });
+    let other_proposed = CommitPoint { proposal, ..point.clone() };
+    assert_eq!(decide(&proposed, &other_proposed, &[]), CommitDecision::Superseded);
+    assert_eq!(decide(&proposed, &CommitPoint { proposal: None, ..point }, &[]), CommitDecision::Superseded);
 }
--- a/crates/policy-commit/tests/commit_point.rs
+++ b/crates/policy-commit/tests/commit_point.rs
@@ -1,48 +1,65 @@
 //! Tests of [`orchidyoke_policy_commit::commit_point`].
 
 use orchidyoke_consul::locks::Row;
-use orchidyoke_policy_commit::commit_point::*;
+use orchidyoke_policy_commit::Settings;
+use orchidyoke_policy_commit::commit_point::{CommitPoint, Committed, MemberStatus, Vote};
+use orchidyoke_policy_commit::policy::{Policy, VersionedPolicy};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-// Guards against a policy that reaches past what the fleet agrees on, such as one forwarder's addresses.
+// Guards against a policy that changes what belongs to one forwarder alone, such as its addresses.
 #[test]
-fn a_policy_changes_settings_and_endpoints_and_nothing_else() {
+fn policy_changes_settings_and_excluded_endpoints_alone() {
     let own =
         json!({"listen": "127.0.0.1:1", "settings": {"limits": {"max_open": 9, "try_limit": 8}}}).to_string();
-    let policy = Policy::read(r#"{"settings": {"limits": {"max_open": 5}}, "out": ["s-1"]}"#).unwrap();
-    let laid: Value = serde_json::from_str(&policy.lay_over(&own).unwrap()).unwrap();
+    let policy = Policy::parse(r#"{"settings": {"limits": {"max_open": 5}}, "out": ["s-1"]}"#).unwrap();
+    let applied: Value = serde_json::from_str(&policy.apply_to(&own).unwrap()).unwrap();
     let expected = json!({"listen": "127.0.0.1:1", "policy_out": ["s-1"],
         "settings": {"limits": {"max_open": 5, "try_limit": 8}}});
-    assert_eq!(laid, expected);
-    assert!(Policy::read(r#"{"listen": "127.0.0.1:2"}"#).is_err());
-    // The next policy takes the place of the one before, it is not laid over it.
-    assert_eq!(Policy::default().lay_over(&own).unwrap(), {
+    assert_eq!(applied, expected);
+    assert!(Policy::parse(r#"{"listen": "127.0.0.1:2"}"#).is_err());
+    // A policy replaces the one before, and does not add to it.
+    assert_eq!(Policy::default().apply_to(&own).unwrap(), {
         let mut own: Value = serde_json::from_str(&own).unwrap();
         own["policy_out"] = json!([]);
         own.to_string()
     });
 }
 
-// Guards against acting on a text that was cut or changed on its way.
+// Guards against using a text that was truncated or changed.
 #[test]
-fn what_does_not_fit_its_digest_is_not_there() {
+fn policy_that_does_not_match_its_digest_is_ignored() {
     let settings = Settings {
         consul: orchidyoke_consul::Settings::default(),
         prefix: "p".into(),
         name: None,
         ttl: Duration::from_secs(10),
     };
-    let mut numbered = NumberedPolicy::new("a".into(), 1, "{}".into(), "x".into());
-    let row = |numbered: &NumberedPolicy| {
-        let value = serde_json::to_string(numbered).unwrap();
+    let mut policy = VersionedPolicy::new("a".into(), 1, "{}".into(), "x".into());
+    let row = |policy: &VersionedPolicy| {
+        let value = serde_json::to_string(policy).unwrap();
         let json = json!([{"Key": "p/epoch/committed", "ModifyIndex": 7, "Session": null,
             "Value": base64(&value)}]);
         serde_json::from_value::<Vec<Row>>(json).unwrap()
     };
-    assert_eq!(Point::read(&settings, &row(&numbered)).committed, Some((numbered.clone(), 7)));
-    numbered.policy = r#"{"out": ["s"]}"#.into();
-    assert_eq!(Point::read(&settings, &row(&numbered)), Point::default());
+    let committed = Some(Committed { policy: policy.clone(), modify_index: 7 });
+    assert_eq!(CommitPoint::from_rows(&settings, &row(&policy)).committed, committed);
+    policy.text = r#"{"out": ["s"]}"#.into();
+    assert_eq!(CommitPoint::from_rows(&settings, &row(&policy)), CommitPoint::default());
+}
+
+// Guards against forwarders of two versions in one fleet that cannot read each other's values.
+#[test]
+fn stored_values_keep_their_form() {
+    let policy = VersionedPolicy::new("a".into(), 3, "{}".into(), "op".into());
+    let stored = r#"{"id":"a","epoch":3,"digest":"1349cde127705c16","policy":"{}","by":"op"}"#;
+    assert_eq!(serde_json::to_string(&policy).unwrap(), stored);
+    assert_eq!(serde_json::from_str::<VersionedPolicy>(stored).unwrap(), policy);
+    let vote = Vote { proposal_id: "a".into(), rejection: None };
+    let status = MemberStatus { version: 2, vote: Some(vote), unusable_reason: Some("slots".into()) };
+    let stored = r#"{"epoch":2,"vote":{"proposal":"a","no":null},"refuses":"slots"}"#;
+    assert_eq!(serde_json::to_string(&status).unwrap(), stored);
+    assert_eq!(serde_json::from_str::<MemberStatus>(stored).unwrap(), status);
 }
 
 fn base64(text: &str) -> String {
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -1,75 +1,77 @@
-//! Model checking of the protocol: the agent that forwarders run and the verdict that proposers go by, against a store
-//! that keeps its promises and nothing more, over every order of looks, writes, losses, crashes and expiries within the
-//! bounds given.
+//! Model checking of the commit protocol: the participant that forwarders run and the decision of coordinators, against a
+//! store that keeps its promises and nothing more, over every order of reads, writes, losses, crashes and expiries within
+//! the bounds given.
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_policy_commit::participant::{Agent, Effect, Input};
-use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, NumberedPolicy, Point};
-use orchidyoke_policy_commit::commit_decision::{Verdict, verdict};
+use orchidyoke_policy_commit::commit_decision::{CommitCondition, CommitDecision, decide};
+use orchidyoke_policy_commit::commit_point::{CommitPoint, Committed, Member, MemberStatus, Proposal};
+use orchidyoke_policy_commit::participant::{Effect, Input, Participant};
+use orchidyoke_policy_commit::policy::VersionedPolicy;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// A step of the clock is one unit. The store gives a silent forwarder up after this long; a look counts for less.
+/// The TTL of sessions, in units of the store's clock.
 const TTL: Micros = 3;
-const SPAN: Micros = 2;
-/// A policy that the second forwarder cannot use.
-const BAD: &str = "bad";
+/// How long a read counts as contact: less than the TTL.
+const CONTACT_TIME: Micros = 2;
+/// A policy that the second participant cannot use.
+const UNUSABLE: &str = "bad";
 
-const COMMITTED: &str = "only what is committed is acted on";
-const ONCE: &str = "each number is committed once, in order";
-const BOUND: &str = "who is in contact is behind for less than the span";
-const USABLE: &str = "nothing is committed that one who is there cannot use";
+const COMMITTED: &str = "participants act on committed policies only";
+const ONCE: &str = "each version is committed once, in order";
+const BOUND: &str = "a participant in contact lags by less than the contact time";
+const USABLE: &str = "no policy is committed that a present participant cannot use";
 
-/// What is taken away, so that the check must find what it was there for.
+/// The part of the protocol that is left out, so that the check must find the property that it guards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// The commit is a plain write.
     NoCheckAndSet,
-    /// A proposer does not wait for votes.
+    /// A coordinator does not wait for votes.
     NoVotes,
-    /// A forwarder acts on what is staged.
+    /// A participant acts on a staged policy.
     ActsOnStaged,
-    /// A forwarder counts its contact from the answer.
+    /// A participant counts its contact from the answer to the read.
     FromAnswer,
 }
 
 struct Bounds {
-    proposers: usize,
-    /// The last proposer's policy is one that the second forwarder cannot use.
+    coordinators: usize,
+    /// The second participant cannot use the last coordinator's policy.
     bad: bool,
     until: Micros,
-    /// Forwarders that crash; proposals that are withdrawn, or go with their proposer.
+    /// Participants that crash.
     crashes: u8,
+    /// Proposals that are withdrawn, or deleted with their coordinator's session.
     losses: u8,
     mutant: Mutant,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    agent: Agent,
-    /// What its disk holds.
-    held: Option<NumberedPolicy>,
-    staged: Option<NumberedPolicy>,
-    /// A look on its way back, with when it was sent.
-    looked: Option<(Micros, Point)>,
-    /// It has something to say to the store.
-    tells: bool,
-    /// What it acts by.
-    acts_by: Option<NumberedPolicy>,
+    state: Participant,
+    /// The policies on its disk.
+    held: Option<VersionedPolicy>,
+    staged: Option<VersionedPolicy>,
+    /// The answer to a read that is in flight, with the time at which the read was sent.
+    read: Option<(Micros, CommitPoint)>,
+    /// It has a status to publish.
+    publishes: bool,
+    /// The policy that it acts on.
+    acts_by: Option<VersionedPolicy>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Proposer {
+enum Coordinator {
     Idle,
     /// Has read the commit point.
-    Read(Point),
-    /// Holds the proposal; what it has seen of the members.
-    Proposed(NumberedPolicy, Option<Vec<Member>>),
-    /// Its commit is on its way.
+    Read(CommitPoint),
+    /// Holds the proposal; the members as it last read them.
+    Proposed(VersionedPolicy, Option<Vec<Member>>),
+    /// Its commit is in flight.
     Sent {
-        mine: NumberedPolicy,
-        proposal: u64,
-        committed: u64,
+        proposed: VersionedPolicy,
+        condition: CommitCondition,
     },
     Over,
 }
@@ -77,65 +79,66 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     clock: Micros,
-    point: Point,
+    point: CommitPoint,
     index: u64,
-    /// The forwarders' keys, with when each was renewed.
+    /// The participants' keys, with the time at which each was renewed.
     keys: Vec<Option<(MemberStatus, Micros)>>,
-    nodes: Vec<Node>,
-    proposers: Vec<Proposer>,
-    /// All that was ever committed, and when.
-    history: Vec<(NumberedPolicy, Micros)>,
-    /// Forwarders that were given up by the store or have crashed.
-    away: bool,
+    participants: Vec<Node>,
+    coordinators: Vec<Coordinator>,
+    /// All policies that were committed, and when.
+    history: Vec<(VersionedPolicy, Micros)>,
+    /// A participant has crashed, or its session has expired.
+    any_absent: bool,
     crashes: u8,
     losses: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    Pass,
-    Look(usize),
-    Hear(usize),
-    Tell(usize),
+    Tick,
+    ReadCommitPoint(usize),
+    Receive(usize),
+    Publish(usize),
     Expire(usize),
     Crash(usize),
-    Read(usize),
+    StartProposal(usize),
     Acquire(usize),
-    Members(usize),
+    ReadMembers(usize),
     Decide(usize),
     Commit(usize),
-    /// The proposer dies, or its session is given up, or an operator withdraws what it has proposed.
+    /// The coordinator dies, its session expires, or an operator withdraws its proposal.
     Withdrawn(usize),
 }
 
 impl World {
-    fn tell(&mut self, mutant: Mutant, place: usize, input: Input) {
-        let node = &mut self.nodes[place];
-        let mut effects: std::collections::VecDeque<_> = node.agent.step(input).into();
+    fn step(&mut self, mutant: Mutant, place: usize, input: Input) {
+        let participant = &mut self.participants[place];
+        let mut effects: std::collections::VecDeque<_> = participant.state.step(input).into();
         while let Some(effect) = effects.pop_front() {
-            let usable = |numbered: &NumberedPolicy| {
-                if place == 1 && numbered.policy == BAD { Err("not here".to_owned()) } else { Ok(()) }
+            let usable = |policy: &VersionedPolicy| {
+                if place == 1 && policy.text == UNUSABLE { Err("not here".to_owned()) } else { Ok(()) }
             };
             match effect {
-                Effect::Stage(numbered) => {
-                    let outcome = usable(&numbered);
+                Effect::Stage(policy) => {
+                    let outcome = usable(&policy);
                     if outcome.is_ok() {
-                        node.staged = Some(numbered.clone());
+                        participant.staged = Some(policy.clone());
                         if mutant == Mutant::ActsOnStaged {
-                            node.acts_by = Some(numbered.clone());
+                            participant.acts_by = Some(policy.clone());
                         }
                     }
-                    effects.extend(node.agent.step(Input::Staged(numbered.id, outcome)));
+                    effects.extend(participant.state.step(Input::Staged { id: policy.id, outcome }));
                 }
-                Effect::Unstage => node.staged = None,
-                Effect::Apply(numbered) => {
-                    let outcome = usable(&numbered);
+                Effect::Unstage => participant.staged = None,
+                Effect::Apply(policy) => {
+                    let outcome = usable(&policy);
                     if outcome.is_ok() {
-                        (node.held, node.acts_by) = (Some(numbered.clone()), Some(numbered.clone()));
+                        participant.held = Some(policy.clone());
+                        participant.acts_by = Some(policy.clone());
                     }
-                    effects.extend(node.agent.step(Input::Applied(numbered.id, outcome)));
+                    effects.extend(participant.state.step(Input::Applied { id: policy.id, outcome }));
                 }
-                Effect::Tell(_) => node.tells = true,
+                Effect::Publish(_) => participant.publishes = true,
             }
         }
     }
@@ -148,12 +151,15 @@
         self.keys.iter().enumerate().filter_map(member).collect()
     }
 
-    fn holds(&self, mine: &NumberedPolicy, index: u64) -> bool {
-        self.point.proposal.as_ref().is_some_and(|(there, at, _)| there.id == mine.id && *at == index)
+    fn holds(&self, proposed: &VersionedPolicy, index: u64) -> bool {
+        self.point
+            .proposal
+            .as_ref()
+            .is_some_and(|proposal| proposal.policy.id == proposed.id && proposal.modify_index == index)
     }
 
-    fn withdraw(&mut self, mine: &NumberedPolicy) {
-        if self.point.proposal.as_ref().is_some_and(|(there, ..)| there.id == mine.id) {
+    fn withdraw(&mut self, proposed: &VersionedPolicy) {
+        if self.point.proposal.as_ref().is_some_and(|proposal| proposal.policy.id == proposed.id) {
             self.index += 1;
             self.point.proposal = None;
         }
@@ -165,23 +171,23 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node {
-            agent: Agent::default(),
+        let participant = Node {
+            state: Participant::default(),
             held: None,
             staged: None,
-            looked: None,
-            tells: true,
+            read: None,
+            publishes: true,
             acts_by: None,
         };
         vec![World {
             clock: 0,
-            point: Point::default(),
+            point: CommitPoint::default(),
             index: 0,
             keys: vec![Some((MemberStatus::default(), 0)); 2],
-            nodes: vec![node; 2],
-            proposers: vec![Proposer::Idle; self.proposers],
+            participants: vec![participant; 2],
+            coordinators: vec![Coordinator::Idle; self.coordinators],
             history: Vec::new(),
-            away: false,
+            any_absent: false,
             crashes: 0,
             losses: 0,
         }]
@@ -189,20 +195,22 @@
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         if world.clock < self.until {
-            steps.push(Step::Pass);
+            steps.push(Step::Tick);
         }
-        for (place, node) in world.nodes.iter().enumerate() {
+        for (place, participant) in world.participants.iter().enumerate() {
             // A look that is sent again takes the place of one whose answer is lost.
-            let fresh =
-                node.looked.as_ref().is_none_or(|(sent, seen)| (*sent, seen) != (world.clock, &world.point));
+            let fresh = participant
+                .read
+                .as_ref()
+                .is_none_or(|(sent_at, point)| (*sent_at, point) != (world.clock, &world.point));
             if fresh {
-                steps.push(Step::Look(place));
+                steps.push(Step::ReadCommitPoint(place));
             }
-            if node.looked.is_some() {
-                steps.push(Step::Hear(place));
+            if participant.read.is_some() {
+                steps.push(Step::Receive(place));
             }
-            if node.tells || world.keys[place].as_ref().is_none_or(|(_, at)| *at < world.clock) {
-                steps.push(Step::Tell(place));
+            if participant.publishes || world.keys[place].as_ref().is_none_or(|(_, at)| *at < world.clock) {
+                steps.push(Step::Publish(place));
             }
             if world.keys[place].as_ref().is_some_and(|(_, at)| world.clock >= at + TTL) {
                 steps.push(Step::Expire(place));
@@ -211,16 +219,16 @@
                 steps.push(Step::Crash(place));
             }
         }
-        for (place, proposer) in world.proposers.iter().enumerate() {
-            match proposer {
-                Proposer::Idle => steps.push(Step::Read(place)),
-                Proposer::Read(_) => steps.push(Step::Acquire(place)),
-                Proposer::Proposed(_, None) => steps.push(Step::Members(place)),
-                Proposer::Proposed(_, Some(_)) => steps.push(Step::Decide(place)),
-                Proposer::Sent { .. } => steps.push(Step::Commit(place)),
-                Proposer::Over => {}
+        for (place, coordinator) in world.coordinators.iter().enumerate() {
+            match coordinator {
+                Coordinator::Idle => steps.push(Step::StartProposal(place)),
+                Coordinator::Read(_) => steps.push(Step::Acquire(place)),
+                Coordinator::Proposed(_, None) => steps.push(Step::ReadMembers(place)),
+                Coordinator::Proposed(_, Some(_)) => steps.push(Step::Decide(place)),
+                Coordinator::Sent { .. } => steps.push(Step::Commit(place)),
+                Coordinator::Over => {}
             }
-            let proposed = matches!(proposer, Proposer::Proposed(..) | Proposer::Sent { .. });
+            let proposed = matches!(coordinator, Coordinator::Proposed(..) | Coordinator::Sent { .. });
             if proposed && world.losses < self.losses {
                 steps.push(Step::Withdrawn(place));
             }
@@ -230,83 +238,97 @@
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
         let mut world = last.clone();
         match step {
-            Step::Pass => world.clock += 1,
-            Step::Look(place) => world.nodes[place].looked = Some((world.clock, world.point.clone())),
-            Step::Hear(place) => {
-                let (sent, point) = world.nodes[place].looked.take()?;
-                let sent = if self.mutant == Mutant::FromAnswer { world.clock } else { sent };
-                world.tell(self.mutant, place, Input::Looked(sent, Box::new(point)));
+            Step::Tick => world.clock += 1,
+            Step::ReadCommitPoint(place) => {
+                world.participants[place].read = Some((world.clock, world.point.clone()))
             }
-            Step::Tell(place) => {
-                world.nodes[place].tells = false;
-                world.keys[place] = Some((world.nodes[place].agent.member_status(), world.clock));
+            Step::Receive(place) => {
+                let (sent_at, point) = world.participants[place].read.take()?;
+                let sent_at = if self.mutant == Mutant::FromAnswer { world.clock } else { sent_at };
+                world.step(self.mutant, place, Input::CommitPointRead { sent_at, point: Box::new(point) });
+            }
+            Step::Publish(place) => {
+                world.participants[place].publishes = false;
+                world.keys[place] = Some((world.participants[place].state.member_status(), world.clock));
             }
             Step::Expire(place) => {
-                world.away = true;
+                world.any_absent = true;
                 world.keys[place] = None;
             }
             Step::Crash(place) => {
-                (world.crashes, world.away) = (world.crashes + 1, true);
-                let node = &mut world.nodes[place];
-                node.agent = Agent::new(node.held.clone(), node.staged.clone());
-                (node.looked, node.acts_by, node.tells) = (None, node.held.clone(), true);
+                world.crashes += 1;
+                world.any_absent = true;
+                let participant = &mut world.participants[place];
+                participant.state = Participant::new(participant.held.clone(), participant.staged.clone());
+                participant.read = None;
+                participant.acts_by = participant.held.clone();
+                participant.publishes = true;
             }
-            Step::Read(place) => world.proposers[place] = Proposer::Read(world.point.clone()),
+            Step::StartProposal(place) => world.coordinators[place] = Coordinator::Read(world.point.clone()),
             Step::Acquire(place) => {
-                let Proposer::Read(point) = &last.proposers[place] else { return None };
-                let policy = if self.bad && place + 1 == self.proposers { BAD } else { "good" };
-                let mine = NumberedPolicy::new(
+                let Coordinator::Read(point) = &last.coordinators[place] else { return None };
+                let policy = if self.bad && place + 1 == self.coordinators { UNUSABLE } else { "good" };
+                let proposed = VersionedPolicy::new(
                     place.to_string(),
-                    point.epoch() + 1,
+                    point.version() + 1,
                     policy.to_owned(),
                     String::new(),
                 );
-                world.proposers[place] = if world.point.proposal.is_some() {
-                    Proposer::Over
+                world.coordinators[place] = if world.point.proposal.is_some() {
+                    Coordinator::Over
                 } else {
                     world.index += 1;
-                    world.point.proposal = Some((mine.clone(), world.index, Some(place.to_string())));
-                    Proposer::Proposed(mine, None)
+                    world.point.proposal = Some(Proposal {
+                        policy: proposed.clone(),
+                        modify_index: world.index,
+                        session: Some(place.to_string()),
+                    });
+                    Coordinator::Proposed(proposed, None)
                 };
             }
-            Step::Members(place) => {
+            Step::ReadMembers(place) => {
                 let members = world.members();
-                if let Proposer::Proposed(_, seen) = &mut world.proposers[place] {
+                if let Coordinator::Proposed(_, seen) = &mut world.coordinators[place] {
                     *seen = Some(members);
                 }
             }
             Step::Decide(place) => {
-                let Proposer::Proposed(mine, Some(members)) = &last.proposers[place] else { return None };
+                let Coordinator::Proposed(proposed, Some(members)) = &last.coordinators[place] else {
+                    return None;
+                };
                 let members = if self.mutant == Mutant::NoVotes { &[][..] } else { members };
-                world.proposers[place] = match verdict(mine, &last.point, members) {
-                    Verdict::Wait(_) => Proposer::Proposed(mine.clone(), None),
-                    Verdict::Commit { proposal, committed } => {
-                        Proposer::Sent { mine: mine.clone(), proposal, committed }
+                world.coordinators[place] = match decide(proposed, &last.point, members) {
+                    CommitDecision::Wait(_) => Coordinator::Proposed(proposed.clone(), None),
+                    CommitDecision::Commit(condition) => {
+                        Coordinator::Sent { proposed: proposed.clone(), condition }
                     }
-                    Verdict::Refused(_) | Verdict::Lost => {
-                        world.withdraw(mine);
-                        Proposer::Over
+                    CommitDecision::Rejected(_) | CommitDecision::Superseded => {
+                        world.withdraw(proposed);
+                        Coordinator::Over
                     }
                 };
             }
             Step::Commit(place) => {
-                let Proposer::Sent { mine, proposal, committed } = &last.proposers[place] else {
+                let Coordinator::Sent { proposed, condition } = &last.coordinators[place] else {
                     return None;
                 };
-                let there = last.point.committed.as_ref().map_or(0, |(_, index)| *index);
-                let checked = last.holds(mine, *proposal) && there == *committed;
+                let is_unchanged = last.point.committed_index() == condition.committed_index;
+                let checked = last.holds(proposed, condition.proposal_index) && is_unchanged;
                 if checked || self.mutant == Mutant::NoCheckAndSet {
-                    world.withdraw(mine);
+                    world.withdraw(proposed);
                     world.index += 1;
-                    world.point.committed = Some((mine.clone(), world.index));
-                    world.history.push((mine.clone(), world.clock));
+                    world.point.committed =
+                        Some(Committed { policy: proposed.clone(), modify_index: world.index });
+                    world.history.push((proposed.clone(), world.clock));
                 }
-                world.proposers[place] = Proposer::Over;
+                world.coordinators[place] = Coordinator::Over;
             }
             Step::Withdrawn(place) => {
                 world.losses += 1;
-                if let Proposer::Proposed(mine, _) | Proposer::Sent { mine, .. } = &last.proposers[place] {
-                    world.withdraw(mine);
+                if let Coordinator::Proposed(proposed, _) | Coordinator::Sent { proposed, .. } =
+                    &last.coordinators[place]
+                {
+                    world.withdraw(proposed);
                 }
             }
         }
@@ -317,26 +339,32 @@
         vec![
             Property::always(COMMITTED, |_, world: &World| {
                 let committed =
-                    |numbered: &NumberedPolicy| world.history.iter().any(|(there, _)| there == numbered);
-                world.nodes.iter().all(|node| node.acts_by.as_ref().is_none_or(committed))
+                    |policy: &VersionedPolicy| world.history.iter().any(|(there, _)| there == policy);
+                world
+                    .participants
+                    .iter()
+                    .all(|participant| participant.acts_by.as_ref().is_none_or(committed))
             }),
             Property::always(ONCE, |_, world: &World| {
-                world.history.iter().enumerate().all(|(place, (there, _))| there.epoch == place as u64 + 1)
+                world.history.iter().enumerate().all(|(place, (there, _))| there.version == place as u64 + 1)
             }),
             Property::always(BOUND, |_, world: &World| {
-                world.nodes.iter().all(|node| {
-                    let behind = |(numbered, at): &(NumberedPolicy, Micros)| {
-                        numbered.epoch > node.agent.epoch() && world.clock >= at + SPAN
+                world.participants.iter().all(|participant| {
+                    let behind = |(policy, at): &(VersionedPolicy, Micros)| {
+                        policy.version > participant.state.version() && world.clock >= at + CONTACT_TIME
                     };
-                    node.agent.unready_reason(world.clock, SPAN).is_some()
+                    participant.state.unready_reason(world.clock, CONTACT_TIME).is_some()
                         || !world.history.iter().any(behind)
                 })
             }),
             Property::always(USABLE, |_, world: &World| {
-                world.away || world.history.iter().all(|(numbered, _)| numbered.policy != BAD)
+                world.any_absent || world.history.iter().all(|(policy, _)| policy.text != UNUSABLE)
             }),
             Property::sometimes("a policy is in force everywhere", |_, world: &World| {
-                world.nodes.iter().all(|node| node.acts_by.as_ref().is_some_and(|by| by.policy == "good"))
+                world
+                    .participants
+                    .iter()
+                    .all(|participant| participant.acts_by.as_ref().is_some_and(|by| by.text == "good"))
             }),
             Property::sometimes("two policies, one after the other", |_, world: &World| {
                 world.history.len() == 2
@@ -349,45 +377,45 @@
     bounds.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-// Two proposers, a withdrawal or a death among them, a crash: without the clock.
+// Two coordinators, a withdrawal or a death among them, a crash; the clock stands still.
 #[test]
-fn every_order_keeps_everywhere_or_nowhere() {
+fn policy_is_in_force_everywhere_or_nowhere_in_every_order() {
     let checker =
-        check(Bounds { proposers: 2, bad: false, until: 0, crashes: 1, losses: 1, mutant: Mutant::None });
+        check(Bounds { coordinators: 2, bad: false, until: 0, crashes: 1, losses: 1, mutant: Mutant::None });
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
     let checker =
-        check(Bounds { proposers: 2, bad: true, until: 0, crashes: 1, losses: 1, mutant: Mutant::None });
+        check(Bounds { coordinators: 2, bad: true, until: 0, crashes: 1, losses: 1, mutant: Mutant::None });
     println!("{} states", checker.unique_state_count());
-    safe(&checker);
+    assert_safe(&checker);
 }
 
-// One proposer and the clock: sessions end, looks are late.
+// One coordinator, and the clock runs: sessions expire, reads are late.
 #[test]
-fn every_order_keeps_the_bound() {
+fn participant_in_contact_lags_less_than_the_contact_time_in_every_order() {
     let checker =
-        check(Bounds { proposers: 1, bad: false, until: 3, crashes: 0, losses: 0, mutant: Mutant::None });
+        check(Bounds { coordinators: 1, bad: false, until: 3, crashes: 0, losses: 0, mutant: Mutant::None });
     println!("{} states", checker.unique_state_count());
-    safe(&checker);
+    assert_safe(&checker);
     checker.assert_any_discovery("a policy is in force everywhere");
 }
 
-fn safe(checker: &impl Checker<Bounds>) {
+fn assert_safe(checker: &impl Checker<Bounds>) {
     for property in [COMMITTED, ONCE, BOUND, USABLE] {
         checker.assert_no_discovery(property);
     }
 }
 
-/// Each part that is taken away is missed, by the property that it is there for.
+/// The check has to find a violation when a part of the protocol is left out.
 #[test]
-fn each_part_that_is_taken_away_is_missed() {
-    for (mutant, property, proposers, bad, until, losses) in [
+fn each_mutant_violates_its_property() {
+    for (mutant, property, coordinators, bad, until, losses) in [
         (Mutant::NoCheckAndSet, ONCE, 2, false, 0, 1),
         (Mutant::NoVotes, USABLE, 2, true, 0, 0),
         (Mutant::ActsOnStaged, COMMITTED, 1, false, 0, 0),
         (Mutant::FromAnswer, BOUND, 1, false, 3, 0),
     ] {
-        let checker = check(Bounds { proposers, bad, until, crashes: 0, losses, mutant });
+        let checker = check(Bounds { coordinators, bad, until, crashes: 0, losses, mutant });
         assert!(checker.discovery(property).is_some(), "{mutant:?} is not found");
     }
 }
--- a/crates/policy-commit/tests/participant.rs
+++ b/crates/policy-commit/tests/participant.rs
@@ -1,95 +1,123 @@
 //! Tests of [`orchidyoke_policy_commit::participant`].
 
-use orchidyoke_policy_commit::participant::{Agent, Effect, Input};
-use orchidyoke_policy_commit::commit_point::{Epoch, MemberStatus, NumberedPolicy, Point, Vote};
+use orchidyoke_policy_commit::commit_point::{CommitPoint, Committed, MemberStatus, Proposal, Vote};
+use orchidyoke_policy_commit::participant::{Effect, Input, Participant};
+use orchidyoke_policy_commit::policy::{PolicyVersion, VersionedPolicy};
 
-fn numbered(id: &str, epoch: Epoch) -> NumberedPolicy {
-    NumberedPolicy::new(id.to_owned(), epoch, format!("{{\"out\": [\"{id}\"]}}"), "op".to_owned())
+fn policy(id: &str, version: PolicyVersion) -> VersionedPolicy {
+    VersionedPolicy::new(id.to_owned(), version, format!("{{\"out\": [\"{id}\"]}}"), "op".to_owned())
 }
 
-fn point(committed: Option<&NumberedPolicy>, proposal: Option<&NumberedPolicy>) -> Box<Point> {
-    Box::new(Point {
-        committed: committed.map(|numbered| (numbered.clone(), 7)),
-        proposal: proposal.map(|numbered| (numbered.clone(), 9, Some("s".to_owned()))),
+fn point(committed: Option<&VersionedPolicy>, proposal: Option<&VersionedPolicy>) -> Box<CommitPoint> {
+    Box::new(CommitPoint {
+        committed: committed.map(|policy| Committed { policy: policy.clone(), modify_index: 7 }),
+        proposal: proposal.map(|policy| Proposal {
+            policy: policy.clone(),
+            modify_index: 9,
+            session: Some("s".to_owned()),
+        }),
     })
 }
 
-fn told(epoch: Epoch, proposal: &str, no: Option<&str>) -> Effect {
-    let vote = Some(Vote { proposal: proposal.to_owned(), no: no.map(str::to_owned) });
-    Effect::Tell(MemberStatus { epoch, vote, refuses: None })
+fn publish(version: PolicyVersion, proposal: &str, rejection: Option<&str>) -> Effect {
+    let vote = Some(Vote { proposal_id: proposal.to_owned(), rejection: rejection.map(str::to_owned) });
+    Effect::Publish(MemberStatus { version, vote, unusable_reason: None })
 }
 
-// Guards against acting on what is only proposed, and against a vote before it is on the disk.
+// Guards against applying a policy that is only proposed, and against a vote before it is on disk.
 #[test]
-fn a_proposal_is_staged_then_voted_on_and_applied_only_once_committed() {
-    let (mut agent, one) = (Agent::default(), numbered("a", 1));
-    let seen = agent.step(Input::Looked(0, point(None, Some(&one))));
-    assert_eq!(seen, [Effect::Stage(one.clone())]);
-    assert_eq!(agent.step(Input::Looked(1, point(None, Some(&one)))), [], "once is enough");
-    assert_eq!(agent.step(Input::Staged("a".into(), Ok(()))), [told(0, "a", None)]);
-    assert_eq!(agent.epoch(), 0);
-    let seen = agent.step(Input::Looked(2, point(Some(&one), None)));
-    assert_eq!(seen[..2], [Effect::Apply(one.clone()), Effect::Unstage]);
-    assert!(agent.unready_reason(3, 100).is_some(), "not before it is in force");
-    agent.step(Input::Applied("a".into(), Ok(())));
-    assert_eq!((agent.epoch(), agent.unready_reason(3, 100), agent.staged()), (1, None, None));
+fn proposal_is_staged_then_voted_on_and_applied_only_once_committed() {
+    let (mut participant, one) = (Participant::default(), policy("a", 1));
+    let effects = participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&one)) });
+    assert_eq!(effects, [Effect::Stage(one.clone())]);
+    assert_eq!(
+        participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, Some(&one)) }),
+        [],
+        "a proposal is staged once"
+    );
+    assert_eq!(participant.step(Input::Staged { id: "a".into(), outcome: Ok(()) }), [publish(0, "a", None)]);
+    assert_eq!(participant.version(), 0);
+    let effects = participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&one), None) });
+    assert_eq!(effects[..2], [Effect::Apply(one.clone()), Effect::Unstage]);
+    assert!(participant.unready_reason(3, 100).is_some(), "not ready before it is in force");
+    participant.step(Input::Applied { id: "a".into(), outcome: Ok(()) });
+    assert_eq!(
+        (participant.version(), participant.unready_reason(3, 100), participant.staged()),
+        (1, None, None)
+    );
 }
 
-// Guards against a staged policy that outlasts its withdrawal.
+// Guards against a staged policy that outlasts the withdrawal of its proposal.
 #[test]
-fn a_withdrawn_proposal_leaves_nothing() {
-    let (mut agent, one) = (Agent::new(None, Some(numbered("old", 1))), numbered("a", 1));
-    let seen = agent.step(Input::Looked(0, point(None, Some(&one))));
+fn withdrawn_proposal_leaves_no_vote_and_nothing_staged() {
+    let (mut participant, one) = (Participant::new(None, Some(policy("old", 1))), policy("a", 1));
+    let effects = participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&one)) });
     assert_eq!(
-        seen,
+        effects,
         [Effect::Unstage, Effect::Stage(one.clone())],
-        "what a start found staged and is not proposed"
+        "staged before the start, and no longer proposed"
     );
     // Withdrawn while it was being checked.
-    assert_eq!(agent.step(Input::Looked(1, point(None, None))), []);
-    assert_eq!(agent.step(Input::Staged("a".into(), Ok(()))), [Effect::Unstage]);
-    assert_eq!(agent.member_status(), MemberStatus::default());
+    assert_eq!(participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, None) }), []);
+    assert_eq!(participant.step(Input::Staged { id: "a".into(), outcome: Ok(()) }), [Effect::Unstage]);
+    assert_eq!(participant.member_status(), MemberStatus::default());
 }
 
 #[test]
-fn what_cannot_be_used_is_voted_against_with_its_reason() {
-    let (mut agent, one, two) = (Agent::default(), numbered("a", 1), numbered("b", 2));
-    agent.step(Input::Looked(0, point(None, Some(&one))));
-    let no = agent.step(Input::Staged("a".into(), Err("slots: missing".into())));
-    assert_eq!(no, [told(0, "a", Some("slots: missing"))]);
-    let no = agent.step(Input::Looked(1, point(None, Some(&two))));
+fn unusable_proposal_is_rejected_with_the_reason() {
+    let (mut participant, one, two) = (Participant::default(), policy("a", 1), policy("b", 2));
+    participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&one)) });
+    let effects = participant.step(Input::Staged { id: "a".into(), outcome: Err("slots: missing".into()) });
+    assert_eq!(effects, [publish(0, "a", Some("slots: missing"))]);
+    let effects = participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, Some(&two)) });
     assert!(
-        matches!(&no[..], [Effect::Tell(MemberStatus { vote: Some(Vote { no: Some(_), .. }), .. })]),
-        "{no:?}"
+        matches!(
+            &effects[..],
+            [Effect::Publish(MemberStatus { vote: Some(Vote { rejection: Some(_), .. }), .. })]
+        ),
+        "{effects:?}"
     );
 }
 
-// Guards against a forwarder that was away when a change was made, and goes on by the old one.
+// Guards against a forwarder that was down during a commit and goes on by the policy before.
 #[test]
-fn one_that_was_away_takes_what_is_committed_though_it_never_staged_it() {
-    let (mut agent, three) = (Agent::new(Some(numbered("b", 2)), None), numbered("c", 3));
+fn participant_that_missed_the_vote_applies_the_committed_policy() {
+    let (mut participant, three) = (Participant::new(Some(policy("b", 2)), None), policy("c", 3));
     assert!(
-        agent.unready_reason(0, 100).is_some_and(|why| why.contains("cut off") && why.contains("epoch 2"))
+        participant
+            .unready_reason(0, 100)
+            .is_some_and(|why| why.contains("cut off") && why.contains("epoch 2"))
+    );
+    assert_eq!(
+        participant.step(Input::CommitPointRead { sent_at: 5, point: point(Some(&three), None) }),
+        [Effect::Apply(three.clone())]
     );
-    assert_eq!(agent.step(Input::Looked(5, point(Some(&three), None))), [Effect::Apply(three.clone())]);
-    assert_eq!(agent.step(Input::Looked(6, point(Some(&three), None))), []);
-    agent.step(Input::Applied("c".into(), Ok(())));
-    assert_eq!((agent.epoch(), agent.unready_reason(105, 100)), (3, None));
-    // Contact counts from when the look was sent.
-    assert!(agent.unready_reason(106, 100).is_some());
+    assert_eq!(participant.step(Input::CommitPointRead { sent_at: 6, point: point(Some(&three), None) }), []);
+    participant.step(Input::Applied { id: "c".into(), outcome: Ok(()) });
+    assert_eq!((participant.version(), participant.unready_reason(105, 100)), (3, None));
+    // Contact counts from when the read was sent.
+    assert!(participant.unready_reason(106, 100).is_some());
 }
 
-// Guards against one that cannot use what the fleet agreed on and says nothing.
+// Guards against a forwarder that cannot use the committed policy and does not report it.
 #[test]
-fn one_that_cannot_use_what_is_committed_keeps_what_it_has_and_says_so() {
-    let (mut agent, one, two) = (Agent::default(), numbered("a", 1), numbered("b", 2));
-    agent.step(Input::Looked(0, point(Some(&one), None)));
-    let told = agent.step(Input::Applied("a".into(), Err("its file is broken".into())));
-    let refuses = Some("its file is broken".to_owned());
-    assert_eq!(told, [Effect::Tell(MemberStatus { epoch: 0, vote: None, refuses })]);
-    assert!(agent.unready_reason(1, 100).is_some_and(|why| why.contains("file is broken")));
-    assert_eq!(agent.step(Input::Looked(1, point(Some(&one), None))), [], "not tried again and again");
-    assert_eq!(agent.step(Input::Looked(2, point(Some(&two), None))), [Effect::Apply(two.clone())]);
-    agent.step(Input::Applied("b".into(), Ok(())));
-    assert_eq!(agent.unready_reason(3, 100), None);
+fn unusable_committed_policy_keeps_the_one_in_force_and_is_reported() {
+    let (mut participant, one, two) = (Participant::default(), policy("a", 1), policy("b", 2));
+    participant.step(Input::CommitPointRead { sent_at: 0, point: point(Some(&one), None) });
+    let effects =
+        participant.step(Input::Applied { id: "a".into(), outcome: Err("its file is broken".into()) });
+    let unusable_reason = Some("its file is broken".to_owned());
+    assert_eq!(effects, [Effect::Publish(MemberStatus { version: 0, vote: None, unusable_reason })]);
+    assert!(participant.unready_reason(1, 100).is_some_and(|why| why.contains("file is broken")));
+    assert_eq!(
+        participant.step(Input::CommitPointRead { sent_at: 1, point: point(Some(&one), None) }),
+        [],
+        "applied once"
+    );
+    assert_eq!(
+        participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&two), None) }),
+        [Effect::Apply(two.clone())]
+    );
+    participant.step(Input::Applied { id: "b".into(), outcome: Ok(()) });
+    assert_eq!(participant.unready_reason(3, 100), None);
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -143,9 +143,9 @@
         {
             let own = || source.reread_with(|text| Ok(text.to_owned())).map(|config| config.name);
             let name = policy.name.clone().map_or_else(own, Ok)?;
-            let follower = orchidyoke_policy_commit::Follower::new(policy, &name, state);
-            source.policy = Some(follower.clone());
-            return Ok((source, Some(follower)));
+            let participant = orchidyoke_policy_commit::ConsulParticipant::new(policy, &name, state);
+            source.policy = Some(participant.clone());
+            return Ok((source, Some(participant)));
         }
         Ok((source, None))
     }
@@ -288,33 +288,37 @@
         let settings = wanted.policy.ok_or("these settings ask for no policy(...)")?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         tokio::task::LocalSet::new()
-            .block_on(&runtime, self.at(orchidyoke_policy_commit::coordinator::Office::new(settings)))
+            .block_on(&runtime, self.at(orchidyoke_policy_commit::Coordinator::new(settings)))
     }
 
-    async fn at(self, mut office: orchidyoke_policy_commit::coordinator::Office) -> Result<(), Box<dyn Error>> {
+    async fn at(self, mut coordinator: orchidyoke_policy_commit::Coordinator) -> Result<(), Box<dyn Error>> {
         match self {
             PolicyCommand::Propose { policy, patience, by, .. } => {
                 let text =
                     std::fs::read_to_string(&policy).map_err(|e| format!("{}: {e}", policy.display()))?;
-                let taken = office.propose(&text, &by, std::time::Duration::from_secs(patience)).await?;
-                match taken.everywhere {
+                let report =
+                    coordinator.propose(&text, &by, std::time::Duration::from_secs(patience)).await?;
+                match report.in_force_everywhere_after {
                     Some(after) => {
-                        println!("epoch {} committed, in force everywhere after {after:?}", taken.epoch)
+                        println!("epoch {} committed, in force everywhere after {after:?}", report.version)
                     }
                     None => println!(
                         "epoch {} committed; not yet told to be in force by {}",
-                        taken.epoch,
-                        taken.missing.join(", ")
+                        report.version,
+                        report.not_in_force.join(", ")
                     ),
                 }
             }
             PolicyCommand::Status { .. } => {
-                let (point, members) = office.status().await?;
-                print!("{}", installation::policy_status(&point, &members));
+                let status = coordinator.status().await?;
+                print!("{}", installation::policy_status(&status.point, &status.members));
             }
-            PolicyCommand::Abort { .. } => match office.abort().await? {
+            PolicyCommand::Abort { .. } => match coordinator.abort().await? {
                 Some(proposal) => {
-                    println!("the proposal of epoch {} by {} is withdrawn", proposal.epoch, proposal.by)
+                    println!(
+                        "the proposal of epoch {} by {} is withdrawn",
+                        proposal.version, proposal.proposed_by
+                    )
                 }
                 None => println!("no proposal was withdrawn: none is under way"),
             },
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -5,7 +5,8 @@
 use orchidyoke_consul::Consul;
 use orchidyoke_forwarder::config::{Config, ConfigError};
 use orchidyoke_forwarder::reload::Installation;
-use orchidyoke_policy_commit::commit_point::{Member, Point, Vote};
+use orchidyoke_policy_commit::commit_point::{CommitPoint, Member, Vote};
+use orchidyoke_policy_commit::policy::VersionedPolicy;
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::pin::Pin;
@@ -83,34 +84,37 @@
     }
 }
 
-/// How the fleet stands to its policy, a line each.
-pub fn policy_status(point: &Point, members: &[Member]) -> String {
+/// The committed and the proposed policy, and the version and vote of each forwarder: a line each.
+pub fn policy_status(point: &CommitPoint, members: &[Member]) -> String {
+    let describe = |policy: &VersionedPolicy| {
+        format!("epoch {}, digest {}, by {}", policy.version, policy.digest, policy.proposed_by)
+    };
     let mut lines = vec![match &point.committed {
-        Some((numbered, _)) => {
-            format!("committed: epoch {}, digest {}, by {}", numbered.epoch, numbered.digest, numbered.by)
-        }
+        Some(committed) => format!("committed: {}", describe(&committed.policy)),
         None => "committed: none".to_owned(),
     }];
-    lines.extend(point.proposal.iter().map(|(numbered, ..)| {
-        format!("proposed: epoch {}, digest {}, by {}", numbered.epoch, numbered.digest, numbered.by)
-    }));
-    for member in members {
-        lines.push(match &member.status {
-            None => format!("{}: what it says of itself cannot be read", member.id),
-            Some(status) => {
-                let vote = point.proposal.as_ref().map(|(proposal, ..)| {
-                    match status.vote.as_ref().filter(|vote| vote.proposal == proposal.id) {
-                        None => ", has not voted".to_owned(),
-                        Some(Vote { no: None, .. }) => ", votes yes".to_owned(),
-                        Some(Vote { no: Some(why), .. }) => format!(", votes no: {why}"),
-                    }
-                });
-                let refuses =
-                    status.refuses.as_ref().map(|why| format!(", cannot use what is committed: {why}"));
-                let (vote, refuses) = (vote.unwrap_or_default(), refuses.unwrap_or_default());
-                format!("{}: epoch {}{vote}{refuses}", member.id, status.epoch)
-            }
-        });
+    if let Some(proposal) = &point.proposal {
+        lines.push(format!("proposed: {}", describe(&proposal.policy)));
     }
+    lines.extend(members.iter().map(|member| member_line(point, member)));
     lines.join("\n") + "\n"
 }
+
+fn member_line(point: &CommitPoint, member: &Member) -> String {
+    let Some(status) = &member.status else {
+        return format!("{}: what it says of itself cannot be read", member.id);
+    };
+    let vote = match &point.proposal {
+        None => String::new(),
+        Some(proposal) => match member.vote_on(&proposal.policy.id) {
+            None => ", has not voted".to_owned(),
+            Some(Vote { rejection: None, .. }) => ", votes yes".to_owned(),
+            Some(Vote { rejection: Some(reason), .. }) => format!(", votes no: {reason}"),
+        },
+    };
+    let unusable = match &status.unusable_reason {
+        None => String::new(),
+        Some(reason) => format!(", cannot use what is committed: {reason}"),
+    };
+    format!("{}: epoch {}{vote}{unusable}", member.id, status.version)
+}
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,5 +1,5 @@
-//! A fleet of five real forwarders under load that agree on their policy at a Consul, each over a fault proxy of its own;
-//! whoever proposes is a process too. Every message handed in is followed to its one end.
+//! Policy changes on a fleet of five real forwarders under load, each connected to Consul over a fault proxy of its own;
+//! the coordinator is a process too. Every submitted message is followed to its one final answer.
 
 use orchidyoke_fakes::Fault;
 use orchidyoke_fakes::fleet::{Fleet, Load, TTL};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 const FLEET: usize = 5;
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_orchidyoke"))
@@ -23,9 +23,9 @@
 }
 
 fn wait(what: &str, done: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !done() {
-        assert!(Instant::now() < until, "it did not come about that {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -34,21 +34,21 @@
     fleet.ask(number, "ready").is_some_and(|reply| reply.starts_with("200"))
 }
 
-fn epoch(fleet: &Fleet, number: usize) -> Option<u64> {
+fn version(fleet: &Fleet, number: usize) -> Option<u64> {
     fleet.figure(number, "app_policy_epoch")
 }
 
-fn epochs(fleet: &Fleet) -> Vec<Option<u64>> {
-    (0..FLEET).map(|number| epoch(fleet, number)).collect()
+fn versions(fleet: &Fleet) -> Vec<Option<u64>> {
+    (0..FLEET).map(|number| version(fleet, number)).collect()
 }
 
-/// A policy that nobody's messages feel, told from others by its time.
+/// A policy without an effect on messages, told from others by its time.
 fn harmless(idle_close_us: u64) -> String {
     json!({"settings": {"limits": {"idle_close_us": idle_close_us}}}).to_string()
 }
 
 /// Starts to propose a policy.
-fn proposing(fleet: &Fleet, policy: &str, by: &str) -> Child {
+fn start_proposing(fleet: &Fleet, policy: &str, by: &str) -> Child {
     let file = fleet.write(&format!("policy-{by}.json"), policy);
     let mut command = command(fleet, "propose");
     command.arg(file).args(["--by", by, "--patience", "20"]);
@@ -62,23 +62,23 @@
     command
 }
 
-/// Its end: whether it is committed, and all that it said.
-fn told(child: Child) -> (bool, String) {
-    let output = child.wait_with_output().expect("its end");
-    let said = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&said).into_owned())
+/// Waits for the command to end: whether it succeeded, and its output.
+fn finish(child: Child) -> (bool, String) {
+    let output = child.wait_with_output().expect("it ends");
+    let text = [output.stdout, output.stderr].concat();
+    (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
 fn propose(fleet: &Fleet, policy: &str, by: &str) -> (bool, String) {
-    told(proposing(fleet, policy, by))
+    finish(start_proposing(fleet, policy, by))
 }
 
 fn status(fleet: &Fleet) -> String {
-    told(command(fleet, "status").spawn().expect("the tool runs")).1
+    finish(command(fleet, "status").spawn().expect("the tool runs")).1
 }
 
-/// Waits until something is proposed and all but one have voted yes.
-fn prepared_but_for(fleet: &Fleet, number: usize) {
+/// Waits until a policy is proposed and all but one forwarder have voted for it.
+fn await_all_votes_but(fleet: &Fleet, number: usize) {
     let voted = |status: &str| status.lines().filter(|line| line.ends_with("votes yes")).count();
     wait("all but one have voted", || {
         let status = status(fleet);
@@ -86,23 +86,23 @@
     });
 }
 
-// Guards against a change that some take and some do not, or that loses or doubles a message; and against one that is
-// told to be in force and is not: what it leaves out gets nothing more, from nobody.
+// Guards against a change in force on a part of the fleet, one that loses or duplicates a message, and one that is
+// reported in force and is not: an excluded endpoint gets no more messages.
 #[test]
-fn a_change_takes_hold_on_all_under_load() {
+fn committed_policy_is_in_force_on_all_forwarders_under_load() {
     let fleet = fleet("all");
-    let (done, said) = propose(&fleet, r#"{"out": ["p1"]}"#, "op");
-    assert!(done && said.contains("epoch 1 committed, in force everywhere after"), "{said}");
-    assert_eq!(epochs(&fleet), [Some(1); FLEET]);
-    // Calls that were out may end; those that begin after that are by the old policy.
+    let (success, output) = propose(&fleet, r#"{"out": ["p1"]}"#, "op");
+    assert!(success && output.contains("epoch 1 committed, in force everywhere after"), "{output}");
+    assert_eq!(versions(&fleet), [Some(1); FLEET]);
+    // Calls in flight may end; any that starts after that would be by the old policy.
     thread::sleep(Duration::from_millis(200));
     let before = fleet.partner.calls().len();
     thread::sleep(Duration::from_millis(500));
-    assert_eq!(fleet.partner.calls().len(), before, "the only endpoint is left out");
-    let (done, said) = propose(&fleet, "{}", "op");
-    assert!(done && said.contains("epoch 2 committed"), "{said}");
+    assert_eq!(fleet.partner.calls().len(), before, "the only endpoint is excluded");
+    let (success, output) = propose(&fleet, "{}", "op");
+    assert!(success && output.contains("epoch 2 committed"), "{output}");
     wait("calls go on", || fleet.partner.calls().len() > before + 20);
-    assert_eq!(epochs(&fleet), [Some(2); FLEET]);
+    assert_eq!(versions(&fleet), [Some(2); FLEET]);
     let status = status(&fleet);
     assert!(
         status.contains("committed: epoch 2") && status.matches(": epoch 2").count() == FLEET + 1,
@@ -111,121 +111,127 @@
     fleet.settle(false);
 }
 
-// Guards against a forwarder that was down during a change and works by the old policy after it is back.
+// Guards against a forwarder that was down during a change and is ready by the old policy after a restart.
 #[test]
-fn one_that_was_down_has_it_before_it_is_ready() {
+fn restarted_forwarder_has_the_committed_policy_before_it_is_ready() {
     let mut fleet = fleet("down");
     fleet.stop(4);
-    // It counts as one that is there until its session has ended.
-    let (done, said) = propose(&fleet, &harmless(8_000_000), "op");
-    assert!(done, "{said}");
+    // It counts as a participant until its session has expired.
+    let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
+    assert!(success, "{output}");
     fleet.start_again(4);
-    // Whenever it says that it is ready, it has it.
+    // Whenever it reports ready, the policy is in force.
     wait("it is ready", || {
         let ready = is_ready(&fleet, 4);
-        assert!(!ready || epoch(&fleet, 4) == Some(1), "ready by the old policy");
+        assert!(!ready || version(&fleet, 4) == Some(1), "ready by the old policy");
         ready
     });
-    assert_eq!(epochs(&fleet), [Some(1); FLEET]);
+    assert_eq!(versions(&fleet), [Some(1); FLEET]);
     fleet.settle(true);
 }
 
-// Guards against a forwarder that is cut off and guesses, stops serving, says nothing of it, or holds up the others; and
-// against one that goes on by the old policy once it is back.
+// Guards against a disconnected forwarder that stops serving, does not report it, or blocks the others; and against one
+// that is ready by the old policy once it is connected again.
 #[test]
-fn one_that_is_cut_off_serves_on_says_so_and_catches_up() {
+fn disconnected_forwarder_serves_on_reports_it_and_catches_up() {
     let fleet = fleet("cut");
     let cut = Instant::now();
     fleet.to_consul(2).set(Fault::Partition);
-    wait("it says that it is cut off", || {
+    wait("it reports that it is disconnected", || {
         fleet.ask(2, "ready").is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
     });
-    assert!(cut.elapsed() < TTL, "before the others may go on without it: {:?}", cut.elapsed());
+    assert!(cut.elapsed() < TTL, "before the others may commit without it: {:?}", cut.elapsed());
     assert_eq!(fleet.figure(2, "app_policy_contact"), Some(0));
-    let (done, said) = propose(&fleet, &harmless(8_000_000), "op");
-    assert!(done, "{said}");
-    assert_eq!(epochs(&fleet), [Some(1), Some(1), Some(0), Some(1), Some(1)]);
+    let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
+    assert!(success, "{output}");
+    assert_eq!(versions(&fleet), [Some(1), Some(1), Some(0), Some(1), Some(1)]);
     let served = |number| fleet.figure(number, "app_success{type=\"status\"}").expect("its figures");
     let before = served(2);
     wait("it serves on", || served(2) > before + 20);
     fleet.to_consul(2).set(Fault::Pass);
     wait("it is ready", || {
         let ready = is_ready(&fleet, 2);
-        assert!(!ready || epoch(&fleet, 2) == Some(1), "ready by the old policy");
+        assert!(!ready || version(&fleet, 2) == Some(1), "ready by the old policy");
         ready
     });
     fleet.settle(false);
 }
 
-// Guards against a change that nobody is left to commit being applied anyway, or keeping out the next one.
+// Guards against a proposal without a coordinator that is applied anyway, or blocks the next one.
 #[test]
-fn a_proposer_killed_before_its_commit_leaves_nothing() {
+fn coordinator_killed_before_its_commit_leaves_no_proposal() {
     let fleet = fleet("killed");
-    // One does not get to vote, and is not given up: what it says goes through, what it is told does not come.
-    let mut tool = proposing_held_up(&fleet, &harmless(7_000_000), "first");
+    // One forwarder cannot vote, and its session does not expire: its requests arrive, the answers do not.
+    let mut tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "first");
     tool.kill().expect("killed");
     tool.wait().expect("ended");
     fleet.to_consul(3).set(Fault::Pass);
-    // The proposal goes with its proposer's session.
+    // The proposal is deleted with its coordinator's session.
     wait("the proposal is gone", || !status(&fleet).contains("proposed:"));
-    assert_eq!(epochs(&fleet), [Some(0); FLEET]);
-    let (done, said) = propose(&fleet, &harmless(8_000_000), "second");
-    assert!(done && said.contains("epoch 1 committed"), "{said}");
-    wait("it is in force on all", || epochs(&fleet) == [Some(1); FLEET]);
+    assert_eq!(versions(&fleet), [Some(0); FLEET]);
+    let (success, output) = propose(&fleet, &harmless(8_000_000), "second");
+    assert!(success && output.contains("epoch 1 committed"), "{output}");
+    wait("it is in force on all", || versions(&fleet) == [Some(1); FLEET]);
     fleet.settle(false);
 }
 
-/// Proposes while one is cut off, so that all others vote and the proposer waits for its vote, or its end.
-fn proposing_held_up(fleet: &Fleet, policy: &str, by: &str) -> Child {
+/// Proposes while one forwarder is disconnected, so that the coordinator has all other votes and waits for that one.
+fn start_blocked_proposal(fleet: &Fleet, policy: &str, by: &str) -> Child {
     fleet.to_consul(3).set(Fault::Partition);
-    let tool = proposing(fleet, policy, by);
-    prepared_but_for(fleet, 3);
+    let tool = start_proposing(fleet, policy, by);
+    await_all_votes_but(fleet, 3);
     tool
 }
 
-// Guards against a proposal that an operator has withdrawn and that is committed all the same.
+// Guards against a withdrawn proposal that is committed.
 #[test]
-fn a_withdrawn_proposal_is_committed_nowhere() {
+fn withdrawn_proposal_is_committed_nowhere() {
     let fleet = fleet("abort");
-    let tool = proposing_held_up(&fleet, &harmless(7_000_000), "op");
-    let (done, said) = told(command(&fleet, "abort").spawn().expect("the tool runs"));
-    assert!(done && said.contains("the proposal of epoch 1 by op is withdrawn"), "{said}");
+    let tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "op");
+    let (success, output) = finish(command(&fleet, "abort").spawn().expect("the tool runs"));
+    assert!(success && output.contains("the proposal of epoch 1 by op is withdrawn"), "{output}");
     fleet.to_consul(3).set(Fault::Pass);
-    let (done, said) = told(tool);
-    assert!(!done && said.contains("withdrawn"), "{said}");
+    let (success, output) = finish(tool);
+    assert!(!success && output.contains("withdrawn"), "{output}");
     wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
-    assert_eq!(epochs(&fleet), [Some(0); FLEET]);
+    assert_eq!(versions(&fleet), [Some(0); FLEET]);
     fleet.settle(false);
 }
 
-// Guards against a policy that most can use and one cannot taking hold on most.
+// Guards against a policy in force on all forwarders but one that cannot use it.
 #[test]
-fn a_policy_that_one_rejects_is_applied_by_none() {
+fn policy_rejected_by_one_forwarder_is_applied_by_none() {
     let fleet = fleet("rejects");
     let mut own = fleet.config(1);
     own["settings"]["family_info"].as_object_mut().expect("there").remove("slots");
     fleet.folder(1).write("config.json", &own.to_string());
-    let (done, said) = propose(&fleet, &harmless(8_000_000), "op");
-    assert!(!done && said.contains("refused by f1.") && said.contains("slots"), "{said}");
-    assert_eq!(epochs(&fleet), [Some(0); FLEET]);
-    assert!((0..FLEET).all(|number| is_ready(&fleet, number)), "all serve by what they had");
+    let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
+    assert!(!success && output.contains("refused by f1.") && output.contains("slots"), "{output}");
+    assert_eq!(versions(&fleet), [Some(0); FLEET]);
+    assert!((0..FLEET).all(|number| is_ready(&fleet, number)), "all serve by the policy before");
     fleet.settle(false);
 }
 
-// Guards against two changes made at once that each take hold on a part of the fleet.
+// Guards against two concurrent changes that are each in force on a part of the fleet.
 #[test]
-fn of_two_proposers_at_once_one_wins_whole() {
+fn concurrent_proposals_are_committed_one_at_a_time_on_all_forwarders() {
     let fleet = fleet("race");
-    // Votes take a while, so that the second finds the first at it.
+    // Votes take a while, so that the second coordinator finds an open proposal.
     fleet.to_consul(0).set(Fault::Delay(Duration::from_millis(150)));
     let tools: Vec<_> =
-        (0..4).map(|n| proposing(&fleet, &harmless(7_000_000 + n), &format!("op{n}"))).collect();
-    let said: Vec<_> = tools.into_iter().map(told).collect();
-    let won = said.iter().filter(|(done, _)| *done).count();
-    assert!(won >= 1 && said.iter().any(|(_, said)| said.contains("proposes epoch")), "{said:?}");
-    // As many epochs as there were winners, and all forwarders at the last.
-    wait("all have the last", || epochs(&fleet) == [Some(won as u64); FLEET]);
+        (0..4).map(|n| start_proposing(&fleet, &harmless(7_000_000 + n), &format!("op{n}"))).collect();
+    let results: Vec<_> = tools.into_iter().map(finish).collect();
+    let committed = results.iter().filter(|(success, _)| *success).count();
+    assert!(
+        committed >= 1 && results.iter().any(|(_, output)| output.contains("proposes epoch")),
+        "{results:?}"
+    );
+    // One version for each that was committed, and all forwarders at the last.
+    wait("all have the last version", || versions(&fleet) == [Some(committed as u64); FLEET]);
     let status = status(&fleet);
-    assert!(status.contains(&format!("committed: epoch {won}")) && !status.contains("proposed:"), "{status}");
+    assert!(
+        status.contains(&format!("committed: epoch {committed}")) && !status.contains("proposed:"),
+        "{status}"
+    );
     fleet.settle(false);
 }
