--- a/crates/ownership/src/role.rs
+++ b/crates/ownership/src/member_state.rs
@@ -13,7 +13,7 @@
 //!    there, does so at the cold rate.
 
 use crate::member::Member;
-use crate::partition::{Move, Partition};
+use crate::ownership_table::{Move, Partition};
 use crate::view::{StaleView, View};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use std::collections::BTreeMap;
