--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,7 +12,7 @@
 mod script;
 mod subprocess;
 
-pub use ownership::{MemberSettings, Ownership};
+pub use ownership::{MemberSettings, OwnershipSettings};
 pub use script::{Bounds, Fault, evaluate, read};
 pub use subprocess::{load, serve};
 
@@ -27,9 +27,9 @@
     /// Policy epochs: what the fleet agrees on, laid over the platform's file.
     #[serde(default)]
     pub policy: Option<orchidyoke_policy_commit::Settings>,
-    /// Owners of destinations: the forwarders of the fleet.
+    /// The owners of destinations: the forwarders of the fleet.
     #[serde(default)]
-    pub ownership: Option<Ownership>,
+    pub ownership: Option<OwnershipSettings>,
 }
 
 impl Installation {
--- a/crates/config/src/ownership.rs
+++ b/crates/config/src/ownership.rs
@@ -1,4 +1,5 @@
-//! `ownership(...)` and `member(...)`: the forwarders of a fleet by region, of which each owns a part of the destinations.
+//! `ownership(...)` and `member(...)` of the settings script: the forwarders of a fleet by region, each of which owns a
+//! share of the destinations.
 
 use crate::forms::{Form, unknown};
 use orchidyoke_ownership::{Member, Region, View, ViewError};
@@ -7,18 +8,18 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Owners of destinations: this forwarder, its region, and the fixed list of the region's forwarders.
+/// The owners of destinations: this forwarder, its region, and the fixed list of the region's members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ownership {
+pub struct OwnershipSettings {
     /// This forwarder's name.
     pub name: String,
     /// Its region.
     pub region: String,
-    /// The zones of that.
+    /// The zones of its region.
     pub zones: BTreeSet<String>,
-    /// How many regions there are: each has an owner for each destination.
+    /// The number of regions: each has an owner for each destination.
     pub regions: usize,
-    /// The forwarders of the region.
+    /// The forwarders of its region.
     pub members: Vec<MemberSettings>,
 }
 
@@ -29,18 +30,18 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where it takes messages.
+    /// Where it accepts messages.
     pub address: SocketAddr,
-    /// Its part of the destinations is its part of the sum of weights.
+    /// Its share of the destinations is its share of the sum of weights.
     pub weight: f64,
 }
 
-impl Ownership {
+impl OwnershipSettings {
     /// The view of these members.
     ///
     /// # Errors
     ///
-    /// One of them cannot be a member.
+    /// A member is not valid in the region, or two have one name.
     pub fn view(&self) -> Result<View, ViewError> {
         let region = Region { name: self.region.clone(), zones: self.zones.clone() };
         let member = |member: &MemberSettings| Member {
@@ -54,11 +55,11 @@
     }
 }
 
-fn usual_weight() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// `member(...)`.
+/// The form of `member(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct MemberForm {
@@ -66,7 +67,7 @@
     region: Option<String>,
     zone: String,
     address: String,
-    #[serde(default = "usual_weight")]
+    #[serde(default = "default_weight")]
     weight: f64,
 }
 
@@ -80,17 +81,17 @@
 
 impl MemberForm {
     fn settings(&self) -> Result<MemberSettings, String> {
-        let MemberForm { name, zone, address, weight, .. } = self.clone();
-        let address = address.parse().map_err(|_| {
+        let address = self.address.parse().map_err(|_| {
             format!(
-                "address: {address:?} is no IP address with a port, as 10.2.0.1:8080; names are not looked up"
+                "address: {:?} is no IP address with a port, as 10.2.0.1:8080; names are not looked up",
+                self.address
             )
         })?;
-        Ok(MemberSettings { name, zone, address, weight })
+        Ok(MemberSettings { name: self.name.clone(), zone: self.zone.clone(), address, weight: self.weight })
     }
 }
 
-/// `ownership(...)`.
+/// The form of `ownership(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct OwnershipForm {
@@ -110,42 +111,54 @@
 
 impl OwnershipForm {
     /// The settings, if all can be used together.
-    pub(crate) fn settings(&self) -> Result<Ownership, String> {
-        let zones = self.zones_of(&self.region).map_err(|why| format!("region: {why}"))?;
+    pub(crate) fn settings(&self) -> Result<OwnershipSettings, String> {
+        let zones = self.zones_of(&self.region).map_err(|reason| format!("region: {reason}"))?;
         let mut members = Vec::new();
-        for (place, member) in self.members.iter().enumerate() {
-            let field = |why: String| format!("members[{place}]: {why}");
-            let settings = member.settings().map_err(field)?;
-            let region = member.region.as_ref().unwrap_or(&self.region);
-            let zones = self.zones_of(region).map_err(field)?;
-            if !zones.contains(&member.zone) {
-                let why = unknown("zone", &member.zone, zones.iter().map(String::as_str));
-                return Err(field(format!("{why}, in region {region:?}")));
-            }
-            if *region == self.region {
-                members.push(settings);
-            } else if member.name == self.name {
-                return Err(field(format!("{:?}, the own name, is of region {region:?}", self.name)));
-            }
+        for (index, member) in self.members.iter().enumerate() {
+            let settings = self.member(member).map_err(|reason| format!("members[{index}]: {reason}"))?;
+            members.extend(settings);
         }
-        let (name, region, regions) = (self.name.clone(), self.region.clone(), self.regions.len());
-        let ownership = Ownership { name, region, zones: zones.clone(), regions, members };
+        let ownership = OwnershipSettings {
+            name: self.name.clone(),
+            region: self.region.clone(),
+            zones: zones.clone(),
+            regions: self.regions.len(),
+            members,
+        };
         let view = ownership.view().map_err(|error| format!("members: {error}"))?;
         if view.member(&self.name).is_none() {
-            let why = unknown("member", &self.name, view.members().iter().map(|member| member.name.as_str()));
-            return Err(format!("name: {why}"));
+            let names = view.members().iter().map(|member| member.name.as_str());
+            return Err(format!("name: {}", unknown("member", &self.name, names)));
         }
         check_addresses(&ownership.members)?;
         Ok(ownership)
     }
 
+    /// The settings of a member; none for one of another region, which owns no destination of this one.
+    fn member(&self, member: &MemberForm) -> Result<Option<MemberSettings>, String> {
+        let settings = member.settings()?;
+        let region = member.region.as_ref().unwrap_or(&self.region);
+        let zones = self.zones_of(region)?;
+        if !zones.contains(&member.zone) {
+            let reason = unknown("zone", &member.zone, zones.iter().map(String::as_str));
+            return Err(format!("{reason}, in region {region:?}"));
+        }
+        if *region == self.region {
+            return Ok(Some(settings));
+        }
+        if member.name == self.name {
+            return Err(format!("{:?}, the own name, is of region {region:?}", self.name));
+        }
+        Ok(None)
+    }
+
     fn zones_of(&self, region: &str) -> Result<&BTreeSet<String>, String> {
         let known = || self.regions.keys().map(String::as_str);
         self.regions.get(region).ok_or_else(|| unknown("region", region, known()))
     }
 }
 
-/// Two forwarders do not answer at one address.
+/// Rejects two members with one address.
 fn check_addresses(members: &[MemberSettings]) -> Result<(), String> {
     let mut seen = BTreeMap::new();
     for member in members {
--- a/crates/config/tests/ownership.rs
+++ b/crates/config/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! `ownership(...)` in a script: good, and each way in which it cannot be used.
+//! `ownership(...)` in a script: valid, and each way in which it is not.
 
 use orchidyoke_config::{Bounds, Installation, evaluate};
 use orchidyoke_core::settings::Names;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_script_names_the_members_of_the_own_region() {
+fn script_gives_the_members_of_the_own_region() {
     let ownership = run(GOOD).expect("good").ownership.expect("asked for");
     let members: Vec<_> = ownership.members.iter().map(|m| (m.name.as_str(), m.weight)).collect();
     assert_eq!(members, [("f1", 1.0), ("f2", 2.5)]);
@@ -32,9 +32,9 @@
     assert!((1..100).any(|destination| view.owner(destination).is_some_and(|member| member.name == "f1")));
 }
 
-// Guards against settings that are taken in part, or guessed at.
+// Guards against settings that are applied in part, or guessed.
 #[test]
-fn each_fault_is_told_with_its_place() {
+fn invalid_settings_are_rejected_with_their_place() {
     for (part, instead, why) in [
         (
             "region = \"north\"",
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn zones_are_those_of_the_platform() {
+fn zones_unknown_to_the_platform_are_rejected() {
     let good = run(GOOD).expect("good");
     let names = |zones: &[&str]| Names {
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -5,7 +5,7 @@
 
 use orchidyoke_leases::placement::assign_leases;
 use orchidyoke_leases::rendezvous::score;
-use orchidyoke_ownership::{Member, Partition, Region, View};
+use orchidyoke_ownership::{Member, OwnershipTable, Region, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
 use std::time::Instant;
@@ -42,7 +42,7 @@
         address: ([127, 0, 0, 1], 1000 + *number as u16).into(),
         weight: 1.0,
     };
-    View::new(version, &region, members.iter().map(member).collect()).expect("they can be members")
+    View::new(version, &region, members.iter().map(member).collect()).expect("valid members")
 }
 
 fn by_rendezvous(members: &Members, _before: Option<&Owners>) -> Owners {
@@ -149,11 +149,11 @@
     for destinations in [667, 10_000, DESTINATIONS] {
         let (lookups, _) =
             micros(|| (0..destinations).filter(|d| black_box(whole.owner(*d)).is_some()).count());
-        let (made, mut table) = micros(|| Partition::new(whole.clone(), 0..destinations));
+        let (made, mut table) = micros(|| OwnershipTable::new(whole.clone(), 0..destinations));
         let (at_hand, _) =
             micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
-        let (left, _) = micros(|| table.replace(rest.clone()).expect("it is newer").len());
-        let (joined, _) = micros(|| table.replace(view(3, &all)).expect("it is newer").len());
+        let (left, _) = micros(|| table.replace_view(rest.clone()).expect("a newer view").len());
+        let (joined, _) = micros(|| table.replace_view(view(3, &all)).expect("a newer view").len());
         let each = |time: f64| 1e3 * time / destinations as f64;
         println!(
             "| {destinations} | {:.0} | {:.0} | {:.2} | {:.2} | {:.2} |",
@@ -170,7 +170,7 @@
 fn control() {
     let all: Members = (0..MEMBERS).collect();
     let row = |member: &Member| {
-        let value = "=".repeat(member.entry().len().div_ceil(3) * 4);
+        let value = "=".repeat(member.to_entry().len().div_ceil(3) * 4);
         let key = format!("orchidyoke/ownership/{}/members/{}", member.region, member.name);
         let session = "adf4238a-882b-9ddc-4a9d-5b6758e4159e";
         format!(
--- a/crates/ownership/src/member.rs
+++ b/crates/ownership/src/member.rs
@@ -1,4 +1,4 @@
-//! One forwarder as the registry of its region has it: an entry below its name, written by the forwarder itself.
+//! One forwarder as its region's registry has it: an entry below its name, written by the forwarder itself.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The region that a forwarder stands in, as its settings tell it.
+/// A region, as a forwarder's settings have it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Region {
     /// Its name.
@@ -20,19 +20,19 @@
 /// One forwarder of a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, the only one in its region, and the same over its restarts.
+    /// Its name, unique in its region, and the same over restarts.
     pub name: String,
-    /// The region that it says it stands in.
+    /// The region that it reports.
     pub region: String,
-    /// The zone that it says it stands in.
+    /// The zone that it reports.
     pub zone: String,
-    /// Where it takes on messages, those of other forwarders too.
+    /// Where it accepts messages of clients and of other forwarders.
     pub address: SocketAddr,
-    /// Its part of the destinations is its part of the sum of weights.
+    /// Its share of the destinations is its share of the sum of weights. Finite and above 0.
     pub weight: f64,
 }
 
-// The weight of a member that was checked is a number.
+// The weight of a valid member is a number.
 impl Eq for Member {}
 
 impl Hash for Member {
@@ -41,13 +41,13 @@
     }
 }
 
-/// Why a member's entry is of no use.
+/// Why an entry is not one of a member.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EntryError {
-    /// It is not of the form.
+    /// It is not in form.
     #[error("the entry of {name} cannot be read: {reason}")]
     Unreadable {
-        /// The name that the entry stands under.
+        /// The name that it is stored under.
         name: String,
         /// What is wrong with it.
         reason: String,
@@ -58,7 +58,7 @@
         /// Its address.
         address: SocketAddr,
     },
-    /// Its weight cannot be one.
+    /// Its weight is not valid.
     #[error("the weight of {name} is {weight}: it has to be a finite number above 0")]
     Weight {
         /// Its name.
@@ -66,7 +66,7 @@
         /// The weight given.
         weight: f64,
     },
-    /// It says that it stands in another region.
+    /// It reports another region.
     #[error("{name} is of region {region}, here is {here}")]
     Region {
         /// Its name.
@@ -76,7 +76,7 @@
         /// The region of this registry.
         here: String,
     },
-    /// It stands in a zone that its region does not have.
+    /// It reports a zone that its region does not have.
     #[error("{name} is of zone {zone}, which region {region} does not have")]
     Zone {
         /// Its name.
@@ -88,7 +88,7 @@
     },
 }
 
-/// A member's entry as it is written; the name is its key's.
+/// A member's entry as it is stored; its key has the name.
 #[derive(Deserialize, Serialize)]
 struct Entry {
     region: String,
@@ -98,15 +98,19 @@
     weight: f64,
 }
 
-/// Reads a number to the last bit, as a read of floating-point numbers in JSON does not by itself.
+/// Reads a number to the last bit: serde_json's own reading of floating-point numbers may round differently.
 fn exact_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let text: Box<RawValue> = Deserialize::deserialize(deserializer)?;
     text.get().parse().map_err(D::Error::custom)
 }
 
 impl Member {
-    /// Reads the entry below a name, and checks it.
-    pub fn read(name: &str, entry: &str, region: &Region) -> Result<Member, EntryError> {
+    /// Parses the entry that is stored under a name.
+    ///
+    /// # Errors
+    ///
+    /// The entry is not in form, or not valid in the region.
+    pub fn parse_entry(name: &str, entry: &str, region: &Region) -> Result<Member, EntryError> {
         let unreadable = |error: serde_json::Error| EntryError::Unreadable {
             name: name.to_owned(),
             reason: error.to_string(),
@@ -119,12 +123,12 @@
             address: entry.address,
             weight: entry.weight,
         };
-        member.check(region)?;
+        member.validate(region)?;
         Ok(member)
     }
 
-    /// The entry that [`Member::read`] reads.
-    pub fn entry(&self) -> String {
+    /// The entry that [`Member::parse_entry`] parses.
+    pub fn to_entry(&self) -> String {
         let entry = Entry {
             region: self.region.clone(),
             zone: self.zone.clone(),
@@ -134,8 +138,12 @@
         serde_json::to_string(&entry).expect("plain fields can be written as JSON")
     }
 
-    /// Whether it may be a member of this region.
-    pub fn check(&self, region: &Region) -> Result<(), EntryError> {
+    /// Whether it is valid in this region.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not.
+    pub fn validate(&self, region: &Region) -> Result<(), EntryError> {
         let name = self.name.clone();
         if name.is_empty() {
             return Err(EntryError::NoName { address: self.address });
--- a/crates/ownership/src/member_state.rs
+++ b/crates/ownership/src/member_state.rs
@@ -1,277 +1,202 @@
-//! What a forwarder does with a destination's messages: deliver them, at which rate, or hand them over.
+//! Decides for one forwarder what it does with a message: deliver it, at which rate, or hand it over.
 //!
-//! A state machine without I/O or clock. Moments are microseconds on a clock that never goes back; only differences
-//! between them count. Three rules keep two owners from sending at the whole rate at once:
+//! A state machine without I/O or clock. Times are microseconds on a monotonic clock; only differences between them count.
+//! Three rules keep two owners from sending at the full rate at once:
 //!
-//! 1. An owner is confirmed for as long as its registration's session lasts by its own clock, counted from when the last
-//!    renewal that took effect was *sent*, and its view counts, counted from when the last look was *sent*, both shortened
-//!    by the drift that clocks may have. Who is not confirmed goes on at the cold rate.
-//! 2. A new owner sends at the cold rate until [`Terms::cold_time`] is over, which is no shorter than a view counts: by then
-//!    the old one has seen the change, or is not confirmed any more. Who is registered under a new session is a new owner
-//!    of all that it owns.
-//! 3. Who delivers a message without owning its destination, because the message was handed over to it or nobody else is
-//!    there, does so at the cold rate.
-
+//! 1. An owner is confirmed while its session lasts, counted from when the last renewal that took effect was *sent*, and
+//!    its view counts, counted from when the last read was *sent*, both on its own clock and shortened by the clock
+//!    drift. An owner that is not confirmed, because it was suspended or is disconnected from the registry, delivers at
+//!    the slow-start rate.
+//! 2. A new owner keeps to the slow-start rate for the warm-up time, which is no shorter than a view counts: by then the
+//!    old owner has seen the change, or is not confirmed any more. After a new session a forwarder is a new owner of all
+//!    that it owns.
+//! 3. A forwarder that delivers a message without owning its destination, because the message was handed over to it or
+//!    the region has no other member, keeps to the slow-start rate.
+
+use crate::config::OwnershipConfig;
+use crate::delivery::{DeliveryDecision, Rate, SlowStartReason};
 use crate::member::Member;
-use crate::ownership_table::{Move, Partition};
+use crate::ownership_table::{OwnershipChange, OwnershipTable};
 use crate::view::{StaleView, View};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use std::collections::BTreeMap;
-use thiserror::Error;
-
-/// What the rules go by.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    /// The TTL of a registration's session.
-    pub ttl: Micros,
-    /// How long a look at the members counts.
-    pub view_time: Micros,
-    /// How long a new owner keeps to the cold rate.
-    pub cold_time: Micros,
-    /// How much faster or slower than another any clock may run, as a part.
-    pub drift: f64,
-}
-
-/// Why no forwarder can go by these terms.
-#[derive(Clone, Debug, Error, PartialEq)]
-pub enum TermsError {
-    /// A time is none.
-    #[error("the {what} has to be longer than 0")]
-    NoTime {
-        /// Which.
-        what: &'static str,
-    },
-    /// The drift is no part.
-    #[error("a drift of {drift} is no part of at least 0 and less than 1")]
-    Drift {
-        /// The drift given.
-        drift: f64,
-    },
-    /// A new owner would send at the whole rate while the old one may do so by its view.
-    #[error("the cold time ({cold_time} us) is shorter than the time that a view counts ({view_time} us)")]
-    ColdTime {
-        /// The cold time given.
-        cold_time: Micros,
-        /// The time that a view counts.
-        view_time: Micros,
-    },
-}
-
-impl Terms {
-    /// Whether the rules hold what they promise on these terms.
-    pub fn check(&self) -> Result<(), TermsError> {
-        let times = [("ttl", self.ttl), ("view time", self.view_time), ("cold time", self.cold_time)];
-        if let Some((what, _)) = times.into_iter().find(|(_, time)| *time <= 0) {
-            return Err(TermsError::NoTime { what });
-        }
-        if !(0.0..1.0).contains(&self.drift) {
-            return Err(TermsError::Drift { drift: self.drift });
-        }
-        if self.cold_time < self.view_time {
-            return Err(TermsError::ColdTime { cold_time: self.cold_time, view_time: self.view_time });
-        }
-        Ok(())
-    }
-
-    /// So much of a time that others count is over on a clock that may run slow.
-    fn shortened(&self, time: Micros) -> Micros {
-        (time as f64 / (1.0 + self.drift)) as Micros
-    }
-
-    /// So much has to pass on a clock that may run fast, until a time is over for all others.
-    fn lengthened(&self, time: Micros) -> Micros {
-        (time as f64 * (1.0 + self.drift)).ceil() as Micros
-    }
-}
 
-/// How fast a forwarder may send to a destination.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rate {
-    /// As its owner: the region's whole part of the limit.
-    Full,
-    /// Half of a cold destination's budget, so that an old owner and a new one keep to it together.
-    Cold(ColdReason),
-}
-
-/// Why a forwarder keeps to the cold rate.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ColdReason {
-    /// It owns the destination for less than the cold time.
-    NewOwner,
-    /// It cannot know that it still owns the destination.
-    Unconfirmed,
-    /// Another owns the destination, or nobody.
-    NotOwner,
-    /// It stops.
-    Leaving,
-}
-
-/// What a forwarder does with a message.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Role<'a> {
-    /// Delivers it.
-    Deliver(Rate),
-    /// Hands it over to this member.
-    HandOver(&'a Member),
-}
-
-/// The roles of one forwarder.
+/// The ownership state of one forwarder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Roles {
+pub struct MemberState {
     /// Its name among the members.
     name: String,
-    partition: Partition,
-    /// Since when it knows of its present registration.
-    registered: Option<Micros>,
-    /// When the last renewal of it that took effect was sent.
-    renewed: Option<Micros>,
-    /// When the look that gave the view was sent.
-    looked: Option<Micros>,
-    /// Since when it owns what it has not owned for the cold time yet.
-    gained: BTreeMap<DestinationId, Micros>,
-    leaving: bool,
+    owners: OwnershipTable,
+    /// Since when it knows of its present session.
+    registered_at: Option<Micros>,
+    /// When the last renewal of the session that took effect was sent.
+    renewed_at: Option<Micros>,
+    /// When the read that gave the view was sent.
+    view_read_at: Option<Micros>,
+    /// Since when it owns the destinations that it has not owned for the warm-up time yet.
+    warming_up_since: BTreeMap<DestinationId, Micros>,
+    draining: bool,
 }
 
-impl Roles {
-    /// The forwarder of this name, which has seen nothing yet.
-    pub fn new(name: impl Into<String>) -> Roles {
-        Roles {
+impl MemberState {
+    /// The forwarder of this name, before its first view.
+    pub fn new(name: impl Into<String>) -> MemberState {
+        MemberState {
             name: name.into(),
-            partition: Partition::default(),
-            registered: None,
-            renewed: None,
-            looked: None,
-            gained: BTreeMap::new(),
-            leaving: false,
+            owners: OwnershipTable::default(),
+            registered_at: None,
+            renewed_at: None,
+            view_read_at: None,
+            warming_up_since: BTreeMap::new(),
+            draining: false,
         }
     }
 
-    /// Its view and the owners by it.
-    pub fn partition(&self) -> &Partition {
-        &self.partition
+    /// The owners of the destinations by its view.
+    pub fn owners(&self) -> &OwnershipTable {
+        &self.owners
     }
 
-    /// It was registered under a session made for that, which was asked for then. It begins anew with all that it owns:
-    /// between two sessions another may have owned it, though no view that was seen here shows that.
-    pub fn registered(&mut self, now: Micros, sent: Micros) {
-        self.registered = Some(now);
-        self.renewed = Some(sent);
+    /// It was registered under a new session; the request was sent then. It is a new owner of all that it owns: between
+    /// two sessions another member may have owned it, though no view that was read here shows that.
+    pub fn on_registered(&mut self, now: Micros, sent_at: Micros) {
+        self.registered_at = Some(now);
+        self.renewed_at = Some(sent_at);
     }
 
-    /// The session of its registration was renewed; that was asked for then.
-    pub fn renewed(&mut self, sent: Micros) {
-        if self.registered.is_some() {
-            self.renewed = self.renewed.max(Some(sent));
+    /// Its session was renewed; the request was sent then.
+    pub fn on_renewed(&mut self, sent_at: Micros) {
+        if self.registered_at.is_some() {
+            self.renewed_at = self.renewed_at.max(Some(sent_at));
         }
     }
 
-    /// The registry knows its session no more.
-    pub fn session_lost(&mut self) {
-        self.registered = None;
-        self.renewed = None;
+    /// The registry does not have its session any more.
+    pub fn on_session_lost(&mut self) {
+        self.registered_at = None;
+        self.renewed_at = None;
     }
 
-    /// It stops in good order: nothing more is taken on, and what it has is handed over.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Starts its graceful shutdown: it accepts no hand-over, and hands over what it has.
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
-    /// There are these destinations. Those that are new are its own from now on, as far as it owns them.
-    pub fn list(&mut self, now: Micros, destinations: impl IntoIterator<Item = DestinationId>) {
-        let gained = self.partition.list(destinations);
-        let partition = &self.partition;
-        self.gained.retain(|destination, _| partition.is_listed(*destination));
-        self.gain(now, gained);
+    /// Replaces the list of destinations. It is a new owner of those that are new and its own.
+    pub fn set_destinations(&mut self, now: Micros, destinations: impl IntoIterator<Item = DestinationId>) {
+        let added = self.owners.set_destinations(destinations);
+        let owners = &self.owners;
+        self.warming_up_since.retain(|destination, _| owners.is_listed(*destination));
+        self.start_warm_up(now, added);
     }
 
-    /// A look has given this view; it was sent then. Says which destinations have another owner by it.
+    /// A read that was sent then has given this view; returns the destinations whose owner has changed by it.
+    ///
+    /// While the view held counts, an older one is rejected. Afterwards any is taken: a registry that was set up anew
+    /// counts its versions from the start, and by then no forwarder relies on the earlier ones.
+    ///
+    /// # Errors
     ///
-    /// An older view than the one held is refused for as long as that counts. Afterwards any is taken: a registry that
-    /// was set up anew counts its versions from the beginning, and by then nobody goes by what it said before.
-    pub fn looked(
+    /// The view is older than the one held, which still counts.
+    pub fn on_view(
         &mut self,
-        terms: &Terms,
+        config: &OwnershipConfig,
         now: Micros,
-        sent: Micros,
+        sent_at: Micros,
         view: View,
-    ) -> Result<Vec<Move>, StaleView> {
-        let moves = match self.partition.replace(view.clone()) {
-            Ok(moves) => moves,
-            Err(stale) if self.view_counts(terms, now) => return Err(stale),
-            Err(_) => self.partition.reset(view),
+    ) -> Result<Vec<OwnershipChange>, StaleView> {
+        let changes = match self.owners.replace_view(view.clone()) {
+            Ok(changes) => changes,
+            Err(stale) if self.view_counts(config, now) => return Err(stale),
+            Err(_) => self.owners.reset_view(view),
         };
-        self.looked = Some(self.looked.map_or(sent, |looked| looked.max(sent)));
-        self.gained.retain(|_, since| now < *since + terms.lengthened(terms.cold_time));
-        let own = |moved: &&Move| moved.to.as_deref() == Some(&self.name);
-        let gained: Vec<DestinationId> = moves.iter().filter(own).map(|moved| moved.destination).collect();
-        for lost in moves.iter().filter(|moved| moved.to.as_deref() != Some(&self.name)) {
-            self.gained.remove(&lost.destination);
+        self.view_read_at = self.view_read_at.max(Some(sent_at));
+        self.warming_up_since.retain(|_, since| now < *since + config.local_warm_up_time());
+        let mut gained = Vec::new();
+        for change in &changes {
+            if change.to.as_deref() == Some(&self.name) {
+                gained.push(change.destination);
+            } else {
+                self.warming_up_since.remove(&change.destination);
+            }
         }
-        self.gain(now, gained);
-        Ok(moves)
+        self.start_warm_up(now, gained);
+        Ok(changes)
     }
 
-    /// What it does with a message for a destination. One that was handed over to it, and so is marked, it delivers
-    /// whoever owns the destination by its view: that bounds a message's way to one hand-over.
-    pub fn role(&self, terms: &Terms, now: Micros, destination: DestinationId, marked: bool) -> Role<'_> {
-        let owner = self.partition.owner(destination);
-        match owner {
-            Some(owner) if owner.name == self.name => self.role_of_owner(terms, now, destination, marked),
-            Some(owner) if !marked => Role::HandOver(owner),
-            _ => Role::Deliver(Rate::Cold(ColdReason::NotOwner)),
+    /// What it does with a message for a destination. A message that was handed over to it, it delivers whoever owns the
+    /// destination by its view: so a message is handed over once at most.
+    pub fn decide(
+        &self,
+        config: &OwnershipConfig,
+        now: Micros,
+        destination: DestinationId,
+        was_handed_over: bool,
+    ) -> DeliveryDecision<'_> {
+        match self.owners.owner(destination) {
+            Some(owner) if owner.name == self.name => {
+                self.decide_as_owner(config, now, destination, was_handed_over)
+            }
+            Some(owner) if !was_handed_over => DeliveryDecision::HandOver(owner),
+            _ => slow_start(SlowStartReason::NotOwner),
         }
     }
 
-    /// Whether it takes on messages that are handed over to it.
-    pub fn takes_over(&self) -> bool {
-        !self.leaving
+    /// Whether it accepts messages that other members hand over.
+    pub fn accepts_handover(&self) -> bool {
+        !self.draining
     }
 
     /// Whether it can know that it still owns what it owns by its view.
-    pub fn is_confirmed(&self, terms: &Terms, now: Micros) -> bool {
-        let session = self.renewed.is_some_and(|sent| now < sent + terms.shortened(terms.ttl));
-        session && self.view_counts(terms, now)
+    pub fn is_confirmed(&self, config: &OwnershipConfig, now: Micros) -> bool {
+        let has_session = self.renewed_at.is_some_and(|sent_at| now < sent_at + config.local_session_ttl());
+        has_session && self.view_counts(config, now)
     }
 
-    fn view_counts(&self, terms: &Terms, now: Micros) -> bool {
-        self.looked.is_some_and(|sent| now < sent + terms.shortened(terms.view_time))
+    fn view_counts(&self, config: &OwnershipConfig, now: Micros) -> bool {
+        self.view_read_at.is_some_and(|sent_at| now < sent_at + config.local_view_lifetime())
     }
 
-    fn role_of_owner(
+    fn decide_as_owner(
         &self,
-        terms: &Terms,
+        config: &OwnershipConfig,
         now: Micros,
         destination: DestinationId,
-        marked: bool,
-    ) -> Role<'_> {
-        if self.leaving {
+        was_handed_over: bool,
+    ) -> DeliveryDecision<'_> {
+        if self.draining {
             return match self.successor(destination) {
-                Some(successor) if !marked => Role::HandOver(successor),
-                _ => Role::Deliver(Rate::Cold(ColdReason::Leaving)),
+                Some(successor) if !was_handed_over => DeliveryDecision::HandOver(successor),
+                _ => slow_start(SlowStartReason::Draining),
             };
         }
-        if !self.is_confirmed(terms, now) {
-            return Role::Deliver(Rate::Cold(ColdReason::Unconfirmed));
+        if !self.is_confirmed(config, now) {
+            return slow_start(SlowStartReason::Unconfirmed);
         }
-        let since = self.gained.get(&destination).copied().max(self.registered);
-        if since.is_some_and(|since| now < since + terms.lengthened(terms.cold_time)) {
-            return Role::Deliver(Rate::Cold(ColdReason::NewOwner));
+        let owned_since = self.warming_up_since.get(&destination).copied().max(self.registered_at);
+        if owned_since.is_some_and(|since| now < since + config.local_warm_up_time()) {
+            return slow_start(SlowStartReason::NewOwner);
         }
-        Role::Deliver(Rate::Full)
+        DeliveryDecision::Deliver(Rate::Full)
     }
 
-    /// Who owns a destination once this forwarder has gone.
+    /// The owner of a destination once this forwarder has left.
     fn successor(&self, destination: DestinationId) -> Option<&Member> {
-        let ranked = self.partition.view().ranking(destination);
+        let ranked = self.owners.view().ranking(destination);
         ranked.into_iter().find(|member| member.name != self.name)
     }
 
-    fn gain(&mut self, now: Micros, destinations: Vec<DestinationId>) {
-        let view = self.partition.view();
-        let own = |destination: &DestinationId| {
-            view.owner(*destination).is_some_and(|owner| owner.name == self.name)
-        };
-        let gained = destinations.into_iter().filter(own).map(|destination| (destination, now));
-        self.gained.extend(gained);
+    /// Starts the warm-up of those of the destinations that it owns.
+    fn start_warm_up(&mut self, now: Micros, destinations: Vec<DestinationId>) {
+        for destination in destinations {
+            let owner = self.owners.view().owner(destination);
+            if owner.is_some_and(|owner| owner.name == self.name) {
+                self.warming_up_since.insert(destination, now);
+            }
+        }
     }
 }
+
+fn slow_start(reason: SlowStartReason) -> DeliveryDecision<'static> {
+    DeliveryDecision::Deliver(Rate::SlowStart(reason))
+}
--- a/crates/ownership/src/ownership_table.rs
+++ b/crates/ownership/src/ownership_table.rs
@@ -1,27 +1,27 @@
-//! The owners of a list of destinations, kept from one view to the next.
+//! The owners of a list of destinations, updated from one view to the next.
 //!
-//! A lookup in a [`View`] costs one hash for each member. This table has the answer at hand, and takes a new view at the
-//! price of what has changed: a member that has left costs its own destinations a lookup each, and one that has joined,
-//! one hash for each destination.
+//! A lookup in a [`View`] costs one hash for each member. This table keeps the results. A new view costs it only what has
+//! changed: a member that has left, a lookup for each of its destinations; one that has joined, a hash for each
+//! destination.
 
 use crate::member::Member;
-use crate::view::{StaleView, View, score};
+use crate::view::{Ranked, StaleView, View, score};
 use orchidyoke_core::interface::DestinationId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// An owner, by its place among the view's members, with the score that it has won by.
+/// An owner, by its index among the view's members, with its score for the destination.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
-    place: usize,
+    index: usize,
     score: f64,
 }
 
-// In one view the score follows from the place and the destination.
+// In one view the score follows from the index and the destination.
 impl PartialEq for Owner {
     fn eq(&self, other: &Owner) -> bool {
-        self.place == other.place
+        self.index == other.index
     }
 }
 
@@ -29,34 +29,34 @@
 
 impl Hash for Owner {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.place.hash(state);
+        self.index.hash(state);
     }
 }
 
 /// The owners of a list of destinations in one view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Partition {
+pub struct OwnershipTable {
     view: Arc<View>,
     owners: BTreeMap<DestinationId, Option<Owner>>,
 }
 
-/// A destination whose owner is another than before.
+/// A destination whose owner has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
+pub struct OwnershipChange {
     /// The destination.
     pub destination: DestinationId,
-    /// Who had it, by name.
+    /// The name of the owner before.
     pub from: Option<String>,
-    /// Who has it now.
+    /// The name of the owner now.
     pub to: Option<String>,
 }
 
-impl Partition {
+impl OwnershipTable {
     /// The owners of these destinations in a view.
-    pub fn new(view: View, destinations: impl IntoIterator<Item = DestinationId>) -> Partition {
-        let mut partition = Partition { view: Arc::new(view), owners: BTreeMap::new() };
-        partition.list(destinations);
-        partition
+    pub fn new(view: View, destinations: impl IntoIterator<Item = DestinationId>) -> OwnershipTable {
+        let mut table = OwnershipTable { view: Arc::new(view), owners: BTreeMap::new() };
+        table.set_destinations(destinations);
+        table
     }
 
     /// The view that the owners are of.
@@ -64,20 +64,20 @@
         &self.view
     }
 
-    /// Who delivers a destination's messages, be it listed or not.
+    /// The owner of a destination, listed or not.
     pub fn owner(&self, destination: DestinationId) -> Option<&Member> {
         match self.owners.get(&destination) {
-            Some(owner) => owner.map(|owner| &self.view.members()[owner.place]),
+            Some(owner) => owner.map(|owner| &self.view.members()[owner.index]),
             None => self.view.owner(destination),
         }
     }
 
-    /// The listed destinations that a member has.
+    /// The listed destinations that a member owns.
     pub fn owned_by(&self, name: &str) -> impl Iterator<Item = DestinationId> {
-        let of = move |owner: &Owner| self.view.members()[owner.place].name == name;
+        let is_owner = move |owner: &Owner| self.view.members()[owner.index].name == name;
         self.owners
             .iter()
-            .filter(move |(_, owner)| owner.as_ref().is_some_and(of))
+            .filter(move |(_, owner)| owner.as_ref().is_some_and(is_owner))
             .map(|(destination, _)| *destination)
     }
 
@@ -86,78 +86,93 @@
         self.owners.contains_key(&destination)
     }
 
-    /// Takes another list of destinations, and says which of them are new.
-    pub fn list(&mut self, destinations: impl IntoIterator<Item = DestinationId>) -> Vec<DestinationId> {
+    /// Replaces the list of destinations, and returns those that are new.
+    pub fn set_destinations(
+        &mut self,
+        destinations: impl IntoIterator<Item = DestinationId>,
+    ) -> Vec<DestinationId> {
         let listed: BTreeSet<DestinationId> = destinations.into_iter().collect();
         self.owners.retain(|destination, _| listed.contains(destination));
-        let new: Vec<DestinationId> = listed.into_iter().filter(|listed| !self.is_listed(*listed)).collect();
-        let owners = new.iter().map(|destination| (*destination, best(&self.view, *destination)));
-        self.owners.extend(owners);
-        new
+        let added: Vec<DestinationId> =
+            listed.into_iter().filter(|listed| !self.is_listed(*listed)).collect();
+        for destination in &added {
+            self.owners.insert(*destination, find_owner(&self.view, *destination));
+        }
+        added
     }
 
-    /// Takes a newer view and says which destinations have another owner by it; an older one is refused.
-    pub fn replace(&mut self, view: View) -> Result<Vec<Move>, StaleView> {
+    /// Replaces the view, unless it is older, and returns the destinations whose owner has changed.
+    ///
+    /// # Errors
+    ///
+    /// The view is older than the one held, which stays.
+    pub fn replace_view(&mut self, view: View) -> Result<Vec<OwnershipChange>, StaleView> {
         if view.version() < self.view.version() {
             return Err(StaleView { offered: view.version(), held: self.view.version() });
         }
-        Ok(self.reset(view))
+        Ok(self.reset_view(view))
     }
 
-    /// Takes a view whatever its version, and says which destinations have another owner by it.
-    pub fn reset(&mut self, view: View) -> Vec<Move> {
+    /// Replaces the view whatever its version, and returns the destinations whose owner has changed.
+    pub fn reset_view(&mut self, view: View) -> Vec<OwnershipChange> {
         let before = std::mem::replace(&mut self.view, Arc::new(view));
-        let change = Change::new(&before, &self.view);
-        let mut moves = Vec::new();
+        let difference = ViewDifference::new(&before, &self.view);
+        let mut changes = Vec::new();
         for (destination, owner) in &mut self.owners {
-            let old = owner.map(|owner| &before.members()[owner.place].name);
-            *owner = change.owner(&self.view, *destination, *owner);
-            let new = owner.map(|owner| &self.view.members()[owner.place].name);
-            if old != new {
-                let (from, to) = (old.cloned(), new.cloned());
-                moves.push(Move { destination: *destination, from, to });
+            let from = owner.map(|owner| &before.members()[owner.index].name);
+            *owner = difference.new_owner(&self.view, *destination, *owner);
+            let to = owner.map(|owner| &self.view.members()[owner.index].name);
+            if from != to {
+                changes.push(OwnershipChange {
+                    destination: *destination,
+                    from: from.cloned(),
+                    to: to.cloned(),
+                });
             }
         }
-        moves
+        changes
     }
 }
 
-/// What has changed from one view to the next.
-struct Change {
-    /// Where each member of the old view stands in the new one, if it is there with the same weight.
-    kept: Vec<Option<usize>>,
-    /// The places of those in the new view that the old one did not have, or with another weight.
+/// The difference between a view and the next. A member with another weight has left and joined.
+struct ViewDifference {
+    /// The index in the new view of each member of the old one, if it has stayed.
+    stayed: Vec<Option<usize>>,
+    /// The indices in the new view of members that have joined.
     joined: Vec<usize>,
 }
 
-impl Change {
-    fn new(before: &View, after: &View) -> Change {
-        let same = |member: &Member, name: &str, weight: f64| member.name == name && member.weight == weight;
-        let place_in = |view: &View, member: &Member| {
-            view.members().iter().position(|other| same(other, &member.name, member.weight))
-        };
-        let kept = before.members().iter().map(|member| place_in(after, member)).collect();
-        let is_new = |(_, member): &(usize, &Member)| place_in(before, member).is_none();
-        let joined = after.members().iter().enumerate().filter(is_new).map(|(place, _)| place).collect();
-        Change { kept, joined }
+impl ViewDifference {
+    fn new(before: &View, after: &View) -> ViewDifference {
+        let is_same = |one: &Member, other: &Member| one.name == other.name && one.weight == other.weight;
+        let index_in =
+            |view: &View, member: &Member| view.members().iter().position(|other| is_same(other, member));
+        let stayed = before.members().iter().map(|member| index_in(after, member)).collect();
+        let mut joined = Vec::new();
+        for (index, member) in after.members().iter().enumerate() {
+            if index_in(before, member).is_none() {
+                joined.push(index);
+            }
+        }
+        ViewDifference { stayed, joined }
     }
 
     /// The owner in the new view, given the one in the old.
-    fn owner(&self, view: &View, destination: DestinationId, old: Option<Owner>) -> Option<Owner> {
-        let kept = old.and_then(|owner| Some(Owner { place: self.kept[owner.place]?, ..owner }));
-        let Some(mut owner) = kept else { return best(view, destination) };
-        for place in &self.joined {
-            let score = score(destination, &view.members()[*place]);
-            // Of equal scores the first name's counts, as in a lookup.
-            let is_better = score > owner.score || score == owner.score && *place < owner.place;
+    fn new_owner(&self, view: &View, destination: DestinationId, old: Option<Owner>) -> Option<Owner> {
+        let stayed = old.and_then(|owner| Some(Owner { index: self.stayed[owner.index]?, ..owner }));
+        let Some(mut owner) = stayed else { return find_owner(view, destination) };
+        for index in &self.joined {
+            let score = score(destination, &view.members()[*index]);
+            // Of equal scores that of the first name wins, as in a lookup.
+            let is_better = score > owner.score || score == owner.score && *index < owner.index;
             if is_better {
-                owner = Owner { place: *place, score };
+                owner = Owner { index: *index, score };
             }
         }
         Some(owner)
     }
 }
 
-fn best(view: &View, destination: DestinationId) -> Option<Owner> {
-    view.best(destination).map(|(place, score)| Owner { place, score })
+fn find_owner(view: &View, destination: DestinationId) -> Option<Owner> {
+    view.first_ranked(destination).map(|Ranked { index, score }| Owner { index, score })
 }
--- a/crates/ownership/tests/common/mod.rs
+++ b/crates/ownership/tests/common/mod.rs
@@ -21,12 +21,12 @@
     }
 }
 
-/// So many members of weight 1.
+/// This many members of weight 1.
 pub fn members(count: usize) -> Vec<Member> {
     (0..count).map(|number| member(number, 1.0)).collect()
 }
 
-/// A view of these.
+/// A view of these members.
 pub fn view(version: u64, members: Vec<Member>) -> View {
-    View::new(version, &region(), members).expect("they can be members")
+    View::new(version, &region(), members).expect("valid members")
 }
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -1,84 +1,85 @@
-//! Model checking of the way of one message between forwarders (`docs/ownership.md`, "The way of a message"): the one
-//! that took it from a client, its owner, and a third; every order of answers, losses, deaths, restarts and views heard
-//! late, within the bounds given. A forwarder that is frozen or cut off is one that takes no step for a while.
+//! Model checking of the handover of one message between forwarders (`docs/ownership.md`): the holder, which accepted it
+//! from a client, its owner, and a third; every order of answers, losses, crashes, restarts and views received late, within
+//! the bounds given. A forwarder that is suspended or disconnected is one that takes no step for a while.
 //!
-//! The members, the views and who owns the destination by them are the package's own.
+//! The members, the views and the owners by them are the package's own.
 
 mod common;
 
 use common::{member, view};
-use orchidyoke_ownership::{Partition, View};
+use orchidyoke_ownership::{OwnershipTable, View};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const FORWARDERS: usize = 3;
-/// The forwarder that took the message from a client.
-const TAKER: usize = 0;
+/// The forwarder that accepted the message from a client.
+const HOLDER: usize = 0;
 
-const ONE_END: &str = "one holder or one end, until the taker stops asking who may have it";
-const NO_REPEAT: &str = "what must not be repeated runs once";
-const TRUE_ENDS: &str = "each end that is said is true";
-const ONE_HAND_OVER: &str = "only the taker hands it over";
-const NEVER_BACK: &str = "nobody goes back to an older view";
+const ONE_ANSWER: &str =
+    "one forwarder has it or one final answer, until the holder stops asking who may have it";
+const NO_REPEAT: &str = "a non-idempotent message is delivered at most once";
+const TRUE_ANSWERS: &str = "each final answer is true";
+const ONE_HANDOVER: &str = "only the holder hands it over";
+const NEVER_BACK: &str = "no forwarder goes back to an older view";
 
-/// What is taken away, so that the check must find what it was there for.
+/// The part of the protocol that is left out, so that the check must find the property that it guards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// The taker's record ends with the offer, not with its 202.
+    /// The holder's record ends with the offer, not with its 202.
     EndsBeforeAnswer,
-    /// An offer without an answer counts as refused.
-    LostIsRefused,
-    /// A refusal counts for the offers before it, too.
-    RefusalSettlesDoubt,
-    /// A forwarder that takes a marked message over hands it on to whom it thinks the owner.
+    /// An offer without an answer counts as rejected.
+    LostIsRejected,
+    /// A rejection also counts for the offers before it.
+    RejectionSettlesDoubt,
+    /// A forwarder hands a marked message on to the owner by its own view.
     MarkIgnored,
-    /// Who may have it is gone: it goes to the next owner, whatever its class.
-    ClassIgnored,
-    /// Ids of messages that have ended are forgotten while they may still be asked for.
+    /// When the forwarder that may have it has left, the message goes to the next owner whatever its idempotency.
+    IdempotencyIgnored,
+    /// Ids of finished messages are forgotten while they may still be offered again.
     ForgetsEarly,
-    /// An offer is taken on however late it is read.
+    /// An offer is accepted however late it is read.
     LateOffers,
-    /// Views are taken in whatever order they come.
+    /// Views are applied in whatever order they arrive.
     OlderViews,
 }
 
-/// What has become of a message, as its client is told or would be.
+/// The final answer of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum End {
+enum FinalAnswer {
     Delivered,
-    /// It may have run.
+    /// It may have been delivered.
     Failed,
-    /// It never ran, and may be handed in again.
-    Returned,
+    /// It was never sent, and may be submitted again.
+    Rejected,
 }
 
 /// The message in one forwarder's journal, as a restart finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Record {
-    /// Not known, or not any more.
+    /// Not known, or forgotten.
     Unknown,
-    /// Taken on, and to be placed.
+    /// Accepted, and to be delivered or handed over.
     Queued {
-        /// It was handed over by another.
+        /// It was handed over by another forwarder.
         marked: bool,
-        /// An attempt, or an offer that is not asked about any more, may have run it.
-        may_have_run: bool,
+        /// An attempt, or an offer that is not repeated any more, may have delivered it.
+        possible_delivery: bool,
     },
     /// Offered to this forwarder, which may have it.
     Offered {
         to: usize,
         /// An offer has had no answer.
         in_doubt: bool,
-        may_have_run: bool,
+        possible_delivery: bool,
     },
-    /// A call is out; `ran`: the partner has run it.
-    Out {
+    /// An attempt is in flight; `delivered`: the partner has processed it.
+    InFlight {
         marked: bool,
-        may_have_run: bool,
-        ran: bool,
+        possible_delivery: bool,
+        delivered: bool,
     },
     HandedOver,
-    Ended(End),
+    Finished(FinalAnswer),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -86,17 +87,17 @@
     up: bool,
     /// The version of its view.
     version: usize,
-    /// The latest that it has heard of.
-    heard: usize,
+    /// The latest version that it has received.
+    latest_received: usize,
     record: Record,
 }
 
-/// An offer on its way.
+/// An offer in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Request {
     from: usize,
     to: usize,
-    /// Its sender still waits for the answer.
+    /// Its sender waits for the answer.
     awaited: bool,
 }
 
@@ -104,79 +105,79 @@
 struct World {
     nodes: Vec<Node>,
     requests: Vec<Request>,
-    /// An answer on its way to the taker: whether the owner has taken it.
+    /// An answer in flight to the holder: whether the owner has accepted the message.
     answer: Option<bool>,
     /// The version of the registry.
     latest: usize,
-    /// The time is over in which an offer may be asked again under its id.
-    late: bool,
-    /// Times that the taker has stopped asking who may have it.
-    splits: usize,
-    /// Times that it ran.
-    runs: u8,
-    /// Ends that the forwarders have forgotten.
+    /// The time is over in which the message may be offered again under its id.
+    offers_expired: bool,
+    /// How often the holder has stopped asking who may have the message.
+    abandoned_doubts: usize,
+    /// How often the partner has processed it.
+    deliveries: u8,
+    /// Finished messages that forwarders have forgotten.
     forgotten: usize,
-    /// Somebody handed it over who had it from another.
-    handed_on: bool,
-    deaths: u8,
-    /// Offers that may still be made.
+    /// A forwarder other than the holder has handed it over.
+    handed_over_twice: bool,
+    crashes: u8,
+    /// Offers that may still be sent.
     offers: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     ViewChanges,
-    Hear(usize, usize),
-    Place(usize),
+    ReceiveView(usize, usize),
+    Dispatch(usize),
     Read(usize, bool),
     LoseRequest(usize),
-    HearAnswer,
+    ReceiveAnswer,
     Unreached,
     TimeOut,
-    AskAgain,
+    OfferAgain,
     StopAsking,
-    TimePasses,
+    ExpireOffers,
     GiveUp,
-    Run(usize),
-    HearPartner(usize),
-    LosePartner(usize),
+    Deliver(usize),
+    ReceivePartnerAnswer(usize),
+    LosePartnerAnswer(usize),
     Forget(usize),
-    Die(usize),
+    Crash(usize),
     Restart(usize),
 }
 
 struct Bounds {
-    /// The views of the registry, one after the other.
+    /// The views of the registry, in order.
     views: Vec<View>,
     destination: u64,
-    /// Its owner while all are there, and while that one is away.
+    /// The owner while all are members, and the one after it has left.
     first_owner: usize,
     next_owner: usize,
-    repeatable: bool,
-    deaths: u8,
+    idempotent: bool,
+    crashes: u8,
     offers: u8,
     mutant: Mutant,
 }
 
 impl Record {
     fn is_held(self) -> bool {
-        matches!(self, Record::Queued { .. } | Record::Out { .. })
+        matches!(self, Record::Queued { .. } | Record::InFlight { .. })
     }
 
-    fn end(self) -> Option<End> {
+    fn final_answer(self) -> Option<FinalAnswer> {
         match self {
-            Record::Ended(end) => Some(end),
+            Record::Finished(answer) => Some(answer),
             _ => None,
         }
     }
 }
 
 impl World {
-    fn taker(&mut self) -> &mut Record {
-        &mut self.nodes[TAKER].record
+    fn holder_record(&mut self) -> &mut Record {
+        &mut self.nodes[HOLDER].record
     }
 
-    /// The taker waits no longer for an answer; what it has sent may still be read.
+    /// The holder does not wait for an answer any more; its offer may still be read.
     fn stop_waiting(&mut self) {
         self.answer = None;
         self.requests.iter_mut().for_each(|request| request.awaited = false);
@@ -185,12 +186,12 @@
 
     fn send(&mut self, from: usize, to: usize) {
         self.offers -= 1;
-        self.handed_on |= from != TAKER;
+        self.handed_over_twice |= from != HOLDER;
         self.requests.push(Request { from, to, awaited: true });
         self.requests.sort();
     }
 
-    /// Whether the taker is out for an answer.
+    /// Whether the holder waits for an answer.
     fn is_waiting(&self) -> bool {
         self.answer.is_some() || self.requests.iter().any(|request| request.awaited)
     }
@@ -206,178 +207,187 @@
         (0..FORWARDERS).find(|place| member(*place, 1.0).name == owner.name).expect("it is one of them")
     }
 
-    /// The messages of this node go to their owner: a call, or an offer.
-    fn place(&self, world: &mut World, node: usize) -> Option<()> {
-        let Record::Queued { marked, may_have_run } = world.nodes[node].record else { return None };
+    /// The message goes to its owner: an attempt, or an offer.
+    fn dispatch(&self, world: &mut World, node: usize) -> Option<()> {
+        let Record::Queued { marked, possible_delivery } = world.nodes[node].record else { return None };
         let owner = self.owner(world, node);
-        let bound = marked && self.mutant != Mutant::MarkIgnored;
-        if owner == node || bound {
-            world.nodes[node].record = Record::Out { marked, may_have_run, ran: false };
+        let stays = marked && self.mutant != Mutant::MarkIgnored;
+        if owner == node || stays {
+            world.nodes[node].record = Record::InFlight { marked, possible_delivery, delivered: false };
             return Some(());
         }
-        if world.offers == 0 || world.late {
+        if world.offers == 0 || world.offers_expired {
             return None;
         }
         world.nodes[node].record = match self.mutant {
             Mutant::EndsBeforeAnswer => Record::HandedOver,
-            _ => Record::Offered { to: owner, in_doubt: false, may_have_run },
+            _ => Record::Offered { to: owner, in_doubt: false, possible_delivery },
         };
         world.send(node, owner);
         Some(())
     }
 
-    /// An offer is read by who it was sent to.
-    fn read(&self, world: &mut World, place: usize, takes: bool) -> Option<()> {
+    /// An offer is read by its receiver.
+    fn read(&self, world: &mut World, place: usize, accepts: bool) -> Option<()> {
         let request = world.requests.remove(place);
         let node = world.nodes.get_mut(request.to).filter(|node| node.up)?;
         let known = node.record != Record::Unknown;
-        let in_time = !world.late || self.mutant == Mutant::LateOffers;
-        let taken = known || takes && in_time;
-        if known && !takes {
+        let in_time = !world.offers_expired || self.mutant == Mutant::LateOffers;
+        let accepted = known || accepts && in_time;
+        if known && !accepts {
             return None;
         }
-        if taken && !known {
-            node.record = Record::Queued { marked: true, may_have_run: false };
+        if accepted && !known {
+            node.record = Record::Queued { marked: true, possible_delivery: false };
         }
         if request.awaited {
-            world.answer = Some(taken);
+            world.answer = Some(accepted);
         }
         Some(())
     }
 
-    fn hear_answer(&self, world: &mut World) -> Option<()> {
-        let taken = world.answer.take()?;
-        let Record::Offered { to, in_doubt, may_have_run } = *world.taker() else { return Some(()) };
-        let settles = !in_doubt || self.mutant == Mutant::RefusalSettlesDoubt;
-        *world.taker() = match taken {
+    fn receive_answer(&self, world: &mut World) -> Option<()> {
+        let accepted = world.answer.take()?;
+        let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else {
+            return Some(());
+        };
+        let settles = !in_doubt || self.mutant == Mutant::RejectionSettlesDoubt;
+        *world.holder_record() = match accepted {
             true => Record::HandedOver,
-            false if settles => Record::Queued { marked: false, may_have_run },
-            false => Record::Offered { to, in_doubt, may_have_run },
+            false if settles => Record::Queued { marked: false, possible_delivery },
+            false => Record::Offered { to, in_doubt, possible_delivery },
         };
         Some(())
     }
 
     fn time_out(&self, world: &mut World) -> Option<()> {
-        let Record::Offered { to, may_have_run, .. } = *world.taker() else { return None };
+        let Record::Offered { to, possible_delivery, .. } = *world.holder_record() else { return None };
         world.stop_waiting();
-        *world.taker() = match self.mutant {
-            Mutant::LostIsRefused => Record::Queued { marked: false, may_have_run },
-            _ => Record::Offered { to, in_doubt: true, may_have_run },
+        *world.holder_record() = match self.mutant {
+            Mutant::LostIsRejected => Record::Queued { marked: false, possible_delivery },
+            _ => Record::Offered { to, in_doubt: true, possible_delivery },
         };
         Some(())
     }
 
-    /// The owner was not reached: it has seen nothing of this offer.
+    /// The owner was not reached: it has not seen this offer.
     fn unreached(&self, world: &mut World) -> Option<()> {
-        let Record::Offered { to, in_doubt, may_have_run } = *world.taker() else { return None };
+        let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else { return None };
         if world.nodes[to].up {
             return None;
         }
         let awaited = world.requests.iter().position(|request| request.awaited)?;
         world.requests.remove(awaited);
         if !in_doubt {
-            *world.taker() = Record::Queued { marked: false, may_have_run };
+            *world.holder_record() = Record::Queued { marked: false, possible_delivery };
         }
         Some(())
     }
 
-    /// Who may have it is no member any more, or the time to ask is over.
+    /// The forwarder that may have it has left, or the time to offer it again is over.
     fn stop_asking(&self, world: &mut World) -> Option<()> {
-        let Record::Offered { to, in_doubt: true, .. } = *world.taker() else { return None };
-        let gone = !self.member(world, TAKER, to);
-        if !gone && !world.late {
+        let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
+        let gone = !self.member(world, HOLDER, to);
+        if !gone && !world.offers_expired {
             return None;
         }
-        world.splits += 1;
-        let again = self.repeatable || self.mutant == Mutant::ClassIgnored;
-        *world.taker() = if again && !world.late {
-            Record::Queued { marked: false, may_have_run: true }
+        world.abandoned_doubts += 1;
+        let again = self.idempotent || self.mutant == Mutant::IdempotencyIgnored;
+        *world.holder_record() = if again && !world.offers_expired {
+            Record::Queued { marked: false, possible_delivery: true }
         } else {
-            Record::Ended(End::Failed)
+            Record::Finished(FinalAnswer::Failed)
         };
         Some(())
     }
 
-    /// The partner's answer to a call, or that there was none.
-    fn hear_partner(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
-        let Record::Out { marked, ran: true, .. } = world.nodes[node].record else { return None };
+    /// The partner's answer to an attempt, or the lack of one.
+    fn receive_partner_answer(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
+        let Record::InFlight { marked, delivered: true, .. } = world.nodes[node].record else { return None };
         world.nodes[node].record = match answered {
-            true => Record::Ended(End::Delivered),
-            false => self.after_unknown(marked),
+            true => Record::Finished(FinalAnswer::Delivered),
+            false => self.after_possible_delivery(marked),
         };
         Some(())
     }
 
-    /// After a call that may have run.
-    fn after_unknown(&self, marked: bool) -> Record {
-        if self.repeatable {
-            Record::Queued { marked, may_have_run: true }
+    /// After an attempt that may have delivered it.
+    fn after_possible_delivery(&self, marked: bool) -> Record {
+        if self.idempotent {
+            Record::Queued { marked, possible_delivery: true }
         } else {
-            Record::Ended(End::Failed)
+            Record::Finished(FinalAnswer::Failed)
         }
     }
 
     fn restart(&self, world: &mut World, node: usize) -> Option<()> {
         world.nodes[node].up = true;
         world.nodes[node].record = match world.nodes[node].record {
-            Record::Out { marked, .. } => self.after_unknown(marked),
-            Record::Offered { to, may_have_run, .. } => Record::Offered { to, in_doubt: true, may_have_run },
+            Record::InFlight { marked, .. } => self.after_possible_delivery(marked),
+            Record::Offered { to, possible_delivery, .. } => {
+                Record::Offered { to, in_doubt: true, possible_delivery }
+            }
             record => record,
         };
         Some(())
     }
 
     fn may_forget(&self, world: &World, node: usize) -> bool {
-        let ended = matches!(world.nodes[node].record, Record::Ended(_));
-        let may_be_asked = !world.late;
-        node != TAKER && ended && (!may_be_asked || self.mutant == Mutant::ForgetsEarly)
+        let ended = matches!(world.nodes[node].record, Record::Finished(_));
+        let may_be_offered = !world.offers_expired;
+        node != HOLDER && ended && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
     }
 
-    fn take(&self, world: &mut World, step: &Step) -> Option<()> {
+    fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
             Step::ViewChanges => world.latest += 1,
-            Step::Hear(node, version) => {
-                let mut partition = Partition::new(self.views[world.nodes[node].version].clone(), []);
-                let refused = partition.replace(self.views[version].clone()).is_err();
+            Step::ReceiveView(node, version) => {
+                let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
+                let refused = table.replace_view(self.views[version].clone()).is_err();
                 if refused && self.mutant != Mutant::OlderViews {
                     return None;
                 }
                 let node = &mut world.nodes[node];
-                (node.version, node.heard) = (version, node.heard.max(version));
+                node.version = version;
+                node.latest_received = node.latest_received.max(version);
             }
-            Step::Place(node) => self.place(world, node)?,
-            Step::Read(request, takes) => self.read(world, request, takes)?,
+            Step::Dispatch(node) => self.dispatch(world, node)?,
+            Step::Read(request, accepts) => self.read(world, request, accepts)?,
             Step::LoseRequest(request) => drop(world.requests.remove(request)),
-            Step::HearAnswer => self.hear_answer(world)?,
+            Step::ReceiveAnswer => self.receive_answer(world)?,
             Step::Unreached => self.unreached(world)?,
             Step::TimeOut => self.time_out(world)?,
-            Step::AskAgain => {
-                let Record::Offered { to, in_doubt: true, .. } = *world.taker() else { return None };
-                world.send(TAKER, to);
+            Step::OfferAgain => {
+                let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
+                world.send(HOLDER, to);
             }
             Step::StopAsking => self.stop_asking(world)?,
-            Step::TimePasses => world.late = true,
+            Step::ExpireOffers => world.offers_expired = true,
             Step::GiveUp => {
-                let Record::Queued { may_have_run: false, .. } = *world.taker() else { return None };
-                *world.taker() = Record::Ended(End::Returned);
+                let Record::Queued { possible_delivery: false, .. } = *world.holder_record() else {
+                    return None;
+                };
+                *world.holder_record() = Record::Finished(FinalAnswer::Rejected);
             }
-            Step::Run(node) => {
-                let Record::Out { marked, may_have_run, ran: false } = world.nodes[node].record else {
+            Step::Deliver(node) => {
+                let Record::InFlight { marked, possible_delivery, delivered: false } =
+                    world.nodes[node].record
+                else {
                     return None;
                 };
-                world.nodes[node].record = Record::Out { marked, may_have_run, ran: true };
-                world.runs = (world.runs + 1).min(2);
+                world.nodes[node].record = Record::InFlight { marked, possible_delivery, delivered: true };
+                world.deliveries = (world.deliveries + 1).min(2);
             }
-            Step::HearPartner(node) => self.hear_partner(world, node, true)?,
-            Step::LosePartner(node) => self.hear_partner(world, node, false)?,
+            Step::ReceivePartnerAnswer(node) => self.receive_partner_answer(world, node, true)?,
+            Step::LosePartnerAnswer(node) => self.receive_partner_answer(world, node, false)?,
             Step::Forget(node) => {
                 world.nodes[node].record = Record::Unknown;
                 world.forgotten += 1;
             }
-            Step::Die(node) => {
-                world.deaths -= 1;
+            Step::Crash(node) => {
+                world.crashes -= 1;
                 world.nodes[node].up = false;
-                if node == TAKER || world.answer.is_some() {
+                if node == HOLDER || world.answer.is_some() {
                     world.stop_waiting();
                 }
             }
@@ -386,20 +396,20 @@
         Some(())
     }
 
-    /// What the taker may do while it waits for an answer, and when none is out.
-    fn taker_steps(&self, world: &World, steps: &mut Vec<Step>) {
-        let may_ask = world.offers > 0 && !world.late;
-        match world.nodes[TAKER].record {
+    /// What the holder may do while it waits for an answer, and when it does not.
+    fn holder_steps(&self, world: &World, steps: &mut Vec<Step>) {
+        let may_offer = world.offers > 0 && !world.offers_expired;
+        match world.nodes[HOLDER].record {
             Record::Offered { to, in_doubt, .. } => {
                 if world.answer.is_some() {
-                    steps.push(Step::HearAnswer);
+                    steps.push(Step::ReceiveAnswer);
                 }
                 if world.is_waiting() || !in_doubt {
                     steps.extend([Step::TimeOut, Step::Unreached]);
                     return;
                 }
-                if may_ask && self.member(world, TAKER, to) {
-                    steps.push(Step::AskAgain);
+                if may_offer && self.member(world, HOLDER, to) {
+                    steps.push(Step::OfferAgain);
                 }
                 steps.push(Step::StopAsking);
             }
@@ -414,15 +424,15 @@
             return steps.push(Step::Restart(place));
         }
         let versions = (0..=world.latest).filter(|version| *version != node.version);
-        steps.extend(versions.map(|version| Step::Hear(place, version)));
-        if world.deaths > 0 {
-            steps.push(Step::Die(place));
+        steps.extend(versions.map(|version| Step::ReceiveView(place, version)));
+        if world.crashes > 0 {
+            steps.push(Step::Crash(place));
         }
         match node.record {
-            Record::Queued { .. } => steps.push(Step::Place(place)),
-            Record::Out { ran: false, .. } => steps.push(Step::Run(place)),
-            Record::Out { ran: true, .. } => {
-                steps.extend([Step::HearPartner(place), Step::LosePartner(place)]);
+            Record::Queued { .. } => steps.push(Step::Dispatch(place)),
+            Record::InFlight { delivered: false, .. } => steps.push(Step::Deliver(place)),
+            Record::InFlight { delivered: true, .. } => {
+                steps.extend([Step::ReceivePartnerAnswer(place), Step::LosePartnerAnswer(place)]);
             }
             _ if self.may_forget(world, place) => steps.push(Step::Forget(place)),
             _ => {}
@@ -435,20 +445,20 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node { up: true, version: 0, heard: 0, record: Record::Unknown };
+        let node = Node { up: true, version: 0, latest_received: 0, record: Record::Unknown };
         let mut nodes = vec![node; FORWARDERS];
-        nodes[TAKER].record = Record::Queued { marked: false, may_have_run: false };
+        nodes[HOLDER].record = Record::Queued { marked: false, possible_delivery: false };
         vec![World {
             nodes,
             requests: Vec::new(),
             answer: None,
             latest: 0,
-            late: false,
-            splits: 0,
-            runs: 0,
+            offers_expired: false,
+            abandoned_doubts: 0,
+            deliveries: 0,
             forgotten: 0,
-            handed_on: false,
-            deaths: self.deaths,
+            handed_over_twice: false,
+            crashes: self.crashes,
             offers: self.offers,
         }]
     }
@@ -457,11 +467,11 @@
         if world.latest + 1 < self.views.len() {
             steps.push(Step::ViewChanges);
         }
-        if !world.late {
-            steps.push(Step::TimePasses);
+        if !world.offers_expired {
+            steps.push(Step::ExpireOffers);
         }
-        if world.nodes[TAKER].up {
-            self.taker_steps(world, steps);
+        if world.nodes[HOLDER].up {
+            self.holder_steps(world, steps);
         }
         for node in 0..FORWARDERS {
             self.node_steps(world, node, steps);
@@ -476,44 +486,47 @@
 
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut next = world.clone();
-        self.take(&mut next, &step)?;
+        self.apply(&mut next, &step)?;
         (next != *world).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_END, |_, world: &World| {
+            Property::always(ONE_ANSWER, |_, world: &World| {
                 let records = || world.nodes.iter().map(|node| node.record);
-                let there = records().filter(|record| record.is_held() || record.end().is_some()).count();
-                let count = there + world.forgotten;
+                let present =
+                    records().filter(|record| record.is_held() || record.final_answer().is_some()).count();
+                let count = present + world.forgotten;
                 let offered = records().any(|record| matches!(record, Record::Offered { .. }));
-                (1..=1 + world.splits).contains(&count) || count == 0 && offered
+                (1..=1 + world.abandoned_doubts).contains(&count) || count == 0 && offered
+            }),
+            Property::always(NO_REPEAT, |bounds: &Bounds, world: &World| {
+                bounds.idempotent || world.deliveries < 2
             }),
-            Property::always(NO_REPEAT, |bounds: &Bounds, world: &World| bounds.repeatable || world.runs < 2),
-            Property::always(TRUE_ENDS, |_, world: &World| {
-                world.nodes.iter().all(|node| match node.record.end() {
-                    Some(End::Delivered) => world.runs > 0,
-                    Some(End::Returned) => {
-                        world.runs == 0 && !world.nodes[1..].iter().any(|node| node.record.is_held())
+            Property::always(TRUE_ANSWERS, |_, world: &World| {
+                world.nodes.iter().all(|node| match node.record.final_answer() {
+                    Some(FinalAnswer::Delivered) => world.deliveries > 0,
+                    Some(FinalAnswer::Rejected) => {
+                        world.deliveries == 0 && !world.nodes[1..].iter().any(|node| node.record.is_held())
                     }
-                    Some(End::Failed) | None => true,
+                    Some(FinalAnswer::Failed) | None => true,
                 })
             }),
-            Property::always(ONE_HAND_OVER, |_, world: &World| !world.handed_on),
+            Property::always(ONE_HANDOVER, |_, world: &World| !world.handed_over_twice),
             Property::always(NEVER_BACK, |_, world: &World| {
-                world.nodes.iter().all(|node| node.version >= node.heard)
+                world.nodes.iter().all(|node| node.version >= node.latest_received)
             }),
             Property::sometimes("the first owner delivers it", |bounds: &Bounds, world: &World| {
-                world.nodes[bounds.first_owner].record == Record::Ended(End::Delivered)
+                world.nodes[bounds.first_owner].record == Record::Finished(FinalAnswer::Delivered)
             }),
             Property::sometimes("the next owner delivers it", |bounds: &Bounds, world: &World| {
-                world.nodes[bounds.next_owner].record == Record::Ended(End::Delivered)
+                world.nodes[bounds.next_owner].record == Record::Finished(FinalAnswer::Delivered)
             }),
         ]
     }
 }
 
-/// A region in which the owner of a destination, the second forwarder, leaves and comes back. Meanwhile the given one owns it.
+/// A region in which the owner of a destination, the second forwarder, leaves and returns. Meanwhile the given one owns it.
 fn bounds(next_owner: usize) -> Bounds {
     let first_owner = 1;
     let all = || (0..FORWARDERS).map(|number| member(number, 1.0)).collect::<Vec<_>>();
@@ -531,8 +544,8 @@
         destination,
         first_owner,
         next_owner,
-        repeatable: false,
-        deaths: 1,
+        idempotent: false,
+        crashes: 1,
         offers: 2,
         mutant: Mutant::None,
     }
@@ -542,37 +555,37 @@
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-fn holds(what: &str, bounds: Bounds) {
+fn assert_holds(what: &str, bounds: Bounds) {
     let checker = check(bounds);
     println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 #[test]
-fn what_must_not_be_repeated_has_one_end_when_a_third_takes_over() {
-    holds("not repeatable, a third is next", bounds(2));
+fn non_idempotent_message_has_one_final_answer_when_a_third_forwarder_takes_over() {
+    assert_holds("not idempotent, a third is next", bounds(2));
 }
 
 #[test]
-fn what_must_not_be_repeated_has_one_end_when_the_taker_takes_over() {
-    holds("not repeatable, the taker is next", bounds(TAKER));
+fn non_idempotent_message_has_one_final_answer_when_the_holder_takes_over() {
+    assert_holds("not idempotent, the holder is next", bounds(HOLDER));
 }
 
 #[test]
-fn what_may_be_repeated_is_never_lost() {
-    holds("repeatable, a third is next", Bounds { repeatable: true, ..bounds(2) });
-    holds("repeatable, the taker is next", Bounds { repeatable: true, ..bounds(TAKER) });
+fn idempotent_message_is_never_lost() {
+    assert_holds("idempotent, a third is next", Bounds { idempotent: true, ..bounds(2) });
+    assert_holds("idempotent, the holder is next", Bounds { idempotent: true, ..bounds(HOLDER) });
 }
 
-// What has to be found when a part of the protocol is taken away.
+// The check has to find a violation when a part of the protocol is left out.
 #[test]
-fn each_part_that_is_taken_away_is_missed() {
+fn each_mutant_violates_its_property() {
     for (mutant, property, next_owner) in [
-        (Mutant::EndsBeforeAnswer, ONE_END, 2),
-        (Mutant::LostIsRefused, NO_REPEAT, 2),
-        (Mutant::RefusalSettlesDoubt, NO_REPEAT, TAKER),
-        (Mutant::MarkIgnored, ONE_HAND_OVER, 2),
-        (Mutant::ClassIgnored, NO_REPEAT, 2),
+        (Mutant::EndsBeforeAnswer, ONE_ANSWER, 2),
+        (Mutant::LostIsRejected, NO_REPEAT, 2),
+        (Mutant::RejectionSettlesDoubt, NO_REPEAT, HOLDER),
+        (Mutant::MarkIgnored, ONE_HANDOVER, 2),
+        (Mutant::IdempotencyIgnored, NO_REPEAT, 2),
         (Mutant::ForgetsEarly, NO_REPEAT, 2),
         (Mutant::LateOffers, NO_REPEAT, 2),
         (Mutant::OlderViews, NEVER_BACK, 2),
--- a/crates/ownership/tests/member_state.rs
+++ b/crates/ownership/tests/member_state.rs
@@ -1,176 +1,184 @@
-//! The roles of a forwarder, step by step.
+//! The decisions of one forwarder, step by step.
 
 mod common;
 
 use common::{member, members, view};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_ownership::{ColdReason, Member, Rate, Role, Roles, Terms};
+use orchidyoke_ownership::{DeliveryDecision, Member, MemberState, OwnershipConfig, Rate, SlowStartReason};
 
 const S: Micros = 1_000_000;
 const LISTED: u64 = 40;
 
-fn terms() -> Terms {
-    Terms { ttl: 10 * S, view_time: 10 * S, cold_time: 12 * S, drift: 0.01 }
+fn config() -> OwnershipConfig {
+    OwnershipConfig { session_ttl: 10 * S, view_lifetime: 10 * S, warm_up_time: 12 * S, clock_drift: 0.01 }
 }
 
-/// The first of these members, which has looked and renewed at 0.
-fn confirmed(members: Vec<Member>) -> Roles {
-    let mut roles = Roles::new("f000");
-    roles.list(0, 0..LISTED);
-    roles.looked(&terms(), 0, 0, view(5, members)).expect("it is the first");
-    roles.registered(0, 0);
-    roles
+/// The state of the first of these members, which has read its view and renewed its session at 0.
+fn confirmed(members: Vec<Member>) -> MemberState {
+    let mut state = MemberState::new("f000");
+    state.set_destinations(0, 0..LISTED);
+    state.on_view(&config(), 0, 0, view(5, members)).expect("the first view");
+    state.on_registered(0, 0);
+    state
 }
 
-/// The same, once its cold time is over: looked and renewed then.
-fn warm(members: Vec<Member>, now: Micros) -> Roles {
-    let mut roles = confirmed(members.clone());
-    roles.looked(&terms(), now, now, view(5, members)).expect("it is the same");
-    roles.renewed(now);
-    roles
+/// The same after its warm-up time, with its view read and its session renewed then.
+fn warmed_up(members: Vec<Member>, now: Micros) -> MemberState {
+    let mut state = confirmed(members.clone());
+    state.on_view(&config(), now, now, view(5, members)).expect("the same version");
+    state.on_renewed(now);
+    state
 }
 
-fn own(roles: &Roles) -> u64 {
-    let owned = roles.partition().owned_by("f000").next();
+fn own(state: &MemberState) -> u64 {
+    let owned = state.owners().owned_by("f000").next();
     owned.expect("it owns some")
 }
 
-fn foreign(roles: &Roles) -> u64 {
-    let owned = roles.partition().owned_by("f001").next();
+fn owned_by_other(state: &MemberState) -> u64 {
+    let owned = state.owners().owned_by("f001").next();
     owned.expect("it owns some")
 }
 
-fn rate(roles: &Roles, now: Micros, destination: u64) -> Rate {
-    match roles.role(&terms(), now, destination, false) {
-        Role::Deliver(rate) => rate,
-        Role::HandOver(to) => panic!("handed over to {}", to.name),
+fn rate(state: &MemberState, now: Micros, destination: u64) -> Rate {
+    match state.decide(&config(), now, destination, false) {
+        DeliveryDecision::Deliver(rate) => rate,
+        DeliveryDecision::HandOver(to) => panic!("handed over to {}", to.name),
     }
 }
 
 #[test]
-fn a_new_owner_is_cold_until_its_time_is_over_by_any_clock() {
-    let roles = warm(members(3), 12 * S);
+fn new_owner_keeps_to_slow_start_until_the_warm_up_time_is_over_by_any_clock() {
+    let state = warmed_up(members(3), 12 * S);
     let over = 12 * S + 12 * S / 100;
-    assert_eq!(rate(&roles, over - 1, own(&roles)), Rate::Cold(ColdReason::NewOwner));
-    assert_eq!(rate(&roles, over, own(&roles)), Rate::Full);
+    assert_eq!(rate(&state, over - 1, own(&state)), Rate::SlowStart(SlowStartReason::NewOwner));
+    assert_eq!(rate(&state, over, own(&state)), Rate::Full);
 }
 
 #[test]
-fn a_session_and_a_view_count_from_when_they_were_asked_for() {
-    let roles = warm(members(3), 20 * S);
+fn session_and_view_count_from_when_their_requests_were_sent() {
+    let state = warmed_up(members(3), 20 * S);
     let counts = 20 * S + (10.0 * S as f64 / 1.01) as Micros;
-    assert_eq!(rate(&roles, counts - 1, own(&roles)), Rate::Full);
-    assert_eq!(rate(&roles, counts, own(&roles)), Rate::Cold(ColdReason::Unconfirmed));
+    assert_eq!(rate(&state, counts - 1, own(&state)), Rate::Full);
+    assert_eq!(rate(&state, counts, own(&state)), Rate::SlowStart(SlowStartReason::Unconfirmed));
     for renewed in [true, false] {
-        let mut roles = roles.clone();
+        let mut state = state.clone();
         match renewed {
-            true => roles.renewed(25 * S),
-            false => drop(roles.looked(&terms(), 25 * S, 25 * S, view(5, members(3)))),
+            true => state.on_renewed(25 * S),
+            false => drop(state.on_view(&config(), 25 * S, 25 * S, view(5, members(3)))),
         }
         assert_eq!(
-            rate(&roles, counts, own(&roles)),
-            Rate::Cold(ColdReason::Unconfirmed),
-            "one of the two is not enough"
+            rate(&state, counts, own(&state)),
+            Rate::SlowStart(SlowStartReason::Unconfirmed),
+            "session and view both have to count"
         );
     }
-    // A forwarder that was frozen finds that when it wakes.
-    assert_eq!(rate(&roles, 90 * S, own(&roles)), Rate::Cold(ColdReason::Unconfirmed));
+    // A forwarder that was suspended is not confirmed when it resumes.
+    assert_eq!(rate(&state, 90 * S, own(&state)), Rate::SlowStart(SlowStartReason::Unconfirmed));
 }
 
-// Guards against an owner that was away between two sessions and has not seen that another owned what it owns.
+// Guards against an owner that did not see that another owned its destinations between its two sessions.
 #[test]
-fn a_lost_session_ends_the_whole_rate_at_once_and_the_next_begins_anew() {
-    let mut roles = warm(members(3), 20 * S);
-    roles.session_lost();
-    assert_eq!(rate(&roles, 20 * S, own(&roles)), Rate::Cold(ColdReason::Unconfirmed));
-    roles.renewed(21 * S);
+fn lost_session_ends_the_full_rate_and_a_new_one_restarts_slow_start() {
+    let mut state = warmed_up(members(3), 20 * S);
+    state.on_session_lost();
+    assert_eq!(rate(&state, 20 * S, own(&state)), Rate::SlowStart(SlowStartReason::Unconfirmed));
+    state.on_renewed(21 * S);
     assert_eq!(
-        rate(&roles, 21 * S, own(&roles)),
-        Rate::Cold(ColdReason::Unconfirmed),
-        "an answer that was late"
+        rate(&state, 21 * S, own(&state)),
+        Rate::SlowStart(SlowStartReason::Unconfirmed),
+        "a late answer"
     );
-    roles.registered(22 * S, 21 * S);
-    assert_eq!(rate(&roles, 22 * S, own(&roles)), Rate::Cold(ColdReason::NewOwner));
-    roles.looked(&terms(), 34 * S, 34 * S, view(5, members(3))).expect("it is the same");
-    roles.renewed(34 * S);
-    assert_eq!(rate(&roles, 35 * S, own(&roles)), Rate::Full);
+    state.on_registered(22 * S, 21 * S);
+    assert_eq!(rate(&state, 22 * S, own(&state)), Rate::SlowStart(SlowStartReason::NewOwner));
+    state.on_view(&config(), 34 * S, 34 * S, view(5, members(3))).expect("the same version");
+    state.on_renewed(34 * S);
+    assert_eq!(rate(&state, 35 * S, own(&state)), Rate::Full);
 }
 
 #[test]
-fn what_another_owns_is_handed_over_and_what_was_handed_over_stays() {
-    let roles = warm(members(3), 20 * S);
-    let destination = foreign(&roles);
-    assert_eq!(roles.role(&terms(), 20 * S, destination, false), Role::HandOver(&member(1, 1.0)));
-    let stays = Role::Deliver(Rate::Cold(ColdReason::NotOwner));
-    assert_eq!(roles.role(&terms(), 20 * S, destination, true), stays);
-    let marked_own = roles.role(&terms(), 20 * S, own(&roles), true);
-    assert_eq!(marked_own, Role::Deliver(Rate::Full));
-    assert_eq!(Roles::new("f000").role(&terms(), 0, 1, false), stays, "there is nobody");
+fn message_for_another_owner_is_handed_over_once() {
+    let state = warmed_up(members(3), 20 * S);
+    let destination = owned_by_other(&state);
+    assert_eq!(
+        state.decide(&config(), 20 * S, destination, false),
+        DeliveryDecision::HandOver(&member(1, 1.0))
+    );
+    let delivers = DeliveryDecision::Deliver(Rate::SlowStart(SlowStartReason::NotOwner));
+    assert_eq!(state.decide(&config(), 20 * S, destination, true), delivers);
+    let handed_over_own = state.decide(&config(), 20 * S, own(&state), true);
+    assert_eq!(handed_over_own, DeliveryDecision::Deliver(Rate::Full));
+    assert_eq!(MemberState::new("f000").decide(&config(), 0, 1, false), delivers, "no members");
 }
 
 #[test]
-fn who_loses_a_destination_and_gets_it_back_begins_anew() {
-    let mut roles = warm(members(1), 20 * S);
+fn reacquired_destination_restarts_slow_start() {
+    let mut state = warmed_up(members(1), 20 * S);
     let two = vec![member(0, 1.0), member(1, 1.0)];
-    let moves = roles.looked(&terms(), 21 * S, 21 * S, view(6, two.clone())).expect("it is newer");
-    let lost = moves.first().expect("some move").destination;
-    assert!(moves.iter().all(|moved| moved.to.as_deref() == Some("f001")));
-    assert_eq!(roles.role(&terms(), 21 * S, lost, false), Role::HandOver(&two[1]));
-    roles.looked(&terms(), 23 * S, 23 * S, view(7, members(1))).expect("it is newer");
-    assert_eq!(rate(&roles, 23 * S, lost), Rate::Cold(ColdReason::NewOwner));
-    let kept = (0..LISTED).find(|listed| moves.iter().all(|moved| moved.destination != *listed));
-    assert_eq!(rate(&roles, 23 * S, kept.expect("some stay")), Rate::Full);
+    let changes = state.on_view(&config(), 21 * S, 21 * S, view(6, two.clone())).expect("a newer view");
+    let lost = changes.first().expect("some change").destination;
+    assert!(changes.iter().all(|change| change.to.as_deref() == Some("f001")));
+    assert_eq!(state.decide(&config(), 21 * S, lost, false), DeliveryDecision::HandOver(&two[1]));
+    state.on_view(&config(), 23 * S, 23 * S, view(7, members(1))).expect("a newer view");
+    assert_eq!(rate(&state, 23 * S, lost), Rate::SlowStart(SlowStartReason::NewOwner));
+    let kept = (0..LISTED).find(|listed| changes.iter().all(|change| change.destination != *listed));
+    assert_eq!(rate(&state, 23 * S, kept.expect("some stay")), Rate::Full);
 }
 
 #[test]
-fn a_destination_that_is_listed_anew_begins_cold_and_the_others_stay() {
-    let mut roles = warm(members(1), 20 * S);
-    roles.list(20 * S, 1..LISTED + 1);
-    assert_eq!(rate(&roles, 20 * S, LISTED), Rate::Cold(ColdReason::NewOwner));
-    assert_eq!(rate(&roles, 20 * S, 1), Rate::Full);
+fn newly_listed_destination_starts_slow_and_the_others_keep_their_rate() {
+    let mut state = warmed_up(members(1), 20 * S);
+    state.set_destinations(20 * S, 1..LISTED + 1);
+    assert_eq!(rate(&state, 20 * S, LISTED), Rate::SlowStart(SlowStartReason::NewOwner));
+    assert_eq!(rate(&state, 20 * S, 1), Rate::Full);
 }
 
 #[test]
-fn who_leaves_hands_over_to_who_owns_it_next_and_takes_nothing_over() {
-    let mut roles = warm(members(3), 20 * S);
-    let destination = own(&roles);
-    roles.leave();
+fn draining_forwarder_hands_over_to_the_next_owner_and_accepts_no_handover() {
+    let mut state = warmed_up(members(3), 20 * S);
+    let destination = own(&state);
+    state.start_draining();
     let rest = view(6, members(3)[1..].to_vec());
     let next = rest.owner(destination).expect("there is one");
-    assert_eq!(roles.role(&terms(), 20 * S, destination, false), Role::HandOver(next));
-    let finishes = Role::Deliver(Rate::Cold(ColdReason::Leaving));
-    assert_eq!(roles.role(&terms(), 20 * S, destination, true), finishes);
-    assert!(!roles.takes_over());
-    let mut alone = warm(members(1), 20 * S);
-    alone.leave();
-    assert_eq!(alone.role(&terms(), 20 * S, 1, false), finishes, "there is nobody to have it");
+    assert_eq!(state.decide(&config(), 20 * S, destination, false), DeliveryDecision::HandOver(next));
+    let delivers = DeliveryDecision::Deliver(Rate::SlowStart(SlowStartReason::Draining));
+    assert_eq!(state.decide(&config(), 20 * S, destination, true), delivers);
+    assert!(!state.accepts_handover());
+    let mut alone = warmed_up(members(1), 20 * S);
+    alone.start_draining();
+    assert_eq!(alone.decide(&config(), 20 * S, 1, false), delivers, "no other member");
 }
 
 #[test]
-fn an_older_view_is_refused_until_the_one_held_counts_no_more() {
-    let mut roles = warm(members(3), 20 * S);
-    let held = roles.clone();
-    assert!(roles.looked(&terms(), 21 * S, 21 * S, view(4, members(2))).is_err());
-    assert_eq!(roles, held);
-    roles.looked(&terms(), 31 * S, 31 * S, view(4, members(2))).expect("the one held is over");
-    assert_eq!(roles.partition().view().version(), 4);
+fn older_view_is_rejected_while_the_one_held_counts() {
+    let mut state = warmed_up(members(3), 20 * S);
+    let held = state.clone();
+    assert!(state.on_view(&config(), 21 * S, 21 * S, view(4, members(2))).is_err());
+    assert_eq!(state, held);
+    state
+        .on_view(&config(), 31 * S, 31 * S, view(4, members(2)))
+        .expect("the one held does not count any more");
+    assert_eq!(state.owners().view().version(), 4);
 }
 
 #[test]
-fn terms_that_keep_no_promise_are_refused() {
-    let refused = |change: fn(&mut Terms)| {
-        let mut terms = terms();
-        change(&mut terms);
-        terms.check().expect_err("they keep none").to_string()
+fn invalid_times_are_rejected_with_the_reason() {
+    let rejection = |change: fn(&mut OwnershipConfig)| {
+        let mut config = config();
+        change(&mut config);
+        config.validate().expect_err("invalid times").to_string()
     };
-    assert_eq!(terms().check(), Ok(()));
-    assert_eq!(refused(|terms| terms.ttl = 0), "the ttl has to be longer than 0");
-    assert_eq!(refused(|terms| terms.view_time = -1), "the view time has to be longer than 0");
-    assert_eq!(refused(|terms| terms.drift = 1.0), "a drift of 1 is no part of at least 0 and less than 1");
+    assert_eq!(config().validate(), Ok(()));
+    assert_eq!(rejection(|config| config.session_ttl = 0), "the session TTL has to be longer than 0");
+    assert_eq!(rejection(|config| config.view_lifetime = -1), "the view lifetime has to be longer than 0");
+    assert_eq!(
+        rejection(|config| config.clock_drift = 1.0),
+        "the clock drift is 1: it has to be at least 0 and less than 1"
+    );
     assert_eq!(
-        refused(|terms| terms.drift = f64::NAN),
-        "a drift of NaN is no part of at least 0 and less than 1"
+        rejection(|config| config.clock_drift = f64::NAN),
+        "the clock drift is NaN: it has to be at least 0 and less than 1"
     );
-    let shorter = "the cold time (9000000 us) is shorter than the time that a view counts (10000000 us)";
-    assert_eq!(refused(|terms| terms.cold_time = 9 * S), shorter);
+    let shorter = "the warm-up time (9000000 us) is shorter than the view lifetime (10000000 us)";
+    assert_eq!(rejection(|config| config.warm_up_time = 9 * S), shorter);
 }
--- a/crates/ownership/tests/rate_model.rs
+++ b/crates/ownership/tests/rate_model.rs
@@ -1,54 +1,54 @@
-//! Model checking of who may send at which rate: the state machine that forwarders run, against a registry that keeps
-//! its promises and nothing more, over every order of renewals, looks, answers that are late or lost and sessions that end
-//! within the bounds given, with one clock that is slow by the whole drift.
+//! Model checking of the rates of owners: the state machine that forwarders run, against a registry that keeps its promises
+//! and nothing more, over every order of renewals, reads, answers that are late or lost and sessions that expire within the
+//! bounds given, with one clock that is slow by the whole drift.
 
 mod common;
 
 use common::{member, view};
 use orchidyoke_core::interface::Micros;
-use orchidyoke_ownership::{ColdReason, Rate, Role, Roles, Terms, View};
+use orchidyoke_ownership::{DeliveryDecision, MemberState, OwnershipConfig, Rate, SlowStartReason, View};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const FORWARDERS: usize = 2;
-/// A step of the clock is one unit.
+const MEMBERS: usize = 2;
+/// In units of the clock.
 const TTL: Micros = 2;
-const VIEW_TIME: Micros = 2;
-const COLD_TIME: Micros = 2;
-/// Before anything that the model plays.
+const VIEW_LIFETIME: Micros = 2;
+const WARM_UP_TIME: Micros = 2;
+/// Before anything that the model does.
 const LONG_AGO: Micros = -1000;
 
-const ONE_FULL: &str = "one at a time sends at the whole rate";
+const ONE_FULL: &str = "at most one sends at the full rate";
 
-/// What is taken away, so that the check must find what it was there for.
+/// The part of the protocol that is left out, so that the check must find the property that it guards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// A new owner sends at the whole rate at once.
-    NoColdTime,
-    /// Looks and renewals count from their answers.
+    /// A new owner sends at the full rate at once.
+    NoWarmUp,
+    /// Reads and renewals count from their answers.
     FromAnswer,
-    /// Clocks are believed to run alike.
+    /// Clocks are assumed to run alike.
     NoDrift,
-    /// Views count for ever.
-    ViewsCountForEver,
-    /// A new session is taken for a renewal of the last.
-    SessionsAreAlike,
+    /// Views never expire.
+    ViewsNeverExpire,
+    /// A new session counts as a renewal of the last.
+    NewSessionIsRenewal,
 }
 
 struct Bounds {
-    /// Both are members at the start, and the first owns the destination. Else the second joins, and then owns it.
-    both_there: bool,
-    /// The first one's renewals are late or lost, so its session may end. All others take effect at once.
+    /// Both are members at the start, and the first owns the destination. Otherwise the second joins, and then owns it.
+    both_present: bool,
+    /// The first member's renewals are late or lost, so its session may expire. All others take effect at once.
     renewals_late: bool,
     until: Micros,
     restarts: u8,
     mutant: Mutant,
 }
 
-/// An answer of the registry on its way back, with when it was asked for. That the question takes time is no step of its
-/// own: what is answered later than it was asked for counts for less than it could.
+/// An answer of the registry in flight, with the time at which its request was sent. That the request takes time is not a
+/// step of its own: an answer that comes later counts for a shorter time.
 type Answer<T> = Option<(Micros, T)>;
-/// Sessions are numbered as they are made.
+/// Sessions are numbered as they are created.
 type SessionId = u8;
 
 /// A member's session as the registry has it.
@@ -59,40 +59,40 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Node {
-    roles: Roles,
-    look: Answer<View>,
-    /// The session that it knows of.
+struct Participant {
+    state: MemberState,
+    view_read: Answer<View>,
+    /// The session that it knows.
     session: Option<SessionId>,
-    /// Of which session it hears that it was renewed, or made where it knew of another or none.
+    /// The answer to its renewal: the session that was renewed, or a new one.
     renewal: Answer<SessionId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     clock: Micros,
-    nodes: Vec<Node>,
+    participants: Vec<Participant>,
     sessions: Vec<Option<Session>>,
-    /// Sessions made so far.
-    made: SessionId,
+    /// Sessions created so far.
+    sessions_created: SessionId,
     version: u64,
     restarts: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Pass,
-    Look(usize),
-    HearLook(usize),
+    Tick,
+    ReadView(usize),
+    ReceiveView(usize),
     Renew(usize),
-    HearRenewal(usize),
+    ReceiveRenewal(usize),
     Expire(usize),
     Restart(usize),
 }
 
-/// A destination that the second owns where both are there, or the first.
+/// A destination that this member owns where both are members.
 fn destination(owner: usize) -> u64 {
-    let both = view(1, (0..FORWARDERS).map(|number| member(number, 1.0)).collect());
+    let both = view(1, (0..MEMBERS).map(|number| member(number, 1.0)).collect());
     let owns = |destination: &u64| {
         both.owner(*destination).map(|owner| &owner.name) == Some(&member(owner, 1.0).name)
     };
@@ -100,120 +100,121 @@
 }
 
 impl Bounds {
-    fn terms(&self) -> Terms {
-        let drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 0.5 };
-        let cold_time = if self.mutant == Mutant::NoColdTime { 0 } else { COLD_TIME };
-        let view_time = if self.mutant == Mutant::ViewsCountForEver { 1000 } else { VIEW_TIME };
-        Terms { ttl: TTL, view_time, cold_time, drift }
+    fn config(&self) -> OwnershipConfig {
+        let clock_drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 0.5 };
+        let warm_up_time = if self.mutant == Mutant::NoWarmUp { 0 } else { WARM_UP_TIME };
+        let view_lifetime = if self.mutant == Mutant::ViewsNeverExpire { 1000 } else { VIEW_LIFETIME };
+        OwnershipConfig { session_ttl: TTL, view_lifetime, warm_up_time, clock_drift }
     }
 
     fn destination(&self) -> u64 {
-        destination(if self.both_there { 0 } else { 1 })
+        destination(if self.both_present { 0 } else { 1 })
     }
 
-    /// The first forwarder's clock is slow by a third: a half is what the other is faster than it.
-    fn local(&self, node: usize, clock: Micros) -> Micros {
-        if node == 0 { clock * 2 / 3 } else { clock }
+    /// The first member's clock is slow by a third: the other is faster by a half of its rate.
+    fn local(&self, member: usize, clock: Micros) -> Micros {
+        if member == 0 { clock * 2 / 3 } else { clock }
     }
 
-    fn rate(&self, world: &World, node: usize) -> Option<Rate> {
-        let now = self.local(node, world.clock);
-        match world.nodes[node].roles.role(&self.terms(), now, self.destination(), true) {
-            Role::Deliver(rate) => Some(rate),
-            Role::HandOver(_) => None,
+    fn rate(&self, world: &World, member: usize) -> Option<Rate> {
+        let now = self.local(member, world.clock);
+        match world.participants[member].state.decide(&self.config(), now, self.destination(), true) {
+            DeliveryDecision::Deliver(rate) => Some(rate),
+            DeliveryDecision::HandOver(_) => None,
         }
     }
 
-    /// How many send at the whole rate.
-    fn at_whole_rate(&self, world: &World) -> usize {
-        (0..FORWARDERS).filter(|node| self.rate(world, *node) == Some(Rate::Full)).count()
+    /// How many send at the full rate.
+    fn count_at_full_rate(&self, world: &World) -> usize {
+        (0..MEMBERS).filter(|member| self.rate(world, *member) == Some(Rate::Full)).count()
     }
 
     fn registry(&self, world: &World) -> View {
-        let there = (0..FORWARDERS).filter(|node| world.sessions[*node].is_some());
-        view(world.version, there.map(|node| member(node, 1.0)).collect())
+        let present = (0..MEMBERS).filter(|member| world.sessions[*member].is_some());
+        view(world.version, present.map(|member| common::member(member, 1.0)).collect())
     }
 
-    fn heard_at(&self, sent: Micros, now: Micros) -> Micros {
-        if self.mutant == Mutant::FromAnswer { now } else { sent }
+    fn counts_from(&self, sent_at: Micros, now: Micros) -> Micros {
+        if self.mutant == Mutant::FromAnswer { now } else { sent_at }
     }
 
-    fn new_roles(&self, node: usize) -> Roles {
-        let mut roles = Roles::new(member(node, 1.0).name);
-        roles.list(LONG_AGO, [self.destination()]);
-        roles
+    fn new_state(&self, member: usize) -> MemberState {
+        let mut state = MemberState::new(common::member(member, 1.0).name);
+        state.set_destinations(LONG_AGO, [self.destination()]);
+        state
     }
 
-    fn is_late(&self, node: usize) -> bool {
-        self.renewals_late && node == 0
+    fn is_late(&self, member: usize) -> bool {
+        self.renewals_late && member == 0
     }
 
     fn renew_others(&self, world: &mut World) {
-        for node in (0..FORWARDERS).filter(|node| !self.is_late(*node)) {
-            let known = world.nodes[node].session;
-            if let Some(session) = &mut world.sessions[node]
+        for member in (0..MEMBERS).filter(|member| !self.is_late(*member)) {
+            let known = world.participants[member].session;
+            if let Some(session) = &mut world.sessions[member]
                 && known == Some(session.id)
             {
                 session.renewed = world.clock;
-                world.nodes[node].roles.renewed(self.local(node, world.clock));
+                world.participants[member].state.on_renewed(self.local(member, world.clock));
             }
         }
     }
 
-    /// Renews the session that a forwarder knows of, or makes it a new one.
-    fn renew(&self, world: &mut World, node: usize) -> SessionId {
-        let known = world.nodes[node].session;
-        let there = world.sessions[node].filter(|session| Some(session.id) == known);
-        let id = there.map_or(world.made, |session| session.id);
-        if there.is_none() {
-            world.made += 1;
+    /// Renews the session that a member knows, or creates a new one.
+    fn renew(&self, world: &mut World, member: usize) -> SessionId {
+        let known = world.participants[member].session;
+        let present = world.sessions[member].filter(|session| Some(session.id) == known);
+        let id = present.map_or(world.sessions_created, |session| session.id);
+        if present.is_none() {
+            world.sessions_created += 1;
             world.version += 1;
         }
-        world.sessions[node] = Some(Session { id, renewed: world.clock });
+        world.sessions[member] = Some(Session { id, renewed: world.clock });
         id
     }
 
-    fn take(&self, world: &mut World, step: &Step) -> Option<()> {
+    fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
-            Step::Pass => {
+            Step::Tick => {
                 world.clock += 1;
                 self.renew_others(world);
             }
-            Step::Look(node) => {
+            Step::ReadView(member) => {
                 let view = self.registry(world);
-                world.nodes[node].look = Some((self.local(node, world.clock), view));
+                world.participants[member].view_read = Some((self.local(member, world.clock), view));
             }
-            Step::HearLook(node) => {
-                let now = self.local(node, world.clock);
-                let (sent, view) = world.nodes[node].look.take()?;
-                let sent = self.heard_at(sent, now);
-                // Refused where it is older.
-                let _ = world.nodes[node].roles.looked(&self.terms(), now, sent, view);
+            Step::ReceiveView(member) => {
+                let now = self.local(member, world.clock);
+                let (sent_at, view) = world.participants[member].view_read.take()?;
+                let sent_at = self.counts_from(sent_at, now);
+                // Rejected where it is older.
+                let _ = world.participants[member].state.on_view(&self.config(), now, sent_at, view);
             }
-            Step::Renew(node) => {
-                let id = self.renew(world, node);
-                world.nodes[node].renewal = Some((self.local(node, world.clock), id));
+            Step::Renew(member) => {
+                let id = self.renew(world, member);
+                world.participants[member].renewal = Some((self.local(member, world.clock), id));
             }
-            Step::HearRenewal(node) => {
-                let now = self.local(node, world.clock);
-                let heard = &mut world.nodes[node];
-                let (sent, id) = heard.renewal.take()?;
-                let sent = self.heard_at(sent, now);
-                if heard.session == Some(id) || self.mutant == Mutant::SessionsAreAlike {
-                    heard.roles.renewed(sent);
+            Step::ReceiveRenewal(member) => {
+                let now = self.local(member, world.clock);
+                let receiver = &mut world.participants[member];
+                let (sent_at, id) = receiver.renewal.take()?;
+                let sent_at = self.counts_from(sent_at, now);
+                if receiver.session == Some(id) || self.mutant == Mutant::NewSessionIsRenewal {
+                    receiver.state.on_renewed(sent_at);
                 } else {
-                    heard.session = Some(id);
-                    heard.roles.registered(now, sent);
+                    receiver.session = Some(id);
+                    receiver.state.on_registered(now, sent_at);
                 }
             }
-            Step::Expire(node) => {
-                world.sessions[node] = None;
+            Step::Expire(member) => {
+                world.sessions[member] = None;
                 world.version += 1;
             }
-            Step::Restart(node) => {
+            Step::Restart(member) => {
                 world.restarts -= 1;
-                let roles = self.new_roles(node);
-                world.nodes[node] = Node { roles, look: None, session: None, renewal: None };
+                let state = self.new_state(member);
+                world.participants[member] =
+                    Participant { state, view_read: None, session: None, renewal: None };
             }
         }
         Some(())
@@ -225,56 +226,59 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let is_there = |node: &usize| *node == 0 || self.both_there;
-        let session = |node: usize| Session { id: node as SessionId, renewed: 0 };
+        let is_present = |member: &usize| *member == 0 || self.both_present;
+        let session = |member: usize| Session { id: member as SessionId, renewed: 0 };
         let sessions: Vec<Option<Session>> =
-            (0..FORWARDERS).map(|node| is_there(&node).then(|| session(node))).collect();
-        let node = |node: usize| Node {
-            roles: self.new_roles(node),
-            look: None,
-            session: sessions[node].map(|session| session.id),
+            (0..MEMBERS).map(|member| is_present(&member).then(|| session(member))).collect();
+        let member = |member: usize| Participant {
+            state: self.new_state(member),
+            view_read: None,
+            session: sessions[member].map(|session| session.id),
             renewal: None,
         };
-        let nodes = (0..FORWARDERS).map(node).collect();
+        let participants = (0..MEMBERS).map(member).collect();
         let mut world = World {
             clock: 0,
-            nodes,
+            participants,
             sessions,
-            made: FORWARDERS as SessionId,
+            sessions_created: MEMBERS as SessionId,
             version: 1,
             restarts: self.restarts,
         };
         let view = self.registry(&world);
-        for node in (0..FORWARDERS).filter(is_there) {
-            let roles = &mut world.nodes[node].roles;
-            roles.registered(LONG_AGO, LONG_AGO);
+        for member in (0..MEMBERS).filter(is_present) {
+            let state = &mut world.participants[member].state;
+            state.on_registered(LONG_AGO, LONG_AGO);
             for at in [LONG_AGO, 0] {
-                roles.looked(&self.terms(), at, at, view.clone()).expect("it is not older");
+                state.on_view(&self.config(), at, at, view.clone()).expect("not older");
             }
-            roles.renewed(0);
+            state.on_renewed(0);
         }
         vec![world]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         if world.clock < self.until {
-            steps.push(Step::Pass);
+            steps.push(Step::Tick);
         }
-        for (place, node) in world.nodes.iter().enumerate() {
+        for (place, member) in world.participants.iter().enumerate() {
             let now = self.local(place, world.clock);
-            // One whose answer is lost is asked for anew.
-            if node.look.as_ref().is_none_or(|(sent, _)| *sent < now) {
-                steps.push(Step::Look(place));
+            // A request whose answer is lost is sent again.
+            if member.view_read.as_ref().is_none_or(|(sent_at, _)| *sent_at < now) {
+                steps.push(Step::ReadView(place));
             }
-            let is_registered = world.sessions[place].is_some_and(|session| Some(session.id) == node.session);
-            if (self.is_late(place) || !is_registered) && node.renewal.is_none_or(|(sent, _)| sent < now) {
+            let is_registered =
+                world.sessions[place].is_some_and(|session| Some(session.id) == member.session);
+            if (self.is_late(place) || !is_registered)
+                && member.renewal.is_none_or(|(sent_at, _)| sent_at < now)
+            {
                 steps.push(Step::Renew(place));
             }
-            if node.look.is_some() {
-                steps.push(Step::HearLook(place));
+            if member.view_read.is_some() {
+                steps.push(Step::ReceiveView(place));
             }
-            if node.renewal.is_some() {
-                steps.push(Step::HearRenewal(place));
+            if member.renewal.is_some() {
+                steps.push(Step::ReceiveRenewal(place));
             }
             let may_end = |session: Session| self.is_late(place) && world.clock >= session.renewed + TTL;
             if world.sessions[place].is_some_and(may_end) {
@@ -288,57 +292,59 @@
 
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut next = world.clone();
-        self.take(&mut next, &step)?;
+        self.apply(&mut next, &step)?;
         (next != *world).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_FULL, |bounds: &Bounds, world: &World| bounds.at_whole_rate(world) <= 1),
-            Property::sometimes("the second sends at the whole rate", |bounds: &Bounds, world: &World| {
+            Property::always(ONE_FULL, |bounds: &Bounds, world: &World| {
+                bounds.count_at_full_rate(world) <= 1
+            }),
+            Property::sometimes("the second sends at the full rate", |bounds: &Bounds, world: &World| {
                 bounds.rate(world, 1) == Some(Rate::Full)
             }),
             Property::sometimes("an owner is not confirmed", |bounds: &Bounds, world: &World| {
-                bounds.rate(world, 0) == Some(Rate::Cold(ColdReason::Unconfirmed))
+                bounds.rate(world, 0) == Some(Rate::SlowStart(SlowStartReason::Unconfirmed))
             }),
         ]
     }
 }
 
-/// All within the bounds, or until something is found.
+/// Checks all states within the bounds, or until a property is violated.
 fn check(bounds: Bounds) -> impl Checker<Bounds> {
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-fn holds(what: &str, bounds: Bounds) {
+fn assert_holds(what: &str, bounds: Bounds) {
     let checker = check(bounds);
     println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 const JOIN: Bounds =
-    Bounds { both_there: false, renewals_late: false, until: 5, restarts: 0, mutant: Mutant::None };
-const SESSION_ENDS: Bounds =
-    Bounds { both_there: true, renewals_late: true, until: 5, restarts: 0, mutant: Mutant::None };
+    Bounds { both_present: false, renewals_late: false, until: 5, restarts: 0, mutant: Mutant::None };
+const SESSION_EXPIRES: Bounds =
+    Bounds { both_present: true, renewals_late: true, until: 5, restarts: 0, mutant: Mutant::None };
 
 #[test]
-fn one_sends_at_the_whole_rate_while_another_joins() {
-    holds("a join", JOIN);
+fn at_most_one_sends_at_full_rate_while_a_member_joins() {
+    assert_holds("a join", JOIN);
 }
 
 #[test]
-fn one_sends_at_the_whole_rate_while_a_session_ends() {
-    holds("a session's end", SESSION_ENDS);
+fn at_most_one_sends_at_full_rate_while_a_session_expires() {
+    assert_holds("a session's end", SESSION_EXPIRES);
 }
 
 #[test]
-fn each_part_that_is_taken_away_is_missed() {
+fn each_mutant_violates_its_property() {
     for (mutant, bounds) in [
-        (Mutant::NoColdTime, JOIN),
+        (Mutant::NoWarmUp, JOIN),
         (Mutant::FromAnswer, JOIN),
         (Mutant::NoDrift, JOIN),
-        (Mutant::ViewsCountForEver, JOIN),
-        (Mutant::SessionsAreAlike, SESSION_ENDS),
+        (Mutant::ViewsNeverExpire, JOIN),
+        (Mutant::NewSessionIsRenewal, SESSION_EXPIRES),
     ] {
         let checker = check(Bounds { mutant, ..bounds });
         let path = checker.discovery(ONE_FULL).unwrap_or_else(|| panic!("{mutant:?} is not found"));
--- a/crates/ownership/tests/view.rs
+++ b/crates/ownership/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views: who can be a member, and that a change moves what it has to.
+//! Views: which members are valid, and that a change of members moves the destinations that it has to, and no others.
 
 mod common;
 
@@ -23,7 +23,7 @@
     (0..DESTINATIONS).map(|destination| view.owner(destination).map(|owner| owner.name.clone())).collect()
 }
 
-/// How many destinations each member has.
+/// How many destinations each member owns.
 fn counts(view: &View) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for owner in owners(view).into_iter().flatten() {
@@ -42,7 +42,7 @@
     #![proptest_config(config(24))]
 
     #[test]
-    fn the_order_in_which_members_came_changes_nothing(
+    fn view_does_not_depend_on_the_order_of_members(
         weights in prop::collection::vec(0.1_f64..8.0, 1..30),
         seed in any::<u64>(),
     ) {
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn who_leaves_moves_its_own_and_who_joins_takes_its_share(
+    fn leaving_member_moves_only_its_own_destinations_by_its_share(
         weights in prop::collection::vec(0.5_f64..4.0, 2..40),
         place in any::<prop::sample::Index>(),
     ) {
@@ -65,12 +65,12 @@
         let (whole, rest) = (owners(&view(1, all)), owners(&view(2, rest)));
         let moved = whole.iter().zip(&rest).filter(|(with, without)| with != without);
         let moved: Vec<_> = moved.collect();
-        prop_assert!(moved.iter().all(|(with, _)| with.as_deref() == Some(&gone)), "only its own move");
+        prop_assert!(moved.iter().all(|(with, _)| with.as_deref() == Some(&gone)), "only its own destinations move");
         prop_assert!(is_share(moved.len() as u64, share), "{} of a share of {share}", moved.len());
     }
 
     #[test]
-    fn each_has_the_part_of_its_weight(weights in prop::collection::vec(0.5_f64..4.0, 1..20)) {
+    fn each_member_owns_the_share_of_its_weight(weights in prop::collection::vec(0.5_f64..4.0, 1..20)) {
         let all: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
         let (counts, sum) = (counts(&view(1, all.clone())), weights.iter().sum::<f64>());
         for member in all {
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn a_lost_zone_moves_what_it_had_and_spreads_it_by_weight(count in 4_usize..40) {
+    fn lost_zone_moves_its_destinations_spread_by_weight(count in 4_usize..40) {
         let whole = view(1, members(count));
         let left: Vec<Member> = members(count).into_iter().filter(|member| member.zone == "z0").collect();
         let rest = view(2, left.clone());
@@ -100,24 +100,24 @@
     }
 
     #[test]
-    fn an_entry_is_read_as_it_was_written(weight in 0.1_f64..1e6, port in 1_u16.., number in 0_usize..1000) {
+    fn entry_is_parsed_as_it_was_written(weight in 0.1_f64..1e6, port in 1_u16.., number in 0_usize..1000) {
         let mut written = member(number, weight);
         written.address.set_port(port);
-        prop_assert_eq!(Member::read(&written.name, &written.entry(), &region()), Ok(written));
+        prop_assert_eq!(Member::parse_entry(&written.name, &written.to_entry(), &region()), Ok(written));
     }
 
     #[test]
-    fn no_entry_whatever_is_read_as_a_member_by_mistake(text in ".{0,80}") {
-        prop_assert!(Member::read("f", &text, &region()).is_err());
+    fn arbitrary_text_is_never_parsed_as_an_entry(text in ".{0,80}") {
+        prop_assert!(Member::parse_entry("f", &text, &region()).is_err());
     }
 }
 
 #[test]
-fn what_cannot_be_a_member_is_said() {
+fn invalid_members_are_rejected_with_the_reason() {
     let changed = |change: fn(&mut Member)| {
         let mut one = member(1, 1.0);
         change(&mut one);
-        View::new(1, &region(), vec![member(0, 1.0), one]).expect_err("it is no member").to_string()
+        View::new(1, &region(), vec![member(0, 1.0), one]).expect_err("an invalid member").to_string()
     };
     assert_eq!(changed(|one| one.region = "r9".to_owned()), "f001 is of region r9, here is r0");
     assert_eq!(
@@ -129,21 +129,21 @@
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, -f64::INFINITY] {
         let mut one = member(1, weight);
         one.weight = weight;
-        let error = View::new(1, &region(), vec![one]).expect_err("it is no weight").to_string();
+        let error = View::new(1, &region(), vec![one]).expect_err("an invalid weight").to_string();
         assert_eq!(error, format!("the weight of f001 is {weight}: it has to be a finite number above 0"));
     }
 }
 
-// Guards against one bad entry that stops a region, and against two members that see it differently.
+// Guards against one bad entry that stops a region, and against members that leave out different entries.
 #[test]
-fn an_entry_that_cannot_be_read_is_left_out_and_said() {
+fn unreadable_entries_are_left_out_and_reported() {
     let good = member(0, 1.0);
-    let foreign = member(2, 1.0).entry().replace("r0", "r9");
-    let text = good.entry();
+    let foreign = member(2, 1.0).to_entry().replace("r0", "r9");
+    let text = good.to_entry();
     let cut = &text[..text.len() / 2];
     let entries =
         [("f000", text.as_str()), ("f001", cut), ("f002", foreign.as_str()), ("f003", ""), ("f000", &text)];
-    let (view, errors) = View::of_entries(7, &region(), entries);
+    let (view, errors) = View::from_entries(7, &region(), entries);
     assert_eq!((view.version(), view.members()), (7, &[good][..]));
     assert!(matches!(
         &errors[..],
@@ -151,21 +151,21 @@
             ViewError::Entry(EntryError::Unreadable { .. }),
             ViewError::Entry(EntryError::Region { .. }),
             ViewError::Entry(EntryError::Unreadable { .. }),
-            ViewError::SameName { .. },
+            ViewError::DuplicateName { .. },
         ]
     ));
     let no_number = text.replace("1.0", "1e999");
-    assert!(Member::read("f000", &no_number, &region()).is_err(), "{no_number}");
+    assert!(Member::parse_entry("f000", &no_number, &region()).is_err(), "{no_number}");
 }
 
 #[test]
-fn nobody_owns_anything_where_there_is_nobody() {
+fn view_without_members_has_no_owners() {
     assert_eq!(View::default().owner(1), None);
     assert_eq!(View::default().members(), []);
 }
 
 #[test]
-fn the_order_of_ranks_is_that_of_who_owns_it_as_others_go() {
+fn ranking_is_the_order_of_owners_as_members_leave() {
     for destination in 0..50 {
         let whole = view(1, members(12));
         let ranked: Vec<&Member> = whole.ranking(destination);
--- a/src/owners.rs
+++ b/src/owners.rs
@@ -1,6 +1,8 @@
 //! The owners of destinations by an installation's settings: the members of a region, as a fixed list.
+//!
+//! Used where the settings say `ownership(...)`. The view changes only with the settings.
 
-use orchidyoke_config::Ownership;
+use orchidyoke_config::OwnershipSettings;
 use orchidyoke_core::interface::DestinationId;
 use orchidyoke_forwarder::ownership::{Owner, Owners, Peer};
 use orchidyoke_ownership::{Member, View, ViewError};
@@ -9,29 +11,29 @@
 /// The members of a region that change only with the settings.
 #[derive(Debug)]
 pub struct StaticOwners {
-    name: String,
-    regions: u32,
+    own_name: String,
+    region_count: u32,
     view: View,
 }
 
 impl StaticOwners {
-    /// The owners that these settings name.
+    /// The owners by these settings.
     ///
     /// # Errors
     ///
-    /// The settings name who cannot be a member.
-    pub fn new(settings: Ownership) -> Result<Self, ViewError> {
-        let regions = u32::try_from(settings.regions).unwrap_or(u32::MAX);
-        Ok(StaticOwners { view: settings.view()?, name: settings.name, regions })
+    /// A member is not valid in the region, or two have one name.
+    pub fn new(settings: OwnershipSettings) -> Result<Self, ViewError> {
+        let region_count = u32::try_from(settings.regions).unwrap_or(u32::MAX);
+        Ok(StaticOwners { view: settings.view()?, own_name: settings.name, region_count })
     }
-}
 
-/// What an owner is to this forwarder.
-fn owner(member: Option<&Member>, own_name: &str) -> Owner {
-    match member {
-        None => Owner::Unknown,
-        Some(member) if member.name == own_name => Owner::Local,
-        Some(member) => Owner::Peer(Peer { name: member.name.clone(), address: member.address }),
+    /// What a member is to this forwarder as an owner.
+    fn owner(&self, member: Option<&Member>) -> Owner {
+        match member {
+            None => Owner::Unknown,
+            Some(member) if member.name == self.own_name => Owner::Local,
+            Some(member) => Owner::Peer(Peer { name: member.name.clone(), address: member.address }),
+        }
     }
 }
 
@@ -41,11 +43,11 @@
     }
 
     fn own_name(&self) -> &str {
-        &self.name
+        &self.own_name
     }
 
     fn owner_of(&self, destination: DestinationId) -> Owner {
-        owner(self.view.owner(destination), &self.name)
+        self.owner(self.view.owner(destination))
     }
 
     fn member(&self, name: &str) -> Option<SocketAddr> {
@@ -57,6 +59,6 @@
     }
 
     fn owners_of_each(&self) -> u32 {
-        self.regions
+        self.region_count
     }
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,5 +1,6 @@
-//! Real forwarders of one region whose destinations have owners, under load, with a fault proxy on each link between two of
-//! them. Every message that was taken on is followed to its one end at the partners or in the platform's notices.
+//! Handover between real forwarders of one region whose destinations have owners, under load, with a fault proxy on each link
+//! between two of them. Every accepted message is followed to its one final answer at the partners or in the platform's
+//! notifications.
 
 use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, hand_in, target};
 use orchidyoke_fakes::partner::{Bearing, Partner};
@@ -14,11 +15,11 @@
 use std::time::{Duration, Instant};
 
 const DESTINATIONS: u64 = 30;
-const PATIENCE: Duration = Duration::from_secs(40);
-/// A call that came so shortly before its forwarder was killed may be one whose answer nobody has read: the time that a
-/// partner takes, on a busy machine. A message that is never repeated then ends as failed.
-const LAST_CALLS: Duration = Duration::from_secs(2);
-/// One of these is never repeated.
+const TIMEOUT: Duration = Duration::from_secs(40);
+/// A call that arrived this shortly before its forwarder was killed may be one whose answer was not read: the time that a
+/// partner takes, on a busy machine. A non-idempotent message then fails.
+const UNREAD_ANSWERS: Duration = Duration::from_secs(2);
+/// The second is not idempotent.
 const CLASSES: [&str; 2] = ["status", "orders"];
 
 fn program() -> &'static Path {
@@ -26,15 +27,15 @@
 }
 
 fn wait(what: &str, mut done: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !done() {
-        assert!(Instant::now() < until, "it did not come about that {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// An address that nobody else of this run uses.
-fn free() -> SocketAddr {
+/// An address that no other process of this run uses.
+fn free_address() -> SocketAddr {
     TcpListener::bind((loopback(), 0)).and_then(|listener| listener.local_addr()).expect("a port")
 }
 
@@ -42,7 +43,7 @@
     folder: Folder,
     address: SocketAddr,
     process: Option<(Forwarder, SocketAddr)>,
-    /// The links to the others, by their place; none to itself.
+    /// The links to the other members, by their index; none to itself.
     links: Vec<Option<FaultProxy>>,
 }
 
@@ -50,12 +51,12 @@
     platform: Platform,
     partner: Partner,
     members: Vec<Member>,
-    /// Ids that were answered as taken on, with their classes.
-    taken: Arc<Mutex<BTreeMap<String, &'static str>>>,
+    /// The ids of accepted messages, with their classes.
+    accepted: Arc<Mutex<BTreeMap<String, &'static str>>>,
     stop: Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<()>>,
     kills: Vec<Instant>,
-    /// What processes that are gone have logged.
+    /// The log lines of processes that have ended.
     logged: Vec<String>,
     _stage: Stage,
 }
@@ -68,12 +69,12 @@
         setup.fleet = size;
         let endpoint = |number| target(&format!("p{number}"), partner.endpoint(), number);
         setup.targets = (1..=DESTINATIONS).map(endpoint).collect();
-        let addresses: Vec<SocketAddr> = (0..size).map(|_| free()).collect();
+        let addresses: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
         let mut region = Region {
             platform,
             partner,
             members: Vec::new(),
-            taken: Arc::default(),
+            accepted: Arc::default(),
             stop: Arc::default(),
             clients: Vec::new(),
             kills: Vec::new(),
@@ -81,8 +82,8 @@
             _stage: stage,
         };
         for number in 0..size {
-            let link = |(place, address): (usize, &SocketAddr)| {
-                (place != number).then(|| FaultProxy::start(&region._stage, loopback(), *address))
+            let link = |(index, address): (usize, &SocketAddr)| {
+                (index != number).then(|| FaultProxy::start(&region._stage, loopback(), *address))
             };
             let links: Vec<_> = addresses.iter().enumerate().map(link).collect();
             let folder = Folder::new(&format!("ownership-{name}-{number}"));
@@ -114,7 +115,7 @@
         self.kills.push(Instant::now());
     }
 
-    /// Ends a member in good order, and starts it again.
+    /// Shuts a member down gracefully, and starts it again.
     fn restart(&mut self, number: usize) {
         let (forwarder, _) = self.members[number].process.take().expect("it runs");
         self.logged.extend(forwarder.log.try_iter());
@@ -123,7 +124,7 @@
         self.run(number);
     }
 
-    /// Messages that an owner was offered without an answer, as their holders say.
+    /// Messages that were offered to an owner without an answer, by the logs of their holders.
     fn in_doubt(&self) -> BTreeSet<String> {
         let running = self.members.iter().filter_map(|member| member.process.as_ref());
         let lines = running.flat_map(|(forwarder, _)| forwarder.log.try_iter());
@@ -134,14 +135,14 @@
         lines.chain(self.logged.iter().cloned()).filter_map(txn).collect()
     }
 
-    /// Messages whose call was out when a forwarder was killed, as far as the partner can tell.
-    fn cut_off(&self) -> BTreeSet<String> {
-        let out = |at: Instant, kill: &Instant| at <= *kill && *kill - at < LAST_CALLS;
+    /// Messages whose call may have been in flight when a forwarder was killed, by the calls at the partner.
+    fn in_flight_at_kills(&self) -> BTreeSet<String> {
+        let out = |at: Instant, kill: &Instant| at <= *kill && *kill - at < UNREAD_ANSWERS;
         let calls = self.partner.calls().into_iter();
         calls.filter(|call| self.kills.iter().any(|kill| out(call.at, kill))).map(|call| call.txn).collect()
     }
 
-    /// One of a member's figures; 0 where it does not answer.
+    /// A figure of a member's console; 0 where it does not answer.
     fn figure(&self, number: usize, name: &str) -> u64 {
         let ask = || -> Option<u64> {
             let (_, console) = self.members[number].process.as_ref()?;
@@ -159,13 +160,13 @@
         (0..self.members.len()).filter(|other| *other != number).collect()
     }
 
-    /// The sum of a figure over all but one.
+    /// The sum of a figure over all members but one.
     fn sum_of_others(&self, number: usize, name: &str) -> u64 {
         self.others(number).into_iter().map(|other| self.figure(other, name)).sum()
     }
 
     /// Sets a fault on the links from the others to a member.
-    fn cut_towards(&self, number: usize, fault: Fault) {
+    fn set_fault_towards(&self, number: usize, fault: Fault) {
         self.members
             .iter()
             .filter_map(|member| member.links[number].as_ref())
@@ -173,15 +174,15 @@
     }
 
     /// Sets a fault on the links from a member to the others.
-    fn cut_from(&self, number: usize, fault: Fault) {
+    fn set_fault_from(&self, number: usize, fault: Fault) {
         self.members[number].links.iter().flatten().for_each(|link| link.set(fault));
     }
 
-    /// Clients of these members hand in messages of both classes for all destinations, until they are told to stop.
-    fn load(&mut self, members: &[usize]) {
+    /// Clients of these members submit messages of both classes for all destinations, until they are stopped.
+    fn start_load(&mut self, members: &[usize]) {
         for &number in members {
             for class in CLASSES {
-                let (taken, stop) = (self.taken.clone(), self.stop.clone());
+                let (accepted, stop) = (self.accepted.clone(), self.stop.clone());
                 let address = self.members[number].address;
                 let client = move || {
                     for count in 0.. {
@@ -190,7 +191,7 @@
                         }
                         let txn = format!("{class}-{number}-{count}");
                         if hand_in(address, class, &txn, 1 + count % DESTINATIONS) == 202 {
-                            taken.lock().expect("no panic").insert(txn, class);
+                            accepted.lock().expect("no panic").insert(txn, class);
                         }
                         thread::sleep(Duration::from_millis(10));
                     }
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Ends of messages: calls by id, and notices by id.
+    /// The number of calls at the partner, by message id.
     fn calls(&self) -> BTreeMap<String, usize> {
         let mut calls = BTreeMap::new();
         for call in self.partner.calls() {
@@ -209,47 +210,49 @@
         calls
     }
 
-    /// Stops the clients, waits until each message that was taken on has an end, and checks that it is one.
+    /// Stops the clients, waits until each accepted message has a final answer, and checks that it is one.
     fn settle(mut self) -> usize {
         self.stop.store(true, Ordering::Relaxed);
         self.clients.drain(..).for_each(|client| client.join().expect("a client"));
-        let taken = self.taken.lock().expect("no panic").clone();
-        let ended = |region: &Region| {
+        let accepted = self.accepted.lock().expect("no panic").clone();
+        let unanswered = |region: &Region| {
             let (calls, notices) = (region.calls(), region.platform.notices());
-            taken.keys().filter(|txn| !calls.contains_key(*txn) && !notices.contains_key(*txn)).count()
+            accepted.keys().filter(|txn| !calls.contains_key(*txn) && !notices.contains_key(*txn)).count()
         };
-        let mut open = taken.len();
-        wait("each message has an end", || {
-            open = ended(&self);
+        let mut open = accepted.len();
+        wait("each message has a final answer", || {
+            open = unanswered(&self);
             open == 0
         });
-        // Whatever a forwarder still holds ends too: a second end would come by then.
+        // Until no forwarder has any message: a second final answer would come by then.
         let idle =
             |number| self.figure(number, "concurrent") == 0 && self.figure(number, "owners_members") > 0;
-        wait("nobody holds anything", || (0..self.members.len()).all(idle));
+        wait("no forwarder has any message", || (0..self.members.len()).all(idle));
         let (calls, notices) = (self.calls(), self.platform.notices());
         let repeated: Vec<_> =
             calls.iter().filter(|(txn, count)| txn.starts_with("orders") && **count > 1).collect();
-        assert!(repeated.is_empty(), "never to be repeated: {repeated:?}");
+        assert!(repeated.is_empty(), "not idempotent, and called twice: {repeated:?}");
         let returned =
             |txn: &str| notices.get(txn).is_some_and(|states| states.iter().any(|s| s == "returned"));
-        let broken: Vec<_> = calls.keys().filter(|txn| txn.starts_with("orders") && returned(txn)).collect();
-        assert!(broken.is_empty(), "said never to have run: {broken:?}");
-        // Where an answer was lost, who waited for it may have ended the message before it came to know of its end.
-        let unknown: BTreeSet<_> = self.cut_off().into_iter().chain(self.in_doubt()).collect();
-        let ends = |txn: &String| usize::from(calls.contains_key(txn)) + notices.get(txn).map_or(0, Vec::len);
-        let several: Vec<_> = taken.keys().filter(|txn| ends(txn) > 1 && !unknown.contains(*txn)).collect();
-        assert!(several.is_empty(), "more ends than one: {several:?}");
-        taken.len()
+        let wrong: Vec<_> = calls.keys().filter(|txn| txn.starts_with("orders") && returned(txn)).collect();
+        assert!(wrong.is_empty(), "called, and answered as never sent: {wrong:?}");
+        // Where an answer was lost, the forwarder that waited for it may have given its own final answer.
+        let unknown: BTreeSet<_> = self.in_flight_at_kills().into_iter().chain(self.in_doubt()).collect();
+        let final_answers =
+            |txn: &String| usize::from(calls.contains_key(txn)) + notices.get(txn).map_or(0, Vec::len);
+        let several: Vec<_> =
+            accepted.keys().filter(|txn| final_answers(txn) > 1 && !unknown.contains(*txn)).collect();
+        assert!(several.is_empty(), "more than one final answer: {several:?}");
+        accepted.len()
     }
 }
 
-/// The settings of one member: itself at its address, the others behind its links to them.
+/// The settings of one member: itself at its own address, the others at the links to them.
 fn settings(number: usize, own: SocketAddr, links: &[Option<FaultProxy>]) -> String {
-    let member = |(place, link): (usize, &Option<FaultProxy>)| {
+    let member = |(index, link): (usize, &Option<FaultProxy>)| {
         let address = link.as_ref().map_or(own, |link| link.address);
-        let zone = if place % 2 == 0 { "a" } else { "b" };
-        format!("member(name = \"f{place}\", zone = \"{zone}\", address = \"{address}\")")
+        let zone = if index % 2 == 0 { "a" } else { "b" };
+        format!("member(name = \"f{index}\", zone = \"{zone}\", address = \"{address}\")")
     };
     let members: Vec<_> = links.iter().enumerate().map(member).collect();
     format!(
@@ -258,11 +261,11 @@
     )
 }
 
-// Guards against a message lost or doubled on the plain way, and against a destination without an owner or with two.
+// Guards against a message lost or duplicated without any fault, and against a destination with no owner or with two.
 #[test]
-fn each_message_is_delivered_once_over_its_owner() {
+fn message_is_delivered_once_by_its_owner() {
     let mut region = Region::start("plain", 5);
-    region.load(&[0, 1, 2, 3, 4]);
+    region.start_load(&[0, 1, 2, 3, 4]);
     wait("all hand over and take over", || {
         (0..5).all(|n| region.figure(n, "handed_over") > 30 && region.figure(n, "taken_over") > 30)
     });
@@ -272,28 +275,27 @@
     assert!(region.settle() > 300);
 }
 
-// Guards against a message that is lost with its owner, or delivered again beside it: killed for good and, later, started
-// on its folder.
+// Guards against a message that is lost with its owner, or delivered again while the owner is down or after its restart.
 #[test]
-fn an_owner_that_is_killed_is_done_without_and_ends_what_it_had_when_it_is_back() {
+fn killed_owner_is_substituted_and_finishes_its_messages_after_restart() {
     let mut region = Region::start("killed", 6);
-    region.load(&[0, 1, 2, 3, 4]);
+    region.start_load(&[0, 1, 2, 3, 4]);
     wait("the owner takes over", || region.figure(5, "taken_over") > 30);
     region.kill(5);
-    wait("it is done without", || region.sum_of_others(5, "delivered_for_lack_of_owner") > 10);
+    wait("others deliver for it", || region.sum_of_others(5, "delivered_for_lack_of_owner") > 10);
     region.run(5);
     wait("it takes over again", || region.figure(5, "taken_over") > 30);
     region.settle();
 }
 
-// Guards against an owner that wakes and delivers what others have delivered for it, where a class forbids that.
+// Guards against an owner that resumes and delivers non-idempotent messages that others have delivered for it.
 #[test]
-fn a_frozen_owner_wakes_without_a_forbidden_repeat() {
+fn suspended_owner_resumes_without_a_duplicate_delivery() {
     let mut region = Region::start("frozen", 5);
-    region.load(&[0, 1, 2, 3]);
+    region.start_load(&[0, 1, 2, 3]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
     region.process(4).signal("STOP");
-    wait("it is done without", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
+    wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
     wait("answers are missed", || region.sum_of_others(4, "handover_unanswered") > 5);
     region.process(4).signal("CONT");
     let before = region.figure(4, "taken_over");
@@ -301,47 +303,47 @@
     region.settle();
 }
 
-// Guards against a lost answer that makes a second delivery: what is offered arrives, and its answer does not in time.
+// Guards against a lost answer that causes a second delivery: an offer arrives, and its answer does not in time.
 #[test]
-fn answers_that_are_lost_one_way_make_no_forbidden_repeat() {
+fn lost_handover_answers_cause_no_duplicate_delivery() {
     let mut region = Region::start("one-way", 5);
-    region.load(&[0, 1, 2, 3]);
+    region.start_load(&[0, 1, 2, 3]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
-    // Half of the answer's time there, and more than the rest of it back.
-    region.cut_towards(4, Fault::Delay(Duration::from_millis(700)));
+    // The offer and its answer together take longer than the time-out of an offer.
+    region.set_fault_towards(4, Fault::Delay(Duration::from_millis(700)));
     wait("answers are missed", || region.sum_of_others(4, "handover_unanswered") > 5);
-    wait("it is done without", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
-    region.cut_towards(4, Fault::Pass);
+    wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
+    region.set_fault_towards(4, Fault::Pass);
     let before = region.sum_of_others(4, "handed_over");
-    wait("it is handed over to again", || region.sum_of_others(4, "handed_over") > before + 60);
+    wait("others hand over to it again", || region.sum_of_others(4, "handed_over") > before + 60);
     region.settle();
 }
 
-// Guards against a message that is lost between two sides of a cut, or delivered on both once they are joined again.
+// Guards against a message that is lost between two sides of a partition, or delivered on both after it.
 #[test]
-fn a_forwarder_that_is_cut_off_both_ways_joins_again() {
+fn disconnected_forwarder_hands_over_again_after_the_partition() {
     let mut region = Region::start("cut", 5);
-    region.load(&[0, 1, 2, 3, 4]);
+    region.start_load(&[0, 1, 2, 3, 4]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
     for fault in [Fault::Blackhole, Fault::Partition] {
         let before = region.sum_of_others(4, "delivered_for_lack_of_owner");
-        region.cut_towards(4, fault);
-        region.cut_from(4, fault);
-        wait("it is done without", || region.sum_of_others(4, "delivered_for_lack_of_owner") > before + 5);
-        wait("it does without others", || region.figure(4, "delivered_for_lack_of_owner") > 5);
+        region.set_fault_towards(4, fault);
+        region.set_fault_from(4, fault);
+        wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > before + 5);
+        wait("it delivers for others", || region.figure(4, "delivered_for_lack_of_owner") > 5);
         let before = region.figure(4, "taken_over");
-        region.cut_towards(4, Fault::Pass);
-        region.cut_from(4, Fault::Pass);
+        region.set_fault_towards(4, Fault::Pass);
+        region.set_fault_from(4, Fault::Pass);
         wait("it takes over again", || region.figure(4, "taken_over") > before + 30);
     }
     region.settle();
 }
 
-// Guards against messages that a restart in good order loses, on the side that holds them and on the side that owns.
+// Guards against messages that a graceful restart loses, at their holders and at their owners.
 #[test]
-fn a_rolling_restart_under_load_loses_and_repeats_nothing() {
+fn rolling_restart_under_load_loses_and_duplicates_nothing() {
     let mut region = Region::start("rolling", 5);
-    region.load(&[0, 1, 2, 3, 4]);
+    region.start_load(&[0, 1, 2, 3, 4]);
     for number in 0..5 {
         wait("it takes over and hands over", || {
             region.figure(number, "taken_over") > 20 && region.figure(number, "handed_over") > 20
