--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -157,7 +157,7 @@
         }
         if let Some(inputs) = inputs {
             // The receiver is gone only when the forwarder ends.
-            let _ = inputs.send(input::Input::Reconfigured(Box::new(config)));
+            let _ = inputs.send(input::Input::ConfigReloaded(Box::new(config)));
         }
         tracing::info!(version = policy.version, id = %policy.id, "policy in force");
         Ok(())
