--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -6,8 +6,8 @@
 use orchidyoke_consul::Settings as ConsulSettings;
 use orchidyoke_consul::locks::Locks;
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
+use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::Source;
 use orchidyoke_leases::{LeaseConfig, LeaseManager, ManagerConfig};
 use orchidyoke_policy_commit::{ConsulParticipant, Settings as PolicySettings};
@@ -65,7 +65,7 @@
     async fn leave(mut self) {
         // What still runs would open another session.
         self.following.abort();
-        self.participant.leave().await;
+        self.participant.deregister().await;
         self.lease_manager.shut_down();
         if timeout(LEAVE, &mut self.managing).await.is_err() {
             eprintln!("a member has not left within {LEAVE:?}");
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -7,7 +7,7 @@
 use orchidyoke_fakes::forwarder::{Folder, Setup};
 use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::policy_agent::PolicyAgent;
+use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::Source;
 use orchidyoke_policy_commit::{ConsulParticipant, Coordinator, Settings};
 use serde_json::json;
--- a/crates/forwarder/src/client_api.rs
+++ b/crates/forwarder/src/client_api.rs
@@ -2,7 +2,7 @@
 //! would submit the same [`Submission`]s and map the same [`SubmitAnswer`]s to its own responses.
 
 use crate::input::{IDEMPOTENCY_KEY, Input, RequestId, Submission, SubmitAnswer};
-use crate::ownership::Marked;
+use crate::ownership::ReceivedMark;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -188,7 +188,7 @@
         destination: dest,
         time_left: (remaining * 1e6) as Micros,
         is_retry: headers.get("X-Resent").is_some_and(|value| value == "1"),
-        handover_mark: Marked::read(headers),
+        handover_mark: ReceivedMark::from_headers(headers),
         body: Bytes::new(),
     })
 }
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::console;
 use crate::hop_call::{Call, EndpointCallError, Reply};
-use crate::ownership::{Marked, Offer, OfferEnd, Owners};
+use crate::ownership::{OfferOutcome, OutgoingOffer, Owners, ReceivedMark};
 use crate::pool::EndpointConnectionId;
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::WatchEvent;
@@ -74,7 +74,7 @@
     /// Marked as submitted again.
     pub is_retry: bool,
     /// Marked as handed over by another forwarder.
-    pub handover_mark: Marked,
+    pub handover_mark: ReceivedMark,
     /// Its body.
     pub body: Bytes,
 }
@@ -199,7 +199,7 @@
         /// The message.
         id: MessageId,
         /// How.
-        end: OfferEnd,
+        outcome: OfferOutcome,
     },
     /// The configuration was read again and is good.
     ConfigReloaded(Box<Config>),
@@ -299,7 +299,7 @@
         connection: EndpointConnectionId,
     },
     /// Offer a message to the forwarder that owns its destination and report.
-    Offer(Box<Offer>),
+    Offer(Box<OutgoingOffer>),
     /// Post these notices and report.
     PostNotifications {
         /// Where to.
--- a/crates/forwarder/src/ownership.rs
+++ b/crates/forwarder/src/ownership.rs
@@ -1,5 +1,7 @@
-//! Who owns a destination, as the forwarder is told, and what one forwarder tells another with a message that it hands
-//! over. Who decides on owners is not here; a forwarder that is told nothing delivers everything itself.
+//! The owners of destinations, as the forwarder learns them, and what a handover carries from one forwarder to another.
+//!
+//! Which member owns what is decided elsewhere and comes in through [`Owners`]. A forwarder without owners delivers every
+//! message itself.
 
 use bytes::Bytes;
 use hyper::header::HeaderMap;
@@ -9,36 +11,36 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The header that marks a message as handed over by another forwarder. Who gets it delivers the message itself.
-pub const HANDOVER: &str = "X-Handover";
+/// The header that marks a message as handed over by another forwarder. The receiver delivers such a message itself.
+pub const HANDOVER_HEADER: &str = "X-Handover";
 /// Longest value of that header: names of a forwarder, an endpoint and a zone, and four numbers.
-const LONGEST_MARK: usize = 2048;
-/// The latest moment that a mark may name: sums with it overflow nothing.
-const LATEST: Micros = Micros::MAX / 2;
+const MAX_MARK_BYTES: usize = 2048;
+/// The latest time that a mark may have, in microseconds: sums with it do not overflow.
+const MAX_MARK_TIME_US: Micros = Micros::MAX / 2;
 
-/// A forwarder that owns destinations.
+/// Another forwarder that owns destinations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name, the only one in the fleet.
+    /// Its name, unique in the fleet.
     pub name: String,
-    /// Where it takes messages.
+    /// Where it accepts messages.
     pub address: SocketAddr,
 }
 
-/// Who delivers the messages of a destination.
+/// The owner of a destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This forwarder.
     Local,
-    /// Another.
+    /// Another forwarder.
     Peer(Peer),
-    /// Nobody knows: whoever has a message delivers it.
+    /// Not known: the forwarder that has a message delivers it.
     Unknown,
 }
 
-/// One view of the members of a region, and of what each owns. A view does not change; there are later ones.
+/// The owners of destinations by one view of the members of a region. A view does not change; a later one replaces it.
 pub trait Owners: fmt::Debug {
-    /// Number of the view: a later one has a higher.
+    /// The version of the view: a later one has a higher.
     fn version(&self) -> u64;
 
     /// The name of this forwarder among the members.
@@ -47,96 +49,104 @@
     /// The owner of a destination.
     fn owner_of(&self, destination: DestinationId) -> Owner;
 
-    /// Where the member of this name takes messages; none where there is no such member.
-    fn member(&self, name: &str) -> Option<SocketAddr>;
+    /// Where the member of this name accepts messages; none where there is no such member.
+    fn member_address(&self, name: &str) -> Option<SocketAddr>;
 
-    /// How many members there are, this forwarder among them.
-    fn members(&self) -> usize;
+    /// The number of members, this forwarder included.
+    fn member_count(&self) -> usize;
 
-    /// How many forwarders of the fleet own a destination, each for the messages of its region: they share its limit.
-    fn owners_of_each(&self) -> u32;
+    /// How many forwarders of the fleet own one destination, each for the messages of its region: they share its limit.
+    fn owners_per_destination(&self) -> u32;
 }
 
-/// What goes along with a message that is handed over.
+/// What a handover says of a message beside the message itself: the JSON of [`HANDOVER_HEADER`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Mark {
-    /// Name of the forwarder that hands it over.
+pub struct HandoverMark {
+    /// The name of the forwarder that hands it over.
     pub from: String,
-    /// When the message's time is up, as Unix time in microseconds.
+    /// The message's deadline, as Unix time in microseconds.
     pub deadline: Micros,
-    /// Until when the offer holds, as Unix time in microseconds. Who reads it later may have forgotten the message's id, and
-    /// would take for new what it has delivered already.
+    /// Until when the offer is valid, as Unix time in microseconds. A receiver that reads it later may have forgotten the
+    /// message's id, and would deliver a second time.
     pub valid_until: Micros,
-    /// Attempts used up.
+    /// The number of attempts used.
     pub attempts: u32,
-    /// The first attempt that may have run.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ran: Option<AttemptStart>,
+    /// The first attempt that may have been delivered.
+    #[serde(default, rename = "ran", skip_serializing_if = "Option::is_none")]
+    pub possible_delivery: Option<AttemptStart>,
 }
 
-/// The mark of a request, as far as it has one.
+/// The mark of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Marked {
-    /// It comes from a client.
+pub enum ReceivedMark {
+    /// None: the request comes from a client.
     #[default]
-    No,
-    /// It comes from another forwarder.
-    Yes(Mark),
-    /// There is a mark, and it cannot be read.
+    Absent,
+    /// The request comes from another forwarder.
+    Valid(HandoverMark),
+    /// The mark cannot be parsed, is too long, or has a time out of range.
     Malformed,
 }
 
-impl Mark {
-    /// Whether its times are ones that a clock can show.
-    fn is_sound(&self) -> bool {
-        let times = 0..=LATEST;
-        let bounds = times.contains(&self.deadline) && times.contains(&self.valid_until);
-        bounds && self.ran.as_ref().is_none_or(|ran| times.contains(&ran.started_at))
+impl HandoverMark {
+    /// Whether its times are in range.
+    fn is_valid(&self) -> bool {
+        let range = 0..=MAX_MARK_TIME_US;
+        let attempt_started_at = self.possible_delivery.as_ref().map_or(0, |attempt| attempt.started_at);
+        [self.deadline, self.valid_until, attempt_started_at].iter().all(|time| range.contains(time))
     }
 
     /// The value of the header.
     pub fn to_header(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
+
+    fn parse(value: &[u8]) -> Option<HandoverMark> {
+        if value.len() > MAX_MARK_BYTES {
+            return None;
+        }
+        serde_json::from_slice(value).ok().filter(HandoverMark::is_valid)
+    }
 }
 
-impl Marked {
-    /// Reads the mark out of a request's head.
-    pub fn read(headers: &HeaderMap) -> Self {
-        let mut values = headers.get_all(HANDOVER).iter();
-        let Some(value) = values.next() else { return Marked::No };
-        let whole = values.next().is_none() && value.len() <= LONGEST_MARK;
-        let mark = whole.then(|| serde_json::from_slice::<Mark>(value.as_bytes()).ok()).flatten();
-        mark.filter(Mark::is_sound).map_or(Marked::Malformed, Marked::Yes)
+impl ReceivedMark {
+    /// The mark in a request's headers.
+    pub fn from_headers(headers: &HeaderMap) -> Self {
+        let mut values = headers.get_all(HANDOVER_HEADER).iter();
+        let Some(value) = values.next() else { return ReceivedMark::Absent };
+        if values.next().is_some() {
+            return ReceivedMark::Malformed;
+        }
+        HandoverMark::parse(value.as_bytes()).map_or(ReceivedMark::Malformed, ReceivedMark::Valid)
     }
 }
 
-/// A message that is offered to its owner, in the protocol of clients.
+/// An offer of a message to its owner, made in the protocol of clients.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
-    /// Number of the message.
+pub struct OutgoingOffer {
+    /// The id of the message in this process.
     pub id: MessageId,
-    /// Where the owner takes messages.
-    pub to: SocketAddr,
+    /// Where the owner accepts messages.
+    pub owner_address: SocketAddr,
     /// The message.
-    pub taken: AcceptedMessage,
+    pub message: AcceptedMessage,
     /// Its body.
     pub body: Bytes,
-    /// What goes along.
-    pub mark: Mark,
-    /// Until when an answer is awaited.
-    pub until: Micros,
+    /// The mark that goes with it.
+    pub mark: HandoverMark,
+    /// Until when its answer is awaited, in microseconds on the reducer's clock.
+    pub answer_deadline: Micros,
 }
 
 /// How an offer has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OfferEnd {
-    /// The owner has taken the message on, now or before.
-    Taken,
-    /// The owner has not taken it, and told to wait so long.
-    Refused(Micros),
-    /// The owner was not reached: it has seen nothing whole.
-    Unreached(String),
-    /// There was no answer, or none that says: the owner may have taken it.
-    Unanswered(String),
+pub enum OfferOutcome {
+    /// The owner has accepted the message, now or before.
+    Accepted,
+    /// The owner has rejected the message, with this Retry-After in microseconds.
+    Rejected(Micros),
+    /// The offer was not sent, for this reason: the owner has not seen it.
+    NotSent(String),
+    /// There was no answer, or an ambiguous one, for this reason: the owner may have accepted the message.
+    InDoubt(String),
 }
--- a/crates/forwarder/src/peer_call.rs
+++ b/crates/forwarder/src/peer_call.rs
@@ -1,43 +1,53 @@
-//! Offers to other forwarders on sockets: connections that are kept for a while, one request at a time on each.
+//! Sends handover offers to other forwarders over HTTP/1.1, with keep-alive connections and one request at a time on each.
+//!
+//! Used where destinations have owners. When an offer is made, and what follows from its outcome, is the reducer's matter.
 
 use crate::input::{IDEMPOTENCY_KEY, Input};
-use crate::ownership::{HANDOVER, Offer, OfferEnd};
+use crate::ownership::{HANDOVER_HEADER, OfferOutcome, OutgoingOffer};
 use crate::retry_after::{server_wait_ms, to_micros};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::body::Incoming;
+use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::cell::RefCell;
 use std::collections::HashMap;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, timeout_at};
 
-/// A connection is used again within this time: well before the other end closes it.
-const KEPT_FOR: Duration = Duration::from_secs(1);
+/// An idle connection is used again within this time: well before the other end closes it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle connections kept to one forwarder.
-const KEPT_PER_PEER: usize = 16;
-/// A connection that is not up by then has failed.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const MAX_IDLE_PER_PEER: usize = 16;
+/// Time limit of opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection to another forwarder. It is closed when it is dropped.
+/// A connection to another forwarder. Dropping it closes it.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    task: AbortHandle,
-    used: Instant,
+    driver: AbortHandle,
+    last_used: Instant,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.task.abort();
+        self.driver.abort();
+    }
+}
+
+impl Connection {
+    fn is_reusable(&self) -> bool {
+        self.last_used.elapsed() < IDLE_TIMEOUT && !self.sender.is_closed()
     }
 }
 
@@ -47,134 +57,167 @@
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
-/// Why a request has no answer.
-enum Failure {
-    /// The connection was closed before the request went.
+/// The times of one offer, on this process's clock.
+#[derive(Clone, Copy, Debug)]
+pub struct OfferTimes {
+    /// Until when the answer is awaited.
+    pub answer_deadline: Instant,
+    /// The deadline of the message.
+    pub message_deadline: Instant,
+}
+
+/// Why an offer was not sent.
+#[derive(Debug, Error)]
+enum ConnectError {
+    #[error("connecting timed out")]
+    TimedOut,
+    #[error("connecting failed: {0}")]
+    Io(#[from] io::Error),
+    #[error("the HTTP handshake failed: {0}")]
+    Handshake(#[source] hyper::Error),
+}
+
+/// Why an offer has no answer.
+#[derive(Debug, Error)]
+enum OfferError {
+    /// The owner has not seen it.
+    #[error("the connection was closed before the offer was sent")]
     NotSent,
-    /// It may have gone.
-    Lost(String),
+    /// The owner may have seen it.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The owner may have seen it.
+    #[error("the connection failed: {0}")]
+    Connection(#[source] hyper::Error),
+    /// The headers of the offer are not valid.
+    #[error("the offer cannot be written: {0}")]
+    Request(#[source] hyper::http::Error),
+}
+
+impl From<OfferError> for OfferOutcome {
+    fn from(error: OfferError) -> Self {
+        match error {
+            OfferError::NotSent => OfferOutcome::NotSent(error.to_string()),
+            error => OfferOutcome::InDoubt(error.to_string()),
+        }
+    }
 }
 
 impl PeerConnections {
-    /// Makes an offer and reports its end. `until` and `deadline` are the offer's own times on this process's clock.
+    /// Makes an offer and reports its outcome as [`Input::OfferEnded`].
     pub async fn offer(
         self: Rc<Self>,
-        offer: Box<Offer>,
-        until: Instant,
-        deadline: Instant,
+        offer: Box<OutgoingOffer>,
+        times: OfferTimes,
         inputs: UnboundedSender<Input>,
     ) {
-        let end = self.exchange(&offer, until, deadline).await;
+        let outcome = self.exchange(&offer, times).await;
         // The receiver is gone only when the forwarder ends.
-        let _ = inputs.send(Input::OfferEnded { id: offer.id, end });
+        let _ = inputs.send(Input::OfferEnded { id: offer.id, outcome });
     }
 
-    async fn exchange(&self, offer: &Offer, until: Instant, deadline: Instant) -> OfferEnd {
-        while let Some(connection) = self.take_idle(offer.to) {
-            match self.request(connection, offer, until, deadline).await {
-                // An idle connection may close just as it is chosen.
-                Err(Failure::NotSent) => {}
-                answer => return end_of(answer),
+    async fn exchange(&self, offer: &OutgoingOffer, times: OfferTimes) -> OfferOutcome {
+        while let Some(connection) = self.take_idle(offer.owner_address) {
+            match self.send(connection, offer, times).await {
+                Ok(outcome) => return outcome,
+                // An idle connection may close just as it is chosen: the next is tried.
+                Err(OfferError::NotSent) => {}
+                Err(error) => return error.into(),
             }
         }
-        match connect(offer.to, until).await {
-            Ok(connection) => end_of(self.request(connection, offer, until, deadline).await),
-            Err(why) => OfferEnd::Unreached(why),
+        match connect(offer.owner_address, times.answer_deadline).await {
+            Ok(connection) => self.send(connection, offer, times).await.unwrap_or_else(OfferOutcome::from),
+            Err(error) => OfferOutcome::NotSent(error.to_string()),
         }
     }
 
-    fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&to)?;
-        kept.retain(|connection| connection.used.elapsed() < KEPT_FOR && !connection.sender.is_closed());
-        let last = kept.pop();
-        if kept.is_empty() {
-            idle.remove(&to);
+        let connections = idle.get_mut(&address)?;
+        connections.retain(Connection::is_reusable);
+        let last = connections.pop();
+        if connections.is_empty() {
+            idle.remove(&address);
         }
         last
     }
 
-    fn keep(&self, to: SocketAddr, mut connection: Connection) {
-        connection.used = Instant::now();
+    fn keep_idle(&self, address: SocketAddr, mut connection: Connection) {
+        connection.last_used = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(to).or_default();
-        if kept.len() < KEPT_PER_PEER {
-            kept.push(connection);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_PEER {
+            connections.push(connection);
         }
     }
 
-    async fn request(
+    async fn send(
         &self,
         mut connection: Connection,
-        offer: &Offer,
-        until: Instant,
-        deadline: Instant,
-    ) -> Result<OfferEnd, Failure> {
-        let request = request(offer, deadline).map_err(|error| Failure::Lost(error.to_string()))?;
-        let answer = timeout_at(until, async {
-            connection.sender.ready().await.map_err(|_| Failure::NotSent)?;
+        offer: &OutgoingOffer,
+        times: OfferTimes,
+    ) -> Result<OfferOutcome, OfferError> {
+        let request = request(offer, times.message_deadline).map_err(OfferError::Request)?;
+        let exchange = async {
+            connection.sender.ready().await.map_err(|_| OfferError::NotSent)?;
             connection.sender.send_request(request).await.map_err(|error| {
-                if error.is_canceled() { Failure::NotSent } else { Failure::Lost(error.to_string()) }
+                if error.is_canceled() { OfferError::NotSent } else { OfferError::Connection(error) }
             })
-        });
-        let answer = answer.await.map_err(|_| Failure::Lost("no answer in time".to_owned()))??;
-        let (end, has_body) = read(&answer);
-        if !has_body {
+        };
+        let answer =
+            timeout_at(times.answer_deadline, exchange).await.map_err(|_| OfferError::TimedOut)??;
+        let outcome = outcome_of(&answer);
+        // A connection with an unread body is closed.
+        if answer.body().is_end_stream() {
             drop(answer);
-            self.keep(offer.to, connection);
+            self.keep_idle(offer.owner_address, connection);
         }
-        Ok(end)
-    }
-}
-
-fn end_of(answer: Result<OfferEnd, Failure>) -> OfferEnd {
-    match answer {
-        Ok(end) => end,
-        Err(Failure::NotSent) => OfferEnd::Unreached("closed before the request went".to_owned()),
-        Err(Failure::Lost(why)) => OfferEnd::Unanswered(why),
+        Ok(outcome)
     }
 }
 
-async fn connect(to: SocketAddr, until: Instant) -> Result<Connection, String> {
-    let until = until.min(Instant::now() + CONNECT_TIME);
-    let connecting = timeout_at(until, TcpStream::connect(to)).await;
-    let stream = connecting.map_err(|_| "no connection in time".to_owned())?.map_err(|e| e.to_string())?;
-    // Small requests, each waited for.
-    stream.set_nodelay(true).map_err(|error| error.to_string())?;
+async fn connect(address: SocketAddr, answer_deadline: Instant) -> Result<Connection, ConnectError> {
+    let deadline = answer_deadline.min(Instant::now() + CONNECT_TIMEOUT);
+    let connecting = timeout_at(deadline, TcpStream::connect(address)).await;
+    let stream = connecting.map_err(|_| ConnectError::TimedOut)??;
+    // Offers are small, and each waits for its answer.
+    stream.set_nodelay(true)?;
     let (sender, connection) =
-        http1::handshake(TokioIo::new(stream)).await.map_err(|error| error.to_string())?;
-    let task = spawn_local(async move { drop(connection.await) }).abort_handle();
-    Ok(Connection { sender, task, used: Instant::now() })
+        http1::handshake(TokioIo::new(stream)).await.map_err(ConnectError::Handshake)?;
+    let driver = spawn_local(async move { drop(connection.await) }).abort_handle();
+    Ok(Connection { sender, driver, last_used: Instant::now() })
 }
 
-/// The request, in the form that clients use, with the mark.
-fn request(offer: &Offer, deadline: Instant) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let taken = &offer.taken;
-    let left = deadline.saturating_duration_since(Instant::now());
-    let mut request = Request::post(format!("/{}", taken.class))
-        .header(HOST, offer.to.to_string())
-        .header("X-Txn", &taken.id)
-        .header("X-Remaining", format!("{:.6}", left.as_secs_f64()))
-        .header("X-Consignee", format!("dest={}", taken.destination))
-        .header(HANDOVER, HeaderValue::from_bytes(&offer.mark.to_header())?);
-    if !taken.tenant.is_empty() {
-        request = request.header("X-Org", &taken.tenant);
+/// The request of an offer: the one that clients make, with the mark.
+fn request(
+    offer: &OutgoingOffer,
+    message_deadline: Instant,
+) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+    let message = &offer.message;
+    let remaining = message_deadline.saturating_duration_since(Instant::now());
+    let mut request = Request::post(format!("/{}", message.class))
+        .header(HOST, offer.owner_address.to_string())
+        .header("X-Txn", &message.id)
+        .header("X-Remaining", format!("{:.6}", remaining.as_secs_f64()))
+        .header("X-Consignee", format!("dest={}", message.destination))
+        .header(HANDOVER_HEADER, HeaderValue::from_bytes(&offer.mark.to_header())?);
+    if !message.tenant.is_empty() {
+        request = request.header("X-Org", &message.tenant);
     }
-    if let Some(key) = &taken.idempotency_key {
+    if let Some(key) = &message.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY, key);
     }
     request.body(Full::new(offer.body.clone()))
 }
 
-/// What an answer says, and whether it has a body that was not read.
-fn read(answer: &Response<Incoming>) -> (OfferEnd, bool) {
-    use hyper::body::Body;
-    let wait = server_wait_ms(answer.headers(), SystemTime::now());
-    let end = match answer.status() {
-        StatusCode::OK | StatusCode::ACCEPTED => OfferEnd::Taken,
-        StatusCode::SERVICE_UNAVAILABLE => OfferEnd::Refused(to_micros(wait)),
-        status if status.is_client_error() => OfferEnd::Refused(to_micros(wait)),
-        status => OfferEnd::Unanswered(format!("answered {status}")),
-    };
-    (end, !answer.body().is_end_stream())
+/// What an answer says of the offer.
+fn outcome_of(answer: &Response<Incoming>) -> OfferOutcome {
+    match answer.status() {
+        StatusCode::OK | StatusCode::ACCEPTED => OfferOutcome::Accepted,
+        status if status == StatusCode::SERVICE_UNAVAILABLE || status.is_client_error() => {
+            let retry_after_ms = server_wait_ms(answer.headers(), SystemTime::now());
+            OfferOutcome::Rejected(to_micros(retry_after_ms))
+        }
+        status => OfferOutcome::InDoubt(format!("answered {status}")),
+    }
 }
--- a/crates/forwarder/src/reducer/custody.rs
+++ b/crates/forwarder/src/reducer/custody.rs
@@ -4,7 +4,7 @@
 use super::handover::{ANSWER_TIME, DOUBT_TIME, Decision, Terms};
 use super::{AfterAppend, Reducer};
 use crate::input::Effect;
-use crate::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
+use crate::ownership::{HandoverMark, OfferOutcome, OutgoingOffer, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_core::interface::{
     DeduplicationScope, DestinationId, Event, Idempotency as ClassEffect, MessageId, Micros,
 };
@@ -70,7 +70,7 @@
 
     /// The member of this name.
     fn member(&self, name: &str) -> Option<Peer> {
-        let address = self.view.as_ref()?.member(name)?;
+        let address = self.view.as_ref()?.member_address(name)?;
         Some(Peer { name: name.to_owned(), address })
     }
 
@@ -92,7 +92,7 @@
 
     /// How many forwarders share a destination's limit, where each destination has owners.
     pub fn sharers(&self) -> Option<u32> {
-        self.view.as_ref().map(|view| view.owners_of_each())
+        self.view.as_ref().map(|view| view.owners_per_destination())
     }
 
     /// How many of these destinations this forwarder owns; beyond some, reckoned from evenly chosen ones.
@@ -120,22 +120,22 @@
     /// # Errors
     ///
     /// It cannot be read.
-    pub(super) fn accept_mark(&mut self, marked: Marked) -> Result<Option<Mark>, &'static str> {
+    pub(super) fn accept_mark(&mut self, marked: ReceivedMark) -> Result<Option<HandoverMark>, &'static str> {
         if !self.ownership.is_on() {
             return Ok(None);
         }
         match marked {
-            Marked::No => Ok(None),
-            Marked::Malformed => Err("X-Handover: malformed\n"),
-            Marked::Yes(mark) => Ok(Some(mark)),
+            ReceivedMark::Absent => Ok(None),
+            ReceivedMark::Malformed => Err("X-Handover: malformed\n"),
+            ReceivedMark::Valid(mark) => Ok(Some(mark)),
         }
     }
 
     /// A message is taken over from another forwarder. From who is no member it is taken all the same: the other may know
     /// a later view, and to hand it on would unbind its way.
-    pub(super) fn note_sender(&mut self, mark: &Mark) {
+    pub(super) fn note_sender(&mut self, mark: &HandoverMark) {
         let Ownership { view, strangers, counts, .. } = &mut self.ownership;
-        if view.as_ref().is_some_and(|view| view.member(&mark.from).is_some()) {
+        if view.as_ref().is_some_and(|view| view.member_address(&mark.from).is_some()) {
             return;
         }
         counts.from_strangers += 1;
@@ -166,7 +166,7 @@
             }
         }
         let view = self.ownership.view.as_ref();
-        self.handovers.take_members(|name| view.and_then(|view| view.member(name)));
+        self.handovers.take_members(|name| view.and_then(|view| view.member_address(name)));
         let settings = self.module_settings();
         if settings.fleet_size != self.sharers {
             self.sharers = settings.fleet_size;
@@ -356,32 +356,32 @@
         let (deadline, attempts, ran) = (taken.deadline, taken.attempts, taken.possible_delivery.clone());
         let first_offer = taken.handover.offered.as_ref().map_or(now, |offered| offered.offered_at);
         let valid_until = first_offer + DOUBT_TIME;
-        self.effects.push(Effect::Offer(Box::new(Offer {
+        self.effects.push(Effect::Offer(Box::new(OutgoingOffer {
             id,
-            to: peer.address,
+            owner_address: peer.address,
             body: message.body.clone(),
-            mark: Mark { from, deadline, valid_until, attempts, ran },
-            until: taken.deadline.min(now + ANSWER_TIME),
-            taken,
+            mark: HandoverMark { from, deadline, valid_until, attempts, possible_delivery: ran },
+            answer_deadline: taken.deadline.min(now + ANSWER_TIME),
+            message: taken,
         })));
     }
 
     /// An offer has ended.
-    pub(super) fn offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+    pub(super) fn offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferOutcome) {
         let was_in_doubt = self.handovers.is_in_doubt(id);
         self.handovers.ended(now, id, end);
         if self.messages.get(&id).is_none_or(|message| message.in_module) {
             return;
         }
         match end {
-            OfferEnd::Taken => return self.handed_over(now, id),
-            OfferEnd::Refused(_) | OfferEnd::Unreached(_) if !was_in_doubt => self.declined(id),
-            OfferEnd::Refused(_) | OfferEnd::Unreached(_) => {}
-            OfferEnd::Unanswered(_) => self.ownership.counts.unanswered += 1,
+            OfferOutcome::Accepted => return self.handed_over(now, id),
+            OfferOutcome::Rejected(_) | OfferOutcome::NotSent(_) if !was_in_doubt => self.declined(id),
+            OfferOutcome::Rejected(_) | OfferOutcome::NotSent(_) => {}
+            OfferOutcome::InDoubt(_) => self.ownership.counts.unanswered += 1,
         }
-        if let OfferEnd::Unreached(why) | OfferEnd::Unanswered(why) = end {
+        if let OfferOutcome::NotSent(why) | OfferOutcome::InDoubt(why) = end {
             let peer = self.handovers.peer_of(id).unwrap_or_default();
-            let doubt = if matches!(end, OfferEnd::Unanswered(_)) { " (in doubt)" } else { "" };
+            let doubt = if matches!(end, OfferOutcome::InDoubt(_)) { " (in doubt)" } else { "" };
             let txn = self.messages.get(&id).map_or("", |message| &message.taken.id);
             let line = format!("hand-over of {txn} to {peer}{doubt}: {why}");
             self.log(line);
@@ -481,7 +481,7 @@
             ("delivering_for_lack_of_owner", substitutes as u64),
             ("handover_unanswered", counts.unanswered),
             ("handover_waiting", waiting as u64),
-            ("owners_members", view.members() as u64),
+            ("owners_members", view.member_count() as u64),
             ("owners_view", view.version()),
             ("owners_view_age_s", age.unsigned_abs()),
         ] {
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -5,7 +5,7 @@
 //! the ends of time.
 
 use crate::backoff::Backoff;
-use crate::ownership::{OfferEnd, Peer};
+use crate::ownership::{OfferOutcome, Peer};
 use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -233,11 +233,11 @@
     }
 
     /// An offer has ended. What it means for the message is not decided here; it is due again unless it is removed.
-    pub fn ended(&mut self, now: Micros, id: MessageId, end: &OfferEnd) {
+    pub fn ended(&mut self, now: Micros, id: MessageId, end: &OfferOutcome) {
         let Some(peer) = self.offer_over(id) else { return };
         let Some(queue) = self.peers.get_mut(&peer) else { return };
         let mut due = now;
-        if let OfferEnd::Taken | OfferEnd::Refused(_) = end {
+        if let OfferOutcome::Accepted | OfferOutcome::Rejected(_) = end {
             queue.failing_since = None;
             queue.not_before = 0;
             queue.pause.reset();
@@ -251,7 +251,7 @@
             due = queue.not_before;
             self.failing.insert(peer.clone());
         }
-        if let (OfferEnd::Refused(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
+        if let (OfferOutcome::Rejected(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
             let bound = FIRST_PAUSE.saturating_mul(1 << waiting.refusals.min(10)).min(LONGEST_PAUSE);
             waiting.refusals += 1;
             due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.pause.within(bound / 2));
--- a/crates/forwarder/src/reducer/messages.rs
+++ b/crates/forwarder/src/reducer/messages.rs
@@ -99,7 +99,7 @@
         if let Some(mark) = mark {
             self.note_sender(&mark);
             deadline = deadline.min(mark.deadline);
-            (attempts, ran) = (mark.attempts, mark.ran);
+            (attempts, ran) = (mark.attempts, mark.possible_delivery);
         }
         let had_attempts = attempts > 0 || ran.is_some();
         let taken = AcceptedMessage {
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -358,7 +358,7 @@
             Input::NotificationsPosted { accepted } => self.posted(now, accepted),
             Input::PolicyStatus(status) => self.policy_status = status,
             Input::OwnersChanged(view) => self.take_owners(now, view),
-            Input::OfferEnded { id, end } => self.offer_ended(now, id, &end),
+            Input::OfferEnded { id, outcome: end } => self.offer_ended(now, id, &end),
             Input::ConfigReloaded(config) => self.reconfigure(now, *config),
             Input::Shutdown => self.terminate(now),
             Input::TimerDue => self.alarm(now),
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -5,7 +5,7 @@
 use super::discovery::Ended;
 use super::listener::{self, Connections};
 use super::next_hop::{self, Order};
-use super::peer_call::PeerConnections;
+use super::peer_call::{OfferTimes, PeerConnections};
 use super::pool::EndpointConnectionId;
 use super::reducer::Reducer;
 use super::reload::{Reloads, Source};
@@ -14,7 +14,7 @@
 use super::{discovery, inherited, notices};
 use crate::input::{Effect, Input, WatchId, WatchSource, update_sender};
 use crate::log;
-use crate::policy_agent::PolicyAgent;
+use crate::policy_participant::PolicyParticipant;
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_journal::{Journal, Opened};
@@ -107,9 +107,11 @@
                 self.links.remove(&link);
             }
             Effect::Offer(offer) => {
-                let until = self.clock.instant(offer.until);
-                let deadline = self.clock.instant(offer.taken.deadline);
-                spawn_local(self.peers.clone().offer(offer, until, deadline, self.inputs.clone()));
+                let times = OfferTimes {
+                    answer_deadline: self.clock.instant(offer.answer_deadline),
+                    message_deadline: self.clock.instant(offer.message.deadline),
+                };
+                spawn_local(self.peers.clone().offer(offer, times, self.inputs.clone()));
             }
             Effect::PostNotifications { to, notifications: notices } => {
                 spawn_local(notices::post(to, notices, self.inputs.clone()));
@@ -179,7 +181,7 @@
 /// started the process holds it.
 pub fn serve(
     source: Source,
-    policy: Option<Rc<dyn PolicyAgent>>,
+    policy: Option<Rc<dyn PolicyParticipant>>,
     state: &Path,
     fd: Option<RawFd>,
 ) -> Result<(), Box<dyn Error>> {
@@ -191,7 +193,7 @@
 
 async fn run(
     source: Source,
-    policy: Option<Rc<dyn PolicyAgent>>,
+    policy: Option<Rc<dyn PolicyParticipant>>,
     state: &Path,
     inherited: Option<std::net::TcpListener>,
 ) -> Result<(), Box<dyn Error>> {
@@ -259,7 +261,7 @@
         step(&mut runner, &mut reducer, &mut came).await;
     }
     if let Some(policy) = &policy {
-        drop(timeout(LEAVE_TIMEOUT, policy.leave()).await);
+        drop(timeout(LEAVE_TIMEOUT, policy.deregister()).await);
     }
     log!("ends");
     Ok(())
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -8,7 +8,7 @@
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Reply};
 use orchidyoke_forwarder::input::{Effect, Input, RequestId, SiblingUpdate, Submission, SubmitAnswer};
-use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use orchidyoke_forwarder::pool::EndpointConnectionId;
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{FinalAnswer, Generation, Record, replay};
@@ -379,7 +379,7 @@
                 destination: dest,
                 time_left,
                 is_retry: false,
-                handover_mark: Marked::No,
+                handover_mark: ReceivedMark::Absent,
                 body,
             };
             self.input(at, Input::Submitted { request: ticket, message });
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -11,7 +11,7 @@
 use orchidyoke_forwarder::console::{self, Reply as Said};
 use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Progress, Reply};
 use orchidyoke_forwarder::input::{Effect, Input, RequestId, Submission, SubmitAnswer, WatchSource};
-use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use orchidyoke_forwarder::pool::EndpointConnectionId;
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{FinalAnswer, Record, replay};
@@ -336,7 +336,7 @@
             destination: dest,
             time_left,
             is_retry: false,
-            handover_mark: Marked::No,
+            handover_mark: ReceivedMark::Absent,
             body,
         };
         self.input(Input::Submitted { request: ticket, message });
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -11,7 +11,9 @@
 use orchidyoke_forwarder::console::{Call, Reply};
 use orchidyoke_forwarder::hop_call::Reply as HopReply;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
-use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
+use orchidyoke_forwarder::ownership::{
+    HandoverMark, OfferOutcome, OutgoingOffer, Owner, Owners, Peer, ReceivedMark,
+};
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{AttemptStart, FinalAnswer, Record, replay};
 use std::collections::{BTreeMap, VecDeque};
@@ -69,15 +71,15 @@
         }
     }
 
-    fn member(&self, name: &str) -> Option<SocketAddr> {
+    fn member_address(&self, name: &str) -> Option<SocketAddr> {
         self.members.contains(&name).then(|| self.address(name))
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    fn owners_of_each(&self) -> u32 {
+    fn owners_per_destination(&self) -> u32 {
         1
     }
 }
@@ -125,7 +127,7 @@
     /// Connections to endpoints come up.
     endpoints_answer: bool,
     /// Offers that are out.
-    offers: VecDeque<Offer>,
+    offers: VecDeque<OutgoingOffer>,
     /// Ids written to endpoints.
     written: Vec<String>,
     notices: Vec<(String, FinalAnswer)>,
@@ -215,15 +217,15 @@
     }
 
     /// Before its first byte goes, the journal says to whom.
-    fn assert_journaled(&self, offer: &Offer) {
-        let owner = offer.taken.handover.offered.as_ref().map(|offered| offered.owner.as_str());
+    fn assert_journaled(&self, offer: &OutgoingOffer) {
+        let owner = offer.message.handover.offered.as_ref().map(|offered| offered.owner.as_str());
         let is_there = |record: &Record| match record {
             Record::HandoverOffered { message: txn, owner: to, .. } => {
-                *txn == offer.taken.id && Some(to.as_str()) == owner
+                *txn == offer.message.id && Some(to.as_str()) == owner
             }
             _ => false,
         };
-        assert!(self.records().iter().any(is_there), "{} is offered without a record", offer.taken.id);
+        assert!(self.records().iter().any(is_there), "{} is offered without a record", offer.message.id);
     }
 
     /// Time passes, with all that is due in it.
@@ -248,7 +250,7 @@
             destination: dest,
             time_left: 8 * S,
             is_retry: false,
-            handover_mark: Marked::No,
+            handover_mark: ReceivedMark::Absent,
             body: Bytes::from_static(b"body"),
         }
     }
@@ -265,16 +267,16 @@
         assert_eq!(self.hand_in(message), SubmitAnswer::Accepted, "{txn}");
     }
 
-    fn offer(&mut self) -> Offer {
+    fn offer(&mut self) -> OutgoingOffer {
         self.offers.pop_front().expect("an offer")
     }
 
-    fn end(&mut self, offer: &Offer, end: OfferEnd) {
-        self.input(Input::OfferEnded { id: offer.id, end });
+    fn end(&mut self, offer: &OutgoingOffer, end: OfferOutcome) {
+        self.input(Input::OfferEnded { id: offer.id, outcome: end });
     }
 
     /// Each offer of the time to come ends so.
-    fn wait_with(&mut self, span: Micros, end: &OfferEnd) -> usize {
+    fn wait_with(&mut self, span: Micros, end: &OfferOutcome) -> usize {
         let (until, mut ended) = (self.now + span, 0);
         while self.now < until {
             while let Some(offer) = self.offers.pop_front() {
@@ -297,17 +299,23 @@
     }
 }
 
-fn unanswered() -> OfferEnd {
-    OfferEnd::Unanswered("no answer in time".to_owned())
+fn unanswered() -> OfferOutcome {
+    OfferOutcome::InDoubt("no answer in time".to_owned())
 }
 
-fn unreached() -> OfferEnd {
-    OfferEnd::Unreached("refused".to_owned())
+fn unreached() -> OfferOutcome {
+    OfferOutcome::NotSent("refused".to_owned())
 }
 
-fn marked(from: &str, now: Micros) -> Marked {
+fn marked(from: &str, now: Micros) -> ReceivedMark {
     let (deadline, valid_until) = (now + 8 * S, now + 20 * S);
-    Marked::Yes(Mark { from: from.to_owned(), deadline, valid_until, attempts: 0, ran: None })
+    ReceivedMark::Valid(HandoverMark {
+        from: from.to_owned(),
+        deadline,
+        valid_until,
+        attempts: 0,
+        possible_delivery: None,
+    })
 }
 
 // Guards against a message that is delivered by who does not own its destination, or with less than it came with.
@@ -317,20 +325,21 @@
     world.take("a", 1);
     world.take("own", 2);
     let offer = world.offer();
-    assert_eq!(offer.to, address("f1"));
+    assert_eq!(offer.owner_address, address("f1"));
     assert_eq!(
-        (offer.taken.id.as_str(), offer.taken.class.as_str(), offer.taken.destination),
+        (offer.message.id.as_str(), offer.message.class.as_str(), offer.message.destination),
         ("a", "bread", 1)
     );
-    assert_eq!(offer.taken.idempotency_key.as_deref(), Some("key of a"));
+    assert_eq!(offer.message.idempotency_key.as_deref(), Some("key of a"));
     assert_eq!(offer.body, Bytes::from_static(b"body"));
     let (deadline, valid_until) = (START + 8 * S, offer.mark.valid_until);
-    let mark = Mark { from: "f0".to_owned(), deadline, valid_until, attempts: 0, ran: None };
+    let mark =
+        HandoverMark { from: "f0".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
     assert_eq!(offer.mark, mark);
     assert!((START + 20 * S..=START + 21 * S).contains(&valid_until), "20 s after the first offer");
     assert!(world.offers.is_empty(), "its own is not offered");
     assert_eq!(world.written, ["own"]);
-    world.end(&offer, OfferEnd::Taken);
+    world.end(&offer, OfferOutcome::Accepted);
     world.wait(10 * S);
     assert_eq!(world.written, ["own"]);
     assert!(world.notices.is_empty() && world.offers.is_empty());
@@ -349,7 +358,7 @@
     world.take("a", 1);
     let offer = world.offer();
     assert!(world.offers.is_empty());
-    world.end(&offer, OfferEnd::Taken);
+    world.end(&offer, OfferOutcome::Accepted);
     world.take("a", 1);
     assert!(world.offers.is_empty());
     let mut world = world.restarted(fleet());
@@ -393,8 +402,14 @@
             Some(AttemptStart { started_at: START - S, endpoint: "s-a".to_owned(), zone: "a".to_owned() });
         let deadline = world.now + 4 * S;
         let valid_until = world.now + 20 * S;
-        let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 1, ran };
-        let message = Submission { handover_mark: Marked::Yes(mark), ..world.handed("a", 1) };
+        let mark = HandoverMark {
+            from: "f1".to_owned(),
+            deadline,
+            valid_until,
+            attempts: 1,
+            possible_delivery: ran,
+        };
+        let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.handed("a", 1) };
         let answer = world.hand_in(message);
         assert_eq!(!world.written.is_empty(), is_sent, "{class:?}: {answer:?}");
     }
@@ -406,8 +421,9 @@
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let deadline = world.now - S;
     let valid_until = world.now + 20 * S;
-    let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, ran: None };
-    let message = Submission { handover_mark: Marked::Yes(mark), ..world.handed("a", 1) };
+    let mark =
+        HandoverMark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
+    let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.handed("a", 1) };
     let answer = world.hand_in(message);
     assert!(answer != SubmitAnswer::Accepted && world.written.is_empty(), "{answer:?}");
 }
@@ -417,8 +433,9 @@
 fn an_offer_that_is_read_after_its_time_is_refused() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let (deadline, valid_until) = (world.now + 8 * S, world.now - 1);
-    let mark = Mark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, ran: None };
-    let message = Submission { handover_mark: Marked::Yes(mark), ..world.handed("a", 1) };
+    let mark =
+        HandoverMark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
+    let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.handed("a", 1) };
     let answer = world.hand_in(message);
     assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
     world.wait(S);
@@ -435,7 +452,7 @@
         (None, SubmitAnswer::Accepted),
     ] {
         let mut world = World::new(Class::Safe, owners);
-        let message = Submission { handover_mark: Marked::Malformed, ..world.handed("a", 1) };
+        let message = Submission { handover_mark: ReceivedMark::Malformed, ..world.handed("a", 1) };
         assert_eq!(world.hand_in(message), expected);
     }
     let mut world = World::new(Class::Safe, None);
@@ -463,11 +480,11 @@
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
-    world.end(&offer, OfferEnd::Refused(3 * S));
+    world.end(&offer, OfferOutcome::Rejected(3 * S));
     world.wait(2_900 * MS);
     assert!(world.offers.is_empty(), "before the wait is over");
     world.wait(400 * MS);
-    let offers = world.wait_with(7 * S, &OfferEnd::Refused(0));
+    let offers = world.wait_with(7 * S, &OfferOutcome::Rejected(0));
     assert!((2..40).contains(&offers), "{offers} offers");
     assert!(world.written.is_empty());
     // Never taken: the client may hand it in again.
@@ -490,9 +507,9 @@
     })));
     world.wait(3 * S);
     let again = world.offer();
-    assert_eq!((again.to, again.taken.id.as_str()), (address("f1"), "a"));
+    assert_eq!((again.owner_address, again.message.id.as_str()), (address("f1"), "a"));
     assert!(world.written.is_empty() && world.offers.is_empty());
-    world.end(&again, OfferEnd::Taken);
+    world.end(&again, OfferOutcome::Accepted);
     world.wait(10 * S);
     assert!(world.written.is_empty() && world.notices.is_empty());
 }
@@ -500,7 +517,7 @@
 // Guards against a doubt that a later refusal, or an owner that cannot be reached, is taken to end.
 #[test]
 fn a_doubt_outlasts_what_later_offers_say() {
-    for later in [OfferEnd::Refused(0), unreached()] {
+    for later in [OfferOutcome::Rejected(0), unreached()] {
         let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
         world.take("a", 1);
         let offer = world.offer();
@@ -557,7 +574,11 @@
     }
     world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     let offers = [world.offer(), world.offer()];
-    assert!(offers.iter().all(|offer| offer.to == address("f2") && offer.mark.ran.is_none()));
+    assert!(
+        offers
+            .iter()
+            .all(|offer| offer.owner_address == address("f2") && offer.mark.possible_delivery.is_none())
+    );
     world.end(&offers[0], unreached());
     world.input(Input::OwnersChanged(Fleet::of(3, ["f0", "f0", "f2"])));
     world.wait(S);
@@ -573,7 +594,7 @@
     world.input(Input::OwnersChanged(Fleet::of(2, ["f0", "f0", "f2"])));
     world.wait(900 * MS);
     assert!(world.written.is_empty());
-    world.end(&offer, OfferEnd::Taken);
+    world.end(&offer, OfferOutcome::Accepted);
     world.wait(S);
     assert!(world.written.is_empty() && world.notices.is_empty());
 }
@@ -588,13 +609,13 @@
     let (owners, members) = (BTreeMap::from([(1, "f1")]), vec!["f0", "f1"]);
     world.input(Input::OwnersChanged(Rc::new(Fleet { version: 2, owners, members, moved: 500 })));
     world.wait(S);
-    assert_eq!(world.offer().to.port(), address("f1").port() + 500);
+    assert_eq!(world.offer().owner_address.port(), address("f1").port() + 500);
 }
 
 // Guards against a new owner that sends at the whole rate while the one before it may still do so.
 #[test]
 fn a_new_owner_begins_as_for_a_destination_that_comes_back() {
-    let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, marked: Marked| {
+    let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, marked: ReceivedMark| {
         let [before, after] = owners;
         let mut world = World::new(Class::Safe, Some(before));
         world.input(Input::OwnersChanged(after));
@@ -606,9 +627,9 @@
     };
     let own = || Fleet::of(2, ["f0", "f0", "f0"]);
     let others = |version| Fleet::of(version, ["f0", "f0", "f1"]);
-    assert!(is_cold([others(1), own()], 0, Marked::No), "another had it before");
-    assert!(!is_cold([own(), own()], 0, Marked::No), "it was its own before");
-    assert!(!is_cold([others(1), own()], 10 * S, Marked::No), "it has been for long");
+    assert!(is_cold([others(1), own()], 0, ReceivedMark::Absent), "another had it before");
+    assert!(!is_cold([own(), own()], 0, ReceivedMark::Absent), "it was its own before");
+    assert!(!is_cold([others(1), own()], 10 * S, ReceivedMark::Absent), "it has been for long");
     let handed_over = marked("f2", START + 10 * S);
     assert!(is_cold([others(1), others(2)], 10 * S, handed_over), "only the other takes it for the owner");
 }
@@ -619,7 +640,7 @@
     let mut world = World::new(Class::Safe, Some(Fleet::of(5, ["f1", "f1", "f1"])));
     world.input(Input::OwnersChanged(Fleet::of(4, ["f2", "f2", "f2"])));
     world.take("a", 1);
-    assert_eq!(world.offer().to, address("f1"));
+    assert_eq!(world.offer().owner_address, address("f1"));
     assert!(world.logged.iter().any(|line| line.contains("view 4 is older than view 5")));
     assert_eq!(world.figure("owners_view"), 5);
 }
@@ -633,7 +654,7 @@
     let first = world.offer();
     let mut world = world.restarted(fleet());
     let again = world.offer();
-    assert_eq!((again.to, &again.taken.id), (first.to, &first.taken.id));
+    assert_eq!((again.owner_address, &again.message.id), (first.owner_address, &first.message.id));
     world.end(&again, unreached());
     // In doubt since before the restart: not reached now says nothing of then.
     let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
@@ -651,7 +672,7 @@
     world.end(&offer, unreached());
     let mut world = world.restarted(Some(Fleet::of(2, ["f2", "f0", "f2"])));
     let offer = world.offer();
-    assert_eq!((offer.to, offer.mark.ran), (address("f2"), None));
+    assert_eq!((offer.owner_address, offer.mark.possible_delivery), (address("f2"), None));
 }
 
 // Guards against a journal rewrite that drops where a message stands.
@@ -699,7 +720,7 @@
     // One that refuses is there: nothing goes around it.
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
     world.take("a1", 1);
-    world.wait_with(5 * S, &OfferEnd::Refused(0));
+    world.wait_with(5 * S, &OfferOutcome::Rejected(0));
     assert!(world.written.is_empty());
 }
 
@@ -727,7 +748,7 @@
     assert!((2..20).contains(&offers), "{offers} offers in 3 s");
     world.wait(2 * S);
     let offer = world.offer();
-    world.end(&offer, OfferEnd::Taken);
+    world.end(&offer, OfferOutcome::Accepted);
     assert_eq!(world.offers.len(), 16, "it answers");
 }
 
@@ -742,8 +763,8 @@
     world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     world.wait(MS);
     let next = world.offer();
-    let ran = next.mark.ran.expect("it may have run");
-    assert_eq!((next.to, ran.endpoint.as_str()), (address("f2"), ""));
+    let ran = next.mark.possible_delivery.expect("it may have run");
+    assert_eq!((next.owner_address, ran.endpoint.as_str()), (address("f2"), ""));
     assert!(ran.started_at <= offered_at, "not later than it was offered");
 }
 
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -12,7 +12,7 @@
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, WatchSource};
-use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{FinalAnswer, Record, replay};
 use std::collections::VecDeque;
@@ -239,7 +239,7 @@
             destination: 2,
             time_left: 20 * S,
             is_retry: false,
-            handover_mark: Marked::No,
+            handover_mark: ReceivedMark::Absent,
             body: Bytes::from_static(b"x"),
         };
         let mut file = Vec::new();
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -9,7 +9,7 @@
 use common::{S, START};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
-use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::FinalAnswer;
 
@@ -73,7 +73,7 @@
             destination: 2,
             time_left: S,
             is_retry: false,
-            handover_mark: Marked::No,
+            handover_mark: ReceivedMark::Absent,
             body,
         };
         let effects = reducer.step(START, Input::Submitted { request: 1, message });
@@ -111,7 +111,7 @@
                 destination: 2,
                 time_left: S,
                 is_retry: false,
-                handover_mark: Marked::No,
+                handover_mark: ReceivedMark::Absent,
                 body,
             };
             for effect in reducer.step(START, Input::Submitted { request: ticket, message }) {
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -11,8 +11,8 @@
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::config::{Config, ConfigError};
 use orchidyoke_forwarder::input;
-use orchidyoke_forwarder::policy_agent::{PolicyAgent, PolicyStatus, Task};
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
+use orchidyoke_forwarder::policy_participant::{PolicyParticipant, PolicyStatus, Task};
 use orchidyoke_forwarder::reload::Source;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -281,7 +281,7 @@
     }
 }
 
-impl PolicyAgent for ConsulParticipant {
+impl PolicyParticipant for ConsulParticipant {
     fn join<'a>(&'a self, source: &'a Source) -> Task<'a> {
         Box::pin(async move {
             let mut locks = self.locks();
@@ -328,7 +328,7 @@
         })
     }
 
-    fn leave(&self) -> Task<'_> {
+    fn deregister(&self) -> Task<'_> {
         Box::pin(async {
             let session = self.session.borrow_mut().take();
             if let Some(session) = session {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -114,7 +114,8 @@
 }
 
 /// Where the configuration comes from, and who follows the policy of the fleet.
-type SourceAndPolicy = (Source, Option<std::rc::Rc<dyn orchidyoke_forwarder::policy_agent::PolicyAgent>>);
+type SourceAndPolicy =
+    (Source, Option<std::rc::Rc<dyn orchidyoke_forwarder::policy_participant::PolicyParticipant>>);
 
 impl Given {
     fn source(self) -> Result<Source, ConfigError> {
--- a/src/owners.rs
+++ b/src/owners.rs
@@ -50,15 +50,15 @@
         self.owner(self.view.owner(destination))
     }
 
-    fn member(&self, name: &str) -> Option<SocketAddr> {
+    fn member_address(&self, name: &str) -> Option<SocketAddr> {
         self.view.member(name).map(|member| member.address)
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         self.view.members().len()
     }
 
-    fn owners_of_each(&self) -> u32 {
+    fn owners_per_destination(&self) -> u32 {
         self.region_count
     }
 }
