--- /dev/null
+++ b/crates/rollout/tests/progress.rs
@@ -0,0 +1,160 @@
+//! The progress record and the next step chosen from it.
+
+use orchidyoke_rollout::progress::{Progress, ProgressRecord, Step};
+use orchidyoke_rollout::progress_file::ProgressFile;
+
+const NAMES: [&str; 4] = ["a", "b", "c", "d"];
+const COUNTS: [usize; 3] = [1, 2, 4];
+
+fn next(records: &[ProgressRecord]) -> Step {
+    Progress::of(records).next_step(&NAMES, &COUNTS)
+}
+
+fn changed(name: &str) -> [ProgressRecord; 2] {
+    [ProgressRecord::ChangeStarted(name.into()), ProgressRecord::ChangeApplied(name.into())]
+}
+
+#[test]
+fn next_step_goes_stage_by_stage() {
+    assert_eq!(next(&[]), Step::ApplyChange(0));
+    let mut records = changed("a").to_vec();
+    assert_eq!(next(&records), Step::RunStage(0));
+    records.push(ProgressRecord::StagePassed(0));
+    assert_eq!(next(&records), Step::ApplyChange(1));
+    records.extend(changed("b"));
+    assert_eq!(next(&records), Step::RunStage(1));
+    records.push(ProgressRecord::StagePassed(1));
+    records.extend(changed("c"));
+    assert_eq!(next(&records), Step::ApplyChange(3));
+    records.extend(changed("d"));
+    assert_eq!(next(&records), Step::RecordCompletion);
+    records.push(ProgressRecord::Completed);
+    assert_eq!(next(&records), Step::Completed);
+}
+
+// Guards against a forwarder left half-changed by a kill between the two records, and against changing one twice.
+#[test]
+fn unfinished_change_is_repeated_first_and_a_finished_one_never() {
+    let records = [
+        changed("a").to_vec(),
+        vec![ProgressRecord::StagePassed(0), ProgressRecord::ChangeStarted("b".into())],
+    ]
+    .concat();
+    assert_eq!(next(&records), Step::ApplyChange(1));
+    let records = [records, vec![ProgressRecord::ChangeApplied("b".into())]].concat();
+    assert_eq!(next(&records), Step::RunStage(1));
+}
+
+// Guards against a stop that leaves a changed forwarder, or one half-changed, as it is.
+#[test]
+fn stop_rolls_back_every_forwarder_whose_change_started() {
+    let records = [
+        changed("a").to_vec(),
+        vec![
+            ProgressRecord::StagePassed(0),
+            ProgressRecord::ChangeStarted("b".into()),
+            ProgressRecord::Stopped("worse".into()),
+        ],
+    ]
+    .concat();
+    assert_eq!(next(&records), Step::RollBack(0));
+    let records =
+        [records, vec![ProgressRecord::RollbackStarted("a".into()), ProgressRecord::RolledBack("a".into())]]
+            .concat();
+    assert_eq!(next(&records), Step::RollBack(1));
+    let records = [records, vec![ProgressRecord::RolledBack("b".into())]].concat();
+    assert_eq!(next(&records), Step::RolledBack("worse".into()));
+}
+
+/// Carries out steps as `run` writes them, from these records on, until nothing is left; a stop is written
+/// when stage `stop_at` is baked.
+fn drive(mut records: Vec<ProgressRecord>, stop_at: Option<usize>) -> Vec<ProgressRecord> {
+    loop {
+        match Progress::of(&records).next_step(&NAMES, &COUNTS) {
+            Step::ApplyChange(place) => {
+                records.push(ProgressRecord::ChangeStarted(NAMES[place].into()));
+                records.push(ProgressRecord::ChangeApplied(NAMES[place].into()));
+            }
+            Step::RunStage(stage) if Some(stage) == stop_at => {
+                records.push(ProgressRecord::Stopped("worse".into()))
+            }
+            Step::RunStage(stage) => records.push(ProgressRecord::StagePassed(stage)),
+            Step::RollBack(place) => {
+                records.push(ProgressRecord::RollbackStarted(NAMES[place].into()));
+                records.push(ProgressRecord::RolledBack(NAMES[place].into()));
+            }
+            Step::RecordCompletion => records.push(ProgressRecord::Completed),
+            Step::Completed | Step::RolledBack(_) => return records,
+        }
+    }
+}
+
+fn count(records: &[ProgressRecord], wanted: impl Fn(&ProgressRecord) -> bool) -> usize {
+    records.iter().filter(|record| wanted(record)).count()
+}
+
+// Guards against a tool killed between any two records that then changes a forwarder twice, leaves one
+// unchanged, or after a stop leaves one touched and not taken back.
+#[test]
+fn kill_between_any_two_records_leads_to_the_same_end() {
+    for stop_at in [None, Some(0), Some(1)] {
+        let whole = drive(Vec::new(), stop_at);
+        for cut in 0..=whole.len() {
+            let resumed = drive(whole[..cut].to_vec(), stop_at);
+            let progress = Progress::of(&resumed);
+            for name in NAMES {
+                let changed = count(&resumed, |r| *r == ProgressRecord::ChangeApplied(name.into()));
+                assert!(changed <= 1, "{name} changed twice after a cut at {cut}: {resumed:?}");
+                match stop_at {
+                    None => assert_eq!(changed, 1, "{name} after a cut at {cut}"),
+                    Some(_) => assert_eq!(
+                        progress.change_started.contains(name),
+                        progress.rolled_back.contains(name),
+                        "{name} after a cut at {cut}: {resumed:?}"
+                    ),
+                }
+            }
+            assert_eq!(progress.completed, stop_at.is_none(), "after a cut at {cut}");
+        }
+    }
+}
+
+#[test]
+fn progress_file_keeps_whole_lines_and_cuts_a_torn_one() {
+    let folder = std::env::temp_dir().join(format!("orchidyoke-rollout-log-{}", std::process::id()));
+    drop(std::fs::remove_dir_all(&folder));
+    let (mut file, records) = ProgressFile::open(&folder).unwrap();
+    assert!(records.is_empty());
+    file.append(&ProgressRecord::ChangeStarted("a".into())).unwrap();
+    file.append(&ProgressRecord::ChangeApplied("a".into())).unwrap();
+    drop(file);
+    let path = folder.join("rollout.jsonl");
+    let mut text = std::fs::read_to_string(&path).unwrap();
+    text.push_str("{\"chang");
+    std::fs::write(&path, text).unwrap();
+    let (mut file, records) = ProgressFile::open(&folder).unwrap();
+    assert_eq!(records, changed("a"));
+    file.append(&ProgressRecord::StagePassed(0)).unwrap();
+    let (_, records) = ProgressFile::open(&folder).unwrap();
+    assert_eq!(records.last(), Some(&ProgressRecord::StagePassed(0)));
+    drop(std::fs::remove_dir_all(&folder));
+}
+
+// Guards against a record renamed: a rollout is resumed from the file of an earlier program.
+#[test]
+fn records_keep_their_stored_form() {
+    let stored = [
+        (ProgressRecord::Started { plan_digest: "d".into() }, r#"{"began":{"plan":"d"}}"#),
+        (ProgressRecord::ChangeStarted("f".into()), r#"{"changing":"f"}"#),
+        (ProgressRecord::ChangeApplied("f".into()), r#"{"changed":"f"}"#),
+        (ProgressRecord::StagePassed(1), r#"{"passed":1}"#),
+        (ProgressRecord::Stopped("worse".into()), r#"{"stopped":"worse"}"#),
+        (ProgressRecord::RollbackStarted("f".into()), r#"{"taking_back":"f"}"#),
+        (ProgressRecord::RolledBack("f".into()), r#"{"taken_back":"f"}"#),
+        (ProgressRecord::Completed, r#""done""#),
+    ];
+    for (record, line) in stored {
+        assert_eq!(serde_json::to_string(&record).unwrap(), line);
+        assert_eq!(serde_json::from_str::<ProgressRecord>(line).unwrap(), record);
+    }
+}
--- /dev/null
+++ b/crates/supervisor/tests/wire_control.rs
@@ -0,0 +1,96 @@
+//! Protects the control protocol: the requests, and both sides of the replies.
+
+use orchidyoke_supervisor::client::{CallError, call, status};
+use orchidyoke_supervisor::protocol::{FailedUpgrade, Request, SupervisorStatus, is_release_name};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+
+const TIMEOUT: Duration = Duration::from_secs(20);
+const STATUS: &str = include_str!("fixtures/wire/shown.json");
+const BARE_STATUS: &str = include_str!("fixtures/wire/shown_bare.json");
+
+fn full_status() -> SupervisorStatus {
+    SupervisorStatus {
+        release: "v1.2-rc3".to_owned(),
+        slot: 1,
+        settled: true,
+        restarts: 5,
+        failed_upgrade: Some(FailedUpgrade {
+            release: "v1.3".to_owned(),
+            reason: "it was not ready".to_owned(),
+        }),
+        pid: Some(4711),
+    }
+}
+
+fn bare_status() -> SupervisorStatus {
+    SupervisorStatus {
+        slot: 0,
+        settled: false,
+        restarts: 0,
+        failed_upgrade: None,
+        pid: None,
+        ..full_status()
+    }
+}
+
+/// Reads a request line; a rejection as its text on the wire.
+fn parse(line: &str) -> Result<Request, String> {
+    Request::parse(line).map_err(|reason| reason.to_string())
+}
+
+#[test]
+fn requests_are_read_as_before() {
+    assert_eq!(parse("show"), Ok(Request::Status));
+    assert_eq!(parse("upgrade v1.2_rc3+a"), Ok(Request::Upgrade("v1.2_rc3+a".to_owned())));
+    let no_name = Err("a release is the name of a file in the folder of releases".to_owned());
+    assert_eq!(parse("upgrade ../v1"), no_name);
+    assert_eq!(parse("upgrade .v1"), no_name);
+    for line in ["", "SHOW", "show all", "upgrade", "upgrade a b", "ready"] {
+        assert_eq!(parse(line), Err("unknown: show, or upgrade RELEASE".to_owned()), "{line}");
+    }
+    assert!(is_release_name("v1.2_rc3+a") && !is_release_name("") && !is_release_name("a b"));
+}
+
+#[test]
+fn status_is_written_and_read_as_before() {
+    for (text, expected) in [(STATUS, full_status()), (BARE_STATUS, bare_status())] {
+        assert_eq!(serde_json::to_string(&expected).expect("JSON") + "\n", text);
+        assert_eq!(serde_json::from_str::<SupervisorStatus>(text).expect("read"), expected);
+    }
+}
+
+/// A supervisor that gives one caller this reply: its address, and the line that the caller sent.
+fn scripted_supervisor(reply: String) -> (SocketAddr, JoinHandle<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let sent = thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a caller");
+        let mut line = String::new();
+        BufReader::new(stream.try_clone().expect("a socket")).read_line(&mut line).expect("a line");
+        stream.write_all(reply.as_bytes()).expect("written");
+        line
+    });
+    (address, sent)
+}
+
+#[test]
+fn caller_sends_its_line_and_reads_the_reply_as_before() {
+    let (address, sent) = scripted_supervisor(format!("200 {STATUS}"));
+    assert_eq!(status(address, TIMEOUT).expect("shown"), full_status());
+    assert_eq!(sent.join().expect("a line"), "show\n");
+    let upgrade = Request::Upgrade("v1.3".to_owned());
+    let (address, sent) = scripted_supervisor("200 upgrading\n".to_owned());
+    assert_eq!(call(address, &upgrade, TIMEOUT).expect("done"), "upgrading");
+    assert_eq!(sent.join().expect("a line"), "upgrade v1.3\n");
+    let (address, _) = scripted_supervisor("400 there is no such release\n".to_owned());
+    let rejected = call(address, &upgrade, TIMEOUT);
+    assert!(
+        matches!(&rejected, Err(CallError::Rejected { reason, .. }) if reason == "there is no such release"),
+        "{rejected:?}"
+    );
+    let (address, _) = scripted_supervisor("404 what\n".to_owned());
+    assert!(matches!(call(address, &Request::Status, TIMEOUT), Err(CallError::InvalidReply { .. })));
+}
