--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -14,8 +14,8 @@
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::next_hop::run;
 use orchidyoke_forwarder::notices::post;
-use orchidyoke_forwarder::ownership::{Mark, Offer, OfferEnd};
-use orchidyoke_forwarder::peer_call::PeerConnections;
+use orchidyoke_forwarder::ownership::{HandoverMark, OfferOutcome, OutgoingOffer};
+use orchidyoke_forwarder::peer_call::{OfferTimes, PeerConnections};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -194,14 +194,14 @@
     assert_eq!(told, expected);
 }
 
-fn offer(to: SocketAddr, whole: bool) -> Box<Offer> {
+fn offer(owner_address: SocketAddr, whole: bool) -> Box<OutgoingOffer> {
     let ran = AttemptStart {
         started_at: 1_799_999_999_000_000,
         endpoint: "s-5be2a07c".to_owned(),
         zone: "b".to_owned(),
     };
     let deadline = 1_800_000_000_000_000;
-    let taken = AcceptedMessage {
+    let message = AcceptedMessage {
         id: "9b1f03aa5c7e2d41".to_owned(),
         class: "orders".to_owned(),
         tenant: if whole { "acme".to_owned() } else { String::new() },
@@ -213,24 +213,25 @@
         in_flight: None,
         handover: HandoverState::default(),
     };
-    let mark = Mark {
+    let mark = HandoverMark {
         from: "n1".to_owned(),
         deadline,
         valid_until: 1_800_000_000_400_000,
         attempts: 3,
-        ran: whole.then_some(ran),
+        possible_delivery: whole.then_some(ran),
     };
-    Box::new(Offer { id: 5, to, taken, body: Bytes::from_static(b"hello"), mark, until: 0 })
+    let body = Bytes::from_static(b"hello");
+    Box::new(OutgoingOffer { id: 5, owner_address, message, body, mark, answer_deadline: 0 })
 }
 
 /// Makes an offer that gets this answer; its end, and what was said, with the time left out.
-fn offered(answer: &str, whole: bool) -> (String, OfferEnd) {
+fn offered(answer: &str, whole: bool) -> (String, OfferOutcome) {
     let (said, end) = asked(answer, async |at| {
         let (sender, mut inputs) = unbounded_channel();
-        let until = soon();
-        Rc::new(PeerConnections::default()).offer(offer(at, whole), until, until, sender).await;
+        let times = OfferTimes { answer_deadline: soon(), message_deadline: soon() };
+        Rc::new(PeerConnections::default()).offer(offer(at, whole), times, sender).await;
         match inputs.recv().await {
-            Some(Input::OfferEnded { id: 5, end }) => end,
+            Some(Input::OfferEnded { id: 5, outcome }) => outcome,
             other => panic!("{other:?}"),
         }
     });
@@ -247,21 +248,21 @@
     let taken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     let (whole, bare) = (offered(taken, true), offered(taken, false));
     assert_golden("offers.txt", &format!("{}\n{}", whole.0, bare.0));
-    assert_eq!((whole.1, bare.1), (OfferEnd::Taken, OfferEnd::Taken));
+    assert_eq!((whole.1, bare.1), (OfferOutcome::Accepted, OfferOutcome::Accepted));
 }
 
 #[test]
 fn answers_to_an_offer_are_read_by_their_status_and_headers() {
     for (head, expected) in [
-        ("200 OK", OfferEnd::Taken),
-        ("503 Service Unavailable\r\nRetry-After: 1.250", OfferEnd::Refused(1_250_000)),
-        ("503 Service Unavailable\r\nX-Come-Back-Ms: 700", OfferEnd::Refused(700_000)),
-        ("400 Bad Request", OfferEnd::Refused(0)),
-        ("404 Not Found", OfferEnd::Refused(0)),
+        ("200 OK", OfferOutcome::Accepted),
+        ("503 Service Unavailable\r\nRetry-After: 1.250", OfferOutcome::Rejected(1_250_000)),
+        ("503 Service Unavailable\r\nX-Come-Back-Ms: 700", OfferOutcome::Rejected(700_000)),
+        ("400 Bad Request", OfferOutcome::Rejected(0)),
+        ("404 Not Found", OfferOutcome::Rejected(0)),
     ] {
         let (_, end) = offered(&format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"), true);
         assert_eq!(end, expected, "{head}");
     }
     let (_, end) = offered("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true);
-    assert!(matches!(end, OfferEnd::Unanswered(_)), "{end:?}");
+    assert!(matches!(end, OfferOutcome::InDoubt(_)), "{end:?}");
 }
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -5,7 +5,7 @@
 use crate::cli::{CommitPointArgs, PolicyCommand};
 use crate::installation;
 use orchidyoke_forwarder::log;
-use orchidyoke_policy_commit::propose::Office;
+use orchidyoke_policy_commit::Coordinator;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -23,9 +23,9 @@
     let commit_point = commit_point_args(&command);
     log::start(commit_point.log.into());
     let settings = installation::read(&commit_point.settings)?;
-    let office = Office::new(settings.policy.ok_or(PolicyCommandError::NoCommitPoint)?);
+    let coordinator = Coordinator::new(settings.policy.ok_or(PolicyCommandError::NoCommitPoint)?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, carry_out(command, office))
+    tokio::task::LocalSet::new().block_on(&runtime, carry_out(command, coordinator))
 }
 
 fn commit_point_args(command: &PolicyCommand) -> &CommitPointArgs {
@@ -35,41 +35,41 @@
     commit_point
 }
 
-async fn carry_out(command: PolicyCommand, office: Office) -> CommandResult {
+async fn carry_out(command: PolicyCommand, coordinator: Coordinator) -> CommandResult {
     match command {
         PolicyCommand::Propose { policy, patience, by, .. } => {
-            propose(office, &policy, &by, Duration::from_secs(patience)).await
+            propose(coordinator, &policy, &by, Duration::from_secs(patience)).await
         }
-        PolicyCommand::Status { .. } => print_status(office).await,
-        PolicyCommand::Abort { .. } => abort(office).await,
+        PolicyCommand::Status { .. } => print_status(coordinator).await,
+        PolicyCommand::Abort { .. } => abort(coordinator).await,
     }
 }
 
-async fn propose(mut office: Office, policy: &Path, by: &str, patience: Duration) -> CommandResult {
+async fn propose(mut coordinator: Coordinator, policy: &Path, by: &str, patience: Duration) -> CommandResult {
     let text = std::fs::read_to_string(policy)
         .map_err(|source| PolicyCommandError::ReadPolicy { file: policy.to_owned(), source })?;
-    let taken = office.propose(&text, by, patience).await?;
-    match taken.everywhere {
-        Some(after) => println!("epoch {} committed, in force everywhere after {after:?}", taken.epoch),
+    let report = coordinator.propose(&text, by, patience).await?;
+    match report.in_force_everywhere_after {
+        Some(after) => println!("epoch {} committed, in force everywhere after {after:?}", report.version),
         None => println!(
             "epoch {} committed; not yet told to be in force by {}",
-            taken.epoch,
-            taken.missing.join(", ")
+            report.version,
+            report.not_in_force.join(", ")
         ),
     }
     Ok(())
 }
 
-async fn print_status(mut office: Office) -> CommandResult {
-    let (point, members) = office.status().await?;
-    print!("{}", policy_status(&point, &members));
+async fn print_status(mut coordinator: Coordinator) -> CommandResult {
+    let status = coordinator.status().await?;
+    print!("{}", policy_status(&status));
     Ok(())
 }
 
-async fn abort(mut office: Office) -> CommandResult {
-    match office.abort().await? {
+async fn abort(mut coordinator: Coordinator) -> CommandResult {
+    match coordinator.abort().await? {
         Some(proposal) => {
-            println!("the proposal of epoch {} by {} is withdrawn", proposal.epoch, proposal.by);
+            println!("the proposal of epoch {} by {} is withdrawn", proposal.version, proposal.proposed_by);
         }
         None => println!("no proposal was withdrawn: none is under way"),
     }
