--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -132,7 +132,7 @@
             Input::NotificationsPosted { accepted } => self.on_notifications_posted(now, accepted),
             Input::PolicyStatus(status) => self.policy.set_status(status),
             Input::OwnersChanged(view) => self.on_owners_changed(now, view),
-            Input::OfferEnded { id, end } => self.on_offer_ended(now, id, &end),
+            Input::OfferEnded { id, outcome } => self.on_offer_ended(now, id, &outcome),
             Input::ConfigReloaded(config) => self.reload_config(now, *config),
             Input::Shutdown => self.begin_shutdown(now),
             Input::TimerDue => self.on_timer(now),
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -8,7 +8,7 @@
 use super::message_table::{DecidedMessage, Message, message_size};
 use crate::figures::End;
 use crate::input::{RequestId, Submission, SubmitAnswer};
-use crate::ownership::{Mark, Peer};
+use crate::ownership::{HandoverMark, Peer};
 use bytes::Bytes;
 use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, HandoverState, Record, RecordsWithBodies};
@@ -21,7 +21,7 @@
     /// The longest time to its deadline that its class allows.
     max_time_left: Micros,
     /// It was handed over by another forwarder, and stays here.
-    mark: Option<Mark>,
+    mark: Option<HandoverMark>,
     /// The other forwarder that owns its destination.
     owner: Option<Peer>,
 }
@@ -170,7 +170,7 @@
             accepted.handover.kept_local = true;
             accepted.deadline = deadline.min(mark.deadline);
             accepted.attempts = mark.attempts;
-            accepted.possible_delivery = mark.ran;
+            accepted.possible_delivery = mark.possible_delivery;
         }
         accepted
     }
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -10,7 +10,7 @@
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::hop_call::Reply;
 use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, Submission, SubmitAnswer, WatchSource};
-use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, Owner, Owners, Peer};
+use orchidyoke_forwarder::ownership::{HandoverMark, OutgoingOffer, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{
     AcceptedMessage, AttemptStart, FinalAnswer, Generation, HandoverOffer, HandoverState, ProcessStage,
@@ -215,11 +215,11 @@
     }
 
     fn owner_of(&self, destination: DestinationId) -> Owner {
-        let peer = self.member("f2").map(|address| Owner::Peer(Peer { name: string("f2"), address }));
+        let peer = self.member_address("f2").map(|address| Owner::Peer(Peer { name: string("f2"), address }));
         peer.filter(|_| destination == 1).unwrap_or(Owner::Local)
     }
 
-    fn member(&self, name: &str) -> Option<SocketAddr> {
+    fn member_address(&self, name: &str) -> Option<SocketAddr> {
         let port = match name {
             "f1" => 9001,
             "f2" => 9002,
@@ -228,11 +228,11 @@
         Some(SocketAddr::from(([127, 0, 0, 1], port)))
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         2
     }
 
-    fn owners_of_each(&self) -> u32 {
+    fn owners_per_destination(&self) -> u32 {
         1
     }
 }
@@ -260,7 +260,7 @@
     notices: Vec<(String, FinalAnswer)>,
     /// Port of discovery, and the version that is held.
     followed: Vec<(u16, u64)>,
-    offers: Vec<Offer>,
+    offers: Vec<OutgoingOffer>,
     /// Files of other processes that are not needed any more.
     retired: Vec<Generation>,
 }
@@ -324,7 +324,7 @@
         destination: 1,
         time_left: S,
         is_retry: false,
-        handover_mark: Marked::No,
+        handover_mark: ReceivedMark::Absent,
         body: Bytes::from_static(b"again"),
     }
 }
@@ -432,20 +432,30 @@
 fn what_was_offered_goes_to_the_same_owner_and_what_was_kept_does_not() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
     let asked = drive(&mut reducer, 800 * MS);
-    let offer = |txn: &str| asked.offers.iter().find(|offer| offer.taken.id == txn).expect("offered");
-    let txns: BTreeSet<_> = asked.offers.iter().map(|offer| &offer.taken.id[..]).collect();
+    let offer = |txn: &str| asked.offers.iter().find(|offer| offer.message.id == txn).expect("offered");
+    let txns: BTreeSet<_> = asked.offers.iter().map(|offer| &offer.message.id[..]).collect();
     assert_eq!(txns, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
     let (first, again) = (START - 300 * MS, offer("m-offered"));
     let deadline = START + 7 * S;
-    let mark = Mark { from: string("f1"), deadline, valid_until: first + 20 * S, attempts: 0, ran: None };
-    assert_eq!((&again.mark, again.to.port(), &again.body), (&mark, 9002, &body("m-offered")));
+    let mark = HandoverMark {
+        from: string("f1"),
+        deadline,
+        valid_until: first + 20 * S,
+        attempts: 0,
+        possible_delivery: None,
+    };
+    assert_eq!((&again.mark, again.owner_address.port(), &again.body), (&mark, 9002, &body("m-offered")));
     let custody = HandoverState {
         offered: Some(HandoverOffer { owner: string("f2"), offered_at: first }),
         kept_local: false,
     };
-    assert_eq!(again.taken, AcceptedMessage { handover: custody, ..taken("m-offered", 1) });
+    assert_eq!(again.message, AcceptedMessage { handover: custody, ..taken("m-offered", 1) });
     let unknown = AttemptStart { started_at: first, endpoint: String::new(), zone: String::new() };
-    assert_eq!(offer("m-unresolved").mark.ran, Some(unknown), "that offer counts as an attempt");
+    assert_eq!(
+        offer("m-unresolved").mark.possible_delivery,
+        Some(unknown),
+        "that offer counts as an attempt"
+    );
     assert!(offer("m-declined").mark.valid_until > mark.valid_until, "its first offer was declined");
 }
 
--- a/crates/forwarder/tests/wire_client.rs
+++ b/crates/forwarder/tests/wire_client.rs
@@ -12,7 +12,7 @@
 use orchidyoke_forwarder::client_api::{ClientGateway, respond};
 use orchidyoke_forwarder::input::{Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::listener::{Connections, listen};
-use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -168,12 +168,14 @@
         (plain.tenant.as_deref(), plain.idempotency_key.as_deref(), plain.is_retry),
         (None, None, false)
     );
-    assert_eq!(plain.handover_mark, Marked::No);
-    assert_eq!(malformed.handover_mark, Marked::Malformed);
-    let Marked::Yes(mark) = &handed_over.handover_mark else { panic!("{:?}", handed_over.handover_mark) };
+    assert_eq!(plain.handover_mark, ReceivedMark::Absent);
+    assert_eq!(malformed.handover_mark, ReceivedMark::Malformed);
+    let ReceivedMark::Valid(mark) = &handed_over.handover_mark else {
+        panic!("{:?}", handed_over.handover_mark)
+    };
     assert_eq!((&mark.from[..], mark.attempts), ("n1", 3));
     assert_eq!((mark.deadline, mark.valid_until), (1_800_000_000_000_000, 1_800_000_000_400_000));
-    let ran = mark.ran.as_ref().expect("it has run");
+    let ran = mark.possible_delivery.as_ref().expect("it has run");
     assert_eq!(
         (ran.started_at, &ran.endpoint[..], &ran.zone[..]),
         (1_799_999_999_000_000, "s-5be2a07c", "b")
--- /dev/null
+++ b/crates/ownership/tests/rate_model.rs
@@ -0,0 +1,357 @@
+//! Model checking of the rates of owners: the state machine that forwarders run, against a registry that keeps its promises
+//! and nothing more, over every order of renewals, reads, answers that are late or lost and sessions that expire within the
+//! bounds given, with one clock that is slow by the whole drift.
+
+mod common;
+
+use common::{member, view};
+use orchidyoke_core::interface::Micros;
+use orchidyoke_ownership::{DeliveryDecision, MemberState, OwnershipConfig, Rate, SlowStartReason, View};
+use stateright::{Checker, HasDiscoveries, Model, Property};
+
+const MEMBERS: usize = 2;
+/// In units of the clock.
+const TTL: Micros = 2;
+const VIEW_LIFETIME: Micros = 2;
+const WARM_UP_TIME: Micros = 2;
+/// Before anything that the model does.
+const LONG_AGO: Micros = -1000;
+
+const ONE_FULL: &str = "at most one sends at the full rate";
+
+/// The part of the protocol that is left out, so that the check must find the property that it guards.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Mutant {
+    None,
+    /// A new owner sends at the full rate at once.
+    NoWarmUp,
+    /// Reads and renewals count from their answers.
+    FromAnswer,
+    /// Clocks are assumed to run alike.
+    NoDrift,
+    /// Views never expire.
+    ViewsNeverExpire,
+    /// A new session counts as a renewal of the last.
+    NewSessionIsRenewal,
+}
+
+struct Bounds {
+    /// Both are members at the start, and the first owns the destination. Otherwise the second joins, and then owns it.
+    both_present: bool,
+    /// The first member's renewals are late or lost, so its session may expire. All others take effect at once.
+    renewals_late: bool,
+    until: Micros,
+    restarts: u8,
+    mutant: Mutant,
+}
+
+/// An answer of the registry in flight, with the time at which its request was sent. That the request takes time is not a
+/// step of its own: an answer that comes later counts for a shorter time.
+type Answer<T> = Option<(Micros, T)>;
+/// Sessions are numbered as they are created.
+type SessionId = u8;
+
+/// A member's session as the registry has it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Session {
+    id: SessionId,
+    renewed: Micros,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Participant {
+    state: MemberState,
+    view_read: Answer<View>,
+    /// The session that it knows.
+    session: Option<SessionId>,
+    /// The answer to its renewal: the session that was renewed, or a new one.
+    renewal: Answer<SessionId>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct World {
+    clock: Micros,
+    participants: Vec<Participant>,
+    sessions: Vec<Option<Session>>,
+    /// Sessions created so far.
+    sessions_created: SessionId,
+    version: u64,
+    restarts: u8,
+}
+
+#[derive(Clone, Debug, PartialEq)]
+enum Step {
+    Tick,
+    ReadView(usize),
+    ReceiveView(usize),
+    Renew(usize),
+    ReceiveRenewal(usize),
+    Expire(usize),
+    Restart(usize),
+}
+
+/// A destination that this member owns where both are members.
+fn destination(owner: usize) -> u64 {
+    let both = view(1, (0..MEMBERS).map(|number| member(number, 1.0)).collect());
+    let owns = |destination: &u64| {
+        both.owner(*destination).map(|owner| &owner.name) == Some(&member(owner, 1.0).name)
+    };
+    (0..).find(owns).expect("there is one")
+}
+
+impl Bounds {
+    fn config(&self) -> OwnershipConfig {
+        let clock_drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 0.5 };
+        let warm_up_time = if self.mutant == Mutant::NoWarmUp { 0 } else { WARM_UP_TIME };
+        let view_lifetime = if self.mutant == Mutant::ViewsNeverExpire { 1000 } else { VIEW_LIFETIME };
+        OwnershipConfig { session_ttl: TTL, view_lifetime, warm_up_time, clock_drift }
+    }
+
+    fn destination(&self) -> u64 {
+        destination(if self.both_present { 0 } else { 1 })
+    }
+
+    /// The first member's clock is slow by a third: the other is faster by a half of its rate.
+    fn local(&self, member: usize, clock: Micros) -> Micros {
+        if member == 0 { clock * 2 / 3 } else { clock }
+    }
+
+    fn rate(&self, world: &World, member: usize) -> Option<Rate> {
+        let now = self.local(member, world.clock);
+        match world.participants[member].state.decide(&self.config(), now, self.destination(), true) {
+            DeliveryDecision::Deliver(rate) => Some(rate),
+            DeliveryDecision::HandOver(_) => None,
+        }
+    }
+
+    /// How many send at the full rate.
+    fn count_at_full_rate(&self, world: &World) -> usize {
+        (0..MEMBERS).filter(|member| self.rate(world, *member) == Some(Rate::Full)).count()
+    }
+
+    fn registry(&self, world: &World) -> View {
+        let present = (0..MEMBERS).filter(|member| world.sessions[*member].is_some());
+        view(world.version, present.map(|member| common::member(member, 1.0)).collect())
+    }
+
+    fn counts_from(&self, sent_at: Micros, now: Micros) -> Micros {
+        if self.mutant == Mutant::FromAnswer { now } else { sent_at }
+    }
+
+    fn new_state(&self, member: usize) -> MemberState {
+        let mut state = MemberState::new(common::member(member, 1.0).name);
+        state.set_destinations(LONG_AGO, [self.destination()]);
+        state
+    }
+
+    fn is_late(&self, member: usize) -> bool {
+        self.renewals_late && member == 0
+    }
+
+    fn renew_others(&self, world: &mut World) {
+        for member in (0..MEMBERS).filter(|member| !self.is_late(*member)) {
+            let known = world.participants[member].session;
+            if let Some(session) = &mut world.sessions[member]
+                && known == Some(session.id)
+            {
+                session.renewed = world.clock;
+                world.participants[member].state.on_renewed(self.local(member, world.clock));
+            }
+        }
+    }
+
+    /// Renews the session that a member knows, or creates a new one.
+    fn renew(&self, world: &mut World, member: usize) -> SessionId {
+        let known = world.participants[member].session;
+        let present = world.sessions[member].filter(|session| Some(session.id) == known);
+        let id = present.map_or(world.sessions_created, |session| session.id);
+        if present.is_none() {
+            world.sessions_created += 1;
+            world.version += 1;
+        }
+        world.sessions[member] = Some(Session { id, renewed: world.clock });
+        id
+    }
+
+    fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
+        match *step {
+            Step::Tick => {
+                world.clock += 1;
+                self.renew_others(world);
+            }
+            Step::ReadView(member) => {
+                let view = self.registry(world);
+                world.participants[member].view_read = Some((self.local(member, world.clock), view));
+            }
+            Step::ReceiveView(member) => {
+                let now = self.local(member, world.clock);
+                let (sent_at, view) = world.participants[member].view_read.take()?;
+                let sent_at = self.counts_from(sent_at, now);
+                // Rejected where it is older.
+                let _ = world.participants[member].state.on_view(&self.config(), now, sent_at, view);
+            }
+            Step::Renew(member) => {
+                let id = self.renew(world, member);
+                world.participants[member].renewal = Some((self.local(member, world.clock), id));
+            }
+            Step::ReceiveRenewal(member) => {
+                let now = self.local(member, world.clock);
+                let receiver = &mut world.participants[member];
+                let (sent_at, id) = receiver.renewal.take()?;
+                let sent_at = self.counts_from(sent_at, now);
+                if receiver.session == Some(id) || self.mutant == Mutant::NewSessionIsRenewal {
+                    receiver.state.on_renewed(sent_at);
+                } else {
+                    receiver.session = Some(id);
+                    receiver.state.on_registered(now, sent_at);
+                }
+            }
+            Step::Expire(member) => {
+                world.sessions[member] = None;
+                world.version += 1;
+            }
+            Step::Restart(member) => {
+                world.restarts -= 1;
+                let state = self.new_state(member);
+                world.participants[member] =
+                    Participant { state, view_read: None, session: None, renewal: None };
+            }
+        }
+        Some(())
+    }
+}
+
+impl Model for Bounds {
+    type State = World;
+    type Action = Step;
+
+    fn init_states(&self) -> Vec<World> {
+        let is_present = |member: &usize| *member == 0 || self.both_present;
+        let session = |member: usize| Session { id: member as SessionId, renewed: 0 };
+        let sessions: Vec<Option<Session>> =
+            (0..MEMBERS).map(|member| is_present(&member).then(|| session(member))).collect();
+        let member = |member: usize| Participant {
+            state: self.new_state(member),
+            view_read: None,
+            session: sessions[member].map(|session| session.id),
+            renewal: None,
+        };
+        let participants = (0..MEMBERS).map(member).collect();
+        let mut world = World {
+            clock: 0,
+            participants,
+            sessions,
+            sessions_created: MEMBERS as SessionId,
+            version: 1,
+            restarts: self.restarts,
+        };
+        let view = self.registry(&world);
+        for member in (0..MEMBERS).filter(is_present) {
+            let state = &mut world.participants[member].state;
+            state.on_registered(LONG_AGO, LONG_AGO);
+            for at in [LONG_AGO, 0] {
+                state.on_view(&self.config(), at, at, view.clone()).expect("not older");
+            }
+            state.on_renewed(0);
+        }
+        vec![world]
+    }
+
+    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+        if world.clock < self.until {
+            steps.push(Step::Tick);
+        }
+        for (place, member) in world.participants.iter().enumerate() {
+            let now = self.local(place, world.clock);
+            // A request whose answer is lost is sent again.
+            if member.view_read.as_ref().is_none_or(|(sent_at, _)| *sent_at < now) {
+                steps.push(Step::ReadView(place));
+            }
+            let is_registered =
+                world.sessions[place].is_some_and(|session| Some(session.id) == member.session);
+            if (self.is_late(place) || !is_registered)
+                && member.renewal.is_none_or(|(sent_at, _)| sent_at < now)
+            {
+                steps.push(Step::Renew(place));
+            }
+            if member.view_read.is_some() {
+                steps.push(Step::ReceiveView(place));
+            }
+            if member.renewal.is_some() {
+                steps.push(Step::ReceiveRenewal(place));
+            }
+            let may_end = |session: Session| self.is_late(place) && world.clock >= session.renewed + TTL;
+            if world.sessions[place].is_some_and(may_end) {
+                steps.push(Step::Expire(place));
+            }
+            if world.restarts > 0 {
+                steps.push(Step::Restart(place));
+            }
+        }
+    }
+
+    fn next_state(&self, world: &World, step: Step) -> Option<World> {
+        let mut next = world.clone();
+        self.apply(&mut next, &step)?;
+        (next != *world).then_some(next)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        vec![
+            Property::always(ONE_FULL, |bounds: &Bounds, world: &World| {
+                bounds.count_at_full_rate(world) <= 1
+            }),
+            Property::sometimes("the second sends at the full rate", |bounds: &Bounds, world: &World| {
+                bounds.rate(world, 1) == Some(Rate::Full)
+            }),
+            Property::sometimes("an owner is not confirmed", |bounds: &Bounds, world: &World| {
+                bounds.rate(world, 0) == Some(Rate::SlowStart(SlowStartReason::Unconfirmed))
+            }),
+        ]
+    }
+}
+
+/// Checks all states within the bounds, or until a property is violated.
+fn check(bounds: Bounds) -> impl Checker<Bounds> {
+    bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
+}
+
+fn assert_holds(what: &str, bounds: Bounds) {
+    let checker = check(bounds);
+    println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
+    checker.assert_properties();
+}
+
+const JOIN: Bounds =
+    Bounds { both_present: false, renewals_late: false, until: 5, restarts: 0, mutant: Mutant::None };
+const SESSION_EXPIRES: Bounds =
+    Bounds { both_present: true, renewals_late: true, until: 5, restarts: 0, mutant: Mutant::None };
+
+#[test]
+fn at_most_one_sends_at_full_rate_while_a_member_joins() {
+    assert_holds("a join", JOIN);
+}
+
+#[test]
+fn at_most_one_sends_at_full_rate_while_a_session_expires() {
+    assert_holds("a session's end", SESSION_EXPIRES);
+}
+
+#[test]
+fn each_mutant_violates_its_property() {
+    for (mutant, bounds) in [
+        (Mutant::NoWarmUp, JOIN),
+        (Mutant::FromAnswer, JOIN),
+        (Mutant::NoDrift, JOIN),
+        (Mutant::ViewsNeverExpire, JOIN),
+        (Mutant::NewSessionIsRenewal, SESSION_EXPIRES),
+    ] {
+        let checker = check(Bounds { mutant, ..bounds });
+        let path = checker.discovery(ONE_FULL).unwrap_or_else(|| panic!("{mutant:?} is not found"));
+        println!(
+            "{mutant:?}: found after {} states, by {} steps",
+            checker.unique_state_count(),
+            path.into_actions().len()
+        );
+    }
+}
--- a/crates/rollout/tests/stored_format.rs
+++ b/crates/rollout/tests/stored_format.rs
@@ -1,10 +1,11 @@
-//! Protects rollouts that were begun by an earlier version of the tool: its plans and its records are read with every
-//! field, the same records are written as the same lines, and a plan still has the digest that its record names.
-
-use orchidyoke_rollout::fleet::before_path;
-use orchidyoke_rollout::judge::Criteria;
-use orchidyoke_rollout::plan::{Change, Consoles, Member, Plan};
-use orchidyoke_rollout::progress::{Log, Progress, Record, Step};
+//! Protects rollouts that were begun by an earlier version: its plans and progress records are read with every field, the
+//! same records are written as the same lines, and a plan still has the digest that its progress file names.
+
+use orchidyoke_rollout::analysis::Criteria;
+use orchidyoke_rollout::change::saved_state_path;
+use orchidyoke_rollout::plan::{Change, ConsoleAddresses, Plan, PlannedForwarder};
+use orchidyoke_rollout::progress::{Progress, ProgressRecord, Step};
+use orchidyoke_rollout::progress_file::ProgressFile;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-const LOG: &str = include_str!("fixtures/rollout.jsonl");
+const PROGRESS_FILE: &str = include_str!("fixtures/rollout.jsonl");
 /// Digests of the two plans, one a line.
 const DIGESTS: &str = include_str!("fixtures/digests");
 
@@ -33,19 +34,19 @@
 }
 
 /// Each kind of record.
-fn expected() -> Vec<Record> {
+fn expected() -> Vec<ProgressRecord> {
     let name = |name: &str| name.to_owned();
     let digest = DIGESTS.lines().next().expect("a digest").to_owned();
     vec![
-        Record::Began { plan: digest },
-        Record::Changing(name("f-1")),
-        Record::Changed(name("f-1")),
-        Record::Passed(0),
-        Record::Changing(name("f \"2\"")),
-        Record::Stopped(name("worse: \u{e9}")),
-        Record::TakingBack(name("f-1")),
-        Record::TakenBack(name("f-1")),
-        Record::Done,
+        ProgressRecord::Started { plan_digest: digest },
+        ProgressRecord::ChangeStarted(name("f-1")),
+        ProgressRecord::ChangeApplied(name("f-1")),
+        ProgressRecord::StagePassed(0),
+        ProgressRecord::ChangeStarted(name("f \"2\"")),
+        ProgressRecord::Stopped(name("worse: \u{e9}")),
+        ProgressRecord::RollbackStarted(name("f-1")),
+        ProgressRecord::RolledBack(name("f-1")),
+        ProgressRecord::Completed,
     ]
 }
 
@@ -70,47 +71,47 @@
 #[test]
 fn records_of_the_previous_version_are_read_field_by_field() {
     let folder = Folder::new("rollout-read");
-    fs::write(folder.0.join("rollout.jsonl"), LOG).expect("writes");
-    let (log, records) = Log::open(&folder.0).expect("opens");
-    assert_eq!((log.path(), &records), (&*folder.0.join("rollout.jsonl"), &expected()));
+    fs::write(folder.0.join("rollout.jsonl"), PROGRESS_FILE).expect("writes");
+    let (file, records) = ProgressFile::open(&folder.0).expect("opens");
+    assert_eq!((file.path(), &records), (&*folder.0.join("rollout.jsonl"), &expected()));
     let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
     let progress = Progress {
-        plan: Some(plan("plan-settings.json").digest()),
-        touched: names(&["f-1", "f \"2\""]),
+        plan_digest: Some(plan("plan-settings.json").digest()),
+        change_started: names(&["f-1", "f \"2\""]),
         changed: names(&["f-1"]),
-        passed: 1,
-        stopped: Some("worse: \u{e9}".to_owned()),
-        taken_back: names(&["f-1"]),
-        done: true,
+        stages_passed: 1,
+        stop_reason: Some("worse: \u{e9}".to_owned()),
+        rolled_back: names(&["f-1"]),
+        completed: true,
     };
     assert_eq!(Progress::of(&records), progress);
     let stopped = Progress::of(&records[..records.len() - 1]);
-    assert_eq!(stopped.next(&["f-1", "f \"2\""], &[1, 2]), Step::TakeBack(1), "it goes on from there");
+    assert_eq!(stopped.next_step(&["f-1", "f \"2\""], &[1, 2]), Step::RollBack(1), "it goes on from there");
 }
 
 #[test]
-fn the_same_records_are_written_as_the_same_lines() {
+fn records_are_written_as_the_same_lines() {
     let folder = Folder::new("rollout-written");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
-    expected().iter().for_each(|record| log.write(record).expect("written"));
-    assert_eq!(fs::read_to_string(folder.0.join("rollout.jsonl")).expect("read"), LOG);
+    let (mut file, _) = ProgressFile::open(&folder.0).expect("opens");
+    expected().iter().for_each(|record| file.append(record).expect("written"));
+    assert_eq!(fs::read_to_string(folder.0.join("rollout.jsonl")).expect("read"), PROGRESS_FILE);
 }
 
 #[test]
-fn a_plan_of_settings_is_read_field_by_field() {
-    let first = Member {
+fn settings_plan_is_read_field_by_field() {
+    let first = PlannedForwarder {
         name: "f-1".to_owned(),
-        console: Consoles::One(at("127.0.0.1:7001")),
-        config: Some("/etc/f-1.json".into()),
+        consoles: ConsoleAddresses::Single(at("127.0.0.1:7001")),
+        config_file: Some("/etc/f-1.json".into()),
         pid_file: Some("/run/f-1.pid".into()),
-        control: None,
+        supervisor: None,
     };
-    let second = Member {
+    let second = PlannedForwarder {
         name: "f-2".to_owned(),
-        console: Consoles::InTurn([at("127.0.0.1:7002"), at("[::1]:7003")]),
-        config: Some("f-2.json".into()),
+        consoles: ConsoleAddresses::PerSlot([at("127.0.0.1:7002"), at("[::1]:7003")]),
+        config_file: Some("f-2.json".into()),
         pid_file: None,
-        control: Some(at("127.0.0.1:7004")),
+        supervisor: Some(at("127.0.0.1:7004")),
     };
     let plan = plan("plan-settings.json");
     let expected = Plan {
@@ -121,16 +122,19 @@
         warm_up_ms: Some(250),
         bake_ms: 2000,
         max_bake_ms: 60_000,
-        poll_ms: 500,
-        criteria: Criteria { margin: 0.05, z: 1.5, min_ended: 30, latency_ratio: 3.5 },
+        poll_interval_ms: 500,
+        criteria: Criteria { margin: 0.05, z_score: 1.5, min_finished: 30, latency_ratio: 3.5 },
     };
     assert_eq!(plan, expected);
     assert_eq!(plan.change().expect("sound"), Change::Settings(patch()));
-    assert_eq!((plan.counts().expect("sound"), plan.warm_up()), (vec![1, 2], Duration::from_millis(250)));
+    assert_eq!(
+        (plan.stage_sizes().expect("sound"), plan.warm_up()),
+        (vec![1, 2], Duration::from_millis(250))
+    );
 }
 
 #[test]
-fn what_a_plan_of_a_release_leaves_out_has_its_usual_value() {
+fn release_plan_takes_defaults_for_omitted_keys() {
     let plan = plan("plan-release.json");
     let expected = Plan {
         forwarders: plan.forwarders.clone(),
@@ -140,17 +144,20 @@
         warm_up_ms: None,
         bake_ms: 2000,
         max_bake_ms: 60_000,
-        poll_ms: 1000,
-        criteria: Criteria { margin: 0.05, z: 2.33, min_ended: 200, latency_ratio: 2.0 },
+        poll_interval_ms: 1000,
+        criteria: Criteria { margin: 0.05, z_score: 2.33, min_finished: 200, latency_ratio: 2.0 },
     };
     assert_eq!(plan, expected);
     let [first, second] = &plan.forwarders[..] else { panic!("{:?}", plan.forwarders) };
-    assert_eq!((first.control, second.control), (Some(at("127.0.0.1:7003")), Some(at("127.0.0.1:7006"))));
+    assert_eq!(
+        (first.supervisor, second.supervisor),
+        (Some(at("127.0.0.1:7003")), Some(at("127.0.0.1:7006")))
+    );
     assert_eq!(plan.change().expect("sound"), Change::Release("v1.2-rc3".to_owned()));
 }
 
 #[test]
-fn a_plan_with_a_field_of_another_name_is_refused() {
+fn plan_with_an_unknown_key_is_rejected() {
     let text = fs::read_to_string(fixture("plan-release.json")).expect("read");
     for name in ["forwarders", "release", "stages", "bake_ms", "max_bake_ms", "criteria", "margin", "console"]
     {
@@ -160,13 +167,13 @@
 }
 
 #[test]
-fn a_plan_has_the_digest_that_the_previous_version_recorded() {
+fn plan_keeps_the_digest_that_the_previous_version_recorded() {
     let digests = ["plan-settings.json", "plan-release.json"].map(|name| plan(name).digest() + "\n");
     assert_eq!(digests.concat(), DIGESTS);
 }
 
 #[test]
-fn what_was_there_before_a_change_is_found_under_its_name() {
+fn saved_state_keeps_its_file_name() {
     let plan = plan("plan-settings.json");
-    assert_eq!(before_path(Path::new("state"), &plan.forwarders[0]), Path::new("state/f-1.before.json"));
+    assert_eq!(saved_state_path(Path::new("state"), &plan.forwarders[0]), Path::new("state/f-1.before.json"));
 }
