--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -9,9 +9,7 @@
 use crate::hop_call::{self, Part};
 use crate::input::Effect;
 use crate::pool::{CallId, Claim, EndpointConnectionId};
-use orchidyoke_core::interface::{
-    DeduplicationScope, EndpointId, EndpointState, Idempotency, MessageId, Micros, Outcome, UNKNOWN_ZONE,
-};
+use orchidyoke_core::interface::{EndpointId, EndpointState, MessageId, Micros, Outcome};
 use orchidyoke_journal::{AttemptStart, Record};
 
 /// A connection attempt ends this long after the time that the settings allow: one that comes up in its last moment
@@ -149,41 +147,6 @@
         }
     }
 
-    /// Whether a message may still go to this endpoint. One that may have been delivered is sent again only before its
-    /// deadline and where the endpoint drops the repeat.
-    fn may_send_to(&self, now: Micros, message: &Message, to: &AttemptStart) -> bool {
-        let accepted = &message.accepted;
-        let may_repeat = match (&accepted.possible_delivery, self.idempotency_of(accepted)) {
-            (None, _) | (_, Idempotency::Idempotent) => true,
-            (Some(_), Idempotency::NonIdempotent) => false,
-            (Some(first), Idempotency::IdempotencyKey { scope, window }) => {
-                let in_window = now < first.started_at.saturating_add(window);
-                in_window && self.is_in_scope(now, scope, first, to)
-            }
-        };
-        may_repeat && now < accepted.deadline
-    }
-
-    /// Whether `to` drops a repeat of what the first attempt may have delivered.
-    fn is_in_scope(
-        &self,
-        now: Micros,
-        scope: DeduplicationScope,
-        first: &AttemptStart,
-        to: &AttemptStart,
-    ) -> bool {
-        let origin = self.attempt_origin(now, first);
-        let same_endpoint = self.endpoints.id_of(&to.endpoint) == Some(origin.endpoint);
-        match scope {
-            DeduplicationScope::All => true,
-            DeduplicationScope::Zone => {
-                let same_zone = origin.zone == self.zone_number(&to.zone);
-                same_zone && (origin.zone != UNKNOWN_ZONE || same_endpoint)
-            }
-            DeduplicationScope::Endpoint => same_endpoint,
-        }
-    }
-
     /// The record of a call is in the journal, or could not be: its first byte may go, or the call does not.
     pub(super) fn on_attempt_recorded(&mut self, now: Micros, id: CallId, stored: bool) {
         let Some(connection) = self.pool.link_of(id) else { return };
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -243,11 +243,11 @@
             Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.ejected }
                 .encode(b"", &mut bytes);
         }
-        for (at, txn) in self.finished.iter() {
-            Record::Finished { message: txn.clone(), at: *at }.encode(b"", &mut bytes);
+        for finished in self.finished.iter() {
+            finished.record().encode(b"", &mut bytes);
         }
-        for (txn, verdict, at) in self.final_answers.iter() {
-            Record::AnswerDecided { message: txn.clone(), at: *at, answer: *verdict }.encode(b"", &mut bytes);
+        for answer in self.final_answers.iter() {
+            answer.record().encode(b"", &mut bytes);
         }
         for message in self.messages.values().filter(|m| m.stored) {
             Record::Accepted(message.accepted.clone()).encode(&message.body, &mut bytes);
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -9,39 +9,74 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// An id that is over is remembered for so long: a client may still be sending it once more.
+/// The id of a finished message is remembered for so long: a client may still be submitting it again.
 const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
-/// About the bytes of the record of an id that is over, or whose notice is owed, beside the id.
+/// About the bytes of the record of a finished message, or of a final answer, beside the id.
 pub(super) const SHORT_RECORD_BYTES: usize = 160;
-/// Pause before a notice is posted again.
+/// Pause before notifications are posted again.
 const NOTIFICATION_RETRY_US: Micros = 100_000;
-/// Notices in one post.
+/// Notifications in one post.
 const MAX_NOTIFICATIONS_PER_POST: usize = 200;
 
-pub(super) fn id_size(txn: &str) -> usize {
-    txn.len() + SHORT_RECORD_BYTES
+/// About the bytes of a short record, never less.
+pub(super) fn id_size(id: &str) -> usize {
+    id.len() + SHORT_RECORD_BYTES
 }
 
-/// Ids that are over, bounded in time and number.
+/// The id of a finished message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct FinishedId {
+    pub id: String,
+    /// When it was finished.
+    pub at: Micros,
+}
+
+/// The final answer to a message that was accepted and is not delivered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct DecidedAnswer {
+    /// The message's id.
+    pub id: String,
+    pub answer: FinalAnswer,
+    pub decided_at: Micros,
+}
+
+impl DecidedAnswer {
+    /// Its record.
+    pub fn record(&self) -> Record {
+        Record::AnswerDecided { message: self.id.clone(), at: self.decided_at, answer: self.answer }
+    }
+}
+
+impl FinishedId {
+    /// Its record.
+    pub fn record(&self) -> Record {
+        Record::Finished { message: self.id.clone(), at: self.at }
+    }
+}
+
+/// Ids of finished messages, bounded in time and number.
 #[derive(Debug)]
 pub(super) struct FinishedIds {
     since: HashMap<String, Micros>,
-    order: VecDeque<(Micros, String)>,
+    order: VecDeque<FinishedId>,
     max_ids: usize,
     bytes: usize,
 }
 
 impl FinishedIds {
-    pub fn new(most: usize) -> Self {
-        FinishedIds { since: HashMap::new(), order: VecDeque::new(), max_ids: most, bytes: 0 }
+    /// None yet, and so many at most.
+    pub fn new(max_ids: usize) -> Self {
+        FinishedIds { since: HashMap::new(), order: VecDeque::new(), max_ids, bytes: 0 }
     }
 
-    pub fn set_max_ids(&mut self, most: usize) {
-        self.max_ids = most;
+    /// Another bound.
+    pub fn set_max_ids(&mut self, max_ids: usize) {
+        self.max_ids = max_ids;
     }
 
-    pub fn contains(&self, txn: &str) -> bool {
-        self.since.contains_key(txn)
+    /// Whether a message is finished and remembered.
+    pub fn contains(&self, id: &str) -> bool {
+        self.since.contains_key(id)
     }
 
     /// About the bytes that they take up in a snapshot, never less.
@@ -49,59 +84,62 @@
         self.bytes
     }
 
-    /// In the order of their ends.
-    pub fn iter(&self) -> impl Iterator<Item = &(Micros, String)> {
+    /// In the order in which they were finished.
+    pub fn iter(&self) -> impl Iterator<Item = &FinishedId> {
         self.order.iter()
     }
 
-    pub fn remember(&mut self, txn: String, at: Micros) {
-        self.order.push_back((at, txn.clone()));
-        let size = id_size(&txn);
-        if self.since.insert(txn, at).is_none() {
+    /// A message is finished.
+    pub fn remember(&mut self, id: String, at: Micros) {
+        self.order.push_back(FinishedId { id: id.clone(), at });
+        let size = id_size(&id);
+        if self.since.insert(id, at).is_none() {
             self.bytes += size;
         }
-        while let Some((first, _)) = self.order.front()
-            && (at - first > FINISHED_ID_LIFETIME_US || self.order.len() > self.max_ids)
+        while let Some(first) = self.order.front()
+            && (at - first.at > FINISHED_ID_LIFETIME_US || self.order.len() > self.max_ids)
         {
-            if let Some((_, txn)) = self.order.pop_front()
-                && self.since.remove(&txn).is_some()
+            if let Some(first) = self.order.pop_front()
+                && self.since.remove(&first.id).is_some()
             {
-                self.bytes -= id_size(&txn);
+                self.bytes -= id_size(&first.id);
             }
         }
     }
 }
 
-/// Final answers whose notice is not yet accepted, in their order.
+/// Final answers that the platform has not yet accepted a notification of, in their order.
 #[derive(Debug)]
 pub(super) struct PendingAnswers {
-    answers: VecDeque<(String, FinalAnswer, Micros)>,
+    answers: VecDeque<DecidedAnswer>,
     /// How many of them are being posted.
     posting: usize,
     post_at: Micros,
-    /// How many answers are owed for each id.
+    /// How many answers are pending for each id.
     pending_by_id: HashMap<String, usize>,
     bytes: usize,
 }
 
 impl PendingAnswers {
-    pub fn new(answers: Vec<(String, FinalAnswer, Micros)>, now: Micros) -> Self {
-        let (posting, post_at, bytes) = (0, now, 0);
-        let mut owed = PendingAnswers {
+    /// At a start, with those that the journal holds.
+    pub fn new(answers: Vec<DecidedAnswer>, now: Micros) -> Self {
+        let mut pending = PendingAnswers {
             answers: VecDeque::new(),
-            posting,
-            post_at,
+            posting: 0,
+            post_at: now,
             pending_by_id: HashMap::new(),
-            bytes,
+            bytes: 0,
         };
-        answers.into_iter().for_each(|(txn, verdict, at)| owed.push(txn, verdict, at));
-        owed
+        answers.into_iter().for_each(|answer| pending.push(answer));
+        pending
     }
 
-    pub fn contains(&self, txn: &str) -> bool {
-        self.pending_by_id.contains_key(txn)
+    /// Whether an answer is pending for this message.
+    pub fn contains(&self, id: &str) -> bool {
+        self.pending_by_id.contains_key(id)
     }
 
+    /// Whether none is pending.
     pub fn is_empty(&self) -> bool {
         self.answers.is_empty()
     }
@@ -111,14 +149,16 @@
         self.bytes
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &(String, FinalAnswer, Micros)> {
+    /// In the order in which they were decided.
+    pub fn iter(&self) -> impl Iterator<Item = &DecidedAnswer> {
         self.answers.iter()
     }
 
-    pub fn push(&mut self, txn: String, verdict: FinalAnswer, now: Micros) {
-        self.bytes += id_size(&txn);
-        *self.pending_by_id.entry(txn.clone()).or_default() += 1;
-        self.answers.push_back((txn, verdict, now));
+    /// An answer is decided.
+    pub fn push(&mut self, answer: DecidedAnswer) {
+        self.bytes += id_size(&answer.id);
+        *self.pending_by_id.entry(answer.id.clone()).or_default() += 1;
+        self.answers.push_back(answer);
     }
 
     /// There is somewhere else to post to: at once.
@@ -126,7 +166,7 @@
         self.post_at = now;
     }
 
-    /// When the next post is due, unless one is out.
+    /// When the next post is due, unless one is under way.
     pub fn wake_at(&self) -> Option<Micros> {
         (self.posting == 0 && !self.answers.is_empty()).then_some(self.post_at)
     }
@@ -135,27 +175,28 @@
     fn take_post(&mut self, now: Micros) -> Option<Vec<(String, FinalAnswer)>> {
         self.wake_at().filter(|at| *at <= now)?;
         self.posting = self.answers.len().min(MAX_NOTIFICATIONS_PER_POST);
-        let notices = self.answers.iter().take(self.posting);
-        Some(notices.map(|(txn, verdict, _)| (txn.clone(), *verdict)).collect())
+        let posted = self.answers.iter().take(self.posting);
+        Some(posted.map(|answer| (answer.id.clone(), answer.answer)).collect())
     }
 
-    /// The post is over: the ids that were accepted, or none and a pause.
+    /// The post has ended: the ids that were accepted, or none and a pause.
     fn on_posted(&mut self, now: Micros, accepted: bool) -> Vec<String> {
         let posted = std::mem::take(&mut self.posting);
         if !accepted {
             self.post_at = now + NOTIFICATION_RETRY_US;
             return Vec::new();
         }
-        self.answers.iter().take(posted).map(|(txn, ..)| txn.clone()).collect()
+        self.answers.iter().take(posted).map(|answer| answer.id.clone()).collect()
     }
 
+    /// The first answers are not pending any more.
     fn forget(&mut self, count: usize) {
-        for (txn, ..) in self.answers.drain(..count) {
-            self.bytes -= id_size(&txn);
-            if let Entry::Occupied(mut owed) = self.pending_by_id.entry(txn) {
-                *owed.get_mut() -= 1;
-                if *owed.get() == 0 {
-                    owed.remove();
+        for answer in self.answers.drain(..count) {
+            self.bytes -= id_size(&answer.id);
+            if let Entry::Occupied(mut pending) = self.pending_by_id.entry(answer.id) {
+                *pending.get_mut() -= 1;
+                if *pending.get() == 0 {
+                    pending.remove();
                 }
             }
         }
@@ -183,9 +224,9 @@
     ) {
         let Some(message) = self.messages.get(number) else { return };
         if message.stored {
-            let id = message.accepted.id.clone();
-            self.append_record(&Record::AnswerDecided { message: id.clone(), at: now, answer });
-            self.final_answers.push(id, answer, now);
+            let decided = DecidedAnswer { id: message.accepted.id.clone(), answer, decided_at: now };
+            self.append_record(&decided.record());
+            self.final_answers.push(decided);
         }
         let submit_answer = match answer {
             FinalAnswer::Failed => SubmitAnswer::Failed,
@@ -214,25 +255,22 @@
         self.finished.remember(id, now);
     }
 
+    /// Posts the next notifications when they are due.
     pub(super) fn post_notifications(&mut self, now: Micros) {
-        if let Some(notices) = self.final_answers.take_post(now) {
-            self.effects
-                .push(Effect::PostNotifications { to: self.discovery.address(), notifications: notices });
+        if let Some(notifications) = self.final_answers.take_post(now) {
+            self.effects.push(Effect::PostNotifications { to: self.discovery.address(), notifications });
         }
     }
 
+    /// The platform has accepted the notifications that were posted, or has not.
     pub(super) fn on_notifications_posted(&mut self, now: Micros, accepted: bool) {
-        let txns = self.final_answers.on_posted(now, accepted);
-        if txns.is_empty() {
-            return;
-        }
-        let over: Vec<Record> =
-            txns.iter().map(|txn| Record::Finished { message: txn.clone(), at: now }).collect();
-        let records: Vec<(&Record, &[u8])> = over.iter().map(|record| (record, &b""[..])).collect();
-        self.append(&records, None);
-        self.final_answers.forget(txns.len());
-        for txn in txns {
-            self.finished.remember(txn, now);
+        let ids = self.final_answers.on_posted(now, accepted);
+        let finished = |id: &String| Record::Finished { message: id.clone(), at: now };
+        let records: Vec<Record> = ids.iter().map(finished).collect();
+        self.append_all(&records, None);
+        self.final_answers.forget(ids.len());
+        for id in ids {
+            self.finished.remember(id, now);
         }
     }
 }
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -1,124 +1,143 @@
 //! What a journal says of the state at the end of its process: each record applied in the order of the file.
+//!
+//! Used at a start for this process's own file, and while another process shares the folder for that one's.
 
+use super::final_answers::{DecidedAnswer, FinishedId};
 use super::operator_overrides::{OperatorOverrides, OverrideChange};
 use super::route_state::{FaultyRoutes, RouteKey};
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::EndpointList;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_journal::{
-    AcceptedMessage, FinalAnswer, HandoverOffer, ProcessStage, Record, RecordsWithBodies,
+    AcceptedMessage, AttemptStart, HandoverOffer, ProcessStage, Record, RecordsWithBodies,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// Of a file, so many ids of finished messages are kept, and at most twice as many.
+const MIN_FINISHED_IDS_KEPT: usize = 4096;
+
 /// What a journal says, as far as it was read.
 #[derive(Debug, Default)]
 pub(super) struct RecoveredState {
+    /// Messages that are not finished, by id, with their bodies.
     pub accepted: BTreeMap<String, (AcceptedMessage, Bytes)>,
-    pub undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
-    pub finished: Vec<(String, Micros)>,
+    /// Final answers that the platform is not notified of yet.
+    pub undelivered_answers: Vec<DecidedAnswer>,
+    /// Ids of finished messages.
+    pub finished: Vec<FinishedId>,
+    /// The endpoint list.
     pub endpoint_list: EndpointList,
+    /// Faulty routes.
     pub faulty_routes: FaultyRoutes,
+    /// The address of discovery that a reload has superseded.
     pub superseded: Option<SocketAddr>,
+    /// Operators' calls about endpoints.
     pub operator_overrides: OperatorOverrides,
+    /// How far the process is.
     pub stage: ProcessStage,
-    /// Waits that were told beside another process, which may still run.
+    /// Until when routes are to be waited for, where that was recorded for another process.
     pub retry_after: BTreeMap<RouteKey, Micros>,
 }
 
-/// Ids that are over are kept of another process's file up to twice so many.
-const MIN_FINISHED_IDS_KEPT: usize = 4096;
-
+/// The state that all records of a file give.
 pub(super) fn replay(records: RecordsWithBodies) -> RecoveredState {
-    let mut left = RecoveredState::default();
+    let mut state = RecoveredState::default();
     for (record, body) in records {
-        left.apply(record, body);
+        state.apply(record, body);
     }
-    left
+    state
 }
 
 impl RecoveredState {
     /// The next record of the file.
     pub fn apply(&mut self, record: Record, body: Bytes) {
         match record {
-            Record::Accepted(taken) => {
-                self.accepted.insert(taken.id.clone(), (taken, body));
-            }
-            Record::AttemptStarted { messages: txns, attempt: trace } => {
-                for txn in txns {
-                    if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                        // One that is still out was so when its process ended, and may have run first.
-                        taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
-                        (taken.attempts, taken.in_flight) = (taken.attempts + 1, Some(trace.clone()));
-                    }
-                }
+            Record::Accepted(accepted) => {
+                self.accepted.insert(accepted.id.clone(), (accepted, body));
             }
-            Record::AttemptInDoubt { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
-                    taken.in_flight = None;
-                }
+            Record::AttemptStarted { messages, attempt } => self.start_attempt(&messages, &attempt),
+            Record::AttemptInDoubt { message } => self.change(&message, end_in_doubt),
+            Record::AttemptNotDelivered { message } => {
+                self.change(&message, |accepted| accepted.in_flight = None);
             }
-            Record::AttemptNotDelivered { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.in_flight = None;
-                }
+            Record::AttemptNotSent { message } => self.change(&message, |accepted| accepted.attempts += 1),
+            Record::AnswerDecided { message, at, answer } => {
+                self.accepted.remove(&message);
+                self.undelivered_answers.push(DecidedAnswer { id: message, answer, decided_at: at });
             }
-            Record::AttemptNotSent { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.attempts += 1;
-                }
+            Record::Finished { message, at } | Record::HandedOver { message, at, .. } => {
+                self.finish(message, at);
             }
-            Record::AnswerDecided { message: txn, at, answer: verdict } => {
-                self.accepted.remove(&txn);
-                self.undelivered_answers.push((txn, verdict, at));
+            Record::HandoverOffered { message, owner, at } => self.change(&message, |accepted| {
+                accepted.handover.offered.get_or_insert(HandoverOffer { owner, offered_at: at });
+            }),
+            Record::HandoverDeclined { message } => {
+                self.change(&message, |accepted| accepted.handover.offered = None);
             }
-            Record::Finished { message: txn, at } => self.finish(txn, at),
-            Record::HandoverOffered { message: txn, owner: to, at } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.handover.offered.get_or_insert(HandoverOffer { owner: to, offered_at: at });
-                }
+            Record::HandoverInDoubt { message } => {
+                self.change(&message, AcceptedMessage::count_offer_as_attempt);
             }
-            Record::HandoverDeclined { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.handover.offered = None;
-                }
+            Record::KeptLocal { message } => {
+                self.change(&message, |accepted| accepted.handover.kept_local = true);
             }
-            Record::HandoverInDoubt { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.count_offer_as_attempt();
-                }
-            }
-            Record::KeptLocal { message: txn } => {
-                if let Some((taken, _)) = self.accepted.get_mut(&txn) {
-                    taken.handover.kept_local = true;
-                }
-            }
-            Record::HandedOver { message: txn, at, .. } => self.finish(txn, at),
-            Record::EndpointList(news) => self.endpoint_list.apply(&news),
+            other => self.apply_shared(other),
+        }
+    }
+
+    /// A record that is about no message.
+    fn apply_shared(&mut self, record: Record) {
+        match record {
+            Record::EndpointList(event) => self.endpoint_list.apply(&event),
             Record::DiscoverySuperseded { discovery } => self.superseded = Some(discovery),
-            Record::OperatorOverride { endpoint: uid, at, ejected: out } => {
-                self.operator_overrides.apply(&uid, OverrideChange { at, ejected: out });
+            Record::OperatorOverride { endpoint, at, ejected } => {
+                self.operator_overrides.apply(&endpoint, OverrideChange { at, ejected });
             }
-            Record::RetryAfter { destination: dest, endpoint: uid, until } => {
-                self.retry_after.insert(RouteKey::new(dest, uid), until);
+            Record::RetryAfter { destination, endpoint, until } => {
+                self.retry_after.insert(RouteKey::new(destination, endpoint), until);
             }
             Record::ProcessStage { stage } => self.stage = stage,
-            Record::FaultyRoutes { destinations: dests, routes } => {
-                let routes = routes.into_iter().map(|(dest, uid)| RouteKey::new(dest, Some(uid)));
-                self.faulty_routes =
-                    dests.into_iter().map(|dest| RouteKey::new(dest, None)).chain(routes).collect();
+            Record::FaultyRoutes { destinations, routes } => {
+                let whole = destinations.into_iter().map(|destination| RouteKey::new(destination, None));
+                let separate = routes.into_iter();
+                let separate = separate.map(|(destination, uid)| RouteKey::new(destination, Some(uid)));
+                self.faulty_routes = whole.chain(separate).collect();
             }
+            _ => debug_assert!(false, "a record about a message"),
         }
     }
 
-    /// Nothing more is owed for this message.
-    fn finish(&mut self, txn: String, at: Micros) {
-        self.accepted.remove(&txn);
-        self.undelivered_answers.retain(|(other, _, _)| *other != txn);
-        self.finished.push((txn, at));
+    /// Changes a message that is not finished.
+    fn change(&mut self, id: &str, change: impl FnOnce(&mut AcceptedMessage)) {
+        if let Some((accepted, _)) = self.accepted.get_mut(id) {
+            change(accepted);
+        }
+    }
+
+    fn start_attempt(&mut self, messages: &[String], start: &AttemptStart) {
+        for id in messages {
+            self.change(id, |accepted| {
+                // One that is still in flight was so when its process ended, and may have been delivered.
+                end_in_doubt(accepted);
+                accepted.attempts += 1;
+                accepted.in_flight = Some(start.clone());
+            });
+        }
+    }
+
+    /// Nobody needs to be notified of this message any more.
+    fn finish(&mut self, id: String, at: Micros) {
+        self.accepted.remove(&id);
+        self.undelivered_answers.retain(|other| other.id != id);
+        self.finished.push(FinishedId { id, at });
         if self.finished.len() > 2 * MIN_FINISHED_IDS_KEPT {
             self.finished.drain(..MIN_FINISHED_IDS_KEPT);
         }
     }
 }
+
+/// The attempt in flight, if any, may have delivered the message; the first that may have counts.
+fn end_in_doubt(accepted: &mut AcceptedMessage) {
+    let in_flight = accepted.in_flight.take();
+    accepted.possible_delivery = accepted.possible_delivery.take().or(in_flight);
+}
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -9,9 +9,9 @@
 use super::endpoint_table::EndpointTable;
 use super::final_answers::{FinishedIds, PendingAnswers};
 use super::fleet_policy::FleetPolicy;
-use super::handover::Ownership;
 use super::handover_schedule::HandoverSchedule;
 use super::message_table::MessageTable;
+use super::ownership::Ownership;
 use super::recovered_state::{RecoveredState, replay};
 use super::retry_after_table::RetryAfterTable;
 use super::upgrade::Upgrade;
@@ -36,8 +36,8 @@
         let mut recovered = replay(records);
         let configured_list = std::mem::replace(&mut config.known, EndpointList::default().snapshot());
         let mut reducer = Reducer::with_components(config, generation, &mut recovered, journal_size, now);
-        for (id, at) in std::mem::take(&mut recovered.finished) {
-            reducer.finished.remember(id, at);
+        for finished in std::mem::take(&mut recovered.finished) {
+            reducer.finished.remember(finished.id, finished.at);
         }
         reducer.figures.name(&reducer.names.classes);
         let recovered_list = std::mem::take(&mut recovered.endpoint_list);
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -10,8 +10,8 @@
 use crate::input::{RequestId, Submission, SubmitAnswer};
 use crate::ownership::{HandoverMark, Peer};
 use bytes::Bytes;
-use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros};
-use orchidyoke_journal::{AcceptedMessage, AttemptStart, HandoverState, Record, RecordsWithBodies};
+use orchidyoke_core::interface::{Event, Idempotency, MessageId, Micros};
+use orchidyoke_journal::{AcceptedMessage, HandoverState, Record, RecordsWithBodies};
 
 /// Retry-After where the journal has no room: about when some messages will be finished.
 const JOURNAL_FULL_RETRY_AFTER_US: Micros = 1_000_000;
@@ -26,16 +26,6 @@
     owner: Option<Peer>,
 }
 
-/// Where an earlier attempt was made, as the controller is told.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptOrigin {
-    /// How long ago it began.
-    pub age: Micros,
-    pub endpoint: EndpointId,
-    /// Number of its zone.
-    pub zone: usize,
-}
-
 impl Reducer {
     /// A client submits a message.
     pub(super) fn submit(&mut self, now: Micros, request: RequestId, submission: Submission) {
@@ -166,7 +156,7 @@
             handover: HandoverState::default(),
         };
         if let Some(mark) = checked.mark {
-            self.count_handover_from(&mark);
+            self.note_handover_from(&mark.from);
             accepted.handover.kept_local = true;
             accepted.deadline = deadline.min(mark.deadline);
             accepted.attempts = mark.attempts;
@@ -203,18 +193,6 @@
         self.place(now, number);
     }
 
-    /// Where an attempt was made. Its zone is kept with it, for the endpoint may be gone since, or listed elsewhere; only
-    /// a record of a version before has none.
-    pub(super) fn attempt_origin(&self, now: Micros, start: &AttemptStart) -> AttemptOrigin {
-        let listed = || self.endpoints.listed(&start.endpoint).map_or("", |listed| &*listed.zone);
-        let zone = if start.zone.is_empty() { listed() } else { &start.zone };
-        AttemptOrigin {
-            age: (now - start.started_at).max(0),
-            endpoint: self.endpoints.id_of(&start.endpoint).unwrap_or(EndpointId::MAX),
-            zone: self.zone_number(zone),
-        }
-    }
-
     /// The controller has a message from now on.
     pub(super) fn pass_to_controller(&mut self, now: Micros, number: MessageId, is_retry: bool) {
         let Some(message) = self.messages.get(number) else { return };
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -4,6 +4,7 @@
 
 use super::Reducer;
 use super::durability::AfterAppend;
+use super::final_answers::{DecidedAnswer, FinishedId};
 use crate::figures::End;
 use crate::input::Effect;
 use bytes::Bytes;
@@ -15,8 +16,8 @@
 pub(super) struct Takeover {
     generation: Generation,
     messages: Vec<(AcceptedMessage, Bytes)>,
-    undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
-    finished: Vec<(String, Micros)>,
+    undelivered_answers: Vec<DecidedAnswer>,
+    finished: Vec<FinishedId>,
     /// The process has ended, and this is all that it left.
     is_complete: bool,
 }
@@ -25,10 +26,9 @@
     /// The records of all this, in the order in which a journal holds them.
     fn records(&self) -> RecordsWithBodies {
         let mut records = RecordsWithBodies::new();
-        for (id, at) in &self.finished {
-            records.push((Record::Finished { message: id.clone(), at: *at }, Bytes::new()));
-        }
-        records.extend(self.answer_records().into_iter().map(|record| (record, Bytes::new())));
+        let finished = self.finished.iter().map(FinishedId::record);
+        let answers = self.undelivered_answers.iter().map(DecidedAnswer::record);
+        records.extend(finished.chain(answers).map(|record| (record, Bytes::new())));
         for (accepted, body) in &self.messages {
             records.push((Record::Accepted(accepted.clone()), body.clone()));
             let handover = accepted.handover_records();
@@ -36,16 +36,6 @@
         }
         records
     }
-
-    fn answer_records(&self) -> Vec<Record> {
-        let answers = self.undelivered_answers.iter();
-        let record = |(id, answer, at): &(String, FinalAnswer, Micros)| Record::AnswerDecided {
-            message: id.clone(),
-            at: *at,
-            answer: *answer,
-        };
-        answers.map(record).collect()
-    }
 }
 
 impl Reducer {
@@ -86,9 +76,9 @@
         };
         if is_complete {
             let answers = state.undelivered_answers.iter();
-            takeover.undelivered_answers = answers.filter(|(id, ..)| !is_known(id)).cloned().collect();
+            takeover.undelivered_answers = answers.filter(|answer| !is_known(&answer.id)).cloned().collect();
             let finished = state.finished.iter();
-            takeover.finished = finished.filter(|(id, _)| !is_known(id)).cloned().collect();
+            takeover.finished = finished.filter(|finished| !is_known(&finished.id)).cloned().collect();
         }
         Some(takeover)
     }
@@ -105,11 +95,11 @@
             self.finish_without_room(now, &mut takeover);
         }
         let generation = takeover.generation;
-        for (id, at) in takeover.finished {
+        for FinishedId { id, at } in takeover.finished {
             self.finished.remember(id, at);
         }
-        for (id, answer, at) in takeover.undelivered_answers {
-            self.final_answers.push(id, answer, at);
+        for answer in takeover.undelivered_answers {
+            self.final_answers.push(answer);
         }
         let count = takeover.messages.len();
         for (accepted, body) in takeover.messages {
@@ -135,16 +125,17 @@
     fn finish_without_room(&mut self, now: Micros, takeover: &mut Takeover) {
         let retry_after_ms = self.journal_full_retry_after() / 1000;
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
-            if accepted.possible_delivery.is_some() || accepted.in_flight.is_some() {
-                self.figures.turned_away(&accepted.class, End::Error);
-                takeover.undelivered_answers.push((accepted.id, FinalAnswer::Failed, now));
+            let may_have_run = accepted.possible_delivery.is_some() || accepted.in_flight.is_some();
+            let (answer, end) = if may_have_run {
+                (FinalAnswer::Failed, End::Error)
             } else {
-                self.figures.turned_away(&accepted.class, End::Overload);
-                let answer = FinalAnswer::Rejected { retry_after_ms };
-                takeover.undelivered_answers.push((accepted.id, answer, now));
-            }
+                (FinalAnswer::Rejected { retry_after_ms }, End::Overload)
+            };
+            self.figures.turned_away(&accepted.class, end);
+            takeover.undelivered_answers.push(DecidedAnswer { id: accepted.id, answer, decided_at: now });
         }
-        self.append_all(&takeover.answer_records(), None);
+        let records: Vec<_> = takeover.undelivered_answers.iter().map(DecidedAnswer::record).collect();
+        self.append_all(&records, None);
     }
 
     /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -44,8 +44,8 @@
     /// Whether the message is, or was, this process's own.
     pub fn knows(&self, id: &str) -> bool {
         self.state.accepted.contains_key(id)
-            || self.state.undelivered_answers.iter().any(|(other, ..)| other == id)
-            || self.state.finished.iter().any(|(other, _)| other == id)
+            || self.state.undelivered_answers.iter().any(|other| other.id == id)
+            || self.state.finished.iter().any(|other| other.id == id)
     }
 
     /// About the bytes that it needs to compact its file, while it still may.
@@ -57,8 +57,8 @@
             self.state.accepted.values().map(|(accepted, body)| {
                 message_size(&accepted.id, accepted.idempotency_key.as_deref(), body)
             });
-        let answers = self.state.undelivered_answers.iter().map(|(id, ..)| id_size(id));
-        let finished = self.state.finished.iter().map(|(id, _)| id_size(id));
+        let answers = self.state.undelivered_answers.iter().map(|answer| id_size(&answer.id));
+        let finished = self.state.finished.iter().map(|finished| id_size(&finished.id));
         messages.chain(answers).chain(finished).sum::<usize>() + self.state.endpoint_list.size()
     }
 
