--- a/crates/forwarder/src/reducer/destinations.rs
+++ b/crates/forwarder/src/reducer/destinations.rs
@@ -32,17 +32,17 @@
     }
 
     /// New endpoints, many of them where a whole list has come.
-    pub fn add(&mut self, hops: &[(EndpointId, KnownEndpoint)]) {
-        let mut endpoints = hops.iter().map(|(id, hop)| (hop.destination, *id)).collect();
+    pub fn add(&mut self, new: &[(EndpointId, KnownEndpoint)]) {
+        let mut endpoints = new.iter().map(|(id, endpoint)| (endpoint.destination, *id)).collect();
         // Merging packs a tree full; for a few it would be more work than putting each in.
-        if hops.len() > self.endpoints.len() / 2 {
+        if new.len() > self.endpoints.len() / 2 {
             self.endpoints.append(&mut endpoints);
         } else {
             self.endpoints.extend(endpoints);
         }
         if !self.without.is_empty() {
-            for (_, hop) in hops {
-                self.without.remove(&hop.destination);
+            for (_, endpoint) in new {
+                self.without.remove(&endpoint.destination);
             }
         }
     }
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -1,8 +1,8 @@
-//! Hand-overs: which messages wait for the owners of their destinations, when each is offered, and what is done here
-//! for lack of an owner. No I/O and no journal; see `docs/handover.md`.
+//! The schedule of handovers: which messages wait for the owners of their destinations, when each is offered, and which
+//! are delivered here while their owner fails. No I/O and no journal; see `docs/handover.md`.
 //!
-//! Work in a call is proportional to what is due in it: owners with something due stand in an ordered set, and so do
-//! the ends of time.
+//! Work in a call is proportional to what is due in it: owners with something due are in an ordered set, and so are the
+//! times at which messages stop waiting.
 
 use crate::backoff::Backoff;
 use crate::ownership::{OfferOutcome, Peer};
@@ -11,33 +11,33 @@
 use std::net::SocketAddr;
 
 const SECOND_US: Micros = 1_000_000;
-/// An offer without an answer by then is over; the owner may have taken the message.
+/// An offer without an answer by then has ended; the owner may have accepted the message.
 pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
-/// A message in doubt is offered again for so long after its first offer: the owner remembers ids that are over for
-/// longer than this.
+/// A message in doubt is offered again for so long after its first offer: the owner remembers the ids of finished messages
+/// for longer than this.
 pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
-/// An owner that has failed for so long is done without.
+/// While an owner has failed for so long, messages for it are delivered here.
 const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
-/// Offers out at once, to one owner.
+/// Offers in flight to one owner.
 const MAX_OFFERS_PER_OWNER: usize = 16;
-/// Offers out at once, in all.
+/// Offers in flight in all.
 const MAX_OFFERS: usize = 64;
-/// Messages that are delivered here at once for lack of an owner; one of a destination.
+/// Messages delivered here at the same time while their owners fail; one of a destination.
 const MAX_LOCAL_DELIVERIES: usize = 32;
-/// Messages that wait for one owner; more are refused at the door.
+/// Messages that wait for one owner; more are rejected.
 const MAX_WAITING_PER_OWNER: usize = 1000;
-/// The bounds of the pause before an offer is repeated.
+/// Bound of the first backoff before an offer is repeated, and the longest backoff.
 const FIRST_OFFER_BACKOFF_US: Micros = 100_000;
 const MAX_OFFER_BACKOFF_US: Micros = 2 * SECOND_US;
 
-/// What a message is to its hand-over.
+/// What the schedule has to know of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HandoverTerms {
     /// Its destination.
     pub destination: DestinationId,
-    /// When no more is to be waited for: its deadline, or in doubt the end of that.
+    /// When it stops waiting: at its deadline, or in doubt at the end of that if that comes first.
     pub ends_at: Micros,
-    /// It may be delivered here for lack of an owner.
+    /// It may be delivered here while its owner fails.
     pub local_delivery_allowed: bool,
     /// The owner may have it.
     pub in_doubt: bool,
@@ -48,7 +48,7 @@
 pub(super) enum HandoverDecision {
     /// Offer it to its owner.
     Offer(MessageId, Peer),
-    /// Deliver it here for lack of an owner.
+    /// Deliver it here: its owner fails.
     DeliverLocally(MessageId),
     /// Its time is up.
     TimeUp(MessageId),
@@ -60,14 +60,14 @@
     terms: HandoverTerms,
     peer: String,
     due: Micros,
-    refusals: u32,
+    rejections: u32,
 }
 
 /// An owner that messages wait for.
 #[derive(Debug)]
 struct OwnerQueue {
     address: SocketAddr,
-    /// Those that are not out, by when they are due.
+    /// Messages whose offers are not in flight, by when they are due.
     due: BTreeSet<(Micros, MessageId)>,
     /// Those of them that it may have: the first to be offered again while it fails.
     in_doubt: BTreeSet<MessageId>,
@@ -115,12 +115,12 @@
         self.due.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
     }
 
-    fn is_done_without(&self, now: Micros) -> bool {
+    fn is_failing_long(&self, now: Micros) -> bool {
         self.failing_since.is_some_and(|since| now - since >= OWNER_FAILING_LIMIT_US)
     }
 }
 
-/// All hand-overs of a forwarder.
+/// All handovers of a forwarder.
 #[derive(Debug, Default)]
 pub(super) struct HandoverSchedule {
     waiting: BTreeMap<MessageId, WaitingMessage>,
@@ -128,16 +128,16 @@
     /// Owners by when something may be offered to them.
     timers: BTreeSet<(Micros, String)>,
     ends: BTreeSet<(Micros, MessageId)>,
-    /// Offers that are out, with their owners; the message may be gone meanwhile.
+    /// Offers in flight, with their owners; the message may be gone meanwhile.
     offers_in_flight: BTreeMap<MessageId, String>,
     /// Owners that fail.
     failing: BTreeSet<String>,
-    /// When owners that fail will be done without.
+    /// When messages for failing owners may be delivered here.
     give_up_at: BTreeSet<(Micros, String)>,
-    /// Those delivered here for lack of an owner.
+    /// Messages delivered here while their owner fails.
     local_deliveries: BTreeMap<DestinationId, MessageId>,
     local_delivery_ids: BTreeMap<MessageId, DestinationId>,
-    /// Whether more of those may be possible than when it was last looked at.
+    /// Whether more of those may be possible than at the last check.
     check_local_delivery: bool,
     seed: u64,
 }
@@ -148,7 +148,7 @@
         HandoverSchedule { seed, ..HandoverSchedule::default() }
     }
 
-    /// Whether its offer is out.
+    /// Whether its offer is in flight.
     pub fn is_offer_in_flight(&self, id: MessageId) -> bool {
         self.offers_in_flight.contains_key(&id)
     }
@@ -168,12 +168,12 @@
         self.waiting.keys().copied().collect()
     }
 
-    /// How many wait, and how many are delivered here for lack of an owner.
+    /// How many wait, and how many are delivered here while their owner fails.
     pub fn counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.local_deliveries.len())
     }
 
-    /// Whether so many wait for this owner that no more are to be taken on.
+    /// Whether so many wait for this owner that no more are to be accepted.
     pub fn is_full(&self, peer: &str) -> bool {
         self.peers.get(peer).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
     }
@@ -187,12 +187,12 @@
         queue.address = peer.address;
         queue.waiting += 1;
         self.ends.insert((terms.ends_at, id));
-        self.waiting.insert(id, WaitingMessage { terms, peer: peer.name.clone(), due: now, refusals: 0 });
+        self.waiting.insert(id, WaitingMessage { terms, peer: peer.name.clone(), due: now, rejections: 0 });
         self.queue(id, now);
     }
 
     /// A message does not wait for its owner any more, or is not here any more: all that is known of it goes, but for an
-    /// offer that is out.
+    /// offer in flight.
     pub fn remove(&mut self, id: MessageId) {
         if let Some(destination) = self.local_delivery_ids.remove(&id) {
             self.local_deliveries.remove(&destination);
@@ -254,9 +254,9 @@
         }
         if let (OfferOutcome::Rejected(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
             let bound = FIRST_OFFER_BACKOFF_US
-                .saturating_mul(1 << waiting.refusals.min(10))
+                .saturating_mul(1 << waiting.rejections.min(10))
                 .min(MAX_OFFER_BACKOFF_US);
-            waiting.refusals += 1;
+            waiting.rejections += 1;
             due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.within(bound / 2));
         }
         self.queue(id, due);
@@ -289,7 +289,8 @@
             && at <= now
         {
             let queue = self.peers.get(&peer)?;
-            let (next, address) = (queue.next(now), queue.address);
+            let next = queue.next(now);
+            let address = queue.address;
             if let Some(id) = next {
                 self.unqueue(id);
                 self.offers_in_flight.insert(id, peer.clone());
@@ -317,7 +318,7 @@
             return None;
         }
         for peer in &self.failing {
-            let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_done_without(now)) else {
+            let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_failing_long(now)) else {
                 continue;
             };
             if let Some(id) =
@@ -334,7 +335,7 @@
         None
     }
 
-    /// An offer is out no more; its owner, where the message still waits for one.
+    /// An offer is no longer in flight; its owner, where the message still waits for one.
     fn remove_offer(&mut self, id: MessageId) -> Option<String> {
         let peer = self.offers_in_flight.remove(&id)?;
         if let Some(queue) = self.peers.get_mut(&peer) {
@@ -347,7 +348,8 @@
         self.unqueue(id);
         let Some(waiting) = self.waiting.get_mut(&id) else { return };
         waiting.due = due;
-        let (peer, terms) = (waiting.peer.clone(), waiting.terms);
+        let peer = waiting.peer.clone();
+        let terms = waiting.terms;
         let Some(queue) = self.peers.get_mut(&peer) else { return };
         queue.due.insert((due, id));
         if terms.in_doubt {
@@ -371,7 +373,8 @@
     /// Puts an owner where it belongs among those that are due; one that nothing waits for is forgotten, unless it fails.
     fn schedule(&mut self, peer: &str) {
         let Some(queue) = self.peers.get_mut(peer) else { return };
-        let (before, after) = (queue.timer, queue.wake_at());
+        let before = queue.timer;
+        let after = queue.wake_at();
         queue.timer = after;
         if let Some(at) = before.filter(|at| Some(*at) != after) {
             self.timers.remove(&(at, peer.to_owned()));
@@ -393,7 +396,7 @@
 }
 
 /// The first message of a destination of which none is delivered here. At most as many are passed over as there are
-/// substitutes.
+/// local_deliveries.
 fn first_of_other_destination(
     messages: &BTreeSet<(DestinationId, MessageId)>,
     taken: &BTreeMap<DestinationId, MessageId>,
--- a/crates/forwarder/src/reducer/listed_endpoints.rs
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -10,7 +10,7 @@
     ListEventKind, Micros, UNKNOWN_ZONE,
 };
 
-/// What a list says of an endpoint, as far as the module is told of it.
+/// What a list says of an endpoint, as far as the controller is told of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedView<'a> {
     uid: &'a str,
@@ -23,15 +23,15 @@
 }
 
 impl<'a> From<&'a EndpointEntry> for ListedView<'a> {
-    fn from(target: &'a EndpointEntry) -> Self {
+    fn from(entry: &'a EndpointEntry) -> Self {
         ListedView {
-            uid: &target.uid,
-            zone: &target.zone,
-            kind: &target.kind,
-            destination: target.destination,
-            capacity_hint: target.capacity_hint,
-            state: target.state,
-            health: target.health,
+            uid: &entry.uid,
+            zone: &entry.zone,
+            kind: &entry.kind,
+            destination: entry.destination,
+            capacity_hint: entry.capacity_hint,
+            state: entry.state,
+            health: entry.health,
         }
     }
 }
@@ -53,30 +53,30 @@
 impl Reducer {
     /// What the settings say of an endpoint's kind, while it is listed.
     pub(super) fn kind_of(&self, uid: &str) -> Option<DestinationKind> {
-        let model = &*self.endpoints.listed(uid)?.kind;
-        let place = self.names.kinds.iter().position(|kind| kind == model)?;
-        self.settings.kinds.get(place).copied()
+        let name = &*self.endpoints.listed(uid)?.kind;
+        let position = self.names.kinds.iter().position(|kind| kind == name)?;
+        self.settings.kinds.get(position).copied()
     }
 
-    /// What the module is told of an endpoint.
+    /// What the controller is told of an endpoint.
     pub(super) fn endpoint_update(
         &self,
         now: Micros,
-        hop: EndpointId,
-        line: ListedView<'_>,
+        endpoint: EndpointId,
+        listed: ListedView<'_>,
     ) -> EndpointUpdate {
-        let out = line.state == ListedState::Active
-            && (self.operator_overrides.is_ejected(line.uid) || self.policy.ejects(line.uid));
-        let cold = line.health == HealthChecks::Passing && self.is_warming_up(now, line.uid);
+        let is_ejected = listed.state == ListedState::Active
+            && (self.operator_overrides.is_ejected(listed.uid) || self.policy.ejects(listed.uid));
+        let is_warming_up = listed.health == HealthChecks::Passing && self.is_warming_up(now, listed.uid);
         EndpointUpdate {
-            endpoint: hop,
-            destination: line.destination,
-            zone: self.zone_number(line.zone),
-            kind: self.names.kinds.iter().position(|kind| kind == line.kind).unwrap_or(usize::MAX),
-            state: if out { EndpointState::Draining } else { line.state.into() },
-            // Cold beside others that serve: they go before it.
-            health: if cold { HealthStatus::Warning } else { line.health.into() },
-            capacity_hint: line.capacity_hint,
+            endpoint,
+            destination: listed.destination,
+            zone: self.zone_number(listed.zone),
+            kind: self.names.kinds.iter().position(|kind| kind == listed.kind).unwrap_or(usize::MAX),
+            state: if is_ejected { EndpointState::Draining } else { listed.state.into() },
+            // Endpoints that are warm go before it.
+            health: if is_warming_up { HealthStatus::Warning } else { listed.health.into() },
+            capacity_hint: listed.capacity_hint,
         }
     }
 
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -1,6 +1,6 @@
-//! What operators ask for: whether this process takes clients, its figures, and endpoints out and back by hand.
+//! What operators ask for on the console: whether this process is ready, its figures, and endpoints ejected and restored.
 //!
-//! What is out by hand lies over the transport map: no list, reload, restart or upgrade ends it.
+//! An override lies over the endpoint list: no list, reload, restart or upgrade ends it.
 
 use super::Reducer;
 use super::durability::AfterAppend;
@@ -12,9 +12,9 @@
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Endpoints out by hand that no list names may be so many; beyond, the call that lies furthest back is forgotten.
+/// Overrides of endpoints that no list names; beyond, the oldest is forgotten.
 const MAX_UNLISTED_OVERRIDES: usize = 256;
-/// About the bytes of the record of a call, beside the id.
+/// About the bytes of the record of an override, beside the endpoint's uid.
 const OVERRIDE_RECORD_BYTES: usize = 96;
 
 /// An operator's last call about an endpoint.
@@ -24,7 +24,7 @@
     pub ejected: bool,
 }
 
-/// A call that waits until its record is in the journal.
+/// An override that waits until its record is in the journal.
 #[derive(Debug)]
 pub(super) struct OverrideRequest {
     pub request: RequestId,
@@ -33,65 +33,67 @@
     pub change: OverrideChange,
 }
 
-/// The operators' calls about endpoints, by uid: the last of each counts.
+/// The operators' overrides, by endpoint: the last of each counts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OperatorOverrides {
     changes: BTreeMap<String, OverrideChange>,
-    /// Those that put an endpoint back, in their order.
+    /// Those that restored an endpoint, by time.
     restored: BTreeSet<(Micros, String)>,
     bytes: usize,
 }
 
 impl OperatorOverrides {
-    /// Takes in a call; whether it is news: one that lies further back than what is known is not.
-    pub fn apply(&mut self, uid: &str, call: OverrideChange) -> bool {
-        if !self.is_change(uid, call) {
+    /// Takes in an override; whether it changes anything: one that is older than what is known does not.
+    pub fn apply(&mut self, uid: &str, change: OverrideChange) -> bool {
+        if !self.is_change(uid, change) {
             return false;
         }
-        match self.changes.insert(uid.to_owned(), call) {
+        match self.changes.insert(uid.to_owned(), change) {
             Some(before) => drop(self.restored.remove(&(before.at, uid.to_owned()))),
             None => self.bytes += uid.len() + OVERRIDE_RECORD_BYTES,
         }
-        if !call.ejected {
-            self.restored.insert((call.at, uid.to_owned()));
+        if !change.ejected {
+            self.restored.insert((change.at, uid.to_owned()));
         }
         true
     }
 
-    /// Whether a call changes anything.
-    pub fn is_change(&self, uid: &str, call: OverrideChange) -> bool {
-        self.changes.get(uid).map_or(call.ejected, |known| known.at <= call.at && *known != call)
+    /// Whether an override changes anything.
+    pub fn is_change(&self, uid: &str, change: OverrideChange) -> bool {
+        self.changes.get(uid).map_or(change.ejected, |known| known.at <= change.at && *known != change)
     }
 
+    /// Whether an endpoint is ejected.
     pub fn is_ejected(&self, uid: &str) -> bool {
-        self.changes.get(uid).is_some_and(|call| call.ejected)
+        self.changes.get(uid).is_some_and(|change| change.ejected)
     }
 
-    /// When an endpoint was put back, if that was its last call.
+    /// When an endpoint was restored, if that was its last override.
     pub fn restored_at(&self, uid: &str) -> Option<Micros> {
-        self.changes.get(uid).filter(|call| !call.ejected).map(|call| call.at)
+        self.changes.get(uid).filter(|change| !change.ejected).map(|change| change.at)
     }
 
-    /// The earliest call that put an endpoint back.
+    /// The earliest override that restored an endpoint.
     fn first_restored_at(&self) -> Option<Micros> {
         self.restored.first().map(|(at, _)| *at)
     }
 
-    /// About the bytes that the calls take up in a snapshot, never less.
+    /// About the bytes that the overrides take up in a snapshot, never less.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// By endpoint.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &OverrideChange)> {
         self.changes.iter()
     }
 
-    /// Forgets calls back once their endpoints are warm, and the oldest of those that are unlisted and too many.
-    fn prune(&mut self, warm_since: Micros, listed: impl Fn(&str) -> bool) {
-        self.changes.retain(|_, call| call.ejected || call.at > warm_since);
+    /// Forgets restored endpoints once they are warm, and the oldest of unlisted ones that are too many.
+    fn prune(&mut self, warm_since: Micros, is_listed: impl Fn(&str) -> bool) {
+        self.changes.retain(|_, change| change.ejected || change.at > warm_since);
         self.restored.retain(|(at, _)| *at > warm_since);
-        let mut unlisted: Vec<_> =
-            self.changes.iter().filter(|(uid, _)| !listed(uid)).map(|(uid, c)| (c.at, uid.clone())).collect();
+        let unlisted = self.changes.iter().filter(|(uid, _)| !is_listed(uid));
+        let mut unlisted: Vec<_> = unlisted.map(|(uid, change)| (change.at, uid.clone())).collect();
         unlisted.sort_unstable();
         let surplus = unlisted.len().saturating_sub(MAX_UNLISTED_OVERRIDES);
         for (at, uid) in unlisted.drain(..surplus) {
@@ -104,7 +106,7 @@
 
 impl Reducer {
     /// One call of an operator. What changes something is answered once it is in the journal.
-    pub(super) fn on_operator_call(&mut self, now: Micros, ticket: RequestId, call: Call) {
+    pub(super) fn on_operator_call(&mut self, now: Micros, request: RequestId, call: Call) {
         let reply = match call {
             Call::Ready if !self.clients.are_accepted() => Reply::No("takes no clients".to_owned()),
             Call::Ready => self.policy.unready_reason().map_or(Reply::Yes("ready"), Reply::No),
@@ -112,10 +114,10 @@
                 self.figures.lines(self.gauges()) + self.policy.figures() + &self.ownership_figures(now),
             ),
             Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
-            Call::DisableServer(uid) => return self.record_override(now, ticket, uid, true),
-            Call::EnableServer(uid) => return self.record_override(now, ticket, uid, false),
+            Call::DisableServer(uid) => return self.record_override(now, request, uid, true),
+            Call::EnableServer(uid) => return self.record_override(now, request, uid, false),
         };
-        self.effects.push(Effect::Reply { request: ticket, reply });
+        self.effects.push(Effect::Reply { request, reply });
     }
 
     fn record_override(&mut self, now: Micros, request: RequestId, endpoint: String, ejected: bool) {
@@ -145,20 +147,20 @@
         self.effects.push(Effect::Reply { request, reply });
     }
 
-    /// Puts a call in force, wherever it came from.
-    pub(super) fn apply_override(&mut self, now: Micros, uid: &str, call: OverrideChange) {
+    /// Puts an override in force, wherever it came from.
+    pub(super) fn apply_override(&mut self, now: Micros, uid: &str, change: OverrideChange) {
         let was_out = self.operator_overrides.is_ejected(uid);
-        if !self.operator_overrides.apply(uid, call) || was_out == call.ejected {
+        if !self.operator_overrides.apply(uid, change) || was_out == change.ejected {
             return;
         }
-        if call.ejected
-            && let Some(hop) = self.endpoints.id_of(uid)
+        if change.ejected
+            && let Some(endpoint) = self.endpoints.id_of(uid)
         {
-            self.close_idle(hop);
+            self.close_idle(endpoint);
         }
         self.report_endpoint(now, uid);
-        if let (false, Some(target)) = (call.ejected, self.endpoints.listed(uid)) {
-            // It was restarted meanwhile. Beside others that serve it waits until it is warm; alone, its
+        if let (false, Some(target)) = (change.ejected, self.endpoints.listed(uid)) {
+            // It may have been restarted meanwhile. Beside others that are active it waits until it is warm; alone, its
             // destination comes back as after an outage.
             let destination = target.destination;
             if !self.has_other_active(destination, uid) {
@@ -172,20 +174,22 @@
         }
     }
 
-    /// Whether a destination has an endpoint in service beside this one.
+    /// Whether a destination has another active endpoint.
     fn has_other_active(&self, destination: DestinationId, uid: &str) -> bool {
-        let uids =
-            self.endpoints.destinations().endpoints_of(destination).filter_map(|id| self.endpoints.get(id));
-        let others = uids.map(|hop| &*hop.uid).filter(|other| *other != uid);
-        let still =
-            |other: &&str| self.endpoints.listed(other).is_some_and(|entry| entry.destination == destination);
-        others.filter(still).any(|other| self.state_of(other) == Some(EndpointState::Active))
+        let endpoints = self.endpoints.destinations().endpoints_of(destination);
+        let known = endpoints.filter_map(|endpoint| self.endpoints.get(endpoint));
+        let mut others = known.map(|known| &*known.uid).filter(|other| *other != uid);
+        others.any(|other| {
+            let listed = self.endpoints.listed(other);
+            listed.is_some_and(|listed| listed.destination == destination)
+                && self.state_of(other) == Some(EndpointState::Active)
+        })
     }
 
-    /// Tells the module of an endpoint's state anew.
+    /// Tells the controller of an endpoint's state anew.
     fn report_endpoint(&mut self, now: Micros, uid: &str) {
-        if let (Some(target), Some(hop)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
-            let entry = self.endpoint_update(now, hop, target.into());
+        if let (Some(target), Some(endpoint)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
+            let entry = self.endpoint_update(now, endpoint, target.into());
             self.controller.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
         }
     }
@@ -197,17 +201,17 @@
         Some(if out { EndpointState::Draining } else { state.into() })
     }
 
-    /// Whether an endpoint was put back so lately that it is still cold.
+    /// Whether an endpoint was restored so lately that it is still warming up.
     pub(super) fn is_warming_up(&self, now: Micros, uid: &str) -> bool {
         self.operator_overrides.restored_at(uid).is_some_and(|since| now - since < self.settings.warm_up_time)
     }
 
-    /// When the next endpoint that was put back is warm.
+    /// When the next restored endpoint is warm.
     pub(super) fn next_warm_at(&self) -> Option<Micros> {
         self.operator_overrides.first_restored_at().map(|at| at + self.settings.warm_up_time)
     }
 
-    /// Endpoints that were put back and are warm by now are as all others.
+    /// Restored endpoints that are warm by now are as all others.
     pub(super) fn end_warm_ups(&mut self, now: Micros) {
         if self.next_warm_at().is_none_or(|at| at > now) {
             return;
@@ -222,8 +226,8 @@
     }
 
     fn prune_overrides(&mut self, now: Micros) {
-        let map = &self.endpoints.list();
-        self.operator_overrides.prune(now - self.settings.warm_up_time, |uid| map.get(uid).is_some());
+        let list = self.endpoints.list();
+        self.operator_overrides.prune(now - self.settings.warm_up_time, |uid| list.get(uid).is_some());
     }
 
     /// The counts of this process.
@@ -234,7 +238,8 @@
     /// What is counted as it stands now.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen = self.endpoints.id_of(uid).is_some_and(|hop| self.controller.is_avoided(hop));
+            let chosen =
+                self.endpoints.id_of(uid).is_some_and(|endpoint| self.controller.is_avoided(endpoint));
             chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
--- a/crates/forwarder/src/reducer/pending_appends.rs
+++ b/crates/forwarder/src/reducer/pending_appends.rs
@@ -13,14 +13,14 @@
 
 impl PendingAppends {
     /// An append was asked for.
-    pub fn insert(&mut self, receipt: AppendId, bytes: Bytes) {
+    pub fn insert(&mut self, append: AppendId, bytes: Bytes) {
         self.bytes += bytes.len();
-        self.appends.insert(receipt, bytes);
+        self.appends.insert(append, bytes);
     }
 
     /// An append was reported; others are none of these.
-    pub fn remove(&mut self, receipt: AppendId) {
-        self.bytes -= self.appends.remove(&receipt).map_or(0, |bytes| bytes.len());
+    pub fn remove(&mut self, append: AppendId) {
+        self.bytes -= self.appends.remove(&append).map_or(0, |bytes| bytes.len());
     }
 
     /// The bytes of each.
--- a/crates/forwarder/src/reducer/retry_after_table.rs
+++ b/crates/forwarder/src/reducer/retry_after_table.rs
@@ -1,10 +1,10 @@
-//! Waits that were told, by route, and in the order of their ends.
+//! Until when each route is to be left alone by its Retry-After.
 
 use super::route_state::RouteKey;
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Until when each route is to be waited for.
+/// The end of each route's Retry-After, by route and in the order of the ends.
 #[derive(Debug, Default)]
 pub(super) struct RetryAfterTable {
     until: BTreeMap<RouteKey, Micros>,
@@ -13,7 +13,7 @@
 }
 
 impl RetryAfterTable {
-    /// A wait was told; an earlier one may last longer. Gives the end of the longer one.
+    /// A route has a Retry-After; an earlier one may last longer. Gives the later end.
     pub fn extend_to(&mut self, route: RouteKey, until: Micros) -> Micros {
         match self.until.get(&route).copied() {
             Some(known) if known >= until => return known,
@@ -25,7 +25,7 @@
         until
     }
 
-    /// Forgets those that are over.
+    /// Forgets those that have ended.
     pub fn expire(&mut self, now: Micros) {
         while let Some((until, _)) = self.by_end.first()
             && *until <= now
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a wait of this route runs.
+    /// Whether a Retry-After of this route runs.
     pub fn runs(&self, now: Micros, route: &RouteKey) -> bool {
         self.until.get(route).is_some_and(|until| *until > now)
     }
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -1,20 +1,23 @@
-//! What is known of routes beside the list: waits that were told, and which are in trouble. A route is a destination, or
-//! one endpoint where the settings say that those of its kind are apart.
+//! What is known of routes beside the list: their Retry-After, and which are faulty. A route is a destination, or one
+//! endpoint where the settings give each endpoint of its kind a route of its own.
 
 use super::Reducer;
 use orchidyoke_core::interface::{DestinationId, EndpointId, Event, Micros};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 
-/// A route by names that outlast a process.
+/// About the bytes of the record of a route, beside the endpoint's uid.
+const ROUTE_RECORD_BYTES: usize = 96;
+
+/// A route, by names that outlast a process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RouteKey {
     pub destination: DestinationId,
-    /// The endpoint's uid, where it is a route apart.
+    /// The endpoint's uid, where it has a route of its own.
     pub endpoint: Option<String>,
 }
 
-/// Routes in trouble.
+/// Faulty routes, as the journal has them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct FaultyRoutes {
     routes: BTreeSet<RouteKey>,
@@ -36,57 +39,58 @@
 }
 
 impl RouteKey {
-    pub fn new(dest: DestinationId, uid: Option<String>) -> Self {
-        RouteKey { destination: dest, endpoint: uid }
+    pub fn new(destination: DestinationId, endpoint: Option<String>) -> Self {
+        RouteKey { destination, endpoint }
     }
 
-    /// The record of a wait.
+    /// The record of a Retry-After.
     pub fn retry_after_record(&self, until: Micros) -> Record {
         Record::RetryAfter { destination: self.destination, endpoint: self.endpoint.clone(), until }
     }
 
     /// About the bytes of its record, never less.
     pub fn record_size(&self) -> usize {
-        96 + self.endpoint.as_ref().map_or(0, String::len)
+        ROUTE_RECORD_BYTES + self.endpoint.as_ref().map_or(0, String::len)
     }
 }
 
-/// The record of all routes in trouble.
-pub(super) fn faulty_routes_record(troubled: &FaultyRoutes) -> Record {
-    let dests =
-        troubled.iter().filter(|route| route.endpoint.is_none()).map(|route| route.destination).collect();
-    let routes =
-        troubled.iter().filter_map(|route| Some((route.destination, route.endpoint.clone()?))).collect();
-    Record::FaultyRoutes { destinations: dests, routes }
+/// The record of all faulty routes.
+pub(super) fn faulty_routes_record(faulty: &FaultyRoutes) -> Record {
+    let whole = faulty.iter().filter(|route| route.endpoint.is_none());
+    let destinations = whole.map(|route| route.destination).collect();
+    let separate = |route: &RouteKey| Some((route.destination, route.endpoint.clone()?));
+    Record::FaultyRoutes { destinations, routes: faulty.iter().filter_map(separate).collect() }
 }
 
 impl Reducer {
     /// The route that an endpoint is on, as far as the list still tells its kind.
-    fn route_of(&self, hop: EndpointId) -> Option<RouteKey> {
-        let hop = self.endpoints.get(hop)?;
-        let apart = self.kind_of(&hop.uid).is_some_and(|kind| kind.separate_routes);
-        Some(RouteKey::new(hop.destination, apart.then(|| hop.uid.to_string())))
+    fn route_of(&self, endpoint: EndpointId) -> Option<RouteKey> {
+        let known = self.endpoints.get(endpoint)?;
+        let is_separate = self.kind_of(&known.uid).is_some_and(|kind| kind.separate_routes);
+        Some(RouteKey::new(known.destination, is_separate.then(|| known.uid.to_string())))
     }
 
-    /// An endpoint's answer told to wait: until when, for which route.
-    pub(super) fn on_retry_after(&mut self, now: Micros, hop: EndpointId, wait: Micros) {
-        let Some(route) = self.route_of(hop).filter(|_| wait > 0) else { return };
+    /// An endpoint's answer had a Retry-After, or none (0).
+    pub(super) fn on_retry_after(&mut self, now: Micros, endpoint: EndpointId, retry_after: Micros) {
+        let Some(route) = self.route_of(endpoint).filter(|_| retry_after > 0) else { return };
         self.retry_after.expire(now);
-        let until = self.retry_after.extend_to(route.clone(), now.saturating_add(wait));
+        let until = self.retry_after.extend_to(route.clone(), now.saturating_add(retry_after));
         let record = route.retry_after_record(until);
+        // Other processes read it from the file.
         if self.upgrade.other_runs() || self.upgrade.has_handed_off() {
             self.append_record(&record);
         }
     }
 
-    /// Whether a wait holds an endpoint: its own, or one of its whole destination.
-    pub(super) fn is_held_by_retry_after(&self, now: Micros, hop: EndpointId) -> bool {
-        let Some(hop) = self.endpoints.get(hop) else { return false };
-        let keys = [None, Some(hop.uid.to_string())].map(|uid| RouteKey::new(hop.destination, uid));
-        keys.iter().any(|key| self.retry_after.runs(now, key))
+    /// Whether a Retry-After holds an endpoint: its own, or one of its whole destination.
+    pub(super) fn is_held_by_retry_after(&self, now: Micros, endpoint: EndpointId) -> bool {
+        let Some(known) = self.endpoints.get(endpoint) else { return false };
+        let whole = RouteKey::new(known.destination, None);
+        let separate = RouteKey::new(known.destination, Some(known.uid.to_string()));
+        self.retry_after.runs(now, &whole) || self.retry_after.runs(now, &separate)
     }
 
-    /// A wait that was told to another process of this forwarder.
+    /// A Retry-After that another process of this forwarder had.
     pub(super) fn adopt_retry_after(&mut self, now: Micros, route: RouteKey, until: Micros) {
         if until > now {
             self.controller.extend(self.route_state_event(&route, false, until - now));
@@ -94,18 +98,24 @@
         }
     }
 
+    /// The records of each Retry-After that has not ended.
     pub(super) fn running_retry_afters(&self, now: Micros) -> Vec<Record> {
         let running = self.retry_after.iter().filter(|(_, until)| **until > now);
         running.map(|(route, until)| route.retry_after_record(*until)).collect()
     }
 
-    /// What the module is told of a route; nothing where its endpoint is not listed: one that comes later is another.
-    pub(super) fn route_state_event(&self, route: &RouteKey, out: bool, wait: Micros) -> Option<Event> {
+    /// What the controller is told of a route; nothing where its endpoint is not listed: one that comes later is another.
+    pub(super) fn route_state_event(
+        &self,
+        route: &RouteKey,
+        ejected: bool,
+        retry_after: Micros,
+    ) -> Option<Event> {
         let endpoint = match &route.endpoint {
-            Some(uid) => Some(self.endpoints.id_of(uid.as_str())?),
+            Some(uid) => Some(self.endpoints.id_of(uid)?),
             None => None,
         };
-        Some(Event::RouteState { destination: route.destination, endpoint, ejected: out, retry_after: wait })
+        Some(Event::RouteState { destination: route.destination, endpoint, ejected, retry_after })
     }
 
     /// About the bytes of the records of what is known of routes, never less.
@@ -113,27 +123,29 @@
         self.faulty_routes.record_bytes + self.retry_after.record_bytes()
     }
 
-    /// Destinations with a route in trouble, as the journal has them.
+    /// Destinations with a faulty route, as the journal has them.
     pub fn faulty_destinations(&self) -> impl Iterator<Item = DestinationId> {
         self.faulty_routes.iter().map(|route| route.destination)
     }
 
-    /// What the module knows of routes in trouble outlasts the process.
+    /// What the controller knows of faulty routes outlasts the process.
     pub(super) fn record_faulty_routes(&mut self) {
-        // An endpoint that the list names no more is about to lose its name, be the set another or not.
+        // An unlisted endpoint is about to lose its number, be the set another or not.
         if !self.controller.take_faulty_routes_changed() && self.endpoints.unlisted().is_empty() {
             return;
         }
-        let troubled = self.controller.faulty_routes().into_iter();
-        let name = |id: EndpointId| self.endpoints.get(id).map(|hop| hop.uid.to_string());
-        let keys = troubled.filter_map(|(dest, endpoint)| match endpoint {
-            Some(endpoint) => Some(RouteKey::new(dest, Some(name(endpoint)?))),
-            None => Some(RouteKey::new(dest, None)),
-        });
-        let troubled: FaultyRoutes = keys.collect();
-        if troubled != self.faulty_routes {
-            self.append(&[(&faulty_routes_record(&troubled), b"")], None);
-            self.faulty_routes = troubled;
+        let faulty = self.controller.faulty_routes().into_iter();
+        let key = |(destination, endpoint): (DestinationId, Option<EndpointId>)| match endpoint {
+            Some(endpoint) => {
+                let known = self.endpoints.get(endpoint)?;
+                Some(RouteKey::new(destination, Some(known.uid.to_string())))
+            }
+            None => Some(RouteKey::new(destination, None)),
+        };
+        let faulty: FaultyRoutes = faulty.filter_map(key).collect();
+        if faulty != self.faulty_routes {
+            self.append_record(&faulty_routes_record(&faulty));
+            self.faulty_routes = faulty;
         }
     }
 }
