--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -90,7 +90,7 @@
         let was_idle_close = call.reused_connection && error.outcome() == Outcome::Reset;
         let outcome = if was_idle_close { Outcome::InvalidResponse } else { error.outcome() };
         if let Some(endpoint) = self.endpoints.get(call.endpoint) {
-            self.log(format!("next hop {}: {error}", endpoint.uid));
+            self.log(format!("call failed endpoint={} error={:?}", endpoint.uid, error.to_string()));
         }
         for attempt in call.attempts {
             self.finish_attempt(now, attempt, outcome, call.sent_at, ReplyInfo::default());
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -241,7 +241,7 @@
 
     /// A watch has ended, for this reason.
     pub(super) fn on_watch_ended(&mut self, now: Micros, reason: &str, retry_after_ms: u64, silence: Micros) {
-        self.log(format!("transport map: {reason}; the last list stays in use"));
+        self.log(format!("endpoint list: watch ended, the last list stays in use reason={reason:?}"));
         let retry_after = retry_after::to_micros(retry_after_ms);
         self.discovery.on_watch_ended(now, retry_after, silence, &self.settings);
     }
@@ -252,14 +252,16 @@
         if !self.endpoints.list().has_room_for(&event) {
             let version = event.version;
             self.log(format!(
-                "transport map: version {version} has more than {MAX_ENTRIES} entries; the last list stays in use"
+                "endpoint list: too large, the last list stays in use version={version} max_entries={MAX_ENTRIES}"
             ));
             return self.discovery.abandon_watch(now);
         }
         let order = self.discovery.observe_version(now, &event, self.endpoints.list().origin());
         if let VersionOrder::FirstRegression { newest_version } = order {
             let version = event.version;
-            self.log(format!("transport map: version {version} after {newest_version}: asked for once more"));
+            self.log(format!(
+                "endpoint list: version went back, asking for a snapshot version={version} newest={newest_version}"
+            ));
         }
         if order != VersionOrder::InOrder {
             event = self.endpoints.list().without_activations(event);
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -198,7 +198,7 @@
                 }
                 Action::Timer { delay, token } => self.controller.set_timer(now + delay, token),
                 Action::CloseIdle { endpoint } => self.close_idle(endpoint),
-                Action::Log { text } => self.log(format!("module: {text}")),
+                Action::Log { text } => self.log(format!("controller: {text}")),
                 // The list is watched all the time, and the platform has neither health checks that the controller asks
                 // for nor gossip between forwarders.
                 Action::Watch { .. }
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -139,7 +139,7 @@
             self.apply_override(now, &endpoint, change);
             self.prune_overrides(now);
             let state = if change.ejected { "out" } else { "back" };
-            self.log(format!("operator: {endpoint} is {state}"));
+            self.log(format!("operator: endpoint is {state} endpoint={endpoint}"));
             Reply::Yes(state)
         } else {
             Reply::No("the journal has no room for it, or cannot be written".to_owned())
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -169,7 +169,9 @@
     /// later view, and a message that is handed on could go in a circle.
     pub(super) fn note_handover_from(&mut self, forwarder: &str) {
         if self.ownership.count_handover_from(forwarder) {
-            self.log(format!("hand-over: a message from {forwarder:?}, who is no member, is delivered here"));
+            self.log(format!(
+                "handover: accepted a message from a forwarder that is no member forwarder={forwarder:?}"
+            ));
         }
     }
 
@@ -178,8 +180,9 @@
         let in_force = self.ownership.view.as_ref().map(|view| view.version());
         if let Some(in_force) = in_force.filter(|in_force| view.version() < *in_force) {
             let older = view.version();
-            return self
-                .log(format!("owners: view {older} is older than view {in_force}, and is passed over"));
+            return self.log(format!(
+                "owners: ignored a view older than the one in force version={older} in_force={in_force}"
+            ));
         }
         self.replace_owners(now, Some(view));
     }
--- a/crates/forwarder/src/reducer/reload.rs
+++ b/crates/forwarder/src/reducer/reload.rs
@@ -11,7 +11,7 @@
     /// discovery, perhaps at another address, has told more.
     pub(super) fn reload_config(&mut self, now: Micros, config: Config) {
         let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
-        self.log(format!("configuration: read again, discovery is at {}", discovery.file));
+        self.log(format!("configuration: reloaded discovery={}", discovery.file));
         let superseded = discovery.given.filter(|given| Some(*given) != self.discovery.superseded());
         if let Some(discovery) = superseded {
             self.append_record(&Record::DiscoverySuperseded { discovery });
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -86,15 +86,19 @@
     /// What another process left is in this one's file, or could not be: then it stays where it is for now. Where that
     /// process has ended, each message that there is no room for is finished at once.
     pub(super) fn on_takeover_recorded(&mut self, now: Micros, mut takeover: Takeover, stored: bool) {
+        let generation = takeover.generation;
         let count = takeover.messages.len();
         if !stored && !takeover.is_complete {
-            return self.log(format!("succession: no room yet for {count} messages"));
+            return self.log(format!(
+                "upgrade: no room yet for another process's messages messages={count} generation={generation}"
+            ));
         }
         if !stored {
-            self.log(format!("succession: no room for {count} messages, each is ended"));
+            self.log(format!(
+                "upgrade: no room, an ended process's messages are finished messages={count} generation={generation}"
+            ));
             self.finish_without_room(now, &mut takeover);
         }
-        let generation = takeover.generation;
         for FinishedId { id, at } in takeover.finished {
             self.finished.remember(id, at);
         }
@@ -111,7 +115,9 @@
             }
         }
         if count > 0 {
-            self.log(format!("succession: {count} messages taken over from process {generation}"));
+            self.log(format!(
+                "upgrade: took over another process's messages messages={count} generation={generation}"
+            ));
         }
         if takeover.is_complete {
             self.upgrade.remove(generation);
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -280,7 +280,7 @@
 
     /// The older processes have stopped: this one begins attempts, with what they knew of faulty routes.
     fn take_lead(&mut self) {
-        self.log("succession: the process before has stopped, this one goes on".to_owned());
+        self.log("upgrade: the older process has stopped, this one begins attempts".to_owned());
         let faulty = self.upgrade.older().flat_map(|older| older.state.faulty_routes.iter());
         let events: Vec<_> = faulty.filter_map(|route| self.route_state_event(route, true, 0)).collect();
         self.controller.extend(events);
@@ -324,8 +324,10 @@
     /// The journal says that this process has handed off, or could not be told: the successor may begin at once.
     pub(super) fn on_hand_off_recorded(&mut self, stored: bool) {
         if !stored {
-            return self
-                .log("succession: could not be handed over, the successor waits for the end".to_owned());
+            return self.log(
+                "upgrade: cannot hand off without room in the journal, the successor waits for the exit"
+                    .to_owned(),
+            );
         }
         self.upgrade.stage = ProcessStage::HandedOff;
         self.clients.set_accepted(false);
@@ -338,7 +340,11 @@
             .iter()
             .filter(|(_, message)| message.stored && message.accepted.in_flight.is_none());
         let free: Vec<MessageId> = free.map(|(number, _)| number).collect();
-        self.log(format!("succession: {} messages handed over, {} calls out", free.len(), self.calls.len()));
+        self.log(format!(
+            "upgrade: handed off to the successor messages={} calls_in_flight={}",
+            free.len(),
+            self.calls.len()
+        ));
         free.into_iter().for_each(|number| self.release_to_successor(number));
         self.controller.update_max_calls(self.controller_settings());
     }
