--- a/crates/consul/src/instance_health.rs
+++ b/crates/consul/src/instance_health.rs
@@ -1,7 +1,7 @@
 //! What the checks, marks and weights of an instance come to: one table, one function.
 
 use crate::api::{Check, NODE_MAINTENANCE, SERVICE_MAINTENANCE, ServiceEntry};
-use orchidyoke_core::endpoint_list::{HealthChecks, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointState, HealthStatus};
 
 /// A tag, or a key of the meta data with the value `true`, by which operators drain an instance.
 pub const DRAINING: &str = "draining";
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceHealth {
     /// Whether it takes anything new.
-    pub state: ListedState,
+    pub state: EndpointState,
     /// What its checks say.
-    pub checks: HealthChecks,
+    pub checks: HealthStatus,
 }
 
 /// One check. A word that is not known is no leave to send.
-fn check(check: &Check) -> HealthChecks {
+fn check(check: &Check) -> HealthStatus {
     match check.status.as_str() {
-        "passing" => HealthChecks::Passing,
-        "warning" => HealthChecks::Warning,
-        _ => HealthChecks::Critical,
+        "passing" => HealthStatus::Passing,
+        "warning" => HealthStatus::Warning,
+        _ => HealthStatus::Critical,
     }
 }
 
@@ -41,20 +41,20 @@
 /// | none, or all pass | weight for passing is 0 or less | terminating | passing |
 /// | one warns, none critical | weight for warning is 0 or less | terminating | warning |
 pub fn instance_health(entry: &ServiceEntry) -> InstanceHealth {
-    let worst = |a: HealthChecks, b: HealthChecks| match (a, b) {
-        (HealthChecks::Critical, _) | (_, HealthChecks::Critical) => HealthChecks::Critical,
-        (HealthChecks::Warning, _) | (_, HealthChecks::Warning) => HealthChecks::Warning,
-        _ => HealthChecks::Passing,
+    let worst = |a: HealthStatus, b: HealthStatus| match (a, b) {
+        (HealthStatus::Critical, _) | (_, HealthStatus::Critical) => HealthStatus::Critical,
+        (HealthStatus::Warning, _) | (_, HealthStatus::Warning) => HealthStatus::Warning,
+        _ => HealthStatus::Passing,
     };
-    let checks = entry.checks.iter().map(check).fold(HealthChecks::Passing, worst);
+    let checks = entry.checks.iter().map(check).fold(HealthStatus::Passing, worst);
     let service = &entry.service;
     let marked = service.tags.iter().any(|tag| tag == DRAINING)
         || service.meta.get(DRAINING).is_some_and(|value| value == "true");
     let weightless = match checks {
-        HealthChecks::Passing => service.weights.passing <= 0,
-        HealthChecks::Warning => service.weights.warning <= 0,
-        HealthChecks::Critical => false,
+        HealthStatus::Passing => service.weights.passing <= 0,
+        HealthStatus::Warning => service.weights.warning <= 0,
+        HealthStatus::Critical => false,
     };
     let drained = marked || weightless || entry.checks.iter().any(is_maintenance);
-    InstanceHealth { state: if drained { ListedState::Draining } else { ListedState::Active }, checks }
+    InstanceHealth { state: if drained { EndpointState::Draining } else { EndpointState::Active }, checks }
 }
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::settings::{Service, Settings};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -163,8 +163,8 @@
         gone.extend(self.strays_over(destination));
         // Gone is unfit: where the last one goes, the destination is in trouble, and comes back cold.
         let gone = gone.into_iter().map(|t| EndpointEntry {
-            state: ListedState::Removed,
-            health: HealthChecks::Critical,
+            state: EndpointState::Removed,
+            health: HealthStatus::Critical,
             ..t
         });
         let back = empty && self.known.contains(&destination);
@@ -176,7 +176,7 @@
         let unfit = changed
             .iter()
             .filter(|_| back)
-            .map(|t| EndpointEntry { health: HealthChecks::Critical, ..t.clone() });
+            .map(|t| EndpointEntry { health: HealthStatus::Critical, ..t.clone() });
         let first: Vec<EndpointEntry> = gone.chain(unfit).collect();
         let (first, then) =
             if back { (first, changed) } else { (first.into_iter().chain(changed).collect(), vec![]) };
@@ -283,7 +283,7 @@
         WatchEvent { version: 7, is_snapshot: true, endpoints: targets, origin: String::new() }
     }
 
-    fn uids(news: &WatchEvent) -> Vec<(String, ListedState)> {
+    fn uids(news: &WatchEvent) -> Vec<(String, EndpointState)> {
         news.endpoints.iter().map(|t| (t.uid.clone(), t.state)).collect()
     }
 
@@ -295,8 +295,8 @@
         assert_eq!(
             uids(&change.news[0]),
             [
-                ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), ListedState::Removed),
-                ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), ListedState::Active),
+                ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), EndpointState::Removed),
+                ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), EndpointState::Active),
             ]
         );
         let change = snapshot.take(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
@@ -335,7 +335,7 @@
         let target = snapshot.take(0, &[one.clone()]).news[0].endpoints[0].clone();
         assert_eq!(
             (target.zone.as_str(), target.state, target.health),
-            ("b", ListedState::Active, HealthChecks::Warning)
+            ("b", EndpointState::Active, HealthStatus::Warning)
         );
         one.service.meta.insert("zone".to_owned(), "c".to_owned());
         assert_eq!(snapshot.take(0, &[one]).news[0].endpoints[0].zone, "c", "the instance's own comes first");
@@ -352,11 +352,11 @@
             gone[0]
                 .endpoints
                 .iter()
-                .all(|t| (t.state, t.health) == (ListedState::Removed, HealthChecks::Critical))
+                .all(|t| (t.state, t.health) == (EndpointState::Removed, HealthStatus::Critical))
         );
         let back = snapshot.take(0, &all).news;
         let checks: Vec<_> = back.iter().map(|n| n.endpoints[0].health).collect();
-        assert_eq!(checks, [HealthChecks::Critical, HealthChecks::Passing]);
+        assert_eq!(checks, [HealthStatus::Critical, HealthStatus::Passing]);
         assert!(back[0].version < back[1].version && back.iter().all(|n| n.endpoints.len() == 2));
     }
 
@@ -368,15 +368,15 @@
             zone: String::new(),
             kind: "one".to_owned(),
             destination,
-            state: ListedState::Active,
+            state: EndpointState::Active,
             capacity_hint: 1.0,
-            health: HealthChecks::Passing,
+            health: HealthStatus::Passing,
         };
         let held = held(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
         let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
         let gone = |news: &[WatchEvent]| -> Vec<String> {
             let all = news.iter().flat_map(|n| &n.endpoints);
-            all.filter(|t| t.state == ListedState::Removed).map(|t| t.uid.clone()).collect()
+            all.filter(|t| t.state == EndpointState::Removed).map(|t| t.uid.clone()).collect()
         };
         assert_eq!(gone(&snapshot.take(0, &[entry("n1", "w", "", 80, "passing")]).news), ["s3"]);
         assert_eq!(gone(&snapshot.take(1, &[]).news), ["s1"], "both services of destination 3 are known now");
--- a/crates/consul/tests/instance_health.rs
+++ b/crates/consul/tests/instance_health.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_consul::api::{Check, ServiceEntry, Weights};
 use orchidyoke_consul::instance_health::{DRAINING, InstanceHealth, instance_health};
-use orchidyoke_core::endpoint_list::{HealthChecks, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointState, HealthStatus};
 
 fn entry(checks: &[(&str, &str)]) -> ServiceEntry {
     let check = |(id, status): &(&str, &str)| Check {
@@ -16,9 +16,9 @@
 // Guards against a line of the table that the code reads otherwise.
 #[test]
 fn each_combination_stands_as_the_table_says() {
-    use HealthChecks::{Critical, Passing, Warning};
-    use ListedState::{Active, Draining};
-    type Case = (&'static [(&'static str, &'static str)], ListedState, HealthChecks);
+    use EndpointState::{Active, Draining};
+    use HealthStatus::{Critical, Passing, Warning};
+    type Case = (&'static [(&'static str, &'static str)], EndpointState, HealthStatus);
     let cases: [Case; 10] = [
         (&[], Active, Passing),
         (&[("serfHealth", "passing"), ("web", "passing")], Active, Passing),
@@ -38,23 +38,23 @@
 
 #[test]
 fn marks_and_weights_drain_whatever_the_checks_say() {
-    for (status, told) in [("passing", HealthChecks::Passing), ("critical", HealthChecks::Critical)] {
+    for (status, told) in [("passing", HealthStatus::Passing), ("critical", HealthStatus::Critical)] {
         let mut tagged = entry(&[("web", status)]);
         tagged.service.tags = vec!["v2".to_owned(), DRAINING.to_owned()];
-        assert_eq!(instance_health(&tagged), InstanceHealth { state: ListedState::Draining, checks: told });
+        assert_eq!(instance_health(&tagged), InstanceHealth { state: EndpointState::Draining, checks: told });
         let mut meta = entry(&[("web", status)]);
         meta.service.meta.insert(DRAINING.to_owned(), "true".to_owned());
-        assert_eq!(instance_health(&meta), InstanceHealth { state: ListedState::Draining, checks: told });
+        assert_eq!(instance_health(&meta), InstanceHealth { state: EndpointState::Draining, checks: told });
         meta.service.meta.insert(DRAINING.to_owned(), "false".to_owned());
-        assert_eq!(instance_health(&meta).state, ListedState::Active);
+        assert_eq!(instance_health(&meta).state, EndpointState::Active);
     }
     let mut weightless = entry(&[("web", "warning")]);
     weightless.service.weights = Weights { passing: 0, warning: 1 };
     assert_eq!(
         instance_health(&weightless).state,
-        ListedState::Active,
+        EndpointState::Active,
         "the weight for passing does not count"
     );
     weightless.service.weights = Weights { passing: 1, warning: 0 };
-    assert_eq!(instance_health(&weightless).state, ListedState::Draining);
+    assert_eq!(instance_health(&weightless).state, EndpointState::Draining);
 }
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_consul::Consul as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
-use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::certificates::Authority;
 use orchidyoke_fakes::consul::{Fault, Instance};
@@ -58,7 +58,7 @@
         Seen { map, news }
     }
 
-    fn states(&self) -> Vec<(String, ListedState, HealthChecks)> {
+    fn states(&self) -> Vec<(String, EndpointState, HealthStatus)> {
         let name = |target: &EndpointEntry| target.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
         self.map.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
     }
@@ -80,7 +80,7 @@
     }
 
     /// Waits until an endpoint stands so.
-    async fn stands(&mut self, id: &str, state: ListedState, checks: HealthChecks) {
+    async fn stands(&mut self, id: &str, state: EndpointState, checks: HealthStatus) {
         while !self.states().contains(&(id.to_owned(), state, checks)) {
             let news = timeout(PATIENCE, self.news.recv()).await;
             self.take(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
@@ -126,19 +126,19 @@
     run(async {
         let (consul, mut seen) = followed(2).await;
         consul.status("n1", "w1", "critical");
-        seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
+        seen.stands("w1", EndpointState::Active, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", true);
-        seen.stands("w1", ListedState::Draining, HealthChecks::Critical).await;
+        seen.stands("w1", EndpointState::Draining, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", false);
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
+        seen.stands("w1", EndpointState::Active, HealthStatus::Warning).await;
         consul.maintenance("n1", "w2", true);
-        seen.stands("w2", ListedState::Draining, HealthChecks::Critical).await;
+        seen.stands("w2", EndpointState::Draining, HealthStatus::Critical).await;
         consul.maintenance("n1", "w2", false);
-        seen.stands("w2", ListedState::Active, HealthChecks::Passing).await;
+        seen.stands("w2", EndpointState::Active, HealthStatus::Passing).await;
         consul.node_check("n1", "serfHealth", Some("critical"));
-        seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
-        seen.stands("w2", ListedState::Active, HealthChecks::Critical).await;
+        seen.stands("w1", EndpointState::Active, HealthStatus::Critical).await;
+        seen.stands("w2", EndpointState::Active, HealthStatus::Critical).await;
         consul.node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
         seen.holds(1).await;
@@ -165,7 +165,7 @@
             );
             assert_eq!(seen.map.len(), 2, "{fault:?}");
             consul.fault(Fault::None);
-            seen.stands("w3", ListedState::Active, HealthChecks::Passing).await;
+            seen.stands("w3", EndpointState::Active, HealthStatus::Passing).await;
             seen.holds(2).await;
         });
     }
@@ -334,7 +334,7 @@
             sleep(Duration::from_millis(1)).await;
         }
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
+        seen.stands("w1", EndpointState::Active, HealthStatus::Warning).await;
         assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
     });
 }
@@ -440,7 +440,7 @@
         let began = Instant::now();
         for number in &all[10..16] {
             consul.status("n1", &format!("i{number}"), "critical");
-            seen.stands(&format!("i{number}"), ListedState::Active, HealthChecks::Critical).await;
+            seen.stands(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical).await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
         for number in &all {
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -6,65 +6,11 @@
 pub use bounds::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, bounded_watch_event, parse_list};
 pub use list::{EndpointList, ListedEndpoint};
 
-use crate::interface::{EndpointState, HealthStatus};
+pub use crate::interface::{EndpointState, HealthStatus};
+
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What the list says of an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum ListedState {
-    /// To be used.
-    #[serde(rename = "in_service")]
-    Active,
-    /// Nothing new may go there.
-    #[serde(rename = "terminating")]
-    Draining,
-    /// Gone; only among changes.
-    #[serde(rename = "terminated")]
-    Removed,
-}
-
-impl From<ListedState> for EndpointState {
-    fn from(state: ListedState) -> Self {
-        match state {
-            ListedState::Active => EndpointState::Active,
-            ListedState::Draining => EndpointState::Draining,
-            ListedState::Removed => EndpointState::Removed,
-        }
-    }
-}
-
-/// What health checks say of an endpoint; discovery tells nothing of it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum HealthChecks {
-    /// All pass, or there are none.
-    #[default]
-    Passing,
-    /// At least one warns.
-    Warning,
-    /// At least one fails.
-    Critical,
-}
-
-impl HealthChecks {
-    /// Whether there is nothing to tell.
-    pub fn pass(&self) -> bool {
-        *self == HealthChecks::Passing
-    }
-}
-
-impl From<HealthChecks> for HealthStatus {
-    fn from(checks: HealthChecks) -> Self {
-        match checks {
-            HealthChecks::Passing => HealthStatus::Passing,
-            HealthChecks::Warning => HealthStatus::Warning,
-            HealthChecks::Critical => HealthStatus::Critical,
-        }
-    }
-}
-
 /// Bytes of a line of the list beside its names and its address, at most: all its numbers at their longest.
 const LINE_SIZE: usize = 160;
 /// Bytes of an address at most.
@@ -91,13 +37,13 @@
     #[serde(rename = "pod_group")]
     pub destination: u64,
     /// Whether it takes anything new.
-    pub state: ListedState,
+    pub state: EndpointState,
     /// What its destination takes, in calls a second.
     #[serde(default)]
     pub capacity_hint: f64,
     /// What health checks say of it.
-    #[serde(rename = "checks", default, skip_serializing_if = "HealthChecks::pass")]
-    pub health: HealthChecks,
+    #[serde(rename = "checks", default, skip_serializing_if = "HealthStatus::is_passing")]
+    pub health: HealthStatus,
 }
 
 impl EndpointEntry {
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -1,6 +1,6 @@
 //! The list as it stands, in a form that is small in memory.
 
-use super::{EndpointEntry, HealthChecks, ListedState, MAX_ENTRIES, WatchEvent, line_size};
+use super::{EndpointEntry, EndpointState, HealthStatus, MAX_ENTRIES, WatchEvent, line_size};
 use std::borrow::Borrow;
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -26,9 +26,9 @@
     /// See [`EndpointEntry::capacity_hint`].
     pub capacity_hint: f64,
     /// See [`EndpointEntry::state`].
-    pub state: ListedState,
+    pub state: EndpointState,
     /// See [`EndpointEntry::health`].
-    pub health: HealthChecks,
+    pub health: HealthStatus,
 }
 
 impl ListedEndpoint {
@@ -136,14 +136,14 @@
         // Built in one go, a tree is packed full; of two lines for one endpoint the later counts.
         let mut entries: BTreeSet<ByUid> =
             targets.iter().map(|target| ByUid(self.entry(target, &uid_of))).collect();
-        entries.retain(|entry| entry.0.state != ListedState::Removed);
+        entries.retain(|entry| entry.0.state != EndpointState::Removed);
         self.size = entries.iter().map(|entry| entry.0.size()).sum();
         self.entries = entries;
     }
 
     fn apply_delta(&mut self, targets: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
         for target in targets {
-            let before = if target.state == ListedState::Removed {
+            let before = if target.state == EndpointState::Removed {
                 self.entries.take(target.uid.as_str())
             } else {
                 self.size += target.size();
@@ -169,7 +169,7 @@
 
     /// Whether the list still keeps to [`MAX_ENTRIES`] with this news taken in.
     pub fn has_room_for(&self, news: &WatchEvent) -> bool {
-        let is_listed = |target: &&EndpointEntry| target.state != ListedState::Removed;
+        let is_listed = |target: &&EndpointEntry| target.state != EndpointState::Removed;
         if news.is_snapshot {
             return news.endpoints.iter().filter(is_listed).count() <= MAX_ENTRIES;
         }
@@ -187,9 +187,9 @@
     /// drained since, or names no more, may not be sent to again on the word of an older one.
     pub fn without_activations(&self, mut news: WatchEvent) -> WatchEvent {
         for target in &mut news.endpoints {
-            let serves = self.get(&target.uid).is_some_and(|held| held.state == ListedState::Active);
-            if target.state == ListedState::Active && !serves {
-                target.state = ListedState::Draining;
+            let serves = self.get(&target.uid).is_some_and(|held| held.state == EndpointState::Active);
+            if target.state == EndpointState::Active && !serves {
+                target.state = EndpointState::Draining;
             }
         }
         news
@@ -233,7 +233,7 @@
     /// The news that makes this map the same as another: its new and changed entries, and those that it lacks as gone.
     pub fn delta_to(&self, other: &EndpointList) -> WatchEvent {
         let gone = self.iter().filter(|entry| other.get(&entry.uid).is_none());
-        let gone = gone.map(|entry| EndpointEntry { state: ListedState::Removed, ..entry.to_entry() });
+        let gone = gone.map(|entry| EndpointEntry { state: EndpointState::Removed, ..entry.to_entry() });
         let changed = other.iter().filter(|entry| self.get(&entry.uid) != Some(entry));
         WatchEvent {
             version: other.version,
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -5,6 +5,8 @@
 //! event: an unknown class is handled as [`Idempotency::NonIdempotent`] with no worth, an unknown tenant has no quota, an
 //! unknown zone is a zone apart, and an unknown kind is plain (no batches, endpoints not apart).
 
+use serde::{Deserialize, Serialize};
+
 /// Microseconds: a point on the forwarder's clock, or a span.
 pub type Micros = i64;
 /// A message, numbered by the forwarder; a number is not used again.
@@ -170,28 +172,40 @@
 }
 
 /// What the list says of an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// To be used; says nothing of its health.
+    /// In use; says nothing of its health.
+    #[serde(rename = "in_service")]
     Active,
-    /// Nothing new may go there.
+    /// No new call may go there.
+    #[serde(rename = "terminating")]
     Draining,
-    /// Removed.
+    /// No longer in the list; only in a delta.
+    #[serde(rename = "terminated")]
     Removed,
 }
 
 /// What health checks say of an endpoint, where somebody makes any.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
 pub enum HealthStatus {
-    /// Fit, or nothing is told. By itself this opens nothing.
+    /// All pass, or there are none. By itself this does not end an ejection.
     #[default]
     Passing,
-    /// Ailing: others go before it.
+    /// At least one warns: other endpoints go before it.
     Warning,
-    /// Unfit: nothing goes there while another of its destination is fit. Where none is, calls have to show it.
+    /// At least one fails: nothing goes there while another endpoint of its destination passes. Where none does, its
+    /// calls decide.
     Critical,
 }
 
+impl HealthStatus {
+    /// Whether nothing is wrong.
+    pub fn is_passing(&self) -> bool {
+        *self == HealthStatus::Passing
+    }
+}
+
 /// A line of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate {
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! How news changes the transport map.
 
-use orchidyoke_core::endpoint_list::{EndpointList, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointList, EndpointState, WatchEvent};
 
 fn line(rev: u64, all: bool, uid: &str, state: &str) -> String {
     format!(
@@ -20,7 +20,7 @@
     assert!(map.get("s1").is_some() && map.get("s2").is_some());
     map.apply(&news(&line(3, true, "s2", "terminating")));
     assert!(map.get("s1").is_none());
-    assert_eq!(map.get("s2").map(|t| t.state), Some(ListedState::Draining));
+    assert_eq!(map.get("s2").map(|t| t.state), Some(EndpointState::Draining));
     map.apply(&news(&line(4, false, "s2", "terminated")));
     assert!(map.get("s2").is_none() && map.version() == 4);
 }
--- a/crates/experiments/src/scale.rs
+++ b/crates/experiments/src/scale.rs
@@ -4,7 +4,7 @@
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{Site, progress, quantile, wait_until};
-use orchidyoke_core::endpoint_list::{EndpointList, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointList, EndpointState};
 use orchidyoke_fakes::consul::{Fault, Instance};
 use orchidyoke_fakes::partner::Bearing;
 use orchidyoke_journal::{Record, replay};
@@ -42,7 +42,7 @@
     }
 
     /// Takes in what is new; gives the uids and states told in it.
-    fn look(&mut self) -> Vec<(String, ListedState)> {
+    fn look(&mut self) -> Vec<(String, EndpointState)> {
         let inode = std::fs::metadata(&self.path).map(|data| data.ino()).ok();
         if self.file.as_ref().map(|(known, _)| *known) != inode {
             self.file = inode.zip(File::open(&self.path).ok());
@@ -125,7 +125,7 @@
         site.consul.fault(Fault::Silent);
     }
     let mut rng = StdRng::seed_from_u64(run.seed);
-    let mut waiting: BTreeMap<String, (Instant, ListedState)> = BTreeMap::new();
+    let mut waiting: BTreeMap<String, (Instant, EndpointState)> = BTreeMap::new();
     let mut times = Vec::new();
     let (mut made, begin) = (0, Instant::now());
     while begin.elapsed() < CHANGES || !waiting.is_empty() && begin.elapsed() < CHANGES + BOUND {
@@ -135,12 +135,12 @@
             let number = rng.random_range(0..endpoints);
             let (node, id) = (format!("node-{}", number / 20), format!("i{number}"));
             let uid = format!("s{0}.{0}/{node}/{id}@{1}", number % services, address(number));
-            let drained = tail.map.get(&uid).is_some_and(|target| target.state == ListedState::Draining);
+            let drained = tail.map.get(&uid).is_some_and(|target| target.state == EndpointState::Draining);
             if let Entry::Vacant(place) = waiting.entry(uid) {
                 site.consul.tag(&node, &id, "draining", !drained);
                 place.insert((
                     Instant::now(),
-                    if drained { ListedState::Active } else { ListedState::Draining },
+                    if drained { EndpointState::Active } else { EndpointState::Draining },
                 ));
             }
         }
--- a/crates/forwarder/src/reducer/hops.rs
+++ b/crates/forwarder/src/reducer/hops.rs
@@ -6,11 +6,10 @@
 use crate::config::Config;
 use crate::input::{Effect, WatchSource};
 use orchidyoke_core::endpoint_list::{
-    EndpointEntry, HealthChecks, ListedEndpoint, ListedState, MAX_ENTRIES, WatchEvent,
+    EndpointEntry, EndpointState, HealthStatus, ListedEndpoint, MAX_ENTRIES, WatchEvent,
 };
 use orchidyoke_core::interface::{
-    DestinationId, DestinationKind, EndpointId, EndpointState, EndpointUpdate, Event, HealthStatus,
-    ListEventKind, Micros,
+    DestinationId, DestinationKind, EndpointId, EndpointUpdate, Event, ListEventKind, Micros,
 };
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
@@ -39,8 +38,8 @@
     model: &'a str,
     destination: DestinationId,
     weight: f64,
-    state: ListedState,
-    checks: HealthChecks,
+    state: EndpointState,
+    checks: HealthStatus,
 }
 
 impl<'a> From<&'a EndpointEntry> for Line<'a> {
@@ -140,17 +139,17 @@
 
     /// What the module is told of an endpoint.
     pub(super) fn entry(&self, now: Micros, hop: EndpointId, line: Line<'_>) -> EndpointUpdate {
-        let out = line.state == ListedState::Active
+        let out = line.state == EndpointState::Active
             && (self.overlay.is_out(line.uid) || self.policy_out.contains(line.uid));
-        let cold = line.checks == HealthChecks::Passing && self.is_cold(now, line.uid);
+        let cold = line.checks == HealthStatus::Passing && self.is_cold(now, line.uid);
         EndpointUpdate {
             endpoint: hop,
             destination: line.destination,
             zone: self.zone(line.az),
             kind: self.names.kinds.iter().position(|kind| kind == line.model).unwrap_or(usize::MAX),
-            state: if out { EndpointState::Draining } else { line.state.into() },
+            state: if out { EndpointState::Draining } else { line.state },
             // Cold beside others that serve: they go before it.
-            health: if cold { HealthStatus::Warning } else { line.checks.into() },
+            health: if cold { HealthStatus::Warning } else { line.checks },
             capacity_hint: line.weight,
         }
     }
--- a/crates/forwarder/src/reducer/operators.rs
+++ b/crates/forwarder/src/reducer/operators.rs
@@ -6,7 +6,6 @@
 use crate::console::{Call, Reply};
 use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, RequestId};
-use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
@@ -187,8 +186,8 @@
     /// What the list and the operators together say of an endpoint.
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
         let state = self.map.get(uid)?.state;
-        let out = state == ListedState::Active && self.overlay.is_out(uid);
-        Some(if out { EndpointState::Draining } else { state.into() })
+        let out = state == EndpointState::Active && self.overlay.is_out(uid);
+        Some(if out { EndpointState::Draining } else { state })
     }
 
     /// Whether an endpoint was put back so lately that it is still cold.
--- a/crates/forwarder/tests/common/deployments.rs
+++ b/crates/forwarder/tests/common/deployments.rs
@@ -2,7 +2,7 @@
 //! deployments of two operators differ.
 #![allow(dead_code)]
 
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 
 /// What it lists: two endpoints of the kind that takes several messages in a call, two that take one.
 pub fn targets() -> Vec<EndpointEntry> {
@@ -19,9 +19,9 @@
         zone: (*az).to_owned(),
         kind: (*model).to_owned(),
         destination: *pod_group,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     };
     listed.iter().enumerate().map(target).collect()
 }
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -2,7 +2,7 @@
 
 use super::S;
 use super::world::World;
-use orchidyoke_core::endpoint_list::ListedState;
+use orchidyoke_core::endpoint_list::EndpointState;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::hop_call::Cause;
@@ -18,7 +18,7 @@
     Break(usize),
     Wait(Micros),
     Post(bool),
-    List { which: usize, state: ListedState },
+    List { which: usize, state: EndpointState },
     Move(usize),
     Operator { which: usize, out: bool },
     Kill,
@@ -37,7 +37,7 @@
             28..=34 => Step::Wait(which as Micros % 400_000),
             35 | 36 => Step::Post(flag),
             37 => {
-                let states = [ListedState::Active, ListedState::Draining, ListedState::Removed];
+                let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
                 Step::List { which, state: *g.choose(&states).expect("some") }
             }
             38 if flag => Step::Move(which),
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -4,7 +4,7 @@
 use super::shape::Shape;
 use super::{DISK, S, START, ids};
 use bytes::Bytes;
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::config::Config;
@@ -239,7 +239,8 @@
                 let (port, since) = followed(&from);
                 self.follows.push((watch, port, since));
                 // What it has missed while it was dead is told at once.
-                let targets = self.list.iter().filter(|t| t.state != ListedState::Removed).cloned().collect();
+                let targets =
+                    self.list.iter().filter(|t| t.state != EndpointState::Removed).cloned().collect();
                 let news = WatchEvent {
                     version: self.rev,
                     is_snapshot: true,
@@ -264,7 +265,7 @@
         let link = self.links.get_mut(&link).expect("open");
         assert!(link.up && link.call.is_none(), "one call at a time, on a connection that is up");
         let target = self.list.iter().find(|t| t.address.to_string() == link.address).expect("listed");
-        assert_eq!(target.state, ListedState::Active, "nothing new to an endpoint that drains or is gone");
+        assert_eq!(target.state, EndpointState::Active, "nothing new to an endpoint that drains or is gone");
         assert!(!self.out.contains(&target.uid), "nothing new to one that is out by hand");
         let route = self.shape.route(target);
         assert!(self.waits.get(&route).is_none_or(|until| *until <= self.now), "a wait is kept");
@@ -451,7 +452,7 @@
         assert_eq!(ends, figures.taken() - figures.open() + self.turned_away);
         assert_eq!(figures.dispatches(), self.written);
         let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().targets);
-        let in_list = self.list.iter().filter(|t| t.state != ListedState::Removed);
+        let in_list = self.list.iter().filter(|t| t.state != EndpointState::Removed);
         assert_eq!(in_list.clone().count(), listed);
         assert!(in_list.filter(out).count() <= gauges.targets_disabled && gauges.targets_disabled <= listed);
     }
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::{
-    EndpointEntry, EndpointList, HealthChecks, ListedState, MAX_ENTRIES, WatchEvent,
+    EndpointEntry, EndpointList, EndpointState, HealthStatus, MAX_ENTRIES, WatchEvent,
 };
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::UpdateSender;
@@ -39,9 +39,9 @@
         zone: "a".to_owned(),
         kind: "one".to_owned(),
         destination: number as u64,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 20.0,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     }
 }
 
@@ -140,7 +140,7 @@
     let mut world = World::start(config(targets(4)), Vec::new());
     assert!(world.news(news(2, true, targets(LISTED))) > 100 * LISTED, "it is written");
     assert_eq!(world.listed(), LISTED);
-    let draining = EndpointEntry { state: ListedState::Draining, ..target(LISTED / 2) };
+    let draining = EndpointEntry { state: EndpointState::Draining, ..target(LISTED / 2) };
     for (rev, changed) in [(3, draining.clone()), (4, target(LISTED)), (5, target(0))] {
         let written = world.news(news(rev, false, vec![changed]));
         assert!(written < SMALL_RECORD, "version {rev}: {written} bytes");
@@ -152,7 +152,7 @@
     assert_eq!(world.listed(), LISTED + 1);
     let map = world.journaled();
     assert_eq!((map.version(), map.len()), (5, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(ListedState::Draining));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
     assert!(world.news(news(6, false, vec![target(1)])) < SMALL_RECORD);
     let size = world.file.len();
     let world = World::start(config(targets(4)), world.file);
@@ -164,8 +164,8 @@
 fn a_change_heard_by_another_process_is_written_as_a_change() {
     let mut world = World::start(config(targets(4)), Vec::new());
     world.news(news(2, true, targets(LISTED)));
-    let draining = EndpointEntry { state: ListedState::Draining, ..target(5) };
-    let gone = EndpointEntry { state: ListedState::Removed, ..target(6) };
+    let draining = EndpointEntry { state: EndpointState::Draining, ..target(5) };
+    let gone = EndpointEntry { state: EndpointState::Removed, ..target(6) };
     let heard = [
         news(2, true, targets(LISTED)),
         news(3, false, vec![draining.clone(), gone.clone(), target(LISTED), target(LISTED + 1)]),
@@ -177,7 +177,7 @@
     assert!(written < 2 * SMALL_RECORD, "{written} bytes");
     let map = world.journaled();
     assert_eq!((map.version(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(ListedState::Draining));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
     assert!(map.get(&gone.uid).is_none() && map.get(&target(LISTED).uid).is_some());
 }
 
@@ -242,7 +242,7 @@
     let (watch, since) = since.expect("it is asked for again");
     assert!(watch > asked && since == 2, "watch {watch} from version {since}");
     world.watch = watch;
-    let gone = EndpointEntry { state: ListedState::Removed, ..target(0) };
+    let gone = EndpointEntry { state: EndpointState::Removed, ..target(0) };
     assert!(world.news(news(5, false, vec![gone, target(MAX_ENTRIES)])) > 0);
     assert_eq!(world.listed(), MAX_ENTRIES);
 }
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -1,6 +1,6 @@
 //! Lists out of frames: what is handed on, what is not, and how much work it is, at the size of 100,000 entries.
 
-use orchidyoke_core::endpoint_list::{ListError, ListedState, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointState, ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent};
 use orchidyoke_forwarder::list_reader::ListReader;
 use std::fmt::Write;
 
@@ -124,5 +124,5 @@
     let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME);
     assert!(error.is_none(), "{error:?}");
     assert_eq!(lists[0].endpoints.len(), MAX_ENTRIES);
-    assert!(lists[0].endpoints.iter().all(|target| target.state == ListedState::Active));
+    assert!(lists[0].endpoints.iter().all(|target| target.state == EndpointState::Active));
 }
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState};
 use quickcheck::{Gen, QuickCheck};
 
 // Guards against the breaks that no single case shows: a message lost or ended twice by a kill at a bad moment,
@@ -44,7 +44,7 @@
             world.step(0, Step::Connect { which: number, up: true });
             world.answer(0, 0);
         }
-        let old = EndpointEntry { state: ListedState::Removed, ..world.list[2].clone() };
+        let old = EndpointEntry { state: EndpointState::Removed, ..world.list[2].clone() };
         world.list[2].uid = format!("s-new{number}");
         let targets = vec![old, world.list[2].clone()];
         world.rev += 1;
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -5,7 +5,7 @@
 use common::steps::Step;
 use common::world::{Still, World};
 use common::{S, START};
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::config::Config;
@@ -17,7 +17,7 @@
 #[test]
 fn a_lost_discovery_is_asked_again_and_its_list_stays_in_use() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 3, state: ListedState::Draining });
+    world.step(0, Step::List { which: 3, state: EndpointState::Draining });
     world.input(Input::WatchEnded { watch: 1, reason: "silent".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(S);
@@ -68,7 +68,7 @@
     let gone = |origin: &str| WatchEvent {
         version: 2,
         is_snapshot: false,
-        endpoints: vec![EndpointEntry { state: ListedState::Removed, ..common::targets()[2].clone() }],
+        endpoints: vec![EndpointEntry { state: EndpointState::Removed, ..common::targets()[2].clone() }],
         origin: origin.to_owned(),
     };
     world.input(Input::WatchEvent { watch: first, event: gone("") });
@@ -219,7 +219,7 @@
     let mut world = World::new();
     let told = |world: &mut World, rev: u64, drains: bool| {
         let mut targets = common::targets();
-        targets[2].state = if drains { ListedState::Draining } else { ListedState::Active };
+        targets[2].state = if drains { EndpointState::Draining } else { EndpointState::Active };
         let news = WatchEvent { version: rev, is_snapshot: true, endpoints: targets, origin: String::new() };
         let watch = world.follows.last().expect("followed").0;
         world.input(Input::WatchEvent { watch, event: news });
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -4,7 +4,7 @@
 
 use common::S;
 use common::world::World;
-use orchidyoke_core::endpoint_list::ListedState;
+use orchidyoke_core::endpoint_list::EndpointState;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::input::Input;
@@ -22,7 +22,7 @@
     );
     assert!(world.operate(out.clone()) && world.operate(out.clone()));
     world.out.insert("s-c".to_owned());
-    for state in [ListedState::Removed, ListedState::Active] {
+    for state in [EndpointState::Removed, EndpointState::Active] {
         world.rev += 1;
         world.list[2].state = state;
         let targets = vec![world.list[2].clone()];
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -7,7 +7,7 @@
 use common::steps::Step;
 use common::world::{Still, World, followed, reducer};
 use common::{S, START};
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::config::Config;
@@ -23,7 +23,7 @@
 #[test]
 fn a_restart_keeps_the_endpoints_that_never_changed() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 3, state: ListedState::Draining });
+    world.step(0, Step::List { which: 3, state: EndpointState::Draining });
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -34,7 +34,7 @@
 #[test]
 fn a_restart_keeps_a_drain_that_was_told() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 2, state: ListedState::Draining });
+    world.step(0, Step::List { which: 2, state: EndpointState::Draining });
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -47,7 +47,7 @@
 fn a_restart_with_a_full_file_loses_no_message() {
     let mut world = World::new();
     // Nothing may go there: the message stays held.
-    world.step(0, Step::List { which: 2, state: ListedState::Draining });
+    world.step(0, Step::List { which: 2, state: EndpointState::Draining });
     world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
     let mut rewrites = 0;
@@ -118,7 +118,7 @@
         let mut reducer = Reducer::new(config(), 0, records, whole, START);
         let told = EndpointEntry { uid: format!("n1/web-{start}"), ..common::targets()[0].clone() };
         let targets =
-            vec![EndpointEntry { state: ListedState::Removed, ..common::targets()[3].clone() }, told];
+            vec![EndpointEntry { state: EndpointState::Removed, ..common::targets()[3].clone() }, told];
         let news = WatchEvent { version: 0, is_snapshot: false, endpoints: targets, origin: "c1".to_owned() };
         let inputs = [Input::TimerDue, Input::WatchEvent { watch: 1, event: news }];
         for effect in inputs.into_iter().flat_map(|input| reducer.step(START, input)) {
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -1,7 +1,7 @@
 //! A list of 100,000 entries in the journal: written, read back, and torn by a kill at any place.
 
 use bytes::BytesMut;
-use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_journal::{Journal, Opened, ProcessStage, Record};
 use std::fs;
 use std::path::PathBuf;
@@ -15,9 +15,9 @@
         zone: "a".to_owned(),
         kind: "one".to_owned(),
         destination: number as u64,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 20.0,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     }
 }
 
@@ -92,9 +92,9 @@
         zone: "\u{3}".to_owned(),
         kind: "\u{4}".to_owned(),
         destination: u64::MAX,
-        state: ListedState::Draining,
+        state: EndpointState::Draining,
         capacity_hint: -f64::MIN_POSITIVE,
-        health: HealthChecks::Critical,
+        health: HealthStatus::Critical,
     };
     let mut map = EndpointList::default();
     let mut check = |targets: Vec<EndpointEntry>| {
@@ -110,8 +110,10 @@
     };
     check((0..1000).map(longest).collect());
     check((0..100).map(target).collect());
-    check((0..1000).map(|number| EndpointEntry { state: ListedState::Removed, ..longest(number) }).collect());
-    let gone = |number| EndpointEntry { state: ListedState::Removed, ..target(number) };
+    check(
+        (0..1000).map(|number| EndpointEntry { state: EndpointState::Removed, ..longest(number) }).collect(),
+    );
+    let gone = |number| EndpointEntry { state: EndpointState::Removed, ..target(number) };
     check((0..100).map(gone).collect());
     assert_eq!(map.len(), 0);
 }
