--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -190,7 +190,8 @@
         if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
             destination.endpoints.retain(|other| *other != id);
         }
-        self.schedule.set_faulty((endpoint.destination, Some(id)), false);
+        let route = FaultyRouteId { destination: endpoint.destination, endpoint: Some(id) };
+        self.schedule.set_faulty(route, false);
         self.schedule.changed.push(endpoint.destination);
     }
 }
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -77,10 +77,13 @@
     fn named_routes(&self, id: DestinationId, destination: &Destination) -> Vec<NamedRoute> {
         let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let separate = endpoints.map(|(endpoint_id, endpoint)| NamedRoute {
-            id: (id, Some(endpoint_id)),
+            id: FaultyRouteId { destination: id, endpoint: Some(endpoint_id) },
             route: Some(endpoint.route).filter(|_| endpoint.kind.separate_routes),
         });
-        let shared = NamedRoute { id: (id, None), route: destination.shared_route };
+        let shared = NamedRoute {
+            id: FaultyRouteId { destination: id, endpoint: None },
+            route: destination.shared_route,
+        };
         separate.chain([shared]).collect()
     }
 
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -43,17 +43,17 @@
         &mut self,
         id: MessageId,
         attempts: u32,
-        possible_delivery: Option<(Micros, EndpointId, usize)>,
+        possible_delivery: Option<PriorAttempt>,
     ) {
         let now = self.now;
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = attempts;
         message.is_first_try = attempts == 0 && message.is_first_try;
         message.recovered_unsent = attempts == 0;
-        message.possible_delivery = possible_delivery.map(|(sent_ago, endpoint, zone)| PossibleDelivery {
-            sent_at: now - sent_ago,
-            endpoint,
-            zone,
+        message.possible_delivery = possible_delivery.map(|prior| PossibleDelivery {
+            sent_at: now - prior.sent_ago,
+            endpoint: prior.endpoint,
+            zone: prior.zone,
         });
         self.schedule.changed.push(message.destination);
         self.unsettled.push(id);
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -92,7 +92,7 @@
             endpoint.traffic_mut().record_success(call.sent_at);
         }
         let route = &mut self.routes[id];
-        route.served.add(self.now);
+        route.served.record(self.now);
         let traffic = route.traffic_mut();
         traffic.latency.observe(latency, traffic.failures.never_succeeded());
         if call.is_first_try {
@@ -117,7 +117,7 @@
         traffic.latency.reset_timeouts();
         let first_failure_at = traffic.failures.reset(self.now).unwrap_or(self.now);
         if recovers {
-            route.served.leave_out(self.now - first_failure_at);
+            route.served.exclude(self.now - first_failure_at);
             self.start_warm_up(id);
         }
     }
@@ -162,7 +162,7 @@
         let route = &mut self.routes[id];
         let most = pacing::max_multiple(&self.settings);
         let rate = route.paced_rate(&self.settings);
-        let saved = rate.map_or(0.0, |rate| route.pace_bucket.room(self.now, rate, most));
+        let saved = rate.map_or(0.0, |rate| route.pace_bucket.available(self.now, rate, most));
         let calls = saved.max(0.0) + self.rng.uniform();
         route.take_pace_tokens(calls, self.now, &self.settings);
         route.traffic_mut().pace.on_rejection();
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,9 +1,9 @@
-//! The interface of the decision module: settings, events and actions. No logic lives here.
+//! The interface of the controller: settings, events and actions. No logic lives here.
 //!
 //! Classes, tenants, zones and kinds are numbers: places in the lists of [`Settings`]. Messages, endpoints and
 //! order keys are numbers that the forwarder chooses. A number with no place in the settings is legal in an
-//! event: an unknown class is handled as [`Idempotency::NonIdempotent`] with no worth, an unknown tenant has no quota, an
-//! unknown zone is a zone apart, and an unknown kind is plain (no batches, endpoints not apart).
+//! event: an unknown class is handled as [`Idempotency::NonIdempotent`] without a priority weight, an unknown tenant has no quota, an
+//! unknown zone is a zone of its own, and an unknown kind has no batches and no separate routes.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,16 +15,33 @@
 pub type EndpointId = u32;
 /// A destination.
 pub type DestinationId = u64;
-/// A route in trouble: a destination, or one endpoint of it where they are routes apart.
-pub type FaultyRouteId = (DestinationId, Option<EndpointId>);
+/// A route: a destination, or one endpoint of it where its endpoints are separate routes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct FaultyRouteId {
+    /// The destination.
+    pub destination: DestinationId,
+    /// The endpoint, where it is a separate route.
+    pub endpoint: Option<EndpointId>,
+}
+
+/// An attempt before a restart that may have been executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PriorAttempt {
+    /// Time since it was sent.
+    pub sent_ago: Micros,
+    /// Where it was sent.
+    pub endpoint: EndpointId,
+    /// The endpoint's zone at that time.
+    pub zone: usize,
+}
 
-/// How worth falls after the aim.
+/// How the weight of a message decreases after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WeightDecay {
     /// Evenly, down to the late share at the deadline.
     #[default]
     Linear,
-    /// By half with each further aim, but not under the late share.
+    /// By half with each further latency objective, but not below the late share.
     Halving,
 }
 
@@ -39,19 +56,20 @@
     Endpoint,
 }
 
-/// What a second delivery of a message of this class would do.
+/// Whether a message of a class may be delivered twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Idempotency {
-    /// No harm.
+    /// A second delivery does no harm.
     Idempotent,
-    /// It is dropped within the group, for `window` from the send of the first attempt that may have run.
+    /// A second delivery is dropped within the scope, for `window` from the send of the first attempt that may have been
+    /// executed.
     IdempotencyKey {
-        /// Who drops it.
+        /// Which endpoints drop it.
         scope: DeduplicationScope,
-        /// For how long.
+        /// For how long, in microseconds.
         window: Micros,
     },
-    /// Harm: the effect happens twice.
+    /// A second delivery has its effect twice.
     #[default]
     NonIdempotent,
 }
@@ -59,17 +77,17 @@
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Class {
-    /// Delivered within this time it earns its full worth.
+    /// Delivered within this time a message has its full weight.
     pub latency_objective: Micros,
     /// Given up after this time.
     pub deadline: Micros,
-    /// Worth of one message.
+    /// Weight of a message delivered in time, in points.
     pub priority_weight: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the weight that is left at the deadline.
     pub late_weight_share: f64,
-    /// What a repeat does.
+    /// Whether it may be delivered twice.
     pub idempotency: Idempotency,
-    /// Messages with one key go one at a time, in the order of their taking.
+    /// Messages with the same order key go one at a time, in order of arrival.
     pub keep_order: bool,
 }
 
@@ -78,11 +96,11 @@
 pub struct DestinationKind {
     /// Messages in one call at most; 1 or more.
     pub max_batch: usize,
-    /// Endpoints are separate routes, each with limit, pace and outages of its own.
+    /// Its endpoints are separate routes, each with a limit, a pace and a health of its own.
     pub separate_routes: bool,
 }
 
-/// What the weights of the list mean.
+/// What the capacity hints of the endpoint list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum CapacityHints {
     /// Nothing.
@@ -94,7 +112,7 @@
     Rough,
 }
 
-/// Who starts the news of the list.
+/// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum DiscoveryMode {
     /// Changes arrive unprompted.
@@ -104,7 +122,7 @@
     Poll,
 }
 
-/// What a forwarder is told at its start.
+/// Settings of a forwarder. Times are in microseconds, costs in points.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many forwarders there are.
@@ -117,23 +135,23 @@
     pub kinds: Vec<DestinationKind>,
     /// Messages a second within its share, for each tenant, over all forwarders.
     pub tenant_quotas: Vec<f64>,
-    /// Part of the worth that a message over its tenant's share keeps.
+    /// Share of its weight that a message over its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// How worth falls.
+    /// How the weight decreases after the latency objective.
     pub decay: WeightDecay,
-    /// Calls out at once.
+    /// Calls in flight at once (call slots).
     pub max_calls: usize,
-    /// Messages held at once, sent or not; 0 means any number.
+    /// Messages without a final answer at once, sent or not; 0 means any number.
     pub max_open_messages: usize,
     /// Attempts for one message; 0 means any number.
     pub max_attempts: u32,
-    /// A message may have two attempts out together.
+    /// A message may have two attempts in flight.
     pub allow_hedging: bool,
     /// Attempts may be cancelled.
     pub allow_cancel: bool,
-    /// Refused clients get pause advice.
+    /// Rejections carry a Retry-After.
     pub send_retry_after: bool,
-    /// The longest pause that a client follows.
+    /// Longest Retry-After that a client follows.
     pub max_retry_after: Micros,
     /// Calls that one connection carries at once.
     pub streams_per_connection: usize,
@@ -141,37 +159,37 @@
     pub idle_timeout: Micros,
     /// A connection not up by then has failed.
     pub connect_timeout: Micros,
-    /// Points for a fresh connection, by first try.
+    /// Cost of a new connection for a first attempt.
     pub handshake_cost: f64,
-    /// Points for an attempt into another zone, by first try.
+    /// Cost of a first attempt into another zone.
     pub cross_zone_cost: f64,
-    /// Points for a message taken on by a route apart, for each zone.
+    /// Cost of a message delivered by a separate route, for each zone.
     pub zone_costs: Vec<f64>,
-    /// What weights mean.
+    /// What the capacity hints mean.
     pub capacity_hints: CapacityHints,
-    /// Who starts the news of the list.
+    /// How changes of the endpoint list arrive.
     pub discovery_mode: DiscoveryMode,
     /// Least time between two steps.
     pub tick: Micros,
     /// A final answer counts until this long after the deadline.
     pub final_answer_grace: Micros,
-    /// Without a subscription the list must be asked for within this time; 0 means never.
+    /// Without a subscription the list has to be polled within this time; 0 means never.
     pub max_poll_interval: Micros,
     /// Sends to a draining endpoint must stop within this time.
     pub drain_grace: Micros,
-    /// A cold destination falls over at more than this multiple of its present capacity ...
+    /// A cold destination is overloaded by more than this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... kept up for this long.
+    /// ... over this time.
     pub overload_window: Micros,
-    /// After an outage a destination has this share of its capacity or more ...
+    /// After an outage a destination has at least this share of its capacity ...
     pub cold_capacity_share: f64,
     /// ... and all of it after this time.
     pub warm_up_time: Micros,
-    /// A key rests this long after an attempt that may still be running.
+    /// An order key waits this long after an attempt that may still be running.
     pub key_cooldown: Micros,
 }
 
-/// What the list says of an endpoint.
+/// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
     /// In use; says nothing of its health.
@@ -185,7 +203,7 @@
     Removed,
 }
 
-/// What health checks say of an endpoint, where somebody makes any.
+/// Result of an endpoint's health checks, where there are any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthStatus {
@@ -206,7 +224,7 @@
     }
 }
 
-/// A line of the list.
+/// A line of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate {
     /// The endpoint.
@@ -219,22 +237,22 @@
     pub kind: usize,
     /// Its state.
     pub state: EndpointState,
-    /// What health checks say of it.
+    /// Result of its health checks.
     pub health: HealthStatus,
     /// See [`Settings::capacity_hints`].
     pub capacity_hint: f64,
 }
 
-/// What kind of news a list event is.
+/// What a list event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListEventKind {
     /// Changed entries only.
     Delta,
     /// The whole list.
     Snapshot,
-    /// The whole list as this forwarder had it last; it may be old.
+    /// The whole list as this forwarder had it last, which may be out of date.
     Restored,
-    /// Asking failed or the subscription broke.
+    /// A request failed or the subscription broke.
     Failed,
 }
 
@@ -246,26 +264,25 @@
 pub enum Outcome {
     /// Delivered.
     Success,
-    /// Answered with an error; may have taken effect.
+    /// Answered with an error; may have been executed.
     Error,
-    /// Turned away unseen.
+    /// Rejected before execution.
     Rejected,
-    /// No answer in time; may have taken effect.
+    /// No answer in time; may have been executed.
     Timeout,
-    /// No connection was made; never ran.
+    /// No connection was made; not executed.
     ConnectFailed,
-    /// The connection broke; may have taken effect.
+    /// The connection broke; may have been executed.
     Reset,
-    /// Spoilt on the way back: an answer came that cannot be read, or a kept connection closed under the call;
-    /// may have taken effect.
+    /// An unreadable answer, or a reused connection that closed during the call; may have been executed.
     InvalidResponse,
-    /// Called off; may have taken effect.
+    /// Cancelled; may have been executed.
     Cancelled,
-    /// Not sent at all.
+    /// Not sent.
     NotSent,
 }
 
-/// How an attempt ended, and what was told with it.
+/// How an attempt ended, and what its answer reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
     /// The message.
@@ -274,19 +291,19 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since it was sent.
     pub latency: Micros,
-    /// The message is over.
+    /// The message has its final answer.
     pub message_finished: bool,
-    /// Told to wait this long, whatever the outcome; 0: nothing told.
+    /// Retry-After of the answer, whatever the outcome; 0: none.
     pub retry_after: Micros,
     /// Reported limit in calls a second, if any.
     pub reported_limit: Option<f64>,
-    /// Reported share of the limit that is left, if any.
+    /// Reported remainder of the limit, if any.
     pub reported_remaining: Option<f64>,
 }
 
-/// What has happened.
+/// An input of the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A new message.
@@ -299,48 +316,48 @@
         class: usize,
         /// Its tenant.
         tenant: usize,
-        /// Its key of order, where its class keeps one; a key that has repeats dropped is not the module's.
+        /// Its order key, where its class keeps an order; an idempotency key is no concern of the controller.
         order_key: Option<u64>,
-        /// Time until it is given up.
+        /// Time until its deadline.
         time_left: Micros,
-        /// The client marked it as a repeat.
+        /// The client marked it as a retry.
         is_retry: bool,
     },
-    /// What became of a message before a restart; comes right after its [`Event::Message`].
+    /// The attempts of a message before a restart; comes right after its [`Event::Message`].
     AttemptHistory {
         /// Its number.
         id: MessageId,
         /// Attempts used up.
         attempts: u32,
-        /// The first attempt that may have run: how long ago, where to, and the endpoint's zone at that time.
-        possible_delivery: Option<(Micros, EndpointId, usize)>,
+        /// The first attempt that may have been executed.
+        possible_delivery: Option<PriorAttempt>,
     },
-    /// What is known of a destination from elsewhere: an earlier process of this forwarder, or an operator.
+    /// State of a destination known from an earlier process of this forwarder, or set by an operator.
     RouteState {
         /// Its number.
         destination: DestinationId,
-        /// The endpoint that it is about, where they are routes apart; none: all of them.
+        /// The endpoint that it is about, where its endpoints are separate routes; none: all of them.
         endpoint: Option<EndpointId>,
-        /// It is in trouble (see [`faulty_routes`](crate::Controller::faulty_routes)), or comes back cold.
+        /// It is ejected (see [`faulty_routes`](crate::Controller::faulty_routes)), or comes back cold.
         ejected: bool,
-        /// It told to wait, so much longer; 0: nothing told.
+        /// What is left of its Retry-After; 0: none.
         retry_after: Micros,
     },
-    /// Other settings hold from now on; the list comes again right after.
+    /// New settings; the endpoint list comes again right after.
     Settings(Box<Settings>),
-    /// The forwarder stops: what cannot end by then is not begun.
+    /// The forwarder shuts down: calls that cannot end by then are not begun.
     ShuttingDown {
         /// How long it still runs.
         time_left: Micros,
     },
-    /// Nobody wants this message any more.
+    /// The client has withdrawn a message.
     Withdrawn {
         /// Its number.
         id: MessageId,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The answer to an attempt has started to flow; the attempt is the client's from now on.
+    /// The response to an attempt has started; the attempt belongs to the client from now on.
     ResponseStarted {
         /// The message.
         id: MessageId,
@@ -352,21 +369,21 @@
         /// Its number.
         token: u64,
     },
-    /// News of the list.
+    /// A change of the endpoint list.
     EndpointList {
-        /// What kind of news.
+        /// What the entries are.
         kind: ListEventKind,
         /// The entries.
         entries: Vec<EndpointUpdate>,
     },
-    /// A probe has ended.
+    /// A health check has ended.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// Bytes from another forwarder.
+    /// Gossip from another forwarder.
     Gossip {
         /// Its number.
         from: u32,
@@ -375,7 +392,7 @@
     },
 }
 
-/// What the forwarder is to do.
+/// An output of the controller: what the forwarder has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Call an endpoint with a message. The first send of a message is attempt 0, the next 1, and so on.
@@ -384,17 +401,17 @@
         id: MessageId,
         /// Where to.
         endpoint: EndpointId,
-        /// Time-out.
+        /// Time after which the attempt fails.
         timeout: Micros,
     },
-    /// End the message undelivered; the client may safely hand it in again after `pause`.
+    /// End the message undelivered; the client may safely send it again.
     Reject {
         /// The message.
         id: MessageId,
-        /// Advice on when to come back; 0: none.
+        /// Retry-After for the client; 0: none.
         retry_after: Micros,
     },
-    /// End the message undelivered, with no promise about its effect.
+    /// End the message undelivered; whether it was executed is not known.
     Fail {
         /// The message.
         id: MessageId,
@@ -418,9 +435,9 @@
         /// Subscribe.
         on: bool,
     },
-    /// Ask for the whole list once.
+    /// Request the whole list once.
     PollList,
-    /// Send a check to an endpoint.
+    /// Send a health check to an endpoint.
     HealthCheck {
         /// The endpoint.
         endpoint: EndpointId,
@@ -430,7 +447,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send bytes to one forwarder, or to all.
+    /// Send gossip to one forwarder, or to all.
     Gossip {
         /// Its number; `None`: all.
         to: Option<u32>,
--- a/crates/core/src/pacing.rs
+++ b/crates/core/src/pacing.rs
@@ -61,7 +61,7 @@
         settings: &Settings,
     ) {
         let most = max_multiple(settings);
-        let grown = self.multiple * MULTIPLE_GROWTH_PER_SECOND.powf(bucket.age(now));
+        let grown = self.multiple * MULTIPLE_GROWTH_PER_SECOND.powf(bucket.seconds_since_take(now));
         self.multiple = grown.min(most);
         bucket.take(now, rate, most, calls);
     }
--- a/crates/core/src/pacing/tests.rs
+++ b/crates/core/src/pacing/tests.rs
@@ -28,7 +28,7 @@
     let set = settings(8);
     let mut rng = SeededRng::new(1);
     for _ in 0..100 {
-        let saved = initial_bucket(0, &set, &mut rng).room(0, 0.0, 10.0);
+        let saved = initial_bucket(0, &set, &mut rng).available(0, 0.0, 10.0);
         assert!(saved > 1.0 && saved <= 2.0, "{saved}");
     }
 }
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,87 +1,72 @@
-//! When to ask for the list, where it comes on request only: a subscription at the start, and another after a failure.
-//! Who hosts the module asks; the module takes the list as it comes.
+//! Decides when to request the endpoint list, where it is polled: a subscription at the start, and another one after a
+//! failure, with exponential backoff. The host of the controller requests it; the controller takes the list as it comes.
 
 use crate::interface::{DiscoveryMode, ListEventKind, Micros, Settings};
 use crate::rng::SeededRng;
 
-/// First pause before the list is asked for again, doubled up to a quarter of the time allowed.
-const FIRST_BACKOFF: Micros = 500_000;
+/// First backoff after a request; it doubles with each further one.
+const FIRST_BACKOFF_US: Micros = 500_000;
+/// The backoff is at most this part of the time allowed between two requests.
+const MAX_BACKOFF_DIVISOR: Micros = 4;
+/// Doublings of the backoff at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// The list of one forwarder, as far as asking for it goes.
+/// When to request the endpoint list.
 #[derive(Debug)]
 pub struct PollSchedule {
-    longest: Micros,
+    max_backoff: Micros,
     poll_at: Micros,
-    failures: u32,
-    dice: SeededRng,
+    consecutive_requests: u32,
+    rng: SeededRng,
 }
 
 impl PollSchedule {
-    /// Nothing asked for yet; none where the list comes unprompted. `seed` spreads those that fail together.
+    /// A schedule whose first request is due at once; none where changes are pushed. `seed` spreads forwarders that fail
+    /// together.
     pub fn new(settings: &Settings, seed: u64) -> Option<Self> {
-        let longest = (settings.max_poll_interval / 4).max(FIRST_BACKOFF);
-        let new = PollSchedule { longest, poll_at: Micros::MIN, failures: 0, dice: SeededRng::new(seed) };
-        (settings.discovery_mode == DiscoveryMode::Poll).then_some(new)
+        let max_backoff = (settings.max_poll_interval / MAX_BACKOFF_DIVISOR).max(FIRST_BACKOFF_US);
+        let schedule = PollSchedule {
+            max_backoff,
+            poll_at: Micros::MIN,
+            consecutive_requests: 0,
+            rng: SeededRng::new(seed),
+        };
+        (settings.discovery_mode == DiscoveryMode::Poll).then_some(schedule)
     }
 
-    /// News has come, or a failure.
-    pub fn on_event(&mut self, now: Micros, form: ListEventKind) {
-        match form {
-            ListEventKind::Failed => self.later(now),
+    /// Takes in a list event: news ends the requests, a failure delays the next.
+    pub fn on_event(&mut self, now: Micros, kind: ListEventKind) {
+        match kind {
+            ListEventKind::Failed => self.back_off(now),
             ListEventKind::Restored => {}
             ListEventKind::Delta | ListEventKind::Snapshot => {
-                (self.poll_at, self.failures) = (Micros::MAX, 0)
+                self.poll_at = Micros::MAX;
+                self.consecutive_requests = 0;
             }
         }
     }
 
-    /// Whether to ask now; without an answer it is asked for once more.
+    /// Whether to request the list now. Without an answer it is requested again after a backoff.
     pub fn should_poll(&mut self, now: Micros) -> bool {
-        let due = now >= self.poll_at;
-        if due {
-            self.later(now);
+        let is_due = now >= self.poll_at;
+        if is_due {
+            self.back_off(now);
         }
-        due
+        is_due
     }
 
-    /// When to look next.
+    /// When the next request is due.
     pub fn next_poll_at(&self) -> Micros {
         self.poll_at
     }
 
-    fn later(&mut self, now: Micros) {
-        let pause = (FIRST_BACKOFF << self.failures.min(6)).min(self.longest);
-        self.failures += 1;
-        self.poll_at = now + self.dice.jitter(pause);
+    fn back_off(&mut self, now: Micros) {
+        let doublings = self.consecutive_requests.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = (FIRST_BACKOFF_US << doublings).min(self.max_backoff);
+        self.consecutive_requests += 1;
+        self.poll_at = now + self.rng.jitter(backoff);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    // Guards against a list that grows old after failures, and against asking for what comes by itself.
-    #[test]
-    fn a_list_on_request_is_asked_for_again_in_time() {
-        let every = 10_000_000;
-        let set = |directory| Settings {
-            discovery_mode: directory,
-            max_poll_interval: every,
-            ..Settings::default()
-        };
-        assert!(PollSchedule::new(&set(DiscoveryMode::Push), 1).is_none());
-        let mut list = PollSchedule::new(&set(DiscoveryMode::Poll), 1).expect("asked for");
-        assert!(list.should_poll(0), "at the start");
-        let (mut last, mut calls) = (0, 1);
-        for now in (100_000..100_000_000).step_by(100_000) {
-            assert!(now - last <= every, "never more than the time allowed between two calls");
-            if list.should_poll(now) {
-                (last, calls) = (now, calls + 1);
-                list.on_event(now, ListEventKind::Failed);
-            }
-        }
-        assert!(calls > 20, "{calls} calls: asked for all the time");
-        list.on_event(100_000_000, ListEventKind::Delta);
-        assert!(!list.should_poll(i64::MAX - 1), "a subscription is not asked for twice");
-    }
-}
+mod tests;
--- a/crates/core/src/rng.rs
+++ b/crates/core/src/rng.rs
@@ -1,8 +1,8 @@
-//! Chance that follows from a seed: the only source of it.
+//! The random number generator of the decisions: the same seed gives the same draws, so a run can be repeated.
 
 use crate::interface::Micros;
 
-/// Draws from a seed: the same seed, the same draws.
+/// A random number generator with a seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SeededRng(fastrand::Rng);
 
@@ -13,17 +13,17 @@
 }
 
 impl SeededRng {
-    /// Draws that follow from `seed`.
+    /// A generator that starts from `seed`.
     pub fn new(seed: u64) -> Self {
         SeededRng(fastrand::Rng::with_seed(seed))
     }
 
-    /// A part of one, from 0 up to but without 1.
+    /// A uniform draw from 0 (included) to 1 (excluded).
     pub fn uniform(&mut self) -> f64 {
         self.0.f64()
     }
 
-    /// A span up to a quarter shorter or longer, so that forwarders do not act in step.
+    /// `span`, up to a quarter shorter or longer, so that forwarders do not act in step.
     pub fn jitter(&mut self, span: Micros) -> Micros {
         (span as f64 * (0.75 + 0.5 * self.uniform())) as Micros
     }
--- a/crates/core/src/route_users.rs
+++ b/crates/core/src/route_users.rs
@@ -1,4 +1,4 @@
-//! Who uses each route, and the free list of those that nobody uses.
+//! Counts the users of each route and keeps the free list of those that nobody uses, so that places are used again.
 
 use crate::interface::DestinationId;
 use crate::route::RouteId;
--- a/crates/core/src/timer_queue.rs
+++ b/crates/core/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! A timer queue: keys ordered by the time at which each is due.
+//! A timer queue: keys ordered by the time at which each is due. Used for destinations that change by time alone.
 
 use crate::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,17 +1,21 @@
-//! Counting what comes in time: a rate that follows the traffic and forgets by halves, and a bucket that a rate fills.
+//! Counts calls over time: a rate estimate that forgets by halves, and a token bucket. Used for this forwarder's share of
+//! a route's capacity and for pacing.
 
 use crate::interface::Micros;
 
-const SECOND: Micros = 1_000_000;
-/// Time over which events are counted, and the least: one event is no rate.
-const SPAN: Micros = 60 * SECOND;
-const LEAST: f64 = 5.0 * SECOND as f64;
-
-/// A part of one event that counts as none, and the least rate in events a second that is told from none.
-const ROUNDING: f64 = 1e-6;
-const LEAST_RATE: f64 = 1e-6;
-
-/// Events counted since a moment; after [`SPAN`] half of them is forgotten.
+const SECOND_US: f64 = 1_000_000.0;
+/// Events of so long are remembered in full; then half of them is forgotten.
+const RATE_WINDOW_US: Micros = 60_000_000;
+/// Least time over which a rate is taken: one event is no rate.
+const MIN_RATE_SPAN_US: f64 = 5_000_000.0;
+/// A part of a token that is lost by rounding and does not count as missing.
+const TOKEN_TOLERANCE: f64 = 1e-6;
+/// Least rate in tokens a second: one near nothing fills a bucket in days, not never.
+const MIN_FILL_RATE: f64 = 1e-6;
+/// Added where a moment must not be later than that of a computation which rounds differently.
+const ROUNDING_US: Micros = 2;
+
+/// Estimates a rate from events counted since a moment; after a minute half of them is forgotten.
 #[derive(Debug, Default)]
 pub struct RateEstimator {
     events: f64,
@@ -19,108 +23,82 @@
 }
 
 impl RateEstimator {
-    /// A count that begins now with some events already in it.
+    /// An estimate that starts now with some events already counted.
     pub fn starting(events: f64, now: Micros) -> Self {
         RateEstimator { events, since: now }
     }
 
     /// Events a second.
     pub fn rate(&self, now: Micros) -> f64 {
-        self.events * SECOND as f64 / ((now - self.since) as f64).max(LEAST)
+        self.events * SECOND_US / ((now - self.since) as f64).max(MIN_RATE_SPAN_US)
     }
 
-    /// One more event.
-    pub fn add(&mut self, now: Micros) {
-        if now - self.since > SPAN {
-            (self.events, self.since) = (self.events / 2.0, now - (now - self.since) / 2);
+    /// Counts an event.
+    pub fn record(&mut self, now: Micros) {
+        let span = now - self.since;
+        if span > RATE_WINDOW_US {
+            self.events /= 2.0;
+            self.since = now - span / 2;
         }
         self.events += 1.0;
     }
 
-    /// A span that does not count, such as an outage: the rate is that of the time without it.
-    pub fn leave_out(&mut self, span: Micros) {
+    /// Leaves out a span, such as an outage: the rate is that of the time without it.
+    pub fn exclude(&mut self, span: Micros) {
         self.since += span;
     }
 }
 
-/// A token bucket: what a rate lets go now. It may owe.
+/// A token bucket. It may hold less than nothing.
 #[derive(Debug, Default)]
 pub struct TokenBucket {
-    available: f64,
-    at: Micros,
+    tokens: f64,
+    updated_at: Micros,
 }
 
 impl TokenBucket {
-    /// A bucket with so much in it now.
-    pub fn starting(room: f64, now: Micros) -> Self {
-        TokenBucket { available: room, at: now }
+    /// A bucket with so many tokens now.
+    pub fn starting(tokens: f64, now: Micros) -> Self {
+        TokenBucket { tokens, updated_at: now }
     }
 
-    /// What is in it, filled by `rate` a second up to `depth`.
-    pub fn room(&self, now: Micros, rate: f64, depth: f64) -> f64 {
-        (self.available + rate * self.age(now)).min(depth)
+    /// Its tokens, filled by `rate` a second up to `depth`.
+    pub fn available(&self, now: Micros, rate: f64, depth: f64) -> f64 {
+        (self.tokens + rate * self.seconds_since_take(now)).min(depth)
     }
 
-    /// Seconds since something was last taken out.
-    pub fn age(&self, now: Micros) -> f64 {
-        (now - self.at) as f64 / SECOND as f64
+    /// Seconds since tokens were last taken.
+    pub fn seconds_since_take(&self, now: Micros) -> f64 {
+        (now - self.updated_at) as f64 / SECOND_US
     }
 
-    /// Takes out so much, be it there or not.
-    pub fn take(&mut self, now: Micros, rate: f64, depth: f64, much: f64) {
-        (self.available, self.at) = (self.room(now, rate, depth) - much, now);
+    /// Takes tokens, whether they are there or not.
+    pub fn take(&mut self, now: Micros, rate: f64, depth: f64, tokens: f64) {
+        self.tokens = self.available(now, rate, depth) - tokens;
+        self.updated_at = now;
     }
 
-    /// When one is in it.
+    /// When a whole token is available.
     pub fn opens_at(&self, now: Micros, rate: f64) -> Micros {
-        let short = 1.0 - self.room(now, rate, 1.0);
-        // A rounding error is no debt; and a rate near nothing opens in days, not never.
-        if short < ROUNDING {
-            now
-        } else {
-            now + (short / rate.max(LEAST_RATE) * SECOND as f64).ceil() as Micros
+        let missing = 1.0 - self.available(now, rate, 1.0);
+        if missing < TOKEN_TOLERANCE {
+            return now;
         }
+        now + fill_time(missing, rate)
     }
 
-    /// Not later than any moment of opening that [`Self::opens_at`] gives from now on: those differ by rounding.
+    /// Not later than any moment that [`Self::opens_at`] gives from now on: those differ by rounding.
     pub fn opens_after(&self, now: Micros, rate: f64) -> Micros {
         let opens = self.opens_at(now, rate);
-        let rounding = (ROUNDING / rate.max(LEAST_RATE) * SECOND as f64).ceil() as Micros + 2;
+        let rounding = fill_time(TOKEN_TOLERANCE, rate) + ROUNDING_US;
         if opens > now { (opens - rounding).max(now + 1) } else { now }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    // Guards against a rate that one event makes high, that an outage makes low, or that never forgets.
-    #[test]
-    fn a_rate_follows_the_traffic() {
-        let mut count = RateEstimator::starting(1.0, 0);
-        assert_eq!(count.rate(SECOND), 0.2);
-        (1..=50).for_each(|second| count.add(second * SECOND));
-        assert!((count.rate(50 * SECOND) - 1.0).abs() < 0.05);
-        count.leave_out(100 * SECOND);
-        assert!((count.rate(150 * SECOND) - 1.0).abs() < 0.05);
-        (151..=600).for_each(|second| (0..4).for_each(|_| count.add(second * SECOND)));
-        assert!((count.rate(600 * SECOND) - 4.0).abs() < 0.3, "{}", count.rate(600 * SECOND));
-    }
-
-    // Guards against a lull that saves up more than the bucket holds, a debt forgotten, and a moment of opening at
-    // which the bucket is still short.
-    #[test]
-    fn a_bucket_fills_to_its_depth_and_pays_its_debts() {
-        let mut bucket = TokenBucket::starting(1.0, 0);
-        assert_eq!(bucket.opens_at(0, 0.3), 0);
-        bucket.take(0, 0.3, 2.0, 1.0);
-        let opens = bucket.opens_at(0, 0.3);
-        assert!((3_333_333..3_333_400).contains(&opens));
-        assert_eq!(bucket.opens_at(opens, 0.3), opens);
-        bucket.take(100 * SECOND, 0.3, 2.0, 0.0);
-        assert_eq!(bucket.room(100 * SECOND, 0.3, 2.0), 2.0);
-        bucket.take(100 * SECOND, 0.3, 2.0, 3.5);
-        assert!((bucket.room(105 * SECOND, 0.3, 2.0) - 0.0).abs() < 1e-9);
-        assert!(bucket.opens_at(105 * SECOND, 0.0) < Micros::MAX / 2);
-    }
+/// Time for so many tokens.
+fn fill_time(tokens: f64, rate: f64) -> Micros {
+    (tokens / rate.max(MIN_FILL_RATE) * SECOND_US).ceil() as Micros
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/waiting_index.rs
+++ b/crates/core/src/waiting_index.rs
@@ -1,5 +1,5 @@
-//! Destinations with messages in their queues, indexed by what they wait for: ready sets, and timer queues for
-//! those that open later.
+//! Indexes the destinations with queued messages by what they wait for: ready sets, and timer queues for those whose
+//! routes open later. A step looks at these instead of at all destinations.
 
 use crate::interface::{DestinationId, Micros};
 use crate::queue::QueueRank;
--- a/crates/core/tests/deployments.rs
+++ b/crates/core/tests/deployments.rs
@@ -148,7 +148,10 @@
     let known =
         |out, wait| Event::RouteState { destination: 1, endpoint: Some(1), ejected: out, retry_after: wait };
     bench.step(&[known(true, 0)]);
-    assert_eq!(bench.controller.faulty_routes().into_iter().collect::<Vec<_>>(), [(1, Some(1))]);
+    assert_eq!(
+        bench.controller.faulty_routes().into_iter().collect::<Vec<_>>(),
+        [FaultyRouteId { destination: 1, endpoint: Some(1) }]
+    );
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     bench.step(&[known(false, S)]);
     assert_eq!(sends(&bench.hand_in(1, 0, 1))[0].1, 2, "its sister takes it at once");
--- a/crates/core/tests/reference/control.rs
+++ b/crates/core/tests/reference/control.rs
@@ -262,7 +262,7 @@
 
     fn pay(&mut self, now: Micros, set: &Settings, calls: f64) {
         let Some(rate) = self.paced(set) else { return };
-        self.pace = (self.pace * PACE_GROW.powf(self.bucket.age(now))).min(most_parts(set));
+        self.pace = (self.pace * PACE_GROW.powf(self.bucket.seconds_since_take(now))).min(most_parts(set));
         self.bucket.take(now, rate, most_parts(set), calls);
     }
 
@@ -328,16 +328,18 @@
 
     /// Routes that are out, failing, or back but cold, for [`Event::RouteState`]: forgotten in a restart, messages
     /// that waited for them would break the rule of returns. An endpoint stands for a route apart.
-    pub fn troubled(&self) -> BTreeSet<(DestinationId, Option<EndpointId>)> {
+    pub fn troubled(&self) -> BTreeSet<FaultyRouteId> {
         let troubled = |route: &Route| match route.health {
             Health::Out => true,
             Health::Warming(since) => self.now - since < self.set.warm_up_time,
             Health::Good => route.failing && route.streak >= 2,
         };
+        let route_id = |destination, endpoint| FaultyRouteId { destination, endpoint };
         let apart = self.endpoints.iter().filter(|(_, place)| place.kind.separate_routes);
-        let apart = apart.map(|(id, place)| ((place.destination, Some(*id)), place.route));
+        let apart = apart.map(|(id, place)| (route_id(place.destination, Some(*id)), place.route));
         // A destination in trouble may have no endpoint just now.
-        let shared = self.destinations.iter().filter_map(|(id, d)| d.shared.map(|r| ((*id, None), r)));
+        let shared =
+            self.destinations.iter().filter_map(|(id, d)| d.shared.map(|r| (route_id(*id, None), r)));
         apart.chain(shared).filter(|(_, route)| troubled(&self.routes[*route])).map(|(id, _)| id).collect()
     }
 
@@ -391,7 +393,7 @@
                 let Some(message) = self.messages.get_mut(id) else { return };
                 (message.attempts, message.first_try) = (*attempts, *attempts == 0 && message.first_try);
                 message.kept_untried = *attempts == 0;
-                message.may_have_run = may_have_run.map(|(ago, place, zone)| (self.now - ago, place, zone));
+                message.may_have_run = may_have_run.map(|p| (self.now - p.sent_ago, p.endpoint, p.zone));
                 self.unsettled.push(*id);
             }
             Event::RouteState { destination: id, endpoint, ejected: out, retry_after: wait } => {
@@ -751,7 +753,7 @@
                 route.window = (route.window * GROW).min((self.set.max_calls as f64 * CAP).max(1.0));
             }
             (route.gap, route.pause_until) = (0.0, 0);
-            route.served.add(self.now);
+            route.served.record(self.now);
             // A call sent before the last push-back tells nothing of the time after it, unless it took long.
             if route
                 .pushed
@@ -765,7 +767,7 @@
                 (route.streak, route.timeouts, route.failing, route.last_ok) = (0, 0, false, self.now);
                 let pushed = route.pushed.take().map_or(self.now, |(first, _)| first);
                 if back {
-                    route.served.leave_out(self.now - pushed);
+                    route.served.exclude(self.now - pushed);
                     self.come_back(id);
                 }
             }
@@ -774,7 +776,7 @@
         route.pushed = Some((route.pushed.map_or(self.now, |(first, _)| first), self.now));
         if outcome == Outcome::Rejected && route.health == Health::Good {
             // What was saved up is gone, and those refused together do not come back together.
-            let saved = |rate| route.bucket.room(self.now, rate, most_parts(&self.set));
+            let saved = |rate| route.bucket.available(self.now, rate, most_parts(&self.set));
             let saved = route.paced(&self.set).map_or(0.0, saved);
             route.pay(self.now, &self.set, saved.max(0.0) + self.dice.uniform());
             route.pace = (route.pace * PACE_SHRINK).max(PACE_LEAST);
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -284,7 +284,9 @@
     fn history(&mut self, id: MessageId, destination: DestinationId) -> Event {
         let attempts = self.chance.below(3) as u32;
         let endpoint = self.chance.below(u64::from(self.next_endpoint)) as EndpointId;
-        let ran = (self.chance.span(5 * S), endpoint, self.chance.of(&[0, 1, UNKNOWN_ZONE]));
+        let sent_ago = self.chance.span(5 * S);
+        let zone = self.chance.of(&[0, 1, UNKNOWN_ZONE]);
+        let ran = PriorAttempt { sent_ago, endpoint, zone };
         let may_have_run = Some(ran).filter(|_| attempts > 0);
         self.open.insert(id, (destination, attempts));
         Event::AttemptHistory { id, attempts, possible_delivery: may_have_run }
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -11,7 +11,11 @@
 fn what_may_have_run_before_a_restart_is_not_sent_again() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     let message = bench.message(1, 2);
-    let history = Event::AttemptHistory { id: 1, attempts: 1, possible_delivery: Some((S, 1, 0)) };
+    let history = Event::AttemptHistory {
+        id: 1,
+        attempts: 1,
+        possible_delivery: Some(PriorAttempt { sent_ago: S, endpoint: 1, zone: 0 }),
+    };
     let actions = bench.step(&[message, history]);
     assert_eq!((failed(&actions), sends(&actions).len()), (vec![1], 0));
     let message = bench.message(1, 2);
@@ -51,7 +55,10 @@
         ejected: true,
         retry_after: 0,
     }));
-    assert_eq!(bench.controller.faulty_routes().into_iter().collect::<Vec<_>>(), [(1, None), (99, None)]);
+    assert_eq!(
+        bench.controller.faulty_routes().into_iter().collect::<Vec<_>>(),
+        [1, 99].map(|destination| FaultyRouteId { destination, endpoint: None })
+    );
     let healthy = sends(&bench.hand_in(2, 0, 1));
     assert_eq!(healthy.len(), 1);
     let mut calls = sends(&bench.hand_in(1, 0, 20));
@@ -82,7 +89,10 @@
         }
         bench.later(5 * S);
         bench.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
-        assert_eq!(bench.controller.faulty_routes().contains(&(1, None)), troubled);
+        assert_eq!(
+            bench.controller.faulty_routes().contains(&FaultyRouteId { destination: 1, endpoint: None }),
+            troubled
+        );
         let (mut calls, mut sent) = (sends(&bench.hand_in(1, 0, 80)), 0);
         for _ in 0..20 {
             sent += calls.len();
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -9,7 +9,7 @@
 use crate::retry_after;
 use orchidyoke_core::interface::{
     AttemptResult, DeduplicationScope, EndpointId, EndpointState, Event, Idempotency as ClassEffect,
-    MessageId, Micros, Outcome, UNKNOWN_ZONE,
+    MessageId, Micros, Outcome, PriorAttempt, UNKNOWN_ZONE,
 };
 use orchidyoke_journal::{AttemptStart, FinalAnswer, ProcessStage, Record};
 
@@ -165,7 +165,7 @@
             (None, _) | (_, ClassEffect::Idempotent) => true,
             (Some(_), ClassEffect::NonIdempotent) => false,
             (Some(ran), ClassEffect::IdempotencyKey { scope: group, window }) => {
-                let (_, hop, zone) = self.trace_of(now, ran);
+                let PriorAttempt { endpoint: hop, zone, .. } = self.trace_of(now, ran);
                 let same = self.hop_numbers.get(to.endpoint.as_str()) == Some(&hop);
                 now < ran.started_at.saturating_add(window)
                     && match group {
--- a/crates/forwarder/src/reducer/messages.rs
+++ b/crates/forwarder/src/reducer/messages.rs
@@ -4,7 +4,7 @@
 use crate::figures::End;
 use crate::input::{RequestId, Submission, SubmitAnswer};
 use bytes::Bytes;
-use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros};
+use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros, PriorAttempt};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState, ProcessStage, Record};
 
 /// About the bytes of a message's record beside its body and id, never less.
@@ -157,11 +157,12 @@
 
     /// How long ago an attempt began, and where: in which zone is kept with it, for the endpoint may be gone since, or
     /// listed elsewhere. Only a record of a version before has none.
-    pub(super) fn trace_of(&self, now: Micros, trace: &AttemptStart) -> (Micros, EndpointId, usize) {
+    pub(super) fn trace_of(&self, now: Micros, trace: &AttemptStart) -> PriorAttempt {
         let hop = self.hop_numbers.get(trace.endpoint.as_str()).copied().unwrap_or(EndpointId::MAX);
         let listed = || self.map.get(&trace.endpoint).map_or("", |target| &*target.zone);
         let zone = if trace.zone.is_empty() { listed() } else { &trace.zone };
-        ((now - trace.started_at).max(0), hop, self.zone(zone))
+        let sent_ago = (now - trace.started_at).max(0);
+        PriorAttempt { sent_ago, endpoint: hop, zone: self.zone(zone) }
     }
 
     fn hold(&mut self, message: Message) -> MessageId {
--- a/crates/forwarder/src/reducer/routes.rs
+++ b/crates/forwarder/src/reducer/routes.rs
@@ -133,9 +133,9 @@
         }
         let troubled = self.controller.faulty_routes().into_iter();
         let name = |id: EndpointId| self.hops.get(&id).map(|hop| hop.uid.to_string());
-        let keys = troubled.filter_map(|(dest, endpoint)| match endpoint {
-            Some(endpoint) => Some(RouteKey::new(dest, Some(name(endpoint)?))),
-            None => Some(RouteKey::new(dest, None)),
+        let keys = troubled.filter_map(|route| match route.endpoint {
+            Some(endpoint) => Some(RouteKey::new(route.destination, Some(name(endpoint)?))),
+            None => Some(RouteKey::new(route.destination, None)),
         });
         let troubled: Troubled = keys.collect();
         if troubled != self.troubled {
