--- a/crates/core/tests/deployments.rs
+++ b/crates/core/tests/deployments.rs
@@ -29,7 +29,7 @@
 
 // Guards against a dead connection that keeps a slot until its time-out, while the endpoint behind it serves.
 #[test]
-fn a_call_that_stands_still_alone_is_called_off_and_goes_again() {
+fn stalled_call_is_cancelled_and_retried() {
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 16);
     let (off, id) = beside_a_quick_one(&mut bench, 0);
@@ -44,7 +44,7 @@
 // Guards against giving up what may not be repeated, what has been called off once, or an endpoint that is silent as a
 // whole: its next call would hang as well.
 #[test]
-fn nothing_is_called_off_that_gains_nothing_by_it() {
+fn call_is_not_cancelled_where_a_retry_would_not_help() {
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 16);
     assert!(beside_a_quick_one(&mut bench, 2).0.is_empty(), "an unsafe message would be lost");
@@ -69,7 +69,7 @@
 // Guards against heavy messages being run twice for nothing: where they are merely long, nothing is called off any more,
 // until a call that was left alone has died.
 #[test]
-fn calls_that_merely_take_long_are_left_alone() {
+fn slow_messages_stop_the_cancelling_of_stalled_calls() {
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 16);
     let (off, id) = beside_a_quick_one(&mut bench, 0);
@@ -92,7 +92,7 @@
 // Guards against a repeat in another building after the endpoint of the first attempt was moved there, or has left the
 // list: where a repeat is dropped is settled when the first attempt goes.
 #[test]
-fn a_repeat_keeps_to_the_building_of_the_first_attempt() {
+fn retry_keeps_to_the_zone_of_the_first_attempt() {
     for moved in [Some(1), None] {
         let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0)]);
         let (id, ..) = sends(&bench.hand_in(1, 1, 1))[0];
@@ -109,7 +109,7 @@
 
 // Guards against two zones that the settings do not name being taken for one building.
 #[test]
-fn zones_without_a_name_are_no_building() {
+fn unknown_zones_are_not_one_zone() {
     let mut bench = Bench::new(set(), &[entry(1, 1, UNKNOWN_ZONE, 0), entry(2, 1, UNKNOWN_ZONE, 0)]);
     let (id, first, _) = sends(&bench.hand_in(1, 1, 1))[0];
     let mut went = sends(&bench.end(id, Outcome::Error));
@@ -122,7 +122,7 @@
 // Guards against a message that waits on after its window: no endpoint drops its repeat any more, so it is failed, at
 // once, and not sent nor refused.
 #[test]
-fn the_window_that_ends_while_a_message_waits_fails_it_at_once() {
+fn message_fails_at_once_when_its_key_window_ends() {
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 0), entry(2, 1, 1, 0)]);
     let (id, endpoint, _) = sends(&bench.hand_in(1, 1, 1))[0];
     let zone = entry(endpoint, 1, endpoint as usize - 1, 0);
@@ -143,7 +143,7 @@
 
 // Guards against one route's trouble or wait, told by an earlier process, being laid to its sisters.
 #[test]
-fn trouble_and_waits_of_a_route_apart_are_its_own() {
+fn state_of_a_separate_route_does_not_affect_the_others() {
     let mut bench = Bench::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let known =
         |out, wait| Event::RouteState { destination: 1, endpoint: Some(1), ejected: out, retry_after: wait };
@@ -164,7 +164,7 @@
 // Guards against an absurd report that overflows a clock, starves a route for good, or lets a message go without an
 // end: as soon as a sound report comes, calls go on.
 #[test]
-fn an_absurd_report_harms_nobody_for_long() {
+fn absurd_reported_values_are_bounded() {
     for limit in [0.0, 1e-300, 1e-9, 1e300, f64::MAX, f64::NAN, f64::INFINITY, -5.0] {
         let set = Settings { fleet_size: 3, capacity_hints: CapacityHints::None, ..set() };
         let mut bench = Bench::new(set, &[entry(1, 1, 0, 1)]);
@@ -198,7 +198,7 @@
 
 // Guards against the last slot held by a slow route for the sake of a lower fee, while many messages wait for a slot.
 #[test]
-fn the_last_slot_goes_to_the_quick_route_while_others_wait() {
+fn last_slot_goes_to_the_faster_route_while_messages_wait() {
     for (slots, waiting, expected) in [(8, 0, 1), (2, 20, 2)] {
         let set = Settings { max_calls: slots, zone_costs: vec![0.01, 0.04], ..set() };
         let slow_and_quick = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -41,21 +41,21 @@
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_0_to_24() {
+fn decisions_match_the_reference_for_seeds_0_to_24() {
     compare_all(0..25);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_25_to_49() {
+fn decisions_match_the_reference_for_seeds_25_to_49() {
     compare_all(25..50);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_50_to_74() {
+fn decisions_match_the_reference_for_seeds_50_to_74() {
     compare_all(50..75);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_75_to_99() {
+fn decisions_match_the_reference_for_seeds_75_to_99() {
     compare_all(75..100);
 }
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -12,7 +12,7 @@
 
 // Guards against an endpoint that stays in use though a whole list no longer names it.
 #[test]
-fn what_a_whole_list_leaves_out_is_gone() {
+fn endpoint_missing_from_a_snapshot_is_removed() {
     let news = |text: &str| serde_json::from_str::<WatchEvent>(text).expect("news");
     let mut map = EndpointList::default();
     map.apply(&news(&line(1, true, "s1", "in_service")));
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -7,7 +7,7 @@
 use orchidyoke_core::interface::*;
 
 #[test]
-fn attempts_end_at_their_limit_with_an_answer() {
+fn message_out_of_attempts_is_rejected() {
     let set = Settings { max_attempts: 3, ..settings() };
     let mut bench = Bench::new(set, &[entry(1, 1, 0, 0)]);
     bench.hand_in(1, 0, 1);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_full_house_refuses_the_least_worth_with_advice_and_never_what_is_out() {
+fn capacity_shortage_sheds_queued_messages_with_retry_after_and_none_in_flight() {
     let set = Settings { max_open_messages: 10, tenant_quotas: vec![1.0], ..settings() };
     let mut bench = Bench::new(set, &[entry(1, 1, 0, 0)]);
     let actions = bench.hand_in(1, 0, 12);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn slots_are_never_overrun_and_no_slots_means_no_sends() {
+fn calls_in_flight_stay_within_the_slots_and_none_go_without_slots() {
     let all: Vec<EndpointUpdate> = (1..=30).map(|n| entry(n, u64::from(n), 0, 0)).collect();
     let mut bench = Bench::new(settings(), &all);
     let events: Vec<Event> = (1..=30).map(|d| bench.message(d, 0)).collect();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_warm_connection_comes_first() {
+fn endpoint_with_idle_connection_is_preferred() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
     bench.list(
         ListEventKind::Delta,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn settings_of_nothing_and_odd_events_do_no_harm() {
+fn empty_settings_and_unknown_ids_are_handled() {
     let mut controller = Controller::new(Settings::default(), 0);
     let mut actions = Vec::new();
     let answer = AttemptResult {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn endpoints_are_drawn_by_their_listed_rate() {
+fn endpoints_are_chosen_in_proportion_to_capacity_hints() {
     // Guards against hundreds of forwarders that all see the same fees and choose the same route.
     let entries = [
         EndpointUpdate { capacity_hint: 3000.0, ..entry(1, 1, 0, 1) },
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn part_of_a_batch_waits_while_a_call_is_out() {
+fn partial_batch_waits_while_a_call_is_in_flight() {
     // Guards against a limit on calls that is used up by calls with single messages.
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
     bench.warm_up(1, 20);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn of_late_messages_the_one_that_has_lost_least_goes_first() {
+fn least_late_message_is_sent_first() {
     // Guards against a queue that spends what a limit still allows on its oldest messages, worth least.
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     let first = sends(&bench.hand_in(1, 0, 1))[0].0;
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_limit_that_is_no_limit_paces_nobody() {
+fn invalid_reported_limit_does_not_pace() {
     // Guards against a list that omits limits, or has odd ones, stopping deliveries; and an odd size of the fleet.
     for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         for fleet_size in [0, 1, 100, u32::MAX] {
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -6,7 +6,7 @@
 use orchidyoke_core::interface::*;
 
 #[test]
-fn a_message_that_cannot_go_is_answered_once_and_in_time() {
+fn unsendable_message_is_rejected_once_before_its_deadline() {
     let mut bench = Bench::new(settings(), &[]);
     bench.hand_in(9, 2, 1);
     assert!(bench.later(16 * S - 80 * MS).iter().all(|a| matches!(a, Action::Timer { .. })));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_stall_at_the_end_of_a_messages_time_does_not_make_its_answer_late() {
+fn scheduling_pause_before_the_deadline_does_not_delay_the_answer() {
     // Guards against an end decided on so late that a forwarder with part of a core, which stands still for 28 ms
     // and more now and then, tells it after the deadline: queued messages and calls that are out alike.
     let (stall, set) = (50 * MS, settings());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_hung_up_message_gets_no_answer_and_no_send() {
+fn withdrawn_message_gets_no_answer_and_is_not_sent() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.hand_in(1, 0, 2);
     bench.step(&[Event::Withdrawn { id: 2 }]);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_may_have_run_fails_at_once() {
+fn non_idempotent_message_with_possible_delivery_fails_at_once() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
         let id = sends(&bench.hand_in(1, 2, 1))[0].0;
@@ -60,7 +60,7 @@
 // Guards against a hung call that keeps its slot for as long as its message lives: with one at each of nine destinations
 // all slots for sick ones were held, and nothing went anywhere for up to 12 s.
 #[test]
-fn a_hung_unsafe_call_gives_its_slot_back_as_soon_as_any_other() {
+fn hanging_non_idempotent_call_times_out_as_soon_as_any_other() {
     let timeout = |class: usize| {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
         bench.warm_up(1, 20);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_never_ran_is_tried_again() {
+fn non_idempotent_message_that_was_not_executed_is_retried() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
         let id = sends(&bench.hand_in(1, 2, 1))[0].0;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_keyed_message_that_may_have_run_stays_in_its_zone_and_window() {
+fn message_with_zone_scoped_key_is_retried_in_its_zone_and_window_only() {
     let zones = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
     let mut bench = Bench::new(settings(), &zones);
     let (id, first, _) = sends(&bench.hand_in(1, 1, 1))[0];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_keyed_message_of_a_group_of_all_may_go_anywhere_and_be_refused() {
+fn message_with_global_key_is_retried_anywhere_and_may_be_rejected() {
     let zones = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
     let mut bench = Bench::new(settings(), &zones);
     let (id, ..) = sends(&bench.hand_in(1, 4, 1))[0];
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_an_endpoint_that_drains_or_is_gone() {
+fn draining_or_removed_endpoint_gets_no_new_call() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
         bench.list(ListEventKind::Delta, &[EndpointUpdate { state, ..entry(1, 1, 0, 0) }]);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_told_wait_holds_for_the_destination_or_for_the_route() {
+fn retry_after_holds_for_the_destination_or_its_separate_route() {
     for (kind, others) in [(0, 0), (1, 1)] {
         let mut bench = Bench::new(settings(), &[entry(1, 1, 0, kind), entry(2, 1, 0, kind)]);
         let id = sends(&bench.hand_in(1, 0, 1))[0].0;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn each_message_of_a_batched_call_may_tell_a_wait() {
+fn each_message_of_a_batch_may_set_a_retry_after() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
     let sent = sends(&bench.hand_in(1, 0, 2));
     let answer = |n: usize, wait| {
@@ -148,7 +148,7 @@
 
 // Guards against a wait told beside a delivery being passed over: it binds whatever the answer was.
 #[test]
-fn a_wait_binds_whatever_the_outcome() {
+fn retry_after_holds_whatever_the_outcome() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.hand_in(1, 0, 1);
     let answer = AttemptResult { retry_after: 500 * MS, ..bench.answer(1, Outcome::Success) };
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn keys_go_one_at_a_time_in_order_and_rest_after_a_time_out() {
+fn messages_of_an_order_key_go_one_at_a_time_and_cool_down_after_a_timeout() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..3).map(|_| bench.keyed(1, 3, Some(5))).collect();
     assert_eq!(sends(&bench.step(&events)).iter().map(|s| s.0).collect::<Vec<_>>(), [1]);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_key_waits_for_what_is_still_out_of_a_message_that_is_over() {
+fn order_key_waits_for_attempts_in_flight_of_a_finished_message() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..2).map(|_| bench.keyed(1, 3, Some(5))).collect();
     bench.step(&events);
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -7,7 +7,7 @@
 use orchidyoke_core::interface::*;
 
 #[test]
-fn an_outage_gets_trial_calls_and_a_ramp_within_the_budget() {
+fn ejected_destination_gets_trial_calls_then_a_ramp_within_the_budget() {
     let mut bench = Bench::new(settings(), &[EndpointUpdate { capacity_hint: 7.0, ..entry(1, 1, 0, 0) }]);
     bench.warm_up(1, 40);
     let mut arrivals = Vec::new();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_partial_failure_is_no_outage() {
+fn partial_failure_does_not_eject() {
     // Guards against trial calls for a destination that fails often while it serves in between.
     let mut bench = Bench::new(settings(), &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }]);
     bench.warm_up(1, 3);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn refusals_at_the_floor_draw_the_next_call_from_a_span_that_doubles() {
+fn rejections_at_the_window_floor_back_off_over_a_doubling_span() {
     // Guards against a fleet that comes back at once, or in step, to a limit which refused calls use up.
     let mut gaps: [Vec<Micros>; 2] = [Vec::new(), Vec::new()];
     for seed in 0..100 {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_fleet_that_was_refused_during_an_outage_does_not_push_over_what_returns() {
+fn fleet_rejected_during_an_outage_does_not_overload_the_recovering_destination() {
     // Guards against forwarders with one or two refusals each, too few for any to see an outage, that all come
     // back a fixed pause later. A partner of 28 calls a second that returns at a fifth can do 6.7 a second on
     // the mean of the first spans; twice that, for two seconds, and three standard deviations of chance.
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn waits_told_are_enough_where_the_window_is_off_its_floor() {
+fn retry_after_replaces_backoff_above_the_window_floor() {
     // Guards against gaps in small fleets, whose windows themselves take the load off.
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 9);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_fleet_that_saw_an_outage_sends_its_trial_calls_by_chance() {
+fn trial_calls_of_a_fleet_are_spread_by_chance() {
     // Guards against one rounded-up call from each of hundreds of forwarders that saw a call fail.
     let set = Settings { fleet_size: 200, ..settings() };
     let mut seen = 0;
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn full_connection_tables_are_no_outage() {
+fn two_failed_connections_do_not_eject() {
     // Guards against a ramp because of tables that are full for a moment.
     let set = Settings { connect_timeout: S, ..settings() };
     let mut bench =
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn refusals_for_a_moment_are_no_outage_and_need_no_ramp() {
+fn brief_rejections_neither_eject_nor_start_a_ramp() {
     // Guards against a ramp of twelve seconds after a second or two over the limit, and after some seconds more
     // where this forwarder is served rarely anyhow.
     let rate_after = |outcome: Outcome, between: Micros, apart: Micros| {
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -29,7 +29,7 @@
 
 // Guards against a call that was out when the bad report came: it ended well, and the ramp ran while the partner was away.
 #[test]
-fn a_success_sent_before_a_bad_report_opens_nothing() {
+fn success_sent_before_a_critical_health_check_does_not_start_recovery() {
     for before in [true, false] {
         let mut bench = Bench::new(settings(), &[told(1, 0, HealthStatus::Passing)]);
         tried(&mut bench, 5 * S, Outcome::Success, 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_critical_endpoint_gets_nothing_while_another_is_fit() {
+fn critical_endpoint_gets_no_call_while_another_passes() {
     for kind in [0, 1] {
         let mut bench = Bench::new(
             settings(),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_warning_is_a_last_choice_and_no_more() {
+fn endpoint_with_warning_is_chosen_last() {
     let mut bench =
         Bench::new(settings(), &[told(1, 0, HealthStatus::Warning), told(2, 0, HealthStatus::Passing)]);
     assert_eq!(tried(&mut bench, 2 * S, Outcome::Success, 1).1, 0);
@@ -86,7 +86,7 @@
 
 // Guards against a partner that only the health checks saw fail getting everything at once when they pass again.
 #[test]
-fn a_good_report_alone_opens_nothing() {
+fn passing_health_check_alone_does_not_end_ejection() {
     for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), &[told(1, 0, HealthStatus::Passing)]);
         tried(&mut bench, 5 * S, Outcome::Success, 1);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn calls_overrule_a_bad_report_and_failing_calls_a_good_one() {
+fn call_outcomes_overrule_health_checks() {
     let mut bench = Bench::new(settings(), &[told(1, 0, HealthStatus::Critical)]);
     assert!(!bench.controller.faulty_routes().is_empty());
     tried(&mut bench, 14 * S, Outcome::Success, 1);
@@ -128,7 +128,7 @@
 // Guards against a budget that is not kept because it is larger than what is remembered of the sends: a partner that
 // takes 400 calls a second was sent all that waited for it as soon as it could do 64 in 2 s.
 #[test]
-fn a_large_budget_binds_as_a_small_one_does() {
+fn large_slow_start_budget_is_kept() {
     let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
     let large = |report| EndpointUpdate { capacity_hint: 400.0, ..told(1, 0, report) };
     let mut bench = Bench::new(set, &[large(HealthStatus::Passing)]);
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -8,7 +8,7 @@
 // Guards against a restart that sends again what may have run and may not be repeated, or that lets such a
 // message wait until its time is up: its end is decided at once.
 #[test]
-fn what_may_have_run_before_a_restart_is_not_sent_again() {
+fn possible_delivery_before_a_restart_is_not_repeated() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     let message = bench.message(1, 2);
     let history = Event::AttemptHistory {
@@ -25,7 +25,7 @@
 
 // Guards against more attempts than a message may have, counted over a restart.
 #[test]
-fn attempts_before_a_restart_count() {
+fn attempts_before_a_restart_count_towards_the_limit() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     let message = bench.message(1, 0);
     let actions =
@@ -35,7 +35,7 @@
 
 // Guards against a call begun just before the forwarder stops: its message may have run and would be lost.
 #[test]
-fn nothing_is_begun_that_cannot_end_before_the_stop() {
+fn call_that_would_outlast_the_shutdown_is_not_begun() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
     bench.step(&[Event::ShuttingDown { time_left: 4 * S }]);
     assert_eq!(sends(&bench.hand_in(1, 2, 1)).len(), 1, "there is time");
@@ -46,7 +46,7 @@
 
 // Guards against a crowd of kept messages sent to a cold destination by a forwarder that forgot its outage.
 #[test]
-fn trouble_before_a_restart_is_minded() {
+fn faulty_destination_before_a_restart_stays_ejected() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
     assert!(bench.controller.faulty_routes().is_empty());
     bench.step(&[1, 99].map(|destination| Event::RouteState {
@@ -76,7 +76,7 @@
 // Guards against a destination whose endpoints were all gone when the forwarder stopped: those that come after the
 // restart were taken for a healthy partner's.
 #[test]
-fn trouble_before_a_restart_outlasts_an_empty_list() {
+fn faulty_destination_before_a_restart_outlasts_an_empty_list() {
     for troubled in [false, true] {
         let mut bench = Bench::new(settings(), &[]);
         if troubled {
@@ -110,7 +110,7 @@
 // Guards against messages that a start found taken on and untried, and that are given up with no call: their aim has passed
 // by then, what is late comes last, and for want of room the last go first.
 #[test]
-fn what_a_start_finds_untried_is_not_given_up_for_room() {
+fn message_recovered_unsent_is_not_shed() {
     let mut set = settings();
     set.max_open_messages = 10;
     let mut bench = Bench::new(set, &[entry(1, 7, 0, 0)]);
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn the_rules_hold_on_odd_and_legal_sequences() {
+fn rules_hold_for_random_event_sequences() {
     for seed in 0..150 {
         let trace = play(seed);
         assert!(seed > 20 || trace.iter().any(|line| line.contains("Send")), "seed {seed} sends something");
@@ -336,6 +336,6 @@
 }
 
 #[test]
-fn same_events_same_actions() {
+fn same_events_and_seed_give_the_same_actions() {
     assert_eq!(play(4), play(4));
 }
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -183,7 +183,7 @@
 /// A destination that is down draws twice in `tip_after` whether it may be tried: that is due, and in proportion to
 /// those that are down. All other work is not.
 #[test]
-fn the_work_of_a_step_does_not_follow_the_listed_nor_the_waiting() {
+fn step_cost_does_not_grow_with_listed_or_waiting_destinations() {
     let few = Forwarder::new(1_000, 29).work_of_events();
     let many = Forwarder::new(100_000, 2_900).work_of_events();
     println!("destinations looked at for each event, for each draw: {few:.2?} and {many:.2?}");
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn the_work_of_a_list_is_linear() {
+fn list_cost_is_linear_in_its_entries() {
     let work = [10_000, 100_000].map(|listed| {
         let mut controller = Controller::new(settings(), 7);
         let entries = (1..=listed).map(entry).collect();
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -234,7 +234,7 @@
 // Guards against a fleet that pushes a cold destination over though each of its forwarders keeps to what it takes for its
 // own part: refused connections, hung calls, errors, and refusals where a limit is told.
 #[test]
-fn a_fleet_keeps_to_what_a_cold_destination_bears() {
+fn fleet_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
         .into_iter()
         .filter(|case| case.fault != Outcome::Rejected || case.weights != CapacityHints::None)
@@ -251,7 +251,7 @@
 // The same where no limit is told and all calls are refused: what one forwarder is refused shows neither an outage nor
 // the others, as a limit does that as well.
 #[test]
-fn a_fleet_that_is_only_refused_and_told_no_limit_keeps_to_what_a_cold_destination_bears() {
+fn rejected_fleet_without_known_limit_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
         .into_iter()
         .filter(|case| case.fault == Outcome::Rejected && case.weights == CapacityHints::None)
@@ -264,7 +264,7 @@
 
 // Without its part the fleet must do worse: each takes the whole budget for its own.
 #[test]
-fn a_fleet_in_which_each_takes_the_whole_budget_does_not() {
+fn fleet_in_which_each_uses_the_whole_budget_overloads_a_cold_destination() {
     for case in cases().into_iter().filter(|case| case.weights == CapacityHints::Nominal) {
         let returns = over_seeds(&case, 1, 0..20);
         let over = returns.iter().filter(|one| one.used > 1.0).count();
--- a/crates/core/tests/window.rs
+++ b/crates/core/tests/window.rs
@@ -6,13 +6,13 @@
 use orchidyoke_core::interface::*;
 
 #[test]
-fn the_window_starts_at_one() {
+fn window_starts_at_one_call() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1);
 }
 
 #[test]
-fn eight_clean_first_tries_make_room_for_two() {
+fn eight_first_try_successes_allow_two_calls() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 7);
     assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 1, "1.1^7 is under two");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn every_push_back_halves_and_the_floor_is_one() {
+fn every_failure_halves_the_window_down_to_one_call() {
     for outcome in
         [Outcome::Rejected, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset]
     {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_retried_or_marked_success_does_not_grow_the_window() {
+fn success_of_a_retry_does_not_grow_the_window() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 7);
     let id = sends(&bench.hand_in(1, 0, 1))[0].0;
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn one_destination_stays_under_three_quarters_of_the_slots() {
+fn one_destination_holds_three_quarters_of_the_slots_at_most() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 40);
     assert_eq!(sends(&bench.hand_in(1, 0, 20)).len(), 6);
 }
 
 #[test]
-fn overdue_calls_mark_a_hang_before_the_time_out_and_leave_half_the_slots() {
+fn overdue_calls_make_a_destination_faulty_before_they_time_out() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
     bench.warm_up(1, 40);
     bench.warm_up(2, 40);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn sick_destinations_together_hold_half_the_slots() {
+fn faulty_destinations_together_hold_half_the_slots() {
     let all: Vec<EndpointUpdate> = (1..=6).map(|n| entry(n, u64::from(n), 0, 0)).collect();
     let mut bench = Bench::new(settings(), &all);
     for destination in 1..=6 {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_batched_call_is_one_call_and_one_update() {
+fn batch_counts_as_one_call_and_one_outcome() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 2)]);
     let sent = sends(&bench.hand_in(1, 0, 12));
     assert_eq!(sent.len(), 5, "one call of five messages fits a window of one");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn routes_apart_have_windows_of_their_own() {
+fn separate_routes_have_separate_windows() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     assert_eq!(sends(&bench.hand_in(1, 0, 5)).len(), 2);
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_no_push_back_until_they_come_in_a_row() {
+fn invalid_responses_count_as_failure_only_in_a_row() {
     let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0)]);
     bench.warm_up(7, 8);
     let sent = sends(&bench.hand_in(7, 2, 2));
@@ -141,7 +141,7 @@
 // Guards against an endpoint judged by the one before it, at a destination of one; and against what the destination
 // itself has said or suffered being forgotten with it.
 #[test]
-fn a_new_endpoint_with_none_beside_it_starts_anew() {
+fn endpoint_that_replaces_the_last_one_starts_with_a_new_window() {
     let gone = |id| EndpointUpdate { state: EndpointState::Removed, ..entry(id, 7, 0, 0) };
     let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0)]);
     bench.warm_up(7, 8);
@@ -163,7 +163,7 @@
 
 // Guards against memory that grows with every endpoint that ever was.
 #[test]
-fn endpoints_that_are_gone_are_forgotten() {
+fn removed_endpoints_are_forgotten() {
     let mut bench = Bench::new(settings(), &[entry(1, 7, 0, 0), entry(2, 8, 0, 1)]);
     let mut sizes = Vec::new();
     for id in 1..200 {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn moot_is_no_verdict() {
+fn attempt_not_sent_leaves_the_window_unchanged() {
     let mut bench = Bench::new(settings(), &[entry(1, 1, 0, 0)]);
     bench.warm_up(1, 8);
     let sent = sends(&bench.hand_in(1, 0, 2));
