--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use golden::{assert_golden, side, whole_length};
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_core::interface::Outcome;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::discovery::follow;
@@ -172,22 +172,22 @@
     let bare = EndpointEntry {
         zone: String::new(),
         kind: String::new(),
-        ..target("s-3", ListedState::Removed, 0.0, HealthChecks::Passing)
+        ..target("s-3", EndpointState::Removed, 0.0, HealthStatus::Passing)
     };
     let expected = [
         WatchEvent {
             version: 41,
             is_snapshot: true,
             endpoints: vec![
-                target("s-1", ListedState::Active, 1.5, HealthChecks::Passing),
-                target("s-2", ListedState::Active, 2.5, HealthChecks::Warning),
+                target("s-1", EndpointState::Active, 1.5, HealthStatus::Passing),
+                target("s-2", EndpointState::Active, 2.5, HealthStatus::Warning),
             ],
             origin: String::new(),
         },
         WatchEvent {
             version: 43,
             is_snapshot: false,
-            endpoints: vec![target("s-1", ListedState::Draining, 1.5, HealthChecks::Critical), bare],
+            endpoints: vec![target("s-1", EndpointState::Draining, 1.5, HealthStatus::Critical), bare],
             origin: "consul:5be2".to_owned(),
         },
     ];
