--- /dev/null
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -0,0 +1,245 @@
+//! What operators ask for: whether this process takes clients, its figures, and endpoints out and back by hand.
+//!
+//! What is out by hand lies over the transport map: no list, reload, restart or upgrade ends it.
+
+use super::Reducer;
+use super::durability::AfterAppend;
+use crate::console::{Call, Reply};
+use crate::figures::{Figures, Gauges};
+use crate::input::{Effect, RequestId};
+use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
+use orchidyoke_journal::Record;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Endpoints out by hand that no list names may be so many; beyond, the call that lies furthest back is forgotten.
+const MAX_UNLISTED_OVERRIDES: usize = 256;
+/// About the bytes of the record of a call, beside the id.
+const OVERRIDE_RECORD_BYTES: usize = 96;
+
+/// An operator's last call about an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct OverrideChange {
+    pub at: Micros,
+    pub ejected: bool,
+}
+
+/// A call that waits until its record is in the journal.
+#[derive(Debug)]
+pub(super) struct OverrideRequest {
+    pub request: RequestId,
+    /// The endpoint's uid.
+    pub endpoint: String,
+    pub change: OverrideChange,
+}
+
+/// The operators' calls about endpoints, by uid: the last of each counts.
+#[derive(Clone, Debug, Default)]
+pub(super) struct OperatorOverrides {
+    changes: BTreeMap<String, OverrideChange>,
+    /// Those that put an endpoint back, in their order.
+    restored: BTreeSet<(Micros, String)>,
+    bytes: usize,
+}
+
+impl OperatorOverrides {
+    /// Takes in a call; whether it is news: one that lies further back than what is known is not.
+    pub fn apply(&mut self, uid: &str, call: OverrideChange) -> bool {
+        if !self.is_change(uid, call) {
+            return false;
+        }
+        match self.changes.insert(uid.to_owned(), call) {
+            Some(before) => drop(self.restored.remove(&(before.at, uid.to_owned()))),
+            None => self.bytes += uid.len() + OVERRIDE_RECORD_BYTES,
+        }
+        if !call.ejected {
+            self.restored.insert((call.at, uid.to_owned()));
+        }
+        true
+    }
+
+    /// Whether a call changes anything.
+    pub fn is_change(&self, uid: &str, call: OverrideChange) -> bool {
+        self.changes.get(uid).map_or(call.ejected, |known| known.at <= call.at && *known != call)
+    }
+
+    pub fn is_ejected(&self, uid: &str) -> bool {
+        self.changes.get(uid).is_some_and(|call| call.ejected)
+    }
+
+    /// When an endpoint was put back, if that was its last call.
+    pub fn restored_at(&self, uid: &str) -> Option<Micros> {
+        self.changes.get(uid).filter(|call| !call.ejected).map(|call| call.at)
+    }
+
+    /// The earliest call that put an endpoint back.
+    fn first_restored_at(&self) -> Option<Micros> {
+        self.restored.first().map(|(at, _)| *at)
+    }
+
+    /// About the bytes that the calls take up in a snapshot, never less.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &OverrideChange)> {
+        self.changes.iter()
+    }
+
+    /// Forgets calls back once their endpoints are warm, and the oldest of those that are unlisted and too many.
+    fn prune(&mut self, warm_since: Micros, listed: impl Fn(&str) -> bool) {
+        self.changes.retain(|_, call| call.ejected || call.at > warm_since);
+        self.restored.retain(|(at, _)| *at > warm_since);
+        let mut unlisted: Vec<_> =
+            self.changes.iter().filter(|(uid, _)| !listed(uid)).map(|(uid, c)| (c.at, uid.clone())).collect();
+        unlisted.sort_unstable();
+        let surplus = unlisted.len().saturating_sub(MAX_UNLISTED_OVERRIDES);
+        for (at, uid) in unlisted.drain(..surplus) {
+            self.changes.remove(&uid);
+            self.restored.remove(&(at, uid));
+        }
+        self.bytes = self.changes.keys().map(|uid| uid.len() + OVERRIDE_RECORD_BYTES).sum();
+    }
+}
+
+impl Reducer {
+    /// One call of an operator. What changes something is answered once it is in the journal.
+    pub(super) fn on_operator_call(&mut self, now: Micros, ticket: RequestId, call: Call) {
+        let reply = match call {
+            Call::Ready if !self.clients.are_accepted() => Reply::No("takes no clients".to_owned()),
+            Call::Ready => self.policy.unready_reason().map_or(Reply::Yes("ready"), Reply::No),
+            Call::ShowStat => Reply::Figures(
+                self.figures.lines(self.gauges()) + self.policy.figures() + &self.ownership_figures(now),
+            ),
+            Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
+            Call::DisableServer(uid) => return self.record_override(now, ticket, uid, true),
+            Call::EnableServer(uid) => return self.record_override(now, ticket, uid, false),
+        };
+        self.effects.push(Effect::Reply { request: ticket, reply });
+    }
+
+    fn record_override(&mut self, now: Micros, request: RequestId, endpoint: String, ejected: bool) {
+        if self.endpoints.listed(&endpoint).is_none() && !self.operator_overrides.is_ejected(&endpoint) {
+            let reply = Reply::No(format!("no endpoint {endpoint} is listed"));
+            return self.effects.push(Effect::Reply { request, reply });
+        }
+        // Written also where it changes nothing here: another process may have been told otherwise since.
+        let record = Record::OperatorOverride { endpoint: endpoint.clone(), at: now, ejected };
+        let change = OverrideChange { at: now, ejected };
+        let then = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
+        self.append(&[(&record, b"")], Some(then));
+    }
+
+    /// An operator's call is in the journal, or could not be: it is in force from here on, and answered.
+    pub(super) fn on_override_recorded(&mut self, now: Micros, call: OverrideRequest, stored: bool) {
+        let OverrideRequest { request, endpoint, change } = call;
+        let reply = if stored {
+            self.apply_override(now, &endpoint, change);
+            self.prune_overrides(now);
+            let state = if change.ejected { "out" } else { "back" };
+            self.log(format!("operator: {endpoint} is {state}"));
+            Reply::Yes(state)
+        } else {
+            Reply::No("the journal has no room for it, or cannot be written".to_owned())
+        };
+        self.effects.push(Effect::Reply { request, reply });
+    }
+
+    /// Puts a call in force, wherever it came from.
+    pub(super) fn apply_override(&mut self, now: Micros, uid: &str, call: OverrideChange) {
+        let was_out = self.operator_overrides.is_ejected(uid);
+        if !self.operator_overrides.apply(uid, call) || was_out == call.ejected {
+            return;
+        }
+        if call.ejected
+            && let Some(hop) = self.endpoints.id_of(uid)
+        {
+            self.close_idle(hop);
+        }
+        self.report_endpoint(now, uid);
+        if let (false, Some(target)) = (call.ejected, self.endpoints.listed(uid)) {
+            // It was restarted meanwhile. Beside others that serve it waits until it is warm; alone, its
+            // destination comes back as after an outage.
+            let destination = target.destination;
+            if !self.has_other_active(destination, uid) {
+                self.controller.push(Event::RouteState {
+                    destination,
+                    endpoint: None,
+                    ejected: true,
+                    retry_after: 0,
+                });
+            }
+        }
+    }
+
+    /// Whether a destination has an endpoint in service beside this one.
+    fn has_other_active(&self, destination: DestinationId, uid: &str) -> bool {
+        let uids =
+            self.endpoints.destinations().endpoints_of(destination).filter_map(|id| self.endpoints.get(id));
+        let others = uids.map(|hop| &*hop.uid).filter(|other| *other != uid);
+        let still =
+            |other: &&str| self.endpoints.listed(other).is_some_and(|entry| entry.destination == destination);
+        others.filter(still).any(|other| self.state_of(other) == Some(EndpointState::Active))
+    }
+
+    /// Tells the module of an endpoint's state anew.
+    fn report_endpoint(&mut self, now: Micros, uid: &str) {
+        if let (Some(target), Some(hop)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
+            let entry = self.endpoint_update(now, hop, target.into());
+            self.controller.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
+        }
+    }
+
+    /// What the list and the operators together say of an endpoint.
+    pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
+        let state = self.endpoints.listed(uid)?.state;
+        let out = state == EndpointState::Active && self.operator_overrides.is_ejected(uid);
+        Some(if out { EndpointState::Draining } else { state })
+    }
+
+    /// Whether an endpoint was put back so lately that it is still cold.
+    pub(super) fn is_warming_up(&self, now: Micros, uid: &str) -> bool {
+        self.operator_overrides.restored_at(uid).is_some_and(|since| now - since < self.settings.warm_up_time)
+    }
+
+    /// When the next endpoint that was put back is warm.
+    pub(super) fn next_warm_at(&self) -> Option<Micros> {
+        self.operator_overrides.first_restored_at().map(|at| at + self.settings.warm_up_time)
+    }
+
+    /// Endpoints that were put back and are warm by now are as all others.
+    pub(super) fn end_warm_ups(&mut self, now: Micros) {
+        if self.next_warm_at().is_none_or(|at| at > now) {
+            return;
+        }
+        let known: Vec<String> = self.operator_overrides.iter().map(|(uid, _)| uid.clone()).collect();
+        self.prune_overrides(now);
+        for uid in known {
+            if !self.operator_overrides.changes.contains_key(&uid) {
+                self.report_endpoint(now, &uid);
+            }
+        }
+    }
+
+    fn prune_overrides(&mut self, now: Micros) {
+        let map = &self.endpoints.list();
+        self.operator_overrides.prune(now - self.settings.warm_up_time, |uid| map.get(uid).is_some());
+    }
+
+    /// The counts of this process.
+    pub fn figures(&self) -> &Figures {
+        &self.figures
+    }
+
+    /// What is counted as it stands now.
+    pub fn gauges(&self) -> Gauges {
+        let avoided = |uid: &str| {
+            let chosen = self.endpoints.id_of(uid).is_some_and(|hop| self.controller.is_avoided(hop));
+            chosen || self.state_of(uid) != Some(EndpointState::Active)
+        };
+        Gauges {
+            concurrent: self.messages.values().filter(|message| message.stored).count(),
+            targets: self.endpoints.list().len(),
+            targets_disabled: self.endpoints.list().iter().filter(|target| avoided(&target.uid)).count(),
+        }
+    }
+}
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -6,15 +6,22 @@
 //! Processes that share a folder, as in an upgrade, have a file each, under a lock that the system releases when the
 //! process ends. Each reads those of the others.
 
+mod codec;
+mod error;
 mod file;
+mod folder;
+mod other;
 mod record;
 mod recovery;
 mod space;
 
-pub use file::{Generation, Journal, Look, Opened, Other, others};
+pub use error::{DecodeError, JournalError};
+pub use file::{Journal, OpenedJournal};
+pub use folder::Generation;
+pub use other::{JournalUpdate, OtherJournal, find_other_journals};
 pub use record::{
     AcceptedMessage, AttemptStart, FinalAnswer, HandoverOffer, HandoverState, ProcessStage, Record,
     RecordsWithBodies,
 };
-pub use recovery::{Reading, read, replay};
-pub use space::Space;
+pub use recovery::{RecoveredRecords, read, replay};
+pub use space::DiskSpace;
