--- a/crates/forwarder/src/reducer/listed_endpoints.rs
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -4,7 +4,7 @@
 use super::Reducer;
 use super::endpoint_table::NewEndpoints;
 use crate::input::Effect;
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedEndpoint, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, ListedEndpoint, WatchEvent};
 use orchidyoke_core::interface::{
     DestinationId, DestinationKind, EndpointId, EndpointState, EndpointUpdate, Event, HealthStatus,
     ListEventKind, Micros, UNKNOWN_ZONE,
@@ -18,8 +18,8 @@
     kind: &'a str,
     destination: DestinationId,
     capacity_hint: f64,
-    state: ListedState,
-    health: HealthChecks,
+    state: EndpointState,
+    health: HealthStatus,
 }
 
 impl<'a> From<&'a EndpointEntry> for ListedView<'a> {
@@ -65,17 +65,17 @@
         endpoint: EndpointId,
         listed: ListedView<'_>,
     ) -> EndpointUpdate {
-        let is_ejected = listed.state == ListedState::Active
+        let is_ejected = listed.state == EndpointState::Active
             && (self.operator_overrides.is_ejected(listed.uid) || self.policy.ejects(listed.uid));
-        let is_warming_up = listed.health == HealthChecks::Passing && self.is_warming_up(now, listed.uid);
+        let is_warming_up = listed.health == HealthStatus::Passing && self.is_warming_up(now, listed.uid);
         EndpointUpdate {
             endpoint,
             destination: listed.destination,
             zone: self.zone_number(listed.zone),
             kind: self.names.kinds.iter().position(|kind| kind == listed.kind).unwrap_or(usize::MAX),
-            state: if is_ejected { EndpointState::Draining } else { listed.state.into() },
+            state: if is_ejected { EndpointState::Draining } else { listed.state },
             // Endpoints that are warm go before it.
-            health: if is_warming_up { HealthStatus::Warning } else { listed.health.into() },
+            health: if is_warming_up { HealthStatus::Warning } else { listed.health },
             capacity_hint: listed.capacity_hint,
         }
     }
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -7,7 +7,6 @@
 use crate::console::{Call, Reply};
 use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, RequestId};
-use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
@@ -197,8 +196,8 @@
     /// What the list and the operators together say of an endpoint.
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
         let state = self.endpoints.listed(uid)?.state;
-        let out = state == ListedState::Active && self.operator_overrides.is_ejected(uid);
-        Some(if out { EndpointState::Draining } else { state.into() })
+        let out = state == EndpointState::Active && self.operator_overrides.is_ejected(uid);
+        Some(if out { EndpointState::Draining } else { state })
     }
 
     /// Whether an endpoint was restored so lately that it is still warming up.
--- a/crates/forwarder/src/reducer/repeat_rules.rs
+++ b/crates/forwarder/src/reducer/repeat_rules.rs
@@ -9,19 +9,11 @@
 
 use super::Reducer;
 use super::message_table::Message;
-use orchidyoke_core::interface::{DeduplicationScope, EndpointId, Idempotency, Micros, UNKNOWN_ZONE};
+use orchidyoke_core::interface::{
+    DeduplicationScope, EndpointId, Idempotency, Micros, PriorAttempt, UNKNOWN_ZONE,
+};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart};
 
-/// Where an earlier attempt was made, as the controller is told.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptOrigin {
-    /// How long ago it began.
-    pub age: Micros,
-    pub endpoint: EndpointId,
-    /// Number of its zone.
-    pub zone: usize,
-}
-
 impl Reducer {
     /// The idempotency of a message's class; a class that is gone from the settings counts as the default.
     pub(super) fn idempotency_of(&self, accepted: &AcceptedMessage) -> Idempotency {
@@ -53,13 +45,13 @@
         first: &AttemptStart,
         to: &AttemptStart,
     ) -> bool {
-        let origin = self.attempt_origin(now, first);
-        let same_endpoint = self.endpoints.id_of(&to.endpoint) == Some(origin.endpoint);
+        let prior = self.prior_attempt(now, first);
+        let same_endpoint = self.endpoints.id_of(&to.endpoint) == Some(prior.endpoint);
         match scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => {
-                let same_zone = origin.zone == self.zone_number(&to.zone);
-                same_zone && (origin.zone != UNKNOWN_ZONE || same_endpoint)
+                let same_zone = prior.zone == self.zone_number(&to.zone);
+                same_zone && (prior.zone != UNKNOWN_ZONE || same_endpoint)
             }
             DeduplicationScope::Endpoint => same_endpoint,
         }
@@ -96,11 +88,11 @@
 
     /// Where an attempt was made. Its zone is kept with it, for the endpoint may be gone since, or listed elsewhere; only
     /// a record of a version before has none.
-    pub(super) fn attempt_origin(&self, now: Micros, start: &AttemptStart) -> AttemptOrigin {
+    pub(super) fn prior_attempt(&self, now: Micros, start: &AttemptStart) -> PriorAttempt {
         let listed = || self.endpoints.listed(&start.endpoint).map_or("", |listed| &*listed.zone);
         let zone = if start.zone.is_empty() { listed() } else { &start.zone };
-        AttemptOrigin {
-            age: (now - start.started_at).max(0),
+        PriorAttempt {
+            sent_ago: (now - start.started_at).max(0),
             endpoint: self.endpoints.id_of(&start.endpoint).unwrap_or(EndpointId::MAX),
             zone: self.zone_number(zone),
         }
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -2,7 +2,7 @@
 //! endpoint where the settings give each endpoint of its kind a route of its own.
 
 use super::Reducer;
-use orchidyoke_core::interface::{DestinationId, EndpointId, Event, Micros};
+use orchidyoke_core::interface::{DestinationId, EndpointId, Event, FaultyRouteId, Micros};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 
@@ -135,12 +135,12 @@
             return;
         }
         let faulty = self.controller.faulty_routes().into_iter();
-        let key = |(destination, endpoint): (DestinationId, Option<EndpointId>)| match endpoint {
+        let key = |route: FaultyRouteId| match route.endpoint {
             Some(endpoint) => {
                 let known = self.endpoints.get(endpoint)?;
-                Some(RouteKey::new(destination, Some(known.uid.to_string())))
+                Some(RouteKey::new(route.destination, Some(known.uid.to_string())))
             }
-            None => Some(RouteKey::new(destination, None)),
+            None => Some(RouteKey::new(route.destination, None)),
         };
         let faulty: FaultyRoutes = faulty.filter_map(key).collect();
         if faulty != self.faulty_routes {
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -219,10 +219,7 @@
         let Some(message) = self.messages.get(number) else { return };
         let attempts = message.accepted.attempts;
         let first = message.accepted.possible_delivery.as_ref();
-        let possible_delivery = first.map(|start| {
-            let origin = self.attempt_origin(now, start);
-            (origin.age, origin.endpoint, origin.zone)
-        });
+        let possible_delivery = first.map(|start| self.prior_attempt(now, start));
         self.controller.push(Event::AttemptHistory { id: number, attempts, possible_delivery });
     }
 
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use common::{DISK, S, START, second_config, second_targets};
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::hop_call::Reply;
@@ -69,7 +69,7 @@
 /// The list as it stands after the changes.
 fn list() -> Vec<EndpointEntry> {
     let mut list = second_targets();
-    list[1].state = ListedState::Draining;
+    list[1].state = EndpointState::Draining;
     let last = list.pop().expect("an endpoint");
     let endpoint = "127.0.0.1:14".parse().expect("an address");
     list.push(EndpointEntry { uid: string("s-f"), address: endpoint, destination: 4, ..last });
@@ -85,8 +85,8 @@
     let owed =
         |txn: &str, verdict: FinalAnswer| Record::AnswerDecided { message: string(txn), at, answer: verdict };
     let mut before = second_targets();
-    before[1].state = ListedState::Draining;
-    let gone = EndpointEntry { state: ListedState::Removed, ..before[4].clone() };
+    before[1].state = EndpointState::Draining;
+    let gone = EndpointEntry { state: EndpointState::Removed, ..before[4].clone() };
     let come = list()[4].clone();
     let mut records = vec![
         Record::EndpointList(WatchEvent {
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -2,7 +2,7 @@
 //! the same records are written as the same bytes, under the same names of files.
 
 use bytes::{Bytes, BytesMut};
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_journal::{
     AcceptedMessage, AttemptStart, FinalAnswer, HandoverOffer, HandoverState, Journal, OpenedJournal,
     ProcessStage, Record, RecoveredRecords, read,
@@ -55,7 +55,7 @@
     }
 }
 
-fn target(uid: &str, state: ListedState, checks: HealthChecks) -> EndpointEntry {
+fn target(uid: &str, state: EndpointState, checks: HealthStatus) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
         address: "127.0.0.1:8001".parse().expect("an address"),
@@ -76,9 +76,9 @@
         zone: String::new(),
         kind: String::new(),
         destination: u64::MAX,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 0.1,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     }
 }
 
@@ -88,13 +88,13 @@
     let bodies = [Bytes::from_static(b"{\"is\":\"body\"}\n"), long_body.into()];
     let [text_body, long_body] = bodies;
     let whole = vec![
-        target("u-1", ListedState::Active, HealthChecks::Warning),
-        target("u-2", ListedState::Draining, HealthChecks::Critical),
+        target("u-1", EndpointState::Active, HealthStatus::Warning),
+        target("u-2", EndpointState::Draining, HealthStatus::Critical),
         sparse_target("u-3"),
     ];
     let changes = vec![
-        target("u-1", ListedState::Removed, HealthChecks::Passing),
-        target("u \"\u{e9}\u{1}\"", ListedState::Active, HealthChecks::Passing),
+        target("u-1", EndpointState::Removed, HealthStatus::Passing),
+        target("u \"\u{e9}\u{1}\"", EndpointState::Active, HealthStatus::Passing),
     ];
     let (first, second) = (string("t-1"), string("t-2"));
     let plain = [
