--- a/crates/forwarder/src/next_hop.rs
+++ b/crates/forwarder/src/endpoint_connection.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops on sockets: one task each, which dials, writes one call at a time and reports.
 
-use super::hop_call::{Call, Cause, EndpointCallError, Progress, Reply};
-use super::pool::EndpointConnectionId;
+use super::connection_pool::EndpointConnectionId;
+use super::endpoint_call::{Call, Cause, EndpointCallError, Progress, Reply};
 use super::write_progress::{HEAD_END, WriteProgress};
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::retry_after::{header_text, partner_wait_ms};
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -2,10 +2,10 @@
 
 use crate::catalogue::{Catalogue, UpdateSender};
 use crate::config::Config;
+use crate::connection_pool::EndpointConnectionId;
 use crate::console;
-use crate::hop_call::{Call, EndpointCallError, Reply};
+use crate::endpoint_call::{Call, EndpointCallError, Reply};
 use crate::ownership::{Marked, Offer, OfferEnd, Owners};
-use crate::pool::EndpointConnectionId;
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -2,10 +2,10 @@
 
 use super::messages::Message;
 use super::{AfterAppend, Reducer};
-use crate::figures::End;
-use crate::hop_call::{self, Call, EndpointCallError, Part, Reply};
+use crate::connection_pool::{CallId, Claim, EndpointConnectionId};
+use crate::endpoint_call::{self, Call, EndpointCallError, Part, Reply};
 use crate::input::Effect;
-use crate::pool::{CallId, Claim, EndpointConnectionId};
+use crate::metrics::End;
 use crate::retry_after;
 use orchidyoke_core::interface::{
     AttemptResult, DeduplicationScope, EndpointId, EndpointState, Event, Idempotency as ClassEffect,
@@ -229,7 +229,7 @@
         let Some(flight) = call.and_then(|call| self.in_flight.remove(&call)) else { return };
         let wait = retry_after::to_micros(reply.wait_ms);
         self.told_to_wait(now, flight.hop, wait);
-        let ends = hop_call::ends(reply, &flight.txns);
+        let ends = endpoint_call::ends(reply, &flight.txns);
         let mut ends: Vec<_> = flight.parts.iter().zip(ends).collect();
         // The module judges a call by the first of its ends: push-back before success, not sent last.
         ends.sort_by_key(|(_, end)| match end.outcome {
--- a/crates/forwarder/src/reducer/messages.rs
+++ b/crates/forwarder/src/reducer/messages.rs
@@ -1,8 +1,8 @@
 //! Messages: submitted, taken on, ended.
 
 use super::{AfterAppend, NO_ROOM_PAUSE, Reducer};
-use crate::figures::End;
 use crate::input::{RequestId, Submission, SubmitAnswer};
+use crate::metrics::End;
 use bytes::Bytes;
 use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState, ProcessStage, Record};
--- a/crates/forwarder/src/reducer/operators.rs
+++ b/crates/forwarder/src/reducer/operators.rs
@@ -4,8 +4,8 @@
 
 use super::{AfterAppend, Reducer};
 use crate::console::{Call, Reply};
-use crate::figures::{Figures, Gauges};
 use crate::input::{Effect, RequestId};
+use crate::metrics::{Figures, Gauges};
 use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
 use orchidyoke_journal::Record;
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -1,17 +1,17 @@
 //! The running forwarder: a clock, the reducer, and the effects that it asks for on sockets and files.
 
 use super::client_api::ClientGateway;
+use super::client_listener::{self, Connections};
+use super::connection_pool::EndpointConnectionId;
 use super::console_listener::{self, Console};
 use super::discovery::Ended;
-use super::listener::{self, Connections};
-use super::next_hop::{self, Order};
+use super::endpoint_connection::{self, Order};
 use super::peer_call::PeerConnections;
-use super::pool::EndpointConnectionId;
 use super::reducer::Reducer;
 use super::reload::{Reloads, Source};
 use super::shutdown::Signals;
-use super::succession::Siblings;
-use super::{discovery, inherited, notices};
+use super::sibling_journals::Siblings;
+use super::{discovery, inherited_listener, notifications};
 use crate::input::{Effect, Input, WatchId, WatchSource, update_sender};
 use crate::log;
 use crate::policy_agent::PolicyAgent;
@@ -94,7 +94,7 @@
                 let (sender, orders) = unbounded_channel();
                 self.links.insert(link, sender);
                 let until = self.clock.instant(until);
-                spawn_local(next_hop::run(link, address, until, orders, self.inputs.clone()));
+                spawn_local(endpoint_connection::run(link, address, until, orders, self.inputs.clone()));
             }
             Effect::SendCall { connection: link, call } => {
                 let due = self.clock.instant(call.due);
@@ -112,7 +112,7 @@
                 spawn_local(self.peers.clone().offer(offer, until, deadline, self.inputs.clone()));
             }
             Effect::PostNotifications { to, notifications: notices } => {
-                spawn_local(notices::post(to, notices, self.inputs.clone()));
+                spawn_local(notifications::post(to, notices, self.inputs.clone()));
             }
             Effect::StartWatch { watch, from } => self.follow(watch, from),
             Effect::Log { line } => log!("{line}"),
@@ -183,8 +183,9 @@
     state: &Path,
     fd: Option<RawFd>,
 ) -> Result<(), Box<dyn Error>> {
-    let inherited =
-        fd.map(|fd| inherited::listener(fd).map_err(|e| format!("descriptor {fd}: {e}"))).transpose()?;
+    let inherited = fd
+        .map(|fd| inherited_listener::listener(fd).map_err(|e| format!("descriptor {fd}: {e}")))
+        .transpose()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(LocalSet::new().run_until(run(source, policy, state, inherited)))
 }
@@ -242,7 +243,7 @@
         None => bind(listen).await?,
     };
     log!("listens on {}", listener.local_addr()?);
-    let listening = spawn_local(listener::listen(listener, gateway, connections));
+    let listening = spawn_local(client_listener::listen(listener, gateway, connections));
     runner.listening = Some(listening.abort_handle());
     runner.take(&mut reducer, Input::AcceptingClients);
     if let Some(at) = console_at {
--- a/crates/forwarder/src/write_progress.rs
+++ b/crates/forwarder/src/write_progress.rs
@@ -1,6 +1,6 @@
 //! How far the writing of a request has come, counted in the bytes that the system has taken.
 
-use crate::hop_call::Progress;
+use crate::endpoint_call::Progress;
 
 /// An empty line ends a head.
 pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -3,8 +3,8 @@
 //! else runs on this thread while they do.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
+use orchidyoke_forwarder::client_listener::{Connections, listen};
 use orchidyoke_forwarder::input::{Input, RequestId, SubmitAnswer};
-use orchidyoke_forwarder::listener::{Connections, listen};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub use deployments::{config, second_config, second_targets, targets};
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_forwarder::hop_call::Call;
+use orchidyoke_forwarder::endpoint_call::Call;
 
 pub const S: Micros = 1_000_000;
 pub const START: Micros = 1_800_000_000 * S;
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -5,7 +5,7 @@
 use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::console;
-use orchidyoke_forwarder::hop_call::Cause;
+use orchidyoke_forwarder::endpoint_call::Cause;
 use orchidyoke_forwarder::input::Input;
 use quickcheck::{Arbitrary, Gen};
 
--- a/crates/forwarder/tests/pool.rs
+++ b/crates/forwarder/tests/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops: the pool against a model of their far ends, in random steps.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
-use orchidyoke_forwarder::pool::{CallId, Claim, EndpointConnectionId, Pool};
+use orchidyoke_forwarder::connection_pool::{CallId, Claim, EndpointConnectionId, Pool};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/forwarder/tests/hop_call.rs
+++ b/crates/forwarder/tests/endpoint_call.rs
@@ -1,8 +1,8 @@
-//! Tests of [`orchidyoke_forwarder::hop_call`].
+//! Tests of [`orchidyoke_forwarder::endpoint_call`].
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
-use orchidyoke_forwarder::hop_call::*;
+use orchidyoke_forwarder::endpoint_call::*;
 
 fn bulk(body: &str) -> Reply {
     Reply { status: 200, bulk: true, body: Bytes::copy_from_slice(body.as_bytes()), ..Reply::default() }
--- a/crates/forwarder/tests/next_hop.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -3,9 +3,9 @@
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
-use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Part, Progress};
+use orchidyoke_forwarder::endpoint_call::{Call, Cause, EndpointCallError, Part, Progress};
+use orchidyoke_forwarder::endpoint_connection::{Order, run};
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::next_hop::{Order, run};
 use orchidyoke_forwarder::write_progress::WriteProgress;
 use quickcheck::{Gen, QuickCheck};
 use socket2::SockRef;
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -9,7 +9,7 @@
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console::{Call, Reply};
-use orchidyoke_forwarder::hop_call::Reply as HopReply;
+use orchidyoke_forwarder::endpoint_call::Reply as HopReply;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
 use orchidyoke_forwarder::reducer::Reducer;
--- a/crates/forwarder/tests/figures.rs
+++ b/crates/forwarder/tests/metrics.rs
@@ -1,6 +1,6 @@
-//! Tests of [`orchidyoke_forwarder::figures`].
+//! Tests of [`orchidyoke_forwarder::metrics`].
 
-use orchidyoke_forwarder::figures::{End, Figures, Gauges};
+use orchidyoke_forwarder::metrics::{End, Figures, Gauges};
 
 // Guards against counts that do not add up, a message of another process counted, and a time beyond bounds lost.
 #[test]
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
-use orchidyoke_forwarder::hop_call::{Cause, EndpointCallError, Progress, Reply};
+use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCallError, Progress, Reply};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::FinalAnswer;
 
--- a/crates/forwarder/tests/succession.rs
+++ b/crates/forwarder/tests/succession.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use common::S;
 use common::processes::{Processes, Step};
-use orchidyoke_forwarder::hop_call::Reply;
+use orchidyoke_forwarder::endpoint_call::Reply;
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::{ProcessStage, Record, replay};
 use quickcheck::{Gen, QuickCheck};
