--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -8,7 +8,7 @@
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_leases::keeper::{Keeper, Member};
 use orchidyoke_leases::lease::Terms;
 use orchidyoke_policy_commit::{Follower, Settings as PolicySettings};
@@ -88,7 +88,7 @@
         eprintln!("{}: {error}", folder.display());
     }
     let follower = Follower::new(policy_settings(role.policy, role.ttl), name, &folder);
-    let source = Rc::new(Source { path: role.configuration.clone(), ..Source::default() });
+    let source = Rc::new(ConfigSource { path: role.configuration.clone(), ..ConfigSource::default() });
     let (following, name) = (follower.clone(), name.to_owned());
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -8,7 +8,7 @@
 use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_policy_commit::propose::Office;
 use orchidyoke_policy_commit::{Follower, Settings};
 use serde_json::json;
@@ -137,7 +137,7 @@
         let at = if late { path.address } else { consul.address() };
         let folder = Folder::new(&format!("lab-policy-{forwarders}-{number}"));
         let follower = Follower::new(settings(at), &format!("f{number}"), folder.path());
-        let source = Rc::new(Source { path: config.clone(), ..Source::default() });
+        let source = Rc::new(ConfigSource { path: config.clone(), ..ConfigSource::default() });
         let (inputs, mut came) = unbounded_channel();
         let took = took.clone();
         spawn_local(async move {
--- a/crates/forwarder/src/backoff.rs
+++ b/crates/forwarder/src/backoff.rs
@@ -8,7 +8,7 @@
 /// failed together do not come back together, and the longer it lasts the less they ask.
 #[derive(Debug)]
 pub struct Backoff {
-    dice: SeededRng,
+    rng: SeededRng,
     first: Micros,
     failures: u32,
 }
@@ -16,24 +16,24 @@
 impl Backoff {
     /// The first bound, with chance from `seed`.
     pub fn new(first: Micros, seed: u64) -> Self {
-        Backoff { dice: SeededRng::new(seed), first, failures: 0 }
+        Backoff { rng: SeededRng::new(seed), first, failures: 0 }
     }
 
     /// Another first bound.
-    pub fn bound(&mut self, first: Micros) {
+    pub fn set_first(&mut self, first: Micros) {
         self.first = first;
     }
 
     /// After a failure: how long to wait, `most` at most.
-    pub fn pause(&mut self, most: Micros) -> Micros {
+    pub fn next_delay(&mut self, most: Micros) -> Micros {
         let bound = self.first.saturating_mul(1 << self.failures.min(30));
         self.failures = self.failures.saturating_add(1);
-        if bound < most { self.within(bound) } else { most.max(0) - self.within(most.max(0) / 2) }
+        if bound < most { self.random_below(bound) } else { most.max(0) - self.random_below(most.max(0) / 2) }
     }
 
     /// A span between nothing and the bound.
-    pub fn within(&mut self, bound: Micros) -> Micros {
-        (bound as f64 * self.dice.uniform()) as Micros
+    pub fn random_below(&mut self, bound: Micros) -> Micros {
+        (bound as f64 * self.rng.uniform()) as Micros
     }
 
     /// After a success: the next failure is the first again.
--- a/crates/forwarder/src/client_api.rs
+++ b/crates/forwarder/src/client_api.rs
@@ -19,13 +19,13 @@
 use tokio::time::{Instant, timeout};
 
 /// Largest body that the protocol allows.
-const LARGEST_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 /// Longest id, class or tenant that is taken.
-const LONGEST_NAME: usize = 256;
+const MAX_FIELD_BYTES: usize = 256;
 /// What a client can mean by the time that a message has left, in seconds: a day is beyond any class.
-const LONGEST_LIFE: RangeInclusive<f64> = 0.0..=86_400.0;
+const TIME_LEFT_SECONDS: RangeInclusive<f64> = 0.0..=86_400.0;
 /// A body that has not come by then does not come: a client itself gives up 400 ms after its request.
-const BODY_TIME: Duration = Duration::from_millis(600);
+const BODY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Connects the requests of clients with the reducer.
 pub struct ClientGateway {
@@ -53,12 +53,12 @@
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         let _guard = Waiting { gateway: self, ticket };
-        self.tell(Input::Submitted { request: ticket, message });
+        self.report(Input::Submitted { request: ticket, message });
         receiver.await.unwrap_or(SubmitAnswer::Failed)
     }
 
     /// Reports to the reducer.
-    pub fn tell(&self, input: Input) {
+    pub fn report(&self, input: Input) {
         // The receiver is gone only when the forwarder ends.
         let _ = self.inputs.send(input);
     }
@@ -73,7 +73,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if self.gateway.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.gateway.tell(Input::Withdrawn { request: self.ticket });
+            self.gateway.report(Input::Withdrawn { request: self.ticket });
         }
     }
 }
@@ -123,13 +123,13 @@
     if request.method() != Method::POST {
         return Err(Fault(StatusCode::METHOD_NOT_ALLOWED, "POST only\n"));
     }
-    if request.body().size_hint().lower() > LARGEST_BODY as u64 {
+    if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(TOO_LARGE);
     }
     let (parts, body) = request.into_parts();
     let class = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let mut message = read_head(class, &parts.headers)?;
-    let body = timeout(BODY_TIME, Limited::new(body, LARGEST_BODY).collect()).await;
+    let body = timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     let body = body.map_err(|_| Fault(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"))?;
     let body = body.map_err(|error| {
         let large = error.is::<LengthLimitError>();
@@ -161,7 +161,7 @@
     let name = |header: &str| {
         let only = only(headers, header, false).ok().flatten();
         let text = only.and_then(|value| value.to_str().ok()).unwrap_or_default().trim();
-        (!text.is_empty() && text.len() <= LONGEST_NAME).then(|| text.to_owned())
+        (!text.is_empty() && text.len() <= MAX_FIELD_BYTES).then(|| text.to_owned())
     };
     let txn = name("X-Txn").ok_or(bad("X-Txn: missing or malformed\n"))?;
     let org = name("X-Org");
@@ -170,10 +170,10 @@
     }
     // Passed on as it came: it is read here only as far as it has to be one key that a header can carry again.
     let key = only(headers, IDEMPOTENCY_KEY, true).map_err(|()| bad("Idempotency-Key: two that differ\n"))?;
-    let key = key.map(|key| key.to_str().ok().filter(|key| !key.is_empty() && key.len() <= LONGEST_NAME));
+    let key = key.map(|key| key.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MAX_FIELD_BYTES));
     let key = key.map(|key| key.ok_or(bad("Idempotency-Key: malformed\n"))).transpose()?.map(str::to_owned);
     let remaining = name("X-Remaining").ok_or(bad("X-Remaining: missing or malformed\n"))?;
-    let remaining = remaining.parse().ok().filter(|seconds| LONGEST_LIFE.contains(seconds));
+    let remaining = remaining.parse().ok().filter(|seconds| TIME_LEFT_SECONDS.contains(seconds));
     let remaining = remaining.ok_or(bad("X-Remaining: not seconds\n"))?;
     let consignee = name("X-Consignee").ok_or(bad("X-Consignee: missing or malformed\n"))?;
     let dest = consignee.split([',', ';', ' ']).find_map(|pair| pair.trim().strip_prefix("dest="));
--- a/crates/forwarder/src/client_listener.rs
+++ b/crates/forwarder/src/client_listener.rs
@@ -44,7 +44,7 @@
 const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
 
 /// The connections that there are, and the bound on them.
-pub struct Connections {
+pub struct ClientConnections {
     limit: RefCell<ConnectionLimit>,
     changed: Notify,
     signals: RefCell<HashMap<ConnectionId, Rc<EvictionSignals>>>,
@@ -55,10 +55,10 @@
     handing_over: Cell<bool>,
 }
 
-impl Connections {
+impl ClientConnections {
     /// Room for so many connections at once.
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Connections {
+        Rc::new(ClientConnections {
             limit: RefCell::new(ConnectionLimit::new(most)),
             changed: Notify::new(),
             signals: RefCell::default(),
@@ -69,12 +69,12 @@
     }
 
     /// The forwarder ends: each connection closes when its request is answered.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         self.ending.send_replace(true);
     }
 
     /// A successor takes the clients: each connection says with its next answer that it closes.
-    pub fn move_on(&self) {
+    pub fn hand_over(&self) {
         self.handing_over.set(true);
     }
 
@@ -113,7 +113,7 @@
 /// A connection as the others see it, for as long as it lasts, also when its task panics.
 struct ClientConnection {
     id: ConnectionId,
-    connections: Rc<Connections>,
+    connections: Rc<ClientConnections>,
     gateway: Rc<ClientGateway>,
     signals: Rc<EvictionSignals>,
     /// A request of it has been read.
@@ -123,11 +123,13 @@
 }
 
 impl ClientConnection {
-    fn new(connections: Rc<Connections>, gateway: Rc<ClientGateway>) -> Rc<Self> {
-        let (id, signals) =
-            (connections.limit.borrow_mut().join(Instant::now()), Rc::new(EvictionSignals::default()));
+    fn new(connections: Rc<ClientConnections>, gateway: Rc<ClientGateway>) -> Rc<Self> {
+        let (id, signals) = (
+            connections.limit.borrow_mut().on_connected(Instant::now()),
+            Rc::new(EvictionSignals::default()),
+        );
         connections.signals.borrow_mut().insert(id, signals.clone());
-        gateway.tell(Input::ClientConnection { connected: true });
+        gateway.report(Input::ClientConnection { connected: true });
         Rc::new(ClientConnection {
             id,
             connections,
@@ -141,28 +143,28 @@
     fn asks(&self) {
         self.has_asked.set(true);
         self.is_answering.set(true);
-        self.connections.limit.borrow_mut().asks(self.id, Instant::now());
+        self.connections.limit.borrow_mut().on_request(self.id, Instant::now());
     }
 
     fn answered(&self) {
         self.is_answering.set(false);
-        self.connections.limit.borrow_mut().answered(self.id, Instant::now());
+        self.connections.limit.borrow_mut().on_answered(self.id, Instant::now());
         self.connections.changed.notify_one();
     }
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.connections.limit.borrow_mut().leaves(self.id);
+        self.connections.limit.borrow_mut().on_closed(self.id);
         self.connections.signals.borrow_mut().remove(&self.id);
         self.connections.changed.notify_one();
-        self.gateway.tell(Input::ClientConnection { connected: false });
+        self.gateway.report(Input::ClientConnection { connected: false });
     }
 }
 
 /// Takes connections until the forwarder ends. Runs in a `LocalSet`. Connections that wait to be taken by then are taken
 /// too: closed unread, they would be reset.
-pub async fn listen(listener: TcpListener, gateway: Rc<ClientGateway>, connections: Rc<Connections>) {
+pub async fn listen(listener: TcpListener, gateway: Rc<ClientGateway>, connections: Rc<ClientConnections>) {
     let mut ending = connections.ending.subscribe();
     loop {
         let taken = tokio::select! {
@@ -191,7 +193,7 @@
 }
 
 /// Serves one client's connection to its end. What goes wrong there, a panic included, ends this one alone.
-fn spawn_connection(stream: TcpStream, gateway: &Rc<ClientGateway>, connections: &Rc<Connections>) {
+fn spawn_connection(stream: TcpStream, gateway: &Rc<ClientGateway>, connections: &Rc<ClientConnections>) {
     let client = ClientConnection::new(connections.clone(), gateway.clone());
     tokio::task::spawn_local(async move {
         match stream.set_nodelay(true) {
@@ -269,7 +271,7 @@
 /// or the place is wanted.
 async fn linger(mut stream: TcpStream, client: &ClientConnection) {
     let connections = &client.connections;
-    connections.limit.borrow_mut().lingers(client.id, Instant::now());
+    connections.limit.borrow_mut().on_lingering(client.id, Instant::now());
     connections.changed.notify_one();
     let lingered = async {
         stream.shutdown().await?;
--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -13,7 +13,7 @@
 
 /// The file as it is written.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: Option<String>,
@@ -22,10 +22,10 @@
     #[serde(default)]
     seed: String,
     limits: Limits,
-    #[serde(deserialize_with = "bounded_watch_event")]
-    known: WatchEvent,
-    #[serde(default)]
-    policy_out: BTreeSet<String>,
+    #[serde(rename = "known", deserialize_with = "bounded_watch_event")]
+    initial_list: WatchEvent,
+    #[serde(rename = "policy_out", default)]
+    policy_ejected: BTreeSet<String>,
     settings: Box<serde_json::value::RawValue>,
 }
 
@@ -33,30 +33,31 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     /// File descriptors at once.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub max_descriptors: usize,
     /// Size of the folder that lasts, in MB (2^20 bytes).
     pub disk_mb: f64,
 }
 
 /// Descriptors set aside for the process's own: standard streams, the runtime's, the journal and its rewrite, listeners,
 /// other processes' files, the watch on discovery and the one after it, notices.
-const ASIDE: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 
 /// Clients that are taken however few descriptors there are.
-const LEAST_CLIENTS: usize = 8;
+const MIN_CLIENT_CONNECTIONS: usize = 8;
 
 impl Limits {
     /// Connections to next hops at once, idle ones counted: room for as many as there are slots, and a part of the
     /// descriptors for idle ones.
-    pub fn next_hops(&self, slots: usize) -> usize {
-        slots + (self.sockets / 4).min((self.sockets / 3).saturating_sub(slots))
+    pub fn max_endpoint_connections(&self, slots: usize) -> usize {
+        slots + (self.max_descriptors / 4).min((self.max_descriptors / 3).saturating_sub(slots))
     }
 
     /// Clients at once: half of the descriptors, and no more than next hops, operators (`callers`) and what is set aside
     /// leave. However many connect, none of those is short of one.
-    pub fn clients(&self, slots: usize, callers: usize) -> usize {
-        let others = self.next_hops(slots) + callers + ASIDE;
-        self.sockets.saturating_sub(others).min(self.sockets / 2).max(LEAST_CLIENTS)
+    pub fn max_client_connections(&self, slots: usize, callers: usize) -> usize {
+        let others = self.max_endpoint_connections(slots) + callers + RESERVED_DESCRIPTORS;
+        self.max_descriptors.saturating_sub(others).min(self.max_descriptors / 2).max(MIN_CLIENT_CONNECTIONS)
     }
 }
 
@@ -81,17 +82,17 @@
 
 /// Where discovery answers: the file says it, and what is given apart from the file may say otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Discovery {
+pub struct DiscoveryAddress {
     /// Given apart from the file.
-    pub given: Option<SocketAddr>,
+    pub from_command_line: Option<SocketAddr>,
     /// What the file says; where it says nothing, what was given.
-    pub file: SocketAddr,
+    pub configured: SocketAddr,
 }
 
-impl Discovery {
+impl DiscoveryAddress {
     /// The address at a start: what was given, unless a reload has put the file in its place since.
-    pub fn at_start(&self, superseded: Option<SocketAddr>) -> SocketAddr {
-        self.given.filter(|given| Some(*given) != superseded).unwrap_or(self.file)
+    pub fn at_startup(&self, superseded: Option<SocketAddr>) -> SocketAddr {
+        self.from_command_line.filter(|given| Some(*given) != superseded).unwrap_or(self.configured)
     }
 }
 
@@ -103,7 +104,7 @@
     /// Where the sender side connects.
     pub listen: SocketAddr,
     /// Where discovery answers.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryAddress,
     /// Where operators connect, if they do.
     pub console: Option<SocketAddr>,
     /// The catalogue that tells the transport map in the place of discovery.
@@ -115,9 +116,9 @@
     /// What the machine allows.
     pub limits: Limits,
     /// The transport map as last held.
-    pub known: WatchEvent,
+    pub initial_list: WatchEvent,
     /// Endpoints that the fleet has agreed to leave out, by id.
-    pub policy_out: BTreeSet<String>,
+    pub policy_ejected: BTreeSet<String>,
     /// The module's settings.
     pub settings: Settings,
     /// Names behind the numbers of the settings.
@@ -125,7 +126,7 @@
 }
 
 /// Reads an address: what is given apart from the file goes before what the file says.
-pub(crate) fn address(
+pub(crate) fn parse_address(
     what: &str,
     given: Option<&str>,
     file: Option<String>,
@@ -138,7 +139,7 @@
 impl Config {
     /// Reads the text of a configuration.
     pub fn read(text: &str, listen: Option<&str>, discovery: Option<&str>) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
         let (settings, names) =
             settings::read(file.settings.get()).map_err(|e| ConfigError(format!("settings: {e}")))?;
         for (what, missing) in [
@@ -152,7 +153,7 @@
                 return Err(ConfigError(format!("settings: {what}: missing or nothing in it")));
             }
         }
-        if file.limits.sockets < 64 {
+        if file.limits.max_descriptors < 64 {
             return Err(ConfigError("limits: sockets: 64 is the least to work with".to_owned()));
         }
         if file.limits.disk_mb.is_nan() || file.limits.disk_mb <= 0.0 {
@@ -160,22 +161,26 @@
         }
         let seed = u64::from_str_radix(&file.seed, 16);
         let seed = seed.map_err(|_| ConfigError(format!("seed: not hex digits: {:?}", file.seed)))?;
-        let given = discovery.map(|text| address("discovery", Some(text), None)).transpose()?;
-        let discovery = Discovery {
-            given,
-            file: address("discovery", None, file.discovery.or(given.map(|address| address.to_string())))?,
+        let given = discovery.map(|text| parse_address("discovery", Some(text), None)).transpose()?;
+        let discovery = DiscoveryAddress {
+            from_command_line: given,
+            configured: parse_address(
+                "discovery",
+                None,
+                file.discovery.or(given.map(|address| address.to_string())),
+            )?,
         };
         Ok(Config {
             name: file.name,
-            listen: address("listen", listen, file.listen)?,
+            listen: parse_address("listen", listen, file.listen)?,
             discovery,
-            console: file.console.map(|text| address("console", Some(&text), None)).transpose()?,
+            console: file.console.map(|text| parse_address("console", Some(&text), None)).transpose()?,
             catalogue: None,
             owners: None,
             seed,
             limits: file.limits,
-            known: file.known,
-            policy_out: file.policy_out,
+            initial_list: file.initial_list,
+            policy_ejected: file.policy_ejected,
             settings,
             names,
         })
--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -64,24 +64,24 @@
     }
 
     /// Another has connected.
-    pub fn join(&mut self, now: Instant) -> ConnectionId {
+    pub fn on_connected(&mut self, now: Instant) -> ConnectionId {
         self.next += 1;
         self.connections.insert(self.next, (ConnectionState::New, now));
         self.next
     }
 
     /// It has sent a request.
-    pub fn asks(&mut self, id: ConnectionId, now: Instant) {
+    pub fn on_request(&mut self, id: ConnectionId, now: Instant) {
         self.turn(id, ConnectionState::Busy, now);
     }
 
     /// Its request is answered.
-    pub fn answered(&mut self, id: ConnectionId, now: Instant) {
+    pub fn on_answered(&mut self, id: ConnectionId, now: Instant) {
         self.turn(id, ConnectionState::Idle, now);
     }
 
     /// Its sending is ended: only its client keeps it.
-    pub fn lingers(&mut self, id: ConnectionId, now: Instant) {
+    pub fn on_lingering(&mut self, id: ConnectionId, now: Instant) {
         if let Some(connection) = self.connections.get_mut(&id) {
             *connection = (ConnectionState::Lingering, now);
         }
@@ -95,7 +95,7 @@
     }
 
     /// Its connection is closed.
-    pub fn leaves(&mut self, id: ConnectionId) {
+    pub fn on_closed(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
--- a/crates/forwarder/src/connection_pool.rs
+++ b/crates/forwarder/src/connection_pool.rs
@@ -21,7 +21,7 @@
 
 /// All connections to next hops.
 #[derive(Debug)]
-pub struct Pool {
+pub struct ConnectionPool {
     links: BTreeMap<EndpointConnectionId, (EndpointId, State)>,
     next: EndpointConnectionId,
     /// An idle connection is not used again after this time: the other end may close it any moment.
@@ -38,21 +38,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
     /// On this idle connection, at once.
-    Idle(EndpointConnectionId),
+    Reuse(EndpointConnectionId),
     /// On this new connection, once it is up.
-    Dial(EndpointConnectionId),
+    Connect(EndpointConnectionId),
 }
 
-impl Pool {
+impl ConnectionPool {
     /// No connections yet; the other end closes idle ones after `idle_close`.
     pub fn new(idle_close: Micros, most: usize) -> Self {
-        let (keep, most) = Pool::bounds(idle_close, most);
-        Pool { links: BTreeMap::new(), next: 0, keep, most, retired: BTreeSet::new(), idle_since: None }
+        let (keep, most) = ConnectionPool::bounds(idle_close, most);
+        ConnectionPool {
+            links: BTreeMap::new(),
+            next: 0,
+            keep,
+            most,
+            retired: BTreeSet::new(),
+            idle_since: None,
+        }
     }
 
     /// Other bounds hold from now on.
-    pub fn bound(&mut self, idle_close: Micros, most: usize) {
-        (self.keep, self.most) = Pool::bounds(idle_close, most);
+    pub fn set_limits(&mut self, idle_close: Micros, most: usize) {
+        (self.keep, self.most) = ConnectionPool::bounds(idle_close, most);
     }
 
     fn bounds(idle_close: Micros, most: usize) -> (Micros, usize) {
@@ -70,20 +77,20 @@
         };
         if let Some((_, id)) = self.links.iter().filter_map(fresh).max() {
             self.links.insert(id, (hop, State::Busy(call)));
-            return Claim::Idle(id);
+            return Claim::Reuse(id);
         }
-        Claim::Dial(self.dial(hop, call))
+        Claim::Connect(self.connect(hop, call))
     }
 
     /// A new connection for a call.
-    pub fn dial(&mut self, hop: EndpointId, call: CallId) -> EndpointConnectionId {
+    pub fn connect(&mut self, hop: EndpointId, call: CallId) -> EndpointConnectionId {
         self.next += 1;
         self.links.insert(self.next, (hop, State::Dialling(call)));
         self.next
     }
 
     /// A connection is up: the call that waited for it.
-    pub fn is_up(&mut self, id: EndpointConnectionId) -> Option<CallId> {
+    pub fn on_connected(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let (_, state) = self.links.get_mut(&id)?;
         let State::Dialling(call) = *state else { return None };
         *state = State::Busy(call);
@@ -111,7 +118,7 @@
     }
 
     /// A connection is gone: the call that it takes with it.
-    pub fn closed(&mut self, id: EndpointConnectionId) -> Option<CallId> {
+    pub fn on_closed(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let call = self.call_of(id);
         self.links.remove(&id);
         self.retired.remove(&id);
@@ -119,7 +126,7 @@
     }
 
     /// The connection that a call has, up or not.
-    pub fn link_of(&self, call: CallId) -> Option<EndpointConnectionId> {
+    pub fn connection_of(&self, call: CallId) -> Option<EndpointConnectionId> {
         let has = |state: &State| matches!(state, State::Dialling(c) | State::Busy(c) if *c == call);
         self.links.iter().find(|(_, (_, state))| has(state)).map(|(id, _)| *id)
     }
@@ -133,17 +140,17 @@
     }
 
     /// Takes out the idle connections to an endpoint, to be closed.
-    pub fn drop_idle(&mut self, hop: EndpointId) -> Vec<EndpointConnectionId> {
+    pub fn take_idle_to(&mut self, hop: EndpointId) -> Vec<EndpointConnectionId> {
         self.take_idle(|to, _| to == hop)
     }
 
     /// The same for many endpoints at once.
-    pub fn drop_idle_of(&mut self, hops: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
+    pub fn take_idle_to_any(&mut self, hops: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
         self.take_idle(|to, _| hops.contains(&to))
     }
 
     /// Takes out the idle connections that are too old, and the oldest where there are too many.
-    pub fn reap(&mut self, now: Micros) -> Vec<EndpointConnectionId> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<EndpointConnectionId> {
         let keep = self.keep;
         let mut out = self.take_idle(|_, since| now - since >= keep);
         while self.links.len() > self.most {
@@ -152,7 +159,7 @@
                 _ => None,
             });
             let Some((_, oldest)) = idle.min() else { break };
-            self.closed(oldest);
+            self.on_closed(oldest);
             out.push(oldest);
         }
         let idle = self.links.values().filter_map(|(_, state)| match state {
@@ -164,7 +171,7 @@
     }
 
     /// When the next idle connection may get too old.
-    pub fn reap_at(&self) -> Option<Micros> {
+    pub fn next_expiry(&self) -> Option<Micros> {
         self.idle_since.map(|since| since + self.keep)
     }
 
--- a/crates/forwarder/src/console.rs
+++ b/crates/forwarder/src/console.rs
@@ -5,11 +5,11 @@
 use std::fmt;
 
 /// Longest line that is taken, its end not counted: a call and the longest id.
-pub const LONGEST_LINE: usize = 512;
+pub const MAX_LINE_BYTES: usize = 512;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     /// Whether this process takes clients.
     Ready,
     /// The figures.
@@ -24,102 +24,102 @@
 
 /// Why a line is no call; said to the caller behind `400`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallError {
+pub enum CommandError {
     /// It is empty.
     Empty,
     /// It is longer than any call.
-    TooLong,
+    LineTooLong,
     /// It is not text.
     NotText,
     /// Something follows the line.
-    MoreThanOneLine,
+    TrailingData,
     /// There is no such call.
-    UnknownCall,
+    UnknownCommand,
     /// The call wants the id of one endpoint and nothing more.
-    OneId,
+    ExpectedOneId,
     /// The call stands alone.
-    NoWords,
+    UnexpectedArgument,
 }
 
-impl fmt::Display for CallError {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CallError::Empty => {
+            CommandError::Empty => {
                 "empty: ready, show-stat, show-latency, disable-server ID or enable-server ID"
             }
-            CallError::TooLong => "the line is too long",
-            CallError::NotText => "the line is not text",
-            CallError::MoreThanOneLine => "one line a connection",
-            CallError::UnknownCall => {
+            CommandError::LineTooLong => "the line is too long",
+            CommandError::NotText => "the line is not text",
+            CommandError::TrailingData => "one line a connection",
+            CommandError::UnknownCommand => {
                 "unknown: ready, show-stat, show-latency, disable-server ID or enable-server ID"
             }
-            CallError::OneId => "this call wants the id of one endpoint",
-            CallError::NoWords => "nothing may follow this call",
+            CommandError::ExpectedOneId => "this call wants the id of one endpoint",
+            CommandError::UnexpectedArgument => "nothing may follow this call",
         })
     }
 }
 
 /// Reads what has come on a connection so far. None: its line is not whole yet.
-pub fn read(came: &[u8]) -> Option<Result<Call, CallError>> {
+pub fn parse_input(came: &[u8]) -> Option<Result<Command, CommandError>> {
     let Some(end) = came.iter().position(|byte| *byte == b'\n') else {
-        return (came.len() > LONGEST_LINE).then_some(Err(CallError::TooLong));
+        return (came.len() > MAX_LINE_BYTES).then_some(Err(CommandError::LineTooLong));
     };
-    Some(if end > LONGEST_LINE {
-        Err(CallError::TooLong)
+    Some(if end > MAX_LINE_BYTES {
+        Err(CommandError::LineTooLong)
     } else if end + 1 < came.len() {
-        Err(CallError::MoreThanOneLine)
+        Err(CommandError::TrailingData)
     } else {
         parse(&came[..end])
     })
 }
 
-fn parse(line: &[u8]) -> Result<Call, CallError> {
-    let line = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
+fn parse(line: &[u8]) -> Result<Command, CommandError> {
+    let line = std::str::from_utf8(line).map_err(|_| CommandError::NotText)?;
     let line = line.strip_suffix('\r').unwrap_or(line);
     if line.chars().any(char::is_control) {
-        return Err(CallError::NotText);
+        return Err(CommandError::NotText);
     }
     let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let call = words.next().ok_or(CallError::Empty)?;
+    let call = words.next().ok_or(CommandError::Empty)?;
     let rest: Vec<&str> = words.collect();
-    let alone = |call| if rest.is_empty() { Ok(call) } else { Err(CallError::NoWords) };
+    let alone = |call| if rest.is_empty() { Ok(call) } else { Err(CommandError::UnexpectedArgument) };
     let id = || match rest[..] {
         [id] => Ok(id.to_owned()),
-        _ => Err(CallError::OneId),
+        _ => Err(CommandError::ExpectedOneId),
     };
     match call {
-        "ready" => alone(Call::Ready),
-        "show-stat" => alone(Call::ShowStat),
-        "show-latency" => alone(Call::ShowLatency),
-        "disable-server" => id().map(Call::DisableServer),
-        "enable-server" => id().map(Call::EnableServer),
-        _ => Err(CallError::UnknownCall),
+        "ready" => alone(Command::Ready),
+        "show-stat" => alone(Command::ShowStat),
+        "show-latency" => alone(Command::ShowLatency),
+        "disable-server" => id().map(Command::DisableServer),
+        "enable-server" => id().map(Command::EnableServer),
+        _ => Err(CommandError::UnknownCommand),
     }
 }
 
 /// What an operator is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum ConsoleReply {
     /// Yes, or done.
-    Yes(&'static str),
+    Done(&'static str),
     /// No, and why.
-    No(String),
+    Rejected(String),
     /// The figures, a line each.
-    Figures(String),
+    Metrics(String),
 }
 
-impl fmt::Display for Reply {
+impl fmt::Display for ConsoleReply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reply::Yes(words) => writeln!(f, "200 {words}"),
-            Reply::No(why) => writeln!(f, "400 {why}"),
-            Reply::Figures(lines) => write!(f, "200 figures\n{lines}EOF\n"),
+            ConsoleReply::Done(words) => writeln!(f, "200 {words}"),
+            ConsoleReply::Rejected(why) => writeln!(f, "400 {why}"),
+            ConsoleReply::Metrics(lines) => write!(f, "200 figures\n{lines}EOF\n"),
         }
     }
 }
 
-impl From<CallError> for Reply {
-    fn from(error: CallError) -> Self {
-        Reply::No(error.to_string())
+impl From<CommandError> for ConsoleReply {
+    fn from(error: CommandError) -> Self {
+        ConsoleReply::Rejected(error.to_string())
     }
 }
--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -1,7 +1,7 @@
 //! The operators' console on sockets: bounded connections, each with a time for its line, and a place always left
 //! for the next caller.
 
-use super::console::{Call, CallError, Reply, read};
+use super::console::{Command, CommandError, ConsoleReply, parse_input};
 use crate::input::{Input, RequestId};
 use crate::log;
 use std::cell::{Cell, RefCell};
@@ -16,17 +16,17 @@
 use tokio::time::{sleep, timeout};
 
 /// Connections at once, those of callers that have not said anything whole included.
-pub const PLACES: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// A line that has not come by then does not come.
-const LINE_TIME: Duration = Duration::from_secs(5);
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 /// For the caller to read its reply, and for what it still sends to be dropped.
-const LAST_MOMENT: Duration = Duration::from_secs(1);
-const DROP_MOST: usize = 1 << 20;
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
 /// The console between its connections and the reducer.
-pub struct Console {
+pub struct ConsoleGateway {
     inputs: UnboundedSender<Input>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<Reply>>>,
+    waiting: RefCell<HashMap<RequestId, oneshot::Sender<ConsoleReply>>>,
     /// Connections in the order in which they came: who has no whole line yet may have to go.
     callers: RefCell<BTreeMap<RequestId, AbortHandle>>,
     /// Connections, until their tasks have ended.
@@ -34,31 +34,31 @@
     next: Cell<RequestId>,
 }
 
-impl Console {
+impl ConsoleGateway {
     /// A console that asks the reducer behind `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
         let (waiting, callers) = (RefCell::default(), RefCell::default());
-        Rc::new(Console { inputs, waiting, callers, open: Cell::new(0), next: Cell::new(0) })
+        Rc::new(ConsoleGateway { inputs, waiting, callers, open: Cell::new(0), next: Cell::new(0) })
     }
 
     /// Gives a caller its reply; one that is gone needs none.
-    pub fn reply(&self, ticket: RequestId, reply: Reply) {
+    pub fn reply(&self, ticket: RequestId, reply: ConsoleReply) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             let _ = waiting.send(reply);
         }
     }
 
-    async fn ask(&self, ticket: RequestId, call: Call) -> Reply {
+    async fn ask(&self, ticket: RequestId, call: Command) -> ConsoleReply {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         // The receiver is gone only when the forwarder ends.
         let _ = self.inputs.send(Input::Operator { request: ticket, call });
-        receiver.await.unwrap_or_else(|_| Reply::No("the forwarder ends".to_owned()))
+        receiver.await.unwrap_or_else(|_| ConsoleReply::Rejected("the forwarder ends".to_owned()))
     }
 
     /// Whoever has waited longest without a whole line goes, until there is room for one more.
     fn make_room(&self) {
-        while self.open.get() >= PLACES {
+        while self.open.get() >= MAX_CONNECTIONS {
             let Some((_, caller)) = self.callers.borrow_mut().pop_first() else { return };
             caller.abort();
             self.open.set(self.open.get() - 1);
@@ -67,21 +67,21 @@
 }
 
 /// A connection as the others see it, until its task ends, in whatever way.
-struct Place {
-    console: Rc<Console>,
+struct ConsoleConnection {
+    console: Rc<ConsoleGateway>,
     ticket: RequestId,
     /// It was among those that may have to go, or is past that.
     asked: Cell<bool>,
 }
 
-impl Place {
+impl ConsoleConnection {
     /// Its line is whole: it stays until it has its reply.
     fn asks(&self) {
         self.asked.set(self.console.callers.borrow_mut().remove(&self.ticket).is_some());
     }
 }
 
-impl Drop for Place {
+impl Drop for ConsoleConnection {
     fn drop(&mut self) {
         self.console.waiting.borrow_mut().remove(&self.ticket);
         let waited = self.console.callers.borrow_mut().remove(&self.ticket).is_some();
@@ -93,7 +93,7 @@
 }
 
 /// Takes callers for as long as it is polled. Runs in a `LocalSet`.
-pub async fn listen(listener: TcpListener, console: Rc<Console>) {
+pub async fn listen(listener: TcpListener, console: Rc<ConsoleGateway>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -101,7 +101,7 @@
                 let ticket = console.next.get();
                 console.next.set(ticket + 1);
                 console.open.set(console.open.get() + 1);
-                let place = Place { console: console.clone(), ticket, asked: Cell::new(false) };
+                let place = ConsoleConnection { console: console.clone(), ticket, asked: Cell::new(false) };
                 let task = spawn_local(attend(stream, place));
                 console.callers.borrow_mut().insert(ticket, task.abort_handle());
             }
@@ -114,8 +114,8 @@
 }
 
 /// Serves one caller. What goes wrong here, a panic included, ends this connection alone.
-async fn attend(mut stream: TcpStream, place: Place) {
-    let Ok(read) = timeout(LINE_TIME, read_call(&mut stream)).await else { return };
+async fn attend(mut stream: TcpStream, place: ConsoleConnection) {
+    let Ok(read) = timeout(LINE_TIMEOUT, read_call(&mut stream)).await else { return };
     place.asks();
     let reply = match read {
         Some(Ok(call)) => place.console.ask(place.ticket, call).await,
@@ -123,17 +123,17 @@
         None => return,
     };
     // Whether the caller has heard is its own affair from here on.
-    let _ = timeout(LAST_MOMENT, tell(&mut stream, &reply.to_string())).await;
+    let _ = timeout(REPLY_TIMEOUT, tell(&mut stream, &reply.to_string())).await;
 }
 
 /// One call, or why it is none; nothing where the caller has gone before its line was whole.
-async fn read_call(stream: &mut TcpStream) -> Option<Result<Call, CallError>> {
+async fn read_call(stream: &mut TcpStream) -> Option<Result<Command, CommandError>> {
     let mut came = Vec::new();
     loop {
         let mut some = [0; 1024];
         let count = stream.read(&mut some).await.ok().filter(|count| *count > 0)?;
         came.extend_from_slice(&some[..count]);
-        if let Some(call) = read(&came) {
+        if let Some(call) = parse_input(&came) {
             return Some(call);
         }
     }
@@ -143,7 +143,7 @@
 async fn tell(stream: &mut TcpStream, reply: &str) -> std::io::Result<()> {
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await?;
-    let (mut some, mut left) = ([0; 4096], DROP_MOST);
+    let (mut some, mut left) = ([0; 4096], MAX_DISCARDED_BYTES);
     while left > 0 {
         match stream.read(&mut some).await? {
             0 => break,
@@ -174,26 +174,26 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let at = listener.local_addr().expect("bound");
         let (inputs, mut came) = unbounded_channel();
-        let console = Console::new(inputs);
+        let console = ConsoleGateway::new(inputs);
         let answering = console.clone();
         let local = LocalSet::new();
         local.spawn_local(listen(listener, console.clone()));
         local.spawn_local(async move {
             while let Some(Input::Operator { request, call }) = came.recv().await {
-                answering.reply(request, Reply::No(format!("{call:?}")));
+                answering.reply(request, ConsoleReply::Rejected(format!("{call:?}")));
             }
         });
         local
             .run_until(async {
                 let mut silent = Vec::new();
-                for number in 0..3 * PLACES {
+                for number in 0..3 * MAX_CONNECTIONS {
                     let mut stream = TcpStream::connect(at).await.expect("it takes callers");
                     if number % 2 == 0 {
                         stream.write_all(b"disable-server s").await.expect("written");
                     }
                     silent.push(stream);
                     assert_eq!(say(at, b"ready\n").await, "400 Ready\n");
-                    assert!(console.open.get() <= PLACES, "bounded");
+                    assert!(console.open.get() <= MAX_CONNECTIONS, "bounded");
                 }
                 assert!(say(at, &[b'x'; 4096]).await.starts_with("400 the line is too long"));
                 assert!(say(at, b"ready\nready\n").await.starts_with("400 one line"));
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -28,13 +28,13 @@
 
 /// How a watch ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct WatchEnd {
     /// Why, for the log.
-    pub why: String,
+    pub reason: String,
     /// How many milliseconds discovery says to wait; 0 where it says nothing.
-    pub wait_ms: u64,
+    pub retry_after_ms: u64,
     /// How long ago it last said something whole, or was asked.
-    pub unheard: Duration,
+    pub silence: Duration,
 }
 
 /// Why a watch ended.
@@ -69,15 +69,15 @@
 }
 
 /// Follows the list from a version on until the watch ends; whoever asked may ask again.
-pub async fn follow(discovery: SocketAddr, since: u64, updates: UpdateSender) -> Ended {
+pub async fn follow(discovery: SocketAddr, since: u64, updates: UpdateSender) -> WatchEnd {
     let heard = Cell::new(Instant::now());
     let ended = watch(discovery, since, &updates, &heard).await;
     let unheard = heard.get().elapsed();
     match ended {
-        Ok(()) => Ended { why: "it ended".to_owned(), wait_ms: 0, unheard },
+        Ok(()) => WatchEnd { reason: "it ended".to_owned(), retry_after_ms: 0, silence: unheard },
         Err(error) => {
             let wait_ms = if let WatchError::Refused(_, wait) = error { wait } else { 0 };
-            Ended { why: error.to_string(), wait_ms, unheard }
+            WatchEnd { reason: error.to_string(), retry_after_ms: wait_ms, silence: unheard }
         }
     }
 }
@@ -110,7 +110,7 @@
             let frame = timeout_at(due, body.frame()).await.map_err(|_| WatchError::Silent)?;
             let Some(frame) = frame else { return ended_with(lists.unfinished_bytes()) };
             let Ok(data) = frame.map_err(broken)?.into_data() else { continue };
-            let came_whole = lists.take(&data, |news| updates.send(news));
+            let came_whole = lists.read_frame(&data, |news| updates.send(news));
             if came_whole.map_err(WatchError::Unreadable)? {
                 heard.set(Instant::now());
             }
--- a/crates/forwarder/src/endpoint_call.rs
+++ b/crates/forwarder/src/endpoint_call.rs
@@ -10,26 +10,26 @@
 
 /// A message in a call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct CallMessage {
     /// Its id.
-    pub txn: String,
+    pub id: String,
     /// Its idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Its body.
     pub body: Bytes,
 }
 
 /// A call: one message, or several at once.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct EndpointCall {
     /// The messages.
-    pub parts: Vec<Part>,
+    pub messages: Vec<CallMessage>,
     /// Whether it goes in the form for several.
-    pub bulk: bool,
+    pub is_bulk: bool,
     /// How long the forwarder will wait, as the next hop is told.
-    pub remaining: Micros,
+    pub time_left: Micros,
     /// Until when it waits.
-    pub due: Micros,
+    pub deadline: Micros,
 }
 
 #[derive(Serialize)]
@@ -41,8 +41,8 @@
 }
 
 impl<'a> BulkItem<'a> {
-    fn new(part: &'a Part) -> Self {
-        BulkItem { id: &part.txn, key: part.key.as_deref(), body: STANDARD.encode(&part.body) }
+    fn new(part: &'a CallMessage) -> Self {
+        BulkItem { id: &part.id, key: part.idempotency_key.as_deref(), body: STANDARD.encode(&part.body) }
     }
 }
 
@@ -52,23 +52,23 @@
     state: String,
 }
 
-impl Reply {
+impl EndpointReply {
     /// Whether it says what it has to: that of several messages, the end of each.
     pub fn is_readable(&self) -> bool {
-        !self.bulk || self.status != 200 || serde_json::from_slice::<Vec<BulkEnd>>(&self.body).is_ok()
+        !self.is_bulk || self.status != 200 || serde_json::from_slice::<Vec<BulkEnd>>(&self.body).is_ok()
     }
 }
 
-impl Call {
+impl EndpointCall {
     /// Where the call goes.
     pub fn path(&self) -> &'static str {
-        if self.bulk { "/inbox/bulk" } else { "/inbox" }
+        if self.is_bulk { "/inbox/bulk" } else { "/inbox" }
     }
 
     /// What it carries. A single message goes on as the bytes that came.
     pub fn body(&self) -> Bytes {
-        match &self.parts[..] {
-            [part] if !self.bulk => part.body.clone(),
+        match &self.messages[..] {
+            [part] if !self.is_bulk => part.body.clone(),
             parts => {
                 let items: Vec<_> = parts.iter().map(BulkItem::new).collect();
                 serde_json::to_vec(&items).unwrap_or_default().into()
@@ -79,37 +79,37 @@
 
 /// What a next hop has answered.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reply {
+pub struct EndpointReply {
     /// The status.
     pub status: u16,
     /// The wait that it tells, in milliseconds; 0: none.
-    pub wait_ms: u64,
+    pub retry_after_ms: u64,
     /// All slots of this forwarder were taken.
     pub line_busy: bool,
     /// Reported limit in calls a second, if any.
-    pub limit: Option<f64>,
+    pub reported_limit: Option<f64>,
     /// Reported share of the limit that is left, if any.
-    pub left: Option<f64>,
+    pub reported_remaining: Option<f64>,
     /// Whether the call was for several messages.
-    pub bulk: bool,
+    pub is_bulk: bool,
     /// The body.
     pub body: Bytes,
 }
 
 /// The end of one message's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct MessageResult {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The message is over, by the word of the next hop.
-    pub over: bool,
+    pub message_finished: bool,
 }
 
 /// The ends of the messages of a call, in their order.
-pub fn ends(reply: &Reply, txns: &[String]) -> Vec<End> {
-    let all = |outcome| vec![End { outcome, over: false }; txns.len()];
+pub fn message_results(reply: &EndpointReply, txns: &[String]) -> Vec<MessageResult> {
+    let all = |outcome| vec![MessageResult { outcome, message_finished: false }; txns.len()];
     match reply.status {
-        200 if reply.bulk => {
+        200 if reply.is_bulk => {
             let Ok(told) = serde_json::from_slice::<Vec<BulkEnd>>(&reply.body) else {
                 return all(Outcome::InvalidResponse);
             };
@@ -122,12 +122,12 @@
         503 if reply.line_busy => all(Outcome::NotSent),
         503 => all(Outcome::Rejected),
         504 => all(Outcome::NotSent),
-        410 => vec![End { outcome: Outcome::NotSent, over: true }; txns.len()],
+        410 => vec![MessageResult { outcome: Outcome::NotSent, message_finished: true }; txns.len()],
         _ => all(Outcome::Error),
     }
 }
 
-fn bulk_end(state: Option<&str>) -> End {
+fn bulk_end(state: Option<&str>) -> MessageResult {
     let outcome = match state {
         Some("accepted") => Outcome::Success,
         Some("deferred") => Outcome::Rejected,
@@ -135,7 +135,7 @@
         // A fault, a word that is not known, or a message left out: it may have run.
         _ => Outcome::Error,
     };
-    End { outcome, over: state == Some("expired") }
+    MessageResult { outcome, message_finished: state == Some("expired") }
 }
 
 /// How far an attempt had come when it failed; this settles whether it may have run.
@@ -157,11 +157,11 @@
     /// Its time was up.
     TimedOut,
     /// The forwarder called it off.
-    CalledOff,
+    Cancelled,
     /// The connection failed.
-    Broken(String),
+    ConnectionFailed(String),
     /// An answer came that cannot be read, or does not end.
-    Spoilt(String),
+    InvalidResponse(String),
 }
 
 /// A failed attempt.
@@ -175,23 +175,23 @@
 
 impl EndpointCallError {
     /// Whether it is sure that nothing ran.
-    pub fn never_ran(&self) -> bool {
+    pub fn not_delivered(&self) -> bool {
         self.progress < Progress::FullyWritten
     }
 
     /// Whether this side ended it.
-    pub fn given_up(&self) -> bool {
-        matches!(self.cause, Cause::TimedOut | Cause::CalledOff)
+    pub fn ended_locally(&self) -> bool {
+        matches!(self.cause, Cause::TimedOut | Cause::Cancelled)
     }
 
     /// What the module is told.
     pub fn outcome(&self) -> Outcome {
         match &self.cause {
-            _ if self.never_ran() => Outcome::ConnectFailed,
+            _ if self.not_delivered() => Outcome::ConnectFailed,
             Cause::TimedOut => Outcome::Timeout,
-            Cause::CalledOff => Outcome::Cancelled,
-            Cause::Broken(_) => Outcome::Reset,
-            Cause::Spoilt(_) => Outcome::InvalidResponse,
+            Cause::Cancelled => Outcome::Cancelled,
+            Cause::ConnectionFailed(_) => Outcome::Reset,
+            Cause::InvalidResponse(_) => Outcome::InvalidResponse,
         }
     }
 }
@@ -206,8 +206,8 @@
         };
         match &self.cause {
             Cause::TimedOut => write!(f, "timed out, {progress}"),
-            Cause::CalledOff => write!(f, "called off, {progress}"),
-            Cause::Broken(why) | Cause::Spoilt(why) => write!(f, "{why}, {progress}"),
+            Cause::Cancelled => write!(f, "called off, {progress}"),
+            Cause::ConnectionFailed(why) | Cause::InvalidResponse(why) => write!(f, "{why}, {progress}"),
         }
     }
 }
--- a/crates/forwarder/src/endpoint_connection.rs
+++ b/crates/forwarder/src/endpoint_connection.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops on sockets: one task each, which dials, writes one call at a time and reports.
 
 use super::connection_pool::EndpointConnectionId;
-use super::endpoint_call::{Call, Cause, EndpointCallError, Progress, Reply};
+use super::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply, Progress};
 use super::write_progress::{HEAD_END, WriteProgress};
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::retry_after::{header_text, partner_wait_ms};
@@ -37,7 +37,7 @@
 const FIRST_LINES: usize = 4 << 10;
 
 /// A call for a connection, and until when it waits.
-pub type Order = (Call, Instant);
+pub type Order = (EndpointCall, Instant);
 
 /// What has come of an answer: its first bytes, and when they came. Provisional answers in front do not count.
 #[derive(Debug, Default)]
@@ -155,7 +155,7 @@
             let whole = {
                 let written = &mut lock(&self.meter).written;
                 let before = written.progress();
-                written.take(&bytes[..count]);
+                written.on_written(&bytes[..count]);
                 before != written.progress()
             };
             if whole {
@@ -191,7 +191,7 @@
 }
 
 fn broken(progress: Progress, why: impl ToString) -> EndpointCallError {
-    EndpointCallError { progress, cause: Cause::Broken(why.to_string()) }
+    EndpointCallError { progress, cause: Cause::ConnectionFailed(why.to_string()) }
 }
 
 /// One connection from its dial to its end. Closing the channel of orders closes it.
@@ -216,7 +216,7 @@
     inputs: &UnboundedSender<Input>,
     if_panicked: &mut EndpointCallError,
 ) -> EndpointCallError {
-    let called_off = |progress| EndpointCallError { progress, cause: Cause::CalledOff };
+    let called_off = |progress| EndpointCallError { progress, cause: Cause::Cancelled };
     let dialled = tokio::select! {
         dialled = timeout_at(until, TcpStream::connect(address)) => dialled,
         _ = orders.recv() => return called_off(Progress::NotConnected),
@@ -251,12 +251,12 @@
             },
         };
         let body = call.body();
-        *lock(&meter) = Meter { written: WriteProgress::of_body(body.len()), ..Meter::default() };
+        *lock(&meter) = Meter { written: WriteProgress::with_body_bytes(body.len()), ..Meter::default() };
         *if_panicked = broken(Progress::FullyWritten, "the connection's task panicked");
         let answer = exchange(&mut sender, address, &call, body);
         let driven = drive(answer, &mut connection, orders, due, &meter).await;
         // Its first line says 200: for a single message that is all there is to say, whatever came after it.
-        let delivered = !call.bulk && lock(&meter).seen.says_delivered();
+        let delivered = !call.is_bulk && lock(&meter).seen.says_delivered();
         match driven {
             Driven::Answered(Ok(reply), open) => {
                 let reusable = open && is_free(&mut sender, &mut connection, due).await;
@@ -266,7 +266,7 @@
                 }
             }
             Driven::Answered(Err(_), _) | Driven::Ended(_) if delivered => {
-                let reply = Reply { status: 200, ..Reply::default() };
+                let reply = EndpointReply { status: 200, ..EndpointReply::default() };
                 let _ = inputs.send(Input::CallAnswered { connection: link, reply, reusable: false });
                 return broken(Progress::Answered, "spoilt after its first line");
             }
@@ -285,13 +285,13 @@
 
 enum Driven {
     /// The exchange is over; the flag says whether the connection is still there.
-    Answered(Result<Reply, Cause>, bool),
+    Answered(Result<EndpointReply, Cause>, bool),
     Ended(Cause),
 }
 
 /// Lets a call go on until it is answered, fails, is called off or its time, or that of its answer, is up.
 async fn drive(
-    answer: impl Future<Output = Result<Reply, Cause>>,
+    answer: impl Future<Output = Result<EndpointReply, Cause>>,
     connection: &mut (impl Future<Output = hyper::Result<()>> + Unpin),
     orders: &mut UnboundedReceiver<Order>,
     due: Instant,
@@ -306,14 +306,14 @@
             done = &mut answer => return Driven::Answered(done, open),
             // What came before the close is still to be taken out of the exchange.
             _ = &mut *connection, if open => open = false,
-            _ = orders.recv() => break Cause::CalledOff,
+            _ = orders.recv() => break Cause::Cancelled,
             cause = poll_fn(|context| {
                 // Looked at last: what the connection has just read counts.
                 let ends = lock(meter).seen.begun.map(|begun| begun + ANSWER_TIME).filter(|ends| *ends < due);
                 if let Some(ends) = ends && sleep.deadline() != ends {
                     sleep.as_mut().reset(ends);
                 }
-                let unended = || Cause::Spoilt("its answer does not end".to_owned());
+                let unended = || Cause::InvalidResponse("its answer does not end".to_owned());
                 sleep.as_mut().poll(context).map(|()| if ends.is_some() { unended() } else { Cause::TimedOut })
             }) => break cause,
         }
@@ -359,16 +359,16 @@
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     address: SocketAddr,
-    call: &Call,
+    call: &EndpointCall,
     body: Bytes,
-) -> Result<Reply, Cause> {
+) -> Result<EndpointReply, Cause> {
     let mut request = Request::post(call.path())
         .header(HOST, address.to_string())
-        .header("X-Remaining", format!("{:.3}", call.remaining.max(0) as f64 / 1e6));
-    request = match &call.parts[..] {
-        [part] if !call.bulk => {
-            let request = request.header("X-Txn", &part.txn);
-            match &part.key {
+        .header("X-Remaining", format!("{:.3}", call.time_left.max(0) as f64 / 1e6));
+    request = match &call.messages[..] {
+        [part] if !call.is_bulk => {
+            let request = request.header("X-Txn", &part.id);
+            match &part.idempotency_key {
                 Some(key) => request.header(IDEMPOTENCY_KEY, key),
                 None => request,
             }
@@ -376,15 +376,15 @@
         _ => request.header(hyper::header::CONTENT_TYPE, "application/json"),
     };
     let request = request.body(Full::new(body));
-    let request = request.map_err(|e| Cause::Broken(e.to_string()))?;
+    let request = request.map_err(|e| Cause::ConnectionFailed(e.to_string()))?;
     let answer = sender.send_request(request).await.map_err(|error| {
         let why = error.to_string();
-        if error.is_parse() { Cause::Spoilt(why) } else { Cause::Broken(why) }
+        if error.is_parse() { Cause::InvalidResponse(why) } else { Cause::ConnectionFailed(why) }
     })?;
-    let (mut reply, body) = head(answer, call.bulk);
-    reply.body = read(body).await.map_err(Cause::Spoilt)?;
+    let (mut reply, body) = head(answer, call.is_bulk);
+    reply.body = read(body).await.map_err(Cause::InvalidResponse)?;
     if reply.status < 200 || !reply.is_readable() {
-        return Err(Cause::Spoilt("its answer says nothing".to_owned()));
+        return Err(Cause::InvalidResponse("its answer says nothing".to_owned()));
     }
     Ok(reply)
 }
@@ -402,15 +402,15 @@
     Ok(all.freeze())
 }
 
-fn head(answer: Response<Incoming>, bulk: bool) -> (Reply, Incoming) {
+fn head(answer: Response<Incoming>, bulk: bool) -> (EndpointReply, Incoming) {
     let (parts, body) = answer.into_parts();
-    let reply = Reply {
+    let reply = EndpointReply {
         status: parts.status.as_u16(),
-        wait_ms: partner_wait_ms(&parts.headers),
+        retry_after_ms: partner_wait_ms(&parts.headers),
         line_busy: header_text(&parts.headers, "X-Line-Busy") == Some("1"),
-        limit: report(&parts.headers, "x1"),
-        left: report(&parts.headers, "x0"),
-        bulk,
+        reported_limit: report(&parts.headers, "x1"),
+        reported_remaining: report(&parts.headers, "x0"),
+        is_bulk: bulk,
         body: Bytes::new(),
     };
     (reply, body)
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::connection_pool::EndpointConnectionId;
 use crate::console;
-use crate::endpoint_call::{Call, EndpointCallError, Reply};
+use crate::endpoint_call::{EndpointCall, EndpointCallError, EndpointReply};
 use crate::ownership::{Marked, Offer, OfferEnd, Owners};
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::WatchEvent;
@@ -130,7 +130,7 @@
         /// The call that waits.
         request: RequestId,
         /// What for.
-        call: console::Call,
+        call: console::Command,
     },
     /// The journal was asked to append, and did or could not.
     Appended {
@@ -156,7 +156,7 @@
         /// On this connection.
         connection: EndpointConnectionId,
         /// What it said.
-        reply: Reply,
+        reply: EndpointReply,
         /// The connection can carry another call.
         reusable: bool,
     },
@@ -258,7 +258,7 @@
         /// The call.
         request: RequestId,
         /// The reply.
-        reply: console::Reply,
+        reply: console::ConsoleReply,
     },
     /// Append to the journal and report.
     Append {
@@ -291,7 +291,7 @@
         /// The connection.
         connection: EndpointConnectionId,
         /// The call.
-        call: Call,
+        call: EndpointCall,
     },
     /// Close a connection; what it carries is given up.
     CloseConnection {
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -70,7 +70,11 @@
     /// # Errors
     ///
     /// What comes is no list, or one beyond the bounds. Nothing of that list was handed on.
-    pub fn take(&mut self, frame: &[u8], mut hand_on: impl FnMut(WatchEvent)) -> Result<bool, ListError> {
+    pub fn read_frame(
+        &mut self,
+        frame: &[u8],
+        mut hand_on: impl FnMut(WatchEvent),
+    ) -> Result<bool, ListError> {
         let mut came_whole = false;
         let mut rest = frame;
         loop {
--- a/crates/forwarder/src/metrics.rs
+++ b/crates/forwarder/src/metrics.rs
@@ -7,7 +7,7 @@
 
 /// How a message has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum MessageEnd {
     /// Delivered.
     Success,
     /// Refused before it was taken on, or handed back.
@@ -18,7 +18,7 @@
 
 /// Ends of the messages of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct EndCounts {
     /// Delivered.
     pub success: u64,
     /// Refused or handed back.
@@ -27,9 +27,9 @@
     pub error: u64,
 }
 
-impl Ends {
+impl EndCounts {
     /// All of them.
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.success + self.overload + self.error
     }
 }
@@ -44,14 +44,14 @@
 
 /// The counts of one process.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    by_class: BTreeMap<String, Ends>,
+pub struct Metrics {
+    by_class: BTreeMap<String, EndCounts>,
     /// From when a message was handed in until it was delivered, by class; those handed in to another process are
     /// not in it.
     latency: BTreeMap<String, Histogram<u32>>,
     dispatches: u64,
     /// Messages that became this process's own: taken on, left over by another, or handed over.
-    taken: u64,
+    accepted: u64,
     /// Those of them that ended here, and those handed over to another process.
     ended: u64,
     handed_over: u64,
@@ -61,40 +61,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Messages taken and not yet ended.
-    pub concurrent: usize,
+    pub open_messages: usize,
     /// Endpoints on the list.
-    pub targets: usize,
+    pub endpoints: usize,
     /// Those of them that are avoided.
-    pub targets_disabled: usize,
+    pub avoided_endpoints: usize,
 }
 
-impl Figures {
+impl Metrics {
     /// These classes are there, whether or not a message of theirs has come.
-    pub fn name(&mut self, classes: &[String]) {
+    pub fn register_classes(&mut self, classes: &[String]) {
         for class in classes {
             self.by_class.entry(class.clone()).or_default();
         }
     }
 
     /// So many messages are this process's own from now on.
-    pub fn took(&mut self, count: usize) {
-        self.taken += count as u64;
+    pub fn on_accepted(&mut self, count: usize) {
+        self.accepted += count as u64;
     }
 
     /// One of its own was handed over to another process.
-    pub fn handed_over(&mut self) {
+    pub fn on_handed_over(&mut self) {
         self.handed_over += 1;
     }
 
     /// One of its own has ended.
-    pub fn ended(&mut self, class: &str, end: End) {
+    pub fn on_ended(&mut self, class: &str, end: MessageEnd) {
         self.ended += 1;
         self.count(class, end);
     }
 
     /// One of its own was delivered, so long after it was handed in here.
-    pub fn delivered(&mut self, class: &str, after: Option<Micros>) {
-        self.ended(class, End::Success);
+    pub fn on_delivered(&mut self, class: &str, after: Option<Micros>) {
+        self.on_ended(class, MessageEnd::Success);
         if let Some(after) = after {
             let times = self.latency.entry(class.to_owned()).or_insert_with(histogram);
             times.saturating_record(u64::try_from(after).unwrap_or(0).max(1));
@@ -102,33 +102,33 @@
     }
 
     /// One that was never taken on was turned away.
-    pub fn turned_away(&mut self, class: &str, end: End) {
+    pub fn on_rejected(&mut self, class: &str, end: MessageEnd) {
         self.count(class, end);
     }
 
-    fn count(&mut self, class: &str, end: End) {
+    fn count(&mut self, class: &str, end: MessageEnd) {
         // The classes are those of the settings: nobody from outside can name one.
         let ends = self.by_class.entry(class.to_owned()).or_default();
         *match end {
-            End::Success => &mut ends.success,
-            End::Overload => &mut ends.overload,
-            End::Error => &mut ends.error,
+            MessageEnd::Success => &mut ends.success,
+            MessageEnd::Overload => &mut ends.overload,
+            MessageEnd::Error => &mut ends.error,
         } += 1;
     }
 
     /// So many messages were written whole to an endpoint.
-    pub fn dispatched(&mut self, count: usize) {
+    pub fn on_dispatched(&mut self, count: usize) {
         self.dispatches += count as u64;
     }
 
     /// Messages that became its own.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn accepted(&self) -> u64 {
+        self.accepted
     }
 
     /// Messages of its own that have neither ended nor been handed over: what `concurrent` has to be.
-    pub fn open(&self) -> u64 {
-        self.taken - self.ended - self.handed_over
+    pub fn open_messages(&self) -> u64 {
+        self.accepted - self.ended - self.handed_over
     }
 
     /// Messages written whole so far.
@@ -137,12 +137,12 @@
     }
 
     /// Ends by class.
-    pub fn ends(&self) -> &BTreeMap<String, Ends> {
+    pub fn ends(&self) -> &BTreeMap<String, EndCounts> {
         &self.by_class
     }
 
     /// A line each.
-    pub fn lines(&self, gauges: Gauges) -> String {
+    pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
         let _ = self.write(&mut text, gauges);
@@ -151,7 +151,7 @@
 
     /// Times to delivery, as Prometheus writes a histogram (text format 0.0.4): for each class the count of those of at
     /// most so many microseconds, for each bucket that holds any, and of all.
-    pub fn latency_lines(&self) -> String {
+    pub fn render_latency(&self) -> String {
         let mut text = String::new();
         let _ = self.write_latency(&mut text);
         text
@@ -180,9 +180,9 @@
             }
         }
         writeln!(text, "app_dispatches {}", self.dispatches)?;
-        writeln!(text, "app_concurrent {}", gauges.concurrent)?;
-        writeln!(text, "app_targets {}", gauges.targets)?;
-        writeln!(text, "app_targets_disabled {}", gauges.targets_disabled)
+        writeln!(text, "app_concurrent {}", gauges.open_messages)?;
+        writeln!(text, "app_targets {}", gauges.endpoints)?;
+        writeln!(text, "app_targets_disabled {}", gauges.avoided_endpoints)
     }
 }
 
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -3,9 +3,9 @@
 use super::messages::Message;
 use super::{AfterAppend, Reducer};
 use crate::connection_pool::{CallId, Claim, EndpointConnectionId};
-use crate::endpoint_call::{self, Call, EndpointCallError, Part, Reply};
+use crate::endpoint_call::{self, CallMessage, EndpointCall, EndpointCallError, EndpointReply};
 use crate::input::Effect;
-use crate::metrics::End;
+use crate::metrics::MessageEnd;
 use crate::retry_after;
 use orchidyoke_core::interface::{
     AttemptResult, DeduplicationScope, EndpointId, EndpointState, Event, Idempotency as ClassEffect,
@@ -83,11 +83,11 @@
             self.next_call += 1;
             let call = self.next_call;
             let claim = self.pool.claim(flight.hop, call, now);
-            let reused = matches!(claim, Claim::Idle(_));
+            let reused = matches!(claim, Claim::Reuse(_));
             self.in_flight.insert(call, InFlightCall { reused, ..flight });
             match claim {
-                Claim::Idle(link) => self.begin(now, call, link),
-                Claim::Dial(link) => self.dial(now, call, link),
+                Claim::Reuse(link) => self.begin(now, call, link),
+                Claim::Connect(link) => self.dial(now, call, link),
             }
         }
     }
@@ -100,7 +100,7 @@
         let Some(flight) = self.in_flight.get(&call) else { return };
         let target = self.hops.get(&flight.hop).and_then(|hop| self.map.get(&hop.uid));
         let Some(target) = target else {
-            self.pool.closed(link);
+            self.pool.on_closed(link);
             return self.not_sent(now, call);
         };
         let until = flight.due.min(now + self.settings.connect_timeout + DIAL_MARGIN);
@@ -113,9 +113,9 @@
         if self.pool.is_retired(link) {
             // Its endpoint has moved while the connection came up.
             let to = flight.hop;
-            self.pool.closed(link);
+            self.pool.on_closed(link);
             self.effects.push(Effect::CloseConnection { connection: link });
-            let link = self.pool.dial(to, call);
+            let link = self.pool.connect(to, call);
             return self.dial(now, call, link);
         }
         let Some(hop) = self.hops.get(&flight.hop) else { return };
@@ -182,13 +182,13 @@
 
     /// The record of a call is in the journal: its first byte may go.
     pub(super) fn write(&mut self, now: Micros, call: CallId, stored: bool) {
-        let Some(link) = self.pool.link_of(call) else { return };
+        let Some(link) = self.pool.connection_of(call) else { return };
         let Some(flight) = self.in_flight.get(&call) else { return };
         let parts = flight.parts.iter().filter_map(|(id, _)| self.messages.get(id)).filter(|m| m.stored);
         let parts: Vec<_> = parts
-            .map(|m| Part {
-                txn: m.taken.id.clone(),
-                key: m.taken.idempotency_key.clone(),
+            .map(|m| CallMessage {
+                id: m.taken.id.clone(),
+                idempotency_key: m.taken.idempotency_key.clone(),
                 body: m.body.clone(),
             })
             .collect();
@@ -197,14 +197,19 @@
             return self.not_sent(now, call);
         }
         let bulk = self.batch(flight.hop) > 1 && parts.len() > 1;
-        let call = Call { parts, bulk, remaining: flight.due - now, due: flight.due };
+        let call = EndpointCall {
+            messages: parts,
+            is_bulk: bulk,
+            time_left: flight.due - now,
+            deadline: flight.due,
+        };
         self.effects.push(Effect::SendCall { connection: link, call });
     }
 
     /// The last byte of a call has gone.
     pub(super) fn written(&mut self, link: EndpointConnectionId) {
         let flight = self.pool.call_of(link).and_then(|call| self.in_flight.get(&call));
-        self.figures.dispatched(flight.map_or(0, |flight| flight.txns.len()));
+        self.figures.on_dispatched(flight.map_or(0, |flight| flight.txns.len()));
     }
 
     /// A call that was not written: none of its messages ran, and the next hop saw nothing.
@@ -219,17 +224,17 @@
         &mut self,
         now: Micros,
         link: EndpointConnectionId,
-        reply: &Reply,
+        reply: &EndpointReply,
         reusable: bool,
     ) {
-        let call = if reusable { self.pool.call_of(link) } else { self.pool.closed(link) };
+        let call = if reusable { self.pool.call_of(link) } else { self.pool.on_closed(link) };
         if reusable {
             self.pool.release(link, now);
         }
         let Some(flight) = call.and_then(|call| self.in_flight.remove(&call)) else { return };
-        let wait = retry_after::to_micros(reply.wait_ms);
+        let wait = retry_after::to_micros(reply.retry_after_ms);
         self.told_to_wait(now, flight.hop, wait);
-        let ends = endpoint_call::ends(reply, &flight.txns);
+        let ends = endpoint_call::message_results(reply, &flight.txns);
         let mut ends: Vec<_> = flight.parts.iter().zip(ends).collect();
         // The module judges a call by the first of its ends: push-back before success, not sent last.
         ends.sort_by_key(|(_, end)| match end.outcome {
@@ -239,9 +244,9 @@
         });
         let over = |(id, _): &(MessageId, u32)| self.messages.get(id).is_none_or(|m| m.taken.deadline <= now);
         let late = flight.parts.iter().any(over);
-        let told = AnswerHints { wait, limit: reply.limit, left: reply.left, late };
+        let told = AnswerHints { wait, limit: reply.reported_limit, left: reply.reported_remaining, late };
         for (part, end) in ends {
-            if end.over {
+            if end.message_finished {
                 // Over for the next hop, as of a client that has gone. Whether the platform still waits for an end
                 // is not known here, and a notice for what is over does no harm.
                 self.end(now, part.0, FinalAnswer::Failed);
@@ -256,8 +261,8 @@
         // An idle connection may close just as it is chosen. Nothing whole was written, so the same attempt
         // goes on a new connection; a refusal to connect would be laid to the next hop.
         let goes_on = self.stage != ProcessStage::HandedOff;
-        if goes_on && error.never_ran() && !error.given_up() && std::mem::take(&mut flight.reused) {
-            let link = self.pool.dial(flight.hop, call);
+        if goes_on && error.not_delivered() && !error.ended_locally() && std::mem::take(&mut flight.reused) {
+            let link = self.pool.connect(flight.hop, call);
             return self.dial(now, call, link);
         }
         let Some(flight) = self.in_flight.remove(&call) else { return };
@@ -274,7 +279,7 @@
 
     pub(super) fn cancel(&mut self, id: MessageId, copy: u32) {
         let call = self.in_flight.iter().find(|(_, f)| f.parts.contains(&(id, copy))).map(|(call, _)| *call);
-        if let Some(link) = call.and_then(|call| self.pool.link_of(call)) {
+        if let Some(link) = call.and_then(|call| self.pool.connection_of(call)) {
             // The end comes with the report that the connection is closed: not before may a next copy go.
             self.effects.push(Effect::CloseConnection { connection: link });
         }
@@ -294,7 +299,7 @@
             // It came after the time of this message or of another in its call, or was read late: whether it still
             // counts is not known here, and a notice for what is over does no harm.
             // The next hop says that it was delivered: so it is counted.
-            self.end_as(now, id, FinalAnswer::Failed, End::Success);
+            self.end_as(now, id, FinalAnswer::Failed, MessageEnd::Success);
         } else if outcome == Outcome::Success {
             self.over(now, id);
         } else if let Some(message) = self.messages.get(&id) {
--- a/crates/forwarder/src/reducer/custody.rs
+++ b/crates/forwarder/src/reducer/custody.rs
@@ -404,7 +404,7 @@
             message.taken.handover.offered.as_ref().map_or_else(String::new, |offered| offered.owner.clone());
         self.append(&[(&Record::HandedOver { message: txn.clone(), owner: to, at: now }, b"")], None);
         self.ownership.counts.handed_over += 1;
-        self.figures.handed_over();
+        self.figures.on_handed_over();
         self.drop_message(id);
         self.recent.remember(txn, now);
     }
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -247,14 +247,14 @@
                 queue.failing_since = Some(now);
                 self.patience.insert((now + PATIENCE, peer.clone()));
             }
-            queue.not_before = now + queue.pause.pause(LONGEST_PAUSE);
+            queue.not_before = now + queue.pause.next_delay(LONGEST_PAUSE);
             due = queue.not_before;
             self.failing.insert(peer.clone());
         }
         if let (OfferEnd::Refused(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
             let bound = FIRST_PAUSE.saturating_mul(1 << waiting.refusals.min(10)).min(LONGEST_PAUSE);
             waiting.refusals += 1;
-            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.pause.within(bound / 2));
+            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.pause.random_below(bound / 2));
         }
         self.queue(id, due);
         self.schedule(&peer);
--- a/crates/forwarder/src/reducer/hops.rs
+++ b/crates/forwarder/src/reducer/hops.rs
@@ -75,31 +75,35 @@
     /// Takes over what can change while the process runs. What is held and what is out carries on; the list
     /// stays in use until discovery, perhaps at another address, has told more.
     pub(super) fn reconfigure(&mut self, now: Micros, config: Config) {
-        let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
-        self.log(format!("configuration: read again, discovery is at {}", discovery.file));
-        if let Some(discovery) = discovery.given.filter(|given| Some(*given) != self.superseded) {
+        let Config {
+            discovery, catalogue, owners, settings, names, limits, policy_ejected: policy_out, ..
+        } = config;
+        self.log(format!("configuration: read again, discovery is at {}", discovery.configured));
+        if let Some(discovery) = discovery.from_command_line.filter(|given| Some(*given) != self.superseded) {
             self.append(&[(&Record::DiscoverySuperseded { discovery }, b"")], None);
             self.superseded = Some(discovery);
         }
         let id = |catalogue: &Option<Rc<dyn Catalogue>>| catalogue.as_ref().map(|c| c.id().to_owned());
-        if self.discovery != discovery.file {
+        if self.discovery != discovery.configured {
             self.owed.post_now(now);
         }
-        if id(&self.catalogue) != id(&catalogue) || catalogue.is_none() && self.discovery != discovery.file {
+        if id(&self.catalogue) != id(&catalogue)
+            || catalogue.is_none() && self.discovery != discovery.configured
+        {
             (self.following, self.follow_at) = (false, now);
             // What failed was another, and this one may count its versions anew.
             self.follow_pause.reset();
             (self.newest_rev, self.went_back) = (0, None);
         }
-        (self.discovery, self.catalogue) = (discovery.file, catalogue);
+        (self.discovery, self.catalogue) = (discovery.configured, catalogue);
         let bounds = Bounds::new(&settings, limits);
-        self.pool.bound(settings.idle_timeout, bounds.links);
+        self.pool.set_limits(settings.idle_timeout, bounds.links);
         self.disk = bounds.disk;
         self.share_space();
         self.recent.bound(bounds.recent);
-        self.follow_pause.bound(follow_pause(&settings));
+        self.follow_pause.set_first(follow_pause(&settings));
         (self.settings, self.names, self.policy_out) = (settings, names, policy_out);
-        self.figures.name(&self.names.classes);
+        self.figures.register_classes(&self.names.classes);
         let settings = self.module_settings();
         (self.slots, self.sharers) = (settings.max_calls, settings.fleet_size);
         self.events.push(Event::Settings(Box::new(settings)));
@@ -189,7 +193,7 @@
         ));
         self.watch += 1;
         self.following = false;
-        self.follow_at = now + self.follow_pause.pause(TOO_LARGE_PAUSE);
+        self.follow_at = now + self.follow_pause.next_delay(TOO_LARGE_PAUSE);
     }
 
     pub(super) fn take_list(&mut self, now: Micros, news: &WatchEvent, form: ListEventKind) {
@@ -255,7 +259,7 @@
         if self.unlisted.is_empty() {
             return;
         }
-        for link in self.pool.drop_idle_of(&self.unlisted) {
+        for link in self.pool.take_idle_to_any(&self.unlisted) {
             self.effects.push(Effect::CloseConnection { connection: link });
         }
         let busy: BTreeSet<EndpointId> = self.in_flight.values().map(|flight| flight.hop).collect();
@@ -268,7 +272,7 @@
     }
 
     pub(super) fn close_idle(&mut self, hop: EndpointId) {
-        for link in self.pool.drop_idle(hop) {
+        for link in self.pool.take_idle_to(hop) {
             self.effects.push(Effect::CloseConnection { connection: link });
         }
     }
--- a/crates/forwarder/src/reducer/messages.rs
+++ b/crates/forwarder/src/reducer/messages.rs
@@ -2,7 +2,7 @@
 
 use super::{AfterAppend, NO_ROOM_PAUSE, Reducer};
 use crate::input::{RequestId, Submission, SubmitAnswer};
-use crate::metrics::End;
+use crate::metrics::MessageEnd;
 use bytes::Bytes;
 use orchidyoke_core::interface::{EndpointId, Event, Idempotency, MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState, ProcessStage, Record};
@@ -89,7 +89,7 @@
         let reserve = self.ownership.reserve(&handed.id);
         let cost = message_size(&handed.id, handed.idempotency_key.as_deref(), &handed.body) + reserve;
         if full || !self.space.admits(self.live_size(), cost) {
-            self.figures.turned_away(&handed.class, End::Overload);
+            self.figures.on_rejected(&handed.class, MessageEnd::Overload);
             return self.answer(ticket, SubmitAnswer::Rejected(self.no_room_pause()));
         }
         // A client that says more than its class allows does not keep a message here for ever.
@@ -147,7 +147,7 @@
         // Out when the process ended: it may have run.
         taken.possible_delivery = taken.possible_delivery.take().or(taken.in_flight.take());
         taken.in_flight = None;
-        self.figures.took(1);
+        self.figures.on_accepted(1);
         let reserve = self.ownership.reserve(&taken.id);
         let message =
             Message { taken, body, waiting: Vec::new(), stored: true, came: None, in_module: false, reserve };
@@ -226,11 +226,11 @@
                 if let Some(message) = self.messages.get_mut(&id)
                     && !std::mem::replace(&mut message.stored, true)
                 {
-                    self.figures.took(1);
+                    self.figures.on_accepted(1);
                     self.ownership.count_taken_over(&message.taken);
                 }
             } else if let Some(message) = self.drop_message(id) {
-                self.figures.turned_away(&message.taken.class, End::Overload);
+                self.figures.on_rejected(&message.taken.class, MessageEnd::Overload);
                 self.events.push(Event::Withdrawn { id });
             }
             let answer =
@@ -247,14 +247,14 @@
     /// The module's final answer: before it is taken on it answers the request, later it is a notice.
     pub(super) fn end(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer) {
         let end = match verdict {
-            FinalAnswer::Failed => End::Error,
-            FinalAnswer::Rejected { .. } => End::Overload,
+            FinalAnswer::Failed => MessageEnd::Error,
+            FinalAnswer::Rejected { .. } => MessageEnd::Overload,
         };
         self.end_as(now, id, verdict, end);
     }
 
     /// A final answer that counts as this end.
-    pub(super) fn end_as(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer, end: End) {
+    pub(super) fn end_as(&mut self, now: Micros, id: MessageId, verdict: FinalAnswer, end: MessageEnd) {
         let Some(message) = self.messages.get(&id) else { return };
         let txn = message.taken.id.clone();
         if message.stored {
@@ -270,9 +270,9 @@
         };
         let Some(message) = self.drop_message(id) else { return };
         if message.stored {
-            self.figures.ended(&message.taken.class, end);
+            self.figures.on_ended(&message.taken.class, end);
         } else {
-            self.figures.turned_away(&message.taken.class, end);
+            self.figures.on_rejected(&message.taken.class, end);
         }
         for ticket in message.waiting {
             self.answer(ticket, answer);
@@ -285,7 +285,7 @@
         let txn = message.taken.id.clone();
         self.append(&[(&Record::Finished { message: txn.clone(), at: now }, b"")], None);
         if let Some(message) = self.drop_message(id) {
-            self.figures.delivered(&message.taken.class, message.came.map(|came| now - came));
+            self.figures.on_delivered(&message.taken.class, message.came.map(|came| now - came));
         }
         self.recent.remember(txn, now);
     }
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -23,9 +23,9 @@
 use crate::backoff::Backoff;
 use crate::catalogue::Catalogue;
 use crate::config::Config;
-use crate::connection_pool::{CallId, Pool};
+use crate::connection_pool::{CallId, ConnectionPool};
 use crate::input::{AppendId, Effect, Input, PolicyStatus, RequestId, SubmitAnswer, WatchId};
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::ownership::Peer;
 use crate::retry_after;
 use attempts::InFlightCall;
@@ -133,7 +133,7 @@
     follow_at: Micros,
     followed_since: Micros,
     follow_pause: Backoff,
-    pool: Pool,
+    pool: ConnectionPool,
     in_flight: BTreeMap<CallId, InFlightCall>,
     next_call: CallId,
     space: Space,
@@ -156,7 +156,7 @@
     slots: usize,
     /// The limit of the folder.
     disk: usize,
-    figures: Figures,
+    figures: Metrics,
     /// The status towards the policy of the fleet, and the endpoints that the policy leaves out.
     policy_status: PolicyStatus,
     policy_out: BTreeSet<String>,
@@ -186,7 +186,7 @@
         // A drain may have been told while there was no watch, and binds after its grace: the first call comes within
         // that. Forwarders of a release start together; those that are turned away come in turn.
         let soon = follow_soon(&settings);
-        let follow_at = now + follow_pause.within(soon);
+        let follow_at = now + follow_pause.random_below(soon);
         let ownership = Ownership::new(config.owners, now);
         let sharers = ownership.sharers().unwrap_or(settings.fleet_size);
         let mut reducer = Reducer {
@@ -208,10 +208,12 @@
             hop_numbers: HashMap::new(),
             waits: Waits::default(),
             troubled: left.troubled,
-            discovery: config.discovery.at_start(left.superseded),
+            discovery: config.discovery.at_startup(left.superseded),
             catalogue: config.catalogue,
             // Another address given since then is news: it counts, and the record does not.
-            superseded: left.superseded.filter(|address| config.discovery.given == Some(*address)),
+            superseded: left
+                .superseded
+                .filter(|address| config.discovery.from_command_line == Some(*address)),
             watch: 0,
             newest_rev: 0,
             went_back: None,
@@ -219,7 +221,7 @@
             follow_at,
             followed_since: now,
             follow_pause,
-            pool: Pool::new(settings.idle_timeout, bounds.links),
+            pool: ConnectionPool::new(settings.idle_timeout, bounds.links),
             in_flight: BTreeMap::new(),
             next_call: 0,
             live: 0,
@@ -235,9 +237,9 @@
             siblings: BTreeMap::new(),
             slots: settings.max_calls,
             disk: bounds.disk,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             policy_status: PolicyStatus::default(),
-            policy_out: config.policy_out,
+            policy_out: config.policy_ejected,
             ownership,
             sharers,
             handovers: Handovers::new(config.seed),
@@ -252,11 +254,11 @@
         // The configuration's list names destinations that may have no endpoint just now; what discovery told
         // before the restart binds. Changes told later are journaled as such: without the whole list before
         // them they would be all of it.
-        let known = WatchEvent { is_snapshot: true, ..config.known };
+        let known = WatchEvent { is_snapshot: true, ..config.initial_list };
         // A catalogue counts versions of its own: what it told last holds until it tells more.
         let catalogued = !left.map.origin().is_empty() && reducer.catalogue.is_some();
         let told_since = catalogued || left.map.version() > known.version;
-        reducer.figures.name(&reducer.names.classes);
+        reducer.figures.register_classes(&reducer.names.classes);
         reducer.take_list(now, &known, ListEventKind::Restored);
         drop(known);
         if told_since {
@@ -313,7 +315,7 @@
                 }
             }
             Input::ConnectionUp { connection: link } => {
-                if let Some(call) = self.pool.is_up(link) {
+                if let Some(call) = self.pool.on_connected(link) {
                     self.begin(now, call, link);
                 }
             }
@@ -325,7 +327,7 @@
                 self.answered(now, link, &reply, reusable)
             }
             Input::ConnectionClosed { connection: link, error } => {
-                if let Some(call) = self.pool.closed(link) {
+                if let Some(call) = self.pool.on_closed(link) {
                     self.broken(now, call, &error);
                 }
             }
@@ -344,12 +346,12 @@
                 let told = retry_after::to_micros(wait_ms);
                 let pause = if served && told == 0 {
                     // One that served and ended is asked again as at a start.
-                    self.follow_pause.within(follow_soon(&self.settings)).min(left)
+                    self.follow_pause.random_below(follow_soon(&self.settings)).min(left)
                 } else if told < left / 2 {
-                    told + self.follow_pause.pause(left - told)
+                    told + self.follow_pause.next_delay(left - told)
                 } else {
                     // One that turned this forwarder away, in turn.
-                    left - self.follow_pause.within(left / 2)
+                    left - self.follow_pause.random_below(left / 2)
                 };
                 (self.following, self.follow_at) = (false, now + pause);
             }
@@ -378,14 +380,14 @@
         let follow = (!self.following).then_some(self.follow_at);
         let hand_over = self.handovers.wake_at().filter(|_| self.stage != ProcessStage::HandedOff);
         let leave = self.leaving.as_ref().map(|leaving| leaving.wake_at(self.senders));
-        [turn, timer, post, follow, hand_over, leave, self.pool.reap_at(), self.warm_at()]
+        [turn, timer, post, follow, hand_over, leave, self.pool.next_expiry(), self.warm_at()]
             .into_iter()
             .flatten()
             .min()
     }
 
     fn alarm(&mut self, now: Micros) {
-        for link in self.pool.reap(now) {
+        for link in self.pool.take_expired(now) {
             self.effects.push(Effect::CloseConnection { connection: link });
         }
         self.warmed(now);
--- a/crates/forwarder/src/reducer/operators.rs
+++ b/crates/forwarder/src/reducer/operators.rs
@@ -3,9 +3,9 @@
 //! What is out by hand lies over the transport map: no list, reload, restart or upgrade ends it.
 
 use super::{AfterAppend, Reducer};
-use crate::console::{Call, Reply};
+use crate::console::{Command, ConsoleReply};
 use crate::input::{Effect, RequestId};
-use crate::metrics::{Figures, Gauges};
+use crate::metrics::{Gauges, Metrics};
 use orchidyoke_core::endpoint_list::ListedState;
 use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
 use orchidyoke_journal::Record;
@@ -94,25 +94,29 @@
 
 impl Reducer {
     /// One call of an operator. What changes something is answered once it is in the journal.
-    pub(super) fn operate(&mut self, now: Micros, ticket: RequestId, call: Call) {
+    pub(super) fn operate(&mut self, now: Micros, ticket: RequestId, call: Command) {
         let reply = match call {
-            Call::Ready if !self.takes_clients => Reply::No("takes no clients".to_owned()),
-            Call::Ready => self.policy_status.unready_reason.clone().map_or(Reply::Yes("ready"), Reply::No),
-            Call::ShowStat => Reply::Figures(
-                self.figures.lines(self.gauges())
+            Command::Ready if !self.takes_clients => ConsoleReply::Rejected("takes no clients".to_owned()),
+            Command::Ready => self
+                .policy_status
+                .unready_reason
+                .clone()
+                .map_or(ConsoleReply::Done("ready"), ConsoleReply::Rejected),
+            Command::ShowStat => ConsoleReply::Metrics(
+                self.figures.render(self.gauges())
                     + &self.policy_status.figures
                     + &self.ownership_figures(now),
             ),
-            Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
-            Call::DisableServer(uid) => return self.put(now, ticket, uid, true),
-            Call::EnableServer(uid) => return self.put(now, ticket, uid, false),
+            Command::ShowLatency => ConsoleReply::Metrics(self.figures.render_latency()),
+            Command::DisableServer(uid) => return self.put(now, ticket, uid, true),
+            Command::EnableServer(uid) => return self.put(now, ticket, uid, false),
         };
         self.effects.push(Effect::Reply { request: ticket, reply });
     }
 
     fn put(&mut self, now: Micros, ticket: RequestId, uid: String, out: bool) {
         if self.map.get(&uid).is_none() && !self.overlay.is_out(&uid) {
-            let reply = Reply::No(format!("no endpoint {uid} is listed"));
+            let reply = ConsoleReply::Rejected(format!("no endpoint {uid} is listed"));
             return self.effects.push(Effect::Reply { request: ticket, reply });
         }
         // Written also where it changes nothing here: another process may have heard otherwise since.
@@ -134,9 +138,9 @@
             self.by_hand(now, uid, call);
             self.prune(now);
             self.log(format!("operator: {uid} is {}", if call.out { "out" } else { "back" }));
-            Reply::Yes(if call.out { "out" } else { "back" })
+            ConsoleReply::Done(if call.out { "out" } else { "back" })
         } else {
-            Reply::No("the journal has no room for it, or cannot be written".to_owned())
+            ConsoleReply::Rejected("the journal has no room for it, or cannot be written".to_owned())
         };
         self.effects.push(Effect::Reply { request: ticket, reply });
     }
@@ -221,7 +225,7 @@
     }
 
     /// The counts of this process.
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &Metrics {
         &self.figures
     }
 
@@ -232,9 +236,9 @@
             chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
-            concurrent: self.messages.values().filter(|message| message.stored).count(),
-            targets: self.map.len(),
-            targets_disabled: self.map.iter().filter(|target| avoided(&target.uid)).count(),
+            open_messages: self.messages.values().filter(|message| message.stored).count(),
+            endpoints: self.map.len(),
+            avoided_endpoints: self.map.iter().filter(|target| avoided(&target.uid)).count(),
         }
     }
 }
--- a/crates/forwarder/src/reducer/records.rs
+++ b/crates/forwarder/src/reducer/records.rs
@@ -29,7 +29,7 @@
     pub fn new(settings: &Settings, limits: Limits) -> Self {
         let disk = (limits.disk_mb * 1e6) as usize;
         let recent = disk / RECENT_SHARE / SHORT_RECORD;
-        Bounds { disk, recent, links: limits.next_hops(settings.max_calls) }
+        Bounds { disk, recent, links: limits.max_endpoint_connections(settings.max_calls) }
     }
 }
 
--- a/crates/forwarder/src/reducer/succession.rs
+++ b/crates/forwarder/src/reducer/succession.rs
@@ -13,7 +13,7 @@
 use super::routes::RouteKey;
 use super::{AfterAppend, Reducer};
 use crate::input::{Effect, SiblingUpdate};
-use crate::metrics::End;
+use crate::metrics::MessageEnd;
 use bytes::Bytes;
 use orchidyoke_core::interface::{Event, ListEventKind, MessageId, Micros, Settings};
 use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, ProcessStage, Record};
@@ -259,11 +259,11 @@
         for (taken, _) in std::mem::take(&mut takeover.taken) {
             let may_have_run = taken.possible_delivery.is_some() || taken.in_flight.is_some();
             let (verdict, end) = if may_have_run {
-                (FinalAnswer::Failed, End::Error)
+                (FinalAnswer::Failed, MessageEnd::Error)
             } else {
-                (FinalAnswer::Rejected { retry_after_ms: self.no_room_pause() / 1000 }, End::Overload)
+                (FinalAnswer::Rejected { retry_after_ms: self.no_room_pause() / 1000 }, MessageEnd::Overload)
             };
-            self.figures.turned_away(&taken.class, end);
+            self.figures.on_rejected(&taken.class, end);
             takeover.owed.push((taken.id, verdict, now));
         }
         let owed = takeover.owed.iter().map(|(txn, verdict, at)| {
@@ -333,7 +333,7 @@
     fn join(&mut self, now: Micros, id: MessageId, both: AcceptedMessage) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if !std::mem::replace(&mut message.stored, true) {
-            self.figures.took(1);
+            self.figures.on_accepted(1);
         }
         message.taken = both;
         if message.in_module {
@@ -368,8 +368,8 @@
             self.in_flight.iter().filter(|(_, f)| !f.has_begun()).map(|(call, _)| *call).collect();
         for call in unbegun {
             self.in_flight.remove(&call);
-            if let Some(link) = self.pool.link_of(call) {
-                self.pool.closed(link);
+            if let Some(link) = self.pool.connection_of(call) {
+                self.pool.on_closed(link);
                 self.effects.push(Effect::CloseConnection { connection: link });
             }
         }
@@ -393,7 +393,7 @@
     /// The successor's from here on. Who hands it in once more is told that it was taken on.
     pub(super) fn hand_over(&mut self, id: MessageId) {
         if let Some(message) = self.drop_message(id) {
-            self.figures.handed_over();
+            self.figures.on_handed_over();
             self.recent.remember(message.taken.id, self.last_turn);
             self.events.push(Event::Withdrawn { id });
         }
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -1,6 +1,6 @@
 //! New configurations: at SIGHUP the file is read again and checked whole; only a good one is handed on.
 
-use super::config::{Config, ConfigError, address};
+use super::config::{Config, ConfigError, parse_address};
 use crate::catalogue::Catalogue;
 use crate::input::Input;
 use crate::log;
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Bytes of a configuration at most: the largest list, and room for the settings beside it.
-const LARGEST_CONFIGURATION: usize = MAX_LIST_BYTES + (4 << 20);
+const MAX_CONFIG_BYTES: usize = MAX_LIST_BYTES + (4 << 20);
 
 /// Settings beyond the platform's file, which other installations have.
 pub trait Installation {
@@ -28,7 +28,7 @@
 
 /// Where the configuration comes from: the file, and what was given apart from it.
 #[derive(Default)]
-pub struct Source {
+pub struct ConfigSource {
     /// The file.
     pub path: PathBuf,
     /// Where clients connect.
@@ -45,7 +45,7 @@
     pub catalogue: RefCell<Option<Rc<dyn Catalogue>>>,
 }
 
-impl Source {
+impl ConfigSource {
     /// Reads and checks the configuration as it is now, with the policy of the fleet.
     pub async fn load(&self) -> Result<Config, ConfigError> {
         let Some(policy) = &self.policy else { return self.load_with(|text| Ok(text.to_owned())).await };
@@ -95,7 +95,7 @@
         let config = Config::read(&text, self.listen.as_deref(), self.discovery.as_deref());
         let mut config = config.map_err(within)?;
         if let Some(console) = &self.console {
-            config.console = Some(address("console", Some(console), None)?);
+            config.console = Some(parse_address("console", Some(console), None)?);
         }
         Ok(config)
     }
@@ -105,10 +105,10 @@
 fn read_bounded(path: &Path) -> Result<String, ConfigError> {
     let file = File::open(path).map_err(ConfigError::new)?;
     let mut text = String::new();
-    let most = LARGEST_CONFIGURATION as u64;
+    let most = MAX_CONFIG_BYTES as u64;
     file.take(most + 1).read_to_string(&mut text).map_err(ConfigError::new)?;
-    if text.len() > LARGEST_CONFIGURATION {
-        return Err(ConfigError::new(format!("more than {} MiB", LARGEST_CONFIGURATION >> 20)));
+    if text.len() > MAX_CONFIG_BYTES {
+        return Err(ConfigError::new(format!("more than {} MiB", MAX_CONFIG_BYTES >> 20)));
     }
     Ok(text)
 }
@@ -123,7 +123,7 @@
     }
 
     /// Reports each good configuration. A file that is missing or broken changes nothing.
-    pub async fn report(mut self, source: Rc<Source>, inputs: UnboundedSender<Input>) {
+    pub async fn report(mut self, source: Rc<ConfigSource>, inputs: UnboundedSender<Input>) {
         while self.0.recv().await.is_some() {
             match source.load().await {
                 // The receiver is gone only when the forwarder ends.
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -1,16 +1,16 @@
 //! The running forwarder: a clock, the reducer, and the effects that it asks for on sockets and files.
 
 use super::client_api::ClientGateway;
-use super::client_listener::{self, Connections};
+use super::client_listener::{self, ClientConnections};
 use super::connection_pool::EndpointConnectionId;
-use super::console_listener::{self, Console};
-use super::discovery::Ended;
+use super::console_listener::{self, ConsoleGateway};
+use super::discovery::WatchEnd;
 use super::endpoint_connection::{self, Order};
 use super::peer_call::PeerConnections;
 use super::reducer::Reducer;
-use super::reload::{Reloads, Source};
+use super::reload::{ConfigSource, Reloads};
 use super::shutdown::Signals;
-use super::sibling_journals::Siblings;
+use super::sibling_journals::SiblingJournals;
 use super::{discovery, inherited_listener, notifications};
 use crate::input::{Effect, Input, WatchId, WatchSource, update_sender};
 use crate::log;
@@ -60,14 +60,14 @@
     clock: Clock,
     journal: Journal,
     gateway: Rc<ClientGateway>,
-    console: Rc<Console>,
+    console: Rc<ConsoleGateway>,
     links: HashMap<EndpointConnectionId, UnboundedSender<Order>>,
     /// Connections to the forwarders that own destinations.
     peers: Rc<PeerConnections>,
     inputs: UnboundedSender<Input>,
-    connections: Rc<Connections>,
+    connections: Rc<ClientConnections>,
     /// The other processes on the folder.
-    siblings: Siblings,
+    siblings: SiblingJournals,
     /// The task that follows discovery's list, once there is one.
     watch: Option<AbortHandle>,
     /// The task that takes connections, once there is one.
@@ -97,7 +97,7 @@
                 spawn_local(endpoint_connection::run(link, address, until, orders, self.inputs.clone()));
             }
             Effect::SendCall { connection: link, call } => {
-                let due = self.clock.instant(call.due);
+                let due = self.clock.instant(call.deadline);
                 if let Some(orders) = self.links.get(&link) {
                     // A connection that has closed meanwhile reports that itself.
                     let _ = orders.send((call, due));
@@ -116,13 +116,13 @@
             }
             Effect::StartWatch { watch, from } => self.follow(watch, from),
             Effect::Log { line } => log!("{line}"),
-            Effect::RemoveJournal { generation } => self.siblings.retire(generation),
+            Effect::RemoveJournal { generation } => self.siblings.remove(generation),
             Effect::HandOverClients => {
                 self.listening.take().iter().for_each(AbortHandle::abort);
-                self.siblings.end();
-                self.connections.move_on();
+                self.siblings.stop();
+                self.connections.hand_over();
             }
-            Effect::StopAccepting => self.connections.end(),
+            Effect::StopAccepting => self.connections.shut_down(),
             Effect::Exit => self.ending = true,
         }
         None
@@ -132,11 +132,13 @@
         self.watch.iter().for_each(AbortHandle::abort);
         let (inputs, updates) = (self.inputs.clone(), update_sender(watch, self.inputs.clone()));
         let task = spawn_local(async move {
-            let Ended { why, wait_ms, unheard } = match from {
+            let WatchEnd { reason: why, retry_after_ms: wait_ms, silence: unheard } = match from {
                 WatchSource::Discovery { at, since } => discovery::follow(at, since, updates).await,
-                WatchSource::Catalogue { catalogue, held } => {
-                    Ended { why: catalogue.follow(held, updates).await, wait_ms: 0, unheard: Duration::ZERO }
-                }
+                WatchSource::Catalogue { catalogue, held } => WatchEnd {
+                    reason: catalogue.follow(held, updates).await,
+                    retry_after_ms: 0,
+                    silence: Duration::ZERO,
+                },
             };
             let unheard = unheard.as_micros() as Micros;
             // The receiver is gone only when the forwarder ends.
@@ -162,8 +164,8 @@
         }
         // What depends on what another process holds is decided on with its file as it is now.
         let mut inputs = VecDeque::from_iter(match input {
-            Input::Shutdown => self.siblings.all(),
-            Input::Submitted { .. } | Input::Operator { .. } => self.siblings.look(),
+            Input::Shutdown => self.siblings.scan_and_poll(),
+            Input::Submitted { .. } | Input::Operator { .. } => self.siblings.poll(),
             _ => None,
         });
         inputs.push_back(input);
@@ -178,7 +180,7 @@
 /// Serves until the process is told to end, by the policy of a fleet where there is an agent for it. `fd` is the descriptor of the clients' listening socket, where whoever
 /// started the process holds it.
 pub fn serve(
-    source: Source,
+    source: ConfigSource,
     policy: Option<Rc<dyn PolicyAgent>>,
     state: &Path,
     fd: Option<RawFd>,
@@ -191,7 +193,7 @@
 }
 
 async fn run(
-    source: Source,
+    source: ConfigSource,
     policy: Option<Rc<dyn PolicyAgent>>,
     state: &Path,
     inherited: Option<std::net::TcpListener>,
@@ -207,15 +209,15 @@
     let opened = Journal::open(state);
     let Opened { journal, records, others } = opened.map_err(|e| format!("{}: {e}", state.display()))?;
     let (generation, size) = (journal.generation(), journal.size());
-    let siblings = Siblings::new(state, generation, others, inherited.is_some());
+    let siblings = SiblingJournals::new(state, generation, others, inherited.is_some());
     let (listen, console_at) = (config.listen, config.console);
-    let callers = if console_at.is_some() { console_listener::PLACES } else { 0 };
-    let most_clients = config.limits.clients(config.settings.max_calls, callers);
+    let callers = if console_at.is_some() { console_listener::MAX_CONNECTIONS } else { 0 };
+    let most_clients = config.limits.max_client_connections(config.settings.max_calls, callers);
     log!("{} starts: {} records in its journal", config.name, records.len());
     let mut reducer = Reducer::new(config, generation, records, size, clock.now());
     let gateway = ClientGateway::new(inputs.clone());
-    let console = Console::new(inputs.clone());
-    let connections = Connections::new(most_clients);
+    let console = ConsoleGateway::new(inputs.clone());
+    let connections = ClientConnections::new(most_clients);
     let mut runner = EffectRunner {
         clock,
         journal,
@@ -234,7 +236,7 @@
         runner.take(&mut reducer, Input::PolicyStatus(policy.status()));
     }
     // What was left over is decided on before anyone is told that the forwarder is ready.
-    if let Some(input) = runner.siblings.look() {
+    if let Some(input) = runner.siblings.poll() {
         runner.take(&mut reducer, input);
     }
     runner.take(&mut reducer, Input::TimerDue);
@@ -285,7 +287,7 @@
         Some(input) = came.recv() => runner.take(reducer, input),
         () = wait => {}
     }
-    if let Some(input) = runner.siblings.due() {
+    if let Some(input) = runner.siblings.poll_due() {
         runner.take(reducer, input);
     }
     while let Ok(input) = came.try_recv() {
--- a/crates/forwarder/src/sibling_journals.rs
+++ b/crates/forwarder/src/sibling_journals.rs
@@ -22,7 +22,7 @@
 }
 
 /// All of them.
-pub struct Siblings {
+pub struct SiblingJournals {
     folder: PathBuf,
     own: Generation,
     known: Vec<Known>,
@@ -33,13 +33,13 @@
     over: bool,
 }
 
-impl Siblings {
+impl SiblingJournals {
     /// Those found at the start; more may come where they are expected.
     pub fn new(folder: &Path, own: Generation, found: Vec<Other>, expected: bool) -> Self {
         let (folder, now) = (folder.to_owned(), Instant::now());
         let known =
             found.into_iter().map(|other| Known { other, size: 0, ended: false, error: None }).collect();
-        Siblings { folder, own, known, expected, scan_at: now, look_at: now, over: false }
+        SiblingJournals { folder, own, known, expected, scan_at: now, look_at: now, over: false }
     }
 
     /// When there is next something to look at.
@@ -50,7 +50,7 @@
     }
 
     /// What has shown since the last look, as far as one is due.
-    pub fn due(&mut self) -> Option<Input> {
+    pub fn poll_due(&mut self) -> Option<Input> {
         let now = Instant::now();
         if self.over || self.wake_at().is_none_or(|at| at > now) {
             return None;
@@ -58,20 +58,20 @@
         if self.expected && self.scan_at <= now {
             self.scan();
         }
-        self.look()
+        self.poll()
     }
 
     /// What has shown by now, of those too that have only just come.
-    pub fn all(&mut self) -> Option<Input> {
+    pub fn scan_and_poll(&mut self) -> Option<Input> {
         if self.over || !self.expected && self.known.is_empty() {
             return None;
         }
         self.scan();
-        self.look()
+        self.poll()
     }
 
     /// What those that are known have shown by now.
-    pub fn look(&mut self) -> Option<Input> {
+    pub fn poll(&mut self) -> Option<Input> {
         if self.over {
             return None;
         }
@@ -129,7 +129,7 @@
     }
 
     /// What this one left is kept elsewhere.
-    pub fn retire(&mut self, generation: Generation) {
+    pub fn remove(&mut self, generation: Generation) {
         self.known.retain(|known| {
             let gone = known.other.generation() == generation;
             if gone && let Err(error) = known.other.remove() {
@@ -140,7 +140,7 @@
     }
 
     /// This process hands over: it takes up nothing any more.
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         self.over = true;
         self.known.clear();
     }
--- a/crates/forwarder/src/write_progress.rs
+++ b/crates/forwarder/src/write_progress.rs
@@ -15,12 +15,12 @@
 
 impl WriteProgress {
     /// Nothing yet of a request with so many bytes of body.
-    pub fn of_body(body: usize) -> Self {
+    pub fn with_body_bytes(body: usize) -> Self {
         WriteProgress { begun: false, head_end: 0, body_left: body }
     }
 
     /// These bytes have gone.
-    pub fn take(&mut self, bytes: &[u8]) {
+    pub fn on_written(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         for (place, byte) in bytes.iter().enumerate() {
             if self.head_end == HEAD_END.len() {
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -68,7 +68,7 @@
     for seed in 0..10 {
         let mut fleet: Vec<_> =
             (0..FLEET as u64).map(|who| Backoff::new(4 * SECOND, seed * 1000 + who)).collect();
-        let played = play(|who, _, took| fleet[who].pause(MOST - took));
+        let played = play(|who, _, took| fleet[who].next_delay(MOST - took));
         assert!(played.busiest <= 45 && played.longest <= MOST, "seed {seed}: {played:?}");
         assert!(played.last <= DOWN + 12 * SECOND, "seed {seed}: {played:?}");
     }
@@ -87,13 +87,13 @@
 fn pauses_stay_within_bounds_that_double_until_the_last() {
     let mut backoff = Backoff::new(100, 1);
     for bound in [100, 200, 400, 800] {
-        assert!((0..=bound).contains(&backoff.pause(1000)));
+        assert!((0..=bound).contains(&backoff.next_delay(1000)));
     }
     for _ in 0..100 {
-        assert!((500..=1000).contains(&backoff.pause(1000)), "from the upper half");
+        assert!((500..=1000).contains(&backoff.next_delay(1000)), "from the upper half");
     }
     backoff.reset();
-    assert!(backoff.pause(1000) <= 100);
+    assert!(backoff.next_delay(1000) <= 100);
     let mut odd = Backoff::new(Micros::MAX, 1);
-    assert!((0..100).all(|_| odd.pause(0) == 0 && odd.pause(-5) == 0));
+    assert!((0..100).all(|_| odd.next_delay(0) == 0 && odd.next_delay(-5) == 0));
 }
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -3,7 +3,7 @@
 //! else runs on this thread while they do.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
-use orchidyoke_forwarder::client_listener::{Connections, listen};
+use orchidyoke_forwarder::client_listener::{ClientConnections, listen};
 use orchidyoke_forwarder::input::{Input, RequestId, SubmitAnswer};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
@@ -22,7 +22,7 @@
 struct Stage {
     address: SocketAddr,
     gateway: Rc<ClientGateway>,
-    connections: Rc<Connections>,
+    connections: Rc<ClientConnections>,
     inputs: UnboundedReceiver<Input>,
 }
 
@@ -40,7 +40,7 @@
         let stage = Stage {
             address,
             gateway: ClientGateway::new(sender),
-            connections: Connections::new(most),
+            connections: ClientConnections::new(most),
             inputs,
         };
         spawn_local(listen(listener, stage.gateway.clone(), stage.connections.clone()));
@@ -137,7 +137,7 @@
         let mut stage = Stage::new(8);
         let client = client(stage.address, &request("a", ""));
         let (_, ticket) = stage.handed().await;
-        stage.connections.end();
+        stage.connections.shut_down();
         sleep(PAST_THE_CUT).await;
         stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         let heard = rest_of(client).await;
@@ -152,7 +152,7 @@
         let mut stage = Stage::new(8);
         let client = client(stage.address, &request("a", ""));
         let (_, ticket) = stage.handed().await;
-        stage.connections.end();
+        stage.connections.shut_down();
         let withdrawn = timeout(PATIENCE, stage.inputs.recv()).await.expect("it is cut");
         assert!(
             matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == ticket),
@@ -179,7 +179,7 @@
                 // The other waits for the place: the limit acts with the next turn.
                 tokio::task::yield_now().await;
             } else {
-                stage.connections.end();
+                stage.connections.shut_down();
             }
             resting.set_nonblocking(false).expect("a socket");
             resting.write_all(request("b", "").as_bytes()).expect("written");
@@ -223,7 +223,7 @@
         let mut kept = client(stage.address, &request("a", ""));
         stage.take_on("a").await;
         answer_is_there(&kept).await;
-        stage.connections.move_on();
+        stage.connections.hand_over();
         kept.set_nonblocking(false).expect("a socket");
         kept.write_all(request("b", "").as_bytes()).expect("written");
         stage.take_on("b").await;
@@ -264,9 +264,9 @@
     run(async {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
-        let (gateway, connections) = (ClientGateway::new(sender), Connections::new(64));
+        let (gateway, connections) = (ClientGateway::new(sender), ClientConnections::new(64));
         let waiting: Vec<_> = (0..20).map(|n| client(address, &request(&n.to_string(), ""))).collect();
-        connections.end();
+        connections.shut_down();
         spawn_local(listen(listener, gateway.clone(), connections.clone()));
         let mut stage = Stage { address, gateway, connections, inputs };
         for _ in 0..waiting.len() {
@@ -287,7 +287,7 @@
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, "");
         assert!(matches!(stage.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
-        stage.connections.end();
+        stage.connections.shut_down();
         // Within the moment that it is given; after a stall that outlasts both, this wakes first.
         sleep(Duration::from_millis(10)).await;
         client.write_all(request("a", "").as_bytes()).expect("written");
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -10,13 +10,13 @@
 pub use deployments::{config, second_config, second_targets, targets};
 
 use orchidyoke_core::interface::Micros;
-use orchidyoke_forwarder::endpoint_call::Call;
+use orchidyoke_forwarder::endpoint_call::EndpointCall;
 
 pub const S: Micros = 1_000_000;
 pub const START: Micros = 1_800_000_000 * S;
 pub const DISK: usize = 200_000;
 
 /// The messages of a call.
-pub fn ids(call: &Call) -> impl Iterator<Item = &str> {
-    call.parts.iter().map(|part| &part.txn[..])
+pub fn ids(call: &EndpointCall) -> impl Iterator<Item = &str> {
+    call.messages.iter().map(|part| &part.id[..])
 }
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -7,7 +7,7 @@
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::connection_pool::EndpointConnectionId;
 use orchidyoke_forwarder::console;
-use orchidyoke_forwarder::endpoint_call::{Call, Cause, EndpointCallError, Reply};
+use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply};
 use orchidyoke_forwarder::input::{Effect, Input, RequestId, SiblingUpdate, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::Marked;
 use orchidyoke_forwarder::reducer::Reducer;
@@ -94,7 +94,7 @@
     /// How far it has read each other file.
     pub read: BTreeMap<Generation, (u64, usize)>,
     pub tickets: BTreeMap<RequestId, String>,
-    pub replies: BTreeMap<RequestId, console::Reply>,
+    pub replies: BTreeMap<RequestId, console::ConsoleReply>,
     pub posting: Option<Vec<(String, FinalAnswer)>>,
     /// It looks at no other file any more.
     pub handed_over: bool,
@@ -191,7 +191,7 @@
             }
         }
         let process = &self.processes[at];
-        assert_eq!(process.reducer.figures().open(), process.reducer.gauges().concurrent as u64);
+        assert_eq!(process.reducer.figures().open_messages(), process.reducer.gauges().open_messages as u64);
     }
 
     pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
@@ -242,7 +242,7 @@
                 self.write(at, link, call);
                 return Some(Input::CallWritten { connection: link });
             }
-            Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::CalledOff),
+            Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::PostNotifications { notifications: notices, .. } => {
                 assert!(self.processes[at].posting.replace(notices).is_none());
@@ -258,7 +258,7 @@
         held.for_each(|(_, file)| file.lock = None);
     }
 
-    pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: Call) {
+    pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
         let links = || self.processes.iter().flat_map(|process| process.links.values());
         let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
         assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
@@ -410,7 +410,13 @@
             self.waits.push((self.processes[at].generation, dest, self.now + wait_ms as Micros * 1000));
         }
         let body = Bytes::from(body + "]");
-        let reply = Reply { status, wait_ms, bulk: call.bulk, body, ..Reply::default() };
+        let reply = EndpointReply {
+            status,
+            retry_after_ms: wait_ms,
+            is_bulk: call.is_bulk,
+            body,
+            ..EndpointReply::default()
+        };
         self.input(at, Input::CallAnswered { connection: id, reply, reusable: true });
     }
 
@@ -426,7 +432,7 @@
                 }
                 while let Some(at) = place(self) {
                     let due = |link: &Link| match &link.call {
-                        Some(call) => call.due <= self.now,
+                        Some(call) => call.deadline <= self.now,
                         None => !link.up && link.until <= self.now,
                     };
                     let Some(link) = self.processes[at].links.iter().find(|(_, l)| due(l)).map(|(id, _)| *id)
@@ -468,10 +474,10 @@
         }
         let ticket = self.now as RequestId;
         let id = uid.to_owned();
-        let call = if out { console::Call::DisableServer(id) } else { console::Call::EnableServer(id) };
+        let call = if out { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
         self.input(at, Input::Operator { request: ticket, call });
         let process = self.processes.get(at).filter(|process| process.number == number);
-        if process.is_some_and(|p| matches!(p.replies.get(&ticket), Some(console::Reply::Yes(_)))) {
+        if process.is_some_and(|p| matches!(p.replies.get(&ticket), Some(console::ConsoleReply::Done(_)))) {
             if out {
                 self.out.entry(uid.to_owned()).or_insert(self.now);
             } else {
@@ -508,7 +514,7 @@
                         self.processes[at].links.get_mut(&id).expect("there").up = true;
                         self.input(at, Input::ConnectionUp { connection: id });
                     } else {
-                        let input = self.close(at, id, Cause::Broken("refused".to_owned()));
+                        let input = self.close(at, id, Cause::ConnectionFailed("refused".to_owned()));
                         input.into_iter().for_each(|input| self.input(at, input));
                     }
                 }
@@ -516,7 +522,7 @@
             Step::Answer { which, how } => self.answer(which, how),
             Step::Break(which) => {
                 if let Some((at, id)) = self.pick(which, |link| link.up) {
-                    let input = self.close(at, id, Cause::Broken("reset".to_owned()));
+                    let input = self.close(at, id, Cause::ConnectionFailed("reset".to_owned()));
                     input.into_iter().for_each(|input| self.input(at, input));
                 }
             }
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -66,14 +66,14 @@
                 if up {
                     self.links.get_mut(&id).expect("there").up = true;
                     self.input(Input::ConnectionUp { connection: id });
-                } else if let Some(input) = self.close(id, Cause::Broken("refused".to_owned())) {
+                } else if let Some(input) = self.close(id, Cause::ConnectionFailed("refused".to_owned())) {
                     self.input(input);
                 }
             }
             Step::Answer { which, how } => self.answer(which, how),
             Step::Break(which) => {
                 let Some(id) = self.pick(which, |l| l.up) else { return };
-                let input = self.close(id, Cause::Broken("reset".to_owned()));
+                let input = self.close(id, Cause::ConnectionFailed("reset".to_owned()));
                 input.into_iter().for_each(|input| self.input(input));
             }
             Step::Wait(span) => self.wait(span),
@@ -96,9 +96,9 @@
             Step::Operator { which, out } => {
                 let uid = self.list[which % self.list.len()].uid.clone();
                 if self.operate(if out {
-                    console::Call::DisableServer(uid.clone())
+                    console::Command::DisableServer(uid.clone())
                 } else {
-                    console::Call::EnableServer(uid.clone())
+                    console::Command::EnableServer(uid.clone())
                 }) {
                     if out {
                         self.out.insert(uid)
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -9,8 +9,8 @@
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::connection_pool::EndpointConnectionId;
-use orchidyoke_forwarder::console::{self, Reply as Said};
-use orchidyoke_forwarder::endpoint_call::{Call, Cause, EndpointCallError, Progress, Reply};
+use orchidyoke_forwarder::console::{self, ConsoleReply as Said};
+use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply, Progress};
 use orchidyoke_forwarder::input::{Effect, Input, RequestId, Submission, SubmitAnswer, WatchSource};
 use orchidyoke_forwarder::ownership::Marked;
 use orchidyoke_forwarder::reducer::Reducer;
@@ -25,7 +25,7 @@
     pub address: String,
     pub up: bool,
     pub until: Micros,
-    pub call: Option<Call>,
+    pub call: Option<EndpointCall>,
     /// When it was written, and in which building.
     pub sent: (Micros, String),
 }
@@ -226,11 +226,11 @@
                 assert!(self.links.insert(link, new).is_none());
             }
             Effect::SendCall { connection: link, call } => {
-                self.written += call.parts.len() as u64;
+                self.written += call.messages.len() as u64;
                 self.write(link, call);
                 return Some(Input::CallWritten { connection: link });
             }
-            Effect::CloseConnection { connection: link } => return self.close(link, Cause::CalledOff),
+            Effect::CloseConnection { connection: link } => return self.close(link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::PostNotifications { notifications: notices, .. } => {
                 assert!(self.posting.replace(notices).is_none())
@@ -258,7 +258,7 @@
         None
     }
 
-    pub fn write(&mut self, link: EndpointConnectionId, call: Call) {
+    pub fn write(&mut self, link: EndpointConnectionId, call: EndpointCall) {
         let out: Vec<&str> = self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
         assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
         let link = self.links.get_mut(&link).expect("open");
@@ -288,9 +288,9 @@
             fate.calls += 1;
             assert!(fate.calls <= self.shape.attempts(), "attempts, restarts or not");
         }
-        for part in &call.parts {
-            let orders = self.fates[&part.txn].orders;
-            assert_eq!(part.key, self.shape.key(&part.txn, orders), "the key as it came");
+        for part in &call.messages {
+            let orders = self.fates[&part.id].orders;
+            assert_eq!(part.idempotency_key, self.shape.key(&part.id, orders), "the key as it came");
         }
         link.call = Some(call);
     }
@@ -357,7 +357,7 @@
         let mut body = String::new();
         for (number, txn) in ids(&call).enumerate() {
             let fate = self.fates.get_mut(txn).expect("submitted");
-            let deferred = call.bulk && number % 3 == 2;
+            let deferred = call.is_bulk && number % 3 == 2;
             fate.delivered |= status == 200 && !deferred;
             if status == 500 || status == 200 && !deferred {
                 fate.may_have_run = true;
@@ -375,7 +375,13 @@
             *wait = until.max(*wait);
         }
         let body = Bytes::from(body + "]");
-        let reply = Reply { status, wait_ms, bulk: call.bulk, body, ..Reply::default() };
+        let reply = EndpointReply {
+            status,
+            retry_after_ms: wait_ms,
+            is_bulk: call.is_bulk,
+            body,
+            ..EndpointReply::default()
+        };
         let reusable = how < 200;
         if !reusable {
             self.links.remove(&id);
@@ -388,7 +394,8 @@
         let end = self.now + span;
         loop {
             let dials = self.links.iter().filter(|(_, l)| !l.up).map(|(id, l)| (l.until, *id));
-            let calls = self.links.iter().filter_map(|(id, l)| l.call.as_ref().map(|call| (call.due, *id)));
+            let calls =
+                self.links.iter().filter_map(|(id, l)| l.call.as_ref().map(|call| (call.deadline, *id)));
             let timeout = dials.chain(calls).min();
             let wake = self.reducer.wake_at().unwrap_or(Micros::MAX);
             let next = timeout.map_or(wake, |(at, _)| at.min(wake));
@@ -437,23 +444,25 @@
     }
 
     /// An operator's call; whether the reply was a yes.
-    pub fn operate(&mut self, call: console::Call) -> bool {
+    pub fn operate(&mut self, call: console::Command) -> bool {
         let ticket = self.replies.keys().last().map_or(0, |ticket| ticket + 1);
         self.input(Input::Operator { request: ticket, call });
-        matches!(self.replies[&ticket], Said::Yes(_))
+        matches!(self.replies[&ticket], Said::Done(_))
     }
 
     /// Each message is counted once: what was taken has ended once or is still open.
     pub fn check_figures(&self) {
         let (figures, gauges) = (self.reducer.figures(), self.reducer.gauges());
-        assert_eq!(figures.open(), gauges.concurrent as u64, "taken is ended and concurrent");
-        let ends: u64 = figures.ends().values().map(|ends| ends.all()).sum();
-        assert_eq!(ends, figures.taken() - figures.open() + self.turned_away);
+        assert_eq!(figures.open_messages(), gauges.open_messages as u64, "taken is ended and concurrent");
+        let ends: u64 = figures.ends().values().map(|ends| ends.total()).sum();
+        assert_eq!(ends, figures.accepted() - figures.open_messages() + self.turned_away);
         assert_eq!(figures.dispatches(), self.written);
-        let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().targets);
+        let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().endpoints);
         let in_list = self.list.iter().filter(|t| t.state != ListedState::Removed);
         assert_eq!(in_list.clone().count(), listed);
-        assert!(in_list.filter(out).count() <= gauges.targets_disabled && gauges.targets_disabled <= listed);
+        assert!(
+            in_list.filter(out).count() <= gauges.avoided_endpoints && gauges.avoided_endpoints <= listed
+        );
     }
 
     /// All that was taken on has its end when its time is up.
--- a/crates/forwarder/tests/connection_limit.rs
+++ b/crates/forwarder/tests/connection_limit.rs
@@ -78,24 +78,26 @@
             let id = model.keys().nth(usize::from(which) % model.len().max(1)).copied();
             assert_eq!(limit.is_full(), model.len() >= MOST);
             match (what % 7, id) {
-                (0 | 1, _) if !limit.is_full() => drop(model.insert(limit.join(now), (Doing::New, now))),
+                (0 | 1, _) if !limit.is_full() => {
+                    model.insert(limit.on_connected(now), (Doing::New, now));
+                }
                 (2, Some(id)) if matches!(model[&id].0, Doing::New | Doing::Idle | Doing::Closing) => {
                     // A request may cross the word to close: that stands.
-                    limit.asks(id, now);
+                    limit.on_request(id, now);
                     if model[&id].0 != Doing::Closing {
                         model.insert(id, (Doing::Busy, now));
                     }
                 }
                 (3, Some(id)) if model[&id].0 == Doing::Busy => {
-                    limit.answered(id, now);
+                    limit.on_answered(id, now);
                     model.insert(id, (Doing::Idle, now));
                 }
                 (4, Some(id)) if model[&id].0 == Doing::Closing => {
-                    limit.lingers(id, now);
+                    limit.on_lingering(id, now);
                     model.insert(id, (Doing::Lingering, now));
                 }
                 (5, Some(id)) => {
-                    limit.leaves(id);
+                    limit.on_closed(id);
                     model.remove(&id);
                 }
                 _ => {
--- a/crates/forwarder/tests/connection_pool.rs
+++ b/crates/forwarder/tests/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Connections to next hops: the pool against a model of their far ends, in random steps.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
-use orchidyoke_forwarder::connection_pool::{CallId, Claim, EndpointConnectionId, Pool};
+use orchidyoke_forwarder::connection_pool::{CallId, Claim, ConnectionPool, EndpointConnectionId};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
 #[test]
 fn connections_keep_to_their_states() {
     fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
-        let (mut pool, mut model, mut now) = (Pool::new(IDLE_CLOSE, 6), Model::default(), 0);
+        let (mut pool, mut model, mut now) = (ConnectionPool::new(IDLE_CLOSE, 6), Model::default(), 0);
         for (number, (what, which, pause)) in steps.into_iter().enumerate() {
             now += Micros::from(pause);
             let (call, hop) = (number as CallId, EndpointId::from(which % 3));
@@ -31,14 +31,14 @@
             match (what % 7, mine) {
                 (0 | 1, _) => {
                     let (link, up) = match pool.claim(hop, call, now) {
-                        Claim::Idle(link) => {
+                        Claim::Reuse(link) => {
                             let (to, since) = model.open[&link];
                             assert_eq!(to, hop);
                             assert!(!model.retired.contains(&link), "its endpoint has moved");
                             assert!(since.is_some_and(|s| now - s < IDLE_CLOSE * 95 / 100));
                             (link, true)
                         }
-                        Claim::Dial(link) => {
+                        Claim::Connect(link) => {
                             assert!(!model.open.contains_key(&link) && !model.closed.contains(&link));
                             (link, false)
                         }
@@ -48,18 +48,18 @@
                     model.calls.insert(call, (link, up));
                 }
                 (2, Some((call, link, up))) => {
-                    assert_eq!(pool.is_up(link), (!up).then_some(call));
+                    assert_eq!(pool.on_connected(link), (!up).then_some(call));
                     model.calls.insert(call, (link, true));
                 }
                 (3, Some((call, link, true))) => {
-                    assert_eq!(pool.link_of(call), Some(link));
+                    assert_eq!(pool.connection_of(call), Some(link));
                     pool.release(link, now);
                     model.calls.remove(&call);
                     model.open.get_mut(&link).expect("open").1 = Some(now);
                 }
                 (4, Some((call, link, _))) => {
-                    assert_eq!(pool.closed(link), Some(call));
-                    assert_eq!(pool.closed(link), None);
+                    assert_eq!(pool.on_closed(link), Some(call));
+                    assert_eq!(pool.on_closed(link), None);
                     model.calls.remove(&call);
                     model.open.remove(&link);
                     model.closed.insert(link);
@@ -73,7 +73,7 @@
                     );
                 }
                 (_, _) => {
-                    let gone = if what % 2 == 0 { pool.reap(now) } else { pool.drop_idle(hop) };
+                    let gone = if what % 2 == 0 { pool.take_expired(now) } else { pool.take_idle_to(hop) };
                     for link in gone {
                         assert!(model.open.remove(&link).expect("open").1.is_some(), "only idle ones");
                         model.closed.insert(link);
@@ -84,7 +84,7 @@
             }
             let idle = model.open.iter().filter(|(id, _)| !model.retired.contains(id));
             let idle = idle.filter_map(|(_, (_, since))| *since).min();
-            assert!(idle.is_none_or(|since| pool.reap_at().is_some_and(|at| at <= since + IDLE_CLOSE)));
+            assert!(idle.is_none_or(|since| pool.next_expiry().is_some_and(|at| at <= since + IDLE_CLOSE)));
         }
         true
     }
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! Descriptors: what each part may have at once, added up.
 
 use orchidyoke_forwarder::config::Limits;
-use orchidyoke_forwarder::console_listener::PLACES;
+use orchidyoke_forwarder::console_listener::MAX_CONNECTIONS;
 
 // Guards against clients that fill the descriptors and leave none for next hops, operators, or discovery when it is asked
 // again: with any limit and any number of slots that fits into it, all parts together stay within.
@@ -9,9 +9,10 @@
 fn all_parts_together_stay_within_the_limit() {
     for sockets in 64..2000 {
         for slots in [1, 3, 6, 17, sockets / 8, sockets / 4] {
-            let limits = Limits { sockets, disk_mb: 1.0 };
-            for callers in [0, PLACES] {
-                let (hops, clients) = (limits.next_hops(slots), limits.clients(slots, callers));
+            let limits = Limits { max_descriptors: sockets, disk_mb: 1.0 };
+            for callers in [0, MAX_CONNECTIONS] {
+                let (hops, clients) =
+                    (limits.max_endpoint_connections(slots), limits.max_client_connections(slots, callers));
                 assert!(hops >= slots && clients >= 8, "{sockets} descriptors, {slots} slots");
                 // Streams, the runtime's, the journal, its rewrite, listeners, the watch, the next watch, notices.
                 let own = 3 + 3 + 2 + 2 + 2 + 1;
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_forwarder::catalogue::UpdateSender;
-use orchidyoke_forwarder::discovery::{Ended, follow};
+use orchidyoke_forwarder::discovery::{WatchEnd, follow};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
 
 /// Follows a far end that does this with the connection once it has read the request. What was told, how it ended, and
 /// after what time.
-async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<WatchEvent>, Ended, Duration) {
+async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let served = async {
@@ -53,7 +53,7 @@
     (told, ended, took)
 }
 
-async fn follow_at(at: SocketAddr) -> (Vec<WatchEvent>, Ended, Duration) {
+async fn follow_at(at: SocketAddr) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let told = Rc::new(RefCell::new(Vec::new()));
     let updates = UpdateSender::new({
         let told = told.clone();
@@ -97,7 +97,7 @@
         .await;
         let revs: Vec<_> = told.iter().map(|news| (news.version, news.is_snapshot)).collect();
         assert_eq!(revs, [(1, true), (2, true), (3, false), (4, true)], "cut by {size}: {ended:?}");
-        assert!(ended.unheard < SLACK, "{ended:?}");
+        assert!(ended.silence < SLACK, "{ended:?}");
     }
 }
 
@@ -127,8 +127,8 @@
             write(&mut stream, &answer).await;
         })
         .await;
-        assert!(ended.why.contains(why), "{answer:?}: {ended:?}");
-        assert_eq!((ended.wait_ms, told.len()), (wait, 0), "{answer:?}");
+        assert!(ended.reason.contains(why), "{answer:?}: {ended:?}");
+        assert_eq!((ended.retry_after_ms, told.len()), (wait, 0), "{answer:?}");
     }
 }
 
@@ -136,7 +136,7 @@
 async fn silent_after(
     first: &str,
     mut then: impl AsyncFnMut(&mut TcpStream) -> bool,
-) -> (usize, Ended, Duration) {
+) -> (usize, WatchEnd, Duration) {
     let (told, ended, took) = followed(async |mut stream| {
         write(&mut stream, first).await;
         while then(&mut stream).await {}
@@ -172,9 +172,9 @@
         ("dribbling", dribbling, 1, Duration::from_millis(4_500)),
     ] {
         assert_eq!(told, lists, "{what}: {ended:?}");
-        assert!(ended.why.contains("silent"), "{what}: {ended:?}");
+        assert!(ended.reason.contains("silent"), "{what}: {ended:?}");
         assert!(took >= lasts && took < lasts + SLACK, "{what}: after {took:?}");
-        assert!(ended.unheard >= lasts && ended.unheard + SLACK < TOLD_AFTER, "{what}: {ended:?}");
+        assert!(ended.silence >= lasts && ended.silence + SLACK < TOLD_AFTER, "{what}: {ended:?}");
     }
 }
 
@@ -207,9 +207,9 @@
         assert!(waiting.len() < 100, "it takes all");
     }
     let (told, ended, took) = follow_at(at).await;
-    assert!(told.is_empty() && ended.why.contains("silent"), "{ended:?}");
+    assert!(told.is_empty() && ended.reason.contains("silent"), "{ended:?}");
     assert!(
-        took < Duration::from_secs(1) + SLACK && ended.unheard >= Duration::from_secs(1),
+        took < Duration::from_secs(1) + SLACK && ended.silence >= Duration::from_secs(1),
         "{took:?}, {ended:?}"
     );
 }
--- a/crates/forwarder/tests/endpoint_call.rs
+++ b/crates/forwarder/tests/endpoint_call.rs
@@ -4,8 +4,13 @@
 use orchidyoke_core::interface::Outcome;
 use orchidyoke_forwarder::endpoint_call::*;
 
-fn bulk(body: &str) -> Reply {
-    Reply { status: 200, bulk: true, body: Bytes::copy_from_slice(body.as_bytes()), ..Reply::default() }
+fn bulk(body: &str) -> EndpointReply {
+    EndpointReply {
+        status: 200,
+        is_bulk: true,
+        body: Bytes::copy_from_slice(body.as_bytes()),
+        ..EndpointReply::default()
+    }
 }
 
 // Guards against a message of a call being ended by another's end, and against calling undelivered or
@@ -15,8 +20,8 @@
     let told = r#"[{"id":"b","state":"deferred"},{"id":"a","state":"accepted"},{"id":"c","state":"fault"},
         {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
     let txns = ["a", "b", "c", "d", "e", "left out"].map(str::to_owned);
-    let got = ends(&bulk(told), &txns);
-    let outcomes: Vec<_> = got.iter().map(|end| (end.outcome, end.over)).collect();
+    let got = message_results(&bulk(told), &txns);
+    let outcomes: Vec<_> = got.iter().map(|end| (end.outcome, end.message_finished)).collect();
     let expected = [
         (Outcome::Success, false),
         (Outcome::Rejected, false),
@@ -26,7 +31,9 @@
         (Outcome::Error, false),
     ];
     assert_eq!(outcomes, expected);
-    assert!(ends(&bulk("[{\"id\":"), &txns).iter().all(|end| end.outcome == Outcome::InvalidResponse));
+    assert!(
+        message_results(&bulk("[{\"id\":"), &txns).iter().all(|end| end.outcome == Outcome::InvalidResponse)
+    );
 }
 
 // Guards against "never ran" being said of a call whose last byte went out.
@@ -34,8 +41,9 @@
 fn only_what_was_not_fully_written_never_ran() {
     use Progress::*;
     for progress in [NotConnected, NotFullyWritten, FullyWritten, Answered] {
-        let spoilt = Cause::Spoilt("noise".to_owned());
-        for cause in [Cause::TimedOut, Cause::CalledOff, Cause::Broken("reset".to_owned()), spoilt] {
+        let spoilt = Cause::InvalidResponse("noise".to_owned());
+        for cause in [Cause::TimedOut, Cause::Cancelled, Cause::ConnectionFailed("reset".to_owned()), spoilt]
+        {
             let error = EndpointCallError { progress, cause };
             let never = error.outcome() == Outcome::ConnectFailed;
             assert_eq!(never, matches!(progress, NotConnected | NotFullyWritten), "{error}");
@@ -46,13 +54,13 @@
 // Guards against a key that is left out of a call, or put beside a message that has none.
 #[test]
 fn each_message_of_a_call_has_its_own_key() {
-    let part = |txn: &str, key: Option<&str>| Part {
-        txn: txn.to_owned(),
-        key: key.map(str::to_owned),
+    let part = |txn: &str, key: Option<&str>| CallMessage {
+        id: txn.to_owned(),
+        idempotency_key: key.map(str::to_owned),
         body: Bytes::from_static(b"hello"),
     };
     let parts = vec![part("a", Some("5c\"0f")), part("b", None)];
-    let call = Call { parts, bulk: true, remaining: 1, due: 1 };
+    let call = EndpointCall { messages: parts, is_bulk: true, time_left: 1, deadline: 1 };
     let text = call.body();
     let expected = r#"[{"id":"a","key":"5c\"0f","body":"aGVsbG8="},{"id":"b","body":"aGVsbG8="}]"#;
     assert_eq!(text, expected);
--- a/crates/forwarder/tests/endpoint_connection.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
-use orchidyoke_forwarder::endpoint_call::{Call, Cause, EndpointCallError, Part, Progress};
+use orchidyoke_forwarder::endpoint_call::{CallMessage, Cause, EndpointCall, EndpointCallError, Progress};
 use orchidyoke_forwarder::endpoint_connection::{Order, run};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::write_progress::WriteProgress;
@@ -91,11 +91,18 @@
         let (first, answered_again) = runtime.block_on(call(answer, goes_on, bulk));
         match first {
             Input::CallAnswered { reply, .. } => {
-                assert_eq!((reply.status, reply.limit, reply.left), (expected, None, None), "{text}");
+                assert_eq!(
+                    (reply.status, reply.reported_limit, reply.reported_remaining),
+                    (expected, None, None),
+                    "{text}"
+                );
             }
             Input::ConnectionClosed { error, .. } => {
-                assert!(expected == SPOILT && matches!(error.cause, Cause::Spoilt(_)), "{text}: {error}");
-                assert!(!error.never_ran(), "{text}: {error}");
+                assert!(
+                    expected == SPOILT && matches!(error.cause, Cause::InvalidResponse(_)),
+                    "{text}: {error}"
+                );
+                assert!(!error.not_delivered(), "{text}: {error}");
             }
             other => panic!("{text}: {other:?}"),
         }
@@ -110,12 +117,12 @@
     fn keep(body: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut request = b"POST /inbox HTTP/1.1\r\nx-txn: a\r\n\r\n".to_vec();
         request.extend_from_slice(&body);
-        let mut written = WriteProgress::of_body(body.len());
+        let mut written = WriteProgress::with_body_bytes(body.len());
         let (mut rest, mut cuts) = (&request[..], cuts.into_iter().cycle());
         while !rest.is_empty() {
             assert_eq!(written.progress(), Progress::NotFullyWritten);
             let (now, later) = rest.split_at(usize::from(cuts.next().unwrap_or(3)).clamp(1, rest.len()));
-            written.take(now);
+            written.on_written(now);
             rest = later;
         }
         written.progress() == Progress::FullyWritten
@@ -124,9 +131,14 @@
     QuickCheck::new().tests(200).rng(chance).quickcheck(keep as fn(Vec<u8>, Vec<u8>) -> bool);
 }
 
-fn call_of(bulk: bool) -> Call {
-    let part = Part { txn: "a".to_owned(), key: None, body: Bytes::from_static(b"body") };
-    Call { parts: vec![part; 1 + usize::from(bulk)], bulk, remaining: 1_000_000, due: 0 }
+fn call_of(bulk: bool) -> EndpointCall {
+    let part = CallMessage { id: "a".to_owned(), idempotency_key: None, body: Bytes::from_static(b"body") };
+    EndpointCall {
+        messages: vec![part; 1 + usize::from(bulk)],
+        is_bulk: bulk,
+        time_left: 1_000_000,
+        deadline: 0,
+    }
 }
 
 /// A connection of the forwarder's to a far end whose socket the test holds: it acts between the turns of the runtime,
@@ -246,7 +258,7 @@
                     _ => {}
                 }
             };
-            assert!(error.never_ran() && !error.given_up(), "{what}: {error}");
+            assert!(error.not_delivered() && !error.ended_locally(), "{what}: {error}");
             if what != "reset" {
                 let mut sent = Vec::new();
                 let _ = pair.far.read_to_end(&mut sent);
@@ -279,7 +291,11 @@
                 }
                 match pair.next().await {
                     Input::CallAnswered { reply, reusable, .. } => {
-                        assert_eq!((reply.status, reply.wait_ms), (status, wait), "called off: {called_off}");
+                        assert_eq!(
+                            (reply.status, reply.retry_after_ms),
+                            (status, wait),
+                            "called off: {called_off}"
+                        );
                         assert!(!reusable || !called_off, "nobody has it any more");
                     }
                     other => panic!("called off: {called_off}: {status}: {other:?}"),
@@ -299,7 +315,7 @@
         pair.written().await;
         pair.far.write_all(b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 9").expect("written");
         let (error, _) = pair.end().await;
-        assert!(!error.never_ran() && error.progress == Progress::Answered, "{error}");
+        assert!(!error.not_delivered() && error.progress == Progress::Answered, "{error}");
     });
 }
 
@@ -372,7 +388,7 @@
             let _orders = (!called_off).then_some(orders);
             let end = timeout(Duration::from_secs(5), came.recv()).await.expect("in time");
             let Some(Input::ConnectionClosed { error, .. }) = end else { panic!("{end:?}") };
-            assert!(error.progress == Progress::NotConnected && error.given_up(), "{error}");
+            assert!(error.progress == Progress::NotConnected && error.ended_locally(), "{error}");
         }
     });
 }
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -8,8 +8,8 @@
 use orchidyoke_core::endpoint_list::EndpointEntry;
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
-use orchidyoke_forwarder::console::{Call, Reply};
-use orchidyoke_forwarder::endpoint_call::Reply as HopReply;
+use orchidyoke_forwarder::console::{Command, ConsoleReply};
+use orchidyoke_forwarder::endpoint_call::EndpointReply as HopReply;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, OfferEnd, Owner, Owners, Peer};
 use orchidyoke_forwarder::reducer::Reducer;
@@ -199,15 +199,15 @@
                 return Some(Input::ConnectionUp { connection: link });
             }
             Effect::SendCall { connection: link, call } => {
-                self.written.extend(call.parts.into_iter().map(|part| part.txn));
-                let reply = HopReply { status: 200, bulk: call.bulk, ..HopReply::default() };
+                self.written.extend(call.messages.into_iter().map(|part| part.id));
+                let reply = HopReply { status: 200, is_bulk: call.is_bulk, ..HopReply::default() };
                 return Some(Input::CallAnswered { connection: link, reply, reusable: false });
             }
             Effect::PostNotifications { notifications: notices, .. } => {
                 self.notices.extend(notices);
                 return Some(Input::NotificationsPosted { accepted: true });
             }
-            Effect::Reply { reply: Reply::Figures(text), .. } => self.figures = text,
+            Effect::Reply { reply: ConsoleReply::Metrics(text), .. } => self.figures = text,
             Effect::Log { line } => self.logged.push(line),
             _ => {}
         }
@@ -291,7 +291,7 @@
     }
 
     fn figure(&mut self, name: &str) -> u64 {
-        self.input(Input::Operator { request: 2, call: Call::ShowStat });
+        self.input(Input::Operator { request: 2, call: Command::ShowStat });
         let line = self.figures.lines().find_map(|line| line.strip_prefix(&format!("app_{name} ")));
         line.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name}: {}", self.figures))
     }
@@ -440,7 +440,7 @@
     }
     let mut world = World::new(Class::Safe, None);
     world.take("b", 1);
-    world.input(Input::Operator { request: 2, call: Call::ShowStat });
+    world.input(Input::Operator { request: 2, call: Command::ShowStat });
     assert!(world.offers.is_empty() && !world.figures.contains("owners"));
 }
 
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -12,10 +12,10 @@
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
-use orchidyoke_forwarder::discovery::{Ended, follow};
+use orchidyoke_forwarder::discovery::{WatchEnd, follow};
 use orchidyoke_forwarder::input::{Effect, Input, SiblingUpdate, WatchSource};
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_journal::{Record, replay};
 use std::cell::RefCell;
 use std::fs;
@@ -129,7 +129,7 @@
 
     /// Endpoints as the forwarder holds them.
     fn listed(&self) -> usize {
-        self.reducer.gauges().targets
+        self.reducer.gauges().endpoints
     }
 }
 
@@ -145,7 +145,7 @@
         let written = world.news(news(rev, false, vec![changed]));
         assert!(written < SMALL_RECORD, "version {rev}: {written} bytes");
     }
-    let out = console::Call::DisableServer(target(7).uid);
+    let out = console::Command::DisableServer(target(7).uid);
     assert!(world.input(Input::Operator { request: 1, call: out }) < SMALL_RECORD);
 
     let mut world = World::start(config(targets(4)), world.file);
@@ -274,10 +274,10 @@
         Folder(path)
     }
 
-    fn source(&self, text: &str) -> Source {
+    fn source(&self, text: &str) -> ConfigSource {
         let path = self.0.join("config.json");
         fs::write(&path, text).expect("writes");
-        Source { path, ..Source::default() }
+        ConfigSource { path, ..ConfigSource::default() }
     }
 }
 
@@ -289,7 +289,7 @@
 
 /// Follows a far end that writes these chunks, with a pause after each, and closes. What was told, how it ended, and
 /// after what time.
-async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, Ended, Duration) {
+async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let far_end = async {
@@ -339,8 +339,8 @@
         ("malformed in its last entry", text.replace(&last, "\"uid\":7"), "no list"),
     ] {
         let (told, ended, _) = followed(in_chunks(&text, 200_000), Duration::ZERO).await;
-        assert!(told.is_empty() && ended.why.contains(why), "{what}: {ended:?}");
-        assert_eq!(ended.why.lines().count(), 1, "{what}: {ended:?}");
+        assert!(told.is_empty() && ended.reason.contains(why), "{what}: {ended:?}");
+        assert_eq!(ended.reason.lines().count(), 1, "{what}: {ended:?}");
     }
 }
 
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -33,7 +33,7 @@
 fn read(reader: &mut ListReader, text: &[u8], frame: usize) -> (Vec<WatchEvent>, Option<ListError>) {
     let mut lists = Vec::new();
     for part in text.chunks(frame) {
-        if let Err(error) = reader.take(part, |news| lists.push(news)) {
+        if let Err(error) = reader.read_frame(part, |news| lists.push(news)) {
             return (lists, Some(error));
         }
     }
@@ -69,7 +69,7 @@
         assert_eq!(lists[0].endpoints[1].uid, r#"}]"{\"#);
     }
     let mut reader = ListReader::default();
-    let mut whole = |bytes: &[u8]| reader.take(bytes, |_| {}).expect("no error");
+    let mut whole = |bytes: &[u8]| reader.read_frame(bytes, |_| {}).expect("no error");
     assert!(whole(b"\n"), "a blank line says that all is well");
     assert!(!whole(b"{"), "the beginning of a list is nothing whole");
     assert!(!whole(b" \n "), "nor are blanks within it");
--- a/crates/forwarder/tests/metrics.rs
+++ b/crates/forwarder/tests/metrics.rs
@@ -1,16 +1,16 @@
 //! Tests of [`orchidyoke_forwarder::metrics`].
 
-use orchidyoke_forwarder::metrics::{End, Figures, Gauges};
+use orchidyoke_forwarder::metrics::{Gauges, MessageEnd, Metrics};
 
 // Guards against counts that do not add up, a message of another process counted, and a time beyond bounds lost.
 #[test]
 fn times_to_delivery_are_told_in_rising_counts() {
-    let mut figures = Figures::default();
-    figures.took(5);
+    let mut figures = Metrics::default();
+    figures.on_accepted(5);
     for after in [Some(100), Some(90), Some(40_000), Some(i64::MAX), None] {
-        figures.delivered("orders", after);
+        figures.on_delivered("orders", after);
     }
-    let lines = figures.latency_lines();
+    let lines = figures.render_latency();
     let counts: Vec<(&str, u64)> = lines
         .lines()
         .map(|line| {
@@ -28,16 +28,16 @@
 // Guards against a class without a line until something of it has ended, and against another form of the lines.
 #[test]
 fn every_class_has_its_lines_from_the_start() {
-    let mut figures = Figures::default();
-    figures.name(&["orders".to_owned(), "st\"atus".to_owned()]);
-    figures.took(2);
-    figures.ended("orders", End::Success);
-    figures.turned_away("orders", End::Overload);
-    figures.dispatched(3);
-    assert_eq!(figures.open(), 1);
-    let gauges = Gauges { concurrent: 1, targets: 4, targets_disabled: 2 };
+    let mut figures = Metrics::default();
+    figures.register_classes(&["orders".to_owned(), "st\"atus".to_owned()]);
+    figures.on_accepted(2);
+    figures.on_ended("orders", MessageEnd::Success);
+    figures.on_rejected("orders", MessageEnd::Overload);
+    figures.on_dispatched(3);
+    assert_eq!(figures.open_messages(), 1);
+    let gauges = Gauges { open_messages: 1, endpoints: 4, avoided_endpoints: 2 };
     assert_eq!(
-        figures.lines(gauges),
+        figures.render(gauges),
         "app_success{type=\"orders\"} 1\napp_overload{type=\"orders\"} 1\napp_error{type=\"orders\"} 0\n\
          app_success{type=\"st\\\"atus\"} 0\napp_overload{type=\"st\\\"atus\"} 0\n\
          app_error{type=\"st\\\"atus\"} 0\napp_dispatches 3\napp_concurrent 1\napp_targets 4\n\
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
-use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCallError, Progress, Reply};
+use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCallError, EndpointReply, Progress};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::FinalAnswer;
 
@@ -24,12 +24,14 @@
     let link = world.pick(0, |l| l.call.is_some()).expect("on the same connection");
     let call = world.links.remove(&link).and_then(|l| l.call).expect("out");
     world.fates.get_mut("b").expect("submitted").calls -= 1;
-    let error =
-        EndpointCallError { progress: Progress::NotFullyWritten, cause: Cause::Broken("closed".to_owned()) };
+    let error = EndpointCallError {
+        progress: Progress::NotFullyWritten,
+        cause: Cause::ConnectionFailed("closed".to_owned()),
+    };
     world.input(Input::ConnectionClosed { connection: link, error });
     world.step(1, Step::Connect { which: 0, up: true });
     let again = world.links.values().find_map(|l| l.call.as_ref()).expect("written again");
-    assert_eq!(again.parts, call.parts);
+    assert_eq!(again.messages, call.messages);
 }
 
 // Guards against a call to an address that its endpoint has left, where another may listen by now: on a connection that
@@ -103,7 +105,7 @@
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
     let link = world.pick(0, |l| l.call.is_some()).expect("out");
-    let reply = Reply { status: 410, ..Reply::default() };
+    let reply = EndpointReply { status: 410, ..EndpointReply::default() };
     world.input(Input::CallAnswered { connection: link, reply, reusable: true });
     assert_eq!(world.posting.clone().expect("a notice"), [("gone".to_owned(), FinalAnswer::Failed)]);
 }
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -14,11 +14,11 @@
 #[test]
 fn an_endpoint_out_by_hand_stays_out_until_the_call_back() {
     let (out, back) =
-        (console::Call::DisableServer("s-c".to_owned()), console::Call::EnableServer("s-c".to_owned()));
+        (console::Command::DisableServer("s-c".to_owned()), console::Command::EnableServer("s-c".to_owned()));
     let mut world = World::new();
     assert!(
-        !world.operate(console::Call::DisableServer("s-x".to_owned()))
-            && !world.operate(console::Call::EnableServer("s-x".to_owned()))
+        !world.operate(console::Command::DisableServer("s-x".to_owned()))
+            && !world.operate(console::Command::EnableServer("s-x".to_owned()))
     );
     assert!(world.operate(out.clone()) && world.operate(out.clone()));
     world.out.insert("s-c".to_owned());
@@ -34,12 +34,12 @@
     world.submit("m".to_owned(), true, 2, 10);
     world.wait(2 * S);
     assert!(world.links.is_empty(), "nothing is even dialled");
-    assert_eq!(world.reducer.gauges().targets_disabled, 1);
+    assert_eq!(world.reducer.gauges().avoided_endpoints, 1);
     assert!(world.operate(back.clone()) && world.operate(back));
     world.out.clear();
     world.wait(S);
     assert_eq!(world.links.len(), 1, "one call back undoes both, and what has waited goes");
-    assert!(!world.operate(console::Call::Ready), "nobody listens for clients here");
+    assert!(!world.operate(console::Command::Ready), "nobody listens for clients here");
 }
 
 // Guards against a destination pushed over by what has waited: its only endpoint was restarted while it was out, so a
@@ -47,12 +47,12 @@
 #[test]
 fn an_endpoint_put_back_is_taken_for_cold() {
     let mut world = World::new();
-    assert!(world.operate(console::Call::DisableServer("s-c".to_owned())));
+    assert!(world.operate(console::Command::DisableServer("s-c".to_owned())));
     for number in 0..10 {
         world.submit(format!("m{number}"), true, 2, 10);
     }
     world.wait(S);
-    assert!(world.operate(console::Call::EnableServer("s-c".to_owned())));
+    assert!(world.operate(console::Command::EnableServer("s-c".to_owned())));
     world.wait(4 * S);
     assert!(world.links.len() <= 1, "only a trial call goes");
     assert_eq!(world.reducer.troubled().count(), 1);
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -83,7 +83,7 @@
         });
         assert_eq!(told.is_none(), good, "{shape:?}: {told:?}");
         assert!(good || matches!(told, Some(SubmitAnswer::Incomplete(_))), "{shape:?}: {told:?}");
-        assert_eq!(reducer.figures().ends().values().map(|ends| ends.all()).sum::<u64>(), 0);
+        assert_eq!(reducer.figures().ends().values().map(|ends| ends.total()).sum::<u64>(), 0);
     }
 }
 
--- a/crates/forwarder/tests/succession.rs
+++ b/crates/forwarder/tests/succession.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use common::S;
 use common::processes::{Processes, Step};
-use orchidyoke_forwarder::endpoint_call::Reply;
+use orchidyoke_forwarder::endpoint_call::EndpointReply;
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::{ProcessStage, Record, replay};
 use quickcheck::{Gen, QuickCheck};
@@ -52,11 +52,11 @@
     world.wait(S / 20);
     assert_eq!(world.processes[0].links.len(), 1, "its call goes on");
     assert_eq!(world.processes[1].links.len(), 1, "the successor has begun");
-    let mine = |world: &Processes, at: usize| world.processes[at].reducer.gauges().concurrent;
+    let mine = |world: &Processes, at: usize| world.processes[at].reducer.gauges().open_messages;
     assert_eq!((mine(&world, 0), mine(&world, 1)), (1, 3));
     // It ends without delivery and never ran: from then on it is the successor's.
     let call = world.processes[0].links.get_mut(&first).and_then(|link| link.call.take()).expect("a call");
-    let reply = Reply { status: 503, bulk: call.bulk, ..Reply::default() };
+    let reply = EndpointReply { status: 503, is_bulk: call.is_bulk, ..EndpointReply::default() };
     world.input(0, Input::CallAnswered { connection: first, reply, reusable: true });
     world.wait(S / 20);
     assert_eq!(mine(&world, world.processes.len() - 1), 4);
@@ -89,7 +89,7 @@
         world.start();
         world.operate(at, "s-c", true);
         world.wait(S / 50);
-        assert!(world.processes.iter().all(|process| process.reducer.gauges().targets_disabled >= 1));
+        assert!(world.processes.iter().all(|process| process.reducer.gauges().avoided_endpoints >= 1));
         world.input(0, Input::Shutdown);
         world.submit(1, "a".to_owned(), true, 2, 10);
         world.wait(3 * S);
--- a/crates/policy-commit/src/follow.rs
+++ b/crates/policy-commit/src/follow.rs
@@ -10,7 +10,7 @@
 use orchidyoke_forwarder::input;
 use orchidyoke_forwarder::policy_agent::{PolicyAgent, PolicyStatus, Task};
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::Write;
@@ -115,7 +115,7 @@
     /// Carries out what the agent asks for. A new configuration goes to `inputs`; before the start there are none.
     async fn carry_out(
         &self,
-        source: &Source,
+        source: &ConfigSource,
         inputs: Option<&UnboundedSender<input::Input>>,
         effects: Vec<Effect>,
     ) {
@@ -172,11 +172,11 @@
     }
 
     /// The configuration with this policy, checked whole.
-    async fn check(&self, source: &Source, numbered: &NumberedPolicy) -> Result<Config, String> {
+    async fn check(&self, source: &ConfigSource, numbered: &NumberedPolicy) -> Result<Config, String> {
         source.load_with(overlay(numbered)).await.map_err(|error| error.to_string())
     }
 
-    async fn watch(&self, source: &Source, inputs: &UnboundedSender<input::Input>) {
+    async fn watch(&self, source: &ConfigSource, inputs: &UnboundedSender<input::Input>) {
         let mut locks = self.locks();
         loop {
             match self.look(&mut locks, self.settings.ttl / 4).await {
@@ -286,7 +286,7 @@
 }
 
 impl PolicyAgent for Follower {
-    fn join<'a>(&'a self, source: &'a Source) -> Task<'a> {
+    fn join<'a>(&'a self, source: &'a ConfigSource) -> Task<'a> {
         Box::pin(async move {
             let mut locks = self.locks();
             let look = async {
@@ -324,7 +324,11 @@
         PolicyStatus { unready_reason, figures }
     }
 
-    fn follow(self: Rc<Self>, source: Rc<Source>, inputs: UnboundedSender<input::Input>) -> Task<'static> {
+    fn follow(
+        self: Rc<Self>,
+        source: Rc<ConfigSource>,
+        inputs: UnboundedSender<input::Input>,
+    ) -> Task<'static> {
         Box::pin(async move {
             tokio::join!(self.watch(&source, &inputs), self.keep_registered(), self.report_status(&inputs));
         })
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use orchidyoke_forwarder::config::{Config, ConfigError};
 use orchidyoke_forwarder::log;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_forwarder::serve::serve;
 use std::error::Error;
 use std::path::PathBuf;
@@ -114,12 +114,13 @@
 }
 
 /// Where the configuration comes from, and who follows the policy of the fleet.
-type SourceAndPolicy = (Source, Option<std::rc::Rc<dyn orchidyoke_forwarder::policy_agent::PolicyAgent>>);
+type SourceAndPolicy =
+    (ConfigSource, Option<std::rc::Rc<dyn orchidyoke_forwarder::policy_agent::PolicyAgent>>);
 
 impl Given {
-    fn source(self) -> Result<Source, ConfigError> {
+    fn source(self) -> Result<ConfigSource, ConfigError> {
         let missing = "no configuration: give --config FILE, or EDGE_CONFIG in the environment";
-        Ok(Source {
+        Ok(ConfigSource {
             path: self.config.ok_or_else(|| ConfigError::new(missing))?,
             listen: self.listen,
             discovery: self.discovery,
@@ -128,7 +129,7 @@
             installation: self.settings.map(|path| Box::new(Script(path)) as Box<_>),
             #[cfg(not(feature = "installations"))]
             installation: None,
-            ..Source::default()
+            ..ConfigSource::default()
         })
     }
 
@@ -180,10 +181,14 @@
 fn print(config: &Config) {
     let set = &config.settings;
     println!("name: {}", config.name);
-    println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_start(None));
+    println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_startup(None));
     println!("classes: {}", config.names.classes.join(", "));
     println!("kinds of destination: {}", config.names.kinds.join(", "));
-    println!("endpoints known: {} (version {})", config.known.endpoints.len(), config.known.version);
+    println!(
+        "endpoints known: {} (version {})",
+        config.initial_list.endpoints.len(),
+        config.initial_list.version
+    );
     println!(
         "{} calls out at once, {} messages held, {} attempts each",
         set.max_calls, set.max_open_messages, set.max_attempts
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -28,7 +28,7 @@
 
 /// Joins what a script wants and the platform's configuration.
 pub fn join(path: &Path, wanted: Wanted, config: Config) -> Result<Config, ConfigError> {
-    let faults = wanted.check(&config.names, config.limits.sockets);
+    let faults = wanted.check(&config.names, config.limits.max_descriptors);
     if !faults.is_empty() {
         return Err(ConfigError::new(format!("{}: {}", path.display(), faults.join("; "))));
     }
