--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -1,4 +1,6 @@
-//! The configuration: what the platform tells a forwarder at its start.
+//! The forwarder's configuration: the file that the platform writes, read and checked as a whole.
+//!
+//! Used at the start and at each reload. A configuration with any error in it is rejected; nothing of it is used.
 
 use crate::catalogue::Catalogue;
 use crate::ownership::Owners;
@@ -8,8 +10,19 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
+use std::io;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
+use thiserror::Error;
+
+/// Descriptors that are in use beside connections: standard streams, the runtime, the journal and its compaction,
+/// listeners, other processes' journals, two watches on the endpoint list, notifications.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// Client connections that are accepted however low the limit on descriptors is.
+const MIN_CLIENT_CONNECTIONS: usize = 8;
+/// The lowest limit on descriptors that the forwarder accepts.
+const MIN_DESCRIPTORS: usize = 64;
 
 /// The file as it is written.
 #[derive(Deserialize)]
@@ -32,65 +45,121 @@
 /// What the machine allows.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors at once.
+    /// Open file descriptors.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Size of the folder that lasts, in MB (2^20 bytes).
+    /// Size of the journal's folder, in MB (2^20 bytes).
     pub disk_mb: f64,
 }
 
-/// Descriptors set aside for the process's own: standard streams, the runtime's, the journal and its rewrite, listeners,
-/// other processes' files, the watch on discovery and the one after it, notices.
-const RESERVED_DESCRIPTORS: usize = 16;
-
-/// Clients that are taken however few descriptors there are.
-const MIN_CLIENT_CONNECTIONS: usize = 8;
-
 impl Limits {
-    /// Connections to next hops at once, idle ones counted: room for as many as there are slots, and a part of the
-    /// descriptors for idle ones.
-    pub fn max_endpoint_connections(&self, slots: usize) -> usize {
-        slots + (self.max_descriptors / 4).min((self.max_descriptors / 3).saturating_sub(slots))
+    /// Open connections to endpoints, idle ones included: one for each of `max_calls`, and part of the other descriptors
+    /// for idle ones.
+    pub fn max_endpoint_connections(&self, max_calls: usize) -> usize {
+        let idle_share = self.max_descriptors / 4;
+        let idle_left = (self.max_descriptors / 3).saturating_sub(max_calls);
+        max_calls + idle_share.min(idle_left)
     }
 
-    /// Clients at once: half of the descriptors, and no more than next hops, operators (`callers`) and what is set aside
-    /// leave. However many connect, none of those is short of one.
-    pub fn max_client_connections(&self, slots: usize, callers: usize) -> usize {
-        let others = self.max_endpoint_connections(slots) + callers + RESERVED_DESCRIPTORS;
-        self.max_descriptors.saturating_sub(others).min(self.max_descriptors / 2).max(MIN_CLIENT_CONNECTIONS)
+    /// Open client connections: at most half of the descriptors, and no more than endpoints, the console and
+    /// [`RESERVED_DESCRIPTORS`] leave, so that clients cannot starve those.
+    pub fn max_client_connections(&self, max_calls: usize, max_console_connections: usize) -> usize {
+        let endpoint_connections = self.max_endpoint_connections(max_calls);
+        let others = endpoint_connections + max_console_connections + RESERVED_DESCRIPTORS;
+        let left = self.max_descriptors.saturating_sub(others);
+        left.min(self.max_descriptors / 2).max(MIN_CLIENT_CONNECTIONS)
     }
-}
 
-/// Why the configuration cannot be used, in one line.
-#[derive(Debug)]
-pub struct ConfigError(String);
-
-impl ConfigError {
-    /// Any other reason, in one line.
-    pub fn new(why: impl fmt::Display) -> Self {
-        ConfigError(why.to_string())
+    fn check(&self) -> Result<(), ConfigError> {
+        if self.max_descriptors < MIN_DESCRIPTORS {
+            return Err(ConfigError::TooFewDescriptors);
+        }
+        if self.disk_mb.is_nan() || self.disk_mb <= 0.0 {
+            return Err(ConfigError::NoDiskSpace);
+        }
+        Ok(())
     }
 }
 
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a configuration cannot be used. The text is one line and names the setting as it stands in the file.
+#[derive(Debug, Error)]
+#[non_exhaustive]
+pub enum ConfigError {
+    /// An error in this file.
+    #[error("{}: {source}", .path.display())]
+    InFile {
+        /// The configuration file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: Box<ConfigError>,
+    },
+    /// The file cannot be read.
+    #[error(transparent)]
+    Unreadable(#[from] io::Error),
+    /// The file is longer than a configuration may be.
+    #[error("more than {max_mib} MiB")]
+    TooLarge {
+        /// The limit, in MiB.
+        max_mib: usize,
+    },
+    /// The file is not JSON, or a field has the wrong form.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// A field of `settings` has the wrong form.
+    #[error("settings: {0}")]
+    MalformedSettings(#[source] serde_json::Error),
+    /// A field of `settings` is missing, zero or empty.
+    #[error("settings: {field}: missing or nothing in it")]
+    EmptySetting {
+        /// The field's path within `settings`.
+        field: &'static str,
+    },
+    /// The limit on descriptors leaves too few for the forwarder to work with.
+    #[error("limits: sockets: {MIN_DESCRIPTORS} is the least to work with")]
+    TooFewDescriptors,
+    /// The journal has no space.
+    #[error("limits: disk_mb: must be above 0")]
+    NoDiskSpace,
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: not hex digits: {0:?}")]
+    InvalidSeed(String),
+    /// An address is given neither in the file nor on the command line.
+    #[error("{field}: no address is given")]
+    MissingAddress {
+        /// The field of the file.
+        field: &'static str,
+    },
+    /// An address is not of the form `IP:PORT`.
+    #[error("{field}: not an address and port: {text}")]
+    InvalidAddress {
+        /// The field of the file.
+        field: &'static str,
+        /// What it holds.
+        text: String,
+    },
+    /// An extension of the configuration (an installation's settings, a fleet's policy) cannot be used.
+    #[error("{0}")]
+    Extension(String),
 }
 
-impl std::error::Error for ConfigError {}
+impl ConfigError {
+    /// An error of an extension of the configuration, described in one line.
+    pub fn extension(reason: impl fmt::Display) -> Self {
+        ConfigError::Extension(reason.to_string())
+    }
+}
 
-/// Where discovery answers: the file says it, and what is given apart from the file may say otherwise.
+/// The address of discovery. An address from the command line overrides the file's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryAddress {
-    /// Given apart from the file.
+    /// The address that the command line gave, if any.
     pub from_command_line: Option<SocketAddr>,
-    /// What the file says; where it says nothing, what was given.
+    /// The file's address; without one, the command line's.
     pub configured: SocketAddr,
 }
 
 impl DiscoveryAddress {
-    /// The address at a start: what was given, unless a reload has put the file in its place since.
+    /// The address to use at the start: the command line's, unless a reload of the file has superseded that one since.
     pub fn at_startup(&self, superseded: Option<SocketAddr>) -> SocketAddr {
         self.from_command_line.filter(|given| Some(*given) != superseded).unwrap_or(self.configured)
     }
@@ -101,80 +170,52 @@
 pub struct Config {
     /// The forwarder's name.
     pub name: String,
-    /// Where the sender side connects.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: DiscoveryAddress,
-    /// Where operators connect, if they do.
+    /// The address for operators, if there is a console.
     pub console: Option<SocketAddr>,
-    /// The catalogue that tells the transport map in the place of discovery.
+    /// The source of the endpoint list in the place of discovery.
     pub catalogue: Option<Rc<dyn Catalogue>>,
     /// The owners of destinations; without them this forwarder delivers everything itself.
     pub owners: Option<Rc<dyn Owners>>,
-    /// Seed of the module's chance.
+    /// Seed of the random numbers in decisions.
     pub seed: u64,
     /// What the machine allows.
     pub limits: Limits,
-    /// The transport map as last held.
+    /// The endpoint list that the platform last saw, until discovery sends a newer one.
     pub initial_list: WatchEvent,
-    /// Endpoints that the fleet has agreed to leave out, by id.
+    /// Ids of endpoints that the fleet's policy has ejected.
     pub policy_ejected: BTreeSet<String>,
-    /// The module's settings.
+    /// The settings of the decisions.
     pub settings: Settings,
     /// Names behind the numbers of the settings.
     pub names: Names,
 }
 
-/// Reads an address: what is given apart from the file goes before what the file says.
-pub(crate) fn parse_address(
-    what: &str,
-    given: Option<&str>,
-    file: Option<String>,
-) -> Result<SocketAddr, ConfigError> {
-    let text = given.map(str::to_owned).or(file);
-    let text = text.ok_or_else(|| ConfigError(format!("{what}: no address is given")))?;
-    text.parse().map_err(|_| ConfigError(format!("{what}: not an address and port: {text}")))
-}
-
 impl Config {
-    /// Reads the text of a configuration.
+    /// Reads and checks the text of a configuration. `listen` and `discovery` are the command line's addresses, which
+    /// override the text's.
+    ///
+    /// # Errors
+    ///
+    /// The first thing that is wrong, named as it stands in the text.
     pub fn read(text: &str, listen: Option<&str>, discovery: Option<&str>) -> Result<Self, ConfigError> {
-        let file: ConfigFile = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
+        let file: ConfigFile = serde_json::from_str(text)?;
         let (settings, names) =
-            settings::read(file.settings.get()).map_err(|e| ConfigError(format!("settings: {e}")))?;
-        for (what, missing) in [
-            ("classes", settings.classes.is_empty()),
-            ("host_types", settings.kinds.is_empty()),
-            ("family_info.slots", settings.max_calls == 0),
-            ("limits.dial_timeout_us", settings.connect_timeout <= 0),
-            ("limits.idle_close_us", settings.idle_timeout <= 0),
-        ] {
-            if missing {
-                return Err(ConfigError(format!("settings: {what}: missing or nothing in it")));
-            }
-        }
-        if file.limits.max_descriptors < 64 {
-            return Err(ConfigError("limits: sockets: 64 is the least to work with".to_owned()));
-        }
-        if file.limits.disk_mb.is_nan() || file.limits.disk_mb <= 0.0 {
-            return Err(ConfigError("limits: disk_mb: must be above 0".to_owned()));
-        }
+            settings::read(file.settings.get()).map_err(ConfigError::MalformedSettings)?;
+        check_settings(&settings)?;
+        file.limits.check()?;
         let seed = u64::from_str_radix(&file.seed, 16);
-        let seed = seed.map_err(|_| ConfigError(format!("seed: not hex digits: {:?}", file.seed)))?;
-        let given = discovery.map(|text| parse_address("discovery", Some(text), None)).transpose()?;
-        let discovery = DiscoveryAddress {
-            from_command_line: given,
-            configured: parse_address(
-                "discovery",
-                None,
-                file.discovery.or(given.map(|address| address.to_string())),
-            )?,
-        };
+        let seed = seed.map_err(|_| ConfigError::InvalidSeed(file.seed))?;
+        let discovery = discovery_address(discovery, file.discovery)?;
+        let listen = listen.map(str::to_owned).or(file.listen);
         Ok(Config {
             name: file.name,
-            listen: parse_address("listen", listen, file.listen)?,
+            listen: required_address("listen", listen)?,
             discovery,
-            console: file.console.map(|text| parse_address("console", Some(&text), None)).transpose()?,
+            console: file.console.map(|text| parse_address("console", text)).transpose()?,
             catalogue: None,
             owners: None,
             seed,
@@ -186,3 +227,40 @@
         })
     }
 }
+
+fn check_settings(settings: &Settings) -> Result<(), ConfigError> {
+    for (field, is_empty) in [
+        ("classes", settings.classes.is_empty()),
+        ("host_types", settings.kinds.is_empty()),
+        ("family_info.slots", settings.max_calls == 0),
+        ("limits.dial_timeout_us", settings.connect_timeout <= 0),
+        ("limits.idle_close_us", settings.idle_timeout <= 0),
+    ] {
+        if is_empty {
+            return Err(ConfigError::EmptySetting { field });
+        }
+    }
+    Ok(())
+}
+
+fn discovery_address(
+    command_line: Option<&str>,
+    file: Option<String>,
+) -> Result<DiscoveryAddress, ConfigError> {
+    let from_command_line =
+        command_line.map(|text| parse_address("discovery", text.to_owned())).transpose()?;
+    let configured = match (file, from_command_line) {
+        (None, Some(address)) => address,
+        (file, _) => required_address("discovery", file)?,
+    };
+    Ok(DiscoveryAddress { from_command_line, configured })
+}
+
+fn required_address(field: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigError> {
+    parse_address(field, text.ok_or(ConfigError::MissingAddress { field })?)
+}
+
+/// Reads an address of the form `IP:PORT`.
+pub(crate) fn parse_address(field: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::InvalidAddress { field, text })
+}
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -1,12 +1,12 @@
-//! Descriptors: what each part may have at once, added up.
+//! The limits on open connections against the limit on descriptors.
 
 use orchidyoke_forwarder::config::Limits;
 use orchidyoke_forwarder::console_listener::MAX_CONNECTIONS;
 
-// Guards against clients that fill the descriptors and leave none for next hops, operators, or discovery when it is asked
+// Guards against clients that fill the descriptors and leave none for endpoints, operators, or discovery when it is asked
 // again: with any limit and any number of slots that fits into it, all parts together stay within.
 #[test]
-fn all_parts_together_stay_within_the_limit() {
+fn all_connections_together_stay_within_the_descriptor_limit() {
     for sockets in 64..2000 {
         for slots in [1, 3, 6, 17, sockets / 8, sockets / 4] {
             let limits = Limits { max_descriptors: sockets, disk_mb: 1.0 };
--- a/crates/policy-commit/src/follow.rs
+++ b/crates/policy-commit/src/follow.rs
@@ -269,7 +269,11 @@
 const STAGED_FILE: &str = "policy-staged.json";
 
 fn overlay(numbered: &NumberedPolicy) -> impl Fn(&str) -> Result<String, ConfigError> + '_ {
-    |text| Policy::read(&numbered.policy).and_then(|policy| policy.lay_over(text)).map_err(ConfigError::new)
+    |text| {
+        Policy::read(&numbered.policy)
+            .and_then(|policy| policy.lay_over(text))
+            .map_err(ConfigError::extension)
+    }
 }
 
 impl PolicyOverlay for Follower {
--- a/src/config_source.rs
+++ b/src/config_source.rs
@@ -14,7 +14,7 @@
 pub fn from_args(args: ConfigArgs) -> Result<ConfigSource, ConfigError> {
     let missing = "no configuration: give --config FILE, or EDGE_CONFIG in the environment";
     Ok(ConfigSource {
-        path: args.config.ok_or_else(|| ConfigError::new(missing))?,
+        path: args.config.ok_or_else(|| ConfigError::extension(missing))?,
         listen: args.listen,
         discovery: args.discovery,
         console: args.console,
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -24,20 +24,20 @@
 ///
 /// All that is wrong in the script.
 pub fn read(path: &Path) -> Result<Settings, ConfigError> {
-    let program = std::env::current_exe().map_err(ConfigError::new)?;
+    let program = std::env::current_exe().map_err(ConfigError::extension)?;
     let mut command = Command::new(program);
     command.arg(EVALUATE_COMMAND).arg(path);
-    orchidyoke_config::load(path, command).map_err(ConfigError::new)
+    orchidyoke_config::load(path, command).map_err(ConfigError::extension)
 }
 
 /// Extends the platform's configuration by what the script in `path` asks for.
 fn extend(path: &Path, settings: Settings, config: Config) -> Result<Config, ConfigError> {
     let faults = settings.check(&config.names, config.limits.max_descriptors);
     if !faults.is_empty() {
-        return Err(ConfigError::new(format!("{}: {}", path.display(), faults.join("; "))));
+        return Err(ConfigError::extension(format!("{}: {}", path.display(), faults.join("; "))));
     }
     let catalogue = settings.consul.map(|consul| Rc::new(Consul::new(consul)) as Rc<_>);
-    let owners = settings.ownership.map(StaticOwners::new).transpose().map_err(ConfigError::new)?;
+    let owners = settings.ownership.map(StaticOwners::new).transpose().map_err(ConfigError::extension)?;
     let owners = owners.map(|owners| Rc::new(owners) as Rc<_>);
     Ok(Config { catalogue, owners, ..config })
 }
@@ -48,7 +48,7 @@
             let path = self.0.clone();
             // The forwarder goes on answering while the script is evaluated.
             let settings = tokio::task::spawn_blocking(move || read(&path)).await;
-            extend(&self.0, settings.map_err(ConfigError::new)??, config)
+            extend(&self.0, settings.map_err(ConfigError::extension)??, config)
         })
     }
 }
