--- /dev/null
+++ b/crates/forwarder/src/log/tests.rs
@@ -0,0 +1,12 @@
+use super::*;
+use std::time::Duration;
+
+// Guards against a log that grows with the trouble it tells of.
+#[test]
+fn a_flood_is_cut_and_counted() {
+    let start = Instant::now();
+    let mut bucket = Bucket { lines: BURST, filled: None, dropped: 0 };
+    let written = (0..1000).filter(|_| bucket.take(start).is_some()).count();
+    assert_eq!(written, BURST as usize);
+    assert_eq!(bucket.take(start + Duration::from_secs(1)), Some(1000 - BURST as u64));
+}
