--- a/crates/forwarder/src/client_api.rs
+++ b/crates/forwarder/src/client_api.rs
@@ -1,5 +1,7 @@
-//! The HTTP API for clients: the platform's protocol on the sender side. The core knows nothing of it; another API
-//! would submit the same [`Submission`]s and map the same [`SubmitAnswer`]s to its own responses.
+//! The HTTP API for clients: reads a request into a [`Submission`] and writes the reducer's [`SubmitAnswer`] as a response.
+//!
+//! Used by each client connection. Nothing else in the forwarder depends on this protocol: another API would submit the
+//! same values and map the same answers to responses of its own.
 
 use crate::input::{IDEMPOTENCY_KEY, Input, RequestId, Submission, SubmitAnswer};
 use crate::ownership::Marked;
@@ -8,7 +10,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::{Method, Request, Response, StatusCode};
-use orchidyoke_core::interface::Micros;
+use orchidyoke_core::interface::{DestinationId, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::ops::RangeInclusive;
@@ -20,40 +22,40 @@
 
 /// Largest body that the protocol allows.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Longest id, class or tenant that is taken.
+/// Longest id, tenant or other header value that is accepted.
 const MAX_FIELD_BYTES: usize = 256;
-/// What a client can mean by the time that a message has left, in seconds: a day is beyond any class.
+/// Time left to deliver a message, in seconds: no class allows a day.
 const TIME_LEFT_SECONDS: RangeInclusive<f64> = 0.0..=86_400.0;
-/// A body that has not come by then does not come: a client itself gives up 400 ms after its request.
+/// Time for a body to arrive. A client itself gives up 400 ms after its request.
 const BODY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Connects the requests of clients with the reducer.
+/// Connects client requests with the reducer.
 pub struct ClientGateway {
     inputs: UnboundedSender<Input>,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<SubmitAnswer>>>,
-    next: Cell<RequestId>,
+    next_request: Cell<RequestId>,
 }
 
 impl ClientGateway {
     /// A gateway to the reducer behind `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
-        Rc::new(ClientGateway { inputs, waiting: RefCell::default(), next: Cell::new(0) })
+        Rc::new(ClientGateway { inputs, waiting: RefCell::default(), next_request: Cell::new(0) })
     }
 
-    /// Answers a request that waits; one that is gone needs no answer.
-    pub fn answer(&self, ticket: RequestId, answer: SubmitAnswer) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
+    /// Answers a waiting request. Does nothing if its client is gone.
+    pub fn answer(&self, request: RequestId, answer: SubmitAnswer) {
+        if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
             let _ = waiting.send(answer);
         }
     }
 
     async fn submit(&self, message: Submission) -> SubmitAnswer {
-        let ticket = self.next.get();
-        self.next.set(ticket + 1);
+        let request = self.next_request.get();
+        self.next_request.set(request + 1);
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, sender);
-        let _guard = Waiting { gateway: self, ticket };
-        self.report(Input::Submitted { request: ticket, message });
+        self.waiting.borrow_mut().insert(request, sender);
+        let _guard = WaitingRequest { gateway: self, request };
+        self.report(Input::Submitted { request, message });
         receiver.await.unwrap_or(SubmitAnswer::Failed)
     }
 
@@ -64,148 +66,211 @@
     }
 }
 
-/// A request that waits. Dropped unanswered, its client has closed the connection.
-struct Waiting<'a> {
+/// A request that waits for its answer. Dropped without one, its client has closed the connection.
+struct WaitingRequest<'a> {
     gateway: &'a ClientGateway,
-    ticket: RequestId,
+    request: RequestId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
-        if self.gateway.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.gateway.report(Input::Withdrawn { request: self.ticket });
+        if self.gateway.waiting.borrow_mut().remove(&self.request).is_some() {
+            self.gateway.report(Input::Withdrawn { request: self.request });
         }
     }
 }
 
-/// Why a request is not taken: the status and a few words.
+/// A request that breaks the protocol: its response.
 #[derive(Debug, PartialEq)]
-struct Fault(StatusCode, &'static str);
+struct RequestError {
+    status: StatusCode,
+    text: &'static str,
+}
+
+impl RequestError {
+    const BODY_TOO_LARGE: RequestError =
+        RequestError { status: StatusCode::PAYLOAD_TOO_LARGE, text: "the body is over 64 KiB\n" };
+
+    fn bad_request(text: &'static str) -> Self {
+        RequestError { status: StatusCode::BAD_REQUEST, text }
+    }
+
+    /// The response, which ends the connection: its client does not keep to the protocol.
+    fn into_response(self) -> Response<Full<Bytes>> {
+        let mut response = plain_response(self.status, self.text);
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+    }
+}
 
-fn plain(status: StatusCode, words: &'static str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from_static(words.as_bytes())));
+fn plain_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// Answers one request. An answer with `Connection: close` is the last: its client does not keep to the protocol.
+/// Answers one request: submits the message in it, or reports the process's health. `is_shutting_down`: the process accepts
+/// no more clients, and `/healthz` says so.
 pub async fn respond(
     gateway: &ClientGateway,
     request: Request<Incoming>,
-    ending: bool,
+    is_shutting_down: bool,
 ) -> Response<Full<Bytes>> {
     if request.headers().contains_key(TRANSFER_ENCODING) {
         // Beside a Content-Length it may hide another request in the body, and the library keeps only one of them.
-        return refuse(Fault(StatusCode::LENGTH_REQUIRED, "Content-Length alone says where a body ends\n"));
+        let text = "Content-Length alone says where a body ends\n";
+        return RequestError { status: StatusCode::LENGTH_REQUIRED, text }.into_response();
     }
     if request.uri().path() == "/healthz" {
-        return match (request.method(), ending) {
-            (&Method::GET | &Method::HEAD, false) => plain(StatusCode::OK, "ready\n"),
-            (&Method::GET | &Method::HEAD, true) => plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
-            _ => plain(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
-        };
+        return health_response(request.method(), is_shutting_down);
     }
-    match take(request).await {
-        Ok(message) => tell(gateway.submit(message).await),
-        Err(fault) => refuse(fault),
+    match read_request(request).await {
+        Ok(message) => submit_response(gateway.submit(message).await),
+        Err(error) => error.into_response(),
     }
 }
 
-fn refuse(Fault(status, words): Fault) -> Response<Full<Bytes>> {
-    let mut response = plain(status, words);
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-    response
+fn health_response(method: &Method, is_shutting_down: bool) -> Response<Full<Bytes>> {
+    match (method, is_shutting_down) {
+        (&Method::GET | &Method::HEAD, false) => plain_response(StatusCode::OK, "ready\n"),
+        (&Method::GET | &Method::HEAD, true) => plain_response(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
+        _ => plain_response(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
+    }
 }
 
-/// Reads a message out of a request.
-async fn take(request: Request<Incoming>) -> Result<Submission, Fault> {
-    let came = Instant::now();
+async fn read_request(request: Request<Incoming>) -> Result<Submission, RequestError> {
+    let received_at = Instant::now();
     if request.method() != Method::POST {
-        return Err(Fault(StatusCode::METHOD_NOT_ALLOWED, "POST only\n"));
+        return Err(RequestError { status: StatusCode::METHOD_NOT_ALLOWED, text: "POST only\n" });
     }
     if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
-        return Err(TOO_LARGE);
+        return Err(RequestError::BODY_TOO_LARGE);
     }
     let (parts, body) = request.into_parts();
     let class = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let mut message = read_head(class, &parts.headers)?;
-    let body = timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await;
-    let body = body.map_err(|_| Fault(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"))?;
-    let body = body.map_err(|error| {
-        let large = error.is::<LengthLimitError>();
-        if large { TOO_LARGE } else { Fault(StatusCode::BAD_REQUEST, "the body could not be read\n") }
-    })?;
-    // A slice of what was read ahead would hold all of that in memory as long as the message is held.
-    message.body = Bytes::copy_from_slice(&body.to_bytes());
+    let mut message = parse_head(class, &parts.headers)?;
+    message.body = read_body(body).await?;
     // The time to deliver it counts from when the client sent it.
-    message.time_left -= came.elapsed().as_micros() as Micros;
+    message.time_left -= received_at.elapsed().as_micros() as Micros;
     Ok(message)
 }
 
-const TOO_LARGE: Fault = Fault(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
-
-fn bad(words: &'static str) -> Fault {
-    Fault(StatusCode::BAD_REQUEST, words)
+async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
+    let body = timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await;
+    let body = body
+        .map_err(|_| RequestError { status: StatusCode::REQUEST_TIMEOUT, text: "the body did not come\n" })?;
+    let body = body.map_err(|error| {
+        let is_too_large = error.is::<LengthLimitError>();
+        if is_too_large {
+            RequestError::BODY_TOO_LARGE
+        } else {
+            RequestError::bad_request("the body could not be read\n")
+        }
+    })?;
+    // A slice of the read buffer would keep all of that buffer in memory for as long as the message.
+    Ok(Bytes::copy_from_slice(&body.to_bytes()))
 }
 
-/// A header that is there once, or none. Of two that differ another reader may take the other; the same once more says
-/// nothing new, but only of what has no other meaning twice.
-fn only<'a>(headers: &'a HeaderMap, name: &str, same_again: bool) -> Result<Option<&'a HeaderValue>, ()> {
-    let mut values = headers.get_all(name).iter();
-    let Some(first) = values.next() else { return Ok(None) };
-    if values.all(|other| same_again && other == first) { Ok(Some(first)) } else { Err(()) }
-}
-
-/// A message without its body yet. Whether its class needs a key, and the deployment tenants, the reducer knows.
-fn read_head(class: &str, headers: &HeaderMap) -> Result<Submission, Fault> {
-    let name = |header: &str| {
-        let only = only(headers, header, false).ok().flatten();
-        let text = only.and_then(|value| value.to_str().ok()).unwrap_or_default().trim();
-        (!text.is_empty() && text.len() <= MAX_FIELD_BYTES).then(|| text.to_owned())
-    };
-    let txn = name("X-Txn").ok_or(bad("X-Txn: missing or malformed\n"))?;
-    let org = name("X-Org");
-    if org.is_none() && headers.contains_key("X-Org") {
-        return Err(bad("X-Org: malformed\n"));
-    }
-    // Passed on as it came: it is read here only as far as it has to be one key that a header can carry again.
-    let key = only(headers, IDEMPOTENCY_KEY, true).map_err(|()| bad("Idempotency-Key: two that differ\n"))?;
-    let key = key.map(|key| key.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MAX_FIELD_BYTES));
-    let key = key.map(|key| key.ok_or(bad("Idempotency-Key: malformed\n"))).transpose()?.map(str::to_owned);
-    let remaining = name("X-Remaining").ok_or(bad("X-Remaining: missing or malformed\n"))?;
-    let remaining = remaining.parse().ok().filter(|seconds| TIME_LEFT_SECONDS.contains(seconds));
-    let remaining = remaining.ok_or(bad("X-Remaining: not seconds\n"))?;
-    let consignee = name("X-Consignee").ok_or(bad("X-Consignee: missing or malformed\n"))?;
-    let dest = consignee.split([',', ';', ' ']).find_map(|pair| pair.trim().strip_prefix("dest="));
-    let dest = dest.filter(|number| number.bytes().all(|byte| byte.is_ascii_digit()));
-    let dest =
-        dest.and_then(|number| number.parse().ok()).ok_or(bad("X-Consignee: no dest=NUMBER in it\n"))?;
+/// Reads the headers of a message; its body is left empty. Whether its class needs an idempotency key and the deployment
+/// a tenant is the reducer's to check.
+fn parse_head(class: &str, headers: &HeaderMap) -> Result<Submission, RequestError> {
+    let id = text_field(headers, "X-Txn");
+    let id = id.ok_or(RequestError::bad_request("X-Txn: missing or malformed\n"))?;
+    let tenant = text_field(headers, "X-Org");
+    if tenant.is_none() && headers.contains_key("X-Org") {
+        return Err(RequestError::bad_request("X-Org: malformed\n"));
+    }
+    let idempotency_key = parse_idempotency_key(headers)?;
+    let time_left = parse_time_left(headers)?;
+    let destination = parse_destination(headers)?;
     Ok(Submission {
-        id: txn,
+        id,
         class: class.to_owned(),
-        tenant: org,
-        idempotency_key: key,
-        destination: dest,
-        time_left: (remaining * 1e6) as Micros,
+        tenant,
+        idempotency_key,
+        destination,
+        time_left,
         is_retry: headers.get("X-Resent").is_some_and(|value| value == "1"),
         handover_mark: Marked::read(headers),
         body: Bytes::new(),
     })
 }
 
-fn tell(answer: SubmitAnswer) -> Response<Full<Bytes>> {
-    let mut response = match answer {
-        SubmitAnswer::Accepted => plain(StatusCode::ACCEPTED, ""),
-        SubmitAnswer::Rejected(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "deferred\n"),
-        SubmitAnswer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
-        SubmitAnswer::Incomplete(words) => plain(StatusCode::BAD_REQUEST, words),
-        SubmitAnswer::UnknownClass => plain(StatusCode::NOT_FOUND, "there is no such class\n"),
+/// The key as it came, to be forwarded unchanged.
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, RequestError> {
+    let key = single_value(headers, IDEMPOTENCY_KEY, Repetition::AllowedIfEqual);
+    let key = key.map_err(|_| RequestError::bad_request("Idempotency-Key: two that differ\n"))?;
+    let Some(key) = key else { return Ok(None) };
+    let text = key.to_str().ok().filter(|text| !text.is_empty() && text.len() <= MAX_FIELD_BYTES);
+    let text = text.ok_or(RequestError::bad_request("Idempotency-Key: malformed\n"))?;
+    Ok(Some(text.to_owned()))
+}
+
+fn parse_time_left(headers: &HeaderMap) -> Result<Micros, RequestError> {
+    let text = text_field(headers, "X-Remaining");
+    let text = text.ok_or(RequestError::bad_request("X-Remaining: missing or malformed\n"))?;
+    let seconds = text.parse().ok().filter(|seconds| TIME_LEFT_SECONDS.contains(seconds));
+    let seconds: f64 = seconds.ok_or(RequestError::bad_request("X-Remaining: not seconds\n"))?;
+    Ok((seconds * 1e6) as Micros)
+}
+
+/// The number behind `dest=` in the pairs of `X-Consignee`.
+fn parse_destination(headers: &HeaderMap) -> Result<DestinationId, RequestError> {
+    let consignee = text_field(headers, "X-Consignee");
+    let consignee = consignee.ok_or(RequestError::bad_request("X-Consignee: missing or malformed\n"))?;
+    let number = consignee.split([',', ';', ' ']).find_map(|pair| pair.trim().strip_prefix("dest="));
+    let number = number.filter(|number| number.bytes().all(|byte| byte.is_ascii_digit()));
+    let number = number.and_then(|number| number.parse().ok());
+    number.ok_or(RequestError::bad_request("X-Consignee: no dest=NUMBER in it\n"))
+}
+
+/// A header's text without surrounding blanks; none if it is absent, empty, too long, not text or there twice.
+fn text_field(headers: &HeaderMap, name: &str) -> Option<String> {
+    let value = single_value(headers, name, Repetition::Forbidden).ok().flatten()?;
+    let text = value.to_str().unwrap_or_default().trim();
+    (!text.is_empty() && text.len() <= MAX_FIELD_BYTES).then(|| text.to_owned())
+}
+
+/// Whether a header may be there more than once.
+#[derive(Clone, Copy, PartialEq)]
+enum Repetition {
+    Forbidden,
+    /// The same value again says nothing new.
+    AllowedIfEqual,
+}
+
+/// A header is there more than once, and another reader could take another of its values.
+struct AmbiguousHeader;
+
+fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &str,
+    repetition: Repetition,
+) -> Result<Option<&'a HeaderValue>, AmbiguousHeader> {
+    let mut values = headers.get_all(name).iter();
+    let Some(first) = values.next() else { return Ok(None) };
+    let is_unambiguous = values.all(|other| repetition == Repetition::AllowedIfEqual && other == first);
+    if is_unambiguous { Ok(Some(first)) } else { Err(AmbiguousHeader) }
+}
+
+fn submit_response(answer: SubmitAnswer) -> Response<Full<Bytes>> {
+    match answer {
+        SubmitAnswer::Accepted => plain_response(StatusCode::ACCEPTED, ""),
+        SubmitAnswer::Rejected(retry_after) => rejected_response(retry_after),
+        SubmitAnswer::Failed => plain_response(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
+        SubmitAnswer::Incomplete(text) => plain_response(StatusCode::BAD_REQUEST, text),
+        SubmitAnswer::UnknownClass => plain_response(StatusCode::NOT_FOUND, "there is no such class\n"),
         SubmitAnswer::UnknownDestination => {
-            plain(StatusCode::UNPROCESSABLE_ENTITY, "there is no such destination\n")
+            plain_response(StatusCode::UNPROCESSABLE_ENTITY, "there is no such destination\n")
         }
-    };
-    if let SubmitAnswer::Rejected(pause @ 1..) = answer
-        && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", pause as f64 / 1e6))
+    }
+}
+
+/// A rejection, with `Retry-After` in decimal seconds unless it is 0.
+fn rejected_response(retry_after: Micros) -> Response<Full<Bytes>> {
+    let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "deferred\n");
+    if retry_after >= 1
+        && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after as f64 / 1e6))
     {
         response.headers_mut().insert(RETRY_AFTER, seconds);
     }
--- a/crates/forwarder/src/client_api/tests.rs
+++ b/crates/forwarder/src/client_api/tests.rs
@@ -9,12 +9,12 @@
     headers
 }
 
-// Guards against a panic or a message half understood where a header is missing, empty or no number.
+// Guards against a panic or a message read in part where a header is missing, empty or no number.
 #[test]
-fn malformed_headers_are_named() {
-    let good = read_head("status", &headers(&[("X-Resent", "again")])).expect("well formed");
+fn malformed_header_is_named_in_bad_request() {
+    let good = parse_head("status", &headers(&[("X-Resent", "again")])).expect("well formed");
     assert_eq!((good.destination, good.time_left, good.is_retry), (7, 480_000, false));
-    assert!(read_head("status", &headers(&[("X-Resent", "1")])).expect("well formed").is_retry);
+    assert!(parse_head("status", &headers(&[("X-Resent", "1")])).expect("well formed").is_retry);
     for (name, value, words) in [
         ("X-Txn", "", "X-Txn"),
         ("X-Org", " ", "X-Org"),
@@ -28,28 +28,29 @@
         ("X-Consignee", "7", "X-Consignee"),
         ("Idempotency-Key", "", "Idempotency-Key"),
     ] {
-        let Fault(status, said) = read_head("status", &headers(&[(name, value)])).expect_err(value);
+        let RequestError { status, text: said } =
+            parse_head("status", &headers(&[(name, value)])).expect_err(value);
         assert!(status == StatusCode::BAD_REQUEST && said.starts_with(words), "{name}: {value}: {said}");
     }
     let mut none = headers(&[]);
     none.remove("X-Txn");
-    assert!(read_head("status", &none).is_err());
+    assert!(parse_head("status", &none).is_err());
     let mut two = headers(&[]);
     two.append("X-Txn", HeaderValue::from_static("9b1e"));
-    assert!(read_head("status", &two).is_err(), "which of the two ids is it?");
+    assert!(parse_head("status", &two).is_err(), "which of the two ids is it?");
 }
 
 // Guards against a key that is changed on its way, or chosen from two, and against a header that a deployment
 // without tenants does not have.
 #[test]
-fn a_key_is_taken_as_it_came_and_a_tenant_may_be_absent() {
+fn idempotency_key_is_kept_verbatim_and_tenant_is_optional() {
     let key = |pairs: &[(&'static str, &'static str)]| {
         let mut headers = headers(&[]);
         headers.remove("X-Org");
         for (name, value) in pairs {
             headers.append(*name, HeaderValue::from_static(value));
         }
-        read_head("pedidos", &headers).map(|handed| (handed.tenant, handed.idempotency_key))
+        parse_head("pedidos", &headers).map(|handed| (handed.tenant, handed.idempotency_key))
     };
     assert_eq!(key(&[]), Ok((None, None)));
     let odd = "\"5c0F , 1\"";
@@ -57,14 +58,14 @@
     let twice = key(&[("Idempotency-Key", "a"), ("idempotency-key", "a")]);
     assert_eq!(twice, Ok((None, Some("a".to_owned()))));
     let two = key(&[("Idempotency-Key", "a"), ("Idempotency-Key", "b")]);
-    assert!(two.is_err_and(|fault| fault.1.starts_with("Idempotency-Key")));
+    assert!(two.is_err_and(|fault| fault.text.starts_with("Idempotency-Key")));
 }
 
-// Guards against a refusal that does not say when to come back.
+// Guards against a rejection without its Retry-After.
 #[test]
-fn a_deferred_client_is_told_when_to_come_back() {
-    let response = tell(SubmitAnswer::Rejected(1_250_000));
+fn rejection_carries_retry_after_in_decimal_seconds() {
+    let response = submit_response(SubmitAnswer::Rejected(1_250_000));
     assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(response.headers()[RETRY_AFTER], "1.250");
-    assert!(!tell(SubmitAnswer::Rejected(0)).headers().contains_key(RETRY_AFTER));
+    assert!(!submit_response(SubmitAnswer::Rejected(0)).headers().contains_key(RETRY_AFTER));
 }
