--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -1,136 +1,179 @@
-//! Which of the sender side's connections has to go when there are too many, as states. No socket is here.
+//! Which client connection has to go when there are too many: a state machine without sockets.
+//!
+//! Part of the limit is kept for connections in a lingering close, so that room for a new client costs no other client its
+//! answer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A client's connection, numbered anew each time.
+/// A client connection; numbers are not used again.
 pub type ConnectionId = u64;
 
-/// Who connects to ask does so at once: a connection that has asked nothing for longer goes first.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
-/// One part in so many is kept for connections whose close lingers: a place wanted at once costs no client its answer.
-const LINGERING_SHARE: usize = 8;
+/// Time for the first request. A client that connects to send one sends it at once; a connection without one for longer is
+/// evicted first.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// One part in so many of the limit is kept for lingering connections.
+const LINGERING_SHARE_DIVISOR: usize = 8;
 
-/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// It has not yet sent a whole request.
+    /// Has not yet sent a whole request.
     New,
-    /// A request of it is being answered.
+    /// A request is being answered.
     Busy,
-    /// It has had its last answer.
+    /// Its last request is answered.
     Idle,
-    /// It was told to close.
+    /// Evicted: told to close.
     Closing,
-    /// Its sending is ended; what its client still sends is dropped.
+    /// Its sending side is shut; what its client still sends is discarded.
     Lingering,
-    /// It was told to linger no more.
+    /// Told to stop lingering.
     Cut,
 }
 
 impl ConnectionState {
-    fn is_staying(self) -> bool {
+    fn is_serving(self) -> bool {
         matches!(self, ConnectionState::New | ConnectionState::Busy | ConnectionState::Idle)
     }
 }
 
-/// What one connection is told, so that another finds a place.
+/// What one connection is told, so that another fits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// To close, with all that belongs to that.
+    /// Close, with a lingering close.
     Close(ConnectionId),
-    /// To linger no more.
+    /// Stop lingering.
     Cut(ConnectionId),
 }
 
-/// All connections of the sender side: what each is doing, and since when.
+/// Order of eviction: the lowest goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    OverdueFirstRequest,
+    Idle,
+    JustConnected,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct TrackedConnection {
+    state: ConnectionState,
+    /// When it got into that state.
+    since: Instant,
+}
+
+/// All client connections, their states, and the limit on them.
 #[derive(Debug)]
 pub struct ConnectionLimit {
-    connections: BTreeMap<ConnectionId, (ConnectionState, Instant)>,
-    next: ConnectionId,
-    most: usize,
+    connections: BTreeMap<ConnectionId, TrackedConnection>,
+    last_id: ConnectionId,
+    max_connections: usize,
 }
 
 impl ConnectionLimit {
-    /// Nobody yet, and so many at once.
-    pub fn new(most: usize) -> Self {
-        ConnectionLimit { connections: BTreeMap::new(), next: 0, most }
+    /// No connections yet, and at most so many at once.
+    pub fn new(max_connections: usize) -> Self {
+        ConnectionLimit { connections: BTreeMap::new(), last_id: 0, max_connections }
     }
 
-    /// Whether another has to wait.
+    /// Whether another connection has to wait.
     pub fn is_full(&self) -> bool {
-        self.connections.len() >= self.most
+        self.connections.len() >= self.max_connections
     }
 
-    /// Another has connected.
+    /// A client has connected.
     pub fn on_connected(&mut self, now: Instant) -> ConnectionId {
-        self.next += 1;
-        self.connections.insert(self.next, (ConnectionState::New, now));
-        self.next
+        self.last_id += 1;
+        self.set_state(self.last_id, ConnectionState::New, now);
+        self.last_id
     }
 
-    /// It has sent a request.
+    /// A connection has sent a request. An eviction that crosses it stands.
     pub fn on_request(&mut self, id: ConnectionId, now: Instant) {
-        self.turn(id, ConnectionState::Busy, now);
+        self.set_serving_state(id, ConnectionState::Busy, now);
     }
 
-    /// Its request is answered.
+    /// A connection's request is answered.
     pub fn on_answered(&mut self, id: ConnectionId, now: Instant) {
-        self.turn(id, ConnectionState::Idle, now);
+        self.set_serving_state(id, ConnectionState::Idle, now);
     }
 
-    /// Its sending is ended: only its client keeps it.
+    /// A connection's sending side is shut: it stays open only for its client to close.
     pub fn on_lingering(&mut self, id: ConnectionId, now: Instant) {
-        if let Some(connection) = self.connections.get_mut(&id) {
-            *connection = (ConnectionState::Lingering, now);
-        }
-    }
-
-    fn turn(&mut self, id: ConnectionId, to: ConnectionState, now: Instant) {
-        if let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.0.is_staying())
-        {
-            *connection = (to, now);
+        if self.connections.contains_key(&id) {
+            self.set_state(id, ConnectionState::Lingering, now);
         }
     }
 
-    /// Its connection is closed.
+    /// A connection is closed.
     pub fn on_closed(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
-    /// Who has to go next, if one has to and one can. With no place left the one that lingers longest is cut. Where the
-    /// places kept for those that linger are in use, one closes: the one that has been silent longest since it connected,
-    /// then the one that has been idle longest, and with no place left one that has only just connected. None while all
-    /// are busy or going.
+    /// The connection that has to go next, if one has to and one can. With the limit reached, the one that lingers longest
+    /// is cut. While the part that is kept for lingering ones is in use, one closes: the one whose first request is longest
+    /// overdue, then the one that is idle longest, and with the limit reached one that has only just connected. None while
+    /// all are busy or closing.
     pub fn evict(&mut self, now: Instant) -> Option<Eviction> {
-        let spare = (self.most / LINGERING_SHARE).max(1);
-        let count = |which: fn(ConnectionState) -> bool| {
-            self.connections.values().filter(|(state, _)| which(*state)).count()
-        };
-        let (staying, cut) =
-            (count(ConnectionState::is_staying), count(|state| state == ConnectionState::Cut));
-        let closing = count(|state| state == ConnectionState::Closing);
-        let full = self.is_full();
-        let lingers = |(id, (state, since)): (&ConnectionId, &(ConnectionState, Instant))| {
-            (*state == ConnectionState::Lingering).then_some((*since, *id))
-        };
-        let longest = self.connections.iter().filter_map(lingers).min().filter(|_| full && cut == 0);
-        if let Some((_, id)) = longest {
-            self.connections.insert(id, (ConnectionState::Cut, now));
+        if let Some(id) = self.longest_lingering() {
+            self.set_state(id, ConnectionState::Cut, now);
             return Some(Eviction::Cut(id));
         }
-        if staying + spare <= self.most && !(full && cut + closing == 0) {
+        if !self.has_to_close_one() {
             return None;
         }
-        let rank = |(id, (state, since)): (&ConnectionId, &(ConnectionState, Instant))| match state {
-            ConnectionState::New if now - *since >= FIRST_REQUEST_TIME => Some((0, *since, *id)),
-            ConnectionState::Idle => Some((1, *since, *id)),
-            ConnectionState::New if full => Some((2, *since, *id)),
-            _ => None,
-        };
-        let (_, _, id) = self.connections.iter().filter_map(rank).min()?;
-        self.connections.insert(id, (ConnectionState::Closing, now));
+        let id = self.first_to_close(now)?;
+        self.set_state(id, ConnectionState::Closing, now);
         Some(Eviction::Close(id))
     }
+
+    /// The connection to cut: none while there is room, or while another that was cut has not gone yet.
+    fn longest_lingering(&self) -> Option<ConnectionId> {
+        if !self.is_full() || self.count(|state| state == ConnectionState::Cut) > 0 {
+            return None;
+        }
+        let lingering = self.connections.iter().filter(|(_, it)| it.state == ConnectionState::Lingering);
+        lingering.map(|(id, it)| (it.since, *id)).min().map(|(_, id)| id)
+    }
+
+    fn has_to_close_one(&self) -> bool {
+        let kept_for_lingering = (self.max_connections / LINGERING_SHARE_DIVISOR).max(1);
+        let serving = self.count(ConnectionState::is_serving);
+        let leaving = self.count(|state| matches!(state, ConnectionState::Closing | ConnectionState::Cut));
+        serving + kept_for_lingering > self.max_connections || self.is_full() && leaving == 0
+    }
+
+    fn first_to_close(&self, now: Instant) -> Option<ConnectionId> {
+        let ranked = self
+            .connections
+            .iter()
+            .filter_map(|(id, connection)| Some((self.rank(connection, now)?, connection.since, *id)));
+        ranked.min().map(|(_, _, id)| id)
+    }
+
+    fn rank(&self, connection: &TrackedConnection, now: Instant) -> Option<EvictionRank> {
+        match connection.state {
+            ConnectionState::New if now - connection.since >= FIRST_REQUEST_TIMEOUT => {
+                Some(EvictionRank::OverdueFirstRequest)
+            }
+            ConnectionState::Idle => Some(EvictionRank::Idle),
+            ConnectionState::New if self.is_full() => Some(EvictionRank::JustConnected),
+            _ => None,
+        }
+    }
+
+    fn count(&self, is_counted: impl Fn(ConnectionState) -> bool) -> usize {
+        self.connections.values().filter(|connection| is_counted(connection.state)).count()
+    }
+
+    fn set_state(&mut self, id: ConnectionId, state: ConnectionState, now: Instant) {
+        self.connections.insert(id, TrackedConnection { state, since: now });
+    }
+
+    /// Changes the state of a connection that has not been evicted.
+    fn set_serving_state(&mut self, id: ConnectionId, state: ConnectionState, now: Instant) {
+        if self.connections.get(&id).is_some_and(|connection| connection.state.is_serving()) {
+            self.set_state(id, state, now);
+        }
+    }
 }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -6,6 +6,8 @@
 pub mod backoff;
 pub mod catalogue;
 pub mod client_api;
+mod client_connection;
+pub mod client_connections;
 pub mod client_listener;
 pub mod config;
 pub mod connection_limit;
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -1,7 +1,8 @@
 //! The running forwarder: a clock, the reducer, and the effects that it asks for on sockets and files.
 
 use super::client_api::ClientGateway;
-use super::client_listener::{self, ClientConnections};
+use super::client_connections::ClientConnections;
+use super::client_listener;
 use super::connection_pool::EndpointConnectionId;
 use super::console_listener::{self, ConsoleGateway};
 use super::discovery::WatchEnd;
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -3,7 +3,8 @@
 //! else runs on this thread while they do.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
-use orchidyoke_forwarder::client_listener::{ClientConnections, listen};
+use orchidyoke_forwarder::client_connections::ClientConnections;
+use orchidyoke_forwarder::client_listener::listen;
 use orchidyoke_forwarder::input::{Input, RequestId, SubmitAnswer};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
