--- a/crates/forwarder/src/connection_pool.rs
+++ b/crates/forwarder/src/connection_pool.rs
@@ -1,115 +1,144 @@
-//! Connections to next hops, as states: which may carry a call, which are to be closed. No socket is here.
+//! Connections to endpoints as a state machine without sockets: which one carries a call, and which are to be closed.
+//!
+//! A connection carries one call at a time. Idle ones are used again, the one used last first, so that the others reach their
+//! idle time-out and close.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A connection, numbered anew each time.
+/// A connection to an endpoint; numbers are not used again.
 pub type EndpointConnectionId = u64;
-/// A call, numbered anew each time.
+/// A call to an endpoint; numbers are not used again.
 pub type CallId = u64;
 
-/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ConnectionState {
     /// Not yet up; this call waits for it.
-    Dialling(CallId),
+    Connecting(CallId),
     /// Up, and free since then.
     Idle(Micros),
-    /// This call has it: about to be written, or written.
+    /// Carries this call, or is about to.
     Busy(CallId),
 }
 
-/// All connections to next hops.
+impl ConnectionState {
+    fn call(self) -> Option<CallId> {
+        match self {
+            ConnectionState::Connecting(call) | ConnectionState::Busy(call) => Some(call),
+            ConnectionState::Idle(_) => None,
+        }
+    }
+
+    fn idle_since(self) -> Option<Micros> {
+        match self {
+            ConnectionState::Idle(since) => Some(since),
+            _ => None,
+        }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct PooledConnection {
+    endpoint: EndpointId,
+    state: ConnectionState,
+}
+
+/// All connections to endpoints. Times are in microseconds.
 #[derive(Debug)]
 pub struct ConnectionPool {
-    links: BTreeMap<EndpointConnectionId, (EndpointId, State)>,
-    next: EndpointConnectionId,
-    /// An idle connection is not used again after this time: the other end may close it any moment.
-    keep: Micros,
-    /// Connections at once, idle ones counted.
-    most: usize,
-    /// Those that go to an address that their endpoint has left.
+    connections: BTreeMap<EndpointConnectionId, PooledConnection>,
+    last_id: EndpointConnectionId,
+    idle_timeout: Micros,
+    max_connections: usize,
+    /// Connections to an address that their endpoint has left.
     retired: BTreeSet<EndpointConnectionId>,
-    /// No connection has been idle since before this; with none, none is idle.
-    idle_since: Option<Micros>,
+    /// No connection has been idle since before this; without it, none is idle.
+    earliest_idle_since: Option<Micros>,
 }
 
-/// Where a call goes.
+/// The connection for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// On this idle connection, at once.
+    /// This idle connection carries it at once.
     Reuse(EndpointConnectionId),
-    /// On this new connection, once it is up.
+    /// This new connection carries it once it is up.
     Connect(EndpointConnectionId),
 }
 
 impl ConnectionPool {
-    /// No connections yet; the other end closes idle ones after `idle_close`.
-    pub fn new(idle_close: Micros, most: usize) -> Self {
-        let (keep, most) = ConnectionPool::bounds(idle_close, most);
+    /// No connections yet. The endpoint closes idle ones after `endpoint_idle_timeout`; `max_connections` counts idle ones
+    /// too.
+    pub fn new(endpoint_idle_timeout: Micros, max_connections: usize) -> Self {
         ConnectionPool {
-            links: BTreeMap::new(),
-            next: 0,
-            keep,
-            most,
+            connections: BTreeMap::new(),
+            last_id: 0,
+            idle_timeout: safe_idle_timeout(endpoint_idle_timeout),
+            max_connections,
             retired: BTreeSet::new(),
-            idle_since: None,
+            earliest_idle_since: None,
         }
     }
 
-    /// Other bounds hold from now on.
-    pub fn set_limits(&mut self, idle_close: Micros, most: usize) {
-        (self.keep, self.most) = ConnectionPool::bounds(idle_close, most);
-    }
-
-    fn bounds(idle_close: Micros, most: usize) -> (Micros, usize) {
-        // A tenth early: the other end counts from when it wrote its answer, and a close takes time.
-        (idle_close - idle_close / 10, most)
+    /// Changes the limits that [`ConnectionPool::new`] was given.
+    pub fn set_limits(&mut self, endpoint_idle_timeout: Micros, max_connections: usize) {
+        self.idle_timeout = safe_idle_timeout(endpoint_idle_timeout);
+        self.max_connections = max_connections;
     }
 
-    /// A connection for a call: the one used last, so that the others get old and close.
-    pub fn claim(&mut self, hop: EndpointId, call: CallId, now: Micros) -> Claim {
-        let fresh = |(id, (to, state)): (&EndpointConnectionId, &(EndpointId, State))| match state {
-            State::Idle(since) if *to == hop && now - since < self.keep && !self.is_retired(*id) => {
-                Some((*since, *id))
+    /// A connection for a call: an idle one if there is one that may be used again, or a new one.
+    pub fn claim(&mut self, endpoint: EndpointId, call: CallId, now: Micros) -> Claim {
+        match self.last_used_idle(endpoint, now) {
+            Some(id) => {
+                let state = ConnectionState::Busy(call);
+                self.connections.insert(id, PooledConnection { endpoint, state });
+                Claim::Reuse(id)
             }
-            _ => None,
-        };
-        if let Some((_, id)) = self.links.iter().filter_map(fresh).max() {
-            self.links.insert(id, (hop, State::Busy(call)));
-            return Claim::Reuse(id);
+            None => Claim::Connect(self.connect(endpoint, call)),
         }
-        Claim::Connect(self.connect(hop, call))
+    }
+
+    fn last_used_idle(&self, endpoint: EndpointId, now: Micros) -> Option<EndpointConnectionId> {
+        let reusable = self.connections.iter().filter_map(|(id, connection)| {
+            let since = connection.state.idle_since()?;
+            let is_fresh = now - since < self.idle_timeout;
+            let is_usable = connection.endpoint == endpoint && is_fresh && !self.is_retired(*id);
+            is_usable.then_some((since, *id))
+        });
+        reusable.max().map(|(_, id)| id)
     }
 
     /// A new connection for a call.
-    pub fn connect(&mut self, hop: EndpointId, call: CallId) -> EndpointConnectionId {
-        self.next += 1;
-        self.links.insert(self.next, (hop, State::Dialling(call)));
-        self.next
+    pub fn connect(&mut self, endpoint: EndpointId, call: CallId) -> EndpointConnectionId {
+        self.last_id += 1;
+        let state = ConnectionState::Connecting(call);
+        self.connections.insert(self.last_id, PooledConnection { endpoint, state });
+        self.last_id
     }
 
     /// A connection is up: the call that waited for it.
     pub fn on_connected(&mut self, id: EndpointConnectionId) -> Option<CallId> {
-        let (_, state) = self.links.get_mut(&id)?;
-        let State::Dialling(call) = *state else { return None };
-        *state = State::Busy(call);
+        let connection = self.connections.get_mut(&id)?;
+        let ConnectionState::Connecting(call) = connection.state else { return None };
+        connection.state = ConnectionState::Busy(call);
         Some(call)
     }
 
-    /// The call on a connection is over, and the connection can carry another; none that is retired.
+    /// The call on a connection has ended, and the connection is idle; a retired one expires at once.
     pub fn release(&mut self, id: EndpointConnectionId, now: Micros) {
-        let since = if self.retired.contains(&id) { now - self.keep } else { now };
-        if let Some((_, state @ State::Busy(_))) = self.links.get_mut(&id) {
-            *state = State::Idle(since);
-            self.idle_since = Some(self.idle_since.map_or(since, |earliest| earliest.min(since)));
+        let since = if self.retired.contains(&id) { now - self.idle_timeout } else { now };
+        if let Some(connection) = self.connections.get_mut(&id)
+            && let ConnectionState::Busy(_) = connection.state
+        {
+            connection.state = ConnectionState::Idle(since);
+            let earliest = self.earliest_idle_since.map_or(since, |earliest| earliest.min(since));
+            self.earliest_idle_since = Some(earliest);
         }
     }
 
-    /// An endpoint has another address: what goes to the one before carries no other call.
-    pub fn retire(&mut self, hop: EndpointId) {
-        let to = self.links.iter().filter(|(_, (to, _))| *to == hop).map(|(id, _)| *id);
-        self.retired.extend(to);
+    /// An endpoint has another address: its connections carry no further call.
+    pub fn retire(&mut self, endpoint: EndpointId) {
+        let to_endpoint = self.connections.iter().filter(|(_, connection)| connection.endpoint == endpoint);
+        self.retired.extend(to_endpoint.map(|(id, _)| *id));
     }
 
     /// Whether a connection goes to an address that its endpoint has left.
@@ -117,71 +146,72 @@
         self.retired.contains(&id)
     }
 
-    /// A connection is gone: the call that it takes with it.
+    /// A connection is closed: the call that it carried, if any.
     pub fn on_closed(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let call = self.call_of(id);
-        self.links.remove(&id);
+        self.connections.remove(&id);
         self.retired.remove(&id);
         call
     }
 
-    /// The connection that a call has, up or not.
+    /// The connection of a call, up or not.
     pub fn connection_of(&self, call: CallId) -> Option<EndpointConnectionId> {
-        let has = |state: &State| matches!(state, State::Dialling(c) | State::Busy(c) if *c == call);
-        self.links.iter().find(|(_, (_, state))| has(state)).map(|(id, _)| *id)
+        let mut connections = self.connections.iter();
+        connections.find(|(_, connection)| connection.state.call() == Some(call)).map(|(id, _)| *id)
     }
 
-    /// The call that a connection has.
+    /// The call of a connection.
     pub fn call_of(&self, id: EndpointConnectionId) -> Option<CallId> {
-        match self.links.get(&id)?.1 {
-            State::Dialling(call) | State::Busy(call) => Some(call),
-            State::Idle(_) => None,
-        }
+        self.connections.get(&id)?.state.call()
     }
 
-    /// Takes out the idle connections to an endpoint, to be closed.
-    pub fn take_idle_to(&mut self, hop: EndpointId) -> Vec<EndpointConnectionId> {
-        self.take_idle(|to, _| to == hop)
+    /// Removes the idle connections to an endpoint; they are to be closed.
+    pub fn take_idle_to(&mut self, endpoint: EndpointId) -> Vec<EndpointConnectionId> {
+        self.take_idle(|to, _| to == endpoint)
     }
 
-    /// The same for many endpoints at once.
-    pub fn take_idle_to_any(&mut self, hops: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
-        self.take_idle(|to, _| hops.contains(&to))
+    /// Removes the idle connections to any of these endpoints; they are to be closed.
+    pub fn take_idle_to_any(&mut self, endpoints: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
+        self.take_idle(|to, _| endpoints.contains(&to))
     }
 
-    /// Takes out the idle connections that are too old, and the oldest where there are too many.
+    /// Removes the idle connections that have reached their time-out, and the oldest idle ones while there are more than the
+    /// limit; they are to be closed.
     pub fn take_expired(&mut self, now: Micros) -> Vec<EndpointConnectionId> {
-        let keep = self.keep;
-        let mut out = self.take_idle(|_, since| now - since >= keep);
-        while self.links.len() > self.most {
-            let idle = self.links.iter().filter_map(|(id, (_, state))| match state {
-                State::Idle(since) => Some((*since, *id)),
-                _ => None,
-            });
-            let Some((_, oldest)) = idle.min() else { break };
+        let idle_timeout = self.idle_timeout;
+        let mut expired = self.take_idle(|_, since| now - since >= idle_timeout);
+        while self.connections.len() > self.max_connections {
+            let Some(oldest) = self.oldest_idle() else { break };
             self.on_closed(oldest);
-            out.push(oldest);
+            expired.push(oldest);
         }
-        let idle = self.links.values().filter_map(|(_, state)| match state {
-            State::Idle(since) => Some(*since),
-            _ => None,
-        });
-        self.idle_since = idle.min();
-        out
+        let idle = self.connections.values().filter_map(|connection| connection.state.idle_since());
+        self.earliest_idle_since = idle.min();
+        expired
     }
 
-    /// When the next idle connection may get too old.
+    /// When the next idle connection may reach its time-out: not later than that.
     pub fn next_expiry(&self) -> Option<Micros> {
-        self.idle_since.map(|since| since + self.keep)
+        self.earliest_idle_since.map(|since| since + self.idle_timeout)
+    }
+
+    fn oldest_idle(&self) -> Option<EndpointConnectionId> {
+        let idle = self.connections.iter();
+        let idle = idle.filter_map(|(id, connection)| Some((connection.state.idle_since()?, *id)));
+        idle.min().map(|(_, id)| id)
     }
 
-    fn take_idle(&mut self, which: impl Fn(EndpointId, Micros) -> bool) -> Vec<EndpointConnectionId> {
-        let gone = self.links.extract_if(.., |_, (hop, state)| match state {
-            State::Idle(since) => which(*hop, *since),
-            _ => false,
+    fn take_idle(&mut self, is_taken: impl Fn(EndpointId, Micros) -> bool) -> Vec<EndpointConnectionId> {
+        let taken = self.connections.extract_if(.., |_, connection| {
+            connection.state.idle_since().is_some_and(|since| is_taken(connection.endpoint, since))
         });
-        let gone: Vec<_> = gone.map(|(id, _)| id).collect();
-        self.retired.retain(|id| !gone.contains(id));
-        gone
+        let taken: Vec<_> = taken.map(|(id, _)| id).collect();
+        self.retired.retain(|id| !taken.contains(id));
+        taken
     }
 }
+
+/// A tenth below the endpoint's: it counts from when it wrote its answer, and its close takes time to arrive.
+fn safe_idle_timeout(endpoint_idle_timeout: Micros) -> Micros {
+    endpoint_idle_timeout - endpoint_idle_timeout / 10
+}
--- a/crates/forwarder/src/console.rs
+++ b/crates/forwarder/src/console.rs
@@ -1,43 +1,44 @@
-//! The operators' console as words: the calls that a line may hold, and the replies. No socket is here.
+//! The commands and replies of the operators' console, without sockets.
 //!
-//! A connection carries one line and gets one reply, which starts with `200` or `400`.
+//! A connection carries one line and gets one reply, which starts with `200` or `400`. The words of both are part of the
+//! interface: see `docs/operate/on-call.md`.
 
 use std::fmt;
 
-/// Longest line that is taken, its end not counted: a call and the longest id.
+/// Longest line, without its end: a command and the longest id.
 pub const MAX_LINE_BYTES: usize = 512;
 
-/// What an operator asks for.
+/// What an operator asks for; the word on the line is in backquotes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process takes clients.
+    /// `ready`: whether this process accepts clients.
     Ready,
-    /// The figures.
+    /// `show-stat`: the counters and gauges.
     ShowStat,
-    /// Times to delivery.
+    /// `show-latency`: histograms of the time to delivery.
     ShowLatency,
-    /// Leave this endpoint out.
+    /// `disable-server ID`: eject this endpoint until it is enabled.
     DisableServer(String),
-    /// Put this endpoint back.
+    /// `enable-server ID`: undo `disable-server`.
     EnableServer(String),
 }
 
-/// Why a line is no call; said to the caller behind `400`.
+/// Why a line is no command. The text follows `400` in the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
     /// It is empty.
     Empty,
-    /// It is longer than any call.
+    /// It is longer than [`MAX_LINE_BYTES`].
     LineTooLong,
-    /// It is not text.
+    /// It is not UTF-8, or holds control characters.
     NotText,
     /// Something follows the line.
     TrailingData,
-    /// There is no such call.
+    /// There is no such command.
     UnknownCommand,
-    /// The call wants the id of one endpoint and nothing more.
+    /// The command wants the id of one endpoint and nothing more.
     ExpectedOneId,
-    /// The call stands alone.
+    /// The command takes no argument.
     UnexpectedArgument,
 }
 
@@ -59,52 +60,58 @@
     }
 }
 
-/// Reads what has come on a connection so far. None: its line is not whole yet.
-pub fn parse_input(came: &[u8]) -> Option<Result<Command, CommandError>> {
-    let Some(end) = came.iter().position(|byte| *byte == b'\n') else {
-        return (came.len() > MAX_LINE_BYTES).then_some(Err(CommandError::LineTooLong));
+/// Reads what has come on a connection so far. None while its line is incomplete.
+pub fn parse_input(input: &[u8]) -> Option<Result<Command, CommandError>> {
+    let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
+        return (input.len() > MAX_LINE_BYTES).then_some(Err(CommandError::LineTooLong));
     };
-    Some(if end > MAX_LINE_BYTES {
+    Some(if line_end > MAX_LINE_BYTES {
         Err(CommandError::LineTooLong)
-    } else if end + 1 < came.len() {
+    } else if line_end + 1 < input.len() {
         Err(CommandError::TrailingData)
     } else {
-        parse(&came[..end])
+        parse_line(&input[..line_end])
     })
 }
 
-fn parse(line: &[u8]) -> Result<Command, CommandError> {
+fn parse_line(line: &[u8]) -> Result<Command, CommandError> {
     let line = std::str::from_utf8(line).map_err(|_| CommandError::NotText)?;
     let line = line.strip_suffix('\r').unwrap_or(line);
     if line.chars().any(char::is_control) {
         return Err(CommandError::NotText);
     }
     let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let call = words.next().ok_or(CommandError::Empty)?;
-    let rest: Vec<&str> = words.collect();
-    let alone = |call| if rest.is_empty() { Ok(call) } else { Err(CommandError::UnexpectedArgument) };
-    let id = || match rest[..] {
-        [id] => Ok(id.to_owned()),
-        _ => Err(CommandError::ExpectedOneId),
-    };
-    match call {
-        "ready" => alone(Command::Ready),
-        "show-stat" => alone(Command::ShowStat),
-        "show-latency" => alone(Command::ShowLatency),
-        "disable-server" => id().map(Command::DisableServer),
-        "enable-server" => id().map(Command::EnableServer),
+    let name = words.next().ok_or(CommandError::Empty)?;
+    let arguments: Vec<&str> = words.collect();
+    match name {
+        "ready" => without_argument(Command::Ready, &arguments),
+        "show-stat" => without_argument(Command::ShowStat, &arguments),
+        "show-latency" => without_argument(Command::ShowLatency, &arguments),
+        "disable-server" => endpoint_id(&arguments).map(Command::DisableServer),
+        "enable-server" => endpoint_id(&arguments).map(Command::EnableServer),
         _ => Err(CommandError::UnknownCommand),
     }
 }
 
-/// What an operator is told.
+fn without_argument(command: Command, arguments: &[&str]) -> Result<Command, CommandError> {
+    if arguments.is_empty() { Ok(command) } else { Err(CommandError::UnexpectedArgument) }
+}
+
+fn endpoint_id(arguments: &[&str]) -> Result<String, CommandError> {
+    match arguments {
+        [id] => Ok((*id).to_owned()),
+        _ => Err(CommandError::ExpectedOneId),
+    }
+}
+
+/// The reply to a command; its text form ends with a line end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleReply {
-    /// Yes, or done.
+    /// `200`: yes, or done.
     Done(&'static str),
-    /// No, and why.
+    /// `400`: no, and why, in one line.
     Rejected(String),
-    /// The figures, a line each.
+    /// `200`: metrics, a line each, each with its line end; `EOF` follows.
     Metrics(String),
 }
 
--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -1,11 +1,14 @@
-//! The operators' console on sockets: bounded connections, each with a time for its line, and a place always left
-//! for the next caller.
+//! The operators' console on sockets: a bounded number of connections, each with a time for its line.
+//!
+//! There is always room for the next caller: a connection whose line is incomplete gives way, the oldest first. One whose
+//! line is complete stays until it has its reply.
 
-use super::console::{Command, CommandError, ConsoleReply, parse_input};
+use crate::console::{Command, CommandError, ConsoleReply, parse_input};
 use crate::input::{Input, RequestId};
 use crate::log;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,139 +18,155 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Connections at once, those of callers that have not said anything whole included.
+/// Open connections, those with an incomplete line included.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A line that has not come by then does not come.
+/// Time for a line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// For the caller to read its reply, and for what it still sends to be dropped.
+/// Time for the caller to read its reply and to close.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// What a caller may send after its line before the connection is closed on it.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Pause after a connection that the system could not accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The console between its connections and the reducer.
+/// Connects console connections with the reducer.
 pub struct ConsoleGateway {
     inputs: UnboundedSender<Input>,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<ConsoleReply>>>,
-    /// Connections in the order in which they came: who has no whole line yet may have to go.
-    callers: RefCell<BTreeMap<RequestId, AbortHandle>>,
-    /// Connections, until their tasks have ended.
-    open: Cell<usize>,
-    next: Cell<RequestId>,
+    /// Connections whose line is incomplete, oldest first: these may be closed for others.
+    incomplete: RefCell<BTreeMap<RequestId, AbortHandle>>,
+    open_connections: Cell<usize>,
+    next_request: Cell<RequestId>,
 }
 
 impl ConsoleGateway {
-    /// A console that asks the reducer behind `inputs`.
+    /// A gateway to the reducer behind `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
-        let (waiting, callers) = (RefCell::default(), RefCell::default());
-        Rc::new(ConsoleGateway { inputs, waiting, callers, open: Cell::new(0), next: Cell::new(0) })
+        Rc::new(ConsoleGateway {
+            inputs,
+            waiting: RefCell::default(),
+            incomplete: RefCell::default(),
+            open_connections: Cell::new(0),
+            next_request: Cell::new(0),
+        })
     }
 
-    /// Gives a caller its reply; one that is gone needs none.
-    pub fn reply(&self, ticket: RequestId, reply: ConsoleReply) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
+    /// Gives a waiting caller its reply. Does nothing if the caller is gone.
+    pub fn reply(&self, request: RequestId, reply: ConsoleReply) {
+        if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
             let _ = waiting.send(reply);
         }
     }
 
-    async fn ask(&self, ticket: RequestId, call: Command) -> ConsoleReply {
+    async fn ask(&self, request: RequestId, command: Command) -> ConsoleReply {
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, sender);
+        self.waiting.borrow_mut().insert(request, sender);
         // The receiver is gone only when the forwarder ends.
-        let _ = self.inputs.send(Input::Operator { request: ticket, call });
+        let _ = self.inputs.send(Input::Operator { request, call: command });
         receiver.await.unwrap_or_else(|_| ConsoleReply::Rejected("the forwarder ends".to_owned()))
     }
 
-    /// Whoever has waited longest without a whole line goes, until there is room for one more.
+    /// Closes the oldest connections with an incomplete line until there is room for one more.
     fn make_room(&self) {
-        while self.open.get() >= MAX_CONNECTIONS {
-            let Some((_, caller)) = self.callers.borrow_mut().pop_first() else { return };
-            caller.abort();
-            self.open.set(self.open.get() - 1);
+        while self.open_connections.get() >= MAX_CONNECTIONS {
+            let Some((_, task)) = self.incomplete.borrow_mut().pop_first() else { return };
+            task.abort();
+            self.count_closed();
         }
     }
+
+    fn count_closed(&self) {
+        self.open_connections.set(self.open_connections.get().saturating_sub(1));
+    }
+
+    fn serve_connection(self: &Rc<Self>, stream: TcpStream) {
+        self.make_room();
+        let request = self.next_request.get();
+        self.next_request.set(request + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let connection =
+            ConsoleConnection { gateway: self.clone(), request, is_line_complete: Cell::new(false) };
+        let task = spawn_local(serve(stream, connection));
+        self.incomplete.borrow_mut().insert(request, task.abort_handle());
+    }
 }
 
-/// A connection as the others see it, until its task ends, in whatever way.
+/// An open connection, counted for as long as this exists: also when its task panics.
 struct ConsoleConnection {
-    console: Rc<ConsoleGateway>,
-    ticket: RequestId,
-    /// It was among those that may have to go, or is past that.
-    asked: Cell<bool>,
+    gateway: Rc<ConsoleGateway>,
+    request: RequestId,
+    is_line_complete: Cell<bool>,
 }
 
 impl ConsoleConnection {
-    /// Its line is whole: it stays until it has its reply.
-    fn asks(&self) {
-        self.asked.set(self.console.callers.borrow_mut().remove(&self.ticket).is_some());
+    /// From here on it is not closed for another.
+    fn on_line_complete(&self) {
+        let was_open = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
+        self.is_line_complete.set(was_open);
     }
 }
 
 impl Drop for ConsoleConnection {
     fn drop(&mut self) {
-        self.console.waiting.borrow_mut().remove(&self.ticket);
-        let waited = self.console.callers.borrow_mut().remove(&self.ticket).is_some();
-        // One that had to go was counted out by whoever sent it off.
-        if waited || self.asked.get() {
-            self.console.open.set(self.console.open.get().saturating_sub(1));
+        self.gateway.waiting.borrow_mut().remove(&self.request);
+        let was_incomplete = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
+        // One that was closed for another is already counted.
+        if was_incomplete || self.is_line_complete.get() {
+            self.gateway.count_closed();
         }
     }
 }
 
-/// Takes callers for as long as it is polled. Runs in a `LocalSet`.
-pub async fn listen(listener: TcpListener, console: Rc<ConsoleGateway>) {
+/// Accepts callers for as long as it is polled. Runs in a `LocalSet`.
+pub async fn listen(listener: TcpListener, gateway: Rc<ConsoleGateway>) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => {
-                console.make_room();
-                let ticket = console.next.get();
-                console.next.set(ticket + 1);
-                console.open.set(console.open.get() + 1);
-                let place = ConsoleConnection { console: console.clone(), ticket, asked: Cell::new(false) };
-                let task = spawn_local(attend(stream, place));
-                console.callers.borrow_mut().insert(ticket, task.abort_handle());
-            }
+            Ok((stream, _)) => gateway.serve_connection(stream),
             Err(error) => {
-                log!("console: a connection could not be taken: {error}");
-                sleep(Duration::from_millis(50)).await;
+                log!("console: cannot accept a connection: error={error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one caller. What goes wrong here, a panic included, ends this connection alone.
-async fn attend(mut stream: TcpStream, place: ConsoleConnection) {
-    let Ok(read) = timeout(LINE_TIMEOUT, read_call(&mut stream)).await else { return };
-    place.asks();
-    let reply = match read {
-        Some(Ok(call)) => place.console.ask(place.ticket, call).await,
+/// Serves one caller. An error here, a panic included, ends this connection alone.
+async fn serve(mut stream: TcpStream, connection: ConsoleConnection) {
+    let Ok(command) = timeout(LINE_TIMEOUT, read_command(&mut stream)).await else { return };
+    connection.on_line_complete();
+    let reply = match command {
+        Some(Ok(command)) => connection.gateway.ask(connection.request, command).await,
         Some(Err(error)) => error.into(),
         None => return,
     };
-    // Whether the caller has heard is its own affair from here on.
-    let _ = timeout(REPLY_TIMEOUT, tell(&mut stream, &reply.to_string())).await;
+    // Whether the caller has read it is its own affair from here on.
+    let _ = timeout(REPLY_TIMEOUT, write_reply(&mut stream, &reply.to_string())).await;
 }
 
-/// One call, or why it is none; nothing where the caller has gone before its line was whole.
-async fn read_call(stream: &mut TcpStream) -> Option<Result<Command, CommandError>> {
-    let mut came = Vec::new();
+/// One command, or why the line is none. None if the caller has closed before its line was complete.
+async fn read_command(stream: &mut TcpStream) -> Option<Result<Command, CommandError>> {
+    let mut input = Vec::new();
     loop {
-        let mut some = [0; 1024];
-        let count = stream.read(&mut some).await.ok().filter(|count| *count > 0)?;
-        came.extend_from_slice(&some[..count]);
-        if let Some(call) = parse_input(&came) {
-            return Some(call);
+        let mut chunk = [0; 1024];
+        let count = stream.read(&mut chunk).await.ok().filter(|count| *count > 0)?;
+        input.extend_from_slice(&chunk[..count]);
+        if let Some(command) = parse_input(&input) {
+            return Some(command);
         }
     }
 }
 
-/// Writes the reply, and reads what still comes to nowhere: a reset for unread bytes could overtake the reply.
-async fn tell(stream: &mut TcpStream, reply: &str) -> std::io::Result<()> {
+/// Writes the reply and discards what still comes: closing over unread bytes would reset the connection, and the reply
+/// could be lost.
+async fn write_reply(stream: &mut TcpStream, reply: &str) -> io::Result<()> {
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await?;
-    let (mut some, mut left) = ([0; 4096], MAX_DISCARDED_BYTES);
-    while left > 0 {
-        match stream.read(&mut some).await? {
+    let mut chunk = [0; 4096];
+    let mut bytes_left = MAX_DISCARDED_BYTES;
+    while bytes_left > 0 {
+        match stream.read(&mut chunk).await? {
             0 => break,
-            count => left = left.saturating_sub(count),
+            count => bytes_left = bytes_left.saturating_sub(count),
         }
     }
     Ok(())
--- a/crates/forwarder/src/log/tests.rs
+++ b/crates/forwarder/src/log/tests.rs
@@ -3,7 +3,7 @@
 
 // Guards against a log that grows with the trouble it tells of.
 #[test]
-fn a_flood_is_cut_and_counted() {
+fn lines_beyond_the_rate_are_dropped_and_counted() {
     let start = Instant::now();
     let mut bucket = Bucket { lines: BURST, filled: None, dropped: 0 };
     let written = (0..1000).filter(|_| bucket.take(start).is_some()).count();
--- a/crates/forwarder/src/notifications/tests.rs
+++ b/crates/forwarder/src/notifications/tests.rs
@@ -2,7 +2,7 @@
 
 // Guards against a platform that cannot read the notices, or is told a time that nobody decided.
 #[test]
-fn a_notice_is_one_line_in_the_platforms_words() {
+fn notification_is_one_json_line_in_the_wire_form() {
     let notices = [
         ("a\"b".to_owned(), FinalAnswer::Failed),
         ("c".to_owned(), FinalAnswer::Rejected { retry_after_ms: 500 }),
--- a/crates/forwarder/src/retry_after/tests.rs
+++ b/crates/forwarder/src/retry_after/tests.rs
@@ -9,7 +9,7 @@
 // Guards against a wait that is passed over because of the form of its number, made up from what is no number, or,
 // in a server's Retry-After, taken for milliseconds or passed over as a date.
 #[test]
-fn a_wait_is_read_in_all_its_forms() {
+fn retry_after_is_read_in_all_its_forms() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
     let partner = [("250", 250), (" 250.2 ", 251), ("0", 0), ("-5", 0), ("soon", 0), ("NaN", 0), ("inf", 0)];
     let large =
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -64,7 +64,7 @@
 // Guards against a fleet that loses discovery in one moment and floods it while it is down, or stays away for so long
 // that a change binds before it is heard: from one call to the next 5 s at most, and all back soon.
 #[test]
-fn a_fleet_cut_off_together_finds_its_list_again_in_time() {
+fn fleet_disconnected_together_recovers_its_list_in_time() {
     for seed in 0..10 {
         let mut fleet: Vec<_> =
             (0..FLEET as u64).map(|who| Backoff::new(4 * SECOND, seed * 1000 + who)).collect();
@@ -84,7 +84,7 @@
 
 // Guards against a bound that overflows or a pause beyond what it may be, and failures that are never forgotten.
 #[test]
-fn pauses_stay_within_bounds_that_double_until_the_last() {
+fn delays_stay_within_bounds_that_double_up_to_the_cap() {
     let mut backoff = Backoff::new(100, 1);
     for bound in [100, 200, 400, 800] {
         assert!((0..=bound).contains(&backoff.next_delay(1000)));
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -133,7 +133,7 @@
 // Guards against a request that waits for the journal or the reducer when its connection is shut down, and is cut without
 // its answer: for its client it is lost.
 #[test]
-fn a_request_in_hand_is_answered_however_late_after_the_shutdown() {
+fn request_in_flight_is_answered_long_after_shutdown() {
     run(async {
         let mut stage = Stage::new(8);
         let client = client(stage.address, &request("a", ""));
@@ -148,7 +148,7 @@
 
 // Guards against a request whose answer does not come in a second that is taken on all the same: its client has gone.
 #[test]
-fn a_request_that_is_cut_is_withdrawn() {
+fn cut_request_is_withdrawn() {
     run(async {
         let mut stage = Stage::new(8);
         let client = client(stage.address, &request("a", ""));
@@ -167,7 +167,7 @@
 // Guards against a close over bytes that arrive with it: the reset that the system sends for unread bytes takes with it
 // an answer that the client has not yet read, and a request on a resting connection is taken on though nobody hears.
 #[test]
-fn bytes_that_arrive_with_a_close_neither_reset_it_nor_are_taken_on() {
+fn bytes_crossing_a_close_neither_reset_it_nor_are_accepted() {
     for evicts in [false, true] {
         run(async {
             let mut stage = Stage::new(if evicts { 1 } else { 8 });
@@ -202,7 +202,7 @@
 
 // Guards against a reset after an answer that says `Connection: close`, by bytes that its client had sent after it.
 #[test]
-fn an_answer_that_closes_is_taken_whatever_was_sent_after_its_request() {
+fn closing_answer_arrives_whatever_follows_its_request() {
     run(async {
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, &request("a", "Connection: close\r\n"));
@@ -218,7 +218,7 @@
 
 // Guards against a client that is told nothing of the hand-over, or reset in it: its next answer says that it closes.
 #[test]
-fn a_hand_over_ends_each_connection_with_its_next_answer() {
+fn hand_over_closes_each_connection_with_its_next_answer() {
     run(async {
         let mut stage = Stage::new(8);
         let mut kept = client(stage.address, &request("a", ""));
@@ -241,7 +241,7 @@
 // Guards against an idle connection's close in the instant of its next request: after the end of the sending nothing is a
 // request, and no reset goes out for it.
 #[test]
-fn a_resting_connection_is_closed_in_time_and_what_crosses_that_is_no_request() {
+fn idle_connection_closes_in_time_and_crossing_bytes_are_no_request() {
     run(async {
         let mut stage = Stage::new(8);
         let mut resting = client(stage.address, &request("a", ""));
@@ -261,7 +261,7 @@
 
 // Guards against connections that have come, and were not yet taken when the stop ends accepting: they would be reset.
 #[test]
-fn connections_that_wait_to_be_taken_are_answered_at_the_stop() {
+fn connections_in_the_backlog_are_answered_in_shutdown() {
     run(async {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
@@ -283,7 +283,7 @@
 
 // Guards against a stop that closes a connection whose client has only just connected, before its request has come.
 #[test]
-fn a_client_that_has_just_connected_at_the_stop_is_answered() {
+fn client_just_connected_at_shutdown_is_answered() {
     run(async {
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, "");
@@ -301,7 +301,7 @@
 // Guards against closes that keep others out: clients that ignore theirs hold their places for no longer than the next
 // one needs it. With each of them lingering for its second this takes over eight.
 #[test]
-fn clients_that_ignore_their_close_keep_nobody_out() {
+fn clients_ignoring_their_close_do_not_block_others() {
     run(async {
         let mut stage = Stage::new(64);
         let address = stage.address;
--- a/crates/forwarder/tests/connection_limit.rs
+++ b/crates/forwarder/tests/connection_limit.rs
@@ -69,7 +69,7 @@
 // Guards against a client with a request in hand being sent off, against one told twice while others stay, against an
 // asking client that goes before one that has said nothing, and against a close that is cut while there are places.
 #[test]
-fn who_asks_stays_and_who_says_nothing_goes() {
+fn busy_connections_stay_and_silent_ones_are_evicted() {
     fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
         let (mut limit, mut now) = (ConnectionLimit::new(MOST), Instant::now());
         let mut model = Model::new();
--- a/crates/forwarder/tests/connection_pool.rs
+++ b/crates/forwarder/tests/connection_pool.rs
@@ -20,7 +20,7 @@
 // Guards against two calls on one connection, a call on one that is closed, about to be closed by the
 // other end or to another endpoint, and a call forgotten with its connection.
 #[test]
-fn connections_keep_to_their_states() {
+fn connections_follow_the_model_over_random_steps() {
     fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
         let (mut pool, mut model, mut now) = (ConnectionPool::new(IDLE_CLOSE, 6), Model::default(), 0);
         for (number, (what, which, pause)) in steps.into_iter().enumerate() {
--- a/crates/forwarder/tests/console.rs
+++ b/crates/forwarder/tests/console.rs
@@ -5,7 +5,7 @@
 
 // Guards against a call that is half understood, or that answers what nobody asked.
 #[test]
-fn a_line_is_one_call_or_says_why_not() {
+fn line_is_one_command_or_names_its_error() {
     let id = || "s-5be2a07c".to_owned();
     for (line, expected) in [
         (&b"ready\n"[..], Ok(Command::Ready)),
@@ -35,7 +35,7 @@
 
 // Guards against a line that means something else when it comes in pieces, and against a panic on any bytes.
 #[test]
-fn a_line_in_pieces_is_the_same_line() {
+fn line_in_pieces_parses_as_the_whole_line() {
     fn same(bytes: Vec<u8>) -> bool {
         let line = [&b"disable-server "[..], &bytes, b"\n"].concat();
         let first = line.iter().position(|byte| *byte == b'\n').expect("there is one");
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -77,7 +77,7 @@
 // Guards against news lost or read twice where a chunk ends inside a list, against lists on many lines taken for none,
 // and against the blank lines.
 #[tokio::test(flavor = "current_thread")]
-async fn lists_come_whole_however_they_are_cut_and_indented() {
+async fn lists_arrive_complete_however_they_are_chunked_and_indented() {
     let text = format!(
         "{}\n\n{}\r\n\r\n{}{}\n",
         list(1, true, "s1", "in_service"),
@@ -103,7 +103,7 @@
 
 // Guards against a refusal, half a list or an answer of nothing that is taken for a list, or that hangs the watch.
 #[tokio::test(flavor = "current_thread")]
-async fn a_bad_answer_ends_the_watch_and_tells_nothing() {
+async fn bad_response_ends_the_watch_without_an_event() {
     let whole = list(7, true, "s1", "in_service");
     let (half, pretty) = (&whole[..whole.len() / 2], indented(7));
     let half_pretty = &pretty[..pretty.rfind('}').expect("its end")];
@@ -150,7 +150,7 @@
 // it; one whose bytes dribble and never make a list; and one that goes on as it should and is given up. Each time the
 // forwarder knows for how long it has heard nothing, and has time left to ask another before a change binds.
 #[tokio::test(flavor = "current_thread")]
-async fn a_watch_that_falls_silent_is_given_up_in_time() {
+async fn silent_watch_times_out() {
     let first = format!("{CHUNKED}{}", chunk(&(list(1, true, "s1", "in_service") + "\n")));
     let dribbles = format!("{first}{}", chunk("{"));
     let says_nothing = async |_: &mut TcpStream| false;
@@ -180,7 +180,7 @@
 
 // Guards against a watch given up though its empty lines come as they are due.
 #[tokio::test(flavor = "current_thread")]
-async fn a_watch_with_empty_lines_is_followed_on() {
+async fn watch_with_blank_lines_stays_open() {
     let mut lines = 0;
     let (_, ended, took) = silent_after(CHUNKED, async |stream| {
         lines += 1;
@@ -194,7 +194,7 @@
 
 // Guards against a dial that hangs: it is given up after a second, and counts from its start.
 #[tokio::test(flavor = "current_thread")]
-async fn a_dial_that_hangs_is_given_up() {
+async fn hanging_connect_times_out() {
     // A socket that lets one connection wait: once it has, others get no answer.
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
--- a/crates/forwarder/tests/endpoint_call.rs
+++ b/crates/forwarder/tests/endpoint_call.rs
@@ -16,7 +16,7 @@
 // Guards against a message of a call being ended by another's end, and against calling undelivered or
 // never run what an unreadable answer leaves open.
 #[test]
-fn each_message_of_a_call_has_its_own_end() {
+fn each_message_of_a_bulk_call_has_its_own_result() {
     let told = r#"[{"id":"b","state":"deferred"},{"id":"a","state":"accepted"},{"id":"c","state":"fault"},
         {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
     let txns = ["a", "b", "c", "d", "e", "left out"].map(str::to_owned);
@@ -38,7 +38,7 @@
 
 // Guards against "never ran" being said of a call whose last byte went out.
 #[test]
-fn only_what_was_not_fully_written_never_ran() {
+fn only_a_call_not_fully_written_is_certainly_not_delivered() {
     use Progress::*;
     for progress in [NotConnected, NotFullyWritten, FullyWritten, Answered] {
         let spoilt = Cause::InvalidResponse("noise".to_owned());
@@ -53,7 +53,7 @@
 
 // Guards against a key that is left out of a call, or put beside a message that has none.
 #[test]
-fn each_message_of_a_call_has_its_own_key() {
+fn each_message_of_a_bulk_call_has_its_own_key() {
     let part = |txn: &str, key: Option<&str>| CallMessage {
         id: txn.to_owned(),
         idempotency_key: key.map(str::to_owned),
--- a/crates/forwarder/tests/endpoint_connection.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -60,7 +60,7 @@
 // (an order would go out twice), or leaving a connection behind on which the next call reads its rest; and
 // against a good answer thrown away for what stands beside it.
 #[test]
-fn what_spoilt_answers_and_full_ones_are_taken_for() {
+fn invalid_and_rejecting_responses_map_to_their_outcome() {
     const GOOD: u16 = 200;
     const SPOILT: u16 = 0;
     let long =
@@ -113,7 +113,7 @@
 // Guards against a call taken for unwritten though its last byte went out, or the other way round,
 // however the writes were cut.
 #[test]
-fn a_request_is_written_with_its_last_byte() {
+fn call_counts_as_written_with_its_last_byte() {
     fn keep(body: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut request = b"POST /inbox HTTP/1.1\r\nx-txn: a\r\n\r\n".to_vec();
         request.extend_from_slice(&body);
@@ -231,7 +231,7 @@
 // bytes are there before the call is, and the runtime has not yet heard of them. Written all the same, an order may have
 // run that never did, and what came before it is read as its answer.
 #[test]
-fn nothing_is_written_on_a_connection_that_closed_or_spoke_as_it_was_chosen() {
+fn nothing_is_written_on_a_connection_that_closed_or_spoke_when_chosen() {
     for (what, bytes) in
         [("closed", &b""[..]), ("reset", b""), ("half a line", b"HTTP/1.1 2"), ("an answer", OK)]
     {
@@ -271,7 +271,7 @@
 // Guards against an answer thrown away because its call's time is up, or the call is called off, in the turn in which the
 // answer comes: a wait that it tells binds, and a delivery is one.
 #[test]
-fn an_answer_in_the_turn_of_its_time_out_or_its_calling_off_counts() {
+fn response_arriving_with_its_time_out_or_cancellation_counts() {
     const WAIT: &[u8] =
         b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 900\r\nContent-Length: 4\r\n\r\nlate";
     for called_off in [false, true] {
@@ -308,7 +308,7 @@
 // Guards against a call that is held, or taken for answered, by an answer that began and does not go on when its time is
 // up: half an answer is no answer.
 #[test]
-fn half_an_answer_at_the_end_of_its_time_is_none() {
+fn partial_response_at_its_time_out_is_no_response() {
     play(async {
         let mut pair = Pair::up().await;
         pair.send(Duration::from_millis(100));
@@ -322,7 +322,7 @@
 // Guards against a reset after the last byte, at once or long after, that is taken for "never ran"; and against one in
 // the middle of a request that is taken for "may have run".
 #[test]
-fn a_reset_after_the_last_byte_may_have_run_however_late() {
+fn late_reset_after_the_last_byte_leaves_delivery_in_doubt() {
     for late in [Duration::ZERO, Duration::from_millis(700)] {
         play(async {
             let mut pair = Pair::up().await;
@@ -346,7 +346,7 @@
 // Guards against a connection that is kept though more came with its answer than belongs to it: the rest would be the
 // next call's answer.
 #[test]
-fn a_connection_with_bytes_left_over_is_not_used_again() {
+fn connection_with_trailing_bytes_is_not_reused() {
     play(async {
         let mut pair = Pair::up().await;
         pair.send(PATIENCE);
@@ -369,7 +369,7 @@
 
 // Guards against a dial that is held beyond its time, or beyond its calling off, by a far end that never answers it.
 #[test]
-fn a_connection_that_never_comes_up_is_given_up_in_time() {
+fn hanging_connect_times_out() {
     play(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -43,7 +43,7 @@
 // Guards against a list that is parsed again from its beginning with each frame, and against one that is read otherwise
 // because it is large.
 #[test]
-fn a_list_of_100_000_entries_is_parsed_once_however_it_is_cut() {
+fn list_of_100_000_entries_is_parsed_once_however_it_is_chunked() {
     let text = list(LISTED);
     for frame in [1_000, FRAME, text.len()] {
         let mut reader = ListReader::default();
@@ -59,7 +59,7 @@
 // Guards against brackets, quotes and backslashes within names that are taken for those of the list, and against blank
 // lines that are not told from a part of a list.
 #[test]
-fn names_may_hold_what_ends_a_list_and_blank_lines_are_told() {
+fn names_may_contain_list_delimiters_and_blank_lines_are_reported() {
     let first = list(2).replace("s-00000001", r#"}]\"{\\"#);
     let text = format!("\r\n \n{first}\n\n{}\n", list(1));
     for frame in [1, 2, 3, 50, text.len()] {
@@ -78,7 +78,7 @@
 // Guards against a part of a list that is handed on: cut off, malformed in its last entry, or beyond the bounds; and
 // against a list that is kept though it is larger than any may be.
 #[test]
-fn nothing_is_handed_on_of_a_list_that_is_not_good() {
+fn malformed_list_yields_no_event() {
     let cut_off = list_with_end(LISTED, "");
     let mut reader = ListReader::default();
     let (lists, error) = read(&mut reader, cut_off.as_bytes(), FRAME);
@@ -107,7 +107,7 @@
 
 // Guards against a bound that is looked at only when the list has come whole: one without an end would fill the memory.
 #[test]
-fn a_list_beyond_the_bounds_is_given_up_before_its_end() {
+fn list_beyond_the_limits_fails_before_its_end() {
     let too_many = list_with_end(MAX_ENTRIES + 1, "");
     let too_large = format!("{{\"origin\":\"{}", "x".repeat(MAX_LIST_BYTES));
     let (_, error) = read(&mut ListReader::default(), too_many.as_bytes(), FRAME);
@@ -118,7 +118,7 @@
 
 // Guards against a bound that keeps out what it is made for: twice the size that the forwarder is built for.
 #[test]
-fn the_largest_list_that_is_allowed_is_read() {
+fn largest_allowed_list_is_read() {
     let text = list(MAX_ENTRIES);
     assert!(text.len() <= MAX_LIST_BYTES, "{} bytes", text.len());
     let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME);
--- a/crates/forwarder/tests/metrics.rs
+++ b/crates/forwarder/tests/metrics.rs
@@ -4,7 +4,7 @@
 
 // Guards against counts that do not add up, a message of another process counted, and a time beyond bounds lost.
 #[test]
-fn times_to_delivery_are_told_in_rising_counts() {
+fn latency_buckets_are_cumulative() {
     let mut figures = Metrics::default();
     figures.on_accepted(5);
     for after in [Some(100), Some(90), Some(40_000), Some(i64::MAX), None] {
@@ -27,7 +27,7 @@
 
 // Guards against a class without a line until something of it has ended, and against another form of the lines.
 #[test]
-fn every_class_has_its_lines_from_the_start() {
+fn every_class_is_rendered_from_the_start() {
     let mut figures = Metrics::default();
     figures.register_classes(&["orders".to_owned(), "st\"atus".to_owned()]);
     figures.on_accepted(2);
