--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -6,9 +6,9 @@
 use super::call_table::{AttemptId, Call};
 use super::durability::AfterAppend;
 use super::message_table::Message;
-use crate::hop_call::{self, Part};
+use crate::connection_pool::{CallId, Claim, EndpointConnectionId};
+use crate::endpoint_call::{self, CallMessage};
 use crate::input::Effect;
-use crate::pool::{CallId, Claim, EndpointConnectionId};
 use orchidyoke_core::interface::{
     DeduplicationScope, EndpointId, EndpointState, Idempotency, MessageId, Micros, Outcome, UNKNOWN_ZONE,
 };
@@ -53,11 +53,11 @@
     fn start_call(&mut self, now: Micros, mut call: Call) {
         let id = self.calls.next_id();
         let claim = self.pool.claim(call.endpoint, id, now);
-        call.reused_connection = matches!(claim, Claim::Idle(_));
+        call.reused_connection = matches!(claim, Claim::Reuse(_));
         self.calls.insert(id, call);
         match claim {
-            Claim::Idle(connection) => self.on_connection_ready(now, id, connection),
-            Claim::Dial(connection) => self.connect(now, id, connection),
+            Claim::Reuse(connection) => self.on_connection_ready(now, id, connection),
+            Claim::Connect(connection) => self.connect(now, id, connection),
         }
     }
 
@@ -72,7 +72,7 @@
         let Some(call) = self.calls.get(id) else { return };
         let known = self.endpoints.get(call.endpoint);
         let Some(listed) = known.and_then(|known| self.endpoints.listed(&known.uid)) else {
-            self.pool.closed(connection);
+            self.pool.on_closed(connection);
             return self.abandon_call(now, id);
         };
         let until = call.times_out_at.min(now + self.settings.connect_timeout + CONNECT_MARGIN_US);
@@ -81,7 +81,7 @@
 
     /// A connection is up.
     pub(super) fn on_connection_up(&mut self, now: Micros, connection: EndpointConnectionId) {
-        if let Some(call) = self.pool.is_up(connection) {
+        if let Some(call) = self.pool.on_connected(connection) {
             self.on_connection_ready(now, call, connection);
         }
     }
@@ -92,9 +92,9 @@
         let endpoint = call.endpoint;
         if self.pool.is_retired(connection) {
             // Its endpoint has moved while the connection came up.
-            self.pool.closed(connection);
+            self.pool.on_closed(connection);
             self.effects.push(Effect::CloseConnection { connection });
-            let connection = self.pool.dial(endpoint, id);
+            let connection = self.pool.connect(endpoint, id);
             return self.connect(now, id, connection);
         }
         let Some(known) = self.endpoints.get(endpoint) else { return };
@@ -186,12 +186,12 @@
 
     /// The record of a call is in the journal, or could not be: its first byte may go, or the call does not.
     pub(super) fn on_attempt_recorded(&mut self, now: Micros, id: CallId, stored: bool) {
-        let Some(connection) = self.pool.link_of(id) else { return };
+        let Some(connection) = self.pool.connection_of(id) else { return };
         let Some(call) = self.calls.get(id) else { return };
         let messages = call.attempts.iter().filter_map(|attempt| self.messages.get(attempt.message));
-        let part = |message: &Message| Part {
-            txn: message.accepted.id.clone(),
-            key: message.accepted.idempotency_key.clone(),
+        let part = |message: &Message| CallMessage {
+            id: message.accepted.id.clone(),
+            idempotency_key: message.accepted.idempotency_key.clone(),
             body: message.body.clone(),
         };
         let parts: Vec<_> = messages.filter(|message| message.stored).map(part).collect();
@@ -201,14 +201,19 @@
         }
         let bulk = self.max_batch(call.endpoint) > 1 && parts.len() > 1;
         let due = call.times_out_at;
-        let call = hop_call::Call { parts, bulk, remaining: due - now, due };
+        let call = endpoint_call::EndpointCall {
+            messages: parts,
+            is_bulk: bulk,
+            time_left: due - now,
+            deadline: due,
+        };
         self.effects.push(Effect::SendCall { connection, call });
     }
 
     /// The last byte of a call has gone.
     pub(super) fn on_call_written(&mut self, connection: EndpointConnectionId) {
         let call = self.pool.call_of(connection).and_then(|id| self.calls.get(id));
-        self.figures.dispatched(call.map_or(0, |call| call.message_ids.len()));
+        self.metrics.on_dispatched(call.map_or(0, |call| call.message_ids.len()));
     }
 
     /// A call that was not written: none of its messages ran, and the endpoint saw nothing.
@@ -223,8 +228,8 @@
     pub(super) fn drop_unrecorded_calls(&mut self) {
         for id in self.calls.unrecorded() {
             self.calls.remove(id);
-            if let Some(connection) = self.pool.link_of(id) {
-                self.pool.closed(connection);
+            if let Some(connection) = self.pool.connection_of(id) {
+                self.pool.on_closed(connection);
                 self.effects.push(Effect::CloseConnection { connection });
             }
         }
--- a/crates/forwarder/src/reducer/call_table.rs
+++ b/crates/forwarder/src/reducer/call_table.rs
@@ -1,6 +1,6 @@
 //! Calls to endpoints that are in flight, or wait for a connection or for their record.
 
-use crate::pool::CallId;
+use crate::connection_pool::CallId;
 use orchidyoke_core::interface::{EndpointId, MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -14,9 +14,9 @@
 use super::takeover::Takeover;
 use super::{Reducer, route_state};
 use crate::config::Limits;
+use crate::connection_pool::CallId;
 use crate::input::{AppendId, Effect};
 use crate::ownership::Peer;
-use crate::pool::CallId;
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::interface::{MessageId, Micros, Settings};
 use orchidyoke_journal::{DiskSpace, Record};
@@ -40,7 +40,7 @@
         Bounds {
             disk_bytes,
             finished_ids: disk_bytes / FINISHED_IDS_DISK_DIVISOR / SHORT_RECORD_BYTES,
-            connections: limits.next_hops(settings.max_calls),
+            connections: limits.max_endpoint_connections(settings.max_calls),
         }
     }
 }
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -14,7 +14,7 @@
 
 /// About the bytes of the records of a message's custody, beside its id and the longest name of an owner.
 const HANDOVER_RECORDS_BYTES: usize = 320;
-/// The owners of so many destinations are looked up for the figures: a look-up costs a hash for each member.
+/// The owners of so many destinations are looked up for the metrics: a look-up costs a hash for each member.
 const MAX_OWNER_LOOKUPS: usize = 1000;
 /// Names of forwarders that are no members are logged once each, and so many of them in a view.
 const MAX_LOGGED_NON_MEMBERS: usize = 64;
@@ -406,7 +406,7 @@
             .map_or_else(String::new, |offered| offered.owner.clone());
         self.append_record(&Record::HandedOver { message: txn.clone(), owner: to, at: now });
         self.ownership.counts.handed_over += 1;
-        self.figures.handed_over();
+        self.metrics.on_handed_over();
         self.drop_message(id);
         self.finished.remember(txn, now);
     }
@@ -467,8 +467,8 @@
         self.finish(now, id, verdict);
     }
 
-    /// The figures of hand-overs, a line each; none where there are no owners.
-    pub(super) fn ownership_figures(&self, now: Micros) -> String {
+    /// The metrics of hand-overs, a line each; none where there are no owners.
+    pub(super) fn ownership_metrics(&self, now: Micros) -> String {
         let Some(view) = &self.ownership.view else { return String::new() };
         let counts = &self.ownership.counts;
         let (waiting, substitutes) = self.handovers.counts();
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -248,7 +248,7 @@
                 queue.failing_since = Some(now);
                 self.give_up_at.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
             }
-            queue.not_before = now + queue.backoff.pause(MAX_OFFER_BACKOFF_US);
+            queue.not_before = now + queue.backoff.next_delay(MAX_OFFER_BACKOFF_US);
             due = queue.not_before;
             self.failing.insert(peer.clone());
         }
@@ -257,7 +257,7 @@
                 .saturating_mul(1 << waiting.refusals.min(10))
                 .min(MAX_OFFER_BACKOFF_US);
             waiting.refusals += 1;
-            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.within(bound / 2));
+            due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.random_below(bound / 2));
         }
         self.queue(id, due);
         self.schedule(&peer);
--- a/crates/forwarder/src/reducer/listed_endpoints.rs
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -102,7 +102,7 @@
         if self.endpoints.unlisted().is_empty() {
             return;
         }
-        for connection in self.pool.drop_idle_of(self.endpoints.unlisted()) {
+        for connection in self.pool.take_idle_to_any(self.endpoints.unlisted()) {
             self.effects.push(Effect::CloseConnection { connection });
         }
         let busy = self.calls.endpoints();
@@ -111,7 +111,7 @@
 
     /// Closes the idle connections to an endpoint.
     pub(super) fn close_idle(&mut self, endpoint: EndpointId) {
-        for connection in self.pool.drop_idle(endpoint) {
+        for connection in self.pool.take_idle_to(endpoint) {
             self.effects.push(Effect::CloseConnection { connection });
         }
     }
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -32,9 +32,9 @@
 mod takeover;
 mod upgrade;
 
-use crate::figures::Figures;
+use crate::connection_pool::ConnectionPool;
 use crate::input::{Effect, Input, RequestId, SubmitAnswer};
-use crate::pool::Pool;
+use crate::metrics::Metrics;
 use attempts::Send;
 use call_table::{AttemptId, CallTable};
 use clients::Clients;
@@ -65,7 +65,7 @@
     settings: Settings,
     names: Names,
     /// Counts that every component adds to.
-    figures: Figures,
+    metrics: Metrics,
     /// What the input at hand asks for so far.
     effects: Vec<Effect>,
 
@@ -77,7 +77,7 @@
     faulty_routes: FaultyRoutes,
     messages: MessageTable,
     calls: CallTable,
-    pool: Pool,
+    pool: ConnectionPool,
     durability: Durability,
     finished: FinishedIds,
     final_answers: PendingAnswers,
@@ -151,14 +151,14 @@
             self.discovery.wake_at(),
             offers,
             shutdown,
-            self.pool.reap_at(),
+            self.pool.next_expiry(),
             self.next_warm_at(),
         ];
         due.into_iter().flatten().min()
     }
 
     fn on_timer(&mut self, now: Micros) {
-        for connection in self.pool.reap(now) {
+        for connection in self.pool.take_expired(now) {
             self.effects.push(Effect::CloseConnection { connection });
         }
         self.end_warm_ups(now);
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -16,8 +16,8 @@
 use super::retry_after_table::RetryAfterTable;
 use super::upgrade::Upgrade;
 use crate::config::Config;
-use crate::figures::Figures;
-use crate::pool::Pool;
+use crate::connection_pool::ConnectionPool;
+use crate::metrics::Metrics;
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::{EndpointList, WatchEvent};
 use orchidyoke_core::interface::{ListEventKind, Micros, Settings};
@@ -34,12 +34,12 @@
         now: Micros,
     ) -> Self {
         let mut recovered = replay(records);
-        let configured_list = std::mem::replace(&mut config.known, EndpointList::default().snapshot());
+        let configured_list = std::mem::replace(&mut config.initial_list, EndpointList::default().snapshot());
         let mut reducer = Reducer::with_components(config, generation, &mut recovered, journal_size, now);
         for (id, at) in std::mem::take(&mut recovered.finished) {
             reducer.finished.remember(id, at);
         }
-        reducer.figures.name(&reducer.names.classes);
+        reducer.metrics.register_classes(&reducer.names.classes);
         let recovered_list = std::mem::take(&mut recovered.endpoint_list);
         let is_list_recorded = reducer.restore_list(now, configured_list, recovered_list);
         let faulty = reducer.faulty_routes.iter();
@@ -84,7 +84,7 @@
             faulty_routes: std::mem::take(&mut recovered.faulty_routes),
             messages: MessageTable::default(),
             calls: CallTable::default(),
-            pool: Pool::new(settings.idle_timeout, bounds.connections),
+            pool: ConnectionPool::new(settings.idle_timeout, bounds.connections),
             durability: Durability::new(bounds.disk_bytes, journal_size),
             finished: FinishedIds::new(bounds.finished_ids),
             final_answers: PendingAnswers::new(answers, now),
@@ -92,10 +92,10 @@
             handovers: HandoverSchedule::new(seed),
             upgrade: Upgrade::new(generation),
             operator_overrides: std::mem::take(&mut recovered.operator_overrides),
-            policy: FleetPolicy::new(config.policy_out),
+            policy: FleetPolicy::new(config.policy_ejected),
             clients: Clients::default(),
             shutdown: None,
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             effects: Vec::new(),
             settings,
             names: config.names,
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -4,8 +4,8 @@
 
 use super::Reducer;
 use super::durability::AfterAppend;
-use crate::figures::End;
 use crate::input::Effect;
+use crate::metrics::MessageEnd;
 use bytes::Bytes;
 use orchidyoke_core::interface::{MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, Record, RecordsWithBodies};
@@ -136,10 +136,10 @@
         let retry_after_ms = self.journal_full_retry_after() / 1000;
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
             if accepted.possible_delivery.is_some() || accepted.in_flight.is_some() {
-                self.figures.turned_away(&accepted.class, End::Error);
+                self.metrics.on_rejected(&accepted.class, MessageEnd::Error);
                 takeover.undelivered_answers.push((accepted.id, FinalAnswer::Failed, now));
             } else {
-                self.figures.turned_away(&accepted.class, End::Overload);
+                self.metrics.on_rejected(&accepted.class, MessageEnd::Overload);
                 let answer = FinalAnswer::Rejected { retry_after_ms };
                 takeover.undelivered_answers.push((accepted.id, answer, now));
             }
@@ -167,7 +167,7 @@
     fn merge_message(&mut self, now: Micros, number: MessageId, merged: AcceptedMessage) {
         let Some(message) = self.messages.get_mut(number) else { return };
         if !std::mem::replace(&mut message.stored, true) {
-            self.figures.took(1);
+            self.metrics.on_accepted(1);
         }
         message.accepted = merged;
         if message.in_controller {
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -1,17 +1,18 @@
 //! The running forwarder: a clock, the reducer, and the effects that it asks for on sockets and files.
 
 use super::client_api::ClientGateway;
-use super::console_listener::{self, Console};
-use super::discovery::Ended;
-use super::listener::{self, Connections};
-use super::next_hop::{self, Order};
+use super::client_connections::ClientConnections;
+use super::client_listener;
+use super::connection_pool::EndpointConnectionId;
+use super::console_listener::{self, ConsoleGateway};
+use super::discovery::WatchEnd;
+use super::endpoint_connection::{self, Order};
 use super::peer_call::{OfferTimes, PeerConnections};
-use super::pool::EndpointConnectionId;
 use super::reducer::Reducer;
-use super::reload::{Reloads, Source};
+use super::reload::{ConfigSource, Reloads};
 use super::shutdown::Signals;
-use super::succession::Siblings;
-use super::{discovery, inherited, notices};
+use super::sibling_journals::SiblingJournals;
+use super::{discovery, inherited_listener, notifications};
 use crate::input::{Effect, Input, WatchId, WatchSource, update_sender};
 use crate::log;
 use crate::policy_participant::PolicyParticipant;
@@ -60,14 +61,14 @@
     clock: Clock,
     journal: Journal,
     gateway: Rc<ClientGateway>,
-    console: Rc<Console>,
+    console: Rc<ConsoleGateway>,
     links: HashMap<EndpointConnectionId, UnboundedSender<Order>>,
     /// Connections to the forwarders that own destinations.
     peers: Rc<PeerConnections>,
     inputs: UnboundedSender<Input>,
-    connections: Rc<Connections>,
+    connections: Rc<ClientConnections>,
     /// The other processes on the folder.
-    siblings: Siblings,
+    siblings: SiblingJournals,
     /// The task that follows discovery's list, once there is one.
     watch: Option<AbortHandle>,
     /// The task that takes connections, once there is one.
@@ -94,10 +95,10 @@
                 let (sender, orders) = unbounded_channel();
                 self.links.insert(link, sender);
                 let until = self.clock.instant(until);
-                spawn_local(next_hop::run(link, address, until, orders, self.inputs.clone()));
+                spawn_local(endpoint_connection::run(link, address, until, orders, self.inputs.clone()));
             }
             Effect::SendCall { connection: link, call } => {
-                let due = self.clock.instant(call.due);
+                let due = self.clock.instant(call.deadline);
                 if let Some(orders) = self.links.get(&link) {
                     // A connection that has closed meanwhile reports that itself.
                     let _ = orders.send((call, due));
@@ -114,17 +115,17 @@
                 spawn_local(self.peers.clone().offer(offer, times, self.inputs.clone()));
             }
             Effect::PostNotifications { to, notifications: notices } => {
-                spawn_local(notices::post(to, notices, self.inputs.clone()));
+                spawn_local(notifications::post(to, notices, self.inputs.clone()));
             }
             Effect::StartWatch { watch, from } => self.follow(watch, from),
             Effect::Log { line } => log!("{line}"),
-            Effect::RemoveJournal { generation } => self.siblings.retire(generation),
+            Effect::RemoveJournal { generation } => self.siblings.remove(generation),
             Effect::HandOverClients => {
                 self.listening.take().iter().for_each(AbortHandle::abort);
-                self.siblings.end();
-                self.connections.move_on();
+                self.siblings.stop();
+                self.connections.hand_over();
             }
-            Effect::StopAccepting => self.connections.end(),
+            Effect::StopAccepting => self.connections.shut_down(),
             Effect::Exit => self.ending = true,
         }
         None
@@ -134,11 +135,13 @@
         self.watch.iter().for_each(AbortHandle::abort);
         let (inputs, updates) = (self.inputs.clone(), update_sender(watch, self.inputs.clone()));
         let task = spawn_local(async move {
-            let Ended { why, wait_ms, unheard } = match from {
+            let WatchEnd { reason: why, retry_after_ms: wait_ms, silence: unheard } = match from {
                 WatchSource::Discovery { at, since } => discovery::follow(at, since, updates).await,
-                WatchSource::Catalogue { catalogue, held } => {
-                    Ended { why: catalogue.follow(held, updates).await, wait_ms: 0, unheard: Duration::ZERO }
-                }
+                WatchSource::Catalogue { catalogue, held } => WatchEnd {
+                    reason: catalogue.follow(held, updates).await,
+                    retry_after_ms: 0,
+                    silence: Duration::ZERO,
+                },
             };
             let unheard = unheard.as_micros() as Micros;
             // The receiver is gone only when the forwarder ends.
@@ -164,8 +167,8 @@
         }
         // What depends on what another process holds is decided on with its file as it is now.
         let mut inputs = VecDeque::from_iter(match input {
-            Input::Shutdown => self.siblings.all(),
-            Input::Submitted { .. } | Input::Operator { .. } => self.siblings.look(),
+            Input::Shutdown => self.siblings.scan_and_poll(),
+            Input::Submitted { .. } | Input::Operator { .. } => self.siblings.poll(),
             _ => None,
         });
         inputs.push_back(input);
@@ -180,19 +183,20 @@
 /// Serves until the process is told to end, by the policy of a fleet where there is an agent for it. `fd` is the descriptor of the clients' listening socket, where whoever
 /// started the process holds it.
 pub fn serve(
-    source: Source,
+    source: ConfigSource,
     policy: Option<Rc<dyn PolicyParticipant>>,
     state: &Path,
     fd: Option<RawFd>,
 ) -> Result<(), Box<dyn Error>> {
-    let inherited =
-        fd.map(|fd| inherited::listener(fd).map_err(|e| format!("descriptor {fd}: {e}"))).transpose()?;
+    let inherited = fd
+        .map(|fd| inherited_listener::listener(fd).map_err(|e| format!("descriptor {fd}: {e}")))
+        .transpose()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(LocalSet::new().run_until(run(source, policy, state, inherited)))
 }
 
 async fn run(
-    source: Source,
+    source: ConfigSource,
     policy: Option<Rc<dyn PolicyParticipant>>,
     state: &Path,
     inherited: Option<std::net::TcpListener>,
@@ -209,15 +213,15 @@
     let OpenedJournal { journal, records, other_journals: others } =
         opened.map_err(|e| format!("{}: {e}", state.display()))?;
     let (generation, size) = (journal.generation(), journal.size());
-    let siblings = Siblings::new(state, generation, others, inherited.is_some());
+    let siblings = SiblingJournals::new(state, generation, others, inherited.is_some());
     let (listen, console_at) = (config.listen, config.console);
-    let callers = if console_at.is_some() { console_listener::PLACES } else { 0 };
-    let most_clients = config.limits.clients(config.settings.max_calls, callers);
+    let callers = if console_at.is_some() { console_listener::MAX_CONNECTIONS } else { 0 };
+    let most_clients = config.limits.max_client_connections(config.settings.max_calls, callers);
     log!("{} starts: {} records in its journal", config.name, records.len());
     let mut reducer = Reducer::new(config, generation, records, size, clock.now());
     let gateway = ClientGateway::new(inputs.clone());
-    let console = Console::new(inputs.clone());
-    let connections = Connections::new(most_clients);
+    let console = ConsoleGateway::new(inputs.clone());
+    let connections = ClientConnections::new(most_clients);
     let mut runner = EffectRunner {
         clock,
         journal,
@@ -236,7 +240,7 @@
         runner.take(&mut reducer, Input::PolicyStatus(policy.status()));
     }
     // What was left over is decided on before anyone is told that the forwarder is ready.
-    if let Some(input) = runner.siblings.look() {
+    if let Some(input) = runner.siblings.poll() {
         runner.take(&mut reducer, input);
     }
     runner.take(&mut reducer, Input::TimerDue);
@@ -245,7 +249,7 @@
         None => bind(listen).await?,
     };
     log!("listens on {}", listener.local_addr()?);
-    let listening = spawn_local(listener::listen(listener, gateway, connections));
+    let listening = spawn_local(client_listener::listen(listener, gateway, connections));
     runner.listening = Some(listening.abort_handle());
     runner.take(&mut reducer, Input::AcceptingClients);
     if let Some(at) = console_at {
@@ -287,7 +291,7 @@
         Some(input) = came.recv() => runner.take(reducer, input),
         () = wait => {}
     }
-    if let Some(input) = runner.siblings.due() {
+    if let Some(input) = runner.siblings.poll_due() {
         runner.take(reducer, input);
     }
     while let Ok(input) = came.try_recv() {
--- a/crates/forwarder/tests/wire_client.rs
+++ b/crates/forwarder/tests/wire_client.rs
@@ -10,8 +10,9 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use orchidyoke_forwarder::client_api::{ClientGateway, respond};
+use orchidyoke_forwarder::client_connections::ClientConnections;
+use orchidyoke_forwarder::client_listener::listen;
 use orchidyoke_forwarder::input::{Input, Submission, SubmitAnswer};
-use orchidyoke_forwarder::listener::{Connections, listen};
 use orchidyoke_forwarder::ownership::ReceivedMark;
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -66,7 +67,7 @@
         let at = listener.local_addr().expect("bound");
         let (sender, inputs) = unbounded_channel();
         let (gateway, submitted) = (ClientGateway::new(sender), Submitted::default());
-        tokio::task::spawn_local(listen(listener, gateway.clone(), Connections::new(64)));
+        tokio::task::spawn_local(listen(listener, gateway.clone(), ClientConnections::new(64)));
         tokio::task::spawn_local(decide(gateway, inputs, submitted.clone()));
         let mut said = String::new();
         for request in requests {
--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -10,10 +10,10 @@
 use orchidyoke_core::interface::Outcome;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::discovery::follow;
-use orchidyoke_forwarder::hop_call::{Call, Part, Reply, ends};
+use orchidyoke_forwarder::endpoint_call::{CallMessage, EndpointCall, EndpointReply, message_results};
+use orchidyoke_forwarder::endpoint_connection::run;
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::next_hop::run;
-use orchidyoke_forwarder::notices::post;
+use orchidyoke_forwarder::notifications::post;
 use orchidyoke_forwarder::ownership::{HandoverMark, OfferOutcome, OutgoingOffer};
 use orchidyoke_forwarder::peer_call::{OfferTimes, PeerConnections};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState};
@@ -52,7 +52,7 @@
 }
 
 /// Makes a call to an endpoint that gives this answer.
-fn call(call: Call, answer: &str) -> (Vec<u8>, Reply) {
+fn call(call: EndpointCall, answer: &str) -> (Vec<u8>, EndpointReply) {
     asked(answer, async |at| {
         let ((orders, taken), (sender, mut inputs)) = (unbounded_channel(), unbounded_channel());
         tokio::task::spawn_local(run(1, at, soon(), taken, sender));
@@ -67,17 +67,26 @@
     })
 }
 
-fn part(txn: &str, key: Option<&str>, body: &'static [u8]) -> Part {
-    Part { txn: txn.to_owned(), key: key.map(str::to_owned), body: Bytes::from_static(body) }
+fn part(txn: &str, key: Option<&str>, body: &'static [u8]) -> CallMessage {
+    CallMessage {
+        id: txn.to_owned(),
+        idempotency_key: key.map(str::to_owned),
+        body: Bytes::from_static(body),
+    }
 }
 
-fn single(key: Option<&str>) -> Call {
-    Call { parts: vec![part("9b1f03aa5c7e2d41", key, b"hello")], bulk: false, remaining: 1_500_000, due: 0 }
+fn single(key: Option<&str>) -> EndpointCall {
+    EndpointCall {
+        messages: vec![part("9b1f03aa5c7e2d41", key, b"hello")],
+        is_bulk: false,
+        time_left: 1_500_000,
+        deadline: 0,
+    }
 }
 
-fn several() -> Call {
-    let parts = vec![part("9b1f", Some("5c\"0f"), b"hello"), part("9b20", None, b"\xff\x00")];
-    Call { parts, bulk: true, remaining: 2_000_400, due: 0 }
+fn several() -> EndpointCall {
+    let messages = vec![part("9b1f", Some("5c\"0f"), b"hello"), part("9b20", None, b"\xff\x00")];
+    EndpointCall { messages, is_bulk: true, time_left: 2_000_400, deadline: 0 }
 }
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -85,7 +94,7 @@
 #[test]
 fn calls_to_endpoints_stay_the_same() {
     let ends = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]";
-    let one = Call { parts: several().parts[..1].to_vec(), ..several() };
+    let one = EndpointCall { messages: several().messages[..1].to_vec(), ..several() };
     let said = [(single(None), OK), (single(Some("5c0f6e1a")), OK), (several(), ends), (one, ends)]
         .map(|(it, answer)| side("> ", &call(it, answer).0));
     assert_golden("calls.txt", &said.join("\n"));
@@ -96,23 +105,30 @@
     let told = "HTTP/1.1 503 Service Unavailable\r\nX-Come-Back-Ms: 250\r\nX-Line-Busy: 1\r\n\
                 X-Pressure: x0=0.4,x1=25\r\nContent-Length: 4\r\n\r\nbusy";
     let (_, reply) = call(single(None), told);
-    assert_eq!((reply.status, reply.wait_ms, reply.line_busy), (503, 250, true));
-    assert_eq!((reply.limit, reply.left, reply.bulk), (Some(25.0), Some(0.4), false));
+    assert_eq!((reply.status, reply.retry_after_ms, reply.line_busy), (503, 250, true));
+    assert_eq!(
+        (reply.reported_limit, reply.reported_remaining, reply.is_bulk),
+        (Some(25.0), Some(0.4), false)
+    );
     assert_eq!(reply.body, Bytes::from_static(b"busy"));
     let (_, reply) = call(single(None), OK);
-    assert_eq!((reply.status, reply.wait_ms, reply.line_busy), (200, 0, false));
-    assert_eq!((reply.limit, reply.left), (None, None));
+    assert_eq!((reply.status, reply.retry_after_ms, reply.line_busy), (200, 0, false));
+    assert_eq!((reply.reported_limit, reply.reported_remaining), (None, None));
 }
 
 #[test]
 fn each_state_in_an_answer_for_several_is_read_by_its_word() {
     let body = r#"[{"id":"a","state":"accepted"},{"id":"b","state":"fault"},{"id":"c","state":"deferred"},
         {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
-    let reply =
-        Reply { status: 200, bulk: true, body: Bytes::from_static(body.as_bytes()), ..Reply::default() };
+    let reply = EndpointReply {
+        status: 200,
+        is_bulk: true,
+        body: Bytes::from_static(body.as_bytes()),
+        ..EndpointReply::default()
+    };
     assert!(reply.is_readable());
-    let got = ends(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
-    let got: Vec<_> = got.iter().map(|end| (end.outcome, end.over)).collect();
+    let got = message_results(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
+    let got: Vec<_> = got.iter().map(|end| (end.outcome, end.message_finished)).collect();
     let expected = [
         (Outcome::Success, false),
         (Outcome::Error, false),
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -13,7 +13,7 @@
 use orchidyoke_forwarder::input;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::policy_participant::{PolicyParticipant, PolicyStatus, Task};
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::path::Path;
@@ -103,7 +103,7 @@
     /// are none.
     async fn carry_out(
         &self,
-        source: &Source,
+        source: &ConfigSource,
         inputs: Option<&UnboundedSender<input::Input>>,
         effects: Vec<Effect>,
     ) {
@@ -125,7 +125,7 @@
     }
 
     /// Checks a proposed policy and keeps it on disk.
-    async fn stage(&self, source: &Source, policy: &VersionedPolicy) -> Result<(), String> {
+    async fn stage(&self, source: &ConfigSource, policy: &VersionedPolicy) -> Result<(), String> {
         let outcome = match self.check(source, policy).await {
             Ok(_) => self.files.write_staged(policy).map_err(|error| error.to_string()),
             Err(reason) => Err(reason),
@@ -138,7 +138,7 @@
     /// Puts a committed policy in force and keeps it on disk.
     async fn apply(
         &self,
-        source: &Source,
+        source: &ConfigSource,
         inputs: Option<&UnboundedSender<input::Input>>,
         policy: &VersionedPolicy,
     ) -> Result<(), String> {
@@ -164,11 +164,11 @@
     }
 
     /// The configuration with this policy, checked with all that it refers to.
-    async fn check(&self, source: &Source, policy: &VersionedPolicy) -> Result<Config, String> {
+    async fn check(&self, source: &ConfigSource, policy: &VersionedPolicy) -> Result<Config, String> {
         source.load_with(overlay(policy)).await.map_err(|error| error.to_string())
     }
 
-    async fn watch_commit_point(&self, source: &Source, inputs: &UnboundedSender<input::Input>) {
+    async fn watch_commit_point(&self, source: &ConfigSource, inputs: &UnboundedSender<input::Input>) {
         let mut locks = self.locks();
         loop {
             match self.read_commit_point(&mut locks, self.settings.ttl / 4).await {
@@ -263,8 +263,8 @@
 
 fn overlay(policy: &VersionedPolicy) -> impl Fn(&str) -> Result<String, ConfigError> + '_ {
     |configuration| {
-        let policy = Policy::parse(&policy.text).map_err(ConfigError::new)?;
-        policy.apply_to(configuration).map_err(ConfigError::new)
+        let policy = Policy::parse(&policy.text).map_err(ConfigError::extension)?;
+        policy.apply_to(configuration).map_err(ConfigError::extension)
     }
 }
 
@@ -282,7 +282,7 @@
 }
 
 impl PolicyParticipant for ConsulParticipant {
-    fn join<'a>(&'a self, source: &'a Source) -> Task<'a> {
+    fn join<'a>(&'a self, source: &'a ConfigSource) -> Task<'a> {
         Box::pin(async move {
             let mut locks = self.locks();
             let read = async {
@@ -309,16 +309,20 @@
         let unready_reason = state.unready_reason(self.now(), self.contact_time());
         let has_contact = self.contact_until().is_some_and(|until| self.now() < until);
         let is_unusable = state.member_status().unusable_reason.is_some();
-        let figures = format!(
+        let metrics = format!(
             "app_policy_epoch {}\napp_policy_contact {}\napp_policy_refused {}\n",
             state.version(),
             u8::from(has_contact),
             u8::from(is_unusable)
         );
-        PolicyStatus { unready_reason, figures }
+        PolicyStatus { unready_reason, metrics }
     }
 
-    fn follow(self: Rc<Self>, source: Rc<Source>, inputs: UnboundedSender<input::Input>) -> Task<'static> {
+    fn follow(
+        self: Rc<Self>,
+        source: Rc<ConfigSource>,
+        inputs: UnboundedSender<input::Input>,
+    ) -> Task<'static> {
         Box::pin(async move {
             tokio::join!(
                 self.watch_commit_point(&source, &inputs),
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -33,10 +33,14 @@
 fn print_config(config: &Config) {
     let settings = &config.settings;
     println!("name: {}", config.name);
-    println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_start(None));
+    println!("listens on {}, asks discovery at {}", config.listen, config.discovery.at_startup(None));
     println!("classes: {}", config.names.classes.join(", "));
     println!("kinds of destination: {}", config.names.kinds.join(", "));
-    println!("endpoints known: {} (version {})", config.known.endpoints.len(), config.known.version);
+    println!(
+        "endpoints known: {} (version {})",
+        config.initial_list.endpoints.len(),
+        config.initial_list.version
+    );
     println!(
         "{} calls out at once, {} messages held, {} attempts each",
         settings.max_calls, settings.max_open_messages, settings.max_attempts
