--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -61,7 +61,7 @@
     holders
 }
 
-/// Waits until each of these may act on so many duties, and watches meanwhile that no two may act on one.
+/// Waits until each of these members may act under so many leases; fails where two may act under one meanwhile.
 async fn settle(members: &[&Running], each: usize) {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
@@ -104,7 +104,7 @@
     });
 }
 
-// Guards against a rolling deployment in which each stop leaves duties orphaned for a TTL and a lock-delay.
+// Guards against a rolling deployment in which each stop leaves leases without a holder for a TTL and a lock-delay.
 #[test]
 fn graceful_shutdown_passes_leases_at_once_and_the_member_may_return() {
     run(async {
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -37,7 +37,7 @@
     mutant: Mutant,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Member {
     state: LeaseStateMachine,
     /// Requests on their way to the store, each with the time at which it was sent, by the member's own clock. Reads of
@@ -212,12 +212,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let member = Member {
-            state: LeaseStateMachine::default(),
-            requests: Vec::new(),
-            answers: Vec::new(),
-            suspended: None,
-        };
+        let member = Member::default();
         let locks = (0..self.leases).map(|lease| (lease, Lock { session: None, modify_index: 0 }));
         let mut world = World {
             clock: 0,
@@ -323,13 +318,7 @@
             }
             Step::Crash(member) => {
                 next.crashes -= 1;
-                let fresh = Member {
-                    state: LeaseStateMachine::default(),
-                    requests: Vec::new(),
-                    answers: Vec::new(),
-                    suspended: None,
-                };
-                next.members[member] = fresh;
+                next.members[member] = Member::default();
                 self.step(&mut next, member, Input::AssignmentChanged((0..self.leases).collect()));
             }
         }
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -1,24 +1,24 @@
-//! The hash that duties and destinations share: pinned, since members of two versions stand in one fleet.
+//! The hash by which leases and destinations are placed: pinned, since members of two versions share one fleet.
 
 use orchidyoke_leases::rendezvous::score;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The score as placement had it before the hash became a module of its own.
-fn reference(duty: u32, name: &str, weight: f64) -> f64 {
-    let mut text = duty.to_le_bytes().to_vec();
+/// The score, computed without the inline buffer.
+fn reference(lease: u32, name: &str, weight: f64) -> f64 {
+    let mut text = lease.to_le_bytes().to_vec();
     text.extend_from_slice(name.as_bytes());
     let chance = ((xxh3_64(&text) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -weight / chance.ln()
 }
 
-// Guards against duties that all move when a fleet is upgraded, short names and ones past the inline buffer alike.
+// Guards against leases that all migrate during an upgrade of the fleet, for names within the inline buffer and beyond.
 #[test]
-fn scores_of_duties_are_as_they_were() {
+fn scores_of_leases_are_pinned() {
     for length in [0, 1, 2, 60, 123, 124, 125, 300] {
         let name = "f".repeat(length);
-        for duty in 0_u32..200 {
+        for lease in 0_u32..200 {
             for weight in [0.5, 1.0, 3.0] {
-                assert_eq!(score(&duty.to_le_bytes(), &name, weight), reference(duty, &name, weight));
+                assert_eq!(score(&lease.to_le_bytes(), &name, weight), reference(lease, &name, weight));
             }
         }
     }
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -1,4 +1,4 @@
-//! Ways to give destinations to forwarders, counted for the size of two years from now: one of three regions with 150
+//! Compares ways to place destinations on forwarders, at the size of the target: one of three regions with 150
 //! forwarders in two zones and 100,000 destinations. Prints the tables of `docs/ownership.md`.
 //!
 //!     cargo run --release -p orchidyoke-ownership --example compare_placements
@@ -70,7 +70,7 @@
     (0..DESTINATIONS).map(&mut owner_of).collect()
 }
 
-/// Slots given out evenly by one who writes it into Consul; what has a slot keeps it.
+/// Slots assigned evenly by one writer in Consul; a member keeps the slots that it has.
 fn by_slots(members: &Members, before: Option<&Owners>) -> Owners {
     let slot = |destination: u64| (chance(destination, "slot") * f64::from(SLOTS)) as u32;
     let held = before.into_iter().flat_map(|owners| {
@@ -97,8 +97,8 @@
     (extreme(f64::max), extreme(f64::min))
 }
 
-/// The place of each destination in the order of traffic, by Zipf's law with exponent 1: dealt out by another hash, so that
-/// no way can know it.
+/// The rank of each destination by traffic, after Zipf's law with exponent 1; drawn by another hash, so that no way depends
+/// on it.
 fn ranks() -> Vec<usize> {
     let mut order: Vec<u64> = (0..DESTINATIONS).collect();
     order.sort_by(|left, right| chance(*left, "rank").total_cmp(&chance(*right, "rank")));
@@ -130,7 +130,7 @@
     );
 }
 
-/// Runs something and gives the microseconds that it took.
+/// Runs some work; the time that it took, in microseconds, and its result.
 fn micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let start = Instant::now();
     let result = black_box(work());
@@ -166,7 +166,7 @@
     }
 }
 
-/// Bytes of Consul's answers to a look at all members, and what they come to when a region's forwarders are all restarted.
+/// The bytes of Consul's answers to a read of all members, and their rate while all forwarders of a region are restarted.
 fn control() {
     let all: Members = (0..MEMBERS).collect();
     let row = |member: &Member| {
@@ -183,7 +183,7 @@
     };
     let keys: usize = view(1, &all).members().iter().map(|member| key(member).len()).sum();
     println!(
-        "\n| a look at {MEMBERS} members | bytes | of 6 KB/s, looks at most every 5 s | a look for each change, 300 changes in 10 min |"
+        "\n| a read of {MEMBERS} members | bytes | of 6 KB/s, reads at most every 5 s | a read for each change, 300 changes in 10 min |"
     );
     println!("| --- | --- | --- | --- |");
     for (what, bytes) in [("rows with entries", entries), ("keys alone, the entry in the key", keys)] {
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -338,19 +338,22 @@
         node != HOLDER && ended && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
     }
 
+    fn receive_view(&self, world: &mut World, node: usize, version: usize) -> Option<()> {
+        let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
+        let refused = table.replace_view(self.views[version].clone()).is_err();
+        if refused && self.mutant != Mutant::OlderViews {
+            return None;
+        }
+        let node = &mut world.nodes[node];
+        node.version = version;
+        node.latest_received = node.latest_received.max(version);
+        Some(())
+    }
+
     fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
             Step::ViewChanges => world.latest += 1,
-            Step::ReceiveView(node, version) => {
-                let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
-                let refused = table.replace_view(self.views[version].clone()).is_err();
-                if refused && self.mutant != Mutant::OlderViews {
-                    return None;
-                }
-                let node = &mut world.nodes[node];
-                node.version = version;
-                node.latest_received = node.latest_received.max(version);
-            }
+            Step::ReceiveView(node, version) => self.receive_view(world, node, version)?,
             Step::Dispatch(node) => self.dispatch(world, node)?,
             Step::Read(request, accepts) => self.read(world, request, accepts)?,
             Step::LoseRequest(request) => drop(world.requests.remove(request)),
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -158,6 +158,17 @@
             .is_some_and(|proposal| proposal.policy.id == proposed.id && proposal.modify_index == index)
     }
 
+    /// A participant restarts with what is on its disk.
+    fn crash(&mut self, place: usize) {
+        self.crashes += 1;
+        self.any_absent = true;
+        let participant = &mut self.participants[place];
+        participant.state = Participant::new(participant.held.clone(), participant.staged.clone());
+        participant.read = None;
+        participant.acts_by = participant.held.clone();
+        participant.publishes = true;
+    }
+
     fn withdraw(&mut self, proposed: &VersionedPolicy) {
         if self.point.proposal.as_ref().is_some_and(|proposal| proposal.policy.id == proposed.id) {
             self.index += 1;
@@ -166,6 +177,62 @@
     }
 }
 
+impl Bounds {
+    /// A coordinator writes its proposal, unless there is one.
+    fn acquire(&self, world: &mut World, place: usize) -> Option<()> {
+        let Coordinator::Read(point) = &world.coordinators[place] else { return None };
+        let text = if self.bad && place + 1 == self.coordinators { UNUSABLE } else { "good" };
+        let version = point.version() + 1;
+        let proposed = VersionedPolicy::new(place.to_string(), version, text.to_owned(), String::new());
+        if world.point.proposal.is_some() {
+            world.coordinators[place] = Coordinator::Over;
+            return Some(());
+        }
+        world.index += 1;
+        world.point.proposal = Some(Proposal {
+            policy: proposed.clone(),
+            modify_index: world.index,
+            session: Some(place.to_string()),
+        });
+        world.coordinators[place] = Coordinator::Proposed(proposed, None);
+        Some(())
+    }
+
+    /// A coordinator decides on the members that it has read.
+    fn decide(&self, world: &mut World, place: usize) -> Option<()> {
+        let Coordinator::Proposed(proposed, Some(members)) = world.coordinators[place].clone() else {
+            return None;
+        };
+        let members = if self.mutant == Mutant::NoVotes { &[][..] } else { &members };
+        world.coordinators[place] = match decide(&proposed, &world.point, members) {
+            CommitDecision::Wait(_) => Coordinator::Proposed(proposed, None),
+            CommitDecision::Commit(condition) => Coordinator::Sent { proposed, condition },
+            CommitDecision::Rejected(_) | CommitDecision::Superseded => {
+                world.withdraw(&proposed);
+                Coordinator::Over
+            }
+        };
+        Some(())
+    }
+
+    /// The store carries out a commit, if its condition holds.
+    fn commit(&self, world: &mut World, place: usize) -> Option<()> {
+        let Coordinator::Sent { proposed, condition } = world.coordinators[place].clone() else {
+            return None;
+        };
+        let is_unchanged = world.point.committed_index() == condition.committed_index;
+        let checked = world.holds(&proposed, condition.proposal_index) && is_unchanged;
+        if checked || self.mutant == Mutant::NoCheckAndSet {
+            world.withdraw(&proposed);
+            world.index += 1;
+            world.point.committed = Some(Committed { policy: proposed.clone(), modify_index: world.index });
+            world.history.push((proposed, world.clock));
+        }
+        world.coordinators[place] = Coordinator::Over;
+        Some(())
+    }
+}
+
 impl Model for Bounds {
     type State = World;
     type Action = Step;
@@ -255,74 +322,17 @@
                 world.any_absent = true;
                 world.keys[place] = None;
             }
-            Step::Crash(place) => {
-                world.crashes += 1;
-                world.any_absent = true;
-                let participant = &mut world.participants[place];
-                participant.state = Participant::new(participant.held.clone(), participant.staged.clone());
-                participant.read = None;
-                participant.acts_by = participant.held.clone();
-                participant.publishes = true;
-            }
+            Step::Crash(place) => world.crash(place),
             Step::StartProposal(place) => world.coordinators[place] = Coordinator::Read(world.point.clone()),
-            Step::Acquire(place) => {
-                let Coordinator::Read(point) = &last.coordinators[place] else { return None };
-                let policy = if self.bad && place + 1 == self.coordinators { UNUSABLE } else { "good" };
-                let proposed = VersionedPolicy::new(
-                    place.to_string(),
-                    point.version() + 1,
-                    policy.to_owned(),
-                    String::new(),
-                );
-                world.coordinators[place] = if world.point.proposal.is_some() {
-                    Coordinator::Over
-                } else {
-                    world.index += 1;
-                    world.point.proposal = Some(Proposal {
-                        policy: proposed.clone(),
-                        modify_index: world.index,
-                        session: Some(place.to_string()),
-                    });
-                    Coordinator::Proposed(proposed, None)
-                };
-            }
+            Step::Acquire(place) => self.acquire(&mut world, place)?,
             Step::ReadMembers(place) => {
                 let members = world.members();
                 if let Coordinator::Proposed(_, seen) = &mut world.coordinators[place] {
                     *seen = Some(members);
                 }
             }
-            Step::Decide(place) => {
-                let Coordinator::Proposed(proposed, Some(members)) = &last.coordinators[place] else {
-                    return None;
-                };
-                let members = if self.mutant == Mutant::NoVotes { &[][..] } else { members };
-                world.coordinators[place] = match decide(proposed, &last.point, members) {
-                    CommitDecision::Wait(_) => Coordinator::Proposed(proposed.clone(), None),
-                    CommitDecision::Commit(condition) => {
-                        Coordinator::Sent { proposed: proposed.clone(), condition }
-                    }
-                    CommitDecision::Rejected(_) | CommitDecision::Superseded => {
-                        world.withdraw(proposed);
-                        Coordinator::Over
-                    }
-                };
-            }
-            Step::Commit(place) => {
-                let Coordinator::Sent { proposed, condition } = &last.coordinators[place] else {
-                    return None;
-                };
-                let is_unchanged = last.point.committed_index() == condition.committed_index;
-                let checked = last.holds(proposed, condition.proposal_index) && is_unchanged;
-                if checked || self.mutant == Mutant::NoCheckAndSet {
-                    world.withdraw(proposed);
-                    world.index += 1;
-                    world.point.committed =
-                        Some(Committed { policy: proposed.clone(), modify_index: world.index });
-                    world.history.push((proposed.clone(), world.clock));
-                }
-                world.coordinators[place] = Coordinator::Over;
-            }
+            Step::Decide(place) => self.decide(&mut world, place)?,
+            Step::Commit(place) => self.commit(&mut world, place)?,
             Step::Withdrawn(place) => {
                 world.losses += 1;
                 if let Coordinator::Proposed(proposed, _) | Coordinator::Sent { proposed, .. } =
