--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -5,7 +5,7 @@
 use orchidyoke_consul::api::ServiceEntry;
 use orchidyoke_consul::settings::{Consistency, Service, Tls};
 use orchidyoke_consul::snapshot::CatalogueSnapshot;
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::time::Duration;
 
 /// The ids of the settings below, one a line.
@@ -68,9 +68,9 @@
         zone: "z-2".to_owned(),
         kind: "m-1".to_owned(),
         destination: 11,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 20.5,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     };
     let origin = IDS.lines().nth(1).expect("an id").to_owned();
     assert_eq!(change.news, [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![target], origin }]);
