--- /dev/null
+++ b/src/bin/orchidyoke-simulator/line.rs
@@ -0,0 +1,99 @@
+//! One line of the simulator's protocol: a word and `name=value` fields, and what can be wrong with it.
+
+use std::fmt;
+use std::str::FromStr;
+
+/// What is wrong with a line, or with writing one.
+#[derive(Debug)]
+pub enum LineError {
+    /// A field, or a word, is missing or has no meaning here.
+    Invalid {
+        /// The field or word.
+        subject: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// Standard output cannot be written.
+    Output(std::io::Error),
+}
+
+impl LineError {
+    pub fn invalid(subject: &str, reason: &str) -> Self {
+        LineError::Invalid { subject: subject.to_owned(), reason: reason.to_owned() }
+    }
+}
+
+impl fmt::Display for LineError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LineError::Invalid { subject, reason } => write!(f, "{subject}: {reason}"),
+            LineError::Output(error) => write!(f, "standard output: {error}"),
+        }
+    }
+}
+
+impl From<std::io::Error> for LineError {
+    fn from(error: std::io::Error) -> Self {
+        LineError::Output(error)
+    }
+}
+
+/// Fields whose value is text up to the end of the line.
+const TEXT_FIELDS: [&str; 2] = ["options", "what"];
+
+struct Field<'a> {
+    name: &'a str,
+    value: &'a str,
+}
+
+/// The fields of one line.
+pub struct Fields<'a>(Vec<Field<'a>>);
+
+impl<'a> Fields<'a> {
+    pub fn parse(mut rest: &'a str) -> Result<Self, LineError> {
+        let mut fields = Vec::new();
+        while !rest.is_empty() {
+            let Some((name, after)) = rest.split_once('=') else {
+                return Err(LineError::invalid(rest, "not name=value"));
+            };
+            if name.is_empty() || name.contains(' ') {
+                return Err(LineError::invalid(name.trim(), "not name=value"));
+            }
+            let is_text = TEXT_FIELDS.contains(&name);
+            let value = if is_text { after } else { after.split(' ').next().unwrap_or("") };
+            fields.push(Field { name, value });
+            rest = after[value.len()..].strip_prefix(' ').unwrap_or("");
+        }
+        Ok(Fields(fields))
+    }
+
+    /// The value of a field, if it is there.
+    pub fn get(&self, name: &str) -> Option<&'a str> {
+        self.0.iter().find(|field| field.name == name).map(|field| field.value)
+    }
+
+    /// The value of a required field.
+    pub fn text(&self, name: &str) -> Result<&'a str, LineError> {
+        self.get(name).ok_or_else(|| LineError::invalid(name, "missing"))
+    }
+
+    /// A required number.
+    pub fn number<T: FromStr>(&self, name: &str) -> Result<T, LineError> {
+        let text = self.text(name)?;
+        text.parse().map_err(|_| LineError::invalid(name, &format!("not a fit number: {text}")))
+    }
+
+    /// A number that may be absent.
+    pub fn number_or<T: FromStr>(&self, name: &str, absent: T) -> Result<T, LineError> {
+        if self.get(name).is_some() { self.number(name) } else { Ok(absent) }
+    }
+
+    /// A flag, 0 or 1; absent means 0.
+    pub fn flag(&self, name: &str) -> Result<bool, LineError> {
+        match self.get(name) {
+            None | Some("0") => Ok(false),
+            Some("1") => Ok(true),
+            Some(other) => Err(LineError::invalid(name, &format!("not 0 or 1: {other}"))),
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/orchidyoke-simulator/session.rs
@@ -0,0 +1,122 @@
+//! The simulator's session: batches of lines in, and for each batch the actions of the instances that it concerns out.
+
+use crate::instance::{self, Instance, ListedTarget, Sheets};
+use crate::line::{Fields, LineError};
+use std::collections::BTreeMap;
+use std::io::Write;
+
+/// A batch that has begun and not ended.
+struct Batch {
+    now: i64,
+    serial: String,
+}
+
+/// A sheet whose `TARGET` lines are still to come.
+struct OpenSheet {
+    number: u64,
+    lines_left: usize,
+}
+
+/// What lasts from line to line.
+#[derive(Default)]
+pub struct Session {
+    instances: BTreeMap<u64, Instance>,
+    sheets: Sheets,
+    batch: Option<Batch>,
+    /// Instances with an event in this batch, in the order of their first one.
+    touched: Vec<u64>,
+    open_sheet: Option<OpenSheet>,
+}
+
+impl Session {
+    /// Whether a batch has begun and not ended.
+    pub fn is_in_batch(&self) -> bool {
+        self.batch.is_some()
+    }
+
+    /// Takes in one line, and writes the answer where it ends a batch.
+    pub fn on_line(&mut self, line: &str, out: &mut impl Write) -> Result<(), LineError> {
+        let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
+        let fields = Fields::parse(rest)?;
+        if let Some(sheet) = self.open_sheet.take_if(|sheet| sheet.lines_left > 0) {
+            return self.add_target(sheet, word, &fields);
+        }
+        if word == "BATCH" {
+            return self.begin_batch(&fields);
+        }
+        if self.batch.is_none() {
+            return Err(LineError::invalid(word, "outside a batch"));
+        }
+        match word {
+            "END" => self.end_batch(out),
+            "CENSUS" => self.open_sheet(&fields),
+            "TARGET" => Err(LineError::invalid("TARGET", "not announced by a CENSUS")),
+            _ => self.on_event(word, &fields),
+        }
+    }
+
+    fn add_target(&mut self, sheet: OpenSheet, word: &str, fields: &Fields) -> Result<(), LineError> {
+        if word != "TARGET" {
+            return Err(LineError::invalid("nodes_list", "a TARGET line was due"));
+        }
+        self.sheets.entry(sheet.number).or_default().push(ListedTarget::parse(fields)?);
+        self.open_sheet = Some(OpenSheet { lines_left: sheet.lines_left - 1, ..sheet });
+        Ok(())
+    }
+
+    fn begin_batch(&mut self, fields: &Fields) -> Result<(), LineError> {
+        if self.batch.is_some() {
+            return Err(LineError::invalid("BATCH", "the batch before it has no END"));
+        }
+        let now = fields.number("sim_time_us")?;
+        let serial = fields.text("serial")?.to_owned();
+        self.batch = Some(Batch { now, serial });
+        Ok(())
+    }
+
+    fn end_batch(&mut self, out: &mut impl Write) -> Result<(), LineError> {
+        let Some(batch) = self.batch.take() else { return Ok(()) };
+        for number in std::mem::take(&mut self.touched) {
+            if let Some(instance) = self.instances.get_mut(&number) {
+                instance.step(number, batch.now, out)?;
+            }
+        }
+        writeln!(out, "ACK serial={}", batch.serial)?;
+        out.flush()?;
+        Ok(())
+    }
+
+    fn open_sheet(&mut self, fields: &Fields) -> Result<(), LineError> {
+        let number = fields.number("sheet")?;
+        self.sheets.insert(number, Vec::new());
+        self.open_sheet = Some(OpenSheet { number, lines_left: fields.number("nodes_list")? });
+        Ok(())
+    }
+
+    fn on_event(&mut self, word: &str, fields: &Fields) -> Result<(), LineError> {
+        if !instance::EVENTS.contains(&word) {
+            return Err(LineError::invalid(word, "unknown event"));
+        }
+        let number: u64 = fields.number("forwarder_id")?;
+        match word {
+            "HELLO" => {
+                self.instances.insert(number, Instance::start(fields)?);
+            }
+            "RETIRE" => {
+                self.instances.remove(&number);
+                self.touched.retain(|other| *other != number);
+                return Ok(());
+            }
+            _ => {
+                let instance = self.instances.get_mut(&number);
+                let instance =
+                    instance.ok_or(LineError::invalid("forwarder_id", "no such instance is running"))?;
+                instance.add_event(word, fields, &self.sheets)?;
+            }
+        }
+        if !self.touched.contains(&number) {
+            self.touched.push(number);
+        }
+        Ok(())
+    }
+}
