--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The transport map as data: the list of endpoints, its form, and how news changes it.
+//! The endpoint list as data: its entries, the events that change it, and the list as it stands. Used by discovery, the
+//! journal and the forwarder; it holds no decision.
 
 mod bounds;
 mod list;
@@ -11,18 +12,18 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes of a line of the list beside its names and its address, at most: all its numbers at their longest.
-const LINE_SIZE: usize = 160;
-/// Bytes of an address at most.
-const IPV4_SIZE: usize = "255.255.255.255:65535".len();
-const IPV6_SIZE: usize = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".len();
-/// A byte of a name that JSON does not write as it is takes up to so many more.
-const ESCAPE_SIZE: usize = "\\u0000".len() - 1;
+/// Most bytes of an entry beside its names and its address: all its numbers at their longest.
+const ENTRY_BYTES: usize = 160;
+/// Most bytes of an address.
+const IPV4_BYTES: usize = "255.255.255.255:65535".len();
+const IPV6_BYTES: usize = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".len();
+/// Most bytes that JSON adds to escape a byte of a name.
+const ESCAPE_BYTES: usize = "\\u0000".len() - 1;
 
-/// A line of the list.
+/// An entry of the list, as discovery and the journal write it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The same at every forwarder, and across restarts.
+    /// Its id, the same at every forwarder and across restarts.
     pub uid: String,
     /// Where this forwarder reaches it.
     #[serde(rename = "endpoint")]
@@ -36,37 +37,37 @@
     /// Its destination.
     #[serde(rename = "pod_group")]
     pub destination: u64,
-    /// Whether it takes anything new.
+    /// Whether it takes new calls.
     pub state: EndpointState,
-    /// What its destination takes, in calls a second.
+    /// Capacity of its destination, in calls a second.
     #[serde(default)]
     pub capacity_hint: f64,
-    /// What health checks say of it.
+    /// Result of its health checks.
     #[serde(rename = "checks", default, skip_serializing_if = "HealthStatus::is_passing")]
     pub health: HealthStatus,
 }
 
 impl EndpointEntry {
-    /// About the bytes of its line, never less.
+    /// Bytes of the entry as JSON, rounded up.
     pub fn size(&self) -> usize {
-        line_size(&self.address, [&self.uid, &self.zone, &self.kind])
+        entry_size(&self.address, [&self.uid, &self.zone, &self.kind])
     }
 }
 
-/// About the bytes of a line with this address and these names, never less.
-fn line_size(endpoint: &SocketAddr, names: [&str; 3]) -> usize {
-    let address = if endpoint.is_ipv4() { IPV4_SIZE } else { IPV6_SIZE };
+/// Bytes of an entry with this address and these names as JSON, rounded up.
+fn entry_size(address: &SocketAddr, names: [&str; 3]) -> usize {
+    let address_bytes = if address.is_ipv4() { IPV4_BYTES } else { IPV6_BYTES };
     let name_size = |name: &str| {
         let escaped = name.bytes().filter(|byte| matches!(byte, 0..0x20 | b'"' | b'\\' | 0x7f));
-        name.len() + escaped.count() * ESCAPE_SIZE
+        name.len() + escaped.count() * ESCAPE_BYTES
     };
-    LINE_SIZE + address + names.into_iter().map(name_size).sum::<usize>()
+    ENTRY_BYTES + address_bytes + names.into_iter().map(name_size).sum::<usize>()
 }
 
-/// The whole list, or what has changed in it.
+/// An event of the watch: the whole list, or what has changed in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Version of the list after this news.
+    /// Version of the list after this event.
     #[serde(rename = "rev")]
     pub version: u64,
     /// Whether this is the whole list.
@@ -75,7 +76,7 @@
     /// The entries.
     #[serde(rename = "targets")]
     pub endpoints: Vec<EndpointEntry>,
-    /// Who told it: the id of a catalogue; empty for discovery.
+    /// Its source: the id of a catalogue; empty for discovery.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub origin: String,
 }
--- a/crates/core/src/endpoint_list/bounds.rs
+++ b/crates/core/src/endpoint_list/bounds.rs
@@ -1,23 +1,23 @@
-//! How large a list may be, and reading one within these bounds.
+//! Bounds of an endpoint list, and parsing within them: a list from outside may not exhaust the memory.
 
 use super::{EndpointEntry, WatchEvent};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, SeqAccess, Visitor};
 use std::fmt;
 
-/// Entries of a list at most: twice the 100,000 for which the forwarder is built.
+/// Most entries of a list: twice the 100,000 for which the forwarder is built.
 pub const MAX_ENTRIES: usize = 200_000;
-/// Bytes of a list at most: 251 for each entry, where an ordinary one takes about 170.
+/// Most bytes of a list: 251 for each entry, where an ordinary one takes about 170.
 pub const MAX_LIST_BYTES: usize = 48 << 20;
 
-/// Why a text is not taken as a list, in one line.
+/// Why a text is not accepted as a list.
 #[derive(Debug)]
 pub enum ListError {
     /// It is longer than [`MAX_LIST_BYTES`].
     TooLarge,
     /// It has more entries than [`MAX_ENTRIES`].
     TooManyEntries,
-    /// It is no list, or not a whole one.
+    /// It is not a complete list.
     Malformed(serde_json::Error),
 }
 
@@ -33,33 +33,33 @@
 
 impl std::error::Error for ListError {}
 
-/// Reads one list. A text that is too large is not parsed, and parsing ends with the first entry that is too many.
+/// Parses one list. A text that is too large is not parsed, and parsing ends with the first entry that is too many.
 ///
 /// # Errors
 ///
-/// The text is no list, or one beyond the bounds.
+/// The text is not a list, or exceeds the bounds.
 pub fn parse_list(text: &[u8]) -> Result<WatchEvent, ListError> {
     if text.len() > MAX_LIST_BYTES {
         return Err(ListError::TooLarge);
     }
     let mut deserializer = serde_json::Deserializer::from_slice(text);
-    let news = bounded_watch_event(&mut deserializer).map_err(ListError::Malformed)?;
+    let event = bounded_watch_event(&mut deserializer).map_err(ListError::Malformed)?;
     deserializer.end().map_err(ListError::Malformed)?;
-    Ok(news)
+    Ok(event)
 }
 
-/// Reads a list as a part of another text; to be named in `deserialize_with`.
+/// Parses a list within another text; for `deserialize_with`.
 ///
 /// # Errors
 ///
-/// It is no list, or has more entries than [`MAX_ENTRIES`].
+/// It is not a list, or has more entries than [`MAX_ENTRIES`].
 pub fn bounded_watch_event<'de, D: Deserializer<'de>>(deserializer: D) -> Result<WatchEvent, D::Error> {
     /// The form of [`WatchEvent`], its entries counted as they are read.
     #[derive(Deserialize)]
     struct Bounded {
         rev: u64,
         all: bool,
-        #[serde(deserialize_with = "bounded_targets")]
+        #[serde(deserialize_with = "bounded_entries")]
         targets: Vec<EndpointEntry>,
         #[serde(default)]
         origin: String,
@@ -68,27 +68,27 @@
     Ok(WatchEvent { version: rev, is_snapshot: all, endpoints: targets, origin })
 }
 
-fn bounded_targets<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<EndpointEntry>, D::Error> {
-    struct Targets;
+fn bounded_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<EndpointEntry>, D::Error> {
+    struct EntriesVisitor;
 
-    impl<'de> Visitor<'de> for Targets {
+    impl<'de> Visitor<'de> for EntriesVisitor {
         type Value = Vec<EndpointEntry>;
 
         fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             f.write_str("a list of targets")
         }
 
-        fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Vec<EndpointEntry>, A::Error> {
-            let mut targets = Vec::new();
-            while let Some(target) = entries.next_element()? {
-                if targets.len() == MAX_ENTRIES {
+        fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Vec<EndpointEntry>, A::Error> {
+            let mut entries = Vec::new();
+            while let Some(entry) = sequence.next_element()? {
+                if entries.len() == MAX_ENTRIES {
                     return Err(A::Error::custom(ListError::TooManyEntries));
                 }
-                targets.push(target);
+                entries.push(entry);
             }
-            Ok(targets)
+            Ok(entries)
         }
     }
 
-    deserializer.deserialize_seq(Targets)
+    deserializer.deserialize_seq(EntriesVisitor)
 }
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -1,16 +1,16 @@
-//! The list as it stands, in a form that is small in memory.
+//! The endpoint list as it stands, in a form that is small in memory: names that entries share are kept once.
 
-use super::{EndpointEntry, EndpointState, HealthStatus, MAX_ENTRIES, WatchEvent, line_size};
+use super::{EndpointEntry, EndpointState, HealthStatus, MAX_ENTRIES, WatchEvent, entry_size};
 use std::borrow::Borrow;
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// About the bytes that a list takes up beside its entries, never less.
-const HEAD_SIZE: usize = 300;
+/// Bytes of a list beside its entries as JSON, rounded up.
+const HEAD_BYTES: usize = 300;
 
-/// An endpoint as the map holds it: a [`EndpointEntry`] whose names are shared.
+/// An endpoint in the list: an [`EndpointEntry`] whose names are shared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
     /// See [`EndpointEntry::uid`].
@@ -32,7 +32,7 @@
 }
 
 impl ListedEndpoint {
-    /// The entry as a line of the list.
+    /// The entry as it is written.
     pub fn to_entry(&self) -> EndpointEntry {
         EndpointEntry {
             uid: self.uid.to_string(),
@@ -47,7 +47,7 @@
     }
 
     fn size(&self) -> usize {
-        line_size(&self.address, [&self.uid, &self.zone, &self.kind])
+        entry_size(&self.address, [&self.uid, &self.zone, &self.kind])
     }
 }
 
@@ -114,85 +114,86 @@
 }
 
 impl EndpointList {
-    /// Takes in news. A target missing from a whole list is gone; one that is gone is not kept.
-    pub fn apply(&mut self, news: &WatchEvent) {
-        self.apply_sharing(news, |uid| uid.into());
+    /// Applies an event. An endpoint missing from a snapshot is removed.
+    pub fn apply(&mut self, event: &WatchEvent) {
+        self.apply_sharing(event, |uid| uid.into());
     }
 
-    /// The same, with the copies of uids that `uid_of` gives: others keep them too.
-    pub fn apply_sharing(&mut self, news: &WatchEvent, uid_of: impl Fn(&str) -> Arc<str>) {
-        if news.is_snapshot {
-            self.apply_snapshot(&news.endpoints, uid_of);
+    /// The same, with the shared copies of uids that `uid_of` gives.
+    pub fn apply_sharing(&mut self, event: &WatchEvent, uid_of: impl Fn(&str) -> Arc<str>) {
+        if event.is_snapshot {
+            self.apply_snapshot(&event.endpoints, uid_of);
         } else {
-            self.apply_delta(&news.endpoints, uid_of);
+            self.apply_delta(&event.endpoints, uid_of);
         }
-        self.version = news.version;
-        self.origin.clone_from(&news.origin);
+        self.version = event.version;
+        self.origin.clone_from(&event.origin);
     }
 
-    fn apply_snapshot(&mut self, targets: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
-        // Names that are in no entry any more are given up.
-        (self.entries, self.names) = (BTreeSet::new(), SharedNames::default());
-        // Built in one go, a tree is packed full; of two lines for one endpoint the later counts.
+    fn apply_snapshot(&mut self, entries: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
+        self.entries = BTreeSet::new();
+        // Names that are in no entry any more are dropped.
+        self.names = SharedNames::default();
+        // Built in one go, a tree is packed full; of two entries for one endpoint the later counts.
         let mut entries: BTreeSet<ByUid> =
-            targets.iter().map(|target| ByUid(self.entry(target, &uid_of))).collect();
+            entries.iter().map(|entry| ByUid(self.share_names(entry, &uid_of))).collect();
         entries.retain(|entry| entry.0.state != EndpointState::Removed);
         self.size = entries.iter().map(|entry| entry.0.size()).sum();
         self.entries = entries;
     }
 
-    fn apply_delta(&mut self, targets: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
-        for target in targets {
-            let before = if target.state == EndpointState::Removed {
-                self.entries.take(target.uid.as_str())
+    fn apply_delta(&mut self, entries: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
+        for entry in entries {
+            let before = if entry.state == EndpointState::Removed {
+                self.entries.take(entry.uid.as_str())
             } else {
-                self.size += target.size();
-                let entry = self.entry(target, &uid_of);
+                self.size += entry.size();
+                let entry = self.share_names(entry, &uid_of);
                 self.entries.replace(ByUid(entry))
             };
             self.size -= before.map_or(0, |entry| entry.0.size());
         }
     }
 
-    fn entry(&mut self, target: &EndpointEntry, uid_of: impl Fn(&str) -> Arc<str>) -> ListedEndpoint {
+    fn share_names(&mut self, entry: &EndpointEntry, uid_of: impl Fn(&str) -> Arc<str>) -> ListedEndpoint {
         ListedEndpoint {
-            uid: uid_of(&target.uid),
-            address: target.address,
-            zone: self.names.share(&target.zone),
-            kind: self.names.share(&target.kind),
-            destination: target.destination,
-            capacity_hint: target.capacity_hint,
-            state: target.state,
-            health: target.health,
+            uid: uid_of(&entry.uid),
+            address: entry.address,
+            zone: self.names.share(&entry.zone),
+            kind: self.names.share(&entry.kind),
+            destination: entry.destination,
+            capacity_hint: entry.capacity_hint,
+            state: entry.state,
+            health: entry.health,
         }
     }
 
-    /// Whether the list still keeps to [`MAX_ENTRIES`] with this news taken in.
-    pub fn has_room_for(&self, news: &WatchEvent) -> bool {
-        let is_listed = |target: &&EndpointEntry| target.state != EndpointState::Removed;
-        if news.is_snapshot {
-            return news.endpoints.iter().filter(is_listed).count() <= MAX_ENTRIES;
+    /// Whether the list stays within [`MAX_ENTRIES`] after an event.
+    pub fn has_room_for(&self, event: &WatchEvent) -> bool {
+        let is_listed = |entry: &&EndpointEntry| entry.state != EndpointState::Removed;
+        if event.is_snapshot {
+            return event.endpoints.iter().filter(is_listed).count() <= MAX_ENTRIES;
         }
-        // Most changes are a few: only near the bound is it worth the while to see which are new.
-        if self.len() + news.endpoints.len() <= MAX_ENTRIES {
+        // Most deltas are small: only near the bound is it worth looking which entries are new.
+        if self.len() + event.endpoints.len() <= MAX_ENTRIES {
             return true;
         }
-        let (listed, gone): (Vec<_>, Vec<_>) = news.endpoints.iter().partition(is_listed);
-        let new = listed.into_iter().filter(|target| self.get(&target.uid).is_none()).count();
-        let removed = gone.into_iter().filter(|target| self.get(&target.uid).is_some()).count();
+        let (listed, removed): (Vec<_>, Vec<_>) = event.endpoints.iter().partition(is_listed);
+        let new = listed.into_iter().filter(|entry| self.get(&entry.uid).is_none()).count();
+        let removed = removed.into_iter().filter(|entry| self.get(&entry.uid).is_some()).count();
         self.len() + new <= MAX_ENTRIES + removed
     }
 
-    /// News that is older than the list held, as it is to be taken: it puts nothing into service. What the list held has
-    /// drained since, or names no more, may not be sent to again on the word of an older one.
-    pub fn without_activations(&self, mut news: WatchEvent) -> WatchEvent {
-        for target in &mut news.endpoints {
-            let serves = self.get(&target.uid).is_some_and(|held| held.state == EndpointState::Active);
-            if target.state == EndpointState::Active && !serves {
-                target.state = EndpointState::Draining;
+    /// An event that is older than the list, without its activations: an endpoint that has drained or was removed since
+    /// must not get calls again because of it.
+    pub fn without_activations(&self, mut event: WatchEvent) -> WatchEvent {
+        for entry in &mut event.endpoints {
+            let serves = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
+            if entry.state == EndpointState::Active && !serves {
+                entry.state = EndpointState::Draining;
             }
         }
-        news
+        event
     }
 
     /// Version of the list.
@@ -200,14 +201,14 @@
         self.version
     }
 
-    /// Who told the list; see [`WatchEvent::origin`].
+    /// Source of the list; see [`WatchEvent::origin`].
     pub fn origin(&self) -> &str {
         &self.origin
     }
 
-    /// About the bytes of the list as news, never less.
+    /// Bytes of the list as a snapshot in JSON, rounded up.
     pub fn size(&self) -> usize {
-        HEAD_SIZE + self.origin.len() + self.size
+        HEAD_BYTES + self.origin.len() + self.size
     }
 
     /// Endpoints in the list.
@@ -215,12 +216,12 @@
         self.entries.len()
     }
 
-    /// Whether the list names no endpoint.
+    /// Whether the list is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An endpoint, unless it is gone.
+    /// An endpoint of the list.
     pub fn get(&self, uid: &str) -> Option<&ListedEndpoint> {
         self.entries.get(uid).map(|entry| &entry.0)
     }
@@ -230,20 +231,21 @@
         self.entries.iter().map(|entry| &entry.0)
     }
 
-    /// The news that makes this map the same as another: its new and changed entries, and those that it lacks as gone.
+    /// The delta that makes this list the same as another: its new and changed entries, and those that it lacks as removed.
     pub fn delta_to(&self, other: &EndpointList) -> WatchEvent {
-        let gone = self.iter().filter(|entry| other.get(&entry.uid).is_none());
-        let gone = gone.map(|entry| EndpointEntry { state: EndpointState::Removed, ..entry.to_entry() });
+        let removed = self.iter().filter(|entry| other.get(&entry.uid).is_none());
+        let removed =
+            removed.map(|entry| EndpointEntry { state: EndpointState::Removed, ..entry.to_entry() });
         let changed = other.iter().filter(|entry| self.get(&entry.uid) != Some(entry));
         WatchEvent {
             version: other.version,
             is_snapshot: false,
-            endpoints: gone.chain(changed.map(ListedEndpoint::to_entry)).collect(),
+            endpoints: removed.chain(changed.map(ListedEndpoint::to_entry)).collect(),
             origin: other.origin.clone(),
         }
     }
 
-    /// The whole list as one piece of news.
+    /// The whole list as one event.
     pub fn snapshot(&self) -> WatchEvent {
         WatchEvent {
             version: self.version,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -18,6 +18,8 @@
 //! | `timeouts` | when a call is overdue, timed out or cancelled |
 //! | `draining` | what still goes to an endpoint that leaves, and what is begun before a shutdown |
 
+#![deny(missing_docs)]
+
 mod admission;
 mod call;
 mod capacity_share;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings JSON, as the simulator and the platform both give it, read into the module's settings.
+//! Reads the settings JSON, as the simulator and the platform both give it, into the controller's settings. The names of
+//! its fields are mapped here and nowhere else.
 
 use crate::interface::{
     CapacityHints, Class, DeduplicationScope, DestinationKind, DiscoveryMode, Idempotency, Settings,
@@ -6,6 +7,7 @@
 };
 use serde::Deserialize;
 
+/// The settings JSON.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Options {
@@ -102,7 +104,7 @@
     quota_rps: f64,
 }
 
-/// The names behind the numbers of the settings.
+/// The names behind the numbers of the settings: the place of a name is its number.
 #[derive(Debug, Default)]
 pub struct Names {
     /// Classes of messages.
@@ -115,87 +117,133 @@
     pub zones: Vec<String>,
 }
 
-/// Reads the settings and the names in them.
+/// Reads the settings JSON: the settings, and the names behind their numbers.
+///
+/// # Errors
+///
+/// The text is not JSON, or a field has another type.
 pub fn read(text: &str) -> Result<(Settings, Names), serde_json::Error> {
-    let options: Options = serde_json::from_str(text)?;
-    let mut zones = options.zones;
-    let zone = zones.iter().position(|z| *z == options.az).unwrap_or_else(|| {
-        zones.push(options.az);
-        zones.len() - 1
-    });
-    let family = options.family_info;
-    let kinds = options.host_types.iter().enumerate();
-    let kinds = kinds.map(|(k, _)| DestinationKind {
-        max_batch: family.batch_by_kind.get(k).copied().unwrap_or(1).max(1),
-        separate_routes: family.own_limits.get(k).copied().unwrap_or(false),
-    });
-    let settings = Settings {
-        fleet_size: options.fleet_size,
-        zone,
-        classes: options.classes.iter().map(class).collect(),
-        kinds: kinds.collect(),
-        tenant_quotas: options.tenants.iter().map(|t| t.quota_rps).collect(),
-        over_quota_weight: options.over_share_worth,
-        decay: if family.loses_worth == "halving" { WeightDecay::Halving } else { WeightDecay::Linear },
-        max_calls: family.slots,
-        max_open_messages: options.limits.max_open,
-        max_attempts: options.limits.try_limit,
-        allow_hedging: options.limits.second_copies,
-        allow_cancel: options.limits.may_cancel,
-        send_retry_after: options.limits.retry_after,
-        max_retry_after: options.limits.max_retry_after_us,
-        streams_per_connection: options.limits.multiplex,
-        idle_timeout: options.limits.idle_close_us,
-        connect_timeout: options.limits.dial_timeout_us,
-        handshake_cost: options.costs.handshake,
-        cross_zone_cost: options.costs.cross_zone,
-        zone_costs: family.toll,
-        capacity_hints: match options.weights.as_str() {
+    let mut options: Options = serde_json::from_str(text)?;
+    let zone = options.own_zone();
+    let settings = options.settings(zone);
+    Ok((settings, options.into_names()))
+}
+
+impl Options {
+    /// The place of this forwarder's zone, which is added to the zones if they do not name it.
+    fn own_zone(&mut self) -> usize {
+        self.zones.iter().position(|zone| *zone == self.az).unwrap_or_else(|| {
+            self.zones.push(self.az.clone());
+            self.zones.len() - 1
+        })
+    }
+
+    fn settings(&self, zone: usize) -> Settings {
+        Settings {
+            fleet_size: self.fleet_size,
+            zone,
+            classes: self.classes.iter().map(Class::from).collect(),
+            kinds: self.destination_kinds(),
+            tenant_quotas: self.tenants.iter().map(|tenant| tenant.quota_rps).collect(),
+            over_quota_weight: self.over_share_worth,
+            decay: self.decay(),
+            max_calls: self.family_info.slots,
+            max_open_messages: self.limits.max_open,
+            max_attempts: self.limits.try_limit,
+            allow_hedging: self.limits.second_copies,
+            allow_cancel: self.limits.may_cancel,
+            send_retry_after: self.limits.retry_after,
+            max_retry_after: self.limits.max_retry_after_us,
+            streams_per_connection: self.limits.multiplex,
+            idle_timeout: self.limits.idle_close_us,
+            connect_timeout: self.limits.dial_timeout_us,
+            handshake_cost: self.costs.handshake,
+            cross_zone_cost: self.costs.cross_zone,
+            zone_costs: self.family_info.toll.clone(),
+            capacity_hints: self.capacity_hints(),
+            discovery_mode: self.discovery_mode(),
+            tick: self.tick_us,
+            final_answer_grace: self.rules.answer_slack_us,
+            max_poll_interval: self.rules.ask_every_us,
+            drain_grace: self.rules.drain_grace_us,
+            overload_factor: self.rules.fall_multiple,
+            overload_window: self.rules.tip_after_us,
+            cold_capacity_share: self.rules.cold_from,
+            warm_up_time: self.rules.warm_within_us,
+            key_cooldown: self.rules.key_quiet_us,
+        }
+    }
+
+    fn destination_kinds(&self) -> Vec<DestinationKind> {
+        let family = &self.family_info;
+        let kind = |place| DestinationKind {
+            max_batch: family.batch_by_kind.get(place).copied().unwrap_or(1).max(1),
+            separate_routes: family.own_limits.get(place).copied().unwrap_or(false),
+        };
+        (0..self.host_types.len()).map(kind).collect()
+    }
+
+    fn decay(&self) -> WeightDecay {
+        match self.family_info.loses_worth.as_str() {
+            "halving" => WeightDecay::Halving,
+            _ => WeightDecay::Linear,
+        }
+    }
+
+    fn capacity_hints(&self) -> CapacityHints {
+        match self.weights.as_str() {
             "nominal" => CapacityHints::Nominal,
             "rough" => CapacityHints::Rough,
             _ => CapacityHints::None,
-        },
-        discovery_mode: match options.registry_mode.as_str() {
+        }
+    }
+
+    fn discovery_mode(&self) -> DiscoveryMode {
+        match self.registry_mode.as_str() {
             "on_request" => DiscoveryMode::Poll,
             _ => DiscoveryMode::Push,
-        },
-        tick: options.tick_us,
-        final_answer_grace: options.rules.answer_slack_us,
-        max_poll_interval: options.rules.ask_every_us,
-        drain_grace: options.rules.drain_grace_us,
-        overload_factor: options.rules.fall_multiple,
-        overload_window: options.rules.tip_after_us,
-        cold_capacity_share: options.rules.cold_from,
-        warm_up_time: options.rules.warm_within_us,
-        key_cooldown: options.rules.key_quiet_us,
-    };
-    let names = Names {
-        classes: options.classes.into_iter().map(|c| c.name).collect(),
-        tenants: options.tenants.into_iter().map(|t| t.name).collect(),
-        kinds: options.host_types,
-        zones,
-    };
-    Ok((settings, names))
+        }
+    }
+
+    fn into_names(self) -> Names {
+        Names {
+            classes: self.classes.into_iter().map(|class| class.name).collect(),
+            tenants: self.tenants.into_iter().map(|tenant| tenant.name).collect(),
+            kinds: self.host_types,
+            zones: self.zones,
+        }
+    }
 }
 
-fn class(class: &WireClass) -> Class {
-    Class {
-        latency_objective: class.on_time_us,
-        deadline: class.hard_limit_us,
-        priority_weight: class.credit,
-        late_weight_share: class.late_share,
-        idempotency: match class.effect {
+impl From<&WireClass> for Class {
+    fn from(class: &WireClass) -> Self {
+        Class {
+            latency_objective: class.on_time_us,
+            deadline: class.hard_limit_us,
+            priority_weight: class.credit,
+            late_weight_share: class.late_share,
+            idempotency: class.idempotency(),
+            keep_order: class.keep_order,
+        }
+    }
+}
+
+impl WireClass {
+    fn idempotency(&self) -> Idempotency {
+        match self.effect {
             WireEffect::Retryable => Idempotency::Idempotent,
             WireEffect::Fragile => Idempotency::NonIdempotent,
-            WireEffect::Dedup => Idempotency::IdempotencyKey {
-                scope: match class.group.as_str() {
-                    "all" => DeduplicationScope::All,
-                    "zone" => DeduplicationScope::Zone,
-                    _ => DeduplicationScope::Endpoint,
-                },
-                window: class.window_us,
-            },
-        },
-        keep_order: class.keep_order,
+            WireEffect::Dedup => {
+                Idempotency::IdempotencyKey { scope: self.deduplication_scope(), window: self.window_us }
+            }
+        }
+    }
+
+    fn deduplication_scope(&self) -> DeduplicationScope {
+        match self.group.as_str() {
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Endpoint,
+        }
     }
 }
