--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,9 +1,11 @@
 //! Decides when queued messages are shed for lack of capacity, and what a rejected client is told.
 //!
+//! A message is rejected, or failed where `retry` does not allow a rejection, for one of three reasons: it is shed (here),
+//! its time is up (`timeouts`), or it may not be attempted again (`retry`: attempts, idempotency key).
+//!
 //! Inputs are the limit on open messages and their number, and for the Retry-After the state of the destination's routes.
 //! The limit itself rejects new messages unseen, so a part of it is kept free by shedding the message with the lowest
-//! priority first: the last of the longest queue. Which messages may be rejected at all is in `retry`. Times are in
-//! microseconds.
+//! priority first: the last of the longest queue. Times are in microseconds.
 
 use crate::interface::{Micros, Settings};
 
@@ -19,6 +21,12 @@
     Some(max_open_messages.saturating_sub(reserve).max(1))
 }
 
+/// Whether a queued message may be shed: not one that an earlier process accepted and never sent, whose latency objective
+/// may have passed before it had a chance.
+pub(crate) fn may_be_shed(recovered_unsent: bool, may_be_rejected: bool) -> bool {
+    !recovered_unsent && may_be_rejected
+}
+
 /// What the Retry-After for a destination follows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DestinationBacklog {
--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -43,3 +43,10 @@
     let set = Settings { send_retry_after: false, ..settings() };
     assert_eq!(retry_after(backlog(2 * SECOND, 4, 500_000.0), &set), 0);
 }
+
+#[test]
+fn only_rejectable_messages_of_this_process_are_shed() {
+    assert!(may_be_shed(false, true));
+    assert!(!may_be_shed(true, true));
+    assert!(!may_be_shed(false, false));
+}
--- a/crates/core/src/capacity_share.rs
+++ b/crates/core/src/capacity_share.rs
@@ -9,7 +9,7 @@
 /// A rough hint may be half too high: the capacity is at least this part of it.
 const ROUGH_HINT_FACTOR: f64 = 0.67;
 
-/// What is told of a route's capacity, in calls a second; 0 where nothing is.
+/// What is known of a route's capacity, in calls a second; 0 where nothing is.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KnownCapacity {
     /// From the endpoint list.
@@ -19,7 +19,7 @@
 }
 
 impl KnownCapacity {
-    /// The capacity divided evenly among the fleet, in calls a second; none where nothing is told.
+    /// The capacity divided evenly among the fleet, in calls a second; none where no capacity is known.
     pub fn even_share(&self, settings: &Settings) -> Option<f64> {
         let capacity = match settings.capacity_hints {
             CapacityHints::None => self.reported_limit,
--- a/crates/core/src/controller/calls.rs
+++ b/crates/core/src/controller/calls.rs
@@ -8,7 +8,7 @@
 use crate::interface::*;
 use crate::message::Message;
 use crate::outlier_detection::RouteHealth;
-use crate::queue::{QUEUE_SCAN_MESSAGES, QueueRank};
+use crate::queue::{self, QUEUE_SCAN_MESSAGES, QueueRank};
 use crate::retry;
 use crate::route::RouteId;
 use crate::selection::{self, CostInputs, SlotPressure};
@@ -65,9 +65,8 @@
             return false;
         }
         let route = &self.routes[endpoint.route];
-        // As Nagle's algorithm: part of a batch waits while a call is in flight, since many small calls use up a limit.
-        let fills_batch = destination.queue.len() >= endpoint.kind.max_batch;
-        if !fills_batch && !route.traffic().is_idle() {
+        let is_idle = route.traffic().is_idle();
+        if !queue::is_batch_due(destination.queue.len(), endpoint.kind.max_batch, is_idle) {
             return false;
         }
         let is_faulty = route.is_faulty();
--- a/crates/core/src/controller/final_answers.rs
+++ b/crates/core/src/controller/final_answers.rs
@@ -70,7 +70,7 @@
         let queue = &self.destinations.get(&longest)?.queue;
         let may_shed = |id: &MessageId| {
             let message = self.messages.get(id);
-            message.is_some_and(|message| !message.recovered_unsent && message.may_be_rejected())
+            message.is_some_and(|m| admission::may_be_shed(m.recovered_unsent, m.may_be_rejected()))
         };
         queue.iter().rev().take(QUEUE_SCAN_MESSAGES).map(|rank| rank.message).find(may_shed)
     }
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -7,8 +7,9 @@
 use crate::interface::*;
 use crate::outlier_detection::{self, RouteHealth};
 use crate::pacing;
-use crate::retry::{self, PossibleDelivery, SpanBounds};
-use crate::route::RouteId;
+use crate::retry::{self, Pause, PossibleDelivery, SpanBounds};
+use crate::route::{RouteId, RouteTraffic};
+use crate::slow_start;
 
 impl Controller {
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult) {
@@ -108,15 +109,16 @@
     fn end_failures(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let is_cold = route.present_capacity(self.now, &self.settings).is_some();
-        let is_unbounded = self.settings.fleet_size > 1 && route.even_share(&self.settings).is_none();
+        let is_capacity_known = route.even_share(&self.settings).is_some();
         let failures = &route.traffic().failures;
-        let recovers = is_unbounded && failures.was_rejection_outage(self.now)
-            || route.health == RouteHealth::Ejected
-            || is_cold && failures.span.is_some();
+        let was_rejection_outage =
+            failures.was_rejection_outage(self.now, self.settings.fleet_size, is_capacity_known);
+        let has_failed = failures.span.is_some();
+        let starts_ramp = slow_start::starts_ramp(route.health, is_cold, has_failed, was_rejection_outage);
         let traffic = route.traffic_mut();
         traffic.latency.reset_timeouts();
         let first_failure_at = traffic.failures.reset(self.now).unwrap_or(self.now);
-        if recovers {
+        if starts_ramp {
             route.served.exclude(self.now - first_failure_at);
             self.start_warm_up(id);
         }
@@ -148,9 +150,9 @@
         traffic.failures.record_failure(outcome, call.is_overdue, is_paced);
         if outcome == Outcome::Timeout {
             traffic.latency.record_timeout();
-        } else {
-            self.back_off(id, result, was_at_floor, is_paced);
         }
+        let pause = retry::pause_after(outcome, was_at_floor, traffic.failures.is_failing_repeatedly());
+        self.back_off(id, pause, result.retry_after);
         if outcome != Outcome::Rejected {
             self.avoid_endpoint(call.endpoint);
         }
@@ -168,19 +170,22 @@
         route.traffic_mut().pace.on_rejection();
     }
 
-    /// Pauses a route after a failure other than a time-out, which was a pause already.
-    fn back_off(&mut self, id: RouteId, result: &AttemptResult, was_at_floor: bool, is_paced: bool) {
+    fn back_off(&mut self, id: RouteId, pause: Pause, retry_after: Micros) {
+        let settings = &self.settings;
         let route = &mut self.routes[id];
-        let share = route.own_share(self.now, &self.settings);
-        let traffic = route.traffic_mut();
-        let was_not_executed = matches!(result.outcome, Outcome::Rejected | Outcome::ConnectFailed);
-        if was_at_floor && (was_not_executed || traffic.failures.is_failing_repeatedly()) {
-            let bounds = SpanBounds::new(share, is_paced, &self.settings);
-            traffic.backoff.back_off_below_one_call(self.now, bounds, &mut self.rng);
-        } else {
-            let failures = traffic.failures.consecutive_failures;
-            let fleet_size = self.settings.fleet_size;
-            traffic.backoff.back_off(self.now, failures, result.retry_after, fleet_size, &mut self.rng);
+        let is_paced = route.paced_rate(settings).is_some();
+        let share = route.own_share(self.now, settings);
+        let RouteTraffic { backoff, failures, .. } = route.traffic_mut();
+        match pause {
+            Pause::None => {}
+            Pause::Span => {
+                let bounds = SpanBounds::new(share, is_paced, settings);
+                backoff.back_off_below_one_call(self.now, bounds, &mut self.rng);
+            }
+            Pause::Exponential => {
+                let count = failures.consecutive_failures;
+                backoff.back_off(self.now, count, retry_after, settings.fleet_size, &mut self.rng);
+            }
         }
     }
 
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -126,10 +126,12 @@
         self.exceeds(threshold, now)
     }
 
-    /// Whether nothing but rejections came for so long that the route was down: a fleet that was rejected all at once and
-    /// then backed off sees no later rejection that would show it.
-    pub fn was_rejection_outage(&self, now: Micros) -> bool {
-        !self.has_errors && self.exceeds(OUTAGE_AFTER_PACED_REJECTIONS, now)
+    /// Whether nothing but rejections came for so long that the route was down. A fleet that was rejected all at once and
+    /// then backed off sees no later rejection that would show it; where the capacity is known or there is no fleet,
+    /// the share of it holds back enough.
+    pub fn was_rejection_outage(&self, now: Micros, fleet_size: u32, is_capacity_known: bool) -> bool {
+        let is_unbounded = fleet_size > 1 && !is_capacity_known;
+        is_unbounded && !self.has_errors && self.exceeds(OUTAGE_AFTER_PACED_REJECTIONS, now)
     }
 
     /// Whether failures follow on each other.
--- a/crates/core/src/outlier_detection/tests.rs
+++ b/crates/core/src/outlier_detection/tests.rs
@@ -76,9 +76,17 @@
 
 #[test]
 fn rejection_outage_needs_rejections_alone() {
-    assert!(after(Outcome::Rejected, 8, false).was_rejection_outage(7 * SECOND));
-    assert!(!after(Outcome::Rejected, 8, false).was_rejection_outage(7 * SECOND - 1));
-    assert!(!after(Outcome::Error, 8, false).was_rejection_outage(100 * SECOND));
+    let rejected = after(Outcome::Rejected, 8, false);
+    assert!(rejected.was_rejection_outage(7 * SECOND, 2, false));
+    assert!(!rejected.was_rejection_outage(7 * SECOND - 1, 2, false));
+    assert!(!after(Outcome::Error, 8, false).was_rejection_outage(100 * SECOND, 2, false));
+}
+
+#[test]
+fn rejection_outage_needs_a_fleet_without_known_capacity() {
+    let rejected = after(Outcome::Rejected, 8, false);
+    assert!(!rejected.was_rejection_outage(7 * SECOND, 1, false));
+    assert!(!rejected.was_rejection_outage(7 * SECOND, 2, true));
 }
 
 #[test]
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -74,6 +74,12 @@
     }
 }
 
+/// Whether the messages of a queue go now, as Nagle's algorithm: part of a batch waits while a call is in flight, since many
+/// small calls use up a limit that others share.
+pub(crate) fn is_batch_due(queued: usize, max_batch: usize, is_route_idle: bool) -> bool {
+    is_route_idle || queued >= max_batch
+}
+
 /// Messages of one order key, in order of arrival: they go one at a time.
 #[derive(Debug, Default)]
 pub(crate) struct OrderKeyQueue {
--- a/crates/core/src/queue/tests.rs
+++ b/crates/core/src/queue/tests.rs
@@ -84,3 +84,10 @@
     order.finish(2, 0);
     assert!(!order.is_done(5 * SECOND - 1) && order.is_done(5 * SECOND));
 }
+
+#[test]
+fn partial_batch_waits_for_an_idle_route() {
+    assert!(!is_batch_due(4, 5, false));
+    assert!(is_batch_due(5, 5, false));
+    assert!(is_batch_due(1, 5, true));
+}
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -20,7 +20,7 @@
 const MAX_BACKOFF_US: Micros = 2_000_000;
 /// Bounds the shift that doubles the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Fleet size at which the spread after a Retry-After is half of its greatest: of many forwarders those that were told
+/// Fleet size at which the spread after a Retry-After is half of its greatest: of many forwarders those with
 /// the same must not return together, for a few the time itself is enough.
 const HALF_SPREAD_FLEET_SIZE: f64 = 16.0;
 /// Growth of the span from which the next call is drawn.
@@ -116,6 +116,30 @@
     rng.jitter(MIN_AVOIDANCE_US << consecutive_errors.min(MAX_AVOIDANCE_DOUBLINGS))
 }
 
+/// How a route pauses after a failure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Pause {
+    /// Not at all: a time-out was a pause already.
+    None,
+    /// The next call is drawn from a span, as a window below one call.
+    Span,
+    /// For the Retry-After, or for an exponential backoff.
+    Exponential,
+}
+
+/// The pause after a failure. With the window at its floor, only a span can hold a fleet back: at once if the call was not
+/// executed, otherwise from the second failure on.
+pub(crate) fn pause_after(outcome: Outcome, was_window_at_floor: bool, is_failing_repeatedly: bool) -> Pause {
+    let was_not_executed = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
+    if outcome == Outcome::Timeout {
+        Pause::None
+    } else if was_window_at_floor && (was_not_executed || is_failing_repeatedly) {
+        Pause::Span
+    } else {
+        Pause::Exponential
+    }
+}
+
 /// The bounds of the span from which a backed-off route's next call is drawn, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SpanBounds {
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -158,3 +158,24 @@
         assert!((seconds * 750_000..=seconds * 1_250_000).contains(&time), "{errors} errors: {time}");
     }
 }
+
+#[test]
+fn failure_at_the_window_floor_pauses_over_a_span() {
+    assert_eq!(pause_after(Outcome::Rejected, true, false), Pause::Span);
+    assert_eq!(pause_after(Outcome::ConnectFailed, true, false), Pause::Span);
+    assert_eq!(pause_after(Outcome::Error, true, false), Pause::Exponential, "the first one may be chance");
+    assert_eq!(pause_after(Outcome::Error, true, true), Pause::Span);
+}
+
+#[test]
+fn failure_above_the_window_floor_backs_off_exponentially() {
+    for outcome in [Outcome::Rejected, Outcome::Error, Outcome::Reset] {
+        assert_eq!(pause_after(outcome, false, true), Pause::Exponential, "{outcome:?}");
+    }
+}
+
+#[test]
+fn timeout_needs_no_further_pause() {
+    assert_eq!(pause_after(Outcome::Timeout, true, true), Pause::None);
+    assert_eq!(pause_after(Outcome::Timeout, false, false), Pause::None);
+}
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Its capacity divided evenly among the fleet, in calls a second; none where nothing is told of it.
+    /// Its capacity divided evenly among the fleet, in calls a second; none where no capacity is known.
     pub fn even_share(&self, settings: &Settings) -> Option<f64> {
         let reported_limit = self.traffic().reported_limit;
         KnownCapacity { hint: self.capacity_hint, reported_limit }.even_share(settings)
@@ -211,7 +211,7 @@
         }
         let traffic = self.traffic();
         if self.health == RouteHealth::Ejected {
-            return traffic.in_flight <= traffic.overdue;
+            return slow_start::allows_trial_call(traffic.in_flight, traffic.overdue);
         }
         traffic.window.has_room(traffic.in_flight - traffic.presumed_lost)
     }
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -43,6 +43,22 @@
     BUDGET_USE * rate * settings.overload_window as f64 / SECOND_US
 }
 
+/// Whether an ejected route may get a trial call: one at a time, beside those that are overdue.
+pub(crate) fn allows_trial_call(in_flight: usize, overdue: usize) -> bool {
+    in_flight <= overdue
+}
+
+/// Whether a success that ends the failures of a route starts its ramp: after an outage, or after failures in a ramp,
+/// which then begins again.
+pub(crate) fn starts_ramp(
+    health: RouteHealth,
+    is_cold: bool,
+    has_failed: bool,
+    was_rejection_outage: bool,
+) -> bool {
+    health == RouteHealth::Ejected || (is_cold && has_failed) || was_rejection_outage
+}
+
 /// The calls of a route within its budget.
 #[derive(Debug)]
 pub(crate) struct BudgetUse {
--- a/crates/core/src/slow_start/tests.rs
+++ b/crates/core/src/slow_start/tests.rs
@@ -107,3 +107,18 @@
     assert!(budget_at(wait + 10) >= budget.floor() + 1.0, "nor much sooner");
     assert_eq!(ramp_time_to_next_call(0.0, 0.0, &set), set.warm_up_time, "nothing grows");
 }
+
+#[test]
+fn ejected_route_gets_one_trial_call_at_a_time() {
+    assert!(allows_trial_call(0, 0) && !allows_trial_call(1, 0));
+    assert!(allows_trial_call(1, 1), "an overdue call does not hold the next one back");
+}
+
+#[test]
+fn ramp_starts_after_an_outage_or_failures_within_a_ramp() {
+    assert!(starts_ramp(RouteHealth::Ejected, true, true, false));
+    assert!(starts_ramp(RouteHealth::Healthy, false, true, true));
+    assert!(starts_ramp(RouteHealth::WarmingUp(0), true, true, false));
+    assert!(!starts_ramp(RouteHealth::WarmingUp(0), true, false, false), "it goes on");
+    assert!(!starts_ramp(RouteHealth::Healthy, false, true, false), "a few failures are no outage");
+}
