--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -8,10 +8,9 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(effect: Idempotency) -> Class {
-    let (aim, deadline) = (2500 * MS, 16 * S);
     Class {
-        latency_objective: aim,
-        deadline,
+        latency_objective: 2500 * MS,
+        deadline: 16 * S,
         priority_weight: 1.0,
         late_weight_share: 0.5,
         idempotency: effect,
@@ -164,11 +163,11 @@
 }
 
 pub fn rejected(actions: &[Action]) -> Vec<(MessageId, Micros)> {
-    let refuse = |a: &Action| match a {
+    let reject = |a: &Action| match a {
         Action::Reject { id, retry_after: pause } => Some((*id, *pause)),
         _ => None,
     };
-    actions.iter().filter_map(refuse).collect()
+    actions.iter().filter_map(reject).collect()
 }
 
 pub fn failed(actions: &[Action]) -> Vec<MessageId> {
--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -36,7 +36,7 @@
         }
         after.extend(sends(&harness.end_attempt(sent[0].0, Outcome::Success)));
         after.extend(sends(&harness.advance(2 * S)));
-        assert_eq!(after.len(), 1, "{outcome:?}: three push-backs leave the floor");
+        assert_eq!(after.len(), 1, "{outcome:?}: three failures leave the floor");
     }
 }
 
@@ -45,7 +45,7 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 7);
     let id = sends(&harness.submit(1, 0, 1))[0].0;
-    // One refusal halves to the floor; eight successes of pushed-back messages leave it there.
+    // One rejection halves to the floor; eight successes of failed messages leave it there.
     harness.end_attempt(id, Outcome::Rejected);
     harness.now += 3 * S;
     assert_eq!(sends(&harness.advance(0)).len(), 1);
@@ -75,7 +75,7 @@
     harness.warm_up(2, 40);
     assert_eq!(sends(&harness.submit(1, 0, 4)).len(), 4);
     harness.advance(S);
-    assert_eq!(sends(&harness.submit(1, 0, 9)).len(), 0, "a sick destination gets half at most");
+    assert_eq!(sends(&harness.submit(1, 0, 9)).len(), 0, "a faulty destination gets half at most");
     assert_eq!(sends(&harness.submit(2, 0, 9)).len(), 4, "a healthy one gets the rest");
 }
 
@@ -94,7 +94,7 @@
         assert_eq!(
             sends(&harness.submit(destination, 0, 2)).len(),
             0,
-            "four of eight slots are with sick ones"
+            "four of eight slots are with faulty ones"
         );
     }
     assert_eq!(sends(&harness.submit(3, 0, 4)).len(), 4);
@@ -135,18 +135,18 @@
     assert_eq!(sent.len(), 2, "the window still is");
     harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
-    assert!(sends(&harness.submit(7, 2, 2)).is_empty(), "four in a row are pushed back");
+    assert!(sends(&harness.submit(7, 2, 2)).is_empty(), "four in a row count as a failure");
 }
 
 // Guards against an endpoint judged by the one before it, at a destination of one; and against what the destination
 // itself has said or suffered being forgotten with it.
 #[test]
 fn endpoint_that_replaces_the_last_one_starts_with_a_new_window() {
-    let gone = |id| EndpointUpdate { state: EndpointState::Removed, ..entry(id, 7, 0, 0) };
+    let removed = |id| EndpointUpdate { state: EndpointState::Removed, ..entry(id, 7, 0, 0) };
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0)]);
     harness.warm_up(7, 8);
     assert_eq!(sends(&harness.submit(7, 0, 3)).len(), 2, "the window is two");
-    harness.list(ListEventKind::Delta, &[gone(1)]);
+    harness.list(ListEventKind::Delta, &[removed(1)]);
     let sent = sends(&harness.list(ListEventKind::Delta, &[entry(2, 7, 0, 0)]));
     assert_eq!(
         sent.iter().map(|sent| sent.1).collect::<Vec<_>>(),
@@ -156,7 +156,7 @@
     let mut answer = harness.answer(sent[0].0, Outcome::Rejected);
     answer.retry_after = S;
     harness.step(&[Event::AttemptEnded(answer)]);
-    harness.list(ListEventKind::Delta, &[gone(2)]);
+    harness.list(ListEventKind::Delta, &[removed(2)]);
     assert!(sends(&harness.list(ListEventKind::Delta, &[entry(3, 7, 0, 0)])).is_empty(), "the wait stands");
     assert_eq!(sends(&harness.advance(S)).len(), 1);
 }
@@ -169,11 +169,11 @@
     for id in 1..200 {
         harness.now += S;
         let sent = sends(&harness.submit(7, 0, 1));
-        let gone =
+        let removed =
             |id, dest, kind| EndpointUpdate { state: EndpointState::Removed, ..entry(id, dest, 0, kind) };
         let (old, new) = (2 * id - 1, 2 * id + 1);
         harness.list(ListEventKind::Delta, &[entry(new, 7, 0, 0), entry(new + 1, 8, 0, 1)]);
-        harness.list(ListEventKind::Delta, &[gone(old, 7, 0), gone(old + 1, 8, 1)]);
+        harness.list(ListEventKind::Delta, &[removed(old, 7, 0), removed(old + 1, 8, 1)]);
         sent.iter().for_each(|sent| drop(harness.end_attempt(sent.0, Outcome::Success)));
         sizes.push(format!("{:?}", harness.controller).len());
     }
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -1,5 +1,5 @@
-//! The controller decides as the one that walks all destinations in every step: the same actions, the same draws,
-//! the same routes in trouble, step by step.
+//! The controller decides as the reference, which walks all destinations in every step: the same actions, the same draws,
+//! the same faulty routes, step by step.
 
 mod reference;
 
@@ -21,7 +21,7 @@
         let place = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
         assert_eq!(actions, expected, "actions of {place}");
         assert_eq!(indexed.rng(), walking.dice(), "draws of {place}");
-        assert_eq!(indexed.faulty_routes(), walking.troubled(), "troubled after {place}");
+        assert_eq!(indexed.faulty_routes(), walking.troubled(), "faulty after {place}");
         if step % 20 == 0 {
             let differs = world.endpoints().find(|id| indexed.is_avoided(*id) != walking.avoids(*id));
             assert_eq!(differs, None, "avoided endpoint after {place}");
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! How news changes the transport map.
+//! How watch events change the endpoint list.
 
 use orchidyoke_core::endpoint_list::{EndpointList, EndpointState, WatchEvent};
 
@@ -13,14 +13,14 @@
 // Guards against an endpoint that stays in use though a whole list no longer names it.
 #[test]
 fn endpoint_missing_from_a_snapshot_is_removed() {
-    let news = |text: &str| serde_json::from_str::<WatchEvent>(text).expect("news");
+    let event = |text: &str| serde_json::from_str::<WatchEvent>(text).expect("a watch event");
     let mut map = EndpointList::default();
-    map.apply(&news(&line(1, true, "s1", "in_service")));
-    map.apply(&news(&line(2, false, "s2", "in_service")));
+    map.apply(&event(&line(1, true, "s1", "in_service")));
+    map.apply(&event(&line(2, false, "s2", "in_service")));
     assert!(map.get("s1").is_some() && map.get("s2").is_some());
-    map.apply(&news(&line(3, true, "s2", "terminating")));
+    map.apply(&event(&line(3, true, "s2", "terminating")));
     assert!(map.get("s1").is_none());
     assert_eq!(map.get("s2").map(|t| t.state), Some(EndpointState::Draining));
-    map.apply(&news(&line(4, false, "s2", "terminated")));
+    map.apply(&event(&line(4, false, "s2", "terminated")));
     assert!(map.get("s2").is_none() && map.version() == 4);
 }
--- a/crates/core/tests/health_checks.rs
+++ b/crates/core/tests/health_checks.rs
@@ -5,7 +5,7 @@
 use common::*;
 use orchidyoke_core::interface::*;
 
-fn told(endpoint: EndpointId, kind: usize, report: HealthStatus) -> EndpointUpdate {
+fn listed(endpoint: EndpointId, kind: usize, report: HealthStatus) -> EndpointUpdate {
     EndpointUpdate { health: report, ..entry(endpoint, 1, 0, kind) }
 }
 
@@ -27,18 +27,18 @@
     (all, there)
 }
 
-// Guards against a call that was out when the bad report came: it ended well, and the ramp ran while the partner was away.
+// Guards against a call that was out when the critical report came: it succeeded, and the ramp ran while the destination was away.
 #[test]
 fn success_sent_before_a_critical_health_check_does_not_start_recovery() {
     for before in [true, false] {
-        let mut harness = Harness::new(settings(), &[told(1, 0, HealthStatus::Passing)]);
+        let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Passing)]);
         tried(&mut harness, 5 * S, Outcome::Success, 1);
         let mut calls = Vec::new();
         if before {
             calls = sends(&harness.submit(1, 0, 1));
         }
         harness.now += 10 * MS;
-        harness.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Critical)]);
+        harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
         harness.now += 10 * MS;
         if !before {
             while calls.is_empty() {
@@ -62,45 +62,42 @@
     for kind in [0, 1] {
         let mut harness = Harness::new(
             settings(),
-            &[told(1, kind, HealthStatus::Passing), told(2, kind, HealthStatus::Passing)],
+            &[listed(1, kind, HealthStatus::Passing), listed(2, kind, HealthStatus::Passing)],
         );
-        harness.list(ListEventKind::Delta, &[told(2, kind, HealthStatus::Critical)]);
+        harness.list(ListEventKind::Delta, &[listed(2, kind, HealthStatus::Critical)]);
         let (all, there) = tried(&mut harness, 5 * S, Outcome::Success, 2);
         assert!(all >= 90 && there == 0, "kind {kind}: {all} calls, {there} to the critical one");
-        assert_eq!(
-            harness.controller.faulty_routes().is_empty(),
-            kind == 0,
-            "a route of its own is in trouble"
-        );
+        assert_eq!(harness.controller.faulty_routes().is_empty(), kind == 0, "a route of its own is faulty");
     }
 }
 
 #[test]
 fn endpoint_with_warning_is_chosen_last() {
     let mut harness =
-        Harness::new(settings(), &[told(1, 0, HealthStatus::Warning), told(2, 0, HealthStatus::Passing)]);
+        Harness::new(settings(), &[listed(1, 0, HealthStatus::Warning), listed(2, 0, HealthStatus::Passing)]);
     assert_eq!(tried(&mut harness, 2 * S, Outcome::Success, 1).1, 0);
     harness.list(
         ListEventKind::Delta,
-        &[EndpointUpdate { state: EndpointState::Draining, ..told(2, 0, HealthStatus::Passing) }],
+        &[EndpointUpdate { state: EndpointState::Draining, ..listed(2, 0, HealthStatus::Passing) }],
     );
     assert!(tried(&mut harness, 2 * S, Outcome::Success, 1).1 >= 30);
     assert!(harness.controller.faulty_routes().is_empty());
 }
 
-// Guards against a partner that only the health checks saw fail getting everything at once when they pass again.
+// Guards against a destination that only the health checks saw fail getting everything at once when they pass again.
 #[test]
 fn passing_health_check_alone_does_not_end_ejection() {
     for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
-        let mut harness = Harness::new(settings(), &[told(1, 0, HealthStatus::Passing)]);
+        let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Passing)]);
         tried(&mut harness, 5 * S, Outcome::Success, 1);
-        harness.list(ListEventKind::Delta, &[EndpointUpdate { state, ..told(1, 0, HealthStatus::Critical) }]);
+        harness
+            .list(ListEventKind::Delta, &[EndpointUpdate { state, ..listed(1, 0, HealthStatus::Critical) }]);
         harness.advance(5 * S);
         // Trial calls meanwhile are none of this test: they are over before it comes back.
         for (id, ..) in sends(&harness.submit(1, 0, 30)) {
             harness.end_attempt(id, Outcome::Timeout);
         }
-        let back = told(if state == EndpointState::Removed { 2 } else { 1 }, 0, HealthStatus::Passing);
+        let back = listed(if state == EndpointState::Removed { 2 } else { 1 }, 0, HealthStatus::Passing);
         let (mut sent, mut calls) = (0, sends(&harness.list(ListEventKind::Delta, &[back])));
         assert!(!harness.controller.faulty_routes().is_empty(), "{state:?}: back, but not yet trusted");
         for _ in 0..20 {
@@ -117,24 +114,24 @@
 
 #[test]
 fn call_outcomes_overrule_health_checks() {
-    let mut harness = Harness::new(settings(), &[told(1, 0, HealthStatus::Critical)]);
+    let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Critical)]);
     assert!(!harness.controller.faulty_routes().is_empty());
     tried(&mut harness, 14 * S, Outcome::Success, 1);
-    assert!(harness.controller.faulty_routes().is_empty(), "calls that end well end the trouble");
-    harness.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Critical)]);
-    assert!(harness.controller.faulty_routes().is_empty(), "the same report again is no news");
-    harness.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Passing)]);
+    assert!(harness.controller.faulty_routes().is_empty(), "calls that succeed end the fault");
+    harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
+    assert!(harness.controller.faulty_routes().is_empty(), "the same report again changes nothing");
+    harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
     tried(&mut harness, 5 * S, Outcome::Reset, 1);
-    harness.list(ListEventKind::Delta, &[told(1, 0, HealthStatus::Passing)]);
+    harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
     assert!(!harness.controller.faulty_routes().is_empty(), "checks that pass do not hide calls that fail");
 }
 
-// Guards against a budget that is not kept because it is larger than what is remembered of the sends: a partner that
+// Guards against a budget that is not kept because it is larger than what is remembered of the sends: a destination that
 // takes 400 calls a second was sent all that waited for it as soon as it could do 64 in 2 s.
 #[test]
 fn large_slow_start_budget_is_kept() {
     let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
-    let large = |report| EndpointUpdate { capacity_hint: 400.0, ..told(1, 0, report) };
+    let large = |report| EndpointUpdate { capacity_hint: 400.0, ..listed(1, 0, report) };
     let mut harness = Harness::new(set, &[large(HealthStatus::Passing)]);
     harness.list(ListEventKind::Delta, &[large(HealthStatus::Critical)]);
     let mut calls = sends(&harness.list(ListEventKind::Delta, &[large(HealthStatus::Passing)]));
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// What a told wait is kept by: the route where routes are apart, else the destination.
+    /// What a Retry-After holds for: the route where routes are separate, else the destination.
     fn route(&self, endpoint: EndpointId) -> u64 {
         let entry = self.entries[&endpoint];
         if self.set.kinds[entry.kind].separate_routes {
@@ -108,7 +108,7 @@
         }
     }
 
-    fn news(&mut self) -> Event {
+    fn list_event(&mut self) -> Event {
         let mut entries = Vec::new();
         for _ in 0..self.rng.usize(1..5) {
             let endpoint = self.rng.u32(0..12);
@@ -164,7 +164,7 @@
             *until = (*until).max(self.now + wait);
         }
         let zone = self.entries[&endpoint].zone;
-        let held = self.messages.get_mut(&attempt.0).expect("a message that was handed in");
+        let held = self.messages.get_mut(&attempt.0).expect("a message that was submitted");
         held.out.remove(&attempt.1);
         held.over |= outcome == Outcome::Success;
         if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
@@ -194,7 +194,7 @@
             events.push(Event::Timer { token: self.rng.u64(..) });
         }
         if self.rng.u8(0..20) == 0 || self.entries.is_empty() {
-            events.push(self.news());
+            events.push(self.list_event());
         }
         if self.rng.u8(0..100) == 0 {
             events.push(Event::EndpointList { kind: ListEventKind::Failed, entries: Vec::new() });
@@ -251,18 +251,18 @@
         match action {
             Action::Send { id, endpoint, timeout } => self.check_send(*id, *endpoint, *timeout),
             Action::Reject { id, retry_after: pause } => {
-                let held = self.messages.get_mut(id).expect("refuses what was handed in");
+                let held = self.messages.get_mut(id).expect("rejects what was submitted");
                 assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
                 let harmless = match self.set.classes[held.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     _ => held.may_have_run.is_none() && held.out.is_empty(),
                 };
-                assert!(harmless, "message {id} may have run and was refused");
+                assert!(harmless, "message {id} may have run and was rejected");
                 assert!((0..=self.set.max_retry_after).contains(pause));
             }
             Action::Fail { id } => {
-                let held = self.messages.get_mut(id).expect("fails what was handed in");
+                let held = self.messages.get_mut(id).expect("fails what was submitted");
                 assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
             }
             Action::Timer { delay, .. } => {
@@ -281,12 +281,12 @@
         let held = &self.messages[&id];
         assert!(!held.over, "message {id} sent after its end");
         assert_eq!(entry.destination, held.destination);
-        assert_eq!(entry.state, EndpointState::Active, "sent to a draining or gone endpoint");
-        let mut sisters = self.entries.values().filter(|e| e.destination == entry.destination);
-        let fit = sisters.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
+        assert_eq!(entry.state, EndpointState::Active, "sent to a draining or removed endpoint");
+        let mut others = self.entries.values().filter(|e| e.destination == entry.destination);
+        let fit = others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
         assert!(
             !fit || entry.health != HealthStatus::Critical,
-            "sent to a critical endpoint with a fit one beside it"
+            "sent to a critical endpoint with a passing one beside it"
         );
         assert!(held.out.is_empty(), "two attempts of message {id} out together");
         assert!(held.attempts < self.set.max_attempts);
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -126,7 +126,7 @@
 
 #[test]
 fn least_late_message_is_sent_first() {
-    // Guards against a queue that spends what a limit still allows on its oldest messages, worth least.
+    // Guards against a queue that spends what a limit still allows on its oldest messages, which have lost most.
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     let first = sends(&harness.submit(1, 0, 1))[0].0;
     for _ in 0..3 {
@@ -135,7 +135,7 @@
     }
     harness.advance(3 * S);
     let next = sends(&harness.end_attempt(first, Outcome::Success));
-    assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [first + 3], "the last handed in");
+    assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [first + 3], "the last submitted");
 }
 
 #[test]
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -11,7 +11,7 @@
     harness.submit(9, 2, 1);
     assert!(harness.advance(16 * S - 80 * MS).iter().all(|a| matches!(a, Action::Timer { .. })));
     let actions = harness.advance(20 * MS);
-    assert_eq!(rejected(&actions).len(), 1, "never sent: a refusal is harmless");
+    assert_eq!(rejected(&actions).len(), 1, "never sent: a rejection is harmless");
     assert!(rejected(&harness.advance(S)).is_empty() && failed(&harness.advance(S)).is_empty());
 }
 
@@ -34,7 +34,7 @@
     assert!(queued.now + stall <= 17 * S, "decided on at {}", queued.now);
     let mut out = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     let sent = sends(&out.submit(1, 2, 1));
-    assert!(sent[0].2 + stall + set.tick <= 16 * S, "an unsafe call ends after {}", sent[0].2);
+    assert!(sent[0].2 + stall + set.tick <= 16 * S, "a non-idempotent call ends after {}", sent[0].2);
 }
 
 #[test]
@@ -58,7 +58,7 @@
 }
 
 // Guards against a hung call that keeps its slot for as long as its message lives: with one at each of nine destinations
-// all slots for sick ones were held, and nothing went anywhere for up to 12 s.
+// all slots for faulty ones were held, and nothing went anywhere for up to 12 s.
 #[test]
 fn hanging_non_idempotent_call_times_out_as_soon_as_any_other() {
     let timeout = |class: usize| {
@@ -91,7 +91,7 @@
     harness.end_attempt(id, Outcome::Timeout);
     assert!(sends(&harness.advance(5 * S)).is_empty(), "the other zone would not drop the repeat");
     let actions = harness.advance(5 * S);
-    assert_eq!(failed(&actions), [id], "past its window it can be neither sent nor refused");
+    assert_eq!(failed(&actions), [id], "past its window it can be neither sent nor rejected");
 }
 
 #[test]
@@ -116,7 +116,7 @@
     }
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.list(ListEventKind::Snapshot, &[entry(2, 1, 0, 0)]);
-    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "what a whole list leaves out is gone");
+    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "what a snapshot leaves out is removed");
 }
 
 #[test]
@@ -149,7 +149,7 @@
     assert_eq!(sends(&harness.advance(7 * S)).len(), 2);
 }
 
-// Guards against a wait told beside a delivery being passed over: it binds whatever the answer was.
+// Guards against a Retry-After beside a delivery being ignored: it holds whatever the answer was.
 #[test]
 fn retry_after_holds_whatever_the_outcome() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn rejections_at_the_window_floor_back_off_over_a_doubling_span() {
-    // Guards against a fleet that comes back at once, or in step, to a limit which refused calls use up.
+    // Guards against a fleet that comes back at once, or in step, to a limit which rejected calls use up.
     let mut gaps: [Vec<Micros>; 2] = [Vec::new(), Vec::new()];
     for seed in 0..100 {
         let mut harness = Harness::new(Settings { capacity_hints: CapacityHints::None, ..settings() }, &[]);
@@ -71,11 +71,11 @@
         }
         let id = sends(&harness.submit(1, 0, 1))[0].0;
         for gaps in &mut gaps {
-            let refused_at = harness.now;
+            let rejected_at = harness.now;
             let answer = AttemptResult { retry_after: 10 * MS, ..harness.answer(id, Outcome::Rejected) };
             assert!(sends(&harness.step(&[Event::AttemptEnded(answer)])).is_empty(), "never at once");
             while sends(&harness.advance(20 * MS)).is_empty() {}
-            gaps.push(harness.now - refused_at);
+            gaps.push(harness.now - rejected_at);
         }
         assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 0);
         assert_eq!(
@@ -85,7 +85,7 @@
         );
     }
     let mean = |gaps: &[Micros]| gaps.iter().sum::<Micros>() / gaps.len() as Micros;
-    // Served 6 in 10 s; 0.64 of that is twice what a cold partner of that size takes: a call in 2.6 s.
+    // Served 6 in 10 s; 0.64 of that is twice what a cold destination of that size takes: a call in 2.6 s.
     assert!((S..1800 * MS).contains(&mean(&gaps[0])), "{}", mean(&gaps[0]));
     assert!((15..30).contains(&(mean(&gaps[1]) * 10 / mean(&gaps[0]))), "twice as long after the next");
     let spread = |gaps: &[Micros]| (*gaps.iter().min().unwrap(), *gaps.iter().max().unwrap());
@@ -93,7 +93,7 @@
     assert!(soonest < 300 * MS && latest > 2 * S && latest < 3 * S, "spread out: {soonest} to {latest}");
 }
 
-/// Plays forwarders with one destination that serves, refuses all from 30 s to 45 s, and serves again. Gives the
+/// Plays forwarders with one destination that serves, rejects all from 30 s to 45 s, and serves again. Gives the
 /// most calls in any span of two seconds after the return, and how many were served by 75 s.
 fn calls_after_a_return(forwarders: u32, seed: u64) -> (usize, usize) {
     let set = Settings {
@@ -130,8 +130,8 @@
             served += out.iter().filter(|o| o.0 <= at && o.2 == Outcome::Success).count();
             out.retain(|o| o.0 > at);
             for (id, ..) in sends(&harness.step(&events)) {
-                let refused = (30 * S..45 * S).contains(&at);
-                out.push((at + 150 * MS, id, if refused { Outcome::Rejected } else { Outcome::Success }));
+                let rejected = (30 * S..45 * S).contains(&at);
+                out.push((at + 150 * MS, id, if rejected { Outcome::Rejected } else { Outcome::Success }));
                 calls.push(at);
             }
         }
@@ -143,8 +143,8 @@
 
 #[test]
 fn fleet_rejected_during_an_outage_does_not_overload_the_recovering_destination() {
-    // Guards against forwarders with one or two refusals each, too few for any to see an outage, that all come
-    // back a fixed pause later. A partner of 28 calls a second that returns at a fifth can do 6.7 a second on
+    // Guards against forwarders with one or two rejections each, too few for any to see an outage, that all come
+    // back a fixed pause later. A destination of 28 calls a second that returns at a fifth can do 6.7 a second on
     // the mean of the first spans; twice that, for two seconds, and three standard deviations of chance.
     let budget = 2.0 * 6.7 * 2.0;
     for seed in 1..=4 {
@@ -259,8 +259,8 @@
         served
     };
     for (between, apart) in [(0, 800 * MS), (1400 * MS, 1200 * MS)] {
-        let (refused, broken) =
+        let (rejected, broken) =
             (rate_after(Outcome::Rejected, between, apart), rate_after(Outcome::Reset, between, apart));
-        assert!(refused > 2 * broken, "{refused} served after refusals, {broken} after resets");
+        assert!(rejected > 2 * broken, "{rejected} served after rejections, {broken} after resets");
     }
 }
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -74,12 +74,12 @@
 }
 
 // Guards against a destination whose endpoints were all gone when the forwarder stopped: those that come after the
-// restart were taken for a healthy partner's.
+// restart were taken for a healthy destination's.
 #[test]
 fn faulty_destination_before_a_restart_outlasts_an_empty_list() {
-    for troubled in [false, true] {
+    for faulty in [false, true] {
         let mut harness = Harness::new(settings(), &[]);
-        if troubled {
+        if faulty {
             harness.step(&[1, 2].map(|destination| Event::RouteState {
                 destination,
                 endpoint: None,
@@ -91,7 +91,7 @@
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         assert_eq!(
             harness.controller.faulty_routes().contains(&FaultyRouteId { destination: 1, endpoint: None }),
-            troubled
+            faulty
         );
         let (mut calls, mut sent) = (sends(&harness.submit(1, 0, 80)), 0);
         for _ in 0..20 {
@@ -102,12 +102,12 @@
             }
             calls.extend(sends(&harness.advance(0)));
         }
-        // Twice a fifth of 20 calls a second, somewhat risen, for 2 s; without trouble more than that.
-        assert_eq!((1..=20).contains(&sent), troubled, "{sent} calls in 2 s, in trouble: {troubled}");
+        // Twice a fifth of 20 calls a second, somewhat risen, for 2 s; without a fault more than that.
+        assert_eq!((1..=20).contains(&sent), faulty, "{sent} calls in 2 s, faulty: {faulty}");
     }
 }
 
-// Guards against messages that a start found taken on and untried, and that are given up with no call: their aim has passed
+// Guards against messages that a start found accepted and unsent, and that are given up with no call: their objective has passed
 // by then, what is late comes last, and for want of room the last go first.
 #[test]
 fn message_recovered_unsent_is_not_shed() {
@@ -121,7 +121,7 @@
         else {
             unreachable!()
         };
-        // Half of its time is left, and its aim has passed.
+        // Half of its time is left, and its objective has passed.
         let time_left = 8 * S;
         events.push(Event::Message {
             id,
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -26,13 +26,12 @@
 }
 
 fn settings(case: &Case) -> Settings {
-    let (aim, effect) = (2500 * MS, Idempotency::Idempotent);
     let class = Class {
-        latency_objective: aim,
+        latency_objective: 2500 * MS,
         deadline: DEADLINE,
         priority_weight: 1.0,
         late_weight_share: 0.5,
-        idempotency: effect,
+        idempotency: Idempotency::Idempotent,
         keep_order: false,
     };
     Settings {
@@ -53,15 +52,15 @@
     next: MessageId,
     attempts: BTreeMap<MessageId, u32>,
     out: Vec<(Micros, AttemptResult)>,
-    /// It has seen a call fail, or be refused, in the outage.
-    told: bool,
+    /// It has seen a call fail, or be rejected, in the outage.
+    has_seen_outage: bool,
 }
 
 struct Fleet {
     now: Micros,
     forwarders: Vec<Forwarder>,
     chance: SeededRng,
-    /// Calls since the return: when, and whether who made it had been told.
+    /// Calls since the return: when, and whether its forwarder has seen the outage.
     calls: Vec<(Micros, bool)>,
     served: usize,
 }
@@ -71,7 +70,7 @@
         let set = Settings { fleet_size: known_size, ..settings(case) };
         let (state, report) = (EndpointState::Active, HealthStatus::Passing);
         let weight = case.bears;
-        let partner = EndpointUpdate {
+        let listed = EndpointUpdate {
             endpoint: 1,
             destination: 1,
             zone: 0,
@@ -88,11 +87,11 @@
             let mut controller = Controller::new(set.clone(), seed * 1000 + number);
             controller.step(
                 S,
-                &[Event::EndpointList { kind: ListEventKind::Snapshot, entries: vec![partner] }],
+                &[Event::EndpointList { kind: ListEventKind::Snapshot, entries: vec![listed] }],
                 &mut Vec::new(),
             );
             let (attempts, out) = (BTreeMap::new(), Vec::new());
-            Forwarder { controller, share: share / all, next: 0, attempts, out, told: false }
+            Forwarder { controller, share: share / all, next: 0, attempts, out, has_seen_outage: false }
         };
         let forwarders = (0..).zip(shares).map(forwarder).collect();
         Fleet { now: S, forwarders, chance, calls: Vec::new(), served: 0 }
@@ -106,7 +105,7 @@
             for one in &mut self.forwarders {
                 let mut events = vec![Event::Timer { token: u64::MAX }];
                 for (_, answer) in one.out.extract_if(.., |(ends, _)| *ends <= now) {
-                    one.told |= outage && answer.outcome != Outcome::Success;
+                    one.has_seen_outage |= outage && answer.outcome != Outcome::Success;
                     self.served += usize::from(answer.outcome == Outcome::Success);
                     events.push(Event::AttemptEnded(answer));
                 }
@@ -146,7 +145,7 @@
                         },
                     ));
                     *copy += 1;
-                    self.calls.push((now, one.told));
+                    self.calls.push((now, one.has_seen_outage));
                 }
             }
         }
@@ -156,9 +155,9 @@
 /// What a return came to.
 #[derive(Clone, Copy, Debug, Default)]
 struct Returned {
-    /// The most that those who had been told sent in a span, as a part of what that span allows, chance included.
+    /// The most that the forwarders that have seen the outage sent in a span, as a part of what that span allows, chance included.
     used: f64,
-    /// Falls: spans beyond what chance allows of all calls, of which over two thirds came from those who had been told.
+    /// Falls: spans beyond what chance allows of all calls, of which over two thirds came from the forwarders that have seen the outage.
     falls: usize,
     /// Served in ten seconds once it was warm, as a part of what was asked for.
     served: f64,
@@ -192,10 +191,14 @@
         let bears = set.overload_factor * present * set.overload_window as f64 / S as f64;
         let allowed = bears + 2.0 * bears.sqrt() + 2.0;
         let span = calls[first..].iter().take_while(|(at, _)| *at < from + set.overload_window);
-        let (mut all, mut told) = (0, 0);
-        span.for_each(|(_, was_told)| (all, told) = (all + 1, told + usize::from(*was_told)));
-        returned.used = returned.used.max(f64::from(told as u32) / allowed);
-        returned.falls += usize::from(f64::from(all as u32) > allowed && 3 * told > 2 * all);
+        let mut all = 0;
+        let mut informed = 0;
+        span.for_each(|(_, has_seen_outage)| {
+            all += 1;
+            informed += usize::from(*has_seen_outage);
+        });
+        returned.used = returned.used.max(f64::from(informed as u32) / allowed);
+        returned.falls += usize::from(f64::from(all as u32) > allowed && 3 * informed > 2 * all);
     }
     returned
 }
@@ -232,7 +235,7 @@
 }
 
 // Guards against a fleet that pushes a cold destination over though each of its forwarders keeps to what it takes for its
-// own part: refused connections, hung calls, errors, and refusals where a limit is told.
+// own part: rejected connections, hung calls, errors, and rejections where a limit is known.
 #[test]
 fn fleet_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
@@ -248,7 +251,7 @@
     }
 }
 
-// The same where no limit is told and all calls are refused: what one forwarder is refused shows neither an outage nor
+// The same where no limit is known and all calls are rejected: what one forwarder is rejected shows neither an outage nor
 // the others, as a limit does that as well.
 #[test]
 fn rejected_fleet_without_known_limit_keeps_within_the_capacity_of_a_cold_destination() {
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -5,7 +5,7 @@
 use common::*;
 use orchidyoke_core::interface::*;
 
-/// Class 0 safe, 1 keyed by zone, 2 unsafe; kind 1 has routes apart.
+/// Class 0 idempotent, 1 key scoped to the zone, 2 non-idempotent; kind 1 has separate routes.
 fn set() -> Settings {
     Settings { allow_cancel: true, ..settings() }
 }
@@ -46,7 +46,7 @@
 fn call_is_not_cancelled_where_a_retry_would_not_help() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    assert!(beside_a_quick_one(&mut harness, 2).0.is_empty(), "an unsafe message would be lost");
+    assert!(beside_a_quick_one(&mut harness, 2).0.is_empty(), "a non-idempotent message would be lost");
     let mut harness = Harness::new(Settings { allow_cancel: false, ..set() }, &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     assert!(beside_a_quick_one(&mut harness, 0).0.is_empty(), "the deployment cancels nothing");
@@ -88,7 +88,7 @@
     assert_eq!(off, [id], "one that was left alone was never answered");
 }
 
-// Guards against a repeat in another building after the endpoint of the first attempt was moved there, or has left the
+// Guards against a repeat in another zone after the endpoint of the first attempt was moved there, or has left the
 // list: where a repeat is dropped is settled when the first attempt goes.
 #[test]
 fn retry_keeps_to_the_zone_of_the_first_attempt() {
@@ -106,7 +106,7 @@
     }
 }
 
-// Guards against two zones that the settings do not name being taken for one building.
+// Guards against two zones that the settings do not name being taken for one zone.
 #[test]
 fn unknown_zones_are_not_one_zone() {
     let mut harness = Harness::new(set(), &[entry(1, 1, UNKNOWN_ZONE, 0), entry(2, 1, UNKNOWN_ZONE, 0)]);
@@ -119,7 +119,7 @@
 }
 
 // Guards against a message that waits on after its window: no endpoint drops its repeat any more, so it is failed, at
-// once, and not sent nor refused.
+// once, and not sent nor rejected.
 #[test]
 fn message_fails_at_once_when_its_key_window_ends() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0), entry(2, 1, 1, 0)]);
@@ -128,10 +128,7 @@
     harness.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Draining, ..zone }]);
     let sent = harness.now;
     harness.now += 100 * MS;
-    assert!(
-        sends(&harness.end_attempt(id, Outcome::Error)).is_empty(),
-        "the other building does not drop it"
-    );
+    assert!(sends(&harness.end_attempt(id, Outcome::Error)).is_empty(), "the other zone does not drop it");
     loop {
         let actions = harness.advance(50 * MS);
         assert!(sends(&actions).is_empty() && rejected(&actions).is_empty());
@@ -143,7 +140,7 @@
     assert!(harness.now >= sent + 9 * S + 900 * MS, "it could have gone until then");
 }
 
-// Guards against one route's trouble or wait, told by an earlier process, being laid to its sisters.
+// Guards against one route's fault or Retry-After, known from an earlier process, counting for the others.
 #[test]
 fn state_of_a_separate_route_does_not_affect_the_others() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
@@ -156,7 +153,7 @@
     );
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     harness.step(&[known(false, S)]);
-    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "its sister takes it at once");
+    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "the other takes it at once");
     assert!(sends(&harness.submit(1, 0, 1)).is_empty());
     assert_eq!(sends(&harness.advance(S + 100 * MS))[0].1, 1, "after the wait it serves");
     harness.step(&[Event::RouteState { destination: 1, endpoint: Some(9), ejected: true, retry_after: 0 }]);
