--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -7,6 +7,19 @@
 
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
+/// Outcomes to draw from; some more often than others.
+const OUTCOMES: [Outcome; 10] = [
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+];
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
     let class = |effect, keep_order| Class {
@@ -188,6 +201,26 @@
     }
 
     fn step(&mut self) {
+        let events = self.next_events();
+        if events.is_empty() {
+            return;
+        }
+        let mut actions = Vec::new();
+        self.controller.step(self.now, &events, &mut actions);
+        for action in &actions {
+            self.trace.push(format!("{} {action:?}", self.now));
+            self.check(action);
+        }
+        for (id, held) in &self.messages {
+            // In time: what was due before the last timer's time is over by now.
+            let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
+            assert!(held.over || !late, "message {id} has no answer in time");
+        }
+        let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
+        assert!(calls.len() <= self.set.max_calls, "more calls in flight than slots");
+    }
+
+    fn next_events(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         if self.timers.first().is_some_and(|t| *t <= self.now) {
             self.timers.retain(|t| *t > self.now);
@@ -202,49 +235,26 @@
         for _ in 0..self.rng.usize(0..3) {
             events.push(self.message());
         }
+        self.end_attempts(&mut events);
+        if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
+            let id = self.rng.u64(0..self.messages.len() as u64);
+            self.messages.get_mut(&id).expect("known").over = true;
+            events.push(Event::Withdrawn { id });
+        }
+        events
+    }
+
+    /// Ends the attempts whose time-out has come, and some others with a random outcome.
+    fn end_attempts(&mut self, events: &mut Vec<Event>) {
         let out: Vec<_> = self.out.iter().map(|(a, o)| (*a, o.2)).collect();
         for (attempt, ends) in out {
             if ends <= self.now {
                 events.push(self.outcome(attempt, Outcome::Timeout));
             } else if self.rng.u8(0..8) == 0 {
-                use Outcome::*;
-                let all = [
-                    Success,
-                    Success,
-                    Success,
-                    Error,
-                    Rejected,
-                    Rejected,
-                    ConnectFailed,
-                    Reset,
-                    Cancelled,
-                    NotSent,
-                ];
-                let outcome = all[self.rng.usize(0..all.len())];
+                let outcome = OUTCOMES[self.rng.usize(0..OUTCOMES.len())];
                 events.push(self.outcome(attempt, outcome));
             }
         }
-        if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
-            let id = self.rng.u64(0..self.messages.len() as u64);
-            self.messages.get_mut(&id).expect("known").over = true;
-            events.push(Event::Withdrawn { id });
-        }
-        if events.is_empty() {
-            return;
-        }
-        let mut actions = Vec::new();
-        self.controller.step(self.now, &events, &mut actions);
-        for action in &actions {
-            self.trace.push(format!("{} {action:?}", self.now));
-            self.check(action);
-        }
-        for (id, held) in &self.messages {
-            // In time: what was due before the last timer's time is over by now.
-            let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
-            assert!(held.over || !late, "message {id} has no answer in time");
-        }
-        let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
-        assert!(calls.len() <= self.set.max_calls, "more calls out than slots");
     }
 
     fn check(&mut self, action: &Action) {
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -99,52 +99,25 @@
 
     /// Goes on for a while; a call made now ends so, after so long.
     fn play(&mut self, span: Micros, load: f64, outage: bool, end: (Outcome, Micros)) {
+        let (outcome, latency) = end;
         for _ in 0..span / STEP {
             self.now += STEP;
             let now = self.now;
             for one in &mut self.forwarders {
+                let ended = one.end_calls(now);
+                let successes = ended.iter().filter(|result| result.outcome == Outcome::Success).count();
+                self.served += successes;
+                one.has_seen_outage |= outage && successes < ended.len();
                 let mut events = vec![Event::Timer { token: u64::MAX }];
-                for (_, answer) in one.out.extract_if(.., |(ends, _)| *ends <= now) {
-                    one.has_seen_outage |= outage && answer.outcome != Outcome::Success;
-                    self.served += usize::from(answer.outcome == Outcome::Success);
-                    events.push(Event::AttemptEnded(answer));
-                }
+                events.extend(ended.into_iter().map(Event::AttemptEnded));
                 if self.chance.uniform() < load * one.share * STEP as f64 / S as f64 {
-                    one.next += 1;
-                    let (id, time_left) = (one.next, DEADLINE);
-                    let (destination, class, tenant, key, repeat) = (1, 0, 0, None, false);
-                    events.push(Event::Message {
-                        id,
-                        destination,
-                        class,
-                        tenant,
-                        order_key: key,
-                        time_left,
-                        is_retry: repeat,
-                    });
+                    events.push(one.message());
                 }
                 let mut actions = Vec::new();
                 one.controller.step(now, &events, &mut actions);
                 for action in actions {
                     let Action::Send { id, timeout, .. } = action else { continue };
-                    let copy = one.attempts.entry(id).or_default();
-                    let ((outcome, took), finished) = (end, end.0 == Outcome::Success);
-                    let took = took.min(timeout);
-                    let (wait, limit, left) = (0, None, None);
-                    one.out.push((
-                        now + took,
-                        AttemptResult {
-                            id,
-                            attempt: *copy,
-                            outcome,
-                            latency: took,
-                            message_finished: finished,
-                            retry_after: wait,
-                            reported_limit: limit,
-                            reported_remaining: left,
-                        },
-                    ));
-                    *copy += 1;
+                    one.call(now, id, outcome, latency.min(timeout));
                     self.calls.push((now, one.has_seen_outage));
                 }
             }
@@ -152,13 +125,52 @@
     }
 }
 
+impl Forwarder {
+    /// Takes out the calls that have ended by now.
+    fn end_calls(&mut self, now: Micros) -> Vec<AttemptResult> {
+        self.out.extract_if(.., |(ends, _)| *ends <= now).map(|(_, result)| result).collect()
+    }
+
+    fn message(&mut self) -> Event {
+        self.next += 1;
+        Event::Message {
+            id: self.next,
+            destination: 1,
+            class: 0,
+            tenant: 0,
+            order_key: None,
+            time_left: DEADLINE,
+            is_retry: false,
+        }
+    }
+
+    /// A call of a message that will end so.
+    fn call(&mut self, now: Micros, id: MessageId, outcome: Outcome, latency: Micros) {
+        let attempt = self.attempts.entry(id).or_default();
+        let result = AttemptResult {
+            id,
+            attempt: *attempt,
+            outcome,
+            latency,
+            message_finished: outcome == Outcome::Success,
+            retry_after: 0,
+            reported_limit: None,
+            reported_remaining: None,
+        };
+        *attempt += 1;
+        self.out.push((now + latency, result));
+    }
+}
+
 /// What a return came to.
 #[derive(Clone, Copy, Debug, Default)]
 struct Returned {
-    /// The most that the forwarders that have seen the outage sent in a span, as a part of what that span allows, chance included.
+    /// The most that the forwarders that have seen the outage sent in a span, as a part of what that span allows, chance
+    /// included.
     used: f64,
-    /// Falls: spans beyond what chance allows of all calls, of which over two thirds came from the forwarders that have seen the outage.
-    falls: usize,
+    /// Overloads: spans beyond what chance allows of all calls, of which over two thirds came from the forwarders that have
+    /// seen the outage.
+    overloads: usize,
     /// Served in ten seconds once it was warm, as a part of what was asked for.
     served: f64,
 }
@@ -198,7 +210,7 @@
             informed += usize::from(*has_seen_outage);
         });
         returned.used = returned.used.max(f64::from(informed as u32) / allowed);
-        returned.falls += usize::from(f64::from(all as u32) > allowed && 3 * informed > 2 * all);
+        returned.overloads += usize::from(f64::from(all as u32) > allowed && 3 * informed > 2 * all);
     }
     returned
 }
@@ -244,8 +256,11 @@
     {
         let returns = over_seeds(&case, case.size, 0..100);
         let worst = returns.iter().map(|one| one.used).fold(0.0, f64::max);
-        let falls: usize = returns.iter().map(|one| one.falls).sum();
-        assert!(worst <= 1.0 && falls == 0, "{case:?}: {worst:.2} of what is allowed, {falls} falls");
+        let overloads: usize = returns.iter().map(|one| one.overloads).sum();
+        assert!(
+            worst <= 1.0 && overloads == 0,
+            "{case:?}: {worst:.2} of what is allowed, {overloads} overloads"
+        );
         let served = returns.iter().map(|one| one.served).sum::<f64>() / returns.len() as f64;
         assert!(served > 0.5, "{case:?}: {served:.2} of what is asked for, once it is warm");
     }
