--- /dev/null
+++ b/crates/consul/src/snapshot/tests.rs
@@ -0,0 +1,185 @@
+//! Tests of [`super`] that need its private items.
+
+use super::*;
+use crate::api::{Check, Instance, Node};
+use orchidyoke_core::endpoint_list::EndpointList;
+use proptest::prelude::*;
+
+fn settings(services: &[(&str, u64)]) -> Settings {
+    let service = |(name, destination): &(&str, u64)| Service {
+        name: (*name).to_owned(),
+        destination: *destination,
+        kind: "one".to_owned(),
+        zone: "a".to_owned(),
+        zone_meta: Some("zone".to_owned()),
+        ..Service::default()
+    };
+    Settings {
+        services: services.iter().map(service).collect(),
+        networks: vec!["127.0.0.0/8".parse().expect("a network")],
+        ..Settings::default()
+    }
+}
+
+fn entry(node: &str, id: &str, address: &str, port: i64, status: &str) -> ServiceEntry {
+    ServiceEntry {
+        node: Node { node: node.to_owned(), address: "127.0.0.1".to_owned(), ..Node::default() },
+        service: Instance { id: id.to_owned(), address: address.to_owned(), port, ..Instance::default() },
+        checks: vec![Check { status: status.to_owned(), ..Check::default() }],
+    }
+}
+
+fn held(targets: Vec<EndpointEntry>) -> WatchEvent {
+    WatchEvent { version: 7, is_snapshot: true, endpoints: targets, origin: String::new() }
+}
+
+fn uids(news: &WatchEvent) -> Vec<(String, ListedState)> {
+    news.endpoints.iter().map(|t| (t.uid.clone(), t.state)).collect()
+}
+
+#[test]
+fn the_same_id_elsewhere_is_another_endpoint_and_the_old_one_goes_first() {
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    snapshot.take(0, &[entry("n1", "web-1", "", 8001, "passing")]);
+    let change = snapshot.take(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
+    assert_eq!(
+        uids(&change.news[0]),
+        [
+            ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), ListedState::Removed),
+            ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), ListedState::Active),
+        ]
+    );
+    let change = snapshot.take(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
+    assert_eq!(change.news[0].endpoints.len(), 2, "the same id on another node");
+    let both =
+        [entry("n1", "web-1", "", 8001, "passing"), entry("n2", "web-1", "127.0.0.2", 8001, "passing")];
+    assert_eq!(snapshot.take(0, &both).news[0].endpoints.len(), 1, "one id on two nodes is two endpoints");
+}
+
+#[test]
+fn what_lies_elsewhere_or_nowhere_is_never_an_endpoint_and_told_once() {
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let bad = [
+        entry("n1", "out", "10.0.0.1", 80, "passing"),
+        entry("n1", "name", "web.example", 80, "passing"),
+        entry("n1", "mapped", "::ffff:10.0.0.1", 80, "passing"),
+        entry("n1", "portless", "127.0.0.1", 0, "passing"),
+        entry("n1", "high", "127.0.0.1", 65_536, "passing"),
+    ];
+    let change = snapshot.take(0, &bad);
+    assert_eq!((change.news.len(), change.unusable.len()), (0, 5), "{:?}", change.unusable);
+    assert_eq!(snapshot.take(0, &bad), Change::default());
+    let mapped = entry("n1", "in", "::ffff:127.0.0.1", 80, "passing");
+    assert_eq!(snapshot.take(0, &[mapped]).news.len(), 1);
+}
+
+#[test]
+fn zone_state_and_checks_come_from_the_entry() {
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let mut one = entry("n1", "w", "", 80, "warning");
+    one.node.meta.insert("zone".to_owned(), "b".to_owned());
+    let target = snapshot.take(0, &[one.clone()]).news[0].endpoints[0].clone();
+    assert_eq!(
+        (target.zone.as_str(), target.state, target.health),
+        ("b", ListedState::Active, HealthChecks::Warning)
+    );
+    one.service.meta.insert("zone".to_owned(), "c".to_owned());
+    assert_eq!(snapshot.take(0, &[one]).news[0].endpoints[0].zone, "c", "the instance's own comes first");
+}
+
+// Guards against a partner that only the catalogue saw leave, and that gets its whole load when it is back.
+#[test]
+fn a_destination_that_was_empty_comes_back_unfit_first() {
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
+    assert_eq!(snapshot.take(0, &all).news.len(), 1, "new, not back");
+    let gone = snapshot.take(0, &[]).news;
+    assert!(
+        gone[0]
+            .endpoints
+            .iter()
+            .all(|t| (t.state, t.health) == (ListedState::Removed, HealthChecks::Critical))
+    );
+    let back = snapshot.take(0, &all).news;
+    let checks: Vec<_> = back.iter().map(|n| n.endpoints[0].health).collect();
+    assert_eq!(checks, [HealthChecks::Critical, HealthChecks::Passing]);
+    assert!(back[0].version < back[1].version && back.iter().all(|n| n.endpoints.len() == 2));
+}
+
+#[test]
+fn the_list_of_another_source_stays_until_its_destination_is_known() {
+    let old = |uid: &str, destination| EndpointEntry {
+        uid: uid.to_owned(),
+        address: "127.0.0.1:9".parse().expect("an address"),
+        zone: String::new(),
+        kind: "one".to_owned(),
+        destination,
+        state: ListedState::Active,
+        capacity_hint: 1.0,
+        health: HealthChecks::Passing,
+    };
+    let held = held(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
+    let gone = |news: &[WatchEvent]| -> Vec<String> {
+        let all = news.iter().flat_map(|n| &n.endpoints);
+        all.filter(|t| t.state == ListedState::Removed).map(|t| t.uid.clone()).collect()
+    };
+    assert_eq!(gone(&snapshot.take(0, &[entry("n1", "w", "", 80, "passing")]).news), ["s3"]);
+    assert_eq!(gone(&snapshot.take(1, &[]).news), ["s1"], "both services of destination 3 are known now");
+    let last = snapshot.take(2, &[]).news;
+    assert_eq!(
+        (gone(&last), last[0].version),
+        (vec!["s2".to_owned()], 10),
+        "an authoritative nothing is obeyed"
+    );
+}
+
+#[test]
+fn a_restart_goes_on_from_what_the_same_catalogue_told() {
+    let settings = settings(&[("web", 3)]);
+    let (mut map, both) =
+        (EndpointList::default(), [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")]);
+    let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
+    snapshot.take(0, &both).news.iter().for_each(|news| map.apply(news));
+    let mut again = CatalogueSnapshot::new(&settings, &map.snapshot());
+    assert!(again.take(0, &both).news.is_empty(), "nothing has changed");
+    assert_eq!(again.take(0, &both[1..]).news[0].endpoints.len(), 1);
+    assert_eq!((again.len_of(0), again.on_node("n2").count(), again.on_node("n1").count()), (1, 1, 0));
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 200, rng_seed: prop::test_runner::RngSeed::Fixed(3), ..Default::default() })]
+
+    // Guards against a map that drifts from the catalogue: after any answers in any order it holds what the last
+    // answer for each service says, with versions that only grow.
+    #[test]
+    fn the_map_holds_what_was_answered_last(
+        answers in prop::collection::vec((0usize..3, prop::collection::vec((0u8..3, 0u8..4, 0u8..3), 0..6)), 1..40)
+    ) {
+        let settings = settings(&[("web", 3), ("api", 4), ("more", 4)]);
+        let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
+        let (mut map, mut last) = (EndpointList::default(), BTreeMap::new());
+        for (service, instances) in answers {
+            let status = ["passing", "warning", "critical"];
+            let entries: Vec<_> = instances
+                .iter()
+                .map(|(n, i, s)| entry(&format!("n{n}"), &format!("i{i}"), "", 80 + i64::from(*i), status[usize::from(*s)]))
+                .collect();
+            for news in snapshot.take(service, &entries).news {
+                prop_assert!(news.version > map.version() && !news.endpoints.is_empty());
+                map.apply(&news);
+            }
+            last.insert(service, entries);
+            let mut expected = BTreeMap::new();
+            for (service, entries) in &last {
+                for entry in entries {
+                    let target = target(&settings.services[*service], &Networks::new(&settings.networks), entry);
+                    let target = target.expect("usable");
+                    expected.insert(target.uid.clone(), target);
+                }
+            }
+            let held: BTreeMap<_, _> = map.snapshot().endpoints.into_iter().map(|t| (t.uid.clone(), t)).collect();
+            prop_assert_eq!(held, expected);
+        }
+    }
+}
