--- a/crates/config/src/forms.rs
+++ b/crates/config/src/forms.rs
@@ -55,7 +55,7 @@
         }
         let tls = self.clone().into_tls();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        tls.name(any).map_err(|error| error.to_string())?;
+        tls.expected_server_name(any).map_err(|error| error.to_string())?;
         tls.load().map(drop).map_err(|error| error.to_string())
     }
 }
--- a/crates/consul/src/instance_health.rs
+++ b/crates/consul/src/instance_health.rs
@@ -16,7 +16,7 @@
 }
 
 /// One check. A word that is not known is no leave to send.
-fn check(check: &Check) -> HealthChecks {
+fn check_status(check: &Check) -> HealthChecks {
     match check.status.as_str() {
         "passing" => HealthChecks::Passing,
         "warning" => HealthChecks::Warning,
@@ -46,7 +46,7 @@
         (HealthChecks::Warning, _) | (_, HealthChecks::Warning) => HealthChecks::Warning,
         _ => HealthChecks::Passing,
     };
-    let checks = entry.checks.iter().map(check).fold(HealthChecks::Passing, worst);
+    let checks = entry.checks.iter().map(check_status).fold(HealthChecks::Passing, worst);
     let service = &entry.service;
     let marked = service.tags.iter().any(|tag| tag == DRAINING)
         || service.meta.get(DRAINING).is_some_and(|value| value == "true");
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -21,4 +21,4 @@
 pub mod tls;
 
 pub use settings::Settings;
-pub use source::Consul;
+pub use source::EndpointSource;
--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -5,8 +5,8 @@
 //! A write without an answer may have taken effect, or may do so later: [`LockError::Unsure`] says so, and no write is sent
 //! a second time here.
 
-use crate::client::{ApiRequest, Client, ClientError, Connection, path};
-use crate::query::{Head, Refusal};
+use crate::client::{ApiRequest, Client, ClientError, Connection, escape_key_path};
+use crate::query::{ResponseError, ResponseHead};
 use crate::settings::Settings;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -29,7 +29,7 @@
     Unsure(ClientError),
     /// Consul has refused it.
     #[error("{0}")]
-    Refused(Refusal),
+    Refused(ResponseError),
 }
 
 /// A key as a look finds it.
@@ -113,13 +113,13 @@
         Locks { client: Client::new(settings), connection: None }
     }
 
-    async fn ask(&mut self, request: &ApiRequest) -> Result<(Head, Bytes), LockError> {
-        let at_hand = self.connection.take().filter(|connection| self.client.is_good(connection));
+    async fn ask(&mut self, request: &ApiRequest) -> Result<(ResponseHead, Bytes), LockError> {
+        let at_hand = self.connection.take().filter(|connection| self.client.is_reusable(connection));
         let mut connection = match at_hand {
             Some(connection) => connection,
             None => self.client.connect().await.map_err(LockError::Unsent)?,
         };
-        let answer = self.client.ask(&mut connection, request).await.map_err(LockError::Unsure)?;
+        let answer = self.client.send(&mut connection, request).await.map_err(LockError::Unsure)?;
         self.connection = Some(connection);
         Ok(answer)
     }
@@ -129,7 +129,7 @@
         path: String,
         more: Vec<(&'static str, Option<String>)>,
         body: Bytes,
-    ) -> Result<(Head, Bytes), LockError> {
+    ) -> Result<(ResponseHead, Bytes), LockError> {
         self.ask(&ApiRequest::write(path, more, body)).await
     }
 
@@ -151,27 +151,29 @@
             json!({"Name": name, "TTL": millis(ttl), "LockDelay": millis(lock_delay), "Behavior": behavior});
         let body = Bytes::from(body.to_string());
         let (head, body) = self.write("/v1/session/create".to_owned(), Vec::new(), body).await?;
-        head.refusal().map_or(Ok(()), Err)?;
+        head.error().map_or(Ok(()), Err)?;
         let made: Made = read(&body)?;
         Ok(made.id)
     }
 
     /// Renews a session; whether there still is one.
     pub async fn renew(&mut self, session: &str) -> Result<bool, LockError> {
-        let (head, _) =
-            self.write(format!("/v1/session/renew/{}", path(session)), Vec::new(), Bytes::new()).await?;
-        match head.refusal() {
+        let (head, _) = self
+            .write(format!("/v1/session/renew/{}", escape_key_path(session)), Vec::new(), Bytes::new())
+            .await?;
+        match head.error() {
             None => Ok(true),
-            Some(Refusal::Status(404)) => Ok(false),
+            Some(ResponseError::Status(404)) => Ok(false),
             Some(refusal) => Err(refusal.into()),
         }
     }
 
     /// Ends a session, if there still is one. What goes wrong is said in the log: it ends by itself, too.
     pub async fn destroy(&mut self, session: &str) {
-        let asked =
-            self.write(format!("/v1/session/destroy/{}", path(session)), Vec::new(), Bytes::new()).await;
-        let failed = asked.map(|(head, _)| head.refusal().map(LockError::Refused));
+        let asked = self
+            .write(format!("/v1/session/destroy/{}", escape_key_path(session)), Vec::new(), Bytes::new())
+            .await;
+        let failed = asked.map(|(head, _)| head.error().map(LockError::Refused));
         if let Ok(Some(error)) | Err(error) = failed {
             log!("Consul: a session was not ended, and will end by itself: {error}");
         }
@@ -195,8 +197,8 @@
         value: Bytes,
     ) -> Result<bool, LockError> {
         let more = vec![(what, Some(session.to_owned()))];
-        let (head, body) = self.write(format!("/v1/kv/{}", path(key)), more, value).await?;
-        head.refusal().map_or(Ok(()), Err)?;
+        let (head, body) = self.write(format!("/v1/kv/{}", escape_key_path(key)), more, value).await?;
+        head.error().map_or(Ok(()), Err)?;
         Ok(read(&body)?)
     }
 
@@ -205,9 +207,9 @@
         let body: Vec<_> = operations.iter().flat_map(Operation::json).collect();
         let body = Bytes::from(serde_json::Value::Array(body).to_string());
         let (head, _) = self.write("/v1/txn".to_owned(), Vec::new(), body).await?;
-        match head.refusal() {
+        match head.error() {
             None => Ok(true),
-            Some(Refusal::Status(409)) => Ok(false),
+            Some(ResponseError::Status(409)) => Ok(false),
             Some(refusal) => Err(refusal.into()),
         }
     }
@@ -220,24 +222,24 @@
         index: u64,
         wait: Duration,
     ) -> Result<(u64, Vec<Row>), LockError> {
-        let (head, body) = self.ask(&ApiRequest::keys(prefix, index, wait)).await?;
+        let (head, body) = self.ask(&ApiRequest::read_keys(prefix, index, wait)).await?;
         let index = head.index.as_deref().and_then(|text| text.trim().parse().ok()).unwrap_or(0);
-        match head.refusal() {
+        match head.error() {
             None => Ok((index, read(&body)?)),
             // There is no key, and a leader that says so.
-            Some(Refusal::Status(404)) if index > 0 && !head.leaderless => Ok((index, Vec::new())),
+            Some(ResponseError::Status(404)) if index > 0 && !head.leaderless => Ok((index, Vec::new())),
             Some(refusal) => Err(refusal.into()),
         }
     }
 }
 
-impl From<Refusal> for LockError {
-    fn from(refusal: Refusal) -> Self {
+impl From<ResponseError> for LockError {
+    fn from(refusal: ResponseError) -> Self {
         LockError::Refused(refusal)
     }
 }
 
-fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refusal> {
+fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, ResponseError> {
     serde_json::from_slice(body)
-        .map_err(|error| Refusal::Broken(format!("its answer is not of the form: {error}")))
+        .map_err(|error| ResponseError::Malformed(format!("its answer is not of the form: {error}")))
 }
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -8,19 +8,19 @@
 use std::fmt;
 use std::time::Duration;
 
-const MS: Micros = 1_000;
-const SECOND: Micros = 1_000_000;
+const MILLISECOND_US: Micros = 1_000;
+const SECOND_US: Micros = 1_000_000;
 /// Least time from one question to the next of a service that changes all the time.
-const LEAST_GAP: Micros = 50 * MS;
+const MIN_QUERY_INTERVAL_US: Micros = 50 * MILLISECOND_US;
 /// Pauses after a failure: the first, doubled for each further one, and the longest.
-const PAUSE_FIRST: Micros = 250 * MS;
-const PAUSE_LAST: Micros = 8 * SECOND;
+const BACKOFF_MIN_US: Micros = 250 * MILLISECOND_US;
+const BACKOFF_MAX_US: Micros = 8 * SECOND_US;
 /// The longest pause that Consul can ask for.
-const PAUSE_TOLD: Micros = 60 * SECOND;
+const RETRY_AFTER_MAX_US: Micros = 60 * SECOND_US;
 
 /// What is read of an answer beside its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHead {
     /// The HTTP status.
     pub status: u16,
     /// `X-Consul-Index`, as it was written.
@@ -28,165 +28,165 @@
     /// `X-Consul-KnownLeader`; where it is missing, nothing speaks against a leader.
     pub leaderless: bool,
     /// `X-Consul-LastContact`, where the server's leader has been silent for longer than the settings allow.
-    pub too_old: Option<Duration>,
+    pub stale_for: Option<Duration>,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
 }
 
-impl Head {
+impl ResponseHead {
     /// Why what comes with it does not count, if it does not.
-    pub fn refusal(&self) -> Option<Refusal> {
-        match (self.status, self.too_old) {
-            (200, _) if self.leaderless => Some(Refusal::NoLeader),
-            (200, Some(age)) => Some(Refusal::TooOld(age)),
+    pub fn error(&self) -> Option<ResponseError> {
+        match (self.status, self.stale_for) {
+            (200, _) if self.leaderless => Some(ResponseError::NoLeader),
+            (200, Some(age)) => Some(ResponseError::StaleRead(age)),
             (200, None) => None,
-            (403, _) => Some(Refusal::Forbidden),
-            (429, _) => Some(Refusal::TooMany),
-            (status, _) => Some(Refusal::Status(status)),
+            (403, _) => Some(ResponseError::Forbidden),
+            (429, _) => Some(ResponseError::RateLimited),
+            (status, _) => Some(ResponseError::Status(status)),
         }
     }
 }
 
 /// Why an answer is not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ResponseError {
     /// The server that answered knows no leader: what it has may be old, or nothing.
     NoLeader,
     /// The server that answered has not heard from its leader for so long: what it has may be that old.
-    TooOld(Duration),
+    StaleRead(Duration),
     /// The token may not read this.
     Forbidden,
     /// Asked too often.
-    TooMany,
+    RateLimited,
     /// Any other status than 200.
     Status(u16),
     /// No whole answer, or one that is not of the form.
-    Broken(String),
+    Malformed(String),
 }
 
-impl Refusal {
+impl ResponseError {
     /// Whether another server may well know better: this one is cut off, or ill.
-    pub fn is_of_the_server(&self) -> bool {
+    pub fn is_server_fault(&self) -> bool {
         match self {
-            Refusal::NoLeader | Refusal::TooOld(_) => true,
-            Refusal::Status(status) => *status >= 500,
-            Refusal::Forbidden | Refusal::TooMany | Refusal::Broken(_) => false,
+            ResponseError::NoLeader | ResponseError::StaleRead(_) => true,
+            ResponseError::Status(status) => *status >= 500,
+            ResponseError::Forbidden | ResponseError::RateLimited | ResponseError::Malformed(_) => false,
         }
     }
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for ResponseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::NoLeader => f.write_str("the agent knows no leader"),
-            Refusal::TooOld(age) => {
+            ResponseError::NoLeader => f.write_str("the agent knows no leader"),
+            ResponseError::StaleRead(age) => {
                 write!(f, "the server has not heard from its leader for {} s (max_stale)", age.as_secs())
             }
-            Refusal::Forbidden => f.write_str(
+            ResponseError::Forbidden => f.write_str(
                 "403: the token is missing, has run out, or may not read the service and its nodes (service:read, \
                  node:read)",
             ),
-            Refusal::TooMany => f.write_str("429: it is asked too often"),
-            Refusal::Status(status) => write!(f, "answered {status}"),
-            Refusal::Broken(why) => f.write_str(why),
+            ResponseError::RateLimited => f.write_str("429: it is asked too often"),
+            ResponseError::Status(status) => write!(f, "answered {status}"),
+            ResponseError::Malformed(why) => f.write_str(why),
         }
     }
 }
 
 /// What follows from an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QueryOutcome {
     /// The body is to be read: it may be news.
-    Take,
+    Changed,
     /// Nothing has changed.
-    Same,
+    Unchanged,
     /// The answer says nothing; the list stays as it is.
-    Refuse(Refusal),
+    Rejected(ResponseError),
 }
 
 /// One blocking query on one service.
 #[derive(Clone, Debug, Default)]
-pub struct Query {
+pub struct BlockingQuery {
     index: u64,
-    failures: u32,
+    consecutive_failures: u32,
     /// Answers in a row that came at once though nothing had changed.
-    idle_answers: u32,
-    heard: Option<Micros>,
-    asked: Micros,
+    idle_responses: u32,
+    last_success: Option<Micros>,
+    started_at: Micros,
     /// Asked for an answer at once: that an index stands still means no more than that nothing has changed.
-    visiting: bool,
+    is_immediate: bool,
 }
 
-impl Query {
+impl BlockingQuery {
     /// Asks now; gives the index to ask with. 0 asks for an answer at once.
-    pub fn ask(&mut self, now: Micros) -> u64 {
-        (self.asked, self.visiting) = (now, false);
+    pub fn start_blocking(&mut self, now: Micros) -> u64 {
+        (self.started_at, self.is_immediate) = (now, false);
         self.index
     }
 
     /// Asks now for an answer at once, whatever the index.
-    pub fn visit(&mut self, now: Micros) -> u64 {
-        (self.asked, self.visiting) = (now, true);
+    pub fn start_immediate(&mut self, now: Micros) -> u64 {
+        (self.started_at, self.is_immediate) = (now, true);
         0
     }
 
     /// When it last got an answer that can be believed.
-    pub fn heard(&self) -> Option<Micros> {
-        self.heard
+    pub fn last_success(&self) -> Option<Micros> {
+        self.last_success
     }
 
     /// Failures since then.
-    pub fn failures(&self) -> u32 {
-        self.failures
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
     }
 
     /// An answer has come: what it is worth, and the earliest moment of the next question. `chance` lies between 0
     /// and 1 and keeps forwarders out of step.
-    pub fn answered(&mut self, now: Micros, head: &Head, chance: f64) -> (Verdict, Micros) {
-        let Some(refusal) = head.refusal() else { return self.believed(now, head) };
-        let again = self.failed(now, chance);
+    pub fn on_response(&mut self, now: Micros, head: &ResponseHead, chance: f64) -> (QueryOutcome, Micros) {
+        let Some(refusal) = head.error() else { return self.on_valid_response(now, head) };
+        let again = self.on_failure(now, chance);
         let told = head.retry_after.map_or(0, |seconds| i64::try_from(seconds).unwrap_or(i64::MAX));
-        let told = now + told.saturating_mul(SECOND).min(PAUSE_TOLD);
-        (Verdict::Refuse(refusal), again.max(told))
+        let told = now + told.saturating_mul(SECOND_US).min(RETRY_AFTER_MAX_US);
+        (QueryOutcome::Rejected(refusal), again.max(told))
     }
 
     /// No answer, or none that can be read: the earliest moment of the next question. The body of an answer that
     /// was to be taken may fail as well; then its index must not count.
-    pub fn failed(&mut self, now: Micros, chance: f64) -> Micros {
+    pub fn on_failure(&mut self, now: Micros, chance: f64) -> Micros {
         self.index = 0;
-        self.failures = self.failures.saturating_add(1);
-        let pause = (PAUSE_FIRST << (self.failures - 1).min(8)).min(PAUSE_LAST);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let pause = (BACKOFF_MIN_US << (self.consecutive_failures - 1).min(8)).min(BACKOFF_MAX_US);
         now + (pause as f64 * (0.75 + 0.5 * chance)) as Micros
     }
 
-    fn believed(&mut self, now: Micros, head: &Head) -> (Verdict, Micros) {
+    fn on_valid_response(&mut self, now: Micros, head: &ResponseHead) -> (QueryOutcome, Micros) {
         let told = head.index.as_deref().and_then(|text| text.trim().parse::<u64>().ok());
         let before = std::mem::take(&mut self.index);
-        (self.failures, self.heard) = (0, Some(now));
+        (self.consecutive_failures, self.last_success) = (0, Some(now));
         match told {
             // Not a number, or none: there is nothing to wait with, so each answer comes at once.
-            None | Some(0) => (Verdict::Take, now + self.idle()),
+            None | Some(0) => (QueryOutcome::Changed, now + self.next_idle_backoff()),
             // Backwards: Consul was restored or has lost its state. Ask anew; what was said just now counts.
-            Some(index) if index < before => (Verdict::Take, now + self.idle()),
+            Some(index) if index < before => (QueryOutcome::Changed, now + self.next_idle_backoff()),
             Some(index) if index == before => {
                 self.index = index;
                 // After its whole wait this is how a blocking query ends; at once, it is an agent that does not wait.
-                let at_once = now - self.asked < SECOND && !self.visiting;
-                let pause = if at_once { self.idle() } else { 0 };
-                self.idle_answers = if at_once { self.idle_answers } else { 0 };
-                (Verdict::Same, now + pause)
+                let at_once = now - self.started_at < SECOND_US && !self.is_immediate;
+                let pause = if at_once { self.next_idle_backoff() } else { 0 };
+                self.idle_responses = if at_once { self.idle_responses } else { 0 };
+                (QueryOutcome::Unchanged, now + pause)
             }
             Some(index) => {
-                (self.index, self.idle_answers) = (index, 0);
-                (Verdict::Take, now.max(self.asked + LEAST_GAP))
+                (self.index, self.idle_responses) = (index, 0);
+                (QueryOutcome::Changed, now.max(self.started_at + MIN_QUERY_INTERVAL_US))
             }
         }
     }
 
     /// The pause where an index is of no use: it grows up to 2 s, so that neither end is kept busy.
-    fn idle(&mut self) -> Micros {
-        self.idle_answers = self.idle_answers.saturating_add(1);
-        (LEAST_GAP << (self.idle_answers - 1).min(8)).min(2 * SECOND)
+    fn next_idle_backoff(&mut self) -> Micros {
+        self.idle_responses = self.idle_responses.saturating_add(1);
+        (MIN_QUERY_INTERVAL_US << (self.idle_responses - 1).min(8)).min(2 * SECOND_US)
     }
 }
 
--- a/crates/consul/src/query_schedule.rs
+++ b/crates/consul/src/query_schedule.rs
@@ -9,14 +9,14 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Between two visits of one service there is at least this time: a round of idle services is not asked for nothing.
-const ROUND_MIN: Micros = 1_000_000;
+const ROUND_MIN_US: Micros = 1_000_000;
 /// When expedited there is at least this time.
-const EXPEDITED_ROUND_MIN: Micros = 150_000;
+const EXPEDITED_ROUND_MIN_US: Micros = 150_000;
 /// Time that a visit costs this thread, with some to spare (75 µs were measured). A round is so long that visits use
 /// up a twentieth of it; when expedited, a third.
-const VISIT_COST: Micros = 100;
-const VISIT_SHARE: Micros = 20;
-const EXPEDITED_SHARE: Micros = 3;
+const QUERY_COST_US: Micros = 100;
+const ROUND_COST_DIVISOR: Micros = 20;
+const EXPEDITED_ROUND_COST_DIVISOR: Micros = 3;
 
 /// What a connection is to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     earliest: Vec<Micros>,
     hinted_services: VecDeque<usize>,
     /// The last turn was for a hint.
-    hinted: bool,
+    last_was_hint: bool,
     /// Named by a hint while they were out: the answer may be older than the hint.
     hinted_in_flight: BTreeSet<usize>,
     blocking: bool,
@@ -56,11 +56,12 @@
             due_at: vec![Some(0); services],
             earliest: vec![0; services],
             hinted_services: VecDeque::new(),
-            hinted: false,
+            last_was_hint: false,
             hinted_in_flight: BTreeSet::new(),
             blocking: services <= connections.max(1),
-            round: ROUND_MIN.max(services as Micros * VISIT_COST * VISIT_SHARE),
-            expedited_round: EXPEDITED_ROUND_MIN.max(services as Micros * VISIT_COST * EXPEDITED_SHARE),
+            round: ROUND_MIN_US.max(services as Micros * QUERY_COST_US * ROUND_COST_DIVISOR),
+            expedited_round: EXPEDITED_ROUND_MIN_US
+                .max(services as Micros * QUERY_COST_US * EXPEDITED_ROUND_COST_DIVISOR),
         }
     }
 
@@ -78,13 +79,13 @@
     pub fn next(&mut self, now: Micros) -> NextQuery {
         // Hints come first, but every other turn is for those that are due: a hint that is never quiet starves nobody.
         let waits = self.due.first().is_some_and(|(at, _)| *at <= now);
-        if (!self.hinted || !waits)
+        if (!self.last_was_hint || !waits)
             && let Some(service) = self.hinted_services.pop_front()
         {
-            self.hinted = true;
+            self.last_was_hint = true;
             return self.take(service);
         }
-        self.hinted = false;
+        self.last_was_hint = false;
         match self.due.first().copied() {
             Some((at, service)) if at <= now => self.take(service),
             Some((at, _)) => NextQuery::NotBefore(at),
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -40,20 +40,20 @@
 #[test]
 fn the_same_id_elsewhere_is_another_endpoint_and_the_old_one_goes_first() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
-    snapshot.take(0, &[entry("n1", "web-1", "", 8001, "passing")]);
-    let change = snapshot.take(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
+    snapshot.apply(0, &[entry("n1", "web-1", "", 8001, "passing")]);
+    let change = snapshot.apply(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
     assert_eq!(
-        uids(&change.news[0]),
+        uids(&change.events[0]),
         [
             ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), ListedState::Removed),
             ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), ListedState::Active),
         ]
     );
-    let change = snapshot.take(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
-    assert_eq!(change.news[0].endpoints.len(), 2, "the same id on another node");
+    let change = snapshot.apply(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
+    assert_eq!(change.events[0].endpoints.len(), 2, "the same id on another node");
     let both =
         [entry("n1", "web-1", "", 8001, "passing"), entry("n2", "web-1", "127.0.0.2", 8001, "passing")];
-    assert_eq!(snapshot.take(0, &both).news[0].endpoints.len(), 1, "one id on two nodes is two endpoints");
+    assert_eq!(snapshot.apply(0, &both).events[0].endpoints.len(), 1, "one id on two nodes is two endpoints");
 }
 
 #[test]
@@ -66,11 +66,11 @@
         entry("n1", "portless", "127.0.0.1", 0, "passing"),
         entry("n1", "high", "127.0.0.1", 65_536, "passing"),
     ];
-    let change = snapshot.take(0, &bad);
-    assert_eq!((change.news.len(), change.unusable.len()), (0, 5), "{:?}", change.unusable);
-    assert_eq!(snapshot.take(0, &bad), Change::default());
+    let change = snapshot.apply(0, &bad);
+    assert_eq!((change.events.len(), change.unusable.len()), (0, 5), "{:?}", change.unusable);
+    assert_eq!(snapshot.apply(0, &bad), SnapshotDelta::default());
     let mapped = entry("n1", "in", "::ffff:127.0.0.1", 80, "passing");
-    assert_eq!(snapshot.take(0, &[mapped]).news.len(), 1);
+    assert_eq!(snapshot.apply(0, &[mapped]).events.len(), 1);
 }
 
 #[test]
@@ -78,13 +78,13 @@
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
     let mut one = entry("n1", "w", "", 80, "warning");
     one.node.meta.insert("zone".to_owned(), "b".to_owned());
-    let target = snapshot.take(0, &[one.clone()]).news[0].endpoints[0].clone();
+    let target = snapshot.apply(0, &[one.clone()]).events[0].endpoints[0].clone();
     assert_eq!(
         (target.zone.as_str(), target.state, target.health),
         ("b", ListedState::Active, HealthChecks::Warning)
     );
     one.service.meta.insert("zone".to_owned(), "c".to_owned());
-    assert_eq!(snapshot.take(0, &[one]).news[0].endpoints[0].zone, "c", "the instance's own comes first");
+    assert_eq!(snapshot.apply(0, &[one]).events[0].endpoints[0].zone, "c", "the instance's own comes first");
 }
 
 // Guards against a partner that only the catalogue saw leave, and that gets its whole load when it is back.
@@ -92,15 +92,15 @@
 fn a_destination_that_was_empty_comes_back_unfit_first() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
     let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
-    assert_eq!(snapshot.take(0, &all).news.len(), 1, "new, not back");
-    let gone = snapshot.take(0, &[]).news;
+    assert_eq!(snapshot.apply(0, &all).events.len(), 1, "new, not back");
+    let gone = snapshot.apply(0, &[]).events;
     assert!(
         gone[0]
             .endpoints
             .iter()
             .all(|t| (t.state, t.health) == (ListedState::Removed, HealthChecks::Critical))
     );
-    let back = snapshot.take(0, &all).news;
+    let back = snapshot.apply(0, &all).events;
     let checks: Vec<_> = back.iter().map(|n| n.endpoints[0].health).collect();
     assert_eq!(checks, [HealthChecks::Critical, HealthChecks::Passing]);
     assert!(back[0].version < back[1].version && back.iter().all(|n| n.endpoints.len() == 2));
@@ -124,9 +124,9 @@
         let all = news.iter().flat_map(|n| &n.endpoints);
         all.filter(|t| t.state == ListedState::Removed).map(|t| t.uid.clone()).collect()
     };
-    assert_eq!(gone(&snapshot.take(0, &[entry("n1", "w", "", 80, "passing")]).news), ["s3"]);
-    assert_eq!(gone(&snapshot.take(1, &[]).news), ["s1"], "both services of destination 3 are known now");
-    let last = snapshot.take(2, &[]).news;
+    assert_eq!(gone(&snapshot.apply(0, &[entry("n1", "w", "", 80, "passing")]).events), ["s3"]);
+    assert_eq!(gone(&snapshot.apply(1, &[]).events), ["s1"], "both services of destination 3 are known now");
+    let last = snapshot.apply(2, &[]).events;
     assert_eq!(
         (gone(&last), last[0].version),
         (vec!["s2".to_owned()], 10),
@@ -140,11 +140,14 @@
     let (mut map, both) =
         (EndpointList::default(), [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")]);
     let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
-    snapshot.take(0, &both).news.iter().for_each(|news| map.apply(news));
+    snapshot.apply(0, &both).events.iter().for_each(|news| map.apply(news));
     let mut again = CatalogueSnapshot::new(&settings, &map.snapshot());
-    assert!(again.take(0, &both).news.is_empty(), "nothing has changed");
-    assert_eq!(again.take(0, &both[1..]).news[0].endpoints.len(), 1);
-    assert_eq!((again.len_of(0), again.on_node("n2").count(), again.on_node("n1").count()), (1, 1, 0));
+    assert!(again.apply(0, &both).events.is_empty(), "nothing has changed");
+    assert_eq!(again.apply(0, &both[1..]).events[0].endpoints.len(), 1);
+    assert_eq!(
+        (again.endpoint_count(0), again.services_on_node("n2").count(), again.services_on_node("n1").count()),
+        (1, 1, 0)
+    );
 }
 
 proptest! {
@@ -165,7 +168,7 @@
                 .iter()
                 .map(|(n, i, s)| entry(&format!("n{n}"), &format!("i{i}"), "", 80 + i64::from(*i), status[usize::from(*s)]))
                 .collect();
-            for news in snapshot.take(service, &entries).news {
+            for news in snapshot.apply(service, &entries).events {
                 prop_assert!(news.version > map.version() && !news.endpoints.is_empty());
                 map.apply(&news);
             }
@@ -173,7 +176,7 @@
             let mut expected = BTreeMap::new();
             for (service, entries) in &last {
                 for entry in entries {
-                    let target = target(&settings.services[*service], &Networks::new(&settings.networks), entry);
+                    let target = endpoint_entry(&settings.services[*service], &AllowedNetworks::new(&settings.networks), entry);
                     let target = target.expect("usable");
                     expected.insert(target.uid.clone(), target);
                 }
--- a/crates/consul/src/tls.rs
+++ b/crates/consul/src/tls.rs
@@ -32,7 +32,7 @@
 
 /// What the files were like when they were read: another stamp means that they were replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stamp(Vec<Option<(SystemTime, u64)>>);
+pub struct FileVersions(Vec<Option<(SystemTime, u64)>>);
 
 impl Tls {
     fn files(&self) -> impl Iterator<Item = &Path> {
@@ -40,9 +40,9 @@
     }
 
     /// The stamp of the files as they are now.
-    pub fn stamp(&self) -> Stamp {
+    pub fn file_versions(&self) -> FileVersions {
         let stamp = |path| std::fs::metadata(path).and_then(|data| Ok((data.modified()?, data.len()))).ok();
-        Stamp(self.files().map(stamp).collect())
+        FileVersions(self.files().map(stamp).collect())
     }
 
     /// Reads the files.
@@ -82,7 +82,7 @@
     }
 
     /// The name that the certificate of the server at this address has to bear.
-    pub fn name(&self, address: SocketAddr) -> Result<ServerName<'static>, TlsError> {
+    pub fn expected_server_name(&self, address: SocketAddr) -> Result<ServerName<'static>, TlsError> {
         match &self.server_name {
             Some(name) => Ok(ServerName::try_from(name.clone())?),
             None => Ok(ServerName::IpAddress(address.ip().into())),
@@ -90,7 +90,7 @@
     }
 
     /// A failed handshake in one line, with what to do about it.
-    pub fn explain(&self, error: &io::Error, address: SocketAddr) -> String {
+    pub fn describe_handshake_error(&self, error: &io::Error, address: SocketAddr) -> String {
         let inner = error.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>());
         let Some(rustls::Error::InvalidCertificate(why)) = inner else { return format!("TLS: {error}") };
         let name = self.server_name.clone().unwrap_or_else(|| address.ip().to_string());
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
-use orchidyoke_consul::query::Refusal;
+use orchidyoke_consul::query::ResponseError;
 use orchidyoke_consul::settings::Consistency;
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::consul::Fault;
@@ -75,7 +75,7 @@
         assert_eq!(rows[0].session.as_deref(), Some(session.as_str()), "and it took effect");
         consul.fault(Fault::NoLeader { whole: true });
         let refused = locks.look("duties/", 0, TTL).await;
-        assert!(matches!(refused, Err(LockError::Refused(Refusal::NoLeader))), "{refused:?}");
+        assert!(matches!(refused, Err(LockError::Refused(ResponseError::NoLeader))), "{refused:?}");
         consul.fault(Fault::Gone);
         // The stand-in takes a moment to stop listening, and to listen again.
         while !matches!(locks.renew(&session).await, Err(LockError::Unsent(_))) {
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -1,6 +1,6 @@
 //! The source against the stand-in Consul: what it tells, and what it does not when Consul fails.
 
-use orchidyoke_consul::Consul as Source;
+use orchidyoke_consul::EndpointSource as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
 use orchidyoke_fakes::Consul;
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -61,7 +61,7 @@
         "Service": {"ID": "web-1", "Port": 8001}, "Checks": []}]"#;
     let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
     let held = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-    let change = CatalogueSnapshot::new(&full(), &held).take(0, &entries);
+    let change = CatalogueSnapshot::new(&full(), &held).apply(0, &entries);
     let target = EndpointEntry {
         uid: "web.11/n-1/web-1@10.0.0.1:8001".to_owned(),
         address: "10.0.0.1:8001".parse().expect("an address"),
@@ -73,5 +73,8 @@
         health: HealthChecks::Passing,
     };
     let origin = IDS.lines().nth(1).expect("an id").to_owned();
-    assert_eq!(change.news, [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![target], origin }]);
+    assert_eq!(
+        change.events,
+        [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![target], origin }]
+    );
 }
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use golden::{assert_golden, side, whole_length};
-use orchidyoke_consul::Consul as Source;
+use orchidyoke_consul::EndpointSource as Source;
 use orchidyoke_consul::client::{ApiRequest, Client};
 use orchidyoke_consul::locks::{Behavior, Locks, Operation, Row};
 use orchidyoke_consul::settings::{Consistency, Service, Settings};
@@ -91,16 +91,16 @@
         for request in [
             ApiRequest::service("web a/b", filter.as_ref(), 0, wait),
             ApiRequest::service("web", None, 41, wait),
-            ApiRequest::path("/v1/health/state/any", 42, wait),
+            ApiRequest::read("/v1/health/state/any", 42, wait),
         ] {
-            heads.push(client.ask(&mut connection, &request).await.expect("answered").0);
+            heads.push(client.send(&mut connection, &request).await.expect("answered").0);
         }
         heads.swap_remove(0)
     });
     std::fs::remove_file(&token).expect("cleans up");
     assert_golden("catalogue_questions.txt", &said);
     assert_eq!((head.status, head.index.as_deref(), head.leaderless), (200, Some("41"), true));
-    assert_eq!((head.too_old, head.retry_after), (Some(Duration::from_secs(20)), Some(3)));
+    assert_eq!((head.stale_for, head.retry_after), (Some(Duration::from_secs(20)), Some(3)));
 }
 
 #[test]
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -3,7 +3,7 @@
 
 use crate::owners::StaticOwners;
 use orchidyoke_config::Installation as Settings;
-use orchidyoke_consul::Consul;
+use orchidyoke_consul::EndpointSource;
 use orchidyoke_forwarder::config::{Config, ConfigError};
 use orchidyoke_forwarder::reload::Installation;
 use std::future::Future;
@@ -36,7 +36,7 @@
     if !faults.is_empty() {
         return Err(ConfigError::new(format!("{}: {}", path.display(), faults.join("; "))));
     }
-    let catalogue = settings.consul.map(|consul| Rc::new(Consul::new(consul)) as Rc<_>);
+    let catalogue = settings.consul.map(|consul| Rc::new(EndpointSource::new(consul)) as Rc<_>);
     let owners = settings.ownership.map(StaticOwners::new).transpose().map_err(ConfigError::new)?;
     let owners = owners.map(|owners| Rc::new(owners) as Rc<_>);
     Ok(Config { catalogue, owners, ..config })
