--- a/crates/consul/src/query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use proptest::prelude::*;
+use std::time::Duration;
 
 fn ok(index: &str) -> ResponseHead {
     ResponseHead { status: 200, index: Some(index.to_owned()), ..ResponseHead::default() }
--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -5,8 +5,9 @@
 //! A write without an answer may have taken effect, or may do so later: [`LockError::Unsure`] says so, and no write is sent
 //! a second time here.
 
-use crate::client::{ApiRequest, Client, ClientError, Connection, escape_key_path};
-use crate::query::{ResponseError, ResponseHead};
+use crate::client::{Client, ClientError, Connection};
+use crate::request::{ApiRequest, escape_key_path};
+use crate::response::{ResponseError, ResponseHead, parse_body};
 use crate::settings::Settings;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -152,7 +153,7 @@
         let body = Bytes::from(body.to_string());
         let (head, body) = self.write("/v1/session/create".to_owned(), Vec::new(), body).await?;
         head.error().map_or(Ok(()), Err)?;
-        let made: Made = read(&body)?;
+        let made: Made = parse_body(&body)?;
         Ok(made.id)
     }
 
@@ -199,7 +200,7 @@
         let more = vec![(what, Some(session.to_owned()))];
         let (head, body) = self.write(format!("/v1/kv/{}", escape_key_path(key)), more, value).await?;
         head.error().map_or(Ok(()), Err)?;
-        Ok(read(&body)?)
+        Ok(parse_body(&body)?)
     }
 
     /// Carries out all of these or none; whether they were. Without an answer it may have been either, or may still be.
@@ -225,7 +226,7 @@
         let (head, body) = self.ask(&ApiRequest::read_keys(prefix, index, wait)).await?;
         let index = head.index.as_deref().and_then(|text| text.trim().parse().ok()).unwrap_or(0);
         match head.error() {
-            None => Ok((index, read(&body)?)),
+            None => Ok((index, parse_body(&body)?)),
             // There is no key, and a leader that says so.
             Some(ResponseError::Status(404)) if index > 0 && !head.leaderless => Ok((index, Vec::new())),
             Some(refusal) => Err(refusal.into()),
@@ -238,8 +239,3 @@
         LockError::Refused(refusal)
     }
 }
-
-fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, ResponseError> {
-    serde_json::from_slice(body)
-        .map_err(|error| ResponseError::Malformed(format!("its answer is not of the form: {error}")))
-}
--- /dev/null
+++ b/crates/consul/src/response.rs
@@ -0,0 +1,108 @@
+//! The head of a Consul response, and whether its body may be believed.
+//!
+//! A response that fails this check changes nothing: the endpoint list stays as it is and the request is repeated after a
+//! backoff ([`blocking_query`](crate::blocking_query)).
+
+use crate::settings::{Consistency, Settings};
+use hyper::header::{HeaderMap, RETRY_AFTER};
+use serde::Deserialize;
+use std::time::Duration;
+use thiserror::Error;
+
+const INDEX_HEADER: &str = "X-Consul-Index";
+const KNOWN_LEADER_HEADER: &str = "X-Consul-KnownLeader";
+const LAST_CONTACT_HEADER: &str = "X-Consul-LastContact";
+
+/// What a response says besides its body.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ResponseHead {
+    /// The HTTP status.
+    pub status: u16,
+    /// `X-Consul-Index` as it was sent, which need not be a number.
+    pub index: Option<String>,
+    /// `X-Consul-KnownLeader: false`. A response without the header counts as one from a server with a leader.
+    pub leaderless: bool,
+    /// `X-Consul-LastContact`, the age of the server's data, where it exceeds `max_stale` of the settings.
+    pub stale_for: Option<Duration>,
+    /// `Retry-After`, in whole seconds; its other forms count as absent.
+    pub retry_after: Option<u64>,
+}
+
+impl ResponseHead {
+    pub(crate) fn parse(status: u16, headers: &HeaderMap, settings: &Settings) -> ResponseHead {
+        let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+        let last_contact_ms = text(LAST_CONTACT_HEADER).and_then(|milliseconds| milliseconds.parse().ok());
+        let last_contact = last_contact_ms.map(Duration::from_millis);
+        // Only servers other than the leader may answer with old data, and only if they were allowed to.
+        let allows_stale_reads = settings.consistency == Consistency::Stale;
+        ResponseHead {
+            status,
+            index: text(INDEX_HEADER).map(str::to_owned),
+            leaderless: text(KNOWN_LEADER_HEADER) == Some("false"),
+            stale_for: last_contact.filter(|age| allows_stale_reads && *age > settings.max_stale),
+            retry_after: text(RETRY_AFTER.as_str()).and_then(|value| value.trim().parse().ok()),
+        }
+    }
+
+    /// `X-Consul-Index` as a number, if it is one.
+    pub(crate) fn parsed_index(&self) -> Option<u64> {
+        self.index.as_deref().and_then(|text| text.trim().parse().ok())
+    }
+
+    /// Why the body must not be believed; `None` if it may.
+    pub fn error(&self) -> Option<ResponseError> {
+        match (self.status, self.stale_for) {
+            (200, _) if self.leaderless => Some(ResponseError::NoLeader),
+            (200, Some(age)) => Some(ResponseError::StaleRead(age)),
+            (200, None) => None,
+            (403, _) => Some(ResponseError::Forbidden),
+            (429, _) => Some(ResponseError::RateLimited),
+            (status, _) => Some(ResponseError::Status(status)),
+        }
+    }
+}
+
+/// Why a response is not used.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ResponseError {
+    /// The server knows no leader: its data may be old, or missing.
+    #[error("the agent knows no leader")]
+    NoLeader,
+    /// The server's last contact with the leader was so long ago: its data may be that old.
+    #[error("stale read: the server's last contact with the leader was {} s ago (max_stale)", .0.as_secs())]
+    StaleRead(Duration),
+    /// The token may not read what was requested.
+    #[error(
+        "HTTP 403: the token is missing, has expired, or may not read the service and its nodes (service:read, node:read)"
+    )]
+    Forbidden,
+    /// Consul limits the request rate.
+    #[error("HTTP 429: too many requests")]
+    RateLimited,
+    /// Any other status than 200.
+    #[error("HTTP {0}")]
+    Status(u16),
+    /// The body is not of the form that the API documents; holds the parser's message.
+    #[error("cannot parse the response body: {0}")]
+    Malformed(String),
+}
+
+impl ResponseError {
+    /// Whether another server may well have the answer, since this one is cut off or faulty.
+    pub fn is_server_fault(&self) -> bool {
+        match self {
+            ResponseError::NoLeader | ResponseError::StaleRead(_) => true,
+            ResponseError::Status(status) => *status >= 500,
+            ResponseError::Forbidden | ResponseError::RateLimited | ResponseError::Malformed(_) => false,
+        }
+    }
+}
+
+/// Parses the body of a response.
+///
+/// # Errors
+///
+/// [`ResponseError::Malformed`]
+pub(crate) fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, ResponseError> {
+    serde_json::from_slice(body).map_err(|error| ResponseError::Malformed(error.to_string()))
+}
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -1,9 +1,11 @@
 //! Consul as a catalogue: workers that ask, one connection each, and what all of them know.
 
 use crate::api::{Check, ServiceEntry};
-use crate::client::{ApiRequest, Client, Connection};
-use crate::query::{BlockingQuery, QueryOutcome, ResponseError, ResponseHead};
+use crate::blocking_query::{BlockingQuery, QueryOutcome};
+use crate::client::{Client, Connection};
 use crate::query_schedule::{NextQuery, QuerySchedule};
+use crate::request::ApiRequest;
+use crate::response::{ResponseError, ResponseHead};
 use crate::settings::Settings;
 use crate::snapshot::CatalogueSnapshot;
 use bytes::Bytes;
@@ -203,7 +205,7 @@
                     change.unusable.into_iter().for_each(|why| log!("Consul: left out: {why}"));
                 }
                 Err(error) => {
-                    let refusal = ResponseError::Malformed(format!("its answer is not of the form: {error}"));
+                    let refusal = ResponseError::Malformed(error.to_string());
                     self.record_failure(service, refusal.to_string());
                     return self.state.borrow_mut().queries[service].on_failure(now, fastrand::f64());
                 }
--- a/crates/consul/src/tls.rs
+++ b/crates/consul/src/tls.rs
@@ -1,7 +1,9 @@
-//! TLS towards Consul: files into a rustls configuration, and errors into plain lines.
+//! TLS towards Consul: PEM files into a rustls configuration, and handshake errors into advice.
+//!
+//! Used for each new connection, so that replaced files count from the next one on, and by the settings checker.
 
 use crate::settings::Tls;
-use rustls_pki_types::pem::PemObject;
+use rustls_pki_types::pem::{self, PemObject};
 use rustls_pki_types::{CertificateDer, InvalidDnsNameError, PrivateKeyDer, ServerName};
 use std::io;
 use std::net::SocketAddr;
@@ -14,74 +16,114 @@
 /// Why TLS cannot be set up, in one line.
 #[derive(Debug, Error)]
 pub enum TlsError {
-    /// A file cannot be read, or holds nothing of use.
-    #[error("{path}: {why}")]
-    File {
+    /// A PEM file cannot be read.
+    #[error("{path}: {source}")]
+    ReadPem {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
-        why: String,
+        /// What went wrong.
+        source: pem::Error,
     },
-    /// Certificate and key do not fit, or one is without the other.
-    #[error("{0}")]
-    Pair(String),
-    /// The name that is expected is none.
+    /// A PEM file holds no certificate.
+    #[error("{path}: there is no certificate in it")]
+    NoCertificate {
+        /// The file.
+        path: PathBuf,
+    },
+    /// A certificate of an authority cannot be used as one.
+    #[error("{path}: not the certificate of an authority: {source}")]
+    InvalidAuthority {
+        /// The file.
+        path: PathBuf,
+        /// What the TLS library reports.
+        source: rustls::Error,
+    },
+    /// The key does not belong to the client's certificate.
+    #[error("the key in {key} does not fit the certificate in {cert}: {source}")]
+    KeyMismatch {
+        /// The file with the certificate.
+        cert: PathBuf,
+        /// The file with the key.
+        key: PathBuf,
+        /// What the TLS library reports.
+        source: rustls::Error,
+    },
+    /// Only one of certificate and key is given.
+    #[error("cert and key are given together or not at all")]
+    IncompleteIdentity,
+    /// The TLS library offers no protocol version.
+    #[error("no TLS version can be used: {0}")]
+    ProtocolVersions(#[source] rustls::Error),
+    /// `server_name` is not a DNS name.
     #[error("server_name: not a DNS name: {0}")]
-    Name(#[from] InvalidDnsNameError),
+    ServerName(#[from] InvalidDnsNameError),
 }
 
-/// What the files were like when they were read: another stamp means that they were replaced.
+/// Modification time and length of each TLS file. Other versions mean that a file was replaced.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FileVersions(Vec<Option<FileVersion>>);
+
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FileVersions(Vec<Option<(SystemTime, u64)>>);
+struct FileVersion {
+    modified: SystemTime,
+    length_bytes: u64,
+}
+
+impl FileVersion {
+    fn of(path: &Path) -> io::Result<FileVersion> {
+        let metadata = std::fs::metadata(path)?;
+        Ok(FileVersion { modified: metadata.modified()?, length_bytes: metadata.len() })
+    }
+}
 
 impl Tls {
     fn files(&self) -> impl Iterator<Item = &Path> {
         [Some(&self.ca), self.cert.as_ref(), self.key.as_ref()].into_iter().flatten().map(PathBuf::as_path)
     }
 
-    /// The stamp of the files as they are now.
+    /// The versions of the files that are on disk now.
     pub fn file_versions(&self) -> FileVersions {
-        let stamp = |path| std::fs::metadata(path).and_then(|data| Ok((data.modified()?, data.len()))).ok();
-        FileVersions(self.files().map(stamp).collect())
+        FileVersions(self.files().map(|path| FileVersion::of(path).ok()).collect())
     }
 
     /// Reads the files.
+    ///
+    /// # Errors
+    ///
+    /// All of [`TlsError`] except [`TlsError::ServerName`].
     pub fn load(&self) -> Result<Arc<ClientConfig>, TlsError> {
-        let bad = |path: &Path, why: String| TlsError::File { path: path.to_owned(), why };
-        let certificates = |path: &Path| {
-            let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
-            let read = read.map_err(|error| bad(path, error.to_string()))?;
-            if read.is_empty() {
-                Err(bad(path, "there is no certificate in it".to_owned()))
-            } else {
-                Ok(read)
-            }
-        };
-        let mut roots = RootCertStore::empty();
-        for authority in certificates(&self.ca)? {
-            roots.add(authority).map_err(|error| bad(&self.ca, error.to_string()))?;
-        }
         let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
             .with_safe_default_protocol_versions()
-            .map_err(|error| TlsError::Pair(error.to_string()))?
-            .with_root_certificates(roots);
+            .map_err(TlsError::ProtocolVersions)?
+            .with_root_certificates(self.load_authorities()?);
         let config = match (&self.cert, &self.key) {
             (None, None) => builder.with_no_client_auth(),
             (Some(cert), Some(key)) => {
-                let pair = PrivateKeyDer::from_pem_file(key).map_err(|error| bad(key, error.to_string()))?;
-                builder.with_client_auth_cert(certificates(cert)?, pair).map_err(|error| {
-                    let (cert, key) = (cert.display(), key.display());
-                    TlsError::Pair(format!(
-                        "the key in {key} does not fit the certificate in {cert}: {error}"
-                    ))
+                let private_key = PrivateKeyDer::from_pem_file(key)
+                    .map_err(|source| TlsError::ReadPem { path: key.clone(), source })?;
+                builder.with_client_auth_cert(load_certificates(cert)?, private_key).map_err(|source| {
+                    TlsError::KeyMismatch { cert: cert.clone(), key: key.clone(), source }
                 })?
             }
-            _ => return Err(TlsError::Pair("cert and key are given together or not at all".to_owned())),
+            (Some(_), None) | (None, Some(_)) => return Err(TlsError::IncompleteIdentity),
         };
         Ok(Arc::new(config))
     }
 
+    fn load_authorities(&self) -> Result<RootCertStore, TlsError> {
+        let mut roots = RootCertStore::empty();
+        for authority in load_certificates(&self.ca)? {
+            let added = roots.add(authority);
+            added.map_err(|source| TlsError::InvalidAuthority { path: self.ca.clone(), source })?;
+        }
+        Ok(roots)
+    }
+
     /// The name that the certificate of the server at this address has to bear.
+    ///
+    /// # Errors
+    ///
+    /// [`TlsError::ServerName`]
     pub fn expected_server_name(&self, address: SocketAddr) -> Result<ServerName<'static>, TlsError> {
         match &self.server_name {
             Some(name) => Ok(ServerName::try_from(name.clone())?),
@@ -92,27 +134,32 @@
     /// A failed handshake in one line, with what to do about it.
     pub fn describe_handshake_error(&self, error: &io::Error, address: SocketAddr) -> String {
         let inner = error.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>());
-        let Some(rustls::Error::InvalidCertificate(why)) = inner else { return format!("TLS: {error}") };
-        let name = self.server_name.clone().unwrap_or_else(|| address.ip().to_string());
-        match why {
+        let Some(rustls::Error::InvalidCertificate(reason)) = inner else { return error.to_string() };
+        match reason {
             CertificateError::Expired | CertificateError::ExpiredContext { .. } => {
-                "TLS: Consul's certificate has run out: it needs a new one".to_owned()
+                "Consul's certificate has expired: renew it".to_owned()
             }
             CertificateError::NotValidYet | CertificateError::NotValidYetContext { .. } => {
-                "TLS: Consul's certificate is not valid yet: compare the clocks".to_owned()
+                "Consul's certificate is not valid yet: compare the clocks".to_owned()
             }
             CertificateError::NotValidForName | CertificateError::NotValidForNameContext { .. } => {
-                format!(
-                    "TLS: Consul's certificate is not for {name}: set server_name to a name that it bears"
-                )
+                let name = self.server_name.clone().unwrap_or_else(|| address.ip().to_string());
+                format!("Consul's certificate is not for {name}: set server_name to a name that it bears")
             }
             CertificateError::UnknownIssuer => {
-                format!(
-                    "TLS: Consul's certificate is signed by none of the authorities in {}",
-                    self.ca.display()
-                )
+                let ca = self.ca.display();
+                format!("Consul's certificate is signed by none of the authorities in {ca}")
             }
-            other => format!("TLS: Consul's certificate: {other:?}"),
+            other => format!("Consul's certificate is invalid: {other:?}"),
         }
     }
 }
+
+fn load_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
+    let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
+    let certificates = read.map_err(|source| TlsError::ReadPem { path: path.to_owned(), source })?;
+    if certificates.is_empty() {
+        return Err(TlsError::NoCertificate { path: path.to_owned() });
+    }
+    Ok(certificates)
+}
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
-use orchidyoke_consul::query::ResponseError;
+use orchidyoke_consul::response::ResponseError;
 use orchidyoke_consul::settings::Consistency;
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::consul::Fault;
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -392,7 +392,7 @@
         (&good, &authority, None, None),
         (&good, &authority, Some("other.dc1.consul"), Some("is not for other.dc1.consul")),
         (&good, &stranger, None, Some("signed by none of the authorities in")),
-        (&old, &authority, None, Some("has run out")),
+        (&old, &authority, None, Some("has expired")),
     ];
     for (pair, ca, name, why) in cases {
         consul.speak_tls(pair, None);
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -380,7 +380,7 @@
 #[test]
 fn a_certificate_that_has_gone_bad_is_told_in_one_line_and_the_list_stays() {
     let cases = [
-        ("run-out", "has run out"),
+        ("run-out", "has expired"),
         ("other-name", "is not for server.dc1.consul"),
         ("other-authority", "signed by none of the authorities in"),
     ];
