--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -9,10 +9,12 @@
 //! The HTTP API is the published one: <https://developer.hashicorp.com/consul/api-docs/health> and
 //! <https://developer.hashicorp.com/consul/api-docs/features/blocking>.
 
+mod allowed_networks;
 pub mod api;
 mod backoff;
 pub mod blocking_query;
 pub mod client;
+mod endpoint;
 pub mod instance_health;
 pub mod locks;
 pub mod query_schedule;
