--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -128,7 +128,7 @@
     let first = site.start();
     site.delivers(&first, "a");
     site.consul.fault(Fault::Gone);
-    first.logged("not answered", PATIENCE).expect("told");
+    first.logged("without a valid response", PATIENCE).expect("told");
     site.delivers(&first, "b");
     site.partner.set(Mode::Hang);
     assert_eq!(first.hand_in("orders", "order", 3), 202);
@@ -142,9 +142,9 @@
         (site.platform.notices()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
     );
-    second.logged("not answered", PATIENCE).expect("told");
+    second.logged("without a valid response", PATIENCE).expect("told");
     site.consul.fault(Fault::None);
-    second.logged("answered again", PATIENCE).expect("told");
+    second.logged("have recovered", PATIENCE).expect("told");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
     until("the new one", || {
@@ -409,8 +409,8 @@
                 };
                 site.consul.speak_tls(&bad, None);
                 let forwarder = site.start();
-                let line = forwarder.logged("not answered", PATIENCE).expect("told");
-                assert!(line.contains(why) && line.contains(" s old"), "{line}");
+                let line = forwarder.logged("without a valid response", PATIENCE).expect("told");
+                assert!(line.contains(why) && line.contains("age_s="), "{line}");
                 assert_eq!(site.delivers(&forwarder, "b").endpoint, first);
                 site.consul.speak_tls(&good, None);
                 let second = site.register("w2");
