--- a/crates/consul/src/api.rs
+++ b/crates/consul/src/api.rs
@@ -1,24 +1,24 @@
-//! The answers of Consul's HTTP API, as far as they are read here.
+//! The responses of Consul's HTTP API, as far as they are read here.
 
 use serde::{Deserialize, Deserializer};
 use std::collections::BTreeMap;
 
 /// Go writes an empty list or map as `null`.
-fn or_none<'de, D: Deserializer<'de>, T: Default + Deserialize<'de>>(from: D) -> Result<T, D::Error> {
+fn null_as_default<'de, D: Deserializer<'de>, T: Default + Deserialize<'de>>(from: D) -> Result<T, D::Error> {
     Ok(Option::deserialize(from)?.unwrap_or_default())
 }
 
-/// A line of `GET /v1/health/service/:service`
+/// An entry of `GET /v1/health/service/:service`
 /// (<https://developer.hashicorp.com/consul/api-docs/health#list-service-instances-for-service>).
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct ServiceEntry {
-    /// Where the instance runs.
+    /// The node that the instance runs on.
     pub node: Node,
     /// The instance.
     pub service: Instance,
-    /// Its checks and those of its node.
-    #[serde(default, deserialize_with = "or_none")]
+    /// Its health checks and those of its node.
+    #[serde(default, deserialize_with = "null_as_default")]
     pub checks: Vec<Check>,
 }
 
@@ -26,20 +26,20 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Node {
-    /// Its name, the only one in its datacentre.
+    /// Its name, unique in its datacentre.
     pub node: String,
     /// Its address, an IP address or a name.
     #[serde(default)]
     pub address: String,
-    /// What its operators say of it.
-    #[serde(default, deserialize_with = "or_none")]
+    /// Metadata that its operators set.
+    #[serde(default, deserialize_with = "null_as_default")]
     pub meta: BTreeMap<String, String>,
 }
 
 /// An instance of a service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct Instance {
-    /// The only one on its node.
+    /// Its id, unique on its node.
     #[serde(rename = "ID")]
     pub id: String,
     /// Its address where that is not the node's.
@@ -48,24 +48,24 @@
     /// Its port; 0 where it has none.
     #[serde(rename = "Port", default)]
     pub port: i64,
-    /// Marks.
-    #[serde(rename = "Tags", default, deserialize_with = "or_none")]
+    /// Tags.
+    #[serde(rename = "Tags", default, deserialize_with = "null_as_default")]
     pub tags: Vec<String>,
-    /// What its operators say of it.
-    #[serde(rename = "Meta", default, deserialize_with = "or_none")]
+    /// Metadata that its operators set.
+    #[serde(rename = "Meta", default, deserialize_with = "null_as_default")]
     pub meta: BTreeMap<String, String>,
-    /// Its weights.
-    #[serde(rename = "Weights", default, deserialize_with = "or_none")]
+    /// Its weights, by the status of its checks.
+    #[serde(rename = "Weights", default, deserialize_with = "null_as_default")]
     pub weights: Weights,
 }
 
-/// The weights of an instance, by what its checks say.
+/// The weights of an instance; 0 or less takes it out.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Weights {
-    /// While they pass.
+    /// While all checks are passing.
     pub passing: i64,
-    /// While one warns.
+    /// While one check is at warning.
     pub warning: i64,
 }
 
@@ -75,10 +75,10 @@
     }
 }
 
-/// A check, of an instance or of a whole node.
+/// A health check, of an instance or of a whole node.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct Check {
-    /// Its id; maintenance has ids of its own.
+    /// Its id; maintenance mode is a check with an id of its own.
     #[serde(rename = "CheckID", default)]
     pub id: String,
     /// `passing`, `warning`, `critical`, or `maintenance` in a summary.
@@ -92,7 +92,7 @@
     pub service: String,
 }
 
-/// The check that stands for the maintenance of a node.
+/// The id of the check that puts a node in maintenance mode.
 pub const NODE_MAINTENANCE: &str = "_node_maintenance";
-/// What the check begins with that stands for the maintenance of an instance.
+/// What the id of a check begins with that puts an instance in maintenance mode.
 pub const SERVICE_MAINTENANCE: &str = "_service_maintenance:";
--- a/crates/consul/src/instance_health.rs
+++ b/crates/consul/src/instance_health.rs
@@ -1,21 +1,23 @@
-//! What the checks, marks and weights of an instance come to: one table, one function.
+//! Whether an instance is active or draining, and what its health checks come to: one table, one function.
+//!
+//! Applied to each instance of a response before it becomes an endpoint.
 
 use crate::api::{Check, NODE_MAINTENANCE, SERVICE_MAINTENANCE, ServiceEntry};
 use orchidyoke_core::endpoint_list::{HealthChecks, ListedState};
 
-/// A tag, or a key of the meta data with the value `true`, by which operators drain an instance.
+/// A tag, or a metadata key with the value `true`, by which operators drain an instance.
 pub const DRAINING: &str = "draining";
 
-/// Whether an instance takes anything new, and what its checks say.
+/// The state and the health of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceHealth {
-    /// Whether it takes anything new.
+    /// Whether it takes new messages.
     pub state: ListedState,
-    /// What its checks say.
+    /// The worst of its checks and those of its node.
     pub checks: HealthChecks,
 }
 
-/// One check. A word that is not known is no leave to send.
+/// One check. An unknown status counts as critical.
 fn check_status(check: &Check) -> HealthChecks {
     match check.status.as_str() {
         "passing" => HealthChecks::Passing,
@@ -29,17 +31,18 @@
     check.status != "passing" && (id == NODE_MAINTENANCE || id.starts_with(SERVICE_MAINTENANCE))
 }
 
-/// The worst of several checks counts, those of the node among them; no check at all is as one that passes.
+/// The state and health of an instance. The worst check counts, those of the node among them; no check at all counts as
+/// passing.
 ///
-/// | checks | drained by maintenance, mark or weight | state | checks told |
+/// | checks | drained by maintenance, tag, metadata or weight | state | health |
 /// |---|---|---|---|
-/// | none, or all pass | no | in service | passing |
-/// | one warns, none critical | no | in service | warning |
-/// | one critical, or of no known status | no | in service | critical |
-/// | any | maintenance of node or instance | terminating | critical |
-/// | any | `draining` as a tag, or as meta data with `true` | terminating | as the checks say |
-/// | none, or all pass | weight for passing is 0 or less | terminating | passing |
-/// | one warns, none critical | weight for warning is 0 or less | terminating | warning |
+/// | none, or all passing | no | active | passing |
+/// | one warning, none critical | no | active | warning |
+/// | one critical or of unknown status | no | active | critical |
+/// | any | maintenance of node or instance | draining | critical |
+/// | any | `draining` as a tag, or as metadata with `true` | draining | as the checks say |
+/// | none, or all passing | weight for passing is 0 or less | draining | passing |
+/// | one warning, none critical | weight for warning is 0 or less | draining | warning |
 pub fn instance_health(entry: &ServiceEntry) -> InstanceHealth {
     let worst = |a: HealthChecks, b: HealthChecks| match (a, b) {
         (HealthChecks::Critical, _) | (_, HealthChecks::Critical) => HealthChecks::Critical,
@@ -48,13 +51,13 @@
     };
     let checks = entry.checks.iter().map(check_status).fold(HealthChecks::Passing, worst);
     let service = &entry.service;
-    let marked = service.tags.iter().any(|tag| tag == DRAINING)
+    let is_tagged = service.tags.iter().any(|tag| tag == DRAINING)
         || service.meta.get(DRAINING).is_some_and(|value| value == "true");
-    let weightless = match checks {
+    let has_no_weight = match checks {
         HealthChecks::Passing => service.weights.passing <= 0,
         HealthChecks::Warning => service.weights.warning <= 0,
         HealthChecks::Critical => false,
     };
-    let drained = marked || weightless || entry.checks.iter().any(is_maintenance);
+    let drained = is_tagged || has_no_weight || entry.checks.iter().any(is_maintenance);
     InstanceHealth { state: if drained { ListedState::Draining } else { ListedState::Active }, checks }
 }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,14 +1,17 @@
-//! Consul's catalogue and health checks as a source of the transport map.
+//! Consul's catalogue and health checks as a source of endpoints, and its sessions and locks.
 //!
-//! What to ask, when to ask again and what an answer means is settled in modules that open no connection and read no
-//! clock: [`blocking_query`] (one blocking query and its index), [`query_schedule`] (many services over few connections),
-//! [`instance_health`] (what the checks of an instance come to) and [`snapshot`] (all services, and the changes from one
-//! answer to the next). [`locks`] has sessions and locks for whoever shares work over them. [`client`] and [`tls`] are
-//! the sockets, and [`source`] puts both together as a [`Catalogue`](orchidyoke_forwarder::catalogue::Catalogue).
+//! What to request, when to request it again and what a response means is decided in modules that open no connection and
+//! read no clock: [`blocking_query`] (one blocking query and its index), [`query_schedule`] (many services over few
+//! connections), [`instance_health`] (what the checks of an instance come to) and [`snapshot`] (all services, and the
+//! delta from one response to the next). [`request`], [`response`], [`client`] and [`tls`] are the HTTP client, and
+//! [`source`] puts both together as a [`Catalogue`](orchidyoke_forwarder::catalogue::Catalogue). [`locks`] has sessions,
+//! locks and transactions for leases and for the policy commit point.
 //!
 //! The HTTP API is the published one: <https://developer.hashicorp.com/consul/api-docs/health> and
 //! <https://developer.hashicorp.com/consul/api-docs/features/blocking>.
 
+#![deny(missing_docs)]
+
 mod allowed_networks;
 pub mod api;
 mod backoff;
--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -1,12 +1,11 @@
-//! Sessions and locks: the writes that duties shared among forwarders rest on, and the look at who holds what.
+//! Sessions, locks and transactions on Consul's keys, for leases and for the policy commit point.
 //!
 //! After <https://developer.hashicorp.com/consul/api-docs/session>, <https://developer.hashicorp.com/consul/api-docs/kv> and
-//! <https://developer.hashicorp.com/consul/api-docs/txn>.
-//! A write without an answer may have taken effect, or may do so later: [`LockError::Unsure`] says so, and no write is sent
-//! a second time here.
+//! <https://developer.hashicorp.com/consul/api-docs/txn>. A write without a response may have taken effect, or may do so
+//! later: [`LockError::Unsure`] says so, and no write is retried here.
 
 use crate::client::{Client, ClientError, Connection};
-use crate::request::{ApiRequest, escape_key_path};
+use crate::request::{ApiRequest, Parameter, escape_key_path};
 use crate::response::{ResponseError, ResponseHead, parse_body};
 use crate::settings::Settings;
 use base64::Engine as _;
@@ -19,71 +18,84 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a write or a look has come to nothing.
+/// Consul's status for a session that does not exist, and for a prefix without keys.
+const NOT_FOUND: u16 = 404;
+/// Consul's status for a transaction that was rolled back.
+const CONFLICT: u16 = 409;
+
+/// Why a request for a session or a key has failed.
 #[derive(Debug, Error)]
 pub enum LockError {
     /// There was no connection: nothing was sent.
-    #[error("not sent: {0}")]
-    Unsent(ClientError),
-    /// It was sent and not answered: it may have taken effect, or may do so later.
-    #[error("without an answer: {0}")]
-    Unsure(ClientError),
-    /// Consul has refused it.
-    #[error("{0}")]
-    Refused(ResponseError),
+    #[error("request not sent: {0}")]
+    Unsent(#[source] ClientError),
+    /// The request was sent and had no response: a write may have taken effect, or may do so later.
+    #[error("outcome unknown: {0}")]
+    Unsure(#[source] ClientError),
+    /// Consul has rejected the request, or its response cannot be used.
+    #[error("Consul rejected the request: {0}")]
+    Refused(#[from] ResponseError),
 }
 
-/// A key as a look finds it.
+/// A key with its value and its lock.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
-    /// Its whole name.
+    /// Its full path.
     pub key: String,
-    /// Its value in base 64 (RFC 4648, section 4), as Consul writes it; none where it is empty.
+    /// Its value in base 64 (RFC 4648, section 4), as Consul sends it; `None` where it is empty.
     #[serde(default)]
     pub value: Option<String>,
     /// The session that holds its lock.
     pub session: Option<String>,
-    /// The index of the write that last changed it.
+    /// The index of the last write to it.
     pub modify_index: u64,
 }
 
 impl Row {
-    /// The value as text; what is none is left out.
+    /// The value as text; empty where it is not UTF-8.
     pub fn text(&self) -> String {
         let bytes = self.value.as_ref().and_then(|value| STANDARD.decode(value).ok()).unwrap_or_default();
         String::from_utf8(bytes).unwrap_or_default()
     }
 }
 
-/// What becomes of the keys that a session holds when it ends.
+/// What happens to the keys that a session has locked when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// They stay, with no holder.
+    /// Their locks are released.
     Release,
-    /// They go with it.
+    /// They are deleted.
     Delete,
 }
 
-/// One operation of a transaction, on the key of this whole name.
+impl Behavior {
+    fn as_str(self) -> &'static str {
+        match self {
+            Behavior::Release => "release",
+            Behavior::Delete => "delete",
+        }
+    }
+}
+
+/// One operation of a transaction: the full path of a key first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Writes it if it was last modified at this index; 0: if there is none.
+    /// Check-and-set: writes the key if its last write had this index; 0 if it does not exist.
     Cas(String, u64, Bytes),
-    /// Takes it away if it was last modified at this index.
+    /// Deletes the key if its last write had this index.
     DeleteCas(String, u64),
-    /// It was last modified at this index, and is held by this session.
+    /// Fails the transaction unless the key's last write had this index and this session holds its lock.
     CheckHeld(String, u64, String),
 }
 
 impl Operation {
-    /// In the form of the API, one or two operations.
-    fn json(&self) -> Vec<serde_json::Value> {
+    /// In the form of the API, which has one check an operation.
+    fn to_json(&self) -> Vec<serde_json::Value> {
         match self {
             Operation::Cas(key, index, value) => {
-                vec![
-                    json!({"KV": {"Verb": "cas", "Key": key, "Index": index, "Value": STANDARD.encode(value)}}),
-                ]
+                let value = STANDARD.encode(value);
+                vec![json!({"KV": {"Verb": "cas", "Key": key, "Index": index, "Value": value}})]
             }
             Operation::DeleteCas(key, index) => {
                 vec![json!({"KV": {"Verb": "delete-cas", "Key": key, "Index": index}})]
@@ -96,46 +108,51 @@
     }
 }
 
+/// The response to the creation of a session.
 #[derive(Deserialize)]
-struct Made {
+struct CreatedSession {
     #[serde(rename = "ID")]
     id: String,
 }
 
-/// One connection for sessions and locks, one question at a time.
+/// A client for sessions, locks and transactions: one connection, one request at a time.
 pub struct Locks {
     client: Client,
-    connection: Option<Connection>,
+    idle_connection: Option<Connection>,
 }
 
 impl Locks {
-    /// For the Consul of these settings. Nothing is opened yet.
+    /// A client for the Consul of these settings. No connection is opened yet.
     pub fn new(settings: Rc<Settings>) -> Self {
-        Locks { client: Client::new(settings), connection: None }
+        Locks { client: Client::new(settings), idle_connection: None }
     }
 
-    async fn ask(&mut self, request: &ApiRequest) -> Result<(ResponseHead, Bytes), LockError> {
-        let at_hand = self.connection.take().filter(|connection| self.client.is_reusable(connection));
-        let mut connection = match at_hand {
+    async fn send(&mut self, request: &ApiRequest) -> Result<(ResponseHead, Bytes), LockError> {
+        let idle = self.idle_connection.take().filter(|connection| self.client.is_reusable(connection));
+        let mut connection = match idle {
             Some(connection) => connection,
             None => self.client.connect().await.map_err(LockError::Unsent)?,
         };
-        let answer = self.client.send(&mut connection, request).await.map_err(LockError::Unsure)?;
-        self.connection = Some(connection);
-        Ok(answer)
+        let response = self.client.send(&mut connection, request).await.map_err(LockError::Unsure)?;
+        self.idle_connection = Some(connection);
+        Ok(response)
     }
 
     async fn write(
         &mut self,
         path: String,
-        more: Vec<(&'static str, Option<String>)>,
+        parameters: Vec<Parameter>,
         body: Bytes,
     ) -> Result<(ResponseHead, Bytes), LockError> {
-        self.ask(&ApiRequest::write(path, more, body)).await
+        self.send(&ApiRequest::write(path, parameters, body)).await
     }
 
-    /// Makes a session that ends when it is not renewed within `ttl`; locks that it held then stay closed for
-    /// `lock_delay`. Gives its id.
+    /// Creates a session that ends when it is not renewed within `ttl`; the locks that it held then stay closed for
+    /// `lock_delay`. Returns its id.
+    ///
+    /// # Errors
+    ///
+    /// All of [`LockError`].
     pub async fn create(
         &mut self,
         name: &str,
@@ -143,99 +160,118 @@
         lock_delay: Duration,
         behavior: Behavior,
     ) -> Result<String, LockError> {
-        let millis = |span: Duration| format!("{}ms", span.as_millis());
-        let behavior = match behavior {
-            Behavior::Release => "release",
-            Behavior::Delete => "delete",
-        };
-        let body =
-            json!({"Name": name, "TTL": millis(ttl), "LockDelay": millis(lock_delay), "Behavior": behavior});
+        let milliseconds = |span: Duration| format!("{}ms", span.as_millis());
+        let body = json!({
+            "Name": name,
+            "TTL": milliseconds(ttl),
+            "LockDelay": milliseconds(lock_delay),
+            "Behavior": behavior.as_str(),
+        });
         let body = Bytes::from(body.to_string());
         let (head, body) = self.write("/v1/session/create".to_owned(), Vec::new(), body).await?;
         head.error().map_or(Ok(()), Err)?;
-        let made: Made = parse_body(&body)?;
-        Ok(made.id)
+        let created: CreatedSession = parse_body(&body)?;
+        Ok(created.id)
     }
 
-    /// Renews a session; whether there still is one.
+    /// Renews a session; returns whether it still exists.
+    ///
+    /// # Errors
+    ///
+    /// All of [`LockError`].
     pub async fn renew(&mut self, session: &str) -> Result<bool, LockError> {
-        let (head, _) = self
-            .write(format!("/v1/session/renew/{}", escape_key_path(session)), Vec::new(), Bytes::new())
-            .await?;
+        let path = format!("/v1/session/renew/{}", escape_key_path(session));
+        let (head, _) = self.write(path, Vec::new(), Bytes::new()).await?;
         match head.error() {
             None => Ok(true),
-            Some(ResponseError::Status(404)) => Ok(false),
-            Some(refusal) => Err(refusal.into()),
+            Some(ResponseError::Status(NOT_FOUND)) => Ok(false),
+            Some(error) => Err(error.into()),
         }
     }
 
-    /// Ends a session, if there still is one. What goes wrong is said in the log: it ends by itself, too.
+    /// Ends a session, if it still exists. A failure is only logged: the session expires by itself.
     pub async fn destroy(&mut self, session: &str) {
-        let asked = self
-            .write(format!("/v1/session/destroy/{}", escape_key_path(session)), Vec::new(), Bytes::new())
-            .await;
-        let failed = asked.map(|(head, _)| head.error().map(LockError::Refused));
-        if let Ok(Some(error)) | Err(error) = failed {
-            log!("Consul: a session was not ended, and will end by itself: {error}");
+        let path = format!("/v1/session/destroy/{}", escape_key_path(session));
+        let response = self.write(path, Vec::new(), Bytes::new()).await;
+        let error = match response {
+            Ok((head, _)) => head.error().map(LockError::Refused),
+            Err(error) => Some(error),
+        };
+        if let Some(error) = error {
+            let error = error.to_string();
+            log!("Consul: session not ended, it will expire: session={session} error={error:?}");
         }
     }
 
-    /// Takes a key's lock for a session; whether it has it now.
+    /// Acquires a key's lock for a session and writes its value; returns whether the session holds the lock.
+    ///
+    /// # Errors
+    ///
+    /// All of [`LockError`].
     pub async fn acquire(&mut self, key: &str, session: &str, value: Bytes) -> Result<bool, LockError> {
-        self.lock(key, "acquire", session, value).await
+        self.update_lock(key, "acquire", session, value).await
     }
 
-    /// Gives a key's lock back; whether the session had it.
+    /// Releases a key's lock and empties its value; returns whether the session held the lock.
+    ///
+    /// # Errors
+    ///
+    /// All of [`LockError`].
     pub async fn release(&mut self, key: &str, session: &str) -> Result<bool, LockError> {
-        self.lock(key, "release", session, Bytes::new()).await
+        self.update_lock(key, "release", session, Bytes::new()).await
     }
 
-    async fn lock(
+    async fn update_lock(
         &mut self,
         key: &str,
-        what: &'static str,
+        operation: &'static str,
         session: &str,
         value: Bytes,
     ) -> Result<bool, LockError> {
-        let more = vec![(what, Some(session.to_owned()))];
-        let (head, body) = self.write(format!("/v1/kv/{}", escape_key_path(key)), more, value).await?;
+        let parameters = vec![(operation, Some(session.to_owned()))];
+        let path = format!("/v1/kv/{}", escape_key_path(key));
+        let (head, body) = self.write(path, parameters, value).await?;
         head.error().map_or(Ok(()), Err)?;
         Ok(parse_body(&body)?)
     }
 
-    /// Carries out all of these or none; whether they were. Without an answer it may have been either, or may still be.
+    /// Carries out all of these operations or none; returns whether they were carried out.
+    ///
+    /// # Errors
+    ///
+    /// All of [`LockError`]; after [`LockError::Unsure`] either may be the case, and may still change.
     pub async fn transact(&mut self, operations: &[Operation]) -> Result<bool, LockError> {
-        let body: Vec<_> = operations.iter().flat_map(Operation::json).collect();
+        let body: Vec<_> = operations.iter().flat_map(Operation::to_json).collect();
         let body = Bytes::from(serde_json::Value::Array(body).to_string());
         let (head, _) = self.write("/v1/txn".to_owned(), Vec::new(), body).await?;
         match head.error() {
             None => Ok(true),
-            Some(ResponseError::Status(409)) => Ok(false),
-            Some(refusal) => Err(refusal.into()),
+            Some(ResponseError::Status(CONFLICT)) => Ok(false),
+            Some(error) => Err(error.into()),
         }
     }
 
-    /// Who holds the keys below `prefix`, as the leader has it, and the index of that; with the index of the last look
-    /// it waits until there is news, for `wait` at most.
+    /// Reads the keys that begin with `prefix` from the leader; returns the index of this read and the keys. With the
+    /// index of the last read it is a blocking query that waits for a change, for `wait` at most.
+    ///
+    /// # Errors
+    ///
+    /// All of [`LockError`].
     pub async fn look(
         &mut self,
         prefix: &str,
         index: u64,
         wait: Duration,
     ) -> Result<(u64, Vec<Row>), LockError> {
-        let (head, body) = self.ask(&ApiRequest::read_keys(prefix, index, wait)).await?;
-        let index = head.index.as_deref().and_then(|text| text.trim().parse().ok()).unwrap_or(0);
+        let (head, body) = self.send(&ApiRequest::read_keys(prefix, index, wait)).await?;
+        let index = head.parsed_index().unwrap_or(0);
         match head.error() {
             None => Ok((index, parse_body(&body)?)),
-            // There is no key, and a leader that says so.
-            Some(ResponseError::Status(404)) if index > 0 && !head.leaderless => Ok((index, Vec::new())),
-            Some(refusal) => Err(refusal.into()),
+            // No key has the prefix, and a server with a leader says so.
+            Some(ResponseError::Status(NOT_FOUND)) if index > 0 && !head.leaderless => {
+                Ok((index, Vec::new()))
+            }
+            Some(error) => Err(error.into()),
         }
     }
 }
-
-impl From<ResponseError> for LockError {
-    fn from(refusal: ResponseError) -> Self {
-        LockError::Refused(refusal)
-    }
-}
--- a/crates/consul/src/query_schedule.rs
+++ b/crates/consul/src/query_schedule.rs
@@ -1,47 +1,48 @@
-//! Many services over few connections: who is asked next, and how long Consul may hold the question. No I/O, no
-//! clock.
+//! Many services over few connections: which service is read next, and whether with a blocking query. No I/O, no clock.
 //!
-//! As long as there are no more services than connections, each service has a blocking query out, and Consul answers
-//! the moment that something changes. Beyond that the services take turns: the one that has waited longest is asked
-//! next, with no wait, so that none is starved; what a hint names comes before all others.
+//! As long as there are no more services than connections, each service has a blocking query in flight, and Consul responds
+//! the moment that something changes. Beyond that the services take turns: the one that has waited longest is read next,
+//! without a wait, so that none is starved; services named by a hint come first. Times are in microseconds of the caller's
+//! clock.
 
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Between two visits of one service there is at least this time: a round of idle services is not asked for nothing.
+/// Least time from one read of a service to the next.
 const ROUND_MIN_US: Micros = 1_000_000;
-/// When expedited there is at least this time.
+/// The same in an expedited round.
 const EXPEDITED_ROUND_MIN_US: Micros = 150_000;
-/// Time that a visit costs this thread, with some to spare (75 µs were measured). A round is so long that visits use
-/// up a twentieth of it; when expedited, a third.
+/// Processor time of one read on the forwarder's thread, rounded up.
 const QUERY_COST_US: Micros = 100;
+/// Reads take at most this part of the thread's time.
 const ROUND_COST_DIVISOR: Micros = 20;
+/// The same in an expedited round.
 const EXPEDITED_ROUND_COST_DIVISOR: Micros = 3;
 
-/// What a connection is to ask.
+/// What a connection is to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextQuery {
-    /// This service; Consul may hold the question.
+    /// Read this service with a blocking query.
     Blocking(usize),
-    /// This service; the answer is wanted at once.
+    /// Read this service, without a wait.
     Immediate(usize),
-    /// Nothing before this moment.
+    /// Nothing before this time.
     NotBefore(Micros),
 }
 
-/// The order in which services are asked.
+/// The order in which services are read.
 #[derive(Debug)]
 pub struct QuerySchedule {
-    /// Services by when they are due, but for those out.
+    /// Services by when they are due, without those in flight.
     due: BTreeSet<(Micros, usize)>,
-    /// When each is due, unless it is out.
+    /// When each is due, unless it is in flight.
     due_at: Vec<Option<Micros>>,
-    /// How early each may be asked when expedited.
+    /// How early each may be read in an expedited round.
     earliest: Vec<Micros>,
     hinted_services: VecDeque<usize>,
-    /// The last turn was for a hint.
+    /// The last turn went to a hint.
     last_was_hint: bool,
-    /// Named by a hint while they were out: the answer may be older than the hint.
+    /// Hinted at while in flight: the response may be older than the hint.
     hinted_in_flight: BTreeSet<usize>,
     blocking: bool,
     round: Micros,
@@ -49,7 +50,7 @@
 }
 
 impl QuerySchedule {
-    /// So many services over so many connections (at least one).
+    /// A schedule of so many services over so many connections (at least one).
     pub fn new(services: usize, connections: usize) -> Self {
         QuerySchedule {
             due: (0..services).map(|service| (0, service)).collect(),
@@ -70,16 +71,16 @@
         self.blocking
     }
 
-    /// Time from one visit of a service to the next, where they take turns.
+    /// Time in microseconds from one read of a service to the next, where they take turns.
     pub fn round(&self) -> Micros {
         self.round
     }
 
-    /// The next question for a connection that is free.
+    /// The next read for a connection that is free.
     pub fn next(&mut self, now: Micros) -> NextQuery {
-        // Hints come first, but every other turn is for those that are due: a hint that is never quiet starves nobody.
-        let waits = self.due.first().is_some_and(|(at, _)| *at <= now);
-        if (!self.last_was_hint || !waits)
+        // Every other turn goes to the services that are due, so that hints without a pause starve none of them.
+        let is_due = self.due.first().is_some_and(|(at, _)| *at <= now);
+        if (!self.last_was_hint || !is_due)
             && let Some(service) = self.hinted_services.pop_front()
         {
             self.last_was_hint = true;
@@ -101,20 +102,19 @@
         if self.blocking { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
     }
 
-    /// A service that was asked may be asked again, not before this moment. `failed`: its answer was none.
+    /// A read has ended; the service may be read again, not before this time. `failed`: there was no response, so it does
+    /// not wait for its next round.
     pub fn answered(&mut self, now: Micros, service: usize, not_before: Micros, failed: bool) {
-        let named = self.hinted_in_flight.remove(&service);
-        let at = match (self.blocking, failed || named) {
-            (true, _) | (false, true) => not_before,
-            (false, false) => not_before.max(now + self.round),
-        };
+        let was_hinted = self.hinted_in_flight.remove(&service);
+        let waits_a_round = !self.blocking && !failed && !was_hinted;
+        let at = if waits_a_round { not_before.max(now + self.round) } else { not_before };
         self.earliest[service] = not_before.max(now + self.expedited_round);
         self.due_at[service] = Some(at);
         self.due.insert((at, service));
     }
 
-    /// Something has changed, and it is not told where: all are asked sooner, though not within an expedited round
-    /// of their last visit.
+    /// Something has changed in an unknown service: all are read sooner, though not within an expedited round of their
+    /// last read.
     pub fn expedite(&mut self) {
         if self.blocking {
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Something tells that this service has changed: it is asked next.
+    /// This service may have changed: it is read next.
     pub fn hint(&mut self, service: usize) {
         if self.due_at[service].is_none() {
             self.hinted_in_flight.insert(service);
--- a/crates/consul/src/settings.rs
+++ b/crates/consul/src/settings.rs
@@ -1,4 +1,7 @@
-//! What an installation says of its Consul: plain data, checked by whoever reads it from a file.
+//! The settings of an installation's Consul: plain data, checked by whoever reads it from a file.
+//!
+//! [`Settings::id`] is a checksum over their JSON and is stored with the endpoint list, so the names of the fields here are
+//! a stored form.
 
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
@@ -11,71 +14,71 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Consistency {
-    /// The leader, by its lease.
+    /// The leader answers, as long as its lease runs.
     #[default]
     Default,
-    /// Any server, as long as its data is no older than `max_stale`.
+    /// Any server answers (stale reads), as long as its data is no older than `max_stale`.
     Stale,
-    /// The leader, after it has asked its peers.
+    /// The leader answers after a quorum has confirmed it.
     Consistent,
 }
 
 /// TLS towards Consul. Files are PEM and are read again when they change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tls {
-    /// Certificates of the authorities that Consul's own is checked against.
+    /// The authorities' certificates that Consul's own is verified with.
     pub ca: PathBuf,
-    /// This forwarder's certificate with those above it, where Consul asks for one.
+    /// This forwarder's certificate chain, where Consul requires one.
     pub cert: Option<PathBuf>,
     /// The key of that certificate.
     pub key: Option<PathBuf>,
-    /// The name that Consul's certificate has to bear, such as `server.dc1.consul`; the address where there is none.
+    /// The name that Consul's certificate has to bear, such as `server.dc1.consul`; the IP address where it is `None`.
     pub server_name: Option<String>,
 }
 
-/// One service of the catalogue, and what it stands for here.
+/// One service of the catalogue, and the destination that it stands for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name in the catalogue.
     pub name: String,
     /// The destination that its instances are endpoints of.
     pub destination: u64,
-    /// The kind of that destination, as the platform's settings name it.
+    /// The kind of that destination, by its name in the platform's settings.
     pub kind: String,
-    /// The zone of instances that have none in their meta data.
+    /// The zone of instances without one in their metadata.
     pub zone: String,
-    /// The key of the zone in an instance's meta data, or else in its node's.
+    /// The metadata key of the zone, in the instance's or else in its node's.
     pub zone_meta: Option<String>,
-    /// What the destination takes, in calls a second; 0 where it is not known.
+    /// The capacity of the destination, in calls a second; 0 where it is unknown.
     pub capacity: f64,
     /// A filter expression that Consul applies.
     pub filter: Option<String>,
 }
 
-/// Consul as a source of the transport map.
+/// Consul as the source of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Agents or servers, asked in turn when one fails.
+    /// Agents or servers; the next one is used when one fails.
     pub addresses: Vec<SocketAddr>,
-    /// TLS, if it is spoken.
+    /// TLS; plain HTTP where it is `None`.
     pub tls: Option<Tls>,
-    /// The file with the token, read for each query.
+    /// The file with the token, read for each request.
     pub token_file: Option<PathBuf>,
-    /// The datacentre; the agent's own where there is none.
+    /// The datacentre; the agent's own where it is `None`.
     pub datacenter: Option<String>,
-    /// The namespace, where Consul has any.
+    /// The namespace, where Consul has namespaces.
     pub namespace: Option<String>,
-    /// How fresh answers have to be.
+    /// Which servers may answer.
     pub consistency: Consistency,
-    /// How old an answer may be, where any server may answer: its server's last word from the leader.
+    /// The oldest data that counts under [`Consistency::Stale`]: the time since the server's last contact with the leader.
     pub max_stale: Duration,
     /// How long Consul may hold a blocking query.
     pub wait: Duration,
-    /// Connections at once, at most.
+    /// Most connections at once.
     pub connections: usize,
-    /// The services that are followed.
+    /// The services to follow.
     pub services: Vec<Service>,
-    /// Where endpoints may lie; one elsewhere is never dialled.
+    /// Where endpoints may lie; an address elsewhere is never dialled.
     pub networks: Vec<IpNet>,
 }
 
@@ -98,9 +101,9 @@
 }
 
 impl Settings {
-    /// A short name for these settings: others have another.
+    /// A name for these settings, which changes when any of them does.
     pub fn id(&self) -> String {
-        // Plain data: there is nothing in it that JSON cannot hold.
+        // Serializing plain data does not fail.
         let text = serde_json::to_vec(self).unwrap_or_default();
         format!("consul:{:08x}.{:x}", crc32fast::hash(&text), text.len())
     }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -1,8 +1,8 @@
 //! Consul's catalogue and health checks as the source of the endpoint list.
 //!
 //! [`EndpointSource`] runs while an installation's settings name Consul. Its tasks share one state: query workers read the
-//! services ([`query_worker`]), two more tasks may say which service to read next ([`hints`]), and one reports in the log
-//! which services fail ([`failure_report`]). All of them run on the forwarder's thread.
+//! services (`query_worker`), two more tasks may say which service to read next (`hints`), and one reports in the log
+//! which services fail (`failure_report`). All of them run on the forwarder's thread.
 
 mod failure_report;
 mod hints;
