--- a/crates/config/tests/wire_forms.rs
+++ b/crates/config/tests/wire_forms.rs
@@ -1,7 +1,7 @@
 //! Protects the scripts of installations: the name of each function that a script may call and of each of its parameters,
 //! and what becomes of them.
 
-use orchidyoke_config::{Bounds, Installation, MemberSettings, Ownership, evaluate};
+use orchidyoke_config::{Bounds, Installation, MemberSettings, OwnershipSettings, evaluate};
 use orchidyoke_consul::Settings as Consul;
 use orchidyoke_consul::settings::{Consistency, Service, Tls};
 use orchidyoke_fakes::certificates::Authority;
@@ -107,7 +107,7 @@
         address: address.parse().expect("an address"),
         weight,
     };
-    let ownership = Ownership {
+    let ownership = OwnershipSettings {
         name: "n1".to_owned(),
         region: "east".to_owned(),
         zones: BTreeSet::from(["a".to_owned(), "b".to_owned()]),
--- a/crates/consul/src/instance_health.rs
+++ b/crates/consul/src/instance_health.rs
@@ -3,7 +3,7 @@
 //! Applied to each instance of a response before it becomes an endpoint.
 
 use crate::api::{Check, NODE_MAINTENANCE, SERVICE_MAINTENANCE, ServiceEntry};
-use orchidyoke_core::endpoint_list::{HealthChecks, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointState, HealthStatus};
 
 /// A tag, or a metadata key with the value `true`, by which operators drain an instance.
 pub const DRAINING: &str = "draining";
@@ -12,17 +12,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceHealth {
     /// Whether it takes new messages.
-    pub state: ListedState,
+    pub state: EndpointState,
     /// The worst of its checks and those of its node.
-    pub checks: HealthChecks,
+    pub checks: HealthStatus,
 }
 
 /// One check. An unknown status counts as critical.
-fn check_status(check: &Check) -> HealthChecks {
+fn check_status(check: &Check) -> HealthStatus {
     match check.status.as_str() {
-        "passing" => HealthChecks::Passing,
-        "warning" => HealthChecks::Warning,
-        _ => HealthChecks::Critical,
+        "passing" => HealthStatus::Passing,
+        "warning" => HealthStatus::Warning,
+        _ => HealthStatus::Critical,
     }
 }
 
@@ -44,20 +44,20 @@
 /// | none, or all passing | weight for passing is 0 or less | draining | passing |
 /// | one warning, none critical | weight for warning is 0 or less | draining | warning |
 pub fn instance_health(entry: &ServiceEntry) -> InstanceHealth {
-    let worst = |a: HealthChecks, b: HealthChecks| match (a, b) {
-        (HealthChecks::Critical, _) | (_, HealthChecks::Critical) => HealthChecks::Critical,
-        (HealthChecks::Warning, _) | (_, HealthChecks::Warning) => HealthChecks::Warning,
-        _ => HealthChecks::Passing,
+    let worst = |a: HealthStatus, b: HealthStatus| match (a, b) {
+        (HealthStatus::Critical, _) | (_, HealthStatus::Critical) => HealthStatus::Critical,
+        (HealthStatus::Warning, _) | (_, HealthStatus::Warning) => HealthStatus::Warning,
+        _ => HealthStatus::Passing,
     };
-    let checks = entry.checks.iter().map(check_status).fold(HealthChecks::Passing, worst);
+    let checks = entry.checks.iter().map(check_status).fold(HealthStatus::Passing, worst);
     let service = &entry.service;
     let is_tagged = service.tags.iter().any(|tag| tag == DRAINING)
         || service.meta.get(DRAINING).is_some_and(|value| value == "true");
     let has_no_weight = match checks {
-        HealthChecks::Passing => service.weights.passing <= 0,
-        HealthChecks::Warning => service.weights.warning <= 0,
-        HealthChecks::Critical => false,
+        HealthStatus::Passing => service.weights.passing <= 0,
+        HealthStatus::Warning => service.weights.warning <= 0,
+        HealthStatus::Critical => false,
     };
     let drained = is_tagged || has_no_weight || entry.checks.iter().any(is_maintenance);
-    InstanceHealth { state: if drained { ListedState::Draining } else { ListedState::Active }, checks }
+    InstanceHealth { state: if drained { EndpointState::Draining } else { EndpointState::Active }, checks }
 }
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -7,7 +7,7 @@
 use crate::api::ServiceEntry;
 use crate::endpoint::{endpoint_entry, node_of_uid, uid_prefix};
 use crate::settings::{Service, Settings};
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is known of one service.
@@ -174,11 +174,11 @@
 }
 
 fn removed(endpoint: EndpointEntry) -> EndpointEntry {
-    EndpointEntry { state: ListedState::Removed, health: HealthChecks::Critical, ..endpoint }
+    EndpointEntry { state: EndpointState::Removed, health: HealthStatus::Critical, ..endpoint }
 }
 
 fn critical(endpoint: EndpointEntry) -> EndpointEntry {
-    EndpointEntry { health: HealthChecks::Critical, ..endpoint }
+    EndpointEntry { health: HealthStatus::Critical, ..endpoint }
 }
 
 #[cfg(test)]
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -33,7 +33,7 @@
     WatchEvent { version: 7, is_snapshot: true, endpoints: targets, origin: String::new() }
 }
 
-fn uids(news: &WatchEvent) -> Vec<(String, ListedState)> {
+fn uids(news: &WatchEvent) -> Vec<(String, EndpointState)> {
     news.endpoints.iter().map(|t| (t.uid.clone(), t.state)).collect()
 }
 
@@ -45,8 +45,8 @@
     assert_eq!(
         uids(&change.events[0]),
         [
-            ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), ListedState::Removed),
-            ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), ListedState::Active),
+            ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), EndpointState::Removed),
+            ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), EndpointState::Active),
         ]
     );
     let change = snapshot.apply(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
@@ -81,7 +81,7 @@
     let target = snapshot.apply(0, &[one.clone()]).events[0].endpoints[0].clone();
     assert_eq!(
         (target.zone.as_str(), target.state, target.health),
-        ("b", ListedState::Active, HealthChecks::Warning)
+        ("b", EndpointState::Active, HealthStatus::Warning)
     );
     one.service.meta.insert("zone".to_owned(), "c".to_owned());
     assert_eq!(snapshot.apply(0, &[one]).events[0].endpoints[0].zone, "c", "the instance's own comes first");
@@ -98,11 +98,11 @@
         gone[0]
             .endpoints
             .iter()
-            .all(|t| (t.state, t.health) == (ListedState::Removed, HealthChecks::Critical))
+            .all(|t| (t.state, t.health) == (EndpointState::Removed, HealthStatus::Critical))
     );
     let back = snapshot.apply(0, &all).events;
     let checks: Vec<_> = back.iter().map(|n| n.endpoints[0].health).collect();
-    assert_eq!(checks, [HealthChecks::Critical, HealthChecks::Passing]);
+    assert_eq!(checks, [HealthStatus::Critical, HealthStatus::Passing]);
     assert!(back[0].version < back[1].version && back.iter().all(|n| n.endpoints.len() == 2));
 }
 
@@ -114,15 +114,15 @@
         zone: String::new(),
         kind: "one".to_owned(),
         destination,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 1.0,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     };
     let held = held(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
     let gone = |news: &[WatchEvent]| -> Vec<String> {
         let all = news.iter().flat_map(|n| &n.endpoints);
-        all.filter(|t| t.state == ListedState::Removed).map(|t| t.uid.clone()).collect()
+        all.filter(|t| t.state == EndpointState::Removed).map(|t| t.uid.clone()).collect()
     };
     assert_eq!(gone(&snapshot.apply(0, &[entry("n1", "w", "", 80, "passing")]).events), ["s3"]);
     assert_eq!(gone(&snapshot.apply(1, &[]).events), ["s1"], "both services of destination 3 are known now");
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -20,7 +20,7 @@
         indexed.step(world.now, &events, &mut actions);
         let place = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
         assert_eq!(actions, expected, "actions of {place}");
-        assert_eq!(indexed.dice(), walking.dice(), "draws of {place}");
+        assert_eq!(indexed.rng(), walking.dice(), "draws of {place}");
         assert_eq!(indexed.faulty_routes(), walking.troubled(), "troubled after {place}");
         if step % 20 == 0 {
             let differs = world.endpoints().find(|id| indexed.is_avoided(*id) != walking.avoids(*id));
@@ -41,21 +41,21 @@
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_0_to_24() {
+fn decisions_match_the_reference_for_seeds_0_to_24() {
     compare_all(0..25);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_25_to_49() {
+fn decisions_match_the_reference_for_seeds_25_to_49() {
     compare_all(25..50);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_50_to_74() {
+fn decisions_match_the_reference_for_seeds_50_to_74() {
     compare_all(50..75);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_75_to_99() {
+fn decisions_match_the_reference_for_seeds_75_to_99() {
     compare_all(75..100);
 }
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -1,14 +1,12 @@
-//! Protects the keys in Consul by which forwarders share duties: those of an earlier version are understood, and a
-//! forwarder writes the same keys with the same values. Forwarders of two versions share one folder of keys.
+//! The stored form of the keys of leases in Consul: those of an earlier version are read, and a lease manager writes the
+//! same keys with the same values. Forwarders of two versions share one folder of keys.
 
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{Behavior, Locks};
 use orchidyoke_fakes::Consul;
-use orchidyoke_leases::Duty;
-use orchidyoke_leases::keeper::{Keeper, Member};
-use orchidyoke_leases::lease::Terms;
-use orchidyoke_leases::placement::place;
+use orchidyoke_leases::placement::assign_leases;
+use orchidyoke_leases::{LeaseConfig, LeaseId, LeaseManager, ManagerConfig};
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
 use std::rc::Rc;
@@ -16,10 +14,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Keys and values, one a line, of a forwarder that is alone.
+/// Keys and values, one a line, of a forwarder without other members.
 const ALONE: &str = include_str!("fixtures/keys-alone");
-/// Those of a forwarder that has taken two duties, and beside which another comes.
-const ELDER: &str = include_str!("fixtures/keys-elder");
+/// Those of a forwarder that holds two leases before another joins.
+const EARLIER: &str = include_str!("fixtures/keys-earlier");
 
 const TTL: Duration = Duration::from_secs(10);
 
@@ -33,20 +31,32 @@
     Rc::new(Settings { addresses: vec![consul.address()], ..Settings::default() })
 }
 
-/// A forwarder that keeps its leases, and the task that does so.
-fn start(consul: &Consul, name: &str, weight: f64, duties: &BTreeSet<Duty>) -> Rc<Keeper> {
-    let terms = Terms { ttl: TTL.as_micros() as i64, drift: 0.01, act: 100_000, retry: 50_000, asks: 8 };
-    let (name, prefix, duties) = (name.to_owned(), "fleet/one".to_owned(), duties.clone());
-    let member = Member { name, weight, prefix, duties, lock_delay: Duration::ZERO, terms };
-    let keeper = Rc::new(Keeper::new(member, settings(consul)));
-    let running = keeper.clone();
+/// Starts a lease manager.
+fn start(consul: &Consul, name: &str, weight: f64, leases: &BTreeSet<LeaseId>) -> Rc<LeaseManager> {
+    let protocol = LeaseConfig {
+        ttl: TTL.as_micros() as i64,
+        clock_drift: 0.01,
+        max_action_time: 100_000,
+        retry_interval: 50_000,
+        max_concurrent_acquires: 8,
+    };
+    let config = ManagerConfig {
+        name: name.to_owned(),
+        weight,
+        key_prefix: "fleet/one".to_owned(),
+        leases: leases.clone(),
+        lock_delay: Duration::ZERO,
+        protocol,
+    };
+    let manager = Rc::new(LeaseManager::new(config, settings(consul)));
+    let running = manager.clone();
     spawn_local(async move { running.run().await });
-    keeper
+    manager
 }
 
-/// Waits until a forwarder holds these duties and no others.
-async fn holds(keeper: &Keeper, wanted: &BTreeSet<Duty>) {
-    while keeper.held().into_keys().collect::<BTreeSet<_>>() != *wanted {
+/// Waits until a lease manager holds these leases and no others.
+async fn await_held(manager: &LeaseManager, wanted: &BTreeSet<LeaseId>) {
+    while manager.held().into_keys().collect::<BTreeSet<_>>() != *wanted {
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -57,48 +67,48 @@
     rows.iter().filter(|r| r.session.is_some()).map(|row| format!("{} {}\n", row.key, row.text())).collect()
 }
 
-/// What a forwarder writes that is alone.
+/// The keys that a forwarder writes without other members.
 async fn written_alone() -> String {
-    let (consul, duties) = (Consul::start(), BTreeSet::from([0, 7, Duty::MAX - 1]));
-    let keeper = start(&consul, "f-1", 1.5, &duties);
-    holds(&keeper, &duties).await;
+    let (consul, leases) = (Consul::start(), BTreeSet::from([0, 7, LeaseId::MAX - 1]));
+    let manager = start(&consul, "f-1", 1.5, &leases);
+    await_held(&manager, &leases).await;
     keys(&consul).await
 }
 
-/// What a forwarder has written that has taken two duties of which there are more.
-async fn written_by_elder() -> String {
-    let (consul, duties) = (Consul::start(), BTreeSet::from([2, 5]));
-    let keeper = start(&consul, "f-2", 3.0, &duties);
-    holds(&keeper, &duties).await;
+/// The keys of a forwarder that holds two leases.
+async fn written_before_a_join() -> String {
+    let (consul, leases) = (Consul::start(), BTreeSet::from([2, 5]));
+    let manager = start(&consul, "f-2", 3.0, &leases);
+    await_held(&manager, &leases).await;
     keys(&consul).await
 }
 
 #[test]
-fn a_forwarder_writes_the_same_keys_with_the_same_values() {
+fn lease_manager_writes_the_same_keys_with_the_same_values() {
     run(async {
         assert_eq!(written_alone().await, ALONE);
-        assert_eq!(written_by_elder().await, ELDER);
+        assert_eq!(written_before_a_join().await, EARLIER);
     });
 }
 
 #[test]
-fn keys_of_the_previous_version_count_as_its_membership_weight_and_duties() {
+fn keys_of_the_previous_version_are_read_as_membership_weight_and_leases() {
     run(async {
-        let (consul, duties) = (Consul::start(), (0..12).collect());
+        let (consul, leases) = (Consul::start(), (0..12).collect());
         let mut locks = Locks::new(settings(&consul));
-        let elder = locks.create("earlier", TTL, Duration::ZERO, Behavior::Release).await.expect("made");
-        for line in ELDER.lines() {
+        let session = locks.create("earlier", TTL, Duration::ZERO, Behavior::Release).await.expect("made");
+        for line in EARLIER.lines() {
             let (key, value) = line.split_once(' ').expect("a key and its value");
             let value = Bytes::from_static(value.as_bytes());
-            assert!(locks.acquire(key, &elder, value).await.expect("asked"), "{key}");
+            assert!(locks.acquire(key, &session, value).await.expect("asked"), "{key}");
         }
-        let keeper = start(&consul, "f-1", 1.0, &duties);
+        let manager = start(&consul, "f-1", 1.0, &leases);
         let (weights, held) = ([("f-1", 1.0), ("f-2", 3.0)], [(2, "f-2"), (5, "f-2")]);
         let members: BTreeMap<_, _> = weights.map(|(name, weight)| (name.to_owned(), weight)).into();
-        let held: BTreeMap<_, _> = held.map(|(duty, name)| (duty, name.to_owned())).into();
-        let placed = place(&members, &duties, &held);
-        let own = placed.into_iter().filter(|(_, name)| name == "f-1").map(|(duty, _)| duty).collect();
-        holds(&keeper, &own).await;
+        let held: BTreeMap<_, _> = held.map(|(lease, name)| (lease, name.to_owned())).into();
+        let assignment = assign_leases(&members, &leases, &held);
+        let own = assignment.into_iter().filter(|(_, name)| name == "f-1").map(|(lease, _)| lease).collect();
+        await_held(&manager, &own).await;
         assert_eq!(own, BTreeSet::from([0, 1, 8]), "its share by weight, and none that is held");
     });
 }
--- a/crates/ownership/tests/stored_format.rs
+++ b/crates/ownership/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! Protects the entries of a region's registry: one that an earlier version wrote is read with every field, and the same
+//! The stored form of the entries of a region's registry: one of an earlier version is read with every field, and the same
 //! member is written as the same text.
 
 use orchidyoke_ownership::{Member, Region};
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn an_entry_of_the_previous_version_is_read_field_by_field_and_written_back() {
+fn entry_of_the_previous_version_is_read_field_by_field_and_written_back() {
     for (text, member) in [(PLAIN, plain()), (OTHER, other())] {
-        assert_eq!(Member::read(&member.name, text, &region()).expect("read"), member);
-        assert_eq!(member.entry(), text);
+        assert_eq!(Member::parse_entry(&member.name, text, &region()).expect("read"), member);
+        assert_eq!(member.to_entry(), text);
     }
 }
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -1,18 +1,16 @@
-//! Protects what stands at the commit point in Consul and in a forwarder's folder: values that an earlier version wrote
-//! are read with every field, and the same values are written as the same text under the same names.
+//! The stored form of the commit point in Consul and of the files in a forwarder's folder: values of an earlier version are
+//! read with every field, and the same values are written as the same text under the same names.
 
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, Locks, Row};
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::forwarder::{Folder, Setup};
-use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
+use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::Source;
-use orchidyoke_policy_commit::commit_point::{
-    Member, MemberStatus, NumberedPolicy, Policy, Settings, Vote, digest,
-};
-use orchidyoke_policy_commit::follow::Follower;
-use orchidyoke_policy_commit::propose::Office;
+use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, Vote};
+use orchidyoke_policy_commit::policy::{Policy, VersionedPolicy, digest};
+use orchidyoke_policy_commit::{ConsulParticipant, Coordinator, Settings};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -24,11 +22,11 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-const COMMITTED: &str = include_str!("fixtures/epoch-3.json");
-const PROPOSED: &str = include_str!("fixtures/epoch-4.json");
-const SILENT: &str = include_str!("fixtures/said-nothing.json");
-const AGREES: &str = include_str!("fixtures/said-yes.json");
-const REFUSES: &str = include_str!("fixtures/said-no.json");
+const COMMITTED: &str = include_str!("fixtures/version-3.json");
+const PROPOSED: &str = include_str!("fixtures/version-4.json");
+const NOT_VOTED: &str = include_str!("fixtures/not-voted.json");
+const VOTED_FOR: &str = include_str!("fixtures/voted-for.json");
+const VOTED_AGAINST: &str = include_str!("fixtures/voted-against.json");
 /// What a commit wrote, with a word in the place of its id, which is that of a session.
 const FIRST: &str = include_str!("fixtures/first-commit.json");
 
@@ -36,38 +34,40 @@
 
 const FIRST_POLICY: &str = r#"{"out":["s-1"]}"#;
 
-fn committed() -> NumberedPolicy {
-    NumberedPolicy {
+fn committed() -> VersionedPolicy {
+    VersionedPolicy {
         id: "11111111-aaaa-4444-8888-0123456789ab".to_owned(),
-        epoch: 3,
+        version: 3,
         digest: "b806f73458e1fd35".to_owned(),
-        policy: "{\"settings\": {\"limits\": {\"max_open\": 5}},\n \"out\": [\"s-1\"]}".to_owned(),
-        by: "operator \"\u{e9}\"".to_owned(),
+        text: "{\"settings\": {\"limits\": {\"max_open\": 5}},\n \"out\": [\"s-1\"]}".to_owned(),
+        proposed_by: "operator \"\u{e9}\"".to_owned(),
     }
 }
 
-fn proposed() -> NumberedPolicy {
-    NumberedPolicy {
+fn proposed() -> VersionedPolicy {
+    VersionedPolicy {
         id: "22222222-bbbb-4444-8888-0123456789ab".to_owned(),
-        epoch: 4,
+        version: 4,
         digest: "1349cde127705c16".to_owned(),
-        policy: "{}".to_owned(),
-        by: "o-2".to_owned(),
+        text: "{}".to_owned(),
+        proposed_by: "o-2".to_owned(),
     }
 }
 
-fn silent() -> MemberStatus {
-    MemberStatus { epoch: 0, vote: None, refuses: None }
+fn not_voted() -> MemberStatus {
+    MemberStatus { version: 0, vote: None, unusable_reason: None }
 }
 
-fn agrees() -> MemberStatus {
-    MemberStatus { epoch: 3, vote: Some(Vote { proposal: proposed().id, no: None }), refuses: None }
+fn voted_for() -> MemberStatus {
+    let vote = Some(Vote { proposal_id: proposed().id, rejection: None });
+    MemberStatus { version: 3, vote, unusable_reason: None }
 }
 
-fn refuses() -> MemberStatus {
-    let no = Some("cannot be used: \"x\"".to_owned());
-    let vote = Some(Vote { proposal: proposed().id, no });
-    MemberStatus { epoch: u64::MAX, vote, refuses: Some("epoch 3 cannot be used".to_owned()) }
+fn voted_against() -> MemberStatus {
+    let rejection = Some("cannot be used: \"x\"".to_owned());
+    let vote = Some(Vote { proposal_id: proposed().id, rejection });
+    let unusable_reason = Some("epoch 3 cannot be used".to_owned());
+    MemberStatus { version: u64::MAX, vote, unusable_reason }
 }
 
 /// The value is what the text says, and the text is what the value is written as.
@@ -116,29 +116,29 @@
 }
 
 #[test]
-fn numbered_policies_of_the_previous_version_are_read_field_by_field_and_written_back() {
+fn versioned_policies_of_the_previous_version_are_read_field_by_field_and_written_back() {
     assert_stored(COMMITTED, &committed());
     assert_stored(PROPOSED, &proposed());
-    for numbered in [committed(), proposed()] {
-        assert!(numbered.is_whole(), "the digest is that of the text");
-        let NumberedPolicy { id, epoch, policy, by, .. } = numbered.clone();
-        assert_eq!(NumberedPolicy::new(id, epoch, policy, by), numbered);
+    for policy in [committed(), proposed()] {
+        assert!(policy.is_intact(), "the digest is that of the text");
+        let VersionedPolicy { id, version, text, proposed_by, .. } = policy.clone();
+        assert_eq!(VersionedPolicy::new(id, version, text, proposed_by), policy);
     }
     assert_eq!(digest(""), "2d06800538d394c2");
 }
 
 #[test]
 fn votes_and_member_keys_of_the_previous_version_are_read_field_by_field_and_written_back() {
-    assert_stored(SILENT, &silent());
-    assert_stored(AGREES, &agrees());
-    assert_stored(REFUSES, &refuses());
+    assert_stored(NOT_VOTED, &not_voted());
+    assert_stored(VOTED_FOR, &voted_for());
+    assert_stored(VOTED_AGAINST, &voted_against());
 }
 
 #[test]
-fn a_policy_text_of_the_previous_version_is_read_field_by_field() {
-    let policy = Policy::read(&committed().policy).expect("a policy");
+fn policy_text_of_the_previous_version_is_read_field_by_field() {
+    let policy = Policy::parse(&committed().text).expect("a policy");
     let settings = serde_json::json!({"limits": {"max_open": 5}});
-    assert_eq!(policy, Policy { settings, out: vec!["s-1".to_owned()] });
+    assert_eq!(policy, Policy { settings, excluded_endpoints: vec!["s-1".to_owned()] });
     assert_eq!(
         serde_json::to_string(&policy).expect("written"),
         r#"{"settings":{"limits":{"max_open":5}},"out":["s-1"]}"#
@@ -147,83 +147,84 @@
 }
 
 #[test]
-fn a_commit_point_of_the_previous_version_is_found_under_its_keys() {
+fn commit_point_of_the_previous_version_is_found_under_its_keys() {
     run(async {
         let consul = Consul::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
-        let proposer = hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
-        hold(&consul, "fleet/one/members/f1.77", AGREES).await;
-        hold(&consul, "fleet/one/members/f2.78", REFUSES).await;
+        let coordinator = hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
+        hold(&consul, "fleet/one/members/f1.77", VOTED_FOR).await;
+        hold(&consul, "fleet/one/members/f2.78", VOTED_AGAINST).await;
         hold(&consul, "fleet/one/members/f3.79", "not in form").await;
-        let (point, members) = Office::new(settings(&consul)).status().await.expect("asked");
-        assert_eq!(point.committed.map(|(numbered, _)| numbered), Some(committed()));
-        let (numbered, _, session) = point.proposal.expect("proposed");
-        assert_eq!((numbered, session), (proposed(), Some(proposer)));
-        let known = [("f1.77", Some(agrees())), ("f2.78", Some(refuses())), ("f3.79", None)];
-        assert_eq!(members, known.map(|(id, status)| Member { id: id.to_owned(), status }));
+        let status = Coordinator::new(settings(&consul)).status().await.expect("read");
+        assert_eq!(status.point.committed.map(|committed| committed.policy), Some(committed()));
+        let proposal = status.point.proposal.expect("proposed");
+        assert_eq!((proposal.policy, proposal.session), (proposed(), Some(coordinator)));
+        let known = [("f1.77", Some(voted_for())), ("f2.78", Some(voted_against())), ("f3.79", None)];
+        assert_eq!(status.members, known.map(|(id, status)| Member { id: id.to_owned(), status }));
     });
 }
 
 #[test]
-fn a_commit_is_written_as_the_same_text_under_the_same_key() {
+fn commit_is_written_as_the_same_text_under_the_same_key() {
     run(async {
         let consul = Consul::start();
-        let mut office = Office::new(settings(&consul));
-        let report = office.propose(FIRST_POLICY, "o-1", Duration::from_secs(5)).await.expect("committed");
-        assert_eq!(report.epoch, 1);
+        let mut coordinator = Coordinator::new(settings(&consul));
+        let report =
+            coordinator.propose(FIRST_POLICY, "o-1", Duration::from_secs(5)).await.expect("committed");
+        assert_eq!(report.version, 1);
         let rows = rows(&consul).await;
         let [row] = &rows[..] else { panic!("{rows:?}") };
         assert_eq!(row.key, "fleet/one/epoch/committed");
-        let id = serde_json::from_str::<NumberedPolicy>(&row.text()).expect("in form").id;
+        let id = serde_json::from_str::<VersionedPolicy>(&row.text()).expect("in form").id;
         assert_eq!(row.text().replace(&id, "SESSION"), FIRST);
     });
 }
 
 #[test]
-fn a_forwarder_keeps_a_policy_as_the_same_files_and_says_the_same_of_itself() {
+fn participant_writes_the_same_files_and_the_same_status() {
     run(async {
         let consul = Consul::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
-        let (folder, source) = forwarder("epochs-written");
-        let follower = Follower::new(settings(&consul), "f1", folder.path());
-        follower.join(&source).await;
-        let kept = |name: &str| fs::read_to_string(folder.path().join(name)).ok();
+        let (folder, source) = forwarder("policy-written");
+        let participant = ConsulParticipant::new(settings(&consul), "f1", folder.path());
+        participant.join(&source).await;
+        let file = |name: &str| fs::read_to_string(folder.path().join(name)).ok();
         assert_eq!(
-            (kept("policy-held.json").as_deref(), kept("policy-staged.json")),
+            (file("policy-held.json").as_deref(), file("policy-staged.json")),
             (Some(COMMITTED), None)
         );
         hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
         let (inputs, _came) = unbounded_channel();
-        let following = spawn_local(follower.clone().follow(source, inputs));
+        let following = spawn_local(participant.clone().follow(source, inputs));
         let key = format!("fleet/one/members/f1.{}", std::process::id());
         loop {
             let rows = rows(&consul).await;
             let own = rows.iter().find(|row| row.key == key).map(Row::text);
-            if own.as_deref() == Some(AGREES) {
+            if own.as_deref() == Some(VOTED_FOR) {
                 break;
             }
             sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!(kept("policy-held.json").as_deref(), Some(COMMITTED));
-        assert_eq!(kept("policy-staged.json").as_deref(), Some(PROPOSED));
+        assert_eq!(file("policy-held.json").as_deref(), Some(COMMITTED));
+        assert_eq!(file("policy-staged.json").as_deref(), Some(PROPOSED));
         following.abort();
     });
 }
 
 #[test]
-fn a_forwarder_starts_by_the_files_of_the_previous_version() {
+fn participant_starts_by_the_files_of_the_previous_version() {
     run(async {
-        let (folder, source) = forwarder("epochs-read");
+        let (folder, source) = forwarder("policy-read");
         folder.write("policy-held.json", COMMITTED);
         folder.write("policy-staged.json", PROPOSED);
         let consul = Consul::start();
-        let follower = Follower::new(settings(&consul), "f1", folder.path());
-        assert_eq!(follower.version(), 3);
+        let participant = ConsulParticipant::new(settings(&consul), "f1", folder.path());
+        assert_eq!(participant.version(), 3);
         let own = r#"{"listen":"l","settings":{"limits":{"max_open":9}}}"#;
-        let laid = r#"{"listen":"l","policy_out":["s-1"],"settings":{"limits":{"max_open":5}}}"#;
-        assert_eq!(follower.apply(own).expect("applied"), laid);
-        // Nothing is proposed any more: what is known as staged is taken away.
-        follower.join(&source).await;
+        let applied = r#"{"listen":"l","policy_out":["s-1"],"settings":{"limits":{"max_open":5}}}"#;
+        assert_eq!(participant.apply(own).expect("applied"), applied);
+        // No proposal is open any more: the staged policy is removed.
+        participant.join(&source).await;
         assert!(folder.path().join("policy-held.json").exists());
         assert!(!folder.path().join("policy-staged.json").exists());
     });
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -21,9 +21,9 @@
         // The policy takes effect on the configuration, so that the name has to be read without it.
         None => source.reread_with(|text| Ok(text.to_owned()))?.name,
     };
-    let follower = orchidyoke_policy_commit::Follower::new(policy, &name, state_folder);
-    source.policy = Some(follower.clone());
-    serve(source, Some(follower), state_folder, listen_fd)
+    let participant = orchidyoke_policy_commit::ConsulParticipant::new(policy, &name, state_folder);
+    source.policy = Some(participant.clone());
+    serve(source, Some(participant), state_folder, listen_fd)
 }
 
 /// Runs the forwarder until SIGTERM.
