--- a/crates/config/tests/scripts.rs
+++ b/crates/config/tests/scripts.rs
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn a_script_says_what_is_followed() {
+fn script_yields_the_services_to_follow() {
     let consul = run(GOOD).expect("good").consul.expect("asked for");
     let services: Vec<_> =
         consul.services.iter().map(|s| (s.name.as_str(), s.destination, s.capacity)).collect();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_same_script_has_the_same_id_and_another_has_another() {
+fn settings_id_changes_only_with_the_script() {
     let id = |text: &str| run(text).expect("good").consul.expect("asked for").id();
     assert_eq!(id(GOOD), id(GOOD));
     assert_ne!(id(GOOD), id(&GOOD.replace("10s", "11s")));
@@ -44,7 +44,7 @@
 
 // Guards against a script that is taken in part, and against a fault without its place or its remedy.
 #[test]
-fn each_fault_is_told_with_its_place_and_remedy() {
+fn each_script_error_has_its_location_and_a_remedy() {
     let cases = [
         ("x = ", "edge.star:1:5: ", "Parse error"),
         ("consul(adresses = [])", ":1:1: ", "there is no field \"adresses\": is \"addresses\" meant?"),
@@ -106,7 +106,7 @@
 
 // Guards against a script that keeps the forwarder busy, or uses up its memory.
 #[test]
-fn what_runs_away_is_ended() {
+fn runaway_script_is_stopped() {
     let cases = [
         "def f():\n    for i in range(1000000000):\n        pass\nf()",
         "def f():\n    x = []\n    for i in range(90000):\n        x.append(\"a\" * 1000 + str(i))\nf()",
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn names_are_checked_against_the_platforms() {
+fn kinds_and_zones_must_exist_in_the_platform_settings() {
     let good = run(GOOD).expect("good");
     let names = |kinds: &[&str], zones: &[&str]| Names {
         kinds: kinds.iter().map(|k| (*k).to_owned()).collect(),
--- a/crates/config/tests/wire_forms.rs
+++ b/crates/config/tests/wire_forms.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn each_parameter_of_a_script_is_read_by_its_name() {
+fn each_script_parameter_is_read_by_its_name() {
     let folder = Folder::new("full");
     let installation = folder.evaluate(FULL).expect("good");
     assert_eq!(installation.consul, Some(full_consul(&folder.0)));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_a_script_leaves_out_is_read_as_before() {
+fn omitted_parameters_keep_their_defaults() {
     let folder = Folder::new("least");
     let installation = folder.evaluate(LEAST).expect("good");
     let consul = installation.consul.expect("asked for");
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_same_fields_have_to_be_there_as_before() {
+fn required_parameters_are_unchanged() {
     let folder = Folder::new("needed");
     for line in [
         "    addresses = [\"10.2.0.1:8500\", \"10.2.0.2:8501\"],\n",
@@ -163,7 +163,7 @@
 
 /// The list that a forwarder holds is kept with the id of the Consul that told it; with another id it is not taken up.
 #[test]
-fn the_id_of_a_consul_stays_the_same() {
+fn consul_settings_id_is_unchanged() {
     let consul = full_consul(Path::new("/etc/edge"));
     assert_eq!(consul.id(), include_str!("fixtures/wire/consul_id.txt").trim());
 }
--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_index_goes_into_the_next_question() {
+fn next_request_carries_the_last_index() {
     let mut query = BlockingQuery::default();
     assert_eq!(query.start_blocking(0), 0);
     assert_eq!(
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_index_that_goes_backwards_starts_over_and_its_answer_counts() {
+fn lower_index_counts_and_restarts_the_query() {
     let mut query = BlockingQuery::default();
     query.on_response(0, &ok("100"), 0.5);
     query.start_blocking(SECOND_US);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_no_index_is_taken_with_growing_pauses() {
+fn unusable_index_counts_with_backoff() {
     for index in [Some("0"), Some("many"), Some("-1"), Some("99999999999999999999999"), None] {
         let (mut query, mut now) = (BlockingQuery::default(), 0);
         let mut asked = 0;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_agent_that_does_not_wait_keeps_nobody_busy() {
+fn agent_that_does_not_block_is_queried_with_backoff() {
     let (mut query, mut now, mut asked) = (BlockingQuery::default(), 0, 0);
     while now < 20 * SECOND_US {
         query.start_blocking(now);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_visit_reads_what_is_news_and_nothing_else() {
+fn immediate_query_reports_only_a_changed_index() {
     let mut query = BlockingQuery::default();
     for (index, verdict) in
         [("5", QueryOutcome::Changed), ("5", QueryOutcome::Unchanged), ("6", QueryOutcome::Changed)]
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn refusals_say_why_and_are_asked_again_later() {
+fn rejected_response_names_its_error_and_is_retried_after_a_pause() {
     let cases = [
         (ResponseHead { leaderless: true, ..ok("9") }, ResponseError::NoLeader),
         (
@@ -111,7 +111,7 @@
     // Guards against a busy loop on any sequence of answers: never more than one question in LEAST_GAP in the
     // long run, but for those whose index moves on, and never a pause without an end.
     #[test]
-    fn no_answers_make_it_spin_or_stop(
+    fn no_sequence_of_responses_causes_a_busy_loop_or_a_stall(
         answers in prop::collection::vec((0u16..6, "[0-9]{0,3}|x|-1", 0i64..40_000, any::<bool>()), 1..120)
     ) {
         let (mut query, mut now) = (BlockingQuery::default(), 0);
--- a/crates/consul/src/request/tests.rs
+++ b/crates/consul/src/request/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_question_says_all_that_the_settings_ask_for() {
+fn request_uri_and_timeout_follow_the_settings() {
     let mut settings = Settings::default();
     let wait = Duration::from_secs(30);
     let request = ApiRequest::service("a b/c", None, 0, wait);
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_same_id_elsewhere_is_another_endpoint_and_the_old_one_goes_first() {
+fn moved_instance_is_a_new_endpoint_after_removal_of_the_old() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
     snapshot.apply(0, &[entry("n1", "web-1", "", 8001, "passing")]);
     let change = snapshot.apply(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_lies_elsewhere_or_nowhere_is_never_an_endpoint_and_told_once() {
+fn unusable_instance_is_no_endpoint_and_reported_once() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
     let bad = [
         entry("n1", "out", "10.0.0.1", 80, "passing"),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn zone_state_and_checks_come_from_the_entry() {
+fn endpoint_takes_zone_state_and_health_from_the_entry() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
     let mut one = entry("n1", "w", "", 80, "warning");
     one.node.meta.insert("zone".to_owned(), "b".to_owned());
@@ -89,7 +89,7 @@
 
 // Guards against a partner that only the catalogue saw leave, and that gets its whole load when it is back.
 #[test]
-fn a_destination_that_was_empty_comes_back_unfit_first() {
+fn returning_destination_is_listed_as_critical_first() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
     let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
     assert_eq!(snapshot.apply(0, &all).events.len(), 1, "new, not back");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_list_of_another_source_stays_until_its_destination_is_known() {
+fn endpoints_of_another_source_stay_until_their_destination_is_known() {
     let old = |uid: &str, destination| EndpointEntry {
         uid: uid.to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_restart_goes_on_from_what_the_same_catalogue_told() {
+fn restart_continues_from_the_stored_list() {
     let settings = settings(&[("web", 3)]);
     let (mut map, both) =
         (EndpointList::default(), [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")]);
@@ -156,7 +156,7 @@
     // Guards against a map that drifts from the catalogue: after any answers in any order it holds what the last
     // answer for each service says, with versions that only grow.
     #[test]
-    fn the_map_holds_what_was_answered_last(
+    fn endpoint_list_equals_the_last_response_of_each_service(
         answers in prop::collection::vec((0usize..3, prop::collection::vec((0u8..3, 0u8..4, 0u8..3), 0..6)), 1..40)
     ) {
         let settings = settings(&[("web", 3), ("api", 4), ("more", 4)]);
--- a/crates/consul/tests/instance_health.rs
+++ b/crates/consul/tests/instance_health.rs
@@ -15,7 +15,7 @@
 
 // Guards against a line of the table that the code reads otherwise.
 #[test]
-fn each_combination_stands_as_the_table_says() {
+fn each_combination_of_checks_has_the_documented_state() {
     use EndpointState::{Active, Draining};
     use HealthStatus::{Critical, Passing, Warning};
     type Case = (&'static [(&'static str, &'static str)], EndpointState, HealthStatus);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn marks_and_weights_drain_whatever_the_checks_say() {
+fn tag_metadata_or_zero_weight_drains_an_instance() {
     for (status, told) in [("passing", HealthStatus::Passing), ("critical", HealthStatus::Critical)] {
         let mut tagged = entry(&[("web", status)]);
         tagged.service.tags = vec!["v2".to_owned(), DRAINING.to_owned()];
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_lock_goes_from_one_session_to_the_next() {
+fn released_lock_can_be_acquired_by_another_session() {
     run(async {
         let consul = Consul::start();
         let (mut a, mut b) = (locks(&consul), locks(&consul));
@@ -61,7 +61,7 @@
 
 // Guards against a write without an answer that is taken for one that has failed, or is sent again.
 #[test]
-fn an_error_says_whether_a_write_may_have_taken_effect() {
+fn lock_error_distinguishes_unsent_lost_and_rejected_requests() {
     run(async {
         let consul = Consul::start();
         let mut locks = locks(&consul);
@@ -94,7 +94,7 @@
 
 // Guards against a transaction half done, and against one that is done though what it rests on has changed.
 #[test]
-fn a_transaction_is_done_whole_or_refused() {
+fn transaction_applies_all_operations_or_none() {
     run(async {
         let consul = Consul::start();
         let (mut a, mut b) = (locks(&consul), locks(&consul));
--- a/crates/consul/tests/query_schedule.rs
+++ b/crates/consul/tests/query_schedule.rs
@@ -10,7 +10,7 @@
 const ROUND_MIN: Micros = 1_000_000;
 
 #[test]
-fn few_services_stand_and_many_take_turns() {
+fn services_block_while_connections_suffice_and_take_turns_otherwise() {
     let mut few = QuerySchedule::new(2, 2);
     assert_eq!(
         (few.next(0), few.next(0), few.next(0)),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_hint_comes_before_all_others_even_while_its_service_is_out() {
+fn hinted_service_is_read_next_even_if_in_flight() {
     let mut schedule = QuerySchedule::new(4, 1);
     assert_eq!(schedule.next(0), NextQuery::Immediate(0));
     schedule.hint(3);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn in_a_hurry_a_round_is_short_and_never_shorter() {
+fn expedited_round_is_shorter_and_has_a_minimum() {
     let mut schedule = QuerySchedule::new(2000, 4);
     assert_eq!(schedule.round(), 4 * ROUND_MIN);
     while let NextQuery::Immediate(service) = schedule.next(0) {
@@ -64,7 +64,7 @@
     // Guards against a service that is starved, or out twice: however many there are, however often hints name
     // the same few, each is visited within two rounds.
     #[test]
-    fn no_service_is_starved(services in 2usize..300, connections in 1usize..8, hinted in 0usize..3, took in 1i64..4) {
+    fn every_service_is_read_within_two_rounds(services in 2usize..300, connections in 1usize..8, hinted in 0usize..3, took in 1i64..4) {
         let mut schedule = QuerySchedule::new(services, connections);
         let mut last = vec![0; services];
         let mut out = VecDeque::new();
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn registering_health_marks_and_maintenance_come_as_they_happen() {
+fn registration_health_tag_and_maintenance_changes_are_followed() {
     run(async {
         let (consul, mut seen) = followed(2).await;
         consul.status("n1", "w1", "critical");
@@ -149,7 +149,7 @@
 
 // Guards against a list emptied because Consul has nothing sensible to say, and against missing what changed meanwhile.
 #[test]
-fn no_fault_empties_the_list_and_what_changed_meanwhile_comes_after() {
+fn fault_keeps_the_list_and_recovery_applies_missed_changes() {
     for fault in Fault::that_tell_nothing() {
         run(async {
             let (consul, mut seen) = followed(2).await;
@@ -174,7 +174,7 @@
 // Guards against a list taken from a server that has lost touch with its leader, and against staying with it: the next
 // address is asked. Within the limit what it says counts, an empty list too.
 #[test]
-fn a_server_that_is_behind_counts_within_the_limit_only() {
+fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
             let (cut_off, other) = (Consul::start(), Consul::start());
@@ -208,7 +208,7 @@
 
 // Guards against an age that is minded where the leader answers: there it says nothing.
 #[test]
-fn an_age_counts_only_where_any_server_may_answer() {
+fn last_contact_is_ignored_without_stale_consistency() {
     run(async {
         let (consul, mut seen) = followed(1).await;
         consul.fault(Fault::Behind(Duration::from_secs(3600)));
@@ -218,7 +218,7 @@
 
 // Guards against an agent without a leader being asked on and on while another has one.
 #[test]
-fn an_agent_without_a_leader_makes_room_for_the_next() {
+fn agent_without_a_leader_causes_failover() {
     for fault in [Fault::NoLeader { whole: true }, Fault::Status(500, "No cluster leader", None)] {
         run(async {
             let (cut_off, other) = (Consul::start(), Consul::start());
@@ -238,7 +238,7 @@
 // Guards against a silence that is never noticed: the question is given up after its wait and a grace, and asked on
 // another connection; what changed in the silence comes then.
 #[test]
-fn a_silent_agent_is_asked_again_and_the_other_address_is_tried() {
+fn silent_agent_times_out_and_causes_failover() {
     run(async {
         let (silent, other) = (Consul::start(), Consul::start());
         for consul in [&silent, &other] {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn an_index_that_is_of_no_use_is_lived_with() {
+fn unusable_index_does_not_stop_updates_or_cause_a_busy_loop() {
     for index in [Some("0"), Some("many"), Some("7"), None] {
         run(async {
             let (consul, mut seen) = followed(1).await;
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn an_index_that_goes_backwards_starts_over() {
+fn lower_index_restarts_the_query() {
     run(async {
         let (consul, mut seen) = followed(5).await;
         consul.lose_index();
@@ -292,7 +292,7 @@
 // Guards against an endpoint inherited: by an id that moves, an id on two nodes, an address with a new owner, and an
 // agent that takes all out and puts it back within a second.
 #[test]
-fn a_new_owner_of_an_address_is_a_new_endpoint() {
+fn new_instance_at_a_known_address_is_a_new_endpoint() {
     run(async {
         let (consul, mut seen) = followed(1).await;
         let uid = |seen: &Seen| seen.map.snapshot().endpoints[0].uid.clone();
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_flap_faster_than_the_query_ends_in_its_last_state() {
+fn flapping_check_ends_in_its_last_state() {
     run(async {
         let (consul, mut seen) = followed(1).await;
         let asked = consul.questions();
@@ -341,7 +341,7 @@
 
 // Guards against a token or certificate that has to wait for a restart, and against an unclear refusal.
 #[test]
-fn tokens_and_certificates_are_replaced_on_the_disk() {
+fn replaced_token_and_certificates_take_effect_without_restart() {
     let folder = Folder::new("consul-tls");
     let authority = Authority::new(folder.path(), "dc1");
     let consul = Consul::start();
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_certificate_that_cannot_be_trusted_is_refused_in_one_line() {
+fn untrusted_certificate_is_rejected_with_one_line() {
     let folder = Folder::new("consul-bad-tls");
     let (authority, stranger) = (Authority::new(folder.path(), "dc1"), Authority::new(folder.path(), "dc2"));
     let consul = Consul::start();
@@ -417,7 +417,7 @@
 // connections, of which 40 have an instance. All of them are found, all that leave too, and a critical check shows long
 // before the turn of its service, which comes round every 5 s.
 #[test]
-fn many_services_share_few_connections() {
+fn many_services_are_followed_over_few_connections() {
     run(async {
         let consul = Consul::start();
         let mut settings = Settings { connections: 6, ..settings(&consul) };
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn the_list_held_goes_on_after_a_restart_and_an_authoritative_nothing_is_obeyed() {
+fn restart_keeps_the_list_until_an_authoritative_empty_response() {
     run(async {
         let (consul, seen) = followed(1).await;
         consul.fault(Fault::Gone);
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn the_same_settings_have_the_id_that_the_previous_version_wrote() {
+fn settings_id_equals_the_stored_one() {
     assert_eq!(ids(), IDS);
 }
 
 #[test]
-fn an_instance_is_listed_under_the_uid_that_the_previous_version_wrote() {
+fn endpoint_uid_equals_the_stored_one() {
     let text = r#"[{"Node": {"Node": "n-1", "Address": "10.0.0.1", "Meta": {"where": "z-2"}},
         "Service": {"ID": "web-1", "Port": 8001}, "Checks": []}]"#;
     let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn questions_of_the_catalogue_stay_the_same() {
+fn catalogue_requests_are_unchanged() {
     let token = std::env::temp_dir().join(format!("wire-token-{}", std::process::id()));
     std::fs::write(&token, "5be2a07c\n").expect("written");
     let headers = "X-Consul-Index: 41\r\nX-Consul-KnownLeader: false\r\nX-Consul-LastContact: 20000\r\nRetry-After: 3\r\n";
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn questions_of_sessions_and_keys_stay_the_same() {
+fn session_and_key_requests_are_unchanged() {
     let row = r#"[{"LockIndex":1,"Key":"duties/a b","Flags":0,"Value":"ZjE=","Session":"adf4","CreateIndex":5,"ModifyIndex":7}]"#;
     let ok = |body: &str| answer("200 OK", "X-Consul-Index: 9\r\n", body);
     let answers = [
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn endpoints_come_of_an_answer_as_before() {
+fn endpoints_of_a_response_are_unchanged() {
     let (_, told) = asked(&[answer("200 OK", "X-Consul-Index: 41\r\n", HEALTH)], async |at| {
         let (sender, mut news) = unbounded_channel();
         let updates = UpdateSender::new(move |told| drop(sender.send(told)));
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -85,7 +85,7 @@
 
 // Guards against a source that is read and not used.
 #[test]
-fn messages_go_to_endpoints_that_consul_names_and_follow_its_changes() {
+fn messages_follow_the_endpoints_of_consul() {
     let site = Site::new("consul-serve");
     let first = site.register("w1");
     let forwarder = site.start();
@@ -104,7 +104,7 @@
 
 // Guards against an endpoint that is dialled though it lies where none may lie.
 #[test]
-fn an_endpoint_outside_the_networks_is_never_dialled() {
+fn endpoint_outside_the_networks_is_never_dialled() {
     let site = Site::new("consul-outside");
     let outside = "192.0.2.1:9".parse().expect("an address");
     site.consul.register(Instance::new("web", "n9", "out", outside));
@@ -122,7 +122,7 @@
 
 // Guards against a list that a restart forgets while Consul is away, and against a message lost or repeated by a kill.
 #[test]
-fn the_last_list_outlasts_a_kill_while_consul_is_gone() {
+fn endpoint_list_survives_a_kill_during_a_consul_outage() {
     let site = Site::new("consul-kill");
     site.register("w1");
     let first = site.start();
@@ -154,7 +154,7 @@
 
 // Guards against messages lost or repeated as the source changes under load, and against a script taken in part.
 #[test]
-fn a_reload_moves_from_discovery_to_consul_and_back_under_load() {
+fn reload_switches_between_discovery_and_consul_under_load() {
     let site = Site::new("consul-reload");
     let (listed, from_consul, forwarder) = site.with_both();
     let mut sent = 0;
@@ -187,7 +187,7 @@
 // Guards against a message lost, or one that may have run repeated, when the source changes while hundreds are under way:
 // four clients hand in as fast as they are answered, while the source changes six times and endpoints of both stay up.
 #[test]
-fn the_source_changes_back_and_forth_under_full_load() {
+fn repeated_source_switches_under_full_load_lose_and_repeat_nothing() {
     let site = Site::new("consul-swap");
     let (listed, from_consul, forwarder) = site.with_both();
     let (none, some) = ("# nothing\n".to_owned(), script(site.consul.address()));
@@ -236,7 +236,7 @@
 // Guards against all that has waited being sent at once when maintenance ends: Consul calls the partner well, and it is
 // cold. A forwarder that is told that nothing tips the partner over does so, or the test would show nothing.
 #[test]
-fn maintenance_that_ends_while_the_partner_is_cold_starts_the_ramp() {
+fn end_of_maintenance_starts_the_recovery_ramp() {
     std::thread::scope(|scope| {
         for restrained in [true, false] {
             scope.spawn(move || {
@@ -276,7 +276,7 @@
 
 // Guards against a partner that calls show to be well and a report calls critical, or the other way round.
 #[test]
-fn reports_and_calls_that_contradict_each_other() {
+fn contradicting_health_checks_and_calls_still_end_each_message() {
     let site = Site::new("consul-contradict");
     site.register("w1");
     let forwarder = site.start();
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn check_says_what_settings_mean_or_where_they_are_wrong() {
+fn check_command_explains_settings_or_locates_the_fault() {
     let site = Site::new("consul-check");
     let check = |text: &str, more: &[&str]| -> Output {
         let path = site.folder.write("edge.star", text);
@@ -336,7 +336,7 @@
 
 // Guards against a log that no program can read: each line is an object, with the same words as the text.
 #[test]
-fn the_log_comes_as_json_too() {
+fn json_log_lines_are_objects_with_the_same_message() {
     let site = Site::new("consul-log");
     let forwarder = Forwarder::start(Path::new(PROGRAM), &site.folder, &["--log", "json"]);
     site.folder.write("config.json", "{");
@@ -350,7 +350,7 @@
 // Guards against a list that one of Consul's failures and a kill together empty, and against changes that are not taken
 // once it is back.
 #[test]
-fn a_kill_in_the_middle_of_any_fault_leaves_the_list() {
+fn endpoint_list_survives_a_kill_during_any_consul_fault() {
     let mut faults = Fault::that_tell_nothing();
     faults.push(Fault::Index(Some("0")));
     std::thread::scope(|scope| {
@@ -378,7 +378,7 @@
 // Guards against a certificate that is trusted though it must not be, and against a list that goes with the trust: a
 // forwarder that starts anew meets it, says why in one line, and goes on with the list that it had.
 #[test]
-fn a_certificate_that_has_gone_bad_is_told_in_one_line_and_the_list_stays() {
+fn invalid_certificate_is_logged_in_one_line_and_the_list_stays() {
     let cases = [
         ("run-out", "has expired"),
         ("other-name", "is not for server.dc1.consul"),
@@ -425,7 +425,7 @@
 
 // Guards against a kill that forgets what Consul had said of an endpoint: Consul is gone when the forwarder comes back.
 #[test]
-fn a_kill_after_any_change_of_an_endpoint_keeps_it_out() {
+fn changed_endpoint_stays_out_after_a_kill() {
     let changes =
         ["draining", "critical", "draining and critical", "maintenance", "moved", "gone", "flapped"];
     std::thread::scope(|scope| {
@@ -475,7 +475,7 @@
 
 // Guards against a connection, or a wait, that goes over to whoever has the address next.
 #[test]
-fn a_new_id_at_an_old_address_inherits_no_connection_and_no_trouble() {
+fn new_instance_at_an_old_address_inherits_no_connection_and_no_faults() {
     let site = Site::new("consul-heir");
     let address = site.register("w1");
     let forwarder = site.start();
