--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -2,7 +2,7 @@
 //!
 //! After <https://developer.hashicorp.com/consul/api-docs/session>, <https://developer.hashicorp.com/consul/api-docs/kv> and
 //! <https://developer.hashicorp.com/consul/api-docs/txn>. A write without a response may have taken effect, or may do so
-//! later: [`LockError::Unsure`] says so, and no write is retried here.
+//! later: [`LockError::OutcomeUnknown`] says so, and no write is retried here.
 
 use crate::client::{Client, ClientError, Connection};
 use crate::request::{ApiRequest, Parameter, escape_key_path};
@@ -28,19 +28,19 @@
 pub enum LockError {
     /// There was no connection: nothing was sent.
     #[error("request not sent: {0}")]
-    Unsent(#[source] ClientError),
+    NotSent(#[source] ClientError),
     /// The request was sent and had no response: a write may have taken effect, or may do so later.
     #[error("outcome unknown: {0}")]
-    Unsure(#[source] ClientError),
+    OutcomeUnknown(#[source] ClientError),
     /// Consul has rejected the request, or its response cannot be used.
     #[error("Consul rejected the request: {0}")]
-    Refused(#[from] ResponseError),
+    Rejected(#[from] ResponseError),
 }
 
 /// A key with its value and its lock.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "PascalCase")]
-pub struct Row {
+pub struct KeyEntry {
     /// Its full path.
     pub key: String,
     /// Its value in base 64 (RFC 4648, section 4), as Consul sends it; `None` where it is empty.
@@ -52,9 +52,9 @@
     pub modify_index: u64,
 }
 
-impl Row {
+impl KeyEntry {
     /// The value as text; empty where it is not UTF-8.
-    pub fn text(&self) -> String {
+    pub fn value_text(&self) -> String {
         let bytes = self.value.as_ref().and_then(|value| STANDARD.decode(value).ok()).unwrap_or_default();
         String::from_utf8(bytes).unwrap_or_default()
     }
@@ -62,45 +62,45 @@
 
 /// What happens to the keys that a session has locked when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behavior {
+pub enum SessionBehavior {
     /// Their locks are released.
     Release,
     /// They are deleted.
     Delete,
 }
 
-impl Behavior {
+impl SessionBehavior {
     fn as_str(self) -> &'static str {
         match self {
-            Behavior::Release => "release",
-            Behavior::Delete => "delete",
+            SessionBehavior::Release => "release",
+            SessionBehavior::Delete => "delete",
         }
     }
 }
 
 /// One operation of a transaction: the full path of a key first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Operation {
+pub enum TransactionOperation {
     /// Check-and-set: writes the key if its last write had this index; 0 if it does not exist.
-    Cas(String, u64, Bytes),
+    CheckAndSet(String, u64, Bytes),
     /// Deletes the key if its last write had this index.
-    DeleteCas(String, u64),
+    CheckAndDelete(String, u64),
     /// Fails the transaction unless the key's last write had this index and this session holds its lock.
     CheckHeld(String, u64, String),
 }
 
-impl Operation {
+impl TransactionOperation {
     /// In the form of the API, which has one check an operation.
     fn to_json(&self) -> Vec<serde_json::Value> {
         match self {
-            Operation::Cas(key, index, value) => {
+            TransactionOperation::CheckAndSet(key, index, value) => {
                 let value = STANDARD.encode(value);
                 vec![json!({"KV": {"Verb": "cas", "Key": key, "Index": index, "Value": value}})]
             }
-            Operation::DeleteCas(key, index) => {
+            TransactionOperation::CheckAndDelete(key, index) => {
                 vec![json!({"KV": {"Verb": "delete-cas", "Key": key, "Index": index}})]
             }
-            Operation::CheckHeld(key, index, session) => vec![
+            TransactionOperation::CheckHeld(key, index, session) => vec![
                 json!({"KV": {"Verb": "check-index", "Key": key, "Index": index}}),
                 json!({"KV": {"Verb": "check-session", "Key": key, "Session": session}}),
             ],
@@ -116,24 +116,24 @@
 }
 
 /// A client for sessions, locks and transactions: one connection, one request at a time.
-pub struct Locks {
+pub struct LockClient {
     client: Client,
     idle_connection: Option<Connection>,
 }
 
-impl Locks {
+impl LockClient {
     /// A client for the Consul of these settings. No connection is opened yet.
     pub fn new(settings: Rc<Settings>) -> Self {
-        Locks { client: Client::new(settings), idle_connection: None }
+        LockClient { client: Client::new(settings), idle_connection: None }
     }
 
     async fn send(&mut self, request: &ApiRequest) -> Result<(ResponseHead, Bytes), LockError> {
         let idle = self.idle_connection.take().filter(|connection| self.client.is_reusable(connection));
         let mut connection = match idle {
             Some(connection) => connection,
-            None => self.client.connect().await.map_err(LockError::Unsent)?,
+            None => self.client.connect().await.map_err(LockError::NotSent)?,
         };
-        let response = self.client.send(&mut connection, request).await.map_err(LockError::Unsure)?;
+        let response = self.client.send(&mut connection, request).await.map_err(LockError::OutcomeUnknown)?;
         self.idle_connection = Some(connection);
         Ok(response)
     }
@@ -153,12 +153,12 @@
     /// # Errors
     ///
     /// All of [`LockError`].
-    pub async fn create(
+    pub async fn create_session(
         &mut self,
         name: &str,
         ttl: Duration,
         lock_delay: Duration,
-        behavior: Behavior,
+        behavior: SessionBehavior,
     ) -> Result<String, LockError> {
         let milliseconds = |span: Duration| format!("{}ms", span.as_millis());
         let body = json!({
@@ -179,7 +179,7 @@
     /// # Errors
     ///
     /// All of [`LockError`].
-    pub async fn renew(&mut self, session: &str) -> Result<bool, LockError> {
+    pub async fn renew_session(&mut self, session: &str) -> Result<bool, LockError> {
         let path = format!("/v1/session/renew/{}", escape_key_path(session));
         let (head, _) = self.write(path, Vec::new(), Bytes::new()).await?;
         match head.error() {
@@ -190,11 +190,11 @@
     }
 
     /// Ends a session, if it still exists. A failure is only logged: the session expires by itself.
-    pub async fn destroy(&mut self, session: &str) {
+    pub async fn destroy_session(&mut self, session: &str) {
         let path = format!("/v1/session/destroy/{}", escape_key_path(session));
         let response = self.write(path, Vec::new(), Bytes::new()).await;
         let error = match response {
-            Ok((head, _)) => head.error().map(LockError::Refused),
+            Ok((head, _)) => head.error().map(LockError::Rejected),
             Err(error) => Some(error),
         };
         if let Some(error) = error {
@@ -239,9 +239,9 @@
     ///
     /// # Errors
     ///
-    /// All of [`LockError`]; after [`LockError::Unsure`] either may be the case, and may still change.
-    pub async fn transact(&mut self, operations: &[Operation]) -> Result<bool, LockError> {
-        let body: Vec<_> = operations.iter().flat_map(Operation::to_json).collect();
+    /// All of [`LockError`]; after [`LockError::OutcomeUnknown`] either may be the case, and may still change.
+    pub async fn transact(&mut self, operations: &[TransactionOperation]) -> Result<bool, LockError> {
+        let body: Vec<_> = operations.iter().flat_map(TransactionOperation::to_json).collect();
         let body = Bytes::from(serde_json::Value::Array(body).to_string());
         let (head, _) = self.write("/v1/txn".to_owned(), Vec::new(), body).await?;
         match head.error() {
@@ -257,12 +257,12 @@
     /// # Errors
     ///
     /// All of [`LockError`].
-    pub async fn look(
+    pub async fn read_keys(
         &mut self,
         prefix: &str,
         index: u64,
         wait: Duration,
-    ) -> Result<(u64, Vec<Row>), LockError> {
+    ) -> Result<(u64, Vec<KeyEntry>), LockError> {
         let (head, body) = self.send(&ApiRequest::read_keys(prefix, index, wait)).await?;
         let index = head.parsed_index().unwrap_or(0);
         match head.error() {
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -22,7 +22,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn web(id: &str, port: u16) -> Instance {
+fn web_instance(id: &str, port: u16) -> Instance {
     Instance::new("web", "n1", id, address(port))
 }
 
@@ -45,51 +45,51 @@
 }
 
 /// The map as the source tells it.
-struct Seen {
-    map: EndpointList,
-    news: UnboundedReceiver<Input>,
+struct Follower {
+    list: EndpointList,
+    inputs: UnboundedReceiver<Input>,
 }
 
-impl Seen {
+impl Follower {
     fn follow(settings: Settings, map: EndpointList) -> Self {
         let (inputs, news) = unbounded_channel();
         let following = Source::new(settings).follow(map.snapshot(), update_sender(1, inputs));
         spawn_local(following);
-        Seen { map, news }
+        Follower { list: map, inputs: news }
     }
 
     fn states(&self) -> Vec<(String, EndpointState, HealthStatus)> {
         let name = |target: &EndpointEntry| target.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
-        self.map.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
+        self.list.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
     }
 
-    fn take(&mut self, input: Input) {
+    fn apply(&mut self, input: Input) {
         let Input::WatchEvent { event: news, .. } = input else { panic!("news only") };
-        assert!(!news.is_snapshot && news.version > self.map.version());
-        self.map.apply(&news);
+        assert!(!news.is_snapshot && news.version > self.list.version());
+        self.list.apply(&news);
     }
 
     /// Waits until the map holds so many endpoints.
-    async fn holds(&mut self, count: usize) {
-        while self.map.len() != count {
-            let news = timeout(PATIENCE, self.news.recv()).await;
-            self.take(
+    async fn wait_for_count(&mut self, count: usize) {
+        while self.list.len() != count {
+            let news = timeout(PATIENCE, self.inputs.recv()).await;
+            self.apply(
                 news.unwrap_or_else(|_| panic!("{count} are due: {:?}", self.states())).expect("followed"),
             );
         }
     }
 
     /// Waits until an endpoint stands so.
-    async fn stands(&mut self, id: &str, state: EndpointState, checks: HealthStatus) {
+    async fn wait_for_state(&mut self, id: &str, state: EndpointState, checks: HealthStatus) {
         while !self.states().contains(&(id.to_owned(), state, checks)) {
-            let news = timeout(PATIENCE, self.news.recv()).await;
-            self.take(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
+            let news = timeout(PATIENCE, self.inputs.recv()).await;
+            self.apply(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
         }
     }
 
     /// Nothing is told in this time.
-    async fn is_still(&mut self, span: Duration) {
-        let told = timeout(span, self.news.recv()).await;
+    async fn assert_no_event(&mut self, span: Duration) {
+        let told = timeout(span, self.inputs.recv()).await;
         assert!(told.is_err(), "nothing was to be told: {told:?}");
     }
 }
@@ -102,18 +102,18 @@
 }
 
 /// A Consul with so many instances, `w1` and on at ports from 8001, and what a source that follows it has seen: all.
-async fn followed(count: u16) -> (Consul, Seen) {
+async fn follow_instances(count: u16) -> (Consul, Follower) {
     let consul = Consul::start();
     for number in 1..=count {
-        consul.register(web(&format!("w{number}"), 8000 + number));
+        consul.register(web_instance(&format!("w{number}"), 8000 + number));
     }
-    let mut seen = Seen::follow(settings(&consul), EndpointList::default());
-    seen.holds(usize::from(count)).await;
+    let mut seen = Follower::follow(settings(&consul), EndpointList::default());
+    seen.wait_for_count(usize::from(count)).await;
     (consul, seen)
 }
 
 /// Until this holds.
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < end, "{what} has to come");
@@ -124,26 +124,26 @@
 #[test]
 fn registration_health_tag_and_maintenance_changes_are_followed() {
     run(async {
-        let (consul, mut seen) = followed(2).await;
+        let (consul, mut seen) = follow_instances(2).await;
         consul.status("n1", "w1", "critical");
-        seen.stands("w1", EndpointState::Active, HealthStatus::Critical).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", true);
-        seen.stands("w1", EndpointState::Draining, HealthStatus::Critical).await;
+        seen.wait_for_state("w1", EndpointState::Draining, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", false);
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", EndpointState::Active, HealthStatus::Warning).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
         consul.maintenance("n1", "w2", true);
-        seen.stands("w2", EndpointState::Draining, HealthStatus::Critical).await;
+        seen.wait_for_state("w2", EndpointState::Draining, HealthStatus::Critical).await;
         consul.maintenance("n1", "w2", false);
-        seen.stands("w2", EndpointState::Active, HealthStatus::Passing).await;
+        seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Passing).await;
         consul.node_check("n1", "serfHealth", Some("critical"));
-        seen.stands("w1", EndpointState::Active, HealthStatus::Critical).await;
-        seen.stands("w2", EndpointState::Active, HealthStatus::Critical).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
+        seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Critical).await;
         consul.node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
-        seen.holds(1).await;
+        seen.wait_for_count(1).await;
         consul.deregister("n1", "w2");
-        seen.holds(0).await;
+        seen.wait_for_count(0).await;
     });
 }
 
@@ -152,21 +152,21 @@
 fn fault_keeps_the_list_and_recovery_applies_missed_changes() {
     for fault in Fault::that_tell_nothing() {
         run(async {
-            let (consul, mut seen) = followed(2).await;
+            let (consul, mut seen) = follow_instances(2).await;
             consul.fault(fault.clone());
             let asked = consul.questions();
             consul.deregister("n1", "w1");
-            consul.register(web("w3", 8003));
-            seen.is_still(Duration::from_millis(700)).await;
+            consul.register(web_instance("w3", 8003));
+            seen.assert_no_event(Duration::from_millis(700)).await;
             assert!(
                 consul.questions() - asked <= 8,
                 "{fault:?}: no busy loop: {}",
                 consul.questions() - asked
             );
-            assert_eq!(seen.map.len(), 2, "{fault:?}");
+            assert_eq!(seen.list.len(), 2, "{fault:?}");
             consul.fault(Fault::None);
-            seen.stands("w3", EndpointState::Active, HealthStatus::Passing).await;
-            seen.holds(2).await;
+            seen.wait_for_state("w3", EndpointState::Active, HealthStatus::Passing).await;
+            seen.wait_for_count(2).await;
         });
     }
 }
@@ -179,8 +179,8 @@
         run(async {
             let (cut_off, other) = (Consul::start(), Consul::start());
             for consul in [&cut_off, &other] {
-                consul.register(web("w1", 8001));
-                consul.register(web("w2", 8002));
+                consul.register(web_instance("w1", 8001));
+                consul.register(web_instance("w2", 8002));
             }
             let settings = Settings {
                 addresses: vec![cut_off.address(), other.address()],
@@ -188,18 +188,18 @@
                 max_stale: Duration::from_secs(1),
                 ..settings(&cut_off)
             };
-            let mut seen = Seen::follow(settings, EndpointList::default());
-            seen.holds(2).await;
+            let mut seen = Follower::follow(settings, EndpointList::default());
+            seen.wait_for_count(2).await;
             cut_off.fault(Fault::Behind(behind));
             if counts {
-                seen.holds(0).await;
+                seen.wait_for_count(0).await;
                 assert_eq!(other.questions(), 0);
             } else {
-                until("a question to the other", || other.questions() > 0).await;
+                wait_until("a question to the other", || other.questions() > 0).await;
                 let asked = cut_off.questions();
-                other.register(web("w3", 8003));
-                seen.holds(3).await;
-                seen.is_still(Duration::from_millis(500)).await;
+                other.register(web_instance("w3", 8003));
+                seen.wait_for_count(3).await;
+                seen.assert_no_event(Duration::from_millis(500)).await;
                 assert_eq!(cut_off.questions(), asked, "it stays with the other");
             }
         });
@@ -210,9 +210,9 @@
 #[test]
 fn last_contact_is_ignored_without_stale_consistency() {
     run(async {
-        let (consul, mut seen) = followed(1).await;
+        let (consul, mut seen) = follow_instances(1).await;
         consul.fault(Fault::Behind(Duration::from_secs(3600)));
-        seen.holds(0).await;
+        seen.wait_for_count(0).await;
     });
 }
 
@@ -224,13 +224,13 @@
             let (cut_off, other) = (Consul::start(), Consul::start());
             let addresses = vec![cut_off.address(), other.address()];
             let mut seen =
-                Seen::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
-            cut_off.register(web("w1", 8001));
-            seen.holds(1).await;
+                Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
+            cut_off.register(web_instance("w1", 8001));
+            seen.wait_for_count(1).await;
             cut_off.fault(fault.clone());
-            other.register(web("w1", 8001));
-            other.register(web("w2", 8002));
-            seen.holds(2).await;
+            other.register(web_instance("w1", 8001));
+            other.register(web_instance("w2", 8002));
+            seen.wait_for_count(2).await;
         });
     }
 }
@@ -242,16 +242,16 @@
     run(async {
         let (silent, other) = (Consul::start(), Consul::start());
         for consul in [&silent, &other] {
-            consul.register(web("w1", 8001));
+            consul.register(web_instance("w1", 8001));
         }
         let wait = Duration::from_secs(1);
         let addresses = vec![silent.address(), other.address()];
         let mut seen =
-            Seen::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
-        seen.holds(1).await;
+            Follower::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
+        seen.wait_for_count(1).await;
         silent.fault(Fault::Silent);
-        other.register(web("w2", 8002));
-        seen.holds(2).await;
+        other.register(web_instance("w2", 8002));
+        seen.wait_for_count(2).await;
         assert!(other.questions() > 0);
     });
 }
@@ -260,19 +260,19 @@
 fn unusable_index_does_not_stop_updates_or_cause_a_busy_loop() {
     for index in [Some("0"), Some("many"), Some("7"), None] {
         run(async {
-            let (consul, mut seen) = followed(1).await;
+            let (consul, mut seen) = follow_instances(1).await;
             consul.fault(Fault::Index(index));
-            consul.register(web("w2", 8002));
+            consul.register(web_instance("w2", 8002));
             // With an index that stands still nothing tells that there is news; with none, all of it is read.
             if index != Some("7") {
-                seen.holds(2).await;
+                seen.wait_for_count(2).await;
             }
             let asked = consul.questions();
             sleep(Duration::from_secs(1)).await;
             assert!(consul.questions() - asked <= 15, "{index:?}: no busy loop");
             consul.fault(Fault::None);
-            consul.register(web("w3", 8003));
-            seen.holds(3).await;
+            consul.register(web_instance("w3", 8003));
+            seen.wait_for_count(3).await;
         });
     }
 }
@@ -280,12 +280,12 @@
 #[test]
 fn lower_index_restarts_the_query() {
     run(async {
-        let (consul, mut seen) = followed(5).await;
+        let (consul, mut seen) = follow_instances(5).await;
         consul.lose_index();
         consul.deregister("n1", "w1");
-        seen.holds(4).await;
+        seen.wait_for_count(4).await;
         consul.deregister("n1", "w2");
-        seen.holds(3).await;
+        seen.wait_for_count(3).await;
     });
 }
 
@@ -294,23 +294,23 @@
 #[test]
 fn new_instance_at_a_known_address_is_a_new_endpoint() {
     run(async {
-        let (consul, mut seen) = followed(1).await;
-        let uid = |seen: &Seen| seen.map.snapshot().endpoints[0].uid.clone();
+        let (consul, mut seen) = follow_instances(1).await;
+        let uid = |seen: &Follower| seen.list.snapshot().endpoints[0].uid.clone();
         let first = uid(&seen);
-        consul.register(web("w1", 8009));
+        consul.register(web_instance("w1", 8009));
         while uid(&seen) == first {
-            let news = seen.news.recv().await.expect("told");
-            seen.take(news);
+            let news = seen.inputs.recv().await.expect("told");
+            seen.apply(news);
         }
         consul.deregister("n1", "w1");
         consul.register(Instance::new("web", "n2", "w1", address(8009)));
         while !uid(&seen).contains("/n2/") {
-            let news = seen.news.recv().await.expect("told");
-            seen.take(news);
+            let news = seen.inputs.recv().await.expect("told");
+            seen.apply(news);
         }
         consul.register(Instance::new("web", "n1", "w1", address(8009)));
-        seen.holds(2).await;
-        let before = seen.map.snapshot().endpoints;
+        seen.wait_for_count(2).await;
+        let before = seen.list.snapshot().endpoints;
         for (node, back) in [("n1", false), ("n2", false), ("n1", true), ("n2", true)] {
             if back {
                 consul.register(Instance::new("web", node, "w1", address(8009)));
@@ -319,22 +319,22 @@
             }
         }
         consul.register(Instance::new("web", "n3", "w1", address(8010)));
-        seen.holds(3).await;
-        assert_eq!(seen.map.snapshot().endpoints[..2], before);
+        seen.wait_for_count(3).await;
+        assert_eq!(seen.list.snapshot().endpoints[..2], before);
     });
 }
 
 #[test]
 fn flapping_check_ends_in_its_last_state() {
     run(async {
-        let (consul, mut seen) = followed(1).await;
+        let (consul, mut seen) = follow_instances(1).await;
         let asked = consul.questions();
         for turn in 0..200 {
             consul.status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
             sleep(Duration::from_millis(1)).await;
         }
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", EndpointState::Active, HealthStatus::Warning).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
         assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
     });
 }
@@ -359,23 +359,24 @@
     let token_file = Some(folder.write("token", "first\n"));
     let settings = Settings { tls: Some(tls), token_file, ..settings(&consul) };
     run(async {
-        consul.register(web("w1", 8001));
-        let mut seen = Seen::follow(settings.clone(), EndpointList::default());
-        seen.holds(1).await;
+        consul.register(web_instance("w1", 8001));
+        let mut seen = Follower::follow(settings.clone(), EndpointList::default());
+        seen.wait_for_count(1).await;
         consul.require(Some("second"));
-        consul.register(web("w2", 8002));
-        seen.is_still(Duration::from_millis(300)).await;
+        consul.register(web_instance("w2", 8002));
+        seen.assert_no_event(Duration::from_millis(300)).await;
         folder.write("token", "second");
-        seen.holds(2).await;
+        seen.wait_for_count(2).await;
         // Another authority signs for both ends; the old certificates are worth nothing from now on.
         let other = Authority::new(folder.path(), "dc1");
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
         other.sign("edge.dc1.consul", consul.address().ip(), day);
         consul.speak_tls(&server, Some(&other.ca));
         let (open, _) = consul.connections();
-        consul.register(web("w3", 8003));
-        seen.holds(3).await;
-        until("the connection under the old certificates closes", || consul.connections().0 <= open).await;
+        consul.register(web_instance("w3", 8003));
+        seen.wait_for_count(3).await;
+        wait_until("the connection under the old certificates closes", || consul.connections().0 <= open)
+            .await;
     });
 }
 
@@ -434,19 +435,19 @@
                 Instance::new(&format!("s{number}"), "n1", &format!("i{number}"), address(8000 + number));
             consul.register(instance);
         }
-        let mut seen = Seen::follow(settings, EndpointList::default());
-        seen.holds(all.len()).await;
+        let mut seen = Follower::follow(settings, EndpointList::default());
+        seen.wait_for_count(all.len()).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
             consul.status("n1", &format!("i{number}"), "critical");
-            seen.stands(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical).await;
+            seen.wait_for_state(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical).await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
         for number in &all {
             consul.deregister("n1", &format!("i{number}"));
         }
-        seen.holds(0).await;
+        seen.wait_for_count(0).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
     });
 }
@@ -454,20 +455,20 @@
 #[test]
 fn restart_keeps_the_list_until_an_authoritative_empty_response() {
     run(async {
-        let (consul, seen) = followed(1).await;
+        let (consul, seen) = follow_instances(1).await;
         consul.fault(Fault::Gone);
-        let mut again = Seen::follow(settings(&consul), seen.map.clone());
-        again.is_still(Duration::from_millis(300)).await;
+        let mut again = Follower::follow(settings(&consul), seen.list.clone());
+        again.assert_no_event(Duration::from_millis(300)).await;
         consul.deregister("n1", "w1");
         consul.fault(Fault::None);
-        again.holds(0).await;
+        again.wait_for_count(0).await;
         let other =
             WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
         let mut map = EndpointList::default();
         map.apply(&other);
-        consul.register(web("w2", 8002));
-        let mut fresh = Seen::follow(settings(&consul), map);
-        fresh.holds(1).await;
-        assert_eq!(fresh.map.version(), 5, "versions go on from the list held");
+        consul.register(web_instance("w2", 8002));
+        let mut fresh = Follower::follow(settings(&consul), map);
+        fresh.wait_for_count(1).await;
+        assert_eq!(fresh.list.version(), 5, "versions go on from the list held");
     });
 }
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -8,7 +8,7 @@
 use golden::{assert_golden, side, whole_length};
 use orchidyoke_consul::EndpointSource as Source;
 use orchidyoke_consul::client::Client;
-use orchidyoke_consul::locks::{Behavior, Locks, Operation, Row};
+use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior, TransactionOperation};
 use orchidyoke_consul::request::ApiRequest;
 use orchidyoke_consul::settings::{Consistency, Service, Settings};
 use orchidyoke_core::endpoint_list::WatchEvent;
@@ -120,31 +120,32 @@
         ok("true"),
     ];
     let (said, rows) = asked(&answers, async |at| {
-        let mut locks = Locks::new(Rc::new(settings(at)));
+        let mut locks = LockClient::new(Rc::new(settings(at)));
         let (ttl, delay) = (Duration::from_secs(10), Duration::from_millis(300));
-        let session = locks.create("n1", ttl, delay, Behavior::Delete).await.expect("made");
+        let session = locks.create_session("n1", ttl, delay, SessionBehavior::Delete).await.expect("made");
         assert_eq!(session, "adf4");
-        let other = locks.create("n2", ttl, delay, Behavior::Release).await.expect("made");
-        assert!(locks.renew(&other).await.expect("asked"));
+        let other = locks.create_session("n2", ttl, delay, SessionBehavior::Release).await.expect("made");
+        assert!(locks.renew_session(&other).await.expect("asked"));
         assert!(locks.acquire("duties/a b", &session, Bytes::from_static(b"f1")).await.expect("asked"));
         assert!(locks.release("duties/a b", &session).await.expect("asked"));
-        let (index, rows) = locks.look("duties/", 0, ttl).await.expect("looked");
+        let (index, rows) = locks.read_keys("duties/", 0, ttl).await.expect("looked");
         assert_eq!(index, 9);
-        locks.look("duties/", 9, ttl).await.expect("looked");
+        locks.read_keys("duties/", 9, ttl).await.expect("looked");
         let operations = [
-            Operation::Cas("k/a".to_owned(), 7, Bytes::from_static(b"f1")),
-            Operation::DeleteCas("k/b".to_owned(), 8),
-            Operation::CheckHeld("k/c".to_owned(), 9, session.clone()),
+            TransactionOperation::CheckAndSet("k/a".to_owned(), 7, Bytes::from_static(b"f1")),
+            TransactionOperation::CheckAndDelete("k/b".to_owned(), 8),
+            TransactionOperation::CheckHeld("k/c".to_owned(), 9, session.clone()),
         ];
         assert!(locks.transact(&operations).await.expect("asked"));
-        locks.destroy(&session).await;
+        locks.destroy_session(&session).await;
         rows
     });
     assert_golden("lock_questions.txt", &said);
     let key = "duties/a b".to_owned();
-    let row = Row { key, value: Some("ZjE=".to_owned()), session: Some("adf4".to_owned()), modify_index: 7 };
+    let row =
+        KeyEntry { key, value: Some("ZjE=".to_owned()), session: Some("adf4".to_owned()), modify_index: 7 };
     assert_eq!(rows, [row]);
-    assert_eq!(rows[0].text(), "f1");
+    assert_eq!(rows[0].value_text(), "f1");
 }
 
 #[test]
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -4,7 +4,7 @@
 use super::child::report;
 use super::messages::{InForce, MembersRole, Report, Request, clock};
 use orchidyoke_consul::Settings as ConsulSettings;
-use orchidyoke_consul::locks::Locks;
+use orchidyoke_consul::locks::LockClient;
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
@@ -130,10 +130,10 @@
 
 /// Reads all members of the fleet at each change to one of them, one look after another without a pause.
 async fn read_all_members(settings: PolicySettings) {
-    let mut locks = Locks::new(Rc::new(settings.consul.clone()));
+    let mut locks = LockClient::new(Rc::new(settings.consul.clone()));
     let mut index = 0;
     loop {
-        match locks.look(&settings.members_folder(), index, settings.ttl).await {
+        match locks.read_keys(&settings.members_folder(), index, settings.ttl).await {
             Ok((at, _)) => index = at,
             Err(_) => sleep(RETRY).await,
         }
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -7,7 +7,7 @@
 use super::proposer::{PolicySize, Proposal, Proposer};
 use crate::capacity::budget::Budget;
 use orchidyoke_consul::Settings as ConsulSettings;
-use orchidyoke_consul::locks::Locks;
+use orchidyoke_consul::locks::LockClient;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -353,10 +353,10 @@
     /// Waits until all forwarders are members at the commit point and in their region, and all duties are held.
     async fn settle(&mut self) -> Result<(), String> {
         let until = Instant::now() + SETTLE;
-        let mut commit_point = Locks::new(consul_settings(self.fleet.commit_point())?);
+        let mut commit_point = LockClient::new(consul_settings(self.fleet.commit_point())?);
         let mut stores = Vec::new();
         for region in 0..REGIONS {
-            stores.push(Locks::new(consul_settings(self.fleet.duties_store(region))?));
+            stores.push(LockClient::new(consul_settings(self.fleet.duties_store(region))?));
         }
         loop {
             let what = match self.unsettled(&mut commit_point, &mut stores).await? {
@@ -373,8 +373,8 @@
     /// What keeps the fleet from being settled; none: it is.
     async fn unsettled(
         &self,
-        commit_point: &mut Locks,
-        stores: &mut [Locks],
+        commit_point: &mut LockClient,
+        stores: &mut [LockClient],
     ) -> Result<Option<String>, String> {
         let commit_address = self.fleet.commit_point().ok_or("there is no commit point")?;
         let folder = policy_settings(commit_address, self.spans.ttl).members_folder();
@@ -395,8 +395,8 @@
 }
 
 /// How many keys below a folder are held by a session.
-async fn held(store: &mut Locks, folder: &str) -> Result<usize, String> {
-    let (_, rows) = store.look(folder, 0, Duration::ZERO).await.map_err(|error| error.to_string())?;
+async fn held(store: &mut LockClient, folder: &str) -> Result<usize, String> {
+    let (_, rows) = store.read_keys(folder, 0, Duration::ZERO).await.map_err(|error| error.to_string())?;
     Ok(rows.iter().filter(|row| row.session.is_some()).count())
 }
 
--- a/crates/leases/src/keys.rs
+++ b/crates/leases/src/keys.rs
@@ -5,7 +5,7 @@
 
 use crate::LeaseId;
 use crate::placement::MemberName;
-use orchidyoke_consul::locks::Row;
+use orchidyoke_consul::locks::KeyEntry;
 
 /// Folder of the members below the prefix.
 const MEMBERS_FOLDER: &str = "members";
@@ -47,7 +47,7 @@
     }
 
     /// What the key of this row stands for; none where it is neither a member's nor a lease's.
-    pub fn parse(&self, row: &Row) -> Option<LeaseKey> {
+    pub fn parse(&self, row: &KeyEntry) -> Option<LeaseKey> {
         let below = row.key.strip_prefix(&self.prefix)?.strip_prefix('/')?;
         match below.split_once('/')? {
             (MEMBERS_FOLDER, member) => Some(LeaseKey::Member(member.to_owned())),
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -11,7 +11,7 @@
 use crate::{FencingToken, LeaseId};
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
-use orchidyoke_consul::locks::{Behavior, LockError, Locks, Row};
+use orchidyoke_consul::locks::{KeyEntry, LockClient, LockError, SessionBehavior};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::log;
 use std::cell::RefCell;
@@ -141,7 +141,7 @@
         mut requests: UnboundedReceiver<Request>,
         inputs: &UnboundedSender<Input>,
     ) {
-        let mut locks = Locks::new(self.consul.clone());
+        let mut locks = LockClient::new(self.consul.clone());
         // A request that is not answered leaves time for another within the TTL.
         let request_timeout = Duration::from_micros(self.config.protocol.renewal_interval() as u64);
         while let Some(request) = requests.recv().await {
@@ -153,7 +153,7 @@
                     without_answer
                 }
                 Err(_) => {
-                    locks = Locks::new(self.consul.clone());
+                    locks = LockClient::new(self.consul.clone());
                     without_answer
                 }
             };
@@ -164,21 +164,23 @@
     }
 
     /// Carries out one request; the input that its answer is, if it is one.
-    async fn carry_out(&self, locks: &mut Locks, request: Request) -> Result<Option<Input>, LockError> {
+    async fn carry_out(&self, locks: &mut LockClient, request: Request) -> Result<Option<Input>, LockError> {
         let sent_at = request.sent_at;
         let input = match request.effect {
             Effect::CreateSession => {
                 let ttl = Duration::from_micros(self.config.protocol.ttl as u64);
                 let lock_delay = self.config.lock_delay;
-                let session = locks.create(&self.config.name, ttl, lock_delay, Behavior::Release).await?;
+                let session = locks
+                    .create_session(&self.config.name, ttl, lock_delay, SessionBehavior::Release)
+                    .await?;
                 Some(Input::SessionCreated { session, sent_at })
             }
-            Effect::RenewSession(session) => match locks.renew(&session).await? {
+            Effect::RenewSession(session) => match locks.renew_session(&session).await? {
                 true => Some(Input::SessionRenewed { session, sent_at }),
                 false => Some(Input::SessionNotFound(session)),
             },
             Effect::DestroySession(session) => {
-                locks.destroy(&session).await;
+                locks.destroy_session(&session).await;
                 None
             }
             Effect::Acquire { lease, session } => {
@@ -204,14 +206,14 @@
     }
 
     async fn watch_locks(&self, inputs: &UnboundedSender<Input>) {
-        let mut locks = Locks::new(self.consul.clone());
+        let mut locks = LockClient::new(self.consul.clone());
         let mut index = 0;
         let folder = self.keys.folder();
         let retry_interval = Duration::from_micros(self.config.protocol.retry_interval as u64);
         loop {
             // The answer of a blocking query may be no newer than its request.
             let sent_at = self.now();
-            match locks.look(&folder, index, self.consul.wait).await {
+            match locks.read_keys(&folder, index, self.consul.wait).await {
                 Ok((at, rows)) => {
                     index = at;
                     let picture = Picture::new(&self.keys, &self.config.name, &rows);
@@ -222,7 +224,7 @@
                 Err(error) => {
                     log!("cannot read the locks of leases: folder={folder} error={error}");
                     index = 0;
-                    locks = Locks::new(self.consul.clone());
+                    locks = LockClient::new(self.consul.clone());
                     sleep(retry_interval).await;
                 }
             }
@@ -251,7 +253,7 @@
 }
 
 impl Picture {
-    fn new(keys: &LeaseKeys, own_name: &str, rows: &[Row]) -> Self {
+    fn new(keys: &LeaseKeys, own_name: &str, rows: &[KeyEntry]) -> Self {
         let mut picture = Picture::default();
         for row in rows {
             let lock = Lock { session: row.session.clone(), modify_index: row.modify_index };
@@ -262,7 +264,7 @@
                     }
                     if let Some(session) = &row.session {
                         picture.member_of_session.insert(session.clone(), name.clone());
-                        picture.weights.insert(name, row.text().parse().unwrap_or(0.0));
+                        picture.weights.insert(name, row.value_text().parse().unwrap_or(0.0));
                     }
                 }
                 Some(LeaseKey::Lease(lease)) => drop(picture.locks.insert(lease, lock)),
--- a/crates/leases/tests/keys.rs
+++ b/crates/leases/tests/keys.rs
@@ -1,10 +1,10 @@
 //! The Consul keys of leases: pinned, since members of two versions share one fleet.
 
-use orchidyoke_consul::locks::Row;
+use orchidyoke_consul::locks::KeyEntry;
 use orchidyoke_leases::keys::{LeaseKey, LeaseKeys};
 
-fn row(key: &str) -> Row {
-    Row { key: key.to_owned(), value: None, session: None, modify_index: 1 }
+fn row(key: &str) -> KeyEntry {
+    KeyEntry { key: key.to_owned(), value: None, session: None, modify_index: 1 }
 }
 
 #[test]
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
-use orchidyoke_consul::locks::{Behavior, Locks};
+use orchidyoke_consul::locks::{LockClient, SessionBehavior};
 use orchidyoke_fakes::Consul;
 use orchidyoke_leases::placement::assign_leases;
 use orchidyoke_leases::{LeaseConfig, LeaseId, LeaseManager, ManagerConfig};
@@ -63,8 +63,12 @@
 
 /// All keys that are held, with their values, one a line.
 async fn keys(consul: &Consul) -> String {
-    let (_, rows) = Locks::new(settings(consul)).look("fleet/", 0, Duration::ZERO).await.expect("looked");
-    rows.iter().filter(|r| r.session.is_some()).map(|row| format!("{} {}\n", row.key, row.text())).collect()
+    let (_, rows) =
+        LockClient::new(settings(consul)).read_keys("fleet/", 0, Duration::ZERO).await.expect("looked");
+    rows.iter()
+        .filter(|r| r.session.is_some())
+        .map(|row| format!("{} {}\n", row.key, row.value_text()))
+        .collect()
 }
 
 /// The keys that a forwarder writes without other members.
@@ -95,8 +99,11 @@
 fn keys_of_the_previous_version_are_read_as_membership_weight_and_leases() {
     run(async {
         let (consul, leases) = (Consul::start(), (0..12).collect());
-        let mut locks = Locks::new(settings(&consul));
-        let session = locks.create("earlier", TTL, Duration::ZERO, Behavior::Release).await.expect("made");
+        let mut locks = LockClient::new(settings(&consul));
+        let session = locks
+            .create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Release)
+            .await
+            .expect("made");
         for line in EARLIER.lines() {
             let (key, value) = line.split_once(' ').expect("a key and its value");
             let value = Bytes::from_static(value.as_bytes());
--- a/crates/policy-commit/src/commit_point.rs
+++ b/crates/policy-commit/src/commit_point.rs
@@ -5,7 +5,7 @@
 
 use crate::policy::{PolicyVersion, VersionedPolicy};
 use crate::settings::Settings;
-use orchidyoke_consul::locks::Row;
+use orchidyoke_consul::locks::KeyEntry;
 use serde::{Deserialize, Serialize};
 
 /// A participant's vote on a proposal.
@@ -63,10 +63,10 @@
 
 impl CommitPoint {
     /// Reads it from the rows of its folder. A value that is not in form, or does not match its digest, is left out.
-    pub fn from_rows(settings: &Settings, rows: &[Row]) -> CommitPoint {
+    pub fn from_rows(settings: &Settings, rows: &[KeyEntry]) -> CommitPoint {
         let find = |key: String| {
             let row = rows.iter().find(|row| row.key == key)?;
-            let policy: VersionedPolicy = serde_json::from_str(&row.text()).ok()?;
+            let policy: VersionedPolicy = serde_json::from_str(&row.value_text()).ok()?;
             policy.is_intact().then_some((row, policy))
         };
         let committed = find(settings.committed_key())
@@ -108,11 +108,11 @@
 }
 
 /// The participants whose key a session holds, from the rows of their folder.
-pub fn members_from_rows(settings: &Settings, rows: &[Row]) -> Vec<Member> {
+pub fn members_from_rows(settings: &Settings, rows: &[KeyEntry]) -> Vec<Member> {
     let folder = settings.members_folder();
-    let member = |row: &Row| {
+    let member = |row: &KeyEntry| {
         let id = row.key.strip_prefix(&folder)?.to_owned();
-        Some(Member { id, status: serde_json::from_str(&row.text()).ok() })
+        Some(Member { id, status: serde_json::from_str(&row.value_text()).ok() })
     };
     rows.iter().filter(|row| row.session.is_some()).filter_map(member).collect()
 }
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 use crate::staging::PolicyFiles;
 use bytes::Bytes;
-use orchidyoke_consul::locks::{Behavior, LockError, Locks};
+use orchidyoke_consul::locks::{LockClient, LockError, SessionBehavior};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::config::{Config, ConfigError};
 use orchidyoke_forwarder::input;
@@ -79,15 +79,19 @@
         self.state.borrow().contact_until(self.contact_time())
     }
 
-    fn locks(&self) -> Locks {
-        Locks::new(Rc::new(self.settings.consul.clone()))
+    fn locks(&self) -> LockClient {
+        LockClient::new(Rc::new(self.settings.consul.clone()))
     }
 
     /// Reads the commit point once it has changed, or after `wait`; the effects to carry out.
-    async fn read_commit_point(&self, locks: &mut Locks, wait: Duration) -> Result<Vec<Effect>, LockError> {
+    async fn read_commit_point(
+        &self,
+        locks: &mut LockClient,
+        wait: Duration,
+    ) -> Result<Vec<Effect>, LockError> {
         let sent_at = self.now();
         let folder = self.settings.commit_point_folder();
-        let (index, rows) = locks.look(&folder, self.index.get(), wait).await?;
+        let (index, rows) = locks.read_keys(&folder, self.index.get(), wait).await?;
         self.index.set(index);
         let point = Box::new(CommitPoint::from_rows(&self.settings, &rows));
         Ok(self.step(Input::CommitPointRead { sent_at, point }))
@@ -197,14 +201,16 @@
         }
     }
 
-    async fn register(&self, locks: &mut Locks, key: &str) -> Result<(), LockError> {
+    async fn register(&self, locks: &mut LockClient, key: &str) -> Result<(), LockError> {
         let known = self.session.borrow().clone();
         let mut is_new = false;
         let session = match known {
-            Some(session) if locks.renew(&session).await? => session,
+            Some(session) if locks.renew_session(&session).await? => session,
             _ => {
                 is_new = true;
-                locks.create(&self.id, self.settings.ttl, Duration::ZERO, Behavior::Delete).await?
+                locks
+                    .create_session(&self.id, self.settings.ttl, Duration::ZERO, SessionBehavior::Delete)
+                    .await?
             }
         };
         *self.session.borrow_mut() = Some(session.clone());
@@ -332,7 +338,7 @@
         Box::pin(async {
             let session = self.session.borrow_mut().take();
             if let Some(session) = session {
-                self.locks().destroy(&session).await;
+                self.locks().destroy_session(&session).await;
             }
         })
     }
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -10,7 +10,7 @@
 use crate::policy::{Policy, PolicyError, PolicyVersion, VersionedPolicy};
 use crate::settings::Settings;
 use bytes::Bytes;
-use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
+use orchidyoke_consul::locks::{LockClient, LockError, SessionBehavior, TransactionOperation};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
@@ -109,14 +109,14 @@
 /// Proposes policies at one commit point, and reads its state.
 pub struct Coordinator {
     settings: Settings,
-    locks: Locks,
+    locks: LockClient,
     committed_at: Option<Instant>,
 }
 
 impl Coordinator {
     /// For the commit point of these settings. Nothing is opened yet.
     pub fn new(settings: Settings) -> Self {
-        let locks = Locks::new(Rc::new(settings.consul.clone()));
+        let locks = LockClient::new(Rc::new(settings.consul.clone()));
         Coordinator { settings, locks, committed_at: None }
     }
 
@@ -132,14 +132,14 @@
     /// Consul did not answer, or rejected the request.
     pub async fn commit_point(&mut self) -> Result<CommitPoint, LockError> {
         let folder = self.settings.commit_point_folder();
-        let (_, rows) = self.locks.look(&folder, 0, Duration::ZERO).await?;
+        let (_, rows) = self.locks.read_keys(&folder, 0, Duration::ZERO).await?;
         Ok(CommitPoint::from_rows(&self.settings, &rows))
     }
 
     /// The participants; with an index above 0, once they have changed since or a quarter of the TTL is over.
     async fn members(&mut self, index: u64) -> Result<MembersRead, LockError> {
         let folder = self.settings.members_folder();
-        let (index, rows) = self.locks.look(&folder, index, self.settings.ttl / 4).await?;
+        let (index, rows) = self.locks.read_keys(&folder, index, self.settings.ttl / 4).await?;
         Ok(MembersRead { index, members: members_from_rows(&self.settings, &rows) })
     }
 
@@ -168,7 +168,7 @@
     /// Deletes the proposal that was written at this index; false where it is another by now.
     async fn withdraw(&mut self, proposal_index: u64) -> Result<bool, LockError> {
         let key = self.settings.proposal_key();
-        self.locks.transact(&[Operation::DeleteCas(key, proposal_index)]).await
+        self.locks.transact(&[TransactionOperation::CheckAndDelete(key, proposal_index)]).await
     }
 
     /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on all.
@@ -188,11 +188,11 @@
             return Err(CommitError::TooLarge { bytes: policy.len() });
         }
         let ttl = self.settings.ttl;
-        let session = self.locks.create(by, ttl, Duration::ZERO, Behavior::Delete).await?;
+        let session = self.locks.create_session(by, ttl, Duration::ZERO, SessionBehavior::Delete).await?;
         let outcome = self.propose_under(&session, policy, by, patience).await;
         self.committed_at = outcome.is_ok().then(Instant::now);
         // Deletes the proposal too, if it is still there.
-        self.locks.destroy(&session).await;
+        self.locks.destroy_session(&session).await;
         let committed = outcome?;
         tracing::info!(version = committed.version, id = %committed.id, "policy committed");
         Ok(self.await_in_force(committed.version, patience).await)
@@ -239,7 +239,7 @@
         while Instant::now() < proposal.deadline {
             if renewed_at.elapsed() >= self.settings.ttl / 3 {
                 renewed_at = Instant::now();
-                if !self.locks.renew(proposal.session).await? {
+                if !self.locks.renew_session(proposal.session).await? {
                     return Err(CommitError::Superseded);
                 }
             }
@@ -267,14 +267,20 @@
         let proposal_key = self.settings.proposal_key();
         let session = proposal.session.to_owned();
         let operations = [
-            Operation::CheckHeld(proposal_key.clone(), condition.proposal_index, session),
-            Operation::Cas(self.settings.committed_key(), condition.committed_index, value),
-            Operation::DeleteCas(proposal_key, condition.proposal_index),
+            TransactionOperation::CheckHeld(proposal_key.clone(), condition.proposal_index, session),
+            TransactionOperation::CheckAndSet(
+                self.settings.committed_key(),
+                condition.committed_index,
+                value,
+            ),
+            TransactionOperation::CheckAndDelete(proposal_key, condition.proposal_index),
         ];
         match self.locks.transact(&operations).await {
             Ok(true) => Ok(proposal.policy),
             Ok(false) => Err(CommitError::Superseded),
-            Err(error @ LockError::Unsure(_)) => self.resolve_commit(proposal, condition, error).await,
+            Err(error @ LockError::OutcomeUnknown(_)) => {
+                self.resolve_commit(proposal, condition, error).await
+            }
             Err(error) => Err(error.into()),
         }
     }
--- a/crates/policy-commit/tests/commit_point.rs
+++ b/crates/policy-commit/tests/commit_point.rs
@@ -1,6 +1,6 @@
 //! Tests of [`orchidyoke_policy_commit::commit_point`].
 
-use orchidyoke_consul::locks::Row;
+use orchidyoke_consul::locks::KeyEntry;
 use orchidyoke_policy_commit::Settings;
 use orchidyoke_policy_commit::commit_point::{CommitPoint, Committed, MemberStatus, Vote};
 use orchidyoke_policy_commit::policy::{Policy, VersionedPolicy};
@@ -40,7 +40,7 @@
         let value = serde_json::to_string(policy).unwrap();
         let json = json!([{"Key": "p/epoch/committed", "ModifyIndex": 7, "Session": null,
             "Value": base64(&value)}]);
-        serde_json::from_value::<Vec<Row>>(json).unwrap()
+        serde_json::from_value::<Vec<KeyEntry>>(json).unwrap()
     };
     let committed = Some(Committed { policy: policy.clone(), modify_index: 7 });
     assert_eq!(CommitPoint::from_rows(&settings, &row(&policy)).committed, committed);
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -2,7 +2,7 @@
 //! read with every field, and the same values are written as the same text under the same names.
 
 use bytes::Bytes;
-use orchidyoke_consul::locks::{Behavior, Locks, Row};
+use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior};
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::forwarder::{Folder, Setup};
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
@@ -90,21 +90,22 @@
     Settings { consul, prefix: "fleet/one".to_owned(), name: None, ttl: TTL }
 }
 
-fn locks(consul: &Consul) -> Locks {
-    Locks::new(Rc::new(settings(consul).consul))
+fn locks(consul: &Consul) -> LockClient {
+    LockClient::new(Rc::new(settings(consul).consul))
 }
 
 /// Writes a key as its holder, and gives the session.
 async fn hold(consul: &Consul, key: &str, value: &'static str) -> String {
     let mut locks = locks(consul);
-    let session = locks.create("earlier", TTL, Duration::ZERO, Behavior::Delete).await.expect("made");
+    let session =
+        locks.create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Delete).await.expect("made");
     assert!(locks.acquire(key, &session, Bytes::from_static(value.as_bytes())).await.expect("asked"));
     session
 }
 
 /// All keys and values.
-async fn rows(consul: &Consul) -> Vec<Row> {
-    locks(consul).look("", 0, Duration::ZERO).await.expect("looked").1
+async fn rows(consul: &Consul) -> Vec<KeyEntry> {
+    locks(consul).read_keys("", 0, Duration::ZERO).await.expect("looked").1
 }
 
 /// A forwarder's configuration in a folder of its own.
@@ -175,8 +176,8 @@
         let rows = rows(&consul).await;
         let [row] = &rows[..] else { panic!("{rows:?}") };
         assert_eq!(row.key, "fleet/one/epoch/committed");
-        let id = serde_json::from_str::<VersionedPolicy>(&row.text()).expect("in form").id;
-        assert_eq!(row.text().replace(&id, "SESSION"), FIRST);
+        let id = serde_json::from_str::<VersionedPolicy>(&row.value_text()).expect("in form").id;
+        assert_eq!(row.value_text().replace(&id, "SESSION"), FIRST);
     });
 }
 
@@ -199,7 +200,7 @@
         let key = format!("fleet/one/members/f1.{}", std::process::id());
         loop {
             let rows = rows(&consul).await;
-            let own = rows.iter().find(|row| row.key == key).map(Row::text);
+            let own = rows.iter().find(|row| row.key == key).map(KeyEntry::value_text);
             if own.as_deref() == Some(VOTED_FOR) {
                 break;
             }
--- a/crates/policy-commit/tests/wire_policy.rs
+++ b/crates/policy-commit/tests/wire_policy.rs
@@ -1,7 +1,7 @@
 //! The form of the commit point, of the files in forwarders' folders, of the policy that an operator writes, and the names of
 //! the metrics: forwarders of two releases read each other's.
 
-use orchidyoke_consul::locks::Row;
+use orchidyoke_consul::locks::KeyEntry;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, Vote, members_from_rows};
 use orchidyoke_policy_commit::policy::{Policy, VersionedPolicy, digest};
@@ -37,7 +37,7 @@
     assert_eq!(settings.committed_key(), "fleet/policy/epoch/committed");
     assert_eq!(settings.proposal_key(), "fleet/policy/epoch/proposal");
     assert_eq!(settings.members_folder(), "fleet/policy/members/");
-    let row = Row { key: "fleet/policy/members/n1.5".to_owned(), ..row(STATUS) };
+    let row = KeyEntry { key: "fleet/policy/members/n1.5".to_owned(), ..row(STATUS) };
     let member = Member { id: "n1.5".to_owned(), status: Some(status()) };
     assert_eq!(members_from_rows(&settings, &[row]), [member]);
 }
@@ -75,7 +75,7 @@
 }
 
 /// A key held by a session, as Consul returns it.
-fn row(value: &str) -> Row {
+fn row(value: &str) -> KeyEntry {
     let row = serde_json::json!({
         "Key": "", "Value": base64(value.as_bytes()), "Session": "adf4238a", "ModifyIndex": 9, "Flags": 0,
     });
