--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -78,30 +78,49 @@
     }
 }
 
-/// One operation of a transaction: the full path of a key first.
+/// One operation of a transaction, on the key with this full path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOperation {
-    /// Check-and-set: writes the key if its last write had this index; 0 if it does not exist.
-    CheckAndSet(String, u64, Bytes),
+    /// Writes the key if its last write had this index.
+    CheckAndSet {
+        /// The key.
+        key: String,
+        /// The index of its last write; 0 if it must not exist.
+        modify_index: u64,
+        /// Its new value.
+        value: Bytes,
+    },
     /// Deletes the key if its last write had this index.
-    CheckAndDelete(String, u64),
-    /// Fails the transaction unless the key's last write had this index and this session holds its lock.
-    CheckHeld(String, u64, String),
+    CheckAndDelete {
+        /// The key.
+        key: String,
+        /// The index of its last write.
+        modify_index: u64,
+    },
+    /// Changes nothing; fails the transaction unless the key's last write had this index and this session holds its lock.
+    CheckHeld {
+        /// The key.
+        key: String,
+        /// The index of its last write.
+        modify_index: u64,
+        /// The session that must hold its lock.
+        session: String,
+    },
 }
 
 impl TransactionOperation {
-    /// In the form of the API, which has one check an operation.
+    /// In the form of the API, where an operation makes one check at most.
     fn to_json(&self) -> Vec<serde_json::Value> {
         match self {
-            TransactionOperation::CheckAndSet(key, index, value) => {
+            TransactionOperation::CheckAndSet { key, modify_index, value } => {
                 let value = STANDARD.encode(value);
-                vec![json!({"KV": {"Verb": "cas", "Key": key, "Index": index, "Value": value}})]
+                vec![json!({"KV": {"Verb": "cas", "Key": key, "Index": modify_index, "Value": value}})]
             }
-            TransactionOperation::CheckAndDelete(key, index) => {
-                vec![json!({"KV": {"Verb": "delete-cas", "Key": key, "Index": index}})]
+            TransactionOperation::CheckAndDelete { key, modify_index } => {
+                vec![json!({"KV": {"Verb": "delete-cas", "Key": key, "Index": modify_index}})]
             }
-            TransactionOperation::CheckHeld(key, index, session) => vec![
-                json!({"KV": {"Verb": "check-index", "Key": key, "Index": index}}),
+            TransactionOperation::CheckHeld { key, modify_index, session } => vec![
+                json!({"KV": {"Verb": "check-index", "Key": key, "Index": modify_index}}),
                 json!({"KV": {"Verb": "check-session", "Key": key, "Session": session}}),
             ],
         }
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -105,10 +105,20 @@
         let first = a.create_session("op", TTL, Duration::ZERO, SessionBehavior::Delete).await.expect("made");
         assert!(a.acquire("p/proposal", &first, Bytes::from_static(b"x")).await.expect("asked"));
         let (index, rows) = b.read_keys("p/", 0, TTL).await.expect("looked");
-        let held = TransactionOperation::CheckHeld("p/proposal".into(), rows[0].modify_index, first.clone());
-        let commit =
-            |index| TransactionOperation::CheckAndSet("p/committed".into(), index, Bytes::from_static(b"y"));
-        let take_away = TransactionOperation::CheckAndDelete("p/proposal".into(), rows[0].modify_index);
+        let held = TransactionOperation::CheckHeld {
+            key: "p/proposal".into(),
+            modify_index: rows[0].modify_index,
+            session: first.clone(),
+        };
+        let commit = |index| TransactionOperation::CheckAndSet {
+            key: "p/committed".into(),
+            modify_index: index,
+            value: Bytes::from_static(b"y"),
+        };
+        let take_away = TransactionOperation::CheckAndDelete {
+            key: "p/proposal".into(),
+            modify_index: rows[0].modify_index,
+        };
         let stale = [held.clone(), commit(7), take_away.clone()];
         assert!(!a.transact(&stale).await.expect("asked"), "there is nothing that was written at 7");
         assert_eq!(b.read_keys("p/", 0, TTL).await.expect("looked").1, rows, "nothing has changed");
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -132,9 +132,17 @@
         assert_eq!(index, 9);
         locks.read_keys("duties/", 9, ttl).await.expect("looked");
         let operations = [
-            TransactionOperation::CheckAndSet("k/a".to_owned(), 7, Bytes::from_static(b"f1")),
-            TransactionOperation::CheckAndDelete("k/b".to_owned(), 8),
-            TransactionOperation::CheckHeld("k/c".to_owned(), 9, session.clone()),
+            TransactionOperation::CheckAndSet {
+                key: "k/a".to_owned(),
+                modify_index: 7,
+                value: Bytes::from_static(b"f1"),
+            },
+            TransactionOperation::CheckAndDelete { key: "k/b".to_owned(), modify_index: 8 },
+            TransactionOperation::CheckHeld {
+                key: "k/c".to_owned(),
+                modify_index: 9,
+                session: session.clone(),
+            },
         ];
         assert!(locks.transact(&operations).await.expect("asked"));
         locks.destroy_session(&session).await;
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -168,7 +168,9 @@
     /// Deletes the proposal that was written at this index; false where it is another by now.
     async fn withdraw(&mut self, proposal_index: u64) -> Result<bool, LockError> {
         let key = self.settings.proposal_key();
-        self.locks.transact(&[TransactionOperation::CheckAndDelete(key, proposal_index)]).await
+        self.locks
+            .transact(&[TransactionOperation::CheckAndDelete { key, modify_index: proposal_index }])
+            .await
     }
 
     /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on all.
@@ -267,13 +269,20 @@
         let proposal_key = self.settings.proposal_key();
         let session = proposal.session.to_owned();
         let operations = [
-            TransactionOperation::CheckHeld(proposal_key.clone(), condition.proposal_index, session),
-            TransactionOperation::CheckAndSet(
-                self.settings.committed_key(),
-                condition.committed_index,
+            TransactionOperation::CheckHeld {
+                key: proposal_key.clone(),
+                modify_index: condition.proposal_index,
+                session,
+            },
+            TransactionOperation::CheckAndSet {
+                key: self.settings.committed_key(),
+                modify_index: condition.committed_index,
                 value,
-            ),
-            TransactionOperation::CheckAndDelete(proposal_key, condition.proposal_index),
+            },
+            TransactionOperation::CheckAndDelete {
+                key: proposal_key,
+                modify_index: condition.proposal_index,
+            },
         ];
         match self.locks.transact(&operations).await {
             Ok(true) => Ok(proposal.policy),
