--- a/crates/config/src/builtins.rs
+++ b/crates/config/src/builtins.rs
@@ -23,14 +23,18 @@
 pub(crate) type Requests = RefCell<BTreeMap<String, String>>;
 
 /// Where the folder of the script stands among what it has asked for.
-pub(crate) const FOLDER: &str = "";
+pub(crate) const FOLDER_KEY: &str = "";
 
 fn requests_of<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Requests> {
     eval.extra.and_then(|extra| extra.downcast_ref()).ok_or_else(|| anyhow!("this word has no place here"))
 }
 
 /// Reads the arguments of a function into its form and checks it.
-fn form<F: Form>(word: &str, fields: &SmallMap<String, Value<'_>>, requests: &Requests) -> anyhow::Result<F> {
+fn read_form<F: Form>(
+    word: &str,
+    fields: &SmallMap<String, Value<'_>>,
+    requests: &Requests,
+) -> anyhow::Result<F> {
     let mut json = Map::new();
     for (name, value) in fields {
         if !F::FIELDS.contains(&name.as_str()) {
@@ -44,7 +48,7 @@
         "." => anyhow!("{word}: {}", error.inner()),
         path => anyhow!("{word}: {path}: {}", error.inner()),
     })?;
-    let folder = requests.borrow().get(FOLDER).map(PathBuf::from).unwrap_or_default();
+    let folder = requests.borrow().get(FOLDER_KEY).map(PathBuf::from).unwrap_or_default();
     form.check(&folder).map_err(|why| anyhow!("{word}: {why}"))?;
     Ok(form)
 }
@@ -56,7 +60,7 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: TlsForm = form("tls", &fields, requests_of(eval)?)?;
+        let form: TlsForm = read_form("tls", &fields, requests_of(eval)?)?;
         Ok(eval.heap().alloc(serde_json::to_value(form)?))
     }
 
@@ -66,7 +70,7 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: ServiceForm = form("service", &fields, requests_of(eval)?)?;
+        let form: ServiceForm = read_form("service", &fields, requests_of(eval)?)?;
         Ok(eval.heap().alloc(serde_json::to_value(form)?))
     }
 
@@ -77,7 +81,7 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let requests = requests_of(eval)?;
-        let form: ConsulForm = form("consul", &fields, requests)?;
+        let form: ConsulForm = read_form("consul", &fields, requests)?;
         if requests.borrow_mut().insert("consul".to_owned(), serde_json::to_string(&form)?).is_some() {
             return Err(anyhow!("consul: is asked for twice: the transport map has one source"));
         }
@@ -89,7 +93,7 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: MemberForm = form("member", &fields, requests_of(eval)?)?;
+        let form: MemberForm = read_form("member", &fields, requests_of(eval)?)?;
         Ok(eval.heap().alloc(serde_json::to_value(form)?))
     }
 
@@ -99,7 +103,7 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let requests = requests_of(eval)?;
-        let form: OwnershipForm = form("ownership", &fields, requests)?;
+        let form: OwnershipForm = read_form("ownership", &fields, requests)?;
         if requests.borrow_mut().insert("ownership".to_owned(), serde_json::to_string(&form)?).is_some() {
             return Err(anyhow!("ownership: is asked for twice: a forwarder stands in one region"));
         }
@@ -113,7 +117,7 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let requests = requests_of(eval)?;
-        let form: PolicyForm = form("policy", &fields, requests)?;
+        let form: PolicyForm = read_form("policy", &fields, requests)?;
         if requests.borrow_mut().insert("policy".to_owned(), serde_json::to_string(&form)?).is_some() {
             return Err(anyhow!("policy: is asked for twice: a fleet has one commit point"));
         }
--- a/crates/config/src/forms.rs
+++ b/crates/config/src/forms.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// The waits that may be asked for: the longest is the longest that Consul grants.
-const WAITS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(600));
+const WAIT_LIMITS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(600));
 /// The bounds of the age that an answer may have: a leader's heartbeats are about a second apart.
-const STALE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3600));
+const MAX_STALE_LIMITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3600));
 
 /// A name that is not known, with the nearest that is.
 pub(crate) fn unknown<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
@@ -25,7 +25,7 @@
 
 /// The bounds of the time after which a forwarder that is not heard of counts as gone. Consul's own least is 10 s unless
 /// its `session_ttl_min` says otherwise.
-const TTLS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(3600));
+const TTL_LIMITS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(3600));
 
 /// A form that a word of the script fills in.
 pub(crate) trait Form: for<'de> Deserialize<'de> + Serialize {
@@ -53,7 +53,7 @@
         for path in [Some(&mut self.ca), self.cert.as_mut(), self.key.as_mut()].into_iter().flatten() {
             *path = folder.join(&path);
         }
-        let tls = self.clone().into_tls();
+        let tls = self.clone().into_settings();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         tls.expected_server_name(any).map_err(|error| error.to_string())?;
         tls.load().map(drop).map_err(|error| error.to_string())
@@ -61,7 +61,7 @@
 }
 
 impl TlsForm {
-    fn into_tls(self) -> Tls {
+    fn into_settings(self) -> Tls {
         Tls { ca: self.ca, cert: self.cert, key: self.key, server_name: self.server_name }
     }
 }
@@ -131,7 +131,7 @@
     ];
 
     fn check(&mut self, folder: &Path) -> Result<(), String> {
-        check_token(self.token_file.as_mut(), folder)?;
+        check_token_file(self.token_file.as_mut(), folder)?;
         self.settings().map(drop)
     }
 }
@@ -155,7 +155,7 @@
         &["addresses", "prefix", "name", "ttl", "tls", "token_file", "datacenter", "namespace"];
 
     fn check(&mut self, folder: &Path) -> Result<(), String> {
-        check_token(self.token_file.as_mut(), folder)?;
+        check_token_file(self.token_file.as_mut(), folder)?;
         self.settings().map(drop)
     }
 }
@@ -163,7 +163,7 @@
 impl PolicyForm {
     /// The settings, if all can be used.
     pub(crate) fn settings(&self) -> Result<orchidyoke_policy_commit::Settings, String> {
-        let addresses = addresses(&self.addresses)?;
+        let addresses = parse_addresses(&self.addresses)?;
         if addresses.is_empty() {
             return Err("addresses: is empty: say where a Consul agent or server answers".to_owned());
         }
@@ -175,10 +175,10 @@
             return Err("name: is empty or has a slash: give the forwarder's own, the only one in the fleet"
                 .to_owned());
         }
-        let ttl = span("ttl", self.ttl.as_ref(), Duration::from_secs(10), TTLS)?;
+        let ttl = parse_duration("ttl", self.ttl.as_ref(), Duration::from_secs(10), TTL_LIMITS)?;
         let consul = Settings {
             addresses,
-            tls: self.tls.clone().map(TlsForm::into_tls),
+            tls: self.tls.clone().map(TlsForm::into_settings),
             token_file: self.token_file.clone(),
             datacenter: self.datacenter.clone(),
             namespace: self.namespace.clone(),
@@ -189,7 +189,7 @@
 }
 
 /// Where Consul answers.
-fn addresses(texts: &[String]) -> Result<Vec<SocketAddr>, String> {
+fn parse_addresses(texts: &[String]) -> Result<Vec<SocketAddr>, String> {
     let address = |text: &String| {
         text.parse::<SocketAddr>().map_err(|_| {
             format!(
@@ -201,7 +201,7 @@
 }
 
 /// Whether a token can be read; a relative path is taken from the folder of the script.
-fn check_token(path: Option<&mut PathBuf>, folder: &Path) -> Result<(), String> {
+fn check_token_file(path: Option<&mut PathBuf>, folder: &Path) -> Result<(), String> {
     let Some(path) = path else { return Ok(()) };
     *path = folder.join(&path);
     let token = std::fs::read_to_string(&path).map_err(|e| format!("token_file: {}: {e}", path.display()))?;
@@ -211,7 +211,7 @@
     Ok(())
 }
 
-fn network(text: &str) -> Result<IpNet, String> {
+fn parse_network(text: &str) -> Result<IpNet, String> {
     let network: IpNet = text.parse().map_err(|_| {
         format!("networks: {text:?} is no network: write an address and a length, as 10.2.0.0/16")
     })?;
@@ -225,7 +225,7 @@
 }
 
 /// A time within bounds, both included; the usual one where none is said.
-fn span(
+fn parse_duration(
     field: &str,
     said: Option<&String>,
     usual: Duration,
@@ -242,8 +242,9 @@
 impl ConsulForm {
     /// The settings, if all can be used.
     pub(crate) fn settings(&self) -> Result<Settings, String> {
-        let addresses = addresses(&self.addresses)?;
-        let networks: Vec<_> = self.networks.iter().map(|text| network(text)).collect::<Result<_, _>>()?;
+        let addresses = parse_addresses(&self.addresses)?;
+        let networks: Vec<_> =
+            self.networks.iter().map(|text| parse_network(text)).collect::<Result<_, _>>()?;
         for (field, missing, remedy) in [
             ("addresses", addresses.is_empty(), "where a Consul agent or server answers"),
             ("services", self.services.is_empty(), "which services of the catalogue are followed"),
@@ -276,7 +277,7 @@
             }
         }
         let usual = Settings::default();
-        let wait = span("wait", self.wait.as_ref(), usual.wait, WAITS)?;
+        let wait = parse_duration("wait", self.wait.as_ref(), usual.wait, WAIT_LIMITS)?;
         let consistency = match self.consistency.as_deref() {
             None | Some("default") => Consistency::Default,
             Some("stale") => Consistency::Stale,
@@ -289,14 +290,15 @@
         if self.max_stale.is_some() && consistency != Consistency::Stale {
             return Err("max_stale: goes with consistency = \"stale\"; else the leader answers".to_owned());
         }
-        let max_stale = span("max_stale", self.max_stale.as_ref(), usual.max_stale, STALE)?;
+        let max_stale =
+            parse_duration("max_stale", self.max_stale.as_ref(), usual.max_stale, MAX_STALE_LIMITS)?;
         let connections = self.connections.unwrap_or(usual.connections);
         if connections == 0 {
             return Err("connections: at least 1 is needed".to_owned());
         }
         Ok(Settings {
             addresses,
-            tls: self.tls.clone().map(TlsForm::into_tls),
+            tls: self.tls.clone().map(TlsForm::into_settings),
             token_file: self.token_file.clone(),
             datacenter: self.datacenter.clone(),
             namespace: self.namespace.clone(),
@@ -304,14 +306,14 @@
             max_stale,
             wait,
             connections,
-            services: self.services.iter().cloned().map(ServiceForm::into_service).collect(),
+            services: self.services.iter().cloned().map(ServiceForm::into_settings).collect(),
             networks,
         })
     }
 }
 
 impl ServiceForm {
-    fn into_service(self) -> Service {
+    fn into_settings(self) -> Service {
         let ServiceForm { name, destination, kind, zone, zone_meta, capacity, filter } = self;
         Service { name, destination, kind, zone, zone_meta, capacity, filter }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,8 +13,8 @@
 mod subprocess;
 
 pub use ownership::{MemberSettings, OwnershipSettings};
-pub use script::{Bounds, Fault, evaluate, read};
-pub use subprocess::{load, serve};
+pub use script::{EvaluationLimits, ScriptError, evaluate, evaluate_file};
+pub use subprocess::{load, run_evaluator};
 
 use orchidyoke_core::settings::Names;
 use serde::{Deserialize, Serialize};
--- a/crates/config/src/subprocess.rs
+++ b/crates/config/src/subprocess.rs
@@ -2,7 +2,7 @@
 //! steps and its memory only now and then, and a list doubled thirty times between two looks would take the machine.
 
 use crate::Installation;
-use crate::script::{Fault, read};
+use crate::script::{ScriptError, evaluate_file};
 use rlimit::Resource;
 use serde::{Deserialize, Serialize};
 use std::io::Read;
@@ -13,30 +13,33 @@
 
 /// Address space and processor time of that process.
 const MEMORY_LIMIT: u64 = 512 << 20;
-const CPU_SECONDS: u64 = 5;
+const CPU_LIMIT_S: u64 = 5;
 /// Time that it has by the clock, and how often it is looked at.
 const TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Serialize, Deserialize)]
 enum Outcome {
-    Good(Box<Installation>),
-    Bad(Fault),
+    #[serde(rename = "Good")]
+    Evaluated(Box<Installation>),
+    #[serde(rename = "Bad")]
+    Rejected(ScriptError),
 }
 
 /// The other process: evaluates the script and writes what it says to standard output.
-pub fn serve(path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+pub fn run_evaluator(path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     Resource::AS.set(MEMORY_LIMIT, MEMORY_LIMIT)?;
-    Resource::CPU.set(CPU_SECONDS, CPU_SECONDS)?;
+    Resource::CPU.set(CPU_LIMIT_S, CPU_LIMIT_S)?;
     Resource::CORE.set(0, 0)?;
-    let output = read(path).map_or_else(Outcome::Bad, |good| Outcome::Good(Box::new(good)));
+    let output =
+        evaluate_file(path).map_or_else(Outcome::Rejected, |good| Outcome::Evaluated(Box::new(good)));
     serde_json::to_writer(std::io::stdout(), &output)?;
     Ok(())
 }
 
 /// Has a script evaluated by `command`, which is to call [`serve`] with its path.
-pub fn load(path: &Path, mut command: Command) -> Result<Installation, Fault> {
-    let fault = |why: String| Fault { file: path.to_owned(), place: None, why };
+pub fn load(path: &Path, mut command: Command) -> Result<Installation, ScriptError> {
+    let fault = |why: String| ScriptError { file: path.to_owned(), location: None, reason: why };
     let started = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn();
     let mut child = started.map_err(|error| fault(format!("the evaluator does not start: {error}")))?;
     let reader = child.stdout.take().map(|mut stdout| {
@@ -50,10 +53,10 @@
     let ended = wait(&mut child);
     let output = reader.and_then(|reader| reader.join().ok()).unwrap_or_default();
     match serde_json::from_slice(&output) {
-        Ok(Outcome::Good(installation)) => Ok(*installation),
-        Ok(Outcome::Bad(fault)) => Err(fault),
+        Ok(Outcome::Evaluated(installation)) => Ok(*installation),
+        Ok(Outcome::Rejected(fault)) => Err(fault),
         Err(_) => Err(fault(format!(
-            "the script was ended ({}): it may use {} MiB of memory, {CPU_SECONDS} s of processor time and {} s in all",
+            "the script was ended ({}): it may use {} MiB of memory, {CPU_LIMIT_S} s of processor time and {} s in all",
             ended.as_deref().unwrap_or("out of time"),
             MEMORY_LIMIT >> 20,
             TIMEOUT.as_secs()
@@ -75,3 +78,6 @@
     drop(child.wait());
     None
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/config/tests/ownership.rs
+++ b/crates/config/tests/ownership.rs
@@ -1,6 +1,6 @@
 //! `ownership(...)` in a script: valid, and each way in which it is not.
 
-use orchidyoke_config::{Bounds, Installation, evaluate};
+use orchidyoke_config::{EvaluationLimits, Installation, evaluate};
 use orchidyoke_core::settings::Names;
 use std::path::Path;
 
@@ -18,7 +18,7 @@
 "#;
 
 fn run(text: &str) -> Result<Installation, String> {
-    evaluate(Path::new("site/edge.star"), text.to_owned(), Bounds::default())
+    evaluate(Path::new("site/edge.star"), text.to_owned(), EvaluationLimits::default())
         .map_err(|fault| fault.to_string())
 }
 
--- a/crates/config/tests/scripts.rs
+++ b/crates/config/tests/scripts.rs
@@ -1,11 +1,11 @@
 //! Scripts, good and bad, each fault with its place.
 
-use orchidyoke_config::{Bounds, Installation, evaluate};
+use orchidyoke_config::{EvaluationLimits, Installation, evaluate};
 use orchidyoke_core::settings::Names;
 use std::path::Path;
 
 fn run(text: &str) -> Result<Installation, String> {
-    let bounds = Bounds { ticks: 100_000, heap: 4 << 20, depth: 50 };
+    let bounds = EvaluationLimits { max_ticks: 100_000, max_heap_bytes: 4 << 20, max_call_depth: 50 };
     evaluate(Path::new("site/edge.star"), text.to_owned(), bounds).map_err(|fault| fault.to_string())
 }
 
--- a/crates/config/tests/wire_forms.rs
+++ b/crates/config/tests/wire_forms.rs
@@ -1,7 +1,7 @@
 //! Protects the scripts of installations: the name of each function that a script may call and of each of its parameters,
 //! and what becomes of them.
 
-use orchidyoke_config::{Bounds, Installation, MemberSettings, OwnershipSettings, evaluate};
+use orchidyoke_config::{EvaluationLimits, Installation, MemberSettings, OwnershipSettings, evaluate};
 use orchidyoke_consul::Settings as Consul;
 use orchidyoke_consul::settings::{Consistency, Service, Tls};
 use orchidyoke_fakes::certificates::Authority;
@@ -29,7 +29,7 @@
 
     fn evaluate(&self, text: &str) -> Result<Installation, String> {
         let script = self.0.join("edge.star");
-        evaluate(&script, text.to_owned(), Bounds::default()).map_err(|fault| fault.to_string())
+        evaluate(&script, text.to_owned(), EvaluationLimits::default()).map_err(|fault| fault.to_string())
     }
 }
 
