--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -6,9 +6,10 @@
 
 use bytes::Bytes;
 use golden::{assert_golden, side, whole_length};
-use orchidyoke_consul::Consul as Source;
-use orchidyoke_consul::client::{ApiRequest, Client};
-use orchidyoke_consul::locks::{Behavior, Locks, Operation, Row};
+use orchidyoke_consul::EndpointSource as Source;
+use orchidyoke_consul::client::Client;
+use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior, TransactionOperation};
+use orchidyoke_consul::request::ApiRequest;
 use orchidyoke_consul::settings::{Consistency, Service, Settings};
 use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn questions_of_the_catalogue_stay_the_same() {
+fn catalogue_requests_are_unchanged() {
     let token = std::env::temp_dir().join(format!("wire-token-{}", std::process::id()));
     std::fs::write(&token, "5be2a07c\n").expect("written");
     let headers = "X-Consul-Index: 41\r\nX-Consul-KnownLeader: false\r\nX-Consul-LastContact: 20000\r\nRetry-After: 3\r\n";
@@ -91,20 +92,20 @@
         for request in [
             ApiRequest::service("web a/b", filter.as_ref(), 0, wait),
             ApiRequest::service("web", None, 41, wait),
-            ApiRequest::path("/v1/health/state/any", 42, wait),
+            ApiRequest::read("/v1/health/state/any", 42, wait),
         ] {
-            heads.push(client.ask(&mut connection, &request).await.expect("answered").0);
+            heads.push(client.send(&mut connection, &request).await.expect("answered").0);
         }
         heads.swap_remove(0)
     });
     std::fs::remove_file(&token).expect("cleans up");
     assert_golden("catalogue_questions.txt", &said);
     assert_eq!((head.status, head.index.as_deref(), head.leaderless), (200, Some("41"), true));
-    assert_eq!((head.too_old, head.retry_after), (Some(Duration::from_secs(20)), Some(3)));
+    assert_eq!((head.stale_for, head.retry_after), (Some(Duration::from_secs(20)), Some(3)));
 }
 
 #[test]
-fn questions_of_sessions_and_keys_stay_the_same() {
+fn session_and_key_requests_are_unchanged() {
     let row = r#"[{"LockIndex":1,"Key":"duties/a b","Flags":0,"Value":"ZjE=","Session":"adf4","CreateIndex":5,"ModifyIndex":7}]"#;
     let ok = |body: &str| answer("200 OK", "X-Consul-Index: 9\r\n", body);
     let answers = [
@@ -119,35 +120,44 @@
         ok("true"),
     ];
     let (said, rows) = asked(&answers, async |at| {
-        let mut locks = Locks::new(Rc::new(settings(at)));
+        let mut locks = LockClient::new(Rc::new(settings(at)));
         let (ttl, delay) = (Duration::from_secs(10), Duration::from_millis(300));
-        let session = locks.create("n1", ttl, delay, Behavior::Delete).await.expect("made");
+        let session = locks.create_session("n1", ttl, delay, SessionBehavior::Delete).await.expect("made");
         assert_eq!(session, "adf4");
-        let other = locks.create("n2", ttl, delay, Behavior::Release).await.expect("made");
-        assert!(locks.renew(&other).await.expect("asked"));
+        let other = locks.create_session("n2", ttl, delay, SessionBehavior::Release).await.expect("made");
+        assert!(locks.renew_session(&other).await.expect("asked"));
         assert!(locks.acquire("duties/a b", &session, Bytes::from_static(b"f1")).await.expect("asked"));
         assert!(locks.release("duties/a b", &session).await.expect("asked"));
-        let (index, rows) = locks.look("duties/", 0, ttl).await.expect("looked");
+        let (index, rows) = locks.read_keys("duties/", 0, ttl).await.expect("looked");
         assert_eq!(index, 9);
-        locks.look("duties/", 9, ttl).await.expect("looked");
+        locks.read_keys("duties/", 9, ttl).await.expect("looked");
         let operations = [
-            Operation::Cas("k/a".to_owned(), 7, Bytes::from_static(b"f1")),
-            Operation::DeleteCas("k/b".to_owned(), 8),
-            Operation::CheckHeld("k/c".to_owned(), 9, session.clone()),
+            TransactionOperation::CheckAndSet {
+                key: "k/a".to_owned(),
+                modify_index: 7,
+                value: Bytes::from_static(b"f1"),
+            },
+            TransactionOperation::CheckAndDelete { key: "k/b".to_owned(), modify_index: 8 },
+            TransactionOperation::CheckHeld {
+                key: "k/c".to_owned(),
+                modify_index: 9,
+                session: session.clone(),
+            },
         ];
         assert!(locks.transact(&operations).await.expect("asked"));
-        locks.destroy(&session).await;
+        locks.destroy_session(&session).await;
         rows
     });
     assert_golden("lock_questions.txt", &said);
     let key = "duties/a b".to_owned();
-    let row = Row { key, value: Some("ZjE=".to_owned()), session: Some("adf4".to_owned()), modify_index: 7 };
+    let row =
+        KeyEntry { key, value: Some("ZjE=".to_owned()), session: Some("adf4".to_owned()), modify_index: 7 };
     assert_eq!(rows, [row]);
-    assert_eq!(rows[0].text(), "f1");
+    assert_eq!(rows[0].value_text(), "f1");
 }
 
 #[test]
-fn endpoints_come_of_an_answer_as_before() {
+fn endpoints_of_a_response_are_unchanged() {
     let (_, told) = asked(&[answer("200 OK", "X-Consul-Index: 41\r\n", HEALTH)], async |at| {
         let (sender, mut news) = unbounded_channel();
         let updates = UpdateSender::new(move |told| drop(sender.send(told)));
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -7,6 +7,19 @@
 
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
+/// Outcomes to draw from; some more often than others.
+const OUTCOMES: [Outcome; 10] = [
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+];
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
     let class = |effect, keep_order| Class {
@@ -98,7 +111,7 @@
         }
     }
 
-    /// What a told wait is kept by: the route where routes are apart, else the destination.
+    /// What a Retry-After holds for: the route where routes are separate, else the destination.
     fn route(&self, endpoint: EndpointId) -> u64 {
         let entry = self.entries[&endpoint];
         if self.set.kinds[entry.kind].separate_routes {
@@ -108,7 +121,7 @@
         }
     }
 
-    fn news(&mut self) -> Event {
+    fn list_event(&mut self) -> Event {
         let mut entries = Vec::new();
         for _ in 0..self.rng.usize(1..5) {
             let endpoint = self.rng.u32(0..12);
@@ -164,7 +177,7 @@
             *until = (*until).max(self.now + wait);
         }
         let zone = self.entries[&endpoint].zone;
-        let held = self.messages.get_mut(&attempt.0).expect("a message that was handed in");
+        let held = self.messages.get_mut(&attempt.0).expect("a message that was submitted");
         held.out.remove(&attempt.1);
         held.over |= outcome == Outcome::Success;
         if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
@@ -188,13 +201,33 @@
     }
 
     fn step(&mut self) {
+        let events = self.next_events();
+        if events.is_empty() {
+            return;
+        }
+        let mut actions = Vec::new();
+        self.controller.step(self.now, &events, &mut actions);
+        for action in &actions {
+            self.trace.push(format!("{} {action:?}", self.now));
+            self.check(action);
+        }
+        for (id, held) in &self.messages {
+            // In time: what was due before the last timer's time is over by now.
+            let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
+            assert!(held.over || !late, "message {id} has no answer in time");
+        }
+        let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
+        assert!(calls.len() <= self.set.max_calls, "more calls in flight than slots");
+    }
+
+    fn next_events(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         if self.timers.first().is_some_and(|t| *t <= self.now) {
             self.timers.retain(|t| *t > self.now);
             events.push(Event::Timer { token: self.rng.u64(..) });
         }
         if self.rng.u8(0..20) == 0 || self.entries.is_empty() {
-            events.push(self.news());
+            events.push(self.list_event());
         }
         if self.rng.u8(0..100) == 0 {
             events.push(Event::EndpointList { kind: ListEventKind::Failed, entries: Vec::new() });
@@ -202,67 +235,44 @@
         for _ in 0..self.rng.usize(0..3) {
             events.push(self.message());
         }
+        self.end_attempts(&mut events);
+        if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
+            let id = self.rng.u64(0..self.messages.len() as u64);
+            self.messages.get_mut(&id).expect("known").over = true;
+            events.push(Event::Withdrawn { id });
+        }
+        events
+    }
+
+    /// Ends the attempts whose time-out has come, and some others with a random outcome.
+    fn end_attempts(&mut self, events: &mut Vec<Event>) {
         let out: Vec<_> = self.out.iter().map(|(a, o)| (*a, o.2)).collect();
         for (attempt, ends) in out {
             if ends <= self.now {
                 events.push(self.outcome(attempt, Outcome::Timeout));
             } else if self.rng.u8(0..8) == 0 {
-                use Outcome::*;
-                let all = [
-                    Success,
-                    Success,
-                    Success,
-                    Error,
-                    Rejected,
-                    Rejected,
-                    ConnectFailed,
-                    Reset,
-                    Cancelled,
-                    NotSent,
-                ];
-                let outcome = all[self.rng.usize(0..all.len())];
+                let outcome = OUTCOMES[self.rng.usize(0..OUTCOMES.len())];
                 events.push(self.outcome(attempt, outcome));
             }
         }
-        if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
-            let id = self.rng.u64(0..self.messages.len() as u64);
-            self.messages.get_mut(&id).expect("known").over = true;
-            events.push(Event::Withdrawn { id });
-        }
-        if events.is_empty() {
-            return;
-        }
-        let mut actions = Vec::new();
-        self.controller.step(self.now, &events, &mut actions);
-        for action in &actions {
-            self.trace.push(format!("{} {action:?}", self.now));
-            self.check(action);
-        }
-        for (id, held) in &self.messages {
-            // In time: what was due before the last timer's time is over by now.
-            let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
-            assert!(held.over || !late, "message {id} has no answer in time");
-        }
-        let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
-        assert!(calls.len() <= self.set.max_calls, "more calls out than slots");
     }
 
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send { id, endpoint, timeout } => self.check_send(*id, *endpoint, *timeout),
             Action::Reject { id, retry_after: pause } => {
-                let held = self.messages.get_mut(id).expect("refuses what was handed in");
+                let held = self.messages.get_mut(id).expect("rejects what was submitted");
                 assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
                 let harmless = match self.set.classes[held.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     _ => held.may_have_run.is_none() && held.out.is_empty(),
                 };
-                assert!(harmless, "message {id} may have run and was refused");
+                assert!(harmless, "message {id} may have run and was rejected");
                 assert!((0..=self.set.max_retry_after).contains(pause));
             }
             Action::Fail { id } => {
-                let held = self.messages.get_mut(id).expect("fails what was handed in");
+                let held = self.messages.get_mut(id).expect("fails what was submitted");
                 assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
             }
             Action::Timer { delay, .. } => {
@@ -281,12 +291,12 @@
         let held = &self.messages[&id];
         assert!(!held.over, "message {id} sent after its end");
         assert_eq!(entry.destination, held.destination);
-        assert_eq!(entry.state, EndpointState::Active, "sent to a draining or gone endpoint");
-        let mut sisters = self.entries.values().filter(|e| e.destination == entry.destination);
-        let fit = sisters.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
+        assert_eq!(entry.state, EndpointState::Active, "sent to a draining or removed endpoint");
+        let mut others = self.entries.values().filter(|e| e.destination == entry.destination);
+        let fit = others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
         assert!(
             !fit || entry.health != HealthStatus::Critical,
-            "sent to a critical endpoint with a fit one beside it"
+            "sent to a critical endpoint with a passing one beside it"
         );
         assert!(held.out.is_empty(), "two attempts of message {id} out together");
         assert!(held.attempts < self.set.max_attempts);
--- /dev/null
+++ b/crates/forwarder/src/connection_pool.rs
@@ -0,0 +1,217 @@
+//! Connections to endpoints as a state machine without sockets: which one carries a call, and which are to be closed.
+//!
+//! A connection carries one call at a time. Idle ones are used again, the one used last first, so that the others reach their
+//! idle time-out and close.
+
+use orchidyoke_core::interface::{EndpointId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A connection to an endpoint; numbers are not used again.
+pub type EndpointConnectionId = u64;
+/// A call to an endpoint; numbers are not used again.
+pub type CallId = u64;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// Not yet up; this call waits for it.
+    Connecting(CallId),
+    /// Up, and free since then.
+    Idle(Micros),
+    /// Carries this call, or is about to.
+    Busy(CallId),
+}
+
+impl ConnectionState {
+    fn call(self) -> Option<CallId> {
+        match self {
+            ConnectionState::Connecting(call) | ConnectionState::Busy(call) => Some(call),
+            ConnectionState::Idle(_) => None,
+        }
+    }
+
+    fn idle_since(self) -> Option<Micros> {
+        match self {
+            ConnectionState::Idle(since) => Some(since),
+            _ => None,
+        }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct PooledConnection {
+    endpoint: EndpointId,
+    state: ConnectionState,
+}
+
+/// All connections to endpoints. Times are in microseconds.
+#[derive(Debug)]
+pub struct ConnectionPool {
+    connections: BTreeMap<EndpointConnectionId, PooledConnection>,
+    last_id: EndpointConnectionId,
+    idle_timeout: Micros,
+    max_connections: usize,
+    /// Connections to an address that their endpoint has left.
+    retired: BTreeSet<EndpointConnectionId>,
+    /// No connection has been idle since before this; without it, none is idle.
+    earliest_idle_since: Option<Micros>,
+}
+
+/// The connection for a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Claim {
+    /// This idle connection carries it at once.
+    Reuse(EndpointConnectionId),
+    /// This new connection carries it once it is up.
+    Connect(EndpointConnectionId),
+}
+
+impl ConnectionPool {
+    /// No connections yet. The endpoint closes idle ones after `endpoint_idle_timeout`; `max_connections` counts idle ones
+    /// too.
+    pub fn new(endpoint_idle_timeout: Micros, max_connections: usize) -> Self {
+        ConnectionPool {
+            connections: BTreeMap::new(),
+            last_id: 0,
+            idle_timeout: safe_idle_timeout(endpoint_idle_timeout),
+            max_connections,
+            retired: BTreeSet::new(),
+            earliest_idle_since: None,
+        }
+    }
+
+    /// Changes the limits that [`ConnectionPool::new`] was given.
+    pub fn set_limits(&mut self, endpoint_idle_timeout: Micros, max_connections: usize) {
+        self.idle_timeout = safe_idle_timeout(endpoint_idle_timeout);
+        self.max_connections = max_connections;
+    }
+
+    /// A connection for a call: an idle one if there is one that may be used again, or a new one.
+    pub fn claim(&mut self, endpoint: EndpointId, call: CallId, now: Micros) -> Claim {
+        match self.last_used_idle(endpoint, now) {
+            Some(id) => {
+                let state = ConnectionState::Busy(call);
+                self.connections.insert(id, PooledConnection { endpoint, state });
+                Claim::Reuse(id)
+            }
+            None => Claim::Connect(self.connect(endpoint, call)),
+        }
+    }
+
+    fn last_used_idle(&self, endpoint: EndpointId, now: Micros) -> Option<EndpointConnectionId> {
+        let reusable = self.connections.iter().filter_map(|(id, connection)| {
+            let since = connection.state.idle_since()?;
+            let is_fresh = now - since < self.idle_timeout;
+            let is_usable = connection.endpoint == endpoint && is_fresh && !self.is_retired(*id);
+            is_usable.then_some((since, *id))
+        });
+        reusable.max().map(|(_, id)| id)
+    }
+
+    /// A new connection for a call.
+    pub fn connect(&mut self, endpoint: EndpointId, call: CallId) -> EndpointConnectionId {
+        self.last_id += 1;
+        let state = ConnectionState::Connecting(call);
+        self.connections.insert(self.last_id, PooledConnection { endpoint, state });
+        self.last_id
+    }
+
+    /// A connection is up: the call that waited for it.
+    pub fn on_connected(&mut self, id: EndpointConnectionId) -> Option<CallId> {
+        let connection = self.connections.get_mut(&id)?;
+        let ConnectionState::Connecting(call) = connection.state else { return None };
+        connection.state = ConnectionState::Busy(call);
+        Some(call)
+    }
+
+    /// The call on a connection has ended, and the connection is idle; a retired one expires at once.
+    pub fn release(&mut self, id: EndpointConnectionId, now: Micros) {
+        let since = if self.retired.contains(&id) { now - self.idle_timeout } else { now };
+        if let Some(connection) = self.connections.get_mut(&id)
+            && let ConnectionState::Busy(_) = connection.state
+        {
+            connection.state = ConnectionState::Idle(since);
+            let earliest = self.earliest_idle_since.map_or(since, |earliest| earliest.min(since));
+            self.earliest_idle_since = Some(earliest);
+        }
+    }
+
+    /// An endpoint has another address: its connections carry no further call.
+    pub fn retire(&mut self, endpoint: EndpointId) {
+        let to_endpoint = self.connections.iter().filter(|(_, connection)| connection.endpoint == endpoint);
+        self.retired.extend(to_endpoint.map(|(id, _)| *id));
+    }
+
+    /// Whether a connection goes to an address that its endpoint has left.
+    pub fn is_retired(&self, id: EndpointConnectionId) -> bool {
+        self.retired.contains(&id)
+    }
+
+    /// A connection is closed: the call that it carried, if any.
+    pub fn on_closed(&mut self, id: EndpointConnectionId) -> Option<CallId> {
+        let call = self.call_of(id);
+        self.connections.remove(&id);
+        self.retired.remove(&id);
+        call
+    }
+
+    /// The connection of a call, up or not.
+    pub fn connection_of(&self, call: CallId) -> Option<EndpointConnectionId> {
+        let mut connections = self.connections.iter();
+        connections.find(|(_, connection)| connection.state.call() == Some(call)).map(|(id, _)| *id)
+    }
+
+    /// The call of a connection.
+    pub fn call_of(&self, id: EndpointConnectionId) -> Option<CallId> {
+        self.connections.get(&id)?.state.call()
+    }
+
+    /// Removes the idle connections to an endpoint; they are to be closed.
+    pub fn take_idle_to(&mut self, endpoint: EndpointId) -> Vec<EndpointConnectionId> {
+        self.take_idle(|to, _| to == endpoint)
+    }
+
+    /// Removes the idle connections to any of these endpoints; they are to be closed.
+    pub fn take_idle_to_any(&mut self, endpoints: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
+        self.take_idle(|to, _| endpoints.contains(&to))
+    }
+
+    /// Removes the idle connections that have reached their time-out, and the oldest idle ones while there are more than the
+    /// limit; they are to be closed.
+    pub fn take_expired(&mut self, now: Micros) -> Vec<EndpointConnectionId> {
+        let idle_timeout = self.idle_timeout;
+        let mut expired = self.take_idle(|_, since| now - since >= idle_timeout);
+        while self.connections.len() > self.max_connections {
+            let Some(oldest) = self.oldest_idle() else { break };
+            self.on_closed(oldest);
+            expired.push(oldest);
+        }
+        let idle = self.connections.values().filter_map(|connection| connection.state.idle_since());
+        self.earliest_idle_since = idle.min();
+        expired
+    }
+
+    /// When the next idle connection may reach its time-out: not later than that.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.earliest_idle_since.map(|since| since + self.idle_timeout)
+    }
+
+    fn oldest_idle(&self) -> Option<EndpointConnectionId> {
+        let idle = self.connections.iter();
+        let idle = idle.filter_map(|(id, connection)| Some((connection.state.idle_since()?, *id)));
+        idle.min().map(|(_, id)| id)
+    }
+
+    fn take_idle(&mut self, is_taken: impl Fn(EndpointId, Micros) -> bool) -> Vec<EndpointConnectionId> {
+        let taken = self.connections.extract_if(.., |_, connection| {
+            connection.state.idle_since().is_some_and(|since| is_taken(connection.endpoint, since))
+        });
+        let taken: Vec<_> = taken.map(|(id, _)| id).collect();
+        self.retired.retain(|id| !taken.contains(id));
+        taken
+    }
+}
+
+/// A tenth below the endpoint's: it counts from when it wrote its answer, and its close takes time to arrive.
+fn safe_idle_timeout(endpoint_idle_timeout: Micros) -> Micros {
+    endpoint_idle_timeout - endpoint_idle_timeout / 10
+}
--- a/crates/forwarder/src/policy_participant.rs
+++ b/crates/forwarder/src/policy_participant.rs
@@ -5,7 +5,7 @@
 
 use crate::input::Input;
 pub use crate::input::PolicyStatus;
-use crate::reload::Source;
+use crate::reload::ConfigSource;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 pub trait PolicyParticipant {
     /// Puts the committed policy in force, as far as it can be read within a few seconds. To be called before the first
     /// attempt.
-    fn join<'a>(&'a self, source: &'a Source) -> Task<'a>;
+    fn join<'a>(&'a self, source: &'a ConfigSource) -> Task<'a>;
 
     /// Whether this process has the fleet's policy in force now.
     fn status(&self) -> PolicyStatus;
 
     /// Follows the policy until it is dropped: sends a new configuration as soon as another policy is in force, and the
     /// status whenever that changes.
-    fn follow(self: Rc<Self>, source: Rc<Source>, inputs: UnboundedSender<Input>) -> Task<'static>;
+    fn follow(self: Rc<Self>, source: Rc<ConfigSource>, inputs: UnboundedSender<Input>) -> Task<'static>;
 
     /// Deregisters this process from the fleet.
     fn deregister(&self) -> Task<'_>;
--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -3,10 +3,10 @@
 
 use super::Reducer;
 use super::call_table::{AttemptId, Call};
-use crate::figures::End;
-use crate::hop_call::{self, EndpointCallError, Reply};
+use crate::connection_pool::EndpointConnectionId;
+use crate::endpoint_call::{self, EndpointCallError, EndpointReply};
 use crate::input::Effect;
-use crate::pool::EndpointConnectionId;
+use crate::metrics::MessageEnd;
 use crate::retry_after;
 use orchidyoke_core::interface::{AttemptResult, Event, Micros, Outcome};
 use orchidyoke_journal::{FinalAnswer, Record};
@@ -27,22 +27,22 @@
         &mut self,
         now: Micros,
         connection: EndpointConnectionId,
-        reply: &Reply,
+        reply: &EndpointReply,
         reusable: bool,
     ) {
-        let call = if reusable { self.pool.call_of(connection) } else { self.pool.closed(connection) };
+        let call = if reusable { self.pool.call_of(connection) } else { self.pool.on_closed(connection) };
         if reusable {
             self.pool.release(connection, now);
         }
         let Some(call) = call.and_then(|id| self.calls.remove(id)) else { return };
         let info = ReplyInfo {
-            retry_after: retry_after::to_micros(reply.wait_ms),
-            reported_limit: reply.limit,
-            reported_remaining: reply.left,
+            retry_after: retry_after::to_micros(reply.retry_after_ms),
+            reported_limit: reply.reported_limit,
+            reported_remaining: reply.reported_remaining,
             late: call.attempts.iter().any(|attempt| self.is_past_deadline(now, attempt)),
         };
         self.on_retry_after(now, call.endpoint, info.retry_after);
-        let ends = hop_call::ends(reply, &call.message_ids);
+        let ends = endpoint_call::message_results(reply, &call.message_ids);
         let mut ends: Vec<_> = call.attempts.iter().zip(ends).collect();
         // The controller judges a call by the first of its outcomes: rejections before success, not sent last.
         ends.sort_by_key(|(_, end)| match end.outcome {
@@ -51,7 +51,7 @@
             _ => 0,
         });
         for (attempt, end) in ends {
-            if end.over {
+            if end.message_finished {
                 // Finished for the endpoint, as for a client that has gone. Whether the platform still waits for a final
                 // answer is not known here, and a notification too many does no harm.
                 self.finish(now, attempt.message, FinalAnswer::Failed);
@@ -71,13 +71,13 @@
         connection: EndpointConnectionId,
         error: &EndpointCallError,
     ) {
-        let Some(id) = self.pool.closed(connection) else { return };
+        let Some(id) = self.pool.on_closed(connection) else { return };
         let Some(call) = self.calls.get_mut(id) else { return };
         // An idle connection may close just as it is chosen. Nothing complete was written, so the same attempt goes on a
         // new connection; a refusal to connect would be laid to the endpoint.
-        let may_reconnect = !self.upgrade.has_handed_off() && error.never_ran() && !error.given_up();
+        let may_reconnect = !self.upgrade.has_handed_off() && error.not_delivered() && !error.ended_locally();
         if may_reconnect && std::mem::take(&mut call.reused_connection) {
-            let connection = self.pool.dial(call.endpoint, id);
+            let connection = self.pool.connect(call.endpoint, id);
             return self.connect(now, id, connection);
         }
         if let Some(call) = self.calls.remove(id) {
@@ -100,7 +100,7 @@
     /// The controller gives up an attempt.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         let call = self.calls.with_attempt(attempt);
-        if let Some(connection) = call.and_then(|call| self.pool.link_of(call)) {
+        if let Some(connection) = call.and_then(|call| self.pool.connection_of(call)) {
             // It ends when the connection is reported closed: not before may another attempt go.
             self.effects.push(Effect::CloseConnection { connection });
         }
@@ -120,7 +120,7 @@
             // It came after the deadline of this message or of another in its call, or was read late: whether it still
             // counts is not known here, and a notification too many does no harm. The endpoint says that it was
             // delivered: so it is counted.
-            self.finish_counted_as(now, number, FinalAnswer::Failed, End::Success);
+            self.finish_counted_as(now, number, FinalAnswer::Failed, MessageEnd::Success);
         } else if outcome == Outcome::Success {
             self.finish_delivered(now, number);
         } else {
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -7,7 +7,7 @@
 use super::{Reducer, SECOND_US};
 use crate::backoff::Backoff;
 use crate::catalogue::Catalogue;
-use crate::config::Discovery;
+use crate::config::DiscoveryAddress;
 use crate::input::{Effect, WatchId, WatchSource};
 use crate::retry_after;
 use orchidyoke_core::endpoint_list::{EndpointList, MAX_ENTRIES, WatchEvent};
@@ -67,7 +67,7 @@
 impl EndpointDiscovery {
     /// At a start: `recovered_superseded` is the address that the journal says was superseded.
     pub fn new(
-        discovery: &Discovery,
+        discovery: &DiscoveryAddress,
         catalogue: Option<Rc<dyn Catalogue>>,
         recovered_superseded: Option<SocketAddr>,
         settings: &Settings,
@@ -77,11 +77,11 @@
         let mut backoff = Backoff::new(first_backoff(settings), seed);
         // A drain may have been announced while there was no watch, and is in force after its grace: the first watch
         // starts within that. Forwarders of a release start together; those that are rejected come in turn.
-        let watch_at = now + backoff.within(first_watch_delay(settings));
+        let watch_at = now + backoff.random_below(first_watch_delay(settings));
         EndpointDiscovery {
-            address: discovery.at_start(recovered_superseded),
+            address: discovery.at_startup(recovered_superseded),
             // Another address given since then is new: it counts, and the record does not.
-            superseded: recovered_superseded.filter(|address| discovery.given == Some(*address)),
+            superseded: recovered_superseded.filter(|address| discovery.from_command_line == Some(*address)),
             catalogue,
             watch: 0,
             watching: false,
@@ -150,7 +150,7 @@
         }
         self.address = address;
         self.catalogue = catalogue;
-        self.backoff.bound(first_backoff(settings));
+        self.backoff.set_first(first_backoff(settings));
     }
 
     /// The next watch, if it is due.
@@ -184,11 +184,11 @@
         let time_left = (MAX_LIST_AGE_US - WATCH_SETUP_TIME_US - silence.max(0)).max(0);
         let pause = if established && retry_after == 0 {
             // As at a start.
-            self.backoff.within(first_watch_delay(settings)).min(time_left)
+            self.backoff.random_below(first_watch_delay(settings)).min(time_left)
         } else if retry_after < time_left / 2 {
-            retry_after + self.backoff.pause(time_left - retry_after)
+            retry_after + self.backoff.next_delay(time_left - retry_after)
         } else {
-            time_left - self.backoff.within(time_left / 2)
+            time_left - self.backoff.random_below(time_left / 2)
         };
         self.watching = false;
         self.watch_at = now + pause;
@@ -216,7 +216,7 @@
     fn abandon_watch(&mut self, now: Micros) {
         self.watch += 1;
         self.watching = false;
-        self.watch_at = now + self.backoff.pause(OVERSIZED_LIST_BACKOFF_US);
+        self.watch_at = now + self.backoff.next_delay(OVERSIZED_LIST_BACKOFF_US);
     }
 }
 
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -2,8 +2,8 @@
 //! notified of.
 
 use super::{Reducer, SECOND_US};
-use crate::figures::End;
 use crate::input::{Effect, SubmitAnswer};
+use crate::metrics::MessageEnd;
 use orchidyoke_core::interface::{MessageId, Micros};
 use orchidyoke_journal::{FinalAnswer, Record};
 use std::collections::hash_map::Entry;
@@ -208,19 +208,19 @@
     /// notification.
     pub(super) fn finish(&mut self, now: Micros, number: MessageId, answer: FinalAnswer) {
         let end = match answer {
-            FinalAnswer::Failed => End::Error,
-            FinalAnswer::Rejected { .. } => End::Overload,
+            FinalAnswer::Failed => MessageEnd::Error,
+            FinalAnswer::Rejected { .. } => MessageEnd::Overload,
         };
         self.finish_counted_as(now, number, answer, end);
     }
 
-    /// A final answer that counts as this end in the figures.
+    /// A final answer that counts as this end in the metrics.
     pub(super) fn finish_counted_as(
         &mut self,
         now: Micros,
         number: MessageId,
         answer: FinalAnswer,
-        end: End,
+        end: MessageEnd,
     ) {
         let Some(message) = self.messages.get(number) else { return };
         if message.stored {
@@ -234,9 +234,9 @@
         };
         let Some(message) = self.drop_message(number) else { return };
         if message.stored {
-            self.figures.ended(&message.accepted.class, end);
+            self.metrics.on_ended(&message.accepted.class, end);
         } else {
-            self.figures.turned_away(&message.accepted.class, end);
+            self.metrics.on_rejected(&message.accepted.class, end);
         }
         for request in message.waiting_requests {
             self.answer(request, submit_answer);
@@ -250,7 +250,7 @@
         self.append_record(&Record::Finished { message: id.clone(), at: now });
         if let Some(message) = self.drop_message(number) {
             let latency = message.received_at.map(|received_at| now - received_at);
-            self.figures.delivered(&message.accepted.class, latency);
+            self.metrics.on_delivered(&message.accepted.class, latency);
         }
         self.finished.remember(id, now);
     }
--- a/crates/forwarder/src/reducer/fleet_policy.rs
+++ b/crates/forwarder/src/reducer/fleet_policy.rs
@@ -36,8 +36,8 @@
         self.status.unready_reason.clone()
     }
 
-    /// Its lines for the figures.
-    pub fn figures(&self) -> &str {
-        &self.status.figures
+    /// Its lines for the metrics.
+    pub fn metrics(&self) -> &str {
+        &self.status.metrics
     }
 }
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -200,7 +200,7 @@
         let owner = offered.map_or_else(String::new, |offered| offered.owner.clone());
         self.append_record(&Record::HandedOver { message: message_id.clone(), owner, at: now });
         self.ownership.count_handed_over();
-        self.figures.handed_over();
+        self.metrics.on_handed_over();
         self.drop_message(number);
         self.finished.remember(message_id, now);
     }
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -4,9 +4,9 @@
 
 use super::Reducer;
 use super::durability::AfterAppend;
-use crate::console::{Call, Reply};
-use crate::figures::{Figures, Gauges};
+use crate::console::{Command, ConsoleReply};
 use crate::input::{Effect, RequestId};
+use crate::metrics::{Gauges, Metrics};
 use orchidyoke_core::interface::{DestinationId, EndpointState, Event, ListEventKind, Micros};
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,23 +105,27 @@
 
 impl Reducer {
     /// One call of an operator. What changes something is answered once it is in the journal.
-    pub(super) fn on_operator_call(&mut self, now: Micros, request: RequestId, call: Call) {
-        let reply = match call {
-            Call::Ready if !self.clients.are_accepted() => Reply::No("takes no clients".to_owned()),
-            Call::Ready => self.policy.unready_reason().map_or(Reply::Yes("ready"), Reply::No),
-            Call::ShowStat => Reply::Figures(
-                self.figures.lines(self.gauges()) + self.policy.figures() + &self.ownership_figures(now),
+    pub(super) fn on_operator_call(&mut self, now: Micros, request: RequestId, command: Command) {
+        let reply = match command {
+            Command::Ready if !self.clients.are_accepted() => {
+                ConsoleReply::Rejected("takes no clients".to_owned())
+            }
+            Command::Ready => {
+                self.policy.unready_reason().map_or(ConsoleReply::Done("ready"), ConsoleReply::Rejected)
+            }
+            Command::ShowStat => ConsoleReply::Metrics(
+                self.metrics.render(self.gauges()) + self.policy.metrics() + &self.ownership_metrics(now),
             ),
-            Call::ShowLatency => Reply::Figures(self.figures.latency_lines()),
-            Call::DisableServer(uid) => return self.record_override(now, request, uid, true),
-            Call::EnableServer(uid) => return self.record_override(now, request, uid, false),
+            Command::ShowLatency => ConsoleReply::Metrics(self.metrics.render_latency()),
+            Command::DisableServer(uid) => return self.record_override(now, request, uid, true),
+            Command::EnableServer(uid) => return self.record_override(now, request, uid, false),
         };
         self.effects.push(Effect::Reply { request, reply });
     }
 
     fn record_override(&mut self, now: Micros, request: RequestId, endpoint: String, ejected: bool) {
         if self.endpoints.listed(&endpoint).is_none() && !self.operator_overrides.is_ejected(&endpoint) {
-            let reply = Reply::No(format!("no endpoint {endpoint} is listed"));
+            let reply = ConsoleReply::Rejected(format!("no endpoint {endpoint} is listed"));
             return self.effects.push(Effect::Reply { request, reply });
         }
         // Written also where it changes nothing here: another process may have been told otherwise since.
@@ -139,9 +143,9 @@
             self.prune_overrides(now);
             let state = if change.ejected { "out" } else { "back" };
             self.log(format!("operator: endpoint is {state} endpoint={endpoint}"));
-            Reply::Yes(state)
+            ConsoleReply::Done(state)
         } else {
-            Reply::No("the journal has no room for it, or cannot be written".to_owned())
+            ConsoleReply::Rejected("the journal has no room for it, or cannot be written".to_owned())
         };
         self.effects.push(Effect::Reply { request, reply });
     }
@@ -230,8 +234,8 @@
     }
 
     /// The counts of this process.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// What is counted as it stands now.
@@ -242,9 +246,9 @@
             chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
-            concurrent: self.messages.values().filter(|message| message.stored).count(),
-            targets: self.endpoints.list().len(),
-            targets_disabled: self.endpoints.list().iter().filter(|target| avoided(&target.uid)).count(),
+            open_messages: self.messages.values().filter(|message| message.stored).count(),
+            endpoints: self.endpoints.list().len(),
+            avoided_endpoints: self.endpoints.list().iter().filter(|target| avoided(&target.uid)).count(),
         }
     }
 }
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -215,7 +215,7 @@
     }
 
     /// The figures of hand-overs, a line each; none where there are no owners.
-    pub(super) fn ownership_figures(&self, now: Micros) -> String {
+    pub(super) fn ownership_metrics(&self, now: Micros) -> String {
         let Some(view) = &self.ownership.view else { return String::new() };
         let counts = &self.ownership.counts;
         let (waiting, local_deliveries) = self.handovers.counts();
--- a/crates/forwarder/src/reducer/reload.rs
+++ b/crates/forwarder/src/reducer/reload.rs
@@ -10,26 +10,27 @@
     /// Takes over a configuration that is good. Messages and calls in flight carry on; the list stays in use until
     /// discovery, perhaps at another address, has told more.
     pub(super) fn reload_config(&mut self, now: Micros, config: Config) {
-        let Config { discovery, catalogue, owners, settings, names, limits, policy_out, .. } = config;
-        self.log(format!("configuration: reloaded discovery={}", discovery.file));
-        let superseded = discovery.given.filter(|given| Some(*given) != self.discovery.superseded());
+        let Config { discovery, catalogue, owners, settings, names, limits, policy_ejected, .. } = config;
+        self.log(format!("configuration: reloaded discovery={}", discovery.configured));
+        let superseded =
+            discovery.from_command_line.filter(|given| Some(*given) != self.discovery.superseded());
         if let Some(discovery) = superseded {
             self.append_record(&Record::DiscoverySuperseded { discovery });
             self.discovery.supersede(discovery);
         }
-        if self.discovery.address() != discovery.file {
+        if self.discovery.address() != discovery.configured {
             self.final_answers.post_now(now);
         }
-        self.discovery.reload(now, discovery.file, catalogue, &settings);
+        self.discovery.reload(now, discovery.configured, catalogue, &settings);
         let bounds = Bounds::new(&settings, limits);
-        self.pool.bound(settings.idle_timeout, bounds.connections);
+        self.pool.set_limits(settings.idle_timeout, bounds.connections);
         self.durability.set_limit_bytes(bounds.disk_bytes);
         self.share_space();
         self.finished.set_max_ids(bounds.finished_ids);
         self.settings = settings;
         self.names = names;
-        self.policy.set_ejected(policy_out);
-        self.figures.name(&self.names.classes);
+        self.policy.set_ejected(policy_ejected);
+        self.metrics.register_classes(&self.names.classes);
         self.controller.replace_settings(self.controller_settings());
         self.report_all_endpoints(now);
         self.replace_owners(now, owners);
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -6,8 +6,8 @@
 use super::Reducer;
 use super::durability::AfterAppend;
 use super::message_table::{DecidedMessage, Message, message_size};
-use crate::figures::End;
 use crate::input::{RequestId, Submission, SubmitAnswer};
+use crate::metrics::MessageEnd;
 use crate::ownership::{HandoverMark, Peer};
 use bytes::Bytes;
 use orchidyoke_core::interface::{Event, Idempotency, MessageId, Micros};
@@ -38,7 +38,7 @@
         };
         let reserve_bytes = self.ownership.reserve_bytes(&submission.id);
         if !self.has_room_for(now, &submission, &checked, reserve_bytes) {
-            self.figures.turned_away(&submission.class, End::Overload);
+            self.metrics.on_rejected(&submission.class, MessageEnd::Overload);
             return self.answer(request, SubmitAnswer::Rejected(self.journal_full_retry_after()));
         }
         let is_retry = submission.is_retry;
@@ -179,7 +179,7 @@
         // In flight when the process ended: it may have run.
         let in_flight = accepted.in_flight.take();
         accepted.possible_delivery = accepted.possible_delivery.or(in_flight);
-        self.figures.took(1);
+        self.metrics.on_accepted(1);
         let handover_reserve_bytes = self.ownership.reserve_bytes(&accepted.id);
         let number = self.messages.insert(Message {
             accepted,
@@ -261,7 +261,7 @@
             if stored {
                 self.count_stored(number);
             } else if let Some(message) = self.drop_message(number) {
-                self.figures.turned_away(&message.accepted.class, End::Overload);
+                self.metrics.on_rejected(&message.accepted.class, MessageEnd::Overload);
                 self.controller.push(Event::Withdrawn { id: number });
             }
             let answer = if stored {
@@ -282,7 +282,7 @@
         if let Some(message) = self.messages.get_mut(number)
             && !std::mem::replace(&mut message.stored, true)
         {
-            self.figures.took(1);
+            self.metrics.on_accepted(1);
             self.ownership.count_taken_over(&message.accepted);
         }
     }
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -5,8 +5,8 @@
 use super::Reducer;
 use super::durability::AfterAppend;
 use super::final_answers::{DecidedAnswer, FinishedId};
-use crate::figures::End;
 use crate::input::Effect;
+use crate::metrics::MessageEnd;
 use bytes::Bytes;
 use orchidyoke_core::interface::{MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, Record, RecordsWithBodies};
@@ -133,11 +133,11 @@
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
             let may_have_run = accepted.possible_delivery.is_some() || accepted.in_flight.is_some();
             let (answer, end) = if may_have_run {
-                (FinalAnswer::Failed, End::Error)
+                (FinalAnswer::Failed, MessageEnd::Error)
             } else {
-                (FinalAnswer::Rejected { retry_after_ms }, End::Overload)
+                (FinalAnswer::Rejected { retry_after_ms }, MessageEnd::Overload)
             };
-            self.figures.turned_away(&accepted.class, end);
+            self.metrics.on_rejected(&accepted.class, end);
             takeover.undelivered_answers.push(DecidedAnswer { id: accepted.id, answer, decided_at: now });
         }
         let records: Vec<_> = takeover.undelivered_answers.iter().map(DecidedAnswer::record).collect();
@@ -164,7 +164,7 @@
     fn merge_message(&mut self, now: Micros, number: MessageId, merged: AcceptedMessage) {
         let Some(message) = self.messages.get_mut(number) else { return };
         if !std::mem::replace(&mut message.stored, true) {
-            self.figures.took(1);
+            self.metrics.on_accepted(1);
         }
         message.accepted = merged;
         if message.in_controller {
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -352,7 +352,7 @@
     /// A message is the successor's from here on. Who submits it again is told that it was accepted.
     pub(super) fn release_to_successor(&mut self, number: MessageId) {
         if let Some(message) = self.drop_message(number) {
-            self.figures.handed_over();
+            self.metrics.on_handed_over();
             self.finished.remember(message.accepted.id, self.controller.last_round_at());
             self.controller.push(Event::Withdrawn { id: number });
         }
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -64,11 +64,11 @@
 // Guards against a fleet that loses discovery in one moment and floods it while it is down, or stays away for so long
 // that a change binds before it is heard: from one call to the next 5 s at most, and all back soon.
 #[test]
-fn a_fleet_cut_off_together_finds_its_list_again_in_time() {
+fn fleet_disconnected_together_recovers_its_list_in_time() {
     for seed in 0..10 {
         let mut fleet: Vec<_> =
             (0..FLEET as u64).map(|who| Backoff::new(4 * SECOND, seed * 1000 + who)).collect();
-        let played = play(|who, _, took| fleet[who].pause(MOST - took));
+        let played = play(|who, _, took| fleet[who].next_delay(MOST - took));
         assert!(played.busiest <= 45 && played.longest <= MOST, "seed {seed}: {played:?}");
         assert!(played.last <= DOWN + 12 * SECOND, "seed {seed}: {played:?}");
     }
@@ -84,16 +84,16 @@
 
 // Guards against a bound that overflows or a pause beyond what it may be, and failures that are never forgotten.
 #[test]
-fn pauses_stay_within_bounds_that_double_until_the_last() {
+fn delays_stay_within_bounds_that_double_up_to_the_cap() {
     let mut backoff = Backoff::new(100, 1);
     for bound in [100, 200, 400, 800] {
-        assert!((0..=bound).contains(&backoff.pause(1000)));
+        assert!((0..=bound).contains(&backoff.next_delay(1000)));
     }
     for _ in 0..100 {
-        assert!((500..=1000).contains(&backoff.pause(1000)), "from the upper half");
+        assert!((500..=1000).contains(&backoff.next_delay(1000)), "from the upper half");
     }
     backoff.reset();
-    assert!(backoff.pause(1000) <= 100);
+    assert!(backoff.next_delay(1000) <= 100);
     let mut odd = Backoff::new(Micros::MAX, 1);
-    assert!((0..100).all(|_| odd.pause(0) == 0 && odd.pause(-5) == 0));
+    assert!((0..100).all(|_| odd.next_delay(0) == 0 && odd.next_delay(-5) == 0));
 }
--- a/crates/forwarder/tests/next_hop.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -3,9 +3,9 @@
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
-use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Part, Progress};
+use orchidyoke_forwarder::endpoint_call::{CallMessage, Cause, EndpointCall, EndpointCallError, Progress};
+use orchidyoke_forwarder::endpoint_connection::{Order, run};
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::next_hop::{Order, run};
 use orchidyoke_forwarder::write_progress::WriteProgress;
 use quickcheck::{Gen, QuickCheck};
 use socket2::SockRef;
@@ -60,7 +60,7 @@
 // (an order would go out twice), or leaving a connection behind on which the next call reads its rest; and
 // against a good answer thrown away for what stands beside it.
 #[test]
-fn what_spoilt_answers_and_full_ones_are_taken_for() {
+fn invalid_and_rejecting_responses_map_to_their_outcome() {
     const GOOD: u16 = 200;
     const SPOILT: u16 = 0;
     let long =
@@ -91,11 +91,18 @@
         let (first, answered_again) = runtime.block_on(call(answer, goes_on, bulk));
         match first {
             Input::CallAnswered { reply, .. } => {
-                assert_eq!((reply.status, reply.limit, reply.left), (expected, None, None), "{text}");
+                assert_eq!(
+                    (reply.status, reply.reported_limit, reply.reported_remaining),
+                    (expected, None, None),
+                    "{text}"
+                );
             }
             Input::ConnectionClosed { error, .. } => {
-                assert!(expected == SPOILT && matches!(error.cause, Cause::Spoilt(_)), "{text}: {error}");
-                assert!(!error.never_ran(), "{text}: {error}");
+                assert!(
+                    expected == SPOILT && matches!(error.cause, Cause::InvalidResponse(_)),
+                    "{text}: {error}"
+                );
+                assert!(!error.not_delivered(), "{text}: {error}");
             }
             other => panic!("{text}: {other:?}"),
         }
@@ -106,16 +113,16 @@
 // Guards against a call taken for unwritten though its last byte went out, or the other way round,
 // however the writes were cut.
 #[test]
-fn a_request_is_written_with_its_last_byte() {
+fn call_counts_as_written_with_its_last_byte() {
     fn keep(body: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut request = b"POST /inbox HTTP/1.1\r\nx-txn: a\r\n\r\n".to_vec();
         request.extend_from_slice(&body);
-        let mut written = WriteProgress::of_body(body.len());
+        let mut written = WriteProgress::with_body_bytes(body.len());
         let (mut rest, mut cuts) = (&request[..], cuts.into_iter().cycle());
         while !rest.is_empty() {
             assert_eq!(written.progress(), Progress::NotFullyWritten);
             let (now, later) = rest.split_at(usize::from(cuts.next().unwrap_or(3)).clamp(1, rest.len()));
-            written.take(now);
+            written.on_written(now);
             rest = later;
         }
         written.progress() == Progress::FullyWritten
@@ -124,9 +131,14 @@
     QuickCheck::new().tests(200).rng(chance).quickcheck(keep as fn(Vec<u8>, Vec<u8>) -> bool);
 }
 
-fn call_of(bulk: bool) -> Call {
-    let part = Part { txn: "a".to_owned(), key: None, body: Bytes::from_static(b"body") };
-    Call { parts: vec![part; 1 + usize::from(bulk)], bulk, remaining: 1_000_000, due: 0 }
+fn call_of(bulk: bool) -> EndpointCall {
+    let part = CallMessage { id: "a".to_owned(), idempotency_key: None, body: Bytes::from_static(b"body") };
+    EndpointCall {
+        messages: vec![part; 1 + usize::from(bulk)],
+        is_bulk: bulk,
+        time_left: 1_000_000,
+        deadline: 0,
+    }
 }
 
 /// A connection of the forwarder's to a far end whose socket the test holds: it acts between the turns of the runtime,
@@ -219,7 +231,7 @@
 // bytes are there before the call is, and the runtime has not yet heard of them. Written all the same, an order may have
 // run that never did, and what came before it is read as its answer.
 #[test]
-fn nothing_is_written_on_a_connection_that_closed_or_spoke_as_it_was_chosen() {
+fn nothing_is_written_on_a_connection_that_closed_or_spoke_when_chosen() {
     for (what, bytes) in
         [("closed", &b""[..]), ("reset", b""), ("half a line", b"HTTP/1.1 2"), ("an answer", OK)]
     {
@@ -246,7 +258,7 @@
                     _ => {}
                 }
             };
-            assert!(error.never_ran() && !error.given_up(), "{what}: {error}");
+            assert!(error.not_delivered() && !error.ended_locally(), "{what}: {error}");
             if what != "reset" {
                 let mut sent = Vec::new();
                 let _ = pair.far.read_to_end(&mut sent);
@@ -259,7 +271,7 @@
 // Guards against an answer thrown away because its call's time is up, or the call is called off, in the turn in which the
 // answer comes: a wait that it tells binds, and a delivery is one.
 #[test]
-fn an_answer_in_the_turn_of_its_time_out_or_its_calling_off_counts() {
+fn response_arriving_with_its_time_out_or_cancellation_counts() {
     const WAIT: &[u8] =
         b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 900\r\nContent-Length: 4\r\n\r\nlate";
     for called_off in [false, true] {
@@ -279,7 +291,11 @@
                 }
                 match pair.next().await {
                     Input::CallAnswered { reply, reusable, .. } => {
-                        assert_eq!((reply.status, reply.wait_ms), (status, wait), "called off: {called_off}");
+                        assert_eq!(
+                            (reply.status, reply.retry_after_ms),
+                            (status, wait),
+                            "called off: {called_off}"
+                        );
                         assert!(!reusable || !called_off, "nobody has it any more");
                     }
                     other => panic!("called off: {called_off}: {status}: {other:?}"),
@@ -292,21 +308,21 @@
 // Guards against a call that is held, or taken for answered, by an answer that began and does not go on when its time is
 // up: half an answer is no answer.
 #[test]
-fn half_an_answer_at_the_end_of_its_time_is_none() {
+fn partial_response_at_its_time_out_is_no_response() {
     play(async {
         let mut pair = Pair::up().await;
         pair.send(Duration::from_millis(100));
         pair.written().await;
         pair.far.write_all(b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 9").expect("written");
         let (error, _) = pair.end().await;
-        assert!(!error.never_ran() && error.progress == Progress::Answered, "{error}");
+        assert!(!error.not_delivered() && error.progress == Progress::Answered, "{error}");
     });
 }
 
 // Guards against a reset after the last byte, at once or long after, that is taken for "never ran"; and against one in
 // the middle of a request that is taken for "may have run".
 #[test]
-fn a_reset_after_the_last_byte_may_have_run_however_late() {
+fn late_reset_after_the_last_byte_leaves_delivery_in_doubt() {
     for late in [Duration::ZERO, Duration::from_millis(700)] {
         play(async {
             let mut pair = Pair::up().await;
@@ -330,7 +346,7 @@
 // Guards against a connection that is kept though more came with its answer than belongs to it: the rest would be the
 // next call's answer.
 #[test]
-fn a_connection_with_bytes_left_over_is_not_used_again() {
+fn connection_with_trailing_bytes_is_not_reused() {
     play(async {
         let mut pair = Pair::up().await;
         pair.send(PATIENCE);
@@ -353,7 +369,7 @@
 
 // Guards against a dial that is held beyond its time, or beyond its calling off, by a far end that never answers it.
 #[test]
-fn a_connection_that_never_comes_up_is_given_up_in_time() {
+fn hanging_connect_times_out() {
     play(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -372,7 +388,7 @@
             let _orders = (!called_off).then_some(orders);
             let end = timeout(Duration::from_secs(5), came.recv()).await.expect("in time");
             let Some(Input::ConnectionClosed { error, .. }) = end else { panic!("{end:?}") };
-            assert!(error.progress == Progress::NotConnected && error.given_up(), "{error}");
+            assert!(error.progress == Progress::NotConnected && error.ended_locally(), "{error}");
         }
     });
 }
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -8,7 +8,7 @@
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
-use orchidyoke_forwarder::hop_call::Reply;
+use orchidyoke_forwarder::endpoint_call::EndpointReply;
 use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, Submission, SubmitAnswer, WatchSource};
 use orchidyoke_forwarder::ownership::{HandoverMark, OutgoingOffer, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_forwarder::reducer::Reducer;
@@ -289,13 +289,18 @@
                     }
                     Effect::SendCall { connection: link, call } => {
                         let state = |txn: &str| format!(r#"{{"id":"{txn}","state":"accepted"}}"#);
-                        let states: Vec<_> = call.parts.iter().map(|part| state(&part.txn)).collect();
-                        for part in call.parts {
-                            let sent = (now - START, links[&link], part.key, part.body);
-                            assert!(asked.written.insert(part.txn, sent).is_none(), "twice");
+                        let states: Vec<_> = call.messages.iter().map(|part| state(&part.id)).collect();
+                        for part in call.messages {
+                            let sent = (now - START, links[&link], part.idempotency_key, part.body);
+                            assert!(asked.written.insert(part.id, sent).is_none(), "twice");
                         }
                         let body = format!("[{}]", states.join(",")).into();
-                        let reply = Reply { status: 200, bulk: call.bulk, body, ..Reply::default() };
+                        let reply = EndpointReply {
+                            status: 200,
+                            is_bulk: call.is_bulk,
+                            body,
+                            ..EndpointReply::default()
+                        };
                         inputs.push_back(Input::CallAnswered { connection: link, reply, reusable: false });
                     }
                     Effect::PostNotifications { notifications: notices, .. } => {
@@ -359,9 +364,9 @@
 #[test]
 fn messages_that_were_pending_are_taken_over_and_counted() {
     let reducer = start(None, STORED.len());
-    let (figures, gauges) = (reducer.figures(), reducer.gauges());
-    assert_eq!((figures.taken(), figures.open()), (9, 9));
-    assert_eq!((gauges.concurrent, gauges.targets), (9, 5));
+    let (figures, gauges) = (reducer.metrics(), reducer.gauges());
+    assert_eq!((figures.accepted(), figures.open_messages()), (9, 9));
+    assert_eq!((gauges.open_messages, gauges.endpoints), (9, 5));
 }
 
 #[test]
@@ -399,7 +404,7 @@
     let avoided = |left_out: fn(&Record) -> bool| {
         let mut reducer = start_without(left_out, None, STORED.len());
         drive(&mut reducer, 20 * MS);
-        reducer.gauges().targets_disabled
+        reducer.gauges().avoided_endpoints
     };
     assert_eq!(avoided(|_| false), 3, "one drains, one is out by hand, one is of a destination in trouble");
     assert_eq!(avoided(|record| matches!(record, Record::FaultyRoutes { .. })), 2);
@@ -425,7 +430,7 @@
     }
     let window_end = 1500 * MS;
     assert!(asked.written["m-ran"].0 < window_end, "its window runs from its first attempt");
-    assert_eq!((reducer.figures().open(), asked.notices.len()), (0, 2));
+    assert_eq!((reducer.metrics().open_messages(), asked.notices.len()), (0, 2));
 }
 
 #[test]
@@ -470,7 +475,7 @@
     let asked =
         drive_from(&mut reducer, Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() }, 8 * S);
     assert_eq!((asked.retired, asked.followed), (vec![0], vec![(3, 9)]));
-    assert_eq!((reducer.figures().taken(), reducer.figures().open()), (9, 0));
+    assert_eq!((reducer.metrics().accepted(), reducer.metrics().open_messages()), (9, 0));
     let owed =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
     assert_eq!(asked.notices[..2], owed.map(|(txn, verdict)| (string(txn), verdict)));
--- a/src/config_source.rs
+++ b/src/config_source.rs
@@ -4,17 +4,17 @@
 #[cfg(feature = "installations")]
 use crate::installation::Script;
 use orchidyoke_forwarder::config::ConfigError;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 
 /// The source that these options name, without a fleet's policy.
 ///
 /// # Errors
 ///
 /// No configuration file is given.
-pub fn from_args(args: ConfigArgs) -> Result<Source, ConfigError> {
+pub fn from_args(args: ConfigArgs) -> Result<ConfigSource, ConfigError> {
     let missing = "no configuration: give --config FILE, or EDGE_CONFIG in the environment";
-    Ok(Source {
-        path: args.config.ok_or_else(|| ConfigError::new(missing))?,
+    Ok(ConfigSource {
+        path: args.config.ok_or_else(|| ConfigError::extension(missing))?,
         listen: args.listen,
         discovery: args.discovery,
         console: args.console,
@@ -22,6 +22,6 @@
         installation: args.settings.map(|path| Box::new(Script(path)) as Box<_>),
         #[cfg(not(feature = "installations"))]
         installation: None,
-        ..Source::default()
+        ..ConfigSource::default()
     })
 }
