--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -14,14 +14,14 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// One request of the sender side, or one call of an operator, that waits for its answer.
+/// One request of a client, or one call of an operator, that waits for its answer.
 pub type RequestId = u64;
 /// One append to the journal.
 pub type AppendId = u64;
 /// One watch on the list; the next has another number.
 pub type WatchId = u64;
 
-/// The header of a key that has repeats dropped, on both sides.
+/// The header of a message's idempotency key, from clients and to endpoints.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
 /// Whether this process has the policy of its fleet in force.
@@ -38,9 +38,9 @@
 pub struct OtherProcessUpdate {
     /// Number of its file.
     pub generation: Generation,
-    /// The file was rewritten: the records begin anew.
+    /// The file was compacted: the records begin anew.
     pub rewritten: bool,
-    /// What has come since the last look.
+    /// What has come since the last update.
     pub records: RecordsWithBodies,
     /// Bytes in the file.
     pub size: usize,
@@ -50,9 +50,9 @@
 
 /// The sender of one watch: its updates come in under the number of the watch, and are ignored once there is another.
 pub fn update_sender(watch: WatchId, inputs: UnboundedSender<Input>) -> UpdateSender {
-    UpdateSender::new(move |news| {
+    UpdateSender::new(move |event| {
         // The receiver is gone only when the forwarder ends.
-        let _ = inputs.send(Input::WatchEvent { watch, event: news });
+        let _ = inputs.send(Input::WatchEvent { watch, event });
     })
 }
 
@@ -69,7 +69,7 @@
     pub idempotency_key: Option<String>,
     /// Its destination.
     pub destination: DestinationId,
-    /// How long it may still be delivered.
+    /// How long it may still be delivered, in microseconds.
     pub time_left: Micros,
     /// Marked as submitted again.
     pub is_retry: bool,
@@ -82,9 +82,9 @@
 /// The answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitAnswer {
-    /// Taken on.
+    /// Accepted: its record is in the journal.
     Accepted,
-    /// Deferred: handing it in again is harmless, after this time.
+    /// Rejected: submitting it again is harmless, after this time in microseconds.
     Rejected(Micros),
     /// Given up.
     Failed,
@@ -141,7 +141,7 @@
         /// Bytes in the file now.
         size: usize,
     },
-    /// A connection to a next hop is up.
+    /// A connection to an endpoint is up.
     ConnectionUp {
         /// Which.
         connection: EndpointConnectionId,
@@ -151,7 +151,7 @@
         /// On this connection.
         connection: EndpointConnectionId,
     },
-    /// A next hop has answered a call.
+    /// An endpoint has answered a call.
     CallAnswered {
         /// On this connection.
         connection: EndpointConnectionId,
@@ -160,14 +160,14 @@
         /// The connection can carry another call.
         reusable: bool,
     },
-    /// A connection to a next hop is closed.
+    /// A connection to an endpoint is closed.
     ConnectionClosed {
         /// Which.
         connection: EndpointConnectionId,
         /// How far its call had come, if it had one.
         error: EndpointCallError,
     },
-    /// A watch on the list has told something.
+    /// A watch on the endpoint list has an event.
     WatchEvent {
         /// Which watch.
         watch: WatchId,
@@ -180,12 +180,12 @@
         watch: WatchId,
         /// Why, for the log.
         reason: String,
-        /// How long discovery says to wait before it is asked again; 0 where it says nothing.
+        /// Its Retry-After; 0 where discovery sent none.
         retry_after_ms: u64,
-        /// How long ago it last said something whole, or was asked: since then it may have had more to tell.
+        /// Time since its last complete event, or since it started, in microseconds: discovery may have had changes since.
         silence: Micros,
     },
-    /// The post of notices was answered.
+    /// The post of notifications was answered.
     NotificationsPosted {
         /// With 204.
         accepted: bool,
@@ -223,7 +223,7 @@
     Catalogue {
         /// Which.
         catalogue: Rc<dyn Catalogue>,
-        /// The list held, whoever told it.
+        /// The list in force, wherever it came from.
         held: WatchEvent,
     },
 }
@@ -246,7 +246,7 @@
 /// What is to be done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a request of the sender side.
+    /// Answer a request of a client.
     Answer {
         /// The request.
         request: RequestId,
@@ -277,7 +277,7 @@
         /// What still counts.
         bytes: Bytes,
     },
-    /// Open a connection to a next hop and report.
+    /// Open a connection to an endpoint and report.
     Connect {
         /// Its number.
         connection: EndpointConnectionId,
@@ -300,7 +300,7 @@
     },
     /// Offer a message to the forwarder that owns its destination and report.
     Offer(Box<OutgoingOffer>),
-    /// Post these notices and report.
+    /// Post these notifications and report.
     PostNotifications {
         /// Where to.
         to: SocketAddr,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,7 +1,10 @@
-//! The journal: what must outlast the process. Records and their bytes, the file they are in, and its space.
+//! The journal: what must outlast the process. Records, their bytes, the files of a folder, and its disk space.
 //!
-//! A record is framed by its length and a checksum, so that a tail torn by a kill is told from a whole one.
-//! When it has grown, the file is rewritten with what still counts; old and new together keep to the limit.
+//! A record is framed by its length and a checksum, so that a tail torn by a kill is told from a complete one. When the
+//! file has grown it is compacted: a snapshot takes its place, and the old and the new together keep to the limit.
+//!
+//! An append is in the file when it returns, and survives the end of the process; it is not synced to the disk. The
+//! forwarder sends a 202, and a call's first byte, only after the append of the record that says so.
 //!
 //! Processes that share a folder, as in an upgrade, have a file each, under a lock that the system releases when the
 //! process ends. Each reads those of the others.
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -14,31 +14,31 @@
 pub enum FinalAnswer {
     /// Given up, with no promise.
     Failed,
-    /// Deferred: it may be handed in again, after so many milliseconds.
+    /// Rejected: it may be submitted again.
     #[serde(rename = "returned")]
     Rejected {
-        /// When to come back.
+        /// After so many milliseconds.
         #[serde(rename = "after_ms")]
         retry_after_ms: i64,
     },
 }
 
-/// A delivery attempt that may have run: when it began, and at which endpoint.
+/// A delivery attempt: when it began, and at which endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptStart {
-    /// When it began.
+    /// When it began, as Unix time in microseconds.
     #[serde(rename = "at")]
     pub started_at: Micros,
     /// The endpoint's uid.
     #[serde(rename = "uid")]
     pub endpoint: String,
-    /// Its zone when the attempt began: only there is a repeat dropped, wherever the endpoint is listed later. Empty in
-    /// records of versions before.
+    /// The endpoint's zone when the attempt began: only there is a repeat dropped, wherever the endpoint is listed later.
+    /// Empty in records of earlier versions.
     #[serde(rename = "az", default, skip_serializing_if = "String::is_empty")]
     pub zone: String,
 }
 
-/// A message, as far as what comes later depends on it. Its body stands apart.
+/// A message that was accepted, with what has become of it so far. Its body is kept beside it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     /// Its id.
@@ -55,26 +55,26 @@
     /// Its destination.
     #[serde(rename = "dest")]
     pub destination: u64,
-    /// When its time is up.
+    /// Its deadline, as Unix time in microseconds.
     pub deadline: Micros,
     /// Attempts used.
     pub attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt that may have delivered it.
     #[serde(rename = "ran")]
     pub possible_delivery: Option<AttemptStart>,
-    /// The attempt that is out.
+    /// The attempt in flight.
     #[serde(rename = "out")]
     pub in_flight: Option<AttemptStart>,
-    /// Where it stands between the forwarders of a fleet: kept in records of its own, which versions that know nothing
-    /// of them must not pass over.
+    /// Its handover to the forwarder that owns its destination: written as records of its own, which versions that do not
+    /// know them reject.
     #[serde(skip)]
     pub handover: HandoverState,
 }
 
-/// Where a message stands between the forwarders of a fleet.
+/// The handover of a message to the forwarder that owns its destination.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// The forwarder that it was offered to and that may have taken it.
+    /// The offer to a forwarder that may have accepted it.
     pub offered: Option<HandoverOffer>,
     /// It is delivered by this forwarder, whoever owns its destination.
     pub kept_local: bool,
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: what of a file can be read after a process has ended in whatever way.
+//! Recovery: which records of a file can be read after a process has ended in whatever way.
 
 use crate::error::DecodeError;
 use crate::record::{Record, RecordsWithBodies};
@@ -7,17 +7,18 @@
 /// What can be read of a file.
 #[derive(Debug, Default)]
 pub struct RecoveredRecords {
-    /// The records up to the first that is not whole or not known.
+    /// The records up to the first that is not complete or not known.
     pub records: RecordsWithBodies,
     /// The bytes that they take up.
     pub complete_bytes: usize,
-    /// Why the next record, though whole, cannot be read: a later version wrote it. It is not to be cut off.
+    /// Why the next record, though complete, cannot be read: a later version wrote it. It is not to be cut off.
     pub unreadable: Option<DecodeError>,
 }
 
-/// Reads a file. A tail that is not whole was torn by a kill; a record that is whole and not known was not.
+/// Reads a file. A tail that is not complete was torn by a kill; a record that is complete and not known was not.
 pub fn read(mut file: Bytes) -> RecoveredRecords {
-    let (mut reading, all) = (RecoveredRecords::default(), file.len());
+    let mut reading = RecoveredRecords::default();
+    let all = file.len();
     loop {
         reading.complete_bytes = all - file.len();
         let mut rest = file.clone();
