--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -320,7 +320,7 @@
 
 // Guards against a message that is delivered by who does not own its destination, or with less than it came with.
 #[test]
-fn a_message_goes_to_its_owner_with_all_that_it_has() {
+fn offer_carries_the_whole_message_to_its_owner() {
     let mut world = World::new(Class::KeyedByZone, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     world.take("own", 2);
@@ -351,7 +351,7 @@
 
 // Guards against a second message in the place of a repeat, at the holder and after its restart.
 #[test]
-fn who_hands_in_once_more_what_is_handed_over_is_told_that_it_was_taken_on() {
+fn resubmission_of_a_handed_over_message_is_accepted() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Unsafe, fleet());
     world.take("a", 1);
@@ -368,7 +368,7 @@
 
 // Guards against a way without an end: two forwarders that each think that the other is the owner.
 #[test]
-fn a_marked_message_is_delivered_here_whoever_owns_it_also_after_a_restart() {
+fn handed_over_message_is_delivered_here_also_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f1", "f1"]));
     let mut world = World::new(Class::Unsafe, fleet());
     let message = Submission { handover_mark: marked("f2", world.now), ..world.handed("a", 1) };
@@ -382,7 +382,7 @@
 
 // Guards against a duplicate at the owner: the holder asks again about what is open, and about what is over.
 #[test]
-fn an_owner_answers_a_repeat_as_taken_on_while_open_and_when_over() {
+fn owner_accepts_a_repeated_offer_while_open_and_when_finished() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     for _ in 0..3 {
         let message = Submission { handover_mark: marked("f1", world.now), ..world.handed("a", 1) };
@@ -395,7 +395,7 @@
 
 // Guards against a repeat at the owner of what may have run before: the trace goes along.
 #[test]
-fn what_may_have_run_before_binds_the_owner() {
+fn possible_delivery_in_the_mark_restricts_the_owner() {
     for (class, is_sent) in [(Class::Unsafe, false), (Class::Safe, true)] {
         let mut world = World::new(class, Some(Fleet::of(1, ["f0", "f0", "f0"])));
         let ran =
@@ -417,7 +417,7 @@
 
 // Guards against an owner that delivers after the holder has ended the message: a freeze must not lengthen its time.
 #[test]
-fn an_owner_holds_to_the_deadline_and_not_to_the_time_left() {
+fn owner_keeps_the_deadline_of_the_mark() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let deadline = world.now - S;
     let valid_until = world.now + 20 * S;
@@ -430,7 +430,7 @@
 
 // Guards against a second delivery of what a cut link brings late: the id, told as known for 30 s, may be forgotten by then.
 #[test]
-fn an_offer_that_is_read_after_its_time_is_refused() {
+fn expired_offer_is_rejected() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     let (deadline, valid_until) = (world.now + 8 * S, world.now - 1);
     let mark =
@@ -446,7 +446,7 @@
 
 // Guards against a mark that is half understood, and against one that means anything where there are no owners.
 #[test]
-fn a_malformed_mark_is_refused_and_without_owners_none_counts() {
+fn malformed_mark_is_rejected_and_ignored_without_owners() {
     for (owners, expected) in [
         (Some(Fleet::of(1, ["f0", "f0", "f0"])), SubmitAnswer::Incomplete("X-Handover: malformed\n")),
         (None, SubmitAnswer::Accepted),
@@ -463,7 +463,7 @@
 
 // Guards against a message that is lost, or handed on without bound, because its sender is not known here.
 #[test]
-fn a_message_from_who_is_no_member_is_delivered_here_and_counted() {
+fn handover_from_a_non_member_is_delivered_here_and_counted() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f1", "f1"])));
     for txn in ["a", "b"] {
         let message = Submission { handover_mark: marked("f77", world.now), ..world.handed(txn, 1) };
@@ -476,7 +476,7 @@
 
 // Guards against a refusal that is taken for a doubt, and against an owner that is pressed on or gone around.
 #[test]
-fn a_refused_message_is_offered_again_after_the_wait_and_never_delivered_here() {
+fn rejected_offer_is_repeated_after_retry_after_and_not_delivered_here() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -493,7 +493,7 @@
 
 // Guards against a lost answer that ends a message, or that sends it elsewhere while the owner may have it.
 #[test]
-fn after_a_lost_answer_the_same_owner_is_asked_under_the_same_id() {
+fn unanswered_offer_is_repeated_to_the_same_owner_under_the_same_id() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -516,7 +516,7 @@
 
 // Guards against a doubt that a later refusal, or an owner that cannot be reached, is taken to end.
 #[test]
-fn a_doubt_outlasts_what_later_offers_say() {
+fn doubt_survives_later_offer_outcomes() {
     for later in [OfferOutcome::Rejected(0), unreached()] {
         let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
         world.take("a", 1);
@@ -530,7 +530,7 @@
 
 // Guards against a forbidden repeat once the owner is no member, and against a message kept back that may be repeated.
 #[test]
-fn an_owner_that_is_gone_is_treated_by_class() {
+fn removed_owner_in_doubt_is_resolved_by_idempotency() {
     let gone = |version| Fleet::of(version, ["f0", "f0", "f2"]);
     for (class, is_sent) in [
         (Class::Safe, true),
@@ -563,7 +563,7 @@
 
 // Guards against a message that waits for who has left the fleet, or that counts as run where it never went.
 #[test]
-fn what_was_never_taken_goes_to_the_new_owner() {
+fn unaccepted_message_goes_to_the_new_owner() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     for txn in ["a", "b"] {
         world.take(txn, 1);
@@ -587,7 +587,7 @@
 
 // Guards against an offer that was out when its answer lost its meaning: the owner left while it was asked.
 #[test]
-fn an_offer_that_is_out_ends_before_its_message_goes_elsewhere() {
+fn offer_in_flight_ends_before_its_message_is_reassigned() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -601,7 +601,7 @@
 
 // Guards against an owner that is asked where it was before its view said otherwise.
 #[test]
-fn an_owner_is_asked_where_the_newest_view_has_it() {
+fn offer_goes_to_the_owners_newest_address() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -614,7 +614,7 @@
 
 // Guards against a new owner that sends at the whole rate while the one before it may still do so.
 #[test]
-fn a_new_owner_begins_as_for_a_destination_that_comes_back() {
+fn new_owner_slow_starts_its_destination() {
     let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, marked: ReceivedMark| {
         let [before, after] = owners;
         let mut world = World::new(Class::Safe, Some(before));
@@ -636,7 +636,7 @@
 
 // Guards against a view that goes back.
 #[test]
-fn an_older_view_is_passed_over() {
+fn older_view_is_ignored() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(5, ["f1", "f1", "f1"])));
     world.input(Input::OwnersChanged(Fleet::of(4, ["f2", "f2", "f2"])));
     world.take("a", 1);
@@ -649,7 +649,7 @@
 
 // Guards against a restart that forgets what was offered: it is asked again, and counts as run when nobody can be asked.
 #[test]
-fn after_a_restart_what_was_offered_is_asked_again_under_its_id() {
+fn restart_repeats_an_offer_under_its_id() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Unsafe, fleet());
     world.take("a", 1);
@@ -667,7 +667,7 @@
 
 // Guards against a restart that takes for doubtful what was never taken.
 #[test]
-fn after_a_restart_what_was_declined_is_free() {
+fn restart_reassigns_a_declined_message() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -679,7 +679,7 @@
 
 // Guards against a journal rewrite that drops where a message stands.
 #[test]
-fn a_snapshot_keeps_the_doubt() {
+fn compaction_keeps_the_doubt() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Unsafe, fleet());
     world.take("a", 1);
@@ -707,7 +707,7 @@
 
 // Guards against a flood at partners when an owner is dead: bounded in sum, one of a destination, by class.
 #[test]
-fn for_lack_of_an_owner_a_bounded_part_is_delivered_here() {
+fn failing_owner_gets_a_bounded_part_delivered_here() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
     world.take("a1", 1);
     world.take("a2", 1);
@@ -728,7 +728,7 @@
 
 // Guards against an owner that is asked by everyone at once when it comes back, or all the time while it is dead.
 #[test]
-fn a_failing_owner_gets_one_offer_at_a_time_with_growing_pauses() {
+fn failing_owner_gets_one_offer_at_a_time_with_backoff() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.endpoints_answer = false;
     for number in 0..30 {
@@ -756,7 +756,7 @@
 
 // Guards against a doubt that is forgotten when another owner is asked: what may have run goes along.
 #[test]
-fn a_doubt_goes_along_to_the_next_owner() {
+fn doubt_goes_along_to_the_next_owner() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -772,7 +772,7 @@
 
 // Guards against a start that offers again what has been begun here in doubt.
 #[test]
-fn what_was_begun_here_in_doubt_stays_here_after_a_restart() {
+fn local_delivery_in_doubt_stays_local_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Safe, fleet());
     world.endpoints_answer = false;
@@ -802,7 +802,7 @@
 
 // Guards against a flood at partners when an owner is dead: one message of a destination, and a bound on all of them.
 #[test]
-fn what_is_delivered_for_lack_of_an_owner_is_bounded_by_destination_and_in_sum() {
+fn local_deliveries_are_bounded_by_destination_and_in_total() {
     for (destinations, expected) in [(1, 1), (5, 5), (50, 32)] {
         let mut world = World::with_config(&wide_config(destinations), Some(one_owner(destinations)));
         world.endpoints_answer = false;
@@ -817,7 +817,7 @@
 
 // Guards against a queue without bound behind an owner that takes nothing: clients are told to wait.
 #[test]
-fn clients_are_pushed_back_when_too_much_waits_for_one_owner() {
+fn full_owner_queue_rejects_new_messages() {
     let mut world = World::with_config(&wide_config(2), Some(one_owner(1)));
     let messages: Vec<_> = (0..1_020).map(|number| world.handed(&format!("m{number}"), 1)).collect();
     for message in messages {
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -136,7 +136,7 @@
 // Guards against a large list that a restart forgets or writes once more, and against a change of one entry that costs
 // as much as all of them: in bytes written, or told to the module.
 #[test]
-fn a_large_list_outlasts_the_process_and_a_small_change_stays_small() {
+fn large_list_survives_a_restart_and_small_change_stays_small() {
     let mut world = World::start(config(targets(4)), Vec::new());
     assert!(world.news(news(2, true, targets(LISTED))) > 100 * LISTED, "it is written");
     assert_eq!(world.listed(), LISTED);
@@ -161,7 +161,7 @@
 
 // Guards against a change that another process of this forwarder has heard of and that costs as much as the list.
 #[test]
-fn a_change_heard_by_another_process_is_written_as_a_change() {
+fn change_heard_by_another_process_is_stored_as_a_delta() {
     let mut world = World::start(config(targets(4)), Vec::new());
     world.news(news(2, true, targets(LISTED)));
     let draining = EndpointEntry { state: EndpointState::Draining, ..target(5) };
@@ -218,7 +218,7 @@
 // Guards against a list that grows beyond its bound change by change, and against changes taken in after one that was
 // left out.
 #[test]
-fn changes_that_would_pass_the_bound_change_nothing_and_are_said_once() {
+fn oversized_change_is_rejected_and_logged_once() {
     let mut world = World::start(config(targets(4)), Vec::new());
     world.news(news(2, true, targets(MAX_ENTRIES)));
     let (size, lines) = (world.file.len(), world.log.len());
@@ -253,7 +253,7 @@
 
 // Guards against a watch that ends in the middle of a large list and changes something, or is not said in one line.
 #[test]
-fn a_watch_that_was_cut_off_is_said_in_one_line_and_changes_nothing() {
+fn truncated_watch_is_logged_once_and_changes_nothing() {
     let mut world = World::start(config(targets(4)), Vec::new());
     let (size, lines) = (world.file.len(), world.log.len());
     let why = "it ended in the middle of a list, after 9000000 bytes".to_owned();
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -12,7 +12,7 @@
 // Guards against the breaks that no single case shows: a message lost or ended twice by a kill at a bad moment,
 // a record that comes after what it should precede, a call that a wait, a drain or an end should have stopped.
 #[test]
-fn the_rules_hold_at_every_step() {
+fn invariants_hold_after_every_random_step() {
     fn keeps(steps: Vec<Step>) -> bool {
         [Shape::First, Shape::Second].into_iter().all(|shape| holds(shape, &steps))
     }
@@ -34,7 +34,7 @@
 // Guards against memory that grows with every endpoint, message and id that ever was, and against a connection kept
 // to an endpoint that is gone: another may have its address.
 #[test]
-fn what_is_over_leaves_nothing_behind() {
+fn finished_messages_leave_no_state() {
     let mut world = World::new();
     let mut sizes = Vec::new();
     for number in 0..400 {
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -13,7 +13,7 @@
 // Guards against an idle connection that closes as it is chosen being laid to the next hop, or ending a message
 // that may not be repeated: nothing was written, so the same attempt goes on a new connection.
 #[test]
-fn a_stale_connection_costs_no_attempt() {
+fn connection_closed_while_idle_costs_no_attempt() {
     let mut world = World::new();
     world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
@@ -37,7 +37,7 @@
 // Guards against a call to an address that its endpoint has left, where another may listen by now: on a connection that
 // was coming up, or carried a call, when the list told of the move.
 #[test]
-fn no_call_goes_to_an_address_that_its_endpoint_has_left() {
+fn moved_endpoint_gets_no_call_at_its_old_address() {
     let mut world = World::new();
     let moves = |world: &mut World, port: u16| {
         world.rev += 1;
@@ -66,7 +66,7 @@
 // Guards against a delivery taken for a failure of its next hop: a message of the call had run out of time before
 // the answer came, and its end, though told, was no longer found.
 #[test]
-fn a_message_out_of_time_spoils_no_call() {
+fn expired_message_is_left_out_of_its_call() {
     let mut world = World::new();
     world.submit("order".to_owned(), true, 1, 10);
     world.submit_for("status".to_owned(), false, 1, 10, 2 * S);
@@ -86,7 +86,7 @@
 // Guards against a message without an end: its answer came after its time, in the same moment in which a forwarder
 // that had no processor for a while looked again.
 #[test]
-fn an_answer_after_the_messages_time_leaves_no_end_owed() {
+fn success_after_the_deadline_still_gives_a_final_answer() {
     let mut world = World::new();
     world.submit("late".to_owned(), true, 2, 10);
     world.wait(10_000);
@@ -99,7 +99,7 @@
 // Guards against a message that no one ends: a next hop called it over (its client had gone), and the platform still
 // waited for its notice.
 #[test]
-fn a_message_called_over_is_ended_all_the_same() {
+fn message_finished_at_the_endpoint_gets_a_final_answer() {
     let mut world = World::new();
     world.submit("gone".to_owned(), true, 2, 10);
     world.wait(10_000);
@@ -113,7 +113,7 @@
 // Guards against orders without an end: the call that they shared with a status was answered after the status had run
 // out of time, and the platform took none of that answer.
 #[test]
-fn an_answer_later_than_one_of_its_messages_leaves_no_end_owed() {
+fn late_batch_answer_gives_every_message_a_final_answer() {
     let mut world = World::new();
     world.submit("order".to_owned(), true, 1, 10);
     world.submit_for("status".to_owned(), false, 1, 10, 2 * S);
@@ -128,7 +128,7 @@
 // Guards against one route's wait that holds its sister, so that the module's sends there come back unsent and use up
 // the attempts of their messages.
 #[test]
-fn a_wait_of_a_route_apart_leaves_its_sister_free() {
+fn retry_after_of_separate_route_leaves_other_routes_free() {
     let mut world = World::of(Shape::Second);
     for number in 0..2 {
         world.submit(format!("m{number}"), false, 2, 10);
@@ -149,7 +149,7 @@
 
 // Guards against a repeat that its window no longer drops: the dial for it began in time, and the connection came late.
 #[test]
-fn a_repeat_whose_connection_comes_after_its_window_is_not_written() {
+fn repeat_after_its_deduplication_window_is_not_sent() {
     let mut world = World::of(Shape::Second);
     world.submit("held".to_owned(), true, 3, 10);
     world.wait(10_000);
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -15,7 +15,7 @@
 
 // Guards against a forwarder that stops, or never hears of its list again, when discovery is down.
 #[test]
-fn a_lost_discovery_is_asked_again_and_its_list_stays_in_use() {
+fn lost_watch_is_restarted_and_the_list_stays_in_use() {
     let mut world = World::new();
     world.step(0, Step::List { which: 3, state: EndpointState::Draining });
     world.input(Input::WatchEnded { watch: 1, reason: "silent".to_owned(), retry_after_ms: 0, silence: 0 });
@@ -32,7 +32,7 @@
 // Guards against a reload that stays with the old discovery, forgets what is held or the list, or follows two
 // addresses: the watch that was left says so late.
 #[test]
-fn a_reload_asks_the_new_discovery_at_once_and_carries_on() {
+fn reload_watches_the_new_discovery_at_once() {
     let mut world = World::new();
     world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
@@ -54,7 +54,7 @@
 // Guards against a list taken from two sources at once: after the change from discovery to a catalogue and back, what
 // the one before still tells is passed over, versions are not mixed, and the list stays in use all the time.
 #[test]
-fn a_change_of_source_leaves_the_list_in_use_and_the_old_source_unheard() {
+fn changed_list_source_keeps_the_list_and_ignores_the_old_source() {
     let config = |catalogue: Option<&'static str>| {
         let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
         let catalogue = catalogue.map(|id| Rc::new(Still(id)) as Rc<dyn Catalogue>);
@@ -126,7 +126,7 @@
 // and a request went to an endpoint that had been draining for longer than its grace (the standing test, roll). Also
 // against the whole fleet asking in the same moment, and against a lone forwarder that waits for others.
 #[test]
-fn a_fleet_asks_for_its_list_within_the_grace_of_a_drain() {
+fn fleet_starts_its_watches_within_the_drain_grace() {
     for size in [3, 100, 300] {
         let (starts, agains) = fleet_asks(size, 60, 0);
         for (what, asks) in [("at the start", starts), ("after a watch that served", agains)] {
@@ -142,7 +142,7 @@
 // Guards against a discovery that turned the whole fleet away and is asked by all again in the same moment, or so late
 // that a change of the list binds before it is heard.
 #[test]
-fn a_fleet_turned_away_asks_again_in_turn() {
+fn rejected_fleet_spreads_its_watches() {
     for (size, most) in [(100, 45), (300, 105)] {
         let (_, agains) = fleet_asks(size, 1, 0);
         let busiest = (0..5).map(|second| agains.iter().filter(|at| **at / S == second).count()).max();
@@ -156,7 +156,7 @@
 // whole fleet comes in the same moment; and against one that is heeded, or a slip in it, while a change of the list binds:
 // 6 s after discovery had it, whatever was told.
 #[test]
-fn a_fleet_told_to_wait_for_its_list_comes_in_turn_and_before_a_change_binds() {
+fn fleet_with_retry_after_spreads_its_watches_within_the_list_age_limit() {
     let (_, agains) = fleet_asks(100, 60, 1000);
     assert!(agains.iter().all(|at| (S..=5 * S).contains(at)), "{agains:?}");
     for wait in [7000, u64::MAX, u64::MAX / 1000, 1 << 40] {
@@ -170,7 +170,7 @@
 // Guards against a list that binds before it is heard: however calls to discovery fail, one after the other, the next
 // begins within 5 s of the last word that was heard, or of the call before; a second is left for it.
 #[test]
-fn whatever_became_of_a_call_the_next_comes_before_a_change_binds() {
+fn next_watch_starts_within_the_list_age_limit_after_any_end() {
     let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
     for (seed, size) in [(1, 1), (2, 3), (3, 100), (4, 300)] {
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
@@ -215,7 +215,7 @@
 // Guards against an endpoint that is sent to again on the word of an older list, from a discovery that lags; and against a
 // forwarder that never follows one that counts its versions anew.
 #[test]
-fn an_older_list_puts_nothing_back_into_service_until_it_is_told_once_more() {
+fn older_list_activates_no_endpoint_until_confirmed_by_another_watch() {
     let mut world = World::new();
     let told = |world: &mut World, rev: u64, drains: bool| {
         let mut targets = common::targets();
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -12,7 +12,7 @@
 // Guards against an endpoint that comes back by itself: a list that drops it and names it again, a reload and a restart
 // leave it out, and one call back undoes two out. An id that nobody has named is a no.
 #[test]
-fn an_endpoint_out_by_hand_stays_out_until_the_call_back() {
+fn ejected_endpoint_stays_ejected_until_restored() {
     let (out, back) =
         (console::Command::DisableServer("s-c".to_owned()), console::Command::EnableServer("s-c".to_owned()));
     let mut world = World::new();
@@ -45,7 +45,7 @@
 // Guards against a destination pushed over by what has waited: its only endpoint was restarted while it was out, so a
 // trial call goes, and no crowd.
 #[test]
-fn an_endpoint_put_back_is_taken_for_cold() {
+fn restored_endpoint_warms_up() {
     let mut world = World::new();
     assert!(world.operate(console::Command::DisableServer("s-c".to_owned())));
     for number in 0..10 {
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -21,7 +21,7 @@
 // Guards against changes to a list being taken for the whole of it: the configuration's list was not in the
 // journal, so after a restart only the endpoints that had changed since were left.
 #[test]
-fn a_restart_keeps_the_endpoints_that_never_changed() {
+fn restart_keeps_unchanged_endpoints() {
     let mut world = World::new();
     world.step(0, Step::List { which: 3, state: EndpointState::Draining });
     world.restart();
@@ -32,7 +32,7 @@
 
 // Guards against a drain that a restart forgets: the configuration's list is older than what was told.
 #[test]
-fn a_restart_keeps_a_drain_that_was_told() {
+fn restart_keeps_draining_endpoints() {
     let mut world = World::new();
     world.step(0, Step::List { which: 2, state: EndpointState::Draining });
     world.restart();
@@ -44,7 +44,7 @@
 // Guards against a restart whose first append needs a rewrite: held before the messages were back, that rewrite
 // wrote a journal without them.
 #[test]
-fn a_restart_with_a_full_file_loses_no_message() {
+fn restart_with_a_full_journal_loses_no_message() {
     let mut world = World::new();
     // Nothing may go there: the message stays held.
     world.step(0, Step::List { which: 2, state: EndpointState::Draining });
@@ -76,7 +76,7 @@
 // Guards against a restart that goes back to the address given at the first start, which the reload superseded,
 // and against staying with the file when another address is given: that is newer.
 #[test]
-fn a_restart_after_a_reload_keeps_to_the_file() {
+fn restart_after_a_reload_keeps_the_files_discovery() {
     let config = |port: u16, given: Option<&str>| {
         let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::targets());
         Config::read(&text, None, given).expect("a configuration")
@@ -105,7 +105,7 @@
 
 // Guards against a restart that drops what a catalogue told last for the configuration's list.
 #[test]
-fn the_last_list_of_a_catalogue_outlasts_a_restart() {
+fn restart_keeps_the_last_catalogue_list() {
     let config = || {
         let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
         let catalogue = Some(Rc::new(Still("c1")) as Rc<dyn Catalogue>);
@@ -136,7 +136,7 @@
 // Guards against a message that was taken on and stands in no file: where the journal was rewritten in the very step in
 // which the message's record had been appended, the new file did not have it.
 #[test]
-fn a_rewrite_keeps_what_was_appended_in_the_same_step() {
+fn compaction_keeps_appends_of_the_same_step() {
     for size in (100..1300).step_by(60) {
         let mut world = World::new();
         for number in 0..400 {
@@ -155,7 +155,7 @@
 // Guards against a key, or the building of an attempt that may have run, that a kill forgets; and against a window
 // that begins anew with the process.
 #[test]
-fn a_kill_keeps_key_building_and_window() {
+fn kill_keeps_idempotency_key_zone_and_window() {
     for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * S, false, 1)] {
         let mut world = World::of(Shape::Second);
         world.submit("held".to_owned(), true, 2, 10);
@@ -229,7 +229,7 @@
 // Guards against a window for repeats that a restart forgets, or counts from its own start: of one second, with the process
 // killed while the first attempt was out, a repeat goes within it and never after, and then the end is told at once.
 #[test]
-fn a_window_of_one_second_is_counted_over_a_restart() {
+fn one_second_window_is_counted_across_a_restart() {
     for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
         let handed = Submission {
             id: "a".to_owned(),
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -15,7 +15,7 @@
 
 // Guards against a crash or a lost message when the folder is full: what does not fit is deferred.
 #[test]
-fn a_full_folder_defers_at_the_door() {
+fn full_journal_rejects_new_messages() {
     let mut world = World::new();
     for number in 0..8 {
         world.submit(format!("m{number}"), true, 2, 60_000);
@@ -29,7 +29,7 @@
 // Guards against a forwarder that is still there when it is killed, and against a message lost in its last moment:
 // what clients have sent when accepting ends is still taken on and answered.
 #[test]
-fn a_stop_ends_in_time_and_answers_to_the_last() {
+fn shutdown_ends_in_time_and_answers_every_request() {
     let mut world = World::new();
     world.input(Input::ClientConnection { connected: true });
     world.submit("a".to_owned(), true, 2, 10);
@@ -53,7 +53,7 @@
 // Guards against a deployment without tenants that takes nothing, against a message without what its class or deployment
 // asks for that is taken all the same, and against a refusal that counts as an end.
 #[test]
-fn what_a_message_has_to_carry_is_settled_by_the_settings() {
+fn settings_decide_the_required_headers() {
     for (shape, org, key, good) in [
         (Shape::First, Some("acme"), None, true),
         (Shape::First, None, None, false),
@@ -89,7 +89,7 @@
 
 // Guards against a time to come back that the settings do not allow, or that is longer than any client waits.
 #[test]
-fn a_full_house_tells_when_to_come_back_as_the_settings_say() {
+fn rejection_at_the_message_limit_has_retry_after_as_the_settings_say() {
     for (change, expected) in [
         (("\"retry_after\":true", "\"retry_after\":true"), S),
         (("\"retry_after\":true", "\"retry_after\":false"), 0),
@@ -127,7 +127,7 @@
 // Guards against a client's leaving that crosses its 202: what is in the journal by then is delivered, once, and what is not
 // is no message.
 #[test]
-fn a_withdrawal_that_crosses_the_202_leaves_one_end() {
+fn withdrawal_crossing_the_202_gives_one_final_answer() {
     let mut world = World::new();
     world.submit("kept".to_owned(), true, 2, 10);
     let ticket = *world.tickets.keys().last().expect("it waits");
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn the_same_records_make_up_the_stored_journal() {
+fn stored_journal_decodes_to_the_same_records() {
     let (records, whole) = replay(Bytes::from_static(STORED));
     assert_eq!(whole, STORED.len());
     let read: Vec<_> = records.into_iter().map(|(record, _)| record).collect();
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_start_in_a_full_folder_writes_back_all_that_counts_as_before() {
+fn start_in_a_full_folder_compacts_to_the_same_records() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), DISK - 15_000);
     let effects = reducer.step(START, Input::TimerDue);
     let rewrites: Vec<_> = effects
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn messages_that_were_pending_are_taken_over_and_counted() {
+fn stored_pending_messages_are_restored_and_counted() {
     let reducer = start(None, STORED.len());
     let (figures, gauges) = (reducer.metrics(), reducer.gauges());
     assert_eq!((figures.accepted(), figures.open_messages()), (9, 9));
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn an_id_that_is_pending_or_over_is_answered_as_taken_on_at_once() {
+fn stored_pending_or_finished_id_is_accepted_at_once() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
     let mut answers = |txn: &str| -> Vec<SubmitAnswer> {
         let input = Input::Submitted { request: 1, message: submission(txn) };
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn notices_that_were_owed_are_posted_in_their_order() {
+fn stored_final_answers_are_posted_in_order() {
     let asked = drive(&mut start(None, STORED.len()), 20 * MS);
     let owed =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
@@ -392,13 +392,13 @@
 }
 
 #[test]
-fn the_list_is_followed_from_its_version_at_the_address_that_a_reload_gave() {
+fn stored_list_is_watched_from_its_version_at_the_reloaded_address() {
     let asked = drive(&mut start(None, STORED.len()), 20 * MS);
     assert_eq!(asked.followed, [(3, 9)]);
 }
 
 #[test]
-fn routes_in_trouble_and_endpoints_out_by_hand_stay_so() {
+fn stored_faulty_routes_and_overrides_stay_in_force() {
     let reducer = start(None, STORED.len());
     assert_eq!(reducer.faulty_destinations().collect::<Vec<_>>(), [2, 4]);
     let avoided = |left_out: fn(&Record) -> bool| {
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn waits_keys_and_attempts_hold_and_each_message_is_delivered() {
+fn stored_retry_after_keys_and_attempts_stay_in_force() {
     let mut reducer = start(None, STORED.len());
     let asked = drive(&mut reducer, 8 * S);
     let written: BTreeSet<_> = asked.written.keys().map(String::as_str).collect();
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn what_was_offered_goes_to_the_same_owner_and_what_was_kept_does_not() {
+fn stored_offer_goes_to_the_same_owner_and_kept_message_stays() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
     let asked = drive(&mut reducer, 800 * MS);
     let offer = |txn: &str| asked.offers.iter().find(|offer| offer.message.id == txn).expect("offered");
@@ -466,7 +466,7 @@
 
 // An upgrade: this process has a file of its own, and the one before it ends beside it.
 #[test]
-fn what_a_process_of_the_previous_version_leaves_beside_this_one_is_taken_over() {
+fn journal_of_an_ended_previous_version_is_taken_over() {
     let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
     let config = Config::read(&text, None, None).expect("a configuration");
     let mut reducer = Reducer::new(config, 1, Vec::new(), 0, START);
--- a/crates/forwarder/tests/succession.rs
+++ b/crates/forwarder/tests/succession.rs
@@ -15,7 +15,7 @@
 // process knows and the other does not, and against a folder over its limit: with a kill between any two effects, and
 // three processes at most.
 #[test]
-fn all_processes_together_keep_the_rules_of_one() {
+fn invariants_hold_over_all_processes_of_a_folder() {
     fn keeps(steps: Vec<Step>) -> bool {
         let mut world = Processes::new();
         for (number, step) in steps.into_iter().enumerate() {
@@ -33,7 +33,7 @@
 // Guards against a hand-over that takes as long as the elder's calls: what it has queued goes out at once by the
 // successor, and its call that is out stays its own until it ends.
 #[test]
-fn what_is_queued_goes_to_the_successor_and_what_is_out_stays() {
+fn queued_messages_go_to_the_successor_and_calls_in_flight_stay() {
     let mut world = Processes::new();
     for number in 0..3 {
         world.submit(0, format!("m{number}"), true, 2, 10);
@@ -70,7 +70,7 @@
 // Guards against a newcomer that dies before the elder is told to end, or without a word: what it had taken on is the
 // elder's, which goes on as if nothing had been.
 #[test]
-fn what_a_dead_newcomer_took_on_is_the_elders() {
+fn older_process_takes_over_from_a_killed_newer_one() {
     let mut world = Processes::new();
     world.start();
     world.submit(1, "a".to_owned(), true, 2, 10);
@@ -83,7 +83,7 @@
 
 // Guards against an endpoint that one process leaves out and the other does not, wherever the call came in.
 #[test]
-fn a_call_to_one_holds_for_both() {
+fn operator_override_reaches_both_processes() {
     for at in [0, 1] {
         let mut world = Processes::new();
         world.start();
--- a/crates/journal/src/codec/tests.rs
+++ b/crates/journal/src/codec/tests.rs
@@ -24,7 +24,7 @@
 
 // Guards against a kind of record that is written and not read.
 #[test]
-fn every_kind_of_record_is_read_as_it_was_written() {
+fn every_record_kind_round_trips() {
     let (txn, trace) = (
         "a\"b".to_owned(),
         AttemptStart { started_at: i64::MAX, endpoint: "s".to_owned(), zone: "b".to_owned() },
@@ -77,7 +77,7 @@
 // Guards against a journal of the version before that can no longer be read, and against a message with a key that
 // such a version would take for one without: it has to meet a kind that it does not know.
 #[test]
-fn old_records_are_read_and_a_key_makes_a_kind_of_its_own() {
+fn old_records_decode_and_idempotency_key_has_its_own_tag() {
     let old = br#"{"is":"taken","txn":"a","class":"status","org":"acme","dest":3,"deadline":9,"attempts":2,
         "ran":null,"out":{"at":5,"uid":"s"}}"#;
     assert_eq!(decode_text(old).expect("read"), taken("a"));
--- a/crates/journal/src/file/tests.rs
+++ b/crates/journal/src/file/tests.rs
@@ -8,7 +8,7 @@
 
 // Guards against a rewrite that loses appends: those after it must go to the new file.
 #[test]
-fn appends_follow_a_rewrite_into_the_new_file() {
+fn appends_after_compaction_go_to_the_new_file() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-journal-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     let bytes = |txn: &str| {
@@ -34,7 +34,7 @@
 // Guards against two processes that write one file, against one that is taken for ended while it rewrites its file,
 // and against records read twice or left out where one follows the other's file.
 #[test]
-fn each_process_has_its_file_and_follows_the_others() {
+fn each_process_has_its_own_file_and_reads_the_others() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-journals-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     let bytes = |txn: &str| {
--- a/crates/journal/src/recovery/tests.rs
+++ b/crates/journal/src/recovery/tests.rs
@@ -7,7 +7,7 @@
 
 // Guards against a kill in the middle of a write: what was whole before it must be read, the rest not.
 #[test]
-fn a_torn_tail_hides_nothing_before_it() {
+fn torn_tail_hides_no_record_before_it() {
     let mut bytes = BytesMut::new();
     taken("a").encode(b"\0any\xffbytes", &mut bytes);
     let first = bytes.len();
@@ -24,7 +24,7 @@
 
 // Guards against a record of a later version taken for a torn tail: it would be cut off, and its message lost.
 #[test]
-fn a_record_that_is_not_known_is_no_torn_tail() {
+fn unknown_record_is_not_a_torn_tail() {
     let mut bytes = BytesMut::new();
     taken("a").encode(b"", &mut bytes);
     let first = bytes.len();
--- a/crates/journal/src/space/tests.rs
+++ b/crates/journal/src/space/tests.rs
@@ -4,7 +4,7 @@
 
 // Guards against a folder over its limit: at no time may old file and new one together pass it.
 #[test]
-fn old_and_new_file_together_keep_to_the_limit() {
+fn old_and_compacted_file_together_stay_within_the_limit() {
     let limit = 1 << 20;
     let mut space = DiskSpace::new(limit, 0);
     let mut sizes = Vec::new();
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -60,7 +60,7 @@
 
 // Guards against a list that can be written and not read, or that hides the records before it where it was torn.
 #[test]
-fn a_large_list_is_read_back_or_torn_as_any_record() {
+fn large_list_round_trips_or_is_torn_as_any_record() {
     let folder = Folder::new("large-lists");
     let (ready, large) = (Record::ProcessStage { stage: ProcessStage::Ready }, list(7));
     let (before, bytes) = (bytes_of(&ready), bytes_of(&large));
@@ -85,7 +85,7 @@
 
 // Guards against a snapshot that is larger than was reckoned with: old file and new one would pass the folder's limit.
 #[test]
-fn a_list_is_never_larger_in_the_file_than_reckoned() {
+fn list_size_estimate_is_never_too_small() {
     let longest = |number: usize| EndpointEntry {
         uid: format!("\u{1}\u{2}{number:04}"),
         address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn the_same_records_are_written_as_the_same_bytes() {
+fn stored_records_encode_to_the_same_bytes() {
     let expected = expected();
     let lines = TEXTS.lines().zip(&expected);
     for (place, (line, record)) in lines.enumerate() {
@@ -227,14 +227,14 @@
 }
 
 #[test]
-fn what_was_read_is_written_back_as_the_same_bytes() {
+fn decoded_records_encode_to_the_same_bytes() {
     let records = read(Bytes::from_static(STORED)).records;
     assert!(written(&records) == STORED);
 }
 
 // Guards against custody that a snapshot holds in other records than before.
 #[test]
-fn custody_is_written_as_the_records_that_stand_for_it() {
+fn handover_state_is_written_as_its_records() {
     let custody = HandoverState {
         offered: Some(HandoverOffer { owner: string("f-2"), offered_at: 8 }),
         kept_local: true,
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_folder_of_the_previous_version_is_opened_under_its_names() {
+fn folder_of_the_previous_version_opens_with_its_file_names() {
     let folder = Folder::new("stored-format");
     let (older, newest) = (folder.0.join("journal"), folder.0.join("journal.7"));
     fs::write(&older, STORED).expect("writes");
