--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -33,7 +33,7 @@
     pub metrics: String,
 }
 
-/// What another process's file has shown; see [`Input::Siblings`].
+/// What is new in another process's file; see [`Input::OtherProcessesUpdated`].
 #[derive(Debug)]
 pub struct OtherProcessUpdate {
     /// Number of its file.
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -3,7 +3,7 @@
 //! [`Reducer::step`] takes one input and gives the effects that it asks for, in the order in which they are to be carried
 //! out. It hands the input to the component that owns the state; each component is a struct in a module of its own, and
 //! its fields are private to that module. What has to be durable before it is visible waits for the journal's report, see
-//! [`durability`].
+//! the module `durability`.
 
 mod attempts;
 mod call_results;
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -9,6 +9,8 @@
 //! Processes that share a folder, as in an upgrade, have a file each, under a lock that the system releases when the
 //! process ends. Each reads those of the others.
 
+#![deny(missing_docs)]
+
 mod codec;
 mod error;
 mod file;
