--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -99,8 +99,8 @@
         offered.chain(kept).collect()
     }
 
-    /// What it was offered to may have it and is not asked any more: from now on that counts as an attempt that may have
-    /// run, at an endpoint that nobody here knows.
+    /// The forwarder that it was offered to may have it and is not asked any more: from now on that counts as an attempt
+    /// that may have delivered it, at an endpoint that is not known here.
     pub fn count_offer_as_attempt(&mut self) {
         if let Some(offered) = self.handover.offered.take() {
             let unknown =
@@ -114,8 +114,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum Record {
-    /// A message was taken on. One with a key is written as a kind of its own: versions that know of no keys must not
-    /// read it, for they would send it without.
+    /// A message was accepted. One with an idempotency key is written under a tag of its own: versions that know of no
+    /// keys must not read it, for they would send it without.
     #[serde(rename = "taken")]
     Accepted(AcceptedMessage),
     /// A call is about to be written.
@@ -128,28 +128,28 @@
         #[serde(rename = "trace")]
         attempt: AttemptStart,
     },
-    /// The attempt that was out has ended and may have run.
+    /// The attempt in flight has ended and may have delivered the message.
     #[serde(rename = "ran")]
     AttemptInDoubt {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The attempt that was out never ran.
+    /// The attempt in flight has ended and has not delivered the message.
     #[serde(rename = "unseen")]
     AttemptNotDelivered {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// An attempt was used up with nothing written.
+    /// An attempt was used up without a call.
     #[serde(rename = "missed")]
     AttemptNotSent {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The final answer is decided, and its notice still owed.
+    /// The final answer is decided; the platform is still to be notified of it.
     #[serde(rename = "owed")]
     AnswerDecided {
         /// The message.
@@ -161,7 +161,7 @@
         #[serde(rename = "verdict")]
         answer: FinalAnswer,
     },
-    /// Nothing more is owed.
+    /// The message is finished: delivered, or the platform has accepted the notification.
     #[serde(rename = "over")]
     Finished {
         /// The message.
@@ -182,14 +182,14 @@
         /// When.
         at: Micros,
     },
-    /// The forwarder that it was offered to never took it.
+    /// The forwarder that it was offered to has not accepted it.
     #[serde(rename = "declined")]
     HandoverDeclined {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The forwarder that it was offered to may have it and is not asked any more.
+    /// The forwarder that it was offered to may have accepted it and is not asked any more.
     #[serde(rename = "unresolved")]
     HandoverInDoubt {
         /// The message.
@@ -203,7 +203,7 @@
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The owner has taken the message on: nothing more is owed here.
+    /// The owner has accepted the message: here it is finished.
     HandedOver {
         /// The message.
         #[serde(rename = "txn")]
@@ -214,7 +214,7 @@
         /// When.
         at: Micros,
     },
-    /// News of the transport map.
+    /// An event of the endpoint list: a snapshot or a delta.
     #[serde(rename = "map")]
     EndpointList(WatchEvent),
     /// A reload has put the file's discovery in the place of this address, which was given apart from it.
@@ -223,7 +223,7 @@
         /// The address given.
         discovery: SocketAddr,
     },
-    /// An operator has taken an endpoint out, or put it back.
+    /// An operator has ejected an endpoint, or restored it.
     #[serde(rename = "by_hand")]
     OperatorOverride {
         /// The endpoint.
@@ -231,35 +231,35 @@
         endpoint: String,
         /// When.
         at: Micros,
-        /// Out, or back.
+        /// Ejected, or restored.
         #[serde(rename = "out")]
         ejected: bool,
     },
-    /// A destination told to wait.
+    /// A route has a Retry-After.
     #[serde(rename = "wait")]
     RetryAfter {
         /// The destination.
         #[serde(rename = "dest")]
         destination: u64,
-        /// The endpoint, where its endpoints are routes apart.
+        /// The endpoint, where its endpoints have separate routes.
         #[serde(rename = "uid", default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
         /// Until when.
         until: Micros,
     },
-    /// How far this process is: in the order of a life, each once.
+    /// How far this process is: each stage once, in their order.
     #[serde(rename = "stage")]
     ProcessStage {
         /// From here on.
         stage: ProcessStage,
     },
-    /// The destinations and routes in trouble, all of them.
+    /// All faulty routes.
     #[serde(rename = "troubled")]
     FaultyRoutes {
         /// Numbers of the destinations.
         #[serde(rename = "dests")]
         destinations: Vec<u64>,
-        /// Routes apart: the destination's number and the endpoint's uid.
+        /// Separate routes: the destination's number and the endpoint's uid.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         routes: Vec<(u64, String)>,
     },
@@ -272,9 +272,9 @@
     /// It has started.
     #[default]
     Started,
-    /// It takes clients.
+    /// It accepts clients.
     Ready,
-    /// It was told to end beside a successor: it begins no more attempts, and what it holds and has not out is the
+    /// It has handed off to its successor: it begins no more attempts, and what it holds and has not in flight is the
     /// successor's, as is each message whose attempt ends without delivery from here on.
     #[serde(rename = "yielded")]
     HandedOff,
