--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -4,6 +4,7 @@
 
 use super::Reducer;
 use super::durability::AfterAppend;
+use super::final_answers::{DecidedAnswer, FinishedId};
 use crate::input::Effect;
 use crate::metrics::MessageEnd;
 use bytes::Bytes;
@@ -15,8 +16,8 @@
 pub(super) struct Takeover {
     generation: Generation,
     messages: Vec<(AcceptedMessage, Bytes)>,
-    undelivered_answers: Vec<(String, FinalAnswer, Micros)>,
-    finished: Vec<(String, Micros)>,
+    undelivered_answers: Vec<DecidedAnswer>,
+    finished: Vec<FinishedId>,
     /// The process has ended, and this is all that it left.
     is_complete: bool,
 }
@@ -25,10 +26,9 @@
     /// The records of all this, in the order in which a journal holds them.
     fn records(&self) -> RecordsWithBodies {
         let mut records = RecordsWithBodies::new();
-        for (id, at) in &self.finished {
-            records.push((Record::Finished { message: id.clone(), at: *at }, Bytes::new()));
-        }
-        records.extend(self.answer_records().into_iter().map(|record| (record, Bytes::new())));
+        let finished = self.finished.iter().map(FinishedId::record);
+        let answers = self.undelivered_answers.iter().map(DecidedAnswer::record);
+        records.extend(finished.chain(answers).map(|record| (record, Bytes::new())));
         for (accepted, body) in &self.messages {
             records.push((Record::Accepted(accepted.clone()), body.clone()));
             let handover = accepted.handover_records();
@@ -36,16 +36,6 @@
         }
         records
     }
-
-    fn answer_records(&self) -> Vec<Record> {
-        let answers = self.undelivered_answers.iter();
-        let record = |(id, answer, at): &(String, FinalAnswer, Micros)| Record::AnswerDecided {
-            message: id.clone(),
-            at: *at,
-            answer: *answer,
-        };
-        answers.map(record).collect()
-    }
 }
 
 impl Reducer {
@@ -86,9 +76,9 @@
         };
         if is_complete {
             let answers = state.undelivered_answers.iter();
-            takeover.undelivered_answers = answers.filter(|(id, ..)| !is_known(id)).cloned().collect();
+            takeover.undelivered_answers = answers.filter(|answer| !is_known(&answer.id)).cloned().collect();
             let finished = state.finished.iter();
-            takeover.finished = finished.filter(|(id, _)| !is_known(id)).cloned().collect();
+            takeover.finished = finished.filter(|finished| !is_known(&finished.id)).cloned().collect();
         }
         Some(takeover)
     }
@@ -96,20 +86,24 @@
     /// What another process left is in this one's file, or could not be: then it stays where it is for now. Where that
     /// process has ended, each message that there is no room for is finished at once.
     pub(super) fn on_takeover_recorded(&mut self, now: Micros, mut takeover: Takeover, stored: bool) {
+        let generation = takeover.generation;
         let count = takeover.messages.len();
         if !stored && !takeover.is_complete {
-            return self.log(format!("succession: no room yet for {count} messages"));
+            return self.log(format!(
+                "upgrade: no room yet for another process's messages messages={count} generation={generation}"
+            ));
         }
         if !stored {
-            self.log(format!("succession: no room for {count} messages, each is ended"));
+            self.log(format!(
+                "upgrade: no room, an ended process's messages are finished messages={count} generation={generation}"
+            ));
             self.finish_without_room(now, &mut takeover);
         }
-        let generation = takeover.generation;
-        for (id, at) in takeover.finished {
+        for FinishedId { id, at } in takeover.finished {
             self.finished.remember(id, at);
         }
-        for (id, answer, at) in takeover.undelivered_answers {
-            self.final_answers.push(id, answer, at);
+        for answer in takeover.undelivered_answers {
+            self.final_answers.push(answer);
         }
         let count = takeover.messages.len();
         for (accepted, body) in takeover.messages {
@@ -121,7 +115,9 @@
             }
         }
         if count > 0 {
-            self.log(format!("succession: {count} messages taken over from process {generation}"));
+            self.log(format!(
+                "upgrade: took over another process's messages messages={count} generation={generation}"
+            ));
         }
         if takeover.is_complete {
             self.upgrade.remove(generation);
@@ -135,16 +131,17 @@
     fn finish_without_room(&mut self, now: Micros, takeover: &mut Takeover) {
         let retry_after_ms = self.journal_full_retry_after() / 1000;
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
-            if accepted.possible_delivery.is_some() || accepted.in_flight.is_some() {
-                self.metrics.on_rejected(&accepted.class, MessageEnd::Error);
-                takeover.undelivered_answers.push((accepted.id, FinalAnswer::Failed, now));
+            let may_have_run = accepted.possible_delivery.is_some() || accepted.in_flight.is_some();
+            let (answer, end) = if may_have_run {
+                (FinalAnswer::Failed, MessageEnd::Error)
             } else {
-                self.metrics.on_rejected(&accepted.class, MessageEnd::Overload);
-                let answer = FinalAnswer::Rejected { retry_after_ms };
-                takeover.undelivered_answers.push((accepted.id, answer, now));
-            }
+                (FinalAnswer::Rejected { retry_after_ms }, MessageEnd::Overload)
+            };
+            self.metrics.on_rejected(&accepted.class, end);
+            takeover.undelivered_answers.push(DecidedAnswer { id: accepted.id, answer, decided_at: now });
         }
-        self.append_all(&takeover.answer_records(), None);
+        let records: Vec<_> = takeover.undelivered_answers.iter().map(DecidedAnswer::record).collect();
+        self.append_all(&records, None);
     }
 
     /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
