--- a/crates/config/tests/wire_forms.rs
+++ b/crates/config/tests/wire_forms.rs
@@ -4,7 +4,7 @@
 use orchidyoke_config::{Bounds, Installation, MemberSettings, Ownership, evaluate};
 use orchidyoke_consul::Settings as Consul;
 use orchidyoke_consul::settings::{Consistency, Service, Tls};
-use orchidyoke_fakes::certificates::Authority;
+use orchidyoke_fakes::certificates::CertificateAuthority;
 use orchidyoke_policy_commit::Settings as Policy;
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -22,7 +22,7 @@
         let path = std::env::temp_dir().join(format!("forms-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         let address = IpAddr::from([127, 0, 0, 1]);
-        Authority::new(&path, "east").sign("n1", address, time::Duration::days(1));
+        CertificateAuthority::new(&path, "east").sign("n1", address, time::Duration::days(1));
         std::fs::write(path.join("token"), "5be2a07c\n").expect("written");
         Folder(path)
     }
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -5,8 +5,8 @@
 use orchidyoke_consul::locks::{Behavior, LockError, Locks, Operation};
 use orchidyoke_consul::query::Refusal;
 use orchidyoke_consul::settings::Consistency;
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::consul::Fault;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::consul::ConsulFault;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const TTL: Duration = Duration::from_secs(60);
 const DELAY: Duration = Duration::from_millis(300);
 
-fn locks(consul: &Consul) -> Locks {
+fn locks(consul: &ConsulServer) -> Locks {
     // Stale answers are allowed for the catalogue; a look at locks is not one of them.
     let consistency = Consistency::Stale;
     Locks::new(Rc::new(Settings { addresses: vec![consul.address()], consistency, ..Settings::default() }))
@@ -31,7 +31,7 @@
 #[test]
 fn a_lock_goes_from_one_session_to_the_next() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let (mut a, mut b) = (locks(&consul), locks(&consul));
         assert_eq!(a.look("duties/", 0, TTL).await.expect("looked").1, Vec::new(), "no keys yet");
         let first = a.create("f1", TTL, DELAY, Behavior::Release).await.expect("made");
@@ -63,25 +63,25 @@
 #[test]
 fn an_error_says_whether_a_write_may_have_taken_effect() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let mut locks = locks(&consul);
         let session = locks.create("f1", TTL, DELAY, Behavior::Release).await.expect("made");
-        consul.fault(Fault::LostWrites);
-        let asked = consul.questions();
+        consul.set_fault(ConsulFault::LostWriteAnswers);
+        let asked = consul.request_count();
         let lost = locks.acquire("duties/1", &session, Bytes::new()).await;
         assert!(matches!(lost, Err(LockError::Unsure(_))), "{lost:?}");
-        assert_eq!(consul.questions() - asked, 1, "sent once");
+        assert_eq!(consul.request_count() - asked, 1, "sent once");
         let (_, rows) = locks.look("duties/", 0, TTL).await.expect("looked");
         assert_eq!(rows[0].session.as_deref(), Some(session.as_str()), "and it took effect");
-        consul.fault(Fault::NoLeader { whole: true });
+        consul.set_fault(ConsulFault::NoLeader { complete: true });
         let refused = locks.look("duties/", 0, TTL).await;
         assert!(matches!(refused, Err(LockError::Refused(Refusal::NoLeader))), "{refused:?}");
-        consul.fault(Fault::Gone);
+        consul.set_fault(ConsulFault::Down);
         // The stand-in takes a moment to stop listening, and to listen again.
         while !matches!(locks.renew(&session).await, Err(LockError::Unsent(_))) {
             sleep(Duration::from_millis(5)).await;
         }
-        consul.fault(Fault::None);
+        consul.set_fault(ConsulFault::None);
         let renewed = loop {
             match locks.renew(&session).await {
                 Err(LockError::Unsent(_)) => sleep(Duration::from_millis(5)).await,
@@ -96,7 +96,7 @@
 #[test]
 fn a_transaction_is_done_whole_or_refused() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let (mut a, mut b) = (locks(&consul), locks(&consul));
         let first = a.create("op", TTL, Duration::ZERO, Behavior::Delete).await.expect("made");
         assert!(a.acquire("p/proposal", &first, Bytes::from_static(b"x")).await.expect("asked"));
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -3,10 +3,10 @@
 use orchidyoke_consul::Consul as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::certificates::Authority;
-use orchidyoke_fakes::consul::{Fault, Instance};
-use orchidyoke_fakes::forwarder::Folder;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::certificates::CertificateAuthority;
+use orchidyoke_fakes::consul::{ConsulFault, Instance};
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::input::{Input, update_sender};
 use std::future::Future;
@@ -26,7 +26,7 @@
     Instance::new("web", "n1", id, address(port))
 }
 
-fn settings(consul: &Consul) -> Settings {
+fn settings(consul: &ConsulServer) -> Settings {
     let service = |name: &str, destination| Service {
         name: name.to_owned(),
         destination,
@@ -102,8 +102,8 @@
 }
 
 /// A Consul with so many instances, `w1` and on at ports from 8001, and what a source that follows it has seen: all.
-async fn followed(count: u16) -> (Consul, Seen) {
-    let consul = Consul::start();
+async fn followed(count: u16) -> (ConsulServer, Seen) {
+    let consul = ConsulServer::start();
     for number in 1..=count {
         consul.register(web(&format!("w{number}"), 8000 + number));
     }
@@ -125,21 +125,21 @@
 fn registering_health_marks_and_maintenance_come_as_they_happen() {
     run(async {
         let (consul, mut seen) = followed(2).await;
-        consul.status("n1", "w1", "critical");
+        consul.set_status("n1", "w1", "critical");
         seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
-        consul.tag("n1", "w1", "draining", true);
+        consul.set_tag("n1", "w1", "draining", true);
         seen.stands("w1", ListedState::Draining, HealthChecks::Critical).await;
-        consul.tag("n1", "w1", "draining", false);
-        consul.status("n1", "w1", "warning");
+        consul.set_tag("n1", "w1", "draining", false);
+        consul.set_status("n1", "w1", "warning");
         seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
-        consul.maintenance("n1", "w2", true);
+        consul.set_maintenance("n1", "w2", true);
         seen.stands("w2", ListedState::Draining, HealthChecks::Critical).await;
-        consul.maintenance("n1", "w2", false);
+        consul.set_maintenance("n1", "w2", false);
         seen.stands("w2", ListedState::Active, HealthChecks::Passing).await;
-        consul.node_check("n1", "serfHealth", Some("critical"));
+        consul.set_node_check("n1", "serfHealth", Some("critical"));
         seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
         seen.stands("w2", ListedState::Active, HealthChecks::Critical).await;
-        consul.node_check("n1", "serfHealth", None);
+        consul.set_node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
         seen.holds(1).await;
         consul.deregister("n1", "w2");
@@ -150,21 +150,21 @@
 // Guards against a list emptied because Consul has nothing sensible to say, and against missing what changed meanwhile.
 #[test]
 fn no_fault_empties_the_list_and_what_changed_meanwhile_comes_after() {
-    for fault in Fault::that_tell_nothing() {
+    for fault in ConsulFault::without_usable_answer() {
         run(async {
             let (consul, mut seen) = followed(2).await;
-            consul.fault(fault.clone());
-            let asked = consul.questions();
+            consul.set_fault(fault.clone());
+            let asked = consul.request_count();
             consul.deregister("n1", "w1");
             consul.register(web("w3", 8003));
             seen.is_still(Duration::from_millis(700)).await;
             assert!(
-                consul.questions() - asked <= 8,
+                consul.request_count() - asked <= 8,
                 "{fault:?}: no busy loop: {}",
-                consul.questions() - asked
+                consul.request_count() - asked
             );
             assert_eq!(seen.map.len(), 2, "{fault:?}");
-            consul.fault(Fault::None);
+            consul.set_fault(ConsulFault::None);
             seen.stands("w3", ListedState::Active, HealthChecks::Passing).await;
             seen.holds(2).await;
         });
@@ -177,7 +177,7 @@
 fn a_server_that_is_behind_counts_within_the_limit_only() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
-            let (cut_off, other) = (Consul::start(), Consul::start());
+            let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
             for consul in [&cut_off, &other] {
                 consul.register(web("w1", 8001));
                 consul.register(web("w2", 8002));
@@ -190,17 +190,17 @@
             };
             let mut seen = Seen::follow(settings, EndpointList::default());
             seen.holds(2).await;
-            cut_off.fault(Fault::Behind(behind));
+            cut_off.set_fault(ConsulFault::Stale(behind));
             if counts {
                 seen.holds(0).await;
-                assert_eq!(other.questions(), 0);
+                assert_eq!(other.request_count(), 0);
             } else {
-                until("a question to the other", || other.questions() > 0).await;
-                let asked = cut_off.questions();
+                until("a question to the other", || other.request_count() > 0).await;
+                let asked = cut_off.request_count();
                 other.register(web("w3", 8003));
                 seen.holds(3).await;
                 seen.is_still(Duration::from_millis(500)).await;
-                assert_eq!(cut_off.questions(), asked, "it stays with the other");
+                assert_eq!(cut_off.request_count(), asked, "it stays with the other");
             }
         });
     }
@@ -211,7 +211,7 @@
 fn an_age_counts_only_where_any_server_may_answer() {
     run(async {
         let (consul, mut seen) = followed(1).await;
-        consul.fault(Fault::Behind(Duration::from_secs(3600)));
+        consul.set_fault(ConsulFault::Stale(Duration::from_secs(3600)));
         seen.holds(0).await;
     });
 }
@@ -219,15 +219,17 @@
 // Guards against an agent without a leader being asked on and on while another has one.
 #[test]
 fn an_agent_without_a_leader_makes_room_for_the_next() {
-    for fault in [Fault::NoLeader { whole: true }, Fault::Status(500, "No cluster leader", None)] {
+    for fault in
+        [ConsulFault::NoLeader { complete: true }, ConsulFault::Status(500, "No cluster leader", None)]
+    {
         run(async {
-            let (cut_off, other) = (Consul::start(), Consul::start());
+            let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
             let addresses = vec![cut_off.address(), other.address()];
             let mut seen =
                 Seen::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
             cut_off.register(web("w1", 8001));
             seen.holds(1).await;
-            cut_off.fault(fault.clone());
+            cut_off.set_fault(fault.clone());
             other.register(web("w1", 8001));
             other.register(web("w2", 8002));
             seen.holds(2).await;
@@ -240,7 +242,7 @@
 #[test]
 fn a_silent_agent_is_asked_again_and_the_other_address_is_tried() {
     run(async {
-        let (silent, other) = (Consul::start(), Consul::start());
+        let (silent, other) = (ConsulServer::start(), ConsulServer::start());
         for consul in [&silent, &other] {
             consul.register(web("w1", 8001));
         }
@@ -249,10 +251,10 @@
         let mut seen =
             Seen::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
         seen.holds(1).await;
-        silent.fault(Fault::Silent);
+        silent.set_fault(ConsulFault::Unresponsive);
         other.register(web("w2", 8002));
         seen.holds(2).await;
-        assert!(other.questions() > 0);
+        assert!(other.request_count() > 0);
     });
 }
 
@@ -261,16 +263,16 @@
     for index in [Some("0"), Some("many"), Some("7"), None] {
         run(async {
             let (consul, mut seen) = followed(1).await;
-            consul.fault(Fault::Index(index));
+            consul.set_fault(ConsulFault::FixedIndex(index));
             consul.register(web("w2", 8002));
             // With an index that stands still nothing tells that there is news; with none, all of it is read.
             if index != Some("7") {
                 seen.holds(2).await;
             }
-            let asked = consul.questions();
+            let asked = consul.request_count();
             sleep(Duration::from_secs(1)).await;
-            assert!(consul.questions() - asked <= 15, "{index:?}: no busy loop");
-            consul.fault(Fault::None);
+            assert!(consul.request_count() - asked <= 15, "{index:?}: no busy loop");
+            consul.set_fault(ConsulFault::None);
             consul.register(web("w3", 8003));
             seen.holds(3).await;
         });
@@ -281,7 +283,7 @@
 fn an_index_that_goes_backwards_starts_over() {
     run(async {
         let (consul, mut seen) = followed(5).await;
-        consul.lose_index();
+        consul.reset_index();
         consul.deregister("n1", "w1");
         seen.holds(4).await;
         consul.deregister("n1", "w2");
@@ -328,31 +330,31 @@
 fn a_flap_faster_than_the_query_ends_in_its_last_state() {
     run(async {
         let (consul, mut seen) = followed(1).await;
-        let asked = consul.questions();
+        let asked = consul.request_count();
         for turn in 0..200 {
-            consul.status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
+            consul.set_status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
             sleep(Duration::from_millis(1)).await;
         }
-        consul.status("n1", "w1", "warning");
+        consul.set_status("n1", "w1", "warning");
         seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
-        assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
+        assert!(consul.request_count() - asked <= 30, "bounded: {}", consul.request_count() - asked);
     });
 }
 
 // Guards against a token or certificate that has to wait for a restart, and against an unclear refusal.
 #[test]
 fn tokens_and_certificates_are_replaced_on_the_disk() {
-    let folder = Folder::new("consul-tls");
-    let authority = Authority::new(folder.path(), "dc1");
-    let consul = Consul::start();
+    let folder = TemporaryFolder::new("consul-tls");
+    let authority = CertificateAuthority::new(folder.path(), "dc1");
+    let consul = ConsulServer::start();
     let day = time::Duration::days(1);
     let server = authority.sign("server.dc1.consul", consul.address().ip(), day);
     let client = authority.sign("edge.dc1.consul", consul.address().ip(), day);
-    consul.speak_tls(&server, Some(&authority.ca));
-    consul.require(Some("first"));
+    consul.use_tls(&server, Some(&authority.certificate));
+    consul.require_token(Some("first"));
     let tls = Tls {
-        ca: authority.ca.clone(),
-        cert: Some(client.cert.clone()),
+        ca: authority.certificate.clone(),
+        cert: Some(client.certificate.clone()),
         key: Some(client.key.clone()),
         server_name: Some("server.dc1.consul".to_owned()),
     };
@@ -362,16 +364,16 @@
         consul.register(web("w1", 8001));
         let mut seen = Seen::follow(settings.clone(), EndpointList::default());
         seen.holds(1).await;
-        consul.require(Some("second"));
+        consul.require_token(Some("second"));
         consul.register(web("w2", 8002));
         seen.is_still(Duration::from_millis(300)).await;
         folder.write("token", "second");
         seen.holds(2).await;
         // Another authority signs for both ends; the old certificates are worth nothing from now on.
-        let other = Authority::new(folder.path(), "dc1");
+        let other = CertificateAuthority::new(folder.path(), "dc1");
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
         other.sign("edge.dc1.consul", consul.address().ip(), day);
-        consul.speak_tls(&server, Some(&other.ca));
+        consul.use_tls(&server, Some(&other.certificate));
         let (open, _) = consul.connections();
         consul.register(web("w3", 8003));
         seen.holds(3).await;
@@ -381,9 +383,10 @@
 
 #[test]
 fn a_certificate_that_cannot_be_trusted_is_refused_in_one_line() {
-    let folder = Folder::new("consul-bad-tls");
-    let (authority, stranger) = (Authority::new(folder.path(), "dc1"), Authority::new(folder.path(), "dc2"));
-    let consul = Consul::start();
+    let folder = TemporaryFolder::new("consul-bad-tls");
+    let (authority, stranger) =
+        (CertificateAuthority::new(folder.path(), "dc1"), CertificateAuthority::new(folder.path(), "dc2"));
+    let consul = ConsulServer::start();
     let ip = consul.address().ip();
     let good = authority.sign("server.dc1.consul", ip, time::Duration::days(1));
     let old = authority.sign("old.dc1.consul", ip, -time::Duration::days(1));
@@ -395,8 +398,8 @@
         (&old, &authority, None, Some("has run out")),
     ];
     for (pair, ca, name, why) in cases {
-        consul.speak_tls(pair, None);
-        let tls = Tls { ca: ca.ca.clone(), server_name: name.map(str::to_owned), ..Tls::default() };
+        consul.use_tls(pair, None);
+        let tls = Tls { ca: ca.certificate.clone(), server_name: name.map(str::to_owned), ..Tls::default() };
         let settings = Settings { tls: Some(tls), ..settings(&consul) };
         run(async {
             let client = orchidyoke_consul::client::Client::new(settings.into());
@@ -419,7 +422,7 @@
 #[test]
 fn many_services_share_few_connections() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let mut settings = Settings { connections: 6, ..settings(&consul) };
         settings.services = (0..2500)
             .map(|number| Service {
@@ -439,7 +442,7 @@
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
-            consul.status("n1", &format!("i{number}"), "critical");
+            consul.set_status("n1", &format!("i{number}"), "critical");
             seen.stands(&format!("i{number}"), ListedState::Active, HealthChecks::Critical).await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
@@ -455,11 +458,11 @@
 fn the_list_held_goes_on_after_a_restart_and_an_authoritative_nothing_is_obeyed() {
     run(async {
         let (consul, seen) = followed(1).await;
-        consul.fault(Fault::Gone);
+        consul.set_fault(ConsulFault::Down);
         let mut again = Seen::follow(settings(&consul), seen.map.clone());
         again.is_still(Duration::from_millis(300)).await;
         consul.deregister("n1", "w1");
-        consul.fault(Fault::None);
+        consul.set_fault(ConsulFault::None);
         again.holds(0).await;
         let other =
             WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -4,8 +4,9 @@
 use super::messages::{ControlRole, Counts, InForce, Listens, MembersRole, Report, Request, Role, Store};
 use super::process::{ChildNumber, Event, Process};
 use crate::capacity::budget::{Budget, Used};
-use orchidyoke_fakes::forwarder::{Folder, Setup};
-use orchidyoke_fakes::loopback;
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::ForwarderConfig;
+use orchidyoke_fakes::unused_loopback_address;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -79,7 +80,7 @@
     counts_asked: u64,
     budget: Budget,
     configuration: PathBuf,
-    folder: Folder,
+    folder: TemporaryFolder,
 }
 
 /// The region of a zone.
@@ -100,9 +101,9 @@
             processes,
             descriptors: 3 * processes,
         })?;
-        let folder = Folder::new(&format!("lab-capacity-control-{}", plan.members));
-        let nowhere = SocketAddr::from((loopback(), 9));
-        let configuration = folder.write("config.json", &Setup::new(nowhere).text());
+        let folder = TemporaryFolder::new(&format!("lab-capacity-control-{}", plan.members));
+        let nowhere = SocketAddr::from((unused_loopback_address(), 9));
+        let configuration = folder.write("config.json", &ForwarderConfig::new(nowhere).text());
         let (sender, events) = unbounded_channel();
         let mut fleet = Fleet {
             plan,
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -2,7 +2,7 @@
 
 use super::hollow::policy_settings;
 use super::messages::clock;
-use orchidyoke_fakes::{FaultProxy, Stage, loopback};
+use orchidyoke_fakes::{FaultProxy, ServerRuntime, unused_loopback_address};
 use orchidyoke_policy_commit::propose::Office;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -52,14 +52,14 @@
     asked: UnboundedSender<PolicySize>,
     done: UnboundedReceiver<Result<Proposal, String>>,
     link: FaultProxy,
-    _stage: Stage,
+    _stage: ServerRuntime,
 }
 
 impl Proposer {
     /// One for the commit point at this address.
     pub fn start(commit_point: SocketAddr, ttl: Duration) -> Self {
-        let stage = Stage::new();
-        let link = FaultProxy::start(&stage, loopback(), commit_point);
+        let stage = ServerRuntime::new();
+        let link = FaultProxy::start(&stage, unused_loopback_address(), commit_point);
         let mut office = Office::new(policy_settings(link.address, ttl));
         let (asked, mut requests) = unbounded_channel();
         let (sender, done) = unbounded_channel();
@@ -88,7 +88,7 @@
 
     /// Bytes with the commit point, both ways.
     pub fn bytes(&self) -> u64 {
-        self.link.counts().carried
+        self.link.counters().bytes_forwarded
     }
 }
 
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -5,55 +5,55 @@
 
 use super::child::report;
 use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
-use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
+use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 /// A link of the zone, and the store behind it where that is kept here.
 struct Link {
     proxy: FaultProxy,
-    store: Option<Consul>,
+    store: Option<ConsulServer>,
 }
 
 impl Link {
-    fn new(stage: &Stage, store: Store) -> Self {
+    fn new(stage: &ServerRuntime, store: Store) -> Self {
         let (store, upstream) = match store {
             Store::At(address) => (None, address),
             Store::Here => {
-                let store = Consul::start();
+                let store = ConsulServer::start();
                 let address = store.address();
                 (Some(store), address)
             }
         };
-        Link { proxy: FaultProxy::start(stage, loopback(), upstream), store }
+        Link { proxy: FaultProxy::start(stage, unused_loopback_address(), upstream), store }
     }
 
     fn store_address(&self) -> Option<SocketAddr> {
-        self.store.as_ref().map(Consul::address)
+        self.store.as_ref().map(ConsulServer::address)
     }
 
     fn bytes(&self) -> u64 {
-        self.proxy.counts().carried
+        self.proxy.counters().bytes_forwarded
     }
 
     fn requests(&self) -> u64 {
-        self.store.as_ref().map_or(0, Consul::questions)
+        self.store.as_ref().map_or(0, ConsulServer::request_count)
     }
 
     fn cut(&self, cut: bool) {
-        self.proxy.set(if cut { Fault::Partition } else { Fault::Pass });
+        self.proxy.set_fault(if cut { NetworkFault::Partition } else { NetworkFault::None });
     }
 
     fn sessions_end_after(&self, ttls: f64) {
         if let Some(store) = &self.store {
-            store.sessions_end_after(ttls);
+            store.set_session_expiry_factor(ttls);
         }
     }
 }
 
 /// Runs until the requests end.
 pub async fn run(role: &ControlRole, mut requests: UnboundedReceiver<Request>) {
-    let stage = Stage::new();
+    let stage = ServerRuntime::new();
     let policy = Link::new(&stage, role.policy);
     let duties = Link::new(&stage, role.duties);
     report(&Report::Listens(Listens {
--- a/crates/experiments/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -1,10 +1,10 @@
 //! The destinations that a forwarder is told of: some served by a partner, some down, which refuse connections.
 
 use super::client::{LIFE_SECONDS, TENANT};
-use orchidyoke_fakes::Partner;
-use orchidyoke_fakes::forwarder::{Setup, target};
-use orchidyoke_fakes::loopback;
-use orchidyoke_fakes::partner::Bearing;
+use orchidyoke_fakes::DestinationServer;
+use orchidyoke_fakes::destination::CapacityModel;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, endpoint_entry};
+use orchidyoke_fakes::unused_loopback_address;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use serde_json::{Value, json};
@@ -22,7 +22,7 @@
 /// Addresses of endpoints: those of a partner, and one that refuses connections.
 #[derive(Debug)]
 pub struct Endpoints {
-    _partner: Partner,
+    _partner: DestinationServer,
     serving: Vec<SocketAddr>,
     refusing: SocketAddr,
     /// Bound and not listening: the system refuses whoever connects, and gives the port to nobody else.
@@ -32,10 +32,10 @@
 impl Endpoints {
     /// Opens them.
     pub fn open() -> io::Result<Self> {
-        let partner = Partner::new(Bearing::default());
-        let serving = (0..SERVING).map(|_| partner.endpoint()).collect();
+        let partner = DestinationServer::new(CapacityModel::default());
+        let serving = (0..SERVING).map(|_| partner.open_endpoint()).collect();
         let bound = TcpSocket::new_v4()?;
-        bound.bind(SocketAddr::new(loopback(), 0))?;
+        bound.bind(SocketAddr::new(unused_loopback_address(), 0))?;
         Ok(Endpoints { _partner: partner, serving, refusing: bound.local_addr()?, _bound: bound })
     }
 }
@@ -77,7 +77,7 @@
 
     /// The configuration of a forwarder that knows them from its start.
     pub fn config(&self, discovery: SocketAddr, seed: u64) -> String {
-        let mut setup = Setup::new(discovery);
+        let mut setup = ForwarderConfig::new(discovery);
         setup.max_open = 0;
         setup.disk_mb = DISK_MB;
         let mut config: Value = serde_json::from_str(&setup.text()).unwrap_or_default();
@@ -106,5 +106,5 @@
 }
 
 fn entry(destination: u64, address: SocketAddr) -> Value {
-    target(&format!("server-{destination:06}"), address, destination)
+    endpoint_entry(&format!("server-{destination:06}"), address, destination)
 }
--- a/crates/experiments/src/capacity/forwarder/listed.rs
+++ b/crates/experiments/src/capacity/forwarder/listed.rs
@@ -98,7 +98,7 @@
     listed: usize,
 ) -> Result<(), CapacityError> {
     let limit = rig.plan.change_limit;
-    wait_until("a watch on the list", limit, || Ok(started.platform.asked() > 0))?;
+    wait_until("a watch on the list", limit, || Ok(started.platform.watch_count() > 0))?;
     let added = started.destinations.add(&rig.endpoints);
     let cost = take_list(rig, &started, &started.destinations.last_entry(2), added)?;
     rig.add_listed(quantities::CHANGE, setting, listed, milliseconds(cost.elapsed));
@@ -131,7 +131,7 @@
     let limit = rig.plan.change_limit;
     let journal = process.journal_size()?;
     let ((), cost) = cost_of(process, || {
-        platform.tell(list);
+        platform.publish(list);
         // What it has taken in is journaled before it is used: until then it is not disturbed by questions.
         wait_until("a change of the list", limit, || Ok(process.journal_size()? != journal))?;
         wait_for_destination(rig, process, added, limit)
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -10,8 +10,8 @@
 use crate::capacity::forwarder_process::{ForwarderProcess, StartCost};
 use crate::capacity::guard::Guard;
 use crate::capacity::series::{Measurements, Quantity, Size};
-use orchidyoke_fakes::Platform;
-use orchidyoke_fakes::forwarder::Folder;
+use orchidyoke_fakes::DiscoveryServer;
+use orchidyoke_fakes::TemporaryFolder;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -54,9 +54,9 @@
     /// Its list.
     pub destinations: Destinations,
     /// Discovery, which tells nothing by itself.
-    pub platform: Platform,
+    pub platform: DiscoveryServer,
     /// Its configuration and its state.
-    pub folder: Folder,
+    pub folder: TemporaryFolder,
 }
 
 impl Rig {
@@ -80,11 +80,15 @@
     }
 
     /// A folder with the configuration of a forwarder that knows so many destinations, a part of them down.
-    pub fn prepare(&mut self, listed: usize, part_down: f64) -> (Folder, Destinations, Platform) {
+    pub fn prepare(
+        &mut self,
+        listed: usize,
+        part_down: f64,
+    ) -> (TemporaryFolder, Destinations, DiscoveryServer) {
         let destinations = Destinations::new(&self.endpoints, listed, part_down, &mut self.rng);
-        let platform = Platform::start("");
+        let platform = DiscoveryServer::start("");
         self.next_folder += 1;
-        let folder = Folder::new(&format!("capacity-{}", self.next_folder));
+        let folder = TemporaryFolder::new(&format!("capacity-{}", self.next_folder));
         folder.write("config.json", &destinations.config(platform.address(), self.seed));
         (folder, destinations, platform)
     }
@@ -92,7 +96,7 @@
     /// Starts a forwarder on a folder, if the budget has room for what it will hold.
     pub fn start_on(
         &self,
-        folder: &Folder,
+        folder: &TemporaryFolder,
         held: usize,
     ) -> Result<(ForwarderProcess, StartCost), CapacityError> {
         let resident = held as u64 * MEMORY_FOR_ONE;
--- a/crates/experiments/src/capacity/forwarder_process.rs
+++ b/crates/experiments/src/capacity/forwarder_process.rs
@@ -4,7 +4,7 @@
 use super::process::{self, Usage};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use orchidyoke_fakes::forwarder::Folder;
+use orchidyoke_fakes::TemporaryFolder;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -40,7 +40,7 @@
     /// Starts it with `config.json` of a folder and its state in the folder's `state`, and waits until it is ready.
     pub fn start(
         program: &Path,
-        folder: &Folder,
+        folder: &TemporaryFolder,
         limit: Duration,
     ) -> Result<(Self, StartCost), CapacityError> {
         let begin = Instant::now();
--- a/crates/experiments/src/cold.rs
+++ b/crates/experiments/src/cold.rs
@@ -4,7 +4,7 @@
 use crate::load;
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{DESTINATION, Site, progress, script, wait_until};
-use orchidyoke_fakes::partner::{Above, Bearing, Mode};
+use orchidyoke_fakes::destination::{CapacityModel, Mode, OverloadBehavior};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -22,11 +22,11 @@
 pub fn run(run: &Run) -> Result<Outcome, String> {
     let program = run.program()?;
     // It lets calls wait rather than turn them away: no push-back helps the forwarders to keep their measure.
-    let bearing = Bearing {
-        capacity: CAPACITY,
-        service: Duration::from_millis(20),
-        above: Above::Queue,
-        ..Bearing::default()
+    let bearing = CapacityModel {
+        capacity_rps: CAPACITY,
+        service_time: Duration::from_millis(20),
+        overload: OverloadBehavior::Queue,
+        ..CapacityModel::default()
     };
     let mut sites = Vec::new();
     for seed in run.seed..run.seed + run.seeds.max(1) {
@@ -35,8 +35,8 @@
             site.register(&format!("w{place}"));
         }
         let mut setup = site.setup();
-        setup.fleet = FORWARDERS;
-        setup.slots = SLOTS;
+        setup.fleet_size = FORWARDERS;
+        setup.max_in_flight = SLOTS;
         // Sabotage: a forwarder that believes that nothing can tip the partner over, and that it is warm at once.
         let config = match run.sabotage {
             false => setup.text(),
@@ -72,14 +72,14 @@
             if at == OUT_FROM {
                 // It is away, and Consul says so before any call shows it.
                 all("critical");
-                site.partner.set(Mode::Shut);
+                site.partner.set_mode(Mode::Unavailable);
             } else if at == BACK_FROM {
-                site.partner.come_back();
+                site.partner.recover();
                 all("passing");
             }
         }
         wait_until(&bar, start, at + Duration::from_millis(500));
-        bears.push(sites[0].1.partner.present());
+        bears.push(sites[0].1.partner.current_capacity());
     }
     wait_until(&bar, start, SPAN);
     bar.finish_and_clear();
@@ -91,12 +91,12 @@
     let mut sent_most = vec![0.0_f64; SPAN.as_secs() as usize];
     let mut sent_mean = sent_most.clone();
     for ((seed, site, _), handed) in sites.iter().zip(handed.chunks(FORWARDERS)) {
-        let (ends, at) = (site.settle(handed), site.partner.tips());
+        let (ends, at) = (site.settle(handed), site.partner.collapses());
         let tips = at.len();
         let at: Vec<_> = at.iter().map(|at| format!("{:.2}", (*at - start).as_secs_f64())).collect();
         let mut each = vec![0.0; SPAN.as_secs() as usize];
         for call in &ends.calls {
-            let second = call.at.saturating_duration_since(start).as_secs() as usize;
+            let second = call.received_at.saturating_duration_since(start).as_secs() as usize;
             each.get_mut(second).into_iter().for_each(|count| *count += 1.0);
         }
         for (second, count) in each.iter().enumerate() {
@@ -104,7 +104,7 @@
             sent_mean[second] += count / sites.len() as f64;
         }
         let back = BACK_FROM.as_secs() as usize;
-        let served = ends.calls.iter().filter(|c| c.served && c.at > start + BACK_FROM).count();
+        let served = ends.calls.iter().filter(|c| c.served && c.received_at > start + BACK_FROM).count();
         rows.push(vec![
             seed.to_string(),
             ends.messages.to_string(),
@@ -127,7 +127,7 @@
         broken.push(format!("{lost} messages lost"));
     }
     let points = |values: &[f64]| values.iter().enumerate().map(|(s, value)| (s as f64, *value)).collect();
-    let limit: Vec<f64> = bears.iter().map(|bears| bears * bearing.fall_multiple).collect();
+    let limit: Vec<f64> = bears.iter().map(|bears| bears * bearing.overload_factor).collect();
     let lines = vec![
         Line { name: "sent, mean of the seeds".to_owned(), points: points(&sent_mean) },
         Line { name: "sent, most of any seed".to_owned(), points: points(&sent_most) },
@@ -154,5 +154,5 @@
 }
 
 fn told(site: &Site, place: usize, status: &str) {
-    site.consul.status("n1", &format!("w{place}"), status);
+    site.consul.set_status("n1", &format!("w{place}"), status);
 }
--- a/crates/experiments/src/drain.rs
+++ b/crates/experiments/src/drain.rs
@@ -5,8 +5,8 @@
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{DESTINATION, Site, progress, quantile, script, wait_until};
 use orchidyoke_fakes::consul::Instance;
-use orchidyoke_fakes::forwarder::target;
-use orchidyoke_fakes::partner::Bearing;
+use orchidyoke_fakes::destination::CapacityModel;
+use orchidyoke_fakes::forwarder::endpoint_entry;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -30,13 +30,14 @@
 }
 
 pub fn run(run: &Run) -> Result<Outcome, String> {
-    let site = Site::new("drain", Bearing::default());
+    let site = Site::new("drain", CapacityModel::default());
     let endpoints: Vec<SocketAddr> =
         (0..ENDPOINTS).map(|number| site.register(&format!("w{number}"))).collect();
     let mut setup = site.setup();
     if run.sabotage {
-        let targets = endpoints.iter().enumerate().map(|(n, e)| target(&format!("s{n}"), *e, DESTINATION));
-        setup.targets = targets.collect();
+        let targets =
+            endpoints.iter().enumerate().map(|(n, e)| endpoint_entry(&format!("s{n}"), *e, DESTINATION));
+        setup.endpoints = targets.collect();
     }
     let script = (!run.sabotage).then(|| script(site.consul.address(), 400.0));
     let (_folder, forwarder) = site.forwarder(&run.program()?, 0, &setup.text(), script.as_deref());
@@ -65,9 +66,9 @@
         }
         let id = format!("w{place}");
         let (how, index) = match rng.random_range(0..4) {
-            0 => ("draining tag", site.consul.tag("n1", &id, "draining", true)),
-            1 => ("maintenance", site.consul.maintenance("n1", &id, true)),
-            2 => ("critical", site.consul.status("n1", &id, "critical")),
+            0 => ("draining tag", site.consul.set_tag("n1", &id, "draining", true)),
+            1 => ("maintenance", site.consul.set_maintenance("n1", &id, true)),
+            2 => ("critical", site.consul.set_status("n1", &id, "critical")),
             _ => ("deregistered", site.consul.deregister("n1", &id)),
         };
         let until = Instant::now() + OUT;
@@ -82,13 +83,12 @@
     let mut worst: Vec<(&'static str, f64)> = Vec::new();
     let mut after = 0;
     for removal in &removals {
-        let told = site.consul.told_at("web", removal.index).unwrap_or(removal.until - OUT);
-        let calls = ends
-            .calls
-            .iter()
-            .filter(|c| c.endpoint == removal.endpoint && c.at > told && c.at < removal.until);
-        let last = calls.clone().map(|call| call.at - told).max().unwrap_or_default();
-        after += calls.filter(|call| call.at - told > BOUND).count();
+        let told = site.consul.first_answered_at("web", removal.index).unwrap_or(removal.until - OUT);
+        let calls = ends.calls.iter().filter(|c| {
+            c.endpoint == removal.endpoint && c.received_at > told && c.received_at < removal.until
+        });
+        let last = calls.clone().map(|call| call.received_at - told).max().unwrap_or_default();
+        after += calls.filter(|call| call.received_at - told > BOUND).count();
         worst.push((removal.how, last.as_secs_f64() * 1e3));
     }
     let sorted = |of: &dyn Fn(&str) -> bool| {
@@ -135,9 +135,9 @@
 fn restore(site: &Site, place: usize, how: &str, endpoint: SocketAddr) {
     let id = format!("w{place}");
     match how {
-        "draining tag" => site.consul.tag("n1", &id, "draining", false),
-        "maintenance" => site.consul.maintenance("n1", &id, false),
-        "critical" => site.consul.status("n1", &id, "passing"),
+        "draining tag" => site.consul.set_tag("n1", &id, "draining", false),
+        "maintenance" => site.consul.set_maintenance("n1", &id, false),
+        "critical" => site.consul.set_status("n1", &id, "passing"),
         _ => site.consul.register(Instance::new("web", "n1", &id, endpoint)),
     };
 }
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -4,8 +4,9 @@
 
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
-use orchidyoke_fakes::forwarder::{Folder, Setup};
-use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::ForwarderConfig;
+use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::reload::Source;
@@ -117,8 +118,8 @@
 }
 
 async fn one(forwarders: usize, changes: usize, sabotage: bool) -> Result<Size, String> {
-    let (consul, stage) = (Consul::start(), Stage::new());
-    let path = FaultProxy::start(&stage, loopback(), consul.address());
+    let (consul, stage) = (ConsulServer::start(), ServerRuntime::new());
+    let path = FaultProxy::start(&stage, unused_loopback_address(), consul.address());
     let settings = |address| Settings {
         consul: orchidyoke_consul::Settings {
             addresses: vec![address],
@@ -128,14 +129,14 @@
         name: None,
         ttl: TTL,
     };
-    let base = Folder::new(&format!("lab-policy-{forwarders}"));
-    let config = base.write("config.json", &Setup::new(loopback_at()).text());
+    let base = TemporaryFolder::new(&format!("lab-policy-{forwarders}"));
+    let config = base.write("config.json", &ForwarderConfig::new(loopback_at()).text());
     let (took, mut taken) = unbounded_channel();
     // Sabotage: one forwarder is cut off, and given up by Consul, before the change.
     for number in 0..forwarders {
         let late = sabotage && number == 0;
         let at = if late { path.address } else { consul.address() };
-        let folder = Folder::new(&format!("lab-policy-{forwarders}-{number}"));
+        let folder = TemporaryFolder::new(&format!("lab-policy-{forwarders}-{number}"));
         let follower = Follower::new(settings(at), &format!("f{number}"), folder.path());
         let source = Rc::new(Source { path: config.clone(), ..Source::default() });
         let (inputs, mut came) = unbounded_channel();
@@ -162,19 +163,19 @@
     tokio::time::timeout(Duration::from_secs(60), all_there)
         .await
         .map_err(|_| format!("not all of {forwarders} forwarders are there"))?;
-    let before = consul.questions();
+    let before = consul.request_count();
     sleep(IDLE).await;
-    let idle = (consul.questions() - before) as f64 / IDLE.as_secs_f64();
+    let idle = (consul.request_count() - before) as f64 / IDLE.as_secs_f64();
     let mut seen = Vec::new();
     for change in 0..changes {
         if sabotage {
-            path.set(Fault::Partition);
+            path.set_fault(NetworkFault::Partition);
             while office.status().await.map_or(0, |(_, members)| members.len()) >= forwarders {
                 sleep(Duration::from_millis(100)).await;
             }
         }
         let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + change}}}).to_string();
-        let (before, began) = (consul.questions(), Instant::now());
+        let (before, began) = (consul.request_count(), Instant::now());
         office.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
         let committed = office.last_commit().ok_or("no commit")?;
         // One that has not taken it by then is told as having taken as long.
@@ -190,7 +191,7 @@
             prepared_ms: committed.into_std().duration_since(began).as_secs_f64() * 1000.0,
             first_ms: ms(times[0]),
             last_ms: ms(times[times.len() - 1]),
-            questions: consul.questions() - before,
+            questions: consul.request_count() - before,
         });
     }
     Ok(Size { forwarders, idle, changes: seen })
@@ -198,5 +199,5 @@
 
 /// An address at which nobody answers: no forwarder here asks discovery.
 fn loopback_at() -> std::net::SocketAddr {
-    (loopback(), 9).into()
+    (unused_loopback_address(), 9).into()
 }
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -8,7 +8,7 @@
 use crate::Run;
 use crate::report::{Chart, Line, Outcome};
 use orchidyoke_fakes::Fleet;
-use orchidyoke_fakes::fleet::Load;
+use orchidyoke_fakes::fleet::ClientLoad;
 use orchidyoke_rollout::console::{ask, parse_outcome_counts};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -152,11 +152,11 @@
     let (kind, named) = KINDS[seed as usize % KINDS.len()];
     // More come than two calls at a time can carry, so that a slower path is one.
     let pace_ms = dice.random_range(2..=if kind == Kind::Slower { 4 } else { 8 });
-    let load = Load { pause: Duration::from_millis(pace_ms), ..Load::default() };
+    let load = ClientLoad { pause: Duration::from_millis(pace_ms), ..ClientLoad::default() };
     let name = format!("lab-{seed}");
     let fleet = match kind {
         Kind::Release => Fleet::supervised(program, &name, FLEET, load),
-        _ => Fleet::alone(program, &name, FLEET, load),
+        _ => Fleet::standalone(program, &name, FLEET, load),
     };
     let (limit, change) = change(&fleet, program, kind, &mut dice);
     // Sabotage: a margin that nothing exceeds.
--- a/crates/experiments/src/scale.rs
+++ b/crates/experiments/src/scale.rs
@@ -5,8 +5,8 @@
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{Site, progress, quantile, wait_until};
 use orchidyoke_core::endpoint_list::{EndpointList, ListedState};
-use orchidyoke_fakes::consul::{Fault, Instance};
-use orchidyoke_fakes::partner::Bearing;
+use orchidyoke_fakes::consul::{ConsulFault, Instance};
+use orchidyoke_fakes::destination::CapacityModel;
 use orchidyoke_journal::{Record, replay};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -89,7 +89,7 @@
 }
 
 fn measure(run: &Run, endpoints: usize) -> Result<Measured, String> {
-    let site = Site::new(&format!("scale-{endpoints}"), Bearing::default());
+    let site = Site::new(&format!("scale-{endpoints}"), CapacityModel::default());
     let services = endpoints / PER_SERVICE;
     let address = |number: usize| {
         SocketAddr::from(([127, 200 + (number >> 16) as u8, (number >> 8) as u8, number as u8], 9_000))
@@ -122,7 +122,7 @@
     wait_until(&bar, start, IDLE);
     let (busy, _) = usage()?;
     if run.sabotage {
-        site.consul.fault(Fault::Silent);
+        site.consul.set_fault(ConsulFault::Unresponsive);
     }
     let mut rng = StdRng::seed_from_u64(run.seed);
     let mut waiting: BTreeMap<String, (Instant, ListedState)> = BTreeMap::new();
@@ -137,7 +137,7 @@
             let uid = format!("s{0}.{0}/{node}/{id}@{1}", number % services, address(number));
             let drained = tail.map.get(&uid).is_some_and(|target| target.state == ListedState::Draining);
             if let Entry::Vacant(place) = waiting.entry(uid) {
-                site.consul.tag(&node, &id, "draining", !drained);
+                site.consul.set_tag(&node, &id, "draining", !drained);
                 place.insert((
                     Instant::now(),
                     if drained { ListedState::Active } else { ListedState::Draining },
--- a/crates/experiments/src/silent.rs
+++ b/crates/experiments/src/silent.rs
@@ -4,8 +4,8 @@
 use crate::load::{self, Handed};
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{DESTINATION, Site, progress, script, wait_until};
-use orchidyoke_fakes::consul::Fault;
-use orchidyoke_fakes::partner::Bearing;
+use orchidyoke_fakes::consul::ConsulFault;
+use orchidyoke_fakes::destination::CapacityModel;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -17,20 +17,20 @@
 const AIM: f64 = 0.99;
 
 pub fn run(run: &Run) -> Result<Outcome, String> {
-    let forms: Vec<(&str, Fault)> = vec![
-        ("undisturbed", Fault::None),
-        ("says nothing", Fault::Silent),
-        ("refuses connections", Fault::Gone),
-        ("vanishes in the middle", Fault::Vanishing),
-        ("500 No cluster leader", Fault::Status(500, "No cluster leader", None)),
-        ("empty list, no leader", Fault::NoLeader { whole: false }),
-        ("answer cut short", Fault::CutShort),
-        ("answer without an end", Fault::Endless),
+    let forms: Vec<(&str, ConsulFault)> = vec![
+        ("undisturbed", ConsulFault::None),
+        ("says nothing", ConsulFault::Unresponsive),
+        ("refuses connections", ConsulFault::Down),
+        ("vanishes in the middle", ConsulFault::CloseOnRequest),
+        ("500 No cluster leader", ConsulFault::Status(500, "No cluster leader", None)),
+        ("empty list, no leader", ConsulFault::NoLeader { complete: false }),
+        ("answer cut short", ConsulFault::TruncatedBody),
+        ("answer without an end", ConsulFault::EndlessBody),
     ];
     let program = run.program()?;
     let mut sites = Vec::new();
     for (number, (name, fault)) in forms.iter().enumerate() {
-        let site = Site::new(&format!("silent-{number}"), Bearing::default());
+        let site = Site::new(&format!("silent-{number}"), CapacityModel::default());
         for place in 0..3 {
             site.register(&format!("w{place}"));
         }
@@ -55,11 +55,11 @@
                 site.consul.deregister("n1", &format!("w{place}"));
             }
         } else {
-            site.consul.fault((*fault).clone());
+            site.consul.set_fault((*fault).clone());
         }
     }
     wait_until(&bar, start, TO);
-    sites.iter().for_each(|(_, _, site, ..)| site.consul.fault(Fault::None));
+    sites.iter().for_each(|(_, _, site, ..)| site.consul.set_fault(ConsulFault::None));
     wait_until(&bar, start, SPAN);
     bar.finish_and_clear();
     let handed: Vec<Handed> = loads
@@ -76,8 +76,9 @@
             undisturbed = share;
         }
         let kept = if undisturbed > 0.0 { share / undisturbed } else { 0.0 };
-        let second =
-            |call: &orchidyoke_fakes::partner::Call| call.at.saturating_duration_since(start).as_secs();
+        let second = |call: &orchidyoke_fakes::destination::Call| {
+            call.received_at.saturating_duration_since(start).as_secs()
+        };
         let each: Vec<f64> = (0..SPAN.as_secs())
             .map(|n| ends.calls.iter().filter(|call| call.served && second(call) == n).count() as f64)
             .collect();
@@ -103,7 +104,7 @@
             format!("{least:.0}"),
             ends.lost.to_string(),
             ends.duplicated.to_string(),
-            site.consul.questions().to_string(),
+            site.consul.request_count().to_string(),
         ]);
         let points = each.iter().enumerate().map(|(second, calls)| (second as f64, *calls)).collect();
         lines.push(Line { name: (*name).to_owned(), points });
--- a/crates/experiments/src/site.rs
+++ b/crates/experiments/src/site.rs
@@ -2,10 +2,11 @@
 
 use crate::load::Handed;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
+use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::consul::Instance;
-use orchidyoke_fakes::forwarder::{Folder, Setup};
-use orchidyoke_fakes::partner::{Bearing, Call};
-use orchidyoke_fakes::{Consul, Forwarder, Partner, Platform};
+use orchidyoke_fakes::destination::{Call, CapacityModel};
+use orchidyoke_fakes::forwarder::ForwarderConfig;
+use orchidyoke_fakes::{ConsulServer, DestinationServer, DiscoveryServer, ForwarderProcess};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,23 +29,23 @@
 /// Stand-ins, and folders for forwarders.
 pub struct Site {
     pub name: String,
-    pub platform: Platform,
-    pub consul: Consul,
-    pub partner: Partner,
+    pub platform: DiscoveryServer,
+    pub consul: ConsulServer,
+    pub partner: DestinationServer,
 }
 
 impl Site {
-    pub fn new(name: &str, bearing: Bearing) -> Self {
+    pub fn new(name: &str, bearing: CapacityModel) -> Self {
         Site {
             name: name.to_owned(),
-            platform: Platform::start(""),
-            consul: Consul::start(),
-            partner: Partner::new(bearing),
+            platform: DiscoveryServer::start(""),
+            consul: ConsulServer::start(),
+            partner: DestinationServer::new(bearing),
         }
     }
 
     pub fn register(&self, id: &str) -> SocketAddr {
-        let endpoint = self.partner.endpoint();
+        let endpoint = self.partner.open_endpoint();
         self.consul.register(Instance::new("web", "n1", id, endpoint));
         endpoint
     }
@@ -56,24 +57,24 @@
         number: usize,
         config: &str,
         script: Option<&str>,
-    ) -> (Folder, Forwarder) {
-        let folder = Folder::new(&format!("lab-{}-{number}", self.name));
+    ) -> (TemporaryFolder, ForwarderProcess) {
+        let folder = TemporaryFolder::new(&format!("lab-{}-{number}", self.name));
         folder.write("config.json", config);
         let settings = script.map(|text| folder.write("edge.star", text).display().to_string());
         let options: Vec<&str> = settings.iter().flat_map(|path| ["--settings", path]).collect();
-        let forwarder = Forwarder::start(program, &folder, &options);
+        let forwarder = ForwarderProcess::start(program, &folder, &options);
         (folder, forwarder)
     }
 
-    pub fn setup(&self) -> Setup {
-        Setup::new(self.platform.address())
+    pub fn setup(&self) -> ForwarderConfig {
+        ForwarderConfig::new(self.platform.address())
     }
 
     /// Waits until the forwarder knows the destination.
-    pub fn wait_for_list(&self, forwarder: &Forwarder) -> Result<(), String> {
+    pub fn wait_for_list(&self, forwarder: &ForwarderProcess) -> Result<(), String> {
         let end = Instant::now() + Duration::from_secs(10);
         let mut number = 0;
-        while forwarder.hand_in(
+        while forwarder.submit_message(
             "status",
             &format!("{}-first-{}-{number}", self.name, forwarder.pid()),
             DESTINATION,
@@ -115,10 +116,10 @@
 
 impl Ends {
     fn new(site: &Site, handed: &[Handed]) -> Self {
-        let (calls, notices) = (site.partner.calls(), site.platform.notices());
+        let (calls, notices) = (site.partner.calls(), site.platform.notifications());
         let mut served: BTreeMap<&str, usize> = BTreeMap::new();
         for call in calls.iter().filter(|call| call.served) {
-            *served.entry(&call.txn).or_default() += 1;
+            *served.entry(&call.message_id).or_default() += 1;
         }
         let taken = || handed.iter().flat_map(|handed| &handed.taken);
         let delivered = taken().filter(|txn| served.contains_key(txn.as_str())).count();
--- a/crates/fakes/src/certificates.rs
+++ b/crates/fakes/src/certificates.rs
@@ -6,18 +6,18 @@
 use time::{Duration, OffsetDateTime};
 
 /// An authority, whose certificate is `NAME-ca.pem`.
-pub struct Authority {
+pub struct CertificateAuthority {
     issuer: CertifiedIssuer<'static, KeyPair>,
     folder: PathBuf,
     /// The file of its certificate.
-    pub ca: PathBuf,
+    pub certificate: PathBuf,
 }
 
 /// A certificate with its key.
 #[derive(Clone, Debug)]
-pub struct Pair {
+pub struct CertificateFiles {
     /// The file of the certificate.
-    pub cert: PathBuf,
+    pub certificate: PathBuf,
     /// The file of the key.
     pub key: PathBuf,
 }
@@ -31,7 +31,7 @@
     path
 }
 
-impl Authority {
+impl CertificateAuthority {
     /// A new authority with its files in this folder.
     pub fn new(folder: &Path, name: &str) -> Self {
         let mut params = CertificateParams::default();
@@ -40,20 +40,20 @@
         let key = KeyPair::generate().expect("a key");
         let issuer = CertifiedIssuer::self_signed(params, key).expect("a certificate");
         let ca = write(folder.join(format!("{name}-ca.pem")), &issuer.pem());
-        Authority { issuer, folder: folder.to_owned(), ca }
+        CertificateAuthority { issuer, folder: folder.to_owned(), certificate: ca }
     }
 
     /// Signs a certificate for this address and name, valid for so long from now on; a negative time makes one that
     /// has run out. The files are `NAME.pem` and `NAME.key`.
-    pub fn sign(&self, name: &str, address: IpAddr, valid: Duration) -> Pair {
+    pub fn sign(&self, name: &str, address: IpAddr, valid: Duration) -> CertificateFiles {
         let mut params = CertificateParams::new(vec![name.to_owned()]).expect("a name");
         params.subject_alt_names.push(SanType::IpAddress(address));
         let now = OffsetDateTime::now_utc();
         (params.not_before, params.not_after) = (now - Duration::days(30), now + valid);
         let key = KeyPair::generate().expect("a key");
         let certificate = params.signed_by(&key, &*self.issuer).expect("a certificate");
-        Pair {
-            cert: write(self.folder.join(format!("{name}.pem")), &certificate.pem()),
+        CertificateFiles {
+            certificate: write(self.folder.join(format!("{name}.pem")), &certificate.pem()),
             key: write(self.folder.join(format!("{name}.key")), &key.serialize_pem()),
         }
     }
--- a/crates/fakes/src/consul.rs
+++ b/crates/fakes/src/consul.rs
@@ -12,11 +12,11 @@
 mod kv;
 mod state;
 
-pub use fault::Fault;
+pub use fault::ConsulFault;
 pub use instance::Instance;
 
-use crate::certificates::Pair;
-use crate::stage::{Stage, loopback};
+use crate::certificates::CertificateFiles;
+use crate::runtime::{ServerRuntime, unused_loopback_address};
 use connection::accept;
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
@@ -48,16 +48,16 @@
 
 /// The stand-in. Dropping it closes all its connections.
 #[derive(Clone)]
-pub struct Consul {
+pub struct ConsulServer {
     inner: Arc<Inner>,
-    _stage: Arc<Stage>,
+    _stage: Arc<ServerRuntime>,
 }
 
-impl Consul {
+impl ConsulServer {
     /// Starts it on a stage of its own.
     pub fn start() -> Self {
-        let stage = Arc::new(Stage::new());
-        let listener = stage.listen(loopback());
+        let stage = Arc::new(ServerRuntime::new());
+        let listener = stage.listen(unused_loopback_address());
         let address = listener.local_addr().expect("a socket");
         let state = State { index: 1, ..State::default() };
         let inner = Arc::new(Inner {
@@ -67,7 +67,7 @@
             turned: Notify::new(),
             acceptor: Mutex::new(None),
         });
-        let consul = Consul { inner: inner.clone(), _stage: stage.clone() };
+        let consul = ConsulServer { inner: inner.clone(), _stage: stage.clone() };
         // The stage ends with the last handle to it: what runs there must hold none.
         let weak = Arc::downgrade(&stage);
         let relisten = move || weak.upgrade().map(|stage| stage.listen_at(address));
@@ -81,9 +81,9 @@
     }
 
     /// From now on new connections speak TLS with this certificate; with `clients`, they need one of that authority.
-    pub fn speak_tls(&self, pair: &Pair, clients: Option<&Path>) {
+    pub fn use_tls(&self, pair: &CertificateFiles, clients: Option<&Path>) {
         let chain: Result<Vec<_>, _> =
-            CertificateDer::pem_file_iter(&pair.cert).expect("a certificate").collect();
+            CertificateDer::pem_file_iter(&pair.certificate).expect("a certificate").collect();
         let key = PrivateKeyDer::from_pem_file(&pair.key).expect("a key");
         let provider = Arc::new(ring::default_provider());
         let builder = ServerConfig::builder_with_provider(provider.clone())
@@ -135,7 +135,7 @@
     }
 
     /// Sets a check of an instance, or with no status takes it away. Gives the index of the change.
-    pub fn check(&self, node: &str, id: &str, check: &str, status: Option<&str>) -> u64 {
+    pub fn set_check(&self, node: &str, id: &str, check: &str, status: Option<&str>) -> u64 {
         self.change(|state| {
             state.index += 1;
             if let Some(instance) = state.instances.get_mut(&(node.to_owned(), id.to_owned())) {
@@ -151,12 +151,12 @@
     }
 
     /// Sets the check that the instance was registered with.
-    pub fn status(&self, node: &str, id: &str, status: &str) -> u64 {
-        self.check(node, id, &format!("service:{id}"), Some(status))
+    pub fn set_status(&self, node: &str, id: &str, status: &str) -> u64 {
+        self.set_check(node, id, &format!("service:{id}"), Some(status))
     }
 
     /// Sets a check of a node, or with no status takes it away: it counts for all its instances.
-    pub fn node_check(&self, node: &str, check: &str, status: Option<&str>) -> u64 {
+    pub fn set_node_check(&self, node: &str, check: &str, status: Option<&str>) -> u64 {
         self.change(|state| {
             state.index += 1;
             let checks = state.node_checks.entry(node.to_owned()).or_default();
@@ -172,8 +172,8 @@
     }
 
     /// Puts an instance into maintenance, or takes it out.
-    pub fn maintenance(&self, node: &str, id: &str, on: bool) -> u64 {
-        self.check(node, id, &format!("_service_maintenance:{id}"), on.then_some("critical"))
+    pub fn set_maintenance(&self, node: &str, id: &str, on: bool) -> u64 {
+        self.set_check(node, id, &format!("_service_maintenance:{id}"), on.then_some("critical"))
     }
 
     /// Somebody deletes all keys with this beginning, whoever holds them.
@@ -182,12 +182,12 @@
     }
 
     /// Sessions that are not renewed end after so many times their TTL: 1 to 2, as Consul has it.
-    pub fn sessions_end_after(&self, ttls: f64) {
+    pub fn set_session_expiry_factor(&self, ttls: f64) {
         self.inner.state().store.ends_after = ttls.clamp(1.0, 2.0);
     }
 
     /// Marks an instance with a tag, or takes the mark away.
-    pub fn tag(&self, node: &str, id: &str, tag: &str, on: bool) -> u64 {
+    pub fn set_tag(&self, node: &str, id: &str, tag: &str, on: bool) -> u64 {
         let found = self.inner.state().instances.get(&(node.to_owned(), id.to_owned())).cloned();
         let Some(mut instance) = found else { return self.inner.state().index };
         instance.tags.retain(|other| other != tag);
@@ -197,19 +197,19 @@
 
     /// From now on this is wrong with it. Questions that it held are as those that come: an end to the fault lets
     /// them go on.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: ConsulFault) {
         self.inner.state().fault = fault;
         self.inner.turned.notify_waiters();
         self.inner.changed.send_modify(|_| ());
     }
 
     /// From now on questions need this token.
-    pub fn require(&self, token: Option<&str>) {
+    pub fn require_token(&self, token: Option<&str>) {
         self.inner.state().token = token.map(str::to_owned);
     }
 
     /// The index falls back to a lower one, as after a restore.
-    pub fn lose_index(&self) {
+    pub fn reset_index(&self) {
         self.change(|state| {
             state.index = 1;
             state.service_index.values_mut().for_each(|index| *index = 1);
@@ -218,14 +218,14 @@
     }
 
     /// When the first answer for this service was written that has this change in it.
-    pub fn told_at(&self, service: &str, index: u64) -> Option<Instant> {
+    pub fn first_answered_at(&self, service: &str, index: u64) -> Option<Instant> {
         let state = self.inner.state();
         let told = state.told.get(service)?;
         told.iter().find(|(told, _)| *told >= index).map(|(_, at)| *at)
     }
 
     /// Questions so far.
-    pub fn questions(&self) -> u64 {
+    pub fn request_count(&self) -> u64 {
         self.inner.state().questions
     }
 
--- a/crates/fakes/src/consul/bodies.rs
+++ b/crates/fakes/src/consul/bodies.rs
@@ -1,6 +1,6 @@
 //! Response bodies that break HTTP on purpose.
 
-use crate::stage::Never;
+use crate::runtime::Never;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use http_body_util::combinators::BoxBody;
--- a/crates/fakes/src/consul/connection.rs
+++ b/crates/fakes/src/consul/connection.rs
@@ -1,7 +1,7 @@
 //! The connections of the stand-in: accepted and served as its fault allows.
 
-use super::{Fault, Inner};
-use crate::stage::{self, serve};
+use super::{ConsulFault, Inner};
+use crate::runtime::{self, serve};
 use std::sync::{Arc, PoisonError};
 
 pub(super) async fn accept(
@@ -12,7 +12,7 @@
     let mut listener = Some(listener);
     loop {
         let turned = inner.turned.notified();
-        let gone = inner.state().fault == Fault::Gone;
+        let gone = inner.state().fault == ConsulFault::Down;
         match (&listener, gone) {
             (Some(_), true) => listener = None,
             (None, true) => turned.await,
@@ -22,7 +22,7 @@
             },
             (Some(open), false) => {
                 let stream = tokio::select! {
-                    stream = stage::accept(open) => stream,
+                    stream = runtime::accept(open) => stream,
                     () = turned => continue,
                 };
                 tokio::spawn(connection(inner.clone(), stream));
@@ -60,7 +60,7 @@
     let gone = async {
         loop {
             let turned = inner.turned.notified();
-            if inner.state().fault == Fault::Gone {
+            if inner.state().fault == ConsulFault::Down {
                 return;
             }
             turned.await;
--- a/crates/fakes/src/consul/http.rs
+++ b/crates/fakes/src/consul/http.rs
@@ -2,8 +2,8 @@
 
 use super::bodies::{self, Endless};
 use super::duration::parse_duration;
-use super::{Fault, Inner, kv};
-use crate::stage::Never;
+use super::{ConsulFault, Inner, kv};
+use crate::runtime::Never;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full};
@@ -38,26 +38,29 @@
         loop {
             let fault = self.state().fault.clone();
             match fault {
-                Fault::None | Fault::Index(_) | Fault::LostWrites | Fault::SlowWrites(_) => {}
-                Fault::Silent => {
+                ConsulFault::None
+                | ConsulFault::FixedIndex(_)
+                | ConsulFault::LostWriteAnswers
+                | ConsulFault::SlowWrites(_) => {}
+                ConsulFault::Unresponsive => {
                     drop(changed.changed().await);
                     continue;
                 }
-                Fault::Gone | Fault::Vanishing => return None,
-                Fault::Status(status, text, after) => return Some(plain(status, text, after)),
-                Fault::NoLeader { whole } => return Some(self.leaderless(&path, whole)),
-                Fault::Behind(contact) => {
+                ConsulFault::Down | ConsulFault::CloseOnRequest => return None,
+                ConsulFault::Status(status, text, after) => return Some(plain(status, text, after)),
+                ConsulFault::NoLeader { complete: whole } => return Some(self.leaderless(&path, whole)),
+                ConsulFault::Stale(contact) => {
                     let index = Some("1".to_owned());
                     let mut answer = told(b"[]".to_vec(), index, true);
                     let contact = HeaderValue::from(contact.as_millis() as u64);
                     answer.headers_mut().insert("X-Consul-LastContact", contact);
                     return Some(answer);
                 }
-                Fault::CutShort => {
+                ConsulFault::TruncatedBody => {
                     return Some(Response::new(bodies::half(b"[{\"Node\":{\"Node\":\"n1\"".repeat(8))));
                 }
-                Fault::Endless => return Some(Response::new(Endless.boxed())),
-                Fault::Garbage => {
+                ConsulFault::EndlessBody => return Some(Response::new(Endless.boxed())),
+                ConsulFault::MalformedBody => {
                     return Some(told(b"{\"not\":[\"a list\"]}".to_vec(), Some("999999".to_owned()), true));
                 }
             }
@@ -69,7 +72,7 @@
             if path.starts_with("/v1/session/") || path.starts_with("/v1/kv/") || path == "/v1/txn" {
                 if parts.method != Method::GET {
                     let answer = self.write(&parts.method, &path, &field, &body, &fault).await;
-                    return Some(answer).filter(|_| fault != Fault::LostWrites);
+                    return Some(answer).filter(|_| fault != ConsulFault::LostWriteAnswers);
                 }
                 let (answer, at, next) = self.read(&path, field("recurse").is_some());
                 if at != index || Instant::now() >= ends {
@@ -84,7 +87,7 @@
             let Some((body, now)) = self.state().answer(&path) else {
                 return Some(plain(404, "Invalid path", None));
             };
-            if let Fault::Index(index) = fault {
+            if let ConsulFault::FixedIndex(index) = fault {
                 return Some(told(body.to_string().into_bytes(), index.map(str::to_owned), true));
             }
             if now > index || index == 0 || Instant::now() >= ends || now < index {
@@ -143,9 +146,9 @@
         path: &str,
         field: &impl Fn(&str) -> Option<String>,
         body: &Bytes,
-        fault: &Fault,
+        fault: &ConsulFault,
     ) -> Answer {
-        if let Fault::SlowWrites(span) = fault {
+        if let ConsulFault::SlowWrites(span) = fault {
             tokio::time::sleep(*span).await;
         }
         self.expire();
--- a/crates/fakes/src/consul/state.rs
+++ b/crates/fakes/src/consul/state.rs
@@ -1,6 +1,6 @@
 //! The state of the stand-in: its catalogue with its indexes, and what tests have asked of it.
 
-use super::{Fault, Instance, kv};
+use super::{ConsulFault, Instance, kv};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -14,7 +14,7 @@
     pub(super) service_index: BTreeMap<String, u64>,
     pub(super) catalog_index: u64,
     pub(super) checks_index: u64,
-    pub(super) fault: Fault,
+    pub(super) fault: ConsulFault,
     pub(super) token: Option<String>,
     /// For each service: the first moment at which an answer with each index was written.
     pub(super) told: BTreeMap<String, Vec<(u64, Instant)>>,
--- a/crates/fakes/src/partner.rs
+++ b/crates/fakes/src/destination.rs
@@ -5,7 +5,7 @@
 //! its capacity, and more as time goes by. Sent more than a multiple of what it can do at present, kept up for a while,
 //! it tips over and is out again, and drops what waits; once it is warm it does not.
 
-use crate::stage::{Never, Stage, loopback};
+use crate::runtime::{Never, ServerRuntime, unused_loopback_address};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -25,54 +25,54 @@
     #[default]
     Serve,
     /// Answers 503: never run.
-    Shut,
+    Unavailable,
     /// Answers 500: may have run.
-    Fail,
+    InternalError,
     /// Says nothing.
     Hang,
     /// Closes the connection.
-    Reset,
+    Disconnect,
 }
 
 /// What it does with a call above its limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Above {
+pub enum OverloadBehavior {
     /// Answers 503 at once.
     #[default]
-    Refuse,
+    Reject,
     /// Lets it wait until those before it are served, however many they are.
     Queue,
 }
 
 /// What it can bear.
 #[derive(Clone, Copy, Debug)]
-pub struct Bearing {
+pub struct CapacityModel {
     /// Calls a second when warm; 0 means any number.
-    pub capacity: f64,
+    pub capacity_rps: f64,
     /// Part of that when it has just come back.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Time until it is warm again.
-    pub warm_within: Duration,
+    pub warm_up_time: Duration,
     /// It tips over at more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... kept up for this long.
-    pub tip_after: Duration,
+    pub overload_window: Duration,
     /// Time that a call takes.
-    pub service: Duration,
+    pub service_time: Duration,
     /// What becomes of calls above that.
-    pub above: Above,
+    pub overload: OverloadBehavior,
 }
 
-impl Default for Bearing {
+impl Default for CapacityModel {
     fn default() -> Self {
-        Bearing {
-            capacity: 0.0,
-            cold_from: 0.18,
-            warm_within: Duration::from_micros(9_400_000),
-            fall_multiple: 2.0,
-            tip_after: Duration::from_secs(2),
-            service: Duration::from_millis(5),
-            above: Above::Refuse,
+        CapacityModel {
+            capacity_rps: 0.0,
+            cold_capacity_share: 0.18,
+            warm_up_time: Duration::from_micros(9_400_000),
+            overload_factor: 2.0,
+            overload_window: Duration::from_secs(2),
+            service_time: Duration::from_millis(5),
+            overload: OverloadBehavior::Reject,
         }
     }
 }
@@ -81,15 +81,15 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// When its last byte had come.
-    pub at: Instant,
+    pub received_at: Instant,
     /// Which endpoint.
     pub endpoint: SocketAddr,
     /// The caller's end of the connection: another one has another.
     pub peer: SocketAddr,
     /// The message.
-    pub txn: String,
+    pub message_id: String,
     /// Its idempotency key, as it came.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Whether it was answered 200.
     pub served: bool,
 }
@@ -110,14 +110,15 @@
 
 impl State {
     /// What it can do now, in calls a second.
-    fn present(&self, bearing: &Bearing, now: Instant) -> f64 {
-        let Some(since) = self.back_since else { return bearing.capacity };
-        let warm = (now - since).as_secs_f64() / bearing.warm_within.as_secs_f64().max(1e-9);
-        bearing.capacity * (bearing.cold_from + (1.0 - bearing.cold_from) * warm.min(1.0))
+    fn present(&self, bearing: &CapacityModel, now: Instant) -> f64 {
+        let Some(since) = self.back_since else { return bearing.capacity_rps };
+        let warm = (now - since).as_secs_f64() / bearing.warm_up_time.as_secs_f64().max(1e-9);
+        bearing.capacity_rps
+            * (bearing.cold_capacity_share + (1.0 - bearing.cold_capacity_share) * warm.min(1.0))
     }
 
     /// Whether a call lies within what it can do now.
-    fn has_room(&mut self, bearing: &Bearing, now: Instant) -> bool {
+    fn has_room(&mut self, bearing: &CapacityModel, now: Instant) -> bool {
         let present = self.present(bearing, now);
         if present <= 0.0 {
             return true;
@@ -130,23 +131,24 @@
     }
 
     /// Counts an arrival; true where it is one too many and tips the partner over.
-    fn tips(&mut self, bearing: &Bearing, now: Instant) -> bool {
-        let cold = self.back_since.is_some_and(|since| now - since < bearing.warm_within);
-        if bearing.capacity <= 0.0 || !cold {
+    fn tips(&mut self, bearing: &CapacityModel, now: Instant) -> bool {
+        let cold = self.back_since.is_some_and(|since| now - since < bearing.warm_up_time);
+        if bearing.capacity_rps <= 0.0 || !cold {
             return false;
         }
         self.recent.push_back(now);
-        while self.recent.front().is_some_and(|at| now - *at > bearing.tip_after) {
+        while self.recent.front().is_some_and(|at| now - *at > bearing.overload_window) {
             self.recent.pop_front();
         }
-        let most = bearing.fall_multiple * self.present(bearing, now) * bearing.tip_after.as_secs_f64();
+        let most =
+            bearing.overload_factor * self.present(bearing, now) * bearing.overload_window.as_secs_f64();
         self.recent.len() as f64 > most
     }
 }
 
 #[derive(Debug)]
 struct Inner {
-    bearing: Bearing,
+    bearing: CapacityModel,
     state: Mutex<State>,
     /// Its line: whoever holds it is next, and it says when the call before is done.
     line: tokio::sync::Mutex<Option<Instant>>,
@@ -186,33 +188,40 @@
             let mut mode = state.modes.get(&endpoint).copied().unwrap_or(state.mode);
             if mode == Mode::Serve && state.tips(&self.bearing, now) {
                 state.tips.push(now);
-                (state.mode, state.back_since) = (Mode::Shut, None);
+                (state.mode, state.back_since) = (Mode::Unavailable, None);
                 state.recent.clear();
-                mode = Mode::Shut;
+                mode = Mode::Unavailable;
             }
-            let refuses = self.bearing.above == Above::Refuse;
+            let refuses = self.bearing.overload == OverloadBehavior::Reject;
             if mode == Mode::Serve && refuses && !state.has_room(&self.bearing, now) {
-                mode = Mode::Shut;
+                mode = Mode::Unavailable;
             }
-            state.calls.push(Call { at: now, endpoint, peer, txn, key, served: false });
+            state.calls.push(Call {
+                received_at: now,
+                endpoint,
+                peer,
+                message_id: txn,
+                idempotency_key: key,
+                served: false,
+            });
             (state.calls.len() - 1, mode)
         };
         let status = match mode {
             Mode::Serve => {
-                if self.bearing.above == Above::Queue {
+                if self.bearing.overload == OverloadBehavior::Queue {
                     self.wait_in_line().await;
                     if self.state().mode != Mode::Serve {
                         return None;
                     }
                 }
-                tokio::time::sleep(self.bearing.service).await;
+                tokio::time::sleep(self.bearing.service_time).await;
                 self.state().calls[place].served = true;
                 200
             }
-            Mode::Shut => 503,
-            Mode::Fail => 500,
+            Mode::Unavailable => 503,
+            Mode::InternalError => 500,
             Mode::Hang => match std::future::pending::<Never>().await {},
-            Mode::Reset => return None,
+            Mode::Disconnect => return None,
         };
         Some(Response::builder().status(status).body(Full::default()).expect("an answer"))
     }
@@ -220,31 +229,31 @@
 
 /// The partner. Its endpoints take one message in a call.
 #[derive(Clone, Debug)]
-pub struct Partner {
+pub struct DestinationServer {
     inner: Arc<Inner>,
-    stage: Arc<Stage>,
+    stage: Arc<ServerRuntime>,
 }
 
-impl Partner {
+impl DestinationServer {
     /// A partner without endpoints, on a stage of its own.
-    pub fn new(bearing: Bearing) -> Self {
-        Partner::on(Arc::new(Stage::new()), bearing)
+    pub fn new(bearing: CapacityModel) -> Self {
+        DestinationServer::with_runtime(Arc::new(ServerRuntime::new()), bearing)
     }
 
     /// The same on a stage that others have too.
-    pub fn on(stage: Arc<Stage>, bearing: Bearing) -> Self {
-        Partner {
+    pub fn with_runtime(stage: Arc<ServerRuntime>, bearing: CapacityModel) -> Self {
+        DestinationServer {
             inner: Arc::new(Inner { bearing, state: Mutex::default(), line: tokio::sync::Mutex::default() }),
             stage,
         }
     }
 
     /// Opens one more endpoint.
-    pub fn endpoint(&self) -> SocketAddr {
-        let listener = self.stage.listen(loopback());
+    pub fn open_endpoint(&self) -> SocketAddr {
+        let listener = self.stage.listen(unused_loopback_address());
         let address = listener.local_addr().expect("a socket");
         let inner = self.inner.clone();
-        self.stage.host(listener, move |peer, request| {
+        self.stage.serve_http(listener, move |peer, request| {
             let inner = inner.clone();
             async move { inner.respond(address, peer, request).await }
         });
@@ -252,30 +261,30 @@
     }
 
     /// All of it does this from now on.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.inner.state().mode = mode;
     }
 
     /// One endpoint does this from now on, whatever the others do.
-    pub fn set_one(&self, endpoint: SocketAddr, mode: Mode) {
+    pub fn set_endpoint_mode(&self, endpoint: SocketAddr, mode: Mode) {
         self.inner.state().modes.insert(endpoint, mode);
     }
 
     /// It serves again, and is cold.
-    pub fn come_back(&self) {
+    pub fn recover(&self) {
         let mut state = self.inner.state();
         (state.mode, state.back_since) = (Mode::Serve, Some(Instant::now()));
         state.recent.clear();
     }
 
     /// What it can do now, in calls a second; nothing while it is out.
-    pub fn present(&self) -> f64 {
+    pub fn current_capacity(&self) -> f64 {
         let state = self.inner.state();
         if state.mode == Mode::Serve { state.present(&self.inner.bearing, Instant::now()) } else { 0.0 }
     }
 
     /// When it has tipped over.
-    pub fn tips(&self) -> Vec<Instant> {
+    pub fn collapses(&self) -> Vec<Instant> {
         self.inner.state().tips.clone()
     }
 
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/discovery.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the platform: discovery, with a list that changes on demand, and the place where notices go.
 
-use crate::stage::{Never, Stage, loopback};
+use crate::runtime::{Never, ServerRuntime, unused_loopback_address};
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full};
@@ -30,10 +30,10 @@
 
 /// The platform.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct DiscoveryServer {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
-    _stage: Arc<Stage>,
+    _stage: Arc<ServerRuntime>,
 }
 
 /// Lines as they come.
@@ -55,16 +55,16 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Platform {
+impl DiscoveryServer {
     /// Starts it with a list (one line of JSON) that it tells to each watch; an empty one tells nothing.
     pub fn start(list: &str) -> Self {
-        let stage = Arc::new(Stage::new());
-        let listener = stage.listen(loopback());
+        let stage = Arc::new(ServerRuntime::new());
+        let listener = stage.listen(unused_loopback_address());
         let address = listener.local_addr().expect("a socket");
         let state = Arc::new(Mutex::new(State { list: list.to_owned(), ..State::default() }));
         let inner = state.clone();
-        stage.host(listener, move |_, request| respond(inner.clone(), request));
-        Platform { address, state, _stage: stage }
+        stage.serve_http(listener, move |_, request| respond(inner.clone(), request));
+        DiscoveryServer { address, state, _stage: stage }
     }
 
     /// Where it answers.
@@ -73,19 +73,19 @@
     }
 
     /// The list is this from now on.
-    pub fn tell(&self, list: &str) {
+    pub fn publish(&self, list: &str) {
         let mut state = lock(&self.state);
         list.clone_into(&mut state.list);
         state.followers.retain(|follower| follower.send(format!("{list}\n")).is_ok());
     }
 
     /// Watches on the list so far.
-    pub fn asked(&self) -> u64 {
+    pub fn watch_count(&self) -> u64 {
         lock(&self.state).asked
     }
 
     /// Notices by message: the states told, in their order.
-    pub fn notices(&self) -> BTreeMap<String, Vec<String>> {
+    pub fn notifications(&self) -> BTreeMap<String, Vec<String>> {
         lock(&self.state).notices.clone()
     }
 }
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/fault_proxy.rs
@@ -5,7 +5,7 @@
 //! partner. Several proxies together make a partition between groups. Faults act on bytes, never on their meaning:
 //! what goes through is what was sent, late or not at all.
 
-use crate::stage::{Stage, accept};
+use crate::runtime::{ServerRuntime, accept};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,14 +17,14 @@
 
 /// What the proxy does to the path, from the moment it is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum NetworkFault {
     /// Bytes go through as they come.
-    Pass,
+    None,
     /// Every chunk of bytes, either way, is held this long before it goes on; order is kept.
     Delay(Duration),
     /// New connections are closed at once, with no byte read and no connection made onwards; those already through
     /// are closed as well (an orderly close, FIN, both ways).
-    Drop,
+    Close,
     /// New connections and those already through are reset (RST) both ways.
     Reset,
     /// New connections are taken but never go onwards; bytes either way are taken and thrown away, so that the
@@ -37,17 +37,17 @@
 
 /// Counts of what the proxy did, since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ProxyCounters {
     /// Connections taken from the near side.
     pub accepted: u64,
     /// Connections made onwards.
     pub connected: u64,
     /// Connections closed or reset by a fault.
-    pub cut: u64,
+    pub ended_by_fault: u64,
     /// Bytes carried, either way.
-    pub carried: u64,
+    pub bytes_forwarded: u64,
     /// Bytes thrown away by a blackhole.
-    pub lost: u64,
+    pub bytes_discarded: u64,
 }
 
 #[derive(Default)]
@@ -66,7 +66,7 @@
     pub address: SocketAddr,
     /// Where the proxy connects on behalf of each connection.
     pub upstream: SocketAddr,
-    fault: Arc<watch::Sender<Fault>>,
+    fault: Arc<watch::Sender<NetworkFault>>,
     tally: Arc<TallyHandle>,
 }
 
@@ -80,10 +80,10 @@
 
 impl FaultProxy {
     /// Starts a proxy at a free port of this address, to `upstream`, letting everything through.
-    pub fn start(stage: &Stage, address: IpAddr, upstream: SocketAddr) -> Self {
+    pub fn start(stage: &ServerRuntime, address: IpAddr, upstream: SocketAddr) -> Self {
         let listener = stage.listen(address);
         let address = listener.local_addr().expect("an address");
-        let (fault, _) = watch::channel(Fault::Pass);
+        let (fault, _) = watch::channel(NetworkFault::None);
         let fault = Arc::new(fault);
         let tally = Arc::new(TallyHandle(Tally::default()));
         let proxy = FaultProxy { address, upstream, fault, tally };
@@ -99,24 +99,24 @@
     }
 
     /// Sets the fault for the path from now on; connections already through feel it at once.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: NetworkFault) {
         self.fault.send_replace(fault);
     }
 
     /// The fault in force.
-    pub fn fault(&self) -> Fault {
+    pub fn fault(&self) -> NetworkFault {
         *self.fault.borrow()
     }
 
     /// What it has done so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> ProxyCounters {
         let t = &self.tally.0;
-        Counts {
+        ProxyCounters {
             accepted: t.accepted.load(Ordering::Relaxed),
             connected: t.connected.load(Ordering::Relaxed),
-            cut: t.cut.load(Ordering::Relaxed),
-            carried: t.carried.load(Ordering::Relaxed),
-            lost: t.lost.load(Ordering::Relaxed),
+            ended_by_fault: t.cut.load(Ordering::Relaxed),
+            bytes_forwarded: t.carried.load(Ordering::Relaxed),
+            bytes_discarded: t.lost.load(Ordering::Relaxed),
         }
     }
 
@@ -127,15 +127,15 @@
         loop {
             let fault = *faults.borrow_and_update();
             match fault {
-                Fault::Drop => return self.cut(near, None, false),
-                Fault::Reset => return self.cut(near, None, true),
-                Fault::Blackhole => return self.swallow(near, faults).await,
-                Fault::Partition => {
+                NetworkFault::Close => return self.cut(near, None, false),
+                NetworkFault::Reset => return self.cut(near, None, true),
+                NetworkFault::Blackhole => return self.swallow(near, faults).await,
+                NetworkFault::Partition => {
                     if faults.changed().await.is_err() {
                         return;
                     }
                 }
-                Fault::Pass | Fault::Delay(_) => break,
+                NetworkFault::None | NetworkFault::Delay(_) => break,
             }
         }
         let Ok(far) = TcpStream::connect(self.upstream).await else {
@@ -165,7 +165,7 @@
     }
 
     /// Takes what comes and throws it away, until the near side goes or a fault ends it.
-    async fn swallow(&self, mut near: TcpStream, mut faults: watch::Receiver<Fault>) {
+    async fn swallow(&self, mut near: TcpStream, mut faults: watch::Receiver<NetworkFault>) {
         let mut buffer = vec![0u8; 16 << 10];
         loop {
             tokio::select! {
@@ -181,8 +181,8 @@
                     }
                     let now = *faults.borrow_and_update();
                     match now {
-                        Fault::Drop => return self.cut(near, None, false),
-                        Fault::Reset => return self.cut(near, None, true),
+                        NetworkFault::Close => return self.cut(near, None, false),
+                        NetworkFault::Reset => return self.cut(near, None, true),
                         // A connection that was swallowed stays swallowed: its first bytes are lost.
                         _ => {}
                     }
@@ -197,22 +197,22 @@
         &self,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
-        mut faults: watch::Receiver<Fault>,
+        mut faults: watch::Receiver<NetworkFault>,
     ) -> Option<(OwnedReadHalf, OwnedWriteHalf, bool)> {
         let mut buffer = vec![0u8; 16 << 10];
         loop {
             let fault = *faults.borrow_and_update();
             match fault {
-                Fault::Drop => return Some((from, to, false)),
-                Fault::Reset => return Some((from, to, true)),
+                NetworkFault::Close => return Some((from, to, false)),
+                NetworkFault::Reset => return Some((from, to, true)),
                 // Nothing is read while partitioned: the sender's buffers fill, as they would.
-                Fault::Partition => {
+                NetworkFault::Partition => {
                     if faults.changed().await.is_err() {
                         return None;
                     }
                     continue;
                 }
-                Fault::Pass | Fault::Delay(_) | Fault::Blackhole => {}
+                NetworkFault::None | NetworkFault::Delay(_) | NetworkFault::Blackhole => {}
             }
             let count = tokio::select! {
                 read = from.read(&mut buffer) => match read {
@@ -231,24 +231,24 @@
             };
             let now = *faults.borrow();
             match now {
-                Fault::Blackhole => {
+                NetworkFault::Blackhole => {
                     self.tally.0.lost.fetch_add(count as u64, Ordering::Relaxed);
                     continue;
                 }
-                Fault::Delay(delay) => tokio::time::sleep(delay).await,
+                NetworkFault::Delay(delay) => tokio::time::sleep(delay).await,
                 _ => {}
             }
             // Bytes read before a partition began go through once it is lifted.
-            while faults.borrow().eq(&Fault::Partition) {
+            while faults.borrow().eq(&NetworkFault::Partition) {
                 if faults.changed().await.is_err() {
                     return None;
                 }
             }
             let now = *faults.borrow();
             match now {
-                Fault::Drop => return Some((from, to, false)),
-                Fault::Reset => return Some((from, to, true)),
-                Fault::Blackhole => {
+                NetworkFault::Close => return Some((from, to, false)),
+                NetworkFault::Reset => return Some((from, to, true)),
+                NetworkFault::Blackhole => {
                     self.tally.0.lost.fetch_add(count as u64, Ordering::Relaxed);
                     continue;
                 }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,10 +1,11 @@
 //! A fleet of real forwarders under load, for tests and experiments over several processes: one partner, the platform,
 //! a fault proxy before each console and control address, and clients whose every message is followed to its end.
 
-use crate::forwarder::{Folder, Forwarder, Setup, hand_in, target};
-use crate::partner::{Bearing, Partner};
-use crate::proxy::{Fault, FaultProxy};
-use crate::{Consul, Platform, Stage, loopback};
+use crate::TemporaryFolder;
+use crate::destination::{CapacityModel, DestinationServer};
+use crate::fault_proxy::{FaultProxy, NetworkFault};
+use crate::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry, submit_message};
+use crate::{ConsulServer, DiscoveryServer, ServerRuntime, unused_loopback_address};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -23,7 +24,7 @@
 
 /// What the clients of each forwarder do.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
+pub struct ClientLoad {
     /// The class of their messages.
     pub class: &'static str,
     /// How many there are.
@@ -32,9 +33,9 @@
     pub pause: Duration,
 }
 
-impl Default for Load {
+impl Default for ClientLoad {
     fn default() -> Self {
-        Load { class: "status", clients: 2, pause: Duration::from_millis(4) }
+        ClientLoad { class: "status", clients: 2, pause: Duration::from_millis(4) }
     }
 }
 
@@ -42,7 +43,7 @@
 #[derive(Debug)]
 enum Process {
     /// The forwarder itself.
-    Alone(Forwarder),
+    Alone(ForwarderProcess),
     /// A supervisor, and where it is asked.
     Supervised(Child, SocketAddr),
 }
@@ -50,7 +51,7 @@
 /// One forwarder of a fleet, and the paths to it.
 #[derive(Debug)]
 struct Member {
-    folder: Folder,
+    folder: TemporaryFolder,
     process: Option<Process>,
     /// Where clients connect.
     address: SocketAddr,
@@ -65,14 +66,14 @@
 /// A fleet that runs.
 pub struct Fleet {
     /// Where discovery and notices are.
-    pub platform: Platform,
+    pub discovery: DiscoveryServer,
     /// The one partner.
-    pub partner: Partner,
+    pub destination: DestinationServer,
     /// The commit point of the fleet's policy, where it has one.
-    pub consul: Option<Consul>,
+    pub consul: Option<ConsulServer>,
     program: PathBuf,
-    stage: Stage,
-    releases: Folder,
+    stage: ServerRuntime,
+    releases: TemporaryFolder,
     members: Vec<Member>,
     taken: Arc<Mutex<Vec<String>>>,
     stop: Arc<AtomicBool>,
@@ -80,49 +81,58 @@
 }
 
 /// How long a member that is not heard of counts as one that is there, in the fleets here.
-pub const TTL: Duration = Duration::from_secs(3);
+pub const MEMBER_TTL: Duration = Duration::from_secs(3);
 
 /// Settings with this Consul as the commit point.
 fn policy(consul: SocketAddr, name: &str) -> String {
-    format!("policy(addresses = [\"{consul}\"], name = \"{name}\", ttl = \"{}s\")\n", TTL.as_secs())
+    format!("policy(addresses = [\"{consul}\"], name = \"{name}\", ttl = \"{}s\")\n", MEMBER_TTL.as_secs())
 }
 
 /// An address that nobody else of this run uses.
 fn free() -> SocketAddr {
-    let listener = TcpListener::bind((loopback(), 0)).expect("a port");
+    let listener = TcpListener::bind((unused_loopback_address(), 0)).expect("a port");
     listener.local_addr().expect("an address")
 }
 
 impl Fleet {
     /// Forwarders that were started as they are, each with a file `pid` in its folder.
-    pub fn alone(program: &Path, name: &str, size: usize, load: Load) -> Fleet {
+    pub fn standalone(program: &Path, name: &str, size: usize, load: ClientLoad) -> Fleet {
         Fleet::start(program, name, size, load, Fleet::add_alone)
     }
 
     /// Forwarders of the release `v1`, each under a supervisor.
-    pub fn supervised(program: &Path, name: &str, size: usize, load: Load) -> Fleet {
+    pub fn supervised(program: &Path, name: &str, size: usize, load: ClientLoad) -> Fleet {
         Fleet::start(program, name, size, load, Fleet::add_supervised)
     }
 
     /// Forwarders as in [`Fleet::alone`] that agree on their policy at a Consul, each over a proxy of its own.
-    pub fn agreed(program: &Path, name: &str, size: usize, load: Load) -> Fleet {
+    pub fn with_policy_commit(program: &Path, name: &str, size: usize, load: ClientLoad) -> Fleet {
         Fleet::start(program, name, size, load, Fleet::add_agreed)
     }
 
-    fn start(program: &Path, name: &str, size: usize, load: Load, add: fn(&mut Fleet, Folder)) -> Fleet {
-        let platform = Platform::start("");
-        let partner = Partner::new(Bearing { service: Duration::from_millis(20), ..Bearing::default() });
-        let mut setup = Setup::new(platform.address());
-        setup.targets = vec![target("p1", partner.endpoint(), DESTINATION)];
-        let releases = Folder::new(&format!("fleet-{name}-releases"));
+    fn start(
+        program: &Path,
+        name: &str,
+        size: usize,
+        load: ClientLoad,
+        add: fn(&mut Fleet, TemporaryFolder),
+    ) -> Fleet {
+        let platform = DiscoveryServer::start("");
+        let partner = DestinationServer::new(CapacityModel {
+            service_time: Duration::from_millis(20),
+            ..CapacityModel::default()
+        });
+        let mut setup = ForwarderConfig::new(platform.address());
+        setup.endpoints = vec![endpoint_entry("p1", partner.open_endpoint(), DESTINATION)];
+        let releases = TemporaryFolder::new(&format!("fleet-{name}-releases"));
         std::os::unix::fs::symlink(program, releases.path().join("v1")).expect("a release");
         let (taken, stop) = (Arc::default(), Arc::default());
         let mut fleet = Fleet {
-            platform,
-            partner,
+            discovery: platform,
+            destination: partner,
             consul: None,
             program: program.to_owned(),
-            stage: Stage::new(),
+            stage: ServerRuntime::new(),
             releases,
             members: Vec::new(),
             taken,
@@ -130,7 +140,7 @@
             clients: Vec::new(),
         };
         for number in 0..size {
-            let folder = Folder::new(&format!("fleet-{name}-{number}"));
+            let folder = TemporaryFolder::new(&format!("fleet-{name}-{number}"));
             folder.write("config.json", &setup.text());
             add(&mut fleet, folder);
         }
@@ -143,28 +153,28 @@
         fleet
     }
 
-    fn add_alone(&mut self, folder: Folder) {
+    fn add_alone(&mut self, folder: TemporaryFolder) {
         self.add(folder, None);
     }
 
-    fn add_agreed(&mut self, folder: Folder) {
-        let consul = self.consul.get_or_insert_with(Consul::start).address();
+    fn add_agreed(&mut self, folder: TemporaryFolder) {
+        let consul = self.consul.get_or_insert_with(ConsulServer::start).address();
         let path = self.proxy(consul);
         folder.write("settings.star", &policy(path.address, &format!("f{}", self.members.len())));
         self.add(folder, Some(path));
     }
 
-    fn add(&mut self, folder: Folder, to_consul: Option<FaultProxy>) {
+    fn add(&mut self, folder: TemporaryFolder, to_consul: Option<FaultProxy>) {
         let settings = folder.path().join("settings.star").display().to_string();
         let options = if to_consul.is_some() { vec!["--settings", &settings] } else { Vec::new() };
         let (forwarder, console) =
-            Forwarder::start_supervised(&self.program, &folder, "127.0.0.1:0", &options);
+            ForwarderProcess::start_supervised(&self.program, &folder, "127.0.0.1:0", &options);
         let (address, proxies) = (forwarder.address, vec![self.proxy(console)]);
         let process = Some(Process::Alone(forwarder));
         self.members.push(Member { folder, process, address, consoles: vec![console], proxies, to_consul });
     }
 
-    fn add_supervised(&mut self, folder: Folder) {
+    fn add_supervised(&mut self, folder: TemporaryFolder) {
         let (address, consoles, control) = (free(), vec![free(), free()], free());
         let proxies = consoles.iter().chain([&control]).map(|at| self.proxy(*at)).collect();
         let to_consul = None;
@@ -173,7 +183,7 @@
     }
 
     fn proxy(&self, upstream: SocketAddr) -> FaultProxy {
-        FaultProxy::start(&self.stage, loopback(), upstream)
+        FaultProxy::start(&self.stage, unused_loopback_address(), upstream)
     }
 
     /// Starts the supervisor of a member, and waits until its forwarder alone serves.
@@ -202,14 +212,14 @@
             .expect("the supervisor starts");
         member.process = Some(Process::Supervised(child, control));
         let until = Instant::now() + Duration::from_secs(20);
-        while !self.show(number).is_some_and(|shown| shown["settled"] == true) {
+        while !self.supervisor_status(number).is_some_and(|shown| shown["settled"] == true) {
             assert!(Instant::now() < until, "the forwarder of supervisor {number} does not serve");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
     /// What the supervisor of a member shows, asked past the proxies; None where nobody answers.
-    pub fn show(&self, number: usize) -> Option<Value> {
+    pub fn supervisor_status(&self, number: usize) -> Option<Value> {
         let Some(Process::Supervised(_, control)) = &self.members[number].process else { return None };
         let mut stream = TcpStream::connect(control).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -222,38 +232,39 @@
     /// Kills a member's forwarder outright. One that stands alone is started again on its folder and console, as a
     /// supervisor does; its clients find nobody at its old address from then on.
     pub fn kill(&mut self, number: usize) {
-        if let Some(shown) = self.show(number) {
+        if let Some(shown) = self.supervisor_status(number) {
             return signal(shown["pid"].as_u64().expect("a process"), "KILL");
         }
-        self.stop(number);
-        self.start_again(number);
+        self.kill_standalone(number);
+        self.restart(number);
     }
 
     /// Kills a forwarder that stands alone, and leaves it so.
-    pub fn stop(&mut self, number: usize) {
+    pub fn kill_standalone(&mut self, number: usize) {
         if let Some(Process::Alone(forwarder)) = self.members[number].process.take() {
             forwarder.kill();
         }
     }
 
     /// Starts a forwarder that was stopped, on its folder and console.
-    pub fn start_again(&mut self, number: usize) {
+    pub fn restart(&mut self, number: usize) {
         let member = &mut self.members[number];
         let (console, settings) =
             (member.consoles[0].to_string(), member.folder.path().join("settings.star"));
         let settings = settings.display().to_string();
         let options = if member.to_consul.is_some() { vec!["--settings", &settings] } else { Vec::new() };
-        let (forwarder, _) = Forwarder::start_supervised(&self.program, &member.folder, &console, &options);
+        let (forwarder, _) =
+            ForwarderProcess::start_supervised(&self.program, &member.folder, &console, &options);
         member.process = Some(Process::Alone(forwarder));
     }
 
     /// The path from a member to Consul.
-    pub fn to_consul(&self, number: usize) -> &FaultProxy {
+    pub fn consul_link(&self, number: usize) -> &FaultProxy {
         self.members[number].to_consul.as_ref().expect("a fleet with a Consul")
     }
 
     /// Settings by which operators reach the commit point, past the members' proxies.
-    pub fn operators_settings(&self) -> PathBuf {
+    pub fn operator_settings(&self) -> PathBuf {
         let consul = self.consul.as_ref().expect("a fleet with a Consul").address();
         self.releases.write("operators.star", &policy(consul, "operator"))
     }
@@ -264,7 +275,7 @@
     }
 
     /// One call at a member's console, past the proxy; none where nobody answers.
-    pub fn ask(&self, number: usize, call: &str) -> Option<String> {
+    pub fn console_command(&self, number: usize, call: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.console(number)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         stream.write_all(format!("{call}\n").as_bytes()).ok()?;
@@ -274,8 +285,8 @@
     }
 
     /// One of a member's figures.
-    pub fn figure(&self, number: usize, name: &str) -> Option<u64> {
-        let stat = self.ask(number, "show-stat")?;
+    pub fn metric(&self, number: usize, name: &str) -> Option<u64> {
+        let stat = self.console_command(number, "show-stat")?;
         stat.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
@@ -294,12 +305,12 @@
     }
 
     /// Sets a fault on all paths from outside to a member's consoles and control address.
-    pub fn cut(&self, number: usize, fault: Fault) {
-        self.members[number].proxies.iter().for_each(|proxy| proxy.set(fault));
+    pub fn set_fault(&self, number: usize, fault: NetworkFault) {
+        self.members[number].proxies.iter().for_each(|proxy| proxy.set_fault(fault));
     }
 
     /// Those paths, to set faults on from another thread.
-    pub fn paths(&self, number: usize) -> Vec<FaultProxy> {
+    pub fn external_links(&self, number: usize) -> Vec<FaultProxy> {
         self.members[number].proxies.clone()
     }
 
@@ -337,7 +348,7 @@
     }
 
     /// A member's folder.
-    pub fn folder(&self, number: usize) -> &Folder {
+    pub fn folder(&self, number: usize) -> &TemporaryFolder {
         &self.members[number].folder
     }
 
@@ -349,14 +360,15 @@
 
     /// The console of a member's forwarder, past the proxy.
     pub fn console(&self, number: usize) -> SocketAddr {
-        let place = self.show(number).and_then(|shown| shown["place"].as_u64()).unwrap_or_default();
+        let place =
+            self.supervisor_status(number).and_then(|shown| shown["place"].as_u64()).unwrap_or_default();
         self.members[number].consoles[usize::try_from(place).unwrap_or_default()]
     }
 
     /// Stops the clients, waits for every message taken to have its end, and checks that each has exactly one; gives
     /// how many there were. After a kill a message of `status`, whose class allows it, may have been delivered twice:
     /// one that was out when its forwarder died is sent again by the one started in its place.
-    pub fn settle(mut self, killed: bool) -> usize {
+    pub fn stop_and_verify(mut self, killed: bool) -> usize {
         // Enough of them to judge by, however soon the rest of a test was over.
         let until = Instant::now() + Duration::from_secs(30);
         while self.taken.lock().expect("a list").len() <= ENOUGH && Instant::now() < until {
@@ -368,7 +380,7 @@
         assert!(taken.len() > ENOUGH, "too little load to judge by: {}", taken.len());
         let until = Instant::now() + Duration::from_secs(30);
         loop {
-            let (served, notices) = (served(&self.partner), self.platform.notices());
+            let (served, notices) = (served(&self.destination), self.discovery.notifications());
             let open: Vec<_> = taken
                 .iter()
                 .filter(|txn| !served.contains_key(*txn) && !notices.contains_key(*txn))
@@ -417,12 +429,18 @@
     assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
 }
 
-fn handing_in(address: SocketAddr, prefix: &str, load: Load, taken: &Mutex<Vec<String>>, stop: &AtomicBool) {
+fn handing_in(
+    address: SocketAddr,
+    prefix: &str,
+    load: ClientLoad,
+    taken: &Mutex<Vec<String>>,
+    stop: &AtomicBool,
+) {
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
         let txn = format!("{prefix}-{number}");
         number += 1;
-        if hand_in(address, load.class, &txn, DESTINATION) == 202 {
+        if submit_message(address, load.class, &txn, DESTINATION) == 202 {
             taken.lock().expect("a list").push(txn);
         }
         thread::sleep(load.pause);
@@ -430,10 +448,10 @@
 }
 
 /// Messages answered 200 by the partner, with how often.
-fn served(partner: &Partner) -> BTreeMap<String, usize> {
+fn served(partner: &DestinationServer) -> BTreeMap<String, usize> {
     let mut served = BTreeMap::new();
     for call in partner.calls().into_iter().filter(|call| call.served) {
-        *served.entry(call.txn).or_default() += 1;
+        *served.entry(call.message_id).or_default() += 1;
     }
     served
 }
--- a/crates/fakes/src/forwarder.rs
+++ b/crates/fakes/src/forwarder.rs
@@ -1,6 +1,7 @@
 //! The forwarder itself as a child process, for tests and experiments: its configuration, its log, signals, and what
 //! the system says of its use of processor and memory.
 
+use crate::TemporaryFolder;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,13 +13,13 @@
 
 /// What the platform's JSON says, as far as tests and experiments differ.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ForwarderConfig {
     /// Where discovery and notices are.
-    pub platform: SocketAddr,
+    pub discovery: SocketAddr,
     /// The list known at the start, in discovery's form.
-    pub targets: Vec<Value>,
+    pub endpoints: Vec<Value>,
     /// Calls out at once.
-    pub slots: usize,
+    pub max_in_flight: usize,
     /// Messages held at once.
     pub max_open: usize,
     /// File descriptors.
@@ -26,20 +27,20 @@
     /// Size of the folder.
     pub disk_mb: f64,
     /// How many forwarders share the partners.
-    pub fleet: usize,
+    pub fleet_size: usize,
 }
 
-impl Setup {
+impl ForwarderConfig {
     /// A plain one.
     pub fn new(platform: SocketAddr) -> Self {
-        Setup {
-            platform,
-            targets: Vec::new(),
-            slots: 64,
+        ForwarderConfig {
+            discovery: platform,
+            endpoints: Vec::new(),
+            max_in_flight: 64,
             max_open: 4000,
             sockets: 1024,
             disk_mb: 32.0,
-            fleet: 1,
+            fleet_size: 1,
         }
     }
 
@@ -51,18 +52,18 @@
                 "late_share": 0.3, "group": "all", "window_us": 30_000_000})
         };
         json!({
-            "name": "f0", "listen": "127.0.0.1:0", "discovery": self.platform.to_string(),
+            "name": "f0", "listen": "127.0.0.1:0", "discovery": self.discovery.to_string(),
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 512, "sockets": self.sockets, "disk_mb": self.disk_mb},
-            "known": {"rev": 1, "all": true, "targets": self.targets},
+            "known": {"rev": 1, "all": true, "targets": self.endpoints},
             "settings": {
-                "az": "a", "zones": ["a", "b"], "fleet_size": self.fleet, "host_types": ["one", "many"],
+                "az": "a", "zones": ["a", "b"], "fleet_size": self.fleet_size, "host_types": ["one", "many"],
                 "registry_mode": "pushed", "tick_us": 5000, "weights": "nominal",
                 "classes": [class("status", "retryable", 2_000_000, 12_000_000),
                     class("refund", "dedup", 3_000_000, 20_000_000),
                     class("orders", "fragile", 3_000_000, 20_000_000)],
                 "family_info": {"batch_by_kind": [1, 5], "own_limits": [false, false], "loses_worth": "linear",
-                    "slots": self.slots, "toll": [0.0, 0.0]},
+                    "slots": self.max_in_flight, "toll": [0.0, 0.0]},
                 "limits": {"dial_timeout_us": 1_000_000, "idle_close_us": 10_000_000, "max_open": self.max_open,
                     "max_retry_after_us": 3_000_000, "may_cancel": true, "multiplex": 1, "retry_after": true,
                     "second_copies": false, "try_limit": 8},
@@ -76,46 +77,14 @@
 }
 
 /// An endpoint in discovery's form.
-pub fn target(uid: &str, endpoint: SocketAddr, destination: u64) -> Value {
+pub fn endpoint_entry(uid: &str, endpoint: SocketAddr, destination: u64) -> Value {
     json!({"uid": uid, "endpoint": endpoint.to_string(), "az": "a", "model": "one", "pod_group": destination,
         "state": "in_service", "capacity_hint": 100.0, "boot_ms": 0})
 }
 
-/// A folder of its own for a test or a run, taken away when it is dropped.
-#[derive(Debug)]
-pub struct Folder(PathBuf);
-
-impl Folder {
-    /// Makes it; the name tells it from others of this process.
-    pub fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
-        drop(std::fs::remove_dir_all(&path));
-        std::fs::create_dir_all(path.join("state")).expect("a folder");
-        Folder(path)
-    }
-
-    /// Where it is.
-    pub fn path(&self) -> &Path {
-        &self.0
-    }
-
-    /// Writes a file into it, whole or not at all.
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
-        let (path, beside) = (self.0.join(name), self.0.join(format!("{name}.new")));
-        std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, &path)).expect("written");
-        path
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        drop(std::fs::remove_dir_all(&self.0));
-    }
-}
-
 /// Hands in a message as a client does, on a connection of its own and with the key `key of TXN`, which classes that have
 /// repeats dropped ask for; gives the status, 0 where there is none.
-pub fn hand_in(forwarder: SocketAddr, class: &str, txn: &str, destination: u64) -> u16 {
+pub fn submit_message(forwarder: SocketAddr, class: &str, txn: &str, destination: u64) -> u16 {
     let exchange = || -> std::io::Result<u16> {
         let mut stream = TcpStream::connect(forwarder)?;
         stream.set_read_timeout(Some(Duration::from_secs(10)))?;
@@ -135,7 +104,7 @@
 
 /// A forwarder that runs. It is killed when it is dropped.
 #[derive(Debug)]
-pub struct Forwarder {
+pub struct ForwarderProcess {
     child: Child,
     /// Where clients connect.
     pub address: SocketAddr,
@@ -143,9 +112,9 @@
     pub log: Receiver<String>,
 }
 
-impl Forwarder {
+impl ForwarderProcess {
     /// Starts it with `config.json` of a folder, its state in the folder's `state`, and these options.
-    pub fn start(program: &Path, folder: &Folder, options: &[&str]) -> Self {
+    pub fn start(program: &Path, folder: &TemporaryFolder, options: &[&str]) -> Self {
         let mut command = Command::new(program);
         command
             .args(["serve", "--config"])
@@ -153,19 +122,19 @@
             .arg("--state")
             .arg(folder.path().join("state"))
             .args(options);
-        Forwarder::listening(command)
+        ForwarderProcess::listening(command)
     }
 
     /// Starts it as [`Forwarder::start`] does, beside others on the folder: whoever starts it holds the clients' socket
     /// and hands it down as descriptor 4. Gives where its console is.
-    pub fn start_beside(program: &Path, folder: &Folder, held: &TcpListener) -> (Self, SocketAddr) {
+    pub fn start_beside(program: &Path, folder: &TemporaryFolder, held: &TcpListener) -> (Self, SocketAddr) {
         let socket = std::os::fd::OwnedFd::from(held.try_clone().expect("a socket"));
         let serve =
             "exec 4<&0 </dev/null; exec \"$0\" serve --config \"$1/config.json\" --state \"$1/state\"";
         let mut command = Command::new("sh");
         command.args(["-c", serve]).arg(program).arg(folder.path()).stdin(socket);
         command.envs([("EDGE_FD", "4"), ("EDGE_CONSOLE", "127.0.0.1:0")]);
-        let forwarder = Forwarder::listening(command);
+        let forwarder = ForwarderProcess::listening(command);
         let console = forwarder.console();
         (forwarder, console)
     }
@@ -185,18 +154,19 @@
         let address = address.split('"').next().and_then(|text| text.parse().ok()).expect("an address");
         let (sender, log) = channel();
         thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
-        Forwarder { child, address, log }
+        ForwarderProcess { child, address, log }
     }
 
     /// Starts it as [`Forwarder::start`] does, with its console at `console` (`127.0.0.1:0`: a free port), and
     /// writes the number of its process to the folder's `pid`, as a supervisor does; gives where the console is.
     pub fn start_supervised(
         program: &Path,
-        folder: &Folder,
+        folder: &TemporaryFolder,
         console: &str,
         options: &[&str],
     ) -> (Self, SocketAddr) {
-        let forwarder = Forwarder::start(program, folder, &[&["--console", console], options].concat());
+        let forwarder =
+            ForwarderProcess::start(program, folder, &[&["--console", console], options].concat());
         let console = forwarder.console();
         folder.write("pid", &forwarder.pid().to_string());
         (forwarder, console)
@@ -204,7 +174,7 @@
 
     /// Where its console is, as its log says after a start.
     fn console(&self) -> SocketAddr {
-        let line = self.logged("console at ", Duration::from_secs(10)).expect("a console");
+        let line = self.wait_for_log("console at ", Duration::from_secs(10)).expect("a console");
         let at = line.rsplit_once("console at ").and_then(|(_, at)| at.split('"').next());
         at.and_then(|at| at.trim().parse().ok()).expect("an address")
     }
@@ -215,8 +185,8 @@
     }
 
     /// Hands in a message as a client does, on a connection of its own; gives the status, 0 where there is none.
-    pub fn hand_in(&self, class: &str, txn: &str, destination: u64) -> u16 {
-        hand_in(self.address, class, txn, destination)
+    pub fn submit_message(&self, class: &str, txn: &str, destination: u64) -> u16 {
+        submit_message(self.address, class, txn, destination)
     }
 
     /// Sends it a signal by name, such as `HUP`.
@@ -237,7 +207,7 @@
     }
 
     /// Waits for a line of the log with this in it.
-    pub fn logged(&self, word: &str, patience: Duration) -> Option<String> {
+    pub fn wait_for_log(&self, word: &str, patience: Duration) -> Option<String> {
         let until = std::time::Instant::now() + patience;
         loop {
             let left = until.checked_duration_since(std::time::Instant::now())?;
@@ -262,7 +232,7 @@
     }
 }
 
-impl Drop for Forwarder {
+impl Drop for ForwarderProcess {
     fn drop(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -5,17 +5,19 @@
 
 pub mod certificates;
 pub mod consul;
+pub mod destination;
+pub mod discovery;
+pub mod fault_proxy;
 pub mod fleet;
 pub mod forwarder;
-pub mod partner;
-pub mod platform;
-pub mod proxy;
-mod stage;
+mod runtime;
+mod temporary_folder;
 
-pub use consul::Consul;
+pub use consul::ConsulServer;
+pub use destination::DestinationServer;
+pub use discovery::DiscoveryServer;
+pub use fault_proxy::{FaultProxy, NetworkFault};
 pub use fleet::Fleet;
-pub use forwarder::Forwarder;
-pub use partner::Partner;
-pub use platform::Platform;
-pub use proxy::{Fault, FaultProxy};
-pub use stage::{Stage, loopback};
+pub use forwarder::ForwarderProcess;
+pub use runtime::{ServerRuntime, unused_loopback_address};
+pub use temporary_folder::TemporaryFolder;
--- a/crates/fakes/src/stage.rs
+++ b/crates/fakes/src/runtime.rs
@@ -19,7 +19,7 @@
 
 /// A loopback address that no other stand-in has, in this process or another of this run: a port that is given up for
 /// a while there is not taken by somebody else.
-pub fn loopback() -> IpAddr {
+pub fn unused_loopback_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = (std::process::id() << 10).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
     // Digits to the base of 250: neither 127.0.x.x nor the last address of all, which is for broadcasts, and no two
@@ -30,20 +30,20 @@
 
 /// A thread with a runtime; dropping it ends all that runs there.
 #[derive(Debug)]
-pub struct Stage {
+pub struct ServerRuntime {
     handle: Handle,
     end: Option<oneshot::Sender<()>>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Stage {
+impl ServerRuntime {
     /// Starts the thread.
     pub fn new() -> Self {
         let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         let handle = runtime.handle().clone();
         let (end, ended) = oneshot::channel::<()>();
         let thread = thread::spawn(move || drop(runtime.block_on(ended)));
-        Stage { handle, end: Some(end), thread: Some(thread) }
+        ServerRuntime { handle, end: Some(end), thread: Some(thread) }
     }
 
     /// Runs this there.
@@ -52,7 +52,7 @@
     }
 
     /// Serves each connection that comes there, given the other end's address with each request, for as long as the stage stands.
-    pub(crate) fn host<B, F>(
+    pub(crate) fn serve_http<B, F>(
         &self,
         listener: TcpListener,
         answer: impl Fn(SocketAddr, Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -86,13 +86,13 @@
     }
 }
 
-impl Default for Stage {
+impl Default for ServerRuntime {
     fn default() -> Self {
-        Stage::new()
+        ServerRuntime::new()
     }
 }
 
-impl Drop for Stage {
+impl Drop for ServerRuntime {
     fn drop(&mut self) {
         drop(self.end.take());
         self.thread.take().map(thread::JoinHandle::join);
--- a/crates/fakes/tests/kv.rs
+++ b/crates/fakes/tests/consul.rs
@@ -1,14 +1,14 @@
 //! Sessions and keys of the stand-in Consul over HTTP, and the faults that writes can have.
 
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::consul::Fault;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::consul::ConsulFault;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Status, `X-Consul-Index` and body; nothing where the connection was closed without an answer.
-fn ask(consul: &Consul, method: &str, path: &str, body: &str) -> Option<(u16, u64, Value)> {
+fn ask(consul: &ConsulServer, method: &str, path: &str, body: &str) -> Option<(u16, u64, Value)> {
     let mut stream = TcpStream::connect(consul.address()).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a socket");
     let length = body.len();
@@ -28,14 +28,14 @@
     Some((status, index, serde_json::from_str(body).unwrap_or(Value::Null)))
 }
 
-fn session(consul: &Consul, ttl: &str) -> String {
+fn session(consul: &ConsulServer, ttl: &str) -> String {
     let body = format!("{{\"TTL\":\"{ttl}\",\"LockDelay\":\"200ms\",\"Behavior\":\"release\"}}");
     let (status, _, made) = ask(consul, "PUT", "/v1/session/create", &body).expect("answered");
     assert_eq!(status, 200, "{made}");
     made["ID"].as_str().expect("an id").to_owned()
 }
 
-fn take(consul: &Consul, session: &str) -> Option<(u16, Value)> {
+fn take(consul: &ConsulServer, session: &str) -> Option<(u16, Value)> {
     ask(consul, "PUT", &format!("/v1/kv/duties/1?acquire={session}"), "")
         .map(|(status, _, done)| (status, done))
 }
@@ -43,8 +43,8 @@
 // Guards against a blocking query that sleeps through the end of a session: whoever waits for a lock hears of it then.
 #[test]
 fn a_session_that_is_not_renewed_ends_and_who_waits_hears_of_it() {
-    let consul = Consul::start();
-    consul.sessions_end_after(1.0);
+    let consul = ConsulServer::start();
+    consul.set_session_expiry_factor(1.0);
     let (short, long) = (session(&consul, "2s"), session(&consul, "60s"));
     let start = Instant::now();
     assert_eq!(take(&consul, &short), Some((200, Value::Bool(true))));
@@ -67,17 +67,17 @@
 
 #[test]
 fn a_write_whose_answer_is_lost_has_taken_effect_and_a_slow_one_comes_late() {
-    let consul = Consul::start();
+    let consul = ConsulServer::start();
     let holder = session(&consul, "60s");
-    consul.fault(Fault::LostWrites);
+    consul.set_fault(ConsulFault::LostWriteAnswers);
     assert_eq!(take(&consul, &holder), None);
     let (status, _, rows) = ask(&consul, "GET", "/v1/kv/duties/1", "").expect("reads are answered");
     assert_eq!((status, rows[0]["Session"].as_str()), (200, Some(holder.as_str())));
-    consul.fault(Fault::SlowWrites(Duration::from_millis(300)));
+    consul.set_fault(ConsulFault::SlowWrites(Duration::from_millis(300)));
     let start = Instant::now();
     assert_eq!(ask(&consul, "DELETE", "/v1/kv/duties/1", "").map(|a| a.0), Some(200));
     assert!(start.elapsed() >= Duration::from_millis(300));
-    consul.fault(Fault::None);
+    consul.set_fault(ConsulFault::None);
     assert_eq!(ask(&consul, "GET", "/v1/kv/duties/1", "").map(|a| a.0), Some(404));
     assert_eq!(ask(&consul, "PUT", &format!("/v1/session/destroy/{holder}"), "").map(|a| a.0), Some(200));
     assert_eq!(take(&consul, &holder).map(|a| a.0), Some(500));
--- a/crates/leases/tests/keeper.rs
+++ b/crates/leases/tests/keeper.rs
@@ -1,8 +1,8 @@
 //! Leases of several members on the stand-in Consul, over sockets.
 
 use orchidyoke_consul::Settings;
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::consul::Fault;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::consul::ConsulFault;
 use orchidyoke_leases::keeper::{Keeper, Member};
 use orchidyoke_leases::lease::Terms;
 use orchidyoke_leases::{Duty, Token};
@@ -22,7 +22,7 @@
     task: JoinHandle<()>,
 }
 
-fn start(consul: &Consul, name: &str) -> Running {
+fn start(consul: &ConsulServer, name: &str) -> Running {
     let terms = Terms { ttl: TTL.as_micros() as i64, drift: 0.01, act: 100_000, retry: 200_000, asks: 8 };
     let member = Member {
         name: name.to_owned(),
@@ -75,8 +75,8 @@
 }
 
 /// Two members that have settled.
-async fn two() -> (Consul, Running, Running) {
-    let consul = Consul::start();
+async fn two() -> (ConsulServer, Running, Running) {
+    let consul = ConsulServer::start();
     let (a, b) = (start(&consul, "a"), start(&consul, "b"));
     settle(&[&a, &b], 6).await;
     (consul, a, b)
@@ -122,10 +122,10 @@
 fn a_silent_store_ends_all_acts_within_a_lease_and_they_come_back() {
     run(async {
         let (consul, a, b) = two().await;
-        consul.fault(Fault::Silent);
+        consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
         assert_eq!(owners(&[&a, &b]), BTreeMap::new(), "no act without a lease");
-        consul.fault(Fault::None);
+        consul.set_fault(ConsulFault::None);
         settle(&[&a, &b], 6).await;
     });
 }
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{Behavior, Locks};
-use orchidyoke_fakes::Consul;
+use orchidyoke_fakes::ConsulServer;
 use orchidyoke_leases::Duty;
 use orchidyoke_leases::keeper::{Keeper, Member};
 use orchidyoke_leases::lease::Terms;
@@ -29,12 +29,12 @@
     runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
 }
 
-fn settings(consul: &Consul) -> Rc<Settings> {
+fn settings(consul: &ConsulServer) -> Rc<Settings> {
     Rc::new(Settings { addresses: vec![consul.address()], ..Settings::default() })
 }
 
 /// A forwarder that keeps its leases, and the task that does so.
-fn start(consul: &Consul, name: &str, weight: f64, duties: &BTreeSet<Duty>) -> Rc<Keeper> {
+fn start(consul: &ConsulServer, name: &str, weight: f64, duties: &BTreeSet<Duty>) -> Rc<Keeper> {
     let terms = Terms { ttl: TTL.as_micros() as i64, drift: 0.01, act: 100_000, retry: 50_000, asks: 8 };
     let (name, prefix, duties) = (name.to_owned(), "fleet/one".to_owned(), duties.clone());
     let member = Member { name, weight, prefix, duties, lock_delay: Duration::ZERO, terms };
@@ -52,14 +52,14 @@
 }
 
 /// All keys that are held, with their values, one a line.
-async fn keys(consul: &Consul) -> String {
+async fn keys(consul: &ConsulServer) -> String {
     let (_, rows) = Locks::new(settings(consul)).look("fleet/", 0, Duration::ZERO).await.expect("looked");
     rows.iter().filter(|r| r.session.is_some()).map(|row| format!("{} {}\n", row.key, row.text())).collect()
 }
 
 /// What a forwarder writes that is alone.
 async fn written_alone() -> String {
-    let (consul, duties) = (Consul::start(), BTreeSet::from([0, 7, Duty::MAX - 1]));
+    let (consul, duties) = (ConsulServer::start(), BTreeSet::from([0, 7, Duty::MAX - 1]));
     let keeper = start(&consul, "f-1", 1.5, &duties);
     holds(&keeper, &duties).await;
     keys(&consul).await
@@ -67,7 +67,7 @@
 
 /// What a forwarder has written that has taken two duties of which there are more.
 async fn written_by_elder() -> String {
-    let (consul, duties) = (Consul::start(), BTreeSet::from([2, 5]));
+    let (consul, duties) = (ConsulServer::start(), BTreeSet::from([2, 5]));
     let keeper = start(&consul, "f-2", 3.0, &duties);
     holds(&keeper, &duties).await;
     keys(&consul).await
@@ -84,7 +84,7 @@
 #[test]
 fn keys_of_the_previous_version_count_as_its_membership_weight_and_duties() {
     run(async {
-        let (consul, duties) = (Consul::start(), (0..12).collect());
+        let (consul, duties) = (ConsulServer::start(), (0..12).collect());
         let mut locks = Locks::new(settings(&consul));
         let elder = locks.create("earlier", TTL, Duration::ZERO, Behavior::Release).await.expect("made");
         for line in ELDER.lines() {
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -3,8 +3,9 @@
 
 use bytes::Bytes;
 use orchidyoke_consul::locks::{Behavior, Locks, Row};
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::forwarder::{Folder, Setup};
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::ForwarderConfig;
 use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::reload::Source;
@@ -82,7 +83,7 @@
     runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
 }
 
-fn settings(consul: &Consul) -> Settings {
+fn settings(consul: &ConsulServer) -> Settings {
     let consul = orchidyoke_consul::Settings {
         addresses: vec![consul.address()],
         ..orchidyoke_consul::Settings::default()
@@ -90,12 +91,12 @@
     Settings { consul, prefix: "fleet/one".to_owned(), name: None, ttl: TTL }
 }
 
-fn locks(consul: &Consul) -> Locks {
+fn locks(consul: &ConsulServer) -> Locks {
     Locks::new(Rc::new(settings(consul).consul))
 }
 
 /// Writes a key as its holder, and gives the session.
-async fn hold(consul: &Consul, key: &str, value: &'static str) -> String {
+async fn hold(consul: &ConsulServer, key: &str, value: &'static str) -> String {
     let mut locks = locks(consul);
     let session = locks.create("earlier", TTL, Duration::ZERO, Behavior::Delete).await.expect("made");
     assert!(locks.acquire(key, &session, Bytes::from_static(value.as_bytes())).await.expect("asked"));
@@ -103,14 +104,14 @@
 }
 
 /// All keys and values.
-async fn rows(consul: &Consul) -> Vec<Row> {
+async fn rows(consul: &ConsulServer) -> Vec<Row> {
     locks(consul).look("", 0, Duration::ZERO).await.expect("looked").1
 }
 
 /// A forwarder's configuration in a folder of its own.
-fn forwarder(name: &str) -> (Folder, Rc<Source>) {
-    let folder = Folder::new(name);
-    let setup = Setup::new("127.0.0.1:1".parse().expect("an address"));
+fn forwarder(name: &str) -> (TemporaryFolder, Rc<Source>) {
+    let folder = TemporaryFolder::new(name);
+    let setup = ForwarderConfig::new("127.0.0.1:1".parse().expect("an address"));
     let path = folder.write("config.json", &setup.text());
     (folder, Rc::new(Source { path, ..Source::default() }))
 }
@@ -149,7 +150,7 @@
 #[test]
 fn a_commit_point_of_the_previous_version_is_found_under_its_keys() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
         let proposer = hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
         hold(&consul, "fleet/one/members/f1.77", AGREES).await;
@@ -167,7 +168,7 @@
 #[test]
 fn a_commit_is_written_as_the_same_text_under_the_same_key() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let mut office = Office::new(settings(&consul));
         let report = office.propose(FIRST_POLICY, "o-1", Duration::from_secs(5)).await.expect("committed");
         assert_eq!(report.epoch, 1);
@@ -182,7 +183,7 @@
 #[test]
 fn a_forwarder_keeps_a_policy_as_the_same_files_and_says_the_same_of_itself() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
         let (folder, source) = forwarder("epochs-written");
         let follower = Follower::new(settings(&consul), "f1", folder.path());
@@ -216,7 +217,7 @@
         let (folder, source) = forwarder("epochs-read");
         folder.write("policy-held.json", COMMITTED);
         folder.write("policy-staged.json", PROPOSED);
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let follower = Follower::new(settings(&consul), "f1", folder.path());
         assert_eq!(follower.version(), 3);
         let own = r#"{"listen":"l","settings":{"limits":{"max_open":9}}}"#;
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,10 +1,11 @@
 //! The program with Consul as the source of its transport map: real sockets, a stand-in Consul, kills and reloads.
 
-use orchidyoke_fakes::certificates::Authority;
-use orchidyoke_fakes::consul::{Fault, Instance};
-use orchidyoke_fakes::forwarder::{Folder, Setup, hand_in, target};
-use orchidyoke_fakes::partner::{Above, Bearing, Call, Mode};
-use orchidyoke_fakes::{Consul, Forwarder, Partner, Platform};
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::certificates::CertificateAuthority;
+use orchidyoke_fakes::consul::{ConsulFault, Instance};
+use orchidyoke_fakes::destination::{Call, CapacityModel, Mode, OverloadBehavior};
+use orchidyoke_fakes::forwarder::{ForwarderConfig, endpoint_entry, submit_message};
+use orchidyoke_fakes::{ConsulServer, DestinationServer, DiscoveryServer, ForwarderProcess};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -31,27 +32,27 @@
 }
 
 struct Site {
-    folder: Folder,
-    platform: Platform,
-    consul: Consul,
-    partner: Partner,
+    folder: TemporaryFolder,
+    platform: DiscoveryServer,
+    consul: ConsulServer,
+    partner: DestinationServer,
 }
 
 impl Site {
     fn new(name: &str) -> Self {
-        let (consul, platform) = (Consul::start(), Platform::start(""));
-        let folder = Folder::new(name);
-        folder.write("config.json", &Setup::new(platform.address()).text());
+        let (consul, platform) = (ConsulServer::start(), DiscoveryServer::start(""));
+        let folder = TemporaryFolder::new(name);
+        folder.write("config.json", &ForwarderConfig::new(platform.address()).text());
         folder.write("edge.star", &script(consul.address()));
-        Site { folder, platform, consul, partner: Partner::new(Bearing::default()) }
+        Site { folder, platform, consul, partner: DestinationServer::new(CapacityModel::default()) }
     }
 
     /// An endpoint that discovery tells, one that Consul does, and a forwarder that follows discovery.
-    fn with_both(&self) -> (SocketAddr, SocketAddr, Forwarder) {
-        let listed = self.partner.endpoint();
-        let told =
-            serde_json::json!({"rev": 9, "all": true, "targets": [target("s1", listed, 3)]}).to_string();
-        self.platform.tell(&told);
+    fn with_both(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
+        let listed = self.partner.open_endpoint();
+        let told = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
+            .to_string();
+        self.platform.publish(&told);
         let from_consul = self.register("w1");
         self.folder.write("edge.star", "# nothing yet\n");
         let forwarder = self.start();
@@ -60,24 +61,28 @@
     }
 
     fn register(&self, id: &str) -> SocketAddr {
-        let endpoint = self.partner.endpoint();
+        let endpoint = self.partner.open_endpoint();
         self.consul.register(Instance::new("web", "n1", id, endpoint));
         endpoint
     }
 
-    fn start(&self) -> Forwarder {
+    fn start(&self) -> ForwarderProcess {
         let settings = self.folder.path().join("edge.star");
-        Forwarder::start(Path::new(PROGRAM), &self.folder, &["--settings", &settings.display().to_string()])
+        ForwarderProcess::start(
+            Path::new(PROGRAM),
+            &self.folder,
+            &["--settings", &settings.display().to_string()],
+        )
     }
 
     /// Calls with this message so far.
     fn calls(&self, txn: &str) -> Vec<Call> {
-        self.partner.calls().into_iter().filter(|call| call.txn == txn).collect()
+        self.partner.calls().into_iter().filter(|call| call.message_id == txn).collect()
     }
 
-    fn delivers(&self, forwarder: &Forwarder, txn: &str) -> Call {
+    fn delivers(&self, forwarder: &ForwarderProcess, txn: &str) -> Call {
         // Until the list has come the destination is not known.
-        until("the destination", || forwarder.hand_in("status", txn, 3) == 202);
+        until("the destination", || forwarder.submit_message("status", txn, 3) == 202);
         until(txn, || self.calls(txn).iter().any(|call| call.served));
         self.calls(txn)[0].clone()
     }
@@ -91,15 +96,15 @@
     let forwarder = site.start();
     assert_eq!(site.delivers(&forwarder, "a").endpoint, first);
     let second = site.register("w2");
-    let index = site.consul.tag("n1", "w1", "draining", true);
-    until("the change", || site.consul.told_at("web", index).is_some());
+    let index = site.consul.set_tag("n1", "w1", "draining", true);
+    until("the change", || site.consul.first_answered_at("web", index).is_some());
     std::thread::sleep(Duration::from_millis(250));
     for number in 0..20 {
         let txn = format!("m{number}");
         assert_eq!(site.delivers(&forwarder, &txn).endpoint, second);
     }
-    assert_eq!(forwarder.hand_in("status", "x", 4), 422, "no service stands for this destination");
-    assert_eq!(site.platform.asked(), 0, "discovery is not followed beside it");
+    assert_eq!(forwarder.submit_message("status", "x", 4), 422, "no service stands for this destination");
+    assert_eq!(site.platform.watch_count(), 0, "discovery is not followed beside it");
 }
 
 // Guards against an endpoint that is dialled though it lies where none may lie.
@@ -111,7 +116,7 @@
     site.register("w1");
     let forwarder = site.start();
     site.delivers(&forwarder, "a");
-    let line = forwarder.logged("n9/out", PATIENCE).expect("told once");
+    let line = forwarder.wait_for_log("n9/out", PATIENCE).expect("told once");
     assert!(line.contains("outside the networks"), "{line}");
     for number in 0..30 {
         site.delivers(&forwarder, &format!("m{number}"));
@@ -127,24 +132,24 @@
     site.register("w1");
     let first = site.start();
     site.delivers(&first, "a");
-    site.consul.fault(Fault::Gone);
-    first.logged("not answered", PATIENCE).expect("told");
+    site.consul.set_fault(ConsulFault::Down);
+    first.wait_for_log("not answered", PATIENCE).expect("told");
     site.delivers(&first, "b");
-    site.partner.set(Mode::Hang);
-    assert_eq!(first.hand_in("orders", "order", 3), 202);
+    site.partner.set_mode(Mode::Hang);
+    assert_eq!(first.submit_message("orders", "order", 3), 202);
     until("the call", || !site.calls("order").is_empty());
     first.kill();
-    site.partner.set(Mode::Serve);
+    site.partner.set_mode(Mode::Serve);
     let second = site.start();
     site.delivers(&second, "c");
-    until("the order's end", || site.platform.notices().contains_key("order"));
+    until("the order's end", || site.platform.notifications().contains_key("order"));
     assert_eq!(
-        (site.platform.notices()["order"].as_slice(), site.calls("order").len()),
+        (site.platform.notifications()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
     );
-    second.logged("not answered", PATIENCE).expect("told");
-    site.consul.fault(Fault::None);
-    second.logged("answered again", PATIENCE).expect("told");
+    second.wait_for_log("not answered", PATIENCE).expect("told");
+    site.consul.set_fault(ConsulFault::None);
+    second.wait_for_log("answered again", PATIENCE).expect("told");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
     until("the new one", || {
@@ -161,7 +166,7 @@
     let mut load = |site: &Site, count: usize| {
         for _ in 0..count {
             sent += 1;
-            assert_eq!(forwarder.hand_in("orders", &format!("o{sent}"), 3), 202);
+            assert_eq!(forwarder.submit_message("orders", &format!("o{sent}"), 3), 202);
         }
         until("their calls", || site.calls(&format!("o{sent}")).iter().any(|call| call.served));
         site.calls(&format!("o{sent}"))[0].endpoint
@@ -169,7 +174,7 @@
     for bad in ["consul(adresses = [])", "consul(", "def f():\n    return f()\nf()"] {
         site.folder.write("edge.star", bad);
         forwarder.signal("HUP");
-        let line = forwarder.logged("the old one stays in use", PATIENCE).expect("refused");
+        let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("refused");
         assert!(line.contains("edge.star"), "{line}");
         assert_eq!(load(&site, 5), listed);
     }
@@ -181,7 +186,7 @@
     until("discovery's endpoint", || load(&site, 5) == listed);
     until("all of them", || (1..=sent).all(|n| site.calls(&format!("o{n}")).iter().any(|call| call.served)));
     assert!((1..=sent).all(|number| site.calls(&format!("o{number}")).len() == 1), "none is repeated");
-    assert!(site.platform.notices().is_empty(), "none is lost: {:?}", site.platform.notices());
+    assert!(site.platform.notifications().is_empty(), "none is lost: {:?}", site.platform.notifications());
 }
 
 // Guards against a message lost, or one that may have run repeated, when the source changes while hundreds are under way:
@@ -199,7 +204,7 @@
                 let mut taken = Vec::new();
                 while !over.load(Ordering::Relaxed) {
                     let txn = format!("t{number}-{}", taken.len());
-                    assert_eq!(hand_in(door, "orders", &txn, 3), 202, "{txn}");
+                    assert_eq!(submit_message(door, "orders", &txn, 3), 202, "{txn}");
                     taken.push(txn);
                 }
                 taken
@@ -221,7 +226,7 @@
     });
     let count = || {
         let mut count: BTreeMap<String, usize> = BTreeMap::new();
-        site.partner.calls().into_iter().for_each(|call| *count.entry(call.txn).or_default() += 1);
+        site.partner.calls().into_iter().for_each(|call| *count.entry(call.message_id).or_default() += 1);
         count
     };
     until("each message's call", || {
@@ -230,7 +235,7 @@
     });
     let repeated: Vec<_> = count().into_iter().filter(|(_, calls)| *calls > 1).collect();
     assert!(taken.len() >= 600 && repeated.is_empty(), "of {}: {repeated:?}", taken.len());
-    assert!(site.platform.notices().is_empty(), "none is lost: {:?}", site.platform.notices());
+    assert!(site.platform.notifications().is_empty(), "none is lost: {:?}", site.platform.notifications());
 }
 
 // Guards against all that has waited being sent at once when maintenance ends: Consul calls the partner well, and it is
@@ -241,10 +246,15 @@
         for restrained in [true, false] {
             scope.spawn(move || {
                 let mut site = Site::new(&format!("consul-maintenance-{restrained}"));
-                let (capacity, above) = (400.0, Above::Queue);
-                site.partner = Partner::new(Bearing { capacity, above, ..Bearing::default() });
+                let (capacity, above) = (400.0, OverloadBehavior::Queue);
+                site.partner = DestinationServer::new(CapacityModel {
+                    capacity_rps: capacity,
+                    overload: above,
+                    ..CapacityModel::default()
+                });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
-                let setup = Setup { slots: 512, ..Setup::new(site.platform.address()) };
+                let setup =
+                    ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.platform.address()) };
                 let bold = [
                     ("\"fall_multiple\":2", "\"fall_multiple\":1000000"),
                     ("\"cold_from\":0.18", "\"cold_from\":1.0"),
@@ -255,20 +265,21 @@
                 site.register("w1");
                 let forwarder = site.start();
                 site.delivers(&forwarder, "first");
-                let index = site.consul.maintenance("n1", "w1", true);
-                until("the maintenance", || site.consul.told_at("web", index).is_some());
+                let index = site.consul.set_maintenance("n1", "w1", true);
+                until("the maintenance", || site.consul.first_answered_at("web", index).is_some());
                 std::thread::sleep(Duration::from_millis(250));
                 for number in 0..900 {
-                    assert_eq!(forwarder.hand_in("status", &format!("m{number}"), 3), 202);
+                    assert_eq!(forwarder.submit_message("status", &format!("m{number}"), 3), 202);
                 }
                 assert_eq!(site.partner.calls().len(), 1, "nothing goes during maintenance");
-                site.partner.come_back();
-                site.consul.maintenance("n1", "w1", false);
+                site.partner.recover();
+                site.consul.set_maintenance("n1", "w1", false);
                 until("what comes of it", || {
                     let calls = site.partner.calls();
-                    !site.partner.tips().is_empty() || calls.iter().filter(|call| call.served).count() > 600
+                    !site.partner.collapses().is_empty()
+                        || calls.iter().filter(|call| call.served).count() > 600
                 });
-                assert_eq!(site.partner.tips().is_empty(), restrained, "restrained: {restrained}");
+                assert_eq!(site.partner.collapses().is_empty(), restrained, "restrained: {restrained}");
             });
         }
     });
@@ -281,14 +292,14 @@
     site.register("w1");
     let forwarder = site.start();
     site.delivers(&forwarder, "a");
-    let index = site.consul.status("n1", "w1", "critical");
-    until("the report", || site.consul.told_at("web", index).is_some());
+    let index = site.consul.set_status("n1", "w1", "critical");
+    until("the report", || site.consul.first_answered_at("web", index).is_some());
     site.delivers(&forwarder, "b");
-    site.partner.set(Mode::Shut);
-    site.consul.status("n1", "w1", "passing");
-    assert_eq!(forwarder.hand_in("status", "c", 3), 202);
-    until("its end", || site.platform.notices().contains_key("c"));
-    assert_eq!(site.platform.notices()["c"], ["returned"]);
+    site.partner.set_mode(Mode::Unavailable);
+    site.consul.set_status("n1", "w1", "passing");
+    assert_eq!(forwarder.submit_message("status", "c", 3), 202);
+    until("its end", || site.platform.notifications().contains_key("c"));
+    assert_eq!(site.platform.notifications()["c"], ["returned"]);
     assert!(site.calls("c").len() <= 8);
 }
 
@@ -338,10 +349,10 @@
 #[test]
 fn the_log_comes_as_json_too() {
     let site = Site::new("consul-log");
-    let forwarder = Forwarder::start(Path::new(PROGRAM), &site.folder, &["--log", "json"]);
+    let forwarder = ForwarderProcess::start(Path::new(PROGRAM), &site.folder, &["--log", "json"]);
     site.folder.write("config.json", "{");
     forwarder.signal("HUP");
-    let line = forwarder.logged("the old one stays in use", PATIENCE).expect("refused");
+    let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("refused");
     let line: serde_json::Value = serde_json::from_str(&line).expect("an object");
     assert!(line["message"].as_str().is_some_and(|text| text.starts_with("configuration: ")), "{line}");
     assert!(line["timestamp"].is_string() && line["level"] == "INFO");
@@ -351,8 +362,8 @@
 // once it is back.
 #[test]
 fn a_kill_in_the_middle_of_any_fault_leaves_the_list() {
-    let mut faults = Fault::that_tell_nothing();
-    faults.push(Fault::Index(Some("0")));
+    let mut faults = ConsulFault::without_usable_answer();
+    faults.push(ConsulFault::FixedIndex(Some("0")));
     std::thread::scope(|scope| {
         for (number, fault) in faults.into_iter().enumerate() {
             scope.spawn(move || {
@@ -360,11 +371,11 @@
                 let first = site.register("w1");
                 let forwarder = site.start();
                 site.delivers(&forwarder, "a");
-                site.consul.fault(fault.clone());
+                site.consul.set_fault(fault.clone());
                 forwarder.kill();
                 let forwarder = site.start();
                 assert_eq!(site.delivers(&forwarder, "b").endpoint, first, "{fault:?}");
-                site.consul.fault(Fault::None);
+                site.consul.set_fault(ConsulFault::None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
                 until("the change", || {
@@ -388,14 +399,14 @@
         for (what, why) in cases {
             scope.spawn(move || {
                 let site = Site::new(&format!("consul-tls-{what}"));
-                let authority = Authority::new(site.folder.path(), "dc1");
-                let stranger = Authority::new(site.folder.path(), "dc2");
+                let authority = CertificateAuthority::new(site.folder.path(), "dc1");
+                let stranger = CertificateAuthority::new(site.folder.path(), "dc2");
                 let (ip, day) = (site.consul.address().ip(), time::Duration::days(1));
                 let good = authority.sign("server.dc1.consul", ip, day);
-                site.consul.speak_tls(&good, None);
+                site.consul.use_tls(&good, None);
                 let tls = format!(
                     "tls = tls(ca = {:?}, server_name = \"server.dc1.consul\"),\n    networks",
-                    authority.ca
+                    authority.certificate
                 );
                 site.folder.write("edge.star", &script(site.consul.address()).replace("networks", &tls));
                 let first = site.register("w1");
@@ -407,12 +418,12 @@
                     "other-name" => authority.sign("other.dc1.consul", ip, day),
                     _ => stranger.sign("server2.dc1.consul", ip, day),
                 };
-                site.consul.speak_tls(&bad, None);
+                site.consul.use_tls(&bad, None);
                 let forwarder = site.start();
-                let line = forwarder.logged("not answered", PATIENCE).expect("told");
+                let line = forwarder.wait_for_log("not answered", PATIENCE).expect("told");
                 assert!(line.contains(why) && line.contains(" s old"), "{line}");
                 assert_eq!(site.delivers(&forwarder, "b").endpoint, first);
-                site.consul.speak_tls(&good, None);
+                site.consul.use_tls(&good, None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
                 until("the change", || {
@@ -437,33 +448,33 @@
                 let forwarder = site.start();
                 site.delivers(&forwarder, "a");
                 let index = match what {
-                    "draining" => site.consul.tag("n1", "w1", "draining", true),
-                    "critical" => site.consul.status("n1", "w1", "critical"),
+                    "draining" => site.consul.set_tag("n1", "w1", "draining", true),
+                    "critical" => site.consul.set_status("n1", "w1", "critical"),
                     "draining and critical" => {
-                        site.consul.tag("n1", "w1", "draining", true);
-                        site.consul.status("n1", "w1", "critical")
+                        site.consul.set_tag("n1", "w1", "draining", true);
+                        site.consul.set_status("n1", "w1", "critical")
                     }
-                    "maintenance" => site.consul.maintenance("n1", "w1", true),
+                    "maintenance" => site.consul.set_maintenance("n1", "w1", true),
                     "moved" => {
-                        site.consul.register(Instance::new("web", "n1", "w1", site.partner.endpoint()))
+                        site.consul.register(Instance::new("web", "n1", "w1", site.partner.open_endpoint()))
                     }
                     "gone" => site.consul.deregister("n1", "w1"),
                     _ => {
                         (0..50).for_each(|turn| {
-                            site.consul.status(
+                            site.consul.set_status(
                                 "n1",
                                 "w1",
                                 if turn % 2 == 0 { "critical" } else { "passing" },
                             );
                             std::thread::sleep(Duration::from_millis(1));
                         });
-                        site.consul.status("n1", "w1", "critical")
+                        site.consul.set_status("n1", "w1", "critical")
                     }
                 };
-                until("the change", || site.consul.told_at("web", index).is_some());
+                until("the change", || site.consul.first_answered_at("web", index).is_some());
                 std::thread::sleep(Duration::from_millis(250));
                 forwarder.kill();
-                site.consul.fault(Fault::Gone);
+                site.consul.set_fault(ConsulFault::Down);
                 let forwarder = site.start();
                 for number in 0..20 {
                     assert_ne!(site.delivers(&forwarder, &format!("m{number}")).endpoint, out, "{what}");
@@ -485,14 +496,18 @@
         let (old, new) = if trouble { ("w2", "w3") } else { ("w1", "w2") };
         let before = site.delivers(&forwarder, &format!("c-{new}")).peer;
         if trouble {
-            site.partner.set(Mode::Fail);
-            (0..6).for_each(|number| assert_eq!(forwarder.hand_in("status", &format!("f{number}"), 3), 202));
-            until("failures", || site.partner.calls().iter().filter(|c| c.txn.starts_with('f')).count() >= 4);
-            site.partner.set(Mode::Serve);
+            site.partner.set_mode(Mode::InternalError);
+            (0..6).for_each(|number| {
+                assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
+            });
+            until("failures", || {
+                site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
+            });
+            site.partner.set_mode(Mode::Serve);
         }
         site.consul.deregister("n1", old);
         let index = site.consul.register(Instance::new("web", "n1", new, address));
-        until("the change", || site.consul.told_at("web", index).is_some());
+        until("the change", || site.consul.first_answered_at("web", index).is_some());
         std::thread::sleep(Duration::from_millis(250));
         let call = site.delivers(&forwarder, &format!("d-{new}"));
         assert!(call.peer != before && call.endpoint == address, "{call:?}");
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -2,9 +2,10 @@
 //! by zone, separate routes, six attempts. Real processes, killed, upgraded and shut down; partners are fakes that keep all
 //! calls.
 
-use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
-use orchidyoke_fakes::partner::{Bearing, Call, Mode, Partner};
-use orchidyoke_fakes::platform::Platform;
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::destination::{Call, CapacityModel, DestinationServer, Mode};
+use orchidyoke_fakes::discovery::DiscoveryServer;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -28,25 +29,29 @@
 
 /// Two zones with an endpoint of destination 1 each, the platform, and a folder with the configuration.
 struct Deployment {
-    folder: Folder,
-    platform: Platform,
+    folder: TemporaryFolder,
+    platform: DiscoveryServer,
     /// One partner in each zone, with one endpoint.
-    zones: [(Partner, SocketAddr); 2],
+    zones: [(DestinationServer, SocketAddr); 2],
 }
 
 impl Deployment {
     /// Retries are deduplicated for as long as `window`.
     fn new(name: &str, window: Duration) -> Self {
-        let platform = Platform::start("");
+        let platform = DiscoveryServer::start("");
         let zones = [(); 2].map(|()| {
-            let partner = Partner::new(Bearing::default());
-            let endpoint = partner.endpoint();
+            let partner = DestinationServer::new(CapacityModel::default());
+            let endpoint = partner.open_endpoint();
             (partner, endpoint)
         });
-        let folder = Folder::new(name);
+        let folder = TemporaryFolder::new(name);
         let deployment = Deployment { folder, platform, zones };
         let targets = deployment.targets(["a", "b"]);
-        let setup = Setup { targets, fleet: 2, ..Setup::new(deployment.platform.address()) };
+        let setup = ForwarderConfig {
+            endpoints: targets,
+            fleet_size: 2,
+            ..ForwarderConfig::new(deployment.platform.address())
+        };
         let mut text: Value = serde_json::from_str(&setup.text()).expect("JSON");
         let settings = &mut text["settings"];
         let class = |name: &str, effect: &str| {
@@ -67,19 +72,19 @@
     fn targets(&self, zones: [&str; 2]) -> Vec<Value> {
         let listed = self.zones.iter().zip(["s-a", "s-b"]).zip(zones);
         let listed = listed.map(|(((_, endpoint), uid), zone)| {
-            let mut target = target(uid, *endpoint, 1);
+            let mut target = endpoint_entry(uid, *endpoint, 1);
             target["az"] = json!(zone);
             target
         });
         listed.collect()
     }
 
-    fn start(&self) -> Forwarder {
-        Forwarder::start(program(), &self.folder, &[])
+    fn start(&self) -> ForwarderProcess {
+        ForwarderProcess::start(program(), &self.folder, &[])
     }
 
     fn calls(&self, zone: usize, txn: &str) -> Vec<Call> {
-        self.zones[zone].0.calls().into_iter().filter(|call| call.txn == txn).collect()
+        self.zones[zone].0.calls().into_iter().filter(|call| call.message_id == txn).collect()
     }
 
     /// The index of the zone that has been called with a message.
@@ -89,7 +94,7 @@
     }
 
     fn set(&self, mode: Mode) {
-        self.zones.iter().for_each(|(partner, _)| partner.set(mode));
+        self.zones.iter().for_each(|(partner, _)| partner.set_mode(mode));
     }
 }
 
@@ -104,7 +109,7 @@
 }
 
 /// Submits a message as a client of a deployment without tenants does; returns the status.
-fn submit(forwarder: &Forwarder, class: &str, txn: &str, keys: &[&str]) -> u16 {
+fn submit(forwarder: &ForwarderProcess, class: &str, txn: &str, keys: &[&str]) -> u16 {
     let mut stream = TcpStream::connect(forwarder.address).expect("it takes connections");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     let keys: String = keys.iter().map(|key| format!("Idempotency-Key: {key}\r\n")).collect();
@@ -128,9 +133,9 @@
     assert_eq!(submit(&forwarder, "bread", "two", &["a", "b"]), 400);
     assert_eq!(submit(&forwarder, "state", "safe", &[]), 202);
     let zone = deployment.called_zone("with");
-    assert_eq!(deployment.calls(zone, "with")[0].key.as_deref(), Some(key));
+    assert_eq!(deployment.calls(zone, "with")[0].idempotency_key.as_deref(), Some(key));
     let zone = deployment.called_zone("safe");
-    assert_eq!(deployment.calls(zone, "safe")[0].key, None);
+    assert_eq!(deployment.calls(zone, "safe")[0].idempotency_key, None);
     assert!((0..2).all(|zone| deployment.calls(zone, "without").is_empty()));
     assert!((0..2).all(|zone| deployment.calls(zone, "two").is_empty()));
 }
@@ -149,9 +154,12 @@
     let second = deployment.start();
     wait_until("it is delivered", || deployment.calls(zone, "loaf").iter().any(|call| call.served));
     let calls = deployment.calls(zone, "loaf");
-    assert!(calls.len() >= 2 && calls.iter().all(|call| call.key.as_deref() == Some("k-1")), "{calls:?}");
+    assert!(
+        calls.len() >= 2 && calls.iter().all(|call| call.idempotency_key.as_deref() == Some("k-1")),
+        "{calls:?}"
+    );
     assert!(deployment.calls(1 - zone, "loaf").is_empty(), "the other zone does not deduplicate the retry");
-    assert!(deployment.platform.notices().is_empty());
+    assert!(deployment.platform.notifications().is_empty());
     second.kill();
 }
 
@@ -160,7 +168,7 @@
 fn key_survives_a_kill_before_the_first_attempt() {
     let deployment = Deployment::new("second-before", Duration::from_secs(10));
     // The connection is refused: nothing was delivered, and the message waits.
-    deployment.set(Mode::Shut);
+    deployment.set(Mode::Unavailable);
     let first = deployment.start();
     assert_eq!(submit(&first, "bread", "loaf", &["k-2"]), 202);
     first.kill();
@@ -169,7 +177,7 @@
     let served = |zone: usize| deployment.calls(zone, "loaf").into_iter().find(|call| call.served);
     wait_until("it is delivered", || (0..2).any(|zone| served(zone).is_some()));
     let call = (0..2).find_map(served).expect("delivered");
-    assert_eq!(call.key.as_deref(), Some("k-2"));
+    assert_eq!(call.idempotency_key.as_deref(), Some("k-2"));
     second.kill();
 }
 
@@ -193,7 +201,7 @@
             // Both are now in the zone that has not been called.
             let zone = ["b", "a"][zone];
             let news = json!({"rev": 2, "all": true, "targets": deployment.targets([zone, zone])});
-            deployment.platform.tell(&news.to_string());
+            deployment.platform.publish(&news.to_string());
             let mut text: Value = serde_json::from_str(
                 &std::fs::read_to_string(deployment.folder.path().join("config.json")).expect("there"),
             )
@@ -209,8 +217,8 @@
         wait_until("the next is delivered", || {
             (0..2).any(|zone| deployment.calls(zone, "next").iter().any(|call| call.served))
         });
-        wait_until("it is failed", || deployment.platform.notices().contains_key("loaf"));
-        assert_eq!(deployment.platform.notices()["loaf"], ["failed"], "{name}");
+        wait_until("it is failed", || deployment.platform.notifications().contains_key("loaf"));
+        assert_eq!(deployment.platform.notifications()["loaf"], ["failed"], "{name}");
         let calls: usize = (0..2).map(|zone| deployment.calls(zone, "loaf").len()).sum();
         assert_eq!(calls, 1, "{name}: sent once, and never again");
         second.kill();
@@ -223,20 +231,20 @@
 fn upgrade_hands_over_key_and_zone() {
     let deployment = Deployment::new("second-upgrade", Duration::from_secs(15));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (predecessor, _) = Forwarder::start_beside(program(), &deployment.folder, &listener);
+    let (predecessor, _) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
     deployment.set(Mode::Hang);
     assert_eq!(submit(&predecessor, "bread", "out", &["k-out"]), 202);
     let zone = deployment.called_zone("out");
-    deployment.set(Mode::Shut);
+    deployment.set(Mode::Unavailable);
     assert_eq!(submit(&predecessor, "bread", "waiting", &["k-waiting"]), 202);
     deployment.called_zone("waiting");
-    let (successor, console) = Forwarder::start_beside(program(), &deployment.folder, &listener);
+    let (successor, console) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
     wait_until("the successor is ready", || {
         ask_console(console, "ready").is_some_and(|reply| reply.starts_with("200"))
     });
     predecessor.signal("TERM");
     assert!(
-        successor.logged("taken over from process", TIMEOUT).is_some(),
+        successor.wait_for_log("taken over from process", TIMEOUT).is_some(),
         "the waiting message is handed over"
     );
     deployment.set(Mode::Serve);
@@ -246,10 +254,10 @@
     assert!(deployment.calls(1 - zone, "out").is_empty(), "the other zone does not deduplicate the retry");
     for txn in ["out", "waiting"] {
         let mut calls = (0..2).flat_map(|zone| deployment.calls(zone, txn));
-        assert!(calls.all(|call| call.key == Some(format!("k-{txn}"))), "{txn}");
+        assert!(calls.all(|call| call.idempotency_key == Some(format!("k-{txn}"))), "{txn}");
     }
     assert!(predecessor.wait().success());
-    assert!(deployment.platform.notices().is_empty());
+    assert!(deployment.platform.notifications().is_empty());
     successor.kill();
 }
 
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,9 +1,10 @@
 //! The program itself, started, shut down and killed while a message or an answer is due. Every wait is for an event that
 //! has to come; where a duration is waited for, it is one of the program's limits.
 
-use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
-use orchidyoke_fakes::partner::{Bearing, Mode, Partner};
-use orchidyoke_fakes::platform::Platform;
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::destination::{CapacityModel, DestinationServer, Mode};
+use orchidyoke_fakes::discovery::DiscoveryServer;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,10 +18,15 @@
 }
 
 /// A folder with a configuration for one partner at destination 2.
-fn folder(name: &str, platform: &Platform, hop: SocketAddr, change: impl Fn(&mut Setup)) -> Folder {
-    let folder = Folder::new(name);
-    let mut setup = Setup::new(platform.address());
-    setup.targets = vec![target("s-1", hop, 2)];
+fn folder(
+    name: &str,
+    platform: &DiscoveryServer,
+    hop: SocketAddr,
+    change: impl Fn(&mut ForwarderConfig),
+) -> TemporaryFolder {
+    let folder = TemporaryFolder::new(name);
+    let mut setup = ForwarderConfig::new(platform.address());
+    setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
     change(&mut setup);
     folder.write("config.json", &setup.text());
     folder
@@ -62,17 +68,17 @@
 
 /// Waits until each of these messages has its final answer, delivered or notified; returns the number of calls of each.
 fn wait_for_final_answers(
-    partner: &Partner,
-    platform: &Platform,
+    partner: &DestinationServer,
+    platform: &DiscoveryServer,
     txns: &[String],
 ) -> BTreeMap<String, usize> {
     let until = Instant::now() + TIMEOUT;
     loop {
         let calls = partner.calls();
-        let notices = platform.notices();
-        let served = |txn: &String| calls.iter().any(|call| call.txn == *txn && call.served);
+        let notices = platform.notifications();
+        let served = |txn: &String| calls.iter().any(|call| call.message_id == *txn && call.served);
         if txns.iter().all(|txn| served(txn) || notices.contains_key(txn)) {
-            let count = |txn: &String| calls.iter().filter(|call| call.txn == *txn).count();
+            let count = |txn: &String| calls.iter().filter(|call| call.message_id == *txn).count();
             return txns.iter().map(|txn| (txn.clone(), count(txn))).collect();
         }
         assert!(Instant::now() < until, "not all ended: {} calls, notices {notices:?}", calls.len());
@@ -114,10 +120,13 @@
 // SIGTERM changes nothing.
 #[test]
 fn requests_around_a_shutdown_are_answered_or_never_accepted() {
-    let partner = Partner::new(Bearing { service: Duration::from_millis(150), ..Bearing::default() });
-    let platform = Platform::start("");
-    let folder = folder("around-stop", &platform, partner.endpoint(), |_| {});
-    let forwarder = Forwarder::start(program(), &folder, &[]);
+    let partner = DestinationServer::new(CapacityModel {
+        service_time: Duration::from_millis(150),
+        ..CapacityModel::default()
+    });
+    let platform = DiscoveryServer::start("");
+    let folder = folder("around-stop", &platform, partner.open_endpoint(), |_| {});
+    let forwarder = ForwarderProcess::start(program(), &folder, &[]);
     let address = forwarder.address;
     let text = request("orders", "halved");
     let mut split = connect(address);
@@ -143,12 +152,12 @@
     assert!(forwarder.wait().success());
     assert!(terminated_at.elapsed() < Duration::from_millis(3_700), "{:?}", terminated_at.elapsed());
     assert!(accepted.len() > 20, "{accepted:?}");
-    let next = Forwarder::start(program(), &folder, &[]);
+    let next = ForwarderProcess::start(program(), &folder, &[]);
     let calls = wait_for_final_answers(&partner, &platform, &accepted);
     assert!(calls.values().all(|count| *count <= 1), "an order goes once: {calls:?}");
     let all = partner.calls();
     assert!(
-        unanswered.iter().all(|txn| !all.iter().any(|call| call.txn == *txn)),
+        unanswered.iter().all(|txn| !all.iter().any(|call| call.message_id == *txn)),
         "{unanswered:?} were accepted without an answer"
     );
     drop(next);
@@ -159,12 +168,12 @@
 // each message is attempted.
 #[test]
 fn start_with_a_full_journal_and_discovery_down_attempts_every_message() {
-    let partner = Partner::new(Bearing::default());
-    let platform = Platform::start("");
-    let hop = partner.endpoint();
-    partner.set(Mode::Hang);
-    let folder = folder("full-start", &platform, hop, |setup| setup.slots = 4);
-    let first = Forwarder::start(program(), &folder, &[]);
+    let partner = DestinationServer::new(CapacityModel::default());
+    let platform = DiscoveryServer::start("");
+    let hop = partner.open_endpoint();
+    partner.set_mode(Mode::Hang);
+    let folder = folder("full-start", &platform, hop, |setup| setup.max_in_flight = 4);
+    let first = ForwarderProcess::start(program(), &folder, &[]);
     let accepted: Vec<String> = (0..400).map(|number| format!("m{number}")).collect();
     let mut stream = connect(first.address);
     for txn in &accepted {
@@ -174,18 +183,18 @@
     first.kill();
     let attempted = partner.calls().len();
     assert!(attempted < 10, "{attempted} were attempted");
-    partner.set(Mode::Serve);
+    partner.set_mode(Mode::Serve);
     // Nothing answers there any more.
     let dead = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("bound")
     };
-    let mut setup = Setup::new(dead);
-    setup.slots = 4;
-    setup.targets = vec![target("s-1", hop, 2)];
+    let mut setup = ForwarderConfig::new(dead);
+    setup.max_in_flight = 4;
+    setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
     folder.write("config.json", &setup.text());
     let started_at = Instant::now();
-    let second = Forwarder::start(program(), &folder, &[]);
+    let second = ForwarderProcess::start(program(), &folder, &[]);
     let mut ready = connect(second.address);
     ready.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
     assert_eq!(read_status(&mut ready), Some(200));
@@ -194,7 +203,7 @@
     loop {
         let calls = partner.calls();
         let served: std::collections::BTreeSet<_> =
-            calls.iter().filter(|call| call.served).map(|call| call.txn.clone()).collect();
+            calls.iter().filter(|call| call.served).map(|call| call.message_id.clone()).collect();
         // The few attempts before the kill hung; the other messages had none.
         if served.len() + 10 >= accepted.len() {
             break;
@@ -208,14 +217,14 @@
 // that the next start cannot read.
 #[test]
 fn shutdown_or_kill_at_any_instant_of_a_start_loses_no_message() {
-    let partner = Partner::new(Bearing::default());
-    let platform = Platform::start("");
-    partner.set(Mode::Shut);
-    let folder = folder("start-stop", &platform, partner.endpoint(), |_| {});
-    let first = Forwarder::start(program(), &folder, &[]);
+    let partner = DestinationServer::new(CapacityModel::default());
+    let platform = DiscoveryServer::start("");
+    partner.set_mode(Mode::Unavailable);
+    let folder = folder("start-stop", &platform, partner.open_endpoint(), |_| {});
+    let first = ForwarderProcess::start(program(), &folder, &[]);
     let accepted: Vec<String> = (0..40).map(|number| format!("m{number}")).collect();
     for txn in &accepted {
-        assert_eq!(first.hand_in("status", txn, 2), 202);
+        assert_eq!(first.submit_message("status", txn, 2), 202);
     }
     first.kill();
     for round in 0..12 {
@@ -236,8 +245,8 @@
         }
         child.wait().expect("it ends");
     }
-    partner.set(Mode::Serve);
-    let last = Forwarder::start(program(), &folder, &[]);
+    partner.set_mode(Mode::Serve);
+    let last = ForwarderProcess::start(program(), &folder, &[]);
     let calls = wait_for_final_answers(&partner, &platform, &accepted);
     assert_eq!(calls.len(), accepted.len());
     drop(last);
@@ -247,32 +256,32 @@
 // for a new client: the process may hold 64 at once.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_new_clients() {
-    let partner = Partner::new(Bearing::default());
-    let platform = Platform::start("");
-    let other = Platform::start("");
-    let hop = partner.endpoint();
+    let partner = DestinationServer::new(CapacityModel::default());
+    let platform = DiscoveryServer::start("");
+    let other = DiscoveryServer::start("");
+    let hop = partner.open_endpoint();
     let folder = folder("idle", &platform, hop, |setup| {
         setup.sockets = 64;
-        setup.slots = 6;
+        setup.max_in_flight = 6;
     });
     let limited =
         folder.write("limited", &format!("#!/bin/sh\nulimit -n 64\nexec {} \"$@\"\n", program().display()));
     let chmod = format!("chmod +x {}", limited.display());
     assert!(std::process::Command::new("sh").args(["-c", &chmod]).status().expect("a shell").success());
-    let forwarder = Forwarder::start(&limited, &folder, &[]);
+    let forwarder = ForwarderProcess::start(&limited, &folder, &[]);
     let idle: Vec<_> = (0..120).map(|_| connect(forwarder.address)).collect();
-    let mut setup = Setup::new(other.address());
+    let mut setup = ForwarderConfig::new(other.address());
     setup.sockets = 64;
-    setup.slots = 6;
-    setup.targets = vec![target("s-1", hop, 2)];
+    setup.max_in_flight = 6;
+    setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
     folder.write("config.json", &setup.text());
     forwarder.signal("HUP");
     let until = Instant::now() + Duration::from_secs(6);
-    while other.asked() == 0 {
+    while other.watch_count() == 0 {
         assert!(Instant::now() < until, "discovery is not asked");
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(forwarder.hand_in("status", "asks", 2), 202);
+    assert_eq!(forwarder.submit_message("status", "asks", 2), 202);
     wait_for_final_answers(&partner, &platform, &["asks".to_owned()]);
     let lines: Vec<String> =
         forwarder.log.try_iter().filter(|line| line.contains("could not be accepted")).collect();
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,9 +1,10 @@
 //! Real forwarders of one region whose destinations have owners, under load, with a fault proxy on each link between two of
 //! them. Every message that was taken on is followed to its one end at the partners or in the platform's notices.
 
-use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, hand_in, target};
-use orchidyoke_fakes::partner::{Bearing, Partner};
-use orchidyoke_fakes::{Fault, FaultProxy, Platform, Stage, loopback};
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::destination::{CapacityModel, DestinationServer};
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry, submit_message};
+use orchidyoke_fakes::{DiscoveryServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -35,20 +36,22 @@
 
 /// An address that nobody else of this run uses.
 fn free() -> SocketAddr {
-    TcpListener::bind((loopback(), 0)).and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind((unused_loopback_address(), 0))
+        .and_then(|listener| listener.local_addr())
+        .expect("a port")
 }
 
 struct Member {
-    folder: Folder,
+    folder: TemporaryFolder,
     address: SocketAddr,
-    process: Option<(Forwarder, SocketAddr)>,
+    process: Option<(ForwarderProcess, SocketAddr)>,
     /// The links to the others, by their place; none to itself.
     links: Vec<Option<FaultProxy>>,
 }
 
 struct Region {
-    platform: Platform,
-    partner: Partner,
+    platform: DiscoveryServer,
+    partner: DestinationServer,
     members: Vec<Member>,
     /// Ids that were answered as taken on, with their classes.
     taken: Arc<Mutex<BTreeMap<String, &'static str>>>,
@@ -57,17 +60,20 @@
     kills: Vec<Instant>,
     /// What processes that are gone have logged.
     logged: Vec<String>,
-    _stage: Stage,
+    _stage: ServerRuntime,
 }
 
 impl Region {
     fn start(name: &str, size: usize) -> Region {
-        let (platform, stage) = (Platform::start(""), Stage::new());
-        let partner = Partner::new(Bearing { service: Duration::from_millis(5), ..Bearing::default() });
-        let mut setup = Setup::new(platform.address());
-        setup.fleet = size;
-        let endpoint = |number| target(&format!("p{number}"), partner.endpoint(), number);
-        setup.targets = (1..=DESTINATIONS).map(endpoint).collect();
+        let (platform, stage) = (DiscoveryServer::start(""), ServerRuntime::new());
+        let partner = DestinationServer::new(CapacityModel {
+            service_time: Duration::from_millis(5),
+            ..CapacityModel::default()
+        });
+        let mut setup = ForwarderConfig::new(platform.address());
+        setup.fleet_size = size;
+        let endpoint = |number| endpoint_entry(&format!("p{number}"), partner.open_endpoint(), number);
+        setup.endpoints = (1..=DESTINATIONS).map(endpoint).collect();
         let addresses: Vec<SocketAddr> = (0..size).map(|_| free()).collect();
         let mut region = Region {
             platform,
@@ -82,10 +88,11 @@
         };
         for number in 0..size {
             let link = |(place, address): (usize, &SocketAddr)| {
-                (place != number).then(|| FaultProxy::start(&region._stage, loopback(), *address))
+                (place != number)
+                    .then(|| FaultProxy::start(&region._stage, unused_loopback_address(), *address))
             };
             let links: Vec<_> = addresses.iter().enumerate().map(link).collect();
-            let folder = Folder::new(&format!("ownership-{name}-{number}"));
+            let folder = TemporaryFolder::new(&format!("ownership-{name}-{number}"));
             folder.write("config.json", &setup.text());
             folder.write("settings.star", &settings(number, addresses[number], &links));
             region.members.push(Member { folder, address: addresses[number], process: None, links });
@@ -99,11 +106,11 @@
         let member = &mut self.members[number];
         let settings = member.folder.path().join("settings.star").display().to_string();
         let options = ["--settings", &settings, "--listen", &member.address.to_string()];
-        let started = Forwarder::start_supervised(program(), &member.folder, "127.0.0.1:0", &options);
+        let started = ForwarderProcess::start_supervised(program(), &member.folder, "127.0.0.1:0", &options);
         member.process = Some(started);
     }
 
-    fn process(&self, number: usize) -> &Forwarder {
+    fn process(&self, number: usize) -> &ForwarderProcess {
         &self.members[number].process.as_ref().expect("it runs").0
     }
 
@@ -138,7 +145,10 @@
     fn cut_off(&self) -> BTreeSet<String> {
         let out = |at: Instant, kill: &Instant| at <= *kill && *kill - at < LAST_CALLS;
         let calls = self.partner.calls().into_iter();
-        calls.filter(|call| self.kills.iter().any(|kill| out(call.at, kill))).map(|call| call.txn).collect()
+        calls
+            .filter(|call| self.kills.iter().any(|kill| out(call.received_at, kill)))
+            .map(|call| call.message_id)
+            .collect()
     }
 
     /// One of a member's figures; 0 where it does not answer.
@@ -165,16 +175,16 @@
     }
 
     /// Sets a fault on the links from the others to a member.
-    fn cut_towards(&self, number: usize, fault: Fault) {
+    fn cut_towards(&self, number: usize, fault: NetworkFault) {
         self.members
             .iter()
             .filter_map(|member| member.links[number].as_ref())
-            .for_each(|link| link.set(fault));
+            .for_each(|link| link.set_fault(fault));
     }
 
     /// Sets a fault on the links from a member to the others.
-    fn cut_from(&self, number: usize, fault: Fault) {
-        self.members[number].links.iter().flatten().for_each(|link| link.set(fault));
+    fn cut_from(&self, number: usize, fault: NetworkFault) {
+        self.members[number].links.iter().flatten().for_each(|link| link.set_fault(fault));
     }
 
     /// Clients of these members hand in messages of both classes for all destinations, until they are told to stop.
@@ -189,7 +199,7 @@
                             return;
                         }
                         let txn = format!("{class}-{number}-{count}");
-                        if hand_in(address, class, &txn, 1 + count % DESTINATIONS) == 202 {
+                        if submit_message(address, class, &txn, 1 + count % DESTINATIONS) == 202 {
                             taken.lock().expect("no panic").insert(txn, class);
                         }
                         thread::sleep(Duration::from_millis(10));
@@ -204,7 +214,7 @@
     fn calls(&self) -> BTreeMap<String, usize> {
         let mut calls = BTreeMap::new();
         for call in self.partner.calls() {
-            *calls.entry(call.txn).or_default() += 1;
+            *calls.entry(call.message_id).or_default() += 1;
         }
         calls
     }
@@ -215,7 +225,7 @@
         self.clients.drain(..).for_each(|client| client.join().expect("a client"));
         let taken = self.taken.lock().expect("no panic").clone();
         let ended = |region: &Region| {
-            let (calls, notices) = (region.calls(), region.platform.notices());
+            let (calls, notices) = (region.calls(), region.platform.notifications());
             taken.keys().filter(|txn| !calls.contains_key(*txn) && !notices.contains_key(*txn)).count()
         };
         let mut open = taken.len();
@@ -227,7 +237,7 @@
         let idle =
             |number| self.figure(number, "concurrent") == 0 && self.figure(number, "owners_members") > 0;
         wait("nobody holds anything", || (0..self.members.len()).all(idle));
-        let (calls, notices) = (self.calls(), self.platform.notices());
+        let (calls, notices) = (self.calls(), self.platform.notifications());
         let repeated: Vec<_> =
             calls.iter().filter(|(txn, count)| txn.starts_with("orders") && **count > 1).collect();
         assert!(repeated.is_empty(), "never to be repeated: {repeated:?}");
@@ -308,10 +318,10 @@
     region.load(&[0, 1, 2, 3]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
     // Half of the answer's time there, and more than the rest of it back.
-    region.cut_towards(4, Fault::Delay(Duration::from_millis(700)));
+    region.cut_towards(4, NetworkFault::Delay(Duration::from_millis(700)));
     wait("answers are missed", || region.sum_of_others(4, "handover_unanswered") > 5);
     wait("it is done without", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
-    region.cut_towards(4, Fault::Pass);
+    region.cut_towards(4, NetworkFault::None);
     let before = region.sum_of_others(4, "handed_over");
     wait("it is handed over to again", || region.sum_of_others(4, "handed_over") > before + 60);
     region.settle();
@@ -323,15 +333,15 @@
     let mut region = Region::start("cut", 5);
     region.load(&[0, 1, 2, 3, 4]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
-    for fault in [Fault::Blackhole, Fault::Partition] {
+    for fault in [NetworkFault::Blackhole, NetworkFault::Partition] {
         let before = region.sum_of_others(4, "delivered_for_lack_of_owner");
         region.cut_towards(4, fault);
         region.cut_from(4, fault);
         wait("it is done without", || region.sum_of_others(4, "delivered_for_lack_of_owner") > before + 5);
         wait("it does without others", || region.figure(4, "delivered_for_lack_of_owner") > 5);
         let before = region.figure(4, "taken_over");
-        region.cut_towards(4, Fault::Pass);
-        region.cut_from(4, Fault::Pass);
+        region.cut_towards(4, NetworkFault::None);
+        region.cut_from(4, NetworkFault::None);
         wait("it takes over again", || region.figure(4, "taken_over") > before + 30);
     }
     region.settle();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,8 +1,8 @@
 //! A fleet of five real forwarders under load that agree on their policy at a Consul, each over a fault proxy of its own;
 //! whoever proposes is a process too. Every message handed in is followed to its one end.
 
-use orchidyoke_fakes::Fault;
-use orchidyoke_fakes::fleet::{Fleet, Load, TTL};
+use orchidyoke_fakes::NetworkFault;
+use orchidyoke_fakes::fleet::{ClientLoad, Fleet, MEMBER_TTL};
 use serde_json::json;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
@@ -17,7 +17,7 @@
 }
 
 fn fleet(name: &str) -> Fleet {
-    let fleet = Fleet::agreed(program(), &format!("policy-{name}"), FLEET, Load::default());
+    let fleet = Fleet::with_policy_commit(program(), &format!("policy-{name}"), FLEET, ClientLoad::default());
     wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     fleet
 }
@@ -31,11 +31,11 @@
 }
 
 fn is_ready(fleet: &Fleet, number: usize) -> bool {
-    fleet.ask(number, "ready").is_some_and(|reply| reply.starts_with("200"))
+    fleet.console_command(number, "ready").is_some_and(|reply| reply.starts_with("200"))
 }
 
 fn epoch(fleet: &Fleet, number: usize) -> Option<u64> {
-    fleet.figure(number, "app_policy_epoch")
+    fleet.metric(number, "app_policy_epoch")
 }
 
 fn epochs(fleet: &Fleet) -> Vec<Option<u64>> {
@@ -57,7 +57,7 @@
 
 fn command(fleet: &Fleet, what: &str) -> Command {
     let mut command = Command::new(program());
-    command.args(["policy", what, "--settings"]).arg(fleet.operators_settings());
+    command.args(["policy", what, "--settings"]).arg(fleet.operator_settings());
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
     command
 }
@@ -96,30 +96,30 @@
     assert_eq!(epochs(&fleet), [Some(1); FLEET]);
     // Calls that were out may end; those that begin after that are by the old policy.
     thread::sleep(Duration::from_millis(200));
-    let before = fleet.partner.calls().len();
+    let before = fleet.destination.calls().len();
     thread::sleep(Duration::from_millis(500));
-    assert_eq!(fleet.partner.calls().len(), before, "the only endpoint is left out");
+    assert_eq!(fleet.destination.calls().len(), before, "the only endpoint is left out");
     let (done, said) = propose(&fleet, "{}", "op");
     assert!(done && said.contains("epoch 2 committed"), "{said}");
-    wait("calls go on", || fleet.partner.calls().len() > before + 20);
+    wait("calls go on", || fleet.destination.calls().len() > before + 20);
     assert_eq!(epochs(&fleet), [Some(2); FLEET]);
     let status = status(&fleet);
     assert!(
         status.contains("committed: epoch 2") && status.matches(": epoch 2").count() == FLEET + 1,
         "{status}"
     );
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a forwarder that was down during a change and works by the old policy after it is back.
 #[test]
 fn one_that_was_down_has_it_before_it_is_ready() {
     let mut fleet = fleet("down");
-    fleet.stop(4);
+    fleet.kill_standalone(4);
     // It counts as one that is there until its session has ended.
     let (done, said) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(done, "{said}");
-    fleet.start_again(4);
+    fleet.restart(4);
     // Whenever it says that it is ready, it has it.
     wait("it is ready", || {
         let ready = is_ready(&fleet, 4);
@@ -127,7 +127,7 @@
         ready
     });
     assert_eq!(epochs(&fleet), [Some(1); FLEET]);
-    fleet.settle(true);
+    fleet.stop_and_verify(true);
 }
 
 // Guards against a forwarder that is cut off and guesses, stops serving, says nothing of it, or holds up the others; and
@@ -136,25 +136,27 @@
 fn one_that_is_cut_off_serves_on_says_so_and_catches_up() {
     let fleet = fleet("cut");
     let cut = Instant::now();
-    fleet.to_consul(2).set(Fault::Partition);
+    fleet.consul_link(2).set_fault(NetworkFault::Partition);
     wait("it says that it is cut off", || {
-        fleet.ask(2, "ready").is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
+        fleet
+            .console_command(2, "ready")
+            .is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
     });
-    assert!(cut.elapsed() < TTL, "before the others may go on without it: {:?}", cut.elapsed());
-    assert_eq!(fleet.figure(2, "app_policy_contact"), Some(0));
+    assert!(cut.elapsed() < MEMBER_TTL, "before the others may go on without it: {:?}", cut.elapsed());
+    assert_eq!(fleet.metric(2, "app_policy_contact"), Some(0));
     let (done, said) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(done, "{said}");
     assert_eq!(epochs(&fleet), [Some(1), Some(1), Some(0), Some(1), Some(1)]);
-    let served = |number| fleet.figure(number, "app_success{type=\"status\"}").expect("its figures");
+    let served = |number| fleet.metric(number, "app_success{type=\"status\"}").expect("its figures");
     let before = served(2);
     wait("it serves on", || served(2) > before + 20);
-    fleet.to_consul(2).set(Fault::Pass);
+    fleet.consul_link(2).set_fault(NetworkFault::None);
     wait("it is ready", || {
         let ready = is_ready(&fleet, 2);
         assert!(!ready || epoch(&fleet, 2) == Some(1), "ready by the old policy");
         ready
     });
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a change that nobody is left to commit being applied anyway, or keeping out the next one.
@@ -165,19 +167,19 @@
     let mut tool = proposing_held_up(&fleet, &harmless(7_000_000), "first");
     tool.kill().expect("killed");
     tool.wait().expect("ended");
-    fleet.to_consul(3).set(Fault::Pass);
+    fleet.consul_link(3).set_fault(NetworkFault::None);
     // The proposal goes with its proposer's session.
     wait("the proposal is gone", || !status(&fleet).contains("proposed:"));
     assert_eq!(epochs(&fleet), [Some(0); FLEET]);
     let (done, said) = propose(&fleet, &harmless(8_000_000), "second");
     assert!(done && said.contains("epoch 1 committed"), "{said}");
     wait("it is in force on all", || epochs(&fleet) == [Some(1); FLEET]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 /// Proposes while one is cut off, so that all others vote and the proposer waits for its vote, or its end.
 fn proposing_held_up(fleet: &Fleet, policy: &str, by: &str) -> Child {
-    fleet.to_consul(3).set(Fault::Partition);
+    fleet.consul_link(3).set_fault(NetworkFault::Partition);
     let tool = proposing(fleet, policy, by);
     prepared_but_for(fleet, 3);
     tool
@@ -190,12 +192,12 @@
     let tool = proposing_held_up(&fleet, &harmless(7_000_000), "op");
     let (done, said) = told(command(&fleet, "abort").spawn().expect("the tool runs"));
     assert!(done && said.contains("the proposal of epoch 1 by op is withdrawn"), "{said}");
-    fleet.to_consul(3).set(Fault::Pass);
+    fleet.consul_link(3).set_fault(NetworkFault::None);
     let (done, said) = told(tool);
     assert!(!done && said.contains("withdrawn"), "{said}");
     wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     assert_eq!(epochs(&fleet), [Some(0); FLEET]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a policy that most can use and one cannot taking hold on most.
@@ -209,7 +211,7 @@
     assert!(!done && said.contains("refused by f1.") && said.contains("slots"), "{said}");
     assert_eq!(epochs(&fleet), [Some(0); FLEET]);
     assert!((0..FLEET).all(|number| is_ready(&fleet, number)), "all serve by what they had");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against two changes made at once that each take hold on a part of the fleet.
@@ -217,7 +219,7 @@
 fn of_two_proposers_at_once_one_wins_whole() {
     let fleet = fleet("race");
     // Votes take a while, so that the second finds the first at it.
-    fleet.to_consul(0).set(Fault::Delay(Duration::from_millis(150)));
+    fleet.consul_link(0).set_fault(NetworkFault::Delay(Duration::from_millis(150)));
     let tools: Vec<_> =
         (0..4).map(|n| proposing(&fleet, &harmless(7_000_000 + n), &format!("op{n}"))).collect();
     let said: Vec<_> = tools.into_iter().map(told).collect();
@@ -227,5 +229,5 @@
     wait("all have the last", || epochs(&fleet) == [Some(won as u64); FLEET]);
     let status = status(&fleet);
     assert!(status.contains(&format!("committed: epoch {won}")) && !status.contains("proposed:"), "{status}");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
