--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,9 +1,9 @@
 //! A rollout over six real forwarders under load, the rollout a process of its own, a fault proxy on each path from it to
 //! a forwarder. Every accepted message is followed to its one final answer: delivered once, or notified as failed.
 
-use orchidyoke_fakes::fleet::{Fleet, Load};
-use orchidyoke_fakes::partner::Mode;
-use orchidyoke_fakes::{Fault, FaultProxy};
+use orchidyoke_fakes::destination::Mode;
+use orchidyoke_fakes::fleet::{ClientLoad, Fleet};
+use orchidyoke_fakes::{FaultProxy, NetworkFault};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -17,11 +17,11 @@
 }
 
 fn alone(name: &str) -> Fleet {
-    Fleet::alone(program(), name, FLEET_SIZE, Load::default())
+    Fleet::standalone(program(), name, FLEET_SIZE, ClientLoad::default())
 }
 
 fn supervised(name: &str) -> Fleet {
-    Fleet::supervised(program(), name, FLEET_SIZE, Load::default())
+    Fleet::supervised(program(), name, FLEET_SIZE, ClientLoad::default())
 }
 
 /// A change of settings that no message is affected by.
@@ -118,7 +118,7 @@
 fn heal(paths: Vec<FaultProxy>, after: Duration) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         thread::sleep(after);
-        paths.iter().for_each(|path| path.set(Fault::Pass));
+        paths.iter().for_each(|path| path.set_fault(NetworkFault::None));
     })
 }
 
@@ -132,7 +132,7 @@
     let passed =
         records(&state_folder(&fleet)).iter().filter(|record| record.get("passed").is_some()).count();
     assert_eq!(passed, 2, "both stages with somebody to compare with were judged: {log}");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 /// Checks that a change is stopped for this reason at its first stage, that its canary is rolled back, and that no other
@@ -156,7 +156,7 @@
     // One open message at a time: with two clients at each forwarder, about half are rejected.
     let change = json!({"settings_patch": {"settings": {"limits": {"max_open": 1}}}});
     assert_stopped_at_first_stage(&fleet, change, json!({}), "overload share");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a slower path going on because it rejects and fails nothing.
@@ -167,15 +167,19 @@
     let change = json!({"settings_patch": {"settings": {"family_info": {"slots": 1}}}});
     let criteria = json!({"criteria": {"margin": 0.02, "z": 2.33, "min_ended": 60, "latency_ratio": 4.0}});
     assert_stopped_at_first_stage(&fleet, change, criteria, "slow share");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against blaming a good change for what the endpoint does to everyone.
 #[test]
 fn endpoint_fault_seen_by_all_forwarders_does_not_stop_a_good_change() {
     // Orders are not idempotent: a 500 ends them as failed.
-    let mut fleet =
-        Fleet::alone(program(), "partner", FLEET_SIZE, Load { class: "orders", ..Load::default() });
+    let mut fleet = Fleet::standalone(
+        program(),
+        "partner",
+        FLEET_SIZE,
+        ClientLoad { class: "orders", ..ClientLoad::default() },
+    );
     // The stage is to see the failures: half of it is spent in them.
     // Forwarders recover from an outage one by one, at random moments: for that the margin is wide, and latency is left
     // out.
@@ -183,10 +187,10 @@
     let more = json!({"bake_ms": 3000, "max_bake_ms": 60000, "criteria": criteria});
     let plan = write_plan(&fleet, harmless_change(), more);
     let Ended { completed, log } = run_with_act_mid_stage(&mut fleet, &plan, |fleet| {
-        fleet.partner.set(Mode::Fail);
+        fleet.destination.set_mode(Mode::InternalError);
         thread::sleep(Duration::from_millis(1500));
-        fleet.partner.set(Mode::Serve);
-        fleet.partner.come_back();
+        fleet.destination.set_mode(Mode::Serve);
+        fleet.destination.recover();
     });
     assert!(completed, "{log}");
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)), "{log}");
@@ -198,20 +202,20 @@
         .filter_map(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok())
         .collect();
     assert!(matches!(failed[..], [changed, unchanged] if changed > 0 && unchanged > 0), "{judged:?}");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against blaming the change for an unreachable forwarder that does not have it.
 #[test]
 fn baseline_forwarder_behind_a_partition_does_not_stop_a_good_change() {
     let fleet = alone("cut");
-    fleet.cut(FLEET_SIZE - 1, Fault::Partition);
+    fleet.set_fault(FLEET_SIZE - 1, NetworkFault::Partition);
     // Unreachable for the first stage; the last forwarder is changed only after it is reachable again.
-    let healer = heal(fleet.paths(FLEET_SIZE - 1), Duration::from_secs(4));
+    let healer = heal(fleet.external_links(FLEET_SIZE - 1), Duration::from_secs(4));
     let Ended { completed, log } = run_rollout(&fleet, &write_plan(&fleet, harmless_change(), json!({})));
     healer.join().expect("the thread");
     assert!(completed && log.contains("does not answer"), "{log}");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 /// Kills the rollout (SIGKILL) each time it has written a record or more, and starts it again, until it ends by itself.
@@ -255,7 +259,7 @@
     changed.sort();
     assert_eq!(changed, (0..FLEET_SIZE).map(|number| format!("f{number}")).collect::<Vec<_>>(), "each once");
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)));
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a stop forgotten, or half carried out, by a rollout that is killed while it rolls back.
@@ -271,7 +275,7 @@
     assert!(kills >= 4, "{kills} kills");
     assert!((0..FLEET_SIZE).all(|number| fleet.config(number) == before));
     assert_eq!(forwarders_in(&records(&state_folder(&fleet)), "taken_back"), ["f0"]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against blaming the change for a death that is not its own: one without the change dies mid-stage.
@@ -283,7 +287,7 @@
         run_with_act_mid_stage(&mut fleet, &plan, |fleet| fleet.kill(FLEET_SIZE - 1));
     assert!(completed && log.contains("started again"), "{log}");
     assert!(has_harmless_change(&fleet, FLEET_SIZE - 1));
-    fleet.settle(true);
+    fleet.stop_and_verify(true);
 }
 
 // Guards against a release or settings that kill their forwarder going on: the only one with the change dies.
@@ -295,12 +299,12 @@
     assert!(!completed && log.contains("went down: f0"), "{log}");
     assert_eq!(forwarders_in(&records(&state_folder(&fleet)), "taken_back"), ["f0"]);
     assert!(!has_harmless_change(&fleet, 0));
-    fleet.settle(true);
+    fleet.stop_and_verify(true);
 }
 
 /// The release of each forwarder, as its supervisor shows it.
 fn releases(fleet: &Fleet) -> Vec<String> {
-    let release = |number| Some(fleet.show(number)?["release"].as_str()?.to_owned());
+    let release = |number| Some(fleet.supervisor_status(number)?["release"].as_str()?.to_owned());
     (0..FLEET_SIZE).map(|number| release(number).expect("a supervisor")).collect()
 }
 
@@ -314,10 +318,10 @@
     assert!(completed, "{log}");
     assert_eq!(releases(&fleet), ["v2"; FLEET_SIZE]);
     for number in 0..FLEET_SIZE {
-        let shown = fleet.show(number).expect("a supervisor");
+        let shown = fleet.supervisor_status(number).expect("a supervisor");
         assert!(shown["settled"] == true && shown["restarts"] == 0, "{shown}");
     }
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a fleet taken over by a release that is worse, or that does not even start.
@@ -340,7 +344,7 @@
     std::fs::remove_dir_all(state_folder(&fleet)).expect("a new rollout, a new progress file");
     assert_stopped_at_first_stage(&fleet, json!({"release": "broken"}), json!({}), "exit status: 3");
     assert_eq!(releases(&fleet), ["v1"; FLEET_SIZE]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a change left in place because its forwarder could not be reached when the rollout stopped.
@@ -351,13 +355,13 @@
     let plan = write_plan(&fleet, json!({"release": "v2"}), json!({}));
     let mut healer = None;
     let Ended { completed, log } = run_with_act_mid_stage(&mut fleet, &plan, |fleet| {
-        fleet.cut(0, Fault::Blackhole);
-        healer = Some(heal(fleet.paths(0), Duration::from_secs(16)));
+        fleet.set_fault(0, NetworkFault::Blackhole);
+        healer = Some(heal(fleet.external_links(0), Duration::from_secs(16)));
     });
     healer.expect("a thread").join().expect("it ends");
     assert!(!completed && log.contains("went down: f0") && log.contains("taken back"), "{log}");
     assert_eq!(releases(&fleet), ["v1"; FLEET_SIZE]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a forwarder that is left with nobody to start it, or that falls back to another release, when its
@@ -372,10 +376,11 @@
     fleet.kill_supervisor(1);
     fleet.kill(2);
     let until = Instant::now() + Duration::from_secs(20);
-    while !fleet.show(2).is_some_and(|shown| shown["settled"] == true && shown["restarts"] == 1) {
-        assert!(Instant::now() < until, "{:?}", fleet.show(2));
+    while !fleet.supervisor_status(2).is_some_and(|shown| shown["settled"] == true && shown["restarts"] == 1)
+    {
+        assert!(Instant::now() < until, "{:?}", fleet.supervisor_status(2));
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(releases(&fleet), ["v2"; FLEET_SIZE]);
-    fleet.settle(true);
+    fleet.stop_and_verify(true);
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -5,8 +5,9 @@
 mod golden;
 
 use golden::{assert_golden, side, whole_length};
-use orchidyoke_fakes::Platform;
-use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, target};
+use orchidyoke_fakes::DiscoveryServer;
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -64,15 +65,16 @@
 
 #[test]
 fn a_forwarder_answers_at_its_console_as_before() {
-    let platform = Platform::start("");
+    let platform = DiscoveryServer::start("");
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut setup = Setup::new(platform.address());
-    setup.targets = vec![target("p1", endpoint.local_addr().expect("bound"), 7)];
-    let folder = Folder::new("wire-console");
+    let mut setup = ForwarderConfig::new(platform.address());
+    setup.endpoints = vec![endpoint_entry("p1", endpoint.local_addr().expect("bound"), 7)];
+    let folder = TemporaryFolder::new("wire-console");
     folder.write("config.json", &setup.text());
     let settings = folder.write("settings.star", &owner()).display().to_string();
     let options = ["--settings", &settings[..]];
-    let (forwarder, console) = Forwarder::start_supervised(program(), &folder, "127.0.0.1:0", &options);
+    let (forwarder, console) =
+        ForwarderProcess::start_supervised(program(), &folder, "127.0.0.1:0", &options);
     let mut said = String::new();
     for line in [
         "ready",
@@ -94,13 +96,13 @@
 
 #[test]
 fn a_message_goes_from_its_client_to_its_endpoint_as_before() {
-    let platform = Platform::start("");
+    let platform = DiscoveryServer::start("");
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut setup = Setup::new(platform.address());
-    setup.targets = vec![target("p1", endpoint.local_addr().expect("bound"), 7)];
-    let folder = Folder::new("wire-message");
+    let mut setup = ForwarderConfig::new(platform.address());
+    setup.endpoints = vec![endpoint_entry("p1", endpoint.local_addr().expect("bound"), 7)];
+    let folder = TemporaryFolder::new("wire-message");
     folder.write("config.json", &setup.text());
-    let forwarder = Forwarder::start(program(), &folder, &[]);
+    let forwarder = ForwarderProcess::start(program(), &folder, &[]);
     let request = "POST /refund HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\n\
                    X-Remaining: 12.000\r\nX-Consignee: dest=7\r\nIdempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n\r\nhello";
     let mut client = connect(forwarder.address);
@@ -134,9 +136,9 @@
 
 #[test]
 fn a_supervisor_answers_at_its_control_address_as_before() {
-    let platform = Platform::start("");
-    let folder = Folder::new("wire-control");
-    folder.write("config.json", &Setup::new(platform.address()).text());
+    let platform = DiscoveryServer::start("");
+    let folder = TemporaryFolder::new("wire-control");
+    folder.write("config.json", &ForwarderConfig::new(platform.address()).text());
     let releases = folder.path().join("releases");
     std::fs::create_dir_all(&releases).expect("a folder");
     std::os::unix::fs::symlink(program(), releases.join("v1")).expect("a release");
