--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -219,9 +219,10 @@
 // Guards against an agent without a leader being asked on and on while another has one.
 #[test]
 fn an_agent_without_a_leader_makes_room_for_the_next() {
-    for fault in
-        [ConsulFault::NoLeader { complete: true }, ConsulFault::Status(500, "No cluster leader", None)]
-    {
+    for fault in [
+        ConsulFault::NoLeader { complete: true },
+        ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None },
+    ] {
         run(async {
             let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
             let addresses = vec![cut_off.address(), other.address()];
@@ -374,10 +375,10 @@
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
         other.sign("edge.dc1.consul", consul.address().ip(), day);
         consul.use_tls(&server, Some(&other.certificate));
-        let (open, _) = consul.connections();
+        let open = consul.connections().open;
         consul.register(web("w3", 8003));
         seen.holds(3).await;
-        until("the connection under the old certificates closes", || consul.connections().0 <= open).await;
+        until("the connection under the old certificates closes", || consul.connections().open <= open).await;
     });
 }
 
@@ -439,7 +440,7 @@
         }
         let mut seen = Seen::follow(settings, EndpointList::default());
         seen.holds(all.len()).await;
-        assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
+        assert!(consul.connections().peak <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
             consul.set_status("n1", &format!("i{number}"), "critical");
@@ -450,7 +451,7 @@
             consul.deregister("n1", &format!("i{number}"));
         }
         seen.holds(0).await;
-        assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
+        assert!(consul.connections().peak <= 6, "{:?}", consul.connections());
     });
 }
 
--- a/crates/experiments/src/cold.rs
+++ b/crates/experiments/src/cold.rs
@@ -25,7 +25,7 @@
     let bearing = CapacityModel {
         capacity_rps: CAPACITY,
         service_time: Duration::from_millis(20),
-        overload: OverloadBehavior::Queue,
+        overload_behavior: OverloadBehavior::Queue,
         ..CapacityModel::default()
     };
     let mut sites = Vec::new();
--- a/crates/experiments/src/scale.rs
+++ b/crates/experiments/src/scale.rs
@@ -2,6 +2,7 @@
 //! taken in of the list is stored there before it is used.
 
 use crate::Run;
+use crate::capacity::process;
 use crate::report::{Chart, Line, Outcome};
 use crate::site::{Site, progress, quantile, wait_until};
 use orchidyoke_core::endpoint_list::{EndpointList, ListedState};
@@ -115,12 +116,14 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     let learnt = began.elapsed();
-    let usage = || forwarder.usage().ok_or("the forwarder has ended".to_owned());
+    let usage = || {
+        process::usage(forwarder.pid()).map_err(|error| format!("cannot read the forwarder's usage: {error}"))
+    };
     let bar = progress(&format!("consul-scale, {endpoints} endpoints"), IDLE + CHANGES);
     let start = Instant::now();
-    let (idle, _) = usage()?;
+    let idle = usage()?.processor;
     wait_until(&bar, start, IDLE);
-    let (busy, _) = usage()?;
+    let busy = usage()?.processor;
     if run.sabotage {
         site.consul.set_fault(ConsulFault::Unresponsive);
     }
@@ -152,7 +155,7 @@
         bar.set_position(start.elapsed().as_secs());
         std::thread::sleep(Duration::from_micros(500));
     }
-    let (end, resident) = usage()?;
+    let end = usage()?;
     bar.finish_and_clear();
     times.sort_by(f64::total_cmp);
     let share =
@@ -161,11 +164,11 @@
         endpoints,
         learnt,
         idle_cpu: share(idle, busy, IDLE),
-        busy_cpu: share(busy, end, begin.elapsed()),
-        resident,
+        busy_cpu: share(busy, end.processor, begin.elapsed()),
+        resident: end.resident,
         times,
         missed: waiting.len(),
-        connections: site.consul.connections().1,
+        connections: site.consul.connections().peak,
     })
 }
 
--- a/crates/experiments/src/silent.rs
+++ b/crates/experiments/src/silent.rs
@@ -22,7 +22,10 @@
         ("says nothing", ConsulFault::Unresponsive),
         ("refuses connections", ConsulFault::Down),
         ("vanishes in the middle", ConsulFault::CloseOnRequest),
-        ("500 No cluster leader", ConsulFault::Status(500, "No cluster leader", None)),
+        (
+            "500 No cluster leader",
+            ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None },
+        ),
         ("empty list, no leader", ConsulFault::NoLeader { complete: false }),
         ("answer cut short", ConsulFault::TruncatedBody),
         ("answer without an end", ConsulFault::EndlessBody),
--- a/crates/fakes/src/certificates.rs
+++ b/crates/fakes/src/certificates.rs
@@ -1,11 +1,15 @@
-//! Certificates for tests: an authority, and what it signs, as PEM files in a folder.
+//! Certificates for tests: an authority and the certificates that it signs, as PEM files in a folder.
 
+use crate::temporary_folder::write_atomically;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair, SanType};
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
 use time::{Duration, OffsetDateTime};
 
-/// An authority, whose certificate is `NAME-ca.pem`.
+/// Certificates are valid from this long before they are signed.
+const VALID_BEFORE_NOW: Duration = Duration::days(30);
+
+/// A certificate authority, whose own certificate is `NAME-ca.pem`.
 pub struct CertificateAuthority {
     issuer: CertifiedIssuer<'static, KeyPair>,
     folder: PathBuf,
@@ -13,24 +17,15 @@
     pub certificate: PathBuf,
 }
 
-/// A certificate with its key.
+/// The files of a certificate and its key.
 #[derive(Clone, Debug)]
 pub struct CertificateFiles {
-    /// The file of the certificate.
+    /// The certificate.
     pub certificate: PathBuf,
-    /// The file of the key.
+    /// Its key.
     pub key: PathBuf,
 }
 
-fn write(path: PathBuf, text: &str) -> PathBuf {
-    // Whole or not at all: whoever reads it meanwhile gets the old one.
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, text)
-        .and_then(|()| std::fs::rename(&beside, &path))
-        .expect("the folder can be written");
-    path
-}
-
 impl CertificateAuthority {
     /// A new authority with its files in this folder.
     pub fn new(folder: &Path, name: &str) -> Self {
@@ -39,22 +34,24 @@
         params.distinguished_name.push(DnType::CommonName, name);
         let key = KeyPair::generate().expect("a key");
         let issuer = CertifiedIssuer::self_signed(params, key).expect("a certificate");
-        let ca = write(folder.join(format!("{name}-ca.pem")), &issuer.pem());
-        CertificateAuthority { issuer, folder: folder.to_owned(), certificate: ca }
+        let certificate = write_atomically(&folder.join(format!("{name}-ca.pem")), &issuer.pem());
+        CertificateAuthority { issuer, folder: folder.to_owned(), certificate }
     }
 
-    /// Signs a certificate for this address and name, valid for so long from now on; a negative time makes one that
-    /// has run out. The files are `NAME.pem` and `NAME.key`.
-    pub fn sign(&self, name: &str, address: IpAddr, valid: Duration) -> CertificateFiles {
+    /// Signs a certificate for this name and address, valid for this long from now on; a negative time makes an expired
+    /// one. The files are `NAME.pem` and `NAME.key`.
+    pub fn sign(&self, name: &str, address: IpAddr, valid_for: Duration) -> CertificateFiles {
         let mut params = CertificateParams::new(vec![name.to_owned()]).expect("a name");
         params.subject_alt_names.push(SanType::IpAddress(address));
         let now = OffsetDateTime::now_utc();
-        (params.not_before, params.not_after) = (now - Duration::days(30), now + valid);
+        params.not_before = now - VALID_BEFORE_NOW;
+        params.not_after = now + valid_for;
         let key = KeyPair::generate().expect("a key");
         let certificate = params.signed_by(&key, &*self.issuer).expect("a certificate");
+        let file = |extension: &str| self.folder.join(format!("{name}.{extension}"));
         CertificateFiles {
-            certificate: write(self.folder.join(format!("{name}.pem")), &certificate.pem()),
-            key: write(self.folder.join(format!("{name}.key")), &key.serialize_pem()),
+            certificate: write_atomically(&file("pem"), &certificate.pem()),
+            key: write_atomically(&file("key"), &key.serialize_pem()),
         }
     }
 }
--- a/crates/fakes/src/consul/bodies.rs
+++ b/crates/fakes/src/consul/bodies.rs
@@ -8,15 +8,22 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that says it is longer than it is.
-struct Half(Option<Bytes>, u64);
+/// Bytes of one frame of the endless body.
+const FRAME_BYTES: usize = 16 << 10;
 
-pub(super) fn half(bytes: Vec<u8>) -> BoxBody<Bytes, Never> {
-    let length = 2 * bytes.len() as u64;
-    Half(Some(bytes.into()), length).boxed()
+/// A body that ends before its announced length.
+struct TruncatedBody {
+    bytes: Option<Bytes>,
+    announced_length: u64,
 }
 
-impl Body for Half {
+/// A body of these bytes that announces twice as many.
+pub(super) fn truncated(bytes: Vec<u8>) -> BoxBody<Bytes, Never> {
+    let announced_length = 2 * bytes.len() as u64;
+    TruncatedBody { bytes: Some(bytes.into()), announced_length }.boxed()
+}
+
+impl Body for TruncatedBody {
     type Data = Bytes;
     type Error = Never;
 
@@ -24,23 +31,23 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Never>>> {
-        Poll::Ready(self.0.take().map(|bytes| Ok(Frame::data(bytes))))
+        Poll::Ready(self.bytes.take().map(|bytes| Ok(Frame::data(bytes))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.1)
+        SizeHint::with_exact(self.announced_length)
     }
 }
 
-/// White space without an end, which may stand before a list.
-pub(super) struct Endless;
+/// White space without an end, which is allowed before a JSON list.
+pub(super) struct EndlessBody;
 
-impl Body for Endless {
+impl Body for EndlessBody {
     type Data = Bytes;
     type Error = Never;
 
     fn poll_frame(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Never>>> {
-        static SPACE: [u8; 16 << 10] = [b' '; 16 << 10];
-        Poll::Ready(Some(Ok(Frame::data(Bytes::from_static(&SPACE)))))
+        static SPACES: [u8; FRAME_BYTES] = [b' '; FRAME_BYTES];
+        Poll::Ready(Some(Ok(Frame::data(Bytes::from_static(&SPACES)))))
     }
 }
--- a/crates/fakes/src/consul/connection.rs
+++ b/crates/fakes/src/consul/connection.rs
@@ -1,84 +1,89 @@
-//! The connections of the stand-in: accepted and served as its fault allows.
+//! The server's connections: accepted and served as its fault allows.
 
 use super::{ConsulFault, Inner};
 use crate::runtime::{self, serve};
 use std::sync::{Arc, PoisonError};
+use tokio::net::{TcpListener, TcpStream};
 
+/// Accepts connections for as long as the server lives; stops listening while the fault is [`ConsulFault::Down`].
+/// `listen_again` opens the same address again, or gives nothing once the runtime has ended.
 pub(super) async fn accept(
     inner: Arc<Inner>,
-    listener: tokio::net::TcpListener,
-    relisten: impl Fn() -> Option<tokio::net::TcpListener>,
+    listener: TcpListener,
+    listen_again: impl Fn() -> Option<TcpListener>,
 ) {
     let mut listener = Some(listener);
     loop {
-        let turned = inner.turned.notified();
-        let gone = inner.state().fault == ConsulFault::Down;
-        match (&listener, gone) {
+        let fault_changed = inner.fault_changed.notified();
+        let down = inner.state().fault == ConsulFault::Down;
+        match (&listener, down) {
             (Some(_), true) => listener = None,
-            (None, true) => turned.await,
-            (None, false) => match relisten() {
-                Some(again) => listener = Some(again),
+            (None, true) => fault_changed.await,
+            (None, false) => match listen_again() {
+                Some(opened) => listener = Some(opened),
                 None => return,
             },
             (Some(open), false) => {
                 let stream = tokio::select! {
                     stream = runtime::accept(open) => stream,
-                    () = turned => continue,
+                    () = fault_changed => continue,
                 };
-                tokio::spawn(connection(inner.clone(), stream));
+                tokio::spawn(serve_connection(inner.clone(), stream));
             }
         }
     }
 }
 
-/// Counts an open connection as long as it lives.
-struct Open(Arc<Inner>);
+/// Counts an open connection for as long as it lives.
+struct OpenConnection(Arc<Inner>);
 
-impl Open {
+impl OpenConnection {
     fn new(inner: Arc<Inner>) -> Self {
         let mut state = inner.state();
-        state.open += 1;
-        state.most_open = state.most_open.max(state.open);
+        state.connections.open += 1;
+        state.connections.peak = state.connections.peak.max(state.connections.open);
         drop(state);
-        Open(inner)
+        OpenConnection(inner)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.state().open -= 1;
+        self.0.state().connections.open -= 1;
     }
 }
 
-async fn connection(inner: Arc<Inner>, stream: tokio::net::TcpStream) {
-    let open = Open::new(inner.clone());
+async fn serve_connection(inner: Arc<Inner>, stream: TcpStream) {
+    let open = OpenConnection::new(inner.clone());
+    tokio::select! {
+        () = serve_requests(&inner, stream) => {}
+        () = server_down(&inner) => {}
+    }
+    drop(open);
+}
+
+async fn serve_requests(inner: &Arc<Inner>, stream: TcpStream) {
     let acceptor = inner.acceptor.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let answer = |request| {
         let inner = inner.clone();
         async move { inner.respond(request).await }
     };
-    let gone = async {
-        loop {
-            let turned = inner.turned.notified();
-            if inner.state().fault == ConsulFault::Down {
-                return;
+    match acceptor {
+        None => serve(stream, answer).await,
+        Some(acceptor) => {
+            if let Ok(stream) = acceptor.accept(stream).await {
+                serve(stream, answer).await;
             }
-            turned.await;
         }
-    };
-    let served = async {
-        match acceptor {
-            None => serve(stream, answer).await,
-            Some(acceptor) => {
-                if let Ok(stream) = acceptor.accept(stream).await {
-                    serve(stream, answer).await;
-                }
-            }
+    }
+}
+
+async fn server_down(inner: &Inner) {
+    loop {
+        let fault_changed = inner.fault_changed.notified();
+        if inner.state().fault == ConsulFault::Down {
+            return;
         }
-    };
-    tokio::select! {
-        () = served => {}
-        () = gone => {}
+        fault_changed.await;
     }
-    drop(open);
 }
--- a/crates/fakes/src/consul/duration.rs
+++ b/crates/fakes/src/consul/duration.rs
@@ -2,11 +2,13 @@
 
 use std::time::Duration;
 
-/// Reads a duration as Go writes it, of one unit.
+/// Units of Go's durations, with their milliseconds. `ms` comes first, as its last letter is a unit too.
+const UNITS_MS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
+
+/// Reads a duration of one unit in Go's notation, such as `10s`.
 pub(super) fn parse_duration(text: &str) -> Option<Duration> {
-    let units = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
-    units.iter().find_map(|(unit, factor)| {
+    UNITS_MS.iter().find_map(|(unit, unit_ms)| {
         let number: u64 = text.strip_suffix(unit)?.parse().ok()?;
-        Some(Duration::from_millis(number.checked_mul(*factor)?))
+        Some(Duration::from_millis(number.checked_mul(*unit_ms)?))
     })
 }
--- a/crates/fakes/src/consul/fault.rs
+++ b/crates/fakes/src/consul/fault.rs
@@ -1,53 +1,61 @@
-//! Faults of the stand-in.
+//! Faults that the server can have.
 
 use std::time::Duration;
 
-/// What is wrong with it.
+/// The fault in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ConsulFault {
-    /// Nothing.
+    /// None: requests are answered.
     #[default]
     None,
-    /// It takes connections and requests and says nothing; those that it has stay as silent.
+    /// Connections and requests are accepted and never answered, those already open included.
     Unresponsive,
-    /// Nobody listens, and what was open is closed.
+    /// Nothing listens, and open connections are closed.
     Down,
-    /// Connections close as a request comes.
+    /// A connection is closed when a request arrives.
     CloseOnRequest,
-    /// This status, with a text, and perhaps a time to come back in seconds.
-    Status(u16, &'static str, Option<u64>),
-    /// There is no leader: answers are of the form, with so much of the list, and say so.
+    /// Every request gets this answer.
+    Status {
+        /// The HTTP status.
+        status: u16,
+        /// The body.
+        text: &'static str,
+        /// `Retry-After`, in seconds.
+        retry_after_s: Option<u64>,
+    },
+    /// The cluster has no leader: answers say so in `X-Consul-KnownLeader`.
     NoLeader {
-        /// The whole list, or an empty one.
+        /// Whether answers hold the complete list or an empty one.
         complete: bool,
     },
-    /// A server that has not heard from its leader for so long: it knows of no instances, and says how old that is.
+    /// The server last heard from its leader this long ago: answers are empty, and say so in `X-Consul-LastContact`.
     Stale(Duration),
     /// Writes of sessions and keys take effect, and their answers are lost.
     LostWriteAnswers,
     /// Writes of sessions and keys take this long.
     SlowWrites(Duration),
-    /// Half an answer, and then the end.
+    /// The body ends before its announced length.
     TruncatedBody,
-    /// An answer that goes on for ever.
+    /// The body never ends.
     EndlessBody,
-    /// This is not JSON of the form.
+    /// The body is JSON of another form.
     MalformedBody,
-    /// Every answer comes at once, with this for an index; nothing leaves the header out.
+    /// Every answer comes at once with this `X-Consul-Index`; `None` leaves the header out.
     FixedIndex(Option<&'static str>),
 }
 
 impl ConsulFault {
-    /// Those that say nothing of the list, whatever they answer: it has to stay as it was.
+    /// The faults under which no answer says anything about the list: a client has to keep the list that it has.
     pub fn without_usable_answer() -> Vec<ConsulFault> {
+        let status = |status, text, retry_after_s| ConsulFault::Status { status, text, retry_after_s };
         vec![
             ConsulFault::Unresponsive,
             ConsulFault::Down,
             ConsulFault::CloseOnRequest,
-            ConsulFault::Status(500, "No cluster leader", None),
-            ConsulFault::Status(403, "Permission denied", None),
-            ConsulFault::Status(404, "Invalid path", None),
-            ConsulFault::Status(429, "Your IP is issuing too many concurrent connections", Some(1)),
+            status(500, "No cluster leader", None),
+            status(403, "Permission denied", None),
+            status(404, "Invalid path", None),
+            status(429, "Your IP is issuing too many concurrent connections", Some(1)),
             ConsulFault::NoLeader { complete: false },
             ConsulFault::NoLeader { complete: true },
             ConsulFault::TruncatedBody,
--- a/crates/fakes/src/consul/http.rs
+++ b/crates/fakes/src/consul/http.rs
@@ -1,8 +1,9 @@
-//! The HTTP API: requests answered from the state, at once or when it has changed.
+//! The HTTP API: answers each request from the state, at once or, for a blocking query, when the state has changed.
 
-use super::bodies::{self, Endless};
-use super::duration::parse_duration;
-use super::{ConsulFault, Inner, kv};
+use super::bodies::{EndlessBody, truncated};
+use super::kv::{Store, Write};
+use super::request::ApiRequest;
+use super::{ConsulFault, Inner};
 use crate::runtime::Never;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -12,102 +13,127 @@
 use hyper::{Method, Request, Response, StatusCode};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
-
-/// The longest wait that a blocking query gets, and the usual one.
-const LONGEST_WAIT: Duration = Duration::from_secs(600);
-const USUAL_WAIT: Duration = Duration::from_secs(300);
+use tokio::sync::watch;
 
 type Answer = Response<BoxBody<Bytes, Never>>;
 
+/// What becomes of a request at one look at the state.
+enum Step {
+    /// It is answered; `None` closes the connection without an answer.
+    Done(Option<Answer>),
+    /// It is looked at again after a change of the state, or at this moment at the latest.
+    Wait { until: Option<Instant> },
+}
+
+impl Step {
+    fn answer(answer: Answer) -> Step {
+        Step::Done(Some(answer))
+    }
+}
+
+/// A write that is not carried out.
+struct Rejection {
+    status: u16,
+    reason: String,
+}
+
+/// An answer to a read of a session or of keys.
+struct StoreReading {
+    answer: Answer,
+    /// Its `X-Consul-Index`.
+    index: u64,
+    /// When a session expires next.
+    next_expiry: Option<Instant>,
+}
+
 impl Inner {
+    /// Answers a request; `None` closes the connection without an answer.
     pub(super) async fn respond(&self, request: Request<Incoming>) -> Option<Answer> {
-        self.state().questions += 1;
-        let (parts, body) = request.into_parts();
-        let body = body.collect().await.ok()?.to_bytes();
-        let (path, query) = (parts.uri.path().to_owned(), parts.uri.query().unwrap_or("").to_owned());
-        let field = |name: &str| {
-            let pairs = query.split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
-            pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
-        };
-        let index = field("index").and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-        let wait =
-            field("wait").and_then(|text| parse_duration(&text)).unwrap_or(USUAL_WAIT).min(LONGEST_WAIT);
-        // Consul adds up to a sixteenth, so that questions do not come back together.
-        let ends = Instant::now() + wait + wait / 32;
+        self.state().request_count += 1;
+        let request = ApiRequest::read(request).await?;
         let mut changed = self.changed.subscribe();
         loop {
-            let fault = self.state().fault.clone();
-            match fault {
-                ConsulFault::None
-                | ConsulFault::FixedIndex(_)
-                | ConsulFault::LostWriteAnswers
-                | ConsulFault::SlowWrites(_) => {}
-                ConsulFault::Unresponsive => {
-                    drop(changed.changed().await);
-                    continue;
-                }
-                ConsulFault::Down | ConsulFault::CloseOnRequest => return None,
-                ConsulFault::Status(status, text, after) => return Some(plain(status, text, after)),
-                ConsulFault::NoLeader { complete: whole } => return Some(self.leaderless(&path, whole)),
-                ConsulFault::Stale(contact) => {
-                    let index = Some("1".to_owned());
-                    let mut answer = told(b"[]".to_vec(), index, true);
-                    let contact = HeaderValue::from(contact.as_millis() as u64);
-                    answer.headers_mut().insert("X-Consul-LastContact", contact);
-                    return Some(answer);
-                }
-                ConsulFault::TruncatedBody => {
-                    return Some(Response::new(bodies::half(b"[{\"Node\":{\"Node\":\"n1\"".repeat(8))));
-                }
-                ConsulFault::EndlessBody => return Some(Response::new(Endless.boxed())),
-                ConsulFault::MalformedBody => {
-                    return Some(told(b"{\"not\":[\"a list\"]}".to_vec(), Some("999999".to_owned()), true));
-                }
-            }
-            if self.state().token.as_deref().is_some_and(|token| {
-                parts.headers.get("X-Consul-Token").is_none_or(|given| given.as_bytes() != token.as_bytes())
-            }) {
-                return Some(plain(403, "Permission denied", None));
+            match self.step(&request).await {
+                Step::Done(answer) => return answer,
+                Step::Wait { until } => wait_for_change(&mut changed, until).await,
             }
-            if path.starts_with("/v1/session/") || path.starts_with("/v1/kv/") || path == "/v1/txn" {
-                if parts.method != Method::GET {
-                    let answer = self.write(&parts.method, &path, &field, &body, &fault).await;
-                    return Some(answer).filter(|_| fault != ConsulFault::LostWriteAnswers);
-                }
-                let (answer, at, next) = self.read(&path, field("recurse").is_some());
-                if at != index || Instant::now() >= ends {
-                    return Some(answer);
-                }
-                tokio::select! {
-                    _ = changed.changed() => {}
-                    () = tokio::time::sleep_until(next.map_or(ends, |next| next.min(ends)).into()) => {}
-                }
-                continue;
-            }
-            let Some((body, now)) = self.state().answer(&path) else {
-                return Some(plain(404, "Invalid path", None));
-            };
-            if let ConsulFault::FixedIndex(index) = fault {
-                return Some(told(body.to_string().into_bytes(), index.map(str::to_owned), true));
-            }
-            if now > index || index == 0 || Instant::now() >= ends || now < index {
-                if let Some(service) = path.strip_prefix("/v1/health/service/") {
-                    let mut state = self.state();
-                    let told = state.told.entry(service.to_owned()).or_default();
-                    if told.last().is_none_or(|(last, _)| *last < now) {
-                        told.push((now, Instant::now()));
-                    }
-                }
-                return Some(told(body.to_string().into_bytes(), Some(now.to_string()), true));
-            }
-            tokio::select! {
-                _ = changed.changed() => {}
-                () = tokio::time::sleep_until(ends.into()) => {}
+        }
+    }
+
+    async fn step(&self, request: &ApiRequest) -> Step {
+        let fault = self.state().fault.clone();
+        if let Some(step) = self.step_under_fault(&fault, request) {
+            return step;
+        }
+        if !self.accepts_token(request) {
+            return Step::answer(text_answer(403, "Permission denied", None));
+        }
+        if !request.is_for_store() {
+            return self.query_catalog(request, &fault);
+        }
+        if request.method == Method::GET {
+            return self.query_store(request);
+        }
+        let answer = self.write(request, &fault).await;
+        Step::Done(Some(answer).filter(|_| fault != ConsulFault::LostWriteAnswers))
+    }
+
+    /// What a fault makes of any request; nothing where the request is handled as usual.
+    fn step_under_fault(&self, fault: &ConsulFault, request: &ApiRequest) -> Option<Step> {
+        let answer = match fault {
+            ConsulFault::None
+            | ConsulFault::FixedIndex(_)
+            | ConsulFault::LostWriteAnswers
+            | ConsulFault::SlowWrites(_) => return None,
+            ConsulFault::Unresponsive => return Some(Step::Wait { until: None }),
+            ConsulFault::Down | ConsulFault::CloseOnRequest => return Some(Step::Done(None)),
+            ConsulFault::Status { status, text, retry_after_s } => text_answer(*status, text, *retry_after_s),
+            ConsulFault::NoLeader { complete } => self.leaderless(&request.path, *complete),
+            ConsulFault::Stale(last_contact) => stale(*last_contact),
+            ConsulFault::TruncatedBody => Response::new(truncated(b"[{\"Node\":{\"Node\":\"n1\"".repeat(8))),
+            ConsulFault::EndlessBody => Response::new(EndlessBody.boxed()),
+            ConsulFault::MalformedBody => {
+                json_answer(b"{\"not\":[\"a list\"]}".to_vec(), Some("999999".to_owned()), true)
             }
+        };
+        Some(Step::answer(answer))
+    }
+
+    fn accepts_token(&self, request: &ApiRequest) -> bool {
+        let state = self.state();
+        let Some(required) = &state.token else { return true };
+        request.token.as_ref().is_some_and(|given| given.as_bytes() == required.as_bytes())
+    }
+
+    /// A blocking query of the catalogue or of health.
+    fn query_catalog(&self, request: &ApiRequest, fault: &ConsulFault) -> Step {
+        let Some((body, index)) = self.state().answer(&request.path) else {
+            return Step::answer(text_answer(404, "Invalid path", None));
+        };
+        let body = body.to_string().into_bytes();
+        if let ConsulFault::FixedIndex(fixed) = fault {
+            return Step::answer(json_answer(body, fixed.map(str::to_owned), true));
         }
+        if index == request.index && request.index != 0 && Instant::now() < request.deadline {
+            return Step::Wait { until: Some(request.deadline) };
+        }
+        if let Some(service) = request.path.strip_prefix("/v1/health/service/") {
+            self.state().record_answer(service, index);
+        }
+        Step::answer(json_answer(body, Some(index.to_string()), true))
+    }
+
+    /// A blocking query of a session or of keys.
+    fn query_store(&self, request: &ApiRequest) -> Step {
+        let reading = self.read(&request.path, request.has("recurse"));
+        if reading.index != request.index || Instant::now() >= request.deadline {
+            return Step::answer(reading.answer);
+        }
+        let until = reading.next_expiry.map_or(request.deadline, |next| next.min(request.deadline));
+        Step::Wait { until: Some(until) }
     }
 
-    /// Ends what is over; gives when something is next.
+    /// Ends the sessions that have expired; gives when the next one does.
     fn expire(&self) -> Option<Instant> {
         let mut state = self.state();
         let before = state.store.index;
@@ -118,93 +144,124 @@
         next
     }
 
-    /// An answer to a read of a session or of keys, its index, and when a session ends next.
-    fn read(&self, path: &str, recurse: bool) -> (Answer, u64, Option<Instant>) {
-        let next = self.expire();
+    fn read(&self, path: &str, recurse: bool) -> StoreReading {
+        let next_expiry = self.expire();
         let state = self.state();
         let found = match (path.strip_prefix("/v1/kv/"), path.strip_prefix("/v1/session/info/")) {
             (Some(key), _) => state.store.read(key, recurse),
-            (_, Some(id)) => Some(state.store.info(id)),
+            (_, Some(id)) => Some(state.store.session_info(id)),
             _ => None,
         };
-        let at = match path.strip_prefix("/v1/kv/") {
+        let index = match path.strip_prefix("/v1/kv/") {
             Some(key) => state.store.index_of(key, recurse),
             None => state.store.index,
         };
         let missing = found.is_none();
         let body = found.map(|found| found.to_string().into_bytes()).unwrap_or_default();
-        let mut answer = told(body, Some(at.to_string()), true);
+        let mut answer = json_answer(body, Some(index.to_string()), true);
         if missing {
             *answer.status_mut() = StatusCode::NOT_FOUND;
         }
-        (answer, at, next)
-    }
-
-    async fn write(
-        &self,
-        method: &Method,
-        path: &str,
-        field: &impl Fn(&str) -> Option<String>,
-        body: &Bytes,
-        fault: &ConsulFault,
-    ) -> Answer {
-        if let ConsulFault::SlowWrites(span) = fault {
-            tokio::time::sleep(*span).await;
+        StoreReading { answer, index, next_expiry }
+    }
+
+    async fn write(&self, request: &ApiRequest, fault: &ConsulFault) -> Answer {
+        if let ConsulFault::SlowWrites(delay) = fault {
+            tokio::time::sleep(*delay).await;
         }
         self.expire();
-        let now = Instant::now();
         let mut state = self.state();
         let before = state.store.index;
-        let store = &mut state.store;
-        let json = || serde_json::from_slice(body).unwrap_or(Value::Null);
-        let done = if path == "/v1/session/create" {
-            store.create(now, &json()).map(|id| json!({"ID": id})).map_err(|why| (400, why))
-        } else if let Some(id) = path.strip_prefix("/v1/session/renew/") {
-            match store.renew(now, id) {
-                true => Ok(store.info(id)),
-                false => Err((404, format!("Session id '{id}' not found"))),
-            }
-        } else if let Some(id) = path.strip_prefix("/v1/session/destroy/") {
-            store.destroy(now, id);
-            Ok(json!(true))
-        } else if let Some(key) = path.strip_prefix("/v1/kv/").filter(|_| method == Method::DELETE) {
-            let cas = field("cas").and_then(|index| index.parse().ok());
-            Ok(json!(store.delete(key, field("recurse").is_some(), cas)))
-        } else if let Some(key) = path.strip_prefix("/v1/kv/").filter(|_| method == Method::PUT) {
-            let cas = field("cas").and_then(|index| index.parse().ok()).map(kv::Write::Cas);
-            let acquire = field("acquire").map(kv::Write::Acquire);
-            let how =
-                cas.or(acquire).or(field("release").map(kv::Write::Release)).unwrap_or(kv::Write::Plain);
-            store.put(now, key, body.to_vec(), &how).map(|done| json!(done)).map_err(|why| (500, why))
-        } else if path == "/v1/txn" {
-            match store.transact(now, &json()) {
-                (200, body) => Ok(body),
-                (status, body) => Err((status, body.to_string())),
-            }
-        } else {
-            Err((405, "method not allowed".to_owned()))
-        };
-        // A renewal changes nothing that anybody waits for.
+        let written = apply_write(&mut state.store, Instant::now(), request);
+        // Renewing a session changes nothing that a blocking query waits for.
         if state.store.index != before {
             self.changed.send_replace(state.store.index);
         }
-        match done {
-            Ok(body) => told(body.to_string().into_bytes(), None, true),
-            Err((status, why)) => plain(status, &why, None),
+        match written {
+            Ok(body) => json_answer(body.to_string().into_bytes(), None, true),
+            Err(rejection) => text_answer(rejection.status, &rejection.reason, None),
         }
     }
 
-    fn leaderless(&self, path: &str, whole: bool) -> Answer {
+    fn leaderless(&self, path: &str, complete: bool) -> Answer {
         let (body, index) = self.state().answer(path).unwrap_or((json!([]), 1));
-        let body = if whole { body } else { json!([]) };
-        told(body.to_string().into_bytes(), Some(index.to_string()), false)
+        let body = if complete { body } else { json!([]) };
+        json_answer(body.to_string().into_bytes(), Some(index.to_string()), false)
+    }
+}
+
+async fn wait_for_change(changed: &mut watch::Receiver<u64>, until: Option<Instant>) {
+    let Some(until) = until else {
+        drop(changed.changed().await);
+        return;
+    };
+    tokio::select! {
+        _ = changed.changed() => {}
+        () = tokio::time::sleep_until(until.into()) => {}
+    }
+}
+
+fn apply_write(store: &mut Store, now: Instant, request: &ApiRequest) -> Result<Value, Rejection> {
+    let path = request.path.as_str();
+    if path == "/v1/session/create" {
+        let created = store.create_session(now, &request.json());
+        return created.map(|id| json!({"ID": id})).map_err(|reason| Rejection { status: 400, reason });
+    }
+    if let Some(id) = path.strip_prefix("/v1/session/renew/") {
+        if store.renew_session(now, id) {
+            return Ok(store.session_info(id));
+        }
+        return Err(Rejection { status: 404, reason: format!("Session id '{id}' not found") });
+    }
+    if let Some(id) = path.strip_prefix("/v1/session/destroy/") {
+        store.destroy_session(now, id);
+        return Ok(json!(true));
     }
+    if let Some(key) = path.strip_prefix("/v1/kv/") {
+        return write_key(store, now, key, request);
+    }
+    if path == "/v1/txn" {
+        return match store.transact(now, &request.json()) {
+            (200, body) => Ok(body),
+            (status, body) => Err(Rejection { status, reason: body.to_string() }),
+        };
+    }
+    Err(method_not_allowed())
+}
+
+fn write_key(store: &mut Store, now: Instant, key: &str, request: &ApiRequest) -> Result<Value, Rejection> {
+    let expected_index = request.parameter("cas").and_then(|index| index.parse().ok());
+    if request.method == Method::DELETE {
+        return Ok(json!(store.delete(key, request.has("recurse"), expected_index)));
+    }
+    if request.method != Method::PUT {
+        return Err(method_not_allowed());
+    }
+    let condition = expected_index
+        .map(Write::Cas)
+        .or(request.parameter("acquire").map(Write::Acquire))
+        .or(request.parameter("release").map(Write::Release))
+        .unwrap_or(Write::Unconditional);
+    let written = store.put(now, key, request.body.to_vec(), &condition);
+    written.map(|done| json!(done)).map_err(|reason| Rejection { status: 500, reason })
+}
+
+fn method_not_allowed() -> Rejection {
+    Rejection { status: 405, reason: "method not allowed".to_owned() }
+}
+
+/// The empty list of a server that last heard from its leader this long ago.
+fn stale(last_contact: Duration) -> Answer {
+    let mut answer = json_answer(b"[]".to_vec(), Some("1".to_owned()), true);
+    let last_contact_ms = HeaderValue::from(last_contact.as_millis() as u64);
+    answer.headers_mut().insert("X-Consul-LastContact", last_contact_ms);
+    answer
 }
 
-fn told(body: Vec<u8>, index: Option<String>, leader: bool) -> Answer {
+fn json_answer(body: Vec<u8>, index: Option<String>, known_leader: bool) -> Answer {
     let mut answer = Response::builder()
         .header("Content-Type", "application/json")
-        .header("X-Consul-KnownLeader", leader.to_string())
+        .header("X-Consul-KnownLeader", known_leader.to_string())
         .header("X-Consul-LastContact", "0");
     if let Some(index) = index {
         answer = answer.header("X-Consul-Index", index);
@@ -212,10 +269,10 @@
     answer.body(Full::new(Bytes::from(body)).boxed()).expect("an answer")
 }
 
-fn plain(status: u16, text: &str, after: Option<u64>) -> Answer {
+fn text_answer(status: u16, text: &str, retry_after_s: Option<u64>) -> Answer {
     let mut answer = Response::builder().status(status);
-    if let Some(after) = after {
-        answer = answer.header("Retry-After", after.to_string());
+    if let Some(seconds) = retry_after_s {
+        answer = answer.header("Retry-After", seconds.to_string());
     }
     answer.body(Full::new(Bytes::from(text.to_owned())).boxed()).expect("an answer")
 }
--- a/crates/fakes/src/consul/instance.rs
+++ b/crates/fakes/src/consul/instance.rs
@@ -1,31 +1,40 @@
-//! Instances of services, as they are registered.
+//! Instances of services, as they are registered in the catalogue.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// The share of traffic that Consul advises for an instance, by its health.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InstanceWeights {
+    /// While all its checks pass.
+    pub passing: i64,
+    /// While a check warns.
+    pub warning: i64,
+}
+
 /// An instance of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
     /// The service.
     pub service: String,
-    /// The node, which has the address of the instance unless it was told otherwise before.
+    /// The node it runs on.
     pub node: String,
-    /// The id, the only one on its node.
+    /// The id, unique on its node.
     pub id: String,
-    /// Where it is reached.
+    /// Where it listens.
     pub address: SocketAddr,
     /// Its tags.
     pub tags: Vec<String>,
-    /// Its meta data.
+    /// Its metadata.
     pub meta: BTreeMap<String, String>,
-    /// Its weights, passing and warning.
-    pub weights: (i64, i64),
-    /// Its checks: id and status.
+    /// Its weights.
+    pub weights: InstanceWeights,
+    /// Its checks: status by id.
     pub checks: BTreeMap<String, String>,
 }
 
 impl Instance {
-    /// An instance with one check, that passes.
+    /// An instance with one passing check, named `service:ID`.
     pub fn new(service: &str, node: &str, id: &str, address: SocketAddr) -> Self {
         Instance {
             service: service.to_owned(),
@@ -34,7 +43,7 @@
             address,
             tags: Vec::new(),
             meta: BTreeMap::new(),
-            weights: (1, 1),
+            weights: InstanceWeights { passing: 1, warning: 1 },
             checks: BTreeMap::from([(format!("service:{id}"), "passing".to_owned())]),
         }
     }
--- a/crates/fakes/src/consul/state.rs
+++ b/crates/fakes/src/consul/state.rs
@@ -1,31 +1,50 @@
-//! The state of the stand-in: its catalogue with its indexes, and what tests have asked of it.
+//! The server's state: the catalogue with its indexes, the store, the fault in force, and counts for tests.
 
-use super::{ConsulFault, Instance, kv};
+use super::{ConnectionCounts, ConsulFault, Instance, kv};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
+/// What identifies an instance.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct InstanceKey {
+    pub(super) node: String,
+    pub(super) id: String,
+}
+
+impl InstanceKey {
+    pub(super) fn new(node: &str, id: &str) -> Self {
+        InstanceKey { node: node.to_owned(), id: id.to_owned() }
+    }
+}
+
+/// The first answer for a service that had this index.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FirstAnswer {
+    pub(super) index: u64,
+    pub(super) at: Instant,
+}
+
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) index: u64,
-    pub(super) instances: BTreeMap<(String, String), Instance>,
+    pub(super) instances: BTreeMap<InstanceKey, Instance>,
     pub(super) node_checks: BTreeMap<String, BTreeMap<String, String>>,
-    /// When each service has last changed; of those that are gone too.
+    /// The index of the last change of each service, deregistered ones included.
     pub(super) service_index: BTreeMap<String, u64>,
     pub(super) catalog_index: u64,
     pub(super) checks_index: u64,
     pub(super) fault: ConsulFault,
     pub(super) token: Option<String>,
-    /// For each service: the first moment at which an answer with each index was written.
-    pub(super) told: BTreeMap<String, Vec<(u64, Instant)>>,
-    pub(super) questions: u64,
-    pub(super) open: usize,
-    pub(super) most_open: usize,
+    /// The first answer with each index, by service.
+    pub(super) first_answers: BTreeMap<String, Vec<FirstAnswer>>,
+    pub(super) request_count: u64,
+    pub(super) connections: ConnectionCounts,
     pub(super) store: kv::Store,
 }
 
 impl State {
-    /// A service has changed, in who is there or only in its checks.
+    /// Records a change of a service; `registered` where its instances changed and not only their checks.
     pub(super) fn touch(&mut self, service: &str, registered: bool) {
         self.service_index.insert(service.to_owned(), self.index);
         self.checks_index = self.index;
@@ -51,35 +70,54 @@
             "Service": {"ID": instance.id, "Service": instance.service, "Tags": instance.tags,
                 "Address": instance.address.ip().to_string(), "Port": instance.address.port(),
                 "Meta": instance.meta, "EnableTagOverride": false,
-                "Weights": {"Passing": instance.weights.0, "Warning": instance.weights.1}},
+                "Weights": {"Passing": instance.weights.passing, "Warning": instance.weights.warning}},
             "Checks": self.checks_of(instance),
         })
     }
 
-    /// What a path tells, and its index.
+    /// Records that an answer for a service with this index is written now.
+    pub(super) fn record_answer(&mut self, service: &str, index: u64) {
+        let answers = self.first_answers.entry(service.to_owned()).or_default();
+        if answers.last().is_none_or(|last| last.index < index) {
+            answers.push(FirstAnswer { index, at: Instant::now() });
+        }
+    }
+
+    /// The answer for a path of the catalogue or of health, and its index; nothing for an unknown path.
     pub(super) fn answer(&self, path: &str) -> Option<(Value, u64)> {
         if let Some(service) = path.strip_prefix("/v1/health/service/") {
-            let of = self.instances.values().filter(|instance| instance.service == service);
-            let index = self.service_index.get(service).copied().unwrap_or(self.index);
-            return Some((of.map(|instance| self.entry(instance)).collect(), index));
+            return Some(self.service_health(service));
         }
-        if let Some(state) = path.strip_prefix("/v1/health/state/") {
-            let all = self.instances.values().flat_map(|instance| self.checks_of(instance));
-            let mut seen = BTreeSet::new();
-            let of = all.filter(|check| state == "any" || check["Status"] == state);
-            return Some((
-                of.filter(|check| seen.insert(check.to_string())).collect(),
-                self.checks_index.max(1),
-            ));
+        if let Some(status) = path.strip_prefix("/v1/health/state/") {
+            return Some(self.checks_with_status(status));
         }
         if path == "/v1/catalog/services" {
-            let mut services: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::from([("consul", BTreeSet::new())]);
-            for instance in self.instances.values() {
-                let tags = services.entry(&instance.service).or_default();
-                tags.extend(instance.tags.iter().map(String::as_str));
-            }
-            return Some((json!(services), self.catalog_index.max(1)));
+            return Some(self.services());
         }
         None
     }
+
+    fn service_health(&self, service: &str) -> (Value, u64) {
+        let instances = self.instances.values().filter(|instance| instance.service == service);
+        let index = self.service_index.get(service).copied().unwrap_or(self.index);
+        (instances.map(|instance| self.entry(instance)).collect(), index)
+    }
+
+    fn checks_with_status(&self, status: &str) -> (Value, u64) {
+        let checks = self.instances.values().flat_map(|instance| self.checks_of(instance));
+        let checks = checks.filter(|check| status == "any" || check["Status"] == status);
+        // A node's checks come with each of its instances.
+        let mut seen = BTreeSet::new();
+        let distinct = checks.filter(|check| seen.insert(check.to_string()));
+        (distinct.collect(), self.checks_index.max(1))
+    }
+
+    fn services(&self) -> (Value, u64) {
+        let mut services: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::from([("consul", BTreeSet::new())]);
+        for instance in self.instances.values() {
+            let tags = services.entry(&instance.service).or_default();
+            tags.extend(instance.tags.iter().map(String::as_str));
+        }
+        (json!(services), self.catalog_index.max(1))
+    }
 }
--- /dev/null
+++ b/crates/fakes/src/destination/capacity.rs
@@ -0,0 +1,115 @@
+//! How much a destination can serve: its capacity while it warms up after an outage, admission above it, and the
+//! sustained overload under which a cold destination collapses.
+
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+
+/// What a destination does with a call above its capacity.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum OverloadBehavior {
+    /// Answers 503 at once; admits bursts of up to one second's calls.
+    #[default]
+    Reject,
+    /// Queues it without a limit and serves it in its turn.
+    Queue,
+}
+
+/// The capacity of a destination, shared by its endpoints.
+#[derive(Clone, Copy, Debug)]
+pub struct CapacityModel {
+    /// Calls a second when warm; 0 means no limit.
+    pub capacity_rps: f64,
+    /// Share of that capacity right after recovery, from which it rises linearly.
+    pub cold_capacity_share: f64,
+    /// Time from recovery until it is warm.
+    pub warm_up_time: Duration,
+    /// While warming up it collapses when calls arrive at more than this multiple of its capacity ...
+    pub overload_factor: f64,
+    /// ... on average over this time.
+    pub overload_window: Duration,
+    /// Time that a call takes.
+    pub service_time: Duration,
+    /// What happens to calls above the capacity.
+    pub overload_behavior: OverloadBehavior,
+}
+
+impl Default for CapacityModel {
+    fn default() -> Self {
+        CapacityModel {
+            capacity_rps: 0.0,
+            cold_capacity_share: 0.18,
+            warm_up_time: Duration::from_micros(9_400_000),
+            overload_factor: 2.0,
+            overload_window: Duration::from_secs(2),
+            service_time: Duration::from_millis(5),
+            overload_behavior: OverloadBehavior::Reject,
+        }
+    }
+}
+
+/// The capacity at present.
+#[derive(Debug, Default)]
+pub(super) struct CapacityState {
+    /// When it last recovered; nothing where it is warm.
+    recovered_at: Option<Instant>,
+    /// Arrivals within the overload window, while it warms up.
+    recent_arrivals: VecDeque<Instant>,
+    /// Calls that it may still admit at once.
+    permits: f64,
+    permits_updated_at: Option<Instant>,
+}
+
+impl CapacityState {
+    /// Starts to warm up.
+    pub(super) fn recover(&mut self, now: Instant) {
+        self.recovered_at = Some(now);
+        self.recent_arrivals.clear();
+    }
+
+    /// Ends the warm-up with a collapse.
+    pub(super) fn collapse(&mut self) {
+        self.recovered_at = None;
+        self.recent_arrivals.clear();
+    }
+
+    /// The capacity now, in calls a second.
+    pub(super) fn current_rps(&self, model: &CapacityModel, now: Instant) -> f64 {
+        let Some(recovered_at) = self.recovered_at else { return model.capacity_rps };
+        let warm_up_s = model.warm_up_time.as_secs_f64().max(1e-9);
+        let warmth = (now - recovered_at).as_secs_f64() / warm_up_s;
+        let cold = model.cold_capacity_share;
+        model.capacity_rps * (cold + (1.0 - cold) * warmth.min(1.0))
+    }
+
+    /// Takes a permit for a call; false where there is none.
+    pub(super) fn try_admit(&mut self, model: &CapacityModel, now: Instant) -> bool {
+        let current_rps = self.current_rps(model, now);
+        if current_rps <= 0.0 {
+            return true;
+        }
+        let last_update = self.permits_updated_at.replace(now);
+        let elapsed_s = last_update.map_or(1.0, |last_update| (now - last_update).as_secs_f64());
+        self.permits = (self.permits + elapsed_s * current_rps).min(current_rps);
+        let admitted = self.permits >= 1.0;
+        if admitted {
+            self.permits -= 1.0;
+        }
+        admitted
+    }
+
+    /// Counts an arrival; true where it makes the destination collapse.
+    pub(super) fn arrival_overloads(&mut self, model: &CapacityModel, now: Instant) -> bool {
+        let warming_up =
+            self.recovered_at.is_some_and(|recovered_at| now - recovered_at < model.warm_up_time);
+        if model.capacity_rps <= 0.0 || !warming_up {
+            return false;
+        }
+        self.recent_arrivals.push_back(now);
+        while self.recent_arrivals.front().is_some_and(|at| now - *at > model.overload_window) {
+            self.recent_arrivals.pop_front();
+        }
+        let window_s = model.overload_window.as_secs_f64();
+        let most_arrivals = model.overload_factor * self.current_rps(model, now) * window_s;
+        self.recent_arrivals.len() as f64 > most_arrivals
+    }
+}
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: discovery, with a list that changes on demand, and the place where notices go.
+//! A scripted discovery server: a list that changes on demand, and the place where forwarders post their notifications.
 
 use crate::runtime::{Never, ServerRuntime, unused_loopback_address};
 use bytes::Bytes;
@@ -15,31 +15,33 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// An empty line is due every 2 s.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
+/// An empty line goes to every watch this often, which shows that the connection is alive.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+
+type Answer = Response<BoxBody<Bytes, Never>>;
 
 #[derive(Debug, Default)]
 struct State {
-    /// The list as one line, and who follows it.
+    /// The list, on one line.
     list: String,
-    followers: Vec<UnboundedSender<String>>,
-    asked: u64,
-    /// Notices by message: the states told, in their order.
-    notices: BTreeMap<String, Vec<String>>,
+    watchers: Vec<UnboundedSender<String>>,
+    watch_count: u64,
+    /// States by message, in the order in which they were posted.
+    notifications: BTreeMap<String, Vec<String>>,
 }
 
-/// The platform.
+/// The server. It ends with its last handle.
 #[derive(Clone, Debug)]
 pub struct DiscoveryServer {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
-    _stage: Arc<ServerRuntime>,
+    _runtime: Arc<ServerRuntime>,
 }
 
-/// Lines as they come.
-struct Lines(UnboundedReceiver<String>);
+/// A body that sends each line as it comes.
+struct LineStream(UnboundedReceiver<String>);
 
-impl Body for Lines {
+impl Body for LineStream {
     type Data = Bytes;
     type Error = Never;
 
@@ -56,65 +58,71 @@
 }
 
 impl DiscoveryServer {
-    /// Starts it with a list (one line of JSON) that it tells to each watch; an empty one tells nothing.
+    /// Starts it with a list (one line of JSON) that every watch gets first; an empty one sends nothing.
     pub fn start(list: &str) -> Self {
-        let stage = Arc::new(ServerRuntime::new());
-        let listener = stage.listen(unused_loopback_address());
+        let runtime = Arc::new(ServerRuntime::new());
+        let listener = runtime.listen(unused_loopback_address());
         let address = listener.local_addr().expect("a socket");
         let state = Arc::new(Mutex::new(State { list: list.to_owned(), ..State::default() }));
-        let inner = state.clone();
-        stage.serve_http(listener, move |_, request| respond(inner.clone(), request));
-        DiscoveryServer { address, state, _stage: stage }
+        let served = state.clone();
+        runtime.serve_http(listener, move |_, request| respond(served.clone(), request));
+        DiscoveryServer { address, state, _runtime: runtime }
     }
 
-    /// Where it answers.
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The list is this from now on.
+    /// Replaces the list, and sends it to every watch.
     pub fn publish(&self, list: &str) {
         let mut state = lock(&self.state);
         list.clone_into(&mut state.list);
-        state.followers.retain(|follower| follower.send(format!("{list}\n")).is_ok());
+        state.watchers.retain(|watcher| watcher.send(format!("{list}\n")).is_ok());
     }
 
-    /// Watches on the list so far.
+    /// Watches opened so far.
     pub fn watch_count(&self) -> u64 {
-        lock(&self.state).asked
+        lock(&self.state).watch_count
     }
 
-    /// Notices by message: the states told, in their order.
+    /// Notifications by message: the states, in the order in which they were posted.
     pub fn notifications(&self) -> BTreeMap<String, Vec<String>> {
-        lock(&self.state).notices.clone()
+        lock(&self.state).notifications.clone()
     }
 }
 
-async fn respond(
-    state: Arc<Mutex<State>>,
-    request: Request<Incoming>,
-) -> Option<Response<BoxBody<Bytes, Never>>> {
+async fn respond(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Option<Answer> {
     if request.method() == Method::POST {
-        let body = request.into_body().collect().await.ok()?.to_bytes();
-        for line in body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
-            let Ok(notice) = serde_json::from_slice::<Value>(line) else { continue };
-            let text = |field: &str| notice[field].as_str().unwrap_or("").to_owned();
-            lock(&state).notices.entry(text("id")).or_default().push(text("state"));
-        }
-        return Response::builder().status(204).body(Full::default().boxed()).ok();
+        return accept_notifications(&state, request).await;
+    }
+    Some(open_watch(&state))
+}
+
+/// Records notifications, one JSON object a line.
+async fn accept_notifications(state: &Mutex<State>, request: Request<Incoming>) -> Option<Answer> {
+    let body = request.into_body().collect().await.ok()?.to_bytes();
+    for line in body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+        let Ok(notification) = serde_json::from_slice::<Value>(line) else { continue };
+        let text = |field: &str| notification[field].as_str().unwrap_or("").to_owned();
+        lock(state).notifications.entry(text("id")).or_default().push(text("state"));
     }
+    Response::builder().status(204).body(Full::default().boxed()).ok()
+}
+
+fn open_watch(state: &Mutex<State>) -> Answer {
     let (sender, lines) = unbounded_channel();
     {
-        let mut state = lock(&state);
-        state.asked += 1;
+        let mut state = lock(state);
+        state.watch_count += 1;
         let first = if state.list.is_empty() { String::new() } else { format!("{}\n", state.list) };
         drop(sender.send(first + "\n"));
-        state.followers.push(sender.clone());
+        state.watchers.push(sender.clone());
     }
     tokio::spawn(async move {
         while sender.send("\n".to_owned()).is_ok() {
-            tokio::time::sleep(EMPTY_LINE).await;
+            tokio::time::sleep(KEEP_ALIVE_INTERVAL).await;
         }
     });
-    Some(Response::new(Lines(lines).boxed()))
+    Response::new(LineStream(lines).boxed())
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,10 @@
-//! Stand-ins for the systems round the forwarder, written from their public specifications, on loopback, with faults
-//! on demand. For tests, experiments and trying things out; nothing here is for production.
+//! Scripted peers of the forwarder on loopback: Consul, destinations, discovery and a fault proxy, written from their public
+//! specifications; and the forwarder itself as a child process, alone or as a fleet under client load.
 //!
-//! All of them run on one thread of their own, the [`Stage`], and are steered from outside by plain calls.
+//! For tests and experiments only. The servers run on threads of their own ([`ServerRuntime`]) and are controlled by
+//! plain calls. What cannot be set up panics, since a test cannot go on without it.
+
+#![deny(missing_docs)]
 
 pub mod certificates;
 pub mod consul;
@@ -10,7 +13,9 @@
 pub mod fault_proxy;
 pub mod fleet;
 pub mod forwarder;
+mod line_protocol;
 mod runtime;
+mod signal;
 mod temporary_folder;
 
 pub use consul::ConsulServer;
--- a/crates/fakes/src/runtime.rs
+++ b/crates/fakes/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The thread on which stand-ins run, and addresses for them.
+//! The thread on which the servers run, and loopback addresses for them.
 
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
@@ -17,22 +17,26 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// A loopback address that no other stand-in has, in this process or another of this run: a port that is given up for
-/// a while there is not taken by somebody else.
+/// Values that an octet of such an address takes.
+const OCTET_VALUES: u32 = 250;
+/// Pause after a connection could not be accepted, such as with too many open files.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// A loopback address that no other server uses, in this process or another one: a port there that is closed for a
+/// while is not taken by another process.
 pub fn unused_loopback_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = (std::process::id() << 10).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-    // Digits to the base of 250: neither 127.0.x.x nor the last address of all, which is for broadcasts, and no two
-    // numbers that follow each other within the same address.
-    let digit = |place: u32| 1 + (number / 250u32.pow(place) % 250) as u8;
-    IpAddr::V4(Ipv4Addr::new(127, digit(2), digit(1), digit(0)))
+    // Octets from 1 to 250 avoid 127.0.x.x and the broadcast address; consecutive numbers get different addresses.
+    let octet = |place: u32| 1 + (number / OCTET_VALUES.pow(place) % OCTET_VALUES) as u8;
+    IpAddr::V4(Ipv4Addr::new(127, octet(2), octet(1), octet(0)))
 }
 
-/// A thread with a runtime; dropping it ends all that runs there.
+/// A thread with a single-threaded runtime. Dropping it ends all tasks and servers on it.
 #[derive(Debug)]
 pub struct ServerRuntime {
     handle: Handle,
-    end: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -41,17 +45,18 @@
     pub fn new() -> Self {
         let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         let handle = runtime.handle().clone();
-        let (end, ended) = oneshot::channel::<()>();
-        let thread = thread::spawn(move || drop(runtime.block_on(ended)));
-        ServerRuntime { handle, end: Some(end), thread: Some(thread) }
+        let (shutdown, until_shutdown) = oneshot::channel::<()>();
+        let thread = thread::spawn(move || drop(runtime.block_on(until_shutdown)));
+        ServerRuntime { handle, shutdown: Some(shutdown), thread: Some(thread) }
     }
 
-    /// Runs this there.
-    pub fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
-        self.handle.spawn(work);
+    /// Runs a task on it.
+    pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
+        self.handle.spawn(task);
     }
 
-    /// Serves each connection that comes there, given the other end's address with each request, for as long as the stage stands.
+    /// Serves HTTP on this listener until the runtime ends; `answer` gets the client's address with each request, and
+    /// closes the connection with `None`.
     pub(crate) fn serve_http<B, F>(
         &self,
         listener: TcpListener,
@@ -72,12 +77,12 @@
         });
     }
 
-    /// Listens there, at a port that is free.
+    /// Listens at a free port of this address.
     pub fn listen(&self, address: IpAddr) -> TcpListener {
         self.listen_at(SocketAddr::new(address, 0))
     }
 
-    /// Listens there at this address.
+    /// Listens at this address and port. Panics where it is in use.
     pub fn listen_at(&self, address: SocketAddr) -> TcpListener {
         let _inside = self.handle.enter();
         let listener = std::net::TcpListener::bind(address).expect("the address is free");
@@ -94,13 +99,13 @@
 
 impl Drop for ServerRuntime {
     fn drop(&mut self) {
-        drop(self.end.take());
+        drop(self.shutdown.take());
         self.thread.take().map(thread::JoinHandle::join);
     }
 }
 
-/// The next connection. An error, such as too many open files, is waited out and told: a stand-in that no longer
-/// listens would look like a partner that has gone.
+/// The next connection. An error, such as too many open files, is logged and retried: a server that stopped accepting
+/// would look like one that is down.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -109,14 +114,14 @@
                 return stream;
             }
             Err(error) => {
-                eprintln!("stand-in: a connection could not be taken: {error}");
-                tokio::time::sleep(Duration::from_millis(100)).await;
+                eprintln!("fake server: cannot accept a connection: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves HTTP/1.1 on one connection.
+/// Serves HTTP/1.1 on one connection; `None` for an answer closes it, as a server that goes away does.
 pub(crate) async fn serve<S, B, F>(stream: S, answer: impl Fn(Request<Incoming>) -> F + Send)
 where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
@@ -125,27 +130,26 @@
     B::Error: Into<Box<dyn Error + Send + Sync>>,
     F: Future<Output = Option<Response<B>>> + Send,
 {
-    // No answer closes the connection, as an end that has gone away does.
     let service = service_fn(|request| {
         let answer = answer(request);
-        async { answer.await.ok_or(Gone) }
+        async { answer.await.ok_or(ConnectionClosed) }
     });
     let connection =
         http1::Builder::new().timer(TokioTimer::new()).serve_connection(TokioIo::new(stream), service);
     drop(connection.await);
 }
 
-/// The stand-in goes away in the middle of an exchange.
+/// The server closes the connection in the middle of an exchange.
 #[derive(Debug)]
-struct Gone;
+struct ConnectionClosed;
 
-impl std::fmt::Display for Gone {
+impl std::fmt::Display for ConnectionClosed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("gone")
+        f.write_str("the server closed the connection without an answer")
     }
 }
 
-impl Error for Gone {}
+impl Error for ConnectionClosed {}
 
-/// The body of an answer that never fails.
+/// The error of a body that never fails.
 pub(crate) type Never = Infallible;
--- a/crates/fakes/src/temporary_folder.rs
+++ b/crates/fakes/src/temporary_folder.rs
@@ -1,13 +1,23 @@
-//! A folder for one test or run, removed when it is dropped.
+//! A folder for one test or run, removed when it is dropped, and files that are replaced atomically.
 
 use std::path::{Path, PathBuf};
 
-/// A folder of its own for a test or a run, taken away when it is dropped.
+/// Writes a file beside its name and renames it, so that a reader gets the old content or the new one.
+pub(crate) fn write_atomically(path: &Path, text: &str) -> PathBuf {
+    let mut temporary = path.to_owned().into_os_string();
+    temporary.push(".new");
+    std::fs::write(&temporary, text)
+        .and_then(|()| std::fs::rename(&temporary, path))
+        .unwrap_or_else(|error| panic!("cannot write {}: {error}", path.display()));
+    path.to_owned()
+}
+
+/// A folder in the system's temporary folder, with an empty folder `state` in it.
 #[derive(Debug)]
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Makes it; the name tells it from others of this process.
+    /// Creates it; the name is unique within this process.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
         drop(std::fs::remove_dir_all(&path));
@@ -20,11 +30,9 @@
         &self.0
     }
 
-    /// Writes a file into it, whole or not at all.
+    /// Writes a file into it atomically, and gives its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
-        let (path, beside) = (self.0.join(name), self.0.join(format!("{name}.new")));
-        std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, &path)).expect("written");
-        path
+        write_atomically(&self.0.join(name), text)
     }
 }
 
--- a/crates/fakes/tests/consul.rs
+++ b/crates/fakes/tests/consul.rs
@@ -1,4 +1,4 @@
-//! Sessions and keys of the stand-in Consul over HTTP, and the faults that writes can have.
+//! Sessions and keys of the Consul server over HTTP, and the faults that writes can have.
 
 use orchidyoke_fakes::ConsulServer;
 use orchidyoke_fakes::consul::ConsulFault;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Status, `X-Consul-Index` and body; nothing where the connection was closed without an answer.
-fn ask(consul: &ConsulServer, method: &str, path: &str, body: &str) -> Option<(u16, u64, Value)> {
+fn request(consul: &ConsulServer, method: &str, path: &str, body: &str) -> Option<(u16, u64, Value)> {
     let mut stream = TcpStream::connect(consul.address()).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a socket");
     let length = body.len();
@@ -30,55 +30,56 @@
 
 fn session(consul: &ConsulServer, ttl: &str) -> String {
     let body = format!("{{\"TTL\":\"{ttl}\",\"LockDelay\":\"200ms\",\"Behavior\":\"release\"}}");
-    let (status, _, made) = ask(consul, "PUT", "/v1/session/create", &body).expect("answered");
+    let (status, _, made) = request(consul, "PUT", "/v1/session/create", &body).expect("answered");
     assert_eq!(status, 200, "{made}");
     made["ID"].as_str().expect("an id").to_owned()
 }
 
-fn take(consul: &ConsulServer, session: &str) -> Option<(u16, Value)> {
-    ask(consul, "PUT", &format!("/v1/kv/duties/1?acquire={session}"), "")
+fn acquire(consul: &ConsulServer, session: &str) -> Option<(u16, Value)> {
+    request(consul, "PUT", &format!("/v1/kv/duties/1?acquire={session}"), "")
         .map(|(status, _, done)| (status, done))
 }
 
-// Guards against a blocking query that sleeps through the end of a session: whoever waits for a lock hears of it then.
+// Guards against a blocking query that sleeps through the end of a session: whoever waits for a lock is woken then.
 #[test]
-fn a_session_that_is_not_renewed_ends_and_who_waits_hears_of_it() {
+fn expired_session_ends_a_blocking_query_and_frees_its_lock() {
     let consul = ConsulServer::start();
     consul.set_session_expiry_factor(1.0);
     let (short, long) = (session(&consul, "2s"), session(&consul, "60s"));
     let start = Instant::now();
-    assert_eq!(take(&consul, &short), Some((200, Value::Bool(true))));
-    assert_eq!(take(&consul, &long), Some((200, Value::Bool(false))));
-    let (_, index, rows) = ask(&consul, "GET", "/v1/kv/duties/?recurse", "").expect("answered");
+    assert_eq!(acquire(&consul, &short), Some((200, Value::Bool(true))));
+    assert_eq!(acquire(&consul, &long), Some((200, Value::Bool(false))));
+    let (_, index, rows) = request(&consul, "GET", "/v1/kv/duties/?recurse", "").expect("answered");
     assert_eq!(rows[0]["Session"], short.as_str());
     let (_, later, rows) =
-        ask(&consul, "GET", &format!("/v1/kv/duties/?recurse&index={index}&wait=10s"), "").expect("answered");
+        request(&consul, "GET", &format!("/v1/kv/duties/?recurse&index={index}&wait=10s"), "")
+            .expect("answered");
     let took = start.elapsed();
     assert!(later > index && rows[0]["Session"].is_null(), "{rows}");
     assert!(took >= Duration::from_millis(1950) && took < Duration::from_secs(9), "{took:?}");
-    assert_eq!(ask(&consul, "PUT", &format!("/v1/session/renew/{short}"), "").map(|a| a.0), Some(404));
-    assert_eq!(take(&consul, &short).map(|a| a.0), Some(500), "an unknown session");
+    assert_eq!(request(&consul, "PUT", &format!("/v1/session/renew/{short}"), "").map(|a| a.0), Some(404));
+    assert_eq!(acquire(&consul, &short).map(|a| a.0), Some(500), "an unknown session");
     let end = Instant::now() + Duration::from_secs(10);
-    while take(&consul, &long) != Some((200, Value::Bool(true))) {
+    while acquire(&consul, &long) != Some((200, Value::Bool(true))) {
         assert!(Instant::now() < end, "the lock-delay ends");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_has_taken_effect_and_a_slow_one_comes_late() {
+fn write_without_answer_takes_effect_and_slow_write_is_late() {
     let consul = ConsulServer::start();
     let holder = session(&consul, "60s");
     consul.set_fault(ConsulFault::LostWriteAnswers);
-    assert_eq!(take(&consul, &holder), None);
-    let (status, _, rows) = ask(&consul, "GET", "/v1/kv/duties/1", "").expect("reads are answered");
+    assert_eq!(acquire(&consul, &holder), None);
+    let (status, _, rows) = request(&consul, "GET", "/v1/kv/duties/1", "").expect("reads are answered");
     assert_eq!((status, rows[0]["Session"].as_str()), (200, Some(holder.as_str())));
     consul.set_fault(ConsulFault::SlowWrites(Duration::from_millis(300)));
     let start = Instant::now();
-    assert_eq!(ask(&consul, "DELETE", "/v1/kv/duties/1", "").map(|a| a.0), Some(200));
+    assert_eq!(request(&consul, "DELETE", "/v1/kv/duties/1", "").map(|a| a.0), Some(200));
     assert!(start.elapsed() >= Duration::from_millis(300));
     consul.set_fault(ConsulFault::None);
-    assert_eq!(ask(&consul, "GET", "/v1/kv/duties/1", "").map(|a| a.0), Some(404));
-    assert_eq!(ask(&consul, "PUT", &format!("/v1/session/destroy/{holder}"), "").map(|a| a.0), Some(200));
-    assert_eq!(take(&consul, &holder).map(|a| a.0), Some(500));
+    assert_eq!(request(&consul, "GET", "/v1/kv/duties/1", "").map(|a| a.0), Some(404));
+    assert_eq!(request(&consul, "PUT", &format!("/v1/session/destroy/{holder}"), "").map(|a| a.0), Some(200));
+    assert_eq!(acquire(&consul, &holder).map(|a| a.0), Some(500));
 }
--- a/crates/fakes/tests/fault_proxy.rs
+++ b/crates/fakes/tests/fault_proxy.rs
@@ -1,5 +1,5 @@
-//! The fault proxy does to a path what it is told, for new connections and for those already through it.
-//! Guards against a fault that is set but not felt: each test fails where the proxy lets bytes through as they came.
+//! Each fault of the proxy, on new connections and on open ones.
+//! Guards against a fault that is set and has no effect: each test fails where the proxy forwards bytes unchanged.
 
 use orchidyoke_fakes::{FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::io::{ErrorKind, Read, Write};
@@ -8,10 +8,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// An upstream that sends back what it is sent.
-fn echo(stage: &ServerRuntime) -> SocketAddr {
-    let listener = stage.listen(unused_loopback_address());
+fn start_echo_server(runtime: &ServerRuntime) -> SocketAddr {
+    let listener = runtime.listen(unused_loopback_address());
     let address = listener.local_addr().expect("an address");
-    stage.spawn(async move {
+    runtime.spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let mut buffer = [0u8; 1024];
@@ -26,14 +26,14 @@
     address
 }
 
-fn connect(proxy: &FaultProxy, patience: Duration) -> TcpStream {
+fn connect(proxy: &FaultProxy, timeout: Duration) -> TcpStream {
     let stream = TcpStream::connect(proxy.address).expect("the proxy listens");
-    stream.set_read_timeout(Some(patience)).expect("a socket");
+    stream.set_read_timeout(Some(timeout)).expect("a socket");
     stream
 }
 
 /// Sends a word and reads as much back: the word, or the error or end that came instead.
-fn round(stream: &mut TcpStream, word: &[u8]) -> std::io::Result<Vec<u8>> {
+fn echo_round_trip(stream: &mut TcpStream, word: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(word)?;
     let mut back = vec![0u8; word.len()];
     let mut got = 0;
@@ -47,20 +47,20 @@
 }
 
 fn setup() -> (ServerRuntime, FaultProxy) {
-    let stage = ServerRuntime::new();
-    let upstream = echo(&stage);
-    let proxy = FaultProxy::start(&stage, unused_loopback_address(), upstream);
-    (stage, proxy)
+    let runtime = ServerRuntime::new();
+    let upstream = start_echo_server(&runtime);
+    let proxy = FaultProxy::start(&runtime, unused_loopback_address(), upstream);
+    (runtime, proxy)
 }
 
 #[test]
-fn passes_bytes_and_delays_them_both_ways() {
-    let (_stage, proxy) = setup();
+fn delay_applies_both_ways_to_an_open_connection() {
+    let (_runtime, proxy) = setup();
     let mut stream = connect(&proxy, Duration::from_secs(5));
-    assert_eq!(round(&mut stream, b"one").expect("an answer"), b"one");
+    assert_eq!(echo_round_trip(&mut stream, b"one").expect("an answer"), b"one");
     proxy.set_fault(NetworkFault::Delay(Duration::from_millis(150)));
     let began = Instant::now();
-    assert_eq!(round(&mut stream, b"two").expect("an answer"), b"two");
+    assert_eq!(echo_round_trip(&mut stream, b"two").expect("an answer"), b"two");
     // Held 150 ms there and 150 ms back, on a connection that was through before the fault.
     assert!(began.elapsed() >= Duration::from_millis(300), "{:?}", began.elapsed());
     // The last bytes are counted once they are through, and may be read before.
@@ -73,23 +73,23 @@
 }
 
 #[test]
-fn drop_closes_new_and_old_connections() {
-    let (_stage, proxy) = setup();
+fn close_ends_new_and_open_connections() {
+    let (_runtime, proxy) = setup();
     let mut old = connect(&proxy, Duration::from_secs(5));
-    round(&mut old, b"hello").expect("an answer");
+    echo_round_trip(&mut old, b"hello").expect("an answer");
     proxy.set_fault(NetworkFault::Close);
     let mut buffer = [0u8; 8];
     assert_eq!(old.read(&mut buffer).expect("a close, not a reset"), 0);
     let mut new = connect(&proxy, Duration::from_secs(5));
     assert_eq!(new.read(&mut buffer).expect("a close, not a reset"), 0);
-    assert_eq!(proxy.counters().connected, 1, "a dropped connection goes nowhere");
+    assert_eq!(proxy.counters().connected, 1, "a closed connection does not reach the upstream");
 }
 
 #[test]
-fn reset_resets_new_and_old_connections() {
-    let (_stage, proxy) = setup();
+fn reset_ends_new_and_open_connections() {
+    let (_runtime, proxy) = setup();
     let mut old = connect(&proxy, Duration::from_secs(5));
-    round(&mut old, b"hello").expect("an answer");
+    echo_round_trip(&mut old, b"hello").expect("an answer");
     proxy.set_fault(NetworkFault::Reset);
     let mut buffer = [0u8; 8];
     let error = old.read(&mut buffer).expect_err("a reset");
@@ -100,36 +100,36 @@
 }
 
 #[test]
-fn a_blackhole_answers_nothing_and_loses_what_it_took() {
-    let (_stage, proxy) = setup();
+fn blackhole_discards_bytes_and_leaves_requests_unanswered() {
+    let (_runtime, proxy) = setup();
     let mut old = connect(&proxy, Duration::from_millis(400));
-    round(&mut old, b"hello").expect("an answer");
+    echo_round_trip(&mut old, b"hello").expect("an answer");
     proxy.set_fault(NetworkFault::Blackhole);
-    let error = round(&mut old, b"lost").expect_err("no answer");
+    let error = echo_round_trip(&mut old, b"lost").expect_err("no answer");
     assert_eq!(error.kind(), ErrorKind::WouldBlock, "{error}");
     let mut new = connect(&proxy, Duration::from_millis(400));
-    assert!(round(&mut new, b"lost too").is_err());
+    assert!(echo_round_trip(&mut new, b"lost too").is_err());
     proxy.set_fault(NetworkFault::None);
     // What was thrown away does not come later; new bytes go through again.
-    assert_eq!(round(&mut old, b"back").expect("an answer"), b"back");
+    assert_eq!(echo_round_trip(&mut old, b"back").expect("an answer"), b"back");
     let mut third = connect(&proxy, Duration::from_secs(5));
-    assert_eq!(round(&mut third, b"fine").expect("an answer"), b"fine");
+    assert_eq!(echo_round_trip(&mut third, b"fine").expect("an answer"), b"fine");
     assert_eq!(proxy.counters().bytes_discarded, 12);
 }
 
 #[test]
-fn a_partition_holds_bytes_until_it_is_lifted() {
-    let (stage, proxy) = setup();
+fn partition_holds_bytes_until_it_is_lifted() {
+    let (runtime, proxy) = setup();
     let mut old = connect(&proxy, Duration::from_millis(400));
-    round(&mut old, b"hello").expect("an answer");
+    echo_round_trip(&mut old, b"hello").expect("an answer");
     proxy.set_fault(NetworkFault::Partition);
-    let error = round(&mut old, b"held").expect_err("nothing crosses");
+    let error = echo_round_trip(&mut old, b"held").expect_err("nothing crosses");
     assert_eq!(error.kind(), ErrorKind::WouldBlock, "{error}");
     let mut new = connect(&proxy, Duration::from_millis(400));
-    assert!(round(&mut new, b"waits").is_err());
+    assert!(echo_round_trip(&mut new, b"waits").is_err());
     assert_eq!(proxy.counters().connected, 1, "a new connection waits for the partition");
     let lift = proxy.clone();
-    stage.spawn(async move {
+    runtime.spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
         lift.set_fault(NetworkFault::None);
     });
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -249,7 +249,7 @@
                 let (capacity, above) = (400.0, OverloadBehavior::Queue);
                 site.partner = DestinationServer::new(CapacityModel {
                     capacity_rps: capacity,
-                    overload: above,
+                    overload_behavior: above,
                     ..CapacityModel::default()
                 });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
