--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -21,8 +21,8 @@
 mod stand_in;
 mod table;
 
-use crate::Run;
-use crate::report::Outcome;
+use crate::RunOptions;
+use crate::report::ExperimentReport;
 use fleet::FleetPlan;
 use phases::{Course, FleetResult, Spans};
 use std::time::Duration;
@@ -73,13 +73,13 @@
 };
 
 /// What each size goes through. Sabotage shows at rest and in a change what it would show at all.
-fn course(run: &Run) -> Course {
+fn course(run: &RunOptions) -> Course {
     let spans = if run.quick { QUICK_SPANS } else { FULL_SPANS };
     Course { spans, losses: !run.quick && !run.sabotage, restarts: !run.sabotage }
 }
 
 /// Runs it.
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let sizes: &[FleetSize] = if run.quick { &QUICK_SIZES } else { &FULL_SIZES };
     // The largest fleet would only take longer to show it.
     let sizes = if run.sabotage { &sizes[..2] } else { sizes };
--- a/crates/experiments/src/capacity/control/table.rs
+++ b/crates/experiments/src/capacity/control/table.rs
@@ -2,8 +2,8 @@
 
 use super::load::Quantity;
 use super::scenario::{Growth, Row};
-use crate::Run;
-use crate::report::{Chart, Line, Outcome};
+use crate::RunOptions;
+use crate::report::{Chart, ChartSeries, ExperimentReport};
 use serde_json::{Value, json};
 
 /// A size of the fleet, and the name of its column.
@@ -16,8 +16,8 @@
 }
 
 /// All that the experiment has shown.
-pub fn outcome(run: &Run, sizes: &[FleetSize], rows: &[Row], broken: Vec<String>) -> Outcome {
-    Outcome {
+pub fn outcome(run: &RunOptions, sizes: &[FleetSize], rows: &[Row], broken: Vec<String>) -> ExperimentReport {
+    ExperimentReport {
         columns: columns(sizes),
         rows: rows.iter().map(|row| cells(sizes, row)).collect(),
         chart: chart(rows),
@@ -30,7 +30,7 @@
             "broken": broken.len(),
             "rows": rows.iter().map(row_json).collect::<Vec<_>>(),
         }),
-        broken,
+        violations: broken,
     }
 }
 
@@ -104,15 +104,15 @@
         let Some(trend) = row.trend().filter(|trend| trend.growth != Growth::Level) else { continue };
         let kilobytes = |(members, bytes): (f64, f64)| (members, bytes / 1e3);
         let points = row.points.iter().copied().map(kilobytes).collect();
-        lines.push(Line { name: row.scenario.clone(), points });
+        lines.push(ChartSeries { name: row.scenario.clone(), points });
         let fitted = row.points.iter().map(|(members, _)| (*members, trend.at(*members))).map(kilobytes);
         let name = format!("fit with {}, R² {:.3}", trend.growth.label(), trend.fit.r_squared);
-        lines.push(Line { name, points: fitted.collect() });
+        lines.push(ChartSeries { name, points: fitted.collect() });
     }
     Chart {
         title: "Control of a forwarder; 6 KB a second is its budget".to_owned(),
-        x: "forwarders in the fleet".to_owned(),
-        y: "KB a second".to_owned(),
-        lines,
+        x_label: "forwarders in the fleet".to_owned(),
+        y_label: "KB a second".to_owned(),
+        series: lines,
     }
 }
--- a/crates/experiments/src/capacity/forwarder.rs
+++ b/crates/experiments/src/capacity/forwarder.rs
@@ -9,9 +9,9 @@
 mod rig;
 mod waiting;
 
-use crate::Run;
+use crate::RunOptions;
 use crate::capacity::series::{COLUMNS, Quantity};
-use crate::report::Outcome;
+use crate::report::ExperimentReport;
 use aims::{Aim, Gathered};
 use plan::Plan;
 use ratio::Case;
@@ -29,7 +29,7 @@
 
 /// Measures, and holds the aims against what was measured. Sabotage has the list read again along with every message, so
 /// that a message costs in proportion to it; only the ratio of costs is measured then.
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let plan = if run.quick { Plan::quick() } else { Plan::full() };
     let mut rig = Rig::new(run, plan)?;
     let mut gathered = Gathered::default();
@@ -51,14 +51,14 @@
     Ok(outcome)
 }
 
-fn outcome(rig: &Rig, gathered: &Gathered, aims: &[Aim]) -> Outcome {
+fn outcome(rig: &Rig, gathered: &Gathered, aims: &[Aim]) -> ExperimentReport {
     let missed = aims.iter().filter(|aim| !aim.is_held()).map(ToString::to_string);
     let highest = rig.guard.highest();
-    Outcome {
+    ExperimentReport {
         columns: COLUMNS.to_vec(),
         rows: rig.measurements.rows(),
         chart: rig.measurements.chart(quantities::MESSAGE),
-        broken: missed.chain(gathered.unplayed.iter().cloned()).collect(),
+        violations: missed.chain(gathered.unplayed.iter().cloned()).collect(),
         json: json!({
             "experiment": "capacity-forwarder", "seed": rig.seed, "quick": rig.quick, "sabotage": rig.sabotage,
             "aims": aims.iter().map(Aim::json).collect::<Value>(),
@@ -75,7 +75,7 @@
     std::fs::write(folder.join("capacity-forwarder-points.csv"), rig.measurements.points_csv())?;
     for (name, quantity) in CHARTS {
         let chart = rig.measurements.chart(quantity);
-        if !chart.lines.is_empty() {
+        if !chart.series.is_empty() {
             chart.draw(&folder.join(format!("capacity-forwarder-{name}.svg")))?;
         }
     }
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Plan;
 use super::quantities::milliseconds;
-use crate::Run;
+use crate::RunOptions;
 use crate::capacity::budget::{Budget, Used};
 use crate::capacity::client::{Client, Message, hand_in_all};
 use crate::capacity::destinations::{Destinations, Endpoints};
@@ -61,7 +61,7 @@
 
 impl Rig {
     /// Opens the stand-ins, and checks that there is room to begin.
-    pub fn new(run: &Run, plan: Plan) -> Result<Self, CapacityError> {
+    pub fn new(run: &RunOptions, plan: Plan) -> Result<Self, CapacityError> {
         let guard = Guard::start(budget(run)?);
         guard.check(&Used::default())?;
         Ok(Rig {
@@ -154,7 +154,7 @@
 }
 
 /// Half of the machine, or less where the command line says so.
-fn budget(run: &Run) -> Result<Budget, CapacityError> {
+fn budget(run: &RunOptions) -> Result<Budget, CapacityError> {
     let mut budget = Budget::of_this_machine()?;
     if let Some(mb) = run.memory_mb {
         budget.resident = budget.resident.min(mb << 20);
--- a/crates/experiments/src/capacity/series.rs
+++ b/crates/experiments/src/capacity/series.rs
@@ -1,7 +1,7 @@
 //! Measured points by quantity and setting, with the line through each; as a table, as charts and as JSON.
 
 use super::fit::{self, Fit, Point};
-use crate::report::{Chart, Line};
+use crate::report::{Chart, ChartSeries};
 use serde_json::{Value, json};
 
 /// The size that a quantity is measured against.
@@ -163,12 +163,12 @@
                 let ends = [points.first(), points.last()].into_iter().flatten();
                 let points = ends.map(|(x, _)| (*x, fit.at(*x).max(0.0))).collect();
                 let name = format!("{}: line, r² {:.3}", series.setting, fit.r_squared);
-                lines.push(Line { name, points });
+                lines.push(ChartSeries { name, points });
             }
-            lines.push(Line { name: format!("{}: measured", series.setting), points });
+            lines.push(ChartSeries { name: format!("{}: measured", series.setting), points });
         }
         let (title, y) = (quantity.name.to_owned(), quantity.unit.to_owned());
-        Chart { title, x: size.name().to_owned(), y, lines }
+        Chart { title, x_label: size.name().to_owned(), y_label: y, series: lines }
     }
 
     /// All series.
--- a/crates/experiments/src/cold.rs
+++ b/crates/experiments/src/cold.rs
@@ -1,9 +1,9 @@
 //! `consul-cold`: a partner returns healthy but cold, and Consul says that all is well again.
 
-use crate::Run;
+use crate::RunOptions;
 use crate::load;
-use crate::report::{Chart, Line, Outcome};
-use crate::site::{DESTINATION, Site, progress, script, wait_until};
+use crate::report::{Chart, ChartSeries, ExperimentReport};
+use crate::site::{DESTINATION, TestBed, consul_settings, progress, wait_until};
 use orchidyoke_fakes::destination::{CapacityModel, Mode, OverloadBehavior};
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 /// Calls that a forwarder may have out: enough for windows alone to be no protection.
 const SLOTS: usize = 512;
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let program = run.program()?;
     // It lets calls wait rather than turn them away: no push-back helps the forwarders to keep their measure.
     let bearing = CapacityModel {
@@ -30,11 +30,11 @@
     };
     let mut sites = Vec::new();
     for seed in run.seed..run.seed + run.seeds.max(1) {
-        let site = Site::new(&format!("cold-{seed}"), bearing);
+        let site = TestBed::new(&format!("cold-{seed}"), bearing);
         for place in 0..ENDPOINTS {
-            site.register(&format!("w{place}"));
+            site.register_endpoint(&format!("w{place}"));
         }
-        let mut setup = site.setup();
+        let mut setup = site.config();
         setup.fleet_size = FORWARDERS;
         setup.max_in_flight = SLOTS;
         // Sabotage: a forwarder that believes that nothing can tip the partner over, and that it is warm at once.
@@ -45,9 +45,10 @@
                 .replace("\"fall_multiple\":2", "\"fall_multiple\":1000000")
                 .replace("\"cold_from\":0.18", "\"cold_from\":1.0"),
         };
-        let script = script(site.consul.address(), CAPACITY);
-        let forwarders: Vec<_> =
-            (0..FORWARDERS).map(|number| site.forwarder(&program, number, &config, Some(&script))).collect();
+        let script = consul_settings(site.consul.address(), CAPACITY);
+        let forwarders: Vec<_> = (0..FORWARDERS)
+            .map(|number| site.start_forwarder(&program, number, &config, Some(&script)))
+            .collect();
         for (_, forwarder) in &forwarders {
             site.wait_for_list(forwarder)?;
         }
@@ -58,7 +59,7 @@
     for (seed, _, forwarders) in &sites {
         for (number, (_, forwarder)) in forwarders.iter().enumerate() {
             let seed = seed * 1000 + number as u64;
-            let plan = load::plan(seed, RATE / FORWARDERS as f64, SPAN, &["status"], DESTINATION);
+            let plan = load::poisson_plan(seed, RATE / FORWARDERS as f64, SPAN, &["status"], DESTINATION);
             loads.push(load::start(forwarder.address, start, plan));
         }
     }
@@ -72,14 +73,14 @@
             if at == OUT_FROM {
                 // It is away, and Consul says so before any call shows it.
                 all("critical");
-                site.partner.set_mode(Mode::Unavailable);
+                site.destination.set_mode(Mode::Unavailable);
             } else if at == BACK_FROM {
-                site.partner.recover();
+                site.destination.recover();
                 all("passing");
             }
         }
         wait_until(&bar, start, at + Duration::from_millis(500));
-        bears.push(sites[0].1.partner.current_capacity());
+        bears.push(sites[0].1.destination.current_capacity());
     }
     wait_until(&bar, start, SPAN);
     bar.finish_and_clear();
@@ -91,7 +92,7 @@
     let mut sent_most = vec![0.0_f64; SPAN.as_secs() as usize];
     let mut sent_mean = sent_most.clone();
     for ((seed, site, _), handed) in sites.iter().zip(handed.chunks(FORWARDERS)) {
-        let (ends, at) = (site.settle(handed), site.partner.collapses());
+        let (ends, at) = (site.wait_for_outcomes(handed), site.destination.collapses());
         let tips = at.len();
         let at: Vec<_> = at.iter().map(|at| format!("{:.2}", (*at - start).as_secs_f64())).collect();
         let mut each = vec![0.0; SPAN.as_secs() as usize];
@@ -107,7 +108,7 @@
         let served = ends.calls.iter().filter(|c| c.served && c.received_at > start + BACK_FROM).count();
         rows.push(vec![
             seed.to_string(),
-            ends.messages.to_string(),
+            ends.submitted.to_string(),
             at.join(" "),
             format!("{:.0}", each[back..back + 4].iter().copied().fold(0.0, f64::max)),
             served.to_string(),
@@ -129,13 +130,13 @@
     let points = |values: &[f64]| values.iter().enumerate().map(|(s, value)| (s as f64, *value)).collect();
     let limit: Vec<f64> = bears.iter().map(|bears| bears * bearing.overload_factor).collect();
     let lines = vec![
-        Line { name: "sent, mean of the seeds".to_owned(), points: points(&sent_mean) },
-        Line { name: "sent, most of any seed".to_owned(), points: points(&sent_most) },
-        Line { name: "what it can do".to_owned(), points: points(&bears) },
-        Line { name: "tips over if kept up for 2 s".to_owned(), points: points(&limit) },
+        ChartSeries { name: "sent, mean of the seeds".to_owned(), points: points(&sent_mean) },
+        ChartSeries { name: "sent, most of any seed".to_owned(), points: points(&sent_most) },
+        ChartSeries { name: "what it can do".to_owned(), points: points(&bears) },
+        ChartSeries { name: "tips over if kept up for 2 s".to_owned(), points: points(&limit) },
     ];
     let title = "Calls each second; out from 4 s to 10 s, then back and cold".to_owned();
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec![
             "seed",
             "messages",
@@ -146,13 +147,13 @@
             "duplicated",
         ],
         rows,
-        chart: Chart { title, x: "s".to_owned(), y: "calls a second".to_owned(), lines },
-        broken,
+        chart: Chart { title, x_label: "s".to_owned(), y_label: "calls a second".to_owned(), series: lines },
+        violations: broken,
         json: json!({"experiment": "consul-cold", "seed": run.seed, "seeds": run.seeds, "tip_overs": tips_all,
             "lost": lost, "duplicated": duplicated, "unrestrained": run.sabotage}),
     })
 }
 
-fn told(site: &Site, place: usize, status: &str) {
+fn told(site: &TestBed, place: usize, status: &str) {
     site.consul.set_status("n1", &format!("w{place}"), status);
 }
--- a/crates/experiments/src/drain.rs
+++ b/crates/experiments/src/drain.rs
@@ -1,9 +1,9 @@
 //! `consul-drain`: endpoints flap, drain and vanish under load.
 
-use crate::Run;
+use crate::RunOptions;
 use crate::load;
-use crate::report::{Chart, Line, Outcome};
-use crate::site::{DESTINATION, Site, progress, quantile, script, wait_until};
+use crate::report::{Chart, ChartSeries, ExperimentReport};
+use crate::site::{DESTINATION, TestBed, consul_settings, percentile, progress, wait_until};
 use orchidyoke_fakes::consul::Instance;
 use orchidyoke_fakes::destination::CapacityModel;
 use orchidyoke_fakes::forwarder::endpoint_entry;
@@ -29,21 +29,21 @@
     until: Instant,
 }
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
-    let site = Site::new("drain", CapacityModel::default());
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
+    let site = TestBed::new("drain", CapacityModel::default());
     let endpoints: Vec<SocketAddr> =
-        (0..ENDPOINTS).map(|number| site.register(&format!("w{number}"))).collect();
-    let mut setup = site.setup();
+        (0..ENDPOINTS).map(|number| site.register_endpoint(&format!("w{number}"))).collect();
+    let mut setup = site.config();
     if run.sabotage {
         let targets =
             endpoints.iter().enumerate().map(|(n, e)| endpoint_entry(&format!("s{n}"), *e, DESTINATION));
         setup.endpoints = targets.collect();
     }
-    let script = (!run.sabotage).then(|| script(site.consul.address(), 400.0));
-    let (_folder, forwarder) = site.forwarder(&run.program()?, 0, &setup.text(), script.as_deref());
+    let script = (!run.sabotage).then(|| consul_settings(site.consul.address(), 400.0));
+    let (_folder, forwarder) = site.start_forwarder(&run.program()?, 0, &setup.text(), script.as_deref());
     site.wait_for_list(&forwarder)?;
     let start = Instant::now();
-    let plan = load::plan(run.seed, RATE, SPAN, &["orders", "status", "refund"], DESTINATION);
+    let plan = load::poisson_plan(run.seed, RATE, SPAN, &["orders", "status", "refund"], DESTINATION);
     let loading = load::start(forwarder.address, start, plan);
     let bar = progress("consul-drain", SPAN);
     let mut rng = StdRng::seed_from_u64(run.seed ^ 0xd7a1);
@@ -78,7 +78,7 @@
     wait_until(&bar, start, SPAN);
     bar.finish_and_clear();
     let handed = loading.join().map_err(|_| "the load has panicked")?;
-    let ends = site.settle(std::slice::from_ref(&handed));
+    let ends = site.wait_for_outcomes(std::slice::from_ref(&handed));
     // From the moment that Consul's answer was written; a forwarder that does not ask is measured from the change.
     let mut worst: Vec<(&'static str, f64)> = Vec::new();
     let mut after = 0;
@@ -100,13 +100,13 @@
     let mut lines = Vec::new();
     for how in ["draining tag", "maintenance", "critical", "deregistered"] {
         let all = sorted(&|other| other == how);
-        let cells = [0.5, 0.99, 1.0].map(|part| format!("{:.1}", quantile(&all, part)));
+        let cells = [0.5, 0.99, 1.0].map(|part| format!("{:.1}", percentile(&all, part)));
         rows.push([vec![how.to_owned(), all.len().to_string()], cells.to_vec()].concat());
         let points = all.iter().enumerate().map(|(n, ms)| (*ms, (n + 1) as f64 / all.len() as f64 * 100.0));
-        lines.push(Line { name: how.to_owned(), points: points.collect() });
+        lines.push(ChartSeries { name: how.to_owned(), points: points.collect() });
     }
     let all = sorted(&|_| true);
-    let (p50, most) = (quantile(&all, 0.5), quantile(&all, 1.0));
+    let (p50, most) = (percentile(&all, 0.5), percentile(&all, 1.0));
     let mut broken = Vec::new();
     if after > 0 {
         broken.push(format!(
@@ -116,23 +116,23 @@
     if ends.lost > 0 || ends.duplicated > 0 {
         broken.push(format!("{} messages lost, {} duplicated", ends.lost, ends.duplicated));
     }
-    if removals.len() < 20 || handed.taken.len() < 1000 {
+    if removals.len() < 20 || handed.accepted.len() < 1000 {
         broken.push("too little has happened to show anything".to_owned());
     }
     let title = "Time from Consul's answer to the last new call at the endpoint".to_owned();
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec!["taken out by", "times", "p50 ms", "p99 ms", "worst ms"],
         rows,
-        chart: Chart { title, x: "ms".to_owned(), y: "% of removals".to_owned(), lines },
-        broken,
-        json: json!({"experiment": "consul-drain", "seed": run.seed, "messages": ends.messages, "lost": ends.lost,
+        chart: Chart { title, x_label: "ms".to_owned(), y_label: "% of removals".to_owned(), series: lines },
+        violations: broken,
+        json: json!({"experiment": "consul-drain", "seed": run.seed, "messages": ends.submitted, "lost": ends.lost,
             "duplicated": ends.duplicated, "calls_after_250ms": after, "drain_worst_ms": most, "drain_p50_ms": p50,
-            "removals": removals.len(), "taken": handed.taken.len(),
+            "removals": removals.len(), "taken": handed.accepted.len(),
             "door_p99_ms": handed.latency.value_at_quantile(0.99) as f64 / 1e3}),
     })
 }
 
-fn restore(site: &Site, place: usize, how: &str, endpoint: SocketAddr) {
+fn restore(site: &TestBed, place: usize, how: &str, endpoint: SocketAddr) {
     let id = format!("w{place}");
     match how {
         "draining tag" => site.consul.set_tag("n1", &id, "draining", false),
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -3,8 +3,8 @@
 //! The decisions are the program's own, a copy for each forwarder; the clock, the partner and what is handed in are
 //! made up. It shows what is harmless for one and harmful for all, in seconds and without processes.
 
-use crate::Run;
-use crate::report::{Chart, Line, Outcome as Shown};
+use crate::RunOptions;
+use crate::report::{Chart, ChartSeries, ExperimentReport as Shown};
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
 use orchidyoke_core::rng::SeededRng;
@@ -310,7 +310,7 @@
     },
 ];
 
-pub fn run(run: &Run) -> Result<Shown, String> {
+pub fn run(run: &RunOptions) -> Result<Shown, String> {
     // Sabotage: each believes that it is the only one.
     let told = settings(if run.sabotage { 1 } else { FORWARDERS });
     let seeds: Vec<u64> = (run.seed..run.seed + run.seeds.max(1)).collect();
@@ -342,18 +342,24 @@
         };
         let served = || fleet.ends.iter().filter(|end| end.1 == Outcome::Success).map(|end| end.0);
         let sent = |s| second(s, &mut fleet.calls.iter().map(|call| call.0));
-        lines.push(Line { name: format!("sent, {name}"), points: (0..OVERLOAD / S).map(sent).collect() });
+        lines.push(ChartSeries {
+            name: format!("sent, {name}"),
+            points: (0..OVERLOAD / S).map(sent).collect(),
+        });
         let served = |s| second(s, &mut served());
-        lines.push(Line { name: format!("served, {name}"), points: (0..OVERLOAD / S).map(served).collect() });
+        lines.push(ChartSeries {
+            name: format!("served, {name}"),
+            points: (0..OVERLOAD / S).map(served).collect(),
+        });
     }
     let title = "Calls each second to a limit of 40, asked for 52".to_owned();
     Ok(Shown {
         columns: vec!["what", "mean", "worst seed", "at most", "mean, each for itself"],
         rows,
-        chart: Chart { title, x: "s".to_owned(), y: "calls a second".to_owned(), lines },
+        chart: Chart { title, x_label: "s".to_owned(), y_label: "calls a second".to_owned(), series: lines },
         json: json!({"experiment": "fleet-limit", "seed": run.seed, "seeds": run.seeds, "broken": broken.len(),
             "sabotage": run.sabotage}),
-        broken,
+        violations: broken,
     })
 }
 
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -22,27 +22,27 @@
 use tokio::time::{sleep_until, timeout};
 
 /// A client gives up after this time.
-const PATIENCE: Duration = Duration::from_millis(400);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
 /// The latencies told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// A message that is to be handed in.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    pub at: Duration,
+pub struct PlannedMessage {
+    pub send_at: Duration,
     pub class: &'static str,
-    pub txn: String,
+    pub message_id: String,
     pub destination: u64,
 }
 
 /// Messages as a Poisson process; classes by turns.
-pub fn plan(
+pub fn poisson_plan(
     seed: u64,
     rate: f64,
     span: Duration,
     classes: &[&'static str],
     destination: u64,
-) -> Vec<Planned> {
+) -> Vec<PlannedMessage> {
     let mut rng = StdRng::seed_from_u64(seed);
     let gaps = Exp::new(rate).expect("a rate above 0");
     let (mut at, mut all) = (Duration::ZERO, Vec::new());
@@ -52,17 +52,22 @@
             return all;
         }
         let class = classes[all.len() % classes.len()];
-        all.push(Planned { at, class, txn: format!("{seed}-{}", all.len()), destination });
+        all.push(PlannedMessage {
+            send_at: at,
+            class,
+            message_id: format!("{seed}-{}", all.len()),
+            destination,
+        });
     }
 }
 
 /// What became of the messages at the door.
 #[derive(Debug)]
-pub struct Handed {
+pub struct LoadResult {
     /// Taken on, with 202 or 200.
-    pub taken: BTreeSet<String>,
+    pub accepted: BTreeSet<String>,
     /// Deferred or refused.
-    pub refused: usize,
+    pub rejected: usize,
     /// With no answer in time, or another one.
     pub failed: usize,
     /// From the intended moment to the answer.
@@ -79,7 +84,7 @@
     Ok(sender)
 }
 
-async fn hand_in(address: SocketAddr, idle: Idle, message: &Planned) -> Result<u16, Box<dyn Error>> {
+async fn submit(address: SocketAddr, idle: Idle, message: &PlannedMessage) -> Result<u16, Box<dyn Error>> {
     let kept = loop {
         match idle.borrow_mut().pop() {
             Some(sender) if sender.is_closed() || !sender.is_ready() => {}
@@ -92,12 +97,12 @@
     };
     let request = Request::post(format!("/{}", message.class))
         .header("Host", "forwarder")
-        .header("X-Txn", &message.txn)
+        .header("X-Txn", &message.message_id)
         .header("X-Org", "acme")
-        .header("Idempotency-Key", format!("key of {}", message.txn))
+        .header("Idempotency-Key", format!("key of {}", message.message_id))
         .header("X-Remaining", "12.0")
         .header("X-Consignee", format!("dest={}", message.destination))
-        .body(Full::new(Bytes::from(format!("body of {}", message.txn))))?;
+        .body(Full::new(Bytes::from(format!("body of {}", message.message_id))))?;
     let answer = sender.send_request(request).await?;
     let status = answer.status().as_u16();
     answer.into_body().collect().await?;
@@ -106,7 +111,7 @@
 }
 
 /// Hands in all of them on a thread of its own.
-pub fn start(address: SocketAddr, start: Instant, messages: Vec<Planned>) -> JoinHandle<Handed> {
+pub fn start(address: SocketAddr, start: Instant, messages: Vec<PlannedMessage>) -> JoinHandle<LoadResult> {
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(LocalSet::new().run_until(async move {
@@ -114,18 +119,18 @@
             for message in messages {
                 let idle = idle.clone();
                 out.spawn_local(async move {
-                    let due = start + message.at;
+                    let due = start + message.send_at;
                     sleep_until(due.into()).await;
-                    let status = timeout(PATIENCE, hand_in(address, idle, &message)).await;
-                    (message.txn, status.ok().and_then(Result::ok).unwrap_or(0), due.elapsed())
+                    let status = timeout(CLIENT_TIMEOUT, submit(address, idle, &message)).await;
+                    (message.message_id, status.ok().and_then(Result::ok).unwrap_or(0), due.elapsed())
                 });
             }
-            let latency = Histogram::new_with_max(LONGEST, 3).expect("bounds");
-            let mut handed = Handed { taken: BTreeSet::new(), refused: 0, failed: 0, latency };
+            let latency = Histogram::new_with_max(MAX_LATENCY_US, 3).expect("bounds");
+            let mut handed = LoadResult { accepted: BTreeSet::new(), rejected: 0, failed: 0, latency };
             while let Some(Ok((txn, status, took))) = out.join_next().await {
                 match status {
-                    200 | 202 => drop(handed.taken.insert(txn)),
-                    429 | 503 => handed.refused += 1,
+                    200 | 202 => drop(handed.accepted.insert(txn)),
+                    429 | 503 => handed.rejected += 1,
                     _ => handed.failed += 1,
                 }
                 handed.latency.saturating_record(took.as_micros() as u64);
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -17,7 +17,7 @@
 mod site;
 
 use clap::{Args, Parser, Subcommand};
-use report::Outcome;
+use report::ExperimentReport;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -38,7 +38,7 @@
         /// Which; see `list`.
         name: String,
         #[command(flatten)]
-        run: Run,
+        run: RunOptions,
     },
     /// A child process of `capacity-control`.
     #[command(name = capacity::control::CHILD_COMMAND, hide = true)]
@@ -48,7 +48,7 @@
 /// How an experiment is run.
 #[derive(Args, Clone, Debug)]
 #[group(id = "options")]
-struct Run {
+struct RunOptions {
     /// Where all chance comes from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -72,7 +72,7 @@
     memory_mb: Option<u64>,
 }
 
-impl Run {
+impl RunOptions {
     fn program(&self) -> Result<PathBuf, String> {
         let beside = || std::env::current_exe().ok().map(|path| path.with_file_name("orchidyoke"));
         let program = self.program.clone().or_else(beside).filter(|path| path.is_file());
@@ -87,7 +87,7 @@
     name: &'static str,
     shows: &'static str,
     sabotage: &'static str,
-    run: fn(&Run) -> Result<Outcome, String>,
+    run: fn(&RunOptions) -> Result<ExperimentReport, String>,
 }
 
 const EXPERIMENTS: [Experiment; 9] = [
@@ -147,7 +147,7 @@
     },
 ];
 
-fn run(name: &str, run: &Run) -> Result<bool, String> {
+fn run(name: &str, run: &RunOptions) -> Result<bool, String> {
     let names = || EXPERIMENTS.map(|experiment| experiment.name).join(", ");
     let experiment = EXPERIMENTS.iter().find(|experiment| experiment.name == name);
     let experiment =
@@ -157,9 +157,9 @@
         outcome.write(folder, name).map_err(|error| format!("{}: {error}", folder.display()))?;
     }
     println!("{}", outcome.markdown());
-    outcome.broken.iter().for_each(|rule| println!("broken: {rule}"));
+    outcome.violations.iter().for_each(|rule| println!("broken: {rule}"));
     println!("{}", outcome.json);
-    Ok(outcome.broken.is_empty())
+    Ok(outcome.violations.is_empty())
 }
 
 fn main() -> ExitCode {
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -2,8 +2,8 @@
 //! that asks of Consul. The followers are those of the real forwarder, all in one process, each with connections of its
 //! own to a stand-in; nothing but them is emulated.
 
-use crate::Run;
-use crate::report::{Chart, Line, Outcome};
+use crate::RunOptions;
+use crate::report::{Chart, ChartSeries, ExperimentReport};
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::forwarder::ForwarderConfig;
 use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
@@ -44,7 +44,7 @@
     changes: Vec<Seen>,
 }
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let most = usize::try_from(run.seeds).unwrap_or(CHANGES).min(CHANGES);
     let mut sizes = Vec::new();
     // Sabotage shows at the smallest fleet what it would show at all.
@@ -78,7 +78,7 @@
             ]);
         }
     }
-    let line = |name: &str, value: fn(&Seen) -> f64| Line {
+    let line = |name: &str, value: fn(&Seen) -> f64| ChartSeries {
         name: name.to_owned(),
         points: sizes
             .iter()
@@ -92,7 +92,7 @@
         "forwarders": size.forwarders, "idle_questions_a_second": size.idle,
         "last_ms_most": size.changes.iter().map(|s| s.last_ms).fold(0.0, f64::max),
         "prepared_ms_most": size.changes.iter().map(|s| s.prepared_ms).fold(0.0, f64::max)})).collect::<Vec<_>>()});
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec![
             "forwarders",
             "change",
@@ -105,14 +105,14 @@
         rows,
         chart: Chart {
             title: "A policy epoch: prepared by all, in force on the last".to_owned(),
-            x: "forwarders, power of ten".to_owned(),
-            y: "ms, slowest of the changes".to_owned(),
-            lines: vec![
+            x_label: "forwarders, power of ten".to_owned(),
+            y_label: "ms, slowest of the changes".to_owned(),
+            series: vec![
                 line("from the proposal until all have voted and it is committed", |s| s.prepared_ms),
                 line("from the commit until it is in force on the last", |s| s.last_ms),
             ],
         },
-        broken,
+        violations: broken,
         json,
     })
 }
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 /// A line of a chart.
-pub struct Line {
+pub struct ChartSeries {
     pub name: String,
     pub points: Vec<(f64, f64)>,
 }
@@ -15,22 +15,22 @@
 /// A chart of lines over one axis.
 pub struct Chart {
     pub title: String,
-    pub x: String,
-    pub y: String,
-    pub lines: Vec<Line>,
+    pub x_label: String,
+    pub y_label: String,
+    pub series: Vec<ChartSeries>,
 }
 
 /// What an experiment has shown.
-pub struct Outcome {
+pub struct ExperimentReport {
     pub columns: Vec<&'static str>,
     pub rows: Vec<Vec<String>>,
     pub chart: Chart,
     /// Rules that were broken, each in a sentence.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub json: Value,
 }
 
-impl Outcome {
+impl ExperimentReport {
     /// The table as Markdown.
     pub fn markdown(&self) -> String {
         let line = |cells: Vec<&str>| format!("| {} |\n", cells.join(" | "));
@@ -57,7 +57,7 @@
 impl Chart {
     /// Draws it into an SVG file.
     pub fn draw(&self, path: &Path) -> Result<(), Box<dyn Error>> {
-        let points = || self.lines.iter().flat_map(|line| &line.points);
+        let points = || self.series.iter().flat_map(|line| &line.points);
         let most = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max).max(1e-6);
         let (right, top) = (most(&mut points().map(|p| p.0)), most(&mut points().map(|p| p.1)) * 1.1);
         let left = points().map(|p| p.0).fold(right, f64::min);
@@ -69,8 +69,8 @@
             .x_label_area_size(40)
             .y_label_area_size(60)
             .build_cartesian_2d(left..right, 0.0..top)?;
-        chart.configure_mesh().x_desc(&self.x).y_desc(&self.y).light_line_style(WHITE).draw()?;
-        for (number, line) in self.lines.iter().enumerate() {
+        chart.configure_mesh().x_desc(&self.x_label).y_desc(&self.y_label).light_line_style(WHITE).draw()?;
+        for (number, line) in self.series.iter().enumerate() {
             let color = Palette99::pick(number).to_rgba();
             chart
                 .draw_series(LineSeries::new(line.points.iter().copied(), color.stroke_width(2)))?
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -5,8 +5,8 @@
 //! that refuses much. Each seed draws how bad it is and the clients' pace. The tool is the program's own `rollout`; its
 //! log is read as it comes, with times.
 
-use crate::Run;
-use crate::report::{Chart, Line, Outcome};
+use crate::RunOptions;
+use crate::report::{Chart, ChartSeries, ExperimentReport};
 use orchidyoke_fakes::Fleet;
 use orchidyoke_fakes::fleet::ClientLoad;
 use orchidyoke_rollout::console::{ask, parse_outcome_counts};
@@ -52,7 +52,7 @@
     share: String,
 }
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let program = run.program()?;
     let mut seen = Vec::new();
     for seed in run.seed..run.seed + run.seeds {
@@ -80,7 +80,7 @@
         })
         .collect();
     let of_kind = |kind: &'static str| seen.iter().filter(move |s| s.kind == kind);
-    let lines = KINDS.map(|(_, kind)| Line {
+    let lines = KINDS.map(|(_, kind)| ChartSeries {
         name: kind.to_owned(),
         points: of_kind(kind).map(|s| (s.seed as f64, s.to_stop_ms)).collect(),
     });
@@ -95,7 +95,7 @@
             ((*kind).to_owned(), shown)
         })
         .collect();
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec![
             "seed",
             "change",
@@ -109,11 +109,11 @@
         rows,
         chart: Chart {
             title: "Bad changes, stopped at their first stage".to_owned(),
-            x: "seed".to_owned(),
-            y: "from the stage's start to the stop, ms".to_owned(),
-            lines: lines.into_iter().collect(),
+            x_label: "seed".to_owned(),
+            y_label: "from the stage's start to the stop, ms".to_owned(),
+            series: lines.into_iter().collect(),
         },
-        broken,
+        violations: broken,
         json: json!({"experiment": "rollout-stop", "seeds": seen.len(), "by_kind": by_kind,
             "stopped": seen.iter().filter(|s| s.stopped).count()}),
     })
--- a/crates/experiments/src/scale.rs
+++ b/crates/experiments/src/scale.rs
@@ -1,10 +1,10 @@
 //! `consul-scale`: many endpoints, and changes all the time. A decision is seen in the journal: what the forwarder has
 //! taken in of the list is stored there before it is used.
 
-use crate::Run;
+use crate::RunOptions;
 use crate::capacity::process;
-use crate::report::{Chart, Line, Outcome};
-use crate::site::{Site, progress, quantile, wait_until};
+use crate::report::{Chart, ChartSeries, ExperimentReport};
+use crate::site::{TestBed, percentile, progress, wait_until};
 use orchidyoke_core::endpoint_list::{EndpointList, ListedState};
 use orchidyoke_fakes::consul::{ConsulFault, Instance};
 use orchidyoke_fakes::destination::CapacityModel;
@@ -89,8 +89,8 @@
     connections: usize,
 }
 
-fn measure(run: &Run, endpoints: usize) -> Result<Measured, String> {
-    let site = Site::new(&format!("scale-{endpoints}"), CapacityModel::default());
+fn measure(run: &RunOptions, endpoints: usize) -> Result<Measured, String> {
+    let site = TestBed::new(&format!("scale-{endpoints}"), CapacityModel::default());
     let services = endpoints / PER_SERVICE;
     let address = |number: usize| {
         SocketAddr::from(([127, 200 + (number >> 16) as u8, (number >> 8) as u8, number as u8], 9_000))
@@ -102,11 +102,11 @@
     for number in 0..endpoints {
         site.consul.register(instance(number));
     }
-    let mut setup = site.setup();
+    let mut setup = site.config();
     setup.disk_mb = 64.0;
     let script = script(site.consul.address(), services, 100.0);
     let began = Instant::now();
-    let (folder, forwarder) = site.forwarder(&run.program()?, 0, &setup.text(), Some(&script));
+    let (folder, forwarder) = site.start_forwarder(&run.program()?, 0, &setup.text(), Some(&script));
     let mut tail = Tail::new(folder.path().join("state").join("journal"));
     while tail.map.len() < endpoints {
         if began.elapsed() > Duration::from_secs(30) {
@@ -172,13 +172,13 @@
     })
 }
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let (mut rows, mut lines, mut broken, mut sizes) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::<Value>::new());
     for endpoints in SIZES {
         let measured = measure(run, endpoints)?;
         let Measured { learnt, idle_cpu, busy_cpu, resident, times, missed, connections, .. } = &measured;
-        let (p50, p99) = (quantile(times, 0.5), quantile(times, 0.99));
+        let (p50, p99) = (percentile(times, 0.5), percentile(times, 0.99));
         let (mib, learnt) = (*resident as f64 / f64::from(1 << 20), learnt.as_secs_f64());
         if *missed > 0 {
             let bound = BOUND.as_secs();
@@ -203,7 +203,7 @@
         ]);
         let points =
             times.iter().enumerate().map(|(n, ms)| (*ms, (n + 1) as f64 / times.len() as f64 * 100.0));
-        lines.push(Line { name: format!("{endpoints} endpoints"), points: points.collect() });
+        lines.push(ChartSeries { name: format!("{endpoints} endpoints"), points: points.collect() });
         sizes.push(json!({"endpoints": endpoints, "learnt_s": learnt, "idle_cpu_percent": idle_cpu,
             "busy_cpu_percent": busy_cpu, "resident_mib": mib, "changes": times.len(), "missed": missed,
             "decision_p50_ms": p50, "decision_p99_ms": p99, "connections": connections}));
@@ -212,7 +212,7 @@
         }
     }
     let title = "Time from a change in Consul to its decision, 50 changes a second".to_owned();
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec![
             "endpoints",
             "learnt in s",
@@ -225,8 +225,8 @@
             "connections",
         ],
         rows,
-        chart: Chart { title, x: "ms".to_owned(), y: "% of changes".to_owned(), lines },
-        broken,
+        chart: Chart { title, x_label: "ms".to_owned(), y_label: "% of changes".to_owned(), series: lines },
+        violations: broken,
         json: json!({"experiment": "consul-scale", "seed": run.seed, "sizes": sizes}),
     })
 }
--- a/crates/experiments/src/silent.rs
+++ b/crates/experiments/src/silent.rs
@@ -1,9 +1,9 @@
 //! `consul-silent`: 20 s of silence in several forms, beside the same load undisturbed.
 
-use crate::Run;
-use crate::load::{self, Handed};
-use crate::report::{Chart, Line, Outcome};
-use crate::site::{DESTINATION, Site, progress, script, wait_until};
+use crate::RunOptions;
+use crate::load::{self, LoadResult};
+use crate::report::{Chart, ChartSeries, ExperimentReport};
+use crate::site::{DESTINATION, TestBed, consul_settings, progress, wait_until};
 use orchidyoke_fakes::consul::ConsulFault;
 use orchidyoke_fakes::destination::CapacityModel;
 use serde_json::{Value, json};
@@ -16,7 +16,7 @@
 /// Share delivered, against the same load undisturbed.
 const AIM: f64 = 0.99;
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let forms: Vec<(&str, ConsulFault)> = vec![
         ("undisturbed", ConsulFault::None),
         ("says nothing", ConsulFault::Unresponsive),
@@ -33,12 +33,12 @@
     let program = run.program()?;
     let mut sites = Vec::new();
     for (number, (name, fault)) in forms.iter().enumerate() {
-        let site = Site::new(&format!("silent-{number}"), CapacityModel::default());
+        let site = TestBed::new(&format!("silent-{number}"), CapacityModel::default());
         for place in 0..3 {
-            site.register(&format!("w{place}"));
+            site.register_endpoint(&format!("w{place}"));
         }
-        let script = script(site.consul.address(), 200.0);
-        let (folder, forwarder) = site.forwarder(&program, 0, &site.setup().text(), Some(&script));
+        let script = consul_settings(site.consul.address(), 200.0);
+        let (folder, forwarder) = site.start_forwarder(&program, 0, &site.config().text(), Some(&script));
         site.wait_for_list(&forwarder)?;
         sites.push((*name, fault, site, folder, forwarder));
     }
@@ -46,7 +46,7 @@
     let loads: Vec<_> = sites
         .iter()
         .map(|(.., forwarder)| {
-            let plan = load::plan(run.seed, RATE, SPAN, &["orders", "status"], DESTINATION);
+            let plan = load::poisson_plan(run.seed, RATE, SPAN, &["orders", "status"], DESTINATION);
             load::start(forwarder.address, start, plan)
         })
         .collect();
@@ -65,7 +65,7 @@
     sites.iter().for_each(|(_, _, site, ..)| site.consul.set_fault(ConsulFault::None));
     wait_until(&bar, start, SPAN);
     bar.finish_and_clear();
-    let handed: Vec<Handed> = loads
+    let handed: Vec<LoadResult> = loads
         .into_iter()
         .map(|load| load.join().map_err(|_| "the load has panicked"))
         .collect::<Result<_, _>>()?;
@@ -73,8 +73,8 @@
         (Vec::new(), Vec::new(), Vec::new(), Vec::<Value>::new());
     let mut undisturbed = 0.0;
     for ((name, _, site, ..), handed) in sites.iter().zip(&handed) {
-        let ends = site.settle(std::slice::from_ref(handed));
-        let share = ends.delivered as f64 / ends.messages.max(1) as f64;
+        let ends = site.wait_for_outcomes(std::slice::from_ref(handed));
+        let share = ends.delivered as f64 / ends.submitted.max(1) as f64;
         if *name == "undisturbed" {
             undisturbed = share;
         }
@@ -101,7 +101,7 @@
         }
         rows.push(vec![
             (*name).to_owned(),
-            ends.messages.to_string(),
+            ends.submitted.to_string(),
             format!("{share:.4}"),
             format!("{kept:.4}"),
             format!("{least:.0}"),
@@ -110,12 +110,12 @@
             site.consul.request_count().to_string(),
         ]);
         let points = each.iter().enumerate().map(|(second, calls)| (second as f64, *calls)).collect();
-        lines.push(Line { name: (*name).to_owned(), points });
+        lines.push(ChartSeries { name: (*name).to_owned(), points });
         forms.push(json!({"form": name, "share": share, "against_undisturbed": kept, "lost": ends.lost,
             "duplicated": ends.duplicated, "least_per_second": least}));
     }
     let title = "Deliveries each second; Consul is silent from 3 s to 23 s".to_owned();
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec![
             "Consul",
             "messages",
@@ -127,8 +127,8 @@
             "questions",
         ],
         rows,
-        chart: Chart { title, x: "s".to_owned(), y: "deliveries".to_owned(), lines },
-        broken,
+        chart: Chart { title, x_label: "s".to_owned(), y_label: "deliveries".to_owned(), series: lines },
+        violations: broken,
         json: json!({"experiment": "consul-silent", "seed": run.seed, "forms": forms}),
     })
 }
--- a/crates/experiments/src/site.rs
+++ b/crates/experiments/src/site.rs
@@ -1,6 +1,6 @@
 //! A site: a partner, a stand-in Consul and platform, and forwarders; and what became of the messages there.
 
-use crate::load::Handed;
+use crate::load::LoadResult;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::consul::Instance;
@@ -15,10 +15,10 @@
 /// The destination that the service `web` stands for.
 pub const DESTINATION: u64 = 3;
 /// Messages have their end within their time, and the notice soon after.
-const SETTLE: Duration = Duration::from_secs(16);
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(16);
 
 /// The settings that follow `web` in this Consul.
-pub fn script(consul: SocketAddr, capacity: f64) -> String {
+pub fn consul_settings(consul: SocketAddr, capacity: f64) -> String {
     format!(
         "consul(\n    addresses = [\"{consul}\"],\n    networks = [\"127.0.0.0/8\"],\n    wait = \"10s\",\n    \
          services = [service(name = \"web\", destination = {DESTINATION}, kind = \"one\", zone = \"a\", \
@@ -27,31 +27,31 @@
 }
 
 /// Stand-ins, and folders for forwarders.
-pub struct Site {
+pub struct TestBed {
     pub name: String,
-    pub platform: DiscoveryServer,
+    pub discovery: DiscoveryServer,
     pub consul: ConsulServer,
-    pub partner: DestinationServer,
+    pub destination: DestinationServer,
 }
 
-impl Site {
+impl TestBed {
     pub fn new(name: &str, bearing: CapacityModel) -> Self {
-        Site {
+        TestBed {
             name: name.to_owned(),
-            platform: DiscoveryServer::start(""),
+            discovery: DiscoveryServer::start(""),
             consul: ConsulServer::start(),
-            partner: DestinationServer::new(bearing),
+            destination: DestinationServer::new(bearing),
         }
     }
 
-    pub fn register(&self, id: &str) -> SocketAddr {
-        let endpoint = self.partner.open_endpoint();
+    pub fn register_endpoint(&self, id: &str) -> SocketAddr {
+        let endpoint = self.destination.open_endpoint();
         self.consul.register(Instance::new("web", "n1", id, endpoint));
         endpoint
     }
 
     /// A forwarder with this configuration, and this script if there is one.
-    pub fn forwarder(
+    pub fn start_forwarder(
         &self,
         program: &Path,
         number: usize,
@@ -66,8 +66,8 @@
         (folder, forwarder)
     }
 
-    pub fn setup(&self) -> ForwarderConfig {
-        ForwarderConfig::new(self.platform.address())
+    pub fn config(&self) -> ForwarderConfig {
+        ForwarderConfig::new(self.discovery.address())
     }
 
     /// Waits until the forwarder knows the destination.
@@ -90,10 +90,10 @@
     }
 
     /// Waits until each message that was taken on has its end, or its time is long over.
-    pub fn settle(&self, handed: &[Handed]) -> Ends {
-        let until = Instant::now() + SETTLE;
+    pub fn wait_for_outcomes(&self, handed: &[LoadResult]) -> MessageOutcomes {
+        let until = Instant::now() + OUTCOME_TIMEOUT;
         loop {
-            let ends = Ends::new(self, handed);
+            let ends = MessageOutcomes::new(self, handed);
             if ends.lost == 0 || Instant::now() > until {
                 return ends;
             }
@@ -104,8 +104,8 @@
 
 /// What became of messages, counted at the far ends.
 #[derive(Debug)]
-pub struct Ends {
-    pub messages: usize,
+pub struct MessageOutcomes {
+    pub submitted: usize,
     pub delivered: usize,
     /// Taken on, and neither delivered nor told of.
     pub lost: usize,
@@ -114,25 +114,31 @@
     pub calls: Vec<Call>,
 }
 
-impl Ends {
-    fn new(site: &Site, handed: &[Handed]) -> Self {
-        let (calls, notices) = (site.partner.calls(), site.platform.notifications());
+impl MessageOutcomes {
+    fn new(site: &TestBed, handed: &[LoadResult]) -> Self {
+        let (calls, notices) = (site.destination.calls(), site.discovery.notifications());
         let mut served: BTreeMap<&str, usize> = BTreeMap::new();
         for call in calls.iter().filter(|call| call.served) {
             *served.entry(&call.message_id).or_default() += 1;
         }
-        let taken = || handed.iter().flat_map(|handed| &handed.taken);
+        let taken = || handed.iter().flat_map(|handed| &handed.accepted);
         let delivered = taken().filter(|txn| served.contains_key(txn.as_str())).count();
         let told =
             taken().filter(|txn| !served.contains_key(txn.as_str()) && notices.contains_key(*txn)).count();
-        let messages = handed.iter().map(|h| h.taken.len() + h.refused + h.failed).sum();
+        let messages = handed.iter().map(|h| h.accepted.len() + h.rejected + h.failed).sum();
         let duplicated = served.values().filter(|count| **count > 1).count();
-        Ends { messages, delivered, lost: taken().count() - delivered - told, duplicated, calls }
+        MessageOutcomes {
+            submitted: messages,
+            delivered,
+            lost: taken().count() - delivered - told,
+            duplicated,
+            calls,
+        }
     }
 }
 
 /// A value at a part of a sorted list; nothing in it is 0.
-pub fn quantile(sorted: &[f64], part: f64) -> f64 {
+pub fn percentile(sorted: &[f64], part: f64) -> f64 {
     let place = (part * sorted.len() as f64).ceil() as usize;
     sorted.get(place.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or(0.0)
 }
