--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -21,7 +21,7 @@
 mod stand_in;
 mod table;
 
-use crate::RunOptions;
+use crate::options::RunOptions;
 use crate::report::ExperimentReport;
 use fleet::FleetPlan;
 use phases::{Course, FleetResult, Spans};
--- a/crates/experiments/src/capacity/control/table.rs
+++ b/crates/experiments/src/capacity/control/table.rs
@@ -2,7 +2,7 @@
 
 use super::load::Quantity;
 use super::scenario::{Growth, Row};
-use crate::RunOptions;
+use crate::options::RunOptions;
 use crate::report::{Chart, ChartSeries, ExperimentReport};
 use serde_json::{Value, json};
 
--- a/crates/experiments/src/capacity/forwarder.rs
+++ b/crates/experiments/src/capacity/forwarder.rs
@@ -9,8 +9,8 @@
 mod rig;
 mod waiting;
 
-use crate::RunOptions;
 use crate::capacity::series::{COLUMNS, Quantity};
+use crate::options::RunOptions;
 use crate::report::ExperimentReport;
 use aims::{Aim, Gathered};
 use plan::Plan;
@@ -70,7 +70,7 @@
 }
 
 /// Writes every point, and a chart each for the quantities that the main one does not show.
-fn write_more(rig: &Rig, folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn write_more(rig: &Rig, folder: &Path) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("capacity-forwarder-points.csv"), rig.measurements.points_csv())?;
     for (name, quantity) in CHARTS {
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -2,7 +2,6 @@
 
 use super::plan::Plan;
 use super::quantities::milliseconds;
-use crate::RunOptions;
 use crate::capacity::budget::{Budget, Used};
 use crate::capacity::client::{Client, Message, hand_in_all};
 use crate::capacity::destinations::{Destinations, Endpoints};
@@ -10,6 +9,7 @@
 use crate::capacity::forwarder_process::{ForwarderProcess, StartCost};
 use crate::capacity::guard::Guard;
 use crate::capacity::series::{Measurements, Quantity, Size};
+use crate::options::RunOptions;
 use orchidyoke_fakes::DiscoveryServer;
 use orchidyoke_fakes::TemporaryFolder;
 use rand::RngExt;
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet_limit.rs
@@ -3,7 +3,8 @@
 //! The decisions are the program's own, a copy for each forwarder; the clock, the partner and what is handed in are
 //! made up. It shows what is harmless for one and harmful for all, in seconds and without processes.
 
-use crate::RunOptions;
+use crate::error::ExperimentError;
+use crate::options::RunOptions;
 use crate::report::{Chart, ChartSeries, ExperimentReport as Shown};
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
@@ -310,17 +311,18 @@
     },
 ];
 
-pub fn run(run: &RunOptions) -> Result<Shown, String> {
+/// Runs it.
+pub fn run(run: &RunOptions) -> Result<Shown, ExperimentError> {
     // Sabotage: each believes that it is the only one.
     let told = settings(if run.sabotage { 1 } else { FORWARDERS });
     let seeds: Vec<u64> = (run.seed..run.seed + run.seeds.max(1)).collect();
-    let of_all = |set: &Settings, case: &Case| -> Result<(f64, f64), String> {
+    let of_all = |set: &Settings, case: &Case| -> Result<(f64, f64), ExperimentError> {
         let figures = std::thread::scope(|threads| {
             let started: Vec<_> =
                 seeds.iter().map(|seed| threads.spawn(move || (case.measure)(set, *seed))).collect();
             started.into_iter().map(|thread| thread.join()).collect::<Result<Vec<_>, _>>()
         });
-        let figures = figures.map_err(|_| "a fleet has panicked")?;
+        let figures = figures.map_err(|_| ExperimentError::ThreadPanicked("a fleet"))?;
         let mean = figures.iter().sum::<f64>() / figures.len() as f64;
         Ok((mean, figures.into_iter().fold(0.0, f64::max)))
     };
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy_epochs.rs
@@ -2,7 +2,8 @@
 //! that asks of Consul. The followers are those of the real forwarder, all in one process, each with connections of its
 //! own to a stand-in; nothing but them is emulated.
 
-use crate::RunOptions;
+use crate::error::ExperimentError;
+use crate::options::RunOptions;
 use crate::report::{Chart, ChartSeries, ExperimentReport};
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::forwarder::ForwarderConfig;
@@ -27,6 +28,8 @@
 const BOUND: Duration = Duration::from_millis(6_667);
 /// How long all may take.
 const PATIENCE: Duration = Duration::from_secs(20);
+/// How long all forwarders may take to appear at the commit point.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 /// For how long the fleet is looked at while nothing changes.
 const IDLE: Duration = Duration::from_secs(5);
 
@@ -44,13 +47,14 @@
     changes: Vec<Seen>,
 }
 
-pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
+/// Runs it.
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let most = usize::try_from(run.seeds).unwrap_or(CHANGES).min(CHANGES);
     let mut sizes = Vec::new();
     // Sabotage shows at the smallest fleet what it would show at all.
     for forwarders in SIZES.into_iter().take(if run.sabotage { 1 } else { SIZES.len() }) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|error| error.to_string())?;
+        let runtime = runtime.map_err(ExperimentError::Runtime)?;
         sizes.push(LocalSet::new().block_on(&runtime, one(forwarders, most, run.sabotage))?);
         eprintln!("policy-epochs: {forwarders} forwarders done");
     }
@@ -117,7 +121,7 @@
     })
 }
 
-async fn one(forwarders: usize, changes: usize, sabotage: bool) -> Result<Size, String> {
+async fn one(forwarders: usize, changes: usize, sabotage: bool) -> Result<Size, ExperimentError> {
     let (consul, stage) = (ConsulServer::start(), ServerRuntime::new());
     let path = FaultProxy::start(&stage, unused_loopback_address(), consul.address());
     let settings = |address| Settings {
@@ -160,9 +164,9 @@
             sleep(Duration::from_millis(100)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), all_there)
+    tokio::time::timeout(JOIN_TIMEOUT, all_there)
         .await
-        .map_err(|_| format!("not all of {forwarders} forwarders are there"))?;
+        .map_err(|_| ExperimentError::MembersMissing { members: forwarders, timeout: JOIN_TIMEOUT })?;
     let before = consul.request_count();
     sleep(IDLE).await;
     let idle = (consul.request_count() - before) as f64 / IDLE.as_secs_f64();
@@ -176,8 +180,13 @@
         }
         let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + change}}}).to_string();
         let (before, began) = (consul.request_count(), Instant::now());
-        office.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
-        let committed = office.last_commit().ok_or("no commit")?;
+        office
+            .propose(&policy, "lab", PATIENCE)
+            .await
+            .map_err(|error| ExperimentError::NotCommitted(error.to_string()))?;
+        let committed = office
+            .last_commit()
+            .ok_or_else(|| ExperimentError::NotCommitted("the proposer has seen no commit".to_owned()))?;
         // One that has not taken it by then is told as having taken as long.
         let until = committed + PATIENCE;
         let mut times = Vec::new();
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! Results: a table, a chart, the rules that were broken, and one JSON object.
+//! The report of an experiment: a table, a chart, the rules that were violated, and one JSON object.
 
 use plotters::prelude::*;
 use serde_json::Value;
@@ -6,27 +6,55 @@
 use std::fmt::Write;
 use std::path::Path;
 
+/// Size of a chart in pixels.
+const CHART_SIZE: (u32, u32) = (900, 420);
+
 /// A line of a chart.
 pub struct ChartSeries {
+    /// What the legend calls it.
     pub name: String,
+    /// Points as x and y.
     pub points: Vec<(f64, f64)>,
 }
 
+impl ChartSeries {
+    /// One value a second, from second 0 on.
+    pub fn per_second(name: &str, values: &[f64]) -> Self {
+        let points = values.iter().enumerate().map(|(second, value)| (second as f64, *value));
+        ChartSeries { name: name.to_owned(), points: points.collect() }
+    }
+
+    /// The cumulative distribution of sorted samples, in percent.
+    pub fn cumulative(name: String, sorted: &[f64]) -> Self {
+        let percent = |number: usize| (number + 1) as f64 / sorted.len() as f64 * 100.0;
+        let points = sorted.iter().enumerate().map(|(number, sample)| (*sample, percent(number)));
+        ChartSeries { name, points: points.collect() }
+    }
+}
+
 /// A chart of lines over one axis.
 pub struct Chart {
+    /// What stands above it.
     pub title: String,
+    /// Label of the horizontal axis, with the unit.
     pub x_label: String,
+    /// Label of the vertical axis, with the unit.
     pub y_label: String,
+    /// Its lines.
     pub series: Vec<ChartSeries>,
 }
 
 /// What an experiment has shown.
 pub struct ExperimentReport {
+    /// The table's header.
     pub columns: Vec<&'static str>,
+    /// The table's rows, each with as many cells as there are columns.
     pub rows: Vec<Vec<String>>,
+    /// The chart.
     pub chart: Chart,
-    /// Rules that were broken, each in a sentence.
+    /// Rules that were violated, each in a sentence.
     pub violations: Vec<String>,
+    /// The JSON object of the last line.
     pub json: Value,
 }
 
@@ -41,8 +69,8 @@
         text
     }
 
-    /// Writes `NAME.csv`, `NAME.md` and `NAME.svg`.
-    pub fn write(&self, folder: &Path, name: &str) -> Result<(), Box<dyn Error>> {
+    /// Writes `NAME.csv`, `NAME.md` and `NAME.svg` into the folder, which is created where it is missing.
+    pub fn write(&self, folder: &Path, name: &str) -> Result<(), Box<dyn Error + Send + Sync>> {
         std::fs::create_dir_all(folder)?;
         let mut csv = self.columns.join(",") + "\n";
         for row in &self.rows {
@@ -56,12 +84,14 @@
 
 impl Chart {
     /// Draws it into an SVG file.
-    pub fn draw(&self, path: &Path) -> Result<(), Box<dyn Error>> {
+    pub fn draw(&self, path: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
         let points = || self.series.iter().flat_map(|line| &line.points);
         let most = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max).max(1e-6);
-        let (right, top) = (most(&mut points().map(|p| p.0)), most(&mut points().map(|p| p.1)) * 1.1);
-        let left = points().map(|p| p.0).fold(right, f64::min);
-        let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
+        let right = most(&mut points().map(|point| point.0));
+        // A tenth above the highest point is left for the legend.
+        let top = most(&mut points().map(|point| point.1)) * 1.1;
+        let left = points().map(|point| point.0).fold(right, f64::min);
+        let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(&self.title, ("sans-serif", 18))
