--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The transport map as data: the list of endpoints, its form, and how news changes it.
+//! The endpoint list as data: its entries, the events that change it, and the list as it stands. Used by discovery, the
+//! journal and the forwarder; it holds no decision.
 
 mod bounds;
 mod list;
@@ -6,77 +7,23 @@
 pub use bounds::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, bounded_watch_event, parse_list};
 pub use list::{EndpointList, ListedEndpoint};
 
-use crate::interface::{EndpointState, HealthStatus};
+pub use crate::interface::{EndpointState, HealthStatus};
+
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What the list says of an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum ListedState {
-    /// To be used.
-    #[serde(rename = "in_service")]
-    Active,
-    /// Nothing new may go there.
-    #[serde(rename = "terminating")]
-    Draining,
-    /// Gone; only among changes.
-    #[serde(rename = "terminated")]
-    Removed,
-}
-
-impl From<ListedState> for EndpointState {
-    fn from(state: ListedState) -> Self {
-        match state {
-            ListedState::Active => EndpointState::Active,
-            ListedState::Draining => EndpointState::Draining,
-            ListedState::Removed => EndpointState::Removed,
-        }
-    }
-}
-
-/// What health checks say of an endpoint; discovery tells nothing of it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum HealthChecks {
-    /// All pass, or there are none.
-    #[default]
-    Passing,
-    /// At least one warns.
-    Warning,
-    /// At least one fails.
-    Critical,
-}
-
-impl HealthChecks {
-    /// Whether there is nothing to tell.
-    pub fn pass(&self) -> bool {
-        *self == HealthChecks::Passing
-    }
-}
-
-impl From<HealthChecks> for HealthStatus {
-    fn from(checks: HealthChecks) -> Self {
-        match checks {
-            HealthChecks::Passing => HealthStatus::Passing,
-            HealthChecks::Warning => HealthStatus::Warning,
-            HealthChecks::Critical => HealthStatus::Critical,
-        }
-    }
-}
-
-/// Bytes of a line of the list beside its names and its address, at most: all its numbers at their longest.
-const LINE_SIZE: usize = 160;
-/// Bytes of an address at most.
-const IPV4_SIZE: usize = "255.255.255.255:65535".len();
-const IPV6_SIZE: usize = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".len();
-/// A byte of a name that JSON does not write as it is takes up to so many more.
-const ESCAPE_SIZE: usize = "\\u0000".len() - 1;
+/// Most bytes of an entry beside its names and its address: all its numbers at their longest.
+const ENTRY_BYTES: usize = 160;
+/// Most bytes of an address.
+const IPV4_BYTES: usize = "255.255.255.255:65535".len();
+const IPV6_BYTES: usize = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".len();
+/// Most bytes that JSON adds to escape a byte of a name.
+const ESCAPE_BYTES: usize = "\\u0000".len() - 1;
 
-/// A line of the list.
+/// An entry of the list, as discovery and the journal write it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The same at every forwarder, and across restarts.
+    /// Its id, the same at every forwarder and across restarts.
     pub uid: String,
     /// Where this forwarder reaches it.
     #[serde(rename = "endpoint")]
@@ -90,37 +37,37 @@
     /// Its destination.
     #[serde(rename = "pod_group")]
     pub destination: u64,
-    /// Whether it takes anything new.
-    pub state: ListedState,
-    /// What its destination takes, in calls a second.
+    /// Whether it takes new calls.
+    pub state: EndpointState,
+    /// Capacity of its destination, in calls a second.
     #[serde(default)]
     pub capacity_hint: f64,
-    /// What health checks say of it.
-    #[serde(rename = "checks", default, skip_serializing_if = "HealthChecks::pass")]
-    pub health: HealthChecks,
+    /// Result of its health checks.
+    #[serde(rename = "checks", default, skip_serializing_if = "HealthStatus::is_passing")]
+    pub health: HealthStatus,
 }
 
 impl EndpointEntry {
-    /// About the bytes of its line, never less.
+    /// Bytes of the entry as JSON, rounded up.
     pub fn size(&self) -> usize {
-        line_size(&self.address, [&self.uid, &self.zone, &self.kind])
+        entry_size(&self.address, [&self.uid, &self.zone, &self.kind])
     }
 }
 
-/// About the bytes of a line with this address and these names, never less.
-fn line_size(endpoint: &SocketAddr, names: [&str; 3]) -> usize {
-    let address = if endpoint.is_ipv4() { IPV4_SIZE } else { IPV6_SIZE };
+/// Bytes of an entry with this address and these names as JSON, rounded up.
+fn entry_size(address: &SocketAddr, names: [&str; 3]) -> usize {
+    let address_bytes = if address.is_ipv4() { IPV4_BYTES } else { IPV6_BYTES };
     let name_size = |name: &str| {
         let escaped = name.bytes().filter(|byte| matches!(byte, 0..0x20 | b'"' | b'\\' | 0x7f));
-        name.len() + escaped.count() * ESCAPE_SIZE
+        name.len() + escaped.count() * ESCAPE_BYTES
     };
-    LINE_SIZE + address + names.into_iter().map(name_size).sum::<usize>()
+    ENTRY_BYTES + address_bytes + names.into_iter().map(name_size).sum::<usize>()
 }
 
-/// The whole list, or what has changed in it.
+/// An event of the watch: the whole list, or what has changed in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Version of the list after this news.
+    /// Version of the list after this event.
     #[serde(rename = "rev")]
     pub version: u64,
     /// Whether this is the whole list.
@@ -129,7 +76,7 @@
     /// The entries.
     #[serde(rename = "targets")]
     pub endpoints: Vec<EndpointEntry>,
-    /// Who told it: the id of a catalogue; empty for discovery.
+    /// Its source: the id of a catalogue; empty for discovery.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub origin: String,
 }
--- a/crates/core/tests/wire_settings.rs
+++ b/crates/core/tests/wire_settings.rs
@@ -1,7 +1,7 @@
 //! Protects the settings JSON that the platform and the simulator write: the name of each field and of each choice, and
 //! what becomes of it; and the form in which the list of endpoints is written.
 
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent, parse_list};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent, parse_list};
 use orchidyoke_core::interface::{
     CapacityHints, Class, DeduplicationScope, DestinationKind, DiscoveryMode, Idempotency, Settings,
     WeightDecay,
@@ -125,9 +125,9 @@
         version: 41,
         is_snapshot: false,
         endpoints: vec![
-            target("s-1", "10.1.0.18:8000", ListedState::Active, HealthChecks::Passing),
-            target("s-2", "[fd00::1]:8000", ListedState::Draining, HealthChecks::Warning),
-            target("s-3", "10.1.0.19:8000", ListedState::Removed, HealthChecks::Critical),
+            target("s-1", "10.1.0.18:8000", EndpointState::Active, HealthStatus::Passing),
+            target("s-2", "[fd00::1]:8000", EndpointState::Draining, HealthStatus::Warning),
+            target("s-3", "10.1.0.19:8000", EndpointState::Removed, HealthStatus::Critical),
         ],
         origin: "consul:5be2".to_owned(),
     };
--- a/crates/experiments/src/consul_scale.rs
+++ b/crates/experiments/src/consul_scale.rs
@@ -11,7 +11,7 @@
 use crate::statistics::percentile;
 use crate::test_bed::{RunningForwarder, TestBed};
 use journal_tail::JournalTail;
-use orchidyoke_core::endpoint_list::ListedState;
+use orchidyoke_core::endpoint_list::EndpointState;
 use orchidyoke_fakes::consul::{ConsulFault, Instance};
 use orchidyoke_fakes::destination::CapacityModel;
 use rand::rngs::StdRng;
@@ -179,7 +179,7 @@
 /// A change in Consul whose decision has not been seen.
 struct PendingChange {
     made_at: Instant,
-    expected: ListedState,
+    expected: EndpointState,
 }
 
 /// Changes to the catalogue: a draining tag is set on an instance, or removed.
@@ -224,10 +224,10 @@
     fn make(&mut self, tail: &JournalTail) {
         let instance = self.instances[self.rng.random_range(0..self.instances.len())];
         let uid = instance.uid();
-        let drained = tail.list.get(&uid).is_some_and(|listed| listed.state == ListedState::Draining);
+        let drained = tail.list.get(&uid).is_some_and(|listed| listed.state == EndpointState::Draining);
         if let Entry::Vacant(place) = self.pending.entry(uid) {
             self.bed.consul.set_tag(&instance.node(), &instance.id(), "draining", !drained);
-            let expected = if drained { ListedState::Active } else { ListedState::Draining };
+            let expected = if drained { EndpointState::Active } else { EndpointState::Draining };
             place.insert(PendingChange { made_at: Instant::now(), expected });
         }
     }
--- a/crates/experiments/src/consul_scale/journal_tail.rs
+++ b/crates/experiments/src/consul_scale/journal_tail.rs
@@ -1,6 +1,6 @@
 //! Follows a forwarder's journal as it grows and is compacted, for the updates of the endpoint list in it.
 
-use orchidyoke_core::endpoint_list::{EndpointList, ListedState};
+use orchidyoke_core::endpoint_list::{EndpointList, EndpointState};
 use orchidyoke_journal::{Record, replay};
 use std::fs::File;
 use std::io::Read;
@@ -12,7 +12,7 @@
     /// Its uid.
     pub uid: String,
     /// Its new state.
-    pub state: ListedState,
+    pub state: EndpointState,
 }
 
 /// The file under the journal's name when it was opened; a compaction puts another one in its place.
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -4,15 +4,15 @@
 use super::shape::Shape;
 use super::{DISK, S, START, ids};
 use bytes::Bytes;
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::config::Config;
-use orchidyoke_forwarder::console::{self, Reply as Said};
-use orchidyoke_forwarder::hop_call::{Call, Cause, EndpointCallError, Progress, Reply};
+use orchidyoke_forwarder::connection_pool::EndpointConnectionId;
+use orchidyoke_forwarder::console::{self, ConsoleReply as Said};
+use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply, Progress};
 use orchidyoke_forwarder::input::{Effect, Input, RequestId, Submission, SubmitAnswer, WatchSource};
-use orchidyoke_forwarder::ownership::Marked;
-use orchidyoke_forwarder::pool::EndpointConnectionId;
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{FinalAnswer, Record, replay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -25,7 +25,7 @@
     pub address: String,
     pub up: bool,
     pub until: Micros,
-    pub call: Option<Call>,
+    pub call: Option<EndpointCall>,
     /// When it was written, and in which building.
     pub sent: (Micros, String),
 }
@@ -226,11 +226,11 @@
                 assert!(self.links.insert(link, new).is_none());
             }
             Effect::SendCall { connection: link, call } => {
-                self.written += call.parts.len() as u64;
+                self.written += call.messages.len() as u64;
                 self.write(link, call);
                 return Some(Input::CallWritten { connection: link });
             }
-            Effect::CloseConnection { connection: link } => return self.close(link, Cause::CalledOff),
+            Effect::CloseConnection { connection: link } => return self.close(link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::PostNotifications { notifications: notices, .. } => {
                 assert!(self.posting.replace(notices).is_none())
@@ -239,7 +239,8 @@
                 let (port, since) = followed(&from);
                 self.follows.push((watch, port, since));
                 // What it has missed while it was dead is told at once.
-                let targets = self.list.iter().filter(|t| t.state != ListedState::Removed).cloned().collect();
+                let targets =
+                    self.list.iter().filter(|t| t.state != EndpointState::Removed).cloned().collect();
                 let news = WatchEvent {
                     version: self.rev,
                     is_snapshot: true,
@@ -258,13 +259,13 @@
         None
     }
 
-    pub fn write(&mut self, link: EndpointConnectionId, call: Call) {
+    pub fn write(&mut self, link: EndpointConnectionId, call: EndpointCall) {
         let out: Vec<&str> = self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
         assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
         let link = self.links.get_mut(&link).expect("open");
         assert!(link.up && link.call.is_none(), "one call at a time, on a connection that is up");
         let target = self.list.iter().find(|t| t.address.to_string() == link.address).expect("listed");
-        assert_eq!(target.state, ListedState::Active, "nothing new to an endpoint that drains or is gone");
+        assert_eq!(target.state, EndpointState::Active, "nothing new to an endpoint that drains or is gone");
         assert!(!self.out.contains(&target.uid), "nothing new to one that is out by hand");
         let route = self.shape.route(target);
         assert!(self.waits.get(&route).is_none_or(|until| *until <= self.now), "a wait is kept");
@@ -288,9 +289,9 @@
             fate.calls += 1;
             assert!(fate.calls <= self.shape.attempts(), "attempts, restarts or not");
         }
-        for part in &call.parts {
-            let orders = self.fates[&part.txn].orders;
-            assert_eq!(part.key, self.shape.key(&part.txn, orders), "the key as it came");
+        for part in &call.messages {
+            let orders = self.fates[&part.id].orders;
+            assert_eq!(part.idempotency_key, self.shape.key(&part.id, orders), "the key as it came");
         }
         link.call = Some(call);
     }
@@ -336,7 +337,7 @@
             destination: dest,
             time_left,
             is_retry: false,
-            handover_mark: Marked::No,
+            handover_mark: ReceivedMark::Absent,
             body,
         };
         self.input(Input::Submitted { request: ticket, message });
@@ -357,7 +358,7 @@
         let mut body = String::new();
         for (number, txn) in ids(&call).enumerate() {
             let fate = self.fates.get_mut(txn).expect("submitted");
-            let deferred = call.bulk && number % 3 == 2;
+            let deferred = call.is_bulk && number % 3 == 2;
             fate.delivered |= status == 200 && !deferred;
             if status == 500 || status == 200 && !deferred {
                 fate.may_have_run = true;
@@ -375,7 +376,13 @@
             *wait = until.max(*wait);
         }
         let body = Bytes::from(body + "]");
-        let reply = Reply { status, wait_ms, bulk: call.bulk, body, ..Reply::default() };
+        let reply = EndpointReply {
+            status,
+            retry_after_ms: wait_ms,
+            is_bulk: call.is_bulk,
+            body,
+            ..EndpointReply::default()
+        };
         let reusable = how < 200;
         if !reusable {
             self.links.remove(&id);
@@ -388,7 +395,8 @@
         let end = self.now + span;
         loop {
             let dials = self.links.iter().filter(|(_, l)| !l.up).map(|(id, l)| (l.until, *id));
-            let calls = self.links.iter().filter_map(|(id, l)| l.call.as_ref().map(|call| (call.due, *id)));
+            let calls =
+                self.links.iter().filter_map(|(id, l)| l.call.as_ref().map(|call| (call.deadline, *id)));
             let timeout = dials.chain(calls).min();
             let wake = self.reducer.wake_at().unwrap_or(Micros::MAX);
             let next = timeout.map_or(wake, |(at, _)| at.min(wake));
@@ -437,23 +445,25 @@
     }
 
     /// An operator's call; whether the reply was a yes.
-    pub fn operate(&mut self, call: console::Call) -> bool {
+    pub fn operate(&mut self, call: console::Command) -> bool {
         let ticket = self.replies.keys().last().map_or(0, |ticket| ticket + 1);
         self.input(Input::Operator { request: ticket, call });
-        matches!(self.replies[&ticket], Said::Yes(_))
+        matches!(self.replies[&ticket], Said::Done(_))
     }
 
     /// Each message is counted once: what was taken has ended once or is still open.
     pub fn check_figures(&self) {
-        let (figures, gauges) = (self.reducer.figures(), self.reducer.gauges());
-        assert_eq!(figures.open(), gauges.concurrent as u64, "taken is ended and concurrent");
-        let ends: u64 = figures.ends().values().map(|ends| ends.all()).sum();
-        assert_eq!(ends, figures.taken() - figures.open() + self.turned_away);
+        let (figures, gauges) = (self.reducer.metrics(), self.reducer.gauges());
+        assert_eq!(figures.open_messages(), gauges.open_messages as u64, "taken is ended and concurrent");
+        let ends: u64 = figures.ends().values().map(|ends| ends.total()).sum();
+        assert_eq!(ends, figures.accepted() - figures.open_messages() + self.turned_away);
         assert_eq!(figures.dispatches(), self.written);
-        let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().targets);
-        let in_list = self.list.iter().filter(|t| t.state != ListedState::Removed);
+        let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().endpoints);
+        let in_list = self.list.iter().filter(|t| t.state != EndpointState::Removed);
         assert_eq!(in_list.clone().count(), listed);
-        assert!(in_list.filter(out).count() <= gauges.targets_disabled && gauges.targets_disabled <= listed);
+        assert!(
+            in_list.filter(out).count() <= gauges.avoided_endpoints && gauges.avoided_endpoints <= listed
+        );
     }
 
     /// All that was taken on has its end when its time is up.
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -6,16 +6,16 @@
 
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::{
-    EndpointEntry, EndpointList, HealthChecks, ListedState, MAX_ENTRIES, WatchEvent,
+    EndpointEntry, EndpointList, EndpointState, HealthStatus, MAX_ENTRIES, WatchEvent,
 };
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console;
-use orchidyoke_forwarder::discovery::{Ended, follow};
-use orchidyoke_forwarder::input::{Effect, Input, SiblingUpdate, WatchSource};
+use orchidyoke_forwarder::discovery::{WatchEnd, follow};
+use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, WatchSource};
 use orchidyoke_forwarder::reducer::Reducer;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_journal::{Record, replay};
 use std::cell::RefCell;
 use std::fs;
@@ -39,9 +39,9 @@
         zone: "a".to_owned(),
         kind: "one".to_owned(),
         destination: number as u64,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 20.0,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     }
 }
 
@@ -129,7 +129,7 @@
 
     /// Endpoints as the forwarder holds them.
     fn listed(&self) -> usize {
-        self.reducer.gauges().targets
+        self.reducer.gauges().endpoints
     }
 }
 
@@ -140,19 +140,19 @@
     let mut world = World::start(config(targets(4)), Vec::new());
     assert!(world.news(news(2, true, targets(LISTED))) > 100 * LISTED, "it is written");
     assert_eq!(world.listed(), LISTED);
-    let draining = EndpointEntry { state: ListedState::Draining, ..target(LISTED / 2) };
+    let draining = EndpointEntry { state: EndpointState::Draining, ..target(LISTED / 2) };
     for (rev, changed) in [(3, draining.clone()), (4, target(LISTED)), (5, target(0))] {
         let written = world.news(news(rev, false, vec![changed]));
         assert!(written < SMALL_RECORD, "version {rev}: {written} bytes");
     }
-    let out = console::Call::DisableServer(target(7).uid);
+    let out = console::Command::DisableServer(target(7).uid);
     assert!(world.input(Input::Operator { request: 1, call: out }) < SMALL_RECORD);
 
     let mut world = World::start(config(targets(4)), world.file);
     assert_eq!(world.listed(), LISTED + 1);
     let map = world.journaled();
     assert_eq!((map.version(), map.len()), (5, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(ListedState::Draining));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
     assert!(world.news(news(6, false, vec![target(1)])) < SMALL_RECORD);
     let size = world.file.len();
     let world = World::start(config(targets(4)), world.file);
@@ -164,20 +164,20 @@
 fn a_change_heard_by_another_process_is_written_as_a_change() {
     let mut world = World::start(config(targets(4)), Vec::new());
     world.news(news(2, true, targets(LISTED)));
-    let draining = EndpointEntry { state: ListedState::Draining, ..target(5) };
-    let gone = EndpointEntry { state: ListedState::Removed, ..target(6) };
+    let draining = EndpointEntry { state: EndpointState::Draining, ..target(5) };
+    let gone = EndpointEntry { state: EndpointState::Removed, ..target(6) };
     let heard = [
         news(2, true, targets(LISTED)),
         news(3, false, vec![draining.clone(), gone.clone(), target(LISTED), target(LISTED + 1)]),
     ];
     let records = heard.into_iter().map(|news| (Record::EndpointList(news), Bytes::new())).collect();
     let shown =
-        vec![SiblingUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
-    let written = world.input(Input::Siblings { updates: shown, gone: Vec::new() });
+        vec![OtherProcessUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
+    let written = world.input(Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() });
     assert!(written < 2 * SMALL_RECORD, "{written} bytes");
     let map = world.journaled();
     assert_eq!((map.version(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(ListedState::Draining));
+    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
     assert!(map.get(&gone.uid).is_none() && map.get(&target(LISTED).uid).is_some());
 }
 
@@ -242,7 +242,7 @@
     let (watch, since) = since.expect("it is asked for again");
     assert!(watch > asked && since == 2, "watch {watch} from version {since}");
     world.watch = watch;
-    let gone = EndpointEntry { state: ListedState::Removed, ..target(0) };
+    let gone = EndpointEntry { state: EndpointState::Removed, ..target(0) };
     assert!(world.news(news(5, false, vec![gone, target(MAX_ENTRIES)])) > 0);
     assert_eq!(world.listed(), MAX_ENTRIES);
 }
@@ -274,10 +274,10 @@
         Folder(path)
     }
 
-    fn source(&self, text: &str) -> Source {
+    fn source(&self, text: &str) -> ConfigSource {
         let path = self.0.join("config.json");
         fs::write(&path, text).expect("writes");
-        Source { path, ..Source::default() }
+        ConfigSource { path, ..ConfigSource::default() }
     }
 }
 
@@ -289,7 +289,7 @@
 
 /// Follows a far end that writes these chunks, with a pause after each, and closes. What was told, how it ended, and
 /// after what time.
-async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, Ended, Duration) {
+async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let far_end = async {
@@ -339,8 +339,8 @@
         ("malformed in its last entry", text.replace(&last, "\"uid\":7"), "no list"),
     ] {
         let (told, ended, _) = followed(in_chunks(&text, 200_000), Duration::ZERO).await;
-        assert!(told.is_empty() && ended.why.contains(why), "{what}: {ended:?}");
-        assert_eq!(ended.why.lines().count(), 1, "{what}: {ended:?}");
+        assert!(told.is_empty() && ended.reason.contains(why), "{what}: {ended:?}");
+        assert_eq!(ended.reason.lines().count(), 1, "{what}: {ended:?}");
     }
 }
 
--- a/crates/forwarder/tests/wire_config.rs
+++ b/crates/forwarder/tests/wire_config.rs
@@ -1,6 +1,6 @@
 //! Protects the platform's configuration as a file: the name of each field, and what becomes of it.
 
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_core::interface::{
     CapacityHints, Class, DestinationKind, DiscoveryMode, Idempotency, Settings, WeightDecay,
 };
@@ -14,24 +14,24 @@
     let config = Config::read(FULL, None, None).expect("a configuration");
     assert_eq!(config.name, "n7");
     assert_eq!(config.listen.to_string(), "127.0.0.1:8001");
-    assert_eq!(config.discovery.given, None);
-    assert_eq!(config.discovery.file.to_string(), "127.0.0.1:8502");
+    assert_eq!(config.discovery.from_command_line, None);
+    assert_eq!(config.discovery.configured.to_string(), "127.0.0.1:8502");
     assert_eq!(config.console.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:8003"));
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!((config.limits.sockets, config.limits.disk_mb), (1025, 3.5));
-    assert!(config.policy_out.iter().map(String::as_str).eq(["s-1", "s-9"]));
+    assert_eq!((config.limits.max_descriptors, config.limits.disk_mb), (1025, 3.5));
+    assert!(config.policy_ejected.iter().map(String::as_str).eq(["s-1", "s-9"]));
     let targets = vec![EndpointEntry {
         uid: "s-1".to_owned(),
         address: "127.0.0.1:8600".parse().expect("an address"),
         zone: "a".to_owned(),
         kind: "shops".to_owned(),
         destination: 7,
-        state: ListedState::Draining,
+        state: EndpointState::Draining,
         capacity_hint: 10.5,
-        health: HealthChecks::Critical,
+        health: HealthStatus::Critical,
     }];
     assert_eq!(
-        config.known,
+        config.initial_list,
         WatchEvent { version: 3, is_snapshot: true, endpoints: targets, origin: "consul:5be2".to_owned() }
     );
     assert_eq!(config.settings.max_calls, 14);
@@ -43,23 +43,23 @@
 fn the_example_is_read_as_before() {
     let config = Config::read(EXAMPLE, Some("127.0.0.1:1"), Some("127.0.0.1:2")).expect("a configuration");
     assert_eq!((&config.name[..], config.listen.port()), ("n0", 1));
-    assert_eq!(config.discovery.given.map(|at| at.port()), Some(2));
-    assert_eq!(config.discovery.file.port(), 8500);
-    assert!(config.console.is_none() && config.policy_out.is_empty());
-    assert_eq!((config.limits.sockets, config.limits.disk_mb), (1024, 3.0));
+    assert_eq!(config.discovery.from_command_line.map(|at| at.port()), Some(2));
+    assert_eq!(config.discovery.configured.port(), 8500);
+    assert!(config.console.is_none() && config.policy_ejected.is_empty());
+    assert_eq!((config.limits.max_descriptors, config.limits.disk_mb), (1024, 3.0));
     let target = |uid: &str, port: u16, pod_group| EndpointEntry {
         uid: uid.to_owned(),
         address: ([127, 0, 0, 1], port).into(),
         zone: "a".to_owned(),
         kind: "shops".to_owned(),
         destination: pod_group,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 10.0,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     };
     let targets = vec![target("s-good", 8600, 7), target("s-bad", 8601, 8)];
     assert_eq!(
-        config.known,
+        config.initial_list,
         WatchEvent { version: 1, is_snapshot: true, endpoints: targets, origin: String::new() }
     );
     let class = |aim, deadline, late_share, effect| Class {
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -10,10 +10,10 @@
 use common::{S, START, shape::Shape};
 use golden::assert_golden;
 use orchidyoke_core::interface::{DestinationId, Micros};
-use orchidyoke_forwarder::console::{Call, LONGEST_LINE, Reply, read};
-use orchidyoke_forwarder::figures::{End, Figures, Gauges};
+use orchidyoke_forwarder::console::{Command, ConsoleReply, MAX_LINE_BYTES, parse_input};
 use orchidyoke_forwarder::input::{Effect, Input, PolicyStatus, RequestId, Submission, SubmitAnswer};
-use orchidyoke_forwarder::ownership::{Mark, Marked, OfferEnd, Owner, Owners, Peer};
+use orchidyoke_forwarder::metrics::{Gauges, MessageEnd, Metrics};
+use orchidyoke_forwarder::ownership::{HandoverMark, OfferOutcome, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_forwarder::reducer::Reducer;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 #[test]
 fn lines_that_are_no_call_are_answered_as_before() {
-    let long = [vec![b'x'; LONGEST_LINE + 1], b"\n".to_vec()].concat();
+    let long = [vec![b'x'; MAX_LINE_BYTES + 1], b"\n".to_vec()].concat();
     let lines: [&[u8]; 12] = [
         b"\n",
         b"  \r\n",
@@ -38,13 +38,13 @@
     ];
     let mut said = String::new();
     for line in lines {
-        let error = read(line).expect("a whole line").expect_err("no call");
+        let error = parse_input(line).expect("a whole line").expect_err("no call");
         let text = String::from_utf8_lossy(&line[..line.len().min(40)]).escape_debug().to_string();
-        said += &format!("> {text}\n< {}", Reply::from(error));
+        said += &format!("> {text}\n< {}", ConsoleReply::from(error));
     }
     assert_golden("console_errors.txt", &said);
-    let endless = read(&long[..=LONGEST_LINE]).expect("too long").expect_err("no call");
-    assert_eq!(Reply::from(endless).to_string(), "400 the line is too long\n");
+    let endless = parse_input(&long[..=MAX_LINE_BYTES]).expect("too long").expect_err("no call");
+    assert_eq!(ConsoleReply::from(endless).to_string(), "400 the line is too long\n");
 }
 
 /// A reducer whose appends are stored at once, or cannot be.
@@ -94,13 +94,13 @@
 
     /// Says a line at the console; the reply.
     fn say(&mut self, line: &str) -> String {
-        let call: Call = read(format!("{line}\n").as_bytes()).expect("whole").expect("a call");
+        let call: Command = parse_input(format!("{line}\n").as_bytes()).expect("whole").expect("a call");
         self.tickets += 1;
         self.input(Input::Operator { request: self.tickets, call });
         format!("> {line}\n< {}", self.replies.pop().expect("a reply"))
     }
 
-    fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: Marked) {
+    fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: ReceivedMark) {
         self.tickets += 1;
         let message = Submission {
             id: txn.to_owned(),
@@ -119,9 +119,9 @@
         self.input(Input::TimerDue);
     }
 
-    fn offer_ends(&mut self, end: OfferEnd) {
+    fn offer_ends(&mut self, end: OfferOutcome) {
         let id = self.offers.pop_front().expect("an offer");
-        self.input(Input::OfferEnded { id, end });
+        self.input(Input::OfferEnded { id, outcome: end });
     }
 }
 
@@ -146,7 +146,7 @@
     said += &forwarder.say("disable-server s-c");
     let figures = "lines of the fleet's policy 1\n".to_owned();
     let unready_reason = Some("a reason of the fleet's policy".to_owned());
-    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, figures }));
+    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, metrics: figures }));
     said += &forwarder.say("ready");
     said += &forwarder.say("show-stat");
     assert_golden("console_replies.txt", &said);
@@ -154,20 +154,20 @@
 
 #[test]
 fn metric_names_stay_the_same() {
-    let mut figures = Figures::default();
-    figures.name(&["orders".to_owned(), "st\"at\\us".to_owned()]);
-    figures.took(9);
+    let mut figures = Metrics::default();
+    figures.register_classes(&["orders".to_owned(), "st\"at\\us".to_owned()]);
+    figures.on_accepted(9);
     for class in ["orders", "st\"at\\us"] {
-        figures.delivered(class, Some(1_000));
-        figures.delivered(class, Some(1_000));
-        figures.delivered(class, Some(40_000));
-        figures.ended(class, End::Error);
-        figures.turned_away(class, End::Overload);
+        figures.on_delivered(class, Some(1_000));
+        figures.on_delivered(class, Some(1_000));
+        figures.on_delivered(class, Some(40_000));
+        figures.on_ended(class, MessageEnd::Error);
+        figures.on_rejected(class, MessageEnd::Overload);
     }
-    figures.handed_over();
-    figures.dispatched(11);
-    let gauges = Gauges { concurrent: 12, targets: 13, targets_disabled: 14 };
-    let said = format!("{}\n{}", figures.lines(gauges), figures.latency_lines());
+    figures.on_handed_over();
+    figures.on_dispatched(11);
+    let gauges = Gauges { open_messages: 12, endpoints: 13, avoided_endpoints: 14 };
+    let said = format!("{}\n{}", figures.render(gauges), figures.render_latency());
     assert_golden("metrics.txt", &said);
 }
 
@@ -187,21 +187,21 @@
     }
 
     fn owner_of(&self, destination: DestinationId) -> Owner {
-        match (destination, self.member(PEER)) {
+        match (destination, self.member_address(PEER)) {
             (1, Some(address)) => Owner::Peer(Peer { name: PEER.to_owned(), address }),
             _ => Owner::Local,
         }
     }
 
-    fn member(&self, name: &str) -> Option<SocketAddr> {
+    fn member_address(&self, name: &str) -> Option<SocketAddr> {
         (name == PEER).then(|| ([127, 0, 0, 1], 9).into())
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         2
     }
 
-    fn owners_of_each(&self) -> u32 {
+    fn owners_per_destination(&self) -> u32 {
         1
     }
 }
@@ -212,18 +212,24 @@
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
     let deadline = forwarder.now + 6 * S;
     let mark = |from: &str| {
-        Marked::Yes(Mark { from: from.to_owned(), deadline, valid_until: deadline, attempts: 0, ran: None })
+        ReceivedMark::Valid(HandoverMark {
+            from: from.to_owned(),
+            deadline,
+            valid_until: deadline,
+            attempts: 0,
+            possible_delivery: None,
+        })
     };
     forwarder.submit("from-a-member", 2, Some("acme"), mark(PEER));
     forwarder.submit("from-a-stranger", 3, Some("acme"), mark("n9"));
-    forwarder.submit("taken", 1, Some("acme"), Marked::No);
-    forwarder.offer_ends(OfferEnd::Taken);
-    forwarder.submit("unanswered", 1, Some("acme"), Marked::No);
-    forwarder.offer_ends(OfferEnd::Unanswered("no answer".to_owned()));
-    forwarder.submit("unreached", 1, Some("acme"), Marked::No);
+    forwarder.submit("taken", 1, Some("acme"), ReceivedMark::Absent);
+    forwarder.offer_ends(OfferOutcome::Accepted);
+    forwarder.submit("unanswered", 1, Some("acme"), ReceivedMark::Absent);
+    forwarder.offer_ends(OfferOutcome::InDoubt("no answer".to_owned()));
+    forwarder.submit("unreached", 1, Some("acme"), ReceivedMark::Absent);
     for _ in 0..40 {
         while !forwarder.offers.is_empty() {
-            forwarder.offer_ends(OfferEnd::Unreached("nobody there".to_owned()));
+            forwarder.offer_ends(OfferOutcome::NotSent("nobody there".to_owned()));
         }
         forwarder.now += S / 10;
         forwarder.input(Input::TimerDue);
@@ -234,9 +240,9 @@
 #[test]
 fn what_a_submission_lacks_is_said_as_before() {
     let mut forwarder = Forwarder::new(Shape::First);
-    forwarder.submit("no-tenant", 2, None, Marked::No);
+    forwarder.submit("no-tenant", 2, None, ReceivedMark::Absent);
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
-    forwarder.submit("bad-mark", 2, Some("acme"), Marked::Malformed);
+    forwarder.submit("bad-mark", 2, Some("acme"), ReceivedMark::Malformed);
     let mut keyed = Forwarder::new(Shape::Second);
     keyed.tickets += 1;
     let message = Submission {
@@ -247,7 +253,7 @@
         destination: 1,
         time_left: S,
         is_retry: false,
-        handover_mark: Marked::No,
+        handover_mark: ReceivedMark::Absent,
         body: Bytes::new(),
     };
     keyed.input(Input::Submitted { request: keyed.tickets, message });
--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -6,16 +6,16 @@
 
 use bytes::Bytes;
 use golden::{assert_golden, side, whole_length};
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_core::interface::Outcome;
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::discovery::follow;
-use orchidyoke_forwarder::hop_call::{Call, Part, Reply, ends};
+use orchidyoke_forwarder::endpoint_call::{CallMessage, EndpointCall, EndpointReply, message_results};
+use orchidyoke_forwarder::endpoint_connection::run;
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::next_hop::run;
-use orchidyoke_forwarder::notices::post;
-use orchidyoke_forwarder::ownership::{Mark, Offer, OfferEnd};
-use orchidyoke_forwarder::peer_call::PeerConnections;
+use orchidyoke_forwarder::notifications::post;
+use orchidyoke_forwarder::ownership::{HandoverMark, OfferOutcome, OutgoingOffer};
+use orchidyoke_forwarder::peer_call::{OfferTimes, PeerConnections};
 use orchidyoke_journal::{AcceptedMessage, AttemptStart, FinalAnswer, HandoverState};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
 }
 
 /// Makes a call to an endpoint that gives this answer.
-fn call(call: Call, answer: &str) -> (Vec<u8>, Reply) {
+fn call(call: EndpointCall, answer: &str) -> (Vec<u8>, EndpointReply) {
     asked(answer, async |at| {
         let ((orders, taken), (sender, mut inputs)) = (unbounded_channel(), unbounded_channel());
         tokio::task::spawn_local(run(1, at, soon(), taken, sender));
@@ -67,17 +67,26 @@
     })
 }
 
-fn part(txn: &str, key: Option<&str>, body: &'static [u8]) -> Part {
-    Part { txn: txn.to_owned(), key: key.map(str::to_owned), body: Bytes::from_static(body) }
+fn part(txn: &str, key: Option<&str>, body: &'static [u8]) -> CallMessage {
+    CallMessage {
+        id: txn.to_owned(),
+        idempotency_key: key.map(str::to_owned),
+        body: Bytes::from_static(body),
+    }
 }
 
-fn single(key: Option<&str>) -> Call {
-    Call { parts: vec![part("9b1f03aa5c7e2d41", key, b"hello")], bulk: false, remaining: 1_500_000, due: 0 }
+fn single(key: Option<&str>) -> EndpointCall {
+    EndpointCall {
+        messages: vec![part("9b1f03aa5c7e2d41", key, b"hello")],
+        is_bulk: false,
+        time_left: 1_500_000,
+        deadline: 0,
+    }
 }
 
-fn several() -> Call {
-    let parts = vec![part("9b1f", Some("5c\"0f"), b"hello"), part("9b20", None, b"\xff\x00")];
-    Call { parts, bulk: true, remaining: 2_000_400, due: 0 }
+fn several() -> EndpointCall {
+    let messages = vec![part("9b1f", Some("5c\"0f"), b"hello"), part("9b20", None, b"\xff\x00")];
+    EndpointCall { messages, is_bulk: true, time_left: 2_000_400, deadline: 0 }
 }
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -85,7 +94,7 @@
 #[test]
 fn calls_to_endpoints_stay_the_same() {
     let ends = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]";
-    let one = Call { parts: several().parts[..1].to_vec(), ..several() };
+    let one = EndpointCall { messages: several().messages[..1].to_vec(), ..several() };
     let said = [(single(None), OK), (single(Some("5c0f6e1a")), OK), (several(), ends), (one, ends)]
         .map(|(it, answer)| side("> ", &call(it, answer).0));
     assert_golden("calls.txt", &said.join("\n"));
@@ -96,23 +105,30 @@
     let told = "HTTP/1.1 503 Service Unavailable\r\nX-Come-Back-Ms: 250\r\nX-Line-Busy: 1\r\n\
                 X-Pressure: x0=0.4,x1=25\r\nContent-Length: 4\r\n\r\nbusy";
     let (_, reply) = call(single(None), told);
-    assert_eq!((reply.status, reply.wait_ms, reply.line_busy), (503, 250, true));
-    assert_eq!((reply.limit, reply.left, reply.bulk), (Some(25.0), Some(0.4), false));
+    assert_eq!((reply.status, reply.retry_after_ms, reply.line_busy), (503, 250, true));
+    assert_eq!(
+        (reply.reported_limit, reply.reported_remaining, reply.is_bulk),
+        (Some(25.0), Some(0.4), false)
+    );
     assert_eq!(reply.body, Bytes::from_static(b"busy"));
     let (_, reply) = call(single(None), OK);
-    assert_eq!((reply.status, reply.wait_ms, reply.line_busy), (200, 0, false));
-    assert_eq!((reply.limit, reply.left), (None, None));
+    assert_eq!((reply.status, reply.retry_after_ms, reply.line_busy), (200, 0, false));
+    assert_eq!((reply.reported_limit, reply.reported_remaining), (None, None));
 }
 
 #[test]
 fn each_state_in_an_answer_for_several_is_read_by_its_word() {
     let body = r#"[{"id":"a","state":"accepted"},{"id":"b","state":"fault"},{"id":"c","state":"deferred"},
         {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
-    let reply =
-        Reply { status: 200, bulk: true, body: Bytes::from_static(body.as_bytes()), ..Reply::default() };
+    let reply = EndpointReply {
+        status: 200,
+        is_bulk: true,
+        body: Bytes::from_static(body.as_bytes()),
+        ..EndpointReply::default()
+    };
     assert!(reply.is_readable());
-    let got = ends(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
-    let got: Vec<_> = got.iter().map(|end| (end.outcome, end.over)).collect();
+    let got = message_results(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
+    let got: Vec<_> = got.iter().map(|end| (end.outcome, end.message_finished)).collect();
     let expected = [
         (Outcome::Success, false),
         (Outcome::Error, false),
@@ -172,36 +188,36 @@
     let bare = EndpointEntry {
         zone: String::new(),
         kind: String::new(),
-        ..target("s-3", ListedState::Removed, 0.0, HealthChecks::Passing)
+        ..target("s-3", EndpointState::Removed, 0.0, HealthStatus::Passing)
     };
     let expected = [
         WatchEvent {
             version: 41,
             is_snapshot: true,
             endpoints: vec![
-                target("s-1", ListedState::Active, 1.5, HealthChecks::Passing),
-                target("s-2", ListedState::Active, 2.5, HealthChecks::Warning),
+                target("s-1", EndpointState::Active, 1.5, HealthStatus::Passing),
+                target("s-2", EndpointState::Active, 2.5, HealthStatus::Warning),
             ],
             origin: String::new(),
         },
         WatchEvent {
             version: 43,
             is_snapshot: false,
-            endpoints: vec![target("s-1", ListedState::Draining, 1.5, HealthChecks::Critical), bare],
+            endpoints: vec![target("s-1", EndpointState::Draining, 1.5, HealthStatus::Critical), bare],
             origin: "consul:5be2".to_owned(),
         },
     ];
     assert_eq!(told, expected);
 }
 
-fn offer(to: SocketAddr, whole: bool) -> Box<Offer> {
+fn offer(owner_address: SocketAddr, whole: bool) -> Box<OutgoingOffer> {
     let ran = AttemptStart {
         started_at: 1_799_999_999_000_000,
         endpoint: "s-5be2a07c".to_owned(),
         zone: "b".to_owned(),
     };
     let deadline = 1_800_000_000_000_000;
-    let taken = AcceptedMessage {
+    let message = AcceptedMessage {
         id: "9b1f03aa5c7e2d41".to_owned(),
         class: "orders".to_owned(),
         tenant: if whole { "acme".to_owned() } else { String::new() },
@@ -213,24 +229,25 @@
         in_flight: None,
         handover: HandoverState::default(),
     };
-    let mark = Mark {
+    let mark = HandoverMark {
         from: "n1".to_owned(),
         deadline,
         valid_until: 1_800_000_000_400_000,
         attempts: 3,
-        ran: whole.then_some(ran),
+        possible_delivery: whole.then_some(ran),
     };
-    Box::new(Offer { id: 5, to, taken, body: Bytes::from_static(b"hello"), mark, until: 0 })
+    let body = Bytes::from_static(b"hello");
+    Box::new(OutgoingOffer { id: 5, owner_address, message, body, mark, answer_deadline: 0 })
 }
 
 /// Makes an offer that gets this answer; its end, and what was said, with the time left out.
-fn offered(answer: &str, whole: bool) -> (String, OfferEnd) {
+fn offered(answer: &str, whole: bool) -> (String, OfferOutcome) {
     let (said, end) = asked(answer, async |at| {
         let (sender, mut inputs) = unbounded_channel();
-        let until = soon();
-        Rc::new(PeerConnections::default()).offer(offer(at, whole), until, until, sender).await;
+        let times = OfferTimes { answer_deadline: soon(), message_deadline: soon() };
+        Rc::new(PeerConnections::default()).offer(offer(at, whole), times, sender).await;
         match inputs.recv().await {
-            Some(Input::OfferEnded { id: 5, end }) => end,
+            Some(Input::OfferEnded { id: 5, outcome }) => outcome,
             other => panic!("{other:?}"),
         }
     });
@@ -247,21 +264,21 @@
     let taken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     let (whole, bare) = (offered(taken, true), offered(taken, false));
     assert_golden("offers.txt", &format!("{}\n{}", whole.0, bare.0));
-    assert_eq!((whole.1, bare.1), (OfferEnd::Taken, OfferEnd::Taken));
+    assert_eq!((whole.1, bare.1), (OfferOutcome::Accepted, OfferOutcome::Accepted));
 }
 
 #[test]
 fn answers_to_an_offer_are_read_by_their_status_and_headers() {
     for (head, expected) in [
-        ("200 OK", OfferEnd::Taken),
-        ("503 Service Unavailable\r\nRetry-After: 1.250", OfferEnd::Refused(1_250_000)),
-        ("503 Service Unavailable\r\nX-Come-Back-Ms: 700", OfferEnd::Refused(700_000)),
-        ("400 Bad Request", OfferEnd::Refused(0)),
-        ("404 Not Found", OfferEnd::Refused(0)),
+        ("200 OK", OfferOutcome::Accepted),
+        ("503 Service Unavailable\r\nRetry-After: 1.250", OfferOutcome::Rejected(1_250_000)),
+        ("503 Service Unavailable\r\nX-Come-Back-Ms: 700", OfferOutcome::Rejected(700_000)),
+        ("400 Bad Request", OfferOutcome::Rejected(0)),
+        ("404 Not Found", OfferOutcome::Rejected(0)),
     ] {
         let (_, end) = offered(&format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"), true);
         assert_eq!(end, expected, "{head}");
     }
     let (_, end) = offered("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true);
-    assert!(matches!(end, OfferEnd::Unanswered(_)), "{end:?}");
+    assert!(matches!(end, OfferOutcome::InDoubt(_)), "{end:?}");
 }
--- a/crates/policy-commit/tests/wire_policy.rs
+++ b/crates/policy-commit/tests/wire_policy.rs
@@ -1,15 +1,14 @@
-//! Protects what a fleet keeps at its commit point and in its forwarders' folders, the policy that an operator writes, and
-//! the names of the figures: forwarders of two releases read one another's.
+//! The form of the commit point, of the files in forwarders' folders, of the policy that an operator writes, and the names of
+//! the metrics: forwarders of two releases read each other's.
 
-use orchidyoke_consul::locks::Row;
-use orchidyoke_forwarder::policy_agent::PolicyAgent;
-use orchidyoke_policy_commit::Follower;
-use orchidyoke_policy_commit::commit_point::{
-    Member, MemberStatus, NumberedPolicy, Policy, Settings, Vote, digest, members,
-};
+use orchidyoke_consul::locks::KeyEntry;
+use orchidyoke_forwarder::policy_participant::PolicyParticipant;
+use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, Vote, members_from_rows};
+use orchidyoke_policy_commit::policy::{Policy, VersionedPolicy, digest};
+use orchidyoke_policy_commit::{ConsulParticipant, Settings};
 use std::time::Duration;
 
-const NUMBERED: &str = include_str!("fixtures/wire/numbered.json");
+const VERSIONED: &str = include_str!("fixtures/wire/versioned-policy.json");
 const STATUS: &str = include_str!("fixtures/wire/status.json");
 const POLICY: &str = include_str!("fixtures/wire/policy.json");
 
@@ -22,31 +21,31 @@
     }
 }
 
-fn numbered() -> NumberedPolicy {
-    NumberedPolicy::new("5be2".to_owned(), 7, r#"{"out":["s-1"]}"#.to_owned(), "operator".to_owned())
+fn policy() -> VersionedPolicy {
+    VersionedPolicy::new("5be2".to_owned(), 7, r#"{"out":["s-1"]}"#.to_owned(), "operator".to_owned())
 }
 
 fn status() -> MemberStatus {
-    let vote = Some(Vote { proposal: "5be2".to_owned(), no: Some("slots: missing".to_owned()) });
-    MemberStatus { epoch: 6, vote, refuses: Some("zones: missing".to_owned()) }
+    let vote = Some(Vote { proposal_id: "5be2".to_owned(), rejection: Some("slots: missing".to_owned()) });
+    MemberStatus { version: 6, vote, unusable_reason: Some("zones: missing".to_owned()) }
 }
 
 #[test]
 fn keys_of_the_commit_point_stay_the_same() {
     let settings = settings();
-    assert_eq!(settings.epoch(), "fleet/policy/epoch/");
-    assert_eq!(settings.committed(), "fleet/policy/epoch/committed");
-    assert_eq!(settings.proposal(), "fleet/policy/epoch/proposal");
-    assert_eq!(settings.members(), "fleet/policy/members/");
-    let row = Row { key: "fleet/policy/members/n1.5".to_owned(), ..row(STATUS) };
+    assert_eq!(settings.commit_point_folder(), "fleet/policy/epoch/");
+    assert_eq!(settings.committed_key(), "fleet/policy/epoch/committed");
+    assert_eq!(settings.proposal_key(), "fleet/policy/epoch/proposal");
+    assert_eq!(settings.members_folder(), "fleet/policy/members/");
+    let row = KeyEntry { key: "fleet/policy/members/n1.5".to_owned(), ..row(STATUS) };
     let member = Member { id: "n1.5".to_owned(), status: Some(status()) };
-    assert_eq!(members(&settings, &[row]), [member]);
+    assert_eq!(members_from_rows(&settings, &[row]), [member]);
 }
 
 #[test]
 fn values_of_the_commit_point_are_written_and_read_as_before() {
-    assert_eq!(serde_json::to_string(&numbered()).expect("JSON") + "\n", NUMBERED);
-    assert_eq!(serde_json::from_str::<NumberedPolicy>(NUMBERED).expect("read"), numbered());
+    assert_eq!(serde_json::to_string(&policy()).expect("JSON") + "\n", VERSIONED);
+    assert_eq!(serde_json::from_str::<VersionedPolicy>(VERSIONED).expect("read"), policy());
     assert_eq!(serde_json::to_string(&status()).expect("JSON") + "\n", STATUS);
     assert_eq!(serde_json::from_str::<MemberStatus>(STATUS).expect("read"), status());
     assert_eq!(digest("{}"), include_str!("fixtures/wire/digest.txt").trim());
@@ -54,29 +53,29 @@
 
 #[test]
 fn each_field_of_a_policy_is_read_by_its_name() {
-    let policy = Policy::read(POLICY).expect("a policy");
-    assert_eq!(policy.out, ["s-1", "s-2"]);
+    let policy = Policy::parse(POLICY).expect("a policy");
+    assert_eq!(policy.excluded_endpoints, ["s-1", "s-2"]);
     assert_eq!(policy.settings["limits"]["try_limit"], 3);
-    let laid = policy.lay_over(r#"{"name":"n1","settings":{"limits":{"try_limit":8,"multiplex":1}}}"#);
+    let applied = policy.apply_to(r#"{"name":"n1","settings":{"limits":{"try_limit":8,"multiplex":1}}}"#);
     let expected =
         r#"{"name":"n1","policy_out":["s-1","s-2"],"settings":{"limits":{"multiplex":1,"try_limit":3}}}"#;
-    assert_eq!(laid.expect("laid over"), expected);
+    assert_eq!(applied.expect("applied"), expected);
     assert_eq!(serde_json::to_string(&policy).expect("JSON") + "\n", POLICY);
-    assert!(Policy::read(r#"{"output":[]}"#).is_err(), "a field that nobody knows");
+    assert!(Policy::parse(r#"{"output":[]}"#).is_err(), "an unknown field");
 }
 
 #[test]
-fn names_of_the_figures_of_a_policy_stay_the_same() {
+fn metric_names_of_a_policy_stay_the_same() {
     let folder = std::env::temp_dir().join(format!("policy-figures-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    std::fs::write(folder.join("policy-held.json"), NUMBERED).expect("written");
-    let figures = Follower::new(settings(), "n1", &folder).status().figures;
+    std::fs::write(folder.join("policy-held.json"), VERSIONED).expect("written");
+    let metrics = ConsulParticipant::new(settings(), "n1", &folder).status().metrics;
     std::fs::remove_dir_all(&folder).expect("cleans up");
-    assert_eq!(figures, "app_policy_epoch 7\napp_policy_contact 0\napp_policy_refused 0\n");
+    assert_eq!(metrics, "app_policy_epoch 7\napp_policy_contact 0\napp_policy_refused 0\n");
 }
 
-/// A key held by a session, as Consul tells of it.
-fn row(value: &str) -> Row {
+/// A key held by a session, as Consul returns it.
+fn row(value: &str) -> KeyEntry {
     let row = serde_json::json!({
         "Key": "", "Value": base64(value.as_bytes()), "Session": "adf4238a", "ModifyIndex": 9, "Flags": 0,
     });
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,11 +1,11 @@
 //! The program with Consul as the source of its transport map: real sockets, a stand-in Consul, kills and reloads.
 
-use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::certificates::CertificateAuthority;
 use orchidyoke_fakes::consul::{ConsulFault, Instance};
-use orchidyoke_fakes::destination::{Call, CapacityModel, Mode, OverloadBehavior};
-use orchidyoke_fakes::forwarder::{ForwarderConfig, endpoint_entry, submit_message};
-use orchidyoke_fakes::{ConsulServer, DestinationServer, DiscoveryServer, ForwarderProcess};
+use orchidyoke_fakes::forwarder::{ForwarderConfig, submit_message, endpoint_entry};
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::destination::{OverloadBehavior, CapacityModel, Call, Mode};
+use orchidyoke_fakes::{ConsulServer, ForwarderProcess, DestinationServer, DiscoveryServer};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -50,8 +50,8 @@
     /// An endpoint that discovery tells, one that Consul does, and a forwarder that follows discovery.
     fn with_both(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
         let listed = self.partner.open_endpoint();
-        let told = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
-            .to_string();
+        let told =
+            serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]}).to_string();
         self.platform.publish(&told);
         let from_consul = self.register("w1");
         self.folder.write("edge.star", "# nothing yet\n");
@@ -68,11 +68,7 @@
 
     fn start(&self) -> ForwarderProcess {
         let settings = self.folder.path().join("edge.star");
-        ForwarderProcess::start(
-            Path::new(PROGRAM),
-            &self.folder,
-            &["--settings", &settings.display().to_string()],
-        )
+        ForwarderProcess::start(Path::new(PROGRAM), &self.folder, &["--settings", &settings.display().to_string()])
     }
 
     /// Calls with this message so far.
@@ -90,7 +86,7 @@
 
 // Guards against a source that is read and not used.
 #[test]
-fn messages_go_to_endpoints_that_consul_names_and_follow_its_changes() {
+fn messages_follow_the_endpoints_of_consul() {
     let site = Site::new("consul-serve");
     let first = site.register("w1");
     let forwarder = site.start();
@@ -109,7 +105,7 @@
 
 // Guards against an endpoint that is dialled though it lies where none may lie.
 #[test]
-fn an_endpoint_outside_the_networks_is_never_dialled() {
+fn endpoint_outside_the_networks_is_never_dialled() {
     let site = Site::new("consul-outside");
     let outside = "192.0.2.1:9".parse().expect("an address");
     site.consul.register(Instance::new("web", "n9", "out", outside));
@@ -127,13 +123,13 @@
 
 // Guards against a list that a restart forgets while Consul is away, and against a message lost or repeated by a kill.
 #[test]
-fn the_last_list_outlasts_a_kill_while_consul_is_gone() {
+fn endpoint_list_survives_a_kill_during_a_consul_outage() {
     let site = Site::new("consul-kill");
     site.register("w1");
     let first = site.start();
     site.delivers(&first, "a");
     site.consul.set_fault(ConsulFault::Down);
-    first.wait_for_log("not answered", PATIENCE).expect("told");
+    first.wait_for_log("without a valid response", PATIENCE).expect("told");
     site.delivers(&first, "b");
     site.partner.set_mode(Mode::Hang);
     assert_eq!(first.submit_message("orders", "order", 3), 202);
@@ -147,9 +143,9 @@
         (site.platform.notifications()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
     );
-    second.wait_for_log("not answered", PATIENCE).expect("told");
+    second.wait_for_log("without a valid response", PATIENCE).expect("told");
     site.consul.set_fault(ConsulFault::None);
-    second.wait_for_log("answered again", PATIENCE).expect("told");
+    second.wait_for_log("have recovered", PATIENCE).expect("told");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
     until("the new one", || {
@@ -159,7 +155,7 @@
 
 // Guards against messages lost or repeated as the source changes under load, and against a script taken in part.
 #[test]
-fn a_reload_moves_from_discovery_to_consul_and_back_under_load() {
+fn reload_switches_between_discovery_and_consul_under_load() {
     let site = Site::new("consul-reload");
     let (listed, from_consul, forwarder) = site.with_both();
     let mut sent = 0;
@@ -192,7 +188,7 @@
 // Guards against a message lost, or one that may have run repeated, when the source changes while hundreds are under way:
 // four clients hand in as fast as they are answered, while the source changes six times and endpoints of both stay up.
 #[test]
-fn the_source_changes_back_and_forth_under_full_load() {
+fn repeated_source_switches_under_full_load_lose_and_repeat_nothing() {
     let site = Site::new("consul-swap");
     let (listed, from_consul, forwarder) = site.with_both();
     let (none, some) = ("# nothing\n".to_owned(), script(site.consul.address()));
@@ -241,20 +237,15 @@
 // Guards against all that has waited being sent at once when maintenance ends: Consul calls the partner well, and it is
 // cold. A forwarder that is told that nothing tips the partner over does so, or the test would show nothing.
 #[test]
-fn maintenance_that_ends_while_the_partner_is_cold_starts_the_ramp() {
+fn end_of_maintenance_starts_the_recovery_ramp() {
     std::thread::scope(|scope| {
         for restrained in [true, false] {
             scope.spawn(move || {
                 let mut site = Site::new(&format!("consul-maintenance-{restrained}"));
                 let (capacity, above) = (400.0, OverloadBehavior::Queue);
-                site.partner = DestinationServer::new(CapacityModel {
-                    capacity_rps: capacity,
-                    overload_behavior: above,
-                    ..CapacityModel::default()
-                });
+                site.partner = DestinationServer::new(CapacityModel { capacity_rps: capacity, overload_behavior: above, ..CapacityModel::default() });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
-                let setup =
-                    ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.platform.address()) };
+                let setup = ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.platform.address()) };
                 let bold = [
                     ("\"fall_multiple\":2", "\"fall_multiple\":1000000"),
                     ("\"cold_from\":0.18", "\"cold_from\":1.0"),
@@ -276,8 +267,7 @@
                 site.consul.set_maintenance("n1", "w1", false);
                 until("what comes of it", || {
                     let calls = site.partner.calls();
-                    !site.partner.collapses().is_empty()
-                        || calls.iter().filter(|call| call.served).count() > 600
+                    !site.partner.collapses().is_empty() || calls.iter().filter(|call| call.served).count() > 600
                 });
                 assert_eq!(site.partner.collapses().is_empty(), restrained, "restrained: {restrained}");
             });
@@ -287,7 +277,7 @@
 
 // Guards against a partner that calls show to be well and a report calls critical, or the other way round.
 #[test]
-fn reports_and_calls_that_contradict_each_other() {
+fn contradicting_health_checks_and_calls_still_end_each_message() {
     let site = Site::new("consul-contradict");
     site.register("w1");
     let forwarder = site.start();
@@ -304,7 +294,7 @@
 }
 
 #[test]
-fn check_says_what_settings_mean_or_where_they_are_wrong() {
+fn check_command_explains_settings_or_locates_the_fault() {
     let site = Site::new("consul-check");
     let check = |text: &str, more: &[&str]| -> Output {
         let path = site.folder.write("edge.star", text);
@@ -347,7 +337,7 @@
 
 // Guards against a log that no program can read: each line is an object, with the same words as the text.
 #[test]
-fn the_log_comes_as_json_too() {
+fn json_log_lines_are_objects_with_the_same_message() {
     let site = Site::new("consul-log");
     let forwarder = ForwarderProcess::start(Path::new(PROGRAM), &site.folder, &["--log", "json"]);
     site.folder.write("config.json", "{");
@@ -361,7 +351,7 @@
 // Guards against a list that one of Consul's failures and a kill together empty, and against changes that are not taken
 // once it is back.
 #[test]
-fn a_kill_in_the_middle_of_any_fault_leaves_the_list() {
+fn endpoint_list_survives_a_kill_during_any_consul_fault() {
     let mut faults = ConsulFault::without_usable_answer();
     faults.push(ConsulFault::FixedIndex(Some("0")));
     std::thread::scope(|scope| {
@@ -389,9 +379,9 @@
 // Guards against a certificate that is trusted though it must not be, and against a list that goes with the trust: a
 // forwarder that starts anew meets it, says why in one line, and goes on with the list that it had.
 #[test]
-fn a_certificate_that_has_gone_bad_is_told_in_one_line_and_the_list_stays() {
+fn invalid_certificate_is_logged_in_one_line_and_the_list_stays() {
     let cases = [
-        ("run-out", "has run out"),
+        ("run-out", "has expired"),
         ("other-name", "is not for server.dc1.consul"),
         ("other-authority", "signed by none of the authorities in"),
     ];
@@ -420,8 +410,8 @@
                 };
                 site.consul.use_tls(&bad, None);
                 let forwarder = site.start();
-                let line = forwarder.wait_for_log("not answered", PATIENCE).expect("told");
-                assert!(line.contains(why) && line.contains(" s old"), "{line}");
+                let line = forwarder.wait_for_log("without a valid response", PATIENCE).expect("told");
+                assert!(line.contains(why) && line.contains("age_s="), "{line}");
                 assert_eq!(site.delivers(&forwarder, "b").endpoint, first);
                 site.consul.use_tls(&good, None);
                 let second = site.register("w2");
@@ -436,7 +426,7 @@
 
 // Guards against a kill that forgets what Consul had said of an endpoint: Consul is gone when the forwarder comes back.
 #[test]
-fn a_kill_after_any_change_of_an_endpoint_keeps_it_out() {
+fn changed_endpoint_stays_out_after_a_kill() {
     let changes =
         ["draining", "critical", "draining and critical", "maintenance", "moved", "gone", "flapped"];
     std::thread::scope(|scope| {
@@ -486,7 +476,7 @@
 
 // Guards against a connection, or a wait, that goes over to whoever has the address next.
 #[test]
-fn a_new_id_at_an_old_address_inherits_no_connection_and_no_trouble() {
+fn new_instance_at_an_old_address_inherits_no_connection_and_no_faults() {
     let site = Site::new("consul-heir");
     let address = site.register("w1");
     let forwarder = site.start();
@@ -497,12 +487,8 @@
         let before = site.delivers(&forwarder, &format!("c-{new}")).peer;
         if trouble {
             site.partner.set_mode(Mode::InternalError);
-            (0..6).for_each(|number| {
-                assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
-            });
-            until("failures", || {
-                site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
-            });
+            (0..6).for_each(|number| assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202));
+            until("failures", || site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4);
             site.partner.set_mode(Mode::Serve);
         }
         site.consul.deregister("n1", old);
