--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -5,8 +5,8 @@
 use orchidyoke_consul::locks::{LockClient, LockError, SessionBehavior, TransactionOperation};
 use orchidyoke_consul::response::ResponseError;
 use orchidyoke_consul::settings::Consistency;
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::consul::Fault;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::consul::ConsulFault;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const TTL: Duration = Duration::from_secs(60);
 const DELAY: Duration = Duration::from_millis(300);
 
-fn locks(consul: &Consul) -> LockClient {
+fn locks(consul: &ConsulServer) -> LockClient {
     // Stale answers are allowed for the catalogue; a look at locks is not one of them.
     let consistency = Consistency::Stale;
     LockClient::new(Rc::new(Settings {
@@ -35,7 +35,7 @@
 #[test]
 fn released_lock_can_be_acquired_by_another_session() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let (mut a, mut b) = (locks(&consul), locks(&consul));
         assert_eq!(a.read_keys("duties/", 0, TTL).await.expect("looked").1, Vec::new(), "no keys yet");
         let first = a.create_session("f1", TTL, DELAY, SessionBehavior::Release).await.expect("made");
@@ -67,25 +67,25 @@
 #[test]
 fn lock_error_distinguishes_unsent_lost_and_rejected_requests() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let mut locks = locks(&consul);
         let session = locks.create_session("f1", TTL, DELAY, SessionBehavior::Release).await.expect("made");
-        consul.fault(Fault::LostWrites);
-        let asked = consul.questions();
+        consul.set_fault(ConsulFault::LostWriteAnswers);
+        let asked = consul.request_count();
         let lost = locks.acquire("duties/1", &session, Bytes::new()).await;
         assert!(matches!(lost, Err(LockError::OutcomeUnknown(_))), "{lost:?}");
-        assert_eq!(consul.questions() - asked, 1, "sent once");
+        assert_eq!(consul.request_count() - asked, 1, "sent once");
         let (_, rows) = locks.read_keys("duties/", 0, TTL).await.expect("looked");
         assert_eq!(rows[0].session.as_deref(), Some(session.as_str()), "and it took effect");
-        consul.fault(Fault::NoLeader { whole: true });
+        consul.set_fault(ConsulFault::NoLeader { complete: true });
         let refused = locks.read_keys("duties/", 0, TTL).await;
         assert!(matches!(refused, Err(LockError::Rejected(ResponseError::NoLeader))), "{refused:?}");
-        consul.fault(Fault::Gone);
+        consul.set_fault(ConsulFault::Down);
         // The stand-in takes a moment to stop listening, and to listen again.
         while !matches!(locks.renew_session(&session).await, Err(LockError::NotSent(_))) {
             sleep(Duration::from_millis(5)).await;
         }
-        consul.fault(Fault::None);
+        consul.set_fault(ConsulFault::None);
         let renewed = loop {
             match locks.renew_session(&session).await {
                 Err(LockError::NotSent(_)) => sleep(Duration::from_millis(5)).await,
@@ -100,7 +100,7 @@
 #[test]
 fn transaction_applies_all_operations_or_none() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let (mut a, mut b) = (locks(&consul), locks(&consul));
         let first = a.create_session("op", TTL, Duration::ZERO, SessionBehavior::Delete).await.expect("made");
         assert!(a.acquire("p/proposal", &first, Bytes::from_static(b"x")).await.expect("asked"));
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -3,10 +3,10 @@
 use orchidyoke_consul::EndpointSource as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::certificates::Authority;
-use orchidyoke_fakes::consul::{Fault, Instance};
-use orchidyoke_fakes::forwarder::Folder;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::certificates::CertificateAuthority;
+use orchidyoke_fakes::consul::{ConsulFault, Instance};
+use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::input::{Input, update_sender};
 use std::future::Future;
@@ -26,7 +26,7 @@
     Instance::new("web", "n1", id, address(port))
 }
 
-fn settings(consul: &Consul) -> Settings {
+fn settings(consul: &ConsulServer) -> Settings {
     let service = |name: &str, destination| Service {
         name: name.to_owned(),
         destination,
@@ -102,8 +102,8 @@
 }
 
 /// A Consul with so many instances, `w1` and on at ports from 8001, and what a source that follows it has seen: all.
-async fn follow_instances(count: u16) -> (Consul, Follower) {
-    let consul = Consul::start();
+async fn follow_instances(count: u16) -> (ConsulServer, Follower) {
+    let consul = ConsulServer::start();
     for number in 1..=count {
         consul.register(web_instance(&format!("w{number}"), 8000 + number));
     }
@@ -125,21 +125,21 @@
 fn registration_health_tag_and_maintenance_changes_are_followed() {
     run(async {
         let (consul, mut seen) = follow_instances(2).await;
-        consul.status("n1", "w1", "critical");
+        consul.set_status("n1", "w1", "critical");
         seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
-        consul.tag("n1", "w1", "draining", true);
+        consul.set_tag("n1", "w1", "draining", true);
         seen.wait_for_state("w1", EndpointState::Draining, HealthStatus::Critical).await;
-        consul.tag("n1", "w1", "draining", false);
-        consul.status("n1", "w1", "warning");
+        consul.set_tag("n1", "w1", "draining", false);
+        consul.set_status("n1", "w1", "warning");
         seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
-        consul.maintenance("n1", "w2", true);
+        consul.set_maintenance("n1", "w2", true);
         seen.wait_for_state("w2", EndpointState::Draining, HealthStatus::Critical).await;
-        consul.maintenance("n1", "w2", false);
+        consul.set_maintenance("n1", "w2", false);
         seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Passing).await;
-        consul.node_check("n1", "serfHealth", Some("critical"));
+        consul.set_node_check("n1", "serfHealth", Some("critical"));
         seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
         seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Critical).await;
-        consul.node_check("n1", "serfHealth", None);
+        consul.set_node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
         seen.wait_for_count(1).await;
         consul.deregister("n1", "w2");
@@ -150,21 +150,21 @@
 // Guards against a list emptied because Consul has nothing sensible to say, and against missing what changed meanwhile.
 #[test]
 fn fault_keeps_the_list_and_recovery_applies_missed_changes() {
-    for fault in Fault::that_tell_nothing() {
+    for fault in ConsulFault::without_usable_answer() {
         run(async {
             let (consul, mut seen) = follow_instances(2).await;
-            consul.fault(fault.clone());
-            let asked = consul.questions();
+            consul.set_fault(fault.clone());
+            let asked = consul.request_count();
             consul.deregister("n1", "w1");
             consul.register(web_instance("w3", 8003));
             seen.assert_no_event(Duration::from_millis(700)).await;
             assert!(
-                consul.questions() - asked <= 8,
+                consul.request_count() - asked <= 8,
                 "{fault:?}: no busy loop: {}",
-                consul.questions() - asked
+                consul.request_count() - asked
             );
             assert_eq!(seen.list.len(), 2, "{fault:?}");
-            consul.fault(Fault::None);
+            consul.set_fault(ConsulFault::None);
             seen.wait_for_state("w3", EndpointState::Active, HealthStatus::Passing).await;
             seen.wait_for_count(2).await;
         });
@@ -177,7 +177,7 @@
 fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
-            let (cut_off, other) = (Consul::start(), Consul::start());
+            let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
             for consul in [&cut_off, &other] {
                 consul.register(web_instance("w1", 8001));
                 consul.register(web_instance("w2", 8002));
@@ -190,17 +190,17 @@
             };
             let mut seen = Follower::follow(settings, EndpointList::default());
             seen.wait_for_count(2).await;
-            cut_off.fault(Fault::Behind(behind));
+            cut_off.set_fault(ConsulFault::Stale(behind));
             if counts {
                 seen.wait_for_count(0).await;
-                assert_eq!(other.questions(), 0);
+                assert_eq!(other.request_count(), 0);
             } else {
-                wait_until("a question to the other", || other.questions() > 0).await;
-                let asked = cut_off.questions();
+                wait_until("a question to the other", || other.request_count() > 0).await;
+                let asked = cut_off.request_count();
                 other.register(web_instance("w3", 8003));
                 seen.wait_for_count(3).await;
                 seen.assert_no_event(Duration::from_millis(500)).await;
-                assert_eq!(cut_off.questions(), asked, "it stays with the other");
+                assert_eq!(cut_off.request_count(), asked, "it stays with the other");
             }
         });
     }
@@ -211,7 +211,7 @@
 fn last_contact_is_ignored_without_stale_consistency() {
     run(async {
         let (consul, mut seen) = follow_instances(1).await;
-        consul.fault(Fault::Behind(Duration::from_secs(3600)));
+        consul.set_fault(ConsulFault::Stale(Duration::from_secs(3600)));
         seen.wait_for_count(0).await;
     });
 }
@@ -219,15 +219,15 @@
 // Guards against an agent without a leader being asked on and on while another has one.
 #[test]
 fn agent_without_a_leader_causes_failover() {
-    for fault in [Fault::NoLeader { whole: true }, Fault::Status(500, "No cluster leader", None)] {
+    for fault in [ConsulFault::NoLeader { complete: true }, ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None }] {
         run(async {
-            let (cut_off, other) = (Consul::start(), Consul::start());
+            let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
             let addresses = vec![cut_off.address(), other.address()];
             let mut seen =
                 Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
             cut_off.register(web_instance("w1", 8001));
             seen.wait_for_count(1).await;
-            cut_off.fault(fault.clone());
+            cut_off.set_fault(fault.clone());
             other.register(web_instance("w1", 8001));
             other.register(web_instance("w2", 8002));
             seen.wait_for_count(2).await;
@@ -240,7 +240,7 @@
 #[test]
 fn silent_agent_times_out_and_causes_failover() {
     run(async {
-        let (silent, other) = (Consul::start(), Consul::start());
+        let (silent, other) = (ConsulServer::start(), ConsulServer::start());
         for consul in [&silent, &other] {
             consul.register(web_instance("w1", 8001));
         }
@@ -249,10 +249,10 @@
         let mut seen =
             Follower::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
         seen.wait_for_count(1).await;
-        silent.fault(Fault::Silent);
+        silent.set_fault(ConsulFault::Unresponsive);
         other.register(web_instance("w2", 8002));
         seen.wait_for_count(2).await;
-        assert!(other.questions() > 0);
+        assert!(other.request_count() > 0);
     });
 }
 
@@ -261,16 +261,16 @@
     for index in [Some("0"), Some("many"), Some("7"), None] {
         run(async {
             let (consul, mut seen) = follow_instances(1).await;
-            consul.fault(Fault::Index(index));
+            consul.set_fault(ConsulFault::FixedIndex(index));
             consul.register(web_instance("w2", 8002));
             // With an index that stands still nothing tells that there is news; with none, all of it is read.
             if index != Some("7") {
                 seen.wait_for_count(2).await;
             }
-            let asked = consul.questions();
+            let asked = consul.request_count();
             sleep(Duration::from_secs(1)).await;
-            assert!(consul.questions() - asked <= 15, "{index:?}: no busy loop");
-            consul.fault(Fault::None);
+            assert!(consul.request_count() - asked <= 15, "{index:?}: no busy loop");
+            consul.set_fault(ConsulFault::None);
             consul.register(web_instance("w3", 8003));
             seen.wait_for_count(3).await;
         });
@@ -281,7 +281,7 @@
 fn lower_index_restarts_the_query() {
     run(async {
         let (consul, mut seen) = follow_instances(5).await;
-        consul.lose_index();
+        consul.reset_index();
         consul.deregister("n1", "w1");
         seen.wait_for_count(4).await;
         consul.deregister("n1", "w2");
@@ -328,31 +328,31 @@
 fn flapping_check_ends_in_its_last_state() {
     run(async {
         let (consul, mut seen) = follow_instances(1).await;
-        let asked = consul.questions();
+        let asked = consul.request_count();
         for turn in 0..200 {
-            consul.status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
+            consul.set_status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
             sleep(Duration::from_millis(1)).await;
         }
-        consul.status("n1", "w1", "warning");
+        consul.set_status("n1", "w1", "warning");
         seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
-        assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
+        assert!(consul.request_count() - asked <= 30, "bounded: {}", consul.request_count() - asked);
     });
 }
 
 // Guards against a token or certificate that has to wait for a restart, and against an unclear refusal.
 #[test]
 fn replaced_token_and_certificates_take_effect_without_restart() {
-    let folder = Folder::new("consul-tls");
-    let authority = Authority::new(folder.path(), "dc1");
-    let consul = Consul::start();
+    let folder = TemporaryFolder::new("consul-tls");
+    let authority = CertificateAuthority::new(folder.path(), "dc1");
+    let consul = ConsulServer::start();
     let day = time::Duration::days(1);
     let server = authority.sign("server.dc1.consul", consul.address().ip(), day);
     let client = authority.sign("edge.dc1.consul", consul.address().ip(), day);
-    consul.speak_tls(&server, Some(&authority.ca));
-    consul.require(Some("first"));
+    consul.use_tls(&server, Some(&authority.certificate));
+    consul.require_token(Some("first"));
     let tls = Tls {
-        ca: authority.ca.clone(),
-        cert: Some(client.cert.clone()),
+        ca: authority.certificate.clone(),
+        cert: Some(client.certificate.clone()),
         key: Some(client.key.clone()),
         server_name: Some("server.dc1.consul".to_owned()),
     };
@@ -362,29 +362,29 @@
         consul.register(web_instance("w1", 8001));
         let mut seen = Follower::follow(settings.clone(), EndpointList::default());
         seen.wait_for_count(1).await;
-        consul.require(Some("second"));
+        consul.require_token(Some("second"));
         consul.register(web_instance("w2", 8002));
         seen.assert_no_event(Duration::from_millis(300)).await;
         folder.write("token", "second");
         seen.wait_for_count(2).await;
         // Another authority signs for both ends; the old certificates are worth nothing from now on.
-        let other = Authority::new(folder.path(), "dc1");
+        let other = CertificateAuthority::new(folder.path(), "dc1");
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
         other.sign("edge.dc1.consul", consul.address().ip(), day);
-        consul.speak_tls(&server, Some(&other.ca));
-        let (open, _) = consul.connections();
+        consul.use_tls(&server, Some(&other.certificate));
+        let open = consul.connections().open;
         consul.register(web_instance("w3", 8003));
         seen.wait_for_count(3).await;
-        wait_until("the connection under the old certificates closes", || consul.connections().0 <= open)
+        wait_until("the connection under the old certificates closes", || consul.connections().open <= open)
             .await;
     });
 }
 
 #[test]
 fn untrusted_certificate_is_rejected_with_one_line() {
-    let folder = Folder::new("consul-bad-tls");
-    let (authority, stranger) = (Authority::new(folder.path(), "dc1"), Authority::new(folder.path(), "dc2"));
-    let consul = Consul::start();
+    let folder = TemporaryFolder::new("consul-bad-tls");
+    let (authority, stranger) = (CertificateAuthority::new(folder.path(), "dc1"), CertificateAuthority::new(folder.path(), "dc2"));
+    let consul = ConsulServer::start();
     let ip = consul.address().ip();
     let good = authority.sign("server.dc1.consul", ip, time::Duration::days(1));
     let old = authority.sign("old.dc1.consul", ip, -time::Duration::days(1));
@@ -396,8 +396,8 @@
         (&old, &authority, None, Some("has expired")),
     ];
     for (pair, ca, name, why) in cases {
-        consul.speak_tls(pair, None);
-        let tls = Tls { ca: ca.ca.clone(), server_name: name.map(str::to_owned), ..Tls::default() };
+        consul.use_tls(pair, None);
+        let tls = Tls { ca: ca.certificate.clone(), server_name: name.map(str::to_owned), ..Tls::default() };
         let settings = Settings { tls: Some(tls), ..settings(&consul) };
         run(async {
             let client = orchidyoke_consul::client::Client::new(settings.into());
@@ -420,7 +420,7 @@
 #[test]
 fn many_services_are_followed_over_few_connections() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let mut settings = Settings { connections: 6, ..settings(&consul) };
         settings.services = (0..2500)
             .map(|number| Service {
@@ -437,10 +437,10 @@
         }
         let mut seen = Follower::follow(settings, EndpointList::default());
         seen.wait_for_count(all.len()).await;
-        assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
+        assert!(consul.connections().peak <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
-            consul.status("n1", &format!("i{number}"), "critical");
+            consul.set_status("n1", &format!("i{number}"), "critical");
             seen.wait_for_state(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical).await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
@@ -448,7 +448,7 @@
             consul.deregister("n1", &format!("i{number}"));
         }
         seen.wait_for_count(0).await;
-        assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
+        assert!(consul.connections().peak <= 6, "{:?}", consul.connections());
     });
 }
 
@@ -456,11 +456,11 @@
 fn restart_keeps_the_list_until_an_authoritative_empty_response() {
     run(async {
         let (consul, seen) = follow_instances(1).await;
-        consul.fault(Fault::Gone);
+        consul.set_fault(ConsulFault::Down);
         let mut again = Follower::follow(settings(&consul), seen.list.clone());
         again.assert_no_event(Duration::from_millis(300)).await;
         consul.deregister("n1", "w1");
-        consul.fault(Fault::None);
+        consul.set_fault(ConsulFault::None);
         again.wait_for_count(0).await;
         let other =
             WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy_epochs.rs
@@ -2,10 +2,12 @@
 //! that asks of Consul. The participants are those of the real forwarder, all in one process, each with connections of its
 //! own to a stand-in; nothing but them is emulated.
 
-use crate::Run;
-use crate::report::{Chart, Line, Outcome};
-use orchidyoke_fakes::forwarder::{Folder, Setup};
-use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
+use crate::error::ExperimentError;
+use crate::options::RunOptions;
+use crate::report::{Chart, ChartSeries, ExperimentReport};
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::ForwarderConfig;
+use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::ConfigSource;
@@ -25,6 +27,8 @@
 const BOUND: Duration = Duration::from_millis(6_667);
 /// How long all may take.
 const PATIENCE: Duration = Duration::from_secs(20);
+/// How long all forwarders may take to appear at the commit point.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 /// For how long the fleet is looked at while nothing changes.
 const IDLE: Duration = Duration::from_secs(5);
 
@@ -42,13 +46,14 @@
     changes: Vec<Seen>,
 }
 
-pub fn run(run: &Run) -> Result<Outcome, String> {
+/// Runs it.
+pub fn run(run: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let most = usize::try_from(run.seeds).unwrap_or(CHANGES).min(CHANGES);
     let mut sizes = Vec::new();
     // Sabotage shows at the smallest fleet what it would show at all.
     for forwarders in SIZES.into_iter().take(if run.sabotage { 1 } else { SIZES.len() }) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|error| error.to_string())?;
+        let runtime = runtime.map_err(ExperimentError::Runtime)?;
         sizes.push(LocalSet::new().block_on(&runtime, one(forwarders, most, run.sabotage))?);
         eprintln!("policy-epochs: {forwarders} forwarders done");
     }
@@ -76,7 +81,7 @@
             ]);
         }
     }
-    let line = |name: &str, value: fn(&Seen) -> f64| Line {
+    let line = |name: &str, value: fn(&Seen) -> f64| ChartSeries {
         name: name.to_owned(),
         points: sizes
             .iter()
@@ -90,7 +95,7 @@
         "forwarders": size.forwarders, "idle_questions_a_second": size.idle,
         "last_ms_most": size.changes.iter().map(|s| s.last_ms).fold(0.0, f64::max),
         "prepared_ms_most": size.changes.iter().map(|s| s.prepared_ms).fold(0.0, f64::max)})).collect::<Vec<_>>()});
-    Ok(Outcome {
+    Ok(ExperimentReport {
         columns: vec![
             "forwarders",
             "change",
@@ -103,21 +108,21 @@
         rows,
         chart: Chart {
             title: "A policy epoch: prepared by all, in force on the last".to_owned(),
-            x: "forwarders, power of ten".to_owned(),
-            y: "ms, slowest of the changes".to_owned(),
-            lines: vec![
+            x_label: "forwarders, power of ten".to_owned(),
+            y_label: "ms, slowest of the changes".to_owned(),
+            series: vec![
                 line("from the proposal until all have voted and it is committed", |s| s.prepared_ms),
                 line("from the commit until it is in force on the last", |s| s.last_ms),
             ],
         },
-        broken,
+        violations: broken,
         json,
     })
 }
 
-async fn one(forwarders: usize, changes: usize, sabotage: bool) -> Result<Size, String> {
-    let (consul, stage) = (Consul::start(), Stage::new());
-    let path = FaultProxy::start(&stage, loopback(), consul.address());
+async fn one(forwarders: usize, changes: usize, sabotage: bool) -> Result<Size, ExperimentError> {
+    let (consul, stage) = (ConsulServer::start(), ServerRuntime::new());
+    let path = FaultProxy::start(&stage, unused_loopback_address(), consul.address());
     let settings = |address| Settings {
         consul: orchidyoke_consul::Settings {
             addresses: vec![address],
@@ -127,14 +132,14 @@
         name: None,
         ttl: TTL,
     };
-    let base = Folder::new(&format!("lab-policy-{forwarders}"));
-    let config = base.write("config.json", &Setup::new(loopback_at()).text());
+    let base = TemporaryFolder::new(&format!("lab-policy-{forwarders}"));
+    let config = base.write("config.json", &ForwarderConfig::new(loopback_at()).text());
     let (took, mut taken) = unbounded_channel();
     // Sabotage: one forwarder is cut off, and given up by Consul, before the change.
     for number in 0..forwarders {
         let late = sabotage && number == 0;
         let at = if late { path.address } else { consul.address() };
-        let folder = Folder::new(&format!("lab-policy-{forwarders}-{number}"));
+        let folder = TemporaryFolder::new(&format!("lab-policy-{forwarders}-{number}"));
         let participant = ConsulParticipant::new(settings(at), &format!("f{number}"), folder.path());
         let source = Rc::new(ConfigSource { path: config.clone(), ..ConfigSource::default() });
         let (inputs, mut came) = unbounded_channel();
@@ -158,24 +163,29 @@
             sleep(Duration::from_millis(100)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), all_there)
+    tokio::time::timeout(JOIN_TIMEOUT, all_there)
         .await
-        .map_err(|_| format!("not all of {forwarders} forwarders are there"))?;
-    let before = consul.questions();
+        .map_err(|_| ExperimentError::MembersMissing { members: forwarders, timeout: JOIN_TIMEOUT })?;
+    let before = consul.request_count();
     sleep(IDLE).await;
-    let idle = (consul.questions() - before) as f64 / IDLE.as_secs_f64();
+    let idle = (consul.request_count() - before) as f64 / IDLE.as_secs_f64();
     let mut seen = Vec::new();
     for change in 0..changes {
         if sabotage {
-            path.set(Fault::Partition);
+            path.set_fault(NetworkFault::Partition);
             while coordinator.status().await.map_or(0, |fleet| fleet.members.len()) >= forwarders {
                 sleep(Duration::from_millis(100)).await;
             }
         }
         let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + change}}}).to_string();
-        let (before, began) = (consul.questions(), Instant::now());
-        coordinator.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
-        let committed = coordinator.last_commit().ok_or("no commit")?;
+        let (before, began) = (consul.request_count(), Instant::now());
+        coordinator
+            .propose(&policy, "lab", PATIENCE)
+            .await
+            .map_err(|error| ExperimentError::NotCommitted(error.to_string()))?;
+        let committed = coordinator
+            .last_commit()
+            .ok_or_else(|| ExperimentError::NotCommitted("the proposer has seen no commit".to_owned()))?;
         // One that has not taken it by then is told as having taken as long.
         let until = committed + PATIENCE;
         let mut times = Vec::new();
@@ -189,7 +199,7 @@
             prepared_ms: committed.into_std().duration_since(began).as_secs_f64() * 1000.0,
             first_ms: ms(times[0]),
             last_ms: ms(times[times.len() - 1]),
-            questions: consul.questions() - before,
+            questions: consul.request_count() - before,
         });
     }
     Ok(Size { forwarders, idle, changes: seen })
@@ -197,5 +207,5 @@
 
 /// An address at which nobody answers: no forwarder here asks discovery.
 fn loopback_at() -> std::net::SocketAddr {
-    (loopback(), 9).into()
+    (unused_loopback_address(), 9).into()
 }
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -1,8 +1,8 @@
 //! Several lease managers against the fake Consul, over sockets.
 
 use orchidyoke_consul::Settings;
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::consul::Fault;
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::consul::ConsulFault;
 use orchidyoke_leases::{FencingToken, LeaseConfig, LeaseId, LeaseManager, ManagerConfig};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -20,7 +20,7 @@
     task: JoinHandle<()>,
 }
 
-fn start(consul: &Consul, name: &str) -> Running {
+fn start(consul: &ConsulServer, name: &str) -> Running {
     let protocol = LeaseConfig {
         ttl: TTL.as_micros() as i64,
         clock_drift: 0.01,
@@ -79,8 +79,8 @@
 }
 
 /// Two members that have settled.
-async fn two() -> (Consul, Running, Running) {
-    let consul = Consul::start();
+async fn two() -> (ConsulServer, Running, Running) {
+    let consul = ConsulServer::start();
     let (a, b) = (start(&consul, "a"), start(&consul, "b"));
     settle(&[&a, &b], 6).await;
     (consul, a, b)
@@ -126,10 +126,10 @@
 fn unresponsive_consul_suspends_all_leases_until_it_answers() {
     run(async {
         let (consul, a, b) = two().await;
-        consul.fault(Fault::Silent);
+        consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
         assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "no act without a lease");
-        consul.fault(Fault::None);
+        consul.set_fault(ConsulFault::None);
         settle(&[&a, &b], 6).await;
     });
 }
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -3,8 +3,9 @@
 
 use bytes::Bytes;
 use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior};
-use orchidyoke_fakes::Consul;
-use orchidyoke_fakes::forwarder::{Folder, Setup};
+use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::forwarder::ForwarderConfig;
+use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::ConfigSource;
@@ -82,7 +83,7 @@
     runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
 }
 
-fn settings(consul: &Consul) -> Settings {
+fn settings(consul: &ConsulServer) -> Settings {
     let consul = orchidyoke_consul::Settings {
         addresses: vec![consul.address()],
         ..orchidyoke_consul::Settings::default()
@@ -90,12 +91,12 @@
     Settings { consul, prefix: "fleet/one".to_owned(), name: None, ttl: TTL }
 }
 
-fn locks(consul: &Consul) -> LockClient {
+fn locks(consul: &ConsulServer) -> LockClient {
     LockClient::new(Rc::new(settings(consul).consul))
 }
 
 /// Writes a key as its holder, and gives the session.
-async fn hold(consul: &Consul, key: &str, value: &'static str) -> String {
+async fn hold(consul: &ConsulServer, key: &str, value: &'static str) -> String {
     let mut locks = locks(consul);
     let session =
         locks.create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Delete).await.expect("made");
@@ -104,14 +105,14 @@
 }
 
 /// All keys and values.
-async fn rows(consul: &Consul) -> Vec<KeyEntry> {
+async fn rows(consul: &ConsulServer) -> Vec<KeyEntry> {
     locks(consul).read_keys("", 0, Duration::ZERO).await.expect("looked").1
 }
 
 /// A forwarder's configuration in a folder of its own.
-fn forwarder(name: &str) -> (Folder, Rc<ConfigSource>) {
-    let folder = Folder::new(name);
-    let setup = Setup::new("127.0.0.1:1".parse().expect("an address"));
+fn forwarder(name: &str) -> (TemporaryFolder, Rc<ConfigSource>) {
+    let folder = TemporaryFolder::new(name);
+    let setup = ForwarderConfig::new("127.0.0.1:1".parse().expect("an address"));
     let path = folder.write("config.json", &setup.text());
     (folder, Rc::new(ConfigSource { path, ..ConfigSource::default() }))
 }
@@ -150,7 +151,7 @@
 #[test]
 fn commit_point_of_the_previous_version_is_found_under_its_keys() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
         let coordinator = hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
         hold(&consul, "fleet/one/members/f1.77", VOTED_FOR).await;
@@ -168,7 +169,7 @@
 #[test]
 fn commit_is_written_as_the_same_text_under_the_same_key() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let mut coordinator = Coordinator::new(settings(&consul));
         let report =
             coordinator.propose(FIRST_POLICY, "o-1", Duration::from_secs(5)).await.expect("committed");
@@ -184,7 +185,7 @@
 #[test]
 fn participant_writes_the_same_files_and_the_same_status() {
     run(async {
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
         let (folder, source) = forwarder("policy-written");
         let participant = ConsulParticipant::new(settings(&consul), "f1", folder.path());
@@ -218,7 +219,7 @@
         let (folder, source) = forwarder("policy-read");
         folder.write("policy-held.json", COMMITTED);
         folder.write("policy-staged.json", PROPOSED);
-        let consul = Consul::start();
+        let consul = ConsulServer::start();
         let participant = ConsulParticipant::new(settings(&consul), "f1", folder.path());
         assert_eq!(participant.version(), 3);
         let own = r#"{"listen":"l","settings":{"limits":{"max_open":9}}}"#;
