--- a/crates/config/src/builtins.rs
+++ b/crates/config/src/builtins.rs
@@ -1,8 +1,8 @@
-//! The functions that a script has beside Starlark's own: `consul`, `ownership`, `policy`, `member`, `service` and `tls`.
+//! The functions that a script has besides Starlark's own: `consul`, `ownership`, `policy`, `member`, `service` and `tls`.
 //! All their arguments are named.
 //!
-//! `service(...)`, `tls(...)` and `member(...)` give a value that goes into one of the others, each of which says what is
-//! wanted, once.
+//! `service(...)`, `tls(...)` and `member(...)` return a value for one of the others. `consul(...)`, `ownership(...)` and
+//! `policy(...)` request settings, each at most once.
 
 use crate::forms::{ConsulForm, Form, PolicyForm, ServiceForm, TlsForm, unknown};
 use crate::ownership::{MemberForm, OwnershipForm};
@@ -18,109 +18,132 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// What a script has asked for so far: the forms as JSON, by their function, and its folder by [`FOLDER`]. The evaluator
-/// hands a value on to functions only if its type is one of the standard library's.
+/// What a script has requested so far: the forms as JSON by their function, and the script's folder by [`FOLDER_KEY`]. A
+/// type of its own would need an unsafe implementation of the trait by which the evaluator passes it to functions; the
+/// standard library's types have one.
 pub(crate) type Requests = RefCell<BTreeMap<String, String>>;
 
-/// Where the folder of the script stands among what it has asked for.
+/// The key of the script's folder among its requests.
 pub(crate) const FOLDER_KEY: &str = "";
+/// The functions that request settings.
+pub(crate) const CONSUL: &str = "consul";
+pub(crate) const OWNERSHIP: &str = "ownership";
+pub(crate) const POLICY: &str = "policy";
 
-fn requests_of<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Requests> {
-    eval.extra.and_then(|extra| extra.downcast_ref()).ok_or_else(|| anyhow!("this word has no place here"))
+/// The arguments of a function.
+type Arguments<'v> = SmallMap<String, Value<'v>>;
+
+fn requests_of<'a>(evaluator: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Requests> {
+    let extra = evaluator.extra.and_then(|extra| extra.downcast_ref());
+    extra.ok_or_else(|| anyhow!("this word has no place here"))
 }
 
 /// Reads the arguments of a function into its form and checks it.
-fn read_form<F: Form>(
-    word: &str,
-    fields: &SmallMap<String, Value<'_>>,
-    requests: &Requests,
-) -> anyhow::Result<F> {
+fn read_form<F: Form>(function: &str, arguments: &Arguments<'_>, requests: &Requests) -> anyhow::Result<F> {
+    let arguments = arguments_to_json::<F>(function, arguments)?;
+    let mut form: F =
+        serde_path_to_error::deserialize(Json::Object(arguments)).map_err(|error| {
+            match error.path().to_string().as_str() {
+                "." => anyhow!("{function}: {}", error.inner()),
+                path => anyhow!("{function}: {path}: {}", error.inner()),
+            }
+        })?;
+    let folder = requests.borrow().get(FOLDER_KEY).map(PathBuf::from).unwrap_or_default();
+    form.check(&folder).map_err(|reason| anyhow!("{function}: {reason}"))?;
+    Ok(form)
+}
+
+fn arguments_to_json<F: Form>(
+    function: &str,
+    arguments: &Arguments<'_>,
+) -> anyhow::Result<Map<String, Json>> {
     let mut json = Map::new();
-    for (name, value) in fields {
+    for (name, value) in arguments {
         if !F::FIELDS.contains(&name.as_str()) {
-            return Err(anyhow!("{word}: {}", unknown("field", name, F::FIELDS.iter().copied())));
+            return Err(anyhow!("{function}: {}", unknown("field", name, F::FIELDS.iter().copied())));
         }
-        let value = value.to_json_value().map_err(|error| anyhow!("{word}: {name}: {error}"))?;
+        let value = value.to_json_value().map_err(|error| anyhow!("{function}: {name}: {error}"))?;
         json.insert(name.clone(), value);
     }
-    let read = serde_path_to_error::deserialize(Json::Object(json));
-    let mut form: F = read.map_err(|error| match error.path().to_string().as_str() {
-        "." => anyhow!("{word}: {}", error.inner()),
-        path => anyhow!("{word}: {path}: {}", error.inner()),
-    })?;
-    let folder = requests.borrow().get(FOLDER_KEY).map(PathBuf::from).unwrap_or_default();
-    form.check(&folder).map_err(|why| anyhow!("{word}: {why}"))?;
-    Ok(form)
+    Ok(json)
+}
+
+/// Returns a checked form as a value of the script.
+fn form_value<'v, F: Form>(
+    function: &str,
+    arguments: &Arguments<'v>,
+    evaluator: &mut Evaluator<'v, '_, '_>,
+) -> anyhow::Result<Value<'v>> {
+    let form: F = read_form(function, arguments, requests_of(evaluator)?)?;
+    Ok(evaluator.heap().alloc(serde_json::to_value(form)?))
+}
+
+/// Requests settings by a checked form, once a script; `only_one` says why.
+fn request<F: Form>(
+    function: &str,
+    arguments: &Arguments<'_>,
+    evaluator: &Evaluator<'_, '_, '_>,
+    only_one: &str,
+) -> anyhow::Result<NoneType> {
+    let requests = requests_of(evaluator)?;
+    let form: F = read_form(function, arguments, requests)?;
+    let earlier = requests.borrow_mut().insert(function.to_owned(), serde_json::to_string(&form)?);
+    if earlier.is_some() {
+        return Err(anyhow!("{function}: is asked for twice: {only_one}"));
+    }
+    Ok(NoneType)
 }
 
 #[starlark_module]
 pub(crate) fn builtins(builder: &mut GlobalsBuilder) {
-    /// TLS towards a server: `ca`, and perhaps `cert` with `key`, and `server_name`.
+    /// TLS towards a server: `ca`, and optionally `cert` with `key`, and `server_name`.
     fn tls<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: TlsForm = read_form("tls", &fields, requests_of(eval)?)?;
-        Ok(eval.heap().alloc(serde_json::to_value(form)?))
+        form_value::<TlsForm>("tls", &fields, eval)
     }
 
-    /// A service of the catalogue: `name`, `destination`, `kind`, `zone`, and perhaps `zone_meta`, `capacity` and
+    /// A service of the catalogue: `name`, `destination`, `kind`, `zone`, and optionally `zone_meta`, `capacity` and
     /// `filter`.
     fn service<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let form: ServiceForm = read_form("service", &fields, requests_of(eval)?)?;
-        Ok(eval.heap().alloc(serde_json::to_value(form)?))
+        form_value::<ServiceForm>("service", &fields, eval)
     }
 
-    /// Consul as the source of the transport map: `addresses`, `services`, `networks`, and perhaps `tls`,
-    /// `token_file`, `datacenter`, `namespace`, `consistency`, `max_stale`, `wait` and `connections`.
-    fn consul<'v>(
+    /// A forwarder of the fleet: `name`, `zone`, `address`, and optionally `region` and `weight`.
+    fn member<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
-    ) -> anyhow::Result<NoneType> {
-        let requests = requests_of(eval)?;
-        let form: ConsulForm = read_form("consul", &fields, requests)?;
-        if requests.borrow_mut().insert("consul".to_owned(), serde_json::to_string(&form)?).is_some() {
-            return Err(anyhow!("consul: is asked for twice: the transport map has one source"));
-        }
-        Ok(NoneType)
+    ) -> anyhow::Result<Value<'v>> {
+        form_value::<MemberForm>("member", &fields, eval)
     }
 
-    /// A forwarder of the fleet: `name`, `zone`, `address`, and perhaps `region` and `weight`.
-    fn member<'v>(
+    /// Consul as the source of endpoints: `addresses`, `services`, `networks`, and optionally `tls`, `token_file`,
+    /// `datacenter`, `namespace`, `consistency`, `max_stale`, `wait` and `connections`.
+    fn consul<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
-    ) -> anyhow::Result<Value<'v>> {
-        let form: MemberForm = read_form("member", &fields, requests_of(eval)?)?;
-        Ok(eval.heap().alloc(serde_json::to_value(form)?))
+    ) -> anyhow::Result<NoneType> {
+        request::<ConsulForm>(CONSUL, &fields, eval, "the transport map has one source")
     }
 
-    /// Owners of destinations: `name` and `region` of this forwarder, `regions` with the zones of each, and `members`.
+    /// The owners of destinations: `name` and `region` of this forwarder, `regions` with the zones of each, and `members`.
     fn ownership<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let requests = requests_of(eval)?;
-        let form: OwnershipForm = read_form("ownership", &fields, requests)?;
-        if requests.borrow_mut().insert("ownership".to_owned(), serde_json::to_string(&form)?).is_some() {
-            return Err(anyhow!("ownership: is asked for twice: a forwarder stands in one region"));
-        }
-        Ok(NoneType)
+        request::<OwnershipForm>(OWNERSHIP, &fields, eval, "a forwarder stands in one region")
     }
 
-    /// Policy epochs of the fleet, with their commit point in Consul: `addresses`, and perhaps `prefix`, `name`, `ttl`,
-    /// `tls`, `token_file`, `datacenter` and `namespace`.
+    /// The policy commit point of the fleet, in Consul: `addresses`, and optionally `prefix`, `name`, `ttl`, `tls`,
+    /// `token_file`, `datacenter` and `namespace`.
     fn policy<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let requests = requests_of(eval)?;
-        let form: PolicyForm = read_form("policy", &fields, requests)?;
-        if requests.borrow_mut().insert("policy".to_owned(), serde_json::to_string(&form)?).is_some() {
-            return Err(anyhow!("policy: is asked for twice: a fleet has one commit point"));
-        }
-        Ok(NoneType)
+        request::<PolicyForm>(POLICY, &fields, eval, "a fleet has one commit point")
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,13 @@
-//! The settings of an installation: a Starlark script, evaluated within bounds on steps, memory and depth, and
-//! checked as a whole. The platform's JSON is another file and stays what it is.
+//! The settings of an installation: a Starlark script, evaluated within limits on steps, memory and depth, and checked as
+//! a whole. The platform's JSON configuration is another file.
 //!
-//! [`load`] evaluates a script in a process of its own: what runs away there, in time or memory, harms nobody.
+//! [`load`] evaluates a script in a process of its own: one that runs away, in time or memory, does no harm to the
+//! forwarder.
 //!
-//! The language is <https://github.com/bazelbuild/starlark/blob/master/spec.md>; a script has the
-//! functions of [`builtins`] beside the language's own.
+//! The language is <https://github.com/bazelbuild/starlark/blob/master/spec.md>; a script has functions for Consul, the
+//! policy commit point and ownership besides the language's own.
+
+#![deny(missing_docs)]
 
 mod builtins;
 mod forms;
@@ -13,18 +16,22 @@
 mod subprocess;
 
 pub use ownership::{MemberSettings, OwnershipSettings};
-pub use script::{EvaluationLimits, ScriptError, evaluate, evaluate_file};
-pub use subprocess::{load, run_evaluator};
+pub use script::{EvaluationLimits, Location, ScriptError, evaluate, evaluate_file};
+pub use subprocess::{EvaluatorError, load, run_evaluator};
 
 use orchidyoke_core::settings::Names;
 use serde::{Deserialize, Serialize};
 
-/// What an installation asks for beyond the platform's file.
+/// Half the descriptors are for clients and a quarter for partners; this part is left for Consul.
+const CONSUL_DESCRIPTOR_DIVISOR: usize = 8;
+
+/// What an installation requests beyond the platform's configuration. The evaluating process, which may be of another
+/// version, writes it as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Installation {
-    /// Consul as the source of the transport map.
+    /// Consul as the source of endpoints.
     pub consul: Option<orchidyoke_consul::Settings>,
-    /// Policy epochs: what the fleet agrees on, laid over the platform's file.
+    /// The policy commit point of the fleet, whose policy is laid over the platform's configuration.
     #[serde(default)]
     pub policy: Option<orchidyoke_policy_commit::Settings>,
     /// The owners of destinations: the forwarders of the fleet.
@@ -33,39 +40,41 @@
 }
 
 impl Installation {
-    /// Checks what these settings say against those of the platform: names of kinds and zones, and the connections
-    /// that are to be had. Gives every fault found.
-    pub fn check(&self, names: &Names, sockets: usize) -> Vec<String> {
-        let mut faults = self.check_zones(names);
-        let Some(consul) = &self.consul else { return faults };
+    /// Checks these settings against the platform's: the names of kinds and zones, and that `max_descriptors` leave enough
+    /// for the connections to Consul. Returns every error found, one line each.
+    pub fn check(&self, names: &Names, max_descriptors: usize) -> Vec<String> {
+        let mut errors = self.check_zones(names);
+        let Some(consul) = &self.consul else { return errors };
         for service in &consul.services {
             let name = &service.name;
             if !names.kinds.contains(&service.kind) {
-                let why = forms::unknown("kind", &service.kind, names.kinds.iter().map(String::as_str));
-                faults.push(format!("consul: service {name:?}: {why}"));
+                let known = names.kinds.iter().map(String::as_str);
+                let reason = forms::unknown("kind", &service.kind, known);
+                errors.push(format!("consul: service {name:?}: {reason}"));
             }
             if !names.zones.contains(&service.zone) {
-                let why = forms::unknown("zone", &service.zone, names.zones.iter().map(String::as_str));
-                faults.push(format!("consul: service {name:?}: {why}"));
+                errors.push(format!("consul: service {name:?}: {}", unknown_zone(names, &service.zone)));
             }
         }
-        // Half the descriptors are for clients and a quarter for partners.
-        let most = sockets / 8;
-        if consul.connections > most {
-            faults.push(format!(
-                "consul: connections: {} are too many: with {sockets} descriptors (limits.sockets) at most {most} \
-                 are left for Consul",
+        let max_connections = max_descriptors / CONSUL_DESCRIPTOR_DIVISOR;
+        if consul.connections > max_connections {
+            errors.push(format!(
+                "consul: connections: {} are too many: with {max_descriptors} descriptors (limits.sockets) at most \
+                 {max_connections} are left for Consul",
                 consul.connections
             ));
         }
-        faults
+        errors
     }
 
-    /// The zones of the region, which endpoints lie in as well, are those of the platform.
+    /// The zones of the own region must be zones of the platform, since endpoints are in them as well.
     fn check_zones(&self, names: &Names) -> Vec<String> {
         let zones = self.ownership.iter().flat_map(|ownership| &ownership.zones);
         let missing = zones.filter(|zone| !names.zones.contains(zone));
-        let fault = |zone| forms::unknown("zone", zone, names.zones.iter().map(String::as_str));
-        missing.map(|zone| format!("ownership: regions: {}", fault(zone))).collect()
+        missing.map(|zone| format!("ownership: regions: {}", unknown_zone(names, zone))).collect()
     }
 }
+
+fn unknown_zone(names: &Names, zone: &str) -> String {
+    forms::unknown("zone", zone, names.zones.iter().map(String::as_str))
+}
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -1,7 +1,10 @@
-//! Scripts: read, parsed and evaluated within bounds.
+//! Settings scripts: read, parsed and evaluated within limits on steps, memory and depth.
+//!
+//! This runs in a process of its own ([`subprocess`](crate::subprocess)), and directly in tests. The functions of the
+//! script leave checked forms behind; when it has ended, the forms become an [`Installation`].
 
 use crate::Installation;
-use crate::builtins::{FOLDER_KEY, Requests, builtins};
+use crate::builtins::{CONSUL, FOLDER_KEY, OWNERSHIP, POLICY, Requests, builtins};
 use crate::forms::{ConsulForm, PolicyForm};
 use crate::ownership::OwnershipForm;
 use serde::de::DeserializeOwned;
@@ -14,17 +17,17 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The largest script that is read, in bytes.
+/// The largest script that is read.
 const SCRIPT_MAX_BYTES: u64 = 1 << 20;
 
-/// How much a script may use up.
+/// How much a script may use.
 #[derive(Clone, Copy, Debug)]
 pub struct EvaluationLimits {
-    /// Steps of the evaluator: calls and turns of loops.
+    /// Steps of the evaluator: calls and iterations of loops.
     pub max_ticks: u64,
     /// Bytes of values.
     pub max_heap_bytes: usize,
-    /// Calls inside each other.
+    /// Nested calls.
     pub max_call_depth: usize,
 }
 
@@ -34,23 +37,67 @@
     }
 }
 
-/// Why a script cannot be used: the place, as far as there is one, and one line that says what is wrong.
+/// A place in a script. It is stored as the pair of line and column.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(usize, usize)", into = "(usize, usize)")]
+pub struct Location {
+    /// The line, from 1.
+    pub line: usize,
+    /// The column, from 1.
+    pub column: usize,
+}
+
+impl From<(usize, usize)> for Location {
+    fn from((line, column): (usize, usize)) -> Self {
+        Location { line, column }
+    }
+}
+
+impl From<Location> for (usize, usize) {
+    fn from(location: Location) -> Self {
+        (location.line, location.column)
+    }
+}
+
+impl From<FileSpan> for Location {
+    fn from(span: FileSpan) -> Self {
+        let begin = span.resolve_span().begin;
+        Location { line: begin.line + 1, column: begin.column + 1 }
+    }
+}
+
+/// Why a script cannot be used, in one line. Its JSON goes from the evaluating process, which may be of another version,
+/// to the forwarder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScriptError {
-    /// The file.
+    /// The script.
     pub file: PathBuf,
-    /// Line and column, from 1.
+    /// Where the error is, if it is at one place.
     #[serde(rename = "place")]
-    pub location: Option<(usize, usize)>,
+    pub location: Option<Location>,
     /// What is wrong, and what to write instead.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
+impl ScriptError {
+    /// An error of the whole file.
+    pub(crate) fn of_file(file: &Path, reason: impl fmt::Display) -> ScriptError {
+        ScriptError { file: file.to_owned(), location: None, reason: reason.to_string() }
+    }
+
+    fn from_starlark(file: &Path, error: &starlark::Error) -> ScriptError {
+        let text = error.without_diagnostic().to_string();
+        let lines: Vec<&str> = text.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
+        let location = error.span().cloned().map(Location::from);
+        ScriptError { file: file.to_owned(), location, reason: lines.join(" ") }
+    }
+}
+
 impl fmt::Display for ScriptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
-        if let Some((line, column)) = self.location {
+        if let Some(Location { line, column }) = self.location {
             write!(f, ":{line}:{column}")?;
         }
         write!(f, ": {}", self.reason)
@@ -59,66 +106,66 @@
 
 impl std::error::Error for ScriptError {}
 
-fn place(span: &FileSpan) -> (usize, usize) {
-    let begin = span.resolve_span().begin;
-    (begin.line + 1, begin.column + 1)
-}
-
-fn fault(file: &Path, error: &starlark::Error) -> ScriptError {
-    let why = error.without_diagnostic().to_string();
-    let why = why.lines().map(str::trim).filter(|line| !line.is_empty()).collect::<Vec<_>>().join(" ");
-    ScriptError { file: file.to_owned(), location: error.span().map(place), reason: why }
-}
-
-/// Reads a file and evaluates it in this process.
+/// Reads a script and evaluates it in this process, within the default limits.
+///
+/// # Errors
+///
+/// The script cannot be read, is larger than 1 MiB, or fails as in [`evaluate`].
 pub fn evaluate_file(path: &Path) -> Result<Installation, ScriptError> {
-    let fault = |why: String| ScriptError { file: path.to_owned(), location: None, reason: why };
-    let size = std::fs::metadata(path).map_err(|error| fault(error.to_string()))?.len();
+    let unreadable = |error: std::io::Error| ScriptError::of_file(path, error);
+    let size = std::fs::metadata(path).map_err(unreadable)?.len();
     if size > SCRIPT_MAX_BYTES {
-        return Err(fault(format!("{size} bytes are too many: a script has at most {SCRIPT_MAX_BYTES}")));
+        let reason = format!("{size} bytes are too many: a script has at most {SCRIPT_MAX_BYTES}");
+        return Err(ScriptError::of_file(path, reason));
     }
-    let text = std::fs::read_to_string(path).map_err(|error| fault(error.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(unreadable)?;
     evaluate(path, text, EvaluationLimits::default())
 }
 
-/// Evaluates the text of a script; `path` is its name, and relative paths in it are taken from that folder.
-pub fn evaluate(path: &Path, text: String, bounds: EvaluationLimits) -> Result<Installation, ScriptError> {
-    let failed = |error: &starlark::Error| fault(path, error);
-    let dialect = Dialect { enable_f_strings: true, enable_top_level_stmt: true, ..Dialect::Standard };
-    let ast = AstModule::parse(&path.display().to_string(), text, &dialect).map_err(|e| failed(&e))?;
-    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::StructType]).with(builtins).build();
+/// Evaluates the text of a script; `path` is its name, and relative paths in it start from that folder.
+///
+/// # Errors
+///
+/// The script is not valid, exceeds a limit, or a function rejects its arguments.
+pub fn evaluate(path: &Path, text: String, limits: EvaluationLimits) -> Result<Installation, ScriptError> {
     let folder = path.parent().map(|folder| folder.display().to_string()).unwrap_or_default();
     let requests = Requests::new(BTreeMap::from([(FOLDER_KEY.to_owned(), folder)]));
+    run(path, text, limits, &requests)?;
+    let failed = |reason: String| ScriptError::of_file(path, reason);
+    Ok(Installation {
+        consul: requested(&requests, CONSUL, ConsulForm::settings).map_err(failed)?,
+        policy: requested(&requests, POLICY, PolicyForm::settings).map_err(failed)?,
+        ownership: requested(&requests, OWNERSHIP, OwnershipForm::settings).map_err(failed)?,
+    })
+}
+
+/// Runs a script, whose functions leave their forms in `requests`.
+fn run(path: &Path, text: String, limits: EvaluationLimits, requests: &Requests) -> Result<(), ScriptError> {
+    let failed = |error: starlark::Error| ScriptError::from_starlark(path, &error);
+    let dialect = Dialect { enable_f_strings: true, enable_top_level_stmt: true, ..Dialect::Standard };
+    let ast = AstModule::parse(&path.display().to_string(), text, &dialect).map_err(failed)?;
+    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::StructType]).with(builtins).build();
     Module::with_temp_heap(|module| {
-        let mut eval = Evaluator::new(&module);
-        eval.extra = Some(&requests);
-        let limits = eval
-            .set_max_tick_count(bounds.max_ticks)
-            .and_then(|()| eval.set_max_heap_size(bounds.max_heap_bytes))
-            .and_then(|()| eval.set_max_callstack_size(bounds.max_call_depth));
-        limits.map_err(|error| ScriptError {
-            file: path.to_owned(),
-            location: None,
-            reason: error.to_string(),
-        })?;
-        eval.eval_module(ast, &globals).map(drop).map_err(|error| failed(&error))
-    })?;
-    let fault = |why: String| ScriptError { file: path.to_owned(), location: None, reason: why };
-    let consul = requested(&requests, "consul", ConsulForm::settings).map_err(fault)?;
-    let policy = requested(&requests, "policy", PolicyForm::settings).map_err(fault)?;
-    let ownership = requested(&requests, "ownership", OwnershipForm::settings).map_err(fault)?;
-    Ok(Installation { consul, policy, ownership })
+        let mut evaluator = Evaluator::new(&module);
+        evaluator.extra = Some(requests);
+        let limited = evaluator
+            .set_max_tick_count(limits.max_ticks)
+            .and_then(|()| evaluator.set_max_heap_size(limits.max_heap_bytes))
+            .and_then(|()| evaluator.set_max_callstack_size(limits.max_call_depth));
+        limited.map_err(|error| ScriptError::of_file(path, error))?;
+        evaluator.eval_module(ast, &globals).map(drop).map_err(failed)
+    })
 }
 
-/// The settings that a word has asked for, if it stands in the script.
+/// The settings that a function of the script has requested, if the script calls it.
 fn requested<F: DeserializeOwned, S>(
     requests: &Requests,
-    word: &str,
+    function: &str,
     settings: impl Fn(&F) -> Result<S, String>,
 ) -> Result<Option<S>, String> {
-    let read = |text: &String| {
+    let from_json = |text: &String| {
         let form: F = serde_json::from_str(text).map_err(|error| error.to_string())?;
         settings(&form)
     };
-    requests.borrow().get(word).map(read).transpose()
+    requests.borrow().get(function).map(from_json).transpose()
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -187,7 +187,7 @@
         }
         Command::Check { config } => commands::check::run(config),
         #[cfg(feature = "installations")]
-        Command::Evaluate { script } => orchidyoke_config::run_evaluator(&script),
+        Command::Evaluate { script } => orchidyoke_config::run_evaluator(&script).map_err(Into::into),
         #[cfg(feature = "installations")]
         Command::Rollout { plan, state, log } => {
             log::start(log.into());
