--- a/deploy/consul.star
+++ b/deploy/consul.star
@@ -1,4 +1,4 @@
-# An installation that takes its endpoints from Consul. Not for the platform, where discovery tells them.
+# An installation that takes its endpoints from Consul. Not for the platform, where they come from discovery.
 # orchidyoke check --settings deploy/consul.star
 
 partners = {
