--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -27,8 +27,8 @@
     let mut query = BlockingQuery::default();
     query.on_response(0, &ok("100"), 0.5);
     query.start_blocking(SECOND_US);
-    let (verdict, _) = query.on_response(2 * SECOND_US, &ok("7"), 0.5);
-    assert_eq!((verdict, query.start_blocking(3 * SECOND_US)), (QueryOutcome::Changed, 0));
+    let (outcome, _) = query.on_response(2 * SECOND_US, &ok("7"), 0.5);
+    assert_eq!((outcome, query.start_blocking(3 * SECOND_US)), (QueryOutcome::Changed, 0));
     query.on_response(3 * SECOND_US, &ok("7"), 0.5);
     assert_eq!(query.start_blocking(4 * SECOND_US), 7);
 }
@@ -37,40 +37,40 @@
 fn unusable_index_counts_with_backoff() {
     for index in [Some("0"), Some("many"), Some("-1"), Some("99999999999999999999999"), None] {
         let (mut query, mut now) = (BlockingQuery::default(), 0);
-        let mut asked = 0;
+        let mut requests = 0;
         while now < 20 * SECOND_US {
             assert_eq!(query.start_blocking(now), 0);
-            asked += 1;
+            requests += 1;
             let head = ResponseHead { index: index.map(str::to_owned), ..ok("") };
-            let (verdict, again) = query.on_response(now + MILLISECOND_US, &head, 0.5);
-            assert_eq!(verdict, QueryOutcome::Changed, "{index:?}: an authoritative answer counts");
-            now = again;
+            let (outcome, next) = query.on_response(now + MILLISECOND_US, &head, 0.5);
+            assert_eq!(outcome, QueryOutcome::Changed, "{index:?}: an authoritative response counts");
+            now = next;
         }
-        assert!(asked <= 20, "{index:?}: {asked} questions in 20 s");
+        assert!(requests <= 20, "{index:?}: {requests} requests in 20 s");
     }
 }
 
 #[test]
 fn agent_that_does_not_block_is_queried_with_backoff() {
-    let (mut query, mut now, mut asked) = (BlockingQuery::default(), 0, 0);
+    let (mut query, mut now, mut requests) = (BlockingQuery::default(), 0, 0);
     while now < 20 * SECOND_US {
         query.start_blocking(now);
         now = query.on_response(now + MILLISECOND_US, &ok("5"), 0.5).1;
-        asked += 1;
+        requests += 1;
     }
-    assert!(asked <= 20, "{asked} questions in 20 s");
+    assert!(requests <= 20, "{requests} requests in 20 s");
 }
 
 #[test]
 fn immediate_query_reports_only_a_changed_index() {
     let mut query = BlockingQuery::default();
-    for (index, verdict) in
+    for (index, outcome) in
         [("5", QueryOutcome::Changed), ("5", QueryOutcome::Unchanged), ("6", QueryOutcome::Changed)]
     {
         assert_eq!(query.start_immediate(SECOND_US), 0);
         assert_eq!(
             query.on_response(SECOND_US + MIN_QUERY_INTERVAL_US, &ok(index), 0.5),
-            (verdict, SECOND_US + MIN_QUERY_INTERVAL_US)
+            (outcome, SECOND_US + MIN_QUERY_INTERVAL_US)
         );
     }
 }
@@ -94,12 +94,12 @@
     for (head, refusal) in cases {
         let mut query = BlockingQuery::default();
         query.on_response(0, &ok("4"), 0.5);
-        let told = head.retry_after.is_some();
-        let (verdict, again) = query.on_response(SECOND_US, &head, 0.5);
-        assert_eq!(verdict, QueryOutcome::Rejected(refusal));
-        assert_eq!(again, SECOND_US + if told { 3 * SECOND_US } else { BACKOFF_MIN_US });
+        let has_retry_after = head.retry_after.is_some();
+        let (outcome, next) = query.on_response(SECOND_US, &head, 0.5);
+        assert_eq!(outcome, QueryOutcome::Rejected(refusal));
+        assert_eq!(next, SECOND_US + if has_retry_after { 3 * SECOND_US } else { BACKOFF_MIN_US });
         assert_eq!(
-            (query.last_success(), query.consecutive_failures(), query.start_blocking(again)),
+            (query.last_success(), query.consecutive_failures(), query.start_blocking(next)),
             (Some(0), 1, 0)
         );
     }
@@ -108,24 +108,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..Default::default() })]
 
-    // Guards against a busy loop on any sequence of answers: never more than one question in LEAST_GAP in the
+    // Guards against a busy loop on any sequence of responses: never more than one request in MIN_QUERY_INTERVAL_US in the
     // long run, but for those whose index moves on, and never a pause without an end.
     #[test]
     fn no_sequence_of_responses_causes_a_busy_loop_or_a_stall(
-        answers in prop::collection::vec((0u16..6, "[0-9]{0,3}|x|-1", 0i64..40_000, any::<bool>()), 1..120)
+        responses in prop::collection::vec((0u16..6, "[0-9]{0,3}|x|-1", 0i64..40_000, any::<bool>()), 1..120)
     ) {
         let (mut query, mut now) = (BlockingQuery::default(), 0);
-        let count = answers.len() as Micros;
+        let count = responses.len() as Micros;
         let mut waited = 0;
-        for (status, index, took, leaderless) in answers {
+        for (status, index, took, leaderless) in responses {
             let before = query.start_blocking(now);
             let status = [200, 200, 200, 403, 429, 500][usize::from(status)];
             let head = ResponseHead { status, leaderless, ..ok(&index) };
-            let (verdict, again) = query.on_response(now + took, &head, 0.5);
-            prop_assert!(again >= now + took && again <= now + took + RETRY_AFTER_MAX_US);
-            prop_assert!(verdict != QueryOutcome::Unchanged || before == query.index);
+            let (outcome, next) = query.on_response(now + took, &head, 0.5);
+            prop_assert!(next >= now + took && next <= now + took + RETRY_AFTER_MAX_US);
+            prop_assert!(outcome != QueryOutcome::Unchanged || before == query.index);
             waited += took;
-            now = again;
+            now = next;
         }
         prop_assert!(now - waited + MIN_QUERY_INTERVAL_US >= 0 && now + MIN_QUERY_INTERVAL_US >= MIN_QUERY_INTERVAL_US * count / 2);
     }
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -29,17 +29,17 @@
     }
 }
 
-fn held(targets: Vec<EndpointEntry>) -> WatchEvent {
-    WatchEvent { version: 7, is_snapshot: true, endpoints: targets, origin: String::new() }
+fn current(endpoints: Vec<EndpointEntry>) -> WatchEvent {
+    WatchEvent { version: 7, is_snapshot: true, endpoints, origin: String::new() }
 }
 
-fn uids(news: &WatchEvent) -> Vec<(String, EndpointState)> {
-    news.endpoints.iter().map(|t| (t.uid.clone(), t.state)).collect()
+fn uids(event: &WatchEvent) -> Vec<(String, EndpointState)> {
+    event.endpoints.iter().map(|endpoint| (endpoint.uid.clone(), endpoint.state)).collect()
 }
 
 #[test]
 fn moved_instance_is_a_new_endpoint_after_removal_of_the_old() {
-    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     snapshot.apply(0, &[entry("n1", "web-1", "", 8001, "passing")]);
     let change = snapshot.apply(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
     assert_eq!(
@@ -58,7 +58,7 @@
 
 #[test]
 fn unusable_instance_is_no_endpoint_and_reported_once() {
-    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     let bad = [
         entry("n1", "out", "10.0.0.1", 80, "passing"),
         entry("n1", "name", "web.example", 80, "passing"),
@@ -75,7 +75,7 @@
 
 #[test]
 fn endpoint_takes_zone_state_and_health_from_the_entry() {
-    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     let mut one = entry("n1", "w", "", 80, "warning");
     one.node.meta.insert("zone".to_owned(), "b".to_owned());
     let target = snapshot.apply(0, &[one.clone()]).events[0].endpoints[0].clone();
@@ -87,10 +87,10 @@
     assert_eq!(snapshot.apply(0, &[one]).events[0].endpoints[0].zone, "c", "the instance's own comes first");
 }
 
-// Guards against a partner that only the catalogue saw leave, and that gets its whole load when it is back.
+// Guards against full load for a returning partner whose absence only the catalogue has seen.
 #[test]
 fn returning_destination_is_listed_as_critical_first() {
-    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &held(vec![]));
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
     assert_eq!(snapshot.apply(0, &all).events.len(), 1, "new, not back");
     let gone = snapshot.apply(0, &[]).events;
@@ -118,10 +118,10 @@
         capacity_hint: 1.0,
         health: HealthStatus::Passing,
     };
-    let held = held(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
-    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &held);
-    let gone = |news: &[WatchEvent]| -> Vec<String> {
-        let all = news.iter().flat_map(|n| &n.endpoints);
+    let current = current(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
+    let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &current);
+    let gone = |events: &[WatchEvent]| -> Vec<String> {
+        let all = events.iter().flat_map(|event| &event.endpoints);
         all.filter(|t| t.state == EndpointState::Removed).map(|t| t.uid.clone()).collect()
     };
     assert_eq!(gone(&snapshot.apply(0, &[entry("n1", "w", "", 80, "passing")]).events), ["s3"]);
@@ -137,11 +137,11 @@
 #[test]
 fn restart_continues_from_the_stored_list() {
     let settings = settings(&[("web", 3)]);
-    let (mut map, both) =
+    let (mut list, both) =
         (EndpointList::default(), [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")]);
-    let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
-    snapshot.apply(0, &both).events.iter().for_each(|news| map.apply(news));
-    let mut again = CatalogueSnapshot::new(&settings, &map.snapshot());
+    let mut snapshot = CatalogueSnapshot::new(&settings, &current(vec![]));
+    snapshot.apply(0, &both).events.iter().for_each(|event| list.apply(event));
+    let mut again = CatalogueSnapshot::new(&settings, &list.snapshot());
     assert!(again.apply(0, &both).events.is_empty(), "nothing has changed");
     assert_eq!(again.apply(0, &both[1..]).events[0].endpoints.len(), 1);
     assert_eq!(
@@ -153,36 +153,36 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: prop::test_runner::RngSeed::Fixed(3), ..Default::default() })]
 
-    // Guards against a map that drifts from the catalogue: after any answers in any order it holds what the last
-    // answer for each service says, with versions that only grow.
+    // Guards against a list that drifts from the catalogue: after any responses in any order it equals the last
+    // response of each service, with versions that only grow.
     #[test]
     fn endpoint_list_equals_the_last_response_of_each_service(
-        answers in prop::collection::vec((0usize..3, prop::collection::vec((0u8..3, 0u8..4, 0u8..3), 0..6)), 1..40)
+        responses in prop::collection::vec((0usize..3, prop::collection::vec((0u8..3, 0u8..4, 0u8..3), 0..6)), 1..40)
     ) {
         let settings = settings(&[("web", 3), ("api", 4), ("more", 4)]);
-        let mut snapshot = CatalogueSnapshot::new(&settings, &held(vec![]));
-        let (mut map, mut last) = (EndpointList::default(), BTreeMap::new());
-        for (service, instances) in answers {
+        let mut snapshot = CatalogueSnapshot::new(&settings, &current(vec![]));
+        let (mut list, mut last) = (EndpointList::default(), BTreeMap::new());
+        for (service, instances) in responses {
             let status = ["passing", "warning", "critical"];
             let entries: Vec<_> = instances
                 .iter()
                 .map(|(n, i, s)| entry(&format!("n{n}"), &format!("i{i}"), "", 80 + i64::from(*i), status[usize::from(*s)]))
                 .collect();
-            for news in snapshot.apply(service, &entries).events {
-                prop_assert!(news.version > map.version() && !news.endpoints.is_empty());
-                map.apply(&news);
+            for event in snapshot.apply(service, &entries).events {
+                prop_assert!(event.version > list.version() && !event.endpoints.is_empty());
+                list.apply(&event);
             }
             last.insert(service, entries);
             let mut expected = BTreeMap::new();
             for (service, entries) in &last {
                 for entry in entries {
-                    let target = endpoint_entry(&settings.services[*service], &AllowedNetworks::new(&settings.networks), entry);
-                    let target = target.expect("usable");
-                    expected.insert(target.uid.clone(), target);
+                    let endpoint = endpoint_entry(&settings.services[*service], &AllowedNetworks::new(&settings.networks), entry);
+                    let endpoint = endpoint.expect("usable");
+                    expected.insert(endpoint.uid.clone(), endpoint);
                 }
             }
-            let held: BTreeMap<_, _> = map.snapshot().endpoints.into_iter().map(|t| (t.uid.clone(), t)).collect();
-            prop_assert_eq!(held, expected);
+            let listed: BTreeMap<_, _> = list.snapshot().endpoints.into_iter().map(|t| (t.uid.clone(), t)).collect();
+            prop_assert_eq!(listed, expected);
         }
     }
 }
--- a/crates/consul/tests/instance_health.rs
+++ b/crates/consul/tests/instance_health.rs
@@ -31,20 +31,23 @@
         (&[("_service_maintenance:web-1", "critical")], Draining, Critical),
         (&[("_service_maintenance:web-1", "passing")], Active, Passing),
     ];
-    for (checks, state, told) in cases {
-        assert_eq!(instance_health(&entry(checks)), InstanceHealth { state, checks: told }, "{checks:?}");
+    for (checks, state, health) in cases {
+        assert_eq!(instance_health(&entry(checks)), InstanceHealth { state, checks: health }, "{checks:?}");
     }
 }
 
 #[test]
 fn tag_metadata_or_zero_weight_drains_an_instance() {
-    for (status, told) in [("passing", HealthStatus::Passing), ("critical", HealthStatus::Critical)] {
+    for (status, health) in [("passing", HealthStatus::Passing), ("critical", HealthStatus::Critical)] {
         let mut tagged = entry(&[("web", status)]);
         tagged.service.tags = vec!["v2".to_owned(), DRAINING.to_owned()];
-        assert_eq!(instance_health(&tagged), InstanceHealth { state: EndpointState::Draining, checks: told });
+        assert_eq!(
+            instance_health(&tagged),
+            InstanceHealth { state: EndpointState::Draining, checks: health }
+        );
         let mut meta = entry(&[("web", status)]);
         meta.service.meta.insert(DRAINING.to_owned(), "true".to_owned());
-        assert_eq!(instance_health(&meta), InstanceHealth { state: EndpointState::Draining, checks: told });
+        assert_eq!(instance_health(&meta), InstanceHealth { state: EndpointState::Draining, checks: health });
         meta.service.meta.insert(DRAINING.to_owned(), "false".to_owned());
         assert_eq!(instance_health(&meta).state, EndpointState::Active);
     }
--- a/crates/consul/tests/query_schedule.rs
+++ b/crates/consul/tests/query_schedule.rs
@@ -75,7 +75,7 @@
             (0..hinted.min(services)).for_each(|service| schedule.hint(service));
             while out.len() < connections {
                 let (NextQuery::Blocking(service) | NextQuery::Immediate(service)) = schedule.next(now) else { break };
-                prop_assert!(!out.contains(&service), "asked twice at once");
+                prop_assert!(!out.contains(&service), "read twice at once");
                 last[service] = now;
                 out.push_back(service);
             }
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -1,6 +1,9 @@
-//! The source against the stand-in Consul: what it tells, and what it does not when Consul fails.
+//! The endpoint source against the fake Consul: which watch events it sends, and what it does while Consul fails.
 
-use orchidyoke_consul::EndpointSource as Source;
+mod common;
+
+use common::run;
+use orchidyoke_consul::EndpointSource;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_fakes::Consul;
@@ -9,11 +12,10 @@
 use orchidyoke_fakes::forwarder::Folder;
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::input::{Input, update_sender};
-use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -44,75 +46,69 @@
     }
 }
 
-/// The map as the source tells it.
+/// The endpoint list as the source's watch events make it.
 struct Follower {
     list: EndpointList,
     inputs: UnboundedReceiver<Input>,
 }
 
 impl Follower {
-    fn follow(settings: Settings, map: EndpointList) -> Self {
-        let (inputs, news) = unbounded_channel();
-        let following = Source::new(settings).follow(map.snapshot(), update_sender(1, inputs));
+    fn follow(settings: Settings, list: EndpointList) -> Self {
+        let (sender, inputs) = unbounded_channel();
+        let following = EndpointSource::new(settings).follow(list.snapshot(), update_sender(1, sender));
         spawn_local(following);
-        Follower { list: map, inputs: news }
+        Follower { list, inputs }
     }
 
     fn states(&self) -> Vec<(String, EndpointState, HealthStatus)> {
-        let name = |target: &EndpointEntry| target.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
-        self.list.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
+        let id = |endpoint: &EndpointEntry| endpoint.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
+        let endpoints = self.list.snapshot().endpoints;
+        endpoints.iter().map(|endpoint| (id(endpoint), endpoint.state, endpoint.health)).collect()
     }
 
     fn apply(&mut self, input: Input) {
-        let Input::WatchEvent { event: news, .. } = input else { panic!("news only") };
-        assert!(!news.is_snapshot && news.version > self.list.version());
-        self.list.apply(&news);
+        let Input::WatchEvent { event, .. } = input else { panic!("watch events only") };
+        assert!(!event.is_snapshot && event.version > self.list.version());
+        self.list.apply(&event);
     }
 
-    /// Waits until the map holds so many endpoints.
+    /// Waits until the list has so many endpoints.
     async fn wait_for_count(&mut self, count: usize) {
         while self.list.len() != count {
-            let news = timeout(PATIENCE, self.inputs.recv()).await;
-            self.apply(
-                news.unwrap_or_else(|_| panic!("{count} are due: {:?}", self.states())).expect("followed"),
-            );
+            let input = timeout(PATIENCE, self.inputs.recv()).await;
+            let input = input.unwrap_or_else(|_| panic!("{count} are due: {:?}", self.states()));
+            self.apply(input.expect("the source runs"));
         }
     }
 
-    /// Waits until an endpoint stands so.
-    async fn wait_for_state(&mut self, id: &str, state: EndpointState, checks: HealthStatus) {
-        while !self.states().contains(&(id.to_owned(), state, checks)) {
-            let news = timeout(PATIENCE, self.inputs.recv()).await;
-            self.apply(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
+    /// Waits until an endpoint has this state and health.
+    async fn wait_for_state(&mut self, id: &str, state: EndpointState, health: HealthStatus) {
+        while !self.states().contains(&(id.to_owned(), state, health)) {
+            let input = timeout(PATIENCE, self.inputs.recv()).await;
+            let input = input.unwrap_or_else(|_| panic!("{id}: {:?}", self.states()));
+            self.apply(input.expect("the source runs"));
         }
     }
 
-    /// Nothing is told in this time.
+    /// Checks that no event arrives in this time.
     async fn assert_no_event(&mut self, span: Duration) {
-        let told = timeout(span, self.inputs.recv()).await;
-        assert!(told.is_err(), "nothing was to be told: {told:?}");
+        let input = timeout(span, self.inputs.recv()).await;
+        assert!(input.is_err(), "no event is expected: {input:?}");
     }
 }
 
-/// Runs a test on one thread, as the forwarder does.
-fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime
-        .block_on(LocalSet::new().run_until(async { timeout(3 * PATIENCE, test).await.expect("in time") }));
-}
-
-/// A Consul with so many instances, `w1` and on at ports from 8001, and what a source that follows it has seen: all.
+/// A Consul with so many instances, `w1` and on at ports from 8001, and a follower that has follower all of them.
 async fn follow_instances(count: u16) -> (Consul, Follower) {
     let consul = Consul::start();
     for number in 1..=count {
         consul.register(web_instance(&format!("w{number}"), 8000 + number));
     }
-    let mut seen = Follower::follow(settings(&consul), EndpointList::default());
-    seen.wait_for_count(usize::from(count)).await;
-    (consul, seen)
+    let mut follower = Follower::follow(settings(&consul), EndpointList::default());
+    follower.wait_for_count(usize::from(count)).await;
+    (consul, follower)
 }
 
-/// Until this holds.
+/// Waits until this is so.
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
@@ -124,26 +120,26 @@
 #[test]
 fn registration_health_tag_and_maintenance_changes_are_followed() {
     run(async {
-        let (consul, mut seen) = follow_instances(2).await;
+        let (consul, mut follower) = follow_instances(2).await;
         consul.status("n1", "w1", "critical");
-        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
+        follower.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", true);
-        seen.wait_for_state("w1", EndpointState::Draining, HealthStatus::Critical).await;
+        follower.wait_for_state("w1", EndpointState::Draining, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", false);
         consul.status("n1", "w1", "warning");
-        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
+        follower.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
         consul.maintenance("n1", "w2", true);
-        seen.wait_for_state("w2", EndpointState::Draining, HealthStatus::Critical).await;
+        follower.wait_for_state("w2", EndpointState::Draining, HealthStatus::Critical).await;
         consul.maintenance("n1", "w2", false);
-        seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Passing).await;
+        follower.wait_for_state("w2", EndpointState::Active, HealthStatus::Passing).await;
         consul.node_check("n1", "serfHealth", Some("critical"));
-        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
-        seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Critical).await;
+        follower.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
+        follower.wait_for_state("w2", EndpointState::Active, HealthStatus::Critical).await;
         consul.node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
-        seen.wait_for_count(1).await;
+        follower.wait_for_count(1).await;
         consul.deregister("n1", "w2");
-        seen.wait_for_count(0).await;
+        follower.wait_for_count(0).await;
     });
 }
 
@@ -152,27 +148,27 @@
 fn fault_keeps_the_list_and_recovery_applies_missed_changes() {
     for fault in Fault::that_tell_nothing() {
         run(async {
-            let (consul, mut seen) = follow_instances(2).await;
+            let (consul, mut follower) = follow_instances(2).await;
             consul.fault(fault.clone());
-            let asked = consul.questions();
+            let requests_before = consul.questions();
             consul.deregister("n1", "w1");
             consul.register(web_instance("w3", 8003));
-            seen.assert_no_event(Duration::from_millis(700)).await;
+            follower.assert_no_event(Duration::from_millis(700)).await;
             assert!(
-                consul.questions() - asked <= 8,
+                consul.questions() - requests_before <= 8,
                 "{fault:?}: no busy loop: {}",
-                consul.questions() - asked
+                consul.questions() - requests_before
             );
-            assert_eq!(seen.list.len(), 2, "{fault:?}");
+            assert_eq!(follower.list.len(), 2, "{fault:?}");
             consul.fault(Fault::None);
-            seen.wait_for_state("w3", EndpointState::Active, HealthStatus::Passing).await;
-            seen.wait_for_count(2).await;
+            follower.wait_for_state("w3", EndpointState::Active, HealthStatus::Passing).await;
+            follower.wait_for_count(2).await;
         });
     }
 }
 
-// Guards against a list taken from a server that has lost touch with its leader, and against staying with it: the next
-// address is asked. Within the limit what it says counts, an empty list too.
+// Guards against a list taken from a server that has lost contact with its leader, and against staying with it: the next
+// address is used. Within the limit its responses count, an empty list too.
 #[test]
 fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
@@ -188,55 +184,55 @@
                 max_stale: Duration::from_secs(1),
                 ..settings(&cut_off)
             };
-            let mut seen = Follower::follow(settings, EndpointList::default());
-            seen.wait_for_count(2).await;
+            let mut follower = Follower::follow(settings, EndpointList::default());
+            follower.wait_for_count(2).await;
             cut_off.fault(Fault::Behind(behind));
             if counts {
-                seen.wait_for_count(0).await;
+                follower.wait_for_count(0).await;
                 assert_eq!(other.questions(), 0);
             } else {
-                wait_until("a question to the other", || other.questions() > 0).await;
-                let asked = cut_off.questions();
+                wait_until("a request to the other", || other.questions() > 0).await;
+                let requests_before = cut_off.questions();
                 other.register(web_instance("w3", 8003));
-                seen.wait_for_count(3).await;
-                seen.assert_no_event(Duration::from_millis(500)).await;
-                assert_eq!(cut_off.questions(), asked, "it stays with the other");
+                follower.wait_for_count(3).await;
+                follower.assert_no_event(Duration::from_millis(500)).await;
+                assert_eq!(cut_off.questions(), requests_before, "it stays with the other");
             }
         });
     }
 }
 
-// Guards against an age that is minded where the leader answers: there it says nothing.
+// Guards against a last contact that is checked where the leader answers: there it says nothing.
 #[test]
 fn last_contact_is_ignored_without_stale_consistency() {
     run(async {
-        let (consul, mut seen) = follow_instances(1).await;
+        let (consul, mut follower) = follow_instances(1).await;
         consul.fault(Fault::Behind(Duration::from_secs(3600)));
-        seen.wait_for_count(0).await;
+        follower.wait_for_count(0).await;
     });
 }
 
-// Guards against an agent without a leader being asked on and on while another has one.
+// Guards against an agent without a leader that is queried on and on while another has one.
 #[test]
 fn agent_without_a_leader_causes_failover() {
     for fault in [Fault::NoLeader { whole: true }, Fault::Status(500, "No cluster leader", None)] {
         run(async {
             let (cut_off, other) = (Consul::start(), Consul::start());
             let addresses = vec![cut_off.address(), other.address()];
-            let mut seen =
+            let mut follower =
                 Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
             cut_off.register(web_instance("w1", 8001));
-            seen.wait_for_count(1).await;
+            follower.wait_for_count(1).await;
             cut_off.fault(fault.clone());
             other.register(web_instance("w1", 8001));
             other.register(web_instance("w2", 8002));
-            seen.wait_for_count(2).await;
+            follower.wait_for_count(2).await;
         });
     }
 }
 
-// Guards against a silence that is never noticed: the question is given up after its wait and a grace, and asked on
-// another connection; what changed in the silence comes then.
+// Guards against a silence that is never noticed: the request times out after its wait and a grace, and is sent
+// on another connection; changes during the silence are applied then.
 #[test]
 fn silent_agent_times_out_and_causes_failover() {
     run(async {
@@ -246,12 +242,12 @@
         }
         let wait = Duration::from_secs(1);
         let addresses = vec![silent.address(), other.address()];
-        let mut seen =
+        let mut follower =
             Follower::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
-        seen.wait_for_count(1).await;
+        follower.wait_for_count(1).await;
         silent.fault(Fault::Silent);
         other.register(web_instance("w2", 8002));
-        seen.wait_for_count(2).await;
+        follower.wait_for_count(2).await;
         assert!(other.questions() > 0);
     });
 }
@@ -260,19 +256,19 @@
 fn unusable_index_does_not_stop_updates_or_cause_a_busy_loop() {
     for index in [Some("0"), Some("many"), Some("7"), None] {
         run(async {
-            let (consul, mut seen) = follow_instances(1).await;
+            let (consul, mut follower) = follow_instances(1).await;
             consul.fault(Fault::Index(index));
             consul.register(web_instance("w2", 8002));
-            // With an index that stands still nothing tells that there is news; with none, all of it is read.
+            // An index that does not move hides the change; without an index every body is read.
             if index != Some("7") {
-                seen.wait_for_count(2).await;
+                follower.wait_for_count(2).await;
             }
-            let asked = consul.questions();
+            let requests_before = consul.questions();
             sleep(Duration::from_secs(1)).await;
-            assert!(consul.questions() - asked <= 15, "{index:?}: no busy loop");
+            assert!(consul.questions() - requests_before <= 15, "{index:?}: no busy loop");
             consul.fault(Fault::None);
             consul.register(web_instance("w3", 8003));
-            seen.wait_for_count(3).await;
+            follower.wait_for_count(3).await;
         });
     }
 }
@@ -280,12 +276,12 @@
 #[test]
 fn lower_index_restarts_the_query() {
     run(async {
-        let (consul, mut seen) = follow_instances(5).await;
+        let (consul, mut follower) = follow_instances(5).await;
         consul.lose_index();
         consul.deregister("n1", "w1");
-        seen.wait_for_count(4).await;
+        follower.wait_for_count(4).await;
         consul.deregister("n1", "w2");
-        seen.wait_for_count(3).await;
+        follower.wait_for_count(3).await;
     });
 }
 
@@ -294,23 +290,23 @@
 #[test]
 fn new_instance_at_a_known_address_is_a_new_endpoint() {
     run(async {
-        let (consul, mut seen) = follow_instances(1).await;
-        let uid = |seen: &Follower| seen.list.snapshot().endpoints[0].uid.clone();
-        let first = uid(&seen);
+        let (consul, mut follower) = follow_instances(1).await;
+        let uid = |follower: &Follower| follower.list.snapshot().endpoints[0].uid.clone();
+        let first = uid(&follower);
         consul.register(web_instance("w1", 8009));
-        while uid(&seen) == first {
-            let news = seen.inputs.recv().await.expect("told");
-            seen.apply(news);
+        while uid(&follower) == first {
+            let input = follower.inputs.recv().await.expect("the source runs");
+            follower.apply(input);
         }
         consul.deregister("n1", "w1");
         consul.register(Instance::new("web", "n2", "w1", address(8009)));
-        while !uid(&seen).contains("/n2/") {
-            let news = seen.inputs.recv().await.expect("told");
-            seen.apply(news);
+        while !uid(&follower).contains("/n2/") {
+            let input = follower.inputs.recv().await.expect("the source runs");
+            follower.apply(input);
         }
         consul.register(Instance::new("web", "n1", "w1", address(8009)));
-        seen.wait_for_count(2).await;
-        let before = seen.list.snapshot().endpoints;
+        follower.wait_for_count(2).await;
+        let before = follower.list.snapshot().endpoints;
         for (node, back) in [("n1", false), ("n2", false), ("n1", true), ("n2", true)] {
             if back {
                 consul.register(Instance::new("web", node, "w1", address(8009)));
@@ -319,23 +315,27 @@
             }
         }
         consul.register(Instance::new("web", "n3", "w1", address(8010)));
-        seen.wait_for_count(3).await;
-        assert_eq!(seen.list.snapshot().endpoints[..2], before);
+        follower.wait_for_count(3).await;
+        assert_eq!(follower.list.snapshot().endpoints[..2], before);
     });
 }
 
 #[test]
 fn flapping_check_ends_in_its_last_state() {
     run(async {
-        let (consul, mut seen) = follow_instances(1).await;
-        let asked = consul.questions();
+        let (consul, mut follower) = follow_instances(1).await;
+        let requests_before = consul.questions();
         for turn in 0..200 {
             consul.status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
             sleep(Duration::from_millis(1)).await;
         }
         consul.status("n1", "w1", "warning");
-        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
-        assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
+        follower.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
+        assert!(
+            consul.questions() - requests_before <= 30,
+            "bounded: {}",
+            consul.questions() - requests_before
+        );
     });
 }
 
@@ -360,13 +360,13 @@
     let settings = Settings { tls: Some(tls), token_file, ..settings(&consul) };
     run(async {
         consul.register(web_instance("w1", 8001));
-        let mut seen = Follower::follow(settings.clone(), EndpointList::default());
-        seen.wait_for_count(1).await;
+        let mut follower = Follower::follow(settings.clone(), EndpointList::default());
+        follower.wait_for_count(1).await;
         consul.require(Some("second"));
         consul.register(web_instance("w2", 8002));
-        seen.assert_no_event(Duration::from_millis(300)).await;
+        follower.assert_no_event(Duration::from_millis(300)).await;
         folder.write("token", "second");
-        seen.wait_for_count(2).await;
+        follower.wait_for_count(2).await;
         // Another authority signs for both ends; the old certificates are worth nothing from now on.
         let other = Authority::new(folder.path(), "dc1");
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
@@ -374,7 +374,7 @@
         consul.speak_tls(&server, Some(&other.ca));
         let (open, _) = consul.connections();
         consul.register(web_instance("w3", 8003));
-        seen.wait_for_count(3).await;
+        follower.wait_for_count(3).await;
         wait_until("the connection under the old certificates closes", || consul.connections().0 <= open)
             .await;
     });
@@ -435,19 +435,21 @@
                 Instance::new(&format!("s{number}"), "n1", &format!("i{number}"), address(8000 + number));
             consul.register(instance);
         }
-        let mut seen = Follower::follow(settings, EndpointList::default());
-        seen.wait_for_count(all.len()).await;
+        let mut follower = Follower::follow(settings, EndpointList::default());
+        follower.wait_for_count(all.len()).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
             consul.status("n1", &format!("i{number}"), "critical");
-            seen.wait_for_state(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical).await;
+            follower
+                .wait_for_state(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical)
+                .await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
         for number in &all {
             consul.deregister("n1", &format!("i{number}"));
         }
-        seen.wait_for_count(0).await;
+        follower.wait_for_count(0).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
     });
 }
@@ -455,20 +457,20 @@
 #[test]
 fn restart_keeps_the_list_until_an_authoritative_empty_response() {
     run(async {
-        let (consul, seen) = follow_instances(1).await;
+        let (consul, follower) = follow_instances(1).await;
         consul.fault(Fault::Gone);
-        let mut again = Follower::follow(settings(&consul), seen.list.clone());
+        let mut again = Follower::follow(settings(&consul), follower.list.clone());
         again.assert_no_event(Duration::from_millis(300)).await;
         consul.deregister("n1", "w1");
         consul.fault(Fault::None);
         again.wait_for_count(0).await;
         let other =
             WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-        let mut map = EndpointList::default();
-        map.apply(&other);
+        let mut list = EndpointList::default();
+        list.apply(&other);
         consul.register(web_instance("w2", 8002));
-        let mut fresh = Follower::follow(settings(&consul), map);
+        let mut fresh = Follower::follow(settings(&consul), list);
         fresh.wait_for_count(1).await;
-        assert_eq!(fresh.list.version(), 5, "versions go on from the list held");
+        assert_eq!(fresh.list.version(), 5, "versions continue from the current list");
     });
 }
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Protects what Consul's catalogue leaves in a forwarder's journal: the id that a list is told under, and the uids of
-//! its endpoints. A start with other ones would take the list held for somebody else's, and its endpoints for new ones.
+//! Protects what Consul's catalogue leaves in a forwarder's journal: the id of a list's source, and the uids of
+//! its endpoints. A start with other ones would take the stored list for that of another source, and its endpoints for new ones.
 
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::api::ServiceEntry;
@@ -62,7 +62,7 @@
     let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
     let held = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
     let change = CatalogueSnapshot::new(&full(), &held).apply(0, &entries);
-    let target = EndpointEntry {
+    let endpoint = EndpointEntry {
         uid: "web.11/n-1/web-1@10.0.0.1:8001".to_owned(),
         address: "10.0.0.1:8001".parse().expect("an address"),
         zone: "z-2".to_owned(),
@@ -75,6 +75,6 @@
     let origin = IDS.lines().nth(1).expect("an id").to_owned();
     assert_eq!(
         change.events,
-        [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![target], origin }]
+        [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![endpoint], origin }]
     );
 }
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -1,12 +1,12 @@
-//! Protects what is said to Consul and read from it: the queries of the catalogue, of sessions and of keys, and the endpoints
-//! that come of an answer.
+//! Protects the HTTP requests to Consul and what is read from its responses: the requests of the catalogue, of sessions and
+//! of keys, and the endpoints of a response.
 
 #[path = "../../forwarder/tests/common/golden.rs"]
 mod golden;
 
 use bytes::Bytes;
 use golden::{assert_golden, side, whole_length};
-use orchidyoke_consul::EndpointSource as Source;
+use orchidyoke_consul::EndpointSource;
 use orchidyoke_consul::client::Client;
 use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior, TransactionOperation};
 use orchidyoke_consul::request::ApiRequest;
@@ -25,29 +25,35 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const HEALTH: &str = include_str!("fixtures/wire/health.json");
 
-/// A far end that gives these answers in turn on one connection and stays; what it was asked, and what `near` came to.
-fn asked<T>(answers: &[String], near: impl AsyncFnOnce(SocketAddr) -> T) -> (String, T) {
+/// Sends these responses in turn on one connection, which stays open; returns the requests, and the result of `client`.
+fn exchange<T>(responses: &[String], client: impl AsyncFnOnce(SocketAddr) -> T) -> (String, T) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("bound");
-        let far = async {
+        let address = listener.local_addr().expect("bound");
+        let server = async {
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            let mut said = Vec::new();
-            for answer in answers {
+            let mut requests = Vec::new();
+            for response in responses {
                 let mut request = Vec::new();
                 while whole_length(&request, true).is_none_or(|length| request.len() < length) {
                     assert!(stream.read_buf(&mut request).await.expect("a request") > 0, "a whole request");
                 }
-                said.push(side("> ", &request));
-                stream.write_all(answer.as_bytes()).await.expect("written");
+                requests.push(side("> ", &request));
+                stream.write_all(response.as_bytes()).await.expect("written");
             }
-            (said.join("\n"), stream)
+            (
+                requests.join(
+                    "
+",
+                ),
+                stream,
+            )
         };
-        // What cannot be read is asked for again without end.
-        let both = timeout(PATIENCE, async { tokio::join!(far, near(at)) }).await;
-        let ((said, _), came) = both.expect("in time");
-        (said, came)
+        // A client that cannot read a response retries without end.
+        let both = timeout(PATIENCE, async { tokio::join!(server, client(address)) }).await;
+        let ((requests, _), result) = both.expect("in time");
+        (requests, result)
     })
 }
 
@@ -82,7 +88,7 @@
     std::fs::write(&token, "5be2a07c\n").expect("written");
     let headers = "X-Consul-Index: 41\r\nX-Consul-KnownLeader: false\r\nX-Consul-LastContact: 20000\r\nRetry-After: 3\r\n";
     let answers = [answer("200 OK", headers, "[]"), answer("200 OK", "", "[]"), answer("200 OK", "", "[]")];
-    let (said, head) = asked(&answers, async |at| {
+    let (requests, head) = exchange(&answers, async |at| {
         let settings = Settings { token_file: Some(token.clone()), ..settings(at) };
         let filter = settings.services[0].filter.clone();
         let client = Client::new(Rc::new(settings));
@@ -99,7 +105,7 @@
         heads.swap_remove(0)
     });
     std::fs::remove_file(&token).expect("cleans up");
-    assert_golden("catalogue_questions.txt", &said);
+    assert_golden("catalogue_questions.txt", &requests);
     assert_eq!((head.status, head.index.as_deref(), head.leaderless), (200, Some("41"), true));
     assert_eq!((head.stale_for, head.retry_after), (Some(Duration::from_secs(20)), Some(3)));
 }
@@ -119,18 +125,18 @@
         ok(r#"{"Results":[],"Errors":null}"#),
         ok("true"),
     ];
-    let (said, rows) = asked(&answers, async |at| {
+    let (requests, keys) = exchange(&answers, async |at| {
         let mut locks = LockClient::new(Rc::new(settings(at)));
         let (ttl, delay) = (Duration::from_secs(10), Duration::from_millis(300));
-        let session = locks.create_session("n1", ttl, delay, SessionBehavior::Delete).await.expect("made");
+        let session = locks.create_session("n1", ttl, delay, SessionBehavior::Delete).await.expect("created");
         assert_eq!(session, "adf4");
-        let other = locks.create_session("n2", ttl, delay, SessionBehavior::Release).await.expect("made");
-        assert!(locks.renew_session(&other).await.expect("asked"));
-        assert!(locks.acquire("duties/a b", &session, Bytes::from_static(b"f1")).await.expect("asked"));
-        assert!(locks.release("duties/a b", &session).await.expect("asked"));
-        let (index, rows) = locks.read_keys("duties/", 0, ttl).await.expect("looked");
+        let other = locks.create_session("n2", ttl, delay, SessionBehavior::Release).await.expect("created");
+        assert!(locks.renew_session(&other).await.expect("answered"));
+        assert!(locks.acquire("duties/a b", &session, Bytes::from_static(b"f1")).await.expect("answered"));
+        assert!(locks.release("duties/a b", &session).await.expect("answered"));
+        let (index, keys) = locks.read_keys("duties/", 0, ttl).await.expect("read");
         assert_eq!(index, 9);
-        locks.read_keys("duties/", 9, ttl).await.expect("looked");
+        locks.read_keys("duties/", 9, ttl).await.expect("read");
         let operations = [
             TransactionOperation::CheckAndSet {
                 key: "k/a".to_owned(),
@@ -144,31 +150,35 @@
                 session: session.clone(),
             },
         ];
-        assert!(locks.transact(&operations).await.expect("asked"));
+        assert!(locks.transact(&operations).await.expect("answered"));
         locks.destroy_session(&session).await;
-        rows
+        keys
     });
-    assert_golden("lock_questions.txt", &said);
+    assert_golden("lock_questions.txt", &requests);
     let key = "duties/a b".to_owned();
-    let row =
+    let entry =
         KeyEntry { key, value: Some("ZjE=".to_owned()), session: Some("adf4".to_owned()), modify_index: 7 };
-    assert_eq!(rows, [row]);
-    assert_eq!(rows[0].value_text(), "f1");
+    assert_eq!(keys, [entry]);
+    assert_eq!(keys[0].value_text(), "f1");
 }
 
 #[test]
 fn endpoints_of_a_response_are_unchanged() {
-    let (_, told) = asked(&[answer("200 OK", "X-Consul-Index: 41\r\n", HEALTH)], async |at| {
-        let (sender, mut news) = unbounded_channel();
-        let updates = UpdateSender::new(move |told| drop(sender.send(told)));
-        let held = WatchEvent { version: 0, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-        let following = Source::new(settings(at)).follow(held, updates);
+    let (_, event) = exchange(&[answer("200 OK", "X-Consul-Index: 41\r\n", HEALTH)], async |at| {
+        let (sender, mut events) = unbounded_channel();
+        let updates = UpdateSender::new(move |event| drop(sender.send(event)));
+        let current =
+            WatchEvent { version: 0, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
+        let following = EndpointSource::new(settings(at)).follow(current, updates);
         tokio::select! {
-            told = news.recv() => told.expect("news"),
-            why = following => panic!("{why}"),
+            event = events.recv() => event.expect("an event"),
+            reason = following => panic!("{reason}"),
         }
     });
-    let lines: Vec<_> =
-        told.endpoints.iter().map(|t| serde_json::to_string(t).expect("JSON") + "\n").collect();
+    let lines: Vec<_> = event
+        .endpoints
+        .iter()
+        .map(|endpoint| serde_json::to_string(endpoint).expect("JSON") + "\n")
+        .collect();
     assert_golden("endpoints.txt", &lines.concat());
 }
