--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -8,7 +8,7 @@
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_leases::{LeaseConfig, LeaseManager, ManagerConfig};
 use orchidyoke_policy_commit::{ConsulParticipant, Settings as PolicySettings};
 use std::collections::BTreeMap;
@@ -87,7 +87,7 @@
         eprintln!("{}: {error}", folder.display());
     }
     let participant = ConsulParticipant::new(policy_settings(role.policy, role.ttl), name, &folder);
-    let source = Rc::new(Source { path: role.configuration.clone(), ..Source::default() });
+    let source = Rc::new(ConfigSource { path: role.configuration.clone(), ..ConfigSource::default() });
     let (following, name) = (participant.clone(), name.to_owned());
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
--- a/crates/experiments/src/policy.rs
+++ b/crates/experiments/src/policy.rs
@@ -8,7 +8,7 @@
 use orchidyoke_fakes::{Consul, Fault, FaultProxy, Stage, loopback};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_policy_commit::{ConsulParticipant, Coordinator, Settings};
 use serde_json::json;
 use std::rc::Rc;
@@ -136,7 +136,7 @@
         let at = if late { path.address } else { consul.address() };
         let folder = Folder::new(&format!("lab-policy-{forwarders}-{number}"));
         let participant = ConsulParticipant::new(settings(at), &format!("f{number}"), folder.path());
-        let source = Rc::new(Source { path: config.clone(), ..Source::default() });
+        let source = Rc::new(ConfigSource { path: config.clone(), ..ConfigSource::default() });
         let (inputs, mut came) = unbounded_channel();
         let took = took.clone();
         spawn_local(async move {
--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -1,11 +1,14 @@
-//! The operators' console on sockets: bounded connections, each with a time for its line, and a place always left
-//! for the next caller.
+//! The operators' console on sockets: a bounded number of connections, each with a time for its line.
+//!
+//! There is always room for the next caller: a connection whose line is incomplete gives way, the oldest first. One whose
+//! line is complete stays until it has its reply.
 
-use super::console::{Call, CallError, Reply, read};
+use crate::console::{Command, CommandError, ConsoleReply, parse_input};
 use crate::input::{Input, RequestId};
 use crate::log;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,194 +18,159 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Connections at once, those of callers that have not said anything whole included.
-pub const PLACES: usize = 16;
-/// A line that has not come by then does not come.
-const LINE_TIME: Duration = Duration::from_secs(5);
-/// For the caller to read its reply, and for what it still sends to be dropped.
-const LAST_MOMENT: Duration = Duration::from_secs(1);
-const DROP_MOST: usize = 1 << 20;
-
-/// The console between its connections and the reducer.
-pub struct Console {
+/// Open connections, those with an incomplete line included.
+pub const MAX_CONNECTIONS: usize = 16;
+/// Time for a line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for the caller to read its reply and to close.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// What a caller may send after its line before the connection is closed on it.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Pause after a connection that the system could not accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Connects console connections with the reducer.
+pub struct ConsoleGateway {
     inputs: UnboundedSender<Input>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<Reply>>>,
-    /// Connections in the order in which they came: who has no whole line yet may have to go.
-    callers: RefCell<BTreeMap<RequestId, AbortHandle>>,
-    /// Connections, until their tasks have ended.
-    open: Cell<usize>,
-    next: Cell<RequestId>,
+    waiting: RefCell<HashMap<RequestId, oneshot::Sender<ConsoleReply>>>,
+    /// Connections whose line is incomplete, oldest first: these may be closed for others.
+    incomplete: RefCell<BTreeMap<RequestId, AbortHandle>>,
+    open_connections: Cell<usize>,
+    next_request: Cell<RequestId>,
 }
 
-impl Console {
-    /// A console that asks the reducer behind `inputs`.
+impl ConsoleGateway {
+    /// A gateway to the reducer behind `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
-        let (waiting, callers) = (RefCell::default(), RefCell::default());
-        Rc::new(Console { inputs, waiting, callers, open: Cell::new(0), next: Cell::new(0) })
+        Rc::new(ConsoleGateway {
+            inputs,
+            waiting: RefCell::default(),
+            incomplete: RefCell::default(),
+            open_connections: Cell::new(0),
+            next_request: Cell::new(0),
+        })
     }
 
-    /// Gives a caller its reply; one that is gone needs none.
-    pub fn reply(&self, ticket: RequestId, reply: Reply) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
+    /// Gives a waiting caller its reply. Does nothing if the caller is gone.
+    pub fn reply(&self, request: RequestId, reply: ConsoleReply) {
+        if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
             let _ = waiting.send(reply);
         }
     }
 
-    async fn ask(&self, ticket: RequestId, call: Call) -> Reply {
+    async fn ask(&self, request: RequestId, command: Command) -> ConsoleReply {
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, sender);
+        self.waiting.borrow_mut().insert(request, sender);
         // The receiver is gone only when the forwarder ends.
-        let _ = self.inputs.send(Input::Operator { request: ticket, call });
-        receiver.await.unwrap_or_else(|_| Reply::No("the forwarder ends".to_owned()))
+        let _ = self.inputs.send(Input::Operator { request, call: command });
+        receiver.await.unwrap_or_else(|_| ConsoleReply::Rejected("the forwarder ends".to_owned()))
     }
 
-    /// Whoever has waited longest without a whole line goes, until there is room for one more.
+    /// Closes the oldest connections with an incomplete line until there is room for one more.
     fn make_room(&self) {
-        while self.open.get() >= PLACES {
-            let Some((_, caller)) = self.callers.borrow_mut().pop_first() else { return };
-            caller.abort();
-            self.open.set(self.open.get() - 1);
+        while self.open_connections.get() >= MAX_CONNECTIONS {
+            let Some((_, task)) = self.incomplete.borrow_mut().pop_first() else { return };
+            task.abort();
+            self.count_closed();
         }
     }
+
+    fn count_closed(&self) {
+        self.open_connections.set(self.open_connections.get().saturating_sub(1));
+    }
+
+    fn serve_connection(self: &Rc<Self>, stream: TcpStream) {
+        self.make_room();
+        let request = self.next_request.get();
+        self.next_request.set(request + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let connection =
+            ConsoleConnection { gateway: self.clone(), request, is_line_complete: Cell::new(false) };
+        let task = spawn_local(serve(stream, connection));
+        self.incomplete.borrow_mut().insert(request, task.abort_handle());
+    }
 }
 
-/// A connection as the others see it, until its task ends, in whatever way.
-struct Place {
-    console: Rc<Console>,
-    ticket: RequestId,
-    /// It was among those that may have to go, or is past that.
-    asked: Cell<bool>,
+/// An open connection, counted for as long as this exists: also when its task panics.
+struct ConsoleConnection {
+    gateway: Rc<ConsoleGateway>,
+    request: RequestId,
+    is_line_complete: Cell<bool>,
 }
 
-impl Place {
-    /// Its line is whole: it stays until it has its reply.
-    fn asks(&self) {
-        self.asked.set(self.console.callers.borrow_mut().remove(&self.ticket).is_some());
+impl ConsoleConnection {
+    /// From here on it is not closed for another.
+    fn on_line_complete(&self) {
+        let was_open = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
+        self.is_line_complete.set(was_open);
     }
 }
 
-impl Drop for Place {
+impl Drop for ConsoleConnection {
     fn drop(&mut self) {
-        self.console.waiting.borrow_mut().remove(&self.ticket);
-        let waited = self.console.callers.borrow_mut().remove(&self.ticket).is_some();
-        // One that had to go was counted out by whoever sent it off.
-        if waited || self.asked.get() {
-            self.console.open.set(self.console.open.get().saturating_sub(1));
+        self.gateway.waiting.borrow_mut().remove(&self.request);
+        let was_incomplete = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
+        // One that was closed for another is already counted.
+        if was_incomplete || self.is_line_complete.get() {
+            self.gateway.count_closed();
         }
     }
 }
 
-/// Takes callers for as long as it is polled. Runs in a `LocalSet`.
-pub async fn listen(listener: TcpListener, console: Rc<Console>) {
+/// Accepts callers for as long as it is polled. Runs in a `LocalSet`.
+pub async fn listen(listener: TcpListener, gateway: Rc<ConsoleGateway>) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => {
-                console.make_room();
-                let ticket = console.next.get();
-                console.next.set(ticket + 1);
-                console.open.set(console.open.get() + 1);
-                let place = Place { console: console.clone(), ticket, asked: Cell::new(false) };
-                let task = spawn_local(attend(stream, place));
-                console.callers.borrow_mut().insert(ticket, task.abort_handle());
-            }
+            Ok((stream, _)) => gateway.serve_connection(stream),
             Err(error) => {
-                log!("console: a connection could not be taken: {error}");
-                sleep(Duration::from_millis(50)).await;
+                log!("console: cannot accept a connection: error={error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one caller. What goes wrong here, a panic included, ends this connection alone.
-async fn attend(mut stream: TcpStream, place: Place) {
-    let Ok(read) = timeout(LINE_TIME, read_call(&mut stream)).await else { return };
-    place.asks();
-    let reply = match read {
-        Some(Ok(call)) => place.console.ask(place.ticket, call).await,
+/// Serves one caller. An error here, a panic included, ends this connection alone.
+async fn serve(mut stream: TcpStream, connection: ConsoleConnection) {
+    let Ok(command) = timeout(LINE_TIMEOUT, read_command(&mut stream)).await else { return };
+    connection.on_line_complete();
+    let reply = match command {
+        Some(Ok(command)) => connection.gateway.ask(connection.request, command).await,
         Some(Err(error)) => error.into(),
         None => return,
     };
-    // Whether the caller has heard is its own affair from here on.
-    let _ = timeout(LAST_MOMENT, tell(&mut stream, &reply.to_string())).await;
+    // Whether the caller has read it is its own affair from here on.
+    let _ = timeout(REPLY_TIMEOUT, write_reply(&mut stream, &reply.to_string())).await;
 }
 
-/// One call, or why it is none; nothing where the caller has gone before its line was whole.
-async fn read_call(stream: &mut TcpStream) -> Option<Result<Call, CallError>> {
-    let mut came = Vec::new();
+/// One command, or why the line is none. None if the caller has closed before its line was complete.
+async fn read_command(stream: &mut TcpStream) -> Option<Result<Command, CommandError>> {
+    let mut input = Vec::new();
     loop {
-        let mut some = [0; 1024];
-        let count = stream.read(&mut some).await.ok().filter(|count| *count > 0)?;
-        came.extend_from_slice(&some[..count]);
-        if let Some(call) = read(&came) {
-            return Some(call);
+        let mut chunk = [0; 1024];
+        let count = stream.read(&mut chunk).await.ok().filter(|count| *count > 0)?;
+        input.extend_from_slice(&chunk[..count]);
+        if let Some(command) = parse_input(&input) {
+            return Some(command);
         }
     }
 }
 
-/// Writes the reply, and reads what still comes to nowhere: a reset for unread bytes could overtake the reply.
-async fn tell(stream: &mut TcpStream, reply: &str) -> std::io::Result<()> {
+/// Writes the reply and discards what still comes: closing over unread bytes would reset the connection, and the reply
+/// could be lost.
+async fn write_reply(stream: &mut TcpStream, reply: &str) -> io::Result<()> {
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await?;
-    let (mut some, mut left) = ([0; 4096], DROP_MOST);
-    while left > 0 {
-        match stream.read(&mut some).await? {
+    let mut chunk = [0; 4096];
+    let mut bytes_left = MAX_DISCARDED_BYTES;
+    while bytes_left > 0 {
+        match stream.read(&mut chunk).await? {
             0 => break,
-            count => left = left.saturating_sub(count),
+            count => bytes_left = bytes_left.saturating_sub(count),
         }
     }
     Ok(())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::sync::mpsc::unbounded_channel;
-    use tokio::task::LocalSet;
-
-    async fn say(at: std::net::SocketAddr, words: &[u8]) -> String {
-        let mut stream = TcpStream::connect(at).await.expect("it takes callers");
-        stream.write_all(words).await.expect("written");
-        let mut reply = String::new();
-        // A caller that is sent off may see a reset; it has no reply then.
-        let _ = stream.read_to_string(&mut reply).await;
-        reply
-    }
-
-    // Guards against callers that say nothing, or never end their line, and thereby keep out those that ask.
-    #[tokio::test(flavor = "current_thread")]
-    async fn silent_callers_keep_nobody_out() {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("bound");
-        let (inputs, mut came) = unbounded_channel();
-        let console = Console::new(inputs);
-        let answering = console.clone();
-        let local = LocalSet::new();
-        local.spawn_local(listen(listener, console.clone()));
-        local.spawn_local(async move {
-            while let Some(Input::Operator { request, call }) = came.recv().await {
-                answering.reply(request, Reply::No(format!("{call:?}")));
-            }
-        });
-        local
-            .run_until(async {
-                let mut silent = Vec::new();
-                for number in 0..3 * PLACES {
-                    let mut stream = TcpStream::connect(at).await.expect("it takes callers");
-                    if number % 2 == 0 {
-                        stream.write_all(b"disable-server s").await.expect("written");
-                    }
-                    silent.push(stream);
-                    assert_eq!(say(at, b"ready\n").await, "400 Ready\n");
-                    assert!(console.open.get() <= PLACES, "bounded");
-                }
-                assert!(say(at, &[b'x'; 4096]).await.starts_with("400 the line is too long"));
-                assert!(say(at, b"ready\nready\n").await.starts_with("400 one line"));
-                drop(silent);
-                while console.open.get() > 0 {
-                    tokio::task::yield_now().await;
-                }
-                assert!(console.waiting.borrow().is_empty() && console.callers.borrow().is_empty());
-            })
-            .await;
-    }
-}
+mod tests;
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -3,8 +3,9 @@
 //! else runs on this thread while they do.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
+use orchidyoke_forwarder::client_connections::ClientConnections;
+use orchidyoke_forwarder::client_listener::listen;
 use orchidyoke_forwarder::input::{Input, RequestId, SubmitAnswer};
-use orchidyoke_forwarder::listener::{Connections, listen};
 use std::future::Future;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -22,7 +23,7 @@
 struct Stage {
     address: SocketAddr,
     gateway: Rc<ClientGateway>,
-    connections: Rc<Connections>,
+    connections: Rc<ClientConnections>,
     inputs: UnboundedReceiver<Input>,
 }
 
@@ -40,7 +41,7 @@
         let stage = Stage {
             address,
             gateway: ClientGateway::new(sender),
-            connections: Connections::new(most),
+            connections: ClientConnections::new(most),
             inputs,
         };
         spawn_local(listen(listener, stage.gateway.clone(), stage.connections.clone()));
@@ -132,12 +133,12 @@
 // Guards against a request that waits for the journal or the reducer when its connection is shut down, and is cut without
 // its answer: for its client it is lost.
 #[test]
-fn a_request_in_hand_is_answered_however_late_after_the_shutdown() {
+fn request_in_flight_is_answered_long_after_shutdown() {
     run(async {
         let mut stage = Stage::new(8);
         let client = client(stage.address, &request("a", ""));
         let (_, ticket) = stage.handed().await;
-        stage.connections.end();
+        stage.connections.shut_down();
         sleep(PAST_THE_CUT).await;
         stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         let heard = rest_of(client).await;
@@ -147,12 +148,12 @@
 
 // Guards against a request whose answer does not come in a second that is taken on all the same: its client has gone.
 #[test]
-fn a_request_that_is_cut_is_withdrawn() {
+fn cut_request_is_withdrawn() {
     run(async {
         let mut stage = Stage::new(8);
         let client = client(stage.address, &request("a", ""));
         let (_, ticket) = stage.handed().await;
-        stage.connections.end();
+        stage.connections.shut_down();
         let withdrawn = timeout(PATIENCE, stage.inputs.recv()).await.expect("it is cut");
         assert!(
             matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == ticket),
@@ -166,7 +167,7 @@
 // Guards against a close over bytes that arrive with it: the reset that the system sends for unread bytes takes with it
 // an answer that the client has not yet read, and a request on a resting connection is taken on though nobody hears.
 #[test]
-fn bytes_that_arrive_with_a_close_neither_reset_it_nor_are_taken_on() {
+fn bytes_crossing_a_close_neither_reset_it_nor_are_accepted() {
     for evicts in [false, true] {
         run(async {
             let mut stage = Stage::new(if evicts { 1 } else { 8 });
@@ -179,7 +180,7 @@
                 // The other waits for the place: the limit acts with the next turn.
                 tokio::task::yield_now().await;
             } else {
-                stage.connections.end();
+                stage.connections.shut_down();
             }
             resting.set_nonblocking(false).expect("a socket");
             resting.write_all(request("b", "").as_bytes()).expect("written");
@@ -201,7 +202,7 @@
 
 // Guards against a reset after an answer that says `Connection: close`, by bytes that its client had sent after it.
 #[test]
-fn an_answer_that_closes_is_taken_whatever_was_sent_after_its_request() {
+fn closing_answer_arrives_whatever_follows_its_request() {
     run(async {
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, &request("a", "Connection: close\r\n"));
@@ -217,13 +218,13 @@
 
 // Guards against a client that is told nothing of the hand-over, or reset in it: its next answer says that it closes.
 #[test]
-fn a_hand_over_ends_each_connection_with_its_next_answer() {
+fn hand_over_closes_each_connection_with_its_next_answer() {
     run(async {
         let mut stage = Stage::new(8);
         let mut kept = client(stage.address, &request("a", ""));
         stage.take_on("a").await;
         answer_is_there(&kept).await;
-        stage.connections.move_on();
+        stage.connections.hand_over();
         kept.set_nonblocking(false).expect("a socket");
         kept.write_all(request("b", "").as_bytes()).expect("written");
         stage.take_on("b").await;
@@ -240,7 +241,7 @@
 // Guards against an idle connection's close in the instant of its next request: after the end of the sending nothing is a
 // request, and no reset goes out for it.
 #[test]
-fn a_resting_connection_is_closed_in_time_and_what_crosses_that_is_no_request() {
+fn idle_connection_closes_in_time_and_crossing_bytes_are_no_request() {
     run(async {
         let mut stage = Stage::new(8);
         let mut resting = client(stage.address, &request("a", ""));
@@ -260,13 +261,13 @@
 
 // Guards against connections that have come, and were not yet taken when the stop ends accepting: they would be reset.
 #[test]
-fn connections_that_wait_to_be_taken_are_answered_at_the_stop() {
+fn connections_in_the_backlog_are_answered_in_shutdown() {
     run(async {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
-        let (gateway, connections) = (ClientGateway::new(sender), Connections::new(64));
+        let (gateway, connections) = (ClientGateway::new(sender), ClientConnections::new(64));
         let waiting: Vec<_> = (0..20).map(|n| client(address, &request(&n.to_string(), ""))).collect();
-        connections.end();
+        connections.shut_down();
         spawn_local(listen(listener, gateway.clone(), connections.clone()));
         let mut stage = Stage { address, gateway, connections, inputs };
         for _ in 0..waiting.len() {
@@ -282,12 +283,12 @@
 
 // Guards against a stop that closes a connection whose client has only just connected, before its request has come.
 #[test]
-fn a_client_that_has_just_connected_at_the_stop_is_answered() {
+fn client_just_connected_at_shutdown_is_answered() {
     run(async {
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, "");
         assert!(matches!(stage.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
-        stage.connections.end();
+        stage.connections.shut_down();
         // Within the moment that it is given; after a stall that outlasts both, this wakes first.
         sleep(Duration::from_millis(10)).await;
         client.write_all(request("a", "").as_bytes()).expect("written");
@@ -300,7 +301,7 @@
 // Guards against closes that keep others out: clients that ignore theirs hold their places for no longer than the next
 // one needs it. With each of them lingering for its second this takes over eight.
 #[test]
-fn clients_that_ignore_their_close_keep_nobody_out() {
+fn clients_ignoring_their_close_do_not_block_others() {
     run(async {
         let mut stage = Stage::new(64);
         let address = stage.address;
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_forwarder::catalogue::UpdateSender;
-use orchidyoke_forwarder::discovery::{Ended, follow};
+use orchidyoke_forwarder::discovery::{WatchEnd, follow};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
 
 /// Follows a far end that does this with the connection once it has read the request. What was told, how it ended, and
 /// after what time.
-async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<WatchEvent>, Ended, Duration) {
+async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let served = async {
@@ -53,7 +53,7 @@
     (told, ended, took)
 }
 
-async fn follow_at(at: SocketAddr) -> (Vec<WatchEvent>, Ended, Duration) {
+async fn follow_at(at: SocketAddr) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let told = Rc::new(RefCell::new(Vec::new()));
     let updates = UpdateSender::new({
         let told = told.clone();
@@ -77,7 +77,7 @@
 // Guards against news lost or read twice where a chunk ends inside a list, against lists on many lines taken for none,
 // and against the blank lines.
 #[tokio::test(flavor = "current_thread")]
-async fn lists_come_whole_however_they_are_cut_and_indented() {
+async fn lists_arrive_complete_however_they_are_chunked_and_indented() {
     let text = format!(
         "{}\n\n{}\r\n\r\n{}{}\n",
         list(1, true, "s1", "in_service"),
@@ -97,13 +97,13 @@
         .await;
         let revs: Vec<_> = told.iter().map(|news| (news.version, news.is_snapshot)).collect();
         assert_eq!(revs, [(1, true), (2, true), (3, false), (4, true)], "cut by {size}: {ended:?}");
-        assert!(ended.unheard < SLACK, "{ended:?}");
+        assert!(ended.silence < SLACK, "{ended:?}");
     }
 }
 
 // Guards against a refusal, half a list or an answer of nothing that is taken for a list, or that hangs the watch.
 #[tokio::test(flavor = "current_thread")]
-async fn a_bad_answer_ends_the_watch_and_tells_nothing() {
+async fn bad_response_ends_the_watch_without_an_event() {
     let whole = list(7, true, "s1", "in_service");
     let (half, pretty) = (&whole[..whole.len() / 2], indented(7));
     let half_pretty = &pretty[..pretty.rfind('}').expect("its end")];
@@ -127,8 +127,8 @@
             write(&mut stream, &answer).await;
         })
         .await;
-        assert!(ended.why.contains(why), "{answer:?}: {ended:?}");
-        assert_eq!((ended.wait_ms, told.len()), (wait, 0), "{answer:?}");
+        assert!(ended.reason.contains(why), "{answer:?}: {ended:?}");
+        assert_eq!((ended.retry_after_ms, told.len()), (wait, 0), "{answer:?}");
     }
 }
 
@@ -136,7 +136,7 @@
 async fn silent_after(
     first: &str,
     mut then: impl AsyncFnMut(&mut TcpStream) -> bool,
-) -> (usize, Ended, Duration) {
+) -> (usize, WatchEnd, Duration) {
     let (told, ended, took) = followed(async |mut stream| {
         write(&mut stream, first).await;
         while then(&mut stream).await {}
@@ -150,7 +150,7 @@
 // it; one whose bytes dribble and never make a list; and one that goes on as it should and is given up. Each time the
 // forwarder knows for how long it has heard nothing, and has time left to ask another before a change binds.
 #[tokio::test(flavor = "current_thread")]
-async fn a_watch_that_falls_silent_is_given_up_in_time() {
+async fn silent_watch_times_out() {
     let first = format!("{CHUNKED}{}", chunk(&(list(1, true, "s1", "in_service") + "\n")));
     let dribbles = format!("{first}{}", chunk("{"));
     let says_nothing = async |_: &mut TcpStream| false;
@@ -172,15 +172,15 @@
         ("dribbling", dribbling, 1, Duration::from_millis(4_500)),
     ] {
         assert_eq!(told, lists, "{what}: {ended:?}");
-        assert!(ended.why.contains("silent"), "{what}: {ended:?}");
+        assert!(ended.reason.contains("silent"), "{what}: {ended:?}");
         assert!(took >= lasts && took < lasts + SLACK, "{what}: after {took:?}");
-        assert!(ended.unheard >= lasts && ended.unheard + SLACK < TOLD_AFTER, "{what}: {ended:?}");
+        assert!(ended.silence >= lasts && ended.silence + SLACK < TOLD_AFTER, "{what}: {ended:?}");
     }
 }
 
 // Guards against a watch given up though its empty lines come as they are due.
 #[tokio::test(flavor = "current_thread")]
-async fn a_watch_with_empty_lines_is_followed_on() {
+async fn watch_with_blank_lines_stays_open() {
     let mut lines = 0;
     let (_, ended, took) = silent_after(CHUNKED, async |stream| {
         lines += 1;
@@ -194,7 +194,7 @@
 
 // Guards against a dial that hangs: it is given up after a second, and counts from its start.
 #[tokio::test(flavor = "current_thread")]
-async fn a_dial_that_hangs_is_given_up() {
+async fn hanging_connect_times_out() {
     // A socket that lets one connection wait: once it has, others get no answer.
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -207,9 +207,9 @@
         assert!(waiting.len() < 100, "it takes all");
     }
     let (told, ended, took) = follow_at(at).await;
-    assert!(told.is_empty() && ended.why.contains("silent"), "{ended:?}");
+    assert!(told.is_empty() && ended.reason.contains("silent"), "{ended:?}");
     assert!(
-        took < Duration::from_secs(1) + SLACK && ended.unheard >= Duration::from_secs(1),
+        took < Duration::from_secs(1) + SLACK && ended.silence >= Duration::from_secs(1),
         "{took:?}, {ended:?}"
     );
 }
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -10,9 +10,9 @@
 use common::{S, START, shape::Shape};
 use golden::assert_golden;
 use orchidyoke_core::interface::{DestinationId, Micros};
-use orchidyoke_forwarder::console::{Call, LONGEST_LINE, Reply, read};
-use orchidyoke_forwarder::figures::{End, Figures, Gauges};
+use orchidyoke_forwarder::console::{Command, ConsoleReply, MAX_LINE_BYTES, parse_input};
 use orchidyoke_forwarder::input::{Effect, Input, PolicyStatus, RequestId, Submission, SubmitAnswer};
+use orchidyoke_forwarder::metrics::{Gauges, MessageEnd, Metrics};
 use orchidyoke_forwarder::ownership::{HandoverMark, OfferOutcome, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_forwarder::reducer::Reducer;
 use std::collections::VecDeque;
@@ -21,7 +21,7 @@
 
 #[test]
 fn lines_that_are_no_call_are_answered_as_before() {
-    let long = [vec![b'x'; LONGEST_LINE + 1], b"\n".to_vec()].concat();
+    let long = [vec![b'x'; MAX_LINE_BYTES + 1], b"\n".to_vec()].concat();
     let lines: [&[u8]; 12] = [
         b"\n",
         b"  \r\n",
@@ -38,13 +38,13 @@
     ];
     let mut said = String::new();
     for line in lines {
-        let error = read(line).expect("a whole line").expect_err("no call");
+        let error = parse_input(line).expect("a whole line").expect_err("no call");
         let text = String::from_utf8_lossy(&line[..line.len().min(40)]).escape_debug().to_string();
-        said += &format!("> {text}\n< {}", Reply::from(error));
+        said += &format!("> {text}\n< {}", ConsoleReply::from(error));
     }
     assert_golden("console_errors.txt", &said);
-    let endless = read(&long[..=LONGEST_LINE]).expect("too long").expect_err("no call");
-    assert_eq!(Reply::from(endless).to_string(), "400 the line is too long\n");
+    let endless = parse_input(&long[..=MAX_LINE_BYTES]).expect("too long").expect_err("no call");
+    assert_eq!(ConsoleReply::from(endless).to_string(), "400 the line is too long\n");
 }
 
 /// A reducer whose appends are stored at once, or cannot be.
@@ -94,7 +94,7 @@
 
     /// Says a line at the console; the reply.
     fn say(&mut self, line: &str) -> String {
-        let call: Call = read(format!("{line}\n").as_bytes()).expect("whole").expect("a call");
+        let call: Command = parse_input(format!("{line}\n").as_bytes()).expect("whole").expect("a call");
         self.tickets += 1;
         self.input(Input::Operator { request: self.tickets, call });
         format!("> {line}\n< {}", self.replies.pop().expect("a reply"))
@@ -146,7 +146,7 @@
     said += &forwarder.say("disable-server s-c");
     let figures = "lines of the fleet's policy 1\n".to_owned();
     let unready_reason = Some("a reason of the fleet's policy".to_owned());
-    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, figures }));
+    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, metrics: figures }));
     said += &forwarder.say("ready");
     said += &forwarder.say("show-stat");
     assert_golden("console_replies.txt", &said);
@@ -154,20 +154,20 @@
 
 #[test]
 fn metric_names_stay_the_same() {
-    let mut figures = Figures::default();
-    figures.name(&["orders".to_owned(), "st\"at\\us".to_owned()]);
-    figures.took(9);
+    let mut figures = Metrics::default();
+    figures.register_classes(&["orders".to_owned(), "st\"at\\us".to_owned()]);
+    figures.on_accepted(9);
     for class in ["orders", "st\"at\\us"] {
-        figures.delivered(class, Some(1_000));
-        figures.delivered(class, Some(1_000));
-        figures.delivered(class, Some(40_000));
-        figures.ended(class, End::Error);
-        figures.turned_away(class, End::Overload);
+        figures.on_delivered(class, Some(1_000));
+        figures.on_delivered(class, Some(1_000));
+        figures.on_delivered(class, Some(40_000));
+        figures.on_ended(class, MessageEnd::Error);
+        figures.on_rejected(class, MessageEnd::Overload);
     }
-    figures.handed_over();
-    figures.dispatched(11);
-    let gauges = Gauges { concurrent: 12, targets: 13, targets_disabled: 14 };
-    let said = format!("{}\n{}", figures.lines(gauges), figures.latency_lines());
+    figures.on_handed_over();
+    figures.on_dispatched(11);
+    let gauges = Gauges { open_messages: 12, endpoints: 13, avoided_endpoints: 14 };
+    let said = format!("{}\n{}", figures.render(gauges), figures.render_latency());
     assert_golden("metrics.txt", &said);
 }
 
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -7,7 +7,7 @@
 use orchidyoke_fakes::forwarder::{Folder, Setup};
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
-use orchidyoke_forwarder::reload::Source;
+use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_policy_commit::commit_point::{Member, MemberStatus, Vote};
 use orchidyoke_policy_commit::policy::{Policy, VersionedPolicy, digest};
 use orchidyoke_policy_commit::{ConsulParticipant, Coordinator, Settings};
@@ -109,11 +109,11 @@
 }
 
 /// A forwarder's configuration in a folder of its own.
-fn forwarder(name: &str) -> (Folder, Rc<Source>) {
+fn forwarder(name: &str) -> (Folder, Rc<ConfigSource>) {
     let folder = Folder::new(name);
     let setup = Setup::new("127.0.0.1:1".parse().expect("an address"));
     let path = folder.write("config.json", &setup.text());
-    (folder, Rc::new(Source { path, ..Source::default() }))
+    (folder, Rc::new(ConfigSource { path, ..ConfigSource::default() }))
 }
 
 #[test]
--- a/crates/policy-commit/tests/wire_policy.rs
+++ b/crates/policy-commit/tests/wire_policy.rs
@@ -69,7 +69,7 @@
     let folder = std::env::temp_dir().join(format!("policy-figures-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     std::fs::write(folder.join("policy-held.json"), VERSIONED).expect("written");
-    let metrics = ConsulParticipant::new(settings(), "n1", &folder).status().figures;
+    let metrics = ConsulParticipant::new(settings(), "n1", &folder).status().metrics;
     std::fs::remove_dir_all(&folder).expect("cleans up");
     assert_eq!(metrics, "app_policy_epoch 7\napp_policy_contact 0\napp_policy_refused 0\n");
 }
