--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -4,9 +4,9 @@
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_fakes::ConsulServer;
+use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::certificates::CertificateAuthority;
 use orchidyoke_fakes::consul::{ConsulFault, Instance};
-use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_forwarder::catalogue::Catalogue;
 use orchidyoke_forwarder::input::{Input, update_sender};
 use std::future::Future;
@@ -219,7 +219,10 @@
 // Guards against an agent without a leader being asked on and on while another has one.
 #[test]
 fn agent_without_a_leader_causes_failover() {
-    for fault in [ConsulFault::NoLeader { complete: true }, ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None }] {
+    for fault in [
+        ConsulFault::NoLeader { complete: true },
+        ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None },
+    ] {
         run(async {
             let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
             let addresses = vec![cut_off.address(), other.address()];
@@ -383,7 +386,8 @@
 #[test]
 fn untrusted_certificate_is_rejected_with_one_line() {
     let folder = TemporaryFolder::new("consul-bad-tls");
-    let (authority, stranger) = (CertificateAuthority::new(folder.path(), "dc1"), CertificateAuthority::new(folder.path(), "dc2"));
+    let (authority, stranger) =
+        (CertificateAuthority::new(folder.path(), "dc1"), CertificateAuthority::new(folder.path(), "dc2"));
     let consul = ConsulServer::start();
     let ip = consul.address().ip();
     let good = authority.sign("server.dc1.consul", ip, time::Duration::days(1));
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior};
 use orchidyoke_fakes::ConsulServer;
-use orchidyoke_fakes::forwarder::ForwarderConfig;
 use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::ForwarderConfig;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::ConfigSource;
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,11 +1,11 @@
 //! The program with Consul as the source of its transport map: real sockets, a stand-in Consul, kills and reloads.
 
+use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::certificates::CertificateAuthority;
 use orchidyoke_fakes::consul::{ConsulFault, Instance};
-use orchidyoke_fakes::forwarder::{ForwarderConfig, submit_message, endpoint_entry};
-use orchidyoke_fakes::TemporaryFolder;
-use orchidyoke_fakes::destination::{OverloadBehavior, CapacityModel, Call, Mode};
-use orchidyoke_fakes::{ConsulServer, ForwarderProcess, DestinationServer, DiscoveryServer};
+use orchidyoke_fakes::destination::{Call, CapacityModel, Mode, OverloadBehavior};
+use orchidyoke_fakes::forwarder::{ForwarderConfig, endpoint_entry, submit_message};
+use orchidyoke_fakes::{ConsulServer, DestinationServer, DiscoveryServer, ForwarderProcess};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -50,8 +50,8 @@
     /// An endpoint that discovery tells, one that Consul does, and a forwarder that follows discovery.
     fn with_both(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
         let listed = self.partner.open_endpoint();
-        let told =
-            serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]}).to_string();
+        let told = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
+            .to_string();
         self.platform.publish(&told);
         let from_consul = self.register("w1");
         self.folder.write("edge.star", "# nothing yet\n");
@@ -68,7 +68,11 @@
 
     fn start(&self) -> ForwarderProcess {
         let settings = self.folder.path().join("edge.star");
-        ForwarderProcess::start(Path::new(PROGRAM), &self.folder, &["--settings", &settings.display().to_string()])
+        ForwarderProcess::start(
+            Path::new(PROGRAM),
+            &self.folder,
+            &["--settings", &settings.display().to_string()],
+        )
     }
 
     /// Calls with this message so far.
@@ -243,9 +247,14 @@
             scope.spawn(move || {
                 let mut site = Site::new(&format!("consul-maintenance-{restrained}"));
                 let (capacity, above) = (400.0, OverloadBehavior::Queue);
-                site.partner = DestinationServer::new(CapacityModel { capacity_rps: capacity, overload_behavior: above, ..CapacityModel::default() });
+                site.partner = DestinationServer::new(CapacityModel {
+                    capacity_rps: capacity,
+                    overload_behavior: above,
+                    ..CapacityModel::default()
+                });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
-                let setup = ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.platform.address()) };
+                let setup =
+                    ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.platform.address()) };
                 let bold = [
                     ("\"fall_multiple\":2", "\"fall_multiple\":1000000"),
                     ("\"cold_from\":0.18", "\"cold_from\":1.0"),
@@ -267,7 +276,8 @@
                 site.consul.set_maintenance("n1", "w1", false);
                 until("what comes of it", || {
                     let calls = site.partner.calls();
-                    !site.partner.collapses().is_empty() || calls.iter().filter(|call| call.served).count() > 600
+                    !site.partner.collapses().is_empty()
+                        || calls.iter().filter(|call| call.served).count() > 600
                 });
                 assert_eq!(site.partner.collapses().is_empty(), restrained, "restrained: {restrained}");
             });
@@ -487,8 +497,12 @@
         let before = site.delivers(&forwarder, &format!("c-{new}")).peer;
         if trouble {
             site.partner.set_mode(Mode::InternalError);
-            (0..6).for_each(|number| assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202));
-            until("failures", || site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4);
+            (0..6).for_each(|number| {
+                assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
+            });
+            until("failures", || {
+                site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
+            });
             site.partner.set_mode(Mode::Serve);
         }
         site.consul.deregister("n1", old);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -2,10 +2,10 @@
 //! by zone, separate routes, six attempts. Real processes, killed, upgraded and shut down; partners are fakes that keep all
 //! calls.
 
-use orchidyoke_fakes::forwarder::{ForwarderProcess, ForwarderConfig, endpoint_entry};
 use orchidyoke_fakes::TemporaryFolder;
-use orchidyoke_fakes::destination::{CapacityModel, Call, Mode, DestinationServer};
+use orchidyoke_fakes::destination::{Call, CapacityModel, DestinationServer, Mode};
 use orchidyoke_fakes::discovery::DiscoveryServer;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -47,7 +47,11 @@
         let folder = TemporaryFolder::new(name);
         let deployment = Deployment { folder, platform, zones };
         let targets = deployment.targets(["a", "b"]);
-        let setup = ForwarderConfig { endpoints: targets, fleet_size: 2, ..ForwarderConfig::new(deployment.platform.address()) };
+        let setup = ForwarderConfig {
+            endpoints: targets,
+            fleet_size: 2,
+            ..ForwarderConfig::new(deployment.platform.address())
+        };
         let mut text: Value = serde_json::from_str(&setup.text()).expect("JSON");
         let settings = &mut text["settings"];
         let class = |name: &str, effect: &str| {
@@ -150,7 +154,10 @@
     let second = deployment.start();
     wait_until("it is delivered", || deployment.calls(zone, "loaf").iter().any(|call| call.served));
     let calls = deployment.calls(zone, "loaf");
-    assert!(calls.len() >= 2 && calls.iter().all(|call| call.idempotency_key.as_deref() == Some("k-1")), "{calls:?}");
+    assert!(
+        calls.len() >= 2 && calls.iter().all(|call| call.idempotency_key.as_deref() == Some("k-1")),
+        "{calls:?}"
+    );
     assert!(deployment.calls(1 - zone, "loaf").is_empty(), "the other zone does not deduplicate the retry");
     assert!(deployment.platform.notifications().is_empty());
     second.kill();
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,10 +1,10 @@
 //! The program itself, started, shut down and killed while a message or an answer is due. Every wait is for an event that
 //! has to come; where a duration is waited for, it is one of the program's limits.
 
-use orchidyoke_fakes::forwarder::{ForwarderProcess, ForwarderConfig, endpoint_entry};
 use orchidyoke_fakes::TemporaryFolder;
-use orchidyoke_fakes::destination::{CapacityModel, Mode, DestinationServer};
+use orchidyoke_fakes::destination::{CapacityModel, DestinationServer, Mode};
 use orchidyoke_fakes::discovery::DiscoveryServer;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,7 +18,12 @@
 }
 
 /// A folder with a configuration for one partner at destination 2.
-fn folder(name: &str, platform: &DiscoveryServer, hop: SocketAddr, change: impl Fn(&mut ForwarderConfig)) -> TemporaryFolder {
+fn folder(
+    name: &str,
+    platform: &DiscoveryServer,
+    hop: SocketAddr,
+    change: impl Fn(&mut ForwarderConfig),
+) -> TemporaryFolder {
     let folder = TemporaryFolder::new(name);
     let mut setup = ForwarderConfig::new(platform.address());
     setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
@@ -115,7 +120,10 @@
 // SIGTERM changes nothing.
 #[test]
 fn requests_around_a_shutdown_are_answered_or_never_accepted() {
-    let partner = DestinationServer::new(CapacityModel { service_time: Duration::from_millis(150), ..CapacityModel::default() });
+    let partner = DestinationServer::new(CapacityModel {
+        service_time: Duration::from_millis(150),
+        ..CapacityModel::default()
+    });
     let platform = DiscoveryServer::start("");
     let folder = folder("around-stop", &platform, partner.open_endpoint(), |_| {});
     let forwarder = ForwarderProcess::start(program(), &folder, &[]);
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,10 +2,10 @@
 //! between two of them. Every accepted message is followed to its one final answer at the partners or in the platform's
 //! notifications.
 
-use orchidyoke_fakes::forwarder::{ForwarderProcess, ForwarderConfig, submit_message, endpoint_entry};
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::destination::{CapacityModel, DestinationServer};
-use orchidyoke_fakes::{NetworkFault, FaultProxy, DiscoveryServer, ServerRuntime, unused_loopback_address};
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry, submit_message};
+use orchidyoke_fakes::{DiscoveryServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -37,7 +37,9 @@
 
 /// An address that no other process of this run uses.
 fn free_address() -> SocketAddr {
-    TcpListener::bind((unused_loopback_address(), 0)).and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind((unused_loopback_address(), 0))
+        .and_then(|listener| listener.local_addr())
+        .expect("a port")
 }
 
 struct Member {
@@ -65,7 +67,10 @@
 impl Region {
     fn start(name: &str, size: usize) -> Region {
         let (platform, stage) = (DiscoveryServer::start(""), ServerRuntime::new());
-        let partner = DestinationServer::new(CapacityModel { service_time: Duration::from_millis(5), ..CapacityModel::default() });
+        let partner = DestinationServer::new(CapacityModel {
+            service_time: Duration::from_millis(5),
+            ..CapacityModel::default()
+        });
         let mut setup = ForwarderConfig::new(platform.address());
         setup.fleet_size = size;
         let endpoint = |number| endpoint_entry(&format!("p{number}"), partner.open_endpoint(), number);
@@ -84,7 +89,8 @@
         };
         for number in 0..size {
             let link = |(index, address): (usize, &SocketAddr)| {
-                (index != number).then(|| FaultProxy::start(&region._stage, unused_loopback_address(), *address))
+                (index != number)
+                    .then(|| FaultProxy::start(&region._stage, unused_loopback_address(), *address))
             };
             let links: Vec<_> = addresses.iter().enumerate().map(link).collect();
             let folder = TemporaryFolder::new(&format!("ownership-{name}-{number}"));
@@ -140,7 +146,10 @@
     fn in_flight_at_kills(&self) -> BTreeSet<String> {
         let out = |at: Instant, kill: &Instant| at <= *kill && *kill - at < UNREAD_ANSWERS;
         let calls = self.partner.calls().into_iter();
-        calls.filter(|call| self.kills.iter().any(|kill| out(call.received_at, kill))).map(|call| call.message_id).collect()
+        calls
+            .filter(|call| self.kills.iter().any(|kill| out(call.received_at, kill)))
+            .map(|call| call.message_id)
+            .collect()
     }
 
     /// A figure of a member's console; 0 where it does not answer.
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -2,7 +2,7 @@
 //! the coordinator is a process too. Every submitted message is followed to its one final answer.
 
 use orchidyoke_fakes::NetworkFault;
-use orchidyoke_fakes::fleet::{Fleet, ClientLoad, MEMBER_TTL};
+use orchidyoke_fakes::fleet::{ClientLoad, Fleet, MEMBER_TTL};
 use serde_json::json;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
@@ -138,7 +138,9 @@
     let cut = Instant::now();
     fleet.consul_link(2).set_fault(NetworkFault::Partition);
     wait("it reports that it is disconnected", || {
-        fleet.console_command(2, "ready").is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
+        fleet
+            .console_command(2, "ready")
+            .is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
     });
     assert!(cut.elapsed() < MEMBER_TTL, "before the others may commit without it: {:?}", cut.elapsed());
     assert_eq!(fleet.metric(2, "app_policy_contact"), Some(0));
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,9 +1,9 @@
 //! A rollout over six real forwarders under load, the rollout a process of its own, a fault proxy on each path from it to
 //! a forwarder. Every accepted message is followed to its one final answer: delivered once, or notified as failed.
 
-use orchidyoke_fakes::fleet::{Fleet, ClientLoad};
 use orchidyoke_fakes::destination::Mode;
-use orchidyoke_fakes::{NetworkFault, FaultProxy};
+use orchidyoke_fakes::fleet::{ClientLoad, Fleet};
+use orchidyoke_fakes::{FaultProxy, NetworkFault};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -174,8 +174,12 @@
 #[test]
 fn endpoint_fault_seen_by_all_forwarders_does_not_stop_a_good_change() {
     // Orders are not idempotent: a 500 ends them as failed.
-    let mut fleet =
-        Fleet::standalone(program(), "partner", FLEET_SIZE, ClientLoad { class: "orders", ..ClientLoad::default() });
+    let mut fleet = Fleet::standalone(
+        program(),
+        "partner",
+        FLEET_SIZE,
+        ClientLoad { class: "orders", ..ClientLoad::default() },
+    );
     // The stage is to see the failures: half of it is spent in them.
     // Forwarders recover from an outage one by one, at random moments: for that the margin is wide, and latency is left
     // out.
@@ -372,7 +376,8 @@
     fleet.kill_supervisor(1);
     fleet.kill(2);
     let until = Instant::now() + Duration::from_secs(20);
-    while !fleet.supervisor_status(2).is_some_and(|shown| shown["settled"] == true && shown["restarts"] == 1) {
+    while !fleet.supervisor_status(2).is_some_and(|shown| shown["settled"] == true && shown["restarts"] == 1)
+    {
         assert!(Instant::now() < until, "{:?}", fleet.supervisor_status(2));
         thread::sleep(Duration::from_millis(20));
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -6,8 +6,8 @@
 
 use golden::{assert_golden, side, whole_length};
 use orchidyoke_fakes::DiscoveryServer;
-use orchidyoke_fakes::forwarder::{ForwarderProcess, ForwarderConfig, endpoint_entry};
 use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -73,7 +73,8 @@
     folder.write("config.json", &setup.text());
     let settings = folder.write("settings.star", &owner()).display().to_string();
     let options = ["--settings", &settings[..]];
-    let (forwarder, console) = ForwarderProcess::start_supervised(program(), &folder, "127.0.0.1:0", &options);
+    let (forwarder, console) =
+        ForwarderProcess::start_supervised(program(), &folder, "127.0.0.1:0", &options);
     let mut said = String::new();
     for line in [
         "ready",
