--- a/crates/config/src/builtins.rs
+++ b/crates/config/src/builtins.rs
@@ -94,8 +94,14 @@
     Ok(NoneType)
 }
 
-#[starlark_module]
+/// Adds the functions of this module.
 pub(crate) fn builtins(builder: &mut GlobalsBuilder) {
+    value_functions(builder);
+    request_functions(builder);
+}
+
+#[starlark_module]
+fn value_functions(builder: &mut GlobalsBuilder) {
     /// TLS towards a server: `ca`, and optionally `cert` with `key`, and `server_name`.
     fn tls<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
@@ -120,7 +126,10 @@
     ) -> anyhow::Result<Value<'v>> {
         form_value::<MemberForm>("member", &fields, eval)
     }
+}
 
+#[starlark_module]
+fn request_functions(builder: &mut GlobalsBuilder) {
     /// Consul as the source of endpoints: `addresses`, `services`, `networks`, and optionally `tls`, `token_file`,
     /// `datacenter`, `namespace`, `consistency`, `max_stale`, `wait` and `connections`.
     fn consul<'v>(
--- a/crates/config/tests/scripts.rs
+++ b/crates/config/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Scripts, good and bad, each fault with its place.
+//! Scripts, good and bad, each error with its place.
 
 use orchidyoke_config::{EvaluationLimits, Installation, evaluate};
 use orchidyoke_core::settings::Names;
@@ -6,7 +6,7 @@
 
 fn run(text: &str) -> Result<Installation, String> {
     let bounds = EvaluationLimits { max_ticks: 100_000, max_heap_bytes: 4 << 20, max_call_depth: 50 };
-    evaluate(Path::new("site/edge.star"), text.to_owned(), bounds).map_err(|fault| fault.to_string())
+    evaluate(Path::new("site/edge.star"), text.to_owned(), bounds).map_err(|error| error.to_string())
 }
 
 const GOOD: &str = r#"
@@ -42,7 +42,7 @@
     assert_ne!(id(GOOD), id(&GOOD.replace("10s", "11s")));
 }
 
-// Guards against a script that is taken in part, and against a fault without its place or its remedy.
+// Guards against a script that is applied in part, and against an error without its location or a remedy.
 #[test]
 fn each_script_error_has_its_location_and_a_remedy() {
     let cases = [
@@ -62,13 +62,18 @@
         ("load(\"//other.star\", \"x\")", ":1:", "load"),
     ];
     for (text, place, why) in cases {
-        let fault = run(text).expect_err(text);
+        let error = run(text).expect_err(text);
         assert!(
-            fault.starts_with("site/edge.star:") && fault.contains(place) && fault.contains(why),
-            "{fault}"
+            error.starts_with("site/edge.star:") && error.contains(place) && error.contains(why),
+            "{error}"
         );
-        assert_eq!(fault.lines().count(), 1, "{fault}");
+        assert_eq!(error.lines().count(), 1, "{error}");
     }
+}
+
+// Guards against a value that is accepted though it cannot be used.
+#[test]
+fn each_unusable_consul_parameter_has_the_location_of_its_call_and_a_remedy() {
     let cases = [
         ("\"127.0.0.1:8500\"", "\"consul.example:8500\"", "names are not looked up"),
         ("[\"127.0.0.1:8500\"]", "[]", "addresses: is empty"),
@@ -91,11 +96,15 @@
         assert_ne!(text, GOOD);
         match run(&text) {
             Ok(_) => assert_eq!(why, "", "{instead}"),
-            Err(fault) => {
-                assert!(!why.is_empty() && fault.contains(why) && fault.contains("star:7:1: "), "{fault}")
+            Err(error) => {
+                assert!(!why.is_empty() && error.contains(why) && error.contains("star:7:1: "), "{error}")
             }
         }
     }
+}
+
+#[test]
+fn destination_of_two_kinds_and_a_second_consul_call_are_rejected() {
     let mixed = GOOD.replace("kind = \"one\"", "kind = name").replace("\"pickups\": 9", "\"pickups\": 7");
     assert!(
         run(&mixed).expect_err("mixed").contains("destination 7 is of kind \"refunds\" and of \"pickups\"")
@@ -113,8 +122,8 @@
         "def f(n):\n    return f(n + 1)\nf(0)",
     ];
     for text in cases {
-        let fault = run(text).expect_err(text);
-        assert!(fault.lines().count() == 1, "{fault}");
+        let error = run(text).expect_err(text);
+        assert!(error.lines().count() == 1, "{error}");
     }
 }
 
@@ -127,7 +136,7 @@
         ..Names::default()
     };
     assert_eq!(good.check(&names(&["one"], &["a"]), 1024), Vec::<String>::new());
-    let faults = good.check(&names(&["ones"], &["b"]), 64);
-    assert_eq!(faults.len(), 5, "two services with two faults each, and the connections: {faults:?}");
-    assert!(faults[0].contains("is \"ones\" meant?") && faults[4].contains("at most 8"), "{faults:?}");
+    let errors = good.check(&names(&["ones"], &["b"]), 64);
+    assert_eq!(errors.len(), 5, "two services with two errors each, and the connections: {errors:?}");
+    assert!(errors[0].contains("is \"ones\" meant?") && errors[4].contains("at most 8"), "{errors:?}");
 }
--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -36,7 +36,8 @@
 #[test]
 fn unusable_index_counts_with_backoff() {
     for index in [Some("0"), Some("many"), Some("-1"), Some("99999999999999999999999"), None] {
-        let (mut query, mut now) = (BlockingQuery::default(), 0);
+        let mut query = BlockingQuery::default();
+        let mut now = 0;
         let mut requests = 0;
         while now < 20 * SECOND_US {
             assert_eq!(query.start_blocking(now), 0);
@@ -52,7 +53,9 @@
 
 #[test]
 fn agent_that_does_not_block_is_queried_with_backoff() {
-    let (mut query, mut now, mut requests) = (BlockingQuery::default(), 0, 0);
+    let mut query = BlockingQuery::default();
+    let mut now = 0;
+    let mut requests = 0;
     while now < 20 * SECOND_US {
         query.start_blocking(now);
         now = query.on_response(now + MILLISECOND_US, &ok("5"), 0.5).1;
@@ -114,7 +117,8 @@
     fn no_sequence_of_responses_causes_a_busy_loop_or_a_stall(
         responses in prop::collection::vec((0u16..6, "[0-9]{0,3}|x|-1", 0i64..40_000, any::<bool>()), 1..120)
     ) {
-        let (mut query, mut now) = (BlockingQuery::default(), 0);
+        let mut query = BlockingQuery::default();
+        let mut now = 0;
         let count = responses.len() as Micros;
         let mut waited = 0;
         for (status, index, took, leaderless) in responses {
--- a/crates/consul/src/request/tests.rs
+++ b/crates/consul/src/request/tests.rs
@@ -10,7 +10,8 @@
     assert_eq!(request.uri(&settings), "/v1/health/service/a%20b%2Fc");
     assert_eq!(request.timeout(), RESPONSE_GRACE);
     settings.consistency = Consistency::Stale;
-    (settings.datacenter, settings.namespace) = (Some("dc1".to_owned()), Some("n s".to_owned()));
+    settings.datacenter = Some("dc1".to_owned());
+    settings.namespace = Some("n s".to_owned());
     let filter = Some("Service.Meta.v == \"2\"".to_owned());
     let request = ApiRequest::service("web", filter.as_ref(), 7, wait);
     let uri = "/v1/health/service/web?index=7&wait=30000ms&stale&dc=dc1&ns=n%20s&\
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -137,8 +137,8 @@
 #[test]
 fn restart_continues_from_the_stored_list() {
     let settings = settings(&[("web", 3)]);
-    let (mut list, both) =
-        (EndpointList::default(), [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")]);
+    let mut list = EndpointList::default();
+    let both = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
     let mut snapshot = CatalogueSnapshot::new(&settings, &current(vec![]));
     snapshot.apply(0, &both).events.iter().for_each(|event| list.apply(event));
     let mut again = CatalogueSnapshot::new(&settings, &list.snapshot());
@@ -161,7 +161,8 @@
     ) {
         let settings = settings(&[("web", 3), ("api", 4), ("more", 4)]);
         let mut snapshot = CatalogueSnapshot::new(&settings, &current(vec![]));
-        let (mut list, mut last) = (EndpointList::default(), BTreeMap::new());
+        let mut list = EndpointList::default();
+        let mut last = BTreeMap::new();
         for (service, instances) in responses {
             let status = ["passing", "warning", "critical"];
             let entries: Vec<_> = instances
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -31,7 +31,8 @@
 fn released_lock_can_be_acquired_by_another_session() {
     run(async {
         let consul = Consul::start();
-        let (mut a, mut b) = (locks(&consul), locks(&consul));
+        let mut a = locks(&consul);
+        let mut b = locks(&consul);
         assert_eq!(a.read_keys("duties/", 0, TTL).await.expect("read").1, Vec::new(), "no keys yet");
         let first = a.create_session("f1", TTL, DELAY, SessionBehavior::Release).await.expect("created");
         let second = b.create_session("f2", TTL, DELAY, SessionBehavior::Release).await.expect("created");
@@ -97,7 +98,8 @@
 fn transaction_applies_all_operations_or_none() {
     run(async {
         let consul = Consul::start();
-        let (mut a, mut b) = (locks(&consul), locks(&consul));
+        let mut a = locks(&consul);
+        let mut b = locks(&consul);
         let first =
             a.create_session("op", TTL, Duration::ZERO, SessionBehavior::Delete).await.expect("created");
         assert!(a.acquire("p/proposal", &first, Bytes::from_static(b"x")).await.expect("answered"));
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -173,7 +173,8 @@
 fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
-            let (cut_off, other) = (Consul::start(), Consul::start());
+            let cut_off = Consul::start();
+            let other = Consul::start();
             for consul in [&cut_off, &other] {
                 consul.register(web_instance("w1", 8001));
                 consul.register(web_instance("w2", 8002));
@@ -217,7 +218,8 @@
 fn agent_without_a_leader_causes_failover() {
     for fault in [Fault::NoLeader { whole: true }, Fault::Status(500, "No cluster leader", None)] {
         run(async {
-            let (cut_off, other) = (Consul::start(), Consul::start());
+            let cut_off = Consul::start();
+            let other = Consul::start();
             let addresses = vec![cut_off.address(), other.address()];
             let mut follower =
                 Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
@@ -236,7 +238,8 @@
 #[test]
 fn silent_agent_times_out_and_causes_failover() {
     run(async {
-        let (silent, other) = (Consul::start(), Consul::start());
+        let silent = Consul::start();
+        let other = Consul::start();
         for consul in [&silent, &other] {
             consul.register(web_instance("w1", 8001));
         }
@@ -383,7 +386,8 @@
 #[test]
 fn untrusted_certificate_is_rejected_with_one_line() {
     let folder = Folder::new("consul-bad-tls");
-    let (authority, stranger) = (Authority::new(folder.path(), "dc1"), Authority::new(folder.path(), "dc2"));
+    let authority = Authority::new(folder.path(), "dc1");
+    let stranger = Authority::new(folder.path(), "dc2");
     let consul = Consul::start();
     let ip = consul.address().ip();
     let good = authority.sign("server.dc1.consul", ip, time::Duration::days(1));
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -127,7 +127,8 @@
     ];
     let (requests, keys) = exchange(&answers, async |at| {
         let mut locks = LockClient::new(Rc::new(settings(at)));
-        let (ttl, delay) = (Duration::from_secs(10), Duration::from_millis(300));
+        let ttl = Duration::from_secs(10);
+        let delay = Duration::from_millis(300);
         let session = locks.create_session("n1", ttl, delay, SessionBehavior::Delete).await.expect("created");
         assert_eq!(session, "adf4");
         let other = locks.create_session("n2", ttl, delay, SessionBehavior::Release).await.expect("created");
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -39,7 +39,8 @@
 
 impl Site {
     fn new(name: &str) -> Self {
-        let (consul, platform) = (Consul::start(), Platform::start(""));
+        let consul = Consul::start();
+        let platform = Platform::start("");
         let folder = Folder::new(name);
         folder.write("config.json", &Setup::new(platform.address()).text());
         folder.write("edge.star", &script(consul.address()));
@@ -190,8 +191,10 @@
 fn repeated_source_switches_under_full_load_lose_and_repeat_nothing() {
     let site = Site::new("consul-swap");
     let (listed, from_consul, forwarder) = site.with_both();
-    let (none, some) = ("# nothing\n".to_owned(), script(site.consul.address()));
-    let (over, door) = (AtomicBool::new(false), forwarder.address);
+    let none = "# nothing\n".to_owned();
+    let some = script(site.consul.address());
+    let over = AtomicBool::new(false);
+    let door = forwarder.address;
     let taken: Vec<String> = std::thread::scope(|scope| {
         let client = |number: usize| {
             let over = &over;
@@ -241,7 +244,8 @@
         for restrained in [true, false] {
             scope.spawn(move || {
                 let mut site = Site::new(&format!("consul-maintenance-{restrained}"));
-                let (capacity, above) = (400.0, Above::Queue);
+                let capacity = 400.0;
+                let above = Above::Queue;
                 site.partner = Partner::new(Bearing { capacity, above, ..Bearing::default() });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
                 let setup = Setup { slots: 512, ..Setup::new(site.platform.address()) };
@@ -390,7 +394,8 @@
                 let site = Site::new(&format!("consul-tls-{what}"));
                 let authority = Authority::new(site.folder.path(), "dc1");
                 let stranger = Authority::new(site.folder.path(), "dc2");
-                let (ip, day) = (site.consul.address().ip(), time::Duration::days(1));
+                let ip = site.consul.address().ip();
+                let day = time::Duration::days(1);
                 let good = authority.sign("server.dc1.consul", ip, day);
                 site.consul.speak_tls(&good, None);
                 let tls = format!(
