--- a/crates/fakes/src/consul/fault.rs
+++ b/crates/fakes/src/consul/fault.rs
@@ -1,58 +1,66 @@
-//! Faults of the stand-in.
+//! Faults that the server can have.
 
 use std::time::Duration;
 
-/// What is wrong with it.
+/// The fault in force.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Fault {
-    /// Nothing.
+pub enum ConsulFault {
+    /// None: requests are answered.
     #[default]
     None,
-    /// It takes connections and requests and says nothing; those that it has stay as silent.
-    Silent,
-    /// Nobody listens, and what was open is closed.
-    Gone,
-    /// Connections close as a request comes.
-    Vanishing,
-    /// This status, with a text, and perhaps a time to come back in seconds.
-    Status(u16, &'static str, Option<u64>),
-    /// There is no leader: answers are of the form, with so much of the list, and say so.
+    /// Connections and requests are accepted and never answered, those already open included.
+    Unresponsive,
+    /// Nothing listens, and open connections are closed.
+    Down,
+    /// A connection is closed when a request arrives.
+    CloseOnRequest,
+    /// Every request gets this answer.
+    Status {
+        /// The HTTP status.
+        status: u16,
+        /// The body.
+        text: &'static str,
+        /// `Retry-After`, in seconds.
+        retry_after_s: Option<u64>,
+    },
+    /// The cluster has no leader: answers say so in `X-Consul-KnownLeader`.
     NoLeader {
-        /// The whole list, or an empty one.
-        whole: bool,
+        /// Whether answers hold the complete list or an empty one.
+        complete: bool,
     },
-    /// A server that has not heard from its leader for so long: it knows of no instances, and says how old that is.
-    Behind(Duration),
+    /// The server last heard from its leader this long ago: answers are empty, and say so in `X-Consul-LastContact`.
+    Stale(Duration),
     /// Writes of sessions and keys take effect, and their answers are lost.
-    LostWrites,
+    LostWriteAnswers,
     /// Writes of sessions and keys take this long.
     SlowWrites(Duration),
-    /// Half an answer, and then the end.
-    CutShort,
-    /// An answer that goes on for ever.
-    Endless,
-    /// This is not JSON of the form.
-    Garbage,
-    /// Every answer comes at once, with this for an index; nothing leaves the header out.
-    Index(Option<&'static str>),
+    /// The body ends before its announced length.
+    TruncatedBody,
+    /// The body never ends.
+    EndlessBody,
+    /// The body is JSON of another form.
+    MalformedBody,
+    /// Every answer comes at once with this `X-Consul-Index`; `None` leaves the header out.
+    FixedIndex(Option<&'static str>),
 }
 
-impl Fault {
-    /// Those that say nothing of the list, whatever they answer: it has to stay as it was.
-    pub fn that_tell_nothing() -> Vec<Fault> {
+impl ConsulFault {
+    /// The faults under which no answer says anything about the list: a client has to keep the list that it has.
+    pub fn without_usable_answer() -> Vec<ConsulFault> {
+        let status = |status, text, retry_after_s| ConsulFault::Status { status, text, retry_after_s };
         vec![
-            Fault::Silent,
-            Fault::Gone,
-            Fault::Vanishing,
-            Fault::Status(500, "No cluster leader", None),
-            Fault::Status(403, "Permission denied", None),
-            Fault::Status(404, "Invalid path", None),
-            Fault::Status(429, "Your IP is issuing too many concurrent connections", Some(1)),
-            Fault::NoLeader { whole: false },
-            Fault::NoLeader { whole: true },
-            Fault::CutShort,
-            Fault::Endless,
-            Fault::Garbage,
+            ConsulFault::Unresponsive,
+            ConsulFault::Down,
+            ConsulFault::CloseOnRequest,
+            status(500, "No cluster leader", None),
+            status(403, "Permission denied", None),
+            status(404, "Invalid path", None),
+            status(429, "Your IP is issuing too many concurrent connections", Some(1)),
+            ConsulFault::NoLeader { complete: false },
+            ConsulFault::NoLeader { complete: true },
+            ConsulFault::TruncatedBody,
+            ConsulFault::EndlessBody,
+            ConsulFault::MalformedBody,
         ]
     }
 }
--- /dev/null
+++ b/crates/fakes/src/discovery.rs
@@ -0,0 +1,128 @@
+//! A scripted discovery server: a list that changes on demand, and the place where forwarders post their notifications.
+
+use crate::runtime::{Never, ServerRuntime, unused_loopback_address};
+use bytes::Bytes;
+use http_body_util::combinators::BoxBody;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Frame, Incoming};
+use hyper::{Method, Request, Response};
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+
+/// An empty line goes to every watch this often, which shows that the connection is alive.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+
+type Answer = Response<BoxBody<Bytes, Never>>;
+
+#[derive(Debug, Default)]
+struct State {
+    /// The list, on one line.
+    list: String,
+    watchers: Vec<UnboundedSender<String>>,
+    watch_count: u64,
+    /// States by message, in the order in which they were posted.
+    notifications: BTreeMap<String, Vec<String>>,
+}
+
+/// The server. It ends with its last handle.
+#[derive(Clone, Debug)]
+pub struct DiscoveryServer {
+    address: SocketAddr,
+    state: Arc<Mutex<State>>,
+    _runtime: Arc<ServerRuntime>,
+}
+
+/// A body that sends each line as it comes.
+struct LineStream(UnboundedReceiver<String>);
+
+impl Body for LineStream {
+    type Data = Bytes;
+    type Error = Never;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Never>>> {
+        self.0.poll_recv(context).map(|line| line.map(|line| Ok(Frame::data(line.into()))))
+    }
+}
+
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl DiscoveryServer {
+    /// Starts it with a list (one line of JSON) that every watch gets first; an empty one sends nothing.
+    pub fn start(list: &str) -> Self {
+        let runtime = Arc::new(ServerRuntime::new());
+        let listener = runtime.listen(unused_loopback_address());
+        let address = listener.local_addr().expect("a socket");
+        let state = Arc::new(Mutex::new(State { list: list.to_owned(), ..State::default() }));
+        let served = state.clone();
+        runtime.serve_http(listener, move |_, request| respond(served.clone(), request));
+        DiscoveryServer { address, state, _runtime: runtime }
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Replaces the list, and sends it to every watch.
+    pub fn publish(&self, list: &str) {
+        let mut state = lock(&self.state);
+        list.clone_into(&mut state.list);
+        state.watchers.retain(|watcher| watcher.send(format!("{list}\n")).is_ok());
+    }
+
+    /// Watches opened so far.
+    pub fn watch_count(&self) -> u64 {
+        lock(&self.state).watch_count
+    }
+
+    /// Notifications by message: the states, in the order in which they were posted.
+    pub fn notifications(&self) -> BTreeMap<String, Vec<String>> {
+        lock(&self.state).notifications.clone()
+    }
+}
+
+async fn respond(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Option<Answer> {
+    if request.method() == Method::POST {
+        return accept_notifications(&state, request).await;
+    }
+    Some(open_watch(&state))
+}
+
+/// Records notifications, one JSON object a line.
+async fn accept_notifications(state: &Mutex<State>, request: Request<Incoming>) -> Option<Answer> {
+    let body = request.into_body().collect().await.ok()?.to_bytes();
+    for line in body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+        let Ok(notification) = serde_json::from_slice::<Value>(line) else { continue };
+        let text = |field: &str| notification[field].as_str().unwrap_or("").to_owned();
+        lock(state).notifications.entry(text("id")).or_default().push(text("state"));
+    }
+    Response::builder().status(204).body(Full::default().boxed()).ok()
+}
+
+fn open_watch(state: &Mutex<State>) -> Answer {
+    let (sender, lines) = unbounded_channel();
+    {
+        let mut state = lock(state);
+        state.watch_count += 1;
+        let first = if state.list.is_empty() { String::new() } else { format!("{}\n", state.list) };
+        drop(sender.send(first + "\n"));
+        state.watchers.push(sender.clone());
+    }
+    tokio::spawn(async move {
+        while sender.send("\n".to_owned()).is_ok() {
+            tokio::time::sleep(KEEP_ALIVE_INTERVAL).await;
+        }
+    });
+    Response::new(LineStream(lines).boxed())
+}
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,8 +1,8 @@
 //! Policy changes on a fleet of five real forwarders under load, each connected to Consul over a fault proxy of its own;
 //! the coordinator is a process too. Every submitted message is followed to its one final answer.
 
-use orchidyoke_fakes::Fault;
-use orchidyoke_fakes::fleet::{Fleet, Load, TTL};
+use orchidyoke_fakes::NetworkFault;
+use orchidyoke_fakes::fleet::{ClientLoad, Fleet, MEMBER_TTL};
 use serde_json::json;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
@@ -17,7 +17,7 @@
 }
 
 fn fleet(name: &str) -> Fleet {
-    let fleet = Fleet::agreed(program(), &format!("policy-{name}"), FLEET, Load::default());
+    let fleet = Fleet::with_policy_commit(program(), &format!("policy-{name}"), FLEET, ClientLoad::default());
     wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     fleet
 }
@@ -31,11 +31,11 @@
 }
 
 fn is_ready(fleet: &Fleet, number: usize) -> bool {
-    fleet.ask(number, "ready").is_some_and(|reply| reply.starts_with("200"))
+    fleet.console_command(number, "ready").is_some_and(|reply| reply.starts_with("200"))
 }
 
 fn version(fleet: &Fleet, number: usize) -> Option<u64> {
-    fleet.figure(number, "app_policy_epoch")
+    fleet.metric(number, "app_policy_epoch")
 }
 
 fn versions(fleet: &Fleet) -> Vec<Option<u64>> {
@@ -57,7 +57,7 @@
 
 fn command(fleet: &Fleet, what: &str) -> Command {
     let mut command = Command::new(program());
-    command.args(["policy", what, "--settings"]).arg(fleet.operators_settings());
+    command.args(["policy", what, "--settings"]).arg(fleet.operator_settings());
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
     command
 }
@@ -96,30 +96,30 @@
     assert_eq!(versions(&fleet), [Some(1); FLEET]);
     // Calls in flight may end; any that starts after that would be by the old policy.
     thread::sleep(Duration::from_millis(200));
-    let before = fleet.partner.calls().len();
+    let before = fleet.destination.calls().len();
     thread::sleep(Duration::from_millis(500));
-    assert_eq!(fleet.partner.calls().len(), before, "the only endpoint is excluded");
+    assert_eq!(fleet.destination.calls().len(), before, "the only endpoint is excluded");
     let (success, output) = propose(&fleet, "{}", "op");
     assert!(success && output.contains("epoch 2 committed"), "{output}");
-    wait("calls go on", || fleet.partner.calls().len() > before + 20);
+    wait("calls go on", || fleet.destination.calls().len() > before + 20);
     assert_eq!(versions(&fleet), [Some(2); FLEET]);
     let status = status(&fleet);
     assert!(
         status.contains("committed: epoch 2") && status.matches(": epoch 2").count() == FLEET + 1,
         "{status}"
     );
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a forwarder that was down during a change and is ready by the old policy after a restart.
 #[test]
 fn restarted_forwarder_has_the_committed_policy_before_it_is_ready() {
     let mut fleet = fleet("down");
-    fleet.stop(4);
+    fleet.kill_standalone(4);
     // It counts as a participant until its session has expired.
     let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(success, "{output}");
-    fleet.start_again(4);
+    fleet.restart(4);
     // Whenever it reports ready, the policy is in force.
     wait("it is ready", || {
         let ready = is_ready(&fleet, 4);
@@ -127,7 +127,7 @@
         ready
     });
     assert_eq!(versions(&fleet), [Some(1); FLEET]);
-    fleet.settle(true);
+    fleet.stop_and_verify(true);
 }
 
 // Guards against a disconnected forwarder that stops serving, does not report it, or blocks the others; and against one
@@ -136,25 +136,27 @@
 fn disconnected_forwarder_serves_on_reports_it_and_catches_up() {
     let fleet = fleet("cut");
     let cut = Instant::now();
-    fleet.to_consul(2).set(Fault::Partition);
+    fleet.consul_link(2).set_fault(NetworkFault::Partition);
     wait("it reports that it is disconnected", || {
-        fleet.ask(2, "ready").is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
+        fleet
+            .console_command(2, "ready")
+            .is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
     });
-    assert!(cut.elapsed() < TTL, "before the others may commit without it: {:?}", cut.elapsed());
-    assert_eq!(fleet.figure(2, "app_policy_contact"), Some(0));
+    assert!(cut.elapsed() < MEMBER_TTL, "before the others may commit without it: {:?}", cut.elapsed());
+    assert_eq!(fleet.metric(2, "app_policy_contact"), Some(0));
     let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(success, "{output}");
     assert_eq!(versions(&fleet), [Some(1), Some(1), Some(0), Some(1), Some(1)]);
-    let served = |number| fleet.figure(number, "app_success{type=\"status\"}").expect("its figures");
+    let served = |number| fleet.metric(number, "app_success{type=\"status\"}").expect("its figures");
     let before = served(2);
     wait("it serves on", || served(2) > before + 20);
-    fleet.to_consul(2).set(Fault::Pass);
+    fleet.consul_link(2).set_fault(NetworkFault::None);
     wait("it is ready", || {
         let ready = is_ready(&fleet, 2);
         assert!(!ready || version(&fleet, 2) == Some(1), "ready by the old policy");
         ready
     });
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a proposal without a coordinator that is applied anyway, or blocks the next one.
@@ -165,19 +167,19 @@
     let mut tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "first");
     tool.kill().expect("killed");
     tool.wait().expect("ended");
-    fleet.to_consul(3).set(Fault::Pass);
+    fleet.consul_link(3).set_fault(NetworkFault::None);
     // The proposal is deleted with its coordinator's session.
     wait("the proposal is gone", || !status(&fleet).contains("proposed:"));
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
     let (success, output) = propose(&fleet, &harmless(8_000_000), "second");
     assert!(success && output.contains("epoch 1 committed"), "{output}");
     wait("it is in force on all", || versions(&fleet) == [Some(1); FLEET]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 /// Proposes while one forwarder is disconnected, so that the coordinator has all other votes and waits for that one.
 fn start_blocked_proposal(fleet: &Fleet, policy: &str, by: &str) -> Child {
-    fleet.to_consul(3).set(Fault::Partition);
+    fleet.consul_link(3).set_fault(NetworkFault::Partition);
     let tool = start_proposing(fleet, policy, by);
     await_all_votes_but(fleet, 3);
     tool
@@ -190,12 +192,12 @@
     let tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "op");
     let (success, output) = finish(command(&fleet, "abort").spawn().expect("the tool runs"));
     assert!(success && output.contains("the proposal of epoch 1 by op is withdrawn"), "{output}");
-    fleet.to_consul(3).set(Fault::Pass);
+    fleet.consul_link(3).set_fault(NetworkFault::None);
     let (success, output) = finish(tool);
     assert!(!success && output.contains("withdrawn"), "{output}");
     wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against a policy in force on all forwarders but one that cannot use it.
@@ -209,7 +211,7 @@
     assert!(!success && output.contains("refused by f1.") && output.contains("slots"), "{output}");
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
     assert!((0..FLEET).all(|number| is_ready(&fleet, number)), "all serve by the policy before");
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
 
 // Guards against two concurrent changes that are each in force on a part of the fleet.
@@ -217,7 +219,7 @@
 fn concurrent_proposals_are_committed_one_at_a_time_on_all_forwarders() {
     let fleet = fleet("race");
     // Votes take a while, so that the second coordinator finds an open proposal.
-    fleet.to_consul(0).set(Fault::Delay(Duration::from_millis(150)));
+    fleet.consul_link(0).set_fault(NetworkFault::Delay(Duration::from_millis(150)));
     let tools: Vec<_> =
         (0..4).map(|n| start_proposing(&fleet, &harmless(7_000_000 + n), &format!("op{n}"))).collect();
     let results: Vec<_> = tools.into_iter().map(finish).collect();
@@ -233,5 +235,5 @@
         status.contains(&format!("committed: epoch {committed}")) && !status.contains("proposed:"),
         "{status}"
     );
-    fleet.settle(false);
+    fleet.stop_and_verify(false);
 }
