--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -173,7 +173,8 @@
 fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
-            let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
+            let cut_off = ConsulServer::start();
+            let other = ConsulServer::start();
             for consul in [&cut_off, &other] {
                 consul.register(web_instance("w1", 8001));
                 consul.register(web_instance("w2", 8002));
@@ -220,7 +221,8 @@
         ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None },
     ] {
         run(async {
-            let (cut_off, other) = (ConsulServer::start(), ConsulServer::start());
+            let cut_off = ConsulServer::start();
+            let other = ConsulServer::start();
             let addresses = vec![cut_off.address(), other.address()];
             let mut follower =
                 Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
@@ -239,7 +241,8 @@
 #[test]
 fn silent_agent_times_out_and_causes_failover() {
     run(async {
-        let (silent, other) = (ConsulServer::start(), ConsulServer::start());
+        let silent = ConsulServer::start();
+        let other = ConsulServer::start();
         for consul in [&silent, &other] {
             consul.register(web_instance("w1", 8001));
         }
@@ -386,8 +389,8 @@
 #[test]
 fn untrusted_certificate_is_rejected_with_one_line() {
     let folder = TemporaryFolder::new("consul-bad-tls");
-    let (authority, stranger) =
-        (CertificateAuthority::new(folder.path(), "dc1"), CertificateAuthority::new(folder.path(), "dc2"));
+    let authority = CertificateAuthority::new(folder.path(), "dc1");
+    let stranger = CertificateAuthority::new(folder.path(), "dc2");
     let consul = ConsulServer::start();
     let ip = consul.address().ip();
     let good = authority.sign("server.dc1.consul", ip, time::Duration::days(1));
