--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -6,9 +6,10 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
-use hyper::header::{HOST, HeaderMap, HeaderValue, RETRY_AFTER};
+use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Request, body::Incoming};
 use hyper_util::rt::TokioIo;
+use orchidyoke_forwarder::retry_after::retry_after_whole_seconds;
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 use std::cell::Cell;
 use std::future::Future;
@@ -321,7 +322,7 @@
         index: text("X-Consul-Index").map(str::to_owned),
         leaderless: text("X-Consul-KnownLeader") == Some("false"),
         too_old: contact.filter(|age| stale && *age > settings.max_stale),
-        retry_after: text(RETRY_AFTER.as_str()).and_then(|value| value.trim().parse().ok()),
+        retry_after: retry_after_whole_seconds(headers),
     }
 }
 
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -100,7 +100,7 @@
         let answer = timeout(SILENCE, sender.send_request(request)).await.map_err(|_| WatchError::Silent)?;
         let answer = answer.map_err(broken)?;
         if answer.status() != StatusCode::OK {
-            let wait = retry_after::server_wait_ms(answer.headers(), SystemTime::now());
+            let wait = retry_after::retry_after_ms(answer.headers(), SystemTime::now());
             return Err(WatchError::Refused(answer.status(), wait));
         }
         let mut body = answer.into_body();
--- /dev/null
+++ b/crates/forwarder/src/metered_stream.rs
@@ -0,0 +1,124 @@
+//! A connection to an endpoint that records how far the current exchange has come on the socket.
+//!
+//! The HTTP library reports neither which bytes of a request the system has accepted nor when a response begins; both
+//! settle what a failed call may have done.
+
+use crate::connection_pool::EndpointConnectionId;
+use crate::endpoint_call::Progress;
+use crate::input::Input;
+use crate::response_start::ResponseStart;
+use crate::write_progress::WriteProgress;
+use socket2::SockRef;
+use std::io::{self, Read};
+use std::pin::Pin;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::UnboundedSender;
+
+/// One request and its response as seen on the socket.
+#[derive(Debug, Default)]
+pub(crate) struct Exchange {
+    pub(crate) request: WriteProgress,
+    pub(crate) response: ResponseStart,
+}
+
+impl Exchange {
+    /// How far the call has come.
+    pub(crate) fn progress(&self) -> Progress {
+        let written = self.request.progress();
+        let is_answered = self.response.begun_at().is_some() && written == Progress::FullyWritten;
+        if is_answered { Progress::Answered } else { written }
+    }
+}
+
+/// The current exchange, shared by the stream and the connection's task.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct SharedExchange(Arc<Mutex<Exchange>>);
+
+impl SharedExchange {
+    /// Begins the exchange of a request with so many bytes of body.
+    pub(crate) fn begin(&self, body_bytes: usize) {
+        let request = WriteProgress::with_body_bytes(body_bytes);
+        *self.lock() = Exchange { request, ..Exchange::default() };
+    }
+
+    pub(crate) fn lock(&self) -> MutexGuard<'_, Exchange> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// A stream that records the current exchange and reports when its request is fully written.
+pub(crate) struct MeteredStream {
+    pub(crate) stream: TcpStream,
+    pub(crate) exchange: SharedExchange,
+    pub(crate) connection: EndpointConnectionId,
+    pub(crate) inputs: UnboundedSender<Input>,
+}
+
+impl MeteredStream {
+    /// Before the first byte of a request: fails if the endpoint has closed, or sent bytes that belong to no call. Those
+    /// would be read as the response, and what is written to a closed connection may still be executed. Asks the system,
+    /// since the runtime learns of it later.
+    fn check_quiet(&self) -> io::Result<()> {
+        let socket = SockRef::from(&self.stream);
+        match (&*socket).read(&mut [0]) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
+            Err(error) => Err(error),
+            Ok(0) => Err(io::Error::new(io::ErrorKind::ConnectionAborted, "closed before its call")),
+            Ok(_) => Err(io::Error::new(io::ErrorKind::InvalidData, "unexpected bytes before its call")),
+        }
+    }
+
+    fn on_written(&self, bytes: &[u8]) {
+        let is_whole = {
+            let request = &mut self.exchange.lock().request;
+            let before = request.progress();
+            request.on_written(bytes);
+            before != request.progress()
+        };
+        if is_whole {
+            // The receiver is gone only when the forwarder ends.
+            let _ = self.inputs.send(Input::CallWritten { connection: self.connection });
+        }
+    }
+}
+
+impl AsyncRead for MeteredStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let before = buffer.filled().len();
+        let result = Pin::new(&mut self.stream).poll_read(context, buffer);
+        self.exchange.lock().response.on_read(&buffer.filled()[before..]);
+        result
+    }
+}
+
+impl AsyncWrite for MeteredStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        if !self.exchange.lock().request.has_begun() {
+            self.check_quiet()?;
+        }
+        let result = Pin::new(&mut self.stream).poll_write(context, bytes);
+        if let Poll::Ready(Ok(count)) = result {
+            self.on_written(&bytes[..count]);
+        }
+        result
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
+    }
+}
--- a/crates/forwarder/src/peer_call.rs
+++ b/crates/forwarder/src/peer_call.rs
@@ -2,7 +2,7 @@
 
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::ownership::{HANDOVER, Offer, OfferEnd};
-use crate::retry_after::{server_wait_ms, to_micros};
+use crate::retry_after::{retry_after_ms, to_micros};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -169,7 +169,7 @@
 /// What an answer says, and whether it has a body that was not read.
 fn read(answer: &Response<Incoming>) -> (OfferEnd, bool) {
     use hyper::body::Body;
-    let wait = server_wait_ms(answer.headers(), SystemTime::now());
+    let wait = retry_after_ms(answer.headers(), SystemTime::now());
     let end = match answer.status() {
         StatusCode::OK | StatusCode::ACCEPTED => OfferEnd::Taken,
         StatusCode::SERVICE_UNAVAILABLE => OfferEnd::Refused(to_micros(wait)),
--- a/crates/forwarder/src/retry_after.rs
+++ b/crates/forwarder/src/retry_after.rs
@@ -1,41 +1,51 @@
-//! Waiting times from response headers: `Retry-After`, and a partner's own `X-Come-Back-Ms`.
+//! The times that responses give for the next attempt: `Retry-After` (RFC 9110, section 10.2.3) and an endpoint's own
+//! `X-Come-Back-Ms`.
+//!
+//! `Retry-After` is read in two forms. [`retry_after_ms`] accepts whole and decimal seconds and dates, for forwarders and
+//! discovery; [`retry_after_whole_seconds`] accepts whole seconds alone, for Consul.
 
 use hyper::HeaderMap;
 use hyper::header::RETRY_AFTER;
 use orchidyoke_core::interface::Micros;
 use std::time::SystemTime;
 
-/// The wait of a partner, in milliseconds; 0 where it tells none that can be read.
-pub(crate) fn partner_wait_ms(headers: &HeaderMap) -> u64 {
-    header_text(headers, "X-Come-Back-Ms").map_or(0, |wait| round_up(wait, 1.0))
+/// `X-Come-Back-Ms` in milliseconds, rounded up; 0 without one that can be read.
+pub fn come_back_ms(headers: &HeaderMap) -> u64 {
+    header_text(headers, "X-Come-Back-Ms").map_or(0, |text| scaled_up(text, 1.0))
 }
 
-/// The wait of a server that refused, in milliseconds, in either form of HTTP or as a partner tells it; the longest
-/// where there are more, 0 where none can be read.
-pub(crate) fn server_wait_ms(headers: &HeaderMap, now: SystemTime) -> u64 {
-    let told = header_text(headers, RETRY_AFTER.as_str()).map_or(0, |wait| {
-        // In seconds, or a date, from which on it may be asked again.
-        let date = httpdate::parse_http_date(wait.trim()).ok().and_then(|at| at.duration_since(now).ok());
-        date.map_or_else(
-            || round_up(wait, 1000.0),
-            |left| u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
-        )
-    });
-    told.max(partner_wait_ms(headers))
+/// The longer of `Retry-After`, in seconds or as a date, and `X-Come-Back-Ms`: in milliseconds from `now` on, rounded up; 0
+/// without one that can be read.
+pub fn retry_after_ms(headers: &HeaderMap, now: SystemTime) -> u64 {
+    let retry_after = header_text(headers, RETRY_AFTER.as_str())
+        .map_or(0, |text| ms_until_date(text, now).unwrap_or_else(|| scaled_up(text, 1000.0)));
+    retry_after.max(come_back_ms(headers))
 }
 
-/// Milliseconds that were told, on the clock of the decisions: the sum of one with any moment overflows nothing.
-pub(crate) fn to_micros(wait_ms: u64) -> Micros {
-    Micros::try_from(wait_ms).unwrap_or(Micros::MAX).saturating_mul(1000).min(Micros::MAX / 2)
+/// `Retry-After` in whole seconds; any other form counts as absent.
+pub fn retry_after_whole_seconds(headers: &HeaderMap) -> Option<u64> {
+    header_text(headers, RETRY_AFTER.as_str())?.trim().parse().ok()
 }
 
-/// Whole or decimal; a wait that is not kept for want of a digit is a broken rule.
-fn round_up(text: &str, unit: f64) -> u64 {
-    let number = text.trim().parse::<f64>().ok().filter(|wait| wait.is_finite());
-    number.map_or(0, |wait| (wait * unit).ceil() as u64)
+/// A delay on the clock of the decisions, bounded so that adding it to any moment does not overflow.
+pub(crate) fn to_micros(delay_ms: u64) -> Micros {
+    Micros::try_from(delay_ms).unwrap_or(Micros::MAX).saturating_mul(1000).min(Micros::MAX / 2)
 }
 
-/// A header that can be read.
+/// None if the text is no date, or one that has passed.
+fn ms_until_date(text: &str, now: SystemTime) -> Option<u64> {
+    let date = httpdate::parse_http_date(text.trim()).ok()?;
+    let left = date.duration_since(now).ok()?;
+    Some(u64::try_from(left.as_millis()).unwrap_or(u64::MAX))
+}
+
+/// A whole or decimal number of units, rounded up; 0 if the text is none. Rounding down would come back too early.
+fn scaled_up(text: &str, unit: f64) -> u64 {
+    let number = text.trim().parse::<f64>().ok().filter(|number| number.is_finite());
+    number.map_or(0, |number| (number * unit).ceil() as u64)
+}
+
+/// A header's text; none if it is absent or not text.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/forwarder/src/retry_after/tests.rs
+++ b/crates/forwarder/src/retry_after/tests.rs
@@ -15,18 +15,18 @@
     let large =
         [("1e400", 0), ("", 0), ("1e18", 1_000_000_000_000_000_000), ("99999999999999999999999", u64::MAX)];
     for (value, wait) in partner.into_iter().chain(large) {
-        assert_eq!(partner_wait_ms(&headers("x-come-back-ms", value.as_bytes())), wait, "{value:?}");
+        assert_eq!(come_back_ms(&headers("x-come-back-ms", value.as_bytes())), wait, "{value:?}");
     }
-    assert_eq!(partner_wait_ms(&headers("x-come-back-ms", b"\xff\xfe")), 0);
-    assert_eq!(partner_wait_ms(&HeaderMap::new()), 0);
+    assert_eq!(come_back_ms(&headers("x-come-back-ms", b"\xff\xfe")), 0);
+    assert_eq!(come_back_ms(&HeaderMap::new()), 0);
     let seconds = [("2", 2000), ("0.25", 250), ("later", 0), ("1e300", u64::MAX)];
     let dates = [("47 GMT", 10_000), ("27 GMT", 0), ("99 GMT", 0)].map(|(end, wait)| (date(end), wait));
     for (value, wait) in seconds.map(|(value, wait)| (value.to_owned(), wait)).into_iter().chain(dates) {
-        assert_eq!(server_wait_ms(&headers("retry-after", value.as_bytes()), now), wait, "{value:?}");
+        assert_eq!(retry_after_ms(&headers("retry-after", value.as_bytes()), now), wait, "{value:?}");
     }
     let mut both = headers("retry-after", b"1");
     both.extend(headers("x-come-back-ms", b"1500"));
-    assert_eq!(server_wait_ms(&both, now), 1500);
+    assert_eq!(retry_after_ms(&both, now), 1500);
 }
 
 fn date(end: &str) -> String {
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -6,7 +6,7 @@
 use super::connection_pool::EndpointConnectionId;
 use super::console_listener::{self, ConsoleGateway};
 use super::discovery::WatchEnd;
-use super::endpoint_connection::{self, Order};
+use super::endpoint_connection::{self, ScheduledCall};
 use super::peer_call::PeerConnections;
 use super::reducer::Reducer;
 use super::reload::{ConfigSource, Reloads};
@@ -62,7 +62,7 @@
     journal: Journal,
     gateway: Rc<ClientGateway>,
     console: Rc<ConsoleGateway>,
-    links: HashMap<EndpointConnectionId, UnboundedSender<Order>>,
+    links: HashMap<EndpointConnectionId, UnboundedSender<ScheduledCall>>,
     /// Connections to the forwarders that own destinations.
     peers: Rc<PeerConnections>,
     inputs: UnboundedSender<Input>,
@@ -98,10 +98,10 @@
                 spawn_local(endpoint_connection::run(link, address, until, orders, self.inputs.clone()));
             }
             Effect::SendCall { connection: link, call } => {
-                let due = self.clock.instant(call.deadline);
+                let deadline = self.clock.instant(call.deadline);
                 if let Some(orders) = self.links.get(&link) {
                     // A connection that has closed meanwhile reports that itself.
-                    let _ = orders.send((call, due));
+                    let _ = orders.send(ScheduledCall { call, deadline });
                 }
             }
             Effect::CloseConnection { connection: link } => {
--- a/crates/forwarder/tests/endpoint_connection.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -1,10 +1,10 @@
-//! Calls on connections to next hops, on real sockets: the far end is a script that answers, breaks off, closes or speaks
+//! Calls on connections to endpoints, on real sockets: the far end is a script that answers, breaks off, closes or speaks
 //! in the wrong instant.
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
 use orchidyoke_forwarder::endpoint_call::{CallMessage, Cause, EndpointCall, EndpointCallError, Progress};
-use orchidyoke_forwarder::endpoint_connection::{Order, run};
+use orchidyoke_forwarder::endpoint_connection::{ScheduledCall, run};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::write_progress::WriteProgress;
 use quickcheck::{Gen, QuickCheck};
@@ -37,7 +37,7 @@
     };
     let near_end = async {
         assert!(matches!(came.recv().await, Some(Input::ConnectionUp { .. })));
-        sender.send((call.clone(), until)).expect("it takes calls");
+        sender.send(ScheduledCall { call: call.clone(), deadline: until }).expect("it takes calls");
         let mut end = async || {
             loop {
                 match came.recv().await {
@@ -47,7 +47,8 @@
             }
         };
         let first = end().await.expect("an end");
-        let _ = sender.send((call.clone(), Instant::now() + Duration::from_millis(300)));
+        let deadline = Instant::now() + Duration::from_millis(300);
+        let _ = sender.send(ScheduledCall { call: call.clone(), deadline });
         (first, matches!(end().await, Some(Input::CallAnswered { .. })))
     };
     tokio::select! {
@@ -145,7 +146,7 @@
 /// and nothing else runs while it does.
 struct Pair {
     far: std::net::TcpStream,
-    orders: Option<UnboundedSender<Order>>,
+    orders: Option<UnboundedSender<ScheduledCall>>,
     came: UnboundedReceiver<Input>,
 }
 
@@ -171,8 +172,8 @@
     }
 
     fn send(&self, within: Duration) {
-        let order = (call_of(false), Instant::now() + within);
-        self.orders.as_ref().expect("not called off").send(order).expect("it takes calls");
+        let order = ScheduledCall { call: call_of(false), deadline: Instant::now() + within };
+        self.orders.as_ref().expect("not cancelled").send(order).expect("it takes calls");
     }
 
     /// The call's last byte has gone, and the far end has read all of it.
@@ -354,8 +355,11 @@
         pair.far.write_all(&[OK, OK].concat()).expect("written");
         assert!(matches!(pair.next().await, Input::CallAnswered { .. }));
         // Its task may have ended, or has yet to see what is there.
-        let _ =
-            pair.orders.as_ref().expect("not called off").send((call_of(false), Instant::now() + PATIENCE));
+        let _ = pair
+            .orders
+            .as_ref()
+            .expect("not cancelled")
+            .send(ScheduledCall { call: call_of(false), deadline: Instant::now() + PATIENCE });
         let end = pair.next().await;
         assert!(
             matches!(&end, Input::ConnectionClosed { error, .. } if error.progress != Progress::FullyWritten),
--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -11,7 +11,7 @@
 use orchidyoke_forwarder::catalogue::UpdateSender;
 use orchidyoke_forwarder::discovery::follow;
 use orchidyoke_forwarder::endpoint_call::{CallMessage, EndpointCall, EndpointReply, message_results};
-use orchidyoke_forwarder::endpoint_connection::run;
+use orchidyoke_forwarder::endpoint_connection::{ScheduledCall, run};
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_forwarder::notifications::post;
 use orchidyoke_forwarder::ownership::{Mark, Offer, OfferEnd};
@@ -58,7 +58,9 @@
         tokio::task::spawn_local(run(1, at, soon(), taken, sender));
         loop {
             match inputs.recv().await.expect("an end") {
-                Input::ConnectionUp { .. } => orders.send((call.clone(), soon())).expect("it takes calls"),
+                Input::ConnectionUp { .. } => orders
+                    .send(ScheduledCall { call: call.clone(), deadline: soon() })
+                    .expect("it takes calls"),
                 Input::CallAnswered { reply, .. } => return reply,
                 Input::ConnectionClosed { error, .. } => panic!("{error}"),
                 _ => {}
