--- a/crates/forwarder/src/catalogue.rs
+++ b/crates/forwarder/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Where the transport map may come from beside discovery.
+//! A source of the endpoint list beside discovery: the trait that one implements, and the sender for its updates.
 
 use orchidyoke_core::endpoint_list::WatchEvent;
 use std::fmt;
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// Takes the updates of one watch.
+/// Delivers the events of one watch.
 #[derive(Clone)]
 pub struct UpdateSender(Rc<dyn Fn(WatchEvent)>);
 
@@ -17,27 +17,27 @@
 }
 
 impl UpdateSender {
-    /// A sender that passes each update on to `deliver`.
+    /// A sender that passes each event to `deliver`.
     pub fn new(deliver: impl Fn(WatchEvent) + 'static) -> Self {
         UpdateSender(Rc::new(deliver))
     }
 
-    /// Passes an update on.
-    pub fn send(&self, news: WatchEvent) {
-        (self.0)(news);
+    /// Delivers an event.
+    pub fn send(&self, event: WatchEvent) {
+        (self.0)(event);
     }
 }
 
 /// A catalogue of endpoints with their health, such as Consul's.
 ///
-/// It is followed by one task on the forwarder's thread, which is dropped when another watch takes its place or the
-/// forwarder ends; dropping it has to end all that belongs to it.
+/// One task on the forwarder's thread follows it. The task is dropped when another watch takes its place or the forwarder
+/// ends; dropping it has to end all that belongs to it.
 pub trait Catalogue: fmt::Debug {
-    /// Names the catalogue and all its settings: with the same id, a reload has changed nothing.
+    /// Identifies the catalogue and all its settings: a reload with the same id has changed nothing.
     fn id(&self) -> &str;
 
-    /// Follows it from the list held on, and tells changes to that list, with versions that go on from its own. It
-    /// is not to empty the list because the catalogue is silent. It ends with the reason in one line; whoever asked
-    /// may ask again.
+    /// Follows the catalogue, starting from the list `held`, and sends changes to that list, with versions that go on from
+    /// its own. A silent catalogue must not empty the list. Ends with the reason in one line; the caller may follow it
+    /// again.
     fn follow(&self, held: WatchEvent, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
 }
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -1,83 +1,83 @@
-//! The watch that follows discovery's list of endpoints.
+//! The watch on discovery's endpoint list: one request whose response goes on for as long as the watch does.
+//!
+//! Used whenever discovery is the source of the list; the reducer starts another watch, after a backoff, when one ends.
 
 use crate::catalogue::UpdateSender;
 use crate::list_reader::ListReader;
 use crate::retry_after;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use orchidyoke_core::endpoint_list::ListError;
 use std::cell::Cell;
-use std::fmt;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// A watch from which no byte has come for so long is taken as broken: an empty line is due every 2 s.
-const SILENCE: Duration = Duration::from_secs(3);
-/// So is one from which nothing whole has come for so long, however its bytes dribble: 6 s after it had something to tell
-/// that binds, and another has to bring it.
-const NOTHING_WHOLE: Duration = Duration::from_millis(4_500);
-/// A dial to the agent on the forwarder's own machine is up at once; one that hangs leaves time for another.
-const DIAL: Duration = Duration::from_secs(1);
-/// Unless a large list is coming: at this many bytes a second or more it may go on. Asked for once more it would come no
-/// sooner, and one that is cut off each time never comes. Ordinary lists of 100,000 entries gain 8 s by it.
-const LEAST_RATE: usize = 2 << 20;
+/// Time for the next byte: discovery sends a blank line every 2 s.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for the next complete list or blank line, however many bytes come. A change is binding 6 s after discovery had it;
+/// with a watch that stalls, another has to bring it in that time.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// Time for the connection. Discovery's agent is on the forwarder's own machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A list that comes at this rate or faster extends [`MESSAGE_TIMEOUT`]: a new watch would not bring it sooner, and one that
+/// is always cut off would never bring it.
+const MIN_BYTES_PER_SECOND: usize = 2 << 20;
 
 /// How a watch ended.
 #[derive(Debug)]
 pub struct WatchEnd {
-    /// Why, for the log.
+    /// Why, in one line.
     pub reason: String,
-    /// How many milliseconds discovery says to wait; 0 where it says nothing.
+    /// Discovery's time for the next watch, in milliseconds; 0: none.
     pub retry_after_ms: u64,
-    /// How long ago it last said something whole, or was asked.
+    /// Time since it last sent anything complete, or since the watch began.
     pub silence: Duration,
 }
 
 /// Why a watch ended.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 enum WatchError {
-    Silent,
-    Broken(String),
-    /// Its status, and how many milliseconds it says to wait.
-    Refused(StatusCode, u64),
-    Unreadable(ListError),
-    /// It ended after so many bytes of a list.
-    CutOff(usize),
+    #[error("discovery is silent")]
+    TimedOut,
+    #[error("the watch broke: {0}")]
+    ConnectionFailed(String),
+    #[error("discovery answered {status}{}", retry_after_text(*.retry_after_ms))]
+    Rejected { status: StatusCode, retry_after_ms: u64 },
+    #[error("discovery sent data that is no list: {0}")]
+    InvalidList(#[from] ListError),
+    #[error("it ended in the middle of a list, after {bytes} bytes")]
+    Truncated { bytes: usize },
 }
 
-impl fmt::Display for WatchError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            WatchError::Silent => f.write_str("discovery is silent"),
-            WatchError::Broken(why) => write!(f, "the watch broke: {why}"),
-            WatchError::Refused(status, 0) => write!(f, "discovery answered {status}"),
-            WatchError::Refused(status, wait) => {
-                write!(f, "discovery answered {status}, and to wait {wait} ms")
-            }
-            WatchError::Unreadable(why) => write!(f, "discovery sent what is no list: {why}"),
-            WatchError::CutOff(bytes) => write!(f, "it ended in the middle of a list, after {bytes} bytes"),
-        }
-    }
+fn retry_after_text(retry_after_ms: u64) -> String {
+    if retry_after_ms == 0 { String::new() } else { format!(", retry after {retry_after_ms} ms") }
 }
 
-fn broken(error: impl fmt::Display) -> WatchError {
-    WatchError::Broken(error.to_string())
+fn connection_failed(error: impl ToString) -> WatchError {
+    WatchError::ConnectionFailed(error.to_string())
 }
 
-/// Follows the list from a version on until the watch ends; whoever asked may ask again.
+/// Follows the list from the version after `since` on until the watch ends.
 pub async fn follow(discovery: SocketAddr, since: u64, updates: UpdateSender) -> WatchEnd {
-    let heard = Cell::new(Instant::now());
-    let ended = watch(discovery, since, &updates, &heard).await;
-    let unheard = heard.get().elapsed();
+    let last_message_at = Cell::new(Instant::now());
+    let ended = watch(discovery, since, &updates, &last_message_at).await;
+    let silence = last_message_at.get().elapsed();
     match ended {
-        Ok(()) => WatchEnd { reason: "it ended".to_owned(), retry_after_ms: 0, silence: unheard },
+        Ok(()) => WatchEnd { reason: "it ended".to_owned(), retry_after_ms: 0, silence },
         Err(error) => {
-            let wait_ms = if let WatchError::Refused(_, wait) = error { wait } else { 0 };
-            WatchEnd { reason: error.to_string(), retry_after_ms: wait_ms, silence: unheard }
+            let retry_after_ms = match error {
+                WatchError::Rejected { retry_after_ms, .. } => retry_after_ms,
+                _ => 0,
+            };
+            WatchEnd { reason: error.to_string(), retry_after_ms, silence }
         }
     }
 }
@@ -86,51 +86,60 @@
     discovery: SocketAddr,
     since: u64,
     updates: &UpdateSender,
-    heard: &Cell<Instant>,
+    last_message_at: &Cell<Instant>,
 ) -> Result<(), WatchError> {
-    let stream = timeout(DIAL, TcpStream::connect(discovery)).await.map_err(|_| WatchError::Silent)?;
-    let stream = stream.map_err(broken)?;
-    let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(broken)?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(discovery)).await;
+    let stream = stream.map_err(|_| WatchError::TimedOut)?.map_err(connection_failed)?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(connection_failed)?;
     let request = Request::get(format!("/v1/servers?follow=1&since={since}"))
-        .header(hyper::header::HOST, discovery.to_string())
+        .header(HOST, discovery.to_string())
         .body(Empty::<Bytes>::new())
-        .map_err(broken)?;
-    let lines = async {
-        let answer = timeout(SILENCE, sender.send_request(request)).await.map_err(|_| WatchError::Silent)?;
-        let answer = answer.map_err(broken)?;
-        if answer.status() != StatusCode::OK {
-            let wait = retry_after::retry_after_ms(answer.headers(), SystemTime::now());
-            return Err(WatchError::Refused(answer.status(), wait));
-        }
-        let mut body = answer.into_body();
-        let mut lists = ListReader::default();
-        loop {
-            let due = (Instant::now() + SILENCE).min(heard.get() + time_for(lists.unfinished_bytes()));
-            let frame = timeout_at(due, body.frame()).await.map_err(|_| WatchError::Silent)?;
-            let Some(frame) = frame else { return ended_with(lists.unfinished_bytes()) };
-            let Ok(data) = frame.map_err(broken)?.into_data() else { continue };
-            let came_whole = lists.read_frame(&data, |news| updates.send(news));
-            if came_whole.map_err(WatchError::Unreadable)? {
-                heard.set(Instant::now());
-            }
+        .map_err(connection_failed)?;
+    let lists = async {
+        let response = timeout(READ_TIMEOUT, sender.send_request(request)).await;
+        let response = response.map_err(|_| WatchError::TimedOut)?.map_err(connection_failed)?;
+        let status = response.status();
+        if status != StatusCode::OK {
+            let retry_after_ms = retry_after::retry_after_ms(response.headers(), SystemTime::now());
+            return Err(WatchError::Rejected { status, retry_after_ms });
         }
+        read_lists(response.into_body(), updates, last_message_at).await
     };
-    tokio::pin!(lines);
+    tokio::pin!(lists);
     tokio::select! {
         biased;
-        ended = &mut lines => ended,
-        // It may close in the moment in which its answer comes: what that says still counts.
-        _ = connection => lines.await,
+        ended = &mut lists => ended,
+        // It may close as its response comes: what that says still counts.
+        _ = connection => lists.await,
     }
 }
 
-/// How long it may be until the next thing comes whole, with so many bytes of a list there.
-fn time_for(unfinished_bytes: usize) -> Duration {
-    NOTHING_WHOLE + Duration::from_secs_f64(unfinished_bytes as f64 / LEAST_RATE as f64)
+async fn read_lists(
+    mut body: Incoming,
+    updates: &UpdateSender,
+    last_message_at: &Cell<Instant>,
+) -> Result<(), WatchError> {
+    let mut reader = ListReader::default();
+    loop {
+        let message_due = last_message_at.get() + message_timeout(reader.unfinished_bytes());
+        let due = message_due.min(Instant::now() + READ_TIMEOUT);
+        let frame = timeout_at(due, body.frame()).await.map_err(|_| WatchError::TimedOut)?;
+        let Some(frame) = frame else { return check_complete(&reader) };
+        let Ok(data) = frame.map_err(connection_failed)?.into_data() else { continue };
+        let is_message_complete = reader.read_frame(&data, |event| updates.send(event))?;
+        if is_message_complete {
+            last_message_at.set(Instant::now());
+        }
+    }
 }
 
-/// The end of a watch with so many bytes of a list there.
-fn ended_with(unfinished_bytes: usize) -> Result<(), WatchError> {
-    if unfinished_bytes > 0 { Err(WatchError::CutOff(unfinished_bytes)) } else { Ok(()) }
+fn message_timeout(unfinished_bytes: usize) -> Duration {
+    MESSAGE_TIMEOUT + Duration::from_secs_f64(unfinished_bytes as f64 / MIN_BYTES_PER_SECOND as f64)
+}
+
+fn check_complete(reader: &ListReader) -> Result<(), WatchError> {
+    match reader.unfinished_bytes() {
+        0 => Ok(()),
+        bytes => Err(WatchError::Truncated { bytes }),
+    }
 }
--- a/crates/forwarder/src/endpoint_call.rs
+++ b/crates/forwarder/src/endpoint_call.rs
@@ -1,4 +1,7 @@
-//! A call to a next hop and what comes back: its form, and which end each message in it has had.
+//! A call to an endpoint and its reply as data: the form on the wire, and what a reply or a failure means for each message.
+//!
+//! The sockets fill these values, the reducer reads them. Whether a message may have been delivered by a failed call is
+//! decided here, in [`EndpointCallError::outcome`].
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -6,29 +9,29 @@
 use orchidyoke_core::interface::{Micros, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
-use std::fmt;
+use thiserror::Error;
 
 /// A message in a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallMessage {
-    /// Its id.
+    /// Its id (`X-Txn`, in a bulk call `id`).
     pub id: String,
-    /// Its idempotency key.
+    /// Its idempotency key (`Idempotency-Key`, in a bulk call `key`).
     pub idempotency_key: Option<String>,
     /// Its body.
     pub body: Bytes,
 }
 
-/// A call: one message, or several at once.
+/// A call: one message, or a bulk call with several.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointCall {
     /// The messages.
     pub messages: Vec<CallMessage>,
-    /// Whether it goes in the form for several.
+    /// Whether it has the form for several messages.
     pub is_bulk: bool,
-    /// How long the forwarder will wait, as the next hop is told.
+    /// How long the forwarder waits, as the endpoint is notified (`X-Remaining`), in microseconds.
     pub time_left: Micros,
-    /// Until when it waits.
+    /// Until when it waits, Unix time in microseconds.
     pub deadline: Micros,
 }
 
@@ -41,131 +44,146 @@
 }
 
 impl<'a> BulkItem<'a> {
-    fn new(part: &'a CallMessage) -> Self {
-        BulkItem { id: &part.id, key: part.idempotency_key.as_deref(), body: STANDARD.encode(&part.body) }
+    fn new(message: &'a CallMessage) -> Self {
+        BulkItem {
+            id: &message.id,
+            key: message.idempotency_key.as_deref(),
+            body: STANDARD.encode(&message.body),
+        }
     }
 }
 
 #[derive(Deserialize)]
-struct BulkEnd {
+struct BulkState {
     id: String,
     state: String,
 }
 
 impl EndpointReply {
-    /// Whether it says what it has to: that of several messages, the end of each.
+    /// Whether it has the form that its status calls for: a successful bulk reply lists the state of messages.
     pub fn is_readable(&self) -> bool {
-        !self.is_bulk || self.status != 200 || serde_json::from_slice::<Vec<BulkEnd>>(&self.body).is_ok()
+        !self.is_bulk || self.status != 200 || serde_json::from_slice::<Vec<BulkState>>(&self.body).is_ok()
     }
 }
 
 impl EndpointCall {
-    /// Where the call goes.
+    /// The path of the request.
     pub fn path(&self) -> &'static str {
         if self.is_bulk { "/inbox/bulk" } else { "/inbox" }
     }
 
-    /// What it carries. A single message goes on as the bytes that came.
+    /// The body of the request. A single message is forwarded as the bytes that came.
     pub fn body(&self) -> Bytes {
         match &self.messages[..] {
-            [part] if !self.is_bulk => part.body.clone(),
-            parts => {
-                let items: Vec<_> = parts.iter().map(BulkItem::new).collect();
+            [message] if !self.is_bulk => message.body.clone(),
+            messages => {
+                let items: Vec<_> = messages.iter().map(BulkItem::new).collect();
                 serde_json::to_vec(&items).unwrap_or_default().into()
             }
         }
     }
 }
 
-/// What a next hop has answered.
+/// The reply of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointReply {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The wait that it tells, in milliseconds; 0: none.
+    /// Its time for the next attempt (`X-Come-Back-Ms`), in milliseconds; 0: none.
     pub retry_after_ms: u64,
-    /// All slots of this forwarder were taken.
+    /// All calls that it allows this forwarder were in use (`X-Line-Busy: 1`).
     pub line_busy: bool,
-    /// Reported limit in calls a second, if any.
+    /// The limit that it reports (`X-Pressure: x1`), in calls a second.
     pub reported_limit: Option<f64>,
-    /// Reported share of the limit that is left, if any.
+    /// The share of the limit that is left (`X-Pressure: x0`), 0 to 1.
     pub reported_remaining: Option<f64>,
-    /// Whether the call was for several messages.
+    /// Whether it answers a bulk call.
     pub is_bulk: bool,
     /// The body.
     pub body: Bytes,
 }
 
-/// The end of one message's attempt.
+/// What a reply means for one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageResult {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The message is over, by the word of the next hop.
+    /// No attempt is left to make: the endpoint says that the message has expired.
     pub message_finished: bool,
 }
 
-/// The ends of the messages of a call, in their order.
-pub fn message_results(reply: &EndpointReply, txns: &[String]) -> Vec<MessageResult> {
-    let all = |outcome| vec![MessageResult { outcome, message_finished: false }; txns.len()];
+/// What a reply means for each message of its call, in the order of `ids`.
+pub fn message_results(reply: &EndpointReply, ids: &[String]) -> Vec<MessageResult> {
+    let all = |outcome| vec![MessageResult { outcome, message_finished: false }; ids.len()];
     match reply.status {
-        200 if reply.is_bulk => {
-            let Ok(told) = serde_json::from_slice::<Vec<BulkEnd>>(&reply.body) else {
-                return all(Outcome::InvalidResponse);
-            };
-            let told: HashMap<_, _> = told.into_iter().map(|end| (end.id, end.state)).collect();
-            txns.iter().map(|txn| bulk_end(told.get(txn).map(String::as_str))).collect()
-        }
+        200 if reply.is_bulk => match serde_json::from_slice(&reply.body) {
+            Ok(states) => bulk_results(states, ids),
+            Err(_) => all(Outcome::InvalidResponse),
+        },
         200 => all(Outcome::Success),
-        // Not of the form or too many messages: nothing was looked at.
+        // Malformed, or too many messages: the endpoint has looked at none of them.
         400 | 413 | 429 => all(Outcome::Rejected),
         503 if reply.line_busy => all(Outcome::NotSent),
         503 => all(Outcome::Rejected),
         504 => all(Outcome::NotSent),
-        410 => vec![MessageResult { outcome: Outcome::NotSent, message_finished: true }; txns.len()],
+        410 => vec![MessageResult { outcome: Outcome::NotSent, message_finished: true }; ids.len()],
         _ => all(Outcome::Error),
     }
 }
 
-fn bulk_end(state: Option<&str>) -> MessageResult {
+fn bulk_results(states: Vec<BulkState>, ids: &[String]) -> Vec<MessageResult> {
+    let states: HashMap<_, _> = states.into_iter().map(|message| (message.id, message.state)).collect();
+    ids.iter().map(|id| bulk_result(states.get(id).map(String::as_str))).collect()
+}
+
+fn bulk_result(state: Option<&str>) -> MessageResult {
     let outcome = match state {
         Some("accepted") => Outcome::Success,
         Some("deferred") => Outcome::Rejected,
         Some("expired" | "no_more") => Outcome::NotSent,
-        // A fault, a word that is not known, or a message left out: it may have run.
+        // A fault, an unknown state, or a message left out: it may have been executed.
         _ => Outcome::Error,
     };
     MessageResult { outcome, message_finished: state == Some("expired") }
 }
 
-/// How far an attempt had come when it failed; this settles whether it may have run.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// How far a call had come when it failed: this settles whether its messages may have been executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Progress {
     /// No connection.
+    #[error("not connected")]
     NotConnected,
     /// Connected, but its last byte was not written.
+    #[error("not fully written")]
     NotFullyWritten,
     /// Written to its last byte.
+    #[error("fully written")]
     FullyWritten,
-    /// The answer had begun.
+    /// The response had begun.
+    #[error("answered in part")]
     Answered,
 }
 
-/// What ended an attempt.
-#[derive(Clone, Debug, PartialEq)]
+/// What ended a call without a reply.
+#[derive(Clone, Debug, PartialEq, Error)]
 pub enum Cause {
-    /// Its time was up.
+    /// Its deadline passed.
+    #[error("timed out")]
     TimedOut,
-    /// The forwarder called it off.
+    /// The forwarder cancelled it.
+    #[error("cancelled")]
     Cancelled,
-    /// The connection failed.
+    /// The connection failed: why.
+    #[error("{0}")]
     ConnectionFailed(String),
-    /// An answer came that cannot be read, or does not end.
+    /// A response came that cannot be read, or is incomplete: why.
+    #[error("{0}")]
     InvalidResponse(String),
 }
 
-/// A failed attempt.
-#[derive(Clone, Debug, PartialEq)]
+/// A call that failed.
+#[derive(Clone, Debug, PartialEq, Error)]
+#[error("{cause}, {progress}")]
 pub struct EndpointCallError {
     /// How far it had come.
     pub progress: Progress,
@@ -174,17 +192,17 @@
 }
 
 impl EndpointCallError {
-    /// Whether it is sure that nothing ran.
+    /// Whether it is certain that the endpoint has executed nothing.
     pub fn not_delivered(&self) -> bool {
         self.progress < Progress::FullyWritten
     }
 
-    /// Whether this side ended it.
+    /// Whether the forwarder ended it.
     pub fn ended_locally(&self) -> bool {
         matches!(self.cause, Cause::TimedOut | Cause::Cancelled)
     }
 
-    /// What the module is told.
+    /// The outcome of the attempt, as the decisions take it.
     pub fn outcome(&self) -> Outcome {
         match &self.cause {
             _ if self.not_delivered() => Outcome::ConnectFailed,
@@ -195,19 +213,3 @@
         }
     }
 }
-
-impl fmt::Display for EndpointCallError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let progress = match self.progress {
-            Progress::NotConnected => "not connected",
-            Progress::NotFullyWritten => "not fully written",
-            Progress::FullyWritten => "fully written",
-            Progress::Answered => "answered in part",
-        };
-        match &self.cause {
-            Cause::TimedOut => write!(f, "timed out, {progress}"),
-            Cause::Cancelled => write!(f, "called off, {progress}"),
-            Cause::ConnectionFailed(why) | Cause::InvalidResponse(why) => write!(f, "{why}, {progress}"),
-        }
-    }
-}
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -1,29 +1,32 @@
-//! Lists out of a stream of bytes, however the stream is cut into frames. No socket is here.
+//! Splits a stream of bytes into endpoint lists, however it is cut into frames. No socket is here.
+//!
+//! Used by the watch on discovery. It scans each byte once for the end of its list and parses each list once, so that a
+//! large list costs the same in however many frames it comes.
 
 use orchidyoke_core::endpoint_list::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent, parse_list};
 
-/// A buffer that has grown beyond this is given back once its list has been read.
-const KEPT_CAPACITY: usize = 64 << 10;
-/// Brackets that are open around an entry: those of its list, and of the entries.
+/// A buffer that has grown beyond this is freed once its list has been read.
+const MAX_KEPT_BUFFER_BYTES: usize = 64 << 10;
+/// Open brackets around an entry: those of its list and of the entries.
 const ENTRY_DEPTH: usize = 2;
 
-/// Where the reader stands within the text of a list.
+/// State of the scan for the end of a list.
 #[derive(Clone, Copy, Debug, Default)]
-struct Position {
-    /// Brackets that are open; none between two lists.
+struct ScanState {
+    /// Open brackets; none between two lists.
     depth: usize,
     in_string: bool,
-    /// The byte before was a backslash within a string.
-    escaped: bool,
+    /// The last byte was a backslash within a string.
+    is_escaped: bool,
     /// Objects at the depth of entries so far.
     entries: usize,
 }
 
-impl Position {
-    /// Goes past one byte; whether a list ends with it.
-    fn pass(&mut self, byte: u8) -> bool {
+impl ScanState {
+    /// Scans one byte; whether a list ends with it.
+    fn scan(&mut self, byte: u8) -> bool {
         if self.in_string {
-            self.pass_in_string(byte);
+            self.scan_in_string(byte);
             return false;
         }
         match byte {
@@ -41,82 +44,81 @@
         false
     }
 
-    fn pass_in_string(&mut self, byte: u8) {
-        if std::mem::take(&mut self.escaped) {
+    fn scan_in_string(&mut self, byte: u8) {
+        if std::mem::take(&mut self.is_escaped) {
             return;
         }
         match byte {
-            b'\\' => self.escaped = true,
+            b'\\' => self.is_escaped = true,
             b'"' => self.in_string = false,
             _ => {}
         }
     }
 }
 
-/// Puts lists together from the frames in which they come. Each byte is looked at once for where its list ends, and
-/// parsed once with its whole list, into however many frames it was cut.
+/// Reads endpoint lists from the frames of a stream.
 #[derive(Debug, Default)]
 pub struct ListReader {
-    /// The part of a list that has come.
+    /// The part of an unfinished list that has come.
     buffer: Vec<u8>,
-    position: Position,
+    scan: ScanState,
     parsed_bytes: usize,
 }
 
 impl ListReader {
-    /// Takes in a frame and hands on each list that ends in it, on however many lines it is. Blank lines between lists
-    /// only say that there is no news. Tells whether anything whole has come, be it a blank line.
+    /// Reads a frame and passes each list that ends in it to `on_event`. Blanks between lists mean no change. Returns
+    /// whether anything complete has come, a blank included.
     ///
     /// # Errors
     ///
-    /// What comes is no list, or one beyond the bounds. Nothing of that list was handed on.
+    /// The stream holds no valid list, or one beyond the limits. Nothing of that list was passed on.
     pub fn read_frame(
         &mut self,
         frame: &[u8],
-        mut hand_on: impl FnMut(WatchEvent),
+        mut on_event: impl FnMut(WatchEvent),
     ) -> Result<bool, ListError> {
-        let mut came_whole = false;
+        let mut is_anything_complete = false;
         let mut rest = frame;
         loop {
-            if self.position.depth == 0 {
+            if self.scan.depth == 0 {
                 let list = rest.trim_ascii_start();
-                came_whole |= list.len() < rest.len();
+                is_anything_complete |= list.len() < rest.len();
                 rest = list;
                 match rest.first() {
-                    None => return Ok(came_whole),
+                    None => return Ok(is_anything_complete),
                     Some(b'{' | b'[') => {}
                     // No list begins so: parsing says what is wrong.
-                    Some(_) => return parse_list(&rest[..1]).map(|_| came_whole),
+                    Some(_) => return parse_list(&rest[..1]).map(|_| is_anything_complete),
                 }
             }
             let Some(end) = self.find_end(rest)? else {
                 self.buffer.extend_from_slice(rest);
-                return Ok(came_whole);
+                return Ok(is_anything_complete);
             };
             let (list, after) = rest.split_at(end);
-            hand_on(self.parse(list)?);
-            came_whole = true;
+            on_event(self.parse(list)?);
+            is_anything_complete = true;
             rest = after;
         }
     }
 
-    /// Bytes of a list that has begun and not yet ended.
+    /// Bytes of the unfinished list.
     pub fn unfinished_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Bytes that were given to the parser so far.
+    /// Bytes that were parsed so far.
     pub fn parsed_bytes(&self) -> usize {
         self.parsed_bytes
     }
 
-    /// Looks for the end of the list that has begun; gives the bytes up to it.
+    /// The number of bytes up to the end of the current list, if it ends in these.
     fn find_end(&mut self, bytes: &[u8]) -> Result<Option<usize>, ListError> {
-        let end = bytes.iter().position(|byte| self.position.pass(*byte)).map(|last| last + 1);
+        let end = bytes.iter().position(|byte| self.scan.scan(*byte)).map(|last| last + 1);
         if self.buffer.len() + end.unwrap_or(bytes.len()) > MAX_LIST_BYTES {
             return Err(ListError::TooLarge);
         }
-        if self.position.entries > MAX_ENTRIES {
+        if self.scan.entries > MAX_ENTRIES {
             return Err(ListError::TooManyEntries);
         }
         Ok(end)
@@ -124,18 +126,18 @@
 
     /// Parses the list that ends with these bytes.
     fn parse(&mut self, last: &[u8]) -> Result<WatchEvent, ListError> {
-        self.position = Position::default();
+        self.scan = ScanState::default();
         if self.buffer.is_empty() {
             self.parsed_bytes += last.len();
             return parse_list(last);
         }
         self.buffer.extend_from_slice(last);
         self.parsed_bytes += self.buffer.len();
-        let news = parse_list(&self.buffer);
-        if self.buffer.capacity() > KEPT_CAPACITY {
+        let event = parse_list(&self.buffer);
+        if self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
         self.buffer.clear();
-        news
+        event
     }
 }
--- a/crates/forwarder/src/notifications/tests.rs
+++ b/crates/forwarder/src/notifications/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-// Guards against a platform that cannot read the notices, or is told a time that nobody decided.
+// Guards against a platform that cannot read the notifications, or gets a Retry-After that was not decided.
 #[test]
 fn notification_is_one_json_line_in_the_wire_form() {
-    let notices = [
+    let notifications = [
         ("a\"b".to_owned(), FinalAnswer::Failed),
         ("c".to_owned(), FinalAnswer::Rejected { retry_after_ms: 500 }),
         ("d".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 }),
     ];
     let expected = "{\"id\":\"a\\\"b\",\"state\":\"failed\"}\n\
          {\"id\":\"c\",\"state\":\"returned\",\"after_ms\":500}\n{\"id\":\"d\",\"state\":\"returned\"}\n";
-    assert_eq!(String::from_utf8_lossy(&lines(&notices)), expected);
+    assert_eq!(String::from_utf8_lossy(&to_lines(&notifications)), expected);
 }
