--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -1,8 +1,8 @@
 //! The source against the stand-in Consul: what it tells, and what it does not when Consul fails.
 
-use orchidyoke_consul::Consul as Source;
+use orchidyoke_consul::EndpointSource as Source;
 use orchidyoke_consul::settings::{Consistency, Service, Settings, Tls};
-use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_fakes::Consul;
 use orchidyoke_fakes::certificates::Authority;
 use orchidyoke_fakes::consul::{Fault, Instance};
@@ -22,7 +22,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn web(id: &str, port: u16) -> Instance {
+fn web_instance(id: &str, port: u16) -> Instance {
     Instance::new("web", "n1", id, address(port))
 }
 
@@ -45,51 +45,51 @@
 }
 
 /// The map as the source tells it.
-struct Seen {
-    map: EndpointList,
-    news: UnboundedReceiver<Input>,
+struct Follower {
+    list: EndpointList,
+    inputs: UnboundedReceiver<Input>,
 }
 
-impl Seen {
+impl Follower {
     fn follow(settings: Settings, map: EndpointList) -> Self {
         let (inputs, news) = unbounded_channel();
         let following = Source::new(settings).follow(map.snapshot(), update_sender(1, inputs));
         spawn_local(following);
-        Seen { map, news }
+        Follower { list: map, inputs: news }
     }
 
-    fn states(&self) -> Vec<(String, ListedState, HealthChecks)> {
+    fn states(&self) -> Vec<(String, EndpointState, HealthStatus)> {
         let name = |target: &EndpointEntry| target.uid.split(['/', '@']).nth(2).unwrap_or("").to_owned();
-        self.map.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
+        self.list.snapshot().endpoints.iter().map(|t| (name(t), t.state, t.health)).collect()
     }
 
-    fn take(&mut self, input: Input) {
+    fn apply(&mut self, input: Input) {
         let Input::WatchEvent { event: news, .. } = input else { panic!("news only") };
-        assert!(!news.is_snapshot && news.version > self.map.version());
-        self.map.apply(&news);
+        assert!(!news.is_snapshot && news.version > self.list.version());
+        self.list.apply(&news);
     }
 
     /// Waits until the map holds so many endpoints.
-    async fn holds(&mut self, count: usize) {
-        while self.map.len() != count {
-            let news = timeout(PATIENCE, self.news.recv()).await;
-            self.take(
+    async fn wait_for_count(&mut self, count: usize) {
+        while self.list.len() != count {
+            let news = timeout(PATIENCE, self.inputs.recv()).await;
+            self.apply(
                 news.unwrap_or_else(|_| panic!("{count} are due: {:?}", self.states())).expect("followed"),
             );
         }
     }
 
     /// Waits until an endpoint stands so.
-    async fn stands(&mut self, id: &str, state: ListedState, checks: HealthChecks) {
+    async fn wait_for_state(&mut self, id: &str, state: EndpointState, checks: HealthStatus) {
         while !self.states().contains(&(id.to_owned(), state, checks)) {
-            let news = timeout(PATIENCE, self.news.recv()).await;
-            self.take(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
+            let news = timeout(PATIENCE, self.inputs.recv()).await;
+            self.apply(news.unwrap_or_else(|_| panic!("{id}: {:?}", self.states())).expect("followed"));
         }
     }
 
     /// Nothing is told in this time.
-    async fn is_still(&mut self, span: Duration) {
-        let told = timeout(span, self.news.recv()).await;
+    async fn assert_no_event(&mut self, span: Duration) {
+        let told = timeout(span, self.inputs.recv()).await;
         assert!(told.is_err(), "nothing was to be told: {told:?}");
     }
 }
@@ -102,18 +102,18 @@
 }
 
 /// A Consul with so many instances, `w1` and on at ports from 8001, and what a source that follows it has seen: all.
-async fn followed(count: u16) -> (Consul, Seen) {
+async fn follow_instances(count: u16) -> (Consul, Follower) {
     let consul = Consul::start();
     for number in 1..=count {
-        consul.register(web(&format!("w{number}"), 8000 + number));
+        consul.register(web_instance(&format!("w{number}"), 8000 + number));
     }
-    let mut seen = Seen::follow(settings(&consul), EndpointList::default());
-    seen.holds(usize::from(count)).await;
+    let mut seen = Follower::follow(settings(&consul), EndpointList::default());
+    seen.wait_for_count(usize::from(count)).await;
     (consul, seen)
 }
 
 /// Until this holds.
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < end, "{what} has to come");
@@ -122,51 +122,51 @@
 }
 
 #[test]
-fn registering_health_marks_and_maintenance_come_as_they_happen() {
+fn registration_health_tag_and_maintenance_changes_are_followed() {
     run(async {
-        let (consul, mut seen) = followed(2).await;
+        let (consul, mut seen) = follow_instances(2).await;
         consul.status("n1", "w1", "critical");
-        seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", true);
-        seen.stands("w1", ListedState::Draining, HealthChecks::Critical).await;
+        seen.wait_for_state("w1", EndpointState::Draining, HealthStatus::Critical).await;
         consul.tag("n1", "w1", "draining", false);
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
         consul.maintenance("n1", "w2", true);
-        seen.stands("w2", ListedState::Draining, HealthChecks::Critical).await;
+        seen.wait_for_state("w2", EndpointState::Draining, HealthStatus::Critical).await;
         consul.maintenance("n1", "w2", false);
-        seen.stands("w2", ListedState::Active, HealthChecks::Passing).await;
+        seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Passing).await;
         consul.node_check("n1", "serfHealth", Some("critical"));
-        seen.stands("w1", ListedState::Active, HealthChecks::Critical).await;
-        seen.stands("w2", ListedState::Active, HealthChecks::Critical).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Critical).await;
+        seen.wait_for_state("w2", EndpointState::Active, HealthStatus::Critical).await;
         consul.node_check("n1", "serfHealth", None);
         consul.deregister("n1", "w1");
-        seen.holds(1).await;
+        seen.wait_for_count(1).await;
         consul.deregister("n1", "w2");
-        seen.holds(0).await;
+        seen.wait_for_count(0).await;
     });
 }
 
 // Guards against a list emptied because Consul has nothing sensible to say, and against missing what changed meanwhile.
 #[test]
-fn no_fault_empties_the_list_and_what_changed_meanwhile_comes_after() {
+fn fault_keeps_the_list_and_recovery_applies_missed_changes() {
     for fault in Fault::that_tell_nothing() {
         run(async {
-            let (consul, mut seen) = followed(2).await;
+            let (consul, mut seen) = follow_instances(2).await;
             consul.fault(fault.clone());
             let asked = consul.questions();
             consul.deregister("n1", "w1");
-            consul.register(web("w3", 8003));
-            seen.is_still(Duration::from_millis(700)).await;
+            consul.register(web_instance("w3", 8003));
+            seen.assert_no_event(Duration::from_millis(700)).await;
             assert!(
                 consul.questions() - asked <= 8,
                 "{fault:?}: no busy loop: {}",
                 consul.questions() - asked
             );
-            assert_eq!(seen.map.len(), 2, "{fault:?}");
+            assert_eq!(seen.list.len(), 2, "{fault:?}");
             consul.fault(Fault::None);
-            seen.stands("w3", ListedState::Active, HealthChecks::Passing).await;
-            seen.holds(2).await;
+            seen.wait_for_state("w3", EndpointState::Active, HealthStatus::Passing).await;
+            seen.wait_for_count(2).await;
         });
     }
 }
@@ -174,13 +174,13 @@
 // Guards against a list taken from a server that has lost touch with its leader, and against staying with it: the next
 // address is asked. Within the limit what it says counts, an empty list too.
 #[test]
-fn a_server_that_is_behind_counts_within_the_limit_only() {
+fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
             let (cut_off, other) = (Consul::start(), Consul::start());
             for consul in [&cut_off, &other] {
-                consul.register(web("w1", 8001));
-                consul.register(web("w2", 8002));
+                consul.register(web_instance("w1", 8001));
+                consul.register(web_instance("w2", 8002));
             }
             let settings = Settings {
                 addresses: vec![cut_off.address(), other.address()],
@@ -188,18 +188,18 @@
                 max_stale: Duration::from_secs(1),
                 ..settings(&cut_off)
             };
-            let mut seen = Seen::follow(settings, EndpointList::default());
-            seen.holds(2).await;
+            let mut seen = Follower::follow(settings, EndpointList::default());
+            seen.wait_for_count(2).await;
             cut_off.fault(Fault::Behind(behind));
             if counts {
-                seen.holds(0).await;
+                seen.wait_for_count(0).await;
                 assert_eq!(other.questions(), 0);
             } else {
-                until("a question to the other", || other.questions() > 0).await;
+                wait_until("a question to the other", || other.questions() > 0).await;
                 let asked = cut_off.questions();
-                other.register(web("w3", 8003));
-                seen.holds(3).await;
-                seen.is_still(Duration::from_millis(500)).await;
+                other.register(web_instance("w3", 8003));
+                seen.wait_for_count(3).await;
+                seen.assert_no_event(Duration::from_millis(500)).await;
                 assert_eq!(cut_off.questions(), asked, "it stays with the other");
             }
         });
@@ -208,29 +208,29 @@
 
 // Guards against an age that is minded where the leader answers: there it says nothing.
 #[test]
-fn an_age_counts_only_where_any_server_may_answer() {
+fn last_contact_is_ignored_without_stale_consistency() {
     run(async {
-        let (consul, mut seen) = followed(1).await;
+        let (consul, mut seen) = follow_instances(1).await;
         consul.fault(Fault::Behind(Duration::from_secs(3600)));
-        seen.holds(0).await;
+        seen.wait_for_count(0).await;
     });
 }
 
 // Guards against an agent without a leader being asked on and on while another has one.
 #[test]
-fn an_agent_without_a_leader_makes_room_for_the_next() {
+fn agent_without_a_leader_causes_failover() {
     for fault in [Fault::NoLeader { whole: true }, Fault::Status(500, "No cluster leader", None)] {
         run(async {
             let (cut_off, other) = (Consul::start(), Consul::start());
             let addresses = vec![cut_off.address(), other.address()];
             let mut seen =
-                Seen::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
-            cut_off.register(web("w1", 8001));
-            seen.holds(1).await;
+                Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
+            cut_off.register(web_instance("w1", 8001));
+            seen.wait_for_count(1).await;
             cut_off.fault(fault.clone());
-            other.register(web("w1", 8001));
-            other.register(web("w2", 8002));
-            seen.holds(2).await;
+            other.register(web_instance("w1", 8001));
+            other.register(web_instance("w2", 8002));
+            seen.wait_for_count(2).await;
         });
     }
 }
@@ -238,79 +238,79 @@
 // Guards against a silence that is never noticed: the question is given up after its wait and a grace, and asked on
 // another connection; what changed in the silence comes then.
 #[test]
-fn a_silent_agent_is_asked_again_and_the_other_address_is_tried() {
+fn silent_agent_times_out_and_causes_failover() {
     run(async {
         let (silent, other) = (Consul::start(), Consul::start());
         for consul in [&silent, &other] {
-            consul.register(web("w1", 8001));
+            consul.register(web_instance("w1", 8001));
         }
         let wait = Duration::from_secs(1);
         let addresses = vec![silent.address(), other.address()];
         let mut seen =
-            Seen::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
-        seen.holds(1).await;
+            Follower::follow(Settings { addresses, wait, ..settings(&silent) }, EndpointList::default());
+        seen.wait_for_count(1).await;
         silent.fault(Fault::Silent);
-        other.register(web("w2", 8002));
-        seen.holds(2).await;
+        other.register(web_instance("w2", 8002));
+        seen.wait_for_count(2).await;
         assert!(other.questions() > 0);
     });
 }
 
 #[test]
-fn an_index_that_is_of_no_use_is_lived_with() {
+fn unusable_index_does_not_stop_updates_or_cause_a_busy_loop() {
     for index in [Some("0"), Some("many"), Some("7"), None] {
         run(async {
-            let (consul, mut seen) = followed(1).await;
+            let (consul, mut seen) = follow_instances(1).await;
             consul.fault(Fault::Index(index));
-            consul.register(web("w2", 8002));
+            consul.register(web_instance("w2", 8002));
             // With an index that stands still nothing tells that there is news; with none, all of it is read.
             if index != Some("7") {
-                seen.holds(2).await;
+                seen.wait_for_count(2).await;
             }
             let asked = consul.questions();
             sleep(Duration::from_secs(1)).await;
             assert!(consul.questions() - asked <= 15, "{index:?}: no busy loop");
             consul.fault(Fault::None);
-            consul.register(web("w3", 8003));
-            seen.holds(3).await;
+            consul.register(web_instance("w3", 8003));
+            seen.wait_for_count(3).await;
         });
     }
 }
 
 #[test]
-fn an_index_that_goes_backwards_starts_over() {
+fn lower_index_restarts_the_query() {
     run(async {
-        let (consul, mut seen) = followed(5).await;
+        let (consul, mut seen) = follow_instances(5).await;
         consul.lose_index();
         consul.deregister("n1", "w1");
-        seen.holds(4).await;
+        seen.wait_for_count(4).await;
         consul.deregister("n1", "w2");
-        seen.holds(3).await;
+        seen.wait_for_count(3).await;
     });
 }
 
 // Guards against an endpoint inherited: by an id that moves, an id on two nodes, an address with a new owner, and an
 // agent that takes all out and puts it back within a second.
 #[test]
-fn a_new_owner_of_an_address_is_a_new_endpoint() {
+fn new_instance_at_a_known_address_is_a_new_endpoint() {
     run(async {
-        let (consul, mut seen) = followed(1).await;
-        let uid = |seen: &Seen| seen.map.snapshot().endpoints[0].uid.clone();
+        let (consul, mut seen) = follow_instances(1).await;
+        let uid = |seen: &Follower| seen.list.snapshot().endpoints[0].uid.clone();
         let first = uid(&seen);
-        consul.register(web("w1", 8009));
+        consul.register(web_instance("w1", 8009));
         while uid(&seen) == first {
-            let news = seen.news.recv().await.expect("told");
-            seen.take(news);
+            let news = seen.inputs.recv().await.expect("told");
+            seen.apply(news);
         }
         consul.deregister("n1", "w1");
         consul.register(Instance::new("web", "n2", "w1", address(8009)));
         while !uid(&seen).contains("/n2/") {
-            let news = seen.news.recv().await.expect("told");
-            seen.take(news);
+            let news = seen.inputs.recv().await.expect("told");
+            seen.apply(news);
         }
         consul.register(Instance::new("web", "n1", "w1", address(8009)));
-        seen.holds(2).await;
-        let before = seen.map.snapshot().endpoints;
+        seen.wait_for_count(2).await;
+        let before = seen.list.snapshot().endpoints;
         for (node, back) in [("n1", false), ("n2", false), ("n1", true), ("n2", true)] {
             if back {
                 consul.register(Instance::new("web", node, "w1", address(8009)));
@@ -319,29 +319,29 @@
             }
         }
         consul.register(Instance::new("web", "n3", "w1", address(8010)));
-        seen.holds(3).await;
-        assert_eq!(seen.map.snapshot().endpoints[..2], before);
+        seen.wait_for_count(3).await;
+        assert_eq!(seen.list.snapshot().endpoints[..2], before);
     });
 }
 
 #[test]
-fn a_flap_faster_than_the_query_ends_in_its_last_state() {
+fn flapping_check_ends_in_its_last_state() {
     run(async {
-        let (consul, mut seen) = followed(1).await;
+        let (consul, mut seen) = follow_instances(1).await;
         let asked = consul.questions();
         for turn in 0..200 {
             consul.status("n1", "w1", if turn % 2 == 0 { "critical" } else { "passing" });
             sleep(Duration::from_millis(1)).await;
         }
         consul.status("n1", "w1", "warning");
-        seen.stands("w1", ListedState::Active, HealthChecks::Warning).await;
+        seen.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
         assert!(consul.questions() - asked <= 30, "bounded: {}", consul.questions() - asked);
     });
 }
 
 // Guards against a token or certificate that has to wait for a restart, and against an unclear refusal.
 #[test]
-fn tokens_and_certificates_are_replaced_on_the_disk() {
+fn replaced_token_and_certificates_take_effect_without_restart() {
     let folder = Folder::new("consul-tls");
     let authority = Authority::new(folder.path(), "dc1");
     let consul = Consul::start();
@@ -359,28 +359,29 @@
     let token_file = Some(folder.write("token", "first\n"));
     let settings = Settings { tls: Some(tls), token_file, ..settings(&consul) };
     run(async {
-        consul.register(web("w1", 8001));
-        let mut seen = Seen::follow(settings.clone(), EndpointList::default());
-        seen.holds(1).await;
+        consul.register(web_instance("w1", 8001));
+        let mut seen = Follower::follow(settings.clone(), EndpointList::default());
+        seen.wait_for_count(1).await;
         consul.require(Some("second"));
-        consul.register(web("w2", 8002));
-        seen.is_still(Duration::from_millis(300)).await;
+        consul.register(web_instance("w2", 8002));
+        seen.assert_no_event(Duration::from_millis(300)).await;
         folder.write("token", "second");
-        seen.holds(2).await;
+        seen.wait_for_count(2).await;
         // Another authority signs for both ends; the old certificates are worth nothing from now on.
         let other = Authority::new(folder.path(), "dc1");
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
         other.sign("edge.dc1.consul", consul.address().ip(), day);
         consul.speak_tls(&server, Some(&other.ca));
         let (open, _) = consul.connections();
-        consul.register(web("w3", 8003));
-        seen.holds(3).await;
-        until("the connection under the old certificates closes", || consul.connections().0 <= open).await;
+        consul.register(web_instance("w3", 8003));
+        seen.wait_for_count(3).await;
+        wait_until("the connection under the old certificates closes", || consul.connections().0 <= open)
+            .await;
     });
 }
 
 #[test]
-fn a_certificate_that_cannot_be_trusted_is_refused_in_one_line() {
+fn untrusted_certificate_is_rejected_with_one_line() {
     let folder = Folder::new("consul-bad-tls");
     let (authority, stranger) = (Authority::new(folder.path(), "dc1"), Authority::new(folder.path(), "dc2"));
     let consul = Consul::start();
@@ -392,7 +393,7 @@
         (&good, &authority, None, None),
         (&good, &authority, Some("other.dc1.consul"), Some("is not for other.dc1.consul")),
         (&good, &stranger, None, Some("signed by none of the authorities in")),
-        (&old, &authority, None, Some("has run out")),
+        (&old, &authority, None, Some("has expired")),
     ];
     for (pair, ca, name, why) in cases {
         consul.speak_tls(pair, None);
@@ -417,7 +418,7 @@
 // connections, of which 40 have an instance. All of them are found, all that leave too, and a critical check shows long
 // before the turn of its service, which comes round every 5 s.
 #[test]
-fn many_services_share_few_connections() {
+fn many_services_are_followed_over_few_connections() {
     run(async {
         let consul = Consul::start();
         let mut settings = Settings { connections: 6, ..settings(&consul) };
@@ -434,40 +435,40 @@
                 Instance::new(&format!("s{number}"), "n1", &format!("i{number}"), address(8000 + number));
             consul.register(instance);
         }
-        let mut seen = Seen::follow(settings, EndpointList::default());
-        seen.holds(all.len()).await;
+        let mut seen = Follower::follow(settings, EndpointList::default());
+        seen.wait_for_count(all.len()).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
         let began = Instant::now();
         for number in &all[10..16] {
             consul.status("n1", &format!("i{number}"), "critical");
-            seen.stands(&format!("i{number}"), ListedState::Active, HealthChecks::Critical).await;
+            seen.wait_for_state(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical).await;
         }
         assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
         for number in &all {
             consul.deregister("n1", &format!("i{number}"));
         }
-        seen.holds(0).await;
+        seen.wait_for_count(0).await;
         assert!(consul.connections().1 <= 6, "{:?}", consul.connections());
     });
 }
 
 #[test]
-fn the_list_held_goes_on_after_a_restart_and_an_authoritative_nothing_is_obeyed() {
+fn restart_keeps_the_list_until_an_authoritative_empty_response() {
     run(async {
-        let (consul, seen) = followed(1).await;
+        let (consul, seen) = follow_instances(1).await;
         consul.fault(Fault::Gone);
-        let mut again = Seen::follow(settings(&consul), seen.map.clone());
-        again.is_still(Duration::from_millis(300)).await;
+        let mut again = Follower::follow(settings(&consul), seen.list.clone());
+        again.assert_no_event(Duration::from_millis(300)).await;
         consul.deregister("n1", "w1");
         consul.fault(Fault::None);
-        again.holds(0).await;
+        again.wait_for_count(0).await;
         let other =
             WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
         let mut map = EndpointList::default();
         map.apply(&other);
-        consul.register(web("w2", 8002));
-        let mut fresh = Seen::follow(settings(&consul), map);
-        fresh.holds(1).await;
-        assert_eq!(fresh.map.version(), 5, "versions go on from the list held");
+        consul.register(web_instance("w2", 8002));
+        let mut fresh = Follower::follow(settings(&consul), map);
+        fresh.wait_for_count(1).await;
+        assert_eq!(fresh.list.version(), 5, "versions go on from the list held");
     });
 }
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -5,7 +5,7 @@
 use orchidyoke_consul::api::ServiceEntry;
 use orchidyoke_consul::settings::{Consistency, Service, Tls};
 use orchidyoke_consul::snapshot::CatalogueSnapshot;
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::time::Duration;
 
 /// The ids of the settings below, one a line.
@@ -51,27 +51,30 @@
 }
 
 #[test]
-fn the_same_settings_have_the_id_that_the_previous_version_wrote() {
+fn settings_id_equals_the_stored_one() {
     assert_eq!(ids(), IDS);
 }
 
 #[test]
-fn an_instance_is_listed_under_the_uid_that_the_previous_version_wrote() {
+fn endpoint_uid_equals_the_stored_one() {
     let text = r#"[{"Node": {"Node": "n-1", "Address": "10.0.0.1", "Meta": {"where": "z-2"}},
         "Service": {"ID": "web-1", "Port": 8001}, "Checks": []}]"#;
     let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
     let held = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-    let change = CatalogueSnapshot::new(&full(), &held).take(0, &entries);
+    let change = CatalogueSnapshot::new(&full(), &held).apply(0, &entries);
     let target = EndpointEntry {
         uid: "web.11/n-1/web-1@10.0.0.1:8001".to_owned(),
         address: "10.0.0.1:8001".parse().expect("an address"),
         zone: "z-2".to_owned(),
         kind: "m-1".to_owned(),
         destination: 11,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 20.5,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     };
     let origin = IDS.lines().nth(1).expect("an id").to_owned();
-    assert_eq!(change.news, [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![target], origin }]);
+    assert_eq!(
+        change.events,
+        [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![target], origin }]
+    );
 }
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -1,5 +1,5 @@
-//! The controller decides as the one that walks all destinations in every step: the same actions, the same draws,
-//! the same routes in trouble, step by step.
+//! The controller decides as the reference, which walks all destinations in every step: the same actions, the same draws,
+//! the same faulty routes, step by step.
 
 mod reference;
 
@@ -21,7 +21,7 @@
         let place = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
         assert_eq!(actions, expected, "actions of {place}");
         assert_eq!(indexed.rng(), walking.dice(), "draws of {place}");
-        assert_eq!(indexed.faulty_routes(), walking.troubled(), "troubled after {place}");
+        assert_eq!(indexed.faulty_routes(), walking.troubled(), "faulty after {place}");
         if step % 20 == 0 {
             let differs = world.endpoints().find(|id| indexed.is_avoided(*id) != walking.avoids(*id));
             assert_eq!(differs, None, "avoided endpoint after {place}");
@@ -41,21 +41,21 @@
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_0_to_24() {
+fn decisions_match_the_reference_for_seeds_0_to_24() {
     compare_all(0..25);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_25_to_49() {
+fn decisions_match_the_reference_for_seeds_25_to_49() {
     compare_all(25..50);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_50_to_74() {
+fn decisions_match_the_reference_for_seeds_50_to_74() {
     compare_all(50..75);
 }
 
 #[test]
-fn decides_as_the_walking_version_seeds_75_to_99() {
+fn decisions_match_the_reference_for_seeds_75_to_99() {
     compare_all(75..100);
 }
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -1,17 +1,16 @@
-//! Hollow forwarders: the policy agent, the membership and the keeper of duties of several, with their own sockets and
+//! Hollow forwarders: the policy agent, the membership and the lease manager of several, with their own sockets and
 //! files, and no traffic.
 
 use super::child::report;
 use super::messages::{InForce, MembersRole, Report, Request, clock};
 use orchidyoke_consul::Settings as ConsulSettings;
-use orchidyoke_consul::locks::Locks;
+use orchidyoke_consul::locks::LockClient;
 use orchidyoke_forwarder::input::Input;
-use orchidyoke_forwarder::policy_agent::PolicyAgent;
 use orchidyoke_forwarder::policy_overlay::PolicyOverlay;
+use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::ConfigSource;
-use orchidyoke_leases::keeper::{Keeper, Member};
-use orchidyoke_leases::lease::Terms;
-use orchidyoke_policy_commit::{Follower, Settings as PolicySettings};
+use orchidyoke_leases::{LeaseConfig, LeaseManager, ManagerConfig};
+use orchidyoke_policy_commit::{ConsulParticipant, Settings as PolicySettings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -45,30 +44,30 @@
 
 /// One hollow forwarder that runs.
 struct Hollow {
-    follower: Rc<Follower>,
+    participant: Rc<ConsulParticipant>,
     following: JoinHandle<()>,
-    keeper: Rc<Keeper>,
-    keeping: JoinHandle<()>,
+    lease_manager: Rc<LeaseManager>,
+    managing: JoinHandle<()>,
     /// Only under sabotage.
     reading_all: Option<JoinHandle<()>>,
 }
 
 impl Hollow {
     fn start(role: &MembersRole, name: &str) -> Self {
-        let (follower, following) = start_follower(role, name);
-        let (keeper, keeping) = start_keeper(role, name);
+        let (participant, following) = start_participant(role, name);
+        let (lease_manager, managing) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
         let reading_all = role.reads_all_members.then(read_all);
-        Hollow { follower, following, keeper, keeping, reading_all }
+        Hollow { participant, following, lease_manager, managing, reading_all }
     }
 
     /// Gives back what it holds, and ends.
     async fn leave(mut self) {
         // What still runs would open another session.
         self.following.abort();
-        self.follower.leave().await;
-        self.keeper.leave();
-        if timeout(LEAVE, &mut self.keeping).await.is_err() {
+        self.participant.deregister().await;
+        self.lease_manager.shut_down();
+        if timeout(LEAVE, &mut self.managing).await.is_err() {
             eprintln!("a member has not left within {LEAVE:?}");
         }
     }
@@ -77,19 +76,19 @@
 impl Drop for Hollow {
     fn drop(&mut self) {
         self.following.abort();
-        self.keeping.abort();
+        self.managing.abort();
         self.reading_all.iter().for_each(JoinHandle::abort);
     }
 }
 
-fn start_follower(role: &MembersRole, name: &str) -> (Rc<Follower>, JoinHandle<()>) {
+fn start_participant(role: &MembersRole, name: &str) -> (Rc<ConsulParticipant>, JoinHandle<()>) {
     let folder = role.folder.join(name);
     if let Err(error) = std::fs::create_dir_all(&folder) {
         eprintln!("{}: {error}", folder.display());
     }
-    let follower = Follower::new(policy_settings(role.policy, role.ttl), name, &folder);
+    let participant = ConsulParticipant::new(policy_settings(role.policy, role.ttl), name, &folder);
     let source = Rc::new(ConfigSource { path: role.configuration.clone(), ..ConfigSource::default() });
-    let (following, name) = (follower.clone(), name.to_owned());
+    let (following, name) = (participant.clone(), name.to_owned());
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
         following.join(&source).await;
@@ -103,38 +102,38 @@
         };
         tokio::join!(following.clone().follow(source, inputs), told);
     });
-    (follower, task)
+    (participant, task)
 }
 
-fn start_keeper(role: &MembersRole, name: &str) -> (Rc<Keeper>, JoinHandle<()>) {
+fn start_lease_manager(role: &MembersRole, name: &str) -> (Rc<LeaseManager>, JoinHandle<()>) {
     let micros = |span: Duration| span.as_micros() as i64;
-    let terms = Terms {
+    let protocol = LeaseConfig {
         ttl: micros(role.ttl),
-        drift: DRIFT,
-        act: micros(ACT),
-        retry: micros(RETRY),
-        asks: LOCKS_AT_ONCE,
+        clock_drift: DRIFT,
+        max_action_time: micros(ACT),
+        retry_interval: micros(RETRY),
+        max_concurrent_acquires: LOCKS_AT_ONCE,
     };
-    let member = Member {
+    let config = ManagerConfig {
         name: name.to_owned(),
         weight: 1.0,
-        prefix: DUTIES_PREFIX.to_owned(),
-        duties: (0..role.duty_count).collect(),
+        key_prefix: DUTIES_PREFIX.to_owned(),
+        leases: (0..role.duty_count).collect(),
         lock_delay: LOCK_DELAY,
-        terms,
+        protocol,
     };
     let settings = ConsulSettings { addresses: vec![role.duties], ..ConsulSettings::default() };
-    let keeper = Rc::new(Keeper::new(member, Rc::new(settings)));
-    let running = keeper.clone();
-    (keeper, spawn_local(async move { running.run().await }))
+    let lease_manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
+    let running = lease_manager.clone();
+    (lease_manager, spawn_local(async move { running.run().await }))
 }
 
 /// Reads all members of the fleet at each change to one of them, one look after another without a pause.
 async fn read_all_members(settings: PolicySettings) {
-    let mut locks = Locks::new(Rc::new(settings.consul.clone()));
+    let mut locks = LockClient::new(Rc::new(settings.consul.clone()));
     let mut index = 0;
     loop {
-        match locks.look(&settings.members(), index, settings.ttl).await {
+        match locks.read_keys(&settings.members_folder(), index, settings.ttl).await {
             Ok((at, _)) => index = at,
             Err(_) => sleep(RETRY).await,
         }
--- a/crates/forwarder/src/client_api.rs
+++ b/crates/forwarder/src/client_api.rs
@@ -4,7 +4,7 @@
 //! same values and map the same answers to responses of its own.
 
 use crate::input::{IDEMPOTENCY_KEY, Input, RequestId, Submission, SubmitAnswer};
-use crate::ownership::Marked;
+use crate::ownership::ReceivedMark;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -191,7 +191,7 @@
         destination,
         time_left,
         is_retry: headers.get("X-Resent").is_some_and(|value| value == "1"),
-        handover_mark: Marked::read(headers),
+        handover_mark: ReceivedMark::from_headers(headers),
         body: Bytes::new(),
     })
 }
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -5,7 +5,7 @@
 use crate::connection_pool::EndpointConnectionId;
 use crate::console;
 use crate::endpoint_call::{EndpointCall, EndpointCallError, EndpointReply};
-use crate::ownership::{Marked, Offer, OfferEnd, Owners};
+use crate::ownership::{OfferOutcome, OutgoingOffer, Owners, ReceivedMark};
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
@@ -30,12 +30,12 @@
     /// Why it is not ready for want of that, if so: the console's `ready` answers it in the place of yes.
     pub unready_reason: Option<String>,
     /// Lines for the figures.
-    pub figures: String,
+    pub metrics: String,
 }
 
 /// What another process's file has shown; see [`Input::Siblings`].
 #[derive(Debug)]
-pub struct SiblingUpdate {
+pub struct OtherProcessUpdate {
     /// Number of its file.
     pub generation: Generation,
     /// The file was rewritten: the records begin anew.
@@ -74,7 +74,7 @@
     /// Marked as submitted again.
     pub is_retry: bool,
     /// Marked as handed over by another forwarder.
-    pub handover_mark: Marked,
+    pub handover_mark: ReceivedMark,
     /// Its body.
     pub body: Bytes,
 }
@@ -119,9 +119,9 @@
     /// Clients that connect are accepted from now on.
     AcceptingClients,
     /// The files of other processes on the folder have shown something: all that there is at one moment.
-    Siblings {
+    OtherProcessesUpdated {
         /// What they have shown.
-        updates: Vec<SiblingUpdate>,
+        updates: Vec<OtherProcessUpdate>,
         /// Numbers of those that are gone.
         gone: Vec<Generation>,
     },
@@ -199,7 +199,7 @@
         /// The message.
         id: MessageId,
         /// How.
-        end: OfferEnd,
+        outcome: OfferOutcome,
     },
     /// The configuration was read again and is good.
     ConfigReloaded(Box<Config>),
@@ -299,7 +299,7 @@
         connection: EndpointConnectionId,
     },
     /// Offer a message to the forwarder that owns its destination and report.
-    Offer(Box<Offer>),
+    Offer(Box<OutgoingOffer>),
     /// Post these notices and report.
     PostNotifications {
         /// Where to.
--- a/crates/forwarder/src/reducer/waits.rs
+++ b/crates/forwarder/src/reducer/retry_after_table.rs
@@ -1,18 +1,18 @@
 //! Waits that were told, by route, and in the order of their ends.
 
-use super::routes::RouteKey;
+use super::route_state::RouteKey;
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Until when each route is to be waited for.
 #[derive(Debug, Default)]
-pub(super) struct Waits {
+pub(super) struct RetryAfterTable {
     until: BTreeMap<RouteKey, Micros>,
     by_end: BTreeSet<(Micros, RouteKey)>,
     record_bytes: usize,
 }
 
-impl Waits {
+impl RetryAfterTable {
     /// A wait was told; an earlier one may last longer. Gives the end of the longer one.
     pub fn extend_to(&mut self, route: RouteKey, until: Micros) -> Micros {
         match self.until.get(&route).copied() {
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -7,7 +7,7 @@
 use super::console_listener::{self, ConsoleGateway};
 use super::discovery::WatchEnd;
 use super::endpoint_connection::{self, ScheduledCall};
-use super::peer_call::PeerConnections;
+use super::peer_call::{OfferTimes, PeerConnections};
 use super::reducer::Reducer;
 use super::reload::{ConfigSource, Reloads};
 use super::shutdown::Signals;
@@ -15,10 +15,10 @@
 use super::{discovery, inherited_listener, notifications};
 use crate::input::{Effect, Input, WatchId, WatchSource, update_sender};
 use crate::log;
-use crate::policy_agent::PolicyAgent;
+use crate::policy_participant::PolicyParticipant;
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
-use orchidyoke_journal::{Journal, Opened};
+use orchidyoke_journal::{Journal, OpenedJournal};
 use std::collections::{HashMap, VecDeque};
 use std::error::Error;
 use std::net::SocketAddr;
@@ -108,9 +108,11 @@
                 self.links.remove(&link);
             }
             Effect::Offer(offer) => {
-                let until = self.clock.instant(offer.until);
-                let deadline = self.clock.instant(offer.taken.deadline);
-                spawn_local(self.peers.clone().offer(offer, until, deadline, self.inputs.clone()));
+                let times = OfferTimes {
+                    answer_deadline: self.clock.instant(offer.answer_deadline),
+                    message_deadline: self.clock.instant(offer.message.deadline),
+                };
+                spawn_local(self.peers.clone().offer(offer, times, self.inputs.clone()));
             }
             Effect::PostNotifications { to, notifications: notices } => {
                 spawn_local(notifications::post(to, notices, self.inputs.clone()));
@@ -182,7 +184,7 @@
 /// started the process holds it.
 pub fn serve(
     source: ConfigSource,
-    policy: Option<Rc<dyn PolicyAgent>>,
+    policy: Option<Rc<dyn PolicyParticipant>>,
     state: &Path,
     fd: Option<RawFd>,
 ) -> Result<(), Box<dyn Error>> {
@@ -195,7 +197,7 @@
 
 async fn run(
     source: ConfigSource,
-    policy: Option<Rc<dyn PolicyAgent>>,
+    policy: Option<Rc<dyn PolicyParticipant>>,
     state: &Path,
     inherited: Option<std::net::TcpListener>,
 ) -> Result<(), Box<dyn Error>> {
@@ -208,7 +210,8 @@
     let clock = Clock::start();
     let (inputs, mut came) = unbounded_channel();
     let opened = Journal::open(state);
-    let Opened { journal, records, others } = opened.map_err(|e| format!("{}: {e}", state.display()))?;
+    let OpenedJournal { journal, records, other_journals: others } =
+        opened.map_err(|e| format!("{}: {e}", state.display()))?;
     let (generation, size) = (journal.generation(), journal.size());
     let siblings = SiblingJournals::new(state, generation, others, inherited.is_some());
     let (listen, console_at) = (config.listen, config.console);
@@ -263,7 +266,7 @@
         step(&mut runner, &mut reducer, &mut came).await;
     }
     if let Some(policy) = &policy {
-        drop(timeout(LEAVE_TIMEOUT, policy.leave()).await);
+        drop(timeout(LEAVE_TIMEOUT, policy.deregister()).await);
     }
     log!("ends");
     Ok(())
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -8,8 +8,8 @@
 use orchidyoke_forwarder::connection_pool::EndpointConnectionId;
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply};
-use orchidyoke_forwarder::input::{Effect, Input, RequestId, SiblingUpdate, Submission, SubmitAnswer};
-use orchidyoke_forwarder::ownership::Marked;
+use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, RequestId, Submission, SubmitAnswer};
+use orchidyoke_forwarder::ownership::ReceivedMark;
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{FinalAnswer, Generation, Record, replay};
 use quickcheck::{Arbitrary, Gen};
@@ -191,7 +191,7 @@
             }
         }
         let process = &self.processes[at];
-        assert_eq!(process.reducer.figures().open_messages(), process.reducer.gauges().open_messages as u64);
+        assert_eq!(process.reducer.metrics().open_messages(), process.reducer.gauges().open_messages as u64);
     }
 
     pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
@@ -343,11 +343,11 @@
             self.processes[at].read.insert(generation, (file.inode, from + whole));
             if anew || ended || !records.is_empty() {
                 let size = file.bytes.len();
-                shown.push(SiblingUpdate { generation, rewritten: anew, records, size, ended });
+                shown.push(OtherProcessUpdate { generation, rewritten: anew, records, size, ended });
             }
         }
         if !shown.is_empty() || !gone.is_empty() {
-            self.input(at, Input::Siblings { updates: shown, gone });
+            self.input(at, Input::OtherProcessesUpdated { updates: shown, gone });
         }
     }
 
@@ -379,7 +379,7 @@
                 destination: dest,
                 time_left,
                 is_retry: false,
-                handover_mark: Marked::No,
+                handover_mark: ReceivedMark::Absent,
                 body,
             };
             self.input(at, Input::Submitted { request: ticket, message });
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -5,12 +5,12 @@
 
 use bytes::{Bytes, BytesMut};
 use common::{DISK, S, START, second_config, second_targets};
-use orchidyoke_core::endpoint_list::{EndpointEntry, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::endpoint_call::EndpointReply;
-use orchidyoke_forwarder::input::{Effect, Input, SiblingUpdate, Submission, SubmitAnswer, WatchSource};
-use orchidyoke_forwarder::ownership::{Mark, Marked, Offer, Owner, Owners, Peer};
+use orchidyoke_forwarder::input::{Effect, Input, OtherProcessUpdate, Submission, SubmitAnswer, WatchSource};
+use orchidyoke_forwarder::ownership::{HandoverMark, OutgoingOffer, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::{
     AcceptedMessage, AttemptStart, FinalAnswer, Generation, HandoverOffer, HandoverState, ProcessStage,
@@ -69,7 +69,7 @@
 /// The list as it stands after the changes.
 fn list() -> Vec<EndpointEntry> {
     let mut list = second_targets();
-    list[1].state = ListedState::Draining;
+    list[1].state = EndpointState::Draining;
     let last = list.pop().expect("an endpoint");
     let endpoint = "127.0.0.1:14".parse().expect("an address");
     list.push(EndpointEntry { uid: string("s-f"), address: endpoint, destination: 4, ..last });
@@ -85,8 +85,8 @@
     let owed =
         |txn: &str, verdict: FinalAnswer| Record::AnswerDecided { message: string(txn), at, answer: verdict };
     let mut before = second_targets();
-    before[1].state = ListedState::Draining;
-    let gone = EndpointEntry { state: ListedState::Removed, ..before[4].clone() };
+    before[1].state = EndpointState::Draining;
+    let gone = EndpointEntry { state: EndpointState::Removed, ..before[4].clone() };
     let come = list()[4].clone();
     let mut records = vec![
         Record::EndpointList(WatchEvent {
@@ -215,11 +215,11 @@
     }
 
     fn owner_of(&self, destination: DestinationId) -> Owner {
-        let peer = self.member("f2").map(|address| Owner::Peer(Peer { name: string("f2"), address }));
+        let peer = self.member_address("f2").map(|address| Owner::Peer(Peer { name: string("f2"), address }));
         peer.filter(|_| destination == 1).unwrap_or(Owner::Local)
     }
 
-    fn member(&self, name: &str) -> Option<SocketAddr> {
+    fn member_address(&self, name: &str) -> Option<SocketAddr> {
         let port = match name {
             "f1" => 9001,
             "f2" => 9002,
@@ -228,11 +228,11 @@
         Some(SocketAddr::from(([127, 0, 0, 1], port)))
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         2
     }
 
-    fn owners_of_each(&self) -> u32 {
+    fn owners_per_destination(&self) -> u32 {
         1
     }
 }
@@ -260,7 +260,7 @@
     notices: Vec<(String, FinalAnswer)>,
     /// Port of discovery, and the version that is held.
     followed: Vec<(u16, u64)>,
-    offers: Vec<Offer>,
+    offers: Vec<OutgoingOffer>,
     /// Files of other processes that are not needed any more.
     retired: Vec<Generation>,
 }
@@ -329,7 +329,7 @@
         destination: 1,
         time_left: S,
         is_retry: false,
-        handover_mark: Marked::No,
+        handover_mark: ReceivedMark::Absent,
         body: Bytes::from_static(b"again"),
     }
 }
@@ -364,7 +364,7 @@
 #[test]
 fn messages_that_were_pending_are_taken_over_and_counted() {
     let reducer = start(None, STORED.len());
-    let (figures, gauges) = (reducer.figures(), reducer.gauges());
+    let (figures, gauges) = (reducer.metrics(), reducer.gauges());
     assert_eq!((figures.accepted(), figures.open_messages()), (9, 9));
     assert_eq!((gauges.open_messages, gauges.endpoints), (9, 5));
 }
@@ -400,7 +400,7 @@
 #[test]
 fn routes_in_trouble_and_endpoints_out_by_hand_stay_so() {
     let reducer = start(None, STORED.len());
-    assert_eq!(reducer.troubled().collect::<Vec<_>>(), [2, 4]);
+    assert_eq!(reducer.faulty_destinations().collect::<Vec<_>>(), [2, 4]);
     let avoided = |left_out: fn(&Record) -> bool| {
         let mut reducer = start_without(left_out, None, STORED.len());
         drive(&mut reducer, 20 * MS);
@@ -430,27 +430,37 @@
     }
     let window_end = 1500 * MS;
     assert!(asked.written["m-ran"].0 < window_end, "its window runs from its first attempt");
-    assert_eq!((reducer.figures().open_messages(), asked.notices.len()), (0, 2));
+    assert_eq!((reducer.metrics().open_messages(), asked.notices.len()), (0, 2));
 }
 
 #[test]
 fn what_was_offered_goes_to_the_same_owner_and_what_was_kept_does_not() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
     let asked = drive(&mut reducer, 800 * MS);
-    let offer = |txn: &str| asked.offers.iter().find(|offer| offer.taken.id == txn).expect("offered");
-    let txns: BTreeSet<_> = asked.offers.iter().map(|offer| &offer.taken.id[..]).collect();
+    let offer = |txn: &str| asked.offers.iter().find(|offer| offer.message.id == txn).expect("offered");
+    let txns: BTreeSet<_> = asked.offers.iter().map(|offer| &offer.message.id[..]).collect();
     assert_eq!(txns, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
     let (first, again) = (START - 300 * MS, offer("m-offered"));
     let deadline = START + 7 * S;
-    let mark = Mark { from: string("f1"), deadline, valid_until: first + 20 * S, attempts: 0, ran: None };
-    assert_eq!((&again.mark, again.to.port(), &again.body), (&mark, 9002, &body("m-offered")));
+    let mark = HandoverMark {
+        from: string("f1"),
+        deadline,
+        valid_until: first + 20 * S,
+        attempts: 0,
+        possible_delivery: None,
+    };
+    assert_eq!((&again.mark, again.owner_address.port(), &again.body), (&mark, 9002, &body("m-offered")));
     let custody = HandoverState {
         offered: Some(HandoverOffer { owner: string("f2"), offered_at: first }),
         kept_local: false,
     };
-    assert_eq!(again.taken, AcceptedMessage { handover: custody, ..taken("m-offered", 1) });
+    assert_eq!(again.message, AcceptedMessage { handover: custody, ..taken("m-offered", 1) });
     let unknown = AttemptStart { started_at: first, endpoint: String::new(), zone: String::new() };
-    assert_eq!(offer("m-unresolved").mark.ran, Some(unknown), "that offer counts as an attempt");
+    assert_eq!(
+        offer("m-unresolved").mark.possible_delivery,
+        Some(unknown),
+        "that offer counts as an attempt"
+    );
     assert!(offer("m-declined").mark.valid_until > mark.valid_until, "its first offer was declined");
 }
 
@@ -461,10 +471,11 @@
     let config = Config::read(&text, None, None).expect("a configuration");
     let mut reducer = Reducer::new(config, 1, Vec::new(), 0, START);
     let (records, size) = replay(Bytes::from_static(STORED));
-    let shown = vec![SiblingUpdate { generation: 0, rewritten: true, records, size, ended: true }];
-    let asked = drive_from(&mut reducer, Input::Siblings { updates: shown, gone: Vec::new() }, 8 * S);
+    let shown = vec![OtherProcessUpdate { generation: 0, rewritten: true, records, size, ended: true }];
+    let asked =
+        drive_from(&mut reducer, Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() }, 8 * S);
     assert_eq!((asked.retired, asked.followed), (vec![0], vec![(3, 9)]));
-    assert_eq!((reducer.figures().accepted(), reducer.figures().open_messages()), (9, 0));
+    assert_eq!((reducer.metrics().accepted(), reducer.metrics().open_messages()), (9, 0));
     let owed =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
     assert_eq!(asked.notices[..2], owed.map(|(txn, verdict)| (string(txn), verdict)));
--- a/crates/forwarder/tests/wire_config.rs
+++ b/crates/forwarder/tests/wire_config.rs
@@ -1,6 +1,6 @@
 //! Protects the platform's configuration as a file: the name of each field, and what becomes of it.
 
-use orchidyoke_core::endpoint_list::{EndpointEntry, HealthChecks, ListedState, WatchEvent};
+use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_core::interface::{
     CapacityHints, Class, DestinationKind, DiscoveryMode, Idempotency, Settings, WeightDecay,
 };
@@ -26,9 +26,9 @@
         zone: "a".to_owned(),
         kind: "shops".to_owned(),
         destination: 7,
-        state: ListedState::Draining,
+        state: EndpointState::Draining,
         capacity_hint: 10.5,
-        health: HealthChecks::Critical,
+        health: HealthStatus::Critical,
     }];
     assert_eq!(
         config.initial_list,
@@ -53,9 +53,9 @@
         zone: "a".to_owned(),
         kind: "shops".to_owned(),
         destination: pod_group,
-        state: ListedState::Active,
+        state: EndpointState::Active,
         capacity_hint: 10.0,
-        health: HealthChecks::Passing,
+        health: HealthStatus::Passing,
     };
     let targets = vec![target("s-good", 8600, 7), target("s-bad", 8601, 8)];
     assert_eq!(
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -13,7 +13,7 @@
 use orchidyoke_forwarder::console::{Command, ConsoleReply, MAX_LINE_BYTES, parse_input};
 use orchidyoke_forwarder::input::{Effect, Input, PolicyStatus, RequestId, Submission, SubmitAnswer};
 use orchidyoke_forwarder::metrics::{Gauges, MessageEnd, Metrics};
-use orchidyoke_forwarder::ownership::{Mark, Marked, OfferEnd, Owner, Owners, Peer};
+use orchidyoke_forwarder::ownership::{HandoverMark, OfferOutcome, Owner, Owners, Peer, ReceivedMark};
 use orchidyoke_forwarder::reducer::Reducer;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
         format!("> {line}\n< {}", self.replies.pop().expect("a reply"))
     }
 
-    fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: Marked) {
+    fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: ReceivedMark) {
         self.tickets += 1;
         let message = Submission {
             id: txn.to_owned(),
@@ -119,9 +119,9 @@
         self.input(Input::TimerDue);
     }
 
-    fn offer_ends(&mut self, end: OfferEnd) {
+    fn offer_ends(&mut self, end: OfferOutcome) {
         let id = self.offers.pop_front().expect("an offer");
-        self.input(Input::OfferEnded { id, end });
+        self.input(Input::OfferEnded { id, outcome: end });
     }
 }
 
@@ -146,7 +146,7 @@
     said += &forwarder.say("disable-server s-c");
     let figures = "lines of the fleet's policy 1\n".to_owned();
     let unready_reason = Some("a reason of the fleet's policy".to_owned());
-    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, figures }));
+    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, metrics: figures }));
     said += &forwarder.say("ready");
     said += &forwarder.say("show-stat");
     assert_golden("console_replies.txt", &said);
@@ -187,21 +187,21 @@
     }
 
     fn owner_of(&self, destination: DestinationId) -> Owner {
-        match (destination, self.member(PEER)) {
+        match (destination, self.member_address(PEER)) {
             (1, Some(address)) => Owner::Peer(Peer { name: PEER.to_owned(), address }),
             _ => Owner::Local,
         }
     }
 
-    fn member(&self, name: &str) -> Option<SocketAddr> {
+    fn member_address(&self, name: &str) -> Option<SocketAddr> {
         (name == PEER).then(|| ([127, 0, 0, 1], 9).into())
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         2
     }
 
-    fn owners_of_each(&self) -> u32 {
+    fn owners_per_destination(&self) -> u32 {
         1
     }
 }
@@ -212,18 +212,24 @@
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
     let deadline = forwarder.now + 6 * S;
     let mark = |from: &str| {
-        Marked::Yes(Mark { from: from.to_owned(), deadline, valid_until: deadline, attempts: 0, ran: None })
+        ReceivedMark::Valid(HandoverMark {
+            from: from.to_owned(),
+            deadline,
+            valid_until: deadline,
+            attempts: 0,
+            possible_delivery: None,
+        })
     };
     forwarder.submit("from-a-member", 2, Some("acme"), mark(PEER));
     forwarder.submit("from-a-stranger", 3, Some("acme"), mark("n9"));
-    forwarder.submit("taken", 1, Some("acme"), Marked::No);
-    forwarder.offer_ends(OfferEnd::Taken);
-    forwarder.submit("unanswered", 1, Some("acme"), Marked::No);
-    forwarder.offer_ends(OfferEnd::Unanswered("no answer".to_owned()));
-    forwarder.submit("unreached", 1, Some("acme"), Marked::No);
+    forwarder.submit("taken", 1, Some("acme"), ReceivedMark::Absent);
+    forwarder.offer_ends(OfferOutcome::Accepted);
+    forwarder.submit("unanswered", 1, Some("acme"), ReceivedMark::Absent);
+    forwarder.offer_ends(OfferOutcome::InDoubt("no answer".to_owned()));
+    forwarder.submit("unreached", 1, Some("acme"), ReceivedMark::Absent);
     for _ in 0..40 {
         while !forwarder.offers.is_empty() {
-            forwarder.offer_ends(OfferEnd::Unreached("nobody there".to_owned()));
+            forwarder.offer_ends(OfferOutcome::NotSent("nobody there".to_owned()));
         }
         forwarder.now += S / 10;
         forwarder.input(Input::TimerDue);
@@ -234,9 +240,9 @@
 #[test]
 fn what_a_submission_lacks_is_said_as_before() {
     let mut forwarder = Forwarder::new(Shape::First);
-    forwarder.submit("no-tenant", 2, None, Marked::No);
+    forwarder.submit("no-tenant", 2, None, ReceivedMark::Absent);
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
-    forwarder.submit("bad-mark", 2, Some("acme"), Marked::Malformed);
+    forwarder.submit("bad-mark", 2, Some("acme"), ReceivedMark::Malformed);
     let mut keyed = Forwarder::new(Shape::Second);
     keyed.tickets += 1;
     let message = Submission {
@@ -247,7 +253,7 @@
         destination: 1,
         time_left: S,
         is_retry: false,
-        handover_mark: Marked::No,
+        handover_mark: ReceivedMark::Absent,
         body: Bytes::new(),
     };
     keyed.input(Input::Submitted { request: keyed.tickets, message });
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -1,11 +1,11 @@
-//! Ways to give destinations to forwarders, counted for the size of two years from now: one of three regions with 150
+//! Compares ways to place destinations on forwarders, at the size of the target: one of three regions with 150
 //! forwarders in two zones and 100,000 destinations. Prints the tables of `docs/ownership.md`.
 //!
 //!     cargo run --release -p orchidyoke-ownership --example compare_placements
 
-use orchidyoke_leases::placement::place;
+use orchidyoke_leases::placement::assign_leases;
 use orchidyoke_leases::rendezvous::score;
-use orchidyoke_ownership::{Member, Partition, Region, View};
+use orchidyoke_ownership::{Member, OwnershipTable, Region, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
 use std::time::Instant;
@@ -42,7 +42,7 @@
         address: ([127, 0, 0, 1], 1000 + *number as u16).into(),
         weight: 1.0,
     };
-    View::new(version, &region, members.iter().map(member).collect()).expect("they can be members")
+    View::new(version, &region, members.iter().map(member).collect()).expect("valid members")
 }
 
 fn by_rendezvous(members: &Members, _before: Option<&Owners>) -> Owners {
@@ -70,14 +70,14 @@
     (0..DESTINATIONS).map(&mut owner_of).collect()
 }
 
-/// Slots given out evenly by one who writes it into Consul; what has a slot keeps it.
+/// Slots assigned evenly by one writer in Consul; a member keeps the slots that it has.
 fn by_slots(members: &Members, before: Option<&Owners>) -> Owners {
     let slot = |destination: u64| (chance(destination, "slot") * f64::from(SLOTS)) as u32;
     let held = before.into_iter().flat_map(|owners| {
         owners.iter().enumerate().map(|(destination, owner)| (slot(destination as u64), name(*owner)))
     });
     let weights = members.iter().map(|member| (name(*member), 1.0)).collect();
-    let placed = place(&weights, &(0..SLOTS).collect(), &held.collect());
+    let placed = assign_leases(&weights, &(0..SLOTS).collect(), &held.collect());
     let number = |name: &str| name[1..].parse().expect("it is a number");
     (0..DESTINATIONS).map(|destination| number(&placed[&slot(destination)])).collect()
 }
@@ -97,8 +97,8 @@
     (extreme(f64::max), extreme(f64::min))
 }
 
-/// The place of each destination in the order of traffic, by Zipf's law with exponent 1: dealt out by another hash, so that
-/// no way can know it.
+/// The rank of each destination by traffic, after Zipf's law with exponent 1; drawn by another hash, so that no way depends
+/// on it.
 fn ranks() -> Vec<usize> {
     let mut order: Vec<u64> = (0..DESTINATIONS).collect();
     order.sort_by(|left, right| chance(*left, "rank").total_cmp(&chance(*right, "rank")));
@@ -130,7 +130,7 @@
     );
 }
 
-/// Runs something and gives the microseconds that it took.
+/// Runs some work; the time that it took, in microseconds, and its result.
 fn micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let start = Instant::now();
     let result = black_box(work());
@@ -149,11 +149,11 @@
     for destinations in [667, 10_000, DESTINATIONS] {
         let (lookups, _) =
             micros(|| (0..destinations).filter(|d| black_box(whole.owner(*d)).is_some()).count());
-        let (made, mut table) = micros(|| Partition::new(whole.clone(), 0..destinations));
+        let (made, mut table) = micros(|| OwnershipTable::new(whole.clone(), 0..destinations));
         let (at_hand, _) =
             micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
-        let (left, _) = micros(|| table.replace(rest.clone()).expect("it is newer").len());
-        let (joined, _) = micros(|| table.replace(view(3, &all)).expect("it is newer").len());
+        let (left, _) = micros(|| table.replace_view(rest.clone()).expect("a newer view").len());
+        let (joined, _) = micros(|| table.replace_view(view(3, &all)).expect("a newer view").len());
         let each = |time: f64| 1e3 * time / destinations as f64;
         println!(
             "| {destinations} | {:.0} | {:.0} | {:.2} | {:.2} | {:.2} |",
@@ -166,11 +166,11 @@
     }
 }
 
-/// Bytes of Consul's answers to a look at all members, and what they come to when a region's forwarders are all restarted.
+/// The bytes of Consul's answers to a read of all members, and their rate while all forwarders of a region are restarted.
 fn control() {
     let all: Members = (0..MEMBERS).collect();
     let row = |member: &Member| {
-        let value = "=".repeat(member.entry().len().div_ceil(3) * 4);
+        let value = "=".repeat(member.to_entry().len().div_ceil(3) * 4);
         let key = format!("orchidyoke/ownership/{}/members/{}", member.region, member.name);
         let session = "adf4238a-882b-9ddc-4a9d-5b6758e4159e";
         format!(
@@ -183,7 +183,7 @@
     };
     let keys: usize = view(1, &all).members().iter().map(|member| key(member).len()).sum();
     println!(
-        "\n| a look at {MEMBERS} members | bytes | of 6 KB/s, looks at most every 5 s | a look for each change, 300 changes in 10 min |"
+        "\n| a read of {MEMBERS} members | bytes | of 6 KB/s, reads at most every 5 s | a read for each change, 300 changes in 10 min |"
     );
     println!("| --- | --- | --- | --- |");
     for (what, bytes) in [("rows with entries", entries), ("keys alone, the entry in the key", keys)] {
