--- /dev/null
+++ b/crates/forwarder/src/effects.rs
@@ -0,0 +1,165 @@
+//! Carries out the effects that the reducer asks for, on sockets and files; what they lead to comes back as inputs.
+
+use crate::client_api::ClientGateway;
+use crate::client_connections::ClientConnections;
+use crate::clock::Clock;
+use crate::connection_pool::EndpointConnectionId;
+use crate::console_listener::ConsoleGateway;
+use crate::discovery::{self, WatchEnd};
+use crate::endpoint_call::EndpointCall;
+use crate::endpoint_connection::{self, ScheduledCall};
+use crate::input::{AppendId, Effect, Input, WatchId, WatchSource, update_sender};
+use crate::log;
+use crate::notifications;
+use crate::other_journals::OtherJournals;
+use crate::ownership::OutgoingOffer;
+use crate::peer_call::{OfferTimes, PeerConnections};
+use crate::reducer::Reducer;
+use bytes::Bytes;
+use orchidyoke_core::interface::Micros;
+use orchidyoke_journal::Journal;
+use std::collections::{HashMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
+use tokio::task::{AbortHandle, spawn_local};
+
+/// What effects are carried out with.
+pub(crate) struct EffectRunner {
+    pub(crate) clock: Clock,
+    pub(crate) journal: Journal,
+    pub(crate) gateway: Rc<ClientGateway>,
+    pub(crate) console: Rc<ConsoleGateway>,
+    /// The channel of calls of each connection to an endpoint.
+    pub(crate) endpoint_connections: HashMap<EndpointConnectionId, UnboundedSender<ScheduledCall>>,
+    /// Connections to the forwarders that own destinations.
+    pub(crate) peers: Rc<PeerConnections>,
+    pub(crate) inputs: UnboundedSender<Input>,
+    pub(crate) client_connections: Rc<ClientConnections>,
+    pub(crate) other_journals: OtherJournals,
+    /// The task that follows the endpoint list.
+    pub(crate) watch: Option<AbortHandle>,
+    /// The task that accepts clients.
+    pub(crate) listener: Option<AbortHandle>,
+    /// The reducer has nothing left to do: the process ends.
+    pub(crate) has_exited: bool,
+}
+
+impl EffectRunner {
+    /// Carries out one effect; what is known at once comes back as an input.
+    fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+        match effect {
+            Effect::Answer { request, answer } => self.gateway.answer(request, answer),
+            Effect::Reply { request, reply } => self.console.reply(request, reply),
+            Effect::Append { append, bytes } => return Some(self.append(append, &bytes)),
+            Effect::ReportJournalFull { append } => {
+                return Some(Input::Appended { append, stored: false, size: self.journal.size() });
+            }
+            Effect::CompactJournal { bytes } => self.compact_journal(&bytes),
+            Effect::Connect { connection, address, until } => self.connect(connection, address, until),
+            Effect::SendCall { connection, call } => self.send_call(connection, call),
+            Effect::CloseConnection { connection } => {
+                self.endpoint_connections.remove(&connection);
+            }
+            Effect::Offer(offer) => self.offer(offer),
+            Effect::PostNotifications { to, notifications } => {
+                spawn_local(notifications::post(to, notifications, self.inputs.clone()));
+            }
+            Effect::StartWatch { watch, from } => self.start_watch(watch, from),
+            Effect::Log { line } => log!("{line}"),
+            Effect::RemoveJournal { generation } => self.other_journals.remove(generation),
+            Effect::HandOverClients => self.hand_over_clients(),
+            Effect::StopAccepting => self.client_connections.shut_down(),
+            Effect::Exit => self.has_exited = true,
+        }
+        None
+    }
+
+    fn append(&mut self, append: AppendId, bytes: &Bytes) -> Input {
+        let appended = self.journal.append(bytes);
+        if let Err(error) = &appended {
+            log!("journal: append failed: bytes={} error={error}", bytes.len());
+        }
+        Input::Appended { append, stored: appended.is_ok(), size: self.journal.size() }
+    }
+
+    fn compact_journal(&mut self, bytes: &Bytes) {
+        if let Err(error) = self.journal.rewrite(bytes) {
+            log!("journal: compaction failed: bytes={} error={error}", bytes.len());
+        }
+    }
+
+    fn connect(&mut self, connection: EndpointConnectionId, address: SocketAddr, until: Micros) {
+        let (sender, calls) = unbounded_channel();
+        self.endpoint_connections.insert(connection, sender);
+        let deadline = self.clock.instant(until);
+        spawn_local(endpoint_connection::run(connection, address, deadline, calls, self.inputs.clone()));
+    }
+
+    fn send_call(&self, connection: EndpointConnectionId, call: EndpointCall) {
+        let deadline = self.clock.instant(call.deadline);
+        if let Some(calls) = self.endpoint_connections.get(&connection) {
+            // A connection that has closed meanwhile reports that itself.
+            let _ = calls.send(ScheduledCall { call, deadline });
+        }
+    }
+
+    fn offer(&self, offer: Box<OutgoingOffer>) {
+        let times = OfferTimes {
+            answer_deadline: self.clock.instant(offer.answer_deadline),
+            message_deadline: self.clock.instant(offer.message.deadline),
+        };
+        spawn_local(self.peers.clone().offer(offer, times, self.inputs.clone()));
+    }
+
+    fn hand_over_clients(&mut self) {
+        self.listener.take().iter().for_each(AbortHandle::abort);
+        self.other_journals.stop();
+        self.client_connections.hand_over();
+    }
+
+    /// Follows the endpoint list in the place of the watch before.
+    fn start_watch(&mut self, watch: WatchId, from: WatchSource) {
+        self.watch.iter().for_each(AbortHandle::abort);
+        let inputs = self.inputs.clone();
+        let updates = update_sender(watch, self.inputs.clone());
+        let task = spawn_local(async move {
+            let end = match from {
+                WatchSource::Discovery { at, since } => discovery::follow(at, since, updates).await,
+                WatchSource::Catalogue { catalogue, held } => WatchEnd {
+                    reason: catalogue.follow(held, updates).await,
+                    retry_after_ms: 0,
+                    silence: Duration::ZERO,
+                },
+            };
+            // The receiver is gone only when the forwarder ends.
+            let _ = inputs.send(Input::WatchEnded {
+                watch,
+                reason: end.reason,
+                retry_after_ms: end.retry_after_ms,
+                silence: end.silence.as_micros() as Micros,
+            });
+        });
+        self.watch = Some(task.abort_handle());
+    }
+
+    /// Has the reducer process an input, and carries out the effects of it and of the inputs that follow from those.
+    pub(crate) fn process(&mut self, reducer: &mut Reducer, input: Input) {
+        if let Input::ConnectionClosed { connection, .. } = &input {
+            self.endpoint_connections.remove(connection);
+        }
+        // Decisions that depend on what another process holds need its journal as it is now.
+        let mut inputs = VecDeque::from_iter(match input {
+            Input::Shutdown => self.other_journals.scan_and_poll(),
+            Input::Submitted { .. } | Input::Operator { .. } => self.other_journals.poll(),
+            _ => None,
+        });
+        inputs.push_back(input);
+        while let Some(input) = inputs.pop_front() {
+            for effect in reducer.step(self.clock.now(), input) {
+                inputs.extend(self.carry_out(effect));
+            }
+        }
+    }
+}
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -15,7 +15,7 @@
         Some(script) => crate::installation::read(&script)?.policy,
         None => None,
     };
-    let Some(policy) = policy else { return serve(source, None, state_folder, listen_fd) };
+    let Some(policy) = policy else { return Ok(serve(source, None, state_folder, listen_fd)?) };
     let name = match &policy.name {
         Some(name) => name.clone(),
         // The policy takes effect on the configuration, so that the name has to be read without it.
@@ -23,11 +23,11 @@
     };
     let participant = orchidyoke_policy_commit::ConsulParticipant::new(policy, &name, state_folder);
     source.policy = Some(participant.clone());
-    serve(source, Some(participant), state_folder, listen_fd)
+    Ok(serve(source, Some(participant), state_folder, listen_fd)?)
 }
 
 /// Runs the forwarder until SIGTERM.
 #[cfg(not(feature = "installations"))]
 pub fn run(args: ConfigArgs, state_folder: &Path, listen_fd: Option<i32>) -> CommandResult {
-    serve(config_source::from_args(args)?, None, state_folder, listen_fd)
+    Ok(serve(config_source::from_args(args)?, None, state_folder, listen_fd)?)
 }
