--- a/crates/forwarder/src/backoff.rs
+++ b/crates/forwarder/src/backoff.rs
@@ -1,11 +1,11 @@
-//! Pauses between tries of something that many forwarders may lose in the same moment.
+//! Exponential backoff with jitter, for attempts at something that many forwarders may lose at the same moment.
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_core::rng::SeededRng;
 
-/// Capped exponential back-off with jitter: each pause is drawn between nothing and a bound that doubles with each failure
-/// in a row. A bound beyond what a pause may be is cut to that, and the pause drawn from its upper half. Forwarders that
-/// failed together do not come back together, and the longer it lasts the less they ask.
+/// Capped exponential backoff with full jitter, in microseconds: each delay is drawn between 0 and a bound that doubles with
+/// each consecutive failure. A bound beyond the cap is cut to it, and the delay drawn from its upper half. Forwarders that
+/// failed together do not come back together.
 #[derive(Debug)]
 pub struct Backoff {
     rng: SeededRng,
@@ -14,29 +14,29 @@
 }
 
 impl Backoff {
-    /// The first bound, with chance from `seed`.
+    /// `first` is the bound of the first delay; `seed` that of the random numbers.
     pub fn new(first: Micros, seed: u64) -> Self {
         Backoff { rng: SeededRng::new(seed), first, failures: 0 }
     }
 
-    /// Another first bound.
+    /// Changes the bound of the first delay.
     pub fn set_first(&mut self, first: Micros) {
         self.first = first;
     }
 
-    /// After a failure: how long to wait, `most` at most.
-    pub fn next_delay(&mut self, most: Micros) -> Micros {
+    /// After a failure: the delay before the next attempt, at most `cap`.
+    pub fn next_delay(&mut self, cap: Micros) -> Micros {
         let bound = self.first.saturating_mul(1 << self.failures.min(30));
         self.failures = self.failures.saturating_add(1);
-        if bound < most { self.random_below(bound) } else { most.max(0) - self.random_below(most.max(0) / 2) }
+        if bound < cap { self.random_below(bound) } else { cap.max(0) - self.random_below(cap.max(0) / 2) }
     }
 
-    /// A span between nothing and the bound.
+    /// A random delay between 0 and the bound.
     pub fn random_below(&mut self, bound: Micros) -> Micros {
         (bound as f64 * self.rng.uniform()) as Micros
     }
 
-    /// After a success: the next failure is the first again.
+    /// After a success: the next failure counts as the first.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/forwarder/src/inherited_listener.rs
+++ b/crates/forwarder/src/inherited_listener.rs
@@ -1,11 +1,13 @@
-//! The clients' listening socket, where whoever starts the forwarder holds it and hands it down.
+//! The clients' listening socket as inherited from the process that started this one, for an upgrade without a gap.
+//!
+//! Used with `EDGE_FD` alone; otherwise the forwarder listens at an address of its own.
 
 use std::io;
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// Takes the listening socket that this process was started with, as the descriptor of this number. To be called
-/// once, at the start, before anything else is opened.
+/// The listening socket that this process inherited as the descriptor of this number. To be called once, at the start,
+/// before anything else is opened.
 ///
 /// # Errors
 ///
--- a/crates/forwarder/src/log.rs
+++ b/crates/forwarder/src/log.rs
@@ -1,43 +1,47 @@
-//! The one way to the log: standard error, with a bound on lines a second.
+//! The log: lines on standard error, at a bounded rate. All lines have the level INFO; see `docs/operate/on-call.md`.
+//!
+//! A line is an event in plain terms, and then its subject and figures as `key=value`. It goes through [`log!`](crate::log).
 
 use std::fmt;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Lines a second in the long run, and how many may come at once.
-const RATE: f64 = 20.0;
-const BURST: f64 = 100.0;
+/// Lines a second in the long run.
+const MAX_LINES_PER_SECOND: f64 = 20.0;
+/// Lines at once.
+const MAX_BURST_LINES: f64 = 100.0;
 
-/// A bucket of lines that may still be written.
-struct Bucket {
-    lines: f64,
-    filled: Option<Instant>,
+/// A token bucket of lines.
+struct LineBucket {
+    available: f64,
+    filled_at: Option<Instant>,
     dropped: u64,
 }
 
-static BUCKET: Mutex<Bucket> = Mutex::new(Bucket { lines: BURST, filled: None, dropped: 0 });
+static BUCKET: Mutex<LineBucket> =
+    Mutex::new(LineBucket { available: MAX_BURST_LINES, filled_at: None, dropped: 0 });
 
-impl Bucket {
-    /// Whether a line may go now, and how many were dropped since the last that did.
+impl LineBucket {
+    /// The number of lines dropped since the last one, if a line may be written now.
     fn take(&mut self, now: Instant) -> Option<u64> {
-        let passed = self.filled.map_or(0.0, |then| now.duration_since(then).as_secs_f64());
-        self.lines = (self.lines + passed * RATE).min(BURST);
-        self.filled = Some(now);
-        if self.lines < 1.0 {
+        let passed = self.filled_at.map_or(0.0, |then| now.duration_since(then).as_secs_f64());
+        self.available = (self.available + passed * MAX_LINES_PER_SECOND).min(MAX_BURST_LINES);
+        self.filled_at = Some(now);
+        if self.available < 1.0 {
             self.dropped += 1;
             return None;
         }
-        self.lines -= 1.0;
+        self.available -= 1.0;
         Some(std::mem::take(&mut self.dropped))
     }
 }
 
-/// Whether a line may be written now, and how many were dropped since the last. For [`log!`](crate::log).
+/// The number of lines dropped since the last one, if a line may be written now. For [`log!`](crate::log).
 pub fn permit() -> Option<u64> {
     BUCKET.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take(Instant::now())
 }
 
-/// How lines are written to standard error.
+/// The form of lines on standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
     /// One line of text each, as `orchidyoke: …`.
@@ -47,10 +51,10 @@
     Json,
 }
 
-/// Has lines written from here on. Whoever calls it twice keeps the first form.
+/// Writes lines from here on. A second call changes nothing.
 pub fn start(form: Form) {
     let plain = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-    // An error says that another subscriber is there already: that one goes on.
+    // An error means that a subscriber is there already: that one stays.
     drop(match form {
         Form::Text => plain.without_time().with_level(false).try_init(),
         Form::Json => {
@@ -59,12 +63,12 @@
     });
 }
 
-/// Hands a line on. For [`log!`](crate::log), which bounds them.
+/// Writes a line. For [`log!`](crate::log), which bounds the rate.
 pub fn line(text: fmt::Arguments<'_>) {
     tracing::info!(target: "orchidyoke", "{text}");
 }
 
-/// Writes a line to the log, unless too many came lately.
+/// Writes a line to the log, or drops it beyond the rate; the next line is preceded by the number of dropped ones.
 #[macro_export]
 macro_rules! log {
     ($($part:tt)*) => {
--- a/crates/forwarder/src/metrics.rs
+++ b/crates/forwarder/src/metrics.rs
@@ -1,82 +1,83 @@
-//! What the forwarder reports of itself: counts from 0 in each process, made in the reducer where a thing happens.
+//! The metrics of a process: counters from 0, histograms of the time to delivery, and their text form for the console.
+//!
+//! The reducer counts where a thing happens. The names on the wire (`app_...`) are listed in `docs/operate/on-call.md`.
 
 use hdrhistogram::Histogram;
 use orchidyoke_core::interface::Micros;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-/// How a message has ended.
+/// How a message ended, as counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
     /// Delivered.
     Success,
-    /// Refused before it was taken on, or handed back.
+    /// Rejected at submission, or given up with a Retry-After.
     Overload,
     /// Failed.
     Error,
 }
 
-/// Ends of the messages of one class.
+/// Message counts of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndCounts {
     /// Delivered.
     pub success: u64,
-    /// Refused or handed back.
+    /// Rejected or given up with a Retry-After.
     pub overload: u64,
     /// Failed.
     pub error: u64,
 }
 
 impl EndCounts {
-    /// All of them.
+    /// All ended messages.
     pub fn total(&self) -> u64 {
         self.success + self.overload + self.error
     }
 }
 
-/// Longest time to a delivery that is told from longer ones.
-const LONGEST: u64 = 600_000_000;
+/// Longest time to delivery that has a bucket of its own.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Times to delivery: from 1 µs on, to two figures.
+/// Times to delivery in microseconds, from 1 on, to two significant digits.
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, LONGEST, 2).expect("bounds that fit the library")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).expect("bounds that fit the library")
 }
 
-/// The counts of one process.
+/// The counters of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     by_class: BTreeMap<String, EndCounts>,
-    /// From when a message was handed in until it was delivered, by class; those handed in to another process are
-    /// not in it.
+    /// Time from submission to delivery, by class; without messages that were submitted to another process.
     latency: BTreeMap<String, Histogram<u32>>,
     dispatches: u64,
-    /// Messages that became this process's own: taken on, left over by another, or handed over.
+    /// Messages that became this process's own: submitted to it, or taken over from another.
     accepted: u64,
     /// Those of them that ended here, and those handed over to another process.
     ended: u64,
     handed_over: u64,
 }
 
-/// What is counted when it is asked for.
+/// Values of the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Messages taken and not yet ended.
+    /// Messages accepted and not yet ended.
     pub open_messages: usize,
     /// Endpoints on the list.
     pub endpoints: usize,
-    /// Those of them that are avoided.
+    /// Those of them that get nothing, or trial calls alone.
     pub avoided_endpoints: usize,
 }
 
 impl Metrics {
-    /// These classes are there, whether or not a message of theirs has come.
+    /// Renders these classes from the start, also while no message of theirs has come.
     pub fn register_classes(&mut self, classes: &[String]) {
         for class in classes {
             self.by_class.entry(class.clone()).or_default();
         }
     }
 
-    /// So many messages are this process's own from now on.
+    /// So many messages have become this process's own.
     pub fn on_accepted(&mut self, count: usize) {
         self.accepted += count as u64;
     }
@@ -92,7 +93,7 @@
         self.count(class, end);
     }
 
-    /// One of its own was delivered, so long after it was handed in here.
+    /// One of its own was delivered, so many microseconds after it was submitted here.
     pub fn on_delivered(&mut self, class: &str, after: Option<Micros>) {
         self.on_ended(class, MessageEnd::Success);
         if let Some(after) = after {
@@ -101,13 +102,13 @@
         }
     }
 
-    /// One that was never taken on was turned away.
+    /// One that never was accepted was rejected.
     pub fn on_rejected(&mut self, class: &str, end: MessageEnd) {
         self.count(class, end);
     }
 
     fn count(&mut self, class: &str, end: MessageEnd) {
-        // The classes are those of the settings: nobody from outside can name one.
+        // Classes come from the settings alone, so that clients cannot add any.
         let ends = self.by_class.entry(class.to_owned()).or_default();
         *match end {
             MessageEnd::Success => &mut ends.success,
@@ -116,12 +117,12 @@
         } += 1;
     }
 
-    /// So many messages were written whole to an endpoint.
+    /// So many messages were fully written to an endpoint.
     pub fn on_dispatched(&mut self, count: usize) {
         self.dispatches += count as u64;
     }
 
-    /// Messages that became its own.
+    /// Messages that became this process's own.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
@@ -131,17 +132,17 @@
         self.accepted - self.ended - self.handed_over
     }
 
-    /// Messages written whole so far.
+    /// Messages fully written to endpoints.
     pub fn dispatches(&self) -> u64 {
         self.dispatches
     }
 
-    /// Ends by class.
+    /// Ended messages by class.
     pub fn ends(&self) -> &BTreeMap<String, EndCounts> {
         &self.by_class
     }
 
-    /// A line each.
+    /// Counters and gauges, a line each.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -149,8 +150,8 @@
         text
     }
 
-    /// Times to delivery, as Prometheus writes a histogram (text format 0.0.4): for each class the count of those of at
-    /// most so many microseconds, for each bucket that holds any, and of all.
+    /// Times to delivery as Prometheus histograms (text exposition format 0.0.4), in microseconds: cumulative counts of the
+    /// buckets that hold any.
     pub fn render_latency(&self) -> String {
         let mut text = String::new();
         let _ = self.write_latency(&mut text);
@@ -159,7 +160,8 @@
 
     fn write_latency(&self, text: &mut String) -> fmt::Result {
         for (class, times) in &self.latency {
-            let (class, mut count) = (quoted(class), 0);
+            let class = quoted(class);
+            let mut count = 0;
             for bucket in times.iter_recorded() {
                 count += bucket.count_since_last_iteration();
                 let most = bucket.value_iterated_to();
@@ -186,7 +188,7 @@
     }
 }
 
-/// A class as the value of a label.
+/// A class as the value of a label, escaped.
 fn quoted(class: &str) -> String {
     class.replace('\\', "\\\\").replace('"', "\\\"")
 }
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -1,11 +1,11 @@
-//! The stop: SIGTERM (or an interrupt from a terminal) becomes an input like any other.
+//! Graceful shutdown: SIGTERM, or an interrupt from a terminal, becomes [`Input::Shutdown`].
 
 use crate::input::Input;
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The signals that ask for a stop, listened for from here on.
+/// The handlers of the signals that ask for a shutdown.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -13,6 +13,10 @@
 
 impl Signals {
     /// Takes the signals over from the system's default, which would end the process at once.
+    ///
+    /// # Errors
+    ///
+    /// The system refuses a handler.
     pub fn listen() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -20,7 +24,7 @@
         })
     }
 
-    /// Reports the first of them.
+    /// Reports the first of the signals.
     pub async fn report(mut self, inputs: UnboundedSender<Input>) {
         tokio::select! {
             _ = self.terminate.recv() => {}
