--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -3,7 +3,7 @@
 //! [`Reducer::step`] takes one input and gives the effects that it asks for, in the order in which they are to be carried
 //! out. It hands the input to the component that owns the state; each component is a struct in a module of its own, and
 //! its fields are private to that module. What has to be durable before it is visible waits for the journal's report, see
-//! [`durability`].
+//! the module `durability`.
 
 mod attempts;
 mod call_results;
@@ -21,9 +21,11 @@
 mod listed_endpoints;
 mod message_table;
 mod operator_overrides;
+mod ownership;
 mod pending_appends;
 mod recovered_state;
 mod reload;
+mod repeat_rules;
 mod retry_after_table;
 mod route_state;
 mod shutdown;
@@ -44,13 +46,14 @@
 use endpoint_table::EndpointTable;
 use final_answers::{FinishedIds, PendingAnswers};
 use fleet_policy::FleetPolicy;
-use handover::Ownership;
+
 use handover_schedule::HandoverSchedule;
 use message_table::MessageTable;
 use operator_overrides::OperatorOverrides;
 use orchidyoke_core::interface::{Action, Micros, Settings};
 use orchidyoke_core::settings::Names;
 use orchidyoke_journal::FinalAnswer;
+use ownership::Ownership;
 use retry_after_table::RetryAfterTable;
 use route_state::FaultyRoutes;
 use shutdown::ShutdownState;
@@ -195,7 +198,7 @@
                 }
                 Action::Timer { delay, token } => self.controller.set_timer(now + delay, token),
                 Action::CloseIdle { endpoint } => self.close_idle(endpoint),
-                Action::Log { text } => self.log(format!("module: {text}")),
+                Action::Log { text } => self.log(format!("controller: {text}")),
                 // The list is watched all the time, and the platform has neither health checks that the controller asks
                 // for nor gossip between forwarders.
                 Action::Watch { .. }
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::locks::{LockClient, SessionBehavior};
-use orchidyoke_fakes::Consul;
+use orchidyoke_fakes::ConsulServer;
 use orchidyoke_leases::placement::assign_leases;
 use orchidyoke_leases::{LeaseConfig, LeaseId, LeaseManager, ManagerConfig};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,12 +27,12 @@
     runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
 }
 
-fn settings(consul: &Consul) -> Rc<Settings> {
+fn settings(consul: &ConsulServer) -> Rc<Settings> {
     Rc::new(Settings { addresses: vec![consul.address()], ..Settings::default() })
 }
 
 /// Starts a lease manager.
-fn start(consul: &Consul, name: &str, weight: f64, leases: &BTreeSet<LeaseId>) -> Rc<LeaseManager> {
+fn start(consul: &ConsulServer, name: &str, weight: f64, leases: &BTreeSet<LeaseId>) -> Rc<LeaseManager> {
     let protocol = LeaseConfig {
         ttl: TTL.as_micros() as i64,
         clock_drift: 0.01,
@@ -62,7 +62,7 @@
 }
 
 /// All keys that are held, with their values, one a line.
-async fn keys(consul: &Consul) -> String {
+async fn keys(consul: &ConsulServer) -> String {
     let (_, rows) =
         LockClient::new(settings(consul)).read_keys("fleet/", 0, Duration::ZERO).await.expect("looked");
     rows.iter()
@@ -73,7 +73,7 @@
 
 /// The keys that a forwarder writes without other members.
 async fn written_alone() -> String {
-    let (consul, leases) = (Consul::start(), BTreeSet::from([0, 7, LeaseId::MAX - 1]));
+    let (consul, leases) = (ConsulServer::start(), BTreeSet::from([0, 7, LeaseId::MAX - 1]));
     let manager = start(&consul, "f-1", 1.5, &leases);
     await_held(&manager, &leases).await;
     keys(&consul).await
@@ -81,7 +81,7 @@
 
 /// The keys of a forwarder that holds two leases.
 async fn written_before_a_join() -> String {
-    let (consul, leases) = (Consul::start(), BTreeSet::from([2, 5]));
+    let (consul, leases) = (ConsulServer::start(), BTreeSet::from([2, 5]));
     let manager = start(&consul, "f-2", 3.0, &leases);
     await_held(&manager, &leases).await;
     keys(&consul).await
@@ -98,7 +98,7 @@
 #[test]
 fn keys_of_the_previous_version_are_read_as_membership_weight_and_leases() {
     run(async {
-        let (consul, leases) = (Consul::start(), (0..12).collect());
+        let (consul, leases) = (ConsulServer::start(), (0..12).collect());
         let mut locks = LockClient::new(settings(&consul));
         let session = locks
             .create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Release)
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,9 +2,10 @@
 //! between two of them. Every accepted message is followed to its one final answer at the partners or in the platform's
 //! notifications.
 
-use orchidyoke_fakes::forwarder::{Folder, Forwarder, Setup, hand_in, target};
-use orchidyoke_fakes::partner::{Bearing, Partner};
-use orchidyoke_fakes::{Fault, FaultProxy, Platform, Stage, loopback};
+use orchidyoke_fakes::TemporaryFolder;
+use orchidyoke_fakes::destination::{CapacityModel, DestinationServer};
+use orchidyoke_fakes::forwarder::{ForwarderConfig, ForwarderProcess, endpoint_entry, submit_message};
+use orchidyoke_fakes::{DiscoveryServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -36,20 +37,22 @@
 
 /// An address that no other process of this run uses.
 fn free_address() -> SocketAddr {
-    TcpListener::bind((loopback(), 0)).and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind((unused_loopback_address(), 0))
+        .and_then(|listener| listener.local_addr())
+        .expect("a port")
 }
 
 struct Member {
-    folder: Folder,
+    folder: TemporaryFolder,
     address: SocketAddr,
-    process: Option<(Forwarder, SocketAddr)>,
+    process: Option<(ForwarderProcess, SocketAddr)>,
     /// The links to the other members, by their index; none to itself.
     links: Vec<Option<FaultProxy>>,
 }
 
 struct Region {
-    platform: Platform,
-    partner: Partner,
+    platform: DiscoveryServer,
+    partner: DestinationServer,
     members: Vec<Member>,
     /// The ids of accepted messages, with their classes.
     accepted: Arc<Mutex<BTreeMap<String, &'static str>>>,
@@ -58,17 +61,20 @@
     kills: Vec<Instant>,
     /// The log lines of processes that have ended.
     logged: Vec<String>,
-    _stage: Stage,
+    _stage: ServerRuntime,
 }
 
 impl Region {
     fn start(name: &str, size: usize) -> Region {
-        let (platform, stage) = (Platform::start(""), Stage::new());
-        let partner = Partner::new(Bearing { service: Duration::from_millis(5), ..Bearing::default() });
-        let mut setup = Setup::new(platform.address());
-        setup.fleet = size;
-        let endpoint = |number| target(&format!("p{number}"), partner.endpoint(), number);
-        setup.targets = (1..=DESTINATIONS).map(endpoint).collect();
+        let (platform, stage) = (DiscoveryServer::start(""), ServerRuntime::new());
+        let partner = DestinationServer::new(CapacityModel {
+            service_time: Duration::from_millis(5),
+            ..CapacityModel::default()
+        });
+        let mut setup = ForwarderConfig::new(platform.address());
+        setup.fleet_size = size;
+        let endpoint = |number| endpoint_entry(&format!("p{number}"), partner.open_endpoint(), number);
+        setup.endpoints = (1..=DESTINATIONS).map(endpoint).collect();
         let addresses: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
         let mut region = Region {
             platform,
@@ -83,10 +89,11 @@
         };
         for number in 0..size {
             let link = |(index, address): (usize, &SocketAddr)| {
-                (index != number).then(|| FaultProxy::start(&region._stage, loopback(), *address))
+                (index != number)
+                    .then(|| FaultProxy::start(&region._stage, unused_loopback_address(), *address))
             };
             let links: Vec<_> = addresses.iter().enumerate().map(link).collect();
-            let folder = Folder::new(&format!("ownership-{name}-{number}"));
+            let folder = TemporaryFolder::new(&format!("ownership-{name}-{number}"));
             folder.write("config.json", &setup.text());
             folder.write("settings.star", &settings(number, addresses[number], &links));
             region.members.push(Member { folder, address: addresses[number], process: None, links });
@@ -100,11 +107,11 @@
         let member = &mut self.members[number];
         let settings = member.folder.path().join("settings.star").display().to_string();
         let options = ["--settings", &settings, "--listen", &member.address.to_string()];
-        let started = Forwarder::start_supervised(program(), &member.folder, "127.0.0.1:0", &options);
+        let started = ForwarderProcess::start_supervised(program(), &member.folder, "127.0.0.1:0", &options);
         member.process = Some(started);
     }
 
-    fn process(&self, number: usize) -> &Forwarder {
+    fn process(&self, number: usize) -> &ForwarderProcess {
         &self.members[number].process.as_ref().expect("it runs").0
     }
 
@@ -139,7 +146,10 @@
     fn in_flight_at_kills(&self) -> BTreeSet<String> {
         let out = |at: Instant, kill: &Instant| at <= *kill && *kill - at < UNREAD_ANSWERS;
         let calls = self.partner.calls().into_iter();
-        calls.filter(|call| self.kills.iter().any(|kill| out(call.at, kill))).map(|call| call.txn).collect()
+        calls
+            .filter(|call| self.kills.iter().any(|kill| out(call.received_at, kill)))
+            .map(|call| call.message_id)
+            .collect()
     }
 
     /// A figure of a member's console; 0 where it does not answer.
@@ -166,16 +176,16 @@
     }
 
     /// Sets a fault on the links from the others to a member.
-    fn set_fault_towards(&self, number: usize, fault: Fault) {
+    fn set_fault_towards(&self, number: usize, fault: NetworkFault) {
         self.members
             .iter()
             .filter_map(|member| member.links[number].as_ref())
-            .for_each(|link| link.set(fault));
+            .for_each(|link| link.set_fault(fault));
     }
 
     /// Sets a fault on the links from a member to the others.
-    fn set_fault_from(&self, number: usize, fault: Fault) {
-        self.members[number].links.iter().flatten().for_each(|link| link.set(fault));
+    fn set_fault_from(&self, number: usize, fault: NetworkFault) {
+        self.members[number].links.iter().flatten().for_each(|link| link.set_fault(fault));
     }
 
     /// Clients of these members submit messages of both classes for all destinations, until they are stopped.
@@ -190,7 +200,7 @@
                             return;
                         }
                         let txn = format!("{class}-{number}-{count}");
-                        if hand_in(address, class, &txn, 1 + count % DESTINATIONS) == 202 {
+                        if submit_message(address, class, &txn, 1 + count % DESTINATIONS) == 202 {
                             accepted.lock().expect("no panic").insert(txn, class);
                         }
                         thread::sleep(Duration::from_millis(10));
@@ -205,7 +215,7 @@
     fn calls(&self) -> BTreeMap<String, usize> {
         let mut calls = BTreeMap::new();
         for call in self.partner.calls() {
-            *calls.entry(call.txn).or_default() += 1;
+            *calls.entry(call.message_id).or_default() += 1;
         }
         calls
     }
@@ -216,7 +226,7 @@
         self.clients.drain(..).for_each(|client| client.join().expect("a client"));
         let accepted = self.accepted.lock().expect("no panic").clone();
         let unanswered = |region: &Region| {
-            let (calls, notices) = (region.calls(), region.platform.notices());
+            let (calls, notices) = (region.calls(), region.platform.notifications());
             accepted.keys().filter(|txn| !calls.contains_key(*txn) && !notices.contains_key(*txn)).count()
         };
         let mut open = accepted.len();
@@ -228,7 +238,7 @@
         let idle =
             |number| self.figure(number, "concurrent") == 0 && self.figure(number, "owners_members") > 0;
         wait("no forwarder has any message", || (0..self.members.len()).all(idle));
-        let (calls, notices) = (self.calls(), self.platform.notices());
+        let (calls, notices) = (self.calls(), self.platform.notifications());
         let repeated: Vec<_> =
             calls.iter().filter(|(txn, count)| txn.starts_with("orders") && **count > 1).collect();
         assert!(repeated.is_empty(), "not idempotent, and called twice: {repeated:?}");
@@ -310,10 +320,10 @@
     region.start_load(&[0, 1, 2, 3]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
     // The offer and its answer together take longer than the time-out of an offer.
-    region.set_fault_towards(4, Fault::Delay(Duration::from_millis(700)));
+    region.set_fault_towards(4, NetworkFault::Delay(Duration::from_millis(700)));
     wait("answers are missed", || region.sum_of_others(4, "handover_unanswered") > 5);
     wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
-    region.set_fault_towards(4, Fault::Pass);
+    region.set_fault_towards(4, NetworkFault::None);
     let before = region.sum_of_others(4, "handed_over");
     wait("others hand over to it again", || region.sum_of_others(4, "handed_over") > before + 60);
     region.settle();
@@ -325,15 +335,15 @@
     let mut region = Region::start("cut", 5);
     region.start_load(&[0, 1, 2, 3, 4]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
-    for fault in [Fault::Blackhole, Fault::Partition] {
+    for fault in [NetworkFault::Blackhole, NetworkFault::Partition] {
         let before = region.sum_of_others(4, "delivered_for_lack_of_owner");
         region.set_fault_towards(4, fault);
         region.set_fault_from(4, fault);
         wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > before + 5);
         wait("it delivers for others", || region.figure(4, "delivered_for_lack_of_owner") > 5);
         let before = region.figure(4, "taken_over");
-        region.set_fault_towards(4, Fault::Pass);
-        region.set_fault_from(4, Fault::Pass);
+        region.set_fault_towards(4, NetworkFault::None);
+        region.set_fault_from(4, NetworkFault::None);
         wait("it takes over again", || region.figure(4, "taken_over") > before + 30);
     }
     region.settle();
