--- a/crates/consul/src/response.rs
+++ b/crates/consul/src/response.rs
@@ -4,7 +4,8 @@
 //! backoff ([`blocking_query`](crate::blocking_query)).
 
 use crate::settings::{Consistency, Settings};
-use hyper::header::{HeaderMap, RETRY_AFTER};
+use hyper::header::HeaderMap;
+use orchidyoke_forwarder::retry_after::retry_after_whole_seconds;
 use serde::Deserialize;
 use std::time::Duration;
 use thiserror::Error;
@@ -40,7 +41,7 @@
             index: text(INDEX_HEADER).map(str::to_owned),
             leaderless: text(KNOWN_LEADER_HEADER) == Some("false"),
             stale_for: last_contact.filter(|age| allows_stale_reads && *age > settings.max_stale),
-            retry_after: text(RETRY_AFTER.as_str()).and_then(|value| value.trim().parse().ok()),
+            retry_after: retry_after_whole_seconds(headers),
         }
     }
 
--- a/crates/forwarder/src/peer_call.rs
+++ b/crates/forwarder/src/peer_call.rs
@@ -4,7 +4,7 @@
 
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::ownership::{HANDOVER_HEADER, OfferOutcome, OutgoingOffer};
-use crate::retry_after::{server_wait_ms, to_micros};
+use crate::retry_after::{retry_after_ms, to_micros};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -215,7 +215,7 @@
     match answer.status() {
         StatusCode::OK | StatusCode::ACCEPTED => OfferOutcome::Accepted,
         status if status == StatusCode::SERVICE_UNAVAILABLE || status.is_client_error() => {
-            let retry_after_ms = server_wait_ms(answer.headers(), SystemTime::now());
+            let retry_after_ms = retry_after_ms(answer.headers(), SystemTime::now());
             OfferOutcome::Rejected(to_micros(retry_after_ms))
         }
         status => OfferOutcome::InDoubt(format!("answered {status}")),
