--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,4 +1,4 @@
-//! The program with Consul as the source of its transport map: real sockets, a stand-in Consul, kills and reloads.
+//! The program with Consul as the source of its endpoint list: real sockets, a fake Consul, kills and reloads.
 
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::certificates::CertificateAuthority;
@@ -16,7 +16,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_orchidyoke");
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < end, "{what} has to come");
@@ -48,16 +48,16 @@
         Site { folder, platform, consul, partner: DestinationServer::new(CapacityModel::default()) }
     }
 
-    /// An endpoint that discovery tells, one that Consul does, and a forwarder that follows discovery.
-    fn with_both(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
+    /// An endpoint listed by discovery, one registered in Consul, and a forwarder that follows discovery.
+    fn start_with_both_sources(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
         let listed = self.partner.open_endpoint();
-        let told = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
+        let list = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
             .to_string();
-        self.platform.publish(&told);
+        self.platform.publish(&list);
         let from_consul = self.register("w1");
         self.folder.write("edge.star", "# nothing yet\n");
         let forwarder = self.start();
-        assert_eq!(self.delivers(&forwarder, "first").endpoint, listed);
+        assert_eq!(self.deliver(&forwarder, "first").endpoint, listed);
         (listed, from_consul, forwarder)
     }
 
@@ -76,39 +76,39 @@
         )
     }
 
-    /// Calls with this message so far.
+    /// The calls with this message so far.
     fn calls(&self, txn: &str) -> Vec<Call> {
         self.partner.calls().into_iter().filter(|call| call.message_id == txn).collect()
     }
 
-    fn delivers(&self, forwarder: &ForwarderProcess, txn: &str) -> Call {
-        // Until the list has come the destination is not known.
-        until("the destination", || forwarder.submit_message("status", txn, 3) == 202);
-        until(txn, || self.calls(txn).iter().any(|call| call.served));
+    /// Submits a message once its destination is known, and waits until a call with it was served; returns its first call.
+    fn deliver(&self, forwarder: &ForwarderProcess, txn: &str) -> Call {
+        wait_until("the destination", || forwarder.submit_message("status", txn, 3) == 202);
+        wait_until(txn, || self.calls(txn).iter().any(|call| call.served));
         self.calls(txn)[0].clone()
     }
 }
 
-// Guards against a source that is read and not used.
+// Guards against a source that is configured and not used.
 #[test]
 fn messages_follow_the_endpoints_of_consul() {
     let site = Site::new("consul-serve");
     let first = site.register("w1");
     let forwarder = site.start();
-    assert_eq!(site.delivers(&forwarder, "a").endpoint, first);
+    assert_eq!(site.deliver(&forwarder, "a").endpoint, first);
     let second = site.register("w2");
     let index = site.consul.set_tag("n1", "w1", "draining", true);
-    until("the change", || site.consul.first_answered_at("web", index).is_some());
+    wait_until("the change", || site.consul.first_answered_at("web", index).is_some());
     std::thread::sleep(Duration::from_millis(250));
     for number in 0..20 {
         let txn = format!("m{number}");
-        assert_eq!(site.delivers(&forwarder, &txn).endpoint, second);
+        assert_eq!(site.deliver(&forwarder, &txn).endpoint, second);
     }
     assert_eq!(forwarder.submit_message("status", "x", 4), 422, "no service stands for this destination");
-    assert_eq!(site.platform.watch_count(), 0, "discovery is not followed beside it");
+    assert_eq!(site.platform.watch_count(), 0, "discovery is not followed as well");
 }
 
-// Guards against an endpoint that is dialled though it lies where none may lie.
+// Guards against dialling an endpoint outside the allowed networks.
 #[test]
 fn endpoint_outside_the_networks_is_never_dialled() {
     let site = Site::new("consul-outside");
@@ -116,60 +116,60 @@
     site.consul.register(Instance::new("web", "n9", "out", outside));
     site.register("w1");
     let forwarder = site.start();
-    site.delivers(&forwarder, "a");
-    let line = forwarder.wait_for_log("n9/out", PATIENCE).expect("told once");
+    site.deliver(&forwarder, "a");
+    let line = forwarder.wait_for_log("n9/out", PATIENCE).expect("logged");
     assert!(line.contains("outside the networks"), "{line}");
     for number in 0..30 {
-        site.delivers(&forwarder, &format!("m{number}"));
+        site.deliver(&forwarder, &format!("m{number}"));
     }
     let log: Vec<String> = forwarder.log.try_iter().collect();
     assert!(log.iter().all(|line| !line.contains("192.0.2.1")), "{log:?}");
 }
 
-// Guards against a list that a restart forgets while Consul is away, and against a message lost or repeated by a kill.
+// Guards against a list lost by a restart while Consul is down, and against a message lost or repeated by a kill.
 #[test]
 fn endpoint_list_survives_a_kill_during_a_consul_outage() {
     let site = Site::new("consul-kill");
     site.register("w1");
     let first = site.start();
-    site.delivers(&first, "a");
+    site.deliver(&first, "a");
     site.consul.set_fault(ConsulFault::Down);
-    first.wait_for_log("without a valid response", PATIENCE).expect("told");
-    site.delivers(&first, "b");
+    first.wait_for_log("without a valid response", PATIENCE).expect("logged");
+    site.deliver(&first, "b");
     site.partner.set_mode(Mode::Hang);
     assert_eq!(first.submit_message("orders", "order", 3), 202);
-    until("the call", || !site.calls("order").is_empty());
+    wait_until("the call", || !site.calls("order").is_empty());
     first.kill();
     site.partner.set_mode(Mode::Serve);
     let second = site.start();
-    site.delivers(&second, "c");
-    until("the order's end", || site.platform.notifications().contains_key("order"));
+    site.deliver(&second, "c");
+    wait_until("the order's end", || site.platform.notifications().contains_key("order"));
     assert_eq!(
         (site.platform.notifications()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
     );
-    second.wait_for_log("without a valid response", PATIENCE).expect("told");
+    second.wait_for_log("without a valid response", PATIENCE).expect("logged");
     site.consul.set_fault(ConsulFault::None);
-    second.wait_for_log("have recovered", PATIENCE).expect("told");
+    second.wait_for_log("have recovered", PATIENCE).expect("logged");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
-    until("the new one", || {
-        site.delivers(&second, &format!("d{}", site.partner.calls().len())).endpoint == next
+    wait_until("the new one", || {
+        site.deliver(&second, &format!("d{}", site.partner.calls().len())).endpoint == next
     });
 }
 
-// Guards against messages lost or repeated as the source changes under load, and against a script taken in part.
+// Guards against messages lost or repeated when the source changes under load, and against a script applied in part.
 #[test]
 fn reload_switches_between_discovery_and_consul_under_load() {
     let site = Site::new("consul-reload");
-    let (listed, from_consul, forwarder) = site.with_both();
+    let (listed, from_consul, forwarder) = site.start_with_both_sources();
     let mut sent = 0;
     let mut load = |site: &Site, count: usize| {
         for _ in 0..count {
             sent += 1;
             assert_eq!(forwarder.submit_message("orders", &format!("o{sent}"), 3), 202);
         }
-        until("their calls", || site.calls(&format!("o{sent}")).iter().any(|call| call.served));
+        wait_until("their calls", || site.calls(&format!("o{sent}")).iter().any(|call| call.served));
         site.calls(&format!("o{sent}"))[0].endpoint
     };
     for bad in ["consul(adresses = [])", "consul(", "def f():\n    return f()\nf()"] {
@@ -181,36 +181,38 @@
     }
     site.folder.write("edge.star", &script(site.consul.address()));
     forwarder.signal("HUP");
-    until("Consul's endpoint", || load(&site, 5) == from_consul);
+    wait_until("Consul's endpoint", || load(&site, 5) == from_consul);
     site.folder.write("edge.star", "# nothing any more\n");
     forwarder.signal("HUP");
-    until("discovery's endpoint", || load(&site, 5) == listed);
-    until("all of them", || (1..=sent).all(|n| site.calls(&format!("o{n}")).iter().any(|call| call.served)));
+    wait_until("discovery's endpoint", || load(&site, 5) == listed);
+    wait_until("all of them", || {
+        (1..=sent).all(|n| site.calls(&format!("o{n}")).iter().any(|call| call.served))
+    });
     assert!((1..=sent).all(|number| site.calls(&format!("o{number}")).len() == 1), "none is repeated");
     assert!(site.platform.notifications().is_empty(), "none is lost: {:?}", site.platform.notifications());
 }
 
-// Guards against a message lost, or one that may have run repeated, when the source changes while hundreds are under way:
-// four clients hand in as fast as they are answered, while the source changes six times and endpoints of both stay up.
+// Guards against a message lost, or one that may have run repeated, when the source changes while hundreds are in flight:
+// four clients submit as fast as they are answered, while the source changes six times and endpoints of both stay up.
 #[test]
 fn repeated_source_switches_under_full_load_lose_and_repeat_nothing() {
     let site = Site::new("consul-swap");
-    let (listed, from_consul, forwarder) = site.with_both();
+    let (listed, from_consul, forwarder) = site.start_with_both_sources();
     let none = "# nothing\n".to_owned();
     let some = script(site.consul.address());
     let over = AtomicBool::new(false);
-    let door = forwarder.address;
-    let taken: Vec<String> = std::thread::scope(|scope| {
+    let address = forwarder.address;
+    let accepted: Vec<String> = std::thread::scope(|scope| {
         let client = |number: usize| {
             let over = &over;
             scope.spawn(move || {
-                let mut taken = Vec::new();
+                let mut accepted = Vec::new();
                 while !over.load(Ordering::Relaxed) {
-                    let txn = format!("t{number}-{}", taken.len());
-                    assert_eq!(submit_message(door, "orders", &txn, 3), 202, "{txn}");
-                    taken.push(txn);
+                    let txn = format!("t{number}-{}", accepted.len());
+                    assert_eq!(submit_message(address, "orders", &txn, 3), 202, "{txn}");
+                    accepted.push(txn);
                 }
-                taken
+                accepted
             })
         };
         let clients: Vec<_> = (0..4).map(client).collect();
@@ -218,7 +220,7 @@
             let before = site.partner.calls().len();
             site.folder.write("edge.star", text);
             forwarder.signal("HUP");
-            until("calls by the new source", || {
+            wait_until("calls by the new source", || {
                 let calls = site.partner.calls();
                 let last = &calls[calls.len().saturating_sub(20)..];
                 calls.len() >= before + 100 && last.iter().all(|call| call.endpoint == source)
@@ -232,17 +234,17 @@
         site.partner.calls().into_iter().for_each(|call| *count.entry(call.message_id).or_default() += 1);
         count
     };
-    until("each message's call", || {
+    wait_until("each message's call", || {
         let count = count();
-        taken.iter().all(|txn| count.contains_key(txn))
+        accepted.iter().all(|txn| count.contains_key(txn))
     });
     let repeated: Vec<_> = count().into_iter().filter(|(_, calls)| *calls > 1).collect();
-    assert!(taken.len() >= 600 && repeated.is_empty(), "of {}: {repeated:?}", taken.len());
+    assert!(accepted.len() >= 600 && repeated.is_empty(), "of {}: {repeated:?}", accepted.len());
     assert!(site.platform.notifications().is_empty(), "none is lost: {:?}", site.platform.notifications());
 }
 
-// Guards against all that has waited being sent at once when maintenance ends: Consul calls the partner well, and it is
-// cold. A forwarder that is told that nothing tips the partner over does so, or the test would show nothing.
+// Guards against sending all waiting messages at once when maintenance ends: Consul reports the partner as passing, but it
+// is cold. A forwarder whose settings say that nothing overloads it sends them all, or the test would show nothing.
 #[test]
 fn end_of_maintenance_starts_the_recovery_ramp() {
     std::thread::scope(|scope| {
@@ -268,17 +270,17 @@
                 site.folder.write("config.json", &text);
                 site.register("w1");
                 let forwarder = site.start();
-                site.delivers(&forwarder, "first");
+                site.deliver(&forwarder, "first");
                 let index = site.consul.set_maintenance("n1", "w1", true);
-                until("the maintenance", || site.consul.first_answered_at("web", index).is_some());
+                wait_until("the maintenance", || site.consul.first_answered_at("web", index).is_some());
                 std::thread::sleep(Duration::from_millis(250));
                 for number in 0..900 {
                     assert_eq!(forwarder.submit_message("status", &format!("m{number}"), 3), 202);
                 }
-                assert_eq!(site.partner.calls().len(), 1, "nothing goes during maintenance");
+                assert_eq!(site.partner.calls().len(), 1, "nothing is sent during maintenance");
                 site.partner.recover();
                 site.consul.set_maintenance("n1", "w1", false);
-                until("what comes of it", || {
+                wait_until("what comes of it", || {
                     let calls = site.partner.calls();
                     !site.partner.collapses().is_empty()
                         || calls.iter().filter(|call| call.served).count() > 600
@@ -289,20 +291,20 @@
     });
 }
 
-// Guards against a partner that calls show to be well and a report calls critical, or the other way round.
+// Guards against a partner whose calls succeed while its health check is critical, or the other way round.
 #[test]
 fn contradicting_health_checks_and_calls_still_end_each_message() {
     let site = Site::new("consul-contradict");
     site.register("w1");
     let forwarder = site.start();
-    site.delivers(&forwarder, "a");
+    site.deliver(&forwarder, "a");
     let index = site.consul.set_status("n1", "w1", "critical");
-    until("the report", || site.consul.first_answered_at("web", index).is_some());
-    site.delivers(&forwarder, "b");
+    wait_until("the report", || site.consul.first_answered_at("web", index).is_some());
+    site.deliver(&forwarder, "b");
     site.partner.set_mode(Mode::Unavailable);
     site.consul.set_status("n1", "w1", "passing");
     assert_eq!(forwarder.submit_message("status", "c", 3), 202);
-    until("its end", || site.platform.notifications().contains_key("c"));
+    wait_until("its end", || site.platform.notifications().contains_key("c"));
     assert_eq!(site.platform.notifications()["c"], ["returned"]);
     assert!(site.calls("c").len() <= 8);
 }
@@ -349,7 +351,7 @@
     }
 }
 
-// Guards against a log that no program can read: each line is an object, with the same words as the text.
+// Guards against a log that no program can read: each line is an object, with the same message as the text form.
 #[test]
 fn json_log_lines_are_objects_with_the_same_message() {
     let site = Site::new("consul-log");
@@ -362,8 +364,8 @@
     assert!(line["timestamp"].is_string() && line["level"] == "INFO");
 }
 
-// Guards against a list that one of Consul's failures and a kill together empty, and against changes that are not taken
-// once it is back.
+// Guards against a list emptied by a fault of Consul together with a kill, and against changes that are not applied after
+// its recovery.
 #[test]
 fn endpoint_list_survives_a_kill_during_any_consul_fault() {
     let mut faults = ConsulFault::without_usable_answer();
@@ -374,24 +376,24 @@
                 let site = Site::new(&format!("consul-fault-{number}"));
                 let first = site.register("w1");
                 let forwarder = site.start();
-                site.delivers(&forwarder, "a");
+                site.deliver(&forwarder, "a");
                 site.consul.set_fault(fault.clone());
                 forwarder.kill();
                 let forwarder = site.start();
-                assert_eq!(site.delivers(&forwarder, "b").endpoint, first, "{fault:?}");
+                assert_eq!(site.deliver(&forwarder, "b").endpoint, first, "{fault:?}");
                 site.consul.set_fault(ConsulFault::None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
-                until("the change", || {
-                    site.delivers(&forwarder, &format!("c{}", site.partner.calls().len())).endpoint == second
+                wait_until("the change", || {
+                    site.deliver(&forwarder, &format!("c{}", site.partner.calls().len())).endpoint == second
                 });
             });
         }
     });
 }
 
-// Guards against a certificate that is trusted though it must not be, and against a list that goes with the trust: a
-// forwarder that starts anew meets it, says why in one line, and goes on with the list that it had.
+// Guards against trust in an invalid certificate, and against a list lost with the trust: a restarted forwarder rejects the
+// certificate, logs the reason in one line, and keeps the list that it had.
 #[test]
 fn invalid_certificate_is_logged_in_one_line_and_the_list_stays() {
     let cases = [
@@ -416,7 +418,7 @@
                 site.folder.write("edge.star", &script(site.consul.address()).replace("networks", &tls));
                 let first = site.register("w1");
                 let forwarder = site.start();
-                assert_eq!(site.delivers(&forwarder, "a").endpoint, first);
+                assert_eq!(site.deliver(&forwarder, "a").endpoint, first);
                 forwarder.kill();
                 let bad = match what {
                     "run-out" => authority.sign("old.dc1.consul", ip, -day),
@@ -425,21 +427,21 @@
                 };
                 site.consul.use_tls(&bad, None);
                 let forwarder = site.start();
-                let line = forwarder.wait_for_log("without a valid response", PATIENCE).expect("told");
+                let line = forwarder.wait_for_log("without a valid response", PATIENCE).expect("logged");
                 assert!(line.contains(why) && line.contains("age_s="), "{line}");
-                assert_eq!(site.delivers(&forwarder, "b").endpoint, first);
+                assert_eq!(site.deliver(&forwarder, "b").endpoint, first);
                 site.consul.use_tls(&good, None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
-                until("the change", || {
-                    site.delivers(&forwarder, &format!("c{}", site.partner.calls().len())).endpoint == second
+                wait_until("the change", || {
+                    site.deliver(&forwarder, &format!("c{}", site.partner.calls().len())).endpoint == second
                 });
             });
         }
     });
 }
 
-// Guards against a kill that forgets what Consul had said of an endpoint: Consul is gone when the forwarder comes back.
+// Guards against a kill that loses the state of an endpoint: Consul is down when the forwarder restarts.
 #[test]
 fn changed_endpoint_stays_out_after_a_kill() {
     let changes =
@@ -451,7 +453,7 @@
                 let out = site.register("w1");
                 site.register("w2");
                 let forwarder = site.start();
-                site.delivers(&forwarder, "a");
+                site.deliver(&forwarder, "a");
                 let index = match what {
                     "draining" => site.consul.set_tag("n1", "w1", "draining", true),
                     "critical" => site.consul.set_status("n1", "w1", "critical"),
@@ -476,45 +478,45 @@
                         site.consul.set_status("n1", "w1", "critical")
                     }
                 };
-                until("the change", || site.consul.first_answered_at("web", index).is_some());
+                wait_until("the change", || site.consul.first_answered_at("web", index).is_some());
                 std::thread::sleep(Duration::from_millis(250));
                 forwarder.kill();
                 site.consul.set_fault(ConsulFault::Down);
                 let forwarder = site.start();
                 for number in 0..20 {
-                    assert_ne!(site.delivers(&forwarder, &format!("m{number}")).endpoint, out, "{what}");
+                    assert_ne!(site.deliver(&forwarder, &format!("m{number}")).endpoint, out, "{what}");
                 }
             });
         }
     });
 }
 
-// Guards against a connection, or a wait, that goes over to whoever has the address next.
+// Guards against a connection or a backoff inherited by the next instance at an address.
 #[test]
 fn new_instance_at_an_old_address_inherits_no_connection_and_no_faults() {
     let site = Site::new("consul-heir");
     let address = site.register("w1");
     let forwarder = site.start();
-    let before = site.delivers(&forwarder, "a").peer;
-    assert_eq!(site.delivers(&forwarder, "b").peer, before, "a connection is kept");
-    for trouble in [false, true] {
-        let (old, new) = if trouble { ("w2", "w3") } else { ("w1", "w2") };
-        let before = site.delivers(&forwarder, &format!("c-{new}")).peer;
-        if trouble {
+    let before = site.deliver(&forwarder, "a").peer;
+    assert_eq!(site.deliver(&forwarder, "b").peer, before, "a connection is kept");
+    for after_faults in [false, true] {
+        let (old, new) = if after_faults { ("w2", "w3") } else { ("w1", "w2") };
+        let before = site.deliver(&forwarder, &format!("c-{new}")).peer;
+        if after_faults {
             site.partner.set_mode(Mode::InternalError);
             (0..6).for_each(|number| {
                 assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
             });
-            until("failures", || {
+            wait_until("failures", || {
                 site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
             });
             site.partner.set_mode(Mode::Serve);
         }
         site.consul.deregister("n1", old);
         let index = site.consul.register(Instance::new("web", "n1", new, address));
-        until("the change", || site.consul.first_answered_at("web", index).is_some());
+        wait_until("the change", || site.consul.first_answered_at("web", index).is_some());
         std::thread::sleep(Duration::from_millis(250));
-        let call = site.delivers(&forwarder, &format!("d-{new}"));
+        let call = site.deliver(&forwarder, &format!("d-{new}"));
         assert!(call.peer != before && call.endpoint == address, "{call:?}");
         assert_eq!(site.calls(&format!("d-{new}")).len(), 1, "the first call is served");
     }
