--- a/crates/config/src/builtins.rs
+++ b/crates/config/src/builtins.rs
@@ -35,7 +35,7 @@
 
 fn requests_of<'a>(evaluator: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Requests> {
     let extra = evaluator.extra.and_then(|extra| extra.downcast_ref());
-    extra.ok_or_else(|| anyhow!("this word has no place here"))
+    extra.ok_or_else(|| anyhow!("this function is not available here"))
 }
 
 /// Reads the arguments of a function into its form and checks it.
@@ -136,7 +136,7 @@
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        request::<ConsulForm>(CONSUL, &fields, eval, "the transport map has one source")
+        request::<ConsulForm>(CONSUL, &fields, eval, "the endpoint list has one source")
     }
 
     /// The owners of destinations: `name` and `region` of this forwarder, `regions` with the zones of each, and `members`.
--- a/crates/config/src/forms.rs
+++ b/crates/config/src/forms.rs
@@ -29,7 +29,7 @@
 pub(crate) fn unknown<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let known: Vec<&str> = known.collect();
     let by_distance = known.iter().map(|other| (strsim::damerau_levenshtein(name, other), *other));
-    // One slip of the pen in four letters, and one more.
+    // One edit for every four letters, and one more.
     let max_distance = 1 + name.len() / 4;
     match by_distance.min().filter(|(distance, _)| *distance <= max_distance) {
         Some((_, nearest)) => format!("there is no {what} {name:?}: is {nearest:?} meant?"),
--- a/crates/config/src/subprocess.rs
+++ b/crates/config/src/subprocess.rs
@@ -69,7 +69,7 @@
     let started = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn();
     let mut child = started
         .map_err(|error| ScriptError::of_file(path, format!("the evaluator does not start: {error}")))?;
-    // Read beside the wait: the process does not end before its output has room.
+    // Read in a thread of its own: the process does not end before its output has room.
     let reader = child.stdout.take().map(|mut stdout| {
         thread::spawn(move || {
             let mut output = Vec::new();
--- a/crates/config/tests/scripts.rs
+++ b/crates/config/tests/scripts.rs
@@ -110,7 +110,7 @@
         run(&mixed).expect_err("mixed").contains("destination 7 is of kind \"refunds\" and of \"pickups\"")
     );
     let twice = format!("{GOOD}\n{}", &GOOD[GOOD.find("consul(").expect("there")..]);
-    assert!(run(&twice).expect_err("twice").contains("the transport map has one source"));
+    assert!(run(&twice).expect_err("twice").contains("the endpoint list has one source"));
 }
 
 // Guards against a script that keeps the forwarder busy, or uses up its memory.
--- a/crates/consul/src/query_schedule.rs
+++ b/crates/consul/src/query_schedule.rs
@@ -30,100 +30,110 @@
     NotBefore(Micros),
 }
 
+/// A service and when it is due; the earliest is the least.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DueService {
+    due_at: Micros,
+    service: usize,
+}
+
 /// The order in which services are read.
 #[derive(Debug)]
 pub struct QuerySchedule {
     /// Services by when they are due, without those in flight.
-    due: BTreeSet<(Micros, usize)>,
+    due: BTreeSet<DueService>,
     /// When each is due, unless it is in flight.
     due_at: Vec<Option<Micros>>,
     /// How early each may be read in an expedited round.
-    earliest: Vec<Micros>,
+    expedited_at: Vec<Micros>,
+    /// In the order of their hints.
     hinted_services: VecDeque<usize>,
     /// The last turn went to a hint.
     last_was_hint: bool,
     /// Hinted at while in flight: the response may be older than the hint.
     hinted_in_flight: BTreeSet<usize>,
-    blocking: bool,
-    round: Micros,
-    expedited_round: Micros,
+    is_blocking: bool,
+    round_us: Micros,
+    expedited_round_us: Micros,
 }
 
 impl QuerySchedule {
     /// A schedule of so many services over so many connections (at least one).
     pub fn new(services: usize, connections: usize) -> Self {
         QuerySchedule {
-            due: (0..services).map(|service| (0, service)).collect(),
+            due: (0..services).map(|service| DueService { due_at: 0, service }).collect(),
             due_at: vec![Some(0); services],
-            earliest: vec![0; services],
+            expedited_at: vec![0; services],
             hinted_services: VecDeque::new(),
             last_was_hint: false,
             hinted_in_flight: BTreeSet::new(),
-            blocking: services <= connections.max(1),
-            round: ROUND_MIN_US.max(services as Micros * QUERY_COST_US * ROUND_COST_DIVISOR),
-            expedited_round: EXPEDITED_ROUND_MIN_US
+            is_blocking: services <= connections.max(1),
+            round_us: ROUND_MIN_US.max(services as Micros * QUERY_COST_US * ROUND_COST_DIVISOR),
+            expedited_round_us: EXPEDITED_ROUND_MIN_US
                 .max(services as Micros * QUERY_COST_US * EXPEDITED_ROUND_COST_DIVISOR),
         }
     }
 
     /// Whether each service has a connection of its own.
     pub fn is_blocking(&self) -> bool {
-        self.blocking
+        self.is_blocking
     }
 
     /// Time in microseconds from one read of a service to the next, where they take turns.
-    pub fn round(&self) -> Micros {
-        self.round
+    pub fn round_us(&self) -> Micros {
+        self.round_us
     }
 
     /// The next read for a connection that is free.
     pub fn next(&mut self, now: Micros) -> NextQuery {
         // Every other turn goes to the services that are due, so that hints without a pause starve none of them.
-        let is_due = self.due.first().is_some_and(|(at, _)| *at <= now);
+        let is_due = self.due.first().is_some_and(|next| next.due_at <= now);
         if (!self.last_was_hint || !is_due)
             && let Some(service) = self.hinted_services.pop_front()
         {
             self.last_was_hint = true;
-            return self.take(service);
+            return self.start(service);
         }
         self.last_was_hint = false;
         match self.due.first().copied() {
-            Some((at, service)) if at <= now => self.take(service),
-            Some((at, _)) => NextQuery::NotBefore(at),
+            Some(next) if next.due_at <= now => self.start(next.service),
+            Some(next) => NextQuery::NotBefore(next.due_at),
             None => NextQuery::NotBefore(Micros::MAX),
         }
     }
 
-    fn take(&mut self, service: usize) -> NextQuery {
+    /// Takes a service out of the schedule until its read has ended.
+    fn start(&mut self, service: usize) -> NextQuery {
         self.hinted_services.retain(|other| *other != service);
-        if let Some(at) = self.due_at[service].take() {
-            self.due.remove(&(at, service));
+        if let Some(due_at) = self.due_at[service].take() {
+            self.due.remove(&DueService { due_at, service });
         }
-        if self.blocking { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
+        if self.is_blocking { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
     }
 
     /// A read has ended; the service may be read again, not before this time. `failed`: there was no response, so it does
     /// not wait for its next round.
     pub fn answered(&mut self, now: Micros, service: usize, not_before: Micros, failed: bool) {
         let was_hinted = self.hinted_in_flight.remove(&service);
-        let waits_a_round = !self.blocking && !failed && !was_hinted;
-        let at = if waits_a_round { not_before.max(now + self.round) } else { not_before };
-        self.earliest[service] = not_before.max(now + self.expedited_round);
-        self.due_at[service] = Some(at);
-        self.due.insert((at, service));
+        let waits_a_round = !self.is_blocking && !failed && !was_hinted;
+        let due_at = if waits_a_round { not_before.max(now + self.round_us) } else { not_before };
+        self.expedited_at[service] = not_before.max(now + self.expedited_round_us);
+        self.due_at[service] = Some(due_at);
+        self.due.insert(DueService { due_at, service });
     }
 
     /// Something has changed in an unknown service: all are read sooner, though not within an expedited round of their
     /// last read.
     pub fn expedite(&mut self) {
-        if self.blocking {
+        if self.is_blocking {
             return;
         }
         for (service, due) in self.due_at.iter_mut().enumerate() {
-            if let Some(at) = due.as_mut().filter(|at| **at > self.earliest[service]) {
-                self.due.remove(&(*at, service));
-                *at = self.earliest[service];
-                self.due.insert((*at, service));
+            let expedited_at = self.expedited_at[service];
+            if let Some(due_at) = due.as_mut().filter(|due_at| **due_at > expedited_at) {
+                self.due.remove(&DueService { due_at: *due_at, service });
+                *due_at = expedited_at;
+                self.due.insert(DueService { due_at: expedited_at, service });
             }
         }
     }
--- a/crates/consul/tests/query_schedule.rs
+++ b/crates/consul/tests/query_schedule.rs
@@ -47,7 +47,7 @@
 #[test]
 fn expedited_round_is_shorter_and_has_a_minimum() {
     let mut schedule = QuerySchedule::new(2000, 4);
-    assert_eq!(schedule.round(), 4 * ROUND_MIN);
+    assert_eq!(schedule.round_us(), 4 * ROUND_MIN);
     while let NextQuery::Immediate(service) = schedule.next(0) {
         schedule.answered(0, service, 0, false);
     }
@@ -69,7 +69,7 @@
         let mut last = vec![0; services];
         let mut out = VecDeque::new();
         let mut now = 0;
-        let end = schedule.round() * 6;
+        let end = schedule.round_us() * 6;
         while now < end {
             now += took * MS;
             (0..hinted.min(services)).for_each(|service| schedule.hint(service));
@@ -82,7 +82,7 @@
             if let Some(service) = out.pop_front() {
                 schedule.answered(now, service, now, false);
             }
-            let bound = 2 * schedule.round() + (services as Micros + 1) * 2 * took * MS;
+            let bound = 2 * schedule.round_us() + (services as Micros + 1) * 2 * took * MS;
             prop_assert!(last.iter().all(|at| now - at <= bound), "starved");
         }
     }
