--- a/crates/experiments/src/policy_epochs.rs
+++ b/crates/experiments/src/policy_epochs.rs
@@ -1,6 +1,6 @@
 //! `policy-epochs`: how long a committed policy takes to be in force on fleets of 10, 100 and 1,000 forwarders, and what
 //! that asks of Consul. The participants are those of the real forwarder, all in one process, each with connections of its
-//! own to a stand-in; nothing but them is emulated.
+//! own to one Consul server.
 
 use crate::error::ExperimentError;
 use crate::options::RunOptions;
@@ -12,90 +12,245 @@
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
 use orchidyoke_forwarder::reload::ConfigSource;
 use orchidyoke_policy_commit::{ConsulParticipant, Coordinator, Settings};
-use serde_json::json;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::sync::mpsc::unbounded_channel;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
 const SIZES: [usize; 3] = [10, 100, 1_000];
 /// Changes made at each size.
 const CHANGES: usize = 5;
-const TTL: Duration = Duration::from_secs(10);
-/// The bound that is stated: a forwarder that has not heard of a commit by then says that it is cut off.
-const BOUND: Duration = Duration::from_millis(6_667);
-/// How long all may take.
-const PATIENCE: Duration = Duration::from_secs(20);
+const MEMBER_TTL: Duration = Duration::from_secs(10);
+/// A forwarder that has not heard of a commit by then reports that it is disconnected.
+const IN_FORCE_BOUND: Duration = Duration::from_millis(6_667);
+/// How long a change may take to be in force on all forwarders.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long all forwarders may take to appear at the commit point.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
-/// For how long the fleet is looked at while nothing changes.
-const IDLE: Duration = Duration::from_secs(5);
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long requests are counted while nothing changes.
+const IDLE_FOR: Duration = Duration::from_secs(5);
 
 /// What one change showed.
-struct Seen {
+struct ChangeOutcome {
+    /// From the proposal until all have voted and it is committed.
     prepared_ms: f64,
+    /// From the commit until it is in force on the first forwarder.
     first_ms: f64,
+    /// From the commit until it is in force on the last forwarder.
     last_ms: f64,
-    questions: u64,
+    consul_requests: u64,
 }
 
-struct Size {
+/// What one size of the fleet showed.
+struct SizeOutcome {
     forwarders: usize,
-    idle: f64,
-    changes: Vec<Seen>,
+    /// Requests to Consul a second while nothing changes.
+    idle_requests_per_second: f64,
+    changes: Vec<ChangeOutcome>,
 }
 
-/// Runs it.
-pub fn run(run: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
-    let most = usize::try_from(run.seeds).unwrap_or(CHANGES).min(CHANGES);
-    let mut sizes = Vec::new();
-    // Sabotage shows at the smallest fleet what it would show at all.
-    for forwarders in SIZES.into_iter().take(if run.sabotage { 1 } else { SIZES.len() }) {
+/// Runs it. Sabotage: one forwarder is disconnected from Consul before the change; only the smallest size is run.
+pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
+    let changes = usize::try_from(options.seeds).unwrap_or(CHANGES).min(CHANGES);
+    let sizes = if options.sabotage { &SIZES[..1] } else { &SIZES[..] };
+    let mut outcomes = Vec::new();
+    for forwarders in sizes {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(ExperimentError::Runtime)?;
-        sizes.push(LocalSet::new().block_on(&runtime, one(forwarders, most, run.sabotage))?);
+        let measured = measure(*forwarders, changes, options.sabotage);
+        outcomes.push(LocalSet::new().block_on(&runtime, measured)?);
         eprintln!("policy-epochs: {forwarders} forwarders done");
     }
-    let mut broken = Vec::new();
-    let mut rows = Vec::new();
-    for size in &sizes {
-        for (number, seen) in size.changes.iter().enumerate() {
-            if seen.last_ms > BOUND.as_secs_f64() * 1000.0 {
-                broken.push(format!(
-                    "{} forwarders, change {}: in force everywhere after {:.0} ms, over the bound of {} ms",
-                    size.forwarders,
-                    number + 1,
-                    seen.last_ms,
-                    BOUND.as_millis()
-                ));
-            }
-            rows.push(vec![
-                size.forwarders.to_string(),
-                (number + 1).to_string(),
-                format!("{:.1}", seen.prepared_ms),
-                format!("{:.1}", seen.first_ms),
-                format!("{:.1}", seen.last_ms),
-                seen.questions.to_string(),
-                format!("{:.1}", size.idle),
-            ]);
+    Ok(report(&outcomes))
+}
+
+/// Participants of a fleet, and the coordinator, with a Consul of their own.
+struct PolicyFleet {
+    consul: ConsulServer,
+    coordinator: Coordinator,
+    /// The proxy between the first forwarder and Consul under sabotage.
+    link: FaultProxy,
+    /// When each forwarder put a policy in force.
+    in_force: UnboundedReceiver<Instant>,
+    size: usize,
+    /// The configuration that all read.
+    _base: TemporaryFolder,
+    _runtime: ServerRuntime,
+}
+
+fn commit_point(address: SocketAddr) -> Settings {
+    let consul =
+        orchidyoke_consul::Settings { addresses: vec![address], ..orchidyoke_consul::Settings::default() };
+    Settings { consul, prefix: "experiment".to_owned(), name: None, ttl: MEMBER_TTL }
+}
+
+/// Runs a participant until the runtime ends, and reports each policy that it puts in force.
+async fn participate(
+    commit_point: Settings,
+    name: String,
+    source: Rc<ConfigSource>,
+    in_force: UnboundedSender<Instant>,
+) {
+    let folder = TemporaryFolder::new(&format!("experiment-policy-{name}"));
+    let participant = ConsulParticipant::new(commit_point, &name, folder.path());
+    let (inputs, mut received) = unbounded_channel();
+    participant.join(&source).await;
+    let follow = spawn_local(participant.clone().follow(source, inputs));
+    while let Some(input) = received.recv().await {
+        if matches!(input, Input::ConfigReloaded(_)) {
+            // The receiver is gone only when the experiment ends.
+            let _ = in_force.send(Instant::now());
+        }
+    }
+    follow.abort();
+}
+
+impl PolicyFleet {
+    /// Starts the participants, and waits until all have joined. With `sabotage` the first one is behind the link.
+    async fn start(size: usize, sabotage: bool) -> Result<Self, ExperimentError> {
+        let consul = ConsulServer::start();
+        let runtime = ServerRuntime::new();
+        let link = FaultProxy::start(&runtime, unused_loopback_address(), consul.address());
+        let base = TemporaryFolder::new(&format!("experiment-policy-{size}"));
+        let config = base.write("config.json", &ForwarderConfig::new(unused_discovery()).text());
+        let (in_force_sender, in_force) = unbounded_channel();
+        for number in 0..size {
+            let behind_link = sabotage && number == 0;
+            let address = if behind_link { link.address } else { consul.address() };
+            let source = Rc::new(ConfigSource { path: config.clone(), ..ConfigSource::default() });
+            let name = format!("f{number}");
+            spawn_local(participate(commit_point(address), name, source, in_force_sender.clone()));
+        }
+        let coordinator = Coordinator::new(commit_point(consul.address()));
+        let mut fleet =
+            PolicyFleet { consul, coordinator, link, in_force, size, _base: base, _runtime: runtime };
+        let joined = fleet.wait_for_members(|members| members >= size);
+        tokio::time::timeout(JOIN_TIMEOUT, joined)
+            .await
+            .map_err(|_| ExperimentError::MembersMissing { members: size, timeout: JOIN_TIMEOUT })?;
+        Ok(fleet)
+    }
+
+    async fn wait_for_members(&mut self, enough: impl Fn(usize) -> bool) {
+        while !enough(self.coordinator.status().await.map_or(0, |fleet| fleet.members.len())) {
+            sleep(MEMBERS_POLL_INTERVAL).await;
+        }
+    }
+
+    async fn idle_requests_per_second(&self) -> f64 {
+        let before = self.consul.request_count();
+        sleep(IDLE_FOR).await;
+        (self.consul.request_count() - before) as f64 / IDLE_FOR.as_secs_f64()
+    }
+
+    /// Proposes a policy that differs from others by its number, and waits until it is in force on all.
+    async fn change(&mut self, number: usize) -> Result<ChangeOutcome, ExperimentError> {
+        let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + number}}}).to_string();
+        let requests_before = self.consul.request_count();
+        let proposed_at = Instant::now();
+        self.coordinator
+            .propose(&policy, "experiment", CHANGE_TIMEOUT)
+            .await
+            .map_err(|error| ExperimentError::NotCommitted(error.to_string()))?;
+        let committed = self
+            .coordinator
+            .last_commit()
+            .ok_or_else(|| ExperimentError::NotCommitted("the coordinator has seen no commit".to_owned()))?;
+        // A forwarder that has not put it in force by then counts with the whole time-out.
+        let deadline = committed + CHANGE_TIMEOUT;
+        let mut times = Vec::new();
+        while times.len() < self.size {
+            let at = tokio::time::timeout_at(deadline, self.in_force.recv()).await;
+            times.push(at.ok().flatten().unwrap_or(deadline.into_std()));
         }
+        times.sort();
+        let committed = committed.into_std();
+        let since_commit_ms = |at: Instant| at.saturating_duration_since(committed).as_secs_f64() * 1000.0;
+        Ok(ChangeOutcome {
+            prepared_ms: committed.duration_since(proposed_at).as_secs_f64() * 1000.0,
+            first_ms: since_commit_ms(times[0]),
+            last_ms: since_commit_ms(times[times.len() - 1]),
+            consul_requests: self.consul.request_count() - requests_before,
+        })
+    }
+}
+
+async fn measure(forwarders: usize, changes: usize, sabotage: bool) -> Result<SizeOutcome, ExperimentError> {
+    let mut fleet = PolicyFleet::start(forwarders, sabotage).await?;
+    let idle_requests_per_second = fleet.idle_requests_per_second().await;
+    let mut outcomes = Vec::new();
+    for number in 0..changes {
+        if sabotage {
+            fleet.link.set_fault(NetworkFault::Partition);
+            // The change begins once Consul has removed the disconnected member.
+            fleet.wait_for_members(|members| members < forwarders).await;
+        }
+        outcomes.push(fleet.change(number).await?);
     }
-    let line = |name: &str, value: fn(&Seen) -> f64| ChartSeries {
-        name: name.to_owned(),
-        points: sizes
-            .iter()
-            .map(|size| {
-                let most = size.changes.iter().map(value).fold(0.0, f64::max);
-                ((size.forwarders as f64).log10(), most)
-            })
-            .collect(),
-    };
-    let json = json!({"experiment": "policy-epochs", "sizes": sizes.iter().map(|size| json!({
-        "forwarders": size.forwarders, "idle_questions_a_second": size.idle,
-        "last_ms_most": size.changes.iter().map(|s| s.last_ms).fold(0.0, f64::max),
-        "prepared_ms_most": size.changes.iter().map(|s| s.prepared_ms).fold(0.0, f64::max)})).collect::<Vec<_>>()});
-    Ok(ExperimentReport {
+    Ok(SizeOutcome { forwarders, idle_requests_per_second, changes: outcomes })
+}
+
+/// An address at which nothing listens: these participants do not ask discovery.
+fn unused_discovery() -> SocketAddr {
+    (unused_loopback_address(), 9).into()
+}
+
+impl SizeOutcome {
+    fn most(&self, value: impl Fn(&ChangeOutcome) -> f64) -> f64 {
+        self.changes.iter().map(value).fold(0.0, f64::max)
+    }
+
+    fn rows(&self) -> Vec<Vec<String>> {
+        let row = |(number, change): (usize, &ChangeOutcome)| {
+            vec![
+                self.forwarders.to_string(),
+                (number + 1).to_string(),
+                format!("{:.1}", change.prepared_ms),
+                format!("{:.1}", change.first_ms),
+                format!("{:.1}", change.last_ms),
+                change.consul_requests.to_string(),
+                format!("{:.1}", self.idle_requests_per_second),
+            ]
+        };
+        self.changes.iter().enumerate().map(row).collect()
+    }
+
+    fn violations(&self) -> Vec<String> {
+        let bound_ms = IN_FORCE_BOUND.as_millis();
+        let late =
+            |(_, change): &(usize, &ChangeOutcome)| change.last_ms > IN_FORCE_BOUND.as_secs_f64() * 1000.0;
+        let violation = |(number, change): (usize, &ChangeOutcome)| {
+            format!(
+                "{} forwarders, change {}: in force everywhere after {:.0} ms, over the bound of {bound_ms} ms",
+                self.forwarders,
+                number + 1,
+                change.last_ms,
+            )
+        };
+        self.changes.iter().enumerate().filter(late).map(violation).collect()
+    }
+
+    fn json(&self) -> Value {
+        json!({"forwarders": self.forwarders, "idle_questions_a_second": self.idle_requests_per_second,
+            "last_ms_most": self.most(|change| change.last_ms),
+            "prepared_ms_most": self.most(|change| change.prepared_ms)})
+    }
+}
+
+fn series(name: &str, outcomes: &[SizeOutcome], value: fn(&ChangeOutcome) -> f64) -> ChartSeries {
+    let point = |outcome: &SizeOutcome| ((outcome.forwarders as f64).log10(), outcome.most(value));
+    ChartSeries { name: name.to_owned(), points: outcomes.iter().map(point).collect() }
+}
+
+fn report(outcomes: &[SizeOutcome]) -> ExperimentReport {
+    let prepared = "from the proposal until all have voted and it is committed";
+    let in_force = "from the commit until it is in force on the last";
+    let sizes: Vec<Value> = outcomes.iter().map(SizeOutcome::json).collect();
+    ExperimentReport {
         columns: vec![
             "forwarders",
             "change",
@@ -105,107 +260,17 @@
             "questions",
             "idle questions/s",
         ],
-        rows,
+        rows: outcomes.iter().flat_map(SizeOutcome::rows).collect(),
         chart: Chart {
             title: "A policy epoch: prepared by all, in force on the last".to_owned(),
             x_label: "forwarders, power of ten".to_owned(),
             y_label: "ms, slowest of the changes".to_owned(),
             series: vec![
-                line("from the proposal until all have voted and it is committed", |s| s.prepared_ms),
-                line("from the commit until it is in force on the last", |s| s.last_ms),
+                series(prepared, outcomes, |change| change.prepared_ms),
+                series(in_force, outcomes, |change| change.last_ms),
             ],
         },
-        violations: broken,
-        json,
-    })
-}
-
-async fn one(forwarders: usize, changes: usize, sabotage: bool) -> Result<Size, ExperimentError> {
-    let (consul, stage) = (ConsulServer::start(), ServerRuntime::new());
-    let path = FaultProxy::start(&stage, unused_loopback_address(), consul.address());
-    let settings = |address| Settings {
-        consul: orchidyoke_consul::Settings {
-            addresses: vec![address],
-            ..orchidyoke_consul::Settings::default()
-        },
-        prefix: "lab".to_owned(),
-        name: None,
-        ttl: TTL,
-    };
-    let base = TemporaryFolder::new(&format!("lab-policy-{forwarders}"));
-    let config = base.write("config.json", &ForwarderConfig::new(loopback_at()).text());
-    let (took, mut taken) = unbounded_channel();
-    // Sabotage: one forwarder is cut off, and given up by Consul, before the change.
-    for number in 0..forwarders {
-        let late = sabotage && number == 0;
-        let at = if late { path.address } else { consul.address() };
-        let folder = TemporaryFolder::new(&format!("lab-policy-{forwarders}-{number}"));
-        let participant = ConsulParticipant::new(settings(at), &format!("f{number}"), folder.path());
-        let source = Rc::new(ConfigSource { path: config.clone(), ..ConfigSource::default() });
-        let (inputs, mut came) = unbounded_channel();
-        let took = took.clone();
-        spawn_local(async move {
-            participant.join(&source).await;
-            let follow = spawn_local(participant.clone().follow(source, inputs));
-            while let Some(input) = came.recv().await {
-                if matches!(input, Input::ConfigReloaded(_)) {
-                    // The receiver is gone only when the experiment ends.
-                    let _ = took.send(Instant::now());
-                }
-            }
-            follow.abort();
-            drop(folder);
-        });
+        violations: outcomes.iter().flat_map(SizeOutcome::violations).collect(),
+        json: json!({"experiment": "policy-epochs", "sizes": sizes}),
     }
-    let mut coordinator = Coordinator::new(settings(consul.address()));
-    let all_there = async {
-        while coordinator.status().await.map_or(0, |fleet| fleet.members.len()) < forwarders {
-            sleep(Duration::from_millis(100)).await;
-        }
-    };
-    tokio::time::timeout(JOIN_TIMEOUT, all_there)
-        .await
-        .map_err(|_| ExperimentError::MembersMissing { members: forwarders, timeout: JOIN_TIMEOUT })?;
-    let before = consul.request_count();
-    sleep(IDLE).await;
-    let idle = (consul.request_count() - before) as f64 / IDLE.as_secs_f64();
-    let mut seen = Vec::new();
-    for change in 0..changes {
-        if sabotage {
-            path.set_fault(NetworkFault::Partition);
-            while coordinator.status().await.map_or(0, |fleet| fleet.members.len()) >= forwarders {
-                sleep(Duration::from_millis(100)).await;
-            }
-        }
-        let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + change}}}).to_string();
-        let (before, began) = (consul.request_count(), Instant::now());
-        coordinator
-            .propose(&policy, "lab", PATIENCE)
-            .await
-            .map_err(|error| ExperimentError::NotCommitted(error.to_string()))?;
-        let committed = coordinator
-            .last_commit()
-            .ok_or_else(|| ExperimentError::NotCommitted("the proposer has seen no commit".to_owned()))?;
-        // One that has not taken it by then is told as having taken as long.
-        let until = committed + PATIENCE;
-        let mut times = Vec::new();
-        while times.len() < forwarders {
-            let at = tokio::time::timeout_at(until, taken.recv()).await;
-            times.push(at.ok().flatten().unwrap_or(until.into_std()));
-        }
-        times.sort();
-        let ms = |at: Instant| at.saturating_duration_since(committed.into_std()).as_secs_f64() * 1000.0;
-        seen.push(Seen {
-            prepared_ms: committed.into_std().duration_since(began).as_secs_f64() * 1000.0,
-            first_ms: ms(times[0]),
-            last_ms: ms(times[times.len() - 1]),
-            questions: consul.request_count() - before,
-        });
-    }
-    Ok(Size { forwarders, idle, changes: seen })
-}
-
-/// An address at which nobody answers: no forwarder here asks discovery.
-fn loopback_at() -> std::net::SocketAddr {
-    (unused_loopback_address(), 9).into()
 }
