--- a/crates/forwarder/src/client_listener.rs
+++ b/crates/forwarder/src/client_listener.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections until the forwarder shuts down, within the limit on open connections.
 //!
-//! [`client_connections`](crate::client_connections) holds what is open, [`client_connection`](crate::client_connection)
+//! [`client_connections`](crate::client_connections) holds what is open, `client_connection`
 //! serves one.
 
 use crate::client_api::ClientGateway;
--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -62,7 +62,7 @@
     }
 
     /// Open client connections: at most half of the descriptors, and no more than endpoints, the console and
-    /// [`RESERVED_DESCRIPTORS`] leave, so that clients cannot starve those.
+    /// `RESERVED_DESCRIPTORS` leave, so that clients cannot starve those.
     pub fn max_client_connections(&self, max_calls: usize, max_console_connections: usize) -> usize {
         let endpoint_connections = self.max_endpoint_connections(max_calls);
         let others = endpoint_connections + max_console_connections + RESERVED_DESCRIPTORS;
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -3,6 +3,8 @@
 //! [`reducer`] makes every change of state, on what [`input`] says has happened; the other modules read, write and
 //! report to it.
 
+#![deny(missing_docs)]
+
 pub mod backoff;
 pub mod catalogue;
 pub mod client_api;
--- a/crates/forwarder/src/log.rs
+++ b/crates/forwarder/src/log.rs
@@ -1,6 +1,6 @@
 //! The log: lines on standard error, at a bounded rate. All lines have the level INFO; see `docs/operate/on-call.md`.
 //!
-//! A line is an event in plain terms, and then its subject and figures as `key=value`. It goes through [`log!`](crate::log).
+//! A line is an event in plain terms, and then its subject and figures as `key=value`. It goes through [`log!`](crate::log!).
 
 use std::fmt;
 use std::sync::Mutex;
@@ -36,7 +36,7 @@
     }
 }
 
-/// The number of lines dropped since the last one, if a line may be written now. For [`log!`](crate::log).
+/// The number of lines dropped since the last one, if a line may be written now. For [`log!`](crate::log!).
 pub fn permit() -> Option<u64> {
     BUCKET.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take(Instant::now())
 }
@@ -63,7 +63,7 @@
     });
 }
 
-/// Writes a line. For [`log!`](crate::log), which bounds the rate.
+/// Writes a line. For [`log!`](crate::log!), which bounds the rate.
 pub fn line(text: fmt::Arguments<'_>) {
     tracing::info!(target: "orchidyoke", "{text}");
 }
