--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -16,6 +16,7 @@
 mod phases;
 mod process;
 mod proposer;
+mod reporting;
 mod rules;
 mod scenario;
 mod stand_in;
--- a/crates/experiments/src/capacity/control/child.rs
+++ b/crates/experiments/src/capacity/control/child.rs
@@ -1,6 +1,6 @@
 //! A child process of the experiment: reads its role and its requests, and reports.
 
-use super::messages::{Report, Request, Role};
+use super::messages::{Request, Role};
 use super::{hollow, stand_in};
 use std::io::{BufRead, stdin};
 use std::thread;
@@ -28,13 +28,6 @@
     Ok(())
 }
 
-/// Writes a report. A reader that is gone is noticed by the end of standard input.
-pub fn report(report: &Report) {
-    if let Ok(line) = serde_json::to_string(report) {
-        println!("{line}");
-    }
-}
-
 /// The requests, in order; they end with standard input.
 fn requests() -> UnboundedReceiver<Request> {
     let (sender, requests) = unbounded_channel();
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -1,8 +1,8 @@
 //! Hollow forwarders: the policy agent, the membership and the lease manager of several, with their own sockets and
 //! files, and no traffic.
 
-use super::child::report;
 use super::messages::{InForce, MembersRole, Report, Request, clock};
+use super::reporting::report;
 use orchidyoke_consul::Settings as ConsulSettings;
 use orchidyoke_consul::locks::LockClient;
 use orchidyoke_forwarder::input::Input;
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -3,8 +3,8 @@
 //! It has two links, to the commit point and to the duties of its region, each a fault proxy that counts bytes, and the
 //! stores that are kept in its zone.
 
-use super::child::report;
 use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
+use super::reporting::report;
 use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
