--- a/crates/experiments/tests/budget.rs
+++ b/crates/experiments/tests/budget.rs
@@ -43,7 +43,7 @@
 
 // Guards against an experiment whose children, or theirs, go uncounted.
 #[test]
-fn children_and_theirs_are_counted() {
+fn usage_includes_all_descendants() {
     let waiting = Waiting::start();
     let own = std::process::id();
     let family = || process::family(own).expect("a list of processes");
@@ -57,7 +57,7 @@
 
 // Guards against a stop that comes only after the step that goes over.
 #[test]
-fn the_next_step_is_held_against_the_budget() {
+fn budget_check_includes_the_next_step() {
     let budget = Budget::of_this_machine().expect("a machine");
     let used = budget.check().expect("within it");
     assert!(used.resident > 0 && used.processes >= 1 && used.descriptors >= 3, "{used:?}");
@@ -74,7 +74,7 @@
 
 // Guards against a clock that counts ticks, or another process's time.
 #[test]
-fn processor_time_is_that_of_the_process() {
+fn processor_time_is_of_the_named_process() {
     let waiting = Waiting::start();
     let own = || process::processor_time(std::process::id()).expect("this process");
     let (before, begin) = (own(), Instant::now());
--- a/crates/experiments/tests/capacity.rs
+++ b/crates/experiments/tests/capacity.rs
@@ -5,20 +5,20 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
+const EXPERIMENTS: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
 
-/// The forwarder that was built beside the lab. A test of the whole workspace builds it; a test of this package alone
+/// The forwarder that was built beside the experiments. A test of the whole workspace builds it; a test of this package alone
 /// takes the last one that was built.
 fn forwarder() -> PathBuf {
-    let program = Path::new(LAB).with_file_name("orchidyoke");
+    let program = Path::new(EXPERIMENTS).with_file_name("orchidyoke");
     assert!(program.is_file(), "{}: build it first (cargo build)", program.display());
     program
 }
 
 fn run(options: &[&str]) -> Output {
-    let mut command = Command::new(LAB);
+    let mut command = Command::new(EXPERIMENTS);
     command.args(["run", "capacity-forwarder", "--quick", "--program"]).arg(forwarder());
-    command.args(options).output().expect("the lab runs")
+    command.args(options).output().expect("the experiments run")
 }
 
 /// The JSON line, which is the last.
@@ -36,7 +36,7 @@
 // Guards against a cost that grows by the square of a list, or with the list where it should not, and against figures
 // that are left out.
 #[test]
-fn the_aims_are_held_at_small_sizes() {
+fn cost_objectives_hold_at_small_sizes() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-test-{}", std::process::id()));
     let output = run(&["--out", &folder.display().to_string()]);
     let told = told(&output);
@@ -57,7 +57,7 @@
 
 // Guards against a check that nothing fails: the list is read again with every message.
 #[test]
-fn a_message_that_costs_more_with_a_longer_list_is_found() {
+fn message_cost_that_grows_with_the_list_misses_its_objective() {
     let output = run(&["--sabotage"]);
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let aims = aims(&told(&output));
@@ -66,7 +66,7 @@
 
 // Guards against an experiment that goes on where it may not, or ends without a word.
 #[test]
-fn too_little_memory_stops_it_with_a_plain_error() {
+fn too_small_memory_budget_stops_the_run_with_one_error() {
     let output = run(&["--memory-mb", "10"]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     let error = String::from_utf8_lossy(&output.stderr);
--- a/crates/experiments/tests/capacity_control.rs
+++ b/crates/experiments/tests/capacity_control.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
-const LAB: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
+const EXPERIMENTS: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
 
 fn quick(more: &[&str]) -> Output {
     let arguments = ["run", "capacity-control", "--quick"];
-    Command::new(LAB).args(arguments).args(more).output().expect("the lab starts")
+    Command::new(EXPERIMENTS).args(arguments).args(more).output().expect("the experiments start")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -33,7 +33,7 @@
 
 // Guards against control whose work for a change or at rest grows with the fleet, and against a run that measures nothing.
 #[test]
-fn the_work_of_a_forwarder_does_not_grow_with_the_fleet() {
+fn work_of_a_forwarder_is_independent_of_the_fleet_size() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-control-{}", std::process::id()));
     let output = quick(&["--seed", "7", "--out", folder.to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(0), "{}{}", text(&output.stdout), text(&output.stderr));
@@ -58,7 +58,7 @@
 
 // Guards against rules that hold whatever is done: each forwarder that reads all of the others must break one.
 #[test]
-fn a_fleet_whose_members_read_each_other_breaks_a_rule() {
+fn fleet_whose_members_read_each_other_violates_a_rule() {
     let output = quick(&["--sabotage"]);
     assert_eq!(output.status.code(), Some(1), "{}{}", text(&output.stdout), text(&output.stderr));
     let text = text(&output.stdout);
@@ -68,22 +68,22 @@
 
 // Guards against an experiment that takes more of the machine than it may, or fails halfway for want of it.
 #[test]
-fn it_stops_before_it_goes_over_what_it_may_use() {
+fn run_stops_before_it_exceeds_its_budget() {
     let script = "ulimit -n 80; exec \"$0\" run capacity-control --quick";
-    let output = Command::new("sh").args(["-c", script, LAB]).output().expect("a shell");
+    let output = Command::new("sh").args(["-c", script, EXPERIMENTS]).output().expect("a shell");
     assert_eq!(output.status.code(), Some(2), "{}", text(&output.stdout));
     let error = text(&output.stderr);
     assert!(error.contains("over the budget") && error.contains("descriptors"), "{error}");
 }
 
 #[test]
-fn a_child_without_a_role_says_so() {
-    let child = Command::new(LAB)
+fn child_without_a_role_exits_with_an_error() {
+    let child = Command::new(EXPERIMENTS)
         .arg("capacity-child")
         .stdin(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the lab starts");
+        .expect("the experiments start");
     writeln!(child.stdin.as_ref().expect("a pipe"), "{{}}").expect("written");
     let output = child.wait_with_output().expect("it ends");
     assert_eq!(output.status.code(), Some(2));
--- a/crates/experiments/tests/fit.rs
+++ b/crates/experiments/tests/fit.rs
@@ -17,7 +17,7 @@
 
 // Guards against a slope that depends on where the line begins, or on the sign of either.
 #[test]
-fn points_on_a_line_give_that_line() {
+fn points_on_a_line_fit_that_line() {
     for (slope, intercept) in [(0.002, 7.0), (-3.0, 1e6), (1600.0, -5.0), (0.0, 4.0)] {
         let fit = line(&points(|x| intercept + slope * x)).expect("five places");
         assert!(close(fit.slope, slope) && close(fit.intercept, intercept), "{fit:?}");
@@ -28,7 +28,7 @@
 
 // Guards against a fit that calls anything a line. The figures are those of a fit done by hand: x 0 to 3, y 0, 2, 1, 3.
 #[test]
-fn points_beside_a_line_show_how_far() {
+fn points_beside_a_line_lower_r_squared() {
     let fit = line(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]).expect("four places");
     assert!(close(fit.slope, 0.8) && close(fit.intercept, 0.3), "{fit:?}");
     assert!(close(fit.r_squared, 0.64) && close(fit.residual, 0.45f64.sqrt()), "{fit:?}");
@@ -36,7 +36,7 @@
 
 // Guards against a cost by the square that passes for one in proportion.
 #[test]
-fn the_exponent_tells_a_square_from_a_proportion() {
+fn growth_exponent_separates_quadratic_from_linear() {
     let exponent = |of: fn(f64) -> f64| growth_exponent(&points(of)).expect("five places");
     assert!(close(exponent(|x| 5.0 * x), 1.0));
     assert!(close(exponent(|x| 1e-7 * x * x), 2.0));
@@ -45,7 +45,7 @@
 
 // Guards against a line drawn through one point.
 #[test]
-fn one_place_has_no_line() {
+fn points_at_one_x_have_no_line() {
     assert_eq!(line(&[]), None);
     assert_eq!(line(&[(5.0, 1.0)]), None);
     assert_eq!(line(&[(5.0, 1.0), (5.0, 2.0)]), None);
--- a/crates/experiments/tests/guard.rs
+++ b/crates/experiments/tests/guard.rs
@@ -17,7 +17,7 @@
 
 // Guards against an experiment that goes on over its budget while it waits for something.
 #[test]
-fn what_goes_over_the_budget_is_ended() {
+fn guard_kills_children_over_the_budget() {
     let machine = Budget::of_this_machine().expect("a machine");
     let mut child = Command::new("sleep").arg("60").spawn().expect("a child");
     let guard = Guard::start(machine);
@@ -34,7 +34,7 @@
 
 // Guards against a figure of what was used that stays at nothing.
 #[test]
-fn what_was_used_is_told() {
+fn guard_reports_the_highest_usage() {
     let guard = Guard::start(Budget::of_this_machine().expect("a machine"));
     let until = Instant::now() + Duration::from_secs(30);
     while guard.highest().resident == 0 {
