--- a/tests/sim.rs
+++ b/tests/simulator.rs
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn an_empty_batch_is_acknowledged_and_the_end_of_input_is_no_error() {
+fn empty_batch_is_acknowledged_and_end_of_input_is_no_error() {
     let out = run("BATCH sim_time_us=8412250 serial=1\nEND\n");
     assert_eq!(text(&out.stdout), "ACK serial=1\n");
     assert!(out.status.success() && out.stderr.is_empty());
 }
 
 #[test]
-fn a_message_is_sent_and_its_outcome_taken() {
+fn rejected_message_is_sent_again_after_its_retry_after() {
     let input = format!(
         "BATCH sim_time_us=1000 serial=1\n{}{}END\nBATCH serial=2 sim_time_us=200000\n\
          DONE forwarder_id=3 id=m1 copy=0 target=10.0.0.1:80 result=2 cost_time_us=5 hold_ms=400\nEND\n\
@@ -58,11 +58,11 @@
         lines[sends[0]].contains("forwarder_id=3 id=m1") && lines[sends[0]].contains("target=10.0.0.1:80")
     );
     let second = lines.iter().position(|l| *l == "ACK serial=2").expect("the second reply");
-    assert!(sends[0] < second && second < sends[1], "the wait of 400 ms is kept");
+    assert!(sends[0] < second && second < sends[1], "the Retry-After of 400 ms is heeded");
 }
 
 #[test]
-fn sheets_are_reused_within_a_batch_and_instances_restart_in_it() {
+fn retired_instance_is_forgotten_and_its_sheet_reused_in_one_batch() {
     let input = format!(
         "BATCH sim_time_us=1000 serial=1\n{}CENSUS sheet=0 nodes_list=1\n\
          TARGET target=10.0.0.2:80 dc=a model=plain destination=3 state=on\n\
@@ -74,14 +74,14 @@
     );
     let out = run(&input);
     let reply = text(&out.stdout);
-    assert!(!reply.contains("id=old"), "a dead life is forgotten: {reply}");
+    assert!(!reply.contains("id=old"), "a retired incarnation is forgotten: {reply}");
     assert!(reply.contains("id=new") && reply.contains("target=10.0.0.1:80"), "{reply}");
     let input = input.replace("RETIRE forwarder_id=1\n", "");
     assert!(run(&input).status.success());
 }
 
 #[test]
-fn a_large_batch_gets_one_reply() {
+fn large_batch_gets_one_reply() {
     let mut input = format!("BATCH sim_time_us=1000 serial=1\n{}", hello(1));
     for n in 0..5000 {
         input.push_str(&work(1, &format!("m{n}")));
@@ -91,11 +91,11 @@
     assert!(out.status.success());
     let reply = text(&out.stdout);
     assert_eq!(reply.matches("ACK").count(), 1);
-    assert!(reply.matches("SHED").count() >= 4950, "more than max_open cannot be held");
+    assert!(reply.matches("SHED").count() >= 4950, "more than max_open cannot be queued");
 }
 
 #[test]
-fn malformed_input_is_named_plainly() {
+fn malformed_line_is_reported_with_its_number_and_field() {
     let start = format!("BATCH sim_time_us=1000 serial=1\n{}", hello(1));
     let cases = [
         (
