--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -47,7 +47,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The journal cannot be opened.
-    #[error("{}: {source}", .folder.display())]
+    #[error("cannot open the journal in {}: {source}", .folder.display())]
     Journal {
         /// Its folder.
         folder: PathBuf,
@@ -55,7 +55,7 @@
         source: JournalError,
     },
     /// An address of the configuration cannot be listened at.
-    #[error("{address}: {source}")]
+    #[error("cannot listen at {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
