--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,7 +1,8 @@
 //! Decides when queued messages are shed for lack of capacity, and what a rejected client is told.
 //!
-//! A message is rejected, or failed where `retry` does not allow a rejection, for one of three reasons: it is shed (here),
-//! its time is up (`timeouts`), or it may not be attempted again (`retry`: attempts, idempotency key).
+//! The controller rejects a message, or fails it where `retry` does not allow a rejection, for one of three reasons: it is
+//! shed (here), its time is up (`timeouts`), or it may not be attempted again (`retry`: attempts, idempotency key). The
+//! forwarder rejects others before the controller sees them, as when its journal has no room.
 //!
 //! Inputs are the limit on open messages and their number, and for the Retry-After the state of the destination's routes.
 //! The limit itself rejects new messages unseen, so a part of it is kept free by shedding the message with the lowest
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -53,8 +53,9 @@
         Controller { settings, rng: SeededRng::new(seed), ..Controller::default() }
     }
 
-    /// Routes that are ejected, failing or warming up, for [`Event::RouteState`] after a restart: messages that waited for
-    /// them would else overload a cold destination.
+    /// Routes that are ejected, failing with errors or warming up, for [`Event::RouteState`] after a restart: messages that
+    /// waited for them would else overload a cold destination. The limit on calls to faulty routes has another rule: a
+    /// route that is only warming up is here and not bound by it, one that is only slow or rejecting is bound and not here.
     pub fn faulty_routes(&self) -> BTreeSet<FaultyRouteId> {
         self.schedule.faulty_routes.clone()
     }
@@ -74,7 +75,7 @@
         &self.rng
     }
 
-    /// Whether nothing but trial calls goes to an endpoint now.
+    /// Whether nothing but trial calls goes to an endpoint now; so for an endpoint that is not in the list.
     pub fn is_avoided(&self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return true };
         let is_ejected = self.routes[endpoint.route].health == RouteHealth::Ejected;
@@ -97,6 +98,7 @@
 
     fn on_event(&mut self, event: &Event) {
         match event {
+            // The tenant has no effect: there is no rule for messages over a quota.
             Event::Message { id, destination, class, order_key, time_left, is_retry, .. } => {
                 let class = self.settings.classes.get(*class).cloned().unwrap_or_default();
                 let message = self.new_message(*destination, class, *order_key, *time_left, *is_retry);
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,4 +1,5 @@
-//! The interface of the controller: settings, events and actions. No logic lives here.
+//! The interface of the controller: settings, events and actions. No logic lives here. Some of them have no effect: their
+//! doc comments say so.
 //!
 //! Classes, tenants, zones and kinds are numbers: places in the lists of [`Settings`]. Messages, endpoints and
 //! order keys are numbers that the forwarder chooses. A number with no place in the settings is legal in an
@@ -133,11 +134,12 @@
     pub classes: Vec<Class>,
     /// Kinds of destinations.
     pub kinds: Vec<DestinationKind>,
-    /// Messages a second within its share, for each tenant, over all forwarders.
+    /// Messages a second within its share, for each tenant, over all forwarders. Has no effect: the controller has no rule
+    /// for quotas.
     pub tenant_quotas: Vec<f64>,
-    /// Share of its weight that a message over its tenant's quota keeps.
+    /// Share of its weight that a message over its tenant's quota keeps. Has no effect.
     pub over_quota_weight: f64,
-    /// How the weight decreases after the latency objective.
+    /// How the weight decreases after the latency objective. Has no effect: `queue` orders late messages by their lateness.
     pub decay: WeightDecay,
     /// Calls in flight at once (call slots).
     pub max_calls: usize,
@@ -145,7 +147,7 @@
     pub max_open_messages: usize,
     /// Attempts for one message; 0 means any number.
     pub max_attempts: u32,
-    /// A message may have two attempts in flight.
+    /// A message may have two attempts in flight. Has no effect: the controller never hedges.
     pub allow_hedging: bool,
     /// Attempts may be cancelled.
     pub allow_cancel: bool,
@@ -167,15 +169,18 @@
     pub zone_costs: Vec<f64>,
     /// What the capacity hints mean.
     pub capacity_hints: CapacityHints,
-    /// How changes of the endpoint list arrive.
+    /// How changes of the endpoint list arrive; for [`poll_schedule`](crate::poll_schedule), not the controller.
     pub discovery_mode: DiscoveryMode,
     /// Least time between two steps.
     pub tick: Micros,
-    /// A final answer counts until this long after the deadline.
+    /// A final answer counts until this long after the deadline. Has no effect: the controller answers
+    /// before the deadline.
     pub final_answer_grace: Micros,
-    /// Without a subscription the list has to be polled within this time; 0 means never.
+    /// Without a subscription the list has to be polled within this time; 0 means never. For
+    /// [`poll_schedule`](crate::poll_schedule), not the controller.
     pub max_poll_interval: Micros,
-    /// Sends to a draining endpoint must stop within this time.
+    /// Sends to a draining endpoint must stop within this time. The controller stops at once; the forwarder starts
+    /// its subscriptions within it.
     pub drain_grace: Micros,
     /// A cold destination is overloaded by more than this multiple of its present capacity ...
     pub overload_factor: f64,
@@ -270,15 +275,16 @@
     Rejected,
     /// No answer in time; may have been executed.
     Timeout,
-    /// No connection was made; not executed.
+    /// The call was not delivered, as where no connection was made; not executed.
     ConnectFailed,
     /// The connection broke; may have been executed.
     Reset,
-    /// An unreadable answer, or a reused connection that closed during the call; may have been executed.
+    /// An unreadable answer, or a reused connection that closed during the call; may have been executed. Neither says much of
+    /// the endpoint by itself, so the first few in a row push nothing back.
     InvalidResponse,
     /// Cancelled; may have been executed.
     Cancelled,
-    /// Not sent.
+    /// Not sent, or answered in a way that says the call was not executed and nothing of the endpoint's health.
     NotSent,
 }
 
@@ -314,7 +320,7 @@
         destination: DestinationId,
         /// Its class.
         class: usize,
-        /// Its tenant.
+        /// Its tenant; has no effect.
         tenant: usize,
         /// Its order key, where its class keeps an order; an idempotency key is no concern of the controller.
         order_key: Option<u64>,
@@ -357,7 +363,7 @@
     },
     /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The response to an attempt has started; the attempt belongs to the client from now on.
+    /// The response to an attempt has started; the attempt belongs to the client from now on. Ignored.
     ResponseStarted {
         /// The message.
         id: MessageId,
@@ -376,14 +382,14 @@
         /// The entries.
         entries: Vec<EndpointUpdate>,
     },
-    /// A health check has ended.
+    /// A health check has ended. Ignored: results come with the endpoint list.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// Gossip from another forwarder.
+    /// Gossip from another forwarder. Ignored.
     Gossip {
         /// Its number.
         from: u32,
@@ -430,31 +436,31 @@
         /// Its number.
         token: u64,
     },
-    /// Subscribe to changes of the list, or stop.
+    /// Subscribe to changes of the list, or stop. The controller never asks for it.
     Watch {
         /// Subscribe.
         on: bool,
     },
-    /// Request the whole list once.
+    /// Request the whole list once. The controller never asks for it.
     PollList,
-    /// Send a health check to an endpoint.
+    /// Send a health check to an endpoint. The controller never asks for it.
     HealthCheck {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Close idle connections to an endpoint.
+    /// Close idle connections to an endpoint. The controller never asks for it.
     CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send gossip to one forwarder, or to all.
+    /// Send gossip to one forwarder, or to all. The controller never asks for it.
     Gossip {
         /// Its number; `None`: all.
         to: Option<u32>,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// A line for the forwarder's log.
+    /// A line for the forwarder's log. The controller never writes one.
     Log {
         /// The line.
         text: String,
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -101,7 +101,8 @@
         self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()))
     }
 
-    /// Failing or slow: ejected, failing repeatedly, or with a call overdue.
+    /// Failing or slow: ejected, failing repeatedly, or with a call overdue. Bounds its calls; what a later process has to
+    /// know is [`Self::needs_recovery`].
     pub fn is_faulty(&self) -> bool {
         let traffic = self.traffic();
         self.health == RouteHealth::Ejected || traffic.failures.is_failing_repeatedly() || traffic.overdue > 0
@@ -174,7 +175,8 @@
         self.retry_after_until.max(traffic.backoff.until()).max(budget_at).max(paced_at).max(now)
     }
 
-    /// Not later than the moment from which [`Self::opens_at`] differs by time alone; none where it stays.
+    /// Earliest time at which [`Self::opens_at`] can change without an event; may be too early, never too late. None where
+    /// it stays.
     pub fn changes_at(&self, now: Micros, settings: &Settings) -> Option<Micros> {
         let traffic = self.traffic();
         let rate = self.paced_rate(settings);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -7,10 +7,11 @@
 };
 use serde::Deserialize;
 
-/// The settings JSON.
+/// The settings JSON. Where its name is another, a field's comment has that of the field in [`Settings`] or [`Class`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Options {
+    /// `zone`, by its name.
     az: String,
     classes: Vec<WireClass>,
     costs: Costs,
@@ -18,11 +19,14 @@
     fleet_size: u32,
     host_types: Vec<String>,
     limits: Limits,
+    /// `over_quota_weight`.
     over_share_worth: f64,
+    /// `discovery_mode`.
     registry_mode: String,
     rules: Rules,
     tenants: Vec<Tenant>,
     tick_us: i64,
+    /// `capacity_hints`.
     weights: String,
     zones: Vec<String>,
 }
@@ -31,14 +35,19 @@
 struct WireClass {
     name: String,
     effect: WireEffect,
+    /// `latency_objective`.
     on_time_us: i64,
+    /// `deadline`.
     hard_limit_us: i64,
+    /// `priority_weight`.
     #[serde(default)]
     credit: f64,
     #[serde(default)]
     late_share: f64,
+    /// `scope` of the idempotency key.
     #[serde(default)]
     group: String,
+    /// `window` of the idempotency key.
     #[serde(default)]
     window_us: i64,
     #[serde(default)]
@@ -48,8 +57,11 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum WireEffect {
+    /// Idempotent.
     Retryable,
+    /// With an idempotency key.
     Dedup,
+    /// Not idempotent.
     Fragile,
 }
 
@@ -64,36 +76,53 @@
 #[serde(default)]
 struct Family {
     batch_by_kind: Vec<usize>,
+    /// `separate_routes`, for each kind.
     own_limits: Vec<bool>,
+    /// `decay`.
     loses_worth: String,
+    /// `max_calls`.
     slots: usize,
+    /// `zone_costs`.
     toll: Vec<f64>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Limits {
+    /// `connect_timeout`.
     dial_timeout_us: i64,
+    /// `idle_timeout`.
     idle_close_us: i64,
     max_open: usize,
     max_retry_after_us: i64,
+    /// `allow_cancel`.
     may_cancel: bool,
+    /// `streams_per_connection`.
     multiplex: usize,
     retry_after: bool,
+    /// `allow_hedging`.
     second_copies: bool,
+    /// `max_attempts`.
     try_limit: u32,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Rules {
+    /// `final_answer_grace`.
     answer_slack_us: i64,
+    /// `max_poll_interval`.
     ask_every_us: i64,
+    /// `cold_capacity_share`.
     cold_from: f64,
     drain_grace_us: i64,
+    /// `overload_factor`.
     fall_multiple: f64,
+    /// `overload_window`.
     tip_after_us: i64,
+    /// `warm_up_time`.
     warm_within_us: i64,
+    /// `key_cooldown`.
     key_quiet_us: i64,
 }
 
@@ -121,7 +150,8 @@
 ///
 /// # Errors
 ///
-/// The text is not JSON, or a field has another type.
+/// The text is not JSON, or a field has another type. Unknown words are no error: they mean linear decay
+/// (`loses_worth`), no capacity hints (`weights`), push (`registry_mode`) and the scope of one endpoint (`group`).
 pub fn read(text: &str) -> Result<(Settings, Names), serde_json::Error> {
     let mut options: Options = serde_json::from_str(text)?;
     let zone = options.own_zone();
