--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -52,8 +52,11 @@
         if !is_telling || !(is_further_attempt || call.is_stalled) {
             return;
         }
-        let succeeded = result.outcome == Outcome::Success;
-        self.stalls.record(if is_further_attempt { call.is_overdue } else { succeeded });
+        // A further attempt that is overdue as well shows that its message takes long; a stalled call that succeeds after
+        // all shows the same.
+        let was_slow_message =
+            if is_further_attempt { call.is_overdue } else { result.outcome == Outcome::Success };
+        self.stalls.record(was_slow_message);
     }
 
     /// Nothing goes to a route during its Retry-After, whatever the outcome it came with. That of a destination holds for
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -11,7 +11,7 @@
 struct OutageThreshold {
     /// Failures with no success between.
     consecutive_failures: u32,
-    /// Time since the last success.
+    /// Time since the last success; a route that has never succeeded counts as without one for longer than any such time.
     no_success_for_us: Micros,
 }
 
@@ -24,6 +24,9 @@
 /// Where all calls were rejected by a paced route: one that is over its limit rejects many calls as well.
 const OUTAGE_AFTER_PACED_REJECTIONS: OutageThreshold =
     OutageThreshold { consecutive_failures: 8, no_success_for_us: 6_000_000 };
+/// Where all calls were rejected by a route of unknown capacity: from here on the return of a fleet is a ramp.
+const RETURN_RAMP_AFTER_REJECTIONS: OutageThreshold =
+    OutageThreshold { consecutive_failures: 8, no_success_for_us: 6_000_000 };
 /// Consecutive failures that make a route faulty.
 const FAULTY_AFTER_FAILURES: u32 = 2;
 /// Consecutive unreadable answers of an endpoint from which on each counts as a failure.
@@ -126,12 +129,12 @@
         self.exceeds(threshold, now)
     }
 
-    /// Whether nothing but rejections came for so long that the route was down. A fleet that was rejected all at once and
-    /// then backed off sees no later rejection that would show it; where the capacity is known or there is no fleet,
-    /// the share of it holds back enough.
+    /// Whether nothing but rejections came for so long that the route was down, without having been ejected. A fleet that was
+    /// rejected all at once backs off, so no later rejection shows the outage, and its forwarders would return at once. With
+    /// a known capacity each keeps to its share of that, and a single forwarder has no others to return with it.
     pub fn was_rejection_outage(&self, now: Micros, fleet_size: u32, is_capacity_known: bool) -> bool {
         let is_unbounded = fleet_size > 1 && !is_capacity_known;
-        is_unbounded && !self.has_errors && self.exceeds(OUTAGE_AFTER_PACED_REJECTIONS, now)
+        is_unbounded && !self.has_errors && self.exceeds(RETURN_RAMP_AFTER_REJECTIONS, now)
     }
 
     /// Whether failures follow on each other.
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -25,7 +25,7 @@
 const HALF_SPREAD_FLEET_SIZE: f64 = 16.0;
 /// Growth of the span from which the next call is drawn.
 const SPAN_GROWTH: f64 = 2.0;
-/// Bounds of the part of the capacity that the span keeps to.
+/// Least and greatest share of the full capacity that the drawn calls of the whole fleet may add up to.
 const MIN_SPAN_CAPACITY: f64 = 0.1;
 const MAX_SPAN_CAPACITY: f64 = 1.0;
 /// Guards against a share of nothing, in calls a second.
@@ -76,7 +76,8 @@
     max_attempts == 0 || attempts < max_attempts
 }
 
-/// Whether a message may be rejected: a client that sends it again does no harm.
+/// Whether a message may be rejected: a client that sends it again does no harm. It is asked where a message would be shed
+/// or ends undelivered; [`is_endpoint_allowed`] and [`resendable_until`] are asked before an attempt.
 pub(crate) fn may_be_rejected(
     idempotency: Idempotency,
     possible: Option<PossibleDelivery>,
@@ -154,9 +155,10 @@
     pub fn new(share: f64, is_paced: bool, settings: &Settings) -> Self {
         let lifetimes = settings.classes.iter().map(|class| class.deadline);
         let longest_lifetime_us = lifetimes.fold(MIN_BACKOFF_US, Micros::max) as f64;
-        // The first span is half of this, the later ones keep to the budget of slow start.
-        let cold = BUDGET_USE * SPAN_GROWTH * settings.overload_factor * settings.cold_capacity_share;
-        let capacity = cold.clamp(MIN_SPAN_CAPACITY, MAX_SPAN_CAPACITY);
+        // The factor `SPAN_GROWTH` halves the first span; from the second on the spans keep to the budget of slow start.
+        let cold_budget_share =
+            BUDGET_USE * SPAN_GROWTH * settings.overload_factor * settings.cold_capacity_share;
+        let capacity = cold_budget_share.clamp(MIN_SPAN_CAPACITY, MAX_SPAN_CAPACITY);
         let least_us = (SECOND_US / capacity / share.max(MIN_SHARE)).min(longest_lifetime_us);
         let most_us = if is_paced {
             MAX_PACED_SPAN_FACTOR * least_us
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -9,6 +9,7 @@
 use crate::interface::{Micros, Settings};
 use crate::outlier_detection::RouteHealth;
 use crate::rng::SeededRng;
+use crate::traffic::ROUNDING_US;
 use std::collections::VecDeque;
 
 const SECOND_US: f64 = 1_000_000.0;
@@ -16,7 +17,7 @@
 pub(crate) const BUDGET_USE: f64 = 0.8;
 /// Draws in one `overload_window` where the budget is below one call.
 const DRAWS_PER_WINDOW: Micros = 2;
-/// Messages of a batch that count as a further call.
+/// A batch counts as a further call for every so many messages: 5 messages count as 2 calls.
 const MESSAGES_PER_EXTRA_CALL: usize = 5;
 
 /// Present capacity as a share of the full one; none where the budget does not apply. `is_failing` says that failures came
@@ -110,9 +111,14 @@
         }
     }
 
-    /// Not later than the moment from which [`Self::opens_at`] differs by time alone. While `budget_varies` (without a
-    /// failure the forwarder's share follows the time) the budget may fall at any moment, but what opens it then is the next
-    /// draw or the end of a call's window. `grows_at` is when the ramp allows a further call.
+    /// Earliest time at which [`Self::opens_at`] can change without an event; it may be too early, never too late:
+    ///
+    /// - the next draw, for a budget below one call;
+    /// - the end of the window of a recent call, for a budget of one call or more;
+    /// - `grows_at`, when the ramp allows a further call.
+    ///
+    /// With `budget_varies` (without a failure the forwarder's share follows the time) the budget may cross one call at any
+    /// moment, so that both of the first two count.
     pub fn changes_at(
         &self,
         budget: f64,
@@ -139,7 +145,7 @@
     }
     // A rounding error must not make it later.
     let most = settings.warm_up_time as f64;
-    (ramp_part * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2
+    (ramp_part * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - ROUNDING_US
 }
 
 #[cfg(test)]
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -12,8 +12,8 @@
 const TOKEN_TOLERANCE: f64 = 1e-6;
 /// Least rate in tokens a second: one near nothing fills a bucket in days, not never.
 const MIN_FILL_RATE: f64 = 1e-6;
-/// Added where a moment must not be later than that of a computation which rounds differently.
-const ROUNDING_US: Micros = 2;
+/// Taken off where a moment must not be later than that of a computation which rounds differently.
+pub(crate) const ROUNDING_US: Micros = 2;
 
 /// Estimates a rate from events counted since a moment; after a minute half of them is forgotten.
 #[derive(Debug, Default)]
