--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -56,7 +56,7 @@
     /// Routes that are ejected, failing with errors or warming up, for [`Event::RouteState`] after a restart: messages that
     /// waited for them would else overload a cold destination. The limit on calls to faulty routes has another rule: a
     /// route that is only warming up is here and not bound by it, one that is only slow or rejecting is bound and not here.
-    pub fn faulty_routes(&self) -> BTreeSet<FaultyRouteId> {
+    pub fn faulty_routes(&self) -> BTreeSet<RouteRef> {
         self.schedule.faulty_routes.clone()
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Whether nothing but trial calls goes to an endpoint now; so for an endpoint that is not in the list.
-    pub fn is_avoided(&self, id: EndpointId) -> bool {
+    pub fn gets_no_regular_calls(&self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return true };
         let is_ejected = self.routes[endpoint.route].health == RouteHealth::Ejected;
         !endpoint.accepts_calls || endpoint.is_excluded || is_ejected
@@ -107,8 +107,8 @@
             Event::AttemptHistory { id, attempts, possible_delivery } => {
                 self.on_attempt_history(*id, *attempts, *possible_delivery);
             }
-            Event::RouteState { destination, endpoint, ejected, retry_after } => {
-                self.on_route_state(*destination, *endpoint, *ejected, *retry_after);
+            Event::RouteState { destination, endpoint, begins_cold, retry_after } => {
+                self.on_route_state(*destination, *endpoint, *begins_cold, *retry_after);
             }
             Event::Settings(settings) => {
                 self.settings = (**settings).clone();
--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -116,7 +116,7 @@
         &mut self,
         id: DestinationId,
         endpoint: Option<EndpointId>,
-        is_ejected: bool,
+        begins_cold: bool,
         retry_after: Micros,
     ) {
         let endpoints = self.destinations.get(&id).map_or(&[][..], |destination| &destination.endpoints);
@@ -129,7 +129,7 @@
         }
         for id in routes {
             let route = &mut self.routes[id];
-            if is_ejected {
+            if begins_cold {
                 route.health = RouteHealth::Ejected;
             }
             let until = retry::retry_after_until(self.now, retry_after);
@@ -190,7 +190,7 @@
         if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
             destination.endpoints.retain(|other| *other != id);
         }
-        let route = FaultyRouteId { destination: endpoint.destination, endpoint: Some(id) };
+        let route = RouteRef { destination: endpoint.destination, endpoint: Some(id) };
         self.schedule.set_faulty(route, false);
         self.schedule.changed.push(endpoint.destination);
     }
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -2,14 +2,14 @@
 
 use super::Controller;
 use crate::endpoint::Destination;
-use crate::interface::{DestinationId, FaultyRouteId, Micros};
+use crate::interface::{DestinationId, Micros, RouteRef};
 use crate::outlier_detection::RouteHealth;
 use crate::route::RouteId;
 use crate::waiting_index::Wait;
 
 /// A route of a destination, as it is named outside.
 struct NamedRoute {
-    id: FaultyRouteId,
+    id: RouteRef,
     route: Option<RouteId>,
 }
 
@@ -77,13 +77,11 @@
     fn named_routes(&self, id: DestinationId, destination: &Destination) -> Vec<NamedRoute> {
         let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let separate = endpoints.map(|(endpoint_id, endpoint)| NamedRoute {
-            id: FaultyRouteId { destination: id, endpoint: Some(endpoint_id) },
+            id: RouteRef { destination: id, endpoint: Some(endpoint_id) },
             route: Some(endpoint.route).filter(|_| endpoint.kind.separate_routes),
         });
-        let shared = NamedRoute {
-            id: FaultyRouteId { destination: id, endpoint: None },
-            route: destination.shared_route,
-        };
+        let shared =
+            NamedRoute { id: RouteRef { destination: id, endpoint: None }, route: destination.shared_route };
         separate.chain([shared]).collect()
     }
 
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -111,13 +111,14 @@
     /// A success ends the failures of a route; after an outage it starts the ramp.
     fn end_failures(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
-        let is_cold = route.present_capacity(self.now, &self.settings).is_some();
+        let is_capacity_reduced = route.present_capacity(self.now, &self.settings).is_some();
         let is_capacity_known = route.even_share(&self.settings).is_some();
         let failures = &route.traffic().failures;
         let was_rejection_outage =
             failures.was_rejection_outage(self.now, self.settings.fleet_size, is_capacity_known);
         let has_failed = failures.span.is_some();
-        let starts_ramp = slow_start::starts_ramp(route.health, is_cold, has_failed, was_rejection_outage);
+        let starts_ramp =
+            slow_start::starts_ramp(route.health, is_capacity_reduced, has_failed, was_rejection_outage);
         let traffic = route.traffic_mut();
         traffic.latency.reset_timeouts();
         let first_failure_at = traffic.failures.reset(self.now).unwrap_or(self.now);
@@ -181,11 +182,11 @@
         let RouteTraffic { backoff, failures, .. } = route.traffic_mut();
         match pause {
             Pause::None => {}
-            Pause::Span => {
+            Pause::DrawnFromSpan => {
                 let bounds = SpanBounds::new(share, is_paced, settings);
                 backoff.back_off_below_one_call(self.now, bounds, &mut self.rng);
             }
-            Pause::Exponential => {
+            Pause::Backoff => {
                 let count = failures.consecutive_failures;
                 backoff.back_off(self.now, count, retry_after, settings.fleet_size, &mut self.rng);
             }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -10,15 +10,17 @@
 
 /// Microseconds: a point on the forwarder's clock, or a span.
 pub type Micros = i64;
+/// Microseconds in a second, for rates in calls a second.
+pub(crate) const SECOND_US: f64 = 1_000_000.0;
 /// A message, numbered by the forwarder; a number is not used again.
 pub type MessageId = u64;
 /// An endpoint, numbered by the forwarder.
 pub type EndpointId = u32;
 /// A destination.
 pub type DestinationId = u64;
-/// A route: a destination, or one endpoint of it where its endpoints are separate routes.
+/// A route by the numbers of this interface: a destination, or one endpoint of it where its endpoints are separate routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct FaultyRouteId {
+pub struct RouteRef {
     /// The destination.
     pub destination: DestinationId,
     /// The endpoint, where it is a separate route.
@@ -338,14 +340,16 @@
         /// The first attempt that may have been executed.
         possible_delivery: Option<PriorAttempt>,
     },
-    /// State of a destination known from an earlier process of this forwarder, or set by an operator.
+    /// State of a destination known from an earlier process of this forwarder, set by an operator, or new to this forwarder
+    /// as its owner.
     RouteState {
         /// Its number.
         destination: DestinationId,
         /// The endpoint that it is about, where its endpoints are separate routes; none: all of them.
         endpoint: Option<EndpointId>,
-        /// It is ejected (see [`faulty_routes`](crate::Controller::faulty_routes)), or comes back cold.
-        ejected: bool,
+        /// Its routes start as after an outage: they get trial calls, and after a success a ramp. Otherwise they stay as
+        /// they are.
+        begins_cold: bool,
         /// What is left of its Retry-After; 0: none.
         retry_after: Micros,
     },
--- a/crates/core/src/pacing.rs
+++ b/crates/core/src/pacing.rs
@@ -4,11 +4,10 @@
 //! limit. Calls then take tokens from a bucket that fills at a multiple of the forwarder's even share of the limit.
 //! Rejections lower the multiple and time raises it. The unit is calls a second.
 
-use crate::interface::{Micros, Settings};
+use crate::interface::{Micros, SECOND_US, Settings};
 use crate::rng::SeededRng;
 use crate::traffic::TokenBucket;
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Decrease of the multiple with a rejection.
 const MULTIPLE_DECREASE: f64 = 0.6;
 /// Least multiple of the even share.
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -5,13 +5,12 @@
 //! again, so it is given only where that does no harm; a failure promises nothing. Times are in microseconds.
 
 use crate::interface::{
-    Class, DeduplicationScope, EndpointId, Idempotency, Micros, Outcome, Settings, UNKNOWN_ZONE,
+    Class, DeduplicationScope, EndpointId, Idempotency, Micros, Outcome, SECOND_US, Settings, UNKNOWN_ZONE,
 };
 use crate::rng::SeededRng;
 use crate::slow_start::BUDGET_USE;
 use crate::timeouts::SCHEDULING_MARGIN_US;
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Longest time that a report from outside may set: no sum of a few such times overflows.
 pub(crate) const MAX_REPORTED_US: Micros = 1_000_000_000_000;
 /// First backoff of a route after a failure; it doubles with each consecutive failure.
@@ -122,10 +121,10 @@
 pub(crate) enum Pause {
     /// Not at all: a time-out was a pause already.
     None,
-    /// The next call is drawn from a span, as a window below one call.
-    Span,
-    /// For the Retry-After, or for an exponential backoff.
-    Exponential,
+    /// Until a time drawn from a span that doubles: the window is at its floor.
+    DrawnFromSpan,
+    /// For the Retry-After that came with the failure, or else for an exponential backoff.
+    Backoff,
 }
 
 /// The pause after a failure. With the window at its floor, only a span can hold a fleet back: at once if the call was not
@@ -135,9 +134,9 @@
     if outcome == Outcome::Timeout {
         Pause::None
     } else if was_window_at_floor && (was_not_executed || is_failing_repeatedly) {
-        Pause::Span
+        Pause::DrawnFromSpan
     } else {
-        Pause::Exponential
+        Pause::Backoff
     }
 }
 
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -161,16 +161,16 @@
 
 #[test]
 fn failure_at_the_window_floor_pauses_over_a_span() {
-    assert_eq!(pause_after(Outcome::Rejected, true, false), Pause::Span);
-    assert_eq!(pause_after(Outcome::ConnectFailed, true, false), Pause::Span);
-    assert_eq!(pause_after(Outcome::Error, true, false), Pause::Exponential, "the first one may be chance");
-    assert_eq!(pause_after(Outcome::Error, true, true), Pause::Span);
+    assert_eq!(pause_after(Outcome::Rejected, true, false), Pause::DrawnFromSpan);
+    assert_eq!(pause_after(Outcome::ConnectFailed, true, false), Pause::DrawnFromSpan);
+    assert_eq!(pause_after(Outcome::Error, true, false), Pause::Backoff, "the first one may be chance");
+    assert_eq!(pause_after(Outcome::Error, true, true), Pause::DrawnFromSpan);
 }
 
 #[test]
 fn failure_above_the_window_floor_backs_off_exponentially() {
     for outcome in [Outcome::Rejected, Outcome::Error, Outcome::Reset] {
-        assert_eq!(pause_after(outcome, false, true), Pause::Exponential, "{outcome:?}");
+        assert_eq!(pause_after(outcome, false, true), Pause::Backoff, "{outcome:?}");
     }
 }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -9,7 +9,7 @@
 use crate::outlier_detection::{FailureHistory, RouteHealth};
 use crate::pacing::{self, Pace};
 use crate::retry::RetryBackoff;
-use crate::slow_start::{self, BudgetUse};
+use crate::slow_start::{self, RecentCallBudget};
 use crate::timeouts::LatencyEstimate;
 use crate::traffic::{RateEstimator, TokenBucket};
 
@@ -45,7 +45,7 @@
     pub latency: LatencyEstimate,
     pub failures: FailureHistory,
     pub backoff: RetryBackoff,
-    pub budget_use: BudgetUse,
+    pub budget_use: RecentCallBudget,
     /// Capacity that its answers report, in calls a second; 0 where none is.
     pub reported_limit: f64,
     /// Calls in flight.
@@ -69,7 +69,7 @@
             latency: LatencyEstimate::initial(),
             failures: FailureHistory::initial(),
             backoff: RetryBackoff::initial(),
-            budget_use: BudgetUse::initial(),
+            budget_use: RecentCallBudget::initial(),
             reported_limit: 0.0,
             in_flight: 0,
             overdue: 0,
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -2,7 +2,7 @@
 //! may go, and when, is asked of the rules for the destinations whose state has changed or whose time has come.
 
 use crate::call::CallId;
-use crate::interface::{DestinationId, EndpointId, FaultyRouteId, MessageId, Micros};
+use crate::interface::{DestinationId, EndpointId, MessageId, Micros, RouteRef};
 use crate::route::RouteId;
 use crate::route_users::RouteUsers;
 use crate::timer_queue::TimerQueue;
@@ -23,7 +23,7 @@
     pub unassessed: Vec<DestinationId>,
     pub waiting: WaitingIndex,
     /// Routes that a later process has to know of.
-    pub faulty_routes: BTreeSet<FaultyRouteId>,
+    pub faulty_routes: BTreeSet<RouteRef>,
     /// Whether they have changed since this was last asked.
     pub faulty_routes_changed: bool,
     /// When destinations have warmed up.
@@ -96,7 +96,7 @@
     }
 
     /// Lists a route as faulty, or not.
-    pub fn set_faulty(&mut self, route: FaultyRouteId, is_faulty: bool) {
+    pub fn set_faulty(&mut self, route: RouteRef, is_faulty: bool) {
         let has_changed =
             if is_faulty { self.faulty_routes.insert(route) } else { self.faulty_routes.remove(&route) };
         self.faulty_routes_changed |= has_changed;
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -3,9 +3,8 @@
 //! Inputs are the settings' costs, the state of the endpoint's connections, the latency and health of its route, and
 //! chance in proportion to its capacity. The unit is the points in which the settings give their costs.
 
-use crate::interface::Settings;
+use crate::interface::{SECOND_US, Settings};
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Points for a second of the route's latency.
 const LATENCY_COST_PER_SECOND: f64 = 0.05;
 /// Further points for that second where the call takes the last slot, for each open message per slot: all of them wait.
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -6,13 +6,12 @@
 //! coordination, for first attempts and retries alike. A budget below one call is met by chance: a draw twice in a
 //! window decides whether one call goes. The unit is calls in `overload_window`; times are in microseconds.
 
-use crate::interface::{Micros, Settings};
+use crate::interface::{Micros, SECOND_US, Settings};
 use crate::outlier_detection::RouteHealth;
 use crate::rng::SeededRng;
 use crate::traffic::ROUNDING_US;
 use std::collections::VecDeque;
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Part of the budget that is used; the rest is a margin for draws that coincide.
 pub(crate) const BUDGET_USE: f64 = 0.8;
 /// Draws in one `overload_window` where the budget is below one call.
@@ -53,16 +52,16 @@
 /// which then begins again.
 pub(crate) fn starts_ramp(
     health: RouteHealth,
-    is_cold: bool,
+    is_capacity_reduced: bool,
     has_failed: bool,
     was_rejection_outage: bool,
 ) -> bool {
-    health == RouteHealth::Ejected || (is_cold && has_failed) || was_rejection_outage
+    health == RouteHealth::Ejected || (is_capacity_reduced && has_failed) || was_rejection_outage
 }
 
 /// The calls of a route within its budget.
 #[derive(Debug)]
-pub(crate) struct BudgetUse {
+pub(crate) struct RecentCallBudget {
     /// Calls of the last `overload_window`, oldest first.
     recent_calls: VecDeque<Micros>,
     /// When the next draw is due.
@@ -71,10 +70,10 @@
     won_draw_at: Option<Micros>,
 }
 
-impl BudgetUse {
+impl RecentCallBudget {
     /// No call and no draw yet.
     pub const fn initial() -> Self {
-        BudgetUse { recent_calls: VecDeque::new(), next_draw_at: 0, won_draw_at: None }
+        RecentCallBudget { recent_calls: VecDeque::new(), next_draw_at: 0, won_draw_at: None }
     }
 
     /// When the next draw is due.
--- a/crates/core/src/slow_start/tests.rs
+++ b/crates/core/src/slow_start/tests.rs
@@ -46,7 +46,7 @@
 #[test]
 fn budget_of_whole_calls_opens_when_the_oldest_leaves_the_window() {
     let set = settings();
-    let mut budget_use = BudgetUse::initial();
+    let mut budget_use = RecentCallBudget::initial();
     budget_use.record_call(1, SECOND, &set);
     assert_eq!(budget_use.opens_at(2.5, SECOND, &set), SECOND);
     budget_use.record_call(1, 2 * SECOND, &set);
@@ -57,7 +57,7 @@
 #[test]
 fn large_batch_counts_as_several_calls() {
     let set = settings();
-    let mut budget_use = BudgetUse::initial();
+    let mut budget_use = RecentCallBudget::initial();
     budget_use.record_call(10, SECOND, &set);
     assert_eq!(budget_use.opens_at(3.0, SECOND, &set), 3 * SECOND);
     assert_eq!(budget_use.next_draw_at(), 4 * SECOND);
@@ -67,7 +67,7 @@
 fn budget_below_one_call_opens_by_a_won_draw_for_one_step() {
     let set = settings();
     let mut rng = SeededRng::new(1);
-    let mut budget_use = BudgetUse::initial();
+    let mut budget_use = RecentCallBudget::initial();
     let mut won = 0;
     for step in 1..=1_000 {
         let now = step * SECOND;
@@ -84,7 +84,7 @@
 #[test]
 fn changes_are_foreseen_not_later_than_they_come() {
     let set = settings();
-    let mut budget_use = BudgetUse::initial();
+    let mut budget_use = RecentCallBudget::initial();
     budget_use.record_call(1, SECOND, &set);
     let at = |budget, varies, grows_at| budget_use.changes_at(budget, varies, grows_at, SECOND, &set);
     assert_eq!(at(1.0, false, None), Some(3 * SECOND), "the call leaves the window");
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,9 +1,8 @@
 //! Counts calls over time: a rate estimate that forgets by halves, and a token bucket. Used for this forwarder's share of
 //! a route's capacity and for pacing.
 
-use crate::interface::Micros;
+use crate::interface::{Micros, SECOND_US};
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Events of so long are remembered in full; then half of them is forgotten.
 const RATE_WINDOW_US: Micros = 60_000_000;
 /// Least time over which a rate is taken: one event is no rate.
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -23,7 +23,8 @@
         assert_eq!(indexed.rng(), walking.dice(), "draws of {place}");
         assert_eq!(indexed.faulty_routes(), walking.troubled(), "faulty after {place}");
         if step % 20 == 0 {
-            let differs = world.endpoints().find(|id| indexed.is_avoided(*id) != walking.avoids(*id));
+            let differs =
+                world.endpoints().find(|id| indexed.gets_no_regular_calls(*id) != walking.avoids(*id));
             assert_eq!(differs, None, "avoided endpoint after {place}");
         }
         world.carry_out(&expected);
--- a/crates/core/tests/reference/control.rs
+++ b/crates/core/tests/reference/control.rs
@@ -328,13 +328,13 @@
 
     /// Routes that are out, failing, or back but cold, for [`Event::RouteState`]: forgotten in a restart, messages
     /// that waited for them would break the rule of returns. An endpoint stands for a route apart.
-    pub fn troubled(&self) -> BTreeSet<FaultyRouteId> {
+    pub fn troubled(&self) -> BTreeSet<RouteRef> {
         let troubled = |route: &Route| match route.health {
             Health::Out => true,
             Health::Warming(since) => self.now - since < self.set.warm_up_time,
             Health::Good => route.failing && route.streak >= 2,
         };
-        let route_id = |destination, endpoint| FaultyRouteId { destination, endpoint };
+        let route_id = |destination, endpoint| RouteRef { destination, endpoint };
         let apart = self.endpoints.iter().filter(|(_, place)| place.kind.separate_routes);
         let apart = apart.map(|(id, place)| (route_id(place.destination, Some(*id)), place.route));
         // A destination in trouble may have no endpoint just now.
@@ -396,7 +396,7 @@
                 message.may_have_run = may_have_run.map(|p| (self.now - p.sent_ago, p.endpoint, p.zone));
                 self.unsettled.push(*id);
             }
-            Event::RouteState { destination: id, endpoint, ejected: out, retry_after: wait } => {
+            Event::RouteState { destination: id, endpoint, begins_cold: out, retry_after: wait } => {
                 let places = self.destinations.get(id).map_or(&[][..], |d| &d.endpoints).iter();
                 let meant = places.filter(|place| endpoint.is_none_or(|only| only == **place));
                 let mut routes: Vec<RouteId> = meant.map(|e| self.endpoints[e].route).collect();
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -309,7 +309,7 @@
                 Some(Event::RouteState {
                     destination,
                     endpoint: Some(endpoint).filter(|_| self.chance.one_in(2)),
-                    ejected: self.chance.one_in(2),
+                    begins_cold: self.chance.one_in(2),
                     retry_after: self.chance.of(&[0, 0, 300 * MS, 3 * S]),
                 })
             }
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -52,12 +52,12 @@
     harness.step(&[1, 99].map(|destination| Event::RouteState {
         destination,
         endpoint: None,
-        ejected: true,
+        begins_cold: true,
         retry_after: 0,
     }));
     assert_eq!(
         harness.controller.faulty_routes().into_iter().collect::<Vec<_>>(),
-        [1, 99].map(|destination| FaultyRouteId { destination, endpoint: None })
+        [1, 99].map(|destination| RouteRef { destination, endpoint: None })
     );
     let healthy = sends(&harness.submit(2, 0, 1));
     assert_eq!(healthy.len(), 1);
@@ -83,14 +83,14 @@
             harness.step(&[1, 2].map(|destination| Event::RouteState {
                 destination,
                 endpoint: None,
-                ejected: true,
+                begins_cold: true,
                 retry_after: 0,
             }));
         }
         harness.advance(5 * S);
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         assert_eq!(
-            harness.controller.faulty_routes().contains(&FaultyRouteId { destination: 1, endpoint: None }),
+            harness.controller.faulty_routes().contains(&RouteRef { destination: 1, endpoint: None }),
             faulty
         );
         let (mut calls, mut sent) = (sends(&harness.submit(1, 0, 80)), 0);
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -84,7 +84,7 @@
         let entries = (1..=listed).map(entry).collect();
         forwarder.step(vec![Event::EndpointList { kind: ListEventKind::Snapshot, entries }]);
         for destination in 1..=down {
-            let known = Event::RouteState { destination, endpoint: None, ejected: true, retry_after: 0 };
+            let known = Event::RouteState { destination, endpoint: None, begins_cold: true, retry_after: 0 };
             let message = forwarder.message(destination);
             forwarder.step(vec![known, message]);
         }
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -144,19 +144,28 @@
 #[test]
 fn state_of_a_separate_route_does_not_affect_the_others() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
-    let known =
-        |out, wait| Event::RouteState { destination: 1, endpoint: Some(1), ejected: out, retry_after: wait };
+    let known = |out, wait| Event::RouteState {
+        destination: 1,
+        endpoint: Some(1),
+        begins_cold: out,
+        retry_after: wait,
+    };
     harness.step(&[known(true, 0)]);
     assert_eq!(
         harness.controller.faulty_routes().into_iter().collect::<Vec<_>>(),
-        [FaultyRouteId { destination: 1, endpoint: Some(1) }]
+        [RouteRef { destination: 1, endpoint: Some(1) }]
     );
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     harness.step(&[known(false, S)]);
     assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "the other takes it at once");
     assert!(sends(&harness.submit(1, 0, 1)).is_empty());
     assert_eq!(sends(&harness.advance(S + 100 * MS))[0].1, 1, "after the wait it serves");
-    harness.step(&[Event::RouteState { destination: 1, endpoint: Some(9), ejected: true, retry_after: 0 }]);
+    harness.step(&[Event::RouteState {
+        destination: 1,
+        endpoint: Some(9),
+        begins_cold: true,
+        retry_after: 0,
+    }]);
     assert!(
         harness.controller.faulty_routes().is_empty(),
         "one that is not listed says nothing of the others"
--- a/crates/forwarder/src/reducer/controller_driver.rs
+++ b/crates/forwarder/src/reducer/controller_driver.rs
@@ -4,7 +4,7 @@
 //! round gives are carried out by [`Reducer::run_controller`](super::Reducer).
 
 use orchidyoke_core::Controller;
-use orchidyoke_core::interface::{Action, EndpointId, Event, FaultyRouteId, Micros, Settings};
+use orchidyoke_core::interface::{Action, EndpointId, Event, Micros, RouteRef, Settings};
 use std::collections::BTreeSet;
 
 /// The controller, what it is to be told in its next round, and its timers.
@@ -104,9 +104,9 @@
         actions
     }
 
-    /// Whether the controller sends nothing to this endpoint at present.
-    pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
-        self.controller.is_avoided(endpoint)
+    /// Whether the controller sends nothing but trial calls to this endpoint at present.
+    pub fn gets_no_regular_calls(&self, endpoint: EndpointId) -> bool {
+        self.controller.gets_no_regular_calls(endpoint)
     }
 
     /// Whether the set of faulty routes has changed since this was last asked.
@@ -115,7 +115,7 @@
     }
 
     /// Faulty routes: a destination, or one endpoint of it.
-    pub fn faulty_routes(&self) -> BTreeSet<FaultyRouteId> {
+    pub fn faulty_routes(&self) -> BTreeSet<RouteRef> {
         self.controller.faulty_routes()
     }
 }
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -170,7 +170,7 @@
                 self.controller.push(Event::RouteState {
                     destination,
                     endpoint: None,
-                    ejected: true,
+                    begins_cold: true,
                     retry_after: 0,
                 });
             }
@@ -241,8 +241,10 @@
     /// What is counted as it stands now.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen =
-                self.endpoints.id_of(uid).is_some_and(|endpoint| self.controller.is_avoided(endpoint));
+            let chosen = self
+                .endpoints
+                .id_of(uid)
+                .is_some_and(|endpoint| self.controller.gets_no_regular_calls(endpoint));
             chosen || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -208,7 +208,7 @@
             self.controller.push(Event::RouteState {
                 destination,
                 endpoint: None,
-                ejected: true,
+                begins_cold: true,
                 retry_after: 0,
             });
         }
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -2,7 +2,7 @@
 //! endpoint where the settings give each endpoint of its kind a route of its own.
 
 use super::Reducer;
-use orchidyoke_core::interface::{DestinationId, EndpointId, Event, FaultyRouteId, Micros};
+use orchidyoke_core::interface::{DestinationId, EndpointId, Event, Micros, RouteRef};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 
@@ -108,14 +108,14 @@
     pub(super) fn route_state_event(
         &self,
         route: &RouteKey,
-        ejected: bool,
+        begins_cold: bool,
         retry_after: Micros,
     ) -> Option<Event> {
         let endpoint = match &route.endpoint {
             Some(uid) => Some(self.endpoints.id_of(uid)?),
             None => None,
         };
-        Some(Event::RouteState { destination: route.destination, endpoint, ejected, retry_after })
+        Some(Event::RouteState { destination: route.destination, endpoint, begins_cold, retry_after })
     }
 
     /// About the bytes of the records of what is known of routes, never less.
@@ -135,7 +135,7 @@
             return;
         }
         let faulty = self.controller.faulty_routes().into_iter();
-        let key = |route: FaultyRouteId| match route.endpoint {
+        let key = |route: RouteRef| match route.endpoint {
             Some(endpoint) => {
                 let known = self.endpoints.get(endpoint)?;
                 Some(RouteKey::new(route.destination, Some(known.uid.to_string())))
