--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -39,7 +39,7 @@
     pub consecutive_errors: u32,
     /// When the latest of the calls was sent that succeeded.
     pub latest_answered_sent_at: Micros,
-    /// Unreadable answers since the last success.
+    /// Unreadable answers, and reused connections that closed during a call, since the last success.
     pub invalid_responses: u32,
     /// Other endpoints go before it until then.
     pub avoid_until: Micros,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,6 +17,18 @@
 //! | `slow_start` | how much an ejected or recovering route gets |
 //! | `timeouts` | when a call is overdue, timed out or cancelled |
 //! | `draining` | what still goes to an endpoint that leaves, and what is begun before a shutdown |
+//!
+//! Words for a route or an endpoint that gets fewer calls:
+//!
+//! | word | set by | effect | ends with |
+//! |---|---|---|---|
+//! | ejected (route) | an outage, health checks none of which passes, `RouteState` | trial calls, one at a time, within a budget | a success that answers the failures (`is_answered_by`) |
+//! | warming up (route) | that success | a budget of calls that grows | the end of `warm_up_time` |
+//! | critical (route) | health checks: no endpoint passes, one fails | it is ejected when this begins | an endpoint that passes |
+//! | faulty (route) | ejection, failures in a row, a call overdue | fewer calls in flight, and a greater cost | the end of its causes |
+//! | excluded (endpoint) | a failing health check while another endpoint passes | no call | health checks that say otherwise |
+//! | suspect (endpoint) | errors of late (avoided), a health check that warns | a greater cost, so others go before it | a success or some seconds; the check |
+//! | does not accept calls (endpoint) | the list: it drains or is removed | no call | the list |
 
 #![deny(missing_docs)]
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -37,7 +37,7 @@
         retry::resendable_until(self.possible_delivery, self.class.idempotency)
     }
 
-    /// Whether it may be sent now, as far as its attempts and its idempotency go.
+    /// Whether it may be sent now, as far as its attempts and its idempotency go; [`retry::is_endpoint_allowed`] says where.
     pub fn may_be_sent(&self, now: Micros, max_attempts: u32) -> bool {
         retry::has_attempts_left(self.attempts, max_attempts) && now < self.resendable_until()
     }
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -29,7 +29,8 @@
     OutageThreshold { consecutive_failures: 8, no_success_for_us: 6_000_000 };
 /// Consecutive failures that make a route faulty.
 const FAULTY_AFTER_FAILURES: u32 = 2;
-/// Consecutive unreadable answers of an endpoint from which on each counts as a failure.
+/// Consecutive invalid responses (unreadable answers, reused connections that closed during a call) of an endpoint from
+/// which on each counts as a failure.
 const INVALID_RESPONSES_AS_FAILURE: u32 = 3;
 
 /// Whether a route serves.
@@ -148,7 +149,7 @@
     }
 }
 
-/// Counts unreadable answers of an endpoint, none of which pushes back by itself: they show that it is there.
+/// Counts invalid responses of an endpoint, none of which pushes back by itself: they show that it is there.
 /// Says whether this one is ignored.
 pub(crate) fn ignores_invalid_response(consecutive: &mut u32, outcome: Outcome) -> bool {
     let is_invalid = outcome == Outcome::InvalidResponse;
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -28,8 +28,9 @@
 pub(crate) struct QueueRank {
     /// Messages in time go before late ones.
     pub timeliness: Timeliness,
-    /// In time: when it is due, in microseconds of the clock. Late: the objective's time, negated.
-    pub due: Micros,
+    /// The least goes first. In time: when it is due, in microseconds of the clock. Late: the objective's time, negated, so
+    /// that the least late goes first.
+    pub order_by: Micros,
     /// Arrival decides between equals.
     pub message: MessageId,
 }
@@ -57,13 +58,13 @@
     classes: &[Class],
 ) -> QueueRank {
     if now >= times.objective_at {
-        return QueueRank { timeliness: Timeliness::Late, due: -times.objective_at, message };
+        return QueueRank { timeliness: Timeliness::Late, order_by: -times.objective_at, message };
     }
     let least_loss = classes.iter().map(delay_loss).fold(f64::INFINITY, f64::min);
     let urgency = (delay_loss(class) / least_loss.max(MIN_DELAY_LOSS)).clamp(1.0, MAX_URGENCY);
     let arrived_at = times.objective_at - class.latency_objective;
-    let due = arrived_at + (class.latency_objective as f64 / urgency) as Micros;
-    QueueRank { timeliness: Timeliness::InTime, due, message }
+    let due_at = arrived_at + (class.latency_objective as f64 / urgency) as Micros;
+    QueueRank { timeliness: Timeliness::InTime, order_by: due_at, message }
 }
 
 /// When a rank has to be reviewed: when the objective passes, then at the deadline.
--- a/crates/core/src/queue/tests.rs
+++ b/crates/core/src/queue/tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn greater_loss_by_delay_draws_due_time_nearer() {
     let classes = [class(1.0, 10 * SECOND), class(4.0, 10 * SECOND), class(1_000.0, 10 * SECOND)];
-    let due = |class: &Class| rank(1, class, times(10 * SECOND), 0, &classes).due;
+    let due = |class: &Class| rank(1, class, times(10 * SECOND), 0, &classes).order_by;
     assert_eq!(classes.each_ref().map(due), [10 * SECOND, 2_500_000, SECOND]);
 }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -33,7 +33,7 @@
 const MAX_PACED_SPAN_FACTOR: f64 = 4.0;
 /// Longest span as a multiple of the longest message lifetime, elsewhere.
 const MAX_SPAN_LIFETIMES: f64 = 2.0;
-/// First time for which an endpoint with errors is avoided; it doubles with each consecutive error.
+/// Time for which an endpoint with errors is avoided, before its doublings: one for each consecutive error.
 const MIN_AVOIDANCE_US: Micros = 1_000_000;
 /// Doublings of that time at most.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 4;
