--- a/crates/core/src/waiting_index.rs
+++ b/crates/core/src/waiting_index.rs
@@ -15,7 +15,7 @@
     pub ready: Option<QueueRank>,
     /// The first message that can go on a route that is not faulty.
     pub ready_healthy: Option<QueueRank>,
-    /// Not later than the moment at which one of its routes opens or closes by time alone.
+    /// Earliest time at which one of its routes can open or close without an event; may be too early, never too late.
     pub changes_at: Option<Micros>,
     /// The next draw of one of its routes.
     pub draw_at: Option<Micros>,
