--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -5,13 +5,12 @@
 //! again, so it is given only where that does no harm; a failure promises nothing. Times are in microseconds.
 
 use crate::interface::{
-    Class, DeduplicationScope, EndpointId, Idempotency, Micros, Outcome, Settings, UNKNOWN_ZONE,
+    Class, DeduplicationScope, EndpointId, Idempotency, Micros, Outcome, SECOND_US, Settings, UNKNOWN_ZONE,
 };
 use crate::rng::SeededRng;
 use crate::slow_start::BUDGET_USE;
 use crate::timeouts::SCHEDULING_MARGIN_US;
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Longest time that a report from outside may set: no sum of a few such times overflows.
 pub(crate) const MAX_REPORTED_US: Micros = 1_000_000_000_000;
 /// First backoff of a route after a failure; it doubles with each consecutive failure.
@@ -25,7 +24,7 @@
 const HALF_SPREAD_FLEET_SIZE: f64 = 16.0;
 /// Growth of the span from which the next call is drawn.
 const SPAN_GROWTH: f64 = 2.0;
-/// Bounds of the part of the capacity that the span keeps to.
+/// Least and greatest share of the full capacity that the drawn calls of the whole fleet may add up to.
 const MIN_SPAN_CAPACITY: f64 = 0.1;
 const MAX_SPAN_CAPACITY: f64 = 1.0;
 /// Guards against a share of nothing, in calls a second.
@@ -34,7 +33,7 @@
 const MAX_PACED_SPAN_FACTOR: f64 = 4.0;
 /// Longest span as a multiple of the longest message lifetime, elsewhere.
 const MAX_SPAN_LIFETIMES: f64 = 2.0;
-/// First time for which an endpoint with errors is avoided; it doubles with each consecutive error.
+/// Time for which an endpoint with errors is avoided, before its doublings: one for each consecutive error.
 const MIN_AVOIDANCE_US: Micros = 1_000_000;
 /// Doublings of that time at most.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 4;
@@ -76,7 +75,8 @@
     max_attempts == 0 || attempts < max_attempts
 }
 
-/// Whether a message may be rejected: a client that sends it again does no harm.
+/// Whether a message may be rejected: a client that sends it again does no harm. It is asked where a message would be shed
+/// or ends undelivered; [`is_endpoint_allowed`] and [`resendable_until`] are asked before an attempt.
 pub(crate) fn may_be_rejected(
     idempotency: Idempotency,
     possible: Option<PossibleDelivery>,
@@ -121,10 +121,10 @@
 pub(crate) enum Pause {
     /// Not at all: a time-out was a pause already.
     None,
-    /// The next call is drawn from a span, as a window below one call.
-    Span,
-    /// For the Retry-After, or for an exponential backoff.
-    Exponential,
+    /// Until a time drawn from a span that doubles: the window is at its floor.
+    DrawnFromSpan,
+    /// For the Retry-After that came with the failure, or else for an exponential backoff.
+    Backoff,
 }
 
 /// The pause after a failure. With the window at its floor, only a span can hold a fleet back: at once if the call was not
@@ -134,9 +134,9 @@
     if outcome == Outcome::Timeout {
         Pause::None
     } else if was_window_at_floor && (was_not_executed || is_failing_repeatedly) {
-        Pause::Span
+        Pause::DrawnFromSpan
     } else {
-        Pause::Exponential
+        Pause::Backoff
     }
 }
 
@@ -154,9 +154,10 @@
     pub fn new(share: f64, is_paced: bool, settings: &Settings) -> Self {
         let lifetimes = settings.classes.iter().map(|class| class.deadline);
         let longest_lifetime_us = lifetimes.fold(MIN_BACKOFF_US, Micros::max) as f64;
-        // The first span is half of this, the later ones keep to the budget of slow start.
-        let cold = BUDGET_USE * SPAN_GROWTH * settings.overload_factor * settings.cold_capacity_share;
-        let capacity = cold.clamp(MIN_SPAN_CAPACITY, MAX_SPAN_CAPACITY);
+        // The factor `SPAN_GROWTH` halves the first span; from the second on the spans keep to the budget of slow start.
+        let cold_budget_share =
+            BUDGET_USE * SPAN_GROWTH * settings.overload_factor * settings.cold_capacity_share;
+        let capacity = cold_budget_share.clamp(MIN_SPAN_CAPACITY, MAX_SPAN_CAPACITY);
         let least_us = (SECOND_US / capacity / share.max(MIN_SHARE)).min(longest_lifetime_us);
         let most_us = if is_paced {
             MAX_PACED_SPAN_FACTOR * least_us
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -9,7 +9,7 @@
 use crate::outlier_detection::{FailureHistory, RouteHealth};
 use crate::pacing::{self, Pace};
 use crate::retry::RetryBackoff;
-use crate::slow_start::{self, BudgetUse};
+use crate::slow_start::{self, RecentCallBudget};
 use crate::timeouts::LatencyEstimate;
 use crate::traffic::{RateEstimator, TokenBucket};
 
@@ -45,7 +45,7 @@
     pub latency: LatencyEstimate,
     pub failures: FailureHistory,
     pub backoff: RetryBackoff,
-    pub budget_use: BudgetUse,
+    pub budget_use: RecentCallBudget,
     /// Capacity that its answers report, in calls a second; 0 where none is.
     pub reported_limit: f64,
     /// Calls in flight.
@@ -69,7 +69,7 @@
             latency: LatencyEstimate::initial(),
             failures: FailureHistory::initial(),
             backoff: RetryBackoff::initial(),
-            budget_use: BudgetUse::initial(),
+            budget_use: RecentCallBudget::initial(),
             reported_limit: 0.0,
             in_flight: 0,
             overdue: 0,
@@ -101,7 +101,8 @@
         self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()))
     }
 
-    /// Failing or slow: ejected, failing repeatedly, or with a call overdue.
+    /// Failing or slow: ejected, failing repeatedly, or with a call overdue. Bounds its calls; what a later process has to
+    /// know is [`Self::needs_recovery`].
     pub fn is_faulty(&self) -> bool {
         let traffic = self.traffic();
         self.health == RouteHealth::Ejected || traffic.failures.is_failing_repeatedly() || traffic.overdue > 0
@@ -174,7 +175,8 @@
         self.retry_after_until.max(traffic.backoff.until()).max(budget_at).max(paced_at).max(now)
     }
 
-    /// Not later than the moment from which [`Self::opens_at`] differs by time alone; none where it stays.
+    /// Earliest time at which [`Self::opens_at`] can change without an event; may be too early, never too late. None where
+    /// it stays.
     pub fn changes_at(&self, now: Micros, settings: &Settings) -> Option<Micros> {
         let traffic = self.traffic();
         let rate = self.paced_rate(settings);
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -6,17 +6,17 @@
 //! coordination, for first attempts and retries alike. A budget below one call is met by chance: a draw twice in a
 //! window decides whether one call goes. The unit is calls in `overload_window`; times are in microseconds.
 
-use crate::interface::{Micros, Settings};
+use crate::interface::{Micros, SECOND_US, Settings};
 use crate::outlier_detection::RouteHealth;
 use crate::rng::SeededRng;
+use crate::traffic::ROUNDING_US;
 use std::collections::VecDeque;
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Part of the budget that is used; the rest is a margin for draws that coincide.
 pub(crate) const BUDGET_USE: f64 = 0.8;
 /// Draws in one `overload_window` where the budget is below one call.
 const DRAWS_PER_WINDOW: Micros = 2;
-/// Messages of a batch that count as a further call.
+/// A batch counts as a further call for every so many messages: 5 messages count as 2 calls.
 const MESSAGES_PER_EXTRA_CALL: usize = 5;
 
 /// Present capacity as a share of the full one; none where the budget does not apply. `is_failing` says that failures came
@@ -52,16 +52,16 @@
 /// which then begins again.
 pub(crate) fn starts_ramp(
     health: RouteHealth,
-    is_cold: bool,
+    is_capacity_reduced: bool,
     has_failed: bool,
     was_rejection_outage: bool,
 ) -> bool {
-    health == RouteHealth::Ejected || (is_cold && has_failed) || was_rejection_outage
+    health == RouteHealth::Ejected || (is_capacity_reduced && has_failed) || was_rejection_outage
 }
 
 /// The calls of a route within its budget.
 #[derive(Debug)]
-pub(crate) struct BudgetUse {
+pub(crate) struct RecentCallBudget {
     /// Calls of the last `overload_window`, oldest first.
     recent_calls: VecDeque<Micros>,
     /// When the next draw is due.
@@ -70,10 +70,10 @@
     won_draw_at: Option<Micros>,
 }
 
-impl BudgetUse {
+impl RecentCallBudget {
     /// No call and no draw yet.
     pub const fn initial() -> Self {
-        BudgetUse { recent_calls: VecDeque::new(), next_draw_at: 0, won_draw_at: None }
+        RecentCallBudget { recent_calls: VecDeque::new(), next_draw_at: 0, won_draw_at: None }
     }
 
     /// When the next draw is due.
@@ -110,9 +110,14 @@
         }
     }
 
-    /// Not later than the moment from which [`Self::opens_at`] differs by time alone. While `budget_varies` (without a
-    /// failure the forwarder's share follows the time) the budget may fall at any moment, but what opens it then is the next
-    /// draw or the end of a call's window. `grows_at` is when the ramp allows a further call.
+    /// Earliest time at which [`Self::opens_at`] can change without an event; it may be too early, never too late:
+    ///
+    /// - the next draw, for a budget below one call;
+    /// - the end of the window of a recent call, for a budget of one call or more;
+    /// - `grows_at`, when the ramp allows a further call.
+    ///
+    /// With `budget_varies` (without a failure the forwarder's share follows the time) the budget may cross one call at any
+    /// moment, so that both of the first two count.
     pub fn changes_at(
         &self,
         budget: f64,
@@ -139,7 +144,7 @@
     }
     // A rounding error must not make it later.
     let most = settings.warm_up_time as f64;
-    (ramp_part * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - 2
+    (ramp_part * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - ROUNDING_US
 }
 
 #[cfg(test)]
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,9 +1,8 @@
 //! Counts calls over time: a rate estimate that forgets by halves, and a token bucket. Used for this forwarder's share of
 //! a route's capacity and for pacing.
 
-use crate::interface::Micros;
+use crate::interface::{Micros, SECOND_US};
 
-const SECOND_US: f64 = 1_000_000.0;
 /// Events of so long are remembered in full; then half of them is forgotten.
 const RATE_WINDOW_US: Micros = 60_000_000;
 /// Least time over which a rate is taken: one event is no rate.
@@ -12,8 +11,8 @@
 const TOKEN_TOLERANCE: f64 = 1e-6;
 /// Least rate in tokens a second: one near nothing fills a bucket in days, not never.
 const MIN_FILL_RATE: f64 = 1e-6;
-/// Added where a moment must not be later than that of a computation which rounds differently.
-const ROUNDING_US: Micros = 2;
+/// Taken off where a moment must not be later than that of a computation which rounds differently.
+pub(crate) const ROUNDING_US: Micros = 2;
 
 /// Estimates a rate from events counted since a moment; after a minute half of them is forgotten.
 #[derive(Debug, Default)]
