--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -48,7 +48,7 @@
     /// Open file descriptors.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Size of the journal's folder, in MB (2^20 bytes).
+    /// Size of the journal's folder, in MB (10^6 bytes).
     pub disk_mb: f64,
 }
 
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -192,7 +192,8 @@
     },
     /// The status towards the policy of the fleet has changed.
     PolicyStatus(PolicyStatus),
-    /// Destinations have these owners from now on.
+    /// Destinations have these owners from now on. `orchidyoke serve` does not send it: there, owners change with the
+    /// configuration ([`Input::ConfigReloaded`]).
     OwnersChanged(Rc<dyn Owners>),
     /// An offer of a message to its owner has ended.
     OfferEnded {
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,4 +1,5 @@
-//! Leases over the sessions and locks of Consul: each lease has at most one holder among the forwarders of a fleet.
+//! Leases over the sessions and locks of Consul: each lease has at most one holder among the forwarders of a fleet. Not
+//! wired into `orchidyoke serve`: experiments and tests alone use it.
 //!
 //! For periodic work that one forwarder at a time may do, such as checking the health of a partner's endpoints. Four
 //! modules have no I/O and no clock: [`placement`] assigns leases to members, by the hashing of [`rendezvous`];
--- a/crates/ownership/src/member_state.rs
+++ b/crates/ownership/src/member_state.rs
@@ -1,4 +1,5 @@
-//! Decides for one forwarder what it does with a message: deliver it, at which rate, or hand it over.
+//! Decides for one forwarder what it does with a message: deliver it, at which rate, or hand it over. Not wired into
+//! `orchidyoke serve`, which takes the owners from its settings and uses no more than [`View::owner`].
 //!
 //! A state machine without I/O or clock. Times are microseconds on a monotonic clock; only differences between them count.
 //! Three rules keep two owners from sending at the full rate at once:
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -21,7 +21,8 @@
     /// The change of the forwarder of this name began.
     #[serde(rename = "changing")]
     ChangeStarted(String),
-    /// The forwarder of this name has the change.
+    /// The change of the forwarder of this name was made. For settings this means that their file is written and the
+    /// reload requested; whether the forwarder found the file valid is not checked.
     #[serde(rename = "changed")]
     ChangeApplied(String),
     /// The stage of this number (from 0) passed.
--- a/crates/rollout/src/reload.rs
+++ b/crates/rollout/src/reload.rs
@@ -1,4 +1,5 @@
-//! A reload of one forwarder's configuration, requested by SIGHUP.
+//! A reload of one forwarder's configuration, requested by SIGHUP. The forwarder does not answer: one that finds the
+//! file invalid logs so and keeps its old settings, and nothing here notices.
 
 use crate::error::ForwarderError;
 use crate::plan::PlannedForwarder;
