--- a/crates/forwarder/src/ownership.rs
+++ b/crates/forwarder/src/ownership.rs
@@ -64,10 +64,12 @@
 pub struct HandoverMark {
     /// The name of the forwarder that hands it over.
     pub from: String,
-    /// The message's deadline, as Unix time in microseconds.
+    /// The message's deadline, as Unix time in microseconds on the sender's clock.
     pub deadline: Micros,
-    /// Until when the offer is valid, as Unix time in microseconds. A receiver that reads it later may have forgotten the
-    /// message's id, and would deliver a second time.
+    /// Until when the offer is valid, as Unix time in microseconds on the sender's clock. A receiver that reads it later
+    /// may have forgotten the message's id, and would deliver a second time. It is compared with the receiver's clock: one
+    /// that is behind the sender's by more than the memory of finished ids (30 s) exceeds the validity (20 s) does not
+    /// notice.
     pub valid_until: Micros,
     /// The number of attempts used.
     pub attempts: u32,
--- a/crates/forwarder/src/reducer/controller_driver.rs
+++ b/crates/forwarder/src/reducer/controller_driver.rs
@@ -104,7 +104,7 @@
         actions
     }
 
-    /// Whether the controller sends nothing to this endpoint at present.
+    /// Whether nothing but trial calls goes to this endpoint at present; also of one that the controller does not know.
     pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
         self.controller.is_avoided(endpoint)
     }
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -108,7 +108,7 @@
     /// The folder's limit is for the files of all processes: others take up, or may need, so many bytes.
     pub fn share_with(&mut self, other_bytes: usize, other_runs: bool) {
         let own = self.limit_bytes.saturating_sub(other_bytes);
-        // Each of two needs room: who has more has its file compacted.
+        // While another process runs, each may use half, so that both can compact.
         self.space.set_limit(if other_runs { own.min(self.limit_bytes / 2) } else { own });
     }
 
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -9,8 +9,9 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// The id of a finished message is remembered for so long: a client may still be submitting it again.
-const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
+/// The id of a finished message is remembered for so long, if there is disk for it: a client may still be submitting it
+/// again, or another forwarder offering it again.
+pub(super) const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
 /// About the bytes of the record of a finished message, or of a final answer, beside the id.
 pub(super) const SHORT_RECORD_BYTES: usize = 160;
 /// Pause before notifications are posted again.
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -244,7 +244,8 @@
     /// of it.
     fn on_handover_time_up(&mut self, now: Micros, number: MessageId) {
         if self.handovers.is_offer_in_flight(number) {
-            // Its offer ends no later than that, and may bring the answer.
+            // Its offer ends by its timeout and may bring the answer. If it does not, the end of the offer brings the message
+            // back here.
             return;
         }
         let Some(message) = self.messages.get(number) else { return };
@@ -253,7 +254,7 @@
             self.handovers.remove(number);
             return self.resolve_in_doubt(now, number);
         }
-        let answer = if self.may_be_rejected(accepted) {
+        let answer = if self.may_be_rejected_after_offer(accepted) {
             FinalAnswer::Rejected { retry_after_ms: 0 }
         } else {
             FinalAnswer::Failed
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -4,6 +4,7 @@
 //! Work in a call is proportional to what is due in it: owners with something due are in an ordered set, and so are the
 //! times at which messages stop waiting.
 
+use super::final_answers::FINISHED_ID_LIFETIME_US;
 use crate::backoff::Backoff;
 use crate::ownership::{OfferOutcome, Peer};
 use orchidyoke_core::interface::{DestinationId, MessageId, Micros};
@@ -14,15 +15,19 @@
 /// An offer without an answer by then has ended; the owner may have accepted the message.
 pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
 /// A message in doubt is offered again for so long after its first offer: the owner remembers the ids of finished messages
-/// for longer than this.
+/// for longer than this ([`FINISHED_ID_LIFETIME_US`]), unless its disk allows for fewer ids.
 pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
-/// While an owner has failed for so long, messages for it are delivered here.
+const _: () =
+    assert!(MAX_IN_DOUBT_US < FINISHED_ID_LIFETIME_US, "an offer would outlive the owner's memory of its id");
+/// Messages for an owner are delivered here from this long after the end of the first offer that failed, until one is
+/// answered.
 const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
 /// Offers in flight to one owner.
 const MAX_OFFERS_PER_OWNER: usize = 16;
 /// Offers in flight in all.
 const MAX_OFFERS: usize = 64;
-/// Messages delivered here at the same time while their owners fail; one of a destination.
+/// Messages that this forwarder delivers at the same time while their owners fail; one of a destination. Other forwarders
+/// have as many of their own.
 const MAX_LOCAL_DELIVERIES: usize = 32;
 /// Messages that wait for one owner; more are rejected.
 const MAX_WAITING_PER_OWNER: usize = 1000;
@@ -35,7 +40,7 @@
 pub(super) struct HandoverTerms {
     /// Its destination.
     pub destination: DestinationId,
-    /// When it stops waiting: at its deadline, or in doubt at the end of that if that comes first.
+    /// When it stops waiting: at its deadline or, if it is in doubt, at the end of [`MAX_IN_DOUBT_US`] if that is sooner.
     pub ends_at: Micros,
     /// It may be delivered here while its owner fails.
     pub local_delivery_allowed: bool,
--- a/crates/forwarder/src/reducer/reload.rs
+++ b/crates/forwarder/src/reducer/reload.rs
@@ -1,4 +1,7 @@
 //! A configuration that was read again: what can change while the process runs.
+//!
+//! The rest waits for a restart, and no log line says so: [`Config::name`], [`Config::listen`], [`Config::console`],
+//! [`Config::seed`] and [`Config::initial_list`].
 
 use super::Reducer;
 use super::durability::Bounds;
--- a/crates/forwarder/src/reducer/repeat_rules.rs
+++ b/crates/forwarder/src/reducer/repeat_rules.rs
@@ -74,9 +74,10 @@
         }
     }
 
-    /// Whether a message that is not delivered may be rejected, which allows its client to submit it again; else it has
-    /// failed.
-    pub(super) fn may_be_rejected(&self, accepted: &AcceptedMessage) -> bool {
+    /// Whether a message that waited for its owner and is not delivered may be rejected, which allows its client to
+    /// submit it again; else it has failed. The controller judges the messages that it has by a rule of its own, which
+    /// knows the attempts in flight and no offers.
+    pub(super) fn may_be_rejected_after_offer(&self, accepted: &AcceptedMessage) -> bool {
         if accepted.handover.offered.is_none() && accepted.possible_delivery.is_none() {
             return true;
         }
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -13,8 +13,8 @@
 use orchidyoke_core::interface::{Event, Idempotency, MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, HandoverState, Record, RecordsWithBodies};
 
-/// Retry-After where the journal has no room: about when some messages will be finished.
-const JOURNAL_FULL_RETRY_AFTER_US: Micros = 1_000_000;
+/// Retry-After of a message that is rejected before the controller hears of it: about when some messages will be finished.
+const NO_ROOM_RETRY_AFTER_US: Micros = 1_000_000;
 
 /// What the checks of a submission have found.
 struct CheckedSubmission {
@@ -39,7 +39,7 @@
         let reserve_bytes = self.ownership.reserve_bytes(&submission.id);
         if !self.has_room_for(now, &submission, &checked, reserve_bytes) {
             self.metrics.on_rejected(&submission.class, MessageEnd::Overload);
-            return self.answer(request, SubmitAnswer::Rejected(self.journal_full_retry_after()));
+            return self.answer(request, SubmitAnswer::Rejected(self.no_room_retry_after()));
         }
         let is_retry = submission.is_retry;
         let has_owner = checked.owner.is_some();
@@ -114,7 +114,9 @@
         Ok(CheckedSubmission { max_time_left, mark, owner })
     }
 
-    /// Whether a message may be accepted beside those that there are, here and for its owner.
+    /// Whether a message may be accepted beside those that there are, here and for its owner. Otherwise it is rejected
+    /// before the controller hears of it: its offer has expired, its owner's queue is full, too many messages are open,
+    /// or the journal has no room for it.
     fn has_room_for(
         &self,
         now: Micros,
@@ -165,10 +167,10 @@
         accepted
     }
 
-    /// Retry-After where there is no room, as far as the settings let a client be told any.
-    pub(super) fn journal_full_retry_after(&self) -> Micros {
+    /// Retry-After where a message is not admitted, as far as the settings let a client be told any.
+    pub(super) fn no_room_retry_after(&self) -> Micros {
         if self.settings.send_retry_after {
-            JOURNAL_FULL_RETRY_AFTER_US.min(self.settings.max_retry_after.max(0))
+            NO_ROOM_RETRY_AFTER_US.min(self.settings.max_retry_after.max(0))
         } else {
             0
         }
@@ -208,6 +210,7 @@
             destination,
             class: position(&self.names.classes, &accepted.class),
             tenant: position(&self.names.tenants, &accepted.tenant),
+            // Clients cannot give an order key; only the simulator does.
             order_key: None,
             time_left: accepted.deadline.saturating_sub(now),
             is_retry,
@@ -267,7 +270,7 @@
             let answer = if stored {
                 SubmitAnswer::Accepted
             } else {
-                SubmitAnswer::Rejected(self.journal_full_retry_after())
+                SubmitAnswer::Rejected(self.no_room_retry_after())
             };
             requests.into_iter().for_each(|request| self.answer(request, answer));
             if stored && self.upgrade.has_handed_off() {
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -129,7 +129,7 @@
 
     /// What a process left that has ended, where the folder has no room for it: each message has its final answer now.
     fn finish_without_room(&mut self, now: Micros, takeover: &mut Takeover) {
-        let retry_after_ms = self.journal_full_retry_after() / 1000;
+        let retry_after_ms = self.no_room_retry_after() / 1000;
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
             let may_have_run = accepted.possible_delivery.is_some() || accepted.in_flight.is_some();
             let (answer, end) = if may_have_run {
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -3,6 +3,9 @@
 //! A reload reads the file, applies the fleet's policy and the installation's settings, and checks the result as a whole.
 //! Only a valid configuration reaches the reducer, as [`Input::ConfigReloaded`]. With a file that is missing, unreadable or
 //! invalid nothing changes: the configuration in use stays in use, one log line says why, and the next SIGHUP tries again.
+//!
+//! A broken file has to be mended before the process is restarted: a start with it fails. Votes on the fleet's policy load
+//! the same file, and are rejections meanwhile.
 
 use crate::catalogue::Catalogue;
 use crate::config::{Config, ConfigError, parse_address};
@@ -25,7 +28,8 @@
 /// Longest configuration: the largest endpoint list, and settings.
 const MAX_CONFIG_BYTES: usize = MAX_LIST_BYTES + MAX_SETTINGS_BYTES;
 
-/// Settings beyond the platform's file, which other installations have.
+/// The settings that an installation has beyond the platform's file, and that are not the same in every installation: for
+/// `orchidyoke serve` those of the settings script.
 pub trait Installation {
     /// Reads and checks them as they are now, and adds them to the configuration. It may take its time, off the
     /// forwarder's thread.
