--- a/crates/forwarder/src/metrics.rs
+++ b/crates/forwarder/src/metrics.rs
@@ -12,7 +12,7 @@
 pub enum MessageEnd {
     /// Delivered.
     Success,
-    /// Rejected at submission, or given up with a Retry-After.
+    /// Rejected: at submission, or later, with a Retry-After or without.
     Overload,
     /// Failed.
     Error,
@@ -23,7 +23,7 @@
 pub struct EndCounts {
     /// Delivered.
     pub success: u64,
-    /// Rejected or given up with a Retry-After.
+    /// Rejected: at submission, or later, with a Retry-After or without.
     pub overload: u64,
     /// Failed.
     pub error: u64,
@@ -82,8 +82,8 @@
         self.accepted += count as u64;
     }
 
-    /// One of its own was handed over to another process.
-    pub fn on_handed_over(&mut self) {
+    /// One of its own is another forwarder's from now on, which has accepted it, or the successor process's.
+    pub fn on_left_this_process(&mut self) {
         self.handed_over += 1;
     }
 
@@ -102,8 +102,8 @@
         }
     }
 
-    /// One that never was accepted was rejected.
-    pub fn on_rejected(&mut self, class: &str, end: MessageEnd) {
+    /// One has ended that this process had not accepted.
+    pub fn on_ended_before_accepted(&mut self, class: &str, end: MessageEnd) {
         self.count(class, end);
     }
 
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -103,12 +103,12 @@
         let start = AttemptStart { started_at: now, endpoint: known.uid.to_string(), zone };
         self.drop_attempts_that_may_not_go(now, id, &start);
         let Some(call) = self.calls.get_mut(id) else { return };
-        let was_recorded = std::mem::replace(&mut call.is_recorded, true);
+        let was_requested = std::mem::replace(&mut call.record_requested, true);
         if call.attempts.is_empty() || !is_active || is_held {
             self.pool.release(connection, now);
             return self.abandon_call(now, id);
         }
-        if was_recorded {
+        if was_requested {
             return self.on_attempt_recorded(now, id, true);
         }
         self.record_attempts(id, start);
--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -142,8 +142,8 @@
     fn record_undelivered(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(message) = self.messages.get(attempt.message) else { return };
         let id = message.accepted.id.clone();
-        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
-        let record = match (never_ran, &message.accepted.in_flight) {
+        let not_delivered = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
+        let record = match (not_delivered, &message.accepted.in_flight) {
             (false, _) => Record::AttemptInDoubt { message: id },
             (true, Some(_)) => Record::AttemptNotDelivered { message: id },
             (true, None) => Record::AttemptNotSent { message: id },
@@ -151,7 +151,7 @@
         self.append_record(&record);
         if let Some(message) = self.messages.get_mut(attempt.message) {
             let accepted = &mut message.accepted;
-            let in_doubt = accepted.in_flight.take().filter(|_| !never_ran);
+            let in_doubt = accepted.in_flight.take().filter(|_| !not_delivered);
             accepted.possible_delivery = accepted.possible_delivery.take().or(in_doubt);
         }
         if self.upgrade.has_handed_off() {
--- a/crates/forwarder/src/reducer/call_table.rs
+++ b/crates/forwarder/src/reducer/call_table.rs
@@ -23,8 +23,8 @@
     pub times_out_at: Micros,
     /// It went on a connection that had been idle.
     pub reused_connection: bool,
-    /// Its record is in the journal, so that it may have been written.
-    pub is_recorded: bool,
+    /// Its record was asked for: the call may have been written since. Otherwise nothing of it has gone out.
+    pub record_requested: bool,
 }
 
 impl Call {
@@ -37,7 +37,7 @@
             sent_at,
             times_out_at,
             reused_connection: false,
-            is_recorded: false,
+            record_requested: false,
         }
     }
 }
@@ -88,7 +88,7 @@
 
     /// The calls without a record in the journal: nothing of them has been written.
     pub fn unrecorded(&self) -> Vec<CallId> {
-        self.calls.iter().filter(|(_, call)| !call.is_recorded).map(|(id, _)| *id).collect()
+        self.calls.iter().filter(|(_, call)| !call.record_requested).map(|(id, _)| *id).collect()
     }
 
     /// The endpoints that calls go to.
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -63,8 +63,8 @@
 }
 
 impl AfterAppend {
-    /// Whether it may be refused for want of room beside other processes; all else has to be written.
-    fn may_be_refused(&self) -> bool {
+    /// Whether it may be denied for want of room beside other processes; all else has to be written.
+    fn may_be_denied_room(&self) -> bool {
         matches!(
             self,
             AfterAppend::AdmitMessages(_) | AfterAppend::CompleteTakeover(_) | AfterAppend::ApplyOverride(_)
@@ -136,13 +136,13 @@
     fn append(&mut self, bytes: Bytes, then: Option<AfterAppend>, has_other_processes: bool) -> Effect {
         self.last_append += 1;
         let append = self.last_append;
-        let may_be_refused = then.as_ref().is_some_and(AfterAppend::may_be_refused);
-        let refused = may_be_refused && has_other_processes && !self.space.has_room_for(bytes.len());
+        let may_be_denied_room = then.as_ref().is_some_and(AfterAppend::may_be_denied_room);
+        let denied = may_be_denied_room && has_other_processes && !self.space.has_room_for(bytes.len());
         let changes_state_later = then.as_ref().is_some_and(AfterAppend::changes_state_later);
         if let Some(then) = then {
             self.after_append.insert(append, then);
         }
-        if refused {
+        if denied {
             return Effect::ReportJournalFull { append };
         }
         self.space.record_append(bytes.len());
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -237,7 +237,7 @@
         if message.stored {
             self.metrics.on_ended(&message.accepted.class, end);
         } else {
-            self.metrics.on_rejected(&message.accepted.class, end);
+            self.metrics.on_ended_before_accepted(&message.accepted.class, end);
         }
         for request in message.waiting_requests {
             self.answer(request, submit_answer);
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -1,5 +1,5 @@
 //! Handover: what becomes of a message whose destination another forwarder owns, until the owner has accepted it or it is
-//! delivered here. When an offer is due, and when a failing owner is done without, is decided in
+//! delivered here. When an offer is due, and when messages for a failing owner are delivered here, is decided in
 //! [`handover_schedule`](super::handover_schedule).
 
 use super::Reducer;
@@ -25,7 +25,7 @@
             },
             // What may have been delivered and must not be repeated is the controller's to finish.
             _ if !self.may_repeat(now, accepted) => None,
-            _ => self.ownership.peer(accepted.destination),
+            _ => self.ownership.other_owner(accepted.destination),
         };
         match owner {
             Some(owner) => {
@@ -41,9 +41,9 @@
         let Some(message) = self.messages.get(number) else { return };
         let owner = match &message.accepted.handover.offered {
             Some(offered) => self.ownership.member(&offered.owner),
-            None => self.ownership.peer(message.accepted.destination),
+            None => self.ownership.other_owner(message.accepted.destination),
         };
-        if owner.as_ref().map(|owner| owner.name.as_str()) != self.handovers.peer_of(number) {
+        if owner.as_ref().map(|owner| owner.name.as_str()) != self.handovers.owner_of(number) {
             self.handovers.remove(number);
             self.place(now, number);
         }
@@ -187,7 +187,7 @@
             OfferOutcome::InDoubt(reason) => (" (in doubt)", reason),
             OfferOutcome::Accepted | OfferOutcome::Rejected(_) => return,
         };
-        let owner = self.handovers.peer_of(number).unwrap_or_default();
+        let owner = self.handovers.owner_of(number).unwrap_or_default();
         let id = self.messages.get(number).map_or("", |message| &message.accepted.id);
         self.log(format!("hand-over of {id} to {owner}{doubt}: {reason}"));
     }
@@ -200,7 +200,7 @@
         let owner = offered.map_or_else(String::new, |offered| offered.owner.clone());
         self.append_record(&Record::HandedOver { message: message_id.clone(), owner, at: now });
         self.ownership.count_handed_over();
-        self.metrics.on_handed_over();
+        self.metrics.on_left_this_process();
         self.drop_message(number);
         self.finished.remember(message_id, now);
     }
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -4,6 +4,7 @@
 //! Work in a call is proportional to what is due in it: owners with something due are in an ordered set, and so are the
 //! times at which messages stop waiting.
 
+use super::SECOND_US;
 use super::final_answers::FINISHED_ID_LIFETIME_US;
 use crate::backoff::Backoff;
 use crate::ownership::{OfferOutcome, Peer};
@@ -11,7 +12,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const SECOND_US: Micros = 1_000_000;
 /// An offer without an answer by then has ended; the owner may have accepted the message.
 pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
 /// A message in doubt is offered again for so long after its first offer: the owner remembers the ids of finished messages
@@ -138,7 +138,7 @@
     /// Owners that fail.
     failing: BTreeSet<String>,
     /// When messages for failing owners may be delivered here.
-    give_up_at: BTreeSet<(Micros, String)>,
+    local_delivery_from: BTreeSet<(Micros, String)>,
     /// Messages delivered here while their owner fails.
     local_deliveries: BTreeMap<DestinationId, MessageId>,
     local_delivery_ids: BTreeMap<MessageId, DestinationId>,
@@ -164,7 +164,7 @@
     }
 
     /// The owner that a message waits for.
-    pub fn peer_of(&self, id: MessageId) -> Option<&str> {
+    pub fn owner_of(&self, id: MessageId) -> Option<&str> {
         self.waiting.get(&id).map(|waiting| waiting.peer.as_str())
     }
 
@@ -251,7 +251,7 @@
         } else {
             if queue.failing_since.is_none() {
                 queue.failing_since = Some(now);
-                self.give_up_at.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
+                self.local_delivery_from.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
             }
             queue.not_before = now + queue.backoff.next_delay(MAX_OFFER_BACKOFF_US);
             due = queue.not_before;
@@ -283,9 +283,9 @@
     pub fn wake_at(&self) -> Option<Micros> {
         let room = self.offers_in_flight.len() < MAX_OFFERS;
         let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
-        let substitute = self.give_up_at.first().map(|(at, _)| *at);
+        let local_delivery = self.local_delivery_from.first().map(|(at, _)| *at);
         let end = self.ends.first().map(|(at, _)| *at);
-        [offer, substitute, end].into_iter().flatten().min()
+        [offer, local_delivery, end].into_iter().flatten().min()
     }
 
     fn next_offer(&mut self, now: Micros) -> Option<HandoverDecision> {
@@ -315,8 +315,8 @@
     }
 
     fn next_local_delivery(&mut self, now: Micros) -> Option<HandoverDecision> {
-        while self.give_up_at.first().is_some_and(|(at, _)| *at <= now) {
-            self.give_up_at.pop_first();
+        while self.local_delivery_from.first().is_some_and(|(at, _)| *at <= now) {
+            self.local_delivery_from.pop_first();
             self.check_local_delivery = true;
         }
         if !self.check_local_delivery || self.local_deliveries.len() >= MAX_LOCAL_DELIVERIES {
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -197,7 +197,8 @@
         }
     }
 
-    /// What the list and the operators together say of an endpoint.
+    /// What the list and the operators together say of an endpoint. What the fleet's policy says is not in it; the
+    /// controller is told that as well ([`Reducer::endpoint_update`]).
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
         let state = self.endpoints.listed(uid)?.state;
         let out = state == EndpointState::Active && self.operator_overrides.is_ejected(uid);
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -56,7 +56,7 @@
     }
 
     /// The other forwarder that owns a destination.
-    pub fn peer(&self, destination: DestinationId) -> Option<Peer> {
+    pub fn other_owner(&self, destination: DestinationId) -> Option<Peer> {
         match self.view.as_ref()?.owner_of(destination) {
             Owner::Peer(peer) => Some(peer),
             Owner::Local | Owner::Unknown => None,
@@ -109,7 +109,7 @@
     }
 
     /// A message is accepted: whether another forwarder handed it over is in its handover state.
-    pub fn count_taken_over(&mut self, accepted: &AcceptedMessage) {
+    pub fn count_received_by_handover(&mut self, accepted: &AcceptedMessage) {
         self.counts.taken_over += u64::from(accepted.handover.kept_local);
     }
 
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -38,7 +38,7 @@
         };
         let reserve_bytes = self.ownership.reserve_bytes(&submission.id);
         if !self.has_room_for(now, &submission, &checked, reserve_bytes) {
-            self.metrics.on_rejected(&submission.class, MessageEnd::Overload);
+            self.metrics.on_ended_before_accepted(&submission.class, MessageEnd::Overload);
             return self.answer(request, SubmitAnswer::Rejected(self.no_room_retry_after()));
         }
         let is_retry = submission.is_retry;
@@ -110,7 +110,7 @@
             return Err(SubmitAnswer::UnknownDestination);
         }
         let mark = self.read_handover_mark(&submission.handover_mark).map_err(SubmitAnswer::Incomplete)?;
-        let owner = if mark.is_some() { None } else { self.ownership.peer(submission.destination) };
+        let owner = if mark.is_some() { None } else { self.ownership.other_owner(submission.destination) };
         Ok(CheckedSubmission { max_time_left, mark, owner })
     }
 
@@ -264,7 +264,7 @@
             if stored {
                 self.count_stored(number);
             } else if let Some(message) = self.drop_message(number) {
-                self.metrics.on_rejected(&message.accepted.class, MessageEnd::Overload);
+                self.metrics.on_ended_before_accepted(&message.accepted.class, MessageEnd::Overload);
                 self.controller.push(Event::Withdrawn { id: number });
             }
             let answer = if stored {
@@ -286,7 +286,7 @@
             && !std::mem::replace(&mut message.stored, true)
         {
             self.metrics.on_accepted(1);
-            self.ownership.count_taken_over(&message.accepted);
+            self.ownership.count_received_by_handover(&message.accepted);
         }
     }
 }
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -137,7 +137,7 @@
             } else {
                 (FinalAnswer::Rejected { retry_after_ms }, MessageEnd::Overload)
             };
-            self.metrics.on_rejected(&accepted.class, end);
+            self.metrics.on_ended_before_accepted(&accepted.class, end);
             takeover.undelivered_answers.push(DecidedAnswer { id: accepted.id, answer, decided_at: now });
         }
         let records: Vec<_> = takeover.undelivered_answers.iter().map(DecidedAnswer::record).collect();
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether it begins no more attempts.
-    pub fn has_stopped(&self) -> bool {
+    pub fn begins_no_attempts(&self) -> bool {
         self.ended || self.state.stage == ProcessStage::HandedOff
     }
 
@@ -50,7 +50,7 @@
 
     /// About the bytes that it needs to compact its file, while it still may.
     fn live_bytes(&self) -> usize {
-        if self.has_stopped() {
+        if self.begins_no_attempts() {
             return 0;
         }
         let messages =
@@ -138,7 +138,7 @@
 
     /// Whether a process before this one still begins attempts: until it has stopped, this one begins none.
     pub fn older_runs(&self) -> bool {
-        self.older().any(|older| !older.has_stopped())
+        self.older().any(|older| !older.begins_no_attempts())
     }
 
     /// Whether a process after this one runs and accepts clients.
@@ -161,7 +161,7 @@
     /// of one before that has stopped.
     pub fn may_take_over(&self, generation: Generation) -> bool {
         let Some(other) = self.others.get(&generation) else { return false };
-        let from_older = generation < self.generation && other.has_stopped() && !self.older_runs();
+        let from_older = generation < self.generation && other.begins_no_attempts() && !self.older_runs();
         !self.has_handed_off() && (other.ended || from_older)
     }
 
@@ -220,7 +220,7 @@
         }
         self.share_space();
         if older_ran && !self.upgrade.older_runs() {
-            self.take_lead();
+            self.begin_attempts();
         }
         for generation in self.upgrade.generations() {
             self.take_over(generation);
@@ -279,7 +279,7 @@
     }
 
     /// The older processes have stopped: this one begins attempts, with what they knew of faulty routes.
-    fn take_lead(&mut self) {
+    fn begin_attempts(&mut self) {
         self.log("upgrade: the older process has stopped, this one begins attempts".to_owned());
         let faulty = self.upgrade.older().flat_map(|older| older.state.faulty_routes.iter());
         let events: Vec<_> = faulty.filter_map(|route| self.route_state_event(route, true, 0)).collect();
@@ -352,7 +352,7 @@
     /// A message is the successor's from here on. Who submits it again is told that it was accepted.
     pub(super) fn release_to_successor(&mut self, number: MessageId) {
         if let Some(message) = self.drop_message(number) {
-            self.metrics.on_handed_over();
+            self.metrics.on_left_this_process();
             self.finished.remember(message.accepted.id, self.controller.last_round_at());
             self.controller.push(Event::Withdrawn { id: number });
         }
--- a/crates/forwarder/tests/metrics.rs
+++ b/crates/forwarder/tests/metrics.rs
@@ -32,7 +32,7 @@
     figures.register_classes(&["orders".to_owned(), "st\"atus".to_owned()]);
     figures.on_accepted(2);
     figures.on_ended("orders", MessageEnd::Success);
-    figures.on_rejected("orders", MessageEnd::Overload);
+    figures.on_ended_before_accepted("orders", MessageEnd::Overload);
     figures.on_dispatched(3);
     assert_eq!(figures.open_messages(), 1);
     let gauges = Gauges { open_messages: 1, endpoints: 4, avoided_endpoints: 2 };
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -162,9 +162,9 @@
         figures.on_delivered(class, Some(1_000));
         figures.on_delivered(class, Some(40_000));
         figures.on_ended(class, MessageEnd::Error);
-        figures.on_rejected(class, MessageEnd::Overload);
+        figures.on_ended_before_accepted(class, MessageEnd::Overload);
     }
-    figures.on_handed_over();
+    figures.on_left_this_process();
     figures.on_dispatched(11);
     let gauges = Gauges { open_messages: 12, endpoints: 13, avoided_endpoints: 14 };
     let said = format!("{}\n{}", figures.render(gauges), figures.render_latency());
