--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -24,7 +24,7 @@
 
 /// Ids of finished messages take up no more than this part of the folder: they must not keep messages out.
 const FINISHED_IDS_DISK_DIVISOR: usize = 16;
-/// About the bytes of the records in a snapshot that are there once.
+/// An upper estimate of the bytes of the records in a snapshot that are there once.
 const SINGLE_RECORDS_BYTES: usize = 300;
 
 /// What follows from the machine's limits.
@@ -215,7 +215,7 @@
         self.effects.push(Effect::CompactJournal { bytes: snapshot });
     }
 
-    /// About the bytes of a snapshot, never less.
+    /// An upper estimate of the bytes of a snapshot.
     pub(super) fn live_bytes(&self) -> usize {
         self.durability.pending.bytes()
             + self.messages.live_bytes()
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -12,14 +12,14 @@
 /// The id of a finished message is remembered for so long, if there is disk for it: a client may still be submitting it
 /// again, or another forwarder offering it again.
 pub(super) const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
-/// About the bytes of the record of a finished message, or of a final answer, beside the id.
+/// An upper estimate of the bytes of the record of a finished message, or of a final answer, beside the id.
 pub(super) const SHORT_RECORD_BYTES: usize = 160;
 /// Pause before notifications are posted again.
 const NOTIFICATION_RETRY_US: Micros = 100_000;
 /// Notifications in one post.
 const MAX_NOTIFICATIONS_PER_POST: usize = 200;
 
-/// About the bytes of a short record, never less.
+/// An upper estimate of the bytes of a short record.
 pub(super) fn id_size(id: &str) -> usize {
     id.len() + SHORT_RECORD_BYTES
 }
@@ -80,7 +80,7 @@
         self.since.contains_key(id)
     }
 
-    /// About the bytes that they take up in a snapshot, never less.
+    /// An upper estimate of the bytes that they take up in a snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -145,7 +145,7 @@
         self.answers.is_empty()
     }
 
-    /// About the bytes that they take up in a snapshot, never less.
+    /// An upper estimate of the bytes that they take up in a snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/forwarder/src/reducer/message_table.rs
+++ b/crates/forwarder/src/reducer/message_table.rs
@@ -6,7 +6,7 @@
 use orchidyoke_journal::AcceptedMessage;
 use std::collections::{BTreeMap, HashMap};
 
-/// About the bytes of a message's record beside its body and id, never less.
+/// An upper estimate of the bytes of a message's record beside its body and id.
 const MESSAGE_RECORD_BYTES: usize = 512;
 
 /// One message.
@@ -26,13 +26,13 @@
     pub handover_reserve_bytes: usize,
 }
 
-/// About the bytes that a message takes up in a snapshot, never less. JSON may write each byte of its key as two.
+/// An upper estimate of the bytes that a message takes up in a snapshot. JSON may write each byte of its key as two.
 pub(super) fn message_size(id: &str, idempotency_key: Option<&str>, body: &[u8]) -> usize {
     body.len() + id.len() + idempotency_key.map_or(0, |key| 2 * key.len()) + MESSAGE_RECORD_BYTES
 }
 
 impl Message {
-    /// About the bytes that it takes up in a snapshot, never less.
+    /// An upper estimate of the bytes that it takes up in a snapshot.
     pub fn size(&self) -> usize {
         let accepted = &self.accepted;
         message_size(&accepted.id, accepted.idempotency_key.as_deref(), &self.body)
@@ -48,7 +48,7 @@
     next_number: MessageId,
     /// Messages that the controller is to admit or reject in its next round.
     awaiting_decision: Vec<MessageId>,
-    /// About the bytes that a snapshot takes up for messages.
+    /// An upper estimate of the bytes that a snapshot takes up for messages.
     live_bytes: usize,
 }
 
@@ -144,7 +144,7 @@
         numbers.into_iter().filter_map(decided).collect()
     }
 
-    /// About the bytes that a snapshot takes up for messages, never less.
+    /// An upper estimate of the bytes that a snapshot takes up for messages.
     pub fn live_bytes(&self) -> usize {
         // Counted as messages come and go: this is asked for with each append.
         debug_assert_eq!(self.live_bytes, self.values().map(Message::size).sum::<usize>());
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -13,7 +13,7 @@
 
 /// Overrides of endpoints that no list names; beyond, the oldest is forgotten.
 const MAX_UNLISTED_OVERRIDES: usize = 256;
-/// About the bytes of the record of an override, beside the endpoint's uid.
+/// An upper estimate of the bytes of the record of an override, beside the endpoint's uid.
 const OVERRIDE_RECORD_BYTES: usize = 96;
 
 /// An operator's last call about an endpoint.
@@ -77,7 +77,7 @@
         self.restored.first().map(|(at, _)| *at)
     }
 
-    /// About the bytes that the overrides take up in a snapshot, never less.
+    /// An upper estimate of the bytes that the overrides take up in a snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// About the bytes of the records of a message's handover, beside its id and the longest name of an owner.
+/// An upper estimate of the bytes of the records of a message's handover, beside its id and the longest name of an owner.
 const HANDOVER_RECORDS_BYTES: usize = 320;
 /// The owners of so many destinations are looked up for the figures: each costs a hash for each member.
 const MAX_OWNER_LOOKUPS: usize = 1000;
@@ -98,7 +98,7 @@
         (destinations.iter().step_by(step).filter(is_owned).count() * step) as u64
     }
 
-    /// About the bytes that a snapshot may hold of a message beside its record, never less.
+    /// An upper estimate of the bytes that a snapshot may hold of a message beside its record.
     pub fn reserve_bytes(&self, id: &str) -> usize {
         if self.is_on() { HANDOVER_RECORDS_BYTES + 2 * id.len() } else { 0 }
     }
--- a/crates/forwarder/src/reducer/retry_after_table.rs
+++ b/crates/forwarder/src/reducer/retry_after_table.rs
@@ -46,7 +46,7 @@
         self.until.iter()
     }
 
-    /// About the bytes of their records, never less.
+    /// An upper estimate of the bytes of their records.
     pub fn record_bytes(&self) -> usize {
         self.record_bytes
     }
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -6,7 +6,7 @@
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 
-/// About the bytes of the record of a route, beside the endpoint's uid.
+/// An upper estimate of the bytes of the record of a route, beside the endpoint's uid.
 const ROUTE_RECORD_BYTES: usize = 96;
 
 /// A route, by names that outlast a process.
@@ -48,7 +48,7 @@
         Record::RetryAfter { destination: self.destination, endpoint: self.endpoint.clone(), until }
     }
 
-    /// About the bytes of its record, never less.
+    /// An upper estimate of the bytes of its record.
     pub fn record_size(&self) -> usize {
         ROUTE_RECORD_BYTES + self.endpoint.as_ref().map_or(0, String::len)
     }
@@ -118,7 +118,7 @@
         Some(Event::RouteState { destination: route.destination, endpoint, ejected, retry_after })
     }
 
-    /// About the bytes of the records of what is known of routes, never less.
+    /// An upper estimate of the bytes of the records of what is known of routes.
     pub(super) fn known_routes_size(&self) -> usize {
         self.faulty_routes.record_bytes + self.retry_after.record_bytes()
     }
--- a/crates/forwarder/src/reducer/shutdown.rs
+++ b/crates/forwarder/src/reducer/shutdown.rs
@@ -1,6 +1,7 @@
 //! Graceful shutdown: from SIGTERM to the exit.
 //!
-//! The platform kills the process 3.7 s after SIGTERM. Until [`ACCEPT_PERIOD_US`] clients are still accepted, unless there
+//! The process is killed 3.7 s after SIGTERM, by the supervisor (`TERMINATION_GRACE_MS` of its `machine`) or the platform.
+//! Until [`ACCEPT_PERIOD_US`] clients are still accepted, unless there
 //! is nothing to do before; then the last answers go out, and the process exits.
 
 use super::Reducer;
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -73,7 +73,8 @@
     ///
     /// # Errors
     ///
-    /// They could not be written; what was there stays complete.
+    /// They could not be written; what was there stays complete. If the file cannot be cut back to that either, part of a
+    /// record stays at its end, and readers stop before it.
     pub fn append(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
         if let Err(error) = self.file.write_all(bytes) {
             // Half a record would hide all that follow it.
--- a/crates/journal/src/space.rs
+++ b/crates/journal/src/space.rs
@@ -2,7 +2,8 @@
 
 /// Kept free of the folder's limit: files count in whole blocks, and folders may count too.
 const RESERVED_BYTES: usize = 16 << 10;
-/// Part of the limit that a snapshot may take up, so that a compacted file has room to grow.
+/// Part of the limit that a snapshot may take up. Half would leave room for the old and the new file beside each other and
+/// none for a compacted file to grow before it is compacted again.
 const MAX_LIVE_SHARE: f64 = 0.42;
 
 /// What the folder may hold and what is in it. It decides; [`Journal`](crate::Journal) writes.
--- a/crates/policy-commit/src/commit_decision.rs
+++ b/crates/policy-commit/src/commit_decision.rs
@@ -34,8 +34,8 @@
     Commit(CommitCondition),
 }
 
-/// Decides on a proposal. The members have to be read after the proposal became visible: one that joined since and has
-/// not voted reads what is committed before it is ready.
+/// Decides on a proposal. The members have to be read after the proposal became visible. A forwarder that registers after
+/// that reading need not vote: it reads the committed policy before it reports that it is ready.
 pub fn decide(proposed: &VersionedPolicy, point: &CommitPoint, members: &[Member]) -> CommitDecision {
     let proposal_index = match &point.proposal {
         Some(proposal) if proposal.policy.id == proposed.id => proposal.modify_index,
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Whether it did not answer, or was restarted, in this stage.
+    /// Whether it did not answer, or was restarted, in this stage. One failed read is enough: reads are not repeated within
+    /// their time, and the end of the warm-up forgets neither.
     pub fn went_down(&self) -> bool {
         self.failed_reads > 0 || self.restarts > 0
     }
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -49,7 +49,7 @@
     ApplyChange(usize),
     /// Run the stage of this number, from 0.
     RunStage(usize),
-    /// Roll back the forwarder at this index of the plan.
+    /// Roll back: the forwarder at this index of the plan is the first that has to be. The caller may take others before.
     RollBack(usize),
     /// Record that all forwarders have the change.
     RecordCompletion,
--- a/crates/rollout/src/release_upgrade.rs
+++ b/crates/rollout/src/release_upgrade.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an upgrade may take: twice the successor's time to be ready and the predecessor's to end, or more.
+/// How long an upgrade may take: a little more than twice the sum of the supervisor's `READY_TIMEOUT_MS` for the successor
+/// and `TERMINATION_GRACE_MS` for the predecessor.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a supervisor may not answer a request for an upgrade; then other forwarders come first.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(4);
--- a/crates/rollout/src/run.rs
+++ b/crates/rollout/src/run.rs
@@ -43,7 +43,8 @@
         /// The digest of this plan.
         given: String,
     },
-    /// A forwarder could not be rolled back.
+    /// A forwarder could not be rolled back within the plan's `max_bake_ms`. Some forwarders may still have the change; a
+    /// new start with the same plan and folder goes on.
     #[error("forwarder {forwarder}: cannot roll it back: {source}")]
     Rollback {
         /// Its name.
@@ -159,7 +160,8 @@
         }
     }
 
-    /// Rolls back in rounds until no forwarder is left, for as long as the plan's longest bake time.
+    /// Rolls back in rounds until no forwarder is left, each in the plan's order. Rounds are repeated for as long as a stage
+    /// may last (`max_bake_ms`); after that the first failure of the last round is returned, and a new start goes on.
     fn roll_back(&mut self) -> Result<(), RolloutError> {
         let deadline = Instant::now() + Duration::from_millis(self.plan.max_bake_ms);
         while let Some(failure) = self.roll_back_round()? {
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -8,6 +8,8 @@
 //! - Restart: an active forwarder that dies is started again after a backoff that doubles at each death. Beside a
 //!   successor it is not: the successor becomes active, as there is no predecessor left to go back to.
 //! - Shutdown: all processes are terminated, nothing is started.
+//!
+//! A forwarder that starts without a predecessor may take any time to be ready: nothing could take its place.
 
 use crate::protocol::{FailedUpgrade, RejectReason, SupervisorStatus};
 use crate::slot::{PerSlot, Slot};
@@ -17,7 +19,7 @@
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// An upgrade fails when its successor is not ready after this time.
 pub const READY_TIMEOUT_MS: u64 = 6_000;
-/// From SIGTERM to SIGKILL.
+/// From SIGTERM to SIGKILL. The forwarder's graceful shutdown is timed to end within it.
 pub const TERMINATION_GRACE_MS: u64 = 3_700;
 /// Backoff before the first restart; doubled at each further death, up to [`MAX_RESTART_BACKOFF_MS`].
 const INITIAL_RESTART_BACKOFF_MS: u64 = 100;
