--- a/crates/experiments/src/capacity/forwarder_process.rs
+++ b/crates/experiments/src/capacity/forwarder_process.rs
@@ -100,7 +100,7 @@
 
     /// Waits until its log says that it has read its configuration again.
     pub fn wait_for_reload(&self, limit: Duration) -> Result<(), CapacityError> {
-        self.logged("configuration: read again", "a reload", Instant::now(), limit).map(|_| ())
+        self.logged("configuration: reloaded", "a reload", Instant::now(), limit).map(|_| ())
     }
 
     fn address_after(
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -24,7 +24,7 @@
 
 /// Ids of finished messages take up no more than this part of the folder: they must not keep messages out.
 const FINISHED_IDS_DISK_DIVISOR: usize = 16;
-/// About the bytes of the records in a snapshot that are there once.
+/// An upper estimate of the bytes of the records in a snapshot that are there once.
 const SINGLE_RECORDS_BYTES: usize = 300;
 
 /// What follows from the machine's limits.
@@ -63,8 +63,8 @@
 }
 
 impl AfterAppend {
-    /// Whether it may be refused for want of room beside other processes; all else has to be written.
-    fn may_be_refused(&self) -> bool {
+    /// Whether it may be denied for want of room beside other processes; all else has to be written.
+    fn may_be_denied_room(&self) -> bool {
         matches!(
             self,
             AfterAppend::AdmitMessages(_) | AfterAppend::CompleteTakeover(_) | AfterAppend::ApplyOverride(_)
@@ -108,7 +108,7 @@
     /// The folder's limit is for the files of all processes: others take up, or may need, so many bytes.
     pub fn share_with(&mut self, other_bytes: usize, other_runs: bool) {
         let own = self.limit_bytes.saturating_sub(other_bytes);
-        // Each of two needs room: who has more has its file compacted.
+        // While another process runs, each may use half, so that both can compact.
         self.space.set_limit(if other_runs { own.min(self.limit_bytes / 2) } else { own });
     }
 
@@ -136,13 +136,13 @@
     fn append(&mut self, bytes: Bytes, then: Option<AfterAppend>, has_other_processes: bool) -> Effect {
         self.last_append += 1;
         let append = self.last_append;
-        let may_be_refused = then.as_ref().is_some_and(AfterAppend::may_be_refused);
-        let refused = may_be_refused && has_other_processes && !self.space.has_room_for(bytes.len());
+        let may_be_denied_room = then.as_ref().is_some_and(AfterAppend::may_be_denied_room);
+        let denied = may_be_denied_room && has_other_processes && !self.space.has_room_for(bytes.len());
         let changes_state_later = then.as_ref().is_some_and(AfterAppend::changes_state_later);
         if let Some(then) = then {
             self.after_append.insert(append, then);
         }
-        if refused {
+        if denied {
             return Effect::ReportJournalFull { append };
         }
         self.space.record_append(bytes.len());
@@ -215,7 +215,7 @@
         self.effects.push(Effect::CompactJournal { bytes: snapshot });
     }
 
-    /// About the bytes of a snapshot, never less.
+    /// An upper estimate of the bytes of a snapshot.
     pub(super) fn live_bytes(&self) -> usize {
         self.durability.pending.bytes()
             + self.messages.live_bytes()
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// About the bytes of the records of a message's handover, beside its id and the longest name of an owner.
+/// An upper estimate of the bytes of the records of a message's handover, beside its id and the longest name of an owner.
 const HANDOVER_RECORDS_BYTES: usize = 320;
 /// The owners of so many destinations are looked up for the figures: each costs a hash for each member.
 const MAX_OWNER_LOOKUPS: usize = 1000;
@@ -56,7 +56,7 @@
     }
 
     /// The other forwarder that owns a destination.
-    pub fn peer(&self, destination: DestinationId) -> Option<Peer> {
+    pub fn other_owner(&self, destination: DestinationId) -> Option<Peer> {
         match self.view.as_ref()?.owner_of(destination) {
             Owner::Peer(peer) => Some(peer),
             Owner::Local | Owner::Unknown => None,
@@ -98,7 +98,7 @@
         (destinations.iter().step_by(step).filter(is_owned).count() * step) as u64
     }
 
-    /// About the bytes that a snapshot may hold of a message beside its record, never less.
+    /// An upper estimate of the bytes that a snapshot may hold of a message beside its record.
     pub fn reserve_bytes(&self, id: &str) -> usize {
         if self.is_on() { HANDOVER_RECORDS_BYTES + 2 * id.len() } else { 0 }
     }
@@ -109,7 +109,7 @@
     }
 
     /// A message is accepted: whether another forwarder handed it over is in its handover state.
-    pub fn count_taken_over(&mut self, accepted: &AcceptedMessage) {
+    pub fn count_received_by_handover(&mut self, accepted: &AcceptedMessage) {
         self.counts.taken_over += u64::from(accepted.handover.kept_local);
     }
 
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -21,7 +21,8 @@
     /// The change of the forwarder of this name began.
     #[serde(rename = "changing")]
     ChangeStarted(String),
-    /// The forwarder of this name has the change.
+    /// The change of the forwarder of this name was made. For settings this means that their file is written and the
+    /// reload requested; whether the forwarder found the file valid is not checked.
     #[serde(rename = "changed")]
     ChangeApplied(String),
     /// The stage of this number (from 0) passed.
@@ -48,7 +49,7 @@
     ApplyChange(usize),
     /// Run the stage of this number, from 0.
     RunStage(usize),
-    /// Roll back the forwarder at this index of the plan.
+    /// Roll back: the forwarder at this index of the plan is the first that has to be. The caller may take others before.
     RollBack(usize),
     /// Record that all forwarders have the change.
     RecordCompletion,
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -244,7 +244,7 @@
     });
     predecessor.signal("TERM");
     assert!(
-        successor.wait_for_log("taken over from process", TIMEOUT).is_some(),
+        successor.wait_for_log("took over another process's messages", TIMEOUT).is_some(),
         "the waiting message is handed over"
     );
     deployment.set(Mode::Serve);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -284,7 +284,7 @@
     assert_eq!(forwarder.submit_message("status", "asks", 2), 202);
     wait_for_final_answers(&partner, &platform, &["asks".to_owned()]);
     let lines: Vec<String> =
-        forwarder.log.try_iter().filter(|line| line.contains("could not be accepted")).collect();
+        forwarder.log.try_iter().filter(|line| line.contains("cannot accept a connection")).collect();
     assert!(lines.is_empty(), "{lines:?}");
     drop(idle);
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -500,7 +500,7 @@
             "it takes clients before the predecessor is terminated"
         );
         predecessor.signal("TERM");
-        wait_for(&predecessor.log, "messages handed over");
+        wait_for(&predecessor.log, "handed off to the successor");
         persistent.get_mut().write_all(request("last").as_bytes()).expect("written");
         let (status, headers, _) = read_request(&mut persistent).expect("an answer");
         assert!(
@@ -508,7 +508,7 @@
             "{status} {headers}"
         );
         assert!(predecessor.child.wait().expect("ends").success());
-        wait_for(&successor.log, "this one goes on");
+        wait_for(&successor.log, "this one begins attempts");
         predecessor = successor;
         console = successor_console;
     }
