--- a/crates/supervisor/src/client.rs
+++ b/crates/supervisor/src/client.rs
@@ -1,17 +1,17 @@
-//! The caller's side of the control address, blocking: used by the rollout to read a supervisor's status and to
-//! request upgrades. [`exchange_line`] also serves for a forwarder's console, which has the same form.
+//! A blocking client of the control address. The rollout uses it to read a supervisor's status and to request
+//! upgrades. [`exchange_line`] also works for a forwarder's console, which takes one line per connection too.
 
 use crate::protocol::{Request, SupervisorStatus, is_busy};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest reply that is read: the latency histograms of many classes, at a forwarder's console, are the longest.
+/// Longest reply that is read. The longest replies are a console's latency histograms of many classes.
 const MAX_REPLY_BYTES: u64 = 8 << 20;
 /// Characters of an invalid reply that its error quotes.
 const QUOTED_REPLY_CHARS: usize = 80;
 
-/// Why a request brought no result.
+/// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The supervisor could not be reached, or did not answer in time.
@@ -21,7 +21,7 @@
         address: SocketAddr,
         /// What was requested.
         request: Request,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The supervisor rejected the request.
@@ -31,10 +31,10 @@
         address: SocketAddr,
         /// What was requested.
         request: Request,
-        /// Its reason, as on the wire.
+        /// The supervisor's reason, as on the wire.
         reason: String,
     },
-    /// The reply is not one of the control protocol.
+    /// The reply does not follow the control protocol.
     #[error("supervisor at {address} gave an invalid reply to the {request}: {reply:?}")]
     InvalidReply {
         /// The control address.
@@ -47,18 +47,18 @@
 }
 
 impl CallError {
-    /// Whether the supervisor is busy with another upgrade, so that the request may be repeated.
+    /// Returns whether the supervisor is busy with another upgrade. The request may then be repeated.
     pub fn is_busy(&self) -> bool {
         matches!(self, CallError::Rejected { reason, .. } if is_busy(reason))
     }
 }
 
-/// Sends one line on a connection of its own and returns all that comes until its end. `timeout` bounds the
-/// connecting and each single read and write.
+/// Sends one line on a new connection and returns everything received until the peer closes the connection.
+/// `timeout` limits the connection attempt and each single read and write.
 ///
 /// # Errors
 ///
-/// The address cannot be reached, or is silent for longer than `timeout`.
+/// The address cannot be reached, or sends nothing for longer than `timeout`.
 pub fn exchange_line(address: SocketAddr, line: &str, timeout: Duration) -> std::io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
@@ -69,11 +69,11 @@
     Ok(reply)
 }
 
-/// Makes one request and returns what follows `200` in the reply. `timeout` is that of [`exchange_line`].
+/// Makes one request and returns the text that follows `200` in the reply. `timeout` is that of [`exchange_line`].
 ///
 /// # Errors
 ///
-/// The supervisor does not answer, rejects the request, or its reply is not one of the protocol.
+/// The supervisor does not answer or rejects the request, or its reply does not follow the protocol.
 pub fn call(address: SocketAddr, request: &Request, timeout: Duration) -> Result<String, CallError> {
     let reply = exchange_line(address, &request.to_line(), timeout)
         .map_err(|source| CallError::NoAnswer { address, request: request.clone(), source })?;
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 ///
-/// The supervisor does not answer, rejects the request, or its reply is not a status.
+/// The supervisor does not answer or rejects the request, or its reply is not a status.
 pub fn status(address: SocketAddr, timeout: Duration) -> Result<SupervisorStatus, CallError> {
     let reply = call(address, &Request::Status, timeout)?;
     serde_json::from_str(&reply).map_err(|_| CallError::InvalidReply {
@@ -103,12 +103,13 @@
     })
 }
 
-/// Requests an upgrade to this release; returns once it has begun, not once it is over. Repeating it for a release
-/// that serves or is being started changes nothing. `timeout` is that of [`exchange_line`].
+/// Requests an upgrade to this release. Returns once the upgrade has begun, not once it is over. Repeating the request
+/// for a release that serves or is being started changes nothing. `timeout` is that of [`exchange_line`].
 ///
 /// # Errors
 ///
-/// The supervisor does not answer, or rejects the request ([`CallError::is_busy`]: it may be repeated).
+/// The supervisor does not answer or rejects the request. After an error for which [`CallError::is_busy`] returns
+/// `true`, the request may be repeated.
 pub fn request_upgrade(address: SocketAddr, release: &str, timeout: Duration) -> Result<(), CallError> {
     call(address, &Request::Upgrade(release.to_owned()), timeout).map(drop)
 }
--- a/crates/supervisor/src/control_server.rs
+++ b/crates/supervisor/src/control_server.rs
@@ -1,4 +1,5 @@
-//! The control address: reads one request a connection, has the supervisor's loop answer it, and writes the reply.
+//! The server of the control address. It reads one request per connection, passes it to the supervisor's loop and
+//! writes the loop's reply.
 
 use crate::protocol::{MAX_LINE_BYTES, RejectReason, Request};
 use crate::run::Event;
@@ -10,14 +11,14 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Connections served at once; further ones wait to be accepted.
+/// Connections served at once. Further connections wait to be accepted.
 const MAX_CONNECTIONS: usize = 16;
-/// A caller that is not done by then makes way for the next.
+/// Longest time that one connection is served, so that a slow caller does not keep out others.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept, which may be for want of descriptors.
+/// Pause after a failed accept, because the process may be out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What a request brings: the rest of the reply line after `200`, or why it is rejected.
+/// The reply to a request: the rest of the reply line after `200`, or the reason of the rejection.
 pub type Reply = Result<String, RejectReason>;
 
 /// Serves callers until the supervisor exits.
@@ -31,7 +32,7 @@
         };
         let events = events.clone();
         spawn_local(async move {
-            // A caller that is late or gone needs no reply.
+            // After a time-out or a closed connection there is no caller left to reply to.
             drop(timeout(CONNECTION_TIMEOUT, answer(stream, events)).await);
             drop(permit);
         });
@@ -56,7 +57,7 @@
     stream.shutdown().await
 }
 
-/// What a connection brought.
+/// The first line of a connection, as far as it was received.
 enum Line {
     Complete(String),
     TooLong,
@@ -81,7 +82,7 @@
 
 async fn ask_supervisor(request: Request, events: &mpsc::UnboundedSender<Event>) -> Reply {
     let (reply_to, reply) = oneshot::channel();
-    // Where the loop is gone the reply never comes, and says the same.
+    // If the loop has ended, `reply_to` is dropped and the caller gets `ShuttingDown`.
     let _ = events.send(Event::Request { request, reply_to });
     reply.await.unwrap_or(Err(RejectReason::ShuttingDown))
 }
--- a/crates/supervisor/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -1,15 +1,16 @@
-//! Keeps one forwarder process running on a machine: holds the clients' listening socket, starts the forwarder on it,
-//! restarts it when it dies, and replaces it under load by another release
+//! The supervisor keeps one forwarder process running on a machine. It holds the clients' listening socket, starts the
+//! forwarder on it, restarts the forwarder when it dies, and replaces it under load by another release
 //! ([docs/supervisor.md](../../../docs/supervisor.md)).
 //!
-//! - [`machine`]: what to do next, as `step(now, input) -> effects`; no I/O, no clock.
-//! - [`slot`]: the two places for a process.
-//! - [`protocol`]: the control protocol: requests, replies and the status.
-//! - [`client`]: the caller's side of the control address; the rollout uses it.
-//! - [`run`](mod@run): the loop that carries the machine's effects out on processes and sockets.
+//! - [`machine`]: the state machine that decides the next effects, as `step(now, input) -> effects`, without I/O or a
+//!   clock.
+//! - [`slot`]: the two slots for a process.
+//! - [`protocol`]: the requests, replies and status of the control protocol.
+//! - [`client`]: the client of the control address, which the rollout uses.
+//! - [`run`](mod@run): the loop that carries out the machine's effects on processes and sockets.
 //!
-//! The forwarder knows nothing of its supervisor: it is started with the socket (`EDGE_FD`) and a console
-//! (`EDGE_CONSOLE`), as any platform may do.
+//! The forwarder does not depend on the supervisor. The supervisor starts it with the socket (`EDGE_FD`) and a console
+//! (`EDGE_CONSOLE`), as any other process manager can.
 
 #![deny(missing_docs)]
 
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -1,15 +1,17 @@
-//! The choices of the supervisor: when a forwarder is started, restarted, replaced, terminated and killed. One forwarder
-//! is active; at most one other process runs beside it: a successor that is not ready yet, or a predecessor that is
-//! terminating. No I/O and no clock: times are milliseconds since the supervisor began.
+//! The supervisor's state machine decides when a forwarder is started, restarted, replaced, terminated and killed. One
+//! forwarder is active. At most one other process runs beside it, either a successor that is not ready yet or a
+//! predecessor that is terminating. The machine does no I/O and reads no clock. All times are milliseconds since the
+//! supervisor began.
 //!
 //! - Upgrade: the successor starts beside the active forwarder. Once it is ready it becomes active, its release is
 //!   persisted, and the predecessor is terminated. If the successor exits or is not ready in
 //!   time, the upgrade has failed.
-//! - Restart: an active forwarder that dies is started again after a backoff that doubles at each death. Beside a
-//!   successor it is not: the successor becomes active, as there is no predecessor left to go back to.
-//! - Shutdown: all processes are terminated, nothing is started.
+//! - Restart: an active forwarder that dies is started again after a backoff that doubles at each death. If a successor
+//!   is starting, it becomes active instead, because there is no predecessor left to go back to.
+//! - Shutdown: all processes are terminated and none is started.
 //!
-//! A forwarder that starts without a predecessor may take any time to be ready: nothing could take its place.
+//! A forwarder that starts without a predecessor may take any time to be ready, because no other process could serve in
+//! its place.
 
 use crate::protocol::{FailedUpgrade, RejectReason, SupervisorStatus};
 use crate::slot::{PerSlot, Slot};
@@ -19,44 +21,44 @@
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// An upgrade fails when its successor is not ready after this time.
 pub const READY_TIMEOUT_MS: u64 = 6_000;
-/// From SIGTERM to SIGKILL. The forwarder's graceful shutdown is timed to end within it.
+/// Time from SIGTERM to SIGKILL. The forwarder's graceful shutdown is timed to end before SIGKILL.
 pub const TERMINATION_GRACE_MS: u64 = 3_700;
-/// Backoff before the first restart; doubled at each further death, up to [`MAX_RESTART_BACKOFF_MS`].
+/// Backoff before the first restart. It doubles at each further death, up to [`MAX_RESTART_BACKOFF_MS`].
 const INITIAL_RESTART_BACKOFF_MS: u64 = 100;
 const MAX_RESTART_BACKOFF_MS: u64 = 5_000;
-/// A forwarder that served for this long before it died starts the backoff anew.
+/// If a forwarder served for this long before it died, the backoff starts again at [`INITIAL_RESTART_BACKOFF_MS`].
 const BACKOFF_RESET_AFTER_MS: u64 = 10_000;
-/// Doublings that are counted: more of them than it takes to reach the longest backoff, and no overflow.
+/// Most doublings of the backoff. They exceed [`MAX_RESTART_BACKOFF_MS`] but cannot overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// What happens to the supervisor.
+/// An event that the supervisor reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// It begins.
+    /// The supervisor begins.
     Start,
-    /// Time has passed; wanted every [`TICK_INTERVAL`].
+    /// Time has passed. The machine needs this input every [`TICK_INTERVAL`].
     Tick,
-    /// The process in this slot says that it takes clients.
+    /// The process in this slot has reported that it takes clients.
     Ready(Slot),
     /// A process has ended, or could not be started.
     Exited {
-        /// Its slot.
+        /// The slot of the process.
         slot: Slot,
-        /// How it ended, for people.
+        /// How the process ended, for operators.
         cause: String,
     },
     /// The supervisor is to shut down.
     Shutdown,
 }
 
-/// What the supervisor does.
+/// An action of the supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Starts a process.
     Spawn {
-        /// Where.
+        /// The slot to start the process in.
         slot: Slot,
-        /// Of which release.
+        /// The release to start.
         release: String,
     },
     /// Asks the process in this slot whether it takes clients.
@@ -65,13 +67,13 @@
     Terminate(Slot),
     /// Sends SIGKILL to the process in this slot.
     Kill(Slot),
-    /// Persists this release as the one to be started from now on.
+    /// Persists this release as the one to start from now on.
     PersistRelease(String),
     /// Exits the supervisor.
     Exit,
 }
 
-/// The life of a process.
+/// The phase in the lifetime of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Not ready yet.
@@ -107,12 +109,12 @@
 /// The supervisor's state.
 #[derive(Debug)]
 pub struct Machine {
-    /// The release to be started.
+    /// The release to start next.
     target_release: String,
     processes: PerSlot<Option<Process>>,
-    /// The slot of the forwarder: of the one that serves, or that is to serve again after it died.
+    /// The slot of the forwarder that serves, or that is restarted after it died.
     active_slot: Slot,
-    /// When the forwarder that died is to be started again.
+    /// When the forwarder that died is started again. `None` if no restart is scheduled.
     restart_at_ms: Option<u64>,
     consecutive_failures: u32,
     restarts: u64,
@@ -121,7 +123,7 @@
 }
 
 impl Machine {
-    /// A machine that starts with this release.
+    /// Returns a machine that starts this release first.
     pub fn new(release: String) -> Self {
         Machine {
             target_release: release,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Takes an input at `now_ms`; returns what is to be done, in order.
+    /// Processes an input at `now_ms` and returns the effects to carry out, in order.
     pub fn step(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Start => self.start(now_ms, self.active_slot, self.target_release.clone()),
@@ -173,7 +175,8 @@
         effects
     }
 
-    /// Asks a starting process whether it is ready, and kills one whose time is over.
+    /// Asks a starting process whether it is ready. Kills a successor after [`READY_TIMEOUT_MS`], and a terminating
+    /// process after [`TERMINATION_GRACE_MS`].
     fn check_process(&mut self, now_ms: u64, slot: Slot) -> Option<Effect> {
         let is_successor = slot != self.active_slot;
         let process = self.processes[slot].as_mut()?;
@@ -225,7 +228,7 @@
         }
         let other = slot.other();
         if self.processes[other].as_ref().is_some_and(Process::is_starting) {
-            // The successor takes over what is left; there is no predecessor to go back to.
+            // The successor becomes active, because there is no predecessor to go back to.
             self.active_slot = other;
             return Vec::new();
         }
@@ -257,8 +260,8 @@
         self.processes.iter().all(Option::is_none)
     }
 
-    /// Replaces the forwarder by this release. The active one stays until its successor is ready; a release that is
-    /// active already, or being started, is left as it is.
+    /// Replaces the forwarder by this release. The active forwarder stays until its successor is ready. If the release
+    /// is active already or being started, no effect is returned.
     ///
     /// # Errors
     ///
@@ -284,7 +287,7 @@
         }
     }
 
-    /// Makes this release the one to start where no forwarder serves, so that there is none to keep.
+    /// Makes this release the one to start when no forwarder serves. It need not wait for a successor to be ready.
     fn replace_unready(&mut self, now_ms: u64, release: &str) -> Vec<Effect> {
         self.target_release = release.to_owned();
         self.failed_upgrade = None;
@@ -297,7 +300,7 @@
         effects
     }
 
-    /// The status for a caller, without the process id, which the machine does not know.
+    /// Returns the status for a caller, without the process id, because the machine does not know it.
     pub fn status(&self) -> SupervisorStatus {
         let active = self.processes[self.active_slot].as_ref();
         let is_alone = self.processes[self.active_slot.other()].is_none();
@@ -311,7 +314,7 @@
         }
     }
 
-    /// The slot of the forwarder that serves, or that is to serve again.
+    /// Returns the slot of the forwarder that serves, or that is restarted after it died.
     pub fn active_slot(&self) -> Slot {
         self.active_slot
     }
--- a/crates/supervisor/src/machine/tests.rs
+++ b/crates/supervisor/src/machine/tests.rs
@@ -1,8 +1,8 @@
-//! The machine, step by step: upgrades, restarts and shutdown.
+//! Tests of the state machine's upgrades, restarts and shutdown.
 
 use super::*;
 
-/// A machine whose first forwarder, of release `v1`, serves in the first slot.
+/// Returns a machine whose first forwarder, of release `v1`, serves in the first slot.
 fn serving() -> Machine {
     let mut machine = Machine::new("v1".into());
     assert_eq!(machine.step(0, Input::Start), [spawn(Slot::First, "v1")]);
@@ -20,7 +20,8 @@
     Effect::Spawn { slot, release: release.into() }
 }
 
-// Guards against a predecessor terminated before its successor is ready, and against one never killed.
+// Guards against a predecessor that is terminated before its successor is ready, and against a predecessor that ignores
+// SIGTERM and is never killed.
 #[test]
 fn ready_successor_terminates_its_predecessor() {
     let mut machine = serving();
@@ -35,7 +36,7 @@
     );
     assert_eq!(machine.step(160 + TERMINATION_GRACE_MS - 1, Input::Tick), []);
     assert_eq!(machine.step(160 + TERMINATION_GRACE_MS, Input::Tick), [Effect::Kill(Slot::First)]);
-    assert!(!machine.status().settled, "the predecessor is not gone yet");
+    assert!(!machine.status().settled, "the predecessor has not exited yet");
     assert_eq!(machine.step(4_000, exited(Slot::First, "signal 9")), []);
     let status = machine.status();
     assert!(
@@ -44,7 +45,7 @@
     );
 }
 
-// Guards against a fleet left without a forwarder by a release that does not start, or that never gets ready.
+// Guards against an upgrade that leaves no forwarder serving because its release does not start or never becomes ready.
 #[test]
 fn failed_successor_leaves_its_predecessor_serving() {
     let mut machine = serving();
@@ -56,7 +57,7 @@
         |failed_upgrade| failed_upgrade.release == "v2" && failed_upgrade.reason.contains("status 1")
     ));
     machine.upgrade(300, "v3").unwrap();
-    assert_eq!(machine.status().failed_upgrade, None, "a new request");
+    assert_eq!(machine.status().failed_upgrade, None, "a new request clears the failed upgrade");
     assert_eq!(machine.step(300 + READY_TIMEOUT_MS, Input::Tick), [Effect::Kill(Slot::Second)]);
     machine.step(7_000, exited(Slot::Second, "signal 9"));
     let status = machine.status();
@@ -65,7 +66,7 @@
     );
 }
 
-// Guards against a forwarder that died and stays down, and against one started in a tight loop.
+// Guards against a forwarder that is not restarted after it died, and against restarts without a pause.
 #[test]
 fn dead_forwarder_restarts_after_doubling_backoff() {
     let mut machine = serving();
@@ -81,7 +82,7 @@
     }
     assert_eq!(backoffs, [100, 200, 400, 800, 1_600, 3_200, 5_000, 5_000]);
     assert_eq!(machine.status().restarts, 8);
-    // A long service starts the backoff anew.
+    // A forwarder that served for `BACKOFF_RESET_AFTER_MS` resets the backoff.
     machine.step(now_ms, Input::Ready(Slot::First));
     machine.step(now_ms + BACKOFF_RESET_AFTER_MS, exited(Slot::First, "signal 9"));
     assert_eq!(
@@ -90,7 +91,7 @@
     );
 }
 
-// Guards against nobody serving after a predecessor died in the middle of an upgrade.
+// Guards against an upgrade without any serving forwarder after the predecessor died before the successor was ready.
 #[test]
 fn successor_becomes_active_when_its_predecessor_dies() {
     let mut machine = serving();
@@ -106,7 +107,7 @@
     assert!(machine.status().settled);
 }
 
-// Guards against a release that cannot even start holding off the one that is to replace it.
+// Guards against a release that cannot start, or is not ready yet, and delays the upgrade that would replace it.
 #[test]
 fn upgrade_replaces_a_forwarder_that_never_served_at_once() {
     let mut machine = Machine::new("bad".into());
@@ -126,7 +127,7 @@
     assert_eq!(machine.step(130, Input::Tick), [spawn(Slot::First, "v1")]);
 }
 
-// Guards against a stop that leaves a process behind, or starts one.
+// Guards against a shutdown that leaves a process running, or starts one.
 #[test]
 fn shutdown_terminates_all_processes_and_starts_none() {
     let mut machine = serving();
--- a/crates/supervisor/src/processes.rs
+++ b/crates/supervisor/src/processes.rs
@@ -1,5 +1,5 @@
-//! The forwarder processes of a supervisor: started on the shared socket, asked whether they are ready, signalled, and
-//! reported when they exit. Which of these is done and when, [`crate::machine`] chooses.
+//! The forwarder processes of a supervisor. This module starts them on the shared socket, checks whether they are
+//! ready, sends them signals, and reports their exits. [`crate::machine`] decides when each of these is done.
 
 use crate::machine::Input;
 use crate::process_identity::ProcessIdentity;
@@ -19,21 +19,21 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How long a console may take to say whether its process is ready.
+/// How long a console may take to answer whether its process is ready.
 const READINESS_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest reply to a readiness check that is read.
 const MAX_READINESS_REPLY_BYTES: u64 = 1 << 10;
 
-/// A forwarder process that runs.
+/// A running forwarder process.
 struct RunningProcess {
     pid: u32,
-    /// For signals: unlike the id it is never another process's.
+    /// Used for signals, because unlike the id it never refers to another process.
     pidfd: OwnedFd,
-    /// None where the process ended before it could be looked at.
+    /// `None` if the process ended before its start time could be read.
     identity: Option<ProcessIdentity>,
 }
 
-/// The processes, and what they are started with.
+/// The running processes, and the configuration and socket that they are started with.
 pub struct Processes {
     config: SupervisorConfig,
     /// The clients' listening socket, which each process inherits.
@@ -44,7 +44,7 @@
 }
 
 impl Processes {
-    /// No process yet. `clients` must not be close-on-exec.
+    /// Returns the state with no process running. `clients` must not be close-on-exec.
     pub fn new(
         config: SupervisorConfig,
         clients: std::net::TcpListener,
@@ -54,7 +54,7 @@
         Processes { config, clients, state, running: PerSlot::default(), events }
     }
 
-    /// Starts a process of this release; a failure is reported as its exit.
+    /// Starts a process of this release. A failure is reported as [`Input::Exited`].
     pub fn spawn(&mut self, slot: Slot, release: &str) {
         if let Err(error) = self.try_spawn(slot, release) {
             tracing::error!(release, slot = slot.index(), %error, "cannot start the forwarder");
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// Takes note that the process in this slot has exited.
+    /// Records that the process in this slot has exited.
     pub fn on_exit(&mut self, slot: Slot, cause: &str) {
         let pid = self.running[slot].take().map(|process| process.pid);
         self.persist();
@@ -99,15 +99,15 @@
         self.state.set_release(release);
     }
 
-    /// Sends a signal to the process in this slot, if there is one.
+    /// Sends a signal to the process in this slot, if one runs there.
     pub fn signal(&self, slot: Slot, signal: Signal) {
         if let Some(process) = &self.running[slot] {
-            // It fails only where the process has ended, which is reported apart.
+            // This fails only if the process has ended, which `report_exit` reports.
             let _ = pidfd_send_signal(&process.pidfd, signal);
         }
     }
 
-    /// Asks the process in this slot whether it takes clients; reports it if so.
+    /// Asks the process in this slot whether it takes clients, and reports [`Input::Ready`] if it does.
     pub fn check_readiness(&self, slot: Slot) {
         let console = self.config.consoles[slot.index()];
         let events = self.events.clone();
@@ -118,18 +118,18 @@
         });
     }
 
-    /// The id of the process in this slot.
+    /// Returns the id of the process in this slot, or `None` if none runs there.
     pub fn pid(&self, slot: Slot) -> Option<u32> {
         self.running[slot].as_ref().map(|process| process.pid)
     }
 
-    /// Whether there is such a release.
+    /// Returns whether the folder of releases has this release.
     pub fn has_release(&self, release: &str) -> bool {
         self.config.releases.join(release).is_file()
     }
 }
 
-/// Sends an input to the loop. It is gone only when the supervisor exits, and then no input matters.
+/// Sends an input to the supervisor's loop. An error is ignored, because the loop ends only when the supervisor exits.
 fn report(events: &mpsc::UnboundedSender<Event>, input: Input) {
     let _ = events.send(Event::Input(input));
 }
--- a/crates/supervisor/src/protocol.rs
+++ b/crates/supervisor/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The control protocol: one request line a connection, one reply line that begins with `200` or `400`, as at the
-//! forwarder's console. Used by the supervisor to read requests and by [`crate::client`] to write them.
+//! The control protocol. Each connection carries one request line and one reply line that begins with `200` or `400`,
+//! as at the forwarder's console. The supervisor reads requests with it, and [`crate::client`] writes them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::{Display, Formatter};
@@ -7,12 +7,12 @@
 /// Longest request line that the supervisor reads, without its line feed.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// An upgrade that failed: the release before it goes on serving.
+/// An upgrade that failed. The previous release continues to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedUpgrade {
     /// The release that was to replace the forwarder.
     pub release: String,
-    /// Why it failed, for people.
+    /// Why the upgrade failed, for operators.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -22,31 +22,32 @@
 pub struct SupervisorStatus {
     /// The release that runs, or that is started next.
     pub release: String,
-    /// The slot of the forwarder, 0 or 1: the number of its console among the supervisor's two.
+    /// The slot of the forwarder, 0 or 1. It is also the index of the forwarder's console in
+    /// [`SupervisorConfig::consoles`](crate::SupervisorConfig::consoles).
     #[serde(rename = "place")]
     pub slot: usize,
-    /// The forwarder takes clients, and no other process runs beside it.
+    /// Whether the forwarder takes clients and no other process runs beside it.
     pub settled: bool,
-    /// Restarts after the forwarder had died, since the supervisor began.
+    /// Number of restarts after the forwarder died, since the supervisor began.
     pub restarts: u64,
-    /// The last upgrade requested, if it failed.
+    /// The last requested upgrade if it failed, otherwise `None`.
     #[serde(rename = "refused")]
     pub failed_upgrade: Option<FailedUpgrade>,
-    /// The process id of the forwarder; none while it is not running.
+    /// The process id of the forwarder. `None` while it is not running.
     pub pid: Option<u32>,
 }
 
 /// A request at the control address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Reply with the [`SupervisorStatus`].
+    /// Asks for the [`SupervisorStatus`].
     Status,
-    /// Replace the forwarder by this release.
+    /// Asks the supervisor to replace the forwarder by this release.
     Upgrade(String),
 }
 
 impl Request {
-    /// This request on the wire, without its line feed.
+    /// Returns this request as it is sent, without its line feed.
     pub fn to_line(&self) -> String {
         match self {
             Request::Status => "show".to_owned(),
@@ -54,11 +55,11 @@
         }
     }
 
-    /// Reads a request line.
+    /// Parses a request line.
     ///
     /// # Errors
     ///
-    /// The line is no request, or names no release.
+    /// The line is not a request, or its release is not a plain file name.
     pub fn parse(line: &str) -> Result<Request, RejectReason> {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         match words[..] {
@@ -79,7 +80,7 @@
     }
 }
 
-/// Why the supervisor rejects a request. The texts are part of the protocol: they follow `400` on the wire.
+/// Why the supervisor rejects a request. The texts are part of the protocol, because they follow `400` on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectReason {
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -88,10 +89,10 @@
     /// The release is not a plain file name.
     #[error("a release is the name of a file in the folder of releases")]
     InvalidReleaseName,
-    /// The line is no request.
+    /// The line is not a request.
     #[error("unknown: show, or upgrade RELEASE")]
     UnknownRequest,
-    /// The folder of releases has no such file.
+    /// The folder of releases has no file of this name.
     #[error("there is no such release")]
     ReleaseNotFound,
     /// Another process runs beside the forwarder; see [`is_busy`].
@@ -105,12 +106,12 @@
     StatusNotSerializable,
 }
 
-/// Whether a reject reason on the wire is [`RejectReason::Busy`]: worth asking again.
+/// Returns whether a reject reason on the wire is [`RejectReason::Busy`]. The request may then be repeated.
 pub fn is_busy(reason: &str) -> bool {
     reason.starts_with("busy")
 }
 
-/// Whether this names a file in a folder, and nothing outside of it.
+/// Returns whether this is a plain file name, which cannot refer to a file outside the folder of releases.
 pub fn is_release_name(release: &str) -> bool {
     !release.is_empty()
         && !release.starts_with('.')
--- a/crates/supervisor/src/run.rs
+++ b/crates/supervisor/src/run.rs
@@ -1,4 +1,4 @@
-//! The supervisor's loop: what happens goes into the [machine](crate::machine), and its effects are carried out on
+//! The supervisor's loop. It feeds events into the [machine](crate::machine) and carries out the machine's effects on
 //! processes and sockets.
 
 use crate::control_server::{self, Reply};
@@ -16,34 +16,34 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// What a supervisor is started with.
+/// The options of a supervisor.
 #[derive(Clone, Debug)]
 pub struct SupervisorConfig {
-    /// Where clients connect; the supervisor holds this socket for every forwarder that it starts.
+    /// The address that clients connect to. The supervisor holds this socket for every forwarder that it starts.
     pub listen: SocketAddr,
-    /// The consoles of the two slots.
+    /// The addresses of the two slots' consoles.
     pub consoles: [SocketAddr; 2],
     /// The supervisor's own control address.
     pub control: SocketAddr,
-    /// The folder of releases: each file is a program.
+    /// The folder of releases. Each file in it is a forwarder program.
     pub releases: PathBuf,
-    /// The release to start with, where none is kept from before.
+    /// The release to start first, unless an earlier supervisor has persisted one in [`folder`](Self::folder).
     pub release: String,
-    /// The supervisor's own folder.
+    /// The supervisor's own folder, which holds its persisted state and its lock.
     pub folder: PathBuf,
-    /// What follows `serve` on each forwarder's command line.
+    /// The options that follow `serve` on each forwarder's command line.
     pub forwarder_options: Vec<String>,
 }
 
-/// Why a supervisor could not run.
+/// Why a supervisor could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorError {
-    /// Its folder could not be read or written.
+    /// The supervisor's folder could not be read or written.
     #[error("cannot use the supervisor's folder {}: {source}", .folder.display())]
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// Another supervisor holds the lock of the folder.
@@ -52,12 +52,12 @@
         /// The folder.
         folder: PathBuf,
     },
-    /// The state kept from before cannot be understood.
+    /// The state that an earlier supervisor persisted cannot be parsed.
     #[error("cannot parse the supervisor's state in {}: {source}", .file.display())]
     InvalidState {
         /// The file.
         file: PathBuf,
-        /// What is wrong in it.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// An address could not be listened on.
@@ -65,37 +65,37 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// Another system call failed.
     #[error("cannot {operation}: {source}")]
     System {
-        /// What was tried.
+        /// The operation that failed, as it reads after "cannot".
         operation: &'static str,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
-/// What comes to the loop.
+/// An event that the loop processes.
 pub enum Event {
-    /// Something for the machine.
+    /// An input of the machine.
     Input(Input),
     /// A request at the control address.
     Request {
         /// The request.
         request: Request,
-        /// Where its reply goes.
+        /// Receives the reply to the request.
         reply_to: oneshot::Sender<Reply>,
     },
 }
 
-/// Runs a supervisor until SIGTERM or SIGINT, and until its forwarders have ended.
+/// Runs a supervisor until it receives SIGTERM or SIGINT and its forwarders have exited.
 ///
 /// # Errors
 ///
-/// Its folder, its addresses or the system's means could not be had at the start.
+/// At the start, the supervisor's folder cannot be used, an address cannot be listened on, or a system call fails.
 pub fn run(config: SupervisorConfig) -> Result<(), SupervisorError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -149,14 +149,14 @@
     TcpListener::bind(address).await.map_err(|source| SupervisorError::Listen { address, source })
 }
 
-/// Whether the loop goes on.
+/// Whether the loop continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Continue,
     Exit,
 }
 
-/// The machine, and what its effects act on.
+/// The machine, and the processes that its effects act on.
 struct Supervisor {
     machine: Machine,
     processes: Processes,
@@ -176,7 +176,7 @@
                     Ok(handled) => (Ok(handled.reply), handled.effects),
                     Err(reason) => (Err(reason), Vec::new()),
                 };
-                // A caller that is gone needs no reply.
+                // An error means that the caller has disconnected and needs no reply.
                 let _ = reply_to.send(reply);
                 effects
             }
@@ -228,7 +228,7 @@
 
 /// The outcome of a request that was not rejected.
 struct HandledRequest {
-    /// What follows `200`.
+    /// The text that follows `200` in the reply line.
     reply: String,
     effects: Vec<Effect>,
 }
--- a/crates/supervisor/src/slot.rs
+++ b/crates/supervisor/src/slot.rs
@@ -1,21 +1,21 @@
-//! The two places for a process, so that a successor can start beside the forwarder that it replaces.
+//! The two slots for a process. There are two so that a successor can start beside the forwarder that it replaces.
 
 use std::ops::{Index, IndexMut};
 
-/// A place for one process, with a console of its own.
+/// A slot for one process. Each slot has its own console address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slot {
-    /// Slot 0, that of the first forwarder.
+    /// Slot 0, in which the first forwarder starts.
     First,
     /// Slot 1.
     Second,
 }
 
 impl Slot {
-    /// Both.
+    /// Both slots, in the order of their numbers.
     pub const ALL: [Slot; 2] = [Slot::First, Slot::Second];
 
-    /// Its number: 0 or 1.
+    /// Returns the number of the slot, 0 or 1.
     pub fn index(self) -> usize {
         match self {
             Slot::First => 0,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The other one.
+    /// Returns the other slot.
     pub fn other(self) -> Slot {
         match self {
             Slot::First => Slot::Second,
@@ -37,7 +37,7 @@
 pub struct PerSlot<T>([T; 2]);
 
 impl<T> PerSlot<T> {
-    /// The values, first slot first.
+    /// Returns an iterator over the values, that of the first slot first.
     pub fn iter(&self) -> std::slice::Iter<'_, T> {
         self.0.iter()
     }
--- a/crates/supervisor/src/state_file.rs
+++ b/crates/supervisor/src/state_file.rs
@@ -1,5 +1,5 @@
-//! What outlasts a supervisor, in `supervised.json` of its folder: the release to start, and the processes that it had
-//! started. Read when a supervisor begins, written whenever one of them changes.
+//! The state that a supervisor persists in `supervised.json` of its folder: the release to start, and the processes
+//! that it has started. The file is read when a supervisor begins and written whenever one of the two changes.
 
 use crate::process_identity::ProcessIdentity;
 use crate::run::SupervisorError;
@@ -13,20 +13,20 @@
 pub struct PersistedState {
     /// The release to start.
     pub release: String,
-    /// The processes that run, or ran when the supervisor was killed.
+    /// The processes that run, or that ran when the supervisor was killed.
     pub processes: Vec<ProcessIdentity>,
 }
 
-/// The file, and the lock that keeps a second supervisor out of its folder.
+/// The state file, and the lock that prevents a second supervisor from using the same folder.
 pub struct StateFile {
     path: PathBuf,
     state: PersistedState,
-    /// Held for as long as the supervisor runs.
+    /// Locked for as long as the supervisor runs.
     _lock: File,
 }
 
 impl StateFile {
-    /// Opens the folder, creating it where it is missing; `release` is the one to start where none is kept yet.
+    /// Opens the folder and creates it if it is missing. `release` is the release to start if none is persisted yet.
     pub fn open(folder: &Path, release: &str) -> Result<StateFile, SupervisorError> {
         let unusable = |source| SupervisorError::Folder { folder: folder.to_owned(), source };
         std::fs::create_dir_all(folder).map_err(unusable)?;
@@ -44,12 +44,12 @@
         Ok(StateFile { path, state, _lock: lock })
     }
 
-    /// The release to start.
+    /// Returns the release to start.
     pub fn release(&self) -> &str {
         &self.state.release
     }
 
-    /// Takes out the processes that an earlier supervisor had started.
+    /// Returns the processes that an earlier supervisor has started, and removes them from the state in memory.
     pub fn take_processes(&mut self) -> Vec<ProcessIdentity> {
         std::mem::take(&mut self.state.processes)
     }
@@ -66,14 +66,15 @@
         self.save();
     }
 
-    /// A supervisor that cannot save goes on: its forwarder matters more than its own restart.
+    /// Writes the state to the file. A failure is only logged, because the forwarder has to keep running even if a
+    /// restarted supervisor will then read an outdated state.
     fn save(&self) {
         if let Err(error) = self.replace_file() {
             tracing::error!(file = %self.path.display(), %error, "cannot save the supervisor's state");
         }
     }
 
-    /// Writes a new file and renames it, so that a kill leaves the old or the new one complete.
+    /// Writes a new file and renames it, so that a kill leaves either the old or the new file complete.
     fn replace_file(&self) -> std::io::Result<()> {
         let temporary = self.path.with_extension("new");
         let mut file = File::create(&temporary)?;
--- a/crates/supervisor/src/state_file/tests.rs
+++ b/crates/supervisor/src/state_file/tests.rs
@@ -1,5 +1,5 @@
-//! Protects the supervisor's folder: the state that an earlier version persisted there is read with every field, and the
-//! same state is written as the same text under the same name.
+//! Tests of the stored format of the supervisor's folder. The state that an earlier version persisted there is read
+//! with every field. The same state is written as the same text under the same file name.
 
 use super::*;
 
@@ -16,14 +16,14 @@
     PersistedState { release: "v1".to_owned(), processes: Vec::new() }
 }
 
-/// A folder of its own, removed at the end.
+/// A temporary folder for one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
         drop(std::fs::remove_dir_all(&path));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("folder created");
         Folder(path)
     }
 }
@@ -38,7 +38,7 @@
 fn state_of_the_previous_version_is_read_field_by_field() {
     let folder = Folder::new("supervisor-read");
     for (text, state) in [(RUNNING, running()), (IDLE, idle())] {
-        std::fs::write(folder.0.join("supervised.json"), text).expect("written");
+        std::fs::write(folder.0.join("supervised.json"), text).expect("file written");
         let file = StateFile::open(&folder.0, "v0").expect("opened");
         assert_eq!((&file.state.release, &file.state.processes), (&state.release, &state.processes));
     }
@@ -51,7 +51,7 @@
     for (text, state) in [(IDLE, file.state.clone()), (RUNNING, running())] {
         file.state = state;
         file.save();
-        assert_eq!(std::fs::read_to_string(folder.0.join("supervised.json")).expect("read"), text);
+        assert_eq!(std::fs::read_to_string(folder.0.join("supervised.json")).expect("file read"), text);
     }
     assert!(folder.0.join("lock").exists());
     assert!(matches!(StateFile::open(&folder.0, "v1"), Err(SupervisorError::InUse { .. })));
--- a/crates/supervisor/tests/protocol.rs
+++ b/crates/supervisor/tests/protocol.rs
@@ -1,11 +1,11 @@
-//! Requests at the supervisor's control address.
+//! Tests of the control protocol: request lines, reject reasons and the JSON form of the status.
 
 use orchidyoke_supervisor::protocol::{FailedUpgrade, RejectReason, Request, SupervisorStatus, is_busy};
 
-/// Replies to a status request, one a line: the caller may be of another version.
+/// Replies to a status request, one per line. They must not change, because the caller may be of another version.
 const STATUS_REPLIES: &str = include_str!("fixtures/shown.jsonl");
 
-// Guards against a release named so that something outside of the folder is started.
+// Guards against a release name that makes the supervisor start a program outside the folder of releases.
 #[test]
 fn upgrade_request_accepts_only_plain_release_names() {
     assert_eq!(Request::parse("upgrade v1.2-rc3"), Ok(Request::Upgrade("v1.2-rc3".into())));
@@ -22,7 +22,7 @@
     );
 }
 
-// Guards against a renamed key: operators' scripts and rollouts of other versions read the status.
+// Guards against a renamed key, because operators' scripts and rollouts of other versions read the status.
 #[test]
 fn status_keeps_its_form_on_the_wire() {
     let failed = FailedUpgrade { release: "v2".into(), reason: "exit status: 1".into() };
@@ -39,7 +39,7 @@
     assert_eq!(serde_json::from_str::<SupervisorStatus>(line).unwrap(), status);
 }
 
-// Guards against a request or a reason that the other side no longer understands.
+// Guards against a request line or a reject reason that a peer of another version no longer understands.
 #[test]
 fn requests_and_reject_reasons_keep_their_lines() {
     assert_eq!(Request::Status.to_line(), "show");
@@ -77,9 +77,9 @@
 #[test]
 fn status_replies_of_the_previous_version_are_read_and_written() {
     let lines: Vec<&str> = STATUS_REPLIES.lines().collect();
-    let texts = statuses().map(|status| serde_json::to_string(&status).expect("written"));
+    let texts = statuses().map(|status| serde_json::to_string(&status).expect("status written as JSON"));
     assert_eq!(lines, texts);
     let read: Vec<SupervisorStatus> =
-        lines.iter().map(|line| serde_json::from_str(line).expect("read")).collect();
+        lines.iter().map(|line| serde_json::from_str(line).expect("status parsed")).collect();
     assert_eq!(read, statuses());
 }
--- a/crates/supervisor/tests/wire_control.rs
+++ b/crates/supervisor/tests/wire_control.rs
@@ -1,4 +1,4 @@
-//! Protects the control protocol: the requests, and both sides of the replies.
+//! Tests that the control protocol keeps its wire format: the request lines, and the replies on both sides.
 
 use orchidyoke_supervisor::client::{CallError, call, status};
 use orchidyoke_supervisor::protocol::{FailedUpgrade, Request, SupervisorStatus, is_release_name};
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads a request line; a rejection as its text on the wire.
+/// Parses a request line. Returns a rejection as its text on the wire.
 fn parse(line: &str) -> Result<Request, String> {
     Request::parse(line).map_err(|reason| reason.to_string())
 }
@@ -57,20 +57,20 @@
 #[test]
 fn status_is_written_and_read_as_before() {
     for (text, expected) in [(STATUS, full_status()), (BARE_STATUS, bare_status())] {
-        assert_eq!(serde_json::to_string(&expected).expect("JSON") + "\n", text);
-        assert_eq!(serde_json::from_str::<SupervisorStatus>(text).expect("read"), expected);
+        assert_eq!(serde_json::to_string(&expected).expect("status written as JSON") + "\n", text);
+        assert_eq!(serde_json::from_str::<SupervisorStatus>(text).expect("status parsed"), expected);
     }
 }
 
-/// A supervisor that gives one caller this reply: its address, and the line that the caller sent.
+/// Starts a fake supervisor that gives one caller this reply. Returns its address and the line that the caller sent.
 fn scripted_supervisor(reply: String) -> (SocketAddr, JoinHandle<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
+    let address = listener.local_addr().expect("address of the listener");
     let sent = thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a caller");
+        let (mut stream, _) = listener.accept().expect("connection accepted");
         let mut line = String::new();
-        BufReader::new(stream.try_clone().expect("a socket")).read_line(&mut line).expect("a line");
-        stream.write_all(reply.as_bytes()).expect("written");
+        BufReader::new(stream.try_clone().expect("socket cloned")).read_line(&mut line).expect("line read");
+        stream.write_all(reply.as_bytes()).expect("reply written");
         line
     });
     (address, sent)
@@ -79,12 +79,12 @@
 #[test]
 fn caller_sends_its_line_and_reads_the_reply_as_before() {
     let (address, sent) = scripted_supervisor(format!("200 {STATUS}"));
-    assert_eq!(status(address, TIMEOUT).expect("shown"), full_status());
-    assert_eq!(sent.join().expect("a line"), "show\n");
+    assert_eq!(status(address, TIMEOUT).expect("status received"), full_status());
+    assert_eq!(sent.join().expect("line of the caller"), "show\n");
     let upgrade = Request::Upgrade("v1.3".to_owned());
     let (address, sent) = scripted_supervisor("200 upgrading\n".to_owned());
-    assert_eq!(call(address, &upgrade, TIMEOUT).expect("done"), "upgrading");
-    assert_eq!(sent.join().expect("a line"), "upgrade v1.3\n");
+    assert_eq!(call(address, &upgrade, TIMEOUT).expect("upgrade accepted"), "upgrading");
+    assert_eq!(sent.join().expect("line of the caller"), "upgrade v1.3\n");
     let (address, _) = scripted_supervisor("400 there is no such release\n".to_owned());
     let rejected = call(address, &upgrade, TIMEOUT);
     assert!(
