--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -1,37 +1,39 @@
-//! Canary analysis: whether the canaries (forwarders with the change) do worse than the baseline (forwarders without it)
-//! over the same interval. No I/O, no clock.
+//! Canary analysis decides whether the canaries (forwarders with the change) do worse than the baseline (forwarders
+//! without it) over the same interval. It does no I/O and reads no clock.
 //!
-//! Three shares are compared: of the messages finished, those rejected (overload) and those failed (error); of the
-//! deliveries, those slower than `latency_ratio` times the baseline's 99th percentile (slow). For each, the
-//! Agresti–Caffo interval of the difference of two proportions is taken, `z` standard errors either side. Messages of
-//! one forwarder share its fate, so that the interval alone is not enough:
+//! Three shares are compared. Two are shares of the finished messages: those rejected (overload) and those failed
+//! (error). The third is the share of the deliveries that took longer than `latency_ratio` times the baseline's 99th
+//! percentile (slow). For each share, the Agresti–Caffo interval of the difference of two proportions is calculated,
+//! `z` standard errors to either side. The interval alone is not enough, because the outcomes of one forwarder's
+//! messages are correlated. The verdict is:
 //!
-//! - worse: the interval lies above `margin`, and the canaries' share is higher by `margin` than in nine of ten
-//!   baseline forwarders one by one;
-//! - pass: every interval lies at or below `margin`, the bake time is over, and each group has finished at least
+//! - worse if, for any share, the interval lies above `margin` and the canaries' share is higher by more than `margin`
+//!   than the share of each of at least nine in ten baseline forwarders;
+//! - pass if every interval lies at or below `margin`, the bake time is over, and each group has finished at least
 //!   `min_finished` messages;
-//! - undecided otherwise: too little traffic never passes.
+//! - undecided otherwise, so that a stage with too little traffic never passes.
 
 use crate::metrics::{LatencyHistogram, Metrics, OutcomeCounts, count_above, empty_histogram};
 use serde::Deserialize;
 use std::fmt::{Display, Formatter};
 
-/// The part of the baseline forwarders that the canaries have to be worse than, each by itself.
+/// Smallest fraction of the baseline forwarders that the canaries have to be worse than individually.
 const BASELINE_MAJORITY: f64 = 0.9;
-/// Of the baseline's times to delivery; the bound for slow deliveries is a multiple of it.
+/// Quantile of the baseline's times to delivery. The bound for slow deliveries is a multiple of the time at this
+/// quantile.
 const REFERENCE_QUANTILE: f64 = 0.99;
 
 /// The thresholds of the comparison, from the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Criteria {
-    /// How much higher a share may be among the canaries before it counts as worse, as a fraction (0.02: two
-    /// points).
+    /// How much higher a share may be among the canaries before it counts as worse, as a fraction (0.02 is two
+    /// percentage points).
     pub margin: f64,
-    /// Standard errors either side of the difference (2.33: about 99% one-sided).
+    /// Number of standard errors to either side of the difference (2.33 is a one-sided confidence of about 99%).
     #[serde(rename = "z")]
     pub z_score: f64,
-    /// Messages that each group must have finished before a stage can pass.
+    /// Number of messages that each group must have finished before a stage can pass.
     #[serde(rename = "min_ended")]
     pub min_finished: u64,
     /// How many times longer than the baseline's 99th percentile a delivery may take before it counts as slow.
@@ -44,28 +46,28 @@
     }
 }
 
-/// The judgement of a stage at one moment.
+/// The result of comparing the two groups at one moment of a stage.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Not enough to say either way.
+    /// There are not enough messages yet to decide, or the bake time is not over.
     Undecided,
-    /// The canaries are not worse beyond the margin.
+    /// The canaries are not worse by more than the margin.
     Pass,
     /// The canaries do worse.
     Worse(WorseShare),
 }
 
-/// A part of all messages.
+/// A share of messages or deliveries, as two counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Proportion {
-    /// Messages of the kind in question.
+    /// Messages or deliveries of the kind that is counted.
     pub count: u64,
-    /// All messages.
+    /// All messages or deliveries.
     pub total: u64,
 }
 
 impl Proportion {
-    /// As a fraction; 0 of none.
+    /// Returns the share as a fraction, or 0 if `total` is 0.
     fn rate(self) -> f64 {
         if self.total == 0 { 0.0 } else { self.count as f64 / self.total as f64 }
     }
@@ -78,7 +80,7 @@
     }
 }
 
-/// Where the difference (canaries less baseline) of a share lies.
+/// The confidence interval of the difference of a share, that of the canaries minus that of the baseline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConfidenceInterval {
     /// The lower end.
@@ -88,8 +90,8 @@
 }
 
 impl ConfidenceInterval {
-    /// The Agresti–Caffo interval of `canary - baseline`, `z_score` standard errors either side: one message of each
-    /// kind is added to each group (Agresti and Caffo, The American Statistician 54, 2000).
+    /// Returns the Agresti–Caffo interval of `canary - baseline`, `z_score` standard errors to either side. The method
+    /// adds one message of each kind to each group (Agresti and Caffo, The American Statistician 54, 2000).
     fn of_difference(canary: Proportion, baseline: Proportion, z_score: f64) -> Self {
         let canary_total = canary.total as f64 + 2.0;
         let baseline_total = baseline.total as f64 + 2.0;
@@ -106,7 +108,7 @@
     }
 }
 
-/// A share that is worse among the canaries, with the figures that show it.
+/// A share that is worse among the canaries, with the figures of the comparison.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorseShare {
     name: &'static str,
@@ -114,9 +116,9 @@
     baseline: Proportion,
     interval: ConfidenceInterval,
     margin: f64,
-    /// Baseline forwarders that the canaries are worse than by the margin, one by one.
+    /// Number of baseline forwarders whose own share is lower than that of the canaries by more than the margin.
     exceeded_forwarders: usize,
-    /// Baseline forwarders with any messages.
+    /// Number of baseline forwarders with any messages.
     baseline_forwarders: usize,
 }
 
@@ -135,12 +137,12 @@
 struct ComparedShare {
     name: &'static str,
     canary: Proportion,
-    /// By forwarder.
+    /// One share per forwarder.
     baseline: Vec<Proportion>,
 }
 
 impl ComparedShare {
-    /// A share of the finished messages.
+    /// Returns the share of the finished messages that `kind` selects.
     fn of_outcomes(
         name: &'static str,
         canary: &Metrics,
@@ -154,7 +156,7 @@
         ComparedShare { name, canary: share(canary), baseline: baseline.iter().map(share).collect() }
     }
 
-    /// The share of slow deliveries; None unless every forwarder reports its latencies.
+    /// Returns the share of slow deliveries, or `None` unless every forwarder reports its latencies.
     fn of_slow_deliveries(canary: &Metrics, baseline: &[Metrics], latency_ratio: f64) -> Option<Self> {
         let canary = canary.latencies.as_ref()?;
         let baseline: Vec<&LatencyHistogram> =
@@ -164,7 +166,7 @@
             baseline_sum.add(*latencies).ok()?;
         }
         let reference_us = baseline_sum.value_at_quantile(REFERENCE_QUANTILE);
-        // No time is so long that an f64 would not hold it exactly.
+        // The conversion is exact, because all times are shorter than 2^53 microseconds.
         let bound_us = (reference_us as f64 * latency_ratio) as u64;
         let share = |latencies: &LatencyHistogram| Proportion {
             count: count_above(latencies, bound_us),
@@ -181,9 +183,11 @@
         ConfidenceInterval::of_difference(self.canary, Proportion::sum(&self.baseline), z_score)
     }
 
-    /// The figures of a share that is worse: beyond doubt than in all baseline messages together, and by the margin than
-    /// in most baseline forwarders one by one. An outage strikes a forwarder's messages together, and forwarders come
-    /// through it differently: what one of the baseline shows as well is not the change.
+    /// Returns the figures if this share is worse, otherwise `None`. A share is worse if its whole interval against all
+    /// baseline messages together lies above the margin, and if it also exceeds the individual shares of most baseline
+    /// forwarders by more than the margin. The second condition is there because an outage affects many messages of one
+    /// forwarder at once, and affects forwarders to different degrees. A share that baseline forwarders show too is not
+    /// caused by the change.
     fn worse(&self, interval: ConfidenceInterval, margin: f64) -> Option<WorseShare> {
         let with_messages: Vec<&Proportion> = self.baseline.iter().filter(|share| share.total > 0).collect();
         let exceeded =
@@ -201,8 +205,8 @@
     }
 }
 
-/// Compares the canaries together with the baseline forwarders over the same interval; `bake_time_over` says whether
-/// the stage has run for as long as it has to before it may pass.
+/// Compares the sum of the canaries with the baseline forwarders over the same interval. `bake_time_over` tells whether
+/// the stage has run for the plan's bake time, before which it may not pass.
 pub fn compare(canary: &Metrics, baseline: &[Metrics], criteria: &Criteria, bake_time_over: bool) -> Verdict {
     let overload = ComparedShare::of_outcomes("overload", canary, baseline, |counts| counts.overload);
     let error = ComparedShare::of_outcomes("error", canary, baseline, |counts| counts.error);
--- a/crates/rollout/src/change.rs
+++ b/crates/rollout/src/change.rs
@@ -1,6 +1,6 @@
-//! A change applied to one forwarder, or rolled back: settings by replacing its configuration file and requesting a
-//! reload, a release by requesting an upgrade from its supervisor. Either may be repeated: doing it twice leaves what
-//! doing it once does.
+//! Applies a change to one forwarder, or rolls it back. Settings are changed by replacing the forwarder's configuration
+//! file and requesting a reload. A release is changed by requesting an upgrade from the forwarder's supervisor. Both
+//! operations are idempotent, so they may be repeated.
 
 use crate::console::CALL_TIMEOUT;
 use crate::error::ForwarderError;
@@ -13,12 +13,13 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Where the state before the change is kept for the rollback: the configuration, or the name of the release.
+/// Returns the path of the file that keeps the state before the change for the rollback. The file holds the
+/// configuration or the name of the release.
 pub fn saved_state_path(state_folder: &Path, forwarder: &PlannedForwarder) -> PathBuf {
     state_folder.join(format!("{}.before.json", forwarder.name))
 }
 
-/// Applies the change. The state before it is saved first, once: a second call keeps what the first has saved.
+/// Applies the change. The first call saves the state before the change; later calls keep the saved state.
 ///
 /// # Errors
 ///
@@ -46,7 +47,7 @@
     if !saved.exists() {
         files::replace(saved, &files::read(config_file)?)?;
     }
-    // From the saved one, so that a patch is never laid over its own result.
+    // The patch is applied to the saved configuration, so that it is never applied to its own result.
     let text = files::read(saved)?;
     let mut config: Value = serde_json::from_slice(&text)
         .map_err(|source| ForwarderError::InvalidConfig { path: saved.to_owned(), source })?;
@@ -55,12 +56,12 @@
     request_reload(forwarder)
 }
 
-/// Rolls a forwarder back to the state before the change. One that was never changed (nothing is saved) is left as it
-/// is.
+/// Rolls a forwarder back to the state before the change. If no state is saved, the forwarder was never changed and
+/// stays as it is.
 ///
 /// # Errors
 ///
-/// As [`apply`].
+/// Returns the same errors as [`apply`].
 pub fn roll_back(
     state_folder: &Path,
     forwarder: &PlannedForwarder,
--- a/crates/rollout/src/console.rs
+++ b/crates/rollout/src/console.rs
@@ -1,4 +1,4 @@
-//! Metrics from a forwarder's console: the replies to `show-stat` and `show-latency`.
+//! Reads metrics from a forwarder's console, by parsing its replies to `show-stat` and `show-latency`.
 
 use crate::error::ForwarderError;
 use crate::metrics::{LatencyHistogram, OutcomeCounts, empty_histogram};
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a console, or a supervisor, may take to accept the connection, and for each piece of its reply.
+/// How long a console or a supervisor may take to accept the connection, and to send each part of its reply.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends one request line to a console and returns its complete reply.
+/// Sends one request line to a console and returns its whole reply.
 ///
 /// # Errors
 ///
-/// The console cannot be reached, or does not answer within two seconds.
+/// The console cannot be reached, or sends nothing for two seconds.
 pub fn ask(address: SocketAddr, request: &str) -> Result<String, ForwarderError> {
     exchange_line(address, request, CALL_TIMEOUT).map_err(|source| ForwarderError::NoAnswer {
         address,
@@ -22,12 +22,13 @@
     })
 }
 
-/// Whether a reply is one of metrics, and not cut off.
+/// Returns whether a reply contains metrics and is not truncated.
 fn is_complete(reply: &str) -> bool {
     reply.starts_with("200") && reply.lines().any(|line| line == "EOF")
 }
 
-/// The outcomes in a reply to `show-stat`, over all classes; None where it is not one.
+/// Parses a reply to `show-stat` and returns its outcomes, summed over all classes. Returns `None` if the reply is
+/// truncated or not valid.
 pub fn parse_outcome_counts(reply: &str) -> Option<OutcomeCounts> {
     if !is_complete(reply) {
         return None;
@@ -49,8 +50,8 @@
     Some(counts)
 }
 
-/// The times to delivery in a reply to `show-latency`, over all classes; None where it is not one, as from a release
-/// that does not know the request.
+/// Parses a reply to `show-latency` and returns the times to delivery, summed over all classes. Returns `None` if the
+/// reply is truncated or not valid, as from a release that does not know the request.
 pub fn parse_latencies(reply: &str) -> Option<LatencyHistogram> {
     if !is_complete(reply) {
         return None;
@@ -74,16 +75,16 @@
     Some(latencies)
 }
 
-/// A line of a histogram: how many deliveries of a class took at most so long.
+/// One line of a cumulative histogram: the number of deliveries of a class that took at most `bound_us`.
 struct CumulativeBucket<'a> {
     class: &'a str,
-    /// None for the last one, without a bound.
+    /// Upper bound of the time to delivery, in microseconds. `None` for the last bucket, which has no bound.
     bound_us: Option<u64>,
     count: u64,
 }
 
 impl<'a> CumulativeBucket<'a> {
-    /// Reads the label, `type="CLASS",le="BOUND` without its last quote, and the count.
+    /// Parses a bucket's label, `type="CLASS",le="BOUND` without its last quote, and its count.
     fn parse(label: &'a str, count: &str) -> Option<Self> {
         let (class, bound) = label.rsplit_once(",le=\"")?;
         let bound_us = if bound == "+Inf" { None } else { Some(bound.parse().ok()?) };
--- a/crates/rollout/src/error.rs
+++ b/crates/rollout/src/error.rs
@@ -1,4 +1,4 @@
-//! Why something could not be done to a forwarder: to read its metrics, to change it, or to roll it back.
+//! Errors of operations on one forwarder: reading its metrics, changing it, or rolling it back.
 
 use orchidyoke_supervisor::client::CallError;
 use orchidyoke_supervisor::protocol::SupervisorStatus;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// An operation on a forwarder that failed.
+/// Why an operation on a forwarder failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ForwarderError {
     /// The console could not be reached, or did not answer in time.
@@ -16,7 +16,7 @@
         address: SocketAddr,
         /// The request line.
         request: String,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The console did not reply with metrics.
@@ -24,20 +24,20 @@
     InvalidMetrics {
         /// The console.
         address: SocketAddr,
-        /// Its reply, or the beginning of it.
+        /// The reply, or its beginning.
         reply: String,
     },
     /// The thread that reads the metrics panicked.
-    #[error("the reader of its metrics panicked")]
+    #[error("the thread that reads its metrics panicked")]
     ReaderPanicked,
     /// A file could not be read or written.
     #[error("cannot {operation} {}: {source}", .path.display())]
     File {
-        /// What was tried.
+        /// The operation that failed, as it reads after "cannot".
         operation: &'static str,
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The configuration is not JSON.
@@ -45,7 +45,7 @@
     InvalidConfig {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// The pid file does not hold a process id.
@@ -54,7 +54,7 @@
         /// The file.
         path: PathBuf,
     },
-    /// The process id is none that a signal can be sent to.
+    /// The process id is out of range, so no signal can be sent to it.
     #[error("cannot request a reload: {pid} is not the id of a process")]
     InvalidPid {
         /// The process id.
@@ -65,7 +65,7 @@
     Signal {
         /// The process id.
         pid: u32,
-        /// What failed.
+        /// The error of the system call.
         source: rustix::io::Errno,
     },
     /// The supervisor has no forwarder running at the moment.
@@ -77,14 +77,14 @@
     /// The supervisor did not answer, or rejected a request.
     #[error(transparent)]
     Supervisor(#[from] CallError),
-    /// An upgrade failed; the release before it goes on serving.
+    /// An upgrade failed. The previous release continues to serve.
     #[error("supervisor at {supervisor} failed to upgrade to {release}: {reason}")]
     UpgradeFailed {
         /// The supervisor's control address.
         supervisor: SocketAddr,
         /// The release.
         release: String,
-        /// Its reason.
+        /// The supervisor's reason.
         reason: String,
     },
     /// An upgrade was not over in time.
@@ -96,12 +96,12 @@
         supervisor: SocketAddr,
         /// The release.
         release: String,
-        /// How long it was waited for.
+        /// How long the rollout waited for the upgrade.
         timeout: Duration,
-        /// The supervisor's last status, if it gave any.
+        /// The supervisor's last status. `None` if no status was received since the upgrade was accepted.
         status: Option<Box<SupervisorStatus>>,
     },
-    /// The plan lacks what is needed to reach the forwarder.
+    /// The plan lacks a path or an address that the operation needs.
     #[error("the plan does not give its {0}")]
     MissingFromPlan(&'static str),
 }
--- a/crates/rollout/src/files.rs
+++ b/crates/rollout/src/files.rs
@@ -1,5 +1,5 @@
-//! Files of the rollout and of the forwarders. They are replaced by renaming, so that a kill leaves the old or the new one
-//! complete.
+//! Reads and replaces files of the rollout and of the forwarders. Files are replaced by renaming, so that a kill leaves
+//! either the old or the new file complete.
 
 use crate::error::ForwarderError;
 use std::fs::File;
@@ -11,7 +11,7 @@
     std::fs::read(path).map_err(failure("read", path))
 }
 
-/// Reads a file; None where there is none.
+/// Reads a file. Returns `None` if the file does not exist.
 pub fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, ForwarderError> {
     match std::fs::read(path) {
         Ok(text) => Ok(Some(text)),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Replaces a file; it is on disk when this returns.
+/// Replaces a file. The new content is on disk when this function returns.
 pub fn replace(path: &Path, text: &[u8]) -> Result<(), ForwarderError> {
     let failed = failure("write", path);
     let temporary = path.with_extension("rollout-new");
@@ -29,7 +29,7 @@
     file.sync_all().map_err(&failed)?;
     std::fs::rename(&temporary, path).map_err(&failed)?;
     if let Some(folder) = path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
-        // The new name is durable only once the folder is.
+        // The rename is durable only once the folder is synced.
         File::open(folder).and_then(|folder| folder.sync_all()).map_err(&failed)?;
     }
     Ok(())
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,15 +1,17 @@
-//! Rolls a change of settings or of the program out over a fleet of forwarders in stages: canary forwarders, which have
-//! the change, and baseline forwarders, which do not, serve side by side; a stage whose canaries do worse stops the
-//! rollout, and every canary is rolled back ([docs/rollout.md](../../../docs/rollout.md)).
+//! Rolls a change of settings or of the program out over a fleet of forwarders in stages. In each stage, canary
+//! forwarders with the change and baseline forwarders without it serve side by side. If the canaries of a stage do
+//! worse, the rollout stops and every canary is rolled back ([docs/rollout.md](../../../docs/rollout.md)).
 //!
-//! - [`plan`]: the plan file: the fleet, the change, the stages, the criteria.
-//! - [`progress`] and [`progress_file`]: the durable record, and the next step chosen from it alone.
-//! - [`run`](mod@run): carries the steps out; a stage and its observations are modules below it.
-//! - [`analysis`] and [`metrics`]: canaries against baseline over the same interval; no I/O, no clock.
-//! - [`console`]: metrics from a forwarder's console.
-//! - [`change`]: a change applied to one forwarder, or rolled back.
+//! - [`plan`]: the plan file, which gives the fleet, the change, the stages and the criteria.
+//! - [`progress`] and [`progress_file`]: the durable progress record, and the choice of the next step from it alone.
+//! - [`run`](mod@run): the loop that carries out the steps. It uses the private modules `stage` and `observation`.
+//! - [`analysis`] and [`metrics`]: the comparison of canaries and baseline over the same interval, without I/O or a
+//!   clock.
+//! - [`console`]: the metrics from a forwarder's console.
+//! - [`change`]: applying a change to one forwarder, and rolling it back.
 //!
-//! Nothing here runs inside a forwarder: the rollout is a command of its own, and `serve` knows nothing of it.
+//! No part of this package runs inside a forwarder. The rollout is a separate command, and `serve` does not depend on
+//! it.
 
 #![deny(missing_docs)]
 
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -1,26 +1,26 @@
-//! What forwarders did over an interval: outcomes of messages and times to delivery, as counts that can be added up and
-//! taken from each other.
+//! Metrics of forwarders over an interval: outcomes of messages and times to delivery, as counts that can be added and
+//! subtracted.
 
 use hdrhistogram::Histogram;
 
-/// Messages finished, by outcome.
+/// Numbers of finished messages, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Delivered.
+    /// Number of delivered messages.
     pub success: u64,
-    /// Rejected, at the start or after waiting.
+    /// Number of rejected messages, at the start or after waiting.
     pub overload: u64,
-    /// Failed.
+    /// Number of failed messages.
     pub error: u64,
 }
 
 impl OutcomeCounts {
-    /// All finished messages.
+    /// Returns the number of all finished messages.
     pub fn total(&self) -> u64 {
         self.success + self.overload + self.error
     }
 
-    /// The sum of both.
+    /// Returns the sum of both.
     pub fn plus(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             success: self.success + other.success,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What was added since `earlier`; None where a count went down, as it does when the process was restarted.
+    /// Returns the increase since `earlier`, or `None` if a count went down, as happens when the process was restarted.
     pub fn since(self, earlier: OutcomeCounts) -> Option<OutcomeCounts> {
         Some(OutcomeCounts {
             success: self.success.checked_sub(earlier.success)?,
@@ -39,30 +39,31 @@
     }
 }
 
-/// Times to delivery in microseconds. All have the same buckets, so that they can be added and subtracted.
+/// A histogram of times to delivery in microseconds. All histograms have the same buckets, so that they can be added
+/// and subtracted.
 pub type LatencyHistogram = Histogram<u64>;
 
 /// Longest time to delivery that a histogram can hold.
 const MAX_LATENCY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A histogram without deliveries.
+/// Returns a histogram without deliveries.
 pub fn empty_histogram() -> LatencyHistogram {
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("bounds that the library takes")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("valid histogram bounds")
 }
 
-/// Deliveries that took longer than `bound_us` microseconds.
+/// Returns the number of deliveries that took longer than `bound_us` microseconds.
 pub fn count_above(latencies: &LatencyHistogram, bound_us: u64) -> u64 {
     let within = latencies.iter_recorded().take_while(|bucket| bucket.value_iterated_to() <= bound_us);
     latencies.len() - within.map(|bucket| bucket.count_since_last_iteration()).sum::<u64>()
 }
 
-/// What a forwarder or a group of them did over an interval.
+/// The metrics of one forwarder or of a group of forwarders over an interval.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Metrics {
-    /// Messages finished.
+    /// The outcomes of the finished messages.
     pub outcomes: OutcomeCounts,
-    /// Times to delivery; None where a forwarder does not report them (a release from before `show-latency`).
+    /// Times to delivery. `None` if a forwarder does not report them, because its release does not know `show-latency`.
     pub latencies: Option<LatencyHistogram>,
 }
 
@@ -73,14 +74,14 @@
 }
 
 impl Metrics {
-    /// The sum of both; latencies only where both report them.
+    /// Returns the sum of both, with latencies only if both have them.
     pub fn plus(&self, other: &Metrics) -> Metrics {
         let both = self.latencies.clone().zip(other.latencies.as_ref());
         let latencies = both.and_then(|(mut sum, other)| sum.add(other).ok().map(|()| sum));
         Metrics { outcomes: self.outcomes.plus(other.outcomes), latencies }
     }
 
-    /// What was added since `earlier`; None where a count went down, as it does when the process was restarted.
+    /// Returns the increase since `earlier`, or `None` if a count went down, as happens when the process was restarted.
     pub fn since(&self, earlier: &Metrics) -> Option<Metrics> {
         let outcomes = self.outcomes.since(earlier.outcomes)?;
         let latencies = match (self.latencies.clone(), &earlier.latencies) {
@@ -90,12 +91,12 @@
         Some(Metrics { outcomes, latencies })
     }
 
-    /// The same without latencies.
+    /// Returns the same metrics without latencies.
     pub fn outcomes_only(&self) -> Metrics {
         Metrics { outcomes: self.outcomes, latencies: None }
     }
 
-    /// The sum of a group.
+    /// Returns the sum over a group of forwarders.
     pub fn sum(group: &[Metrics]) -> Metrics {
         group.iter().fold(Metrics::default(), |sum, metrics| sum.plus(metrics))
     }
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -1,4 +1,4 @@
-//! What one forwarder was seen to do over a stage, across restarts of its process.
+//! The metrics of one forwarder over a stage, collected across restarts of its process.
 
 use crate::error::ForwarderError;
 use crate::metrics::Metrics;
@@ -7,18 +7,19 @@
 /// The observation of one forwarder.
 #[derive(Default)]
 pub struct Observation {
-    /// Its process and the counts at the stage's start, or at the start of the process if that was later.
+    /// The forwarder's process, and its counts at the start of the interval that is compared, or at the start of the
+    /// process if that was later. `None` before the first successful read.
     base: Option<ProcessMetrics>,
-    /// What earlier processes of it did in this stage, as far as it was read.
+    /// Metrics of the forwarder's earlier processes in this stage, up to their last successful reads.
     earlier_processes: Option<Metrics>,
-    /// Counts when last read.
+    /// The counts of the last successful read.
     last: Option<Metrics>,
     failed_reads: u32,
     restarts: u32,
 }
 
 impl Observation {
-    /// Takes in the result of a read.
+    /// Records the result of a read.
     pub fn on_read(&mut self, forwarder: &str, result: Result<ProcessMetrics, ForwarderError>) {
         match result {
             Ok(read) => self.on_metrics(forwarder, read),
@@ -40,12 +41,13 @@
         self.base.get_or_insert(read);
     }
 
-    /// A restarted process has another id, or counts that are lower than they were: an id may be given out again.
+    /// Returns whether the process is the same as in the last read. A restarted process has another id or lower counts.
+    /// The counts are compared too, because the system may reuse the id.
     fn is_same_process(&self, base: &ProcessMetrics, read: &ProcessMetrics) -> bool {
         base.pid == read.pid && self.last.as_ref().is_none_or(|last| read.metrics.since(last).is_some())
     }
 
-    /// Drops what was read until now, but for failed reads and restarts.
+    /// Drops the metrics read until now. The numbers of failed reads and restarts are kept.
     pub fn reset_metrics(&mut self) {
         self.earlier_processes = None;
         if let (Some(base), Some(last)) = (&mut self.base, &self.last) {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// What the forwarder did in this stage, as far as it was read.
+    /// Returns the forwarder's metrics in this stage, up to the last successful read.
     pub fn since_start(&self) -> Metrics {
         let current = match (&self.base, &self.last) {
             (Some(base), Some(last)) => last.since(&base.metrics),
@@ -66,14 +68,14 @@
         }
     }
 
-    /// Whether it did not answer, or was restarted, in this stage. One failed read is enough: reads are not repeated within
-    /// their time, and the end of the warm-up forgets neither.
+    /// Returns whether the forwarder did not answer or was restarted in this stage. One failed read is enough, because
+    /// a failed read is not retried. Failed reads and restarts during the warm-up count until the end of the stage.
     pub fn went_down(&self) -> bool {
         self.failed_reads > 0 || self.restarts > 0
     }
 }
 
-/// The counts at the start of a process. One that does not report latencies now did not report them then.
+/// Returns the counts at the start of a process. They have latencies only if `metrics`, read later, has them.
 fn zero_like(metrics: &Metrics) -> Metrics {
     let zero = Metrics::default();
     Metrics { latencies: zero.latencies.filter(|_| metrics.latencies.is_some()), ..zero }
--- a/crates/rollout/src/observation/tests.rs
+++ b/crates/rollout/src/observation/tests.rs
@@ -1,4 +1,4 @@
-//! Restarts, seen through process ids and counts.
+//! Tests of detecting restarts by process ids and counts.
 
 use super::*;
 use crate::metrics::OutcomeCounts;
@@ -8,8 +8,9 @@
     Ok(ProcessMetrics { pid, metrics: Metrics { outcomes, latencies: None } })
 }
 
-// Guards against a death unseen because the counts of the process after it have passed those of the one before, or
-// those at the stage's start; and against its messages counted twice or not at all.
+// Guards against a restart that is not detected because the new process's counts already exceed those of the previous
+// process or those at the stage's start. Also guards against the previous process's messages counted twice or not at
+// all.
 #[test]
 fn another_process_id_or_a_lower_count_is_a_restart() {
     for after in [3, 12, 40] {
@@ -19,7 +20,7 @@
             .for_each(|result| observation.on_read("f", result));
         assert_eq!((observation.restarts, observation.since_start().outcomes.success), (1, 12 + after));
     }
-    // The system may give the id out again.
+    // The system may reuse the id.
     let mut observation = Observation::default();
     [read(7, 10), read(7, 12), read(7, 11)].into_iter().for_each(|result| observation.on_read("f", result));
     assert_eq!((observation.restarts, observation.since_start().outcomes.success), (1, 2 + 11));
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a rollout, a JSON file: the fleet, the change, the stages and the criteria. Read and checked
-//! completely before the first forwarder is changed.
+//! The plan of a rollout, a JSON file with the fleet, the change, the stages and the criteria. The file is read and
+//! checked completely before the first forwarder is changed.
 
 mod stage_size;
 
@@ -12,8 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Warm-up after an upgrade where the plan sets none, in milliseconds: a process is slow until its concurrency
-/// windows have grown.
+/// Default warm-up after an upgrade, in milliseconds. A new process is slow until its concurrency windows have grown.
 const DEFAULT_RELEASE_WARM_UP_MS: u64 = 5_000;
 const DEFAULT_POLL_INTERVAL_MS: u64 = 1_000;
 
@@ -21,33 +20,33 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedForwarder {
-    /// Its name, unique in the plan; the progress record speaks of it by this.
+    /// The forwarder's name, unique in the plan. The progress record refers to the forwarder by this name.
     pub name: String,
-    /// Where its console answers.
+    /// The addresses of the forwarder's console.
     #[serde(rename = "console")]
     pub consoles: ConsoleAddresses,
-    /// The configuration file that it reads at a start and at SIGHUP; needed where settings are changed.
+    /// The configuration file that the forwarder reads at its start and at SIGHUP. Required if settings are changed.
     #[serde(rename = "config")]
     pub config_file: Option<PathBuf>,
-    /// A file that holds its process id, where there is no supervisor to ask.
+    /// A file that holds the process id. It is used only if the forwarder has no supervisor.
     pub pid_file: Option<PathBuf>,
-    /// The control address of its supervisor (`orchidyoke supervise`); needed where the release is changed.
+    /// The control address of the forwarder's supervisor (`orchidyoke supervise`). Required if the release is changed.
     #[serde(rename = "control")]
     pub supervisor: Option<SocketAddr>,
 }
 
-/// Where a forwarder's console answers.
+/// The addresses of a forwarder's console.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum ConsoleAddresses {
-    /// At one address.
+    /// One address for all processes of the forwarder.
     Single(SocketAddr),
-    /// At the address of the supervisor's slot that its process is in.
+    /// One address for each of the supervisor's slots.
     PerSlot([SocketAddr; 2]),
 }
 
 impl ConsoleAddresses {
-    /// The console of the process in this slot of its supervisor.
+    /// Returns the address of the console of the process in this slot of the supervisor.
     pub fn at_slot(&self, slot: usize) -> SocketAddr {
         match self {
             ConsoleAddresses::Single(address) => *address,
@@ -56,12 +55,12 @@
     }
 }
 
-/// What is changed.
+/// The change that the rollout applies.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Settings: a JSON merge patch (RFC 7386) over each forwarder's own configuration.
+    /// A change of settings: a JSON merge patch (RFC 7386) that is applied to each forwarder's own configuration.
     Settings(Value),
-    /// The program: the release of this name in each supervisor's folder of releases.
+    /// A change of the program: the name of a release in each supervisor's folder of releases.
     Release(String),
 }
 
@@ -71,22 +70,22 @@
 pub struct Plan {
     /// The fleet, in the order in which its forwarders are changed.
     pub forwarders: Vec<PlannedForwarder>,
-    /// A change of settings: a JSON merge patch (RFC 7386) over each forwarder's own configuration.
+    /// A change of settings: a JSON merge patch (RFC 7386) that is applied to each forwarder's own configuration.
     pub settings_patch: Option<Value>,
     /// A change of the program: the name of a release.
     pub release: Option<String>,
-    /// How many forwarders have the change in each stage: a count (`"1"`), a share (`"10%"`) or `"all"`; each stage
-    /// has more than the one before.
+    /// Number of forwarders that have the change in each stage, as a count (`"1"`), a share (`"10%"`) or `"all"`. Each
+    /// stage must have more than the stage before.
     pub stages: Vec<String>,
-    /// Warm-up: how long after a stage's changes latencies do not count, and outcomes can stop the stage but not pass
-    /// it, in milliseconds. Where it is left out: none for settings, 5 s for a release.
+    /// Warm-up after the changes of a stage, in milliseconds. During the warm-up latencies are ignored, and outcomes
+    /// can stop the stage but not pass it. If absent, 0 for settings and 5 s for a release.
     pub warm_up_ms: Option<u64>,
-    /// Bake time: how long each stage runs from then on before it may pass, in milliseconds.
+    /// Bake time: how long each stage runs after the warm-up before it may pass, in milliseconds.
     pub bake_ms: u64,
-    /// How long a stage may bake without being decided, in milliseconds; also how long unreachable forwarders are
-    /// waited for in a rollback.
+    /// Longest bake time of a stage that stays undecided, in milliseconds. A rollback also retries unreachable
+    /// forwarders for this long.
     pub max_bake_ms: u64,
-    /// How often metrics are read during a stage, in milliseconds.
+    /// Pause between two reads of all metrics during a stage, in milliseconds.
     #[serde(rename = "poll_ms", default = "default_poll_interval_ms")]
     pub poll_interval_ms: u64,
     /// The thresholds of the comparison.
@@ -106,15 +105,15 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file holds no plan.
+    /// The file is not a plan.
     #[error("cannot parse the plan {}: {source}", .path.display())]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// The plan cannot be carried out.
@@ -122,42 +121,42 @@
     Invalid(#[from] PlanFault),
 }
 
-/// What makes a plan one that cannot be carried out.
+/// Why a plan cannot be carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanFault {
-    /// There is no baseline to compare with.
-    #[error("a fleet of fewer than two has nothing to compare with")]
+    /// The fleet has fewer than two forwarders, so there is no baseline to compare with.
+    #[error("the fleet has fewer than two forwarders, so there is no baseline to compare with")]
     FleetTooSmall,
-    /// Names have to be unique.
+    /// Two forwarders have the same name.
     #[error("two forwarders are named {0}")]
     DuplicateName(String),
-    /// The times contradict each other.
+    /// The interval between reads is 0, or the bake time is longer than the longest bake time.
     #[error("poll_ms must be over 0 and bake_ms at most max_bake_ms")]
     InvalidTimes,
-    /// A stage given as a share that is none.
-    #[error("stage {0}: a share is over 0% and at most 100%")]
+    /// A stage's share is not a number or out of range.
+    #[error("stage {0}: a share must be over 0% and at most 100%")]
     InvalidShare(String),
-    /// A stage given as a count that is none.
-    #[error("stage {stage}: a count is from 1 to {fleet_size}")]
+    /// A stage's count is not a number or out of range.
+    #[error("stage {stage}: a count must be from 1 to {fleet_size}")]
     InvalidCount {
         /// The stage as given.
         stage: String,
         /// The number of forwarders.
         fleet_size: usize,
     },
-    /// A stage has to reach more forwarders than the one before.
-    #[error("stage {0} has no more forwarders than the one before")]
+    /// A stage has no more forwarders than the stage before.
+    #[error("stage {0} has no more forwarders than the stage before")]
     StageNotLarger(String),
     /// The last stage leaves forwarders out.
     #[error("the last stage must reach all forwarders")]
     LastStageNotAll,
-    /// There is no change, or there are two.
-    #[error("it gives either settings_patch or release")]
+    /// The plan gives no change, or both kinds of change.
+    #[error("it must give either settings_patch or release")]
     NotOneChange,
-    /// The release is no plain file name.
+    /// The release is not a plain file name.
     #[error("release {0:?} is not the name of a file")]
     InvalidReleaseName(String),
-    /// A forwarder lacks what the change needs.
+    /// A forwarder lacks keys that the change needs.
     #[error("forwarder {forwarder} needs {needs}")]
     MissingForChange {
         /// Its name.
@@ -172,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, is no plan, or its plan cannot be carried out.
+    /// The file cannot be read or is not a plan, or the plan cannot be carried out.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
         let text = std::fs::read(path).map_err(|source| PlanError::Read { path: path.to_owned(), source })?;
         let plan: Plan = serde_json::from_slice(&text)
@@ -182,13 +181,13 @@
         Ok(plan)
     }
 
-    /// How long after a stage's changes the warm-up lasts.
+    /// Returns how long the warm-up after the changes of a stage lasts.
     pub fn warm_up(&self) -> Duration {
         let default_ms = if self.release.is_some() { DEFAULT_RELEASE_WARM_UP_MS } else { 0 };
         Duration::from_millis(self.warm_up_ms.unwrap_or(default_ms))
     }
 
-    /// What the plan changes.
+    /// Returns the change that the plan applies.
     ///
     /// # Errors
     ///
@@ -206,18 +205,20 @@
         Ok(change)
     }
 
-    /// A digest of the plan's meaning, so that a progress record is resumed only by the plan that began it.
+    /// Returns a digest of the fleet's names, the change and the stages. A progress record is resumed only by a plan
+    /// with the digest that began it.
     pub fn digest(&self) -> String {
         let names: Vec<&str> = self.forwarders.iter().map(|forwarder| forwarder.name.as_str()).collect();
         let text = serde_json::json!([names, self.settings_patch, self.release, self.stages]).to_string();
         format!("{:016x}", xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
     }
 
-    /// How many forwarders have the change in each stage: rising, the last one all.
+    /// Returns the number of forwarders that have the change in each stage. The numbers increase, and the last stage
+    /// has all forwarders.
     ///
     /// # Errors
     ///
-    /// The fleet, its names, the times or the stages make a plan that cannot be carried out.
+    /// The fleet, its names, the times or the stages are invalid.
     pub fn stage_sizes(&self) -> Result<Vec<usize>, PlanError> {
         self.check_fleet()?;
         if self.poll_interval_ms == 0 || self.bake_ms > self.max_bake_ms {
--- a/crates/rollout/src/plan/stage_size.rs
+++ b/crates/rollout/src/plan/stage_size.rs
@@ -2,19 +2,19 @@
 
 use super::PlanFault;
 
-/// How many forwarders have the change in a stage.
+/// The number of forwarders that have the change in a stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StageSize {
-    /// So many.
+    /// This number of forwarders.
     Count(usize),
-    /// So many of a hundred, rounded up.
+    /// This percentage of the fleet, rounded up to whole forwarders.
     Percent(f64),
-    /// All.
+    /// The whole fleet.
     All,
 }
 
 impl StageSize {
-    /// Reads a stage of a fleet of this size.
+    /// Parses the size of a stage for a fleet of this size.
     pub fn parse(stage: &str, fleet_size: usize) -> Result<StageSize, PlanFault> {
         if stage == "all" {
             return Ok(StageSize::All);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The number of forwarders in a fleet of this size.
+    /// Returns the number of forwarders of the stage in a fleet of this size.
     pub fn of(self, fleet_size: usize) -> usize {
         match self {
             StageSize::Count(count) => count,
--- a/crates/rollout/src/process_metrics.rs
+++ b/crates/rollout/src/process_metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics of each forwarder's process, read from its console. Which process and which console that is, the
-//! supervisor says where there is one.
+//! Reads the metrics of each forwarder's process from its console. If the forwarder has a supervisor, the supervisor's
+//! status gives the process id and the slot whose console is read.
 
 use crate::console::{self, CALL_TIMEOUT};
 use crate::error::ForwarderError;
@@ -7,21 +7,21 @@
 use crate::plan::PlannedForwarder;
 use orchidyoke_supervisor::client;
 
-/// Forwarders read at once: one that does not answer holds up no more than these.
+/// Number of forwarders read at once. A forwarder that does not answer delays at most the others of its batch.
 const MAX_CONCURRENT_READS: usize = 32;
-/// Characters of an invalid reply that its error quotes.
+/// Number of characters of an invalid reply that its error quotes.
 const QUOTED_REPLY_CHARS: usize = 80;
 
 /// A forwarder's process, and its metrics since its start.
 #[derive(Clone, Debug)]
 pub struct ProcessMetrics {
-    /// The process id; a restarted process has another.
+    /// The process id. A restarted process has another id.
     pub pid: u32,
-    /// What it has done since its start.
+    /// The process's metrics since its start.
     pub metrics: Metrics,
 }
 
-/// A forwarder, and what came of reading its metrics.
+/// A forwarder, and the result of reading its metrics.
 pub type ReadResult<'a> = (&'a PlannedForwarder, Result<ProcessMetrics, ForwarderError>);
 
 /// Reads the metrics of the process that takes clients.
@@ -43,7 +43,7 @@
     Ok(ProcessMetrics { pid, metrics: Metrics { outcomes, latencies } })
 }
 
-/// Reads all forwarders, in their order.
+/// Reads the metrics of all forwarders and returns the results in the forwarders' order.
 pub fn read_all(forwarders: &[PlannedForwarder]) -> Vec<ReadResult<'_>> {
     let mut results = Vec::with_capacity(forwarders.len());
     for batch in forwarders.chunks(MAX_CONCURRENT_READS) {
@@ -58,7 +58,7 @@
     results
 }
 
-/// The id of a forwarder's process, from its supervisor or its pid file.
+/// Returns the id of a forwarder's process, from its supervisor if it has one, otherwise from its pid file.
 pub fn process_id(forwarder: &PlannedForwarder) -> Result<u32, ForwarderError> {
     if let Some(supervisor) = forwarder.supervisor {
         let status = client::status(supervisor, CALL_TIMEOUT)?;
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -1,9 +1,9 @@
-//! What a rollout has done, and what it does next. The next step is chosen from the records alone, so that a rollout
-//! killed at any step and started again goes on from what was written.
+//! The progress of a rollout and its next step. The next step is chosen from the records alone, so that a rollout that
+//! was killed at any step and started again continues from what was written.
 //!
-//! Every act on a forwarder is recorded before it is begun and after it is done. A forwarder begun but not done may be
-//! half-changed: it is changed again, which leaves what doing it once does, or, after a stop, rolled back. A forwarder
-//! recorded as changed is never changed again.
+//! Every operation on a forwarder is recorded before it begins and after it is done. A forwarder whose change began but
+//! is not recorded as done may be partly changed. It is changed again, which is idempotent, or rolled back if the
+//! rollout was stopped. A forwarder recorded as changed is never changed again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -14,15 +14,15 @@
     /// The rollout began.
     #[serde(rename = "began")]
     Started {
-        /// [`crate::plan::Plan::digest`] of its plan.
+        /// [`crate::plan::Plan::digest`] of the rollout's plan.
         #[serde(rename = "plan")]
         plan_digest: String,
     },
     /// The change of the forwarder of this name began.
     #[serde(rename = "changing")]
     ChangeStarted(String),
-    /// The change of the forwarder of this name was made. For settings this means that their file is written and the
-    /// reload requested; whether the forwarder found the file valid is not checked.
+    /// The change of the forwarder of this name was made. For settings this means that the configuration file is
+    /// written and the reload requested. Whether the forwarder found the file valid is not checked.
     #[serde(rename = "changed")]
     ChangeApplied(String),
     /// The stage of this number (from 0) passed.
@@ -34,59 +34,60 @@
     /// The rollback of the forwarder of this name began.
     #[serde(rename = "taking_back")]
     RollbackStarted(String),
-    /// The forwarder of this name has its state from before the change.
+    /// The forwarder of this name has its state from before the change again.
     #[serde(rename = "taken_back")]
     RolledBack(String),
-    /// All forwarders have the change, and the rollout is over.
+    /// All forwarders have the change and the rollout is over.
     #[serde(rename = "done")]
     Completed,
 }
 
-/// What is to be done next.
+/// The next step of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Apply the change to the forwarder at this index of the plan.
     ApplyChange(usize),
     /// Run the stage of this number, from 0.
     RunStage(usize),
-    /// Roll back: the forwarder at this index of the plan is the first that has to be. The caller may take others before.
+    /// Roll back all forwarders that need it. The index is that of the first of them in the plan. The caller may roll
+    /// back others before it.
     RollBack(usize),
     /// Record that all forwarders have the change.
     RecordCompletion,
-    /// Nothing more: all forwarders have the change.
+    /// Nothing is left to do, because all forwarders have the change.
     Completed,
-    /// Nothing more: the rollout was stopped for this reason, and all is rolled back.
+    /// Nothing is left to do, because the rollout was stopped for this reason and all changes are rolled back.
     RolledBack(String),
 }
 
-/// The records folded.
+/// The state of a rollout, as its records give it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
-    /// The digest of the plan that began the rollout.
+    /// The digest of the plan that began the rollout. `None` before the rollout begins.
     pub plan_digest: Option<String>,
-    /// Names of forwarders whose change began, done or not.
+    /// Names of forwarders whose change began, whether it was made or not.
     pub change_started: BTreeSet<String>,
     /// Names of forwarders that have the change.
     pub changed: BTreeSet<String>,
     /// Number of stages that passed.
     pub stages_passed: usize,
-    /// Why the rollout was stopped, if it was.
+    /// Why the rollout was stopped. `None` if it was not stopped.
     pub stop_reason: Option<String>,
     /// Names of forwarders that are rolled back.
     pub rolled_back: BTreeSet<String>,
-    /// All forwarders have the change, and the rollout is over.
+    /// Whether all forwarders have the change and the rollout is over.
     pub completed: bool,
 }
 
 impl Progress {
-    /// Folds the records in their order.
+    /// Returns the state after these records, applied in their order.
     pub fn of(records: &[ProgressRecord]) -> Progress {
         let mut progress = Progress::default();
         records.iter().for_each(|record| progress.apply(record));
         progress
     }
 
-    /// Takes in the next record.
+    /// Applies the next record.
     pub fn apply(&mut self, record: &ProgressRecord) {
         match record {
             ProgressRecord::Started { plan_digest } => self.plan_digest = Some(plan_digest.clone()),
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Whether this forwarder was changed, completely or perhaps by half, and is not rolled back.
+    /// Returns whether this forwarder was changed, completely or perhaps partly, and is not rolled back yet.
     pub fn needs_rollback(&self, forwarder: &str) -> bool {
         self.change_started.contains(forwarder) && !self.rolled_back.contains(forwarder)
     }
 
-    /// The next step, for a fleet of these names (in the plan's order) and stages of these sizes.
+    /// Returns the next step for a fleet of these names, in the plan's order, and stages of these sizes.
     pub fn next_step(&self, names: &[&str], stage_sizes: &[usize]) -> Step {
         if self.completed {
             return Step::Completed;
@@ -137,7 +138,7 @@
             let next = names.iter().position(|name| !self.changed.contains(*name));
             return next.map_or(Step::RecordCompletion, Step::ApplyChange);
         }
-        // The last stage has no baseline left: it is over once all have the change.
+        // The last stage has no baseline to compare with, so it is over once all forwarders have the change.
         let is_last = stage + 1 == stage_sizes.len();
         if is_last { Step::RecordCompletion } else { Step::RunStage(stage) }
     }
--- a/crates/rollout/src/progress_file.rs
+++ b/crates/rollout/src/progress_file.rs
@@ -1,12 +1,12 @@
-//! The progress file, `rollout.jsonl` in the state folder: one JSON record a line, on disk before the act that it
-//! announces.
+//! The progress file, `rollout.jsonl` in the state folder. It has one JSON record per line. A record that announces an
+//! operation is on disk before the operation begins.
 
 use crate::progress::ProgressRecord;
 use std::fs::{File, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// The file could not be used.
+/// An error of reading or writing the progress file.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot {operation} the progress record {}: {source}", .path.display())]
 pub struct ProgressFileError {
@@ -15,7 +15,7 @@
     source: std::io::Error,
 }
 
-/// The open file; records are appended to it.
+/// The open progress file, to which records are appended.
 #[derive(Debug)]
 pub struct ProgressFile {
     path: PathBuf,
@@ -23,12 +23,12 @@
 }
 
 impl ProgressFile {
-    /// Opens the file in this folder, creating both where they are missing, and reads its records. A torn last line,
-    /// which a kill leaves, is cut off.
+    /// Opens the file in this folder and reads its records. Creates the folder and the file if they are missing.
+    /// Removes an incomplete last line, which a kill may leave.
     ///
     /// # Errors
     ///
-    /// The file cannot be read or written, or a complete line of it is no record.
+    /// The file cannot be read or written, or a complete line of it is not a record.
     pub fn open(folder: &Path) -> Result<(ProgressFile, Vec<ProgressRecord>), ProgressFileError> {
         let path = folder.join("rollout.jsonl");
         std::fs::create_dir_all(folder).map_err(failure("create the folder of", &path))?;
@@ -47,7 +47,7 @@
         Ok((ProgressFile { path, file }, records))
     }
 
-    /// Where the file is.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// The record cannot be written; part of its line may be in the file.
+    /// The record cannot be written. Part of its line may be in the file.
     pub fn append(&mut self, record: &ProgressRecord) -> Result<(), ProgressFileError> {
         let failed = failure("write", &self.path);
         let mut line = serde_json::to_string(record).map_err(std::io::Error::from).map_err(&failed)?;
--- a/crates/rollout/src/release_upgrade.rs
+++ b/crates/rollout/src/release_upgrade.rs
@@ -1,4 +1,4 @@
-//! An upgrade of one forwarder, requested from its supervisor and waited for.
+//! Upgrades one forwarder: requests the upgrade from its supervisor and waits until it is over.
 
 use crate::console::CALL_TIMEOUT;
 use crate::error::ForwarderError;
@@ -8,16 +8,17 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an upgrade may take: a little more than twice the sum of the supervisor's `READY_TIMEOUT_MS` for the successor
-/// and `TERMINATION_GRACE_MS` for the predecessor.
+/// How long an upgrade may take. It is a little more than twice the sum of the supervisor's `READY_TIMEOUT_MS` for the
+/// successor and `TERMINATION_GRACE_MS` for the predecessor.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a supervisor may not answer a request for an upgrade; then other forwarders come first.
+/// How long a request for an upgrade is repeated while the supervisor does not answer. The request then fails, so that
+/// the rollout can continue with other forwarders.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause between requests, and between looks at the status.
+/// Pause between requests, and between reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests the upgrade and waits until the new process alone serves. A request for a release that serves or is being
-/// started changes nothing, so that it may be repeated when a reply was lost.
+/// Requests the upgrade and waits until the new process serves and its predecessor has exited. A request for a release
+/// that serves or is being started changes nothing, so it may be repeated after a reply was lost.
 pub fn upgrade(
     forwarder: &PlannedForwarder,
     supervisor: SocketAddr,
@@ -47,7 +48,7 @@
     })
 }
 
-/// Whether the request was accepted; false where it is to be repeated.
+/// Requests the upgrade once. Returns `true` if the request was accepted, and `false` if it has to be repeated.
 fn try_request(
     forwarder: &PlannedForwarder,
     supervisor: SocketAddr,
@@ -56,7 +57,7 @@
 ) -> Result<bool, ForwarderError> {
     let Err(error) = client::request_upgrade(supervisor, release, CALL_TIMEOUT) else { return Ok(true) };
     let is_rejected = matches!(error, CallError::Rejected { .. });
-    // A busy supervisor is still about an earlier upgrade.
+    // A busy supervisor has not finished an earlier upgrade yet.
     let retry = if is_rejected { error.is_busy() } else { may_retry_unreachable() };
     if !retry {
         return Err(error.into());
--- a/crates/rollout/src/reload.rs
+++ b/crates/rollout/src/reload.rs
@@ -1,5 +1,5 @@
-//! A reload of one forwarder's configuration, requested by SIGHUP. The forwarder does not answer: one that finds the
-//! file invalid logs so and keeps its old settings, and nothing here notices.
+//! Requests a reload of one forwarder's configuration by SIGHUP. The forwarder sends no answer. If it finds the file
+//! invalid, it logs that and keeps its old settings, and the rollout does not detect it.
 
 use crate::error::ForwarderError;
 use crate::plan::PlannedForwarder;
@@ -8,13 +8,13 @@
 use rustix::process::{Pid, Signal, kill_process};
 use std::time::{Duration, Instant};
 
-/// How long a forwarder that is gone may take to be restarted, with a new id in its pid file.
+/// How long the restart of a forwarder that has exited may take, until its pid file or its supervisor gives the new id.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between looks at the pid file meanwhile.
+/// Pause between attempts to signal the restarted process.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Requests a reload. Where the process is gone, its id is looked up again until there is that of its successor: that
-/// one has read the configuration at its start, and the signal does it no harm.
+/// Requests a reload. If the process has exited, its id is looked up again until the restarted process's id is found.
+/// The restarted process has already read the new configuration at its start, and the signal does no harm.
 pub fn request_reload(forwarder: &PlannedForwarder) -> Result<(), ForwarderError> {
     let deadline = Instant::now() + RESTART_TIMEOUT;
     loop {
--- a/crates/rollout/src/run.rs
+++ b/crates/rollout/src/run.rs
@@ -1,4 +1,5 @@
-//! The rollout carried out: the steps that the progress record chooses, each recorded before and after it is done.
+//! Carries out a rollout. The progress record determines each step, and operations on forwarders are recorded before
+//! and after they are done.
 
 use crate::change;
 use crate::error::ForwarderError;
@@ -9,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Pause between rounds of rolling back, while some forwarder cannot be reached.
+/// Pause between rounds of a rollback while some forwarder cannot be reached.
 const ROLLBACK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// How a rollout ended.
@@ -19,12 +20,13 @@
     Completed,
     /// The rollout was stopped, and every forwarder whose change had begun has its state from before.
     RolledBack {
-        /// Why it was stopped, for people.
+        /// Why the rollout was stopped, for operators.
         reason: String,
     },
 }
 
-/// Why a rollout could not go on. The progress record says how far it came, and a new start goes on from there.
+/// Why a rollout could not continue. The progress record holds the steps done so far, and a new start continues from
+/// there.
 #[derive(Debug, thiserror::Error)]
 pub enum RolloutError {
     /// The plan cannot be carried out.
@@ -43,23 +45,23 @@
         /// The digest of this plan.
         given: String,
     },
-    /// A forwarder could not be rolled back within the plan's `max_bake_ms`. Some forwarders may still have the change; a
-    /// new start with the same plan and folder goes on.
+    /// A forwarder could not be rolled back within the plan's `max_bake_ms`. Some forwarders may still have the change.
+    /// A new start with the same plan and folder continues the rollback.
     #[error("forwarder {forwarder}: cannot roll it back: {source}")]
     Rollback {
-        /// Its name.
+        /// The name of the forwarder.
         forwarder: String,
-        /// What failed.
+        /// Why its rollback failed.
         source: ForwarderError,
     },
 }
 
-/// Carries out a plan, going on from the progress record in the state folder.
+/// Carries out a plan, continuing from the progress record in the state folder.
 ///
 /// # Errors
 ///
-/// The plan cannot be carried out, the record cannot be used, or a forwarder could not be rolled back within the
-/// plan's longest bake time.
+/// The plan cannot be carried out, the record cannot be used, or a forwarder cannot be rolled back within the plan's
+/// longest bake time.
 pub fn run(plan: &Plan, state_folder: &Path) -> Result<Outcome, RolloutError> {
     let stage_sizes = plan.stage_sizes()?;
     let change = plan.change()?;
@@ -73,7 +75,7 @@
 struct Rollout<'a> {
     plan: &'a Plan,
     change: Change,
-    /// How many forwarders have the change in each stage.
+    /// Number of forwarders that have the change in each stage.
     stage_sizes: Vec<usize>,
     state_folder: &'a Path,
     file: ProgressFile,
@@ -160,8 +162,9 @@
         }
     }
 
-    /// Rolls back in rounds until no forwarder is left, each in the plan's order. Rounds are repeated for as long as a stage
-    /// may last (`max_bake_ms`); after that the first failure of the last round is returned, and a new start goes on.
+    /// Rolls back in rounds, each in the plan's order, until no forwarder needs a rollback. Rounds are repeated for as
+    /// long as a stage may bake (`max_bake_ms`). After that the first failure of the last round is returned, and a new
+    /// start continues.
     fn roll_back(&mut self) -> Result<(), RolloutError> {
         let deadline = Instant::now() + Duration::from_millis(self.plan.max_bake_ms);
         while let Some(failure) = self.roll_back_round()? {
@@ -173,8 +176,8 @@
         Ok(())
     }
 
-    /// Tries each forwarder that is to be rolled back once; one that cannot be reached does not hold up the others.
-    /// Returns the first failure.
+    /// Tries once to roll back each forwarder that needs it, and returns the first failure. A forwarder that cannot be
+    /// reached does not delay the rollback of the others to a later round.
     fn roll_back_round(&mut self) -> Result<Option<RolloutError>, RolloutError> {
         let plan = self.plan;
         let mut first_failure = None;
@@ -198,7 +201,7 @@
         Ok(first_failure)
     }
 
-    /// Writes a record, and counts it from then on.
+    /// Writes a record to the file and applies it to the progress.
     fn record(&mut self, record: ProgressRecord) -> Result<(), RolloutError> {
         self.file.append(&record)?;
         self.progress.apply(&record);
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -1,11 +1,11 @@
-//! One stage: the forwarders are observed until the canaries pass or the rollout has to stop.
+//! Runs one stage: reads the metrics of the forwarders until the canaries pass or the rollout has to stop.
 //!
-//! - Warm-up: a process that has just started is slow whatever its release, so that for this time latencies are left
-//!   out, and outcomes can stop the stage but not pass it.
-//! - Bake: from then on, with fresh figures, for at least the bake time and at most the longest one; then the stage is
-//!   undecided, which stops the rollout.
-//! - Down: a canary that does not answer or is restarted stops the stage, unless a baseline forwarder went down too:
-//!   where both groups lose forwarders, the cause is taken to be common, not the change.
+//! - Warm-up: a process that has just started is slow whatever its release. During the warm-up, latencies are therefore
+//!   ignored, and outcomes can stop the stage but not pass it.
+//! - Bake: after the warm-up the counts start again at zero. The bake lasts at least the bake time and at most the
+//!   longest bake time. A stage that is undecided after that stops the rollout.
+//! - Down: a canary that does not answer or is restarted stops the stage, unless a baseline forwarder went down too. If
+//!   both groups lose forwarders, the change is assumed not to be the cause.
 
 use crate::analysis::{Verdict, WorseShare, compare};
 use crate::metrics::Metrics;
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Why a stage stops the rollout. The texts go into the progress record.
+/// Why a stage stops the rollout. The texts are written to the progress record.
 #[derive(Debug, thiserror::Error)]
 pub enum StageFailure {
     /// Canaries did not answer or were restarted, and no baseline forwarder was.
@@ -23,7 +23,7 @@
     WentDown {
         /// The stage, from 0.
         stage: usize,
-        /// Their names.
+        /// The names of the canaries.
         forwarders: Vec<String>,
     },
     /// The canaries do worse.
@@ -31,26 +31,27 @@
     Worse {
         /// The stage, from 0.
         stage: usize,
-        /// What shows it.
+        /// The share that is worse.
         share: WorseShare,
     },
-    /// It could not be decided within the longest bake time.
+    /// The stage was still undecided after the longest bake time.
     #[error(
         "stage {stage}: undecided after {max_bake_ms} ms ({canary_finished} ended changed, {baseline_finished} unchanged)"
     )]
     Undecided {
         /// The stage, from 0.
         stage: usize,
-        /// The longest bake time.
+        /// The longest bake time, in milliseconds.
         max_bake_ms: u64,
-        /// Messages that the canaries finished.
+        /// Number of messages that the canaries finished.
         canary_finished: u64,
-        /// Messages that the baseline finished.
+        /// Number of messages that the baseline finished.
         baseline_finished: u64,
     },
 }
 
-/// Runs a stage until it passes; `canaries` are the names of the forwarders that have the change.
+/// Runs a stage until it passes, or returns why it stops the rollout. `canaries` are the names of the forwarders that
+/// have the change.
 pub fn run_stage(plan: &Plan, canaries: &BTreeSet<String>, stage: usize) -> Result<(), StageFailure> {
     let warm_up = Some(plan.warm_up()).filter(|warm_up| !warm_up.is_zero());
     let observations = plan.forwarders.iter().map(|f| (f.name.as_str(), Observation::default())).collect();
@@ -66,22 +67,22 @@
     plan: &'a Plan,
     canaries: &'a BTreeSet<String>,
     stage: usize,
-    /// When the warm-up began, or the bake after it.
+    /// When the current phase began, which is the warm-up or the bake after it.
     phase_started_at: Instant,
-    /// How long the warm-up takes; None once it is over.
+    /// How long the warm-up takes. `None` if there is none or it is over.
     warm_up: Option<Duration>,
     observations: BTreeMap<&'a str, Observation>,
 }
 
-/// The forwarders with the change, or those without it.
+/// The canaries or the baseline forwarders.
 struct Group {
     metrics: Vec<Metrics>,
-    /// Names of those that went down.
+    /// Names of the forwarders that went down.
     down: Vec<String>,
 }
 
 impl StageRun<'_> {
-    /// Reads all forwarders once and judges them. Returns whether the stage passes.
+    /// Reads the metrics of all forwarders once and evaluates them. Returns whether the stage passes.
     fn poll(&mut self) -> Result<bool, StageFailure> {
         for (forwarder, result) in read_all(&self.plan.forwarders) {
             if let Some(observation) = self.observations.get_mut(forwarder.name.as_str()) {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Ends the warm-up when its time is over.
+    /// Evaluates the outcomes during the warm-up, and ends the warm-up when its time is over.
     fn judge_warm_up(
         &mut self,
         warm_up: Duration,
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    /// Returns whether the stage passes.
+    /// Evaluates the metrics during the bake. Returns whether the stage passes.
     fn judge_bake(&self, canary: &Metrics, baseline: &[Metrics]) -> Result<bool, StageFailure> {
         let elapsed = self.phase_started_at.elapsed();
         let bake_time_over = elapsed >= Duration::from_millis(self.plan.bake_ms);
--- a/crates/rollout/tests/analysis.rs
+++ b/crates/rollout/tests/analysis.rs
@@ -1,4 +1,4 @@
-//! Canaries compared with the baseline.
+//! Tests of comparing canaries with the baseline.
 
 use orchidyoke_rollout::analysis::{Criteria, Verdict, compare};
 use orchidyoke_rollout::metrics::{Metrics, OutcomeCounts};
@@ -17,7 +17,7 @@
     compare(&metrics(canary), &[metrics(baseline)], criteria, bake_time_over)
 }
 
-/// A thousand deliveries of 20 to 29 ms, and `count` of `late_ms`.
+/// Returns the metrics of a thousand deliveries of 20 to 29 ms and `count` deliveries of `late_ms`.
 fn deliveries(late_ms: u64, count: u64) -> Metrics {
     let mut metrics = Metrics { outcomes: counts(1000 + count, 0, 0), ..Metrics::default() };
     let latencies = metrics.latencies.as_mut().unwrap();
@@ -26,7 +26,8 @@
     metrics
 }
 
-// Guards against a slower path going on that rejects and fails nothing; and against one stopped for a little.
+// Guards against a stage that continues although deliveries are slower, because no message is rejected or fails. Also
+// guards against a stage that is stopped because of a few slow deliveries.
 #[test]
 fn more_slow_deliveries_are_worse() {
     let criteria = Criteria::default();
@@ -37,9 +38,9 @@
         "{verdict:?}"
     );
     assert_eq!(compare(&deliveries(60, 2), std::slice::from_ref(&baseline), &criteria, true), Verdict::Pass);
-    // Slow for everyone is not the change.
+    // Deliveries that are slow in both groups are not caused by the change.
     assert_eq!(compare(&deliveries(60, 100), &[deliveries(60, 100)], &criteria, true), Verdict::Pass);
-    // A release that does not give its latencies is judged by its outcomes.
+    // If a release does not report latencies, only outcomes are compared.
     let silent = Metrics { latencies: None, ..baseline };
     assert_eq!(compare(&deliveries(60, 100), &[silent], &criteria, true), Verdict::Pass);
 }
@@ -54,7 +55,8 @@
     assert_eq!(later.since(&earlier).unwrap().latencies, None);
 }
 
-// Guards against a pass on little traffic: a group that has finished ten messages, all delivered, is not judged.
+// Guards against a pass on little traffic. A group that has finished only ten messages leaves the stage undecided, even
+// if all ten were delivered.
 #[test]
 fn too_little_traffic_is_undecided() {
     let criteria = Criteria::default();
@@ -62,7 +64,7 @@
     assert_eq!(compare_outcomes(counts(1000, 5, 5), counts(10, 0, 0), &criteria, true), Verdict::Undecided);
 }
 
-// Guards against a pass before the bake time is over, and for a change equal to the rest.
+// Guards against a pass before the bake time is over, and against canaries equal to the baseline that never pass.
 #[test]
 fn equal_groups_pass_once_the_bake_time_is_over() {
     let criteria = Criteria::default();
@@ -72,7 +74,7 @@
     assert_eq!(compare_outcomes(canary, baseline, &criteria, true), Verdict::Pass);
 }
 
-// Guards against blaming the change for what all forwarders see.
+// Guards against blaming the change for a fault that all forwarders see.
 #[test]
 fn fault_seen_by_both_groups_passes() {
     let criteria = Criteria::default();
@@ -82,7 +84,8 @@
     );
 }
 
-// Guards against a change that rejects more going on: 12% overload against 2% is worse at once.
+// Guards against a rollout that continues although the canaries reject or fail more. A share of 12% against 2% is worse
+// even before the bake time is over.
 #[test]
 fn more_overload_or_errors_are_worse_before_the_bake_time_is_over() {
     let criteria = Criteria::default();
@@ -98,15 +101,16 @@
     );
 }
 
-// Guards against blaming the change for an outage that forwarders come through one by one: figures from a trace
-// where one baseline forwarder of five had recovered before the rest.
+// Guards against blaming the change for an outage from which the forwarders recover one by one. The figures are from a
+// trace in which one baseline forwarder of five had recovered before the others.
 #[test]
 fn share_that_some_baseline_forwarders_show_is_undecided() {
     let metrics = |success, error| Metrics { outcomes: counts(success, 0, error), latencies: None };
     let baseline = [metrics(63, 48), metrics(63, 48), metrics(410, 47), metrics(63, 48), metrics(111, 15)];
     let criteria = Criteria::default();
     assert_eq!(compare(&metrics(63, 48), &baseline, &criteria, true), Verdict::Undecided);
-    // Far worse than each of them is worse; so is worse than all but one of ten or more.
+    // Canaries that are far worse than each baseline forwarder are worse. So are canaries that are worse than nine of
+    // ten baseline forwarders.
     let verdict = compare(&metrics(30, 81), &baseline, &criteria, true);
     assert!(
         matches!(&verdict, Verdict::Worse(share) if share.to_string().contains("5 of 5 unchanged")),
@@ -117,11 +121,11 @@
     assert!(matches!(compare(&metrics(300, 100), &ten, &criteria, true), Verdict::Worse(_)));
 }
 
-// Guards against a stage that passes while the interval still reaches past the margin.
+// Guards against a stage that passes while the upper end of the interval is still above the margin.
 #[test]
 fn interval_past_the_margin_is_undecided() {
     let criteria = Criteria::default();
-    // 3% against 2% over 300 and 1500: the difference may be 0 or 4 points.
+    // 3% of 300 messages against 2% of 1500: the difference may be 0 or 4 percentage points.
     assert_eq!(compare_outcomes(counts(291, 9, 0), counts(1470, 30, 0), &criteria, true), Verdict::Undecided);
 }
 
--- a/crates/rollout/tests/console.rs
+++ b/crates/rollout/tests/console.rs
@@ -1,4 +1,4 @@
-//! Metrics as the forwarders' consoles give them.
+//! Tests of parsing the metrics from a forwarder's console.
 
 use orchidyoke_rollout::console::{parse_latencies, parse_outcome_counts};
 use orchidyoke_rollout::metrics::OutcomeCounts;
@@ -9,7 +9,7 @@
                  app_success{type=\"b\"} 7\napp_overload{type=\"b\"} 0\napp_error{type=\"b\"} 2\napp_dispatches 12\n\
                  app_concurrent 3\nEOF\n";
     assert_eq!(parse_outcome_counts(reply), Some(OutcomeCounts { success: 12, overload: 1, error: 2 }));
-    // Guards against an error or a cut reply read as no messages at all.
+    // Guards against an error or a truncated reply that is parsed as no messages.
     assert_eq!(parse_outcome_counts("400 unknown\n"), None);
     assert_eq!(parse_outcome_counts("200 figures\napp_success{type=\"a\"} 5\n"), None);
 }
@@ -23,7 +23,8 @@
     let reply = format!("200 figures\n{}{}EOF\n", lines.concat(), bucket("b", "+Inf", 1));
     let latencies = parse_latencies(&reply).unwrap();
     assert_eq!((latencies.len(), latencies.count_at(90), latencies.count_at(200)), (6, 3, 3));
-    // Guards against a release that does not know the request, and a cut reply, read as no deliveries.
+    // Guards against a truncated reply, or the error of a release that does not know the request, that is parsed as no
+    // deliveries.
     assert_eq!(parse_latencies("400 unknown\n"), None);
     assert_eq!(parse_latencies(reply.strip_suffix("EOF\n").unwrap()), None);
 }
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What a plan may say.
+//! Tests of which plans are accepted.
 
 use orchidyoke_rollout::analysis::Criteria;
 use orchidyoke_rollout::plan::{Change, ConsoleAddresses, Plan, PlannedForwarder};
@@ -31,13 +31,13 @@
 fn stage_sizes_accept_counts_shares_and_all() {
     assert_eq!(plan(20, &["1", "10%", "50%", "all"]).stage_sizes().unwrap(), [1, 2, 10, 20]);
     assert_eq!(plan(6, &["1", "50%", "all"]).stage_sizes().unwrap(), [1, 3, 6]);
-    // Guards against a plan that never reaches everyone or stands still.
+    // Guards against a plan whose last stage leaves forwarders out, or with a stage that adds no forwarder.
     assert!(plan(6, &["1", "50%"]).stage_sizes().is_err());
     assert!(plan(6, &["1", "10%", "all"]).stage_sizes().is_err());
     assert!(plan(1, &["all"]).stage_sizes().is_err());
 }
 
-// Guards against a plan that is found wanting only when some forwarders have the change already.
+// Guards against a missing key that is found only after some forwarders have the change.
 #[test]
 fn change_needs_its_keys_on_every_forwarder() {
     let mut settings = plan(3, &["1", "all"]);
@@ -56,7 +56,7 @@
     assert!(release.change().is_err());
     release.release = Some("v2".into());
     release.settings_patch = Some(json!({}));
-    assert!(release.change().is_err(), "one change at a time");
+    assert!(release.change().is_err(), "a plan must not give two changes");
 }
 
 #[test]
@@ -70,7 +70,8 @@
     assert_eq!(config, json!({"name": "f1", "settings": {"limits": {"max_open": 100}, "az": "a", "x": [1]}}));
 }
 
-// Guards against a renamed key: plans are files of the operators, and a digest of one resumes its rollout.
+// Guards against a renamed key and a changed digest. Plans are files that operators write, and a rollout is resumed
+// only by a plan with the same digest.
 #[test]
 fn plan_file_keeps_its_keys_and_digest() {
     let text = json!({
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -1,4 +1,4 @@
-//! The progress record and the next step chosen from it.
+//! Tests of the progress record and of the next step chosen from it.
 
 use orchidyoke_rollout::progress::{Progress, ProgressRecord, Step};
 use orchidyoke_rollout::progress_file::ProgressFile;
@@ -32,7 +32,8 @@
     assert_eq!(next(&records), Step::Completed);
 }
 
-// Guards against a forwarder left half-changed by a kill between the two records, and against changing one twice.
+// Guards against a forwarder that stays partly changed after a kill between the two records, and against changing a
+// forwarder twice.
 #[test]
 fn unfinished_change_is_repeated_first_and_a_finished_one_never() {
     let records = [
@@ -66,8 +67,8 @@
     assert_eq!(next(&records), Step::RolledBack("worse".into()));
 }
 
-/// Carries out steps as `run` writes them, from these records on, until nothing is left; a stop is written
-/// when stage `stop_at` is baked.
+/// Continues from these records and appends the records that `run` would write, until no step is left. Stage `stop_at`
+/// stops the rollout instead of passing.
 fn drive(mut records: Vec<ProgressRecord>, stop_at: Option<usize>) -> Vec<ProgressRecord> {
     loop {
         match Progress::of(&records).next_step(&NAMES, &COUNTS) {
@@ -93,8 +94,8 @@
     records.iter().filter(|record| wanted(record)).count()
 }
 
-// Guards against a tool killed between any two records that then changes a forwarder twice, leaves one
-// unchanged, or after a stop leaves one touched and not taken back.
+// Guards against a rollout that was killed between any two records and then changes a forwarder twice, leaves one
+// unchanged, or after a stop does not roll back one whose change had begun.
 #[test]
 fn kill_between_any_two_records_leads_to_the_same_end() {
     for stop_at in [None, Some(0), Some(1)] {
@@ -104,17 +105,17 @@
             let progress = Progress::of(&resumed);
             for name in NAMES {
                 let changed = count(&resumed, |r| *r == ProgressRecord::ChangeApplied(name.into()));
-                assert!(changed <= 1, "{name} changed twice after a cut at {cut}: {resumed:?}");
+                assert!(changed <= 1, "{name} changed twice after a kill at record {cut}: {resumed:?}");
                 match stop_at {
-                    None => assert_eq!(changed, 1, "{name} after a cut at {cut}"),
+                    None => assert_eq!(changed, 1, "{name} after a kill at record {cut}"),
                     Some(_) => assert_eq!(
                         progress.change_started.contains(name),
                         progress.rolled_back.contains(name),
-                        "{name} after a cut at {cut}: {resumed:?}"
+                        "{name} after a kill at record {cut}: {resumed:?}"
                     ),
                 }
             }
-            assert_eq!(progress.completed, stop_at.is_none(), "after a cut at {cut}");
+            assert_eq!(progress.completed, stop_at.is_none(), "after a kill at record {cut}");
         }
     }
 }
@@ -140,7 +141,7 @@
     drop(std::fs::remove_dir_all(&folder));
 }
 
-// Guards against a record renamed: a rollout is resumed from the file of an earlier program.
+// Guards against a renamed record, because a rollout is resumed from the progress file of an earlier release.
 #[test]
 fn records_keep_their_stored_form() {
     let stored = [
--- a/crates/rollout/tests/stored_format.rs
+++ b/crates/rollout/tests/stored_format.rs
@@ -1,5 +1,6 @@
-//! Protects rollouts that were begun by an earlier version: its plans and progress records are read with every field, the
-//! same records are written as the same lines, and a plan still has the digest that its progress file names.
+//! Tests that a rollout begun by an earlier version can be resumed. The earlier version's plans and progress records
+//! are read with every field, the same records are written as the same lines, and a plan still has the digest that its
+//! progress file holds.
 
 use orchidyoke_rollout::analysis::Criteria;
 use orchidyoke_rollout::change::saved_state_path;
@@ -14,7 +15,7 @@
 use std::time::Duration;
 
 const PROGRESS_FILE: &str = include_str!("fixtures/rollout.jsonl");
-/// Digests of the two plans, one a line.
+/// Digests of the two plans, one per line.
 const DIGESTS: &str = include_str!("fixtures/digests");
 
 fn fixture(name: &str) -> PathBuf {
@@ -22,21 +23,21 @@
 }
 
 fn plan(name: &str) -> Plan {
-    Plan::read(&fixture(name)).expect("a plan")
+    Plan::read(&fixture(name)).expect("plan read")
 }
 
 fn at(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("valid address")
 }
 
 fn patch() -> Value {
     json!({"settings": {"limits": {"max_open": 5, "try_limit": null}}})
 }
 
-/// Each kind of record.
+/// Returns one or more records of each kind, as in the progress file.
 fn expected() -> Vec<ProgressRecord> {
     let name = |name: &str| name.to_owned();
-    let digest = DIGESTS.lines().next().expect("a digest").to_owned();
+    let digest = DIGESTS.lines().next().expect("first digest").to_owned();
     vec![
         ProgressRecord::Started { plan_digest: digest },
         ProgressRecord::ChangeStarted(name("f-1")),
@@ -50,14 +51,14 @@
     ]
 }
 
-/// A folder of its own, removed at the end.
+/// A temporary folder for one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
         drop(fs::remove_dir_all(&path));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("folder created");
         Folder(path)
     }
 }
@@ -71,8 +72,8 @@
 #[test]
 fn records_of_the_previous_version_are_read_field_by_field() {
     let folder = Folder::new("rollout-read");
-    fs::write(folder.0.join("rollout.jsonl"), PROGRESS_FILE).expect("writes");
-    let (file, records) = ProgressFile::open(&folder.0).expect("opens");
+    fs::write(folder.0.join("rollout.jsonl"), PROGRESS_FILE).expect("progress file written");
+    let (file, records) = ProgressFile::open(&folder.0).expect("progress file opened");
     assert_eq!((file.path(), &records), (&*folder.0.join("rollout.jsonl"), &expected()));
     let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
     let progress = Progress {
@@ -86,15 +87,18 @@
     };
     assert_eq!(Progress::of(&records), progress);
     let stopped = Progress::of(&records[..records.len() - 1]);
-    assert_eq!(stopped.next_step(&["f-1", "f \"2\""], &[1, 2]), Step::RollBack(1), "it goes on from there");
+    assert_eq!(stopped.next_step(&["f-1", "f \"2\""], &[1, 2]), Step::RollBack(1), "the rollback continues");
 }
 
 #[test]
 fn records_are_written_as_the_same_lines() {
     let folder = Folder::new("rollout-written");
-    let (mut file, _) = ProgressFile::open(&folder.0).expect("opens");
-    expected().iter().for_each(|record| file.append(record).expect("written"));
-    assert_eq!(fs::read_to_string(folder.0.join("rollout.jsonl")).expect("read"), PROGRESS_FILE);
+    let (mut file, _) = ProgressFile::open(&folder.0).expect("progress file opened");
+    expected().iter().for_each(|record| file.append(record).expect("record written"));
+    assert_eq!(
+        fs::read_to_string(folder.0.join("rollout.jsonl")).expect("progress file read"),
+        PROGRESS_FILE
+    );
 }
 
 #[test]
@@ -126,9 +130,9 @@
         criteria: Criteria { margin: 0.05, z_score: 1.5, min_finished: 30, latency_ratio: 3.5 },
     };
     assert_eq!(plan, expected);
-    assert_eq!(plan.change().expect("sound"), Change::Settings(patch()));
+    assert_eq!(plan.change().expect("valid plan"), Change::Settings(patch()));
     assert_eq!(
-        (plan.stage_sizes().expect("sound"), plan.warm_up()),
+        (plan.stage_sizes().expect("valid plan"), plan.warm_up()),
         (vec![1, 2], Duration::from_millis(250))
     );
 }
@@ -153,12 +157,12 @@
         (first.supervisor, second.supervisor),
         (Some(at("127.0.0.1:7003")), Some(at("127.0.0.1:7006")))
     );
-    assert_eq!(plan.change().expect("sound"), Change::Release("v1.2-rc3".to_owned()));
+    assert_eq!(plan.change().expect("valid plan"), Change::Release("v1.2-rc3".to_owned()));
 }
 
 #[test]
 fn plan_with_an_unknown_key_is_rejected() {
-    let text = fs::read_to_string(fixture("plan-release.json")).expect("read");
+    let text = fs::read_to_string(fixture("plan-release.json")).expect("plan file read");
     for name in ["forwarders", "release", "stages", "bake_ms", "max_bake_ms", "criteria", "margin", "console"]
     {
         let other = text.replace(&format!("{name:?}"), "\"other_name\"");
--- a/crates/rollout/tests/wire_plan.rs
+++ b/crates/rollout/tests/wire_plan.rs
@@ -1,5 +1,5 @@
-//! Protects the plan of a rollout as a file, the name of each field and what becomes of it, and the progress records
-//! that a rollout of another release resumes from.
+//! Tests that the plan file keeps its format, which covers the key and the parsed value of each field. Also tests that
+//! the progress records keep theirs, because a rollout of another release resumes from them.
 
 use orchidyoke_rollout::Plan;
 use orchidyoke_rollout::analysis::Criteria;
@@ -13,7 +13,8 @@
 const RECORDS: &str = include_str!("fixtures/wire/records.jsonl");
 
 fn read(name: &str) -> Plan {
-    Plan::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/wire").join(name)).expect("a plan")
+    Plan::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/wire").join(name))
+        .expect("plan read")
 }
 
 fn at(port: u16) -> SocketAddr {
@@ -50,14 +51,14 @@
         criteria: Criteria { margin: 0.15, z_score: 1.6, min_finished: 17, latency_ratio: 1.8 },
     };
     assert_eq!(plan, expected);
-    assert_eq!(plan.change().expect("one"), Change::Settings(patch));
-    assert_eq!(plan.stage_sizes().expect("sound"), [1, 2]);
+    assert_eq!(plan.change().expect("valid plan"), Change::Settings(patch));
+    assert_eq!(plan.stage_sizes().expect("valid plan"), [1, 2]);
 }
 
 #[test]
 fn omitted_plan_fields_take_their_defaults() {
     let plan = read("release_plan.json");
-    assert_eq!(plan.change().expect("one"), Change::Release("v1.3".to_owned()));
+    assert_eq!(plan.change().expect("valid plan"), Change::Release("v1.3".to_owned()));
     assert_eq!(
         (plan.poll_interval_ms, plan.warm_up_ms, plan.warm_up()),
         (1000, None, Duration::from_secs(5))
@@ -68,7 +69,7 @@
     );
 }
 
-/// A rollout is resumed only where its progress record has the digest of the plan.
+// Guards against a changed digest, because a rollout is resumed only if its progress record has the digest of the plan.
 #[test]
 fn plan_digest_stays_the_same() {
     let digests =
@@ -89,10 +90,10 @@
         ProgressRecord::RolledBack(name()),
         ProgressRecord::Completed,
     ];
-    let line = |record| serde_json::to_string(record).expect("JSON") + "\n";
+    let line = |record| serde_json::to_string(record).expect("record written as JSON") + "\n";
     let written: String = records.iter().map(line).collect();
     assert_eq!(written, RECORDS);
     let read: Vec<ProgressRecord> =
-        RECORDS.lines().map(|line| serde_json::from_str(line).expect("a record")).collect();
+        RECORDS.lines().map(|line| serde_json::from_str(line).expect("record parsed")).collect();
     assert_eq!(read, records);
 }
