--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -192,8 +192,8 @@
         let with_messages: Vec<&Proportion> = self.baseline.iter().filter(|share| share.total > 0).collect();
         let exceeded =
             with_messages.iter().filter(|share| self.canary.rate() - share.rate() > margin).count();
-        let stands_out = exceeded as f64 >= BASELINE_MAJORITY * with_messages.len() as f64;
-        (interval.lower > margin && stands_out).then(|| WorseShare {
+        let exceeds_most_forwarders = exceeded as f64 >= BASELINE_MAJORITY * with_messages.len() as f64;
+        (interval.lower > margin && exceeds_most_forwarders).then(|| WorseShare {
             name: self.name,
             canary: self.canary,
             baseline: Proportion::sum(&self.baseline),
--- a/crates/rollout/tests/analysis.rs
+++ b/crates/rollout/tests/analysis.rs
@@ -41,12 +41,12 @@
     // Deliveries that are slow in both groups are not caused by the change.
     assert_eq!(compare(&deliveries(60, 100), &[deliveries(60, 100)], &criteria, true), Verdict::Pass);
     // If a release does not report latencies, only outcomes are compared.
-    let silent = Metrics { latencies: None, ..baseline };
-    assert_eq!(compare(&deliveries(60, 100), &[silent], &criteria, true), Verdict::Pass);
+    let without_latencies = Metrics { latencies: None, ..baseline };
+    assert_eq!(compare(&deliveries(60, 100), &[without_latencies], &criteria, true), Verdict::Pass);
 }
 
 #[test]
-fn latencies_since_a_reading_are_those_of_the_interval() {
+fn latencies_since_an_earlier_read_cover_only_the_interval() {
     let earlier = deliveries(60, 5);
     let mut later = deliveries(60, 8);
     assert_eq!(later.since(&earlier).unwrap().latencies.unwrap().len(), 3);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn falling_counts_have_no_difference() {
+fn since_returns_none_if_a_count_went_down() {
     assert_eq!(counts(5, 1, 0).since(counts(6, 0, 0)), None);
     assert_eq!(counts(9, 2, 1).since(counts(6, 1, 1)), Some(counts(3, 1, 0)));
 }
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -4,10 +4,10 @@
 use orchidyoke_rollout::progress_file::ProgressFile;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
-const COUNTS: [usize; 3] = [1, 2, 4];
+const STAGE_SIZES: [usize; 3] = [1, 2, 4];
 
 fn next(records: &[ProgressRecord]) -> Step {
-    Progress::of(records).next_step(&NAMES, &COUNTS)
+    Progress::of(records).next_step(&NAMES, &STAGE_SIZES)
 }
 
 fn changed(name: &str) -> [ProgressRecord; 2] {
@@ -69,20 +69,20 @@
 
 /// Continues from these records and appends the records that `run` would write, until no step is left. Stage `stop_at`
 /// stops the rollout instead of passing.
-fn drive(mut records: Vec<ProgressRecord>, stop_at: Option<usize>) -> Vec<ProgressRecord> {
+fn run_all_steps(mut records: Vec<ProgressRecord>, stop_at: Option<usize>) -> Vec<ProgressRecord> {
     loop {
-        match Progress::of(&records).next_step(&NAMES, &COUNTS) {
-            Step::ApplyChange(place) => {
-                records.push(ProgressRecord::ChangeStarted(NAMES[place].into()));
-                records.push(ProgressRecord::ChangeApplied(NAMES[place].into()));
+        match Progress::of(&records).next_step(&NAMES, &STAGE_SIZES) {
+            Step::ApplyChange(index) => {
+                records.push(ProgressRecord::ChangeStarted(NAMES[index].into()));
+                records.push(ProgressRecord::ChangeApplied(NAMES[index].into()));
             }
             Step::RunStage(stage) if Some(stage) == stop_at => {
                 records.push(ProgressRecord::Stopped("worse".into()))
             }
             Step::RunStage(stage) => records.push(ProgressRecord::StagePassed(stage)),
-            Step::RollBack(place) => {
-                records.push(ProgressRecord::RollbackStarted(NAMES[place].into()));
-                records.push(ProgressRecord::RolledBack(NAMES[place].into()));
+            Step::RollBack(index) => {
+                records.push(ProgressRecord::RollbackStarted(NAMES[index].into()));
+                records.push(ProgressRecord::RolledBack(NAMES[index].into()));
             }
             Step::RecordCompletion => records.push(ProgressRecord::Completed),
             Step::Completed | Step::RolledBack(_) => return records,
@@ -97,31 +97,34 @@
 // Guards against a rollout that was killed between any two records and then changes a forwarder twice, leaves one
 // unchanged, or after a stop does not roll back one whose change had begun.
 #[test]
-fn kill_between_any_two_records_leads_to_the_same_end() {
+fn rollout_killed_between_any_two_records_reaches_the_same_end() {
     for stop_at in [None, Some(0), Some(1)] {
-        let whole = drive(Vec::new(), stop_at);
-        for cut in 0..=whole.len() {
-            let resumed = drive(whole[..cut].to_vec(), stop_at);
+        let all_records = run_all_steps(Vec::new(), stop_at);
+        for kill_index in 0..=all_records.len() {
+            let resumed = run_all_steps(all_records[..kill_index].to_vec(), stop_at);
             let progress = Progress::of(&resumed);
             for name in NAMES {
                 let changed = count(&resumed, |r| *r == ProgressRecord::ChangeApplied(name.into()));
-                assert!(changed <= 1, "{name} changed twice after a kill at record {cut}: {resumed:?}");
+                assert!(
+                    changed <= 1,
+                    "{name} changed twice after a kill at record {kill_index}: {resumed:?}"
+                );
                 match stop_at {
-                    None => assert_eq!(changed, 1, "{name} after a kill at record {cut}"),
+                    None => assert_eq!(changed, 1, "{name} after a kill at record {kill_index}"),
                     Some(_) => assert_eq!(
                         progress.change_started.contains(name),
                         progress.rolled_back.contains(name),
-                        "{name} after a kill at record {cut}: {resumed:?}"
+                        "{name} after a kill at record {kill_index}: {resumed:?}"
                     ),
                 }
             }
-            assert_eq!(progress.completed, stop_at.is_none(), "after a kill at record {cut}");
+            assert_eq!(progress.completed, stop_at.is_none(), "after a kill at record {kill_index}");
         }
     }
 }
 
 #[test]
-fn progress_file_keeps_whole_lines_and_cuts_a_torn_one() {
+fn progress_file_keeps_complete_lines_and_removes_a_truncated_one() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-rollout-log-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&folder));
     let (mut file, records) = ProgressFile::open(&folder).unwrap();
--- a/crates/rollout/tests/stored_format.rs
+++ b/crates/rollout/tests/stored_format.rs
@@ -26,7 +26,7 @@
     Plan::read(&fixture(name)).expect("plan read")
 }
 
-fn at(text: &str) -> SocketAddr {
+fn address(text: &str) -> SocketAddr {
     text.parse().expect("valid address")
 }
 
@@ -35,7 +35,7 @@
 }
 
 /// Returns one or more records of each kind, as in the progress file.
-fn expected() -> Vec<ProgressRecord> {
+fn expected_records() -> Vec<ProgressRecord> {
     let name = |name: &str| name.to_owned();
     let digest = DIGESTS.lines().next().expect("first digest").to_owned();
     vec![
@@ -74,7 +74,7 @@
     let folder = Folder::new("rollout-read");
     fs::write(folder.0.join("rollout.jsonl"), PROGRESS_FILE).expect("progress file written");
     let (file, records) = ProgressFile::open(&folder.0).expect("progress file opened");
-    assert_eq!((file.path(), &records), (&*folder.0.join("rollout.jsonl"), &expected()));
+    assert_eq!((file.path(), &records), (&*folder.0.join("rollout.jsonl"), &expected_records()));
     let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
     let progress = Progress {
         plan_digest: Some(plan("plan-settings.json").digest()),
@@ -94,7 +94,7 @@
 fn records_are_written_as_the_same_lines() {
     let folder = Folder::new("rollout-written");
     let (mut file, _) = ProgressFile::open(&folder.0).expect("progress file opened");
-    expected().iter().for_each(|record| file.append(record).expect("record written"));
+    expected_records().iter().for_each(|record| file.append(record).expect("record written"));
     assert_eq!(
         fs::read_to_string(folder.0.join("rollout.jsonl")).expect("progress file read"),
         PROGRESS_FILE
@@ -105,17 +105,17 @@
 fn settings_plan_is_read_field_by_field() {
     let first = PlannedForwarder {
         name: "f-1".to_owned(),
-        consoles: ConsoleAddresses::Single(at("127.0.0.1:7001")),
+        consoles: ConsoleAddresses::Single(address("127.0.0.1:7001")),
         config_file: Some("/etc/f-1.json".into()),
         pid_file: Some("/run/f-1.pid".into()),
         supervisor: None,
     };
     let second = PlannedForwarder {
         name: "f-2".to_owned(),
-        consoles: ConsoleAddresses::PerSlot([at("127.0.0.1:7002"), at("[::1]:7003")]),
+        consoles: ConsoleAddresses::PerSlot([address("127.0.0.1:7002"), address("[::1]:7003")]),
         config_file: Some("f-2.json".into()),
         pid_file: None,
-        supervisor: Some(at("127.0.0.1:7004")),
+        supervisor: Some(address("127.0.0.1:7004")),
     };
     let plan = plan("plan-settings.json");
     let expected = Plan {
@@ -155,7 +155,7 @@
     let [first, second] = &plan.forwarders[..] else { panic!("{:?}", plan.forwarders) };
     assert_eq!(
         (first.supervisor, second.supervisor),
-        (Some(at("127.0.0.1:7003")), Some(at("127.0.0.1:7006")))
+        (Some(address("127.0.0.1:7003")), Some(address("127.0.0.1:7006")))
     );
     assert_eq!(plan.change().expect("valid plan"), Change::Release("v1.2-rc3".to_owned()));
 }
--- a/crates/rollout/tests/wire_plan.rs
+++ b/crates/rollout/tests/wire_plan.rs
@@ -17,30 +17,30 @@
         .expect("plan read")
 }
 
-fn at(port: u16) -> SocketAddr {
+fn address_with_port(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 #[test]
 fn plan_fields_are_read_by_their_names() {
     let plan = read("settings_plan.json");
-    let one = PlannedForwarder {
+    let first = PlannedForwarder {
         name: "n1".to_owned(),
-        consoles: ConsoleAddresses::Single(at(8001)),
+        consoles: ConsoleAddresses::Single(address_with_port(8001)),
         config_file: Some("/etc/edge/n1.json".into()),
         pid_file: Some("/run/n1.pid".into()),
         supervisor: None,
     };
-    let two = PlannedForwarder {
+    let second = PlannedForwarder {
         name: "n2".to_owned(),
-        consoles: ConsoleAddresses::PerSlot([at(8002), at(8003)]),
+        consoles: ConsoleAddresses::PerSlot([address_with_port(8002), address_with_port(8003)]),
         config_file: Some("/etc/edge/n2.json".into()),
         pid_file: None,
-        supervisor: Some(at(8004)),
+        supervisor: Some(address_with_port(8004)),
     };
     let patch = json!({"limits": {"try_limit": 3}});
     let expected = Plan {
-        forwarders: vec![one, two],
+        forwarders: vec![first, second],
         settings_patch: Some(patch.clone()),
         release: None,
         stages: vec!["1".to_owned(), "100%".to_owned()],
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn progress_records_are_written_and_read_as_before() {
+fn progress_records_keep_their_stored_format() {
     let name = || "n1".to_owned();
     let records = [
         ProgressRecord::Started { plan_digest: "5be2".to_owned() },
--- a/crates/supervisor/src/control_server.rs
+++ b/crates/supervisor/src/control_server.rs
@@ -33,13 +33,16 @@
         let events = events.clone();
         spawn_local(async move {
             // After a time-out or a closed connection there is no caller left to reply to.
-            drop(timeout(CONNECTION_TIMEOUT, answer(stream, events)).await);
+            drop(timeout(CONNECTION_TIMEOUT, serve_connection(stream, events)).await);
             drop(permit);
         });
     }
 }
 
-async fn answer(mut stream: TcpStream, events: mpsc::UnboundedSender<Event>) -> std::io::Result<()> {
+async fn serve_connection(
+    mut stream: TcpStream,
+    events: mpsc::UnboundedSender<Event>,
+) -> std::io::Result<()> {
     let request = match read_line(&mut stream).await? {
         Line::Complete(line) => Request::parse(&line),
         Line::TooLong => Err(RejectReason::LineTooLong),
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -217,7 +217,7 @@
     fn on_exit(&mut self, now_ms: u64, slot: Slot, cause: &str) -> Vec<Effect> {
         let Some(process) = self.processes[slot].take() else { return Vec::new() };
         if self.shutting_down {
-            return if self.none_left() { vec![Effect::Exit] } else { Vec::new() };
+            return if self.no_process_left() { vec![Effect::Exit] } else { Vec::new() };
         }
         if slot != self.active_slot {
             if process.is_starting() {
@@ -236,8 +236,9 @@
         Vec::new()
     }
 
-    fn schedule_restart(&mut self, now_ms: u64, died: &Process) {
-        if matches!(died.phase, Phase::Serving { since_ms } if now_ms >= since_ms + BACKOFF_RESET_AFTER_MS) {
+    fn schedule_restart(&mut self, now_ms: u64, exited_process: &Process) {
+        if matches!(exited_process.phase, Phase::Serving { since_ms } if now_ms >= since_ms + BACKOFF_RESET_AFTER_MS)
+        {
             self.consecutive_failures = 0;
         }
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -250,13 +251,13 @@
     fn shut_down(&mut self, now_ms: u64) -> Vec<Effect> {
         self.shutting_down = true;
         self.restart_at_ms = None;
-        if self.none_left() {
+        if self.no_process_left() {
             return vec![Effect::Exit];
         }
         Slot::ALL.into_iter().flat_map(|slot| self.terminate(now_ms, slot)).collect()
     }
 
-    fn none_left(&self) -> bool {
+    fn no_process_left(&self) -> bool {
         self.processes.iter().all(Option::is_none)
     }
 
@@ -271,8 +272,8 @@
         if self.shutting_down {
             return Err(RejectReason::ShuttingDown);
         }
-        let beside = self.active_slot.other();
-        match (&self.processes[self.active_slot], &self.processes[beside]) {
+        let other_slot = self.active_slot.other();
+        match (&self.processes[self.active_slot], &self.processes[other_slot]) {
             (_, Some(other)) if other.release == release && other.is_starting() => Ok(Vec::new()),
             (Some(active), _) if active.release == release && !active.is_ending() => {
                 self.failed_upgrade = None;
@@ -281,7 +282,7 @@
             (_, Some(_)) => Err(RejectReason::Busy),
             (Some(active), None) if active.is_serving() => {
                 self.failed_upgrade = None;
-                Ok(self.start(now_ms, beside, release.to_owned()))
+                Ok(self.start(now_ms, other_slot, release.to_owned()))
             }
             (_, None) => Ok(self.replace_unready(now_ms, release)),
         }
--- a/crates/supervisor/src/machine/tests.rs
+++ b/crates/supervisor/src/machine/tests.rs
@@ -74,11 +74,11 @@
     let mut backoffs = Vec::new();
     for _ in 0..8 {
         machine.step(now_ms, exited(Slot::First, "signal 9"));
-        let died = now_ms;
+        let died_at_ms = now_ms;
         while machine.step(now_ms, Input::Tick) != [spawn(Slot::First, "v1")] {
             now_ms += 50;
         }
-        backoffs.push(now_ms - died);
+        backoffs.push(now_ms - died_at_ms);
     }
     assert_eq!(backoffs, [100, 200, 400, 800, 1_600, 3_200, 5_000, 5_000]);
     assert_eq!(machine.status().restarts, 8);
@@ -109,7 +109,7 @@
 
 // Guards against a release that cannot start, or is not ready yet, and delays the upgrade that would replace it.
 #[test]
-fn upgrade_replaces_a_forwarder_that_never_served_at_once() {
+fn upgrade_immediately_replaces_a_forwarder_that_never_served() {
     let mut machine = Machine::new("bad".into());
     machine.step(0, Input::Start);
     machine.step(10, exited(Slot::First, "exit status 1"));
--- a/crates/supervisor/src/run.rs
+++ b/crates/supervisor/src/run.rs
@@ -114,7 +114,7 @@
     let mut sigterm = signal(SignalKind::terminate()).map_err(system("handle SIGTERM"))?;
     let mut sigint = signal(SignalKind::interrupt()).map_err(system("handle SIGINT"))?;
     let clients = bind_clients(config.listen)?;
-    let (events, mut inbox) = mpsc::unbounded_channel();
+    let (events, mut event_receiver) = mpsc::unbounded_channel();
     let control = bind_control(config.control).await?;
     let clients_address = clients.local_addr().map_err(system("read the clients' address"))?;
     let control_address = control.local_addr().map_err(system("read the control address"))?;
@@ -127,7 +127,7 @@
     let mut event = Event::Input(Input::Start);
     while supervisor.handle(event) == Next::Continue {
         event = tokio::select! {
-            Some(event) = inbox.recv() => event,
+            Some(event) = event_receiver.recv() => event,
             _ = ticks.tick() => Event::Input(Input::Tick),
             _ = sigterm.recv() => Event::Input(Input::Shutdown),
             _ = sigint.recv() => Event::Input(Input::Shutdown),
--- a/crates/supervisor/src/state_file.rs
+++ b/crates/supervisor/src/state_file.rs
@@ -28,9 +28,9 @@
 impl StateFile {
     /// Opens the folder and creates it if it is missing. `release` is the release to start if none is persisted yet.
     pub fn open(folder: &Path, release: &str) -> Result<StateFile, SupervisorError> {
-        let unusable = |source| SupervisorError::Folder { folder: folder.to_owned(), source };
-        std::fs::create_dir_all(folder).map_err(unusable)?;
-        let lock = File::create(folder.join("lock")).map_err(unusable)?;
+        let folder_error = |source| SupervisorError::Folder { folder: folder.to_owned(), source };
+        std::fs::create_dir_all(folder).map_err(folder_error)?;
+        let lock = File::create(folder.join("lock")).map_err(folder_error)?;
         lock.try_lock().map_err(|_| SupervisorError::InUse { folder: folder.to_owned() })?;
         let path = folder.join("supervised.json");
         let state = match std::fs::read(&path) {
@@ -39,7 +39,7 @@
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => {
                 PersistedState { release: release.to_owned(), processes: Vec::new() }
             }
-            Err(error) => return Err(unusable(error)),
+            Err(error) => return Err(folder_error(error)),
         };
         Ok(StateFile { path, state, _lock: lock })
     }
--- a/crates/supervisor/tests/wire_control.rs
+++ b/crates/supervisor/tests/wire_control.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn requests_are_read_as_before() {
+fn request_lines_keep_their_wire_format() {
     assert_eq!(parse("show"), Ok(Request::Status));
     assert_eq!(parse("upgrade v1.2_rc3+a"), Ok(Request::Upgrade("v1.2_rc3+a".to_owned())));
     let no_name = Err("a release is the name of a file in the folder of releases".to_owned());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn status_is_written_and_read_as_before() {
+fn status_keeps_its_wire_format() {
     for (text, expected) in [(STATUS, full_status()), (BARE_STATUS, bare_status())] {
         assert_eq!(serde_json::to_string(&expected).expect("status written as JSON") + "\n", text);
         assert_eq!(serde_json::from_str::<SupervisorStatus>(text).expect("status parsed"), expected);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn caller_sends_its_line_and_reads_the_reply_as_before() {
+fn client_keeps_its_request_lines_and_reply_parsing() {
     let (address, sent) = scripted_supervisor(format!("200 {STATUS}"));
     assert_eq!(status(address, TIMEOUT).expect("status received"), full_status());
     assert_eq!(sent.join().expect("line of the caller"), "show\n");
