--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, a module each: they connect the options with the packages that do the work, and print the outcome.
+//! The commands, one module each. They pass the options to the packages that do the work, and print the outcome.
 
 use std::error::Error;
 
@@ -13,5 +13,5 @@
 #[cfg(feature = "installations")]
 pub mod supervise;
 
-/// The outcome of a command. Its error is only printed, so that its type no longer matters.
+/// The outcome of a command. The error is boxed, because it is only printed.
 pub type CommandResult = Result<(), Box<dyn Error>>;
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a configuration, or an installation's settings, or both, and prints what is in them.
+//! `check`: reads a configuration, or an installation's settings, or both, and prints a summary of them.
 
 use super::CommandResult;
 use crate::cli::ConfigArgs;
@@ -7,7 +7,8 @@
 use crate::installation;
 use orchidyoke_forwarder::config::Config;
 
-/// Checks what these options name.
+/// Checks the settings and the configuration that these options name. Without `--config`, `--settings` alone is
+/// checked.
 #[cfg(feature = "installations")]
 pub fn run(args: ConfigArgs) -> CommandResult {
     if let Some(script) = &args.settings {
@@ -62,7 +63,7 @@
     match &settings.consul {
         Some(consul) => print_consul(consul),
         None if settings.policy.is_none() && settings.ownership.is_none() => {
-            println!("settings: nothing is asked for beyond the configuration");
+            println!("settings: they add nothing to the configuration");
         }
         None => {}
     }
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -9,16 +9,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What keeps a policy command from its work, beside the errors of the commit itself.
+/// Why a policy command cannot start, apart from the errors of the commit protocol.
 #[derive(Debug, thiserror::Error)]
 enum PolicyCommandError {
-    #[error("these settings ask for no policy(...)")]
+    #[error("the settings have no policy(...)")]
     NoCommitPoint,
     #[error("{}: {source}", .file.display())]
     ReadPolicy { file: PathBuf, source: std::io::Error },
 }
 
-/// Carries out a policy command.
+/// Runs a policy command.
 pub fn run(command: PolicyCommand) -> CommandResult {
     let commit_point = commit_point_args(&command);
     log::start(commit_point.log.into());
--- a/src/commands/policy_status.rs
+++ b/src/commands/policy_status.rs
@@ -1,10 +1,11 @@
-//! The text of `policy status`.
+//! The output of `policy status`.
 
 use orchidyoke_policy_commit::commit_point::{CommitPoint, Member, Vote};
 use orchidyoke_policy_commit::coordinator::FleetStatus;
 use orchidyoke_policy_commit::policy::VersionedPolicy;
 
-/// The committed and the proposed policy, and the version and vote of each forwarder: a line each.
+/// Returns the lines of the output: one for the committed policy, one for the proposed policy if there is one, and one
+/// for the version and vote of each forwarder.
 pub fn policy_status(status: &FleetStatus) -> String {
     let describe = |policy: &VersionedPolicy| {
         format!("epoch {}, digest {}, by {}", policy.version, policy.digest, policy.proposed_by)
--- a/src/commands/rollout.rs
+++ b/src/commands/rollout.rs
@@ -4,7 +4,7 @@
 use orchidyoke_rollout::{Outcome, Plan};
 use std::path::Path;
 
-/// A rollout that was stopped and rolled back: a failure of the command.
+/// The error of a rollout that was stopped and rolled back, so that the command fails.
 #[derive(Debug, thiserror::Error)]
 #[error("rollout stopped and taken back: {reason}")]
 struct RolledBack {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -18,7 +18,7 @@
     let Some(policy) = policy else { return Ok(serve(source, None, state_folder, listen_fd)?) };
     let name = match &policy.name {
         Some(name) => name.clone(),
-        // The policy takes effect on the configuration, so that the name has to be read without it.
+        // The policy applies to the configuration, so the name is read from the configuration without the policy.
         None => source.reread_with(|text| Ok(text.to_owned()))?.name,
     };
     let participant = orchidyoke_policy_commit::ConsulParticipant::new(policy, &name, state_folder);
--- a/src/commands/supervise.rs
+++ b/src/commands/supervise.rs
@@ -6,12 +6,12 @@
 use orchidyoke_supervisor::protocol::is_release_name;
 use std::net::SocketAddr;
 
-/// Options that a supervisor cannot run with.
+/// Why the options are not valid for a supervisor.
 #[derive(Debug, thiserror::Error)]
 enum InvalidOption {
-    #[error("--console is given twice, for two addresses")]
+    #[error("--console must be given exactly twice, for two addresses")]
     ConsoleCount,
-    #[error("--release is the name of a file in the folder of releases")]
+    #[error("--release must be the name of a file in the folder of releases")]
     ReleaseName,
 }
 
--- a/src/config_source.rs
+++ b/src/config_source.rs
@@ -1,4 +1,4 @@
-//! The forwarder's configuration source, from the command line's options.
+//! Builds the forwarder's configuration source from the command line's options.
 
 use crate::cli::ConfigArgs;
 #[cfg(feature = "installations")]
@@ -6,7 +6,7 @@
 use orchidyoke_forwarder::config::ConfigError;
 use orchidyoke_forwarder::reload::ConfigSource;
 
-/// The source that these options name, without a fleet's policy.
+/// Returns the configuration source that these options name, without a fleet's policy.
 ///
 /// # Errors
 ///
--- a/src/installation.rs
+++ b/src/installation.rs
@@ -1,4 +1,4 @@
-//! An installation's own settings: the script is evaluated in a process of its own, and what it asks for extends the
+//! An installation's own settings. The settings script is evaluated in a separate process, and its result extends the
 //! platform's configuration, at the start and at each reload.
 
 use crate::owners::StaticOwners;
@@ -12,17 +12,17 @@
 use std::process::Command;
 use std::rc::Rc;
 
-/// The sub-command by which this program evaluates a script in a process of its own.
+/// The sub-command with which this program starts itself to evaluate a script in a separate process.
 pub const EVALUATE_COMMAND: &str = "evaluate-settings";
 
-/// The script in this file.
+/// The settings script in this file.
 pub struct Script(pub PathBuf);
 
-/// Evaluates a script; blocks for as long as it takes.
+/// Evaluates a script. Blocks until the evaluation has finished.
 ///
 /// # Errors
 ///
-/// All that is wrong in the script.
+/// The script cannot be evaluated, or its settings are invalid.
 pub fn read(path: &Path) -> Result<Settings, ConfigError> {
     let program = std::env::current_exe().map_err(ConfigError::extension)?;
     let mut command = Command::new(program);
@@ -30,7 +30,7 @@
     orchidyoke_config::load(path, command).map_err(ConfigError::extension)
 }
 
-/// Extends the platform's configuration by what the script in `path` asks for.
+/// Extends the platform's configuration by the settings of the script in `path`.
 fn extend(path: &Path, settings: Settings, config: Config) -> Result<Config, ConfigError> {
     let faults = settings.check(&config.names, config.limits.max_descriptors);
     if !faults.is_empty() {
@@ -46,7 +46,7 @@
     fn extend(&self, config: Config) -> Pin<Box<dyn Future<Output = Result<Config, ConfigError>> + '_>> {
         Box::pin(async move {
             let path = self.0.clone();
-            // The forwarder goes on answering while the script is evaluated.
+            // The forwarder continues to answer while the script is evaluated on another thread.
             let settings = tokio::task::spawn_blocking(move || read(&path)).await;
             extend(&self.0, settings.map_err(ConfigError::extension)??, config)
         })
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The forwarder's program: the command line, and one module for each command.
+//! The program of the forwarder, with the command line and one module for each command.
 
 mod cli;
 mod commands;
--- a/src/owners.rs
+++ b/src/owners.rs
@@ -1,6 +1,6 @@
-//! The owners of destinations by an installation's settings: the members of a region, as a fixed list.
+//! The owners of destinations that an installation's settings give: the members of a region, as a fixed list.
 //!
-//! Used where the settings say `ownership(...)`. The view changes only with the settings.
+//! They are used if the settings have `ownership(...)`. The view changes only with the settings.
 
 use orchidyoke_config::OwnershipSettings;
 use orchidyoke_core::interface::DestinationId;
@@ -8,7 +8,7 @@
 use orchidyoke_ownership::{Member, View, ViewError};
 use std::net::SocketAddr;
 
-/// The members of a region that change only with the settings.
+/// The members of a region, as the settings list them.
 #[derive(Debug)]
 pub struct StaticOwners {
     own_name: String,
@@ -17,17 +17,17 @@
 }
 
 impl StaticOwners {
-    /// The owners by these settings.
+    /// Returns the owners that these settings give.
     ///
     /// # Errors
     ///
-    /// A member is not valid in the region, or two have one name.
+    /// A member is not valid in the region, or two members have the same name.
     pub fn new(settings: OwnershipSettings) -> Result<Self, ViewError> {
         let region_count = u32::try_from(settings.regions).unwrap_or(u32::MAX);
         Ok(StaticOwners { view: settings.view()?, own_name: settings.name, region_count })
     }
 
-    /// What a member is to this forwarder as an owner.
+    /// Returns the owner that this member is, as seen from this forwarder. Without a member the owner is unknown.
     fn owner(&self, member: Option<&Member>) -> Owner {
         match member {
             None => Owner::Unknown,
