--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,4 +1,5 @@
-//! The program with Consul as the source of its endpoint list: real sockets, a fake Consul, kills and reloads.
+//! Tests of the program with Consul as the source of its endpoint list, over real sockets with a fake Consul, including
+//! kills and reloads.
 
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::certificates::CertificateAuthority;
@@ -19,7 +20,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < end, "{what} has to come");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -31,6 +32,7 @@
     )
 }
 
+/// A fake Consul, a fake discovery and a fake destination, and a folder with a configuration that names them.
 struct Site {
     folder: TemporaryFolder,
     platform: DiscoveryServer,
@@ -48,7 +50,8 @@
         Site { folder, platform, consul, partner: DestinationServer::new(CapacityModel::default()) }
     }
 
-    /// An endpoint listed by discovery, one registered in Consul, and a forwarder that follows discovery.
+    /// Starts a forwarder that takes its endpoints from discovery. Returns an endpoint listed by discovery, one
+    /// registered in Consul, and the forwarder.
     fn start_with_both_sources(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
         let listed = self.partner.open_endpoint();
         let list = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
@@ -76,12 +79,13 @@
         )
     }
 
-    /// The calls with this message so far.
+    /// Returns the calls with this message so far.
     fn calls(&self, txn: &str) -> Vec<Call> {
         self.partner.calls().into_iter().filter(|call| call.message_id == txn).collect()
     }
 
-    /// Submits a message once its destination is known, and waits until a call with it was served; returns its first call.
+    /// Submits a message once its destination is known, and waits until a call with it was served. Returns its first
+    /// call.
     fn deliver(&self, forwarder: &ForwarderProcess, txn: &str) -> Call {
         wait_until("the destination", || forwarder.submit_message("status", txn, 3) == 202);
         wait_until(txn, || self.calls(txn).iter().any(|call| call.served));
@@ -89,7 +93,7 @@
     }
 }
 
-// Guards against a source that is configured and not used.
+// Guards against Consul being configured as the source but not used.
 #[test]
 fn messages_follow_the_endpoints_of_consul() {
     let site = Site::new("consul-serve");
@@ -104,20 +108,20 @@
         let txn = format!("m{number}");
         assert_eq!(site.deliver(&forwarder, &txn).endpoint, second);
     }
-    assert_eq!(forwarder.submit_message("status", "x", 4), 422, "no service stands for this destination");
-    assert_eq!(site.platform.watch_count(), 0, "discovery is not followed as well");
+    assert_eq!(forwarder.submit_message("status", "x", 4), 422, "no service has this destination");
+    assert_eq!(site.platform.watch_count(), 0, "discovery is not watched too");
 }
 
-// Guards against dialling an endpoint outside the allowed networks.
+// Guards against connections to an endpoint outside the allowed networks.
 #[test]
 fn endpoint_outside_the_networks_is_never_dialled() {
     let site = Site::new("consul-outside");
-    let outside = "192.0.2.1:9".parse().expect("an address");
+    let outside = "192.0.2.1:9".parse().expect("valid address");
     site.consul.register(Instance::new("web", "n9", "out", outside));
     site.register("w1");
     let forwarder = site.start();
     site.deliver(&forwarder, "a");
-    let line = forwarder.wait_for_log("n9/out", PATIENCE).expect("logged");
+    let line = forwarder.wait_for_log("n9/out", PATIENCE).expect("log line");
     assert!(line.contains("outside the networks"), "{line}");
     for number in 0..30 {
         site.deliver(&forwarder, &format!("m{number}"));
@@ -126,7 +130,8 @@
     assert!(log.iter().all(|line| !line.contains("192.0.2.1")), "{log:?}");
 }
 
-// Guards against a list lost by a restart while Consul is down, and against a message lost or repeated by a kill.
+// Guards against an endpoint list lost by a restart while Consul is down, and against a message lost or repeated after
+// a kill.
 #[test]
 fn endpoint_list_survives_a_kill_during_a_consul_outage() {
     let site = Site::new("consul-kill");
@@ -134,7 +139,7 @@
     let first = site.start();
     site.deliver(&first, "a");
     site.consul.set_fault(ConsulFault::Down);
-    first.wait_for_log("without a valid response", PATIENCE).expect("logged");
+    first.wait_for_log("without a valid response", PATIENCE).expect("log line");
     site.deliver(&first, "b");
     site.partner.set_mode(Mode::Hang);
     assert_eq!(first.submit_message("orders", "order", 3), 202);
@@ -148,9 +153,9 @@
         (site.platform.notifications()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
     );
-    second.wait_for_log("without a valid response", PATIENCE).expect("logged");
+    second.wait_for_log("without a valid response", PATIENCE).expect("log line");
     site.consul.set_fault(ConsulFault::None);
-    second.wait_for_log("have recovered", PATIENCE).expect("logged");
+    second.wait_for_log("have recovered", PATIENCE).expect("log line");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
     wait_until("the new one", || {
@@ -158,7 +163,7 @@
     });
 }
 
-// Guards against messages lost or repeated when the source changes under load, and against a script applied in part.
+// Guards against messages lost or repeated when the source changes under load, and against a script applied partly.
 #[test]
 fn reload_switches_between_discovery_and_consul_under_load() {
     let site = Site::new("consul-reload");
@@ -175,7 +180,7 @@
     for bad in ["consul(adresses = [])", "consul(", "def f():\n    return f()\nf()"] {
         site.folder.write("edge.star", bad);
         forwarder.signal("HUP");
-        let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("refused");
+        let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("log line");
         assert!(line.contains("edge.star"), "{line}");
         assert_eq!(load(&site, 5), listed);
     }
@@ -188,12 +193,17 @@
     wait_until("all of them", || {
         (1..=sent).all(|n| site.calls(&format!("o{n}")).iter().any(|call| call.served))
     });
-    assert!((1..=sent).all(|number| site.calls(&format!("o{number}")).len() == 1), "none is repeated");
-    assert!(site.platform.notifications().is_empty(), "none is lost: {:?}", site.platform.notifications());
+    assert!((1..=sent).all(|number| site.calls(&format!("o{number}")).len() == 1), "no message is repeated");
+    assert!(
+        site.platform.notifications().is_empty(),
+        "no message is lost: {:?}",
+        site.platform.notifications()
+    );
 }
 
-// Guards against a message lost, or one that may have run repeated, when the source changes while hundreds are in flight:
-// four clients submit as fast as they are answered, while the source changes six times and endpoints of both stay up.
+// Guards against a lost message, and against a repeated message that may already have been processed, when the source
+// changes while hundreds of messages are in flight. Four clients submit as fast as they are answered, while the source
+// changes six times and the endpoints of both sources stay up.
 #[test]
 fn repeated_source_switches_under_full_load_lose_and_repeat_nothing() {
     let site = Site::new("consul-swap");
@@ -227,7 +237,7 @@
             });
         }
         over.store(true, Ordering::Relaxed);
-        clients.into_iter().flat_map(|client| client.join().expect("a client")).collect()
+        clients.into_iter().flat_map(|client| client.join().expect("client thread finished")).collect()
     });
     let count = || {
         let mut count: BTreeMap<String, usize> = BTreeMap::new();
@@ -240,11 +250,16 @@
     });
     let repeated: Vec<_> = count().into_iter().filter(|(_, calls)| *calls > 1).collect();
     assert!(accepted.len() >= 600 && repeated.is_empty(), "of {}: {repeated:?}", accepted.len());
-    assert!(site.platform.notifications().is_empty(), "none is lost: {:?}", site.platform.notifications());
+    assert!(
+        site.platform.notifications().is_empty(),
+        "no message is lost: {:?}",
+        site.platform.notifications()
+    );
 }
 
-// Guards against sending all waiting messages at once when maintenance ends: Consul reports the partner as passing, but it
-// is cold. A forwarder whose settings say that nothing overloads it sends them all, or the test would show nothing.
+// Guards against sending all waiting messages at once when maintenance ends. Consul then reports the destination as
+// passing, but it is cold. As a control, a forwarder with settings that switch off the recovery ramp does send them all
+// and overloads the destination; otherwise the test would prove nothing.
 #[test]
 fn end_of_maintenance_starts_the_recovery_ramp() {
     std::thread::scope(|scope| {
@@ -280,7 +295,7 @@
                 assert_eq!(site.partner.calls().len(), 1, "nothing is sent during maintenance");
                 site.partner.recover();
                 site.consul.set_maintenance("n1", "w1", false);
-                wait_until("what comes of it", || {
+                wait_until("a collapse or 600 served calls", || {
                     let calls = site.partner.calls();
                     !site.partner.collapses().is_empty()
                         || calls.iter().filter(|call| call.served).count() > 600
@@ -291,7 +306,8 @@
     });
 }
 
-// Guards against a partner whose calls succeed while its health check is critical, or the other way round.
+// Guards against messages without a final answer when calls succeed while the health check is critical, or when calls
+// fail while the health check is passing.
 #[test]
 fn contradicting_health_checks_and_calls_still_end_each_message() {
     let site = Site::new("consul-contradict");
@@ -321,7 +337,7 @@
             .arg(path)
             .args(more)
             .output()
-            .expect("it ends")
+            .expect("program finished")
     };
     let good = script(site.consul.address());
     let output = check(&good, &[]);
@@ -351,21 +367,22 @@
     }
 }
 
-// Guards against a log that no program can read: each line is an object, with the same message as the text form.
+// Guards against a JSON log that programs cannot parse. Each line must be an object with the same message as in the
+// text format.
 #[test]
 fn json_log_lines_are_objects_with_the_same_message() {
     let site = Site::new("consul-log");
     let forwarder = ForwarderProcess::start(Path::new(PROGRAM), &site.folder, &["--log", "json"]);
     site.folder.write("config.json", "{");
     forwarder.signal("HUP");
-    let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("refused");
-    let line: serde_json::Value = serde_json::from_str(&line).expect("an object");
+    let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("log line");
+    let line: serde_json::Value = serde_json::from_str(&line).expect("valid JSON");
     assert!(line["message"].as_str().is_some_and(|text| text.starts_with("configuration: ")), "{line}");
     assert!(line["timestamp"].is_string() && line["level"] == "INFO");
 }
 
-// Guards against a list emptied by a fault of Consul together with a kill, and against changes that are not applied after
-// its recovery.
+// Guards against an endpoint list that becomes empty by a fault of Consul together with a kill, and against changes
+// that are not applied after Consul has recovered.
 #[test]
 fn endpoint_list_survives_a_kill_during_any_consul_fault() {
     let mut faults = ConsulFault::without_usable_answer();
@@ -392,8 +409,8 @@
     });
 }
 
-// Guards against trust in an invalid certificate, and against a list lost with the trust: a restarted forwarder rejects the
-// certificate, logs the reason in one line, and keeps the list that it had.
+// Guards against accepting an invalid certificate, and against losing the endpoint list because of it. A restarted
+// forwarder rejects the certificate, logs the reason in one line, and keeps the list that it had.
 #[test]
 fn invalid_certificate_is_logged_in_one_line_and_the_list_stays() {
     let cases = [
@@ -427,7 +444,7 @@
                 };
                 site.consul.use_tls(&bad, None);
                 let forwarder = site.start();
-                let line = forwarder.wait_for_log("without a valid response", PATIENCE).expect("logged");
+                let line = forwarder.wait_for_log("without a valid response", PATIENCE).expect("log line");
                 assert!(line.contains(why) && line.contains("age_s="), "{line}");
                 assert_eq!(site.deliver(&forwarder, "b").endpoint, first);
                 site.consul.use_tls(&good, None);
@@ -441,7 +458,8 @@
     });
 }
 
-// Guards against a kill that loses the state of an endpoint: Consul is down when the forwarder restarts.
+// Guards against an excluded endpoint that gets messages again after a kill, because its state is lost. Consul is down
+// when the forwarder restarts.
 #[test]
 fn changed_endpoint_stays_out_after_a_kill() {
     let changes =
@@ -491,14 +509,14 @@
     });
 }
 
-// Guards against a connection or a backoff inherited by the next instance at an address.
+// Guards against a new instance at an old address that inherits the old instance's connection or backoff.
 #[test]
 fn new_instance_at_an_old_address_inherits_no_connection_and_no_faults() {
     let site = Site::new("consul-heir");
     let address = site.register("w1");
     let forwarder = site.start();
     let before = site.deliver(&forwarder, "a").peer;
-    assert_eq!(site.deliver(&forwarder, "b").peer, before, "a connection is kept");
+    assert_eq!(site.deliver(&forwarder, "b").peer, before, "the connection is reused");
     for after_faults in [false, true] {
         let (old, new) = if after_faults { ("w2", "w3") } else { ("w1", "w2") };
         let before = site.deliver(&forwarder, &format!("c-{new}")).peer;
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,6 +1,6 @@
-//! The program on a deployment of a second shape: no tenants, a class with idempotency keys whose retries are deduplicated
-//! by zone, separate routes, six attempts. Real processes, killed, upgraded and shut down; partners are fakes that keep all
-//! calls.
+//! Tests of the program in a second kind of deployment. It has no tenants, a class with idempotency keys whose retries
+//! are deduplicated per zone, separate routes, and six attempts. The tests kill, upgrade and shut down real processes.
+//! The destinations are fakes that keep all calls.
 
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::destination::{Call, CapacityModel, DestinationServer, Mode};
@@ -27,16 +27,16 @@
     }
 }
 
-/// Two zones with an endpoint of destination 1 each, the platform, and a folder with the configuration.
+/// Two zones with one endpoint of destination 1 each, a fake discovery, and a folder with the configuration.
 struct Deployment {
     folder: TemporaryFolder,
     platform: DiscoveryServer,
-    /// One partner in each zone, with one endpoint.
+    /// For each zone a fake destination and its only endpoint.
     zones: [(DestinationServer, SocketAddr); 2],
 }
 
 impl Deployment {
-    /// Retries are deduplicated for as long as `window`.
+    /// Sets up a deployment in which retries are deduplicated for as long as `window`.
     fn new(name: &str, window: Duration) -> Self {
         let platform = DiscoveryServer::start("");
         let zones = [(); 2].map(|()| {
@@ -52,7 +52,7 @@
             fleet_size: 2,
             ..ForwarderConfig::new(deployment.platform.address())
         };
-        let mut text: Value = serde_json::from_str(&setup.text()).expect("JSON");
+        let mut text: Value = serde_json::from_str(&setup.text()).expect("valid JSON");
         let settings = &mut text["settings"];
         let class = |name: &str, effect: &str| {
             json!({"name": name, "effect": effect, "group": "zone", "window_us": window.as_micros() as u64,
@@ -87,7 +87,7 @@
         self.zones[zone].0.calls().into_iter().filter(|call| call.message_id == txn).collect()
     }
 
-    /// The index of the zone that has been called with a message.
+    /// Waits until a zone has been called with this message, and returns the zone's index.
     fn called_zone(&self, txn: &str) -> usize {
         wait_until("a zone is called", || (0..2).any(|zone| !self.calls(zone, txn).is_empty()));
         usize::from(self.calls(0, txn).is_empty())
@@ -98,7 +98,7 @@
     }
 }
 
-/// Sends one request line to a console; returns the reply.
+/// Sends one request line to a console and returns the reply. Returns `None` if the console does not answer.
 fn ask_console(console: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(console).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).ok()?;
@@ -108,21 +108,21 @@
     Some(reply)
 }
 
-/// Submits a message as a client of a deployment without tenants does; returns the status.
+/// Submits a message as a client of a deployment without tenants does, and returns the status.
 fn submit(forwarder: &ForwarderProcess, class: &str, txn: &str, keys: &[&str]) -> u16 {
-    let mut stream = TcpStream::connect(forwarder.address).expect("it takes connections");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    let mut stream = TcpStream::connect(forwarder.address).expect("connected");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
     let keys: String = keys.iter().map(|key| format!("Idempotency-Key: {key}\r\n")).collect();
     let head = format!("POST /{class} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining: 12\r\n{keys}");
     let request = head + "X-Consignee: dest=1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx";
-    stream.write_all(request.as_bytes()).expect("written");
+    stream.write_all(request.as_bytes()).expect("bytes sent");
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("answered");
-    text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+    stream.read_to_string(&mut text).expect("answer read");
+    text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("status in the answer")
 }
 
-// Guards against a deployment without tenants that accepts nothing, and a key that is lost, changed or made up on its
-// way.
+// Guards against a deployment without tenants that accepts no message, and against an idempotency key that is lost,
+// changed or made up by the forwarder.
 #[test]
 fn messages_without_tenant_are_forwarded_with_their_idempotency_key() {
     let deployment = Deployment::new("second-keys", Duration::from_secs(10));
@@ -140,8 +140,8 @@
     assert!((0..2).all(|zone| deployment.calls(zone, "two").is_empty()));
 }
 
-// Guards against a key, or the zone of the attempt in flight, that is lost by SIGKILL: the retry goes to the same zone with
-// the same key, while an idempotent message may go anywhere.
+// Guards against a key, or the zone of the attempt in flight, that is lost by SIGKILL. The retry must go to the same
+// zone with the same key. Only an idempotent message may go to any zone.
 #[test]
 fn retry_after_a_kill_goes_to_the_same_zone_with_the_same_key() {
     let deployment = Deployment::new("second-kill", Duration::from_secs(10));
@@ -163,11 +163,12 @@
     second.kill();
 }
 
-// Guards against a message that was accepted and never attempted: after SIGKILL it is forwarded with its key, to any zone.
+// Guards against a lost key of a message that was accepted but never attempted. After SIGKILL the message is forwarded
+// to any zone with its key.
 #[test]
 fn key_survives_a_kill_before_the_first_attempt() {
     let deployment = Deployment::new("second-before", Duration::from_secs(10));
-    // The connection is refused: nothing was delivered, and the message waits.
+    // The connection is refused, so nothing is delivered and the message waits.
     deployment.set(Mode::Unavailable);
     let first = deployment.start();
     assert_eq!(submit(&first, "bread", "loaf", &["k-2"]), 202);
@@ -176,13 +177,14 @@
     let second = deployment.start();
     let served = |zone: usize| deployment.calls(zone, "loaf").into_iter().find(|call| call.served);
     wait_until("it is delivered", || (0..2).any(|zone| served(zone).is_some()));
-    let call = (0..2).find_map(served).expect("delivered");
+    let call = (0..2).find_map(served).expect("served call");
     assert_eq!(call.idempotency_key.as_deref(), Some("k-2"));
     second.kill();
 }
 
-// Guards against a retry in a zone that does not deduplicate it: the endpoint of the attempt in flight has moved there
-// under its name while the process was dead, or the window has ended. Then no endpoint may get it: it fails.
+// Guards against a retry that no endpoint deduplicates. Either the endpoint of the attempt in flight has moved to the
+// other zone under its old name while the process was down, or the deduplication window has ended. Then no endpoint may
+// get the message again, and it fails.
 #[test]
 fn possible_delivery_fails_when_no_endpoint_deduplicates_its_retry() {
     for (name, window, moves) in [
@@ -198,39 +200,40 @@
         first.kill();
         deployment.set(Mode::Serve);
         if moves {
-            // Both are now in the zone that has not been called.
+            // Both endpoints are now in the zone that has not been called.
             let zone = ["b", "a"][zone];
             let news = json!({"rev": 2, "all": true, "targets": deployment.targets([zone, zone])});
             deployment.platform.publish(&news.to_string());
             let mut text: Value = serde_json::from_str(
-                &std::fs::read_to_string(deployment.folder.path().join("config.json")).expect("there"),
+                &std::fs::read_to_string(deployment.folder.path().join("config.json")).expect("file read"),
             )
-            .expect("JSON");
+            .expect("valid JSON");
             text["known"] = news;
             deployment.folder.write("config.json", &text.to_string());
         } else {
             thread::sleep((window + Duration::from_millis(100)).saturating_sub(sent_at.elapsed()));
         }
         let second = deployment.start();
-        // It works: another message is delivered.
+        // Another message is delivered, so the forwarder works.
         assert_eq!(submit(&second, "bread", "next", &["k-4"]), 202);
-        wait_until("the next is delivered", || {
+        wait_until("the next message is delivered", || {
             (0..2).any(|zone| deployment.calls(zone, "next").iter().any(|call| call.served))
         });
-        wait_until("it is failed", || deployment.platform.notifications().contains_key("loaf"));
+        wait_until("the message has failed", || deployment.platform.notifications().contains_key("loaf"));
         assert_eq!(deployment.platform.notifications()["loaf"], ["failed"], "{name}");
         let calls: usize = (0..2).map(|zone| deployment.calls(zone, "loaf").len()).sum();
-        assert_eq!(calls, 1, "{name}: sent once, and never again");
+        assert_eq!(calls, 1, "{name}: the message is sent only once");
         second.kill();
     }
 }
 
-// Guards against a key, or the zone of an attempt, that is lost between two processes: a waiting message is handed over
-// with its key, and one in flight when the predecessor ends is retried by the successor in its zone alone.
+// Guards against a key, or the zone of an attempt, that is lost between two processes. A waiting message is handed over
+// with its key. A message in flight when the predecessor ends is retried by the successor only in the zone of that
+// attempt.
 #[test]
 fn upgrade_hands_over_key_and_zone() {
     let deployment = Deployment::new("second-upgrade", Duration::from_secs(15));
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let (predecessor, _) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
     deployment.set(Mode::Hang);
     assert_eq!(submit(&predecessor, "bread", "out", &["k-out"]), 202);
@@ -261,14 +264,14 @@
     successor.kill();
 }
 
-// Guards against connections that stay open after SIGTERM and are served no more: a client on a persistent connection goes
-// on submitting, and each request is answered up to the end.
+// Guards against connections that stay open after SIGTERM but are no longer served. A client on a persistent connection
+// continues to submit, and each request is answered until the connection is closed.
 #[test]
 fn persistent_connections_are_served_until_the_shutdown_ends() {
     let deployment = Deployment::new("second-term", Duration::from_secs(10));
     let forwarder = deployment.start();
-    let mut stream = TcpStream::connect(forwarder.address).expect("it takes connections");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    let mut stream = TcpStream::connect(forwarder.address).expect("connected");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
     let mut answered = 0;
     let mut terminated_at = None;
     for number in 0.. {
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,5 @@
-//! The program itself, started, shut down and killed while a message or an answer is due. Every wait is for an event that
-//! has to come; where a duration is waited for, it is one of the program's limits.
+//! Tests of the program being started, shut down and killed while a message or an answer is pending. Every wait is for
+//! an event that has to happen. Fixed durations in the assertions are limits of the program.
 
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::destination::{CapacityModel, DestinationServer, Mode};
@@ -17,7 +17,7 @@
     Path::new(env!("CARGO_BIN_EXE_orchidyoke"))
 }
 
-/// A folder with a configuration for one partner at destination 2.
+/// Returns a folder with a configuration that has one endpoint, of destination 2.
 fn folder(
     name: &str,
     platform: &DiscoveryServer,
@@ -40,20 +40,21 @@
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("accepted");
-    stream.set_nodelay(true).expect("a socket");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    let stream = TcpStream::connect(address).expect("connected");
+    stream.set_nodelay(true).expect("TCP_NODELAY set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
     stream
 }
 
-/// Reads one answer's status; None where the connection is closed without a reset before it.
+/// Reads one answer and returns its status. Returns `None` if the connection is closed without a reset before the
+/// answer.
 fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        match stream.read(&mut byte).expect("no reset") {
+        match stream.read(&mut byte).expect("no connection reset") {
             0 => {
-                assert!(head.is_empty(), "half an answer: {}", String::from_utf8_lossy(&head));
+                assert!(head.is_empty(), "incomplete answer: {}", String::from_utf8_lossy(&head));
                 return None;
             }
             _ => head.push(byte[0]),
@@ -62,11 +63,12 @@
     let text = String::from_utf8_lossy(&head).into_owned();
     let length =
         text.to_lowercase().lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
-    stream.read_exact(&mut vec![0; length.unwrap_or(0)]).expect("its body");
+    stream.read_exact(&mut vec![0; length.unwrap_or(0)]).expect("body read");
     text.split(' ').nth(1)?.parse().ok()
 }
 
-/// Waits until each of these messages has its final answer, delivered or notified; returns the number of calls of each.
+/// Waits until each of these messages has its final answer, by a served call or a notification. Returns the number of
+/// calls of each.
 fn wait_for_final_answers(
     partner: &DestinationServer,
     platform: &DiscoveryServer,
@@ -81,15 +83,19 @@
             let count = |txn: &String| calls.iter().filter(|call| call.message_id == *txn).count();
             return txns.iter().map(|txn| (txn.clone(), count(txn))).collect();
         }
-        assert!(Instant::now() < until, "not all ended: {} calls, notices {notices:?}", calls.len());
+        assert!(
+            Instant::now() < until,
+            "not all messages have a final answer: {} calls, notifications {notices:?}",
+            calls.len()
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// What became of the requests of one client.
+/// The results of one client's requests.
 struct ClientReport {
     accepted: Vec<String>,
-    /// The request on whose connection the close came first.
+    /// The id of the request that was not answered because its connection was closed first.
     unanswered: Option<String>,
 }
 
@@ -99,7 +105,7 @@
     let mut accepted = Vec::new();
     for number in 0.. {
         let txn = format!("c{client}-{number}");
-        // A write after the end of the connection may fail; that it was reset shows in the read.
+        // A write after the connection was closed may fail. A reset is detected by the read.
         if stream.write_all(request("orders", &txn).as_bytes()).is_err() {
             break;
         }
@@ -114,9 +120,10 @@
     ClientReport { accepted, unanswered: None }
 }
 
-// Guards against a request that crosses the shutdown: half of it before SIGTERM, the rest long after; and against one on a
-// connection that is idle until the forwarder closes it. Each is answered, or its connection is closed with no answer and
-// no reset and it was never accepted; what was accepted has one final answer, from this process or the next. A second
+// Guards against requests that a shutdown loses or leaves in doubt. One request is sent half before SIGTERM and half
+// long after it. Another connection is idle until the forwarder closes it. Other clients submit until their connections
+// are closed. Each request is answered, or its connection is closed without an answer and without a reset and the
+// request was never accepted. Each accepted message has one final answer, from this process or the next. A second
 // SIGTERM changes nothing.
 #[test]
 fn requests_around_a_shutdown_are_answered_or_never_accepted() {
@@ -130,9 +137,9 @@
     let address = forwarder.address;
     let text = request("orders", "halved");
     let mut split = connect(address);
-    split.write_all(&text.as_bytes()[..60]).expect("written");
+    split.write_all(&text.as_bytes()[..60]).expect("bytes sent");
     let mut idle = connect(address);
-    idle.write_all(request("orders", "rested").as_bytes()).expect("written");
+    idle.write_all(request("orders", "rested").as_bytes()).expect("bytes sent");
     assert_eq!(read_status(&mut idle), Some(202));
     let terminated_at = Instant::now();
     forwarder.signal("TERM");
@@ -140,12 +147,12 @@
         (0..6).map(|client| std::thread::spawn(move || submit_until_closed(address, client))).collect();
     std::thread::sleep(Duration::from_millis(600));
     forwarder.signal("TERM");
-    split.write_all(&text.as_bytes()[60..]).expect("written");
+    split.write_all(&text.as_bytes()[60..]).expect("bytes sent");
     assert_eq!(read_status(&mut split), Some(202));
     let mut accepted = vec!["halved".to_owned(), "rested".to_owned()];
     let mut unanswered = Vec::new();
     for client in clients {
-        let report = client.join().expect("no reset, no answer of another kind");
+        let report = client.join().expect("no reset and no unexpected status");
         accepted.extend(report.accepted);
         unanswered.extend(report.unanswered);
     }
@@ -154,7 +161,7 @@
     assert!(accepted.len() > 20, "{accepted:?}");
     let next = ForwarderProcess::start(program(), &folder, &[]);
     let calls = wait_for_final_answers(&partner, &platform, &accepted);
-    assert!(calls.values().all(|count| *count <= 1), "an order goes once: {calls:?}");
+    assert!(calls.values().all(|count| *count <= 1), "an order was sent more than once: {calls:?}");
     let all = partner.calls();
     assert!(
         unanswered.iter().all(|txn| !all.iter().any(|call| call.message_id == *txn)),
@@ -163,9 +170,9 @@
     drop(next);
 }
 
-// Guards against messages that were accepted in the last moment, or never attempted, and are given up at the next start;
-// and against a start that waits for discovery, or takes long with a full journal: ready within 10 s while it is down, and
-// each message is attempted.
+// Guards against messages that were accepted just before a kill, or never attempted, and are dropped at the next start.
+// Also guards against a start that waits for discovery or takes long with a full journal. The forwarder must be ready
+// within 10 s while discovery is down, and attempt each message.
 #[test]
 fn start_with_a_full_journal_and_discovery_down_attempts_every_message() {
     let partner = DestinationServer::new(CapacityModel::default());
@@ -177,17 +184,17 @@
     let accepted: Vec<String> = (0..400).map(|number| format!("m{number}")).collect();
     let mut stream = connect(first.address);
     for txn in &accepted {
-        stream.write_all(request("status", txn).as_bytes()).expect("written");
+        stream.write_all(request("status", txn).as_bytes()).expect("bytes sent");
         assert_eq!(read_status(&mut stream), Some(202));
     }
     first.kill();
     let attempted = partner.calls().len();
-    assert!(attempted < 10, "{attempted} were attempted");
+    assert!(attempted < 10, "{attempted} messages were attempted");
     partner.set_mode(Mode::Serve);
-    // Nothing answers there any more.
+    // The listener is closed, so nothing answers at this address.
     let dead = {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.local_addr().expect("bound")
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listener bound");
+        listener.local_addr().expect("address of the listener")
     };
     let mut setup = ForwarderConfig::new(dead);
     setup.max_in_flight = 4;
@@ -196,7 +203,7 @@
     let started_at = Instant::now();
     let second = ForwarderProcess::start(program(), &folder, &[]);
     let mut ready = connect(second.address);
-    ready.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
+    ready.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("bytes sent");
     assert_eq!(read_status(&mut ready), Some(200));
     assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
     let until = Instant::now() + TIMEOUT;
@@ -204,17 +211,17 @@
         let calls = partner.calls();
         let served: std::collections::BTreeSet<_> =
             calls.iter().filter(|call| call.served).map(|call| call.message_id.clone()).collect();
-        // The few attempts before the kill hung; the other messages had none.
+        // The few attempts before the kill got no answer. The other messages had no attempt.
         if served.len() + 10 >= accepted.len() {
             break;
         }
-        assert!(Instant::now() < until, "{} of {} were delivered", served.len(), accepted.len());
+        assert!(Instant::now() < until, "{} of {} messages were delivered", served.len(), accepted.len());
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-// Guards against SIGTERM at any instant of a start, and SIGKILL right after it, that loses a message or leaves a journal
-// that the next start cannot read.
+// Guards against a SIGTERM at any moment of a start, or a SIGKILL right after it, that loses a message or leaves a
+// journal that the next start cannot read.
 #[test]
 fn shutdown_or_kill_at_any_instant_of_a_start_loses_no_message() {
     let partner = DestinationServer::new(CapacityModel::default());
@@ -235,15 +242,15 @@
             .arg(folder.path().join("state"))
             .stderr(std::process::Stdio::null())
             .spawn()
-            .expect("the program starts");
-        // Each instant of a start has its turn, however fast the machine is: nothing hangs on which.
+            .expect("program started");
+        // The rounds stop the program at different moments of its start. The test does not depend on which moments.
         std::thread::sleep(Duration::from_millis(round * 2));
         let kill = format!("kill -TERM {}", child.id());
-        assert!(std::process::Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(std::process::Command::new("sh").args(["-c", &kill]).status().expect("shell ran").success());
         if round % 2 == 0 {
-            child.kill().expect("running or ended");
+            child.kill().expect("process killed");
         }
-        child.wait().expect("it ends");
+        child.wait().expect("process exited");
     }
     partner.set_mode(Mode::Serve);
     let last = ForwarderProcess::start(program(), &folder, &[]);
@@ -252,8 +259,8 @@
     drop(last);
 }
 
-// Guards against idle clients that use up the descriptors and leave none for discovery when it has to be polled anew, or
-// for a new client: the process may hold 64 at once.
+// Guards against idle clients that use up the file descriptors, so that none is left for a new connection to discovery
+// or for a new client. The process may have 64 descriptors open.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_new_clients() {
     let partner = DestinationServer::new(CapacityModel::default());
@@ -267,7 +274,7 @@
     let limited =
         folder.write("limited", &format!("#!/bin/sh\nulimit -n 64\nexec {} \"$@\"\n", program().display()));
     let chmod = format!("chmod +x {}", limited.display());
-    assert!(std::process::Command::new("sh").args(["-c", &chmod]).status().expect("a shell").success());
+    assert!(std::process::Command::new("sh").args(["-c", &chmod]).status().expect("shell ran").success());
     let forwarder = ForwarderProcess::start(&limited, &folder, &[]);
     let idle: Vec<_> = (0..120).map(|_| connect(forwarder.address)).collect();
     let mut setup = ForwarderConfig::new(other.address());
@@ -278,7 +285,7 @@
     forwarder.signal("HUP");
     let until = Instant::now() + Duration::from_secs(6);
     while other.watch_count() == 0 {
-        assert!(Instant::now() < until, "discovery is not asked");
+        assert!(Instant::now() < until, "discovery is not watched");
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(forwarder.submit_message("status", "asks", 2), 202);
--- a/tests/help.rs
+++ b/tests/help.rs
@@ -1,5 +1,5 @@
-//! Protects the command line: its options and what their help says, and what `check` prints of a configuration that cannot
-//! be used.
+//! Tests that the command line stays the same: its options, their help, and the output of `check` for configurations
+//! and settings that are not valid.
 
 #[path = "../crates/forwarder/tests/common/golden.rs"]
 mod golden;
@@ -8,18 +8,18 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Runs the program with nothing in its environment.
+/// Runs the program with an empty environment.
 fn run(folder: Option<&PathBuf>, words: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_orchidyoke"));
     command.env_clear().args(words);
     if let Some(folder) = folder {
         command.current_dir(folder);
     }
-    command.output().expect("the program runs")
+    command.output().expect("program finished")
 }
 
 fn text(bytes: Vec<u8>) -> String {
-    String::from_utf8(bytes).expect("text")
+    String::from_utf8(bytes).expect("valid UTF-8")
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
     command.env_clear().env("EDGE_CONFIG", config).env("EDGE_LISTEN", "127.0.0.1:8123");
     command.env("EDGE_DISCOVERY", "127.0.0.1:8456").arg("check");
-    let output = command.output().expect("the program runs");
+    let output = command.output().expect("program finished");
     assert!(output.status.success());
     let printed = text(output.stdout);
     assert!(printed.contains("127.0.0.1:8123") && printed.contains("127.0.0.1:8456"), "{printed}");
@@ -73,13 +73,13 @@
 
 const CONFIG: &str = include_str!("../examples/config.json");
 
-/// A folder of its own for one test, gone when the test is over.
+/// A temporary folder for one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("help-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("folder created");
         Folder(path)
     }
 }
@@ -119,7 +119,7 @@
         ("\"classes\"", "\"kinds\""),
     ] {
         assert!(CONFIG.contains(part), "{part}");
-        std::fs::write(folder.0.join("config.json"), CONFIG.replace(part, instead)).expect("written");
+        std::fs::write(folder.0.join("config.json"), CONFIG.replace(part, instead)).expect("file written");
         let output = run(Some(&folder.0), &["check", "--config", "config.json"]);
         assert!(!output.status.success() && output.stdout.is_empty(), "{part}: {instead}");
         said += &format!("{part:?} -> {instead:?}\n{}", text(output.stderr));
@@ -147,7 +147,7 @@
 #[test]
 fn what_check_prints_of_bad_settings_stays_the_same() {
     let folder = Folder::new("settings");
-    std::fs::write(folder.0.join("config.json"), CONFIG).expect("written");
+    std::fs::write(folder.0.join("config.json"), CONFIG).expect("file written");
     let consul = |more: &str| {
         format!(
             "consul(addresses = [\"127.0.0.1:8500\"], networks = [\"127.0.0.0/8\"], services = [service(name = \"shops\", \
@@ -165,7 +165,7 @@
         consul("kind = \"shop\", zone = \"a\""),
         consul("kind = \"shops\", zone = \"b\""),
     ] {
-        std::fs::write(folder.0.join("edge.star"), &script).expect("written");
+        std::fs::write(folder.0.join("edge.star"), &script).expect("file written");
         let words = ["check", "--config", "config.json", "--settings", "edge.star"];
         let output = run(Some(&folder.0), &words);
         assert!(!output.status.success(), "{script}");
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,6 +1,6 @@
-//! Handover between real forwarders of one region whose destinations have owners, under load, with a fault proxy on each link
-//! between two of them. Every accepted message is followed to its one final answer at the partners or in the platform's
-//! notifications.
+//! Tests of the handover between real forwarders of one region whose destinations have owners. The forwarders are under
+//! load, with a fault proxy on each link between two of them. The tests check that every accepted message has one final
+//! answer, as a call at the destination or as a notification.
 
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::destination::{CapacityModel, DestinationServer};
@@ -17,10 +17,10 @@
 
 const DESTINATIONS: u64 = 30;
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// A call that arrived this shortly before its forwarder was killed may be one whose answer was not read: the time that a
-/// partner takes, on a busy machine. A non-idempotent message then fails.
+/// If a call arrived less than this time before its forwarder was killed, the forwarder may not have read its answer.
+/// This is the time that a destination may take on a busy machine. A non-idempotent message then fails.
 const UNREAD_ANSWERS: Duration = Duration::from_secs(2);
-/// The second is not idempotent.
+/// The classes of the submitted messages. The second class is not idempotent.
 const CLASSES: [&str; 2] = ["status", "orders"];
 
 fn program() -> &'static Path {
@@ -35,18 +35,18 @@
     }
 }
 
-/// An address that no other process of this run uses.
+/// Returns an address that no other process of this run uses.
 fn free_address() -> SocketAddr {
     TcpListener::bind((unused_loopback_address(), 0))
         .and_then(|listener| listener.local_addr())
-        .expect("a port")
+        .expect("free port")
 }
 
 struct Member {
     folder: TemporaryFolder,
     address: SocketAddr,
     process: Option<(ForwarderProcess, SocketAddr)>,
-    /// The links to the other members, by their index; none to itself.
+    /// The links to the members, by index. `None` for this member itself.
     links: Vec<Option<FaultProxy>>,
 }
 
@@ -102,7 +102,7 @@
         region
     }
 
-    /// Starts a member on its folder and its address.
+    /// Starts a member with its folder and its address.
     fn run(&mut self, number: usize) {
         let member = &mut self.members[number];
         let settings = member.folder.path().join("settings.star").display().to_string();
@@ -112,26 +112,27 @@
     }
 
     fn process(&self, number: usize) -> &ForwarderProcess {
-        &self.members[number].process.as_ref().expect("it runs").0
+        &self.members[number].process.as_ref().expect("running process").0
     }
 
     fn kill(&mut self, number: usize) {
-        let (forwarder, _) = self.members[number].process.take().expect("it runs");
+        let (forwarder, _) = self.members[number].process.take().expect("running process");
         self.logged.extend(forwarder.log.try_iter());
         forwarder.kill();
         self.kills.push(Instant::now());
     }
 
-    /// Shuts a member down gracefully, and starts it again.
+    /// Shuts a member down gracefully and starts it again.
     fn restart(&mut self, number: usize) {
-        let (forwarder, _) = self.members[number].process.take().expect("it runs");
+        let (forwarder, _) = self.members[number].process.take().expect("running process");
         self.logged.extend(forwarder.log.try_iter());
         forwarder.signal("TERM");
         assert!(forwarder.wait().success());
         self.run(number);
     }
 
-    /// Messages that were offered to an owner without an answer, by the logs of their holders.
+    /// Returns the messages that were offered to an owner without an answer, according to the logs of the forwarders
+    /// that offered them.
     fn in_doubt(&self) -> BTreeSet<String> {
         let running = self.members.iter().filter_map(|member| member.process.as_ref());
         let lines = running.flat_map(|(forwarder, _)| forwarder.log.try_iter());
@@ -142,7 +143,8 @@
         lines.chain(self.logged.iter().cloned()).filter_map(txn).collect()
     }
 
-    /// Messages whose call may have been in flight when a forwarder was killed, by the calls at the partner.
+    /// Returns the messages whose call may have been in flight when a forwarder was killed, according to the calls at
+    /// the destination.
     fn in_flight_at_kills(&self) -> BTreeSet<String> {
         let out = |at: Instant, kill: &Instant| at <= *kill && *kill - at < UNREAD_ANSWERS;
         let calls = self.partner.calls().into_iter();
@@ -152,7 +154,7 @@
             .collect()
     }
 
-    /// A figure of a member's console; 0 where it does not answer.
+    /// Returns a metric from a member's console, or 0 if the console does not answer.
     fn figure(&self, number: usize, name: &str) -> u64 {
         let ask = || -> Option<u64> {
             let (_, console) = self.members[number].process.as_ref()?;
@@ -170,12 +172,12 @@
         (0..self.members.len()).filter(|other| *other != number).collect()
     }
 
-    /// The sum of a figure over all members but one.
+    /// Returns the sum of a metric over all members except this one.
     fn sum_of_others(&self, number: usize, name: &str) -> u64 {
         self.others(number).into_iter().map(|other| self.figure(other, name)).sum()
     }
 
-    /// Sets a fault on the links from the others to a member.
+    /// Sets a fault on the links from the other members to this one.
     fn set_fault_towards(&self, number: usize, fault: NetworkFault) {
         self.members
             .iter()
@@ -183,12 +185,13 @@
             .for_each(|link| link.set_fault(fault));
     }
 
-    /// Sets a fault on the links from a member to the others.
+    /// Sets a fault on the links from this member to the others.
     fn set_fault_from(&self, number: usize, fault: NetworkFault) {
         self.members[number].links.iter().flatten().for_each(|link| link.set_fault(fault));
     }
 
-    /// Clients of these members submit messages of both classes for all destinations, until they are stopped.
+    /// Starts clients of these members. The clients submit messages of both classes for all destinations until `stop`
+    /// is set.
     fn start_load(&mut self, members: &[usize]) {
         for &number in members {
             for class in CLASSES {
@@ -201,7 +204,7 @@
                         }
                         let txn = format!("{class}-{number}-{count}");
                         if submit_message(address, class, &txn, 1 + count % DESTINATIONS) == 202 {
-                            accepted.lock().expect("no panic").insert(txn, class);
+                            accepted.lock().expect("lock not poisoned").insert(txn, class);
                         }
                         thread::sleep(Duration::from_millis(10));
                     }
@@ -211,7 +214,7 @@
         }
     }
 
-    /// The number of calls at the partner, by message id.
+    /// Returns the number of calls at the destination, by message id.
     fn calls(&self) -> BTreeMap<String, usize> {
         let mut calls = BTreeMap::new();
         for call in self.partner.calls() {
@@ -220,11 +223,12 @@
         calls
     }
 
-    /// Stops the clients, waits until each accepted message has a final answer, and checks that it is one.
+    /// Stops the clients, waits until each accepted message has a final answer, and checks that it has only one.
+    /// Returns the number of accepted messages.
     fn settle(mut self) -> usize {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients.drain(..).for_each(|client| client.join().expect("a client"));
-        let accepted = self.accepted.lock().expect("no panic").clone();
+        self.clients.drain(..).for_each(|client| client.join().expect("client thread finished"));
+        let accepted = self.accepted.lock().expect("lock not poisoned").clone();
         let unanswered = |region: &Region| {
             let (calls, notices) = (region.calls(), region.platform.notifications());
             accepted.keys().filter(|txn| !calls.contains_key(*txn) && !notices.contains_key(*txn)).count()
@@ -234,30 +238,30 @@
             open = unanswered(&self);
             open == 0
         });
-        // Until no forwarder has any message: a second final answer would come by then.
+        // Once no forwarder has any message, a second final answer would have been given.
         let idle =
             |number| self.figure(number, "concurrent") == 0 && self.figure(number, "owners_members") > 0;
         wait("no forwarder has any message", || (0..self.members.len()).all(idle));
         let (calls, notices) = (self.calls(), self.platform.notifications());
         let repeated: Vec<_> =
             calls.iter().filter(|(txn, count)| txn.starts_with("orders") && **count > 1).collect();
-        assert!(repeated.is_empty(), "not idempotent, and called twice: {repeated:?}");
+        assert!(repeated.is_empty(), "non-idempotent messages with more than one call: {repeated:?}");
         let returned =
             |txn: &str| notices.get(txn).is_some_and(|states| states.iter().any(|s| s == "returned"));
         let wrong: Vec<_> = calls.keys().filter(|txn| txn.starts_with("orders") && returned(txn)).collect();
-        assert!(wrong.is_empty(), "called, and answered as never sent: {wrong:?}");
-        // Where an answer was lost, the forwarder that waited for it may have given its own final answer.
+        assert!(wrong.is_empty(), "messages with a call, but notified as never sent: {wrong:?}");
+        // If an answer was lost, the forwarder that waited for it may have given a final answer of its own.
         let unknown: BTreeSet<_> = self.in_flight_at_kills().into_iter().chain(self.in_doubt()).collect();
         let final_answers =
             |txn: &String| usize::from(calls.contains_key(txn)) + notices.get(txn).map_or(0, Vec::len);
         let several: Vec<_> =
             accepted.keys().filter(|txn| final_answers(txn) > 1 && !unknown.contains(*txn)).collect();
-        assert!(several.is_empty(), "more than one final answer: {several:?}");
+        assert!(several.is_empty(), "messages with more than one final answer: {several:?}");
         accepted.len()
     }
 }
 
-/// The settings of one member: itself at its own address, the others at the links to them.
+/// Returns the settings of one member, with its own address for itself and the addresses of the links for the others.
 fn settings(number: usize, own: SocketAddr, links: &[Option<FaultProxy>]) -> String {
     let member = |(index, link): (usize, &Option<FaultProxy>)| {
         let address = link.as_ref().map_or(own, |link| link.address);
@@ -271,12 +275,13 @@
     )
 }
 
-// Guards against a message lost or duplicated without any fault, and against a destination with no owner or with two.
+// Guards against a message that is lost or duplicated without any fault, and against a destination with no owner or
+// with two owners.
 #[test]
 fn message_is_delivered_once_by_its_owner() {
     let mut region = Region::start("plain", 5);
     region.start_load(&[0, 1, 2, 3, 4]);
-    wait("all hand over and take over", || {
+    wait("all members hand over and take over", || {
         (0..5).all(|n| region.figure(n, "handed_over") > 30 && region.figure(n, "taken_over") > 30)
     });
     let owned: u64 = (0..5).map(|number| region.figure(number, "owned")).sum();
@@ -285,35 +290,38 @@
     assert!(region.settle() > 300);
 }
 
-// Guards against a message that is lost with its owner, or delivered again while the owner is down or after its restart.
+// Guards against a message that is lost when its owner is killed, or delivered again while the owner is down or after
+// its restart.
 #[test]
 fn killed_owner_is_substituted_and_finishes_its_messages_after_restart() {
     let mut region = Region::start("killed", 6);
     region.start_load(&[0, 1, 2, 3, 4]);
     wait("the owner takes over", || region.figure(5, "taken_over") > 30);
     region.kill(5);
-    wait("others deliver for it", || region.sum_of_others(5, "delivered_for_lack_of_owner") > 10);
+    wait("the others deliver for the owner", || region.sum_of_others(5, "delivered_for_lack_of_owner") > 10);
     region.run(5);
-    wait("it takes over again", || region.figure(5, "taken_over") > 30);
+    wait("the owner takes over again", || region.figure(5, "taken_over") > 30);
     region.settle();
 }
 
-// Guards against an owner that resumes and delivers non-idempotent messages that others have delivered for it.
+// Guards against an owner that is suspended, resumes, and delivers non-idempotent messages that others have already
+// delivered for it.
 #[test]
 fn suspended_owner_resumes_without_a_duplicate_delivery() {
     let mut region = Region::start("frozen", 5);
     region.start_load(&[0, 1, 2, 3]);
     wait("the owner takes over", || region.figure(4, "taken_over") > 30);
     region.process(4).signal("STOP");
-    wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
+    wait("the others deliver for the owner", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
     wait("answers are missed", || region.sum_of_others(4, "handover_unanswered") > 5);
     region.process(4).signal("CONT");
     let before = region.figure(4, "taken_over");
-    wait("it takes over again", || region.figure(4, "taken_over") > before + 30);
+    wait("the owner takes over again", || region.figure(4, "taken_over") > before + 30);
     region.settle();
 }
 
-// Guards against a lost answer that causes a second delivery: an offer arrives, and its answer does not in time.
+// Guards against a second delivery after a lost answer. An offer arrives at the owner, but the owner's answer does not
+// arrive in time.
 #[test]
 fn lost_handover_answers_cause_no_duplicate_delivery() {
     let mut region = Region::start("one-way", 5);
@@ -322,14 +330,14 @@
     // The offer and its answer together take longer than the time-out of an offer.
     region.set_fault_towards(4, NetworkFault::Delay(Duration::from_millis(700)));
     wait("answers are missed", || region.sum_of_others(4, "handover_unanswered") > 5);
-    wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
+    wait("the others deliver for the owner", || region.sum_of_others(4, "delivered_for_lack_of_owner") > 5);
     region.set_fault_towards(4, NetworkFault::None);
     let before = region.sum_of_others(4, "handed_over");
-    wait("others hand over to it again", || region.sum_of_others(4, "handed_over") > before + 60);
+    wait("the others hand over to the owner again", || region.sum_of_others(4, "handed_over") > before + 60);
     region.settle();
 }
 
-// Guards against a message that is lost between two sides of a partition, or delivered on both after it.
+// Guards against a message that is lost between the two sides of a partition, or delivered on both sides after it.
 #[test]
 fn disconnected_forwarder_hands_over_again_after_the_partition() {
     let mut region = Region::start("cut", 5);
@@ -339,27 +347,31 @@
         let before = region.sum_of_others(4, "delivered_for_lack_of_owner");
         region.set_fault_towards(4, fault);
         region.set_fault_from(4, fault);
-        wait("others deliver for it", || region.sum_of_others(4, "delivered_for_lack_of_owner") > before + 5);
-        wait("it delivers for others", || region.figure(4, "delivered_for_lack_of_owner") > 5);
+        wait("the others deliver for the owner", || {
+            region.sum_of_others(4, "delivered_for_lack_of_owner") > before + 5
+        });
+        wait("the disconnected member delivers for others", || {
+            region.figure(4, "delivered_for_lack_of_owner") > 5
+        });
         let before = region.figure(4, "taken_over");
         region.set_fault_towards(4, NetworkFault::None);
         region.set_fault_from(4, NetworkFault::None);
-        wait("it takes over again", || region.figure(4, "taken_over") > before + 30);
+        wait("the owner takes over again", || region.figure(4, "taken_over") > before + 30);
     }
     region.settle();
 }
 
-// Guards against messages that a graceful restart loses, at their holders and at their owners.
+// Guards against messages that a graceful restart loses, both at the forwarders that accepted them and at their owners.
 #[test]
 fn rolling_restart_under_load_loses_and_duplicates_nothing() {
     let mut region = Region::start("rolling", 5);
     region.start_load(&[0, 1, 2, 3, 4]);
     for number in 0..5 {
-        wait("it takes over and hands over", || {
+        wait("the member takes over and hands over", || {
             region.figure(number, "taken_over") > 20 && region.figure(number, "handed_over") > 20
         });
         region.restart(number);
     }
-    wait("the last takes over again", || region.figure(4, "taken_over") > 20);
+    wait("the last member takes over again", || region.figure(4, "taken_over") > 20);
     region.settle();
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,5 +1,6 @@
-//! Policy changes on a fleet of five real forwarders under load, each connected to Consul over a fault proxy of its own;
-//! the coordinator is a process too. Every submitted message is followed to its one final answer.
+//! Tests of policy changes on a fleet of five real forwarders under load. Each forwarder is connected to Consul through
+//! its own fault proxy, and the coordinator is a separate process. The tests check that every submitted message has one
+//! final answer.
 
 use orchidyoke_fakes::NetworkFault;
 use orchidyoke_fakes::fleet::{ClientLoad, Fleet, MEMBER_TTL};
@@ -18,7 +19,7 @@
 
 fn fleet(name: &str) -> Fleet {
     let fleet = Fleet::with_policy_commit(program(), &format!("policy-{name}"), FLEET, ClientLoad::default());
-    wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
+    wait("all forwarders are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     fleet
 }
 
@@ -42,17 +43,17 @@
     (0..FLEET).map(|number| version(fleet, number)).collect()
 }
 
-/// A policy without an effect on messages, told from others by its time.
+/// Returns a policy that has no effect on messages. Different values of `idle_close_us` give different policies.
 fn harmless(idle_close_us: u64) -> String {
     json!({"settings": {"limits": {"idle_close_us": idle_close_us}}}).to_string()
 }
 
-/// Starts to propose a policy.
+/// Starts a command that proposes a policy.
 fn start_proposing(fleet: &Fleet, policy: &str, by: &str) -> Child {
     let file = fleet.write(&format!("policy-{by}.json"), policy);
     let mut command = command(fleet, "propose");
     command.arg(file).args(["--by", by, "--patience", "20"]);
-    command.spawn().expect("the tool runs")
+    command.spawn().expect("command started")
 }
 
 fn command(fleet: &Fleet, what: &str) -> Command {
@@ -62,9 +63,9 @@
     command
 }
 
-/// Waits for the command to end: whether it succeeded, and its output.
+/// Waits for the command to end. Returns whether it succeeded, and its output.
 fn finish(child: Child) -> (bool, String) {
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("command finished");
     let text = [output.stdout, output.stderr].concat();
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
@@ -74,34 +75,35 @@
 }
 
 fn status(fleet: &Fleet) -> String {
-    finish(command(fleet, "status").spawn().expect("the tool runs")).1
+    finish(command(fleet, "status").spawn().expect("command started")).1
 }
 
-/// Waits until a policy is proposed and all but one forwarder have voted for it.
+/// Waits until a policy is proposed and all forwarders but this one have voted for it.
 fn await_all_votes_but(fleet: &Fleet, number: usize) {
     let voted = |status: &str| status.lines().filter(|line| line.ends_with("votes yes")).count();
-    wait("all but one have voted", || {
+    wait("all forwarders but one have voted", || {
         let status = status(fleet);
         status.contains(&format!("f{number}.")) && voted(&status) == FLEET - 1
     });
 }
 
-// Guards against a change in force on a part of the fleet, one that loses or duplicates a message, and one that is
-// reported in force and is not: an excluded endpoint gets no more messages.
+// Guards against a change that is in force on only a part of the fleet, and against one that loses or duplicates a
+// message. Also guards against a change that is reported in force but is not. Here the change excludes an endpoint,
+// which then must get no more messages.
 #[test]
 fn committed_policy_is_in_force_on_all_forwarders_under_load() {
     let fleet = fleet("all");
     let (success, output) = propose(&fleet, r#"{"out": ["p1"]}"#, "op");
     assert!(success && output.contains("epoch 1 committed, in force everywhere after"), "{output}");
     assert_eq!(versions(&fleet), [Some(1); FLEET]);
-    // Calls in flight may end; any that starts after that would be by the old policy.
+    // Calls in flight may still end. A call that starts after this pause would follow the old policy.
     thread::sleep(Duration::from_millis(200));
     let before = fleet.destination.calls().len();
     thread::sleep(Duration::from_millis(500));
     assert_eq!(fleet.destination.calls().len(), before, "the only endpoint is excluded");
     let (success, output) = propose(&fleet, "{}", "op");
     assert!(success && output.contains("epoch 2 committed"), "{output}");
-    wait("calls go on", || fleet.destination.calls().len() > before + 20);
+    wait("calls are made again", || fleet.destination.calls().len() > before + 20);
     assert_eq!(versions(&fleet), [Some(2); FLEET]);
     let status = status(&fleet);
     assert!(
@@ -111,73 +113,80 @@
     fleet.stop_and_verify(false);
 }
 
-// Guards against a forwarder that was down during a change and is ready by the old policy after a restart.
+// Guards against a forwarder that was down during a change and reports ready with the old policy after its restart.
 #[test]
 fn restarted_forwarder_has_the_committed_policy_before_it_is_ready() {
     let mut fleet = fleet("down");
     fleet.kill_standalone(4);
-    // It counts as a participant until its session has expired.
+    // The killed forwarder counts as a participant until its session has expired.
     let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(success, "{output}");
     fleet.restart(4);
-    // Whenever it reports ready, the policy is in force.
-    wait("it is ready", || {
+    // Whenever the forwarder reports ready, the committed policy must be in force.
+    wait("the forwarder is ready", || {
         let ready = is_ready(&fleet, 4);
-        assert!(!ready || version(&fleet, 4) == Some(1), "ready by the old policy");
+        assert!(!ready || version(&fleet, 4) == Some(1), "ready with the old policy");
         ready
     });
     assert_eq!(versions(&fleet), [Some(1); FLEET]);
     fleet.stop_and_verify(true);
 }
 
-// Guards against a disconnected forwarder that stops serving, does not report it, or blocks the others; and against one
-// that is ready by the old policy once it is connected again.
+// Guards against a forwarder disconnected from Consul that stops serving, does not report the disconnection, or blocks
+// the others. Also guards against one that reports ready with the old policy once it is connected again.
 #[test]
 fn disconnected_forwarder_serves_on_reports_it_and_catches_up() {
     let fleet = fleet("cut");
     let cut = Instant::now();
     fleet.consul_link(2).set_fault(NetworkFault::Partition);
-    wait("it reports that it is disconnected", || {
+    wait("the forwarder reports that it is disconnected", || {
         fleet
             .console_command(2, "ready")
             .is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
     });
-    assert!(cut.elapsed() < MEMBER_TTL, "before the others may commit without it: {:?}", cut.elapsed());
+    assert!(
+        cut.elapsed() < MEMBER_TTL,
+        "reported only after the others may commit without it: {:?}",
+        cut.elapsed()
+    );
     assert_eq!(fleet.metric(2, "app_policy_contact"), Some(0));
     let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(success, "{output}");
     assert_eq!(versions(&fleet), [Some(1), Some(1), Some(0), Some(1), Some(1)]);
-    let served = |number| fleet.metric(number, "app_success{type=\"status\"}").expect("its figures");
+    let served =
+        |number| fleet.metric(number, "app_success{type=\"status\"}").expect("metric of the forwarder");
     let before = served(2);
-    wait("it serves on", || served(2) > before + 20);
+    wait("the disconnected forwarder continues to serve", || served(2) > before + 20);
     fleet.consul_link(2).set_fault(NetworkFault::None);
-    wait("it is ready", || {
+    wait("the forwarder is ready", || {
         let ready = is_ready(&fleet, 2);
-        assert!(!ready || version(&fleet, 2) == Some(1), "ready by the old policy");
+        assert!(!ready || version(&fleet, 2) == Some(1), "ready with the old policy");
         ready
     });
     fleet.stop_and_verify(false);
 }
 
-// Guards against a proposal without a coordinator that is applied anyway, or blocks the next one.
+// Guards against a proposal that is applied although its coordinator was killed, or that blocks the next proposal.
 #[test]
 fn coordinator_killed_before_its_commit_leaves_no_proposal() {
     let fleet = fleet("killed");
-    // One forwarder cannot vote, and its session does not expire: its requests arrive, the answers do not.
+    // One forwarder cannot vote, and counts as a participant until its session has expired. The coordinator is killed
+    // before that, while it waits for the vote.
     let mut tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "first");
-    tool.kill().expect("killed");
-    tool.wait().expect("ended");
+    tool.kill().expect("process killed");
+    tool.wait().expect("process exited");
     fleet.consul_link(3).set_fault(NetworkFault::None);
     // The proposal is deleted with its coordinator's session.
-    wait("the proposal is gone", || !status(&fleet).contains("proposed:"));
+    wait("the proposal is deleted", || !status(&fleet).contains("proposed:"));
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
     let (success, output) = propose(&fleet, &harmless(8_000_000), "second");
     assert!(success && output.contains("epoch 1 committed"), "{output}");
-    wait("it is in force on all", || versions(&fleet) == [Some(1); FLEET]);
+    wait("the policy is in force on all forwarders", || versions(&fleet) == [Some(1); FLEET]);
     fleet.stop_and_verify(false);
 }
 
-/// Proposes while one forwarder is disconnected, so that the coordinator has all other votes and waits for that one.
+/// Starts a proposal while one forwarder is disconnected, so that the coordinator has all other votes and waits for
+/// that one.
 fn start_blocked_proposal(fleet: &Fleet, policy: &str, by: &str) -> Child {
     fleet.consul_link(3).set_fault(NetworkFault::Partition);
     let tool = start_proposing(fleet, policy, by);
@@ -190,27 +199,30 @@
 fn withdrawn_proposal_is_committed_nowhere() {
     let fleet = fleet("abort");
     let tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "op");
-    let (success, output) = finish(command(&fleet, "abort").spawn().expect("the tool runs"));
+    let (success, output) = finish(command(&fleet, "abort").spawn().expect("command started"));
     assert!(success && output.contains("the proposal of epoch 1 by op is withdrawn"), "{output}");
     fleet.consul_link(3).set_fault(NetworkFault::None);
     let (success, output) = finish(tool);
     assert!(!success && output.contains("withdrawn"), "{output}");
-    wait("all are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
+    wait("all forwarders are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
     fleet.stop_and_verify(false);
 }
 
-// Guards against a policy in force on all forwarders but one that cannot use it.
+// Guards against a policy that is in force on all forwarders except one that cannot use it.
 #[test]
 fn policy_rejected_by_one_forwarder_is_applied_by_none() {
     let fleet = fleet("rejects");
     let mut own = fleet.config(1);
-    own["settings"]["family_info"].as_object_mut().expect("there").remove("slots");
+    own["settings"]["family_info"].as_object_mut().expect("JSON object").remove("slots");
     fleet.folder(1).write("config.json", &own.to_string());
     let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
     assert!(!success && output.contains("refused by f1.") && output.contains("slots"), "{output}");
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
-    assert!((0..FLEET).all(|number| is_ready(&fleet, number)), "all serve by the policy before");
+    assert!(
+        (0..FLEET).all(|number| is_ready(&fleet, number)),
+        "all forwarders serve with the previous policy"
+    );
     fleet.stop_and_verify(false);
 }
 
@@ -228,8 +240,8 @@
         committed >= 1 && results.iter().any(|(_, output)| output.contains("proposes epoch")),
         "{results:?}"
     );
-    // One version for each that was committed, and all forwarders at the last.
-    wait("all have the last version", || versions(&fleet) == [Some(committed as u64); FLEET]);
+    // Each committed policy has its own version, and all forwarders end at the last one.
+    wait("all forwarders have the last version", || versions(&fleet) == [Some(committed as u64); FLEET]);
     let status = status(&fleet);
     assert!(
         status.contains(&format!("committed: epoch {committed}")) && !status.contains("proposed:"),
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,5 +1,5 @@
-//! The program itself on loopback sockets, across kills and shutdowns, against scripted servers. Every wait is for an event
-//! that has to come; its long time-out only ends a failure.
+//! Tests of the program on loopback sockets against scripted servers, including kills and shutdowns. Every wait is for
+//! an event that has to happen. Its long time-out only ends a test that fails.
 
 #[path = "../crates/forwarder/tests/common/deployments.rs"]
 mod common;
@@ -16,7 +16,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads one request: its first line, its headers in lower case, its body. None at the end of the connection.
+/// Reads one request. Returns its first line, its headers in lower case, and its body, or `None` at the end of the
+/// connection.
 fn read_request(stream: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
     let mut lines = Vec::new();
     loop {
@@ -36,13 +37,13 @@
     Some((lines[0].clone(), headers, body))
 }
 
-/// Serves requests on loopback. Each is passed to the test and answered with what `answer` gives; where that is None, it
-/// stays unanswered on an open connection.
+/// Serves requests on loopback. Each request is passed to the test and answered with the result of `answer`. If that is
+/// `None`, the request stays unanswered on an open connection.
 fn scripted_server(
     answer: impl Fn(&str) -> Option<&'static str> + Send + Sync + 'static,
 ) -> (SocketAddr, Receiver<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
+    let address = listener.local_addr().expect("address of the listener");
     let (sender, receiver) = channel();
     let answer = Arc::new(answer);
     let unanswered = Arc::new(Mutex::new(Vec::new()));
@@ -52,13 +53,13 @@
             let unanswered = unanswered.clone();
             let sender: Sender<String> = sender.clone();
             thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
+                let mut reader = BufReader::new(stream.try_clone().expect("socket cloned"));
                 let mut stream = stream;
                 while let Some((line, headers, body)) = read_request(&mut reader) {
                     let _ = sender.send(format!("{line}\n{headers}\n\n{}", String::from_utf8_lossy(&body)));
                     match answer(&line) {
                         Some(text) if stream.write_all(text.as_bytes()).is_ok() => {}
-                        _ => return unanswered.lock().expect("a list").push(stream),
+                        _ => return unanswered.lock().expect("lock not poisoned").push(stream),
                     }
                 }
             });
@@ -67,7 +68,7 @@
     (address, receiver)
 }
 
-/// The platform: a watch without events, and notifications that are accepted.
+/// Starts a fake discovery with a watch that sends no events. It accepts notifications.
 fn platform() -> (SocketAddr, Receiver<String>) {
     scripted_server(|line| match line {
         _ if line.starts_with("POST /v1/outcomes") => Some("HTTP/1.1 204 No Content\r\n\r\n"),
@@ -78,7 +79,7 @@
 struct Forwarder {
     child: Child,
     address: SocketAddr,
-    /// Its log from the moment on in which it listens.
+    /// The log lines after the one with the listening address.
     log: Receiver<String>,
 }
 
@@ -96,10 +97,11 @@
             .args(options)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("a pipe")).lines().map_while(Result::ok);
+            .expect("program started");
+        let mut lines =
+            BufReader::new(child.stderr.take().expect("piped standard error")).lines().map_while(Result::ok);
         let address = lines.find_map(|line| line.split_once("listens on ").map(|(_, a)| a.to_owned()));
-        let address = address.expect("it listens").parse().expect("an address");
+        let address = address.expect("log line with the listening address").parse().expect("valid address");
         let (sender, log) = channel();
         thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
         Forwarder { child, address, log }
@@ -107,24 +109,24 @@
 
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(Command::new("sh").args(["-c", &kill]).status().expect("shell ran").success());
     }
 
     fn kill(mut self) {
-        self.child.kill().expect("running");
-        self.child.wait().expect("ended");
+        self.child.kill().expect("process killed");
+        self.child.wait().expect("process exited");
     }
 
-    /// Sends one request on a connection of its own; returns the status and the whole answer.
+    /// Sends one request on a new connection. Returns the status and the whole answer.
     fn request(&self, request: &str, body: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.address).expect("it takes connections");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+        let mut stream = TcpStream::connect(self.address).expect("connected");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
         let head =
             format!("{request}\r\nHost: x\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
-        stream.write_all((head + body).as_bytes()).expect("written");
+        stream.write_all((head + body).as_bytes()).expect("bytes sent");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("answered");
-        (text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status"), text)
+        stream.read_to_string(&mut text).expect("answer read");
+        (text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("status in the answer"), text)
     }
 
     fn submit(&self, class: &str, txn: &str) -> u16 {
@@ -135,29 +137,29 @@
     }
 }
 
-/// A folder of its own with a configuration in it: destination 2 has one endpoint.
+/// Returns a new folder with a configuration in which destination 2 has one endpoint.
 fn folder(name: &str, endpoint: SocketAddr, platform: SocketAddr) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("folder created");
     let mut targets = common::targets();
     targets[2].address = endpoint;
     let text = common::config("127.0.0.1:0", &platform.to_string(), targets);
-    std::fs::write(folder.join("config.json"), text).expect("written");
+    std::fs::write(folder.join("config.json"), text).expect("file written");
     folder
 }
 
 /// Waits for a text that contains this word.
 fn wait_for(receiver: &Receiver<String>, word: &str) -> String {
     loop {
-        let text = receiver.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("{word} has to come"));
+        let text = receiver.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("timed out waiting for {word}"));
         if text.contains(word) {
             return text;
         }
     }
 }
 
-// Guards against an order that takes effect twice, and against a message forgotten, when the process is killed
-// with both in flight: the order ends with a notification, the status is retried unchanged.
+// Guards against an order that takes effect twice, and against a message that is lost, when the process is killed with
+// both in flight. The order ends with a notification, and the status message is retried unchanged.
 #[test]
 fn killed_process_recovers_all_messages_and_repeats_no_order() {
     let up = Arc::new(AtomicBool::new(false));
@@ -181,10 +183,10 @@
     let then = wait_for(&calls, "order-");
     assert!(then.contains("order-2"), "the first order is not sent again: {then}");
     second.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-// Guards against a message delivered twice because its client retried it, before a restart or after.
+// Guards against a message that is delivered twice because its client retried it, before or after a restart.
 #[test]
 fn repeated_id_is_one_message_across_a_restart() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
@@ -198,10 +200,10 @@
     assert_eq!((second.submit("orders", "a"), second.submit("status", "b")), (202, 202));
     assert!(wait_for(&calls, "x-txn: ").contains("x-txn: b"));
     second.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-// Guards against an exit that counts as a crash, or that comes while a client could still be served.
+// Guards against a shutdown that ends with a failure status, or that ends while a client can still be served.
 #[test]
 fn sigterm_shuts_down_gracefully() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
@@ -210,32 +212,33 @@
     let mut forwarder = Forwarder::start(&folder);
     assert_eq!(forwarder.request("GET /healthz HTTP/1.1", "").0, 200);
     forwarder.signal("TERM");
-    // An open connection holds it up, and is served.
-    let _client = TcpStream::connect(forwarder.address).expect("new connections are still answered");
+    // An open connection delays the shutdown, and new connections are served meanwhile.
+    let _client = TcpStream::connect(forwarder.address).expect("new connections are still accepted");
     assert_eq!(forwarder.submit("status", "late"), 202);
     wait_for(&calls, "late");
-    assert!(forwarder.child.wait().expect("ends").success());
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    assert!(forwarder.child.wait().expect("process exited").success());
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-// Guards against clients shut out, or descriptors used up, by idle connections: of the 64 descriptors allowed here, half
-// are for clients.
+// Guards against idle connections that keep out new clients or use up the file descriptors. Half of the 64 descriptors
+// allowed here are for clients.
 #[test]
 fn idle_connections_make_room_for_new_ones() {
     let (platform, _notifications) = platform();
     let folder = folder("crowd", platform, platform);
     let path = folder.join("config.json");
-    let text = std::fs::read_to_string(&path).expect("written").replace("\"sockets\":1024", "\"sockets\":64");
-    std::fs::write(&path, text).expect("written");
+    let text =
+        std::fs::read_to_string(&path).expect("file read").replace("\"sockets\":1024", "\"sockets\":64");
+    std::fs::write(&path, text).expect("file written");
     let forwarder = Forwarder::start(&folder);
-    let idle: Vec<_> = (0..80).map(|_| TcpStream::connect(forwarder.address).expect("taken")).collect();
+    let idle: Vec<_> = (0..80).map(|_| TcpStream::connect(forwarder.address).expect("connected")).collect();
     assert_eq!(forwarder.submit("status", "a"), 202);
     drop(idle);
     forwarder.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-// Guards against a panic, or a connection closed without an answer, on what a client got wrong.
+// Guards against a panic, or a connection that is closed without an answer, after an invalid request.
 #[test]
 fn invalid_requests_get_their_status() {
     let (platform, _notifications) = platform();
@@ -259,25 +262,26 @@
         assert_eq!(forwarder.request(&request, body).0, status, "{request}");
     }
     forwarder.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-// Guards against a panic or a page of text where one line says what is wrong with the configuration.
+// Guards against a panic or many lines of output for an invalid configuration, instead of one line that names the
+// fault.
 #[test]
 fn invalid_configuration_is_named_in_one_line() {
     let (platform, _notifications) = platform();
     let folder = folder("config", platform, platform);
     let path = folder.join("config.json");
-    let good = std::fs::read_to_string(&path).expect("written");
+    let good = std::fs::read_to_string(&path).expect("file read");
     let run = |command: &str, text: Option<&str>| -> Output {
         let _ = std::fs::remove_file(&path);
-        text.into_iter().for_each(|text| std::fs::write(&path, text).expect("written"));
+        text.into_iter().for_each(|text| std::fs::write(&path, text).expect("file written"));
         let mut program = Command::new(env!("CARGO_BIN_EXE_orchidyoke"));
         program.arg(command).arg("--config").arg(&path);
         if command == "serve" {
             program.arg("--state").arg(folder.join("nowhere"));
         }
-        program.output().expect("it ends")
+        program.output().expect("program finished")
     };
     assert!(run("check", Some(&good)).status.success());
     let cases = [
@@ -297,12 +301,13 @@
         );
     }
     let output = run("serve", Some(&good));
-    assert!(!output.status.success(), "no folder to keep the journal in");
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    assert!(!output.status.success(), "the state folder does not exist");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-// Guards against SIGHUP ending the program, as it does where nobody handles it, against an invalid file applied by half, and
-// against notifications that still go to the address before. What the command line gave is superseded.
+// Guards against a SIGHUP that ends the program, which is the signal's default action. Also guards against an invalid
+// file that is applied partly, and against notifications that still go to the previous address. The reloaded address
+// of discovery replaces the one from the command line.
 #[test]
 fn sighup_applies_a_valid_configuration_and_ignores_an_invalid_one() {
     let (endpoint, _calls) =
@@ -311,32 +316,33 @@
     let (new, new_requests) = platform();
     let folder = folder("reload", endpoint, old);
     let path = folder.join("config.json");
-    let good = std::fs::read_to_string(&path).expect("written");
+    let good = std::fs::read_to_string(&path).expect("file read");
     let mut forwarder = Forwarder::start_with(&folder, &["--discovery", &old.to_string()]);
     wait_for(&old_requests, "GET /v1/servers?follow=1");
     for bad in [Some("{"), None] {
-        std::fs::remove_file(&path).expect("there");
-        bad.into_iter().for_each(|text| std::fs::write(&path, text).expect("written"));
+        std::fs::remove_file(&path).expect("file removed");
+        bad.into_iter().for_each(|text| std::fs::write(&path, text).expect("file written"));
         forwarder.signal("HUP");
         wait_for(&forwarder.log, "the old one stays in use");
     }
-    std::fs::write(&path, good.replace(&old.to_string(), &new.to_string())).expect("written");
+    std::fs::write(&path, good.replace(&old.to_string(), &new.to_string())).expect("file written");
     forwarder.signal("HUP");
     wait_for(&new_requests, "GET /v1/servers?follow=1");
     assert_eq!(forwarder.submit("orders", "a"), 202);
     wait_for(&new_requests, r#"{"id":"a","state":"failed"}"#);
     assert!(old_requests.try_iter().all(|request| !request.contains("outcomes")));
-    assert!(forwarder.child.try_wait().expect("a child").is_none(), "it goes on");
+    assert!(forwarder.child.try_wait().expect("process status").is_none(), "the program continues to run");
     forwarder.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-/// Sends a text on a connection of its own, then `filler_bytes` more at full speed, and reads to the end.
+/// Sends a text on a new connection, then `filler_bytes` more at full speed. Returns everything received until the
+/// connection is closed.
 fn malformed_client(address: SocketAddr, text: &str, filler_bytes: usize) -> String {
-    let mut stream = TcpStream::connect(address).expect("it takes connections");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
-    stream.write_all(text.as_bytes()).expect("written");
-    let mut sending = stream.try_clone().expect("a socket");
+    let mut stream = TcpStream::connect(address).expect("connected");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
+    stream.write_all(text.as_bytes()).expect("bytes sent");
+    let mut sending = stream.try_clone().expect("socket cloned");
     let sender = thread::spawn(move || {
         let chunk = [b'a'; 60_000];
         (0..filler_bytes / chunk.len()).all(|_| sending.write_all(&chunk).is_ok())
@@ -346,16 +352,17 @@
     while let Ok(count @ 1..) = stream.read(&mut chunk) {
         heard.extend_from_slice(&chunk[..count]);
     }
-    let sent = sender.join().expect("it sends");
+    let sent = sender.join().expect("sending thread finished");
     assert!(
         sent || filler_bytes != 60_000_000,
-        "it is let send to the end, so that no reset overtakes its answer"
+        "the client can send to the end, so that no reset overtakes its answer"
     );
     String::from_utf8_lossy(&heard).into_owned()
 }
 
-// Guards against clients that hold a connection for ever, get no answer, or smuggle a request that only one end sees;
-// and against any of it reaching an endpoint. Each read here ends by the forwarder's close, in any case.
+// Guards against malformed requests that hold a connection for ever, get no answer, or smuggle a request that only one
+// end sees. Also guards against any of them reaching an endpoint. Each read here ends because the forwarder closes the
+// connection.
 #[test]
 fn malformed_requests_are_rejected_and_closed() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
@@ -397,14 +404,15 @@
     });
     assert_eq!(forwarder.submit("status", "good"), 202);
     let first = wait_for(&calls, "x-txn");
-    assert!(first.contains("x-txn: good"), "none of theirs goes on: {first}");
+    assert!(first.contains("x-txn: good"), "a malformed request was forwarded: {first}");
     forwarder.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-/// Starts a process beside others, on a listening socket that it inherits as descriptor 4.
+/// Starts a process beside others, on a listening socket that it inherits as file descriptor 4. Returns the process and
+/// the address of its console.
 fn start_beside(folder: &Path, listener: &TcpListener) -> (Forwarder, SocketAddr) {
-    let socket = std::os::fd::OwnedFd::from(listener.try_clone().expect("a socket"));
+    let socket = std::os::fd::OwnedFd::from(listener.try_clone().expect("socket cloned"));
     let mut child = Command::new("sh")
         .args([
             "-c",
@@ -416,11 +424,12 @@
         .stdin(socket)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("a pipe")).lines().map_while(Result::ok);
+        .expect("program started");
+    let mut lines =
+        BufReader::new(child.stderr.take().expect("piped standard error")).lines().map_while(Result::ok);
     let mut logged_address = |words: &str| {
         let address = lines.find_map(|line| line.split_once(words).map(|(_, rest)| rest.to_owned()));
-        address.expect(words).parse().expect("an address")
+        address.expect(words).parse().expect("valid address")
     };
     let address = logged_address("listens on ");
     let console = logged_address("console at ");
@@ -429,22 +438,23 @@
     (Forwarder { child, address, log }, console)
 }
 
-/// Sends one request line to a console; returns the reply.
+/// Sends one request line to a console and returns the reply.
 fn ask_console(console: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(console).expect("it takes callers");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
-    stream.write_all(format!("{line}\n").as_bytes()).expect("written");
+    let mut stream = TcpStream::connect(console).expect("connected");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
+    stream.write_all(format!("{line}\n").as_bytes()).expect("bytes sent");
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).expect("a reply");
+    stream.read_to_string(&mut reply).expect("reply read");
     reply
 }
 
 fn metric(stat: &str, name: &str) -> u64 {
     let value = stat.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    value.unwrap_or_else(|| panic!("{name} in {stat}")).parse().expect("a count")
+    value.unwrap_or_else(|| panic!("{name} in {stat}")).parse().expect("valid count")
 }
 
-/// Submits orders on a connection each for as long as `running`; each has to be accepted. Returns their number.
+/// Submits orders, each on a new connection, for as long as `running` is `true`. Each order has to be accepted. Returns
+/// their number.
 fn submit_while(running: &AtomicBool, address: SocketAddr) -> usize {
     let mut number = 0;
     while running.load(Ordering::SeqCst) {
@@ -452,20 +462,20 @@
             "POST /orders HTTP/1.1\r\nHost: x\r\nX-Txn: load-{number}.\r\nX-Org: acme\r\nX-Remaining: 20\r\n\
              X-Consignee: dest=2\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"
         );
-        let mut stream = TcpStream::connect(address).expect("no connection is refused");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
-        stream.write_all(head.as_bytes()).expect("written");
+        let mut stream = TcpStream::connect(address).expect("connected, no connection refused");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
+        stream.write_all(head.as_bytes()).expect("bytes sent");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("none is reset or left unread");
+        stream.read_to_string(&mut answer).expect("answer read, no connection reset");
         assert!(answer.starts_with("HTTP/1.1 202"), "load-{number}: {answer}");
         number += 1;
     }
     number
 }
 
-// Guards against a message lost, delivered twice or rejected while a process is replaced under load, twice in a row;
-// against a persistent connection closed without notice; and against an endpoint disabled by an operator that comes back
-// with the successor.
+// Guards against a message that is lost, delivered twice or rejected while a process is replaced under load, twice in a
+// row. Also guards against a persistent connection that is closed without notice, and against an endpoint disabled by
+// an operator that the successor enables again.
 #[test]
 fn upgrade_under_load_loses_and_repeats_no_message() {
     let (endpoint, calls) = scripted_server(|_| {
@@ -474,8 +484,8 @@
     });
     let (platform, notifications) = platform();
     let folder = folder("upgrade", endpoint, platform);
-    std::fs::create_dir_all(folder.join("state")).expect("a folder");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    std::fs::create_dir_all(folder.join("state")).expect("folder created");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let (mut predecessor, mut console) = start_beside(&folder, &listener);
     assert!(ask_console(console, "ready").starts_with("200 "));
     assert!(ask_console(console, "disable-server s-d").starts_with("200 "));
@@ -491,23 +501,23 @@
                  X-Consignee: dest=2\r\nContent-Length: 1\r\n\r\nx"
             )
         };
-        let mut persistent = BufReader::new(TcpStream::connect(address).expect("taken"));
-        persistent.get_mut().write_all(request("first").as_bytes()).expect("written");
-        assert!(read_request(&mut persistent).expect("an answer").0.starts_with("HTTP/1.1 202"));
+        let mut persistent = BufReader::new(TcpStream::connect(address).expect("connected"));
+        persistent.get_mut().write_all(request("first").as_bytes()).expect("bytes sent");
+        assert!(read_request(&mut persistent).expect("answer received").0.starts_with("HTTP/1.1 202"));
         let (successor, successor_console) = start_beside(&folder, &listener);
         assert!(
             ask_console(successor_console, "ready").starts_with("200 "),
-            "it takes clients before the predecessor is terminated"
+            "the successor takes clients before the predecessor is terminated"
         );
         predecessor.signal("TERM");
         wait_for(&predecessor.log, "handed off to the successor");
-        persistent.get_mut().write_all(request("last").as_bytes()).expect("written");
-        let (status, headers, _) = read_request(&mut persistent).expect("an answer");
+        persistent.get_mut().write_all(request("last").as_bytes()).expect("bytes sent");
+        let (status, headers, _) = read_request(&mut persistent).expect("answer received");
         assert!(
             status.starts_with("HTTP/1.1 202") && headers.contains("connection: close"),
             "{status} {headers}"
         );
-        assert!(predecessor.child.wait().expect("ends").success());
+        assert!(predecessor.child.wait().expect("process exited").success());
         wait_for(&successor.log, "this one begins attempts");
         predecessor = successor;
         console = successor_console;
@@ -518,7 +528,7 @@
     let mut delivered = std::collections::BTreeMap::<String, usize>::new();
     while delivered.len() < all {
         let call = wait_for(&calls, "x-txn: ");
-        let txn = call.lines().find_map(|line| line.strip_prefix("x-txn: ")).expect("an id");
+        let txn = call.lines().find_map(|line| line.strip_prefix("x-txn: ")).expect("x-txn header");
         *delivered.entry(txn.to_owned()).or_default() += 1;
     }
     let stat = loop {
@@ -539,33 +549,38 @@
     );
     assert!(
         notifications.try_iter().all(|request| !request.contains("outcomes")),
-        "none failed or was rejected"
+        "no message failed or was rejected"
     );
     assert!(ask_console(console, "enable-server s-d").starts_with("200 "));
-    assert_eq!(std::fs::read_dir(folder.join("state")).expect("a folder").count(), 1, "one journal is left");
+    assert_eq!(
+        std::fs::read_dir(folder.join("state")).expect("folder read").count(),
+        1,
+        "one journal is left"
+    );
     predecessor.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
 
-/// Sends a request on a connection of its own, split at these bytes; returns the answer.
+/// Sends a request on a new connection, split at these bytes, and returns the answer.
 fn send_in_pieces(address: SocketAddr, text: &str, cuts: &[usize]) -> String {
-    let mut stream = TcpStream::connect(address).expect("accepted");
-    stream.set_nodelay(true).expect("a socket");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+    let mut stream = TcpStream::connect(address).expect("connected");
+    stream.set_nodelay(true).expect("TCP_NODELAY set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
     let mut from = 0;
     for to in cuts.iter().copied().chain([text.len()]) {
-        stream.write_all(&text.as_bytes()[from..to]).expect("written");
-        // Only so that the pieces do not travel together; no result depends on it.
+        stream.write_all(&text.as_bytes()[from..to]).expect("bytes sent");
+        // The pause makes the pieces arrive separately. No result depends on it.
         thread::sleep(Duration::from_millis(1));
         from = to;
     }
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream.read_to_string(&mut answer).expect("answer read");
     answer
 }
 
-// Guards against a request that is misread, rejected or lost because it came in pieces: split at each of its bytes, and
-// at pairs of them; and against connections that fall silent in the middle and keep out those that go on.
+// Guards against a request that is misread, rejected or lost because it arrives in pieces. Requests are split at each
+// of their bytes and at pairs of bytes. Also guards against connections that stop in the middle of a request and keep
+// out others.
 #[test]
 fn request_split_at_any_byte_is_accepted() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
@@ -585,8 +600,8 @@
     let all: Vec<Vec<usize>> = single.chain(pairs).collect();
     let silent: Vec<TcpStream> = (1..60)
         .map(|cut| {
-            let mut stream = TcpStream::connect(forwarder.address).expect("taken");
-            stream.write_all(&request(9999).as_bytes()[..cut]).expect("written");
+            let mut stream = TcpStream::connect(forwarder.address).expect("connected");
+            stream.write_all(&request(9999).as_bytes()[..cut]).expect("bytes sent");
             stream
         })
         .collect();
@@ -610,5 +625,5 @@
     assert!(first.ends_with("body") && !first.contains("9999"), "{first}");
     drop(silent);
     forwarder.kill();
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("folder removed");
 }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,5 +1,6 @@
-//! A rollout over six real forwarders under load, the rollout a process of its own, a fault proxy on each path from it to
-//! a forwarder. Every accepted message is followed to its one final answer: delivered once, or notified as failed.
+//! Tests of rollouts over six real forwarders under load. The rollout is a separate process, with a fault proxy on each
+//! path from it to a forwarder. The tests check that every accepted message has one final answer, delivered once or
+//! notified as failed.
 
 use orchidyoke_fakes::destination::Mode;
 use orchidyoke_fakes::fleet::{ClientLoad, Fleet};
@@ -24,7 +25,7 @@
     Fleet::supervised(program(), name, FLEET_SIZE, ClientLoad::default())
 }
 
-/// A change of settings that no message is affected by.
+/// Returns a change of settings that has no effect on messages.
 fn harmless_change() -> Value {
     json!({"settings_patch": {"settings": {"limits": {"idle_close_us": 8_000_000}}}})
 }
@@ -33,15 +34,15 @@
     fleet.config(number)["settings"]["limits"]["idle_close_us"] == 8_000_000
 }
 
-/// Writes a plan with this change; the keys of `overrides` replace those set here.
+/// Writes a plan with this change. The keys of `overrides` replace those set here.
 fn write_plan(fleet: &Fleet, change: Value, overrides: Value) -> PathBuf {
     let mut plan = json!({"forwarders": fleet.plan(), "stages": ["1", "50%", "all"], "bake_ms": 1500,
         "max_bake_ms": 20000, "poll_ms": 250,
-        // Many processes share the machine: one of them that stands still for a moment is not yet a slower forwarder.
+        // The ratio is high because many processes share the machine, so that any of them may be delayed for a moment.
         "criteria": {"margin": 0.02, "z": 2.33, "min_ended": 60, "latency_ratio": 100.0}});
     for given in [change, overrides] {
-        let Value::Object(given) = given else { panic!("an object") };
-        plan.as_object_mut().expect("an object").extend(given);
+        let Value::Object(given) = given else { panic!("not a JSON object") };
+        plan.as_object_mut().expect("JSON object").extend(given);
     }
     fleet.folder(0).write("plan.json", &plan.to_string())
 }
@@ -58,12 +59,12 @@
 
 /// Runs a rollout to its end.
 fn run_rollout(fleet: &Fleet, plan: &Path) -> Ended {
-    rollout_command(plan, &state_folder(fleet)).output().expect("the rollout runs").into()
+    rollout_command(plan, &state_folder(fleet)).output().expect("rollout finished").into()
 }
 
-/// How a rollout ended.
+/// The result of a rollout's process.
 struct Ended {
-    /// Every forwarder has the change.
+    /// Whether every forwarder has the change.
     completed: bool,
     log: String,
 }
@@ -77,16 +78,16 @@
     }
 }
 
-/// The records whose lines are whole.
+/// Returns the records whose lines are complete.
 fn records(state: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(state.join("rollout.jsonl")).unwrap_or_default();
     text.split_inclusive('\n')
         .filter(|line| line.ends_with('\n'))
-        .map(|line| serde_json::from_str(line).expect("a record"))
+        .map(|line| serde_json::from_str(line).expect("record parsed"))
         .collect()
 }
 
-/// The forwarders named by the records of this kind, in order.
+/// Returns the names of the forwarders in the records of this kind, in order.
 fn forwarders_in(records: &[Value], kind: &str) -> Vec<String> {
     records.iter().filter_map(|record| record.get(kind)?.as_str().map(str::to_owned)).collect()
 }
@@ -100,21 +101,21 @@
     }
 }
 
-/// Starts a rollout, calls `act` once the first stage is under way, and waits for the rollout's end.
+/// Starts a rollout, calls `act` once the first stage is running, and waits for the end of the rollout.
 fn run_with_act_mid_stage(fleet: &mut Fleet, plan: &Path, act: impl FnOnce(&mut Fleet)) -> Ended {
     let state = state_folder(fleet);
     let plan = plan.to_owned();
     let running = {
         let state = state.clone();
-        thread::spawn(move || rollout_command(&plan, &state).output().expect("the rollout runs"))
+        thread::spawn(move || rollout_command(&plan, &state).output().expect("rollout finished"))
     };
     wait_for_record(&state, "changed");
     thread::sleep(Duration::from_millis(400));
     act(fleet);
-    running.join().expect("the rollout").into()
+    running.join().expect("rollout thread finished").into()
 }
 
-/// Ends the faults of these paths after a while.
+/// Starts a thread that ends the faults of these paths after this time.
 fn heal(paths: Vec<FaultProxy>, after: Duration) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         thread::sleep(after);
@@ -122,7 +123,8 @@
     })
 }
 
-// Guards against a rollout that does not reach everyone, or that loses or doubles messages while it reloads them.
+// Guards against a rollout that does not reach all forwarders, or that loses or duplicates messages while it reloads
+// them.
 #[test]
 fn good_change_reaches_all_forwarders_under_load() {
     let fleet = alone("good");
@@ -131,12 +133,12 @@
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)), "{log}");
     let passed =
         records(&state_folder(&fleet)).iter().filter(|record| record.get("passed").is_some()).count();
-    assert_eq!(passed, 2, "both stages with somebody to compare with were judged: {log}");
+    assert_eq!(passed, 2, "both stages that have a baseline were compared: {log}");
     fleet.stop_and_verify(false);
 }
 
-/// Checks that a change is stopped for this reason at its first stage, that its canary is rolled back, and that no other
-/// forwarder is changed.
+/// Checks that a change is stopped for this reason at its first stage, that its canary is rolled back, and that no
+/// other forwarder is changed.
 fn assert_stopped_at_first_stage(fleet: &Fleet, change: Value, overrides: Value, reason: &str) {
     let before = fleet.config(0);
     let Ended { completed, log } = run_rollout(fleet, &write_plan(fleet, change, overrides));
@@ -149,40 +151,41 @@
     );
 }
 
-// Guards against a change that rejects more going on, and against a stop that leaves it in place.
+// Guards against a rollout that continues although the change makes a forwarder reject more, and against a stop that
+// leaves the change in place.
 #[test]
 fn change_that_rejects_more_is_stopped_at_its_first_stage_and_rolled_back() {
     let fleet = alone("refuses");
-    // One open message at a time: with two clients at each forwarder, about half are rejected.
+    // With one open message at a time and two clients at each forwarder, about half of the messages are rejected.
     let change = json!({"settings_patch": {"settings": {"limits": {"max_open": 1}}}});
     assert_stopped_at_first_stage(&fleet, change, json!({}), "overload share");
     fleet.stop_and_verify(false);
 }
 
-// Guards against a slower path going on because it rejects and fails nothing.
+// Guards against a rollout that continues although deliveries are slower, because no message is rejected or fails.
 #[test]
 fn change_that_is_only_slower_is_stopped_by_its_latency() {
     let fleet = alone("slower");
-    // One call at a time at 20 ms each: more messages come than that, and they queue.
+    // One call at a time at 20 ms each is less than the load, so messages queue.
     let change = json!({"settings_patch": {"settings": {"family_info": {"slots": 1}}}});
     let criteria = json!({"criteria": {"margin": 0.02, "z": 2.33, "min_ended": 60, "latency_ratio": 4.0}});
     assert_stopped_at_first_stage(&fleet, change, criteria, "slow share");
     fleet.stop_and_verify(false);
 }
 
-// Guards against blaming a good change for what the endpoint does to everyone.
+// Guards against blaming a good change for a fault of the endpoint that affects all forwarders.
 #[test]
 fn endpoint_fault_seen_by_all_forwarders_does_not_stop_a_good_change() {
-    // Orders are not idempotent: a 500 ends them as failed.
+    // Orders are not idempotent, so a 500 makes them fail.
     let mut fleet = Fleet::standalone(
         program(),
         "partner",
         FLEET_SIZE,
         ClientLoad { class: "orders", ..ClientLoad::default() },
     );
-    // The stage is to see the failures: half of it is spent in them.
-    // Forwarders recover from an outage one by one, at random moments: for that the margin is wide, and latency is left
-    // out.
+    // Half of the stage's bake time is spent in the outage, so that the stage sees the failures.
+    // The margin is wide and the latency ratio excludes latency, because forwarders recover from an outage one by one
+    // at random moments.
     let criteria = json!({"margin": 0.5, "z": 2.33, "min_ended": 60, "latency_ratio": 1000.0});
     let more = json!({"bake_ms": 3000, "max_bake_ms": 60000, "criteria": criteria});
     let plan = write_plan(&fleet, harmless_change(), more);
@@ -196,7 +199,7 @@
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)), "{log}");
     let judged = log.lines().find(|line| line.contains("stage=0") && line.contains("judged not worse"));
     let failed: Vec<u64> = judged
-        .expect("a first stage")
+        .expect("log line of the first stage")
         .split("error: ")
         .skip(1)
         .filter_map(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok())
@@ -210,26 +213,26 @@
 fn baseline_forwarder_behind_a_partition_does_not_stop_a_good_change() {
     let fleet = alone("cut");
     fleet.set_fault(FLEET_SIZE - 1, NetworkFault::Partition);
-    // Unreachable for the first stage; the last forwarder is changed only after it is reachable again.
+    // The last forwarder is unreachable during the first stage. It is changed only after it is reachable again.
     let healer = heal(fleet.external_links(FLEET_SIZE - 1), Duration::from_secs(4));
     let Ended { completed, log } = run_rollout(&fleet, &write_plan(&fleet, harmless_change(), json!({})));
-    healer.join().expect("the thread");
+    healer.join().expect("thread finished");
     assert!(completed && log.contains("does not answer"), "{log}");
     fleet.stop_and_verify(false);
 }
 
-/// Kills the rollout (SIGKILL) each time it has written a record or more, and starts it again, until it ends by itself.
-/// Returns how often it was killed, and the last log.
+/// Kills the rollout (SIGKILL) each time it has written one or more records, and starts it again, until it ends by
+/// itself. Returns the number of kills and the log of the last run.
 fn kill_after_every_record(fleet: &Fleet, plan: &Path) -> (usize, String) {
     let state = state_folder(fleet);
     let mut kills = 0;
     loop {
         let had = records(&state).len();
         let mut running =
-            rollout_command(plan, &state).stderr(Stdio::piped()).spawn().expect("the rollout runs");
+            rollout_command(plan, &state).stderr(Stdio::piped()).spawn().expect("rollout started");
         loop {
-            if running.try_wait().expect("its end").is_some() {
-                let ended = Ended::from(running.wait_with_output().expect("its log"));
+            if running.try_wait().expect("process status").is_some() {
+                let ended = Ended::from(running.wait_with_output().expect("rollout finished"));
                 return (kills, ended.log);
             }
             if records(&state).len() > had {
@@ -237,15 +240,15 @@
             }
             thread::sleep(Duration::from_millis(1));
         }
-        // It may have written its last record by now, and ended.
+        // The kill may fail, because the rollout may have written its last record and ended.
         drop(running.kill());
         drop(running.wait());
         kills += 1;
     }
 }
 
-// Guards against a rollout that, killed between any two steps and started again, changes a forwarder twice, forgets one,
-// or does not go on.
+// Guards against a rollout that was killed between any two steps and started again, and that then changes a forwarder
+// twice, leaves one out, or does not continue.
 #[test]
 fn rollout_killed_after_every_record_resumes_and_changes_each_forwarder_once() {
     let fleet = alone("kills");
@@ -257,12 +260,16 @@
     assert!(kills >= 10, "{kills} kills in {} records", records.len());
     let mut changed = forwarders_in(&records, "changed");
     changed.sort();
-    assert_eq!(changed, (0..FLEET_SIZE).map(|number| format!("f{number}")).collect::<Vec<_>>(), "each once");
+    assert_eq!(
+        changed,
+        (0..FLEET_SIZE).map(|number| format!("f{number}")).collect::<Vec<_>>(),
+        "each forwarder is changed once"
+    );
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)));
     fleet.stop_and_verify(false);
 }
 
-// Guards against a stop forgotten, or half carried out, by a rollout that is killed while it rolls back.
+// Guards against a rollout that is killed while it rolls back, and then does not finish the rollback.
 #[test]
 fn rollout_of_a_bad_change_killed_after_every_record_rolls_back() {
     let fleet = alone("kills-bad");
@@ -278,7 +285,8 @@
     fleet.stop_and_verify(false);
 }
 
-// Guards against blaming the change for a death that is not its own: one without the change dies mid-stage.
+// Guards against blaming the change for the death of a forwarder that does not have it. A baseline forwarder is killed
+// during a stage.
 #[test]
 fn baseline_forwarder_killed_mid_stage_does_not_stop_the_change() {
     let mut fleet = alone("kill-unchanged");
@@ -290,7 +298,8 @@
     fleet.stop_and_verify(true);
 }
 
-// Guards against a release or settings that kill their forwarder going on: the only one with the change dies.
+// Guards against a rollout that continues although its change kills forwarders. The only canary is killed during a
+// stage.
 #[test]
 fn canary_killed_alone_mid_stage_stops_the_change() {
     let mut fleet = alone("kill-changed");
@@ -302,13 +311,14 @@
     fleet.stop_and_verify(true);
 }
 
-/// The release of each forwarder, as its supervisor shows it.
+/// Returns the release of each forwarder, as its supervisor reports it.
 fn releases(fleet: &Fleet) -> Vec<String> {
     let release = |number| Some(fleet.supervisor_status(number)?["release"].as_str()?.to_owned());
-    (0..FLEET_SIZE).map(|number| release(number).expect("a supervisor")).collect()
+    (0..FLEET_SIZE).map(|number| release(number).expect("supervisor status")).collect()
 }
 
-// Guards against a message lost, delivered twice or rejected while all six are replaced under load by another release.
+// Guards against a message that is lost, delivered twice or rejected while all six forwarders are replaced under load
+// by another release.
 #[test]
 fn new_release_reaches_all_forwarders_under_load() {
     let fleet = supervised("release");
@@ -318,17 +328,18 @@
     assert!(completed, "{log}");
     assert_eq!(releases(&fleet), ["v2"; FLEET_SIZE]);
     for number in 0..FLEET_SIZE {
-        let shown = fleet.supervisor_status(number).expect("a supervisor");
+        let shown = fleet.supervisor_status(number).expect("supervisor status");
         assert!(shown["settled"] == true && shown["restarts"] == 0, "{shown}");
     }
     fleet.stop_and_verify(false);
 }
 
-// Guards against a fleet taken over by a release that is worse, or that does not even start.
+// Guards against a rollout to the whole fleet of a release that is worse or does not start.
 #[test]
 fn bad_release_is_stopped_at_its_first_stage_and_rolled_back() {
     let fleet = supervised("release-bad");
-    // Serves, with one open message at a time; its first arguments are `serve --config FILE`.
+    // The release `small` serves with one open message at a time. Its first arguments are `serve --config FILE`, which
+    // the script replaces.
     let mut small = fleet.config(0);
     small["settings"]["limits"]["max_open"] = json!(1);
     let small = fleet.folder(0).write("small.json", &small.to_string());
@@ -341,13 +352,13 @@
     fleet.add_script("broken", "#!/bin/sh\nexit 3\n");
     assert_stopped_at_first_stage(&fleet, json!({"release": "small"}), json!({}), "overload share");
     assert_eq!(releases(&fleet), ["v1"; FLEET_SIZE]);
-    std::fs::remove_dir_all(state_folder(&fleet)).expect("a new rollout, a new progress file");
+    std::fs::remove_dir_all(state_folder(&fleet)).expect("progress file of the first rollout removed");
     assert_stopped_at_first_stage(&fleet, json!({"release": "broken"}), json!({}), "exit status: 3");
     assert_eq!(releases(&fleet), ["v1"; FLEET_SIZE]);
     fleet.stop_and_verify(false);
 }
 
-// Guards against a change left in place because its forwarder could not be reached when the rollout stopped.
+// Guards against a change that stays in place because its forwarder could not be reached when the rollout stopped.
 #[test]
 fn canary_behind_a_partition_is_rolled_back_once_reachable() {
     let mut fleet = supervised("release-cut");
@@ -358,14 +369,14 @@
         fleet.set_fault(0, NetworkFault::Blackhole);
         healer = Some(heal(fleet.external_links(0), Duration::from_secs(16)));
     });
-    healer.expect("a thread").join().expect("it ends");
+    healer.expect("thread started").join().expect("thread finished");
     assert!(!completed && log.contains("went down: f0") && log.contains("taken back"), "{log}");
     assert_eq!(releases(&fleet), ["v1"; FLEET_SIZE]);
     fleet.stop_and_verify(false);
 }
 
-// Guards against a forwarder that is left with nobody to start it, or that falls back to another release, when its
-// supervisor is killed; and against a message lost when one starts in its place.
+// Guards against a forwarder that is not started again, or starts with another release, after its supervisor was
+// killed. Also guards against a message lost when a new supervisor starts the forwarder.
 #[test]
 fn supervisor_killed_after_an_upgrade_restarts_with_the_same_release() {
     let mut fleet = supervised("supervisor");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
-//! Protects what is said to the processes themselves on their sockets: at a forwarder's console, by its clients and to its
-//! endpoints, and at a supervisor's control address.
+//! Tests that the exchanges on the processes' sockets keep their texts: at a forwarder's console, with its clients and
+//! its endpoints, and at a supervisor's control address.
 
 #[path = "../crates/forwarder/tests/common/golden.rs"]
 mod golden;
@@ -22,39 +22,39 @@
 }
 
 fn connect(at: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(at).expect("it takes connections");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    let stream = TcpStream::connect(at).expect("connected");
+    stream.set_read_timeout(Some(PATIENCE)).expect("read timeout set");
     stream
 }
 
-/// Says a line on a connection of its own; the line and the reply.
+/// Sends a line on a new connection. Returns the line and the reply.
 fn say(at: SocketAddr, line: &str) -> String {
     let mut stream = connect(at);
-    stream.write_all(format!("{line}\n").as_bytes()).expect("written");
+    stream.write_all(format!("{line}\n").as_bytes()).expect("bytes sent");
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).expect("a reply");
+    stream.read_to_string(&mut reply).expect("reply read");
     format!("> {line}\n{}", side("< ", reply.as_bytes()))
 }
 
-/// Reads one request or answer.
+/// Reads one complete request or answer.
 fn read_whole(stream: &mut TcpStream) -> Vec<u8> {
     let (mut came, mut piece) = (Vec::new(), [0; 4096]);
     while whole_length(&came, true).is_none_or(|length| came.len() < length) {
-        let count = stream.read(&mut piece).expect("it goes on");
-        assert!(count > 0, "whole: {}", String::from_utf8_lossy(&came));
+        let count = stream.read(&mut piece).expect("more bytes received");
+        assert!(count > 0, "incomplete request or answer: {}", String::from_utf8_lossy(&came));
         came.extend_from_slice(&piece[..count]);
     }
     came
 }
 
-/// A forwarder of a region with one member: its own.
+/// Returns the settings of a forwarder that is the only member of its region.
 fn owner() -> String {
     "ownership(name = \"f0\", region = \"east\", regions = {\"east\": [\"a\", \"b\"]},\n\
      members = [member(name = \"f0\", zone = \"a\", address = \"127.0.0.1:9\")])\n"
         .to_owned()
 }
 
-/// The rest of a figure that is another in each run is left out.
+/// Replaces the values of metrics that differ in each run by `NUMBER`.
 fn without_moments(reply: &str) -> String {
     let moment = |line: &str| match line.rsplit_once(' ') {
         Some((name @ ("< app_owners_view" | "< app_owners_view_age_s"), _)) => format!("{name} NUMBER\n"),
@@ -66,9 +66,9 @@
 #[test]
 fn a_forwarder_answers_at_its_console_as_before() {
     let platform = DiscoveryServer::start("");
-    let endpoint = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let endpoint = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let mut setup = ForwarderConfig::new(platform.address());
-    setup.endpoints = vec![endpoint_entry("p1", endpoint.local_addr().expect("bound"), 7)];
+    setup.endpoints = vec![endpoint_entry("p1", endpoint.local_addr().expect("address of the listener"), 7)];
     let folder = TemporaryFolder::new("wire-console");
     folder.write("config.json", &setup.text());
     let settings = folder.write("settings.star", &owner()).display().to_string();
@@ -97,22 +97,22 @@
 #[test]
 fn a_message_goes_from_its_client_to_its_endpoint_as_before() {
     let platform = DiscoveryServer::start("");
-    let endpoint = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let endpoint = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let mut setup = ForwarderConfig::new(platform.address());
-    setup.endpoints = vec![endpoint_entry("p1", endpoint.local_addr().expect("bound"), 7)];
+    setup.endpoints = vec![endpoint_entry("p1", endpoint.local_addr().expect("address of the listener"), 7)];
     let folder = TemporaryFolder::new("wire-message");
     folder.write("config.json", &setup.text());
     let forwarder = ForwarderProcess::start(program(), &folder, &[]);
     let request = "POST /refund HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\n\
                    X-Remaining: 12.000\r\nX-Consignee: dest=7\r\nIdempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n\r\nhello";
     let mut client = connect(forwarder.address);
-    client.write_all(request.as_bytes()).expect("written");
+    client.write_all(request.as_bytes()).expect("bytes sent");
     let answer = read_whole(&mut client);
-    let (mut call, _) = endpoint.accept().expect("a call");
-    call.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    let (mut call, _) = endpoint.accept().expect("call accepted");
+    call.set_read_timeout(Some(PATIENCE)).expect("read timeout set");
     let called = side("> ", &read_whole(&mut call));
-    call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
-    let left = called.lines().find(|line| line.starts_with("> x-remaining: ")).expect("the time left");
+    call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("bytes sent");
+    let left = called.lines().find(|line| line.starts_with("> x-remaining: ")).expect("x-remaining header");
     let seconds = left["> x-remaining: ".len()..].parse::<f64>();
     assert!(seconds.is_ok_and(|seconds| seconds > 0.0 && seconds <= 12.0), "{left}");
     let called = called.replace(left, "> x-remaining: SECONDS");
@@ -120,7 +120,7 @@
     forwarder.kill();
 }
 
-/// A supervisor; it is ended with its forwarder when it is dropped.
+/// A supervisor's process. When dropped, it is terminated together with its forwarder.
 struct Supervisor(Child);
 
 impl Drop for Supervisor {
@@ -131,7 +131,7 @@
 }
 
 fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("free port")
 }
 
 #[test]
@@ -140,8 +140,8 @@
     let folder = TemporaryFolder::new("wire-control");
     folder.write("config.json", &ForwarderConfig::new(platform.address()).text());
     let releases = folder.path().join("releases");
-    std::fs::create_dir_all(&releases).expect("a folder");
-    std::os::unix::fs::symlink(program(), releases.join("v1")).expect("a release");
+    std::fs::create_dir_all(&releases).expect("folder created");
+    std::os::unix::fs::symlink(program(), releases.join("v1")).expect("release linked");
     let (listen, control) = (free().to_string(), free());
     let child = Command::new(program())
         .args(["supervise", "--release", "v1", "--listen", &listen, "--control", &control.to_string()])
@@ -156,19 +156,23 @@
         .arg(folder.path().join("state"))
         .stderr(Stdio::null())
         .spawn();
-    let _supervisor = Supervisor(child.expect("the supervisor starts"));
+    let _supervisor = Supervisor(child.expect("supervisor started"));
     let until = Instant::now() + PATIENCE;
     let is_settled =
         || TcpStream::connect(control).is_ok() && say(control, "show").contains("\"settled\":true");
     while !is_settled() {
-        assert!(Instant::now() < until, "its forwarder does not serve");
+        assert!(Instant::now() < until, "the supervisor's forwarder does not serve");
         thread::sleep(Duration::from_millis(20));
     }
     let mut said = String::new();
     for line in ["show", "upgrade none", "upgrade ../v1", "upgrade", "ready"] {
         said += &say(control, line);
     }
-    let pid = said.split("\"pid\":").nth(1).and_then(|rest| rest.split('}').next()).expect("a process");
+    let pid = said
+        .split("\"pid\":")
+        .nth(1)
+        .and_then(|rest| rest.split('}').next())
+        .expect("process id in the status");
     assert!(pid.parse::<u32>().is_ok(), "{pid}");
     assert_golden("control.txt", &said.replace(&format!("\"pid\":{pid}"), "\"pid\":NUMBER"));
 }
