--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -14,13 +14,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_orchidyoke");
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "timed out waiting for {what}");
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -35,28 +35,28 @@
 /// A fake Consul, a fake discovery and a fake destination, and a folder with a configuration that names them.
 struct Site {
     folder: TemporaryFolder,
-    platform: DiscoveryServer,
+    discovery: DiscoveryServer,
     consul: ConsulServer,
-    partner: DestinationServer,
+    destination: DestinationServer,
 }
 
 impl Site {
     fn new(name: &str) -> Self {
         let consul = ConsulServer::start();
-        let platform = DiscoveryServer::start("");
+        let discovery = DiscoveryServer::start("");
         let folder = TemporaryFolder::new(name);
-        folder.write("config.json", &ForwarderConfig::new(platform.address()).text());
+        folder.write("config.json", &ForwarderConfig::new(discovery.address()).text());
         folder.write("edge.star", &script(consul.address()));
-        Site { folder, platform, consul, partner: DestinationServer::new(CapacityModel::default()) }
+        Site { folder, discovery, consul, destination: DestinationServer::new(CapacityModel::default()) }
     }
 
     /// Starts a forwarder that takes its endpoints from discovery. Returns an endpoint listed by discovery, one
     /// registered in Consul, and the forwarder.
     fn start_with_both_sources(&self) -> (SocketAddr, SocketAddr, ForwarderProcess) {
-        let listed = self.partner.open_endpoint();
+        let listed = self.destination.open_endpoint();
         let list = serde_json::json!({"rev": 9, "all": true, "targets": [endpoint_entry("s1", listed, 3)]})
             .to_string();
-        self.platform.publish(&list);
+        self.discovery.publish(&list);
         let from_consul = self.register("w1");
         self.folder.write("edge.star", "# nothing yet\n");
         let forwarder = self.start();
@@ -65,7 +65,7 @@
     }
 
     fn register(&self, id: &str) -> SocketAddr {
-        let endpoint = self.partner.open_endpoint();
+        let endpoint = self.destination.open_endpoint();
         self.consul.register(Instance::new("web", "n1", id, endpoint));
         endpoint
     }
@@ -81,7 +81,7 @@
 
     /// Returns the calls with this message so far.
     fn calls(&self, txn: &str) -> Vec<Call> {
-        self.partner.calls().into_iter().filter(|call| call.message_id == txn).collect()
+        self.destination.calls().into_iter().filter(|call| call.message_id == txn).collect()
     }
 
     /// Submits a message once its destination is known, and waits until a call with it was served. Returns its first
@@ -109,7 +109,7 @@
         assert_eq!(site.deliver(&forwarder, &txn).endpoint, second);
     }
     assert_eq!(forwarder.submit_message("status", "x", 4), 422, "no service has this destination");
-    assert_eq!(site.platform.watch_count(), 0, "discovery is not watched too");
+    assert_eq!(site.discovery.watch_count(), 0, "discovery is not watched too");
 }
 
 // Guards against connections to an endpoint outside the allowed networks.
@@ -121,7 +121,7 @@
     site.register("w1");
     let forwarder = site.start();
     site.deliver(&forwarder, "a");
-    let line = forwarder.wait_for_log("n9/out", PATIENCE).expect("log line");
+    let line = forwarder.wait_for_log("n9/out", TIMEOUT).expect("log line");
     assert!(line.contains("outside the networks"), "{line}");
     for number in 0..30 {
         site.deliver(&forwarder, &format!("m{number}"));
@@ -139,27 +139,27 @@
     let first = site.start();
     site.deliver(&first, "a");
     site.consul.set_fault(ConsulFault::Down);
-    first.wait_for_log("without a valid response", PATIENCE).expect("log line");
+    first.wait_for_log("without a valid response", TIMEOUT).expect("log line");
     site.deliver(&first, "b");
-    site.partner.set_mode(Mode::Hang);
+    site.destination.set_mode(Mode::Hang);
     assert_eq!(first.submit_message("orders", "order", 3), 202);
     wait_until("the call", || !site.calls("order").is_empty());
     first.kill();
-    site.partner.set_mode(Mode::Serve);
+    site.destination.set_mode(Mode::Serve);
     let second = site.start();
     site.deliver(&second, "c");
-    wait_until("the order's end", || site.platform.notifications().contains_key("order"));
+    wait_until("the order's end", || site.discovery.notifications().contains_key("order"));
     assert_eq!(
-        (site.platform.notifications()["order"].as_slice(), site.calls("order").len()),
+        (site.discovery.notifications()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
     );
-    second.wait_for_log("without a valid response", PATIENCE).expect("log line");
+    second.wait_for_log("without a valid response", TIMEOUT).expect("log line");
     site.consul.set_fault(ConsulFault::None);
-    second.wait_for_log("have recovered", PATIENCE).expect("log line");
+    second.wait_for_log("have recovered", TIMEOUT).expect("log line");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
     wait_until("the new one", || {
-        site.deliver(&second, &format!("d{}", site.partner.calls().len())).endpoint == next
+        site.deliver(&second, &format!("d{}", site.destination.calls().len())).endpoint == next
     });
 }
 
@@ -180,7 +180,7 @@
     for bad in ["consul(adresses = [])", "consul(", "def f():\n    return f()\nf()"] {
         site.folder.write("edge.star", bad);
         forwarder.signal("HUP");
-        let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("log line");
+        let line = forwarder.wait_for_log("the old one stays in use", TIMEOUT).expect("log line");
         assert!(line.contains("edge.star"), "{line}");
         assert_eq!(load(&site, 5), listed);
     }
@@ -195,9 +195,9 @@
     });
     assert!((1..=sent).all(|number| site.calls(&format!("o{number}")).len() == 1), "no message is repeated");
     assert!(
-        site.platform.notifications().is_empty(),
+        site.discovery.notifications().is_empty(),
         "no message is lost: {:?}",
-        site.platform.notifications()
+        site.discovery.notifications()
     );
 }
 
@@ -208,16 +208,16 @@
 fn repeated_source_switches_under_full_load_lose_and_repeat_nothing() {
     let site = Site::new("consul-swap");
     let (listed, from_consul, forwarder) = site.start_with_both_sources();
-    let none = "# nothing\n".to_owned();
-    let some = script(site.consul.address());
-    let over = AtomicBool::new(false);
+    let empty_script = "# nothing\n".to_owned();
+    let consul_script = script(site.consul.address());
+    let stop = AtomicBool::new(false);
     let address = forwarder.address;
     let accepted: Vec<String> = std::thread::scope(|scope| {
         let client = |number: usize| {
-            let over = &over;
+            let stop = &stop;
             scope.spawn(move || {
                 let mut accepted = Vec::new();
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     let txn = format!("t{number}-{}", accepted.len());
                     assert_eq!(submit_message(address, "orders", &txn, 3), 202, "{txn}");
                     accepted.push(txn);
@@ -226,22 +226,24 @@
             })
         };
         let clients: Vec<_> = (0..4).map(client).collect();
-        for (text, source) in [&some, &none].into_iter().zip([from_consul, listed]).cycle().take(6) {
-            let before = site.partner.calls().len();
+        for (text, source) in
+            [&consul_script, &empty_script].into_iter().zip([from_consul, listed]).cycle().take(6)
+        {
+            let before = site.destination.calls().len();
             site.folder.write("edge.star", text);
             forwarder.signal("HUP");
             wait_until("calls by the new source", || {
-                let calls = site.partner.calls();
+                let calls = site.destination.calls();
                 let last = &calls[calls.len().saturating_sub(20)..];
                 calls.len() >= before + 100 && last.iter().all(|call| call.endpoint == source)
             });
         }
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
         clients.into_iter().flat_map(|client| client.join().expect("client thread finished")).collect()
     });
     let count = || {
         let mut count: BTreeMap<String, usize> = BTreeMap::new();
-        site.partner.calls().into_iter().for_each(|call| *count.entry(call.message_id).or_default() += 1);
+        site.destination.calls().into_iter().for_each(|call| *count.entry(call.message_id).or_default() += 1);
         count
     };
     wait_until("each message's call", || {
@@ -251,9 +253,9 @@
     let repeated: Vec<_> = count().into_iter().filter(|(_, calls)| *calls > 1).collect();
     assert!(accepted.len() >= 600 && repeated.is_empty(), "of {}: {repeated:?}", accepted.len());
     assert!(
-        site.platform.notifications().is_empty(),
+        site.discovery.notifications().is_empty(),
         "no message is lost: {:?}",
-        site.platform.notifications()
+        site.discovery.notifications()
     );
 }
 
@@ -267,21 +269,23 @@
             scope.spawn(move || {
                 let mut site = Site::new(&format!("consul-maintenance-{restrained}"));
                 let capacity = 400.0;
-                let above = OverloadBehavior::Queue;
-                site.partner = DestinationServer::new(CapacityModel {
+                let behavior = OverloadBehavior::Queue;
+                site.destination = DestinationServer::new(CapacityModel {
                     capacity_rps: capacity,
-                    overload_behavior: above,
+                    overload_behavior: behavior,
                     ..CapacityModel::default()
                 });
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
-                let setup =
-                    ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.platform.address()) };
-                let bold = [
+                let config =
+                    ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.discovery.address()) };
+                let unrestrained_settings = [
                     ("\"fall_multiple\":2", "\"fall_multiple\":1000000"),
                     ("\"cold_from\":0.18", "\"cold_from\":1.0"),
                 ];
-                let text =
-                    bold.iter().filter(|_| !restrained).fold(setup.text(), |t, (a, b)| t.replace(a, b));
+                let text = unrestrained_settings
+                    .iter()
+                    .filter(|_| !restrained)
+                    .fold(config.text(), |t, (a, b)| t.replace(a, b));
                 site.folder.write("config.json", &text);
                 site.register("w1");
                 let forwarder = site.start();
@@ -292,15 +296,15 @@
                 for number in 0..900 {
                     assert_eq!(forwarder.submit_message("status", &format!("m{number}"), 3), 202);
                 }
-                assert_eq!(site.partner.calls().len(), 1, "nothing is sent during maintenance");
-                site.partner.recover();
+                assert_eq!(site.destination.calls().len(), 1, "nothing is sent during maintenance");
+                site.destination.recover();
                 site.consul.set_maintenance("n1", "w1", false);
                 wait_until("a collapse or 600 served calls", || {
-                    let calls = site.partner.calls();
-                    !site.partner.collapses().is_empty()
+                    let calls = site.destination.calls();
+                    !site.destination.collapses().is_empty()
                         || calls.iter().filter(|call| call.served).count() > 600
                 });
-                assert_eq!(site.partner.collapses().is_empty(), restrained, "restrained: {restrained}");
+                assert_eq!(site.destination.collapses().is_empty(), restrained, "restrained: {restrained}");
             });
         }
     });
@@ -317,11 +321,11 @@
     let index = site.consul.set_status("n1", "w1", "critical");
     wait_until("the report", || site.consul.first_answered_at("web", index).is_some());
     site.deliver(&forwarder, "b");
-    site.partner.set_mode(Mode::Unavailable);
+    site.destination.set_mode(Mode::Unavailable);
     site.consul.set_status("n1", "w1", "passing");
     assert_eq!(forwarder.submit_message("status", "c", 3), 202);
-    wait_until("its end", || site.platform.notifications().contains_key("c"));
-    assert_eq!(site.platform.notifications()["c"], ["returned"]);
+    wait_until("its end", || site.discovery.notifications().contains_key("c"));
+    assert_eq!(site.discovery.notifications()["c"], ["returned"]);
     assert!(site.calls("c").len() <= 8);
 }
 
@@ -357,12 +361,12 @@
             "the script was ended",
         ),
     ];
-    for (text, why) in cases {
+    for (text, expected_reason) in cases {
         let output = check(&text, &["--config", &config]);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !output.status.success() && error.contains(why) && error.lines().count() == 1,
-            "{why}: {error}"
+            !output.status.success() && error.contains(expected_reason) && error.lines().count() == 1,
+            "{expected_reason}: {error}"
         );
     }
 }
@@ -375,7 +379,7 @@
     let forwarder = ForwarderProcess::start(Path::new(PROGRAM), &site.folder, &["--log", "json"]);
     site.folder.write("config.json", "{");
     forwarder.signal("HUP");
-    let line = forwarder.wait_for_log("the old one stays in use", PATIENCE).expect("log line");
+    let line = forwarder.wait_for_log("the old one stays in use", TIMEOUT).expect("log line");
     let line: serde_json::Value = serde_json::from_str(&line).expect("valid JSON");
     assert!(line["message"].as_str().is_some_and(|text| text.starts_with("configuration: ")), "{line}");
     assert!(line["timestamp"].is_string() && line["level"] == "INFO");
@@ -402,7 +406,8 @@
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
                 wait_until("the change", || {
-                    site.deliver(&forwarder, &format!("c{}", site.partner.calls().len())).endpoint == second
+                    site.deliver(&forwarder, &format!("c{}", site.destination.calls().len())).endpoint
+                        == second
                 });
             });
         }
@@ -419,11 +424,11 @@
         ("other-authority", "signed by none of the authorities in"),
     ];
     std::thread::scope(|scope| {
-        for (what, why) in cases {
+        for (what, expected_reason) in cases {
             scope.spawn(move || {
                 let site = Site::new(&format!("consul-tls-{what}"));
                 let authority = CertificateAuthority::new(site.folder.path(), "dc1");
-                let stranger = CertificateAuthority::new(site.folder.path(), "dc2");
+                let other_authority = CertificateAuthority::new(site.folder.path(), "dc2");
                 let ip = site.consul.address().ip();
                 let day = time::Duration::days(1);
                 let good = authority.sign("server.dc1.consul", ip, day);
@@ -440,18 +445,19 @@
                 let bad = match what {
                     "run-out" => authority.sign("old.dc1.consul", ip, -day),
                     "other-name" => authority.sign("other.dc1.consul", ip, day),
-                    _ => stranger.sign("server2.dc1.consul", ip, day),
+                    _ => other_authority.sign("server2.dc1.consul", ip, day),
                 };
                 site.consul.use_tls(&bad, None);
                 let forwarder = site.start();
-                let line = forwarder.wait_for_log("without a valid response", PATIENCE).expect("log line");
-                assert!(line.contains(why) && line.contains("age_s="), "{line}");
+                let line = forwarder.wait_for_log("without a valid response", TIMEOUT).expect("log line");
+                assert!(line.contains(expected_reason) && line.contains("age_s="), "{line}");
                 assert_eq!(site.deliver(&forwarder, "b").endpoint, first);
                 site.consul.use_tls(&good, None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
                 wait_until("the change", || {
-                    site.deliver(&forwarder, &format!("c{}", site.partner.calls().len())).endpoint == second
+                    site.deliver(&forwarder, &format!("c{}", site.destination.calls().len())).endpoint
+                        == second
                 });
             });
         }
@@ -468,7 +474,7 @@
         for (number, what) in changes.into_iter().enumerate() {
             scope.spawn(move || {
                 let site = Site::new(&format!("consul-kill-{number}"));
-                let out = site.register("w1");
+                let changed_endpoint = site.register("w1");
                 site.register("w2");
                 let forwarder = site.start();
                 site.deliver(&forwarder, "a");
@@ -480,9 +486,12 @@
                         site.consul.set_status("n1", "w1", "critical")
                     }
                     "maintenance" => site.consul.set_maintenance("n1", "w1", true),
-                    "moved" => {
-                        site.consul.register(Instance::new("web", "n1", "w1", site.partner.open_endpoint()))
-                    }
+                    "moved" => site.consul.register(Instance::new(
+                        "web",
+                        "n1",
+                        "w1",
+                        site.destination.open_endpoint(),
+                    )),
                     "gone" => site.consul.deregister("n1", "w1"),
                     _ => {
                         (0..50).for_each(|turn| {
@@ -502,7 +511,11 @@
                 site.consul.set_fault(ConsulFault::Down);
                 let forwarder = site.start();
                 for number in 0..20 {
-                    assert_ne!(site.deliver(&forwarder, &format!("m{number}")).endpoint, out, "{what}");
+                    assert_ne!(
+                        site.deliver(&forwarder, &format!("m{number}")).endpoint,
+                        changed_endpoint,
+                        "{what}"
+                    );
                 }
             });
         }
@@ -521,14 +534,14 @@
         let (old, new) = if after_faults { ("w2", "w3") } else { ("w1", "w2") };
         let before = site.deliver(&forwarder, &format!("c-{new}")).peer;
         if after_faults {
-            site.partner.set_mode(Mode::InternalError);
+            site.destination.set_mode(Mode::InternalError);
             (0..6).for_each(|number| {
                 assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
             });
             wait_until("failures", || {
-                site.partner.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
+                site.destination.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
             });
-            site.partner.set_mode(Mode::Serve);
+            site.destination.set_mode(Mode::Serve);
         }
         site.consul.deregister("n1", old);
         let index = site.consul.register(Instance::new("web", "n1", new, address));
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -20,9 +20,9 @@
 }
 
 fn wait_until(what: &str, done: impl Fn() -> bool) {
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     while !done() {
-        assert!(Instant::now() < until, "timed out waiting until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -30,7 +30,7 @@
 /// Two zones with one endpoint of destination 1 each, a fake discovery, and a folder with the configuration.
 struct Deployment {
     folder: TemporaryFolder,
-    platform: DiscoveryServer,
+    discovery: DiscoveryServer,
     /// For each zone a fake destination and its only endpoint.
     zones: [(DestinationServer, SocketAddr); 2],
 }
@@ -38,21 +38,21 @@
 impl Deployment {
     /// Sets up a deployment in which retries are deduplicated for as long as `window`.
     fn new(name: &str, window: Duration) -> Self {
-        let platform = DiscoveryServer::start("");
+        let discovery = DiscoveryServer::start("");
         let zones = [(); 2].map(|()| {
-            let partner = DestinationServer::new(CapacityModel::default());
-            let endpoint = partner.open_endpoint();
-            (partner, endpoint)
+            let destination = DestinationServer::new(CapacityModel::default());
+            let endpoint = destination.open_endpoint();
+            (destination, endpoint)
         });
         let folder = TemporaryFolder::new(name);
-        let deployment = Deployment { folder, platform, zones };
+        let deployment = Deployment { folder, discovery, zones };
         let targets = deployment.targets(["a", "b"]);
-        let setup = ForwarderConfig {
+        let config = ForwarderConfig {
             endpoints: targets,
             fleet_size: 2,
-            ..ForwarderConfig::new(deployment.platform.address())
+            ..ForwarderConfig::new(deployment.discovery.address())
         };
-        let mut text: Value = serde_json::from_str(&setup.text()).expect("valid JSON");
+        let mut text: Value = serde_json::from_str(&config.text()).expect("valid JSON");
         let settings = &mut text["settings"];
         let class = |name: &str, effect: &str| {
             json!({"name": name, "effect": effect, "group": "zone", "window_us": window.as_micros() as u64,
@@ -93,8 +93,8 @@
         usize::from(self.calls(0, txn).is_empty())
     }
 
-    fn set(&self, mode: Mode) {
-        self.zones.iter().for_each(|(partner, _)| partner.set_mode(mode));
+    fn set_mode(&self, mode: Mode) {
+        self.zones.iter().for_each(|(destination, _)| destination.set_mode(mode));
     }
 }
 
@@ -145,12 +145,12 @@
 #[test]
 fn retry_after_a_kill_goes_to_the_same_zone_with_the_same_key() {
     let deployment = Deployment::new("second-kill", Duration::from_secs(10));
-    deployment.set(Mode::Hang);
+    deployment.set_mode(Mode::Hang);
     let first = deployment.start();
     assert_eq!(submit(&first, "bread", "loaf", &["k-1"]), 202);
     let zone = deployment.called_zone("loaf");
     first.kill();
-    deployment.set(Mode::Serve);
+    deployment.set_mode(Mode::Serve);
     let second = deployment.start();
     wait_until("it is delivered", || deployment.calls(zone, "loaf").iter().any(|call| call.served));
     let calls = deployment.calls(zone, "loaf");
@@ -159,7 +159,7 @@
         "{calls:?}"
     );
     assert!(deployment.calls(1 - zone, "loaf").is_empty(), "the other zone does not deduplicate the retry");
-    assert!(deployment.platform.notifications().is_empty());
+    assert!(deployment.discovery.notifications().is_empty());
     second.kill();
 }
 
@@ -169,11 +169,11 @@
 fn key_survives_a_kill_before_the_first_attempt() {
     let deployment = Deployment::new("second-before", Duration::from_secs(10));
     // The connection is refused, so nothing is delivered and the message waits.
-    deployment.set(Mode::Unavailable);
+    deployment.set_mode(Mode::Unavailable);
     let first = deployment.start();
     assert_eq!(submit(&first, "bread", "loaf", &["k-2"]), 202);
     first.kill();
-    deployment.set(Mode::Serve);
+    deployment.set_mode(Mode::Serve);
     let second = deployment.start();
     let served = |zone: usize| deployment.calls(zone, "loaf").into_iter().find(|call| call.served);
     wait_until("it is delivered", || (0..2).any(|zone| served(zone).is_some()));
@@ -187,28 +187,28 @@
 // get the message again, and it fails.
 #[test]
 fn possible_delivery_fails_when_no_endpoint_deduplicates_its_retry() {
-    for (name, window, moves) in [
+    for (name, window, endpoint_moves) in [
         ("second-moved", Duration::from_secs(10), true),
         ("second-window", Duration::from_millis(1500), false),
     ] {
         let deployment = Deployment::new(name, window);
-        deployment.set(Mode::Hang);
+        deployment.set_mode(Mode::Hang);
         let first = deployment.start();
         assert_eq!(submit(&first, "bread", "loaf", &["k-3"]), 202);
         let zone = deployment.called_zone("loaf");
         let sent_at = Instant::now();
         first.kill();
-        deployment.set(Mode::Serve);
-        if moves {
+        deployment.set_mode(Mode::Serve);
+        if endpoint_moves {
             // Both endpoints are now in the zone that has not been called.
             let zone = ["b", "a"][zone];
-            let news = json!({"rev": 2, "all": true, "targets": deployment.targets([zone, zone])});
-            deployment.platform.publish(&news.to_string());
+            let update = json!({"rev": 2, "all": true, "targets": deployment.targets([zone, zone])});
+            deployment.discovery.publish(&update.to_string());
             let mut text: Value = serde_json::from_str(
                 &std::fs::read_to_string(deployment.folder.path().join("config.json")).expect("file read"),
             )
             .expect("valid JSON");
-            text["known"] = news;
+            text["known"] = update;
             deployment.folder.write("config.json", &text.to_string());
         } else {
             thread::sleep((window + Duration::from_millis(100)).saturating_sub(sent_at.elapsed()));
@@ -219,8 +219,8 @@
         wait_until("the next message is delivered", || {
             (0..2).any(|zone| deployment.calls(zone, "next").iter().any(|call| call.served))
         });
-        wait_until("the message has failed", || deployment.platform.notifications().contains_key("loaf"));
-        assert_eq!(deployment.platform.notifications()["loaf"], ["failed"], "{name}");
+        wait_until("the message has failed", || deployment.discovery.notifications().contains_key("loaf"));
+        assert_eq!(deployment.discovery.notifications()["loaf"], ["failed"], "{name}");
         let calls: usize = (0..2).map(|zone| deployment.calls(zone, "loaf").len()).sum();
         assert_eq!(calls, 1, "{name}: the message is sent only once");
         second.kill();
@@ -235,10 +235,10 @@
     let deployment = Deployment::new("second-upgrade", Duration::from_secs(15));
     let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let (predecessor, _) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
-    deployment.set(Mode::Hang);
+    deployment.set_mode(Mode::Hang);
     assert_eq!(submit(&predecessor, "bread", "out", &["k-out"]), 202);
     let zone = deployment.called_zone("out");
-    deployment.set(Mode::Unavailable);
+    deployment.set_mode(Mode::Unavailable);
     assert_eq!(submit(&predecessor, "bread", "waiting", &["k-waiting"]), 202);
     deployment.called_zone("waiting");
     let (successor, console) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
@@ -250,7 +250,7 @@
         successor.wait_for_log("took over another process's messages", TIMEOUT).is_some(),
         "the waiting message is handed over"
     );
-    deployment.set(Mode::Serve);
+    deployment.set_mode(Mode::Serve);
     let served = |zone: usize, txn: &str| deployment.calls(zone, txn).iter().any(|call| call.served);
     wait_until("the waiting message is delivered", || (0..2).any(|zone| served(zone, "waiting")));
     wait_until("the message in flight is delivered", || served(zone, "out"));
@@ -260,7 +260,7 @@
         assert!(calls.all(|call| call.idempotency_key == Some(format!("k-{txn}"))), "{txn}");
     }
     assert!(predecessor.wait().success());
-    assert!(deployment.platform.notifications().is_empty());
+    assert!(deployment.discovery.notifications().is_empty());
     successor.kill();
 }
 
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -18,17 +18,17 @@
 }
 
 /// Returns a folder with a configuration that has one endpoint, of destination 2.
-fn folder(
+fn folder_with_config(
     name: &str,
-    platform: &DiscoveryServer,
-    hop: SocketAddr,
+    discovery: &DiscoveryServer,
+    endpoint: SocketAddr,
     change: impl Fn(&mut ForwarderConfig),
 ) -> TemporaryFolder {
     let folder = TemporaryFolder::new(name);
-    let mut setup = ForwarderConfig::new(platform.address());
-    setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
-    change(&mut setup);
-    folder.write("config.json", &setup.text());
+    let mut config = ForwarderConfig::new(discovery.address());
+    config.endpoints = vec![endpoint_entry("s-1", endpoint, 2)];
+    change(&mut config);
+    folder.write("config.json", &config.text());
     folder
 }
 
@@ -70,22 +70,22 @@
 /// Waits until each of these messages has its final answer, by a served call or a notification. Returns the number of
 /// calls of each.
 fn wait_for_final_answers(
-    partner: &DestinationServer,
-    platform: &DiscoveryServer,
+    destination: &DestinationServer,
+    discovery: &DiscoveryServer,
     txns: &[String],
 ) -> BTreeMap<String, usize> {
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let calls = partner.calls();
-        let notices = platform.notifications();
+        let calls = destination.calls();
+        let notifications = discovery.notifications();
         let served = |txn: &String| calls.iter().any(|call| call.message_id == *txn && call.served);
-        if txns.iter().all(|txn| served(txn) || notices.contains_key(txn)) {
+        if txns.iter().all(|txn| served(txn) || notifications.contains_key(txn)) {
             let count = |txn: &String| calls.iter().filter(|call| call.message_id == *txn).count();
             return txns.iter().map(|txn| (txn.clone(), count(txn))).collect();
         }
         assert!(
-            Instant::now() < until,
-            "not all messages have a final answer: {} calls, notifications {notices:?}",
+            Instant::now() < deadline,
+            "not all messages have a final answer: {} calls, notifications {notifications:?}",
             calls.len()
         );
         std::thread::sleep(Duration::from_millis(20));
@@ -127,12 +127,12 @@
 // SIGTERM changes nothing.
 #[test]
 fn requests_around_a_shutdown_are_answered_or_never_accepted() {
-    let partner = DestinationServer::new(CapacityModel {
+    let destination = DestinationServer::new(CapacityModel {
         service_time: Duration::from_millis(150),
         ..CapacityModel::default()
     });
-    let platform = DiscoveryServer::start("");
-    let folder = folder("around-stop", &platform, partner.open_endpoint(), |_| {});
+    let discovery = DiscoveryServer::start("");
+    let folder = folder_with_config("around-stop", &discovery, destination.open_endpoint(), |_| {});
     let forwarder = ForwarderProcess::start(program(), &folder, &[]);
     let address = forwarder.address;
     let text = request("orders", "halved");
@@ -160,9 +160,9 @@
     assert!(terminated_at.elapsed() < Duration::from_millis(3_700), "{:?}", terminated_at.elapsed());
     assert!(accepted.len() > 20, "{accepted:?}");
     let next = ForwarderProcess::start(program(), &folder, &[]);
-    let calls = wait_for_final_answers(&partner, &platform, &accepted);
+    let calls = wait_for_final_answers(&destination, &discovery, &accepted);
     assert!(calls.values().all(|count| *count <= 1), "an order was sent more than once: {calls:?}");
-    let all = partner.calls();
+    let all = destination.calls();
     assert!(
         unanswered.iter().all(|txn| !all.iter().any(|call| call.message_id == *txn)),
         "{unanswered:?} were accepted without an answer"
@@ -175,11 +175,11 @@
 // within 10 s while discovery is down, and attempt each message.
 #[test]
 fn start_with_a_full_journal_and_discovery_down_attempts_every_message() {
-    let partner = DestinationServer::new(CapacityModel::default());
-    let platform = DiscoveryServer::start("");
-    let hop = partner.open_endpoint();
-    partner.set_mode(Mode::Hang);
-    let folder = folder("full-start", &platform, hop, |setup| setup.max_in_flight = 4);
+    let destination = DestinationServer::new(CapacityModel::default());
+    let discovery = DiscoveryServer::start("");
+    let endpoint = destination.open_endpoint();
+    destination.set_mode(Mode::Hang);
+    let folder = folder_with_config("full-start", &discovery, endpoint, |config| config.max_in_flight = 4);
     let first = ForwarderProcess::start(program(), &folder, &[]);
     let accepted: Vec<String> = (0..400).map(|number| format!("m{number}")).collect();
     let mut stream = connect(first.address);
@@ -188,34 +188,34 @@
         assert_eq!(read_status(&mut stream), Some(202));
     }
     first.kill();
-    let attempted = partner.calls().len();
+    let attempted = destination.calls().len();
     assert!(attempted < 10, "{attempted} messages were attempted");
-    partner.set_mode(Mode::Serve);
+    destination.set_mode(Mode::Serve);
     // The listener is closed, so nothing answers at this address.
-    let dead = {
+    let closed_address = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listener bound");
         listener.local_addr().expect("address of the listener")
     };
-    let mut setup = ForwarderConfig::new(dead);
-    setup.max_in_flight = 4;
-    setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
-    folder.write("config.json", &setup.text());
+    let mut config = ForwarderConfig::new(closed_address);
+    config.max_in_flight = 4;
+    config.endpoints = vec![endpoint_entry("s-1", endpoint, 2)];
+    folder.write("config.json", &config.text());
     let started_at = Instant::now();
     let second = ForwarderProcess::start(program(), &folder, &[]);
     let mut ready = connect(second.address);
     ready.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("bytes sent");
     assert_eq!(read_status(&mut ready), Some(200));
     assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let calls = partner.calls();
+        let calls = destination.calls();
         let served: std::collections::BTreeSet<_> =
             calls.iter().filter(|call| call.served).map(|call| call.message_id.clone()).collect();
         // The few attempts before the kill got no answer. The other messages had no attempt.
         if served.len() + 10 >= accepted.len() {
             break;
         }
-        assert!(Instant::now() < until, "{} of {} messages were delivered", served.len(), accepted.len());
+        assert!(Instant::now() < deadline, "{} of {} messages were delivered", served.len(), accepted.len());
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -224,10 +224,10 @@
 // journal that the next start cannot read.
 #[test]
 fn shutdown_or_kill_at_any_instant_of_a_start_loses_no_message() {
-    let partner = DestinationServer::new(CapacityModel::default());
-    let platform = DiscoveryServer::start("");
-    partner.set_mode(Mode::Unavailable);
-    let folder = folder("start-stop", &platform, partner.open_endpoint(), |_| {});
+    let destination = DestinationServer::new(CapacityModel::default());
+    let discovery = DiscoveryServer::start("");
+    destination.set_mode(Mode::Unavailable);
+    let folder = folder_with_config("start-stop", &discovery, destination.open_endpoint(), |_| {});
     let first = ForwarderProcess::start(program(), &folder, &[]);
     let accepted: Vec<String> = (0..40).map(|number| format!("m{number}")).collect();
     for txn in &accepted {
@@ -252,9 +252,9 @@
         }
         child.wait().expect("process exited");
     }
-    partner.set_mode(Mode::Serve);
+    destination.set_mode(Mode::Serve);
     let last = ForwarderProcess::start(program(), &folder, &[]);
-    let calls = wait_for_final_answers(&partner, &platform, &accepted);
+    let calls = wait_for_final_answers(&destination, &discovery, &accepted);
     assert_eq!(calls.len(), accepted.len());
     drop(last);
 }
@@ -263,13 +263,13 @@
 // or for a new client. The process may have 64 descriptors open.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_new_clients() {
-    let partner = DestinationServer::new(CapacityModel::default());
-    let platform = DiscoveryServer::start("");
+    let destination = DestinationServer::new(CapacityModel::default());
+    let discovery = DiscoveryServer::start("");
     let other = DiscoveryServer::start("");
-    let hop = partner.open_endpoint();
-    let folder = folder("idle", &platform, hop, |setup| {
-        setup.sockets = 64;
-        setup.max_in_flight = 6;
+    let endpoint = destination.open_endpoint();
+    let folder = folder_with_config("idle", &discovery, endpoint, |config| {
+        config.sockets = 64;
+        config.max_in_flight = 6;
     });
     let limited =
         folder.write("limited", &format!("#!/bin/sh\nulimit -n 64\nexec {} \"$@\"\n", program().display()));
@@ -277,19 +277,19 @@
     assert!(std::process::Command::new("sh").args(["-c", &chmod]).status().expect("shell ran").success());
     let forwarder = ForwarderProcess::start(&limited, &folder, &[]);
     let idle: Vec<_> = (0..120).map(|_| connect(forwarder.address)).collect();
-    let mut setup = ForwarderConfig::new(other.address());
-    setup.sockets = 64;
-    setup.max_in_flight = 6;
-    setup.endpoints = vec![endpoint_entry("s-1", hop, 2)];
-    folder.write("config.json", &setup.text());
+    let mut config = ForwarderConfig::new(other.address());
+    config.sockets = 64;
+    config.max_in_flight = 6;
+    config.endpoints = vec![endpoint_entry("s-1", endpoint, 2)];
+    folder.write("config.json", &config.text());
     forwarder.signal("HUP");
-    let until = Instant::now() + Duration::from_secs(6);
+    let deadline = Instant::now() + Duration::from_secs(6);
     while other.watch_count() == 0 {
-        assert!(Instant::now() < until, "discovery is not watched");
+        assert!(Instant::now() < deadline, "discovery is not watched");
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(forwarder.submit_message("status", "asks", 2), 202);
-    wait_for_final_answers(&partner, &platform, &["asks".to_owned()]);
+    wait_for_final_answers(&destination, &discovery, &["asks".to_owned()]);
     let lines: Vec<String> =
         forwarder.log.try_iter().filter(|line| line.contains("cannot accept a connection")).collect();
     assert!(lines.is_empty(), "{lines:?}");
--- a/tests/help.rs
+++ b/tests/help.rs
@@ -9,9 +9,9 @@
 use std::process::{Command, Output};
 
 /// Runs the program with an empty environment.
-fn run(folder: Option<&PathBuf>, words: &[&str]) -> Output {
+fn run(folder: Option<&PathBuf>, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_orchidyoke"));
-    command.env_clear().args(words);
+    command.env_clear().args(arguments);
     if let Some(folder) = folder {
         command.current_dir(folder);
     }
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn the_help_of_each_command_stays_the_same() {
-    for words in [
+fn help_of_each_command_stays_the_same() {
+    for arguments in [
         &[][..],
         &["serve"],
         &["check"],
@@ -37,24 +37,24 @@
         &["version"],
         &["evaluate-settings"],
     ] {
-        let output = run(None, &[words, &["--help"]].concat());
-        assert!(output.status.success() && output.stderr.is_empty(), "{words:?}");
-        let name = [&["help"][..], words].concat().join("-");
+        let output = run(None, &[arguments, &["--help"]].concat());
+        assert!(output.status.success() && output.stderr.is_empty(), "{arguments:?}");
+        let name = [&["help"][..], arguments].concat().join("-");
         assert_golden(&format!("{name}.txt"), &text(output.stdout));
     }
 }
 
 #[test]
-fn the_short_help_stays_the_same() {
-    let mut said = String::new();
-    for words in [&["-h"][..], &["serve", "-h"], &["supervise", "-h"]] {
-        said += &text(run(None, words).stdout);
+fn short_help_stays_the_same() {
+    let mut transcript = String::new();
+    for arguments in [&["-h"][..], &["serve", "-h"], &["supervise", "-h"]] {
+        transcript += &text(run(None, arguments).stdout);
     }
-    assert_golden("short_help.txt", &said);
+    assert_golden("short_help.txt", &transcript);
 }
 
 #[test]
-fn the_version_is_said_as_before() {
+fn version_output_stays_the_same() {
     let output = run(None, &["version"]);
     assert_eq!(text(output.stdout), concat!("orchidyoke ", env!("CARGO_PKG_VERSION"), "\n"));
 }
@@ -91,10 +91,10 @@
 }
 
 #[test]
-fn what_check_prints_of_a_bad_configuration_stays_the_same() {
+fn check_output_for_an_invalid_configuration_stays_the_same() {
     let folder = Folder::new("config");
-    let mut said = String::new();
-    for (part, instead) in [
+    let mut transcript = String::new();
+    for (part, replacement) in [
         ("{\n  \"name\"", "{\n  name"),
         ("\"settings\"", "\"setings\""),
         ("\"known\"", "\"unknown\""),
@@ -119,33 +119,34 @@
         ("\"classes\"", "\"kinds\""),
     ] {
         assert!(CONFIG.contains(part), "{part}");
-        std::fs::write(folder.0.join("config.json"), CONFIG.replace(part, instead)).expect("file written");
+        std::fs::write(folder.0.join("config.json"), CONFIG.replace(part, replacement))
+            .expect("file written");
         let output = run(Some(&folder.0), &["check", "--config", "config.json"]);
-        assert!(!output.status.success() && output.stdout.is_empty(), "{part}: {instead}");
-        said += &format!("{part:?} -> {instead:?}\n{}", text(output.stderr));
+        assert!(!output.status.success() && output.stdout.is_empty(), "{part}: {replacement}");
+        transcript += &format!("{part:?} -> {replacement:?}\n{}", text(output.stderr));
     }
-    assert_golden("check_bad_configurations.txt", &said);
+    assert_golden("check_bad_configurations.txt", &transcript);
 }
 
 #[test]
-fn what_check_prints_without_a_file_stays_the_same() {
+fn check_output_without_a_file_stays_the_same() {
     let folder = Folder::new("none");
-    let mut said = String::new();
-    for words in [
+    let mut transcript = String::new();
+    for arguments in [
         &["check"][..],
         &["check", "--config", "none.json"],
         &["check", "--settings", "none.star"],
         &["check", "--console", "here", "--config", "none.json"],
     ] {
-        let output = run(Some(&folder.0), words);
-        assert!(!output.status.success() && output.stdout.is_empty(), "{words:?}");
-        said += &format!("{words:?}\n{}", text(output.stderr));
+        let output = run(Some(&folder.0), arguments);
+        assert!(!output.status.success() && output.stdout.is_empty(), "{arguments:?}");
+        transcript += &format!("{arguments:?}\n{}", text(output.stderr));
     }
-    assert_golden("check_nothing.txt", &said);
+    assert_golden("check_nothing.txt", &transcript);
 }
 
 #[test]
-fn what_check_prints_of_bad_settings_stays_the_same() {
+fn check_output_for_invalid_settings_stays_the_same() {
     let folder = Folder::new("settings");
     std::fs::write(folder.0.join("config.json"), CONFIG).expect("file written");
     let consul = |more: &str| {
@@ -154,7 +155,7 @@
              destination = 7, {more})])\n"
         )
     };
-    let mut said = String::new();
+    let mut transcript = String::new();
     for script in [
         "x = \n".to_owned(),
         "konsul()\n".to_owned(),
@@ -166,10 +167,10 @@
         consul("kind = \"shops\", zone = \"b\""),
     ] {
         std::fs::write(folder.0.join("edge.star"), &script).expect("file written");
-        let words = ["check", "--config", "config.json", "--settings", "edge.star"];
-        let output = run(Some(&folder.0), &words);
+        let arguments = ["check", "--config", "config.json", "--settings", "edge.star"];
+        let output = run(Some(&folder.0), &arguments);
         assert!(!output.status.success(), "{script}");
-        said += &format!("{script}{}", text(output.stderr));
+        transcript += &format!("{script}{}", text(output.stderr));
     }
-    assert_golden("check_bad_settings.txt", &said);
+    assert_golden("check_bad_settings.txt", &transcript);
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -19,14 +19,14 @@
 
 fn fleet(name: &str) -> Fleet {
     let fleet = Fleet::with_policy_commit(program(), &format!("policy-{name}"), FLEET, ClientLoad::default());
-    wait("all forwarders are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
+    wait_until("all forwarders are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     fleet
 }
 
-fn wait(what: &str, done: impl Fn() -> bool) {
-    let until = Instant::now() + TIMEOUT;
+fn wait_until(what: &str, done: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !done() {
-        assert!(Instant::now() < until, "timed out waiting until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -44,7 +44,7 @@
 }
 
 /// Returns a policy that has no effect on messages. Different values of `idle_close_us` give different policies.
-fn harmless(idle_close_us: u64) -> String {
+fn harmless_policy(idle_close_us: u64) -> String {
     json!({"settings": {"limits": {"idle_close_us": idle_close_us}}}).to_string()
 }
 
@@ -79,9 +79,9 @@
 }
 
 /// Waits until a policy is proposed and all forwarders but this one have voted for it.
-fn await_all_votes_but(fleet: &Fleet, number: usize) {
+fn wait_for_all_votes_except(fleet: &Fleet, number: usize) {
     let voted = |status: &str| status.lines().filter(|line| line.ends_with("votes yes")).count();
-    wait("all forwarders but one have voted", || {
+    wait_until("all forwarders but one have voted", || {
         let status = status(fleet);
         status.contains(&format!("f{number}.")) && voted(&status) == FLEET - 1
     });
@@ -103,7 +103,7 @@
     assert_eq!(fleet.destination.calls().len(), before, "the only endpoint is excluded");
     let (success, output) = propose(&fleet, "{}", "op");
     assert!(success && output.contains("epoch 2 committed"), "{output}");
-    wait("calls are made again", || fleet.destination.calls().len() > before + 20);
+    wait_until("calls are made again", || fleet.destination.calls().len() > before + 20);
     assert_eq!(versions(&fleet), [Some(2); FLEET]);
     let status = status(&fleet);
     assert!(
@@ -119,11 +119,11 @@
     let mut fleet = fleet("down");
     fleet.kill_standalone(4);
     // The killed forwarder counts as a participant until its session has expired.
-    let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
+    let (success, output) = propose(&fleet, &harmless_policy(8_000_000), "op");
     assert!(success, "{output}");
     fleet.restart(4);
     // Whenever the forwarder reports ready, the committed policy must be in force.
-    wait("the forwarder is ready", || {
+    wait_until("the forwarder is ready", || {
         let ready = is_ready(&fleet, 4);
         assert!(!ready || version(&fleet, 4) == Some(1), "ready with the old policy");
         ready
@@ -137,28 +137,28 @@
 #[test]
 fn disconnected_forwarder_serves_on_reports_it_and_catches_up() {
     let fleet = fleet("cut");
-    let cut = Instant::now();
+    let disconnected_at = Instant::now();
     fleet.consul_link(2).set_fault(NetworkFault::Partition);
-    wait("the forwarder reports that it is disconnected", || {
+    wait_until("the forwarder reports that it is disconnected", || {
         fleet
             .console_command(2, "ready")
             .is_some_and(|reply| reply.starts_with("400 cut off from the commit point"))
     });
     assert!(
-        cut.elapsed() < MEMBER_TTL,
+        disconnected_at.elapsed() < MEMBER_TTL,
         "reported only after the others may commit without it: {:?}",
-        cut.elapsed()
+        disconnected_at.elapsed()
     );
     assert_eq!(fleet.metric(2, "app_policy_contact"), Some(0));
-    let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
+    let (success, output) = propose(&fleet, &harmless_policy(8_000_000), "op");
     assert!(success, "{output}");
     assert_eq!(versions(&fleet), [Some(1), Some(1), Some(0), Some(1), Some(1)]);
     let served =
         |number| fleet.metric(number, "app_success{type=\"status\"}").expect("metric of the forwarder");
     let before = served(2);
-    wait("the disconnected forwarder continues to serve", || served(2) > before + 20);
+    wait_until("the disconnected forwarder continues to serve", || served(2) > before + 20);
     fleet.consul_link(2).set_fault(NetworkFault::None);
-    wait("the forwarder is ready", || {
+    wait_until("the forwarder is ready", || {
         let ready = is_ready(&fleet, 2);
         assert!(!ready || version(&fleet, 2) == Some(1), "ready with the old policy");
         ready
@@ -172,16 +172,16 @@
     let fleet = fleet("killed");
     // One forwarder cannot vote, and counts as a participant until its session has expired. The coordinator is killed
     // before that, while it waits for the vote.
-    let mut tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "first");
-    tool.kill().expect("process killed");
-    tool.wait().expect("process exited");
+    let mut process = start_blocked_proposal(&fleet, &harmless_policy(7_000_000), "first");
+    process.kill().expect("process killed");
+    process.wait().expect("process exited");
     fleet.consul_link(3).set_fault(NetworkFault::None);
     // The proposal is deleted with its coordinator's session.
-    wait("the proposal is deleted", || !status(&fleet).contains("proposed:"));
+    wait_until("the proposal is deleted", || !status(&fleet).contains("proposed:"));
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
-    let (success, output) = propose(&fleet, &harmless(8_000_000), "second");
+    let (success, output) = propose(&fleet, &harmless_policy(8_000_000), "second");
     assert!(success && output.contains("epoch 1 committed"), "{output}");
-    wait("the policy is in force on all forwarders", || versions(&fleet) == [Some(1); FLEET]);
+    wait_until("the policy is in force on all forwarders", || versions(&fleet) == [Some(1); FLEET]);
     fleet.stop_and_verify(false);
 }
 
@@ -189,22 +189,22 @@
 /// that one.
 fn start_blocked_proposal(fleet: &Fleet, policy: &str, by: &str) -> Child {
     fleet.consul_link(3).set_fault(NetworkFault::Partition);
-    let tool = start_proposing(fleet, policy, by);
-    await_all_votes_but(fleet, 3);
-    tool
+    let process = start_proposing(fleet, policy, by);
+    wait_for_all_votes_except(fleet, 3);
+    process
 }
 
 // Guards against a withdrawn proposal that is committed.
 #[test]
 fn withdrawn_proposal_is_committed_nowhere() {
     let fleet = fleet("abort");
-    let tool = start_blocked_proposal(&fleet, &harmless(7_000_000), "op");
+    let process = start_blocked_proposal(&fleet, &harmless_policy(7_000_000), "op");
     let (success, output) = finish(command(&fleet, "abort").spawn().expect("command started"));
     assert!(success && output.contains("the proposal of epoch 1 by op is withdrawn"), "{output}");
     fleet.consul_link(3).set_fault(NetworkFault::None);
-    let (success, output) = finish(tool);
+    let (success, output) = finish(process);
     assert!(!success && output.contains("withdrawn"), "{output}");
-    wait("all forwarders are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
+    wait_until("all forwarders are ready", || (0..FLEET).all(|number| is_ready(&fleet, number)));
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
     fleet.stop_and_verify(false);
 }
@@ -213,10 +213,10 @@
 #[test]
 fn policy_rejected_by_one_forwarder_is_applied_by_none() {
     let fleet = fleet("rejects");
-    let mut own = fleet.config(1);
-    own["settings"]["family_info"].as_object_mut().expect("JSON object").remove("slots");
-    fleet.folder(1).write("config.json", &own.to_string());
-    let (success, output) = propose(&fleet, &harmless(8_000_000), "op");
+    let mut config = fleet.config(1);
+    config["settings"]["family_info"].as_object_mut().expect("JSON object").remove("slots");
+    fleet.folder(1).write("config.json", &config.to_string());
+    let (success, output) = propose(&fleet, &harmless_policy(8_000_000), "op");
     assert!(!success && output.contains("refused by f1.") && output.contains("slots"), "{output}");
     assert_eq!(versions(&fleet), [Some(0); FLEET]);
     assert!(
@@ -232,16 +232,16 @@
     let fleet = fleet("race");
     // Votes take a while, so that the second coordinator finds an open proposal.
     fleet.consul_link(0).set_fault(NetworkFault::Delay(Duration::from_millis(150)));
-    let tools: Vec<_> =
-        (0..4).map(|n| start_proposing(&fleet, &harmless(7_000_000 + n), &format!("op{n}"))).collect();
-    let results: Vec<_> = tools.into_iter().map(finish).collect();
+    let processes: Vec<_> =
+        (0..4).map(|n| start_proposing(&fleet, &harmless_policy(7_000_000 + n), &format!("op{n}"))).collect();
+    let results: Vec<_> = processes.into_iter().map(finish).collect();
     let committed = results.iter().filter(|(success, _)| *success).count();
     assert!(
         committed >= 1 && results.iter().any(|(_, output)| output.contains("proposes epoch")),
         "{results:?}"
     );
     // Each committed policy has its own version, and all forwarders end at the last one.
-    wait("all forwarders have the last version", || versions(&fleet) == [Some(committed as u64); FLEET]);
+    wait_until("all reach the last version", || versions(&fleet) == [Some(committed as u64); FLEET]);
     let status = status(&fleet);
     assert!(
         status.contains(&format!("committed: epoch {committed}")) && !status.contains("proposed:"),
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -69,7 +69,7 @@
 }
 
 /// Starts a fake discovery with a watch that sends no events. It accepts notifications.
-fn platform() -> (SocketAddr, Receiver<String>) {
+fn fake_discovery() -> (SocketAddr, Receiver<String>) {
     scripted_server(|line| match line {
         _ if line.starts_with("POST /v1/outcomes") => Some("HTTP/1.1 204 No Content\r\n\r\n"),
         _ => Some("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n"),
@@ -138,12 +138,12 @@
 }
 
 /// Returns a new folder with a configuration in which destination 2 has one endpoint.
-fn folder(name: &str, endpoint: SocketAddr, platform: SocketAddr) -> PathBuf {
+fn folder_with_config(name: &str, endpoint: SocketAddr, discovery: SocketAddr) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("folder created");
     let mut targets = common::targets();
     targets[2].address = endpoint;
-    let text = common::config("127.0.0.1:0", &platform.to_string(), targets);
+    let text = common::config("127.0.0.1:0", &discovery.to_string(), targets);
     std::fs::write(folder.join("config.json"), text).expect("file written");
     folder
 }
@@ -162,26 +162,28 @@
 // both in flight. The order ends with a notification, and the status message is retried unchanged.
 #[test]
 fn killed_process_recovers_all_messages_and_repeats_no_order() {
-    let up = Arc::new(AtomicBool::new(false));
-    let seen_up = up.clone();
+    let is_available = Arc::new(AtomicBool::new(false));
+    let is_available_to_server = is_available.clone();
     let (endpoint, calls) = scripted_server(move |_| {
-        seen_up.load(Ordering::SeqCst).then_some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        is_available_to_server
+            .load(Ordering::SeqCst)
+            .then_some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     });
-    let (platform, notifications) = platform();
-    let folder = folder("kill", endpoint, platform);
+    let (discovery, notifications) = fake_discovery();
+    let folder = folder_with_config("kill", endpoint, discovery);
     let first = Forwarder::start(&folder);
     assert_eq!(first.submit("orders", "order-1"), 202);
     wait_for(&calls, "order-1");
     assert_eq!(first.submit("status", "status-1"), 202);
     first.kill();
-    up.store(true, Ordering::SeqCst);
+    is_available.store(true, Ordering::SeqCst);
     let second = Forwarder::start(&folder);
     assert!(wait_for(&notifications, "order-1").contains(r#"{"id":"order-1","state":"failed"}"#));
-    let again = wait_for(&calls, "status-1");
-    assert!(again.ends_with("\n\nbody of status-1"), "{again}");
+    let retried_call = wait_for(&calls, "status-1");
+    assert!(retried_call.ends_with("\n\nbody of status-1"), "{retried_call}");
     assert_eq!(second.submit("orders", "order-2"), 202);
-    let then = wait_for(&calls, "order-");
-    assert!(then.contains("order-2"), "the first order is not sent again: {then}");
+    let next_call = wait_for(&calls, "order-");
+    assert!(next_call.contains("order-2"), "the first order is not sent again: {next_call}");
     second.kill();
     std::fs::remove_dir_all(&folder).expect("folder removed");
 }
@@ -190,8 +192,8 @@
 #[test]
 fn repeated_id_is_one_message_across_a_restart() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notifications) = platform();
-    let folder = folder("twice", endpoint, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("twice", endpoint, discovery);
     let first = Forwarder::start(&folder);
     assert_eq!((first.submit("orders", "a"), first.submit("orders", "a")), (202, 202));
     wait_for(&calls, "x-txn: a");
@@ -207,8 +209,8 @@
 #[test]
 fn sigterm_shuts_down_gracefully() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notifications) = platform();
-    let folder = folder("stop", endpoint, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("stop", endpoint, discovery);
     let mut forwarder = Forwarder::start(&folder);
     assert_eq!(forwarder.request("GET /healthz HTTP/1.1", "").0, 200);
     forwarder.signal("TERM");
@@ -224,8 +226,8 @@
 // allowed here are for clients.
 #[test]
 fn idle_connections_make_room_for_new_ones() {
-    let (platform, _notifications) = platform();
-    let folder = folder("crowd", platform, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("crowd", discovery, discovery);
     let path = folder.join("config.json");
     let text =
         std::fs::read_to_string(&path).expect("file read").replace("\"sockets\":1024", "\"sockets\":64");
@@ -241,8 +243,8 @@
 // Guards against a panic, or a connection that is closed without an answer, after an invalid request.
 #[test]
 fn invalid_requests_get_their_status() {
-    let (platform, _notifications) = platform();
-    let folder = folder("bad", platform, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("bad", discovery, discovery);
     let forwarder = Forwarder::start(&folder);
     let head = |class: &str, dest: &str| {
         format!(
@@ -269,8 +271,8 @@
 // fault.
 #[test]
 fn invalid_configuration_is_named_in_one_line() {
-    let (platform, _notifications) = platform();
-    let folder = folder("config", platform, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("config", discovery, discovery);
     let path = folder.join("config.json");
     let good = std::fs::read_to_string(&path).expect("file read");
     let run = |command: &str, text: Option<&str>| -> Output {
@@ -312,9 +314,9 @@
 fn sighup_applies_a_valid_configuration_and_ignores_an_invalid_one() {
     let (endpoint, _calls) =
         scripted_server(|_| Some("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"));
-    let (old, old_requests) = platform();
-    let (new, new_requests) = platform();
-    let folder = folder("reload", endpoint, old);
+    let (old, old_requests) = fake_discovery();
+    let (new, new_requests) = fake_discovery();
+    let folder = folder_with_config("reload", endpoint, old);
     let path = folder.join("config.json");
     let good = std::fs::read_to_string(&path).expect("file read");
     let mut forwarder = Forwarder::start_with(&folder, &["--discovery", &old.to_string()]);
@@ -338,7 +340,7 @@
 
 /// Sends a text on a new connection, then `filler_bytes` more at full speed. Returns everything received until the
 /// connection is closed.
-fn malformed_client(address: SocketAddr, text: &str, filler_bytes: usize) -> String {
+fn send_malformed_request(address: SocketAddr, text: &str, filler_bytes: usize) -> String {
     let mut stream = TcpStream::connect(address).expect("connected");
     stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
     stream.write_all(text.as_bytes()).expect("bytes sent");
@@ -347,17 +349,17 @@
         let chunk = [b'a'; 60_000];
         (0..filler_bytes / chunk.len()).all(|_| sending.write_all(&chunk).is_ok())
     });
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     let mut chunk = [0; 1024];
     while let Ok(count @ 1..) = stream.read(&mut chunk) {
-        heard.extend_from_slice(&chunk[..count]);
+        received.extend_from_slice(&chunk[..count]);
     }
     let sent = sender.join().expect("sending thread finished");
     assert!(
         sent || filler_bytes != 60_000_000,
         "the client can send to the end, so that no reset overtakes its answer"
     );
-    String::from_utf8_lossy(&heard).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 // Guards against malformed requests that hold a connection for ever, get no answer, or smuggle a request that only one
@@ -366,8 +368,8 @@
 #[test]
 fn malformed_requests_are_rejected_and_closed() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notifications) = platform();
-    let folder = folder("rude", endpoint, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("rude", endpoint, discovery);
     let forwarder = Forwarder::start(&folder);
     let head =
         "POST /status HTTP/1.1\r\nX-Txn: bad\r\nX-Org: acme\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n";
@@ -396,9 +398,9 @@
         for (text, filler_bytes, status) in &cases {
             let address = forwarder.address;
             scope.spawn(move || {
-                let heard = malformed_client(address, text, *filler_bytes);
-                assert_eq!(heard.split(' ').nth(1).unwrap_or_default(), *status, "{text}: {heard}");
-                assert!(heard.matches("HTTP/1.1 202").count() == 0, "{text}: {heard}");
+                let received = send_malformed_request(address, text, *filler_bytes);
+                assert_eq!(received.split(' ').nth(1).unwrap_or_default(), *status, "{text}: {received}");
+                assert!(received.matches("HTTP/1.1 202").count() == 0, "{text}: {received}");
             });
         }
     });
@@ -482,8 +484,8 @@
         thread::sleep(Duration::from_millis(3));
         Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     });
-    let (platform, notifications) = platform();
-    let folder = folder("upgrade", endpoint, platform);
+    let (discovery, notifications) = fake_discovery();
+    let folder = folder_with_config("upgrade", endpoint, discovery);
     std::fs::create_dir_all(folder.join("state")).expect("folder created");
     let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let (mut predecessor, mut console) = start_beside(&folder, &listener);
@@ -562,12 +564,12 @@
 }
 
 /// Sends a request on a new connection, split at these bytes, and returns the answer.
-fn send_in_pieces(address: SocketAddr, text: &str, cuts: &[usize]) -> String {
+fn send_in_pieces(address: SocketAddr, text: &str, split_offsets: &[usize]) -> String {
     let mut stream = TcpStream::connect(address).expect("connected");
     stream.set_nodelay(true).expect("TCP_NODELAY set");
     stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout set");
     let mut from = 0;
-    for to in cuts.iter().copied().chain([text.len()]) {
+    for to in split_offsets.iter().copied().chain([text.len()]) {
         stream.write_all(&text.as_bytes()[from..to]).expect("bytes sent");
         // The pause makes the pieces arrive separately. No result depends on it.
         thread::sleep(Duration::from_millis(1));
@@ -584,8 +586,8 @@
 #[test]
 fn request_split_at_any_byte_is_accepted() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-    let (platform, _notifications) = platform();
-    let folder = folder("pieces", endpoint, platform);
+    let (discovery, _notifications) = fake_discovery();
+    let folder = folder_with_config("pieces", endpoint, discovery);
     let forwarder = Forwarder::start(&folder);
     let request = |number: usize| {
         format!(
@@ -594,28 +596,29 @@
         )
     };
     let length = request(0).len();
-    let single = (1..length).map(|cut| vec![cut]);
-    let pairs =
-        (1..length).step_by(7).flat_map(|cut| (cut + 1..length).step_by(31).map(move |to| vec![cut, to]));
+    let single = (1..length).map(|offset| vec![offset]);
+    let pairs = (1..length)
+        .step_by(7)
+        .flat_map(|offset| (offset + 1..length).step_by(31).map(move |to| vec![offset, to]));
     let all: Vec<Vec<usize>> = single.chain(pairs).collect();
-    let silent: Vec<TcpStream> = (1..60)
-        .map(|cut| {
+    let stalled: Vec<TcpStream> = (1..60)
+        .map(|offset| {
             let mut stream = TcpStream::connect(forwarder.address).expect("connected");
-            stream.write_all(&request(9999).as_bytes()[..cut]).expect("bytes sent");
+            stream.write_all(&request(9999).as_bytes()[..offset]).expect("bytes sent");
             stream
         })
         .collect();
     let address = forwarder.address;
     thread::scope(|scope| {
-        for (part, cuts) in all.chunks(all.len().div_ceil(8)).enumerate() {
+        for (part, split_offsets) in all.chunks(all.len().div_ceil(8)).enumerate() {
             let first = part * all.len().div_ceil(8);
             scope.spawn(move || {
-                for (number, cuts) in cuts.iter().enumerate() {
+                for (number, split_offsets) in split_offsets.iter().enumerate() {
                     let text = request(first + number);
-                    let answer = send_in_pieces(address, &text, cuts);
+                    let answer = send_in_pieces(address, &text, split_offsets);
                     assert!(
                         answer.starts_with("HTTP/1.1 202") || answer.starts_with("HTTP/1.1 503"),
-                        "{cuts:?}: {answer}"
+                        "{split_offsets:?}: {answer}"
                     );
                 }
             });
@@ -623,7 +626,7 @@
     });
     let first = wait_for(&calls, "x-txn: ");
     assert!(first.ends_with("body") && !first.contains("9999"), "{first}");
-    drop(silent);
+    drop(stalled);
     forwarder.kill();
     std::fs::remove_dir_all(&folder).expect("folder removed");
 }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -17,11 +17,11 @@
     Path::new(env!("CARGO_BIN_EXE_orchidyoke"))
 }
 
-fn alone(name: &str) -> Fleet {
+fn standalone_fleet(name: &str) -> Fleet {
     Fleet::standalone(program(), name, FLEET_SIZE, ClientLoad::default())
 }
 
-fn supervised(name: &str) -> Fleet {
+fn supervised_fleet(name: &str) -> Fleet {
     Fleet::supervised(program(), name, FLEET_SIZE, ClientLoad::default())
 }
 
@@ -58,20 +58,20 @@
 }
 
 /// Runs a rollout to its end.
-fn run_rollout(fleet: &Fleet, plan: &Path) -> Ended {
+fn run_rollout(fleet: &Fleet, plan: &Path) -> RolloutResult {
     rollout_command(plan, &state_folder(fleet)).output().expect("rollout finished").into()
 }
 
 /// The result of a rollout's process.
-struct Ended {
+struct RolloutResult {
     /// Whether every forwarder has the change.
     completed: bool,
     log: String,
 }
 
-impl From<Output> for Ended {
+impl From<Output> for RolloutResult {
     fn from(output: Output) -> Self {
-        Ended {
+        RolloutResult {
             completed: output.status.success(),
             log: String::from_utf8_lossy(&output.stderr).into_owned(),
         }
@@ -94,15 +94,19 @@
 
 /// Waits for a record of this kind.
 fn wait_for_record(state: &Path, kind: &str) {
-    let until = Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     while !records(state).iter().any(|record| record.get(kind).is_some()) {
-        assert!(Instant::now() < until, "no {kind} was recorded");
+        assert!(Instant::now() < deadline, "no {kind} was recorded");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Starts a rollout, calls `act` once the first stage is running, and waits for the end of the rollout.
-fn run_with_act_mid_stage(fleet: &mut Fleet, plan: &Path, act: impl FnOnce(&mut Fleet)) -> Ended {
+fn run_with_action_mid_stage(
+    fleet: &mut Fleet,
+    plan: &Path,
+    action: impl FnOnce(&mut Fleet),
+) -> RolloutResult {
     let state = state_folder(fleet);
     let plan = plan.to_owned();
     let running = {
@@ -111,12 +115,12 @@
     };
     wait_for_record(&state, "changed");
     thread::sleep(Duration::from_millis(400));
-    act(fleet);
+    action(fleet);
     running.join().expect("rollout thread finished").into()
 }
 
 /// Starts a thread that ends the faults of these paths after this time.
-fn heal(paths: Vec<FaultProxy>, after: Duration) -> thread::JoinHandle<()> {
+fn clear_faults_after(paths: Vec<FaultProxy>, after: Duration) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         thread::sleep(after);
         paths.iter().for_each(|path| path.set_fault(NetworkFault::None));
@@ -127,8 +131,9 @@
 // them.
 #[test]
 fn good_change_reaches_all_forwarders_under_load() {
-    let fleet = alone("good");
-    let Ended { completed, log } = run_rollout(&fleet, &write_plan(&fleet, harmless_change(), json!({})));
+    let fleet = standalone_fleet("good");
+    let RolloutResult { completed, log } =
+        run_rollout(&fleet, &write_plan(&fleet, harmless_change(), json!({})));
     assert!(completed, "{log}");
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)), "{log}");
     let passed =
@@ -141,7 +146,7 @@
 /// other forwarder is changed.
 fn assert_stopped_at_first_stage(fleet: &Fleet, change: Value, overrides: Value, reason: &str) {
     let before = fleet.config(0);
-    let Ended { completed, log } = run_rollout(fleet, &write_plan(fleet, change, overrides));
+    let RolloutResult { completed, log } = run_rollout(fleet, &write_plan(fleet, change, overrides));
     assert!(!completed && log.contains(reason), "{log}{}", fleet.log(0));
     assert!((0..FLEET_SIZE).all(|number| fleet.config(number) == before), "rolled back, or never changed");
     let records = records(&state_folder(fleet));
@@ -155,7 +160,7 @@
 // leaves the change in place.
 #[test]
 fn change_that_rejects_more_is_stopped_at_its_first_stage_and_rolled_back() {
-    let fleet = alone("refuses");
+    let fleet = standalone_fleet("refuses");
     // With one open message at a time and two clients at each forwarder, about half of the messages are rejected.
     let change = json!({"settings_patch": {"settings": {"limits": {"max_open": 1}}}});
     assert_stopped_at_first_stage(&fleet, change, json!({}), "overload share");
@@ -165,7 +170,7 @@
 // Guards against a rollout that continues although deliveries are slower, because no message is rejected or fails.
 #[test]
 fn change_that_is_only_slower_is_stopped_by_its_latency() {
-    let fleet = alone("slower");
+    let fleet = standalone_fleet("slower");
     // One call at a time at 20 ms each is less than the load, so messages queue.
     let change = json!({"settings_patch": {"settings": {"family_info": {"slots": 1}}}});
     let criteria = json!({"criteria": {"margin": 0.02, "z": 2.33, "min_ended": 60, "latency_ratio": 4.0}});
@@ -187,9 +192,9 @@
     // The margin is wide and the latency ratio excludes latency, because forwarders recover from an outage one by one
     // at random moments.
     let criteria = json!({"margin": 0.5, "z": 2.33, "min_ended": 60, "latency_ratio": 1000.0});
-    let more = json!({"bake_ms": 3000, "max_bake_ms": 60000, "criteria": criteria});
-    let plan = write_plan(&fleet, harmless_change(), more);
-    let Ended { completed, log } = run_with_act_mid_stage(&mut fleet, &plan, |fleet| {
+    let overrides = json!({"bake_ms": 3000, "max_bake_ms": 60000, "criteria": criteria});
+    let plan = write_plan(&fleet, harmless_change(), overrides);
+    let RolloutResult { completed, log } = run_with_action_mid_stage(&mut fleet, &plan, |fleet| {
         fleet.destination.set_mode(Mode::InternalError);
         thread::sleep(Duration::from_millis(1500));
         fleet.destination.set_mode(Mode::Serve);
@@ -197,26 +202,31 @@
     });
     assert!(completed, "{log}");
     assert!((0..FLEET_SIZE).all(|number| has_harmless_change(&fleet, number)), "{log}");
-    let judged = log.lines().find(|line| line.contains("stage=0") && line.contains("judged not worse"));
-    let failed: Vec<u64> = judged
+    let first_stage_line =
+        log.lines().find(|line| line.contains("stage=0") && line.contains("judged not worse"));
+    let failed: Vec<u64> = first_stage_line
         .expect("log line of the first stage")
         .split("error: ")
         .skip(1)
         .filter_map(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok())
         .collect();
-    assert!(matches!(failed[..], [changed, unchanged] if changed > 0 && unchanged > 0), "{judged:?}");
+    assert!(
+        matches!(failed[..], [changed, unchanged] if changed > 0 && unchanged > 0),
+        "{first_stage_line:?}"
+    );
     fleet.stop_and_verify(false);
 }
 
 // Guards against blaming the change for an unreachable forwarder that does not have it.
 #[test]
 fn baseline_forwarder_behind_a_partition_does_not_stop_a_good_change() {
-    let fleet = alone("cut");
+    let fleet = standalone_fleet("cut");
     fleet.set_fault(FLEET_SIZE - 1, NetworkFault::Partition);
     // The last forwarder is unreachable during the first stage. It is changed only after it is reachable again.
-    let healer = heal(fleet.external_links(FLEET_SIZE - 1), Duration::from_secs(4));
-    let Ended { completed, log } = run_rollout(&fleet, &write_plan(&fleet, harmless_change(), json!({})));
-    healer.join().expect("thread finished");
+    let clear_thread = clear_faults_after(fleet.external_links(FLEET_SIZE - 1), Duration::from_secs(4));
+    let RolloutResult { completed, log } =
+        run_rollout(&fleet, &write_plan(&fleet, harmless_change(), json!({})));
+    clear_thread.join().expect("thread finished");
     assert!(completed && log.contains("does not answer"), "{log}");
     fleet.stop_and_verify(false);
 }
@@ -227,15 +237,15 @@
     let state = state_folder(fleet);
     let mut kills = 0;
     loop {
-        let had = records(&state).len();
+        let records_before = records(&state).len();
         let mut running =
             rollout_command(plan, &state).stderr(Stdio::piped()).spawn().expect("rollout started");
         loop {
             if running.try_wait().expect("process status").is_some() {
-                let ended = Ended::from(running.wait_with_output().expect("rollout finished"));
+                let ended = RolloutResult::from(running.wait_with_output().expect("rollout finished"));
                 return (kills, ended.log);
             }
-            if records(&state).len() > had {
+            if records(&state).len() > records_before {
                 break;
             }
             thread::sleep(Duration::from_millis(1));
@@ -251,10 +261,10 @@
 // twice, leaves one out, or does not continue.
 #[test]
 fn rollout_killed_after_every_record_resumes_and_changes_each_forwarder_once() {
-    let fleet = alone("kills");
+    let fleet = standalone_fleet("kills");
     let plan = write_plan(&fleet, harmless_change(), json!({}));
     let (kills, log) = kill_after_every_record(&fleet, &plan);
-    let Ended { completed, log: last } = run_rollout(&fleet, &plan);
+    let RolloutResult { completed, log: last } = run_rollout(&fleet, &plan);
     assert!(completed, "{log}{last}");
     let records = records(&state_folder(&fleet));
     assert!(kills >= 10, "{kills} kills in {} records", records.len());
@@ -272,12 +282,12 @@
 // Guards against a rollout that is killed while it rolls back, and then does not finish the rollback.
 #[test]
 fn rollout_of_a_bad_change_killed_after_every_record_rolls_back() {
-    let fleet = alone("kills-bad");
+    let fleet = standalone_fleet("kills-bad");
     let before = fleet.config(0);
     let change = json!({"settings_patch": {"settings": {"limits": {"max_open": 1}}}});
     let plan = write_plan(&fleet, change, json!({}));
     let (kills, _) = kill_after_every_record(&fleet, &plan);
-    let Ended { completed, log } = run_rollout(&fleet, &plan);
+    let RolloutResult { completed, log } = run_rollout(&fleet, &plan);
     assert!(!completed && log.contains("taken back"), "{log}");
     assert!(kills >= 4, "{kills} kills");
     assert!((0..FLEET_SIZE).all(|number| fleet.config(number) == before));
@@ -289,10 +299,10 @@
 // during a stage.
 #[test]
 fn baseline_forwarder_killed_mid_stage_does_not_stop_the_change() {
-    let mut fleet = alone("kill-unchanged");
+    let mut fleet = standalone_fleet("kill-unchanged");
     let plan = write_plan(&fleet, harmless_change(), json!({}));
-    let Ended { completed, log } =
-        run_with_act_mid_stage(&mut fleet, &plan, |fleet| fleet.kill(FLEET_SIZE - 1));
+    let RolloutResult { completed, log } =
+        run_with_action_mid_stage(&mut fleet, &plan, |fleet| fleet.kill(FLEET_SIZE - 1));
     assert!(completed && log.contains("started again"), "{log}");
     assert!(has_harmless_change(&fleet, FLEET_SIZE - 1));
     fleet.stop_and_verify(true);
@@ -302,9 +312,10 @@
 // stage.
 #[test]
 fn canary_killed_alone_mid_stage_stops_the_change() {
-    let mut fleet = alone("kill-changed");
+    let mut fleet = standalone_fleet("kill-changed");
     let plan = write_plan(&fleet, harmless_change(), json!({}));
-    let Ended { completed, log } = run_with_act_mid_stage(&mut fleet, &plan, |fleet| fleet.kill(0));
+    let RolloutResult { completed, log } =
+        run_with_action_mid_stage(&mut fleet, &plan, |fleet| fleet.kill(0));
     assert!(!completed && log.contains("went down: f0"), "{log}");
     assert_eq!(forwarders_in(&records(&state_folder(&fleet)), "taken_back"), ["f0"]);
     assert!(!has_harmless_change(&fleet, 0));
@@ -321,15 +332,15 @@
 // by another release.
 #[test]
 fn new_release_reaches_all_forwarders_under_load() {
-    let fleet = supervised("release");
+    let fleet = supervised_fleet("release");
     fleet.add_copy("v2");
-    let Ended { completed, log } =
+    let RolloutResult { completed, log } =
         run_rollout(&fleet, &write_plan(&fleet, json!({"release": "v2"}), json!({})));
     assert!(completed, "{log}");
     assert_eq!(releases(&fleet), ["v2"; FLEET_SIZE]);
     for number in 0..FLEET_SIZE {
-        let shown = fleet.supervisor_status(number).expect("supervisor status");
-        assert!(shown["settled"] == true && shown["restarts"] == 0, "{shown}");
+        let status = fleet.supervisor_status(number).expect("supervisor status");
+        assert!(status["settled"] == true && status["restarts"] == 0, "{status}");
     }
     fleet.stop_and_verify(false);
 }
@@ -337,7 +348,7 @@
 // Guards against a rollout to the whole fleet of a release that is worse or does not start.
 #[test]
 fn bad_release_is_stopped_at_its_first_stage_and_rolled_back() {
-    let fleet = supervised("release-bad");
+    let fleet = supervised_fleet("release-bad");
     // The release `small` serves with one open message at a time. Its first arguments are `serve --config FILE`, which
     // the script replaces.
     let mut small = fleet.config(0);
@@ -361,15 +372,15 @@
 // Guards against a change that stays in place because its forwarder could not be reached when the rollout stopped.
 #[test]
 fn canary_behind_a_partition_is_rolled_back_once_reachable() {
-    let mut fleet = supervised("release-cut");
+    let mut fleet = supervised_fleet("release-cut");
     fleet.add_copy("v2");
     let plan = write_plan(&fleet, json!({"release": "v2"}), json!({}));
-    let mut healer = None;
-    let Ended { completed, log } = run_with_act_mid_stage(&mut fleet, &plan, |fleet| {
+    let mut clear_thread = None;
+    let RolloutResult { completed, log } = run_with_action_mid_stage(&mut fleet, &plan, |fleet| {
         fleet.set_fault(0, NetworkFault::Blackhole);
-        healer = Some(heal(fleet.external_links(0), Duration::from_secs(16)));
+        clear_thread = Some(clear_faults_after(fleet.external_links(0), Duration::from_secs(16)));
     });
-    healer.expect("thread started").join().expect("thread finished");
+    clear_thread.expect("thread started").join().expect("thread finished");
     assert!(!completed && log.contains("went down: f0") && log.contains("taken back"), "{log}");
     assert_eq!(releases(&fleet), ["v1"; FLEET_SIZE]);
     fleet.stop_and_verify(false);
@@ -379,17 +390,19 @@
 // killed. Also guards against a message lost when a new supervisor starts the forwarder.
 #[test]
 fn supervisor_killed_after_an_upgrade_restarts_with_the_same_release() {
-    let mut fleet = supervised("supervisor");
+    let mut fleet = supervised_fleet("supervisor");
     fleet.add_copy("v2");
-    let Ended { completed, log } =
+    let RolloutResult { completed, log } =
         run_rollout(&fleet, &write_plan(&fleet, json!({"release": "v2"}), json!({"stages": ["1", "all"]})));
     assert!(completed, "{log}");
     fleet.kill_supervisor(1);
     fleet.kill(2);
-    let until = Instant::now() + Duration::from_secs(20);
-    while !fleet.supervisor_status(2).is_some_and(|shown| shown["settled"] == true && shown["restarts"] == 1)
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !fleet
+        .supervisor_status(2)
+        .is_some_and(|status| status["settled"] == true && status["restarts"] == 1)
     {
-        assert!(Instant::now() < until, "{:?}", fleet.supervisor_status(2));
+        assert!(Instant::now() < deadline, "{:?}", fleet.supervisor_status(2));
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(releases(&fleet), ["v2"; FLEET_SIZE]);
