--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -87,7 +87,7 @@
     /// Submits a message once its destination is known, and waits until a call with it was served. Returns its first
     /// call.
     fn deliver(&self, forwarder: &ForwarderProcess, txn: &str) -> Call {
-        wait_until("the destination", || forwarder.submit_message("status", txn, 3) == 202);
+        wait_until("the destination to be known", || forwarder.submit_message("status", txn, 3) == 202);
         wait_until(txn, || self.calls(txn).iter().any(|call| call.served));
         self.calls(txn)[0].clone()
     }
@@ -148,7 +148,7 @@
     site.destination.set_mode(Mode::Serve);
     let second = site.start();
     site.deliver(&second, "c");
-    wait_until("the order's end", || site.discovery.notifications().contains_key("order"));
+    wait_until("the notification of the order", || site.discovery.notifications().contains_key("order"));
     assert_eq!(
         (site.discovery.notifications()["order"].as_slice(), site.calls("order").len()),
         (&["failed".to_owned()][..], 1)
@@ -158,7 +158,7 @@
     second.wait_for_log("have recovered", TIMEOUT).expect("log line");
     let next = site.register("w2");
     site.consul.deregister("n1", "w1");
-    wait_until("the new one", || {
+    wait_until("a call at the new endpoint", || {
         site.deliver(&second, &format!("d{}", site.destination.calls().len())).endpoint == next
     });
 }
@@ -174,7 +174,9 @@
             sent += 1;
             assert_eq!(forwarder.submit_message("orders", &format!("o{sent}"), 3), 202);
         }
-        wait_until("their calls", || site.calls(&format!("o{sent}")).iter().any(|call| call.served));
+        wait_until("a served call of the last message", || {
+            site.calls(&format!("o{sent}")).iter().any(|call| call.served)
+        });
         site.calls(&format!("o{sent}"))[0].endpoint
     };
     for bad in ["consul(adresses = [])", "consul(", "def f():\n    return f()\nf()"] {
@@ -186,11 +188,11 @@
     }
     site.folder.write("edge.star", &script(site.consul.address()));
     forwarder.signal("HUP");
-    wait_until("Consul's endpoint", || load(&site, 5) == from_consul);
+    wait_until("a call at Consul's endpoint", || load(&site, 5) == from_consul);
     site.folder.write("edge.star", "# nothing any more\n");
     forwarder.signal("HUP");
-    wait_until("discovery's endpoint", || load(&site, 5) == listed);
-    wait_until("all of them", || {
+    wait_until("a call at discovery's endpoint", || load(&site, 5) == listed);
+    wait_until("a served call of each message", || {
         (1..=sent).all(|n| site.calls(&format!("o{n}")).iter().any(|call| call.served))
     });
     assert!((1..=sent).all(|number| site.calls(&format!("o{number}")).len() == 1), "no message is repeated");
@@ -232,7 +234,7 @@
             let before = site.destination.calls().len();
             site.folder.write("edge.star", text);
             forwarder.signal("HUP");
-            wait_until("calls by the new source", || {
+            wait_until("calls at the new source's endpoint", || {
                 let calls = site.destination.calls();
                 let last = &calls[calls.len().saturating_sub(20)..];
                 calls.len() >= before + 100 && last.iter().all(|call| call.endpoint == source)
@@ -246,7 +248,7 @@
         site.destination.calls().into_iter().for_each(|call| *count.entry(call.message_id).or_default() += 1);
         count
     };
-    wait_until("each message's call", || {
+    wait_until("a call of each message", || {
         let count = count();
         accepted.iter().all(|txn| count.contains_key(txn))
     });
@@ -319,12 +321,12 @@
     let forwarder = site.start();
     site.deliver(&forwarder, "a");
     let index = site.consul.set_status("n1", "w1", "critical");
-    wait_until("the report", || site.consul.first_answered_at("web", index).is_some());
+    wait_until("the critical status", || site.consul.first_answered_at("web", index).is_some());
     site.deliver(&forwarder, "b");
     site.destination.set_mode(Mode::Unavailable);
     site.consul.set_status("n1", "w1", "passing");
     assert_eq!(forwarder.submit_message("status", "c", 3), 202);
-    wait_until("its end", || site.discovery.notifications().contains_key("c"));
+    wait_until("the notification of the message", || site.discovery.notifications().contains_key("c"));
     assert_eq!(site.discovery.notifications()["c"], ["returned"]);
     assert!(site.calls("c").len() <= 8);
 }
@@ -538,7 +540,7 @@
             (0..6).for_each(|number| {
                 assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
             });
-            wait_until("failures", || {
+            wait_until("failed calls", || {
                 site.destination.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
             });
             site.destination.set_mode(Mode::Serve);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -152,7 +152,7 @@
     first.kill();
     deployment.set_mode(Mode::Serve);
     let second = deployment.start();
-    wait_until("it is delivered", || deployment.calls(zone, "loaf").iter().any(|call| call.served));
+    wait_until("the message is delivered", || deployment.calls(zone, "loaf").iter().any(|call| call.served));
     let calls = deployment.calls(zone, "loaf");
     assert!(
         calls.len() >= 2 && calls.iter().all(|call| call.idempotency_key.as_deref() == Some("k-1")),
@@ -176,7 +176,7 @@
     deployment.set_mode(Mode::Serve);
     let second = deployment.start();
     let served = |zone: usize| deployment.calls(zone, "loaf").into_iter().find(|call| call.served);
-    wait_until("it is delivered", || (0..2).any(|zone| served(zone).is_some()));
+    wait_until("the message is delivered", || (0..2).any(|zone| served(zone).is_some()));
     let call = (0..2).find_map(served).expect("served call");
     assert_eq!(call.idempotency_key.as_deref(), Some("k-2"));
     second.kill();
