--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -14,8 +14,8 @@
     if let Some(script) = &args.settings {
         print_settings(&installation::read(script)?);
     }
-    let settings_alone = args.settings.is_some() && args.config.is_none();
-    if settings_alone { Ok(()) } else { check_config(args) }
+    let is_settings_only = args.settings.is_some() && args.config.is_none();
+    if is_settings_only { Ok(()) } else { check_config(args) }
 }
 
 /// Checks the configuration that these options name.
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -25,7 +25,7 @@
     let settings = installation::read(&commit_point.settings)?;
     let coordinator = Coordinator::new(settings.policy.ok_or(PolicyCommandError::NoCommitPoint)?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, carry_out(command, coordinator))
+    tokio::task::LocalSet::new().block_on(&runtime, run_command(command, coordinator))
 }
 
 fn commit_point_args(command: &PolicyCommand) -> &CommitPointArgs {
@@ -35,7 +35,7 @@
     commit_point
 }
 
-async fn carry_out(command: PolicyCommand, coordinator: Coordinator) -> CommandResult {
+async fn run_command(command: PolicyCommand, coordinator: Coordinator) -> CommandResult {
     match command {
         PolicyCommand::Propose { policy, patience, by, .. } => {
             propose(coordinator, &policy, &by, Duration::from_secs(patience)).await
--- a/src/owners.rs
+++ b/src/owners.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the owner that this member is, as seen from this forwarder. Without a member the owner is unknown.
-    fn owner(&self, member: Option<&Member>) -> Owner {
+    fn owner_for_member(&self, member: Option<&Member>) -> Owner {
         match member {
             None => Owner::Unknown,
             Some(member) if member.name == self.own_name => Owner::Local,
@@ -47,7 +47,7 @@
     }
 
     fn owner_of(&self, destination: DestinationId) -> Owner {
-        self.owner(self.view.owner(destination))
+        self.owner_for_member(self.view.owner(destination))
     }
 
     fn member_address(&self, name: &str) -> Option<SocketAddr> {
