--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -49,7 +49,7 @@
 /// The result of comparing the two groups at one moment of a stage.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// There are not enough messages yet to decide, or the bake time is not over.
+    /// The figures do not show yet whether the canaries are worse, or the bake time is not over.
     Undecided,
     /// The canaries are not worse by more than the margin.
     Pass,
--- a/crates/rollout/src/release_upgrade.rs
+++ b/crates/rollout/src/release_upgrade.rs
@@ -12,7 +12,7 @@
 /// successor and `TERMINATION_GRACE_MS` for the predecessor.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a request for an upgrade is repeated while the supervisor does not answer. The request then fails, so that
-/// the rollout can continue with other forwarders.
+/// a rollback can try the other forwarders first.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause between requests, and between reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/rollout/tests/stored_format.rs
+++ b/crates/rollout/tests/stored_format.rs
@@ -34,7 +34,7 @@
     json!({"settings": {"limits": {"max_open": 5, "try_limit": null}}})
 }
 
-/// Returns one or more records of each kind, as in the progress file.
+/// Returns records of every kind, as the progress file holds them.
 fn expected_records() -> Vec<ProgressRecord> {
     let name = |name: &str| name.to_owned();
     let digest = DIGESTS.lines().next().expect("first digest").to_owned();
