--- a/crates/rollout/tests/wire_plan.rs
+++ b/crates/rollout/tests/wire_plan.rs
@@ -1,5 +1,5 @@
-//! Protects the plan of a rollout as a file, the name of each field and what becomes of it, and the progress records
-//! that a rollout of another release resumes from.
+//! Tests that the plan file keeps its format, which covers the key and the parsed value of each field. Also tests that
+//! the progress records keep theirs, because a rollout of another release resumes from them.
 
 use orchidyoke_rollout::Plan;
 use orchidyoke_rollout::analysis::Criteria;
@@ -13,33 +13,34 @@
 const RECORDS: &str = include_str!("fixtures/wire/records.jsonl");
 
 fn read(name: &str) -> Plan {
-    Plan::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/wire").join(name)).expect("a plan")
+    Plan::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/wire").join(name))
+        .expect("plan read")
 }
 
-fn at(port: u16) -> SocketAddr {
+fn address_with_port(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 #[test]
 fn plan_fields_are_read_by_their_names() {
     let plan = read("settings_plan.json");
-    let one = PlannedForwarder {
+    let first = PlannedForwarder {
         name: "n1".to_owned(),
-        consoles: ConsoleAddresses::Single(at(8001)),
+        consoles: ConsoleAddresses::Single(address_with_port(8001)),
         config_file: Some("/etc/edge/n1.json".into()),
         pid_file: Some("/run/n1.pid".into()),
         supervisor: None,
     };
-    let two = PlannedForwarder {
+    let second = PlannedForwarder {
         name: "n2".to_owned(),
-        consoles: ConsoleAddresses::PerSlot([at(8002), at(8003)]),
+        consoles: ConsoleAddresses::PerSlot([address_with_port(8002), address_with_port(8003)]),
         config_file: Some("/etc/edge/n2.json".into()),
         pid_file: None,
-        supervisor: Some(at(8004)),
+        supervisor: Some(address_with_port(8004)),
     };
     let patch = json!({"limits": {"try_limit": 3}});
     let expected = Plan {
-        forwarders: vec![one, two],
+        forwarders: vec![first, second],
         settings_patch: Some(patch.clone()),
         release: None,
         stages: vec!["1".to_owned(), "100%".to_owned()],
@@ -50,14 +51,14 @@
         criteria: Criteria { margin: 0.15, z_score: 1.6, min_finished: 17, latency_ratio: 1.8 },
     };
     assert_eq!(plan, expected);
-    assert_eq!(plan.change().expect("one"), Change::Settings(patch));
-    assert_eq!(plan.stage_sizes().expect("sound"), [1, 2]);
+    assert_eq!(plan.change().expect("valid plan"), Change::Settings(patch));
+    assert_eq!(plan.stage_sizes().expect("valid plan"), [1, 2]);
 }
 
 #[test]
 fn omitted_plan_fields_take_their_defaults() {
     let plan = read("release_plan.json");
-    assert_eq!(plan.change().expect("one"), Change::Release("v1.3".to_owned()));
+    assert_eq!(plan.change().expect("valid plan"), Change::Release("v1.3".to_owned()));
     assert_eq!(
         (plan.poll_interval_ms, plan.warm_up_ms, plan.warm_up()),
         (1000, None, Duration::from_secs(5))
@@ -68,7 +69,7 @@
     );
 }
 
-/// A rollout is resumed only where its progress record has the digest of the plan.
+// Guards against a changed digest, because a rollout is resumed only if its progress record has the digest of the plan.
 #[test]
 fn plan_digest_stays_the_same() {
     let digests =
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn progress_records_are_written_and_read_as_before() {
+fn progress_records_keep_their_stored_format() {
     let name = || "n1".to_owned();
     let records = [
         ProgressRecord::Started { plan_digest: "5be2".to_owned() },
@@ -89,10 +90,10 @@
         ProgressRecord::RolledBack(name()),
         ProgressRecord::Completed,
     ];
-    let line = |record| serde_json::to_string(record).expect("JSON") + "\n";
+    let line = |record| serde_json::to_string(record).expect("record written as JSON") + "\n";
     let written: String = records.iter().map(line).collect();
     assert_eq!(written, RECORDS);
     let read: Vec<ProgressRecord> =
-        RECORDS.lines().map(|line| serde_json::from_str(line).expect("a record")).collect();
+        RECORDS.lines().map(|line| serde_json::from_str(line).expect("record parsed")).collect();
     assert_eq!(read, records);
 }
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -9,23 +9,23 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What keeps a policy command from its work, beside the errors of the commit itself.
+/// Why a policy command cannot start, apart from the errors of the commit protocol.
 #[derive(Debug, thiserror::Error)]
 enum PolicyCommandError {
-    #[error("these settings ask for no policy(...)")]
+    #[error("the settings have no policy(...)")]
     NoCommitPoint,
     #[error("{}: {source}", .file.display())]
     ReadPolicy { file: PathBuf, source: std::io::Error },
 }
 
-/// Carries out a policy command.
+/// Runs a policy command.
 pub fn run(command: PolicyCommand) -> CommandResult {
     let commit_point = commit_point_args(&command);
     log::start(commit_point.log.into());
     let settings = installation::read(&commit_point.settings)?;
     let coordinator = Coordinator::new(settings.policy.ok_or(PolicyCommandError::NoCommitPoint)?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, carry_out(command, coordinator))
+    tokio::task::LocalSet::new().block_on(&runtime, run_command(command, coordinator))
 }
 
 fn commit_point_args(command: &PolicyCommand) -> &CommitPointArgs {
@@ -35,7 +35,7 @@
     commit_point
 }
 
-async fn carry_out(command: PolicyCommand, coordinator: Coordinator) -> CommandResult {
+async fn run_command(command: PolicyCommand, coordinator: Coordinator) -> CommandResult {
     match command {
         PolicyCommand::Propose { policy, patience, by, .. } => {
             propose(coordinator, &policy, &by, Duration::from_secs(patience)).await
