--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -1,12 +1,12 @@
-//! What the controller knows of a call in flight: one request to an endpoint, with one message or a batch.
+//! The controller's record of a call in flight: one request to an endpoint, with one message or a batch.
 
 use crate::interface::{EndpointId, MessageId, Micros};
 use crate::route::RouteId;
 
-/// Number of a call.
+/// Number of a call. Calls and timers are numbered in one sequence.
 pub(crate) type CallId = u64;
 
-/// An attempt: a message and the number of the attempt, from 0.
+/// Identifies an attempt: a message and the number of the attempt, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub message: MessageId,
@@ -17,7 +17,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub call: CallId,
-    /// The order key of its message, which may have its final answer before the attempt ends.
+    /// The order key of its message. It is kept here because the message may have its final answer before the attempt
+    /// ends.
     pub order_key: Option<u64>,
 }
 
@@ -29,17 +30,18 @@
     pub zone: usize,
     pub route: RouteId,
     pub sent_at: Micros,
-    /// Its attempts that have not ended.
+    /// Number of its attempts that have not ended.
     pub open_attempts: usize,
-    /// All its messages were at their first try.
+    /// Whether no message of the call had been sent before, by the client or by this forwarder.
     pub is_first_try: bool,
-    /// Its outcome has been counted, or will not be.
+    /// Whether its outcome has been counted or must not be counted.
     pub is_counted: bool,
     pub is_overdue: bool,
-    /// The message, where it is the only one.
+    /// The message if the call has only one.
     pub only_message: Option<MessageId>,
-    /// Its endpoint answers later calls.
+    /// Whether its endpoint has answered calls that were sent later.
     pub is_stalled: bool,
-    /// In flight when its route recovered from an outage: it takes no room in the window.
+    /// Whether it was in flight when its route recovered from an outage; then it takes no room in the concurrency
+    /// window.
     pub is_presumed_lost: bool,
 }
--- a/crates/core/src/capacity_share.rs
+++ b/crates/core/src/capacity_share.rs
@@ -1,15 +1,15 @@
 //! Decides how much of a route's capacity this forwarder counts as its own, in calls a second.
 //!
-//! Inputs are the capacity that the endpoint list hints at or that answers report, the fleet's size, and the rate at
-//! which this forwarder was served. Pacing and slow start divide by it; the shares of a fleet must not sum to more
-//! than the route's capacity.
+//! Inputs are the capacity that the endpoint list gives as a hint or that answers report, the size of the fleet, and
+//! the rate at which this forwarder was served. Pacing and slow start derive their rates from this share. The shares of
+//! all forwarders must not add up to more than the route's capacity.
 
 use crate::interface::{CapacityHints, Settings};
 
-/// A rough hint may be half too high: the capacity is at least this part of it.
+/// A rough hint may be half too high, so the capacity is at least this fraction of it.
 const ROUGH_HINT_FACTOR: f64 = 0.67;
 
-/// What is known of a route's capacity, in calls a second; 0 where nothing is.
+/// What is known of a route's capacity, in calls a second; 0 where nothing is known.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KnownCapacity {
     /// From the endpoint list.
@@ -19,7 +19,7 @@
 }
 
 impl KnownCapacity {
-    /// The capacity divided evenly among the fleet, in calls a second; none where no capacity is known.
+    /// Returns the capacity divided evenly among the fleet, in calls a second; `None` if no capacity is known.
     pub fn even_share(&self, settings: &Settings) -> Option<f64> {
         let capacity = match settings.capacity_hints {
             CapacityHints::None => self.reported_limit,
@@ -30,7 +30,8 @@
     }
 }
 
-/// This forwarder's share, in calls a second: what it was served, averaged with the even share where one is known.
+/// Returns this forwarder's share, in calls a second: the rate at which it was served, averaged with the even share if
+/// one is known.
 pub(crate) fn own_share(served_rate: f64, even_share: Option<f64>) -> f64 {
     even_share.map_or(served_rate, |even| (served_rate + even) / 2.0)
 }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,8 +1,9 @@
-//! The controller of one forwarder: takes in what has happened and decides what to do.
+//! The controller of one forwarder, which takes in what has happened and decides what to do.
 //!
-//! It holds the state and orders the rules, each of which has a module of its own: `queue`, `admission`, `retry`,
-//! `selection`, `concurrency_limit`, `pacing`, `outlier_detection`, `slow_start`, `timeouts`, `draining`. The modules
-//! below this one apply them, by the kind of event. `route` combines the rules that bear on a route.
+//! It holds the state and calls the rules, each of which has its own module: `queue`, `admission`, `retry`,
+//! `selection`, `concurrency_limit`, `pacing`, `outlier_detection`, `slow_start`, `timeouts`, `draining`. The
+//! submodules of this module apply them, one submodule for each kind of event. `route` combines the rules that apply to
+//! a route.
 
 mod calls;
 mod endpoints;
@@ -24,18 +25,18 @@
 use crate::timeouts::StallHistory;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One controller for one forwarder. See [`Controller::step`].
+/// The controller of one forwarder. See [`Controller::step`].
 #[derive(Debug, Default)]
 pub struct Controller {
     settings: Settings,
     rng: SeededRng,
     now: Micros,
     messages: BTreeMap<MessageId, Message>,
-    /// Messages with an attempt that ended in this batch, still to be decided on.
+    /// Messages with an attempt that ended in this step and about which no decision has been made yet.
     unsettled: Vec<MessageId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     calls: BTreeMap<CallId, Call>,
-    /// Number of the latest call or timer.
+    /// Number of the latest call or timer. Both are numbered in one sequence.
     last_number: u64,
     order_keys: BTreeMap<u64, OrderKeyQueue>,
     destinations: BTreeMap<DestinationId, Destination>,
@@ -43,46 +44,49 @@
     routes: Vec<Route>,
     schedule: Schedule,
     stalls: StallHistory,
-    /// When the forwarder stops, once that is known.
+    /// When the forwarder stops; `None` if it is not shutting down.
     shutdown_at: Option<Micros>,
 }
 
 impl Controller {
-    /// A controller that has seen nothing; `seed` is its only source of chance.
+    /// Creates a controller without any state; `seed` determines all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Controller { settings, rng: SeededRng::new(seed), ..Controller::default() }
     }
 
-    /// Routes that are ejected, failing with errors or warming up, for [`Event::RouteState`] after a restart: messages that
-    /// waited for them would else overload a cold destination. The limit on calls to faulty routes has another rule: a
-    /// route that is only warming up is here and not bound by it, one that is only slow or rejecting is bound and not here.
+    /// Returns the routes that are ejected, failing with errors or warming up. After a restart they are restored by
+    /// [`Event::RouteState`], because the messages that waited for them would otherwise overload a cold destination.
+    /// The limit on calls to faulty routes follows another rule: a route that is only warming up is in this set and not
+    /// limited, and a route that is only slow or rejecting is limited and not in this set.
     pub fn faulty_routes(&self) -> BTreeSet<RouteRef> {
         self.schedule.faulty_routes.clone()
     }
 
-    /// Whether [`Self::faulty_routes`] has changed since this was last asked; at first it has.
+    /// Returns whether [`Self::faulty_routes`] has changed since the previous call of this method; the first call
+    /// returns `true`.
     pub fn take_faulty_routes_changed(&mut self) -> bool {
         std::mem::take(&mut self.schedule.faulty_routes_changed)
     }
 
-    /// How many destinations were looked at so far: the measure of a step's work.
+    /// Returns how many destinations have been examined so far, as a measure of the work done.
     pub fn work(&self) -> u64 {
         self.schedule.work
     }
 
-    /// The random number generator, as it stands.
+    /// Returns the random number generator in its current state.
     pub fn rng(&self) -> &SeededRng {
         &self.rng
     }
 
-    /// Whether nothing but trial calls goes to an endpoint now; so for an endpoint that is not in the list.
+    /// Returns whether an endpoint gets only trial calls or no calls now; `true` for an endpoint that is not in the
+    /// list.
     pub fn gets_no_regular_calls(&self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return true };
         let is_ejected = self.routes[endpoint.route].health == RouteHealth::Ejected;
         !endpoint.accepts_calls || endpoint.is_excluded || is_ejected
     }
 
-    /// Takes in all events of a batch, then decides once. `now` never goes back.
+    /// Applies all events of a step, then decides once. `now` must not decrease from one step to the next.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         events.iter().for_each(|event| self.on_event(event));
@@ -98,7 +102,7 @@
 
     fn on_event(&mut self, event: &Event) {
         match event {
-            // The tenant has no effect: there is no rule for messages over a quota.
+            // The tenant has no effect, because there is no rule for messages over a quota.
             Event::Message { id, destination, class, order_key, time_left, is_retry, .. } => {
                 let class = self.settings.classes.get(*class).cloned().unwrap_or_default();
                 let message = self.new_message(*destination, class, *order_key, *time_left, *is_retry);
--- a/crates/core/src/controller/calls.rs
+++ b/crates/core/src/controller/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that go out: which message is next, which endpoint takes it, and what goes with it in one call.
+//! Sends calls: chooses the next message, the endpoint that gets it, and the other messages of the same call.
 
 use super::Controller;
 use crate::call::{Attempt, AttemptId, Call};
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Sends what can go now, the lowest rank of all queues first, while there are call slots.
+    /// Sends the messages that can be sent now, the lowest rank of all queues first, while call slots are free.
     pub(super) fn send_ready_messages(&mut self, actions: &mut Vec<Action>) {
         self.draw_slow_start_calls();
         self.update_waiting_index();
@@ -24,7 +24,7 @@
             let faulty_at_limit = self.faulty_calls_at_limit();
             let Some(ready) = self.schedule.waiting.first_ready(faulty_at_limit) else { return };
             if ready.found_at < self.now {
-                // Found in an earlier step: its routes may have closed since.
+                // This was found in an earlier step, and the routes may have closed since.
                 self.schedule.changed.push(ready.destination);
             } else {
                 let id = ready.rank.message;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Draws for the routes whose slow-start budget is below one call and whose draw is due.
+    /// Draws for each route whose slow-start budget is below one call and whose draw is due.
     fn draw_slow_start_calls(&mut self) {
         self.schedule.changed.extend(self.schedule.waiting.pop_draws(self.now));
         let due: BTreeSet<DestinationId> = self.schedule.changed.iter().copied().collect();
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Whether all faulty destinations together have as many calls in flight as they may.
+    /// Returns whether all faulty destinations together have reached their limit on calls in flight.
     fn faulty_calls_at_limit(&self) -> bool {
         self.schedule.faulty_calls >= concurrency_limit::faulty_call_limit(self.settings.max_calls)
     }
 
-    /// Whether a new call may go to an endpoint now, as far as any message goes.
+    /// Returns whether a new call may go to an endpoint now, regardless of its message.
     fn takes_call(&self, endpoint: &Endpoint, destination: &Destination, faulty_at_limit: bool) -> bool {
         if !endpoint.accepts_calls || endpoint.is_excluded {
             return false;
@@ -83,7 +83,7 @@
         message.may_be_sent(self.now, self.settings.max_attempts)
     }
 
-    /// Endpoints that take a message now.
+    /// Iterates over the endpoints that can be sent a message now.
     fn eligible_endpoints<'a>(
         &'a self,
         message: &'a Message,
@@ -100,7 +100,7 @@
         })
     }
 
-    /// The first message of a queue that can go now.
+    /// Returns the first message of a queue that can be sent now.
     pub(super) fn first_sendable(
         &self,
         destination: &Destination,
@@ -115,7 +115,7 @@
         first.find(|rank| self.messages.get(&rank.message).is_some_and(can_go)).copied()
     }
 
-    /// The eligible endpoint that costs a message least.
+    /// Returns the eligible endpoint with the lowest cost for a message.
     fn choose_endpoint(&mut self, id: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&id)?;
         let mut rng = self.rng.clone();
@@ -148,7 +148,7 @@
         selection::cost(&inputs, pressure, &self.settings)
     }
 
-    /// One call to an endpoint: the message given, and others of its queue as far as a call takes them.
+    /// Sends one call to an endpoint: the given message, and others of its queue up to the greatest batch of a call.
     fn send_call(&mut self, first: MessageId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get(&endpoint_id) else { return };
         let batch = self.batch(first, endpoint_id, endpoint);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The messages of a call: a trial call takes one only.
+    /// Returns the messages of a call. A trial call has only one.
     fn batch(&self, first: MessageId, endpoint_id: EndpointId, endpoint: &Endpoint) -> Vec<MessageId> {
         let is_trial = self.routes[endpoint.route].health == RouteHealth::Ejected;
         let most = if is_trial { 1 } else { endpoint.kind.max_batch };
@@ -202,8 +202,8 @@
         self.route_changed(call.route);
     }
 
-    /// Sends a message with the call opened last. A message that must not be sent twice has a time-out too: a hanging call
-    /// would keep its slot from all others.
+    /// Sends a message with the call opened last. A message that must not be sent twice has a time-out too, because a
+    /// hanging call would occupy its slot.
     fn send_attempt(&mut self, id: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         self.unqueue(id);
         let Some(route) = self.endpoints.get(&endpoint).map(|endpoint| endpoint.route) else { return };
--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: endpoints that come, change, drain and go, their health checks, and the routes that they are on.
+//! Applies the endpoint list: new, changed, draining and removed endpoints, their health checks, and their routes.
 
 use super::Controller;
 use crate::draining::{self, Removal};
@@ -76,8 +76,9 @@
         self.route_changed(route);
     }
 
-    /// A new endpoint with no other beside it starts anew. Two things belong to the destination and are kept: its
-    /// Retry-After, and that it comes back cold.
+    /// Creates a route. An endpoint that is added to a destination without others starts with a new route. Two
+    /// properties belong to the destination and are copied from its earlier route `before`: its Retry-After, and that
+    /// it returns cold.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
         let bucket = pacing::initial_bucket(self.now, &self.settings, &mut self.rng);
         let mut route = Route::new(self.now, bucket);
@@ -94,7 +95,7 @@
         id
     }
 
-    /// Sets the route of a destination for its endpoints to come.
+    /// Sets the route that a destination's later endpoints share; `None` if its endpoints are separate routes.
     fn set_shared_route(&mut self, id: DestinationId, route: Option<RouteId>) {
         let destination = self.destinations.entry(id).or_default();
         let before = std::mem::replace(&mut destination.shared_route, route);
@@ -110,8 +111,8 @@
         self.schedule.changed.push(id);
     }
 
-    /// What an earlier process or an operator knows of a destination. One without endpoints just now keeps it for those to
-    /// come.
+    /// Applies what an earlier process or an operator knows of a destination. A destination that has no endpoints now
+    /// keeps it for endpoints that are added later.
     pub(super) fn on_route_state(
         &mut self,
         id: DestinationId,
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Applies the health checks of a destination. A route without a passing endpoint is ejected until a call succeeds:
-    /// calls overrule a bad report, and a good one alone opens nothing.
+    /// Applies the health checks of a destination. A route without a passing endpoint is ejected until a call succeeds.
+    /// A successful call overrules a failing health check, and a passing health check alone ends no ejection.
     fn apply_health_checks(&mut self, destination: DestinationId) {
         let Some(ids) = self.destinations.get(&destination).map(|d| d.endpoints.clone()) else { return };
         let endpoints = ids.iter().map(|id| &self.endpoints[id]);
@@ -158,7 +159,7 @@
             endpoint.is_excluded = verdict.excludes_endpoint;
             if verdict.route_is_critical && !route.is_critical {
                 route.health = RouteHealth::Ejected;
-                // As a failure: a call sent before it shows nothing by its success.
+                // This counts as a failure, so the success of a call sent before it proves nothing.
                 route.traffic_mut().failures.extend_span(self.now);
             }
             route.is_critical = verdict.route_is_critical;
@@ -167,7 +168,7 @@
         self.schedule.changed.push(destination);
     }
 
-    /// Forgets removed endpoints once none of their calls is in flight and no Retry-After of theirs runs.
+    /// Forgets removed endpoints that have no calls in flight and whose Retry-After has ended.
     pub(super) fn forget_removed_endpoints(&mut self) {
         while let Some(id) = self.schedule.pop_due_removal(self.now) {
             let endpoint = self.endpoints.get(&id);
--- a/crates/core/src/controller/final_answers.rs
+++ b/crates/core/src/controller/final_answers.rs
@@ -1,4 +1,4 @@
-//! The final answers: messages that are rejected or failed because they ran out of time, attempts or capacity.
+//! Gives final answers: rejects or fails messages that ran out of time, attempts or capacity.
 
 use super::Controller;
 use crate::admission::{self, DestinationBacklog};
@@ -6,7 +6,7 @@
 use crate::queue::QUEUE_SCAN_MESSAGES;
 
 impl Controller {
-    /// Decides on the messages whose attempts have ended without success: back into the queue, or a final answer.
+    /// Decides on each message whose attempt has ended without success: it returns to its queue or gets a final answer.
     pub(super) fn settle_messages(&mut self, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.unsettled) {
             self.settle_message(id, actions);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Ends a message undelivered: rejected where sending it again does no harm, otherwise failed.
+    /// Ends a message undelivered. It is rejected if sending it again does no harm, and otherwise failed.
     pub(super) fn give_up(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         let answer = if message.may_be_rejected() {
@@ -55,7 +55,8 @@
         admission::retry_after(backlog, &self.settings)
     }
 
-    /// Sheds the lowest-priority queued messages before the limit on open messages rejects new ones unseen.
+    /// Sheds the queued messages with the lowest priority before the limit on open messages is reached, at which new
+    /// messages are rejected regardless of their priority.
     pub(super) fn shed_messages(&mut self, actions: &mut Vec<Action>) {
         let Some(most) = admission::shed_above(self.settings.max_open_messages) else { return };
         while self.messages.len() > most {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The last message of the longest queue that may be rejected and was not recovered unsent.
+    /// Returns the last message of the longest queue that may be rejected and was not recovered unsent.
     fn message_to_shed(&self) -> Option<MessageId> {
         let longest = self.schedule.waiting.longest()?;
         let queue = &self.destinations.get(&longest)?.queue;
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -1,4 +1,4 @@
-//! Keeps the schedule's indexes up to date with what has changed or come due. It holds no rule.
+//! Updates the schedule's indexes for what has changed or is due. This module has no rules.
 
 use super::Controller;
 use crate::endpoint::Destination;
@@ -7,14 +7,15 @@
 use crate::route::RouteId;
 use crate::waiting_index::Wait;
 
-/// A route of a destination, as it is named outside.
+/// A route of a destination, with its number for the forwarder and its index in the table of routes.
 struct NamedRoute {
     id: RouteRef,
     route: Option<RouteId>,
 }
 
 impl Controller {
-    /// A route has changed: the count of calls on faulty routes, and the destinations on it.
+    /// Updates the count of calls on faulty routes after a change of a route, and marks the destinations on it as
+    /// changed.
     pub(super) fn route_changed(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let calls = if route.is_faulty() { route.traffic().in_flight } else { 0 };
@@ -26,7 +27,7 @@
         self.schedule.changed.extend(self.schedule.route_users.destinations(id));
     }
 
-    /// Brings the index of waiting destinations up to date with what has changed or come due.
+    /// Updates the index of waiting destinations for what has changed or is due.
     pub(super) fn update_waiting_index(&mut self) {
         self.schedule.changed.extend(self.schedule.waiting.pop_changed(self.now));
         let mut changed = std::mem::take(&mut self.schedule.changed);
@@ -41,7 +42,7 @@
         self.schedule.unassessed.append(&mut changed);
     }
 
-    /// What a destination with a queue waits for.
+    /// Returns what a destination with a queue waits for.
     fn wait_of(&self, destination: &Destination) -> Wait {
         let routes = || destination.endpoints.iter().map(|id| &self.routes[self.endpoints[id].route]);
         let ready = self.first_sendable(destination, false);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Brings the set of faulty routes up to date with what has changed or come due.
+    /// Updates the set of faulty routes for what has changed or is due.
     pub(super) fn update_faulty_routes(&mut self) {
         let due = std::iter::from_fn(|| self.schedule.warming.pop_due(self.now));
         self.schedule.unassessed.extend(due);
@@ -73,7 +74,8 @@
         }
     }
 
-    /// The separate routes of a destination's endpoints, and its shared one, which it may have without endpoints.
+    /// Returns the separate routes of a destination's endpoints, and its shared route, which it may have without
+    /// endpoints.
     fn named_routes(&self, id: DestinationId, destination: &Destination) -> Vec<NamedRoute> {
         let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let separate = endpoints.map(|(endpoint_id, endpoint)| NamedRoute {
@@ -85,7 +87,7 @@
         separate.chain([shared]).collect()
     }
 
-    /// Lists a route as faulty, or not; gives the time at which it has warmed up.
+    /// Adds a route to the faulty routes or removes it. Returns the time at which it has warmed up.
     fn update_faulty_route(&mut self, named: &NamedRoute) -> Option<Micros> {
         let route = named.route.map(|id| &self.routes[id]);
         let faulty = route.filter(|route| route.needs_recovery(self.now, &self.settings));
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! The way of a message: into its queue when it is its turn, and out of it for good.
+//! Queues messages when it is their turn, and removes them after their final answer.
 
 use super::Controller;
 use crate::interface::*;
@@ -59,12 +59,12 @@
         self.unsettled.push(id);
     }
 
-    /// See [`timeouts::answer_by`].
+    /// Returns when a message must have its final answer; see [`timeouts::answer_by`].
     pub(super) fn answer_by(&self, message: &Message) -> Micros {
         timeouts::answer_by(message.deadline, self.settings.tick)
     }
 
-    /// Puts a message into its queue, if it is its turn and no attempt of it is in flight.
+    /// Puts a message into its queue if it is its turn and it has no attempt in flight.
     pub(super) fn enqueue(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if message.in_flight > 0 || message.rank.is_some() {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives a message its place in its queue, and a timer for the review of that.
+    /// Gives a message its rank in its queue, and sets a timer for the review of that rank.
     pub(super) fn rank_message(&mut self, id: MessageId) {
         self.unqueue(id);
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -108,7 +108,7 @@
         self.schedule.changed.push(id);
     }
 
-    /// A message has its final answer: it leaves its queue and its order key.
+    /// Removes a message that has its final answer from its queue and its order key.
     pub(super) fn forget_message(&mut self, id: MessageId) {
         self.unqueue(id);
         let Some(message) = self.messages.remove(&id) else { return };
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -1,6 +1,6 @@
-//! The ends of attempts: what they mean for the message, its order key, the endpoint and the route.
+//! Applies the end of an attempt to the message, its order key, the endpoint and the route.
 //!
-//! A call counts once, with the first of its attempts that ends.
+//! A call is counted once, with the outcome of the first of its attempts that ends.
 
 use super::Controller;
 use crate::call::{AttemptId, Call, CallId};
@@ -45,22 +45,23 @@
         }
     }
 
-    /// Learns whether stalled calls are slow messages: from a success or time-out of one, or of its further attempt.
+    /// Records whether a stalled call was a slow message. Only a success or a time-out shows this: that of the stalled
+    /// call itself, or that of the attempt after a cancelled one.
     fn record_stall_result(&mut self, call: &Call, result: &AttemptResult) {
         let is_further_attempt = self.messages.get(&result.id).is_some_and(|m| m.stall_cancelled);
         let is_telling = matches!(result.outcome, Outcome::Success | Outcome::Timeout);
         if !is_telling || !(is_further_attempt || call.is_stalled) {
             return;
         }
-        // A further attempt that is overdue as well shows that its message takes long; a stalled call that succeeds after
-        // all shows the same.
+        // If the further attempt is overdue as well, its message takes long. The same holds for a stalled call that
+        // succeeds in the end.
         let was_slow_message =
             if is_further_attempt { call.is_overdue } else { result.outcome == Outcome::Success };
         self.stalls.record(was_slow_message);
     }
 
-    /// Nothing goes to a route during its Retry-After, whatever the outcome it came with. That of a destination holds for
-    /// the endpoints that have come since, too.
+    /// Stops calls to a route during the Retry-After of an answer, whatever the answer's outcome. The Retry-After of a
+    /// destination also applies to endpoints that have been added since.
     fn apply_retry_after(&mut self, call: &Call, retry_after: Micros) {
         let endpoint = self.endpoints.get(&call.endpoint);
         let destination = endpoint.and_then(|endpoint| self.destinations.get(&endpoint.destination));
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A success ends the failures of a route; after an outage it starts the ramp.
+    /// Ends the failures of a route after a success; after an outage the success also starts the ramp.
     fn end_failures(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let is_capacity_reduced = route.present_capacity(self.now, &self.settings).is_some();
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The first success after an outage: what is still in flight is presumed lost, and the ramp starts.
+    /// Starts the ramp at the first success after an outage. Calls still in flight are presumed lost.
     fn start_warm_up(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         route.health = RouteHealth::WarmingUp(self.now);
@@ -163,7 +164,8 @@
         self.routes[id].update_outage_state(self.now, &self.settings);
     }
 
-    /// After a rejection the saved-up calls are gone, and chance keeps those rejected together from returning together.
+    /// Slows the pace after a rejection. Discards the saved-up calls and a random part of one more call, so that
+    /// forwarders that are rejected together do not return together.
     fn slow_pace(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let most = pacing::max_multiple(&self.settings);
--- a/crates/core/src/controller/timers.rs
+++ b/crates/core/src/controller/timers.rs
@@ -1,4 +1,4 @@
-//! What comes due by time: deadlines and reviews of messages, overdue and stalled calls, and the next timer.
+//! Handles what is due by time: deadlines and reviews of messages, overdue and stalled calls, and the next timer.
 
 use super::Controller;
 use crate::call::CallId;
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Attempts in flight at the deadline do not keep the answer back: they are cut to it and end by themselves.
+    /// Gives a message its final answer or updates its place in the queue. Attempts in flight do not delay the final
+    /// answer: their time-outs are limited by the deadline, so they end by themselves.
     fn review_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         let is_queued = message.rank.is_some();
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A hang shows before its time-out: an overdue call makes its route faulty at once.
+    /// Marks a call as overdue, so that a hang makes its route faulty before the call times out.
     fn mark_overdue(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_counted) else { return };
         self.schedule.call_timers.insert((self.now + OVERDUE_RECHECK_US, id));
@@ -58,7 +59,7 @@
         self.route_changed(route_id);
     }
 
-    /// Cancels a stalled call where that helps and its message may go again: its slot is free at once.
+    /// Cancels a stalled call if that is likely to help and its message may be sent again. This frees its slot at once.
     fn cancel_if_stalled(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_counted) else { return };
         let endpoint = self.endpoints.get(&call.endpoint);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Asks for a timer at the next moment at which something comes due, unless one is set that early.
+    /// Requests a timer for the next time at which something is due, unless an earlier timer is set.
     pub(super) fn set_timer(&mut self, actions: &mut Vec<Action>) {
         self.update_waiting_index();
         let mut next = self.schedule.first_timer();
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the controller knows of an endpoint (its line in the list, its connections and errors) and of a destination.
+//! The controller's record of an endpoint (its entry in the list, its connections and errors) and of a destination.
 
 use crate::draining;
 use crate::interface::{
@@ -9,22 +9,22 @@
 use crate::route::RouteId;
 use std::collections::BTreeSet;
 
-/// One endpoint of the list.
+/// One endpoint of the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub destination: DestinationId,
     pub route: RouteId,
     pub zone: usize,
     pub kind: DestinationKind,
-    /// It neither drains nor is removed.
+    /// Whether new calls may go to it: it is active, neither draining nor removed, and listed under its destination.
     pub accepts_calls: bool,
-    /// The list no longer has it.
+    /// Whether it is no longer in the list.
     pub is_removed: bool,
-    /// What health checks report.
+    /// Result of its health checks.
     pub health: HealthStatus,
-    /// Its health checks fail while those of another endpoint of the destination pass.
+    /// Whether its health checks fail while those of another endpoint of the destination pass.
     pub is_excluded: bool,
-    /// Allocated with the first call: most endpoints of a long list have none.
+    /// Allocated at the first call, because most endpoints of a long list have no calls.
     traffic: Option<Box<EndpointTraffic>>,
 }
 
@@ -33,19 +33,19 @@
 pub(crate) struct EndpointTraffic {
     /// Calls in flight.
     pub in_flight: usize,
-    /// Since when each idle connection is idle, the latest last.
+    /// For each idle connection the time since which it is idle, the latest last.
     idle_connections: Vec<Micros>,
-    /// Errors since the last success.
+    /// Number of errors since the last success.
     pub consecutive_errors: u32,
-    /// When the latest of the calls was sent that succeeded.
+    /// Send time of the latest sent call that succeeded; 0 if there is none.
     pub latest_answered_sent_at: Micros,
-    /// Unreadable answers, and reused connections that closed during a call, since the last success.
+    /// Number of unreadable answers, and of reused connections that closed during a call, since the last success.
     pub invalid_responses: u32,
-    /// Other endpoints go before it until then.
+    /// Other endpoints are preferred until this time.
     pub avoid_until: Micros,
 }
 
-/// The traffic of an endpoint that has had none.
+/// The traffic of an endpoint that has had no calls.
 static NO_TRAFFIC: EndpointTraffic = EndpointTraffic::initial();
 
 impl EndpointTraffic {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A call opens: it takes an idle connection where no open one has a stream left.
+    /// Counts a new call. The call takes an idle connection if no connection in use has a free stream.
     pub fn open_call(&mut self, now: Micros, settings: &Settings) {
         if self.in_flight.is_multiple_of(settings.streams_per_connection.max(1)) {
             self.idle_connections.retain(|since| now - since < settings.idle_timeout);
@@ -69,7 +69,7 @@
         self.in_flight += 1;
     }
 
-    /// A call has ended; its connection stays open after a complete answer.
+    /// Counts the end of a call. Its connection stays open after a complete answer.
     pub fn close_call(&mut self, outcome: Outcome, now: Micros, settings: &Settings) {
         self.in_flight -= 1;
         let stays_open = matches!(outcome, Outcome::Success | Outcome::Error | Outcome::Rejected);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A call sent at `sent_at` has succeeded.
+    /// Records the success of a call sent at `sent_at`.
     pub fn record_success(&mut self, sent_at: Micros) {
         self.consecutive_errors = 0;
         self.avoid_until = 0;
@@ -87,14 +87,15 @@
 }
 
 impl Endpoint {
-    /// An endpoint that is new in the list.
+    /// Creates an endpoint that is new in the list.
     pub fn new(entry: &EndpointUpdate, kind: DestinationKind, route: RouteId) -> Self {
         let mut endpoint = Endpoint { destination: entry.destination, route, ..Endpoint::default() };
         endpoint.update(entry, kind);
         endpoint
     }
 
-    /// Takes in its line of the list. It stays with its destination: one listed under another takes no calls.
+    /// Applies its entry in the list. An endpoint never changes its destination: while it is listed under another one,
+    /// it gets no calls.
     pub fn update(&mut self, entry: &EndpointUpdate, kind: DestinationKind) {
         self.accepts_calls = draining::accepts_calls(entry.state) && self.destination == entry.destination;
         self.is_removed = entry.state == EndpointState::Removed;
@@ -103,17 +104,17 @@
         self.health = entry.health;
     }
 
-    /// What its calls have shown so far.
+    /// Returns what its calls have shown so far.
     pub fn traffic(&self) -> &EndpointTraffic {
         self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
     }
 
-    /// The same, to be changed.
+    /// Returns what its calls have shown so far, for a change.
     pub fn traffic_mut(&mut self) -> &mut EndpointTraffic {
         self.traffic.get_or_insert_with(|| Box::new(EndpointTraffic::initial()))
     }
 
-    /// Whether a call would have to open a connection.
+    /// Returns whether a call would need a new connection.
     pub fn needs_connection(&self, now: Micros, settings: &Settings) -> bool {
         let traffic = self.traffic();
         let has_stream = !traffic.in_flight.is_multiple_of(settings.streams_per_connection.max(1));
@@ -123,13 +124,13 @@
     }
 }
 
-/// A destination and the messages that wait for it.
+/// A destination and the messages queued for it.
 #[derive(Debug, Default)]
 pub(crate) struct Destination {
     pub endpoints: Vec<EndpointId>,
-    /// The route of its endpoints, where they are not separate routes.
+    /// The route that its endpoints share; `None` if they are separate routes.
     pub shared_route: Option<RouteId>,
     pub queue: BTreeSet<QueueRank>,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: usize,
 }
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as data: its entries, the events that change it, and the list as it stands. Used by discovery, the
-//! journal and the forwarder; it holds no decision.
+//! The endpoint list as data: its entries, the events that change it, and its current state. Discovery, the journal and
+//! the forwarder use it. It makes no decisions.
 
 mod bounds;
 mod list;
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Most bytes of an entry beside its names and its address: all its numbers at their longest.
+/// Maximum size of an entry in bytes, without its names and its address: all its numbers at their longest.
 const ENTRY_BYTES: usize = 160;
-/// Most bytes of an address.
+/// Maximum size of an address in bytes.
 const IPV4_BYTES: usize = "255.255.255.255:65535".len();
 const IPV6_BYTES: usize = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".len();
-/// Most bytes that JSON adds to escape a byte of a name.
+/// Maximum number of bytes that JSON adds to escape one byte of a name.
 const ESCAPE_BYTES: usize = "\\u0000".len() - 1;
 
-/// An entry of the list, as discovery and the journal write it.
+/// An entry of the endpoint list, as discovery and the journal write it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its id, the same at every forwarder and across restarts.
+    /// Its id, which is the same at every forwarder and across restarts.
     pub uid: String,
-    /// Where this forwarder reaches it.
+    /// The address at which this forwarder reaches it.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
     /// Its zone.
@@ -37,24 +37,24 @@
     /// Its destination.
     #[serde(rename = "pod_group")]
     pub destination: u64,
-    /// Whether it takes new calls.
+    /// Its state, which says whether it accepts new calls.
     pub state: EndpointState,
-    /// Capacity of its destination, in calls a second.
+    /// Capacity of its destination, in calls a second; 0 if unknown.
     #[serde(default)]
     pub capacity_hint: f64,
-    /// Result of its health checks.
+    /// Result of its health checks; `Passing` if absent.
     #[serde(rename = "checks", default, skip_serializing_if = "HealthStatus::is_passing")]
     pub health: HealthStatus,
 }
 
 impl EndpointEntry {
-    /// Bytes of the entry as JSON, rounded up.
+    /// Returns an upper bound for the size of the entry as JSON, in bytes.
     pub fn size(&self) -> usize {
         entry_size(&self.address, [&self.uid, &self.zone, &self.kind])
     }
 }
 
-/// Bytes of an entry with this address and these names as JSON, rounded up.
+/// Returns an upper bound for the size as JSON, in bytes, of an entry with this address and these names.
 fn entry_size(address: &SocketAddr, names: [&str; 3]) -> usize {
     let address_bytes = if address.is_ipv4() { IPV4_BYTES } else { IPV6_BYTES };
     let name_size = |name: &str| {
@@ -64,19 +64,19 @@
     ENTRY_BYTES + address_bytes + names.into_iter().map(name_size).sum::<usize>()
 }
 
-/// An event of the watch: the whole list, or what has changed in it.
+/// An event of the watch: the whole list, or its changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// Version of the list after this event.
     #[serde(rename = "rev")]
     pub version: u64,
-    /// Whether this is the whole list.
+    /// Whether the event contains the whole list.
     #[serde(rename = "all")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// The entries: all of them in a snapshot, only the changed ones in a delta.
     #[serde(rename = "targets")]
     pub endpoints: Vec<EndpointEntry>,
-    /// Its source: the id of a catalogue; empty for discovery.
+    /// The source of the list: the id of a catalogue; empty for discovery.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub origin: String,
 }
--- a/crates/core/src/endpoint_list/bounds.rs
+++ b/crates/core/src/endpoint_list/bounds.rs
@@ -1,23 +1,23 @@
-//! Bounds of an endpoint list, and parsing within them: a list from outside may not exhaust the memory.
+//! Bounds of an endpoint list, and parsing within them, so that a list from outside cannot exhaust the memory.
 
 use super::{EndpointEntry, WatchEvent};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, SeqAccess, Visitor};
 use std::fmt;
 
-/// Most entries of a list: twice the 100,000 for which the forwarder is built.
+/// Maximum number of entries in a list: twice the 100,000 for which the forwarder is designed.
 pub const MAX_ENTRIES: usize = 200_000;
-/// Most bytes of a list: 251 for each entry, where an ordinary one takes about 170.
+/// Maximum size of a list in bytes: 251 bytes for each entry, where an ordinary entry takes about 170.
 pub const MAX_LIST_BYTES: usize = 48 << 20;
 
-/// Why a text is not accepted as a list.
+/// The reason why a text is not accepted as a list.
 #[derive(Debug)]
 pub enum ListError {
-    /// It is longer than [`MAX_LIST_BYTES`].
+    /// The text is longer than [`MAX_LIST_BYTES`].
     TooLarge,
-    /// It has more entries than [`MAX_ENTRIES`].
+    /// The list has more entries than [`MAX_ENTRIES`].
     TooManyEntries,
-    /// It is not a complete list.
+    /// The text is not a complete list.
     Malformed(serde_json::Error),
 }
 
@@ -33,11 +33,12 @@
 
 impl std::error::Error for ListError {}
 
-/// Parses one list. A text that is too large is not parsed, and parsing ends with the first entry that is too many.
+/// Parses one list. A text that is too large is not parsed, and parsing stops at the first entry that exceeds
+/// [`MAX_ENTRIES`].
 ///
 /// # Errors
 ///
-/// The text is not a list, or exceeds the bounds.
+/// Returns an error if the text is not a list or exceeds the bounds.
 pub fn parse_list(text: &[u8]) -> Result<WatchEvent, ListError> {
     if text.len() > MAX_LIST_BYTES {
         return Err(ListError::TooLarge);
@@ -48,13 +49,13 @@
     Ok(event)
 }
 
-/// Parses a list within another text; for `deserialize_with`.
+/// Parses a list that is part of another text; for `deserialize_with`.
 ///
 /// # Errors
 ///
-/// It is not a list, or has more entries than [`MAX_ENTRIES`].
+/// Returns an error if the value is not a list or has more entries than [`MAX_ENTRIES`].
 pub fn bounded_watch_event<'de, D: Deserializer<'de>>(deserializer: D) -> Result<WatchEvent, D::Error> {
-    /// The form of [`WatchEvent`], its entries counted as they are read.
+    /// The fields of [`WatchEvent`]; the entries are counted while they are read.
     #[derive(Deserialize)]
     struct Bounded {
         rev: u64,
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it stands, in a form that is small in memory: names that entries share are kept once.
+//! The current endpoint list, stored compactly: names that entries share are stored once.
 
 use super::{EndpointEntry, EndpointState, HealthStatus, MAX_ENTRIES, WatchEvent, entry_size};
 use std::borrow::Borrow;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Bytes of a list beside its entries as JSON, rounded up.
+/// Upper bound for the size of a list as JSON without its entries, in bytes.
 const HEAD_BYTES: usize = 300;
 
-/// An endpoint in the list: an [`EndpointEntry`] whose names are shared.
+/// An endpoint in the list: an [`EndpointEntry`] whose names are shared with other entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
     /// See [`EndpointEntry::uid`].
@@ -32,7 +32,7 @@
 }
 
 impl ListedEndpoint {
-    /// The entry as it is written.
+    /// Returns the entry in the form in which it is written.
     pub fn to_entry(&self) -> EndpointEntry {
         EndpointEntry {
             uid: self.uid.to_string(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// An entry in the order of the uids, which are looked up in it.
+/// An entry that is ordered by its uid and can be looked up by it.
 #[derive(Clone, Debug)]
 struct ByUid(ListedEndpoint);
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Names that many entries have in common, each kept once.
+/// Names that many entries have in common, each stored once.
 #[derive(Clone, Debug, Default)]
 struct SharedNames(BTreeSet<Arc<str>>);
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// The list as it stands.
+/// The current endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
     version: u64,
@@ -119,7 +119,7 @@
         self.apply_sharing(event, |uid| uid.into());
     }
 
-    /// The same, with the shared copies of uids that `uid_of` gives.
+    /// Applies an event as [`Self::apply`] does, and takes the shared copy of each uid from `uid_of`.
     pub fn apply_sharing(&mut self, event: &WatchEvent, uid_of: impl Fn(&str) -> Arc<str>) {
         if event.is_snapshot {
             self.apply_snapshot(&event.endpoints, uid_of);
@@ -132,9 +132,9 @@
 
     fn apply_snapshot(&mut self, entries: &[EndpointEntry], uid_of: impl Fn(&str) -> Arc<str>) {
         self.entries = BTreeSet::new();
-        // Names that are in no entry any more are dropped.
+        // Drops names that no entry uses any more.
         self.names = SharedNames::default();
-        // Built in one go, a tree is packed full; of two entries for one endpoint the later counts.
+        // A tree that is built in one go is packed full. Of two entries for one endpoint the later one counts.
         let mut entries: BTreeSet<ByUid> =
             entries.iter().map(|entry| ByUid(self.share_names(entry, &uid_of))).collect();
         entries.retain(|entry| entry.0.state != EndpointState::Removed);
@@ -168,13 +168,13 @@
         }
     }
 
-    /// Whether the list stays within [`MAX_ENTRIES`] after an event.
+    /// Returns whether the list stays within [`MAX_ENTRIES`] after an event.
     pub fn has_room_for(&self, event: &WatchEvent) -> bool {
         let is_listed = |entry: &&EndpointEntry| entry.state != EndpointState::Removed;
         if event.is_snapshot {
             return event.endpoints.iter().filter(is_listed).count() <= MAX_ENTRIES;
         }
-        // Most deltas are small: only near the bound is it worth looking which entries are new.
+        // Most deltas are small, so new entries are counted only near the bound.
         if self.len() + event.endpoints.len() <= MAX_ENTRIES {
             return true;
         }
@@ -184,8 +184,8 @@
         self.len() + new <= MAX_ENTRIES + removed
     }
 
-    /// An event that is older than the list, without its activations: an endpoint that has drained or was removed since
-    /// must not get calls again because of it.
+    /// Returns an event that is older than the list without its activations, because they must not give calls to an
+    /// endpoint that has drained or was removed since.
     pub fn without_activations(&self, mut event: WatchEvent) -> WatchEvent {
         for entry in &mut event.endpoints {
             let serves = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
@@ -196,42 +196,43 @@
         event
     }
 
-    /// Version of the list.
+    /// Returns the version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Source of the list; see [`WatchEvent::origin`].
+    /// Returns the source of the list; see [`WatchEvent::origin`].
     pub fn origin(&self) -> &str {
         &self.origin
     }
 
-    /// Bytes of the list as a snapshot in JSON, rounded up.
+    /// Returns an upper bound for the size of the list as a snapshot in JSON, in bytes.
     pub fn size(&self) -> usize {
         HEAD_BYTES + self.origin.len() + self.size
     }
 
-    /// Endpoints in the list.
+    /// Returns the number of endpoints in the list.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the list is empty.
+    /// Returns whether the list is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An endpoint of the list.
+    /// Returns an endpoint of the list; `None` if it is not listed.
     pub fn get(&self, uid: &str) -> Option<&ListedEndpoint> {
         self.entries.get(uid).map(|entry| &entry.0)
     }
 
-    /// The endpoints, by uid.
+    /// Iterates over the endpoints in the order of their uids.
     pub fn iter(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.entries.iter().map(|entry| &entry.0)
     }
 
-    /// The delta that makes this list the same as another: its new and changed entries, and those that it lacks as removed.
+    /// Returns the delta that turns this list into `other`: new and changed entries, and as removed those that `other`
+    /// lacks.
     pub fn delta_to(&self, other: &EndpointList) -> WatchEvent {
         let removed = self.iter().filter(|entry| other.get(&entry.uid).is_none());
         let removed =
@@ -245,7 +246,7 @@
         }
     }
 
-    /// The whole list as one event.
+    /// Returns the whole list as one event.
     pub fn snapshot(&self) -> WatchEvent {
         WatchEvent {
             version: self.version,
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,38 +1,39 @@
-//! The interface of the controller: settings, events and actions. No logic lives here. Some of them have no effect: their
-//! doc comments say so.
+//! The interface of the controller: settings, events and actions. This module holds no logic. Some settings, events and
+//! actions have no effect, and their doc comments say so.
 //!
-//! Classes, tenants, zones and kinds are numbers: places in the lists of [`Settings`]. Messages, endpoints and
-//! order keys are numbers that the forwarder chooses. A number with no place in the settings is legal in an
-//! event: an unknown class is handled as [`Idempotency::NonIdempotent`] without a priority weight, an unknown tenant has no quota, an
-//! unknown zone is a zone of its own, and an unknown kind has no batches and no separate routes.
+//! A class, tenant, zone or kind is a number: its index in a list of [`Settings`]. The forwarder chooses the numbers of
+//! messages, endpoints and order keys. An event may contain an index that the settings do not have: an unknown class is
+//! handled as [`Idempotency::NonIdempotent`] without a priority weight, an unknown tenant has no quota, each unknown
+//! zone is a separate zone, and an unknown kind has neither batches nor separate routes.
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds: a point on the forwarder's clock, or a span.
+/// A point on the forwarder's clock, or a time span, in microseconds.
 pub type Micros = i64;
 /// Microseconds in a second, for rates in calls a second.
 pub(crate) const SECOND_US: f64 = 1_000_000.0;
-/// A message, numbered by the forwarder; a number is not used again.
+/// The number of a message. The forwarder chooses it and never uses it again.
 pub type MessageId = u64;
-/// An endpoint, numbered by the forwarder.
+/// The number of an endpoint, which the forwarder chooses.
 pub type EndpointId = u32;
-/// A destination.
+/// The number of a destination.
 pub type DestinationId = u64;
-/// A route by the numbers of this interface: a destination, or one endpoint of it where its endpoints are separate routes.
+/// A route, named by the numbers of this interface: a destination, or one endpoint of a destination whose endpoints are
+/// separate routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteRef {
     /// The destination.
     pub destination: DestinationId,
-    /// The endpoint, where it is a separate route.
+    /// The endpoint if it is a separate route; `None` for the route that all endpoints of the destination share.
     pub endpoint: Option<EndpointId>,
 }
 
-/// An attempt before a restart that may have been executed.
+/// An attempt that was sent before a restart and may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub sent_ago: Micros,
-    /// Where it was sent.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
     /// The endpoint's zone at that time.
     pub zone: usize,
@@ -41,38 +42,38 @@
 /// How the weight of a message decreases after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WeightDecay {
-    /// Evenly, down to the late share at the deadline.
+    /// The weight decreases linearly and reaches the late share at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, but not below the late share.
+    /// The weight halves with each further latency objective, but does not fall below the late share.
     Halving,
 }
 
-/// Which endpoints of a destination drop a repeat of a keyed message.
+/// Which endpoints of a destination drop a repeated delivery of a message with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those in the zone of the first attempt.
+    /// The endpoints in the zone of the first attempt.
     Zone,
-    /// Only the same endpoint.
+    /// Only the endpoint of the first attempt.
     Endpoint,
 }
 
 /// Whether a message of a class may be delivered twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Idempotency {
-    /// A second delivery does no harm.
+    /// A second delivery is harmless.
     Idempotent,
-    /// A second delivery is dropped within the scope, for `window` from the send of the first attempt that may have been
-    /// executed.
+    /// A second delivery within the scope is dropped, for the time `window` after the first attempt that may have been
+    /// executed was sent.
     IdempotencyKey {
-        /// Which endpoints drop it.
+        /// Which endpoints drop the second delivery.
         scope: DeduplicationScope,
-        /// For how long, in microseconds.
+        /// How long they drop it, in microseconds.
         window: Micros,
     },
-    /// A second delivery has its effect twice.
+    /// A second delivery is executed a second time.
     #[default]
     NonIdempotent,
 }
@@ -80,55 +81,55 @@
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Class {
-    /// Delivered within this time a message has its full weight.
+    /// A message that is delivered within this time of its arrival has its full weight.
     pub latency_objective: Micros,
-    /// Given up after this time.
+    /// The message is given up when this time has passed since its arrival.
     pub deadline: Micros,
     /// Weight of a message delivered in time, in points.
     pub priority_weight: f64,
-    /// Share of the weight that is left at the deadline.
+    /// Share of the weight that remains at the deadline, from 0 to 1.
     pub late_weight_share: f64,
-    /// Whether it may be delivered twice.
+    /// Whether a message of this class may be delivered twice.
     pub idempotency: Idempotency,
-    /// Messages with the same order key go one at a time, in order of arrival.
+    /// Whether messages with the same order key are sent one at a time, in order of arrival.
     pub keep_order: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DestinationKind {
-    /// Messages in one call at most; 1 or more.
+    /// Greatest number of messages in one call; at least 1.
     pub max_batch: usize,
-    /// Its endpoints are separate routes, each with a limit, a pace and a health of its own.
+    /// Whether its endpoints are separate routes, each with its own limit, pace and health.
     pub separate_routes: bool,
 }
 
-/// What the capacity hints of the endpoint list mean.
+/// Meaning of the capacity hints in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum CapacityHints {
-    /// Nothing.
+    /// The hints have no meaning.
     #[default]
     None,
-    /// Calls a second that the destination (or route) takes from all forwarders together.
+    /// The hint is the number of calls a second that the destination (or route) accepts from all forwarders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// As [`CapacityHints::Nominal`], but the hint may be up to half too high or too low.
     Rough,
 }
 
 /// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum DiscoveryMode {
-    /// Changes arrive unprompted.
+    /// Changes arrive without a request.
     #[default]
     Push,
-    /// Only after [`Action::Watch`] or [`Action::PollList`].
+    /// Changes arrive only after [`Action::Watch`] or [`Action::PollList`].
     Poll,
 }
 
 /// Settings of a forwarder. Times are in microseconds, costs in points.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How many forwarders there are.
+    /// Number of forwarders in the fleet.
     pub fleet_size: u32,
     /// The zone of this forwarder.
     pub zone: usize,
@@ -136,107 +137,108 @@
     pub classes: Vec<Class>,
     /// Kinds of destinations.
     pub kinds: Vec<DestinationKind>,
-    /// Messages a second within its share, for each tenant, over all forwarders. Has no effect: the controller has no rule
-    /// for quotas.
+    /// Quota of each tenant, in messages a second over all forwarders. Has no effect: the controller has no rule for
+    /// quotas.
     pub tenant_quotas: Vec<f64>,
-    /// Share of its weight that a message over its tenant's quota keeps. Has no effect.
+    /// Share of its weight that a message keeps if its tenant is over its quota. Has no effect.
     pub over_quota_weight: f64,
     /// How the weight decreases after the latency objective. Has no effect: `queue` orders late messages by their lateness.
     pub decay: WeightDecay,
-    /// Calls in flight at once (call slots).
+    /// Greatest number of calls in flight (call slots).
     pub max_calls: usize,
-    /// Messages without a final answer at once, sent or not; 0 means any number.
+    /// Greatest number of messages without a final answer, whether sent or not; 0 means no limit.
     pub max_open_messages: usize,
-    /// Attempts for one message; 0 means any number.
+    /// Greatest number of attempts for one message; 0 means no limit.
     pub max_attempts: u32,
-    /// A message may have two attempts in flight. Has no effect: the controller never hedges.
+    /// Whether a message may have two attempts in flight. Has no effect: the controller never hedges.
     pub allow_hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub allow_cancel: bool,
-    /// Rejections carry a Retry-After.
+    /// Whether a rejection carries a Retry-After.
     pub send_retry_after: bool,
-    /// Longest Retry-After that a client follows.
+    /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// Calls that one connection carries at once.
+    /// Greatest number of concurrent calls on one connection.
     pub streams_per_connection: usize,
-    /// An idle connection closes after this time.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// A connection not up by then has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
-    /// Cost of a new connection for a first attempt.
+    /// Cost of a first attempt that needs a new connection.
     pub handshake_cost: f64,
-    /// Cost of a first attempt into another zone.
+    /// Cost of a first attempt that goes to another zone.
     pub cross_zone_cost: f64,
-    /// Cost of a message delivered by a separate route, for each zone.
+    /// Cost of a message that a separate route delivers, for each zone of the route's endpoint.
     pub zone_costs: Vec<f64>,
-    /// What the capacity hints mean.
+    /// Meaning of the capacity hints.
     pub capacity_hints: CapacityHints,
-    /// How changes of the endpoint list arrive; for [`poll_schedule`](crate::poll_schedule), not the controller.
+    /// How changes of the endpoint list arrive. Used by [`poll_schedule`](crate::poll_schedule), not by the controller.
     pub discovery_mode: DiscoveryMode,
-    /// Least time between two steps.
+    /// Shortest time between two steps.
     pub tick: Micros,
-    /// A final answer counts until this long after the deadline. Has no effect: the controller answers
-    /// before the deadline.
+    /// Time after the deadline within which a final answer still counts. Has no effect: the controller answers before
+    /// the deadline.
     pub final_answer_grace: Micros,
-    /// Without a subscription the list has to be polled within this time; 0 means never. For
-    /// [`poll_schedule`](crate::poll_schedule), not the controller.
+    /// Longest time between two requests for the endpoint list while there is no subscription; 0 means no limit. Used
+    /// by [`poll_schedule`](crate::poll_schedule), not by the controller.
     pub max_poll_interval: Micros,
-    /// Sends to a draining endpoint must stop within this time. The controller stops at once; the forwarder starts
-    /// its subscriptions within it.
+    /// Time within which sends to a draining endpoint must stop. The controller stops at once; the forwarder starts its
+    /// subscriptions within this time.
     pub drain_grace: Micros,
-    /// A cold destination is overloaded by more than this multiple of its present capacity ...
+    /// A cold destination is overloaded if it gets calls at more than this multiple of its present capacity over
+    /// [`Self::overload_window`].
     pub overload_factor: f64,
-    /// ... over this time.
+    /// Time span in which calls are compared with [`Self::overload_factor`].
     pub overload_window: Micros,
-    /// After an outage a destination has at least this share of its capacity ...
+    /// Share of its capacity that a destination has at least directly after an outage.
     pub cold_capacity_share: f64,
-    /// ... and all of it after this time.
+    /// Time after an outage until a destination has its full capacity.
     pub warm_up_time: Micros,
-    /// An order key waits this long after an attempt that may still be running.
+    /// Time for which an order key waits after an attempt that may still be running.
     pub key_cooldown: Micros,
 }
 
-/// State of an endpoint in the list.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// In use; says nothing of its health.
+    /// The endpoint is in use. This state says nothing about its health.
     #[serde(rename = "in_service")]
     Active,
-    /// No new call may go there.
+    /// The endpoint gets no new calls.
     #[serde(rename = "terminating")]
     Draining,
-    /// No longer in the list; only in a delta.
+    /// The endpoint is no longer in the list. This state occurs only in a delta.
     #[serde(rename = "terminated")]
     Removed,
 }
 
-/// Result of an endpoint's health checks, where there are any.
+/// Result of an endpoint's health checks; `Passing` if it has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthStatus {
-    /// All pass, or there are none. By itself this does not end an ejection.
+    /// All health checks pass, or there are none. This alone does not end an ejection.
     #[default]
     Passing,
-    /// At least one warns: other endpoints go before it.
+    /// At least one health check warns: other endpoints are preferred.
     Warning,
-    /// At least one fails: nothing goes there while another endpoint of its destination passes. Where none does, its
-    /// calls decide.
+    /// At least one health check fails: the endpoint gets no calls while another endpoint of its destination passes. If
+    /// no endpoint passes, the outcomes of calls decide.
     Critical,
 }
 
 impl HealthStatus {
-    /// Whether nothing is wrong.
+    /// Returns `true` for [`HealthStatus::Passing`].
     pub fn is_passing(&self) -> bool {
         *self == HealthStatus::Passing
     }
 }
 
-/// A line of the endpoint list.
+/// One entry of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
     /// Its zone.
     pub zone: usize,
@@ -246,51 +248,51 @@
     pub state: EndpointState,
     /// Result of its health checks.
     pub health: HealthStatus,
-    /// See [`Settings::capacity_hints`].
+    /// Capacity hint; see [`Settings::capacity_hints`] for its meaning and unit.
     pub capacity_hint: f64,
 }
 
-/// What a list event contains.
+/// The content of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListEventKind {
     /// Changed entries only.
     Delta,
     /// The whole list.
     Snapshot,
-    /// The whole list as this forwarder had it last, which may be out of date.
+    /// The whole list as this forwarder last had it, which may be out of date.
     Restored,
-    /// A request failed or the subscription broke.
+    /// No entries: a request failed or the subscription broke.
     Failed,
 }
 
-/// The number of a zone that the settings do not name: each such zone is one by itself.
+/// Number of every zone that the settings do not name. Each of these zones is a separate zone.
 pub const UNKNOWN_ZONE: usize = usize::MAX;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Success,
-    /// Answered with an error; may have been executed.
+    /// The endpoint answered with an error; the call may have been executed.
     Error,
-    /// Rejected before execution.
+    /// The endpoint rejected the call before its execution.
     Rejected,
-    /// No answer in time; may have been executed.
+    /// No answer came in time; the call may have been executed.
     Timeout,
-    /// The call was not delivered, as where no connection was made; not executed.
+    /// The call did not reach the endpoint, for example because no connection could be made; it was not executed.
     ConnectFailed,
-    /// The connection broke; may have been executed.
+    /// The connection broke; the call may have been executed.
     Reset,
-    /// An unreadable answer, or a reused connection that closed during the call; may have been executed. Neither says much of
-    /// the endpoint by itself, so the first few in a row push nothing back.
+    /// The answer could not be read, or a reused connection closed during the call; the call may have been executed.
+    /// Neither says much about the endpoint's health, so the first few in a row do not reduce its calls.
     InvalidResponse,
-    /// Cancelled; may have been executed.
+    /// The attempt was cancelled; the call may have been executed.
     Cancelled,
-    /// Not sent, or answered in a way that says the call was not executed and nothing of the endpoint's health.
+    /// The call was not sent, or the answer says that it was not executed and says nothing about the endpoint's health.
     NotSent,
 }
 
-/// How an attempt ended, and what its answer reported.
+/// The outcome of an attempt, and what its answer reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
     /// The message.
@@ -299,15 +301,15 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from the send to the end of the attempt.
     pub latency: Micros,
-    /// The message has its final answer.
+    /// Whether the message now has its final answer.
     pub message_finished: bool,
-    /// Retry-After of the answer, whatever the outcome; 0: none.
+    /// Retry-After of the answer, whatever the outcome; 0 if there is none.
     pub retry_after: Micros,
-    /// Reported limit in calls a second, if any.
+    /// Limit that the answer reported, in calls a second; `None` if it reported none.
     pub reported_limit: Option<f64>,
-    /// Reported remainder of the limit, if any.
+    /// What the answer reported as remaining of the limit; `None` if it reported nothing.
     pub reported_remaining: Option<f64>,
 }
 
@@ -324,104 +326,106 @@
         class: usize,
         /// Its tenant; has no effect.
         tenant: usize,
-        /// Its order key, where its class keeps an order; an idempotency key is no concern of the controller.
+        /// Its order key, which counts only if its class keeps an order. The controller does not know idempotency keys.
         order_key: Option<u64>,
-        /// Time until its deadline.
+        /// Time left until its deadline.
         time_left: Micros,
-        /// The client marked it as a retry.
+        /// Whether the client marked the message as a retry.
         is_retry: bool,
     },
-    /// The attempts of a message before a restart; comes right after its [`Event::Message`].
+    /// The attempts that a message had before a restart. Follows its [`Event::Message`] directly.
     AttemptHistory {
-        /// Its number.
+        /// The number of the message.
         id: MessageId,
-        /// Attempts used up.
+        /// Number of attempts made before the restart.
         attempts: u32,
-        /// The first attempt that may have been executed.
+        /// The first attempt that may have been executed; `None` if there is none.
         possible_delivery: Option<PriorAttempt>,
     },
-    /// State of a destination known from an earlier process of this forwarder, set by an operator, or new to this forwarder
-    /// as its owner.
+    /// The state of a destination that an earlier process of this forwarder knew, that an operator has set, or that
+    /// this forwarder gets as the destination's new owner.
     RouteState {
-        /// Its number.
+        /// The number of the destination.
         destination: DestinationId,
-        /// The endpoint that it is about, where its endpoints are separate routes; none: all of them.
+        /// The endpoint to which the state applies if the destination's endpoints are separate routes; `None` means all
+        /// of them.
         endpoint: Option<EndpointId>,
-        /// Its routes start as after an outage: they get trial calls, and after a success a ramp. Otherwise they stay as
-        /// they are.
+        /// Whether its routes start as after an outage: they get trial calls, and after a success a ramp. If `false`,
+        /// they stay as they are.
         begins_cold: bool,
-        /// What is left of its Retry-After; 0: none.
+        /// Time left of its Retry-After; 0 if there is none.
         retry_after: Micros,
     },
-    /// New settings; the endpoint list comes again right after.
+    /// New settings. The endpoint list is sent again directly after them.
     Settings(Box<Settings>),
-    /// The forwarder shuts down: calls that cannot end by then are not begun.
+    /// The forwarder is shutting down. Calls that cannot end before it stops are not started.
     ShuttingDown {
-        /// How long it still runs.
+        /// Time left until the forwarder stops.
         time_left: Micros,
     },
     /// The client has withdrawn a message.
     Withdrawn {
-        /// Its number.
+        /// The number of the message.
         id: MessageId,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The response to an attempt has started; the attempt belongs to the client from now on. Ignored.
+    /// The response to an attempt has started, and the attempt belongs to the client from now on. The controller
+    /// ignores this.
     ResponseStarted {
         /// The message.
         id: MessageId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// A timer has come due.
+    /// A timer requested with [`Action::Timer`] is due.
     Timer {
-        /// Its number.
+        /// The number of the timer, from [`Action::Timer`].
         token: u64,
     },
     /// A change of the endpoint list.
     EndpointList {
-        /// What the entries are.
+        /// What the entries contain.
         kind: ListEventKind,
         /// The entries.
         entries: Vec<EndpointUpdate>,
     },
-    /// A health check has ended. Ignored: results come with the endpoint list.
+    /// A health check has ended. The controller ignores this, because results come with the endpoint list.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// Gossip from another forwarder. Ignored.
+    /// Gossip from another forwarder. The controller ignores this.
     Gossip {
-        /// Its number.
+        /// The number of the sending forwarder.
         from: u32,
         /// The bytes.
         bytes: Vec<u8>,
     },
 }
 
-/// An output of the controller: what the forwarder has to do.
+/// An output of the controller: an instruction to the forwarder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with a message. The first send of a message is attempt 0, the next 1, and so on.
+    /// Call an endpoint with a message. The first attempt of a message has number 0, the next 1, and so on.
     Send {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// The endpoint to call.
         endpoint: EndpointId,
-        /// Time after which the attempt fails.
+        /// Time after which the attempt fails with a time-out.
         timeout: Micros,
     },
     /// End the message undelivered; the client may safely send it again.
     Reject {
         /// The message.
         id: MessageId,
-        /// Retry-After for the client; 0: none.
+        /// Retry-After for the client; 0 means that the rejection carries none.
         retry_after: Micros,
     },
-    /// End the message undelivered; whether it was executed is not known.
+    /// End the message undelivered; it may have been executed.
     Fail {
         /// The message.
         id: MessageId,
@@ -433,38 +437,38 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Request an [`Event::Timer`].
     Timer {
-        /// How long from now.
+        /// Time from now until the timer is due.
         delay: Micros,
-        /// Its number.
+        /// The number of the timer, which its event repeats.
         token: u64,
     },
-    /// Subscribe to changes of the list, or stop. The controller never asks for it.
+    /// Start or stop the subscription to changes of the endpoint list. The controller never emits this.
     Watch {
-        /// Subscribe.
+        /// `true` to subscribe, `false` to stop.
         on: bool,
     },
-    /// Request the whole list once. The controller never asks for it.
+    /// Request the whole endpoint list once. The controller never emits this.
     PollList,
-    /// Send a health check to an endpoint. The controller never asks for it.
+    /// Send a health check to an endpoint. The controller never emits this.
     HealthCheck {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Close idle connections to an endpoint. The controller never asks for it.
+    /// Close idle connections to an endpoint. The controller never emits this.
     CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send gossip to one forwarder, or to all. The controller never asks for it.
+    /// Send gossip to one forwarder, or to all. The controller never emits this.
     Gossip {
-        /// Its number; `None`: all.
+        /// The number of the receiving forwarder; `None` means all.
         to: Option<u32>,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// A line for the forwarder's log. The controller never writes one.
+    /// Write a line to the forwarder's log. The controller never emits this.
     Log {
         /// The line.
         text: String,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,34 +1,40 @@
-//! The decisions of a forwarder of outbound messages, and the data that they rest on.
+//! The decisions of a forwarder of outbound messages, and the data that they depend on.
 //!
-//! A forwarder feeds [`Controller::step`] with [`Event`](interface::Event)s and carries out the
-//! [`Action`](interface::Action)s that come back: what to send, where and when, what to reject, what to fail. Each rule
-//! has a module of its own, without I/O and without a clock:
+//! A forwarder passes [`Event`](interface::Event)s to [`Controller::step`] and carries out the
+//! [`Action`](interface::Action)s that it returns: what to send, where and when, what to reject, what to fail. Each
+//! rule has its own module, which does no I/O and reads no clock:
 //!
 //! | module | decides |
 //! |---|---|
 //! | `admission` | which queued message is shed when capacity runs out, and the Retry-After of a rejection |
 //! | `queue` | the order of waiting messages |
 //! | `retry` | whether, where and when a message is attempted again, and whether it may be rejected |
-//! | `selection` | which endpoint a call goes to |
-//! | `concurrency_limit` | how many calls a route has in flight |
-//! | `pacing` | the rate of calls where one in flight is too many |
+//! | `selection` | which endpoint gets a call |
+//! | `concurrency_limit` | how many calls a route may have in flight |
+//! | `pacing` | the rate of calls to a route that cannot take one call in flight from each forwarder |
 //! | `capacity_share` | this forwarder's share of a route's capacity |
 //! | `outlier_detection` | when a route is ejected |
-//! | `slow_start` | how much an ejected or recovering route gets |
+//! | `slow_start` | how many calls an ejected or recovering route gets |
 //! | `timeouts` | when a call is overdue, timed out or cancelled |
-//! | `draining` | what still goes to an endpoint that leaves, and what is begun before a shutdown |
+//! | `draining` | whether a draining endpoint gets calls, and whether a call starts before a shutdown |
 //!
-//! Words for a route or an endpoint that gets fewer calls:
+//! Terms for a route or an endpoint that gets fewer calls:
 //!
-//! | word | set by | effect | ends with |
-//! |---|---|---|---|
-//! | ejected (route) | an outage, health checks none of which passes, `RouteState` | trial calls, one at a time, within a budget | a success that answers the failures (`is_answered_by`) |
-//! | warming up (route) | that success | a budget of calls that grows | the end of `warm_up_time` |
-//! | critical (route) | health checks: no endpoint passes, one fails | it is ejected when this begins | an endpoint that passes |
-//! | faulty (route) | ejection, failures in a row, a call overdue | fewer calls in flight, and a greater cost | the end of its causes |
-//! | excluded (endpoint) | a failing health check while another endpoint passes | no call | health checks that say otherwise |
-//! | suspect (endpoint) | errors of late (avoided), a health check that warns | a greater cost, so others go before it | a success or some seconds; the check |
-//! | does not accept calls (endpoint) | the list: it drains or is removed | no call | the list |
+//! - Ejected (route): set by an outage, by health checks none of which passes, or by `RouteState`. The route gets trial
+//!   calls, one at a time, within a budget. Ends with a success that answers the failures (`is_answered_by`).
+//! - Warming up (route): set by the success that ends an ejection. The route gets a budget of calls that grows. Ends
+//!   after `warm_up_time`.
+//! - Critical (route): set by health checks if no endpoint passes and one fails. The route is ejected when this starts.
+//!   Ends with an endpoint that passes.
+//! - Faulty (route): set by an ejection, consecutive failures or an overdue call. The route gets fewer calls in flight
+//!   and a higher cost. Ends with its causes.
+//! - Excluded (endpoint): set by a failing health check while another endpoint passes. The endpoint gets no calls. Ends
+//!   when the health check no longer fails or no other endpoint passes.
+//! - Suspect (endpoint): set by recent errors (the endpoint is avoided) or by a health check that warns. The endpoint
+//!   gets a higher cost, so other endpoints are preferred. After errors it ends with a success or after some seconds,
+//!   after a warning with the health check.
+//! - Does not accept calls (endpoint): set by the endpoint list if the endpoint drains or is removed. The endpoint gets
+//!   no calls. Ends with the endpoint list.
 
 #![deny(missing_docs)]
 
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -1,51 +1,52 @@
-//! Decides when a route is ejected, so that it gets trial calls only, and which endpoints health checks exclude.
+//! Decides when a route is ejected, so that it gets only trial calls, and which endpoints health checks exclude.
 //!
 //! Inputs are the outcomes of calls (consecutive failures and the time without a success, in microseconds) and the
-//! health checks that the endpoint list reports. A route that rejects or fails part of its calls is not down, so
-//! failures count only while no call succeeds. The way back is in `slow_start`.
+//! health checks that the endpoint list reports. A route that rejects or fails only some of its calls is not down, so
+//! failures count only while no call succeeds. `slow_start` decides how an ejected route returns.
 
 use crate::interface::{HealthStatus, Micros, Outcome};
 
-/// Failures that mean an outage.
+/// The failures from which a route counts as down.
 #[derive(Clone, Copy, Debug)]
 struct OutageThreshold {
-    /// Failures with no success between.
+    /// Number of failures without a success between them.
     consecutive_failures: u32,
-    /// Time since the last success; a route that has never succeeded counts as without one for longer than any such time.
+    /// Time since the last success. It counts as exceeded if the route has never succeeded.
     no_success_for_us: Micros,
 }
 
-/// Where at least one failure was more than a rejection.
+/// Threshold if at least one failure was more than a rejection.
 const OUTAGE_AFTER_ERRORS: OutageThreshold =
     OutageThreshold { consecutive_failures: 3, no_success_for_us: 1_500_000 };
-/// Where all calls were rejected and no limit is known.
+/// Threshold if all calls were rejected and no limit is known.
 const OUTAGE_AFTER_REJECTIONS: OutageThreshold =
     OutageThreshold { consecutive_failures: 3, no_success_for_us: 4_000_000 };
-/// Where all calls were rejected by a paced route: one that is over its limit rejects many calls as well.
+/// Threshold if a paced route rejected all calls. It is higher because a paced route that is over its limit rejects
+/// many calls too.
 const OUTAGE_AFTER_PACED_REJECTIONS: OutageThreshold =
     OutageThreshold { consecutive_failures: 8, no_success_for_us: 6_000_000 };
-/// Where all calls were rejected by a route of unknown capacity: from here on the return of a fleet is a ramp.
+/// Threshold from which a route of unknown capacity that rejected all calls starts a ramp when it returns.
 const RETURN_RAMP_AFTER_REJECTIONS: OutageThreshold =
     OutageThreshold { consecutive_failures: 8, no_success_for_us: 6_000_000 };
-/// Consecutive failures that make a route faulty.
+/// Number of consecutive failures that makes a route faulty.
 const FAULTY_AFTER_FAILURES: u32 = 2;
-/// Consecutive invalid responses (unreadable answers, reused connections that closed during a call) of an endpoint from
-/// which on each counts as a failure.
+/// Number of consecutive invalid responses of an endpoint (unreadable answers, reused connections that closed during a
+/// call) from which each counts as a failure.
 const INVALID_RESPONSES_AS_FAILURE: u32 = 3;
 
-/// Whether a route serves.
+/// The health of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum RouteHealth {
     /// No fault is known.
     #[default]
     Healthy,
-    /// Only trial calls go there.
+    /// The route gets only trial calls.
     Ejected,
-    /// Serving again since this time, with part of its capacity.
+    /// The route has been serving again since this time, with part of its capacity.
     WarmingUp(Micros),
 }
 
-/// The failures since the last success.
+/// The time span of the failures since the last success.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FailureSpan {
     /// Time of the first.
@@ -59,38 +60,38 @@
 pub(crate) struct FailureHistory {
     /// Failures and rejections since the last success.
     pub consecutive_failures: u32,
-    /// One of them was more than a rejection.
+    /// Whether one of these failures was more than a rejection.
     pub has_errors: bool,
     /// Time of the last success that counted; 0 if there was none.
     pub last_success_at: Micros,
-    /// When they happened; none since a success.
+    /// The time span of these failures; `None` if there was no failure since the last success.
     pub span: Option<FailureSpan>,
 }
 
 impl FailureHistory {
-    /// No call yet.
+    /// Returns the history of a route without calls.
     pub const fn initial() -> Self {
         FailureHistory { consecutive_failures: 0, has_errors: false, last_success_at: 0, span: None }
     }
 
-    /// Whether no call has succeeded so far.
+    /// Returns whether no call has succeeded so far.
     pub fn never_succeeded(&self) -> bool {
         self.last_success_at == 0
     }
 
-    /// Notes the time of a failure.
+    /// Records the time of a failure.
     pub fn extend_span(&mut self, now: Micros) {
         let first_at = self.first_failure_at().unwrap_or(now);
         self.span = Some(FailureSpan { first_at, last_at: now });
     }
 
-    /// Time of the first failure since the last success.
+    /// Returns the time of the first failure since the last success; `None` if there is none.
     pub fn first_failure_at(&self) -> Option<Micros> {
         self.span.map(|span| span.first_at)
     }
 
-    /// Counts a failure. An overdue call has been counted before; a failed connection is no error where the pace of
-    /// the route holds a fleet back from it.
+    /// Counts a failure. An overdue call has been counted before. A failed connection is no error if the route is
+    /// paced, because the pace already limits the calls of the fleet.
     pub fn record_failure(&mut self, outcome: Outcome, was_overdue: bool, is_paced: bool) {
         self.has_errors |= match outcome {
             Outcome::Rejected => false,
@@ -106,13 +107,13 @@
         self.has_errors = true;
     }
 
-    /// Whether a success of a call sent at `sent_at` says that the route serves: one sent before the latest failure does
-    /// not, unless that is longer ago than `overload_window`.
+    /// Returns whether a success of a call sent at `sent_at` shows that the route serves. A call sent before the latest
+    /// failure does not show it, unless that failure is at least `overload_window` ago.
     pub fn is_answered_by(&self, sent_at: Micros, now: Micros, overload_window: Micros) -> bool {
         self.span.is_none_or(|span| sent_at >= span.last_at || now - span.last_at >= overload_window)
     }
 
-    /// Ends the run of failures; gives the time of its first.
+    /// Ends the failures. Returns the time of the first one; `None` if there was none.
     pub fn reset(&mut self, now: Micros) -> Option<Micros> {
         self.consecutive_failures = 0;
         self.has_errors = false;
@@ -120,7 +121,7 @@
         self.span.take().map(|span| span.first_at)
     }
 
-    /// Whether the failures mean an outage, which ejects the route.
+    /// Returns whether the failures are an outage, which ejects the route.
     pub fn is_outage(&self, now: Micros, is_paced: bool) -> bool {
         let threshold = match (self.has_errors, is_paced) {
             (true, _) => OUTAGE_AFTER_ERRORS,
@@ -130,15 +131,16 @@
         self.exceeds(threshold, now)
     }
 
-    /// Whether nothing but rejections came for so long that the route was down, without having been ejected. A fleet that was
-    /// rejected all at once backs off, so no later rejection shows the outage, and its forwarders would return at once. With
-    /// a known capacity each keeps to its share of that, and a single forwarder has no others to return with it.
+    /// Returns whether the route was down without having been ejected, because it answered only with rejections for
+    /// long enough. If a fleet is rejected all at once, it backs off, so no later rejection shows the outage, and all
+    /// forwarders would return at once. If the capacity is known, each forwarder keeps to its share of it, and a single
+    /// forwarder has no others that return with it.
     pub fn was_rejection_outage(&self, now: Micros, fleet_size: u32, is_capacity_known: bool) -> bool {
         let is_unbounded = fleet_size > 1 && !is_capacity_known;
         is_unbounded && !self.has_errors && self.exceeds(RETURN_RAMP_AFTER_REJECTIONS, now)
     }
 
-    /// Whether failures follow on each other.
+    /// Returns whether at least `FAULTY_AFTER_FAILURES` calls have failed since the last success.
     pub fn is_failing_repeatedly(&self) -> bool {
         self.consecutive_failures >= FAULTY_AFTER_FAILURES
     }
@@ -149,8 +151,8 @@
     }
 }
 
-/// Counts invalid responses of an endpoint, none of which pushes back by itself: they show that it is there.
-/// Says whether this one is ignored.
+/// Counts the consecutive invalid responses of an endpoint. A single one does not reduce its calls, because it shows
+/// that the endpoint is there. Returns whether this outcome is an invalid response that is ignored.
 pub(crate) fn ignores_invalid_response(consecutive: &mut u32, outcome: Outcome) -> bool {
     let is_invalid = outcome == Outcome::InvalidResponse;
     if outcome == Outcome::Success {
@@ -164,13 +166,14 @@
 /// What a destination's health checks say about one of its endpoints and its route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct HealthCheckVerdict {
-    /// Nothing goes to the endpoint while another of the destination passes.
+    /// Whether the endpoint gets no calls because it fails while another endpoint of the destination passes.
     pub excludes_endpoint: bool,
-    /// The route has no endpoint that passes. A critical report starts this, and only a passing one ends it.
+    /// Whether the route has no endpoint that passes. Only a critical health check starts this, and only a passing one
+    /// ends it.
     pub route_is_critical: bool,
 }
 
-/// Judges an endpoint by its health checks, those of its route and those of its destination.
+/// Evaluates the health checks of an endpoint together with those of its route and its destination.
 pub(crate) fn judge_health_checks(
     health: HealthStatus,
     destination_has_passing: bool,
--- a/crates/core/src/pacing.rs
+++ b/crates/core/src/pacing.rs
@@ -1,34 +1,36 @@
-//! Decides the rate of calls to a route whose share for this forwarder is less than one call in flight.
+//! Decides the rate of calls to a route of which this forwarder's share is less than one call in flight.
 //!
-//! There the concurrency window cannot go low enough: a fleet with one call in flight each would exceed the route's
-//! limit. Calls then take tokens from a bucket that fills at a multiple of the forwarder's even share of the limit.
-//! Rejections lower the multiple and time raises it. The unit is calls a second.
+//! For such a route the concurrency window cannot be small enough: if each forwarder had one call in flight, the fleet
+//! would exceed the route's limit. Calls therefore take tokens from a bucket, which fills at a multiple of the
+//! forwarder's even share of the limit. Rejections lower the multiple, and it rises over time. The unit is calls a
+//! second.
 
 use crate::interface::{Micros, SECOND_US, Settings};
 use crate::rng::SeededRng;
 use crate::traffic::TokenBucket;
 
-/// Decrease of the multiple with a rejection.
+/// Factor by which a rejection lowers the multiple.
 const MULTIPLE_DECREASE: f64 = 0.6;
-/// Least multiple of the even share.
+/// Lowest multiple of the even share.
 const MIN_MULTIPLE: f64 = 0.25;
-/// Growth of the multiple for each second between two calls.
+/// Factor by which the multiple grows in each second between two calls.
 const MULTIPLE_GROWTH_PER_SECOND: f64 = 1.5;
-/// Even shares beyond its own that a forwarder may use, divided by the fleet's size: of a few forwarders one may have
-/// nearly all of the traffic.
+/// Number of even shares, divided by the size of the fleet, that a forwarder may use beyond its own. In a small fleet
+/// one forwarder may have nearly all of the traffic.
 const EXTRA_SHARES: f64 = 8.0;
 
-/// Greatest multiple of the even share, and the most calls that a pause saves up.
+/// Returns the highest multiple of the even share, which is also the most calls that the bucket saves up in a pause.
 pub(crate) fn max_multiple(settings: &Settings) -> f64 {
     1.0 + EXTRA_SHARES / f64::from(settings.fleet_size.max(1))
 }
 
-/// The bucket of a new route; chance keeps a fleet that starts together from sending its first calls together.
+/// Returns the bucket of a new route. Its content is partly random, so that forwarders that start together do not send
+/// their first calls together.
 pub(crate) fn initial_bucket(now: Micros, settings: &Settings, rng: &mut SeededRng) -> TokenBucket {
     TokenBucket::starting(max_multiple(settings) - rng.uniform(), now)
 }
 
-/// Whether a route has to be paced: one call in flight for each forwarder would exceed its even share.
+/// Returns whether a route has to be paced, because one call in flight from each forwarder would exceed the even share.
 pub(crate) fn is_needed(even_share: f64, latency_us: f64, settings: &Settings) -> bool {
     settings.fleet_size > 1 && even_share * latency_us < SECOND_US
 }
@@ -40,17 +42,18 @@
 }
 
 impl Pace {
-    /// The even share itself.
+    /// Returns the initial pace, the even share.
     pub const fn initial() -> Self {
         Pace { multiple: 1.0 }
     }
 
-    /// Calls a second.
+    /// Returns the rate in calls a second.
     pub fn rate(&self, even_share: f64) -> f64 {
         even_share * self.multiple
     }
 
-    /// Takes tokens for calls, and raises the pace by the time since the last call. `rate` is calls a second.
+    /// Takes tokens for calls, and raises the pace according to the time since the last call. `rate` is in calls a
+    /// second.
     pub fn take_tokens(
         &mut self,
         bucket: &mut TokenBucket,
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,17 +1,18 @@
-//! Decides when to request the endpoint list, where it is polled: a subscription at the start, and another one after a
-//! failure, with exponential backoff. The host of the controller requests it; the controller takes the list as it comes.
+//! Decides when to request the endpoint list if it has to be polled: a subscription at the start, and another one after
+//! a failure, with exponential backoff. The program that runs the controller sends the requests; the controller only
+//! receives the list.
 
 use crate::interface::{DiscoveryMode, ListEventKind, Micros, Settings};
 use crate::rng::SeededRng;
 
-/// First backoff after a request; it doubles with each further one.
+/// First backoff after a request, in microseconds; it doubles with each further request.
 const FIRST_BACKOFF_US: Micros = 500_000;
-/// The backoff is at most this part of the time allowed between two requests.
+/// The longest time between two requests, divided by this, limits the backoff.
 const MAX_BACKOFF_DIVISOR: Micros = 4;
-/// Doublings of the backoff at most.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// When to request the endpoint list.
+/// The times at which to request the endpoint list.
 #[derive(Debug)]
 pub struct PollSchedule {
     max_backoff: Micros,
@@ -21,8 +22,8 @@
 }
 
 impl PollSchedule {
-    /// A schedule whose first request is due at once; none where changes are pushed. `seed` spreads forwarders that fail
-    /// together.
+    /// Creates a schedule whose first request is due at once; returns `None` if changes are pushed. `seed` determines
+    /// the random part of each backoff, which spreads the requests of forwarders that fail together.
     pub fn new(settings: &Settings, seed: u64) -> Option<Self> {
         let max_backoff = (settings.max_poll_interval / MAX_BACKOFF_DIVISOR).max(FIRST_BACKOFF_US);
         let schedule = PollSchedule {
@@ -34,7 +35,7 @@
         (settings.discovery_mode == DiscoveryMode::Poll).then_some(schedule)
     }
 
-    /// Takes in a list event: news ends the requests, a failure delays the next.
+    /// Applies an event of the endpoint list. A delta or snapshot ends the requests, and a failure delays the next one.
     pub fn on_event(&mut self, now: Micros, kind: ListEventKind) {
         match kind {
             ListEventKind::Failed => self.back_off(now),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Whether to request the list now. Without an answer it is requested again after a backoff.
+    /// Returns whether to request the list now. If no answer comes, the list is requested again after a backoff.
     pub fn should_poll(&mut self, now: Micros) -> bool {
         let is_due = now >= self.poll_at;
         if is_due {
@@ -55,7 +56,7 @@
         is_due
     }
 
-    /// When the next request is due.
+    /// Returns when the next request is due; `Micros::MAX` if none is.
     pub fn next_poll_at(&self) -> Micros {
         self.poll_at
     }
--- a/crates/core/src/rng.rs
+++ b/crates/core/src/rng.rs
@@ -1,4 +1,4 @@
-//! The random number generator of the decisions: the same seed gives the same draws, so a run can be repeated.
+//! The random number generator of the decisions. The same seed gives the same draws, so that a run can be repeated.
 
 use crate::interface::Micros;
 
@@ -13,17 +13,17 @@
 }
 
 impl SeededRng {
-    /// A generator that starts from `seed`.
+    /// Creates a generator that starts from `seed`.
     pub fn new(seed: u64) -> Self {
         SeededRng(fastrand::Rng::with_seed(seed))
     }
 
-    /// A uniform draw from 0 (included) to 1 (excluded).
+    /// Draws uniformly from 0 (included) to 1 (excluded).
     pub fn uniform(&mut self) -> f64 {
         self.0.f64()
     }
 
-    /// `span`, up to a quarter shorter or longer, so that forwarders do not act in step.
+    /// Returns `span` made up to a quarter shorter or longer at random, so that forwarders do not act in step.
     pub fn jitter(&mut self, span: Micros) -> Micros {
         (span as f64 * (0.75 + 0.5 * self.uniform())) as Micros
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,7 +1,7 @@
-//! What the controller knows of a route, and how the rules combine on it: whether and when it takes a call.
+//! The controller's record of a route. Combines the rules that decide whether and when the route takes a call.
 //!
-//! A route is a destination, or one endpoint of it where the endpoints are separate routes. It takes a call when its
-//! Retry-After, its backoff, its pace and its slow-start budget allow, and its window has room.
+//! A route is a destination, or one endpoint of it if the endpoints are separate routes. It takes a call if its
+//! Retry-After, its backoff, its pace and its slow-start budget allow it and its window has room.
 
 use crate::capacity_share::{self, KnownCapacity};
 use crate::concurrency_limit::ConcurrencyWindow;
@@ -13,27 +13,27 @@
 use crate::timeouts::LatencyEstimate;
 use crate::traffic::{RateEstimator, TokenBucket};
 
-/// Place in the table of routes.
+/// Index in the table of routes.
 pub(crate) type RouteId = usize;
 
-/// Events with which the estimate of the served rate starts, so that every forwarder may try.
+/// Number of calls with which the estimate of the served rate starts, so that every forwarder may try a call.
 const INITIAL_SERVED_CALLS: f64 = 1.0;
 
 /// One route.
 #[derive(Debug, Default)]
 pub(crate) struct Route {
-    /// Capacity that the endpoint list hints at.
+    /// Capacity hint of the endpoint list, in calls a second; 0 if there is none.
     pub capacity_hint: f64,
     /// End of the Retry-After that its answers set.
     pub retry_after_until: Micros,
     pub health: RouteHealth,
-    /// No endpoint of it passes its health checks.
+    /// Whether no endpoint of it passes its health checks.
     pub is_critical: bool,
-    /// Calls that may go now, where the route is paced.
+    /// Token bucket of the calls that may be sent now; used only while the route is paced.
     pub pace_bucket: TokenBucket,
-    /// Calls that succeeded.
+    /// Rate of the calls that succeeded.
     pub served: RateEstimator,
-    /// Allocated with the first call: most routes of a long list have none.
+    /// Allocated at the first call, because most routes of a long list have no calls.
     traffic: Option<Box<RouteTraffic>>,
 }
 
@@ -46,19 +46,19 @@
     pub failures: FailureHistory,
     pub backoff: RetryBackoff,
     pub budget_use: RecentCallBudget,
-    /// Capacity that its answers report, in calls a second; 0 where none is.
+    /// Capacity that its answers report, in calls a second; 0 if they report none.
     pub reported_limit: f64,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: usize,
-    /// Calls in flight that are overdue.
+    /// Number of calls in flight that are overdue.
     pub overdue: usize,
-    /// Calls in flight that were presumed lost when the route recovered.
+    /// Number of calls in flight that were presumed lost when the route recovered.
     pub presumed_lost: usize,
-    /// Its part of the count of calls on faulty routes.
+    /// Number of its calls that are included in the count of calls on faulty routes.
     pub counted_faulty_calls: usize,
 }
 
-/// The traffic of a route that has had none.
+/// The traffic of a route that has had no calls.
 static NO_TRAFFIC: RouteTraffic = RouteTraffic::initial();
 
 impl RouteTraffic {
@@ -78,37 +78,37 @@
         }
     }
 
-    /// Whether all calls in flight are overdue, or all were presumed lost.
+    /// Returns whether all calls in flight are overdue, or all were presumed lost.
     pub fn is_idle(&self) -> bool {
         self.in_flight <= self.overdue.max(self.presumed_lost)
     }
 }
 
 impl Route {
-    /// A route without traffic.
+    /// Creates a route without traffic.
     pub fn new(now: Micros, pace_bucket: TokenBucket) -> Self {
         let served = RateEstimator::starting(INITIAL_SERVED_CALLS, now);
         Route { pace_bucket, served, ..Route::default() }
     }
 
-    /// What its calls have shown so far.
+    /// Returns what its calls have shown so far.
     pub fn traffic(&self) -> &RouteTraffic {
         self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
     }
 
-    /// The same, to be changed.
+    /// Returns what its calls have shown so far, for a change.
     pub fn traffic_mut(&mut self) -> &mut RouteTraffic {
         self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()))
     }
 
-    /// Failing or slow: ejected, failing repeatedly, or with a call overdue. Bounds its calls; what a later process has to
-    /// know is [`Self::needs_recovery`].
+    /// Returns whether the route is failing or slow: ejected, failing repeatedly, or with an overdue call. This limits
+    /// its calls. [`Self::needs_recovery`] says what a later process has to know.
     pub fn is_faulty(&self) -> bool {
         let traffic = self.traffic();
         self.health == RouteHealth::Ejected || traffic.failures.is_failing_repeatedly() || traffic.overdue > 0
     }
 
-    /// Whether a later process has to know of its state: ejected, failing with errors, or warming up.
+    /// Returns whether a later process has to know the state of the route: ejected, failing with errors, or warming up.
     pub fn needs_recovery(&self, now: Micros, settings: &Settings) -> bool {
         let failures = &self.traffic().failures;
         match self.health {
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Its capacity divided evenly among the fleet, in calls a second; none where no capacity is known.
+    /// Returns its capacity divided evenly among the fleet, in calls a second; `None` if no capacity is known.
     pub fn even_share(&self, settings: &Settings) -> Option<f64> {
         let reported_limit = self.traffic().reported_limit;
         KnownCapacity { hint: self.capacity_hint, reported_limit }.even_share(settings)
     }
 
-    /// This forwarder's share of its capacity, in calls a second; failures do not lower it.
+    /// Returns this forwarder's share of its capacity, in calls a second. Failures do not lower it.
     pub fn own_share(&self, now: Micros, settings: &Settings) -> f64 {
         let served_until = self.traffic().failures.first_failure_at().unwrap_or(now);
         capacity_share::own_share(self.served.rate(served_until), self.even_share(settings))
     }
 
-    /// Calls a second where it has to be paced.
+    /// Returns the paced rate in calls a second; `None` if the route does not have to be paced.
     pub fn paced_rate(&self, settings: &Settings) -> Option<f64> {
         let traffic = self.traffic();
         let even_share = self.even_share(settings)?;
@@ -138,14 +138,14 @@
         is_paced.then(|| traffic.pace.rate(even_share))
     }
 
-    /// Takes tokens for calls, where it is paced.
+    /// Takes tokens for calls if the route is paced.
     pub fn take_pace_tokens(&mut self, calls: f64, now: Micros, settings: &Settings) {
         let Some(rate) = self.paced_rate(settings) else { return };
         let traffic = self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()));
         traffic.pace.take_tokens(&mut self.pace_bucket, now, rate, calls, settings);
     }
 
-    /// Ejects it once its failures mean an outage.
+    /// Ejects the route if its failures are an outage.
     pub fn update_outage_state(&mut self, now: Micros, settings: &Settings) {
         let is_paced = self.paced_rate(settings).is_some();
         if self.traffic().failures.is_outage(now, is_paced) {
@@ -153,19 +153,20 @@
         }
     }
 
-    /// Its present capacity as a share of the full one, while slow start bounds it.
+    /// Returns its present capacity as a share of the full one; `None` if slow start does not limit it.
     pub fn present_capacity(&self, now: Micros, settings: &Settings) -> Option<f64> {
         let is_failing = self.traffic().failures.span.is_some();
         slow_start::present_capacity(self.health, is_failing, now, settings)
     }
 
-    /// Calls in any span of `overload_window`, while slow start bounds them.
+    /// Returns the number of calls allowed in any span of `overload_window`; `None` if slow start does not limit them.
     pub fn call_budget(&self, now: Micros, settings: &Settings) -> Option<f64> {
         let present_capacity = self.present_capacity(now, settings)?;
         Some(slow_start::call_budget(present_capacity, self.own_share(now, settings), settings))
     }
 
-    /// When Retry-After, backoff, pace and budget allow the next call (its window may still be full).
+    /// Returns when Retry-After, backoff, pace and budget allow the next call. The window may still be full at that
+    /// time.
     pub fn opens_at(&self, now: Micros, settings: &Settings) -> Micros {
         let traffic = self.traffic();
         let budget = self.call_budget(now, settings);
@@ -175,8 +176,8 @@
         self.retry_after_until.max(traffic.backoff.until()).max(budget_at).max(paced_at).max(now)
     }
 
-    /// Earliest time at which [`Self::opens_at`] can change without an event; may be too early, never too late. None where
-    /// it stays.
+    /// Returns the earliest time at which [`Self::opens_at`] can change without an event. It may be too early but is
+    /// never too late. `None` means that it does not change.
     pub fn changes_at(&self, now: Micros, settings: &Settings) -> Option<Micros> {
         let traffic = self.traffic();
         let rate = self.paced_rate(settings);
@@ -206,7 +207,8 @@
         traffic.budget_use.changes_at(budget, !is_failing, grows_at, now, settings)
     }
 
-    /// Whether it takes a call now: it is open and its window has room, or it is ejected and no trial call is in flight.
+    /// Returns whether it takes a call now: it is open and its window has room, or it is ejected and no trial call is
+    /// in flight.
     pub fn takes_call(&self, now: Micros, settings: &Settings) -> bool {
         if self.opens_at(now, settings) > now {
             return false;
--- a/crates/core/src/route_users.rs
+++ b/crates/core/src/route_users.rs
@@ -1,21 +1,21 @@
-//! Counts the users of each route and keeps the free list of those that nobody uses, so that places are used again.
+//! Counts the users of each route and keeps a free list of unused routes, so that their indexes are used again.
 
 use crate::interface::DestinationId;
 use crate::route::RouteId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Users of the routes: endpoints, destinations that keep one for their endpoints to come, and calls out. A route
-/// is free while it has none.
+/// Users of the routes: endpoints, destinations that keep a route for endpoints added later, and calls in flight. A
+/// route is free while it has no users.
 #[derive(Debug, Default)]
 pub(crate) struct RouteUsers {
     counts: Vec<u32>,
-    /// For each destination on a route, how many of its endpoints are on it, and one if it keeps the route.
+    /// For each destination on a route, the number of its endpoints on the route, plus one if it keeps the route.
     destinations: BTreeMap<(RouteId, DestinationId), u32>,
     free: BTreeSet<RouteId>,
 }
 
 impl RouteUsers {
-    /// The lowest free place for a route. `before` counts as free if its destination alone keeps it.
+    /// Returns the lowest free index for a route. `before` counts as free if its destination alone keeps it.
     pub fn lowest_free(&mut self, before: Option<RouteId>) -> RouteId {
         let kept = before.filter(|route| self.counts[*route] == 1);
         let lowest = self.free.first().copied().into_iter().chain(kept).min();
@@ -26,12 +26,12 @@
         })
     }
 
-    /// Destinations with an endpoint on a route, or that keep it.
+    /// Iterates over the destinations that have an endpoint on a route or keep it.
     pub fn destinations(&self, route: RouteId) -> impl Iterator<Item = DestinationId> {
         self.destinations.range((route, 0)..=(route, DestinationId::MAX)).map(|((_, id), _)| *id)
     }
 
-    /// An endpoint of a destination is on a route from now on, or the destination keeps it.
+    /// Counts an endpoint of a destination that now uses a route, or a destination that now keeps it.
     pub fn join(&mut self, route: RouteId, destination: DestinationId) {
         *self.destinations.entry((route, destination)).or_default() += 1;
         self.hold(route);
@@ -48,13 +48,13 @@
         self.release(route);
     }
 
-    /// One more user, such as a call.
+    /// Counts one more user, such as a call.
     pub fn hold(&mut self, route: RouteId) {
         self.counts[route] += 1;
         self.free.remove(&route);
     }
 
-    /// One user less.
+    /// Counts one user less.
     pub fn release(&mut self, route: RouteId) {
         self.counts[route] -= 1;
         if self.counts[route] == 0 {
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -1,5 +1,6 @@
-//! Finds the destinations, routes and messages that a step has to look at: indexes and timers. It holds no rule; what
-//! may go, and when, is asked of the rules for the destinations whose state has changed or whose time has come.
+//! Finds the destinations, routes and messages that a step has to examine, with indexes and timers. This module has no
+//! rules. The rules decide what may be sent and when, for the destinations whose state has changed or whose timer is
+//! due.
 
 use crate::call::CallId;
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, RouteRef};
@@ -13,30 +14,30 @@
 #[derive(Debug)]
 pub(crate) struct Schedule {
     pub route_users: RouteUsers,
-    /// Calls in flight on routes that are faulty.
+    /// Number of calls in flight on faulty routes.
     pub faulty_calls: usize,
     /// Calls in flight, by their routes.
     pub route_calls: BTreeSet<(RouteId, CallId)>,
-    /// Destinations whose state has changed since they were indexed as waiting.
+    /// Destinations whose state has changed since the index of waiting destinations was updated.
     pub changed: Vec<DestinationId>,
-    /// Destinations whose state has changed since their faulty routes were listed.
+    /// Destinations whose state has changed since the set of faulty routes was updated.
     pub unassessed: Vec<DestinationId>,
     pub waiting: WaitingIndex,
-    /// Routes that a later process has to know of.
+    /// Routes whose state a later process has to know.
     pub faulty_routes: BTreeSet<RouteRef>,
-    /// Whether they have changed since this was last asked.
+    /// Whether `faulty_routes` has changed since this was last queried.
     pub faulty_routes_changed: bool,
     /// When destinations have warmed up.
     pub warming: TimerQueue<DestinationId>,
     /// When removed endpoints may be forgotten.
     pub removed: BTreeSet<(Micros, EndpointId)>,
-    /// When messages have to be looked at.
+    /// When messages have to be examined.
     pub message_timers: BTreeSet<(Micros, MessageId)>,
-    /// When calls have to be looked at.
+    /// When calls have to be examined.
     pub call_timers: BTreeSet<(Micros, CallId)>,
-    /// When the timer that was asked for last is due.
+    /// When the last requested timer is due; `Micros::MAX` if none is set.
     pub timer_at: Micros,
-    /// Destinations looked at, ever.
+    /// Number of destinations examined since the start.
     pub work: u64,
 }
 
@@ -62,40 +63,40 @@
 }
 
 impl Schedule {
-    /// Calls in flight on a route.
+    /// Iterates over the calls in flight on a route.
     pub fn calls_of(&self, route: RouteId) -> impl Iterator<Item = CallId> {
         self.route_calls.range((route, 0)..=(route, CallId::MAX)).map(|(_, call)| *call)
     }
 
-    /// Takes out the message whose timer is due first, if its time has come.
+    /// Removes and returns the message whose timer is first, if it is due.
     pub fn pop_due_message(&mut self, now: Micros) -> Option<MessageId> {
         let &(_, message) = self.message_timers.first().filter(|(at, _)| *at <= now)?;
         self.message_timers.pop_first();
         Some(message)
     }
 
-    /// Takes out the call whose timer is due first, if its time has come.
+    /// Removes and returns the call whose timer is first, if it is due.
     pub fn pop_due_call(&mut self, now: Micros) -> Option<CallId> {
         let &(_, call) = self.call_timers.first().filter(|(at, _)| *at <= now)?;
         self.call_timers.pop_first();
         Some(call)
     }
 
-    /// Takes out the removed endpoint that is due first, if its time has come.
+    /// Removes and returns the removed endpoint that is first, if it is due.
     pub fn pop_due_removal(&mut self, now: Micros) -> Option<EndpointId> {
         let &(_, endpoint) = self.removed.first().filter(|(at, _)| *at <= now)?;
         self.removed.pop_first();
         Some(endpoint)
     }
 
-    /// The first timer of a message or call, or the timer that was asked for last.
+    /// Returns the time of the first timer of a message or call, or of the last requested timer if that is earlier.
     pub fn first_timer(&self) -> Micros {
         let message_at = self.message_timers.first().map_or(Micros::MAX, |timer| timer.0);
         let call_at = self.call_timers.first().map_or(Micros::MAX, |timer| timer.0);
         message_at.min(call_at).min(self.timer_at)
     }
 
-    /// Lists a route as faulty, or not.
+    /// Adds a route to the faulty routes or removes it.
     pub fn set_faulty(&mut self, route: RouteRef, is_faulty: bool) {
         let has_changed =
             if is_faulty { self.faulty_routes.insert(route) } else { self.faulty_routes.remove(&route) };
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings JSON, as the simulator and the platform both give it, into the controller's settings. The names of
-//! its fields are mapped here and nowhere else.
+//! Reads the settings JSON, which the simulator and the platform both provide, into the controller's [`Settings`]. Only
+//! this module maps the names of its fields.
 
 use crate::interface::{
     CapacityHints, Class, DeduplicationScope, DestinationKind, DiscoveryMode, Idempotency, Settings,
@@ -7,7 +7,7 @@
 };
 use serde::Deserialize;
 
-/// The settings JSON. Where its name is another, a field's comment has that of the field in [`Settings`] or [`Class`].
+/// The settings JSON.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Options {
@@ -133,7 +133,7 @@
     quota_rps: f64,
 }
 
-/// The names behind the numbers of the settings: the place of a name is its number.
+/// The names of classes, tenants, kinds and zones. The index of a name is its number in [`Settings`].
 #[derive(Debug, Default)]
 pub struct Names {
     /// Classes of messages.
@@ -146,12 +146,13 @@
     pub zones: Vec<String>,
 }
 
-/// Reads the settings JSON: the settings, and the names behind their numbers.
+/// Reads the settings JSON. Returns the settings and the names of their classes, tenants, kinds and zones.
 ///
 /// # Errors
 ///
-/// The text is not JSON, or a field has another type. Unknown words are no error: they mean linear decay
-/// (`loses_worth`), no capacity hints (`weights`), push (`registry_mode`) and the scope of one endpoint (`group`).
+/// Returns an error if the text is not JSON or a field has the wrong type. An unknown word is not an error. It means
+/// linear decay (`loses_worth`), no capacity hints (`weights`), push (`registry_mode`) or the scope of one endpoint
+/// (`group`).
 pub fn read(text: &str) -> Result<(Settings, Names), serde_json::Error> {
     let mut options: Options = serde_json::from_str(text)?;
     let zone = options.own_zone();
@@ -160,7 +161,7 @@
 }
 
 impl Options {
-    /// The place of this forwarder's zone, which is added to the zones if they do not name it.
+    /// Returns the index of this forwarder's zone, and adds the zone to the list if the list does not name it.
     fn own_zone(&mut self) -> usize {
         self.zones.iter().position(|zone| *zone == self.az).unwrap_or_else(|| {
             self.zones.push(self.az.clone());
--- a/crates/core/src/timeouts.rs
+++ b/crates/core/src/timeouts.rs
@@ -1,8 +1,8 @@
-//! Decides when a call counts as overdue, when it times out, and whether a stalled call is cancelled early.
+//! Decides when a call is overdue, when it times out, and whether a stalled call is cancelled early.
 //!
-//! Inputs are the latencies of answered calls, in microseconds. The estimate is that of TCP's retransmission timer
-//! (RFC 6298): a smoothed mean and mean deviation. A call is overdue well before it times out, so that a hanging
-//! destination is noticed early while a slow answer is still accepted.
+//! Inputs are the latencies of answered calls, in microseconds. The estimate is that of TCP's retransmission timer (RFC
+//! 6298): a smoothed mean and mean deviation. A call is overdue well before it times out, so that a hanging destination
+//! is noticed early while a slow answer is still accepted.
 
 use crate::interface::Micros;
 
@@ -14,23 +14,23 @@
 const DEVIATION_GAIN: f64 = 0.25;
 /// Mean deviations beyond the mean after which a call is overdue (RFC 6298, K).
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// A short pause of a busy destination does not make its calls overdue.
+/// Shortest overdue time, so that a short pause of a busy destination does not make its calls overdue.
 const MIN_OVERDUE_US: Micros = 600_000;
 /// Time between two checks of a call that is overdue.
 pub(crate) const OVERDUE_RECHECK_US: Micros = MIN_OVERDUE_US / 2;
-/// Below this a pause would look like a hang.
+/// Shortest time-out. A shorter one would treat a pause as a hang.
 const MIN_TIMEOUT_US: Micros = 1_500_000;
-/// Above this a hanging call would hold its slot for too long.
+/// Longest time-out. With a longer one a hanging call would hold its slot for too long.
 const MAX_TIMEOUT_US: Micros = 6_000_000;
 /// Time-out as a multiple of the overdue time, before the backoff.
 const TIMEOUT_PER_OVERDUE: f64 = 2.0;
-/// The time-out doubles with each consecutive time-out, up to so many times.
+/// Maximum number of doublings of the time-out; it doubles with each consecutive time-out.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
-/// The forwarder itself may be descheduled for so long; everything with a deadline ends this much sooner.
+/// Time for which the forwarder itself may be descheduled. Everything with a deadline ends earlier by this time.
 pub(crate) const SCHEDULING_MARGIN_US: Micros = 50_000;
-/// Stalled calls are cancelled while fewer than this share of them turn out to be slow messages.
+/// Stalled calls are cancelled while less than this share of them turns out to be slow messages.
 const MAX_SLOW_SHARE: f64 = 0.3;
-/// Gain of that share; one slow message alone stops the cancelling until a stall proves to be a dead connection.
+/// Gain of that share. One slow message alone stops the cancellation until a stall turns out to be a dead connection.
 const SLOW_SHARE_GAIN: f64 = 0.4;
 
 /// Smoothed latency of a route.
@@ -42,7 +42,7 @@
 }
 
 impl LatencyEstimate {
-    /// The estimate before any answer.
+    /// Returns the estimate before any answer.
     pub const fn initial() -> Self {
         LatencyEstimate {
             mean_us: INITIAL_LATENCY_US,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Smoothed latency, in microseconds.
+    /// Returns the smoothed latency, in microseconds.
     pub fn mean_us(&self) -> f64 {
         self.mean_us
     }
 
-    /// Takes in the latency of an answered call; `is_first` replaces the initial assumption.
+    /// Adds the latency of an answered call; if `is_first`, it replaces the initial assumption.
     pub fn observe(&mut self, latency: Micros, is_first: bool) {
         let latency_us = latency as f64;
         if is_first {
@@ -67,23 +67,23 @@
         self.mean_us += MEAN_GAIN * (latency_us - self.mean_us);
     }
 
-    /// Counts a time-out, which lengthens the next.
+    /// Counts a time-out, which lengthens the next one.
     pub fn record_timeout(&mut self) {
         self.consecutive_timeouts += 1;
     }
 
-    /// Ends the backoff of the time-out.
+    /// Resets the time-out to its length without consecutive time-outs.
     pub fn reset_timeouts(&mut self) {
         self.consecutive_timeouts = 0;
     }
 
-    /// Time from send after which a call is overdue.
+    /// Returns the time after the send from which a call is overdue.
     pub fn overdue_after(&self) -> Micros {
         let usual_us = self.mean_us + OVERDUE_DEVIATIONS * self.deviation_us;
         (usual_us as Micros).max(MIN_OVERDUE_US)
     }
 
-    /// Time from send after which a call fails.
+    /// Returns the time after the send at which a call fails.
     pub fn timeout(&self) -> Micros {
         let doublings = self.consecutive_timeouts.min(MAX_TIMEOUT_DOUBLINGS);
         let timeout_us = TIMEOUT_PER_OVERDUE * self.overdue_after() as f64 * f64::from(1 << doublings);
@@ -91,7 +91,7 @@
     }
 }
 
-/// The time-out of one attempt: the route's, or less where the message's deadline comes first.
+/// Returns the time-out of one attempt: that of the route, or less if the message's deadline comes first.
 pub(crate) fn attempt_timeout(
     route_timeout: Micros,
     now: Micros,
@@ -102,31 +102,31 @@
     route_timeout.min(time_left)
 }
 
-/// The last moment at which the final answer of a message can be given in time: two steps before its deadline.
+/// Returns the last time at which the final answer of a message can be given in time: two steps before its deadline.
 pub(crate) fn answer_by(deadline: Micros, step_interval: Micros) -> Micros {
     deadline.saturating_sub(2 * step_interval + SCHEDULING_MARGIN_US)
 }
 
-/// Whether an overdue call is stalled alone: its endpoint has answered a call sent in the later half of its time, so
-/// its connection is dead or its message takes long.
+/// Returns whether an overdue call is stalled alone: its endpoint has answered a call that was sent in the later half
+/// of the time since its own send. Then its connection is dead or its message takes long.
 pub(crate) fn is_stalled(sent_at: Micros, now: Micros, latest_answered_sent_at: Micros) -> bool {
     let halfway = sent_at + (now - sent_at) / 2;
     latest_answered_sent_at > halfway
 }
 
-/// What stalled calls have turned out to be: slow messages, or dead connections.
+/// A record of what stalled calls turned out to be: slow messages, or dead connections.
 #[derive(Debug, Default)]
 pub(crate) struct StallHistory {
     slow_share: f64,
 }
 
 impl StallHistory {
-    /// Takes in how a stalled call ended.
+    /// Records what a stalled call turned out to be.
     pub fn record(&mut self, was_slow_message: bool) {
         self.slow_share += SLOW_SHARE_GAIN * (f64::from(was_slow_message) - self.slow_share);
     }
 
-    /// Whether cancelling a stalled call is likely to help.
+    /// Returns whether cancelling a stalled call is likely to help.
     pub fn favours_cancel(&self) -> bool {
         self.slow_share < MAX_SLOW_SHARE
     }
--- a/crates/core/src/timer_queue.rs
+++ b/crates/core/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! A timer queue: keys ordered by the time at which each is due. Used for destinations that change by time alone.
+//! A timer queue: keys ordered by their due times. Used for destinations whose state changes by time alone.
 
 use crate::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 }
 
 impl<Key: Copy + Ord> TimerQueue<Key> {
-    /// Gives a key another due time, or none.
+    /// Sets the due time of a key; `None` removes the key.
     pub fn set(&mut self, key: Key, due: Option<Micros>) {
         let before = match due {
             Some(due) => self.due.insert(key, due),
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Takes out the key that is due first, if its time has come.
+    /// Removes and returns the key with the earliest due time, if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<Key> {
         let &(_, key) = self.order.first().filter(|(due, _)| *due <= now)?;
         self.set(key, None);
         Some(key)
     }
 
-    /// All keys with their due times, the first due first.
+    /// Iterates over all keys with their due times, the earliest first.
     pub fn iter(&self) -> impl Iterator<Item = (Micros, Key)> {
         self.order.iter().copied()
     }
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,20 +1,20 @@
-//! Counts calls over time: a rate estimate that forgets by halves, and a token bucket. Used for this forwarder's share of
-//! a route's capacity and for pacing.
+//! Counts calls over time, with a rate estimate that halves old counts and a token bucket. Used for this forwarder's
+//! share of a route's capacity and for pacing.
 
 use crate::interface::{Micros, SECOND_US};
 
-/// Events of so long are remembered in full; then half of them is forgotten.
+/// Time span whose events count in full; after it half of the events is dropped.
 const RATE_WINDOW_US: Micros = 60_000_000;
-/// Least time over which a rate is taken: one event is no rate.
+/// Shortest time over which a rate is taken, because a single event is not a rate.
 const MIN_RATE_SPAN_US: f64 = 5_000_000.0;
-/// A part of a token that is lost by rounding and does not count as missing.
+/// Part of a token that may be lost by rounding and does not count as missing.
 const TOKEN_TOLERANCE: f64 = 1e-6;
-/// Least rate in tokens a second: one near nothing fills a bucket in days, not never.
+/// Lowest fill rate in tokens a second: even with a rate near zero a bucket fills in days, not never.
 const MIN_FILL_RATE: f64 = 1e-6;
-/// Taken off where a moment must not be later than that of a computation which rounds differently.
+/// Subtracted from a time that must not be later than the result of a computation that rounds differently.
 pub(crate) const ROUNDING_US: Micros = 2;
 
-/// Estimates a rate from events counted since a moment; after a minute half of them is forgotten.
+/// Estimates a rate from the events counted since a start time. After a minute half of the events is dropped.
 #[derive(Debug, Default)]
 pub struct RateEstimator {
     events: f64,
@@ -22,12 +22,12 @@
 }
 
 impl RateEstimator {
-    /// An estimate that starts now with some events already counted.
+    /// Creates an estimate that starts now with some events already counted.
     pub fn starting(events: f64, now: Micros) -> Self {
         RateEstimator { events, since: now }
     }
 
-    /// Events a second.
+    /// Returns the rate in events a second.
     pub fn rate(&self, now: Micros) -> f64 {
         self.events * SECOND_US / ((now - self.since) as f64).max(MIN_RATE_SPAN_US)
     }
@@ -42,13 +42,13 @@
         self.events += 1.0;
     }
 
-    /// Leaves out a span, such as an outage: the rate is that of the time without it.
+    /// Excludes a time span, such as an outage, so that the rate is that of the remaining time.
     pub fn exclude(&mut self, span: Micros) {
         self.since += span;
     }
 }
 
-/// A token bucket. It may hold less than nothing.
+/// A token bucket. The number of its tokens may be negative.
 #[derive(Debug, Default)]
 pub struct TokenBucket {
     tokens: f64,
@@ -56,28 +56,28 @@
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens now.
+    /// Creates a bucket with this number of tokens.
     pub fn starting(tokens: f64, now: Micros) -> Self {
         TokenBucket { tokens, updated_at: now }
     }
 
-    /// Its tokens, filled by `rate` a second up to `depth`.
+    /// Returns its tokens, filled at `rate` a second up to `depth`.
     pub fn available(&self, now: Micros, rate: f64, depth: f64) -> f64 {
         (self.tokens + rate * self.seconds_since_take(now)).min(depth)
     }
 
-    /// Seconds since tokens were last taken.
+    /// Returns the seconds since tokens were last taken.
     pub fn seconds_since_take(&self, now: Micros) -> f64 {
         (now - self.updated_at) as f64 / SECOND_US
     }
 
-    /// Takes tokens, whether they are there or not.
+    /// Takes tokens even if the bucket has fewer.
     pub fn take(&mut self, now: Micros, rate: f64, depth: f64, tokens: f64) {
         self.tokens = self.available(now, rate, depth) - tokens;
         self.updated_at = now;
     }
 
-    /// When a whole token is available.
+    /// Returns when a whole token is available.
     pub fn opens_at(&self, now: Micros, rate: f64) -> Micros {
         let missing = 1.0 - self.available(now, rate, 1.0);
         if missing < TOKEN_TOLERANCE {
@@ -86,7 +86,8 @@
         now + fill_time(missing, rate)
     }
 
-    /// Not later than any moment that [`Self::opens_at`] gives from now on: those differ by rounding.
+    /// Returns a time that is not later than any result of [`Self::opens_at`] from now on, although those differ by
+    /// rounding.
     pub fn opens_after(&self, now: Micros, rate: f64) -> Micros {
         let opens = self.opens_at(now, rate);
         let rounding = fill_time(TOKEN_TOLERANCE, rate) + ROUNDING_US;
@@ -94,7 +95,7 @@
     }
 }
 
-/// Time for so many tokens.
+/// Returns the time in which the bucket fills by this number of tokens.
 fn fill_time(tokens: f64, rate: f64) -> Micros {
     (tokens / rate.max(MIN_FILL_RATE) * SECOND_US).ceil() as Micros
 }
--- a/crates/core/src/waiting_index.rs
+++ b/crates/core/src/waiting_index.rs
@@ -1,36 +1,37 @@
-//! Indexes the destinations with queued messages by what they wait for: ready sets, and timer queues for those whose
-//! routes open later. A step looks at these instead of at all destinations.
+//! Indexes the destinations with queued messages by what they wait for: sets of ready destinations, and timer queues
+//! for those whose routes open later. A step examines these instead of all destinations.
 
 use crate::interface::{DestinationId, Micros};
 use crate::queue::QueueRank;
 use crate::timer_queue::TimerQueue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a destination waits for, as found at a moment.
+/// What a destination waits for, as determined at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Wait {
-    /// When this was found: a ready destination may have closed since.
+    /// When this was determined; a ready destination may have closed since.
     pub found_at: Micros,
-    /// The first message that can go now, on any route.
+    /// The first message that can be sent now, on any route.
     pub ready: Option<QueueRank>,
-    /// The first message that can go on a route that is not faulty.
+    /// The first message that can be sent now on a route that is not faulty.
     pub ready_healthy: Option<QueueRank>,
-    /// Earliest time at which one of its routes can open or close without an event; may be too early, never too late.
+    /// Earliest time at which one of its routes can open or close without an event. It may be too early but is never
+    /// too late.
     pub changes_at: Option<Micros>,
-    /// The next draw of one of its routes.
+    /// When the next slow-start draw of one of its routes is due.
     pub draw_at: Option<Micros>,
 }
 
-/// A message that can go.
+/// A message that can be sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadyMessage {
     pub rank: QueueRank,
     pub destination: DestinationId,
-    /// When this was found.
+    /// When this was determined.
     pub found_at: Micros,
 }
 
-/// Index of the destinations with a queue.
+/// Index of the destinations with queued messages.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingIndex {
     waits: BTreeMap<DestinationId, Wait>,
@@ -42,7 +43,7 @@
 }
 
 impl WaitingIndex {
-    /// Replaces what is known of a destination; none where its queue is empty.
+    /// Replaces what a destination waits for; `None` if its queue is empty.
     pub fn set(&mut self, id: DestinationId, wait: Option<Wait>) {
         let before = match wait {
             Some(wait) => self.waits.insert(id, wait),
@@ -56,39 +57,39 @@
         self.draws.set(id, wait.draw_at);
     }
 
-    /// Notes a change of the length of a queue.
+    /// Records a change in the length of a queue.
     pub fn resize(&mut self, id: DestinationId, before: usize, length: usize) {
         replace(&mut self.lengths, id, Some(before).filter(|l| *l > 0), Some(length).filter(|l| *l > 0));
     }
 
-    /// The destination with the longest queue; of equals the one with the highest number.
+    /// Returns the destination with the longest queue; if several are equally long, the one with the highest number.
     pub fn longest(&self) -> Option<DestinationId> {
         self.lengths.last().map(|(_, id)| *id)
     }
 
-    /// The first message that can go.
+    /// Returns the first message that can be sent.
     pub fn first_ready(&self, healthy_only: bool) -> Option<ReadyMessage> {
         let ready = if healthy_only { &self.ready_healthy } else { &self.ready };
         let &(rank, destination) = ready.first()?;
         Some(ReadyMessage { rank, destination, found_at: self.waits[&destination].found_at })
     }
 
-    /// Takes out the destinations whose routes may have opened or closed by now.
+    /// Removes and returns the destinations whose routes may have opened or closed by now.
     pub fn pop_changed(&mut self, now: Micros) -> impl Iterator<Item = DestinationId> {
         std::iter::from_fn(move || self.changes.pop_due(now))
     }
 
-    /// Takes out the destinations with a draw that is due.
+    /// Removes and returns the destinations with a draw that is due.
     pub fn pop_draws(&mut self, now: Micros) -> impl Iterator<Item = DestinationId> {
         std::iter::from_fn(move || self.draws.pop_due(now))
     }
 
-    /// Destinations by when they may open or close, the first first.
+    /// Iterates over the destinations by the time at which they may open or close, the earliest first.
     pub fn changes(&self) -> impl Iterator<Item = (Micros, DestinationId)> {
         self.changes.iter()
     }
 
-    /// All destinations with a queue that were found so far.
+    /// Iterates over all indexed destinations with a queue.
     pub fn ids(&self) -> impl Iterator<Item = DestinationId> {
         self.waits.keys().copied()
     }
