--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -16,7 +16,7 @@
 const RESERVE_DIVISOR: usize = 16;
 
 /// Returns how many messages may be open before the lowest-priority ones are shed; `None` if there is no limit.
-pub(crate) fn shed_above(max_open_messages: usize) -> Option<usize> {
+pub(crate) fn shed_threshold(max_open_messages: usize) -> Option<usize> {
     if max_open_messages == 0 {
         return None;
     }
@@ -44,9 +44,9 @@
 /// Returns the Retry-After for a rejected message: the time until its destination accepts calls again and has served
 /// the messages that are queued now.
 pub(crate) fn retry_after(backlog: DestinationBacklog, settings: &Settings) -> Micros {
-    let most = Micros::from(settings.send_retry_after) * settings.max_retry_after.max(0);
+    let max_retry_after = Micros::from(settings.send_retry_after) * settings.max_retry_after.max(0);
     let queue_time = (backlog.queued as f64 * backlog.time_per_message_us) as Micros;
-    backlog.opens_in.saturating_add(queue_time).clamp(0, most)
+    backlog.opens_in.saturating_add(queue_time).clamp(0, max_retry_after)
 }
 
 #[cfg(test)]
--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -12,14 +12,14 @@
 
 #[test]
 fn one_in_sixteen_open_messages_is_kept_free() {
-    assert_eq!(shed_above(160), Some(150));
-    assert_eq!(shed_above(10), Some(9), "at least one");
-    assert_eq!(shed_above(1), Some(1));
+    assert_eq!(shed_threshold(160), Some(150));
+    assert_eq!(shed_threshold(10), Some(9), "at least one");
+    assert_eq!(shed_threshold(1), Some(1));
 }
 
 #[test]
 fn no_limit_sheds_nothing() {
-    assert_eq!(shed_above(0), None);
+    assert_eq!(shed_threshold(0), None);
 }
 
 #[test]
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn retry_after_stays_within_what_clients_follow() {
+fn retry_after_is_limited_to_its_maximum() {
     assert_eq!(retry_after(backlog(Micros::MAX, 4, 500_000.0), &settings()), 10 * SECOND);
     assert_eq!(retry_after(backlog(0, 1, f64::INFINITY), &settings()), 10 * SECOND);
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn retry_after_is_zero_where_clients_get_none() {
+fn retry_after_is_zero_if_rejections_carry_none() {
     let set = Settings { send_retry_after: false, ..settings() };
     assert_eq!(retry_after(backlog(2 * SECOND, 4, 500_000.0), &set), 0);
 }
--- a/crates/core/src/concurrency_limit.rs
+++ b/crates/core/src/concurrency_limit.rs
@@ -46,8 +46,8 @@
 
     /// Increases the window after a success in which every message was at its first attempt.
     pub fn on_first_try_success(&mut self, max_calls: usize) {
-        let most = (max_calls as f64 * DESTINATION_SLOT_SHARE).max(MIN_WINDOW_CALLS);
-        self.calls = (self.calls * WINDOW_GROWTH).min(most);
+        let max_window = (max_calls as f64 * DESTINATION_SLOT_SHARE).max(MIN_WINDOW_CALLS);
+        self.calls = (self.calls * WINDOW_GROWTH).min(max_window);
     }
 
     /// Decreases the window after a failure or rejection. Returns whether it was at its floor before.
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -33,7 +33,7 @@
     now: Micros,
     messages: BTreeMap<MessageId, Message>,
     /// Messages with an attempt that ended in this step and about which no decision has been made yet.
-    unsettled: Vec<MessageId>,
+    ended_attempt_messages: Vec<MessageId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     calls: BTreeMap<CallId, Call>,
     /// Number of the latest call or timer. Both are numbered in one sequence.
@@ -69,8 +69,8 @@
     }
 
     /// Returns how many destinations have been examined so far, as a measure of the work done.
-    pub fn work(&self) -> u64 {
-        self.schedule.work
+    pub fn destinations_examined(&self) -> u64 {
+        self.schedule.destinations_examined
     }
 
     /// Returns the random number generator in its current state.
@@ -90,12 +90,12 @@
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         events.iter().for_each(|event| self.on_event(event));
-        self.settle_messages(actions);
+        self.requeue_or_give_up_messages(actions);
         self.run_message_timers(actions);
         self.run_call_timers(actions);
         self.shed_messages(actions);
         self.send_ready_messages(actions);
-        self.forget_removed_endpoints();
+        self.drop_removed_endpoints();
         self.set_timer(actions);
         self.update_faulty_routes();
     }
@@ -116,13 +116,13 @@
             }
             Event::Settings(settings) => {
                 self.settings = (**settings).clone();
-                self.schedule.changed.extend(self.destinations.keys());
+                self.schedule.changed_destinations.extend(self.destinations.keys());
             }
             Event::ShuttingDown { time_left } => {
                 self.shutdown_at = Some(self.now + *time_left);
-                self.schedule.changed.extend(self.schedule.waiting.ids());
+                self.schedule.changed_destinations.extend(self.schedule.waiting.ids());
             }
-            Event::Withdrawn { id } => self.forget_message(*id),
+            Event::Withdrawn { id } => self.remove_message(*id),
             Event::AttemptEnded(result) => self.on_attempt_ended(result),
             Event::EndpointList { kind, entries } => self.on_endpoint_list(*kind, entries),
             Event::Timer { .. } => self.on_timer(),
--- a/crates/core/src/controller/calls.rs
+++ b/crates/core/src/controller/calls.rs
@@ -25,7 +25,7 @@
             let Some(ready) = self.schedule.waiting.first_ready(faulty_at_limit) else { return };
             if ready.found_at < self.now {
                 // This was found in an earlier step, and the routes may have closed since.
-                self.schedule.changed.push(ready.destination);
+                self.schedule.changed_destinations.push(ready.destination);
             } else {
                 let id = ready.rank.message;
                 let Some(endpoint) = self.choose_endpoint(id) else { return };
@@ -37,8 +37,8 @@
 
     /// Draws for each route whose slow-start budget is below one call and whose draw is due.
     fn draw_slow_start_calls(&mut self) {
-        self.schedule.changed.extend(self.schedule.waiting.pop_draws(self.now));
-        let due: BTreeSet<DestinationId> = self.schedule.changed.iter().copied().collect();
+        self.schedule.changed_destinations.extend(self.schedule.waiting.pop_draws(self.now));
+        let due: BTreeSet<DestinationId> = self.schedule.changed_destinations.iter().copied().collect();
         let destinations = due.iter().filter_map(|id| self.destinations.get(id));
         let waiting = destinations.filter(|destination| !destination.queue.is_empty());
         let endpoints = waiting.flat_map(|destination| &destination.endpoints);
@@ -46,9 +46,9 @@
         for id in routes {
             let route = &mut self.routes[id];
             let Some(budget) = route.call_budget(self.now, &self.settings) else { continue };
-            if route.traffic().budget_use.next_draw_at() <= self.now {
-                let budget_use = &mut route.traffic_mut().budget_use;
-                budget_use.draw(budget, self.now, &self.settings, &mut self.rng);
+            if route.traffic().recent_call_budget.next_draw_at() <= self.now {
+                let recent_call_budget = &mut route.traffic_mut().recent_call_budget;
+                recent_call_budget.draw(budget, self.now, &self.settings, &mut self.rng);
                 self.route_changed(id);
             }
         }
@@ -110,9 +110,10 @@
         if !endpoints.any(|endpoint| self.takes_call(endpoint, destination, faulty_at_limit)) {
             return None;
         }
-        let can_go = |message: &Message| self.eligible_endpoints(message, faulty_at_limit).next().is_some();
+        let can_be_sent =
+            |message: &Message| self.eligible_endpoints(message, faulty_at_limit).next().is_some();
         let mut first = destination.queue.iter().take(QUEUE_SCAN_MESSAGES);
-        first.find(|rank| self.messages.get(&rank.message).is_some_and(can_go)).copied()
+        first.find(|rank| self.messages.get(&rank.message).is_some_and(can_be_sent)).copied()
     }
 
     /// Returns the eligible endpoint with the lowest cost for a message.
@@ -121,8 +122,8 @@
         let mut rng = self.rng.clone();
         let costs = self.eligible_endpoints(message, self.faulty_calls_at_limit()).map(|(id, endpoint)| {
             let capacity_hint = self.routes[endpoint.route].capacity_hint;
-            let chance = selection::chance_cost(rng.uniform(), capacity_hint, self.settings.fleet_size);
-            (self.cost(endpoint) + chance, id)
+            let random_cost = selection::random_cost(rng.uniform(), capacity_hint, self.settings.fleet_size);
+            (self.cost(endpoint) + random_cost, id)
         });
         let cheapest = costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id);
         self.rng = rng;
@@ -161,15 +162,15 @@
     /// Returns the messages of a call. A trial call has only one.
     fn batch(&self, first: MessageId, endpoint_id: EndpointId, endpoint: &Endpoint) -> Vec<MessageId> {
         let is_trial = self.routes[endpoint.route].health == RouteHealth::Ejected;
-        let most = if is_trial { 1 } else { endpoint.kind.max_batch };
+        let max_messages = if is_trial { 1 } else { endpoint.kind.max_batch };
         let may_join = |id: &MessageId| {
             let message = self.messages.get(id);
             message.is_some_and(|m| self.may_be_sent(m) && is_endpoint_allowed(m, endpoint_id, endpoint))
         };
         let queue = self.destinations.get(&endpoint.destination).map(|destination| &destination.queue);
         let others = queue.into_iter().flatten().map(|rank| rank.message).filter(|id| *id != first);
-        let joining = others.take(QUEUE_SCAN_MESSAGES.max(most)).filter(may_join);
-        std::iter::once(first).chain(joining).take(most).collect()
+        let joining = others.take(QUEUE_SCAN_MESSAGES.max(max_messages)).filter(may_join);
+        std::iter::once(first).chain(joining).take(max_messages).collect()
     }
 
     fn open_call(&mut self, endpoint_id: EndpointId, batch: &[MessageId]) {
@@ -177,7 +178,7 @@
         let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
         endpoint.traffic_mut().open_call(self.now, &self.settings);
         self.destinations.entry(endpoint.destination).or_default().in_flight += 1;
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
         let call = Call {
             endpoint: endpoint_id,
             zone: endpoint.zone,
@@ -192,7 +193,7 @@
         route.take_pace_tokens(1.0, self.now, &self.settings);
         let traffic = route.traffic_mut();
         traffic.in_flight += 1;
-        traffic.budget_use.record_call(batch.len(), self.now, &self.settings);
+        traffic.recent_call_budget.record_call(batch.len(), self.now, &self.settings);
         let overdue_at = self.now + traffic.latency.overdue_after();
         self.last_number += 1;
         self.schedule.call_timers.insert((overdue_at, self.last_number));
--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -18,12 +18,12 @@
                 endpoint.accepts_calls = false;
                 endpoint.is_removed = true;
             }
-            self.schedule.changed.extend(self.schedule.waiting.ids());
+            self.schedule.changed_destinations.extend(self.schedule.waiting.ids());
         }
         entries.iter().for_each(|entry| self.on_endpoint_update(entry));
         if is_whole_list {
             let removed = self.endpoints.iter().filter(|(_, endpoint)| endpoint.is_removed);
-            self.schedule.removed.extend(removed.map(|(id, _)| (self.now, *id)));
+            self.schedule.removal_timers.extend(removed.map(|(id, _)| (self.now, *id)));
         }
         let destinations: BTreeSet<DestinationId> = entries.iter().map(|entry| entry.destination).collect();
         destinations.into_iter().for_each(|destination| self.apply_health_checks(destination));
@@ -50,12 +50,12 @@
         let Some(endpoint) = self.endpoints.get_mut(&entry.endpoint) else { return };
         endpoint.update(entry, kind);
         if endpoint.is_removed {
-            self.schedule.removed.insert((self.now, entry.endpoint));
+            self.schedule.removal_timers.insert((self.now, entry.endpoint));
         }
         let route_before = endpoint.route;
         let route = shared_route.unwrap_or(route_before);
         endpoint.route = route;
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
         self.schedule.route_users.leave(route_before, endpoint.destination);
         self.schedule.route_users.join(route, endpoint.destination);
         self.routes[route].capacity_hint = entry.capacity_hint;
@@ -108,7 +108,7 @@
         if let Some(before) = before {
             self.schedule.route_users.leave(before, id);
         }
-        self.schedule.changed.push(id);
+        self.schedule.changed_destinations.push(id);
     }
 
     /// Applies what an earlier process or an operator knows of a destination. A destination that has no endpoints now
@@ -121,8 +121,8 @@
         retry_after: Micros,
     ) {
         let endpoints = self.destinations.get(&id).map_or(&[][..], |destination| &destination.endpoints);
-        let meant = endpoints.iter().filter(|id| endpoint.is_none_or(|only| only == **id));
-        let mut routes: Vec<RouteId> = meant.map(|id| self.endpoints[id].route).collect();
+        let matching = endpoints.iter().filter(|id| endpoint.is_none_or(|only| only == **id));
+        let mut routes: Vec<RouteId> = matching.map(|id| self.endpoints[id].route).collect();
         if routes.is_empty() && endpoint.is_none() {
             let route = self.new_route(None);
             routes.push(route);
@@ -150,26 +150,26 @@
             let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
             let route_id = endpoint.route;
             let route = &mut self.routes[route_id];
-            let verdict = outlier_detection::judge_health_checks(
+            let result = outlier_detection::evaluate_health_checks(
                 endpoint.health,
                 !passing_routes.is_empty(),
                 passing_routes.contains(&route_id),
                 route.is_critical,
             );
-            endpoint.is_excluded = verdict.excludes_endpoint;
-            if verdict.route_is_critical && !route.is_critical {
+            endpoint.is_excluded = result.excludes_endpoint;
+            if result.route_is_critical && !route.is_critical {
                 route.health = RouteHealth::Ejected;
                 // This counts as a failure, so the success of a call sent before it proves nothing.
                 route.traffic_mut().failures.extend_span(self.now);
             }
-            route.is_critical = verdict.route_is_critical;
+            route.is_critical = result.route_is_critical;
             self.route_changed(route_id);
         }
-        self.schedule.changed.push(destination);
+        self.schedule.changed_destinations.push(destination);
     }
 
     /// Forgets removed endpoints that have no calls in flight and whose Retry-After has ended.
-    pub(super) fn forget_removed_endpoints(&mut self) {
+    pub(super) fn drop_removed_endpoints(&mut self) {
         while let Some(id) = self.schedule.pop_due_removal(self.now) {
             let endpoint = self.endpoints.get(&id);
             let Some(endpoint) = endpoint.filter(|e| e.is_removed && e.traffic().in_flight == 0) else {
@@ -178,14 +178,14 @@
             let route = &self.routes[endpoint.route];
             match draining::removal(route.retry_after_until, self.now) {
                 Removal::KeepUntil(at) => {
-                    self.schedule.removed.insert((at, id));
+                    self.schedule.removal_timers.insert((at, id));
                 }
-                Removal::Forget => self.forget_endpoint(id),
+                Removal::Drop => self.drop_endpoint(id),
             }
         }
     }
 
-    fn forget_endpoint(&mut self, id: EndpointId) {
+    fn drop_endpoint(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
         self.schedule.route_users.leave(endpoint.route, endpoint.destination);
         if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
@@ -193,6 +193,6 @@
         }
         let route = RouteRef { destination: endpoint.destination, endpoint: Some(id) };
         self.schedule.set_faulty(route, false);
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
     }
 }
--- a/crates/core/src/controller/final_answers.rs
+++ b/crates/core/src/controller/final_answers.rs
@@ -7,13 +7,13 @@
 
 impl Controller {
     /// Decides on each message whose attempt has ended without success: it returns to its queue or gets a final answer.
-    pub(super) fn settle_messages(&mut self, actions: &mut Vec<Action>) {
-        for id in std::mem::take(&mut self.unsettled) {
-            self.settle_message(id, actions);
+    pub(super) fn requeue_or_give_up_messages(&mut self, actions: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.ended_attempt_messages) {
+            self.requeue_or_give_up(id, actions);
         }
     }
 
-    fn settle_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
+    fn requeue_or_give_up(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         if message.in_flight > 0 {
             return;
@@ -35,7 +35,7 @@
             Action::Fail { id }
         };
         actions.push(answer);
-        self.forget_message(id);
+        self.remove_message(id);
     }
 
     fn retry_after(&self, id: DestinationId) -> Micros {
@@ -58,8 +58,8 @@
     /// Sheds the queued messages with the lowest priority before the limit on open messages is reached, at which new
     /// messages are rejected regardless of their priority.
     pub(super) fn shed_messages(&mut self, actions: &mut Vec<Action>) {
-        let Some(most) = admission::shed_above(self.settings.max_open_messages) else { return };
-        while self.messages.len() > most {
+        let Some(max_open) = admission::shed_threshold(self.settings.max_open_messages) else { return };
+        while self.messages.len() > max_open {
             let Some(id) = self.message_to_shed() else { return };
             self.give_up(id, actions);
         }
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -24,22 +24,22 @@
             self.schedule.faulty_calls = self.schedule.faulty_calls + calls - counted;
             route.traffic_mut().counted_faulty_calls = calls;
         }
-        self.schedule.changed.extend(self.schedule.route_users.destinations(id));
+        self.schedule.changed_destinations.extend(self.schedule.route_users.destinations(id));
     }
 
     /// Updates the index of waiting destinations for what has changed or is due.
     pub(super) fn update_waiting_index(&mut self) {
-        self.schedule.changed.extend(self.schedule.waiting.pop_changed(self.now));
-        let mut changed = std::mem::take(&mut self.schedule.changed);
+        self.schedule.changed_destinations.extend(self.schedule.waiting.pop_changed(self.now));
+        let mut changed = std::mem::take(&mut self.schedule.changed_destinations);
         changed.sort_unstable();
         changed.dedup();
         for id in &changed {
             let destination = self.destinations.get(id).filter(|d| !d.queue.is_empty());
             let wait = destination.map(|destination| self.wait_of(destination));
-            self.schedule.work += u64::from(wait.is_some());
+            self.schedule.destinations_examined += u64::from(wait.is_some());
             self.schedule.waiting.set(*id, wait);
         }
-        self.schedule.unassessed.append(&mut changed);
+        self.schedule.stale_faulty_routes.append(&mut changed);
     }
 
     /// Returns what a destination with a queue waits for.
@@ -54,23 +54,23 @@
             ready,
             ready_healthy,
             changes_at: routes().filter_map(|route| route.changes_at(self.now, &self.settings)).min(),
-            draw_at: budgeted.map(|route| route.traffic().budget_use.next_draw_at()).min(),
+            draw_at: budgeted.map(|route| route.traffic().recent_call_budget.next_draw_at()).min(),
         }
     }
 
     /// Updates the set of faulty routes for what has changed or is due.
     pub(super) fn update_faulty_routes(&mut self) {
-        let due = std::iter::from_fn(|| self.schedule.warming.pop_due(self.now));
-        self.schedule.unassessed.extend(due);
-        let mut unassessed = std::mem::take(&mut self.schedule.unassessed);
-        unassessed.sort_unstable();
-        unassessed.dedup();
-        for id in unassessed {
+        let due = std::iter::from_fn(|| self.schedule.warm_up_timers.pop_due(self.now));
+        self.schedule.stale_faulty_routes.extend(due);
+        let mut stale_faulty_routes = std::mem::take(&mut self.schedule.stale_faulty_routes);
+        stale_faulty_routes.sort_unstable();
+        stale_faulty_routes.dedup();
+        for id in stale_faulty_routes {
             let Some(destination) = self.destinations.get(&id) else { continue };
             let routes = self.named_routes(id, destination);
             let warm_at = routes.iter().filter_map(|route| self.update_faulty_route(route)).min();
-            self.schedule.work += 1;
-            self.schedule.warming.set(id, warm_at);
+            self.schedule.destinations_examined += 1;
+            self.schedule.warm_up_timers.set(id, warm_at);
         }
     }
 
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -55,8 +55,8 @@
             endpoint: prior.endpoint,
             zone: prior.zone,
         });
-        self.schedule.changed.push(message.destination);
-        self.unsettled.push(id);
+        self.schedule.changed_destinations.push(message.destination);
+        self.ended_attempt_messages.push(id);
     }
 
     /// Returns when a message must have its final answer; see [`timeouts::answer_by`].
@@ -105,11 +105,11 @@
         let length_before = queue.len();
         change(queue);
         self.schedule.waiting.resize(id, length_before, queue.len());
-        self.schedule.changed.push(id);
+        self.schedule.changed_destinations.push(id);
     }
 
     /// Removes a message that has its final answer from its queue and its order key.
-    pub(super) fn forget_message(&mut self, id: MessageId) {
+    pub(super) fn remove_message(&mut self, id: MessageId) {
         self.unqueue(id);
         let Some(message) = self.messages.remove(&id) else { return };
         let Some(key) = message.order_key else { return };
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -15,9 +15,9 @@
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult) {
         self.end_attempt(result);
         if result.message_finished || result.outcome == Outcome::Success {
-            self.forget_message(result.id);
+            self.remove_message(result.id);
         } else {
-            self.unsettled.push(result.id);
+            self.ended_attempt_messages.push(result.id);
         }
     }
 
@@ -49,8 +49,8 @@
     /// call itself, or that of the attempt after a cancelled one.
     fn record_stall_result(&mut self, call: &Call, result: &AttemptResult) {
         let is_further_attempt = self.messages.get(&result.id).is_some_and(|m| m.stall_cancelled);
-        let is_telling = matches!(result.outcome, Outcome::Success | Outcome::Timeout);
-        if !is_telling || !(is_further_attempt || call.is_stalled) {
+        let is_conclusive = matches!(result.outcome, Outcome::Success | Outcome::Timeout);
+        if !is_conclusive || !(is_further_attempt || call.is_stalled) {
             return;
         }
         // If the further attempt is overdue as well, its message takes long. The same holds for a stalled call that
@@ -104,7 +104,7 @@
             traffic.window.on_first_try_success(self.settings.max_calls);
         }
         traffic.backoff.reset();
-        if traffic.failures.is_answered_by(call.sent_at, self.now, self.settings.overload_window) {
+        if traffic.failures.is_ended_by(call.sent_at, self.now, self.settings.overload_window) {
             self.end_failures(id);
         }
     }
@@ -168,9 +168,9 @@
     /// forwarders that are rejected together do not return together.
     fn slow_pace(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
-        let most = pacing::max_multiple(&self.settings);
+        let depth = pacing::max_multiple(&self.settings);
         let rate = route.paced_rate(&self.settings);
-        let saved = rate.map_or(0.0, |rate| route.pace_bucket.available(self.now, rate, most));
+        let saved = rate.map_or(0.0, |rate| route.pace_bucket.available(self.now, rate, depth));
         let calls = saved.max(0.0) + self.rng.uniform();
         route.take_pace_tokens(calls, self.now, &self.settings);
         route.traffic_mut().pace.on_rejection();
@@ -212,9 +212,9 @@
         traffic.presumed_lost -= usize::from(call.is_presumed_lost);
         self.destinations.entry(endpoint.destination).or_default().in_flight -= 1;
         if endpoint.is_removed {
-            self.schedule.removed.insert((self.now, call.endpoint));
+            self.schedule.removal_timers.insert((self.now, call.endpoint));
         }
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
         self.schedule.route_calls.remove(&(call.route, id));
         self.schedule.route_users.release(call.route);
         self.route_changed(call.route);
--- a/crates/core/src/controller/timers.rs
+++ b/crates/core/src/controller/timers.rs
@@ -70,8 +70,8 @@
         let Some(message) = self.messages.get_mut(&message_id) else { return };
         let max_attempts = self.settings.max_attempts;
         let may_replace = retry::may_replace_first_attempt(&message.class, message.attempts, max_attempts);
-        let favours_cancel = self.settings.allow_cancel && self.stalls.favours_cancel();
-        if call.is_stalled && may_replace && favours_cancel {
+        let should_cancel = self.settings.allow_cancel && self.stalls.should_cancel();
+        if call.is_stalled && may_replace && should_cancel {
             call.is_counted = true;
             message.stall_cancelled = true;
             actions.push(Action::Cancel { id: message_id, attempt: 0 });
@@ -86,7 +86,7 @@
             if earliest >= next {
                 break;
             }
-            self.schedule.work += 1;
+            self.schedule.destinations_examined += 1;
             let endpoints = self.destinations.get(&id).into_iter().flat_map(|d| &d.endpoints);
             let routes = endpoints.map(|id| &self.routes[self.endpoints[id].route]);
             let openings = routes.map(|route| route.opens_at(self.now, &self.settings));
--- a/crates/core/src/draining.rs
+++ b/crates/core/src/draining.rs
@@ -21,14 +21,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Removal {
     /// The state is dropped.
-    Forget,
+    Drop,
     /// The state is kept until this time, because the endpoint's Retry-After still applies.
     KeepUntil(Micros),
 }
 
 /// Decides whether to drop the state of a removed endpoint without calls in flight.
 pub(crate) fn removal(retry_after_until: Micros, now: Micros) -> Removal {
-    if retry_after_until > now { Removal::KeepUntil(retry_after_until) } else { Removal::Forget }
+    if retry_after_until > now { Removal::KeepUntil(retry_after_until) } else { Removal::Drop }
 }
 
 #[cfg(test)]
--- a/crates/core/src/draining/tests.rs
+++ b/crates/core/src/draining/tests.rs
@@ -17,5 +17,5 @@
 #[test]
 fn removed_endpoint_is_kept_until_its_retry_after_ends() {
     assert_eq!(removal(101, 100), Removal::KeepUntil(101));
-    assert_eq!(removal(100, 100), Removal::Forget);
+    assert_eq!(removal(100, 100), Removal::Drop);
 }
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -188,8 +188,8 @@
     /// endpoint that has drained or was removed since.
     pub fn without_activations(&self, mut event: WatchEvent) -> WatchEvent {
         for entry in &mut event.endpoints {
-            let serves = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
-            if entry.state == EndpointState::Active && !serves {
+            let is_active = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
+            if entry.state == EndpointState::Active && !is_active {
                 entry.state = EndpointState::Draining;
             }
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,7 +21,7 @@
 //! Terms for a route or an endpoint that gets fewer calls:
 //!
 //! - Ejected (route): set by an outage, by health checks none of which passes, or by `RouteState`. The route gets trial
-//!   calls, one at a time, within a budget. Ends with a success that answers the failures (`is_answered_by`).
+//!   calls, one at a time, within a budget. Ends with a success that ends the failures (`is_ended_by`).
 //! - Warming up (route): set by the success that ends an ejection. The route gets a budget of calls that grows. Ends
 //!   after `warm_up_time`.
 //! - Critical (route): set by health checks if no endpoint passes and one fails. The route is ejected when this starts.
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -109,7 +109,7 @@
 
     /// Returns whether a success of a call sent at `sent_at` shows that the route serves. A call sent before the latest
     /// failure does not show it, unless that failure is at least `overload_window` ago.
-    pub fn is_answered_by(&self, sent_at: Micros, now: Micros, overload_window: Micros) -> bool {
+    pub fn is_ended_by(&self, sent_at: Micros, now: Micros, overload_window: Micros) -> bool {
         self.span.is_none_or(|span| sent_at >= span.last_at || now - span.last_at >= overload_window)
     }
 
@@ -165,7 +165,7 @@
 
 /// What a destination's health checks say about one of its endpoints and its route.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct HealthCheckVerdict {
+pub(crate) struct HealthCheckResult {
     /// Whether the endpoint gets no calls because it fails while another endpoint of the destination passes.
     pub excludes_endpoint: bool,
     /// Whether the route has no endpoint that passes. Only a critical health check starts this, and only a passing one
@@ -174,14 +174,14 @@
 }
 
 /// Evaluates the health checks of an endpoint together with those of its route and its destination.
-pub(crate) fn judge_health_checks(
+pub(crate) fn evaluate_health_checks(
     health: HealthStatus,
     destination_has_passing: bool,
     route_has_passing: bool,
     route_was_critical: bool,
-) -> HealthCheckVerdict {
+) -> HealthCheckResult {
     let is_critical = health == HealthStatus::Critical;
-    HealthCheckVerdict {
+    HealthCheckResult {
         excludes_endpoint: is_critical && destination_has_passing,
         route_is_critical: !route_has_passing && (is_critical || route_was_critical),
     }
--- a/crates/core/src/outlier_detection/tests.rs
+++ b/crates/core/src/outlier_detection/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn success_ends_failures_and_tells_when_they_began() {
+fn success_ends_failures_and_returns_their_start() {
     let mut history = after(Outcome::Error, 3, false);
     assert_eq!(history.reset(9 * SECOND), Some(SECOND));
     assert_eq!(history.consecutive_failures, 0);
@@ -69,9 +69,9 @@
     history.extend_span(4 * SECOND);
     history.extend_span(5 * SECOND);
     assert_eq!(history.first_failure_at(), Some(4 * SECOND));
-    assert!(history.is_answered_by(5 * SECOND, 5 * SECOND, OVERLOAD_WINDOW));
-    assert!(!history.is_answered_by(5 * SECOND - 1, 7 * SECOND - 1, OVERLOAD_WINDOW));
-    assert!(history.is_answered_by(5 * SECOND - 1, 7 * SECOND, OVERLOAD_WINDOW));
+    assert!(history.is_ended_by(5 * SECOND, 5 * SECOND, OVERLOAD_WINDOW));
+    assert!(!history.is_ended_by(5 * SECOND - 1, 7 * SECOND - 1, OVERLOAD_WINDOW));
+    assert!(history.is_ended_by(5 * SECOND - 1, 7 * SECOND, OVERLOAD_WINDOW));
 }
 
 #[test]
@@ -102,16 +102,16 @@
 
 #[test]
 fn critical_endpoint_is_excluded_while_another_passes() {
-    let verdict = judge_health_checks(HealthStatus::Critical, true, true, false);
-    assert_eq!(verdict, HealthCheckVerdict { excludes_endpoint: true, route_is_critical: false });
-    let verdict = judge_health_checks(HealthStatus::Critical, false, false, false);
-    assert_eq!(verdict, HealthCheckVerdict { excludes_endpoint: false, route_is_critical: true });
+    let result = evaluate_health_checks(HealthStatus::Critical, true, true, false);
+    assert_eq!(result, HealthCheckResult { excludes_endpoint: true, route_is_critical: false });
+    let result = evaluate_health_checks(HealthStatus::Critical, false, false, false);
+    assert_eq!(result, HealthCheckResult { excludes_endpoint: false, route_is_critical: true });
 }
 
 #[test]
 fn route_stays_critical_until_an_endpoint_passes() {
-    let draining = judge_health_checks(HealthStatus::Passing, false, false, true);
+    let draining = evaluate_health_checks(HealthStatus::Passing, false, false, true);
     assert!(draining.route_is_critical, "an endpoint that drains does not pass");
-    assert!(!judge_health_checks(HealthStatus::Passing, false, false, false).route_is_critical);
-    assert!(!judge_health_checks(HealthStatus::Passing, true, true, true).route_is_critical);
+    assert!(!evaluate_health_checks(HealthStatus::Passing, false, false, false).route_is_critical);
+    assert!(!evaluate_health_checks(HealthStatus::Passing, true, true, true).route_is_critical);
 }
--- a/crates/core/src/pacing.rs
+++ b/crates/core/src/pacing.rs
@@ -62,10 +62,10 @@
         calls: f64,
         settings: &Settings,
     ) {
-        let most = max_multiple(settings);
+        let limit = max_multiple(settings);
         let grown = self.multiple * MULTIPLE_GROWTH_PER_SECOND.powf(bucket.seconds_since_take(now));
-        self.multiple = grown.min(most);
-        bucket.take(now, rate, most, calls);
+        self.multiple = grown.min(limit);
+        bucket.take(now, rate, limit, calls);
     }
 
     /// Lowers the pace after a rejection.
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -61,8 +61,8 @@
     if now >= times.objective_at {
         return QueueRank { timeliness: Timeliness::Late, order_by: -times.objective_at, message };
     }
-    let least_loss = classes.iter().map(delay_loss).fold(f64::INFINITY, f64::min);
-    let urgency = (delay_loss(class) / least_loss.max(MIN_DELAY_LOSS)).clamp(1.0, MAX_URGENCY);
+    let min_loss = classes.iter().map(delay_loss).fold(f64::INFINITY, f64::min);
+    let urgency = (delay_loss(class) / min_loss.max(MIN_DELAY_LOSS)).clamp(1.0, MAX_URGENCY);
     let arrived_at = times.objective_at - class.latency_objective;
     let due_at = arrived_at + (class.latency_objective as f64 / urgency) as Micros;
     QueueRank { timeliness: Timeliness::InTime, order_by: due_at, message }
--- a/crates/core/src/queue/tests.rs
+++ b/crates/core/src/queue/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn greater_loss_by_delay_draws_due_time_nearer() {
+fn greater_loss_by_delay_makes_message_due_earlier() {
     let classes = [class(1.0, 10 * SECOND), class(4.0, 10 * SECOND), class(1_000.0, 10 * SECOND)];
     let due = |class: &Class| rank(1, class, times(10 * SECOND), 0, &classes).order_by;
     assert_eq!(classes.each_ref().map(due), [10 * SECOND, 2_500_000, SECOND]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn orphaned_attempt_holds_the_key_back() {
+fn orphaned_attempt_blocks_the_key() {
     let mut order = OrderKeyQueue::default();
     order.push(1);
     order.push(2);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn cooldown_holds_back_all_but_its_own_message() {
+fn cooldown_blocks_all_but_its_own_message() {
     let mut order = OrderKeyQueue::default();
     order.push(1);
     order.push(2);
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -9,7 +9,7 @@
     Class, DeduplicationScope, EndpointId, Idempotency, Micros, Outcome, SECOND_US, Settings, UNKNOWN_ZONE,
 };
 use crate::rng::SeededRng;
-use crate::slow_start::BUDGET_USE;
+use crate::slow_start::BUDGET_FRACTION;
 use crate::timeouts::SCHEDULING_MARGIN_US;
 
 /// Longest time span accepted from outside. A sum of a few such spans does not overflow.
@@ -148,9 +148,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SpanBounds {
     /// The shortest span: the time in which this forwarder's part of a cold route's budget allows one call.
-    pub least_us: f64,
+    pub min_us: f64,
     /// The longest span. With a longer one the return of a route would be noticed too late.
-    pub most_us: f64,
+    pub max_us: f64,
 }
 
 impl SpanBounds {
@@ -161,15 +161,12 @@
         // The factor `SPAN_GROWTH` halves the first span; from the second one on the spans keep to the budget of slow
         // start.
         let cold_budget_share =
-            BUDGET_USE * SPAN_GROWTH * settings.overload_factor * settings.cold_capacity_share;
+            BUDGET_FRACTION * SPAN_GROWTH * settings.overload_factor * settings.cold_capacity_share;
         let capacity = cold_budget_share.clamp(MIN_SPAN_CAPACITY, MAX_SPAN_CAPACITY);
-        let least_us = (SECOND_US / capacity / share.max(MIN_SHARE)).min(longest_lifetime_us);
-        let most_us = if is_paced {
-            MAX_PACED_SPAN_FACTOR * least_us
-        } else {
-            MAX_SPAN_LIFETIMES * longest_lifetime_us
-        };
-        SpanBounds { least_us, most_us }
+        let min_us = (SECOND_US / capacity / share.max(MIN_SHARE)).min(longest_lifetime_us);
+        let max_us =
+            if is_paced { MAX_PACED_SPAN_FACTOR * min_us } else { MAX_SPAN_LIFETIMES * longest_lifetime_us };
+        SpanBounds { min_us, max_us }
     }
 }
 
@@ -202,7 +199,7 @@
     /// doubled span halves the rate instead. Forwarders that failed together do not return together, and fewer rejected
     /// calls leave more of a limit to others.
     pub fn back_off_below_one_call(&mut self, now: Micros, bounds: SpanBounds, rng: &mut SeededRng) {
-        self.span_us = (self.span_us * SPAN_GROWTH).clamp(bounds.least_us, bounds.most_us);
+        self.span_us = (self.span_us * SPAN_GROWTH).clamp(bounds.min_us, bounds.max_us);
         self.until = now + (rng.uniform() * self.span_us) as Micros;
     }
 
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn only_outcomes_that_cannot_have_run_leave_no_possible_delivery() {
+fn outcomes_without_execution_leave_no_possible_delivery() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         assert!(!may_have_been_executed(outcome), "{outcome:?}");
     }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn unknown_zone_is_the_endpoint_alone() {
+fn deduplication_in_an_unknown_zone_covers_one_endpoint() {
     let allowed =
         |endpoint| is_endpoint_allowed(delivery(UNKNOWN_ZONE), keyed(KEYED[1]), endpoint, UNKNOWN_ZONE);
     assert!(allowed(7) && !allowed(8));
@@ -100,22 +100,22 @@
 #[test]
 fn span_keeps_to_the_budget_of_a_cold_route() {
     let paced = SpanBounds::new(1.0, true, &settings());
-    assert_eq!(paced.least_us, 1_250_000.0);
-    assert_eq!(paced.most_us, 5_000_000.0);
+    assert_eq!(paced.min_us, 1_250_000.0);
+    assert_eq!(paced.max_us, 5_000_000.0);
     let unpaced = SpanBounds::new(1.0, false, &settings());
-    assert_eq!(unpaced.most_us, 32_000_000.0, "two message lifetimes");
-    assert_eq!(SpanBounds::new(0.0, false, &settings()).least_us, 16_000_000.0);
+    assert_eq!(unpaced.max_us, 32_000_000.0, "two message lifetimes");
+    assert_eq!(SpanBounds::new(0.0, false, &settings()).min_us, 16_000_000.0);
 }
 
 #[test]
 fn backoff_below_one_call_is_drawn_from_a_span_that_doubles() {
-    let bounds = SpanBounds { least_us: 1e6, most_us: 4e6 };
+    let bounds = SpanBounds { min_us: 1e6, max_us: 4e6 };
     let mut rng = SeededRng::new(3);
     let mut backoff = RetryBackoff::initial();
-    for most in [1, 2, 4, 4] {
+    for span_s in [1, 2, 4, 4] {
         let mut expected = rng.clone();
         backoff.back_off_below_one_call(0, bounds, &mut rng);
-        assert_eq!(backoff.until(), (expected.uniform() * most as f64 * 1e6) as Micros);
+        assert_eq!(backoff.until(), (expected.uniform() * span_s as f64 * 1e6) as Micros);
     }
     backoff.reset();
     assert_eq!(backoff.until(), 0);
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -45,7 +45,7 @@
     pub latency: LatencyEstimate,
     pub failures: FailureHistory,
     pub backoff: RetryBackoff,
-    pub budget_use: RecentCallBudget,
+    pub recent_call_budget: RecentCallBudget,
     /// Capacity that its answers report, in calls a second; 0 if they report none.
     pub reported_limit: f64,
     /// Number of calls in flight.
@@ -69,7 +69,7 @@
             latency: LatencyEstimate::initial(),
             failures: FailureHistory::initial(),
             backoff: RetryBackoff::initial(),
-            budget_use: RecentCallBudget::initial(),
+            recent_call_budget: RecentCallBudget::initial(),
             reported_limit: 0.0,
             in_flight: 0,
             overdue: 0,
@@ -170,7 +170,7 @@
     pub fn opens_at(&self, now: Micros, settings: &Settings) -> Micros {
         let traffic = self.traffic();
         let budget = self.call_budget(now, settings);
-        let budget_at = budget.map_or(now, |calls| traffic.budget_use.opens_at(calls, now, settings));
+        let budget_at = budget.map_or(now, |calls| traffic.recent_call_budget.opens_at(calls, now, settings));
         let rate = self.paced_rate(settings);
         let paced_at = rate.map_or(now, |rate| self.pace_bucket.opens_at(now, rate));
         self.retry_after_until.max(traffic.backoff.until()).max(budget_at).max(paced_at).max(now)
@@ -181,12 +181,12 @@
     pub fn changes_at(&self, now: Micros, settings: &Settings) -> Option<Micros> {
         let traffic = self.traffic();
         let rate = self.paced_rate(settings);
-        let paced_at = rate.map_or(now, |rate| self.pace_bucket.opens_after(now, rate));
+        let paced_at = rate.map_or(now, |rate| self.pace_bucket.opens_not_before(now, rate));
         let fixed_at = self.retry_after_until.max(traffic.backoff.until()).max(paced_at);
         let fixed_change = Some(fixed_at).filter(|at| *at > now);
         let Some(budget) = self.call_budget(now, settings) else { return fixed_change };
         let budget_change = self.budget_changes_at(budget, now, settings);
-        if traffic.budget_use.opens_at(budget, now, settings) > now {
+        if traffic.recent_call_budget.opens_at(budget, now, settings) > now {
             budget_change.map(|at| at.max(fixed_at))
         } else {
             fixed_change.or(budget_change)
@@ -204,7 +204,7 @@
             }
             RouteHealth::Healthy | RouteHealth::Ejected => None,
         };
-        traffic.budget_use.changes_at(budget, !is_failing, grows_at, now, settings)
+        traffic.recent_call_budget.changes_at(budget, !is_failing, grows_at, now, settings)
     }
 
     /// Returns whether it takes a call now: it is open and its window has room, or it is ejected and no trial call is
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -19,18 +19,18 @@
     /// Calls in flight, by their routes.
     pub route_calls: BTreeSet<(RouteId, CallId)>,
     /// Destinations whose state has changed since the index of waiting destinations was updated.
-    pub changed: Vec<DestinationId>,
+    pub changed_destinations: Vec<DestinationId>,
     /// Destinations whose state has changed since the set of faulty routes was updated.
-    pub unassessed: Vec<DestinationId>,
+    pub stale_faulty_routes: Vec<DestinationId>,
     pub waiting: WaitingIndex,
     /// Routes whose state a later process has to know.
     pub faulty_routes: BTreeSet<RouteRef>,
     /// Whether `faulty_routes` has changed since this was last queried.
     pub faulty_routes_changed: bool,
     /// When destinations have warmed up.
-    pub warming: TimerQueue<DestinationId>,
+    pub warm_up_timers: TimerQueue<DestinationId>,
     /// When removed endpoints may be forgotten.
-    pub removed: BTreeSet<(Micros, EndpointId)>,
+    pub removal_timers: BTreeSet<(Micros, EndpointId)>,
     /// When messages have to be examined.
     pub message_timers: BTreeSet<(Micros, MessageId)>,
     /// When calls have to be examined.
@@ -38,7 +38,7 @@
     /// When the last requested timer is due; `Micros::MAX` if none is set.
     pub timer_at: Micros,
     /// Number of destinations examined since the start.
-    pub work: u64,
+    pub destinations_examined: u64,
 }
 
 impl Default for Schedule {
@@ -47,17 +47,17 @@
             route_users: RouteUsers::default(),
             faulty_calls: 0,
             route_calls: BTreeSet::new(),
-            changed: Vec::new(),
-            unassessed: Vec::new(),
+            changed_destinations: Vec::new(),
+            stale_faulty_routes: Vec::new(),
             waiting: WaitingIndex::default(),
             faulty_routes: BTreeSet::new(),
             faulty_routes_changed: true,
-            warming: TimerQueue::default(),
-            removed: BTreeSet::new(),
+            warm_up_timers: TimerQueue::default(),
+            removal_timers: BTreeSet::new(),
             message_timers: BTreeSet::new(),
             call_timers: BTreeSet::new(),
             timer_at: Micros::MAX,
-            work: 0,
+            destinations_examined: 0,
         }
     }
 }
@@ -84,8 +84,8 @@
 
     /// Removes and returns the removed endpoint that is first, if it is due.
     pub fn pop_due_removal(&mut self, now: Micros) -> Option<EndpointId> {
-        let &(_, endpoint) = self.removed.first().filter(|(at, _)| *at <= now)?;
-        self.removed.pop_first();
+        let &(_, endpoint) = self.removal_timers.first().filter(|(at, _)| *at <= now)?;
+        self.removal_timers.pop_first();
         Some(endpoint)
     }
 
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -73,7 +73,7 @@
 
 /// Returns the random cost of an endpoint, in points, from a uniform draw. Of endpoints with equal other costs, each is
 /// chosen in proportion to its capacity (the least of exponential variates with these rates).
-pub(crate) fn chance_cost(uniform: f64, capacity_hint: f64, fleet_size: u32) -> f64 {
+pub(crate) fn random_cost(uniform: f64, capacity_hint: f64, fleet_size: u32) -> f64 {
     let spread = SPREAD_COST / (1.0 + HALF_SPREAD_FLEET_SIZE / f64::from(fleet_size.max(1)));
     let variate = -uniform.max(MIN_UNIFORM).ln() / capacity_hint.max(MIN_CAPACITY_HINT);
     spread * variate.max(MIN_UNIFORM).ln()
--- a/crates/core/src/selection/tests.rs
+++ b/crates/core/src/selection/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn connection_and_zone_cost_what_the_settings_say() {
+fn connection_and_zone_costs_come_from_the_settings() {
     assert_eq!(cost_of(CostInputs { needs_connection: true, ..IDLE }), 0.1);
     assert_eq!(cost_of(CostInputs { is_cross_zone: true, ..IDLE }), 0.2);
 }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn last_slot_makes_latency_dearer() {
+fn last_slot_raises_the_latency_cost() {
     let inputs = CostInputs { is_separate_route: true, ..IDLE };
     let last = SlotPressure { calls: 9, ..NO_PRESSURE };
     assert_eq!(cost(&inputs, last, &settings()), 0.4 + (0.05 + 0.25) * 2.0);
@@ -65,8 +65,8 @@
     let mut rng = SeededRng::new(5);
     let mut chosen = 0;
     for _ in 0..10_000 {
-        let small = chance_cost(rng.uniform(), 10.0, 100);
-        let large = chance_cost(rng.uniform(), 30.0, 100);
+        let small = random_cost(rng.uniform(), 10.0, 100);
+        let large = random_cost(rng.uniform(), 30.0, 100);
         chosen += u32::from(large < small);
     }
     assert!((7_300..7_700).contains(&chosen), "three in four: {chosen}");
@@ -75,6 +75,6 @@
 #[test]
 fn chance_is_finite_without_draw_or_capacity() {
     for uniform in [0.0, 1.0 - f64::EPSILON] {
-        assert!(chance_cost(uniform, 0.0, 0).is_finite());
+        assert!(random_cost(uniform, 0.0, 0).is_finite());
     }
 }
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 
 /// Fraction of the budget that is used. The rest is a margin for draws that coincide.
-pub(crate) const BUDGET_USE: f64 = 0.8;
+pub(crate) const BUDGET_FRACTION: f64 = 0.8;
 /// Number of draws in one `overload_window` if the budget is below one call.
 const DRAWS_PER_WINDOW: Micros = 2;
 /// Number of messages in a batch that count as one further call: 5 messages count as 2 calls.
@@ -41,7 +41,7 @@
 /// in calls a second.
 pub(crate) fn call_budget(present_capacity: f64, share: f64, settings: &Settings) -> f64 {
     let rate = settings.overload_factor * present_capacity * share;
-    BUDGET_USE * rate * settings.overload_window as f64 / SECOND_US
+    BUDGET_FRACTION * rate * settings.overload_window as f64 / SECOND_US
 }
 
 /// Returns whether an ejected route may get a trial call: one at a time, not counting overdue calls.
@@ -138,7 +138,7 @@
 /// Returns the time after the start of the ramp at which, at the earliest, the budget has grown by a whole call or no
 /// longer applies.
 pub(crate) fn ramp_time_to_next_call(budget: f64, share: f64, settings: &Settings) -> Micros {
-    let warm_budget_us = settings.overload_factor * share * BUDGET_USE * settings.overload_window as f64;
+    let warm_budget_us = settings.overload_factor * share * BUDGET_FRACTION * settings.overload_window as f64;
     let capacity = (budget.max(0.0).floor() + 1.0) * SECOND_US / warm_budget_us;
     let ramp_part = (capacity - settings.cold_capacity_share) / (1.0 - settings.cold_capacity_share);
     let grows = warm_budget_us > 0.0 && settings.cold_capacity_share < 1.0;
@@ -146,8 +146,8 @@
         return settings.warm_up_time;
     }
     // A rounding error must not make the result later.
-    let most = settings.warm_up_time as f64;
-    (ramp_part * most * (1.0 - 1e-9)).clamp(0.0, most) as Micros - ROUNDING_US
+    let warm_up_us = settings.warm_up_time as f64;
+    (ramp_part * warm_up_us * (1.0 - 1e-9)).clamp(0.0, warm_up_us) as Micros - ROUNDING_US
 }
 
 #[cfg(test)]
--- a/crates/core/src/slow_start/tests.rs
+++ b/crates/core/src/slow_start/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn budget_is_most_of_what_the_share_bears_in_a_window() {
+fn budget_is_a_fraction_of_the_overload_limit() {
     let budget = call_budget(0.5, 10.0, &settings());
     assert!((budget - 0.8 * 2.0 * 0.5 * 10.0 * 2.0).abs() < 1e-9, "{budget}");
 }
@@ -46,47 +46,47 @@
 #[test]
 fn budget_of_whole_calls_opens_when_the_oldest_leaves_the_window() {
     let set = settings();
-    let mut budget_use = RecentCallBudget::initial();
-    budget_use.record_call(1, SECOND, &set);
-    assert_eq!(budget_use.opens_at(2.5, SECOND, &set), SECOND);
-    budget_use.record_call(1, 2 * SECOND, &set);
-    assert_eq!(budget_use.opens_at(2.5, 2 * SECOND, &set), 3 * SECOND);
-    assert_eq!(budget_use.opens_at(1.0, 2 * SECOND, &set), 4 * SECOND);
+    let mut recent_call_budget = RecentCallBudget::initial();
+    recent_call_budget.record_call(1, SECOND, &set);
+    assert_eq!(recent_call_budget.opens_at(2.5, SECOND, &set), SECOND);
+    recent_call_budget.record_call(1, 2 * SECOND, &set);
+    assert_eq!(recent_call_budget.opens_at(2.5, 2 * SECOND, &set), 3 * SECOND);
+    assert_eq!(recent_call_budget.opens_at(1.0, 2 * SECOND, &set), 4 * SECOND);
 }
 
 #[test]
 fn large_batch_counts_as_several_calls() {
     let set = settings();
-    let mut budget_use = RecentCallBudget::initial();
-    budget_use.record_call(10, SECOND, &set);
-    assert_eq!(budget_use.opens_at(3.0, SECOND, &set), 3 * SECOND);
-    assert_eq!(budget_use.next_draw_at(), 4 * SECOND);
+    let mut recent_call_budget = RecentCallBudget::initial();
+    recent_call_budget.record_call(10, SECOND, &set);
+    assert_eq!(recent_call_budget.opens_at(3.0, SECOND, &set), 3 * SECOND);
+    assert_eq!(recent_call_budget.next_draw_at(), 4 * SECOND);
 }
 
 #[test]
 fn budget_below_one_call_opens_by_a_won_draw_for_one_step() {
     let set = settings();
     let mut rng = SeededRng::new(1);
-    let mut budget_use = RecentCallBudget::initial();
+    let mut recent_call_budget = RecentCallBudget::initial();
     let mut won = 0;
     for step in 1..=1_000 {
         let now = step * SECOND;
-        budget_use.draw(0.5, now, &set, &mut rng);
-        assert_eq!(budget_use.next_draw_at(), now + SECOND, "two draws in a window of two seconds");
-        let opens_at = budget_use.opens_at(0.5, now, &set);
+        recent_call_budget.draw(0.5, now, &set, &mut rng);
+        assert_eq!(recent_call_budget.next_draw_at(), now + SECOND, "two draws in a window of two seconds");
+        let opens_at = recent_call_budget.opens_at(0.5, now, &set);
         assert!(opens_at == now || opens_at == now + SECOND);
         won += u32::from(opens_at == now);
-        assert!(budget_use.opens_at(0.5, now + 1, &set) > now + 1, "a draw is not saved up");
+        assert!(recent_call_budget.opens_at(0.5, now + 1, &set) > now + 1, "a draw is not saved up");
     }
     assert!((200..300).contains(&won), "a quarter of the draws wins: {won}");
 }
 
 #[test]
-fn changes_are_foreseen_not_later_than_they_come() {
+fn predicted_change_is_never_too_late() {
     let set = settings();
-    let mut budget_use = RecentCallBudget::initial();
-    budget_use.record_call(1, SECOND, &set);
-    let at = |budget, varies, grows_at| budget_use.changes_at(budget, varies, grows_at, SECOND, &set);
+    let mut recent_call_budget = RecentCallBudget::initial();
+    recent_call_budget.record_call(1, SECOND, &set);
+    let at = |budget, varies, grows_at| recent_call_budget.changes_at(budget, varies, grows_at, SECOND, &set);
     assert_eq!(at(1.0, false, None), Some(3 * SECOND), "the call leaves the window");
     assert_eq!(at(0.5, false, None), Some(2 * SECOND), "the next draw");
     assert_eq!(at(1.0, true, None), Some(2 * SECOND), "the budget may fall below one call");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn ramp_reaches_the_next_whole_call_in_time() {
+fn predicted_ramp_time_is_not_later_than_the_next_whole_call() {
     let set = settings();
     let share = 10.0;
     let budget_at = |now| {
--- a/crates/core/src/timeouts.rs
+++ b/crates/core/src/timeouts.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether cancelling a stalled call is likely to help.
-    pub fn favours_cancel(&self) -> bool {
+    pub fn should_cancel(&self) -> bool {
         self.slow_share < MAX_SLOW_SHARE
     }
 }
--- a/crates/core/src/timeouts/tests.rs
+++ b/crates/core/src/timeouts/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn deadline_cuts_attempt_timeout() {
+fn deadline_limits_attempt_timeout() {
     assert_eq!(attempt_timeout(6 * SECOND, 0, 60 * SECOND, 1_000), 6 * SECOND);
     assert_eq!(attempt_timeout(6 * SECOND, 0, SECOND, 1_000), SECOND - 51_000);
     assert_eq!(attempt_timeout(6 * SECOND, SECOND, SECOND, 1_000), 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn call_is_stalled_once_endpoint_answers_one_of_its_later_half() {
+fn call_is_stalled_if_endpoint_answered_a_call_sent_in_its_later_half() {
     assert!(is_stalled(SECOND, 3 * SECOND, 2 * SECOND + 1));
     assert!(!is_stalled(SECOND, 3 * SECOND, 2 * SECOND));
 }
@@ -62,9 +62,9 @@
 #[test]
 fn one_slow_message_stops_cancelling_until_a_dead_connection() {
     let mut stalls = StallHistory::default();
-    assert!(stalls.favours_cancel());
+    assert!(stalls.should_cancel());
     stalls.record(true);
-    assert!(!stalls.favours_cancel());
+    assert!(!stalls.should_cancel());
     stalls.record(false);
-    assert!(stalls.favours_cancel());
+    assert!(stalls.should_cancel());
 }
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -88,7 +88,7 @@
 
     /// Returns a time that is not later than any result of [`Self::opens_at`] from now on, although those differ by
     /// rounding.
-    pub fn opens_after(&self, now: Micros, rate: f64) -> Micros {
+    pub fn opens_not_before(&self, now: Micros, rate: f64) -> Micros {
         let opens = self.opens_at(now, rate);
         let rounding = fill_time(TOKEN_TOLERANCE, rate) + ROUNDING_US;
         if opens > now { (opens - rounding).max(now + 1) } else { now }
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -108,9 +108,9 @@
 
     fn step(&mut self, events: Vec<Event>) {
         let mut actions = Vec::new();
-        let before = self.controller.work();
+        let before = self.controller.destinations_examined();
         self.controller.step(self.now, &events, &mut actions);
-        let work = self.controller.work() - before;
+        let work = self.controller.destinations_examined() - before;
         if events.iter().any(|event| matches!(event, Event::Timer { .. })) {
             self.timer_work += work;
         } else {
@@ -201,7 +201,7 @@
             &[Event::EndpointList { kind: ListEventKind::Snapshot, entries }],
             &mut Vec::new(),
         );
-        controller.work() as f64
+        controller.destinations_examined() as f64
     });
     println!("destinations looked at for a list: {work:?}");
     assert!(work[1] <= 13.0 * work[0], "destinations looked at: {work:?}");
