--- a/src/bin/orchidyoke-simulator/instance.rs
+++ b/src/bin/orchidyoke-simulator/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated forwarder: its controller, and the names behind the numbers that the controller uses.
+//! One simulated forwarder: its controller, and the names for the numbers that the controller uses.
 
 use crate::line::{Fields, LineError};
 use crate::values;
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
 
-/// All words that name an instance.
+/// The words of all events. Each event names its instance in the field `forwarder_id`.
 pub const EVENTS: [&str; 10] = [
     "HELLO",
     "TOPOLOGY",
@@ -25,13 +25,13 @@
     "PROBE_DONE",
     "HEARD",
 ];
-/// Token of the timer for the endpoint list; the controller's own count from 1.
+/// Token of the timer for the endpoint list. It differs from the tokens of the controller, which counts from 1.
 const LIST_TIMER: u64 = 1 << 62;
 
-/// Endpoint lists by the number of their sheet.
+/// Endpoint lists by their number, the field `sheet`.
 pub type Sheets = BTreeMap<u64, Vec<ListedTarget>>;
 
-/// A line of an endpoint list.
+/// An entry of an endpoint list, from a `TARGET` line.
 pub struct ListedTarget {
     target: String,
     zone: String,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Numbers for names, in the order of their first mention to this instance.
+/// Assigns a number to each name, in the order in which this instance first receives the names.
 #[derive(Default)]
 struct NameTable {
     by_name: HashMap<String, usize>,
@@ -72,7 +72,7 @@
     }
 }
 
-/// One running instance.
+/// One running instance: a simulated forwarder.
 pub struct Instance {
     controller: Controller,
     poll_schedule: Option<PollSchedule>,
@@ -83,7 +83,7 @@
     actions: Vec<Action>,
 }
 
-/// Place of a name in the settings; one that is not there has no place.
+/// Returns the index of a name in a list of the settings; `usize::MAX`, which is no valid index, if it is not listed.
 fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or(usize::MAX)
 }
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Takes in an event for the next step.
+    /// Adds an event to those of the next step.
     pub fn add_event(&mut self, word: &str, fields: &Fields, sheets: &Sheets) -> Result<(), LineError> {
         let event = match word {
             "TOPOLOGY" => self.list_event(fields, sheets)?,
@@ -195,7 +195,7 @@
         })
     }
 
-    /// Lets the controller decide on the events so far, and writes what it decides.
+    /// Runs one step of the controller with the events so far, and writes its actions.
     pub fn step(&mut self, number: u64, now: Micros, out: &mut impl Write) -> Result<(), LineError> {
         self.controller.step(now, &self.events, &mut self.actions);
         self.poll_list(now);
@@ -206,7 +206,7 @@
         Ok(())
     }
 
-    /// Requests the endpoint list where it has to be polled.
+    /// Requests the endpoint list if it has to be polled and a request is due.
     fn poll_list(&mut self, now: Micros) {
         let Some(schedule) = &mut self.poll_schedule else { return };
         let due_before = schedule.next_poll_at();
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Writes an action of instance `me` as a line.
+    /// Writes an action of the instance with number `me` as a line.
     fn write_action(&self, me: u64, action: &Action, out: &mut impl Write) -> io::Result<()> {
         let message = |id: &MessageId| &self.messages.names[*id as usize];
         let target = |endpoint: &EndpointId| &self.targets.names[*endpoint as usize];
--- a/src/bin/orchidyoke-simulator/line.rs
+++ b/src/bin/orchidyoke-simulator/line.rs
@@ -1,16 +1,16 @@
-//! One line of the simulator's protocol: a word and `name=value` fields, and what can be wrong with it.
+//! One line of the simulator's protocol, which consists of a word and `name=value` fields, and its errors.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// What is wrong with a line, or with writing one.
+/// An error in a line or in writing a line.
 #[derive(Debug)]
 pub enum LineError {
-    /// A field, or a word, is missing or has no meaning here.
+    /// A field or word is missing or not valid here.
     Invalid {
         /// The field or word.
         subject: String,
-        /// What is wrong with it.
+        /// Why it is not valid.
         reason: String,
     },
     /// Standard output cannot be written.
@@ -38,7 +38,7 @@
     }
 }
 
-/// Fields whose value is text up to the end of the line.
+/// Names of the fields whose value is all text up to the end of the line.
 const TEXT_FIELDS: [&str; 2] = ["options", "what"];
 
 struct Field<'a> {
@@ -67,28 +67,28 @@
         Ok(Fields(fields))
     }
 
-    /// The value of a field, if it is there.
+    /// Returns the value of a field; `None` if the line does not have it.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|field| field.name == name).map(|field| field.value)
     }
 
-    /// The value of a required field.
+    /// Returns the value of a required field.
     pub fn text(&self, name: &str) -> Result<&'a str, LineError> {
         self.get(name).ok_or_else(|| LineError::invalid(name, "missing"))
     }
 
-    /// A required number.
+    /// Returns the number in a required field.
     pub fn number<T: FromStr>(&self, name: &str) -> Result<T, LineError> {
         let text = self.text(name)?;
-        text.parse().map_err(|_| LineError::invalid(name, &format!("not a fit number: {text}")))
+        text.parse().map_err(|_| LineError::invalid(name, &format!("not a valid number: {text}")))
     }
 
-    /// A number that may be absent.
+    /// Returns the number in an optional field; `absent` if the line does not have it.
     pub fn number_or<T: FromStr>(&self, name: &str, absent: T) -> Result<T, LineError> {
         if self.get(name).is_some() { self.number(name) } else { Ok(absent) }
     }
 
-    /// A flag, 0 or 1; absent means 0.
+    /// Returns the flag in an optional field, which is 0 or 1; an absent field means 0.
     pub fn flag(&self, name: &str) -> Result<bool, LineError> {
         match self.get(name) {
             None | Some("0") => Ok(false),
--- a/src/bin/orchidyoke-simulator/main.rs
+++ b/src/bin/orchidyoke-simulator/main.rs
@@ -1,4 +1,5 @@
-//! The controller on the simulator's protocol: one controller for each simulated forwarder, standard input to output.
+//! Runs the controller on the simulator's protocol, with one controller for each simulated forwarder. Reads standard
+//! input and writes standard output.
 
 mod instance;
 mod line;
@@ -9,7 +10,7 @@
 use std::io::{self, BufRead, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Bytes read from standard input at once.
+/// Size of the buffer for standard input, in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn run() -> Result<(), String> {
--- a/src/bin/orchidyoke-simulator/session.rs
+++ b/src/bin/orchidyoke-simulator/session.rs
@@ -1,40 +1,41 @@
-//! The simulator's session: batches of lines in, and for each batch the actions of the instances that it concerns out.
+//! The simulator's session: reads batches of lines, and writes for each batch the actions of the instances that have
+//! events in it.
 
 use crate::instance::{self, Instance, ListedTarget, Sheets};
 use crate::line::{Fields, LineError};
 use std::collections::BTreeMap;
 use std::io::Write;
 
-/// A batch that has begun and not ended.
+/// A batch that has started and not ended.
 struct Batch {
     now: i64,
     serial: String,
 }
 
-/// A sheet whose `TARGET` lines are still to come.
+/// An endpoint list whose `TARGET` lines have not all been read.
 struct OpenSheet {
     number: u64,
     lines_left: usize,
 }
 
-/// What lasts from line to line.
+/// The state that is kept between lines.
 #[derive(Default)]
 pub struct Session {
     instances: BTreeMap<u64, Instance>,
     sheets: Sheets,
     batch: Option<Batch>,
-    /// Instances with an event in this batch, in the order of their first one.
+    /// Instances with an event in this batch, in the order of their first event.
     touched: Vec<u64>,
     open_sheet: Option<OpenSheet>,
 }
 
 impl Session {
-    /// Whether a batch has begun and not ended.
+    /// Returns whether a batch has started and not ended.
     pub fn is_in_batch(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// Takes in one line, and writes the answer where it ends a batch.
+    /// Handles one line, and writes the reply if the line ends a batch.
     pub fn on_line(&mut self, line: &str, out: &mut impl Write) -> Result<(), LineError> {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         let fields = Fields::parse(rest)?;
@@ -57,7 +58,7 @@
 
     fn add_target(&mut self, sheet: OpenSheet, word: &str, fields: &Fields) -> Result<(), LineError> {
         if word != "TARGET" {
-            return Err(LineError::invalid("nodes_list", "a TARGET line was due"));
+            return Err(LineError::invalid("nodes_list", "expected a TARGET line"));
         }
         self.sheets.entry(sheet.number).or_default().push(ListedTarget::parse(fields)?);
         self.open_sheet = Some(OpenSheet { lines_left: sheet.lines_left - 1, ..sheet });
@@ -66,7 +67,7 @@
 
     fn begin_batch(&mut self, fields: &Fields) -> Result<(), LineError> {
         if self.batch.is_some() {
-            return Err(LineError::invalid("BATCH", "the batch before it has no END"));
+            return Err(LineError::invalid("BATCH", "the previous batch has no END"));
         }
         let now = fields.number("sim_time_us")?;
         let serial = fields.text("serial")?.to_owned();
--- a/src/bin/orchidyoke-simulator/values.rs
+++ b/src/bin/orchidyoke-simulator/values.rs
@@ -1,14 +1,14 @@
-//! The protocol's values, mapped to the controller's types: outcomes, endpoint states, list kinds, bytes.
+//! Maps the protocol's values to the controller's types: outcomes, endpoint states, kinds of list events, bytes.
 
 use crate::line::{Fields, LineError};
 use orchidyoke_core::interface::{EndpointState, ListEventKind, Micros, Outcome};
 
-/// The code of a rejection, the only outcome that carries a Retry-After.
+/// The code of a rejection, which is the only outcome with a Retry-After.
 const REJECTED: &str = "2";
-/// How bytes are written where there are none.
+/// The text for an empty sequence of bytes.
 const NO_BYTES: &str = "-";
 
-/// The outcome of an attempt or health check.
+/// Returns the outcome of an attempt or health check.
 pub fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
     Ok(match fields.number::<u8>("result")? {
         0 => Outcome::Success,
@@ -23,7 +23,7 @@
     })
 }
 
-/// The state of an endpoint.
+/// Returns the state of an endpoint; an absent field means active.
 pub fn endpoint_state(fields: &Fields) -> Result<EndpointState, LineError> {
     match fields.get("state") {
         None | Some("on") => Ok(EndpointState::Active),
@@ -33,7 +33,7 @@
     }
 }
 
-/// What an event of the endpoint list contains.
+/// Returns the kind of an event of the endpoint list.
 pub fn list_kind(fields: &Fields) -> Result<ListEventKind, LineError> {
     match fields.text("form")? {
         "D" => Ok(ListEventKind::Delta),
@@ -44,13 +44,14 @@
     }
 }
 
-/// The order key of a message, in hexadecimal.
+/// Returns the order key of a message, which is written in hexadecimal; `None` if the field is absent.
 pub fn order_key(fields: &Fields) -> Result<Option<u64>, LineError> {
     let Some(key) = fields.get("route_key") else { return Ok(None) };
     u64::from_str_radix(key, 16).map(Some).map_err(|_| LineError::invalid("route_key", "not hex"))
 }
 
-/// The Retry-After of a rejection, in microseconds; the field means something else beside other outcomes.
+/// Returns the Retry-After of a rejection, in microseconds; 0 for other outcomes, for which the field has another
+/// meaning.
 pub fn retry_after(fields: &Fields) -> Result<Micros, LineError> {
     if fields.get("result") != Some(REJECTED) {
         return Ok(0);
@@ -58,7 +59,7 @@
     Ok(fields.number_or::<Micros>("hold_ms", 0)?.saturating_mul(1000))
 }
 
-/// One value of a load report, if it is there.
+/// Returns one value of a load report; `None` if the report does not have it.
 pub fn load_report(fields: &Fields, name: &str) -> Result<Option<f64>, LineError> {
     for pair in fields.get("server_stats").unwrap_or("").split(',') {
         if let Some((key, value)) = pair.split_once(':')
@@ -70,7 +71,7 @@
     Ok(None)
 }
 
-/// Bytes written in hexadecimal.
+/// Decodes bytes that are written in hexadecimal; returns `None` if the text is not valid.
 pub fn decode_bytes(text: &str) -> Option<Vec<u8>> {
     if text == NO_BYTES {
         return Some(Vec::new());
@@ -81,7 +82,7 @@
     (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).ok()).collect()
 }
 
-/// The opposite of [`decode_bytes`].
+/// Encodes bytes for [`decode_bytes`].
 pub fn encode_bytes(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return NO_BYTES.to_owned();
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! Tests of the adapter as a process: the wire in, the wire out, and plain words on what is malformed.
+//! Tests of the simulator's adapter as a process: its input, its output and its error messages for malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -58,7 +58,7 @@
         lines[sends[0]].contains("forwarder_id=3 id=m1") && lines[sends[0]].contains("target=10.0.0.1:80")
     );
     let second = lines.iter().position(|l| *l == "ACK serial=2").expect("the second reply");
-    assert!(sends[0] < second && second < sends[1], "the Retry-After of 400 ms is heeded");
+    assert!(sends[0] < second && second < sends[1], "the second attempt waits for the Retry-After of 400 ms");
 }
 
 #[test]
@@ -74,7 +74,7 @@
     );
     let out = run(&input);
     let reply = text(&out.stdout);
-    assert!(!reply.contains("id=old"), "a retired incarnation is forgotten: {reply}");
+    assert!(!reply.contains("id=old"), "a message of the retired instance is sent: {reply}");
     assert!(reply.contains("id=new") && reply.contains("target=10.0.0.1:80"), "{reply}");
     let input = input.replace("RETIRE forwarder_id=1\n", "");
     assert!(run(&input).status.success());
@@ -91,7 +91,7 @@
     assert!(out.status.success());
     let reply = text(&out.stdout);
     assert_eq!(reply.matches("ACK").count(), 1);
-    assert!(reply.matches("SHED").count() >= 4950, "more than max_open cannot be queued");
+    assert!(reply.matches("SHED").count() >= 4950, "at most max_open messages are queued");
 }
 
 #[test]
@@ -133,7 +133,7 @@
         let out = run(&input);
         let error = text(&out.stderr);
         assert!(!out.status.success(), "{words}");
-        assert!(error.contains(words) && error.lines().count() == 1, "wanted {words:?}, got {error:?}");
-        assert!(out.stdout.is_empty(), "nothing but the wire on standard output");
+        assert!(error.contains(words) && error.lines().count() == 1, "expected {words:?}, got {error:?}");
+        assert!(out.stdout.is_empty(), "standard output has a line for malformed input");
     }
 }
