--- a/src/bin/orchidyoke-simulator/instance.rs
+++ b/src/bin/orchidyoke-simulator/instance.rs
@@ -13,7 +13,7 @@
 use std::io::{self, Write};
 
 /// The words of all events. Each event names its instance in the field `forwarder_id`.
-pub const EVENTS: [&str; 10] = [
+pub const EVENT_WORDS: [&str; 10] = [
     "HELLO",
     "TOPOLOGY",
     "WORK_ITEM",
@@ -26,14 +26,14 @@
     "HEARD",
 ];
 /// Token of the timer for the endpoint list. It differs from the tokens of the controller, which counts from 1.
-const LIST_TIMER: u64 = 1 << 62;
+const LIST_TIMER_TOKEN: u64 = 1 << 62;
 
 /// Endpoint lists by their number, the field `sheet`.
-pub type Sheets = BTreeMap<u64, Vec<ListedTarget>>;
+pub type EndpointLists = BTreeMap<u64, Vec<ListedEndpoint>>;
 
 /// An entry of an endpoint list, from a `TARGET` line.
-pub struct ListedTarget {
-    target: String,
+pub struct ListedEndpoint {
+    name: String,
     zone: String,
     kind: String,
     destination: u64,
@@ -41,10 +41,10 @@
     capacity_hint: f64,
 }
 
-impl ListedTarget {
+impl ListedEndpoint {
     pub fn parse(fields: &Fields) -> Result<Self, LineError> {
-        Ok(ListedTarget {
-            target: fields.text("target")?.to_owned(),
+        Ok(ListedEndpoint {
+            name: fields.text("target")?.to_owned(),
             zone: fields.get("dc").unwrap_or("").to_owned(),
             kind: fields.get("model").unwrap_or("").to_owned(),
             destination: fields.number_or("destination", 0)?,
@@ -78,7 +78,7 @@
     poll_schedule: Option<PollSchedule>,
     names: Names,
     messages: NameTable,
-    targets: NameTable,
+    endpoints: NameTable,
     events: Vec<Event>,
     actions: Vec<Action>,
 }
@@ -99,16 +99,16 @@
             controller: Controller::new(settings, seed),
             names,
             messages: NameTable::default(),
-            targets: NameTable::default(),
+            endpoints: NameTable::default(),
             events: Vec::new(),
             actions: Vec::new(),
         })
     }
 
     /// Adds an event to those of the next step.
-    pub fn add_event(&mut self, word: &str, fields: &Fields, sheets: &Sheets) -> Result<(), LineError> {
+    pub fn add_event(&mut self, word: &str, fields: &Fields, lists: &EndpointLists) -> Result<(), LineError> {
         let event = match word {
-            "TOPOLOGY" => self.list_event(fields, sheets)?,
+            "TOPOLOGY" => self.list_event(fields, lists)?,
             "WORK_ITEM" => self.message_event(fields)?,
             "STARTED" => {
                 Event::ResponseStarted { id: self.message(fields)?, attempt: fields.number_or("copy", 0)? }
@@ -156,26 +156,26 @@
         })
     }
 
-    fn list_event(&mut self, fields: &Fields, sheets: &Sheets) -> Result<Event, LineError> {
+    fn list_event(&mut self, fields: &Fields, lists: &EndpointLists) -> Result<Event, LineError> {
         let kind = values::list_kind(fields)?;
         if kind == ListEventKind::Failed {
             return Ok(Event::EndpointList { kind, entries: Vec::new() });
         }
-        let sheet = sheets.get(&fields.number("sheet")?);
-        let targets = sheet.ok_or(LineError::invalid("sheet", "no such CENSUS"))?;
-        let entries = targets.iter().map(|target| self.endpoint_update(target)).collect();
+        let list = lists.get(&fields.number("sheet")?);
+        let listed = list.ok_or(LineError::invalid("sheet", "no such CENSUS"))?;
+        let entries = listed.iter().map(|entry| self.endpoint_update(entry)).collect();
         Ok(Event::EndpointList { kind, entries })
     }
 
-    fn endpoint_update(&mut self, target: &ListedTarget) -> EndpointUpdate {
+    fn endpoint_update(&mut self, listed: &ListedEndpoint) -> EndpointUpdate {
         EndpointUpdate {
-            endpoint: self.endpoint(&target.target),
-            destination: target.destination,
-            zone: self.zone(&target.zone),
-            kind: index_of(&self.names.kinds, &target.kind),
-            state: target.state,
+            endpoint: self.endpoint(&listed.name),
+            destination: listed.destination,
+            zone: self.zone(&listed.zone),
+            kind: index_of(&self.names.kinds, &listed.kind),
+            state: listed.state,
             health: HealthStatus::Passing,
-            capacity_hint: target.capacity_hint,
+            capacity_hint: listed.capacity_hint,
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     fn endpoint(&mut self, name: &str) -> EndpointId {
-        EndpointId::try_from(self.targets.number(name)).unwrap_or(EndpointId::MAX)
+        EndpointId::try_from(self.endpoints.number(name)).unwrap_or(EndpointId::MAX)
     }
 
     fn zone(&mut self, name: &str) -> usize {
@@ -220,26 +220,26 @@
         }
         let due = schedule.next_poll_at();
         if due != due_before && due != Micros::MAX {
-            self.actions.push(Action::Timer { delay: due - now, token: LIST_TIMER });
+            self.actions.push(Action::Timer { delay: due - now, token: LIST_TIMER_TOKEN });
         }
     }
 
     /// Writes an action of the instance with number `me` as a line.
     fn write_action(&self, me: u64, action: &Action, out: &mut impl Write) -> io::Result<()> {
-        let message = |id: &MessageId| &self.messages.names[*id as usize];
-        let target = |endpoint: &EndpointId| &self.targets.names[*endpoint as usize];
+        let message_name = |id: &MessageId| &self.messages.names[*id as usize];
+        let endpoint_name = |endpoint: &EndpointId| &self.endpoints.names[*endpoint as usize];
         match action {
             Action::Send { id, endpoint, timeout } => {
-                let id = message(id);
-                let target = target(endpoint);
+                let id = message_name(id);
+                let target = endpoint_name(endpoint);
                 writeln!(out, "ATTEMPT forwarder_id={me} id={id} limit_us={timeout} target={target}")
             }
             Action::Reject { id, retry_after } => {
-                writeln!(out, "SHED forwarder_id={me} id={} pause_us={retry_after}", message(id))
+                writeln!(out, "SHED forwarder_id={me} id={} pause_us={retry_after}", message_name(id))
             }
-            Action::Fail { id } => writeln!(out, "ABORT forwarder_id={me} id={}", message(id)),
+            Action::Fail { id } => writeln!(out, "ABORT forwarder_id={me} id={}", message_name(id)),
             Action::Cancel { id, attempt } => {
-                writeln!(out, "RETRACT forwarder_id={me} id={} copy={attempt}", message(id))
+                writeln!(out, "RETRACT forwarder_id={me} id={} copy={attempt}", message_name(id))
             }
             Action::Timer { delay, token } => {
                 writeln!(out, "AFTER forwarder_id={me} delay_us={delay} handle={token}")
@@ -247,10 +247,10 @@
             Action::Watch { on } => writeln!(out, "WATCH forwarder_id={me} on={}", u8::from(*on)),
             Action::PollList => writeln!(out, "RELOAD forwarder_id={me}"),
             Action::HealthCheck { endpoint } => {
-                writeln!(out, "POLL forwarder_id={me} target={}", target(endpoint))
+                writeln!(out, "POLL forwarder_id={me} target={}", endpoint_name(endpoint))
             }
             Action::CloseIdle { endpoint } => {
-                writeln!(out, "HANG_UP forwarder_id={me} target={}", target(endpoint))
+                writeln!(out, "HANG_UP forwarder_id={me} target={}", endpoint_name(endpoint))
             }
             Action::Gossip { to, bytes } => {
                 let recipient = to.map_or("*".to_owned(), |number| number.to_string());
--- a/src/bin/orchidyoke-simulator/session.rs
+++ b/src/bin/orchidyoke-simulator/session.rs
@@ -1,7 +1,7 @@
 //! The simulator's session: reads batches of lines, and writes for each batch the actions of the instances that have
 //! events in it.
 
-use crate::instance::{self, Instance, ListedTarget, Sheets};
+use crate::instance::{self, EndpointLists, Instance, ListedEndpoint};
 use crate::line::{Fields, LineError};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -13,7 +13,7 @@
 }
 
 /// An endpoint list whose `TARGET` lines have not all been read.
-struct OpenSheet {
+struct OpenList {
     number: u64,
     lines_left: usize,
 }
@@ -22,11 +22,11 @@
 #[derive(Default)]
 pub struct Session {
     instances: BTreeMap<u64, Instance>,
-    sheets: Sheets,
+    lists: EndpointLists,
     batch: Option<Batch>,
     /// Instances with an event in this batch, in the order of their first event.
-    touched: Vec<u64>,
-    open_sheet: Option<OpenSheet>,
+    instances_with_events: Vec<u64>,
+    open_list: Option<OpenList>,
 }
 
 impl Session {
@@ -39,8 +39,8 @@
     pub fn on_line(&mut self, line: &str, out: &mut impl Write) -> Result<(), LineError> {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         let fields = Fields::parse(rest)?;
-        if let Some(sheet) = self.open_sheet.take_if(|sheet| sheet.lines_left > 0) {
-            return self.add_target(sheet, word, &fields);
+        if let Some(list) = self.open_list.take_if(|list| list.lines_left > 0) {
+            return self.add_target(list, word, &fields);
         }
         if word == "BATCH" {
             return self.begin_batch(&fields);
@@ -50,18 +50,18 @@
         }
         match word {
             "END" => self.end_batch(out),
-            "CENSUS" => self.open_sheet(&fields),
+            "CENSUS" => self.open_list(&fields),
             "TARGET" => Err(LineError::invalid("TARGET", "not announced by a CENSUS")),
             _ => self.on_event(word, &fields),
         }
     }
 
-    fn add_target(&mut self, sheet: OpenSheet, word: &str, fields: &Fields) -> Result<(), LineError> {
+    fn add_target(&mut self, list: OpenList, word: &str, fields: &Fields) -> Result<(), LineError> {
         if word != "TARGET" {
             return Err(LineError::invalid("nodes_list", "expected a TARGET line"));
         }
-        self.sheets.entry(sheet.number).or_default().push(ListedTarget::parse(fields)?);
-        self.open_sheet = Some(OpenSheet { lines_left: sheet.lines_left - 1, ..sheet });
+        self.lists.entry(list.number).or_default().push(ListedEndpoint::parse(fields)?);
+        self.open_list = Some(OpenList { lines_left: list.lines_left - 1, ..list });
         Ok(())
     }
 
@@ -77,7 +77,7 @@
 
     fn end_batch(&mut self, out: &mut impl Write) -> Result<(), LineError> {
         let Some(batch) = self.batch.take() else { return Ok(()) };
-        for number in std::mem::take(&mut self.touched) {
+        for number in std::mem::take(&mut self.instances_with_events) {
             if let Some(instance) = self.instances.get_mut(&number) {
                 instance.step(number, batch.now, out)?;
             }
@@ -87,15 +87,15 @@
         Ok(())
     }
 
-    fn open_sheet(&mut self, fields: &Fields) -> Result<(), LineError> {
+    fn open_list(&mut self, fields: &Fields) -> Result<(), LineError> {
         let number = fields.number("sheet")?;
-        self.sheets.insert(number, Vec::new());
-        self.open_sheet = Some(OpenSheet { number, lines_left: fields.number("nodes_list")? });
+        self.lists.insert(number, Vec::new());
+        self.open_list = Some(OpenList { number, lines_left: fields.number("nodes_list")? });
         Ok(())
     }
 
     fn on_event(&mut self, word: &str, fields: &Fields) -> Result<(), LineError> {
-        if !instance::EVENTS.contains(&word) {
+        if !instance::EVENT_WORDS.contains(&word) {
             return Err(LineError::invalid(word, "unknown event"));
         }
         let number: u64 = fields.number("forwarder_id")?;
@@ -105,18 +105,18 @@
             }
             "RETIRE" => {
                 self.instances.remove(&number);
-                self.touched.retain(|other| *other != number);
+                self.instances_with_events.retain(|other| *other != number);
                 return Ok(());
             }
             _ => {
                 let instance = self.instances.get_mut(&number);
                 let instance =
                     instance.ok_or(LineError::invalid("forwarder_id", "no such instance is running"))?;
-                instance.add_event(word, fields, &self.sheets)?;
+                instance.add_event(word, fields, &self.lists)?;
             }
         }
-        if !self.touched.contains(&number) {
-            self.touched.push(number);
+        if !self.instances_with_events.contains(&number) {
+            self.instances_with_events.push(number);
         }
         Ok(())
     }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -30,7 +30,7 @@
     )
 }
 
-fn work(instance: u32, id: &str) -> String {
+fn work_item(instance: u32, id: &str) -> String {
     format!("WORK_ITEM forwarder_id={instance} id={id} profile=reading patience_left_us=6000000 dest=3\n")
 }
 
@@ -48,7 +48,7 @@
          DONE forwarder_id=3 id=m1 copy=0 target=10.0.0.1:80 result=2 cost_time_us=5 hold_ms=400\nEND\n\
          BATCH sim_time_us=6800000 serial=3\nELAPSED forwarder_id=3 handle=1\nEND\n",
         hello(3),
-        work(3, "m1").replace("6000000", "20000000")
+        work_item(3, "m1").replace("6000000", "20000000")
     );
     let out = run(&input);
     let lines: Vec<&str> = text(&out.stdout).lines().collect();
@@ -62,15 +62,15 @@
 }
 
 #[test]
-fn retired_instance_is_forgotten_and_its_sheet_reused_in_one_batch() {
+fn retired_instance_is_removed_and_its_list_number_reused_in_one_batch() {
     let input = format!(
         "BATCH sim_time_us=1000 serial=1\n{}CENSUS sheet=0 nodes_list=1\n\
          TARGET target=10.0.0.2:80 dc=a model=plain destination=3 state=on\n\
          TOPOLOGY forwarder_id=1 seq_no=2 sheet=0 form=F\n{}RETIRE forwarder_id=1\n{}{}END\n",
         hello(1),
-        work(1, "old"),
+        work_item(1, "old"),
         hello(1),
-        work(1, "new")
+        work_item(1, "new")
     );
     let out = run(&input);
     let reply = text(&out.stdout);
@@ -84,7 +84,7 @@
 fn large_batch_gets_one_reply() {
     let mut input = format!("BATCH sim_time_us=1000 serial=1\n{}", hello(1));
     for n in 0..5000 {
-        input.push_str(&work(1, &format!("m{n}")));
+        input.push_str(&work_item(1, &format!("m{n}")));
     }
     input.push_str("END\n");
     let out = run(&input);
@@ -129,11 +129,14 @@
         ),
         ("BATCH sim_time_us=1 serial=1\n".to_owned(), "END is missing"),
     ];
-    for (input, words) in cases {
+    for (input, expected) in cases {
         let out = run(&input);
         let error = text(&out.stderr);
-        assert!(!out.status.success(), "{words}");
-        assert!(error.contains(words) && error.lines().count() == 1, "expected {words:?}, got {error:?}");
+        assert!(!out.status.success(), "{expected}");
+        assert!(
+            error.contains(expected) && error.lines().count() == 1,
+            "expected {expected:?}, got {error:?}"
+        );
         assert!(out.stdout.is_empty(), "standard output has a line for malformed input");
     }
 }
