--- a/crates/core/src/concurrency_limit/tests.rs
+++ b/crates/core/src/concurrency_limit/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(window.calls(), 3.0);
     assert!(!window.on_failure());
     assert_eq!(window.calls(), 1.5);
-    assert!(window.on_failure(), "below two calls it was at its floor");
+    assert!(window.on_failure(), "a window below two calls is at its floor");
     assert_eq!(window.calls(), 1.0);
 }
 
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -142,8 +142,8 @@
     pub tenant_quotas: Vec<f64>,
     /// Share of its weight that a message keeps if its tenant is over its quota. Has no effect.
     pub over_quota_weight: f64,
-    /// How the weight decreases after the latency objective. Has no effect, because `queue` orders late messages by their
-    /// lateness.
+    /// How the weight decreases after the latency objective. Has no effect, because `queue` orders late messages by
+    /// their lateness.
     pub decay: WeightDecay,
     /// Greatest number of calls in flight (call slots).
     pub max_calls: usize,
--- a/crates/core/src/outlier_detection/tests.rs
+++ b/crates/core/src/outlier_detection/tests.rs
@@ -3,7 +3,7 @@
 const SECOND: Micros = 1_000_000;
 const OVERLOAD_WINDOW: Micros = 2 * SECOND;
 
-/// Failures in a row, the last success at 1 s.
+/// Returns a history with a success at 1 s and then this number of failures.
 fn after(outcome: Outcome, failures: u32, is_paced: bool) -> FailureHistory {
     let mut history = FailureHistory::initial();
     history.reset(SECOND);
@@ -111,7 +111,7 @@
 #[test]
 fn route_stays_critical_until_an_endpoint_passes() {
     let draining = evaluate_health_checks(HealthStatus::Passing, false, false, true);
-    assert!(draining.route_is_critical, "an endpoint that drains does not pass");
+    assert!(draining.route_is_critical, "a draining endpoint does not count as passing");
     assert!(!evaluate_health_checks(HealthStatus::Passing, false, false, false).route_is_critical);
     assert!(!evaluate_health_checks(HealthStatus::Passing, true, true, true).route_is_critical);
 }
--- a/crates/core/src/poll_schedule/tests.rs
+++ b/crates/core/src/poll_schedule/tests.rs
@@ -1,25 +1,30 @@
 use super::*;
 
-// Guards against a list that grows old after failures, and against asking for what comes by itself.
+// Guards against a polled list that becomes outdated after failed requests, and against requests for a list that is
+// pushed.
 #[test]
 fn polled_list_is_requested_again_in_time() {
-    let every = 10_000_000;
+    let interval = 10_000_000;
     let settings =
-        |discovery_mode| Settings { discovery_mode, max_poll_interval: every, ..Settings::default() };
+        |discovery_mode| Settings { discovery_mode, max_poll_interval: interval, ..Settings::default() };
     assert!(PollSchedule::new(&settings(DiscoveryMode::Push), 1).is_none());
-    let mut list = PollSchedule::new(&settings(DiscoveryMode::Poll), 1).expect("asked for");
-    assert!(list.should_poll(0), "at the start");
-    let mut last = 0;
-    let mut calls = 1;
+    let mut schedule =
+        PollSchedule::new(&settings(DiscoveryMode::Poll), 1).expect("a schedule for a polled list");
+    assert!(schedule.should_poll(0), "the first request is due at the start");
+    let mut last_request_at = 0;
+    let mut requests = 1;
     for now in (100_000..100_000_000).step_by(100_000) {
-        assert!(now - last <= every, "never more than the time allowed between two calls");
-        if list.should_poll(now) {
-            last = now;
-            calls += 1;
-            list.on_event(now, ListEventKind::Failed);
+        assert!(
+            now - last_request_at <= interval,
+            "the time between two requests is within max_poll_interval"
+        );
+        if schedule.should_poll(now) {
+            last_request_at = now;
+            requests += 1;
+            schedule.on_event(now, ListEventKind::Failed);
         }
     }
-    assert!(calls > 20, "{calls} calls: asked for all the time");
-    list.on_event(100_000_000, ListEventKind::Delta);
-    assert!(!list.should_poll(i64::MAX - 1), "a subscription is not asked for twice");
+    assert!(requests > 20, "{requests} requests in 100 s");
+    schedule.on_event(100_000_000, ListEventKind::Delta);
+    assert!(!schedule.should_poll(i64::MAX - 1), "no second subscription is requested");
 }
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -46,7 +46,7 @@
 #[test]
 fn attempts_end_at_their_limit() {
     assert!(has_attempts_left(2, 3) && !has_attempts_left(3, 3));
-    assert!(has_attempts_left(1_000, 0), "0 is no limit");
+    assert!(has_attempts_left(1_000, 0), "0 means no limit");
 }
 
 #[test]
@@ -56,7 +56,7 @@
     for idempotency in [Idempotency::NonIdempotent, keyed(KEYED[1]), keyed(KEYED[2])] {
         assert!(may_be_rejected(idempotency, None, 0), "{idempotency:?}");
         assert!(!may_be_rejected(idempotency, None, 1), "{idempotency:?}: an attempt is in flight");
-        assert!(!may_be_rejected(idempotency, delivery(0), 0), "{idempotency:?}: it may have run");
+        assert!(!may_be_rejected(idempotency, delivery(0), 0), "{idempotency:?}: it may have been executed");
     }
 }
 
@@ -140,7 +140,10 @@
     assert_eq!(backoff.until(), 5 * SECOND, "one forwarder needs no spread");
     for _ in 0..100 {
         backoff.back_off(0, 1, 5 * SECOND, 17, &mut rng);
-        assert!((5 * SECOND..5 * SECOND + 75_000).contains(&backoff.until()), "half of the backoff at most");
+        assert!(
+            (5 * SECOND..5 * SECOND + 75_000).contains(&backoff.until()),
+            "the spread is at most half of the backoff"
+        );
     }
 }
 
@@ -163,7 +166,11 @@
 fn failure_at_the_window_floor_pauses_over_a_span() {
     assert_eq!(pause_after(Outcome::Rejected, true, false), Pause::DrawnFromSpan);
     assert_eq!(pause_after(Outcome::ConnectFailed, true, false), Pause::DrawnFromSpan);
-    assert_eq!(pause_after(Outcome::Error, true, false), Pause::Backoff, "the first one may be chance");
+    assert_eq!(
+        pause_after(Outcome::Error, true, false),
+        Pause::Backoff,
+        "a single error does not use a span"
+    );
     assert_eq!(pause_after(Outcome::Error, true, true), Pause::DrawnFromSpan);
 }
 
--- a/crates/core/src/selection/tests.rs
+++ b/crates/core/src/selection/tests.rs
@@ -42,7 +42,7 @@
 fn separate_route_costs_its_zone_and_its_latency() {
     let inputs = CostInputs { is_separate_route: true, ..IDLE };
     assert_eq!(cost_of(inputs), 0.4 + 0.1);
-    assert_eq!(cost_of(CostInputs { zone: 9, ..inputs }), 0.1, "an unknown zone has no price");
+    assert_eq!(cost_of(CostInputs { zone: 9, ..inputs }), 0.1, "an unknown zone has no cost");
 }
 
 #[test]
--- a/crates/core/src/slow_start/tests.rs
+++ b/crates/core/src/slow_start/tests.rs
@@ -76,9 +76,12 @@
         let opens_at = recent_call_budget.opens_at(0.5, now, &set);
         assert!(opens_at == now || opens_at == now + SECOND);
         won += u32::from(opens_at == now);
-        assert!(recent_call_budget.opens_at(0.5, now + 1, &set) > now + 1, "a draw is not saved up");
+        assert!(
+            recent_call_budget.opens_at(0.5, now + 1, &set) > now + 1,
+            "a won draw is valid in its step only"
+        );
     }
-    assert!((200..300).contains(&won), "a quarter of the draws wins: {won}");
+    assert!((200..300).contains(&won), "won {won} of 1000 draws, expected a quarter");
 }
 
 #[test]
@@ -90,7 +93,7 @@
     assert_eq!(at(1.0, false, None), Some(3 * SECOND), "the call leaves the window");
     assert_eq!(at(0.5, false, None), Some(2 * SECOND), "the next draw");
     assert_eq!(at(1.0, true, None), Some(2 * SECOND), "the budget may fall below one call");
-    assert_eq!(at(1.0, false, Some(0)), Some(SECOND + 1), "never at once");
+    assert_eq!(at(1.0, false, Some(0)), Some(SECOND + 1), "the time is after now");
 }
 
 #[test]
@@ -103,15 +106,15 @@
     };
     let budget = budget_at(0);
     let wait = ramp_time_to_next_call(budget, share, &set);
-    assert!(budget_at(wait) < budget.floor() + 1.0, "not later than the next call");
-    assert!(budget_at(wait + 10) >= budget.floor() + 1.0, "nor much sooner");
-    assert_eq!(ramp_time_to_next_call(0.0, 0.0, &set), set.warm_up_time, "nothing grows");
+    assert!(budget_at(wait) < budget.floor() + 1.0, "the predicted time is not too late");
+    assert!(budget_at(wait + 10) >= budget.floor() + 1.0, "the predicted time is not much too early");
+    assert_eq!(ramp_time_to_next_call(0.0, 0.0, &set), set.warm_up_time, "the budget does not grow");
 }
 
 #[test]
 fn ejected_route_gets_one_trial_call_at_a_time() {
     assert!(allows_trial_call(0, 0) && !allows_trial_call(1, 0));
-    assert!(allows_trial_call(1, 1), "an overdue call does not hold the next one back");
+    assert!(allows_trial_call(1, 1), "an overdue call does not block the next trial call");
 }
 
 #[test]
@@ -119,6 +122,6 @@
     assert!(starts_ramp(RouteHealth::Ejected, true, true, false));
     assert!(starts_ramp(RouteHealth::Healthy, false, true, true));
     assert!(starts_ramp(RouteHealth::WarmingUp(0), true, true, false));
-    assert!(!starts_ramp(RouteHealth::WarmingUp(0), true, false, false), "it goes on");
+    assert!(!starts_ramp(RouteHealth::WarmingUp(0), true, false, false), "a ramp without failures continues");
     assert!(!starts_ramp(RouteHealth::Healthy, false, true, false), "a few failures are no outage");
 }
--- a/crates/core/src/timeouts/tests.rs
+++ b/crates/core/src/timeouts/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(estimate.mean_us(), 600_000.0);
     estimate.observe(200_000, true);
     assert_eq!(estimate.mean_us(), 200_000.0);
-    // The deviation starts at half of the latency, and decays by a quarter with an answer that fits.
+    // The deviation starts at half of the latency, and an answer with the same latency reduces it by a quarter.
     assert_eq!(estimate.overdue_after(), 200_000 + 4 * 75_000 + 100_000);
 }
 
--- a/crates/core/src/traffic/tests.rs
+++ b/crates/core/src/traffic/tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-// Guards against a rate that one event makes high, that an outage makes low, or that never forgets.
+// Guards against a rate that a single event makes high, that an outage makes low, or that never drops old events.
 #[test]
 fn rate_follows_traffic_and_excludes_outages() {
     let mut count = RateEstimator::starting(1.0, 0);
@@ -15,8 +15,8 @@
     assert!((count.rate(600 * SECOND) - 4.0).abs() < 0.3, "{}", count.rate(600 * SECOND));
 }
 
-// Guards against a lull that saves up more than the bucket holds, a debt forgotten, and a moment of opening at
-// which the bucket is still short.
+// Guards against a bucket that saves up more than its depth during a pause, forgets negative tokens, or is short of a
+// token at the time at which it should open.
 #[test]
 fn bucket_fills_to_its_depth_and_repays_debt() {
     let mut bucket = TokenBucket::starting(1.0, 0);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A controller with a clock, for tests of the controller through its interface alone. No server is modelled.
+//! A controller with a clock, for tests that use only the controller's interface. No endpoint is simulated.
 #![allow(dead_code)]
 
 use orchidyoke_core::Controller;
@@ -18,7 +18,9 @@
     }
 }
 
-/// Classes: 0 idempotent, 1 key scoped to the zone, 2 non-idempotent, 3 non-idempotent in order, 4 global key.
+/// Returns settings with these classes: 0 idempotent, 1 idempotency key with the scope `Zone`, 2 non-idempotent, 3
+/// non-idempotent in order, 4 idempotency key with the scope `All`. Kinds: 0 one shared route, 1 separate routes, 2
+/// batches of up to 5 messages.
 pub fn settings() -> Settings {
     Settings {
         fleet_size: 1,
@@ -68,7 +70,7 @@
     }
 }
 
-/// A controller with a clock, and what it did last.
+/// A controller with a clock, and the number of attempts of each message.
 pub struct Harness {
     pub controller: Controller,
     pub now: Micros,
@@ -143,11 +145,12 @@
         self.step(&[Event::Timer { token: u64::MAX }])
     }
 
-    /// Serves messages one after the other until the window has seen `count` clean successes.
+    /// Delivers `count` messages one after the other, each at its first attempt, so that the window grows `count`
+    /// times.
     pub fn warm_up(&mut self, destination: DestinationId, count: usize) {
         for _ in 0..count {
             let sent = sends(&self.submit(destination, 0, 1));
-            assert_eq!(sent.len(), 1, "an idle destination takes a message at once");
+            assert_eq!(sent.len(), 1, "an idle destination gets a message at once");
             self.now += 100 * MS;
             self.end_attempt(sent[0].0, Outcome::Success);
         }
--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -1,4 +1,4 @@
-//! The concurrency window of a route: how it grows and shrinks, and how destinations share the call slots.
+//! Tests of a route's concurrency window: how it grows and shrinks, and how destinations share the call slots.
 
 mod common;
 
@@ -15,10 +15,10 @@
 fn eight_first_try_successes_allow_two_calls() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 7);
-    assert_eq!(sends(&harness.submit(1, 0, 5)).len(), 1, "1.1^7 is under two");
+    assert_eq!(sends(&harness.submit(1, 0, 5)).len(), 1, "1.1^7 is less than two");
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 8);
-    assert_eq!(sends(&harness.submit(1, 0, 5)).len(), 2, "1.1^8 is over two");
+    assert_eq!(sends(&harness.submit(1, 0, 5)).len(), 2, "1.1^8 is more than two");
 }
 
 #[test]
@@ -29,14 +29,14 @@
         let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
         harness.warm_up(1, 15);
         let sent = sends(&harness.submit(1, 0, 9));
-        assert_eq!(sent.len(), 4, "1.1^15 is over four");
+        assert_eq!(sent.len(), 4, "1.1^15 is more than four");
         let mut after = Vec::new();
         for (id, ..) in &sent[1..] {
             after.extend(sends(&harness.end_attempt(*id, outcome)));
         }
         after.extend(sends(&harness.end_attempt(sent[0].0, Outcome::Success)));
         after.extend(sends(&harness.advance(2 * S)));
-        assert_eq!(after.len(), 1, "{outcome:?}: three failures leave the floor");
+        assert_eq!(after.len(), 1, "{outcome:?}: three failures reduce the window to its floor");
     }
 }
 
@@ -45,7 +45,7 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 7);
     let id = sends(&harness.submit(1, 0, 1))[0].0;
-    // One rejection halves to the floor; eight successes of failed messages leave it there.
+    // One rejection halves the window down to its floor. Ten successes of retried messages leave it there.
     harness.end_attempt(id, Outcome::Rejected);
     harness.now += 3 * S;
     assert_eq!(sends(&harness.advance(0)).len(), 1);
@@ -75,8 +75,12 @@
     harness.warm_up(2, 40);
     assert_eq!(sends(&harness.submit(1, 0, 4)).len(), 4);
     harness.advance(S);
-    assert_eq!(sends(&harness.submit(1, 0, 9)).len(), 0, "a faulty destination gets half at most");
-    assert_eq!(sends(&harness.submit(2, 0, 9)).len(), 4, "a healthy one gets the rest");
+    assert_eq!(
+        sends(&harness.submit(1, 0, 9)).len(),
+        0,
+        "a faulty destination gets at most half of the slots"
+    );
+    assert_eq!(sends(&harness.submit(2, 0, 9)).len(), 4, "a healthy destination gets the other slots");
 }
 
 #[test]
@@ -94,7 +98,7 @@
         assert_eq!(
             sends(&harness.submit(destination, 0, 2)).len(),
             0,
-            "four of eight slots are with faulty ones"
+            "faulty destinations already hold four of eight slots"
         );
     }
     assert_eq!(sends(&harness.submit(3, 0, 4)).len(), 4);
@@ -110,7 +114,7 @@
     assert_eq!(
         sends(&harness.step(&answers)).len(),
         5,
-        "five successes in one call grow it once: still one call"
+        "five successes in one call count once, so the window is still one call"
     );
 }
 
@@ -127,41 +131,44 @@
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0)]);
     harness.warm_up(7, 8);
     let sent = sends(&harness.submit(7, 2, 2));
-    assert_eq!(sent.len(), 2, "the window is two");
+    assert_eq!(sent.len(), 2, "the window allows two calls");
     let over = harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
-    assert_eq!(failed(&over), [sent[0].0], "it may have run");
+    assert_eq!(failed(&over), [sent[0].0], "it may have been executed");
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
     let sent = sends(&harness.submit(7, 2, 2));
-    assert_eq!(sent.len(), 2, "the window still is");
+    assert_eq!(sent.len(), 2, "the window still allows two calls");
     harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
-    assert!(sends(&harness.submit(7, 2, 2)).is_empty(), "four in a row count as a failure");
+    assert!(sends(&harness.submit(7, 2, 2)).is_empty(), "the third and fourth in a row count as failures");
 }
 
-// Guards against an endpoint judged by the one before it, at a destination of one; and against what the destination
-// itself has said or suffered being forgotten with it.
+// Guards against two failures when the only endpoint of a destination is replaced: the new endpoint is limited by the
+// window of the old one, or the destination's Retry-After is lost with the old endpoint.
 #[test]
 fn endpoint_that_replaces_the_last_one_starts_with_a_new_window() {
     let removed = |id| EndpointUpdate { state: EndpointState::Removed, ..entry(id, 7, 0, 0) };
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0)]);
     harness.warm_up(7, 8);
-    assert_eq!(sends(&harness.submit(7, 0, 3)).len(), 2, "the window is two");
+    assert_eq!(sends(&harness.submit(7, 0, 3)).len(), 2, "the window allows two calls");
     harness.list(ListEventKind::Delta, &[removed(1)]);
     let sent = sends(&harness.list(ListEventKind::Delta, &[entry(2, 7, 0, 0)]));
     assert_eq!(
         sent.iter().map(|sent| sent.1).collect::<Vec<_>>(),
         [2],
-        "one, beside two still out at the old one"
+        "one call, although two are still in flight at the old endpoint"
     );
     let mut answer = harness.answer(sent[0].0, Outcome::Rejected);
     answer.retry_after = S;
     harness.step(&[Event::AttemptEnded(answer)]);
     harness.list(ListEventKind::Delta, &[removed(2)]);
-    assert!(sends(&harness.list(ListEventKind::Delta, &[entry(3, 7, 0, 0)])).is_empty(), "the wait stands");
+    assert!(
+        sends(&harness.list(ListEventKind::Delta, &[entry(3, 7, 0, 0)])).is_empty(),
+        "the Retry-After still applies"
+    );
     assert_eq!(sends(&harness.advance(S)).len(), 1);
 }
 
-// Guards against memory that grows with every endpoint that ever was.
+// Guards against memory that grows with the number of endpoints that have ever been listed.
 #[test]
 fn removed_endpoints_are_forgotten() {
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0), entry(2, 8, 0, 1)]);
@@ -177,8 +184,8 @@
         sent.iter().for_each(|sent| drop(harness.end_attempt(sent.0, Outcome::Success)));
         sizes.push(format!("{:?}", harness.controller).len());
     }
-    // A few more digits in the numbers, and no more.
-    assert!(sizes[198] < sizes[50] * 11 / 10, "{} and then {}", sizes[50], sizes[198]);
+    // The text may grow by a few more digits in the numbers only.
+    assert!(sizes[198] < sizes[50] * 11 / 10, "state of {} bytes, later {} bytes", sizes[50], sizes[198]);
 }
 
 #[test]
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -1,5 +1,5 @@
-//! The controller decides as the reference, which walks all destinations in every step: the same actions, the same draws,
-//! the same faulty routes, step by step.
+//! Compares the controller with the reference, which examines all destinations in every step. In each step both must
+//! return the same actions, make the same random draws and have the same faulty routes.
 
 mod reference;
 
@@ -25,7 +25,7 @@
         if step % 20 == 0 {
             let differs =
                 world.endpoints().find(|id| indexed.gets_no_regular_calls(*id) != walking.avoids(*id));
-            assert_eq!(differs, None, "avoided endpoint after {place}");
+            assert_eq!(differs, None, "endpoint without regular calls after {place}");
         }
         world.carry_out(&expected);
         events = world.next_events();
@@ -37,8 +37,11 @@
     let mut counts = Counts::default();
     seeds.for_each(|seed| counts += compare(seed));
     println!("{counts:?}");
-    assert!(counts.sent > 20_000 && counts.given_up > 5_000, "the events are of little use: {counts:?}");
-    assert!(2 * counts.with_messages > counts.destinations, "most destinations are at rest: {counts:?}");
+    assert!(counts.sent > 20_000 && counts.given_up > 5_000, "too few calls or final answers: {counts:?}");
+    assert!(
+        2 * counts.with_messages > counts.destinations,
+        "most destinations have no open messages: {counts:?}"
+    );
 }
 
 #[test]
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! How watch events change the endpoint list.
+//! Tests of how watch events change the endpoint list.
 
 use orchidyoke_core::endpoint_list::{EndpointList, EndpointState, WatchEvent};
 
@@ -10,7 +10,7 @@
     )
 }
 
-// Guards against an endpoint that stays in use though a whole list no longer names it.
+// Guards against an endpoint that stays in use although a later snapshot does not contain it.
 #[test]
 fn endpoint_missing_from_a_snapshot_is_removed() {
     let event = |text: &str| serde_json::from_str::<WatchEvent>(text).expect("a watch event");
--- a/crates/core/tests/health_checks.rs
+++ b/crates/core/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks beside the outcomes of calls.
+//! Tests of health checks in combination with the outcomes of calls.
 
 mod common;
 
@@ -9,7 +9,8 @@
     EndpointUpdate { health: report, ..entry(endpoint, 1, 0, kind) }
 }
 
-/// Calls in so long, each answered at once, and those that went to one endpoint.
+/// Submits a message every 50 ms for the time `span` and ends each attempt with `outcome`. Returns the number of calls,
+/// and the number of those that went to `endpoint`.
 fn tried(harness: &mut Harness, span: Micros, outcome: Outcome, endpoint: EndpointId) -> (usize, usize) {
     let (mut all, mut there, mut calls) = (0, 0, Vec::new());
     let until = harness.now + span;
@@ -27,7 +28,8 @@
     (all, there)
 }
 
-// Guards against a call that was out when the critical report came: it succeeded, and the ramp ran while the destination was away.
+// Guards against a call that was in flight when the health check became critical: its success started the ramp, which
+// then ended while the destination was still down.
 #[test]
 fn success_sent_before_a_critical_health_check_does_not_start_recovery() {
     for before in [true, false] {
@@ -47,12 +49,12 @@
             }
         }
         harness.end_attempt(calls[0].0, Outcome::Success);
-        // A ramp that ran from here on would be over.
+        // A ramp that started now would have ended after this.
         harness.advance(13 * S);
         assert_eq!(
             harness.controller.faulty_routes().is_empty(),
             !before,
-            "sent before the report: {before}"
+            "call sent before the health check: {before}"
         );
     }
 }
@@ -66,8 +68,8 @@
         );
         harness.list(ListEventKind::Delta, &[listed(2, kind, HealthStatus::Critical)]);
         let (all, there) = tried(&mut harness, 5 * S, Outcome::Success, 2);
-        assert!(all >= 90 && there == 0, "kind {kind}: {all} calls, {there} to the critical one");
-        assert_eq!(harness.controller.faulty_routes().is_empty(), kind == 0, "a route of its own is faulty");
+        assert!(all >= 90 && there == 0, "kind {kind}: {all} calls, {there} to the critical endpoint");
+        assert_eq!(harness.controller.faulty_routes().is_empty(), kind == 0, "a separate route is faulty");
     }
 }
 
@@ -84,7 +86,8 @@
     assert!(harness.controller.faulty_routes().is_empty());
 }
 
-// Guards against a destination that only the health checks saw fail getting everything at once when they pass again.
+// Guards against a destination that only health checks showed as down: it got all queued messages at once when the
+// checks passed again.
 #[test]
 fn passing_health_check_alone_does_not_end_ejection() {
     for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
@@ -93,13 +96,13 @@
         harness
             .list(ListEventKind::Delta, &[EndpointUpdate { state, ..listed(1, 0, HealthStatus::Critical) }]);
         harness.advance(5 * S);
-        // Trial calls meanwhile are none of this test: they are over before it comes back.
+        // Trial calls in the meantime do not belong to this test. They have ended before the endpoint returns.
         for (id, ..) in sends(&harness.submit(1, 0, 30)) {
             harness.end_attempt(id, Outcome::Timeout);
         }
         let back = listed(if state == EndpointState::Removed { 2 } else { 1 }, 0, HealthStatus::Passing);
         let (mut sent, mut calls) = (0, sends(&harness.list(ListEventKind::Delta, &[back])));
-        assert!(!harness.controller.faulty_routes().is_empty(), "{state:?}: back, but not yet trusted");
+        assert!(!harness.controller.faulty_routes().is_empty(), "{state:?}: the route is still faulty");
         for _ in 0..20 {
             calls.extend(sends(&harness.advance(100 * MS)));
             sent += calls.len();
@@ -107,7 +110,7 @@
                 calls.extend(sends(&harness.end_attempt(id, Outcome::Success)));
             }
         }
-        // Twice a fifth of 20 calls a second, somewhat risen, for 2 s.
+        // The budget is twice a fifth of 20 calls a second, a little more with the ramp, for 2 s.
         assert!((1..=20).contains(&sent), "{state:?}: {sent} calls in 2 s");
     }
 }
@@ -117,17 +120,20 @@
     let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Critical)]);
     assert!(!harness.controller.faulty_routes().is_empty());
     tried(&mut harness, 14 * S, Outcome::Success, 1);
-    assert!(harness.controller.faulty_routes().is_empty(), "calls that succeed end the fault");
+    assert!(harness.controller.faulty_routes().is_empty(), "successful calls end the fault");
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
-    assert!(harness.controller.faulty_routes().is_empty(), "the same report again changes nothing");
+    assert!(harness.controller.faulty_routes().is_empty(), "an unchanged health check changes nothing");
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
     tried(&mut harness, 5 * S, Outcome::Reset, 1);
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
-    assert!(!harness.controller.faulty_routes().is_empty(), "checks that pass do not hide calls that fail");
+    assert!(
+        !harness.controller.faulty_routes().is_empty(),
+        "passing health checks do not hide failing calls"
+    );
 }
 
-// Guards against a budget that is not kept because it is larger than what is remembered of the sends: a destination that
-// takes 400 calls a second was sent all that waited for it as soon as it could do 64 in 2 s.
+// Guards against a budget that is exceeded because it is larger than the number of recent calls kept: a destination
+// with a capacity of 400 calls a second got all queued messages once its budget reached 64 calls in 2 s.
 #[test]
 fn large_slow_start_budget_is_kept() {
     let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
@@ -150,7 +156,7 @@
         let span = times[place..].iter().take_while(|other| **other - at < 2 * S).count();
         let warm = (at + 2 * S - back) as f64 / (12 * S) as f64;
         let bears = 2.0 * 2.0 * 400.0 * (0.2 + 0.8 * warm.min(1.0));
-        assert!(span as f64 <= bears, "{span} calls in 2 s at {} s, {bears} tip it over", (at - back) / S);
+        assert!(span as f64 <= bears, "{span} calls in 2 s at {} s, more than {bears}", (at - back) / S);
     }
-    assert!(times.len() > 1000, "it is used: {} calls", times.len());
+    assert!(times.len() > 1000, "most of the budget is unused: {} calls", times.len());
 }
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Random event sequences from fixed seeds, and the rules checked on every action of the controller.
-//! Outcomes are drawn at random: no server is modelled.
+//! Generates random event sequences from fixed seeds and checks the rules on every action of the controller. Outcomes
+//! are drawn at random; no endpoint is simulated.
 
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
@@ -7,7 +7,7 @@
 
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
-/// Outcomes to draw from; some more often than others.
+/// Outcomes to draw from. Repeated ones are drawn more often.
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Success,
     Outcome::Success,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What a Retry-After holds for: the route where routes are separate, else the destination.
+    /// Returns a key for the scope of a Retry-After: the route if routes are separate, otherwise the destination.
     fn route(&self, endpoint: EndpointId) -> u64 {
         let entry = self.entries[&endpoint];
         if self.set.kinds[entry.kind].separate_routes {
@@ -169,7 +169,7 @@
     }
 
     fn outcome(&mut self, attempt: (MessageId, u32), outcome: Outcome) -> Event {
-        let (endpoint, sent, _) = self.out.remove(&attempt).expect("an attempt that is out");
+        let (endpoint, sent, _) = self.out.remove(&attempt).expect("an attempt in flight");
         let wait =
             if outcome == Outcome::Rejected && self.rng.bool() { self.rng.i64(1..900) * MS } else { 0 };
         if wait > 0 {
@@ -177,7 +177,7 @@
             *until = (*until).max(self.now + wait);
         }
         let zone = self.entries[&endpoint].zone;
-        let held = self.messages.get_mut(&attempt.0).expect("a message that was submitted");
+        let held = self.messages.get_mut(&attempt.0).expect("a submitted message");
         held.out.remove(&attempt.1);
         held.over |= outcome == Outcome::Success;
         if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
@@ -212,9 +212,9 @@
             self.check(action);
         }
         for (id, held) in &self.messages {
-            // In time: what was due before the last timer's time is over by now.
+            // The due timers have run, so each message past its deadline and the grace time has its final answer.
             let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
-            assert!(held.over || !late, "message {id} has no answer in time");
+            assert!(held.over || !late, "message {id} has no final answer in time");
         }
         let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
         assert!(calls.len() <= self.set.max_calls, "more calls in flight than slots");
@@ -238,13 +238,13 @@
         self.end_attempts(&mut events);
         if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
             let id = self.rng.u64(0..self.messages.len() as u64);
-            self.messages.get_mut(&id).expect("known").over = true;
+            self.messages.get_mut(&id).expect("a submitted message").over = true;
             events.push(Event::Withdrawn { id });
         }
         events
     }
 
-    /// Ends the attempts whose time-out has come, and some others with a random outcome.
+    /// Ends the attempts that have reached their time-out, and some others with a random outcome.
     fn end_attempts(&mut self, events: &mut Vec<Event>) {
         let out: Vec<_> = self.out.iter().map(|(a, o)| (*a, o.2)).collect();
         for (attempt, ends) in out {
@@ -261,66 +261,71 @@
         match action {
             Action::Send { id, endpoint, timeout } => self.check_send(*id, *endpoint, *timeout),
             Action::Reject { id, retry_after: pause } => {
-                let held = self.messages.get_mut(id).expect("rejects what was submitted");
-                assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
+                let held = self.messages.get_mut(id).expect("a submitted message");
+                assert!(!std::mem::replace(&mut held.over, true), "message {id} has two final answers");
                 let harmless = match self.set.classes[held.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     _ => held.may_have_run.is_none() && held.out.is_empty(),
                 };
-                assert!(harmless, "message {id} may have run and was rejected");
+                assert!(harmless, "message {id} may have been executed and was rejected");
                 assert!((0..=self.set.max_retry_after).contains(pause));
             }
             Action::Fail { id } => {
-                let held = self.messages.get_mut(id).expect("fails what was submitted");
-                assert!(!std::mem::replace(&mut held.over, true), "message {id} answered twice");
+                let held = self.messages.get_mut(id).expect("a submitted message");
+                assert!(!std::mem::replace(&mut held.over, true), "message {id} has two final answers");
             }
             Action::Timer { delay, .. } => {
                 assert!(*delay > 0);
                 self.timers.insert(self.now + delay);
             }
             Action::Watch { .. } => assert_eq!(self.set.discovery_mode, DiscoveryMode::Poll),
-            other => panic!("not permitted here: {other:?}"),
+            other => panic!("unexpected action: {other:?}"),
         }
     }
 
     fn check_send(&mut self, id: MessageId, endpoint: EndpointId, timeout: Micros) {
         let entry = self.entries[&endpoint];
         let route = self.route(endpoint);
-        assert!(self.waits.get(&route).is_none_or(|until| self.now >= *until), "sent in spite of a wait");
+        assert!(self.waits.get(&route).is_none_or(|until| self.now >= *until), "sent during a Retry-After");
         let held = &self.messages[&id];
-        assert!(!held.over, "message {id} sent after its end");
+        assert!(!held.over, "message {id} sent after its final answer");
         assert_eq!(entry.destination, held.destination);
         assert_eq!(entry.state, EndpointState::Active, "sent to a draining or removed endpoint");
         let mut others = self.entries.values().filter(|e| e.destination == entry.destination);
         let fit = others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
         assert!(
             !fit || entry.health != HealthStatus::Critical,
-            "sent to a critical endpoint with a passing one beside it"
+            "sent to a critical endpoint while another passes"
         );
-        assert!(held.out.is_empty(), "two attempts of message {id} out together");
+        assert!(held.out.is_empty(), "message {id} has two attempts in flight");
         assert!(held.attempts < self.set.max_attempts);
         assert!(timeout > 0);
         if let Some((sent, zone)) = held.may_have_run {
             match self.set.classes[held.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::IdempotencyKey { scope: group, window } => {
-                    assert!(self.now < sent + window, "message {id} sent again past its window");
+                    assert!(self.now < sent + window, "message {id} sent again after its key window");
                     assert!(
                         group == DeduplicationScope::All || entry.zone == zone,
-                        "message {id} left its zone"
+                        "message {id} sent again in another zone"
                     );
                 }
-                Idempotency::NonIdempotent => panic!("message {id} may have run and was sent again"),
+                Idempotency::NonIdempotent => {
+                    panic!("message {id} may have been executed and was sent again")
+                }
             }
         }
         if let Some(key) = held.key {
             let mut earlier = self.messages.range(..id).filter(|(_, m)| m.key == Some(key));
-            assert!(earlier.all(|(_, m)| m.over && m.out.is_empty()), "message {id} out of turn");
+            assert!(earlier.all(|(_, m)| m.over && m.out.is_empty()), "message {id} sent out of order");
             let rest = self.rests.get(&key);
-            assert!(rest.is_none_or(|(until, by)| *by == id || self.now >= *until), "key {key} must rest");
+            assert!(
+                rest.is_none_or(|(until, by)| *by == id || self.now >= *until),
+                "message {id} sent during the cooldown of key {key}"
+            );
         }
-        let held = self.messages.get_mut(&id).expect("known");
+        let held = self.messages.get_mut(&id).expect("a submitted message");
         let copy = held.attempts;
         held.attempts += 1;
         held.out.insert(copy);
@@ -341,7 +346,7 @@
 fn rules_hold_for_random_event_sequences() {
     for seed in 0..150 {
         let trace = play(seed);
-        assert!(seed > 20 || trace.iter().any(|line| line.contains("Send")), "seed {seed} sends something");
+        assert!(seed > 20 || trace.iter().any(|line| line.contains("Send")), "seed {seed} sends nothing");
     }
 }
 
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -1,4 +1,4 @@
-//! Limits, the order within them, and invalid input.
+//! Tests of limits, of the order of messages within them, and of invalid input.
 
 mod common;
 
@@ -28,9 +28,9 @@
     assert_eq!(turned_away.len(), 3);
     assert!(
         turned_away.iter().all(|r| r.1 > 0 && r.1 <= 3 * S),
-        "honest advice within what a client follows"
+        "the Retry-After is positive and within its maximum"
     );
-    assert!(turned_away.iter().all(|r| r.0 > 4), "what is over its tenant's share goes first");
+    assert!(turned_away.iter().all(|r| r.0 > 4), "the last messages are shed");
 }
 
 #[test]
@@ -92,12 +92,16 @@
         Event::Gossip { from: 1, bytes: vec![1] },
     ];
     controller.step(5, &events, &mut actions);
-    assert_eq!(rejected(&actions).iter().map(|r| r.0).collect::<Vec<_>>(), [3, 1], "their time is up");
+    assert_eq!(
+        rejected(&actions).iter().map(|r| r.0).collect::<Vec<_>>(),
+        [3, 1],
+        "messages whose time is up"
+    );
 }
 
 #[test]
 fn endpoints_are_chosen_in_proportion_to_capacity_hints() {
-    // Guards against hundreds of forwarders that all see the same fees and choose the same route.
+    // Guards against hundreds of forwarders that all see the same costs and choose the same route.
     let entries = [
         EndpointUpdate { capacity_hint: 3000.0, ..entry(1, 1, 0, 1) },
         EndpointUpdate { capacity_hint: 1000.0, ..entry(2, 1, 0, 1) },
@@ -109,24 +113,27 @@
         harness.list(ListEventKind::Snapshot, &entries);
         counts[sends(&harness.submit(1, 0, 1))[0].1 as usize - 1] += 1;
     }
-    assert!((130..=170).contains(&counts[0]) && counts[1] > 0, "three of four go to the larger: {counts:?}");
+    assert!(
+        (130..=170).contains(&counts[0]) && counts[1] > 0,
+        "three of four calls go to the larger route: {counts:?}"
+    );
 }
 
 #[test]
 fn partial_batch_waits_while_a_call_is_in_flight() {
-    // Guards against a limit on calls that is used up by calls with single messages.
+    // Guards against calls with single messages that use up a limit on calls.
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 2)]);
     harness.warm_up(1, 20);
-    assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 1, "nothing is out: no reason to wait");
-    assert!(sends(&harness.submit(1, 0, 4)).is_empty(), "four of five wait");
-    assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 5, "a full batch goes");
+    assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 1, "no call is in flight");
+    assert!(sends(&harness.submit(1, 0, 4)).is_empty(), "a batch of four of five waits");
+    assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 5, "a full batch is sent");
     assert!(sends(&harness.submit(1, 0, 2)).is_empty());
-    assert_eq!(sends(&harness.advance(2 * S)).len(), 2, "calls that hang hold nobody back");
+    assert_eq!(sends(&harness.advance(2 * S)).len(), 2, "hanging calls do not delay a batch");
 }
 
 #[test]
 fn least_late_message_is_sent_first() {
-    // Guards against a queue that spends what a limit still allows on its oldest messages, which have lost most.
+    // Guards against a queue that uses the rest of a limit for its oldest messages, which have lost the most weight.
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     let first = sends(&harness.submit(1, 0, 1))[0].0;
     for _ in 0..3 {
@@ -140,7 +147,7 @@
 
 #[test]
 fn invalid_reported_limit_does_not_pace() {
-    // Guards against a list that omits limits, or has odd ones, stopping deliveries; and an odd size of the fleet.
+    // Guards against a missing or invalid capacity hint, or an unusual fleet size, that stops deliveries.
     for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         for fleet_size in [0, 1, 100, u32::MAX] {
             let set = Settings { fleet_size, ..settings() };
@@ -149,7 +156,7 @@
             harness.warm_up(1, 10);
         }
     }
-    // A limit that is a fleet's, on the other hand, is shared: one call in five seconds, and what was saved up.
+    // A capacity that the fleet shares does limit the calls: one call in five seconds, plus the saved-up calls.
     for (fleet_size, calls) in [(0, 10..=10), (1, 10..=10), (100, 0..=2)] {
         let set = Settings { fleet_size, ..settings() };
         let mut harness = Harness::new(set, &[entry(1, 1, 0, 0)]);
@@ -162,6 +169,6 @@
                 harness.end_attempt(call.0, Outcome::Success);
             }
         }
-        assert!(calls.contains(&sent), "{sent} calls of one in a fleet of {fleet_size}");
+        assert!(calls.contains(&sent), "{sent} calls of one forwarder in a fleet of {fleet_size}");
     }
 }
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -1,4 +1,4 @@
-//! The way of a message: its final answer, its retries, its order and the endpoints that it may go to.
+//! Tests of a message's final answer, its retries, its order and the endpoints that it may go to.
 
 mod common;
 
@@ -17,21 +17,22 @@
 
 #[test]
 fn scheduling_pause_before_the_deadline_does_not_delay_the_answer() {
-    // Guards against an end decided on so late that a forwarder with part of a core, which stands still for 28 ms
-    // and more now and then, tells it after the deadline: queued messages and calls that are out alike.
+    // Guards against a final answer that is decided so late that it is given after the deadline if the forwarder, which
+    // has only part of a core, is descheduled for a short time (28 ms or more occur). Checks queued messages and calls
+    // in flight.
     let (stall, set) = (50 * MS, settings());
     let timer = |actions: &[Action]| {
         let delay = |a: &Action| if let Action::Timer { delay, .. } = a { Some(*delay) } else { None };
         actions.iter().find_map(delay)
     };
     let mut queued = Harness::new(settings(), &[]);
-    let mut wakes = timer(&queued.submit(9, 2, 1)).expect("it is looked at again");
+    let mut wakes = timer(&queued.submit(9, 2, 1)).expect("a timer is set");
     while let actions = queued.advance(wakes)
         && rejected(&actions).is_empty()
     {
         wakes = timer(&actions).unwrap_or(MS);
     }
-    assert!(queued.now + stall <= 17 * S, "decided on at {}", queued.now);
+    assert!(queued.now + stall <= 17 * S, "final answer at {}", queued.now);
     let mut out = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     let sent = sends(&out.submit(1, 2, 1));
     assert!(sent[0].2 + stall + set.tick <= 16 * S, "a non-idempotent call ends after {}", sent[0].2);
@@ -57,8 +58,8 @@
     }
 }
 
-// Guards against a hung call that keeps its slot for as long as its message lives: with one at each of nine destinations
-// all slots for faulty ones were held, and nothing went anywhere for up to 12 s.
+// Guards against a hanging call that occupies its slot for the lifetime of its message. With one such call at each of
+// nine destinations all slots for faulty destinations were occupied, and no message was sent for up to 12 s.
 #[test]
 fn hanging_non_idempotent_call_times_out_as_soon_as_any_other() {
     let timeout = |class: usize| {
@@ -86,12 +87,12 @@
     let zones = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
     let mut harness = Harness::new(settings(), &zones);
     let (id, first, _) = sends(&harness.submit(1, 1, 1))[0];
-    assert_eq!(first, 1, "the own zone comes first");
+    assert_eq!(first, 1, "the forwarder's own zone is preferred");
     harness.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Removed, ..zones[0] }]);
     harness.end_attempt(id, Outcome::Timeout);
     assert!(sends(&harness.advance(5 * S)).is_empty(), "the other zone would not drop the repeat");
     let actions = harness.advance(5 * S);
-    assert_eq!(failed(&actions), [id], "past its window it can be neither sent nor rejected");
+    assert_eq!(failed(&actions), [id], "after its window it can be neither sent nor rejected");
 }
 
 #[test]
@@ -116,7 +117,7 @@
     }
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.list(ListEventKind::Snapshot, &[entry(2, 1, 0, 0)]);
-    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "what a snapshot leaves out is removed");
+    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "an endpoint missing from a snapshot is removed");
 }
 
 #[test]
@@ -129,7 +130,10 @@
         assert_eq!(now.len(), others, "kind {kind}");
         assert!(sends(&harness.submit(1, 0, 1)).is_empty());
         assert!(sends(&harness.advance(699 * MS)).is_empty());
-        assert!(!sends(&harness.advance(7 * S)).is_empty(), "after it, and after a gap, calls go on");
+        assert!(
+            !sends(&harness.advance(7 * S)).is_empty(),
+            "calls continue after the Retry-After and a pause"
+        );
     }
 }
 
@@ -149,7 +153,7 @@
     assert_eq!(sends(&harness.advance(7 * S)).len(), 2);
 }
 
-// Guards against a Retry-After beside a delivery being ignored: it holds whatever the answer was.
+// Guards against a Retry-After that is ignored because the answer was a success.
 #[test]
 fn retry_after_holds_whatever_the_outcome() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
@@ -170,7 +174,10 @@
     assert_eq!(sends(&next).iter().map(|s| s.0).collect::<Vec<_>>(), [2]);
     let after = harness.end_attempt(2, Outcome::Timeout);
     assert_eq!(failed(&after), [2]);
-    assert!(sends(&after).is_empty() && sends(&harness.advance(299 * MS)).is_empty(), "the key rests");
+    assert!(
+        sends(&after).is_empty() && sends(&harness.advance(299 * MS)).is_empty(),
+        "the key is in its cooldown"
+    );
     assert_eq!(sends(&harness.advance(MS)).iter().map(|s| s.0).collect::<Vec<_>>(), [3]);
 }
 
@@ -179,7 +186,7 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..2).map(|_| harness.message_with_key(1, 3, Some(5))).collect();
     harness.step(&events);
-    assert!(sends(&harness.step(&[Event::Withdrawn { id: 1 }])).is_empty(), "its attempt is still out");
+    assert!(sends(&harness.step(&[Event::Withdrawn { id: 1 }])).is_empty(), "its attempt is still in flight");
     let mut answer = harness.answer(1, Outcome::Success);
     answer.message_finished = true;
     assert_eq!(sends(&harness.step(&[Event::AttemptEnded(answer)])).len(), 1);
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -1,4 +1,5 @@
-//! Outages and rejections: trial calls, the ramp after a recovery, and budgets that a fleet keeps without coordination.
+//! Tests of outages and rejections: trial calls, the ramp after a recovery, and budgets that a fleet keeps without
+//! coordination.
 
 mod common;
 
@@ -30,26 +31,27 @@
         arrivals.extend(sent.iter().map(|_| harness.now));
         out.extend(sent.iter().map(|s| s.0));
     }
-    // Capacity 7 a second from a fifth on, twice that is too much: no span of two seconds may hold more.
+    // The capacity is 7 calls a second and starts at a fifth of that. Twice the present capacity is too much, so no
+    // span of two seconds may have more.
     for at in (10..20).map(|s| start + s * S) {
         let count = arrivals.iter().filter(|a| (at..at + 2 * S).contains(*a)).count();
         let part = 0.2 + 0.8 * ((at - start - 9 * S) as f64 / (12 * S) as f64).min(1.0);
         assert!(count as f64 <= 2.0 * 7.0 * part * 2.0, "{count} calls in the span from {at}");
     }
     let down = arrivals.iter().filter(|a| (start + 4 * S..start + 10 * S).contains(*a)).count();
-    assert!((1..=20).contains(&down), "trial calls go on, a few: {down}");
+    assert!((1..=20).contains(&down), "a few trial calls during the outage: {down}");
     let warm = arrivals.iter().filter(|a| (start + 24 * S..start + 28 * S).contains(*a)).count();
-    assert!(warm >= 60, "recovery starts by itself and is full again: {warm}");
+    assert!(warm >= 60, "full load after the ramp: {warm} calls");
 }
 
 #[test]
 fn partial_failure_does_not_eject() {
-    // Guards against trial calls for a destination that fails often while it serves in between.
+    // Guards against the ejection of a destination that fails often but serves some calls in between.
     let mut harness = Harness::new(settings(), &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }]);
     harness.warm_up(1, 3);
     for round in 0..30 {
         let sent = sends(&harness.submit(1, 0, 1));
-        let Some((id, ..)) = sent.first().copied() else { panic!("round {round}: nothing goes out") };
+        let Some((id, ..)) = sent.first().copied() else { panic!("round {round}: nothing is sent") };
         harness.now += 300 * MS;
         harness.step(&[Event::Withdrawn { id }]);
         harness.end_attempt(id, if round % 4 == 3 { Outcome::Success } else { Outcome::Timeout });
@@ -58,7 +60,7 @@
 
 #[test]
 fn rejections_at_the_window_floor_back_off_over_a_doubling_span() {
-    // Guards against a fleet that comes back at once, or in step, to a limit which rejected calls use up.
+    // Guards against a fleet that returns at once or in step to a limit, which rejected calls then use up.
     let mut gaps: [Vec<Micros>; 2] = [Vec::new(), Vec::new()];
     for seed in 0..100 {
         let mut harness = Harness::new(Settings { capacity_hints: CapacityHints::None, ..settings() }, &[]);
@@ -73,28 +75,34 @@
         for gaps in &mut gaps {
             let rejected_at = harness.now;
             let answer = AttemptResult { retry_after: 10 * MS, ..harness.answer(id, Outcome::Rejected) };
-            assert!(sends(&harness.step(&[Event::AttemptEnded(answer)])).is_empty(), "never at once");
+            assert!(
+                sends(&harness.step(&[Event::AttemptEnded(answer)])).is_empty(),
+                "no call directly after a rejection"
+            );
             while sends(&harness.advance(20 * MS)).is_empty() {}
             gaps.push(harness.now - rejected_at);
         }
         assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 0);
-        assert_eq!(
-            sends(&harness.end_attempt(id, Outcome::Success)).len(),
-            1,
-            "one served: there is room again"
-        );
+        assert_eq!(sends(&harness.end_attempt(id, Outcome::Success)).len(), 1, "a success ends the backoff");
     }
     let mean = |gaps: &[Micros]| gaps.iter().sum::<Micros>() / gaps.len() as Micros;
-    // Served 6 in 10 s; 0.64 of that is twice what a cold destination of that size takes: a call in 2.6 s.
+    // The route served 6 calls in 10 s. 0.64 of that is twice the rate that a cold destination of this size accepts:
+    // one call in 2.6 s.
     assert!((S..1800 * MS).contains(&mean(&gaps[0])), "{}", mean(&gaps[0]));
-    assert!((15..30).contains(&(mean(&gaps[1]) * 10 / mean(&gaps[0]))), "twice as long after the next");
+    assert!(
+        (15..30).contains(&(mean(&gaps[1]) * 10 / mean(&gaps[0]))),
+        "the mean pause doubles after the second rejection"
+    );
     let spread = |gaps: &[Micros]| (*gaps.iter().min().unwrap(), *gaps.iter().max().unwrap());
     let (soonest, latest) = spread(&gaps[0]);
-    assert!(soonest < 300 * MS && latest > 2 * S && latest < 3 * S, "spread out: {soonest} to {latest}");
+    assert!(
+        soonest < 300 * MS && latest > 2 * S && latest < 3 * S,
+        "pauses are not spread out: {soonest} to {latest}"
+    );
 }
 
-/// Plays forwarders with one destination that serves, rejects all from 30 s to 45 s, and serves again. Gives the
-/// most calls in any span of two seconds after the return, and how many were served by 75 s.
+/// Simulates forwarders with one destination that serves, rejects all calls from 30 s to 45 s, and serves again.
+/// Returns the most calls in any span of two seconds after the recovery, and the number of calls served by 75 s.
 fn calls_after_a_return(forwarders: u32, seed: u64) -> (usize, usize) {
     let set = Settings {
         fleet_size: forwarders,
@@ -119,7 +127,8 @@
         for (harness, out) in fleet.iter_mut().zip(&mut out) {
             harness.now = start + at;
             let mut events = vec![Event::Timer { token: u64::MAX }];
-            // Two messages a second for all; at 41 s a clump of one for every second forwarder.
+            // All forwarders together get two messages a second. At 41 s every second forwarder on average gets one
+            // more.
             let clump = at == 41 * S && rng.bool();
             if clump || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
                 events.push(harness.message(1, 0));
@@ -143,20 +152,21 @@
 
 #[test]
 fn fleet_rejected_during_an_outage_does_not_overload_the_recovering_destination() {
-    // Guards against forwarders with one or two rejections each, too few for any to see an outage, that all come
-    // back a fixed pause later. A destination of 28 calls a second that returns at a fifth can do 6.7 a second on
-    // the mean of the first spans; twice that, for two seconds, and three standard deviations of chance.
+    // Guards against forwarders that have one or two rejections each, too few to detect the outage, and that all return
+    // after the same fixed pause. A destination with a capacity of 28 calls a second that recovers at a fifth of it can
+    // serve 6.7 calls a second on average over the first spans. The test allows twice that for two seconds, plus three
+    // standard deviations of the random draws.
     let budget = 2.0 * 6.7 * 2.0;
     for seed in 1..=4 {
         let (most, served) = calls_after_a_return(280, seed);
         assert!(most as f64 <= budget + 3.0 * f64::sqrt(budget), "{most} calls in two seconds");
-        assert!(served >= 150, "nothing stays shut: {served}");
+        assert!(served >= 150, "too few calls served after the recovery: {served}");
     }
 }
 
 #[test]
 fn retry_after_replaces_backoff_above_the_window_floor() {
-    // Guards against gaps in small fleets, whose windows themselves take the load off.
+    // Guards against longer pauses than necessary in small fleets, whose windows already reduce the load.
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 9);
     let id = sends(&harness.submit(1, 0, 1))[0].0;
@@ -167,7 +177,7 @@
 
 #[test]
 fn trial_calls_of_a_fleet_are_spread_by_chance() {
-    // Guards against one rounded-up call from each of hundreds of forwarders that saw a call fail.
+    // Guards against one call (a budget rounded up) from each of hundreds of forwarders that saw a call fail.
     let set = Settings { fleet_size: 200, ..settings() };
     let mut seen = 0;
     for seed in 0..100 {
@@ -178,7 +188,7 @@
         let mut sent = sends(&harness.submit(1, 0, 1));
         for _ in 0..3 {
             for _ in 0..20 {
-                // Its part is one call a second.
+                // Its share is one call a second.
                 sent.extend(sends(&harness.advance(if sent.is_empty() { 50 * MS } else { 0 })));
             }
             assert_eq!(sent.len(), 1);
@@ -190,20 +200,21 @@
             seen += sends(&harness.advance(50 * MS)).len();
         }
     }
-    // A fifth of 200 calls a second, twice that is too much: 160 calls in the 2 s that were watched.
+    // The present capacity is a fifth of 200 calls a second and twice that is too much: 160 calls in the 2 s that were
+    // counted.
     assert!((1..=160).contains(&seen), "{seen} calls in two seconds");
 }
 
 #[test]
 fn two_failed_connections_do_not_eject() {
-    // Guards against a ramp because of tables that are full for a moment.
+    // Guards against a ramp that starts because a connection table was full for a moment.
     let set = Settings { connect_timeout: S, ..settings() };
     let mut harness =
         Harness::new(set, &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }, entry(2, 2, 0, 0)]);
     let id = sends(&harness.submit(2, 0, 1))[0].0;
     assert!(
         !harness.end_attempt(id, Outcome::Success).contains(&Action::CloseIdle { endpoint: 2 }),
-        "kept while none is short"
+        "the connection is kept"
     );
     let mut id = sends(&harness.submit(1, 0, 1))[0].0;
     for _ in 0..2 {
@@ -215,21 +226,18 @@
             if let Some(sent) = next.first() {
                 break sent.0;
             }
-            assert!(harness.now - failed_at < 32 * S, "no trial calls of an outage, and nothing stays shut");
+            assert!(harness.now - failed_at < 32 * S, "the route is not ejected and opens again");
         };
     }
     let id = sends(&harness.submit(2, 0, 1))[0].0;
     let after = harness.end_attempt(id, Outcome::Success);
-    assert!(
-        !after.contains(&Action::CloseIdle { endpoint: 2 }),
-        "another's connections are none of its business"
-    );
+    assert!(!after.contains(&Action::CloseIdle { endpoint: 2 }), "connections to another endpoint are kept");
 }
 
 #[test]
 fn brief_rejections_neither_eject_nor_start_a_ramp() {
-    // Guards against a ramp of twelve seconds after a second or two over the limit, and after some seconds more
-    // where this forwarder is served rarely anyhow.
+    // Guards against a ramp of twelve seconds that starts after one or two seconds over the limit, or after a few
+    // seconds more if this forwarder's calls are rare anyway.
     let rate_after = |outcome: Outcome, between: Micros, apart: Micros| {
         let mut harness =
             Harness::new(settings(), &[EndpointUpdate { capacity_hint: 3.0, ..entry(1, 1, 0, 0) }]);
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -1,12 +1,13 @@
-//! Restarts and shutdowns: the history that a controller starts with, and what it begins before its end.
+//! Tests of restarts and shutdowns: the history that a controller starts with, and the calls that it starts before it
+//! stops.
 
 mod common;
 
 use common::*;
 use orchidyoke_core::interface::*;
 
-// Guards against a restart that sends again what may have run and may not be repeated, or that lets such a
-// message wait until its time is up: its end is decided at once.
+// Guards against a restart after which a message that may have been executed and must not be repeated is sent again, or
+// waits for its deadline. Its final answer is decided at once.
 #[test]
 fn possible_delivery_before_a_restart_is_not_repeated() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
@@ -20,10 +21,14 @@
     assert_eq!((failed(&actions), sends(&actions).len()), (vec![1], 0));
     let message = harness.message(1, 2);
     let history = Event::AttemptHistory { id: 2, attempts: 1, possible_delivery: None };
-    assert_eq!(sends(&harness.step(&[message, history])).len(), 1, "what never ran goes again");
+    assert_eq!(
+        sends(&harness.step(&[message, history])).len(),
+        1,
+        "a message that was not executed is sent again"
+    );
 }
 
-// Guards against more attempts than a message may have, counted over a restart.
+// Guards against a restart that resets the number of attempts of a message.
 #[test]
 fn attempts_before_a_restart_count_towards_the_limit() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
@@ -33,18 +38,19 @@
     assert_eq!((rejected(&actions).len(), sends(&actions).len()), (1, 0));
 }
 
-// Guards against a call begun just before the forwarder stops: its message may have run and would be lost.
+// Guards against a call that starts just before the forwarder stops: its message may be executed and would be lost.
 #[test]
 fn call_that_would_outlast_the_shutdown_is_not_begun() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
     harness.step(&[Event::ShuttingDown { time_left: 4 * S }]);
-    assert_eq!(sends(&harness.submit(1, 2, 1)).len(), 1, "there is time");
+    assert_eq!(sends(&harness.submit(1, 2, 1)).len(), 1, "the call can end before the shutdown");
     harness.now += 3 * S;
     let actions = harness.submit(2, 2, 1);
     assert!(sends(&actions).is_empty() && rejected(&actions).is_empty() && failed(&actions).is_empty());
 }
 
-// Guards against a crowd of kept messages sent to a cold destination by a forwarder that forgot its outage.
+// Guards against a forwarder that loses the state of an outage in a restart and sends all recovered messages to a cold
+// destination.
 #[test]
 fn faulty_destination_before_a_restart_stays_ejected() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
@@ -69,12 +75,12 @@
         calls.extend(sends(&harness.advance(50 * MS)));
     }
     let tried: u32 = (2..=21).filter_map(|id| harness.attempts.get(&id)).sum();
-    // Twice a fifth of its 20 calls a second, for the 2 s that have passed.
+    // The budget is twice a fifth of its 20 calls a second, for the 2 s that have passed.
     assert!(tried <= 16, "{tried} calls in 2 s");
 }
 
-// Guards against a destination whose endpoints were all gone when the forwarder stopped: those that come after the
-// restart were taken for a healthy destination's.
+// Guards against a faulty destination without endpoints at the restart: endpoints that were listed after the restart
+// were treated as healthy.
 #[test]
 fn faulty_destination_before_a_restart_outlasts_an_empty_list() {
     for faulty in [false, true] {
@@ -102,13 +108,15 @@
             }
             calls.extend(sends(&harness.advance(0)));
         }
-        // Twice a fifth of 20 calls a second, somewhat risen, for 2 s; without a fault more than that.
+        // The budget is twice a fifth of 20 calls a second, a little more with the ramp, for 2 s. Without a fault there
+        // are more calls.
         assert_eq!((1..=20).contains(&sent), faulty, "{sent} calls in 2 s, faulty: {faulty}");
     }
 }
 
-// Guards against messages that a start found accepted and unsent, and that are given up with no call: their objective has passed
-// by then, what is late comes last, and for want of room the last go first.
+// Guards against messages that an earlier process accepted and did not send, and that are given up without a call.
+// After the restart their latency objective has passed, so they are last in the queue, and the last messages are shed
+// first.
 #[test]
 fn message_recovered_unsent_is_not_shed() {
     let mut set = settings();
@@ -121,7 +129,7 @@
         else {
             unreachable!()
         };
-        // Half of its time is left, and its objective has passed.
+        // Half of its time is left, and its latency objective has passed.
         let time_left = 8 * S;
         events.push(Event::Message {
             id,
@@ -141,7 +149,7 @@
     assert!(given_up.len() >= 6 && given_up.iter().all(|id| *id > 4), "{given_up:?}");
     let mut order: Vec<_> = sends(&actions).into_iter().map(|(id, ..)| id).collect();
     while order.len() < 10 - given_up.len().saturating_sub(6) {
-        let id = *order.last().expect("one at a time at first");
+        let id = *order.last().expect("at least one message was sent");
         harness.now += 100 * MS;
         let actions = harness.end_attempt(id, Outcome::Success);
         let next = sends(&actions);
@@ -150,5 +158,5 @@
         }
         order.extend(next.into_iter().map(|(id, ..)| id));
     }
-    assert!((1..=4).all(|id| order.contains(&id)), "{order:?}: each is tried");
+    assert!((1..=4).all(|id| order.contains(&id)), "each recovered message is sent: {order:?}");
 }
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -1,5 +1,5 @@
-//! A step costs what changes: the work of a step, as a count of destinations looked at, does not follow the number of
-//! destinations that are listed, nor of those that wait because they are down.
+//! Tests that the cost of a step depends only on what changes. The work of a step, as a number of destinations
+//! examined, must not grow with the number of listed destinations or of destinations that wait because they are down.
 
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
@@ -8,7 +8,7 @@
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
 const MESSAGES: u64 = 2_000;
-/// Between two messages: 109 a second, one of 450 forwarders at 49,000 a second.
+/// Time between two messages: 109 a second, for one of 450 forwarders that together get 49,000 a second.
 const GAP: Micros = S / 109;
 const AT_MOST: f64 = 1.5;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A controller with a list of which some destinations are down, each with a message that waits.
+/// A controller with an endpoint list in which some destinations are down, each with a message that waits.
 struct Forwarder {
     controller: Controller,
     now: Micros,
@@ -60,7 +60,8 @@
     ends: BTreeMap<Micros, Vec<(MessageId, u32, bool)>>,
     copies: BTreeMap<MessageId, u32>,
     timers: BTreeSet<(Micros, u64)>,
-    /// Events of the steps in which no timer came due, destinations looked at in them, and in the others.
+    /// Number of events in the steps in which no timer was due, destinations examined in these steps, and in the other
+    /// steps.
     events: u64,
     work: u64,
     timer_work: u64,
@@ -128,12 +129,12 @@
                 Action::Timer { delay, token } => {
                     self.timers.insert((self.now + delay, token));
                 }
-                other => panic!("nothing is given up here: {other:?}"),
+                other => panic!("unexpected action: {other:?}"),
             }
         }
     }
 
-    /// Runs timers and ends of calls until a moment, in steps of their own.
+    /// Runs timers and ends of calls up to a time, each time in a separate step.
     fn run_until(&mut self, until: Micros) {
         loop {
             let timer = self.timers.first().map(|(at, _)| *at);
@@ -164,8 +165,8 @@
         self.now = until;
     }
 
-    /// Destinations looked at while messages go to destinations that serve: for each event of a step in which no
-    /// timer came due, and for each draw of a destination that is down in the others.
+    /// Submits messages for destinations that serve. Returns the number of destinations examined for each event of a
+    /// step in which no timer was due, and in the other steps for each draw of a destination that is down.
     fn work_of_events(&mut self) -> [f64; 2] {
         let (work, timer_work, events, since) = (self.work, self.timer_work, self.events, self.now);
         for number in 0..MESSAGES {
@@ -180,13 +181,13 @@
     }
 }
 
-/// A destination that is down draws twice in `tip_after` whether it may be tried: that is due, and in proportion to
-/// those that are down. All other work is not.
+/// A destination that is down draws twice in `overload_window` for a trial call. This work is proportional to the
+/// number of destinations that are down. No other work may be.
 #[test]
 fn step_cost_does_not_grow_with_listed_or_waiting_destinations() {
     let few = Forwarder::new(1_000, 29).work_of_events();
     let many = Forwarder::new(100_000, 2_900).work_of_events();
-    println!("destinations looked at for each event, for each draw: {few:.2?} and {many:.2?}");
+    println!("destinations examined for each event, for each draw: {few:.2?} and {many:.2?}");
     assert!(many[0] <= AT_MOST * few[0], "for each event: {many:.2?} of 100,000, {few:.2?} of 1,000");
     assert!(many[1] <= AT_MOST * few[1], "for each draw: {many:.2?} of 100,000, {few:.2?} of 1,000");
 }
@@ -203,6 +204,6 @@
         );
         controller.destinations_examined() as f64
     });
-    println!("destinations looked at for a list: {work:?}");
-    assert!(work[1] <= 13.0 * work[0], "destinations looked at: {work:?}");
+    println!("destinations examined for a list: {work:?}");
+    assert!(work[1] <= 13.0 * work[0], "destinations examined: {work:?}");
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! The slow start of a destination that comes back, over a whole fleet: what all forwarders send it in any span is what it
-//! bears cold, and no more than chance beyond. They share nothing; each has the program's own decisions and its own clock's
-//! word of the same moment. Traffic is uneven, and some have sent nothing while the destination was out.
+//! Tests of the slow start of a recovering destination with a whole fleet. In any span, all forwarders together must
+//! send no more than the cold destination can serve, apart from chance. The forwarders share no state; each has its own
+//! controller and the same clock. Traffic is uneven, and some forwarders sent nothing during the outage.
 
 mod common;
 
@@ -18,7 +18,7 @@
 struct Case {
     size: u32,
     weights: CapacityHints,
-    /// Calls a second that the destination bears when it is warm, and the part of them that is asked for.
+    /// Calls a second that the warm destination can serve, and the load as a fraction of them.
     bears: f64,
     load: f64,
     fault: Outcome,
@@ -52,7 +52,7 @@
     next: MessageId,
     attempts: BTreeMap<MessageId, u32>,
     out: Vec<(Micros, AttemptResult)>,
-    /// It has seen a call fail, or be rejected, in the outage.
+    /// Whether one of its calls failed or was rejected during the outage.
     has_seen_outage: bool,
 }
 
@@ -60,7 +60,7 @@
     now: Micros,
     forwarders: Vec<Forwarder>,
     chance: SeededRng,
-    /// Calls since the return: when, and whether its forwarder has seen the outage.
+    /// Calls since the recovery: the time, and whether the forwarder has seen the outage.
     calls: Vec<(Micros, bool)>,
     served: usize,
 }
@@ -80,7 +80,7 @@
             capacity_hint: weight,
         };
         let mut chance = SeededRng::new(seed);
-        // Some see several times the mean.
+        // Some get several times the mean.
         let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + chance.uniform().powi(3) * 4.0).collect();
         let all: f64 = shares.iter().sum();
         let forwarder = |(number, share): (u64, f64)| {
@@ -97,7 +97,8 @@
         Fleet { now: S, forwarders, chance, calls: Vec::new(), served: 0 }
     }
 
-    /// Goes on for a while; a call made now ends so, after so long.
+    /// Runs the fleet for the time `span`. Each call that starts in it ends with the given outcome after the given
+    /// latency.
     fn play(&mut self, span: Micros, load: f64, outage: bool, end: (Outcome, Micros)) {
         let (outcome, latency) = end;
         for _ in 0..span / STEP {
@@ -126,7 +127,7 @@
 }
 
 impl Forwarder {
-    /// Takes out the calls that have ended by now.
+    /// Removes and returns the results of the calls that have ended by now.
     fn end_calls(&mut self, now: Micros) -> Vec<AttemptResult> {
         self.out.extract_if(.., |(ends, _)| *ends <= now).map(|(_, result)| result).collect()
     }
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A call of a message that will end so.
+    /// Starts a call of a message, which will end with this outcome after this latency.
     fn call(&mut self, now: Micros, id: MessageId, outcome: Outcome, latency: Micros) {
         let attempt = self.attempts.entry(id).or_default();
         let result = AttemptResult {
@@ -162,16 +163,16 @@
     }
 }
 
-/// What a return came to.
+/// The result of a recovery.
 #[derive(Clone, Copy, Debug, Default)]
 struct Returned {
-    /// The most that the forwarders that have seen the outage sent in a span, as a part of what that span allows, chance
-    /// included.
+    /// Most calls in a span from the forwarders that have seen the outage, as a fraction of the calls that the span
+    /// allows, chance included.
     used: f64,
-    /// Overloads: spans beyond what chance allows of all calls, of which over two thirds came from the forwarders that have
-    /// seen the outage.
+    /// Number of overloads: spans in which all calls exceed what chance allows and more than two thirds come from the
+    /// forwarders that have seen the outage.
     overloads: usize,
-    /// Served in ten seconds once it was warm, as a part of what was asked for.
+    /// Calls served in ten seconds after the warm-up, as a fraction of the load.
     served: f64,
 }
 
@@ -194,7 +195,8 @@
     fleet.play(10 * S, load, false, (Outcome::Success, SERVICE));
     let mut returned = Returned { served: fleet.served as f64 / (10.0 * load), ..Returned::default() };
     for (first, (from, _)) in calls.iter().enumerate() {
-        // Counted at its end, when it bears most: the span is over the budget of each of its moments.
+        // The capacity is that at the end of the span, where it is highest: a span with more calls exceeds the budget
+        // of each of its moments.
         let risen = (from + set.overload_window - back) as f64 / set.warm_up_time as f64;
         if risen >= 1.0 {
             break;
@@ -242,12 +244,12 @@
                 scope.spawn(|| part.iter().map(|s| cold_return(case, known_size, *s)).collect::<Vec<_>>())
             })
             .collect();
-        parts.into_iter().flat_map(|part| part.join().expect("played")).collect()
+        parts.into_iter().flat_map(|part| part.join().expect("the simulation ends without a panic")).collect()
     })
 }
 
-// Guards against a fleet that pushes a cold destination over though each of its forwarders keeps to what it takes for its
-// own part: rejected connections, hung calls, errors, and rejections where a limit is known.
+// Guards against a fleet that overloads a cold destination although each forwarder keeps to its own share: after
+// rejected connections, hanging calls, errors, and rejections if a limit is known.
 #[test]
 fn fleet_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
@@ -259,15 +261,15 @@
         let overloads: usize = returns.iter().map(|one| one.overloads).sum();
         assert!(
             worst <= 1.0 && overloads == 0,
-            "{case:?}: {worst:.2} of what is allowed, {overloads} overloads"
+            "{case:?}: {worst:.2} of the allowed calls, {overloads} overloads"
         );
         let served = returns.iter().map(|one| one.served).sum::<f64>() / returns.len() as f64;
-        assert!(served > 0.5, "{case:?}: {served:.2} of what is asked for, once it is warm");
+        assert!(served > 0.5, "{case:?}: {served:.2} of the load served after the warm-up");
     }
 }
 
-// The same where no limit is known and all calls are rejected: what one forwarder is rejected shows neither an outage nor
-// the others, as a limit does that as well.
+// Guards against the same failure if no limit is known and all calls are rejected. The rejections of one forwarder show
+// neither an outage nor the other forwarders, because a limit causes rejections too.
 #[test]
 fn rejected_fleet_without_known_limit_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
@@ -276,16 +278,20 @@
     {
         let returns = over_seeds(&case, case.size, 0..100);
         let over: Vec<_> = returns.iter().map(|one| one.used).filter(|used| *used > 1.0).collect();
-        assert!(over.is_empty(), "{case:?}: over in {} of 100: {over:.2?}", over.len());
+        assert!(
+            over.is_empty(),
+            "{case:?}: more calls than allowed with {} of 100 seeds: {over:.2?}",
+            over.len()
+        );
     }
 }
 
-// Without its part the fleet must do worse: each takes the whole budget for its own.
+// Checks that the tests can fail: a fleet in which each forwarder uses the whole budget must exceed it.
 #[test]
 fn fleet_in_which_each_uses_the_whole_budget_overloads_a_cold_destination() {
     for case in cases().into_iter().filter(|case| case.weights == CapacityHints::Nominal) {
         let returns = over_seeds(&case, 1, 0..20);
         let over = returns.iter().filter(|one| one.used > 1.0).count();
-        assert!(over >= 10, "{case:?}: only {over} of 20 go over");
+        assert!(over >= 10, "{case:?}: more calls than allowed with only {over} of 20 seeds");
     }
 }
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -1,11 +1,13 @@
-//! Retries by zone and key window, separate routes, and connections that stall while their endpoint serves.
+//! Tests of retries by zone and key window, of separate routes, and of connections that stall while their endpoint
+//! serves.
 
 mod common;
 
 use common::*;
 use orchidyoke_core::interface::*;
 
-/// Class 0 idempotent, 1 key scoped to the zone, 2 non-idempotent; kind 1 has separate routes.
+/// Returns settings with these classes: 0 idempotent, 1 idempotency key with the scope `Zone`, 2 non-idempotent. Kind 1
+/// has separate routes.
 fn set() -> Settings {
     Settings { allow_cancel: true, ..settings() }
 }
@@ -15,8 +17,8 @@
     actions.iter().filter_map(cancelled).collect()
 }
 
-/// Two calls are out at a warm endpoint: one of the class, and one that is sent late in its time and answered. What is
-/// called off then, and the first message's number.
+/// Has two calls in flight at a warm endpoint: a message of `class`, and one that is sent later and answered. Returns
+/// the messages whose calls are cancelled then, and the first message.
 fn beside_a_quick_one(harness: &mut Harness, class: usize) -> (Vec<MessageId>, MessageId) {
     let first = sends(&harness.submit(1, class, 1))[0].0;
     harness.advance(400 * MS);
@@ -26,22 +28,29 @@
     (cancelled(&harness.advance(150 * MS)), first)
 }
 
-// Guards against a dead connection that keeps a slot until its time-out, while the endpoint behind it serves.
+// Guards against a dead connection that occupies a slot until its time-out while its endpoint serves.
 #[test]
 fn stalled_call_is_cancelled_and_retried() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     let (off, id) = beside_a_quick_one(&mut harness, 0);
-    assert_eq!(off, [id], "what was sent after it is answered");
+    assert_eq!(off, [id], "a call sent later has been answered");
     let again = sends(&harness.end_attempt(id, Outcome::Cancelled));
-    assert_eq!(again.iter().map(|send| send.0).collect::<Vec<_>>(), [id], "its slot and its window are free");
+    assert_eq!(
+        again.iter().map(|send| send.0).collect::<Vec<_>>(),
+        [id],
+        "its slot and its place in the window are free"
+    );
     harness.now += 100 * MS;
     harness.end_attempt(id, Outcome::Success);
-    assert!(harness.controller.faulty_routes().is_empty(), "the endpoint is not to blame");
+    assert!(
+        harness.controller.faulty_routes().is_empty(),
+        "a dead connection does not make the route faulty"
+    );
 }
 
-// Guards against giving up what may not be repeated, what has been called off once, or an endpoint that is silent as a
-// whole: its next call would hang as well.
+// Guards against cancelling a call whose message must not be repeated, a second call of one message, or a call to an
+// endpoint that answers nothing, at which the next call would hang as well.
 #[test]
 fn call_is_not_cancelled_where_a_retry_would_not_help() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
@@ -49,11 +58,11 @@
     assert!(beside_a_quick_one(&mut harness, 2).0.is_empty(), "a non-idempotent message would be lost");
     let mut harness = Harness::new(Settings { allow_cancel: false, ..set() }, &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    assert!(beside_a_quick_one(&mut harness, 0).0.is_empty(), "the deployment cancels nothing");
+    assert!(beside_a_quick_one(&mut harness, 0).0.is_empty(), "the settings do not allow cancelling");
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     harness.submit(1, 0, 2);
-    assert!(cancelled(&harness.advance(700 * MS)).is_empty(), "nothing was answered since");
+    assert!(cancelled(&harness.advance(700 * MS)).is_empty(), "no call sent later was answered");
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     let (_, id) = beside_a_quick_one(&mut harness, 0);
@@ -62,11 +71,11 @@
     let second = sends(&harness.submit(1, 0, 1))[0].0;
     harness.now += 100 * MS;
     harness.end_attempt(second, Outcome::Success);
-    assert!(cancelled(&harness.advance(300 * MS)).is_empty(), "once for each message");
+    assert!(cancelled(&harness.advance(300 * MS)).is_empty(), "a message is cancelled only once");
 }
 
-// Guards against heavy messages being run twice for nothing: where they are merely long, nothing is called off any more,
-// until a call that was left alone has died.
+// Guards against slow messages that are executed twice in vain. If stalled calls turn out to be slow messages, no more
+// calls are cancelled until a stalled call times out.
 #[test]
 fn slow_messages_stop_the_cancelling_of_stalled_calls() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
@@ -77,7 +86,7 @@
     harness.advance(900 * MS);
     harness.end_attempt(id, Outcome::Success);
     let (off, long) = beside_a_quick_one(&mut harness, 0);
-    assert!(off.is_empty(), "the repeat took long too");
+    assert!(off.is_empty(), "the retry was slow too");
     harness.now += 900 * MS;
     let mut again = sends(&harness.end_attempt(long, Outcome::Timeout));
     again.extend(sends(&harness.advance(5 * S)));
@@ -85,11 +94,11 @@
     harness.end_attempt(long, Outcome::Success);
     harness.warm_up(1, 16);
     let (off, id) = beside_a_quick_one(&mut harness, 0);
-    assert_eq!(off, [id], "one that was left alone was never answered");
+    assert_eq!(off, [id], "a stalled call that was not cancelled timed out");
 }
 
-// Guards against a repeat in another zone after the endpoint of the first attempt was moved there, or has left the
-// list: where a repeat is dropped is settled when the first attempt goes.
+// Guards against a retry in another zone after the endpoint of the first attempt has moved there or has left the list.
+// The zone in which a repeat is dropped is fixed when the first attempt is sent.
 #[test]
 fn retry_keeps_to_the_zone_of_the_first_attempt() {
     for moved in [Some(1), None] {
@@ -106,7 +115,7 @@
     }
 }
 
-// Guards against two zones that the settings do not name being taken for one zone.
+// Guards against two zones that the settings do not name being treated as one zone.
 #[test]
 fn unknown_zones_are_not_one_zone() {
     let mut harness = Harness::new(set(), &[entry(1, 1, UNKNOWN_ZONE, 0), entry(2, 1, UNKNOWN_ZONE, 0)]);
@@ -115,11 +124,14 @@
     for _ in 0..60 {
         went.extend(sends(&harness.advance(100 * MS)));
     }
-    assert!(!went.is_empty() && went.iter().all(|send| send.1 == first), "only where it has been: {went:?}");
+    assert!(
+        !went.is_empty() && went.iter().all(|send| send.1 == first),
+        "only to the first endpoint: {went:?}"
+    );
 }
 
-// Guards against a message that waits on after its window: no endpoint drops its repeat any more, so it is failed, at
-// once, and not sent nor rejected.
+// Guards against a message that waits longer than the window of its idempotency key. No endpoint drops its repeat any
+// more, so it must fail at once and must be neither sent nor rejected.
 #[test]
 fn message_fails_at_once_when_its_key_window_ends() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0), entry(2, 1, 1, 0)]);
@@ -128,19 +140,22 @@
     harness.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Draining, ..zone }]);
     let sent = harness.now;
     harness.now += 100 * MS;
-    assert!(sends(&harness.end_attempt(id, Outcome::Error)).is_empty(), "the other zone does not drop it");
+    assert!(
+        sends(&harness.end_attempt(id, Outcome::Error)).is_empty(),
+        "the other zone does not drop the repeat"
+    );
     loop {
         let actions = harness.advance(50 * MS);
         assert!(sends(&actions).is_empty() && rejected(&actions).is_empty());
         if failed(&actions) == [id] {
             break;
         }
-        assert!(harness.now < sent + 10 * S, "its window has ended");
+        assert!(harness.now < sent + 10 * S, "the message fails by the end of its window");
     }
-    assert!(harness.now >= sent + 9 * S + 900 * MS, "it could have gone until then");
+    assert!(harness.now >= sent + 9 * S + 900 * MS, "the message does not fail before its window ends");
 }
 
-// Guards against one route's fault or Retry-After, known from an earlier process, counting for the others.
+// Guards against a fault or Retry-After of one route, known from an earlier process, that affects the other routes.
 #[test]
 fn state_of_a_separate_route_does_not_affect_the_others() {
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
@@ -157,9 +172,9 @@
     );
     let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     harness.step(&[known(false, S)]);
-    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "the other takes it at once");
+    assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "the other route gets the call at once");
     assert!(sends(&harness.submit(1, 0, 1)).is_empty());
-    assert_eq!(sends(&harness.advance(S + 100 * MS))[0].1, 1, "after the wait it serves");
+    assert_eq!(sends(&harness.advance(S + 100 * MS))[0].1, 1, "the route gets calls after its Retry-After");
     harness.step(&[Event::RouteState {
         destination: 1,
         endpoint: Some(9),
@@ -168,12 +183,12 @@
     }]);
     assert!(
         harness.controller.faulty_routes().is_empty(),
-        "one that is not listed says nothing of the others"
+        "the state of an unlisted endpoint does not affect the others"
     );
 }
 
-// Guards against an absurd report that overflows a clock, starves a route for good, or lets a message go without an
-// end: as soon as a sound report comes, calls go on.
+// Guards against an absurd reported limit that overflows a time, blocks a route for good, or leaves a message without a
+// final answer. Calls continue as soon as a sensible limit is reported.
 #[test]
 fn absurd_reported_values_are_bounded() {
     for limit in [0.0, 1e-300, 1e-9, 1e300, f64::MAX, f64::NAN, f64::INFINITY, -5.0] {
@@ -203,18 +218,18 @@
         }
         assert!(sent + ended >= 3, "{limit}: {sent} sent and {ended} ended");
         let next = harness.submit(1, 0, 1);
-        assert!(!sends(&next).is_empty(), "{limit}: a sound report has come, or the route is tried");
+        assert!(!sends(&next).is_empty(), "{limit}: no call after a sensible limit was reported");
     }
 }
 
-// Guards against the last slot held by a slow route for the sake of a lower fee, while many messages wait for a slot.
+// Guards against a slow route that gets the last slot because of its lower cost while many messages wait for a slot.
 #[test]
 fn last_slot_goes_to_the_faster_route_while_messages_wait() {
     for (slots, waiting, expected) in [(8, 0, 1), (2, 20, 2)] {
         let set = Settings { max_calls: slots, zone_costs: vec![0.01, 0.04], ..set() };
         let slow_and_quick = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
         let mut harness = Harness::new(set, &[entry(3, 2, 0, 0), entry(1, 1, 0, 1), entry(2, 1, 1, 1)]);
-        // Both are known: the one with the low fee takes 400 ms, the other 50.
+        // Both latencies are known: 400 ms for the route with the lower cost, 50 ms for the other.
         for place in 0..2 {
             let others = EndpointUpdate { state: EndpointState::Draining, ..slow_and_quick[1 - place] };
             harness.list(ListEventKind::Delta, &[slow_and_quick[place], others]);
@@ -227,13 +242,13 @@
             }
         }
         harness.list(ListEventKind::Delta, &slow_and_quick);
-        // One slot is taken; those that wait are for a destination whose window is full.
+        // One slot is occupied. The waiting messages are for a destination whose window is full.
         assert_eq!(sends(&harness.submit(2, 0, 1 + waiting)).len(), 1);
         let sent = sends(&harness.submit(1, 0, 1));
         assert_eq!(
             sent.iter().map(|send| send.1).collect::<Vec<_>>(),
             [expected],
-            "{slots} slots, {waiting} wait"
+            "{slots} slots, {waiting} waiting messages"
         );
     }
 }
--- a/crates/core/tests/wire_settings.rs
+++ b/crates/core/tests/wire_settings.rs
@@ -1,5 +1,5 @@
-//! Protects the settings JSON that the platform and the simulator write: the name of each field and of each choice, and
-//! what becomes of it; and the form in which the list of endpoints is written.
+//! Guards the settings JSON that the platform and the simulator write: the name of each field and of each choice, and
+//! the setting that it becomes. Also guards the form in which the endpoint list is written.
 
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent, parse_list};
 use orchidyoke_core::interface::{
@@ -95,7 +95,7 @@
 fn settings_that_say_nothing_are_read_as_before() {
     let (settings, names) = read("{}").expect("settings");
     assert_eq!(settings, Settings::default());
-    assert_eq!(names.zones, [""], "its own zone, which has no name");
+    assert_eq!(names.zones, [""], "the forwarder's own zone, which has no name");
     assert!(names.classes.is_empty() && names.tenants.is_empty() && names.kinds.is_empty());
     for missing in [
         "\"name\": \"orders\", ",
