--- a/crates/core/tests/reference/control.rs
+++ b/crates/core/tests/reference/control.rs
@@ -1,5 +1,6 @@
-//! All decisions of orchidyoke; their types are in `interface.rs`. The ordinary path is the paper's adaptive
-//! window (`docs/design.md`) on each route's calls in flight: a clean first try grows, a push-back halves it.
+//! The reference controller: all decisions of a forwarder in one module. Its types are those of `interface.rs`. Usually
+//! the adaptive window of the paper (`docs/design.md`) limits the calls in flight on each route: a success at the first
+//! attempt increases it, a failure or rejection halves it.
 
 use orchidyoke_core::interface::*;
 use orchidyoke_core::rng::SeededRng;
@@ -7,64 +8,73 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const SECOND: Micros = 1_000_000;
-/// Times told to this module are cut to this length (about 11 days): no sum of a few of them overflows.
+/// Longest time span accepted from outside, about 11 days. A sum of a few such spans does not overflow.
 const LONGEST: Micros = 1_000_000 * SECOND;
-/// Growth of a window on a clean first-try success (paper: ten percent).
+/// Factor by which a success at the first attempt increases a window (paper: ten percent).
 const GROW: f64 = 1.1;
-/// Shrinking of a window on any push-back (paper: half, at once).
+/// Factor by which a failure or rejection decreases a window (paper: half, at once).
 const SHRINK: f64 = 0.5;
-/// Part of the slots that one destination may hold (design: three quarters).
+/// Share of the call slots that one destination may hold (design: three quarters).
 const CAP: f64 = 0.75;
-/// Part of the slots for a sick destination, and for all sick ones together (design: one half).
+/// Share of the call slots for a faulty destination, and for all faulty destinations together (design: one half).
 const SICK_CAP: f64 = 0.5;
-/// Unreadable answers of one endpoint with no success between that count as its errors.
+/// Number of invalid responses of one endpoint, without a success between them, from which they count as its errors.
 const SPOILT_STREAK: u32 = 3;
-/// Push-backs with no success for so long mean an outage: who fails or refuses a part of its calls is up.
+/// Number of failures without a success, and time without a success, that mean an outage. A route that fails or rejects
+/// only some of its calls is not down.
 const OUTAGE: (u32, Micros) = (3, 1_500_000);
-/// The same where all were refused, with no limit told, and with one: over it a system does that too.
+/// The same if all calls were rejected: without and with a known limit. A route over its limit rejects many calls too.
 const SHUT: [(u32, Micros); 2] = [(3, 4 * SECOND), (8, 6 * SECOND)];
-/// A call is overdue after its usual time plus this many mean deviations (four, as TCP's RTO).
+/// A call is overdue after the mean latency plus this many mean deviations (four, as in TCP's RTO).
 const DEVIATIONS: f64 = 4.0;
-/// Usual time of a destination never heard of, in microseconds: a slow system's answer and a handshake.
+/// Latency assumed before the first answer, in microseconds: that of a slow system, and a handshake.
 const UNKNOWN_USUAL: f64 = 600_000.0;
-/// Least time after which a call is overdue: short pauses of a busy system are no sickness.
+/// Shortest overdue time. Short pauses of a busy system are not a fault.
 const OVERDUE_MIN: Micros = 600_000;
-/// A call is alone that is overdue while its endpoint answers what was sent later: its connection is dead, or
-/// its message takes long. Ends and repeats tell; it is called off while fewer than this share take long.
+/// A call is stalled if it is overdue while its endpoint answers calls sent later: its connection is dead, or its
+/// message takes long. The ends of such calls and of their retries show which. Stalled calls are cancelled while less
+/// than this share of them are slow messages.
 const ALONE_LONG: f64 = 0.3;
-/// Weight of each verdict in that share: one that took long stops it, until one is dead.
+/// Gain of that share: one slow message stops the cancelling until a connection turns out to be dead.
 const ALONE_WEIGHT: f64 = 0.4;
-/// A forwarder with part of a core may stand still for so long: what ends with a deadline ends sooner by it.
+/// Time for which a forwarder with part of a core may be descheduled. Everything with a deadline ends earlier by this
+/// time.
 const STALL: Micros = 50_000;
-/// Bounds of a time-out; below, a pause looks like a hang; above, a hang costs a slot for too long.
+/// Bounds of a time-out. With a lower bound a pause would look like a hang; with a higher one a hanging call would hold
+/// its slot for too long.
 const TIMEOUT_MIN: Micros = 1_500_000;
 const TIMEOUT_MAX: Micros = 6 * SECOND;
-/// A time-out is this many times the overdue time, more after each time-out in a row (as TCP's backoff).
+/// Time-out as a multiple of the overdue time. It doubles with each consecutive time-out (as TCP's backoff).
 const TIMEOUT_OVER_OVERDUE: f64 = 2.0;
-/// Rough weights may be half too high: the true figure is at least this part.
+/// A rough capacity hint may be half too high, so the capacity is at least this fraction of it.
 const ROUGH: f64 = 0.67;
-/// First pause after a push-back with no wait told, doubled for each further one in a row up to the last.
+/// First and longest backoff after a failure without a Retry-After; it doubles with each consecutive failure.
 const PAUSE_FIRST: Micros = 150_000;
 const PAUSE_LAST: Micros = 2 * SECOND;
-/// Part of the cold budget that is used; the rest is for chance: draws scatter, handshakes bunch up.
+/// Fraction of the slow-start budget that is used. The rest is a margin for chance: draws scatter, and handshakes
+/// coincide.
 const BUDGET_SHARE: f64 = 0.8;
-/// Part of max_open that is held free: a full house turns work away unseen.
+/// The limit on open messages divided by this is kept free, because new messages at the limit are rejected regardless
+/// of their priority.
 const SPARE_ROOM: usize = 16;
-/// How many queued messages are looked at for one that can go now; bounds the work of a step.
+/// Number of queued messages that are examined for one that can be sent now; bounds the work of a step.
 const LOOK: usize = 24;
-/// Points that a second of a route's usual time, and a call already out, count for in comparing endpoints.
+/// Costs in points of a second of a route's mean latency, and of a call in flight, in the comparison of endpoints.
 const SECOND_COST: f64 = 0.05;
 const LOAD_COST: f64 = 0.01;
-/// The second's points where a call takes the last slots, for each message held to a slot: all wait longer.
+/// Cost of that second if the call takes the last slot, for each open message per slot, because all of them wait
+/// longer.
 const SLOT_COST: f64 = 0.25;
-/// Points that chance weighs there in a large fleet, and the fleet in which it weighs half: hundreds that see
-/// the same fees would else send to the same endpoint while its sisters stand idle; a few mind their windows.
+/// Weight of chance in a large fleet, in points, and the fleet size at which it has half of that weight. Otherwise
+/// hundreds of forwarders that see the same costs would choose the same endpoint while others are idle. In a small
+/// fleet the windows prevent this.
 const SPREAD_COST: f64 = 0.05;
 const SPREAD_FLEET: f64 = 16.0;
 
-/// Below one call in flight a route is paced, in even parts of the limit told. A refusal takes two fifths;
-/// it grows back by half a second to one part and so many more, shared out among the fleet, and as many
-/// calls are saved up: of a few forwarders one may have nearly all that there is to send.
+/// A route with a share below one call in flight is paced at a multiple of the even share of the limit. A rejection
+/// reduces the multiple by two fifths. It grows by half in each second, up to one plus `EXTRA_SHARES` divided by the
+/// fleet size. As many calls can be saved up, because in a small fleet one forwarder may have nearly all of the
+/// traffic.
 const PACE_SHRINK: f64 = 0.6;
 const PACE_LEAST: f64 = 0.25;
 const PACE_GROW: f64 = 1.5;
@@ -72,10 +82,11 @@
 
 type RouteId = usize;
 type CallId = u64;
-/// Place in a queue: stage (0 in time, 1 late), due time (late: how late, the least first), number.
+/// Rank in a queue: timeliness (0 in time, 1 late), due time (if late: the negated objective, so that the least late
+/// goes first), number.
 type Rank = (u8, Micros, MessageId);
 
-/// One message: what it is, what may have become of it so far, and where it stands in its queue.
+/// A message: its class and times, its attempts so far, and its place in its queue.
 #[derive(Debug, Default)]
 struct Message {
     destination: DestinationId,
@@ -88,13 +99,14 @@
     attempts: u32,
     out: usize,
     called_off: bool,
-    /// Send time, endpoint and zone of the first attempt that may have run.
+    /// Send time, endpoint and zone of the first attempt that may have been executed.
     may_have_run: Option<(Micros, EndpointId, usize)>,
     rank: Option<Rank>,
 }
 
 impl Message {
-    /// Rule of effects: until when it may be sent, given what may have run of it so far.
+    /// Returns until when the message may be sent, which depends on its idempotency and on the first attempt that may
+    /// have been executed.
     fn repeats_until(&self) -> Micros {
         match (self.may_have_run, self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => Micros::MAX,
@@ -116,13 +128,14 @@
     clean: bool,
     judged: bool,
     overdue: bool,
-    /// The message, where it is the only one; whether the call is alone.
+    /// The message if the call has only one.
     only: Option<MessageId>,
     alone: bool,
     written_off: bool,
 }
 
-/// Messages of one order key: those not over in order, and what is still out of those that are.
+/// The messages of one order key that have no final answer, in order of arrival, and the number of attempts in flight
+/// of the others.
 #[derive(Debug, Default)]
 struct KeyLine {
     line: VecDeque<MessageId>,
@@ -138,17 +151,17 @@
     zone: usize,
     kind: DestinationKind,
     usable: bool,
-    /// The list names it no more.
+    /// Whether it is no longer in the list.
     gone: bool,
-    /// What health checks report, and whether they call a sister fitter.
+    /// Result of its health checks, and whether they exclude it because another endpoint passes.
     report: HealthStatus,
     passed_over: bool,
     in_flight: usize,
     idle: Vec<Micros>,
     streak: u32,
-    /// When the latest of the calls was sent that it has answered well.
+    /// Send time of the latest sent call that succeeded.
     answered: Micros,
-    /// Unreadable answers since the last success.
+    /// Number of invalid responses since the last success.
     spoilt: u32,
     avoid_until: Micros,
 }
@@ -169,21 +182,21 @@
     Warming(Micros),
 }
 
-/// One route (a destination, or an endpoint where they are apart): window, pace, health.
+/// One route (a destination, or an endpoint if its endpoints are separate routes): its window, pace and health.
 #[derive(Debug, Default)]
 struct Route {
     window: f64,
-    /// After refusals: time between calls, as a window below one; 0 where none is needed.
+    /// The span from which the next call is drawn after rejections, as a window below one call; 0 if none is needed.
     gap: f64,
-    /// Calls a second in even parts of the limit, and those that may go now.
+    /// The pace as a multiple of the even share, and the calls that may be sent now.
     pace: f64,
     bucket: TokenBucket,
     in_flight: usize,
-    /// Calls out that are overdue, and those given up as lost when the route came back.
+    /// Number of calls in flight that are overdue, and of those presumed lost when the route recovered.
     overdue: usize,
     written_off: usize,
     health: Health,
-    /// Push-backs since the last success, and whether any was more than a refusal.
+    /// Number of failures since the last success, and whether one of them was more than a rejection.
     streak: u32,
     failing: bool,
     timeouts: u32,
@@ -194,16 +207,17 @@
     deviation: f64,
     weight: f64,
     limit: f64,
-    /// Calls of the last `tip_after`.
+    /// Times of the calls in the last `overload_window`.
     sends: VecDeque<Micros>,
-    /// Calls served, and one to come.
+    /// Rate of the calls served; it starts with one call.
     served: RateEstimator,
-    /// The first push-back since the last success, and the last.
+    /// Times of the first and the latest failure since the last success.
     pushed: Option<(Micros, Micros)>,
-    /// Where the budget is under one call: the next draw, and whether the last lets a call go in this step.
+    /// For a budget below one call: the time of the next draw, and the time of the last draw if it allows a call in
+    /// that step.
     draw_at: Micros,
     drawn: Option<Micros>,
-    /// Health checks have left it no endpoint that is fit.
+    /// Whether no endpoint of it passes its health checks.
     unfit: bool,
 }
 
@@ -214,7 +228,7 @@
         Route { window: 1.0, pace: 1.0, bucket, usual, deviation, served, ..Route::default() }
     }
 
-    /// Failing or slow: push-backs in a row, or a call overdue before its time-out has ended.
+    /// Returns whether the route is failing or slow: ejected, with consecutive failures, or with an overdue call.
     fn sick(&self) -> bool {
         self.health == Health::Out || self.streak >= 2 || self.overdue > 0
     }
@@ -223,7 +237,7 @@
         ((self.usual + DEVIATIONS * self.deviation) as Micros).max(OVERDUE_MIN)
     }
 
-    /// Follows the observed service time, with backoff.
+    /// Returns the time-out, which follows the observed latency and has a backoff.
     fn timeout(&self) -> Micros {
         let grown = TIMEOUT_OVER_OVERDUE * self.overdue_after() as f64 * f64::from(1 << self.timeouts.min(2));
         (grown as Micros).clamp(TIMEOUT_MIN, TIMEOUT_MAX)
@@ -237,14 +251,15 @@
         self.usual += 0.125 * (took - self.usual);
     }
 
-    /// This forwarder's part of what the route can do, in calls a second: what it was served before it was
-    /// pushed back (and one, so that all may try); where a capacity is told, half that and half an even part.
+    /// Returns this forwarder's share of the route's capacity, in calls a second: the rate at which it was served
+    /// before the first failure (starting with one call, so that every forwarder may try). If a capacity is known, this
+    /// is averaged with the even share.
     fn share(&self, now: Micros, set: &Settings) -> f64 {
         let own = self.served.rate(self.pushed.map_or(now, |(first, _)| first));
         self.even_part(set).map_or(own, |even| (own + even) / 2.0)
     }
 
-    /// An even part of the capacity that is told, in calls a second.
+    /// Returns the known capacity divided evenly among the fleet, in calls a second.
     fn even_part(&self, set: &Settings) -> Option<f64> {
         let told = match set.capacity_hints {
             CapacityHints::None => self.limit,
@@ -254,7 +269,8 @@
         Some(told / f64::from(set.fleet_size.max(1))).filter(|even| *even > 0.0)
     }
 
-    /// Calls a second where its even part is under one in flight: all windows at their floor would be more.
+    /// Returns the paced rate if the even share is below one call in flight: with all windows at their floor the fleet
+    /// would exceed the capacity.
     fn paced(&self, set: &Settings) -> Option<f64> {
         let floors = |even: &f64| set.fleet_size > 1 && even * self.usual < SECOND as f64;
         self.even_part(set).filter(floors).map(|even| even * self.pace)
@@ -266,7 +282,7 @@
         self.bucket.take(now, rate, most_parts(set), calls);
     }
 
-    /// Push-backs with no success between mean an outage: from here on only trial calls.
+    /// Ejects the route if failures without a success between them mean an outage.
     fn mind_outage(&mut self, now: Micros, set: &Settings) {
         let (streak, silence) =
             if self.failing { OUTAGE } else { SHUT[usize::from(self.paced(set).is_some())] };
@@ -275,7 +291,7 @@
         }
     }
 
-    /// Present capacity that the route is sure to have, as a part of its own; none where nothing binds.
+    /// Returns the present capacity of the route as a share of the full one; `None` if slow start does not limit it.
     fn sure_part(&self, now: Micros, set: &Settings) -> Option<f64> {
         let warm = match self.health {
             Health::Warming(since) if now - since >= set.warm_up_time => return None,
@@ -290,14 +306,14 @@
     }
 }
 
-/// One controller for one forwarder. See [`Controller::step`].
+/// The controller of one forwarder. See [`Controller::step`].
 #[derive(Debug, Default)]
 pub struct Controller {
     set: Settings,
     dice: SeededRng,
     now: Micros,
     messages: BTreeMap<MessageId, Message>,
-    /// Messages with an attempt that ended in this batch, still to be decided on.
+    /// Messages with an attempt that ended in this step and about which no decision has been made yet.
     unsettled: Vec<MessageId>,
     attempts: BTreeMap<(MessageId, u32), (CallId, Option<u64>)>,
     calls: BTreeMap<CallId, Call>,
@@ -309,14 +325,14 @@
     message_wakes: BTreeSet<(Micros, MessageId)>,
     call_wakes: BTreeSet<(Micros, CallId)>,
     timer_at: Micros,
-    /// Share of the calls alone whose message took long.
+    /// Share of the stalled calls whose message was slow.
     long: f64,
-    /// When the forwarder stops, once that is known.
+    /// When the forwarder stops; `None` if it is not shutting down.
     closes_at: Option<Micros>,
 }
 
 impl Controller {
-    /// A controller that has seen nothing; `seed` is its only source of chance.
+    /// Creates a controller without any state; `seed` determines all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Controller {
             set: settings,
@@ -326,8 +342,8 @@
         }
     }
 
-    /// Routes that are out, failing, or back but cold, for [`Event::RouteState`]: forgotten in a restart, messages
-    /// that waited for them would break the rule of returns. An endpoint stands for a route apart.
+    /// Returns the routes that are ejected, failing or warming up, for [`Event::RouteState`]. If a restart lost them,
+    /// messages that waited for them would overload a cold destination. A separate route is named by its endpoint.
     pub fn troubled(&self) -> BTreeSet<RouteRef> {
         let troubled = |route: &Route| match route.health {
             Health::Out => true,
@@ -337,24 +353,24 @@
         let route_id = |destination, endpoint| RouteRef { destination, endpoint };
         let apart = self.endpoints.iter().filter(|(_, place)| place.kind.separate_routes);
         let apart = apart.map(|(id, place)| (route_id(place.destination, Some(*id)), place.route));
-        // A destination in trouble may have no endpoint just now.
+        // A faulty destination may have no endpoint now.
         let shared =
             self.destinations.iter().filter_map(|(id, d)| d.shared.map(|r| (route_id(*id, None), r)));
         apart.chain(shared).filter(|(_, route)| troubled(&self.routes[*route])).map(|(id, _)| id).collect()
     }
 
-    /// The source of chance, as it stands.
+    /// Returns the random number generator in its current state.
     pub fn dice(&self) -> &SeededRng {
         &self.dice
     }
 
-    /// Whether nothing but trial calls goes to an endpoint now.
+    /// Returns whether an endpoint gets only trial calls or no calls now.
     pub fn avoids(&self, id: EndpointId) -> bool {
         let avoided = |e: &Endpoint| !e.usable || e.passed_over || self.routes[e.route].health == Health::Out;
         self.endpoints.get(&id).is_none_or(avoided)
     }
 
-    /// Takes in all events of a batch, then decides once. `now` never goes back.
+    /// Applies all events of a step, then decides once. `now` must not decrease from one step to the next.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         events.iter().for_each(|event| self.take_in(event));
@@ -401,7 +417,7 @@
                 let meant = places.filter(|place| endpoint.is_none_or(|only| only == **place));
                 let mut routes: Vec<RouteId> = meant.map(|e| self.endpoints[e].route).collect();
                 if routes.is_empty() && endpoint.is_none() {
-                    // One without endpoints just now keeps what is known for those to come.
+                    // A destination that has no endpoints now keeps the state for endpoints that are added later.
                     routes.push(self.new_route(None));
                     self.destinations.entry(*id).or_default().shared = Some(routes[0]);
                 }
@@ -440,8 +456,9 @@
         told.into_iter().for_each(|destination| self.mind_reports(destination));
     }
 
-    /// Health checks: a critical endpoint is passed over while its destination has a fit one. A route left
-    /// with none is out until a call ends well: calls overrule a bad report, and no good one opens it.
+    /// Applies the health checks of a destination. A critical endpoint is excluded while another endpoint passes. A
+    /// route without a passing endpoint is ejected until a call succeeds: a success overrules a failing health check,
+    /// and a passing health check alone ends no ejection.
     fn mind_reports(&mut self, destination: DestinationId) {
         let Some(ids) = self.destinations.get(&destination).map(|d| d.endpoints.clone()) else { return };
         let places = ids.iter().map(|id| &self.endpoints[id]);
@@ -454,7 +471,7 @@
             let route = &mut self.routes[place.route];
             let unfit = !fit.contains(&place.route) && (critical || route.unfit);
             if unfit && !route.unfit {
-                // As a push-back: a call sent before it shows nothing by ending well.
+                // This counts as a failure, so the success of a call sent before it proves nothing.
                 route.health = Health::Out;
                 route.pushed = Some((route.pushed.map_or(self.now, |(first, _)| first), self.now));
             }
@@ -494,10 +511,10 @@
         self.endpoints.insert(entry.endpoint, place);
     }
 
-    /// A new endpoint with no other beside it starts anew: what those before it did is not its doing.
-    /// Two things are the destination's own: a wait that it told, and that it comes back cold.
+    /// Creates a route. A new endpoint without others does not inherit what the endpoints before it have shown. Two
+    /// properties belong to the destination and are copied: its Retry-After, and that it returns cold.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
-        // A large fleet that starts together does not send its first calls together.
+        // The random part keeps a large fleet that starts together from sending its first calls together.
         let mut new = Route::new(self.now, most_parts(&self.set) - self.dice.uniform());
         if let Some(before) = before.map(|route| &self.routes[route]) {
             new.wait_until = before.wait_until;
@@ -515,7 +532,7 @@
         place
     }
 
-    /// Endpoints that are gone are forgotten once nothing of theirs is out and no wait of theirs runs.
+    /// Drops removed endpoints that have no calls in flight and whose Retry-After has ended.
     fn forget_gone(&mut self) {
         self.endpoints.retain(|id, place| {
             let wait = self.routes[place.route].wait_until;
@@ -527,19 +544,20 @@
         });
     }
 
-    /// A message's last moment for an answer: two ticks and a stall before its deadline.
+    /// Returns the last time for a message's final answer: two ticks and a scheduling margin before its deadline.
     fn last_call_for(&self, message: &Message) -> Micros {
         message.deadline.saturating_sub(2 * self.set.tick + STALL)
     }
 
-    /// Puts a message into its queue, if it is its turn and nothing of it is out.
+    /// Puts a message into its queue if it is its turn and it has no attempt in flight.
     fn enqueue(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if message.out > 0 || message.rank.is_some() {
             return;
         }
         if let Some(line) = message.key.and_then(|key| self.keys.get(&key)) {
-            // Rule of order: one at a time, in turn, after a rest for what may still be running.
+            // Messages of an order key are sent one at a time, in turn, and after a cooldown for an attempt that may
+            // still be running.
             if line.line.front() != Some(&id) || line.strays > 0 {
                 return;
             }
@@ -551,8 +569,8 @@
         self.rank(id);
     }
 
-    /// Order of worth still to be saved: in time before late; within these by due time, drawn nearer for
-    /// what loses more by being late.
+    /// Gives a message its rank by the weight that can still be saved: messages in time before late ones, and within
+    /// these by due time, which is earlier for messages that lose more weight by being late.
     fn rank(&mut self, id: MessageId) {
         let least = self.set.classes.iter().map(stake).fold(f64::INFINITY, f64::min);
         self.unqueue(id);
@@ -560,7 +578,8 @@
         let weight = (stake(&message.class) / least.max(1e-6)).clamp(1.0, 10.0);
         let given = message.aim_at - message.class.latency_objective;
         let stage = u8::from(self.now >= message.aim_at);
-        // In time the first due goes first; of those that are late the last, which has lost least.
+        // In time, the message that is due first goes first; of late messages the least late, which has lost the least
+        // weight.
         let due = given + (message.class.latency_objective as f64 / weight) as Micros;
         let due = if stage == 0 { due } else { -message.aim_at };
         let looks = if stage == 0 { message.aim_at } else { message.deadline };
@@ -575,7 +594,7 @@
         self.destinations.entry(message.destination).or_default().queue.remove(&rank);
     }
 
-    /// A message is over: out of its queue and its key's line.
+    /// Removes a message that has its final answer from its queue and its order key.
     fn forget(&mut self, id: MessageId) {
         self.unqueue(id);
         let Some(message) = self.messages.remove(&id) else { return };
@@ -596,13 +615,13 @@
         }
     }
 
-    /// Rule of effects: may this message be sent again, given what became of it so far?
+    /// Returns whether the message may be sent again, given its attempts so far.
     fn may_send(&self, message: &Message) -> bool {
         let spent = self.set.max_attempts > 0 && message.attempts >= self.set.max_attempts;
         !spent && self.now < message.repeats_until()
     }
 
-    /// Rule of effects: a refusal promises that trying again is harmless.
+    /// Returns whether the message may be rejected. A rejection promises that sending it again is harmless.
     fn may_refuse(&self, message: &Message) -> bool {
         match message.class.idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
@@ -612,7 +631,7 @@
         }
     }
 
-    /// The one final answer of a message that is given up, at once: a refusal where it is harmless.
+    /// Gives a message that is given up its final answer at once: a rejection if that is harmless, otherwise a failure.
     fn give_up(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         let refusal = Action::Reject { id, retry_after: self.pause_advice(message.destination) };
@@ -620,7 +639,8 @@
         self.forget(id);
     }
 
-    /// When a client should come back: after the wait, and after what is queued now is served.
+    /// Returns the Retry-After for a client: the time until the destination accepts calls again and has served what is
+    /// queued now.
     fn pause_advice(&self, id: DestinationId) -> Micros {
         let Some(destination) = self.destinations.get(&id) else { return 0 };
         let routes = destination.endpoints.iter().filter_map(|e| self.endpoints.get(e)).map(|e| e.route);
@@ -632,7 +652,7 @@
         opens.saturating_add(drain).clamp(0, most)
     }
 
-    /// After an attempt has ended without success: back into the queue, or a final answer.
+    /// Decides after an attempt has ended without success: the message returns to its queue or gets a final answer.
     fn go_on_with(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         if message.out > 0 {
@@ -645,7 +665,8 @@
         }
     }
 
-    /// A full house turns work away unseen, so the least worth goes first: from the longest queue, its last.
+    /// Sheds the messages with the lowest priority, the last of the longest queue, because new messages at the limit
+    /// are rejected regardless of their priority.
     fn make_room(&mut self, actions: &mut Vec<Action>) {
         let most = self
             .set
@@ -675,8 +696,8 @@
             let long = if again { overdue } else { outcome == Outcome::Success };
             self.long += ALONE_WEIGHT * (f64::from(long) - self.long);
         }
-        // Rule of waits: told to wait, nothing goes to this route; each message of a call may tell. A
-        // destination's wait holds for the endpoints that have come since, too.
+        // Nothing is sent to a route during its Retry-After, and each message of a call may set one. The Retry-After of
+        // a destination also applies to endpoints that have been added since.
         let shared =
             self.endpoints.get(&endpoint).and_then(|e| self.destinations.get(&e.destination)?.shared);
         for route in [Some(call.route), shared].into_iter().flatten() {
@@ -708,8 +729,8 @@
         self.next_of_key(key);
     }
 
-    /// An answer that cannot be read shows that the endpoint is there and serves: it pushes nothing
-    /// back. Only several in a row, with no success between, are laid to it as errors are.
+    /// Counts invalid responses. A single one shows that the endpoint is there and serves, so it is ignored. Only
+    /// several in a row, without a success between them, count as errors of the endpoint.
     fn is_noise(&mut self, endpoint: EndpointId, outcome: Outcome) -> bool {
         let Some(place) = self.endpoints.get_mut(&endpoint) else { return false };
         let spoilt = outcome == Outcome::InvalidResponse;
@@ -732,7 +753,7 @@
         self.destinations.entry(place.destination).or_default().in_flight -= 1;
     }
 
-    /// One verdict for one call: the window, the waits and the health of its route.
+    /// Applies the outcome of one call to the window, the pauses and the health of its route.
     fn judge(
         &mut self,
         endpoint: EndpointId,
@@ -754,13 +775,14 @@
             }
             (route.gap, route.pause_until) = (0.0, 0);
             route.served.record(self.now);
-            // A call sent before the last push-back tells nothing of the time after it, unless it took long.
+            // The success of a call sent before the latest failure does not show that the route serves, unless that
+            // failure is at least `overload_window` ago.
             if route
                 .pushed
                 .is_none_or(|(_, last)| sent >= last || self.now - last >= self.set.overload_window)
             {
                 let cold = route.sure_part(self.now, &self.set).is_some();
-                // Refused all at once, then in a pause: no later refusal came that would show the outage.
+                // A fleet that is rejected all at once pauses, so no later rejection shows the outage.
                 let shut = !route.failing && self.set.fleet_size > 1 && route.even_part(&self.set).is_none();
                 let shut = shut && route.streak >= SHUT[1].0 && self.now - route.last_ok >= SHUT[1].1;
                 let back = shut || route.health == Health::Out || cold && route.pushed.is_some();
@@ -775,7 +797,7 @@
         }
         route.pushed = Some((route.pushed.map_or(self.now, |(first, _)| first), self.now));
         if outcome == Outcome::Rejected && route.health == Health::Good {
-            // What was saved up is gone, and those refused together do not come back together.
+            // The saved-up calls are discarded, and forwarders that are rejected together do not return together.
             let saved = |rate| route.bucket.available(self.now, rate, most_parts(&self.set));
             let saved = route.paced(&self.set).map_or(0.0, saved);
             route.pay(self.now, &self.set, saved.max(0.0) + self.dice.uniform());
@@ -784,15 +806,15 @@
         let at_floor = route.window < 2.0;
         route.window = (route.window * SHRINK).max(1.0);
         let turned_away = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
-        // Where no limit is told, nothing else holds a fleet back from what refused connections.
+        // If no limit is known, only failed connections hold a fleet back from a route that refuses them.
         route.failing |= !turned_away || outcome != Outcome::Rejected && route.paced(&self.set).is_none();
         route.streak += u32::from(!was_overdue);
         route.timeouts += u32::from(outcome == Outcome::Timeout);
         if at_floor && outcome != Outcome::Timeout && (turned_away || route.streak >= 2) {
-            // Halving goes on below one call: the next is drawn from a span, so a fleet pushed back together
-            // does not return together, and refused calls leave a limit for others. From the second push-back
-            // on the span keeps to this forwarder's part of a cold budget (`budget`); after the first it is
-            // half that. Twice that span is enough where a limit is told; else it is two message lives.
+            // The halving continues below one call: the next call is drawn from a span, so a fleet that failed together
+            // does not return together, and fewer rejected calls use up a limit that others share. From the second
+            // failure on, the span keeps to this forwarder's part of a cold budget (`call_budget`); after the first it
+            // is half that. The maximum is twice that span if a limit is known, otherwise two message lifetimes.
             let life = self.set.classes.iter().map(|c| c.deadline).fold(PAUSE_FIRST, Micros::max) as f64;
             let cold = (BUDGET_SHARE / SHRINK * self.set.overload_factor * self.set.cold_capacity_share)
                 .clamp(0.1, 1.0);
@@ -802,7 +824,8 @@
             route.pause_until = self.now + (self.dice.uniform() * route.gap) as Micros;
         } else if outcome != Outcome::Timeout {
             let pause = (PAUSE_FIRST << (route.streak.saturating_sub(1)).min(8)).min(PAUSE_LAST);
-            // A wait told is enough for a few; of many, those told the same come after it one by one.
+            // A Retry-After is enough for a small fleet. In a large fleet the forwarders with the same Retry-After are
+            // spread after it.
             let others = f64::from(self.set.fleet_size.saturating_sub(1));
             let spread = pause as f64 * others / (others + SPREAD_FLEET);
             route.pause_until = self.now
@@ -818,7 +841,7 @@
         route.mind_outage(self.now, &self.set);
     }
 
-    /// The first success after an outage: what is still out is taken as lost, and the ramp starts.
+    /// Starts the ramp at the first success after an outage. Calls still in flight are presumed lost.
     fn come_back(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         route.health = Health::Warming(self.now);
@@ -835,7 +858,7 @@
             self.message_wakes.pop_first();
             let Some(message) = self.messages.get(&id) else { continue };
             if self.now >= self.last_call_for(message) {
-                // Rule of answers: time is up; what is out is cut to the deadline and answers by itself.
+                // Time is up. Attempts in flight have time-outs limited by the deadline and end by themselves.
                 self.give_up(id, actions);
             } else if message.rank.is_some() {
                 if self.may_send(message) { self.rank(id) } else { self.give_up(id, actions) }
@@ -848,7 +871,7 @@
         {
             self.call_wakes.pop_first();
             self.call_off(id, actions);
-            // A hang shows before its time-out: an overdue call marks its route sick at once.
+            // An overdue call makes its route faulty before it times out.
             let Some(call) = self.calls.get_mut(&id).filter(|c| !c.judged) else { continue };
             self.call_wakes.insert((self.now + OVERDUE_MIN / 2, id));
             if !std::mem::replace(&mut call.overdue, true) {
@@ -861,7 +884,7 @@
         }
     }
 
-    /// Calls off a call that is alone, where that helps and its message may go again: its slot is free.
+    /// Cancels a stalled call if that helps and its message may be sent again. This frees its slot.
     fn call_off(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.judged) else { return };
         let half = call.sent + (self.now - call.sent) / 2;
@@ -889,7 +912,8 @@
         }
     }
 
-    /// When a route's waits, pauses and budget let the next call go (its window may still be full).
+    /// Returns when Retry-After, backoff, pace and budget allow the next call. The window may still be full at that
+    /// time.
     fn opens_at(&self, id: RouteId) -> Micros {
         let route = &self.routes[id];
         let budget = match self.budget(id) {
@@ -903,11 +927,12 @@
         route.wait_until.max(route.pause_until).max(budget).max(paced).max(self.now)
     }
 
-    /// Calls that this forwarder may send to a route that is out or cold, in any span of `tip_after`.
-    /// Return rule, argued from the settings: a route serves no more than it can, so the parts (`share`)
-    /// sum to no more than that, and these parts of `fall_multiple` x present capacity x `tip_after` to no
-    /// more than the rule allows, whoever holds messages, be they retries or turned away.
-    /// Capacity is cold until a success that is news, and has risen since: the return came before it.
+    /// Returns the calls that this forwarder may send to an ejected or cold route in any span of `overload_window`. A
+    /// route serves no more than its capacity, so the shares (`own_share`) of all forwarders add up to no more than
+    /// that. The budgets, each a share of `overload_factor` x present capacity x `overload_window`, therefore add up to
+    /// no more than the route can take, whichever forwarder has the messages, and for first attempts and retries alike.
+    /// The capacity counts as cold until a success that was sent after the failures, and grows from then on; the actual
+    /// recovery came earlier.
     fn budget(&self, id: RouteId) -> Option<f64> {
         let (route, set) = (&self.routes[id], &self.set);
         let part = route.sure_part(self.now, set)?;
@@ -915,7 +940,8 @@
         Some(BUDGET_SHARE * rate * set.overload_window as f64 / SECOND as f64)
     }
 
-    /// Under one call, chance decides, twice in a span of `tip_after`; a lull saves up nothing for later.
+    /// Draws twice in `overload_window` whether a call may be sent if the budget is below one call. A pause saves up
+    /// nothing.
     fn draw_budgets(&mut self) {
         let waiting = self.destinations.values().filter(|d| !d.queue.is_empty());
         for id in waiting.flat_map(|d| &d.endpoints).map(|e| self.endpoints[e].route).collect::<Vec<_>>() {
@@ -926,13 +952,14 @@
         }
     }
 
-    /// Whole calls that the route's window and its state still allow.
+    /// Returns whether the route's window and state allow one more call.
     fn has_room(&self, id: RouteId, destination: &Destination) -> bool {
         let route = &self.routes[id];
         let half = ((self.set.max_calls as f64 * SICK_CAP) as usize).max(1);
         let cap = if route.sick() { half } else { ((self.set.max_calls as f64 * CAP) as usize).max(1) };
         let held = || self.routes.iter().filter(|r| r.sick()).map(|r| r.in_flight).sum::<usize>();
-        // A call still out when the forwarder stops may have run: an unsafe message would be lost with it.
+        // A call in flight when the forwarder stops may have been executed, and a non-idempotent message would be lost
+        // with it.
         let late = self.closes_at.is_some_and(|at| self.now + route.overdue_after() > at);
         let full = late || destination.in_flight >= cap || (route.sick() && held() >= half);
         if full || self.opens_at(id) > self.now {
@@ -944,9 +971,9 @@
         route.in_flight - route.written_off < route.window as usize
     }
 
-    /// Rule of drains: nothing new to an endpoint that drains or is gone, from the moment it was told.
-    /// Where calls carry batches, part of one waits while a call is out (as Nagle's rule): many small calls
-    /// use up a limit for other forwarders too. It may hurt by one service time where nothing is short.
+    /// Returns whether an endpoint takes a call now. A draining or removed endpoint gets no new calls from the time of
+    /// the event. A partial batch waits while a call is in flight (as in Nagle's algorithm), because many small calls
+    /// use up a limit that other forwarders share. Where nothing is scarce this may cost one service time.
     fn takes(&self, place: &Endpoint, destination: &Destination) -> bool {
         let route = &self.routes[place.route];
         let idle = route.in_flight <= route.overdue.max(route.written_off);
@@ -959,7 +986,7 @@
             || place.idle.last().is_some_and(|since| self.now - since < self.set.idle_timeout)
     }
 
-    /// Endpoints for a message now: usable, with room, allowed by what became of it so far.
+    /// Iterates over the endpoints to which a message may go now: they take a call, and the attempts so far allow them.
     fn fit<'a>(&'a self, message: &'a Message) -> impl Iterator<Item = (EndpointId, &'a Endpoint)> {
         let destination = self.destinations.get(&message.destination).filter(|_| self.may_send(message));
         destination.into_iter().flat_map(move |d| {
@@ -968,7 +995,7 @@
         })
     }
 
-    /// The best of these by cost and chance; chance alone would go by weight.
+    /// Chooses the endpoint with the lowest cost. Chance alone would choose in proportion to capacity.
     fn choose(&mut self, message: MessageId) -> Option<EndpointId> {
         let mut draws = self.dice.clone();
         let message = self.messages.get(&message)?;
@@ -982,7 +1009,7 @@
         best
     }
 
-    /// Points that a call there costs: handshake, zone, fee, slowness; load and sickness weigh in too.
+    /// Returns the cost of a call to an endpoint in points: connection, zone, latency, calls in flight and faults.
     fn cost(&self, place: &Endpoint) -> f64 {
         let (route, set) = (&self.routes[place.route], &self.set);
         let short = f64::from(self.calls.len() + 1 >= set.max_calls);
@@ -998,7 +1025,8 @@
             + f64::from(place.avoid_until > self.now || place.report == HealthStatus::Warning)
     }
 
-    /// Rule of effects: a keyed message that may have run goes only where its repeat is dropped.
+    /// Returns whether a message may go to an endpoint. A message with an idempotency key that may have been executed
+    /// goes only to endpoints that drop its repeat.
     fn in_group(&self, message: &Message, id: EndpointId, place: &Endpoint) -> bool {
         let Some((_, first, zone)) = message.may_have_run else { return true };
         match message.class.idempotency {
@@ -1010,7 +1038,7 @@
         }
     }
 
-    /// The first message of a queue that can go now.
+    /// Returns the first message of a queue that can be sent now.
     fn next_of(&self, destination: &Destination) -> Option<Rank> {
         if !destination.endpoints.iter().any(|e| self.takes(&self.endpoints[e], destination)) {
             return None;
@@ -1030,7 +1058,7 @@
         }
     }
 
-    /// One call to an endpoint: the message given, and others of its queue as far as a call takes them.
+    /// Sends one call to an endpoint: the given message, and others of its queue up to the greatest batch of a call.
     fn send_call(&mut self, first: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         let Some(place) = self.endpoints.get(&endpoint) else { return };
         let trial = self.routes[place.route].health == Health::Out;
@@ -1077,7 +1105,7 @@
         let Some(route) = self.endpoints.get(&endpoint).map(|e| e.route) else { return };
         let Some(message) = self.messages.get_mut(&id) else { return };
         let left = (message.deadline - self.now - self.set.tick - STALL).max(1);
-        // An unsafe message too: timed out it has failed, but a hung one would keep a slot from all others.
+        // A non-idempotent message has a time-out too. It fails by it, but a hanging call would occupy its slot.
         let timeout = self.routes[route].timeout().min(left);
         self.attempts.insert((id, message.attempts), (self.next_call, message.key));
         message.attempts += 1;
@@ -1086,12 +1114,12 @@
     }
 }
 
-/// What a message loses by coming late.
+/// Returns the weight that a message loses by being late.
 fn stake(class: &Class) -> f64 {
     class.priority_weight * (1.0 - class.late_weight_share)
 }
 
-/// Even parts of a limit that a route is paced at, and calls that it saves up, at most.
+/// Returns the highest multiple of the even share at which a route is paced, which is also the most calls saved up.
 fn most_parts(set: &Settings) -> f64 {
     1.0 + PACE_FLEET / f64::from(set.fleet_size.max(1))
 }
--- a/crates/core/tests/reference/mod.rs
+++ b/crates/core/tests/reference/mod.rs
@@ -1,4 +1,5 @@
-//! The decision module as it was when each step walked all destinations, and random events to compare with it.
+//! A reference implementation of the controller, which examines all destinations in each step, and random events to
+//! compare it with the controller.
 #![allow(dead_code)]
 
 pub mod control;
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -1,5 +1,5 @@
-//! Random events for the decision module: destinations that are mostly down, lists, outcomes, stops. Nothing is
-//! modelled beyond what makes the events legal: an attempt ends once, and only after its send.
+//! Generates random events for the controller: destinations that are mostly down, lists, outcomes, shutdowns. It
+//! simulates only what makes the events legal: an attempt ends once, and only after it was sent.
 
 use orchidyoke_core::interface::*;
 use orchidyoke_core::rng::SeededRng;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Settings of one of several shapes, chosen by the draws.
+/// Returns settings that are drawn from several variants.
 pub fn settings(dice: &mut Chance) -> Settings {
     let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: 4 * S };
     let tip_after = dice.of(&[500 * MS, 2 * S, 5 * S]);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Draws for the events.
+/// The random draws for the events.
 pub struct Chance(SeededRng);
 
 impl Chance {
@@ -89,7 +89,7 @@
     }
 }
 
-/// How a destination answers just now.
+/// The way in which a destination currently answers.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     Serves,
@@ -107,7 +107,7 @@
     outcome: Outcome,
 }
 
-/// What there is around the module, and the events that it makes.
+/// The forwarder around the controller, which generates its events and carries out its actions.
 pub struct World {
     pub now: Micros,
     pub settings: Settings,
@@ -117,7 +117,7 @@
     entries: BTreeMap<EndpointId, EndpointUpdate>,
     next_endpoint: EndpointId,
     next_message: MessageId,
-    /// Messages that are not over, with the number of the next attempt.
+    /// Messages without a final answer: their destination and the number of their next attempt.
     open: BTreeMap<MessageId, (DestinationId, u32)>,
     ends: BTreeSet<(Micros, u64)>,
     attempts: BTreeMap<u64, Attempt>,
@@ -126,12 +126,12 @@
     pub counts: Counts,
 }
 
-/// How much the events of a run have asked for.
+/// Counts that show how much a run has exercised.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub sent: u64,
     pub given_up: u64,
-    /// Over all steps: destinations, and those with a message that is not over.
+    /// Summed over all steps: all destinations, and those with a message without a final answer.
     pub destinations: u64,
     pub with_messages: u64,
 }
@@ -191,7 +191,7 @@
         let endpoint = self.next_endpoint;
         self.next_endpoint += 1;
         let known = self.entries.values().find(|entry| entry.destination == destination).map(|e| e.kind);
-        // Mostly one kind for a destination; a configuration may change it.
+        // Most endpoints of a destination have one kind; a change of the configuration may change it.
         let kind = known.filter(|_| !self.chance.one_in(20));
         let kind = kind.unwrap_or(self.chance.below(KINDS as u64) as usize);
         let entry = EndpointUpdate {
@@ -207,7 +207,7 @@
         entry
     }
 
-    /// Time goes on: to the next timer, to the next end of an attempt, or by some span.
+    /// Advances the time: to the next timer, to the next end of an attempt, or by some span.
     fn pass_time(&mut self) {
         let timer = self.timers.first().map(|(at, _)| *at);
         let end = self.ends.first().map(|(at, _)| *at);
@@ -223,7 +223,7 @@
         self.now = self.now.max(next.min(self.now + 3 * S));
     }
 
-    /// The events of the next step.
+    /// Returns the events of the next step.
     pub fn next_events(&mut self) -> Vec<Event> {
         let open: BTreeSet<DestinationId> = self.open.values().map(|(id, _)| *id).collect();
         self.counts.with_messages += open.len() as u64;
@@ -258,7 +258,7 @@
     fn message(&mut self, events: &mut Vec<Event>) {
         let id = self.next_message;
         self.next_message += 1;
-        // One destination that the list does not know, now and then.
+        // Sometimes the message is for a destination that the list does not contain.
         let unlisted = u64::from(self.chance.one_in(30));
         let destination = 1 + self.chance.below(self.destinations + unlisted);
         let class = self.chance.below(CLASSES as u64 + 1) as usize;
@@ -292,7 +292,7 @@
         Event::AttemptHistory { id, attempts, possible_delivery: may_have_run }
     }
 
-    /// What became of a message that waits without an attempt, told after its queue was looked at.
+    /// Returns the attempt history of a message that waits without an attempt, after its queue has been examined.
     fn late_history(&mut self) -> Option<Event> {
         let waiting = self.open.iter().find(|(_, (_, next))| *next == 0);
         let (id, destination) = waiting.map(|(id, (destination, _))| (*id, *destination))?;
@@ -319,7 +319,7 @@
                 self.settings = Settings { classes, kinds, ..fresh };
                 Some(Event::Settings(Box::new(self.settings.clone())))
             }
-            // A stop is the end of most, unless another moment is told; so it is rare.
+            // After a shutdown event most calls stop, unless a later event sets another time. So it is rare.
             8 if self.chance.one_in(200) => Some(Event::ShuttingDown { time_left: self.chance.span(20 * S) }),
             9 | 10 => {
                 let place = self.chance.below(self.open.len() as u64) as usize;
@@ -369,7 +369,7 @@
                 _ => entry.health = HealthStatus::Critical,
             }
             if entry.destination == self.entries[&entry.endpoint].destination {
-                // One that is gone may come back in a later list.
+                // A removed endpoint may return in a later list.
                 let kept = if entry.state == EndpointState::Removed && self.chance.one_in(2) {
                     None
                 } else {
@@ -411,7 +411,7 @@
         }))
     }
 
-    /// Carries out what the module has decided.
+    /// Carries out the actions of the controller.
     pub fn carry_out(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -461,12 +461,12 @@
         self.next_attempt += 1;
     }
 
-    /// All endpoints that were ever listed, and one that was not.
+    /// Returns the numbers of all endpoints that were ever listed, and one that was not.
     pub fn endpoints(&self) -> std::ops::RangeInclusive<EndpointId> {
         1..=self.next_endpoint
     }
 
-    /// The first list.
+    /// Returns the event with the first endpoint list.
     pub fn first_list(&self) -> Vec<Event> {
         let entries = self.entries.values().copied().collect();
         vec![Event::EndpointList { kind: ListEventKind::Restored, entries }]
