--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,13 +7,13 @@
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(class_idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 2500 * MS,
         deadline: 16 * S,
         priority_weight: 1.0,
         late_weight_share: 0.5,
-        idempotency: effect,
+        idempotency: class_idempotency,
         keep_order: false,
     }
 }
@@ -74,7 +74,7 @@
 pub struct Harness {
     pub controller: Controller,
     pub now: Micros,
-    pub next: MessageId,
+    pub last_message_id: MessageId,
     pub attempts: std::collections::BTreeMap<MessageId, u32>,
 }
 
@@ -83,7 +83,7 @@
         let mut harness = Harness {
             controller: Controller::new(settings, 7),
             now: S,
-            next: 0,
+            last_message_id: 0,
             attempts: std::collections::BTreeMap::new(),
         };
         harness.list(ListEventKind::Restored, entries);
@@ -101,8 +101,8 @@
         actions
     }
 
-    pub fn list(&mut self, form: ListEventKind, entries: &[EndpointUpdate]) -> Vec<Action> {
-        self.step(&[Event::EndpointList { kind: form, entries: entries.to_vec() }])
+    pub fn list(&mut self, event_kind: ListEventKind, entries: &[EndpointUpdate]) -> Vec<Action> {
+        self.step(&[Event::EndpointList { kind: event_kind, entries: entries.to_vec() }])
     }
 
     pub fn message(&mut self, destination: DestinationId, class: usize) -> Event {
@@ -110,8 +110,8 @@
     }
 
     pub fn message_with_key(&mut self, destination: DestinationId, class: usize, key: Option<u64>) -> Event {
-        self.next += 1;
-        let (id, time_left) = (self.next, 16 * S);
+        self.last_message_id += 1;
+        let (id, time_left) = (self.last_message_id, 16 * S);
         Event::Message { id, destination, class, tenant: 0, order_key: key, time_left, is_retry: false }
     }
 
--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -30,13 +30,13 @@
         harness.warm_up(1, 15);
         let sent = sends(&harness.submit(1, 0, 9));
         assert_eq!(sent.len(), 4, "1.1^15 is more than four");
-        let mut after = Vec::new();
+        let mut sent_after = Vec::new();
         for (id, ..) in &sent[1..] {
-            after.extend(sends(&harness.end_attempt(*id, outcome)));
+            sent_after.extend(sends(&harness.end_attempt(*id, outcome)));
         }
-        after.extend(sends(&harness.end_attempt(sent[0].0, Outcome::Success)));
-        after.extend(sends(&harness.advance(2 * S)));
-        assert_eq!(after.len(), 1, "{outcome:?}: three failures reduce the window to its floor");
+        sent_after.extend(sends(&harness.end_attempt(sent[0].0, Outcome::Success)));
+        sent_after.extend(sends(&harness.advance(2 * S)));
+        assert_eq!(sent_after.len(), 1, "{outcome:?}: three failures reduce the window to its floor");
     }
 }
 
@@ -52,8 +52,8 @@
     harness.end_attempt(id, Outcome::Success);
     for _ in 0..10 {
         let mut event = harness.message(1, 0);
-        if let Event::Message { is_retry: repeat, .. } = &mut event {
-            *repeat = true;
+        if let Event::Message { is_retry: marked_as_retry, .. } = &mut event {
+            *marked_as_retry = true;
         }
         let id = sends(&harness.step(&[event]))[0].0;
         harness.end_attempt(id, Outcome::Success);
@@ -132,8 +132,8 @@
     harness.warm_up(7, 8);
     let sent = sends(&harness.submit(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window allows two calls");
-    let over = harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
-    assert_eq!(failed(&over), [sent[0].0], "it may have been executed");
+    let actions = harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
+    assert_eq!(failed(&actions), [sent[0].0], "it may have been executed");
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
     let sent = sends(&harness.submit(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window still allows two calls");
@@ -170,7 +170,7 @@
 
 // Guards against memory that grows with the number of endpoints that have ever been listed.
 #[test]
-fn removed_endpoints_are_forgotten() {
+fn removed_endpoints_free_their_memory() {
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0), entry(2, 8, 0, 1)]);
     let mut sizes = Vec::new();
     for id in 1..200 {
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -4,28 +4,33 @@
 mod reference;
 
 use orchidyoke_core::Controller;
-use reference::control::Controller as Walking;
+use reference::control::Controller as ReferenceController;
 use reference::world::{Counts, World};
 
 const STEPS: usize = 2_000;
 
 fn compare(seed: u64) -> Counts {
     let mut world = World::new(seed);
-    let mut indexed = Controller::new(world.settings.clone(), seed);
-    let mut walking = Walking::new(world.settings.clone(), seed);
+    let mut controller = Controller::new(world.settings.clone(), seed);
+    let mut reference_controller = ReferenceController::new(world.settings.clone(), seed);
     let mut events = world.first_list();
     for step in 0..STEPS {
         let (mut expected, mut actions) = (Vec::new(), Vec::new());
-        walking.step(world.now, &events, &mut expected);
-        indexed.step(world.now, &events, &mut actions);
-        let place = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
-        assert_eq!(actions, expected, "actions of {place}");
-        assert_eq!(indexed.rng(), walking.dice(), "draws of {place}");
-        assert_eq!(indexed.faulty_routes(), walking.troubled(), "faulty after {place}");
+        reference_controller.step(world.now, &events, &mut expected);
+        controller.step(world.now, &events, &mut actions);
+        let context = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
+        assert_eq!(actions, expected, "actions of {context}");
+        assert_eq!(controller.rng(), reference_controller.rng(), "draws of {context}");
+        assert_eq!(
+            controller.faulty_routes(),
+            reference_controller.faulty_routes(),
+            "faulty after {context}"
+        );
         if step % 20 == 0 {
-            let differs =
-                world.endpoints().find(|id| indexed.gets_no_regular_calls(*id) != walking.avoids(*id));
-            assert_eq!(differs, None, "endpoint without regular calls after {place}");
+            let differs = world.endpoints().find(|id| {
+                controller.gets_no_regular_calls(*id) != reference_controller.gets_no_regular_calls(*id)
+            });
+            assert_eq!(differs, None, "endpoint without regular calls after {context}");
         }
         world.carry_out(&expected);
         events = world.next_events();
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use orchidyoke_core::endpoint_list::{EndpointList, EndpointState, WatchEvent};
 
-fn line(rev: u64, all: bool, uid: &str, state: &str) -> String {
+fn event_json(rev: u64, all: bool, uid: &str, state: &str) -> String {
     format!(
         "{{\"rev\":{rev},\"all\":{all},\"targets\":[{{\"uid\":\"{uid}\",\"endpoint\":\"127.0.0.1:8000\",\
          \"az\":\"a\",\"model\":\"m\",\"pod_group\":3,\"state\":\"{state}\",\"capacity_hint\":1.0,\
@@ -14,13 +14,13 @@
 #[test]
 fn endpoint_missing_from_a_snapshot_is_removed() {
     let event = |text: &str| serde_json::from_str::<WatchEvent>(text).expect("a watch event");
-    let mut map = EndpointList::default();
-    map.apply(&event(&line(1, true, "s1", "in_service")));
-    map.apply(&event(&line(2, false, "s2", "in_service")));
-    assert!(map.get("s1").is_some() && map.get("s2").is_some());
-    map.apply(&event(&line(3, true, "s2", "terminating")));
-    assert!(map.get("s1").is_none());
-    assert_eq!(map.get("s2").map(|t| t.state), Some(EndpointState::Draining));
-    map.apply(&event(&line(4, false, "s2", "terminated")));
-    assert!(map.get("s2").is_none() && map.version() == 4);
+    let mut list = EndpointList::default();
+    list.apply(&event(&event_json(1, true, "s1", "in_service")));
+    list.apply(&event(&event_json(2, false, "s2", "in_service")));
+    assert!(list.get("s1").is_some() && list.get("s2").is_some());
+    list.apply(&event(&event_json(3, true, "s2", "terminating")));
+    assert!(list.get("s1").is_none());
+    assert_eq!(list.get("s2").map(|t| t.state), Some(EndpointState::Draining));
+    list.apply(&event(&event_json(4, false, "s2", "terminated")));
+    assert!(list.get("s2").is_none() && list.version() == 4);
 }
--- a/crates/core/tests/health_checks.rs
+++ b/crates/core/tests/health_checks.rs
@@ -5,14 +5,19 @@
 use common::*;
 use orchidyoke_core::interface::*;
 
-fn listed(endpoint: EndpointId, kind: usize, report: HealthStatus) -> EndpointUpdate {
-    EndpointUpdate { health: report, ..entry(endpoint, 1, 0, kind) }
+fn listed(endpoint: EndpointId, kind: usize, status: HealthStatus) -> EndpointUpdate {
+    EndpointUpdate { health: status, ..entry(endpoint, 1, 0, kind) }
 }
 
 /// Submits a message every 50 ms for the time `span` and ends each attempt with `outcome`. Returns the number of calls,
 /// and the number of those that went to `endpoint`.
-fn tried(harness: &mut Harness, span: Micros, outcome: Outcome, endpoint: EndpointId) -> (usize, usize) {
-    let (mut all, mut there, mut calls) = (0, 0, Vec::new());
+fn count_calls(
+    harness: &mut Harness,
+    span: Micros,
+    outcome: Outcome,
+    endpoint: EndpointId,
+) -> (usize, usize) {
+    let (mut all, mut to_endpoint, mut calls) = (0, 0, Vec::new());
     let until = harness.now + span;
     while harness.now < until || !calls.is_empty() {
         if harness.now < until {
@@ -20,29 +25,29 @@
         }
         harness.now += 50 * MS;
         for (id, to, _) in std::mem::take(&mut calls) {
-            (all, there) = (all + 1, there + usize::from(to == endpoint));
+            (all, to_endpoint) = (all + 1, to_endpoint + usize::from(to == endpoint));
             calls.extend(sends(&harness.end_attempt(id, outcome)));
         }
         calls.extend(sends(&harness.advance(0)));
     }
-    (all, there)
+    (all, to_endpoint)
 }
 
 // Guards against a call that was in flight when the health check became critical: its success started the ramp, which
 // then ended while the destination was still down.
 #[test]
 fn success_sent_before_a_critical_health_check_does_not_start_recovery() {
-    for before in [true, false] {
+    for sent_before in [true, false] {
         let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Passing)]);
-        tried(&mut harness, 5 * S, Outcome::Success, 1);
+        count_calls(&mut harness, 5 * S, Outcome::Success, 1);
         let mut calls = Vec::new();
-        if before {
+        if sent_before {
             calls = sends(&harness.submit(1, 0, 1));
         }
         harness.now += 10 * MS;
         harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
         harness.now += 10 * MS;
-        if !before {
+        if !sent_before {
             while calls.is_empty() {
                 calls = sends(&harness.submit(1, 0, 1));
                 harness.now += 50 * MS;
@@ -53,8 +58,8 @@
         harness.advance(13 * S);
         assert_eq!(
             harness.controller.faulty_routes().is_empty(),
-            !before,
-            "call sent before the health check: {before}"
+            !sent_before,
+            "call sent before the health check: {sent_before}"
         );
     }
 }
@@ -67,8 +72,11 @@
             &[listed(1, kind, HealthStatus::Passing), listed(2, kind, HealthStatus::Passing)],
         );
         harness.list(ListEventKind::Delta, &[listed(2, kind, HealthStatus::Critical)]);
-        let (all, there) = tried(&mut harness, 5 * S, Outcome::Success, 2);
-        assert!(all >= 90 && there == 0, "kind {kind}: {all} calls, {there} to the critical endpoint");
+        let (all, to_endpoint) = count_calls(&mut harness, 5 * S, Outcome::Success, 2);
+        assert!(
+            all >= 90 && to_endpoint == 0,
+            "kind {kind}: {all} calls, {to_endpoint} to the critical endpoint"
+        );
         assert_eq!(harness.controller.faulty_routes().is_empty(), kind == 0, "a separate route is faulty");
     }
 }
@@ -77,12 +85,12 @@
 fn endpoint_with_warning_is_chosen_last() {
     let mut harness =
         Harness::new(settings(), &[listed(1, 0, HealthStatus::Warning), listed(2, 0, HealthStatus::Passing)]);
-    assert_eq!(tried(&mut harness, 2 * S, Outcome::Success, 1).1, 0);
+    assert_eq!(count_calls(&mut harness, 2 * S, Outcome::Success, 1).1, 0);
     harness.list(
         ListEventKind::Delta,
         &[EndpointUpdate { state: EndpointState::Draining, ..listed(2, 0, HealthStatus::Passing) }],
     );
-    assert!(tried(&mut harness, 2 * S, Outcome::Success, 1).1 >= 30);
+    assert!(count_calls(&mut harness, 2 * S, Outcome::Success, 1).1 >= 30);
     assert!(harness.controller.faulty_routes().is_empty());
 }
 
@@ -92,7 +100,7 @@
 fn passing_health_check_alone_does_not_end_ejection() {
     for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Passing)]);
-        tried(&mut harness, 5 * S, Outcome::Success, 1);
+        count_calls(&mut harness, 5 * S, Outcome::Success, 1);
         harness
             .list(ListEventKind::Delta, &[EndpointUpdate { state, ..listed(1, 0, HealthStatus::Critical) }]);
         harness.advance(5 * S);
@@ -100,8 +108,9 @@
         for (id, ..) in sends(&harness.submit(1, 0, 30)) {
             harness.end_attempt(id, Outcome::Timeout);
         }
-        let back = listed(if state == EndpointState::Removed { 2 } else { 1 }, 0, HealthStatus::Passing);
-        let (mut sent, mut calls) = (0, sends(&harness.list(ListEventKind::Delta, &[back])));
+        let listed_again =
+            listed(if state == EndpointState::Removed { 2 } else { 1 }, 0, HealthStatus::Passing);
+        let (mut sent, mut calls) = (0, sends(&harness.list(ListEventKind::Delta, &[listed_again])));
         assert!(!harness.controller.faulty_routes().is_empty(), "{state:?}: the route is still faulty");
         for _ in 0..20 {
             calls.extend(sends(&harness.advance(100 * MS)));
@@ -119,12 +128,12 @@
 fn call_outcomes_overrule_health_checks() {
     let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Critical)]);
     assert!(!harness.controller.faulty_routes().is_empty());
-    tried(&mut harness, 14 * S, Outcome::Success, 1);
+    count_calls(&mut harness, 14 * S, Outcome::Success, 1);
     assert!(harness.controller.faulty_routes().is_empty(), "successful calls end the fault");
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
     assert!(harness.controller.faulty_routes().is_empty(), "an unchanged health check changes nothing");
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
-    tried(&mut harness, 5 * S, Outcome::Reset, 1);
+    count_calls(&mut harness, 5 * S, Outcome::Reset, 1);
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
     assert!(
         !harness.controller.faulty_routes().is_empty(),
@@ -137,26 +146,30 @@
 #[test]
 fn large_slow_start_budget_is_kept() {
     let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
-    let large = |report| EndpointUpdate { capacity_hint: 400.0, ..listed(1, 0, report) };
+    let large = |status| EndpointUpdate { capacity_hint: 400.0, ..listed(1, 0, status) };
     let mut harness = Harness::new(set, &[large(HealthStatus::Passing)]);
     harness.list(ListEventKind::Delta, &[large(HealthStatus::Critical)]);
     let mut calls = sends(&harness.list(ListEventKind::Delta, &[large(HealthStatus::Passing)]));
     calls.extend(sends(&harness.submit(1, 0, 3000)));
-    let mut times = Vec::new();
+    let mut call_times = Vec::new();
     for _ in 0..400 {
-        times.extend(calls.iter().map(|_| harness.now));
+        call_times.extend(calls.iter().map(|_| harness.now));
         harness.now += 20 * MS;
         for (id, ..) in std::mem::take(&mut calls) {
             calls.extend(sends(&harness.end_attempt(id, Outcome::Success)));
         }
         calls.extend(sends(&harness.advance(0)));
     }
-    let back = times[0];
-    for (place, at) in times.iter().enumerate() {
-        let span = times[place..].iter().take_while(|other| **other - at < 2 * S).count();
-        let warm = (at + 2 * S - back) as f64 / (12 * S) as f64;
-        let bears = 2.0 * 2.0 * 400.0 * (0.2 + 0.8 * warm.min(1.0));
-        assert!(span as f64 <= bears, "{span} calls in 2 s at {} s, more than {bears}", (at - back) / S);
+    let recovered_at = call_times[0];
+    for (index, at) in call_times.iter().enumerate() {
+        let span = call_times[index..].iter().take_while(|other| **other - at < 2 * S).count();
+        let warm = (at + 2 * S - recovered_at) as f64 / (12 * S) as f64;
+        let limit = 2.0 * 2.0 * 400.0 * (0.2 + 0.8 * warm.min(1.0));
+        assert!(
+            span as f64 <= limit,
+            "{span} calls in 2 s at {} s, more than {limit}",
+            (at - recovered_at) / S
+        );
     }
-    assert!(times.len() > 1000, "most of the budget is unused: {} calls", times.len());
+    assert!(call_times.len() > 1000, "most of the budget is unused: {} calls", call_times.len());
 }
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -22,12 +22,12 @@
 ];
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
-    let class = |effect, keep_order| Class {
+    let class = |class_idempotency, keep_order| Class {
         latency_objective: 2 * S,
         deadline: 8 * S,
         priority_weight: 1.0,
         late_weight_share: 0.3,
-        idempotency: effect,
+        idempotency: class_idempotency,
         keep_order,
     };
     Settings {
@@ -67,27 +67,27 @@
     }
 }
 
-struct Held {
+struct MessageState {
     class: usize,
     destination: DestinationId,
     key: Option<u64>,
     deadline: Micros,
     attempts: u32,
-    out: BTreeSet<u32>,
-    may_have_run: Option<(Micros, usize)>,
-    over: bool,
+    in_flight: BTreeSet<u32>,
+    possible_delivery: Option<(Micros, usize)>,
+    is_finished: bool,
 }
 
 struct World {
-    set: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
     controller: Controller,
     now: Micros,
     entries: BTreeMap<EndpointId, EndpointUpdate>,
-    messages: BTreeMap<MessageId, Held>,
-    out: BTreeMap<(MessageId, u32), (EndpointId, Micros, Micros)>,
-    waits: BTreeMap<u64, Micros>,
-    rests: BTreeMap<u64, (Micros, MessageId)>,
+    messages: BTreeMap<MessageId, MessageState>,
+    in_flight: BTreeMap<(MessageId, u32), (EndpointId, Micros, Micros)>,
+    retry_after_ends: BTreeMap<u64, Micros>,
+    cooldowns: BTreeMap<u64, (Micros, MessageId)>,
     timers: BTreeSet<Micros>,
     trace: Vec<String>,
 }
@@ -95,17 +95,17 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let set = settings(&mut rng);
+        let settings = settings(&mut rng);
         World {
-            controller: Controller::new(set.clone(), seed),
-            set,
+            controller: Controller::new(settings.clone(), seed),
+            settings,
             rng,
             now: 77 * S,
             entries: BTreeMap::new(),
             messages: BTreeMap::new(),
-            out: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            retry_after_ends: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
             timers: BTreeSet::new(),
             trace: Vec::new(),
         }
@@ -114,7 +114,7 @@
     /// Returns a key for the scope of a Retry-After: the route if routes are separate, otherwise the destination.
     fn route(&self, endpoint: EndpointId) -> u64 {
         let entry = self.entries[&endpoint];
-        if self.set.kinds[entry.kind].separate_routes {
+        if self.settings.kinds[entry.kind].separate_routes {
             1000 + u64::from(endpoint)
         } else {
             entry.destination
@@ -132,7 +132,7 @@
                 _ => EndpointState::Active,
             };
             let (zone, kind) = (endpoint as usize % 3, destination as usize % 3);
-            let report =
+            let status =
                 [HealthStatus::Passing, HealthStatus::Warning, HealthStatus::Critical][self.rng.usize(0..3)];
             entries.push(EndpointUpdate {
                 endpoint,
@@ -140,19 +140,19 @@
                 zone,
                 kind,
                 state,
-                health: report,
+                health: status,
                 capacity_hint: 5.0,
             });
         }
-        let form =
+        let event_kind =
             [ListEventKind::Delta, ListEventKind::Delta, ListEventKind::Snapshot][self.rng.usize(0..3)];
-        if form == ListEventKind::Snapshot {
+        if event_kind == ListEventKind::Snapshot {
             self.entries.values_mut().for_each(|e| e.state = EndpointState::Removed);
         }
         for entry in &entries {
             self.entries.insert(entry.endpoint, *entry);
         }
-        Event::EndpointList { kind: form, entries }
+        Event::EndpointList { kind: event_kind, entries }
     }
 
     fn message(&mut self) -> Event {
@@ -161,40 +161,49 @@
         let key = (class >= 4).then(|| self.rng.u64(0..3));
         let time_left = self.rng.i64(-10 * MS..8 * S);
         let deadline = self.now + time_left;
-        let (out, may_have_run) = (BTreeSet::new(), None);
-        let held = Held { class, destination, key, deadline, attempts: 0, out, may_have_run, over: false };
-        self.messages.insert(id, held);
+        let (in_flight, possible_delivery) = (BTreeSet::new(), None);
+        let state = MessageState {
+            class,
+            destination,
+            key,
+            deadline,
+            attempts: 0,
+            in_flight,
+            possible_delivery,
+            is_finished: false,
+        };
+        self.messages.insert(id, state);
         let (tenant, repeat) = (self.rng.usize(0..3), self.rng.bool());
         Event::Message { id, destination, class, tenant, order_key: key, time_left, is_retry: repeat }
     }
 
     fn outcome(&mut self, attempt: (MessageId, u32), outcome: Outcome) -> Event {
-        let (endpoint, sent, _) = self.out.remove(&attempt).expect("an attempt in flight");
-        let wait =
+        let (endpoint, sent, _) = self.in_flight.remove(&attempt).expect("an attempt in flight");
+        let pause =
             if outcome == Outcome::Rejected && self.rng.bool() { self.rng.i64(1..900) * MS } else { 0 };
-        if wait > 0 {
-            let until = self.waits.entry(self.route(endpoint)).or_default();
-            *until = (*until).max(self.now + wait);
+        if pause > 0 {
+            let until = self.retry_after_ends.entry(self.route(endpoint)).or_default();
+            *until = (*until).max(self.now + pause);
         }
         let zone = self.entries[&endpoint].zone;
-        let held = self.messages.get_mut(&attempt.0).expect("a submitted message");
-        held.out.remove(&attempt.1);
-        held.over |= outcome == Outcome::Success;
+        let state = self.messages.get_mut(&attempt.0).expect("a submitted message");
+        state.in_flight.remove(&attempt.1);
+        state.is_finished |= outcome == Outcome::Success;
         if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            held.may_have_run = held.may_have_run.or(Some((sent, zone)));
-            if let (Some(key), true) = (held.key, outcome != Outcome::Error) {
-                self.rests.insert(key, (self.now + self.set.key_cooldown, attempt.0));
+            state.possible_delivery = state.possible_delivery.or(Some((sent, zone)));
+            if let (Some(key), true) = (state.key, outcome != Outcome::Error) {
+                self.cooldowns.insert(key, (self.now + self.settings.key_cooldown, attempt.0));
             }
         }
-        let (id, copy) = attempt;
-        let (took, finished) = (self.now - sent, held.over);
+        let (id, attempt_number) = attempt;
+        let (elapsed, finished) = (self.now - sent, state.is_finished);
         Event::AttemptEnded(AttemptResult {
             id,
-            attempt: copy,
+            attempt: attempt_number,
             outcome,
-            latency: took,
+            latency: elapsed,
             message_finished: finished,
-            retry_after: wait,
+            retry_after: pause,
             reported_limit: Some(3.0),
             reported_remaining: None,
         })
@@ -211,13 +220,13 @@
             self.trace.push(format!("{} {action:?}", self.now));
             self.check(action);
         }
-        for (id, held) in &self.messages {
+        for (id, state) in &self.messages {
             // The due timers have run, so each message past its deadline and the grace time has its final answer.
-            let late = self.now > held.deadline + self.set.final_answer_grace && held.deadline > 0;
-            assert!(held.over || !late, "message {id} has no final answer in time");
+            let late = self.now > state.deadline + self.settings.final_answer_grace && state.deadline > 0;
+            assert!(state.is_finished || !late, "message {id} has no final answer in time");
         }
-        let calls: BTreeSet<_> = self.out.values().map(|(e, sent, _)| (*e, *sent)).collect();
-        assert!(calls.len() <= self.set.max_calls, "more calls in flight than slots");
+        let calls: BTreeSet<_> = self.in_flight.values().map(|(e, sent, _)| (*e, *sent)).collect();
+        assert!(calls.len() <= self.settings.max_calls, "more calls in flight than slots");
     }
 
     fn next_events(&mut self) -> Vec<Event> {
@@ -238,7 +247,7 @@
         self.end_attempts(&mut events);
         if self.rng.u8(0..30) == 0 && !self.messages.is_empty() {
             let id = self.rng.u64(0..self.messages.len() as u64);
-            self.messages.get_mut(&id).expect("a submitted message").over = true;
+            self.messages.get_mut(&id).expect("a submitted message").is_finished = true;
             events.push(Event::Withdrawn { id });
         }
         events
@@ -246,8 +255,8 @@
 
     /// Ends the attempts that have reached their time-out, and some others with a random outcome.
     fn end_attempts(&mut self, events: &mut Vec<Event>) {
-        let out: Vec<_> = self.out.iter().map(|(a, o)| (*a, o.2)).collect();
-        for (attempt, ends) in out {
+        let in_flight: Vec<_> = self.in_flight.iter().map(|(a, o)| (*a, o.2)).collect();
+        for (attempt, ends) in in_flight {
             if ends <= self.now {
                 events.push(self.outcome(attempt, Outcome::Timeout));
             } else if self.rng.u8(0..8) == 0 {
@@ -261,25 +270,31 @@
         match action {
             Action::Send { id, endpoint, timeout } => self.check_send(*id, *endpoint, *timeout),
             Action::Reject { id, retry_after: pause } => {
-                let held = self.messages.get_mut(id).expect("a submitted message");
-                assert!(!std::mem::replace(&mut held.over, true), "message {id} has two final answers");
-                let harmless = match self.set.classes[held.class].idempotency {
+                let state = self.messages.get_mut(id).expect("a submitted message");
+                assert!(
+                    !std::mem::replace(&mut state.is_finished, true),
+                    "message {id} has two final answers"
+                );
+                let is_repeat_harmless = match self.settings.classes[state.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
-                    _ => held.may_have_run.is_none() && held.out.is_empty(),
+                    _ => state.possible_delivery.is_none() && state.in_flight.is_empty(),
                 };
-                assert!(harmless, "message {id} may have been executed and was rejected");
-                assert!((0..=self.set.max_retry_after).contains(pause));
+                assert!(is_repeat_harmless, "message {id} may have been executed and was rejected");
+                assert!((0..=self.settings.max_retry_after).contains(pause));
             }
             Action::Fail { id } => {
-                let held = self.messages.get_mut(id).expect("a submitted message");
-                assert!(!std::mem::replace(&mut held.over, true), "message {id} has two final answers");
+                let state = self.messages.get_mut(id).expect("a submitted message");
+                assert!(
+                    !std::mem::replace(&mut state.is_finished, true),
+                    "message {id} has two final answers"
+                );
             }
             Action::Timer { delay, .. } => {
                 assert!(*delay > 0);
                 self.timers.insert(self.now + delay);
             }
-            Action::Watch { .. } => assert_eq!(self.set.discovery_mode, DiscoveryMode::Poll),
+            Action::Watch { .. } => assert_eq!(self.settings.discovery_mode, DiscoveryMode::Poll),
             other => panic!("unexpected action: {other:?}"),
         }
     }
@@ -287,27 +302,31 @@
     fn check_send(&mut self, id: MessageId, endpoint: EndpointId, timeout: Micros) {
         let entry = self.entries[&endpoint];
         let route = self.route(endpoint);
-        assert!(self.waits.get(&route).is_none_or(|until| self.now >= *until), "sent during a Retry-After");
-        let held = &self.messages[&id];
-        assert!(!held.over, "message {id} sent after its final answer");
-        assert_eq!(entry.destination, held.destination);
+        assert!(
+            self.retry_after_ends.get(&route).is_none_or(|until| self.now >= *until),
+            "sent during a Retry-After"
+        );
+        let state = &self.messages[&id];
+        assert!(!state.is_finished, "message {id} sent after its final answer");
+        assert_eq!(entry.destination, state.destination);
         assert_eq!(entry.state, EndpointState::Active, "sent to a draining or removed endpoint");
         let mut others = self.entries.values().filter(|e| e.destination == entry.destination);
-        let fit = others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
+        let has_passing =
+            others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
         assert!(
-            !fit || entry.health != HealthStatus::Critical,
+            !has_passing || entry.health != HealthStatus::Critical,
             "sent to a critical endpoint while another passes"
         );
-        assert!(held.out.is_empty(), "message {id} has two attempts in flight");
-        assert!(held.attempts < self.set.max_attempts);
+        assert!(state.in_flight.is_empty(), "message {id} has two attempts in flight");
+        assert!(state.attempts < self.settings.max_attempts);
         assert!(timeout > 0);
-        if let Some((sent, zone)) = held.may_have_run {
-            match self.set.classes[held.class].idempotency {
+        if let Some((sent, zone)) = state.possible_delivery {
+            match self.settings.classes[state.class].idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::IdempotencyKey { scope: group, window } => {
+                Idempotency::IdempotencyKey { scope: key_scope, window } => {
                     assert!(self.now < sent + window, "message {id} sent again after its key window");
                     assert!(
-                        group == DeduplicationScope::All || entry.zone == zone,
+                        key_scope == DeduplicationScope::All || entry.zone == zone,
                         "message {id} sent again in another zone"
                     );
                 }
@@ -316,24 +335,27 @@
                 }
             }
         }
-        if let Some(key) = held.key {
+        if let Some(key) = state.key {
             let mut earlier = self.messages.range(..id).filter(|(_, m)| m.key == Some(key));
-            assert!(earlier.all(|(_, m)| m.over && m.out.is_empty()), "message {id} sent out of order");
-            let rest = self.rests.get(&key);
             assert!(
-                rest.is_none_or(|(until, by)| *by == id || self.now >= *until),
+                earlier.all(|(_, m)| m.is_finished && m.in_flight.is_empty()),
+                "message {id} sent out of order"
+            );
+            let cooldown = self.cooldowns.get(&key);
+            assert!(
+                cooldown.is_none_or(|(until, by)| *by == id || self.now >= *until),
                 "message {id} sent during the cooldown of key {key}"
             );
         }
-        let held = self.messages.get_mut(&id).expect("a submitted message");
-        let copy = held.attempts;
-        held.attempts += 1;
-        held.out.insert(copy);
-        self.out.insert((id, copy), (endpoint, self.now, self.now + timeout));
+        let state = self.messages.get_mut(&id).expect("a submitted message");
+        let attempt_number = state.attempts;
+        state.attempts += 1;
+        state.in_flight.insert(attempt_number);
+        self.in_flight.insert((id, attempt_number), (endpoint, self.now, self.now + timeout));
     }
 }
 
-fn play(seed: u64) -> Vec<String> {
+fn run(seed: u64) -> Vec<String> {
     let mut world = World::new(seed);
     for _ in 0..1500 {
         world.step();
@@ -345,12 +367,12 @@
 #[test]
 fn rules_hold_for_random_event_sequences() {
     for seed in 0..150 {
-        let trace = play(seed);
+        let trace = run(seed);
         assert!(seed > 20 || trace.iter().any(|line| line.contains("Send")), "seed {seed} sends nothing");
     }
 }
 
 #[test]
 fn same_events_and_seed_give_the_same_actions() {
-    assert_eq!(play(4), play(4));
+    assert_eq!(run(4), run(4));
 }
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn message_out_of_attempts_is_rejected() {
-    let set = Settings { max_attempts: 3, ..settings() };
-    let mut harness = Harness::new(set, &[entry(1, 1, 0, 0)]);
+    let custom_settings = Settings { max_attempts: 3, ..settings() };
+    let mut harness = Harness::new(custom_settings, &[entry(1, 1, 0, 0)]);
     harness.submit(1, 0, 1);
     for attempt in 1..=3 {
         let mut actions = harness.end_attempt(1, Outcome::ConnectFailed);
@@ -21,16 +21,16 @@
 
 #[test]
 fn capacity_shortage_sheds_queued_messages_with_retry_after_and_none_in_flight() {
-    let set = Settings { max_open_messages: 10, tenant_quotas: vec![1.0], ..settings() };
-    let mut harness = Harness::new(set, &[entry(1, 1, 0, 0)]);
+    let custom_settings = Settings { max_open_messages: 10, tenant_quotas: vec![1.0], ..settings() };
+    let mut harness = Harness::new(custom_settings, &[entry(1, 1, 0, 0)]);
     let actions = harness.submit(1, 0, 12);
-    let turned_away = rejected(&actions);
-    assert_eq!(turned_away.len(), 3);
+    let rejections = rejected(&actions);
+    assert_eq!(rejections.len(), 3);
     assert!(
-        turned_away.iter().all(|r| r.1 > 0 && r.1 <= 3 * S),
+        rejections.iter().all(|r| r.1 > 0 && r.1 <= 3 * S),
         "the Retry-After is positive and within its maximum"
     );
-    assert!(turned_away.iter().all(|r| r.0 > 4), "the last messages are shed");
+    assert!(rejections.iter().all(|r| r.0 > 4), "the last messages are shed");
 }
 
 #[test]
@@ -148,18 +148,18 @@
 #[test]
 fn invalid_reported_limit_does_not_pace() {
     // Guards against a missing or invalid capacity hint, or an unusual fleet size, that stops deliveries.
-    for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
+    for hint in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         for fleet_size in [0, 1, 100, u32::MAX] {
-            let set = Settings { fleet_size, ..settings() };
+            let custom_settings = Settings { fleet_size, ..settings() };
             let mut harness =
-                Harness::new(set, &[EndpointUpdate { capacity_hint: weight, ..entry(1, 1, 0, 0) }]);
+                Harness::new(custom_settings, &[EndpointUpdate { capacity_hint: hint, ..entry(1, 1, 0, 0) }]);
             harness.warm_up(1, 10);
         }
     }
     // A capacity that the fleet shares does limit the calls: one call in five seconds, plus the saved-up calls.
     for (fleet_size, calls) in [(0, 10..=10), (1, 10..=10), (100, 0..=2)] {
-        let set = Settings { fleet_size, ..settings() };
-        let mut harness = Harness::new(set, &[entry(1, 1, 0, 0)]);
+        let custom_settings = Settings { fleet_size, ..settings() };
+        let mut harness = Harness::new(custom_settings, &[entry(1, 1, 0, 0)]);
         let mut sent = 0;
         for _ in 0..10 {
             if let Some(call) = sends(&harness.submit(1, 0, 1)).first() {
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -20,22 +20,22 @@
     // Guards against a final answer that is decided so late that it is given after the deadline if the forwarder, which
     // has only part of a core, is descheduled for a short time (28 ms or more occur). Checks queued messages and calls
     // in flight.
-    let (stall, set) = (50 * MS, settings());
+    let (pause, set) = (50 * MS, settings());
     let timer = |actions: &[Action]| {
         let delay = |a: &Action| if let Action::Timer { delay, .. } = a { Some(*delay) } else { None };
         actions.iter().find_map(delay)
     };
     let mut queued = Harness::new(settings(), &[]);
-    let mut wakes = timer(&queued.submit(9, 2, 1)).expect("a timer is set");
-    while let actions = queued.advance(wakes)
+    let mut timer_delay = timer(&queued.submit(9, 2, 1)).expect("a timer is set");
+    while let actions = queued.advance(timer_delay)
         && rejected(&actions).is_empty()
     {
-        wakes = timer(&actions).unwrap_or(MS);
+        timer_delay = timer(&actions).unwrap_or(MS);
     }
-    assert!(queued.now + stall <= 17 * S, "final answer at {}", queued.now);
-    let mut out = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
-    let sent = sends(&out.submit(1, 2, 1));
-    assert!(sent[0].2 + stall + set.tick <= 16 * S, "a non-idempotent call ends after {}", sent[0].2);
+    assert!(queued.now + pause <= 17 * S, "final answer at {}", queued.now);
+    let mut in_flight = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
+    let sent = sends(&in_flight.submit(1, 2, 1));
+    assert!(sent[0].2 + pause + set.tick <= 16 * S, "a non-idempotent call ends after {}", sent[0].2);
 }
 
 #[test]
@@ -76,9 +76,9 @@
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
         let id = sends(&harness.submit(1, 2, 1))[0].0;
-        let mut again = sends(&harness.end_attempt(id, outcome));
-        again.extend(sends(&harness.advance(7 * S)));
-        assert_eq!(again.len(), 1, "{outcome:?}");
+        let mut retries = sends(&harness.end_attempt(id, outcome));
+        retries.extend(sends(&harness.advance(7 * S)));
+        assert_eq!(retries.len(), 1, "{outcome:?}");
     }
 }
 
@@ -100,8 +100,8 @@
     let zones = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
     let mut harness = Harness::new(settings(), &zones);
     let (id, ..) = sends(&harness.submit(1, 4, 1))[0];
-    let again = sends(&harness.end_attempt(id, Outcome::Error));
-    assert_eq!(again.iter().map(|s| s.1).collect::<Vec<_>>(), [2]);
+    let retries = sends(&harness.end_attempt(id, Outcome::Error));
+    assert_eq!(retries.iter().map(|s| s.1).collect::<Vec<_>>(), [2]);
     harness.end_attempt(id, Outcome::Error);
     harness.list(ListEventKind::Snapshot, &[]);
     assert_eq!(rejected(&harness.advance(15 * S)).len(), 1);
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -12,16 +12,16 @@
     let mut harness = Harness::new(settings(), &[EndpointUpdate { capacity_hint: 7.0, ..entry(1, 1, 0, 0) }]);
     harness.warm_up(1, 40);
     let mut arrivals = Vec::new();
-    let mut back = false;
-    let mut out: Vec<MessageId> = Vec::new();
+    let mut has_recovered = false;
+    let mut in_flight: Vec<MessageId> = Vec::new();
     let start = harness.now;
     while harness.now < start + 30 * S {
-        back |= harness.now > start + 10 * S;
-        let mut events: Vec<Event> = out
+        has_recovered |= harness.now > start + 10 * S;
+        let mut events: Vec<Event> = in_flight
             .drain(..)
             .map(|id| {
                 Event::AttemptEnded(
-                    harness.answer(id, if back { Outcome::Success } else { Outcome::Timeout }),
+                    harness.answer(id, if has_recovered { Outcome::Success } else { Outcome::Timeout }),
                 )
             })
             .collect();
@@ -29,7 +29,7 @@
         harness.now += 50 * MS;
         let sent = sends(&harness.step(&events));
         arrivals.extend(sent.iter().map(|_| harness.now));
-        out.extend(sent.iter().map(|s| s.0));
+        in_flight.extend(sent.iter().map(|s| s.0));
     }
     // The capacity is 7 calls a second and starts at a fifth of that. Twice the present capacity is too much, so no
     // span of two seconds may have more.
@@ -38,10 +38,10 @@
         let part = 0.2 + 0.8 * ((at - start - 9 * S) as f64 / (12 * S) as f64).min(1.0);
         assert!(count as f64 <= 2.0 * 7.0 * part * 2.0, "{count} calls in the span from {at}");
     }
-    let down = arrivals.iter().filter(|a| (start + 4 * S..start + 10 * S).contains(*a)).count();
-    assert!((1..=20).contains(&down), "a few trial calls during the outage: {down}");
-    let warm = arrivals.iter().filter(|a| (start + 24 * S..start + 28 * S).contains(*a)).count();
-    assert!(warm >= 60, "full load after the ramp: {warm} calls");
+    let during_outage = arrivals.iter().filter(|a| (start + 4 * S..start + 10 * S).contains(*a)).count();
+    assert!((1..=20).contains(&during_outage), "a few trial calls during the outage: {during_outage}");
+    let after_ramp = arrivals.iter().filter(|a| (start + 24 * S..start + 28 * S).contains(*a)).count();
+    assert!(after_ramp >= 60, "full load after the ramp: {after_ramp} calls");
 }
 
 #[test]
@@ -103,7 +103,7 @@
 
 /// Simulates forwarders with one destination that serves, rejects all calls from 30 s to 45 s, and serves again.
 /// Returns the most calls in any span of two seconds after the recovery, and the number of calls served by 75 s.
-fn calls_after_a_return(forwarders: u32, seed: u64) -> (usize, usize) {
+fn calls_after_recovery(forwarders: u32, seed: u64) -> (usize, usize) {
     let set = Settings {
         fleet_size: forwarders,
         capacity_hints: CapacityHints::None,
@@ -120,34 +120,38 @@
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         fleet.push(harness);
     }
-    let mut out: Vec<Vec<(Micros, MessageId, Outcome)>> = vec![Vec::new(); fleet.len()];
+    let mut in_flight: Vec<Vec<(Micros, MessageId, Outcome)>> = vec![Vec::new(); fleet.len()];
     let (mut calls, mut served) = (Vec::new(), 0);
     for tick in 1..1500 {
         let at = tick * 50 * MS;
-        for (harness, out) in fleet.iter_mut().zip(&mut out) {
+        for (harness, in_flight) in fleet.iter_mut().zip(&mut in_flight) {
             harness.now = start + at;
             let mut events = vec![Event::Timer { token: u64::MAX }];
             // All forwarders together get two messages a second. At 41 s every second forwarder on average gets one
             // more.
-            let clump = at == 41 * S && rng.bool();
-            if clump || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
+            let extra_message = at == 41 * S && rng.bool();
+            if extra_message || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
                 events.push(harness.message(1, 0));
             }
             let ended =
-                out.iter().filter(|o| o.0 <= at).map(|o| Event::AttemptEnded(harness.answer(o.1, o.2)));
+                in_flight.iter().filter(|o| o.0 <= at).map(|o| Event::AttemptEnded(harness.answer(o.1, o.2)));
             events.extend(ended);
-            served += out.iter().filter(|o| o.0 <= at && o.2 == Outcome::Success).count();
-            out.retain(|o| o.0 > at);
+            served += in_flight.iter().filter(|o| o.0 <= at && o.2 == Outcome::Success).count();
+            in_flight.retain(|o| o.0 > at);
             for (id, ..) in sends(&harness.step(&events)) {
                 let rejected = (30 * S..45 * S).contains(&at);
-                out.push((at + 150 * MS, id, if rejected { Outcome::Rejected } else { Outcome::Success }));
+                in_flight.push((
+                    at + 150 * MS,
+                    id,
+                    if rejected { Outcome::Rejected } else { Outcome::Success },
+                ));
                 calls.push(at);
             }
         }
     }
     let in_span = |from: Micros| calls.iter().filter(|at| (from..from + 2 * S).contains(*at)).count();
-    let most = (0..40).map(|n| in_span(45 * S + n * 50 * MS)).max().unwrap_or(0);
-    (most, served)
+    let max_calls_in_span = (0..40).map(|n| in_span(45 * S + n * 50 * MS)).max().unwrap_or(0);
+    (max_calls_in_span, served)
 }
 
 #[test]
@@ -158,8 +162,11 @@
     // standard deviations of the random draws.
     let budget = 2.0 * 6.7 * 2.0;
     for seed in 1..=4 {
-        let (most, served) = calls_after_a_return(280, seed);
-        assert!(most as f64 <= budget + 3.0 * f64::sqrt(budget), "{most} calls in two seconds");
+        let (max_calls_in_span, served) = calls_after_recovery(280, seed);
+        assert!(
+            max_calls_in_span as f64 <= budget + 3.0 * f64::sqrt(budget),
+            "{max_calls_in_span} calls in two seconds"
+        );
         assert!(served >= 150, "too few calls served after the recovery: {served}");
     }
 }
@@ -179,7 +186,7 @@
 fn trial_calls_of_a_fleet_are_spread_by_chance() {
     // Guards against one call (a budget rounded up) from each of hundreds of forwarders that saw a call fail.
     let set = Settings { fleet_size: 200, ..settings() };
-    let mut seen = 0;
+    let mut calls = 0;
     for seed in 0..100 {
         let fast = EndpointUpdate { capacity_hint: 200.0, ..entry(1, 1, 0, 0) };
         let mut harness = Harness::new(set.clone(), &[fast]);
@@ -195,14 +202,14 @@
             harness.now += 800 * MS;
             sent = sends(&harness.end_attempt(1, Outcome::Timeout));
         }
-        seen += sent.len();
+        calls += sent.len();
         for _ in 0..40 {
-            seen += sends(&harness.advance(50 * MS)).len();
+            calls += sends(&harness.advance(50 * MS)).len();
         }
     }
     // The present capacity is a fifth of 200 calls a second and twice that is too much: 160 calls in the 2 s that were
     // counted.
-    assert!((1..=160).contains(&seen), "{seen} calls in two seconds");
+    assert!((1..=160).contains(&calls), "{calls} calls in two seconds");
 }
 
 #[test]
@@ -238,18 +245,18 @@
 fn brief_rejections_neither_eject_nor_start_a_ramp() {
     // Guards against a ramp of twelve seconds that starts after one or two seconds over the limit, or after a few
     // seconds more if this forwarder's calls are rare anyway.
-    let rate_after = |outcome: Outcome, between: Micros, apart: Micros| {
+    let rate_after = |outcome: Outcome, success_interval: Micros, failure_interval: Micros| {
         let mut harness =
             Harness::new(settings(), &[EndpointUpdate { capacity_hint: 3.0, ..entry(1, 1, 0, 0) }]);
         for _ in 0..30 {
             harness.warm_up(1, 1);
-            harness.now += between;
+            harness.now += success_interval;
         }
         for _ in 0..3 {
             let id = sends(&harness.submit(1, 0, 1))[0].0;
             harness.end_attempt(id, outcome);
             harness.step(&[Event::Withdrawn { id }]);
-            harness.now += apart;
+            harness.now += failure_interval;
         }
         let mut served = 0;
         let mut sent = sends(&harness.submit(1, 0, 60));
@@ -266,9 +273,11 @@
         }
         served
     };
-    for (between, apart) in [(0, 800 * MS), (1400 * MS, 1200 * MS)] {
-        let (rejected, broken) =
-            (rate_after(Outcome::Rejected, between, apart), rate_after(Outcome::Reset, between, apart));
+    for (success_interval, failure_interval) in [(0, 800 * MS), (1400 * MS, 1200 * MS)] {
+        let (rejected, broken) = (
+            rate_after(Outcome::Rejected, success_interval, failure_interval),
+            rate_after(Outcome::Reset, success_interval, failure_interval),
+        );
         assert!(rejected > 2 * broken, "{rejected} served after rejections, {broken} after resets");
     }
 }
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -40,7 +40,7 @@
 
 // Guards against a call that starts just before the forwarder stops: its message may be executed and would be lost.
 #[test]
-fn call_that_would_outlast_the_shutdown_is_not_begun() {
+fn call_that_would_outlast_the_shutdown_is_not_started() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
     harness.step(&[Event::ShuttingDown { time_left: 4 * S }]);
     assert_eq!(sends(&harness.submit(1, 2, 1)).len(), 1, "the call can end before the shutdown");
@@ -82,7 +82,7 @@
 // Guards against a faulty destination without endpoints at the restart: endpoints that were listed after the restart
 // were treated as healthy.
 #[test]
-fn faulty_destination_before_a_restart_outlasts_an_empty_list() {
+fn faulty_destination_before_a_restart_stays_faulty_through_an_empty_list() {
     for faulty in [false, true] {
         let mut harness = Harness::new(settings(), &[]);
         if faulty {
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -9,8 +9,8 @@
 const S: Micros = 1_000_000;
 const MESSAGES: u64 = 2_000;
 /// Time between two messages: 109 a second, for one of 450 forwarders that together get 49,000 a second.
-const GAP: Micros = S / 109;
-const AT_MOST: f64 = 1.5;
+const MESSAGE_INTERVAL: Micros = S / 109;
+const MAX_COST_RATIO: f64 = 1.5;
 
 fn settings() -> Settings {
     let class = Class {
@@ -38,14 +38,14 @@
 }
 
 fn entry(number: u32) -> EndpointUpdate {
-    let (state, report) = (EndpointState::Active, HealthStatus::Passing);
+    let (state, status) = (EndpointState::Active, HealthStatus::Passing);
     EndpointUpdate {
         endpoint: number,
         destination: number.into(),
         zone: 0,
         kind: 0,
         state,
-        health: report,
+        health: status,
         capacity_hint: 200.0,
     }
 }
@@ -55,36 +55,36 @@
     controller: Controller,
     now: Micros,
     listed: u64,
-    down: u64,
+    destinations_down: u64,
     next: MessageId,
     ends: BTreeMap<Micros, Vec<(MessageId, u32, bool)>>,
-    copies: BTreeMap<MessageId, u32>,
+    attempts: BTreeMap<MessageId, u32>,
     timers: BTreeSet<(Micros, u64)>,
     /// Number of events in the steps in which no timer was due, destinations examined in these steps, and in the other
     /// steps.
     events: u64,
-    work: u64,
-    timer_work: u64,
+    examined: u64,
+    examined_with_timers: u64,
 }
 
 impl Forwarder {
-    fn new(listed: u32, down: u64) -> Self {
+    fn new(listed: u32, destinations_down: u64) -> Self {
         let mut forwarder = Forwarder {
             controller: Controller::new(settings(), 7),
             now: S,
             listed: listed.into(),
-            down,
+            destinations_down,
             next: 0,
             ends: BTreeMap::new(),
-            copies: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
             events: 0,
-            work: 0,
-            timer_work: 0,
+            examined: 0,
+            examined_with_timers: 0,
         };
         let entries = (1..=listed).map(entry).collect();
         forwarder.step(vec![Event::EndpointList { kind: ListEventKind::Snapshot, entries }]);
-        for destination in 1..=down {
+        for destination in 1..=destinations_down {
             let known = Event::RouteState { destination, endpoint: None, begins_cold: true, retry_after: 0 };
             let message = forwarder.message(destination);
             forwarder.step(vec![known, message]);
@@ -111,20 +111,20 @@
         let mut actions = Vec::new();
         let before = self.controller.destinations_examined();
         self.controller.step(self.now, &events, &mut actions);
-        let work = self.controller.destinations_examined() - before;
+        let examined = self.controller.destinations_examined() - before;
         if events.iter().any(|event| matches!(event, Event::Timer { .. })) {
-            self.timer_work += work;
+            self.examined_with_timers += examined;
         } else {
             self.events += events.len() as u64;
-            self.work += work;
+            self.examined += examined;
         }
         for action in actions {
             match action {
                 Action::Send { id, endpoint, .. } => {
-                    let copy = self.copies.entry(id).or_default();
-                    let serves = u64::from(endpoint) > self.down;
-                    self.ends.entry(self.now + 20 * MS).or_default().push((id, *copy, serves));
-                    *copy += 1;
+                    let attempt_number = self.attempts.entry(id).or_default();
+                    let serves = u64::from(endpoint) > self.destinations_down;
+                    self.ends.entry(self.now + 20 * MS).or_default().push((id, *attempt_number, serves));
+                    *attempt_number += 1;
                 }
                 Action::Timer { delay, token } => {
                     self.timers.insert((self.now + delay, token));
@@ -146,20 +146,22 @@
                 self.timers.pop_first();
                 events.push(Event::Timer { token });
             }
-            events.extend(self.ends.remove(&next).into_iter().flatten().map(|(id, copy, serves)| {
-                let outcome = if serves { Outcome::Success } else { Outcome::ConnectFailed };
-                let (took, finished) = (20 * MS, serves);
-                Event::AttemptEnded(AttemptResult {
-                    id,
-                    attempt: copy,
-                    outcome,
-                    latency: took,
-                    message_finished: finished,
-                    retry_after: 0,
-                    reported_limit: None,
-                    reported_remaining: None,
-                })
-            }));
+            events.extend(self.ends.remove(&next).into_iter().flatten().map(
+                |(id, attempt_number, serves)| {
+                    let outcome = if serves { Outcome::Success } else { Outcome::ConnectFailed };
+                    let (elapsed, finished) = (20 * MS, serves);
+                    Event::AttemptEnded(AttemptResult {
+                        id,
+                        attempt: attempt_number,
+                        outcome,
+                        latency: elapsed,
+                        message_finished: finished,
+                        retry_after: 0,
+                        reported_limit: None,
+                        reported_remaining: None,
+                    })
+                },
+            ));
             self.step(events);
         }
         self.now = until;
@@ -167,17 +169,20 @@
 
     /// Submits messages for destinations that serve. Returns the number of destinations examined for each event of a
     /// step in which no timer was due, and in the other steps for each draw of a destination that is down.
-    fn work_of_events(&mut self) -> [f64; 2] {
-        let (work, timer_work, events, since) = (self.work, self.timer_work, self.events, self.now);
+    fn examined_per_event_and_draw(&mut self) -> [f64; 2] {
+        let (examined, examined_with_timers, events, since) =
+            (self.examined, self.examined_with_timers, self.events, self.now);
         for number in 0..MESSAGES {
-            self.run_until(self.now + GAP);
-            let destination = self.down + 1 + number * 7 % (self.listed - self.down);
+            self.run_until(self.now + MESSAGE_INTERVAL);
+            let destination =
+                self.destinations_down + 1 + number * 7 % (self.listed - self.destinations_down);
             let message = self.message(destination);
             self.step(vec![message]);
         }
-        let draws = self.down as f64 * (self.now - since) as f64 / (settings().overload_window / 2) as f64;
-        let event = (self.work - work) as f64 / (self.events - events) as f64;
-        [event, (self.timer_work - timer_work) as f64 / draws]
+        let draws = self.destinations_down as f64 * (self.now - since) as f64
+            / (settings().overload_window / 2) as f64;
+        let event = (self.examined - examined) as f64 / (self.events - events) as f64;
+        [event, (self.examined_with_timers - examined_with_timers) as f64 / draws]
     }
 }
 
@@ -185,16 +190,16 @@
 /// number of destinations that are down. No other work may be.
 #[test]
 fn step_cost_does_not_grow_with_listed_or_waiting_destinations() {
-    let few = Forwarder::new(1_000, 29).work_of_events();
-    let many = Forwarder::new(100_000, 2_900).work_of_events();
+    let few = Forwarder::new(1_000, 29).examined_per_event_and_draw();
+    let many = Forwarder::new(100_000, 2_900).examined_per_event_and_draw();
     println!("destinations examined for each event, for each draw: {few:.2?} and {many:.2?}");
-    assert!(many[0] <= AT_MOST * few[0], "for each event: {many:.2?} of 100,000, {few:.2?} of 1,000");
-    assert!(many[1] <= AT_MOST * few[1], "for each draw: {many:.2?} of 100,000, {few:.2?} of 1,000");
+    assert!(many[0] <= MAX_COST_RATIO * few[0], "for each event: {many:.2?} of 100,000, {few:.2?} of 1,000");
+    assert!(many[1] <= MAX_COST_RATIO * few[1], "for each draw: {many:.2?} of 100,000, {few:.2?} of 1,000");
 }
 
 #[test]
 fn list_cost_is_linear_in_its_entries() {
-    let work = [10_000, 100_000].map(|listed| {
+    let examined = [10_000, 100_000].map(|listed| {
         let mut controller = Controller::new(settings(), 7);
         let entries = (1..=listed).map(entry).collect();
         controller.step(
@@ -204,6 +209,6 @@
         );
         controller.destinations_examined() as f64
     });
-    println!("destinations examined for a list: {work:?}");
-    assert!(work[1] <= 13.0 * work[0], "destinations examined: {work:?}");
+    println!("destinations examined for a list: {examined:?}");
+    assert!(examined[1] <= 13.0 * examined[0], "destinations examined: {examined:?}");
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -17,12 +17,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     size: u32,
-    weights: CapacityHints,
+    capacity_hints: CapacityHints,
     /// Calls a second that the warm destination can serve, and the load as a fraction of them.
-    bears: f64,
+    capacity: f64,
     load: f64,
     fault: Outcome,
-    lasts: Micros,
+    outage_time: Micros,
 }
 
 fn settings(case: &Case) -> Settings {
@@ -41,7 +41,7 @@
         max_calls: 12,
         max_open_messages: 200,
         connect_timeout: S,
-        capacity_hints: case.weights,
+        capacity_hints: case.capacity_hints,
         ..common::settings()
     }
 }
@@ -59,17 +59,17 @@
 struct Fleet {
     now: Micros,
     forwarders: Vec<Forwarder>,
-    chance: SeededRng,
+    rng: SeededRng,
     /// Calls since the recovery: the time, and whether the forwarder has seen the outage.
     calls: Vec<(Micros, bool)>,
     served: usize,
 }
 
 impl Fleet {
-    fn new(case: &Case, known_size: u32, seed: u64) -> Self {
-        let set = Settings { fleet_size: known_size, ..settings(case) };
+    fn new(case: &Case, assumed_fleet_size: u32, seed: u64) -> Self {
+        let set = Settings { fleet_size: assumed_fleet_size, ..settings(case) };
         let (state, report) = (EndpointState::Active, HealthStatus::Passing);
-        let weight = case.bears;
+        let hint = case.capacity;
         let listed = EndpointUpdate {
             endpoint: 1,
             destination: 1,
@@ -77,11 +77,11 @@
             kind: 0,
             state,
             health: report,
-            capacity_hint: weight,
+            capacity_hint: hint,
         };
-        let mut chance = SeededRng::new(seed);
+        let mut rng = SeededRng::new(seed);
         // Some get several times the mean.
-        let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + chance.uniform().powi(3) * 4.0).collect();
+        let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + rng.uniform().powi(3) * 4.0).collect();
         let all: f64 = shares.iter().sum();
         let forwarder = |(number, share): (u64, f64)| {
             let mut controller = Controller::new(set.clone(), seed * 1000 + number);
@@ -94,32 +94,32 @@
             Forwarder { controller, share: share / all, next: 0, attempts, out, has_seen_outage: false }
         };
         let forwarders = (0..).zip(shares).map(forwarder).collect();
-        Fleet { now: S, forwarders, chance, calls: Vec::new(), served: 0 }
+        Fleet { now: S, forwarders, rng, calls: Vec::new(), served: 0 }
     }
 
     /// Runs the fleet for the time `span`. Each call that starts in it ends with the given outcome after the given
     /// latency.
-    fn play(&mut self, span: Micros, load: f64, outage: bool, end: (Outcome, Micros)) {
+    fn run(&mut self, span: Micros, load: f64, outage: bool, end: (Outcome, Micros)) {
         let (outcome, latency) = end;
         for _ in 0..span / STEP {
             self.now += STEP;
             let now = self.now;
-            for one in &mut self.forwarders {
-                let ended = one.end_calls(now);
+            for forwarder in &mut self.forwarders {
+                let ended = forwarder.end_calls(now);
                 let successes = ended.iter().filter(|result| result.outcome == Outcome::Success).count();
                 self.served += successes;
-                one.has_seen_outage |= outage && successes < ended.len();
+                forwarder.has_seen_outage |= outage && successes < ended.len();
                 let mut events = vec![Event::Timer { token: u64::MAX }];
                 events.extend(ended.into_iter().map(Event::AttemptEnded));
-                if self.chance.uniform() < load * one.share * STEP as f64 / S as f64 {
-                    events.push(one.message());
+                if self.rng.uniform() < load * forwarder.share * STEP as f64 / S as f64 {
+                    events.push(forwarder.message());
                 }
                 let mut actions = Vec::new();
-                one.controller.step(now, &events, &mut actions);
+                forwarder.controller.step(now, &events, &mut actions);
                 for action in actions {
                     let Action::Send { id, timeout, .. } = action else { continue };
-                    one.call(now, id, outcome, latency.min(timeout));
-                    self.calls.push((now, one.has_seen_outage));
+                    forwarder.call(now, id, outcome, latency.min(timeout));
+                    self.calls.push((now, forwarder.has_seen_outage));
                 }
             }
         }
@@ -165,10 +165,10 @@
 
 /// The result of a recovery.
 #[derive(Clone, Copy, Debug, Default)]
-struct Returned {
+struct Recovery {
     /// Most calls in a span from the forwarders that have seen the outage, as a fraction of the calls that the span
     /// allows, chance included.
-    used: f64,
+    max_budget_share: f64,
     /// Number of overloads: spans in which all calls exceed what chance allows and more than two thirds come from the
     /// forwarders that have seen the outage.
     overloads: usize,
@@ -176,34 +176,34 @@
     served: f64,
 }
 
-fn cold_return(case: &Case, known_size: u32, seed: u64) -> Returned {
+fn simulate_recovery(case: &Case, assumed_fleet_size: u32, seed: u64) -> Recovery {
     let set = settings(case);
-    let load = case.load * case.bears;
-    let mut fleet = Fleet::new(case, known_size, seed);
-    fleet.play(15 * S, load, false, (Outcome::Success, SERVICE));
-    let took = match case.fault {
+    let load = case.load * case.capacity;
+    let mut fleet = Fleet::new(case, assumed_fleet_size, seed);
+    fleet.run(15 * S, load, false, (Outcome::Success, SERVICE));
+    let latency = match case.fault {
         Outcome::Timeout => DEADLINE,
         Outcome::ConnectFailed | Outcome::Rejected => STEP,
         _ => SERVICE,
     };
-    fleet.play(case.lasts, load, true, (case.fault, took));
-    let back = fleet.now;
+    fleet.run(case.outage_time, load, true, (case.fault, latency));
+    let recovered_at = fleet.now;
     fleet.calls.clear();
-    fleet.play(set.warm_up_time, load, false, (Outcome::Success, SERVICE));
+    fleet.run(set.warm_up_time, load, false, (Outcome::Success, SERVICE));
     let calls = std::mem::take(&mut fleet.calls);
     fleet.served = 0;
-    fleet.play(10 * S, load, false, (Outcome::Success, SERVICE));
-    let mut returned = Returned { served: fleet.served as f64 / (10.0 * load), ..Returned::default() };
+    fleet.run(10 * S, load, false, (Outcome::Success, SERVICE));
+    let mut recovery = Recovery { served: fleet.served as f64 / (10.0 * load), ..Recovery::default() };
     for (first, (from, _)) in calls.iter().enumerate() {
         // The capacity is that at the end of the span, where it is highest: a span with more calls exceeds the budget
         // of each of its moments.
-        let risen = (from + set.overload_window - back) as f64 / set.warm_up_time as f64;
-        if risen >= 1.0 {
+        let ramp_part = (from + set.overload_window - recovered_at) as f64 / set.warm_up_time as f64;
+        if ramp_part >= 1.0 {
             break;
         }
-        let present = case.bears * (set.cold_capacity_share + (1.0 - set.cold_capacity_share) * risen);
-        let bears = set.overload_factor * present * set.overload_window as f64 / S as f64;
-        let allowed = bears + 2.0 * bears.sqrt() + 2.0;
+        let present = case.capacity * (set.cold_capacity_share + (1.0 - set.cold_capacity_share) * ramp_part);
+        let limit = set.overload_factor * present * set.overload_window as f64 / S as f64;
+        let allowed = limit + 2.0 * limit.sqrt() + 2.0;
         let span = calls[first..].iter().take_while(|(at, _)| *at < from + set.overload_window);
         let mut all = 0;
         let mut informed = 0;
@@ -211,37 +211,39 @@
             all += 1;
             informed += usize::from(*has_seen_outage);
         });
-        returned.used = returned.used.max(f64::from(informed as u32) / allowed);
-        returned.overloads += usize::from(f64::from(all as u32) > allowed && 3 * informed > 2 * all);
+        recovery.max_budget_share = recovery.max_budget_share.max(f64::from(informed as u32) / allowed);
+        recovery.overloads += usize::from(f64::from(all as u32) > allowed && 3 * informed > 2 * all);
     }
-    returned
+    recovery
 }
 
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
-    for (size, bears) in [(20, 12.0), (30, 60.0)] {
-        for weights in [CapacityHints::None, CapacityHints::Nominal] {
-            for (fault, lasts) in [
+    for (size, capacity) in [(20, 12.0), (30, 60.0)] {
+        for capacity_hints in [CapacityHints::None, CapacityHints::Nominal] {
+            for (fault, outage_time) in [
                 (Outcome::ConnectFailed, 6 * S),
                 (Outcome::Timeout, 14 * S),
                 (Outcome::Error, 6 * S),
                 (Outcome::Rejected, 12 * S),
             ] {
-                cases.push(Case { size, weights, bears, load: 0.9, fault, lasts });
+                cases.push(Case { size, capacity_hints, capacity, load: 0.9, fault, outage_time });
             }
         }
     }
     cases
 }
 
-fn over_seeds(case: &Case, known_size: u32, seeds: std::ops::Range<u64>) -> Vec<Returned> {
+fn simulate_seeds(case: &Case, assumed_fleet_size: u32, seeds: std::ops::Range<u64>) -> Vec<Recovery> {
     let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
     let seeds: Vec<u64> = seeds.collect();
     let parts = seeds.chunks(seeds.len().div_ceil(threads as usize));
     std::thread::scope(|scope| {
         let parts: Vec<_> = parts
             .map(|part| {
-                scope.spawn(|| part.iter().map(|s| cold_return(case, known_size, *s)).collect::<Vec<_>>())
+                scope.spawn(|| {
+                    part.iter().map(|s| simulate_recovery(case, assumed_fleet_size, *s)).collect::<Vec<_>>()
+                })
             })
             .collect();
         parts.into_iter().flat_map(|part| part.join().expect("the simulation ends without a panic")).collect()
@@ -254,16 +256,16 @@
 fn fleet_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
         .into_iter()
-        .filter(|case| case.fault != Outcome::Rejected || case.weights != CapacityHints::None)
+        .filter(|case| case.fault != Outcome::Rejected || case.capacity_hints != CapacityHints::None)
     {
-        let returns = over_seeds(&case, case.size, 0..100);
-        let worst = returns.iter().map(|one| one.used).fold(0.0, f64::max);
-        let overloads: usize = returns.iter().map(|one| one.overloads).sum();
+        let recoveries = simulate_seeds(&case, case.size, 0..100);
+        let worst = recoveries.iter().map(|recovery| recovery.max_budget_share).fold(0.0, f64::max);
+        let overloads: usize = recoveries.iter().map(|recovery| recovery.overloads).sum();
         assert!(
             worst <= 1.0 && overloads == 0,
             "{case:?}: {worst:.2} of the allowed calls, {overloads} overloads"
         );
-        let served = returns.iter().map(|one| one.served).sum::<f64>() / returns.len() as f64;
+        let served = recoveries.iter().map(|recovery| recovery.served).sum::<f64>() / recoveries.len() as f64;
         assert!(served > 0.5, "{case:?}: {served:.2} of the load served after the warm-up");
     }
 }
@@ -274,14 +276,18 @@
 fn rejected_fleet_without_known_limit_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
         .into_iter()
-        .filter(|case| case.fault == Outcome::Rejected && case.weights == CapacityHints::None)
+        .filter(|case| case.fault == Outcome::Rejected && case.capacity_hints == CapacityHints::None)
     {
-        let returns = over_seeds(&case, case.size, 0..100);
-        let over: Vec<_> = returns.iter().map(|one| one.used).filter(|used| *used > 1.0).collect();
+        let recoveries = simulate_seeds(&case, case.size, 0..100);
+        let exceeding: Vec<_> = recoveries
+            .iter()
+            .map(|recovery| recovery.max_budget_share)
+            .filter(|share| *share > 1.0)
+            .collect();
         assert!(
-            over.is_empty(),
-            "{case:?}: more calls than allowed with {} of 100 seeds: {over:.2?}",
-            over.len()
+            exceeding.is_empty(),
+            "{case:?}: more calls than allowed with {} of 100 seeds: {exceeding:.2?}",
+            exceeding.len()
         );
     }
 }
@@ -289,9 +295,9 @@
 // Checks that the tests can fail: a fleet in which each forwarder uses the whole budget must exceed it.
 #[test]
 fn fleet_in_which_each_uses_the_whole_budget_overloads_a_cold_destination() {
-    for case in cases().into_iter().filter(|case| case.weights == CapacityHints::Nominal) {
-        let returns = over_seeds(&case, 1, 0..20);
-        let over = returns.iter().filter(|one| one.used > 1.0).count();
-        assert!(over >= 10, "{case:?}: more calls than allowed with only {over} of 20 seeds");
+    for case in cases().into_iter().filter(|case| case.capacity_hints == CapacityHints::Nominal) {
+        let recoveries = simulate_seeds(&case, 1, 0..20);
+        let exceeding = recoveries.iter().filter(|recovery| recovery.max_budget_share > 1.0).count();
+        assert!(exceeding >= 10, "{case:?}: more calls than allowed with only {exceeding} of 20 seeds");
     }
 }
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -8,7 +8,7 @@
 
 /// Returns settings with these classes: 0 idempotent, 1 idempotency key with the scope `Zone`, 2 non-idempotent. Kind 1
 /// has separate routes.
-fn set() -> Settings {
+fn settings_with_cancelling() -> Settings {
     Settings { allow_cancel: true, ..settings() }
 }
 
@@ -19,7 +19,7 @@
 
 /// Has two calls in flight at a warm endpoint: a message of `class`, and one that is sent later and answered. Returns
 /// the messages whose calls are cancelled then, and the first message.
-fn beside_a_quick_one(harness: &mut Harness, class: usize) -> (Vec<MessageId>, MessageId) {
+fn stall_call(harness: &mut Harness, class: usize) -> (Vec<MessageId>, MessageId) {
     let first = sends(&harness.submit(1, class, 1))[0].0;
     harness.advance(400 * MS);
     let second = sends(&harness.submit(1, 0, 1));
@@ -31,10 +31,10 @@
 // Guards against a dead connection that occupies a slot until its time-out while its endpoint serves.
 #[test]
 fn stalled_call_is_cancelled_and_retried() {
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    let (off, id) = beside_a_quick_one(&mut harness, 0);
-    assert_eq!(off, [id], "a call sent later has been answered");
+    let (cancelled_ids, id) = stall_call(&mut harness, 0);
+    assert_eq!(cancelled_ids, [id], "a call sent later has been answered");
     let again = sends(&harness.end_attempt(id, Outcome::Cancelled));
     assert_eq!(
         again.iter().map(|send| send.0).collect::<Vec<_>>(),
@@ -53,19 +53,20 @@
 // endpoint that answers nothing, at which the next call would hang as well.
 #[test]
 fn call_is_not_cancelled_where_a_retry_would_not_help() {
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    assert!(beside_a_quick_one(&mut harness, 2).0.is_empty(), "a non-idempotent message would be lost");
-    let mut harness = Harness::new(Settings { allow_cancel: false, ..set() }, &[entry(1, 1, 0, 0)]);
+    assert!(stall_call(&mut harness, 2).0.is_empty(), "a non-idempotent message would be lost");
+    let mut harness =
+        Harness::new(Settings { allow_cancel: false, ..settings_with_cancelling() }, &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    assert!(beside_a_quick_one(&mut harness, 0).0.is_empty(), "the settings do not allow cancelling");
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
+    assert!(stall_call(&mut harness, 0).0.is_empty(), "the settings do not allow cancelling");
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     harness.submit(1, 0, 2);
     assert!(cancelled(&harness.advance(700 * MS)).is_empty(), "no call sent later was answered");
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    let (_, id) = beside_a_quick_one(&mut harness, 0);
+    let (_, id) = stall_call(&mut harness, 0);
     harness.end_attempt(id, Outcome::Cancelled);
     harness.advance(400 * MS);
     let second = sends(&harness.submit(1, 0, 1))[0].0;
@@ -78,23 +79,23 @@
 // calls are cancelled until a stalled call times out.
 #[test]
 fn slow_messages_stop_the_cancelling_of_stalled_calls() {
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
-    let (off, id) = beside_a_quick_one(&mut harness, 0);
-    assert_eq!(off, [id]);
+    let (cancelled_ids, id) = stall_call(&mut harness, 0);
+    assert_eq!(cancelled_ids, [id]);
     harness.end_attempt(id, Outcome::Cancelled);
     harness.advance(900 * MS);
     harness.end_attempt(id, Outcome::Success);
-    let (off, long) = beside_a_quick_one(&mut harness, 0);
-    assert!(off.is_empty(), "the retry was slow too");
+    let (cancelled_ids, long) = stall_call(&mut harness, 0);
+    assert!(cancelled_ids.is_empty(), "the retry was slow too");
     harness.now += 900 * MS;
     let mut again = sends(&harness.end_attempt(long, Outcome::Timeout));
     again.extend(sends(&harness.advance(5 * S)));
     assert_eq!(again[0].0, long);
     harness.end_attempt(long, Outcome::Success);
     harness.warm_up(1, 16);
-    let (off, id) = beside_a_quick_one(&mut harness, 0);
-    assert_eq!(off, [id], "a stalled call that was not cancelled timed out");
+    let (cancelled_ids, id) = stall_call(&mut harness, 0);
+    assert_eq!(cancelled_ids, [id], "a stalled call that was not cancelled timed out");
 }
 
 // Guards against a retry in another zone after the endpoint of the first attempt has moved there or has left the list.
@@ -102,31 +103,34 @@
 #[test]
 fn retry_keeps_to_the_zone_of_the_first_attempt() {
     for moved in [Some(1), None] {
-        let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0)]);
+        let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
         let (id, ..) = sends(&harness.submit(1, 1, 1))[0];
         let mut places = vec![entry(2, 1, 1, 0), entry(3, 1, 0, 0)];
         places.extend(moved.map(|zone| entry(1, 1, zone, 0)));
         harness.list(ListEventKind::Snapshot, &places);
-        let mut went = sends(&harness.end_attempt(id, Outcome::Error));
+        let mut sent_again = sends(&harness.end_attempt(id, Outcome::Error));
         for _ in 0..40 {
-            went.extend(sends(&harness.advance(100 * MS)));
+            sent_again.extend(sends(&harness.advance(100 * MS)));
         }
-        assert_eq!(went.iter().map(|send| send.1).collect::<Vec<_>>(), [3], "moved: {moved:?}");
+        assert_eq!(sent_again.iter().map(|send| send.1).collect::<Vec<_>>(), [3], "moved: {moved:?}");
     }
 }
 
 // Guards against two zones that the settings do not name being treated as one zone.
 #[test]
 fn unknown_zones_are_not_one_zone() {
-    let mut harness = Harness::new(set(), &[entry(1, 1, UNKNOWN_ZONE, 0), entry(2, 1, UNKNOWN_ZONE, 0)]);
+    let mut harness = Harness::new(
+        settings_with_cancelling(),
+        &[entry(1, 1, UNKNOWN_ZONE, 0), entry(2, 1, UNKNOWN_ZONE, 0)],
+    );
     let (id, first, _) = sends(&harness.submit(1, 1, 1))[0];
-    let mut went = sends(&harness.end_attempt(id, Outcome::Error));
+    let mut sent_again = sends(&harness.end_attempt(id, Outcome::Error));
     for _ in 0..60 {
-        went.extend(sends(&harness.advance(100 * MS)));
+        sent_again.extend(sends(&harness.advance(100 * MS)));
     }
     assert!(
-        !went.is_empty() && went.iter().all(|send| send.1 == first),
-        "only to the first endpoint: {went:?}"
+        !sent_again.is_empty() && sent_again.iter().all(|send| send.1 == first),
+        "only to the first endpoint: {sent_again:?}"
     );
 }
 
@@ -134,7 +138,7 @@
 // more, so it must fail at once and must be neither sent nor rejected.
 #[test]
 fn message_fails_at_once_when_its_key_window_ends() {
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 0), entry(2, 1, 1, 0)]);
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0), entry(2, 1, 1, 0)]);
     let (id, endpoint, _) = sends(&harness.submit(1, 1, 1))[0];
     let zone = entry(endpoint, 1, endpoint as usize - 1, 0);
     harness.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Draining, ..zone }]);
@@ -158,20 +162,20 @@
 // Guards against a fault or Retry-After of one route, known from an earlier process, that affects the other routes.
 #[test]
 fn state_of_a_separate_route_does_not_affect_the_others() {
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
-    let known = |out, wait| Event::RouteState {
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
+    let route_state = |is_cold, wait| Event::RouteState {
         destination: 1,
         endpoint: Some(1),
-        begins_cold: out,
+        begins_cold: is_cold,
         retry_after: wait,
     };
-    harness.step(&[known(true, 0)]);
+    harness.step(&[route_state(true, 0)]);
     assert_eq!(
         harness.controller.faulty_routes().into_iter().collect::<Vec<_>>(),
         [RouteRef { destination: 1, endpoint: Some(1) }]
     );
-    let mut harness = Harness::new(set(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
-    harness.step(&[known(false, S)]);
+    let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
+    harness.step(&[route_state(false, S)]);
     assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "the other route gets the call at once");
     assert!(sends(&harness.submit(1, 0, 1)).is_empty());
     assert_eq!(sends(&harness.advance(S + 100 * MS))[0].1, 1, "the route gets calls after its Retry-After");
@@ -192,8 +196,9 @@
 #[test]
 fn absurd_reported_values_are_bounded() {
     for limit in [0.0, 1e-300, 1e-9, 1e300, f64::MAX, f64::NAN, f64::INFINITY, -5.0] {
-        let set = Settings { fleet_size: 3, capacity_hints: CapacityHints::None, ..set() };
-        let mut harness = Harness::new(set, &[entry(1, 1, 0, 1)]);
+        let settings =
+            Settings { fleet_size: 3, capacity_hints: CapacityHints::None, ..settings_with_cancelling() };
+        let mut harness = Harness::new(settings, &[entry(1, 1, 0, 1)]);
         let report = |harness: &mut Harness, id, limit| {
             let answer = AttemptResult {
                 reported_limit: Some(limit),
@@ -204,17 +209,17 @@
         };
         let first = sends(&harness.submit(1, 0, 1))[0].0;
         report(&mut harness, first, limit);
-        let mut out = sends(&harness.submit(1, 0, 3));
-        let (mut sent, mut ended) = (out.len(), 0);
+        let mut in_flight = sends(&harness.submit(1, 0, 3));
+        let (mut sent, mut ended) = (in_flight.len(), 0);
         for _ in 0..400 {
-            let mut went = Vec::new();
-            for (id, ..) in out {
-                went.extend(report(&mut harness, id, 30.0));
+            let mut actions = Vec::new();
+            for (id, ..) in in_flight {
+                actions.extend(report(&mut harness, id, 30.0));
             }
-            went.extend(harness.advance(50 * MS));
-            ended += rejected(&went).len() + failed(&went).len();
-            out = sends(&went);
-            sent += out.len();
+            actions.extend(harness.advance(50 * MS));
+            ended += rejected(&actions).len() + failed(&actions).len();
+            in_flight = sends(&actions);
+            sent += in_flight.len();
         }
         assert!(sent + ended >= 3, "{limit}: {sent} sent and {ended} ended");
         let next = harness.submit(1, 0, 1);
@@ -226,9 +231,10 @@
 #[test]
 fn last_slot_goes_to_the_faster_route_while_messages_wait() {
     for (slots, waiting, expected) in [(8, 0, 1), (2, 20, 2)] {
-        let set = Settings { max_calls: slots, zone_costs: vec![0.01, 0.04], ..set() };
+        let settings =
+            Settings { max_calls: slots, zone_costs: vec![0.01, 0.04], ..settings_with_cancelling() };
         let slow_and_quick = [entry(1, 1, 0, 1), entry(2, 1, 1, 1)];
-        let mut harness = Harness::new(set, &[entry(3, 2, 0, 0), entry(1, 1, 0, 1), entry(2, 1, 1, 1)]);
+        let mut harness = Harness::new(settings, &[entry(3, 2, 0, 0), entry(1, 1, 0, 1), entry(2, 1, 1, 1)]);
         // Both latencies are known: 400 ms for the route with the lower cost, 50 ms for the other.
         for place in 0..2 {
             let others = EndpointUpdate { state: EndpointState::Draining, ..slow_and_quick[1 - place] };
--- a/crates/core/tests/wire_settings.rs
+++ b/crates/core/tests/wire_settings.rs
@@ -13,15 +13,15 @@
 
 #[test]
 fn each_field_of_the_settings_is_read_by_its_name() {
-    let class = |aim, deadline, worth, late_share, effect| Class {
-        latency_objective: aim,
+    let class = |objective, deadline, weight, late_share, class_idempotency| Class {
+        latency_objective: objective,
         deadline,
-        priority_weight: worth,
+        priority_weight: weight,
         late_weight_share: late_share,
-        idempotency: effect,
-        keep_order: aim == 106,
+        idempotency: class_idempotency,
+        keep_order: objective == 106,
     };
-    let keyed = |group, window| Idempotency::IdempotencyKey { scope: group, window };
+    let keyed = |key_scope, window| Idempotency::IdempotencyKey { scope: key_scope, window };
     let expected = Settings {
         fleet_size: 15,
         zone: 1,
@@ -75,9 +75,9 @@
 
 #[test]
 fn each_switch_of_the_settings_is_read_by_its_own_name() {
-    let read_with = |said: &str, instead: &str| {
-        assert_eq!(FULL.matches(said).count(), 1, "{said}");
-        read(&FULL.replace(said, instead)).expect("settings").0
+    let read_with = |original: &str, replacement: &str| {
+        assert_eq!(FULL.matches(original).count(), 1, "{original}");
+        read(&FULL.replace(original, replacement)).expect("settings").0
     };
     assert!(!read_with("\"may_cancel\": true", "\"may_cancel\": false").allow_cancel);
     assert!(!read_with("\"retry_after\": true", "\"retry_after\": false").send_retry_after);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn settings_that_say_nothing_are_read_as_before() {
+fn empty_settings_have_the_same_defaults_as_before() {
     let (settings, names) = read("{}").expect("settings");
     assert_eq!(settings, Settings::default());
     assert_eq!(names.zones, [""], "the forwarder's own zone, which has no name");
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn the_list_of_endpoints_is_written_and_read_as_before() {
-    let target = |uid: &str, endpoint: &str, state, checks| EndpointEntry {
+fn endpoint_list_is_written_and_read_as_before() {
+    let target = |uid: &str, endpoint: &str, state, status| EndpointEntry {
         uid: uid.to_owned(),
         address: endpoint.parse().expect("an address"),
         zone: "a".to_owned(),
@@ -119,7 +119,7 @@
         destination: 3,
         state,
         capacity_hint: 1.5,
-        health: checks,
+        health: status,
     };
     let list = WatchEvent {
         version: 41,
@@ -133,6 +133,6 @@
     };
     assert_eq!(serde_json::to_string(&list).expect("JSON") + "\n", LIST);
     assert_eq!(parse_list(LIST.as_bytes()).expect("a list"), list);
-    let bare = WatchEvent { version: 1, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-    assert_eq!(serde_json::to_string(&bare).expect("JSON"), "{\"rev\":1,\"all\":true,\"targets\":[]}");
+    let empty = WatchEvent { version: 1, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
+    assert_eq!(serde_json::to_string(&empty).expect("JSON"), "{\"rev\":1,\"all\":true,\"targets\":[]}");
 }
