--- a/crates/core/src/concurrency_limit.rs
+++ b/crates/core/src/concurrency_limit.rs
@@ -39,7 +39,7 @@
         in_flight < self.calls as usize
     }
 
-    /// Returns whether the window is so small that a decrease holds no call back.
+    /// Returns whether the window is at its floor, where a decrease does not reduce the number of calls in flight.
     pub fn is_at_floor(&self) -> bool {
         self.calls < FLOOR_BELOW_CALLS
     }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller of one forwarder, which takes in what has happened and decides what to do.
+//! The controller of one forwarder. It receives events and decides what the forwarder does.
 //!
 //! It holds the state and calls the rules, each of which has its own module: `queue`, `admission`, `retry`,
 //! `selection`, `concurrency_limit`, `pacing`, `outlier_detection`, `slow_start`, `timeouts`, `draining`. The
--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -168,7 +168,7 @@
         self.schedule.changed_destinations.push(destination);
     }
 
-    /// Forgets removed endpoints that have no calls in flight and whose Retry-After has ended.
+    /// Drops removed endpoints that have no calls in flight and whose Retry-After has ended.
     pub(super) fn drop_removed_endpoints(&mut self) {
         while let Some(id) = self.schedule.pop_due_removal(self.now) {
             let endpoint = self.endpoints.get(&id);
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -184,8 +184,8 @@
         self.len() + new <= MAX_ENTRIES + removed
     }
 
-    /// Returns an event that is older than the list without its activations, because they must not give calls to an
-    /// endpoint that has drained or was removed since.
+    /// Returns `event` without its activations. Used for an event that is older than the list: an endpoint that has
+    /// drained or was removed since must not get calls again because of this event.
     pub fn without_activations(&self, mut event: WatchEvent) -> WatchEvent {
         for entry in &mut event.endpoints {
             let is_active = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -169,7 +169,7 @@
     pub handshake_cost: f64,
     /// Cost of a first attempt that goes to another zone.
     pub cross_zone_cost: f64,
-    /// Cost of a message that a separate route delivers, for each zone of the route's endpoint.
+    /// For each zone, the cost of a message that is delivered by a separate route whose endpoint is in this zone.
     pub zone_costs: Vec<f64>,
     /// Meaning of the capacity hints.
     pub capacity_hints: CapacityHints,
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -144,7 +144,7 @@
         self.waiting.front().copied()
     }
 
-    /// Returns whether the key has no state left that matters.
+    /// Returns whether nothing of the key has to be kept: no message, no attempt in flight and no cooldown.
     pub fn is_done(&self, now: Micros) -> bool {
         self.waiting.is_empty() && self.orphaned_attempts == 0 && now >= self.cooldown_until
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -96,7 +96,7 @@
         self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
     }
 
-    /// Returns what its calls have shown so far, for a change.
+    /// Returns what its calls have shown so far, as a mutable reference.
     pub fn traffic_mut(&mut self) -> &mut RouteTraffic {
         self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()))
     }
--- a/crates/core/src/route_users.rs
+++ b/crates/core/src/route_users.rs
@@ -37,7 +37,7 @@
         self.hold(route);
     }
 
-    /// The opposite of [`Self::join`].
+    /// Reverses [`Self::join`].
     pub fn leave(&mut self, route: RouteId, destination: DestinationId) {
         if let Some(count) = self.destinations.get_mut(&(route, destination)) {
             *count -= 1;
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -29,7 +29,7 @@
     pub faulty_routes_changed: bool,
     /// When destinations have warmed up.
     pub warm_up_timers: TimerQueue<DestinationId>,
-    /// When removed endpoints may be forgotten.
+    /// When removed endpoints may be dropped.
     pub removal_timers: BTreeSet<(Micros, EndpointId)>,
     /// When messages have to be examined.
     pub message_timers: BTreeSet<(Micros, MessageId)>,
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -2,8 +2,8 @@
 //!
 //! A cold destination has `cold_capacity_share` of its capacity, has all of it after `warm_up_time`, and fails under
 //! more than `overload_factor` times its present capacity over `overload_window`. Each forwarder sends at most its own
-//! share of that in any such window. The shares of a fleet add up to no more than the capacity, so the rule needs no
-//! coordination, for first attempts and retries alike. A budget below one call is met by chance: a draw twice in a
+//! share of that in any such window. The shares of a fleet add up to no more than the capacity, so the rule holds
+//! without any coordination, for first attempts and retries alike. If the budget is below one call, a draw twice in a
 //! window decides whether one call is sent. The unit is calls in `overload_window`; times are in microseconds.
 
 use crate::interface::{Micros, SECOND_US, Settings};
--- a/crates/core/src/timeouts.rs
+++ b/crates/core/src/timeouts.rs
@@ -102,7 +102,8 @@
     route_timeout.min(time_left)
 }
 
-/// Returns the last time at which the final answer of a message can be given in time: two steps before its deadline.
+/// Returns the last time at which the final answer of a message can be given in time: two steps and a scheduling margin
+/// before its deadline.
 pub(crate) fn answer_by(deadline: Micros, step_interval: Micros) -> Micros {
     deadline.saturating_sub(2 * step_interval + SCHEDULING_MARGIN_US)
 }
