--- a/crates/core/src/controller/calls.rs
+++ b/crates/core/src/controller/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that go out: which message is next, which endpoint takes it, and what goes with it in one call.
+//! Sends calls: chooses the next message, the endpoint that gets it, and the other messages of the same call.
 
 use super::Controller;
 use crate::call::{Attempt, AttemptId, Call};
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Sends what can go now, the lowest rank of all queues first, while there are call slots.
+    /// Sends the messages that can be sent now, the lowest rank of all queues first, while call slots are free.
     pub(super) fn send_ready_messages(&mut self, actions: &mut Vec<Action>) {
         self.draw_slow_start_calls();
         self.update_waiting_index();
@@ -24,8 +24,8 @@
             let faulty_at_limit = self.faulty_calls_at_limit();
             let Some(ready) = self.schedule.waiting.first_ready(faulty_at_limit) else { return };
             if ready.found_at < self.now {
-                // Found in an earlier step: its routes may have closed since.
-                self.schedule.changed.push(ready.destination);
+                // This was found in an earlier step, and the routes may have closed since.
+                self.schedule.changed_destinations.push(ready.destination);
             } else {
                 let id = ready.rank.message;
                 let Some(endpoint) = self.choose_endpoint(id) else { return };
@@ -35,10 +35,10 @@
         }
     }
 
-    /// Draws for the routes whose slow-start budget is below one call and whose draw is due.
+    /// Draws for each route whose slow-start budget is below one call and whose draw is due.
     fn draw_slow_start_calls(&mut self) {
-        self.schedule.changed.extend(self.schedule.waiting.pop_draws(self.now));
-        let due: BTreeSet<DestinationId> = self.schedule.changed.iter().copied().collect();
+        self.schedule.changed_destinations.extend(self.schedule.waiting.pop_draws(self.now));
+        let due: BTreeSet<DestinationId> = self.schedule.changed_destinations.iter().copied().collect();
         let destinations = due.iter().filter_map(|id| self.destinations.get(id));
         let waiting = destinations.filter(|destination| !destination.queue.is_empty());
         let endpoints = waiting.flat_map(|destination| &destination.endpoints);
@@ -46,20 +46,20 @@
         for id in routes {
             let route = &mut self.routes[id];
             let Some(budget) = route.call_budget(self.now, &self.settings) else { continue };
-            if route.traffic().budget_use.next_draw_at() <= self.now {
-                let budget_use = &mut route.traffic_mut().budget_use;
-                budget_use.draw(budget, self.now, &self.settings, &mut self.rng);
+            if route.traffic().recent_call_budget.next_draw_at() <= self.now {
+                let recent_call_budget = &mut route.traffic_mut().recent_call_budget;
+                recent_call_budget.draw(budget, self.now, &self.settings, &mut self.rng);
                 self.route_changed(id);
             }
         }
     }
 
-    /// Whether all faulty destinations together have as many calls in flight as they may.
+    /// Returns whether all faulty destinations together have reached their limit on calls in flight.
     fn faulty_calls_at_limit(&self) -> bool {
         self.schedule.faulty_calls >= concurrency_limit::faulty_call_limit(self.settings.max_calls)
     }
 
-    /// Whether a new call may go to an endpoint now, as far as any message goes.
+    /// Returns whether a new call may go to an endpoint now, regardless of its message.
     fn takes_call(&self, endpoint: &Endpoint, destination: &Destination, faulty_at_limit: bool) -> bool {
         if !endpoint.accepts_calls || endpoint.is_excluded {
             return false;
@@ -83,7 +83,7 @@
         message.may_be_sent(self.now, self.settings.max_attempts)
     }
 
-    /// Endpoints that take a message now.
+    /// Iterates over the endpoints that can be sent a message now.
     fn eligible_endpoints<'a>(
         &'a self,
         message: &'a Message,
@@ -100,7 +100,7 @@
         })
     }
 
-    /// The first message of a queue that can go now.
+    /// Returns the first message of a queue that can be sent now.
     pub(super) fn first_sendable(
         &self,
         destination: &Destination,
@@ -110,19 +110,20 @@
         if !endpoints.any(|endpoint| self.takes_call(endpoint, destination, faulty_at_limit)) {
             return None;
         }
-        let can_go = |message: &Message| self.eligible_endpoints(message, faulty_at_limit).next().is_some();
+        let can_be_sent =
+            |message: &Message| self.eligible_endpoints(message, faulty_at_limit).next().is_some();
         let mut first = destination.queue.iter().take(QUEUE_SCAN_MESSAGES);
-        first.find(|rank| self.messages.get(&rank.message).is_some_and(can_go)).copied()
+        first.find(|rank| self.messages.get(&rank.message).is_some_and(can_be_sent)).copied()
     }
 
-    /// The eligible endpoint that costs a message least.
+    /// Returns the eligible endpoint with the lowest cost for a message.
     fn choose_endpoint(&mut self, id: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&id)?;
         let mut rng = self.rng.clone();
         let costs = self.eligible_endpoints(message, self.faulty_calls_at_limit()).map(|(id, endpoint)| {
             let capacity_hint = self.routes[endpoint.route].capacity_hint;
-            let chance = selection::chance_cost(rng.uniform(), capacity_hint, self.settings.fleet_size);
-            (self.cost(endpoint) + chance, id)
+            let random_cost = selection::random_cost(rng.uniform(), capacity_hint, self.settings.fleet_size);
+            (self.cost(endpoint) + random_cost, id)
         });
         let cheapest = costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id);
         self.rng = rng;
@@ -148,7 +149,7 @@
         selection::cost(&inputs, pressure, &self.settings)
     }
 
-    /// One call to an endpoint: the message given, and others of its queue as far as a call takes them.
+    /// Sends one call to an endpoint: the given message, and others of its queue up to the greatest batch of a call.
     fn send_call(&mut self, first: MessageId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get(&endpoint_id) else { return };
         let batch = self.batch(first, endpoint_id, endpoint);
@@ -158,18 +159,18 @@
         }
     }
 
-    /// The messages of a call: a trial call takes one only.
+    /// Returns the messages of a call. A trial call has only one.
     fn batch(&self, first: MessageId, endpoint_id: EndpointId, endpoint: &Endpoint) -> Vec<MessageId> {
         let is_trial = self.routes[endpoint.route].health == RouteHealth::Ejected;
-        let most = if is_trial { 1 } else { endpoint.kind.max_batch };
+        let max_messages = if is_trial { 1 } else { endpoint.kind.max_batch };
         let may_join = |id: &MessageId| {
             let message = self.messages.get(id);
             message.is_some_and(|m| self.may_be_sent(m) && is_endpoint_allowed(m, endpoint_id, endpoint))
         };
         let queue = self.destinations.get(&endpoint.destination).map(|destination| &destination.queue);
         let others = queue.into_iter().flatten().map(|rank| rank.message).filter(|id| *id != first);
-        let joining = others.take(QUEUE_SCAN_MESSAGES.max(most)).filter(may_join);
-        std::iter::once(first).chain(joining).take(most).collect()
+        let joining = others.take(QUEUE_SCAN_MESSAGES.max(max_messages)).filter(may_join);
+        std::iter::once(first).chain(joining).take(max_messages).collect()
     }
 
     fn open_call(&mut self, endpoint_id: EndpointId, batch: &[MessageId]) {
@@ -177,7 +178,7 @@
         let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
         endpoint.traffic_mut().open_call(self.now, &self.settings);
         self.destinations.entry(endpoint.destination).or_default().in_flight += 1;
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
         let call = Call {
             endpoint: endpoint_id,
             zone: endpoint.zone,
@@ -192,7 +193,7 @@
         route.take_pace_tokens(1.0, self.now, &self.settings);
         let traffic = route.traffic_mut();
         traffic.in_flight += 1;
-        traffic.budget_use.record_call(batch.len(), self.now, &self.settings);
+        traffic.recent_call_budget.record_call(batch.len(), self.now, &self.settings);
         let overdue_at = self.now + traffic.latency.overdue_after();
         self.last_number += 1;
         self.schedule.call_timers.insert((overdue_at, self.last_number));
@@ -202,8 +203,8 @@
         self.route_changed(call.route);
     }
 
-    /// Sends a message with the call opened last. A message that must not be sent twice has a time-out too: a hanging call
-    /// would keep its slot from all others.
+    /// Sends a message with the call opened last. A message that must not be sent twice has a time-out too, because a
+    /// hanging call would occupy its slot.
     fn send_attempt(&mut self, id: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         self.unqueue(id);
         let Some(route) = self.endpoints.get(&endpoint).map(|endpoint| endpoint.route) else { return };
--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: endpoints that come, change, drain and go, their health checks, and the routes that they are on.
+//! Applies the endpoint list: new, changed, draining and removed endpoints, their health checks, and their routes.
 
 use super::Controller;
 use crate::draining::{self, Removal};
@@ -18,12 +18,12 @@
                 endpoint.accepts_calls = false;
                 endpoint.is_removed = true;
             }
-            self.schedule.changed.extend(self.schedule.waiting.ids());
+            self.schedule.changed_destinations.extend(self.schedule.waiting.ids());
         }
         entries.iter().for_each(|entry| self.on_endpoint_update(entry));
         if is_whole_list {
             let removed = self.endpoints.iter().filter(|(_, endpoint)| endpoint.is_removed);
-            self.schedule.removed.extend(removed.map(|(id, _)| (self.now, *id)));
+            self.schedule.removal_timers.extend(removed.map(|(id, _)| (self.now, *id)));
         }
         let destinations: BTreeSet<DestinationId> = entries.iter().map(|entry| entry.destination).collect();
         destinations.into_iter().for_each(|destination| self.apply_health_checks(destination));
@@ -50,12 +50,12 @@
         let Some(endpoint) = self.endpoints.get_mut(&entry.endpoint) else { return };
         endpoint.update(entry, kind);
         if endpoint.is_removed {
-            self.schedule.removed.insert((self.now, entry.endpoint));
+            self.schedule.removal_timers.insert((self.now, entry.endpoint));
         }
         let route_before = endpoint.route;
         let route = shared_route.unwrap_or(route_before);
         endpoint.route = route;
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
         self.schedule.route_users.leave(route_before, endpoint.destination);
         self.schedule.route_users.join(route, endpoint.destination);
         self.routes[route].capacity_hint = entry.capacity_hint;
@@ -76,8 +76,9 @@
         self.route_changed(route);
     }
 
-    /// A new endpoint with no other beside it starts anew. Two things belong to the destination and are kept: its
-    /// Retry-After, and that it comes back cold.
+    /// Creates a route. An endpoint that is added to a destination without others starts with a new route. Two
+    /// properties belong to the destination and are copied from its earlier route `before`: its Retry-After, and that
+    /// it returns cold.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
         let bucket = pacing::initial_bucket(self.now, &self.settings, &mut self.rng);
         let mut route = Route::new(self.now, bucket);
@@ -94,7 +95,7 @@
         id
     }
 
-    /// Sets the route of a destination for its endpoints to come.
+    /// Sets the route that a destination's later endpoints share; `None` if its endpoints are separate routes.
     fn set_shared_route(&mut self, id: DestinationId, route: Option<RouteId>) {
         let destination = self.destinations.entry(id).or_default();
         let before = std::mem::replace(&mut destination.shared_route, route);
@@ -107,11 +108,11 @@
         if let Some(before) = before {
             self.schedule.route_users.leave(before, id);
         }
-        self.schedule.changed.push(id);
+        self.schedule.changed_destinations.push(id);
     }
 
-    /// What an earlier process or an operator knows of a destination. One without endpoints just now keeps it for those to
-    /// come.
+    /// Applies what an earlier process or an operator knows of a destination. A destination that has no endpoints now
+    /// keeps it for endpoints that are added later.
     pub(super) fn on_route_state(
         &mut self,
         id: DestinationId,
@@ -120,8 +121,8 @@
         retry_after: Micros,
     ) {
         let endpoints = self.destinations.get(&id).map_or(&[][..], |destination| &destination.endpoints);
-        let meant = endpoints.iter().filter(|id| endpoint.is_none_or(|only| only == **id));
-        let mut routes: Vec<RouteId> = meant.map(|id| self.endpoints[id].route).collect();
+        let matching = endpoints.iter().filter(|id| endpoint.is_none_or(|only| only == **id));
+        let mut routes: Vec<RouteId> = matching.map(|id| self.endpoints[id].route).collect();
         if routes.is_empty() && endpoint.is_none() {
             let route = self.new_route(None);
             routes.push(route);
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Applies the health checks of a destination. A route without a passing endpoint is ejected until a call succeeds:
-    /// calls overrule a bad report, and a good one alone opens nothing.
+    /// Applies the health checks of a destination. A route without a passing endpoint is ejected until a call succeeds.
+    /// A successful call overrules a failing health check, and a passing health check alone ends no ejection.
     fn apply_health_checks(&mut self, destination: DestinationId) {
         let Some(ids) = self.destinations.get(&destination).map(|d| d.endpoints.clone()) else { return };
         let endpoints = ids.iter().map(|id| &self.endpoints[id]);
@@ -149,26 +150,26 @@
             let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
             let route_id = endpoint.route;
             let route = &mut self.routes[route_id];
-            let verdict = outlier_detection::judge_health_checks(
+            let result = outlier_detection::evaluate_health_checks(
                 endpoint.health,
                 !passing_routes.is_empty(),
                 passing_routes.contains(&route_id),
                 route.is_critical,
             );
-            endpoint.is_excluded = verdict.excludes_endpoint;
-            if verdict.route_is_critical && !route.is_critical {
+            endpoint.is_excluded = result.excludes_endpoint;
+            if result.route_is_critical && !route.is_critical {
                 route.health = RouteHealth::Ejected;
-                // As a failure: a call sent before it shows nothing by its success.
+                // This counts as a failure, so the success of a call sent before it proves nothing.
                 route.traffic_mut().failures.extend_span(self.now);
             }
-            route.is_critical = verdict.route_is_critical;
+            route.is_critical = result.route_is_critical;
             self.route_changed(route_id);
         }
-        self.schedule.changed.push(destination);
+        self.schedule.changed_destinations.push(destination);
     }
 
-    /// Forgets removed endpoints once none of their calls is in flight and no Retry-After of theirs runs.
-    pub(super) fn forget_removed_endpoints(&mut self) {
+    /// Drops removed endpoints that have no calls in flight and whose Retry-After has ended.
+    pub(super) fn drop_removed_endpoints(&mut self) {
         while let Some(id) = self.schedule.pop_due_removal(self.now) {
             let endpoint = self.endpoints.get(&id);
             let Some(endpoint) = endpoint.filter(|e| e.is_removed && e.traffic().in_flight == 0) else {
@@ -177,14 +178,14 @@
             let route = &self.routes[endpoint.route];
             match draining::removal(route.retry_after_until, self.now) {
                 Removal::KeepUntil(at) => {
-                    self.schedule.removed.insert((at, id));
+                    self.schedule.removal_timers.insert((at, id));
                 }
-                Removal::Forget => self.forget_endpoint(id),
+                Removal::Drop => self.drop_endpoint(id),
             }
         }
     }
 
-    fn forget_endpoint(&mut self, id: EndpointId) {
+    fn drop_endpoint(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
         self.schedule.route_users.leave(endpoint.route, endpoint.destination);
         if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
@@ -192,6 +193,6 @@
         }
         let route = RouteRef { destination: endpoint.destination, endpoint: Some(id) };
         self.schedule.set_faulty(route, false);
-        self.schedule.changed.push(endpoint.destination);
+        self.schedule.changed_destinations.push(endpoint.destination);
     }
 }
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -1,4 +1,4 @@
-//! Keeps the schedule's indexes up to date with what has changed or come due. It holds no rule.
+//! Updates the schedule's indexes for what has changed or is due. This module has no rules.
 
 use super::Controller;
 use crate::endpoint::Destination;
@@ -7,14 +7,15 @@
 use crate::route::RouteId;
 use crate::waiting_index::Wait;
 
-/// A route of a destination, as it is named outside.
+/// A route of a destination, with its number for the forwarder and its index in the table of routes.
 struct NamedRoute {
     id: RouteRef,
     route: Option<RouteId>,
 }
 
 impl Controller {
-    /// A route has changed: the count of calls on faulty routes, and the destinations on it.
+    /// Updates the count of calls on faulty routes after a change of a route, and marks the destinations on it as
+    /// changed.
     pub(super) fn route_changed(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let calls = if route.is_faulty() { route.traffic().in_flight } else { 0 };
@@ -23,25 +24,25 @@
             self.schedule.faulty_calls = self.schedule.faulty_calls + calls - counted;
             route.traffic_mut().counted_faulty_calls = calls;
         }
-        self.schedule.changed.extend(self.schedule.route_users.destinations(id));
+        self.schedule.changed_destinations.extend(self.schedule.route_users.destinations(id));
     }
 
-    /// Brings the index of waiting destinations up to date with what has changed or come due.
+    /// Updates the index of waiting destinations for what has changed or is due.
     pub(super) fn update_waiting_index(&mut self) {
-        self.schedule.changed.extend(self.schedule.waiting.pop_changed(self.now));
-        let mut changed = std::mem::take(&mut self.schedule.changed);
+        self.schedule.changed_destinations.extend(self.schedule.waiting.pop_changed(self.now));
+        let mut changed = std::mem::take(&mut self.schedule.changed_destinations);
         changed.sort_unstable();
         changed.dedup();
         for id in &changed {
             let destination = self.destinations.get(id).filter(|d| !d.queue.is_empty());
             let wait = destination.map(|destination| self.wait_of(destination));
-            self.schedule.work += u64::from(wait.is_some());
+            self.schedule.destinations_examined += u64::from(wait.is_some());
             self.schedule.waiting.set(*id, wait);
         }
-        self.schedule.unassessed.append(&mut changed);
+        self.schedule.stale_faulty_routes.append(&mut changed);
     }
 
-    /// What a destination with a queue waits for.
+    /// Returns what a destination with a queue waits for.
     fn wait_of(&self, destination: &Destination) -> Wait {
         let routes = || destination.endpoints.iter().map(|id| &self.routes[self.endpoints[id].route]);
         let ready = self.first_sendable(destination, false);
@@ -53,27 +54,28 @@
             ready,
             ready_healthy,
             changes_at: routes().filter_map(|route| route.changes_at(self.now, &self.settings)).min(),
-            draw_at: budgeted.map(|route| route.traffic().budget_use.next_draw_at()).min(),
+            draw_at: budgeted.map(|route| route.traffic().recent_call_budget.next_draw_at()).min(),
         }
     }
 
-    /// Brings the set of faulty routes up to date with what has changed or come due.
+    /// Updates the set of faulty routes for what has changed or is due.
     pub(super) fn update_faulty_routes(&mut self) {
-        let due = std::iter::from_fn(|| self.schedule.warming.pop_due(self.now));
-        self.schedule.unassessed.extend(due);
-        let mut unassessed = std::mem::take(&mut self.schedule.unassessed);
-        unassessed.sort_unstable();
-        unassessed.dedup();
-        for id in unassessed {
+        let due = std::iter::from_fn(|| self.schedule.warm_up_timers.pop_due(self.now));
+        self.schedule.stale_faulty_routes.extend(due);
+        let mut stale_faulty_routes = std::mem::take(&mut self.schedule.stale_faulty_routes);
+        stale_faulty_routes.sort_unstable();
+        stale_faulty_routes.dedup();
+        for id in stale_faulty_routes {
             let Some(destination) = self.destinations.get(&id) else { continue };
             let routes = self.named_routes(id, destination);
             let warm_at = routes.iter().filter_map(|route| self.update_faulty_route(route)).min();
-            self.schedule.work += 1;
-            self.schedule.warming.set(id, warm_at);
+            self.schedule.destinations_examined += 1;
+            self.schedule.warm_up_timers.set(id, warm_at);
         }
     }
 
-    /// The separate routes of a destination's endpoints, and its shared one, which it may have without endpoints.
+    /// Returns the separate routes of a destination's endpoints, and its shared route, which it may have without
+    /// endpoints.
     fn named_routes(&self, id: DestinationId, destination: &Destination) -> Vec<NamedRoute> {
         let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let separate = endpoints.map(|(endpoint_id, endpoint)| NamedRoute {
@@ -85,7 +87,7 @@
         separate.chain([shared]).collect()
     }
 
-    /// Lists a route as faulty, or not; gives the time at which it has warmed up.
+    /// Adds a route to the faulty routes or removes it. Returns the time at which it has warmed up.
     fn update_faulty_route(&mut self, named: &NamedRoute) -> Option<Micros> {
         let route = named.route.map(|id| &self.routes[id]);
         let faulty = route.filter(|route| route.needs_recovery(self.now, &self.settings));
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn only_outcomes_that_cannot_have_run_leave_no_possible_delivery() {
+fn outcomes_without_execution_leave_no_possible_delivery() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         assert!(!may_have_been_executed(outcome), "{outcome:?}");
     }
@@ -46,7 +46,7 @@
 #[test]
 fn attempts_end_at_their_limit() {
     assert!(has_attempts_left(2, 3) && !has_attempts_left(3, 3));
-    assert!(has_attempts_left(1_000, 0), "0 is no limit");
+    assert!(has_attempts_left(1_000, 0), "0 means no limit");
 }
 
 #[test]
@@ -56,7 +56,7 @@
     for idempotency in [Idempotency::NonIdempotent, keyed(KEYED[1]), keyed(KEYED[2])] {
         assert!(may_be_rejected(idempotency, None, 0), "{idempotency:?}");
         assert!(!may_be_rejected(idempotency, None, 1), "{idempotency:?}: an attempt is in flight");
-        assert!(!may_be_rejected(idempotency, delivery(0), 0), "{idempotency:?}: it may have run");
+        assert!(!may_be_rejected(idempotency, delivery(0), 0), "{idempotency:?}: it may have been executed");
     }
 }
 
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn unknown_zone_is_the_endpoint_alone() {
+fn deduplication_in_an_unknown_zone_covers_one_endpoint() {
     let allowed =
         |endpoint| is_endpoint_allowed(delivery(UNKNOWN_ZONE), keyed(KEYED[1]), endpoint, UNKNOWN_ZONE);
     assert!(allowed(7) && !allowed(8));
@@ -100,22 +100,22 @@
 #[test]
 fn span_keeps_to_the_budget_of_a_cold_route() {
     let paced = SpanBounds::new(1.0, true, &settings());
-    assert_eq!(paced.least_us, 1_250_000.0);
-    assert_eq!(paced.most_us, 5_000_000.0);
+    assert_eq!(paced.min_us, 1_250_000.0);
+    assert_eq!(paced.max_us, 5_000_000.0);
     let unpaced = SpanBounds::new(1.0, false, &settings());
-    assert_eq!(unpaced.most_us, 32_000_000.0, "two message lifetimes");
-    assert_eq!(SpanBounds::new(0.0, false, &settings()).least_us, 16_000_000.0);
+    assert_eq!(unpaced.max_us, 32_000_000.0, "two message lifetimes");
+    assert_eq!(SpanBounds::new(0.0, false, &settings()).min_us, 16_000_000.0);
 }
 
 #[test]
 fn backoff_below_one_call_is_drawn_from_a_span_that_doubles() {
-    let bounds = SpanBounds { least_us: 1e6, most_us: 4e6 };
+    let bounds = SpanBounds { min_us: 1e6, max_us: 4e6 };
     let mut rng = SeededRng::new(3);
     let mut backoff = RetryBackoff::initial();
-    for most in [1, 2, 4, 4] {
+    for span_s in [1, 2, 4, 4] {
         let mut expected = rng.clone();
         backoff.back_off_below_one_call(0, bounds, &mut rng);
-        assert_eq!(backoff.until(), (expected.uniform() * most as f64 * 1e6) as Micros);
+        assert_eq!(backoff.until(), (expected.uniform() * span_s as f64 * 1e6) as Micros);
     }
     backoff.reset();
     assert_eq!(backoff.until(), 0);
@@ -140,7 +140,10 @@
     assert_eq!(backoff.until(), 5 * SECOND, "one forwarder needs no spread");
     for _ in 0..100 {
         backoff.back_off(0, 1, 5 * SECOND, 17, &mut rng);
-        assert!((5 * SECOND..5 * SECOND + 75_000).contains(&backoff.until()), "half of the backoff at most");
+        assert!(
+            (5 * SECOND..5 * SECOND + 75_000).contains(&backoff.until()),
+            "the spread is at most half of the backoff"
+        );
     }
 }
 
@@ -163,7 +166,11 @@
 fn failure_at_the_window_floor_pauses_over_a_span() {
     assert_eq!(pause_after(Outcome::Rejected, true, false), Pause::DrawnFromSpan);
     assert_eq!(pause_after(Outcome::ConnectFailed, true, false), Pause::DrawnFromSpan);
-    assert_eq!(pause_after(Outcome::Error, true, false), Pause::Backoff, "the first one may be chance");
+    assert_eq!(
+        pause_after(Outcome::Error, true, false),
+        Pause::Backoff,
+        "a single error does not use a span"
+    );
     assert_eq!(pause_after(Outcome::Error, true, true), Pause::DrawnFromSpan);
 }
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A controller with a clock, for tests of the controller through its interface alone. No server is modelled.
+//! A controller with a clock, for tests that use only the controller's interface. No endpoint is simulated.
 #![allow(dead_code)]
 
 use orchidyoke_core::Controller;
@@ -7,18 +7,20 @@
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(class_idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 2500 * MS,
         deadline: 16 * S,
         priority_weight: 1.0,
         late_weight_share: 0.5,
-        idempotency: effect,
+        idempotency: class_idempotency,
         keep_order: false,
     }
 }
 
-/// Classes: 0 idempotent, 1 key scoped to the zone, 2 non-idempotent, 3 non-idempotent in order, 4 global key.
+/// Returns settings with these classes: 0 idempotent, 1 idempotency key with the scope `Zone`, 2 non-idempotent, 3
+/// non-idempotent in order, 4 idempotency key with the scope `All`. Kinds: 0 one shared route, 1 separate routes, 2
+/// batches of up to 5 messages.
 pub fn settings() -> Settings {
     Settings {
         fleet_size: 1,
@@ -68,11 +70,11 @@
     }
 }
 
-/// A controller with a clock, and what it did last.
+/// A controller with a clock, and the number of attempts of each message.
 pub struct Harness {
     pub controller: Controller,
     pub now: Micros,
-    pub next: MessageId,
+    pub last_message_id: MessageId,
     pub attempts: std::collections::BTreeMap<MessageId, u32>,
 }
 
@@ -81,7 +83,7 @@
         let mut harness = Harness {
             controller: Controller::new(settings, 7),
             now: S,
-            next: 0,
+            last_message_id: 0,
             attempts: std::collections::BTreeMap::new(),
         };
         harness.list(ListEventKind::Restored, entries);
@@ -99,8 +101,8 @@
         actions
     }
 
-    pub fn list(&mut self, form: ListEventKind, entries: &[EndpointUpdate]) -> Vec<Action> {
-        self.step(&[Event::EndpointList { kind: form, entries: entries.to_vec() }])
+    pub fn list(&mut self, event_kind: ListEventKind, entries: &[EndpointUpdate]) -> Vec<Action> {
+        self.step(&[Event::EndpointList { kind: event_kind, entries: entries.to_vec() }])
     }
 
     pub fn message(&mut self, destination: DestinationId, class: usize) -> Event {
@@ -108,8 +110,8 @@
     }
 
     pub fn message_with_key(&mut self, destination: DestinationId, class: usize, key: Option<u64>) -> Event {
-        self.next += 1;
-        let (id, time_left) = (self.next, 16 * S);
+        self.last_message_id += 1;
+        let (id, time_left) = (self.last_message_id, 16 * S);
         Event::Message { id, destination, class, tenant: 0, order_key: key, time_left, is_retry: false }
     }
 
@@ -143,11 +145,12 @@
         self.step(&[Event::Timer { token: u64::MAX }])
     }
 
-    /// Serves messages one after the other until the window has seen `count` clean successes.
+    /// Delivers `count` messages one after the other, each at its first attempt, so that the window grows `count`
+    /// times.
     pub fn warm_up(&mut self, destination: DestinationId, count: usize) {
         for _ in 0..count {
             let sent = sends(&self.submit(destination, 0, 1));
-            assert_eq!(sent.len(), 1, "an idle destination takes a message at once");
+            assert_eq!(sent.len(), 1, "an idle destination gets a message at once");
             self.now += 100 * MS;
             self.end_attempt(sent[0].0, Outcome::Success);
         }
