--- a/crates/forwarder/src/effects.rs
+++ b/crates/forwarder/src/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects that the reducer asks for, on sockets and files; what they lead to comes back as inputs.
+//! Carries out the effects that the reducer requests, on sockets and files. Their results come back as inputs.
 
 use crate::client_api::ClientGateway;
 use crate::client_connections::ClientConnections;
@@ -25,13 +25,13 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::{AbortHandle, spawn_local};
 
-/// What effects are carried out with.
+/// The resources with which effects are carried out.
 pub(crate) struct EffectRunner {
     pub(crate) clock: Clock,
     pub(crate) journal: Journal,
     pub(crate) gateway: Rc<ClientGateway>,
     pub(crate) console: Rc<ConsoleGateway>,
-    /// The channel of calls of each connection to an endpoint.
+    /// The channel on which each connection to an endpoint receives its calls.
     pub(crate) endpoint_connections: HashMap<EndpointConnectionId, UnboundedSender<ScheduledCall>>,
     /// Connections to the forwarders that own destinations.
     pub(crate) peers: Rc<PeerConnections>,
@@ -42,12 +42,12 @@
     pub(crate) watch: Option<AbortHandle>,
     /// The task that accepts clients.
     pub(crate) listener: Option<AbortHandle>,
-    /// The reducer has nothing left to do: the process ends.
+    /// Set by [`Effect::Exit`]: the reducer has nothing left to do and the process ends.
     pub(crate) has_exited: bool,
 }
 
 impl EffectRunner {
-    /// Carries out one effect; what is known at once comes back as an input.
+    /// Carries out one effect. Returns an input if the result is known immediately.
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
             Effect::Answer { request, answer } => self.gateway.answer(request, answer),
@@ -100,7 +100,7 @@
     fn send_call(&self, connection: EndpointConnectionId, call: EndpointCall) {
         let deadline = self.clock.instant(call.deadline);
         if let Some(calls) = self.endpoint_connections.get(&connection) {
-            // A connection that has closed meanwhile reports that itself.
+            // Sending fails only if the connection has closed, and the connection reports that itself.
             let _ = calls.send(ScheduledCall { call, deadline });
         }
     }
@@ -119,7 +119,7 @@
         self.client_connections.hand_over();
     }
 
-    /// Follows the endpoint list in the place of the watch before.
+    /// Starts following the endpoint list, and aborts the previous watch.
     fn start_watch(&mut self, watch: WatchId, from: WatchSource) {
         self.watch.iter().for_each(AbortHandle::abort);
         let inputs = self.inputs.clone();
@@ -133,7 +133,7 @@
                     silence: Duration::ZERO,
                 },
             };
-            // The receiver is gone only when the forwarder ends.
+            // Sending fails only when the forwarder ends and the receiver is dropped.
             let _ = inputs.send(Input::WatchEnded {
                 watch,
                 reason: end.reason,
@@ -144,12 +144,13 @@
         self.watch = Some(task.abort_handle());
     }
 
-    /// Has the reducer process an input, and carries out the effects of it and of the inputs that follow from those.
+    /// Has the reducer process an input. Carries out the effects of this input and of the inputs that result from those
+    /// effects.
     pub(crate) fn process(&mut self, reducer: &mut Reducer, input: Input) {
         if let Input::ConnectionClosed { connection, .. } = &input {
             self.endpoint_connections.remove(connection);
         }
-        // Decisions that depend on what another process holds need its journal as it is now.
+        // Some decisions depend on what another process holds and need the current content of its journal.
         let mut inputs = VecDeque::from_iter(match input {
             Input::Shutdown => self.other_journals.scan_and_poll(),
             Input::Submitted { .. } | Input::Operator { .. } => self.other_journals.poll(),
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -1,4 +1,4 @@
-//! What happens to the forwarder and what it is to do: the messages between the reducer and its surroundings.
+//! The inputs and effects of the reducer: the messages between the reducer and the rest of the process.
 
 use crate::catalogue::{Catalogue, UpdateSender};
 use crate::config::Config;
@@ -14,44 +14,46 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// One request of a client, or one call of an operator, that waits for its answer.
+/// Identifies one request of a client, or one call of an operator, that waits for its answer.
 pub type RequestId = u64;
-/// One append to the journal.
+/// Identifies one append to the journal.
 pub type AppendId = u64;
-/// One watch on the list; the next has another number.
+/// Identifies one watch on the endpoint list. Each new watch gets a new id.
 pub type WatchId = u64;
 
-/// The header of a message's idempotency key, from clients and to endpoints.
+/// Name of the header with a message's idempotency key, in requests from clients and to endpoints.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
-/// Whether this process has the policy of its fleet in force.
+/// Whether the fleet's policy is in force in this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicyStatus {
-    /// Why it is not ready for want of that, if so: the console's `ready` answers it in the place of yes.
+    /// Why the process is not ready because the policy is not in force. The console's `ready` answers this text. `None`
+    /// if the policy does not prevent readiness.
     pub unready_reason: Option<String>,
-    /// Lines for the figures.
+    /// Lines to append to the metrics.
     pub metrics: String,
 }
 
-/// What is new in another process's file; see [`Input::OtherProcessesUpdated`].
+/// The changes to another process's journal file since the last update; see [`Input::OtherProcessesUpdated`].
 #[derive(Debug)]
 pub struct OtherProcessUpdate {
-    /// Number of its file.
+    /// Generation of its file.
     pub generation: Generation,
-    /// The file was compacted: the records begin anew.
+    /// Whether the file was compacted. If `true`, `records` start from the beginning of the new file.
     pub rewritten: bool,
-    /// What has come since the last update.
+    /// The records added since the last update.
     pub records: RecordsWithBodies,
-    /// Bytes in the file.
+    /// Size of the file, in bytes.
     pub size: usize,
-    /// The process has ended, and its file is this process's to take up.
+    /// Whether the process has ended, so that this process is to take over its file.
     pub ended: bool,
 }
 
-/// The sender of one watch: its updates come in under the number of the watch, and are ignored once there is another.
+/// Returns the sender for one watch. Its updates arrive as [`Input::WatchEvent`] with the id of the watch, and are
+/// ignored once there is a newer watch.
 pub fn update_sender(watch: WatchId, inputs: UnboundedSender<Input>) -> UpdateSender {
     UpdateSender::new(move |event| {
-        // The receiver is gone only when the forwarder ends.
+        // Sending fails only when the forwarder ends and the receiver is dropped.
         let _ = inputs.send(Input::WatchEvent { watch, event });
     })
 }
@@ -63,17 +65,17 @@
     pub id: String,
     /// Name of its class.
     pub class: String,
-    /// Its tenant, where it names one.
+    /// Its tenant; `None` if the request names none.
     pub tenant: Option<String>,
-    /// Its idempotency key, as it came.
+    /// Its idempotency key, exactly as received; `None` if the request has none.
     pub idempotency_key: Option<String>,
     /// Its destination.
     pub destination: DestinationId,
-    /// How long it may still be delivered, in microseconds.
+    /// Time left until its deadline, in microseconds.
     pub time_left: Micros,
-    /// Marked as submitted again.
+    /// Whether the client marked it as submitted again.
     pub is_retry: bool,
-    /// Marked as handed over by another forwarder.
+    /// Its handover mark, which is present if another forwarder hands it over.
     pub handover_mark: ReceivedMark,
     /// Its body.
     pub body: Bytes,
@@ -84,147 +86,148 @@
 pub enum SubmitAnswer {
     /// Accepted: its record is in the journal.
     Accepted,
-    /// Rejected: submitting it again is harmless, after this time in microseconds.
+    /// Rejected. The client may safely submit it again after this time, in microseconds.
     Rejected(Micros),
-    /// Given up.
+    /// Failed: the message will not be delivered.
     Failed,
-    /// It lacks what the settings ask of it; in words.
+    /// The request lacks something that the settings require, or cannot be read. Holds the text of the answer.
     Incomplete(&'static str),
-    /// There is no such class.
+    /// The settings have no class of this name.
     UnknownClass,
-    /// No list ever named this destination.
+    /// No endpoint list has ever named this destination.
     UnknownDestination,
 }
 
-/// What has happened.
+/// An event for the reducer to process.
 #[derive(Debug)]
 pub enum Input {
     /// A message was submitted.
     Submitted {
-        /// The request that waits.
+        /// The request that waits for the answer.
         request: RequestId,
         /// The message.
         message: Submission,
     },
-    /// A client closed its connection before it had its answer.
+    /// A client closed its connection before its request was answered.
     Withdrawn {
         /// The request that waited.
         request: RequestId,
     },
-    /// A client has connected, or one is gone.
+    /// A client has connected or disconnected.
     ClientConnection {
-        /// Connected.
+        /// `true` if it connected, `false` if it disconnected.
         connected: bool,
     },
-    /// Clients that connect are accepted from now on.
+    /// The process now accepts connections of clients.
     AcceptingClients,
-    /// The files of other processes on the folder have shown something: all that there is at one moment.
+    /// The journal files of other processes on the folder have changed. One input holds all changes found at one time.
     OtherProcessesUpdated {
-        /// What they have shown.
+        /// The changed files.
         updates: Vec<OtherProcessUpdate>,
-        /// Numbers of those that are gone.
+        /// Generations of the files that no longer exist.
         gone: Vec<Generation>,
     },
-    /// An operator asks for something.
+    /// An operator made a call on the console.
     Operator {
-        /// The call that waits.
+        /// The call that waits for the reply.
         request: RequestId,
-        /// What for.
+        /// The command.
         call: console::Command,
     },
-    /// The journal was asked to append, and did or could not.
+    /// An append to the journal has been carried out or has failed.
     Appended {
-        /// Which append.
+        /// The append.
         append: AppendId,
-        /// It is in the file.
+        /// Whether the append is in the file.
         stored: bool,
-        /// Bytes in the file now.
+        /// Size of the file now, in bytes.
         size: usize,
     },
-    /// A connection to an endpoint is up.
+    /// A connection to an endpoint has been established.
     ConnectionUp {
-        /// Which.
+        /// The connection.
         connection: EndpointConnectionId,
     },
     /// A call's last byte has been written.
     CallWritten {
-        /// On this connection.
+        /// The connection of the call.
         connection: EndpointConnectionId,
     },
     /// An endpoint has answered a call.
     CallAnswered {
-        /// On this connection.
+        /// The connection of the call.
         connection: EndpointConnectionId,
-        /// What it said.
+        /// The reply.
         reply: EndpointReply,
-        /// The connection can carry another call.
+        /// Whether the connection can carry another call.
         reusable: bool,
     },
     /// A connection to an endpoint is closed.
     ConnectionClosed {
-        /// Which.
+        /// The connection.
         connection: EndpointConnectionId,
-        /// How far its call had come, if it had one.
+        /// Why it closed, and how far its call had got if it had one.
         error: EndpointCallError,
     },
     /// A watch on the endpoint list has an event.
     WatchEvent {
-        /// Which watch.
+        /// The watch.
         watch: WatchId,
-        /// What.
+        /// The event.
         event: WatchEvent,
     },
-    /// The watch has ended.
+    /// A watch on the endpoint list has ended.
     WatchEnded {
-        /// Which watch.
+        /// The watch.
         watch: WatchId,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
-        /// Its Retry-After; 0 where discovery sent none.
+        /// Its Retry-After, in milliseconds; 0 if discovery sent none.
         retry_after_ms: u64,
-        /// Time since its last complete event, or since it started, in microseconds: discovery may have had changes since.
+        /// Time since its last complete event, or since its start if there was none, in microseconds. Discovery may
+        /// have had changes during this time.
         silence: Micros,
     },
-    /// The post of notifications was answered.
+    /// A post of notifications has ended.
     NotificationsPosted {
-        /// With 204.
+        /// Whether the platform answered 204.
         accepted: bool,
     },
-    /// The status towards the policy of the fleet has changed.
+    /// The status of the fleet's policy in this process has changed.
     PolicyStatus(PolicyStatus),
-    /// Destinations have these owners from now on. `orchidyoke serve` does not send it: there, owners change with the
-    /// configuration ([`Input::ConfigReloaded`]).
+    /// Destinations have these owners from now on. `orchidyoke serve` does not send this input, because there the
+    /// owners change with the configuration ([`Input::ConfigReloaded`]).
     OwnersChanged(Rc<dyn Owners>),
     /// An offer of a message to its owner has ended.
     OfferEnded {
         /// The message.
         id: MessageId,
-        /// How.
+        /// The outcome.
         outcome: OfferOutcome,
     },
-    /// The configuration was read again and is good.
+    /// The configuration was read again and is valid.
     ConfigReloaded(Box<Config>),
-    /// The process was told to end.
+    /// The process was asked to shut down.
     Shutdown,
-    /// Time has come; see [`Reducer::wake_at`](crate::reducer::Reducer::wake_at).
+    /// A timer is due; see [`Reducer::wake_at`](crate::reducer::Reducer::wake_at).
     TimerDue,
 }
 
-/// Who a watch follows, and from what on.
+/// What a watch follows, and from which state on.
 #[derive(Clone, Debug)]
 pub enum WatchSource {
-    /// Discovery at this address, from a version on.
+    /// Follows discovery from a version on.
     Discovery {
-        /// Where it answers.
+        /// Address of discovery.
         at: SocketAddr,
-        /// The version held; 0 asks for the whole list.
+        /// Version of the list in force; 0 requests the whole list.
         since: u64,
     },
-    /// A catalogue, from the list held on: what it tells are changes to that.
+    /// Follows a catalogue. Its events are changes to the list in force.
     Catalogue {
-        /// Which.
+        /// The connection.
         catalogue: Rc<dyn Catalogue>,
-        /// The list in force, wherever it came from.
+        /// The list in force, from any source.
         held: WatchEvent,
     },
 }
@@ -244,7 +247,7 @@
     }
 }
 
-/// What is to be done.
+/// An action that the reducer requests.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Answer a request of a client.
@@ -254,65 +257,65 @@
         /// The answer.
         answer: SubmitAnswer,
     },
-    /// Give an operator the reply.
+    /// Reply to a call of an operator.
     Reply {
         /// The call.
         request: RequestId,
         /// The reply.
         reply: console::ConsoleReply,
     },
-    /// Append to the journal and report.
+    /// Append to the journal and report the result.
     Append {
-        /// For the report.
+        /// Id for the report.
         append: AppendId,
-        /// What to append.
+        /// The bytes to append.
         bytes: Bytes,
     },
-    /// Report that this append is not made: the folder has no room for it.
+    /// Report that this append was not made because the folder has no room for it.
     ReportJournalFull {
-        /// For the report.
+        /// Id for the report.
         append: AppendId,
     },
-    /// Put this in the place of the whole journal.
+    /// Replace the whole journal with these bytes.
     CompactJournal {
-        /// What still counts.
+        /// A snapshot of the state that is still needed.
         bytes: Bytes,
     },
-    /// Open a connection to an endpoint and report.
+    /// Open a connection to an endpoint and report when it is established.
     Connect {
-        /// Its number.
+        /// The id of the new connection.
         connection: EndpointConnectionId,
-        /// Where to.
+        /// Address of the endpoint.
         address: SocketAddr,
-        /// When it has failed if it is not up.
+        /// When the attempt fails if the connection is not established.
         until: Micros,
     },
-    /// Write a call on a connection that is up, and report.
+    /// Write a call to an established connection and report the result.
     SendCall {
         /// The connection.
         connection: EndpointConnectionId,
         /// The call.
         call: EndpointCall,
     },
-    /// Close a connection; what it carries is given up.
+    /// Close a connection and abandon the call on it.
     CloseConnection {
         /// The connection.
         connection: EndpointConnectionId,
     },
-    /// Offer a message to the forwarder that owns its destination and report.
+    /// Offer a message to the forwarder that owns its destination and report the outcome.
     Offer(Box<OutgoingOffer>),
-    /// Post these notifications and report.
+    /// Post these notifications and report the result.
     PostNotifications {
-        /// Where to.
+        /// Address of discovery, which receives the notifications.
         to: SocketAddr,
-        /// The final answers.
+        /// The id of each message with its final answer.
         notifications: Vec<(String, FinalAnswer)>,
     },
-    /// Follow the list; a watch before it ends.
+    /// Start a watch on the endpoint list and end the previous one.
     StartWatch {
-        /// Number of the watch.
+        /// Id of the watch.
         watch: WatchId,
-        /// Who is followed.
+        /// What the watch follows.
         from: WatchSource,
     },
     /// Write a line to the log.
@@ -320,15 +323,15 @@
         /// The line.
         line: String,
     },
-    /// What the file of a process that has ended held is kept in this one's: remove it.
+    /// Remove the journal file of a process that has ended, because this process's file now holds its content.
     RemoveJournal {
-        /// Its number.
+        /// Generation of the file.
         generation: Generation,
     },
-    /// Take no new connections, look at no other process's file, and end each of the clients' connections with its next
-    /// answer: they are the successor's.
+    /// Hand the clients over to the successor: accept no new connections, stop reading the files of other processes,
+    /// and end each client connection with its next answer.
     HandOverClients,
-    /// Take no new connections, and close those of clients when what they have asked is answered.
+    /// Accept no new connections, and close each client connection once its requests are answered.
     StopAccepting,
     /// End the process.
     Exit,
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -1,5 +1,6 @@
-//! Delivery attempts up to the first byte: the controller's sends become calls, a call gets a connection, and its record
-//! is in the journal before it is written. What becomes of a call is in [`call_results`](super::call_results).
+//! Delivery attempts up to the first byte on the wire. The controller's sends become calls, each call gets a
+//! connection, and the journal records the call before its first byte is written. [`call_results`](super::call_results)
+//! handles the results of calls.
 
 use super::Reducer;
 use super::call_results::ReplyInfo;
@@ -12,11 +13,11 @@
 use orchidyoke_core::interface::{EndpointId, EndpointState, MessageId, Micros, Outcome};
 use orchidyoke_journal::{AttemptStart, Record};
 
-/// A connection attempt ends this long after the time that the settings allow: one that comes up in its last moment
-/// counts.
+/// Extra time for a connection attempt beyond the limit in the settings, so that a connection that is established at
+/// the last moment counts.
 const CONNECT_MARGIN_US: Micros = 1_000;
 
-/// A send of the controller.
+/// One [`Action::Send`](orchidyoke_core::interface::Action::Send) of the controller.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Send {
     pub message: MessageId,
@@ -25,7 +26,8 @@
 }
 
 impl Reducer {
-    /// Sends of one round to one endpoint share calls, as far as its kind takes them.
+    /// Starts the calls for the sends of one round. Sends to the same endpoint share calls, up to the batch size that
+    /// its kind allows.
     pub(super) fn start_calls(&mut self, now: Micros, sends: Vec<Send>) {
         let mut calls: Vec<Call> = Vec::new();
         for Send { message: number, endpoint, timeout } in sends {
@@ -37,7 +39,8 @@
             match calls.iter_mut().find(|c| c.endpoint == endpoint && c.attempts.len() < max_batch) {
                 Some(call) => {
                     call.attempts.push(attempt);
-                    // One connection, one end: the call waits for the message that waits longest.
+                    // All messages of a call share one connection and one time-out, which is the latest of their
+                    // time-outs.
                     call.times_out_at = call.times_out_at.max(times_out_at);
                 }
                 None => calls.push(Call::new(endpoint, attempt, now, times_out_at)),
@@ -59,13 +62,13 @@
         }
     }
 
-    /// How many messages a call to an endpoint may have.
+    /// Returns the maximum number of messages in one call to an endpoint.
     fn max_batch(&self, endpoint: EndpointId) -> usize {
         let known = self.endpoints.get(endpoint);
         known.and_then(|known| self.kind_of(&known.uid)).map_or(1, |kind| kind.max_batch)
     }
 
-    /// Opens a new connection for a call.
+    /// Opens a new connection for a call. Abandons the call if the list no longer names its endpoint.
     pub(super) fn connect(&mut self, now: Micros, id: CallId, connection: EndpointConnectionId) {
         let Some(call) = self.calls.get(id) else { return };
         let known = self.endpoints.get(call.endpoint);
@@ -77,19 +80,20 @@
         self.effects.push(Effect::Connect { connection, address: listed.address, until });
     }
 
-    /// A connection is up.
+    /// Handles a connection that has been established.
     pub(super) fn on_connection_up(&mut self, now: Micros, connection: EndpointConnectionId) {
         if let Some(call) = self.pool.on_connected(connection) {
             self.on_connection_ready(now, call, connection);
         }
     }
 
-    /// A call has a connection: which of its messages may still go is decided now, and its record comes first.
+    /// Handles a call that has got a connection. Decides which of its messages may still be sent, and requests their
+    /// record before anything is written.
     fn on_connection_ready(&mut self, now: Micros, id: CallId, connection: EndpointConnectionId) {
         let Some(call) = self.calls.get(id) else { return };
         let endpoint = call.endpoint;
         if self.pool.is_retired(connection) {
-            // Its endpoint has moved while the connection came up.
+            // The endpoint's address changed while the connection was being established.
             self.pool.on_closed(connection);
             self.effects.push(Effect::CloseConnection { connection });
             let connection = self.pool.connect(endpoint, id);
@@ -114,7 +118,8 @@
         self.record_attempts(id, start);
     }
 
-    /// The connection took time, and a message may have reached its deadline or the list may have moved the endpoint.
+    /// Drops the attempts that may no longer be sent. While the connection was being established, a message may have
+    /// reached its deadline, or the list may have moved the endpoint.
     fn drop_attempts_that_may_not_go(&mut self, now: Micros, id: CallId, start: &AttemptStart) {
         let Some(call) = self.calls.get(id) else { return };
         let sent_at = call.sent_at;
@@ -133,7 +138,7 @@
         }
     }
 
-    /// The journal says which messages go where before the first byte does.
+    /// Records in the journal which messages are sent to which endpoint, before the first byte is sent.
     fn record_attempts(&mut self, id: CallId, start: AttemptStart) {
         let Some(call) = self.calls.get(id) else { return };
         let attempts = call.attempts.clone();
@@ -147,7 +152,7 @@
         }
     }
 
-    /// The record of a call is in the journal, or could not be: its first byte may go, or the call does not.
+    /// Handles the report on a call's record. Sends the call if the record is `stored`, and abandons it otherwise.
     pub(super) fn on_attempt_recorded(&mut self, now: Micros, id: CallId, stored: bool) {
         let Some(connection) = self.pool.connection_of(id) else { return };
         let Some(call) = self.calls.get(id) else { return };
@@ -168,13 +173,13 @@
         self.effects.push(Effect::SendCall { connection, call });
     }
 
-    /// The last byte of a call has gone.
+    /// Handles a call whose last byte has been written.
     pub(super) fn on_call_written(&mut self, connection: EndpointConnectionId) {
         let call = self.pool.call_of(connection).and_then(|id| self.calls.get(id));
         self.metrics.on_dispatched(call.map_or(0, |call| call.message_ids.len()));
     }
 
-    /// A call that was not written: none of its messages ran, and the endpoint saw nothing.
+    /// Ends a call of which nothing was written: no endpoint has processed or seen any of its messages.
     pub(super) fn abandon_call(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.remove(id) else { return };
         for attempt in call.attempts {
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Calls without a record go with their connections: this process begins no more attempts.
+    /// Drops all calls without a record and closes their connections, because this process starts no more attempts.
     pub(super) fn drop_unrecorded_calls(&mut self) {
         for id in self.calls.unrecorded() {
             self.calls.remove(id);
--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -1,5 +1,5 @@
-//! The results of calls: an answer, a connection that broke, a cancellation. Each ends the attempts in the call, in the
-//! journal and for the controller.
+//! The results of calls: a reply, a broken connection or a cancellation. Each result ends the attempts in the call,
+//! both in the journal and for the controller.
 
 use super::Reducer;
 use super::call_table::{AttemptId, Call};
@@ -11,18 +11,18 @@
 use orchidyoke_core::interface::{AttemptResult, Event, Micros, Outcome};
 use orchidyoke_journal::{FinalAnswer, Record};
 
-/// What a reply says beside the outcomes of its messages.
+/// The parts of a reply that are not outcomes of single messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReplyInfo {
     retry_after: Micros,
     reported_limit: Option<f64>,
     reported_remaining: Option<f64>,
-    /// It came after the deadline of a message in its call.
+    /// Whether the reply arrived after the deadline of a message in its call.
     late: bool,
 }
 
 impl Reducer {
-    /// An endpoint has answered a call.
+    /// Handles an endpoint's reply to a call.
     pub(super) fn on_call_answered(
         &mut self,
         now: Micros,
@@ -44,7 +44,8 @@
         self.on_retry_after(now, call.endpoint, info.retry_after);
         let ends = endpoint_call::message_results(reply, &call.message_ids);
         let mut ends: Vec<_> = call.attempts.iter().zip(ends).collect();
-        // The controller judges a call by the first of its outcomes: rejections before success, not sent last.
+        // The controller evaluates a call by the first of its outcomes, so rejections come before successes and
+        // messages that were not sent come last.
         ends.sort_by_key(|(_, end)| match end.outcome {
             Outcome::Success => 1,
             Outcome::NotSent => 2,
@@ -52,8 +53,9 @@
         });
         for (attempt, end) in ends {
             if end.message_finished {
-                // Finished for the endpoint, as for a client that has gone. Whether the platform still waits for a final
-                // answer is not known here, and a notification too many does no harm.
+                // The endpoint counts the message as finished, for example because its client has gone. This process
+                // cannot know whether the platform still waits for a final answer, and a superfluous notification does
+                // no harm.
                 self.finish(now, attempt.message, FinalAnswer::Failed);
             }
             self.finish_attempt(now, *attempt, end.outcome, call.sent_at, info);
@@ -64,7 +66,7 @@
         self.messages.get(attempt.message).is_none_or(|message| message.accepted.deadline <= now)
     }
 
-    /// A connection was closed, with a call on it or without.
+    /// Handles a closed connection, which may have carried a call.
     pub(super) fn on_connection_closed(
         &mut self,
         now: Micros,
@@ -73,8 +75,8 @@
     ) {
         let Some(id) = self.pool.on_closed(connection) else { return };
         let Some(call) = self.calls.get_mut(id) else { return };
-        // An idle connection may close just as it is chosen. Nothing complete was written, so the same attempt goes on a
-        // new connection; a refusal to connect would be laid to the endpoint.
+        // An idle connection may close just when it is chosen. No complete call was written, so the same attempt is
+        // repeated on a new connection. A failure to connect is not repeated, because it counts against the endpoint.
         let may_reconnect = !self.upgrade.has_handed_off() && error.not_delivered() && !error.ended_locally();
         if may_reconnect && std::mem::take(&mut call.reused_connection) {
             let connection = self.pool.connect(call.endpoint, id);
@@ -86,7 +88,7 @@
     }
 
     fn fail_call(&mut self, now: Micros, call: Call, error: &EndpointCallError) {
-        // The other end closes a kept connection when it likes: that is no rejection.
+        // The endpoint may close a kept connection at any time, so such a close does not count as a rejection.
         let was_idle_close = call.reused_connection && error.outcome() == Outcome::Reset;
         let outcome = if was_idle_close { Outcome::InvalidResponse } else { error.outcome() };
         if let Some(endpoint) = self.endpoints.get(call.endpoint) {
@@ -97,16 +99,16 @@
         }
     }
 
-    /// The controller gives up an attempt.
+    /// Cancels an attempt at the controller's request.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         let call = self.calls.with_attempt(attempt);
         if let Some(connection) = call.and_then(|call| self.pool.connection_of(call)) {
-            // It ends when the connection is reported closed: not before may another attempt go.
+            // The attempt ends when the connection is reported closed. The next attempt must not start before that.
             self.effects.push(Effect::CloseConnection { connection });
         }
     }
 
-    /// An attempt has ended: into the journal, and to the controller.
+    /// Records the end of an attempt in the journal and reports it to the controller.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
@@ -117,9 +119,9 @@
     ) {
         let number = attempt.message;
         if outcome == Outcome::Success && info.late {
-            // It came after the deadline of this message or of another in its call, or was read late: whether it still
-            // counts is not known here, and a notification too many does no harm. The endpoint says that it was
-            // delivered: so it is counted.
+            // The reply arrived, or was read, after the deadline of this message or of another one in its call. This
+            // process cannot know whether the delivery still counts, and a superfluous notification does no harm. The
+            // metrics count a success because the endpoint reported that it was delivered.
             self.finish_counted_as(now, number, FinalAnswer::Failed, MessageEnd::Success);
         } else if outcome == Outcome::Success {
             self.finish_delivered(now, number);
@@ -138,7 +140,7 @@
         }));
     }
 
-    /// An attempt has not delivered its message, or not surely.
+    /// Records an attempt that did not deliver its message, or of which it is unknown whether it did.
     fn record_undelivered(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(message) = self.messages.get(attempt.message) else { return };
         let id = message.accepted.id.clone();
--- a/crates/forwarder/src/reducer/call_table.rs
+++ b/crates/forwarder/src/reducer/call_table.rs
@@ -1,34 +1,36 @@
-//! Calls to endpoints that are in flight, or wait for a connection or for their record.
+//! The calls to endpoints that are in flight, or that wait for a connection or for their journal record.
 
 use crate::connection_pool::CallId;
 use orchidyoke_core::interface::{EndpointId, MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One attempt for one message.
+/// Identifies one delivery attempt of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptId {
     pub message: MessageId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within its message, from 0.
     pub attempt: u32,
 }
 
-/// A call with the attempts in it: of one message, or of several that share it.
+/// A call to an endpoint, with the attempts of one message or of several messages that share the call.
 #[derive(Debug)]
 pub(super) struct Call {
     pub endpoint: EndpointId,
     pub attempts: Vec<AttemptId>,
-    /// The messages' ids, from when the call begins: a message may be finished before the call is.
+    /// The ids of the call's messages, copied when the call starts because a message may be finished before the call
+    /// ends.
     pub message_ids: Vec<String>,
     pub sent_at: Micros,
     pub times_out_at: Micros,
-    /// It went on a connection that had been idle.
+    /// Whether the call uses a connection that had been idle.
     pub reused_connection: bool,
-    /// Its record was asked for: the call may have been written since. Otherwise nothing of it has gone out.
+    /// Whether the append of the call's record was requested. If `true`, the call may have been written; if `false`, no
+    /// byte of it has been sent.
     pub record_requested: bool,
 }
 
 impl Call {
-    /// A call with one attempt.
+    /// Creates a call with one attempt.
     pub fn new(endpoint: EndpointId, attempt: AttemptId, sent_at: Micros, times_out_at: Micros) -> Self {
         Call {
             endpoint,
@@ -42,7 +44,7 @@
     }
 }
 
-/// All calls.
+/// All current calls, by id.
 #[derive(Debug, Default)]
 pub(super) struct CallTable {
     calls: BTreeMap<CallId, Call>,
@@ -50,48 +52,48 @@
 }
 
 impl CallTable {
-    /// The number of a call that is about to be put in.
+    /// Returns the id for the next call to insert.
     pub fn next_id(&mut self) -> CallId {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Puts in a call.
+    /// Inserts a call.
     pub fn insert(&mut self, id: CallId, call: Call) {
         self.calls.insert(id, call);
     }
 
-    /// A call by its number.
+    /// Returns a call by its id.
     pub fn get(&self, id: CallId) -> Option<&Call> {
         self.calls.get(&id)
     }
 
-    /// The same, to be changed.
+    /// Returns a call by its id, for modification.
     pub fn get_mut(&mut self, id: CallId) -> Option<&mut Call> {
         self.calls.get_mut(&id)
     }
 
-    /// Takes out a call.
+    /// Removes a call and returns it.
     pub fn remove(&mut self, id: CallId) -> Option<Call> {
         self.calls.remove(&id)
     }
 
-    /// How many calls there are.
+    /// Returns the number of calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// The call that carries an attempt.
+    /// Returns the id of the call that carries an attempt.
     pub fn with_attempt(&self, attempt: AttemptId) -> Option<CallId> {
         self.calls.iter().find(|(_, call)| call.attempts.contains(&attempt)).map(|(id, _)| *id)
     }
 
-    /// The calls without a record in the journal: nothing of them has been written.
+    /// Returns the calls whose record has not been requested; nothing of them has been written.
     pub fn unrecorded(&self) -> Vec<CallId> {
         self.calls.iter().filter(|(_, call)| !call.record_requested).map(|(id, _)| *id).collect()
     }
 
-    /// The endpoints that calls go to.
+    /// Returns the endpoints that have a call.
     pub fn endpoints(&self) -> BTreeSet<EndpointId> {
         self.calls.values().map(|call| call.endpoint).collect()
     }
--- a/crates/forwarder/src/reducer/clients.rs
+++ b/crates/forwarder/src/reducer/clients.rs
@@ -1,6 +1,6 @@
-//! The connections of clients: how many there are, and whether more are accepted.
+//! The connections of clients: how many are open, and whether new ones are accepted.
 
-/// See the module.
+/// Number of open client connections, and whether new ones are accepted.
 #[derive(Debug, Default)]
 pub(super) struct Clients {
     connected: usize,
@@ -8,22 +8,22 @@
 }
 
 impl Clients {
-    /// A client has connected, or one has gone.
+    /// Counts a connection that was opened (`true`) or closed (`false`).
     pub fn on_connection(&mut self, connected: bool) {
         self.connected = if connected { self.connected + 1 } else { self.connected.saturating_sub(1) };
     }
 
-    /// How many are connected.
+    /// Returns the number of open connections.
     pub fn connected(&self) -> usize {
         self.connected
     }
 
-    /// Clients that connect are accepted, or no longer.
+    /// Sets whether new connections are accepted.
     pub fn set_accepted(&mut self, accepted: bool) {
         self.accepted = accepted;
     }
 
-    /// Whether clients that connect are accepted.
+    /// Returns whether new connections are accepted.
     pub fn are_accepted(&self) -> bool {
         self.accepted
     }
--- a/crates/forwarder/src/reducer/controller_driver.rs
+++ b/crates/forwarder/src/reducer/controller_driver.rs
@@ -1,26 +1,27 @@
-//! Drives the controller: events are gathered between its rounds, and its timers wake it.
+//! Drives the controller. Collects events between its rounds and keeps its timers.
 //!
-//! A round takes place at most once a tick. Whoever owns other state only pushes events here; the actions that a
-//! round gives are carried out by [`Reducer::run_controller`](super::Reducer).
+//! A round takes place at most once per tick. Components that own other state only push events here.
+//! [`Reducer::run_controller`](super::Reducer) carries out the actions that a round returns.
 
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::{Action, EndpointId, Event, Micros, RouteRef, Settings};
 use std::collections::BTreeSet;
 
-/// The controller, what it is to be told in its next round, and its timers.
+/// The controller, the events for its next round, and its timers.
 #[derive(Debug)]
 pub(super) struct ControllerDriver {
     controller: Controller,
     events: Vec<Event>,
     timers: BTreeSet<(Micros, u64)>,
     last_round_at: Micros,
-    /// Limit on calls in flight and size of the fleet, as the controller was last told.
+    /// Limit on calls in flight, as last passed to the controller.
     max_calls: usize,
+    /// Number of forwarders in the fleet, as last passed to the controller.
     fleet_size: u32,
 }
 
 impl ControllerDriver {
-    /// A controller with these settings; its first round may take place at once.
+    /// Creates a controller with these settings. Its first round may take place immediately.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         ControllerDriver {
             events: Vec::new(),
@@ -32,24 +33,24 @@
         }
     }
 
-    /// The controller is told of this in its next round.
+    /// Adds an event for the controller's next round.
     pub fn push(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// The same for several events.
+    /// Adds several events for the controller's next round.
     pub fn extend(&mut self, events: impl IntoIterator<Item = Event>) {
         self.events.extend(events);
     }
 
-    /// New settings, whatever they change.
+    /// Passes new settings to the controller, whether or not they differ.
     pub fn replace_settings(&mut self, settings: Settings) {
         self.max_calls = settings.max_calls;
         self.fleet_size = settings.fleet_size;
         self.push(Event::Settings(Box::new(settings)));
     }
 
-    /// New settings if their limit on calls in flight is another.
+    /// Passes new settings to the controller if their limit on calls in flight differs.
     pub fn update_max_calls(&mut self, settings: Settings) {
         if settings.max_calls != self.max_calls {
             self.max_calls = settings.max_calls;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// New settings if the size of the fleet is another.
+    /// Passes new settings to the controller if their fleet size differs.
     pub fn update_fleet_size(&mut self, settings: Settings) {
         if settings.fleet_size != self.fleet_size {
             self.fleet_size = settings.fleet_size;
@@ -65,27 +66,27 @@
         }
     }
 
-    /// Whether there is something to tell the controller.
+    /// Returns whether events wait for the next round.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// When the last round took place.
+    /// Returns when the last round took place.
     pub fn last_round_at(&self) -> Micros {
         self.last_round_at
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due, or `None` if none is set.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Sets a timer of the controller.
+    /// Sets a timer of the controller. `token` is returned to the controller when the timer is due.
     pub fn set_timer(&mut self, at: Micros, token: u64) {
         self.timers.insert((at, token));
     }
 
-    /// Timers that are due become events.
+    /// Turns timers that are due into events.
     pub fn fire_timers(&mut self, now: Micros) {
         while let Some((at, token)) = self.timers.first().copied()
             && at <= now
@@ -95,7 +96,7 @@
         }
     }
 
-    /// One round: the controller decides on the events since the last one.
+    /// Runs one round, in which the controller processes the events since the last one, and returns its actions.
     pub fn run_round(&mut self, now: Micros) -> Vec<Action> {
         self.last_round_at = now;
         let mut actions = Vec::new();
@@ -104,17 +105,17 @@
         actions
     }
 
-    /// Whether the controller sends nothing but trial calls to this endpoint at present.
+    /// Returns whether the controller currently sends only trial calls to this endpoint.
     pub fn gets_no_regular_calls(&self, endpoint: EndpointId) -> bool {
         self.controller.gets_no_regular_calls(endpoint)
     }
 
-    /// Whether the set of faulty routes has changed since this was last asked.
+    /// Returns whether the set of faulty routes has changed since the previous call of this function.
     pub fn take_faulty_routes_changed(&mut self) -> bool {
         self.controller.take_faulty_routes_changed()
     }
 
-    /// Faulty routes: a destination, or one endpoint of it.
+    /// Returns the faulty routes; each is a destination or one endpoint of a destination.
     pub fn faulty_routes(&self) -> BTreeSet<RouteRef> {
         self.controller.faulty_routes()
     }
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -1,11 +1,13 @@
-//! Durability: which bytes go into the journal, what waits until they are there, and when the file is compacted.
+//! Durability: which bytes are appended to the journal, what waits until they are stored, and when the file is
+//! compacted.
 //!
-//! Before a 202 is sent, the journal's file holds the message's record with its body and, for a message that another
-//! forwarder handed over, the record that it stays here. Before the first byte of a call or of an offer goes out, the
-//! file holds the record that names its messages, the endpoint or owner, and the time. "Holds" means that the write to
-//! the file has returned ([`Input::Appended`](crate::input::Input::Appended) with `stored`): the bytes survive the end
-//! of the process in whatever way, and are not synced against a loss of the machine. Any other change of state is
-//! appended before the effects that follow from it, in the same list of effects.
+//! Before a 202 is sent, the journal's file holds the message's record with its body. For a message that another
+//! forwarder handed over, the file also holds the record that the message stays here. Before the first byte of a call
+//! or of an offer is sent, the file holds the record that names its messages, the endpoint or owner, and the time.
+//! "Holds" means that the write to the file has returned ([`Input::Appended`](crate::input::Input::Appended) with
+//! `stored`). The bytes survive any kind of end of the process, but they are not synced, so the loss of the machine may
+//! lose them. Any other change of state is appended before the effects that follow from it, in the same list of
+//! effects.
 
 use super::final_answers::SHORT_RECORD_BYTES;
 use super::message_table::DecidedMessage;
@@ -22,12 +24,13 @@
 use orchidyoke_journal::{DiskSpace, Record};
 use std::collections::BTreeMap;
 
-/// Ids of finished messages take up no more than this part of the folder: they must not keep messages out.
+/// Divisor of the folder's limit that gives the space for ids of finished messages. The ids are limited so that they
+/// leave room for messages.
 const FINISHED_IDS_DISK_DIVISOR: usize = 16;
-/// An upper estimate of the bytes of the records in a snapshot that are there once.
+/// An upper estimate of the bytes of the records that a snapshot contains only once.
 const SINGLE_RECORDS_BYTES: usize = 300;
 
-/// What follows from the machine's limits.
+/// Limits that are derived from the machine's limits.
 pub(super) struct Bounds {
     pub disk_bytes: usize,
     pub finished_ids: usize,
@@ -45,7 +48,7 @@
     }
 }
 
-/// What is to be done once an append is reported, stored or not.
+/// The next step after an append is reported, whether or not it was stored.
 #[derive(Debug)]
 pub(super) enum AfterAppend {
     /// Answer the requests that wait for these messages.
@@ -54,16 +57,17 @@
     SendCall(CallId),
     /// Offer the message to its owner.
     SendOffer(MessageId, Peer),
-    /// Own what another process left.
+    /// Take ownership of what another process left.
     CompleteTakeover(Takeover),
-    /// Release to the successor what is not in flight.
+    /// Release the messages that are not in flight to the successor.
     CompleteHandOff,
-    /// Put an operator's call in force.
+    /// Apply an operator's override.
     ApplyOverride(OverrideRequest),
 }
 
 impl AfterAppend {
-    /// Whether it may be denied for want of room beside other processes; all else has to be written.
+    /// Returns whether the append may be refused for lack of space while other processes run. All other appends have to
+    /// be written.
     fn may_be_denied_room(&self) -> bool {
         matches!(
             self,
@@ -71,17 +75,18 @@
         )
     }
 
-    /// Whether the state changes only once the append is reported. What an attempt or an offer changes is in it at once.
+    /// Returns whether the state changes only once the append is reported. An attempt or an offer changes the state
+    /// immediately.
     fn changes_state_later(&self) -> bool {
         !matches!(self, AfterAppend::SendCall(_) | AfterAppend::SendOffer(..))
     }
 }
 
-/// The journal's file as the reducer reckons it, and the appends that are not yet reported.
+/// The size of the journal's file as computed by the reducer, and the appends that are not yet reported.
 #[derive(Debug)]
 pub(super) struct Durability {
     space: DiskSpace,
-    /// What the folder may hold, all processes together.
+    /// Maximum size of the folder, in bytes, for all processes together.
     limit_bytes: usize,
     last_append: AppendId,
     after_append: BTreeMap<AppendId, AfterAppend>,
@@ -89,7 +94,7 @@
 }
 
 impl Durability {
-    /// A folder with this limit, and a file of `file_bytes` in it.
+    /// Creates the state for a folder with this limit and a journal file of `file_bytes` in it.
     pub fn new(limit_bytes: usize, file_bytes: usize) -> Self {
         Durability {
             space: DiskSpace::new(limit_bytes, file_bytes),
@@ -100,39 +105,40 @@
         }
     }
 
-    /// Another limit of the folder. It is in force once [`Durability::share_with`] is called.
+    /// Sets another limit of the folder. The limit takes effect with the next [`Durability::share_with`].
     pub fn set_limit_bytes(&mut self, limit_bytes: usize) {
         self.limit_bytes = limit_bytes;
     }
 
-    /// The folder's limit is for the files of all processes: others take up, or may need, so many bytes.
+    /// Sets the part of the folder's limit that this process may use. The limit applies to the files of all processes
+    /// together; the others use, or may need, `other_bytes`.
     pub fn share_with(&mut self, other_bytes: usize, other_runs: bool) {
         let own = self.limit_bytes.saturating_sub(other_bytes);
-        // While another process runs, each may use half, so that both can compact.
+        // While another process runs, each may use at most half, so that both can compact.
         self.space.set_limit(if other_runs { own.min(self.limit_bytes / 2) } else { own });
     }
 
-    /// Whether a message of so many bytes may be accepted beside a snapshot of `live_bytes`.
+    /// Returns whether a message of `message_bytes` may be accepted in addition to a snapshot of `live_bytes`.
     pub fn admits(&self, live_bytes: usize, message_bytes: usize) -> bool {
         self.space.admits(live_bytes, message_bytes)
     }
 
-    /// Whether the file can be compacted as it is, the old and the new beside each other.
+    /// Returns whether there is room to compact the file now, which needs the old and the new file at the same time.
     pub fn can_compact(&self, live_bytes: usize) -> bool {
         self.space.can_compact(live_bytes)
     }
 
-    /// Whether the file has to be compacted before `more` bytes go in.
+    /// Returns whether the file has to be compacted before `more` bytes are appended.
     fn needs_compaction(&self, live_bytes: usize, more: usize) -> bool {
         self.space.needs_compaction(live_bytes, more)
     }
 
-    /// The file is replaced by a snapshot of so many bytes.
+    /// Notes that the file is replaced by a snapshot of `snapshot_bytes`.
     fn compacted(&mut self, snapshot_bytes: usize) {
         self.space.set_file_bytes(snapshot_bytes);
     }
 
-    /// One append: the effect that asks for it, or that reports it as not made.
+    /// Registers an append. Returns the effect that requests it, or the effect that reports it as refused.
     fn append(&mut self, bytes: Bytes, then: Option<AfterAppend>, has_other_processes: bool) -> Effect {
         self.last_append += 1;
         let append = self.last_append;
@@ -152,7 +158,7 @@
         Effect::Append { append, bytes }
     }
 
-    /// An append is reported, and how many bytes the file has now: what is to be done next.
+    /// Handles the report of an append, with the size of the file now. Returns the next step, if any.
     fn on_reported(&mut self, append: AppendId, file_bytes: usize) -> Option<AfterAppend> {
         self.space.set_file_bytes(file_bytes);
         self.pending.remove(append);
@@ -161,7 +167,8 @@
 }
 
 impl Reducer {
-    /// Asks for an append. Call it before the state changes: a compaction that it needs holds the state so far.
+    /// Requests an append. Must be called before the state changes, because a compaction that becomes necessary writes
+    /// the state as it was before.
     pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
@@ -170,7 +177,7 @@
         self.effects.push(effect);
     }
 
-    /// The same for records without a body; nothing where there are none.
+    /// Requests an append of records without a body. Does nothing if there are no records.
     pub(super) fn append_all(&mut self, records: &[Record], then: Option<AfterAppend>) {
         if !records.is_empty() {
             let records: Vec<(&Record, &[u8])> = records.iter().map(|record| (record, &b""[..])).collect();
@@ -178,12 +185,12 @@
         }
     }
 
-    /// The same for one record without a body, after which nothing waits.
+    /// Requests an append of one record without a body. Nothing waits for its report.
     pub(super) fn append_record(&mut self, record: &Record) {
         self.append(&[(record, b"")], None);
     }
 
-    /// The journal has stored an append, or could not.
+    /// Handles the report of an append, which was `stored` or failed.
     pub(super) fn on_appended(&mut self, now: Micros, append: AppendId, stored: bool, file_bytes: usize) {
         match self.durability.on_reported(append, file_bytes) {
             Some(AfterAppend::AdmitMessages(decided)) => self.on_messages_recorded(now, decided, stored),
@@ -196,10 +203,10 @@
         }
     }
 
-    /// Compacts the file where later there would be no room to do it, with so many bytes more in it.
+    /// Compacts the file if, after `more` bytes are appended, there would be no room left to compact it.
     pub(super) fn make_room(&mut self, more: usize) {
         if self.upgrade.has_handed_off() {
-            // The successor reads the file as it grows: it stays as it is.
+            // The successor reads the file as it grows, so it must not be replaced.
             return;
         }
         let live = self.live_bytes();
@@ -215,7 +222,7 @@
         self.effects.push(Effect::CompactJournal { bytes: snapshot });
     }
 
-    /// An upper estimate of the bytes of a snapshot.
+    /// Returns an upper estimate of the size of a snapshot, in bytes.
     pub(super) fn live_bytes(&self) -> usize {
         self.durability.pending.bytes()
             + self.messages.live_bytes()
@@ -227,7 +234,7 @@
             + SINGLE_RECORDS_BYTES
     }
 
-    /// All that still counts.
+    /// Returns a snapshot of all state that is still needed.
     pub(super) fn snapshot(&self) -> Bytes {
         let mut bytes = BytesMut::new();
         Record::EndpointList(self.endpoints.list().snapshot()).encode(b"", &mut bytes);
@@ -253,8 +260,8 @@
             Record::Accepted(message.accepted.clone()).encode(&message.body, &mut bytes);
             message.accepted.handover_records().iter().for_each(|record| record.encode(b"", &mut bytes));
         }
-        // What was appended just before, and is not yet in the state since it has not been reported as stored: the file
-        // that it went to is gone with the compaction.
+        // Includes appends that are not yet part of the state because they have not been reported as stored. The
+        // compaction replaces the file to which they were written.
         self.durability.pending.iter().for_each(|appended| bytes.extend_from_slice(appended));
         bytes.freeze()
     }
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -1,8 +1,8 @@
-//! Endpoint discovery: which watch on the endpoint list is in force, when the next one starts, and what is done about
-//! versions that go back.
+//! Endpoint discovery: which watch on the endpoint list is in force, when the next one starts, and how versions that
+//! decrease are handled.
 //!
-//! A watch follows discovery at its address, or a catalogue in its place. One that ends is followed by another after a
-//! backoff, which a Retry-After lengthens and the age that a list may have cuts short.
+//! A watch follows discovery at its address, or a catalogue instead of discovery. After a watch ends, the next one
+//! starts after a backoff. A Retry-After lengthens the backoff, and the maximum age of a list shortens it.
 
 use super::{Reducer, SECOND_US};
 use crate::backoff::Backoff;
@@ -16,43 +16,45 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Bound of the first backoff, for each forwarder of the fleet: a fleet that was cut off together starts about twenty
-/// watches a second at first.
+/// Bound of the first backoff, per forwarder of the fleet. With this value, a fleet whose watches all end at once
+/// starts about twenty watches a second at first.
 const FIRST_BACKOFF_PER_FORWARDER_US: Micros = 50_000;
-/// Limits of that bound.
+/// Lower and upper limit of the bound of the first backoff.
 const MIN_FIRST_BACKOFF_US: Micros = 250_000;
 const MAX_FIRST_BACKOFF_US: Micros = 4 * SECOND_US;
-/// A change of the list is in force at most so long after discovery had it and could be reached, whatever has become of
-/// the watches until then and whatever their Retry-After said. The platform counts a change as known after this.
+/// Maximum time from when discovery has a change of the list and is reachable until the change is in force, regardless
+/// of failed watches and of their Retry-After. The platform counts a change as known after this time.
 const MAX_LIST_AGE_US: Micros = 6 * SECOND_US;
-/// Of that, what the watch that brings the change takes: its connection, its answer, a stall.
+/// Part of [`MAX_LIST_AGE_US`] that is reserved for the watch that delivers the change: its connection, its answer and
+/// a stall.
 const WATCH_SETUP_TIME_US: Micros = SECOND_US;
-/// A watch that has lasted for so long was accepted: one that waits for discovery in vain is closed before.
+/// A watch that has lasted this long was accepted by discovery, because one that waits in vain for discovery is closed
+/// earlier.
 const ESTABLISHED_WATCH_AGE_US: Micros = 4 * SECOND_US;
-/// Discovery that told an older version is watched anew after this: one that lags has caught up, and a change still
-/// comes in time.
+/// Delay before a new watch after discovery sent an older version. By then an instance that lags has caught up, and a
+/// change is still in force in time.
 const REGRESSION_RETRY_US: Micros = 2 * SECOND_US;
-/// A list with too many entries is asked for again within this.
+/// Bound of the delay before a list with too many entries is requested again.
 const OVERSIZED_LIST_BACKOFF_US: Micros = 10 * SECOND_US;
 
-/// How the version of a watch event stands to those before it.
+/// How the version of a watch event compares with the versions before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VersionOrder {
-    /// It is not older, or the snapshot that was asked for to settle a regression.
+    /// The version is not older, or the event is the snapshot that was requested to settle a regression.
     InOrder,
-    /// It is the first that is older than this one.
+    /// The version is the first that is older than `newest_version`.
     FirstRegression { newest_version: u64 },
-    /// It is older, as others before it.
+    /// The version is older, and so was an earlier one.
     Regressed,
 }
 
-/// The watch in force, and when there will be another.
+/// The watch in force, and when the next one starts.
 #[derive(Debug)]
 pub(super) struct EndpointDiscovery {
     address: SocketAddr,
-    /// The address that was given apart from the file and that a reload has superseded.
+    /// The address given on the command line that a reload has superseded by the file's; `None` if there is none.
     superseded: Option<SocketAddr>,
-    /// Watched in the place of discovery.
+    /// The catalogue to watch instead of discovery; `None` if discovery is watched.
     catalogue: Option<Rc<dyn Catalogue>>,
     watch: WatchId,
     watching: bool,
@@ -60,12 +62,13 @@
     watch_started_at: Micros,
     backoff: Backoff,
     newest_version: u64,
-    /// The watch that told an older version than the newest, until a later watch settles it.
+    /// The watch that sent a version older than the newest; `None` once a later watch has settled the regression.
     regressed_watch: Option<WatchId>,
 }
 
 impl EndpointDiscovery {
-    /// At a start: `recovered_superseded` is the address that the journal says was superseded.
+    /// Creates the state at the start of the process. `recovered_superseded` is the superseded address from the
+    /// journal.
     pub fn new(
         discovery: &DiscoveryAddress,
         catalogue: Option<Rc<dyn Catalogue>>,
@@ -75,12 +78,13 @@
         now: Micros,
     ) -> Self {
         let mut backoff = Backoff::new(first_backoff(settings), seed);
-        // A drain may have been announced while there was no watch, and is in force after its grace: the first watch
-        // starts within that. Forwarders of a release start together; those that are rejected come in turn.
+        // A drain may have been announced while there was no watch, and takes effect after its grace period, so the
+        // first watch starts within that period. Forwarders of one release start together; the random delay spreads
+        // their watches.
         let watch_at = now + backoff.random_below(first_watch_delay(settings));
         EndpointDiscovery {
             address: discovery.at_startup(recovered_superseded),
-            // Another address given since then is new: it counts, and the record does not.
+            // If another address has been given since then, that address applies and the record does not.
             superseded: recovered_superseded.filter(|address| discovery.from_command_line == Some(*address)),
             catalogue,
             watch: 0,
@@ -93,42 +97,42 @@
         }
     }
 
-    /// Where discovery answers.
+    /// Returns the address of discovery.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The address that was given apart from the file and that a reload has superseded.
+    /// The address given on the command line that a reload has superseded by the file's; `None` if there is none.
     pub fn superseded(&self) -> Option<SocketAddr> {
         self.superseded
     }
 
-    /// Whether a catalogue is watched in the place of discovery.
+    /// Returns whether a catalogue is watched instead of discovery.
     pub fn has_catalogue(&self) -> bool {
         self.catalogue.is_some()
     }
 
-    /// Whether this watch is the last that was started.
+    /// Returns whether this watch is the last one that was started.
     pub fn is_current(&self, watch: WatchId) -> bool {
         watch == self.watch
     }
 
-    /// When the next watch starts, unless one is in force.
+    /// Returns when the next watch starts, or `None` while one is in force.
     pub fn wake_at(&self) -> Option<Micros> {
         (!self.watching).then_some(self.watch_at)
     }
 
-    /// Versions before this one are older.
+    /// Sets the newest version; lower versions count as older.
     pub fn set_newest_version(&mut self, version: u64) {
         self.newest_version = version;
     }
 
-    /// The address given apart from the file is superseded by the file's.
+    /// Marks the address given on the command line as superseded by the configuration file.
     pub fn supersede(&mut self, given: SocketAddr) {
         self.superseded = Some(given);
     }
 
-    /// A new configuration: another source is watched at once.
+    /// Applies a new configuration. If the source is another one, its watch starts immediately.
     pub fn reload(
         &mut self,
         now: Micros,
@@ -143,7 +147,7 @@
         if other_catalogue || catalogue.is_none() && self.address != address {
             self.watching = false;
             self.watch_at = now;
-            // What failed was another source, and this one may count its versions anew.
+            // The failures belong to the previous source, and the new one may count its versions independently.
             self.backoff.reset();
             self.newest_version = 0;
             self.regressed_watch = None;
@@ -153,7 +157,7 @@
         self.backoff.set_first(first_backoff(settings));
     }
 
-    /// The next watch, if it is due.
+    /// Returns the effect that starts the next watch, if it is due.
     fn next_watch(&mut self, now: Micros, list: &EndpointList) -> Option<Effect> {
         if self.watching || now < self.watch_at {
             return None;
@@ -164,7 +168,7 @@
         let from = match &self.catalogue {
             Some(catalogue) => WatchSource::Catalogue { catalogue: catalogue.clone(), held: list.snapshot() },
             None => {
-                // A version that a catalogue has counted says nothing to discovery.
+                // A version from a catalogue has no meaning for discovery.
                 let is_known = list.origin().is_empty() && self.regressed_watch.is_none();
                 let since = if is_known { list.version() } else { 0 };
                 WatchSource::Discovery { at: self.address, since }
@@ -173,17 +177,18 @@
         Some(Effect::StartWatch { watch: self.watch, from })
     }
 
-    /// The watch has ended: `silence` ago it last said something complete, or was started.
+    /// Schedules the next watch after one has ended. `silence` is the time since its last complete event, or since its
+    /// start if there was none.
     fn on_watch_ended(&mut self, now: Micros, retry_after: Micros, silence: Micros, settings: &Settings) {
         let established = now - self.watch_started_at >= ESTABLISHED_WATCH_AGE_US;
         if established {
             self.backoff.reset();
         }
-        // Discovery may have had a change since the last word that came: a Retry-After is cut to what is left until that
-        // has to be in force. Forwarders with the same Retry-After still come one by one.
+        // Discovery may have had a change since the last event. A Retry-After is cut to the time left until such a
+        // change must be in force. The random part spreads forwarders that got the same Retry-After.
         let time_left = (MAX_LIST_AGE_US - WATCH_SETUP_TIME_US - silence.max(0)).max(0);
         let pause = if established && retry_after == 0 {
-            // As at a start.
+            // The same random delay as at the start of the process.
             self.backoff.random_below(first_watch_delay(settings)).min(time_left)
         } else if retry_after < time_left / 2 {
             retry_after + self.backoff.next_delay(time_left - retry_after)
@@ -194,7 +199,8 @@
         self.watch_at = now + pause;
     }
 
-    /// What the version of an event of the watch in force says; a regression has the list watched anew.
+    /// Classifies the version of an event of the watch in force. After the first regression, schedules a new watch of
+    /// the list.
     fn observe_version(&mut self, now: Micros, event: &WatchEvent, list_origin: &str) -> VersionOrder {
         let older = event.origin == *list_origin && event.version < self.newest_version;
         let settles = event.is_snapshot && self.regressed_watch.is_some_and(|watch| watch != self.watch);
@@ -212,7 +218,8 @@
         VersionOrder::FirstRegression { newest_version: self.newest_version }
     }
 
-    /// An event was left out, and what this watch tells after it: those are changes to a list that is not held.
+    /// Stops using the current watch after one of its events was dropped, because its later events would be changes to
+    /// a list that this process does not have.
     fn abandon_watch(&mut self, now: Micros) {
         self.watch += 1;
         self.watching = false;
@@ -220,34 +227,35 @@
     }
 }
 
-/// Bound of the first backoff, by the size of the fleet.
+/// Returns the bound of the first backoff for the size of the fleet.
 fn first_backoff(settings: &Settings) -> Micros {
     Micros::from(settings.fleet_size)
         .saturating_mul(FIRST_BACKOFF_PER_FORWARDER_US)
         .clamp(MIN_FIRST_BACKOFF_US, MAX_FIRST_BACKOFF_US)
 }
 
-/// The first watch starts within this: at once for a forwarder that is alone.
+/// Returns the bound of the delay before the first watch. It is 0 for a forwarder that is the only one of its fleet.
 fn first_watch_delay(settings: &Settings) -> Micros {
     if settings.fleet_size > 1 { settings.drain_grace.clamp(0, MIN_FIRST_BACKOFF_US) } else { 0 }
 }
 
 impl Reducer {
-    /// Starts the next watch when it is due.
+    /// Starts the next watch if it is due.
     pub(super) fn start_watch_if_due(&mut self, now: Micros) {
         let next = self.discovery.next_watch(now, self.endpoints.list());
         self.effects.extend(next);
     }
 
-    /// A watch has ended, for this reason.
+    /// Handles the end of a watch, for this reason.
     pub(super) fn on_watch_ended(&mut self, now: Micros, reason: &str, retry_after_ms: u64, silence: Micros) {
         self.log(format!("endpoint list: watch ended, the last list stays in use reason={reason:?}"));
         let retry_after = retry_after::to_micros(retry_after_ms);
         self.discovery.on_watch_ended(now, retry_after, silence, &self.settings);
     }
 
-    /// A watch has told something. What is older than the list held comes from a discovery that lags, or that counts its
-    /// versions anew: it is taken in as far as it is safe, and a snapshot asked for, which holds.
+    /// Handles an event of a watch. An event older than the list in force comes from a discovery that lags or that
+    /// restarted its version count. It is applied as far as that is safe, and a snapshot is requested; that snapshot is
+    /// then applied whatever its version.
     pub(super) fn on_watch_event(&mut self, now: Micros, mut event: WatchEvent) {
         if !self.endpoints.list().has_room_for(&event) {
             let version = event.version;
--- a/crates/forwarder/src/reducer/endpoint_table.rs
+++ b/crates/forwarder/src/reducer/endpoint_table.rs
@@ -1,6 +1,6 @@
-//! The endpoint list in force, and the numbers by which the controller knows its endpoints.
+//! The endpoint list in force, and the ids by which the controller knows its endpoints.
 //!
-//! An endpoint keeps its number while the list names it, and after that for as long as a call to it is in flight.
+//! An endpoint keeps its id while the list names it, and after that as long as a call to it is in flight.
 
 use super::destinations::Destinations;
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, ListedEndpoint, WatchEvent};
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// An endpoint that some list has named.
+/// An endpoint that an endpoint list has named.
 #[derive(Debug)]
 pub(super) struct KnownEndpoint {
     pub uid: Arc<str>,
     pub destination: DestinationId,
 }
 
-/// New endpoints of a list, with the numbers given to them.
+/// New endpoints of a list, with the ids assigned to them.
 pub(super) type NewEndpoints = Vec<(EndpointId, KnownEndpoint)>;
 
-/// The endpoint list, and all endpoints that are not forgotten.
+/// The endpoint list, and all endpoints that have an id.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     list: EndpointList,
-    /// Endpoints that the list names, and others for as long as a call to them is in flight.
+    /// Endpoints that the list names, and unlisted ones as long as a call to them is in flight.
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     ids: HashMap<Arc<str>, EndpointId>,
     next_id: EndpointId,
@@ -32,43 +32,43 @@
 }
 
 impl EndpointTable {
-    /// The list in force.
+    /// Returns the list in force.
     pub fn list(&self) -> &EndpointList {
         &self.list
     }
 
-    /// What the list says of an endpoint.
+    /// Returns the list's entry for an endpoint.
     pub fn listed(&self, uid: &str) -> Option<&ListedEndpoint> {
         self.list.get(uid)
     }
 
-    /// An endpoint by its number.
+    /// Returns an endpoint by its id.
     pub fn get(&self, id: EndpointId) -> Option<&KnownEndpoint> {
         self.endpoints.get(&id)
     }
 
-    /// The number of an endpoint.
+    /// Returns the id of an endpoint.
     pub fn id_of(&self, uid: &str) -> Option<EndpointId> {
         self.ids.get(uid).copied()
     }
 
-    /// The numbers of all endpoints.
+    /// Returns the ids of all endpoints.
     pub fn ids(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.keys().copied()
     }
 
-    /// The destinations that some list has named.
+    /// Returns the destinations that any endpoint list has named.
     pub fn destinations(&self) -> &Destinations {
         &self.destinations
     }
 
-    /// The endpoints that the list no longer names.
+    /// Returns the endpoints that the list no longer names.
     pub fn unlisted(&self) -> &BTreeSet<EndpointId> {
         &self.unlisted
     }
 
-    /// The number of a listed endpoint; a new endpoint gets one and is put among `new_endpoints`, for
-    /// [`EndpointTable::apply`].
+    /// Returns the id of a listed endpoint. Assigns an id to a new endpoint and adds it to `new_endpoints`, which are
+    /// to be passed to [`EndpointTable::apply`].
     pub fn number(&mut self, listed: &EndpointEntry, new_endpoints: &mut NewEndpoints) -> EndpointId {
         if let Some(known) = self.ids.get(listed.uid.as_str()) {
             return *known;
@@ -81,7 +81,7 @@
         id
     }
 
-    /// Takes in a watch event, with its new endpoints and what each of its entries means.
+    /// Applies a watch event, with its new endpoints and the update that results from each of its entries.
     pub fn apply(&mut self, event: &WatchEvent, new_endpoints: NewEndpoints, updates: &[EndpointUpdate]) {
         self.add(new_endpoints);
         if event.is_snapshot {
@@ -98,7 +98,7 @@
         self.list.apply_sharing(event, shared);
     }
 
-    /// Forgets unlisted endpoints, but for those with a call in flight.
+    /// Forgets unlisted endpoints, except `busy` ones, which have a call in flight.
     pub fn forget_unlisted(&mut self, busy: &BTreeSet<EndpointId>) {
         for id in self.unlisted.extract_if(.., |id| !busy.contains(id)) {
             if let Some(endpoint) = self.endpoints.remove(&id) {
@@ -110,7 +110,7 @@
 
     fn add(&mut self, new_endpoints: NewEndpoints) {
         self.destinations.add(&new_endpoints);
-        // Merging packs a tree full; for a few it would be more work than putting each in.
+        // `append` rebuilds the whole tree, which for a few endpoints is more work than inserting each.
         if new_endpoints.len() > self.endpoints.len() / 2 {
             self.endpoints.append(&mut new_endpoints.into_iter().collect());
         } else {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A snapshot lists what it names and nothing else.
+    /// Marks all endpoints that a snapshot does not name as unlisted.
     fn unlist_all_but(&mut self, updates: &[EndpointUpdate]) {
         let mut named: Vec<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
         named.sort_unstable();
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -1,5 +1,5 @@
-//! Final answers: the end of each message, the ids of finished messages, and the answers that the platform is still to be
-//! notified of.
+//! Final answers: the end of each message, the ids of finished messages, and the answers for which the platform has yet
+//! to accept a notification.
 
 use super::{Reducer, SECOND_US};
 use crate::input::{Effect, SubmitAnswer};
@@ -9,17 +9,17 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// The id of a finished message is remembered for so long, if there is disk for it: a client may still be submitting it
-/// again, or another forwarder offering it again.
+/// How long the id of a finished message is remembered, if there is disk space for it. Until then a client may submit
+/// the message again, or another forwarder may offer it again.
 pub(super) const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
-/// An upper estimate of the bytes of the record of a finished message, or of a final answer, beside the id.
+/// An upper estimate of the bytes of the record of a finished message or of a final answer, without the id.
 pub(super) const SHORT_RECORD_BYTES: usize = 160;
-/// Pause before notifications are posted again.
+/// Delay before notifications are posted again after a failed post.
 const NOTIFICATION_RETRY_US: Micros = 100_000;
-/// Notifications in one post.
+/// Maximum number of notifications in one post.
 const MAX_NOTIFICATIONS_PER_POST: usize = 200;
 
-/// An upper estimate of the bytes of a short record.
+/// Returns an upper estimate of the bytes of a short record with this id.
 pub(super) fn id_size(id: &str) -> usize {
     id.len() + SHORT_RECORD_BYTES
 }
@@ -32,7 +32,7 @@
     pub at: Micros,
 }
 
-/// The final answer to a message that was accepted and is not delivered.
+/// The final answer to a message that was accepted and not delivered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DecidedAnswer {
     /// The message's id.
@@ -42,14 +42,14 @@
 }
 
 impl DecidedAnswer {
-    /// Its record.
+    /// Returns the journal record.
     pub fn record(&self) -> Record {
         Record::AnswerDecided { message: self.id.clone(), at: self.decided_at, answer: self.answer }
     }
 }
 
 impl FinishedId {
-    /// Its record.
+    /// Returns the journal record.
     pub fn record(&self) -> Record {
         Record::Finished { message: self.id.clone(), at: self.at }
     }
@@ -65,32 +65,32 @@
 }
 
 impl FinishedIds {
-    /// None yet, and so many at most.
+    /// Creates an empty set with at most `max_ids` ids.
     pub fn new(max_ids: usize) -> Self {
         FinishedIds { since: HashMap::new(), order: VecDeque::new(), max_ids, bytes: 0 }
     }
 
-    /// Another bound.
+    /// Sets another maximum number of ids.
     pub fn set_max_ids(&mut self, max_ids: usize) {
         self.max_ids = max_ids;
     }
 
-    /// Whether a message is finished and remembered.
+    /// Returns whether a message is remembered as finished.
     pub fn contains(&self, id: &str) -> bool {
         self.since.contains_key(id)
     }
 
-    /// An upper estimate of the bytes that they take up in a snapshot.
+    /// Returns an upper estimate of the bytes in a snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// In the order in which they were finished.
+    /// Returns the ids in the order in which their messages were finished.
     pub fn iter(&self) -> impl Iterator<Item = &FinishedId> {
         self.order.iter()
     }
 
-    /// A message is finished.
+    /// Adds the id of a finished message. Removes ids that are too old or exceed the maximum number.
     pub fn remember(&mut self, id: String, at: Micros) {
         self.order.push_back(FinishedId { id: id.clone(), at });
         let size = id_size(&id);
@@ -109,20 +109,20 @@
     }
 }
 
-/// Final answers that the platform has not yet accepted a notification of, in their order.
+/// Final answers for which the platform has not yet accepted a notification, in the order of their decision.
 #[derive(Debug)]
 pub(super) struct PendingAnswers {
     answers: VecDeque<DecidedAnswer>,
-    /// How many of them are being posted.
+    /// Number of answers, from the front, in the post that is under way; 0 if there is none.
     posting: usize,
     post_at: Micros,
-    /// How many answers are pending for each id.
+    /// Number of pending answers for each message id.
     pending_by_id: HashMap<String, usize>,
     bytes: usize,
 }
 
 impl PendingAnswers {
-    /// At a start, with those that the journal holds.
+    /// Creates the queue at the start of the process with the answers from the journal.
     pub fn new(answers: Vec<DecidedAnswer>, now: Micros) -> Self {
         let mut pending = PendingAnswers {
             answers: VecDeque::new(),
@@ -135,44 +135,44 @@
         pending
     }
 
-    /// Whether an answer is pending for this message.
+    /// Returns whether an answer is pending for this message.
     pub fn contains(&self, id: &str) -> bool {
         self.pending_by_id.contains_key(id)
     }
 
-    /// Whether none is pending.
+    /// Returns whether no answer is pending.
     pub fn is_empty(&self) -> bool {
         self.answers.is_empty()
     }
 
-    /// An upper estimate of the bytes that they take up in a snapshot.
+    /// Returns an upper estimate of the bytes in a snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// In the order in which they were decided.
+    /// Returns the answers in the order in which they were decided.
     pub fn iter(&self) -> impl Iterator<Item = &DecidedAnswer> {
         self.answers.iter()
     }
 
-    /// An answer is decided.
+    /// Adds an answer.
     pub fn push(&mut self, answer: DecidedAnswer) {
         self.bytes += id_size(&answer.id);
         *self.pending_by_id.entry(answer.id.clone()).or_default() += 1;
         self.answers.push_back(answer);
     }
 
-    /// There is somewhere else to post to: at once.
+    /// Makes the next post due immediately, because the address to post to has changed.
     pub fn post_now(&mut self, now: Micros) {
         self.post_at = now;
     }
 
-    /// When the next post is due, unless one is under way.
+    /// Returns when the next post is due, or `None` if a post is under way or no answer is pending.
     pub fn wake_at(&self) -> Option<Micros> {
         (self.posting == 0 && !self.answers.is_empty()).then_some(self.post_at)
     }
 
-    /// The next post, if it is due.
+    /// Returns the notifications of the next post, if it is due.
     fn take_post(&mut self, now: Micros) -> Option<Vec<(String, FinalAnswer)>> {
         self.wake_at().filter(|at| *at <= now)?;
         self.posting = self.answers.len().min(MAX_NOTIFICATIONS_PER_POST);
@@ -180,7 +180,8 @@
         Some(posted.map(|answer| (answer.id.clone(), answer.answer)).collect())
     }
 
-    /// The post has ended: the ids that were accepted, or none and a pause.
+    /// Handles the end of a post. Returns the ids of the accepted notifications. If the post failed, returns no ids and
+    /// delays the next post.
     fn on_posted(&mut self, now: Micros, accepted: bool) -> Vec<String> {
         let posted = std::mem::take(&mut self.posting);
         if !accepted {
@@ -190,7 +191,7 @@
         self.answers.iter().take(posted).map(|answer| answer.id.clone()).collect()
     }
 
-    /// The first answers are not pending any more.
+    /// Removes the first `count` answers.
     fn forget(&mut self, count: usize) {
         for answer in self.answers.drain(..count) {
             self.bytes -= id_size(&answer.id);
@@ -205,8 +206,8 @@
 }
 
 impl Reducer {
-    /// The final answer to a message that is not delivered: before it is accepted it answers the request, later it is a
-    /// notification.
+    /// Finishes a message that is not delivered. The final answer is sent as the answer to the request if the message
+    /// is not yet accepted, and as a notification otherwise.
     pub(super) fn finish(&mut self, now: Micros, number: MessageId, answer: FinalAnswer) {
         let end = match answer {
             FinalAnswer::Failed => MessageEnd::Error,
@@ -215,7 +216,7 @@
         self.finish_counted_as(now, number, answer, end);
     }
 
-    /// A final answer that counts as this end in the metrics.
+    /// Finishes a message as [`Reducer::finish`] does, and counts `end` in the metrics.
     pub(super) fn finish_counted_as(
         &mut self,
         now: Micros,
@@ -244,7 +245,7 @@
         }
     }
 
-    /// A message is delivered: nobody needs to be notified.
+    /// Finishes a message that is delivered, which needs no notification.
     pub(super) fn finish_delivered(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let id = message.accepted.id.clone();
@@ -256,14 +257,14 @@
         self.finished.remember(id, now);
     }
 
-    /// Posts the next notifications when they are due.
+    /// Posts the next notifications if they are due.
     pub(super) fn post_notifications(&mut self, now: Micros) {
         if let Some(notifications) = self.final_answers.take_post(now) {
             self.effects.push(Effect::PostNotifications { to: self.discovery.address(), notifications });
         }
     }
 
-    /// The platform has accepted the notifications that were posted, or has not.
+    /// Handles the end of a post. If the platform `accepted` the notifications, records their messages as finished.
     pub(super) fn on_notifications_posted(&mut self, now: Micros, accepted: bool) {
         let ids = self.final_answers.on_posted(now, accepted);
         let finished = |id: &String| Record::Finished { message: id.clone(), at: now };
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -1,6 +1,6 @@
-//! Handover: what becomes of a message whose destination another forwarder owns, until the owner has accepted it or it is
-//! delivered here. When an offer is due, and when messages for a failing owner are delivered here, is decided in
-//! [`handover_schedule`](super::handover_schedule).
+//! Handover: how a message whose destination another forwarder owns is handled until the owner has accepted it or it is
+//! delivered here. [`handover_schedule`](super::handover_schedule) decides when an offer is due and when messages for a
+//! failing owner are delivered here.
 
 use super::Reducer;
 use super::durability::AfterAppend;
@@ -11,19 +11,19 @@
 use orchidyoke_journal::{AcceptedMessage, FinalAnswer, HandoverOffer, HandoverState, Record};
 
 impl Reducer {
-    /// Where a message goes that is in the journal and not with the controller: to the owner of its destination, or to the
-    /// controller, to be delivered here.
+    /// Passes a message that is in the journal and not in the controller either to the schedule of handovers, if
+    /// another forwarder owns its destination, or to the controller, to be delivered here.
     pub(super) fn place(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let accepted = &message.accepted;
         let owner = match &accepted.handover {
             HandoverState { kept_local: true, .. } => None,
-            // An owner that may have it is asked as long as it is a member.
+            // An owner that may already have the message is offered it again as long as it is a member.
             HandoverState { offered: Some(offered), .. } => match self.ownership.member(&offered.owner) {
                 Some(owner) => Some(owner),
                 None => return self.resolve_in_doubt(now, number),
             },
-            // What may have been delivered and must not be repeated is the controller's to finish.
+            // The controller finishes a message that may have been delivered and must not be repeated.
             _ if !self.may_repeat(now, accepted) => None,
             _ => self.ownership.other_owner(accepted.destination),
         };
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The owner that a message waits for may have changed.
+    /// Schedules a message again if the owner that it waits for has changed.
     pub(super) fn reassign_owner(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let owner = match &message.accepted.handover.offered {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// The owner that may have a message is asked no more: its class says what becomes of it.
+    /// Stops offering a message to an owner that may have it. Fails the message if its class forbids a repeat, and
+    /// hands over or delivers it again otherwise.
     fn resolve_in_doubt(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         if !self.may_repeat(now, &message.accepted) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A message is the controller's from now on, with what is known of it.
+    /// Passes a message to the controller, together with its previous attempts.
     fn deliver_here(&mut self, now: Micros, number: MessageId) {
         if self.messages.get(number).is_none_or(|message| message.in_controller) {
             return;
@@ -91,7 +92,8 @@
         self.report_history(now, number);
     }
 
-    /// Offers what is due, and finishes what is out of time.
+    /// Carries out the decisions of the schedule that are due: sends offers, delivers locally, and finishes messages
+    /// whose time is up.
     pub(super) fn run_handover_decisions(&mut self, now: Micros) {
         if self.upgrade.has_handed_off() {
             return;
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The journal says whom a message is offered to before the first byte goes there.
+    /// Records in the journal to which owner a message is offered, before the first byte of the offer is sent.
     fn prepare_offer(&mut self, now: Micros, number: MessageId, owner: &Peer) {
         let Some(message) = self.messages.get(number) else { return };
         if message.accepted.handover.offered.is_some() {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The record of an offer is in the journal, or could not be: then nothing is offered.
+    /// Handles the report on the record of an offer. Sends the offer only if the record is `stored`.
     pub(super) fn on_offer_recorded(&mut self, now: Micros, number: MessageId, owner: &Peer, stored: bool) {
         if stored && !self.upgrade.has_handed_off() {
             return self.send_offer(now, number, owner);
@@ -155,7 +157,7 @@
         })));
     }
 
-    /// An offer has ended.
+    /// Handles the end of an offer.
     pub(super) fn on_offer_ended(&mut self, now: Micros, number: MessageId, outcome: &OfferOutcome) {
         let was_in_doubt = self.handovers.is_in_doubt(number);
         self.handovers.on_offer_ended(now, number, outcome);
@@ -192,7 +194,7 @@
         self.log(format!("hand-over of {id} to {owner}{doubt}: {reason}"));
     }
 
-    /// Its owner has accepted the message: here it is finished.
+    /// Finishes a message that its owner has accepted.
     fn finish_handed_over(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let message_id = message.accepted.id.clone();
@@ -205,7 +207,7 @@
         self.finished.remember(message_id, now);
     }
 
-    /// The owner never took the message.
+    /// Records that the owner did not accept the message.
     fn record_declined(&mut self, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let message_id = message.accepted.id.clone();
@@ -215,15 +217,15 @@
         }
     }
 
-    /// A message is delivered here in the place of its failing owner.
+    /// Delivers a message here instead of at its failing owner.
     fn deliver_for_owner(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         if !self.may_repeat(now, &message.accepted) {
-            // Its deduplication window has ended since.
+            // Its deduplication window has ended in the meantime.
             return self.place(now, number);
         }
         if message.accepted.handover.offered.is_some() {
-            // After a restart it must not be offered again.
+            // Records that the message stays here, so that it is not offered again after a restart.
             self.count_offer_as_attempt(number);
             self.record_kept_local(number);
         }
@@ -240,12 +242,12 @@
         }
     }
 
-    /// The time of a message is up while it waits for its owner. In doubt before its deadline, its class says what becomes
-    /// of it.
+    /// Handles a message whose waiting time has ended before its owner accepted it. If it is in doubt and its deadline
+    /// is still ahead, [`Reducer::resolve_in_doubt`] decides by its class.
     fn on_handover_time_up(&mut self, now: Micros, number: MessageId) {
         if self.handovers.is_offer_in_flight(number) {
-            // Its offer ends by its timeout and may bring the answer. If it does not, the end of the offer brings the message
-            // back here.
+            // The offer ends at its time-out at the latest and may still be answered. If it is not, the end of the
+            // offer schedules the message again.
             return;
         }
         let Some(message) = self.messages.get(number) else { return };
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -1,8 +1,9 @@
 //! The schedule of handovers: which messages wait for the owners of their destinations, when each is offered, and which
-//! are delivered here while their owner fails. No I/O and no journal; see `docs/handover.md`.
+//! are delivered here while their owner fails. This module does no I/O and does not write to the journal; see
+//! `docs/handover.md`.
 //!
-//! Work in a call is proportional to what is due in it: owners with something due are in an ordered set, and so are the
-//! times at which messages stop waiting.
+//! The work of a call is proportional to what is due in it. Owners for which something is due are kept in an ordered
+//! set, and so are the times at which messages stop waiting.
 
 use super::SECOND_US;
 use super::final_answers::FINISHED_ID_LIFETIME_US;
@@ -12,50 +13,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// An offer without an answer by then has ended; the owner may have accepted the message.
+/// Time-out of an offer. After it, the owner may have accepted the message.
 pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
-/// A message in doubt is offered again for so long after its first offer: the owner remembers the ids of finished messages
-/// for longer than this ([`FINISHED_ID_LIFETIME_US`]), unless its disk allows for fewer ids.
+/// How long a message in doubt is offered again, from its first offer. The owner remembers the ids of finished messages
+/// for longer than this ([`FINISHED_ID_LIFETIME_US`]), unless its disk has room for fewer ids.
 pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
 const _: () =
     assert!(MAX_IN_DOUBT_US < FINISHED_ID_LIFETIME_US, "an offer would outlive the owner's memory of its id");
-/// Messages for an owner are delivered here from this long after the end of the first offer that failed, until one is
+/// How long after the end of the first failed offer to an owner its messages are delivered here, until an offer is
 /// answered.
 const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
-/// Offers in flight to one owner.
+/// Maximum number of offers in flight to one owner.
 const MAX_OFFERS_PER_OWNER: usize = 16;
-/// Offers in flight in all.
+/// Maximum number of offers in flight to all owners.
 const MAX_OFFERS: usize = 64;
-/// Messages that this forwarder delivers at the same time while their owners fail; one of a destination. Other forwarders
-/// have as many of their own.
+/// Maximum number of messages that this forwarder delivers at the same time while their owners fail, with one message
+/// per destination. Each other forwarder has the same limit of its own.
 const MAX_LOCAL_DELIVERIES: usize = 32;
-/// Messages that wait for one owner; more are rejected.
+/// Maximum number of messages that wait for one owner. Further messages are rejected.
 const MAX_WAITING_PER_OWNER: usize = 1000;
-/// Bound of the first backoff before an offer is repeated, and the longest backoff.
+/// Bound of the first backoff before an offer is repeated, and the maximum backoff.
 const FIRST_OFFER_BACKOFF_US: Micros = 100_000;
 const MAX_OFFER_BACKOFF_US: Micros = 2 * SECOND_US;
 
-/// What the schedule has to know of a message.
+/// The properties of a message that the schedule depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HandoverTerms {
     /// Its destination.
     pub destination: DestinationId,
-    /// When it stops waiting: at its deadline or, if it is in doubt, at the end of [`MAX_IN_DOUBT_US`] if that is sooner.
+    /// When it stops waiting: at its deadline or, if it is in doubt and that is sooner, at the end of
+    /// [`MAX_IN_DOUBT_US`].
     pub ends_at: Micros,
-    /// It may be delivered here while its owner fails.
+    /// Whether it may be delivered here while its owner fails.
     pub local_delivery_allowed: bool,
-    /// The owner may have it.
+    /// Whether the owner may have accepted it.
     pub in_doubt: bool,
 }
 
-/// What is to be done with a message.
+/// The next action for a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum HandoverDecision {
     /// Offer it to its owner.
     Offer(MessageId, Peer),
-    /// Deliver it here: its owner fails.
+    /// Deliver it here, because its owner fails.
     DeliverLocally(MessageId),
-    /// Its time is up.
+    /// End its wait for the owner, because its waiting time is over.
     TimeUp(MessageId),
 }
 
@@ -72,18 +74,18 @@
 #[derive(Debug)]
 struct OwnerQueue {
     address: SocketAddr,
-    /// Messages whose offers are not in flight, by when they are due.
+    /// Messages whose offer is not in flight, in the order in which they are due.
     due: BTreeSet<(Micros, MessageId)>,
-    /// Those of them that it may have: the first to be offered again while it fails.
+    /// The messages in `due` that the owner may have accepted. They are offered first while the owner fails.
     in_doubt: BTreeSet<MessageId>,
-    /// Those of them that may be delivered here.
+    /// The messages in `due` that may be delivered here.
     local_delivery_allowed: BTreeSet<(DestinationId, MessageId)>,
     waiting: usize,
     offers_in_flight: usize,
     failing_since: Option<Micros>,
     not_before: Micros,
     backoff: Backoff,
-    /// Its entry in the set of those that are due.
+    /// The time of this owner's entry in [`HandoverSchedule::timers`], if it has one.
     timer: Option<Micros>,
 }
 
@@ -103,14 +105,15 @@
         }
     }
 
-    /// When something may be offered to it next.
+    /// Returns when the next message may be offered to the owner, or `None` if none waits or the maximum number of
+    /// offers is in flight.
     fn wake_at(&self) -> Option<Micros> {
         let most = if self.failing_since.is_some() { 1 } else { MAX_OFFERS_PER_OWNER };
         let (first, _) = self.due.first()?;
         (self.offers_in_flight < most).then_some((*first).max(self.not_before))
     }
 
-    /// The next message to offer. One that fails is asked about what it may have already, where there is any.
+    /// Returns the next message to offer. A failing owner is offered messages in doubt first, if there are any.
     fn next(&self, now: Micros) -> Option<MessageId> {
         if self.failing_since.is_some()
             && let Some(id) = self.in_doubt.first()
@@ -125,65 +128,66 @@
     }
 }
 
-/// All handovers of a forwarder.
+/// All handovers of this forwarder.
 #[derive(Debug, Default)]
 pub(super) struct HandoverSchedule {
     waiting: BTreeMap<MessageId, WaitingMessage>,
     peers: BTreeMap<String, OwnerQueue>,
-    /// Owners by when something may be offered to them.
+    /// Owners, in the order of the time at which something may be offered to them.
     timers: BTreeSet<(Micros, String)>,
     ends: BTreeSet<(Micros, MessageId)>,
-    /// Offers in flight, with their owners; the message may be gone meanwhile.
+    /// Offers in flight, with their owners. The message of an offer may already be finished.
     offers_in_flight: BTreeMap<MessageId, String>,
-    /// Owners that fail.
+    /// Owners to which the last offer failed.
     failing: BTreeSet<String>,
-    /// When messages for failing owners may be delivered here.
+    /// The times from which messages for failing owners may be delivered here.
     local_delivery_from: BTreeSet<(Micros, String)>,
-    /// Messages delivered here while their owner fails.
+    /// Messages delivered here while their owner fails, by destination.
     local_deliveries: BTreeMap<DestinationId, MessageId>,
     local_delivery_ids: BTreeMap<MessageId, DestinationId>,
-    /// Whether more of those may be possible than at the last check.
+    /// Whether more local deliveries may be possible than at the last check.
     check_local_delivery: bool,
     seed: u64,
 }
 
 impl HandoverSchedule {
-    /// None yet; chance follows from `seed`.
+    /// Creates an empty schedule whose random numbers derive from `seed`.
     pub fn new(seed: u64) -> Self {
         HandoverSchedule { seed, ..HandoverSchedule::default() }
     }
 
-    /// Whether its offer is in flight.
+    /// Returns whether an offer of the message is in flight.
     pub fn is_offer_in_flight(&self, id: MessageId) -> bool {
         self.offers_in_flight.contains_key(&id)
     }
 
-    /// Whether the owner may have it since before its last offer.
+    /// Returns whether the owner may have accepted the message, not counting the offer in flight.
     pub fn is_in_doubt(&self, id: MessageId) -> bool {
         self.waiting.get(&id).is_some_and(|waiting| waiting.terms.in_doubt)
     }
 
-    /// The owner that a message waits for.
+    /// Returns the owner that a message waits for.
     pub fn owner_of(&self, id: MessageId) -> Option<&str> {
         self.waiting.get(&id).map(|waiting| waiting.peer.as_str())
     }
 
-    /// All that wait.
+    /// Returns the ids of all waiting messages.
     pub fn ids(&self) -> Vec<MessageId> {
         self.waiting.keys().copied().collect()
     }
 
-    /// How many wait, and how many are delivered here while their owner fails.
+    /// Returns the number of waiting messages, and the number of messages that are delivered here while their owner
+    /// fails.
     pub fn counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.local_deliveries.len())
     }
 
-    /// Whether so many wait for this owner that no more are to be accepted.
+    /// Returns whether the maximum number of messages waits for this owner, so that no more may be accepted.
     pub fn is_full(&self, peer: &str) -> bool {
         self.peers.get(peer).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
     }
 
-    /// A message waits for its owner from now on.
+    /// Adds a message that waits for its owner.
     pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: HandoverTerms) {
         self.seed = self.seed.wrapping_add(1);
         let seed = self.seed;
@@ -196,8 +200,8 @@
         self.queue(id, now);
     }
 
-    /// A message does not wait for its owner any more, or is not here any more: all that is known of it goes, but for an
-    /// offer in flight.
+    /// Removes a message that no longer waits for its owner or is no longer held here. Everything about it is removed,
+    /// except an offer in flight.
     pub fn remove(&mut self, id: MessageId) {
         if let Some(destination) = self.local_delivery_ids.remove(&id) {
             self.local_deliveries.remove(&destination);
@@ -214,7 +218,7 @@
         self.schedule(&peer);
     }
 
-    /// The terms of a message have changed.
+    /// Replaces the terms of a message.
     pub fn change(&mut self, id: MessageId, terms: HandoverTerms) {
         let queued = !self.offers_in_flight.contains_key(&id);
         if queued {
@@ -230,7 +234,8 @@
         }
     }
 
-    /// An offer is not made after all: as one that did not reach its owner, which is not to blame.
+    /// Handles an offer that was decided on and not sent. The message is due again after a delay, and the owner does
+    /// not count as failing.
     pub fn on_offer_withheld(&mut self, now: Micros, id: MessageId) {
         if let Some(peer) = self.remove_offer(id) {
             self.queue(id, now + MAX_OFFER_BACKOFF_US);
@@ -238,7 +243,7 @@
         }
     }
 
-    /// An offer has ended. What it means for the message is not decided here; it is due again unless it is removed.
+    /// Handles the end of an offer for its owner. The message is due again unless the caller removes it.
     pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferOutcome) {
         let Some(peer) = self.remove_offer(id) else { return };
         let Some(queue) = self.peers.get_mut(&peer) else { return };
@@ -268,7 +273,7 @@
         self.schedule(&peer);
     }
 
-    /// What is due: one decision after another, until there is none.
+    /// Returns the next decision that is due, or `None` if there is none. Call it until it returns `None`.
     pub fn next(&mut self, now: Micros) -> Option<HandoverDecision> {
         if let Some((at, id)) = self.ends.first().copied()
             && at <= now
@@ -279,7 +284,7 @@
         self.next_offer(now).or_else(|| self.next_local_delivery(now))
     }
 
-    /// When something is due next.
+    /// Returns when the next decision is due.
     pub fn wake_at(&self) -> Option<Micros> {
         let room = self.offers_in_flight.len() < MAX_OFFERS;
         let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
@@ -340,7 +345,7 @@
         None
     }
 
-    /// An offer is no longer in flight; its owner, where the message still waits for one.
+    /// Removes an offer in flight and returns its owner.
     fn remove_offer(&mut self, id: MessageId) -> Option<String> {
         let peer = self.offers_in_flight.remove(&id)?;
         if let Some(queue) = self.peers.get_mut(&peer) {
@@ -375,7 +380,7 @@
         queue.local_delivery_allowed.remove(&(waiting.terms.destination, id));
     }
 
-    /// Puts an owner where it belongs among those that are due; one that nothing waits for is forgotten, unless it fails.
+    /// Updates the owner's timer after a change to its queue.
     fn schedule(&mut self, peer: &str) {
         let Some(queue) = self.peers.get_mut(peer) else { return };
         let before = queue.timer;
@@ -389,7 +394,8 @@
         }
     }
 
-    /// Owners answer where the members do now; those that are no members are forgotten.
+    /// Updates the addresses of the owners from the members. Forgets owners that are no longer members, unless messages
+    /// wait for them or offers to them are in flight.
     pub fn update_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
         self.peers.retain(|name, queue| {
             let address = member(name);
@@ -400,8 +406,7 @@
     }
 }
 
-/// The first message of a destination of which none is delivered here. At most as many are passed over as there are
-/// local_deliveries.
+/// Returns the first message whose destination is not in `taken`. Skips at most as many destinations as `taken` has.
 fn first_of_other_destination(
     messages: &BTreeSet<(DestinationId, MessageId)>,
     taken: &BTreeMap<DestinationId, MessageId>,
--- a/crates/forwarder/src/reducer/listed_endpoints.rs
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -1,5 +1,5 @@
-//! What the endpoint list, the settings, the operators and the fleet's policy together say of an endpoint, as the
-//! controller is told of it; and what follows where the list changes.
+//! The state of an endpoint as reported to the controller, which results from the endpoint list, the settings, the
+//! operators' overrides and the fleet's policy; and the effects of changes of the list.
 
 use super::Reducer;
 use super::endpoint_table::NewEndpoints;
@@ -10,7 +10,7 @@
     ListEventKind, Micros, UNKNOWN_ZONE,
 };
 
-/// What a list says of an endpoint, as far as the controller is told of it.
+/// The parts of an endpoint's list entry that are reported to the controller.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedView<'a> {
     uid: &'a str,
@@ -51,14 +51,14 @@
 }
 
 impl Reducer {
-    /// What the settings say of an endpoint's kind, while it is listed.
+    /// Returns the settings of a listed endpoint's kind.
     pub(super) fn kind_of(&self, uid: &str) -> Option<DestinationKind> {
         let name = &*self.endpoints.listed(uid)?.kind;
         let position = self.names.kinds.iter().position(|kind| kind == name)?;
         self.settings.kinds.get(position).copied()
     }
 
-    /// What the controller is told of an endpoint.
+    /// Returns the update of an endpoint for the controller.
     pub(super) fn endpoint_update(
         &self,
         now: Micros,
@@ -74,13 +74,13 @@
             zone: self.zone_number(listed.zone),
             kind: self.names.kinds.iter().position(|kind| kind == listed.kind).unwrap_or(usize::MAX),
             state: if is_ejected { EndpointState::Draining } else { listed.state },
-            // Endpoints that are warm go before it.
+            // The controller prefers warm endpoints to it.
             health: if is_warming_up { HealthStatus::Warning } else { listed.health },
             capacity_hint: listed.capacity_hint,
         }
     }
 
-    /// A watch event is taken into the list, and the controller told of it.
+    /// Applies a watch event to the list and reports it to the controller.
     pub(super) fn apply_list(&mut self, now: Micros, event: &WatchEvent, kind: ListEventKind) {
         let mut updates = Vec::with_capacity(event.endpoints.len());
         let mut new_endpoints = NewEndpoints::new();
@@ -96,8 +96,8 @@
         self.controller.push(Event::EndpointList { kind, entries: updates });
     }
 
-    /// An endpoint that the list no longer names is forgotten when no call to it is in flight, and its connections
-    /// close: another at its address is another endpoint.
+    /// Closes the idle connections to unlisted endpoints, and forgets those that have no call in flight. If the list
+    /// later names an endpoint at the same address, that is another endpoint.
     pub(super) fn forget_unlisted(&mut self) {
         if self.endpoints.unlisted().is_empty() {
             return;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The number of a zone for the controller.
+    /// Returns the controller's number for a zone.
     pub(super) fn zone_number(&self, name: &str) -> usize {
         self.names.zones.iter().position(|zone| zone == name).unwrap_or(UNKNOWN_ZONE)
     }
--- a/crates/forwarder/src/reducer/message_table.rs
+++ b/crates/forwarder/src/reducer/message_table.rs
@@ -1,4 +1,5 @@
-//! The messages that this process holds, from submission to the final answer, by number and by id.
+//! The messages that this process holds, from submission to the final answer, by number and by id. The number
+//! identifies a message within this process only.
 
 use crate::input::RequestId;
 use bytes::Bytes;
@@ -6,33 +7,34 @@
 use orchidyoke_journal::AcceptedMessage;
 use std::collections::{BTreeMap, HashMap};
 
-/// An upper estimate of the bytes of a message's record beside its body and id.
+/// An upper estimate of the bytes of a message's record, without its body and id.
 const MESSAGE_RECORD_BYTES: usize = 512;
 
-/// One message.
+/// A message that is not finished.
 #[derive(Debug)]
 pub(super) struct Message {
     pub accepted: AcceptedMessage,
     pub body: Bytes,
-    /// Requests that wait for the controller's first decision on it.
+    /// Requests that wait for the controller's first decision on the message.
     pub waiting_requests: Vec<RequestId>,
-    /// Its record is in the journal.
+    /// Whether its record is in the journal.
     pub stored: bool,
-    /// When it was submitted; none where that was to another process.
+    /// When it was submitted to this process; `None` if it was restored from a journal.
     pub received_at: Option<Micros>,
-    /// The controller has it; else it waits for the owner of its destination.
+    /// Whether the controller has it. If `false`, it waits for the owner of its destination.
     pub in_controller: bool,
-    /// What the records of its handover may take up in a snapshot.
+    /// An upper estimate of the bytes of its handover records in a snapshot.
     pub handover_reserve_bytes: usize,
 }
 
-/// An upper estimate of the bytes that a message takes up in a snapshot. JSON may write each byte of its key as two.
+/// Returns an upper estimate of the bytes of a message in a snapshot. JSON may need two bytes for each byte of the
+/// idempotency key.
 pub(super) fn message_size(id: &str, idempotency_key: Option<&str>, body: &[u8]) -> usize {
     body.len() + id.len() + idempotency_key.map_or(0, |key| 2 * key.len()) + MESSAGE_RECORD_BYTES
 }
 
 impl Message {
-    /// An upper estimate of the bytes that it takes up in a snapshot.
+    /// Returns an upper estimate of the bytes of the message in a snapshot.
     pub fn size(&self) -> usize {
         let accepted = &self.accepted;
         message_size(&accepted.id, accepted.idempotency_key.as_deref(), &self.body)
@@ -46,54 +48,54 @@
     messages: BTreeMap<MessageId, Message>,
     numbers: HashMap<String, MessageId>,
     next_number: MessageId,
-    /// Messages that the controller is to admit or reject in its next round.
+    /// Messages that the controller admits or rejects in its next round.
     awaiting_decision: Vec<MessageId>,
-    /// An upper estimate of the bytes that a snapshot takes up for messages.
+    /// An upper estimate of the bytes of all messages in a snapshot.
     live_bytes: usize,
 }
 
 impl MessageTable {
-    /// A message by its number.
+    /// Returns a message by its number.
     pub fn get(&self, number: MessageId) -> Option<&Message> {
         self.messages.get(&number)
     }
 
-    /// The same, to be changed. Its size must stay.
+    /// Returns a message by its number, for modification. Its size must not change.
     pub fn get_mut(&mut self, number: MessageId) -> Option<&mut Message> {
         self.messages.get_mut(&number)
     }
 
-    /// The number of a message.
+    /// Returns the number of a message by its id.
     pub fn number_of(&self, id: &str) -> Option<MessageId> {
         self.numbers.get(id).copied()
     }
 
-    /// Whether a message is not finished.
+    /// Returns whether a message is held, that is, not finished.
     pub fn contains(&self, number: MessageId) -> bool {
         self.messages.contains_key(&number)
     }
 
-    /// How many messages there are.
+    /// Returns the number of messages.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there is no message.
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
 
-    /// All messages, in the order of their submission.
+    /// Returns all messages with their numbers, in the order of insertion.
     pub fn iter(&self) -> impl Iterator<Item = (MessageId, &Message)> {
         self.messages.iter().map(|(number, message)| (*number, message))
     }
 
-    /// All messages, as [`MessageTable::iter`].
+    /// Returns all messages in the same order as [`MessageTable::iter`].
     pub fn values(&self) -> impl Iterator<Item = &Message> {
         self.messages.values()
     }
 
-    /// Puts in a message; gives its number.
+    /// Inserts a message and returns its number.
     pub fn insert(&mut self, message: Message) -> MessageId {
         let number = self.next_number;
         self.next_number += 1;
@@ -103,7 +105,7 @@
         number
     }
 
-    /// Takes out a message.
+    /// Removes a message and returns it.
     pub fn remove(&mut self, number: MessageId) -> Option<Message> {
         let message = self.messages.remove(&number)?;
         self.live_bytes -= message.size();
@@ -111,30 +113,30 @@
         Some(message)
     }
 
-    /// A message that has just been put in waits for the controller's decision.
+    /// Marks a message that has just been inserted as waiting for the controller's decision.
     pub fn await_decision(&mut self, number: MessageId) {
         self.awaiting_decision.push(number);
     }
 
-    /// The same for one that may wait already.
+    /// Marks a message as waiting for the controller's decision, if it is not already marked.
     pub fn await_decision_again(&mut self, number: MessageId) {
         if !self.awaiting_decision.contains(&number) {
             self.await_decision(number);
         }
     }
 
-    /// Whether a message waits for a decision.
+    /// Returns whether a message waits for a decision.
     pub fn has_undecided(&self) -> bool {
         !self.awaiting_decision.is_empty()
     }
 
-    /// The message that waits for a decision, is not stored, and has this request waiting for it alone.
+    /// Returns the message that waits for a decision, is not stored, and for which only this request waits.
     pub fn undecided_for(&self, request: RequestId) -> Option<MessageId> {
         let waits = |message: &Message| !message.stored && message.waiting_requests == [request];
         self.awaiting_decision.iter().copied().find(|number| self.get(*number).is_some_and(waits))
     }
 
-    /// The messages that were to be decided on and are still there, each with the requests that wait for it.
+    /// Returns the messages that waited for a decision and were not dropped, each with the requests that wait for it.
     pub fn take_decided(&mut self) -> Vec<DecidedMessage> {
         let numbers = std::mem::take(&mut self.awaiting_decision);
         let decided = |number: MessageId| {
@@ -144,15 +146,15 @@
         numbers.into_iter().filter_map(decided).collect()
     }
 
-    /// An upper estimate of the bytes that a snapshot takes up for messages.
+    /// Returns an upper estimate of the bytes of all messages in a snapshot.
     pub fn live_bytes(&self) -> usize {
-        // Counted as messages come and go: this is asked for with each append.
+        // Maintained on each insertion and removal, because every append needs it.
         debug_assert_eq!(self.live_bytes, self.values().map(Message::size).sum::<usize>());
         self.live_bytes
     }
 }
 
-/// A message that the controller has not rejected, and the requests to be answered once it is stored.
+/// A message that the controller has not rejected, and the requests to answer once it is stored.
 #[derive(Debug)]
 pub(super) struct DecidedMessage {
     pub number: MessageId,
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -1,9 +1,9 @@
-//! The reducer: every change of the forwarder's state, with no I/O and no clock of its own.
+//! The reducer makes every change of the forwarder's state. It does no I/O and reads no clock.
 //!
-//! [`Reducer::step`] takes one input and gives the effects that it asks for, in the order in which they are to be carried
-//! out. It hands the input to the component that owns the state; each component is a struct in a module of its own, and
-//! its fields are private to that module. What has to be durable before it is visible waits for the journal's report, see
-//! the module `durability`.
+//! [`Reducer::step`] takes one input and returns the effects that follow from it, in the order in which they are to be
+//! carried out. It passes the input to the component that owns the state. Each component is a struct in a module of its
+//! own, and its fields are private to that module. A change that has to be durable before it becomes visible waits
+//! until the journal reports its append; see the module `durability`.
 
 mod attempts;
 mod call_results;
@@ -61,22 +61,22 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// The state of one forwarder. See [`Reducer::step`].
+/// The state of one forwarder, which changes only in [`Reducer::step`].
 #[derive(Debug)]
 pub struct Reducer {
-    /// The configuration in force: replaced as a whole by a reload.
+    /// The configuration in force. A reload replaces it as a whole.
     settings: Settings,
     names: Names,
-    /// Counts that every component adds to.
+    /// Counters that every component increments.
     metrics: Metrics,
-    /// What the input at hand asks for so far.
+    /// Effects collected so far for the input that is being processed.
     effects: Vec<Effect>,
 
     controller: ControllerDriver,
     discovery: EndpointDiscovery,
     endpoints: EndpointTable,
     retry_after: RetryAfterTable,
-    /// Faulty routes as the journal has them.
+    /// Faulty routes as last recorded in the journal.
     faulty_routes: FaultyRoutes,
     messages: MessageTable,
     calls: CallTable,
@@ -90,12 +90,13 @@
     operator_overrides: OperatorOverrides,
     policy: FleetPolicy,
     clients: Clients,
-    /// Set once the process was told to end.
+    /// Progress of the shutdown; `None` until [`Input::Shutdown`] arrives.
     shutdown: Option<ShutdownState>,
 }
 
 impl Reducer {
-    /// Takes one input; gives what is to be done, in order. `now` is Unix time in microseconds and never goes back.
+    /// Processes one input and returns the effects to carry out, in order. `now` is Unix time in microseconds and never
+    /// decreases.
     pub fn step(&mut self, now: Micros, input: Input) -> Vec<Effect> {
         self.dispatch(now, input);
         self.run_handover_decisions(now);
@@ -130,7 +131,7 @@
             {
                 self.on_watch_ended(now, &reason, retry_after_ms, silence);
             }
-            // A watch before the current one, that told more or ended as it was left.
+            // Ignored: a watch that has been replaced sent one more event or ended.
             Input::WatchEvent { .. } | Input::WatchEnded { .. } => {}
             Input::NotificationsPosted { accepted } => self.on_notifications_posted(now, accepted),
             Input::PolicyStatus(status) => self.policy.set_status(status),
@@ -142,7 +143,7 @@
         }
     }
 
-    /// When [`Input::TimerDue`] is due, if nothing else comes before.
+    /// Returns when [`Input::TimerDue`] is due if no other input arrives before, or `None` if no timer is set.
     pub fn wake_at(&self) -> Option<Micros> {
         let round = self.has_round_pending().then(|| self.next_round_at());
         let offers = self.handovers.wake_at().filter(|_| !self.upgrade.has_handed_off());
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Whether there is something for the controller to decide on, or to be accepted.
+    /// Returns whether the controller has events to process or a message waits for its decision.
     fn has_round_pending(&self) -> bool {
         self.controller.has_events() || self.messages.has_undecided()
     }
@@ -180,7 +181,7 @@
         self.controller.last_round_at() + self.settings.tick
     }
 
-    /// Lets the controller decide on what has come since its last round, and carries that out.
+    /// Runs one controller round over the events since the last one and carries out its actions.
     fn run_controller(&mut self, now: Micros) {
         let mut sends = Vec::new();
         for action in self.controller.run_round(now) {
@@ -199,8 +200,8 @@
                 Action::Timer { delay, token } => self.controller.set_timer(now + delay, token),
                 Action::CloseIdle { endpoint } => self.close_idle(endpoint),
                 Action::Log { text } => self.log(format!("controller: {text}")),
-                // The list is watched all the time, and the platform has neither health checks that the controller asks
-                // for nor gossip between forwarders.
+                // The forwarder always watches the list, and the platform has neither health checks that the controller
+                // could request nor gossip between forwarders.
                 Action::Watch { .. }
                 | Action::PollList
                 | Action::HealthCheck { .. }
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -1,6 +1,6 @@
-//! What operators ask for on the console: whether this process is ready, its figures, and endpoints ejected and restored.
+//! The operators' calls on the console: readiness, metrics, and ejecting and restoring endpoints.
 //!
-//! An override lies over the endpoint list: no list, reload, restart or upgrade ends it.
+//! An override takes precedence over the endpoint list. No new list, reload, restart or upgrade ends it.
 
 use super::Reducer;
 use super::durability::AfterAppend;
@@ -11,19 +11,19 @@
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Overrides of endpoints that no list names; beyond, the oldest is forgotten.
+/// Maximum number of overrides of endpoints that the list does not name. Beyond it, the oldest is forgotten.
 const MAX_UNLISTED_OVERRIDES: usize = 256;
-/// An upper estimate of the bytes of the record of an override, beside the endpoint's uid.
+/// An upper estimate of the bytes of the record of an override, without the endpoint's uid.
 const OVERRIDE_RECORD_BYTES: usize = 96;
 
-/// An operator's last call about an endpoint.
+/// The change that an operator's call makes to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct OverrideChange {
     pub at: Micros,
     pub ejected: bool,
 }
 
-/// An override that waits until its record is in the journal.
+/// An override that is applied once its record is in the journal.
 #[derive(Debug)]
 pub(super) struct OverrideRequest {
     pub request: RequestId,
@@ -32,17 +32,17 @@
     pub change: OverrideChange,
 }
 
-/// The operators' overrides, by endpoint: the last of each counts.
+/// The operators' overrides, by endpoint uid. The last override of an endpoint applies.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OperatorOverrides {
     changes: BTreeMap<String, OverrideChange>,
-    /// Those that restored an endpoint, by time.
+    /// The overrides that restored an endpoint, in the order of their time.
     restored: BTreeSet<(Micros, String)>,
     bytes: usize,
 }
 
 impl OperatorOverrides {
-    /// Takes in an override; whether it changes anything: one that is older than what is known does not.
+    /// Applies an override. Returns whether it changes anything; an override older than the known one does not.
     pub fn apply(&mut self, uid: &str, change: OverrideChange) -> bool {
         if !self.is_change(uid, change) {
             return false;
@@ -57,37 +57,37 @@
         true
     }
 
-    /// Whether an override changes anything.
+    /// Returns whether an override would change anything.
     pub fn is_change(&self, uid: &str, change: OverrideChange) -> bool {
         self.changes.get(uid).map_or(change.ejected, |known| known.at <= change.at && *known != change)
     }
 
-    /// Whether an endpoint is ejected.
+    /// Returns whether an endpoint is ejected.
     pub fn is_ejected(&self, uid: &str) -> bool {
         self.changes.get(uid).is_some_and(|change| change.ejected)
     }
 
-    /// When an endpoint was restored, if that was its last override.
+    /// Returns when an endpoint was restored, or `None` if its last override did not restore it.
     pub fn restored_at(&self, uid: &str) -> Option<Micros> {
         self.changes.get(uid).filter(|change| !change.ejected).map(|change| change.at)
     }
 
-    /// The earliest override that restored an endpoint.
+    /// Returns the time of the earliest override that restored an endpoint.
     fn first_restored_at(&self) -> Option<Micros> {
         self.restored.first().map(|(at, _)| *at)
     }
 
-    /// An upper estimate of the bytes that the overrides take up in a snapshot.
+    /// Returns an upper estimate of the bytes of the overrides in a snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// By endpoint.
+    /// Returns all overrides by endpoint uid.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &OverrideChange)> {
         self.changes.iter()
     }
 
-    /// Forgets restored endpoints once they are warm, and the oldest of unlisted ones that are too many.
+    /// Forgets restored endpoints that are warm, and the oldest overrides of unlisted endpoints beyond the maximum.
     fn prune(&mut self, warm_since: Micros, is_listed: impl Fn(&str) -> bool) {
         self.changes.retain(|_, change| change.ejected || change.at > warm_since);
         self.restored.retain(|(at, _)| *at > warm_since);
@@ -104,7 +104,7 @@
 }
 
 impl Reducer {
-    /// One call of an operator. What changes something is answered once it is in the journal.
+    /// Handles a call of an operator. A call that changes an endpoint is answered once its record is in the journal.
     pub(super) fn on_operator_call(&mut self, now: Micros, request: RequestId, command: Command) {
         let reply = match command {
             Command::Ready if !self.clients.are_accepted() => {
@@ -128,14 +128,15 @@
             let reply = ConsoleReply::Rejected(format!("no endpoint {endpoint} is listed"));
             return self.effects.push(Effect::Reply { request, reply });
         }
-        // Written also where it changes nothing here: another process may have been told otherwise since.
+        // Written even if it changes nothing here, because another process may have received an opposite override
+        // since.
         let record = Record::OperatorOverride { endpoint: endpoint.clone(), at: now, ejected };
         let change = OverrideChange { at: now, ejected };
         let then = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
         self.append(&[(&record, b"")], Some(then));
     }
 
-    /// An operator's call is in the journal, or could not be: it is in force from here on, and answered.
+    /// Handles the report on an override's record. Applies the override if it is `stored`, and replies to the operator.
     pub(super) fn on_override_recorded(&mut self, now: Micros, call: OverrideRequest, stored: bool) {
         let OverrideRequest { request, endpoint, change } = call;
         let reply = if stored {
@@ -150,7 +151,7 @@
         self.effects.push(Effect::Reply { request, reply });
     }
 
-    /// Puts an override in force, wherever it came from.
+    /// Applies an override from any source.
     pub(super) fn apply_override(&mut self, now: Micros, uid: &str, change: OverrideChange) {
         let was_out = self.operator_overrides.is_ejected(uid);
         if !self.operator_overrides.apply(uid, change) || was_out == change.ejected {
@@ -163,8 +164,8 @@
         }
         self.report_endpoint(now, uid);
         if let (false, Some(target)) = (change.ejected, self.endpoints.listed(uid)) {
-            // It may have been restarted meanwhile. Beside others that are active it waits until it is warm; alone, its
-            // destination comes back as after an outage.
+            // The endpoint may have been restarted in the meantime. If its destination has other active endpoints, it
+            // is treated as cold until it is warm. If it is the only one, its destination starts as after an outage.
             let destination = target.destination;
             if !self.has_other_active(destination, uid) {
                 self.controller.push(Event::RouteState {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Whether a destination has another active endpoint.
+    /// Returns whether a destination has another active endpoint.
     fn has_other_active(&self, destination: DestinationId, uid: &str) -> bool {
         let endpoints = self.endpoints.destinations().endpoints_of(destination);
         let known = endpoints.filter_map(|endpoint| self.endpoints.get(endpoint));
@@ -189,7 +190,7 @@
         })
     }
 
-    /// Tells the controller of an endpoint's state anew.
+    /// Reports an endpoint's current state to the controller.
     fn report_endpoint(&mut self, now: Micros, uid: &str) {
         if let (Some(target), Some(endpoint)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
             let entry = self.endpoint_update(now, endpoint, target.into());
@@ -197,25 +198,25 @@
         }
     }
 
-    /// What the list and the operators together say of an endpoint. What the fleet's policy says is not in it; the
-    /// controller is told that as well ([`Reducer::endpoint_update`]).
+    /// Returns the state of an endpoint that results from the list and the operators' overrides. The fleet's policy is
+    /// not included; [`Reducer::endpoint_update`] adds it for the controller.
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
         let state = self.endpoints.listed(uid)?.state;
         let out = state == EndpointState::Active && self.operator_overrides.is_ejected(uid);
         Some(if out { EndpointState::Draining } else { state })
     }
 
-    /// Whether an endpoint was restored so lately that it is still warming up.
+    /// Returns whether an endpoint was restored so recently that it is still warming up.
     pub(super) fn is_warming_up(&self, now: Micros, uid: &str) -> bool {
         self.operator_overrides.restored_at(uid).is_some_and(|since| now - since < self.settings.warm_up_time)
     }
 
-    /// When the next restored endpoint is warm.
+    /// Returns when the next restored endpoint is warm.
     pub(super) fn next_warm_at(&self) -> Option<Micros> {
         self.operator_overrides.first_restored_at().map(|at| at + self.settings.warm_up_time)
     }
 
-    /// Restored endpoints that are warm by now are as all others.
+    /// Ends the warm-up of restored endpoints that are warm by now.
     pub(super) fn end_warm_ups(&mut self, now: Micros) {
         if self.next_warm_at().is_none_or(|at| at > now) {
             return;
@@ -234,12 +235,12 @@
         self.operator_overrides.prune(now - self.settings.warm_up_time, |uid| list.get(uid).is_some());
     }
 
-    /// The counts of this process.
+    /// Returns the counters of this process.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// What is counted as it stands now.
+    /// Returns the current values of the gauges.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
             let chosen = self
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership: which forwarder owns a destination by the view in force, and what changes with the view.
+//! Ownership: which forwarder owns a destination in the view in force, and what changes when the view does.
 
 use super::Reducer;
 use crate::ownership::{HandoverMark, Owner, Owners, Peer, ReceivedMark};
@@ -8,54 +8,55 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// An upper estimate of the bytes of the records of a message's handover, beside its id and the longest name of an owner.
+/// An upper estimate of the bytes of a message's handover records, without its id and the longest name of an owner.
 const HANDOVER_RECORDS_BYTES: usize = 320;
-/// The owners of so many destinations are looked up for the figures: each costs a hash for each member.
+/// Maximum number of destinations whose owners are looked up for the metrics. Each lookup computes a hash per member.
 const MAX_OWNER_LOOKUPS: usize = 1000;
-/// Forwarders that are no members are logged once each, and at most so many in a view.
+/// Maximum number of non-members that are logged per view. Each is logged once.
 const MAX_LOGGED_NON_MEMBERS: usize = 64;
 
-/// The view of owners in force, and counts of what followed from it.
+/// The view of owners in force, and counters of handovers.
 #[derive(Debug, Default)]
 pub(super) struct Ownership {
     view: Option<Rc<dyn Owners>>,
     view_since: Micros,
-    /// The view before it.
+    /// The view before the one in force.
     previous_view: Option<Rc<dyn Owners>>,
-    /// Destinations that were slow-started since the view is in force.
+    /// Destinations that have been slow-started since the view came into force.
     slow_started: BTreeSet<DestinationId>,
     counts: Counts,
-    /// Forwarders that hand over and are no members.
+    /// Forwarders that have handed over messages and are not members of the view.
     non_members: BTreeSet<String>,
 }
 
-/// Counts from 0 in each process.
+/// Counters that start from 0 in each process.
 #[derive(Debug, Default)]
 struct Counts {
-    /// Messages that their owners have accepted.
+    /// Messages handed over to their owners, which have accepted them.
     handed_over: u64,
     /// Messages that other forwarders have handed over to this one.
     taken_over: u64,
-    /// Of those, the ones from a forwarder that is no member.
+    /// Messages handed over by forwarders that are not members.
     from_non_members: u64,
-    /// Messages delivered here in the place of a failing owner.
+    /// Messages delivered here instead of at a failing owner.
     delivered_for_owner: u64,
     /// Offers without an answer.
     unanswered: u64,
 }
 
 impl Ownership {
-    /// At a start.
+    /// Creates the state at the start of the process.
     pub fn new(view: Option<Rc<dyn Owners>>, now: Micros) -> Self {
         Ownership { view, view_since: now, ..Ownership::default() }
     }
 
-    /// Whether there are owners at all.
+    /// Returns whether destinations have owners.
     pub fn is_on(&self) -> bool {
         self.view.is_some()
     }
 
-    /// The other forwarder that owns a destination.
+    /// Returns the other forwarder that owns a destination, or `None` if this forwarder owns it or the owner is
+    /// unknown.
     pub fn other_owner(&self, destination: DestinationId) -> Option<Peer> {
         match self.view.as_ref()?.owner_of(destination) {
             Owner::Peer(peer) => Some(peer),
@@ -63,13 +64,13 @@
         }
     }
 
-    /// The member of this name.
+    /// Returns the member with this name.
     pub fn member(&self, name: &str) -> Option<Peer> {
         let address = self.view.as_ref()?.member_address(name)?;
         Some(Peer { name: name.to_owned(), address })
     }
 
-    /// Another view is in force.
+    /// Replaces the view in force.
     fn replace_view(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
         self.previous_view = std::mem::replace(&mut self.view, view);
         self.view_since = now;
@@ -77,7 +78,8 @@
         self.slow_started.clear();
     }
 
-    /// Whether this forwarder does not own a destination, or so lately that the owner before it may still send there.
+    /// Returns whether this forwarder does not own a destination, or has owned it for such a short time that the
+    /// previous owner may still send there.
     fn is_new_to(&self, now: Micros, destination: DestinationId, warm_up_time: Micros) -> bool {
         let owns = |view: &Rc<dyn Owners>| view.owner_of(destination) == Owner::Local;
         let Some(view) = &self.view else { return false };
@@ -85,12 +87,13 @@
         !owns(view) || !was_owner && now - self.view_since < warm_up_time
     }
 
-    /// How many forwarders share a destination's limit, where each destination has owners.
+    /// Returns how many forwarders share a destination's limit, or `None` if destinations have no owners.
     pub fn owners_of_each(&self) -> Option<u32> {
         self.view.as_ref().map(|view| view.owners_per_destination())
     }
 
-    /// How many of these destinations this forwarder owns; beyond some, estimated from evenly chosen ones.
+    /// Returns how many of these destinations this forwarder owns. For more than [`MAX_OWNER_LOOKUPS`] destinations,
+    /// estimates the number from evenly spaced ones.
     fn owned(&self, destinations: &[DestinationId]) -> u64 {
         let Some(view) = &self.view else { return 0 };
         let step = destinations.len().div_ceil(MAX_OWNER_LOOKUPS).max(1);
@@ -98,38 +101,38 @@
         (destinations.iter().step_by(step).filter(is_owned).count() * step) as u64
     }
 
-    /// An upper estimate of the bytes that a snapshot may hold of a message beside its record.
+    /// Returns an upper estimate of the bytes that a snapshot may hold for a message in addition to its record.
     pub fn reserve_bytes(&self, id: &str) -> usize {
         if self.is_on() { HANDOVER_RECORDS_BYTES + 2 * id.len() } else { 0 }
     }
 
-    /// The name of this forwarder among the members; none without owners.
+    /// Returns this forwarder's name among the members, or `None` if destinations have no owners.
     pub fn own_name(&self) -> Option<String> {
         self.view.as_ref().map(|view| view.own_name().to_owned())
     }
 
-    /// A message is accepted: whether another forwarder handed it over is in its handover state.
+    /// Counts an accepted message if its handover state says that another forwarder handed it over.
     pub fn count_received_by_handover(&mut self, accepted: &AcceptedMessage) {
         self.counts.taken_over += u64::from(accepted.handover.kept_local);
     }
 
-    /// An owner has accepted a message.
+    /// Counts a message that its owner has accepted.
     pub fn count_handed_over(&mut self) {
         self.counts.handed_over += 1;
     }
 
-    /// A message is delivered here in the place of a failing owner.
+    /// Counts a message that is delivered here instead of at a failing owner.
     pub fn count_delivered_for_owner(&mut self) {
         self.counts.delivered_for_owner += 1;
     }
 
-    /// An offer had no answer.
+    /// Counts an offer without an answer.
     pub fn count_unanswered(&mut self) {
         self.counts.unanswered += 1;
     }
 
-    /// A message is taken over from this forwarder. Gives whether it is to be logged: it is no member, and not logged yet
-    /// in this view.
+    /// Counts a message that this forwarder hands over if it is not a member. Returns whether to log it, which is the
+    /// case if it is not a member and not yet logged in this view.
     fn count_handover_from(&mut self, forwarder: &str) -> bool {
         let is_member = self.view.as_ref().is_some_and(|view| view.member_address(forwarder).is_some());
         if is_member {
@@ -139,18 +142,19 @@
         self.non_members.len() < MAX_LOGGED_NON_MEMBERS && self.non_members.insert(forwarder.to_owned())
     }
 
-    /// Whether the first message of a destination comes that is not, or not for long, this forwarder's own.
+    /// Returns whether to slow-start a destination, and notes that it is. This is the case for the first message of a
+    /// destination that this forwarder does not own or has not owned for long.
     fn take_slow_start(&mut self, now: Micros, destination: DestinationId, warm_up_time: Micros) -> bool {
         self.is_new_to(now, destination, warm_up_time) && self.slow_started.insert(destination)
     }
 }
 
 impl Reducer {
-    /// The mark of a submission, as far as it counts here: without owners none does.
+    /// Returns the handover mark of a submission, or `None` if it has none or destinations have no owners.
     ///
     /// # Errors
     ///
-    /// It cannot be read: the words of the answer.
+    /// The mark is malformed. The error is the text of the answer.
     pub(super) fn read_handover_mark(
         &self,
         mark: &ReceivedMark,
@@ -165,8 +169,8 @@
         }
     }
 
-    /// A message is taken over from another forwarder. That of a non-member is accepted all the same: the other may know a
-    /// later view, and a message that is handed on could go in a circle.
+    /// Notes a message that another forwarder hands over. A message from a non-member is accepted as well, because that
+    /// forwarder may know a later view, and a message that is handed on could circulate.
     pub(super) fn note_handover_from(&mut self, forwarder: &str) {
         if self.ownership.count_handover_from(forwarder) {
             self.log(format!(
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Another view is known. One that is older than the view in force changes nothing.
+    /// Applies another view. A view older than the one in force is ignored.
     pub(super) fn on_owners_changed(&mut self, now: Micros, view: Rc<dyn Owners>) {
         let in_force = self.ownership.view.as_ref().map(|view| view.version());
         if let Some(in_force) = in_force.filter(|in_force| view.version() < *in_force) {
@@ -187,11 +191,11 @@
         self.replace_owners(now, Some(view));
     }
 
-    /// Another view is in force, or none: what waits for an owner goes where it belongs now.
+    /// Puts another view, or none, in force and reassigns the messages that wait for an owner.
     pub(super) fn replace_owners(&mut self, now: Micros, view: Option<Rc<dyn Owners>>) {
         self.ownership.replace_view(now, view);
         for number in self.handovers.ids() {
-            // One whose offer is in flight is looked at when that has ended.
+            // A message whose offer is in flight is reassigned when the offer has ended.
             if !self.handovers.is_offer_in_flight(number) {
                 self.reassign_owner(now, number);
             }
@@ -201,8 +205,8 @@
         self.controller.update_fleet_size(self.controller_settings());
     }
 
-    /// The first message of a destination that is not, or not for long, this forwarder's own: the controller begins there
-    /// as after an outage, with a trial call and a ramp.
+    /// Slow-starts a destination at the first message for it, if this forwarder does not own it or has not owned it for
+    /// long. The controller then begins as after an outage, with a trial call and a ramp.
     pub(super) fn slow_start_destination(&mut self, now: Micros, destination: DestinationId) {
         if self.ownership.take_slow_start(now, destination, self.settings.warm_up_time) {
             self.controller.push(Event::RouteState {
@@ -214,7 +218,7 @@
         }
     }
 
-    /// The figures of hand-overs, a line each; none where there are no owners.
+    /// Returns the metrics of handovers, one per line. Returns an empty string if destinations have no owners.
     pub(super) fn ownership_metrics(&self, now: Micros) -> String {
         let Some(view) = &self.ownership.view else { return String::new() };
         let counts = &self.ownership.counts;
@@ -234,7 +238,7 @@
             ("owners_view", view.version()),
             ("owners_view_age_s", age.unsigned_abs()),
         ] {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(lines, "app_{name} {value}");
         }
         lines
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -1,6 +1,7 @@
-//! What a journal says of the state at the end of its process: each record applied in the order of the file.
+//! The state that a journal describes, which results from applying its records in the order of the file.
 //!
-//! Used at a start for this process's own file, and while another process shares the folder for that one's.
+//! Used at the start for this process's own file, and for the file of another process while that process shares the
+//! folder.
 
 use super::final_answers::{DecidedAnswer, FinishedId};
 use super::operator_overrides::{OperatorOverrides, OverrideChange};
@@ -14,15 +15,15 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Of a file, so many ids of finished messages are kept, and at most twice as many.
+/// Minimum number of the newest ids of finished messages that are kept from a file. At most twice this number is kept.
 const MIN_FINISHED_IDS_KEPT: usize = 4096;
 
-/// What a journal says, as far as it was read.
+/// The state described by the records of a journal that were read so far.
 #[derive(Debug, Default)]
 pub(super) struct RecoveredState {
     /// Messages that are not finished, by id, with their bodies.
     pub accepted: BTreeMap<String, (AcceptedMessage, Bytes)>,
-    /// Final answers that the platform is not notified of yet.
+    /// Final answers for which the platform has not yet accepted a notification.
     pub undelivered_answers: Vec<DecidedAnswer>,
     /// Ids of finished messages.
     pub finished: Vec<FinishedId>,
@@ -30,17 +31,17 @@
     pub endpoint_list: EndpointList,
     /// Faulty routes.
     pub faulty_routes: FaultyRoutes,
-    /// The address of discovery that a reload has superseded.
+    /// The address of discovery given on the command line that a reload has superseded.
     pub superseded: Option<SocketAddr>,
-    /// Operators' calls about endpoints.
+    /// Operators' overrides of endpoints.
     pub operator_overrides: OperatorOverrides,
-    /// How far the process is.
+    /// The stage of the process.
     pub stage: ProcessStage,
-    /// Until when routes are to be waited for, where that was recorded for another process.
+    /// Until when the Retry-After of each route lasts, as far as it was recorded for another process.
     pub retry_after: BTreeMap<RouteKey, Micros>,
 }
 
-/// The state that all records of a file give.
+/// Returns the state that results from all records of a file.
 pub(super) fn replay(records: RecordsWithBodies) -> RecoveredState {
     let mut state = RecoveredState::default();
     for (record, body) in records {
@@ -50,7 +51,7 @@
 }
 
 impl RecoveredState {
-    /// The next record of the file.
+    /// Applies the next record of the file.
     pub fn apply(&mut self, record: Record, body: Bytes) {
         match record {
             Record::Accepted(accepted) => {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A record that is about no message.
+    /// Applies a record that does not concern a message.
     fn apply_shared(&mut self, record: Record) {
         match record {
             Record::EndpointList(event) => self.endpoint_list.apply(&event),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Changes a message that is not finished.
+    /// Changes a message if it is not finished.
     fn change(&mut self, id: &str, change: impl FnOnce(&mut AcceptedMessage)) {
         if let Some((accepted, _)) = self.accepted.get_mut(id) {
             change(accepted);
@@ -117,7 +118,8 @@
     fn start_attempt(&mut self, messages: &[String], start: &AttemptStart) {
         for id in messages {
             self.change(id, |accepted| {
-                // One that is still in flight was so when its process ended, and may have been delivered.
+                // An attempt that is still in flight was in flight when its process ended, and may have delivered the
+                // message.
                 end_in_doubt(accepted);
                 accepted.attempts += 1;
                 accepted.in_flight = Some(start.clone());
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Nobody needs to be notified of this message any more.
+    /// Marks a message as finished, so that it needs no notification.
     fn finish(&mut self, id: String, at: Micros) {
         self.accepted.remove(&id);
         self.undelivered_answers.retain(|other| other.id != id);
@@ -136,7 +138,8 @@
     }
 }
 
-/// The attempt in flight, if any, may have delivered the message; the first that may have counts.
+/// Ends the attempt in flight, if any, as possibly delivered. If an earlier attempt may have delivered the message,
+/// that one is kept.
 fn end_in_doubt(accepted: &mut AcceptedMessage) {
     let in_flight = accepted.in_flight.take();
     accepted.possible_delivery = accepted.possible_delivery.take().or(in_flight);
--- a/crates/forwarder/src/reducer/reload.rs
+++ b/crates/forwarder/src/reducer/reload.rs
@@ -1,7 +1,7 @@
-//! A configuration that was read again: what can change while the process runs.
+//! Reload: applies the parts of a new configuration that can change while the process runs.
 //!
-//! The rest waits for a restart, and no log line says so: [`Config::name`], [`Config::listen`], [`Config::console`],
-//! [`Config::seed`] and [`Config::initial_list`].
+//! The following parts take effect only after a restart, and no log line reports that: [`Config::name`],
+//! [`Config::listen`], [`Config::console`], [`Config::seed`] and [`Config::initial_list`].
 
 use super::Reducer;
 use super::durability::Bounds;
@@ -10,8 +10,8 @@
 use orchidyoke_journal::Record;
 
 impl Reducer {
-    /// Takes over a configuration that is good. Messages and calls in flight carry on; the list stays in use until
-    /// discovery, perhaps at another address, has told more.
+    /// Applies a valid configuration. Messages and calls in flight continue. The list stays in use until discovery,
+    /// perhaps at another address, sends an update.
     pub(super) fn reload_config(&mut self, now: Micros, config: Config) {
         let Config { discovery, catalogue, owners, settings, names, limits, policy_ejected, .. } = config;
         self.log(format!("configuration: reloaded discovery={}", discovery.configured));
@@ -39,7 +39,7 @@
         self.replace_owners(now, owners);
     }
 
-    /// Tells the controller of the whole list: the numbers of zones and kinds may have changed.
+    /// Reports the whole list to the controller, because the numbers of zones and kinds may have changed.
     fn report_all_endpoints(&mut self, now: Micros) {
         let listed = self.endpoints.list().iter();
         let updates = listed.filter_map(|listed| {
--- a/crates/forwarder/src/reducer/repeat_rules.rs
+++ b/crates/forwarder/src/reducer/repeat_rules.rs
@@ -2,10 +2,10 @@
 //!
 //! - `Idempotent`: always.
 //! - `NonIdempotent`: never.
-//! - `IdempotencyKey`: within the window since the first attempt, and only to endpoints that share what they remember of
-//!   keys with the endpoint of that attempt: all, those of its zone, or itself.
+//! - `IdempotencyKey`: within the window since the first attempt, and only to endpoints that share their memory of keys
+//!   with the endpoint of that attempt: all endpoints, those of the same zone, or only that endpoint.
 //!
-//! In each case its deadline has to be ahead.
+//! In each case its deadline must not have passed.
 
 use super::Reducer;
 use super::message_table::Message;
@@ -15,15 +15,15 @@
 use orchidyoke_journal::{AcceptedMessage, AttemptStart};
 
 impl Reducer {
-    /// The idempotency of a message's class; a class that is gone from the settings counts as the default.
+    /// Returns the idempotency of a message's class, or the default if the settings no longer have the class.
     pub(super) fn idempotency_of(&self, accepted: &AcceptedMessage) -> Idempotency {
         let class = self.names.classes.iter().position(|class| *class == accepted.class);
         let class = class.and_then(|class| self.settings.classes.get(class));
         class.map(|class| class.idempotency).unwrap_or_default()
     }
 
-    /// Whether a message may still go to this endpoint. One that may have been delivered is sent again only before its
-    /// deadline and where the endpoint drops the repeat.
+    /// Returns whether a message may still be sent to this endpoint. A message that may have been delivered is sent
+    /// again only before its deadline and only to an endpoint that drops the repeat.
     pub(super) fn may_send_to(&self, now: Micros, message: &Message, to: &AttemptStart) -> bool {
         let accepted = &message.accepted;
         let may_repeat = match (&accepted.possible_delivery, self.idempotency_of(accepted)) {
@@ -37,7 +37,7 @@
         may_repeat && now < accepted.deadline
     }
 
-    /// Whether `to` drops a repeat of what the first attempt may have delivered.
+    /// Returns whether `to` recognizes a repeat of the message that the first attempt may have delivered.
     fn is_in_scope(
         &self,
         now: Micros,
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Whether a message may be delivered here though an attempt, or another forwarder, may have delivered it. Which
-    /// endpoints may be tried after an attempt is for the controller; where another forwarder would have sent it, nobody
-    /// here knows.
+    /// Returns whether a message may be delivered here although an attempt, or another forwarder, may already have
+    /// delivered it. After an attempt, the controller decides which endpoints may be tried. After an offer, it is
+    /// unknown to which endpoint the other forwarder sent the message.
     pub(super) fn may_repeat(&self, now: Micros, accepted: &AcceptedMessage) -> bool {
         let offered_at = accepted.handover.offered.as_ref().map(|offered| offered.offered_at);
         let started_at = accepted.possible_delivery.as_ref().map(|start| start.started_at);
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Whether a message that waited for its owner and is not delivered may be rejected, which allows its client to
-    /// submit it again; else it has failed. The controller judges the messages that it has by a rule of its own, which
-    /// knows the attempts in flight and no offers.
+    /// Returns whether a message that waited for its owner and is not delivered may be rejected, which allows its
+    /// client to submit it again. Otherwise it fails. For its own messages the controller applies a rule of its own,
+    /// which considers attempts in flight and no offers.
     pub(super) fn may_be_rejected_after_offer(&self, accepted: &AcceptedMessage) -> bool {
         if accepted.handover.offered.is_none() && accepted.possible_delivery.is_none() {
             return true;
@@ -87,8 +87,8 @@
         )
     }
 
-    /// Where an attempt was made. Its zone is kept with it, for the endpoint may be gone since, or listed elsewhere; only
-    /// a record of a version before has none.
+    /// Returns where an attempt was made. The zone is stored with the attempt, because the endpoint may since be
+    /// unlisted or listed in another zone. Only records of an earlier version lack the zone.
     pub(super) fn prior_attempt(&self, now: Micros, start: &AttemptStart) -> PriorAttempt {
         let listed = || self.endpoints.listed(&start.endpoint).map_or("", |listed| &*listed.zone);
         let zone = if start.zone.is_empty() { listed() } else { &start.zone };
--- a/crates/forwarder/src/reducer/retry_after_table.rs
+++ b/crates/forwarder/src/reducer/retry_after_table.rs
@@ -1,10 +1,10 @@
-//! Until when each route is to be left alone by its Retry-After.
+//! Until when each route must not be used because of its Retry-After.
 
 use super::route_state::RouteKey;
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The end of each route's Retry-After, by route and in the order of the ends.
+/// The end of each route's Retry-After, by route and in the order of the end times.
 #[derive(Debug, Default)]
 pub(super) struct RetryAfterTable {
     until: BTreeMap<RouteKey, Micros>,
@@ -13,7 +13,7 @@
 }
 
 impl RetryAfterTable {
-    /// A route has a Retry-After; an earlier one may last longer. Gives the later end.
+    /// Sets the end of a route's Retry-After, unless an earlier Retry-After ends later. Returns the later end.
     pub fn extend_to(&mut self, route: RouteKey, until: Micros) -> Micros {
         match self.until.get(&route).copied() {
             Some(known) if known >= until => return known,
@@ -25,7 +25,7 @@
         until
     }
 
-    /// Forgets those that have ended.
+    /// Removes the entries that have ended.
     pub fn expire(&mut self, now: Micros) {
         while let Some((until, _)) = self.by_end.first()
             && *until <= now
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Whether a Retry-After of this route runs.
+    /// Returns whether a Retry-After of this route is in force.
     pub fn runs(&self, now: Micros, route: &RouteKey) -> bool {
         self.until.get(route).is_some_and(|until| *until > now)
     }
 
-    /// By route.
+    /// Returns the end of each Retry-After, by route.
     pub fn iter(&self) -> impl Iterator<Item = (&RouteKey, &Micros)> {
         self.until.iter()
     }
 
-    /// An upper estimate of the bytes of their records.
+    /// Returns an upper estimate of the bytes of the records.
     pub fn record_bytes(&self) -> usize {
         self.record_bytes
     }
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -1,23 +1,23 @@
-//! What is known of routes beside the list: their Retry-After, and which are faulty. A route is a destination, or one
-//! endpoint where the settings give each endpoint of its kind a route of its own.
+//! The state of routes: their Retry-After, and which of them are faulty. A route is a destination, or one endpoint if
+//! the settings give each endpoint of its kind a route of its own.
 
 use super::Reducer;
 use orchidyoke_core::interface::{DestinationId, EndpointId, Event, Micros, RouteRef};
 use orchidyoke_journal::Record;
 use std::collections::BTreeSet;
 
-/// An upper estimate of the bytes of the record of a route, beside the endpoint's uid.
+/// An upper estimate of the bytes of the record of a route, without the endpoint's uid.
 const ROUTE_RECORD_BYTES: usize = 96;
 
-/// A route, by names that outlast a process.
+/// Identifies a route by names that stay valid across processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RouteKey {
     pub destination: DestinationId,
-    /// The endpoint's uid, where it has a route of its own.
+    /// The endpoint's uid if it has a route of its own; `None` if the route is the whole destination.
     pub endpoint: Option<String>,
 }
 
-/// Faulty routes, as the journal has them.
+/// The faulty routes as last recorded in the journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct FaultyRoutes {
     routes: BTreeSet<RouteKey>,
@@ -43,18 +43,18 @@
         RouteKey { destination, endpoint }
     }
 
-    /// The record of a Retry-After.
+    /// Returns the record of a Retry-After.
     pub fn retry_after_record(&self, until: Micros) -> Record {
         Record::RetryAfter { destination: self.destination, endpoint: self.endpoint.clone(), until }
     }
 
-    /// An upper estimate of the bytes of its record.
+    /// Returns an upper estimate of the bytes of a record of the route.
     pub fn record_size(&self) -> usize {
         ROUTE_RECORD_BYTES + self.endpoint.as_ref().map_or(0, String::len)
     }
 }
 
-/// The record of all faulty routes.
+/// Returns the record of all faulty routes.
 pub(super) fn faulty_routes_record(faulty: &FaultyRoutes) -> Record {
     let whole = faulty.iter().filter(|route| route.endpoint.is_none());
     let destinations = whole.map(|route| route.destination).collect();
@@ -63,26 +63,27 @@
 }
 
 impl Reducer {
-    /// The route that an endpoint is on, as far as the list still tells its kind.
+    /// Returns the route of an endpoint. If the list no longer names the endpoint, its kind is unknown and the route is
+    /// the whole destination.
     fn route_of(&self, endpoint: EndpointId) -> Option<RouteKey> {
         let known = self.endpoints.get(endpoint)?;
         let is_separate = self.kind_of(&known.uid).is_some_and(|kind| kind.separate_routes);
         Some(RouteKey::new(known.destination, is_separate.then(|| known.uid.to_string())))
     }
 
-    /// An endpoint's answer had a Retry-After, or none (0).
+    /// Handles the Retry-After of an endpoint's reply; 0 if there was none.
     pub(super) fn on_retry_after(&mut self, now: Micros, endpoint: EndpointId, retry_after: Micros) {
         let Some(route) = self.route_of(endpoint).filter(|_| retry_after > 0) else { return };
         self.retry_after.expire(now);
         let until = self.retry_after.extend_to(route.clone(), now.saturating_add(retry_after));
         let record = route.retry_after_record(until);
-        // Other processes read it from the file.
+        // Other processes read the Retry-After from the file.
         if self.upgrade.other_runs() || self.upgrade.has_handed_off() {
             self.append_record(&record);
         }
     }
 
-    /// Whether a Retry-After holds an endpoint: its own, or one of its whole destination.
+    /// Returns whether a Retry-After forbids calls to an endpoint, either its own or one of its whole destination.
     pub(super) fn is_held_by_retry_after(&self, now: Micros, endpoint: EndpointId) -> bool {
         let Some(known) = self.endpoints.get(endpoint) else { return false };
         let whole = RouteKey::new(known.destination, None);
@@ -90,7 +91,7 @@
         self.retry_after.runs(now, &whole) || self.retry_after.runs(now, &separate)
     }
 
-    /// A Retry-After that another process of this forwarder had.
+    /// Applies a Retry-After from another process of this forwarder.
     pub(super) fn adopt_retry_after(&mut self, now: Micros, route: RouteKey, until: Micros) {
         if until > now {
             self.controller.extend(self.route_state_event(&route, false, until - now));
@@ -98,13 +99,14 @@
         }
     }
 
-    /// The records of each Retry-After that has not ended.
+    /// Returns a record for each Retry-After that has not ended.
     pub(super) fn running_retry_afters(&self, now: Micros) -> Vec<Record> {
         let running = self.retry_after.iter().filter(|(_, until)| **until > now);
         running.map(|(route, until)| route.retry_after_record(*until)).collect()
     }
 
-    /// What the controller is told of a route; nothing where its endpoint is not listed: one that comes later is another.
+    /// Returns the event that reports a route's state to the controller, or `None` if the route's endpoint is not
+    /// listed. An endpoint that is listed later is another endpoint.
     pub(super) fn route_state_event(
         &self,
         route: &RouteKey,
@@ -118,19 +120,19 @@
         Some(Event::RouteState { destination: route.destination, endpoint, begins_cold, retry_after })
     }
 
-    /// An upper estimate of the bytes of the records of what is known of routes.
+    /// Returns an upper estimate of the bytes of the records of routes.
     pub(super) fn known_routes_size(&self) -> usize {
         self.faulty_routes.record_bytes + self.retry_after.record_bytes()
     }
 
-    /// Destinations with a faulty route, as the journal has them.
+    /// Returns the destinations with a faulty route, as last recorded in the journal.
     pub fn faulty_destinations(&self) -> impl Iterator<Item = DestinationId> {
         self.faulty_routes.iter().map(|route| route.destination)
     }
 
-    /// What the controller knows of faulty routes outlasts the process.
+    /// Records the controller's faulty routes if they have changed, so that they are known after a restart.
     pub(super) fn record_faulty_routes(&mut self) {
-        // An unlisted endpoint is about to lose its number, be the set another or not.
+        // An unlisted endpoint is about to lose its id, so the record may change even if the controller's set has not.
         if !self.controller.take_faulty_routes_changed() && self.endpoints.unlisted().is_empty() {
             return;
         }
--- a/crates/forwarder/src/reducer/shutdown.rs
+++ b/crates/forwarder/src/reducer/shutdown.rs
@@ -1,45 +1,47 @@
 //! Graceful shutdown: from SIGTERM to the exit.
 //!
-//! The process is killed 3.7 s after SIGTERM, by the supervisor (`TERMINATION_GRACE_MS` of its `machine`) or the platform.
-//! Until [`ACCEPT_PERIOD_US`] clients are still accepted, unless there
-//! is nothing to do before; then the last answers go out, and the process exits.
+//! The supervisor (`TERMINATION_GRACE_MS` of its `machine`) or the platform kills the process 3.7 s after SIGTERM.
+//! Clients are accepted until [`ACCEPT_PERIOD_US`] has passed, or until there has been nothing to do for
+//! [`IDLE_EXIT_AFTER_US`]. After that the last answers are sent, and the process exits.
 
 use super::Reducer;
 use crate::input::Effect;
 use orchidyoke_core::interface::{Event, Micros};
 
-/// Time between SIGTERM and the end of accepting clients.
+/// Time from SIGTERM until clients are no longer accepted.
 const ACCEPT_PERIOD_US: Micros = 3_250_000;
-/// With no message held and no client connected for so long, accepting clients ends before that.
+/// Accepting clients ends earlier than [`ACCEPT_PERIOD_US`] after this time without a message, a pending final answer
+/// or a connected client.
 const IDLE_EXIT_AFTER_US: Micros = 500_000;
-/// Time for the last answers to clients once none is accepted, and for their closes to linger. What is left of the 3.7 s
-/// is for a stall.
+/// Time for the last answers to clients once no client is accepted, and for their connections to linger when closed.
+/// The rest of the 3.7 s is a reserve for a stall.
 const LAST_ANSWERS_US: Micros = 250_000;
-/// With no client left the exit comes sooner, but not before connections that waited to be accepted have been counted.
+/// The corresponding time if no client is connected. It is not 0 because connections that waited to be accepted have to
+/// be counted first.
 const LAST_CONNECTIONS_US: Micros = 50_000;
 
-/// What a shutdown is waiting for.
+/// Progress of a shutdown.
 #[derive(Debug)]
 pub(super) struct ShutdownState {
     stop_accepting_at: Micros,
     idle_since: Micros,
-    /// When accepting clients was stopped.
+    /// When accepting clients was stopped; `None` before.
     closed_at: Option<Micros>,
 }
 
 impl ShutdownState {
-    /// The process is told to end.
+    /// Starts a shutdown.
     pub fn new(now: Micros) -> Self {
         ShutdownState { stop_accepting_at: now + ACCEPT_PERIOD_US, idle_since: now, closed_at: None }
     }
 
-    /// When there is next something to do.
+    /// Returns when the next step of the shutdown is due.
     pub fn wake_at(&self, clients: usize) -> Micros {
         let stop_accepting_at = self.stop_accepting_at.min(self.idle_since + IDLE_EXIT_AFTER_US);
         self.exit_at(clients).unwrap_or(stop_accepting_at)
     }
 
-    /// When the process exits, once no client is accepted any more.
+    /// Returns when the process exits, or `None` while clients are still accepted.
     fn exit_at(&self, clients: usize) -> Option<Micros> {
         let last = if clients == 0 { LAST_CONNECTIONS_US } else { LAST_ANSWERS_US };
         self.closed_at.map(|closed_at| closed_at + last)
@@ -47,7 +49,8 @@
 }
 
 impl Reducer {
-    /// SIGTERM: the controller drains, and a successor that is ready takes over at once.
+    /// Starts the shutdown at SIGTERM. The controller drains, and this process hands off immediately if a successor is
+    /// ready.
     pub(super) fn begin_shutdown(&mut self, now: Micros) {
         if self.shutdown.is_none() {
             self.shutdown = Some(ShutdownState::new(now));
@@ -58,7 +61,7 @@
         }
     }
 
-    /// The next step of a shutdown, if it is due.
+    /// Carries out the next step of a shutdown if it is due.
     pub(super) fn advance_shutdown(&mut self, now: Micros) {
         let clients = self.clients.connected();
         let is_busy = clients > 0 || !self.messages.is_empty() || !self.final_answers.is_empty();
@@ -68,7 +71,8 @@
         }
         match state.exit_at(clients) {
             None if now >= state.stop_accepting_at || now - state.idle_since >= IDLE_EXIT_AFTER_US => {
-                // What clients have sent by now is still accepted: an end without an answer would lose it.
+                // Requests that clients have already sent are still accepted, because closing without an answer would
+                // lose them.
                 state.closed_at = Some(now);
                 self.clients.set_accepted(false);
                 self.effects.push(Effect::StopAccepting);
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -1,4 +1,4 @@
-//! The start of a forwarder: its state from the configuration and from what its journal holds.
+//! The start of a forwarder: builds its state from the configuration and from the content of its journal.
 
 use super::Reducer;
 use super::call_table::CallTable;
@@ -24,8 +24,8 @@
 use orchidyoke_journal::{Generation, ProcessStage, Record, RecordsWithBodies};
 
 impl Reducer {
-    /// A forwarder at its start, with what its journal holds: `generation` is the number of that file, and
-    /// `journal_size` the bytes in it. `now` is Unix time in microseconds.
+    /// Creates the state of a forwarder that starts, from the records of its journal. `generation` is the generation of
+    /// the journal file, and `journal_size` its size in bytes. `now` is Unix time in microseconds.
     pub fn new(
         mut config: Config,
         generation: Generation,
@@ -49,10 +49,11 @@
             reducer.adopt_retry_after(now, route, until);
         }
         for (accepted, body) in recovered.accepted.into_values() {
-            // A part of the file that was read would keep all of that in memory.
+            // Copied, because a slice of the file's buffer would keep the whole buffer in memory.
             reducer.restore(accepted, Bytes::copy_from_slice(&body), now);
         }
-        // Only now: an append may need a compaction, which holds what the reducer holds.
+        // Appends must not come earlier, because an append may cause a compaction, which writes the reducer's complete
+        // state.
         reducer.record_start(is_list_recorded);
         reducer
     }
@@ -102,12 +103,13 @@
         }
     }
 
-    /// The configuration's list and the journal's. The former names destinations that may have no endpoint just now; what
-    /// discovery told before the restart is in force. Gives whether the journal holds the list that results.
+    /// Applies the list of the configuration and then the list of the journal. The configuration's list names
+    /// destinations that may have no endpoint at present, and the journal's list is the last that discovery sent before
+    /// the restart. Returns whether the journal holds the resulting list.
     fn restore_list(&mut self, now: Micros, configured: WatchEvent, recovered: EndpointList) -> bool {
-        // Changes told later are journaled as such: without a snapshot before them they would be all of the list.
+        // Later changes are recorded as deltas. Without a snapshot before them, they would be taken for the whole list.
         let configured = WatchEvent { is_snapshot: true, ..configured };
-        // A catalogue counts versions of its own: what it told last holds until it tells more.
+        // A catalogue has its own version count, so its last list stays in use until the catalogue sends an update.
         let from_catalogue = !recovered.origin().is_empty() && self.discovery.has_catalogue();
         let is_newer = from_catalogue || recovered.version() > configured.version;
         self.apply_list(now, &configured, ListEventKind::Restored);
@@ -119,11 +121,11 @@
         *self.endpoints.list() == recovered
     }
 
-    /// The journal is told that this process has started, and of the list if it does not hold that.
+    /// Records that this process has started, and records the list if the journal does not hold it.
     fn record_start(&mut self, is_list_recorded: bool) {
         if is_list_recorded {
-            // The list is not written again. A file that has no room for it is compacted all the same: at a start nobody
-            // waits for that yet.
+            // The list is not written again. A file that would have no room for it is compacted nevertheless, because
+            // at the start nobody waits for that.
             self.make_room(self.endpoints.list().size());
         }
         self.append_record(&Record::ProcessStage { stage: ProcessStage::Started });
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -1,7 +1,7 @@
-//! Submissions: which are answered at once, which become messages, and when those are answered as accepted.
+//! Submissions: which are answered immediately, which become messages, and when those are answered as accepted.
 //!
-//! A new message waits for the controller's next round. Unless the controller rejects it there, its record is appended,
-//! and the request is answered with 202 once that is stored.
+//! A new message waits for the controller's next round. Unless the controller rejects the message in that round, its
+//! record is appended, and the request is answered with 202 once the record is stored.
 
 use super::Reducer;
 use super::durability::AfterAppend;
@@ -13,21 +13,22 @@
 use orchidyoke_core::interface::{Event, Idempotency, MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, HandoverState, Record, RecordsWithBodies};
 
-/// Retry-After of a message that is rejected before the controller hears of it: about when some messages will be finished.
+/// Retry-After of a message that is rejected before it reaches the controller. After about this time some messages will
+/// be finished.
 const NO_ROOM_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// What the checks of a submission have found.
+/// The result of the checks of a submission.
 struct CheckedSubmission {
     /// The longest time to its deadline that its class allows.
     max_time_left: Micros,
-    /// It was handed over by another forwarder, and stays here.
+    /// The handover mark; if present, another forwarder handed the message over and it stays here.
     mark: Option<HandoverMark>,
-    /// The other forwarder that owns its destination.
+    /// The other forwarder that owns its destination, if any.
     owner: Option<Peer>,
 }
 
 impl Reducer {
-    /// A client submits a message.
+    /// Handles a client's submission of a message.
     pub(super) fn submit(&mut self, now: Micros, request: RequestId, submission: Submission) {
         if self.join_known_message(request, &submission.id) {
             return;
@@ -64,8 +65,9 @@
         self.messages.await_decision(number);
     }
 
-    /// A client submits again when a close crosses its request: the same id is the same message. Whether it is known, and
-    /// the request answered or to be answered with it.
+    /// Answers a request for a message that is already known, or lets it wait for the message's answer. Returns whether
+    /// the message is known. A client submits a message again, with the same id, if its connection closes before it
+    /// receives the answer.
     fn join_known_message(&mut self, request: RequestId, id: &str) -> bool {
         if self.finished.contains(id) || self.final_answers.contains(id) {
             self.answer(request, SubmitAnswer::Accepted);
@@ -89,11 +91,11 @@
         is_elsewhere
     }
 
-    /// Whether a submission has what the settings ask of it.
+    /// Checks whether a submission has everything that the settings require.
     ///
     /// # Errors
     ///
-    /// The answer that says what it lacks.
+    /// The answer that names what is missing or malformed.
     fn check_submission(&mut self, submission: &Submission) -> Result<CheckedSubmission, SubmitAnswer> {
         let class = self.names.classes.iter().position(|class| *class == submission.class);
         let class = class.and_then(|class| self.settings.classes.get(class));
@@ -114,9 +116,9 @@
         Ok(CheckedSubmission { max_time_left, mark, owner })
     }
 
-    /// Whether a message may be accepted beside those that there are, here and for its owner. Otherwise it is rejected
-    /// before the controller hears of it: its offer has expired, its owner's queue is full, too many messages are open,
-    /// or the journal has no room for it.
+    /// Returns whether there is room for a message, both here and at its owner. If not, it is rejected before it
+    /// reaches the controller. The reasons are that its offer has expired, that its owner's queue is full, that too
+    /// many messages are open, or that the journal has no room for it.
     fn has_room_for(
         &self,
         now: Micros,
@@ -136,14 +138,14 @@
         self.durability.admits(self.live_bytes(), bytes)
     }
 
-    /// The message of a submission, with what the forwarder that handed it over says of it.
+    /// Returns the message of a submission, including what the handover mark says of it.
     fn accepted_message(
         &mut self,
         now: Micros,
         submission: Submission,
         checked: CheckedSubmission,
     ) -> AcceptedMessage {
-        // A client that says more than its class allows does not keep a message here for ever.
+        // Limits the client's deadline to the maximum of the class, so that no message is kept for an unlimited time.
         let deadline = now.saturating_add(submission.time_left.min(checked.max_time_left));
         let mut accepted = AcceptedMessage {
             id: submission.id,
@@ -167,7 +169,8 @@
         accepted
     }
 
-    /// Retry-After where a message is not admitted, as far as the settings let a client be told any.
+    /// Returns the Retry-After for a message that is not admitted; 0 if the settings do not allow sending one to
+    /// clients.
     pub(super) fn no_room_retry_after(&self) -> Micros {
         if self.settings.send_retry_after {
             NO_ROOM_RETRY_AFTER_US.min(self.settings.max_retry_after.max(0))
@@ -176,9 +179,9 @@
         }
     }
 
-    /// A message that a journal held, as it was.
+    /// Restores a message from a journal.
     pub(super) fn restore(&mut self, mut accepted: AcceptedMessage, body: Bytes, now: Micros) {
-        // In flight when the process ended: it may have run.
+        // An attempt that was in flight when the process ended may have delivered the message.
         let in_flight = accepted.in_flight.take();
         accepted.possible_delivery = accepted.possible_delivery.or(in_flight);
         self.metrics.on_accepted(1);
@@ -195,7 +198,7 @@
         self.place(now, number);
     }
 
-    /// The controller has a message from now on.
+    /// Passes a message to the controller.
     pub(super) fn pass_to_controller(&mut self, now: Micros, number: MessageId, is_retry: bool) {
         let Some(message) = self.messages.get(number) else { return };
         let destination = message.accepted.destination;
@@ -210,14 +213,14 @@
             destination,
             class: position(&self.names.classes, &accepted.class),
             tenant: position(&self.names.tenants, &accepted.tenant),
-            // Clients cannot give an order key; only the simulator does.
+            // Clients cannot set an order key; only the simulator does.
             order_key: None,
             time_left: accepted.deadline.saturating_sub(now),
             is_retry,
         });
     }
 
-    /// The controller is told what has become of a message before, if anything has.
+    /// Reports the earlier attempts of a message to the controller.
     pub(super) fn report_history(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let attempts = message.accepted.attempts;
@@ -226,7 +229,7 @@
         self.controller.push(Event::AttemptHistory { id: number, attempts, possible_delivery });
     }
 
-    /// Nobody waits any more for a message that is not accepted yet: it is dropped.
+    /// Drops a message that is not yet accepted if the withdrawn request was the only one that waited for it.
     pub(super) fn withdraw(&mut self, request: RequestId) {
         if let Some(number) = self.messages.undecided_for(request) {
             self.drop_message(number);
@@ -234,14 +237,14 @@
         }
     }
 
-    /// A message is not here any more.
+    /// Removes a message from this process and returns it.
     pub(super) fn drop_message(&mut self, number: MessageId) -> Option<Message> {
         let message = self.messages.remove(number)?;
         self.handovers.remove(number);
         Some(message)
     }
 
-    /// What the controller has not rejected goes into the journal.
+    /// Records the messages that the controller has not rejected.
     pub(super) fn record_admitted(&mut self) {
         let decided = self.messages.take_decided();
         if decided.is_empty() {
@@ -258,7 +261,7 @@
         self.append(&records, Some(AfterAppend::AdmitMessages(decided)));
     }
 
-    /// The records of new messages are in the journal, or could not be: their requests are answered.
+    /// Handles the report on the records of new messages, and answers their requests.
     pub(super) fn on_messages_recorded(&mut self, now: Micros, decided: Vec<DecidedMessage>, stored: bool) {
         for DecidedMessage { number, requests } in decided {
             if stored {
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -1,6 +1,7 @@
-//! Takeover: what another process on the folder left becomes this one's, once it is in this one's file.
+//! Takeover: this process takes ownership of what another process on the folder left, once that is recorded in its own
+//! file.
 //!
-//! Whether it may be taken over is decided in [`upgrade`](super::upgrade).
+//! [`upgrade`](super::upgrade) decides what may be taken over.
 
 use super::Reducer;
 use super::durability::AfterAppend;
@@ -11,19 +12,19 @@
 use orchidyoke_core::interface::{MessageId, Micros};
 use orchidyoke_journal::{AcceptedMessage, FinalAnswer, Generation, Record, RecordsWithBodies};
 
-/// What is taken over from another process at once.
+/// What is taken over from another process in one step.
 #[derive(Debug)]
 pub(super) struct Takeover {
     generation: Generation,
     messages: Vec<(AcceptedMessage, Bytes)>,
     undelivered_answers: Vec<DecidedAnswer>,
     finished: Vec<FinishedId>,
-    /// The process has ended, and this is all that it left.
+    /// Whether the process has ended, so that this is everything it left.
     is_complete: bool,
 }
 
 impl Takeover {
-    /// The records of all this, in the order in which a journal holds them.
+    /// Returns the records of the takeover, in the order in which a journal holds them.
     fn records(&self) -> RecordsWithBodies {
         let mut records = RecordsWithBodies::new();
         let finished = self.finished.iter().map(FinishedId::record);
@@ -39,7 +40,7 @@
 }
 
 impl Reducer {
-    /// Takes over what another process no longer owns: it is appended to this one's file.
+    /// Takes over what another process no longer owns, by appending it to this process's file.
     pub(super) fn take_over(&mut self, generation: Generation) {
         if !self.upgrade.may_take_over(generation) {
             return;
@@ -54,7 +55,7 @@
         self.append(&records, Some(AfterAppend::CompleteTakeover(takeover)));
     }
 
-    /// What is there to be taken over, but for what this process or a later one has already.
+    /// Returns what can be taken over from a process, without what this process or a later one already has.
     fn free_of(&self, generation: Generation) -> Option<Takeover> {
         let other = self.upgrade.other(generation)?;
         let state = other.state();
@@ -83,8 +84,8 @@
         Some(takeover)
     }
 
-    /// What another process left is in this one's file, or could not be: then it stays where it is for now. Where that
-    /// process has ended, each message that there is no room for is finished at once.
+    /// Handles the report on the records of a takeover. If they are not `stored`, everything stays with the other
+    /// process for now. But if that process has ended, each message for which there is no room is finished immediately.
     pub(super) fn on_takeover_recorded(&mut self, now: Micros, mut takeover: Takeover, stored: bool) {
         let generation = takeover.generation;
         let count = takeover.messages.len();
@@ -110,7 +111,7 @@
             self.upgrade.release_message(generation, &accepted.id);
             match self.messages.number_of(&accepted.id) {
                 Some(number) => self.merge_message(now, number, accepted),
-                // A part of the file that was read would keep all of that in memory.
+                // Copied, because a slice of the file's buffer would keep the whole buffer in memory.
                 None => self.restore(accepted, Bytes::copy_from_slice(&body), now),
             }
         }
@@ -127,7 +128,7 @@
         }
     }
 
-    /// What a process left that has ended, where the folder has no room for it: each message has its final answer now.
+    /// Gives the messages of an ended process their final answers, because the folder has no room for the messages.
     fn finish_without_room(&mut self, now: Micros, takeover: &mut Takeover) {
         let retry_after_ms = self.no_room_retry_after() / 1000;
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
@@ -144,8 +145,9 @@
         self.append_all(&records, None);
     }
 
-    /// A message as it is to stand in this process's file; none where that has it already. It may hold the message
-    /// itself: an earlier process with this file had taken it over, or a client submitted it to both.
+    /// Returns a message as it is to be recorded in this process's file, or `None` if the file already has it. This
+    /// process may hold the message itself, because an earlier process with this file had taken it over, or because a
+    /// client submitted it to both processes.
     fn merged_with_own(&self, theirs: &AcceptedMessage, body: &Bytes) -> Option<(AcceptedMessage, Bytes)> {
         let own = self.messages.number_of(&theirs.id).and_then(|number| self.messages.get(number));
         let Some(own) = own else { return Some((theirs.clone(), body.clone())) };
@@ -160,7 +162,7 @@
         (both != own.accepted || !own.stored).then(|| (both, own.body.clone()))
     }
 
-    /// What has become of a message in another process counts here too.
+    /// Adds the history of a message in another process to the message here.
     fn merge_message(&mut self, now: Micros, number: MessageId, merged: AcceptedMessage) {
         let Some(message) = self.messages.get_mut(number) else { return };
         if !std::mem::replace(&mut message.stored, true) {
