--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -1,9 +1,11 @@
-//! An upgrade: two processes on one folder, and what passes from the one that ends to the one started in its place.
+//! An upgrade: two processes use one folder, and the older one hands its messages over to the process that was started
+//! to replace it.
 //!
 //! Each process writes its own file and reads those of the others. A message belongs to the process whose file has it,
-//! until that file says that the process has handed off, or the process has ended. Only then does another write it into
-//! its own ([`takeover`](super::takeover)), and only what is in its own file does a process send. So at each moment, and
-//! over a kill at any of them, one process alone may begin an attempt for a message.
+//! until that file says that the process has handed off, or until the process has ended. Only then does another process
+//! write the message to its own file ([`takeover`](super::takeover)). A process sends only messages that are in its own
+//! file. Therefore, at each moment, and even if a process is killed at any moment, only one process may begin an
+//! attempt for a message.
 
 use super::Reducer;
 use super::durability::AfterAppend;
@@ -17,7 +19,7 @@
 use orchidyoke_journal::{Generation, ProcessStage, Record, RecordsWithBodies};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Another process on this folder, as its file tells of it.
+/// Another process on this folder, as described by its file.
 #[derive(Debug, Default)]
 pub(super) struct OtherProcess {
     state: RecoveredState,
@@ -26,29 +28,29 @@
 }
 
 impl OtherProcess {
-    /// What its file says.
+    /// Returns the state described by its file.
     pub fn state(&self) -> &RecoveredState {
         &self.state
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether it begins no more attempts.
+    /// Returns whether the process begins no more attempts, because it has ended or handed off.
     pub fn begins_no_attempts(&self) -> bool {
         self.ended || self.state.stage == ProcessStage::HandedOff
     }
 
-    /// Whether the message is, or was, this process's own.
+    /// Returns whether the process holds or held the message.
     pub fn knows(&self, id: &str) -> bool {
         self.state.accepted.contains_key(id)
             || self.state.undelivered_answers.iter().any(|other| other.id == id)
             || self.state.finished.iter().any(|other| other.id == id)
     }
 
-    /// About the bytes that it needs to compact its file, while it still may.
+    /// Returns an estimate of the bytes that the process needs to compact its file; 0 once it no longer compacts.
     fn live_bytes(&self) -> usize {
         if self.begins_no_attempts() {
             return 0;
@@ -62,14 +64,14 @@
         messages.chain(answers).chain(finished).sum::<usize>() + self.state.endpoint_list.size()
     }
 
-    /// How many of its calls are in flight.
+    /// Returns the number of the process's calls in flight.
     fn calls_in_flight(&self) -> usize {
         let attempts = self.state.accepted.values().filter_map(|(accepted, _)| accepted.in_flight.as_ref());
         let calls: BTreeSet<_> = attempts.map(|attempt| (attempt.started_at, &attempt.endpoint)).collect();
         calls.len()
     }
 
-    /// Takes in new records; gives what this process has to put in force too.
+    /// Applies new records. Returns the changes that this process has to apply as well.
     fn apply(&mut self, records: RecordsWithBodies) -> SharedChanges {
         let mut changes = SharedChanges::default();
         for (record, body) in records {
@@ -89,95 +91,95 @@
     }
 }
 
-/// What another process was told and this one has to heed.
+/// Changes recorded by another process that this process has to apply as well.
 #[derive(Debug, Default)]
 struct SharedChanges {
     overrides: Vec<(String, OverrideChange)>,
     retry_after: Vec<(RouteKey, Micros)>,
 }
 
-/// How far this process is, and the others on the folder.
+/// The stage of this process, and the other processes on the folder.
 #[derive(Debug)]
 pub(super) struct Upgrade {
-    /// Number of this process's file; that of a process started later is higher.
+    /// Generation of this process's file. A process that starts later has a higher one.
     generation: Generation,
     stage: ProcessStage,
     others: BTreeMap<Generation, OtherProcess>,
 }
 
 impl Upgrade {
-    /// A process that has started, with this file.
+    /// Creates the state of a process that has started with this file.
     pub fn new(generation: Generation) -> Self {
         Upgrade { generation, stage: ProcessStage::Started, others: BTreeMap::new() }
     }
 
-    /// How far this process is.
+    /// Returns the stage of this process.
     pub fn stage(&self) -> ProcessStage {
         self.stage
     }
 
-    /// It accepts clients.
+    /// Sets the stage [`ProcessStage::Ready`], in which this process accepts clients.
     pub fn set_ready(&mut self) {
         self.stage = ProcessStage::Ready;
     }
 
-    /// Whether it has handed off to its successor: it begins no more attempts.
+    /// Returns whether this process has handed off to its successor and therefore begins no more attempts.
     pub fn has_handed_off(&self) -> bool {
         self.stage == ProcessStage::HandedOff
     }
 
-    /// Whether there is another file, its process ended or not.
+    /// Returns whether another process's file exists, whether or not that process has ended.
     pub fn has_others(&self) -> bool {
         !self.others.is_empty()
     }
 
-    /// Whether another process runs, which what this one is told has to reach.
+    /// Returns whether another process runs, which has to learn of the changes that reach this one.
     pub fn other_runs(&self) -> bool {
         self.others.values().any(|other| !other.ended)
     }
 
-    /// Whether a process before this one still begins attempts: until it has stopped, this one begins none.
+    /// Returns whether an older process still begins attempts. Until that process has stopped, this one begins none.
     pub fn older_runs(&self) -> bool {
         self.older().any(|older| !older.begins_no_attempts())
     }
 
-    /// Whether a process after this one runs and accepts clients.
+    /// Returns whether a later process runs and accepts clients.
     pub fn is_successor_ready(&self) -> bool {
         let mut later = self.others.range(self.generation + 1..);
         later.any(|(_, other)| !other.ended && other.state.stage == ProcessStage::Ready)
     }
 
-    /// Whether another process holds the message, or has finished it.
+    /// Returns whether another process holds the message or has finished it.
     pub fn others_know(&self, id: &str) -> bool {
         self.others.values().any(|other| other.knows(id))
     }
 
-    /// The same for processes after this generation.
+    /// Returns whether a process after this generation holds the message or has finished it.
     pub fn later_know(&self, generation: Generation, id: &str) -> bool {
         self.others.range(generation + 1..).any(|(_, other)| other.knows(id))
     }
 
-    /// Whether what a process left is this one's to take over: all of it where it has ended, and what is not in flight
-    /// of one before that has stopped.
+    /// Returns whether this process may take over from another process. It may take over everything if that process has
+    /// ended, and what is not in flight if that process is older and has stopped.
     pub fn may_take_over(&self, generation: Generation) -> bool {
         let Some(other) = self.others.get(&generation) else { return false };
         let from_older = generation < self.generation && other.begins_no_attempts() && !self.older_runs();
         !self.has_handed_off() && (other.ended || from_older)
     }
 
-    /// Another process.
+    /// Returns another process by its generation.
     pub fn other(&self, generation: Generation) -> Option<&OtherProcess> {
         self.others.get(&generation)
     }
 
-    /// A message of another process is this one's from now on.
+    /// Removes a message from another process's state, because this process has taken it over.
     pub fn release_message(&mut self, generation: Generation, id: &str) {
         if let Some(other) = self.others.get_mut(&generation) {
             other.state.accepted.remove(id);
         }
     }
 
-    /// The file of another process goes.
+    /// Removes another process.
     pub fn remove(&mut self, generation: Generation) {
         self.others.remove(&generation);
     }
@@ -190,20 +192,20 @@
         self.others.keys().copied().collect()
     }
 
-    /// What the files of others take up, or may need.
+    /// Returns the bytes that the other processes' files use or may need.
     fn bytes_of_others(&self) -> usize {
         self.others.values().map(|other| other.file_bytes + other.live_bytes()).sum()
     }
 
-    /// Calls in flight of older processes that have not ended.
+    /// Returns the number of calls in flight of older processes that have not ended.
     fn older_calls_in_flight(&self) -> usize {
         self.older().filter(|older| !older.ended).map(OtherProcess::calls_in_flight).sum()
     }
 }
 
 impl Reducer {
-    /// The files of other processes have shown something, or are gone since a third process has taken them up. What
-    /// follows is decided when all of them are known.
+    /// Applies the changes in the files of other processes. `gone` names the files that a third process has taken over.
+    /// Decisions follow after all changes are known.
     pub(super) fn on_other_processes(
         &mut self,
         now: Micros,
@@ -231,7 +233,7 @@
     fn apply_process_update(&mut self, now: Micros, update: OtherProcessUpdate) {
         let OtherProcessUpdate { generation, rewritten, records, size, ended } = update;
         if !self.upgrade.others.contains_key(&generation) && !ended {
-            // It was not there when this process was told to wait.
+            // The other process was not there when this process received its Retry-After values.
             self.append_all(&self.running_retry_afters(now), None);
         }
         let other = self.upgrade.others.entry(generation).or_default();
@@ -246,13 +248,14 @@
             self.adopt_retry_after(now, route, until);
         }
         if ended {
-            // Its file goes; a third process reads this one's.
+            // The file of the ended process will be removed, so a third process has to find these records in this
+            // process's file.
             self.append_all(&self.running_retry_afters(now), None);
         }
         self.adopt_newer_list(now, generation);
     }
 
-    /// What operators have told another process is in force here too.
+    /// Applies the operators' overrides that another process received.
     fn adopt_overrides(&mut self, now: Micros, mut overrides: Vec<(String, OverrideChange)>) {
         overrides.retain(|(uid, change)| self.operator_overrides.is_change(uid, *change));
         for (uid, change) in overrides {
@@ -263,13 +266,13 @@
         }
     }
 
-    /// A list that another process has heard is in force here too.
+    /// Applies the endpoint list of another process if it is newer.
     fn adopt_newer_list(&mut self, now: Micros, generation: Generation) {
         let Some(other) = self.upgrade.other(generation) else { return };
         let own = self.endpoints.list();
         let theirs = &other.state.endpoint_list;
         if theirs.origin() == own.origin() && theirs.version() > own.version() {
-            // Only what differs is written: the other process may have heard of one change.
+            // Only the difference is written, because the other process may have received a single change.
             let record = Record::EndpointList(own.delta_to(theirs));
             self.append_record(&record);
             if let Record::EndpointList(changes) = &record {
@@ -278,7 +281,7 @@
         }
     }
 
-    /// The older processes have stopped: this one begins attempts, with what they knew of faulty routes.
+    /// Begins attempts after the older processes have stopped, with the faulty routes that they recorded.
     fn begin_attempts(&mut self) {
         self.log("upgrade: the older process has stopped, this one begins attempts".to_owned());
         let faulty = self.upgrade.older().flat_map(|older| older.state.faulty_routes.iter());
@@ -286,7 +289,7 @@
         self.controller.extend(events);
     }
 
-    /// The settings as the controller is to have them: calls of all processes together keep to the limit.
+    /// Returns the settings for the controller. Their limit on calls applies to the calls of all processes together.
     pub(super) fn controller_settings(&self) -> Settings {
         let stopped = self.upgrade.has_handed_off() || self.upgrade.older_runs();
         let of_older = self.upgrade.older_calls_in_flight();
@@ -295,24 +298,24 @@
         Settings { max_calls, fleet_size, ..self.settings.clone() }
     }
 
-    /// The folder's limit is for all files together.
+    /// Updates this process's part of the folder's limit, which applies to all files together.
     pub(super) fn share_space(&mut self) {
         self.durability.share_with(self.upgrade.bytes_of_others(), self.upgrade.other_runs());
     }
 
-    /// Clients that connect are accepted: the process before may be told to end.
+    /// Records that this process accepts clients. From now on, the older process may be asked to end.
     pub(super) fn accept_clients(&mut self) {
         self.append_record(&Record::ProcessStage { stage: ProcessStage::Ready });
         self.clients.set_accepted(true);
         self.upgrade.set_ready();
     }
 
-    /// Told to end beside a successor that accepts clients: hands off what is not in flight.
+    /// Hands off what is not in flight to a successor that accepts clients.
     pub(super) fn hand_off(&mut self, now: Micros) {
         if self.upgrade.has_handed_off() {
             return;
         }
-        // What the successor has to read, and finds room beside, is what still counts.
+        // Compacts first, so that the successor has less to read and more room in the folder.
         if self.durability.can_compact(self.live_bytes()) {
             self.compact();
         }
@@ -321,7 +324,8 @@
         self.append_all(&records, Some(AfterAppend::CompleteHandOff));
     }
 
-    /// The journal says that this process has handed off, or could not be told: the successor may begin at once.
+    /// Handles the report on the hand-off's record. If it is `stored`, stops beginning attempts and releases the
+    /// messages that are not in flight to the successor.
     pub(super) fn on_hand_off_recorded(&mut self, stored: bool) {
         if !stored {
             return self.log(
@@ -349,7 +353,8 @@
         self.controller.update_max_calls(self.controller_settings());
     }
 
-    /// A message is the successor's from here on. Who submits it again is told that it was accepted.
+    /// Releases a message to the successor. A client that submits the message again gets the answer that it was
+    /// accepted.
     pub(super) fn release_to_successor(&mut self, number: MessageId) {
         if let Some(message) = self.drop_message(number) {
             self.metrics.on_left_this_process();
