--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -101,14 +101,14 @@
         }
         let Some(known) = self.endpoints.get(endpoint) else { return };
         let is_active = self.state_of(&known.uid) == Some(EndpointState::Active);
-        let is_held = self.is_held_by_retry_after(now, endpoint);
+        let is_blocked = self.is_blocked_by_retry_after(now, endpoint);
         let listed = self.endpoints.listed(&known.uid);
         let zone = listed.map_or_else(String::new, |listed| listed.zone.to_string());
         let start = AttemptStart { started_at: now, endpoint: known.uid.to_string(), zone };
-        self.drop_attempts_that_may_not_go(now, id, &start);
+        self.drop_unsendable_attempts(now, id, &start);
         let Some(call) = self.calls.get_mut(id) else { return };
         let was_requested = std::mem::replace(&mut call.record_requested, true);
-        if call.attempts.is_empty() || !is_active || is_held {
+        if call.attempts.is_empty() || !is_active || is_blocked {
             self.pool.release(connection, now);
             return self.abandon_call(now, id);
         }
@@ -120,18 +120,18 @@
 
     /// Drops the attempts that may no longer be sent. While the connection was being established, a message may have
     /// reached its deadline, or the list may have moved the endpoint.
-    fn drop_attempts_that_may_not_go(&mut self, now: Micros, id: CallId, start: &AttemptStart) {
+    fn drop_unsendable_attempts(&mut self, now: Micros, id: CallId, start: &AttemptStart) {
         let Some(call) = self.calls.get(id) else { return };
         let sent_at = call.sent_at;
-        let may_go = |attempt: &AttemptId| {
+        let is_sendable = |attempt: &AttemptId| {
             let message = self.messages.get(attempt.message);
             message.is_some_and(|message| self.may_send_to(now, message, start))
         };
-        let (going, dropped): (Vec<_>, Vec<_>) = call.attempts.iter().copied().partition(may_go);
-        let messages = going.iter().filter_map(|attempt| self.messages.get(attempt.message));
+        let (sendable, dropped): (Vec<_>, Vec<_>) = call.attempts.iter().copied().partition(is_sendable);
+        let messages = sendable.iter().filter_map(|attempt| self.messages.get(attempt.message));
         let message_ids = messages.map(|message| message.accepted.id.clone()).collect();
         let Some(call) = self.calls.get_mut(id) else { return };
-        call.attempts = going;
+        call.attempts = sendable;
         call.message_ids = message_ids;
         for attempt in dropped {
             self.finish_attempt(now, attempt, Outcome::NotSent, sent_at, ReplyInfo::default());
--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -42,23 +42,23 @@
             late: call.attempts.iter().any(|attempt| self.is_past_deadline(now, attempt)),
         };
         self.on_retry_after(now, call.endpoint, info.retry_after);
-        let ends = endpoint_call::message_results(reply, &call.message_ids);
-        let mut ends: Vec<_> = call.attempts.iter().zip(ends).collect();
+        let results = endpoint_call::message_results(reply, &call.message_ids);
+        let mut results: Vec<_> = call.attempts.iter().zip(results).collect();
         // The controller evaluates a call by the first of its outcomes, so rejections come before successes and
         // messages that were not sent come last.
-        ends.sort_by_key(|(_, end)| match end.outcome {
+        results.sort_by_key(|(_, result)| match result.outcome {
             Outcome::Success => 1,
             Outcome::NotSent => 2,
             _ => 0,
         });
-        for (attempt, end) in ends {
-            if end.message_finished {
+        for (attempt, result) in results {
+            if result.message_finished {
                 // The endpoint counts the message as finished, for example because its client has gone. This process
                 // cannot know whether the platform still waits for a final answer, and a superfluous notification does
                 // no harm.
                 self.finish(now, attempt.message, FinalAnswer::Failed);
             }
-            self.finish_attempt(now, *attempt, end.outcome, call.sent_at, info);
+            self.finish_attempt(now, *attempt, result.outcome, call.sent_at, info);
         }
     }
 
@@ -101,7 +101,7 @@
 
     /// Cancels an attempt at the controller's request.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
-        let call = self.calls.with_attempt(attempt);
+        let call = self.calls.find_by_attempt(attempt);
         if let Some(connection) = call.and_then(|call| self.pool.connection_of(call)) {
             // The attempt ends when the connection is reported closed. The next attempt must not start before that.
             self.effects.push(Effect::CloseConnection { connection });
--- a/crates/forwarder/src/reducer/call_table.rs
+++ b/crates/forwarder/src/reducer/call_table.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns the id of the call that carries an attempt.
-    pub fn with_attempt(&self, attempt: AttemptId) -> Option<CallId> {
+    pub fn find_by_attempt(&self, attempt: AttemptId) -> Option<CallId> {
         self.calls.iter().find(|(_, call)| call.attempts.contains(&attempt)).map(|(id, _)| *id)
     }
 
--- a/crates/forwarder/src/reducer/destinations.rs
+++ b/crates/forwarder/src/reducer/destinations.rs
@@ -9,13 +9,13 @@
 pub(super) struct Destinations {
     endpoints: BTreeSet<(DestinationId, EndpointId)>,
     /// Destinations that were named before and have no endpoint now.
-    without: BTreeSet<DestinationId>,
+    without_endpoints: BTreeSet<DestinationId>,
 }
 
 impl Destinations {
     /// Returns whether any endpoint list has named the destination.
     pub fn knows(&self, destination: DestinationId) -> bool {
-        self.endpoints_of(destination).next().is_some() || self.without.contains(&destination)
+        self.endpoints_of(destination).next().is_some() || self.without_endpoints.contains(&destination)
     }
 
     /// Returns the endpoints of a destination.
@@ -40,9 +40,9 @@
         } else {
             self.endpoints.extend(endpoints);
         }
-        if !self.without.is_empty() {
+        if !self.without_endpoints.is_empty() {
             for (_, endpoint) in new {
-                self.without.remove(&endpoint.destination);
+                self.without_endpoints.remove(&endpoint.destination);
             }
         }
     }
@@ -51,7 +51,7 @@
     pub fn forget(&mut self, id: EndpointId, destination: DestinationId) {
         self.endpoints.remove(&(destination, id));
         if self.endpoints_of(destination).next().is_none() {
-            self.without.insert(destination);
+            self.without_endpoints.insert(destination);
         }
     }
 }
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -68,7 +68,7 @@
 impl AfterAppend {
     /// Returns whether the append may be refused for lack of space while other processes run. All other appends have to
     /// be written.
-    fn may_be_denied_room(&self) -> bool {
+    fn may_be_denied_space(&self) -> bool {
         matches!(
             self,
             AfterAppend::AdmitMessages(_) | AfterAppend::CompleteTakeover(_) | AfterAppend::ApplyOverride(_)
@@ -112,10 +112,10 @@
 
     /// Sets the part of the folder's limit that this process may use. The limit applies to the files of all processes
     /// together; the others use, or may need, `other_bytes`.
-    pub fn share_with(&mut self, other_bytes: usize, other_runs: bool) {
+    pub fn share_with(&mut self, other_bytes: usize, other_process_runs: bool) {
         let own = self.limit_bytes.saturating_sub(other_bytes);
         // While another process runs, each may use at most half, so that both can compact.
-        self.space.set_limit(if other_runs { own.min(self.limit_bytes / 2) } else { own });
+        self.space.set_limit(if other_process_runs { own.min(self.limit_bytes / 2) } else { own });
     }
 
     /// Returns whether a message of `message_bytes` may be accepted in addition to a snapshot of `live_bytes`.
@@ -142,8 +142,8 @@
     fn append(&mut self, bytes: Bytes, then: Option<AfterAppend>, has_other_processes: bool) -> Effect {
         self.last_append += 1;
         let append = self.last_append;
-        let may_be_denied_room = then.as_ref().is_some_and(AfterAppend::may_be_denied_room);
-        let denied = may_be_denied_room && has_other_processes && !self.space.has_room_for(bytes.len());
+        let may_be_denied_space = then.as_ref().is_some_and(AfterAppend::may_be_denied_space);
+        let denied = may_be_denied_space && has_other_processes && !self.space.has_room_for(bytes.len());
         let changes_state_later = then.as_ref().is_some_and(AfterAppend::changes_state_later);
         if let Some(then) = then {
             self.after_append.insert(append, then);
@@ -172,8 +172,8 @@
     pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
-        self.make_room(bytes.len());
-        let effect = self.durability.append(bytes.freeze(), then, self.upgrade.has_others());
+        self.compact_if_needed(bytes.len());
+        let effect = self.durability.append(bytes.freeze(), then, self.upgrade.has_other_processes());
         self.effects.push(effect);
     }
 
@@ -204,13 +204,13 @@
     }
 
     /// Compacts the file if, after `more` bytes are appended, there would be no room left to compact it.
-    pub(super) fn make_room(&mut self, more: usize) {
+    pub(super) fn compact_if_needed(&mut self, more: usize) {
         if self.upgrade.has_handed_off() {
             // The successor reads the file as it grows, so it must not be replaced.
             return;
         }
         let live = self.live_bytes();
-        let fits = !self.upgrade.has_others() || self.durability.can_compact(live);
+        let fits = !self.upgrade.has_other_processes() || self.durability.can_compact(live);
         if fits && self.durability.needs_compaction(live, more) {
             self.compact();
         }
@@ -240,7 +240,7 @@
         Record::EndpointList(self.endpoints.list().snapshot()).encode(b"", &mut bytes);
         Record::ProcessStage { stage: self.upgrade.stage() }.encode(b"", &mut bytes);
         route_state::faulty_routes_record(&self.faulty_routes).encode(b"", &mut bytes);
-        for (route, until) in self.retry_after.iter().filter(|_| self.upgrade.other_runs()) {
+        for (route, until) in self.retry_after.iter().filter(|_| self.upgrade.other_process_runs()) {
             route.retry_after_record(*until).encode(b"", &mut bytes);
         }
         if let Some(discovery) = self.discovery.superseded() {
--- a/crates/forwarder/src/reducer/endpoint_table.rs
+++ b/crates/forwarder/src/reducer/endpoint_table.rs
@@ -69,7 +69,7 @@
 
     /// Returns the id of a listed endpoint. Assigns an id to a new endpoint and adds it to `new_endpoints`, which are
     /// to be passed to [`EndpointTable::apply`].
-    pub fn number(&mut self, listed: &EndpointEntry, new_endpoints: &mut NewEndpoints) -> EndpointId {
+    pub fn id_or_assign(&mut self, listed: &EndpointEntry, new_endpoints: &mut NewEndpoints) -> EndpointId {
         if let Some(known) = self.ids.get(listed.uid.as_str()) {
             return *known;
         }
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -58,7 +58,7 @@
 /// Ids of finished messages, bounded in time and number.
 #[derive(Debug)]
 pub(super) struct FinishedIds {
-    since: HashMap<String, Micros>,
+    finished_at: HashMap<String, Micros>,
     order: VecDeque<FinishedId>,
     max_ids: usize,
     bytes: usize,
@@ -67,7 +67,7 @@
 impl FinishedIds {
     /// Creates an empty set with at most `max_ids` ids.
     pub fn new(max_ids: usize) -> Self {
-        FinishedIds { since: HashMap::new(), order: VecDeque::new(), max_ids, bytes: 0 }
+        FinishedIds { finished_at: HashMap::new(), order: VecDeque::new(), max_ids, bytes: 0 }
     }
 
     /// Sets another maximum number of ids.
@@ -77,7 +77,7 @@
 
     /// Returns whether a message is remembered as finished.
     pub fn contains(&self, id: &str) -> bool {
-        self.since.contains_key(id)
+        self.finished_at.contains_key(id)
     }
 
     /// Returns an upper estimate of the bytes in a snapshot.
@@ -94,14 +94,14 @@
     pub fn remember(&mut self, id: String, at: Micros) {
         self.order.push_back(FinishedId { id: id.clone(), at });
         let size = id_size(&id);
-        if self.since.insert(id, at).is_none() {
+        if self.finished_at.insert(id, at).is_none() {
             self.bytes += size;
         }
         while let Some(first) = self.order.front()
             && (at - first.at > FINISHED_ID_LIFETIME_US || self.order.len() > self.max_ids)
         {
             if let Some(first) = self.order.pop_front()
-                && self.since.remove(&first.id).is_some()
+                && self.finished_at.remove(&first.id).is_some()
             {
                 self.bytes -= id_size(&first.id);
             }
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -13,7 +13,7 @@
 impl Reducer {
     /// Passes a message that is in the journal and not in the controller either to the schedule of handovers, if
     /// another forwarder owns its destination, or to the controller, to be delivered here.
-    pub(super) fn place(&mut self, now: Micros, number: MessageId) {
+    pub(super) fn hand_over_or_deliver(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         let accepted = &message.accepted;
         let owner = match &accepted.handover {
@@ -45,7 +45,7 @@
         };
         if owner.as_ref().map(|owner| owner.name.as_str()) != self.handovers.owner_of(number) {
             self.handovers.remove(number);
-            self.place(now, number);
+            self.hand_over_or_deliver(now, number);
         }
     }
 
@@ -68,7 +68,7 @@
             return self.finish(now, number, FinalAnswer::Failed);
         }
         self.count_offer_as_attempt(number);
-        self.place(now, number);
+        self.hand_over_or_deliver(now, number);
     }
 
     fn count_offer_as_attempt(&mut self, number: MessageId) {
@@ -178,7 +178,7 @@
         }
         if let Some(message) = self.messages.get(number) {
             let terms = self.terms(now, &message.accepted);
-            self.handovers.change(number, terms);
+            self.handovers.update_terms(number, terms);
         }
         self.reassign_owner(now, number);
     }
@@ -222,7 +222,7 @@
         let Some(message) = self.messages.get(number) else { return };
         if !self.may_repeat(now, &message.accepted) {
             // Its deduplication window has ended in the meantime.
-            return self.place(now, number);
+            return self.hand_over_or_deliver(now, number);
         }
         if message.accepted.handover.offered.is_some() {
             // Records that the message stays here, so that it is not offered again after a restart.
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 struct WaitingMessage {
     terms: HandoverTerms,
-    peer: String,
+    owner: String,
     due: Micros,
     rejections: u32,
 }
@@ -132,10 +132,10 @@
 #[derive(Debug, Default)]
 pub(super) struct HandoverSchedule {
     waiting: BTreeMap<MessageId, WaitingMessage>,
-    peers: BTreeMap<String, OwnerQueue>,
+    owner_queues: BTreeMap<String, OwnerQueue>,
     /// Owners, in the order of the time at which something may be offered to them.
     timers: BTreeSet<(Micros, String)>,
-    ends: BTreeSet<(Micros, MessageId)>,
+    wait_ends: BTreeSet<(Micros, MessageId)>,
     /// Offers in flight, with their owners. The message of an offer may already be finished.
     offers_in_flight: BTreeMap<MessageId, String>,
     /// Owners to which the last offer failed.
@@ -168,7 +168,7 @@
 
     /// Returns the owner that a message waits for.
     pub fn owner_of(&self, id: MessageId) -> Option<&str> {
-        self.waiting.get(&id).map(|waiting| waiting.peer.as_str())
+        self.waiting.get(&id).map(|waiting| waiting.owner.as_str())
     }
 
     /// Returns the ids of all waiting messages.
@@ -183,20 +183,22 @@
     }
 
     /// Returns whether the maximum number of messages waits for this owner, so that no more may be accepted.
-    pub fn is_full(&self, peer: &str) -> bool {
-        self.peers.get(peer).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
+    pub fn is_full(&self, owner: &str) -> bool {
+        self.owner_queues.get(owner).is_some_and(|queue| queue.waiting >= MAX_WAITING_PER_OWNER)
     }
 
     /// Adds a message that waits for its owner.
-    pub fn add(&mut self, now: Micros, id: MessageId, peer: &Peer, terms: HandoverTerms) {
+    pub fn add(&mut self, now: Micros, id: MessageId, owner: &Peer, terms: HandoverTerms) {
         self.seed = self.seed.wrapping_add(1);
         let seed = self.seed;
-        let queue =
-            self.peers.entry(peer.name.clone()).or_insert_with(|| OwnerQueue::new(peer.address, seed));
-        queue.address = peer.address;
+        let queue = self
+            .owner_queues
+            .entry(owner.name.clone())
+            .or_insert_with(|| OwnerQueue::new(owner.address, seed));
+        queue.address = owner.address;
         queue.waiting += 1;
-        self.ends.insert((terms.ends_at, id));
-        self.waiting.insert(id, WaitingMessage { terms, peer: peer.name.clone(), due: now, rejections: 0 });
+        self.wait_ends.insert((terms.ends_at, id));
+        self.waiting.insert(id, WaitingMessage { terms, owner: owner.name.clone(), due: now, rejections: 0 });
         self.queue(id, now);
     }
 
@@ -208,25 +210,25 @@
             self.check_local_delivery = true;
         }
         let Some(waiting) = self.waiting.get(&id) else { return };
-        self.ends.remove(&(waiting.terms.ends_at, id));
-        let peer = waiting.peer.clone();
+        self.wait_ends.remove(&(waiting.terms.ends_at, id));
+        let owner = waiting.owner.clone();
         self.unqueue(id);
         self.waiting.remove(&id);
-        if let Some(queue) = self.peers.get_mut(&peer) {
+        if let Some(queue) = self.owner_queues.get_mut(&owner) {
             queue.waiting -= 1;
         }
-        self.schedule(&peer);
+        self.schedule(&owner);
     }
 
     /// Replaces the terms of a message.
-    pub fn change(&mut self, id: MessageId, terms: HandoverTerms) {
+    pub fn update_terms(&mut self, id: MessageId, terms: HandoverTerms) {
         let queued = !self.offers_in_flight.contains_key(&id);
         if queued {
             self.unqueue(id);
         }
         let Some(waiting) = self.waiting.get_mut(&id) else { return };
-        self.ends.remove(&(waiting.terms.ends_at, id));
-        self.ends.insert((terms.ends_at, id));
+        self.wait_ends.remove(&(waiting.terms.ends_at, id));
+        self.wait_ends.insert((terms.ends_at, id));
         waiting.terms = terms;
         let due = waiting.due;
         if queued {
@@ -237,32 +239,32 @@
     /// Handles an offer that was decided on and not sent. The message is due again after a delay, and the owner does
     /// not count as failing.
     pub fn on_offer_withheld(&mut self, now: Micros, id: MessageId) {
-        if let Some(peer) = self.remove_offer(id) {
+        if let Some(owner) = self.remove_offer(id) {
             self.queue(id, now + MAX_OFFER_BACKOFF_US);
-            self.schedule(&peer);
+            self.schedule(&owner);
         }
     }
 
     /// Handles the end of an offer for its owner. The message is due again unless the caller removes it.
-    pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, end: &OfferOutcome) {
-        let Some(peer) = self.remove_offer(id) else { return };
-        let Some(queue) = self.peers.get_mut(&peer) else { return };
+    pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, outcome: &OfferOutcome) {
+        let Some(owner) = self.remove_offer(id) else { return };
+        let Some(queue) = self.owner_queues.get_mut(&owner) else { return };
         let mut due = now;
-        if let OfferOutcome::Accepted | OfferOutcome::Rejected(_) = end {
+        if let OfferOutcome::Accepted | OfferOutcome::Rejected(_) = outcome {
             queue.failing_since = None;
             queue.not_before = 0;
             queue.backoff.reset();
-            self.failing.remove(&peer);
+            self.failing.remove(&owner);
         } else {
             if queue.failing_since.is_none() {
                 queue.failing_since = Some(now);
-                self.local_delivery_from.insert((now + OWNER_FAILING_LIMIT_US, peer.clone()));
+                self.local_delivery_from.insert((now + OWNER_FAILING_LIMIT_US, owner.clone()));
             }
             queue.not_before = now + queue.backoff.next_delay(MAX_OFFER_BACKOFF_US);
             due = queue.not_before;
-            self.failing.insert(peer.clone());
+            self.failing.insert(owner.clone());
         }
-        if let (OfferOutcome::Rejected(wait), Some(waiting)) = (end, self.waiting.get_mut(&id)) {
+        if let (OfferOutcome::Rejected(wait), Some(waiting)) = (outcome, self.waiting.get_mut(&id)) {
             let bound = FIRST_OFFER_BACKOFF_US
                 .saturating_mul(1 << waiting.rejections.min(10))
                 .min(MAX_OFFER_BACKOFF_US);
@@ -270,15 +272,15 @@
             due = now.saturating_add(*wait).saturating_add(bound / 2 + queue.backoff.random_below(bound / 2));
         }
         self.queue(id, due);
-        self.schedule(&peer);
+        self.schedule(&owner);
     }
 
     /// Returns the next decision that is due, or `None` if there is none. Call it until it returns `None`.
     pub fn next(&mut self, now: Micros) -> Option<HandoverDecision> {
-        if let Some((at, id)) = self.ends.first().copied()
+        if let Some((at, id)) = self.wait_ends.first().copied()
             && at <= now
         {
-            self.ends.pop_first();
+            self.wait_ends.pop_first();
             return Some(HandoverDecision::TimeUp(id));
         }
         self.next_offer(now).or_else(|| self.next_local_delivery(now))
@@ -289,28 +291,28 @@
         let room = self.offers_in_flight.len() < MAX_OFFERS;
         let offer = self.timers.first().filter(|_| room).map(|(at, _)| *at);
         let local_delivery = self.local_delivery_from.first().map(|(at, _)| *at);
-        let end = self.ends.first().map(|(at, _)| *at);
+        let end = self.wait_ends.first().map(|(at, _)| *at);
         [offer, local_delivery, end].into_iter().flatten().min()
     }
 
     fn next_offer(&mut self, now: Micros) -> Option<HandoverDecision> {
         while self.offers_in_flight.len() < MAX_OFFERS
-            && let Some((at, peer)) = self.timers.first().cloned()
+            && let Some((at, owner)) = self.timers.first().cloned()
             && at <= now
         {
-            let queue = self.peers.get(&peer)?;
+            let queue = self.owner_queues.get(&owner)?;
             let next = queue.next(now);
             let address = queue.address;
             if let Some(id) = next {
                 self.unqueue(id);
-                self.offers_in_flight.insert(id, peer.clone());
-                if let Some(queue) = self.peers.get_mut(&peer) {
+                self.offers_in_flight.insert(id, owner.clone());
+                if let Some(queue) = self.owner_queues.get_mut(&owner) {
                     queue.offers_in_flight += 1;
                 }
-                self.schedule(&peer);
-                return Some(HandoverDecision::Offer(id, Peer { name: peer, address }));
+                self.schedule(&owner);
+                return Some(HandoverDecision::Offer(id, Peer { name: owner, address }));
             }
-            self.schedule(&peer);
+            self.schedule(&owner);
             debug_assert!(
                 self.timers.first().is_none_or(|(at, _)| *at > now),
                 "an owner is due with nothing"
@@ -327,8 +329,8 @@
         if !self.check_local_delivery || self.local_deliveries.len() >= MAX_LOCAL_DELIVERIES {
             return None;
         }
-        for peer in &self.failing {
-            let Some(queue) = self.peers.get(peer).filter(|queue| queue.is_failing_long(now)) else {
+        for owner in &self.failing {
+            let Some(queue) = self.owner_queues.get(owner).filter(|queue| queue.is_failing_long(now)) else {
                 continue;
             };
             if let Some(id) =
@@ -347,20 +349,20 @@
 
     /// Removes an offer in flight and returns its owner.
     fn remove_offer(&mut self, id: MessageId) -> Option<String> {
-        let peer = self.offers_in_flight.remove(&id)?;
-        if let Some(queue) = self.peers.get_mut(&peer) {
+        let owner = self.offers_in_flight.remove(&id)?;
+        if let Some(queue) = self.owner_queues.get_mut(&owner) {
             queue.offers_in_flight -= 1;
         }
-        Some(peer)
+        Some(owner)
     }
 
     fn queue(&mut self, id: MessageId, due: Micros) {
         self.unqueue(id);
         let Some(waiting) = self.waiting.get_mut(&id) else { return };
         waiting.due = due;
-        let peer = waiting.peer.clone();
+        let owner = waiting.owner.clone();
         let terms = waiting.terms;
-        let Some(queue) = self.peers.get_mut(&peer) else { return };
+        let Some(queue) = self.owner_queues.get_mut(&owner) else { return };
         queue.due.insert((due, id));
         if terms.in_doubt {
             queue.in_doubt.insert(id);
@@ -369,40 +371,40 @@
             queue.local_delivery_allowed.insert((terms.destination, id));
             self.check_local_delivery |= queue.failing_since.is_some();
         }
-        self.schedule(&peer);
+        self.schedule(&owner);
     }
 
     fn unqueue(&mut self, id: MessageId) {
         let Some(waiting) = self.waiting.get(&id) else { return };
-        let Some(queue) = self.peers.get_mut(&waiting.peer) else { return };
+        let Some(queue) = self.owner_queues.get_mut(&waiting.owner) else { return };
         queue.due.remove(&(waiting.due, id));
         queue.in_doubt.remove(&id);
         queue.local_delivery_allowed.remove(&(waiting.terms.destination, id));
     }
 
     /// Updates the owner's timer after a change to its queue.
-    fn schedule(&mut self, peer: &str) {
-        let Some(queue) = self.peers.get_mut(peer) else { return };
+    fn schedule(&mut self, owner: &str) {
+        let Some(queue) = self.owner_queues.get_mut(owner) else { return };
         let before = queue.timer;
         let after = queue.wake_at();
         queue.timer = after;
         if let Some(at) = before.filter(|at| Some(*at) != after) {
-            self.timers.remove(&(at, peer.to_owned()));
+            self.timers.remove(&(at, owner.to_owned()));
         }
         if let Some(at) = after.filter(|at| Some(*at) != before) {
-            self.timers.insert((at, peer.to_owned()));
+            self.timers.insert((at, owner.to_owned()));
         }
     }
 
     /// Updates the addresses of the owners from the members. Forgets owners that are no longer members, unless messages
     /// wait for them or offers to them are in flight.
     pub fn update_members(&mut self, member: impl Fn(&str) -> Option<SocketAddr>) {
-        self.peers.retain(|name, queue| {
+        self.owner_queues.retain(|name, queue| {
             let address = member(name);
             queue.address = address.unwrap_or(queue.address);
             address.is_some() || queue.waiting > 0 || queue.offers_in_flight > 0
         });
-        self.failing.retain(|name| self.peers.contains_key(name));
+        self.failing.retain(|name| self.owner_queues.contains_key(name));
     }
 }
 
--- a/crates/forwarder/src/reducer/listed_endpoints.rs
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -85,7 +85,7 @@
         let mut updates = Vec::with_capacity(event.endpoints.len());
         let mut new_endpoints = NewEndpoints::new();
         for listed in &event.endpoints {
-            let id = self.endpoints.number(listed, &mut new_endpoints);
+            let id = self.endpoints.id_or_assign(listed, &mut new_endpoints);
             if self.endpoints.listed(&listed.uid).is_some_and(|known| known.address != listed.address) {
                 self.close_idle(id);
                 self.pool.retire(id);
--- a/crates/forwarder/src/reducer/message_table.rs
+++ b/crates/forwarder/src/reducer/message_table.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Default)]
 pub(super) struct MessageTable {
     messages: BTreeMap<MessageId, Message>,
-    numbers: HashMap<String, MessageId>,
+    numbers_by_id: HashMap<String, MessageId>,
     next_number: MessageId,
     /// Messages that the controller admits or rejects in its next round.
     awaiting_decision: Vec<MessageId>,
@@ -67,7 +67,7 @@
 
     /// Returns the number of a message by its id.
     pub fn number_of(&self, id: &str) -> Option<MessageId> {
-        self.numbers.get(id).copied()
+        self.numbers_by_id.get(id).copied()
     }
 
     /// Returns whether a message is held, that is, not finished.
@@ -99,7 +99,7 @@
     pub fn insert(&mut self, message: Message) -> MessageId {
         let number = self.next_number;
         self.next_number += 1;
-        self.numbers.insert(message.accepted.id.clone(), number);
+        self.numbers_by_id.insert(message.accepted.id.clone(), number);
         self.live_bytes += message.size();
         self.messages.insert(number, message);
         number
@@ -109,7 +109,7 @@
     pub fn remove(&mut self, number: MessageId) -> Option<Message> {
         let message = self.messages.remove(&number)?;
         self.live_bytes -= message.size();
-        self.numbers.remove(&message.accepted.id);
+        self.numbers_by_id.remove(&message.accepted.id);
         Some(message)
     }
 
@@ -138,12 +138,12 @@
 
     /// Returns the messages that waited for a decision and were not dropped, each with the requests that wait for it.
     pub fn take_decided(&mut self) -> Vec<DecidedMessage> {
-        let numbers = std::mem::take(&mut self.awaiting_decision);
+        let numbers_by_id = std::mem::take(&mut self.awaiting_decision);
         let decided = |number: MessageId| {
             let message = self.messages.get_mut(&number)?;
             Some(DecidedMessage { number, requests: std::mem::take(&mut message.waiting_requests) })
         };
-        numbers.into_iter().filter_map(decided).collect()
+        numbers_by_id.into_iter().filter_map(decided).collect()
     }
 
     /// Returns an upper estimate of the bytes of all messages in a snapshot.
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -153,8 +153,8 @@
 
     /// Applies an override from any source.
     pub(super) fn apply_override(&mut self, now: Micros, uid: &str, change: OverrideChange) {
-        let was_out = self.operator_overrides.is_ejected(uid);
-        if !self.operator_overrides.apply(uid, change) || was_out == change.ejected {
+        let was_ejected = self.operator_overrides.is_ejected(uid);
+        if !self.operator_overrides.apply(uid, change) || was_ejected == change.ejected {
             return;
         }
         if change.ejected
@@ -163,10 +163,10 @@
             self.close_idle(endpoint);
         }
         self.report_endpoint(now, uid);
-        if let (false, Some(target)) = (change.ejected, self.endpoints.listed(uid)) {
+        if let (false, Some(listed)) = (change.ejected, self.endpoints.listed(uid)) {
             // The endpoint may have been restarted in the meantime. If its destination has other active endpoints, it
             // is treated as cold until it is warm. If it is the only one, its destination starts as after an outage.
-            let destination = target.destination;
+            let destination = listed.destination;
             if !self.has_other_active(destination, uid) {
                 self.controller.push(Event::RouteState {
                     destination,
@@ -192,8 +192,8 @@
 
     /// Reports an endpoint's current state to the controller.
     fn report_endpoint(&mut self, now: Micros, uid: &str) {
-        if let (Some(target), Some(endpoint)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
-            let entry = self.endpoint_update(now, endpoint, target.into());
+        if let (Some(listed), Some(endpoint)) = (self.endpoints.listed(uid), self.endpoints.id_of(uid)) {
+            let entry = self.endpoint_update(now, endpoint, listed.into());
             self.controller.push(Event::EndpointList { kind: ListEventKind::Delta, entries: vec![entry] });
         }
     }
@@ -202,8 +202,8 @@
     /// not included; [`Reducer::endpoint_update`] adds it for the controller.
     pub(super) fn state_of(&self, uid: &str) -> Option<EndpointState> {
         let state = self.endpoints.listed(uid)?.state;
-        let out = state == EndpointState::Active && self.operator_overrides.is_ejected(uid);
-        Some(if out { EndpointState::Draining } else { state })
+        let is_ejected = state == EndpointState::Active && self.operator_overrides.is_ejected(uid);
+        Some(if is_ejected { EndpointState::Draining } else { state })
     }
 
     /// Returns whether an endpoint was restored so recently that it is still warming up.
@@ -252,7 +252,7 @@
         Gauges {
             open_messages: self.messages.values().filter(|message| message.stored).count(),
             endpoints: self.endpoints.list().len(),
-            avoided_endpoints: self.endpoints.list().iter().filter(|target| avoided(&target.uid)).count(),
+            avoided_endpoints: self.endpoints.list().iter().filter(|listed| avoided(&listed.uid)).count(),
         }
     }
 }
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns whether destinations have owners.
-    pub fn is_on(&self) -> bool {
+    pub fn has_owners(&self) -> bool {
         self.view.is_some()
     }
 
@@ -94,7 +94,7 @@
 
     /// Returns how many of these destinations this forwarder owns. For more than [`MAX_OWNER_LOOKUPS`] destinations,
     /// estimates the number from evenly spaced ones.
-    fn owned(&self, destinations: &[DestinationId]) -> u64 {
+    fn count_owned(&self, destinations: &[DestinationId]) -> u64 {
         let Some(view) = &self.view else { return 0 };
         let step = destinations.len().div_ceil(MAX_OWNER_LOOKUPS).max(1);
         let is_owned = |destination: &&DestinationId| view.owner_of(**destination) == Owner::Local;
@@ -103,7 +103,7 @@
 
     /// Returns an upper estimate of the bytes that a snapshot may hold for a message in addition to its record.
     pub fn reserve_bytes(&self, id: &str) -> usize {
-        if self.is_on() { HANDOVER_RECORDS_BYTES + 2 * id.len() } else { 0 }
+        if self.has_owners() { HANDOVER_RECORDS_BYTES + 2 * id.len() } else { 0 }
     }
 
     /// Returns this forwarder's name among the members, or `None` if destinations have no owners.
@@ -159,7 +159,7 @@
         &self,
         mark: &ReceivedMark,
     ) -> Result<Option<HandoverMark>, &'static str> {
-        if !self.ownership.is_on() {
+        if !self.ownership.has_owners() {
             return Ok(None);
         }
         match mark {
@@ -226,7 +226,7 @@
         let age = (now - self.ownership.view_since).max(0) / 1_000_000;
         let mut lines = String::new();
         for (name, value) in [
-            ("owned", self.ownership.owned(&self.endpoints.destinations().with_endpoints())),
+            ("owned", self.ownership.count_owned(&self.endpoints.destinations().with_endpoints())),
             ("handed_over", counts.handed_over),
             ("taken_over", counts.taken_over),
             ("taken_over_from_strangers", counts.from_non_members),
--- a/crates/forwarder/src/reducer/retry_after_table.rs
+++ b/crates/forwarder/src/reducer/retry_after_table.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns whether a Retry-After of this route is in force.
-    pub fn runs(&self, now: Micros, route: &RouteKey) -> bool {
+    pub fn is_in_force(&self, now: Micros, route: &RouteKey) -> bool {
         self.until.get(route).is_some_and(|until| *until > now)
     }
 
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -78,17 +78,17 @@
         let until = self.retry_after.extend_to(route.clone(), now.saturating_add(retry_after));
         let record = route.retry_after_record(until);
         // Other processes read the Retry-After from the file.
-        if self.upgrade.other_runs() || self.upgrade.has_handed_off() {
+        if self.upgrade.other_process_runs() || self.upgrade.has_handed_off() {
             self.append_record(&record);
         }
     }
 
     /// Returns whether a Retry-After forbids calls to an endpoint, either its own or one of its whole destination.
-    pub(super) fn is_held_by_retry_after(&self, now: Micros, endpoint: EndpointId) -> bool {
+    pub(super) fn is_blocked_by_retry_after(&self, now: Micros, endpoint: EndpointId) -> bool {
         let Some(known) = self.endpoints.get(endpoint) else { return false };
         let whole = RouteKey::new(known.destination, None);
         let separate = RouteKey::new(known.destination, Some(known.uid.to_string()));
-        self.retry_after.runs(now, &whole) || self.retry_after.runs(now, &separate)
+        self.retry_after.is_in_force(now, &whole) || self.retry_after.is_in_force(now, &separate)
     }
 
     /// Applies a Retry-After from another process of this forwarder.
--- a/crates/forwarder/src/reducer/shutdown.rs
+++ b/crates/forwarder/src/reducer/shutdown.rs
@@ -26,13 +26,17 @@
     stop_accepting_at: Micros,
     idle_since: Micros,
     /// When accepting clients was stopped; `None` before.
-    closed_at: Option<Micros>,
+    stopped_accepting_at: Option<Micros>,
 }
 
 impl ShutdownState {
     /// Starts a shutdown.
     pub fn new(now: Micros) -> Self {
-        ShutdownState { stop_accepting_at: now + ACCEPT_PERIOD_US, idle_since: now, closed_at: None }
+        ShutdownState {
+            stop_accepting_at: now + ACCEPT_PERIOD_US,
+            idle_since: now,
+            stopped_accepting_at: None,
+        }
     }
 
     /// Returns when the next step of the shutdown is due.
@@ -44,7 +48,7 @@
     /// Returns when the process exits, or `None` while clients are still accepted.
     fn exit_at(&self, clients: usize) -> Option<Micros> {
         let last = if clients == 0 { LAST_CONNECTIONS_US } else { LAST_ANSWERS_US };
-        self.closed_at.map(|closed_at| closed_at + last)
+        self.stopped_accepting_at.map(|stopped_accepting_at| stopped_accepting_at + last)
     }
 }
 
@@ -73,7 +77,7 @@
             None if now >= state.stop_accepting_at || now - state.idle_since >= IDLE_EXIT_AFTER_US => {
                 // Requests that clients have already sent are still accepted, because closing without an answer would
                 // lose them.
-                state.closed_at = Some(now);
+                state.stopped_accepting_at = Some(now);
                 self.clients.set_accepted(false);
                 self.effects.push(Effect::StopAccepting);
             }
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -126,7 +126,7 @@
         if is_list_recorded {
             // The list is not written again. A file that would have no room for it is compacted nevertheless, because
             // at the start nobody waits for that.
-            self.make_room(self.endpoints.list().size());
+            self.compact_if_needed(self.endpoints.list().size());
         }
         self.append_record(&Record::ProcessStage { stage: ProcessStage::Started });
         if !is_list_recorded {
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -84,7 +84,7 @@
             }
             return true;
         }
-        let is_elsewhere = self.upgrade.others_know(id);
+        let is_elsewhere = self.upgrade.other_process_knows(id);
         if is_elsewhere {
             self.answer(request, SubmitAnswer::Accepted);
         }
@@ -195,7 +195,7 @@
             in_controller: false,
             handover_reserve_bytes,
         });
-        self.place(now, number);
+        self.hand_over_or_deliver(now, number);
     }
 
     /// Passes a message to the controller.
@@ -279,7 +279,7 @@
             if stored && self.upgrade.has_handed_off() {
                 self.release_to_successor(number);
             } else if stored && self.messages.get(number).is_some_and(|message| !message.in_controller) {
-                self.place(now, number);
+                self.hand_over_or_deliver(now, number);
             }
         }
     }
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -45,7 +45,7 @@
         if !self.upgrade.may_take_over(generation) {
             return;
         }
-        let Some(takeover) = self.free_of(generation) else { return };
+        let Some(takeover) = self.available_from(generation) else { return };
         if takeover.messages.is_empty() && !takeover.is_complete {
             return;
         }
@@ -56,14 +56,14 @@
     }
 
     /// Returns what can be taken over from a process, without what this process or a later one already has.
-    fn free_of(&self, generation: Generation) -> Option<Takeover> {
+    fn available_from(&self, generation: Generation) -> Option<Takeover> {
         let other = self.upgrade.other(generation)?;
         let state = other.state();
         let is_complete = other.has_ended();
         let is_known = |id: &str| {
             self.finished.contains(id)
                 || self.final_answers.contains(id)
-                || self.upgrade.later_know(generation, id)
+                || self.upgrade.later_process_knows(generation, id)
         };
         let messages = state.accepted.values();
         let messages = messages.filter(|(accepted, _)| is_complete || accepted.in_flight.is_none());
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -129,17 +129,17 @@
     }
 
     /// Returns whether another process's file exists, whether or not that process has ended.
-    pub fn has_others(&self) -> bool {
+    pub fn has_other_processes(&self) -> bool {
         !self.others.is_empty()
     }
 
     /// Returns whether another process runs, which has to learn of the changes that reach this one.
-    pub fn other_runs(&self) -> bool {
+    pub fn other_process_runs(&self) -> bool {
         self.others.values().any(|other| !other.ended)
     }
 
     /// Returns whether an older process still begins attempts. Until that process has stopped, this one begins none.
-    pub fn older_runs(&self) -> bool {
+    pub fn older_process_runs(&self) -> bool {
         self.older().any(|older| !older.begins_no_attempts())
     }
 
@@ -150,12 +150,12 @@
     }
 
     /// Returns whether another process holds the message or has finished it.
-    pub fn others_know(&self, id: &str) -> bool {
+    pub fn other_process_knows(&self, id: &str) -> bool {
         self.others.values().any(|other| other.knows(id))
     }
 
     /// Returns whether a process after this generation holds the message or has finished it.
-    pub fn later_know(&self, generation: Generation, id: &str) -> bool {
+    pub fn later_process_knows(&self, generation: Generation, id: &str) -> bool {
         self.others.range(generation + 1..).any(|(_, other)| other.knows(id))
     }
 
@@ -163,7 +163,8 @@
     /// ended, and what is not in flight if that process is older and has stopped.
     pub fn may_take_over(&self, generation: Generation) -> bool {
         let Some(other) = self.others.get(&generation) else { return false };
-        let from_older = generation < self.generation && other.begins_no_attempts() && !self.older_runs();
+        let from_older =
+            generation < self.generation && other.begins_no_attempts() && !self.older_process_runs();
         !self.has_handed_off() && (other.ended || from_older)
     }
 
@@ -212,7 +213,7 @@
         updates: Vec<OtherProcessUpdate>,
         gone: &[Generation],
     ) {
-        let older_ran = self.upgrade.older_runs();
+        let older_ran = self.upgrade.older_process_runs();
         self.upgrade.others.retain(|generation, _| !gone.contains(generation));
         for update in updates {
             self.apply_process_update(now, update);
@@ -221,7 +222,7 @@
             self.hand_off(now);
         }
         self.share_space();
-        if older_ran && !self.upgrade.older_runs() {
+        if older_ran && !self.upgrade.older_process_runs() {
             self.begin_attempts();
         }
         for generation in self.upgrade.generations() {
@@ -291,7 +292,7 @@
 
     /// Returns the settings for the controller. Their limit on calls applies to the calls of all processes together.
     pub(super) fn controller_settings(&self) -> Settings {
-        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_runs();
+        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_process_runs();
         let of_older = self.upgrade.older_calls_in_flight();
         let max_calls = if stopped { 0 } else { self.settings.max_calls.saturating_sub(of_older).max(1) };
         let fleet_size = self.ownership.owners_of_each().unwrap_or(self.settings.fleet_size);
@@ -300,7 +301,7 @@
 
     /// Updates this process's part of the folder's limit, which applies to all files together.
     pub(super) fn share_space(&mut self) {
-        self.durability.share_with(self.upgrade.bytes_of_others(), self.upgrade.other_runs());
+        self.durability.share_with(self.upgrade.bytes_of_others(), self.upgrade.other_process_runs());
     }
 
     /// Records that this process accepts clients. From now on, the older process may be asked to end.
