--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -18,8 +18,10 @@
 /// How long a message in doubt is offered again, from its first offer. The owner remembers the ids of finished messages
 /// for longer than this ([`FINISHED_ID_LIFETIME_US`]), unless its disk has room for fewer ids.
 pub(super) const MAX_IN_DOUBT_US: Micros = 20 * SECOND_US;
-const _: () =
-    assert!(MAX_IN_DOUBT_US < FINISHED_ID_LIFETIME_US, "an offer would outlive the owner's memory of its id");
+const _: () = assert!(
+    MAX_IN_DOUBT_US < FINISHED_ID_LIFETIME_US,
+    "an offer must not be repeated after the owner may have forgotten the message's id"
+);
 /// How long after the end of the first failed offer to an owner its messages are delivered here, until an offer is
 /// answered.
 const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
@@ -315,7 +317,7 @@
             self.schedule(&owner);
             debug_assert!(
                 self.timers.first().is_none_or(|(at, _)| *at > now),
-                "an owner is due with nothing"
+                "an owner's timer is due and no message can be offered to it"
             );
         }
         None
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -174,7 +174,7 @@
     pub(super) fn note_handover_from(&mut self, forwarder: &str) {
         if self.ownership.count_handover_from(forwarder) {
             self.log(format!(
-                "handover: accepted a message from a forwarder that is no member forwarder={forwarder:?}"
+                "handover: accepted a message from a forwarder that is not a member forwarder={forwarder:?}"
             ));
         }
     }
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -104,7 +104,7 @@
                 let separate = separate.map(|(destination, uid)| RouteKey::new(destination, Some(uid)));
                 self.faulty_routes = whole.chain(separate).collect();
             }
-            _ => debug_assert!(false, "a record about a message"),
+            _ => debug_assert!(false, "records of messages are handled by the caller"),
         }
     }
 
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -91,12 +91,12 @@
         let count = takeover.messages.len();
         if !stored && !takeover.is_complete {
             return self.log(format!(
-                "upgrade: no room yet for another process's messages messages={count} generation={generation}"
+                "upgrade: no room yet to take over another process's messages messages={count} generation={generation}"
             ));
         }
         if !stored {
             self.log(format!(
-                "upgrade: no room, an ended process's messages are finished messages={count} generation={generation}"
+                "upgrade: no room to take over an ended process's messages, they are finished messages={count} generation={generation}"
             ));
             self.finish_without_room(now, &mut takeover);
         }
--- a/crates/journal/src/codec.rs
+++ b/crates/journal/src/codec.rs
@@ -1,6 +1,6 @@
-//! The bytes of a record in a file.
+//! The encoding of a record in a file.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! |---|---|
 //! | 4 | length of the content, little-endian |
 //! | 4 | CRC-32 of the content, little-endian |
@@ -16,16 +16,16 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes before a record's content: its length and its checksum.
+/// Number of bytes before a record's content, which hold its length and its checksum.
 pub(crate) const FRAME_BYTES: usize = 8;
-/// Bytes before a record's JSON text: its length.
+/// Number of bytes before a record's JSON text, which hold its length.
 const HEAD_BYTES: usize = 4;
 
-/// The tags of records on disk, as the serialization of [`Record`] writes them.
+/// The tags of records on disk. They are the tags that the serialization of [`Record`] writes.
 mod tags {
     pub const ACCEPTED: &str = "taken";
-    /// An accepted message with an idempotency key: versions that know of no keys must not read it, for they would send
-    /// it without.
+    /// Tag of an accepted message with an idempotency key. Versions without support for keys must not read such a
+    /// message, because they would send it without its key.
     pub const ACCEPTED_WITH_KEY: &str = "keyed";
     pub const ATTEMPT_STARTED: &str = "begun";
     pub const ATTEMPT_IN_DOUBT: &str = "ran";
@@ -46,7 +46,7 @@
     pub const FAULTY_ROUTES: &str = "troubled";
 }
 
-/// An accepted message with its tag.
+/// An accepted message together with its tag.
 #[derive(Serialize)]
 struct Tagged<'a> {
     is: &'static str,
@@ -55,7 +55,7 @@
 }
 
 impl Record {
-    /// Appends the framed bytes of this record to `into`; only [`Record::Accepted`] has a body.
+    /// Appends this record, framed, to `into`. Only [`Record::Accepted`] has a body.
     pub fn encode(&self, body: &[u8], into: &mut BytesMut) {
         let start = into.len();
         into.put_bytes(0, FRAME_BYTES + HEAD_BYTES);
@@ -65,7 +65,7 @@
             }
             _ => serde_json::to_writer(into.writer(), self),
         };
-        let Ok(()) = written else { unreachable!("records hold nothing that JSON cannot") };
+        let Ok(()) = written else { unreachable!("every record can be written as JSON") };
         let content_at = start + FRAME_BYTES;
         let text_bytes = into.len() - content_at - HEAD_BYTES;
         into.extend_from_slice(body);
@@ -76,11 +76,11 @@
         into[start + 4..start + 8].copy_from_slice(&checksum.to_le_bytes());
     }
 
-    /// Reads the content of a frame whose checksum holds: it was written so, by this version or another.
+    /// Decodes the content of a frame whose checksum is correct, so that this version or another one wrote it as it is.
     ///
     /// # Errors
     ///
-    /// This version does not know the record.
+    /// This version cannot decode the record.
     pub(crate) fn decode(mut content: Bytes) -> Result<(Record, Bytes), DecodeError> {
         let record_bytes = content.len();
         let text_bytes = content.try_get_u32_le().map_err(|_| DecodeError::NoHead { record_bytes })? as usize;
@@ -92,8 +92,8 @@
     }
 }
 
-/// Reads a record in two passes, its tag first: an enum tagged from within would be read by way of a buffer, which loses
-/// numbers where some other crate has JSON numbers kept as text.
+/// Decodes a record in two passes, the tag first. An internally tagged enum would be decoded through a buffer, which
+/// loses numbers if another crate enables a feature of serde_json that keeps numbers as text.
 pub(crate) fn decode_text(text: &[u8]) -> Result<Record, DecodeError> {
     let tag = serde_json::from_slice::<Tag<'_>>(text).map_err(|source| DecodeError::NoTag { source })?.is;
     let decoded = match tag {
@@ -124,12 +124,12 @@
     decoded.map_err(|source| DecodeError::Fields { tag: tag.to_owned(), source })
 }
 
-/// Reads the fields of a record and makes the record of them.
+/// Decodes the fields of a record and converts them to the record.
 fn fields<T: DeserializeOwned>(text: &[u8], into: impl FnOnce(T) -> Record) -> serde_json::Result<Record> {
     serde_json::from_slice(text).map(into)
 }
 
-/// The same where the message's id is the only field.
+/// Decodes a record whose only field is the message's id.
 fn of_message(text: &[u8], into: impl FnOnce(String) -> Record) -> serde_json::Result<Record> {
     fields(text, |OfMessage { message }| into(message))
 }
--- a/crates/journal/src/codec/tests.rs
+++ b/crates/journal/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Protects the bytes of records: each kind is read as it was written, and as earlier versions wrote it.
+//! Protects the encoding of records: each kind is decoded from what this version or an earlier one wrote.
 
 use super::*;
 use crate::record::HandoverState;
@@ -22,7 +22,7 @@
     })
 }
 
-// Guards against a kind of record that is written and not read.
+// Guards against a kind of record that can be encoded but not decoded.
 #[test]
 fn every_record_kind_round_trips() {
     let (txn, trace) = (
@@ -74,8 +74,9 @@
     }
 }
 
-// Guards against a journal of the version before that can no longer be read, and against a message with a key that
-// such a version would take for one without: it has to meet a kind that it does not know.
+// Guards against a journal of an earlier version that can no longer be read, and against an earlier version that reads
+// a message with an idempotency key as one without. Such a message therefore has a tag that earlier versions do not
+// know.
 #[test]
 fn old_records_decode_and_idempotency_key_has_its_own_tag() {
     let old = br#"{"is":"taken","txn":"a","class":"status","org":"acme","dest":3,"deadline":9,"attempts":2,
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,77 +1,77 @@
-//! What can go wrong with records and files.
+//! The errors of records and files.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the content of a record, though complete, cannot be read: a later version wrote it.
+/// Why a complete record cannot be decoded. A later version wrote it.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// It is too short to say how long its text is.
-    #[error("a record of {record_bytes} bytes has no head")]
+    /// It is too short to hold the length of its text.
+    #[error("a record of {record_bytes} bytes is too short for the length of its text")]
     NoHead {
-        /// Bytes in the record.
+        /// Size of the record, in bytes.
         record_bytes: usize,
     },
-    /// Its text would be longer than itself.
-    #[error("a record of {record_bytes} bytes says that its text has {text_bytes}")]
+    /// It gives its text a length beyond its own end.
+    #[error("a record of {record_bytes} bytes gives its text a length of {text_bytes} bytes")]
     HeadTooLong {
-        /// Bytes that it says its text has.
+        /// Length of the text as given by the record, in bytes.
         text_bytes: usize,
-        /// Bytes in the record.
+        /// Size of the record, in bytes.
         record_bytes: usize,
     },
-    /// Its text is no JSON object with a tag.
-    #[error("a record without a tag: {source}")]
+    /// Its text is not a JSON object with a tag.
+    #[error("a record has no tag: {source}")]
     NoTag {
-        /// What is wrong with the text.
+        /// The JSON error.
         #[source]
         source: serde_json::Error,
     },
-    /// This version knows no such tag.
-    #[error("no kind of record: {tag}")]
+    /// This version does not know its tag.
+    #[error("unknown kind of record: {tag}")]
     UnknownTag {
         /// The tag.
         tag: String,
     },
-    /// Its fields are not those of its tag.
-    #[error("a record of the kind {tag} with other fields: {source}")]
+    /// Its fields do not match its tag.
+    #[error("a record of the kind {tag} has unexpected fields: {source}")]
     Fields {
         /// The tag.
         tag: String,
-        /// What is wrong with the fields.
+        /// The JSON error.
         #[source]
         source: serde_json::Error,
     },
 }
 
-/// Why a file of the journal cannot be used.
+/// Why a journal file or its folder cannot be used.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The system could not do something with a file or with the folder.
+    /// An operation on a file or on the folder failed.
     #[error("cannot {operation} {}: {source}", path.display())]
     Io {
-        /// What was to be done, as a verb.
+        /// The operation, as a verb.
         operation: &'static str,
         /// The file or folder.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
-    /// A record is complete and cannot be read. The file stays as it is.
-    #[error("{}: written by a later version, which has to read it: {source}", path.display())]
+    /// A record is complete and cannot be decoded. The file is left unchanged.
+    #[error("{}: written by a later version, which is needed to read it: {source}", path.display())]
     LaterVersion {
         /// The file.
         path: PathBuf,
-        /// What is not known of the record.
+        /// Why the record cannot be decoded.
         #[source]
         source: DecodeError,
     },
 }
 
 impl JournalError {
-    /// Makes the error of an operation on a file or folder, for `map_err`.
+    /// Returns a function that makes the error of an operation on a file or folder, for use with `map_err`.
     pub(crate) fn io(operation: &'static str, path: &Path) -> impl FnOnce(io::Error) -> JournalError {
         let path = path.to_owned();
         move |source| JournalError::Io { operation, path, source }
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -1,4 +1,4 @@
-//! The file of this process: opened at its start, appended to, and compacted.
+//! This process's own journal file: opened at the start, appended to, and compacted.
 
 use crate::error::JournalError;
 use crate::folder::{
@@ -12,7 +12,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// The file of this process. The system holds its lock until the process has ended, in whatever way.
+/// This process's own journal file. The operating system holds its lock until the process has ended in any way.
 #[derive(Debug)]
 pub struct Journal {
     generation: Generation,
@@ -21,23 +21,25 @@
     size: usize,
 }
 
-/// A folder as a process finds it at its start.
+/// The content of a folder at the start of a process.
 #[derive(Debug)]
 pub struct OpenedJournal {
-    /// The process's own file: the newest whose process has ended, or a new one.
+    /// The process's own file. It is the newest file if the process of that file has ended, and a new file otherwise.
     pub journal: Journal,
-    /// What is in it.
+    /// The records in this file.
     pub records: RecordsWithBodies,
-    /// The files of all others, those of processes that have ended too.
+    /// The files of all other processes, including processes that have ended.
     pub other_journals: Vec<OtherJournal>,
 }
 
 impl Journal {
-    /// Opens the journal of a folder, cuts off a torn tail, and gives what is in it and which others there are.
+    /// Opens the journal of a folder, truncates an incomplete record at its end, and returns its records and the other
+    /// journals of the folder.
     ///
     /// # Errors
     ///
-    /// The folder or a file in it cannot be read or written, or holds a record of a later version: that stays as it is.
+    /// The folder or a file in it cannot be read or written, or the process's file holds a record of a later version.
+    /// Such a file is left unchanged.
     pub fn open(folder: &Path) -> Result<OpenedJournal, JournalError> {
         let generations = generations(folder)?;
         let newest = generations.last().copied();
@@ -50,7 +52,7 @@
         let bytes = fs::read(&path).map_err(JournalError::io("read", &path))?;
         let RecoveredRecords { records, complete_bytes, unreadable } = read(bytes.into());
         reject_unreadable(&path, unreadable)?;
-        // A compaction that a kill cut short: the journal itself is still complete.
+        // Left by a compaction that a kill interrupted. The journal itself is still complete.
         remove(&compaction_path(&path))?;
         file.set_len(complete_bytes as u64).map_err(JournalError::io("truncate", &path))?;
         let others = generations.into_iter().filter(|other| *other != generation);
@@ -59,25 +61,25 @@
         Ok(OpenedJournal { journal, records, other_journals })
     }
 
-    /// Number of the file: that of a process which started later is higher.
+    /// Returns the generation of the file. A process that started later has a higher one.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// Bytes in the file.
+    /// Returns the size of the file, in bytes.
     pub fn size(&self) -> usize {
         self.size
     }
 
-    /// Appends bytes. They are in the file once this returns, and are not synced to the disk.
+    /// Appends bytes. When this returns, they are in the file and not synced to the disk.
     ///
     /// # Errors
     ///
-    /// They could not be written; what was there stays complete. If the file cannot be cut back to that either, part of a
-    /// record stays at its end, and readers stop before it.
+    /// The bytes could not be written. The earlier content stays complete. If the file cannot be truncated to it
+    /// either, part of a record stays at the end, and readers stop before that part.
     pub fn append(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
         if let Err(error) = self.file.write_all(bytes) {
-            // Half a record would hide all that follow it.
+            // An incomplete record would hide all records after it.
             let _ = self.file.set_len(self.size as u64);
             return Err(JournalError::io("append to", &self.path)(error));
         }
@@ -85,11 +87,11 @@
         Ok(())
     }
 
-    /// Puts these bytes in the place of all that is there.
+    /// Replaces the content of the file with these bytes.
     ///
     /// # Errors
     ///
-    /// They could not be written; what was there stays.
+    /// The bytes could not be written. The earlier content stays.
     pub fn rewrite(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
         let compacted = compaction_path(&self.path);
         match self.write_compacted(&compacted, bytes) {
@@ -107,7 +109,7 @@
         let failed = || JournalError::io("write", compacted);
         let mut file = OpenOptions::new().create(true).append(true).open(compacted).map_err(failed())?;
         file.set_len(0).map_err(failed())?;
-        // Locked before it has the journal's name: at no moment does the file look as if its process had ended.
+        // Locked before it is renamed to the journal's name, so that the file never looks as if its process had ended.
         lock(&file, compacted)?;
         file.write_all(bytes).map_err(failed())?;
         fs::rename(compacted, &self.path).map_err(failed())?;
--- a/crates/journal/src/file/tests.rs
+++ b/crates/journal/src/file/tests.rs
@@ -1,4 +1,4 @@
-//! Protects a process's own file, and what the others read of it.
+//! Protects a process's own file, and how other processes read it.
 
 use super::*;
 use crate::codec::tests::taken;
@@ -6,7 +6,7 @@
 use crate::record::Record;
 use bytes::BytesMut;
 
-// Guards against a rewrite that loses appends: those after it must go to the new file.
+// Guards against a compaction after which appends still go to the old file and are lost.
 #[test]
 fn appends_after_compaction_go_to_the_new_file() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-journal-{}", std::process::id()));
@@ -31,8 +31,8 @@
     fs::remove_dir_all(&folder).expect("cleans up");
 }
 
-// Guards against two processes that write one file, against one that is taken for ended while it rewrites its file,
-// and against records read twice or left out where one follows the other's file.
+// Guards against two processes that write to one file, against a process that is taken for ended while it compacts its
+// file, and against records that another process reads twice or misses.
 #[test]
 fn each_process_has_its_own_file_and_reads_the_others() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-journals-{}", std::process::id()));
@@ -51,27 +51,34 @@
     let mut opened = Journal::open(&folder).expect("opens");
     assert_eq!((elder.generation(), opened.journal.generation(), opened.records.len()), (0, 1, 0));
     let other = &mut opened.other_journals[0];
-    let look = other.read_new().expect("read").expect("there");
+    let look = other.read_new().expect("read").expect("the file exists");
     assert!(look.rewritten && !look.ended);
     assert_eq!(seen(look), ["a"]);
     let half = bytes("b");
     elder.file.write_all(&half[..half.len() / 2]).expect("writes");
-    assert!(seen(other.read_new().expect("read").expect("there")).is_empty(), "half a record is none yet");
+    assert!(
+        seen(other.read_new().expect("read").expect("the file exists")).is_empty(),
+        "an incomplete record must not be read"
+    );
     elder.file.write_all(&half[half.len() / 2..]).expect("writes");
-    let look = other.read_new().expect("read").expect("there");
+    let look = other.read_new().expect("read").expect("the file exists");
     assert!(!look.rewritten && !look.ended);
     assert_eq!(seen(look), ["b"]);
     elder.rewrite(&bytes("c")).expect("rewrites");
-    let look = other.read_new().expect("read").expect("there");
-    assert!(look.rewritten && !look.ended, "a rewrite is no end");
+    let look = other.read_new().expect("read").expect("the file exists");
+    assert!(look.rewritten && !look.ended, "a compaction must not look like the end of the process");
     assert_eq!(seen(look), ["c"]);
     assert!(find_other_journals(&folder, |known| known < 2).expect("read").is_empty());
     drop(elder);
-    let look = other.read_new().expect("read").expect("there");
+    let look = other.read_new().expect("read").expect("the file exists");
     assert!(look.ended && !look.rewritten && look.records.is_empty());
     other.remove().expect("removed");
     assert!(other.read_new().expect("read").is_none());
     drop(opened);
-    assert_eq!(Journal::open(&folder).expect("opens").journal.generation(), 1, "the newest goes on");
+    assert_eq!(
+        Journal::open(&folder).expect("opens").journal.generation(),
+        1,
+        "the newest file must be used again"
+    );
     fs::remove_dir_all(&folder).expect("cleans up");
 }
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -1,6 +1,6 @@
-//! The folder: names of files, and the locks that say whether their processes run.
+//! The folder: the names of the files, and the locks that tell whether their processes run.
 //!
-//! A process holds the lock of its file until it has ended, in whatever way; the system releases it then.
+//! A process holds the lock of its file until it has ended in any way, and the operating system then releases the lock.
 
 use crate::error::{DecodeError, JournalError};
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -8,7 +8,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Number of a file in the folder: 0 is `journal`, 7 is `journal.7`. That of a process started later is higher.
+/// Number of a file in the folder: 0 for `journal`, 7 for `journal.7`. A process that started later has a higher one.
 pub type Generation = u64;
 
 const JOURNAL_FILE_NAME: &str = "journal";
@@ -21,14 +21,14 @@
     folder.join(name)
 }
 
-/// Where a compacted file is written before it takes the journal's name.
+/// Returns the path at which a compacted file is written before it is renamed to the journal's name.
 pub(crate) fn compaction_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
     name.into()
 }
 
-/// Removes a file if it is there.
+/// Removes a file if it exists.
 pub(crate) fn remove(path: &Path) -> Result<(), JournalError> {
     match fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(JournalError::io("remove", path)(error)),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The files in a folder, the oldest first.
+/// Returns the generations of the journal files in a folder, the oldest first.
 pub(crate) fn generations(folder: &Path) -> Result<Vec<Generation>, JournalError> {
     let unreadable = || JournalError::io("read", folder);
     let mut found = Vec::new();
@@ -53,7 +53,7 @@
     Ok(found)
 }
 
-/// Takes the lock of a file; whether nobody else has it.
+/// Tries to lock a file. Returns `false` if another process holds the lock.
 pub(crate) fn lock(file: &File, path: &Path) -> Result<bool, JournalError> {
     match file.try_lock() {
         Ok(()) => Ok(true),
@@ -62,19 +62,20 @@
     }
 }
 
-/// Takes over the file of a process that has ended; none where it runs.
+/// Opens and locks the file of a process that has ended. Returns `None` if the process still runs.
 pub(crate) fn take_over_ended(folder: &Path, generation: Generation) -> Result<Option<File>, JournalError> {
     let path = path_of(folder, generation);
     let file = OpenOptions::new().append(true).open(&path).map_err(JournalError::io("open", &path))?;
     Ok((lock(&file, &path)? && is_still_named(&file, &path)).then_some(file))
 }
 
-/// Whether this is still the file with that name: a compaction puts another in its place.
+/// Returns whether the path still names this file. A compaction replaces it by another file.
 pub(crate) fn is_still_named(file: &File, path: &Path) -> bool {
     fs::metadata(path).is_ok_and(|named| file.metadata().is_ok_and(|held| held.ino() == named.ino()))
 }
 
-/// Makes a file of this generation, or of the next that nobody else makes at the same time or has removed.
+/// Creates and locks a file of generation `first`, or of the next higher one that no other process creates or removes
+/// at the same time.
 pub(crate) fn create(
     folder: &Path,
     first: Generation,
@@ -83,22 +84,23 @@
     for generation in first.. {
         let path = path_of(folder, generation);
         match make(&path) {
-            // Between its name and its lock another process may have taken it for one that ended, and removed it.
+            // Before the lock was taken, another process may have taken the file for that of an ended process, and
+            // removed it.
             Ok(file) if lock(&file, &path)? && is_still_named(&file, &path) => return Ok((generation, file)),
             Ok(_) => {}
             Err(error) if error.kind() == io::ErrorKind::AlreadyExists => {}
             Err(error) => return Err(JournalError::io("create", &path)(error)),
         }
     }
-    Err(JournalError::io("create another file in", folder)(io::Error::other("no generation is left")))
+    Err(JournalError::io("create another file in", folder)(io::Error::other("no higher generation exists")))
 }
 
-/// Makes a file that is not there.
+/// Creates a file that must not exist yet.
 pub(crate) fn make(path: &Path) -> io::Result<File> {
     OpenOptions::new().create_new(true).append(true).open(path)
 }
 
-/// A record that is complete and cannot be read ends the reading, and nothing is cut off or guessed.
+/// Returns an error if a complete record cannot be decoded, so that nothing is truncated or guessed.
 pub(crate) fn reject_unreadable(path: &Path, unreadable: Option<DecodeError>) -> Result<(), JournalError> {
     match unreadable {
         None => Ok(()),
--- a/crates/journal/src/folder/making_tests.rs
+++ b/crates/journal/src/folder/making_tests.rs
@@ -1,11 +1,11 @@
-//! Protects a process that makes its file while another one looks at the folder: whatever the other has done to the file
-//! before it was locked, the process ends up with a file that has its name.
+//! Protects a process that creates its file while another process scans the folder. Whatever the other process does to
+//! the file before it is locked, the first process ends up with a file that has its name in the folder.
 
 use super::*;
 use crate::other::{OtherJournal, find_other_journals};
 use std::cell::Cell;
 
-/// A folder of its own for one test, gone when the test is over.
+/// A folder for one test, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -22,17 +22,18 @@
     }
 }
 
-/// Takes the file of this generation for one of a process that has ended, as a scan of the folder does, and removes it.
+/// Takes the file of this generation for that of an ended process, as a scan of the folder does, and removes it.
 fn scan_and_remove(folder: &Path, generation: Generation) -> OtherJournal {
     let mut found = find_other_journals(folder, |known| known != generation).expect("read");
     let mut other = found.pop().expect("the file has its name");
     let look = other.read_new().expect("read").expect("there");
-    assert!(look.ended && look.records.is_empty(), "nobody holds its lock");
+    assert!(look.ended && look.records.is_empty(), "no process holds its lock");
     other.remove().expect("removed");
     other
 }
 
-/// Makes files; between the making of the first and its return, another process does this.
+/// Returns a function that creates files. After it has created the first file and before it returns, it calls
+/// `meanwhile`, which stands for another process.
 fn making<'a>(meanwhile: impl Fn() + 'a) -> impl Fn(&Path) -> io::Result<File> + 'a {
     let first = Cell::new(true);
     move |path| {
@@ -44,19 +45,23 @@
     }
 }
 
-// The other process has removed the file and is gone: the lock can be taken, but on a file without a name.
+// Guards against keeping a file that another process removed before it was locked. The other process has ended, so the
+// lock can be taken, but the file no longer has a name.
 #[test]
 fn a_file_removed_before_its_lock_is_not_kept() {
     let folder = Folder::new("removed");
     let made = create(&folder.0, 3, making(|| drop(scan_and_remove(&folder.0, 3))));
     let (generation, file) = made.expect("made");
     let path = path_of(&folder.0, generation);
-    assert!(is_still_named(&file, &path), "{} is the file that is locked", path.display());
-    assert_eq!(generations(&folder.0).expect("read"), [generation], "and the only one");
-    assert!(!lock(&File::open(&path).expect("there"), &path).expect("asked"), "others see its lock");
+    assert!(is_still_named(&file, &path), "{} must be the locked file", path.display());
+    assert_eq!(generations(&folder.0).expect("read"), [generation], "it must be the only file");
+    assert!(
+        !lock(&File::open(&path).expect("there"), &path).expect("asked"),
+        "other processes must find it locked"
+    );
 }
 
-// The other process still holds the lock of what it has removed.
+// Guards against keeping a file that another process removed and still holds the lock of.
 #[test]
 fn a_file_removed_and_still_locked_by_another_is_not_kept() {
     let folder = Folder::new("held");
@@ -64,5 +69,5 @@
     let made = create(&folder.0, 0, making(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
     let (generation, file) = made.expect("made");
     assert!(is_still_named(&file, &path_of(&folder.0, generation)));
-    assert!(held.take().is_some(), "the other process was there");
+    assert!(held.take().is_some(), "the other process must have removed a file");
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,13 +1,15 @@
-//! The journal: what must outlast the process. Records, their bytes, the files of a folder, and its disk space.
+//! The journal, which holds the state that must survive the process: records, their encoding, the files of a folder,
+//! and its disk space.
 //!
-//! A record is framed by its length and a checksum, so that a tail torn by a kill is told from a complete one. When the
-//! file has grown it is compacted: a snapshot takes its place, and the old and the new together keep to the limit.
+//! A record is framed by its length and a checksum, so that an incomplete record left by a kill can be recognized. When
+//! the file has grown, it is compacted: a snapshot replaces it. The old and the new file together stay within the
+//! folder's limit.
 //!
-//! An append is in the file when it returns, and survives the end of the process; it is not synced to the disk. The
-//! forwarder sends a 202, and a call's first byte, only after the append of the record that says so.
+//! When an append returns, its bytes are in the file and survive the end of the process. They are not synced to the
+//! disk. The forwarder sends a 202, or the first byte of a call, only after the append of the corresponding record.
 //!
-//! Processes that share a folder, as in an upgrade, have a file each, under a lock that the system releases when the
-//! process ends. Each reads those of the others.
+//! Processes that share a folder, as in an upgrade, each have a file of their own, with a lock that the operating
+//! system releases when the process ends. Each process reads the files of the others.
 
 #![deny(missing_docs)]
 
--- a/crates/journal/src/other.rs
+++ b/crates/journal/src/other.rs
@@ -1,4 +1,4 @@
-//! The files of other processes on the folder, read as they grow.
+//! The journal files of other processes on the folder, which are read as they grow.
 
 use crate::error::JournalError;
 use crate::folder::{self, Generation, compaction_path, generations, is_still_named, lock, path_of};
@@ -9,27 +9,28 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The file of another process.
+/// The journal file of another process.
 #[derive(Debug)]
 pub struct OtherJournal {
     generation: Generation,
     path: PathBuf,
     inode: u64,
     read_bytes: usize,
-    /// Its lock, once its process has ended: nobody else takes it up.
+    /// The file with its lock, once its process has ended; `None` before. The lock keeps other processes from taking
+    /// the file over.
     lock: Option<File>,
 }
 
-/// What has come in another process's file.
+/// The changes to another process's file since the last update.
 #[derive(Debug)]
 pub struct JournalUpdate {
-    /// The file was compacted: the records begin anew.
+    /// Whether the file was compacted. If `true`, `records` start from the beginning of the new file.
     pub rewritten: bool,
-    /// What has come since the last update.
+    /// The records added since the last update.
     pub records: RecordsWithBodies,
-    /// Bytes in the file.
+    /// Size of the file, in bytes.
     pub size: usize,
-    /// Its process has ended: nothing more will come, and this process holds the lock.
+    /// Whether its process has ended. If `true`, nothing more will be added, and this process holds the lock.
     pub ended: bool,
 }
 
@@ -38,12 +39,12 @@
         OtherJournal { generation, path: path_of(folder, generation), inode: 0, read_bytes: 0, lock: None }
     }
 
-    /// Number of the file.
+    /// Returns the generation of the file.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// Reads what is new in the file; none where it is gone.
+    /// Reads what is new in the file. Returns `None` if the file no longer exists.
     ///
     /// # Errors
     ///
@@ -54,13 +55,13 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(JournalError::io("open", &self.path)(error)),
         };
-        // First the lock: whoever held it has written its last byte then.
+        // The lock comes first, because a process that no longer holds it has written its last byte.
         self.lock_if_ended()?;
         let (rewritten, bytes) = self.read_rest(&mut file).map_err(JournalError::io("read", &self.path))?;
         let size = self.read_bytes + bytes.len();
         let RecoveredRecords { records, complete_bytes, unreadable } = read(bytes.into());
-        // What a later version writes behind a record of its own kind is not for this one; what came before is given, and
-        // the file of one that has ended is left where it is.
+        // A record that only a later version knows ends the reading. The records before it are returned. It is an error
+        // if no record comes before it, or if the process has ended, so that the file of an ended process is kept.
         if records.is_empty() || self.lock.is_some() {
             let lock = self.lock.take();
             folder::reject_unreadable(&self.path, unreadable)?;
@@ -80,7 +81,7 @@
         Ok(())
     }
 
-    /// Whether the file is another than before, and its bytes after those that were read.
+    /// Returns whether the file was replaced since the last call, and its bytes after those already read.
     fn read_rest(&mut self, file: &mut File) -> io::Result<(bool, Vec<u8>)> {
         let metadata = file.metadata()?;
         let rewritten = metadata.ino() != self.inode || (metadata.len() as usize) < self.read_bytes;
@@ -94,7 +95,7 @@
         Ok((rewritten, bytes))
     }
 
-    /// Removes the file of a process that has ended, once what it held is kept elsewhere.
+    /// Removes the file of a process that has ended. To be called once its content is stored elsewhere.
     ///
     /// # Errors
     ///
@@ -105,7 +106,7 @@
     }
 }
 
-/// The files of processes that are not known yet.
+/// Returns the files of the folder whose generation is not yet known.
 ///
 /// # Errors
 ///
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,6 +1,6 @@
-//! Records: what the journal holds. How they stand in a file is in [`codec`](crate::codec).
+//! The records that the journal holds. [`codec`](crate::codec) defines their encoding in a file.
 //!
-//! The names of fields and tags on disk are those of the first version, in `serde(rename)` here.
+//! The names of fields and tags on disk are those of the first version; `serde(rename)` maps them.
 
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::WatchEvent;
@@ -8,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How a message ended without delivery.
+/// The final answer to a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalAnswer {
-    /// Given up, with no promise.
+    /// Failed. The message may have been delivered, so submitting it again may repeat it.
     Failed,
-    /// Rejected: it may be submitted again.
+    /// Rejected. The client may safely submit the message again.
     #[serde(rename = "returned")]
     Rejected {
-        /// After so many milliseconds.
+        /// Time after which it may be submitted again, in milliseconds.
         #[serde(rename = "after_ms")]
         retry_after_ms: i64,
     },
 }
 
-/// A delivery attempt: when it began, and at which endpoint.
+/// The start of a delivery attempt: its time and its endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptStart {
     /// When it began, as Unix time in microseconds.
@@ -32,13 +32,13 @@
     /// The endpoint's uid.
     #[serde(rename = "uid")]
     pub endpoint: String,
-    /// The endpoint's zone when the attempt began: only there is a repeat dropped, wherever the endpoint is listed later.
-    /// Empty in records of earlier versions.
+    /// The endpoint's zone when the attempt began. Only in this zone is a repeat dropped, even if the endpoint is
+    /// listed in another zone later. Empty in records of earlier versions.
     #[serde(rename = "az", default, skip_serializing_if = "String::is_empty")]
     pub zone: String,
 }
 
-/// A message that was accepted, with what has become of it so far. Its body is kept beside it.
+/// A message that was accepted, with its history so far. Its body is stored separately.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     /// Its id.
@@ -46,10 +46,10 @@
     pub id: String,
     /// Name of its class.
     pub class: String,
-    /// Its tenant; empty where the deployment has none.
+    /// Its tenant; empty if the deployment has no tenants.
     #[serde(rename = "org")]
     pub tenant: String,
-    /// Its idempotency key, as it came.
+    /// Its idempotency key, exactly as received; `None` if it has none.
     #[serde(rename = "key", default, skip_serializing_if = "Option::is_none")]
     pub idempotency_key: Option<String>,
     /// Its destination.
@@ -57,16 +57,16 @@
     pub destination: u64,
     /// Its deadline, as Unix time in microseconds.
     pub deadline: Micros,
-    /// Attempts used.
+    /// Number of attempts used so far.
     pub attempts: u32,
-    /// The first attempt that may have delivered it.
+    /// The first attempt that may have delivered it; `None` if there is none.
     #[serde(rename = "ran")]
     pub possible_delivery: Option<AttemptStart>,
-    /// The attempt in flight.
+    /// The attempt in flight; `None` if there is none.
     #[serde(rename = "out")]
     pub in_flight: Option<AttemptStart>,
-    /// Its handover to the forwarder that owns its destination: written as records of its own, which versions that do not
-    /// know them reject.
+    /// Its handover to the forwarder that owns its destination. It is written as separate records, which versions
+    /// without support for handovers reject.
     #[serde(skip)]
     pub handover: HandoverState,
 }
@@ -74,9 +74,9 @@
 /// The handover of a message to the forwarder that owns its destination.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// The offer to a forwarder that may have accepted it.
+    /// The offer to a forwarder that may have accepted it; `None` if there is none.
     pub offered: Option<HandoverOffer>,
-    /// It is delivered by this forwarder, whoever owns its destination.
+    /// Whether this forwarder delivers it, regardless of the owner of its destination.
     pub kept_local: bool,
 }
 
@@ -85,12 +85,12 @@
 pub struct HandoverOffer {
     /// The owner's name.
     pub owner: String,
-    /// When it was first offered to it.
+    /// When it was first offered to this owner, as Unix time in microseconds.
     pub offered_at: Micros,
 }
 
 impl AcceptedMessage {
-    /// The records that follow the message's own in a snapshot.
+    /// Returns the records that follow the message's own record in a snapshot.
     pub fn handover_records(&self) -> Vec<Record> {
         let offered = self.handover.offered.iter().map(|HandoverOffer { owner: to, offered_at: at }| {
             Record::HandoverOffered { message: self.id.clone(), owner: to.clone(), at: *at }
@@ -99,8 +99,8 @@
         offered.chain(kept).collect()
     }
 
-    /// The forwarder that it was offered to may have it and is not asked any more: from now on that counts as an attempt
-    /// that may have delivered it, at an endpoint that is not known here.
+    /// Ends an offer whose result is unknown. From now on the offer counts as an attempt that may have delivered the
+    /// message, at an endpoint that this forwarder does not know.
     pub fn count_offer_as_attempt(&mut self) {
         if let Some(offered) = self.handover.offered.take() {
             let unknown =
@@ -110,12 +110,12 @@
     }
 }
 
-/// What the journal holds. Times are Unix time in microseconds.
+/// A record of the journal. Times are Unix time in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum Record {
-    /// A message was accepted. One with an idempotency key is written under a tag of its own: versions that know of no
-    /// keys must not read it, for they would send it without.
+    /// A message was accepted. A message with an idempotency key is written under a tag of its own, because versions
+    /// without support for keys must not read it: they would send it without its key.
     #[serde(rename = "taken")]
     Accepted(AcceptedMessage),
     /// A call is about to be written.
@@ -124,7 +124,7 @@
         /// The messages in it.
         #[serde(rename = "txns")]
         messages: Vec<String>,
-        /// When and where.
+        /// The time and the endpoint.
         #[serde(rename = "trace")]
         attempt: AttemptStart,
     },
@@ -149,13 +149,13 @@
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The final answer is decided; the platform is still to be notified of it.
+    /// The final answer is decided, and the platform has yet to accept its notification.
     #[serde(rename = "owed")]
     AnswerDecided {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
-        /// When.
+        /// The time.
         at: Micros,
         /// The answer.
         #[serde(rename = "verdict")]
@@ -167,7 +167,7 @@
         /// The message.
         #[serde(rename = "txn")]
         message: String,
-        /// When.
+        /// The time.
         at: Micros,
     },
     /// The message is about to be offered to the forwarder that owns its destination.
@@ -179,31 +179,31 @@
         /// The owner's name.
         #[serde(rename = "to")]
         owner: String,
-        /// When.
+        /// The time.
         at: Micros,
     },
-    /// The forwarder that it was offered to has not accepted it.
+    /// The forwarder to which the message was offered has not accepted it.
     #[serde(rename = "declined")]
     HandoverDeclined {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The forwarder that it was offered to may have accepted it and is not asked any more.
+    /// The forwarder to which the message was offered may have accepted it, and the offer is not repeated.
     #[serde(rename = "unresolved")]
     HandoverInDoubt {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The message is delivered by this forwarder, whoever owns its destination.
+    /// This forwarder delivers the message, regardless of the owner of its destination.
     #[serde(rename = "kept")]
     KeptLocal {
         /// The message.
         #[serde(rename = "txn")]
         message: String,
     },
-    /// The owner has accepted the message: here it is finished.
+    /// The owner has accepted the message, which is thereby finished here.
     HandedOver {
         /// The message.
         #[serde(rename = "txn")]
@@ -211,27 +211,28 @@
         /// The owner's name.
         #[serde(rename = "to")]
         owner: String,
-        /// When.
+        /// The time.
         at: Micros,
     },
     /// An event of the endpoint list: a snapshot or a delta.
     #[serde(rename = "map")]
     EndpointList(WatchEvent),
-    /// A reload has put the file's discovery in the place of this address, which was given apart from it.
+    /// A reload has replaced this address of discovery, which was given on the command line, by the address in the
+    /// configuration file.
     #[serde(rename = "superseded")]
     DiscoverySuperseded {
-        /// The address given.
+        /// The replaced address.
         discovery: SocketAddr,
     },
-    /// An operator has ejected an endpoint, or restored it.
+    /// An operator has ejected or restored an endpoint.
     #[serde(rename = "by_hand")]
     OperatorOverride {
-        /// The endpoint.
+        /// The endpoint's uid.
         #[serde(rename = "uid")]
         endpoint: String,
-        /// When.
+        /// The time.
         at: Micros,
-        /// Ejected, or restored.
+        /// `true` if ejected, `false` if restored.
         #[serde(rename = "out")]
         ejected: bool,
     },
@@ -241,44 +242,45 @@
         /// The destination.
         #[serde(rename = "dest")]
         destination: u64,
-        /// The endpoint, where its endpoints have separate routes.
+        /// The endpoint's uid if the destination's endpoints have separate routes; `None` if the route is the whole
+        /// destination.
         #[serde(rename = "uid", default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
-        /// Until when.
+        /// The end of the Retry-After.
         until: Micros,
     },
-    /// How far this process is: each stage once, in their order.
+    /// The process has reached a stage. Each stage is recorded once, in ascending order.
     #[serde(rename = "stage")]
     ProcessStage {
-        /// From here on.
+        /// The stage.
         stage: ProcessStage,
     },
     /// All faulty routes.
     #[serde(rename = "troubled")]
     FaultyRoutes {
-        /// Numbers of the destinations.
+        /// The destinations that are faulty as a whole.
         #[serde(rename = "dests")]
         destinations: Vec<u64>,
-        /// Separate routes: the destination's number and the endpoint's uid.
+        /// The separate routes that are faulty: the destination and the endpoint's uid.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         routes: Vec<(u64, String)>,
     },
 }
 
-/// How far a process is, for those that share its folder.
+/// The stage of a process, recorded for the processes that share its folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessStage {
-    /// It has started.
+    /// The process has started.
     #[default]
     Started,
-    /// It accepts clients.
+    /// The process accepts clients.
     Ready,
-    /// It has handed off to its successor: it begins no more attempts, and what it holds and has not in flight is the
-    /// successor's, as is each message whose attempt ends without delivery from here on.
+    /// The process has handed off to its successor and begins no more attempts. The messages that it holds and that are
+    /// not in flight belong to the successor, and so does each message whose attempt ends without delivery afterwards.
     #[serde(rename = "yielded")]
     HandedOff,
 }
 
-/// Records with the bodies of those that have one, in the order of the file.
+/// Records, each with its body (empty if it has none), in the order of the file.
 pub type RecordsWithBodies = Vec<(Record, Bytes)>;
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,21 +1,23 @@
-//! Recovery: which records of a file can be read after a process has ended in whatever way.
+//! Recovery: reads the records of a file after its process has ended in any way.
 
 use crate::error::DecodeError;
 use crate::record::{Record, RecordsWithBodies};
 use bytes::{Buf, Bytes};
 
-/// What can be read of a file.
+/// The result of reading a file.
 #[derive(Debug, Default)]
 pub struct RecoveredRecords {
-    /// The records up to the first that is not complete or not known.
+    /// The records before the first record that is incomplete or unknown.
     pub records: RecordsWithBodies,
-    /// The bytes that they take up.
+    /// Size of these records in the file, in bytes.
     pub complete_bytes: usize,
-    /// Why the next record, though complete, cannot be read: a later version wrote it. It is not to be cut off.
+    /// Why the next record is complete and cannot be decoded; `None` if there is no such record. A later version wrote
+    /// it, so it must not be truncated.
     pub unreadable: Option<DecodeError>,
 }
 
-/// Reads a file. A tail that is not complete was torn by a kill; a record that is complete and not known was not.
+/// Reads the records of a file. An incomplete record at the end was left by a kill. A record that is complete and
+/// unknown was not.
 pub fn read(mut file: Bytes) -> RecoveredRecords {
     let mut reading = RecoveredRecords::default();
     let all = file.len();
@@ -27,7 +29,8 @@
             return reading;
         }
         let content = rest.split_to(length as usize);
-        // A tail of zeros, as some file systems leave it, has a length of none and the sum of that.
+        // Some file systems leave zeros at the end of a file. They read as a record with length 0 and the correct
+        // checksum of no content.
         if content.is_empty() || crc32fast::hash(&content) != sum {
             return reading;
         }
@@ -42,7 +45,7 @@
     }
 }
 
-/// The records of a file up to the first that cannot be read, and the bytes that they take up.
+/// Returns the records of a file before the first that cannot be read, and their size in bytes.
 pub fn replay(file: Bytes) -> (RecordsWithBodies, usize) {
     let reading = read(file);
     (reading.records, reading.complete_bytes)
--- a/crates/journal/src/recovery/tests.rs
+++ b/crates/journal/src/recovery/tests.rs
@@ -1,11 +1,12 @@
-//! Protects what a kill leaves: complete records are read, a torn tail is not.
+//! Protects the recovery after a kill: complete records are read, an incomplete one at the end is not.
 
 use super::*;
 use crate::codec::FRAME_BYTES;
 use crate::codec::tests::taken;
 use bytes::BytesMut;
 
-// Guards against a kill in the middle of a write: what was whole before it must be read, the rest not.
+// Guards against a kill in the middle of a write. The records before it must be read, and the incomplete record must
+// not.
 #[test]
 fn torn_tail_hides_no_record_before_it() {
     let mut bytes = BytesMut::new();
@@ -19,10 +20,11 @@
     let (records, _) = replay(bytes.clone().freeze());
     assert_eq!(records[0], (taken("a"), Bytes::from_static(b"\0any\xffbytes")));
     bytes[first + FRAME_BYTES + 6] ^= 1;
-    assert_eq!(replay(bytes.freeze()).0.len(), 1, "a damaged record is not believed");
+    assert_eq!(replay(bytes.freeze()).0.len(), 1, "a record with a wrong checksum must not be read");
 }
 
-// Guards against a record of a later version taken for a torn tail: it would be cut off, and its message lost.
+// Guards against a record of a later version that is taken for an incomplete record. It would be truncated, and its
+// message lost.
 #[test]
 fn unknown_record_is_not_a_torn_tail() {
     let mut bytes = BytesMut::new();
@@ -37,7 +39,7 @@
     let reading = read(bytes.clone().freeze());
     assert_eq!((reading.records.len(), reading.complete_bytes), (1, first));
     assert!(reading.unreadable.is_some_and(|why| why.to_string().contains("from_tomorrow")));
-    // Torn, it is a tail like any other; so are zeros.
+    // An incomplete record at the end is ignored even if it is of a later version. So are zeros.
     assert!(read(bytes.clone().freeze().slice(..bytes.len() - 1)).unreadable.is_none());
     let zeros = [&bytes[..first], &[0; 64]].concat();
     assert!(read(zeros.into()).unreadable.is_none());
--- a/crates/journal/src/space/tests.rs
+++ b/crates/journal/src/space/tests.rs
@@ -1,8 +1,8 @@
-//! Protects the limit of the folder.
+//! Protects the limit of the folder's size.
 
 use super::*;
 
-// Guards against a folder over its limit: at no time may old file and new one together pass it.
+// Guards against a folder that exceeds its limit. The old and the new file together must stay within it at any time.
 #[test]
 fn old_and_compacted_file_together_stay_within_the_limit() {
     let limit = 1 << 20;
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! A list of 100,000 entries in the journal: written, read back, and torn by a kill at any place.
+//! An endpoint list of 100,000 entries in the journal: written, read back, and left incomplete at any place by a kill.
 
 use bytes::BytesMut;
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
@@ -37,7 +37,7 @@
     bytes
 }
 
-/// A folder of its own, removed at the end.
+/// A folder for one test, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -58,7 +58,8 @@
     }
 }
 
-// Guards against a list that can be written and not read, or that hides the records before it where it was torn.
+// Guards against a list that can be written but not read, and against an incomplete list that hides the records before
+// it.
 #[test]
 fn large_list_round_trips_or_is_torn_as_any_record() {
     let folder = Folder::new("large-lists");
@@ -78,12 +79,16 @@
         let torn = [&before[..], &bytes[..kept]].concat();
         fs::write(&file, torn).expect("writes");
         let OpenedJournal { journal, records, .. } = folder.open();
-        assert!(records.iter().map(|(record, _)| record).eq([&ready]), "{kept} bytes of it");
-        assert_eq!(journal.size(), before.len(), "the torn tail is cut off");
+        assert!(
+            records.iter().map(|(record, _)| record).eq([&ready]),
+            "with {kept} bytes of the list's record"
+        );
+        assert_eq!(journal.size(), before.len(), "the incomplete record must be truncated");
     }
 }
 
-// Guards against a snapshot that is larger than was reckoned with: old file and new one would pass the folder's limit.
+// Guards against a snapshot that is larger than its estimate. The old and the new file would then exceed the folder's
+// limit.
 #[test]
 fn list_size_estimate_is_never_too_small() {
     let longest = |number: usize| EndpointEntry {
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Protects journals of earlier versions: a file that they wrote is read with every field of every kind of record, and
-//! the same records are written as the same bytes, under the same names of files.
+//! Protects journals of earlier versions. A file that they wrote is read with every field of every kind of record. The
+//! same records are written as the same bytes, and the files have the same names.
 
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
@@ -10,9 +10,9 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// The journal as it was written before.
+/// A journal file that an earlier version wrote.
 const STORED: &[u8] = include_bytes!("fixtures/journal");
-/// The texts of its records, one a line.
+/// The JSON texts of its records, one per line.
 const TEXTS: &str = include_str!("fixtures/journal.jsonl");
 
 fn string(text: &str) -> String {
@@ -23,7 +23,7 @@
     AttemptStart { started_at: at, endpoint: string(uid), zone: string(az) }
 }
 
-/// A message with nothing that may be left out.
+/// A message without any optional field.
 fn bare(txn: &str) -> AcceptedMessage {
     AcceptedMessage {
         id: string(txn),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A message with all that there may be beside its key. Its custody is in records of its own.
+/// A message with every optional field except its idempotency key. Its handover is in records of its own.
 fn full(txn: &str) -> AcceptedMessage {
     AcceptedMessage {
         id: string(txn),
@@ -68,7 +68,7 @@
     }
 }
 
-/// An endpoint whose optional parts are empty, at an address of the other kind.
+/// An endpoint whose optional parts are empty, with an IPv6 address.
 fn sparse_target(uid: &str) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
@@ -82,7 +82,7 @@
     }
 }
 
-/// What the file holds: each record with its body, in its order.
+/// Returns the expected records of the file with their bodies, in the order of the file.
 fn expected() -> Vec<(Record, Bytes)> {
     let long_body: Vec<u8> = (0..=255).collect();
     let bodies = [Bytes::from_static(b"{\"is\":\"body\"}\n"), long_body.into()];
@@ -172,7 +172,8 @@
     bytes
 }
 
-/// The text of each record, as the frames of a file hold them: the content's length, its sum, the text's length.
+/// Returns the JSON text of each record in a file. A frame holds the length of its content, its checksum, and the
+/// length of its text.
 fn texts(mut file: &[u8]) -> String {
     let number = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
     let mut texts = String::new();
@@ -185,7 +186,7 @@
     texts
 }
 
-/// A folder of its own, removed at the end.
+/// A folder for one test, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -232,7 +233,7 @@
     assert!(written(&records) == STORED);
 }
 
-// Guards against custody that a snapshot holds in other records than before.
+// Guards against a snapshot that stores a message's handover state in other records than earlier versions did.
 #[test]
 fn handover_state_is_written_as_its_records() {
     let custody = HandoverState {
@@ -261,9 +262,12 @@
     let OpenedJournal { mut journal, records, mut other_journals } = Journal::open(&folder.0).expect("opens");
     let expected = expected();
     assert_eq!((journal.generation(), other_journals.len()), (7, 1));
-    assert!(records == expected[..expected.len() - 1], "the torn one is cut off");
-    assert!(!folder.0.join("journal.7.new").exists(), "a rewrite that was cut short is gone");
-    let look = other_journals[0].read_new().expect("read").expect("there");
+    assert!(records == expected[..expected.len() - 1], "the incomplete record must be truncated");
+    assert!(
+        !folder.0.join("journal.7.new").exists(),
+        "the file of an interrupted compaction must be removed"
+    );
+    let look = other_journals[0].read_new().expect("read").expect("the file exists");
     assert_eq!((other_journals[0].generation(), look.ended, look.size), (0, true, STORED.len()));
     assert!(look.records == expected);
     journal.append(&written(&expected[expected.len() - 1..])).expect("appends");
--- a/crates/journal/tests/wire_records.rs
+++ b/crates/journal/tests/wire_records.rs
@@ -1,5 +1,5 @@
-//! Protects the records in a folder: the program of another release reads them after an upgrade, and beside this one during
-//! it.
+//! Protects the encoding of records. The program of another release reads them after an upgrade, or while it runs
+//! together with this release during the upgrade.
 
 use bytes::BytesMut;
 use orchidyoke_core::endpoint_list::WatchEvent;
@@ -9,7 +9,7 @@
 
 const RECORDS: &str = include_str!("fixtures/wire/records.txt");
 
-/// One record of each kind, some in two forms.
+/// Returns a record of each kind, some kinds in two forms.
 fn records() -> Vec<Record> {
     let txn = || "9b1f".to_owned();
     let trace =
@@ -71,7 +71,7 @@
     let text = |record: &Record| {
         let mut bytes = BytesMut::new();
         record.encode(b"hello", &mut bytes);
-        // The length of the rest, its checksum, and the length of the text.
+        // The head holds the length of the content, its checksum, and the length of the text.
         let head: String = bytes[..12].iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{head} {}\n", String::from_utf8_lossy(&bytes[12..]))
     };
