--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -96,7 +96,7 @@
         }
         if !stored {
             self.log(format!(
-                "upgrade: no room to take over an ended process's messages, they are finished messages={count} generation={generation}"
+                "upgrade: no room for an ended process's messages, they are finished messages={count} generation={generation}"
             ));
             self.finish_without_room(now, &mut takeover);
         }
--- a/crates/forwarder/tests/common/deployments.rs
+++ b/crates/forwarder/tests/common/deployments.rs
@@ -1,17 +1,18 @@
-//! Configurations for tests: two classes, three destinations of two kinds, small limits; in two shapes, as the
-//! deployments of two operators differ.
+//! Configurations for tests: two classes, three destinations of two kinds, and small limits. There are two of them,
+//! which differ like the deployments of two operators.
 #![allow(dead_code)]
 
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 
-/// What it lists: two endpoints of the kind that takes several messages in a call, two that take one.
+/// Returns the endpoints of the first configuration: two of a kind that takes several messages in a call, and two of a
+/// kind that takes one.
 pub fn targets() -> Vec<EndpointEntry> {
     let listed =
         [("s-a", "a", "many", 1), ("s-b", "a", "many", 1), ("s-c", "a", "one", 2), ("s-d", "a", "one", 3)];
     numbered(&listed, 20.0)
 }
 
-/// Endpoints by uid, zone, kind and destination, at addresses that are numbered from port 9 on.
+/// Returns endpoints with these uids, zones, kinds and destinations. Their addresses have consecutive ports from 9.
 fn numbered(listed: &[(&str, &str, &str, u64)], capacity_hint: f64) -> Vec<EndpointEntry> {
     let target = |(number, (uid, az, model, pod_group)): (usize, &(&str, &str, &str, u64))| EndpointEntry {
         uid: (*uid).to_owned(),
@@ -26,7 +27,7 @@
     listed.iter().enumerate().map(target).collect()
 }
 
-/// The text of the configuration.
+/// Returns the text of the first configuration.
 pub fn config(listen: &str, discovery: &str, targets: Vec<EndpointEntry>) -> String {
     let known = serde_json::to_string(&WatchEvent {
         version: 1,
@@ -51,8 +52,8 @@
     )
 }
 
-/// Endpoints of a deployment without tenants, in two buildings: one destination that takes several messages in a call,
-/// two whose endpoints are routes apart.
+/// Returns the endpoints of the second configuration, in two zones. One destination takes several messages in a call.
+/// The endpoints of the other two destinations have separate routes.
 pub fn second_targets() -> Vec<EndpointEntry> {
     let listed = [
         ("s-a", "a", "chains", 1),
@@ -64,7 +65,8 @@
     numbered(&listed, 1.0)
 }
 
-/// Its configuration: a keyed class whose repeats are dropped by building for two seconds, six attempts, no tenants.
+/// Returns the text of the second configuration, with six attempts per message and no tenants. Its class `bread` needs
+/// an idempotency key, and the endpoints of a zone drop repeats for two seconds.
 pub fn second_config(listen: &str, discovery: &str, targets: Vec<EndpointEntry>) -> String {
     let known = serde_json::to_string(&WatchEvent {
         version: 1,
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this package share: configurations, and the reducer played in memory.
+//! Shared parts of the tests of this package: configurations, and the reducer run in memory.
 #![allow(dead_code)]
 
 pub mod deployments;
@@ -16,7 +16,7 @@
 pub const START: Micros = 1_800_000_000 * S;
 pub const DISK: usize = 200_000;
 
-/// The messages of a call.
+/// Returns the ids of the messages of a call.
 pub fn ids(call: &EndpointCall) -> impl Iterator<Item = &str> {
     call.messages.iter().map(|part| &part.id[..])
 }
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -1,10 +1,10 @@
-//! The two deployments of the test configurations, for who looks from outside.
+//! The two deployments of the test configurations, with the properties that are visible from outside the forwarder.
 
 use super::S;
 use orchidyoke_core::endpoint_list::EndpointEntry;
 use orchidyoke_core::interface::Micros;
 
-/// What the two deployments of this module differ in, for who looks from outside.
+/// One of the two deployments. Its methods return the properties in which they differ.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Shape {
     First,
@@ -21,7 +21,8 @@
         write("127.0.0.1:1", "127.0.0.1:2", self.targets())
     }
 
-    /// Name and longest life of the class that may not simply be repeated, or of the other.
+    /// Returns the name and the longest time to the deadline of a class. With `orders`, it is the class whose messages
+    /// may not be repeated freely, otherwise the class whose messages may.
     pub fn class(self, orders: bool) -> (&'static str, Micros) {
         match (self, orders) {
             (Shape::First, true) => ("orders", 28 * S),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Attempts for a message, and its tenant and key.
+    /// Returns the maximum number of attempts per message.
     pub fn attempts(self) -> usize {
         if self == Shape::First { 8 } else { 6 }
     }
@@ -44,7 +45,8 @@
         (self == Shape::Second && orders).then(|| format!("\"key of {txn}\""))
     }
 
-    /// What a wait of this endpoint holds: its destination, or the endpoint alone.
+    /// Returns the route to which a Retry-After of this endpoint applies: the destination, and the endpoint's uid if it
+    /// has a separate route (empty otherwise).
     pub fn route(self, target: &EndpointEntry) -> (u64, String) {
         let apart = self == Shape::Second && target.kind == "shops";
         (target.destination, if apart { target.uid.clone() } else { String::new() })
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -38,7 +38,7 @@
             35 | 36 => Step::Post(flag),
             37 => {
                 let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
-                Step::List { which, state: *g.choose(&states).expect("some") }
+                Step::List { which, state: *g.choose(&states).expect("three states") }
             }
             38 if flag => Step::Move(which),
             38 => Step::Kill,
@@ -64,7 +64,7 @@
             Step::Connect { which, up } => {
                 let Some(id) = self.pick(which, |l| !l.up) else { return };
                 if up {
-                    self.links.get_mut(&id).expect("there").up = true;
+                    self.links.get_mut(&id).expect("the connection exists").up = true;
                     self.input(Input::ConnectionUp { connection: id });
                 } else if let Some(input) = self.close(id, Cause::ConnectionFailed("refused".to_owned())) {
                     self.input(input);
@@ -86,7 +86,7 @@
                 self.news(targets);
             }
             Step::Move(which) => {
-                // To the other building, under its name and at its address.
+                // The endpoint moves to the other zone and keeps its uid and address.
                 self.rev += 1;
                 let place = which % self.list.len();
                 self.list[place].zone = if self.list[place].zone == "a" { "b" } else { "a" }.to_owned();
@@ -114,7 +114,7 @@
             self.restart();
         }
         self.check_figures();
-        // Now and then two steps fall between the module's turns.
+        // After every third step no time passes, so that two steps fall into the same controller round.
         if !number.is_multiple_of(3) {
             self.wait(5_000);
         }
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -1,5 +1,5 @@
-//! One process on a folder of its own, in memory: what the reducer asks for is checked as the far ends of its connections,
-//! the journal's folder and the platform would see it. Clock, network and kills are made up.
+//! One process on a folder of its own, in memory. The effects of the reducer are checked as the endpoints, the
+//! journal's folder and the platform would see them. The clock, the network and kills are simulated.
 
 use super::shape::Shape;
 use super::{DISK, S, START, ids};
@@ -19,19 +19,19 @@
 use std::future::Future;
 use std::pin::Pin;
 
-/// A connection as its far end sees it.
+/// A connection as the endpoint sees it.
 #[derive(Default)]
 pub struct Link {
     pub address: String,
     pub up: bool,
     pub until: Micros,
     pub call: Option<EndpointCall>,
-    /// When it was written, and in which building.
+    /// When the call was written, and the zone of the endpoint.
     pub sent: (Micros, String),
 }
 
 impl Link {
-    /// How far a call had come whose connection closes now.
+    /// Returns how far the call had got if the connection closed now.
     pub fn progress(&self) -> Progress {
         match (&self.call, self.up) {
             (Some(_), _) => Progress::FullyWritten,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A message as its client and the next hops know it.
+/// A message as its client and the endpoints see it.
 #[derive(Default)]
 pub struct Fate {
     pub orders: bool,
@@ -49,9 +49,9 @@
     pub deadline: Micros,
     pub taken_on: bool,
     pub calls: usize,
-    /// Calls that may have run, and that have ended as delivered.
+    /// Whether an endpoint may have processed the message.
     pub may_have_run: bool,
-    /// The first of them: when it was written, and in which building.
+    /// The first call that may have delivered it: when it was written, and the zone of the endpoint.
     pub ran: Option<(Micros, String)>,
     pub delivered: bool,
     pub notice: Option<FinalAnswer>,
@@ -70,13 +70,13 @@
     pub posting: Option<Vec<(String, FinalAnswer)>>,
     pub list: Vec<EndpointEntry>,
     pub rev: u64,
-    /// Watches asked for: number, port of discovery, version held.
+    /// Watches that were started: id, port of discovery, and version of the list in force.
     pub follows: Vec<(u64, u16, u64)>,
     pub waits: BTreeMap<(u64, String), Micros>,
-    /// Endpoints that are out by the forwarder's yes.
+    /// Endpoints that an operator has ejected, which the forwarder has confirmed.
     pub out: BTreeSet<String>,
     pub replies: BTreeMap<RequestId, Said>,
-    /// Seen in this process: messages written whole, and requests turned away before they were taken on.
+    /// Messages of this process whose calls were completely written.
     pub written: u64,
     pub turned_away: u64,
     pub stopped_accepting: bool,
@@ -91,7 +91,7 @@
     Reducer::new(config, 0, records, whole, now)
 }
 
-/// Whom a watch follows, as a port, and from which version on. A catalogue has port 0.
+/// Returns what a watch follows, as a port, and from which version on. A catalogue has port 0.
 pub fn followed(from: &WatchSource) -> (u16, u64) {
     match from {
         WatchSource::Discovery { at, since } => (at.port(), *since),
@@ -99,7 +99,7 @@
     }
 }
 
-/// A catalogue that tells nothing by itself.
+/// A catalogue that sends no events by itself.
 #[derive(Debug)]
 pub struct Still(pub &'static str);
 
@@ -114,7 +114,7 @@
 }
 
 impl World {
-    /// Changes of the list, by the watch that is followed.
+    /// Sends changes of the list as a delta on the current watch.
     pub fn news(&mut self, targets: Vec<EndpointEntry>) {
         let Some((watch, ..)) = self.follows.last().copied() else { return };
         let news =
@@ -166,7 +166,7 @@
         }
     }
 
-    /// What was taken on and has not ended stands in the file, whatever was rewritten.
+    /// Asserts that every accepted message without a final answer is in the journal, also after a compaction.
     pub fn check_journal(&self) {
         let mut there = BTreeSet::new();
         for (record, _) in replay(Bytes::copy_from_slice(&self.file)).0 {
@@ -184,7 +184,7 @@
         let lost: Vec<_> = open.filter(|(txn, _)| !there.contains(*txn)).collect();
         assert!(
             lost.is_empty(),
-            "taken on, and not in the journal: {:?}",
+            "accepted messages that are not in the journal: {:?}",
             lost.iter().map(|l| l.0).collect::<Vec<_>>()
         );
     }
@@ -192,21 +192,24 @@
     pub fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
             Effect::Answer { request: ticket, answer } => {
-                let txn = self.tickets.remove(&ticket).expect("each request is answered once");
+                let txn = self.tickets.remove(&ticket).expect("each request must be answered once");
                 if answer == SubmitAnswer::Accepted {
-                    assert!(self.recorded.contains(&txn), "durable before visible");
-                    self.fates.get_mut(&txn).expect("submitted").taken_on = true;
+                    assert!(
+                        self.recorded.contains(&txn),
+                        "a message must be in the journal before it is accepted"
+                    );
+                    self.fates.get_mut(&txn).expect("the message was submitted").taken_on = true;
                 } else {
                     assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
                     self.turned_away += 1;
                 }
             }
             Effect::Reply { request: ticket, reply } => {
-                assert!(self.replies.insert(ticket, reply).is_none(), "one reply");
+                assert!(self.replies.insert(ticket, reply).is_none(), "each call must get one reply");
             }
             Effect::Append { append: receipt, bytes } => {
                 self.file.extend_from_slice(&bytes);
-                assert!(self.file.len() <= DISK, "the folder is over its limit");
+                assert!(self.file.len() <= DISK, "the folder must not exceed its limit");
                 for (record, _) in replay(bytes).0 {
                     match record {
                         Record::Accepted(taken) => drop(self.recorded.insert(taken.id)),
@@ -217,7 +220,10 @@
                 return Some(Input::Appended { append: receipt, stored: true, size: self.file.len() });
             }
             Effect::CompactJournal { bytes } => {
-                assert!(self.file.len() + bytes.len() <= DISK, "old and new file are over the limit");
+                assert!(
+                    self.file.len() + bytes.len() <= DISK,
+                    "the old and the new file together must not exceed the limit"
+                );
                 self.file = bytes.to_vec();
                 self.rewritten = true;
             }
@@ -231,14 +237,14 @@
                 return Some(Input::CallWritten { connection: link });
             }
             Effect::CloseConnection { connection: link } => return self.close(link, Cause::Cancelled),
-            Effect::Offer(_) => unreachable!("no destination has an owner here"),
+            Effect::Offer(_) => unreachable!("no destination has an owner in these tests"),
             Effect::PostNotifications { notifications: notices, .. } => {
                 assert!(self.posting.replace(notices).is_none())
             }
             Effect::StartWatch { watch, from } => {
                 let (port, since) = followed(&from);
                 self.follows.push((watch, port, since));
-                // What it has missed while it was dead is told at once.
+                // A new watch immediately gets a snapshot with everything that the process has missed.
                 let targets =
                     self.list.iter().filter(|t| t.state != EndpointState::Removed).cloned().collect();
                 let news = WatchEvent {
@@ -251,7 +257,7 @@
             }
             Effect::Log { .. } => {}
             Effect::RemoveJournal { .. } | Effect::HandOverClients | Effect::ReportJournalFull { .. } => {
-                unreachable!("there is no other process")
+                unreachable!("there is no other process in these tests")
             }
             Effect::StopAccepting => assert!(!std::mem::replace(&mut self.stopped_accepting, true)),
             Effect::Exit => self.exited = true,
@@ -261,42 +267,69 @@
 
     pub fn write(&mut self, link: EndpointConnectionId, call: EndpointCall) {
         let out: Vec<&str> = self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
-        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
-        let link = self.links.get_mut(&link).expect("open");
-        assert!(link.up && link.call.is_none(), "one call at a time, on a connection that is up");
-        let target = self.list.iter().find(|t| t.address.to_string() == link.address).expect("listed");
-        assert_eq!(target.state, EndpointState::Active, "nothing new to an endpoint that drains or is gone");
-        assert!(!self.out.contains(&target.uid), "nothing new to one that is out by hand");
+        assert!(
+            ids(&call).all(|txn| !out.contains(&txn)),
+            "a message must not be in two calls at the same time"
+        );
+        let link = self.links.get_mut(&link).expect("the connection is open");
+        assert!(
+            link.up && link.call.is_none(),
+            "a connection must be established and carry one call at a time"
+        );
+        let target =
+            self.list.iter().find(|t| t.address.to_string() == link.address).expect("the endpoint is listed");
+        assert_eq!(
+            target.state,
+            EndpointState::Active,
+            "no new call may go to an endpoint that drains or is removed"
+        );
+        assert!(
+            !self.out.contains(&target.uid),
+            "no new call may go to an endpoint that an operator has ejected"
+        );
         let route = self.shape.route(target);
-        assert!(self.waits.get(&route).is_none_or(|until| *until <= self.now), "a wait is kept");
+        assert!(
+            self.waits.get(&route).is_none_or(|until| *until <= self.now),
+            "no call may go to a route before its Retry-After has ended"
+        );
         link.sent = (self.now, target.zone.clone());
         for txn in ids(&call) {
-            let fate = self.fates.get_mut(txn).expect("submitted");
+            let fate = self.fates.get_mut(txn).expect("the message was submitted");
             assert_eq!(fate.dest, target.destination);
             assert!(fate.taken_on || self.recorded.contains(txn));
-            assert!(self.begun.contains(txn), "an attempt is recorded before its first byte");
+            assert!(self.begun.contains(txn), "an attempt must be recorded before its first byte is written");
             match (self.shape, &fate.ran) {
                 (Shape::First, _) => {
-                    assert!(!fate.orders || !fate.may_have_run, "never twice what may not be repeated")
+                    assert!(
+                        !fate.orders || !fate.may_have_run,
+                        "a message that may not be repeated must not be sent twice"
+                    )
                 }
                 (Shape::Second, Some((first, az))) if fate.orders => {
-                    assert_eq!(*az, target.zone, "only that building drops a repeat");
-                    assert!(self.now < first + 2 * S, "its window has ended");
+                    assert_eq!(*az, target.zone, "a repeat must go to the zone that drops it");
+                    assert!(self.now < first + 2 * S, "a repeat must not be sent after its window");
                 }
                 (Shape::Second, _) => {}
             }
             assert!(self.now < fate.deadline);
             fate.calls += 1;
-            assert!(fate.calls <= self.shape.attempts(), "attempts, restarts or not");
+            assert!(
+                fate.calls <= self.shape.attempts(),
+                "the maximum number of attempts must hold across restarts"
+            );
         }
         for part in &call.messages {
             let orders = self.fates[&part.id].orders;
-            assert_eq!(part.idempotency_key, self.shape.key(&part.id, orders), "the key as it came");
+            assert_eq!(
+                part.idempotency_key,
+                self.shape.key(&part.id, orders),
+                "the idempotency key must be sent unchanged"
+            );
         }
         link.call = Some(call);
     }
 
-    /// The connection closes; what was out may have run.
+    /// Closes a connection. The call on it may have been processed.
     pub fn close(&mut self, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
         let link_state = self.links.remove(&link)?;
         let progress = link_state.progress();
@@ -306,7 +339,7 @@
 
     pub fn may_have_run(&mut self, link: &Link) {
         for txn in link.call.iter().flat_map(ids) {
-            let fate = self.fates.get_mut(txn).expect("submitted");
+            let fate = self.fates.get_mut(txn).expect("the message was submitted");
             fate.may_have_run = true;
             fate.ran.get_or_insert_with(|| link.sent.clone());
         }
@@ -345,8 +378,8 @@
 
     pub fn answer(&mut self, which: usize, how: u8) {
         let Some(id) = self.pick(which, |l| l.call.is_some()) else { return };
-        let link = self.links.get_mut(&id).expect("open");
-        let (call, sent) = (link.call.take().expect("a call is out"), link.sent.clone());
+        let link = self.links.get_mut(&id).expect("the connection is open");
+        let (call, sent) = (link.call.take().expect("a call is in flight"), link.sent.clone());
         let (status, wait_ms) = match how % 10 {
             0..=4 => (200, if how > 240 { 300 } else { 0 }),
             5 => (429, 200 + u64::from(how)),
@@ -357,7 +390,7 @@
         };
         let mut body = String::new();
         for (number, txn) in ids(&call).enumerate() {
-            let fate = self.fates.get_mut(txn).expect("submitted");
+            let fate = self.fates.get_mut(txn).expect("the message was submitted");
             let deferred = call.is_bulk && number % 3 == 2;
             fate.delivered |= status == 200 && !deferred;
             if status == 500 || status == 200 && !deferred {
@@ -390,7 +423,7 @@
         self.input(Input::CallAnswered { connection: id, reply, reusable });
     }
 
-    /// Time passes; what is due in it comes in its order.
+    /// Lets time pass. Time-outs and timers that are due take place in their order.
     pub fn wait(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
@@ -419,15 +452,18 @@
     pub fn post(&mut self, accepted: bool) {
         let Some(notices) = self.posting.take() else { return };
         for (txn, verdict) in notices.into_iter().filter(|_| accepted) {
-            let fate = self.fates.get_mut(&txn).expect("submitted");
+            let fate = self.fates.get_mut(&txn).expect("the message was submitted");
             let kept = !matches!(verdict, FinalAnswer::Rejected { .. }) || !fate.orders || !fate.may_have_run;
-            assert!(kept, "a promise that a repeat is harmless");
-            assert!(fate.notice.replace(verdict).is_none(), "one notice");
+            assert!(
+                kept,
+                "a message that may have been delivered and may not be repeated must not be rejected"
+            );
+            assert!(fate.notice.replace(verdict).is_none(), "each message must get one notification");
         }
         self.input(Input::NotificationsPosted { accepted });
     }
 
-    /// The process is killed and starts again with what the folder holds.
+    /// Kills the process and starts it again with the content of the folder.
     pub fn restart(&mut self) {
         for link in std::mem::take(&mut self.links).into_values() {
             self.may_have_run(&link);
@@ -444,17 +480,21 @@
         self.input(Input::TimerDue);
     }
 
-    /// An operator's call; whether the reply was a yes.
+    /// Makes an operator's call. Returns whether the reply confirmed it.
     pub fn operate(&mut self, call: console::Command) -> bool {
         let ticket = self.replies.keys().last().map_or(0, |ticket| ticket + 1);
         self.input(Input::Operator { request: ticket, call });
         matches!(self.replies[&ticket], Said::Done(_))
     }
 
-    /// Each message is counted once: what was taken has ended once or is still open.
+    /// Asserts that each message is counted once: an accepted message has either ended once or is still open.
     pub fn check_figures(&self) {
         let (figures, gauges) = (self.reducer.metrics(), self.reducer.gauges());
-        assert_eq!(figures.open_messages(), gauges.open_messages as u64, "taken is ended and concurrent");
+        assert_eq!(
+            figures.open_messages(),
+            gauges.open_messages as u64,
+            "the counters must show as many open messages as the gauge"
+        );
         let ends: u64 = figures.ends().values().map(|ends| ends.total()).sum();
         assert_eq!(ends, figures.accepted() - figures.open_messages() + self.turned_away);
         assert_eq!(figures.dispatches(), self.written);
@@ -466,7 +506,7 @@
         );
     }
 
-    /// All that was taken on has its end when its time is up.
+    /// Lets all deadlines pass and asserts that every accepted message has been delivered or got a final answer.
     pub fn finish(&mut self) {
         for _ in 0..40 {
             self.wait(S);
@@ -478,7 +518,7 @@
             }
         }
         for (txn, fate) in &self.fates {
-            assert!(!fate.taken_on || fate.delivered || fate.notice.is_some(), "{txn} has no end");
+            assert!(!fate.taken_on || fate.delivered || fate.notice.is_some(), "{txn} has no final answer");
         }
     }
 }
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Hand-overs in the reducer: what is offered to whom, what stands in the journal before, and what becomes of a message
-//! after each way in which an offer can end. Clock, owners and far ends are made up.
+//! Handovers in the reducer: what is offered to which forwarder, what the journal holds before, and how a message
+//! continues after each outcome of an offer. The clock, the owners and the endpoints are simulated.
 
 mod common;
 
@@ -22,18 +22,19 @@
 
 const MS: Micros = 1_000;
 
-/// A view: this forwarder is `f0`, and the owner of each destination of the test configurations is told.
+/// A view of a fleet in which this forwarder is `f0`. It gives the owner of each destination of the test
+/// configurations.
 #[derive(Clone, Debug)]
 struct Fleet {
     version: u64,
     owners: BTreeMap<DestinationId, &'static str>,
     members: Vec<&'static str>,
-    /// What is added to the ports of all.
+    /// Offset that is added to the port of each member.
     moved: u16,
 }
 
 impl Fleet {
-    /// Each of these owns the destination of its place, from 1 on.
+    /// Returns a view in which these forwarders own the destinations 1, 2 and 3.
     fn of(version: u64, owners: [&'static str; 3]) -> Rc<dyn Owners> {
         let mut members: Vec<_> = owners.into_iter().chain(["f0"]).collect();
         members.sort_unstable();
@@ -117,18 +118,18 @@
     }
 }
 
-/// One forwarder, and what it has asked for so far.
+/// One forwarder, and the effects that it has requested so far.
 struct World {
     class: Class,
     reducer: Reducer,
     now: Micros,
     file: Vec<u8>,
     answers: Vec<SubmitAnswer>,
-    /// Connections to endpoints come up.
+    /// Whether connections to endpoints are established.
     endpoints_answer: bool,
-    /// Offers that are out.
+    /// Offers that are in flight.
     offers: VecDeque<OutgoingOffer>,
-    /// Ids written to endpoints.
+    /// Ids of the messages written to endpoints.
     written: Vec<String>,
     notices: Vec<(String, FinalAnswer)>,
     figures: String,
@@ -171,7 +172,7 @@
         world
     }
 
-    /// The process is killed and started again, with these owners.
+    /// Kills the process and starts it again with these owners.
     fn restarted(self, owners: Option<Rc<dyn Owners>>) -> Self {
         World::with_journal(self.class, owners, &self.file, self.now)
     }
@@ -216,7 +217,7 @@
         None
     }
 
-    /// Before its first byte goes, the journal says to whom.
+    /// Asserts that the journal names the owner of an offer before its first byte is sent.
     fn assert_journaled(&self, offer: &OutgoingOffer) {
         let owner = offer.message.handover.offered.as_ref().map(|offered| offered.owner.as_str());
         let is_there = |record: &Record| match record {
@@ -225,10 +226,14 @@
             }
             _ => false,
         };
-        assert!(self.records().iter().any(is_there), "{} is offered without a record", offer.message.id);
+        assert!(
+            self.records().iter().any(is_there),
+            "{} was offered before its record was written",
+            offer.message.id
+        );
     }
 
-    /// Time passes, with all that is due in it.
+    /// Lets time pass, with every timer that is due.
     fn wait(&mut self, span: Micros) {
         let until = self.now + span;
         let mut alarms = 0;
@@ -236,7 +241,7 @@
             self.now = self.now.max(at);
             self.input(Input::TimerDue);
             alarms += 1;
-            assert!(alarms < 100_000, "it is busy without an end");
+            assert!(alarms < 100_000, "the reducer must not set timers without end");
         }
         self.now = until;
     }
@@ -261,7 +266,7 @@
         self.answers.pop().expect("an answer")
     }
 
-    /// A client hands in a message for this destination, and it is taken on.
+    /// Submits a message for this destination and asserts that it is accepted.
     fn take(&mut self, txn: &str, dest: DestinationId) {
         let message = self.handed(txn, dest);
         assert_eq!(self.hand_in(message), SubmitAnswer::Accepted, "{txn}");
@@ -275,7 +280,7 @@
         self.input(Input::OfferEnded { id: offer.id, outcome: end });
     }
 
-    /// Each offer of the time to come ends so.
+    /// Lets time pass and ends each offer with this outcome. Returns how many offers ended.
     fn wait_with(&mut self, span: Micros, end: &OfferOutcome) -> usize {
         let (until, mut ended) = (self.now + span, 0);
         while self.now < until {
@@ -318,7 +323,8 @@
     })
 }
 
-// Guards against a message that is delivered by who does not own its destination, or with less than it came with.
+// Guards against a message that is delivered by a forwarder that does not own its destination, and against an offer
+// that lacks a part of its message.
 #[test]
 fn offer_carries_the_whole_message_to_its_owner() {
     let mut world = World::new(Class::KeyedByZone, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -336,8 +342,11 @@
     let mark =
         HandoverMark { from: "f0".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
     assert_eq!(offer.mark, mark);
-    assert!((START + 20 * S..=START + 21 * S).contains(&valid_until), "20 s after the first offer");
-    assert!(world.offers.is_empty(), "its own is not offered");
+    assert!(
+        (START + 20 * S..=START + 21 * S).contains(&valid_until),
+        "the mark must be valid until 20 s after the first offer"
+    );
+    assert!(world.offers.is_empty(), "a message for an own destination must not be offered");
     assert_eq!(world.written, ["own"]);
     world.end(&offer, OfferOutcome::Accepted);
     world.wait(10 * S);
@@ -349,7 +358,8 @@
     assert_eq!(world.figure("owned"), 1);
 }
 
-// Guards against a second message in the place of a repeat, at the holder and after its restart.
+// Guards against a client's repeat that becomes a second message, at the forwarder that handed the message over and
+// after its restart.
 #[test]
 fn resubmission_of_a_handed_over_message_is_accepted() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
@@ -366,13 +376,14 @@
     assert!(world.offers.is_empty());
 }
 
-// Guards against a way without an end: two forwarders that each think that the other is the owner.
+// Guards against a message that is handed over without end between two forwarders that each take the other for the
+// owner.
 #[test]
 fn handed_over_message_is_delivered_here_also_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f1", "f1"]));
     let mut world = World::new(Class::Unsafe, fleet());
     let message = Submission { handover_mark: marked("f2", world.now), ..world.handed("a", 1) };
-    // Killed before it is sent.
+    // The process is killed before the message is sent.
     world.endpoints_answer = false;
     assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
     let mut world = world.restarted(fleet());
@@ -380,7 +391,8 @@
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
 }
 
-// Guards against a duplicate at the owner: the holder asks again about what is open, and about what is over.
+// Guards against a duplicate at the owner when the offering forwarder repeats its offer, both while the message is open
+// and after it is finished.
 #[test]
 fn owner_accepts_a_repeated_offer_while_open_and_when_finished() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
@@ -393,7 +405,8 @@
     assert_eq!(world.figure("taken_over"), 1);
 }
 
-// Guards against a repeat at the owner of what may have run before: the trace goes along.
+// Guards against an owner that repeats an earlier attempt although the class forbids it. The mark carries the possible
+// delivery.
 #[test]
 fn possible_delivery_in_the_mark_restricts_the_owner() {
     for (class, is_sent) in [(Class::Unsafe, false), (Class::Safe, true)] {
@@ -415,7 +428,8 @@
     }
 }
 
-// Guards against an owner that delivers after the holder has ended the message: a freeze must not lengthen its time.
+// Guards against an owner that delivers a message after the offering forwarder has finished it. A stall must not extend
+// the message's deadline.
 #[test]
 fn owner_keeps_the_deadline_of_the_mark() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
@@ -428,7 +442,8 @@
     assert!(answer != SubmitAnswer::Accepted && world.written.is_empty(), "{answer:?}");
 }
 
-// Guards against a second delivery of what a cut link brings late: the id, told as known for 30 s, may be forgotten by then.
+// Guards against a second delivery through an offer that a broken network delivers late. The id of a finished message,
+// which is remembered for 30 s, may be forgotten by then.
 #[test]
 fn expired_offer_is_rejected() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
@@ -444,7 +459,8 @@
     assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
 }
 
-// Guards against a mark that is half understood, and against one that means anything where there are no owners.
+// Guards against a malformed mark that is partly applied, and against a mark that has any effect if destinations have
+// no owners.
 #[test]
 fn malformed_mark_is_rejected_and_ignored_without_owners() {
     for (owners, expected) in [
@@ -461,7 +477,8 @@
     assert!(world.offers.is_empty() && !world.figures.contains("owners"));
 }
 
-// Guards against a message that is lost, or handed on without bound, because its sender is not known here.
+// Guards against a message that is lost, or handed on without end, because the forwarder that offers it is not a
+// member.
 #[test]
 fn handover_from_a_non_member_is_delivered_here_and_counted() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f1", "f1"])));
@@ -474,7 +491,8 @@
     assert_eq!(world.logged.iter().filter(|line| line.contains("f77")).count(), 1, "{:?}", world.logged);
 }
 
-// Guards against a refusal that is taken for a doubt, and against an owner that is pressed on or gone around.
+// Guards against a rejected offer that counts as in doubt, and against an owner that gets more offers before its
+// Retry-After has ended or is bypassed.
 #[test]
 fn rejected_offer_is_repeated_after_retry_after_and_not_delivered_here() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -482,23 +500,24 @@
     let offer = world.offer();
     world.end(&offer, OfferOutcome::Rejected(3 * S));
     world.wait(2_900 * MS);
-    assert!(world.offers.is_empty(), "before the wait is over");
+    assert!(world.offers.is_empty(), "no offer may be sent before the Retry-After has ended");
     world.wait(400 * MS);
     let offers = world.wait_with(7 * S, &OfferOutcome::Rejected(0));
     assert!((2..40).contains(&offers), "{offers} offers");
     assert!(world.written.is_empty());
-    // Never taken: the client may hand it in again.
+    // The owner never accepted it, so the client may submit it again.
     assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 })]);
 }
 
-// Guards against a lost answer that ends a message, or that sends it elsewhere while the owner may have it.
+// Guards against a lost answer that finishes a message, or after which the message goes elsewhere although the owner
+// may have it.
 #[test]
 fn unanswered_offer_is_repeated_to_the_same_owner_under_the_same_id() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
     world.end(&offer, unanswered());
-    // Another owns the destination now, and the one before is still a member.
+    // Another forwarder owns the destination now, and the previous owner is still a member.
     world.input(Input::OwnersChanged(Rc::new(Fleet {
         version: 2,
         owners: BTreeMap::from([(1, "f2")]),
@@ -514,7 +533,7 @@
     assert!(world.written.is_empty() && world.notices.is_empty());
 }
 
-// Guards against a doubt that a later refusal, or an owner that cannot be reached, is taken to end.
+// Guards against a doubt that is cleared by a later rejection, or by a later offer that does not reach the owner.
 #[test]
 fn doubt_survives_later_offer_outcomes() {
     for later in [OfferOutcome::Rejected(0), unreached()] {
@@ -528,7 +547,8 @@
     }
 }
 
-// Guards against a forbidden repeat once the owner is no member, and against a message kept back that may be repeated.
+// Guards against a forbidden repeat after the owner has left the fleet, and against a message that is not delivered
+// although it may be repeated.
 #[test]
 fn removed_owner_in_doubt_is_resolved_by_idempotency() {
     let gone = |version| Fleet::of(version, ["f0", "f0", "f2"]);
@@ -548,7 +568,7 @@
         let failed = world.notices == [("a".to_owned(), FinalAnswer::Failed)];
         assert_eq!(failed, !is_sent, "{class:?}: {:?}", world.notices);
     }
-    // A window that has ended counts as none.
+    // After the end of its deduplication window, the message may not be repeated.
     let mut world = World::new(Class::KeyedEverywhere, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.take("a", 1);
     let offer = world.offer();
@@ -561,7 +581,8 @@
     assert!(!was_substituted && world.written.is_empty(), "{:?}", world.written);
 }
 
-// Guards against a message that waits for who has left the fleet, or that counts as run where it never went.
+// Guards against a message that waits for an owner that has left the fleet, and against an offer that counts as a
+// possible delivery although it was not sent.
 #[test]
 fn unaccepted_message_goes_to_the_new_owner() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -582,10 +603,14 @@
     world.end(&offers[0], unreached());
     world.input(Input::OwnersChanged(Fleet::of(3, ["f0", "f0", "f2"])));
     world.wait(S);
-    assert_eq!(world.written.len(), 1, "one is this forwarder's own now, the other still out");
+    assert_eq!(
+        world.written.len(),
+        1,
+        "one message must be delivered here, and the offer of the other is still in flight"
+    );
 }
 
-// Guards against an offer that was out when its answer lost its meaning: the owner left while it was asked.
+// Guards against a message that is reassigned while its offer is in flight because its owner has left the fleet.
 #[test]
 fn offer_in_flight_ends_before_its_message_is_reassigned() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -599,7 +624,7 @@
     assert!(world.written.is_empty() && world.notices.is_empty());
 }
 
-// Guards against an owner that is asked where it was before its view said otherwise.
+// Guards against an offer that is sent to an old address of the owner after the view has changed.
 #[test]
 fn offer_goes_to_the_owners_newest_address() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -612,7 +637,7 @@
     assert_eq!(world.offer().owner_address.port(), address("f1").port() + 500);
 }
 
-// Guards against a new owner that sends at the whole rate while the one before it may still do so.
+// Guards against a new owner that sends at the full rate while the previous owner may still send.
 #[test]
 fn new_owner_slow_starts_its_destination() {
     let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, marked: ReceivedMark| {
@@ -627,14 +652,23 @@
     };
     let own = || Fleet::of(2, ["f0", "f0", "f0"]);
     let others = |version| Fleet::of(version, ["f0", "f0", "f1"]);
-    assert!(is_cold([others(1), own()], 0, ReceivedMark::Absent), "another had it before");
-    assert!(!is_cold([own(), own()], 0, ReceivedMark::Absent), "it was its own before");
-    assert!(!is_cold([others(1), own()], 10 * S, ReceivedMark::Absent), "it has been for long");
+    assert!(
+        is_cold([others(1), own()], 0, ReceivedMark::Absent),
+        "another forwarder owned the destination before"
+    );
+    assert!(!is_cold([own(), own()], 0, ReceivedMark::Absent), "this forwarder owned the destination before");
+    assert!(
+        !is_cold([others(1), own()], 10 * S, ReceivedMark::Absent),
+        "this forwarder has owned the destination for long"
+    );
     let handed_over = marked("f2", START + 10 * S);
-    assert!(is_cold([others(1), others(2)], 10 * S, handed_over), "only the other takes it for the owner");
+    assert!(
+        is_cold([others(1), others(2)], 10 * S, handed_over),
+        "only the offering forwarder takes this one for the owner"
+    );
 }
 
-// Guards against a view that goes back.
+// Guards against a view that is replaced by an older one.
 #[test]
 fn older_view_is_ignored() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(5, ["f1", "f1", "f1"])));
@@ -647,7 +681,8 @@
     assert_eq!(world.figure("owners_view"), 5);
 }
 
-// Guards against a restart that forgets what was offered: it is asked again, and counts as run when nobody can be asked.
+// Guards against a restart that forgets an offer. The offer must be repeated, and it counts as a possible delivery if
+// the owner is no longer a member.
 #[test]
 fn restart_repeats_an_offer_under_its_id() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
@@ -658,14 +693,15 @@
     let again = world.offer();
     assert_eq!((again.owner_address, &again.message.id), (first.owner_address, &first.message.id));
     world.end(&again, unreached());
-    // In doubt since before the restart: not reached now says nothing of then.
+    // The message has been in doubt since before the restart. That the owner cannot be reached now does not clear the
+    // doubt.
     let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
     world.wait(S);
     assert!(world.written.is_empty() && world.offers.is_empty());
     assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Failed)]);
 }
 
-// Guards against a restart that takes for doubtful what was never taken.
+// Guards against a restart after which a message counts as in doubt although the owner never accepted it.
 #[test]
 fn restart_reassigns_a_declined_message() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -677,7 +713,7 @@
     assert_eq!((offer.owner_address, offer.mark.possible_delivery), (address("f2"), None));
 }
 
-// Guards against a journal rewrite that drops where a message stands.
+// Guards against a compaction of the journal that loses the handover state of a message.
 #[test]
 fn compaction_keeps_the_doubt() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
@@ -685,7 +721,7 @@
     world.take("a", 1);
     let offer = world.offer();
     world.end(&offer, unanswered());
-    // Fills the journal until it is rewritten.
+    // Fills the journal until it is compacted.
     let mut number = 0;
     while world.records().iter().any(|record| matches!(record, Record::HandoverDeclined { .. }))
         || number < 100
@@ -705,28 +741,29 @@
     assert!(!world.written.contains(&"a".to_owned()));
 }
 
-// Guards against a flood at partners when an owner is dead: bounded in sum, one of a destination, by class.
+// Guards against too many deliveries to endpoints by this forwarder while an owner is down. They are limited in total
+// and to one message per destination at a time, and depend on the class.
 #[test]
 fn failing_owner_gets_a_bounded_part_delivered_here() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
     world.take("a1", 1);
     world.take("a2", 1);
     world.take("c1", 3);
-    // Delivered here is not over: endpoints are slow.
+    // The endpoints are slow, so deliveries stay in progress for a while.
     world.wait_with(1_900 * MS, &unreached());
-    assert!(world.written.is_empty(), "not at the first failure");
+    assert!(world.written.is_empty(), "the first failure must not cause local deliveries");
     world.wait_with(S, &unreached());
     world.written.sort();
-    assert_eq!(world.written, ["a1", "a2", "c1"], "one after the other");
+    assert_eq!(world.written, ["a1", "a2", "c1"], "the messages must be delivered one after the other");
     assert_eq!(world.figure("delivered_for_lack_of_owner"), 3);
-    // One that refuses is there: nothing goes around it.
+    // An owner that rejects offers is running, so it must not be bypassed.
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
     world.take("a1", 1);
     world.wait_with(5 * S, &OfferOutcome::Rejected(0));
     assert!(world.written.is_empty());
 }
 
-// Guards against an owner that is asked by everyone at once when it comes back, or all the time while it is dead.
+// Guards against an owner that gets all offers at once when it comes back, or offers without pause while it is down.
 #[test]
 fn failing_owner_gets_one_offer_at_a_time_with_backoff() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -734,7 +771,7 @@
     for number in 0..30 {
         world.take(&format!("m{number}"), 1);
     }
-    assert_eq!(world.offers.len(), 16, "the bound of one owner");
+    assert_eq!(world.offers.len(), 16, "the maximum number of offers to one owner must be in flight");
     while let Some(offer) = world.offers.pop_front() {
         world.end(&offer, unanswered());
     }
@@ -751,10 +788,11 @@
     world.wait(2 * S);
     let offer = world.offer();
     world.end(&offer, OfferOutcome::Accepted);
-    assert_eq!(world.offers.len(), 16, "it answers");
+    assert_eq!(world.offers.len(), 16, "an owner that answers must get the maximum number of offers again");
 }
 
-// Guards against a doubt that is forgotten when another owner is asked: what may have run goes along.
+// Guards against a doubt that is lost when the message is offered to another owner. The mark must carry the possible
+// delivery.
 #[test]
 fn doubt_goes_along_to_the_next_owner() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
@@ -765,12 +803,12 @@
     world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     world.wait(MS);
     let next = world.offer();
-    let ran = next.mark.possible_delivery.expect("it may have run");
+    let ran = next.mark.possible_delivery.expect("the mark has the possible delivery");
     assert_eq!((next.owner_address, ran.endpoint.as_str()), (address("f2"), ""));
-    assert!(ran.started_at <= offered_at, "not later than it was offered");
+    assert!(ran.started_at <= offered_at, "the possible delivery must not start later than the offer");
 }
 
-// Guards against a start that offers again what has been begun here in doubt.
+// Guards against a restart that offers a message again after its delivery in doubt has begun here.
 #[test]
 fn local_delivery_in_doubt_stays_local_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
@@ -784,7 +822,7 @@
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
 }
 
-/// A configuration with room for many messages, and with this many destinations of one endpoint each.
+/// Returns a configuration with room for many messages, and with this many destinations of one endpoint each.
 fn wide_config(destinations: u64) -> String {
     let first = common::targets().remove(2);
     let target =
@@ -794,13 +832,14 @@
         .replace(r#""disk_mb":0.2"#, r#""disk_mb":16"#)
 }
 
-/// A fleet in which one other forwarder owns all of so many destinations.
+/// Returns a view in which one other forwarder owns this many destinations.
 fn one_owner(destinations: u64) -> Rc<dyn Owners> {
     let owners = (1..=destinations).map(|number| (number, "f1")).collect();
     Rc::new(Fleet { version: 1, owners, members: vec!["f0", "f1"], moved: 0 })
 }
 
-// Guards against a flood at partners when an owner is dead: one message of a destination, and a bound on all of them.
+// Guards against too many deliveries to endpoints by this forwarder while an owner is down. They are limited to one
+// message per destination, and in total.
 #[test]
 fn local_deliveries_are_bounded_by_destination_and_in_total() {
     for (destinations, expected) in [(1, 1), (5, 5), (50, 32)] {
@@ -815,7 +854,7 @@
     }
 }
 
-// Guards against a queue without bound behind an owner that takes nothing: clients are told to wait.
+// Guards against an unbounded queue for an owner that accepts nothing. Further messages must be rejected.
 #[test]
 fn full_owner_queue_rejects_new_messages() {
     let mut world = World::with_config(&wide_config(2), Some(one_owner(1)));
--- a/crates/forwarder/tests/handover_mark.rs
+++ b/crates/forwarder/tests/handover_mark.rs
@@ -1,4 +1,4 @@
-//! The mark of a handover, in the header of a request.
+//! The handover mark in the header of a request.
 
 use hyper::header::{HeaderMap, HeaderValue};
 use orchidyoke_forwarder::ownership::{HANDOVER_HEADER, HandoverMark, ReceivedMark};
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -1,5 +1,5 @@
-//! The forwarder with a list of 100,000 entries: read, kept in the journal, found at the next start, reloaded, changed;
-//! and what becomes of one that is not good.
+//! The forwarder with an endpoint list of 100,000 entries: read, stored in the journal, restored at the next start,
+//! reloaded and changed. Also the handling of invalid and oversized lists.
 
 #[path = "common/deployments.rs"]
 mod deployments;
@@ -29,7 +29,7 @@
 const LISTED: usize = 100_000;
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_800_000_000 * SECOND;
-/// More than a record of one entry takes up, and far less than the list.
+/// Upper bound for the bytes of a record of one entry, far below those of the list.
 const SMALL_RECORD: usize = 1_000;
 
 fn target(number: usize) -> EndpointEntry {
@@ -53,7 +53,7 @@
     WatchEvent { version: rev, is_snapshot: all, endpoints: targets, origin: String::new() }
 }
 
-/// A configuration that knows these, with a folder that is large enough for them.
+/// Returns the text of a configuration with these endpoints, and with a folder that is large enough for them.
 fn text(targets: Vec<EndpointEntry>) -> String {
     deployments::config("127.0.0.1:1", "127.0.0.1:2", targets).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
 }
@@ -72,18 +72,18 @@
 }
 
 impl World {
-    /// A start on what the file holds.
+    /// Starts a forwarder from the content of the file.
     fn start(config: Config, file: Vec<u8>) -> Self {
         let (records, whole) = replay(Bytes::copy_from_slice(&file));
         assert_eq!(whole, file.len());
         let reducer = Reducer::new(config, 0, records, whole, START);
         let mut world = World { reducer, file, now: START, watch: 0, log: Vec::new() };
-        // The module's turn is not due yet: it would take in the list, which is not looked at here.
+        // This input runs no controller round, which would process the whole list and is not part of these tests.
         world.input(Input::Withdrawn { request: 0 });
         world
     }
 
-    /// One input; bytes that it writes to the file.
+    /// Processes one input. Returns the bytes written to the file.
     fn input(&mut self, input: Input) -> usize {
         let mut inputs = vec![input];
         let mut written = 0;
@@ -108,13 +108,13 @@
         written
     }
 
-    /// News by the watch that is followed; bytes that it writes.
+    /// Sends an event on the current watch. Returns the bytes written to the file.
     fn news(&mut self, news: WatchEvent) -> usize {
         let watch = self.watch;
         self.input(Input::WatchEvent { watch, event: news })
     }
 
-    /// The list as a start would find it.
+    /// Returns the list that a start would read from the journal.
     fn journaled(&self) -> EndpointList {
         let mut map = EndpointList::default();
         let (records, whole) = replay(Bytes::copy_from_slice(&self.file));
@@ -127,18 +127,21 @@
         map
     }
 
-    /// Endpoints as the forwarder holds them.
+    /// Returns the number of endpoints that the forwarder holds.
     fn listed(&self) -> usize {
         self.reducer.gauges().endpoints
     }
 }
 
-// Guards against a large list that a restart forgets or writes once more, and against a change of one entry that costs
-// as much as all of them: in bytes written, or told to the module.
+// Guards against a large list that a restart loses or writes again, and against a change of one entry that writes as
+// many bytes as the whole list.
 #[test]
 fn large_list_survives_a_restart_and_small_change_stays_small() {
     let mut world = World::start(config(targets(4)), Vec::new());
-    assert!(world.news(news(2, true, targets(LISTED))) > 100 * LISTED, "it is written");
+    assert!(
+        world.news(news(2, true, targets(LISTED))) > 100 * LISTED,
+        "the list must be written to the journal"
+    );
     assert_eq!(world.listed(), LISTED);
     let draining = EndpointEntry { state: EndpointState::Draining, ..target(LISTED / 2) };
     for (rev, changed) in [(3, draining.clone()), (4, target(LISTED)), (5, target(0))] {
@@ -156,10 +159,13 @@
     assert!(world.news(news(6, false, vec![target(1)])) < SMALL_RECORD);
     let size = world.file.len();
     let world = World::start(config(targets(4)), world.file);
-    assert!(world.file.len() < size + SMALL_RECORD, "the list that the file has is not written again");
+    assert!(
+        world.file.len() < size + SMALL_RECORD,
+        "a list that the file already holds must not be written again"
+    );
 }
 
-// Guards against a change that another process of this forwarder has heard of and that costs as much as the list.
+// Guards against a change received by another process of this forwarder that writes as many bytes as the whole list.
 #[test]
 fn change_heard_by_another_process_is_stored_as_a_delta() {
     let mut world = World::start(config(targets(4)), Vec::new());
@@ -181,8 +187,8 @@
     assert!(map.get(&gone.uid).is_none() && map.get(&target(LISTED).uid).is_some());
 }
 
-// Guards against a list in the configuration that is read and not kept, and against a reload that forgets what
-// discovery has told since.
+// Guards against a list in the configuration that is read and not stored, and against a reload that loses the changes
+// that discovery has sent since.
 #[tokio::test(flavor = "current_thread")]
 async fn a_large_list_is_reloaded_with_the_configuration() {
     let folder = Folder::new("reload");
@@ -196,8 +202,8 @@
     assert_eq!((world.listed(), world.journaled().version()), (LISTED + 1, 2));
 }
 
-// Guards against a list in the configuration that is taken in part, and against a reason that is not said, or not in
-// one line.
+// Guards against an invalid list in the configuration that is partly applied, and against an error without its reason,
+// or of several lines.
 #[tokio::test(flavor = "current_thread")]
 async fn a_list_in_the_configuration_that_is_not_good_is_an_error_of_one_line() {
     let good = text(targets(LISTED));
@@ -215,8 +221,8 @@
     }
 }
 
-// Guards against a list that grows beyond its bound change by change, and against changes taken in after one that was
-// left out.
+// Guards against a list that exceeds its maximum through a series of changes, and against changes that are applied
+// after one that was dropped.
 #[test]
 fn oversized_change_is_rejected_and_logged_once() {
     let mut world = World::start(config(targets(4)), Vec::new());
@@ -226,7 +232,7 @@
     assert_eq!(
         world.news(news(4, false, vec![target(MAX_ENTRIES + 1)])),
         0,
-        "this follows what was left out"
+        "a change after the dropped one must not be applied"
     );
     assert_eq!((world.listed(), world.file.len()), (MAX_ENTRIES, size));
     assert_eq!(world.log.len(), lines + 1, "{:?}", &world.log[lines..]);
@@ -243,7 +249,7 @@
         Effect::StartWatch { watch, from: WatchSource::Discovery { since, .. } } => Some((*watch, *since)),
         _ => None,
     });
-    let (watch, since) = since.expect("it is asked for again");
+    let (watch, since) = since.expect("a new watch is started");
     assert!(watch > asked && since == 2, "watch {watch} from version {since}");
     world.watch = watch;
     let gone = EndpointEntry { state: EndpointState::Removed, ..target(0) };
@@ -251,7 +257,8 @@
     assert_eq!(world.listed(), MAX_ENTRIES);
 }
 
-// Guards against a watch that ends in the middle of a large list and changes something, or is not said in one line.
+// Guards against a watch that ends in the middle of a large list and changes something, or whose end is not logged in
+// one line.
 #[test]
 fn truncated_watch_is_logged_once_and_changes_nothing() {
     let mut world = World::start(config(targets(4)), Vec::new());
@@ -267,7 +274,7 @@
          reason=\"it ended in the middle of a list, after 9000000 bytes\""]));
 }
 
-/// A folder of its own with a configuration, removed at the end.
+/// A folder with a configuration for one test, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -290,8 +297,8 @@
     }
 }
 
-/// Follows a far end that writes these chunks, with a pause after each, and closes. What was told, how it ended, and
-/// after what time.
+/// Follows a simulated discovery that writes these chunks with a pause after each, and then closes the connection.
+/// Returns the events, how the watch ended, and how long it took.
 async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
@@ -330,7 +337,8 @@
     text.as_bytes().chunks(size).map(|part| String::from_utf8_lossy(part).into_owned()).collect()
 }
 
-// Guards against a large list that a watch does not bring, one of which a part is told, and one whose end says nothing.
+// Guards against a large list that a watch does not deliver, against an incomplete list that is delivered, and against
+// a watch that ends without a reason.
 #[tokio::test(flavor = "current_thread")]
 async fn a_watch_brings_a_large_list_whole_or_not_at_all() {
     let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
@@ -347,7 +355,8 @@
     }
 }
 
-// Guards against a large list that comes steadily and is cut off each time before it is whole: it would never come.
+// Guards against a large list that arrives steadily but is cut off each time before it is complete, so that it never
+// arrives.
 #[tokio::test(flavor = "current_thread")]
 async fn a_large_list_that_comes_steadily_is_waited_for() {
     let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer against random steps, and what it leaves behind.
+//! The reducer under random steps, and the state that finished messages leave.
 
 mod common;
 
@@ -9,8 +9,9 @@
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState};
 use quickcheck::{Gen, QuickCheck};
 
-// Guards against the breaks that no single case shows: a message lost or ended twice by a kill at a bad moment,
-// a record that comes after what it should precede, a call that a wait, a drain or an end should have stopped.
+// Guards against faults that no single test case shows: a message that a kill at a certain moment loses or ends twice,
+// a record that is written after the effect that it must precede, and a call that a Retry-After, a drain or a deadline
+// should have prevented.
 #[test]
 fn invariants_hold_after_every_random_step() {
     fn keeps(steps: Vec<Step>) -> bool {
@@ -24,15 +25,15 @@
         world.finish();
         true
     }
-    // The same steps at each run: a verdict does not turn on the day's chance.
+    // Fixed seeds, so that each run takes the same steps and has the same result.
     for seed in 0..4 {
         let chance = Gen::from_size_and_seed(300, seed);
         QuickCheck::new().tests(40).rng(chance).quickcheck(keeps as fn(Vec<Step>) -> bool);
     }
 }
 
-// Guards against memory that grows with every endpoint, message and id that ever was, and against a connection kept
-// to an endpoint that is gone: another may have its address.
+// Guards against memory that grows with every endpoint, message and id that has ever existed, and against a connection
+// that is kept to a removed endpoint, whose address another endpoint may get.
 #[test]
 fn finished_messages_leave_no_state() {
     let mut world = World::new();
@@ -50,7 +51,10 @@
         world.rev += 1;
         world.news(targets);
         world.wait(100_000);
-        assert!(world.links.values().all(|link| link.call.is_some() || !link.up), "none is kept");
+        assert!(
+            world.links.values().all(|link| link.call.is_some() || !link.up),
+            "no idle connection to a removed endpoint may be kept"
+        );
         world.wait(4 * S);
         while world.posting.is_some() {
             world.post(true);
@@ -59,5 +63,5 @@
     }
     let most = |part: &[usize]| part.iter().copied().max().unwrap_or_default();
     let (early, late) = (most(&sizes[50..100]), most(&sizes[350..]));
-    assert!(late < early * 11 / 10, "{early} and then {late}");
+    assert!(late < early * 11 / 10, "size of the state: {early} bytes early, {late} bytes late");
 }
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the reducer to next hops, and how they end.
+//! The reducer's calls to endpoints, and how they end.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use orchidyoke_forwarder::input::Input;
 use orchidyoke_journal::FinalAnswer;
 
-// Guards against an idle connection that closes as it is chosen being laid to the next hop, or ending a message
-// that may not be repeated: nothing was written, so the same attempt goes on a new connection.
+// Guards against an idle connection that closes just when it is chosen and then counts against the endpoint, or fails a
+// message that may not be repeated. Nothing was written, so the same attempt must be made on a new connection.
 #[test]
 fn connection_closed_while_idle_costs_no_attempt() {
     let mut world = World::new();
@@ -21,21 +21,21 @@
     world.answer(0, 0);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    let link = world.pick(0, |l| l.call.is_some()).expect("on the same connection");
-    let call = world.links.remove(&link).and_then(|l| l.call).expect("out");
-    world.fates.get_mut("b").expect("submitted").calls -= 1;
+    let link = world.pick(0, |l| l.call.is_some()).expect("the call uses the same connection");
+    let call = world.links.remove(&link).and_then(|l| l.call).expect("a call is in flight");
+    world.fates.get_mut("b").expect("the message was submitted").calls -= 1;
     let error = EndpointCallError {
         progress: Progress::NotFullyWritten,
         cause: Cause::ConnectionFailed("closed".to_owned()),
     };
     world.input(Input::ConnectionClosed { connection: link, error });
     world.step(1, Step::Connect { which: 0, up: true });
-    let again = world.links.values().find_map(|l| l.call.as_ref()).expect("written again");
+    let again = world.links.values().find_map(|l| l.call.as_ref()).expect("the call is written again");
     assert_eq!(again.messages, call.messages);
 }
 
-// Guards against a call to an address that its endpoint has left, where another may listen by now: on a connection that
-// was coming up, or carried a call, when the list told of the move.
+// Guards against a call to an address that its endpoint has left, where another endpoint may listen by now. The
+// connection was being established, or carried a call, when the list moved the endpoint.
 #[test]
 fn moved_endpoint_gets_no_call_at_its_old_address() {
     let mut world = World::new();
@@ -48,23 +48,26 @@
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
     moves(&mut world, 41);
-    // The one that comes up now goes to the old address.
+    // The connection that is established now goes to the old address.
     world.step(0, Step::Connect { which: 0, up: true });
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick(0, |l| l.call.is_some()).expect("written");
+    let link = world.pick(0, |l| l.call.is_some()).expect("the call is written");
     assert_eq!(world.links[&link].address, "127.0.0.1:41");
     moves(&mut world, 42);
     world.answer(0, 0);
     world.submit("b".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.pick(0, |l| l.up && l.address.ends_with(":41")).is_none(), "its connection is closed");
+    assert!(
+        world.pick(0, |l| l.up && l.address.ends_with(":41")).is_none(),
+        "the connection to the old address must be closed"
+    );
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick(0, |l| l.call.is_some()).expect("written");
+    let link = world.pick(0, |l| l.call.is_some()).expect("the call is written");
     assert_eq!(world.links[&link].address, "127.0.0.1:42");
 }
 
-// Guards against a delivery taken for a failure of its next hop: a message of the call had run out of time before
-// the answer came, and its end, though told, was no longer found.
+// Guards against a delivery that counts as a failure of its endpoint. One message of the call had reached its deadline
+// before the reply came, and its result in the reply was no longer found.
 #[test]
 fn expired_message_is_left_out_of_its_call() {
     let mut world = World::new();
@@ -78,13 +81,16 @@
     world.answer(0, 0);
     world.submit("next".to_owned(), true, 1, 10);
     world.wait(10_000);
-    // To either of its endpoints.
+    // The call may go to either endpoint of the destination.
     world.step(0, Step::Connect { which: 0, up: true });
-    assert!(world.pick(0, |l| l.call.is_some()).is_some(), "sent at once, as to a healthy destination");
+    assert!(
+        world.pick(0, |l| l.call.is_some()).is_some(),
+        "the message must be sent immediately, because the destination is healthy"
+    );
 }
 
-// Guards against a message without an end: its answer came after its time, in the same moment in which a forwarder
-// that had no processor for a while looked again.
+// Guards against a message without a final answer. The reply came after the deadline, at the same moment at which a
+// forwarder that had been stalled ran again.
 #[test]
 fn success_after_the_deadline_still_gives_a_final_answer() {
     let mut world = World::new();
@@ -93,25 +99,31 @@
     world.step(0, Step::Connect { which: 0, up: true });
     world.now += 28 * S;
     world.answer(0, 0);
-    assert_eq!(world.posting.clone().expect("a notice"), [("late".to_owned(), FinalAnswer::Failed)]);
+    assert_eq!(
+        world.posting.clone().expect("a notification is posted"),
+        [("late".to_owned(), FinalAnswer::Failed)]
+    );
 }
 
-// Guards against a message that no one ends: a next hop called it over (its client had gone), and the platform still
-// waited for its notice.
+// Guards against a message without a final answer. An endpoint reported the message as finished because its client had
+// gone, and the platform still waited for a notification.
 #[test]
 fn message_finished_at_the_endpoint_gets_a_final_answer() {
     let mut world = World::new();
     world.submit("gone".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick(0, |l| l.call.is_some()).expect("out");
+    let link = world.pick(0, |l| l.call.is_some()).expect("a call is in flight");
     let reply = EndpointReply { status: 410, ..EndpointReply::default() };
     world.input(Input::CallAnswered { connection: link, reply, reusable: true });
-    assert_eq!(world.posting.clone().expect("a notice"), [("gone".to_owned(), FinalAnswer::Failed)]);
+    assert_eq!(
+        world.posting.clone().expect("a notification is posted"),
+        [("gone".to_owned(), FinalAnswer::Failed)]
+    );
 }
 
-// Guards against orders without an end: the call that they shared with a status was answered after the status had run
-// out of time, and the platform took none of that answer.
+// Guards against orders without a final answer. They shared a call with a message of the class `status`, the reply came
+// after the deadline of that message, and the platform accepted nothing of that reply.
 #[test]
 fn late_batch_answer_gives_every_message_a_final_answer() {
     let mut world = World::new();
@@ -122,11 +134,14 @@
     world.wait(2 * S + 100_000);
     world.post(true);
     world.answer(0, 0);
-    assert_eq!(world.posting.clone().expect("a notice"), [("order".to_owned(), FinalAnswer::Failed)]);
+    assert_eq!(
+        world.posting.clone().expect("a notification is posted"),
+        [("order".to_owned(), FinalAnswer::Failed)]
+    );
 }
 
-// Guards against one route's wait that holds its sister, so that the module's sends there come back unsent and use up
-// the attempts of their messages.
+// Guards against a Retry-After of one route that also blocks another route of the destination. The controller's sends
+// to the other route would then return unsent and use up the attempts of their messages.
 #[test]
 fn retry_after_of_separate_route_leaves_other_routes_free() {
     let mut world = World::of(Shape::Second);
@@ -136,18 +151,19 @@
         world.step(1, Step::Connect { which: 0, up: true });
     }
     let out = |world: &World| world.links.values().filter(|l| l.call.is_some()).count();
-    assert_eq!(out(&world), 2, "one at each route");
+    assert_eq!(out(&world), 2, "one call must be in flight on each route");
     world.answer(0, 255 / 10 * 10 + 5);
     world.wait(20_000);
     world.answer(0, 0);
     world.wait(20_000);
     world.step(1, Step::Connect { which: 0, up: true });
-    assert_eq!(out(&world), 1, "turned away by one, it is at the other");
+    assert_eq!(out(&world), 1, "a message rejected on one route must be sent on the other");
     let sent = world.fates.values().map(|fate| fate.calls).sum::<usize>();
     assert_eq!(sent, 3);
 }
 
-// Guards against a repeat that its window no longer drops: the dial for it began in time, and the connection came late.
+// Guards against a repeat that is sent after its deduplication window. The connection for the repeat was requested in
+// time and established too late.
 #[test]
 fn repeat_after_its_deduplication_window_is_not_sent() {
     let mut world = World::of(Shape::Second);
@@ -157,7 +173,7 @@
     world.wait(1_500_000);
     world.step(1, Step::Break(0));
     world.wait(300_000);
-    assert!(world.pick(0, |l| !l.up).is_some(), "it may have run, and is dialled for again");
+    assert!(world.pick(0, |l| !l.up).is_some(), "a connection for the repeat must have been requested");
     world.wait(300_000);
     world.step(1, Step::Connect { which: 0, up: true });
     assert_eq!(world.fates["held"].calls, 1);
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -1,4 +1,4 @@
-//! Where the reducer has its list from, and when it asks again.
+//! The reducer's source of the endpoint list, and when it starts a new watch.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use orchidyoke_forwarder::reducer::Reducer;
 use std::rc::Rc;
 
-// Guards against a forwarder that stops, or never hears of its list again, when discovery is down.
+// Guards against a forwarder that stops when discovery is down, or that never gets updates of its list again.
 #[test]
 fn lost_watch_is_restarted_and_the_list_stays_in_use() {
     let mut world = World::new();
@@ -24,13 +24,13 @@
     assert_eq!(
         world.follows,
         [(1, 2, 1), (2, 2, 2)],
-        "asked again, once, for what came after the version held"
+        "one new watch must start from the version of the list in force"
     );
     assert!(world.fates["x"].taken_on && !world.links.is_empty());
 }
 
-// Guards against a reload that stays with the old discovery, forgets what is held or the list, or follows two
-// addresses: the watch that was left says so late.
+// Guards against a reload that keeps the old discovery, forgets the held messages or the list, or watches two
+// addresses. The old watch reports its end only after the reload.
 #[test]
 fn reload_watches_the_new_discovery_at_once() {
     let mut world = World::new();
@@ -42,17 +42,18 @@
     assert_eq!(world.follows, [(1, 2, 1), (2, 3, 1)]);
     world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
     world.wait(S / 2);
-    assert_eq!(world.follows.len(), 2, "nothing is asked again for the old one's end");
+    assert_eq!(world.follows.len(), 2, "the end of the old watch must not start another watch");
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
     assert!(world.fates["a"].delivered);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    assert!(world.pick(0, |l| l.call.is_some()).is_some(), "the list stays in use");
+    assert!(world.pick(0, |l| l.call.is_some()).is_some(), "the list must stay in use");
 }
 
-// Guards against a list taken from two sources at once: after the change from discovery to a catalogue and back, what
-// the one before still tells is passed over, versions are not mixed, and the list stays in use all the time.
+// Guards against a list that is taken from two sources at the same time. After a change from discovery to a catalogue
+// and back, events of the previous source are ignored, the versions of the sources are not mixed, and the list stays in
+// use throughout.
 #[test]
 fn changed_list_source_keeps_the_list_and_ignores_the_old_source() {
     let config = |catalogue: Option<&'static str>| {
@@ -63,8 +64,12 @@
     let mut world = World::new();
     let (first, ..) = world.follows[0];
     world.input(Input::ConfigReloaded(config(Some("c1"))));
-    let (second, port, held) = *world.follows.last().expect("followed");
-    assert_eq!((world.follows.len(), port, held), (2, 0, 1), "it goes on from the list that discovery told");
+    let (second, port, held) = *world.follows.last().expect("a watch was started");
+    assert_eq!(
+        (world.follows.len(), port, held),
+        (2, 0, 1),
+        "the catalogue must be followed from the list that discovery sent"
+    );
     let gone = |origin: &str| WatchEvent {
         version: 2,
         is_snapshot: false,
@@ -75,28 +80,28 @@
     world.input(Input::WatchEnded { watch: first, reason: "left".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.pick(0, |l| !l.up).is_some(), "the list is as it was");
+    assert!(world.pick(0, |l| !l.up).is_some(), "events of the old source must not change the list");
     world.input(Input::ConfigReloaded(config(Some("c1"))));
-    assert_eq!(world.follows.len(), 2, "the same catalogue is not followed anew");
+    assert_eq!(world.follows.len(), 2, "the same catalogue must not be watched again");
     world.input(Input::WatchEvent { watch: second, event: gone("c1") });
     world.input(Input::ConfigReloaded(config(None)));
-    let (_, port, since) = *world.follows.last().expect("followed");
+    let (_, port, since) = *world.follows.last().expect("a watch was started");
     assert_eq!(
         (port, since),
         (2, 0),
-        "the catalogue's version says nothing to discovery: the whole list, please"
+        "discovery must be asked for the whole list, because the catalogue's version means nothing to it"
     );
 }
 
-/// When each of a fleet asks for its list: at the start, and after its first watch was lost when it had lasted for so
-/// many seconds, with a wait told.
+/// Returns when each forwarder of a fleet starts its watch: after its start, and after its first watch ended. The first
+/// watch has lasted `lasted` seconds and ends with a Retry-After of `wait_ms`.
 fn fleet_asks(size: u32, lasted: Micros, wait_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
     let asks = |reducer: &mut Reducer, from: Micros| {
         let at = (0..20_000).map(|n| from + n * S / 100).find(|now| {
             let effects = reducer.step(*now, Input::TimerDue);
             effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }))
         });
-        at.expect("asked") - from
+        at.expect("a watch is started") - from
     };
     let one = |seed: u32| {
         let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
@@ -122,15 +127,19 @@
     (0..size).map(one).unzip()
 }
 
-// Guards against a drain that was told before anybody asked: in a fleet of 300 the calls of a start were spread over 15 s,
-// and a request went to an endpoint that had been draining for longer than its grace (the standing test, roll). Also
-// against the whole fleet asking in the same moment, and against a lone forwarder that waits for others.
+// Guards against a drain that was announced before the forwarder had a watch. In a fleet of 300, the first watches were
+// spread over 15 s, and a request went to an endpoint that had been draining for longer than its grace (the standing
+// test, roll). Also guards against a whole fleet that starts its watches at the same moment, and against a single
+// forwarder that waits for others.
 #[test]
 fn fleet_starts_its_watches_within_the_drain_grace() {
     for size in [3, 100, 300] {
         let (starts, agains) = fleet_asks(size, 60, 0);
-        for (what, asks) in [("at the start", starts), ("after a watch that served", agains)] {
-            assert!(asks.iter().all(|at| *at <= S / 4 + S / 100), "{size} {what}: within 250 ms");
+        for (what, asks) in [("at the start", starts), ("after an established watch", agains)] {
+            assert!(
+                asks.iter().all(|at| *at <= S / 4 + S / 100),
+                "{size} {what}: each watch must start within 250 ms"
+            );
             let together =
                 (0..26).map(|part| asks.iter().filter(|at| **at / (S / 100) == part).count()).max();
             assert!(together <= Some(2 + size as usize / 10), "{size} {what}: {together:?} within 10 ms");
@@ -139,22 +148,25 @@
     assert_eq!(fleet_asks(1, 60, 0).0, [0]);
 }
 
-// Guards against a discovery that turned the whole fleet away and is asked by all again in the same moment, or so late
-// that a change of the list binds before it is heard.
+// Guards against a discovery that rejected the whole fleet and that all forwarders contact again at the same moment, or
+// so late that a change of the list must be in force before they get it.
 #[test]
 fn rejected_fleet_spreads_its_watches() {
     for (size, most) in [(100, 45), (300, 105)] {
         let (_, agains) = fleet_asks(size, 1, 0);
         let busiest = (0..5).map(|second| agains.iter().filter(|at| **at / S == second).count()).max();
         assert!(busiest <= Some(most), "{size}: {busiest:?} in one second");
-        assert!(agains.iter().all(|at| *at <= 4 * S + S / 10), "{size}: within 4 s");
+        assert!(agains.iter().all(|at| *at <= 4 * S + S / 10), "{size}: each watch must start within 4 s");
     }
-    assert!(fleet_asks(3, 1, 0).1.iter().all(|at| *at <= 7 * S / 10), "a small fleet is back at once");
+    assert!(
+        fleet_asks(3, 1, 0).1.iter().all(|at| *at <= 7 * S / 10),
+        "the watches of a small fleet must start again within 0.7 s"
+    );
 }
 
-// Guards against a refusal of discovery whose time to come back is not heeded while there is time, or after which the
-// whole fleet comes in the same moment; and against one that is heeded, or a slip in it, while a change of the list binds:
-// 6 s after discovery had it, whatever was told.
+// Guards against a Retry-After of discovery that is ignored although there is time to respect it, or after which the
+// whole fleet comes at the same moment. Also guards against a Retry-After, or an overflow in its computation, that
+// delays the watch beyond the time when a change must be in force, which is 6 s after discovery has it.
 #[test]
 fn fleet_with_retry_after_spreads_its_watches_within_the_list_age_limit() {
     let (_, agains) = fleet_asks(100, 60, 1000);
@@ -167,8 +179,9 @@
     }
 }
 
-// Guards against a list that binds before it is heard: however calls to discovery fail, one after the other, the next
-// begins within 5 s of the last word that was heard, or of the call before; a second is left for it.
+// Guards against a change of the list that is not received by the time it must be in force. Whatever way successive
+// watches fail, the next one starts within 5 s of the last event, or of the start of the previous watch. One second is
+// left for the watch itself.
 #[test]
 fn next_watch_starts_within_the_list_age_limit_after_any_end() {
     let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
@@ -178,7 +191,8 @@
         (config.seed, config.settings.max_poll_interval) = (seed, 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let mut now = START;
-        // Refused at once, with waits; a dial that hangs; silent before its first line; silent, and dribbling, after it.
+        // Rejected at once, also with a Retry-After; a connection attempt that hangs; silence before the first line;
+        // silence, and slow partial data, after it.
         let ways = [
             (0, 0, 0),
             (0, 0, 30_000),
@@ -205,15 +219,18 @@
             let mut asked = asks(reducer.step(now, lost));
             while !asked {
                 now += S / 100;
-                assert!(now - last_word <= 5 * S + S / 100, "{size}: not asked after watch {watch}");
+                assert!(
+                    now - last_word <= 5 * S + S / 100,
+                    "{size}: no watch started in time after watch {watch}"
+                );
                 asked = asks(reducer.step(now, Input::TimerDue));
             }
         }
     }
 }
 
-// Guards against an endpoint that is sent to again on the word of an older list, from a discovery that lags; and against a
-// forwarder that never follows one that counts its versions anew.
+// Guards against an endpoint that gets calls again because a lagging discovery sent an older list, and against a
+// forwarder that never accepts the list of a discovery that restarted its version count.
 #[test]
 fn older_list_activates_no_endpoint_until_confirmed_by_another_watch() {
     let mut world = World::new();
@@ -221,22 +238,22 @@
         let mut targets = common::targets();
         targets[2].state = if drains { EndpointState::Draining } else { EndpointState::Active };
         let news = WatchEvent { version: rev, is_snapshot: true, endpoints: targets, origin: String::new() };
-        let watch = world.follows.last().expect("followed").0;
+        let watch = world.follows.last().expect("a watch was started").0;
         world.input(Input::WatchEvent { watch, event: news });
     };
     told(&mut world, 43, true);
-    // The same watch goes back, twice: it lags.
+    // The same watch sends an older version twice, so discovery lags.
     for rev in [41, 42] {
         told(&mut world, rev, false);
         world.submit(format!("m{rev}"), false, 2, 10);
         world.wait(10_000);
-        assert!(world.links.is_empty(), "version {rev}: it drains");
+        assert!(world.links.is_empty(), "version {rev}: no connection may be opened to a draining endpoint");
     }
     let asked = world.follows.len();
     world.wait(2 * S);
-    let (_, _, since) = *world.follows.last().expect("followed");
-    assert_eq!((world.follows.len(), since), (asked + 1, 0), "the whole list is asked for once more");
+    let (_, _, since) = *world.follows.last().expect("a watch was started");
+    assert_eq!((world.follows.len(), since), (asked + 1, 0), "one new watch must ask for the whole list");
     told(&mut world, 42, false);
     world.wait(10_000);
-    assert!(!world.links.is_empty(), "told once more, it holds");
+    assert!(!world.links.is_empty(), "the older list must be in force once a second watch has confirmed it");
 }
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -1,4 +1,4 @@
-//! Calls of operators to the reducer.
+//! Operators' calls to the reducer.
 
 mod common;
 
@@ -9,8 +9,9 @@
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::input::Input;
 
-// Guards against an endpoint that comes back by itself: a list that drops it and names it again, a reload and a restart
-// leave it out, and one call back undoes two out. An id that nobody has named is a no.
+// Guards against an ejected endpoint that returns by itself. It must stay ejected if a list drops it and names it
+// again, and after a reload and a restart. One call that restores it undoes two that ejected it. A call for an endpoint
+// that no list has named is rejected.
 #[test]
 fn ejected_endpoint_stays_ejected_until_restored() {
     let (out, back) =
@@ -33,17 +34,24 @@
     world.restart();
     world.submit("m".to_owned(), true, 2, 10);
     world.wait(2 * S);
-    assert!(world.links.is_empty(), "nothing is even dialled");
+    assert!(world.links.is_empty(), "no connection may be opened to an ejected endpoint");
     assert_eq!(world.reducer.gauges().avoided_endpoints, 1);
     assert!(world.operate(back.clone()) && world.operate(back));
     world.out.clear();
     world.wait(S);
-    assert_eq!(world.links.len(), 1, "one call back undoes both, and what has waited goes");
-    assert!(!world.operate(console::Command::Ready), "nobody listens for clients here");
+    assert_eq!(
+        world.links.len(),
+        1,
+        "one call must restore the endpoint, and the waiting message must be sent"
+    );
+    assert!(
+        !world.operate(console::Command::Ready),
+        "the process must not be ready, because it accepts no clients"
+    );
 }
 
-// Guards against a destination pushed over by what has waited: its only endpoint was restarted while it was out, so a
-// trial call goes, and no crowd.
+// Guards against a restored endpoint that is overloaded by the waiting messages. It is the only endpoint of its
+// destination and was restarted while it was ejected, so only a trial call may be sent at first.
 #[test]
 fn restored_endpoint_warms_up() {
     let mut world = World::new();
@@ -54,6 +62,6 @@
     world.wait(S);
     assert!(world.operate(console::Command::EnableServer("s-c".to_owned())));
     world.wait(4 * S);
-    assert!(world.links.len() <= 1, "only a trial call goes");
+    assert!(world.links.len() <= 1, "only a trial call may be sent");
     assert_eq!(world.reducer.faulty_destinations().count(), 1);
 }
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of the reducer on what its journal holds.
+//! Restarts of the reducer from the content of its journal.
 
 mod common;
 
@@ -18,8 +18,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-// Guards against changes to a list being taken for the whole of it: the configuration's list was not in the
-// journal, so after a restart only the endpoints that had changed since were left.
+// Guards against changes of a list that are taken for the whole list. The configuration's list was not in the journal,
+// so after a restart only the endpoints that had changed since were left.
 #[test]
 fn restart_keeps_unchanged_endpoints() {
     let mut world = World::new();
@@ -27,10 +27,13 @@
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.fates["x"].taken_on && !world.links.is_empty(), "destination 2 is still known and dialled");
+    assert!(
+        world.fates["x"].taken_on && !world.links.is_empty(),
+        "destination 2 must still be known, and a connection to it requested"
+    );
 }
 
-// Guards against a drain that a restart forgets: the configuration's list is older than what was told.
+// Guards against a restart that forgets a drain. The configuration's list is older than the one that discovery sent.
 #[test]
 fn restart_keeps_draining_endpoints() {
     let mut world = World::new();
@@ -41,12 +44,12 @@
     assert!(world.fates["x"].taken_on && world.links.is_empty());
 }
 
-// Guards against a restart whose first append needs a rewrite: held before the messages were back, that rewrite
-// wrote a journal without them.
+// Guards against a restart whose first append causes a compaction. If it takes place before the messages are restored,
+// the compacted journal lacks them.
 #[test]
 fn restart_with_a_full_journal_loses_no_message() {
     let mut world = World::new();
-    // Nothing may go there: the message stays held.
+    // The endpoint drains, so the message stays undelivered.
     world.step(0, Step::List { which: 2, state: EndpointState::Draining });
     world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
@@ -70,11 +73,11 @@
             }
         }
     }
-    assert!(rewrites > 0, "the case did not come up");
+    assert!(rewrites > 0, "no restart caused a compaction, so the test checked nothing");
 }
 
-// Guards against a restart that goes back to the address given at the first start, which the reload superseded,
-// and against staying with the file when another address is given: that is newer.
+// Guards against a restart that returns to the address from the command line that a reload has superseded, and against
+// one that keeps the address from the file although another address was given on the command line, which is newer.
 #[test]
 fn restart_after_a_reload_keeps_the_files_discovery() {
     let config = |port: u16, given: Option<&str>| {
@@ -97,13 +100,17 @@
     };
     let (old, new) = (Some("127.0.0.1:2"), Some("127.0.0.1:5"));
     let mut file = Vec::new();
-    assert_eq!(asked(&mut file, config(3, old), None), 2, "what is given comes first at a start");
+    assert_eq!(
+        asked(&mut file, config(3, old), None),
+        2,
+        "the address from the command line must be used at the first start"
+    );
     assert_eq!(asked(&mut file, config(2, old), Some(config(3, old))), 3);
-    assert_eq!(asked(&mut file, config(4, old), None), 4, "the file as it is now");
+    assert_eq!(asked(&mut file, config(4, old), None), 4, "the current address from the file must be used");
     assert_eq!(asked(&mut file, config(4, new), None), 5);
 }
 
-// Guards against a restart that drops what a catalogue told last for the configuration's list.
+// Guards against a restart that replaces the last list of a catalogue by the configuration's list.
 #[test]
 fn restart_keeps_the_last_catalogue_list() {
     let config = || {
@@ -133,8 +140,8 @@
     assert_eq!((held[0].endpoints.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
 }
 
-// Guards against a message that was taken on and stands in no file: where the journal was rewritten in the very step in
-// which the message's record had been appended, the new file did not have it.
+// Guards against an accepted message that is in no file. If the journal was compacted in the same step in which the
+// message's record was appended, the new file lacked the record.
 #[test]
 fn compaction_keeps_appends_of_the_same_step() {
     for size in (100..1300).step_by(60) {
@@ -143,7 +150,7 @@
             world.submit(format!("m{number}"), true, 2, size);
             world.wait(5_000);
             while let Some(link) = world.pick(0, |link| !link.up) {
-                world.links.get_mut(&link).expect("there").up = true;
+                world.links.get_mut(&link).expect("the connection exists").up = true;
                 world.input(Input::ConnectionUp { connection: link });
             }
             world.answer(0, 0);
@@ -152,8 +159,8 @@
     }
 }
 
-// Guards against a key, or the building of an attempt that may have run, that a kill forgets; and against a window
-// that begins anew with the process.
+// Guards against a kill that loses the idempotency key of a message or the zone of an attempt that may have delivered
+// it, and against a deduplication window that starts again with the process.
 #[test]
 fn kill_keeps_idempotency_key_zone_and_window() {
     for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * S, false, 1)] {
@@ -162,12 +169,20 @@
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
         assert_eq!(world.fates["held"].calls, 1);
-        let first = world.links.values().find(|l| l.call.is_some()).map(|l| l.sent.1.clone()).expect("out");
+        let first = world
+            .links
+            .values()
+            .find(|l| l.call.is_some())
+            .map(|l| l.sent.1.clone())
+            .expect("a call is in flight");
         world.now += pause;
         if moves {
-            // While the process is dead; it is at the other building under its name.
-            let place =
-                world.list.iter().position(|t| t.destination == 2 && t.zone == first).expect("listed");
+            // While the process is not running, the endpoint moves to the other zone and keeps its uid.
+            let place = world
+                .list
+                .iter()
+                .position(|t| t.destination == 2 && t.zone == first)
+                .expect("the endpoint is listed");
             world.rev += 1;
             world.list[place].zone = if first == "a" { "b" } else { "a" }.to_owned();
         }
@@ -176,15 +191,23 @@
             world.wait(50_000);
             world.step(1, Step::Connect { which: 0, up: true });
         }
-        assert_eq!(world.fates["held"].calls, calls, "again in its building and window alone, with its key");
+        assert_eq!(
+            world.fates["held"].calls, calls,
+            "the message must be repeated only in its zone and window, with its key"
+        );
         world.wait(5 * S);
         world.post(true);
-        assert_eq!(world.fates["held"].notice, Some(FinalAnswer::Failed), "nobody drops its repeat any more");
+        assert_eq!(
+            world.fates["held"].notice,
+            Some(FinalAnswer::Failed),
+            "the message must fail once no endpoint drops its repeat"
+        );
     }
 }
 
-/// A reducer of the second shape whose window for repeats is one second, on what a file holds: it is driven for a while,
-/// every dial comes up at once and nothing answers. When calls were written, and when which final answers were posted.
+/// Runs a reducer of the second deployment with a deduplication window of one second on the content of a file. Every
+/// connection is established immediately, and no endpoint replies. Returns when calls were written, and when which
+/// final answers were posted.
 fn with_a_short_window(
     file: &mut Vec<u8>,
     handed: Option<Submission>,
@@ -226,8 +249,9 @@
     (written, posted)
 }
 
-// Guards against a window for repeats that a restart forgets, or counts from its own start: of one second, with the process
-// killed while the first attempt was out, a repeat goes within it and never after, and then the end is told at once.
+// Guards against a deduplication window that a restart loses or counts from its own start. The window is one second,
+// and the process is killed while the first attempt is in flight. A repeat may be sent only within the window, and
+// after the window the final answer is posted immediately.
 #[test]
 fn one_second_window_is_counted_across_a_restart() {
     for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
@@ -244,16 +268,19 @@
         };
         let mut file = Vec::new();
         let (written, _) = with_a_short_window(&mut file, Some(handed), START, 20_000);
-        assert_eq!(written.len(), 1, "it is out");
+        assert_eq!(written.len(), 1, "the first attempt must be in flight");
         let first = written[0];
         let (written, posted) = with_a_short_window(&mut file, None, first + gap, 4 * S);
         assert!(written.iter().all(|at| *at < first + S), "{gap}: {written:?} after {first}");
-        assert!(!written.is_empty() || !repeats || gap > 850_000, "{gap}: there was time for a repeat");
+        assert!(
+            !written.is_empty() || !repeats || gap > 850_000,
+            "{gap}: a repeat must be sent, because there was time for it"
+        );
         if written.is_empty() {
             let (at, _) = posted[0];
             assert!(
                 at <= first + gap.max(S) + 100_000,
-                "{gap}: told at {at}, {} after the start",
+                "{gap}: the final answer was posted at {at}, {} us after the start",
                 at - first - gap
             );
         }
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions to the reducer: what is taken on, deferred or refused, and how a stop ends.
+//! Submissions to the reducer: which are accepted, rejected or refused, and how a shutdown ends.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use orchidyoke_forwarder::reducer::Reducer;
 use orchidyoke_journal::FinalAnswer;
 
-// Guards against a crash or a lost message when the folder is full: what does not fit is deferred.
+// Guards against a crash or a lost message when the folder is full. A message for which there is no room is rejected.
 #[test]
 fn full_journal_rejects_new_messages() {
     let mut world = World::new();
@@ -22,12 +22,12 @@
         world.wait(5_000);
     }
     let taken = world.fates.values().filter(|fate| fate.taken_on).count();
-    assert!((1..8).contains(&taken), "{taken} taken on");
-    assert!(world.tickets.is_empty(), "all are answered");
+    assert!((1..8).contains(&taken), "{taken} messages accepted");
+    assert!(world.tickets.is_empty(), "every request must be answered");
 }
 
-// Guards against a forwarder that is still there when it is killed, and against a message lost in its last moment:
-// what clients have sent when accepting ends is still taken on and answered.
+// Guards against a forwarder that still runs when it is killed, and against a message lost at the end. Requests that
+// clients have sent before the forwarder stops accepting are still accepted and answered.
 #[test]
 fn shutdown_ends_in_time_and_answers_every_request() {
     let mut world = World::new();
@@ -37,21 +37,24 @@
     world.step(0, Step::Connect { which: 0, up: true });
     world.step(1, Step::Terminate);
     world.wait(3_360_000);
-    assert!(world.stopped_accepting && !world.exited, "its call is out to the last");
+    assert!(
+        world.stopped_accepting && !world.exited,
+        "the process must not exit while its call is in flight"
+    );
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
     assert!(world.fates["b"].taken_on);
-    // The client's connection lingers; it is gone when the process is.
+    // The client's connection lingers until the process exits.
     world.wait(160_000);
     assert!(world.exited && world.now - START < 3_600_000);
     world.restart();
     world.wait(10_000);
-    let owed = world.posting.clone().expect("the order that was out is ended at once");
+    let owed = world.posting.clone().expect("the order that was in flight has a final answer immediately");
     assert_eq!(owed, [("a".to_owned(), FinalAnswer::Failed)]);
 }
 
-// Guards against a deployment without tenants that takes nothing, against a message without what its class or deployment
-// asks for that is taken all the same, and against a refusal that counts as an end.
+// Guards against a deployment without tenants that accepts nothing, against a message that is accepted without a header
+// that its class or deployment requires, and against a refused request that counts as a final answer.
 #[test]
 fn settings_decide_the_required_headers() {
     for (shape, org, key, good) in [
@@ -87,7 +90,7 @@
     }
 }
 
-// Guards against a time to come back that the settings do not allow, or that is longer than any client waits.
+// Guards against a Retry-After that the settings do not allow, or that is longer than they allow.
 #[test]
 fn rejection_at_the_message_limit_has_retry_after_as_the_settings_say() {
     for (change, expected) in [
@@ -124,21 +127,21 @@
     }
 }
 
-// Guards against a client's leaving that crosses its 202: what is in the journal by then is delivered, once, and what is not
-// is no message.
+// Guards against a client that closes its connection while its 202 is on the way. A message that is in the journal by
+// then is delivered once. One that is not is dropped.
 #[test]
 fn withdrawal_crossing_the_202_gives_one_final_answer() {
     let mut world = World::new();
     world.submit("kept".to_owned(), true, 2, 10);
-    let ticket = *world.tickets.keys().last().expect("it waits");
+    let ticket = *world.tickets.keys().last().expect("a request waits");
     world.wait(10_000);
-    assert!(world.fates["kept"].taken_on, "its 202 is on the way");
+    assert!(world.fates["kept"].taken_on, "the message must be accepted");
     world.input(Input::Withdrawn { request: ticket });
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
     assert!(world.fates["kept"].delivered);
     world.submit("left".to_owned(), true, 2, 10);
-    let ticket = *world.tickets.keys().last().expect("it waits");
+    let ticket = *world.tickets.keys().last().expect("a request waits");
     world.input(Input::Withdrawn { request: ticket });
     world.wait(S);
     assert!(!world.fates["left"].taken_on && world.pick(0, |l| l.call.is_some()).is_none());
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -1,5 +1,6 @@
-//! Protects what a forwarder takes over from the journal of an earlier version: messages, ids that are over, notices
-//! that are owed, waits, routes in trouble, endpoints out by hand, the list, and what is between forwarders.
+//! Protects the state that a forwarder restores from the journal of an earlier version: messages, ids of finished
+//! messages, pending final answers, Retry-Afters, faulty routes, operators' overrides, the endpoint list, and
+//! handovers.
 
 mod common;
 
@@ -20,24 +21,24 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The journal as it was written before, up to the moment `START`.
+/// A journal file that an earlier version wrote up to the time `START`.
 const STORED: &[u8] = include_bytes!("fixtures/journal");
-/// What a start on it wrote in its place where the folder was nearly full.
+/// The compacted file that an earlier version wrote at a start from this journal when the folder was nearly full.
 const REWRITTEN: &[u8] = include_bytes!("fixtures/journal-rewritten");
 
 const MS: Micros = 1_000;
 
-/// The messages that are still to be delivered, in the order of their ids.
+/// The ids of the messages that are still to be delivered, in ascending order.
 const PENDING: [&str; 9] =
     ["m-declined", "m-free", "m-kept", "m-missed", "m-offered", "m-out", "m-ran", "m-unresolved", "m-unseen"];
-/// Those that are over, or whose final answer is decided.
+/// The ids of the messages that are finished or whose final answer is decided.
 const ENDED: [&str; 5] = ["m-over", "m-told", "m-handed", "m-failed", "m-returned"];
 
 fn string(text: &str) -> String {
     text.to_owned()
 }
 
-/// A message of the class without a key.
+/// Returns a message of the class without an idempotency key.
 fn taken(txn: &str, dest: DestinationId) -> AcceptedMessage {
     AcceptedMessage {
         id: string(txn),
@@ -53,7 +54,7 @@
     }
 }
 
-/// The one message with a key.
+/// Returns the message with an idempotency key.
 fn keyed() -> AcceptedMessage {
     AcceptedMessage { class: string("bread"), idempotency_key: Some(string("k \"1\"")), ..taken("m-ran", 2) }
 }
@@ -66,7 +67,7 @@
     AttemptStart { started_at: START - ago, endpoint: string("s-c"), zone: string("a") }
 }
 
-/// The list as it stands after the changes.
+/// Returns the endpoint list after all changes.
 fn list() -> Vec<EndpointEntry> {
     let mut list = second_targets();
     list[1].state = EndpointState::Draining;
@@ -76,7 +77,7 @@
     list
 }
 
-/// What the journal holds.
+/// Returns the expected records of the journal.
 fn held() -> Vec<Record> {
     let (txn, at) = (string, START - 300 * MS);
     let begun =
@@ -142,7 +143,7 @@
     records
 }
 
-/// What a rewrite at the start leaves of it.
+/// Returns the expected records after a compaction at the start.
 fn kept() -> Vec<Record> {
     let at = START - 300 * MS;
     let over = |txn: &str, at: Micros| Record::Finished { message: string(txn), at };
@@ -237,12 +238,12 @@
     }
 }
 
-/// A start on the stored journal, with so many bytes in the file.
+/// Starts a forwarder from the stored journal, with a file of `size` bytes.
 fn start(owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
     start_without(|_| false, owners, size)
 }
 
-/// The same, as if these records were not in it.
+/// Starts a forwarder from the stored journal without the records for which `left_out` returns `true`.
 fn start_without(left_out: fn(&Record) -> bool, owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
     let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
     let config = Config::read(&text, None, Some("127.0.0.1:2")).expect("a configuration");
@@ -252,25 +253,27 @@
     Reducer::new(Config { owners, ..config }, 0, records, size, START)
 }
 
-/// What a forwarder has asked for.
+/// The effects that a forwarder has requested.
 #[derive(Default)]
 struct Asked {
-    /// Messages written to endpoints: when, to which port, with which key and body.
+    /// Messages written to endpoints: when (in microseconds after `START`), to which port, with which idempotency key
+    /// and body.
     written: BTreeMap<String, (Micros, u16, Option<String>, Bytes)>,
     notices: Vec<(String, FinalAnswer)>,
-    /// Port of discovery, and the version that is held.
+    /// Watches that were started: port of discovery, and version of the list in force.
     followed: Vec<(u16, u64)>,
     offers: Vec<OutgoingOffer>,
-    /// Files of other processes that are not needed any more.
+    /// Generations of files of other processes that were removed.
     retired: Vec<Generation>,
 }
 
-/// Drives a reducer for a while: connections come up, endpoints deliver, notices are accepted, offers are not answered.
+/// Runs a reducer for a while. Connections are established, endpoints deliver, notifications are accepted, and offers
+/// are not answered.
 fn drive(reducer: &mut Reducer, span: Micros) -> Asked {
     drive_from(reducer, Input::TimerDue, span)
 }
 
-/// The same, with this input first.
+/// Runs a reducer as [`drive`] does, with this input first.
 fn drive_from(reducer: &mut Reducer, first: Input, span: Micros) -> Asked {
     let (mut asked, mut links, mut inputs) = (Asked::default(), BTreeMap::new(), VecDeque::from([first]));
     let mut size = STORED.len();
@@ -292,7 +295,10 @@
                         let states: Vec<_> = call.messages.iter().map(|part| state(&part.id)).collect();
                         for part in call.messages {
                             let sent = (now - START, links[&link], part.idempotency_key, part.body);
-                            assert!(asked.written.insert(part.id, sent).is_none(), "twice");
+                            assert!(
+                                asked.written.insert(part.id, sent).is_none(),
+                                "a message must be written once"
+                            );
                         }
                         let body = format!("[{}]", states.join(",")).into();
                         let reply = EndpointReply {
@@ -351,7 +357,7 @@
         .into_iter()
         .filter_map(|effect| if let Effect::CompactJournal { bytes } = effect { Some(bytes) } else { None })
         .collect();
-    let [bytes] = &rewrites[..] else { panic!("{} rewrites", rewrites.len()) };
+    let [bytes] = &rewrites[..] else { panic!("{} compactions", rewrites.len()) };
     let (records, whole) = replay(bytes.clone());
     let expected = kept();
     for (place, ((read, _), expected)) in records.iter().zip(&expected).enumerate() {
@@ -380,7 +386,7 @@
     for txn in PENDING.iter().chain(&ENDED) {
         assert_eq!(answers(txn), [SubmitAnswer::Accepted], "{txn}");
     }
-    assert_eq!(answers("m-new"), [], "one that is new waits for its record");
+    assert_eq!(answers("m-new"), [], "a new message must wait for its record");
 }
 
 #[test]
@@ -406,7 +412,11 @@
         drive(&mut reducer, 20 * MS);
         reducer.gauges().avoided_endpoints
     };
-    assert_eq!(avoided(|_| false), 3, "one drains, one is out by hand, one is of a destination in trouble");
+    assert_eq!(
+        avoided(|_| false),
+        3,
+        "one endpoint drains, one is ejected by an operator, one belongs to a faulty destination"
+    );
     assert_eq!(avoided(|record| matches!(record, Record::FaultyRoutes { .. })), 2);
     assert_eq!(
         avoided(|record| matches!(record, Record::FaultyRoutes { .. } | Record::OperatorOverride { .. })),
@@ -421,7 +431,8 @@
     let written: BTreeSet<_> = asked.written.keys().map(String::as_str).collect();
     assert_eq!(written, BTreeSet::from(PENDING));
     for (txn, (at, port, key, sent)) in &asked.written {
-        // Of destination 2 one endpoint waits, and the other is out by hand; all of destination 1 waits.
+        // One endpoint of destination 2 has a Retry-After and the other is ejected by an operator. The whole of
+        // destination 1 has a Retry-After.
         let to_second = matches!(&txn[..], "m-out" | "m-unseen" | "m-missed" | "m-ran");
         let (from, endpoint) = if to_second { (S, 11) } else { (3 * S, 9) };
         assert!(*at >= from && *port == endpoint, "{txn}: at {at}, to {port}");
@@ -429,7 +440,7 @@
         assert_eq!(*key, (txn == "m-ran").then(|| string("k \"1\"")), "{txn}");
     }
     let window_end = 1500 * MS;
-    assert!(asked.written["m-ran"].0 < window_end, "its window runs from its first attempt");
+    assert!(asked.written["m-ran"].0 < window_end, "the window must start with the first attempt");
     assert_eq!((reducer.metrics().open_messages(), asked.notices.len()), (0, 2));
 }
 
@@ -459,12 +470,15 @@
     assert_eq!(
         offer("m-unresolved").mark.possible_delivery,
         Some(unknown),
-        "that offer counts as an attempt"
+        "the unresolved offer must count as an attempt"
+    );
+    assert!(
+        offer("m-declined").mark.valid_until > mark.valid_until,
+        "the declined offer must not count as the first offer"
     );
-    assert!(offer("m-declined").mark.valid_until > mark.valid_until, "its first offer was declined");
 }
 
-// An upgrade: this process has a file of its own, and the one before it ends beside it.
+// An upgrade: this process has a file of its own, and the older process ends while this one runs.
 #[test]
 fn journal_of_an_ended_previous_version_is_taken_over() {
     let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
@@ -479,7 +493,8 @@
     let owed =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
     assert_eq!(asked.notices[..2], owed.map(|(txn, verdict)| (string(txn), verdict)));
-    // Destination 1 comes back as after an outage, for its endpoint was put back by hand: some may be handed back.
+    // Destination 1 starts as after an outage because an operator restored its endpoint, so some messages may be
+    // rejected.
     let later = asked.notices[2..].iter().map(|(txn, _)| txn);
     assert_eq!(
         asked.written.keys().chain(later).collect::<BTreeSet<_>>(),
@@ -487,7 +502,7 @@
     );
     for txn in ["m-out", "m-unseen", "m-missed", "m-ran"] {
         let (at, port, key, sent) = &asked.written[txn];
-        assert!(*at >= S && *port == 11, "{txn}: at {at}, to {port}: the wait is kept");
+        assert!(*at >= S && *port == 11, "{txn}: at {at}, to {port}: the Retry-After must stay in force");
         assert_eq!((key, sent), (&(txn == "m-ran").then(|| string("k \"1\"")), &body(txn)));
     }
 }
