--- a/crates/journal/src/file/tests.rs
+++ b/crates/journal/src/file/tests.rs
@@ -1,7 +1,7 @@
 //! Protects a process's own file, and how other processes read it.
 
 use super::*;
-use crate::codec::tests::taken;
+use crate::codec::tests::accepted;
 use crate::other::{JournalUpdate, find_other_journals};
 use crate::record::Record;
 use bytes::BytesMut;
@@ -11,9 +11,9 @@
 fn appends_after_compaction_go_to_the_new_file() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-journal-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
-    let bytes = |txn: &str| {
+    let bytes = |id: &str| {
         let mut bytes = BytesMut::new();
-        taken(txn).encode(b"x", &mut bytes);
+        accepted(id).encode(b"x", &mut bytes);
         bytes
     };
     let mut journal = Journal::open(&folder).expect("opens").journal;
@@ -26,7 +26,7 @@
     drop(journal);
     let OpenedJournal { journal, records, .. } = Journal::open(&folder).expect("opens");
     assert_eq!(journal.size(), size);
-    assert_eq!(records.iter().map(|r| &r.0).collect::<Vec<_>>(), [&taken("b"), &taken("c")]);
+    assert_eq!(records.iter().map(|r| &r.0).collect::<Vec<_>>(), [&accepted("b"), &accepted("c")]);
     assert!(!folder.join("journal.new").exists());
     fs::remove_dir_all(&folder).expect("cleans up");
 }
@@ -37,41 +37,41 @@
 fn each_process_has_its_own_file_and_reads_the_others() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-journals-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
-    let bytes = |txn: &str| {
+    let bytes = |id: &str| {
         let mut bytes = BytesMut::new();
-        taken(txn).encode(b"x", &mut bytes);
+        accepted(id).encode(b"x", &mut bytes);
         bytes
     };
-    let seen = |look: JournalUpdate| -> Vec<String> {
-        let txn = |record| if let Record::Accepted(taken) = record { taken.id } else { String::new() };
-        look.records.into_iter().map(|(record, _)| txn(record)).collect()
+    let ids_of = |update: JournalUpdate| -> Vec<String> {
+        let id = |record| if let Record::Accepted(accepted) = record { accepted.id } else { String::new() };
+        update.records.into_iter().map(|(record, _)| id(record)).collect()
     };
-    let mut elder = Journal::open(&folder).expect("opens").journal;
-    elder.append(&bytes("a")).expect("appends");
+    let mut older = Journal::open(&folder).expect("opens").journal;
+    older.append(&bytes("a")).expect("appends");
     let mut opened = Journal::open(&folder).expect("opens");
-    assert_eq!((elder.generation(), opened.journal.generation(), opened.records.len()), (0, 1, 0));
+    assert_eq!((older.generation(), opened.journal.generation(), opened.records.len()), (0, 1, 0));
     let other = &mut opened.other_journals[0];
-    let look = other.read_new().expect("read").expect("the file exists");
-    assert!(look.rewritten && !look.ended);
-    assert_eq!(seen(look), ["a"]);
+    let update = other.read_new().expect("read").expect("the file exists");
+    assert!(update.rewritten && !update.ended);
+    assert_eq!(ids_of(update), ["a"]);
     let half = bytes("b");
-    elder.file.write_all(&half[..half.len() / 2]).expect("writes");
+    older.file.write_all(&half[..half.len() / 2]).expect("writes");
     assert!(
-        seen(other.read_new().expect("read").expect("the file exists")).is_empty(),
+        ids_of(other.read_new().expect("read").expect("the file exists")).is_empty(),
         "an incomplete record must not be read"
     );
-    elder.file.write_all(&half[half.len() / 2..]).expect("writes");
-    let look = other.read_new().expect("read").expect("the file exists");
-    assert!(!look.rewritten && !look.ended);
-    assert_eq!(seen(look), ["b"]);
-    elder.rewrite(&bytes("c")).expect("rewrites");
-    let look = other.read_new().expect("read").expect("the file exists");
-    assert!(look.rewritten && !look.ended, "a compaction must not look like the end of the process");
-    assert_eq!(seen(look), ["c"]);
+    older.file.write_all(&half[half.len() / 2..]).expect("writes");
+    let update = other.read_new().expect("read").expect("the file exists");
+    assert!(!update.rewritten && !update.ended);
+    assert_eq!(ids_of(update), ["b"]);
+    older.rewrite(&bytes("c")).expect("rewrites");
+    let update = other.read_new().expect("read").expect("the file exists");
+    assert!(update.rewritten && !update.ended, "a compaction must not look like the end of the process");
+    assert_eq!(ids_of(update), ["c"]);
     assert!(find_other_journals(&folder, |known| known < 2).expect("read").is_empty());
-    drop(elder);
-    let look = other.read_new().expect("read").expect("the file exists");
-    assert!(look.ended && !look.rewritten && look.records.is_empty());
+    drop(older);
+    let update = other.read_new().expect("read").expect("the file exists");
+    assert!(update.ended && !update.rewritten && update.records.is_empty());
     other.remove().expect("removed");
     assert!(other.read_new().expect("read").is_none());
     drop(opened);
--- a/crates/journal/src/folder/making_tests.rs
+++ b/crates/journal/src/folder/making_tests.rs
@@ -26,15 +26,15 @@
 fn scan_and_remove(folder: &Path, generation: Generation) -> OtherJournal {
     let mut found = find_other_journals(folder, |known| known != generation).expect("read");
     let mut other = found.pop().expect("the file has its name");
-    let look = other.read_new().expect("read").expect("there");
-    assert!(look.ended && look.records.is_empty(), "no process holds its lock");
+    let update = other.read_new().expect("read").expect("there");
+    assert!(update.ended && update.records.is_empty(), "no process holds its lock");
     other.remove().expect("removed");
     other
 }
 
 /// Returns a function that creates files. After it has created the first file and before it returns, it calls
 /// `meanwhile`, which stands for another process.
-fn making<'a>(meanwhile: impl Fn() + 'a) -> impl Fn(&Path) -> io::Result<File> + 'a {
+fn make_with_interference<'a>(meanwhile: impl Fn() + 'a) -> impl Fn(&Path) -> io::Result<File> + 'a {
     let first = Cell::new(true);
     move |path| {
         let file = make(path)?;
@@ -48,9 +48,9 @@
 // Guards against keeping a file that another process removed before it was locked. The other process has ended, so the
 // lock can be taken, but the file no longer has a name.
 #[test]
-fn a_file_removed_before_its_lock_is_not_kept() {
+fn file_removed_before_its_lock_is_not_kept() {
     let folder = Folder::new("removed");
-    let made = create(&folder.0, 3, making(|| drop(scan_and_remove(&folder.0, 3))));
+    let made = create(&folder.0, 3, make_with_interference(|| drop(scan_and_remove(&folder.0, 3))));
     let (generation, file) = made.expect("made");
     let path = path_of(&folder.0, generation);
     assert!(is_still_named(&file, &path), "{} must be the locked file", path.display());
@@ -63,10 +63,10 @@
 
 // Guards against keeping a file that another process removed and still holds the lock of.
 #[test]
-fn a_file_removed_and_still_locked_by_another_is_not_kept() {
+fn file_removed_and_still_locked_by_another_process_is_not_kept() {
     let folder = Folder::new("held");
     let held = Cell::new(None);
-    let made = create(&folder.0, 0, making(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
+    let made = create(&folder.0, 0, make_with_interference(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
     let (generation, file) = made.expect("made");
     assert!(is_still_named(&file, &path_of(&folder.0, generation)));
     assert!(held.take().is_some(), "the other process must have removed a file");
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -8,7 +8,7 @@
 
 const LISTED: usize = 100_000;
 
-fn target(number: usize) -> EndpointEntry {
+fn entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         uid: format!("s-{number:08x}"),
         address: "127.0.0.1:8000".parse().expect("an address"),
@@ -21,12 +21,12 @@
     }
 }
 
-fn list(rev: u64) -> Record {
-    let targets = (0..LISTED).map(target).collect();
+fn list(version_number: u64) -> Record {
+    let entries = (0..LISTED).map(entry).collect();
     Record::EndpointList(WatchEvent {
-        version: rev,
+        version: version_number,
         is_snapshot: true,
-        endpoints: targets,
+        endpoints: entries,
         origin: String::new(),
     })
 }
@@ -101,24 +101,24 @@
         capacity_hint: -f64::MIN_POSITIVE,
         health: HealthStatus::Critical,
     };
-    let mut map = EndpointList::default();
-    let mut check = |targets: Vec<EndpointEntry>| {
-        map.apply(&WatchEvent {
+    let mut list = EndpointList::default();
+    let mut check = |entries: Vec<EndpointEntry>| {
+        list.apply(&WatchEvent {
             version: u64::MAX,
             is_snapshot: false,
-            endpoints: targets,
+            endpoints: entries,
             origin: "consul:1".to_owned(),
         });
-        let (size, written) = (map.size(), bytes_of(&Record::EndpointList(map.snapshot())).len());
-        assert!(size >= written, "{} entries: {size} for {written}", map.len());
-        assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", map.len());
+        let (size, written) = (list.size(), bytes_of(&Record::EndpointList(list.snapshot())).len());
+        assert!(size >= written, "{} entries: {size} for {written}", list.len());
+        assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", list.len());
     };
     check((0..1000).map(longest).collect());
-    check((0..100).map(target).collect());
+    check((0..100).map(entry).collect());
     check(
         (0..1000).map(|number| EndpointEntry { state: EndpointState::Removed, ..longest(number) }).collect(),
     );
-    let gone = |number| EndpointEntry { state: EndpointState::Removed, ..target(number) };
+    let gone = |number| EndpointEntry { state: EndpointState::Removed, ..entry(number) };
     check((0..100).map(gone).collect());
-    assert_eq!(map.len(), 0);
+    assert_eq!(list.len(), 0);
 }
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -19,14 +19,14 @@
     text.to_owned()
 }
 
-fn trace(at: i64, uid: &str, az: &str) -> AttemptStart {
-    AttemptStart { started_at: at, endpoint: string(uid), zone: string(az) }
+fn attempt_start(at: i64, uid: &str, zone: &str) -> AttemptStart {
+    AttemptStart { started_at: at, endpoint: string(uid), zone: string(zone) }
 }
 
 /// A message without any optional field.
-fn bare(txn: &str) -> AcceptedMessage {
+fn minimal_message(id: &str) -> AcceptedMessage {
     AcceptedMessage {
-        id: string(txn),
+        id: string(id),
         class: string("c-2"),
         tenant: String::new(),
         idempotency_key: None,
@@ -40,22 +40,22 @@
 }
 
 /// A message with every optional field except its idempotency key. Its handover is in records of its own.
-fn full(txn: &str) -> AcceptedMessage {
+fn full_message(id: &str) -> AcceptedMessage {
     AcceptedMessage {
-        id: string(txn),
+        id: string(id),
         class: string("c-1"),
         tenant: string("o \"1\""),
         idempotency_key: None,
         destination: u64::MAX,
         deadline: 1_800_000_008_000_000,
         attempts: 3,
-        possible_delivery: Some(trace(1_800_000_000_000_001, "u-1", "z-1")),
-        in_flight: Some(trace(1_800_000_000_000_002, "u-2", "")),
+        possible_delivery: Some(attempt_start(1_800_000_000_000_001, "u-1", "z-1")),
+        in_flight: Some(attempt_start(1_800_000_000_000_002, "u-2", "")),
         handover: HandoverState::default(),
     }
 }
 
-fn target(uid: &str, state: EndpointState, checks: HealthStatus) -> EndpointEntry {
+fn entry(uid: &str, state: EndpointState, status: HealthStatus) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
         address: "127.0.0.1:8001".parse().expect("an address"),
@@ -64,12 +64,12 @@
         destination: 11,
         state,
         capacity_hint: 20.0,
-        health: checks,
+        health: status,
     }
 }
 
 /// An endpoint whose optional parts are empty, with an IPv6 address.
-fn sparse_target(uid: &str) -> EndpointEntry {
+fn sparse_entry(uid: &str) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
         address: "[2001:db8::1]:8002".parse().expect("an address"),
@@ -87,22 +87,22 @@
     let long_body: Vec<u8> = (0..=255).collect();
     let bodies = [Bytes::from_static(b"{\"is\":\"body\"}\n"), long_body.into()];
     let [text_body, long_body] = bodies;
-    let whole = vec![
-        target("u-1", EndpointState::Active, HealthStatus::Warning),
-        target("u-2", EndpointState::Draining, HealthStatus::Critical),
-        sparse_target("u-3"),
+    let all_entries = vec![
+        entry("u-1", EndpointState::Active, HealthStatus::Warning),
+        entry("u-2", EndpointState::Draining, HealthStatus::Critical),
+        sparse_entry("u-3"),
     ];
     let changes = vec![
-        target("u-1", EndpointState::Removed, HealthStatus::Passing),
-        target("u \"\u{e9}\u{1}\"", EndpointState::Active, HealthStatus::Passing),
+        entry("u-1", EndpointState::Removed, HealthStatus::Passing),
+        entry("u \"\u{e9}\u{1}\"", EndpointState::Active, HealthStatus::Passing),
     ];
     let (first, second) = (string("t-1"), string("t-2"));
     let plain = [
         Record::AttemptStarted {
             messages: vec![first.clone(), second.clone()],
-            attempt: trace(5, "u-1", "z-1"),
+            attempt: attempt_start(5, "u-1", "z-1"),
         },
-        Record::AttemptStarted { messages: vec![first.clone()], attempt: trace(i64::MAX, "u-2", "") },
+        Record::AttemptStarted { messages: vec![first.clone()], attempt: attempt_start(i64::MAX, "u-2", "") },
         Record::AttemptInDoubt { message: first.clone() },
         Record::AttemptNotDelivered { message: second.clone() },
         Record::AttemptNotSent { message: string("t \"3\"") },
@@ -121,7 +121,7 @@
         Record::EndpointList(WatchEvent {
             version: 12,
             is_snapshot: true,
-            endpoints: whole,
+            endpoints: all_entries,
             origin: string("consul:0a1b2c3d.1f"),
         }),
         Record::EndpointList(WatchEvent {
@@ -151,19 +151,25 @@
         },
         Record::FaultyRoutes { destinations: Vec::new(), routes: Vec::new() },
     ];
-    let taken = [
-        (Record::Accepted(bare("t-1")), Bytes::new()),
-        (Record::Accepted(full("t-2")), text_body),
+    let accepted = [
+        (Record::Accepted(minimal_message("t-1")), Bytes::new()),
+        (Record::Accepted(full_message("t-2")), text_body),
         (
-            Record::Accepted(AcceptedMessage { idempotency_key: Some(string("k \"1\"")), ..full("t-3") }),
+            Record::Accepted(AcceptedMessage {
+                idempotency_key: Some(string("k \"1\"")),
+                ..full_message("t-3")
+            }),
             long_body,
         ),
         (
-            Record::Accepted(AcceptedMessage { idempotency_key: Some(String::new()), ..bare("t-4") }),
+            Record::Accepted(AcceptedMessage {
+                idempotency_key: Some(String::new()),
+                ..minimal_message("t-4")
+            }),
             Bytes::from_static(b"\0"),
         ),
     ];
-    taken.into_iter().chain(plain.map(|record| (record, Bytes::new()))).collect()
+    accepted.into_iter().chain(plain.map(|record| (record, Bytes::new()))).collect()
 }
 
 fn written(records: &[(Record, Bytes)]) -> BytesMut {
@@ -209,8 +215,8 @@
     assert!(unreadable.is_none(), "{unreadable:?}");
     assert_eq!(complete_bytes, STORED.len());
     let expected = expected();
-    for (place, (read, expected)) in records.iter().zip(&expected).enumerate() {
-        assert_eq!(read, expected, "record {place}");
+    for (index, (read, expected)) in records.iter().zip(&expected).enumerate() {
+        assert_eq!(read, expected, "record {index}");
     }
     assert_eq!(records.len(), expected.len());
 }
@@ -219,9 +225,9 @@
 fn stored_records_encode_to_the_same_bytes() {
     let expected = expected();
     let lines = TEXTS.lines().zip(&expected);
-    for (place, (line, record)) in lines.enumerate() {
+    for (index, (line, record)) in lines.enumerate() {
         let bytes = written(std::slice::from_ref(record));
-        assert_eq!(texts(&bytes).trim_end_matches('\n'), line, "record {place}");
+        assert_eq!(texts(&bytes).trim_end_matches('\n'), line, "record {index}");
     }
     assert_eq!(texts(STORED), TEXTS);
     assert!(written(&expected) == STORED, "frames or bodies differ");
@@ -236,20 +242,20 @@
 // Guards against a snapshot that stores a message's handover state in other records than earlier versions did.
 #[test]
 fn handover_state_is_written_as_its_records() {
-    let custody = HandoverState {
+    let handover_state = HandoverState {
         offered: Some(HandoverOffer { owner: string("f-2"), offered_at: 8 }),
         kept_local: true,
     };
-    let records = AcceptedMessage { handover: custody, ..bare("t-2") }.handover_records();
-    let (to, txn) = (string("f-2"), string("t-2"));
+    let records = AcceptedMessage { handover: handover_state, ..minimal_message("t-2") }.handover_records();
+    let (to, id) = (string("f-2"), string("t-2"));
     assert_eq!(
         records,
         [
-            Record::HandoverOffered { message: txn.clone(), owner: to, at: 8 },
-            Record::KeptLocal { message: txn }
+            Record::HandoverOffered { message: id.clone(), owner: to, at: 8 },
+            Record::KeptLocal { message: id }
         ]
     );
-    assert_eq!(bare("t-2").handover_records(), []);
+    assert_eq!(minimal_message("t-2").handover_records(), []);
 }
 
 #[test]
@@ -267,14 +273,14 @@
         !folder.0.join("journal.7.new").exists(),
         "the file of an interrupted compaction must be removed"
     );
-    let look = other_journals[0].read_new().expect("read").expect("the file exists");
-    assert_eq!((other_journals[0].generation(), look.ended, look.size), (0, true, STORED.len()));
-    assert!(look.records == expected);
+    let update = other_journals[0].read_new().expect("read").expect("the file exists");
+    assert_eq!((other_journals[0].generation(), update.ended, update.size), (0, true, STORED.len()));
+    assert!(update.records == expected);
     journal.append(&written(&expected[expected.len() - 1..])).expect("appends");
     assert!(fs::read(&newest).expect("read") == STORED);
     journal.rewrite(STORED).expect("rewrites");
     assert!(fs::read(&newest).expect("read") == STORED);
-    let beside = Journal::open(&folder.0).expect("opens").journal;
-    assert_eq!(beside.generation(), 8);
+    let third = Journal::open(&folder.0).expect("opens").journal;
+    assert_eq!(third.generation(), 8);
     assert!(folder.0.join("journal.8").exists());
 }
