--- a/crates/forwarder/tests/common/deployments.rs
+++ b/crates/forwarder/tests/common/deployments.rs
@@ -6,7 +6,7 @@
 
 /// Returns the endpoints of the first configuration: two of a kind that takes several messages in a call, and two of a
 /// kind that takes one.
-pub fn targets() -> Vec<EndpointEntry> {
+pub fn endpoint_entries() -> Vec<EndpointEntry> {
     let listed =
         [("s-a", "a", "many", 1), ("s-b", "a", "many", 1), ("s-c", "a", "one", 2), ("s-d", "a", "one", 3)];
     numbered(&listed, 20.0)
@@ -14,25 +14,25 @@
 
 /// Returns endpoints with these uids, zones, kinds and destinations. Their addresses have consecutive ports from 9.
 fn numbered(listed: &[(&str, &str, &str, u64)], capacity_hint: f64) -> Vec<EndpointEntry> {
-    let target = |(number, (uid, az, model, pod_group)): (usize, &(&str, &str, &str, u64))| EndpointEntry {
+    let entry = |(number, (uid, zone, kind, destination)): (usize, &(&str, &str, &str, u64))| EndpointEntry {
         uid: (*uid).to_owned(),
         address: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
-        zone: (*az).to_owned(),
-        kind: (*model).to_owned(),
-        destination: *pod_group,
+        zone: (*zone).to_owned(),
+        kind: (*kind).to_owned(),
+        destination: *destination,
         state: EndpointState::Active,
         capacity_hint,
         health: HealthStatus::Passing,
     };
-    listed.iter().enumerate().map(target).collect()
+    listed.iter().enumerate().map(entry).collect()
 }
 
 /// Returns the text of the first configuration.
-pub fn config(listen: &str, discovery: &str, targets: Vec<EndpointEntry>) -> String {
+pub fn config(listen: &str, discovery: &str, entries: Vec<EndpointEntry>) -> String {
     let known = serde_json::to_string(&WatchEvent {
         version: 1,
         is_snapshot: true,
-        endpoints: targets,
+        endpoints: entries,
         origin: String::new(),
     })
     .expect("a list");
@@ -54,7 +54,7 @@
 
 /// Returns the endpoints of the second configuration, in two zones. One destination takes several messages in a call.
 /// The endpoints of the other two destinations have separate routes.
-pub fn second_targets() -> Vec<EndpointEntry> {
+pub fn second_endpoint_entries() -> Vec<EndpointEntry> {
     let listed = [
         ("s-a", "a", "chains", 1),
         ("s-b", "b", "chains", 1),
@@ -67,11 +67,11 @@
 
 /// Returns the text of the second configuration, with six attempts per message and no tenants. Its class `bread` needs
 /// an idempotency key, and the endpoints of a zone drop repeats for two seconds.
-pub fn second_config(listen: &str, discovery: &str, targets: Vec<EndpointEntry>) -> String {
+pub fn second_config(listen: &str, discovery: &str, entries: Vec<EndpointEntry>) -> String {
     let known = serde_json::to_string(&WatchEvent {
         version: 1,
         is_snapshot: true,
-        endpoints: targets,
+        endpoints: entries,
         origin: String::new(),
     })
     .expect("a list");
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub mod steps;
 pub mod world;
 
-pub use deployments::{config, second_config, second_targets, targets};
+pub use deployments::{config, endpoint_entries, second_config, second_endpoint_entries};
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::endpoint_call::EndpointCall;
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -151,7 +151,7 @@
         file.lock = Some(number);
         let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes));
         assert_eq!(whole, file.bytes.len());
-        let text = super::config("127.0.0.1:1", "127.0.0.1:2", super::targets());
+        let text = super::config("127.0.0.1:1", "127.0.0.1:2", super::endpoint_entries());
         let mut config = Config::read(&text, None, None).expect("a configuration");
         config.seed += number as u64;
         let reducer = Reducer::new(config, generation, records, whole, self.now);
@@ -267,7 +267,7 @@
             "the slots are those of all together"
         );
         let address = &self.processes[at].links[&link].address;
-        let targets = super::targets();
+        let targets = super::endpoint_entries();
         let target = targets.iter().find(|t| t.address.to_string() == *address).expect("listed");
         let out = self.out.get(&target.uid);
         assert!(out.is_none_or(|since| self.now - since <= DRAIN_GRACE), "out by hand for all of them");
@@ -528,7 +528,7 @@
             }
             Step::Wait(span) => self.wait(span),
             Step::Operator { at, which, out } => {
-                let uid = super::targets()[which % 4].uid.clone();
+                let uid = super::endpoint_entries()[which % 4].uid.clone();
                 self.operate(at % self.processes.len(), &uid, out);
             }
             Step::Upgrade if self.processes.len() < 3 => {
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -12,13 +12,13 @@
 }
 
 impl Shape {
-    pub fn targets(self) -> Vec<EndpointEntry> {
-        if self == Shape::First { super::targets() } else { super::second_targets() }
+    pub fn endpoint_entries(self) -> Vec<EndpointEntry> {
+        if self == Shape::First { super::endpoint_entries() } else { super::second_endpoint_entries() }
     }
 
     pub fn config(self) -> String {
         let write = if self == Shape::First { super::config } else { super::second_config };
-        write("127.0.0.1:1", "127.0.0.1:2", self.targets())
+        write("127.0.0.1:1", "127.0.0.1:2", self.endpoint_entries())
     }
 
     /// Returns the name and the longest time to the deadline of a class. With `orders`, it is the class whose messages
@@ -37,18 +37,18 @@
         if self == Shape::First { 8 } else { 6 }
     }
 
-    pub fn org(self) -> Option<String> {
+    pub fn tenant_name(self) -> Option<String> {
         (self == Shape::First).then(|| "acme".to_owned())
     }
 
-    pub fn key(self, txn: &str, orders: bool) -> Option<String> {
-        (self == Shape::Second && orders).then(|| format!("\"key of {txn}\""))
+    pub fn key(self, message_id: &str, orders: bool) -> Option<String> {
+        (self == Shape::Second && orders).then(|| format!("\"key of {message_id}\""))
     }
 
     /// Returns the route to which a Retry-After of this endpoint applies: the destination, and the endpoint's uid if it
     /// has a separate route (empty otherwise).
-    pub fn route(self, target: &EndpointEntry) -> (u64, String) {
-        let apart = self == Shape::Second && target.kind == "shops";
-        (target.destination, if apart { target.uid.clone() } else { String::new() })
+    pub fn route(self, endpoint: &EndpointEntry) -> (u64, String) {
+        let apart = self == Shape::Second && endpoint.kind == "shops";
+        (endpoint.destination, if apart { endpoint.uid.clone() } else { String::new() })
     }
 }
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -20,7 +20,7 @@
     Post(bool),
     List { which: usize, state: EndpointState },
     Move(usize),
-    Operator { which: usize, out: bool },
+    Operator { which: usize, eject: bool },
     Kill,
     Terminate,
 }
@@ -42,7 +42,7 @@
             }
             38 if flag => Step::Move(which),
             38 => Step::Kill,
-            39 | 40 => Step::Operator { which, out: flag },
+            39 | 40 => Step::Operator { which, eject: flag },
             _ if which.is_multiple_of(4) => Step::Terminate,
             _ => Step::Wait(3 * S),
         }
@@ -54,15 +54,16 @@
         match step {
             Step::Submit { orders, dest, size } => self.submit(format!("m{number}"), orders, dest, size),
             Step::Resubmit(which) => {
-                let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
-                let Some((txn, fate)) = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2) else {
+                let known = self.messages.iter().filter(|(_, message)| message.accepted);
+                let Some((message_id, message)) = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2)
+                else {
                     return;
                 };
-                let (txn, orders, dest) = (txn.clone(), fate.orders, fate.dest);
-                self.submit(txn, orders, dest, 10);
+                let (message_id, orders, dest) = (message_id.clone(), message.orders, message.dest);
+                self.submit(message_id, orders, dest, 10);
             }
             Step::Connect { which, up } => {
-                let Some(id) = self.pick(which, |l| !l.up) else { return };
+                let Some(id) = self.pick_connection(which, |l| !l.up) else { return };
                 if up {
                     self.links.get_mut(&id).expect("the connection exists").up = true;
                     self.input(Input::ConnectionUp { connection: id });
@@ -72,38 +73,38 @@
             }
             Step::Answer { which, how } => self.answer(which, how),
             Step::Break(which) => {
-                let Some(id) = self.pick(which, |l| l.up) else { return };
+                let Some(id) = self.pick_connection(which, |l| l.up) else { return };
                 let input = self.close(id, Cause::ConnectionFailed("reset".to_owned()));
                 input.into_iter().for_each(|input| self.input(input));
             }
             Step::Wait(span) => self.wait(span),
             Step::Post(accepted) => self.post(accepted),
             Step::List { which, state } => {
-                self.rev += 1;
-                let place = which % self.list.len();
-                self.list[place].state = state;
-                let targets = vec![self.list[place].clone()];
-                self.news(targets);
+                self.list_version += 1;
+                let index = which % self.list.len();
+                self.list[index].state = state;
+                let entries = vec![self.list[index].clone()];
+                self.update_list(entries);
             }
             Step::Move(which) => {
                 // The endpoint moves to the other zone and keeps its uid and address.
-                self.rev += 1;
-                let place = which % self.list.len();
-                self.list[place].zone = if self.list[place].zone == "a" { "b" } else { "a" }.to_owned();
-                let targets = vec![self.list[place].clone()];
-                self.news(targets);
+                self.list_version += 1;
+                let index = which % self.list.len();
+                self.list[index].zone = if self.list[index].zone == "a" { "b" } else { "a" }.to_owned();
+                let entries = vec![self.list[index].clone()];
+                self.update_list(entries);
             }
-            Step::Operator { which, out } => {
+            Step::Operator { which, eject } => {
                 let uid = self.list[which % self.list.len()].uid.clone();
-                if self.operate(if out {
+                if self.call_operator(if eject {
                     console::Command::DisableServer(uid.clone())
                 } else {
                     console::Command::EnableServer(uid.clone())
                 }) {
-                    if out {
-                        self.out.insert(uid)
+                    if eject {
+                        self.ejected.insert(uid)
                     } else {
-                        self.out.remove(&uid)
+                        self.ejected.remove(&uid)
                     };
                 }
             }
@@ -113,7 +114,7 @@
         if self.exited {
             self.restart();
         }
-        self.check_figures();
+        self.check_metrics();
         // After every third step no time passes, so that two steps fall into the same controller round.
         if !number.is_multiple_of(3) {
             self.wait(5_000);
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -9,7 +9,7 @@
 use orchidyoke_forwarder::catalogue::{Catalogue, UpdateSender};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::connection_pool::EndpointConnectionId;
-use orchidyoke_forwarder::console::{self, ConsoleReply as Said};
+use orchidyoke_forwarder::console::{self, ConsoleReply};
 use orchidyoke_forwarder::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply, Progress};
 use orchidyoke_forwarder::input::{Effect, Input, RequestId, Submission, SubmitAnswer, WatchSource};
 use orchidyoke_forwarder::ownership::ReceivedMark;
@@ -43,18 +43,18 @@
 
 /// A message as its client and the endpoints see it.
 #[derive(Default)]
-pub struct Fate {
+pub struct TrackedMessage {
     pub orders: bool,
     pub dest: u64,
     pub deadline: Micros,
-    pub taken_on: bool,
+    pub accepted: bool,
     pub calls: usize,
     /// Whether an endpoint may have processed the message.
-    pub may_have_run: bool,
+    pub possibly_delivered: bool,
     /// The first call that may have delivered it: when it was written, and the zone of the endpoint.
-    pub ran: Option<(Micros, String)>,
+    pub first_possible_delivery: Option<(Micros, String)>,
     pub delivered: bool,
-    pub notice: Option<FinalAnswer>,
+    pub notification: Option<FinalAnswer>,
 }
 
 pub struct World {
@@ -62,26 +62,26 @@
     pub reducer: Reducer,
     pub now: Micros,
     pub file: Vec<u8>,
-    pub begun: BTreeSet<String>,
-    pub recorded: BTreeSet<String>,
+    pub started: BTreeSet<String>,
+    pub recorded_messages: BTreeSet<String>,
     pub links: BTreeMap<EndpointConnectionId, Link>,
-    pub fates: BTreeMap<String, Fate>,
-    pub tickets: BTreeMap<RequestId, String>,
+    pub messages: BTreeMap<String, TrackedMessage>,
+    pub pending_requests: BTreeMap<RequestId, String>,
     pub posting: Option<Vec<(String, FinalAnswer)>>,
     pub list: Vec<EndpointEntry>,
-    pub rev: u64,
+    pub list_version: u64,
     /// Watches that were started: id, port of discovery, and version of the list in force.
-    pub follows: Vec<(u64, u16, u64)>,
-    pub waits: BTreeMap<(u64, String), Micros>,
+    pub watches: Vec<(u64, u16, u64)>,
+    pub retry_after_until: BTreeMap<(u64, String), Micros>,
     /// Endpoints that an operator has ejected, which the forwarder has confirmed.
-    pub out: BTreeSet<String>,
-    pub replies: BTreeMap<RequestId, Said>,
+    pub ejected: BTreeSet<String>,
+    pub replies: BTreeMap<RequestId, ConsoleReply>,
     /// Messages of this process whose calls were completely written.
-    pub written: u64,
-    pub turned_away: u64,
+    pub written_messages: u64,
+    pub rejected_requests: u64,
     pub stopped_accepting: bool,
     pub exited: bool,
-    pub rewritten: bool,
+    pub compacted: bool,
 }
 
 pub fn reducer(shape: Shape, file: &[u8], now: Micros) -> Reducer {
@@ -92,7 +92,7 @@
 }
 
 /// Returns what a watch follows, as a port, and from which version on. A catalogue has port 0.
-pub fn followed(from: &WatchSource) -> (u16, u64) {
+pub fn watch_source(from: &WatchSource) -> (u16, u64) {
     match from {
         WatchSource::Discovery { at, since } => (at.port(), *since),
         WatchSource::Catalogue { held, .. } => (0, held.version),
@@ -101,9 +101,9 @@
 
 /// A catalogue that sends no events by itself.
 #[derive(Debug)]
-pub struct Still(pub &'static str);
+pub struct SilentCatalogue(pub &'static str);
 
-impl Catalogue for Still {
+impl Catalogue for SilentCatalogue {
     fn id(&self) -> &str {
         self.0
     }
@@ -115,11 +115,15 @@
 
 impl World {
     /// Sends changes of the list as a delta on the current watch.
-    pub fn news(&mut self, targets: Vec<EndpointEntry>) {
-        let Some((watch, ..)) = self.follows.last().copied() else { return };
-        let news =
-            WatchEvent { version: self.rev, is_snapshot: false, endpoints: targets, origin: String::new() };
-        self.input(Input::WatchEvent { watch, event: news });
+    pub fn update_list(&mut self, entries: Vec<EndpointEntry>) {
+        let Some((watch, ..)) = self.watches.last().copied() else { return };
+        let update = WatchEvent {
+            version: self.list_version,
+            is_snapshot: false,
+            endpoints: entries,
+            origin: String::new(),
+        };
+        self.input(Input::WatchEvent { watch, event: update });
     }
 
     pub fn new() -> Self {
@@ -132,23 +136,23 @@
             reducer: reducer(shape, &[], START),
             now: START,
             file: Vec::new(),
-            begun: BTreeSet::new(),
-            recorded: BTreeSet::new(),
+            started: BTreeSet::new(),
+            recorded_messages: BTreeSet::new(),
             links: BTreeMap::new(),
-            fates: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            messages: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             posting: None,
-            list: shape.targets(),
-            rev: 1,
-            follows: Vec::new(),
-            waits: BTreeMap::new(),
-            out: BTreeSet::new(),
+            list: shape.endpoint_entries(),
+            list_version: 1,
+            watches: Vec::new(),
+            retry_after_until: BTreeMap::new(),
+            ejected: BTreeSet::new(),
             replies: BTreeMap::new(),
-            written: 0,
-            turned_away: 0,
+            written_messages: 0,
+            rejected_requests: 0,
             stopped_accepting: false,
             exited: false,
-            rewritten: false,
+            compacted: false,
         };
         world.input(Input::TimerDue);
         world
@@ -161,7 +165,7 @@
                 inputs.extend(self.carry_out(effect));
             }
         }
-        if std::mem::take(&mut self.rewritten) {
+        if std::mem::take(&mut self.compacted) {
             self.check_journal();
         }
     }
@@ -180,8 +184,9 @@
                 _ => {}
             }
         }
-        let open = self.fates.iter().filter(|(_, f)| f.taken_on && !f.delivered && f.notice.is_none());
-        let lost: Vec<_> = open.filter(|(txn, _)| !there.contains(*txn)).collect();
+        let open =
+            self.messages.iter().filter(|(_, f)| f.accepted && !f.delivered && f.notification.is_none());
+        let lost: Vec<_> = open.filter(|(message_id, _)| !there.contains(*message_id)).collect();
         assert!(
             lost.is_empty(),
             "accepted messages that are not in the journal: {:?}",
@@ -191,33 +196,34 @@
 
     pub fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Answer { request: ticket, answer } => {
-                let txn = self.tickets.remove(&ticket).expect("each request must be answered once");
+            Effect::Answer { request: request_id, answer } => {
+                let message_id =
+                    self.pending_requests.remove(&request_id).expect("each request must be answered once");
                 if answer == SubmitAnswer::Accepted {
                     assert!(
-                        self.recorded.contains(&txn),
+                        self.recorded_messages.contains(&message_id),
                         "a message must be in the journal before it is accepted"
                     );
-                    self.fates.get_mut(&txn).expect("the message was submitted").taken_on = true;
+                    self.messages.get_mut(&message_id).expect("the message was submitted").accepted = true;
                 } else {
                     assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
-                    self.turned_away += 1;
+                    self.rejected_requests += 1;
                 }
             }
-            Effect::Reply { request: ticket, reply } => {
-                assert!(self.replies.insert(ticket, reply).is_none(), "each call must get one reply");
+            Effect::Reply { request: request_id, reply } => {
+                assert!(self.replies.insert(request_id, reply).is_none(), "each call must get one reply");
             }
-            Effect::Append { append: receipt, bytes } => {
+            Effect::Append { append: append_id, bytes } => {
                 self.file.extend_from_slice(&bytes);
                 assert!(self.file.len() <= DISK, "the folder must not exceed its limit");
                 for (record, _) in replay(bytes).0 {
                     match record {
-                        Record::Accepted(taken) => drop(self.recorded.insert(taken.id)),
-                        Record::AttemptStarted { messages: txns, .. } => self.begun.extend(txns),
+                        Record::Accepted(accepted) => drop(self.recorded_messages.insert(accepted.id)),
+                        Record::AttemptStarted { messages: sent, .. } => self.started.extend(sent),
                         _ => {}
                     }
                 }
-                return Some(Input::Appended { append: receipt, stored: true, size: self.file.len() });
+                return Some(Input::Appended { append: append_id, stored: true, size: self.file.len() });
             }
             Effect::CompactJournal { bytes } => {
                 assert!(
@@ -225,35 +231,35 @@
                     "the old and the new file together must not exceed the limit"
                 );
                 self.file = bytes.to_vec();
-                self.rewritten = true;
+                self.compacted = true;
             }
             Effect::Connect { connection: link, address, until } => {
                 let new = Link { address: address.to_string(), until, ..Link::default() };
                 assert!(self.links.insert(link, new).is_none());
             }
             Effect::SendCall { connection: link, call } => {
-                self.written += call.messages.len() as u64;
+                self.written_messages += call.messages.len() as u64;
                 self.write(link, call);
                 return Some(Input::CallWritten { connection: link });
             }
             Effect::CloseConnection { connection: link } => return self.close(link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner in these tests"),
-            Effect::PostNotifications { notifications: notices, .. } => {
-                assert!(self.posting.replace(notices).is_none())
+            Effect::PostNotifications { notifications: batch, .. } => {
+                assert!(self.posting.replace(batch).is_none())
             }
             Effect::StartWatch { watch, from } => {
-                let (port, since) = followed(&from);
-                self.follows.push((watch, port, since));
+                let (port, since) = watch_source(&from);
+                self.watches.push((watch, port, since));
                 // A new watch immediately gets a snapshot with everything that the process has missed.
-                let targets =
+                let entries =
                     self.list.iter().filter(|t| t.state != EndpointState::Removed).cloned().collect();
-                let news = WatchEvent {
-                    version: self.rev,
+                let update = WatchEvent {
+                    version: self.list_version,
                     is_snapshot: true,
-                    endpoints: targets,
+                    endpoints: entries,
                     origin: String::new(),
                 };
-                return (self.shape == Shape::Second).then_some(Input::WatchEvent { watch, event: news });
+                return (self.shape == Shape::Second).then_some(Input::WatchEvent { watch, event: update });
             }
             Effect::Log { .. } => {}
             Effect::RemoveJournal { .. } | Effect::HandOverClients | Effect::ReportJournalFull { .. } => {
@@ -266,9 +272,10 @@
     }
 
     pub fn write(&mut self, link: EndpointConnectionId, call: EndpointCall) {
-        let out: Vec<&str> = self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
+        let in_flight: Vec<&str> =
+            self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
         assert!(
-            ids(&call).all(|txn| !out.contains(&txn)),
+            ids(&call).all(|message_id| !in_flight.contains(&message_id)),
             "a message must not be in two calls at the same time"
         );
         let link = self.links.get_mut(&link).expect("the connection is open");
@@ -276,50 +283,53 @@
             link.up && link.call.is_none(),
             "a connection must be established and carry one call at a time"
         );
-        let target =
+        let endpoint =
             self.list.iter().find(|t| t.address.to_string() == link.address).expect("the endpoint is listed");
         assert_eq!(
-            target.state,
+            endpoint.state,
             EndpointState::Active,
             "no new call may go to an endpoint that drains or is removed"
         );
         assert!(
-            !self.out.contains(&target.uid),
+            !self.ejected.contains(&endpoint.uid),
             "no new call may go to an endpoint that an operator has ejected"
         );
-        let route = self.shape.route(target);
+        let route = self.shape.route(endpoint);
         assert!(
-            self.waits.get(&route).is_none_or(|until| *until <= self.now),
+            self.retry_after_until.get(&route).is_none_or(|until| *until <= self.now),
             "no call may go to a route before its Retry-After has ended"
         );
-        link.sent = (self.now, target.zone.clone());
-        for txn in ids(&call) {
-            let fate = self.fates.get_mut(txn).expect("the message was submitted");
-            assert_eq!(fate.dest, target.destination);
-            assert!(fate.taken_on || self.recorded.contains(txn));
-            assert!(self.begun.contains(txn), "an attempt must be recorded before its first byte is written");
-            match (self.shape, &fate.ran) {
+        link.sent = (self.now, endpoint.zone.clone());
+        for message_id in ids(&call) {
+            let message = self.messages.get_mut(message_id).expect("the message was submitted");
+            assert_eq!(message.dest, endpoint.destination);
+            assert!(message.accepted || self.recorded_messages.contains(message_id));
+            assert!(
+                self.started.contains(message_id),
+                "an attempt must be recorded before its first byte is written"
+            );
+            match (self.shape, &message.first_possible_delivery) {
                 (Shape::First, _) => {
                     assert!(
-                        !fate.orders || !fate.may_have_run,
+                        !message.orders || !message.possibly_delivered,
                         "a message that may not be repeated must not be sent twice"
                     )
                 }
-                (Shape::Second, Some((first, az))) if fate.orders => {
-                    assert_eq!(*az, target.zone, "a repeat must go to the zone that drops it");
+                (Shape::Second, Some((first, zone))) if message.orders => {
+                    assert_eq!(*zone, endpoint.zone, "a repeat must go to the zone that drops it");
                     assert!(self.now < first + 2 * S, "a repeat must not be sent after its window");
                 }
                 (Shape::Second, _) => {}
             }
-            assert!(self.now < fate.deadline);
-            fate.calls += 1;
+            assert!(self.now < message.deadline);
+            message.calls += 1;
             assert!(
-                fate.calls <= self.shape.attempts(),
+                message.calls <= self.shape.attempts(),
                 "the maximum number of attempts must hold across restarts"
             );
         }
         for part in &call.messages {
-            let orders = self.fates[&part.id].orders;
+            let orders = self.messages[&part.id].orders;
             assert_eq!(
                 part.idempotency_key,
                 self.shape.key(&part.id, orders),
@@ -333,39 +343,51 @@
     pub fn close(&mut self, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
         let link_state = self.links.remove(&link)?;
         let progress = link_state.progress();
-        self.may_have_run(&link_state);
+        self.mark_possibly_delivered(&link_state);
         Some(Input::ConnectionClosed { connection: link, error: EndpointCallError { progress, cause } })
     }
 
-    pub fn may_have_run(&mut self, link: &Link) {
-        for txn in link.call.iter().flat_map(ids) {
-            let fate = self.fates.get_mut(txn).expect("the message was submitted");
-            fate.may_have_run = true;
-            fate.ran.get_or_insert_with(|| link.sent.clone());
+    pub fn mark_possibly_delivered(&mut self, link: &Link) {
+        for message_id in link.call.iter().flat_map(ids) {
+            let message = self.messages.get_mut(message_id).expect("the message was submitted");
+            message.possibly_delivered = true;
+            message.first_possible_delivery.get_or_insert_with(|| link.sent.clone());
         }
     }
 
-    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<EndpointConnectionId> {
-        let fit: Vec<EndpointConnectionId> =
-            self.links.iter().filter(|(_, l)| fit(l)).map(|(id, _)| *id).collect();
-        (!fit.is_empty()).then(|| fit[which % fit.len()])
+    pub fn pick_connection(
+        &self,
+        which: usize,
+        is_suitable: impl Fn(&Link) -> bool,
+    ) -> Option<EndpointConnectionId> {
+        let suitable: Vec<EndpointConnectionId> =
+            self.links.iter().filter(|(_, l)| is_suitable(l)).map(|(id, _)| *id).collect();
+        (!suitable.is_empty()).then(|| suitable[which % suitable.len()])
     }
 
-    pub fn submit(&mut self, txn: String, orders: bool, dest: u64, size: usize) {
-        self.submit_for(txn, orders, dest, size, self.shape.class(orders).1);
+    pub fn submit(&mut self, message_id: String, orders: bool, dest: u64, size: usize) {
+        self.submit_for(message_id, orders, dest, size, self.shape.class(orders).1);
     }
 
-    pub fn submit_for(&mut self, txn: String, orders: bool, dest: u64, size: usize, time_left: Micros) {
-        let ticket = self.tickets.keys().last().map_or(self.now as u64, |t| t + 1);
-        self.tickets.insert(ticket, txn.clone());
-        let fate = Fate { orders, dest, deadline: self.now + time_left, ..Fate::default() };
-        self.fates.entry(txn.clone()).or_insert(fate);
-        let (org, key) = (self.shape.org(), self.shape.key(&txn, orders));
+    pub fn submit_for(
+        &mut self,
+        message_id: String,
+        orders: bool,
+        dest: u64,
+        size: usize,
+        time_left: Micros,
+    ) {
+        let request_id = self.pending_requests.keys().last().map_or(self.now as u64, |t| t + 1);
+        self.pending_requests.insert(request_id, message_id.clone());
+        let message =
+            TrackedMessage { orders, dest, deadline: self.now + time_left, ..TrackedMessage::default() };
+        self.messages.entry(message_id.clone()).or_insert(message);
+        let (tenant_name, key) = (self.shape.tenant_name(), self.shape.key(&message_id, orders));
         let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
         let message = Submission {
-            id: txn,
+            id: message_id,
             class,
-            tenant: org,
+            tenant: tenant_name,
             idempotency_key: key,
             destination: dest,
             time_left,
@@ -373,14 +395,14 @@
             handover_mark: ReceivedMark::Absent,
             body,
         };
-        self.input(Input::Submitted { request: ticket, message });
+        self.input(Input::Submitted { request: request_id, message });
     }
 
     pub fn answer(&mut self, which: usize, how: u8) {
-        let Some(id) = self.pick(which, |l| l.call.is_some()) else { return };
+        let Some(id) = self.pick_connection(which, |l| l.call.is_some()) else { return };
         let link = self.links.get_mut(&id).expect("the connection is open");
         let (call, sent) = (link.call.take().expect("a call is in flight"), link.sent.clone());
-        let (status, wait_ms) = match how % 10 {
+        let (status, delay_ms) = match how % 10 {
             0..=4 => (200, if how > 240 { 300 } else { 0 }),
             5 => (429, 200 + u64::from(how)),
             6 => (503, 0),
@@ -389,29 +411,31 @@
             _ => (429, 0),
         };
         let mut body = String::new();
-        for (number, txn) in ids(&call).enumerate() {
-            let fate = self.fates.get_mut(txn).expect("the message was submitted");
+        for (number, message_id) in ids(&call).enumerate() {
+            let message = self.messages.get_mut(message_id).expect("the message was submitted");
             let deferred = call.is_bulk && number % 3 == 2;
-            fate.delivered |= status == 200 && !deferred;
+            message.delivered |= status == 200 && !deferred;
             if status == 500 || status == 200 && !deferred {
-                fate.may_have_run = true;
-                fate.ran.get_or_insert_with(|| sent.clone());
+                message.possibly_delivered = true;
+                message.first_possible_delivery.get_or_insert_with(|| sent.clone());
             }
             let state = if deferred { "deferred" } else { "accepted" };
-            body +=
-                &format!("{}{{\"id\":\"{txn}\",\"state\":\"{state}\"}}", if number > 0 { "," } else { "[" });
+            body += &format!(
+                "{}{{\"id\":\"{message_id}\",\"state\":\"{state}\"}}",
+                if number > 0 { "," } else { "[" }
+            );
         }
         let address = &self.links[&id].address;
-        let target = self.list.iter().find(|t| t.address.to_string() == *address);
-        if let Some(target) = target.filter(|_| wait_ms > 0) {
-            let until = self.now + wait_ms as Micros * 1000;
-            let wait = self.waits.entry(self.shape.route(target)).or_default();
+        let endpoint = self.list.iter().find(|t| t.address.to_string() == *address);
+        if let Some(endpoint) = endpoint.filter(|_| delay_ms > 0) {
+            let until = self.now + delay_ms as Micros * 1000;
+            let wait = self.retry_after_until.entry(self.shape.route(endpoint)).or_default();
             *wait = until.max(*wait);
         }
         let body = Bytes::from(body + "]");
         let reply = EndpointReply {
             status,
-            retry_after_ms: wait_ms,
+            retry_after_ms: delay_ms,
             is_bulk: call.is_bulk,
             body,
             ..EndpointReply::default()
@@ -450,15 +474,17 @@
     }
 
     pub fn post(&mut self, accepted: bool) {
-        let Some(notices) = self.posting.take() else { return };
-        for (txn, verdict) in notices.into_iter().filter(|_| accepted) {
-            let fate = self.fates.get_mut(&txn).expect("the message was submitted");
-            let kept = !matches!(verdict, FinalAnswer::Rejected { .. }) || !fate.orders || !fate.may_have_run;
+        let Some(batch) = self.posting.take() else { return };
+        for (message_id, answer) in batch.into_iter().filter(|_| accepted) {
+            let message = self.messages.get_mut(&message_id).expect("the message was submitted");
+            let kept = !matches!(answer, FinalAnswer::Rejected { .. })
+                || !message.orders
+                || !message.possibly_delivered;
             assert!(
                 kept,
                 "a message that may have been delivered and may not be repeated must not be rejected"
             );
-            assert!(fate.notice.replace(verdict).is_none(), "each message must get one notification");
+            assert!(message.notification.replace(answer).is_none(), "each message must get one notification");
         }
         self.input(Input::NotificationsPosted { accepted });
     }
@@ -466,43 +492,45 @@
     /// Kills the process and starts it again with the content of the folder.
     pub fn restart(&mut self) {
         for link in std::mem::take(&mut self.links).into_values() {
-            self.may_have_run(&link);
+            self.mark_possibly_delivered(&link);
         }
-        self.tickets.clear();
-        (self.written, self.turned_away) = (0, 0);
+        self.pending_requests.clear();
+        (self.written_messages, self.rejected_requests) = (0, 0);
         (self.posting, self.stopped_accepting, self.exited) = (None, false, false);
         self.now += S;
-        self.waits.clear();
+        self.retry_after_until.clear();
         if self.shape == Shape::Second {
-            self.follows.clear();
+            self.watches.clear();
         }
         self.reducer = reducer(self.shape, &self.file, self.now);
         self.input(Input::TimerDue);
     }
 
     /// Makes an operator's call. Returns whether the reply confirmed it.
-    pub fn operate(&mut self, call: console::Command) -> bool {
-        let ticket = self.replies.keys().last().map_or(0, |ticket| ticket + 1);
-        self.input(Input::Operator { request: ticket, call });
-        matches!(self.replies[&ticket], Said::Done(_))
+    pub fn call_operator(&mut self, call: console::Command) -> bool {
+        let request_id = self.replies.keys().last().map_or(0, |request_id| request_id + 1);
+        self.input(Input::Operator { request: request_id, call });
+        matches!(self.replies[&request_id], ConsoleReply::Done(_))
     }
 
     /// Asserts that each message is counted once: an accepted message has either ended once or is still open.
-    pub fn check_figures(&self) {
-        let (figures, gauges) = (self.reducer.metrics(), self.reducer.gauges());
+    pub fn check_metrics(&self) {
+        let (metrics, gauges) = (self.reducer.metrics(), self.reducer.gauges());
         assert_eq!(
-            figures.open_messages(),
+            metrics.open_messages(),
             gauges.open_messages as u64,
             "the counters must show as many open messages as the gauge"
         );
-        let ends: u64 = figures.ends().values().map(|ends| ends.total()).sum();
-        assert_eq!(ends, figures.accepted() - figures.open_messages() + self.turned_away);
-        assert_eq!(figures.dispatches(), self.written);
-        let (out, listed) = (|t: &&EndpointEntry| self.out.contains(&t.uid), self.reducer.gauges().endpoints);
+        let ends: u64 = metrics.ends().values().map(|ends| ends.total()).sum();
+        assert_eq!(ends, metrics.accepted() - metrics.open_messages() + self.rejected_requests);
+        assert_eq!(metrics.dispatches(), self.written_messages);
+        let (is_ejected, listed) =
+            (|t: &&EndpointEntry| self.ejected.contains(&t.uid), self.reducer.gauges().endpoints);
         let in_list = self.list.iter().filter(|t| t.state != EndpointState::Removed);
         assert_eq!(in_list.clone().count(), listed);
         assert!(
-            in_list.filter(out).count() <= gauges.avoided_endpoints && gauges.avoided_endpoints <= listed
+            in_list.filter(is_ejected).count() <= gauges.avoided_endpoints
+                && gauges.avoided_endpoints <= listed
         );
     }
 
@@ -517,8 +545,11 @@
                 self.post(true);
             }
         }
-        for (txn, fate) in &self.fates {
-            assert!(!fate.taken_on || fate.delivered || fate.notice.is_some(), "{txn} has no final answer");
+        for (message_id, message) in &self.messages {
+            assert!(
+                !message.accepted || message.delivered || message.notification.is_some(),
+                "{message_id} has no final answer"
+            );
         }
     }
 }
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -9,7 +9,7 @@
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::console::{Command, ConsoleReply};
-use orchidyoke_forwarder::endpoint_call::EndpointReply as HopReply;
+use orchidyoke_forwarder::endpoint_call::EndpointReply;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::{
     HandoverMark, OfferOutcome, OutgoingOffer, Owner, Owners, Peer, ReceivedMark,
@@ -30,7 +30,7 @@
     owners: BTreeMap<DestinationId, &'static str>,
     members: Vec<&'static str>,
     /// Offset that is added to the port of each member.
-    moved: u16,
+    port_offset: u16,
 }
 
 impl Fleet {
@@ -39,14 +39,14 @@
         let mut members: Vec<_> = owners.into_iter().chain(["f0"]).collect();
         members.sort_unstable();
         members.dedup();
-        Rc::new(Fleet { version, owners: (1..).zip(owners).collect(), members, moved: 0 })
+        Rc::new(Fleet { version, owners: (1..).zip(owners).collect(), members, port_offset: 0 })
     }
 }
 
 impl Fleet {
     fn address(&self, name: &str) -> SocketAddr {
         let address = address(name);
-        SocketAddr::new(address.ip(), address.port() + self.moved)
+        SocketAddr::new(address.ip(), address.port() + self.port_offset)
     }
 }
 
@@ -110,10 +110,12 @@
     fn config(self) -> String {
         let (listen, discovery) = ("127.0.0.1:1", "127.0.0.1:2");
         match self {
-            Class::Safe | Class::Unsafe => common::config(listen, discovery, common::targets()),
-            Class::KeyedByZone => common::second_config(listen, discovery, common::second_targets()),
-            Class::KeyedEverywhere => common::second_config(listen, discovery, common::second_targets())
-                .replace(r#""group":"zone""#, r#""group":"all""#),
+            Class::Safe | Class::Unsafe => common::config(listen, discovery, common::endpoint_entries()),
+            Class::KeyedByZone => common::second_config(listen, discovery, common::second_endpoint_entries()),
+            Class::KeyedEverywhere => {
+                common::second_config(listen, discovery, common::second_endpoint_entries())
+                    .replace(r#""group":"zone""#, r#""group":"all""#)
+            }
         }
     }
 }
@@ -126,13 +128,13 @@
     file: Vec<u8>,
     answers: Vec<SubmitAnswer>,
     /// Whether connections to endpoints are established.
-    endpoints_answer: bool,
+    endpoints_reachable: bool,
     /// Offers that are in flight.
     offers: VecDeque<OutgoingOffer>,
     /// Ids of the messages written to endpoints.
     written: Vec<String>,
-    notices: Vec<(String, FinalAnswer)>,
-    figures: String,
+    notifications: Vec<(String, FinalAnswer)>,
+    metrics_text: String,
     logged: Vec<String>,
 }
 
@@ -160,11 +162,11 @@
             now,
             file: file.to_vec(),
             answers: Vec::new(),
-            endpoints_answer: true,
+            endpoints_reachable: true,
             offers: VecDeque::new(),
             written: Vec::new(),
-            notices: Vec::new(),
-            figures: String::new(),
+            notifications: Vec::new(),
+            metrics_text: String::new(),
             logged: Vec::new(),
         };
         world.input(Input::TimerDue);
@@ -188,9 +190,9 @@
 
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Append { append: receipt, bytes } => {
+            Effect::Append { append: append_id, bytes } => {
                 self.file.extend_from_slice(&bytes);
-                return Some(Input::Appended { append: receipt, stored: true, size: self.file.len() });
+                return Some(Input::Appended { append: append_id, stored: true, size: self.file.len() });
             }
             Effect::CompactJournal { bytes } => self.file = bytes.to_vec(),
             Effect::Answer { answer, .. } => self.answers.push(answer),
@@ -198,19 +200,19 @@
                 self.assert_journaled(&offer);
                 self.offers.push_back(*offer);
             }
-            Effect::Connect { connection: link, .. } if self.endpoints_answer => {
+            Effect::Connect { connection: link, .. } if self.endpoints_reachable => {
                 return Some(Input::ConnectionUp { connection: link });
             }
             Effect::SendCall { connection: link, call } => {
                 self.written.extend(call.messages.into_iter().map(|part| part.id));
-                let reply = HopReply { status: 200, is_bulk: call.is_bulk, ..HopReply::default() };
+                let reply = EndpointReply { status: 200, is_bulk: call.is_bulk, ..EndpointReply::default() };
                 return Some(Input::CallAnswered { connection: link, reply, reusable: false });
             }
-            Effect::PostNotifications { notifications: notices, .. } => {
-                self.notices.extend(notices);
+            Effect::PostNotifications { notifications: batch, .. } => {
+                self.notifications.extend(batch);
                 return Some(Input::NotificationsPosted { accepted: true });
             }
-            Effect::Reply { reply: ConsoleReply::Metrics(text), .. } => self.figures = text,
+            Effect::Reply { reply: ConsoleReply::Metrics(text), .. } => self.metrics_text = text,
             Effect::Log { line } => self.logged.push(line),
             _ => {}
         }
@@ -220,14 +222,14 @@
     /// Asserts that the journal names the owner of an offer before its first byte is sent.
     fn assert_journaled(&self, offer: &OutgoingOffer) {
         let owner = offer.message.handover.offered.as_ref().map(|offered| offered.owner.as_str());
-        let is_there = |record: &Record| match record {
-            Record::HandoverOffered { message: txn, owner: to, .. } => {
-                *txn == offer.message.id && Some(to.as_str()) == owner
+        let names_owner = |record: &Record| match record {
+            Record::HandoverOffered { message: message_id, owner: to, .. } => {
+                *message_id == offer.message.id && Some(to.as_str()) == owner
             }
             _ => false,
         };
         assert!(
-            self.records().iter().any(is_there),
+            self.records().iter().any(names_owner),
             "{} was offered before its record was written",
             offer.message.id
         );
@@ -236,22 +238,22 @@
     /// Lets time pass, with every timer that is due.
     fn wait(&mut self, span: Micros) {
         let until = self.now + span;
-        let mut alarms = 0;
+        let mut timers = 0;
         while let Some(at) = self.reducer.wake_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.input(Input::TimerDue);
-            alarms += 1;
-            assert!(alarms < 100_000, "the reducer must not set timers without end");
+            timers += 1;
+            assert!(timers < 100_000, "the reducer must not set timers without end");
         }
         self.now = until;
     }
 
-    fn handed(&self, txn: &str, dest: DestinationId) -> Submission {
+    fn submission(&self, message_id: &str, dest: DestinationId) -> Submission {
         Submission {
-            id: txn.to_owned(),
+            id: message_id.to_owned(),
             class: self.class.name().to_owned(),
             tenant: (!self.class.is_keyed()).then(|| "acme".to_owned()),
-            idempotency_key: self.class.is_keyed().then(|| format!("key of {txn}")),
+            idempotency_key: self.class.is_keyed().then(|| format!("key of {message_id}")),
             destination: dest,
             time_left: 8 * S,
             is_retry: false,
@@ -260,32 +262,32 @@
         }
     }
 
-    fn hand_in(&mut self, message: Submission) -> SubmitAnswer {
+    fn submit(&mut self, message: Submission) -> SubmitAnswer {
         self.input(Input::Submitted { request: 1, message });
         self.wait(20 * MS);
         self.answers.pop().expect("an answer")
     }
 
     /// Submits a message for this destination and asserts that it is accepted.
-    fn take(&mut self, txn: &str, dest: DestinationId) {
-        let message = self.handed(txn, dest);
-        assert_eq!(self.hand_in(message), SubmitAnswer::Accepted, "{txn}");
+    fn submit_accepted(&mut self, message_id: &str, dest: DestinationId) {
+        let message = self.submission(message_id, dest);
+        assert_eq!(self.submit(message), SubmitAnswer::Accepted, "{message_id}");
     }
 
     fn offer(&mut self) -> OutgoingOffer {
         self.offers.pop_front().expect("an offer")
     }
 
-    fn end(&mut self, offer: &OutgoingOffer, end: OfferOutcome) {
-        self.input(Input::OfferEnded { id: offer.id, outcome: end });
+    fn end_offer(&mut self, offer: &OutgoingOffer, result: OfferOutcome) {
+        self.input(Input::OfferEnded { id: offer.id, outcome: result });
     }
 
     /// Lets time pass and ends each offer with this outcome. Returns how many offers ended.
-    fn wait_with(&mut self, span: Micros, end: &OfferOutcome) -> usize {
+    fn wait_ending_offers(&mut self, span: Micros, result: &OfferOutcome) -> usize {
         let (until, mut ended) = (self.now + span, 0);
         while self.now < until {
             while let Some(offer) = self.offers.pop_front() {
-                self.end(&offer, end.clone());
+                self.end_offer(&offer, result.clone());
                 ended += 1;
             }
             self.wait(10 * MS);
@@ -297,22 +299,22 @@
         replay(Bytes::copy_from_slice(&self.file)).0.into_iter().map(|(record, _)| record).collect()
     }
 
-    fn figure(&mut self, name: &str) -> u64 {
+    fn metric(&mut self, name: &str) -> u64 {
         self.input(Input::Operator { request: 2, call: Command::ShowStat });
-        let line = self.figures.lines().find_map(|line| line.strip_prefix(&format!("app_{name} ")));
-        line.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name}: {}", self.figures))
+        let line = self.metrics_text.lines().find_map(|line| line.strip_prefix(&format!("app_{name} ")));
+        line.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name}: {}", self.metrics_text))
     }
 }
 
-fn unanswered() -> OfferOutcome {
+fn in_doubt() -> OfferOutcome {
     OfferOutcome::InDoubt("no answer in time".to_owned())
 }
 
-fn unreached() -> OfferOutcome {
+fn not_sent() -> OfferOutcome {
     OfferOutcome::NotSent("refused".to_owned())
 }
 
-fn marked(from: &str, now: Micros) -> ReceivedMark {
+fn valid_mark(from: &str, now: Micros) -> ReceivedMark {
     let (deadline, valid_until) = (now + 8 * S, now + 20 * S);
     ReceivedMark::Valid(HandoverMark {
         from: from.to_owned(),
@@ -328,8 +330,8 @@
 #[test]
 fn offer_carries_the_whole_message_to_its_owner() {
     let mut world = World::new(Class::KeyedByZone, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
-    world.take("own", 2);
+    world.submit_accepted("a", 1);
+    world.submit_accepted("own", 2);
     let offer = world.offer();
     assert_eq!(offer.owner_address, address("f1"));
     assert_eq!(
@@ -348,14 +350,14 @@
     );
     assert!(world.offers.is_empty(), "a message for an own destination must not be offered");
     assert_eq!(world.written, ["own"]);
-    world.end(&offer, OfferOutcome::Accepted);
+    world.end_offer(&offer, OfferOutcome::Accepted);
     world.wait(10 * S);
     assert_eq!(world.written, ["own"]);
-    assert!(world.notices.is_empty() && world.offers.is_empty());
+    assert!(world.notifications.is_empty() && world.offers.is_empty());
     let handed_over = |r: &Record| matches!(r, Record::HandedOver { message, owner, .. } if message == "a" && owner == "f1");
     assert!(world.records().iter().any(handed_over));
-    assert_eq!(world.figure("handed_over"), 1);
-    assert_eq!(world.figure("owned"), 1);
+    assert_eq!(world.metric("handed_over"), 1);
+    assert_eq!(world.metric("owned"), 1);
 }
 
 // Guards against a client's repeat that becomes a second message, at the forwarder that handed the message over and
@@ -364,15 +366,15 @@
 fn resubmission_of_a_handed_over_message_is_accepted() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Unsafe, fleet());
-    world.take("a", 1);
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
     assert!(world.offers.is_empty());
-    world.end(&offer, OfferOutcome::Accepted);
-    world.take("a", 1);
+    world.end_offer(&offer, OfferOutcome::Accepted);
+    world.submit_accepted("a", 1);
     assert!(world.offers.is_empty());
     let mut world = world.restarted(fleet());
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     assert!(world.offers.is_empty());
 }
 
@@ -382,10 +384,10 @@
 fn handed_over_message_is_delivered_here_also_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f1", "f1"]));
     let mut world = World::new(Class::Unsafe, fleet());
-    let message = Submission { handover_mark: marked("f2", world.now), ..world.handed("a", 1) };
+    let message = Submission { handover_mark: valid_mark("f2", world.now), ..world.submission("a", 1) };
     // The process is killed before the message is sent.
-    world.endpoints_answer = false;
-    assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
+    world.endpoints_reachable = false;
+    assert_eq!(world.submit(message), SubmitAnswer::Accepted);
     let mut world = world.restarted(fleet());
     world.wait(S);
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
@@ -397,12 +399,12 @@
 fn owner_accepts_a_repeated_offer_while_open_and_when_finished() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
     for _ in 0..3 {
-        let message = Submission { handover_mark: marked("f1", world.now), ..world.handed("a", 1) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
+        let message = Submission { handover_mark: valid_mark("f1", world.now), ..world.submission("a", 1) };
+        assert_eq!(world.submit(message), SubmitAnswer::Accepted);
         world.wait(2 * S);
     }
     assert_eq!(world.written, ["a"]);
-    assert_eq!(world.figure("taken_over"), 1);
+    assert_eq!(world.metric("taken_over"), 1);
 }
 
 // Guards against an owner that repeats an earlier attempt although the class forbids it. The mark carries the possible
@@ -411,7 +413,7 @@
 fn possible_delivery_in_the_mark_restricts_the_owner() {
     for (class, is_sent) in [(Class::Unsafe, false), (Class::Safe, true)] {
         let mut world = World::new(class, Some(Fleet::of(1, ["f0", "f0", "f0"])));
-        let ran =
+        let prior_attempt =
             Some(AttemptStart { started_at: START - S, endpoint: "s-a".to_owned(), zone: "a".to_owned() });
         let deadline = world.now + 4 * S;
         let valid_until = world.now + 20 * S;
@@ -420,10 +422,10 @@
             deadline,
             valid_until,
             attempts: 1,
-            possible_delivery: ran,
+            possible_delivery: prior_attempt,
         };
-        let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.handed("a", 1) };
-        let answer = world.hand_in(message);
+        let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.submission("a", 1) };
+        let answer = world.submit(message);
         assert_eq!(!world.written.is_empty(), is_sent, "{class:?}: {answer:?}");
     }
 }
@@ -437,8 +439,8 @@
     let valid_until = world.now + 20 * S;
     let mark =
         HandoverMark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
-    let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.handed("a", 1) };
-    let answer = world.hand_in(message);
+    let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.submission("a", 1) };
+    let answer = world.submit(message);
     assert!(answer != SubmitAnswer::Accepted && world.written.is_empty(), "{answer:?}");
 }
 
@@ -450,13 +452,13 @@
     let (deadline, valid_until) = (world.now + 8 * S, world.now - 1);
     let mark =
         HandoverMark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
-    let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.handed("a", 1) };
-    let answer = world.hand_in(message);
+    let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.submission("a", 1) };
+    let answer = world.submit(message);
     assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
     world.wait(S);
     assert!(world.written.is_empty());
-    let message = Submission { handover_mark: marked("f1", world.now), ..world.handed("b", 1) };
-    assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
+    let message = Submission { handover_mark: valid_mark("f1", world.now), ..world.submission("b", 1) };
+    assert_eq!(world.submit(message), SubmitAnswer::Accepted);
 }
 
 // Guards against a malformed mark that is partly applied, and against a mark that has any effect if destinations have
@@ -468,13 +470,13 @@
         (None, SubmitAnswer::Accepted),
     ] {
         let mut world = World::new(Class::Safe, owners);
-        let message = Submission { handover_mark: ReceivedMark::Malformed, ..world.handed("a", 1) };
-        assert_eq!(world.hand_in(message), expected);
+        let message = Submission { handover_mark: ReceivedMark::Malformed, ..world.submission("a", 1) };
+        assert_eq!(world.submit(message), expected);
     }
     let mut world = World::new(Class::Safe, None);
-    world.take("b", 1);
+    world.submit_accepted("b", 1);
     world.input(Input::Operator { request: 2, call: Command::ShowStat });
-    assert!(world.offers.is_empty() && !world.figures.contains("owners"));
+    assert!(world.offers.is_empty() && !world.metrics_text.contains("owners"));
 }
 
 // Guards against a message that is lost, or handed on without end, because the forwarder that offers it is not a
@@ -482,12 +484,13 @@
 #[test]
 fn handover_from_a_non_member_is_delivered_here_and_counted() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f1", "f1"])));
-    for txn in ["a", "b"] {
-        let message = Submission { handover_mark: marked("f77", world.now), ..world.handed(txn, 1) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
+    for message_id in ["a", "b"] {
+        let message =
+            Submission { handover_mark: valid_mark("f77", world.now), ..world.submission(message_id, 1) };
+        assert_eq!(world.submit(message), SubmitAnswer::Accepted);
     }
     assert_eq!((world.written.len(), world.offers.len()), (2, 0));
-    assert_eq!(world.figure("taken_over_from_strangers"), 2);
+    assert_eq!(world.metric("taken_over_from_strangers"), 2);
     assert_eq!(world.logged.iter().filter(|line| line.contains("f77")).count(), 1, "{:?}", world.logged);
 }
 
@@ -496,17 +499,17 @@
 #[test]
 fn rejected_offer_is_repeated_after_retry_after_and_not_delivered_here() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end(&offer, OfferOutcome::Rejected(3 * S));
+    world.end_offer(&offer, OfferOutcome::Rejected(3 * S));
     world.wait(2_900 * MS);
     assert!(world.offers.is_empty(), "no offer may be sent before the Retry-After has ended");
     world.wait(400 * MS);
-    let offers = world.wait_with(7 * S, &OfferOutcome::Rejected(0));
+    let offers = world.wait_ending_offers(7 * S, &OfferOutcome::Rejected(0));
     assert!((2..40).contains(&offers), "{offers} offers");
     assert!(world.written.is_empty());
     // The owner never accepted it, so the client may submit it again.
-    assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 })]);
+    assert_eq!(world.notifications, [("a".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 })]);
 }
 
 // Guards against a lost answer that finishes a message, or after which the message goes elsewhere although the owner
@@ -514,36 +517,36 @@
 #[test]
 fn unanswered_offer_is_repeated_to_the_same_owner_under_the_same_id() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end(&offer, unanswered());
+    world.end_offer(&offer, in_doubt());
     // Another forwarder owns the destination now, and the previous owner is still a member.
     world.input(Input::OwnersChanged(Rc::new(Fleet {
         version: 2,
         owners: BTreeMap::from([(1, "f2")]),
         members: vec!["f0", "f1", "f2"],
-        moved: 0,
+        port_offset: 0,
     })));
     world.wait(3 * S);
     let again = world.offer();
     assert_eq!((again.owner_address, again.message.id.as_str()), (address("f1"), "a"));
     assert!(world.written.is_empty() && world.offers.is_empty());
-    world.end(&again, OfferOutcome::Accepted);
+    world.end_offer(&again, OfferOutcome::Accepted);
     world.wait(10 * S);
-    assert!(world.written.is_empty() && world.notices.is_empty());
+    assert!(world.written.is_empty() && world.notifications.is_empty());
 }
 
 // Guards against a doubt that is cleared by a later rejection, or by a later offer that does not reach the owner.
 #[test]
 fn doubt_survives_later_offer_outcomes() {
-    for later in [OfferOutcome::Rejected(0), unreached()] {
+    for later in [OfferOutcome::Rejected(0), not_sent()] {
         let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-        world.take("a", 1);
+        world.submit_accepted("a", 1);
         let offer = world.offer();
-        world.end(&offer, unanswered());
-        world.wait_with(9 * S, &later);
+        world.end_offer(&offer, in_doubt());
+        world.wait_ending_offers(9 * S, &later);
         assert!(world.written.is_empty(), "{later:?}");
-        assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Failed)], "{later:?}");
+        assert_eq!(world.notifications, [("a".to_owned(), FinalAnswer::Failed)], "{later:?}");
     }
 }
 
@@ -551,7 +554,7 @@
 // although it may be repeated.
 #[test]
 fn removed_owner_in_doubt_is_resolved_by_idempotency() {
-    let gone = |version| Fleet::of(version, ["f0", "f0", "f2"]);
+    let without_f1 = |version| Fleet::of(version, ["f0", "f0", "f2"]);
     for (class, is_sent) in [
         (Class::Safe, true),
         (Class::Unsafe, false),
@@ -559,24 +562,24 @@
         (Class::KeyedEverywhere, true),
     ] {
         let mut world = World::new(class, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-        world.take("a", 1);
+        world.submit_accepted("a", 1);
         let offer = world.offer();
-        world.end(&offer, unanswered());
-        world.input(Input::OwnersChanged(gone(2)));
+        world.end_offer(&offer, in_doubt());
+        world.input(Input::OwnersChanged(without_f1(2)));
         world.wait(S);
         assert_eq!(world.written == ["a"], is_sent, "{class:?}");
-        let failed = world.notices == [("a".to_owned(), FinalAnswer::Failed)];
-        assert_eq!(failed, !is_sent, "{class:?}: {:?}", world.notices);
+        let failed = world.notifications == [("a".to_owned(), FinalAnswer::Failed)];
+        assert_eq!(failed, !is_sent, "{class:?}: {:?}", world.notifications);
     }
     // After the end of its deduplication window, the message may not be repeated.
     let mut world = World::new(Class::KeyedEverywhere, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end(&offer, unanswered());
-    world.wait_with(2_100 * MS, &unanswered());
+    world.end_offer(&offer, in_doubt());
+    world.wait_ending_offers(2_100 * MS, &in_doubt());
     world.written.clear();
-    let was_substituted = world.figure("delivered_for_lack_of_owner") == 1;
-    world.input(Input::OwnersChanged(gone(2)));
+    let was_substituted = world.metric("delivered_for_lack_of_owner") == 1;
+    world.input(Input::OwnersChanged(without_f1(2)));
     world.wait(S);
     assert!(!was_substituted && world.written.is_empty(), "{:?}", world.written);
 }
@@ -586,12 +589,12 @@
 #[test]
 fn unaccepted_message_goes_to_the_new_owner() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    for txn in ["a", "b"] {
-        world.take(txn, 1);
+    for message_id in ["a", "b"] {
+        world.submit_accepted(message_id, 1);
     }
     for _ in 0..2 {
         let offer = world.offer();
-        world.end(&offer, unreached());
+        world.end_offer(&offer, not_sent());
     }
     world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     let offers = [world.offer(), world.offer()];
@@ -600,7 +603,7 @@
             .iter()
             .all(|offer| offer.owner_address == address("f2") && offer.mark.possible_delivery.is_none())
     );
-    world.end(&offers[0], unreached());
+    world.end_offer(&offers[0], not_sent());
     world.input(Input::OwnersChanged(Fleet::of(3, ["f0", "f0", "f2"])));
     world.wait(S);
     assert_eq!(
@@ -614,25 +617,25 @@
 #[test]
 fn offer_in_flight_ends_before_its_message_is_reassigned() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
     world.input(Input::OwnersChanged(Fleet::of(2, ["f0", "f0", "f2"])));
     world.wait(900 * MS);
     assert!(world.written.is_empty());
-    world.end(&offer, OfferOutcome::Accepted);
+    world.end_offer(&offer, OfferOutcome::Accepted);
     world.wait(S);
-    assert!(world.written.is_empty() && world.notices.is_empty());
+    assert!(world.written.is_empty() && world.notifications.is_empty());
 }
 
 // Guards against an offer that is sent to an old address of the owner after the view has changed.
 #[test]
 fn offer_goes_to_the_owners_newest_address() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end(&offer, unanswered());
+    world.end_offer(&offer, in_doubt());
     let (owners, members) = (BTreeMap::from([(1, "f1")]), vec!["f0", "f1"]);
-    world.input(Input::OwnersChanged(Rc::new(Fleet { version: 2, owners, members, moved: 500 })));
+    world.input(Input::OwnersChanged(Rc::new(Fleet { version: 2, owners, members, port_offset: 500 })));
     world.wait(S);
     assert_eq!(world.offer().owner_address.port(), address("f1").port() + 500);
 }
@@ -640,14 +643,14 @@
 // Guards against a new owner that sends at the full rate while the previous owner may still send.
 #[test]
 fn new_owner_slow_starts_its_destination() {
-    let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, marked: ReceivedMark| {
+    let is_cold = |owners: [Rc<dyn Owners>; 2], wait: Micros, valid_mark: ReceivedMark| {
         let [before, after] = owners;
         let mut world = World::new(Class::Safe, Some(before));
         world.input(Input::OwnersChanged(after));
         world.wait(wait);
-        world.endpoints_answer = false;
-        let message = Submission { handover_mark: marked, ..world.handed("a", 3) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
+        world.endpoints_reachable = false;
+        let message = Submission { handover_mark: valid_mark, ..world.submission("a", 3) };
+        assert_eq!(world.submit(message), SubmitAnswer::Accepted);
         world.reducer.faulty_destinations().any(|destination| destination == 3)
     };
     let own = || Fleet::of(2, ["f0", "f0", "f0"]);
@@ -661,7 +664,7 @@
         !is_cold([others(1), own()], 10 * S, ReceivedMark::Absent),
         "this forwarder has owned the destination for long"
     );
-    let handed_over = marked("f2", START + 10 * S);
+    let handed_over = valid_mark("f2", START + 10 * S);
     assert!(
         is_cold([others(1), others(2)], 10 * S, handed_over),
         "only the offering forwarder takes this one for the owner"
@@ -673,12 +676,12 @@
 fn older_view_is_ignored() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(5, ["f1", "f1", "f1"])));
     world.input(Input::OwnersChanged(Fleet::of(4, ["f2", "f2", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     assert_eq!(world.offer().owner_address, address("f1"));
     assert!(
         world.logged.iter().any(|line| line.contains("older than the one in force version=4 in_force=5"))
     );
-    assert_eq!(world.figure("owners_view"), 5);
+    assert_eq!(world.metric("owners_view"), 5);
 }
 
 // Guards against a restart that forgets an offer. The offer must be repeated, and it counts as a possible delivery if
@@ -687,27 +690,27 @@
 fn restart_repeats_an_offer_under_its_id() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Unsafe, fleet());
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let first = world.offer();
     let mut world = world.restarted(fleet());
     let again = world.offer();
     assert_eq!((again.owner_address, &again.message.id), (first.owner_address, &first.message.id));
-    world.end(&again, unreached());
+    world.end_offer(&again, not_sent());
     // The message has been in doubt since before the restart. That the owner cannot be reached now does not clear the
     // doubt.
     let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
     world.wait(S);
     assert!(world.written.is_empty() && world.offers.is_empty());
-    assert_eq!(world.notices, [("a".to_owned(), FinalAnswer::Failed)]);
+    assert_eq!(world.notifications, [("a".to_owned(), FinalAnswer::Failed)]);
 }
 
 // Guards against a restart after which a message counts as in doubt although the owner never accepted it.
 #[test]
 fn restart_reassigns_a_declined_message() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end(&offer, unreached());
+    world.end_offer(&offer, not_sent());
     let mut world = world.restarted(Some(Fleet::of(2, ["f2", "f0", "f2"])));
     let offer = world.offer();
     assert_eq!((offer.owner_address, offer.mark.possible_delivery), (address("f2"), None));
@@ -715,12 +718,12 @@
 
 // Guards against a compaction of the journal that loses the handover state of a message.
 #[test]
-fn compaction_keeps_the_doubt() {
+fn compaction_keeps_the_handover_state() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Unsafe, fleet());
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end(&offer, unanswered());
+    world.end_offer(&offer, in_doubt());
     // Fills the journal until it is compacted.
     let mut number = 0;
     while world.records().iter().any(|record| matches!(record, Record::HandoverDeclined { .. }))
@@ -729,15 +732,19 @@
         number += 1;
         let size = world.file.len();
         let message =
-            Submission { body: Bytes::from(vec![0; 6_000]), ..world.handed(&format!("own {number}"), 2) };
-        assert_eq!(world.hand_in(message), SubmitAnswer::Accepted);
+            Submission { body: Bytes::from(vec![0; 6_000]), ..world.submission(&format!("own {number}"), 2) };
+        assert_eq!(world.submit(message), SubmitAnswer::Accepted);
         if world.file.len() < size {
             break;
         }
     }
     let mut world = world.restarted(None);
     world.wait(S);
-    assert!(world.notices.contains(&("a".to_owned(), FinalAnswer::Failed)), "{:?}", world.notices);
+    assert!(
+        world.notifications.contains(&("a".to_owned(), FinalAnswer::Failed)),
+        "{:?}",
+        world.notifications
+    );
     assert!(!world.written.contains(&"a".to_owned()));
 }
 
@@ -746,20 +753,20 @@
 #[test]
 fn failing_owner_gets_a_bounded_part_delivered_here() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
-    world.take("a1", 1);
-    world.take("a2", 1);
-    world.take("c1", 3);
+    world.submit_accepted("a1", 1);
+    world.submit_accepted("a2", 1);
+    world.submit_accepted("c1", 3);
     // The endpoints are slow, so deliveries stay in progress for a while.
-    world.wait_with(1_900 * MS, &unreached());
+    world.wait_ending_offers(1_900 * MS, &not_sent());
     assert!(world.written.is_empty(), "the first failure must not cause local deliveries");
-    world.wait_with(S, &unreached());
+    world.wait_ending_offers(S, &not_sent());
     world.written.sort();
     assert_eq!(world.written, ["a1", "a2", "c1"], "the messages must be delivered one after the other");
-    assert_eq!(world.figure("delivered_for_lack_of_owner"), 3);
+    assert_eq!(world.metric("delivered_for_lack_of_owner"), 3);
     // An owner that rejects offers is running, so it must not be bypassed.
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
-    world.take("a1", 1);
-    world.wait_with(5 * S, &OfferOutcome::Rejected(0));
+    world.submit_accepted("a1", 1);
+    world.wait_ending_offers(5 * S, &OfferOutcome::Rejected(0));
     assert!(world.written.is_empty());
 }
 
@@ -767,45 +774,48 @@
 #[test]
 fn failing_owner_gets_one_offer_at_a_time_with_backoff() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.endpoints_answer = false;
+    world.endpoints_reachable = false;
     for number in 0..30 {
-        world.take(&format!("m{number}"), 1);
+        world.submit_accepted(&format!("m{number}"), 1);
     }
     assert_eq!(world.offers.len(), 16, "the maximum number of offers to one owner must be in flight");
     while let Some(offer) = world.offers.pop_front() {
-        world.end(&offer, unanswered());
+        world.end_offer(&offer, in_doubt());
     }
     let mut offers = 0;
     for _ in 0..300 {
         world.wait(10 * MS);
         assert!(world.offers.len() <= 1);
         if let Some(offer) = world.offers.pop_front() {
-            world.end(&offer, unanswered());
+            world.end_offer(&offer, in_doubt());
             offers += 1;
         }
     }
     assert!((2..20).contains(&offers), "{offers} offers in 3 s");
     world.wait(2 * S);
     let offer = world.offer();
-    world.end(&offer, OfferOutcome::Accepted);
+    world.end_offer(&offer, OfferOutcome::Accepted);
     assert_eq!(world.offers.len(), 16, "an owner that answers must get the maximum number of offers again");
 }
 
 // Guards against a doubt that is lost when the message is offered to another owner. The mark must carry the possible
 // delivery.
 #[test]
-fn doubt_goes_along_to_the_next_owner() {
+fn possible_delivery_is_passed_to_the_next_owner() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
-    world.take("a", 1);
+    world.submit_accepted("a", 1);
     let offer = world.offer();
     let offered_at = world.now;
-    world.end(&offer, unanswered());
+    world.end_offer(&offer, in_doubt());
     world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
     world.wait(MS);
     let next = world.offer();
-    let ran = next.mark.possible_delivery.expect("the mark has the possible delivery");
-    assert_eq!((next.owner_address, ran.endpoint.as_str()), (address("f2"), ""));
-    assert!(ran.started_at <= offered_at, "the possible delivery must not start later than the offer");
+    let prior_attempt = next.mark.possible_delivery.expect("the mark has the possible delivery");
+    assert_eq!((next.owner_address, prior_attempt.endpoint.as_str()), (address("f2"), ""));
+    assert!(
+        prior_attempt.started_at <= offered_at,
+        "the possible delivery must not start later than the offer"
+    );
 }
 
 // Guards against a restart that offers a message again after its delivery in doubt has begun here.
@@ -813,10 +823,10 @@
 fn local_delivery_in_doubt_stays_local_after_a_restart() {
     let fleet = || Some(Fleet::of(1, ["f1", "f0", "f2"]));
     let mut world = World::new(Class::Safe, fleet());
-    world.endpoints_answer = false;
-    world.take("a", 1);
-    world.wait_with(3 * S, &unanswered());
-    assert_eq!(world.figure("delivering_for_lack_of_owner"), 1);
+    world.endpoints_reachable = false;
+    world.submit_accepted("a", 1);
+    world.wait_ending_offers(3 * S, &in_doubt());
+    assert_eq!(world.metric("delivering_for_lack_of_owner"), 1);
     let mut world = world.restarted(fleet());
     world.wait(S);
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
@@ -824,10 +834,10 @@
 
 /// Returns a configuration with room for many messages, and with this many destinations of one endpoint each.
 fn wide_config(destinations: u64) -> String {
-    let first = common::targets().remove(2);
-    let target =
+    let first = common::endpoint_entries().remove(2);
+    let entry =
         |number: u64| EndpointEntry { uid: format!("s{number}"), destination: number, ..first.clone() };
-    common::config("127.0.0.1:1", "127.0.0.1:2", (1..=destinations).map(target).collect())
+    common::config("127.0.0.1:1", "127.0.0.1:2", (1..=destinations).map(entry).collect())
         .replace(r#""max_open":40"#, r#""max_open":4000"#)
         .replace(r#""disk_mb":0.2"#, r#""disk_mb":16"#)
 }
@@ -835,7 +845,7 @@
 /// Returns a view in which one other forwarder owns this many destinations.
 fn one_owner(destinations: u64) -> Rc<dyn Owners> {
     let owners = (1..=destinations).map(|number| (number, "f1")).collect();
-    Rc::new(Fleet { version: 1, owners, members: vec!["f0", "f1"], moved: 0 })
+    Rc::new(Fleet { version: 1, owners, members: vec!["f0", "f1"], port_offset: 0 })
 }
 
 // Guards against too many deliveries to endpoints by this forwarder while an owner is down. They are limited to one
@@ -844,13 +854,13 @@
 fn local_deliveries_are_bounded_by_destination_and_in_total() {
     for (destinations, expected) in [(1, 1), (5, 5), (50, 32)] {
         let mut world = World::with_config(&wide_config(destinations), Some(one_owner(destinations)));
-        world.endpoints_answer = false;
+        world.endpoints_reachable = false;
         for number in 0..2 * destinations {
-            world.take(&format!("m{number}"), 1 + number % destinations);
+            world.submit_accepted(&format!("m{number}"), 1 + number % destinations);
         }
-        world.wait_with(3 * S, &unreached());
-        assert_eq!(world.figure("delivering_for_lack_of_owner"), expected);
-        assert_eq!(world.figure("handover_waiting"), 2 * destinations - expected);
+        world.wait_ending_offers(3 * S, &not_sent());
+        assert_eq!(world.metric("delivering_for_lack_of_owner"), expected);
+        assert_eq!(world.metric("handover_waiting"), 2 * destinations - expected);
     }
 }
 
@@ -858,13 +868,13 @@
 #[test]
 fn full_owner_queue_rejects_new_messages() {
     let mut world = World::with_config(&wide_config(2), Some(one_owner(1)));
-    let messages: Vec<_> = (0..1_020).map(|number| world.handed(&format!("m{number}"), 1)).collect();
+    let messages: Vec<_> = (0..1_020).map(|number| world.submission(&format!("m{number}"), 1)).collect();
     for message in messages {
         world.input(Input::Submitted { request: 1, message });
         world.wait(5 * MS);
     }
     world.wait(20 * MS);
-    let deferred = world.answers.iter().filter(|answer| matches!(answer, SubmitAnswer::Rejected(_))).count();
-    assert_eq!(deferred, 20);
-    world.take("another destination", 2);
+    let rejected = world.answers.iter().filter(|answer| matches!(answer, SubmitAnswer::Rejected(_))).count();
+    assert_eq!(rejected, 20);
+    world.submit_accepted("another destination", 2);
 }
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -32,7 +32,7 @@
 /// Upper bound for the bytes of a record of one entry, far below those of the list.
 const SMALL_RECORD: usize = 1_000;
 
-fn target(number: usize) -> EndpointEntry {
+fn entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         uid: format!("s-{number:08x}"),
         address: "127.0.0.1:8000".parse().expect("an address"),
@@ -45,21 +45,21 @@
     }
 }
 
-fn targets(count: usize) -> Vec<EndpointEntry> {
-    (0..count).map(target).collect()
+fn entries(count: usize) -> Vec<EndpointEntry> {
+    (0..count).map(entry).collect()
 }
 
-fn news(rev: u64, all: bool, targets: Vec<EndpointEntry>) -> WatchEvent {
-    WatchEvent { version: rev, is_snapshot: all, endpoints: targets, origin: String::new() }
+fn watch_event(list_version: u64, snapshot: bool, entries: Vec<EndpointEntry>) -> WatchEvent {
+    WatchEvent { version: list_version, is_snapshot: snapshot, endpoints: entries, origin: String::new() }
 }
 
 /// Returns the text of a configuration with these endpoints, and with a folder that is large enough for them.
-fn text(targets: Vec<EndpointEntry>) -> String {
-    deployments::config("127.0.0.1:1", "127.0.0.1:2", targets).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
+fn config_text(entries: Vec<EndpointEntry>) -> String {
+    deployments::config("127.0.0.1:1", "127.0.0.1:2", entries).replace("\"disk_mb\":0.2", "\"disk_mb\":128")
 }
 
-fn config(targets: Vec<EndpointEntry>) -> Config {
-    Config::read(&text(targets), None, None).expect("a configuration")
+fn config(entries: Vec<EndpointEntry>) -> Config {
+    Config::read(&config_text(entries), None, None).expect("a configuration")
 }
 
 /// A forwarder and its journal's file.
@@ -90,10 +90,14 @@
         while let Some(input) = inputs.pop() {
             for effect in self.reducer.step(self.now, input) {
                 match effect {
-                    Effect::Append { append: receipt, bytes } => {
+                    Effect::Append { append: append_id, bytes } => {
                         self.file.extend_from_slice(&bytes);
                         written += bytes.len();
-                        inputs.push(Input::Appended { append: receipt, stored: true, size: self.file.len() });
+                        inputs.push(Input::Appended {
+                            append: append_id,
+                            stored: true,
+                            size: self.file.len(),
+                        });
                     }
                     Effect::CompactJournal { bytes } => {
                         written += bytes.len();
@@ -109,26 +113,26 @@
     }
 
     /// Sends an event on the current watch. Returns the bytes written to the file.
-    fn news(&mut self, news: WatchEvent) -> usize {
+    fn send_event(&mut self, update: WatchEvent) -> usize {
         let watch = self.watch;
-        self.input(Input::WatchEvent { watch, event: news })
+        self.input(Input::WatchEvent { watch, event: update })
     }
 
     /// Returns the list that a start would read from the journal.
-    fn journaled(&self) -> EndpointList {
-        let mut map = EndpointList::default();
+    fn journaled_list(&self) -> EndpointList {
+        let mut list = EndpointList::default();
         let (records, whole) = replay(Bytes::copy_from_slice(&self.file));
         assert_eq!(whole, self.file.len());
         for (record, _) in records {
-            if let Record::EndpointList(news) = record {
-                map.apply(&news);
+            if let Record::EndpointList(update) = record {
+                list.apply(&update);
             }
         }
-        map
+        list
     }
 
     /// Returns the number of endpoints that the forwarder holds.
-    fn listed(&self) -> usize {
+    fn endpoint_count(&self) -> usize {
         self.reducer.gauges().endpoints
     }
 }
@@ -137,28 +141,28 @@
 // many bytes as the whole list.
 #[test]
 fn large_list_survives_a_restart_and_small_change_stays_small() {
-    let mut world = World::start(config(targets(4)), Vec::new());
+    let mut world = World::start(config(entries(4)), Vec::new());
     assert!(
-        world.news(news(2, true, targets(LISTED))) > 100 * LISTED,
+        world.send_event(watch_event(2, true, entries(LISTED))) > 100 * LISTED,
         "the list must be written to the journal"
     );
-    assert_eq!(world.listed(), LISTED);
-    let draining = EndpointEntry { state: EndpointState::Draining, ..target(LISTED / 2) };
-    for (rev, changed) in [(3, draining.clone()), (4, target(LISTED)), (5, target(0))] {
-        let written = world.news(news(rev, false, vec![changed]));
-        assert!(written < SMALL_RECORD, "version {rev}: {written} bytes");
+    assert_eq!(world.endpoint_count(), LISTED);
+    let draining = EndpointEntry { state: EndpointState::Draining, ..entry(LISTED / 2) };
+    for (list_version, changed) in [(3, draining.clone()), (4, entry(LISTED)), (5, entry(0))] {
+        let written = world.send_event(watch_event(list_version, false, vec![changed]));
+        assert!(written < SMALL_RECORD, "version {list_version}: {written} bytes");
     }
-    let out = console::Command::DisableServer(target(7).uid);
-    assert!(world.input(Input::Operator { request: 1, call: out }) < SMALL_RECORD);
+    let eject = console::Command::DisableServer(entry(7).uid);
+    assert!(world.input(Input::Operator { request: 1, call: eject }) < SMALL_RECORD);
 
-    let mut world = World::start(config(targets(4)), world.file);
-    assert_eq!(world.listed(), LISTED + 1);
-    let map = world.journaled();
-    assert_eq!((map.version(), map.len()), (5, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
-    assert!(world.news(news(6, false, vec![target(1)])) < SMALL_RECORD);
+    let mut world = World::start(config(entries(4)), world.file);
+    assert_eq!(world.endpoint_count(), LISTED + 1);
+    let list = world.journaled_list();
+    assert_eq!((list.version(), list.len()), (5, LISTED + 1));
+    assert_eq!(list.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
+    assert!(world.send_event(watch_event(6, false, vec![entry(1)])) < SMALL_RECORD);
     let size = world.file.len();
-    let world = World::start(config(targets(4)), world.file);
+    let world = World::start(config(entries(4)), world.file);
     assert!(
         world.file.len() < size + SMALL_RECORD,
         "a list that the file already holds must not be written again"
@@ -167,52 +171,52 @@
 
 // Guards against a change received by another process of this forwarder that writes as many bytes as the whole list.
 #[test]
-fn change_heard_by_another_process_is_stored_as_a_delta() {
-    let mut world = World::start(config(targets(4)), Vec::new());
-    world.news(news(2, true, targets(LISTED)));
-    let draining = EndpointEntry { state: EndpointState::Draining, ..target(5) };
-    let gone = EndpointEntry { state: EndpointState::Removed, ..target(6) };
-    let heard = [
-        news(2, true, targets(LISTED)),
-        news(3, false, vec![draining.clone(), gone.clone(), target(LISTED), target(LISTED + 1)]),
+fn change_received_by_another_process_is_stored_as_a_delta() {
+    let mut world = World::start(config(entries(4)), Vec::new());
+    world.send_event(watch_event(2, true, entries(LISTED)));
+    let draining = EndpointEntry { state: EndpointState::Draining, ..entry(5) };
+    let removed = EndpointEntry { state: EndpointState::Removed, ..entry(6) };
+    let received = [
+        watch_event(2, true, entries(LISTED)),
+        watch_event(3, false, vec![draining.clone(), removed.clone(), entry(LISTED), entry(LISTED + 1)]),
     ];
-    let records = heard.into_iter().map(|news| (Record::EndpointList(news), Bytes::new())).collect();
-    let shown =
+    let records = received.into_iter().map(|update| (Record::EndpointList(update), Bytes::new())).collect();
+    let process_updates =
         vec![OtherProcessUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
-    let written = world.input(Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() });
+    let written = world.input(Input::OtherProcessesUpdated { updates: process_updates, gone: Vec::new() });
     assert!(written < 2 * SMALL_RECORD, "{written} bytes");
-    let map = world.journaled();
-    assert_eq!((map.version(), map.len(), world.listed()), (3, LISTED + 1, LISTED + 1));
-    assert_eq!(map.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
-    assert!(map.get(&gone.uid).is_none() && map.get(&target(LISTED).uid).is_some());
+    let list = world.journaled_list();
+    assert_eq!((list.version(), list.len(), world.endpoint_count()), (3, LISTED + 1, LISTED + 1));
+    assert_eq!(list.get(&draining.uid).map(|entry| entry.state), Some(EndpointState::Draining));
+    assert!(list.get(&removed.uid).is_none() && list.get(&entry(LISTED).uid).is_some());
 }
 
 // Guards against a list in the configuration that is read and not stored, and against a reload that loses the changes
 // that discovery has sent since.
 #[tokio::test(flavor = "current_thread")]
-async fn a_large_list_is_reloaded_with_the_configuration() {
+async fn large_list_is_reloaded_with_the_configuration() {
     let folder = Folder::new("reload");
-    let source = folder.source(&text(targets(LISTED)));
+    let source = folder.source(&config_text(entries(LISTED)));
     let mut world = World::start(source.load().await.expect("good"), Vec::new());
-    assert_eq!((world.listed(), world.journaled().len()), (LISTED, LISTED));
-    world.news(news(2, false, vec![target(LISTED)]));
+    assert_eq!((world.endpoint_count(), world.journaled_list().len()), (LISTED, LISTED));
+    world.send_event(watch_event(2, false, vec![entry(LISTED)]));
     let reloaded = source.load().await.expect("good");
     let written = world.input(Input::ConfigReloaded(Box::new(reloaded)));
     assert!(written < SMALL_RECORD, "{written} bytes");
-    assert_eq!((world.listed(), world.journaled().version()), (LISTED + 1, 2));
+    assert_eq!((world.endpoint_count(), world.journaled_list().version()), (LISTED + 1, 2));
 }
 
 // Guards against an invalid list in the configuration that is partly applied, and against an error without its reason,
 // or of several lines.
 #[tokio::test(flavor = "current_thread")]
-async fn a_list_in_the_configuration_that_is_not_good_is_an_error_of_one_line() {
-    let good = text(targets(LISTED));
-    let last = format!("\"uid\":\"{}\"", target(LISTED - 1).uid);
+async fn invalid_list_in_the_configuration_is_an_error_of_one_line() {
+    let good = config_text(entries(LISTED));
+    let last = format!("\"uid\":\"{}\"", entry(LISTED - 1).uid);
     let too_large = " ".repeat(64 << 20);
     for (what, text, why) in [
         ("cut off", good[..good.len() / 2].to_owned(), "EOF"),
         ("malformed in its last entry", good.replace(&last, "\"uid\":7"), "invalid type"),
-        ("too many entries", text(targets(MAX_ENTRIES + 1)), "more than 200000 entries"),
+        ("too many entries", config_text(entries(MAX_ENTRIES + 1)), "more than 200000 entries"),
         ("too many bytes", too_large + &good, "more than 52 MiB"),
     ] {
         let folder = Folder::new("bad-list");
@@ -225,16 +229,16 @@
 // after one that was dropped.
 #[test]
 fn oversized_change_is_rejected_and_logged_once() {
-    let mut world = World::start(config(targets(4)), Vec::new());
-    world.news(news(2, true, targets(MAX_ENTRIES)));
+    let mut world = World::start(config(entries(4)), Vec::new());
+    world.send_event(watch_event(2, true, entries(MAX_ENTRIES)));
     let (size, lines) = (world.file.len(), world.log.len());
-    assert_eq!(world.news(news(3, false, vec![target(MAX_ENTRIES)])), 0);
+    assert_eq!(world.send_event(watch_event(3, false, vec![entry(MAX_ENTRIES)])), 0);
     assert_eq!(
-        world.news(news(4, false, vec![target(MAX_ENTRIES + 1)])),
+        world.send_event(watch_event(4, false, vec![entry(MAX_ENTRIES + 1)])),
         0,
         "a change after the dropped one must not be applied"
     );
-    assert_eq!((world.listed(), world.file.len()), (MAX_ENTRIES, size));
+    assert_eq!((world.endpoint_count(), world.file.len()), (MAX_ENTRIES, size));
     assert_eq!(world.log.len(), lines + 1, "{:?}", &world.log[lines..]);
     assert!(
         world.log[lines].contains("too large, the last list stays in use version=3 max_entries=200000"),
@@ -242,7 +246,7 @@
         world.log[lines]
     );
 
-    let asked = world.watch;
+    let first_watch = world.watch;
     world.now += 20 * SECOND;
     let effects = world.reducer.step(world.now, Input::Withdrawn { request: 0 });
     let since = effects.iter().find_map(|effect| match effect {
@@ -250,26 +254,26 @@
         _ => None,
     });
     let (watch, since) = since.expect("a new watch is started");
-    assert!(watch > asked && since == 2, "watch {watch} from version {since}");
+    assert!(watch > first_watch && since == 2, "watch {watch} from version {since}");
     world.watch = watch;
-    let gone = EndpointEntry { state: EndpointState::Removed, ..target(0) };
-    assert!(world.news(news(5, false, vec![gone, target(MAX_ENTRIES)])) > 0);
-    assert_eq!(world.listed(), MAX_ENTRIES);
+    let removed = EndpointEntry { state: EndpointState::Removed, ..entry(0) };
+    assert!(world.send_event(watch_event(5, false, vec![removed, entry(MAX_ENTRIES)])) > 0);
+    assert_eq!(world.endpoint_count(), MAX_ENTRIES);
 }
 
 // Guards against a watch that ends in the middle of a large list and changes something, or whose end is not logged in
 // one line.
 #[test]
 fn truncated_watch_is_logged_once_and_changes_nothing() {
-    let mut world = World::start(config(targets(4)), Vec::new());
+    let mut world = World::start(config(entries(4)), Vec::new());
     let (size, lines) = (world.file.len(), world.log.len());
     let why = "it ended in the middle of a list, after 9000000 bytes".to_owned();
-    let (watch, wait_ms, unheard) = (world.watch, 0, 0);
+    let (watch, delay_ms, silent_for) = (world.watch, 0, 0);
     assert_eq!(
-        world.input(Input::WatchEnded { watch, reason: why, retry_after_ms: wait_ms, silence: unheard }),
+        world.input(Input::WatchEnded { watch, reason: why, retry_after_ms: delay_ms, silence: silent_for }),
         0
     );
-    assert_eq!((world.listed(), world.file.len()), (4, size));
+    assert_eq!((world.endpoint_count(), world.file.len()), (4, size));
     assert!(world.log[lines..].iter().eq(["endpoint list: watch ended, the last list stays in use \
          reason=\"it ended in the middle of a list, after 9000000 bytes\""]));
 }
@@ -299,7 +303,7 @@
 
 /// Follows a simulated discovery that writes these chunks with a pause after each, and then closes the connection.
 /// Returns the events, how the watch ended, and how long it took.
-async fn followed(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
+async fn follow_chunks(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let far_end = async {
@@ -319,14 +323,14 @@
         drop(stream.write_all(b"0\r\n\r\n").await);
         until_closed(stream).await;
     };
-    let told = Rc::new(RefCell::new(Vec::new()));
+    let events = Rc::new(RefCell::new(Vec::new()));
     let updates = UpdateSender::new({
-        let told = told.clone();
-        move |news| told.borrow_mut().push(news)
+        let events = events.clone();
+        move |update| events.borrow_mut().push(update)
     });
     let began = Instant::now();
     let (ended, ()) = tokio::join!(follow(at, 0, updates), far_end);
-    (told.take(), ended, began.elapsed())
+    (events.take(), ended, began.elapsed())
 }
 
 async fn until_closed(mut stream: TcpStream) {
@@ -340,17 +344,17 @@
 // Guards against a large list that a watch does not deliver, against an incomplete list that is delivered, and against
 // a watch that ends without a reason.
 #[tokio::test(flavor = "current_thread")]
-async fn a_watch_brings_a_large_list_whole_or_not_at_all() {
-    let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
-    let (told, ended, _) = followed(in_chunks(&text, 20_000), Duration::ZERO).await;
-    assert_eq!(told.iter().map(|news| news.endpoints.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
-    let last = format!("\"uid\":\"{}\"", target(LISTED - 1).uid);
+async fn watch_delivers_a_large_list_completely_or_not_at_all() {
+    let text = serde_json::to_string(&watch_event(7, true, entries(LISTED))).expect("a list");
+    let (events, ended, _) = follow_chunks(in_chunks(&text, 20_000), Duration::ZERO).await;
+    assert_eq!(events.iter().map(|update| update.endpoints.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
+    let last = format!("\"uid\":\"{}\"", entry(LISTED - 1).uid);
     for (what, text, why) in [
         ("cut off", text[..text.len() / 2].to_owned(), "in the middle of a list"),
         ("malformed in its last entry", text.replace(&last, "\"uid\":7"), "no list"),
     ] {
-        let (told, ended, _) = followed(in_chunks(&text, 200_000), Duration::ZERO).await;
-        assert!(told.is_empty() && ended.reason.contains(why), "{what}: {ended:?}");
+        let (events, ended, _) = follow_chunks(in_chunks(&text, 200_000), Duration::ZERO).await;
+        assert!(events.is_empty() && ended.reason.contains(why), "{what}: {ended:?}");
         assert_eq!(ended.reason.lines().count(), 1, "{what}: {ended:?}");
     }
 }
@@ -358,10 +362,10 @@
 // Guards against a large list that arrives steadily but is cut off each time before it is complete, so that it never
 // arrives.
 #[tokio::test(flavor = "current_thread")]
-async fn a_large_list_that_comes_steadily_is_waited_for() {
-    let text = serde_json::to_string(&news(7, true, targets(LISTED))).expect("a list");
+async fn large_list_that_arrives_steadily_is_not_cut_off() {
+    let text = serde_json::to_string(&watch_event(7, true, entries(LISTED))).expect("a list");
     let chunks = in_chunks(&text, text.len() / 25);
-    let (told, ended, took) = followed(chunks, Duration::from_millis(210)).await;
+    let (events, ended, took) = follow_chunks(chunks, Duration::from_millis(210)).await;
     assert!(took > Duration::from_millis(4_800), "after {took:?}");
-    assert_eq!(told.len(), 1, "after {took:?}: {ended:?}");
+    assert_eq!(events.len(), 1, "after {took:?}: {ended:?}");
 }
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -14,7 +14,7 @@
 // should have prevented.
 #[test]
 fn invariants_hold_after_every_random_step() {
-    fn keeps(steps: Vec<Step>) -> bool {
+    fn holds_in_both_deployments(steps: Vec<Step>) -> bool {
         [Shape::First, Shape::Second].into_iter().all(|shape| holds(shape, &steps))
     }
     fn holds(shape: Shape, steps: &[Step]) -> bool {
@@ -27,8 +27,11 @@
     }
     // Fixed seeds, so that each run takes the same steps and has the same result.
     for seed in 0..4 {
-        let chance = Gen::from_size_and_seed(300, seed);
-        QuickCheck::new().tests(40).rng(chance).quickcheck(keeps as fn(Vec<Step>) -> bool);
+        let generator = Gen::from_size_and_seed(300, seed);
+        QuickCheck::new()
+            .tests(40)
+            .rng(generator)
+            .quickcheck(holds_in_both_deployments as fn(Vec<Step>) -> bool);
     }
 }
 
@@ -47,9 +50,9 @@
         }
         let old = EndpointEntry { state: EndpointState::Removed, ..world.list[2].clone() };
         world.list[2].uid = format!("s-new{number}");
-        let targets = vec![old, world.list[2].clone()];
-        world.rev += 1;
-        world.news(targets);
+        let entries = vec![old, world.list[2].clone()];
+        world.list_version += 1;
+        world.update_list(entries);
         world.wait(100_000);
         assert!(
             world.links.values().all(|link| link.call.is_some() || !link.up),
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -21,9 +21,9 @@
     world.answer(0, 0);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    let link = world.pick(0, |l| l.call.is_some()).expect("the call uses the same connection");
+    let link = world.pick_connection(0, |l| l.call.is_some()).expect("the call uses the same connection");
     let call = world.links.remove(&link).and_then(|l| l.call).expect("a call is in flight");
-    world.fates.get_mut("b").expect("the message was submitted").calls -= 1;
+    world.messages.get_mut("b").expect("the message was submitted").calls -= 1;
     let error = EndpointCallError {
         progress: Progress::NotFullyWritten,
         cause: Cause::ConnectionFailed("closed".to_owned()),
@@ -40,10 +40,10 @@
 fn moved_endpoint_gets_no_call_at_its_old_address() {
     let mut world = World::new();
     let moves = |world: &mut World, port: u16| {
-        world.rev += 1;
+        world.list_version += 1;
         world.list[2].address.set_port(port);
-        let targets = vec![world.list[2].clone()];
-        world.news(targets);
+        let entries = vec![world.list[2].clone()];
+        world.update_list(entries);
     };
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -51,18 +51,18 @@
     // The connection that is established now goes to the old address.
     world.step(0, Step::Connect { which: 0, up: true });
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick(0, |l| l.call.is_some()).expect("the call is written");
+    let link = world.pick_connection(0, |l| l.call.is_some()).expect("the call is written");
     assert_eq!(world.links[&link].address, "127.0.0.1:41");
     moves(&mut world, 42);
     world.answer(0, 0);
     world.submit("b".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.pick(0, |l| l.up && l.address.ends_with(":41")).is_none(),
+        world.pick_connection(0, |l| l.up && l.address.ends_with(":41")).is_none(),
         "the connection to the old address must be closed"
     );
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick(0, |l| l.call.is_some()).expect("the call is written");
+    let link = world.pick_connection(0, |l| l.call.is_some()).expect("the call is written");
     assert_eq!(world.links[&link].address, "127.0.0.1:42");
 }
 
@@ -77,14 +77,16 @@
     world.step(1, Step::Connect { which: 0, up: true });
     world.wait(2 * S);
     world.post(true);
-    assert!(world.fates["status"].notice.is_some() && world.fates["order"].notice.is_none());
+    assert!(
+        world.messages["status"].notification.is_some() && world.messages["order"].notification.is_none()
+    );
     world.answer(0, 0);
     world.submit("next".to_owned(), true, 1, 10);
     world.wait(10_000);
     // The call may go to either endpoint of the destination.
     world.step(0, Step::Connect { which: 0, up: true });
     assert!(
-        world.pick(0, |l| l.call.is_some()).is_some(),
+        world.pick_connection(0, |l| l.call.is_some()).is_some(),
         "the message must be sent immediately, because the destination is healthy"
     );
 }
@@ -113,7 +115,7 @@
     world.submit("gone".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick(0, |l| l.call.is_some()).expect("a call is in flight");
+    let link = world.pick_connection(0, |l| l.call.is_some()).expect("a call is in flight");
     let reply = EndpointReply { status: 410, ..EndpointReply::default() };
     world.input(Input::CallAnswered { connection: link, reply, reusable: true });
     assert_eq!(
@@ -150,15 +152,15 @@
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
     }
-    let out = |world: &World| world.links.values().filter(|l| l.call.is_some()).count();
-    assert_eq!(out(&world), 2, "one call must be in flight on each route");
+    let calls_in_flight = |world: &World| world.links.values().filter(|l| l.call.is_some()).count();
+    assert_eq!(calls_in_flight(&world), 2, "one call must be in flight on each route");
     world.answer(0, 255 / 10 * 10 + 5);
     world.wait(20_000);
     world.answer(0, 0);
     world.wait(20_000);
     world.step(1, Step::Connect { which: 0, up: true });
-    assert_eq!(out(&world), 1, "a message rejected on one route must be sent on the other");
-    let sent = world.fates.values().map(|fate| fate.calls).sum::<usize>();
+    assert_eq!(calls_in_flight(&world), 1, "a message rejected on one route must be sent on the other");
+    let sent = world.messages.values().map(|message| message.calls).sum::<usize>();
     assert_eq!(sent, 3);
 }
 
@@ -173,11 +175,14 @@
     world.wait(1_500_000);
     world.step(1, Step::Break(0));
     world.wait(300_000);
-    assert!(world.pick(0, |l| !l.up).is_some(), "a connection for the repeat must have been requested");
+    assert!(
+        world.pick_connection(0, |l| !l.up).is_some(),
+        "a connection for the repeat must have been requested"
+    );
     world.wait(300_000);
     world.step(1, Step::Connect { which: 0, up: true });
-    assert_eq!(world.fates["held"].calls, 1);
+    assert_eq!(world.messages["held"].calls, 1);
     world.wait(S);
     world.post(true);
-    assert_eq!(world.fates["held"].notice, Some(FinalAnswer::Failed));
+    assert_eq!(world.messages["held"].notification, Some(FinalAnswer::Failed));
 }
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::steps::Step;
-use common::world::{Still, World};
+use common::world::{SilentCatalogue, World};
 use common::{S, START};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
@@ -22,11 +22,11 @@
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(S);
     assert_eq!(
-        world.follows,
+        world.watches,
         [(1, 2, 1), (2, 2, 2)],
         "one new watch must start from the version of the list in force"
     );
-    assert!(world.fates["x"].taken_on && !world.links.is_empty());
+    assert!(world.messages["x"].accepted && !world.links.is_empty());
 }
 
 // Guards against a reload that keeps the old discovery, forgets the held messages or the list, or watches two
@@ -39,16 +39,16 @@
     let text =
         common::config("127.0.0.1:1", "127.0.0.1:3", Vec::new()).replace("\"slots\":6", "\"slots\":12");
     world.input(Input::ConfigReloaded(Box::new(Config::read(&text, None, None).expect("a configuration"))));
-    assert_eq!(world.follows, [(1, 2, 1), (2, 3, 1)]);
+    assert_eq!(world.watches, [(1, 2, 1), (2, 3, 1)]);
     world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
     world.wait(S / 2);
-    assert_eq!(world.follows.len(), 2, "the end of the old watch must not start another watch");
+    assert_eq!(world.watches.len(), 2, "the end of the old watch must not start another watch");
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
-    assert!(world.fates["a"].delivered);
+    assert!(world.messages["a"].delivered);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    assert!(world.pick(0, |l| l.call.is_some()).is_some(), "the list must stay in use");
+    assert!(world.pick_connection(0, |l| l.call.is_some()).is_some(), "the list must stay in use");
 }
 
 // Guards against a list that is taken from two sources at the same time. After a change from discovery to a catalogue
@@ -57,35 +57,41 @@
 #[test]
 fn changed_list_source_keeps_the_list_and_ignores_the_old_source() {
     let config = |catalogue: Option<&'static str>| {
-        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
-        let catalogue = catalogue.map(|id| Rc::new(Still(id)) as Rc<dyn Catalogue>);
+        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
+        let catalogue = catalogue.map(|id| Rc::new(SilentCatalogue(id)) as Rc<dyn Catalogue>);
         Box::new(Config { catalogue, ..Config::read(&text, None, None).expect("a configuration") })
     };
     let mut world = World::new();
-    let (first, ..) = world.follows[0];
+    let (first, ..) = world.watches[0];
     world.input(Input::ConfigReloaded(config(Some("c1"))));
-    let (second, port, held) = *world.follows.last().expect("a watch was started");
+    let (second, port, held) = *world.watches.last().expect("a watch was started");
     assert_eq!(
-        (world.follows.len(), port, held),
+        (world.watches.len(), port, held),
         (2, 0, 1),
         "the catalogue must be followed from the list that discovery sent"
     );
     let gone = |origin: &str| WatchEvent {
         version: 2,
         is_snapshot: false,
-        endpoints: vec![EndpointEntry { state: EndpointState::Removed, ..common::targets()[2].clone() }],
+        endpoints: vec![EndpointEntry {
+            state: EndpointState::Removed,
+            ..common::endpoint_entries()[2].clone()
+        }],
         origin: origin.to_owned(),
     };
     world.input(Input::WatchEvent { watch: first, event: gone("") });
     world.input(Input::WatchEnded { watch: first, reason: "left".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.pick(0, |l| !l.up).is_some(), "events of the old source must not change the list");
+    assert!(
+        world.pick_connection(0, |l| !l.up).is_some(),
+        "events of the old source must not change the list"
+    );
     world.input(Input::ConfigReloaded(config(Some("c1"))));
-    assert_eq!(world.follows.len(), 2, "the same catalogue must not be watched again");
+    assert_eq!(world.watches.len(), 2, "the same catalogue must not be watched again");
     world.input(Input::WatchEvent { watch: second, event: gone("c1") });
     world.input(Input::ConfigReloaded(config(None)));
-    let (_, port, since) = *world.follows.last().expect("a watch was started");
+    let (_, port, since) = *world.watches.last().expect("a watch was started");
     assert_eq!(
         (port, since),
         (2, 0),
@@ -94,37 +100,37 @@
 }
 
 /// Returns when each forwarder of a fleet starts its watch: after its start, and after its first watch ended. The first
-/// watch has lasted `lasted` seconds and ends with a Retry-After of `wait_ms`.
-fn fleet_asks(size: u32, lasted: Micros, wait_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
-    let asks = |reducer: &mut Reducer, from: Micros| {
+/// watch has lasted `lasted` seconds and ends with a Retry-After of `delay_ms`.
+fn fleet_watch_starts(size: u32, lasted: Micros, delay_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
+    let watch_starts = |reducer: &mut Reducer, from: Micros| {
         let at = (0..20_000).map(|n| from + n * S / 100).find(|now| {
             let effects = reducer.step(*now, Input::TimerDue);
             effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }))
         });
         at.expect("a watch is started") - from
     };
-    let one = |seed: u32| {
-        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
+    let one_forwarder = |seed: u32| {
+        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
         let mut config = Config::read(&text, None, None).expect("a configuration");
         assert_eq!(config.settings.fleet_size, size);
         (config.seed, config.settings.max_poll_interval) = (u64::from(seed), 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
-        let first = asks(&mut reducer, START);
+        let first = watch_starts(&mut reducer, START);
         let lost = START + first + lasted * S;
         let effects = reducer.step(
             lost,
             Input::WatchEnded {
                 watch: 1,
                 reason: "it ended".to_owned(),
-                retry_after_ms: wait_ms,
+                retry_after_ms: delay_ms,
                 silence: 0,
             },
         );
         let at_once = effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }));
-        (first, if at_once { 0 } else { asks(&mut reducer, lost) })
+        (first, if at_once { 0 } else { watch_starts(&mut reducer, lost) })
     };
-    (0..size).map(one).unzip()
+    (0..size).map(one_forwarder).unzip()
 }
 
 // Guards against a drain that was announced before the forwarder had a watch. In a fleet of 300, the first watches were
@@ -134,18 +140,18 @@
 #[test]
 fn fleet_starts_its_watches_within_the_drain_grace() {
     for size in [3, 100, 300] {
-        let (starts, agains) = fleet_asks(size, 60, 0);
-        for (what, asks) in [("at the start", starts), ("after an established watch", agains)] {
+        let (starts, restarts) = fleet_watch_starts(size, 60, 0);
+        for (what, watch_starts) in [("at the start", starts), ("after an established watch", restarts)] {
             assert!(
-                asks.iter().all(|at| *at <= S / 4 + S / 100),
+                watch_starts.iter().all(|at| *at <= S / 4 + S / 100),
                 "{size} {what}: each watch must start within 250 ms"
             );
             let together =
-                (0..26).map(|part| asks.iter().filter(|at| **at / (S / 100) == part).count()).max();
+                (0..26).map(|part| watch_starts.iter().filter(|at| **at / (S / 100) == part).count()).max();
             assert!(together <= Some(2 + size as usize / 10), "{size} {what}: {together:?} within 10 ms");
         }
     }
-    assert_eq!(fleet_asks(1, 60, 0).0, [0]);
+    assert_eq!(fleet_watch_starts(1, 60, 0).0, [0]);
 }
 
 // Guards against a discovery that rejected the whole fleet and that all forwarders contact again at the same moment, or
@@ -153,13 +159,13 @@
 #[test]
 fn rejected_fleet_spreads_its_watches() {
     for (size, most) in [(100, 45), (300, 105)] {
-        let (_, agains) = fleet_asks(size, 1, 0);
-        let busiest = (0..5).map(|second| agains.iter().filter(|at| **at / S == second).count()).max();
+        let (_, restarts) = fleet_watch_starts(size, 1, 0);
+        let busiest = (0..5).map(|second| restarts.iter().filter(|at| **at / S == second).count()).max();
         assert!(busiest <= Some(most), "{size}: {busiest:?} in one second");
-        assert!(agains.iter().all(|at| *at <= 4 * S + S / 10), "{size}: each watch must start within 4 s");
+        assert!(restarts.iter().all(|at| *at <= 4 * S + S / 10), "{size}: each watch must start within 4 s");
     }
     assert!(
-        fleet_asks(3, 1, 0).1.iter().all(|at| *at <= 7 * S / 10),
+        fleet_watch_starts(3, 1, 0).1.iter().all(|at| *at <= 7 * S / 10),
         "the watches of a small fleet must start again within 0.7 s"
     );
 }
@@ -169,12 +175,12 @@
 // delays the watch beyond the time when a change must be in force, which is 6 s after discovery has it.
 #[test]
 fn fleet_with_retry_after_spreads_its_watches_within_the_list_age_limit() {
-    let (_, agains) = fleet_asks(100, 60, 1000);
-    assert!(agains.iter().all(|at| (S..=5 * S).contains(at)), "{agains:?}");
+    let (_, restarts) = fleet_watch_starts(100, 60, 1000);
+    assert!(restarts.iter().all(|at| (S..=5 * S).contains(at)), "{restarts:?}");
     for wait in [7000, u64::MAX, u64::MAX / 1000, 1 << 40] {
-        let (_, agains) = fleet_asks(100, 60, wait);
-        assert!(agains.iter().all(|at| (5 * S / 2..=5 * S + S / 100).contains(at)), "{wait}: {agains:?}");
-        let busiest = (2..5).map(|second| agains.iter().filter(|at| **at / S == second).count()).max();
+        let (_, restarts) = fleet_watch_starts(100, 60, wait);
+        assert!(restarts.iter().all(|at| (5 * S / 2..=5 * S + S / 100).contains(at)), "{wait}: {restarts:?}");
+        let busiest = (2..5).map(|second| restarts.iter().filter(|at| **at / S == second).count()).max();
         assert!(busiest <= Some(55), "{wait}: {busiest:?} in one second");
     }
 }
@@ -184,7 +190,7 @@
 // left for the watch itself.
 #[test]
 fn next_watch_starts_within_the_list_age_limit_after_any_end() {
-    let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
+    let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
     for (seed, size) in [(1, 1), (2, 3), (3, 100), (4, 300)] {
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
         let mut config = Config::read(&text, None, None).expect("a configuration");
@@ -193,7 +199,7 @@
         let mut now = START;
         // Rejected at once, also with a Retry-After; a connection attempt that hangs; silence before the first line;
         // silence, and slow partial data, after it.
-        let ways = [
+        let failures = [
             (0, 0, 0),
             (0, 0, 30_000),
             (0, 0, 1500),
@@ -202,28 +208,28 @@
             (9 * S, 3 * S, 0),
             (9 * S, 9 * S / 2, 0),
         ];
-        let asks =
+        let watch_starts =
             |effects: Vec<Effect>| effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }));
-        while !asks(reducer.step(now, Input::TimerDue)) {
+        while !watch_starts(reducer.step(now, Input::TimerDue)) {
             now += S / 100;
         }
-        for (watch, (lasts, unheard, wait_ms)) in (1..).zip(ways.into_iter().cycle().take(70)) {
-            now += lasts;
-            let last_word = now - unheard;
+        for (watch, (duration, silent_for, delay_ms)) in (1..).zip(failures.into_iter().cycle().take(70)) {
+            now += duration;
+            let last_event_at = now - silent_for;
             let lost = Input::WatchEnded {
                 watch,
                 reason: "lost".to_owned(),
-                retry_after_ms: wait_ms,
-                silence: unheard,
+                retry_after_ms: delay_ms,
+                silence: silent_for,
             };
-            let mut asked = asks(reducer.step(now, lost));
-            while !asked {
+            let mut started = watch_starts(reducer.step(now, lost));
+            while !started {
                 now += S / 100;
                 assert!(
-                    now - last_word <= 5 * S + S / 100,
+                    now - last_event_at <= 5 * S + S / 100,
                     "{size}: no watch started in time after watch {watch}"
                 );
-                asked = asks(reducer.step(now, Input::TimerDue));
+                started = watch_starts(reducer.step(now, Input::TimerDue));
             }
         }
     }
@@ -234,26 +240,38 @@
 #[test]
 fn older_list_activates_no_endpoint_until_confirmed_by_another_watch() {
     let mut world = World::new();
-    let told = |world: &mut World, rev: u64, drains: bool| {
-        let mut targets = common::targets();
-        targets[2].state = if drains { EndpointState::Draining } else { EndpointState::Active };
-        let news = WatchEvent { version: rev, is_snapshot: true, endpoints: targets, origin: String::new() };
-        let watch = world.follows.last().expect("a watch was started").0;
-        world.input(Input::WatchEvent { watch, event: news });
+    let send_list = |world: &mut World, list_version: u64, drains: bool| {
+        let mut entries = common::endpoint_entries();
+        entries[2].state = if drains { EndpointState::Draining } else { EndpointState::Active };
+        let update = WatchEvent {
+            version: list_version,
+            is_snapshot: true,
+            endpoints: entries,
+            origin: String::new(),
+        };
+        let watch = world.watches.last().expect("a watch was started").0;
+        world.input(Input::WatchEvent { watch, event: update });
     };
-    told(&mut world, 43, true);
+    send_list(&mut world, 43, true);
     // The same watch sends an older version twice, so discovery lags.
-    for rev in [41, 42] {
-        told(&mut world, rev, false);
-        world.submit(format!("m{rev}"), false, 2, 10);
+    for list_version in [41, 42] {
+        send_list(&mut world, list_version, false);
+        world.submit(format!("m{list_version}"), false, 2, 10);
         world.wait(10_000);
-        assert!(world.links.is_empty(), "version {rev}: no connection may be opened to a draining endpoint");
+        assert!(
+            world.links.is_empty(),
+            "version {list_version}: no connection may be opened to a draining endpoint"
+        );
     }
-    let asked = world.follows.len();
+    let watch_count = world.watches.len();
     world.wait(2 * S);
-    let (_, _, since) = *world.follows.last().expect("a watch was started");
-    assert_eq!((world.follows.len(), since), (asked + 1, 0), "one new watch must ask for the whole list");
-    told(&mut world, 42, false);
+    let (_, _, since) = *world.watches.last().expect("a watch was started");
+    assert_eq!(
+        (world.watches.len(), since),
+        (watch_count + 1, 0),
+        "one new watch must ask for the whole list"
+    );
+    send_list(&mut world, 42, false);
     world.wait(10_000);
     assert!(!world.links.is_empty(), "the older list must be in force once a second watch has confirmed it");
 }
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -14,30 +14,30 @@
 // that no list has named is rejected.
 #[test]
 fn ejected_endpoint_stays_ejected_until_restored() {
-    let (out, back) =
+    let (eject, restore) =
         (console::Command::DisableServer("s-c".to_owned()), console::Command::EnableServer("s-c".to_owned()));
     let mut world = World::new();
     assert!(
-        !world.operate(console::Command::DisableServer("s-x".to_owned()))
-            && !world.operate(console::Command::EnableServer("s-x".to_owned()))
+        !world.call_operator(console::Command::DisableServer("s-x".to_owned()))
+            && !world.call_operator(console::Command::EnableServer("s-x".to_owned()))
     );
-    assert!(world.operate(out.clone()) && world.operate(out.clone()));
-    world.out.insert("s-c".to_owned());
+    assert!(world.call_operator(eject.clone()) && world.call_operator(eject.clone()));
+    world.ejected.insert("s-c".to_owned());
     for state in [EndpointState::Removed, EndpointState::Active] {
-        world.rev += 1;
+        world.list_version += 1;
         world.list[2].state = state;
-        let targets = vec![world.list[2].clone()];
-        world.news(targets);
+        let entries = vec![world.list[2].clone()];
+        world.update_list(entries);
     }
-    let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
+    let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
     world.input(Input::ConfigReloaded(Box::new(Config::read(&text, None, None).expect("a configuration"))));
     world.restart();
     world.submit("m".to_owned(), true, 2, 10);
     world.wait(2 * S);
     assert!(world.links.is_empty(), "no connection may be opened to an ejected endpoint");
     assert_eq!(world.reducer.gauges().avoided_endpoints, 1);
-    assert!(world.operate(back.clone()) && world.operate(back));
-    world.out.clear();
+    assert!(world.call_operator(restore.clone()) && world.call_operator(restore));
+    world.ejected.clear();
     world.wait(S);
     assert_eq!(
         world.links.len(),
@@ -45,7 +45,7 @@
         "one call must restore the endpoint, and the waiting message must be sent"
     );
     assert!(
-        !world.operate(console::Command::Ready),
+        !world.call_operator(console::Command::Ready),
         "the process must not be ready, because it accepts no clients"
     );
 }
@@ -55,12 +55,12 @@
 #[test]
 fn restored_endpoint_warms_up() {
     let mut world = World::new();
-    assert!(world.operate(console::Command::DisableServer("s-c".to_owned())));
+    assert!(world.call_operator(console::Command::DisableServer("s-c".to_owned())));
     for number in 0..10 {
         world.submit(format!("m{number}"), true, 2, 10);
     }
     world.wait(S);
-    assert!(world.operate(console::Command::EnableServer("s-c".to_owned())));
+    assert!(world.call_operator(console::Command::EnableServer("s-c".to_owned())));
     world.wait(4 * S);
     assert!(world.links.len() <= 1, "only a trial call may be sent");
     assert_eq!(world.reducer.faulty_destinations().count(), 1);
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::shape::Shape;
 use common::steps::Step;
-use common::world::{Still, World, followed, reducer};
+use common::world::{SilentCatalogue, World, reducer, watch_source};
 use common::{S, START};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
@@ -28,7 +28,7 @@
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.fates["x"].taken_on && !world.links.is_empty(),
+        world.messages["x"].accepted && !world.links.is_empty(),
         "destination 2 must still be known, and a connection to it requested"
     );
 }
@@ -41,7 +41,7 @@
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.fates["x"].taken_on && world.links.is_empty());
+    assert!(world.messages["x"].accepted && world.links.is_empty());
 }
 
 // Guards against a restart whose first append causes a compaction. If it takes place before the messages are restored,
@@ -53,7 +53,7 @@
     world.step(0, Step::List { which: 2, state: EndpointState::Draining });
     world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
-    let mut rewrites = 0;
+    let mut compactions = 0;
     for number in 0..2000 {
         world.submit(format!("m{number}"), false, 3, 10);
         world.wait(10_000);
@@ -63,9 +63,9 @@
             let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::TimerDue);
             for effect in first {
                 if let Effect::CompactJournal { bytes } = effect {
-                    rewrites += 1;
+                    compactions += 1;
                     let kept = |(record, _): &(Record, Bytes)| {
-                        matches!(record, Record::Accepted(taken) if taken.id == "kept")
+                        matches!(record, Record::Accepted(accepted) if accepted.id == "kept")
                             || matches!(record, Record::AnswerDecided { message, .. } if message == "kept")
                     };
                     assert!(replay(bytes).0.iter().any(kept), "after message {number}");
@@ -73,7 +73,7 @@
             }
         }
     }
-    assert!(rewrites > 0, "no restart caused a compaction, so the test checked nothing");
+    assert!(compactions > 0, "no restart caused a compaction, so the test checked nothing");
 }
 
 // Guards against a restart that returns to the address from the command line that a reload has superseded, and against
@@ -81,10 +81,10 @@
 #[test]
 fn restart_after_a_reload_keeps_the_files_discovery() {
     let config = |port: u16, given: Option<&str>| {
-        let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::targets());
+        let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::endpoint_entries());
         Config::read(&text, None, given).expect("a configuration")
     };
-    let asked = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
+    let watched_port = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
         let (records, whole) = replay(Bytes::copy_from_slice(file));
         let mut reducer = Reducer::new(config, 0, records, whole, START);
         let inputs = [Some(Input::TimerDue), reload.map(|config| Input::ConfigReloaded(Box::new(config)))];
@@ -92,7 +92,7 @@
         for effect in inputs.into_iter().flatten().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::StartWatch { from, .. } => port = followed(&from).0,
+                Effect::StartWatch { from, .. } => port = watch_source(&from).0,
                 _ => {}
             }
         }
@@ -101,21 +101,25 @@
     let (old, new) = (Some("127.0.0.1:2"), Some("127.0.0.1:5"));
     let mut file = Vec::new();
     assert_eq!(
-        asked(&mut file, config(3, old), None),
+        watched_port(&mut file, config(3, old), None),
         2,
         "the address from the command line must be used at the first start"
     );
-    assert_eq!(asked(&mut file, config(2, old), Some(config(3, old))), 3);
-    assert_eq!(asked(&mut file, config(4, old), None), 4, "the current address from the file must be used");
-    assert_eq!(asked(&mut file, config(4, new), None), 5);
+    assert_eq!(watched_port(&mut file, config(2, old), Some(config(3, old))), 3);
+    assert_eq!(
+        watched_port(&mut file, config(4, old), None),
+        4,
+        "the current address from the file must be used"
+    );
+    assert_eq!(watched_port(&mut file, config(4, new), None), 5);
 }
 
 // Guards against a restart that replaces the last list of a catalogue by the configuration's list.
 #[test]
 fn restart_keeps_the_last_catalogue_list() {
     let config = || {
-        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
-        let catalogue = Some(Rc::new(Still("c1")) as Rc<dyn Catalogue>);
+        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
+        let catalogue = Some(Rc::new(SilentCatalogue("c1")) as Rc<dyn Catalogue>);
         Config { catalogue, ..Config::read(&text, None, None).expect("a configuration") }
     };
     let mut file = Vec::new();
@@ -123,15 +127,18 @@
     for start in 0..2 {
         let (records, whole) = replay(Bytes::copy_from_slice(&file));
         let mut reducer = Reducer::new(config(), 0, records, whole, START);
-        let told = EndpointEntry { uid: format!("n1/web-{start}"), ..common::targets()[0].clone() };
-        let targets =
-            vec![EndpointEntry { state: EndpointState::Removed, ..common::targets()[3].clone() }, told];
-        let news = WatchEvent { version: 0, is_snapshot: false, endpoints: targets, origin: "c1".to_owned() };
-        let inputs = [Input::TimerDue, Input::WatchEvent { watch: 1, event: news }];
+        let added = EndpointEntry { uid: format!("n1/web-{start}"), ..common::endpoint_entries()[0].clone() };
+        let entries = vec![
+            EndpointEntry { state: EndpointState::Removed, ..common::endpoint_entries()[3].clone() },
+            added,
+        ];
+        let update =
+            WatchEvent { version: 0, is_snapshot: false, endpoints: entries, origin: "c1".to_owned() };
+        let inputs = [Input::TimerDue, Input::WatchEvent { watch: 1, event: update }];
         for effect in inputs.into_iter().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::StartWatch { from: WatchSource::Catalogue { held: news, .. }, .. } => held.push(news),
+                Effect::StartWatch { from: WatchSource::Catalogue { held: list, .. }, .. } => held.push(list),
                 _ => {}
             }
         }
@@ -149,7 +156,7 @@
         for number in 0..400 {
             world.submit(format!("m{number}"), true, 2, size);
             world.wait(5_000);
-            while let Some(link) = world.pick(0, |link| !link.up) {
+            while let Some(link) = world.pick_connection(0, |link| !link.up) {
                 world.links.get_mut(&link).expect("the connection exists").up = true;
                 world.input(Input::ConnectionUp { connection: link });
             }
@@ -168,7 +175,7 @@
         world.submit("held".to_owned(), true, 2, 10);
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
-        assert_eq!(world.fates["held"].calls, 1);
+        assert_eq!(world.messages["held"].calls, 1);
         let first = world
             .links
             .values()
@@ -178,13 +185,13 @@
         world.now += pause;
         if moves {
             // While the process is not running, the endpoint moves to the other zone and keeps its uid.
-            let place = world
+            let index = world
                 .list
                 .iter()
                 .position(|t| t.destination == 2 && t.zone == first)
                 .expect("the endpoint is listed");
-            world.rev += 1;
-            world.list[place].zone = if first == "a" { "b" } else { "a" }.to_owned();
+            world.list_version += 1;
+            world.list[index].zone = if first == "a" { "b" } else { "a" }.to_owned();
         }
         world.restart();
         for _ in 0..40 {
@@ -192,13 +199,13 @@
             world.step(1, Step::Connect { which: 0, up: true });
         }
         assert_eq!(
-            world.fates["held"].calls, calls,
+            world.messages["held"].calls, calls,
             "the message must be repeated only in its zone and window, with its key"
         );
         world.wait(5 * S);
         world.post(true);
         assert_eq!(
-            world.fates["held"].notice,
+            world.messages["held"].notification,
             Some(FinalAnswer::Failed),
             "the message must fail once no endpoint drops its repeat"
         );
@@ -214,7 +221,7 @@
     from: Micros,
     span: Micros,
 ) -> (Vec<Micros>, Vec<(Micros, FinalAnswer)>) {
-    let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_targets());
+    let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_endpoint_entries());
     let text = text.replace("\"window_us\":2000000", "\"window_us\":1000000");
     let config = Config::read(&text, None, None).expect("a configuration");
     let (records, whole) = replay(Bytes::copy_from_slice(file));
@@ -227,16 +234,20 @@
         while let Some(input) = inputs.pop_front() {
             for effect in reducer.step(now, input) {
                 match effect {
-                    Effect::Append { append: receipt, bytes } => {
+                    Effect::Append { append: append_id, bytes } => {
                         file.extend_from_slice(&bytes);
-                        inputs.push_back(Input::Appended { append: receipt, stored: true, size: file.len() });
+                        inputs.push_back(Input::Appended {
+                            append: append_id,
+                            stored: true,
+                            size: file.len(),
+                        });
                     }
                     Effect::Connect { connection: link, .. } => {
                         inputs.push_back(Input::ConnectionUp { connection: link })
                     }
                     Effect::SendCall { .. } => written.push(now),
-                    Effect::PostNotifications { notifications: notices, .. } => {
-                        posted.extend(notices.into_iter().map(|(_, verdict)| (now, verdict)));
+                    Effect::PostNotifications { notifications: batch, .. } => {
+                        posted.extend(batch.into_iter().map(|(_, answer)| (now, answer)));
                         inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
                     _ => {}
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -21,9 +21,9 @@
         world.submit(format!("m{number}"), true, 2, 60_000);
         world.wait(5_000);
     }
-    let taken = world.fates.values().filter(|fate| fate.taken_on).count();
-    assert!((1..8).contains(&taken), "{taken} messages accepted");
-    assert!(world.tickets.is_empty(), "every request must be answered");
+    let accepted = world.messages.values().filter(|message| message.accepted).count();
+    assert!((1..8).contains(&accepted), "{accepted} messages accepted");
+    assert!(world.pending_requests.is_empty(), "every request must be answered");
 }
 
 // Guards against a forwarder that still runs when it is killed, and against a message lost at the end. Requests that
@@ -43,7 +43,7 @@
     );
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    assert!(world.fates["b"].taken_on);
+    assert!(world.messages["b"].accepted);
     // The client's connection lingers until the process exits.
     world.wait(160_000);
     assert!(world.exited && world.now - START < 3_600_000);
@@ -57,7 +57,7 @@
 // that its class or deployment requires, and against a refused request that counts as a final answer.
 #[test]
 fn settings_decide_the_required_headers() {
-    for (shape, org, key, good) in [
+    for (shape, tenant_name, key, good) in [
         (Shape::First, Some("acme"), None, true),
         (Shape::First, None, None, false),
         (Shape::Second, None, Some("k"), true),
@@ -66,12 +66,12 @@
     ] {
         let mut reducer = reducer(shape, &[], START);
         let class = shape.class(true).0.to_owned();
-        let (org, key) = (org.map(str::to_owned), key.map(str::to_owned));
+        let (tenant_name, key) = (tenant_name.map(str::to_owned), key.map(str::to_owned));
         let body = Bytes::from_static(b"x");
         let message = Submission {
             id: "a".to_owned(),
             class,
-            tenant: org,
+            tenant: tenant_name,
             idempotency_key: key,
             destination: 2,
             time_left: S,
@@ -80,12 +80,12 @@
             body,
         };
         let effects = reducer.step(START, Input::Submitted { request: 1, message });
-        let told = effects.iter().find_map(|effect| match effect {
+        let reply = effects.iter().find_map(|effect| match effect {
             Effect::Answer { answer, .. } => Some(*answer),
             _ => None,
         });
-        assert_eq!(told.is_none(), good, "{shape:?}: {told:?}");
-        assert!(good || matches!(told, Some(SubmitAnswer::Incomplete(_))), "{shape:?}: {told:?}");
+        assert_eq!(reply.is_none(), good, "{shape:?}: {reply:?}");
+        assert!(good || matches!(reply, Some(SubmitAnswer::Incomplete(_))), "{shape:?}: {reply:?}");
         assert_eq!(reducer.metrics().ends().values().map(|ends| ends.total()).sum::<u64>(), 0);
     }
 }
@@ -102,12 +102,12 @@
             Shape::Second.config().replace(change.0, change.1).replace("\"max_open\":40", "\"max_open\":1");
         let config = Config::read(&text, None, None).expect("a configuration");
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
-        let mut told = None;
-        for ticket in 0..2 {
+        let mut reply = None;
+        for request_id in 0..2 {
             let (class, body) = ("state".to_owned(), Bytes::from_static(b"x"));
-            let txn = format!("m{ticket}");
+            let message_id = format!("m{request_id}");
             let message = Submission {
-                id: txn,
+                id: message_id,
                 class,
                 tenant: None,
                 idempotency_key: None,
@@ -117,13 +117,13 @@
                 handover_mark: ReceivedMark::Absent,
                 body,
             };
-            for effect in reducer.step(START, Input::Submitted { request: ticket, message }) {
+            for effect in reducer.step(START, Input::Submitted { request: request_id, message }) {
                 if let Effect::Answer { request: 1, answer } = effect {
-                    told = Some(answer);
+                    reply = Some(answer);
                 }
             }
         }
-        assert_eq!(told, Some(SubmitAnswer::Rejected(expected)), "{change:?}");
+        assert_eq!(reply, Some(SubmitAnswer::Rejected(expected)), "{change:?}");
     }
 }
 
@@ -133,16 +133,16 @@
 fn withdrawal_crossing_the_202_gives_one_final_answer() {
     let mut world = World::new();
     world.submit("kept".to_owned(), true, 2, 10);
-    let ticket = *world.tickets.keys().last().expect("a request waits");
+    let request_id = *world.pending_requests.keys().last().expect("a request waits");
     world.wait(10_000);
-    assert!(world.fates["kept"].taken_on, "the message must be accepted");
-    world.input(Input::Withdrawn { request: ticket });
+    assert!(world.messages["kept"].accepted, "the message must be accepted");
+    world.input(Input::Withdrawn { request: request_id });
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
-    assert!(world.fates["kept"].delivered);
+    assert!(world.messages["kept"].delivered);
     world.submit("left".to_owned(), true, 2, 10);
-    let ticket = *world.tickets.keys().last().expect("a request waits");
-    world.input(Input::Withdrawn { request: ticket });
+    let request_id = *world.pending_requests.keys().last().expect("a request waits");
+    world.input(Input::Withdrawn { request: request_id });
     world.wait(S);
-    assert!(!world.fates["left"].taken_on && world.pick(0, |l| l.call.is_some()).is_none());
+    assert!(!world.messages["left"].accepted && world.pick_connection(0, |l| l.call.is_some()).is_none());
 }
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use bytes::{Bytes, BytesMut};
-use common::{DISK, S, START, second_config, second_targets};
+use common::{DISK, S, START, second_config, second_endpoint_entries};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
@@ -24,7 +24,7 @@
 /// A journal file that an earlier version wrote up to the time `START`.
 const STORED: &[u8] = include_bytes!("fixtures/journal");
 /// The compacted file that an earlier version wrote at a start from this journal when the folder was nearly full.
-const REWRITTEN: &[u8] = include_bytes!("fixtures/journal-rewritten");
+const COMPACTED: &[u8] = include_bytes!("fixtures/journal-rewritten");
 
 const MS: Micros = 1_000;
 
@@ -39,9 +39,9 @@
 }
 
 /// Returns a message of the class without an idempotency key.
-fn taken(txn: &str, dest: DestinationId) -> AcceptedMessage {
+fn accepted(message_id: &str, dest: DestinationId) -> AcceptedMessage {
     AcceptedMessage {
-        id: string(txn),
+        id: string(message_id),
         class: string("state"),
         tenant: String::new(),
         idempotency_key: None,
@@ -55,21 +55,25 @@
 }
 
 /// Returns the message with an idempotency key.
-fn keyed() -> AcceptedMessage {
-    AcceptedMessage { class: string("bread"), idempotency_key: Some(string("k \"1\"")), ..taken("m-ran", 2) }
+fn accepted_with_key() -> AcceptedMessage {
+    AcceptedMessage {
+        class: string("bread"),
+        idempotency_key: Some(string("k \"1\"")),
+        ..accepted("m-ran", 2)
+    }
 }
 
-fn body(txn: &str) -> Bytes {
-    Bytes::from(format!("body of {txn}"))
+fn body(message_id: &str) -> Bytes {
+    Bytes::from(format!("body of {message_id}"))
 }
 
-fn trace(ago: Micros) -> AttemptStart {
+fn attempt_start(ago: Micros) -> AttemptStart {
     AttemptStart { started_at: START - ago, endpoint: string("s-c"), zone: string("a") }
 }
 
 /// Returns the endpoint list after all changes.
 fn list() -> Vec<EndpointEntry> {
-    let mut list = second_targets();
+    let mut list = second_endpoint_entries();
     list[1].state = EndpointState::Draining;
     let last = list.pop().expect("an endpoint");
     let endpoint = "127.0.0.1:14".parse().expect("an address");
@@ -78,17 +82,23 @@
 }
 
 /// Returns the expected records of the journal.
-fn held() -> Vec<Record> {
-    let (txn, at) = (string, START - 300 * MS);
-    let begun =
-        |txn: &str, ago: Micros| Record::AttemptStarted { messages: vec![string(txn)], attempt: trace(ago) };
-    let offered = |txn: &str| Record::HandoverOffered { message: string(txn), owner: string("f2"), at };
-    let owed =
-        |txn: &str, verdict: FinalAnswer| Record::AnswerDecided { message: string(txn), at, answer: verdict };
-    let mut before = second_targets();
+fn stored_records() -> Vec<Record> {
+    let (message_id, at) = (string, START - 300 * MS);
+    let attempt_started = |message_id: &str, ago: Micros| Record::AttemptStarted {
+        messages: vec![string(message_id)],
+        attempt: attempt_start(ago),
+    };
+    let offered =
+        |message_id: &str| Record::HandoverOffered { message: string(message_id), owner: string("f2"), at };
+    let pending_answer = |message_id: &str, final_answer: FinalAnswer| Record::AnswerDecided {
+        message: string(message_id),
+        at,
+        answer: final_answer,
+    };
+    let mut before = second_endpoint_entries();
     before[1].state = EndpointState::Draining;
-    let gone = EndpointEntry { state: EndpointState::Removed, ..before[4].clone() };
-    let come = list()[4].clone();
+    let removed = EndpointEntry { state: EndpointState::Removed, ..before[4].clone() };
+    let added = list()[4].clone();
     let mut records = vec![
         Record::EndpointList(WatchEvent {
             version: 7,
@@ -99,7 +109,7 @@
         Record::EndpointList(WatchEvent {
             version: 9,
             is_snapshot: false,
-            endpoints: vec![gone, come],
+            endpoints: vec![removed, added],
             origin: String::new(),
         }),
         Record::ProcessStage { stage: ProcessStage::Started },
@@ -112,52 +122,64 @@
         Record::OperatorOverride { endpoint: string("s-a"), at: START - 7 * S, ejected: true },
         Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * S, ejected: false },
     ];
-    let dest = |txn: &str| if matches!(txn, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
+    let dest = |message_id: &str| if matches!(message_id, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
     records.extend(
-        PENDING.iter().filter(|txn| **txn != "m-ran").map(|txn| Record::Accepted(taken(txn, dest(txn)))),
+        PENDING
+            .iter()
+            .filter(|message_id| **message_id != "m-ran")
+            .map(|message_id| Record::Accepted(accepted(message_id, dest(message_id)))),
     );
-    records.push(Record::Accepted(keyed()));
-    records.extend(ENDED.map(|txn| Record::Accepted(taken(txn, 1))));
+    records.push(Record::Accepted(accepted_with_key()));
+    records.extend(ENDED.map(|message_id| Record::Accepted(accepted(message_id, 1))));
     records.extend([
-        begun("m-ran", 500 * MS),
-        Record::AttemptInDoubt { message: txn("m-ran") },
-        begun("m-out", 200 * MS),
-        begun("m-unseen", 400 * MS),
-        Record::AttemptNotDelivered { message: txn("m-unseen") },
-        Record::AttemptNotSent { message: txn("m-missed") },
-        Record::AttemptNotSent { message: txn("m-missed") },
-        owed("m-failed", FinalAnswer::Failed),
-        owed("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 }),
-        Record::Finished { message: txn("m-over"), at },
-        owed("m-told", FinalAnswer::Failed),
-        Record::Finished { message: txn("m-told"), at: at + 1 },
+        attempt_started("m-ran", 500 * MS),
+        Record::AttemptInDoubt { message: message_id("m-ran") },
+        attempt_started("m-out", 200 * MS),
+        attempt_started("m-unseen", 400 * MS),
+        Record::AttemptNotDelivered { message: message_id("m-unseen") },
+        Record::AttemptNotSent { message: message_id("m-missed") },
+        Record::AttemptNotSent { message: message_id("m-missed") },
+        pending_answer("m-failed", FinalAnswer::Failed),
+        pending_answer("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 }),
+        Record::Finished { message: message_id("m-over"), at },
+        pending_answer("m-told", FinalAnswer::Failed),
+        Record::Finished { message: message_id("m-told"), at: at + 1 },
         offered("m-offered"),
         offered("m-declined"),
-        Record::HandoverDeclined { message: txn("m-declined") },
+        Record::HandoverDeclined { message: message_id("m-declined") },
         offered("m-unresolved"),
-        Record::HandoverInDoubt { message: txn("m-unresolved") },
-        Record::KeptLocal { message: txn("m-kept") },
+        Record::HandoverInDoubt { message: message_id("m-unresolved") },
+        Record::KeptLocal { message: message_id("m-kept") },
         offered("m-handed"),
-        Record::HandedOver { message: txn("m-handed"), owner: txn("f2"), at: at + 2 },
+        Record::HandedOver { message: message_id("m-handed"), owner: message_id("f2"), at: at + 2 },
     ]);
     records
 }
 
 /// Returns the expected records after a compaction at the start.
-fn kept() -> Vec<Record> {
+fn compacted_records() -> Vec<Record> {
     let at = START - 300 * MS;
-    let over = |txn: &str, at: Micros| Record::Finished { message: string(txn), at };
-    let owed =
-        |txn: &str, verdict: FinalAnswer| Record::AnswerDecided { message: string(txn), at, answer: verdict };
-    let message = |txn: &str| {
-        let dest = if matches!(txn, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
-        let plain = taken(txn, dest);
+    let finished = |message_id: &str, at: Micros| Record::Finished { message: string(message_id), at };
+    let pending_answer = |message_id: &str, final_answer: FinalAnswer| Record::AnswerDecided {
+        message: string(message_id),
+        at,
+        answer: final_answer,
+    };
+    let message = |message_id: &str| {
+        let dest = if matches!(message_id, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
+        let plain = accepted(message_id, dest);
         let unknown = AttemptStart { started_at: at, endpoint: String::new(), zone: String::new() };
-        Record::Accepted(match txn {
+        Record::Accepted(match message_id {
             "m-missed" => AcceptedMessage { attempts: 2, ..plain },
             "m-unseen" => AcceptedMessage { attempts: 1, ..plain },
-            "m-out" => AcceptedMessage { attempts: 1, possible_delivery: Some(trace(200 * MS)), ..plain },
-            "m-ran" => AcceptedMessage { attempts: 1, possible_delivery: Some(trace(500 * MS)), ..keyed() },
+            "m-out" => {
+                AcceptedMessage { attempts: 1, possible_delivery: Some(attempt_start(200 * MS)), ..plain }
+            }
+            "m-ran" => AcceptedMessage {
+                attempts: 1,
+                possible_delivery: Some(attempt_start(500 * MS)),
+                ..accepted_with_key()
+            },
             "m-unresolved" => AcceptedMessage { possible_delivery: Some(unknown), ..plain },
             _ => plain,
         })
@@ -174,19 +196,19 @@
         Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("an address") },
         Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * S, ejected: false },
         Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * S, ejected: true },
-        over("m-over", at),
-        over("m-told", at + 1),
-        over("m-handed", at + 2),
-        owed("m-failed", FinalAnswer::Failed),
-        owed("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 }),
+        finished("m-over", at),
+        finished("m-told", at + 1),
+        finished("m-handed", at + 2),
+        pending_answer("m-failed", FinalAnswer::Failed),
+        pending_answer("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 }),
     ];
-    for txn in PENDING {
-        records.push(message(txn));
-        match txn {
+    for message_id in PENDING {
+        records.push(message(message_id));
+        match message_id {
             "m-offered" => {
-                records.push(Record::HandoverOffered { message: string(txn), owner: string("f2"), at })
+                records.push(Record::HandoverOffered { message: string(message_id), owner: string("f2"), at })
             }
-            "m-kept" => records.push(Record::KeptLocal { message: string(txn) }),
+            "m-kept" => records.push(Record::KeptLocal { message: string(message_id) }),
             _ => {}
         }
     }
@@ -196,7 +218,7 @@
 fn written(records: &[Record]) -> BytesMut {
     let mut bytes = BytesMut::new();
     for record in records {
-        let body = if let Record::Accepted(taken) = record { body(&taken.id) } else { Bytes::new() };
+        let body = if let Record::Accepted(accepted) = record { body(&accepted.id) } else { Bytes::new() };
         record.encode(&body, &mut bytes);
     }
     bytes
@@ -245,7 +267,7 @@
 
 /// Starts a forwarder from the stored journal without the records for which `left_out` returns `true`.
 fn start_without(left_out: fn(&Record) -> bool, owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
-    let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
+    let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_endpoint_entries());
     let config = Config::read(&text, None, Some("127.0.0.1:2")).expect("a configuration");
     let (mut records, whole) = replay(Bytes::from_static(STORED));
     assert_eq!(whole, STORED.len());
@@ -255,48 +277,50 @@
 
 /// The effects that a forwarder has requested.
 #[derive(Default)]
-struct Asked {
+struct RequestedEffects {
     /// Messages written to endpoints: when (in microseconds after `START`), to which port, with which idempotency key
     /// and body.
     written: BTreeMap<String, (Micros, u16, Option<String>, Bytes)>,
-    notices: Vec<(String, FinalAnswer)>,
+    notifications: Vec<(String, FinalAnswer)>,
     /// Watches that were started: port of discovery, and version of the list in force.
-    followed: Vec<(u16, u64)>,
+    watches: Vec<(u16, u64)>,
     offers: Vec<OutgoingOffer>,
     /// Generations of files of other processes that were removed.
-    retired: Vec<Generation>,
+    removed_journals: Vec<Generation>,
 }
 
 /// Runs a reducer for a while. Connections are established, endpoints deliver, notifications are accepted, and offers
 /// are not answered.
-fn drive(reducer: &mut Reducer, span: Micros) -> Asked {
+fn drive(reducer: &mut Reducer, span: Micros) -> RequestedEffects {
     drive_from(reducer, Input::TimerDue, span)
 }
 
 /// Runs a reducer as [`drive`] does, with this input first.
-fn drive_from(reducer: &mut Reducer, first: Input, span: Micros) -> Asked {
-    let (mut asked, mut links, mut inputs) = (Asked::default(), BTreeMap::new(), VecDeque::from([first]));
+fn drive_from(reducer: &mut Reducer, first: Input, span: Micros) -> RequestedEffects {
+    let (mut requested, mut links, mut inputs) =
+        (RequestedEffects::default(), BTreeMap::new(), VecDeque::from([first]));
     let mut size = STORED.len();
     for now in (START..START + span).step_by(5_000) {
         inputs.push_back(Input::TimerDue);
         while let Some(input) = inputs.pop_front() {
             for effect in reducer.step(now, input) {
                 match effect {
-                    Effect::Append { append: receipt, bytes } => {
+                    Effect::Append { append: append_id, bytes } => {
                         size += bytes.len();
-                        inputs.push_back(Input::Appended { append: receipt, stored: true, size });
+                        inputs.push_back(Input::Appended { append: append_id, stored: true, size });
                     }
                     Effect::Connect { connection: link, address, .. } => {
                         links.insert(link, address.port());
                         inputs.push_back(Input::ConnectionUp { connection: link });
                     }
                     Effect::SendCall { connection: link, call } => {
-                        let state = |txn: &str| format!(r#"{{"id":"{txn}","state":"accepted"}}"#);
+                        let state =
+                            |message_id: &str| format!(r#"{{"id":"{message_id}","state":"accepted"}}"#);
                         let states: Vec<_> = call.messages.iter().map(|part| state(&part.id)).collect();
                         for part in call.messages {
                             let sent = (now - START, links[&link], part.idempotency_key, part.body);
                             assert!(
-                                asked.written.insert(part.id, sent).is_none(),
+                                requested.written.insert(part.id, sent).is_none(),
                                 "a message must be written once"
                             );
                         }
@@ -309,26 +333,26 @@
                         };
                         inputs.push_back(Input::CallAnswered { connection: link, reply, reusable: false });
                     }
-                    Effect::PostNotifications { notifications: notices, .. } => {
-                        asked.notices.extend(notices);
+                    Effect::PostNotifications { notifications: batch, .. } => {
+                        requested.notifications.extend(batch);
                         inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
                     Effect::StartWatch { from: WatchSource::Discovery { at, since }, .. } => {
-                        asked.followed.push((at.port(), since));
+                        requested.watches.push((at.port(), since));
                     }
-                    Effect::Offer(offer) => asked.offers.push(*offer),
-                    Effect::RemoveJournal { generation } => asked.retired.push(generation),
+                    Effect::Offer(offer) => requested.offers.push(*offer),
+                    Effect::RemoveJournal { generation } => requested.removed_journals.push(generation),
                     _ => {}
                 }
             }
         }
     }
-    asked
+    requested
 }
 
-fn submission(txn: &str) -> Submission {
+fn submission(message_id: &str) -> Submission {
     Submission {
-        id: string(txn),
+        id: string(message_id),
         class: string("state"),
         tenant: None,
         idempotency_key: None,
@@ -345,62 +369,65 @@
     let (records, whole) = replay(Bytes::from_static(STORED));
     assert_eq!(whole, STORED.len());
     let read: Vec<_> = records.into_iter().map(|(record, _)| record).collect();
-    assert_eq!(read, held());
-    assert!(written(&held()) == STORED);
+    assert_eq!(read, stored_records());
+    assert!(written(&stored_records()) == STORED);
 }
 
 #[test]
 fn start_in_a_full_folder_compacts_to_the_same_records() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), DISK - 15_000);
     let effects = reducer.step(START, Input::TimerDue);
-    let rewrites: Vec<_> = effects
+    let compactions: Vec<_> = effects
         .into_iter()
         .filter_map(|effect| if let Effect::CompactJournal { bytes } = effect { Some(bytes) } else { None })
         .collect();
-    let [bytes] = &rewrites[..] else { panic!("{} compactions", rewrites.len()) };
+    let [bytes] = &compactions[..] else { panic!("{} compactions", compactions.len()) };
     let (records, whole) = replay(bytes.clone());
-    let expected = kept();
-    for (place, ((read, _), expected)) in records.iter().zip(&expected).enumerate() {
-        assert_eq!(read, expected, "record {place}");
+    let expected = compacted_records();
+    for (index, ((read, _), expected)) in records.iter().zip(&expected).enumerate() {
+        assert_eq!(read, expected, "record {index}");
     }
     assert_eq!((records.len(), whole), (expected.len(), bytes.len()));
-    assert!(*bytes == REWRITTEN && written(&expected) == REWRITTEN);
+    assert!(*bytes == COMPACTED && written(&expected) == COMPACTED);
 }
 
 #[test]
 fn stored_pending_messages_are_restored_and_counted() {
     let reducer = start(None, STORED.len());
-    let (figures, gauges) = (reducer.metrics(), reducer.gauges());
-    assert_eq!((figures.accepted(), figures.open_messages()), (9, 9));
+    let (metrics, gauges) = (reducer.metrics(), reducer.gauges());
+    assert_eq!((metrics.accepted(), metrics.open_messages()), (9, 9));
     assert_eq!((gauges.open_messages, gauges.endpoints), (9, 5));
 }
 
 #[test]
 fn stored_pending_or_finished_id_is_accepted_at_once() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
-    let mut answers = |txn: &str| -> Vec<SubmitAnswer> {
-        let input = Input::Submitted { request: 1, message: submission(txn) };
+    let mut answers = |message_id: &str| -> Vec<SubmitAnswer> {
+        let input = Input::Submitted { request: 1, message: submission(message_id) };
         let answer = |effect| if let Effect::Answer { answer, .. } = effect { Some(answer) } else { None };
         reducer.step(START, input).into_iter().filter_map(answer).collect()
     };
-    for txn in PENDING.iter().chain(&ENDED) {
-        assert_eq!(answers(txn), [SubmitAnswer::Accepted], "{txn}");
+    for message_id in PENDING.iter().chain(&ENDED) {
+        assert_eq!(answers(message_id), [SubmitAnswer::Accepted], "{message_id}");
     }
     assert_eq!(answers("m-new"), [], "a new message must wait for its record");
 }
 
 #[test]
 fn stored_final_answers_are_posted_in_order() {
-    let asked = drive(&mut start(None, STORED.len()), 20 * MS);
-    let owed =
+    let requested = drive(&mut start(None, STORED.len()), 20 * MS);
+    let pending_answer =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
-    assert_eq!(asked.notices, owed.map(|(txn, verdict)| (string(txn), verdict)));
+    assert_eq!(
+        requested.notifications,
+        pending_answer.map(|(message_id, final_answer)| (string(message_id), final_answer))
+    );
 }
 
 #[test]
 fn stored_list_is_watched_from_its_version_at_the_reloaded_address() {
-    let asked = drive(&mut start(None, STORED.len()), 20 * MS);
-    assert_eq!(asked.followed, [(3, 9)]);
+    let requested = drive(&mut start(None, STORED.len()), 20 * MS);
+    assert_eq!(requested.watches, [(3, 9)]);
 }
 
 #[test]
@@ -427,31 +454,33 @@
 #[test]
 fn stored_retry_after_keys_and_attempts_stay_in_force() {
     let mut reducer = start(None, STORED.len());
-    let asked = drive(&mut reducer, 8 * S);
-    let written: BTreeSet<_> = asked.written.keys().map(String::as_str).collect();
+    let requested = drive(&mut reducer, 8 * S);
+    let written: BTreeSet<_> = requested.written.keys().map(String::as_str).collect();
     assert_eq!(written, BTreeSet::from(PENDING));
-    for (txn, (at, port, key, sent)) in &asked.written {
+    for (message_id, (at, port, key, sent)) in &requested.written {
         // One endpoint of destination 2 has a Retry-After and the other is ejected by an operator. The whole of
         // destination 1 has a Retry-After.
-        let to_second = matches!(&txn[..], "m-out" | "m-unseen" | "m-missed" | "m-ran");
+        let to_second = matches!(&message_id[..], "m-out" | "m-unseen" | "m-missed" | "m-ran");
         let (from, endpoint) = if to_second { (S, 11) } else { (3 * S, 9) };
-        assert!(*at >= from && *port == endpoint, "{txn}: at {at}, to {port}");
-        assert_eq!(*sent, body(txn));
-        assert_eq!(*key, (txn == "m-ran").then(|| string("k \"1\"")), "{txn}");
+        assert!(*at >= from && *port == endpoint, "{message_id}: at {at}, to {port}");
+        assert_eq!(*sent, body(message_id));
+        assert_eq!(*key, (message_id == "m-ran").then(|| string("k \"1\"")), "{message_id}");
     }
     let window_end = 1500 * MS;
-    assert!(asked.written["m-ran"].0 < window_end, "the window must start with the first attempt");
-    assert_eq!((reducer.metrics().open_messages(), asked.notices.len()), (0, 2));
+    assert!(requested.written["m-ran"].0 < window_end, "the window must start with the first attempt");
+    assert_eq!((reducer.metrics().open_messages(), requested.notifications.len()), (0, 2));
 }
 
 #[test]
 fn stored_offer_goes_to_the_same_owner_and_kept_message_stays() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
-    let asked = drive(&mut reducer, 800 * MS);
-    let offer = |txn: &str| asked.offers.iter().find(|offer| offer.message.id == txn).expect("offered");
-    let txns: BTreeSet<_> = asked.offers.iter().map(|offer| &offer.message.id[..]).collect();
-    assert_eq!(txns, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
-    let (first, again) = (START - 300 * MS, offer("m-offered"));
+    let requested = drive(&mut reducer, 800 * MS);
+    let offer = |message_id: &str| {
+        requested.offers.iter().find(|offer| offer.message.id == message_id).expect("offered")
+    };
+    let message_ids: BTreeSet<_> = requested.offers.iter().map(|offer| &offer.message.id[..]).collect();
+    assert_eq!(message_ids, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
+    let (first, repeated_offer) = (START - 300 * MS, offer("m-offered"));
     let deadline = START + 7 * S;
     let mark = HandoverMark {
         from: string("f1"),
@@ -460,12 +489,18 @@
         attempts: 0,
         possible_delivery: None,
     };
-    assert_eq!((&again.mark, again.owner_address.port(), &again.body), (&mark, 9002, &body("m-offered")));
-    let custody = HandoverState {
+    assert_eq!(
+        (&repeated_offer.mark, repeated_offer.owner_address.port(), &repeated_offer.body),
+        (&mark, 9002, &body("m-offered"))
+    );
+    let handover_state = HandoverState {
         offered: Some(HandoverOffer { owner: string("f2"), offered_at: first }),
         kept_local: false,
     };
-    assert_eq!(again.message, AcceptedMessage { handover: custody, ..taken("m-offered", 1) });
+    assert_eq!(
+        repeated_offer.message,
+        AcceptedMessage { handover: handover_state, ..accepted("m-offered", 1) }
+    );
     let unknown = AttemptStart { started_at: first, endpoint: String::new(), zone: String::new() };
     assert_eq!(
         offer("m-unresolved").mark.possible_delivery,
@@ -481,28 +516,38 @@
 // An upgrade: this process has a file of its own, and the older process ends while this one runs.
 #[test]
 fn journal_of_an_ended_previous_version_is_taken_over() {
-    let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_targets());
+    let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_endpoint_entries());
     let config = Config::read(&text, None, None).expect("a configuration");
     let mut reducer = Reducer::new(config, 1, Vec::new(), 0, START);
     let (records, size) = replay(Bytes::from_static(STORED));
-    let shown = vec![OtherProcessUpdate { generation: 0, rewritten: true, records, size, ended: true }];
-    let asked =
-        drive_from(&mut reducer, Input::OtherProcessesUpdated { updates: shown, gone: Vec::new() }, 8 * S);
-    assert_eq!((asked.retired, asked.followed), (vec![0], vec![(3, 9)]));
+    let process_updates =
+        vec![OtherProcessUpdate { generation: 0, rewritten: true, records, size, ended: true }];
+    let requested = drive_from(
+        &mut reducer,
+        Input::OtherProcessesUpdated { updates: process_updates, gone: Vec::new() },
+        8 * S,
+    );
+    assert_eq!((requested.removed_journals, requested.watches), (vec![0], vec![(3, 9)]));
     assert_eq!((reducer.metrics().accepted(), reducer.metrics().open_messages()), (9, 0));
-    let owed =
+    let pending_answer =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
-    assert_eq!(asked.notices[..2], owed.map(|(txn, verdict)| (string(txn), verdict)));
+    assert_eq!(
+        requested.notifications[..2],
+        pending_answer.map(|(message_id, final_answer)| (string(message_id), final_answer))
+    );
     // Destination 1 starts as after an outage because an operator restored its endpoint, so some messages may be
     // rejected.
-    let later = asked.notices[2..].iter().map(|(txn, _)| txn);
+    let later = requested.notifications[2..].iter().map(|(message_id, _)| message_id);
     assert_eq!(
-        asked.written.keys().chain(later).collect::<BTreeSet<_>>(),
+        requested.written.keys().chain(later).collect::<BTreeSet<_>>(),
         PENDING.map(string).iter().collect()
     );
-    for txn in ["m-out", "m-unseen", "m-missed", "m-ran"] {
-        let (at, port, key, sent) = &asked.written[txn];
-        assert!(*at >= S && *port == 11, "{txn}: at {at}, to {port}: the Retry-After must stay in force");
-        assert_eq!((key, sent), (&(txn == "m-ran").then(|| string("k \"1\"")), &body(txn)));
+    for message_id in ["m-out", "m-unseen", "m-missed", "m-ran"] {
+        let (at, port, key, sent) = &requested.written[message_id];
+        assert!(
+            *at >= S && *port == 11,
+            "{message_id}: at {at}, to {port}: the Retry-After must stay in force"
+        );
+        assert_eq!((key, sent), (&(message_id == "m-ran").then(|| string("k \"1\"")), &body(message_id)));
     }
 }
--- a/crates/forwarder/tests/upgrade.rs
+++ b/crates/forwarder/tests/upgrade.rs
@@ -16,7 +16,7 @@
 // exceeds its limit. A kill takes place between any two effects, and at most three processes run.
 #[test]
 fn invariants_hold_over_all_processes_of_a_folder() {
-    fn keeps(steps: Vec<Step>) -> bool {
+    fn holds(steps: Vec<Step>) -> bool {
         let mut world = Processes::new();
         for (number, step) in steps.into_iter().enumerate() {
             world.step(number, step);
@@ -25,8 +25,8 @@
         true
     }
     for seed in 0..4 {
-        let chance = Gen::from_size_and_seed(300, 100 + seed);
-        QuickCheck::new().tests(30).rng(chance).quickcheck(keeps as fn(Vec<Step>) -> bool);
+        let generator = Gen::from_size_and_seed(300, 100 + seed);
+        QuickCheck::new().tests(30).rng(generator).quickcheck(holds as fn(Vec<Step>) -> bool);
     }
 }
 
@@ -55,14 +55,14 @@
     world.wait(S / 20);
     assert_eq!(world.processes[0].links.len(), 1, "the call of the older process must continue");
     assert_eq!(world.processes[1].links.len(), 1, "the successor must begin attempts");
-    let mine = |world: &Processes, at: usize| world.processes[at].reducer.gauges().open_messages;
-    assert_eq!((mine(&world, 0), mine(&world, 1)), (1, 3));
+    let open_messages = |world: &Processes, at: usize| world.processes[at].reducer.gauges().open_messages;
+    assert_eq!((open_messages(&world, 0), open_messages(&world, 1)), (1, 3));
     // The call ends without delivery, so its message then belongs to the successor.
     let call = world.processes[0].links.get_mut(&first).and_then(|link| link.call.take()).expect("a call");
     let reply = EndpointReply { status: 503, is_bulk: call.is_bulk, ..EndpointReply::default() };
     world.input(0, Input::CallAnswered { connection: first, reply, reusable: true });
     world.wait(S / 20);
-    assert_eq!(mine(&world, world.processes.len() - 1), 4);
+    assert_eq!(open_messages(&world, world.processes.len() - 1), 4);
     world.wait(S);
     assert_eq!(world.processes.len(), 1, "the older process must exit once it has nothing left to do");
     assert_eq!(world.files.len(), 1, "the file of the older process must be taken over");
