--- a/crates/forwarder/src/effects.rs
+++ b/crates/forwarder/src/effects.rs
@@ -63,10 +63,10 @@
                 self.endpoint_connections.remove(&connection);
             }
             Effect::Offer(offer) => self.offer(offer),
-            Effect::PostNotifications { to, notifications } => {
-                spawn_local(notifications::post(to, notifications, self.inputs.clone()));
+            Effect::PostNotifications { address, notifications } => {
+                spawn_local(notifications::post(address, notifications, self.inputs.clone()));
             }
-            Effect::StartWatch { watch, from } => self.start_watch(watch, from),
+            Effect::StartWatch { watch, source } => self.start_watch(watch, source),
             Effect::Log { line } => log!("{line}"),
             Effect::RemoveJournal { generation } => self.other_journals.remove(generation),
             Effect::HandOverClients => self.hand_over_clients(),
@@ -120,15 +120,15 @@
     }
 
     /// Starts following the endpoint list, and aborts the previous watch.
-    fn start_watch(&mut self, watch: WatchId, from: WatchSource) {
+    fn start_watch(&mut self, watch: WatchId, source: WatchSource) {
         self.watch.iter().for_each(AbortHandle::abort);
         let inputs = self.inputs.clone();
         let updates = update_sender(watch, self.inputs.clone());
         let task = spawn_local(async move {
-            let end = match from {
-                WatchSource::Discovery { at, since } => discovery::follow(at, since, updates).await,
-                WatchSource::Catalogue { catalogue, held } => WatchEnd {
-                    reason: catalogue.follow(held, updates).await,
+            let end = match source {
+                WatchSource::Discovery { address, since } => discovery::follow(address, since, updates).await,
+                WatchSource::Catalogue { catalogue, list } => WatchEnd {
+                    reason: catalogue.follow(list, updates).await,
                     retry_after_ms: 0,
                     silence: Duration::ZERO,
                 },
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -219,7 +219,7 @@
     /// Follows discovery from a version on.
     Discovery {
         /// Address of discovery.
-        at: SocketAddr,
+        address: SocketAddr,
         /// Version of the list in force; 0 requests the whole list.
         since: u64,
     },
@@ -228,20 +228,21 @@
         /// The connection.
         catalogue: Rc<dyn Catalogue>,
         /// The list in force, from any source.
-        held: WatchEvent,
+        list: WatchEvent,
     },
 }
 
 impl PartialEq for WatchSource {
     fn eq(&self, other: &Self) -> bool {
         match (self, other) {
-            (WatchSource::Discovery { at, since }, WatchSource::Discovery { at: other, since: from }) => {
-                (at, since) == (other, from)
-            }
             (
-                WatchSource::Catalogue { catalogue, held },
-                WatchSource::Catalogue { catalogue: other, held: with },
-            ) => catalogue.id() == other.id() && held == with,
+                WatchSource::Discovery { address, since },
+                WatchSource::Discovery { address: other_address, since: other_since },
+            ) => (address, since) == (other_address, other_since),
+            (
+                WatchSource::Catalogue { catalogue, list },
+                WatchSource::Catalogue { catalogue: other_catalogue, list: other_list },
+            ) => catalogue.id() == other_catalogue.id() && list == other_list,
             _ => false,
         }
     }
@@ -307,7 +308,7 @@
     /// Post these notifications and report the result.
     PostNotifications {
         /// Address of discovery, which receives the notifications.
-        to: SocketAddr,
+        address: SocketAddr,
         /// The id of each message with its final answer.
         notifications: Vec<(String, FinalAnswer)>,
     },
@@ -316,7 +317,7 @@
         /// Id of the watch.
         watch: WatchId,
         /// What the watch follows.
-        from: WatchSource,
+        source: WatchSource,
     },
     /// Write a line to the log.
     Log {
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -105,14 +105,14 @@
         }
     }
 
-    /// Sets another limit of the folder. The limit takes effect with the next [`Durability::share_with`].
+    /// Sets another limit of the folder. The limit takes effect with the next [`Durability::set_own_share`].
     pub fn set_limit_bytes(&mut self, limit_bytes: usize) {
         self.limit_bytes = limit_bytes;
     }
 
     /// Sets the part of the folder's limit that this process may use. The limit applies to the files of all processes
     /// together; the others use, or may need, `other_bytes`.
-    pub fn share_with(&mut self, other_bytes: usize, other_process_runs: bool) {
+    pub fn set_own_share(&mut self, other_bytes: usize, other_process_runs: bool) {
         let own = self.limit_bytes.saturating_sub(other_bytes);
         // While another process runs, each may use at most half, so that both can compact.
         self.space.set_limit(if other_process_runs { own.min(self.limit_bytes / 2) } else { own });
@@ -134,19 +134,19 @@
     }
 
     /// Notes that the file is replaced by a snapshot of `snapshot_bytes`.
-    fn compacted(&mut self, snapshot_bytes: usize) {
+    fn record_compaction(&mut self, snapshot_bytes: usize) {
         self.space.set_file_bytes(snapshot_bytes);
     }
 
     /// Registers an append. Returns the effect that requests it, or the effect that reports it as refused.
-    fn append(&mut self, bytes: Bytes, then: Option<AfterAppend>, has_other_processes: bool) -> Effect {
+    fn append(&mut self, bytes: Bytes, next_step: Option<AfterAppend>, has_other_processes: bool) -> Effect {
         self.last_append += 1;
         let append = self.last_append;
-        let may_be_denied_space = then.as_ref().is_some_and(AfterAppend::may_be_denied_space);
+        let may_be_denied_space = next_step.as_ref().is_some_and(AfterAppend::may_be_denied_space);
         let denied = may_be_denied_space && has_other_processes && !self.space.has_room_for(bytes.len());
-        let changes_state_later = then.as_ref().is_some_and(AfterAppend::changes_state_later);
-        if let Some(then) = then {
-            self.after_append.insert(append, then);
+        let changes_state_later = next_step.as_ref().is_some_and(AfterAppend::changes_state_later);
+        if let Some(next_step) = next_step {
+            self.after_append.insert(append, next_step);
         }
         if denied {
             return Effect::ReportJournalFull { append };
@@ -169,19 +169,19 @@
 impl Reducer {
     /// Requests an append. Must be called before the state changes, because a compaction that becomes necessary writes
     /// the state as it was before.
-    pub(super) fn append(&mut self, records: &[(&Record, &[u8])], then: Option<AfterAppend>) {
+    pub(super) fn append(&mut self, records: &[(&Record, &[u8])], next_step: Option<AfterAppend>) {
         let mut bytes = BytesMut::new();
         records.iter().for_each(|(record, body)| record.encode(body, &mut bytes));
         self.compact_if_needed(bytes.len());
-        let effect = self.durability.append(bytes.freeze(), then, self.upgrade.has_other_processes());
+        let effect = self.durability.append(bytes.freeze(), next_step, self.upgrade.has_other_processes());
         self.effects.push(effect);
     }
 
     /// Requests an append of records without a body. Does nothing if there are no records.
-    pub(super) fn append_all(&mut self, records: &[Record], then: Option<AfterAppend>) {
+    pub(super) fn append_all(&mut self, records: &[Record], next_step: Option<AfterAppend>) {
         if !records.is_empty() {
             let records: Vec<(&Record, &[u8])> = records.iter().map(|record| (record, &b""[..])).collect();
-            self.append(&records, then);
+            self.append(&records, next_step);
         }
     }
 
@@ -218,7 +218,7 @@
 
     pub(super) fn compact(&mut self) {
         let snapshot = self.snapshot();
-        self.durability.compacted(snapshot.len());
+        self.durability.record_compaction(snapshot.len());
         self.effects.push(Effect::CompactJournal { bytes: snapshot });
     }
 
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -165,16 +165,16 @@
         self.watching = true;
         self.watch_started_at = now;
         self.watch += 1;
-        let from = match &self.catalogue {
-            Some(catalogue) => WatchSource::Catalogue { catalogue: catalogue.clone(), held: list.snapshot() },
+        let source = match &self.catalogue {
+            Some(catalogue) => WatchSource::Catalogue { catalogue: catalogue.clone(), list: list.snapshot() },
             None => {
                 // A version from a catalogue has no meaning for discovery.
                 let is_known = list.origin().is_empty() && self.regressed_watch.is_none();
                 let since = if is_known { list.version() } else { 0 };
-                WatchSource::Discovery { at: self.address, since }
+                WatchSource::Discovery { address: self.address, since }
             }
         };
-        Some(Effect::StartWatch { watch: self.watch, from })
+        Some(Effect::StartWatch { watch: self.watch, source })
     }
 
     /// Schedules the next watch after one has ended. `silence` is the time since its last complete event, or since its
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -260,7 +260,7 @@
     /// Posts the next notifications if they are due.
     pub(super) fn post_notifications(&mut self, now: Micros) {
         if let Some(notifications) = self.final_answers.take_post(now) {
-            self.effects.push(Effect::PostNotifications { to: self.discovery.address(), notifications });
+            self.effects.push(Effect::PostNotifications { address: self.discovery.address(), notifications });
         }
     }
 
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -132,8 +132,8 @@
         // since.
         let record = Record::OperatorOverride { endpoint: endpoint.clone(), at: now, ejected };
         let change = OverrideChange { at: now, ejected };
-        let then = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
-        self.append(&[(&record, b"")], Some(then));
+        let next_step = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
+        self.append(&[(&record, b"")], Some(next_step));
     }
 
     /// Handles the report on an override's record. Applies the override if it is `stored`, and replies to the operator.
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -80,7 +80,12 @@
 
     /// Returns whether this forwarder does not own a destination, or has owned it for such a short time that the
     /// previous owner may still send there.
-    fn is_new_to(&self, now: Micros, destination: DestinationId, warm_up_time: Micros) -> bool {
+    fn is_not_established_owner(
+        &self,
+        now: Micros,
+        destination: DestinationId,
+        warm_up_time: Micros,
+    ) -> bool {
         let owns = |view: &Rc<dyn Owners>| view.owner_of(destination) == Owner::Local;
         let Some(view) = &self.view else { return false };
         let was_owner = self.previous_view.as_ref().is_none_or(owns);
@@ -88,7 +93,7 @@
     }
 
     /// Returns how many forwarders share a destination's limit, or `None` if destinations have no owners.
-    pub fn owners_of_each(&self) -> Option<u32> {
+    pub fn owners_per_destination(&self) -> Option<u32> {
         self.view.as_ref().map(|view| view.owners_per_destination())
     }
 
@@ -145,7 +150,7 @@
     /// Returns whether to slow-start a destination, and notes that it is. This is the case for the first message of a
     /// destination that this forwarder does not own or has not owned for long.
     fn take_slow_start(&mut self, now: Micros, destination: DestinationId, warm_up_time: Micros) -> bool {
-        self.is_new_to(now, destination, warm_up_time) && self.slow_started.insert(destination)
+        self.is_not_established_owner(now, destination, warm_up_time) && self.slow_started.insert(destination)
     }
 }
 
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -32,7 +32,7 @@
     /// Faulty routes.
     pub faulty_routes: FaultyRoutes,
     /// The address of discovery given on the command line that a reload has superseded.
-    pub superseded: Option<SocketAddr>,
+    pub superseded_discovery: Option<SocketAddr>,
     /// Operators' overrides of endpoints.
     pub operator_overrides: OperatorOverrides,
     /// The stage of the process.
@@ -82,15 +82,15 @@
             Record::KeptLocal { message } => {
                 self.change(&message, |accepted| accepted.handover.kept_local = true);
             }
-            other => self.apply_shared(other),
+            other => self.apply_process_record(other),
         }
     }
 
     /// Applies a record that does not concern a message.
-    fn apply_shared(&mut self, record: Record) {
+    fn apply_process_record(&mut self, record: Record) {
         match record {
             Record::EndpointList(event) => self.endpoint_list.apply(&event),
-            Record::DiscoverySuperseded { discovery } => self.superseded = Some(discovery),
+            Record::DiscoverySuperseded { discovery } => self.superseded_discovery = Some(discovery),
             Record::OperatorOverride { endpoint, at, ejected } => {
                 self.operator_overrides.apply(&endpoint, OverrideChange { at, ejected });
             }
--- a/crates/forwarder/src/reducer/reload.rs
+++ b/crates/forwarder/src/reducer/reload.rs
@@ -28,7 +28,7 @@
         let bounds = Bounds::new(&settings, limits);
         self.pool.set_limits(settings.idle_timeout, bounds.connections);
         self.durability.set_limit_bytes(bounds.disk_bytes);
-        self.share_space();
+        self.update_own_share();
         self.finished.set_max_ids(bounds.finished_ids);
         self.settings = settings;
         self.names = names;
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -68,14 +68,14 @@
         let Config { settings, seed, .. } = config;
         let bounds = Bounds::new(&settings, config.limits);
         let ownership = Ownership::new(config.owners, now);
-        let fleet_size = ownership.owners_of_each().unwrap_or(settings.fleet_size);
+        let fleet_size = ownership.owners_per_destination().unwrap_or(settings.fleet_size);
         let answers = std::mem::take(&mut recovered.undelivered_answers);
         Reducer {
             controller: ControllerDriver::new(Settings { fleet_size, ..settings.clone() }, seed, now),
             discovery: EndpointDiscovery::new(
                 &config.discovery,
                 config.catalogue,
-                recovered.superseded,
+                recovered.superseded_discovery,
                 &settings,
                 seed,
                 now,
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -123,7 +123,7 @@
         if takeover.is_complete {
             self.upgrade.remove(generation);
             self.effects.push(Effect::RemoveJournal { generation });
-            self.share_space();
+            self.update_own_share();
             self.controller.update_max_calls(self.controller_settings());
         }
     }
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -221,7 +221,7 @@
         if self.upgrade.is_successor_ready() && self.shutdown.is_some() {
             self.hand_off(now);
         }
-        self.share_space();
+        self.update_own_share();
         if older_ran && !self.upgrade.older_process_runs() {
             self.begin_attempts();
         }
@@ -295,13 +295,13 @@
         let stopped = self.upgrade.has_handed_off() || self.upgrade.older_process_runs();
         let of_older = self.upgrade.older_calls_in_flight();
         let max_calls = if stopped { 0 } else { self.settings.max_calls.saturating_sub(of_older).max(1) };
-        let fleet_size = self.ownership.owners_of_each().unwrap_or(self.settings.fleet_size);
+        let fleet_size = self.ownership.owners_per_destination().unwrap_or(self.settings.fleet_size);
         Settings { max_calls, fleet_size, ..self.settings.clone() }
     }
 
     /// Updates this process's part of the folder's limit, which applies to all files together.
-    pub(super) fn share_space(&mut self) {
-        self.durability.share_with(self.upgrade.bytes_of_others(), self.upgrade.other_process_runs());
+    pub(super) fn update_own_share(&mut self) {
+        self.durability.set_own_share(self.upgrade.bytes_of_others(), self.upgrade.other_process_runs());
     }
 
     /// Records that this process accepts clients. From now on, the older process may be asked to end.
@@ -340,17 +340,17 @@
         self.drop_unrecorded_calls();
         let endpoints: Vec<_> = self.endpoints.ids().collect();
         endpoints.into_iter().for_each(|endpoint| self.close_idle(endpoint));
-        let free = self
+        let released = self
             .messages
             .iter()
             .filter(|(_, message)| message.stored && message.accepted.in_flight.is_none());
-        let free: Vec<MessageId> = free.map(|(number, _)| number).collect();
+        let released: Vec<MessageId> = released.map(|(number, _)| number).collect();
         self.log(format!(
             "upgrade: handed off to the successor messages={} calls_in_flight={}",
-            free.len(),
+            released.len(),
             self.calls.len()
         ));
-        free.into_iter().for_each(|number| self.release_to_successor(number));
+        released.into_iter().for_each(|number| self.release_to_successor(number));
         self.controller.update_max_calls(self.controller_settings());
     }
 
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -92,10 +92,10 @@
 }
 
 /// Returns what a watch follows, as a port, and from which version on. A catalogue has port 0.
-pub fn watch_source(from: &WatchSource) -> (u16, u64) {
-    match from {
-        WatchSource::Discovery { at, since } => (at.port(), *since),
-        WatchSource::Catalogue { held, .. } => (0, held.version),
+pub fn watch_source(source: &WatchSource) -> (u16, u64) {
+    match source {
+        WatchSource::Discovery { address, since } => (address.port(), *since),
+        WatchSource::Catalogue { list, .. } => (0, list.version),
     }
 }
 
@@ -247,8 +247,8 @@
             Effect::PostNotifications { notifications: batch, .. } => {
                 assert!(self.posting.replace(batch).is_none())
             }
-            Effect::StartWatch { watch, from } => {
-                let (port, since) = watch_source(&from);
+            Effect::StartWatch { watch, source } => {
+                let (port, since) = watch_source(&source);
                 self.watches.push((watch, port, since));
                 // A new watch immediately gets a snapshot with everything that the process has missed.
                 let entries =
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -250,7 +250,7 @@
     world.now += 20 * SECOND;
     let effects = world.reducer.step(world.now, Input::Withdrawn { request: 0 });
     let since = effects.iter().find_map(|effect| match effect {
-        Effect::StartWatch { watch, from: WatchSource::Discovery { since, .. } } => Some((*watch, *since)),
+        Effect::StartWatch { watch, source: WatchSource::Discovery { since, .. } } => Some((*watch, *since)),
         _ => None,
     });
     let (watch, since) = since.expect("a new watch is started");
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -92,7 +92,7 @@
         for effect in inputs.into_iter().flatten().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::StartWatch { from, .. } => port = watch_source(&from).0,
+                Effect::StartWatch { source, .. } => port = watch_source(&source).0,
                 _ => {}
             }
         }
@@ -138,7 +138,9 @@
         for effect in inputs.into_iter().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::StartWatch { from: WatchSource::Catalogue { held: list, .. }, .. } => held.push(list),
+                Effect::StartWatch { source: WatchSource::Catalogue { list: sent, .. }, .. } => {
+                    held.push(sent)
+                }
                 _ => {}
             }
         }
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -337,8 +337,8 @@
                         requested.notifications.extend(batch);
                         inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
-                    Effect::StartWatch { from: WatchSource::Discovery { at, since }, .. } => {
-                        requested.watches.push((at.port(), since));
+                    Effect::StartWatch { source: WatchSource::Discovery { address, since }, .. } => {
+                        requested.watches.push((address.port(), since));
                     }
                     Effect::Offer(offer) => requested.offers.push(*offer),
                     Effect::RemoveJournal { generation } => requested.removed_journals.push(generation),
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -139,7 +139,7 @@
 fn folder(name: &str, endpoint: SocketAddr, platform: SocketAddr) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut targets = common::targets();
+    let mut targets = common::endpoint_entries();
     targets[2].address = endpoint;
     let text = common::config("127.0.0.1:0", &platform.to_string(), targets);
     std::fs::write(folder.join("config.json"), text).expect("written");
