--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -76,7 +76,8 @@
         let Some(id) = self.pool.on_closed(connection) else { return };
         let Some(call) = self.calls.get_mut(id) else { return };
         // An idle connection may close just when it is chosen. No complete call was written, so the same attempt is
-        // repeated on a new connection. A failure to connect is not repeated, because it counts against the endpoint.
+        // repeated once, on a new connection. If that connection cannot be established, the failure counts against the
+        // endpoint.
         let may_reconnect = !self.upgrade.has_handed_off() && error.not_delivered() && !error.ended_locally();
         if may_reconnect && std::mem::take(&mut call.reused_connection) {
             let connection = self.pool.connect(call.endpoint, id);
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -79,8 +79,8 @@
     ) -> Self {
         let mut backoff = Backoff::new(first_backoff(settings), seed);
         // A drain may have been announced while there was no watch, and takes effect after its grace period, so the
-        // first watch starts within that period. Forwarders of one release start together; the random delay spreads
-        // their watches.
+        // first watch starts within that period. Forwarders of one release start together, so the delay is random, and
+        // those that discovery rejects retry after a backoff.
         let watch_at = now + backoff.random_below(first_watch_delay(settings));
         EndpointDiscovery {
             address: discovery.at_startup(recovered_superseded),
--- a/crates/forwarder/tests/common/deployments.rs
+++ b/crates/forwarder/tests/common/deployments.rs
@@ -16,7 +16,7 @@
 fn numbered(listed: &[(&str, &str, &str, u64)], capacity_hint: f64) -> Vec<EndpointEntry> {
     let entry = |(number, (uid, zone, kind, destination)): (usize, &(&str, &str, &str, u64))| EndpointEntry {
         uid: (*uid).to_owned(),
-        address: format!("127.0.0.1:{}", 9 + number).parse().expect("an address"),
+        address: format!("127.0.0.1:{}", 9 + number).parse().expect("the address is valid"),
         zone: (*zone).to_owned(),
         kind: (*kind).to_owned(),
         destination: *destination,
@@ -35,7 +35,7 @@
         endpoints: entries,
         origin: String::new(),
     })
-    .expect("a list");
+    .expect("the list can be written as JSON");
     format!(
         r#"{{"name":"t0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":0.2}},"known":{known},
@@ -74,7 +74,7 @@
         endpoints: entries,
         origin: String::new(),
     })
-    .expect("a list");
+    .expect("the list can be written as JSON");
     format!(
         r#"{{"name":"t1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":0.2}},"known":{known},
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -85,7 +85,7 @@
 }
 
 pub fn reducer(shape: Shape, file: &[u8], now: Micros) -> Reducer {
-    let config = Config::read(&shape.config(), None, None).expect("a configuration");
+    let config = Config::read(&shape.config(), None, None).expect("the configuration is valid");
     let (records, whole) = replay(Bytes::copy_from_slice(file));
     assert_eq!(whole, file.len());
     Reducer::new(config, 0, records, whole, now)
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -51,7 +51,7 @@
 }
 
 fn address(name: &str) -> SocketAddr {
-    let number: u16 = name.trim_start_matches('f').parse().expect("a number");
+    let number: u16 = name.trim_start_matches('f').parse().expect("the name ends with a number");
     SocketAddr::from(([127, 0, 0, 1], 9000 + number))
 }
 
@@ -152,7 +152,7 @@
     }
 
     fn start(class: Class, config: &str, owners: Option<Rc<dyn Owners>>, file: &[u8], now: Micros) -> Self {
-        let config = Config::read(config, None, None).expect("a configuration");
+        let config = Config::read(config, None, None).expect("the configuration is valid");
         let (records, whole) = replay(Bytes::copy_from_slice(file));
         assert_eq!(whole, file.len());
         let reducer = Reducer::new(Config { owners, ..config }, 0, records, whole, now);
@@ -265,7 +265,7 @@
     fn submit(&mut self, message: Submission) -> SubmitAnswer {
         self.input(Input::Submitted { request: 1, message });
         self.wait(20 * MS);
-        self.answers.pop().expect("an answer")
+        self.answers.pop().expect("the submission was answered")
     }
 
     /// Submits a message for this destination and asserts that it is accepted.
@@ -275,7 +275,7 @@
     }
 
     fn offer(&mut self) -> OutgoingOffer {
-        self.offers.pop_front().expect("an offer")
+        self.offers.pop_front().expect("an offer is in flight")
     }
 
     fn end_offer(&mut self, offer: &OutgoingOffer, result: OfferOutcome) {
--- a/crates/forwarder/tests/handover_mark.rs
+++ b/crates/forwarder/tests/handover_mark.rs
@@ -7,7 +7,7 @@
 fn headers(values: &[&str]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for value in values {
-        headers.append(HANDOVER_HEADER, HeaderValue::from_str(value).expect("a header's value"));
+        headers.append(HANDOVER_HEADER, HeaderValue::from_str(value).expect("the header value is valid"));
     }
     headers
 }
@@ -24,14 +24,14 @@
         possible_delivery: Some(attempt),
     };
     let wire = r#"{"from":"f1","deadline":7,"valid_until":6,"attempts":1,"ran":{"at":5,"uid":"e","az":"z"}}"#;
-    assert_eq!(String::from_utf8(mark.to_header()).expect("text"), wire);
+    assert_eq!(String::from_utf8(mark.to_header()).expect("the text is UTF-8"), wire);
     assert_eq!(ReceivedMark::from_headers(&headers(&[wire])), ReceivedMark::Valid(mark));
     let short = r#"{"from":"f1","deadline":7,"valid_until":6,"attempts":0}"#;
     let ReceivedMark::Valid(mark) = ReceivedMark::from_headers(&headers(&[short])) else {
         panic!("a valid mark");
     };
     assert_eq!(mark.possible_delivery, None);
-    assert_eq!(String::from_utf8(mark.to_header()).expect("text"), short);
+    assert_eq!(String::from_utf8(mark.to_header()).expect("the text is UTF-8"), short);
 }
 
 #[test]
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -35,7 +35,7 @@
 fn entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         uid: format!("s-{number:08x}"),
-        address: "127.0.0.1:8000".parse().expect("an address"),
+        address: "127.0.0.1:8000".parse().expect("the address is valid"),
         zone: "a".to_owned(),
         kind: "one".to_owned(),
         destination: number as u64,
@@ -59,7 +59,7 @@
 }
 
 fn config(entries: Vec<EndpointEntry>) -> Config {
-    Config::read(&config_text(entries), None, None).expect("a configuration")
+    Config::read(&config_text(entries), None, None).expect("the configuration is valid")
 }
 
 /// A forwarder and its journal's file.
@@ -197,10 +197,10 @@
 async fn large_list_is_reloaded_with_the_configuration() {
     let folder = Folder::new("reload");
     let source = folder.source(&config_text(entries(LISTED)));
-    let mut world = World::start(source.load().await.expect("good"), Vec::new());
+    let mut world = World::start(source.load().await.expect("the configuration is valid"), Vec::new());
     assert_eq!((world.endpoint_count(), world.journaled_list().len()), (LISTED, LISTED));
     world.send_event(watch_event(2, false, vec![entry(LISTED)]));
-    let reloaded = source.load().await.expect("good");
+    let reloaded = source.load().await.expect("the configuration is valid");
     let written = world.input(Input::ConfigReloaded(Box::new(reloaded)));
     assert!(written < SMALL_RECORD, "{written} bytes");
     assert_eq!((world.endpoint_count(), world.journaled_list().version()), (LISTED + 1, 2));
@@ -284,13 +284,13 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-lists-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 
     fn source(&self, text: &str) -> ConfigSource {
         let path = self.0.join("config.json");
-        fs::write(&path, text).expect("writes");
+        fs::write(&path, text).expect("the file can be written");
         ConfigSource { path, ..ConfigSource::default() }
     }
 }
@@ -304,15 +304,18 @@
 /// Follows a simulated discovery that writes these chunks with a pause after each, and then closes the connection.
 /// Returns the events, how the watch ended, and how long it took.
 async fn follow_chunks(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let at = listener.local_addr().expect("the listener has an address");
     let far_end = async {
-        let (mut stream, _) = listener.accept().await.expect("a watch");
+        let (mut stream, _) = listener.accept().await.expect("a watch connects");
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
-            request.push(stream.read_u8().await.expect("its request"));
+            request.push(stream.read_u8().await.expect("the request arrives"));
         }
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("an answer");
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await
+            .expect("the answer can be written");
         for chunk in chunks {
             let chunk = format!("{:x}\r\n{chunk}\r\n", chunk.len());
             if stream.write_all(chunk.as_bytes()).await.is_err() {
@@ -345,7 +348,8 @@
 // a watch that ends without a reason.
 #[tokio::test(flavor = "current_thread")]
 async fn watch_delivers_a_large_list_completely_or_not_at_all() {
-    let text = serde_json::to_string(&watch_event(7, true, entries(LISTED))).expect("a list");
+    let text = serde_json::to_string(&watch_event(7, true, entries(LISTED)))
+        .expect("the list can be written as JSON");
     let (events, ended, _) = follow_chunks(in_chunks(&text, 20_000), Duration::ZERO).await;
     assert_eq!(events.iter().map(|update| update.endpoints.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
     let last = format!("\"uid\":\"{}\"", entry(LISTED - 1).uid);
@@ -363,7 +367,8 @@
 // arrives.
 #[tokio::test(flavor = "current_thread")]
 async fn large_list_that_arrives_steadily_is_not_cut_off() {
-    let text = serde_json::to_string(&watch_event(7, true, entries(LISTED))).expect("a list");
+    let text = serde_json::to_string(&watch_event(7, true, entries(LISTED)))
+        .expect("the list can be written as JSON");
     let chunks = in_chunks(&text, text.len() / 25);
     let (events, ended, took) = follow_chunks(chunks, Duration::from_millis(210)).await;
     assert!(took > Duration::from_millis(4_800), "after {took:?}");
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -38,7 +38,9 @@
     world.wait(10_000);
     let text =
         common::config("127.0.0.1:1", "127.0.0.1:3", Vec::new()).replace("\"slots\":6", "\"slots\":12");
-    world.input(Input::ConfigReloaded(Box::new(Config::read(&text, None, None).expect("a configuration"))));
+    world.input(Input::ConfigReloaded(Box::new(
+        Config::read(&text, None, None).expect("the configuration is valid"),
+    )));
     assert_eq!(world.watches, [(1, 2, 1), (2, 3, 1)]);
     world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
     world.wait(S / 2);
@@ -59,7 +61,7 @@
     let config = |catalogue: Option<&'static str>| {
         let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
         let catalogue = catalogue.map(|id| Rc::new(SilentCatalogue(id)) as Rc<dyn Catalogue>);
-        Box::new(Config { catalogue, ..Config::read(&text, None, None).expect("a configuration") })
+        Box::new(Config { catalogue, ..Config::read(&text, None, None).expect("the configuration is valid") })
     };
     let mut world = World::new();
     let (first, ..) = world.watches[0];
@@ -112,7 +114,7 @@
     let one_forwarder = |seed: u32| {
         let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
-        let mut config = Config::read(&text, None, None).expect("a configuration");
+        let mut config = Config::read(&text, None, None).expect("the configuration is valid");
         assert_eq!(config.settings.fleet_size, size);
         (config.seed, config.settings.max_poll_interval) = (u64::from(seed), 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
@@ -193,7 +195,7 @@
     let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
     for (seed, size) in [(1, 1), (2, 3), (3, 100), (4, 300)] {
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
-        let mut config = Config::read(&text, None, None).expect("a configuration");
+        let mut config = Config::read(&text, None, None).expect("the configuration is valid");
         (config.seed, config.settings.max_poll_interval) = (seed, 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let mut now = START;
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -30,7 +30,9 @@
         world.update_list(entries);
     }
     let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
-    world.input(Input::ConfigReloaded(Box::new(Config::read(&text, None, None).expect("a configuration"))));
+    world.input(Input::ConfigReloaded(Box::new(
+        Config::read(&text, None, None).expect("the configuration is valid"),
+    )));
     world.restart();
     world.submit("m".to_owned(), true, 2, 10);
     world.wait(2 * S);
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -82,7 +82,7 @@
 fn restart_after_a_reload_keeps_the_files_discovery() {
     let config = |port: u16, given: Option<&str>| {
         let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::endpoint_entries());
-        Config::read(&text, None, given).expect("a configuration")
+        Config::read(&text, None, given).expect("the configuration is valid")
     };
     let watched_port = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
         let (records, whole) = replay(Bytes::copy_from_slice(file));
@@ -120,7 +120,7 @@
     let config = || {
         let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
         let catalogue = Some(Rc::new(SilentCatalogue("c1")) as Rc<dyn Catalogue>);
-        Config { catalogue, ..Config::read(&text, None, None).expect("a configuration") }
+        Config { catalogue, ..Config::read(&text, None, None).expect("the configuration is valid") }
     };
     let mut file = Vec::new();
     let mut held = Vec::new();
@@ -225,7 +225,7 @@
 ) -> (Vec<Micros>, Vec<(Micros, FinalAnswer)>) {
     let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_endpoint_entries());
     let text = text.replace("\"window_us\":2000000", "\"window_us\":1000000");
-    let config = Config::read(&text, None, None).expect("a configuration");
+    let config = Config::read(&text, None, None).expect("the configuration is valid");
     let (records, whole) = replay(Bytes::copy_from_slice(file));
     let mut reducer = Reducer::new(config, 0, records, whole, from);
     let (mut written, mut posted) = (Vec::new(), Vec::new());
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -100,7 +100,7 @@
     ] {
         let text =
             Shape::Second.config().replace(change.0, change.1).replace("\"max_open\":40", "\"max_open\":1");
-        let config = Config::read(&text, None, None).expect("a configuration");
+        let config = Config::read(&text, None, None).expect("the configuration is valid");
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let mut reply = None;
         for request_id in 0..2 {
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -75,8 +75,8 @@
 fn list() -> Vec<EndpointEntry> {
     let mut list = second_endpoint_entries();
     list[1].state = EndpointState::Draining;
-    let last = list.pop().expect("an endpoint");
-    let endpoint = "127.0.0.1:14".parse().expect("an address");
+    let last = list.pop().expect("the list has an endpoint");
+    let endpoint = "127.0.0.1:14".parse().expect("the address is valid");
     list.push(EndpointEntry { uid: string("s-f"), address: endpoint, destination: 4, ..last });
     list
 }
@@ -117,7 +117,7 @@
         Record::FaultyRoutes { destinations: vec![4], routes: vec![(2, string("s-d"))] },
         Record::RetryAfter { destination: 1, endpoint: None, until: START + 3 * S },
         Record::RetryAfter { destination: 2, endpoint: Some(string("s-c")), until: START + S },
-        Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("an address") },
+        Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("the address is valid") },
         Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * S, ejected: true },
         Record::OperatorOverride { endpoint: string("s-a"), at: START - 7 * S, ejected: true },
         Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * S, ejected: false },
@@ -193,7 +193,7 @@
         }),
         Record::ProcessStage { stage: ProcessStage::Started },
         Record::FaultyRoutes { destinations: vec![4], routes: vec![(2, string("s-d"))] },
-        Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("an address") },
+        Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("the address is valid") },
         Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * S, ejected: false },
         Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * S, ejected: true },
         finished("m-over", at),
@@ -268,7 +268,7 @@
 /// Starts a forwarder from the stored journal without the records for which `left_out` returns `true`.
 fn start_without(left_out: fn(&Record) -> bool, owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
     let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_endpoint_entries());
-    let config = Config::read(&text, None, Some("127.0.0.1:2")).expect("a configuration");
+    let config = Config::read(&text, None, Some("127.0.0.1:2")).expect("the configuration is valid");
     let (mut records, whole) = replay(Bytes::from_static(STORED));
     assert_eq!(whole, STORED.len());
     records.retain(|(record, _)| !left_out(record));
@@ -476,7 +476,7 @@
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
     let requested = drive(&mut reducer, 800 * MS);
     let offer = |message_id: &str| {
-        requested.offers.iter().find(|offer| offer.message.id == message_id).expect("offered")
+        requested.offers.iter().find(|offer| offer.message.id == message_id).expect("the message is offered")
     };
     let message_ids: BTreeSet<_> = requested.offers.iter().map(|offer| &offer.message.id[..]).collect();
     assert_eq!(message_ids, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
@@ -517,7 +517,7 @@
 #[test]
 fn journal_of_an_ended_previous_version_is_taken_over() {
     let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_endpoint_entries());
-    let config = Config::read(&text, None, None).expect("a configuration");
+    let config = Config::read(&text, None, None).expect("the configuration is valid");
     let mut reducer = Reducer::new(config, 1, Vec::new(), 0, START);
     let (records, size) = replay(Bytes::from_static(STORED));
     let process_updates =
--- a/crates/forwarder/tests/upgrade.rs
+++ b/crates/forwarder/tests/upgrade.rs
@@ -58,7 +58,11 @@
     let open_messages = |world: &Processes, at: usize| world.processes[at].reducer.gauges().open_messages;
     assert_eq!((open_messages(&world, 0), open_messages(&world, 1)), (1, 3));
     // The call ends without delivery, so its message then belongs to the successor.
-    let call = world.processes[0].links.get_mut(&first).and_then(|link| link.call.take()).expect("a call");
+    let call = world.processes[0]
+        .links
+        .get_mut(&first)
+        .and_then(|link| link.call.take())
+        .expect("a call is in flight");
     let reply = EndpointReply { status: 503, is_bulk: call.is_bulk, ..EndpointReply::default() };
     world.input(0, Input::CallAnswered { connection: first, reply, reusable: true });
     world.wait(S / 20);
--- a/crates/journal/src/codec/tests.rs
+++ b/crates/journal/src/codec/tests.rs
@@ -51,7 +51,7 @@
         Record::KeptLocal { message: id.clone() },
         Record::HandedOver { message: id, owner: "f2".to_owned(), at: 8 },
         Record::EndpointList(event),
-        Record::DiscoverySuperseded { discovery: "127.0.0.1:5".parse().expect("an address") },
+        Record::DiscoverySuperseded { discovery: "127.0.0.1:5".parse().expect("the address is valid") },
         Record::OperatorOverride { endpoint: "s".to_owned(), at: 6, ejected: true },
         Record::RetryAfter { destination: 3, endpoint: None, until: i64::MAX },
         Record::RetryAfter { destination: 3, endpoint: Some("s".to_owned()), until: 4 },
@@ -81,15 +81,15 @@
 fn old_records_decode_and_idempotency_key_has_its_own_tag() {
     let old = br#"{"is":"taken","txn":"a","class":"status","org":"acme","dest":3,"deadline":9,"attempts":2,
         "ran":null,"out":{"at":5,"uid":"s"}}"#;
-    assert_eq!(decode_text(old).expect("read"), accepted("a"));
+    assert_eq!(decode_text(old).expect("the record can be decoded"), accepted("a"));
     let old = br#"{"is":"wait","dest":3,"until":4}"#;
     assert_eq!(
-        decode_text(old).expect("read"),
+        decode_text(old).expect("the record can be decoded"),
         Record::RetryAfter { destination: 3, endpoint: None, until: 4 }
     );
     let old = br#"{"is":"troubled","dests":[3]}"#;
     let faulty = Record::FaultyRoutes { destinations: vec![3], routes: Vec::new() };
-    assert_eq!(decode_text(old).expect("read"), faulty);
+    assert_eq!(decode_text(old).expect("the record can be decoded"), faulty);
     let text = |record: &Record| {
         let mut bytes = BytesMut::new();
         record.encode(b"", &mut bytes);
--- a/crates/journal/src/folder/making_tests.rs
+++ b/crates/journal/src/folder/making_tests.rs
@@ -11,7 +11,7 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("journal-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 }
@@ -24,11 +24,11 @@
 
 /// Takes the file of this generation for that of an ended process, as a scan of the folder does, and removes it.
 fn scan_and_remove(folder: &Path, generation: Generation) -> OtherJournal {
-    let mut found = find_other_journals(folder, |known| known != generation).expect("read");
+    let mut found = find_other_journals(folder, |known| known != generation).expect("the folder can be read");
     let mut other = found.pop().expect("the file has its name");
-    let update = other.read_new().expect("read").expect("there");
+    let update = other.read_new().expect("the journal can be read").expect("the file exists");
     assert!(update.ended && update.records.is_empty(), "no process holds its lock");
-    other.remove().expect("removed");
+    other.remove().expect("the file is removed");
     other
 }
 
@@ -51,12 +51,16 @@
 fn file_removed_before_its_lock_is_not_kept() {
     let folder = Folder::new("removed");
     let made = create(&folder.0, 3, make_with_interference(|| drop(scan_and_remove(&folder.0, 3))));
-    let (generation, file) = made.expect("made");
+    let (generation, file) = made.expect("the file is created");
     let path = path_of(&folder.0, generation);
     assert!(is_still_named(&file, &path), "{} must be the locked file", path.display());
-    assert_eq!(generations(&folder.0).expect("read"), [generation], "it must be the only file");
+    assert_eq!(
+        generations(&folder.0).expect("the folder can be read"),
+        [generation],
+        "it must be the only file"
+    );
     assert!(
-        !lock(&File::open(&path).expect("there"), &path).expect("asked"),
+        !lock(&File::open(&path).expect("the file exists"), &path).expect("the lock can be queried"),
         "other processes must find it locked"
     );
 }
@@ -67,7 +71,7 @@
     let folder = Folder::new("held");
     let held = Cell::new(None);
     let made = create(&folder.0, 0, make_with_interference(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
-    let (generation, file) = made.expect("made");
+    let (generation, file) = made.expect("the file is created");
     assert!(is_still_named(&file, &path_of(&folder.0, generation)));
     assert!(held.take().is_some(), "the other process must have removed a file");
 }
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -11,7 +11,7 @@
 fn entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         uid: format!("s-{number:08x}"),
-        address: "127.0.0.1:8000".parse().expect("an address"),
+        address: "127.0.0.1:8000".parse().expect("the address is valid"),
         zone: "a".to_owned(),
         kind: "one".to_owned(),
         destination: number as u64,
@@ -43,12 +43,12 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 
     fn open(&self) -> OpenedJournal {
-        Journal::open(&self.0).expect("opens")
+        Journal::open(&self.0).expect("the journal opens")
     }
 }
 
@@ -66,8 +66,8 @@
     let (ready, large) = (Record::ProcessStage { stage: ProcessStage::Ready }, list(7));
     let (before, bytes) = (bytes_of(&ready), bytes_of(&large));
     let mut journal = folder.open().journal;
-    journal.append(&before).expect("appends");
-    journal.append(&bytes).expect("appends");
+    journal.append(&before).expect("the append succeeds");
+    journal.append(&bytes).expect("the append succeeds");
     drop(journal);
     let OpenedJournal { journal, records, .. } = folder.open();
     assert_eq!(journal.size(), before.len() + bytes.len());
@@ -77,7 +77,7 @@
     let file = folder.0.join("journal");
     for kept in [bytes.len() - 1, bytes.len() / 2, 9, 1] {
         let torn = [&before[..], &bytes[..kept]].concat();
-        fs::write(&file, torn).expect("writes");
+        fs::write(&file, torn).expect("the file can be written");
         let OpenedJournal { journal, records, .. } = folder.open();
         assert!(
             records.iter().map(|(record, _)| record).eq([&ready]),
@@ -93,7 +93,9 @@
 fn list_size_estimate_is_never_too_small() {
     let longest = |number: usize| EndpointEntry {
         uid: format!("\u{1}\u{2}{number:04}"),
-        address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
+        address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535"
+            .parse()
+            .expect("the address is valid"),
         zone: "\u{3}".to_owned(),
         kind: "\u{4}".to_owned(),
         destination: u64::MAX,
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -58,7 +58,7 @@
 fn entry(uid: &str, state: EndpointState, status: HealthStatus) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
-        address: "127.0.0.1:8001".parse().expect("an address"),
+        address: "127.0.0.1:8001".parse().expect("the address is valid"),
         zone: string("z-1"),
         kind: string("m-1"),
         destination: 11,
@@ -72,7 +72,7 @@
 fn sparse_entry(uid: &str) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
-        address: "[2001:db8::1]:8002".parse().expect("an address"),
+        address: "[2001:db8::1]:8002".parse().expect("the address is valid"),
         zone: String::new(),
         kind: String::new(),
         destination: u64::MAX,
@@ -136,8 +136,8 @@
             endpoints: Vec::new(),
             origin: String::new(),
         }),
-        Record::DiscoverySuperseded { discovery: "127.0.0.1:7001".parse().expect("an address") },
-        Record::DiscoverySuperseded { discovery: "[::1]:7001".parse().expect("an address") },
+        Record::DiscoverySuperseded { discovery: "127.0.0.1:7001".parse().expect("the address is valid") },
+        Record::DiscoverySuperseded { discovery: "[::1]:7001".parse().expect("the address is valid") },
         Record::OperatorOverride { endpoint: string("u-1"), at: 10, ejected: true },
         Record::OperatorOverride { endpoint: string("u-2"), at: 11, ejected: false },
         Record::RetryAfter { destination: 1, endpoint: Some(string("u-1")), until: 12 },
@@ -181,11 +181,12 @@
 /// Returns the JSON text of each record in a file. A frame holds the length of its content, its checksum, and the
 /// length of its text.
 fn texts(mut file: &[u8]) -> String {
-    let number = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
+    let number =
+        |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("the slice has four bytes")) as usize;
     let mut texts = String::new();
     while !file.is_empty() {
         let (content, text) = (number(&file[..4]), number(&file[8..12]));
-        texts += std::str::from_utf8(&file[12..12 + text]).expect("text");
+        texts += std::str::from_utf8(&file[12..12 + text]).expect("the text is UTF-8");
         texts.push('\n');
         file = &file[8 + content..];
     }
@@ -198,7 +199,7 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 }
@@ -262,10 +263,11 @@
 fn folder_of_the_previous_version_opens_with_its_file_names() {
     let folder = Folder::new("stored-format");
     let (older, newest) = (folder.0.join("journal"), folder.0.join("journal.7"));
-    fs::write(&older, STORED).expect("writes");
-    fs::write(&newest, &STORED[..STORED.len() - 1]).expect("writes");
-    fs::write(folder.0.join("journal.7.new"), STORED).expect("writes");
-    let OpenedJournal { mut journal, records, mut other_journals } = Journal::open(&folder.0).expect("opens");
+    fs::write(&older, STORED).expect("the file can be written");
+    fs::write(&newest, &STORED[..STORED.len() - 1]).expect("the file can be written");
+    fs::write(folder.0.join("journal.7.new"), STORED).expect("the file can be written");
+    let OpenedJournal { mut journal, records, mut other_journals } =
+        Journal::open(&folder.0).expect("the journal opens");
     let expected = expected();
     assert_eq!((journal.generation(), other_journals.len()), (7, 1));
     assert!(records == expected[..expected.len() - 1], "the incomplete record must be truncated");
@@ -273,14 +275,14 @@
         !folder.0.join("journal.7.new").exists(),
         "the file of an interrupted compaction must be removed"
     );
-    let update = other_journals[0].read_new().expect("read").expect("the file exists");
+    let update = other_journals[0].read_new().expect("the journal can be read").expect("the file exists");
     assert_eq!((other_journals[0].generation(), update.ended, update.size), (0, true, STORED.len()));
     assert!(update.records == expected);
-    journal.append(&written(&expected[expected.len() - 1..])).expect("appends");
-    assert!(fs::read(&newest).expect("read") == STORED);
-    journal.rewrite(STORED).expect("rewrites");
-    assert!(fs::read(&newest).expect("read") == STORED);
-    let third = Journal::open(&folder.0).expect("opens").journal;
+    journal.append(&written(&expected[expected.len() - 1..])).expect("the append succeeds");
+    assert!(fs::read(&newest).expect("the journal can be read") == STORED);
+    journal.rewrite(STORED).expect("the compaction succeeds");
+    assert!(fs::read(&newest).expect("the journal can be read") == STORED);
+    let third = Journal::open(&folder.0).expect("the journal opens").journal;
     assert_eq!(third.generation(), 8);
     assert!(folder.0.join("journal.8").exists());
 }
--- a/crates/journal/tests/wire_records.rs
+++ b/crates/journal/tests/wire_records.rs
@@ -53,7 +53,7 @@
         Record::KeptLocal { message: id() },
         Record::HandedOver { message: id(), owner: "n2".to_owned(), at: 11 },
         Record::EndpointList(event),
-        Record::DiscoverySuperseded { discovery: "127.0.0.1:8500".parse().expect("an address") },
+        Record::DiscoverySuperseded { discovery: "127.0.0.1:8500".parse().expect("the address is valid") },
         Record::OperatorOverride { endpoint: "s-1".to_owned(), at: 12, ejected: true },
         Record::RetryAfter { destination: 3, endpoint: None, until: 13 },
         Record::RetryAfter { destination: 3, endpoint: Some("s-1".to_owned()), until: 14 },
@@ -85,9 +85,9 @@
 fn each_kind_of_record_is_read_as_before() {
     let mut file = BytesMut::new();
     for line in RECORDS.lines() {
-        let (head, text) = line.split_once(' ').expect("a head");
+        let (head, text) = line.split_once(' ').expect("the line has a head");
         let byte =
-            |index: usize| u8::from_str_radix(&head[2 * index..2 * index + 2], 16).expect("hex digits");
+            |index: usize| u8::from_str_radix(&head[2 * index..2 * index + 2], 16).expect("two hex digits");
         file.extend((0..12).map(byte));
         file.extend_from_slice(text.as_bytes());
     }
