--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -191,7 +191,7 @@
         };
         let owner = self.handovers.owner_of(number).unwrap_or_default();
         let id = self.messages.get(number).map_or("", |message| &message.accepted.id);
-        self.log(format!("handover of {id} to {owner} failed{doubt}: {reason}"));
+        self.log(format!("hand-over of {id} to {owner}{doubt}: {reason}"));
     }
 
     /// Finishes a message that its owner has accepted.
