--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -1,11 +1,11 @@
-//! Restarts of the reducer on what its journal holds.
+//! Restarts of the reducer from the content of its journal.
 
 mod common;
 
 use bytes::Bytes;
 use common::shape::Shape;
 use common::steps::Step;
-use common::world::{Still, World, followed, reducer};
+use common::world::{SilentCatalogue, World, reducer, watch_source};
 use common::{S, START};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
@@ -18,8 +18,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-// Guards against changes to a list being taken for the whole of it: the configuration's list was not in the
-// journal, so after a restart only the endpoints that had changed since were left.
+// Guards against changes of a list that are taken for the whole list. The configuration's list was not in the journal,
+// so after a restart only the endpoints that had changed since were left.
 #[test]
 fn restart_keeps_unchanged_endpoints() {
     let mut world = World::new();
@@ -27,10 +27,13 @@
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.fates["x"].taken_on && !world.links.is_empty(), "destination 2 is still known and dialled");
+    assert!(
+        world.messages["x"].accepted && !world.links.is_empty(),
+        "destination 2 must still be known, and a connection to it requested"
+    );
 }
 
-// Guards against a drain that a restart forgets: the configuration's list is older than what was told.
+// Guards against a restart that forgets a drain. The configuration's list is older than the one that discovery sent.
 #[test]
 fn restart_keeps_draining_endpoints() {
     let mut world = World::new();
@@ -38,19 +41,19 @@
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.fates["x"].taken_on && world.links.is_empty());
+    assert!(world.messages["x"].accepted && world.links.is_empty());
 }
 
-// Guards against a restart whose first append needs a rewrite: held before the messages were back, that rewrite
-// wrote a journal without them.
+// Guards against a restart whose first append causes a compaction. If it takes place before the messages are restored,
+// the compacted journal lacks them.
 #[test]
 fn restart_with_a_full_journal_loses_no_message() {
     let mut world = World::new();
-    // Nothing may go there: the message stays held.
+    // The endpoint drains, so the message stays undelivered.
     world.step(0, Step::List { which: 2, state: EndpointState::Draining });
     world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
-    let mut rewrites = 0;
+    let mut compactions = 0;
     for number in 0..2000 {
         world.submit(format!("m{number}"), false, 3, 10);
         world.wait(10_000);
@@ -60,9 +63,9 @@
             let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::TimerDue);
             for effect in first {
                 if let Effect::CompactJournal { bytes } = effect {
-                    rewrites += 1;
+                    compactions += 1;
                     let kept = |(record, _): &(Record, Bytes)| {
-                        matches!(record, Record::Accepted(taken) if taken.id == "kept")
+                        matches!(record, Record::Accepted(accepted) if accepted.id == "kept")
                             || matches!(record, Record::AnswerDecided { message, .. } if message == "kept")
                     };
                     assert!(replay(bytes).0.iter().any(kept), "after message {number}");
@@ -70,18 +73,18 @@
             }
         }
     }
-    assert!(rewrites > 0, "the case did not come up");
+    assert!(compactions > 0, "no restart caused a compaction, so the test checked nothing");
 }
 
-// Guards against a restart that goes back to the address given at the first start, which the reload superseded,
-// and against staying with the file when another address is given: that is newer.
+// Guards against a restart that returns to the address from the command line that a reload has superseded, and against
+// one that keeps the address from the file although another address was given on the command line, which is newer.
 #[test]
 fn restart_after_a_reload_keeps_the_files_discovery() {
     let config = |port: u16, given: Option<&str>| {
-        let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::targets());
-        Config::read(&text, None, given).expect("a configuration")
+        let text = common::config("127.0.0.1:1", &format!("127.0.0.1:{port}"), common::endpoint_entries());
+        Config::read(&text, None, given).expect("the configuration is valid")
     };
-    let asked = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
+    let watched_port = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
         let (records, whole) = replay(Bytes::copy_from_slice(file));
         let mut reducer = Reducer::new(config, 0, records, whole, START);
         let inputs = [Some(Input::TimerDue), reload.map(|config| Input::ConfigReloaded(Box::new(config)))];
@@ -89,7 +92,7 @@
         for effect in inputs.into_iter().flatten().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::StartWatch { from, .. } => port = followed(&from).0,
+                Effect::StartWatch { source, .. } => port = watch_source(&source).0,
                 _ => {}
             }
         }
@@ -97,34 +100,47 @@
     };
     let (old, new) = (Some("127.0.0.1:2"), Some("127.0.0.1:5"));
     let mut file = Vec::new();
-    assert_eq!(asked(&mut file, config(3, old), None), 2, "what is given comes first at a start");
-    assert_eq!(asked(&mut file, config(2, old), Some(config(3, old))), 3);
-    assert_eq!(asked(&mut file, config(4, old), None), 4, "the file as it is now");
-    assert_eq!(asked(&mut file, config(4, new), None), 5);
+    assert_eq!(
+        watched_port(&mut file, config(3, old), None),
+        2,
+        "the address from the command line must be used at the first start"
+    );
+    assert_eq!(watched_port(&mut file, config(2, old), Some(config(3, old))), 3);
+    assert_eq!(
+        watched_port(&mut file, config(4, old), None),
+        4,
+        "the current address from the file must be used"
+    );
+    assert_eq!(watched_port(&mut file, config(4, new), None), 5);
 }
 
-// Guards against a restart that drops what a catalogue told last for the configuration's list.
+// Guards against a restart that replaces the last list of a catalogue by the configuration's list.
 #[test]
 fn restart_keeps_the_last_catalogue_list() {
     let config = || {
-        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::targets());
-        let catalogue = Some(Rc::new(Still("c1")) as Rc<dyn Catalogue>);
-        Config { catalogue, ..Config::read(&text, None, None).expect("a configuration") }
+        let text = common::config("127.0.0.1:1", "127.0.0.1:2", common::endpoint_entries());
+        let catalogue = Some(Rc::new(SilentCatalogue("c1")) as Rc<dyn Catalogue>);
+        Config { catalogue, ..Config::read(&text, None, None).expect("the configuration is valid") }
     };
     let mut file = Vec::new();
     let mut held = Vec::new();
     for start in 0..2 {
         let (records, whole) = replay(Bytes::copy_from_slice(&file));
         let mut reducer = Reducer::new(config(), 0, records, whole, START);
-        let told = EndpointEntry { uid: format!("n1/web-{start}"), ..common::targets()[0].clone() };
-        let targets =
-            vec![EndpointEntry { state: EndpointState::Removed, ..common::targets()[3].clone() }, told];
-        let news = WatchEvent { version: 0, is_snapshot: false, endpoints: targets, origin: "c1".to_owned() };
-        let inputs = [Input::TimerDue, Input::WatchEvent { watch: 1, event: news }];
+        let added = EndpointEntry { uid: format!("n1/web-{start}"), ..common::endpoint_entries()[0].clone() };
+        let entries = vec![
+            EndpointEntry { state: EndpointState::Removed, ..common::endpoint_entries()[3].clone() },
+            added,
+        ];
+        let update =
+            WatchEvent { version: 0, is_snapshot: false, endpoints: entries, origin: "c1".to_owned() };
+        let inputs = [Input::TimerDue, Input::WatchEvent { watch: 1, event: update }];
         for effect in inputs.into_iter().flat_map(|input| reducer.step(START, input)) {
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
-                Effect::StartWatch { from: WatchSource::Catalogue { held: news, .. }, .. } => held.push(news),
+                Effect::StartWatch { source: WatchSource::Catalogue { list: sent, .. }, .. } => {
+                    held.push(sent)
+                }
                 _ => {}
             }
         }
@@ -133,8 +149,8 @@
     assert_eq!((held[0].endpoints.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
 }
 
-// Guards against a message that was taken on and stands in no file: where the journal was rewritten in the very step in
-// which the message's record had been appended, the new file did not have it.
+// Guards against an accepted message that is in no file. If the journal was compacted in the same step in which the
+// message's record was appended, the new file lacked the record.
 #[test]
 fn compaction_keeps_appends_of_the_same_step() {
     for size in (100..1300).step_by(60) {
@@ -142,8 +158,8 @@
         for number in 0..400 {
             world.submit(format!("m{number}"), true, 2, size);
             world.wait(5_000);
-            while let Some(link) = world.pick(0, |link| !link.up) {
-                world.links.get_mut(&link).expect("there").up = true;
+            while let Some(link) = world.pick_connection(0, |link| !link.up) {
+                world.links.get_mut(&link).expect("the connection exists").up = true;
                 world.input(Input::ConnectionUp { connection: link });
             }
             world.answer(0, 0);
@@ -152,8 +168,8 @@
     }
 }
 
-// Guards against a key, or the building of an attempt that may have run, that a kill forgets; and against a window
-// that begins anew with the process.
+// Guards against a kill that loses the idempotency key of a message or the zone of an attempt that may have delivered
+// it, and against a deduplication window that starts again with the process.
 #[test]
 fn kill_keeps_idempotency_key_zone_and_window() {
     for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * S, false, 1)] {
@@ -161,39 +177,55 @@
         world.submit("held".to_owned(), true, 2, 10);
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
-        assert_eq!(world.fates["held"].calls, 1);
-        let first = world.links.values().find(|l| l.call.is_some()).map(|l| l.sent.1.clone()).expect("out");
+        assert_eq!(world.messages["held"].calls, 1);
+        let first = world
+            .links
+            .values()
+            .find(|l| l.call.is_some())
+            .map(|l| l.sent.1.clone())
+            .expect("a call is in flight");
         world.now += pause;
         if moves {
-            // While the process is dead; it is at the other building under its name.
-            let place =
-                world.list.iter().position(|t| t.destination == 2 && t.zone == first).expect("listed");
-            world.rev += 1;
-            world.list[place].zone = if first == "a" { "b" } else { "a" }.to_owned();
+            // While the process is not running, the endpoint moves to the other zone and keeps its uid.
+            let index = world
+                .list
+                .iter()
+                .position(|t| t.destination == 2 && t.zone == first)
+                .expect("the endpoint is listed");
+            world.list_version += 1;
+            world.list[index].zone = if first == "a" { "b" } else { "a" }.to_owned();
         }
         world.restart();
         for _ in 0..40 {
             world.wait(50_000);
             world.step(1, Step::Connect { which: 0, up: true });
         }
-        assert_eq!(world.fates["held"].calls, calls, "again in its building and window alone, with its key");
+        assert_eq!(
+            world.messages["held"].calls, calls,
+            "the message must be repeated only in its zone and window, with its key"
+        );
         world.wait(5 * S);
         world.post(true);
-        assert_eq!(world.fates["held"].notice, Some(FinalAnswer::Failed), "nobody drops its repeat any more");
+        assert_eq!(
+            world.messages["held"].notification,
+            Some(FinalAnswer::Failed),
+            "the message must fail once no endpoint drops its repeat"
+        );
     }
 }
 
-/// A reducer of the second shape whose window for repeats is one second, on what a file holds: it is driven for a while,
-/// every dial comes up at once and nothing answers. When calls were written, and when which final answers were posted.
+/// Runs a reducer of the second deployment with a deduplication window of one second on the content of a file. Every
+/// connection is established immediately, and no endpoint replies. Returns when calls were written, and when which
+/// final answers were posted.
 fn with_a_short_window(
     file: &mut Vec<u8>,
     handed: Option<Submission>,
     from: Micros,
     span: Micros,
 ) -> (Vec<Micros>, Vec<(Micros, FinalAnswer)>) {
-    let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_targets());
+    let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_endpoint_entries());
     let text = text.replace("\"window_us\":2000000", "\"window_us\":1000000");
-    let config = Config::read(&text, None, None).expect("a configuration");
+    let config = Config::read(&text, None, None).expect("the configuration is valid");
     let (records, whole) = replay(Bytes::copy_from_slice(file));
     let mut reducer = Reducer::new(config, 0, records, whole, from);
     let (mut written, mut posted) = (Vec::new(), Vec::new());
@@ -204,16 +236,20 @@
         while let Some(input) = inputs.pop_front() {
             for effect in reducer.step(now, input) {
                 match effect {
-                    Effect::Append { append: receipt, bytes } => {
+                    Effect::Append { append: append_id, bytes } => {
                         file.extend_from_slice(&bytes);
-                        inputs.push_back(Input::Appended { append: receipt, stored: true, size: file.len() });
+                        inputs.push_back(Input::Appended {
+                            append: append_id,
+                            stored: true,
+                            size: file.len(),
+                        });
                     }
                     Effect::Connect { connection: link, .. } => {
                         inputs.push_back(Input::ConnectionUp { connection: link })
                     }
                     Effect::SendCall { .. } => written.push(now),
-                    Effect::PostNotifications { notifications: notices, .. } => {
-                        posted.extend(notices.into_iter().map(|(_, verdict)| (now, verdict)));
+                    Effect::PostNotifications { notifications: batch, .. } => {
+                        posted.extend(batch.into_iter().map(|(_, answer)| (now, answer)));
                         inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
                     _ => {}
@@ -226,8 +262,9 @@
     (written, posted)
 }
 
-// Guards against a window for repeats that a restart forgets, or counts from its own start: of one second, with the process
-// killed while the first attempt was out, a repeat goes within it and never after, and then the end is told at once.
+// Guards against a deduplication window that a restart loses or counts from its own start. The window is one second,
+// and the process is killed while the first attempt is in flight. A repeat may be sent only within the window, and
+// after the window the final answer is posted immediately.
 #[test]
 fn one_second_window_is_counted_across_a_restart() {
     for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
@@ -244,16 +281,19 @@
         };
         let mut file = Vec::new();
         let (written, _) = with_a_short_window(&mut file, Some(handed), START, 20_000);
-        assert_eq!(written.len(), 1, "it is out");
+        assert_eq!(written.len(), 1, "the first attempt must be in flight");
         let first = written[0];
         let (written, posted) = with_a_short_window(&mut file, None, first + gap, 4 * S);
         assert!(written.iter().all(|at| *at < first + S), "{gap}: {written:?} after {first}");
-        assert!(!written.is_empty() || !repeats || gap > 850_000, "{gap}: there was time for a repeat");
+        assert!(
+            !written.is_empty() || !repeats || gap > 850_000,
+            "{gap}: a repeat must be sent, because there was time for it"
+        );
         if written.is_empty() {
             let (at, _) = posted[0];
             assert!(
                 at <= first + gap.max(S) + 100_000,
-                "{gap}: told at {at}, {} after the start",
+                "{gap}: the final answer was posted at {at}, {} us after the start",
                 at - first - gap
             );
         }
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! A list of 100,000 entries in the journal: written, read back, and torn by a kill at any place.
+//! An endpoint list of 100,000 entries in the journal: written, read back, and left incomplete at any place by a kill.
 
 use bytes::BytesMut;
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointList, EndpointState, HealthStatus, WatchEvent};
@@ -8,10 +8,10 @@
 
 const LISTED: usize = 100_000;
 
-fn target(number: usize) -> EndpointEntry {
+fn entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         uid: format!("s-{number:08x}"),
-        address: "127.0.0.1:8000".parse().expect("an address"),
+        address: "127.0.0.1:8000".parse().expect("the address is valid"),
         zone: "a".to_owned(),
         kind: "one".to_owned(),
         destination: number as u64,
@@ -21,12 +21,12 @@
     }
 }
 
-fn list(rev: u64) -> Record {
-    let targets = (0..LISTED).map(target).collect();
+fn list(version_number: u64) -> Record {
+    let entries = (0..LISTED).map(entry).collect();
     Record::EndpointList(WatchEvent {
-        version: rev,
+        version: version_number,
         is_snapshot: true,
-        endpoints: targets,
+        endpoints: entries,
         origin: String::new(),
     })
 }
@@ -37,18 +37,18 @@
     bytes
 }
 
-/// A folder of its own, removed at the end.
+/// A folder for one test, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 
     fn open(&self) -> OpenedJournal {
-        Journal::open(&self.0).expect("opens")
+        Journal::open(&self.0).expect("the journal opens")
     }
 }
 
@@ -58,15 +58,16 @@
     }
 }
 
-// Guards against a list that can be written and not read, or that hides the records before it where it was torn.
+// Guards against a list that can be written but not read, and against an incomplete list that hides the records before
+// it.
 #[test]
 fn large_list_round_trips_or_is_torn_as_any_record() {
     let folder = Folder::new("large-lists");
     let (ready, large) = (Record::ProcessStage { stage: ProcessStage::Ready }, list(7));
     let (before, bytes) = (bytes_of(&ready), bytes_of(&large));
     let mut journal = folder.open().journal;
-    journal.append(&before).expect("appends");
-    journal.append(&bytes).expect("appends");
+    journal.append(&before).expect("the append succeeds");
+    journal.append(&bytes).expect("the append succeeds");
     drop(journal);
     let OpenedJournal { journal, records, .. } = folder.open();
     assert_eq!(journal.size(), before.len() + bytes.len());
@@ -76,19 +77,25 @@
     let file = folder.0.join("journal");
     for kept in [bytes.len() - 1, bytes.len() / 2, 9, 1] {
         let torn = [&before[..], &bytes[..kept]].concat();
-        fs::write(&file, torn).expect("writes");
+        fs::write(&file, torn).expect("the file can be written");
         let OpenedJournal { journal, records, .. } = folder.open();
-        assert!(records.iter().map(|(record, _)| record).eq([&ready]), "{kept} bytes of it");
-        assert_eq!(journal.size(), before.len(), "the torn tail is cut off");
+        assert!(
+            records.iter().map(|(record, _)| record).eq([&ready]),
+            "with {kept} bytes of the list's record"
+        );
+        assert_eq!(journal.size(), before.len(), "the incomplete record must be truncated");
     }
 }
 
-// Guards against a snapshot that is larger than was reckoned with: old file and new one would pass the folder's limit.
+// Guards against a snapshot that is larger than its estimate. The old and the new file would then exceed the folder's
+// limit.
 #[test]
 fn list_size_estimate_is_never_too_small() {
     let longest = |number: usize| EndpointEntry {
         uid: format!("\u{1}\u{2}{number:04}"),
-        address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535".parse().expect("an address"),
+        address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff%4294967295]:65535"
+            .parse()
+            .expect("the address is valid"),
         zone: "\u{3}".to_owned(),
         kind: "\u{4}".to_owned(),
         destination: u64::MAX,
@@ -96,24 +103,24 @@
         capacity_hint: -f64::MIN_POSITIVE,
         health: HealthStatus::Critical,
     };
-    let mut map = EndpointList::default();
-    let mut check = |targets: Vec<EndpointEntry>| {
-        map.apply(&WatchEvent {
+    let mut list = EndpointList::default();
+    let mut check = |entries: Vec<EndpointEntry>| {
+        list.apply(&WatchEvent {
             version: u64::MAX,
             is_snapshot: false,
-            endpoints: targets,
+            endpoints: entries,
             origin: "consul:1".to_owned(),
         });
-        let (size, written) = (map.size(), bytes_of(&Record::EndpointList(map.snapshot())).len());
-        assert!(size >= written, "{} entries: {size} for {written}", map.len());
-        assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", map.len());
+        let (size, written) = (list.size(), bytes_of(&Record::EndpointList(list.snapshot())).len());
+        assert!(size >= written, "{} entries: {size} for {written}", list.len());
+        assert!(size <= 300 + 2 * written, "{} entries: {size} for {written}", list.len());
     };
     check((0..1000).map(longest).collect());
-    check((0..100).map(target).collect());
+    check((0..100).map(entry).collect());
     check(
         (0..1000).map(|number| EndpointEntry { state: EndpointState::Removed, ..longest(number) }).collect(),
     );
-    let gone = |number| EndpointEntry { state: EndpointState::Removed, ..target(number) };
+    let gone = |number| EndpointEntry { state: EndpointState::Removed, ..entry(number) };
     check((0..100).map(gone).collect());
-    assert_eq!(map.len(), 0);
+    assert_eq!(list.len(), 0);
 }
--- a/crates/journal/tests/stored_format.rs
+++ b/crates/journal/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Protects journals of earlier versions: a file that they wrote is read with every field of every kind of record, and
-//! the same records are written as the same bytes, under the same names of files.
+//! Protects journals of earlier versions. A file that they wrote is read with every field of every kind of record. The
+//! same records are written as the same bytes, and the files have the same names.
 
 use bytes::{Bytes, BytesMut};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
@@ -10,23 +10,23 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// The journal as it was written before.
+/// A journal file that an earlier version wrote.
 const STORED: &[u8] = include_bytes!("fixtures/journal");
-/// The texts of its records, one a line.
+/// The JSON texts of its records, one per line.
 const TEXTS: &str = include_str!("fixtures/journal.jsonl");
 
 fn string(text: &str) -> String {
     text.to_owned()
 }
 
-fn trace(at: i64, uid: &str, az: &str) -> AttemptStart {
-    AttemptStart { started_at: at, endpoint: string(uid), zone: string(az) }
+fn attempt_start(at: i64, uid: &str, zone: &str) -> AttemptStart {
+    AttemptStart { started_at: at, endpoint: string(uid), zone: string(zone) }
 }
 
-/// A message with nothing that may be left out.
-fn bare(txn: &str) -> AcceptedMessage {
+/// A message without any optional field.
+fn minimal_message(id: &str) -> AcceptedMessage {
     AcceptedMessage {
-        id: string(txn),
+        id: string(id),
         class: string("c-2"),
         tenant: String::new(),
         idempotency_key: None,
@@ -39,40 +39,40 @@
     }
 }
 
-/// A message with all that there may be beside its key. Its custody is in records of its own.
-fn full(txn: &str) -> AcceptedMessage {
+/// A message with every optional field except its idempotency key. Its handover is in records of its own.
+fn full_message(id: &str) -> AcceptedMessage {
     AcceptedMessage {
-        id: string(txn),
+        id: string(id),
         class: string("c-1"),
         tenant: string("o \"1\""),
         idempotency_key: None,
         destination: u64::MAX,
         deadline: 1_800_000_008_000_000,
         attempts: 3,
-        possible_delivery: Some(trace(1_800_000_000_000_001, "u-1", "z-1")),
-        in_flight: Some(trace(1_800_000_000_000_002, "u-2", "")),
+        possible_delivery: Some(attempt_start(1_800_000_000_000_001, "u-1", "z-1")),
+        in_flight: Some(attempt_start(1_800_000_000_000_002, "u-2", "")),
         handover: HandoverState::default(),
     }
 }
 
-fn target(uid: &str, state: EndpointState, checks: HealthStatus) -> EndpointEntry {
+fn entry(uid: &str, state: EndpointState, status: HealthStatus) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
-        address: "127.0.0.1:8001".parse().expect("an address"),
+        address: "127.0.0.1:8001".parse().expect("the address is valid"),
         zone: string("z-1"),
         kind: string("m-1"),
         destination: 11,
         state,
         capacity_hint: 20.0,
-        health: checks,
+        health: status,
     }
 }
 
-/// An endpoint whose optional parts are empty, at an address of the other kind.
-fn sparse_target(uid: &str) -> EndpointEntry {
+/// An endpoint whose optional parts are empty, with an IPv6 address.
+fn sparse_entry(uid: &str) -> EndpointEntry {
     EndpointEntry {
         uid: string(uid),
-        address: "[2001:db8::1]:8002".parse().expect("an address"),
+        address: "[2001:db8::1]:8002".parse().expect("the address is valid"),
         zone: String::new(),
         kind: String::new(),
         destination: u64::MAX,
@@ -82,27 +82,27 @@
     }
 }
 
-/// What the file holds: each record with its body, in its order.
+/// Returns the expected records of the file with their bodies, in the order of the file.
 fn expected() -> Vec<(Record, Bytes)> {
     let long_body: Vec<u8> = (0..=255).collect();
     let bodies = [Bytes::from_static(b"{\"is\":\"body\"}\n"), long_body.into()];
     let [text_body, long_body] = bodies;
-    let whole = vec![
-        target("u-1", EndpointState::Active, HealthStatus::Warning),
-        target("u-2", EndpointState::Draining, HealthStatus::Critical),
-        sparse_target("u-3"),
+    let all_entries = vec![
+        entry("u-1", EndpointState::Active, HealthStatus::Warning),
+        entry("u-2", EndpointState::Draining, HealthStatus::Critical),
+        sparse_entry("u-3"),
     ];
     let changes = vec![
-        target("u-1", EndpointState::Removed, HealthStatus::Passing),
-        target("u \"\u{e9}\u{1}\"", EndpointState::Active, HealthStatus::Passing),
+        entry("u-1", EndpointState::Removed, HealthStatus::Passing),
+        entry("u \"\u{e9}\u{1}\"", EndpointState::Active, HealthStatus::Passing),
     ];
     let (first, second) = (string("t-1"), string("t-2"));
     let plain = [
         Record::AttemptStarted {
             messages: vec![first.clone(), second.clone()],
-            attempt: trace(5, "u-1", "z-1"),
+            attempt: attempt_start(5, "u-1", "z-1"),
         },
-        Record::AttemptStarted { messages: vec![first.clone()], attempt: trace(i64::MAX, "u-2", "") },
+        Record::AttemptStarted { messages: vec![first.clone()], attempt: attempt_start(i64::MAX, "u-2", "") },
         Record::AttemptInDoubt { message: first.clone() },
         Record::AttemptNotDelivered { message: second.clone() },
         Record::AttemptNotSent { message: string("t \"3\"") },
@@ -121,7 +121,7 @@
         Record::EndpointList(WatchEvent {
             version: 12,
             is_snapshot: true,
-            endpoints: whole,
+            endpoints: all_entries,
             origin: string("consul:0a1b2c3d.1f"),
         }),
         Record::EndpointList(WatchEvent {
@@ -136,8 +136,8 @@
             endpoints: Vec::new(),
             origin: String::new(),
         }),
-        Record::DiscoverySuperseded { discovery: "127.0.0.1:7001".parse().expect("an address") },
-        Record::DiscoverySuperseded { discovery: "[::1]:7001".parse().expect("an address") },
+        Record::DiscoverySuperseded { discovery: "127.0.0.1:7001".parse().expect("the address is valid") },
+        Record::DiscoverySuperseded { discovery: "[::1]:7001".parse().expect("the address is valid") },
         Record::OperatorOverride { endpoint: string("u-1"), at: 10, ejected: true },
         Record::OperatorOverride { endpoint: string("u-2"), at: 11, ejected: false },
         Record::RetryAfter { destination: 1, endpoint: Some(string("u-1")), until: 12 },
@@ -151,19 +151,25 @@
         },
         Record::FaultyRoutes { destinations: Vec::new(), routes: Vec::new() },
     ];
-    let taken = [
-        (Record::Accepted(bare("t-1")), Bytes::new()),
-        (Record::Accepted(full("t-2")), text_body),
+    let accepted = [
+        (Record::Accepted(minimal_message("t-1")), Bytes::new()),
+        (Record::Accepted(full_message("t-2")), text_body),
         (
-            Record::Accepted(AcceptedMessage { idempotency_key: Some(string("k \"1\"")), ..full("t-3") }),
+            Record::Accepted(AcceptedMessage {
+                idempotency_key: Some(string("k \"1\"")),
+                ..full_message("t-3")
+            }),
             long_body,
         ),
         (
-            Record::Accepted(AcceptedMessage { idempotency_key: Some(String::new()), ..bare("t-4") }),
+            Record::Accepted(AcceptedMessage {
+                idempotency_key: Some(String::new()),
+                ..minimal_message("t-4")
+            }),
             Bytes::from_static(b"\0"),
         ),
     ];
-    taken.into_iter().chain(plain.map(|record| (record, Bytes::new()))).collect()
+    accepted.into_iter().chain(plain.map(|record| (record, Bytes::new()))).collect()
 }
 
 fn written(records: &[(Record, Bytes)]) -> BytesMut {
@@ -172,26 +178,28 @@
     bytes
 }
 
-/// The text of each record, as the frames of a file hold them: the content's length, its sum, the text's length.
+/// Returns the JSON text of each record in a file. A frame holds the length of its content, its checksum, and the
+/// length of its text.
 fn texts(mut file: &[u8]) -> String {
-    let number = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
+    let number =
+        |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("the slice has four bytes")) as usize;
     let mut texts = String::new();
     while !file.is_empty() {
         let (content, text) = (number(&file[..4]), number(&file[8..12]));
-        texts += std::str::from_utf8(&file[12..12 + text]).expect("text");
+        texts += std::str::from_utf8(&file[12..12 + text]).expect("the text is UTF-8");
         texts.push('\n');
         file = &file[8 + content..];
     }
     texts
 }
 
-/// A folder of its own, removed at the end.
+/// A folder for one test, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 }
@@ -208,8 +216,8 @@
     assert!(unreadable.is_none(), "{unreadable:?}");
     assert_eq!(complete_bytes, STORED.len());
     let expected = expected();
-    for (place, (read, expected)) in records.iter().zip(&expected).enumerate() {
-        assert_eq!(read, expected, "record {place}");
+    for (index, (read, expected)) in records.iter().zip(&expected).enumerate() {
+        assert_eq!(read, expected, "record {index}");
     }
     assert_eq!(records.len(), expected.len());
 }
@@ -218,9 +226,9 @@
 fn stored_records_encode_to_the_same_bytes() {
     let expected = expected();
     let lines = TEXTS.lines().zip(&expected);
-    for (place, (line, record)) in lines.enumerate() {
+    for (index, (line, record)) in lines.enumerate() {
         let bytes = written(std::slice::from_ref(record));
-        assert_eq!(texts(&bytes).trim_end_matches('\n'), line, "record {place}");
+        assert_eq!(texts(&bytes).trim_end_matches('\n'), line, "record {index}");
     }
     assert_eq!(texts(STORED), TEXTS);
     assert!(written(&expected) == STORED, "frames or bodies differ");
@@ -232,45 +240,49 @@
     assert!(written(&records) == STORED);
 }
 
-// Guards against custody that a snapshot holds in other records than before.
+// Guards against a snapshot that stores a message's handover state in other records than earlier versions did.
 #[test]
 fn handover_state_is_written_as_its_records() {
-    let custody = HandoverState {
+    let handover_state = HandoverState {
         offered: Some(HandoverOffer { owner: string("f-2"), offered_at: 8 }),
         kept_local: true,
     };
-    let records = AcceptedMessage { handover: custody, ..bare("t-2") }.handover_records();
-    let (to, txn) = (string("f-2"), string("t-2"));
+    let records = AcceptedMessage { handover: handover_state, ..minimal_message("t-2") }.handover_records();
+    let (to, id) = (string("f-2"), string("t-2"));
     assert_eq!(
         records,
         [
-            Record::HandoverOffered { message: txn.clone(), owner: to, at: 8 },
-            Record::KeptLocal { message: txn }
+            Record::HandoverOffered { message: id.clone(), owner: to, at: 8 },
+            Record::KeptLocal { message: id }
         ]
     );
-    assert_eq!(bare("t-2").handover_records(), []);
+    assert_eq!(minimal_message("t-2").handover_records(), []);
 }
 
 #[test]
 fn folder_of_the_previous_version_opens_with_its_file_names() {
     let folder = Folder::new("stored-format");
     let (older, newest) = (folder.0.join("journal"), folder.0.join("journal.7"));
-    fs::write(&older, STORED).expect("writes");
-    fs::write(&newest, &STORED[..STORED.len() - 1]).expect("writes");
-    fs::write(folder.0.join("journal.7.new"), STORED).expect("writes");
-    let OpenedJournal { mut journal, records, mut other_journals } = Journal::open(&folder.0).expect("opens");
+    fs::write(&older, STORED).expect("the file can be written");
+    fs::write(&newest, &STORED[..STORED.len() - 1]).expect("the file can be written");
+    fs::write(folder.0.join("journal.7.new"), STORED).expect("the file can be written");
+    let OpenedJournal { mut journal, records, mut other_journals } =
+        Journal::open(&folder.0).expect("the journal opens");
     let expected = expected();
     assert_eq!((journal.generation(), other_journals.len()), (7, 1));
-    assert!(records == expected[..expected.len() - 1], "the torn one is cut off");
-    assert!(!folder.0.join("journal.7.new").exists(), "a rewrite that was cut short is gone");
-    let look = other_journals[0].read_new().expect("read").expect("there");
-    assert_eq!((other_journals[0].generation(), look.ended, look.size), (0, true, STORED.len()));
-    assert!(look.records == expected);
-    journal.append(&written(&expected[expected.len() - 1..])).expect("appends");
-    assert!(fs::read(&newest).expect("read") == STORED);
-    journal.rewrite(STORED).expect("rewrites");
-    assert!(fs::read(&newest).expect("read") == STORED);
-    let beside = Journal::open(&folder.0).expect("opens").journal;
-    assert_eq!(beside.generation(), 8);
+    assert!(records == expected[..expected.len() - 1], "the incomplete record must be truncated");
+    assert!(
+        !folder.0.join("journal.7.new").exists(),
+        "the file of an interrupted compaction must be removed"
+    );
+    let update = other_journals[0].read_new().expect("the journal can be read").expect("the file exists");
+    assert_eq!((other_journals[0].generation(), update.ended, update.size), (0, true, STORED.len()));
+    assert!(update.records == expected);
+    journal.append(&written(&expected[expected.len() - 1..])).expect("the append succeeds");
+    assert!(fs::read(&newest).expect("the journal can be read") == STORED);
+    journal.rewrite(STORED).expect("the compaction succeeds");
+    assert!(fs::read(&newest).expect("the journal can be read") == STORED);
+    let third = Journal::open(&folder.0).expect("the journal opens").journal;
+    assert_eq!(third.generation(), 8);
     assert!(folder.0.join("journal.8").exists());
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -141,7 +141,7 @@
 fn folder_with_config(name: &str, endpoint: SocketAddr, discovery: SocketAddr) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("orchidyoke-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("folder created");
-    let mut targets = common::targets();
+    let mut targets = common::endpoint_entries();
     targets[2].address = endpoint;
     let text = common::config("127.0.0.1:0", &discovery.to_string(), targets);
     std::fs::write(folder.join("config.json"), text).expect("file written");
