--- a/crates/forwarder/src/catalogue.rs
+++ b/crates/forwarder/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! A source of the endpoint list beside discovery: the trait that one implements, and the sender for its updates.
+//! The trait of a source of the endpoint list other than discovery, and the sender for its updates.
 
 use orchidyoke_core::endpoint_list::WatchEvent;
 use std::fmt;
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// Delivers the events of one watch.
+/// Passes the events of one watch to the forwarder.
 #[derive(Clone)]
 pub struct UpdateSender(Rc<dyn Fn(WatchEvent)>);
 
@@ -17,12 +17,12 @@
 }
 
 impl UpdateSender {
-    /// A sender that passes each event to `deliver`.
+    /// Returns a sender that passes each event to `deliver`.
     pub fn new(deliver: impl Fn(WatchEvent) + 'static) -> Self {
         UpdateSender(Rc::new(deliver))
     }
 
-    /// Delivers an event.
+    /// Passes an event on.
     pub fn send(&self, event: WatchEvent) {
         (self.0)(event);
     }
@@ -30,14 +30,16 @@
 
 /// A catalogue of endpoints with their health, such as Consul's.
 ///
-/// One task on the forwarder's thread follows it. The task is dropped when another watch takes its place or the forwarder
-/// ends; dropping it has to end all that belongs to it.
+/// One task on the forwarder's thread follows the catalogue. The forwarder drops the task when another watch replaces
+/// it or when the forwarder ends. Dropping the future of [`Catalogue::follow`] must end everything that it has
+/// started.
 pub trait Catalogue: fmt::Debug {
-    /// Identifies the catalogue and all its settings: a reload with the same id has changed nothing.
+    /// Returns a text that identifies the catalogue and all its settings. The same id after a reload means that nothing
+    /// has changed.
     fn id(&self) -> &str;
 
-    /// Follows the catalogue, starting from the list `held`, and sends changes to that list, with versions that go on from
-    /// its own. A silent catalogue must not empty the list. Ends with the reason in one line; the caller may follow it
-    /// again.
+    /// Follows the catalogue from the endpoint list `held` on. Sends the changes to that list, with versions that
+    /// continue from the version of `held`. A catalogue that does not answer must not empty the list. The future ends
+    /// with the reason, in one line; the caller may then call this again.
     fn follow(&self, held: WatchEvent, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
 }
--- a/crates/forwarder/src/client_api.rs
+++ b/crates/forwarder/src/client_api.rs
@@ -1,7 +1,8 @@
-//! The HTTP API for clients: reads a request into a [`Submission`] and writes the reducer's [`SubmitAnswer`] as a response.
+//! The HTTP API for clients: reads a request into a [`Submission`] and writes the reducer's [`SubmitAnswer`] as a
+//! response.
 //!
-//! Used by each client connection. Nothing else in the forwarder depends on this protocol: another API would submit the
-//! same values and map the same answers to responses of its own.
+//! Each client connection uses this module. Nothing else in the forwarder depends on the protocol. Another API would
+//! submit the same values and map the same answers to its own responses.
 
 use crate::input::{IDEMPOTENCY_KEY, Input, RequestId, Submission, SubmitAnswer};
 use crate::ownership::ReceivedMark;
@@ -20,16 +21,16 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-/// Largest body that the protocol allows.
+/// Largest body that the protocol allows, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Longest id, tenant or other header value that is accepted.
+/// Longest id, tenant or other header value that is accepted, in bytes.
 const MAX_FIELD_BYTES: usize = 256;
-/// Time left to deliver a message, in seconds: no class allows a day.
+/// Accepted time left to deliver a message, in seconds. No class allows as much as a day.
 const TIME_LEFT_SECONDS: RangeInclusive<f64> = 0.0..=86_400.0;
-/// Time for a body to arrive. A client itself gives up 400 ms after its request.
+/// Limit on the time until a body has arrived. A client gives up 400 ms after it has sent its request.
 const BODY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Connects client requests with the reducer.
+/// Passes client requests to the reducer and its answers back.
 pub struct ClientGateway {
     inputs: UnboundedSender<Input>,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<SubmitAnswer>>>,
@@ -37,12 +38,12 @@
 }
 
 impl ClientGateway {
-    /// A gateway to the reducer behind `inputs`.
+    /// Returns a gateway to the reducer that receives `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
         Rc::new(ClientGateway { inputs, waiting: RefCell::default(), next_request: Cell::new(0) })
     }
 
-    /// Answers a waiting request. Does nothing if its client is gone.
+    /// Answers a waiting request. Does nothing if its client has closed the connection.
     pub fn answer(&self, request: RequestId, answer: SubmitAnswer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
             let _ = waiting.send(answer);
@@ -59,14 +60,15 @@
         receiver.await.unwrap_or(SubmitAnswer::Failed)
     }
 
-    /// Reports to the reducer.
+    /// Sends an input to the reducer.
     pub fn report(&self, input: Input) {
-        // The receiver is gone only when the forwarder ends.
+        // The channel is closed only when the forwarder ends.
         let _ = self.inputs.send(input);
     }
 }
 
-/// A request that waits for its answer. Dropped without one, its client has closed the connection.
+/// A request that waits for its answer. A drop before the answer means that the client has closed the connection; the
+/// reducer then receives [`Input::Withdrawn`].
 struct WaitingRequest<'a> {
     gateway: &'a ClientGateway,
     request: RequestId,
@@ -80,7 +82,7 @@
     }
 }
 
-/// A request that breaks the protocol: its response.
+/// The response to a request that violates the protocol.
 #[derive(Debug, PartialEq)]
 struct RequestError {
     status: StatusCode,
@@ -95,7 +97,7 @@
         RequestError { status: StatusCode::BAD_REQUEST, text }
     }
 
-    /// The response, which ends the connection: its client does not keep to the protocol.
+    /// Builds the response, which also closes the connection, because its client does not follow the protocol.
     fn into_response(self) -> Response<Full<Bytes>> {
         let mut response = plain_response(self.status, self.text);
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -109,15 +111,16 @@
     response
 }
 
-/// Answers one request: submits the message in it, or reports the process's health. `is_shutting_down`: the process accepts
-/// no more clients, and `/healthz` says so.
+/// Answers one request: submits its message to the reducer, or reports the health of the process. With
+/// `is_shutting_down`, `/healthz` answers that the process accepts no more clients.
 pub async fn respond(
     gateway: &ClientGateway,
     request: Request<Incoming>,
     is_shutting_down: bool,
 ) -> Response<Full<Bytes>> {
     if request.headers().contains_key(TRANSFER_ENCODING) {
-        // Beside a Content-Length it may hide another request in the body, and the library keeps only one of them.
+        // A request with both Transfer-Encoding and Content-Length can smuggle another request in its body, and hyper
+        // keeps only one of the two headers.
         let text = "Content-Length alone says where a body ends\n";
         return RequestError { status: StatusCode::LENGTH_REQUIRED, text }.into_response();
     }
@@ -150,7 +153,7 @@
     let class = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let mut message = parse_head(class, &parts.headers)?;
     message.body = read_body(body).await?;
-    // The time to deliver it counts from when the client sent it.
+    // The time left counts from the start of the request, not from the end of its body.
     message.time_left -= received_at.elapsed().as_micros() as Micros;
     Ok(message)
 }
@@ -167,12 +170,12 @@
             RequestError::bad_request("the body could not be read\n")
         }
     })?;
-    // A slice of the read buffer would keep all of that buffer in memory for as long as the message.
+    // A slice would keep the whole read buffer in memory for as long as the message.
     Ok(Bytes::copy_from_slice(&body.to_bytes()))
 }
 
-/// Reads the headers of a message; its body is left empty. Whether its class needs an idempotency key and the deployment
-/// a tenant is the reducer's to check.
+/// Reads the headers of a message and leaves its body empty. The reducer checks whether the class needs an
+/// idempotency key and whether the deployment needs a tenant.
 fn parse_head(class: &str, headers: &HeaderMap) -> Result<Submission, RequestError> {
     let id = text_field(headers, "X-Txn");
     let id = id.ok_or(RequestError::bad_request("X-Txn: missing or malformed\n"))?;
@@ -196,7 +199,7 @@
     })
 }
 
-/// The key as it came, to be forwarded unchanged.
+/// Returns the idempotency key as received; endpoints get it unchanged.
 fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, RequestError> {
     let key = single_value(headers, IDEMPOTENCY_KEY, Repetition::AllowedIfEqual);
     let key = key.map_err(|_| RequestError::bad_request("Idempotency-Key: two that differ\n"))?;
@@ -214,7 +217,7 @@
     Ok((seconds * 1e6) as Micros)
 }
 
-/// The number behind `dest=` in the pairs of `X-Consignee`.
+/// Returns the number after `dest=` in the pairs of `X-Consignee`.
 fn parse_destination(headers: &HeaderMap) -> Result<DestinationId, RequestError> {
     let consignee = text_field(headers, "X-Consignee");
     let consignee = consignee.ok_or(RequestError::bad_request("X-Consignee: missing or malformed\n"))?;
@@ -224,22 +227,23 @@
     number.ok_or(RequestError::bad_request("X-Consignee: no dest=NUMBER in it\n"))
 }
 
-/// A header's text without surrounding blanks; none if it is absent, empty, too long, not text or there twice.
+/// Returns a header's text without surrounding blanks. Returns `None` if the header is absent, empty, too long, not
+/// text or present twice.
 fn text_field(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = single_value(headers, name, Repetition::Forbidden).ok().flatten()?;
     let text = value.to_str().unwrap_or_default().trim();
     (!text.is_empty() && text.len() <= MAX_FIELD_BYTES).then(|| text.to_owned())
 }
 
-/// Whether a header may be there more than once.
+/// Whether a header may occur more than once.
 #[derive(Clone, Copy, PartialEq)]
 enum Repetition {
     Forbidden,
-    /// The same value again says nothing new.
+    /// Accepts repeated headers whose values are equal.
     AllowedIfEqual,
 }
 
-/// A header is there more than once, and another reader could take another of its values.
+/// The error for a header that occurs more than once, so that another reader could use a different one of its values.
 struct AmbiguousHeader;
 
 fn single_value<'a>(
@@ -266,7 +270,7 @@
     }
 }
 
-/// A rejection, with `Retry-After` in decimal seconds unless it is 0.
+/// Builds a rejection, with `Retry-After` in decimal seconds unless `retry_after` is 0.
 fn rejected_response(retry_after: Micros) -> Response<Full<Bytes>> {
     let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "deferred\n");
     if retry_after >= 1
--- a/crates/forwarder/src/client_connection.rs
+++ b/crates/forwarder/src/client_connection.rs
@@ -1,8 +1,9 @@
 //! One client connection: serves its requests and closes it without losing an answer.
 //!
-//! Every close lingers (RFC 9112, section 9.6): nothing more is read as a request once the close is decided on, what was
-//! read whole is answered, the sending side is shut, and what the client still sends is read and dropped until it closes
-//! too. A close over unread bytes would reset the connection, and an answer not yet read would be lost with it.
+//! Every close is a lingering close (RFC 9112, section 9.6). Once the close is decided, no further request is read.
+//! Requests that have been read whole are answered. Then the sending side is shut down, and whatever the client still
+//! sends is read and discarded until the client closes too. A close with unread bytes would reset the connection, and
+//! an answer that the client has not yet read would be lost.
 
 use crate::client_api::{ClientGateway, respond};
 use crate::client_connections::{ClientConnections, EvictionSignals};
@@ -28,24 +29,26 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time for a request's head, from the connection or the last answer. Together with the time for a body, a client has its
-/// answer or its close within 3 s of connecting. Longer than the 2 s for which a client may rely on an idle connection.
+/// Limit on the time until a request's head has arrived, from the connection's start or the last answer. Together
+/// with the limit for a body, it gives a client its answer or its close within 3 s of connecting. It exceeds the 2 s
+/// for which a client may rely on an idle connection.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// Bytes read ahead for one client.
+/// Most bytes that are read ahead for one client.
 const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
-/// In a shutdown: time for the rest of a request whose first bytes have come, and to send the last bytes of an answer.
+/// In a shutdown, limit on the time to receive the rest of a request whose first bytes have arrived, and on the time to
+/// send the last bytes of an answer.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(50);
-/// In a shutdown: time for the answer to a request that waits for the journal or the reducer, more than a client's 400 ms.
-/// A request that is cut off then is withdrawn, and not accepted.
+/// In a shutdown, limit on the time until a request that waits for the journal or the reducer is answered. It exceeds
+/// the 400 ms after which a client gives up. A request without an answer by then is withdrawn and not accepted.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A lingering close lasts at most so long.
+/// Longest duration of a lingering close.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(5);
-/// A lingering close ends when nothing has come for so long.
+/// Time without received bytes after which a lingering close ends.
 const LINGER_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A lingering close reads at most so much.
+/// Most bytes that a lingering close reads.
 const MAX_LINGER_BYTES: usize = 64 << 20;
 
-/// An open connection, registered for as long as this exists: also when its task panics.
+/// An open connection. It stays registered until this value is dropped, which also happens when its task panics.
 struct ClientConnection {
     id: ConnectionId,
     connections: Rc<ClientConnections>,
@@ -82,21 +85,21 @@
         response
     }
 
-    /// Waits until the connection has to close: for another one, or in a shutdown.
+    /// Waits until the connection has to close, to make room for another connection or in a shutdown.
     async fn close_requested(&self) {
         let mut shutting_down = self.connections.subscribe_shutdown();
         tokio::select! {
             () = self.signals.close.notified() => {}
             _ = shutting_down.wait_for(|shutting_down| *shutting_down) => if !self.has_sent_request.get() {
-                // It has only just connected: its request is on its way.
+                // The first request of a new connection may still be on its way.
                 sleep(LAST_BYTES_TIMEOUT).await;
             },
         }
-        // What has come by now is still read.
+        // Lets the connection's task read what has arrived by now.
         tokio::task::yield_now().await;
     }
 
-    /// Gives a connection that is shutting down its last answer.
+    /// Polls a connection that is shutting down until its last answer is sent or a time limit has passed.
     async fn finish(&self, connection: impl Future<Output = hyper::Result<()>>) -> hyper::Result<()> {
         let mut connection = pin!(connection);
         let answer_due = Instant::now() + LAST_ANSWER_TIMEOUT;
@@ -117,7 +120,7 @@
     }
 }
 
-/// Serves a connection to its end in a task of its own: an error there, a panic included, ends this connection alone.
+/// Spawns a task that serves a connection to its end. An error or a panic in the task ends only this connection.
 pub(crate) fn spawn_connection(
     stream: TcpStream,
     gateway: &Rc<ClientGateway>,
@@ -132,8 +135,8 @@
     });
 }
 
-/// Serves requests until the connection has to be closed, on either side's account, and returns its socket. What has been
-/// read whole by then is answered.
+/// Serves requests until the client or the forwarder ends the connection, and returns its socket. Requests that have
+/// been read whole by then are answered.
 async fn serve(stream: TcpStream, client: &Rc<ClientConnection>) -> TcpStream {
     let service = service_fn(|request| {
         let client = client.clone();
@@ -142,7 +145,7 @@
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        // A client that has shut its sending side still wants its answer.
+        // A client that has shut down its sending side still waits for its answer.
         .half_close(true)
         .max_buf_size(MAX_READ_AHEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
@@ -167,11 +170,11 @@
     connection.into_parts().io.into_inner()
 }
 
-/// Closes the sending side, so that the client reads its last answer, and discards what still comes until the client has
-/// closed too, or the connection is cut.
+/// Shuts down the sending side, so that the client reads its last answer. Then discards what the client still sends,
+/// until the client has closed too, a limit is reached, or the connection is evicted.
 async fn linger(mut stream: TcpStream, client: &ClientConnection) {
     client.connections.on_lingering(client.id);
-    // Whether the client has read its answer is its own affair from here on.
+    // An error here is ignored: the forwarder has sent everything that it owes the client.
     tokio::select! {
         _ = timeout(LINGER_TIMEOUT, close_and_discard(&mut stream, &client.connections)) => {}
         () = client.signals.cut.notified() => {}
@@ -190,7 +193,7 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
         }
-        // One that sends at full speed takes turns with the others.
+        // Lets other tasks run while a client sends at full speed.
         tokio::task::yield_now().await;
     }
     Ok(())
--- a/crates/forwarder/src/client_connections.rs
+++ b/crates/forwarder/src/client_connections.rs
@@ -1,7 +1,7 @@
 //! The open client connections, shared by the listener and the connections' tasks.
 //!
-//! Holds the limit on open connections and tells a connection when it has to close: for another one to fit in, in a
-//! graceful shutdown, and when a newer process takes the clients over.
+//! This module enforces the limit on open connections. It signals a connection to close so that another one fits in,
+//! in a graceful shutdown, and when a successor process takes over the clients.
 
 use crate::connection_limit::{ConnectionId, ConnectionLimit, Eviction};
 use std::cell::{Cell, RefCell, RefMut};
@@ -23,17 +23,17 @@
     handing_over: Cell<bool>,
 }
 
-/// Tells a connection to make room for another.
+/// The signals that tell a connection to make room for another one.
 #[derive(Default)]
 pub(crate) struct EvictionSignals {
-    /// Close, with a lingering close.
+    /// Asks for a lingering close.
     pub(crate) close: Notify,
-    /// Stop lingering.
+    /// Asks for the end of a lingering close.
     pub(crate) cut: Notify,
 }
 
 impl ClientConnections {
-    /// No connections yet, and at most so many at once.
+    /// Returns an empty set that allows at most `max_connections` connections at a time.
     pub fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(ClientConnections {
             limit: RefCell::new(ConnectionLimit::new(max_connections)),
@@ -45,12 +45,13 @@
         })
     }
 
-    /// Starts the graceful shutdown: each connection closes once its request is answered.
+    /// Starts the graceful shutdown, in which each connection closes once its request is answered.
     pub fn shut_down(&self) {
         self.shutting_down.send_replace(true);
     }
 
-    /// A newer process takes the clients over: each connection closes with its next answer, and says so in it.
+    /// Starts the handover of the clients to a successor process. Each connection closes after its next answer, which
+    /// carries `Connection: close`.
     pub fn hand_over(&self) {
         self.handing_over.set(true);
     }
@@ -71,13 +72,13 @@
         self.limit.borrow().is_full()
     }
 
-    /// A buffer whose contents nobody reads.
+    /// Returns the shared buffer for bytes that are discarded.
     pub(crate) fn discard_buffer(&self) -> RefMut<'_, Box<[u8]>> {
         self.discard_buffer.borrow_mut()
     }
 
-    /// Waits until another connection fits in. Evicts some before there is need, so that their close can linger; when there
-    /// is need, cuts those that linger longest.
+    /// Waits until another connection fits in. Evicts connections before the limit is reached, so that they have time
+    /// for a lingering close. At the limit, cuts the connections that have been lingering longest.
     pub(crate) async fn make_room(&self) {
         loop {
             while self.evict() {}
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Evicts a connection if one has to go and one can; whether it did.
+    /// Evicts a connection if one has to go and one can be evicted. Returns whether it has evicted one.
     pub(crate) fn evict(&self) -> bool {
         let Some(eviction) = self.limit.borrow_mut().evict(Instant::now()) else { return false };
         let signals_of = |id: ConnectionId| self.signals.borrow().get(&id).cloned();
--- a/crates/forwarder/src/client_listener.rs
+++ b/crates/forwarder/src/client_listener.rs
@@ -1,7 +1,7 @@
 //! Accepts client connections until the forwarder shuts down, within the limit on open connections.
 //!
-//! [`client_connections`](crate::client_connections) holds what is open, `client_connection`
-//! serves one.
+//! [`client_connections`](crate::client_connections) holds the open connections; `client_connection` serves one of
+//! them.
 
 use crate::client_api::ClientGateway;
 use crate::client_connection::spawn_connection;
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Pause after a connection that the system could not accept.
+/// Pause after the system has failed to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts connections until the forwarder shuts down. Runs in a `LocalSet`.
@@ -38,7 +38,7 @@
     accept_backlog(listener, &gateway, &connections);
 }
 
-/// Accepts the connections that the system has queued: closing the listener would reset them.
+/// Accepts the connections that the system has queued, because closing the listener would reset them.
 fn accept_backlog(listener: TcpListener, gateway: &Rc<ClientGateway>, connections: &Rc<ClientConnections>) {
     let Ok(listener) = listener.into_std() else { return };
     while !connections.is_full()
--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process: Unix time for the reducer, and its moments as instants of the runtime.
+//! The clock of a process: Unix time for the reducer, and the conversion of such times to instants of the runtime.
 
 use orchidyoke_core::interface::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,7 +21,7 @@
         self.started_at + self.start.elapsed().as_micros() as Micros
     }
 
-    /// A moment of this clock; one before the process as its start.
+    /// Converts a time of this clock to an instant. A time before the start of the process becomes its start.
     pub(crate) fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros((at - self.started_at).max(0) as u64)
     }
--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -1,6 +1,6 @@
-//! The forwarder's configuration: the file that the platform writes, read and checked as a whole.
+//! The forwarder's configuration: reads and checks the file that the platform writes.
 //!
-//! Used at the start and at each reload. A configuration with any error in it is rejected; nothing of it is used.
+//! The file is read at the start and at each reload. A configuration with any error is rejected as a whole.
 
 use crate::catalogue::Catalogue;
 use crate::ownership::Owners;
@@ -16,15 +16,15 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Descriptors that are in use beside connections: standard streams, the runtime, the journal and its compaction,
-/// listeners, other processes' journals, two watches on the endpoint list, notifications.
+/// Descriptors that are reserved for uses other than connections: standard streams, the runtime, the journal and its
+/// compaction, listeners, other processes' journals, two watches on the endpoint list, notifications.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Client connections that are accepted however low the limit on descriptors is.
+/// Number of client connections that are accepted however low the limit on descriptors is.
 const MIN_CLIENT_CONNECTIONS: usize = 8;
 /// The lowest limit on descriptors that the forwarder accepts.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// The file as it is written.
+/// The configuration file as written.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -42,27 +42,28 @@
     settings: Box<serde_json::value::RawValue>,
 }
 
-/// What the machine allows.
+/// The resources that the machine allows the forwarder.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// Open file descriptors.
+    /// Most open file descriptors.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Size of the journal's folder, in MB (10^6 bytes).
+    /// Largest size of the journal's folder, in MB (10^6 bytes).
     pub disk_mb: f64,
 }
 
 impl Limits {
-    /// Open connections to endpoints, idle ones included: one for each of `max_calls`, and part of the other descriptors
-    /// for idle ones.
+    /// Returns the limit on open connections to endpoints, idle ones included. It is one for each of `max_calls`, and
+    /// for idle ones part of the other descriptors.
     pub fn max_endpoint_connections(&self, max_calls: usize) -> usize {
         let idle_share = self.max_descriptors / 4;
         let idle_left = (self.max_descriptors / 3).saturating_sub(max_calls);
         max_calls + idle_share.min(idle_left)
     }
 
-    /// Open client connections: at most half of the descriptors, and no more than endpoints, the console and
-    /// `RESERVED_DESCRIPTORS` leave, so that clients cannot starve those.
+    /// Returns the limit on open client connections. It is at most half of the descriptors, and at most what
+    /// endpoints, the console and `RESERVED_DESCRIPTORS` leave, so that clients cannot starve those. It is never
+    /// below `MIN_CLIENT_CONNECTIONS`.
     pub fn max_client_connections(&self, max_calls: usize, max_console_connections: usize) -> usize {
         let endpoint_connections = self.max_endpoint_connections(max_calls);
         let others = endpoint_connections + max_console_connections + RESERVED_DESCRIPTORS;
@@ -81,7 +82,7 @@
     }
 }
 
-/// Why a configuration cannot be used. The text is one line and names the setting as it stands in the file.
+/// The reason why a configuration cannot be used. Its text is one line and names the setting as the file does.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ConfigError {
@@ -90,7 +91,7 @@
     InFile {
         /// The configuration file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error.
         source: Box<ConfigError>,
     },
     /// The file cannot be read.
@@ -114,52 +115,53 @@
         /// The field's path within `settings`.
         field: &'static str,
     },
-    /// The limit on descriptors leaves too few for the forwarder to work with.
+    /// The limit on descriptors is too low for the forwarder to work.
     #[error("limits: sockets: {MIN_DESCRIPTORS} is the least to work with")]
     TooFewDescriptors,
-    /// The journal has no space.
+    /// The limit on the journal's size is not above 0.
     #[error("limits: disk_mb: must be above 0")]
     NoDiskSpace,
-    /// The seed is not a hexadecimal number of 64 bits.
+    /// The seed is not a 64-bit hexadecimal number.
     #[error("seed: not hex digits: {0:?}")]
     InvalidSeed(String),
-    /// An address is given neither in the file nor on the command line.
+    /// Neither the file nor the command line gives an address.
     #[error("{field}: no address is given")]
     MissingAddress {
-        /// The field of the file.
+        /// The name of the field in the file.
         field: &'static str,
     },
-    /// An address is not of the form `IP:PORT`.
+    /// An address does not have the form `IP:PORT`.
     #[error("{field}: not an address and port: {text}")]
     InvalidAddress {
-        /// The field of the file.
+        /// The name of the field in the file.
         field: &'static str,
-        /// What it holds.
+        /// The text of the field.
         text: String,
     },
-    /// An extension of the configuration (an installation's settings, a fleet's policy) cannot be used.
+    /// An extension of the configuration (the settings of an installation, or the policy of a fleet) cannot be used.
     #[error("{0}")]
     Extension(String),
 }
 
 impl ConfigError {
-    /// An error of an extension of the configuration, described in one line.
+    /// Returns the error for an extension of the configuration; `reason` is one line.
     pub fn extension(reason: impl fmt::Display) -> Self {
         ConfigError::Extension(reason.to_string())
     }
 }
 
-/// The address of discovery. An address from the command line overrides the file's.
+/// The address of discovery. An address from the command line overrides the one in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryAddress {
-    /// The address that the command line gave, if any.
+    /// The address from the command line; `None` if it gives none.
     pub from_command_line: Option<SocketAddr>,
-    /// The file's address; without one, the command line's.
+    /// The address from the file; if the file gives none, the address from the command line.
     pub configured: SocketAddr,
 }
 
 impl DiscoveryAddress {
-    /// The address to use at the start: the command line's, unless a reload of the file has superseded that one since.
+    /// Returns the address to use at the start. It is the address from the command line, unless a reload of the file
+    /// has since replaced that address; `superseded` is the address that a reload has replaced.
     pub fn at_startup(&self, superseded: Option<SocketAddr>) -> SocketAddr {
         self.from_command_line.filter(|given| Some(*given) != superseded).unwrap_or(self.configured)
     }
@@ -174,33 +176,33 @@
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: DiscoveryAddress,
-    /// The address for operators, if there is a console.
+    /// The address of the operators' console; `None` if there is no console.
     pub console: Option<SocketAddr>,
-    /// The source of the endpoint list in the place of discovery.
+    /// The source of the endpoint list that replaces discovery; `None` if discovery is used.
     pub catalogue: Option<Rc<dyn Catalogue>>,
-    /// The owners of destinations; without them this forwarder delivers everything itself.
+    /// The owners of destinations; if `None`, this forwarder delivers every message itself.
     pub owners: Option<Rc<dyn Owners>>,
-    /// Seed of the random numbers in decisions.
+    /// The seed of the random numbers that the reducer uses.
     pub seed: u64,
-    /// What the machine allows.
+    /// The resources that the machine allows.
     pub limits: Limits,
-    /// The endpoint list that the platform last saw, until discovery sends a newer one.
+    /// The endpoint list that the platform last saw. It is used until discovery sends a newer one.
     pub initial_list: WatchEvent,
-    /// Ids of endpoints that the fleet's policy has ejected.
+    /// Ids of the endpoints that the fleet's policy has ejected.
     pub policy_ejected: BTreeSet<String>,
-    /// The settings of the decisions.
+    /// The settings of the reducer.
     pub settings: Settings,
-    /// Names behind the numbers of the settings.
+    /// The names that belong to the numbers in the settings.
     pub names: Names,
 }
 
 impl Config {
-    /// Reads and checks the text of a configuration. `listen` and `discovery` are the command line's addresses, which
-    /// override the text's.
+    /// Reads and checks the text of a configuration. `listen` and `discovery` are addresses from the command line,
+    /// which override those in the text.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, named as it stands in the text.
+    /// Returns the first error found; its text names the setting as `text` does.
     pub fn read(text: &str, listen: Option<&str>, discovery: Option<&str>) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let (settings, names) =
@@ -260,7 +262,7 @@
     parse_address(field, text.ok_or(ConfigError::MissingAddress { field })?)
 }
 
-/// Reads an address of the form `IP:PORT`.
+/// Parses an address of the form `IP:PORT`.
 pub(crate) fn parse_address(field: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::InvalidAddress { field, text })
 }
--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -1,34 +1,34 @@
-//! Which client connection has to go when there are too many: a state machine without sockets.
+//! Decides which client connection to evict when there are too many: a state machine without sockets.
 //!
-//! Part of the limit is kept for connections in a lingering close, so that room for a new client costs no other client its
-//! answer.
+//! Part of the limit is reserved for connections in a lingering close, so that no client loses its answer when a
+//! connection is evicted for a new client.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A client connection; numbers are not used again.
+/// The number of a client connection; numbers are not reused.
 pub type ConnectionId = u64;
 
-/// Time for the first request. A client that connects to send one sends it at once; a connection without one for longer is
-/// evicted first.
+/// Time after which a connection without a first request is evicted before all others. A client that connects to send a
+/// request sends it at once.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// One part in so many of the limit is kept for lingering connections.
+/// Divisor of the limit that gives the number of places reserved for lingering connections.
 const LINGERING_SHARE_DIVISOR: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     /// Has not yet sent a whole request.
     New,
-    /// A request is being answered.
+    /// Has a request that is being answered.
     Busy,
-    /// Its last request is answered.
+    /// Has its last request answered.
     Idle,
-    /// Evicted: told to close.
+    /// Has been evicted and signalled to close.
     Closing,
-    /// Its sending side is shut; what its client still sends is discarded.
+    /// Has its sending side shut down; what its client still sends is discarded.
     Lingering,
-    /// Told to stop lingering.
+    /// Has been signalled to stop lingering.
     Cut,
 }
 
@@ -38,16 +38,16 @@
     }
 }
 
-/// What one connection is told, so that another fits in.
+/// The signal to one connection that makes room for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// Close, with a lingering close.
+    /// Asks for a lingering close.
     Close(ConnectionId),
-    /// Stop lingering.
+    /// Asks for the end of a lingering close.
     Cut(ConnectionId),
 }
 
-/// Order of eviction: the lowest goes first.
+/// Order of eviction; the lowest rank is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     OverdueFirstRequest,
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 struct TrackedConnection {
     state: ConnectionState,
-    /// When it got into that state.
+    /// The time when the connection entered `state`.
     since: Instant,
 }
 
@@ -71,49 +71,51 @@
 }
 
 impl ConnectionLimit {
-    /// No connections yet, and at most so many at once.
+    /// Returns a limit of `max_connections` without open connections.
     pub fn new(max_connections: usize) -> Self {
         ConnectionLimit { connections: BTreeMap::new(), last_id: 0, max_connections }
     }
 
-    /// Whether another connection has to wait.
+    /// Returns whether the limit is reached, so that another connection has to wait.
     pub fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
-    /// A client has connected.
+    /// Records that a client has connected, and returns the connection's id.
     pub fn on_connected(&mut self, now: Instant) -> ConnectionId {
         self.last_id += 1;
         self.set_state(self.last_id, ConnectionState::New, now);
         self.last_id
     }
 
-    /// A connection has sent a request. An eviction that crosses it stands.
+    /// Records that a connection has sent a request. Has no effect on a connection that is already being evicted.
     pub fn on_request(&mut self, id: ConnectionId, now: Instant) {
         self.set_serving_state(id, ConnectionState::Busy, now);
     }
 
-    /// A connection's request is answered.
+    /// Records that a connection's request is answered.
     pub fn on_answered(&mut self, id: ConnectionId, now: Instant) {
         self.set_serving_state(id, ConnectionState::Idle, now);
     }
 
-    /// A connection's sending side is shut: it stays open only for its client to close.
+    /// Records that a connection's sending side is shut down. The connection stays open only until its client closes.
     pub fn on_lingering(&mut self, id: ConnectionId, now: Instant) {
         if self.connections.contains_key(&id) {
             self.set_state(id, ConnectionState::Lingering, now);
         }
     }
 
-    /// A connection is closed.
+    /// Records that a connection is closed.
     pub fn on_closed(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
-    /// The connection that has to go next, if one has to and one can. With the limit reached, the one that lingers longest
-    /// is cut. While the part that is kept for lingering ones is in use, one closes: the one whose first request is longest
-    /// overdue, then the one that is idle longest, and with the limit reached one that has only just connected. None while
-    /// all are busy or closing.
+    /// Evicts the next connection if one has to go and one can be evicted.
+    ///
+    /// At the limit, the connection that has been lingering longest is cut. While serving connections use places that
+    /// are reserved for lingering ones, one of them is closed. The connection whose first request is longest overdue
+    /// goes first, then the one that has been idle longest, and at the limit also one that has only just connected.
+    /// Returns `None` while all are busy or closing.
     pub fn evict(&mut self, now: Instant) -> Option<Eviction> {
         if let Some(id) = self.longest_lingering() {
             self.set_state(id, ConnectionState::Cut, now);
@@ -127,7 +129,7 @@
         Some(Eviction::Close(id))
     }
 
-    /// The connection to cut: none while there is room, or while another that was cut has not gone yet.
+    /// Returns the connection to cut. Returns `None` below the limit, or while a connection that was cut is still open.
     fn longest_lingering(&self) -> Option<ConnectionId> {
         if !self.is_full() || self.count(|state| state == ConnectionState::Cut) > 0 {
             return None;
--- a/crates/forwarder/src/connection_pool.rs
+++ b/crates/forwarder/src/connection_pool.rs
@@ -1,21 +1,22 @@
-//! Connections to endpoints as a state machine without sockets: which one carries a call, and which are to be closed.
+//! The pool of connections to endpoints, as a state machine without sockets. It decides which connection carries a
+//! call, and which connections are to be closed.
 //!
-//! A connection carries one call at a time. Idle ones are used again, the one used last first, so that the others reach their
-//! idle time-out and close.
+//! A connection carries one call at a time. The most recently used idle connection is reused first, so that the others
+//! reach their idle time-out and close.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A connection to an endpoint; numbers are not used again.
+/// The number of a connection to an endpoint; numbers are not reused.
 pub type EndpointConnectionId = u64;
-/// A call to an endpoint; numbers are not used again.
+/// The number of a call to an endpoint; numbers are not reused.
 pub type CallId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Not yet up; this call waits for it.
+    /// Is being established for this call.
     Connecting(CallId),
-    /// Up, and free since then.
+    /// Is established, and idle since this time.
     Idle(Micros),
     /// Carries this call, or is about to.
     Busy(CallId),
@@ -50,24 +51,24 @@
     last_id: EndpointConnectionId,
     idle_timeout: Micros,
     max_connections: usize,
-    /// Connections to an address that their endpoint has left.
+    /// Connections to a former address of their endpoint.
     retired: BTreeSet<EndpointConnectionId>,
-    /// No connection has been idle since before this; without it, none is idle.
+    /// A lower bound of the times since when connections have been idle; `None` if none is idle.
     earliest_idle_since: Option<Micros>,
 }
 
 /// The connection for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// This idle connection carries it at once.
+    /// An idle connection, which carries the call at once.
     Reuse(EndpointConnectionId),
-    /// This new connection carries it once it is up.
+    /// A new connection, which carries the call once it is established.
     Connect(EndpointConnectionId),
 }
 
 impl ConnectionPool {
-    /// No connections yet. The endpoint closes idle ones after `endpoint_idle_timeout`; `max_connections` counts idle ones
-    /// too.
+    /// Returns an empty pool. Endpoints close idle connections after `endpoint_idle_timeout`. `max_connections`
+    /// limits all open connections, idle ones included.
     pub fn new(endpoint_idle_timeout: Micros, max_connections: usize) -> Self {
         ConnectionPool {
             connections: BTreeMap::new(),
@@ -85,7 +86,7 @@
         self.max_connections = max_connections;
     }
 
-    /// A connection for a call: an idle one if there is one that may be used again, or a new one.
+    /// Returns a connection for a call: an idle one if one may be reused, otherwise a new one.
     pub fn claim(&mut self, endpoint: EndpointId, call: CallId, now: Micros) -> Claim {
         match self.last_used_idle(endpoint, now) {
             Some(id) => {
@@ -107,7 +108,7 @@
         reusable.max().map(|(_, id)| id)
     }
 
-    /// A new connection for a call.
+    /// Adds a new connection for a call.
     pub fn connect(&mut self, endpoint: EndpointId, call: CallId) -> EndpointConnectionId {
         self.last_id += 1;
         let state = ConnectionState::Connecting(call);
@@ -115,7 +116,7 @@
         self.last_id
     }
 
-    /// A connection is up: the call that waited for it.
+    /// Records that a connection is established, and returns the call that waits for it.
     pub fn on_connected(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let connection = self.connections.get_mut(&id)?;
         let ConnectionState::Connecting(call) = connection.state else { return None };
@@ -123,7 +124,8 @@
         Some(call)
     }
 
-    /// The call on a connection has ended, and the connection is idle; a retired one expires at once.
+    /// Records that the call on a connection has ended and the connection is idle. A retired connection expires at
+    /// once.
     pub fn release(&mut self, id: EndpointConnectionId, now: Micros) {
         let since = if self.retired.contains(&id) { now - self.idle_timeout } else { now };
         if let Some(connection) = self.connections.get_mut(&id)
@@ -135,18 +137,18 @@
         }
     }
 
-    /// An endpoint has another address: its connections carry no further call.
+    /// Retires the connections to an endpoint whose address has changed. They carry no further call.
     pub fn retire(&mut self, endpoint: EndpointId) {
         let to_endpoint = self.connections.iter().filter(|(_, connection)| connection.endpoint == endpoint);
         self.retired.extend(to_endpoint.map(|(id, _)| *id));
     }
 
-    /// Whether a connection goes to an address that its endpoint has left.
+    /// Returns whether a connection goes to a former address of its endpoint.
     pub fn is_retired(&self, id: EndpointConnectionId) -> bool {
         self.retired.contains(&id)
     }
 
-    /// A connection is closed: the call that it carried, if any.
+    /// Records that a connection is closed, and returns the call that it carried, if any.
     pub fn on_closed(&mut self, id: EndpointConnectionId) -> Option<CallId> {
         let call = self.call_of(id);
         self.connections.remove(&id);
@@ -154,29 +156,29 @@
         call
     }
 
-    /// The connection of a call, up or not.
+    /// Returns the connection of a call, whether established or not.
     pub fn connection_of(&self, call: CallId) -> Option<EndpointConnectionId> {
         let mut connections = self.connections.iter();
         connections.find(|(_, connection)| connection.state.call() == Some(call)).map(|(id, _)| *id)
     }
 
-    /// The call of a connection.
+    /// Returns the call of a connection.
     pub fn call_of(&self, id: EndpointConnectionId) -> Option<CallId> {
         self.connections.get(&id)?.state.call()
     }
 
-    /// Removes the idle connections to an endpoint; they are to be closed.
+    /// Removes the idle connections to an endpoint and returns them; the caller closes them.
     pub fn take_idle_to(&mut self, endpoint: EndpointId) -> Vec<EndpointConnectionId> {
         self.take_idle(|to, _| to == endpoint)
     }
 
-    /// Removes the idle connections to any of these endpoints; they are to be closed.
+    /// Removes the idle connections to any of these endpoints and returns them; the caller closes them.
     pub fn take_idle_to_any(&mut self, endpoints: &BTreeSet<EndpointId>) -> Vec<EndpointConnectionId> {
         self.take_idle(|to, _| endpoints.contains(&to))
     }
 
-    /// Removes the idle connections that have reached their time-out, and the oldest idle ones while there are more than the
-    /// limit; they are to be closed.
+    /// Removes the idle connections that have reached their time-out, and the longest idle ones while the pool is
+    /// over its limit. Returns them; the caller closes them.
     pub fn take_expired(&mut self, now: Micros) -> Vec<EndpointConnectionId> {
         let idle_timeout = self.idle_timeout;
         let mut expired = self.take_idle(|_, since| now - since >= idle_timeout);
@@ -190,7 +192,7 @@
         expired
     }
 
-    /// When the next idle connection may reach its time-out: not later than that.
+    /// Returns a time no later than the next idle time-out of a connection; `None` if no connection is idle.
     pub fn next_expiry(&self) -> Option<Micros> {
         self.earliest_idle_since.map(|since| since + self.idle_timeout)
     }
@@ -211,7 +213,8 @@
     }
 }
 
-/// A tenth below the endpoint's: it counts from when it wrote its answer, and its close takes time to arrive.
+/// Returns the idle time-out on this side, a tenth below the endpoint's. The endpoint counts from when it wrote its
+/// answer, and its close takes time to arrive.
 fn safe_idle_timeout(endpoint_idle_timeout: Micros) -> Micros {
     endpoint_idle_timeout - endpoint_idle_timeout / 10
 }
--- a/crates/forwarder/src/console.rs
+++ b/crates/forwarder/src/console.rs
@@ -1,42 +1,42 @@
 //! The commands and replies of the operators' console, without sockets.
 //!
-//! A connection carries one line and gets one reply, which starts with `200` or `400`. The words of both are part of the
-//! interface: see `docs/operate/on-call.md`.
+//! A connection carries one line and gets one reply, which starts with `200` or `400`. The texts of commands and
+//! replies are part of the interface; `docs/operate/on-call.md` describes them.
 
 use std::fmt;
 
-/// Longest line, without its end: a command and the longest id.
+/// Longest line, in bytes without the line end. A command with the longest id fits in.
 pub const MAX_LINE_BYTES: usize = 512;
 
-/// What an operator asks for; the word on the line is in backquotes.
+/// A command of an operator; its text on the line is in backquotes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `ready`: whether this process accepts clients.
+    /// `ready`: reports whether this process accepts clients.
     Ready,
-    /// `show-stat`: the counters and gauges.
+    /// `show-stat`: reports the counters and gauges.
     ShowStat,
-    /// `show-latency`: histograms of the time to delivery.
+    /// `show-latency`: reports histograms of the time to delivery.
     ShowLatency,
-    /// `disable-server ID`: eject this endpoint until it is enabled.
+    /// `disable-server ID`: ejects this endpoint until `enable-server`.
     DisableServer(String),
-    /// `enable-server ID`: undo `disable-server`.
+    /// `enable-server ID`: reverts `disable-server`.
     EnableServer(String),
 }
 
-/// Why a line is no command. The text follows `400` in the reply.
+/// The reason why a line is not a command. Its text follows `400` in the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// It is empty.
+    /// The line is empty.
     Empty,
-    /// It is longer than [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     LineTooLong,
-    /// It is not UTF-8, or holds control characters.
+    /// The line is not UTF-8, or contains control characters.
     NotText,
-    /// Something follows the line.
+    /// More bytes follow the line.
     TrailingData,
-    /// There is no such command.
+    /// No command has this name.
     UnknownCommand,
-    /// The command wants the id of one endpoint and nothing more.
+    /// The command takes exactly one argument, the id of an endpoint.
     ExpectedOneId,
     /// The command takes no argument.
     UnexpectedArgument,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads what has come on a connection so far. None while its line is incomplete.
+/// Parses the bytes that a connection has received so far. Returns `None` while its line is incomplete.
 pub fn parse_input(input: &[u8]) -> Option<Result<Command, CommandError>> {
     let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
         return (input.len() > MAX_LINE_BYTES).then_some(Err(CommandError::LineTooLong));
@@ -104,14 +104,14 @@
     }
 }
 
-/// The reply to a command; its text form ends with a line end.
+/// The reply to a command. Its text ends with a line end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleReply {
-    /// `200`: yes, or done.
+    /// `200`: the answer is yes, or the command is done.
     Done(&'static str),
-    /// `400`: no, and why, in one line.
+    /// `400`: the answer is no; the text gives the reason in one line.
     Rejected(String),
-    /// `200`: metrics, a line each, each with its line end; `EOF` follows.
+    /// `200`: one metric per line, each with its line end; `EOF` follows.
     Metrics(String),
 }
 
--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -1,7 +1,7 @@
-//! The operators' console on sockets: a bounded number of connections, each with a time for its line.
+//! The listener of the operators' console: a bounded number of connections, each with a limit on the time for its line.
 //!
-//! There is always room for the next caller: a connection whose line is incomplete gives way, the oldest first. One whose
-//! line is complete stays until it has its reply.
+//! At the limit, the oldest connection with an incomplete line is closed to make room for a new one. A connection
+//! with a complete line stays open until it has its reply.
 
 use crate::console::{Command, CommandError, ConsoleReply, parse_input};
 use crate::input::{Input, RequestId};
@@ -18,29 +18,29 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Open connections, those with an incomplete line included.
+/// Most open connections, those with an incomplete line included.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Time for a line.
+/// Limit on the time until a line is complete.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the caller to read its reply and to close.
+/// Limit on the time in which the client reads its reply and closes.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a caller may send after its line before the connection is closed on it.
+/// Most bytes that a client may send after its line before the forwarder closes the connection.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
-/// Pause after a connection that the system could not accept.
+/// Pause after the system has failed to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Connects console connections with the reducer.
+/// Passes commands from console connections to the reducer and its replies back.
 pub struct ConsoleGateway {
     inputs: UnboundedSender<Input>,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<ConsoleReply>>>,
-    /// Connections whose line is incomplete, oldest first: these may be closed for others.
+    /// Connections whose line is incomplete, oldest first. These may be closed to make room for others.
     incomplete: RefCell<BTreeMap<RequestId, AbortHandle>>,
     open_connections: Cell<usize>,
     next_request: Cell<RequestId>,
 }
 
 impl ConsoleGateway {
-    /// A gateway to the reducer behind `inputs`.
+    /// Returns a gateway to the reducer that receives `inputs`.
     pub fn new(inputs: UnboundedSender<Input>) -> Rc<Self> {
         Rc::new(ConsoleGateway {
             inputs,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Gives a waiting caller its reply. Does nothing if the caller is gone.
+    /// Passes the reply to the waiting connection. Does nothing if the client has closed the connection.
     pub fn reply(&self, request: RequestId, reply: ConsoleReply) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&request) {
             let _ = waiting.send(reply);
@@ -61,7 +61,7 @@
     async fn ask(&self, request: RequestId, command: Command) -> ConsoleReply {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(request, sender);
-        // The receiver is gone only when the forwarder ends.
+        // The channel is closed only when the forwarder ends.
         let _ = self.inputs.send(Input::Operator { request, call: command });
         receiver.await.unwrap_or_else(|_| ConsoleReply::Rejected("the forwarder ends".to_owned()))
     }
@@ -91,7 +91,7 @@
     }
 }
 
-/// An open connection, counted for as long as this exists: also when its task panics.
+/// An open connection. It counts as open until this value is dropped, which also happens when its task panics.
 struct ConsoleConnection {
     gateway: Rc<ConsoleGateway>,
     request: RequestId,
@@ -99,7 +99,7 @@
 }
 
 impl ConsoleConnection {
-    /// From here on it is not closed for another.
+    /// Excludes the connection from those that may be closed to make room for others.
     fn on_line_complete(&self) {
         let was_open = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
         self.is_line_complete.set(was_open);
@@ -110,14 +110,14 @@
     fn drop(&mut self) {
         self.gateway.waiting.borrow_mut().remove(&self.request);
         let was_incomplete = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
-        // One that was closed for another is already counted.
+        // A connection that was closed to make room for another is already counted as closed.
         if was_incomplete || self.is_line_complete.get() {
             self.gateway.count_closed();
         }
     }
 }
 
-/// Accepts callers for as long as it is polled. Runs in a `LocalSet`.
+/// Accepts connections for as long as it is polled. Runs in a `LocalSet`.
 pub async fn listen(listener: TcpListener, gateway: Rc<ConsoleGateway>) {
     loop {
         match listener.accept().await {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Serves one caller. An error here, a panic included, ends this connection alone.
+/// Serves one connection. An error or a panic here ends only this connection.
 async fn serve(mut stream: TcpStream, connection: ConsoleConnection) {
     let Ok(command) = timeout(LINE_TIMEOUT, read_command(&mut stream)).await else { return };
     connection.on_line_complete();
@@ -139,11 +139,12 @@
         Some(Err(error)) => error.into(),
         None => return,
     };
-    // Whether the caller has read it is its own affair from here on.
+    // An error here is ignored: a reply that the client does not read needs no further handling.
     let _ = timeout(REPLY_TIMEOUT, write_reply(&mut stream, &reply.to_string())).await;
 }
 
-/// One command, or why the line is none. None if the caller has closed before its line was complete.
+/// Reads one command, or the reason why the line is not one. Returns `None` if the client has closed before its line
+/// was complete.
 async fn read_command(stream: &mut TcpStream) -> Option<Result<Command, CommandError>> {
     let mut input = Vec::new();
     loop {
@@ -156,8 +157,8 @@
     }
 }
 
-/// Writes the reply and discards what still comes: closing over unread bytes would reset the connection, and the reply
-/// could be lost.
+/// Writes the reply and discards what the client still sends, because a close with unread bytes would reset the
+/// connection and could lose the reply.
 async fn write_reply(stream: &mut TcpStream, reply: &str) -> io::Result<()> {
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await?;
