--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -1,6 +1,7 @@
-//! The watch on discovery's endpoint list: one request whose response goes on for as long as the watch does.
+//! The watch on discovery's endpoint list: one request whose response lasts as long as the watch.
 //!
-//! Used whenever discovery is the source of the list; the reducer starts another watch, after a backoff, when one ends.
+//! The forwarder uses it if discovery is the source of the endpoint list. When a watch ends, the reducer starts
+//! another one after a backoff.
 
 use crate::catalogue::UpdateSender;
 use crate::list_reader::ListReader;
@@ -20,34 +21,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Time for the next byte: discovery sends a blank line every 2 s.
+/// Limit on the time until the next byte. Discovery sends a blank line every 2 s.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for the next complete list or blank line, however many bytes come. A change is binding 6 s after discovery had it;
-/// with a watch that stalls, another has to bring it in that time.
+/// Limit on the time until the next complete list or blank line, however many bytes arrive. The forwarder must apply
+/// a change within 6 s after discovery has it. If a watch stalls, the next watch has to receive the change within
+/// that time.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Time for the connection. Discovery's agent is on the forwarder's own machine.
+/// Limit on the time to connect. Discovery's agent runs on the forwarder's own machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A list that comes at this rate or faster extends [`MESSAGE_TIMEOUT`]: a new watch would not bring it sooner, and one that
-/// is always cut off would never bring it.
+/// A list that arrives at this rate or faster extends [`MESSAGE_TIMEOUT`]. A new watch would not receive it sooner,
+/// and a watch that always ends before its list is complete would never receive it.
 const MIN_BYTES_PER_SECOND: usize = 2 << 20;
 
 /// How a watch ended.
 #[derive(Debug)]
 pub struct WatchEnd {
-    /// Why, in one line.
+    /// The reason, in one line.
     pub reason: String,
-    /// Discovery's time for the next watch, in milliseconds; 0: none.
+    /// The delay before the next watch that discovery asks for, in milliseconds; 0 if it asks for none.
     pub retry_after_ms: u64,
-    /// Time since it last sent anything complete, or since the watch began.
+    /// Time since discovery last sent a complete list or blank line, or since the watch began.
     pub silence: Duration,
 }
 
-/// Why a watch ended.
+/// The error that ended a watch.
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("discovery is silent")]
+    #[error("no data from discovery in time")]
     TimedOut,
-    #[error("the watch broke: {0}")]
+    #[error("the connection failed: {0}")]
     ConnectionFailed(String),
     #[error("discovery answered {status}{}", retry_after_text(*.retry_after_ms))]
     Rejected { status: StatusCode, retry_after_ms: u64 },
@@ -65,7 +67,7 @@
     WatchError::ConnectionFailed(error.to_string())
 }
 
-/// Follows the list from the version after `since` on until the watch ends.
+/// Follows the endpoint list from the version after `since` on, until the watch ends.
 pub async fn follow(discovery: SocketAddr, since: u64, updates: UpdateSender) -> WatchEnd {
     let last_message_at = Cell::new(Instant::now());
     let ended = watch(discovery, since, &updates, &last_message_at).await;
@@ -109,7 +111,7 @@
     tokio::select! {
         biased;
         ended = &mut lists => ended,
-        // It may close as its response comes: what that says still counts.
+        // The connection may end while its response arrives. The bytes that have arrived still count.
         _ = connection => lists.await,
     }
 }
--- a/crates/forwarder/src/endpoint_call.rs
+++ b/crates/forwarder/src/endpoint_call.rs
@@ -1,7 +1,8 @@
-//! A call to an endpoint and its reply as data: the form on the wire, and what a reply or a failure means for each message.
+//! A call to an endpoint and its reply as data: their form on the wire, and the outcome of a reply or a failure for
+//! each message.
 //!
-//! The sockets fill these values, the reducer reads them. Whether a message may have been delivered by a failed call is
-//! decided here, in [`EndpointCallError::outcome`].
+//! The connection's task fills in these values and the reducer reads them. [`EndpointCallError::outcome`] decides
+//! whether a failed call may have delivered its messages.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -14,11 +15,11 @@
 /// A message in a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallMessage {
-    /// Its id (`X-Txn`, in a bulk call `id`).
+    /// The message's id (`X-Txn`, in a bulk call `id`).
     pub id: String,
-    /// Its idempotency key (`Idempotency-Key`, in a bulk call `key`).
+    /// The message's idempotency key (`Idempotency-Key`, in a bulk call `key`); `None` if it has none.
     pub idempotency_key: Option<String>,
-    /// Its body.
+    /// The message's body.
     pub body: Bytes,
 }
 
@@ -27,11 +28,11 @@
 pub struct EndpointCall {
     /// The messages.
     pub messages: Vec<CallMessage>,
-    /// Whether it has the form for several messages.
+    /// Whether the call has the form for several messages.
     pub is_bulk: bool,
-    /// How long the forwarder waits, as the endpoint is notified (`X-Remaining`), in microseconds.
+    /// Time for which the forwarder waits, in microseconds. The endpoint receives it in `X-Remaining`.
     pub time_left: Micros,
-    /// Until when it waits, Unix time in microseconds.
+    /// Time until which the forwarder waits, as Unix time in microseconds.
     pub deadline: Micros,
 }
 
@@ -60,19 +61,20 @@
 }
 
 impl EndpointReply {
-    /// Whether it has the form that its status calls for: a successful bulk reply lists the state of messages.
+    /// Returns whether the body has the form that the status requires: a successful bulk reply lists the states of
+    /// messages.
     pub fn is_readable(&self) -> bool {
         !self.is_bulk || self.status != 200 || serde_json::from_slice::<Vec<BulkState>>(&self.body).is_ok()
     }
 }
 
 impl EndpointCall {
-    /// The path of the request.
+    /// Returns the path of the request.
     pub fn path(&self) -> &'static str {
         if self.is_bulk { "/inbox/bulk" } else { "/inbox" }
     }
 
-    /// The body of the request. A single message is forwarded as the bytes that came.
+    /// Returns the body of the request. A single message is forwarded byte for byte.
     pub fn body(&self) -> Bytes {
         match &self.messages[..] {
             [message] if !self.is_bulk => message.body.clone(),
@@ -89,30 +91,31 @@
 pub struct EndpointReply {
     /// The HTTP status.
     pub status: u16,
-    /// Its time for the next attempt (`X-Come-Back-Ms`), in milliseconds; 0: none.
+    /// The delay before the next attempt that the endpoint asks for (`X-Come-Back-Ms`), in milliseconds; 0 if it asks
+    /// for none.
     pub retry_after_ms: u64,
-    /// All calls that it allows this forwarder were in use (`X-Line-Busy: 1`).
+    /// Whether all calls that the endpoint allows this forwarder were in use (`X-Line-Busy: 1`).
     pub line_busy: bool,
-    /// The limit that it reports (`X-Pressure: x1`), in calls a second.
+    /// The limit that the endpoint reports (`X-Pressure: x1`), in calls a second.
     pub reported_limit: Option<f64>,
     /// The share of the limit that is left (`X-Pressure: x0`), 0 to 1.
     pub reported_remaining: Option<f64>,
-    /// Whether it answers a bulk call.
+    /// Whether the reply answers a bulk call.
     pub is_bulk: bool,
     /// The body.
     pub body: Bytes,
 }
 
-/// What a reply means for one message.
+/// The result of a reply for one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageResult {
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// No attempt is left to make: the endpoint says that the message has expired.
+    /// Whether no further attempt is to be made, because the endpoint reports that the message has expired.
     pub message_finished: bool,
 }
 
-/// What a reply means for each message of its call, in the order of `ids`.
+/// Returns the result of a reply for each message of its call, in the order of `ids`.
 pub fn message_results(reply: &EndpointReply, ids: &[String]) -> Vec<MessageResult> {
     let all = |outcome| vec![MessageResult { outcome, message_finished: false }; ids.len()];
     match reply.status {
@@ -121,7 +124,7 @@
             Err(_) => all(Outcome::InvalidResponse),
         },
         200 => all(Outcome::Success),
-        // Malformed, or too many messages: the endpoint has looked at none of them.
+        // The request is malformed or has too many messages, and the endpoint has processed none of them.
         400 | 413 | 429 => all(Outcome::Rejected),
         503 if reply.line_busy => all(Outcome::NotSent),
         503 => all(Outcome::Rejected),
@@ -141,42 +144,42 @@
         Some("accepted") => Outcome::Success,
         Some("deferred") => Outcome::Rejected,
         Some("expired" | "no_more") => Outcome::NotSent,
-        // A fault, an unknown state, or a message left out: it may have been executed.
+        // The state reports an error, is unknown, or is missing. The endpoint may have executed the message.
         _ => Outcome::Error,
     };
     MessageResult { outcome, message_finished: state == Some("expired") }
 }
 
-/// How far a call had come when it failed: this settles whether its messages may have been executed.
+/// The progress of a call when it failed. It determines whether the endpoint may have executed the call's messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Progress {
-    /// No connection.
+    /// The connection was not established.
     #[error("not connected")]
     NotConnected,
-    /// Connected, but its last byte was not written.
+    /// The connection was established, but the last byte of the call was not written.
     #[error("not fully written")]
     NotFullyWritten,
-    /// Written to its last byte.
+    /// The call was written to its last byte.
     #[error("fully written")]
     FullyWritten,
     /// The response had begun.
-    #[error("answered in part")]
+    #[error("response incomplete")]
     Answered,
 }
 
-/// What ended a call without a reply.
+/// The reason why a call ended without a reply.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Cause {
-    /// Its deadline passed.
+    /// The call's deadline passed.
     #[error("timed out")]
     TimedOut,
-    /// The forwarder cancelled it.
+    /// The forwarder cancelled the call.
     #[error("cancelled")]
     Cancelled,
-    /// The connection failed: why.
+    /// The connection failed, for this reason.
     #[error("{0}")]
     ConnectionFailed(String),
-    /// A response came that cannot be read, or is incomplete: why.
+    /// The response cannot be read or is incomplete, for this reason.
     #[error("{0}")]
     InvalidResponse(String),
 }
@@ -185,24 +188,24 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{cause}, {progress}")]
 pub struct EndpointCallError {
-    /// How far it had come.
+    /// The progress of the call when it failed.
     pub progress: Progress,
-    /// What ended it.
+    /// The reason of the failure.
     pub cause: Cause,
 }
 
 impl EndpointCallError {
-    /// Whether it is certain that the endpoint has executed nothing.
+    /// Returns whether it is certain that the endpoint has executed none of the messages.
     pub fn not_delivered(&self) -> bool {
         self.progress < Progress::FullyWritten
     }
 
-    /// Whether the forwarder ended it.
+    /// Returns whether the forwarder ended the call, by a time-out or a cancellation.
     pub fn ended_locally(&self) -> bool {
         matches!(self.cause, Cause::TimedOut | Cause::Cancelled)
     }
 
-    /// The outcome of the attempt, as the decisions take it.
+    /// Returns the outcome of the attempt for the controller.
     pub fn outcome(&self) -> Outcome {
         match &self.cause {
             _ if self.not_delivered() => Outcome::ConnectFailed,
--- a/crates/forwarder/src/endpoint_connection.rs
+++ b/crates/forwarder/src/endpoint_connection.rs
@@ -1,7 +1,7 @@
-//! A connection to an endpoint on sockets: one task, which connects, carries one call at a time and reports to the reducer.
+//! A connection to an endpoint: one task connects, carries one call at a time and reports to the reducer.
 //!
-//! It reports [`Input::ConnectionUp`], for each call [`Input::CallWritten`] and [`Input::CallAnswered`], and at last
-//! [`Input::ConnectionClosed`], which ends a call that has no answer.
+//! The task reports [`Input::ConnectionUp`] once, [`Input::CallWritten`] and [`Input::CallAnswered`] for each call, and
+//! [`Input::ConnectionClosed`] last. The last report also ends a call that has no answer.
 
 use crate::connection_pool::EndpointConnectionId;
 use crate::endpoint_call::{Cause, EndpointCall, EndpointCallError, EndpointReply, Progress};
@@ -21,12 +21,12 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::time::{Instant, Sleep, sleep_until, timeout, timeout_at};
 
-/// Longest head of a response, and bytes read ahead.
+/// Longest head of a response, and most bytes that are read ahead.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Time for a response from its first byte to its last: endpoints write it in one go.
+/// Limit on the time from the first byte of a response to its last. Endpoints write a response in one go.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for the last bytes of a response that has begun when its call times out or is cancelled: what it says (a delivery,
-/// a time for the next attempt) still counts.
+/// Limit on the time to receive the rest of a response that has begun when its call times out or is cancelled. The
+/// response still counts: it may report a delivery or a delay before the next attempt.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A call for a connection.
@@ -34,11 +34,12 @@
 pub struct ScheduledCall {
     /// The call.
     pub call: EndpointCall,
-    /// Until when its response may come.
+    /// Time until which the connection waits for the response.
     pub deadline: Instant,
 }
 
-/// Reports that a connection is closed when its task ends: also when it panics, or its call would never end.
+/// Reports, when it is dropped, that a connection is closed. The report is also sent when the connection's task panics,
+/// because otherwise its call would never end.
 struct CloseReport {
     connection: EndpointConnectionId,
     inputs: UnboundedSender<Input>,
@@ -48,7 +49,7 @@
 impl Drop for CloseReport {
     fn drop(&mut self) {
         let error = self.error.clone();
-        // The receiver is gone only when the forwarder ends.
+        // The channel is closed only when the forwarder ends.
         let _ = self.inputs.send(Input::ConnectionClosed { connection: self.connection, error });
     }
 }
@@ -61,7 +62,8 @@
     EndpointCallError { progress, cause: Cause::Cancelled }
 }
 
-/// Runs one connection from connecting, until `connect_deadline`, to its close. Closing the channel of calls closes it.
+/// Runs one connection until it is closed. Gives up connecting at `connect_deadline`. Closing the channel of `calls`
+/// closes the connection.
 pub async fn run(
     connection: EndpointConnectionId,
     address: SocketAddr,
@@ -70,7 +72,7 @@
     inputs: UnboundedSender<Input>,
 ) {
     let error = connection_failed(Progress::NotConnected, "the connection's task panicked");
-    // Created first and so dropped last: the socket is closed by the time of the report.
+    // Declared first and therefore dropped last, so that the socket is closed before the report is sent.
     let mut report = CloseReport { connection, inputs: inputs.clone(), error };
     let stream = tokio::select! {
         connected = connect(address, connect_deadline) => connected,
@@ -111,18 +113,19 @@
     Ok(stream)
 }
 
-/// A connection that is up.
+/// An established connection.
 struct HttpConnection {
     id: EndpointConnectionId,
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    /// Reads and writes the socket while it is polled; ends when the connection does.
+    /// The future that reads and writes the socket while it is polled. It ends when the connection ends.
     driver: Pin<Box<http1::Connection<TokioIo<MeteredStream>, Full<Bytes>>>>,
     exchange: SharedExchange,
 }
 
 impl HttpConnection {
-    /// Carries calls until the connection ends: why it did. `if_panicked` is what a panic meanwhile means for the call.
+    /// Carries calls until the connection ends, and returns the reason. Sets `if_panicked` to the error to report if
+    /// the task panics during a call.
     async fn carry_calls(
         &mut self,
         calls: &mut UnboundedReceiver<ScheduledCall>,
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Carries one call to its answer or its failure.
+    /// Carries one call until it is answered or has failed.
     async fn carry(
         &mut self,
         scheduled: &ScheduledCall,
@@ -174,7 +177,7 @@
         let ScheduledCall { call, deadline } = scheduled;
         let response = exchange(&mut self.sender, self.address, call, body);
         let end = drive(response, &mut self.driver, calls, *deadline, &self.exchange).await;
-        // For a single message the status line says all, whatever came after it.
+        // For a single message, the status line alone tells whether it is delivered.
         let is_delivered = !call.is_bulk && self.exchange.lock().response.says_delivered();
         match end {
             ExchangeEnd::Finished { response: Ok(reply), is_open } => {
@@ -201,15 +204,15 @@
     }
 }
 
-/// A call that was answered.
+/// The answer to a call.
 struct Answered {
     reply: EndpointReply,
-    /// Why the connection cannot carry another call, if so.
+    /// The reason why the connection cannot carry another call; `None` if it can.
     close_reason: Option<&'static str>,
 }
 
 enum ExchangeEnd {
-    /// The response is read, or cannot be; `is_open`: the connection has not ended.
+    /// The response has been read or cannot be read. `is_open` tells whether the connection is still open.
     Finished {
         response: Result<EndpointReply, Cause>,
         is_open: bool,
@@ -232,10 +235,10 @@
         tokio::select! {
             biased;
             response = &mut response => return ExchangeEnd::Finished { response, is_open },
-            // What came before the close is still to be read.
+            // The bytes that arrived before the close are still to be read.
             _ = &mut *driver, if is_open => is_open = false,
             _ = calls.recv() => break Cause::Cancelled,
-            // Polled last: what the driver has just read counts.
+            // Polled last, so that bytes that the driver has just read count.
             cause = poll_fn(|context| poll_time_out(context, time_out.as_mut(), deadline, exchange)) => {
                 break cause;
             }
@@ -247,7 +250,7 @@
     }
 }
 
-/// Times out at the deadline, or [`RESPONSE_TIMEOUT`] after the response has begun if that is earlier.
+/// Times out at the deadline, or [`RESPONSE_TIMEOUT`] after the beginning of the response if that is earlier.
 fn poll_time_out(
     context: &mut Context<'_>,
     mut time_out: Pin<&mut Sleep>,
@@ -267,8 +270,8 @@
     })
 }
 
-/// The response to a call that has timed out or is cancelled, if its bytes are there by now or, once it has begun, within
-/// [`LAST_BYTES_TIMEOUT`].
+/// Returns the response to a call that has timed out or is cancelled, if it has arrived completely by now. A response
+/// that has begun gets [`LAST_BYTES_TIMEOUT`] for the rest.
 async fn last_bytes(
     mut response: Pin<&mut impl Future<Output = Result<EndpointReply, Cause>>>,
     driver: &mut (impl Future<Output = hyper::Result<()>> + Unpin),
@@ -284,7 +287,7 @@
             }
         }
     });
-    // The runtime learns with its next turn what has come by now.
+    // The runtime notices bytes that have already arrived when the task yields.
     let response = tokio::select! {
         biased;
         response = &mut rest => Some(response),
--- a/crates/forwarder/src/endpoint_exchange.rs
+++ b/crates/forwarder/src/endpoint_exchange.rs
@@ -1,4 +1,4 @@
-//! One call to an endpoint as an HTTP exchange: its request, and the reading of its response.
+//! One call to an endpoint as an HTTP exchange: builds the request and reads the response.
 
 use crate::endpoint_call::{Cause, EndpointCall, EndpointReply};
 use crate::input::IDEMPOTENCY_KEY;
@@ -12,7 +12,7 @@
 use hyper::{Request, http};
 use std::net::SocketAddr;
 
-/// Longest body of a response. The results of twenty messages take up a hundredth of it.
+/// Longest body of a response, in bytes. The results of twenty messages take about a hundredth of it.
 const MAX_RESPONSE_BYTES: usize = 256 << 10;
 
 /// Sends a call with this body and reads the response.
@@ -82,7 +82,7 @@
     }
 }
 
-/// A number of the pairs in `X-Pressure`. One that is not finite or negative counts as absent.
+/// Returns a number from the pairs in `X-Pressure`. A number that is negative or not finite counts as absent.
 fn pressure(headers: &HeaderMap, field: &str) -> Option<f64> {
     let pairs = header_text(headers, "X-Pressure")?.split(',').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(name, _)| name.trim() == field).find_map(|(_, value)| non_negative_number(value))
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -1,7 +1,7 @@
-//! The forwarder on sockets: the decisions of [`Controller`](orchidyoke_core::Controller) carried out over HTTP/1.1.
+//! The forwarder process: carries out the decisions of [`Controller`](orchidyoke_core::Controller) over HTTP/1.1.
 //!
-//! [`reducer`] makes every change of state, on what [`input`] says has happened; the other modules read, write and
-//! report to it.
+//! [`reducer`] makes every change of state, in response to the events defined in [`input`]. The other modules read from
+//! and write to sockets and files, and report to the reducer.
 
 #![deny(missing_docs)]
 
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -1,29 +1,30 @@
-//! Splits a stream of bytes into endpoint lists, however it is cut into frames. No socket is here.
+//! Splits a stream of bytes into endpoint lists, whatever the boundaries of its frames. This module uses no sockets.
 //!
-//! Used by the watch on discovery. It scans each byte once for the end of its list and parses each list once, so that a
-//! large list costs the same in however many frames it comes.
+//! The watch on discovery uses it. The reader scans each byte once for the end of its list and parses each list once,
+//! so that the cost of a large list does not depend on the number of frames.
 
 use orchidyoke_core::endpoint_list::{ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent, parse_list};
 
-/// A buffer that has grown beyond this is freed once its list has been read.
+/// Largest capacity of a buffer that is kept for the next list, in bytes. A larger buffer is freed once its list has
+/// been read.
 const MAX_KEPT_BUFFER_BYTES: usize = 64 << 10;
-/// Open brackets around an entry: those of its list and of the entries.
+/// Number of open brackets around an entry: the bracket of the list and the bracket of its entries.
 const ENTRY_DEPTH: usize = 2;
 
 /// State of the scan for the end of a list.
 #[derive(Clone, Copy, Debug, Default)]
 struct ScanState {
-    /// Open brackets; none between two lists.
+    /// Number of open brackets; 0 between two lists.
     depth: usize,
     in_string: bool,
-    /// The last byte was a backslash within a string.
+    /// Whether the last byte was an escaping backslash within a string.
     is_escaped: bool,
-    /// Objects at the depth of entries so far.
+    /// Number of objects so far at the depth of entries.
     entries: usize,
 }
 
 impl ScanState {
-    /// Scans one byte; whether a list ends with it.
+    /// Scans one byte and returns whether a list ends with it.
     fn scan(&mut self, byte: u8) -> bool {
         if self.in_string {
             self.scan_in_string(byte);
@@ -59,7 +60,7 @@
 /// Reads endpoint lists from the frames of a stream.
 #[derive(Debug, Default)]
 pub struct ListReader {
-    /// The part of an unfinished list that has come.
+    /// The part of an unfinished list that has arrived.
     buffer: Vec<u8>,
     scan: ScanState,
     parsed_bytes: usize,
@@ -67,11 +68,12 @@
 
 impl ListReader {
     /// Reads a frame and passes each list that ends in it to `on_event`. Blanks between lists mean no change. Returns
-    /// whether anything complete has come, a blank included.
+    /// whether the frame completed a list or contained a blank between lists.
     ///
     /// # Errors
     ///
-    /// The stream holds no valid list, or one beyond the limits. Nothing of that list was passed on.
+    /// Returns an error if the stream contains an invalid list or a list beyond the limits. That list is not passed to
+    /// `on_event`.
     pub fn read_frame(
         &mut self,
         frame: &[u8],
@@ -87,7 +89,7 @@
                 match rest.first() {
                     None => return Ok(is_anything_complete),
                     Some(b'{' | b'[') => {}
-                    // No list begins so: parsing says what is wrong.
+                    // No list begins with this byte; parsing it returns the error.
                     Some(_) => return parse_list(&rest[..1]).map(|_| is_anything_complete),
                 }
             }
@@ -102,17 +104,17 @@
         }
     }
 
-    /// Bytes of the unfinished list.
+    /// Returns the number of bytes of the unfinished list that have arrived.
     pub fn unfinished_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Bytes that were parsed so far.
+    /// Returns the number of bytes that have been parsed so far.
     pub fn parsed_bytes(&self) -> usize {
         self.parsed_bytes
     }
 
-    /// The number of bytes up to the end of the current list, if it ends in these.
+    /// Returns the number of bytes up to the end of the current list; `None` if the list does not end in these bytes.
     fn find_end(&mut self, bytes: &[u8]) -> Result<Option<usize>, ListError> {
         let end = bytes.iter().position(|byte| self.scan.scan(*byte)).map(|last| last + 1);
         if self.buffer.len() + end.unwrap_or(bytes.len()) > MAX_LIST_BYTES {
--- a/crates/forwarder/src/log.rs
+++ b/crates/forwarder/src/log.rs
@@ -1,14 +1,15 @@
 //! The log: lines on standard error, at a bounded rate. All lines have the level INFO; see `docs/operate/on-call.md`.
 //!
-//! A line is an event in plain terms, and then its subject and figures as `key=value`. It goes through [`log!`](crate::log!).
+//! A line names an event, followed by its subject and numbers as `key=value`. Lines are written with
+//! [`log!`](crate::log!).
 
 use std::fmt;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Lines a second in the long run.
+/// Most lines a second over a long time.
 const MAX_LINES_PER_SECOND: f64 = 20.0;
-/// Lines at once.
+/// Most lines in a burst.
 const MAX_BURST_LINES: f64 = 100.0;
 
 /// A token bucket of lines.
@@ -22,7 +23,8 @@
     Mutex::new(LineBucket { available: MAX_BURST_LINES, filled_at: None, dropped: 0 });
 
 impl LineBucket {
-    /// The number of lines dropped since the last one, if a line may be written now.
+    /// Takes a token for a line. Returns the number of lines dropped since the last written one, or `None` if no line
+    /// may be written now.
     fn take(&mut self, now: Instant) -> Option<u64> {
         let passed = self.filled_at.map_or(0.0, |then| now.duration_since(then).as_secs_f64());
         self.available = (self.available + passed * MAX_LINES_PER_SECOND).min(MAX_BURST_LINES);
@@ -36,7 +38,8 @@
     }
 }
 
-/// The number of lines dropped since the last one, if a line may be written now. For [`log!`](crate::log!).
+/// Requests permission to write a line now. Returns the number of lines dropped since the last written one, or `None`
+/// if the line must be dropped. Only [`log!`](crate::log!) calls this.
 pub fn permit() -> Option<u64> {
     BUCKET.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take(Instant::now())
 }
@@ -44,17 +47,17 @@
 /// The form of lines on standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
-    /// One line of text each, as `orchidyoke: …`.
+    /// Plain text, as `orchidyoke: …`.
     #[default]
     Text,
-    /// One JSON object each, with `timestamp`, `level`, `message` and `target`.
+    /// One JSON object per line, with `timestamp`, `level`, `message` and `target`.
     Json,
 }
 
-/// Writes lines from here on. A second call changes nothing.
+/// Starts writing the log in the given form. A second call has no effect.
 pub fn start(form: Form) {
     let plain = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-    // An error means that a subscriber is there already: that one stays.
+    // An error means that a subscriber is already set, which then stays.
     drop(match form {
         Form::Text => plain.without_time().with_level(false).try_init(),
         Form::Json => {
@@ -63,12 +66,13 @@
     });
 }
 
-/// Writes a line. For [`log!`](crate::log!), which bounds the rate.
+/// Writes a line. Only [`log!`](crate::log!), which bounds the rate, calls this.
 pub fn line(text: fmt::Arguments<'_>) {
     tracing::info!(target: "orchidyoke", "{text}");
 }
 
-/// Writes a line to the log, or drops it beyond the rate; the next line is preceded by the number of dropped ones.
+/// Writes a line to the log, or drops it if the log is at its maximum rate. The next written line is preceded by the
+/// number of dropped lines.
 #[macro_export]
 macro_rules! log {
     ($($part:tt)*) => {
--- a/crates/forwarder/src/metered_stream.rs
+++ b/crates/forwarder/src/metered_stream.rs
@@ -1,7 +1,7 @@
-//! A connection to an endpoint that records how far the current exchange has come on the socket.
+//! A connection to an endpoint that records the progress of the current exchange on the socket.
 //!
-//! The HTTP library reports neither which bytes of a request the system has accepted nor when a response begins; both
-//! settle what a failed call may have done.
+//! hyper reports neither which bytes of a request the system has accepted nor when a response begins. Both determine
+//! whether the endpoint may have executed a failed call.
 
 use crate::connection_pool::EndpointConnectionId;
 use crate::endpoint_call::Progress;
@@ -25,7 +25,7 @@
 }
 
 impl Exchange {
-    /// How far the call has come.
+    /// Returns the progress of the call.
     pub(crate) fn progress(&self) -> Progress {
         let written = self.request.progress();
         let is_answered = self.response.begun_at().is_some() && written == Progress::FullyWritten;
@@ -38,7 +38,7 @@
 pub(crate) struct SharedExchange(Arc<Mutex<Exchange>>);
 
 impl SharedExchange {
-    /// Begins the exchange of a request with so many bytes of body.
+    /// Begins the exchange of a request whose body has `body_bytes` bytes.
     pub(crate) fn begin(&self, body_bytes: usize) {
         let request = WriteProgress::with_body_bytes(body_bytes);
         *self.lock() = Exchange { request, ..Exchange::default() };
@@ -58,16 +58,17 @@
 }
 
 impl MeteredStream {
-    /// Before the first byte of a request: fails if the endpoint has closed, or sent bytes that belong to no call. Those
-    /// would be read as the response, and what is written to a closed connection may still be executed. Asks the system,
-    /// since the runtime learns of it later.
+    /// Checks, before the first byte of a request, that the endpoint has neither closed the connection nor sent bytes
+    /// that belong to no call. Such bytes would be read as the response, and an endpoint may still execute a request
+    /// that is written to a connection that it has closed. Reads from the system directly, because the runtime
+    /// notices both later.
     fn check_quiet(&self) -> io::Result<()> {
         let socket = SockRef::from(&self.stream);
         match (&*socket).read(&mut [0]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(error) => Err(error),
-            Ok(0) => Err(io::Error::new(io::ErrorKind::ConnectionAborted, "closed before its call")),
-            Ok(_) => Err(io::Error::new(io::ErrorKind::InvalidData, "unexpected bytes before its call")),
+            Ok(0) => Err(io::Error::new(io::ErrorKind::ConnectionAborted, "closed before the call")),
+            Ok(_) => Err(io::Error::new(io::ErrorKind::InvalidData, "unexpected bytes before the call")),
         }
     }
 
@@ -79,7 +80,7 @@
             before != request.progress()
         };
         if is_whole {
-            // The receiver is gone only when the forwarder ends.
+            // The channel is closed only when the forwarder ends.
             let _ = self.inputs.send(Input::CallWritten { connection: self.connection });
         }
     }
--- a/crates/forwarder/src/metrics.rs
+++ b/crates/forwarder/src/metrics.rs
@@ -1,45 +1,46 @@
-//! The metrics of a process: counters from 0, histograms of the time to delivery, and their text form for the console.
+//! The metrics of a process: counters that start at 0, histograms of the time to delivery, and their text form for the
+//! console.
 //!
-//! The reducer counts where a thing happens. The names on the wire (`app_...`) are listed in `docs/operate/on-call.md`.
+//! The reducer updates the counters. `docs/operate/on-call.md` lists the names on the wire (`app_...`).
 
 use hdrhistogram::Histogram;
 use orchidyoke_core::interface::Micros;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-/// How a message ended, as counted.
+/// The end of a message, as the metrics count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
-    /// Delivered.
+    /// The message was delivered.
     Success,
-    /// Rejected: at submission, or later, with a Retry-After or without.
+    /// The message was rejected, at submission or later, with a Retry-After or without.
     Overload,
-    /// Failed.
+    /// The message failed.
     Error,
 }
 
-/// Message counts of one class.
+/// The number of ended messages of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndCounts {
-    /// Delivered.
+    /// Messages delivered.
     pub success: u64,
-    /// Rejected: at submission, or later, with a Retry-After or without.
+    /// Messages rejected, at submission or later, with a Retry-After or without.
     pub overload: u64,
-    /// Failed.
+    /// Messages failed.
     pub error: u64,
 }
 
 impl EndCounts {
-    /// All ended messages.
+    /// Returns the number of all ended messages.
     pub fn total(&self) -> u64 {
         self.success + self.overload + self.error
     }
 }
 
-/// Longest time to delivery that has a bucket of its own.
+/// Longest time to delivery that has its own bucket, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Times to delivery in microseconds, from 1 on, to two significant digits.
+/// Returns an empty histogram of times to delivery in microseconds, from 1 on, to two significant digits.
 fn histogram() -> Histogram<u32> {
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).expect("bounds that fit the library")
 }
@@ -48,52 +49,54 @@
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     by_class: BTreeMap<String, EndCounts>,
-    /// Time from submission to delivery, by class; without messages that were submitted to another process.
+    /// Times from submission to delivery, by class. Messages that were submitted to another process are not included.
     latency: BTreeMap<String, Histogram<u32>>,
     dispatches: u64,
-    /// Messages that became this process's own: submitted to it, or taken over from another.
+    /// Number of messages that this process owns or has owned: submitted to it, or taken over from another process.
     accepted: u64,
-    /// Those of them that ended here, and those handed over to another process.
+    /// Number of owned messages that ended here.
     ended: u64,
+    /// Number of owned messages that were handed over to another process.
     handed_over: u64,
 }
 
-/// Values of the moment.
+/// The current values that the metrics report besides the counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Messages accepted and not yet ended.
+    /// Number of messages accepted and not yet ended.
     pub open_messages: usize,
-    /// Endpoints on the list.
+    /// Number of endpoints on the list.
     pub endpoints: usize,
-    /// Those of them that get nothing, or trial calls alone.
+    /// Number of endpoints on the list that get no calls, or only trial calls.
     pub avoided_endpoints: usize,
 }
 
 impl Metrics {
-    /// Renders these classes from the start, also while no message of theirs has come.
+    /// Registers classes, so that they are rendered even before their first message.
     pub fn register_classes(&mut self, classes: &[String]) {
         for class in classes {
             self.by_class.entry(class.clone()).or_default();
         }
     }
 
-    /// So many messages have become this process's own.
+    /// Counts messages that this process owns from now on.
     pub fn on_accepted(&mut self, count: usize) {
         self.accepted += count as u64;
     }
 
-    /// One of its own is another forwarder's from now on, which has accepted it, or the successor process's.
+    /// Counts an owned message that another forwarder has accepted or the successor process has taken over.
     pub fn on_left_this_process(&mut self) {
         self.handed_over += 1;
     }
 
-    /// One of its own has ended.
+    /// Counts an owned message that has ended.
     pub fn on_ended(&mut self, class: &str, end: MessageEnd) {
         self.ended += 1;
         self.count(class, end);
     }
 
-    /// One of its own was delivered, so many microseconds after it was submitted here.
+    /// Counts an owned message that was delivered. `after` is the time since its submission to this process, in
+    /// microseconds; `None` if it was submitted to another process.
     pub fn on_delivered(&mut self, class: &str, after: Option<Micros>) {
         self.on_ended(class, MessageEnd::Success);
         if let Some(after) = after {
@@ -102,13 +105,13 @@
         }
     }
 
-    /// One has ended that this process had not accepted.
+    /// Counts a message that has ended before this process accepted it.
     pub fn on_ended_before_accepted(&mut self, class: &str, end: MessageEnd) {
         self.count(class, end);
     }
 
     fn count(&mut self, class: &str, end: MessageEnd) {
-        // Classes come from the settings alone, so that clients cannot add any.
+        // Classes come only from the settings, so that clients cannot add any.
         let ends = self.by_class.entry(class.to_owned()).or_default();
         *match end {
             MessageEnd::Success => &mut ends.success,
@@ -117,41 +120,42 @@
         } += 1;
     }
 
-    /// So many messages were fully written to an endpoint.
+    /// Counts messages that were fully written to an endpoint.
     pub fn on_dispatched(&mut self, count: usize) {
         self.dispatches += count as u64;
     }
 
-    /// Messages that became this process's own.
+    /// Returns the number of messages that this process owns or has owned.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Messages of its own that have neither ended nor been handed over: what `concurrent` has to be.
+    /// Returns the number of owned messages that have neither ended nor been handed over. `app_concurrent` must equal
+    /// it.
     pub fn open_messages(&self) -> u64 {
         self.accepted - self.ended - self.handed_over
     }
 
-    /// Messages fully written to endpoints.
+    /// Returns the number of messages that were fully written to endpoints.
     pub fn dispatches(&self) -> u64 {
         self.dispatches
     }
 
-    /// Ended messages by class.
+    /// Returns the number of ended messages by class.
     pub fn ends(&self) -> &BTreeMap<String, EndCounts> {
         &self.by_class
     }
 
-    /// Counters and gauges, a line each.
+    /// Renders the counters and gauges, one per line.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` does not fail.
         let _ = self.write(&mut text, gauges);
         text
     }
 
-    /// Times to delivery as Prometheus histograms (text exposition format 0.0.4), in microseconds: cumulative counts of the
-    /// buckets that hold any.
+    /// Renders the times to delivery, in microseconds, as Prometheus histograms (text exposition format 0.0.4):
+    /// cumulative counts of the non-empty buckets.
     pub fn render_latency(&self) -> String {
         let mut text = String::new();
         let _ = self.write_latency(&mut text);
@@ -188,7 +192,7 @@
     }
 }
 
-/// A class as the value of a label, escaped.
+/// Escapes a class for use as the value of a label.
 fn quoted(class: &str) -> String {
     class.replace('\\', "\\\\").replace('"', "\\\"")
 }
--- a/crates/forwarder/src/notifications.rs
+++ b/crates/forwarder/src/notifications.rs
@@ -1,6 +1,6 @@
-//! Notifications of final answers: messages that were accepted and could not be delivered, posted to the platform.
+//! Posts notifications to the platform: the final answers of messages that were accepted and could not be delivered.
 //!
-//! The reducer decides which to post, and posts them again until the platform accepts them.
+//! The reducer decides which notifications to post, and repeats them until the platform accepts them.
 
 use crate::input::Input;
 use crate::log;
@@ -20,10 +20,10 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::timeout;
 
-/// Time for the platform's response.
+/// Limit on the time until the platform has answered.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why the platform did not accept notifications.
+/// The reason why the platform did not accept notifications.
 #[derive(Debug, Error)]
 enum PostError {
     #[error("no response within {} ms", RESPONSE_TIMEOUT.as_millis())]
@@ -40,7 +40,7 @@
     Closed,
 }
 
-/// One message's final answer on the wire.
+/// The final answer of one message, in its form on the wire.
 #[derive(Serialize)]
 struct NotificationLine<'a> {
     id: &'a str,
@@ -62,7 +62,7 @@
     }
 }
 
-/// One JSON object a line (NDJSON).
+/// Renders notifications as NDJSON, one JSON object per line.
 fn to_lines(notifications: &[(String, FinalAnswer)]) -> Vec<u8> {
     let mut text = Vec::new();
     for (id, answer) in notifications {
@@ -87,7 +87,7 @@
             false
         }
     };
-    // The receiver is gone only when the forwarder ends.
+    // The channel is closed only when the forwarder ends.
     let _ = inputs.send(Input::NotificationsPosted { accepted });
 }
 
--- a/crates/forwarder/src/other_journals.rs
+++ b/crates/forwarder/src/other_journals.rs
@@ -1,7 +1,7 @@
-//! The journals of other processes on the folder, polled: what is new in them becomes an input.
+//! Polls the journals of other processes on the folder and passes new records to the reducer as inputs.
 //!
-//! Used in an upgrade, while two processes work on one folder, and after a process has been killed. What follows from their
-//! records is decided by the reducer.
+//! The forwarder uses this in an upgrade, while two processes work on one folder, and after a process has been
+//! killed. The reducer decides what to do about the records.
 
 use crate::input::{Input, OtherProcessUpdate};
 use crate::log;
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Interval of polling known journals: what another process hands over waits for no longer.
+/// Interval of polling known journals. It bounds the time that a handover from another process waits.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval of looking for journals that are new on the folder.
+/// Interval of scanning the folder for new journals.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A journal and what was last reported of it.
+/// A journal and its state as last reported.
 struct KnownJournal {
     journal: OtherJournal,
     size: usize,
     has_ended: bool,
-    /// Why it could not be read the last time: the same error is logged once.
+    /// The error of the last failed read. Only an error with a different text is logged.
     error: Option<String>,
 }
 
@@ -30,11 +30,11 @@
     }
 }
 
-/// What polling one journal gave.
+/// The result of polling one journal.
 enum Polled {
     Unchanged,
     Changed(OtherProcessUpdate),
-    /// It has been removed.
+    /// The journal has been removed.
     Gone,
 }
 
@@ -43,7 +43,8 @@
     folder: PathBuf,
     own: Generation,
     known: Vec<KnownJournal>,
-    /// Others may come: whoever started this process holds the clients' socket for them too.
+    /// Whether other processes may start on the folder, because the clients' socket is inherited and they can inherit
+    /// it too.
     expects_others: bool,
     next_scan: Instant,
     next_poll: Instant,
@@ -51,7 +52,7 @@
 }
 
 impl OtherJournals {
-    /// The journals that were found at the start. With `expects_others` the folder is scanned for further ones.
+    /// Returns the journals in `found`. With `expects_others`, the folder is scanned for further ones.
     pub fn new(folder: &Path, own: Generation, found: Vec<OtherJournal>, expects_others: bool) -> Self {
         let now = Instant::now();
         OtherJournals {
@@ -65,14 +66,14 @@
         }
     }
 
-    /// When [`OtherJournals::poll_due`] has something to do next.
+    /// Returns the time at which [`OtherJournals::poll_due`] is next due; `None` if it is not.
     pub fn wake_at(&self) -> Option<Instant> {
         let poll = (!self.known.is_empty()).then_some(self.next_poll);
         let scan = self.expects_others.then_some(self.next_scan);
         poll.into_iter().chain(scan).min().filter(|_| !self.is_stopped)
     }
 
-    /// Scans and polls as far as it is due; what is new.
+    /// Scans and polls if due, and returns what is new.
     pub fn poll_due(&mut self) -> Option<Input> {
         let now = Instant::now();
         if self.is_stopped || self.wake_at().is_none_or(|at| at > now) {
@@ -84,7 +85,7 @@
         self.poll()
     }
 
-    /// Scans and polls at once; what is new.
+    /// Scans and polls at once, and returns what is new.
     pub fn scan_and_poll(&mut self) -> Option<Input> {
         if self.is_stopped || !self.expects_others && self.known.is_empty() {
             return None;
@@ -93,7 +94,7 @@
         self.poll()
     }
 
-    /// Polls the known journals at once; what is new.
+    /// Polls the known journals at once, and returns what is new.
     pub fn poll(&mut self) -> Option<Input> {
         if self.is_stopped {
             return None;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Removes the journal of an ended process: what it held is in this process's own by now.
+    /// Removes the journal of an ended process, whose content is already in this process's own journal.
     pub fn remove(&mut self, generation: Generation) {
         self.known.retain(|known| {
             let is_removed = known.journal.generation() == generation;
@@ -145,7 +146,7 @@
         });
     }
 
-    /// This process hands over, and takes nothing over any more.
+    /// Stops polling, because this process hands over to its successor and takes over nothing more.
     pub fn stop(&mut self) {
         self.is_stopped = true;
         self.known.clear();
@@ -166,7 +167,8 @@
             return Polled::Unchanged;
         }
     };
-    // An ended process is reported until its journal is removed: there may have been no room for what it left.
+    // An ended process is reported until its journal is removed, because this process may have had no room for its
+    // messages.
     let is_changed = read.rewritten || read.ended || read.size != known.size || !read.records.is_empty();
     if !is_changed {
         return Polled::Unchanged;
--- a/crates/forwarder/src/ownership.rs
+++ b/crates/forwarder/src/ownership.rs
@@ -1,7 +1,7 @@
-//! The owners of destinations, as the forwarder learns them, and what a handover carries from one forwarder to another.
+//! The owners of destinations, and the data that a handover carries from one forwarder to another.
 //!
-//! Which member owns what is decided elsewhere and comes in through [`Owners`]. A forwarder without owners delivers every
-//! message itself.
+//! An implementation of [`Owners`], outside this crate, decides which member owns which destination. A forwarder
+//! without owners delivers every message itself.
 
 use bytes::Bytes;
 use hyper::header::HeaderMap;
@@ -13,17 +13,17 @@
 
 /// The header that marks a message as handed over by another forwarder. The receiver delivers such a message itself.
 pub const HANDOVER_HEADER: &str = "X-Handover";
-/// Longest value of that header: names of a forwarder, an endpoint and a zone, and four numbers.
+/// Longest value of [`HANDOVER_HEADER`], in bytes: names of a forwarder, an endpoint and a zone, and four numbers.
 const MAX_MARK_BYTES: usize = 2048;
-/// The latest time that a mark may have, in microseconds: sums with it do not overflow.
+/// Latest time that a mark may contain, in microseconds, so that sums with it do not overflow.
 const MAX_MARK_TIME_US: Micros = Micros::MAX / 2;
 
 /// Another forwarder that owns destinations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name, unique in the fleet.
+    /// The name of the forwarder, unique in the fleet.
     pub name: String,
-    /// Where it accepts messages.
+    /// The address at which the forwarder accepts messages.
     pub address: SocketAddr,
 }
 
@@ -34,46 +34,48 @@
     Local,
     /// Another forwarder.
     Peer(Peer),
-    /// Not known: the forwarder that has a message delivers it.
+    /// The owner is not known, so that the forwarder that has a message delivers it.
     Unknown,
 }
 
-/// The owners of destinations by one view of the members of a region. A view does not change; a later one replaces it.
+/// The owners of destinations according to one view of the members of a region. A view does not change; a later view
+/// replaces it.
 pub trait Owners: fmt::Debug {
-    /// The version of the view: a later one has a higher.
+    /// Returns the version of the view. A later view has a higher version.
     fn version(&self) -> u64;
 
-    /// The name of this forwarder among the members.
+    /// Returns the name of this forwarder among the members.
     fn own_name(&self) -> &str;
 
-    /// The owner of a destination.
+    /// Returns the owner of a destination.
     fn owner_of(&self, destination: DestinationId) -> Owner;
 
-    /// Where the member of this name accepts messages; none where there is no such member.
+    /// Returns the address at which the member of this name accepts messages; `None` if there is no such member.
     fn member_address(&self, name: &str) -> Option<SocketAddr>;
 
-    /// The number of members, this forwarder included.
+    /// Returns the number of members, this forwarder included.
     fn member_count(&self) -> usize;
 
-    /// How many forwarders of the fleet own one destination, each for the messages of its region: they share its limit.
+    /// Returns the number of forwarders in the fleet that own one destination, each for the messages of its region.
+    /// They share the destination's limit.
     fn owners_per_destination(&self) -> u32;
 }
 
-/// What a handover says of a message beside the message itself: the JSON of [`HANDOVER_HEADER`].
+/// The data that a handover adds to the message: the JSON in [`HANDOVER_HEADER`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandoverMark {
-    /// The name of the forwarder that hands it over.
+    /// The name of the forwarder that hands the message over.
     pub from: String,
     /// The message's deadline, as Unix time in microseconds on the sender's clock.
     pub deadline: Micros,
-    /// Until when the offer is valid, as Unix time in microseconds on the sender's clock. A receiver that reads it later
-    /// may have forgotten the message's id, and would deliver a second time. It is compared with the receiver's clock: one
-    /// that is behind the sender's by more than the memory of finished ids (30 s) exceeds the validity (20 s) does not
-    /// notice.
+    /// Time until which the offer is valid, as Unix time in microseconds on the sender's clock. A receiver that reads
+    /// the offer later may have forgotten the message's id and would deliver the message a second time. The receiver
+    /// compares this time with its own clock. It remembers finished ids for 30 s and an offer is valid for 20 s, so a
+    /// receiver whose clock is behind the sender's by more than the difference may accept an offer that has expired.
     pub valid_until: Micros,
     /// The number of attempts used.
     pub attempts: u32,
-    /// The first attempt that may have been delivered.
+    /// The first attempt that may have been delivered; `None` if there is none.
     #[serde(default, rename = "ran", skip_serializing_if = "Option::is_none")]
     pub possible_delivery: Option<AttemptStart>,
 }
@@ -81,7 +83,7 @@
 /// The mark of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ReceivedMark {
-    /// None: the request comes from a client.
+    /// There is no mark: the request comes from a client.
     #[default]
     Absent,
     /// The request comes from another forwarder.
@@ -91,14 +93,14 @@
 }
 
 impl HandoverMark {
-    /// Whether its times are in range.
+    /// Returns whether the times of the mark are in range.
     fn is_valid(&self) -> bool {
         let range = 0..=MAX_MARK_TIME_US;
         let attempt_started_at = self.possible_delivery.as_ref().map_or(0, |attempt| attempt.started_at);
         [self.deadline, self.valid_until, attempt_started_at].iter().all(|time| range.contains(time))
     }
 
-    /// The value of the header.
+    /// Returns the value of [`HANDOVER_HEADER`].
     pub fn to_header(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -112,7 +114,7 @@
 }
 
 impl ReceivedMark {
-    /// The mark in a request's headers.
+    /// Reads the mark from a request's headers.
     pub fn from_headers(headers: &HeaderMap) -> Self {
         let mut values = headers.get_all(HANDOVER_HEADER).iter();
         let Some(value) = values.next() else { return ReceivedMark::Absent };
@@ -123,32 +125,32 @@
     }
 }
 
-/// An offer of a message to its owner, made in the protocol of clients.
+/// An offer of a message to its owner, sent in the protocol that clients use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingOffer {
     /// The id of the message in this process.
     pub id: MessageId,
-    /// Where the owner accepts messages.
+    /// The address at which the owner accepts messages.
     pub owner_address: SocketAddr,
     /// The message.
     pub message: AcceptedMessage,
-    /// Its body.
+    /// The message's body.
     pub body: Bytes,
-    /// The mark that goes with it.
+    /// The mark that is sent with the message.
     pub mark: HandoverMark,
-    /// Until when its answer is awaited, in microseconds on the reducer's clock.
+    /// Time until which the forwarder waits for the answer, in microseconds on the reducer's clock.
     pub answer_deadline: Micros,
 }
 
-/// How an offer has ended.
+/// The outcome of an offer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
     /// The owner has accepted the message, now or before.
     Accepted,
     /// The owner has rejected the message, with this Retry-After in microseconds.
     Rejected(Micros),
-    /// The offer was not sent, for this reason: the owner has not seen it.
+    /// The offer was not sent, for this reason, and the owner has not received it.
     NotSent(String),
-    /// There was no answer, or an ambiguous one, for this reason: the owner may have accepted the message.
+    /// There was no answer or an ambiguous one, for this reason. The owner may have accepted the message.
     InDoubt(String),
 }
--- a/crates/forwarder/src/peer_call.rs
+++ b/crates/forwarder/src/peer_call.rs
@@ -1,6 +1,8 @@
-//! Sends handover offers to other forwarders over HTTP/1.1, with keep-alive connections and one request at a time on each.
+//! Sends handover offers to other forwarders over HTTP/1.1, with keep-alive connections and one request at a time on
+//! each.
 //!
-//! Used where destinations have owners. When an offer is made, and what follows from its outcome, is the reducer's matter.
+//! The forwarder uses this if destinations have owners. The reducer decides when to make an offer, and what to do
+//! about its outcome.
 
 use crate::input::{IDEMPOTENCY_KEY, Input};
 use crate::ownership::{HANDOVER_HEADER, OfferOutcome, OutgoingOffer};
@@ -24,11 +26,11 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, timeout_at};
 
-/// An idle connection is used again within this time: well before the other end closes it.
+/// Time for which an idle connection may be reused. It ends well before the other forwarder closes the connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections kept to one forwarder.
+/// Most idle connections that are kept to one forwarder.
 const MAX_IDLE_PER_PEER: usize = 16;
-/// Time limit of opening a connection.
+/// Limit on the time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A connection to another forwarder. Dropping it closes it.
@@ -51,7 +53,7 @@
     }
 }
 
-/// Connections to other forwarders.
+/// The idle connections to other forwarders.
 #[derive(Debug, Default)]
 pub struct PeerConnections {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
@@ -60,13 +62,13 @@
 /// The times of one offer, on this process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferTimes {
-    /// Until when the answer is awaited.
+    /// Time until which the forwarder waits for the answer.
     pub answer_deadline: Instant,
     /// The deadline of the message.
     pub message_deadline: Instant,
 }
 
-/// Why an offer was not sent.
+/// The reason why an offer was not sent.
 #[derive(Debug, Error)]
 enum ConnectError {
     #[error("connecting timed out")]
@@ -77,16 +79,16 @@
     Handshake(#[source] hyper::Error),
 }
 
-/// Why an offer has no answer.
+/// The reason why an offer has no answer.
 #[derive(Debug, Error)]
 enum OfferError {
-    /// The owner has not seen it.
+    /// The owner has not received the offer.
     #[error("the connection was closed before the offer was sent")]
     NotSent,
-    /// The owner may have seen it.
+    /// The owner may have received the offer.
     #[error("no answer in time")]
     TimedOut,
-    /// The owner may have seen it.
+    /// The owner may have received the offer.
     #[error("the connection failed: {0}")]
     Connection(#[source] hyper::Error),
     /// The headers of the offer are not valid.
@@ -104,7 +106,7 @@
 }
 
 impl PeerConnections {
-    /// Makes an offer and reports its outcome as [`Input::OfferEnded`].
+    /// Sends an offer and reports its outcome as [`Input::OfferEnded`].
     pub async fn offer(
         self: Rc<Self>,
         offer: Box<OutgoingOffer>,
@@ -112,7 +114,7 @@
         inputs: UnboundedSender<Input>,
     ) {
         let outcome = self.exchange(&offer, times).await;
-        // The receiver is gone only when the forwarder ends.
+        // The channel is closed only when the forwarder ends.
         let _ = inputs.send(Input::OfferEnded { id: offer.id, outcome });
     }
 
@@ -120,7 +122,7 @@
         while let Some(connection) = self.take_idle(offer.owner_address) {
             match self.send(connection, offer, times).await {
                 Ok(outcome) => return outcome,
-                // An idle connection may close just as it is chosen: the next is tried.
+                // The other end may close an idle connection just as it is chosen, so the next one is tried.
                 Err(OfferError::NotSent) => {}
                 Err(error) => return error.into(),
             }
@@ -167,7 +169,7 @@
         let answer =
             timeout_at(times.answer_deadline, exchange).await.map_err(|_| OfferError::TimedOut)??;
         let outcome = outcome_of(&answer);
-        // A connection with an unread body is closed.
+        // A connection whose answer has a body is dropped instead, because the body is not read.
         if answer.body().is_end_stream() {
             drop(answer);
             self.keep_idle(offer.owner_address, connection);
@@ -180,7 +182,8 @@
     let deadline = answer_deadline.min(Instant::now() + CONNECT_TIMEOUT);
     let connecting = timeout_at(deadline, TcpStream::connect(address)).await;
     let stream = connecting.map_err(|_| ConnectError::TimedOut)??;
-    // Offers are small, and each waits for its answer.
+    // Offers are small, and no other offer is sent on the connection before the answer, so Nagle's algorithm would only
+    // delay them.
     stream.set_nodelay(true)?;
     let (sender, connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(ConnectError::Handshake)?;
@@ -188,7 +191,7 @@
     Ok(Connection { sender, driver, last_used: Instant::now() })
 }
 
-/// The request of an offer: the one that clients make, with the mark.
+/// Builds the request of an offer: the same as a client's request, with the handover mark added.
 fn request(
     offer: &OutgoingOffer,
     message_deadline: Instant,
@@ -210,7 +213,7 @@
     request.body(Full::new(offer.body.clone()))
 }
 
-/// What an answer says of the offer.
+/// Returns the outcome of an offer with this answer.
 fn outcome_of(answer: &Response<Incoming>) -> OfferOutcome {
     match answer.status() {
         StatusCode::OK | StatusCode::ACCEPTED => OfferOutcome::Accepted,
--- a/crates/forwarder/src/policy_overlay.rs
+++ b/crates/forwarder/src/policy_overlay.rs
@@ -1,6 +1,6 @@
 //! The fleet's policy as a layer over each forwarder's own configuration file.
 //!
-//! Implemented in `crates/policy-commit`; applied whenever the configuration is read.
+//! `crates/policy-commit` implements the trait. The policy is applied whenever the configuration is read.
 
 use crate::config::ConfigError;
 
@@ -10,9 +10,10 @@
     ///
     /// # Errors
     ///
-    /// The configuration is not of a form that the policy can be applied to.
+    /// Returns an error if the configuration does not have a form that the policy can be applied to.
     fn apply(&self, configuration: &str) -> Result<String, ConfigError>;
 
-    /// The version of the policy in force: it changes whenever [`PolicyOverlay::apply`] may return something else.
+    /// Returns the version of the policy in force. It changes whenever [`PolicyOverlay::apply`] may return a
+    /// different text.
     fn version(&self) -> u64;
 }
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -1,11 +1,12 @@
-//! Loading the configuration, at the start and again at each SIGHUP.
+//! Loads the configuration at the start, and reloads it at each SIGHUP.
 //!
-//! A reload reads the file, applies the fleet's policy and the installation's settings, and checks the result as a whole.
-//! Only a valid configuration reaches the reducer, as [`Input::ConfigReloaded`]. With a file that is missing, unreadable or
-//! invalid nothing changes: the configuration in use stays in use, one log line says why, and the next SIGHUP tries again.
+//! A reload reads the file, applies the fleet's policy and the installation's settings, and checks the result as a
+//! whole. Only a valid configuration reaches the reducer, as [`Input::ConfigReloaded`]. If the file is missing,
+//! unreadable or invalid, the configuration in use stays in use, one log line gives the reason, and the next SIGHUP
+//! tries again.
 //!
-//! A broken file has to be mended before the process is restarted: a start with it fails. Votes on the fleet's policy load
-//! the same file, and are rejections meanwhile.
+//! An invalid file must be corrected before the process is restarted, because a start with it fails. The forwarder
+//! loads the same file for its votes on the fleet's policy, and votes no until the file is corrected.
 
 use crate::catalogue::Catalogue;
 use crate::config::{Config, ConfigError, parse_address};
@@ -23,55 +24,55 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Space for the settings beside the endpoint list.
+/// Largest size of a configuration without its endpoint list, in bytes.
 const MAX_SETTINGS_BYTES: usize = 4 << 20;
-/// Longest configuration: the largest endpoint list, and settings.
+/// Largest size of a configuration, in bytes.
 const MAX_CONFIG_BYTES: usize = MAX_LIST_BYTES + MAX_SETTINGS_BYTES;
 
-/// The settings that an installation has beyond the platform's file, and that are not the same in every installation: for
-/// `orchidyoke serve` those of the settings script.
+/// The settings of an installation that are not in the platform's file. They differ between installations. `orchidyoke
+/// serve` reads them from the settings script.
 pub trait Installation {
-    /// Reads and checks them as they are now, and adds them to the configuration. It may take its time, off the
-    /// forwarder's thread.
+    /// Reads and checks the current settings of the installation and adds them to the configuration. This may take long
+    /// and does not block the forwarder's thread.
     ///
     /// # Errors
     ///
-    /// The installation's settings cannot be read, or do not fit the configuration.
+    /// Returns an error if the installation's settings cannot be read, or do not fit the configuration.
     fn extend(&self, config: Config) -> Pin<Box<dyn Future<Output = Result<Config, ConfigError>> + '_>>;
 }
 
-/// What a configuration is made of: the file, the command line's addresses, the installation's settings and the fleet's
-/// policy.
+/// The sources of a configuration: the file, the addresses from the command line, the installation's settings and the
+/// fleet's policy.
 #[derive(Default)]
 pub struct ConfigSource {
-    /// The file.
+    /// The path of the configuration file.
     pub path: PathBuf,
-    /// Address for clients, from the command line.
+    /// The address for clients from the command line; `None` if it gives none.
     pub listen: Option<String>,
-    /// Address of discovery, from the command line.
+    /// The address of discovery from the command line; `None` if it gives none.
     pub discovery: Option<String>,
-    /// Address for operators, from the command line.
+    /// The address of the console from the command line; `None` if it gives none.
     pub console: Option<String>,
-    /// Settings beyond the file.
+    /// The installation's settings beyond the file; `None` if there are none.
     pub installation: Option<Box<dyn Installation>>,
-    /// The policy of the fleet, applied to the file's text.
+    /// The policy of the fleet, which is applied to the file's text; `None` if there is none.
     pub policy: Option<Rc<dyn PolicyOverlay>>,
-    /// The catalogue that the installation's settings last asked for.
+    /// The catalogue that the installation's settings last asked for; `None` if they asked for none.
     pub catalogue: RefCell<Option<Rc<dyn Catalogue>>>,
 }
 
 impl ConfigSource {
-    /// Reads and checks the configuration as it is now, with the policy of the fleet.
+    /// Reads and checks the current configuration, with the policy of the fleet applied.
     ///
     /// # Errors
     ///
-    /// The file, the policy or the installation's settings cannot be read, or are invalid.
+    /// Returns an error if the file, the policy or the installation's settings cannot be read or are invalid.
     pub async fn load(&self) -> Result<Config, ConfigError> {
         let Some(policy) = &self.policy else { return self.load_with(|text| Ok(text.to_owned())).await };
         loop {
             let version = policy.version();
             let config = self.load_with(|text| policy.apply(text)).await;
-            // A policy that came into force meanwhile counts already: this configuration would be older.
+            // If another policy came into force meanwhile, this configuration is out of date and is read again.
             if policy.version() == version {
                 return config;
             }
@@ -82,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// As [`ConfigSource::load`].
+    /// Returns the same errors as [`ConfigSource::load`].
     pub async fn load_with(
         &self,
         overlay: impl Fn(&str) -> Result<String, ConfigError>,
@@ -98,12 +99,12 @@
         }
     }
 
-    /// As [`ConfigSource::load_with`], but without evaluating the installation's settings again: the catalogue is the one
-    /// that they last asked for.
+    /// Reads and checks the configuration as [`ConfigSource::load_with`] does, but without evaluating the
+    /// installation's settings again. The catalogue is the one that they last asked for.
     ///
     /// # Errors
     ///
-    /// The file or the overlay cannot be read, or is invalid.
+    /// Returns an error if the file or the overlay cannot be read or is invalid.
     pub fn reread_with(
         &self,
         overlay: impl Fn(&str) -> Result<String, ConfigError>,
@@ -151,20 +152,21 @@
 pub struct Reloads(Signal);
 
 impl Reloads {
-    /// Takes the signal over from the system's default, which would end the process.
+    /// Installs the handler in place of the system's default, which would end the process.
     ///
     /// # Errors
     ///
-    /// The system refuses the handler.
+    /// Returns an error if the system does not accept the handler.
     pub fn listen() -> io::Result<Self> {
         signal(SignalKind::hangup()).map(Reloads)
     }
 
-    /// Reloads the configuration at each signal and reports it if it is valid; see the module's description.
+    /// Reloads the configuration at each signal and sends it to the reducer if it is valid; see the module's
+    /// description.
     pub async fn report(mut self, source: Rc<ConfigSource>, inputs: UnboundedSender<Input>) {
         while self.0.recv().await.is_some() {
             match source.load().await {
-                // The receiver is gone only when the forwarder ends.
+                // The channel is closed only when the forwarder ends.
                 Ok(config) => drop(inputs.send(Input::ConfigReloaded(Box::new(config)))),
                 Err(error) => log!("configuration: reload failed, the old one stays in use: {error}"),
             }
--- a/crates/forwarder/src/response_start.rs
+++ b/crates/forwarder/src/response_start.rs
@@ -1,14 +1,16 @@
-//! The first bytes of a response, looked at as they come: whether it has begun, and whether its status line is complete.
+//! Inspects the first bytes of a response as they arrive, to find whether it has begun and whether its status line is
+//! complete.
 //!
-//! A response that breaks off after `200` in its status line still says that a single message was delivered.
+//! A response that ends early, after a status line with `200`, still confirms the delivery of a single message.
 
 use crate::write_progress::HEAD_END;
 use tokio::time::Instant;
 
-/// As much of a response is looked at. Interim responses (RFC 9110, section 15.2) in front of it are short.
+/// Most bytes of a response that are inspected, including the interim responses before it (RFC 9110, section 15.2),
+/// which are short.
 const MAX_INSPECTED_BYTES: usize = 4 << 10;
 
-/// What has come of a response. Interim responses in front of it do not count.
+/// The beginning of a response. Interim responses before it do not count as its beginning.
 #[derive(Debug, Default)]
 pub(crate) struct ResponseStart {
     bytes: Vec<u8>,
@@ -24,12 +26,12 @@
         }
     }
 
-    /// When its first byte came.
+    /// Returns the time when the first byte of the response arrived; `None` if none has.
     pub(crate) fn begun_at(&self) -> Option<Instant> {
         self.begun_at
     }
 
-    /// Whether its status line is complete and says 200, whatever follows.
+    /// Returns whether the status line is complete and its status is 200, whatever follows it.
     pub(crate) fn says_delivered(&self) -> bool {
         let response = self.final_response();
         let is_http_1 = response.starts_with(b"HTTP/1.0 ") || response.starts_with(b"HTTP/1.1 ");
@@ -38,7 +40,7 @@
         is_http_1 && is_200 && response.contains(&b'\n')
     }
 
-    /// What has come after the complete interim responses.
+    /// Returns the bytes after the complete interim responses.
     fn final_response(&self) -> &[u8] {
         let mut rest = &self.bytes[..];
         while matches!(rest, [b'H', b'T', b'T', b'P', b'/', b'1', b'.', _, b' ', b'1', ..])
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -1,4 +1,4 @@
-//! The running forwarder: starts it on its folder, and runs the loop of inputs and effects until it ends.
+//! Starts the forwarder on its folder and runs the loop of inputs and effects until it ends.
 
 use crate::client_api::ClientGateway;
 use crate::client_connections::ClientConnections;
@@ -29,18 +29,18 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep_until, timeout};
 
-/// Time to leave the fleet at the end of the process.
+/// Limit on the time to deregister from the fleet at the end of the process.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why a forwarder could not start.
+/// The reason why a forwarder could not start.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The descriptor that was handed down is no listening socket.
+    /// The inherited descriptor is not a listening socket.
     #[error("descriptor {descriptor}: {source}")]
     InheritedListener {
-        /// Its number.
+        /// The number of the descriptor.
         descriptor: RawFd,
-        /// What is wrong with it.
+        /// The error.
         source: io::Error,
     },
     /// The configuration cannot be used.
@@ -49,30 +49,31 @@
     /// The journal cannot be opened.
     #[error("cannot open the journal in {}: {source}", .folder.display())]
     Journal {
-        /// Its folder.
+        /// The journal's folder.
         folder: PathBuf,
-        /// Why.
+        /// The error.
         source: JournalError,
     },
-    /// An address of the configuration cannot be listened at.
+    /// The forwarder cannot listen at an address of the configuration.
     #[error("cannot listen at {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error.
         source: io::Error,
     },
-    /// The system refuses a signal handler, the runtime or a socket.
+    /// The system cannot provide a signal handler, the runtime or a socket.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
-/// Serves until the process is told to end. `policy` follows the policy of a fleet, if there is one; `state` is the journal's
-/// folder; `fd` is the descriptor of the clients' listening socket, if whoever started the process holds it.
+/// Runs the forwarder until a signal shuts it down or a successor process takes over. `policy` follows the policy of
+/// a fleet; `None` if there is none. `state` is the journal's folder. `fd` is the descriptor of the clients'
+/// listening socket if the process that started this one holds the socket.
 ///
 /// # Errors
 ///
-/// The forwarder could not start.
+/// Returns an error if the forwarder cannot start.
 pub fn serve(
     source: ConfigSource,
     policy: Option<Rc<dyn PolicyParticipant>>,
@@ -108,7 +109,7 @@
     if let Some(policy) = &policy {
         runner.process(&mut reducer, Input::PolicyStatus(policy.status()));
     }
-    // Decisions on what was left over come before anyone is told that the forwarder is ready.
+    // The reducer decides on recovered messages before the forwarder accepts clients.
     if let Some(input) = runner.other_journals.poll() {
         runner.process(&mut reducer, input);
     }
@@ -132,7 +133,7 @@
     Ok(())
 }
 
-/// Opens the journal and restores the reducer from it. `expects_others`: other processes may come to work on the folder.
+/// Opens the journal and restores the reducer from it. With `expects_others`, other processes may start on the folder.
 fn open(
     config: Config,
     state: &Path,
@@ -195,7 +196,7 @@
     TcpListener::bind(address).await.map_err(|source| ServeError::Bind { address, source })
 }
 
-/// Waits for the next input or moment, and processes all inputs that are there.
+/// Waits for the next input or timer, and processes all inputs that are queued.
 async fn step(runner: &mut EffectRunner, reducer: &mut Reducer, received: &mut UnboundedReceiver<Input>) {
     let clock = runner.clock;
     let timer = reducer.wake_at().map(|at| clock.instant(at));
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: SIGTERM, or an interrupt from a terminal, becomes [`Input::Shutdown`].
+//! Graceful shutdown: SIGTERM or SIGINT becomes [`Input::Shutdown`].
 
 use crate::input::Input;
 use std::io;
@@ -12,11 +12,11 @@
 }
 
 impl Signals {
-    /// Takes the signals over from the system's default, which would end the process at once.
+    /// Installs the handlers in place of the system's defaults, which would end the process at once.
     ///
     /// # Errors
     ///
-    /// The system refuses a handler.
+    /// Returns an error if the system does not accept a handler.
     pub fn listen() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -24,13 +24,13 @@
         })
     }
 
-    /// Reports the first of the signals.
+    /// Waits for the first of the signals and reports it.
     pub async fn report(mut self, inputs: UnboundedSender<Input>) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
         }
-        // The receiver is gone only when the forwarder ends.
+        // The channel is closed only when the forwarder ends.
         let _ = inputs.send(Input::Shutdown);
     }
 }
--- a/crates/forwarder/src/write_progress.rs
+++ b/crates/forwarder/src/write_progress.rs
@@ -1,28 +1,28 @@
-//! How far the writing of a request has come, counted in the bytes that the system has accepted.
+//! The progress of writing a request, counted in the bytes that the system has accepted.
 //!
-//! Used to tell whether an endpoint may have received a whole request when its connection fails.
+//! It tells whether an endpoint may have received a whole request when its connection fails.
 
 use crate::endpoint_call::Progress;
 
-/// An empty line ends the head of a request or response.
+/// The empty line that ends the head of a request or response, with the line end before it.
 pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// How much of one request has been written: a head, which ends with an empty line, and a body of known length.
+/// The progress of writing one request: a head, which ends with an empty line, and a body of known length.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
     has_begun: bool,
-    /// Bytes of [`HEAD_END`] that the written bytes end with; all of them once the head is written.
+    /// Number of bytes of [`HEAD_END`] at the end of the written bytes; all of them once the head is written.
     head_end_matched: usize,
     body_bytes_left: usize,
 }
 
 impl WriteProgress {
-    /// Nothing is written yet of a request with so many bytes of body.
+    /// Returns the progress of a request of which nothing is written yet and whose body has `body_bytes` bytes.
     pub fn with_body_bytes(body_bytes: usize) -> Self {
         WriteProgress { has_begun: false, head_end_matched: 0, body_bytes_left: body_bytes }
     }
 
-    /// These bytes have been written.
+    /// Records that these bytes have been written.
     pub fn on_written(&mut self, bytes: &[u8]) {
         self.has_begun |= !bytes.is_empty();
         for (index, byte) in bytes.iter().enumerate() {
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Whether any byte has been written.
+    /// Returns whether any byte has been written.
     pub fn has_begun(&self) -> bool {
         self.has_begun
     }
 
-    /// Whether the whole request has been written.
+    /// Returns whether the request is fully written, as a [`Progress`].
     pub fn progress(&self) -> Progress {
         if self.is_head_written() && self.body_bytes_left == 0 {
             Progress::FullyWritten
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -119,7 +119,7 @@
         ("200 OK", "", "[]\n", "no list", 0),
         ("200 OK", "", half, "it ended", 0),
         ("200 OK", "", half_pretty, "it ended", 0),
-        ("", "", "", "broke", 0),
+        ("", "", "", "the connection failed", 0),
     ] {
         let answer = format!("HTTP/1.1 {status}\r\n{told}Content-Length: {}\r\n\r\n{body}", body.len());
         let answer = if status.is_empty() { String::new() } else { answer };
@@ -172,7 +172,7 @@
         ("dribbling", dribbling, 1, Duration::from_millis(4_500)),
     ] {
         assert_eq!(told, lists, "{what}: {ended:?}");
-        assert!(ended.reason.contains("silent"), "{what}: {ended:?}");
+        assert!(ended.reason.contains("no data from discovery in time"), "{what}: {ended:?}");
         assert!(took >= lasts && took < lasts + SLACK, "{what}: after {took:?}");
         assert!(ended.silence >= lasts && ended.silence + SLACK < TOLD_AFTER, "{what}: {ended:?}");
     }
@@ -207,7 +207,7 @@
         assert!(waiting.len() < 100, "it takes all");
     }
     let (told, ended, took) = follow_at(at).await;
-    assert!(told.is_empty() && ended.reason.contains("silent"), "{ended:?}");
+    assert!(told.is_empty() && ended.reason.contains("no data from discovery in time"), "{ended:?}");
     assert!(
         took < Duration::from_secs(1) + SLACK && ended.silence >= Duration::from_secs(1),
         "{took:?}, {ended:?}"
