--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -121,7 +121,7 @@
             self.set_state(id, ConnectionState::Cut, now);
             return Some(Eviction::Cut(id));
         }
-        if !self.has_to_close_one() {
+        if !self.must_close_one() {
             return None;
         }
         let id = self.first_to_close(now)?;
@@ -138,11 +138,11 @@
         lingering.map(|(id, it)| (it.since, *id)).min().map(|(_, id)| id)
     }
 
-    fn has_to_close_one(&self) -> bool {
-        let kept_for_lingering = (self.max_connections / LINGERING_SHARE_DIVISOR).max(1);
+    fn must_close_one(&self) -> bool {
+        let reserved_for_lingering = (self.max_connections / LINGERING_SHARE_DIVISOR).max(1);
         let serving = self.count(ConnectionState::is_serving);
-        let leaving = self.count(|state| matches!(state, ConnectionState::Closing | ConnectionState::Cut));
-        serving + kept_for_lingering > self.max_connections || self.is_full() && leaving == 0
+        let closing = self.count(|state| matches!(state, ConnectionState::Closing | ConnectionState::Cut));
+        serving + reserved_for_lingering > self.max_connections || self.is_full() && closing == 0
     }
 
     fn first_to_close(&self, now: Instant) -> Option<ConnectionId> {
--- a/crates/forwarder/src/console.rs
+++ b/crates/forwarder/src/console.rs
@@ -118,8 +118,8 @@
 impl fmt::Display for ConsoleReply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConsoleReply::Done(words) => writeln!(f, "200 {words}"),
-            ConsoleReply::Rejected(why) => writeln!(f, "400 {why}"),
+            ConsoleReply::Done(text) => writeln!(f, "200 {text}"),
+            ConsoleReply::Rejected(reason) => writeln!(f, "400 {reason}"),
             ConsoleReply::Metrics(lines) => write!(f, "200 figures\n{lines}EOF\n"),
         }
     }
--- a/crates/forwarder/src/endpoint_connection.rs
+++ b/crates/forwarder/src/endpoint_connection.rs
@@ -244,7 +244,7 @@
             }
         }
     };
-    match last_bytes(response, driver, is_open, exchange).await {
+    match receive_last_bytes(response, driver, is_open, exchange).await {
         Some(response @ Ok(_)) => ExchangeEnd::Finished { response, is_open: false },
         Some(Err(_)) | None => ExchangeEnd::Stopped(cause),
     }
@@ -272,7 +272,7 @@
 
 /// Returns the response to a call that has timed out or is cancelled, if it has arrived completely by now. A response
 /// that has begun gets [`LAST_BYTES_TIMEOUT`] for the rest.
-async fn last_bytes(
+async fn receive_last_bytes(
     mut response: Pin<&mut impl Future<Output = Result<EndpointReply, Cause>>>,
     driver: &mut (impl Future<Output = hyper::Result<()>> + Unpin),
     mut is_open: bool,
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -79,27 +79,27 @@
         frame: &[u8],
         mut on_event: impl FnMut(WatchEvent),
     ) -> Result<bool, ListError> {
-        let mut is_anything_complete = false;
+        let mut is_message_complete = false;
         let mut rest = frame;
         loop {
             if self.scan.depth == 0 {
                 let list = rest.trim_ascii_start();
-                is_anything_complete |= list.len() < rest.len();
+                is_message_complete |= list.len() < rest.len();
                 rest = list;
                 match rest.first() {
-                    None => return Ok(is_anything_complete),
+                    None => return Ok(is_message_complete),
                     Some(b'{' | b'[') => {}
                     // No list begins with this byte; parsing it returns the error.
-                    Some(_) => return parse_list(&rest[..1]).map(|_| is_anything_complete),
+                    Some(_) => return parse_list(&rest[..1]).map(|_| is_message_complete),
                 }
             }
             let Some(end) = self.find_end(rest)? else {
                 self.buffer.extend_from_slice(rest);
-                return Ok(is_anything_complete);
+                return Ok(is_message_complete);
             };
             let (list, after) = rest.split_at(end);
             on_event(self.parse(list)?);
-            is_anything_complete = true;
+            is_message_complete = true;
             rest = after;
         }
     }
--- a/crates/forwarder/src/metered_stream.rs
+++ b/crates/forwarder/src/metered_stream.rs
@@ -62,7 +62,7 @@
     /// that belong to no call. Such bytes would be read as the response, and an endpoint may still execute a request
     /// that is written to a connection that it has closed. Reads from the system directly, because the runtime
     /// notices both later.
-    fn check_quiet(&self) -> io::Result<()> {
+    fn check_no_pending_input(&self) -> io::Result<()> {
         let socket = SockRef::from(&self.stream);
         match (&*socket).read(&mut [0]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
@@ -106,7 +106,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         if !self.exchange.lock().request.has_begun() {
-            self.check_quiet()?;
+            self.check_no_pending_input()?;
         }
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
         if let Poll::Ready(Ok(count)) = result {
--- a/crates/forwarder/src/metrics.rs
+++ b/crates/forwarder/src/metrics.rs
@@ -164,12 +164,12 @@
 
     fn write_latency(&self, text: &mut String) -> fmt::Result {
         for (class, times) in &self.latency {
-            let class = quoted(class);
+            let class = escape_label(class);
             let mut count = 0;
             for bucket in times.iter_recorded() {
                 count += bucket.count_since_last_iteration();
-                let most = bucket.value_iterated_to();
-                writeln!(text, "app_latency_us_bucket{{type=\"{class}\",le=\"{most}\"}} {count}")?;
+                let upper_bound = bucket.value_iterated_to();
+                writeln!(text, "app_latency_us_bucket{{type=\"{class}\",le=\"{upper_bound}\"}} {count}")?;
             }
             writeln!(text, "app_latency_us_bucket{{type=\"{class}\",le=\"+Inf\"}} {count}")?;
         }
@@ -178,7 +178,7 @@
 
     fn write(&self, text: &mut String, gauges: Gauges) -> fmt::Result {
         for (class, ends) in &self.by_class {
-            let class = quoted(class);
+            let class = escape_label(class);
             for (name, count) in
                 [("success", ends.success), ("overload", ends.overload), ("error", ends.error)]
             {
@@ -193,6 +193,6 @@
 }
 
 /// Escapes a class for use as the value of a label.
-fn quoted(class: &str) -> String {
+fn escape_label(class: &str) -> String {
     class.replace('\\', "\\\\").replace('"', "\\\"")
 }
--- a/crates/forwarder/src/other_journals.rs
+++ b/crates/forwarder/src/other_journals.rs
@@ -31,11 +31,11 @@
 }
 
 /// The result of polling one journal.
-enum Polled {
+enum PollResult {
     Unchanged,
     Changed(OtherProcessUpdate),
     /// The journal has been removed.
-    Gone,
+    Removed,
 }
 
 /// The journals of all other processes on the folder.
@@ -104,17 +104,17 @@
         let mut gone = Vec::new();
         self.known.retain_mut(|known| {
             match poll_journal(known) {
-                Polled::Unchanged => {}
-                Polled::Changed(update) => updates.push(update),
-                Polled::Gone => {
+                PollResult::Unchanged => {}
+                PollResult::Changed(update) => updates.push(update),
+                PollResult::Removed => {
                     gone.push(known.journal.generation());
                     return false;
                 }
             }
             true
         });
-        let is_any_new = !updates.is_empty() || !gone.is_empty();
-        is_any_new.then_some(Input::OtherProcessesUpdated { updates, gone })
+        let has_changes = !updates.is_empty() || !gone.is_empty();
+        has_changes.then_some(Input::OtherProcessesUpdated { updates, gone })
     }
 
     fn scan(&mut self) {
@@ -153,32 +153,32 @@
     }
 }
 
-fn poll_journal(known: &mut KnownJournal) -> Polled {
+fn poll_journal(known: &mut KnownJournal) -> PollResult {
     let generation = known.journal.generation();
     let read = match known.journal.read_new() {
         Ok(Some(read)) => read,
-        Ok(None) => return Polled::Gone,
+        Ok(None) => return PollResult::Removed,
         Err(error) => {
             let error = error.to_string();
             if known.error.as_ref() != Some(&error) {
                 log!("other process: cannot read its journal: generation={generation} error={error}");
             }
             known.error = Some(error);
-            return Polled::Unchanged;
+            return PollResult::Unchanged;
         }
     };
     // An ended process is reported until its journal is removed, because this process may have had no room for its
     // messages.
     let is_changed = read.rewritten || read.ended || read.size != known.size || !read.records.is_empty();
     if !is_changed {
-        return Polled::Unchanged;
+        return PollResult::Unchanged;
     }
     if read.ended && !known.has_ended {
         log!("other process: ended: generation={generation}");
     }
     known.size = read.size;
     known.has_ended = read.ended;
-    Polled::Changed(OtherProcessUpdate {
+    PollResult::Changed(OtherProcessUpdate {
         generation,
         rewritten: read.rewritten,
         records: read.records,
--- a/crates/forwarder/src/retry_after.rs
+++ b/crates/forwarder/src/retry_after.rs
@@ -11,14 +11,14 @@
 
 /// Returns `X-Come-Back-Ms` in milliseconds, rounded up; 0 if it is absent or invalid.
 pub fn come_back_ms(headers: &HeaderMap) -> u64 {
-    header_text(headers, "X-Come-Back-Ms").map_or(0, |text| scaled_up(text, 1.0))
+    header_text(headers, "X-Come-Back-Ms").map_or(0, |text| parse_rounded_up(text, 1.0))
 }
 
 /// Returns the longer of `Retry-After`, in seconds or as a date, and `X-Come-Back-Ms`, in milliseconds from `now` on,
 /// rounded up; 0 if neither is present and valid.
 pub fn retry_after_ms(headers: &HeaderMap, now: SystemTime) -> u64 {
     let retry_after = header_text(headers, RETRY_AFTER.as_str())
-        .map_or(0, |text| ms_until_date(text, now).unwrap_or_else(|| scaled_up(text, 1000.0)));
+        .map_or(0, |text| ms_until_date(text, now).unwrap_or_else(|| parse_rounded_up(text, 1000.0)));
     retry_after.max(come_back_ms(headers))
 }
 
@@ -41,7 +41,7 @@
 
 /// Parses a whole or decimal number and returns it times `unit`, rounded up because a shorter delay would retry too
 /// early. Returns 0 if the text is not a finite number.
-fn scaled_up(text: &str, unit: f64) -> u64 {
+fn parse_rounded_up(text: &str, unit: f64) -> u64 {
     let number = text.trim().parse::<f64>().ok().filter(|number| number.is_finite());
     number.map_or(0, |number| (number * unit).ceil() as u64)
 }
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -30,7 +30,7 @@
 use tokio::time::{sleep_until, timeout};
 
 /// Limit on the time to deregister from the fleet at the end of the process.
-const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The reason why a forwarder could not start.
 #[derive(Debug, Error)]
@@ -127,7 +127,7 @@
         step(&mut runner, &mut reducer, &mut received).await;
     }
     if let Some(policy) = &policy {
-        drop(timeout(LEAVE_TIMEOUT, policy.deregister()).await);
+        drop(timeout(DEREGISTER_TIMEOUT, policy.deregister()).await);
     }
     log!("ends");
     Ok(())
