--- a/crates/forwarder/src/client_api/tests.rs
+++ b/crates/forwarder/src/client_api/tests.rs
@@ -9,12 +9,12 @@
     headers
 }
 
-// Guards against a panic or a message read in part where a header is missing, empty or no number.
+// Guards against a panic, or a message that is only partly read, when a header is missing, empty or not a number.
 #[test]
 fn malformed_header_is_named_in_bad_request() {
-    let good = parse_head("status", &headers(&[("X-Resent", "again")])).expect("well formed");
+    let good = parse_head("status", &headers(&[("X-Resent", "again")])).expect("the headers are valid");
     assert_eq!((good.destination, good.time_left, good.is_retry), (7, 480_000, false));
-    assert!(parse_head("status", &headers(&[("X-Resent", "1")])).expect("well formed").is_retry);
+    assert!(parse_head("status", &headers(&[("X-Resent", "1")])).expect("the headers are valid").is_retry);
     for (name, value, words) in [
         ("X-Txn", "", "X-Txn"),
         ("X-Org", " ", "X-Org"),
@@ -37,11 +37,11 @@
     assert!(parse_head("status", &none).is_err());
     let mut two = headers(&[]);
     two.append("X-Txn", HeaderValue::from_static("9b1e"));
-    assert!(parse_head("status", &two).is_err(), "which of the two ids is it?");
+    assert!(parse_head("status", &two).is_err(), "two ids are ambiguous");
 }
 
-// Guards against a key that is changed on its way, or chosen from two, and against a header that a deployment
-// without tenants does not have.
+// Guards against an idempotency key that is changed, or picked from two different ones, and against a required tenant
+// header, which deployments without tenants do not have.
 #[test]
 fn idempotency_key_is_kept_verbatim_and_tenant_is_optional() {
     let key = |pairs: &[(&'static str, &'static str)]| {
@@ -61,7 +61,7 @@
     assert!(two.is_err_and(|fault| fault.text.starts_with("Idempotency-Key")));
 }
 
-// Guards against a rejection without its Retry-After.
+// Guards against a rejection that lacks its Retry-After.
 #[test]
 fn rejection_carries_retry_after_in_decimal_seconds() {
     let response = submit_response(SubmitAnswer::Rejected(1_250_000));
--- a/crates/forwarder/src/console_listener/tests.rs
+++ b/crates/forwarder/src/console_listener/tests.rs
@@ -3,19 +3,19 @@
 use tokio::task::LocalSet;
 
 async fn say(at: std::net::SocketAddr, words: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).await.expect("it takes callers");
-    stream.write_all(words).await.expect("written");
+    let mut stream = TcpStream::connect(at).await.expect("the console accepts connections");
+    stream.write_all(words).await.expect("the write succeeds");
     let mut reply = String::new();
-    // A caller whose connection is closed for another may see a reset; it has no reply then.
+    // A client whose connection is closed to make room for another may get a reset and then has no reply.
     let _ = stream.read_to_string(&mut reply).await;
     reply
 }
 
-// Guards against callers that say nothing, or never end their line, and thereby keep out those that ask.
+// Guards against clients that send nothing, or never end their line, and thereby block clients that send commands.
 #[tokio::test(flavor = "current_thread")]
 async fn silent_callers_do_not_block_others() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
+    let at = listener.local_addr().expect("has a local address");
     let (inputs, mut came) = unbounded_channel();
     let console = ConsoleGateway::new(inputs);
     let answering = console.clone();
@@ -30,13 +30,13 @@
         .run_until(async {
             let mut silent = Vec::new();
             for number in 0..3 * MAX_CONNECTIONS {
-                let mut stream = TcpStream::connect(at).await.expect("it takes callers");
+                let mut stream = TcpStream::connect(at).await.expect("the console accepts connections");
                 if number % 2 == 0 {
-                    stream.write_all(b"disable-server s").await.expect("written");
+                    stream.write_all(b"disable-server s").await.expect("the write succeeds");
                 }
                 silent.push(stream);
                 assert_eq!(say(at, b"ready\n").await, "400 Ready\n");
-                assert!(console.open_connections.get() <= MAX_CONNECTIONS, "bounded");
+                assert!(console.open_connections.get() <= MAX_CONNECTIONS, "too many open connections");
             }
             assert!(say(at, &[b'x'; 4096]).await.starts_with("400 the line is too long"));
             assert!(say(at, b"ready\nready\n").await.starts_with("400 one line"));
--- a/crates/forwarder/src/log/tests.rs
+++ b/crates/forwarder/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::time::Duration;
 
-// Guards against a log that grows with the trouble it tells of.
+// Guards against a log whose size is not bounded when many errors occur.
 #[test]
 fn lines_beyond_the_rate_are_dropped_and_counted() {
     let start = Instant::now();
--- a/crates/forwarder/src/notifications/tests.rs
+++ b/crates/forwarder/src/notifications/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-// Guards against a platform that cannot read the notifications, or gets a Retry-After that was not decided.
+// Guards against notifications that the platform cannot parse, and against a Retry-After of 0 that is sent.
 #[test]
 fn notification_is_one_json_line_in_the_wire_form() {
     let notifications = [
--- a/crates/forwarder/src/retry_after/tests.rs
+++ b/crates/forwarder/src/retry_after/tests.rs
@@ -3,11 +3,14 @@
 use std::time::Duration;
 
 fn headers(name: &'static str, value: &[u8]) -> HeaderMap {
-    HeaderMap::from_iter([(name.parse().expect("a name"), HeaderValue::from_bytes(value).expect("a value"))])
+    HeaderMap::from_iter([(
+        name.parse().expect("a valid header name"),
+        HeaderValue::from_bytes(value).expect("a valid header value"),
+    )])
 }
 
-// Guards against a wait that is passed over because of the form of its number, made up from what is no number, or,
-// in a server's Retry-After, taken for milliseconds or passed over as a date.
+// Guards against a delay that is ignored because of its number format, against a delay read from a text that is not a
+// number, and against a Retry-After whose seconds are read as milliseconds or whose date is ignored.
 #[test]
 fn retry_after_is_read_in_all_its_forms() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls for the list: what a fleet that lost discovery in one moment does to it, and when it is back.
+//! Backoff between calls to discovery: the load of a fleet that loses discovery at one moment, and its time to recover.
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::backoff::Backoff;
@@ -6,26 +6,30 @@
 
 const SECOND: Micros = 1_000_000;
 const FLEET: usize = 100;
-/// Discovery is down for so long.
+/// Duration of the outage of discovery.
 const DOWN: Micros = 20 * SECOND;
-/// Then it takes so long for a call, which is what a fleet of a hundred needs to be told within 6 s; it has room for so
-/// many, and closes one that has waited for so long.
+/// Time that discovery needs for one call after the outage; a fleet of 100 needs this rate to be served within 6 s.
 const SERVICE: Micros = SECOND / 16;
+/// Most calls that wait in discovery; further ones are refused.
 const ROOM: usize = 18;
+/// Time after which discovery closes a call that waits.
 const PATIENCE: Micros = 2 * SECOND;
-/// From the start of one call to the next.
+/// Longest time from the start of one call to the start of the next.
 const MOST: Micros = 5 * SECOND;
 
-/// What a fleet does: calls in the busiest second of the outage once all have failed a few times, the longest time
-/// between the starts of two calls of one, and when the last one is served.
+/// The result of simulating a fleet.
 #[derive(Debug)]
 struct Played {
+    /// Number of calls in the busiest second of the outage, after its first 8 s, when all have failed a few times.
     busiest: usize,
+    /// Longest time between the starts of two calls of one forwarder.
     longest: Micros,
+    /// Time when the last forwarder is served.
     last: Micros,
 }
 
-/// `pause` says how long one waits after a call that took so long, and which failure in a row it was.
+/// Simulates a fleet until each forwarder is served. `pause` returns the delay before the next call of a forwarder,
+/// from its number, its number of consecutive failures and the duration of its last call.
 fn play(mut pause: impl FnMut(usize, u32, Micros) -> Micros) -> Played {
     let mut asks: BTreeSet<(Micros, usize)> = (0..FLEET).map(|who| (pause(who, 0, 0), who)).collect();
     let (mut failures, mut asked) = ([1; FLEET], [None; FLEET]);
@@ -34,7 +38,7 @@
     let mut played = Played { busiest: 0, longest: 0, last: 0 };
     let mut served = 0;
     while served < FLEET {
-        let (now, who) = asks.pop_first().expect("each asks until it is served");
+        let (now, who) = asks.pop_first().expect("each forwarder calls until it is served");
         if let Some(before) = asked[who].replace(now) {
             played.longest = played.longest.max(now - before);
         }
@@ -61,8 +65,9 @@
     played
 }
 
-// Guards against a fleet that loses discovery in one moment and floods it while it is down, or stays away for so long
-// that a change binds before it is heard: from one call to the next 5 s at most, and all back soon.
+// Guards against a fleet that loses discovery at one moment and overloads it during the outage, and against delays so
+// long that a forwarder misses a change that is already binding. At most 5 s may pass between two calls, and all
+// forwarders must be served within 12 s after the outage.
 #[test]
 fn fleet_disconnected_together_recovers_its_list_in_time() {
     for seed in 0..10 {
@@ -72,7 +77,7 @@
         assert!(played.busiest <= 45 && played.longest <= MOST, "seed {seed}: {played:?}");
         assert!(played.last <= DOWN + 12 * SECOND, "seed {seed}: {played:?}");
     }
-    // Without its parts it must be worse: a fixed pause, bounds that double with nothing drawn, and no end to them.
+    // Backoffs without a part of the algorithm must do worse: a fixed delay, doubling without jitter, and no cap.
     let fixed = play(|_, _, _| SECOND / 4);
     let in_step = play(|_, failures, took| ((SECOND / 4) << failures.min(7)).min(MOST - took));
     let endless = play(|_, failures, _| (SECOND / 4) << failures.min(7));
@@ -82,7 +87,7 @@
     );
 }
 
-// Guards against a bound that overflows or a pause beyond what it may be, and failures that are never forgotten.
+// Guards against a bound that overflows, a delay above the cap, and a count of failures that a success does not reset.
 #[test]
 fn delays_stay_within_bounds_that_double_up_to_the_cap() {
     let mut backoff = Backoff::new(100, 1);
@@ -90,7 +95,7 @@
         assert!((0..=bound).contains(&backoff.next_delay(1000)));
     }
     for _ in 0..100 {
-        assert!((500..=1000).contains(&backoff.next_delay(1000)), "from the upper half");
+        assert!((500..=1000).contains(&backoff.next_delay(1000)), "drawn from the upper half");
     }
     backoff.reset();
     assert!(backoff.next_delay(1000) <= 100);
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -1,6 +1,6 @@
-//! Closes of the sender side's connections in the instant in which something is still owed. The listener is the program's
-//! own on real sockets; the test stands in for the reducer behind the gateway, and clients act between its steps: nothing
-//! else runs on this thread while they do.
+//! Closes of client connections while an answer is still due. The listener is the real one, on real sockets. The test
+//! takes the place of the reducer behind the gateway. Clients act between its steps, when nothing else runs on this
+//! thread.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
 use orchidyoke_forwarder::client_connections::ClientConnections;
@@ -15,9 +15,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// What has to come does so within this, or the test fails.
+/// Time limit for anything that the test waits for.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Longer than a connection is given for its last moment (50 ms).
+/// Longer than the time that a shutdown gives a connection for its last bytes (50 ms).
 const PAST_THE_CUT: Duration = Duration::from_millis(150);
 
 struct Stage {
@@ -28,10 +28,10 @@
 }
 
 fn socket() -> (tokio::net::TcpListener, SocketAddr) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.set_nonblocking(true).expect("a socket");
-    let address = listener.local_addr().expect("bound");
-    (tokio::net::TcpListener::from_std(listener).expect("a socket"), address)
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
+    listener.set_nonblocking(true).expect("the socket call succeeds");
+    let address = listener.local_addr().expect("has a local address");
+    (tokio::net::TcpListener::from_std(listener).expect("the socket call succeeds"), address)
 }
 
 impl Stage {
@@ -48,10 +48,10 @@
         stage
     }
 
-    /// The next request that reaches the reducer: its id and the ticket to answer it with.
+    /// Waits for the next request that reaches the reducer. Returns the message's id and the request id for the answer.
     async fn handed(&mut self) -> (String, RequestId) {
         loop {
-            match timeout(PATIENCE, self.inputs.recv()).await.expect("a request has to come") {
+            match timeout(PATIENCE, self.inputs.recv()).await.expect("a request arrives in time") {
                 Some(Input::Submitted { request: ticket, message }) => return (message.id, ticket),
                 other => assert!(matches!(other, Some(Input::ClientConnection { .. })), "{other:?}"),
             }
@@ -64,10 +64,11 @@
         self.gateway.answer(ticket, SubmitAnswer::Accepted);
     }
 
-    /// What comes next: a request, or none before a connection is closed for good.
+    /// Waits for the next request or closed connection. Returns the request, or `None` if a connection has closed
+    /// first.
     async fn until_left(&mut self) -> Option<Input> {
         loop {
-            match timeout(PATIENCE, self.inputs.recv()).await.expect("it closes") {
+            match timeout(PATIENCE, self.inputs.recv()).await.expect("the connection closes in time") {
                 Some(Input::ClientConnection { connected: false }) => return None,
                 handed @ Some(Input::Submitted { .. }) => return handed,
                 _ => {}
@@ -77,7 +78,8 @@
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
@@ -88,26 +90,26 @@
     )
 }
 
-/// A client that has connected and written this.
+/// Connects a client and writes a text on its connection.
 fn client(address: SocketAddr, text: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("taken");
-    stream.set_nodelay(true).expect("a socket");
-    stream.write_all(text.as_bytes()).expect("written");
+    let mut stream = TcpStream::connect(address).expect("connects");
+    stream.set_nodelay(true).expect("the socket call succeeds");
+    stream.write_all(text.as_bytes()).expect("the write succeeds");
     stream
 }
 
-/// Waits until there is something to read, and reads nothing.
+/// Waits until the client has received bytes, and leaves them unread.
 async fn answer_is_there(stream: &TcpStream) {
-    stream.set_nonblocking(true).expect("a socket");
+    stream.set_nonblocking(true).expect("the socket call succeeds");
     let there = async {
         while stream.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock) {
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PATIENCE, there).await.expect("an answer");
+    timeout(PATIENCE, there).await.expect("an answer arrives");
 }
 
-/// Reads to the end of what the forwarder sends; a reset is an error.
+/// Reads until the forwarder closes its sending side. A reset is an error.
 async fn rest_of(mut stream: TcpStream) -> std::io::Result<String> {
     stream.set_nonblocking(true)?;
     let mut text = Vec::new();
@@ -122,7 +124,7 @@
             }
         }
     };
-    timeout(PATIENCE, reads).await.expect("it ends")?;
+    timeout(PATIENCE, reads).await.expect("the forwarder closes in time")?;
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
@@ -130,8 +132,8 @@
     heard.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202") && text.matches("HTTP/1.1").count() == 1)
 }
 
-// Guards against a request that waits for the journal or the reducer when its connection is shut down, and is cut without
-// its answer: for its client it is lost.
+// Guards against a shutdown that closes the connection of a request that waits for the journal or the reducer. The
+// client would not get its answer.
 #[test]
 fn request_in_flight_is_answered_long_after_shutdown() {
     run(async {
@@ -146,7 +148,8 @@
     });
 }
 
-// Guards against a request whose answer does not come in a second that is taken on all the same: its client has gone.
+// Guards against accepting a request whose answer takes longer than the second that a shutdown allows. Its connection
+// is closed by then, so the client would never learn of the acceptance.
 #[test]
 fn cut_request_is_withdrawn() {
     run(async {
@@ -154,18 +157,24 @@
         let client = client(stage.address, &request("a", ""));
         let (_, ticket) = stage.handed().await;
         stage.connections.shut_down();
-        let withdrawn = timeout(PATIENCE, stage.inputs.recv()).await.expect("it is cut");
+        let withdrawn =
+            timeout(PATIENCE, stage.inputs.recv()).await.expect("the request is withdrawn in time");
         assert!(
             matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == ticket),
             "{withdrawn:?}"
         );
         stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-        assert_eq!(rest_of(client).await.expect("no reset"), "", "nobody is told that it was taken on");
+        assert_eq!(
+            rest_of(client).await.expect("the connection is not reset"),
+            "",
+            "the late answer is not sent"
+        );
     });
 }
 
-// Guards against a close over bytes that arrive with it: the reset that the system sends for unread bytes takes with it
-// an answer that the client has not yet read, and a request on a resting connection is taken on though nobody hears.
+// Guards against a close while bytes arrive. The system sends a reset for unread bytes, which destroys an answer that
+// the client has not yet read. Also guards against accepting a request on an idle connection whose answer nobody can
+// receive.
 #[test]
 fn bytes_crossing_a_close_neither_reset_it_nor_are_accepted() {
     for evicts in [false, true] {
@@ -174,49 +183,52 @@
             let mut resting = client(stage.address, &request("a", ""));
             stage.take_on("a").await;
             answer_is_there(&resting).await;
-            // The close is decided on, and nobody has acted on it yet: now bytes arrive.
+            // Bytes arrive when the close is decided, but not yet carried out.
             let other = evicts.then(|| client(stage.address, ""));
             if evicts {
-                // The other waits for the place: the limit acts with the next turn.
+                // The other client waits for a place. The limit evicts when the test yields.
                 tokio::task::yield_now().await;
             } else {
                 stage.connections.shut_down();
             }
-            resting.set_nonblocking(false).expect("a socket");
-            resting.write_all(request("b", "").as_bytes()).expect("written");
-            // Read before the end of the sending, it is answered; after that it is no request at all.
+            resting.set_nonblocking(false).expect("the socket call succeeds");
+            resting.write_all(request("b", "").as_bytes()).expect("the write succeeds");
+            // A request that is read before the sending side is shut down is answered. After that, its bytes are
+            // discarded.
             let heard = spawn_local(rest_of(resting));
             let mut handed = 0;
             while let Some(Input::Submitted { request: ticket, .. }) = stage.until_left().await {
                 stage.gateway.answer(ticket, SubmitAnswer::Accepted);
                 handed += 1;
             }
-            let text = heard.await.expect("it reads").expect("no reset");
+            let text = heard.await.expect("the reading task ends").expect("the connection is not reset");
             let answers = text.matches("HTTP/1.1 202").count();
-            // One that is evicted has been told by now; at the end it came before the forwarder had acted.
+            // An evicted connection has been signalled before the request. In the shutdown, the request is read first.
             assert_eq!((answers, handed), if evicts { (1, 0) } else { (2, 1) }, "evicted: {evicts}: {text}");
             drop(other);
         });
     }
 }
 
-// Guards against a reset after an answer that says `Connection: close`, by bytes that its client had sent after it.
+// Guards against a reset after an answer with `Connection: close`, caused by bytes that the client has sent after its
+// request.
 #[test]
 fn closing_answer_arrives_whatever_follows_its_request() {
     run(async {
         let mut stage = Stage::new(8);
         let mut client = client(stage.address, &request("a", "Connection: close\r\n"));
         let (_, ticket) = stage.handed().await;
-        // Nobody reads this any more, and it is there when the connection closes.
-        client.write_all(request("b", "").as_bytes()).expect("written");
+        // The forwarder does not read this request, and its bytes are there when the connection closes.
+        client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
         stage.gateway.answer(ticket, SubmitAnswer::Accepted);
         let heard = rest_of(client).await;
         assert!(is_taken_on(&heard), "{heard:?}");
-        assert!(stage.until_left().await.is_none(), "what follows a close is no request");
+        assert!(stage.until_left().await.is_none(), "bytes after the closing request are not a request");
     });
 }
 
-// Guards against a client that is told nothing of the hand-over, or reset in it: its next answer says that it closes.
+// Guards against a handover that resets a client's connection or does not announce the close. The next answer must
+// carry `Connection: close`.
 #[test]
 fn hand_over_closes_each_connection_with_its_next_answer() {
     run(async {
@@ -225,41 +237,41 @@
         stage.take_on("a").await;
         answer_is_there(&kept).await;
         stage.connections.hand_over();
-        kept.set_nonblocking(false).expect("a socket");
-        kept.write_all(request("b", "").as_bytes()).expect("written");
+        kept.set_nonblocking(false).expect("the socket call succeeds");
+        kept.write_all(request("b", "").as_bytes()).expect("the write succeeds");
         stage.take_on("b").await;
-        let text = rest_of(kept).await.expect("no reset");
+        let text = rest_of(kept).await.expect("the connection is not reset");
         let (first, second) = text
             .split_once("HTTP/1.1 202")
             .and_then(|(_, rest)| rest.split_once("HTTP/1.1 202"))
-            .expect("two answers");
+            .expect("the client receives two answers");
         assert!(!first.contains("connection: close") && second.contains("connection: close"), "{text}");
         assert!(!second.contains("HTTP/1.1"), "{text}");
     });
 }
 
-// Guards against an idle connection's close in the instant of its next request: after the end of the sending nothing is a
-// request, and no reset goes out for it.
+// Guards against the close of an idle connection at the moment of its next request. Bytes that arrive after the sending
+// side is shut down must neither count as a request nor cause a reset.
 #[test]
 fn idle_connection_closes_in_time_and_crossing_bytes_are_no_request() {
     run(async {
         let mut stage = Stage::new(8);
         let mut resting = client(stage.address, &request("a", ""));
         stage.take_on("a").await;
-        // Read as far as the forwarder's end; the client's own end stays open.
-        let copy = resting.try_clone().expect("a socket");
-        let text = rest_of(copy).await.expect("no reset");
+        // Reads until the forwarder shuts down its sending side. The client's sending side stays open.
+        let copy = resting.try_clone().expect("the socket call succeeds");
+        let text = rest_of(copy).await.expect("the connection is not reset");
         assert!(text.starts_with("HTTP/1.1 202"), "{text}");
-        resting.set_nonblocking(false).expect("a socket");
+        resting.set_nonblocking(false).expect("the socket call succeeds");
         for _ in 0..3 {
-            resting.write_all(request("b", "").as_bytes()).expect("no reset");
+            resting.write_all(request("b", "").as_bytes()).expect("the connection is not reset");
             sleep(Duration::from_millis(20)).await;
         }
         assert!(stage.until_left().await.is_none());
     });
 }
 
-// Guards against connections that have come, and were not yet taken when the stop ends accepting: they would be reset.
+// Guards against resetting connections that are in the backlog, not yet accepted, when a shutdown ends accepting.
 #[test]
 fn connections_in_the_backlog_are_answered_in_shutdown() {
     run(async {
@@ -281,7 +293,7 @@
     });
 }
 
-// Guards against a stop that closes a connection whose client has only just connected, before its request has come.
+// Guards against a shutdown that closes a connection whose client has just connected, before its request has arrived.
 #[test]
 fn client_just_connected_at_shutdown_is_answered() {
     run(async {
@@ -289,23 +301,24 @@
         let mut client = client(stage.address, "");
         assert!(matches!(stage.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
         stage.connections.shut_down();
-        // Within the moment that it is given; after a stall that outlasts both, this wakes first.
+        // Within the time that the connection gets. If the test stalls for longer than both times, this sleep still
+        // ends first.
         sleep(Duration::from_millis(10)).await;
-        client.write_all(request("a", "").as_bytes()).expect("written");
+        client.write_all(request("a", "").as_bytes()).expect("the write succeeds");
         stage.take_on("a").await;
         let heard = rest_of(client).await;
         assert!(is_taken_on(&heard), "{heard:?}");
     });
 }
 
-// Guards against closes that keep others out: clients that ignore theirs hold their places for no longer than the next
-// one needs it. With each of them lingering for its second this takes over eight.
+// Guards against clients that ignore the close of their connection and thereby block others. They may keep their places
+// only until the next client needs one. If each of them lingered for its second, this test would take over 8 s.
 #[test]
 fn clients_ignoring_their_close_do_not_block_others() {
     run(async {
         let mut stage = Stage::new(64);
         let address = stage.address;
-        // On a thread of its own: more than the system lets wait, so they connect as others are taken.
+        // These connect on their own thread, because they exceed the backlog and connect only as others are accepted.
         let crowd = std::thread::spawn(move || (0..600).map(|_| client(address, "")).collect::<Vec<_>>());
         let all_join = async {
             let mut joined = 0;
@@ -316,12 +329,12 @@
                 ));
             }
         };
-        timeout(Duration::from_secs(5), all_join).await.expect("none is kept out");
+        timeout(Duration::from_secs(5), all_join).await.expect("all clients connect in time");
         let asks = client(stage.address, &request("a", ""));
         let served = timeout(Duration::from_secs(10), stage.take_on("a")).await;
-        assert!(served.is_ok(), "it is kept out");
+        assert!(served.is_ok(), "the request is not served in time");
         let heard = rest_of(asks).await;
         assert!(heard.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202")), "{heard:?}");
-        drop(crowd.join().expect("they have connected"));
+        drop(crowd.join().expect("the thread has not panicked"));
     });
 }
--- a/crates/forwarder/tests/common/golden.rs
+++ b/crates/forwarder/tests/common/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files: what a program on the other side reads, as the forwarder wrote it when the file was made. They are compared
-//! byte for byte, and no test writes one.
+//! Golden files: texts that another program reads, as the forwarder wrote them when the file was made. The comparison
+//! is byte for byte, and no test writes a golden file.
 
 #![allow(dead_code)]
 
@@ -12,11 +12,11 @@
     let golden = std::fs::read_to_string(&path).unwrap_or_default();
     if golden != text {
         let seen = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&seen, text).expect("written");
+        std::fs::write(&seen, text).expect("the write succeeds");
         let line = golden.lines().zip(text.lines()).position(|(before, now)| before != now);
         let line = line.unwrap_or_else(|| golden.lines().count().min(text.lines().count()));
         panic!(
-            "{} differs from line {} on: {:?} was {:?}; all of it is in {}",
+            "{} differs from line {} on: actual {:?}, expected {:?}; the whole actual text is in {}",
             path.display(),
             line + 1,
             text.lines().nth(line).unwrap_or_default(),
@@ -26,8 +26,8 @@
     }
 }
 
-/// Bytes of one side of a conversation as lines behind a mark, with what differs from run to run left out: the port
-/// numbers of loopback and the date.
+/// Renders the bytes of one side of a conversation as lines that start with `mark`. Replaces what differs between
+/// runs: the port numbers of loopback addresses and the date.
 pub fn side(mark: &str, bytes: &[u8]) -> String {
     let text = String::from_utf8_lossy(bytes).replace("\r\n", "\n");
     let mut lines = String::new();
@@ -42,7 +42,8 @@
     lines
 }
 
-/// How many bytes a request or an answer has, once its head is whole: the head, and a body by its `Content-Length`.
+/// Returns the length of a request or an answer in bytes: its head and, with `has_body`, the body by its
+/// `Content-Length`. Returns `None` while the head is incomplete.
 pub fn whole_length(bytes: &[u8], has_body: bool) -> Option<usize> {
     let head = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
     let text = String::from_utf8_lossy(&bytes[..head]).to_ascii_lowercase();
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -1,4 +1,4 @@
-//! Several processes on one folder, in memory, with a kill between any two effects.
+//! Simulates several processes on one folder, in memory, with a kill between any two effects.
 
 use super::world::Link;
 use super::{DISK, S, START, ids};
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const SLOTS: usize = 6;
-/// Each process looks at the others' files this often.
+/// Interval at which each process polls the journals of the others.
 const LOOK: Micros = 10_000;
 const DRAIN_GRACE: Micros = 250_000;
 
@@ -47,11 +47,11 @@
         which: usize,
         out: bool,
     },
-    /// Another process is started beside those that run.
+    /// Starts another process while the others run.
     Upgrade,
-    /// The eldest is told to end, if another takes clients.
+    /// Shuts down the oldest process that runs, if there is a newer one.
     Terminate,
-    /// A process dies after so many of the effects that come next.
+    /// Kills a process after its next `after` effects.
     Kill {
         at: usize,
         after: usize,
@@ -77,12 +77,12 @@
     }
 }
 
-/// A file of the folder.
+/// A journal file on the folder.
 #[derive(Default)]
 pub struct File {
     pub bytes: Vec<u8>,
     pub inode: u64,
-    /// The process that has its lock.
+    /// The number of the process that holds the file's lock.
     pub lock: Option<usize>,
 }
 
@@ -91,15 +91,15 @@
     pub reducer: Reducer,
     pub generation: Generation,
     pub links: BTreeMap<EndpointConnectionId, Link>,
-    /// How far it has read each other file.
+    /// The inode of each other file, and the number of bytes read from it.
     pub read: BTreeMap<Generation, (u64, usize)>,
     pub tickets: BTreeMap<RequestId, String>,
     pub replies: BTreeMap<RequestId, console::ConsoleReply>,
     pub posting: Option<Vec<(String, FinalAnswer)>>,
-    /// It looks at no other file any more.
+    /// Whether the process has handed over its clients. It then polls no other journal.
     pub handed_over: bool,
     pub terminated: bool,
-    /// Effects until it dies.
+    /// Number of effects until the process is killed; `None` if no kill is due.
     pub dies_after: Option<usize>,
 }
 
@@ -123,9 +123,9 @@
     pub inodes: u64,
     pub files: BTreeMap<Generation, File>,
     pub fates: BTreeMap<String, Fate>,
-    /// Who was told to wait for a destination, and until when.
+    /// The retry delays that endpoints asked for: the process that received it, the destination, and the end.
     pub waits: Vec<(Generation, u64, Micros)>,
-    /// Endpoints out by a yes, and since when.
+    /// Endpoints that an operator has ejected, and the time of the reply `200`.
     pub out: BTreeMap<String, Micros>,
     pub upgrades: usize,
 }
@@ -137,7 +137,8 @@
         world
     }
 
-    /// As `Journal::open` does: the newest file whose process is gone is its own, or a new one.
+    /// Starts a process. As in `Journal::open`, it uses the newest file if the process of that file is gone, or else
+    /// a new file.
     pub fn start(&mut self) {
         let newest = self.files.last_key_value().map(|(generation, file)| (*generation, file.lock.is_some()));
         let generation = match newest {
@@ -152,7 +153,7 @@
         let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes));
         assert_eq!(whole, file.bytes.len());
         let text = super::config("127.0.0.1:1", "127.0.0.1:2", super::targets());
-        let mut config = Config::read(&text, None, None).expect("a configuration");
+        let mut config = Config::read(&text, None, None).expect("the configuration is valid");
         config.seed += number as u64;
         let reducer = Reducer::new(config, generation, records, whole, self.now);
         self.processes.push(Process {
@@ -200,14 +201,14 @@
             Effect::Answer { request: ticket, answer } => {
                 let txn = self.processes[at].tickets.remove(&ticket).expect("each request is answered once");
                 if answer == SubmitAnswer::Accepted {
-                    self.fates.get_mut(&txn).expect("submitted").taken_on = true;
+                    self.fates.get_mut(&txn).expect("the message was submitted").taken_on = true;
                 }
             }
             Effect::Reply { request: ticket, reply } => {
                 drop(self.processes[at].replies.insert(ticket, reply))
             }
             Effect::Append { append: receipt, bytes } => {
-                let file = self.files.get_mut(&generation).expect("its own");
+                let file = self.files.get_mut(&generation).expect("the process has a journal");
                 file.bytes.extend_from_slice(&bytes);
                 let size = file.bytes.len();
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
@@ -220,14 +221,18 @@
             }
             Effect::CompactJournal { bytes } => {
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
-                assert!(all + bytes.len() <= DISK, "old and new file are over the limit");
+                assert!(all + bytes.len() <= DISK, "the old and the new journal exceed the limit");
                 self.inodes += 1;
-                let file = self.files.get_mut(&generation).expect("its own");
+                let file = self.files.get_mut(&generation).expect("the process has a journal");
                 (file.bytes, file.inode) = (bytes.to_vec(), self.inodes);
             }
             Effect::RemoveJournal { generation } => {
-                let file = self.files.remove(&generation).expect("there");
-                assert_eq!(file.lock, Some(self.processes[at].number), "only what is its own to take up");
+                let file = self.files.remove(&generation).expect("is in the model");
+                assert_eq!(
+                    file.lock,
+                    Some(self.processes[at].number),
+                    "a process removes only a journal whose lock it holds"
+                );
                 self.processes[at].read.remove(&generation);
             }
             Effect::HandOverClients => {
@@ -252,7 +257,7 @@
         None
     }
 
-    /// The locks of a process on files that are not its own.
+    /// Releases the locks of a process on all files but its own.
     pub fn unlock(&mut self, number: usize, own: Generation) {
         let held = self.files.iter_mut().filter(|(g, file)| **g != own && file.lock == Some(number));
         held.for_each(|(_, file)| file.lock = None);
@@ -261,32 +266,39 @@
     pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
         let links = || self.processes.iter().flat_map(|process| process.links.values());
         let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
-        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
+        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a message is in flight twice");
         assert!(
             links().filter(|link| link.call.is_some()).count() < SLOTS,
-            "the slots are those of all together"
+            "the processes together exceed the limit on calls"
         );
         let address = &self.processes[at].links[&link].address;
         let targets = super::targets();
-        let target = targets.iter().find(|t| t.address.to_string() == *address).expect("listed");
+        let target =
+            targets.iter().find(|t| t.address.to_string() == *address).expect("the endpoint is listed");
         let out = self.out.get(&target.uid);
-        assert!(out.is_none_or(|since| self.now - since <= DRAIN_GRACE), "out by hand for all of them");
+        assert!(
+            out.is_none_or(|since| self.now - since <= DRAIN_GRACE),
+            "the endpoint is ejected for all processes"
+        );
         let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
         let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
-        assert!(until <= self.now + 100_000, "a wait told to one is kept by all");
+        assert!(until <= self.now + 100_000, "a retry delay received by one process binds all");
         for txn in ids(&call) {
-            let fate = self.fates.get_mut(txn).expect("submitted");
-            assert!(!fate.orders || !fate.may_have_run, "never twice what may not be repeated: {txn}");
+            let fate = self.fates.get_mut(txn).expect("the message was submitted");
+            assert!(
+                !fate.orders || !fate.may_have_run,
+                "a message that may not be repeated is sent twice: {txn}"
+            );
             assert!(self.now < fate.deadline);
             fate.calls += 1;
-            assert!(fate.calls <= 8, "eight attempts over all processes");
+            assert!(fate.calls <= 8, "more than eight attempts over all processes");
         }
-        self.processes[at].links.get_mut(&link).expect("open").call = Some(call);
+        self.processes[at].links.get_mut(&link).expect("the connection is open").call = Some(call);
     }
 
     pub fn may_have_run(&mut self, link: &Link) {
         for txn in link.call.iter().flat_map(ids) {
-            self.fates.get_mut(txn).expect("submitted").may_have_run = true;
+            self.fates.get_mut(txn).expect("the message was submitted").may_have_run = true;
         }
     }
 
@@ -302,9 +314,10 @@
         for link in std::mem::take(&mut process.links).into_values() {
             self.may_have_run(&link);
         }
-        let file = self.files.get_mut(&process.generation).expect("its own");
+        let file = self.files.get_mut(&process.generation).expect("the process has a journal");
         file.lock = None;
-        // A wait that no file holds ends with the process that was told: nobody else could know of it.
+        // A retry delay that no journal contains ends with the process that received it, because no other process
+        // knows it.
         let written = replay(Bytes::copy_from_slice(&file.bytes)).0;
         let written = written.into_iter().filter_map(|(record, _)| match record {
             Record::RetryAfter { destination: dest, until, .. } => Some((dest, until)),
@@ -319,7 +332,7 @@
         }
     }
 
-    /// As `Siblings::look` does.
+    /// Polls the journals of the other processes, as `OtherJournals` does.
     pub fn look(&mut self, at: usize) {
         if self.processes[at].handed_over {
             return;
@@ -351,7 +364,7 @@
         }
     }
 
-    /// Whose connection, of all that are fit.
+    /// Picks one of the connections of all processes for which `fit` returns `true`. Returns its process and its id.
     pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, EndpointConnectionId)> {
         let links =
             self.processes.iter().enumerate().flat_map(|(at, p)| p.links.iter().map(move |l| (at, l)));
@@ -366,7 +379,7 @@
         self.fates.entry(txn.clone()).or_insert(fate);
         let class = if orders { "orders" } else { "status" }.to_owned();
         let (org, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
-        // As the shell does: decided on with the others' files as they are now.
+        // As in the forwarder, the other journals are polled before a submission.
         let number = self.processes[at].number;
         self.look(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
@@ -388,7 +401,8 @@
 
     pub fn answer(&mut self, which: usize, how: u8) {
         let Some((at, id)) = self.pick(which, |link| link.call.is_some()) else { return };
-        let call = self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is out");
+        let call =
+            self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is in flight");
         let (status, wait_ms) = match how % 10 {
             0..=4 => (200, 0),
             5 => (429, 200 + u64::from(how)),
@@ -397,10 +411,10 @@
             8 => (504, 0),
             _ => (429, 0),
         };
-        let dest = self.fates[ids(&call).next().expect("a message")].dest;
+        let dest = self.fates[ids(&call).next().expect("the call has a message")].dest;
         let mut body = String::new();
         for (number, txn) in ids(&call).enumerate() {
-            let fate = self.fates.get_mut(txn).expect("submitted");
+            let fate = self.fates.get_mut(txn).expect("the message was submitted");
             fate.delivered |= status == 200;
             fate.may_have_run |= status == 500 || status == 200;
             body +=
@@ -420,7 +434,7 @@
         self.input(at, Input::CallAnswered { connection: id, reply, reusable: true });
     }
 
-    /// Time passes for all of them.
+    /// Advances the time of all processes.
     pub fn wait(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
@@ -451,13 +465,20 @@
                     && let Some(notices) = self.processes[at].posting.take()
                 {
                     for (txn, verdict) in notices {
-                        let fate = self.fates.get_mut(&txn).expect("submitted");
+                        let fate = self.fates.get_mut(&txn).expect("the message was submitted");
                         let kept = !matches!(verdict, FinalAnswer::Rejected { .. })
                             || !fate.orders
                             || !fate.may_have_run;
-                        assert!(kept, "a promise that a repeat is harmless: {txn}");
+                        assert!(
+                            kept,
+                            "a message that may have been delivered is rejected as repeatable: {txn}"
+                        );
                         fate.notices.insert(format!("{verdict:?}"));
-                        assert!(fate.notices.len() == 1, "two different ends: {txn} {:?}", fate.notices);
+                        assert!(
+                            fate.notices.len() == 1,
+                            "two different final answers: {txn} {:?}",
+                            fate.notices
+                        );
                     }
                     self.input(at, Input::NotificationsPosted { accepted: true });
                 }
@@ -484,7 +505,7 @@
                 self.out.remove(uid);
             }
         } else {
-            // Killed before the reply: it may be either way.
+            // The process was killed before its reply, so the endpoint may be ejected or not.
             self.out.remove(uid);
         }
     }
@@ -494,7 +515,7 @@
             self.now += S / 2;
             self.start();
         }
-        // Who takes clients; after a kill there may be none until the next start.
+        // The processes that accept clients. After a kill there may be none until the next start.
         let open: Vec<usize> =
             (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
         match step {
@@ -511,7 +532,7 @@
             Step::Connect { which, up } => {
                 if let Some((at, id)) = self.pick(which, |link| !link.up) {
                     if up {
-                        self.processes[at].links.get_mut(&id).expect("there").up = true;
+                        self.processes[at].links.get_mut(&id).expect("is in the model").up = true;
                         self.input(at, Input::ConnectionUp { connection: id });
                     } else {
                         let input = self.close(at, id, Cause::ConnectionFailed("refused".to_owned()));
@@ -536,7 +557,7 @@
                 self.start();
             }
             Step::Terminate => {
-                // The platform waits for the newcomer's yes, and looks at the eldest that still runs.
+                // The platform waits until the new process is ready, and then shuts down the oldest that still runs.
                 let elder =
                     (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
                 if let Some(at) = elder {
@@ -565,7 +586,10 @@
             self.wait(S);
         }
         for (txn, fate) in &self.fates {
-            assert!(!fate.taken_on || fate.delivered || !fate.notices.is_empty(), "{txn} has no end");
+            assert!(
+                !fate.taken_on || fate.delivered || !fate.notices.is_empty(),
+                "{txn} has no final answer"
+            );
         }
     }
 }
--- a/crates/forwarder/tests/connection_limit.rs
+++ b/crates/forwarder/tests/connection_limit.rs
@@ -1,4 +1,4 @@
-//! Who of the sender side's connections has to go: the limit against a model of it, in random steps.
+//! The limit on client connections, compared with a model over random steps.
 
 use orchidyoke_forwarder::connection_limit::{ConnectionId, ConnectionLimit, Eviction};
 use quickcheck::{Gen, QuickCheck};
@@ -6,11 +6,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Who connects to ask does so within this.
+/// Time within which a client sends its first request.
 const SILENT: Duration = Duration::from_millis(100);
 const MOST: usize = 5;
 
-/// What a connection is doing, as the test has told the limit.
+/// The state of a connection in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Doing {
     New,
@@ -23,12 +23,12 @@
 
 type Model = BTreeMap<ConnectionId, (Doing, Instant)>;
 
-/// Which of those that `which` names has been so longest.
+/// Returns the earliest start of the current state, among the connections for which `which` returns `true`.
 fn longest(model: &Model, which: impl Fn(Doing, Instant) -> bool) -> Option<Instant> {
     model.values().filter(|(doing, since)| which(*doing, *since)).map(|(_, since)| *since).min()
 }
 
-/// Checks what was said against what there is, and keeps it.
+/// Checks an eviction against the model and applies it to the model.
 fn evicted(model: &mut Model, eviction: Option<Eviction>, now: Instant) {
     let full = model.len() >= MOST;
     let silent = |doing, since| doing == Doing::New && now - since >= SILENT;
@@ -38,7 +38,7 @@
         None => {
             let waits = model.values().any(|(doing, _)| going(*doing));
             let none = model.values().all(|(doing, _)| !free(*doing) && *doing != Doing::Lingering);
-            assert!(!full || waits || none, "no place, and nobody is told: {model:?}");
+            assert!(!full || waits || none, "the limit is reached, and none is evicted: {model:?}");
         }
         Some(Eviction::Cut(id)) => {
             let (doing, since) = model[&id];
@@ -48,14 +48,14 @@
         }
         Some(Eviction::Close(id)) => {
             let (doing, since) = model[&id];
-            assert!(free(doing), "{doing:?} is told to close");
+            assert!(free(doing), "a connection is closed while {doing:?}");
             let staying = model.values().filter(|(doing, _)| free(*doing) || *doing == Doing::Busy).count();
-            assert!(full || staying == MOST, "one goes though there are places");
+            assert!(full || staying == MOST, "a connection is closed though there is room");
             match longest(model, silent) {
                 Some(first) => assert!(silent(doing, since) && since == first),
                 None => assert_eq!(longest(model, |other, _| other == doing), Some(since)),
             }
-            assert!(doing != Doing::New || silent(doing, since) || full, "it has only just connected");
+            assert!(doing != Doing::New || silent(doing, since) || full, "a new connection is closed");
             assert!(
                 doing == Doing::Idle
                     || silent(doing, since)
@@ -66,8 +66,9 @@
     }
 }
 
-// Guards against a client with a request in hand being sent off, against one told twice while others stay, against an
-// asking client that goes before one that has said nothing, and against a close that is cut while there are places.
+// Guards against evicting a connection whose request is being answered, against evicting the same connection twice,
+// against evicting an idle connection before one that has never sent a request, and against cutting a lingering close
+// while there is room.
 #[test]
 fn busy_connections_stay_and_silent_ones_are_evicted() {
     fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
@@ -82,7 +83,7 @@
                     model.insert(limit.on_connected(now), (Doing::New, now));
                 }
                 (2, Some(id)) if matches!(model[&id].0, Doing::New | Doing::Idle | Doing::Closing) => {
-                    // A request may cross the word to close: that stands.
+                    // A request may arrive after the eviction, which stays in effect.
                     limit.on_request(id, now);
                     if model[&id].0 != Doing::Closing {
                         model.insert(id, (Doing::Busy, now));
--- a/crates/forwarder/tests/connection_pool.rs
+++ b/crates/forwarder/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to next hops: the pool against a model of their far ends, in random steps.
+//! The pool of connections to endpoints, compared with a model of the endpoints' side over random steps.
 
 use orchidyoke_core::interface::{EndpointId, Micros};
 use orchidyoke_forwarder::connection_pool::{CallId, Claim, ConnectionPool, EndpointConnectionId};
@@ -7,18 +7,20 @@
 
 const IDLE_CLOSE: Micros = 1000;
 
-/// What a connection is, seen from its far end.
+/// The connections as the endpoints see them.
 #[derive(Default)]
 struct Model {
+    /// The endpoint of each open connection, and the time since when it is idle.
     open: BTreeMap<EndpointConnectionId, (EndpointId, Option<Micros>)>,
+    /// The connection of each call, and whether it is established.
     calls: BTreeMap<CallId, (EndpointConnectionId, bool)>,
     closed: BTreeSet<EndpointConnectionId>,
-    /// To an address that its endpoint has left.
+    /// Connections to a former address of their endpoint.
     retired: BTreeSet<EndpointConnectionId>,
 }
 
-// Guards against two calls on one connection, a call on one that is closed, about to be closed by the
-// other end or to another endpoint, and a call forgotten with its connection.
+// Guards against two calls on one connection, and against a call on a connection that is closed, about to be closed
+// by the endpoint, or open to a different endpoint. Also guards against losing a call when its connection closes.
 #[test]
 fn connections_follow_the_model_over_random_steps() {
     fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
@@ -34,7 +36,7 @@
                         Claim::Reuse(link) => {
                             let (to, since) = model.open[&link];
                             assert_eq!(to, hop);
-                            assert!(!model.retired.contains(&link), "its endpoint has moved");
+                            assert!(!model.retired.contains(&link), "the endpoint's address has changed");
                             assert!(since.is_some_and(|s| now - s < IDLE_CLOSE * 95 / 100));
                             (link, true)
                         }
@@ -55,7 +57,7 @@
                     assert_eq!(pool.connection_of(call), Some(link));
                     pool.release(link, now);
                     model.calls.remove(&call);
-                    model.open.get_mut(&link).expect("open").1 = Some(now);
+                    model.open.get_mut(&link).expect("the connection is open").1 = Some(now);
                 }
                 (4, Some((call, link, _))) => {
                     assert_eq!(pool.on_closed(link), Some(call));
@@ -75,7 +77,10 @@
                 (_, _) => {
                     let gone = if what % 2 == 0 { pool.take_expired(now) } else { pool.take_idle_to(hop) };
                     for link in gone {
-                        assert!(model.open.remove(&link).expect("open").1.is_some(), "only idle ones");
+                        assert!(
+                            model.open.remove(&link).expect("the connection is open").1.is_some(),
+                            "only idle connections are removed"
+                        );
                         model.closed.insert(link);
                     }
                     let idle = model.open.values().filter(|(_, since)| since.is_some()).count();
--- a/crates/forwarder/tests/console.rs
+++ b/crates/forwarder/tests/console.rs
@@ -3,7 +3,7 @@
 use orchidyoke_forwarder::console::*;
 use quickcheck::{Gen, QuickCheck};
 
-// Guards against a call that is half understood, or that answers what nobody asked.
+// Guards against a line that is read only in part, and against a line that is read as a different command.
 #[test]
 fn line_is_one_command_or_names_its_error() {
     let id = || "s-5be2a07c".to_owned();
@@ -30,15 +30,15 @@
     }
     let long = [b'x'; MAX_LINE_BYTES + 1];
     assert_eq!(parse_input(&long[..MAX_LINE_BYTES]), None);
-    assert_eq!(parse_input(&long), Some(Err(CommandError::LineTooLong)), "an endless line ends here");
+    assert_eq!(parse_input(&long), Some(Err(CommandError::LineTooLong)), "a line without an end is rejected");
 }
 
-// Guards against a line that means something else when it comes in pieces, and against a panic on any bytes.
+// Guards against a line that is read differently when it arrives in pieces, and against a panic on arbitrary bytes.
 #[test]
 fn line_in_pieces_parses_as_the_whole_line() {
     fn same(bytes: Vec<u8>) -> bool {
         let line = [&b"disable-server "[..], &bytes, b"\n"].concat();
-        let first = line.iter().position(|byte| *byte == b'\n').expect("there is one");
+        let first = line.iter().position(|byte| *byte == b'\n').expect("the line has an end");
         (0..first)
             .all(|cut| parse_input(&line[..cut]).is_none_or(|told| told == Err(CommandError::LineTooLong)))
             && parse_input(&line[..=first]).is_some()
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -3,8 +3,9 @@
 use orchidyoke_forwarder::config::Limits;
 use orchidyoke_forwarder::console_listener::MAX_CONNECTIONS;
 
-// Guards against clients that fill the descriptors and leave none for endpoints, operators, or discovery when it is asked
-// again: with any limit and any number of slots that fits into it, all parts together stay within.
+// Guards against clients that use up the descriptors and leave none for endpoints, operators, or a new watch on
+// discovery. With any limit, and any number of calls that fits into it, the sum of all parts must stay within the
+// limit.
 #[test]
 fn all_connections_together_stay_within_the_descriptor_limit() {
     for sockets in 64..2000 {
@@ -14,7 +15,8 @@
                 let (hops, clients) =
                     (limits.max_endpoint_connections(slots), limits.max_client_connections(slots, callers));
                 assert!(hops >= slots && clients >= 8, "{sockets} descriptors, {slots} slots");
-                // Streams, the runtime's, the journal, its rewrite, listeners, the watch, the next watch, notices.
+                // Standard streams, the runtime, the journal and its compaction, listeners, the watch and the next
+                // watch, notifications.
                 let own = 3 + 3 + 2 + 2 + 2 + 1;
                 assert!(
                     hops + clients + callers + own <= sockets,
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery's list, on real sockets: the far end is a script that writes, waits or closes.
+//! The watch on discovery's endpoint list, on real sockets. A scripted server takes the place of discovery.
 
 use orchidyoke_core::endpoint_list::WatchEvent;
 use orchidyoke_forwarder::catalogue::UpdateSender;
@@ -11,9 +11,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// A change binds so long after discovery had it.
+/// Time from when discovery has a change until the change is binding.
 const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// A slow machine.
+/// Allowance for a slow machine.
 const SLACK: Duration = Duration::from_millis(700);
 
 fn list(rev: u64, all: bool, uid: &str, state: &str) -> String {
@@ -24,10 +24,11 @@
     )
 }
 
-/// The same on many lines, as people write it.
+/// Returns an endpoint list as indented JSON on several lines.
 fn indented(rev: u64) -> String {
-    let list: serde_json::Value = serde_json::from_str(&list(rev, true, "s1", "in_service")).expect("a list");
-    serde_json::to_string_pretty(&list).expect("a list")
+    let list: serde_json::Value =
+        serde_json::from_str(&list(rev, true, "s1", "in_service")).expect("valid JSON");
+    serde_json::to_string_pretty(&list).expect("valid JSON")
 }
 
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -36,16 +37,16 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Follows a far end that does this with the connection once it has read the request. What was told, how it ended, and
-/// after what time.
+/// Follows a server that runs `far_end` on the connection once it has read the request. Returns the events, the end
+/// of the watch, and its duration.
 async fn followed(far_end: impl AsyncFnOnce(TcpStream)) -> (Vec<WatchEvent>, WatchEnd, Duration) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
+    let at = listener.local_addr().expect("has a local address");
     let served = async {
-        let (mut stream, _) = listener.accept().await.expect("a watch");
+        let (mut stream, _) = listener.accept().await.expect("the watch connects");
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
-            request.push(stream.read_u8().await.expect("its request"));
+            request.push(stream.read_u8().await.expect("the request is complete"));
         }
         far_end(stream).await;
     };
@@ -69,13 +70,13 @@
     stream.write_all(text.as_bytes()).await.is_ok()
 }
 
-/// Until the forwarder closes.
+/// Reads until the forwarder closes the connection.
 async fn until_closed(mut stream: TcpStream) {
     while stream.read(&mut [0; 1024]).await.is_ok_and(|count| count > 0) {}
 }
 
-// Guards against news lost or read twice where a chunk ends inside a list, against lists on many lines taken for none,
-// and against the blank lines.
+// Guards against events that are lost or read twice when a chunk ends inside a list, against rejecting lists on several
+// lines, and against errors from blank lines.
 #[tokio::test(flavor = "current_thread")]
 async fn lists_arrive_complete_however_they_are_chunked_and_indented() {
     let text = format!(
@@ -101,12 +102,13 @@
     }
 }
 
-// Guards against a refusal, half a list or an answer of nothing that is taken for a list, or that hangs the watch.
+// Guards against an error status, an incomplete list or an empty response that is read as a list, or that leaves the
+// watch hanging.
 #[tokio::test(flavor = "current_thread")]
 async fn bad_response_ends_the_watch_without_an_event() {
     let whole = list(7, true, "s1", "in_service");
     let (half, pretty) = (&whole[..whole.len() / 2], indented(7));
-    let half_pretty = &pretty[..pretty.rfind('}').expect("its end")];
+    let half_pretty = &pretty[..pretty.rfind('}').expect("the list has an end")];
     for (status, told, body, why, wait) in [
         ("429 Too Many Requests", "", "", "429", 0),
         ("429 Too Many Requests", "Retry-After: 2\r\n", "", "429", 2000),
@@ -132,7 +134,8 @@
     }
 }
 
-/// Holds what was told for a while, then does `then` for as long as it can.
+/// Follows a server that sends `first` and then repeats `then` until it returns `false`. Returns the number of
+/// events, the end of the watch, and its duration.
 async fn silent_after(
     first: &str,
     mut then: impl AsyncFnMut(&mut TcpStream) -> bool,
@@ -146,9 +149,9 @@
     (told.len(), ended, took)
 }
 
-// Guards against a watch that says nothing any more and is followed on: before its answer, before its first list, after
-// it; one whose bytes dribble and never make a list; and one that goes on as it should and is given up. Each time the
-// forwarder knows for how long it has heard nothing, and has time left to ask another before a change binds.
+// Guards against following a silent watch forever: before its response, before its first list, after it, or while
+// single bytes arrive that never complete a list. Each time the watch must report how long discovery was silent, and
+// leave time for another watch before a change is binding.
 #[tokio::test(flavor = "current_thread")]
 async fn silent_watch_times_out() {
     let first = format!("{CHUNKED}{}", chunk(&(list(1, true, "s1", "in_service") + "\n")));
@@ -178,7 +181,7 @@
     }
 }
 
-// Guards against a watch given up though its empty lines come as they are due.
+// Guards against ending a watch whose blank lines arrive on time.
 #[tokio::test(flavor = "current_thread")]
 async fn watch_with_blank_lines_stays_open() {
     let mut lines = 0;
@@ -192,19 +195,19 @@
     assert!(took >= Duration::from_secs(7), "{took:?}: {ended:?}");
 }
 
-// Guards against a dial that hangs: it is given up after a second, and counts from its start.
+// Guards against a connection attempt that hangs. It must end after a second, and its time must count as silence.
 #[tokio::test(flavor = "current_thread")]
 async fn hanging_connect_times_out() {
-    // A socket that lets one connection wait: once it has, others get no answer.
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let listener = socket.listen(0).expect("it listens");
-    let at = listener.local_addr().expect("its address");
+    // A socket with the smallest backlog. Once the backlog is full, further connection attempts get no answer.
+    let socket = tokio::net::TcpSocket::new_v4().expect("the socket call succeeds");
+    socket.bind("127.0.0.1:0".parse().expect("a valid address")).expect("binds to a port");
+    let listener = socket.listen(0).expect("the socket listens");
+    let at = listener.local_addr().expect("has a local address");
     let mut waiting = Vec::new();
     while let Ok(Ok(stream)) = tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(at)).await
     {
         waiting.push(stream);
-        assert!(waiting.len() < 100, "it takes all");
+        assert!(waiting.len() < 100, "the backlog does not fill up");
     }
     let (told, ended, took) = follow_at(at).await;
     assert!(told.is_empty() && ended.reason.contains("no data from discovery in time"), "{ended:?}");
--- a/crates/forwarder/tests/endpoint_call.rs
+++ b/crates/forwarder/tests/endpoint_call.rs
@@ -13,8 +13,8 @@
     }
 }
 
-// Guards against a message of a call being ended by another's end, and against calling undelivered or
-// never run what an unreadable answer leaves open.
+// Guards against giving a message the result of another message of its call. Also guards against treating messages as
+// not delivered when the reply cannot be read, which leaves their delivery in doubt.
 #[test]
 fn each_message_of_a_bulk_call_has_its_own_result() {
     let told = r#"[{"id":"b","state":"deferred"},{"id":"a","state":"accepted"},{"id":"c","state":"fault"},
@@ -36,7 +36,7 @@
     );
 }
 
-// Guards against "never ran" being said of a call whose last byte went out.
+// Guards against treating a call as not delivered after its last byte was written.
 #[test]
 fn only_a_call_not_fully_written_is_certainly_not_delivered() {
     use Progress::*;
@@ -51,7 +51,7 @@
     }
 }
 
-// Guards against a key that is left out of a call, or put beside a message that has none.
+// Guards against an idempotency key that is missing in a bulk call, or added to a message without one.
 #[test]
 fn each_message_of_a_bulk_call_has_its_own_key() {
     let part = |txn: &str, key: Option<&str>| CallMessage {
--- a/crates/forwarder/tests/endpoint_connection.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -1,5 +1,5 @@
-//! Calls on connections to endpoints, on real sockets: the far end is a script that answers, breaks off, closes or speaks
-//! in the wrong instant.
+//! Calls on connections to endpoints, on real sockets. A scripted endpoint answers, closes, resets, or sends bytes at
+//! the wrong moment.
 
 use bytes::Bytes;
 use orchidyoke_core::interface::Outcome;
@@ -18,26 +18,29 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Carries calls on one connection to a far end that gives one answer to the first and holds the connection
-/// open. What comes of the first, and whether a second on the same connection is taken for answered.
+/// Carries calls on one connection to an endpoint that answers the first call and keeps the connection open. With
+/// `goes_on` it repeats the answer without end. Returns the result of the first call, and whether a second call on
+/// the same connection counts as answered.
 async fn call(answer: &'static [u8], goes_on: bool, bulk: bool) -> (Input, bool) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
+    let address = listener.local_addr().expect("has a local address");
     let (sender, orders) = unbounded_channel();
     let (inputs, mut came) = unbounded_channel();
     let until = Instant::now() + Duration::from_secs(20);
     let call = call_of(bulk);
     let far_end = async {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("a connection arrives");
         let mut request = vec![0; 4096];
-        assert!(stream.read(&mut request).await.expect("a request") > 0);
-        stream.write_all(answer).await.expect("written");
+        assert!(stream.read(&mut request).await.expect("a request arrives") > 0);
+        stream.write_all(answer).await.expect("the write succeeds");
         while goes_on && stream.write_all(answer).await.is_ok() {}
         std::future::pending::<()>().await;
     };
     let near_end = async {
         assert!(matches!(came.recv().await, Some(Input::ConnectionUp { .. })));
-        sender.send(ScheduledCall { call: call.clone(), deadline: until }).expect("it takes calls");
+        sender
+            .send(ScheduledCall { call: call.clone(), deadline: until })
+            .expect("the connection task is running");
         let mut end = async || {
             loop {
                 match came.recv().await {
@@ -46,7 +49,7 @@
                 }
             }
         };
-        let first = end().await.expect("an end");
+        let first = end().await.expect("the first call ends");
         let deadline = Instant::now() + Duration::from_millis(300);
         let _ = sender.send(ScheduledCall { call: call.clone(), deadline });
         (first, matches!(end().await, Some(Input::CallAnswered { .. })))
@@ -57,9 +60,10 @@
     }
 }
 
-// Guards against an answer that cannot be read holding a slot until its time is up, being taken for "never ran"
-// (an order would go out twice), or leaving a connection behind on which the next call reads its rest; and
-// against a good answer thrown away for what stands beside it.
+// Guards against three faults with a response that cannot be read: the call occupies its place until its deadline,
+// the call counts as not delivered (so that an order would be sent twice), or the connection stays open and the next
+// call reads the rest of the response. Also guards against rejecting a valid response because of other bytes around
+// it.
 #[test]
 fn invalid_and_rejecting_responses_map_to_their_outcome() {
     const GOOD: u16 = 200;
@@ -86,7 +90,8 @@
         (b"\x16\x03\x01 noise without an end", false, false, SPOILT),
         (b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", false, false, SPOILT),
     ];
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     for (answer, goes_on, bulk, expected) in cases {
         let text = String::from_utf8_lossy(answer);
         let (first, answered_again) = runtime.block_on(call(answer, goes_on, bulk));
@@ -107,12 +112,12 @@
             }
             other => panic!("{text}: {other:?}"),
         }
-        assert!(!answered_again, "{text}: its rest was taken for the next answer");
+        assert!(!answered_again, "{text}: the rest of the response counted as the next answer");
     }
 }
 
-// Guards against a call taken for unwritten though its last byte went out, or the other way round,
-// however the writes were cut.
+// Guards against a call that counts as not fully written after its last byte, or as fully written before it, whatever
+// the sizes of the writes.
 #[test]
 fn call_counts_as_written_with_its_last_byte() {
     fn keep(body: Vec<u8>, cuts: Vec<u8>) -> bool {
@@ -142,8 +147,8 @@
     }
 }
 
-/// A connection of the forwarder's to a far end whose socket the test holds: it acts between the turns of the runtime,
-/// and nothing else runs while it does.
+/// A connection of the forwarder to an endpoint whose socket the test holds. The endpoint acts while the test does not
+/// yield, so that nothing else runs meanwhile.
 struct Pair {
     far: std::net::TcpStream,
     orders: Option<UnboundedSender<ScheduledCall>>,
@@ -155,8 +160,8 @@
 
 impl Pair {
     async fn up() -> Self {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
+        let address = listener.local_addr().expect("has a local address");
         let ((orders, taken), (inputs, came)) = (unbounded_channel(), unbounded_channel());
         spawn_local(run(1, address, Instant::now() + PATIENCE, taken, inputs));
         let mut pair = Pair { far: dialled(listener).await, orders: Some(orders), came };
@@ -167,36 +172,36 @@
     async fn next(&mut self) -> Input {
         timeout(PATIENCE, self.came.recv())
             .await
-            .expect("something has to come")
-            .expect("the connection's word")
+            .expect("an input arrives in time")
+            .expect("the connection task is running")
     }
 
     fn send(&self, within: Duration) {
         let order = ScheduledCall { call: call_of(false), deadline: Instant::now() + within };
-        self.orders.as_ref().expect("not cancelled").send(order).expect("it takes calls");
+        self.orders.as_ref().expect("not cancelled").send(order).expect("the connection task is running");
     }
 
-    /// The call's last byte has gone, and the far end has read all of it.
+    /// Waits until the call is fully written and the endpoint has read all of it.
     async fn written(&mut self) {
         assert!(matches!(self.next().await, Input::CallWritten { .. }));
-        self.far.set_nonblocking(false).expect("a socket");
+        self.far.set_nonblocking(false).expect("the socket call succeeds");
         let mut request = Vec::new();
         while !request.ends_with(b"body") {
             let mut chunk = [0; 1024];
-            let count = self.far.read(&mut chunk).expect("a request");
+            let count = self.far.read(&mut chunk).expect("a request arrives");
             request.extend_from_slice(&chunk[..count]);
         }
     }
 
-    /// Carries a call and has it answered: the connection is kept, and idle.
+    /// Carries a call and answers it, so that the connection is idle and reusable.
     async fn idle(&mut self) {
         self.send(PATIENCE);
         self.written().await;
-        self.far.write_all(OK).expect("written");
+        self.far.write_all(OK).expect("the write succeeds");
         assert!(matches!(self.next().await, Input::CallAnswered { reusable: true, .. }));
     }
 
-    /// How the connection's last call ended, and what the far end was sent of it.
+    /// Waits until the connection is closed. Returns the error, and the number of bytes that the endpoint received.
     async fn end(&mut self) -> (EndpointCallError, usize) {
         let error = loop {
             match self.next().await {
@@ -206,15 +211,15 @@
             }
         };
         let mut sent = Vec::new();
-        self.far.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        // A reset ends it as well.
+        self.far.set_read_timeout(Some(PATIENCE)).expect("the socket call succeeds");
+        // A reset ends the reading as well.
         let _ = self.far.read_to_end(&mut sent);
         (error, sent.len())
     }
 }
 
 async fn dialled(listener: std::net::TcpListener) -> std::net::TcpStream {
-    listener.set_nonblocking(true).expect("a socket");
+    listener.set_nonblocking(true).expect("the socket call succeeds");
     loop {
         match listener.accept() {
             Ok((stream, _)) => return stream,
@@ -224,13 +229,14 @@
 }
 
 fn play(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-// Guards against a call written on a kept connection that the far end closes, resets, or speaks on as it is chosen: the
-// bytes are there before the call is, and the runtime has not yet heard of them. Written all the same, an order may have
-// run that never did, and what came before it is read as its answer.
+// Guards against writing a call on an idle connection that the endpoint has closed, has reset, or has sent bytes on
+// just before. The runtime has not yet noticed. If the call were written, its delivery would be in doubt, and the
+// earlier bytes would be read as its answer.
 #[test]
 fn nothing_is_written_on_a_connection_that_closed_or_spoke_when_chosen() {
     for (what, bytes) in
@@ -239,23 +245,24 @@
         play(async {
             let mut pair = Pair::up().await;
             pair.idle().await;
-            // Between two turns of the runtime: first the far end, then the call.
-            pair.far.write_all(bytes).expect("written");
+            // The test does not yield here: first the endpoint acts, then the call is sent.
+            pair.far.write_all(bytes).expect("the write succeeds");
             if what == "closed" {
-                pair.far.shutdown(std::net::Shutdown::Write).expect("a socket");
+                pair.far.shutdown(std::net::Shutdown::Write).expect("the socket call succeeds");
             }
             pair.send(PATIENCE);
             if what == "reset" {
-                SockRef::from(&pair.far).set_linger(Some(Duration::ZERO)).expect("a socket");
-                let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-                let near = std::net::TcpStream::connect(other.local_addr().expect("bound")).expect("taken");
-                // Dropped with its linger at nothing, it is reset.
+                SockRef::from(&pair.far).set_linger(Some(Duration::ZERO)).expect("the socket call succeeds");
+                let other = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
+                let near = std::net::TcpStream::connect(other.local_addr().expect("has a local address"))
+                    .expect("connects");
+                // Dropping a socket with a linger time of 0 resets its connection.
                 drop(std::mem::replace(&mut pair.far, near));
             }
             let error = loop {
                 match pair.next().await {
                     Input::ConnectionClosed { error, .. } => break error,
-                    Input::CallAnswered { reply, .. } => panic!("{what}: taken for an answer: {reply:?}"),
+                    Input::CallAnswered { reply, .. } => panic!("{what}: counted as an answer: {reply:?}"),
                     _ => {}
                 }
             };
@@ -269,8 +276,8 @@
     }
 }
 
-// Guards against an answer thrown away because its call's time is up, or the call is called off, in the turn in which the
-// answer comes: a wait that it tells binds, and a delivery is one.
+// Guards against discarding a response because its call times out or is cancelled at the moment when the response
+// arrives. A delay that the response asks for is binding, and a delivery counts.
 #[test]
 fn response_arriving_with_its_time_out_or_cancellation_counts() {
     const WAIT: &[u8] =
@@ -283,10 +290,10 @@
                 pair.send(if called_off { PATIENCE } else { within });
                 pair.written().await;
                 if !called_off {
-                    // Past its time, with the runtime standing still: the next turn sees both.
+                    // Blocks the runtime beyond the deadline, so that it sees the time-out and the response together.
                     std::thread::sleep(within + Duration::from_millis(50));
                 }
-                pair.far.write_all(answer).expect("written");
+                pair.far.write_all(answer).expect("the write succeeds");
                 if called_off {
                     pair.orders = None;
                 }
@@ -295,33 +302,34 @@
                         assert_eq!(
                             (reply.status, reply.retry_after_ms),
                             (status, wait),
-                            "called off: {called_off}"
+                            "cancelled: {called_off}"
                         );
-                        assert!(!reusable || !called_off, "nobody has it any more");
+                        assert!(!reusable || !called_off, "a cancelled call's connection is not reused");
                     }
-                    other => panic!("called off: {called_off}: {status}: {other:?}"),
+                    other => panic!("cancelled: {called_off}: {status}: {other:?}"),
                 }
             });
         }
     }
 }
 
-// Guards against a call that is held, or taken for answered, by an answer that began and does not go on when its time is
-// up: half an answer is no answer.
+// Guards against a call that does not end, or counts as answered, when its response is incomplete at the deadline.
 #[test]
 fn partial_response_at_its_time_out_is_no_response() {
     play(async {
         let mut pair = Pair::up().await;
         pair.send(Duration::from_millis(100));
         pair.written().await;
-        pair.far.write_all(b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 9").expect("written");
+        pair.far
+            .write_all(b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 9")
+            .expect("the write succeeds");
         let (error, _) = pair.end().await;
         assert!(!error.not_delivered() && error.progress == Progress::Answered, "{error}");
     });
 }
 
-// Guards against a reset after the last byte, at once or long after, that is taken for "never ran"; and against one in
-// the middle of a request that is taken for "may have run".
+// Guards against treating a call as not delivered when the connection is reset after its last byte, at once or much
+// later.
 #[test]
 fn late_reset_after_the_last_byte_leaves_delivery_in_doubt() {
     for late in [Duration::ZERO, Duration::from_millis(700)] {
@@ -330,9 +338,10 @@
             pair.send(PATIENCE);
             pair.written().await;
             sleep(late).await;
-            SockRef::from(&pair.far).set_linger(Some(Duration::ZERO)).expect("a socket");
-            let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-            let near = std::net::TcpStream::connect(other.local_addr().expect("bound")).expect("taken");
+            SockRef::from(&pair.far).set_linger(Some(Duration::ZERO)).expect("the socket call succeeds");
+            let other = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
+            let near = std::net::TcpStream::connect(other.local_addr().expect("has a local address"))
+                .expect("connects");
             drop(std::mem::replace(&mut pair.far, near));
             match pair.next().await {
                 Input::ConnectionClosed { error, .. } => {
@@ -344,17 +353,16 @@
     }
 }
 
-// Guards against a connection that is kept though more came with its answer than belongs to it: the rest would be the
-// next call's answer.
+// Guards against reusing a connection on which bytes follow the answer. The next call would read them as its answer.
 #[test]
 fn connection_with_trailing_bytes_is_not_reused() {
     play(async {
         let mut pair = Pair::up().await;
         pair.send(PATIENCE);
         pair.written().await;
-        pair.far.write_all(&[OK, OK].concat()).expect("written");
+        pair.far.write_all(&[OK, OK].concat()).expect("the write succeeds");
         assert!(matches!(pair.next().await, Input::CallAnswered { .. }));
-        // Its task may have ended, or has yet to see what is there.
+        // The connection's task may have ended, or may not yet have noticed the bytes.
         let _ = pair
             .orders
             .as_ref()
@@ -371,14 +379,15 @@
     });
 }
 
-// Guards against a dial that is held beyond its time, or beyond its calling off, by a far end that never answers it.
+// Guards against a connection attempt that outlasts its deadline or its cancellation because the endpoint never
+// answers.
 #[test]
 fn hanging_connect_times_out() {
     play(async {
-        let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(0).expect("it listens");
-        let address: SocketAddr = listener.local_addr().expect("its address");
+        let socket = tokio::net::TcpSocket::new_v4().expect("the socket call succeeds");
+        socket.bind("127.0.0.1:0".parse().expect("a valid address")).expect("binds to a port");
+        let listener = socket.listen(0).expect("the socket listens");
+        let address: SocketAddr = listener.local_addr().expect("has a local address");
         let mut waiting = Vec::new();
         while let Ok(Ok(stream)) =
             timeout(Duration::from_millis(300), tokio::net::TcpStream::connect(address)).await
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -1,11 +1,12 @@
-//! Lists out of frames: what is handed on, what is not, and how much work it is, at the size of 100,000 entries.
+//! Reading endpoint lists of 100,000 entries from frames: which lists are passed on, which are not, and the work
+//! needed.
 
 use orchidyoke_core::endpoint_list::{EndpointState, ListError, MAX_ENTRIES, MAX_LIST_BYTES, WatchEvent};
 use orchidyoke_forwarder::list_reader::ListReader;
 use std::fmt::Write;
 
 const LISTED: usize = 100_000;
-/// A frame as a socket gives it.
+/// Size of a frame as a socket delivers it.
 const FRAME: usize = 64 << 10;
 
 fn entry(number: usize) -> String {
@@ -15,12 +16,12 @@
     )
 }
 
-/// A whole list of so many entries, with this in the place of its end.
+/// Returns a list with this number of entries and with `end` in place of its closing brackets.
 fn list_with_end(entries: usize, end: &str) -> String {
     let mut text = "{\"rev\":1,\"all\":true,\"targets\":[".to_owned();
     for number in 0..entries {
         let comma = if number == 0 { "" } else { "," };
-        write!(text, "{comma}{}", entry(number)).expect("a string");
+        write!(text, "{comma}{}", entry(number)).expect("writing to a string succeeds");
     }
     text + end
 }
@@ -29,7 +30,7 @@
     list_with_end(entries, "]}\n")
 }
 
-/// What is handed on of a text in frames of this size, and the error that ended it.
+/// Reads a text in frames of this size. Returns the lists that were passed on, and the error that ended the reading.
 fn read(reader: &mut ListReader, text: &[u8], frame: usize) -> (Vec<WatchEvent>, Option<ListError>) {
     let mut lists = Vec::new();
     for part in text.chunks(frame) {
@@ -40,8 +41,7 @@
     (lists, None)
 }
 
-// Guards against a list that is parsed again from its beginning with each frame, and against one that is read otherwise
-// because it is large.
+// Guards against parsing a list again from its beginning with each frame, and against reading a large list differently.
 #[test]
 fn list_of_100_000_entries_is_parsed_once_however_it_is_chunked() {
     let text = list(LISTED);
@@ -56,8 +56,8 @@
     }
 }
 
-// Guards against brackets, quotes and backslashes within names that are taken for those of the list, and against blank
-// lines that are not told from a part of a list.
+// Guards against reading brackets, quotes and backslashes in names as those of the list, and against blank lines that
+// are not distinguished from a part of a list.
 #[test]
 fn names_may_contain_list_delimiters_and_blank_lines_are_reported() {
     let first = list(2).replace("s-00000001", r#"}]\"{\\"#);
@@ -69,14 +69,14 @@
         assert_eq!(lists[0].endpoints[1].uid, r#"}]"{\"#);
     }
     let mut reader = ListReader::default();
-    let mut whole = |bytes: &[u8]| reader.read_frame(bytes, |_| {}).expect("no error");
-    assert!(whole(b"\n"), "a blank line says that all is well");
-    assert!(!whole(b"{"), "the beginning of a list is nothing whole");
-    assert!(!whole(b" \n "), "nor are blanks within it");
+    let mut whole = |bytes: &[u8]| reader.read_frame(bytes, |_| {}).expect("the frame is valid");
+    assert!(whole(b"\n"), "a blank line counts as complete");
+    assert!(!whole(b"{"), "the beginning of a list does not count as complete");
+    assert!(!whole(b" \n "), "blanks within a list do not count as complete");
 }
 
-// Guards against a part of a list that is handed on: cut off, malformed in its last entry, or beyond the bounds; and
-// against a list that is kept though it is larger than any may be.
+// Guards against passing on part of a list that is cut off, malformed in its last entry, or beyond the limits. Also
+// guards against buffering more of a list than the limit allows.
 #[test]
 fn malformed_list_yields_no_event() {
     let cut_off = list_with_end(LISTED, "");
@@ -105,7 +105,7 @@
     }
 }
 
-// Guards against a bound that is looked at only when the list has come whole: one without an end would fill the memory.
+// Guards against checking a limit only at the end of a list, so that a list without an end would fill the memory.
 #[test]
 fn list_beyond_the_limits_fails_before_its_end() {
     let too_many = list_with_end(MAX_ENTRIES + 1, "");
@@ -116,7 +116,8 @@
     assert!(matches!(error, Some(ListError::TooLarge)), "{error:?}");
 }
 
-// Guards against a bound that keeps out what it is made for: twice the size that the forwarder is built for.
+// Guards against a limit that rejects a list of the largest allowed size, which is twice the size that the forwarder is
+// designed for.
 #[test]
 fn largest_allowed_list_is_read() {
     let text = list(MAX_ENTRIES);
--- a/crates/forwarder/tests/metrics.rs
+++ b/crates/forwarder/tests/metrics.rs
@@ -2,7 +2,8 @@
 
 use orchidyoke_forwarder::metrics::{Gauges, MessageEnd, Metrics};
 
-// Guards against counts that do not add up, a message of another process counted, and a time beyond bounds lost.
+// Guards against bucket counts that are not cumulative, against counting a message that was submitted to another
+// process, and against losing a time beyond the largest bucket.
 #[test]
 fn latency_buckets_are_cumulative() {
     let mut figures = Metrics::default();
@@ -14,9 +15,9 @@
     let counts: Vec<(&str, u64)> = lines
         .lines()
         .map(|line| {
-            let (label, count) = line.rsplit_once(' ').expect("a count");
+            let (label, count) = line.rsplit_once(' ').expect("the line has a count");
             let le = label.split("le=\"").nth(1).and_then(|rest| rest.split('"').next());
-            (le.expect("a bound"), count.parse().expect("a count"))
+            (le.expect("the line has a bound"), count.parse().expect("the line has a count"))
         })
         .collect();
     assert_eq!(counts.iter().map(|(_, count)| *count).collect::<Vec<_>>(), [1, 2, 3, 4, 4], "{lines}");
@@ -25,7 +26,8 @@
     assert_eq!(figures.ends()["orders"].success, 5);
 }
 
-// Guards against a class without a line until something of it has ended, and against another form of the lines.
+// Guards against a class that has no line before its first ended message, and against a change in the form of the
+// lines.
 #[test]
 fn every_class_is_rendered_from_the_start() {
     let mut figures = Metrics::default();
--- a/crates/forwarder/tests/wire_client.rs
+++ b/crates/forwarder/tests/wire_client.rs
@@ -1,4 +1,4 @@
-//! Protects what clients write to the forwarder and read from it: the headers of a submission, and status, headers and body
+//! Guards against changes in the protocol with clients: the headers of a submission, and the status, headers and body
 //! of each answer.
 
 #[path = "common/golden.rs"]
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// What the reducer would say to a submission, by the path that the client chose.
+/// Returns the answer to a submission, in place of the reducer, by the path of the request.
 fn answer_to(path: &str) -> SubmitAnswer {
     match path {
         "deferred" => SubmitAnswer::Rejected(0),
@@ -47,31 +47,32 @@
     }
 }
 
-/// Writes a request and reads its answer.
+/// Writes a request and returns its answer.
 async fn exchange(mut stream: impl AsyncRead + AsyncWrite + Unpin, request: &str) -> Vec<u8> {
-    stream.write_all(request.as_bytes()).await.expect("written");
+    stream.write_all(request.as_bytes()).await.expect("the write succeeds");
     let mut answer = Vec::new();
     let has_body = !request.starts_with("HEAD");
     while whole_length(&answer, has_body).is_none_or(|length| answer.len() < length) {
-        let count = stream.read_buf(&mut answer).await.expect("an answer");
-        assert!(count > 0, "a whole answer: {}", String::from_utf8_lossy(&answer));
+        let count = stream.read_buf(&mut answer).await.expect("an answer arrives");
+        assert!(count > 0, "the answer is incomplete: {}", String::from_utf8_lossy(&answer));
     }
     answer
 }
 
-/// Makes these requests, each on a connection of its own: what was said, and what was submitted.
+/// Sends each request on its own connection. Returns the text of the conversations, and the submissions.
 fn talk(requests: &[String]) -> (String, Vec<Submission>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
+        let at = listener.local_addr().expect("has a local address");
         let (sender, inputs) = unbounded_channel();
         let (gateway, submitted) = (ClientGateway::new(sender), Submitted::default());
         tokio::task::spawn_local(listen(listener, gateway.clone(), ClientConnections::new(64)));
         tokio::task::spawn_local(decide(gateway, inputs, submitted.clone()));
         let mut said = String::new();
         for request in requests {
-            let stream = TcpStream::connect(at).await.expect("taken");
+            let stream = TcpStream::connect(at).await.expect("connects");
             let answer = exchange(stream, request).await;
             said += &format!("{}{}\n", side("> ", request.as_bytes()), side("< ", &answer));
         }
@@ -79,13 +80,13 @@
     })
 }
 
-/// A submission with these lines in its head beside those that it needs.
+/// Returns a submission with `more` lines in its head in addition to the required ones.
 fn submission(path: &str, more: &str) -> String {
     let needed = "X-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\nX-Remaining: 0.480\r\nX-Consignee: dest=7\r\n";
     format!("POST /{path} HTTP/1.1\r\nHost: origin.svc\r\n{needed}{more}Content-Length: 5\r\n\r\nhello")
 }
 
-/// One whose head has this line in the place of another, or nothing.
+/// Returns a submission in which `instead` replaces `line`.
 fn with(line: &str, instead: &str) -> String {
     let changed = submission("status", "").replace(line, instead);
     assert_ne!(changed, submission("status", ""), "{line}");
@@ -135,7 +136,8 @@
 
 #[test]
 fn a_forwarder_that_ends_says_so_at_its_health_address() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     let said = LocalSet::new().block_on(&runtime, async {
         let (near, far) = tokio::io::duplex(4096);
         let gateway = ClientGateway::new(unbounded_channel().0);
@@ -176,7 +178,7 @@
     };
     assert_eq!((&mark.from[..], mark.attempts), ("n1", 3));
     assert_eq!((mark.deadline, mark.valid_until), (1_800_000_000_000_000, 1_800_000_000_400_000));
-    let ran = mark.possible_delivery.as_ref().expect("it has run");
+    let ran = mark.possible_delivery.as_ref().expect("the mark has a possible delivery");
     assert_eq!(
         (ran.started_at, &ran.endpoint[..], &ran.zone[..]),
         (1_799_999_999_000_000, "s-5be2a07c", "b")
--- a/crates/forwarder/tests/wire_config.rs
+++ b/crates/forwarder/tests/wire_config.rs
@@ -1,4 +1,4 @@
-//! Protects the platform's configuration as a file: the name of each field, and what becomes of it.
+//! Guards against changes in the platform's configuration file: the name of each field, and the value that it sets.
 
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use orchidyoke_core::interface::{
@@ -11,7 +11,7 @@
 
 #[test]
 fn each_field_of_a_configuration_is_read_by_its_name() {
-    let config = Config::read(FULL, None, None).expect("a configuration");
+    let config = Config::read(FULL, None, None).expect("the configuration is valid");
     assert_eq!(config.name, "n7");
     assert_eq!(config.listen.to_string(), "127.0.0.1:8001");
     assert_eq!(config.discovery.from_command_line, None);
@@ -22,7 +22,7 @@
     assert!(config.policy_ejected.iter().map(String::as_str).eq(["s-1", "s-9"]));
     let targets = vec![EndpointEntry {
         uid: "s-1".to_owned(),
-        address: "127.0.0.1:8600".parse().expect("an address"),
+        address: "127.0.0.1:8600".parse().expect("a valid address"),
         zone: "a".to_owned(),
         kind: "shops".to_owned(),
         destination: 7,
@@ -41,7 +41,8 @@
 
 #[test]
 fn the_example_is_read_as_before() {
-    let config = Config::read(EXAMPLE, Some("127.0.0.1:1"), Some("127.0.0.1:2")).expect("a configuration");
+    let config =
+        Config::read(EXAMPLE, Some("127.0.0.1:1"), Some("127.0.0.1:2")).expect("the configuration is valid");
     assert_eq!((&config.name[..], config.listen.port()), ("n0", 1));
     assert_eq!(config.discovery.from_command_line.map(|at| at.port()), Some(2));
     assert_eq!(config.discovery.configured.port(), 8500);
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -1,5 +1,5 @@
-//! Protects what operators and their tools write to the console and read from it: the forms of the calls, each reply, and
-//! the names of all figures.
+//! Guards against changes in the protocol of the console, on which operators and their tools rely: the forms of the
+//! commands, each reply, and the names of all metrics.
 
 mod common;
 #[path = "common/golden.rs"]
@@ -38,16 +38,18 @@
     ];
     let mut said = String::new();
     for line in lines {
-        let error = parse_input(line).expect("a whole line").expect_err("no call");
+        let error = parse_input(line).expect("a complete line").expect_err("the line is not a command");
         let text = String::from_utf8_lossy(&line[..line.len().min(40)]).escape_debug().to_string();
         said += &format!("> {text}\n< {}", ConsoleReply::from(error));
     }
     assert_golden("console_errors.txt", &said);
-    let endless = parse_input(&long[..=MAX_LINE_BYTES]).expect("too long").expect_err("no call");
+    let endless = parse_input(&long[..=MAX_LINE_BYTES])
+        .expect("the line is too long")
+        .expect_err("the line is not a command");
     assert_eq!(ConsoleReply::from(endless).to_string(), "400 the line is too long\n");
 }
 
-/// A reducer whose appends are stored at once, or cannot be.
+/// A reducer whose appends are stored at once, or fail if `disk_is_full`.
 struct Forwarder {
     reducer: Reducer,
     now: Micros,
@@ -92,12 +94,13 @@
         }
     }
 
-    /// Says a line at the console; the reply.
+    /// Sends a line to the console. Returns the line and the reply.
     fn say(&mut self, line: &str) -> String {
-        let call: Command = parse_input(format!("{line}\n").as_bytes()).expect("whole").expect("a call");
+        let call: Command =
+            parse_input(format!("{line}\n").as_bytes()).expect("a complete line").expect("a valid command");
         self.tickets += 1;
         self.input(Input::Operator { request: self.tickets, call });
-        format!("> {line}\n< {}", self.replies.pop().expect("a reply"))
+        format!("> {line}\n< {}", self.replies.pop().expect("a reply arrives"))
     }
 
     fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: ReceivedMark) {
@@ -114,13 +117,13 @@
             body: Bytes::from_static(b"hello"),
         };
         self.input(Input::Submitted { request: self.tickets, message });
-        // Those that come together are taken on together, a moment later.
+        // The reducer accepts messages that arrive together as one batch, shortly afterwards.
         self.now += S / 100;
         self.input(Input::TimerDue);
     }
 
     fn offer_ends(&mut self, end: OfferOutcome) {
-        let id = self.offers.pop_front().expect("an offer");
+        let id = self.offers.pop_front().expect("an offer was made");
         self.input(Input::OfferEnded { id, outcome: end });
     }
 }
@@ -171,7 +174,7 @@
     assert_golden("metrics.txt", &said);
 }
 
-/// Destination 1 belongs to another forwarder.
+/// A fleet in which another forwarder owns destination 1.
 #[derive(Debug)]
 struct Fleet;
 
--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -1,5 +1,5 @@
-//! Protects what the forwarder writes to others and reads in their answers: calls to endpoints, notices to the platform,
-//! the watch on discovery, and offers to other forwarders.
+//! Guards against changes in the forwarder's requests and in how it reads the answers: calls to endpoints,
+//! notifications to the platform, the watch on discovery, and offers to other forwarders.
 
 #[path = "common/golden.rs"]
 mod golden;
@@ -27,19 +27,24 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// A far end that takes one request, gives this answer and stays; what it read, and what `near` came to.
+/// Runs a server that reads one request, gives this answer and keeps the connection open, and `near` as its client.
+/// Returns the request, and the result of `near`.
 fn asked<T>(answer: &str, near: impl AsyncFnOnce(SocketAddr) -> T) -> (Vec<u8>, T) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
+        let at = listener.local_addr().expect("has a local address");
         let far = async {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("a connection arrives");
             let mut request = Vec::new();
             while whole_length(&request, true).is_none_or(|length| request.len() < length) {
-                assert!(stream.read_buf(&mut request).await.expect("a request") > 0, "a whole request");
+                assert!(
+                    stream.read_buf(&mut request).await.expect("a request arrives") > 0,
+                    "the request is incomplete"
+                );
             }
-            stream.write_all(answer.as_bytes()).await.expect("written");
+            stream.write_all(answer.as_bytes()).await.expect("the write succeeds");
             (request, stream)
         };
         let ((request, _), came) = tokio::join!(far, near(at));
@@ -51,16 +56,16 @@
     Instant::now() + Duration::from_secs(20)
 }
 
-/// Makes a call to an endpoint that gives this answer.
+/// Sends a call to an endpoint that gives this answer. Returns the request and the reply.
 fn call(call: EndpointCall, answer: &str) -> (Vec<u8>, EndpointReply) {
     asked(answer, async |at| {
         let ((orders, taken), (sender, mut inputs)) = (unbounded_channel(), unbounded_channel());
         tokio::task::spawn_local(run(1, at, soon(), taken, sender));
         loop {
-            match inputs.recv().await.expect("an end") {
+            match inputs.recv().await.expect("the call ends") {
                 Input::ConnectionUp { .. } => orders
                     .send(ScheduledCall { call: call.clone(), deadline: soon() })
-                    .expect("it takes calls"),
+                    .expect("the connection task is running"),
                 Input::CallAnswered { reply, .. } => return reply,
                 Input::ConnectionClosed { error, .. } => panic!("{error}"),
                 _ => {}
@@ -179,7 +184,7 @@
     assert_golden("watch.txt", &side("> ", &said));
     let target = |uid: &str, state, capacity_hint, checks| EndpointEntry {
         uid: uid.to_owned(),
-        address: "10.1.0.18:8000".parse().expect("an address"),
+        address: "10.1.0.18:8000".parse().expect("a valid address"),
         zone: "a".to_owned(),
         kind: "m2".to_owned(),
         destination: 3,
@@ -242,7 +247,7 @@
     Box::new(OutgoingOffer { id: 5, owner_address, message, body, mark, answer_deadline: 0 })
 }
 
-/// Makes an offer that gets this answer; its end, and what was said, with the time left out.
+/// Makes an offer that gets this answer. Returns the text of the request, without the time left, and the outcome.
 fn offered(answer: &str, whole: bool) -> (String, OfferOutcome) {
     let (said, end) = asked(answer, async |at| {
         let (sender, mut inputs) = unbounded_channel();
@@ -254,8 +259,9 @@
         }
     });
     let said = side("> ", &said);
-    let line = said.lines().find(|line| line.starts_with("> x-remaining: ")).expect("the time left");
-    let left: f64 = line["> x-remaining: ".len()..].parse().expect("seconds");
+    let line =
+        said.lines().find(|line| line.starts_with("> x-remaining: ")).expect("the request has the time left");
+    let left: f64 = line["> x-remaining: ".len()..].parse().expect("a number of seconds");
     assert!((10.0..=20.0).contains(&left), "{line}");
     assert_eq!(line.split_once('.').map(|(_, decimals)| decimals.len()), Some(6), "{line}");
     (said.replace(line, "> x-remaining: SECONDS"), end)
