--- a/crates/forwarder/src/client_api/tests.rs
+++ b/crates/forwarder/src/client_api/tests.rs
@@ -15,7 +15,7 @@
     let good = parse_head("status", &headers(&[("X-Resent", "again")])).expect("the headers are valid");
     assert_eq!((good.destination, good.time_left, good.is_retry), (7, 480_000, false));
     assert!(parse_head("status", &headers(&[("X-Resent", "1")])).expect("the headers are valid").is_retry);
-    for (name, value, words) in [
+    for (name, value, expected_prefix) in [
         ("X-Txn", "", "X-Txn"),
         ("X-Org", " ", "X-Org"),
         ("X-Remaining", "soon", "X-Remaining"),
@@ -28,16 +28,19 @@
         ("X-Consignee", "7", "X-Consignee"),
         ("Idempotency-Key", "", "Idempotency-Key"),
     ] {
-        let RequestError { status, text: said } =
+        let RequestError { status, text: actual_text } =
             parse_head("status", &headers(&[(name, value)])).expect_err(value);
-        assert!(status == StatusCode::BAD_REQUEST && said.starts_with(words), "{name}: {value}: {said}");
+        assert!(
+            status == StatusCode::BAD_REQUEST && actual_text.starts_with(expected_prefix),
+            "{name}: {value}: {actual_text}"
+        );
     }
-    let mut none = headers(&[]);
-    none.remove("X-Txn");
-    assert!(parse_head("status", &none).is_err());
-    let mut two = headers(&[]);
-    two.append("X-Txn", HeaderValue::from_static("9b1e"));
-    assert!(parse_head("status", &two).is_err(), "two ids are ambiguous");
+    let mut without_id = headers(&[]);
+    without_id.remove("X-Txn");
+    assert!(parse_head("status", &without_id).is_err());
+    let mut duplicated = headers(&[]);
+    duplicated.append("X-Txn", HeaderValue::from_static("9b1e"));
+    assert!(parse_head("status", &duplicated).is_err(), "two ids are ambiguous");
 }
 
 // Guards against an idempotency key that is changed, or picked from two different ones, and against a required tenant
@@ -50,15 +53,15 @@
         for (name, value) in pairs {
             headers.append(*name, HeaderValue::from_static(value));
         }
-        parse_head("pedidos", &headers).map(|handed| (handed.tenant, handed.idempotency_key))
+        parse_head("pedidos", &headers).map(|submission| (submission.tenant, submission.idempotency_key))
     };
     assert_eq!(key(&[]), Ok((None, None)));
-    let odd = "\"5c0F , 1\"";
-    assert_eq!(key(&[("Idempotency-Key", odd)]), Ok((None, Some(odd.to_owned()))));
+    let quoted_key = "\"5c0F , 1\"";
+    assert_eq!(key(&[("Idempotency-Key", quoted_key)]), Ok((None, Some(quoted_key.to_owned()))));
     let twice = key(&[("Idempotency-Key", "a"), ("idempotency-key", "a")]);
     assert_eq!(twice, Ok((None, Some("a".to_owned()))));
-    let two = key(&[("Idempotency-Key", "a"), ("Idempotency-Key", "b")]);
-    assert!(two.is_err_and(|fault| fault.text.starts_with("Idempotency-Key")));
+    let duplicated = key(&[("Idempotency-Key", "a"), ("Idempotency-Key", "b")]);
+    assert!(duplicated.is_err_and(|error| error.text.starts_with("Idempotency-Key")));
 }
 
 // Guards against a rejection that lacks its Retry-After.
--- a/crates/forwarder/src/console_listener/tests.rs
+++ b/crates/forwarder/src/console_listener/tests.rs
@@ -2,9 +2,9 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::LocalSet;
 
-async fn say(at: std::net::SocketAddr, words: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).await.expect("the console accepts connections");
-    stream.write_all(words).await.expect("the write succeeds");
+async fn send(address: std::net::SocketAddr, line: &[u8]) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("the console accepts connections");
+    stream.write_all(line).await.expect("the write succeeds");
     let mut reply = String::new();
     // A client whose connection is closed to make room for another may get a reset and then has no reply.
     let _ = stream.read_to_string(&mut reply).await;
@@ -15,31 +15,31 @@
 #[tokio::test(flavor = "current_thread")]
 async fn silent_callers_do_not_block_others() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
-    let at = listener.local_addr().expect("has a local address");
-    let (inputs, mut came) = unbounded_channel();
+    let address = listener.local_addr().expect("has a local address");
+    let (inputs, mut received) = unbounded_channel();
     let console = ConsoleGateway::new(inputs);
-    let answering = console.clone();
+    let replying = console.clone();
     let local = LocalSet::new();
     local.spawn_local(listen(listener, console.clone()));
     local.spawn_local(async move {
-        while let Some(Input::Operator { request, call }) = came.recv().await {
-            answering.reply(request, ConsoleReply::Rejected(format!("{call:?}")));
+        while let Some(Input::Operator { request, call }) = received.recv().await {
+            replying.reply(request, ConsoleReply::Rejected(format!("{call:?}")));
         }
     });
     local
         .run_until(async {
             let mut silent = Vec::new();
             for number in 0..3 * MAX_CONNECTIONS {
-                let mut stream = TcpStream::connect(at).await.expect("the console accepts connections");
+                let mut stream = TcpStream::connect(address).await.expect("the console accepts connections");
                 if number % 2 == 0 {
                     stream.write_all(b"disable-server s").await.expect("the write succeeds");
                 }
                 silent.push(stream);
-                assert_eq!(say(at, b"ready\n").await, "400 Ready\n");
+                assert_eq!(send(address, b"ready\n").await, "400 Ready\n");
                 assert!(console.open_connections.get() <= MAX_CONNECTIONS, "too many open connections");
             }
-            assert!(say(at, &[b'x'; 4096]).await.starts_with("400 the line is too long"));
-            assert!(say(at, b"ready\nready\n").await.starts_with("400 one line"));
+            assert!(send(address, &[b'x'; 4096]).await.starts_with("400 the line is too long"));
+            assert!(send(address, b"ready\nready\n").await.starts_with("400 one line"));
             drop(silent);
             while console.open_connections.get() > 0 {
                 tokio::task::yield_now().await;
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -5,85 +5,95 @@
 use std::collections::{BTreeSet, VecDeque};
 
 const SECOND: Micros = 1_000_000;
-const FLEET: usize = 100;
+const FLEET_SIZE: usize = 100;
 /// Duration of the outage of discovery.
-const DOWN: Micros = 20 * SECOND;
+const OUTAGE: Micros = 20 * SECOND;
 /// Time that discovery needs for one call after the outage; a fleet of 100 needs this rate to be served within 6 s.
-const SERVICE: Micros = SECOND / 16;
+const SERVICE_TIME: Micros = SECOND / 16;
 /// Most calls that wait in discovery; further ones are refused.
-const ROOM: usize = 18;
+const QUEUE_CAPACITY: usize = 18;
 /// Time after which discovery closes a call that waits.
-const PATIENCE: Micros = 2 * SECOND;
+const QUEUE_TIMEOUT: Micros = 2 * SECOND;
 /// Longest time from the start of one call to the start of the next.
-const MOST: Micros = 5 * SECOND;
+const MAX_INTERVAL: Micros = 5 * SECOND;
 
 /// The result of simulating a fleet.
 #[derive(Debug)]
-struct Played {
+struct SimulationResult {
     /// Number of calls in the busiest second of the outage, after its first 8 s, when all have failed a few times.
-    busiest: usize,
+    max_calls_per_second: usize,
     /// Longest time between the starts of two calls of one forwarder.
-    longest: Micros,
+    longest_interval: Micros,
     /// Time when the last forwarder is served.
-    last: Micros,
+    recovered_at: Micros,
 }
 
-/// Simulates a fleet until each forwarder is served. `pause` returns the delay before the next call of a forwarder,
-/// from its number, its number of consecutive failures and the duration of its last call.
-fn play(mut pause: impl FnMut(usize, u32, Micros) -> Micros) -> Played {
-    let mut asks: BTreeSet<(Micros, usize)> = (0..FLEET).map(|who| (pause(who, 0, 0), who)).collect();
-    let (mut failures, mut asked) = ([1; FLEET], [None; FLEET]);
+/// Simulates a fleet until each forwarder is served. `delay_after` returns the delay before the next call of a
+/// forwarder, from its number, its number of consecutive failures and the duration of its last call.
+fn simulate_fleet(mut delay_after: impl FnMut(usize, u32, Micros) -> Micros) -> SimulationResult {
+    let mut pending_calls: BTreeSet<(Micros, usize)> =
+        (0..FLEET_SIZE).map(|forwarder| (delay_after(forwarder, 0, 0), forwarder)).collect();
+    let (mut failures, mut last_call_at) = ([1; FLEET_SIZE], [None; FLEET_SIZE]);
     let (mut queue, mut free_at) = (VecDeque::<Micros>::new(), 0);
-    let mut seconds = vec![0; (DOWN / SECOND) as usize];
-    let mut played = Played { busiest: 0, longest: 0, last: 0 };
+    let mut seconds = vec![0; (OUTAGE / SECOND) as usize];
+    let mut result = SimulationResult { max_calls_per_second: 0, longest_interval: 0, recovered_at: 0 };
     let mut served = 0;
-    while served < FLEET {
-        let (now, who) = asks.pop_first().expect("each forwarder calls until it is served");
-        if let Some(before) = asked[who].replace(now) {
-            played.longest = played.longest.max(now - before);
+    while served < FLEET_SIZE {
+        let (now, forwarder) = pending_calls.pop_first().expect("each forwarder calls until it is served");
+        if let Some(before) = last_call_at[forwarder].replace(now) {
+            result.longest_interval = result.longest_interval.max(now - before);
         }
         seconds.get_mut((now / SECOND) as usize).into_iter().for_each(|calls| *calls += 1);
-        while queue.front().is_some_and(|ends| *ends <= now) {
+        while queue.front().is_some_and(|done_at| *done_at <= now) {
             queue.pop_front();
         }
-        let ends = free_at.max(now) + SERVICE;
-        let ended = if now < DOWN || queue.len() >= ROOM {
+        let done_at = free_at.max(now) + SERVICE_TIME;
+        let ended = if now < OUTAGE || queue.len() >= QUEUE_CAPACITY {
             now
         } else {
-            queue.push_back(ends);
-            free_at = ends;
-            if ends - now <= PATIENCE {
-                (served, played.last) = (served + 1, ends);
+            queue.push_back(done_at);
+            free_at = done_at;
+            if done_at - now <= QUEUE_TIMEOUT {
+                (served, result.recovered_at) = (served + 1, done_at);
                 continue;
             }
-            now + PATIENCE
+            now + QUEUE_TIMEOUT
         };
-        asks.insert((ended + pause(who, failures[who], ended - now), who));
-        failures[who] += 1;
+        pending_calls.insert((ended + delay_after(forwarder, failures[forwarder], ended - now), forwarder));
+        failures[forwarder] += 1;
     }
-    played.busiest = seconds[8..].iter().copied().max().unwrap_or_default();
-    played
+    result.max_calls_per_second = seconds[8..].iter().copied().max().unwrap_or_default();
+    result
 }
 
 // Guards against a fleet that loses discovery at one moment and overloads it during the outage, and against delays so
 // long that a forwarder misses a change that is already binding. At most 5 s may pass between two calls, and all
 // forwarders must be served within 12 s after the outage.
 #[test]
-fn fleet_disconnected_together_recovers_its_list_in_time() {
+fn fleet_recovers_in_time_after_losing_discovery() {
     for seed in 0..10 {
-        let mut fleet: Vec<_> =
-            (0..FLEET as u64).map(|who| Backoff::new(4 * SECOND, seed * 1000 + who)).collect();
-        let played = play(|who, _, took| fleet[who].next_delay(MOST - took));
-        assert!(played.busiest <= 45 && played.longest <= MOST, "seed {seed}: {played:?}");
-        assert!(played.last <= DOWN + 12 * SECOND, "seed {seed}: {played:?}");
+        let mut backoffs: Vec<_> = (0..FLEET_SIZE as u64)
+            .map(|forwarder| Backoff::new(4 * SECOND, seed * 1000 + forwarder))
+            .collect();
+        let result =
+            simulate_fleet(|forwarder, _, duration| backoffs[forwarder].next_delay(MAX_INTERVAL - duration));
+        assert!(
+            result.max_calls_per_second <= 45 && result.longest_interval <= MAX_INTERVAL,
+            "seed {seed}: {result:?}"
+        );
+        assert!(result.recovered_at <= OUTAGE + 12 * SECOND, "seed {seed}: {result:?}");
     }
     // Backoffs without a part of the algorithm must do worse: a fixed delay, doubling without jitter, and no cap.
-    let fixed = play(|_, _, _| SECOND / 4);
-    let in_step = play(|_, failures, took| ((SECOND / 4) << failures.min(7)).min(MOST - took));
-    let endless = play(|_, failures, _| (SECOND / 4) << failures.min(7));
+    let fixed_delay = simulate_fleet(|_, _, _| SECOND / 4);
+    let without_jitter = simulate_fleet(|_, failures, duration| {
+        ((SECOND / 4) << failures.min(7)).min(MAX_INTERVAL - duration)
+    });
+    let uncapped = simulate_fleet(|_, failures, _| (SECOND / 4) << failures.min(7));
     assert!(
-        fixed.busiest > 300 && in_step.busiest > 90 && endless.longest > 2 * MOST,
-        "{fixed:?} {in_step:?} {endless:?}"
+        fixed_delay.max_calls_per_second > 300
+            && without_jitter.max_calls_per_second > 90
+            && uncapped.longest_interval > 2 * MAX_INTERVAL,
+        "{fixed_delay:?} {without_jitter:?} {uncapped:?}"
     );
 }
 
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -16,11 +16,11 @@
 use tokio::time::{sleep, timeout};
 
 /// Time limit for anything that the test waits for.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longer than the time that a shutdown gives a connection for its last bytes (50 ms).
-const PAST_THE_CUT: Duration = Duration::from_millis(150);
+const AFTER_LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(150);
 
-struct Stage {
+struct TestForwarder {
     address: SocketAddr,
     gateway: Rc<ClientGateway>,
     connections: Rc<ClientConnections>,
@@ -34,43 +34,43 @@
     (tokio::net::TcpListener::from_std(listener).expect("the socket call succeeds"), address)
 }
 
-impl Stage {
-    fn new(most: usize) -> Self {
+impl TestForwarder {
+    fn new(max_connections: usize) -> Self {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
-        let stage = Stage {
+        let forwarder = TestForwarder {
             address,
             gateway: ClientGateway::new(sender),
-            connections: ClientConnections::new(most),
+            connections: ClientConnections::new(max_connections),
             inputs,
         };
-        spawn_local(listen(listener, stage.gateway.clone(), stage.connections.clone()));
-        stage
+        spawn_local(listen(listener, forwarder.gateway.clone(), forwarder.connections.clone()));
+        forwarder
     }
 
     /// Waits for the next request that reaches the reducer. Returns the message's id and the request id for the answer.
-    async fn handed(&mut self) -> (String, RequestId) {
+    async fn next_submission(&mut self) -> (String, RequestId) {
         loop {
-            match timeout(PATIENCE, self.inputs.recv()).await.expect("a request arrives in time") {
-                Some(Input::Submitted { request: ticket, message }) => return (message.id, ticket),
+            match timeout(TEST_TIMEOUT, self.inputs.recv()).await.expect("a request arrives in time") {
+                Some(Input::Submitted { request: request_id, message }) => return (message.id, request_id),
                 other => assert!(matches!(other, Some(Input::ClientConnection { .. })), "{other:?}"),
             }
         }
     }
 
-    async fn take_on(&mut self, txn: &str) {
-        let (handed, ticket) = self.handed().await;
-        assert_eq!(handed, txn);
-        self.gateway.answer(ticket, SubmitAnswer::Accepted);
+    async fn accept_next(&mut self, message_id: &str) {
+        let (submitted, request_id) = self.next_submission().await;
+        assert_eq!(submitted, message_id);
+        self.gateway.answer(request_id, SubmitAnswer::Accepted);
     }
 
     /// Waits for the next request or closed connection. Returns the request, or `None` if a connection has closed
     /// first.
-    async fn until_left(&mut self) -> Option<Input> {
+    async fn next_submission_before_close(&mut self) -> Option<Input> {
         loop {
-            match timeout(PATIENCE, self.inputs.recv()).await.expect("the connection closes in time") {
+            match timeout(TEST_TIMEOUT, self.inputs.recv()).await.expect("the connection closes in time") {
                 Some(Input::ClientConnection { connected: false }) => return None,
-                handed @ Some(Input::Submitted { .. }) => return handed,
+                submitted @ Some(Input::Submitted { .. }) => return submitted,
                 _ => {}
             }
         }
@@ -83,9 +83,9 @@
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-fn request(txn: &str, more: &str) -> String {
+fn request(id: &str, headers: &str) -> String {
     format!(
-        "POST /status HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n{more}\
+        "POST /status HTTP/1.1\r\nHost: x\r\nX-Txn: {id}\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n{headers}\
          Content-Length: 4\r\n\r\nbody"
     )
 }
@@ -99,21 +99,21 @@
 }
 
 /// Waits until the client has received bytes, and leaves them unread.
-async fn answer_is_there(stream: &TcpStream) {
+async fn wait_for_answer(stream: &TcpStream) {
     stream.set_nonblocking(true).expect("the socket call succeeds");
-    let there = async {
+    let answer_arrived = async {
         while stream.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock) {
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PATIENCE, there).await.expect("an answer arrives");
+    timeout(TEST_TIMEOUT, answer_arrived).await.expect("an answer arrives");
 }
 
 /// Reads until the forwarder closes its sending side. A reset is an error.
-async fn rest_of(mut stream: TcpStream) -> std::io::Result<String> {
+async fn read_to_close(mut stream: TcpStream) -> std::io::Result<String> {
     stream.set_nonblocking(true)?;
     let mut text = Vec::new();
-    let reads = async {
+    let reading = async {
         let mut chunk = [0; 4096];
         loop {
             match stream.read(&mut chunk) {
@@ -124,12 +124,14 @@
             }
         }
     };
-    timeout(PATIENCE, reads).await.expect("the forwarder closes in time")?;
+    timeout(TEST_TIMEOUT, reading).await.expect("the forwarder closes in time")?;
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-fn is_taken_on(heard: &std::io::Result<String>) -> bool {
-    heard.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202") && text.matches("HTTP/1.1").count() == 1)
+fn is_accepted_once(response: &std::io::Result<String>) -> bool {
+    response
+        .as_ref()
+        .is_ok_and(|text| text.starts_with("HTTP/1.1 202") && text.matches("HTTP/1.1").count() == 1)
 }
 
 // Guards against a shutdown that closes the connection of a request that waits for the journal or the reducer. The
@@ -137,14 +139,14 @@
 #[test]
 fn request_in_flight_is_answered_long_after_shutdown() {
     run(async {
-        let mut stage = Stage::new(8);
-        let client = client(stage.address, &request("a", ""));
-        let (_, ticket) = stage.handed().await;
-        stage.connections.shut_down();
-        sleep(PAST_THE_CUT).await;
-        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-        let heard = rest_of(client).await;
-        assert!(is_taken_on(&heard), "{heard:?}");
+        let mut forwarder = TestForwarder::new(8);
+        let client = client(forwarder.address, &request("a", ""));
+        let (_, request_id) = forwarder.next_submission().await;
+        forwarder.connections.shut_down();
+        sleep(AFTER_LAST_BYTES_TIMEOUT).await;
+        forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+        let response = read_to_close(client).await;
+        assert!(is_accepted_once(&response), "{response:?}");
     });
 }
 
@@ -153,19 +155,19 @@
 #[test]
 fn cut_request_is_withdrawn() {
     run(async {
-        let mut stage = Stage::new(8);
-        let client = client(stage.address, &request("a", ""));
-        let (_, ticket) = stage.handed().await;
-        stage.connections.shut_down();
+        let mut forwarder = TestForwarder::new(8);
+        let client = client(forwarder.address, &request("a", ""));
+        let (_, request_id) = forwarder.next_submission().await;
+        forwarder.connections.shut_down();
         let withdrawn =
-            timeout(PATIENCE, stage.inputs.recv()).await.expect("the request is withdrawn in time");
+            timeout(TEST_TIMEOUT, forwarder.inputs.recv()).await.expect("the request is withdrawn in time");
         assert!(
-            matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == ticket),
+            matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == request_id),
             "{withdrawn:?}"
         );
-        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
+        forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
         assert_eq!(
-            rest_of(client).await.expect("the connection is not reset"),
+            read_to_close(client).await.expect("the connection is not reset"),
             "",
             "the late answer is not sent"
         );
@@ -177,34 +179,40 @@
 // receive.
 #[test]
 fn bytes_crossing_a_close_neither_reset_it_nor_are_accepted() {
-    for evicts in [false, true] {
+    for by_eviction in [false, true] {
         run(async {
-            let mut stage = Stage::new(if evicts { 1 } else { 8 });
-            let mut resting = client(stage.address, &request("a", ""));
-            stage.take_on("a").await;
-            answer_is_there(&resting).await;
+            let mut forwarder = TestForwarder::new(if by_eviction { 1 } else { 8 });
+            let mut idle_client = client(forwarder.address, &request("a", ""));
+            forwarder.accept_next("a").await;
+            wait_for_answer(&idle_client).await;
             // Bytes arrive when the close is decided, but not yet carried out.
-            let other = evicts.then(|| client(stage.address, ""));
-            if evicts {
+            let other = by_eviction.then(|| client(forwarder.address, ""));
+            if by_eviction {
                 // The other client waits for a place. The limit evicts when the test yields.
                 tokio::task::yield_now().await;
             } else {
-                stage.connections.shut_down();
+                forwarder.connections.shut_down();
             }
-            resting.set_nonblocking(false).expect("the socket call succeeds");
-            resting.write_all(request("b", "").as_bytes()).expect("the write succeeds");
+            idle_client.set_nonblocking(false).expect("the socket call succeeds");
+            idle_client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
             // A request that is read before the sending side is shut down is answered. After that, its bytes are
             // discarded.
-            let heard = spawn_local(rest_of(resting));
-            let mut handed = 0;
-            while let Some(Input::Submitted { request: ticket, .. }) = stage.until_left().await {
-                stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-                handed += 1;
+            let response = spawn_local(read_to_close(idle_client));
+            let mut submitted = 0;
+            while let Some(Input::Submitted { request: request_id, .. }) =
+                forwarder.next_submission_before_close().await
+            {
+                forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+                submitted += 1;
             }
-            let text = heard.await.expect("the reading task ends").expect("the connection is not reset");
+            let text = response.await.expect("the reading task ends").expect("the connection is not reset");
             let answers = text.matches("HTTP/1.1 202").count();
             // An evicted connection has been signalled before the request. In the shutdown, the request is read first.
-            assert_eq!((answers, handed), if evicts { (1, 0) } else { (2, 1) }, "evicted: {evicts}: {text}");
+            assert_eq!(
+                (answers, submitted),
+                if by_eviction { (1, 0) } else { (2, 1) },
+                "evicted: {by_eviction}: {text}"
+            );
             drop(other);
         });
     }
@@ -215,15 +223,18 @@
 #[test]
 fn closing_answer_arrives_whatever_follows_its_request() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut client = client(stage.address, &request("a", "Connection: close\r\n"));
-        let (_, ticket) = stage.handed().await;
+        let mut forwarder = TestForwarder::new(8);
+        let mut client = client(forwarder.address, &request("a", "Connection: close\r\n"));
+        let (_, request_id) = forwarder.next_submission().await;
         // The forwarder does not read this request, and its bytes are there when the connection closes.
         client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
-        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-        let heard = rest_of(client).await;
-        assert!(is_taken_on(&heard), "{heard:?}");
-        assert!(stage.until_left().await.is_none(), "bytes after the closing request are not a request");
+        forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+        let response = read_to_close(client).await;
+        assert!(is_accepted_once(&response), "{response:?}");
+        assert!(
+            forwarder.next_submission_before_close().await.is_none(),
+            "bytes after the closing request are not a request"
+        );
     });
 }
 
@@ -232,15 +243,15 @@
 #[test]
 fn hand_over_closes_each_connection_with_its_next_answer() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut kept = client(stage.address, &request("a", ""));
-        stage.take_on("a").await;
-        answer_is_there(&kept).await;
-        stage.connections.hand_over();
-        kept.set_nonblocking(false).expect("the socket call succeeds");
-        kept.write_all(request("b", "").as_bytes()).expect("the write succeeds");
-        stage.take_on("b").await;
-        let text = rest_of(kept).await.expect("the connection is not reset");
+        let mut forwarder = TestForwarder::new(8);
+        let mut kept_client = client(forwarder.address, &request("a", ""));
+        forwarder.accept_next("a").await;
+        wait_for_answer(&kept_client).await;
+        forwarder.connections.hand_over();
+        kept_client.set_nonblocking(false).expect("the socket call succeeds");
+        kept_client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
+        forwarder.accept_next("b").await;
+        let text = read_to_close(kept_client).await.expect("the connection is not reset");
         let (first, second) = text
             .split_once("HTTP/1.1 202")
             .and_then(|(_, rest)| rest.split_once("HTTP/1.1 202"))
@@ -255,19 +266,19 @@
 #[test]
 fn idle_connection_closes_in_time_and_crossing_bytes_are_no_request() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut resting = client(stage.address, &request("a", ""));
-        stage.take_on("a").await;
+        let mut forwarder = TestForwarder::new(8);
+        let mut idle_client = client(forwarder.address, &request("a", ""));
+        forwarder.accept_next("a").await;
         // Reads until the forwarder shuts down its sending side. The client's sending side stays open.
-        let copy = resting.try_clone().expect("the socket call succeeds");
-        let text = rest_of(copy).await.expect("the connection is not reset");
+        let copy = idle_client.try_clone().expect("the socket call succeeds");
+        let text = read_to_close(copy).await.expect("the connection is not reset");
         assert!(text.starts_with("HTTP/1.1 202"), "{text}");
-        resting.set_nonblocking(false).expect("the socket call succeeds");
+        idle_client.set_nonblocking(false).expect("the socket call succeeds");
         for _ in 0..3 {
-            resting.write_all(request("b", "").as_bytes()).expect("the connection is not reset");
+            idle_client.write_all(request("b", "").as_bytes()).expect("the connection is not reset");
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(stage.until_left().await.is_none());
+        assert!(forwarder.next_submission_before_close().await.is_none());
     });
 }
 
@@ -281,14 +292,14 @@
         let waiting: Vec<_> = (0..20).map(|n| client(address, &request(&n.to_string(), ""))).collect();
         connections.shut_down();
         spawn_local(listen(listener, gateway.clone(), connections.clone()));
-        let mut stage = Stage { address, gateway, connections, inputs };
+        let mut forwarder = TestForwarder { address, gateway, connections, inputs };
         for _ in 0..waiting.len() {
-            let (_, ticket) = stage.handed().await;
-            stage.gateway.answer(ticket, SubmitAnswer::Accepted);
+            let (_, request_id) = forwarder.next_submission().await;
+            forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
         }
         for client in waiting {
-            let heard = rest_of(client).await;
-            assert!(is_taken_on(&heard), "{heard:?}");
+            let response = read_to_close(client).await;
+            assert!(is_accepted_once(&response), "{response:?}");
         }
     });
 }
@@ -297,17 +308,17 @@
 #[test]
 fn client_just_connected_at_shutdown_is_answered() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut client = client(stage.address, "");
-        assert!(matches!(stage.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
-        stage.connections.shut_down();
+        let mut forwarder = TestForwarder::new(8);
+        let mut client = client(forwarder.address, "");
+        assert!(matches!(forwarder.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
+        forwarder.connections.shut_down();
         // Within the time that the connection gets. If the test stalls for longer than both times, this sleep still
         // ends first.
         sleep(Duration::from_millis(10)).await;
         client.write_all(request("a", "").as_bytes()).expect("the write succeeds");
-        stage.take_on("a").await;
-        let heard = rest_of(client).await;
-        assert!(is_taken_on(&heard), "{heard:?}");
+        forwarder.accept_next("a").await;
+        let response = read_to_close(client).await;
+        assert!(is_accepted_once(&response), "{response:?}");
     });
 }
 
@@ -316,25 +327,25 @@
 #[test]
 fn clients_ignoring_their_close_do_not_block_others() {
     run(async {
-        let mut stage = Stage::new(64);
-        let address = stage.address;
+        let mut forwarder = TestForwarder::new(64);
+        let address = forwarder.address;
         // These connect on their own thread, because they exceed the backlog and connect only as others are accepted.
         let crowd = std::thread::spawn(move || (0..600).map(|_| client(address, "")).collect::<Vec<_>>());
-        let all_join = async {
-            let mut joined = 0;
-            while joined < 600 {
-                joined += usize::from(matches!(
-                    stage.inputs.recv().await,
+        let all_connect = async {
+            let mut connected_count = 0;
+            while connected_count < 600 {
+                connected_count += usize::from(matches!(
+                    forwarder.inputs.recv().await,
                     Some(Input::ClientConnection { connected: true })
                 ));
             }
         };
-        timeout(Duration::from_secs(5), all_join).await.expect("all clients connect in time");
-        let asks = client(stage.address, &request("a", ""));
-        let served = timeout(Duration::from_secs(10), stage.take_on("a")).await;
+        timeout(Duration::from_secs(5), all_connect).await.expect("all clients connect in time");
+        let last_client = client(forwarder.address, &request("a", ""));
+        let served = timeout(Duration::from_secs(10), forwarder.accept_next("a")).await;
         assert!(served.is_ok(), "the request is not served in time");
-        let heard = rest_of(asks).await;
-        assert!(heard.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202")), "{heard:?}");
+        let response = read_to_close(last_client).await;
+        assert!(response.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202")), "{response:?}");
         drop(crowd.join().expect("the thread has not panicked"));
     });
 }
--- a/crates/forwarder/tests/common/golden.rs
+++ b/crates/forwarder/tests/common/golden.rs
@@ -11,8 +11,8 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/wire").join(name);
     let golden = std::fs::read_to_string(&path).unwrap_or_default();
     if golden != text {
-        let seen = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&seen, text).expect("the write succeeds");
+        let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::write(&actual_path, text).expect("the write succeeds");
         let line = golden.lines().zip(text.lines()).position(|(before, now)| before != now);
         let line = line.unwrap_or_else(|| golden.lines().count().min(text.lines().count()));
         panic!(
@@ -21,7 +21,7 @@
             line + 1,
             text.lines().nth(line).unwrap_or_default(),
             golden.lines().nth(line).unwrap_or_default(),
-            seen.display()
+            actual_path.display()
         );
     }
 }
@@ -34,7 +34,7 @@
     for line in text.lines() {
         let line = match line.split_once(": ") {
             Some((name, _)) if name.eq_ignore_ascii_case("date") => format!("{name}: DATE"),
-            Some((name, at)) if at.starts_with("127.0.0.1:") => format!("{name}: 127.0.0.1:PORT"),
+            Some((name, value)) if value.starts_with("127.0.0.1:") => format!("{name}: 127.0.0.1:PORT"),
             _ => line.to_owned(),
         };
         lines += &format!("{mark}{line}\n");
@@ -45,7 +45,7 @@
 /// Returns the length of a request or an answer in bytes: its head and, with `has_body`, the body by its
 /// `Content-Length`. Returns `None` while the head is incomplete.
 pub fn whole_length(bytes: &[u8], has_body: bool) -> Option<usize> {
-    let head = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
+    let head = bytes.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
     let text = String::from_utf8_lossy(&bytes[..head]).to_ascii_lowercase();
     let length = text.lines().find_map(|line| line.strip_prefix("content-length: "));
     let body = length.and_then(|length| length.parse().ok()).unwrap_or(0);
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -15,9 +15,9 @@
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const SLOTS: usize = 6;
+const MAX_CALLS: usize = 6;
 /// Interval at which each process polls the journals of the others.
-const LOOK: Micros = 10_000;
+const POLL_INTERVAL: Micros = 10_000;
 const DRAIN_GRACE: Micros = 250_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     },
     Answer {
         which: usize,
-        how: u8,
+        answer_kind: u8,
     },
     Break(usize),
     Wait(Micros),
@@ -65,7 +65,7 @@
             0..=11 => Step::Submit { at, orders: flag, dest: 1 + which as u64 % 3, size: which % 2000 },
             12 => Step::Resubmit { at, which },
             13..=20 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
-            21..=31 => Step::Answer { which, how: u8::arbitrary(g) },
+            21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(g) },
             32 => Step::Break(which),
             33..=39 => Step::Wait(which as Micros % 200_000),
             40 | 41 => Step::Operator { at, which, out: flag },
@@ -100,11 +100,11 @@
     pub handed_over: bool,
     pub terminated: bool,
     /// Number of effects until the process is killed; `None` if no kill is due.
-    pub dies_after: Option<usize>,
+    pub kill_after: Option<usize>,
 }
 
 #[derive(Default)]
-pub struct Fate {
+pub struct MessageState {
     pub orders: bool,
     pub dest: u64,
     pub deadline: Micros,
@@ -122,7 +122,7 @@
     pub started: usize,
     pub inodes: u64,
     pub files: BTreeMap<Generation, File>,
-    pub fates: BTreeMap<String, Fate>,
+    pub fates: BTreeMap<String, MessageState>,
     /// The retry delays that endpoints asked for: the process that received it, the destination, and the end.
     pub waits: Vec<(Generation, u64, Micros)>,
     /// Endpoints that an operator has ejected, and the time of the reply `200`.
@@ -150,12 +150,12 @@
         let (number, inode) = (self.started, self.inodes);
         let file = self.files.entry(generation).or_insert(File { inode, ..File::default() });
         file.lock = Some(number);
-        let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes));
-        assert_eq!(whole, file.bytes.len());
+        let (records, valid_bytes) = replay(Bytes::copy_from_slice(&file.bytes));
+        assert_eq!(valid_bytes, file.bytes.len());
         let text = super::config("127.0.0.1:1", "127.0.0.1:2", super::targets());
         let mut config = Config::read(&text, None, None).expect("the configuration is valid");
         config.seed += number as u64;
-        let reducer = Reducer::new(config, generation, records, whole, self.now);
+        let reducer = Reducer::new(config, generation, records, valid_bytes, self.now);
         self.processes.push(Process {
             number,
             reducer,
@@ -167,7 +167,7 @@
             posting: None,
             handed_over: false,
             terminated: false,
-            dies_after: None,
+            kill_after: None,
         });
         let at = self.processes.len() - 1;
         self.look(at);
@@ -181,10 +181,10 @@
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             for effect in self.processes[at].reducer.step(self.now, input) {
-                if self.processes[at].dies_after == Some(0) {
+                if self.processes[at].kill_after == Some(0) {
                     return self.kill(at);
                 }
-                self.processes[at].dies_after = self.processes[at].dies_after.map(|left| left - 1);
+                self.processes[at].kill_after = self.processes[at].kill_after.map(|left| left - 1);
                 if matches!(effect, Effect::Exit) {
                     return self.kill(at);
                 }
@@ -198,14 +198,15 @@
     pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
         let generation = self.processes[at].generation;
         match effect {
-            Effect::Answer { request: ticket, answer } => {
-                let txn = self.processes[at].tickets.remove(&ticket).expect("each request is answered once");
+            Effect::Answer { request: request_id, answer } => {
+                let message_id =
+                    self.processes[at].tickets.remove(&request_id).expect("each request is answered once");
                 if answer == SubmitAnswer::Accepted {
-                    self.fates.get_mut(&txn).expect("the message was submitted").taken_on = true;
+                    self.fates.get_mut(&message_id).expect("the message was submitted").taken_on = true;
                 }
             }
-            Effect::Reply { request: ticket, reply } => {
-                drop(self.processes[at].replies.insert(ticket, reply))
+            Effect::Reply { request: request_id, reply } => {
+                drop(self.processes[at].replies.insert(request_id, reply))
             }
             Effect::Append { append: receipt, bytes } => {
                 let file = self.files.get_mut(&generation).expect("the process has a journal");
@@ -266,9 +267,9 @@
     pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
         let links = || self.processes.iter().flat_map(|process| process.links.values());
         let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
-        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a message is in flight twice");
+        assert!(ids(&call).all(|message_id| !out.contains(&message_id)), "a message is in flight twice");
         assert!(
-            links().filter(|link| link.call.is_some()).count() < SLOTS,
+            links().filter(|link| link.call.is_some()).count() < MAX_CALLS,
             "the processes together exceed the limit on calls"
         );
         let address = &self.processes[at].links[&link].address;
@@ -283,11 +284,11 @@
         let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
         let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
         assert!(until <= self.now + 100_000, "a retry delay received by one process binds all");
-        for txn in ids(&call) {
-            let fate = self.fates.get_mut(txn).expect("the message was submitted");
+        for message_id in ids(&call) {
+            let fate = self.fates.get_mut(message_id).expect("the message was submitted");
             assert!(
                 !fate.orders || !fate.may_have_run,
-                "a message that may not be repeated is sent twice: {txn}"
+                "a message that may not be repeated is sent twice: {message_id}"
             );
             assert!(self.now < fate.deadline);
             fate.calls += 1;
@@ -297,8 +298,8 @@
     }
 
     pub fn may_have_run(&mut self, link: &Link) {
-        for txn in link.call.iter().flat_map(ids) {
-            self.fates.get_mut(txn).expect("the message was submitted").may_have_run = true;
+        for message_id in link.call.iter().flat_map(ids) {
+            self.fates.get_mut(message_id).expect("the message was submitted").may_have_run = true;
         }
     }
 
@@ -340,7 +341,7 @@
         let (number, own) = (self.processes[at].number, self.processes[at].generation);
         let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
         let others: BTreeSet<Generation> = self.files.keys().copied().filter(|g| *g != own).collect();
-        let (mut shown, mut gone) = (Vec::new(), Vec::new());
+        let (mut found_updates, mut gone) = (Vec::new(), Vec::new());
         for generation in known.union(&others).copied() {
             let Some(file) = self.files.get_mut(&generation) else {
                 self.processes[at].read.remove(&generation);
@@ -350,17 +351,23 @@
             file.lock = file.lock.or(Some(number));
             let ended = file.lock == Some(number);
             let (inode, read) = self.processes[at].read.get(&generation).copied().unwrap_or_default();
-            let anew = inode != file.inode || file.bytes.len() < read;
-            let from = if anew { 0 } else { read };
-            let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
-            self.processes[at].read.insert(generation, (file.inode, from + whole));
-            if anew || ended || !records.is_empty() {
+            let is_rewritten = inode != file.inode || file.bytes.len() < read;
+            let from = if is_rewritten { 0 } else { read };
+            let (records, valid_bytes) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
+            self.processes[at].read.insert(generation, (file.inode, from + valid_bytes));
+            if is_rewritten || ended || !records.is_empty() {
                 let size = file.bytes.len();
-                shown.push(OtherProcessUpdate { generation, rewritten: anew, records, size, ended });
+                found_updates.push(OtherProcessUpdate {
+                    generation,
+                    rewritten: is_rewritten,
+                    records,
+                    size,
+                    ended,
+                });
             }
         }
-        if !shown.is_empty() || !gone.is_empty() {
-            self.input(at, Input::OtherProcessesUpdated { updates: shown, gone });
+        if !found_updates.is_empty() || !gone.is_empty() {
+            self.input(at, Input::OtherProcessesUpdated { updates: found_updates, gone });
         }
     }
 
@@ -372,22 +379,22 @@
         (!fit.is_empty()).then(|| fit[which % fit.len()])
     }
 
-    pub fn submit(&mut self, at: usize, txn: String, orders: bool, dest: u64, size: usize) {
-        let ticket = self.processes[at].tickets.keys().last().map_or(self.now as u64, |t| t + 1);
+    pub fn submit(&mut self, at: usize, message_id: String, orders: bool, dest: u64, size: usize) {
+        let request_id = self.processes[at].tickets.keys().last().map_or(self.now as u64, |t| t + 1);
         let time_left = if orders { 28 * S } else { 8 * S };
-        let fate = Fate { orders, dest, deadline: self.now + time_left, ..Fate::default() };
-        self.fates.entry(txn.clone()).or_insert(fate);
+        let fate = MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
+        self.fates.entry(message_id.clone()).or_insert(fate);
         let class = if orders { "orders" } else { "status" }.to_owned();
-        let (org, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
+        let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
         // As in the forwarder, the other journals are polled before a submission.
         let number = self.processes[at].number;
         self.look(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
-            self.processes[at].tickets.insert(ticket, txn.clone());
+            self.processes[at].tickets.insert(request_id, message_id.clone());
             let message = Submission {
-                id: txn,
+                id: message_id,
                 class,
-                tenant: org,
+                tenant: tenant_name,
                 idempotency_key: None,
                 destination: dest,
                 time_left,
@@ -395,17 +402,17 @@
                 handover_mark: ReceivedMark::Absent,
                 body,
             };
-            self.input(at, Input::Submitted { request: ticket, message });
+            self.input(at, Input::Submitted { request: request_id, message });
         }
     }
 
-    pub fn answer(&mut self, which: usize, how: u8) {
+    pub fn answer(&mut self, which: usize, answer_kind: u8) {
         let Some((at, id)) = self.pick(which, |link| link.call.is_some()) else { return };
         let call =
             self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is in flight");
-        let (status, wait_ms) = match how % 10 {
+        let (status, wait_ms) = match answer_kind % 10 {
             0..=4 => (200, 0),
-            5 => (429, 200 + u64::from(how)),
+            5 => (429, 200 + u64::from(answer_kind)),
             6 => (503, 0),
             7 => (500, 0),
             8 => (504, 0),
@@ -413,12 +420,14 @@
         };
         let dest = self.fates[ids(&call).next().expect("the call has a message")].dest;
         let mut body = String::new();
-        for (number, txn) in ids(&call).enumerate() {
-            let fate = self.fates.get_mut(txn).expect("the message was submitted");
+        for (number, message_id) in ids(&call).enumerate() {
+            let fate = self.fates.get_mut(message_id).expect("the message was submitted");
             fate.delivered |= status == 200;
             fate.may_have_run |= status == 500 || status == 200;
-            body +=
-                &format!("{}{{\"id\":\"{txn}\",\"state\":\"accepted\"}}", if number > 0 { "," } else { "[" });
+            body += &format!(
+                "{}{{\"id\":\"{message_id}\",\"state\":\"accepted\"}}",
+                if number > 0 { "," } else { "[" }
+            );
         }
         if wait_ms > 0 {
             self.waits.push((self.processes[at].generation, dest, self.now + wait_ms as Micros * 1000));
@@ -438,45 +447,46 @@
     pub fn wait(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            self.now = end.min(self.now + LOOK);
+            self.now = end.min(self.now + POLL_INTERVAL);
             for number in self.processes.iter().map(|process| process.number).collect::<Vec<_>>() {
-                let place = |world: &Processes| world.processes.iter().position(|p| p.number == number);
-                if let Some(at) = place(self) {
+                let index_of = |world: &Processes| world.processes.iter().position(|p| p.number == number);
+                if let Some(at) = index_of(self) {
                     self.look(at);
                 }
-                while let Some(at) = place(self) {
-                    let due = |link: &Link| match &link.call {
+                while let Some(at) = index_of(self) {
+                    let is_expired = |link: &Link| match &link.call {
                         Some(call) => call.deadline <= self.now,
                         None => !link.up && link.until <= self.now,
                     };
-                    let Some(link) = self.processes[at].links.iter().find(|(_, l)| due(l)).map(|(id, _)| *id)
+                    let Some(link) =
+                        self.processes[at].links.iter().find(|(_, l)| is_expired(l)).map(|(id, _)| *id)
                     else {
                         break;
                     };
                     let input = self.close(at, link, Cause::TimedOut);
                     input.into_iter().for_each(|input| self.input(at, input));
                 }
-                if let Some(at) = place(self)
+                if let Some(at) = index_of(self)
                     && self.processes[at].reducer.wake_at().is_some_and(|wake| wake <= self.now)
                 {
                     self.input(at, Input::TimerDue);
                 }
-                if let Some(at) = place(self)
+                if let Some(at) = index_of(self)
                     && let Some(notices) = self.processes[at].posting.take()
                 {
-                    for (txn, verdict) in notices {
-                        let fate = self.fates.get_mut(&txn).expect("the message was submitted");
-                        let kept = !matches!(verdict, FinalAnswer::Rejected { .. })
+                    for (message_id, final_answer) in notices {
+                        let fate = self.fates.get_mut(&message_id).expect("the message was submitted");
+                        let is_allowed = !matches!(final_answer, FinalAnswer::Rejected { .. })
                             || !fate.orders
                             || !fate.may_have_run;
                         assert!(
-                            kept,
-                            "a message that may have been delivered is rejected as repeatable: {txn}"
+                            is_allowed,
+                            "a message that may have been delivered is rejected as repeatable: {message_id}"
                         );
-                        fate.notices.insert(format!("{verdict:?}"));
+                        fate.notices.insert(format!("{final_answer:?}"));
                         assert!(
                             fate.notices.len() == 1,
-                            "two different final answers: {txn} {:?}",
+                            "two different final answers: {message_id} {:?}",
                             fate.notices
                         );
                     }
@@ -493,12 +503,13 @@
         if self.processes.get(at).is_none_or(|process| process.number != number) {
             return;
         }
-        let ticket = self.now as RequestId;
+        let request_id = self.now as RequestId;
         let id = uid.to_owned();
         let call = if out { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
-        self.input(at, Input::Operator { request: ticket, call });
+        self.input(at, Input::Operator { request: request_id, call });
         let process = self.processes.get(at).filter(|process| process.number == number);
-        if process.is_some_and(|p| matches!(p.replies.get(&ticket), Some(console::ConsoleReply::Done(_)))) {
+        if process.is_some_and(|p| matches!(p.replies.get(&request_id), Some(console::ConsoleReply::Done(_))))
+        {
             if out {
                 self.out.entry(uid.to_owned()).or_insert(self.now);
             } else {
@@ -525,8 +536,10 @@
             Step::Resubmit { at, which } => {
                 let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
                 let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
-                if let Some((txn, orders, dest)) = known.map(|(txn, f)| (txn.clone(), f.orders, f.dest)) {
-                    self.submit(at % self.processes.len(), txn, orders, dest, 10);
+                if let Some((message_id, orders, dest)) =
+                    known.map(|(message_id, f)| (message_id.clone(), f.orders, f.dest))
+                {
+                    self.submit(at % self.processes.len(), message_id, orders, dest, 10);
                 }
             }
             Step::Connect { which, up } => {
@@ -540,7 +553,7 @@
                     }
                 }
             }
-            Step::Answer { which, how } => self.answer(which, how),
+            Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
             Step::Break(which) => {
                 if let Some((at, id)) = self.pick(which, |link| link.up) {
                     let input = self.close(at, id, Cause::ConnectionFailed("reset".to_owned()));
@@ -558,9 +571,9 @@
             }
             Step::Terminate => {
                 // The platform waits until the new process is ready, and then shuts down the oldest that still runs.
-                let elder =
+                let oldest =
                     (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
-                if let Some(at) = elder {
+                if let Some(at) = oldest {
                     let number = self.processes[at].number;
                     self.look(at);
                     if self.processes.get(at).is_some_and(|process| process.number == number) {
@@ -571,7 +584,7 @@
             }
             Step::Kill { at, after } => {
                 let at = at % self.processes.len();
-                self.processes[at].dies_after = Some(after);
+                self.processes[at].kill_after = Some(after);
             }
             _ => {}
         }
@@ -585,10 +598,10 @@
             }
             self.wait(S);
         }
-        for (txn, fate) in &self.fates {
+        for (message_id, fate) in &self.fates {
             assert!(
                 !fate.taken_on || fate.delivered || !fate.notices.is_empty(),
-                "{txn} has no final answer"
+                "{message_id} has no final answer"
             );
         }
     }
--- a/crates/forwarder/tests/connection_limit.rs
+++ b/crates/forwarder/tests/connection_limit.rs
@@ -7,12 +7,12 @@
 use tokio::time::Instant;
 
 /// Time within which a client sends its first request.
-const SILENT: Duration = Duration::from_millis(100);
-const MOST: usize = 5;
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_CONNECTIONS: usize = 5;
 
 /// The state of a connection in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum State {
     New,
     Busy,
     Idle,
@@ -21,47 +21,52 @@
     Cut,
 }
 
-type Model = BTreeMap<ConnectionId, (Doing, Instant)>;
+type Model = BTreeMap<ConnectionId, (State, Instant)>;
 
-/// Returns the earliest start of the current state, among the connections for which `which` returns `true`.
-fn longest(model: &Model, which: impl Fn(Doing, Instant) -> bool) -> Option<Instant> {
-    model.values().filter(|(doing, since)| which(*doing, *since)).map(|(_, since)| *since).min()
+/// Returns the earliest start of the current state, among the connections for which `selector` returns `true`.
+fn earliest_start(model: &Model, selector: impl Fn(State, Instant) -> bool) -> Option<Instant> {
+    model.values().filter(|(state, since)| selector(*state, *since)).map(|(_, since)| *since).min()
 }
 
 /// Checks an eviction against the model and applies it to the model.
-fn evicted(model: &mut Model, eviction: Option<Eviction>, now: Instant) {
-    let full = model.len() >= MOST;
-    let silent = |doing, since| doing == Doing::New && now - since >= SILENT;
-    let free = |doing: Doing| matches!(doing, Doing::New | Doing::Idle);
-    let going = |doing| matches!(doing, Doing::Closing | Doing::Cut);
+fn check_eviction(model: &mut Model, eviction: Option<Eviction>, now: Instant) {
+    let full = model.len() >= MAX_CONNECTIONS;
+    let is_overdue = |state, since| state == State::New && now - since >= FIRST_REQUEST_TIMEOUT;
+    let is_evictable = |state: State| matches!(state, State::New | State::Idle);
+    let is_closing = |state| matches!(state, State::Closing | State::Cut);
     match eviction {
         None => {
-            let waits = model.values().any(|(doing, _)| going(*doing));
-            let none = model.values().all(|(doing, _)| !free(*doing) && *doing != Doing::Lingering);
-            assert!(!full || waits || none, "the limit is reached, and none is evicted: {model:?}");
+            let any_closing = model.values().any(|(state, _)| is_closing(*state));
+            let none_evictable =
+                model.values().all(|(state, _)| !is_evictable(*state) && *state != State::Lingering);
+            assert!(
+                !full || any_closing || none_evictable,
+                "the limit is reached, and none is evicted: {model:?}"
+            );
         }
         Some(Eviction::Cut(id)) => {
-            let (doing, since) = model[&id];
-            assert!(full && doing == Doing::Lingering && !model.values().any(|other| other.0 == Doing::Cut));
-            assert_eq!(longest(model, |doing, _| doing == Doing::Lingering), Some(since));
-            model.insert(id, (Doing::Cut, now));
+            let (state, since) = model[&id];
+            assert!(full && state == State::Lingering && !model.values().any(|other| other.0 == State::Cut));
+            assert_eq!(earliest_start(model, |state, _| state == State::Lingering), Some(since));
+            model.insert(id, (State::Cut, now));
         }
         Some(Eviction::Close(id)) => {
-            let (doing, since) = model[&id];
-            assert!(free(doing), "a connection is closed while {doing:?}");
-            let staying = model.values().filter(|(doing, _)| free(*doing) || *doing == Doing::Busy).count();
-            assert!(full || staying == MOST, "a connection is closed though there is room");
-            match longest(model, silent) {
-                Some(first) => assert!(silent(doing, since) && since == first),
-                None => assert_eq!(longest(model, |other, _| other == doing), Some(since)),
+            let (state, since) = model[&id];
+            assert!(is_evictable(state), "a connection is closed while {state:?}");
+            let serving =
+                model.values().filter(|(state, _)| is_evictable(*state) || *state == State::Busy).count();
+            assert!(full || serving == MAX_CONNECTIONS, "a connection is closed though there is room");
+            match earliest_start(model, is_overdue) {
+                Some(first) => assert!(is_overdue(state, since) && since == first),
+                None => assert_eq!(earliest_start(model, |other, _| other == state), Some(since)),
             }
-            assert!(doing != Doing::New || silent(doing, since) || full, "a new connection is closed");
+            assert!(state != State::New || is_overdue(state, since) || full, "a new connection is closed");
             assert!(
-                doing == Doing::Idle
-                    || silent(doing, since)
-                    || longest(model, |d, _| d == Doing::Idle).is_none()
+                state == State::Idle
+                    || is_overdue(state, since)
+                    || earliest_start(model, |d, _| d == State::Idle).is_none()
             );
-            model.insert(id, (Doing::Closing, now));
+            model.insert(id, (State::Closing, now));
         }
     }
 }
@@ -70,32 +75,32 @@
 // against evicting an idle connection before one that has never sent a request, and against cutting a lingering close
 // while there is room.
 #[test]
-fn busy_connections_stay_and_silent_ones_are_evicted() {
-    fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
-        let (mut limit, mut now) = (ConnectionLimit::new(MOST), Instant::now());
+fn busy_connections_stay_and_overdue_ones_are_evicted() {
+    fn follows_model(steps: Vec<(u8, u8, u8)>) -> bool {
+        let (mut limit, mut now) = (ConnectionLimit::new(MAX_CONNECTIONS), Instant::now());
         let mut model = Model::new();
-        for (what, which, pause) in steps {
-            now += Duration::from_millis(u64::from(pause));
-            let id = model.keys().nth(usize::from(which) % model.len().max(1)).copied();
-            assert_eq!(limit.is_full(), model.len() >= MOST);
-            match (what % 7, id) {
+        for (action, selector, elapsed_ms) in steps {
+            now += Duration::from_millis(u64::from(elapsed_ms));
+            let id = model.keys().nth(usize::from(selector) % model.len().max(1)).copied();
+            assert_eq!(limit.is_full(), model.len() >= MAX_CONNECTIONS);
+            match (action % 7, id) {
                 (0 | 1, _) if !limit.is_full() => {
-                    model.insert(limit.on_connected(now), (Doing::New, now));
+                    model.insert(limit.on_connected(now), (State::New, now));
                 }
-                (2, Some(id)) if matches!(model[&id].0, Doing::New | Doing::Idle | Doing::Closing) => {
+                (2, Some(id)) if matches!(model[&id].0, State::New | State::Idle | State::Closing) => {
                     // A request may arrive after the eviction, which stays in effect.
                     limit.on_request(id, now);
-                    if model[&id].0 != Doing::Closing {
-                        model.insert(id, (Doing::Busy, now));
+                    if model[&id].0 != State::Closing {
+                        model.insert(id, (State::Busy, now));
                     }
                 }
-                (3, Some(id)) if model[&id].0 == Doing::Busy => {
+                (3, Some(id)) if model[&id].0 == State::Busy => {
                     limit.on_answered(id, now);
-                    model.insert(id, (Doing::Idle, now));
+                    model.insert(id, (State::Idle, now));
                 }
-                (4, Some(id)) if model[&id].0 == Doing::Closing => {
+                (4, Some(id)) if model[&id].0 == State::Closing => {
                     limit.on_lingering(id, now);
-                    model.insert(id, (Doing::Lingering, now));
+                    model.insert(id, (State::Lingering, now));
                 }
                 (5, Some(id)) => {
                     limit.on_closed(id);
@@ -103,12 +108,12 @@
                 }
                 _ => {
                     let eviction = limit.evict(now);
-                    evicted(&mut model, eviction, now);
+                    check_eviction(&mut model, eviction, now);
                 }
             }
         }
         true
     }
-    let chance = Gen::from_size_and_seed(200, 1);
-    QuickCheck::new().tests(400).rng(chance).quickcheck(keep as fn(Vec<(u8, u8, u8)>) -> bool);
+    let seeded = Gen::from_size_and_seed(200, 1);
+    QuickCheck::new().tests(400).rng(seeded).quickcheck(follows_model as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/forwarder/tests/connection_pool.rs
+++ b/crates/forwarder/tests/connection_pool.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
-const IDLE_CLOSE: Micros = 1000;
+const ENDPOINT_IDLE_TIMEOUT: Micros = 1000;
 
 /// The connections as the endpoints see them.
 #[derive(Default)]
@@ -23,76 +23,87 @@
 // by the endpoint, or open to a different endpoint. Also guards against losing a call when its connection closes.
 #[test]
 fn connections_follow_the_model_over_random_steps() {
-    fn keep(steps: Vec<(u8, u8, u8)>) -> bool {
-        let (mut pool, mut model, mut now) = (ConnectionPool::new(IDLE_CLOSE, 6), Model::default(), 0);
-        for (number, (what, which, pause)) in steps.into_iter().enumerate() {
-            now += Micros::from(pause);
-            let (call, hop) = (number as CallId, EndpointId::from(which % 3));
-            let mine = model.calls.iter().nth(usize::from(which) % model.calls.len().max(1));
-            let mine = mine.map(|(call, (link, up))| (*call, *link, *up));
-            match (what % 7, mine) {
+    fn follows_model(steps: Vec<(u8, u8, u8)>) -> bool {
+        let (mut pool, mut model, mut now) =
+            (ConnectionPool::new(ENDPOINT_IDLE_TIMEOUT, 6), Model::default(), 0);
+        for (number, (action, selector, elapsed)) in steps.into_iter().enumerate() {
+            now += Micros::from(elapsed);
+            let (call, endpoint) = (number as CallId, EndpointId::from(selector % 3));
+            let tracked_call = model.calls.iter().nth(usize::from(selector) % model.calls.len().max(1));
+            let tracked_call = tracked_call
+                .map(|(call, (connection, is_established))| (*call, *connection, *is_established));
+            match (action % 7, tracked_call) {
                 (0 | 1, _) => {
-                    let (link, up) = match pool.claim(hop, call, now) {
-                        Claim::Reuse(link) => {
-                            let (to, since) = model.open[&link];
-                            assert_eq!(to, hop);
-                            assert!(!model.retired.contains(&link), "the endpoint's address has changed");
-                            assert!(since.is_some_and(|s| now - s < IDLE_CLOSE * 95 / 100));
-                            (link, true)
+                    let (connection, is_established) = match pool.claim(endpoint, call, now) {
+                        Claim::Reuse(connection) => {
+                            let (target, since) = model.open[&connection];
+                            assert_eq!(target, endpoint);
+                            assert!(
+                                !model.retired.contains(&connection),
+                                "the endpoint's address has changed"
+                            );
+                            assert!(since.is_some_and(|s| now - s < ENDPOINT_IDLE_TIMEOUT * 95 / 100));
+                            (connection, true)
                         }
-                        Claim::Connect(link) => {
-                            assert!(!model.open.contains_key(&link) && !model.closed.contains(&link));
-                            (link, false)
+                        Claim::Connect(connection) => {
+                            assert!(
+                                !model.open.contains_key(&connection) && !model.closed.contains(&connection)
+                            );
+                            (connection, false)
                         }
                     };
-                    assert!(model.calls.values().all(|(other, _)| *other != link));
-                    model.open.insert(link, (hop, None));
-                    model.calls.insert(call, (link, up));
+                    assert!(model.calls.values().all(|(other, _)| *other != connection));
+                    model.open.insert(connection, (endpoint, None));
+                    model.calls.insert(call, (connection, is_established));
                 }
-                (2, Some((call, link, up))) => {
-                    assert_eq!(pool.on_connected(link), (!up).then_some(call));
-                    model.calls.insert(call, (link, true));
+                (2, Some((call, connection, is_established))) => {
+                    assert_eq!(pool.on_connected(connection), (!is_established).then_some(call));
+                    model.calls.insert(call, (connection, true));
                 }
-                (3, Some((call, link, true))) => {
-                    assert_eq!(pool.connection_of(call), Some(link));
-                    pool.release(link, now);
+                (3, Some((call, connection, true))) => {
+                    assert_eq!(pool.connection_of(call), Some(connection));
+                    pool.release(connection, now);
                     model.calls.remove(&call);
-                    model.open.get_mut(&link).expect("the connection is open").1 = Some(now);
+                    model.open.get_mut(&connection).expect("the connection is open").1 = Some(now);
                 }
-                (4, Some((call, link, _))) => {
-                    assert_eq!(pool.on_closed(link), Some(call));
-                    assert_eq!(pool.on_closed(link), None);
+                (4, Some((call, connection, _))) => {
+                    assert_eq!(pool.on_closed(connection), Some(call));
+                    assert_eq!(pool.on_closed(connection), None);
                     model.calls.remove(&call);
-                    model.open.remove(&link);
-                    model.closed.insert(link);
+                    model.open.remove(&connection);
+                    model.closed.insert(connection);
                 }
                 (6, _) => {
-                    pool.retire(hop);
-                    let to = model.open.iter().filter(|(_, (to, _))| *to == hop).map(|(id, _)| *id);
-                    model.retired.extend(to);
+                    pool.retire(endpoint);
+                    let target =
+                        model.open.iter().filter(|(_, (target, _))| *target == endpoint).map(|(id, _)| *id);
+                    model.retired.extend(target);
                     assert!(
                         model.retired.iter().all(|id| pool.is_retired(*id) || !model.open.contains_key(id))
                     );
                 }
                 (_, _) => {
-                    let gone = if what % 2 == 0 { pool.take_expired(now) } else { pool.take_idle_to(hop) };
-                    for link in gone {
+                    let removed =
+                        if action % 2 == 0 { pool.take_expired(now) } else { pool.take_idle_to(endpoint) };
+                    for connection in removed {
                         assert!(
-                            model.open.remove(&link).expect("the connection is open").1.is_some(),
+                            model.open.remove(&connection).expect("the connection is open").1.is_some(),
                             "only idle connections are removed"
                         );
-                        model.closed.insert(link);
+                        model.closed.insert(connection);
                     }
                     let idle = model.open.values().filter(|(_, since)| since.is_some()).count();
-                    assert!(what % 2 == 1 || idle == 0 || model.open.len() <= 6);
+                    assert!(action % 2 == 1 || idle == 0 || model.open.len() <= 6);
                 }
             }
             let idle = model.open.iter().filter(|(id, _)| !model.retired.contains(id));
             let idle = idle.filter_map(|(_, (_, since))| *since).min();
-            assert!(idle.is_none_or(|since| pool.next_expiry().is_some_and(|at| at <= since + IDLE_CLOSE)));
+            assert!(idle.is_none_or(|since| {
+                pool.next_expiry().is_some_and(|at| at <= since + ENDPOINT_IDLE_TIMEOUT)
+            }));
         }
         true
     }
-    let chance = Gen::from_size_and_seed(200, 1);
-    QuickCheck::new().tests(200).rng(chance).quickcheck(keep as fn(Vec<(u8, u8, u8)>) -> bool);
+    let seeded = Gen::from_size_and_seed(200, 1);
+    QuickCheck::new().tests(200).rng(seeded).quickcheck(follows_model as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/forwarder/tests/console.rs
+++ b/crates/forwarder/tests/console.rs
@@ -36,13 +36,13 @@
 // Guards against a line that is read differently when it arrives in pieces, and against a panic on arbitrary bytes.
 #[test]
 fn line_in_pieces_parses_as_the_whole_line() {
-    fn same(bytes: Vec<u8>) -> bool {
+    fn parses_as_whole(bytes: Vec<u8>) -> bool {
         let line = [&b"disable-server "[..], &bytes, b"\n"].concat();
-        let first = line.iter().position(|byte| *byte == b'\n').expect("the line has an end");
-        (0..first)
-            .all(|cut| parse_input(&line[..cut]).is_none_or(|told| told == Err(CommandError::LineTooLong)))
-            && parse_input(&line[..=first]).is_some()
+        let line_end = line.iter().position(|byte| *byte == b'\n').expect("the line has an end");
+        (0..line_end).all(|prefix_length| {
+            parse_input(&line[..prefix_length]).is_none_or(|result| result == Err(CommandError::LineTooLong))
+        }) && parse_input(&line[..=line_end]).is_some()
     }
-    let chance = Gen::from_size_and_seed(700, 5);
-    QuickCheck::new().tests(300).rng(chance).quickcheck(same as fn(Vec<u8>) -> bool);
+    let seeded = Gen::from_size_and_seed(700, 5);
+    QuickCheck::new().tests(300).rng(seeded).quickcheck(parses_as_whole as fn(Vec<u8>) -> bool);
 }
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -8,19 +8,24 @@
 // limit.
 #[test]
 fn all_connections_together_stay_within_the_descriptor_limit() {
-    for sockets in 64..2000 {
-        for slots in [1, 3, 6, 17, sockets / 8, sockets / 4] {
-            let limits = Limits { max_descriptors: sockets, disk_mb: 1.0 };
-            for callers in [0, MAX_CONNECTIONS] {
-                let (hops, clients) =
-                    (limits.max_endpoint_connections(slots), limits.max_client_connections(slots, callers));
-                assert!(hops >= slots && clients >= 8, "{sockets} descriptors, {slots} slots");
+    for descriptors in 64..2000 {
+        for calls in [1, 3, 6, 17, descriptors / 8, descriptors / 4] {
+            let limits = Limits { max_descriptors: descriptors, disk_mb: 1.0 };
+            for console_connections in [0, MAX_CONNECTIONS] {
+                let (endpoint_connections, client_connections) = (
+                    limits.max_endpoint_connections(calls),
+                    limits.max_client_connections(calls, console_connections),
+                );
+                assert!(
+                    endpoint_connections >= calls && client_connections >= 8,
+                    "{descriptors} descriptors, {calls} calls"
+                );
                 // Standard streams, the runtime, the journal and its compaction, listeners, the watch and the next
                 // watch, notifications.
-                let own = 3 + 3 + 2 + 2 + 2 + 1;
+                let reserved = 3 + 3 + 2 + 2 + 2 + 1;
                 assert!(
-                    hops + clients + callers + own <= sockets,
-                    "{sockets} descriptors, {slots} slots: {hops}, {clients}"
+                    endpoint_connections + client_connections + console_connections + reserved <= descriptors,
+                    "{descriptors} descriptors, {calls} calls: {endpoint_connections}, {client_connections}"
                 );
             }
         }
--- a/crates/forwarder/tests/endpoint_call.rs
+++ b/crates/forwarder/tests/endpoint_call.rs
@@ -17,11 +17,11 @@
 // not delivered when the reply cannot be read, which leaves their delivery in doubt.
 #[test]
 fn each_message_of_a_bulk_call_has_its_own_result() {
-    let told = r#"[{"id":"b","state":"deferred"},{"id":"a","state":"accepted"},{"id":"c","state":"fault"},
+    let states = r#"[{"id":"b","state":"deferred"},{"id":"a","state":"accepted"},{"id":"c","state":"fault"},
         {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
-    let txns = ["a", "b", "c", "d", "e", "left out"].map(str::to_owned);
-    let got = message_results(&bulk(told), &txns);
-    let outcomes: Vec<_> = got.iter().map(|end| (end.outcome, end.message_finished)).collect();
+    let ids = ["a", "b", "c", "d", "e", "left out"].map(str::to_owned);
+    let results = message_results(&bulk(states), &ids);
+    let outcomes: Vec<_> = results.iter().map(|result| (result.outcome, result.message_finished)).collect();
     let expected = [
         (Outcome::Success, false),
         (Outcome::Rejected, false),
@@ -32,7 +32,9 @@
     ];
     assert_eq!(outcomes, expected);
     assert!(
-        message_results(&bulk("[{\"id\":"), &txns).iter().all(|end| end.outcome == Outcome::InvalidResponse)
+        message_results(&bulk("[{\"id\":"), &ids)
+            .iter()
+            .all(|result| result.outcome == Outcome::InvalidResponse)
     );
 }
 
@@ -41,12 +43,13 @@
 fn only_a_call_not_fully_written_is_certainly_not_delivered() {
     use Progress::*;
     for progress in [NotConnected, NotFullyWritten, FullyWritten, Answered] {
-        let spoilt = Cause::InvalidResponse("noise".to_owned());
-        for cause in [Cause::TimedOut, Cause::Cancelled, Cause::ConnectionFailed("reset".to_owned()), spoilt]
+        let invalid_response = Cause::InvalidResponse("noise".to_owned());
+        for cause in
+            [Cause::TimedOut, Cause::Cancelled, Cause::ConnectionFailed("reset".to_owned()), invalid_response]
         {
             let error = EndpointCallError { progress, cause };
-            let never = error.outcome() == Outcome::ConnectFailed;
-            assert_eq!(never, matches!(progress, NotConnected | NotFullyWritten), "{error}");
+            let is_not_delivered = error.outcome() == Outcome::ConnectFailed;
+            assert_eq!(is_not_delivered, matches!(progress, NotConnected | NotFullyWritten), "{error}");
         }
     }
 }
@@ -54,13 +57,13 @@
 // Guards against an idempotency key that is missing in a bulk call, or added to a message without one.
 #[test]
 fn each_message_of_a_bulk_call_has_its_own_key() {
-    let part = |txn: &str, key: Option<&str>| CallMessage {
-        id: txn.to_owned(),
+    let message = |id: &str, key: Option<&str>| CallMessage {
+        id: id.to_owned(),
         idempotency_key: key.map(str::to_owned),
         body: Bytes::from_static(b"hello"),
     };
-    let parts = vec![part("a", Some("5c\"0f")), part("b", None)];
-    let call = EndpointCall { messages: parts, is_bulk: true, time_left: 1, deadline: 1 };
+    let call_messages = vec![message("a", Some("5c\"0f")), message("b", None)];
+    let call = EndpointCall { messages: call_messages, is_bulk: true, time_left: 1, deadline: 1 };
     let text = call.body();
     let expected = r#"[{"id":"a","key":"5c\"0f","body":"aGVsbG8="},{"id":"b","body":"aGVsbG8="}]"#;
     assert_eq!(text, expected);
--- a/crates/forwarder/tests/endpoint_connection.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -19,31 +19,31 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Carries calls on one connection to an endpoint that answers the first call and keeps the connection open. With
-/// `goes_on` it repeats the answer without end. Returns the result of the first call, and whether a second call on
-/// the same connection counts as answered.
-async fn call(answer: &'static [u8], goes_on: bool, bulk: bool) -> (Input, bool) {
+/// `repeats_answer` it repeats the answer without end. Returns the result of the first call, and whether a second
+/// call on the same connection counts as answered.
+async fn call(answer: &'static [u8], repeats_answer: bool, bulk: bool) -> (Input, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
     let address = listener.local_addr().expect("has a local address");
-    let (sender, orders) = unbounded_channel();
-    let (inputs, mut came) = unbounded_channel();
-    let until = Instant::now() + Duration::from_secs(20);
+    let (sender, calls) = unbounded_channel();
+    let (inputs, mut reports) = unbounded_channel();
+    let call_deadline = Instant::now() + Duration::from_secs(20);
     let call = call_of(bulk);
-    let far_end = async {
+    let endpoint_side = async {
         let (mut stream, _) = listener.accept().await.expect("a connection arrives");
         let mut request = vec![0; 4096];
         assert!(stream.read(&mut request).await.expect("a request arrives") > 0);
         stream.write_all(answer).await.expect("the write succeeds");
-        while goes_on && stream.write_all(answer).await.is_ok() {}
+        while repeats_answer && stream.write_all(answer).await.is_ok() {}
         std::future::pending::<()>().await;
     };
-    let near_end = async {
-        assert!(matches!(came.recv().await, Some(Input::ConnectionUp { .. })));
+    let forwarder_side = async {
+        assert!(matches!(reports.recv().await, Some(Input::ConnectionUp { .. })));
         sender
-            .send(ScheduledCall { call: call.clone(), deadline: until })
+            .send(ScheduledCall { call: call.clone(), deadline: call_deadline })
             .expect("the connection task is running");
         let mut end = async || {
             loop {
-                match came.recv().await {
+                match reports.recv().await {
                     Some(Input::CallWritten { .. }) => {}
                     other => break other,
                 }
@@ -55,8 +55,8 @@
         (first, matches!(end().await, Some(Input::CallAnswered { .. })))
     };
     tokio::select! {
-        ends = near_end => ends,
-        _ = async { tokio::join!(far_end, run(1, address, until, orders, inputs)) } => unreachable!(),
+        ends = forwarder_side => ends,
+        _ = async { tokio::join!(endpoint_side, run(1, address, call_deadline, calls, inputs)) } => unreachable!(),
     }
 }
 
@@ -66,35 +66,36 @@
 // it.
 #[test]
 fn invalid_and_rejecting_responses_map_to_their_outcome() {
-    const GOOD: u16 = 200;
-    const SPOILT: u16 = 0;
-    let long =
+    const DELIVERED: u16 = 200;
+    const INVALID: u16 = 0;
+    let endless_head =
         b"HTTP/1.1 200 OK\r\nX-Fill: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n";
-    let huge = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\n0123456789abcdef";
-    let beside = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
+    let oversized_body =
+        b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\n0123456789abcdef";
+    let interim_responses = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
         HTTP/1.1 200 OK\r\nX-Pressure: x1=NaN,x0=what\r\nContent-Length: 0\r\n\r\n";
     let cases: [(&[u8], bool, bool, u16); 15] = [
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false, false, GOOD),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\n", false, false, GOOD),
-        (b"HTTP/1.1 200 OK\r\n\0\x01noise", false, false, GOOD),
-        (long, true, false, GOOD),
-        (beside, false, false, GOOD),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n", false, false, GOOD),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false, true, SPOILT),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[{]}", false, true, SPOILT),
-        (long, true, true, SPOILT),
-        (b"HTTP/1.1 200 O", false, false, SPOILT),
-        (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nshort", false, false, SPOILT),
-        (huge, true, false, SPOILT),
-        (b"HTTP/1.1 2000 OK\r\n\r\n", false, false, SPOILT),
-        (b"\x16\x03\x01 noise without an end", false, false, SPOILT),
-        (b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", false, false, SPOILT),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false, false, DELIVERED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\n", false, false, DELIVERED),
+        (b"HTTP/1.1 200 OK\r\n\0\x01noise", false, false, DELIVERED),
+        (endless_head, true, false, DELIVERED),
+        (interim_responses, false, false, DELIVERED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n", false, false, DELIVERED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false, true, INVALID),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[{]}", false, true, INVALID),
+        (endless_head, true, true, INVALID),
+        (b"HTTP/1.1 200 O", false, false, INVALID),
+        (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nshort", false, false, INVALID),
+        (oversized_body, true, false, INVALID),
+        (b"HTTP/1.1 2000 OK\r\n\r\n", false, false, INVALID),
+        (b"\x16\x03\x01 noise without an end", false, false, INVALID),
+        (b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", false, false, INVALID),
     ];
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
-    for (answer, goes_on, bulk, expected) in cases {
+    for (answer, repeats_answer, bulk, expected) in cases {
         let text = String::from_utf8_lossy(answer);
-        let (first, answered_again) = runtime.block_on(call(answer, goes_on, bulk));
+        let (first, answered_again) = runtime.block_on(call(answer, repeats_answer, bulk));
         match first {
             Input::CallAnswered { reply, .. } => {
                 assert_eq!(
@@ -105,7 +106,7 @@
             }
             Input::ConnectionClosed { error, .. } => {
                 assert!(
-                    expected == SPOILT && matches!(error.cause, Cause::InvalidResponse(_)),
+                    expected == INVALID && matches!(error.cause, Cause::InvalidResponse(_)),
                     "{text}: {error}"
                 );
                 assert!(!error.not_delivered(), "{text}: {error}");
@@ -120,21 +121,22 @@
 // the sizes of the writes.
 #[test]
 fn call_counts_as_written_with_its_last_byte() {
-    fn keep(body: Vec<u8>, cuts: Vec<u8>) -> bool {
+    fn counts_as_written(body: Vec<u8>, write_sizes: Vec<u8>) -> bool {
         let mut request = b"POST /inbox HTTP/1.1\r\nx-txn: a\r\n\r\n".to_vec();
         request.extend_from_slice(&body);
         let mut written = WriteProgress::with_body_bytes(body.len());
-        let (mut rest, mut cuts) = (&request[..], cuts.into_iter().cycle());
+        let (mut rest, mut write_sizes) = (&request[..], write_sizes.into_iter().cycle());
         while !rest.is_empty() {
             assert_eq!(written.progress(), Progress::NotFullyWritten);
-            let (now, later) = rest.split_at(usize::from(cuts.next().unwrap_or(3)).clamp(1, rest.len()));
+            let (now, later) =
+                rest.split_at(usize::from(write_sizes.next().unwrap_or(3)).clamp(1, rest.len()));
             written.on_written(now);
             rest = later;
         }
         written.progress() == Progress::FullyWritten
     }
-    let chance = Gen::from_size_and_seed(100, 1);
-    QuickCheck::new().tests(200).rng(chance).quickcheck(keep as fn(Vec<u8>, Vec<u8>) -> bool);
+    let seeded = Gen::from_size_and_seed(100, 1);
+    QuickCheck::new().tests(200).rng(seeded).quickcheck(counts_as_written as fn(Vec<u8>, Vec<u8>) -> bool);
 }
 
 fn call_of(bulk: bool) -> EndpointCall {
@@ -149,55 +151,56 @@
 
 /// A connection of the forwarder to an endpoint whose socket the test holds. The endpoint acts while the test does not
 /// yield, so that nothing else runs meanwhile.
-struct Pair {
-    far: std::net::TcpStream,
-    orders: Option<UnboundedSender<ScheduledCall>>,
-    came: UnboundedReceiver<Input>,
+struct TestConnection {
+    endpoint: std::net::TcpStream,
+    calls: Option<UnboundedSender<ScheduledCall>>,
+    reports: UnboundedReceiver<Input>,
 }
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-impl Pair {
-    async fn up() -> Self {
+impl TestConnection {
+    async fn connect() -> Self {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
         let address = listener.local_addr().expect("has a local address");
-        let ((orders, taken), (inputs, came)) = (unbounded_channel(), unbounded_channel());
-        spawn_local(run(1, address, Instant::now() + PATIENCE, taken, inputs));
-        let mut pair = Pair { far: dialled(listener).await, orders: Some(orders), came };
-        assert!(matches!(pair.next().await, Input::ConnectionUp { .. }));
-        pair
+        let ((calls, call_receiver), (inputs, reports)) = (unbounded_channel(), unbounded_channel());
+        spawn_local(run(1, address, Instant::now() + TEST_TIMEOUT, call_receiver, inputs));
+        let mut connection =
+            TestConnection { endpoint: accept_one(listener).await, calls: Some(calls), reports };
+        assert!(matches!(connection.next().await, Input::ConnectionUp { .. }));
+        connection
     }
 
     async fn next(&mut self) -> Input {
-        timeout(PATIENCE, self.came.recv())
+        timeout(TEST_TIMEOUT, self.reports.recv())
             .await
             .expect("an input arrives in time")
             .expect("the connection task is running")
     }
 
-    fn send(&self, within: Duration) {
-        let order = ScheduledCall { call: call_of(false), deadline: Instant::now() + within };
-        self.orders.as_ref().expect("not cancelled").send(order).expect("the connection task is running");
+    fn send(&self, time_limit: Duration) {
+        let scheduled = ScheduledCall { call: call_of(false), deadline: Instant::now() + time_limit };
+        self.calls.as_ref().expect("not cancelled").send(scheduled).expect("the connection task is running");
     }
 
     /// Waits until the call is fully written and the endpoint has read all of it.
-    async fn written(&mut self) {
+    async fn wait_until_written(&mut self) {
         assert!(matches!(self.next().await, Input::CallWritten { .. }));
-        self.far.set_nonblocking(false).expect("the socket call succeeds");
+        self.endpoint.set_nonblocking(false).expect("the socket call succeeds");
         let mut request = Vec::new();
         while !request.ends_with(b"body") {
             let mut chunk = [0; 1024];
-            let count = self.far.read(&mut chunk).expect("a request arrives");
+            let count = self.endpoint.read(&mut chunk).expect("a request arrives");
             request.extend_from_slice(&chunk[..count]);
         }
     }
 
     /// Carries a call and answers it, so that the connection is idle and reusable.
-    async fn idle(&mut self) {
-        self.send(PATIENCE);
-        self.written().await;
-        self.far.write_all(OK).expect("the write succeeds");
+    async fn make_idle(&mut self) {
+        self.send(TEST_TIMEOUT);
+        self.wait_until_written().await;
+        self.endpoint.write_all(OK).expect("the write succeeds");
         assert!(matches!(self.next().await, Input::CallAnswered { reusable: true, .. }));
     }
 
@@ -210,15 +213,15 @@
                 other => panic!("{other:?}"),
             }
         };
-        let mut sent = Vec::new();
-        self.far.set_read_timeout(Some(PATIENCE)).expect("the socket call succeeds");
+        let mut received = Vec::new();
+        self.endpoint.set_read_timeout(Some(TEST_TIMEOUT)).expect("the socket call succeeds");
         // A reset ends the reading as well.
-        let _ = self.far.read_to_end(&mut sent);
-        (error, sent.len())
+        let _ = self.endpoint.read_to_end(&mut received);
+        (error, received.len())
     }
 }
 
-async fn dialled(listener: std::net::TcpListener) -> std::net::TcpStream {
+async fn accept_one(listener: std::net::TcpListener) -> std::net::TcpStream {
     listener.set_nonblocking(true).expect("the socket call succeeds");
     loop {
         match listener.accept() {
@@ -228,7 +231,7 @@
     }
 }
 
-fn play(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(LocalSet::new().run_until(test));
@@ -239,38 +242,41 @@
 // earlier bytes would be read as its answer.
 #[test]
 fn nothing_is_written_on_a_connection_that_closed_or_spoke_when_chosen() {
-    for (what, bytes) in
+    for (case, bytes) in
         [("closed", &b""[..]), ("reset", b""), ("half a line", b"HTTP/1.1 2"), ("an answer", OK)]
     {
-        play(async {
-            let mut pair = Pair::up().await;
-            pair.idle().await;
+        run_test(async {
+            let mut connection = TestConnection::connect().await;
+            connection.make_idle().await;
             // The test does not yield here: first the endpoint acts, then the call is sent.
-            pair.far.write_all(bytes).expect("the write succeeds");
-            if what == "closed" {
-                pair.far.shutdown(std::net::Shutdown::Write).expect("the socket call succeeds");
+            connection.endpoint.write_all(bytes).expect("the write succeeds");
+            if case == "closed" {
+                connection.endpoint.shutdown(std::net::Shutdown::Write).expect("the socket call succeeds");
             }
-            pair.send(PATIENCE);
-            if what == "reset" {
-                SockRef::from(&pair.far).set_linger(Some(Duration::ZERO)).expect("the socket call succeeds");
+            connection.send(TEST_TIMEOUT);
+            if case == "reset" {
+                SockRef::from(&connection.endpoint)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("the socket call succeeds");
                 let other = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
-                let near = std::net::TcpStream::connect(other.local_addr().expect("has a local address"))
-                    .expect("connects");
+                let other_stream =
+                    std::net::TcpStream::connect(other.local_addr().expect("has a local address"))
+                        .expect("connects");
                 // Dropping a socket with a linger time of 0 resets its connection.
-                drop(std::mem::replace(&mut pair.far, near));
+                drop(std::mem::replace(&mut connection.endpoint, other_stream));
             }
             let error = loop {
-                match pair.next().await {
+                match connection.next().await {
                     Input::ConnectionClosed { error, .. } => break error,
-                    Input::CallAnswered { reply, .. } => panic!("{what}: counted as an answer: {reply:?}"),
+                    Input::CallAnswered { reply, .. } => panic!("{case}: counted as an answer: {reply:?}"),
                     _ => {}
                 }
             };
-            assert!(error.not_delivered() && !error.ended_locally(), "{what}: {error}");
-            if what != "reset" {
-                let mut sent = Vec::new();
-                let _ = pair.far.read_to_end(&mut sent);
-                assert!(sent.is_empty(), "{what}: {} bytes were written", sent.len());
+            assert!(error.not_delivered() && !error.ended_locally(), "{case}: {error}");
+            if case != "reset" {
+                let mut received = Vec::new();
+                let _ = connection.endpoint.read_to_end(&mut received);
+                assert!(received.is_empty(), "{case}: {} bytes were written", received.len());
             }
         });
     }
@@ -282,31 +288,31 @@
 fn response_arriving_with_its_time_out_or_cancellation_counts() {
     const WAIT: &[u8] =
         b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 900\r\nContent-Length: 4\r\n\r\nlate";
-    for called_off in [false, true] {
+    for is_cancelled in [false, true] {
         for (answer, status, wait) in [(WAIT, 429, 900), (OK, 200, 0)] {
-            play(async {
-                let mut pair = Pair::up().await;
-                let within = Duration::from_millis(300);
-                pair.send(if called_off { PATIENCE } else { within });
-                pair.written().await;
-                if !called_off {
+            run_test(async {
+                let mut connection = TestConnection::connect().await;
+                let time_limit = Duration::from_millis(300);
+                connection.send(if is_cancelled { TEST_TIMEOUT } else { time_limit });
+                connection.wait_until_written().await;
+                if !is_cancelled {
                     // Blocks the runtime beyond the deadline, so that it sees the time-out and the response together.
-                    std::thread::sleep(within + Duration::from_millis(50));
+                    std::thread::sleep(time_limit + Duration::from_millis(50));
                 }
-                pair.far.write_all(answer).expect("the write succeeds");
-                if called_off {
-                    pair.orders = None;
+                connection.endpoint.write_all(answer).expect("the write succeeds");
+                if is_cancelled {
+                    connection.calls = None;
                 }
-                match pair.next().await {
+                match connection.next().await {
                     Input::CallAnswered { reply, reusable, .. } => {
                         assert_eq!(
                             (reply.status, reply.retry_after_ms),
                             (status, wait),
-                            "cancelled: {called_off}"
+                            "cancelled: {is_cancelled}"
                         );
-                        assert!(!reusable || !called_off, "a cancelled call's connection is not reused");
+                        assert!(!reusable || !is_cancelled, "a cancelled call's connection is not reused");
                     }
-                    other => panic!("cancelled: {called_off}: {status}: {other:?}"),
+                    other => panic!("cancelled: {is_cancelled}: {status}: {other:?}"),
                 }
             });
         }
@@ -316,14 +322,15 @@
 // Guards against a call that does not end, or counts as answered, when its response is incomplete at the deadline.
 #[test]
 fn partial_response_at_its_time_out_is_no_response() {
-    play(async {
-        let mut pair = Pair::up().await;
-        pair.send(Duration::from_millis(100));
-        pair.written().await;
-        pair.far
+    run_test(async {
+        let mut connection = TestConnection::connect().await;
+        connection.send(Duration::from_millis(100));
+        connection.wait_until_written().await;
+        connection
+            .endpoint
             .write_all(b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 9")
             .expect("the write succeeds");
-        let (error, _) = pair.end().await;
+        let (error, _) = connection.end().await;
         assert!(!error.not_delivered() && error.progress == Progress::Answered, "{error}");
     });
 }
@@ -332,18 +339,20 @@
 // later.
 #[test]
 fn late_reset_after_the_last_byte_leaves_delivery_in_doubt() {
-    for late in [Duration::ZERO, Duration::from_millis(700)] {
-        play(async {
-            let mut pair = Pair::up().await;
-            pair.send(PATIENCE);
-            pair.written().await;
-            sleep(late).await;
-            SockRef::from(&pair.far).set_linger(Some(Duration::ZERO)).expect("the socket call succeeds");
+    for delay in [Duration::ZERO, Duration::from_millis(700)] {
+        run_test(async {
+            let mut connection = TestConnection::connect().await;
+            connection.send(TEST_TIMEOUT);
+            connection.wait_until_written().await;
+            sleep(delay).await;
+            SockRef::from(&connection.endpoint)
+                .set_linger(Some(Duration::ZERO))
+                .expect("the socket call succeeds");
             let other = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
-            let near = std::net::TcpStream::connect(other.local_addr().expect("has a local address"))
+            let other_stream = std::net::TcpStream::connect(other.local_addr().expect("has a local address"))
                 .expect("connects");
-            drop(std::mem::replace(&mut pair.far, near));
-            match pair.next().await {
+            drop(std::mem::replace(&mut connection.endpoint, other_stream));
+            match connection.next().await {
                 Input::ConnectionClosed { error, .. } => {
                     assert_eq!((error.progress, error.outcome()), (Progress::FullyWritten, Outcome::Reset));
                 }
@@ -356,26 +365,26 @@
 // Guards against reusing a connection on which bytes follow the answer. The next call would read them as its answer.
 #[test]
 fn connection_with_trailing_bytes_is_not_reused() {
-    play(async {
-        let mut pair = Pair::up().await;
-        pair.send(PATIENCE);
-        pair.written().await;
-        pair.far.write_all(&[OK, OK].concat()).expect("the write succeeds");
-        assert!(matches!(pair.next().await, Input::CallAnswered { .. }));
+    run_test(async {
+        let mut connection = TestConnection::connect().await;
+        connection.send(TEST_TIMEOUT);
+        connection.wait_until_written().await;
+        connection.endpoint.write_all(&[OK, OK].concat()).expect("the write succeeds");
+        assert!(matches!(connection.next().await, Input::CallAnswered { .. }));
         // The connection's task may have ended, or may not yet have noticed the bytes.
-        let _ = pair
-            .orders
+        let _ = connection
+            .calls
             .as_ref()
             .expect("not cancelled")
-            .send(ScheduledCall { call: call_of(false), deadline: Instant::now() + PATIENCE });
-        let end = pair.next().await;
+            .send(ScheduledCall { call: call_of(false), deadline: Instant::now() + TEST_TIMEOUT });
+        let end = connection.next().await;
         assert!(
             matches!(&end, Input::ConnectionClosed { error, .. } if error.progress != Progress::FullyWritten),
             "{end:?}"
         );
-        let mut sent = Vec::new();
-        let _ = pair.far.read_to_end(&mut sent);
-        assert!(sent.is_empty(), "a second call was written");
+        let mut received = Vec::new();
+        let _ = connection.endpoint.read_to_end(&mut received);
+        assert!(received.is_empty(), "a second call was written");
     });
 }
 
@@ -383,7 +392,7 @@
 // answers.
 #[test]
 fn hanging_connect_times_out() {
-    play(async {
+    run_test(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("the socket call succeeds");
         socket.bind("127.0.0.1:0".parse().expect("a valid address")).expect("binds to a port");
         let listener = socket.listen(0).expect("the socket listens");
@@ -394,12 +403,12 @@
         {
             waiting.push(stream);
         }
-        for called_off in [false, true] {
-            let ((orders, taken), (inputs, mut came)) = (unbounded_channel(), unbounded_channel());
-            let until = Duration::from_millis(if called_off { 20_000 } else { 200 });
-            spawn_local(run(1, address, Instant::now() + until, taken, inputs));
-            let _orders = (!called_off).then_some(orders);
-            let end = timeout(Duration::from_secs(5), came.recv()).await.expect("in time");
+        for is_cancelled in [false, true] {
+            let ((calls, call_receiver), (inputs, mut reports)) = (unbounded_channel(), unbounded_channel());
+            let call_deadline = Duration::from_millis(if is_cancelled { 20_000 } else { 200 });
+            spawn_local(run(1, address, Instant::now() + call_deadline, call_receiver, inputs));
+            let _orders = (!is_cancelled).then_some(calls);
+            let end = timeout(Duration::from_secs(5), reports.recv()).await.expect("in time");
             let Some(Input::ConnectionClosed { error, .. }) = end else { panic!("{end:?}") };
             assert!(error.progress == Progress::NotConnected && error.ended_locally(), "{error}");
         }
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -5,9 +5,9 @@
 use orchidyoke_forwarder::list_reader::ListReader;
 use std::fmt::Write;
 
-const LISTED: usize = 100_000;
+const ENTRIES: usize = 100_000;
 /// Size of a frame as a socket delivers it.
-const FRAME: usize = 64 << 10;
+const FRAME_BYTES: usize = 64 << 10;
 
 fn entry(number: usize) -> String {
     format!(
@@ -31,10 +31,10 @@
 }
 
 /// Reads a text in frames of this size. Returns the lists that were passed on, and the error that ended the reading.
-fn read(reader: &mut ListReader, text: &[u8], frame: usize) -> (Vec<WatchEvent>, Option<ListError>) {
+fn read(reader: &mut ListReader, text: &[u8], frame_bytes: usize) -> (Vec<WatchEvent>, Option<ListError>) {
     let mut lists = Vec::new();
-    for part in text.chunks(frame) {
-        if let Err(error) = reader.read_frame(part, |news| lists.push(news)) {
+    for part in text.chunks(frame_bytes) {
+        if let Err(error) = reader.read_frame(part, |event| lists.push(event)) {
             return (lists, Some(error));
         }
     }
@@ -44,13 +44,13 @@
 // Guards against parsing a list again from its beginning with each frame, and against reading a large list differently.
 #[test]
 fn list_of_100_000_entries_is_parsed_once_however_it_is_chunked() {
-    let text = list(LISTED);
-    for frame in [1_000, FRAME, text.len()] {
+    let text = list(ENTRIES);
+    for frame_bytes in [1_000, FRAME_BYTES, text.len()] {
         let mut reader = ListReader::default();
-        let (lists, error) = read(&mut reader, text.as_bytes(), frame);
-        assert!(error.is_none(), "frames of {frame}: {error:?}");
-        assert_eq!((lists.len(), lists[0].endpoints.len()), (1, LISTED), "frames of {frame}");
-        assert_eq!(lists[0].endpoints[LISTED - 1].uid, format!("s-{:08x}", LISTED - 1));
+        let (lists, error) = read(&mut reader, text.as_bytes(), frame_bytes);
+        assert!(error.is_none(), "frames of {frame_bytes}: {error:?}");
+        assert_eq!((lists.len(), lists[0].endpoints.len()), (1, ENTRIES), "frames of {frame_bytes}");
+        assert_eq!(lists[0].endpoints[ENTRIES - 1].uid, format!("s-{:08x}", ENTRIES - 1));
         assert!(reader.parsed_bytes() <= text.len(), "{} of {}", reader.parsed_bytes(), text.len());
         assert_eq!(reader.unfinished_bytes(), 0);
     }
@@ -62,46 +62,46 @@
 fn names_may_contain_list_delimiters_and_blank_lines_are_reported() {
     let first = list(2).replace("s-00000001", r#"}]\"{\\"#);
     let text = format!("\r\n \n{first}\n\n{}\n", list(1));
-    for frame in [1, 2, 3, 50, text.len()] {
-        let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), frame);
+    for frame_bytes in [1, 2, 3, 50, text.len()] {
+        let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), frame_bytes);
         assert!(error.is_none(), "{error:?}");
-        assert_eq!(lists.iter().map(|news| news.endpoints.len()).collect::<Vec<_>>(), [2, 1]);
+        assert_eq!(lists.iter().map(|event| event.endpoints.len()).collect::<Vec<_>>(), [2, 1]);
         assert_eq!(lists[0].endpoints[1].uid, r#"}]"{\"#);
     }
     let mut reader = ListReader::default();
-    let mut whole = |bytes: &[u8]| reader.read_frame(bytes, |_| {}).expect("the frame is valid");
-    assert!(whole(b"\n"), "a blank line counts as complete");
-    assert!(!whole(b"{"), "the beginning of a list does not count as complete");
-    assert!(!whole(b" \n "), "blanks within a list do not count as complete");
+    let mut is_complete = |bytes: &[u8]| reader.read_frame(bytes, |_| {}).expect("the frame is valid");
+    assert!(is_complete(b"\n"), "a blank line counts as complete");
+    assert!(!is_complete(b"{"), "the beginning of a list does not count as complete");
+    assert!(!is_complete(b" \n "), "blanks within a list do not count as complete");
 }
 
 // Guards against passing on part of a list that is cut off, malformed in its last entry, or beyond the limits. Also
 // guards against buffering more of a list than the limit allows.
 #[test]
 fn malformed_list_yields_no_event() {
-    let cut_off = list_with_end(LISTED, "");
+    let cut_off = list_with_end(ENTRIES, "");
     let mut reader = ListReader::default();
-    let (lists, error) = read(&mut reader, cut_off.as_bytes(), FRAME);
+    let (lists, error) = read(&mut reader, cut_off.as_bytes(), FRAME_BYTES);
     assert!(lists.is_empty() && error.is_none(), "{error:?}");
     assert_eq!(reader.unfinished_bytes(), cut_off.len());
 
-    let malformed = list_with_end(LISTED, ",{\"uid\":\"s-x\"}]}\n");
+    let malformed = list_with_end(ENTRIES, ",{\"uid\":\"s-x\"}]}\n");
     let too_many = list(MAX_ENTRIES + 1);
     let too_large =
         format!("{{\"rev\":1,\"all\":true,\"targets\":[],\"origin\":\"{}\"}}", "x".repeat(MAX_LIST_BYTES));
-    for (what, text) in [("malformed", malformed), ("too many", too_many), ("too large", too_large)] {
+    for (case, text) in [("malformed", malformed), ("too many", too_many), ("too large", too_large)] {
         let mut reader = ListReader::default();
-        let (lists, error) = read(&mut reader, text.as_bytes(), FRAME);
-        let error = error.unwrap_or_else(|| panic!("{what} is an error"));
-        let expected = match what {
+        let (lists, error) = read(&mut reader, text.as_bytes(), FRAME_BYTES);
+        let error = error.unwrap_or_else(|| panic!("{case} is an error"));
+        let expected = match case {
             "malformed" => matches!(error, ListError::Malformed(_)),
             "too many" => matches!(error, ListError::TooManyEntries),
             _ => matches!(error, ListError::TooLarge),
         };
-        assert!(expected, "{what}: {error:?}");
-        assert!(lists.is_empty(), "{what}");
-        assert_eq!(error.to_string().lines().count(), 1, "{what}: one line");
-        assert!(reader.unfinished_bytes() <= MAX_LIST_BYTES, "{what}");
+        assert!(expected, "{case}: {error:?}");
+        assert!(lists.is_empty(), "{case}");
+        assert_eq!(error.to_string().lines().count(), 1, "{case}: one line");
+        assert!(reader.unfinished_bytes() <= MAX_LIST_BYTES, "{case}");
     }
 }
 
@@ -110,9 +110,9 @@
 fn list_beyond_the_limits_fails_before_its_end() {
     let too_many = list_with_end(MAX_ENTRIES + 1, "");
     let too_large = format!("{{\"origin\":\"{}", "x".repeat(MAX_LIST_BYTES));
-    let (_, error) = read(&mut ListReader::default(), too_many.as_bytes(), FRAME);
+    let (_, error) = read(&mut ListReader::default(), too_many.as_bytes(), FRAME_BYTES);
     assert!(matches!(error, Some(ListError::TooManyEntries)), "{error:?}");
-    let (_, error) = read(&mut ListReader::default(), too_large.as_bytes(), FRAME);
+    let (_, error) = read(&mut ListReader::default(), too_large.as_bytes(), FRAME_BYTES);
     assert!(matches!(error, Some(ListError::TooLarge)), "{error:?}");
 }
 
@@ -122,7 +122,7 @@
 fn largest_allowed_list_is_read() {
     let text = list(MAX_ENTRIES);
     assert!(text.len() <= MAX_LIST_BYTES, "{} bytes", text.len());
-    let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME);
+    let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME_BYTES);
     assert!(error.is_none(), "{error:?}");
     assert_eq!(lists[0].endpoints.len(), MAX_ENTRIES);
     assert!(lists[0].endpoints.iter().all(|target| target.state == EndpointState::Active));
--- a/crates/forwarder/tests/metrics.rs
+++ b/crates/forwarder/tests/metrics.rs
@@ -6,12 +6,12 @@
 // process, and against losing a time beyond the largest bucket.
 #[test]
 fn latency_buckets_are_cumulative() {
-    let mut figures = Metrics::default();
-    figures.on_accepted(5);
+    let mut metrics = Metrics::default();
+    metrics.on_accepted(5);
     for after in [Some(100), Some(90), Some(40_000), Some(i64::MAX), None] {
-        figures.on_delivered("orders", after);
+        metrics.on_delivered("orders", after);
     }
-    let lines = figures.render_latency();
+    let lines = metrics.render_latency();
     let counts: Vec<(&str, u64)> = lines
         .lines()
         .map(|line| {
@@ -23,23 +23,23 @@
     assert_eq!(counts.iter().map(|(_, count)| *count).collect::<Vec<_>>(), [1, 2, 3, 4, 4], "{lines}");
     assert_eq!((counts[0].0, counts[1].0, counts[4].0), ("90", "100", "+Inf"));
     assert!(counts[2].0.parse::<u64>().is_ok_and(|us| (40_000..40_600).contains(&us)), "{lines}");
-    assert_eq!(figures.ends()["orders"].success, 5);
+    assert_eq!(metrics.ends()["orders"].success, 5);
 }
 
 // Guards against a class that has no line before its first ended message, and against a change in the form of the
 // lines.
 #[test]
 fn every_class_is_rendered_from_the_start() {
-    let mut figures = Metrics::default();
-    figures.register_classes(&["orders".to_owned(), "st\"atus".to_owned()]);
-    figures.on_accepted(2);
-    figures.on_ended("orders", MessageEnd::Success);
-    figures.on_ended_before_accepted("orders", MessageEnd::Overload);
-    figures.on_dispatched(3);
-    assert_eq!(figures.open_messages(), 1);
+    let mut metrics = Metrics::default();
+    metrics.register_classes(&["orders".to_owned(), "st\"atus".to_owned()]);
+    metrics.on_accepted(2);
+    metrics.on_ended("orders", MessageEnd::Success);
+    metrics.on_ended_before_accepted("orders", MessageEnd::Overload);
+    metrics.on_dispatched(3);
+    assert_eq!(metrics.open_messages(), 1);
     let gauges = Gauges { open_messages: 1, endpoints: 4, avoided_endpoints: 2 };
     assert_eq!(
-        figures.render(gauges),
+        metrics.render(gauges),
         "app_success{type=\"orders\"} 1\napp_overload{type=\"orders\"} 1\napp_error{type=\"orders\"} 0\n\
          app_success{type=\"st\\\"atus\"} 0\napp_overload{type=\"st\\\"atus\"} 0\n\
          app_error{type=\"st\\\"atus\"} 0\napp_dispatches 3\napp_concurrent 1\napp_targets 4\n\
--- a/crates/forwarder/tests/wire_client.rs
+++ b/crates/forwarder/tests/wire_client.rs
@@ -38,10 +38,14 @@
 
 type Submitted = Rc<RefCell<Vec<Submission>>>;
 
-async fn decide(gateway: Rc<ClientGateway>, mut inputs: UnboundedReceiver<Input>, submitted: Submitted) {
+async fn answer_submissions(
+    gateway: Rc<ClientGateway>,
+    mut inputs: UnboundedReceiver<Input>,
+    submitted: Submitted,
+) {
     while let Some(input) = inputs.recv().await {
-        if let Input::Submitted { request: ticket, message } = input {
-            gateway.answer(ticket, answer_to(&message.class));
+        if let Input::Submitted { request: request_id, message } = input {
+            gateway.answer(request_id, answer_to(&message.class));
             submitted.borrow_mut().push(message);
         }
     }
@@ -60,37 +64,40 @@
 }
 
 /// Sends each request on its own connection. Returns the text of the conversations, and the submissions.
-fn talk(requests: &[String]) -> (String, Vec<Submission>) {
+fn exchange_all(requests: &[String]) -> (String, Vec<Submission>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
-        let at = listener.local_addr().expect("has a local address");
+        let address = listener.local_addr().expect("has a local address");
         let (sender, inputs) = unbounded_channel();
         let (gateway, submitted) = (ClientGateway::new(sender), Submitted::default());
         tokio::task::spawn_local(listen(listener, gateway.clone(), ClientConnections::new(64)));
-        tokio::task::spawn_local(decide(gateway, inputs, submitted.clone()));
-        let mut said = String::new();
+        tokio::task::spawn_local(answer_submissions(gateway, inputs, submitted.clone()));
+        let mut conversation = String::new();
         for request in requests {
-            let stream = TcpStream::connect(at).await.expect("connects");
+            let stream = TcpStream::connect(address).await.expect("connects");
             let answer = exchange(stream, request).await;
-            said += &format!("{}{}\n", side("> ", request.as_bytes()), side("< ", &answer));
+            conversation += &format!("{}{}\n", side("> ", request.as_bytes()), side("< ", &answer));
         }
-        (said, submitted.take())
+        (conversation, submitted.take())
     })
 }
 
-/// Returns a submission with `more` lines in its head in addition to the required ones.
-fn submission(path: &str, more: &str) -> String {
-    let needed = "X-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\nX-Remaining: 0.480\r\nX-Consignee: dest=7\r\n";
-    format!("POST /{path} HTTP/1.1\r\nHost: origin.svc\r\n{needed}{more}Content-Length: 5\r\n\r\nhello")
+/// Returns a submission with `extra_headers` lines in its head in addition to the required ones.
+fn submission(path: &str, extra_headers: &str) -> String {
+    let required_headers =
+        "X-Txn: 9b1f03aa5c7e2d41\r\nX-Org: acme\r\nX-Remaining: 0.480\r\nX-Consignee: dest=7\r\n";
+    format!(
+        "POST /{path} HTTP/1.1\r\nHost: origin.svc\r\n{required_headers}{extra_headers}Content-Length: 5\r\n\r\nhello"
+    )
 }
 
-/// Returns a submission in which `instead` replaces `line`.
-fn with(line: &str, instead: &str) -> String {
-    let changed = submission("status", "").replace(line, instead);
-    assert_ne!(changed, submission("status", ""), "{line}");
-    changed
+/// Returns a submission in which `replacement` replaces `line`.
+fn submission_with(line: &str, replacement: &str) -> String {
+    let modified = submission("status", "").replace(line, replacement);
+    assert_ne!(modified, submission("status", ""), "{line}");
+    modified
 }
 
 #[test]
@@ -105,50 +112,52 @@
         "no-class",
         "no-destination",
     ];
-    let (said, submitted) = talk(&paths.map(|path| submission(path, "")));
-    assert_golden("client_answers.txt", &said);
+    let (conversation, submitted) = exchange_all(&paths.map(|path| submission(path, "")));
+    assert_golden("client_answers.txt", &conversation);
     assert_eq!(submitted.len(), paths.len());
 }
 
 #[test]
-fn each_refusal_of_a_request_stays_the_same() {
+fn each_error_response_stays_the_same() {
     let requests = [
         "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
         "HEAD /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
         "POST /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".to_owned(),
         "GET /status HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
         "POST /status HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".to_owned(),
-        with("Content-Length: 5\r\n\r\nhello", "Content-Length: 65537\r\n\r\n"),
-        with("X-Txn: 9b1f03aa5c7e2d41\r\n", ""),
-        with("X-Org: acme", "X-Org: "),
-        with("X-Remaining: 0.480\r\n", ""),
-        with("X-Remaining: 0.480", "X-Remaining: soon"),
-        with("X-Consignee: dest=7\r\n", ""),
-        with("X-Consignee: dest=7", "X-Consignee: 7"),
+        submission_with("Content-Length: 5\r\n\r\nhello", "Content-Length: 65537\r\n\r\n"),
+        submission_with("X-Txn: 9b1f03aa5c7e2d41\r\n", ""),
+        submission_with("X-Org: acme", "X-Org: "),
+        submission_with("X-Remaining: 0.480\r\n", ""),
+        submission_with("X-Remaining: 0.480", "X-Remaining: soon"),
+        submission_with("X-Consignee: dest=7\r\n", ""),
+        submission_with("X-Consignee: dest=7", "X-Consignee: 7"),
         submission("status", "Idempotency-Key: a\r\nIdempotency-Key: b\r\n"),
         submission("status", "Idempotency-Key: \r\n"),
         "NONSENSE\r\n\r\n".to_owned(),
     ];
-    let (said, submitted) = talk(&requests);
-    assert_golden("client_refusals.txt", &said);
+    let (conversation, submitted) = exchange_all(&requests);
+    assert_golden("client_refusals.txt", &conversation);
     assert!(submitted.is_empty());
 }
 
 #[test]
-fn a_forwarder_that_ends_says_so_at_its_health_address() {
+fn health_check_reports_a_shutdown() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
-    let said = LocalSet::new().block_on(&runtime, async {
-        let (near, far) = tokio::io::duplex(4096);
+    let conversation = LocalSet::new().block_on(&runtime, async {
+        let (client_stream, server_stream) = tokio::io::duplex(4096);
         let gateway = ClientGateway::new(unbounded_channel().0);
         let service = service_fn(move |request| {
             let gateway = gateway.clone();
             async move { Ok::<_, Infallible>(respond(&gateway, request, true).await) }
         });
-        tokio::task::spawn_local(http1::Builder::new().serve_connection(TokioIo::new(far), service));
-        exchange(near, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await
+        tokio::task::spawn_local(
+            http1::Builder::new().serve_connection(TokioIo::new(server_stream), service),
+        );
+        exchange(client_stream, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await
     });
-    assert_golden("client_ending.txt", &side("< ", &said));
+    assert_golden("client_ending.txt", &side("< ", &conversation));
 }
 
 #[test]
@@ -161,7 +170,7 @@
         submission("status", mark),
         submission("status", "X-Handover: {\"from\":\"n1\"}\r\n"),
     ];
-    let (_, submitted) = talk(&requests);
+    let (_, submitted) = exchange_all(&requests);
     let [whole, plain, handed_over, malformed] = &submitted[..] else { panic!("{submitted:?}") };
     assert_eq!((&whole.id[..], &whole.class[..]), ("9b1f03aa5c7e2d41", "orders"));
     assert_eq!((whole.tenant.as_deref(), whole.idempotency_key.as_deref()), (Some("acme"), Some("5c0f6e1a")));
@@ -178,9 +187,9 @@
     };
     assert_eq!((&mark.from[..], mark.attempts), ("n1", 3));
     assert_eq!((mark.deadline, mark.valid_until), (1_800_000_000_000_000, 1_800_000_000_400_000));
-    let ran = mark.possible_delivery.as_ref().expect("the mark has a possible delivery");
+    let possible_delivery = mark.possible_delivery.as_ref().expect("the mark has a possible delivery");
     assert_eq!(
-        (ran.started_at, &ran.endpoint[..], &ran.zone[..]),
+        (possible_delivery.started_at, &possible_delivery.endpoint[..], &possible_delivery.zone[..]),
         (1_799_999_999_000_000, "s-5be2a07c", "b")
     );
 }
--- a/crates/forwarder/tests/wire_config.rs
+++ b/crates/forwarder/tests/wire_config.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_example_is_read_as_before() {
+fn example_configuration_keeps_its_values() {
     let config =
         Config::read(EXAMPLE, Some("127.0.0.1:1"), Some("127.0.0.1:2")).expect("the configuration is valid");
     assert_eq!((&config.name[..], config.listen.port()), ("n0", 1));
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 
 #[test]
-fn lines_that_are_no_call_are_answered_as_before() {
+fn replies_to_invalid_lines_stay_the_same() {
     let long = [vec![b'x'; MAX_LINE_BYTES + 1], b"\n".to_vec()].concat();
     let lines: [&[u8]; 12] = [
         b"\n",
@@ -36,13 +36,13 @@
         b"disable-server \xff\n",
         &long,
     ];
-    let mut said = String::new();
+    let mut conversation = String::new();
     for line in lines {
         let error = parse_input(line).expect("a complete line").expect_err("the line is not a command");
         let text = String::from_utf8_lossy(&line[..line.len().min(40)]).escape_debug().to_string();
-        said += &format!("> {text}\n< {}", ConsoleReply::from(error));
+        conversation += &format!("> {text}\n< {}", ConsoleReply::from(error));
     }
-    assert_golden("console_errors.txt", &said);
+    assert_golden("console_errors.txt", &conversation);
     let endless = parse_input(&long[..=MAX_LINE_BYTES])
         .expect("the line is too long")
         .expect_err("the line is not a command");
@@ -54,7 +54,7 @@
     reducer: Reducer,
     now: Micros,
     disk_is_full: bool,
-    tickets: RequestId,
+    last_request: RequestId,
     offers: VecDeque<u64>,
     answers: Vec<SubmitAnswer>,
     replies: Vec<String>,
@@ -66,7 +66,7 @@
             reducer: reducer(shape, &[], START),
             now: START,
             disk_is_full: false,
-            tickets: 0,
+            last_request: 0,
             offers: VecDeque::new(),
             answers: Vec::new(),
             replies: Vec::new(),
@@ -80,10 +80,10 @@
         while let Some(input) = inputs.pop_front() {
             for effect in self.reducer.step(self.now, input) {
                 match effect {
-                    Effect::Append { append: receipt, .. }
-                    | Effect::ReportJournalFull { append: receipt } => {
+                    Effect::Append { append: append_id, .. }
+                    | Effect::ReportJournalFull { append: append_id } => {
                         let stored = !self.disk_is_full;
-                        inputs.push_back(Input::Appended { append: receipt, stored, size: 1000 });
+                        inputs.push_back(Input::Appended { append: append_id, stored, size: 1000 });
                     }
                     Effect::Offer(offer) => self.offers.push_back(offer.id),
                     Effect::Answer { answer, .. } => self.answers.push(answer),
@@ -95,34 +95,40 @@
     }
 
     /// Sends a line to the console. Returns the line and the reply.
-    fn say(&mut self, line: &str) -> String {
+    fn send_line(&mut self, line: &str) -> String {
         let call: Command =
             parse_input(format!("{line}\n").as_bytes()).expect("a complete line").expect("a valid command");
-        self.tickets += 1;
-        self.input(Input::Operator { request: self.tickets, call });
+        self.last_request += 1;
+        self.input(Input::Operator { request: self.last_request, call });
         format!("> {line}\n< {}", self.replies.pop().expect("a reply arrives"))
     }
 
-    fn submit(&mut self, txn: &str, dest: DestinationId, org: Option<&str>, marked: ReceivedMark) {
-        self.tickets += 1;
+    fn submit(
+        &mut self,
+        message_id: &str,
+        dest: DestinationId,
+        tenant_name: Option<&str>,
+        mark: ReceivedMark,
+    ) {
+        self.last_request += 1;
         let message = Submission {
-            id: txn.to_owned(),
+            id: message_id.to_owned(),
             class: "status".to_owned(),
-            tenant: org.map(str::to_owned),
+            tenant: tenant_name.map(str::to_owned),
             idempotency_key: None,
             destination: dest,
             time_left: 7 * S,
             is_retry: false,
-            handover_mark: marked,
+            handover_mark: mark,
             body: Bytes::from_static(b"hello"),
         };
-        self.input(Input::Submitted { request: self.tickets, message });
+        self.input(Input::Submitted { request: self.last_request, message });
         // The reducer accepts messages that arrive together as one batch, shortly afterwards.
         self.now += S / 100;
         self.input(Input::TimerDue);
     }
 
-    fn offer_ends(&mut self, end: OfferOutcome) {
+    fn end_offer(&mut self, end: OfferOutcome) {
         let id = self.offers.pop_front().expect("an offer was made");
         self.input(Input::OfferEnded { id, outcome: end });
     }
@@ -131,9 +137,9 @@
 #[test]
 fn replies_of_the_console_stay_the_same() {
     let mut forwarder = Forwarder::new(Shape::First);
-    let mut said = forwarder.say("ready");
+    let mut conversation = forwarder.send_line("ready");
     forwarder.input(Input::AcceptingClients);
-    said += &forwarder.say("ready");
+    conversation += &forwarder.send_line("ready");
     for line in [
         "disable-server s-x",
         "enable-server s-x",
@@ -143,35 +149,35 @@
         "enable-server s-c",
         "show-latency",
     ] {
-        said += &forwarder.say(line);
+        conversation += &forwarder.send_line(line);
     }
     forwarder.disk_is_full = true;
-    said += &forwarder.say("disable-server s-c");
-    let figures = "lines of the fleet's policy 1\n".to_owned();
+    conversation += &forwarder.send_line("disable-server s-c");
+    let counters = "lines of the fleet's policy 1\n".to_owned();
     let unready_reason = Some("a reason of the fleet's policy".to_owned());
-    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, metrics: figures }));
-    said += &forwarder.say("ready");
-    said += &forwarder.say("show-stat");
-    assert_golden("console_replies.txt", &said);
+    forwarder.input(Input::PolicyStatus(PolicyStatus { unready_reason, metrics: counters }));
+    conversation += &forwarder.send_line("ready");
+    conversation += &forwarder.send_line("show-stat");
+    assert_golden("console_replies.txt", &conversation);
 }
 
 #[test]
 fn metric_names_stay_the_same() {
-    let mut figures = Metrics::default();
-    figures.register_classes(&["orders".to_owned(), "st\"at\\us".to_owned()]);
-    figures.on_accepted(9);
+    let mut counters = Metrics::default();
+    counters.register_classes(&["orders".to_owned(), "st\"at\\us".to_owned()]);
+    counters.on_accepted(9);
     for class in ["orders", "st\"at\\us"] {
-        figures.on_delivered(class, Some(1_000));
-        figures.on_delivered(class, Some(1_000));
-        figures.on_delivered(class, Some(40_000));
-        figures.on_ended(class, MessageEnd::Error);
-        figures.on_ended_before_accepted(class, MessageEnd::Overload);
+        counters.on_delivered(class, Some(1_000));
+        counters.on_delivered(class, Some(1_000));
+        counters.on_delivered(class, Some(40_000));
+        counters.on_ended(class, MessageEnd::Error);
+        counters.on_ended_before_accepted(class, MessageEnd::Overload);
     }
-    figures.on_left_this_process();
-    figures.on_dispatched(11);
+    counters.on_left_this_process();
+    counters.on_dispatched(11);
     let gauges = Gauges { open_messages: 12, endpoints: 13, avoided_endpoints: 14 };
-    let said = format!("{}\n{}", figures.render(gauges), figures.render_latency());
-    assert_golden("metrics.txt", &said);
+    let conversation = format!("{}\n{}", counters.render(gauges), counters.render_latency());
+    assert_golden("metrics.txt", &conversation);
 }
 
 /// A fleet in which another forwarder owns destination 1.
@@ -210,7 +216,7 @@
 }
 
 #[test]
-fn names_of_the_figures_of_owners_stay_the_same() {
+fn names_of_owner_metrics_stay_the_same() {
     let mut forwarder = Forwarder::new(Shape::First);
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
     let deadline = forwarder.now + 6 * S;
@@ -226,28 +232,28 @@
     forwarder.submit("from-a-member", 2, Some("acme"), mark(PEER));
     forwarder.submit("from-a-stranger", 3, Some("acme"), mark("n9"));
     forwarder.submit("taken", 1, Some("acme"), ReceivedMark::Absent);
-    forwarder.offer_ends(OfferOutcome::Accepted);
+    forwarder.end_offer(OfferOutcome::Accepted);
     forwarder.submit("unanswered", 1, Some("acme"), ReceivedMark::Absent);
-    forwarder.offer_ends(OfferOutcome::InDoubt("no answer".to_owned()));
+    forwarder.end_offer(OfferOutcome::InDoubt("no answer".to_owned()));
     forwarder.submit("unreached", 1, Some("acme"), ReceivedMark::Absent);
     for _ in 0..40 {
         while !forwarder.offers.is_empty() {
-            forwarder.offer_ends(OfferOutcome::NotSent("nobody there".to_owned()));
+            forwarder.end_offer(OfferOutcome::NotSent("nobody there".to_owned()));
         }
         forwarder.now += S / 10;
         forwarder.input(Input::TimerDue);
     }
-    assert_golden("metrics_of_owners.txt", &forwarder.say("show-stat"));
+    assert_golden("metrics_of_owners.txt", &forwarder.send_line("show-stat"));
 }
 
 #[test]
-fn what_a_submission_lacks_is_said_as_before() {
+fn errors_of_incomplete_submissions_stay_the_same() {
     let mut forwarder = Forwarder::new(Shape::First);
     forwarder.submit("no-tenant", 2, None, ReceivedMark::Absent);
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
     forwarder.submit("bad-mark", 2, Some("acme"), ReceivedMark::Malformed);
-    let mut keyed = Forwarder::new(Shape::Second);
-    keyed.tickets += 1;
+    let mut second_deployment = Forwarder::new(Shape::Second);
+    second_deployment.last_request += 1;
     let message = Submission {
         id: "no-key".to_owned(),
         class: "bread".to_owned(),
@@ -259,13 +265,14 @@
         handover_mark: ReceivedMark::Absent,
         body: Bytes::new(),
     };
-    keyed.input(Input::Submitted { request: keyed.tickets, message });
-    let words = |answer: &SubmitAnswer| match answer {
-        SubmitAnswer::Incomplete(words) => *words,
+    second_deployment.input(Input::Submitted { request: second_deployment.last_request, message });
+    let text_of = |answer: &SubmitAnswer| match answer {
+        SubmitAnswer::Incomplete(text_of) => *text_of,
         other => panic!("{other:?}"),
     };
-    let said: Vec<_> = forwarder.answers.iter().chain(&keyed.answers).map(words).collect();
+    let conversation: Vec<_> =
+        forwarder.answers.iter().chain(&second_deployment.answers).map(text_of).collect();
     let expected =
         ["X-Org: missing\n", "X-Handover: malformed\n", "Idempotency-Key: missing, its class has one\n"];
-    assert_eq!(said, expected);
+    assert_eq!(conversation, expected);
 }
--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -27,15 +27,15 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Runs a server that reads one request, gives this answer and keeps the connection open, and `near` as its client.
-/// Returns the request, and the result of `near`.
-fn asked<T>(answer: &str, near: impl AsyncFnOnce(SocketAddr) -> T) -> (Vec<u8>, T) {
+/// Runs a server that reads one request, gives this answer and keeps the connection open, and `client` as its client.
+/// Returns the request, and the result of `client`.
+fn serve_once<T>(answer: &str, client: impl AsyncFnOnce(SocketAddr) -> T) -> (Vec<u8>, T) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
-        let at = listener.local_addr().expect("has a local address");
-        let far = async {
+        let address = listener.local_addr().expect("has a local address");
+        let server = async {
             let (mut stream, _) = listener.accept().await.expect("a connection arrives");
             let mut request = Vec::new();
             while whole_length(&request, true).is_none_or(|length| request.len() < length) {
@@ -47,24 +47,24 @@
             stream.write_all(answer.as_bytes()).await.expect("the write succeeds");
             (request, stream)
         };
-        let ((request, _), came) = tokio::join!(far, near(at));
-        (request, came)
+        let ((request, _), result) = tokio::join!(server, client(address));
+        (request, result)
     })
 }
 
-fn soon() -> Instant {
+fn test_deadline() -> Instant {
     Instant::now() + Duration::from_secs(20)
 }
 
 /// Sends a call to an endpoint that gives this answer. Returns the request and the reply.
 fn call(call: EndpointCall, answer: &str) -> (Vec<u8>, EndpointReply) {
-    asked(answer, async |at| {
-        let ((orders, taken), (sender, mut inputs)) = (unbounded_channel(), unbounded_channel());
-        tokio::task::spawn_local(run(1, at, soon(), taken, sender));
+    serve_once(answer, async |address| {
+        let ((calls, call_receiver), (sender, mut inputs)) = (unbounded_channel(), unbounded_channel());
+        tokio::task::spawn_local(run(1, address, test_deadline(), call_receiver, sender));
         loop {
             match inputs.recv().await.expect("the call ends") {
-                Input::ConnectionUp { .. } => orders
-                    .send(ScheduledCall { call: call.clone(), deadline: soon() })
+                Input::ConnectionUp { .. } => calls
+                    .send(ScheduledCall { call: call.clone(), deadline: test_deadline() })
                     .expect("the connection task is running"),
                 Input::CallAnswered { reply, .. } => return reply,
                 Input::ConnectionClosed { error, .. } => panic!("{error}"),
@@ -74,7 +74,7 @@
     })
 }
 
-fn part(txn: &str, key: Option<&str>, body: &'static [u8]) -> CallMessage {
+fn message(txn: &str, key: Option<&str>, body: &'static [u8]) -> CallMessage {
     CallMessage {
         id: txn.to_owned(),
         idempotency_key: key.map(str::to_owned),
@@ -82,17 +82,17 @@
     }
 }
 
-fn single(key: Option<&str>) -> EndpointCall {
+fn single_call(key: Option<&str>) -> EndpointCall {
     EndpointCall {
-        messages: vec![part("9b1f03aa5c7e2d41", key, b"hello")],
+        messages: vec![message("9b1f03aa5c7e2d41", key, b"hello")],
         is_bulk: false,
         time_left: 1_500_000,
         deadline: 0,
     }
 }
 
-fn several() -> EndpointCall {
-    let messages = vec![part("9b1f", Some("5c\"0f"), b"hello"), part("9b20", None, b"\xff\x00")];
+fn bulk_call() -> EndpointCall {
+    let messages = vec![message("9b1f", Some("5c\"0f"), b"hello"), message("9b20", None, b"\xff\x00")];
     EndpointCall { messages, is_bulk: true, time_left: 2_000_400, deadline: 0 }
 }
 
@@ -100,31 +100,36 @@
 
 #[test]
 fn calls_to_endpoints_stay_the_same() {
-    let ends = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]";
-    let one = EndpointCall { messages: several().messages[..1].to_vec(), ..several() };
-    let said = [(single(None), OK), (single(Some("5c0f6e1a")), OK), (several(), ends), (one, ends)]
-        .map(|(it, answer)| side("> ", &call(it, answer).0));
-    assert_golden("calls.txt", &said.join("\n"));
+    let bulk_answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]";
+    let bulk_call_of_one = EndpointCall { messages: bulk_call().messages[..1].to_vec(), ..bulk_call() };
+    let request_text = [
+        (single_call(None), OK),
+        (single_call(Some("5c0f6e1a")), OK),
+        (bulk_call(), bulk_answer),
+        (bulk_call_of_one, bulk_answer),
+    ]
+    .map(|(it, answer)| side("> ", &call(it, answer).0));
+    assert_golden("calls.txt", &request_text.join("\n"));
 }
 
 #[test]
 fn headers_of_an_endpoints_answer_are_read_by_their_names() {
-    let told = "HTTP/1.1 503 Service Unavailable\r\nX-Come-Back-Ms: 250\r\nX-Line-Busy: 1\r\n\
+    let answer = "HTTP/1.1 503 Service Unavailable\r\nX-Come-Back-Ms: 250\r\nX-Line-Busy: 1\r\n\
                 X-Pressure: x0=0.4,x1=25\r\nContent-Length: 4\r\n\r\nbusy";
-    let (_, reply) = call(single(None), told);
+    let (_, reply) = call(single_call(None), answer);
     assert_eq!((reply.status, reply.retry_after_ms, reply.line_busy), (503, 250, true));
     assert_eq!(
         (reply.reported_limit, reply.reported_remaining, reply.is_bulk),
         (Some(25.0), Some(0.4), false)
     );
     assert_eq!(reply.body, Bytes::from_static(b"busy"));
-    let (_, reply) = call(single(None), OK);
+    let (_, reply) = call(single_call(None), OK);
     assert_eq!((reply.status, reply.retry_after_ms, reply.line_busy), (200, 0, false));
     assert_eq!((reply.reported_limit, reply.reported_remaining), (None, None));
 }
 
 #[test]
-fn each_state_in_an_answer_for_several_is_read_by_its_word() {
+fn each_state_in_a_bulk_reply_is_read_by_its_name() {
     let body = r#"[{"id":"a","state":"accepted"},{"id":"b","state":"fault"},{"id":"c","state":"deferred"},
         {"id":"d","state":"expired"},{"id":"e","state":"no_more"}]"#;
     let reply = EndpointReply {
@@ -134,8 +139,8 @@
         ..EndpointReply::default()
     };
     assert!(reply.is_readable());
-    let got = message_results(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
-    let got: Vec<_> = got.iter().map(|end| (end.outcome, end.message_finished)).collect();
+    let results = message_results(&reply, &["a", "b", "c", "d", "e"].map(str::to_owned));
+    let results: Vec<_> = results.iter().map(|result| (result.outcome, result.message_finished)).collect();
     let expected = [
         (Outcome::Success, false),
         (Outcome::Error, false),
@@ -143,29 +148,29 @@
         (Outcome::NotSent, true),
         (Outcome::NotSent, false),
     ];
-    assert_eq!(got, expected);
+    assert_eq!(results, expected);
 }
 
 #[test]
-fn notices_stay_the_same() {
+fn notifications_stay_the_same() {
     let notices = vec![
         ("9b1f".to_owned(), FinalAnswer::Failed),
         ("9b\"20".to_owned(), FinalAnswer::Rejected { retry_after_ms: 500 }),
         ("9b21".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 }),
     ];
-    for (answer, taken) in [
+    for (answer, is_accepted) in [
         ("HTTP/1.1 204 No Content\r\n\r\n", true),
         ("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", false),
     ] {
-        let (said, inputs) = asked(answer, async |at| {
+        let (request_text, inputs) = serve_once(answer, async |address| {
             let (sender, inputs) = unbounded_channel();
-            post(at, notices.clone(), sender).await;
+            post(address, notices.clone(), sender).await;
             inputs
         });
-        assert_golden("notices.txt", &side("> ", &said));
+        assert_golden("notices.txt", &side("> ", &request_text));
         let mut inputs = inputs;
         assert!(
-            matches!(inputs.try_recv(), Ok(Input::NotificationsPosted { accepted }) if accepted == taken),
+            matches!(inputs.try_recv(), Ok(Input::NotificationsPosted { accepted }) if accepted == is_accepted),
             "{answer}"
         );
     }
@@ -175,13 +180,13 @@
 fn the_watch_on_discovery_stays_the_same() {
     let lists = include_str!("fixtures/wire/lists.txt");
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{lists}", lists.len());
-    let (said, told) = asked(&answer, async |at| {
-        let told = Rc::new(RefCell::new(Vec::new()));
-        let updates = told.clone();
-        follow(at, 41, UpdateSender::new(move |news| updates.borrow_mut().push(news))).await;
-        told.take()
+    let (request_text, events) = serve_once(&answer, async |address| {
+        let events = Rc::new(RefCell::new(Vec::new()));
+        let updates = events.clone();
+        follow(address, 41, UpdateSender::new(move |event| updates.borrow_mut().push(event))).await;
+        events.take()
     });
-    assert_golden("watch.txt", &side("> ", &said));
+    assert_golden("watch.txt", &side("> ", &request_text));
     let target = |uid: &str, state, capacity_hint, checks| EndpointEntry {
         uid: uid.to_owned(),
         address: "10.1.0.18:8000".parse().expect("a valid address"),
@@ -214,11 +219,11 @@
             origin: "consul:5be2".to_owned(),
         },
     ];
-    assert_eq!(told, expected);
+    assert_eq!(events, expected);
 }
 
-fn offer(owner_address: SocketAddr, whole: bool) -> Box<OutgoingOffer> {
-    let ran = AttemptStart {
+fn offer(owner_address: SocketAddr, has_all_fields: bool) -> Box<OutgoingOffer> {
+    let attempt = AttemptStart {
         started_at: 1_799_999_999_000_000,
         endpoint: "s-5be2a07c".to_owned(),
         zone: "b".to_owned(),
@@ -227,8 +232,8 @@
     let message = AcceptedMessage {
         id: "9b1f03aa5c7e2d41".to_owned(),
         class: "orders".to_owned(),
-        tenant: if whole { "acme".to_owned() } else { String::new() },
-        idempotency_key: whole.then(|| "5c0f6e1a".to_owned()),
+        tenant: if has_all_fields { "acme".to_owned() } else { String::new() },
+        idempotency_key: has_all_fields.then(|| "5c0f6e1a".to_owned()),
         destination: 7,
         deadline,
         attempts: 3,
@@ -241,38 +246,40 @@
         deadline,
         valid_until: 1_800_000_000_400_000,
         attempts: 3,
-        possible_delivery: whole.then_some(ran),
+        possible_delivery: has_all_fields.then_some(attempt),
     };
     let body = Bytes::from_static(b"hello");
     Box::new(OutgoingOffer { id: 5, owner_address, message, body, mark, answer_deadline: 0 })
 }
 
 /// Makes an offer that gets this answer. Returns the text of the request, without the time left, and the outcome.
-fn offered(answer: &str, whole: bool) -> (String, OfferOutcome) {
-    let (said, end) = asked(answer, async |at| {
+fn offered(answer: &str, has_all_fields: bool) -> (String, OfferOutcome) {
+    let (request_text, outcome) = serve_once(answer, async |address| {
         let (sender, mut inputs) = unbounded_channel();
-        let times = OfferTimes { answer_deadline: soon(), message_deadline: soon() };
-        Rc::new(PeerConnections::default()).offer(offer(at, whole), times, sender).await;
+        let times = OfferTimes { answer_deadline: test_deadline(), message_deadline: test_deadline() };
+        Rc::new(PeerConnections::default()).offer(offer(address, has_all_fields), times, sender).await;
         match inputs.recv().await {
             Some(Input::OfferEnded { id: 5, outcome }) => outcome,
             other => panic!("{other:?}"),
         }
     });
-    let said = side("> ", &said);
-    let line =
-        said.lines().find(|line| line.starts_with("> x-remaining: ")).expect("the request has the time left");
+    let request_text = side("> ", &request_text);
+    let line = request_text
+        .lines()
+        .find(|line| line.starts_with("> x-remaining: "))
+        .expect("the request has the time left");
     let left: f64 = line["> x-remaining: ".len()..].parse().expect("a number of seconds");
     assert!((10.0..=20.0).contains(&left), "{line}");
     assert_eq!(line.split_once('.').map(|(_, decimals)| decimals.len()), Some(6), "{line}");
-    (said.replace(line, "> x-remaining: SECONDS"), end)
+    (request_text.replace(line, "> x-remaining: SECONDS"), outcome)
 }
 
 #[test]
 fn offers_between_forwarders_stay_the_same() {
-    let taken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-    let (whole, bare) = (offered(taken, true), offered(taken, false));
-    assert_golden("offers.txt", &format!("{}\n{}", whole.0, bare.0));
-    assert_eq!((whole.1, bare.1), (OfferOutcome::Accepted, OfferOutcome::Accepted));
+    let accepted_answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+    let (has_all_fields, bare) = (offered(accepted_answer, true), offered(accepted_answer, false));
+    assert_golden("offers.txt", &format!("{}\n{}", has_all_fields.0, bare.0));
+    assert_eq!((has_all_fields.1, bare.1), (OfferOutcome::Accepted, OfferOutcome::Accepted));
 }
 
 #[test]
@@ -284,9 +291,9 @@
         ("400 Bad Request", OfferOutcome::Rejected(0)),
         ("404 Not Found", OfferOutcome::Rejected(0)),
     ] {
-        let (_, end) = offered(&format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"), true);
-        assert_eq!(end, expected, "{head}");
+        let (_, outcome) = offered(&format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"), true);
+        assert_eq!(outcome, expected, "{head}");
     }
-    let (_, end) = offered("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true);
-    assert!(matches!(end, OfferOutcome::InDoubt(_)), "{end:?}");
+    let (_, outcome) = offered("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true);
+    assert!(matches!(outcome, OfferOutcome::InDoubt(_)), "{outcome:?}");
 }
