--- a/crates/forwarder/src/client_connection.rs
+++ b/crates/forwarder/src/client_connection.rs
@@ -91,11 +91,11 @@
         tokio::select! {
             () = self.signals.close.notified() => {}
             _ = shutting_down.wait_for(|shutting_down| *shutting_down) => if !self.has_sent_request.get() {
-                // The first request of a new connection may still be on its way.
+                // The first request of a new connection may not have arrived yet.
                 sleep(LAST_BYTES_TIMEOUT).await;
             },
         }
-        // Lets the connection's task read what has arrived by now.
+        // Yields to the runtime, so that bytes that have already arrived are still read.
         tokio::task::yield_now().await;
     }
 
--- a/crates/forwarder/src/retry_after.rs
+++ b/crates/forwarder/src/retry_after.rs
@@ -1,8 +1,8 @@
 //! Reads the delay before the next attempt that a response asks for: `Retry-After` (RFC 9110, section 10.2.3) and an
 //! endpoint's own `X-Come-Back-Ms`.
 //!
-//! There are two readers of `Retry-After`. [`retry_after_ms`] accepts whole and decimal seconds and dates, for
-//! forwarders and discovery; [`retry_after_whole_seconds`] accepts only whole seconds, for Consul.
+//! There are two readers of `Retry-After`. [`retry_after_ms`] accepts whole and decimal seconds and dates, in responses
+//! of forwarders and discovery. [`retry_after_whole_seconds`] accepts only whole seconds, in responses of Consul.
 
 use hyper::HeaderMap;
 use hyper::header::RETRY_AFTER;
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -129,7 +129,7 @@
     if let Some(policy) = &policy {
         drop(timeout(DEREGISTER_TIMEOUT, policy.deregister()).await);
     }
-    log!("ends");
+    log!("forwarder ends");
     Ok(())
 }
 
