--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    async fn ask(&self, request: RequestId, command: Command) -> ConsoleReply {
+    async fn submit(&self, request: RequestId, command: Command) -> ConsoleReply {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(request, sender);
         // The channel is closed only when the forwarder ends.
@@ -135,7 +135,7 @@
     let Ok(command) = timeout(LINE_TIMEOUT, read_command(&mut stream)).await else { return };
     connection.on_line_complete();
     let reply = match command {
-        Some(Ok(command)) => connection.gateway.ask(connection.request, command).await,
+        Some(Ok(command)) => connection.gateway.submit(connection.request, command).await,
         Some(Err(error)) => error.into(),
         None => return,
     };
--- a/crates/forwarder/src/endpoint_connection.rs
+++ b/crates/forwarder/src/endpoint_connection.rs
@@ -178,7 +178,7 @@
         let response = exchange(&mut self.sender, self.address, call, body);
         let end = drive(response, &mut self.driver, calls, *deadline, &self.exchange).await;
         // For a single message, the status line alone tells whether it is delivered.
-        let is_delivered = !call.is_bulk && self.exchange.lock().response.says_delivered();
+        let is_delivered = !call.is_bulk && self.exchange.lock().response.confirms_delivery();
         match end {
             ExchangeEnd::Finished { response: Ok(reply), is_open } => {
                 let reusable = is_open && self.is_reusable(*deadline).await;
--- a/crates/forwarder/src/endpoint_exchange.rs
+++ b/crates/forwarder/src/endpoint_exchange.rs
@@ -75,15 +75,15 @@
         status: head.status.as_u16(),
         retry_after_ms: come_back_ms(&head.headers),
         line_busy: header_text(&head.headers, "X-Line-Busy") == Some("1"),
-        reported_limit: pressure(&head.headers, "x1"),
-        reported_remaining: pressure(&head.headers, "x0"),
+        reported_limit: pressure_value(&head.headers, "x1"),
+        reported_remaining: pressure_value(&head.headers, "x0"),
         is_bulk,
         body,
     }
 }
 
 /// Returns a number from the pairs in `X-Pressure`. A number that is negative or not finite counts as absent.
-fn pressure(headers: &HeaderMap, field: &str) -> Option<f64> {
+fn pressure_value(headers: &HeaderMap, field: &str) -> Option<f64> {
     let pairs = header_text(headers, "X-Pressure")?.split(',').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(name, _)| name.trim() == field).find_map(|(_, value)| non_negative_number(value))
 }
--- a/crates/forwarder/src/response_start.rs
+++ b/crates/forwarder/src/response_start.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether the status line is complete and its status is 200, whatever follows it.
-    pub(crate) fn says_delivered(&self) -> bool {
+    pub(crate) fn confirms_delivery(&self) -> bool {
         let response = self.final_response();
         let is_http_1 = response.starts_with(b"HTTP/1.0 ") || response.starts_with(b"HTTP/1.1 ");
         let status = response.get(b"HTTP/1.x ".len()..).unwrap_or_default();
