--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -129,7 +129,7 @@
     if let Some(policy) = &policy {
         drop(timeout(DEREGISTER_TIMEOUT, policy.deregister()).await);
     }
-    log!("forwarder ends");
+    log!("ends");
     Ok(())
 }
 
