--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -112,11 +112,11 @@
 
     /// Evicts the next connection if one has to go and one can be evicted.
     ///
-    /// At the limit, the connection that has been lingering longest is cut. Otherwise a connection is closed if serving
-    /// connections use places that are reserved for lingering ones, or if the limit is reached and no connection is
-    /// being closed or cut. The first choice is the connection whose first request is longest overdue. The second is the
-    /// one that has been idle longest. At the limit, the third is one that has only just connected. Returns `None` while
-    /// all are busy or closing.
+    /// At the limit, the connection that has been lingering longest is cut. Otherwise a connection is closed if
+    /// serving connections use places that are reserved for lingering ones, or if the limit is reached and no
+    /// connection is being closed or cut. The first choice is the connection whose first request is longest overdue.
+    /// The second is the one that has been idle longest. At the limit, the third is one that has only just connected.
+    /// Returns `None` while all are busy or closing.
     pub fn evict(&mut self, now: Instant) -> Option<Eviction> {
         if let Some(id) = self.longest_lingering() {
             self.set_state(id, ConnectionState::Cut, now);
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -45,7 +45,7 @@
     Operator {
         at: usize,
         which: usize,
-        out: bool,
+        ejected: bool,
     },
     /// Starts another process while the others run.
     Upgrade,
@@ -68,7 +68,7 @@
             21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(g) },
             32 => Step::Break(which),
             33..=39 => Step::Wait(which as Micros % 200_000),
-            40 | 41 => Step::Operator { at, which, out: flag },
+            40 | 41 => Step::Operator { at, which, ejected: flag },
             42 | 43 => Step::Upgrade,
             44 | 45 => Step::Terminate,
             46 => Step::Kill { at, after: which % 6 },
@@ -93,7 +93,7 @@
     pub links: BTreeMap<EndpointConnectionId, Link>,
     /// The inode of each other file, and the number of bytes read from it.
     pub read: BTreeMap<Generation, (u64, usize)>,
-    pub tickets: BTreeMap<RequestId, String>,
+    pub submitted_requests: BTreeMap<RequestId, String>,
     pub replies: BTreeMap<RequestId, console::ConsoleReply>,
     pub posting: Option<Vec<(String, FinalAnswer)>>,
     /// Whether the process has handed over its clients. It then polls no other journal.
@@ -108,11 +108,11 @@
     pub orders: bool,
     pub dest: u64,
     pub deadline: Micros,
-    pub taken_on: bool,
+    pub accepted: bool,
     pub calls: usize,
     pub may_have_run: bool,
     pub delivered: bool,
-    pub notices: BTreeSet<String>,
+    pub final_answers: BTreeSet<String>,
 }
 
 #[derive(Default)]
@@ -122,11 +122,11 @@
     pub started: usize,
     pub inodes: u64,
     pub files: BTreeMap<Generation, File>,
-    pub fates: BTreeMap<String, MessageState>,
+    pub messages: BTreeMap<String, MessageState>,
     /// The retry delays that endpoints asked for: the process that received it, the destination, and the end.
     pub waits: Vec<(Generation, u64, Micros)>,
     /// Endpoints that an operator has ejected, and the time of the reply `200`.
-    pub out: BTreeMap<String, Micros>,
+    pub ejected: BTreeMap<String, Micros>,
     pub upgrades: usize,
 }
 
@@ -162,7 +162,7 @@
             generation,
             links: BTreeMap::new(),
             read: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            submitted_requests: BTreeMap::new(),
             replies: BTreeMap::new(),
             posting: None,
             handed_over: false,
@@ -199,10 +199,12 @@
         let generation = self.processes[at].generation;
         match effect {
             Effect::Answer { request: request_id, answer } => {
-                let message_id =
-                    self.processes[at].tickets.remove(&request_id).expect("each request is answered once");
+                let message_id = self.processes[at]
+                    .submitted_requests
+                    .remove(&request_id)
+                    .expect("each request is answered once");
                 if answer == SubmitAnswer::Accepted {
-                    self.fates.get_mut(&message_id).expect("the message was submitted").taken_on = true;
+                    self.messages.get_mut(&message_id).expect("the message was submitted").accepted = true;
                 }
             }
             Effect::Reply { request: request_id, reply } => {
@@ -250,8 +252,8 @@
             }
             Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
-            Effect::PostNotifications { notifications: notices, .. } => {
-                assert!(self.processes[at].posting.replace(notices).is_none());
+            Effect::PostNotifications { notifications: final_answers, .. } => {
+                assert!(self.processes[at].posting.replace(final_answers).is_none());
             }
             Effect::StartWatch { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
         }
@@ -266,8 +268,11 @@
 
     pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
         let links = || self.processes.iter().flat_map(|process| process.links.values());
-        let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
-        assert!(ids(&call).all(|message_id| !out.contains(&message_id)), "a message is in flight twice");
+        let in_flight: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
+        assert!(
+            ids(&call).all(|message_id| !in_flight.contains(&message_id)),
+            "a message is in flight twice"
+        );
         assert!(
             links().filter(|link| link.call.is_some()).count() < MAX_CALLS,
             "the processes together exceed the limit on calls"
@@ -276,30 +281,30 @@
         let targets = super::targets();
         let target =
             targets.iter().find(|t| t.address.to_string() == *address).expect("the endpoint is listed");
-        let out = self.out.get(&target.uid);
+        let ejected = self.ejected.get(&target.uid);
         assert!(
-            out.is_none_or(|since| self.now - since <= DRAIN_GRACE),
+            ejected.is_none_or(|since| self.now - since <= DRAIN_GRACE),
             "the endpoint is ejected for all processes"
         );
         let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
         let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
         assert!(until <= self.now + 100_000, "a retry delay received by one process binds all");
         for message_id in ids(&call) {
-            let fate = self.fates.get_mut(message_id).expect("the message was submitted");
+            let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             assert!(
-                !fate.orders || !fate.may_have_run,
+                !message_state.orders || !message_state.may_have_run,
                 "a message that may not be repeated is sent twice: {message_id}"
             );
-            assert!(self.now < fate.deadline);
-            fate.calls += 1;
-            assert!(fate.calls <= 8, "more than eight attempts over all processes");
+            assert!(self.now < message_state.deadline);
+            message_state.calls += 1;
+            assert!(message_state.calls <= 8, "more than eight attempts over all processes");
         }
         self.processes[at].links.get_mut(&link).expect("the connection is open").call = Some(call);
     }
 
     pub fn may_have_run(&mut self, link: &Link) {
         for message_id in link.call.iter().flat_map(ids) {
-            self.fates.get_mut(message_id).expect("the message was submitted").may_have_run = true;
+            self.messages.get_mut(message_id).expect("the message was submitted").may_have_run = true;
         }
     }
 
@@ -380,17 +385,19 @@
     }
 
     pub fn submit(&mut self, at: usize, message_id: String, orders: bool, dest: u64, size: usize) {
-        let request_id = self.processes[at].tickets.keys().last().map_or(self.now as u64, |t| t + 1);
+        let request_id =
+            self.processes[at].submitted_requests.keys().last().map_or(self.now as u64, |t| t + 1);
         let time_left = if orders { 28 * S } else { 8 * S };
-        let fate = MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
-        self.fates.entry(message_id.clone()).or_insert(fate);
+        let message_state =
+            MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
+        self.messages.entry(message_id.clone()).or_insert(message_state);
         let class = if orders { "orders" } else { "status" }.to_owned();
         let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
         // As in the forwarder, the other journals are polled before a submission.
         let number = self.processes[at].number;
         self.look(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
-            self.processes[at].tickets.insert(request_id, message_id.clone());
+            self.processes[at].submitted_requests.insert(request_id, message_id.clone());
             let message = Submission {
                 id: message_id,
                 class,
@@ -418,12 +425,12 @@
             8 => (504, 0),
             _ => (429, 0),
         };
-        let dest = self.fates[ids(&call).next().expect("the call has a message")].dest;
+        let dest = self.messages[ids(&call).next().expect("the call has a message")].dest;
         let mut body = String::new();
         for (number, message_id) in ids(&call).enumerate() {
-            let fate = self.fates.get_mut(message_id).expect("the message was submitted");
-            fate.delivered |= status == 200;
-            fate.may_have_run |= status == 500 || status == 200;
+            let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
+            message_state.delivered |= status == 200;
+            message_state.may_have_run |= status == 500 || status == 200;
             body += &format!(
                 "{}{{\"id\":\"{message_id}\",\"state\":\"accepted\"}}",
                 if number > 0 { "," } else { "[" }
@@ -472,22 +479,23 @@
                     self.input(at, Input::TimerDue);
                 }
                 if let Some(at) = index_of(self)
-                    && let Some(notices) = self.processes[at].posting.take()
+                    && let Some(final_answers) = self.processes[at].posting.take()
                 {
-                    for (message_id, final_answer) in notices {
-                        let fate = self.fates.get_mut(&message_id).expect("the message was submitted");
+                    for (message_id, final_answer) in final_answers {
+                        let message_state =
+                            self.messages.get_mut(&message_id).expect("the message was submitted");
                         let is_allowed = !matches!(final_answer, FinalAnswer::Rejected { .. })
-                            || !fate.orders
-                            || !fate.may_have_run;
+                            || !message_state.orders
+                            || !message_state.may_have_run;
                         assert!(
                             is_allowed,
                             "a message that may have been delivered is rejected as repeatable: {message_id}"
                         );
-                        fate.notices.insert(format!("{final_answer:?}"));
+                        message_state.final_answers.insert(format!("{final_answer:?}"));
                         assert!(
-                            fate.notices.len() == 1,
+                            message_state.final_answers.len() == 1,
                             "two different final answers: {message_id} {:?}",
-                            fate.notices
+                            message_state.final_answers
                         );
                     }
                     self.input(at, Input::NotificationsPosted { accepted: true });
@@ -496,7 +504,7 @@
         }
     }
 
-    pub fn operate(&mut self, at: usize, uid: &str, out: bool) {
+    pub fn operate(&mut self, at: usize, uid: &str, ejected: bool) {
         let number = self.processes[at].number;
         self.now += 1;
         self.look(at);
@@ -505,19 +513,20 @@
         }
         let request_id = self.now as RequestId;
         let id = uid.to_owned();
-        let call = if out { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
+        let call =
+            if ejected { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
         self.input(at, Input::Operator { request: request_id, call });
         let process = self.processes.get(at).filter(|process| process.number == number);
         if process.is_some_and(|p| matches!(p.replies.get(&request_id), Some(console::ConsoleReply::Done(_))))
         {
-            if out {
-                self.out.entry(uid.to_owned()).or_insert(self.now);
+            if ejected {
+                self.ejected.entry(uid.to_owned()).or_insert(self.now);
             } else {
-                self.out.remove(uid);
+                self.ejected.remove(uid);
             }
         } else {
             // The process was killed before its reply, so the endpoint may be ejected or not.
-            self.out.remove(uid);
+            self.ejected.remove(uid);
         }
     }
 
@@ -534,7 +543,7 @@
                 self.submit(open[at % open.len()], format!("m{number}"), orders, dest, size);
             }
             Step::Resubmit { at, which } => {
-                let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
+                let known = self.messages.iter().filter(|(_, message_state)| message_state.accepted);
                 let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
                 if let Some((message_id, orders, dest)) =
                     known.map(|(message_id, f)| (message_id.clone(), f.orders, f.dest))
@@ -561,9 +570,9 @@
                 }
             }
             Step::Wait(span) => self.wait(span),
-            Step::Operator { at, which, out } => {
+            Step::Operator { at, which, ejected } => {
                 let uid = super::targets()[which % 4].uid.clone();
-                self.operate(at % self.processes.len(), &uid, out);
+                self.operate(at % self.processes.len(), &uid, ejected);
             }
             Step::Upgrade if self.processes.len() < 3 => {
                 self.upgrades += 1;
@@ -598,9 +607,9 @@
             }
             self.wait(S);
         }
-        for (message_id, fate) in &self.fates {
+        for (message_id, message_state) in &self.messages {
             assert!(
-                !fate.taken_on || fate.delivered || !fate.notices.is_empty(),
+                !message_state.accepted || message_state.delivered || !message_state.final_answers.is_empty(),
                 "{message_id} has no final answer"
             );
         }
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -106,9 +106,9 @@
 // watch hanging.
 #[tokio::test(flavor = "current_thread")]
 async fn bad_response_ends_the_watch_without_an_event() {
-    let whole = list(7, true, "s1", "in_service");
-    let (half, pretty) = (&whole[..whole.len() / 2], indented(7));
-    let half_pretty = &pretty[..pretty.rfind('}').expect("the list has an end")];
+    let complete = list(7, true, "s1", "in_service");
+    let (half, indented_list) = (&complete[..complete.len() / 2], indented(7));
+    let half_indented = &indented_list[..indented_list.rfind('}').expect("the list has an end")];
     for (status, headers, body, expected_reason, expected_delay) in [
         ("429 Too Many Requests", "", "", "429", 0),
         ("429 Too Many Requests", "Retry-After: 2\r\n", "", "429", 2000),
@@ -120,7 +120,7 @@
         ("200 OK", "", "{]\n", "no list", 0),
         ("200 OK", "", "[]\n", "no list", 0),
         ("200 OK", "", half, "it ended", 0),
-        ("200 OK", "", half_pretty, "it ended", 0),
+        ("200 OK", "", half_indented, "it ended", 0),
         ("", "", "", "the connection failed", 0),
     ] {
         let answer = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
@@ -172,7 +172,7 @@
         ("before its answer", before_answer, 0, silence),
         ("before its first list", before_list, 0, silence),
         ("after its first list", after_list, 1, silence),
-        ("dribbling", partial_lists, 1, Duration::from_millis(4_500)),
+        ("with a list that never ends", partial_lists, 1, Duration::from_millis(4_500)),
     ] {
         assert_eq!(events, lists, "{phase}: {watch_end:?}");
         assert!(watch_end.reason.contains("no data from discovery in time"), "{phase}: {watch_end:?}");
--- a/crates/forwarder/tests/upgrade.rs
+++ b/crates/forwarder/tests/upgrade.rs
@@ -75,7 +75,7 @@
     world.start();
     world.submit(1, "a".to_owned(), true, 2, 10);
     world.wait(S / 50);
-    assert!(world.fates["a"].taken_on);
+    assert!(world.messages["a"].accepted);
     world.kill(1);
     world.wait(S / 50);
     assert_eq!((world.processes[0].links.len(), world.files.len()), (1, 1));
--- a/crates/forwarder/tests/wire_client.rs
+++ b/crates/forwarder/tests/wire_client.rs
@@ -171,16 +171,26 @@
         submission("status", "X-Handover: {\"from\":\"n1\"}\r\n"),
     ];
     let (_, submitted) = exchange_all(&requests);
-    let [whole, plain, handed_over, malformed] = &submitted[..] else { panic!("{submitted:?}") };
-    assert_eq!((&whole.id[..], &whole.class[..]), ("9b1f03aa5c7e2d41", "orders"));
-    assert_eq!((whole.tenant.as_deref(), whole.idempotency_key.as_deref()), (Some("acme"), Some("5c0f6e1a")));
-    assert_eq!((whole.destination, whole.is_retry, &whole.body), (7, true, &Bytes::from_static(b"hello")));
-    assert!((1..=480_000).contains(&whole.time_left), "{}", whole.time_left);
+    let [complete, without_tenant, handed_over, malformed] = &submitted[..] else { panic!("{submitted:?}") };
+    assert_eq!((&complete.id[..], &complete.class[..]), ("9b1f03aa5c7e2d41", "orders"));
     assert_eq!(
-        (plain.tenant.as_deref(), plain.idempotency_key.as_deref(), plain.is_retry),
+        (complete.tenant.as_deref(), complete.idempotency_key.as_deref()),
+        (Some("acme"), Some("5c0f6e1a"))
+    );
+    assert_eq!(
+        (complete.destination, complete.is_retry, &complete.body),
+        (7, true, &Bytes::from_static(b"hello"))
+    );
+    assert!((1..=480_000).contains(&complete.time_left), "{}", complete.time_left);
+    assert_eq!(
+        (
+            without_tenant.tenant.as_deref(),
+            without_tenant.idempotency_key.as_deref(),
+            without_tenant.is_retry
+        ),
         (None, None, false)
     );
-    assert_eq!(plain.handover_mark, ReceivedMark::Absent);
+    assert_eq!(without_tenant.handover_mark, ReceivedMark::Absent);
     assert_eq!(malformed.handover_mark, ReceivedMark::Malformed);
     let ReceivedMark::Valid(mark) = &handed_over.handover_mark else {
         panic!("{:?}", handed_over.handover_mark)
