--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -1,6 +1,6 @@
-//! Closes of the sender side's connections in the instant in which something is still owed. The listener is the program's
-//! own on real sockets; the test stands in for the reducer behind the gateway, and clients act between its steps: nothing
-//! else runs on this thread while they do.
+//! Closes of client connections while an answer is still due. The listener is the real one, on real sockets. The test
+//! takes the place of the reducer behind the gateway. Clients act between its steps, when nothing else runs on this
+//! thread.
 
 use orchidyoke_forwarder::client_api::ClientGateway;
 use orchidyoke_forwarder::client_connections::ClientConnections;
@@ -15,12 +15,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// What has to come does so within this, or the test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Longer than a connection is given for its last moment (50 ms).
-const PAST_THE_CUT: Duration = Duration::from_millis(150);
+/// Time limit for anything that the test waits for.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longer than the time that a shutdown gives a connection for its last bytes (50 ms).
+const AFTER_LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(150);
 
-struct Stage {
+struct TestForwarder {
     address: SocketAddr,
     gateway: Rc<ClientGateway>,
     connections: Rc<ClientConnections>,
@@ -28,48 +28,49 @@
 }
 
 fn socket() -> (tokio::net::TcpListener, SocketAddr) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.set_nonblocking(true).expect("a socket");
-    let address = listener.local_addr().expect("bound");
-    (tokio::net::TcpListener::from_std(listener).expect("a socket"), address)
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
+    listener.set_nonblocking(true).expect("the socket call succeeds");
+    let address = listener.local_addr().expect("has a local address");
+    (tokio::net::TcpListener::from_std(listener).expect("the socket call succeeds"), address)
 }
 
-impl Stage {
-    fn new(most: usize) -> Self {
+impl TestForwarder {
+    fn new(max_connections: usize) -> Self {
         let (listener, address) = socket();
         let (sender, inputs) = unbounded_channel();
-        let stage = Stage {
+        let forwarder = TestForwarder {
             address,
             gateway: ClientGateway::new(sender),
-            connections: ClientConnections::new(most),
+            connections: ClientConnections::new(max_connections),
             inputs,
         };
-        spawn_local(listen(listener, stage.gateway.clone(), stage.connections.clone()));
-        stage
+        spawn_local(listen(listener, forwarder.gateway.clone(), forwarder.connections.clone()));
+        forwarder
     }
 
-    /// The next request that reaches the reducer: its id and the ticket to answer it with.
-    async fn handed(&mut self) -> (String, RequestId) {
+    /// Waits for the next request that reaches the reducer. Returns the message's id and the request id for the answer.
+    async fn next_submission(&mut self) -> (String, RequestId) {
         loop {
-            match timeout(PATIENCE, self.inputs.recv()).await.expect("a request has to come") {
-                Some(Input::Submitted { request: ticket, message }) => return (message.id, ticket),
+            match timeout(TEST_TIMEOUT, self.inputs.recv()).await.expect("a request arrives in time") {
+                Some(Input::Submitted { request: request_id, message }) => return (message.id, request_id),
                 other => assert!(matches!(other, Some(Input::ClientConnection { .. })), "{other:?}"),
             }
         }
     }
 
-    async fn take_on(&mut self, txn: &str) {
-        let (handed, ticket) = self.handed().await;
-        assert_eq!(handed, txn);
-        self.gateway.answer(ticket, SubmitAnswer::Accepted);
+    async fn accept_next(&mut self, message_id: &str) {
+        let (submitted, request_id) = self.next_submission().await;
+        assert_eq!(submitted, message_id);
+        self.gateway.answer(request_id, SubmitAnswer::Accepted);
     }
 
-    /// What comes next: a request, or none before a connection is closed for good.
-    async fn until_left(&mut self) -> Option<Input> {
+    /// Waits for the next request or closed connection. Returns the request, or `None` if a connection has closed
+    /// first.
+    async fn next_submission_before_close(&mut self) -> Option<Input> {
         loop {
-            match timeout(PATIENCE, self.inputs.recv()).await.expect("it closes") {
+            match timeout(TEST_TIMEOUT, self.inputs.recv()).await.expect("the connection closes in time") {
                 Some(Input::ClientConnection { connected: false }) => return None,
-                handed @ Some(Input::Submitted { .. }) => return handed,
+                submitted @ Some(Input::Submitted { .. }) => return submitted,
                 _ => {}
             }
         }
@@ -77,41 +78,42 @@
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-fn request(txn: &str, more: &str) -> String {
+fn request(id: &str, headers: &str) -> String {
     format!(
-        "POST /status HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n{more}\
+        "POST /status HTTP/1.1\r\nHost: x\r\nX-Txn: {id}\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n{headers}\
          Content-Length: 4\r\n\r\nbody"
     )
 }
 
-/// A client that has connected and written this.
+/// Connects a client and writes a text on its connection.
 fn client(address: SocketAddr, text: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("taken");
-    stream.set_nodelay(true).expect("a socket");
-    stream.write_all(text.as_bytes()).expect("written");
+    let mut stream = TcpStream::connect(address).expect("connects");
+    stream.set_nodelay(true).expect("the socket call succeeds");
+    stream.write_all(text.as_bytes()).expect("the write succeeds");
     stream
 }
 
-/// Waits until there is something to read, and reads nothing.
-async fn answer_is_there(stream: &TcpStream) {
-    stream.set_nonblocking(true).expect("a socket");
-    let there = async {
+/// Waits until the client has received bytes, and leaves them unread.
+async fn wait_for_answer(stream: &TcpStream) {
+    stream.set_nonblocking(true).expect("the socket call succeeds");
+    let answer_arrived = async {
         while stream.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock) {
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PATIENCE, there).await.expect("an answer");
+    timeout(TEST_TIMEOUT, answer_arrived).await.expect("an answer arrives");
 }
 
-/// Reads to the end of what the forwarder sends; a reset is an error.
-async fn rest_of(mut stream: TcpStream) -> std::io::Result<String> {
+/// Reads until the forwarder closes its sending side. A reset is an error.
+async fn read_to_close(mut stream: TcpStream) -> std::io::Result<String> {
     stream.set_nonblocking(true)?;
     let mut text = Vec::new();
-    let reads = async {
+    let reading = async {
         let mut chunk = [0; 4096];
         loop {
             match stream.read(&mut chunk) {
@@ -122,144 +124,165 @@
             }
         }
     };
-    timeout(PATIENCE, reads).await.expect("it ends")?;
+    timeout(TEST_TIMEOUT, reading).await.expect("the forwarder closes in time")?;
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-fn is_taken_on(heard: &std::io::Result<String>) -> bool {
-    heard.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202") && text.matches("HTTP/1.1").count() == 1)
+fn is_accepted_once(response: &std::io::Result<String>) -> bool {
+    response
+        .as_ref()
+        .is_ok_and(|text| text.starts_with("HTTP/1.1 202") && text.matches("HTTP/1.1").count() == 1)
 }
 
-// Guards against a request that waits for the journal or the reducer when its connection is shut down, and is cut without
-// its answer: for its client it is lost.
+// Guards against a shutdown that closes the connection of a request that waits for the journal or the reducer. The
+// client would not get its answer.
 #[test]
 fn request_in_flight_is_answered_long_after_shutdown() {
     run(async {
-        let mut stage = Stage::new(8);
-        let client = client(stage.address, &request("a", ""));
-        let (_, ticket) = stage.handed().await;
-        stage.connections.shut_down();
-        sleep(PAST_THE_CUT).await;
-        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-        let heard = rest_of(client).await;
-        assert!(is_taken_on(&heard), "{heard:?}");
+        let mut forwarder = TestForwarder::new(8);
+        let client = client(forwarder.address, &request("a", ""));
+        let (_, request_id) = forwarder.next_submission().await;
+        forwarder.connections.shut_down();
+        sleep(AFTER_LAST_BYTES_TIMEOUT).await;
+        forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+        let response = read_to_close(client).await;
+        assert!(is_accepted_once(&response), "{response:?}");
     });
 }
 
-// Guards against a request whose answer does not come in a second that is taken on all the same: its client has gone.
+// Guards against accepting a request whose answer takes longer than the second that a shutdown allows. Its connection
+// is closed by then, so the client would never learn of the acceptance.
 #[test]
 fn cut_request_is_withdrawn() {
     run(async {
-        let mut stage = Stage::new(8);
-        let client = client(stage.address, &request("a", ""));
-        let (_, ticket) = stage.handed().await;
-        stage.connections.shut_down();
-        let withdrawn = timeout(PATIENCE, stage.inputs.recv()).await.expect("it is cut");
+        let mut forwarder = TestForwarder::new(8);
+        let client = client(forwarder.address, &request("a", ""));
+        let (_, request_id) = forwarder.next_submission().await;
+        forwarder.connections.shut_down();
+        let withdrawn =
+            timeout(TEST_TIMEOUT, forwarder.inputs.recv()).await.expect("the request is withdrawn in time");
         assert!(
-            matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == ticket),
+            matches!(withdrawn, Some(Input::Withdrawn { request: other }) if other == request_id),
             "{withdrawn:?}"
         );
-        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-        assert_eq!(rest_of(client).await.expect("no reset"), "", "nobody is told that it was taken on");
+        forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+        assert_eq!(
+            read_to_close(client).await.expect("the connection is not reset"),
+            "",
+            "the late answer is not sent"
+        );
     });
 }
 
-// Guards against a close over bytes that arrive with it: the reset that the system sends for unread bytes takes with it
-// an answer that the client has not yet read, and a request on a resting connection is taken on though nobody hears.
+// Guards against a close while bytes arrive. The system sends a reset for unread bytes, which destroys an answer that
+// the client has not yet read. Also guards against accepting a request on an idle connection whose answer nobody can
+// receive.
 #[test]
 fn bytes_crossing_a_close_neither_reset_it_nor_are_accepted() {
-    for evicts in [false, true] {
+    for by_eviction in [false, true] {
         run(async {
-            let mut stage = Stage::new(if evicts { 1 } else { 8 });
-            let mut resting = client(stage.address, &request("a", ""));
-            stage.take_on("a").await;
-            answer_is_there(&resting).await;
-            // The close is decided on, and nobody has acted on it yet: now bytes arrive.
-            let other = evicts.then(|| client(stage.address, ""));
-            if evicts {
-                // The other waits for the place: the limit acts with the next turn.
+            let mut forwarder = TestForwarder::new(if by_eviction { 1 } else { 8 });
+            let mut idle_client = client(forwarder.address, &request("a", ""));
+            forwarder.accept_next("a").await;
+            wait_for_answer(&idle_client).await;
+            // Bytes arrive when the close is decided, but not yet carried out.
+            let other = by_eviction.then(|| client(forwarder.address, ""));
+            if by_eviction {
+                // The other client waits for a place. The limit evicts when the test yields.
                 tokio::task::yield_now().await;
             } else {
-                stage.connections.shut_down();
+                forwarder.connections.shut_down();
             }
-            resting.set_nonblocking(false).expect("a socket");
-            resting.write_all(request("b", "").as_bytes()).expect("written");
-            // Read before the end of the sending, it is answered; after that it is no request at all.
-            let heard = spawn_local(rest_of(resting));
-            let mut handed = 0;
-            while let Some(Input::Submitted { request: ticket, .. }) = stage.until_left().await {
-                stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-                handed += 1;
+            idle_client.set_nonblocking(false).expect("the socket call succeeds");
+            idle_client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
+            // A request that is read before the sending side is shut down is answered. After that, its bytes are
+            // discarded.
+            let response = spawn_local(read_to_close(idle_client));
+            let mut submitted = 0;
+            while let Some(Input::Submitted { request: request_id, .. }) =
+                forwarder.next_submission_before_close().await
+            {
+                forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+                submitted += 1;
             }
-            let text = heard.await.expect("it reads").expect("no reset");
+            let text = response.await.expect("the reading task ends").expect("the connection is not reset");
             let answers = text.matches("HTTP/1.1 202").count();
-            // One that is evicted has been told by now; at the end it came before the forwarder had acted.
-            assert_eq!((answers, handed), if evicts { (1, 0) } else { (2, 1) }, "evicted: {evicts}: {text}");
+            // An evicted connection has been signalled before the request. In the shutdown, the request is read first.
+            assert_eq!(
+                (answers, submitted),
+                if by_eviction { (1, 0) } else { (2, 1) },
+                "evicted: {by_eviction}: {text}"
+            );
             drop(other);
         });
     }
 }
 
-// Guards against a reset after an answer that says `Connection: close`, by bytes that its client had sent after it.
+// Guards against a reset after an answer with `Connection: close`, caused by bytes that the client has sent after its
+// request.
 #[test]
 fn closing_answer_arrives_whatever_follows_its_request() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut client = client(stage.address, &request("a", "Connection: close\r\n"));
-        let (_, ticket) = stage.handed().await;
-        // Nobody reads this any more, and it is there when the connection closes.
-        client.write_all(request("b", "").as_bytes()).expect("written");
-        stage.gateway.answer(ticket, SubmitAnswer::Accepted);
-        let heard = rest_of(client).await;
-        assert!(is_taken_on(&heard), "{heard:?}");
-        assert!(stage.until_left().await.is_none(), "what follows a close is no request");
+        let mut forwarder = TestForwarder::new(8);
+        let mut client = client(forwarder.address, &request("a", "Connection: close\r\n"));
+        let (_, request_id) = forwarder.next_submission().await;
+        // The forwarder does not read this request, and its bytes are there when the connection closes.
+        client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
+        forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
+        let response = read_to_close(client).await;
+        assert!(is_accepted_once(&response), "{response:?}");
+        assert!(
+            forwarder.next_submission_before_close().await.is_none(),
+            "bytes after the closing request are not a request"
+        );
     });
 }
 
-// Guards against a client that is told nothing of the hand-over, or reset in it: its next answer says that it closes.
+// Guards against a handover that resets a client's connection or does not announce the close. The next answer must
+// carry `Connection: close`.
 #[test]
 fn hand_over_closes_each_connection_with_its_next_answer() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut kept = client(stage.address, &request("a", ""));
-        stage.take_on("a").await;
-        answer_is_there(&kept).await;
-        stage.connections.hand_over();
-        kept.set_nonblocking(false).expect("a socket");
-        kept.write_all(request("b", "").as_bytes()).expect("written");
-        stage.take_on("b").await;
-        let text = rest_of(kept).await.expect("no reset");
+        let mut forwarder = TestForwarder::new(8);
+        let mut kept_client = client(forwarder.address, &request("a", ""));
+        forwarder.accept_next("a").await;
+        wait_for_answer(&kept_client).await;
+        forwarder.connections.hand_over();
+        kept_client.set_nonblocking(false).expect("the socket call succeeds");
+        kept_client.write_all(request("b", "").as_bytes()).expect("the write succeeds");
+        forwarder.accept_next("b").await;
+        let text = read_to_close(kept_client).await.expect("the connection is not reset");
         let (first, second) = text
             .split_once("HTTP/1.1 202")
             .and_then(|(_, rest)| rest.split_once("HTTP/1.1 202"))
-            .expect("two answers");
+            .expect("the client receives two answers");
         assert!(!first.contains("connection: close") && second.contains("connection: close"), "{text}");
         assert!(!second.contains("HTTP/1.1"), "{text}");
     });
 }
 
-// Guards against an idle connection's close in the instant of its next request: after the end of the sending nothing is a
-// request, and no reset goes out for it.
+// Guards against the close of an idle connection at the moment of its next request. Bytes that arrive after the sending
+// side is shut down must neither count as a request nor cause a reset.
 #[test]
 fn idle_connection_closes_in_time_and_crossing_bytes_are_no_request() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut resting = client(stage.address, &request("a", ""));
-        stage.take_on("a").await;
-        // Read as far as the forwarder's end; the client's own end stays open.
-        let copy = resting.try_clone().expect("a socket");
-        let text = rest_of(copy).await.expect("no reset");
+        let mut forwarder = TestForwarder::new(8);
+        let mut idle_client = client(forwarder.address, &request("a", ""));
+        forwarder.accept_next("a").await;
+        // Reads until the forwarder shuts down its sending side. The client's sending side stays open.
+        let copy = idle_client.try_clone().expect("the socket call succeeds");
+        let text = read_to_close(copy).await.expect("the connection is not reset");
         assert!(text.starts_with("HTTP/1.1 202"), "{text}");
-        resting.set_nonblocking(false).expect("a socket");
+        idle_client.set_nonblocking(false).expect("the socket call succeeds");
         for _ in 0..3 {
-            resting.write_all(request("b", "").as_bytes()).expect("no reset");
+            idle_client.write_all(request("b", "").as_bytes()).expect("the connection is not reset");
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(stage.until_left().await.is_none());
+        assert!(forwarder.next_submission_before_close().await.is_none());
     });
 }
 
-// Guards against connections that have come, and were not yet taken when the stop ends accepting: they would be reset.
+// Guards against resetting connections that are in the backlog, not yet accepted, when a shutdown ends accepting.
 #[test]
 fn connections_in_the_backlog_are_answered_in_shutdown() {
     run(async {
@@ -269,59 +292,60 @@
         let waiting: Vec<_> = (0..20).map(|n| client(address, &request(&n.to_string(), ""))).collect();
         connections.shut_down();
         spawn_local(listen(listener, gateway.clone(), connections.clone()));
-        let mut stage = Stage { address, gateway, connections, inputs };
+        let mut forwarder = TestForwarder { address, gateway, connections, inputs };
         for _ in 0..waiting.len() {
-            let (_, ticket) = stage.handed().await;
-            stage.gateway.answer(ticket, SubmitAnswer::Accepted);
+            let (_, request_id) = forwarder.next_submission().await;
+            forwarder.gateway.answer(request_id, SubmitAnswer::Accepted);
         }
         for client in waiting {
-            let heard = rest_of(client).await;
-            assert!(is_taken_on(&heard), "{heard:?}");
+            let response = read_to_close(client).await;
+            assert!(is_accepted_once(&response), "{response:?}");
         }
     });
 }
 
-// Guards against a stop that closes a connection whose client has only just connected, before its request has come.
+// Guards against a shutdown that closes a connection whose client has just connected, before its request has arrived.
 #[test]
 fn client_just_connected_at_shutdown_is_answered() {
     run(async {
-        let mut stage = Stage::new(8);
-        let mut client = client(stage.address, "");
-        assert!(matches!(stage.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
-        stage.connections.shut_down();
-        // Within the moment that it is given; after a stall that outlasts both, this wakes first.
+        let mut forwarder = TestForwarder::new(8);
+        let mut client = client(forwarder.address, "");
+        assert!(matches!(forwarder.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
+        forwarder.connections.shut_down();
+        // Within the time that the connection gets. If the test stalls for longer than both times, this sleep still
+        // ends first.
         sleep(Duration::from_millis(10)).await;
-        client.write_all(request("a", "").as_bytes()).expect("written");
-        stage.take_on("a").await;
-        let heard = rest_of(client).await;
-        assert!(is_taken_on(&heard), "{heard:?}");
+        client.write_all(request("a", "").as_bytes()).expect("the write succeeds");
+        forwarder.accept_next("a").await;
+        let response = read_to_close(client).await;
+        assert!(is_accepted_once(&response), "{response:?}");
     });
 }
 
-// Guards against closes that keep others out: clients that ignore theirs hold their places for no longer than the next
-// one needs it. With each of them lingering for its second this takes over eight.
+// Guards against clients that ignore the close of their connection and thereby block others. They may keep their places
+// only until the next client needs one. If each of them lingered for its second, this test would take over 8 s.
 #[test]
 fn clients_ignoring_their_close_do_not_block_others() {
     run(async {
-        let mut stage = Stage::new(64);
-        let address = stage.address;
-        // On a thread of its own: more than the system lets wait, so they connect as others are taken.
+        let mut forwarder = TestForwarder::new(64);
+        let address = forwarder.address;
+        // These connect on their own thread, because they exceed the backlog and connect only as others are accepted.
         let crowd = std::thread::spawn(move || (0..600).map(|_| client(address, "")).collect::<Vec<_>>());
-        let all_join = async {
-            let mut joined = 0;
-            while joined < 600 {
-                joined += usize::from(matches!(
-                    stage.inputs.recv().await,
+        let all_connect = async {
+            let mut connected_count = 0;
+            while connected_count < 600 {
+                connected_count += usize::from(matches!(
+                    forwarder.inputs.recv().await,
                     Some(Input::ClientConnection { connected: true })
                 ));
             }
         };
-        timeout(Duration::from_secs(5), all_join).await.expect("none is kept out");
-        let asks = client(stage.address, &request("a", ""));
-        let served = timeout(Duration::from_secs(10), stage.take_on("a")).await;
-        assert!(served.is_ok(), "it is kept out");
-        let heard = rest_of(asks).await;
-        assert!(heard.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202")), "{heard:?}");
-        drop(crowd.join().expect("they have connected"));
+        timeout(Duration::from_secs(5), all_connect).await.expect("all clients connect in time");
+        let last_client = client(forwarder.address, &request("a", ""));
+        let served = timeout(Duration::from_secs(10), forwarder.accept_next("a")).await;
+        assert!(served.is_ok(), "the request is not served in time");
+        let response = read_to_close(last_client).await;
+        assert!(response.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202")), "{response:?}");
+        drop(crowd.join().expect("the thread has not panicked"));
     });
 }
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -1,4 +1,4 @@
-//! Several processes on one folder, in memory, with a kill between any two effects.
+//! Simulates several processes on one folder, in memory, with a kill between any two effects.
 
 use super::world::Link;
 use super::{DISK, S, START, ids};
@@ -15,9 +15,9 @@
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const SLOTS: usize = 6;
-/// Each process looks at the others' files this often.
-const LOOK: Micros = 10_000;
+const MAX_CALLS: usize = 6;
+/// Interval at which each process polls the journals of the others.
+const POLL_INTERVAL: Micros = 10_000;
 const DRAIN_GRACE: Micros = 250_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -38,20 +38,20 @@
     },
     Answer {
         which: usize,
-        how: u8,
+        answer_kind: u8,
     },
     Break(usize),
     Wait(Micros),
     Operator {
         at: usize,
         which: usize,
-        out: bool,
+        ejected: bool,
     },
-    /// Another process is started beside those that run.
+    /// Starts another process while the others run.
     Upgrade,
-    /// The eldest is told to end, if another takes clients.
+    /// Shuts down the oldest process that runs, if there is a newer one.
     Terminate,
-    /// A process dies after so many of the effects that come next.
+    /// Kills a process after its next `after` effects.
     Kill {
         at: usize,
         after: usize,
@@ -65,10 +65,10 @@
             0..=11 => Step::Submit { at, orders: flag, dest: 1 + which as u64 % 3, size: which % 2000 },
             12 => Step::Resubmit { at, which },
             13..=20 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
-            21..=31 => Step::Answer { which, how: u8::arbitrary(g) },
+            21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(g) },
             32 => Step::Break(which),
             33..=39 => Step::Wait(which as Micros % 200_000),
-            40 | 41 => Step::Operator { at, which, out: flag },
+            40 | 41 => Step::Operator { at, which, ejected: flag },
             42 | 43 => Step::Upgrade,
             44 | 45 => Step::Terminate,
             46 => Step::Kill { at, after: which % 6 },
@@ -77,12 +77,12 @@
     }
 }
 
-/// A file of the folder.
+/// A journal file on the folder.
 #[derive(Default)]
 pub struct File {
     pub bytes: Vec<u8>,
     pub inode: u64,
-    /// The process that has its lock.
+    /// The number of the process that holds the file's lock.
     pub lock: Option<usize>,
 }
 
@@ -91,28 +91,28 @@
     pub reducer: Reducer,
     pub generation: Generation,
     pub links: BTreeMap<EndpointConnectionId, Link>,
-    /// How far it has read each other file.
+    /// The inode of each other file, and the number of bytes read from it.
     pub read: BTreeMap<Generation, (u64, usize)>,
-    pub tickets: BTreeMap<RequestId, String>,
+    pub submitted_requests: BTreeMap<RequestId, String>,
     pub replies: BTreeMap<RequestId, console::ConsoleReply>,
     pub posting: Option<Vec<(String, FinalAnswer)>>,
-    /// It looks at no other file any more.
+    /// Whether the process has handed over its clients. It then polls no other journal.
     pub handed_over: bool,
     pub terminated: bool,
-    /// Effects until it dies.
-    pub dies_after: Option<usize>,
+    /// Number of effects until the process is killed; `None` if no kill is due.
+    pub kill_after: Option<usize>,
 }
 
 #[derive(Default)]
-pub struct Fate {
+pub struct MessageState {
     pub orders: bool,
     pub dest: u64,
     pub deadline: Micros,
-    pub taken_on: bool,
+    pub accepted: bool,
     pub calls: usize,
     pub may_have_run: bool,
     pub delivered: bool,
-    pub notices: BTreeSet<String>,
+    pub final_answers: BTreeSet<String>,
 }
 
 #[derive(Default)]
@@ -122,11 +122,11 @@
     pub started: usize,
     pub inodes: u64,
     pub files: BTreeMap<Generation, File>,
-    pub fates: BTreeMap<String, Fate>,
-    /// Who was told to wait for a destination, and until when.
+    pub messages: BTreeMap<String, MessageState>,
+    /// The retry delays that endpoints asked for: the process that received it, the destination, and the end.
     pub waits: Vec<(Generation, u64, Micros)>,
-    /// Endpoints out by a yes, and since when.
-    pub out: BTreeMap<String, Micros>,
+    /// Endpoints that an operator has ejected, and the time of the reply `200`.
+    pub ejected: BTreeMap<String, Micros>,
     pub upgrades: usize,
 }
 
@@ -137,7 +137,8 @@
         world
     }
 
-    /// As `Journal::open` does: the newest file whose process is gone is its own, or a new one.
+    /// Starts a process. As in `Journal::open`, it uses the newest file if the process of that file is gone, or else
+    /// a new file.
     pub fn start(&mut self) {
         let newest = self.files.last_key_value().map(|(generation, file)| (*generation, file.lock.is_some()));
         let generation = match newest {
@@ -149,24 +150,24 @@
         let (number, inode) = (self.started, self.inodes);
         let file = self.files.entry(generation).or_insert(File { inode, ..File::default() });
         file.lock = Some(number);
-        let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes));
-        assert_eq!(whole, file.bytes.len());
+        let (records, valid_bytes) = replay(Bytes::copy_from_slice(&file.bytes));
+        assert_eq!(valid_bytes, file.bytes.len());
         let text = super::config("127.0.0.1:1", "127.0.0.1:2", super::endpoint_entries());
-        let mut config = Config::read(&text, None, None).expect("a configuration");
+        let mut config = Config::read(&text, None, None).expect("the configuration is valid");
         config.seed += number as u64;
-        let reducer = Reducer::new(config, generation, records, whole, self.now);
+        let reducer = Reducer::new(config, generation, records, valid_bytes, self.now);
         self.processes.push(Process {
             number,
             reducer,
             generation,
             links: BTreeMap::new(),
             read: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            submitted_requests: BTreeMap::new(),
             replies: BTreeMap::new(),
             posting: None,
             handed_over: false,
             terminated: false,
-            dies_after: None,
+            kill_after: None,
         });
         let at = self.processes.len() - 1;
         self.look(at);
@@ -180,10 +181,10 @@
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             for effect in self.processes[at].reducer.step(self.now, input) {
-                if self.processes[at].dies_after == Some(0) {
+                if self.processes[at].kill_after == Some(0) {
                     return self.kill(at);
                 }
-                self.processes[at].dies_after = self.processes[at].dies_after.map(|left| left - 1);
+                self.processes[at].kill_after = self.processes[at].kill_after.map(|left| left - 1);
                 if matches!(effect, Effect::Exit) {
                     return self.kill(at);
                 }
@@ -197,17 +198,20 @@
     pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
         let generation = self.processes[at].generation;
         match effect {
-            Effect::Answer { request: ticket, answer } => {
-                let txn = self.processes[at].tickets.remove(&ticket).expect("each request is answered once");
+            Effect::Answer { request: request_id, answer } => {
+                let message_id = self.processes[at]
+                    .submitted_requests
+                    .remove(&request_id)
+                    .expect("each request is answered once");
                 if answer == SubmitAnswer::Accepted {
-                    self.fates.get_mut(&txn).expect("submitted").taken_on = true;
+                    self.messages.get_mut(&message_id).expect("the message was submitted").accepted = true;
                 }
             }
-            Effect::Reply { request: ticket, reply } => {
-                drop(self.processes[at].replies.insert(ticket, reply))
+            Effect::Reply { request: request_id, reply } => {
+                drop(self.processes[at].replies.insert(request_id, reply))
             }
             Effect::Append { append: receipt, bytes } => {
-                let file = self.files.get_mut(&generation).expect("its own");
+                let file = self.files.get_mut(&generation).expect("the process has a journal");
                 file.bytes.extend_from_slice(&bytes);
                 let size = file.bytes.len();
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
@@ -220,14 +224,18 @@
             }
             Effect::CompactJournal { bytes } => {
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
-                assert!(all + bytes.len() <= DISK, "old and new file are over the limit");
+                assert!(all + bytes.len() <= DISK, "the old and the new journal exceed the limit");
                 self.inodes += 1;
-                let file = self.files.get_mut(&generation).expect("its own");
+                let file = self.files.get_mut(&generation).expect("the process has a journal");
                 (file.bytes, file.inode) = (bytes.to_vec(), self.inodes);
             }
             Effect::RemoveJournal { generation } => {
-                let file = self.files.remove(&generation).expect("there");
-                assert_eq!(file.lock, Some(self.processes[at].number), "only what is its own to take up");
+                let file = self.files.remove(&generation).expect("is in the model");
+                assert_eq!(
+                    file.lock,
+                    Some(self.processes[at].number),
+                    "a process removes only a journal whose lock it holds"
+                );
                 self.processes[at].read.remove(&generation);
             }
             Effect::HandOverClients => {
@@ -244,15 +252,15 @@
             }
             Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
-            Effect::PostNotifications { notifications: notices, .. } => {
-                assert!(self.processes[at].posting.replace(notices).is_none());
+            Effect::PostNotifications { notifications: final_answers, .. } => {
+                assert!(self.processes[at].posting.replace(final_answers).is_none());
             }
             Effect::StartWatch { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
         }
         None
     }
 
-    /// The locks of a process on files that are not its own.
+    /// Releases the locks of a process on all files but its own.
     pub fn unlock(&mut self, number: usize, own: Generation) {
         let held = self.files.iter_mut().filter(|(g, file)| **g != own && file.lock == Some(number));
         held.for_each(|(_, file)| file.lock = None);
@@ -260,33 +268,43 @@
 
     pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
         let links = || self.processes.iter().flat_map(|process| process.links.values());
-        let out: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
-        assert!(ids(&call).all(|txn| !out.contains(&txn)), "a second copy");
+        let in_flight: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
         assert!(
-            links().filter(|link| link.call.is_some()).count() < SLOTS,
-            "the slots are those of all together"
+            ids(&call).all(|message_id| !in_flight.contains(&message_id)),
+            "a message is in flight twice"
+        );
+        assert!(
+            links().filter(|link| link.call.is_some()).count() < MAX_CALLS,
+            "the processes together exceed the limit on calls"
         );
         let address = &self.processes[at].links[&link].address;
         let targets = super::endpoint_entries();
-        let target = targets.iter().find(|t| t.address.to_string() == *address).expect("listed");
-        let out = self.out.get(&target.uid);
-        assert!(out.is_none_or(|since| self.now - since <= DRAIN_GRACE), "out by hand for all of them");
+        let target =
+            targets.iter().find(|t| t.address.to_string() == *address).expect("the endpoint is listed");
+        let ejected = self.ejected.get(&target.uid);
+        assert!(
+            ejected.is_none_or(|since| self.now - since <= DRAIN_GRACE),
+            "the endpoint is ejected for all processes"
+        );
         let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
         let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
-        assert!(until <= self.now + 100_000, "a wait told to one is kept by all");
-        for txn in ids(&call) {
-            let fate = self.fates.get_mut(txn).expect("submitted");
-            assert!(!fate.orders || !fate.may_have_run, "never twice what may not be repeated: {txn}");
-            assert!(self.now < fate.deadline);
-            fate.calls += 1;
-            assert!(fate.calls <= 8, "eight attempts over all processes");
+        assert!(until <= self.now + 100_000, "a retry delay received by one process binds all");
+        for message_id in ids(&call) {
+            let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
+            assert!(
+                !message_state.orders || !message_state.may_have_run,
+                "a message that may not be repeated is sent twice: {message_id}"
+            );
+            assert!(self.now < message_state.deadline);
+            message_state.calls += 1;
+            assert!(message_state.calls <= 8, "more than eight attempts over all processes");
         }
-        self.processes[at].links.get_mut(&link).expect("open").call = Some(call);
+        self.processes[at].links.get_mut(&link).expect("the connection is open").call = Some(call);
     }
 
     pub fn may_have_run(&mut self, link: &Link) {
-        for txn in link.call.iter().flat_map(ids) {
-            self.fates.get_mut(txn).expect("submitted").may_have_run = true;
+        for message_id in link.call.iter().flat_map(ids) {
+            self.messages.get_mut(message_id).expect("the message was submitted").may_have_run = true;
         }
     }
 
@@ -302,9 +320,10 @@
         for link in std::mem::take(&mut process.links).into_values() {
             self.may_have_run(&link);
         }
-        let file = self.files.get_mut(&process.generation).expect("its own");
+        let file = self.files.get_mut(&process.generation).expect("the process has a journal");
         file.lock = None;
-        // A wait that no file holds ends with the process that was told: nobody else could know of it.
+        // A retry delay that no journal contains ends with the process that received it, because no other process
+        // knows it.
         let written = replay(Bytes::copy_from_slice(&file.bytes)).0;
         let written = written.into_iter().filter_map(|(record, _)| match record {
             Record::RetryAfter { destination: dest, until, .. } => Some((dest, until)),
@@ -319,7 +338,7 @@
         }
     }
 
-    /// As `Siblings::look` does.
+    /// Polls the journals of the other processes, as `OtherJournals` does.
     pub fn look(&mut self, at: usize) {
         if self.processes[at].handed_over {
             return;
@@ -327,7 +346,7 @@
         let (number, own) = (self.processes[at].number, self.processes[at].generation);
         let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
         let others: BTreeSet<Generation> = self.files.keys().copied().filter(|g| *g != own).collect();
-        let (mut shown, mut gone) = (Vec::new(), Vec::new());
+        let (mut found_updates, mut gone) = (Vec::new(), Vec::new());
         for generation in known.union(&others).copied() {
             let Some(file) = self.files.get_mut(&generation) else {
                 self.processes[at].read.remove(&generation);
@@ -337,21 +356,27 @@
             file.lock = file.lock.or(Some(number));
             let ended = file.lock == Some(number);
             let (inode, read) = self.processes[at].read.get(&generation).copied().unwrap_or_default();
-            let anew = inode != file.inode || file.bytes.len() < read;
-            let from = if anew { 0 } else { read };
-            let (records, whole) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
-            self.processes[at].read.insert(generation, (file.inode, from + whole));
-            if anew || ended || !records.is_empty() {
+            let is_rewritten = inode != file.inode || file.bytes.len() < read;
+            let from = if is_rewritten { 0 } else { read };
+            let (records, valid_bytes) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
+            self.processes[at].read.insert(generation, (file.inode, from + valid_bytes));
+            if is_rewritten || ended || !records.is_empty() {
                 let size = file.bytes.len();
-                shown.push(OtherProcessUpdate { generation, rewritten: anew, records, size, ended });
+                found_updates.push(OtherProcessUpdate {
+                    generation,
+                    rewritten: is_rewritten,
+                    records,
+                    size,
+                    ended,
+                });
             }
         }
-        if !shown.is_empty() || !gone.is_empty() {
-            self.input(at, Input::OtherProcessesUpdated { updates: shown, gone });
+        if !found_updates.is_empty() || !gone.is_empty() {
+            self.input(at, Input::OtherProcessesUpdated { updates: found_updates, gone });
         }
     }
 
-    /// Whose connection, of all that are fit.
+    /// Picks one of the connections of all processes for which `fit` returns `true`. Returns its process and its id.
     pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, EndpointConnectionId)> {
         let links =
             self.processes.iter().enumerate().flat_map(|(at, p)| p.links.iter().map(move |l| (at, l)));
@@ -359,22 +384,24 @@
         (!fit.is_empty()).then(|| fit[which % fit.len()])
     }
 
-    pub fn submit(&mut self, at: usize, txn: String, orders: bool, dest: u64, size: usize) {
-        let ticket = self.processes[at].tickets.keys().last().map_or(self.now as u64, |t| t + 1);
+    pub fn submit(&mut self, at: usize, message_id: String, orders: bool, dest: u64, size: usize) {
+        let request_id =
+            self.processes[at].submitted_requests.keys().last().map_or(self.now as u64, |t| t + 1);
         let time_left = if orders { 28 * S } else { 8 * S };
-        let fate = Fate { orders, dest, deadline: self.now + time_left, ..Fate::default() };
-        self.fates.entry(txn.clone()).or_insert(fate);
+        let message_state =
+            MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
+        self.messages.entry(message_id.clone()).or_insert(message_state);
         let class = if orders { "orders" } else { "status" }.to_owned();
-        let (org, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
-        // As the shell does: decided on with the others' files as they are now.
+        let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
+        // As in the forwarder, the other journals are polled before a submission.
         let number = self.processes[at].number;
         self.look(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
-            self.processes[at].tickets.insert(ticket, txn.clone());
+            self.processes[at].submitted_requests.insert(request_id, message_id.clone());
             let message = Submission {
-                id: txn,
+                id: message_id,
                 class,
-                tenant: org,
+                tenant: tenant_name,
                 idempotency_key: None,
                 destination: dest,
                 time_left,
@@ -382,29 +409,32 @@
                 handover_mark: ReceivedMark::Absent,
                 body,
             };
-            self.input(at, Input::Submitted { request: ticket, message });
+            self.input(at, Input::Submitted { request: request_id, message });
         }
     }
 
-    pub fn answer(&mut self, which: usize, how: u8) {
+    pub fn answer(&mut self, which: usize, answer_kind: u8) {
         let Some((at, id)) = self.pick(which, |link| link.call.is_some()) else { return };
-        let call = self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is out");
-        let (status, wait_ms) = match how % 10 {
+        let call =
+            self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is in flight");
+        let (status, wait_ms) = match answer_kind % 10 {
             0..=4 => (200, 0),
-            5 => (429, 200 + u64::from(how)),
+            5 => (429, 200 + u64::from(answer_kind)),
             6 => (503, 0),
             7 => (500, 0),
             8 => (504, 0),
             _ => (429, 0),
         };
-        let dest = self.fates[ids(&call).next().expect("a message")].dest;
+        let dest = self.messages[ids(&call).next().expect("the call has a message")].dest;
         let mut body = String::new();
-        for (number, txn) in ids(&call).enumerate() {
-            let fate = self.fates.get_mut(txn).expect("submitted");
-            fate.delivered |= status == 200;
-            fate.may_have_run |= status == 500 || status == 200;
-            body +=
-                &format!("{}{{\"id\":\"{txn}\",\"state\":\"accepted\"}}", if number > 0 { "," } else { "[" });
+        for (number, message_id) in ids(&call).enumerate() {
+            let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
+            message_state.delivered |= status == 200;
+            message_state.may_have_run |= status == 500 || status == 200;
+            body += &format!(
+                "{}{{\"id\":\"{message_id}\",\"state\":\"accepted\"}}",
+                if number > 0 { "," } else { "[" }
+            );
         }
         if wait_ms > 0 {
             self.waits.push((self.processes[at].generation, dest, self.now + wait_ms as Micros * 1000));
@@ -420,44 +450,53 @@
         self.input(at, Input::CallAnswered { connection: id, reply, reusable: true });
     }
 
-    /// Time passes for all of them.
+    /// Advances the time of all processes.
     pub fn wait(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            self.now = end.min(self.now + LOOK);
+            self.now = end.min(self.now + POLL_INTERVAL);
             for number in self.processes.iter().map(|process| process.number).collect::<Vec<_>>() {
-                let place = |world: &Processes| world.processes.iter().position(|p| p.number == number);
-                if let Some(at) = place(self) {
+                let index_of = |world: &Processes| world.processes.iter().position(|p| p.number == number);
+                if let Some(at) = index_of(self) {
                     self.look(at);
                 }
-                while let Some(at) = place(self) {
-                    let due = |link: &Link| match &link.call {
+                while let Some(at) = index_of(self) {
+                    let is_expired = |link: &Link| match &link.call {
                         Some(call) => call.deadline <= self.now,
                         None => !link.up && link.until <= self.now,
                     };
-                    let Some(link) = self.processes[at].links.iter().find(|(_, l)| due(l)).map(|(id, _)| *id)
+                    let Some(link) =
+                        self.processes[at].links.iter().find(|(_, l)| is_expired(l)).map(|(id, _)| *id)
                     else {
                         break;
                     };
                     let input = self.close(at, link, Cause::TimedOut);
                     input.into_iter().for_each(|input| self.input(at, input));
                 }
-                if let Some(at) = place(self)
+                if let Some(at) = index_of(self)
                     && self.processes[at].reducer.wake_at().is_some_and(|wake| wake <= self.now)
                 {
                     self.input(at, Input::TimerDue);
                 }
-                if let Some(at) = place(self)
-                    && let Some(notices) = self.processes[at].posting.take()
+                if let Some(at) = index_of(self)
+                    && let Some(final_answers) = self.processes[at].posting.take()
                 {
-                    for (txn, verdict) in notices {
-                        let fate = self.fates.get_mut(&txn).expect("submitted");
-                        let kept = !matches!(verdict, FinalAnswer::Rejected { .. })
-                            || !fate.orders
-                            || !fate.may_have_run;
-                        assert!(kept, "a promise that a repeat is harmless: {txn}");
-                        fate.notices.insert(format!("{verdict:?}"));
-                        assert!(fate.notices.len() == 1, "two different ends: {txn} {:?}", fate.notices);
+                    for (message_id, final_answer) in final_answers {
+                        let message_state =
+                            self.messages.get_mut(&message_id).expect("the message was submitted");
+                        let is_allowed = !matches!(final_answer, FinalAnswer::Rejected { .. })
+                            || !message_state.orders
+                            || !message_state.may_have_run;
+                        assert!(
+                            is_allowed,
+                            "a message that may have been delivered is rejected as repeatable: {message_id}"
+                        );
+                        message_state.final_answers.insert(format!("{final_answer:?}"));
+                        assert!(
+                            message_state.final_answers.len() == 1,
+                            "two different final answers: {message_id} {:?}",
+                            message_state.final_answers
+                        );
                     }
                     self.input(at, Input::NotificationsPosted { accepted: true });
                 }
@@ -465,27 +504,29 @@
         }
     }
 
-    pub fn operate(&mut self, at: usize, uid: &str, out: bool) {
+    pub fn operate(&mut self, at: usize, uid: &str, ejected: bool) {
         let number = self.processes[at].number;
         self.now += 1;
         self.look(at);
         if self.processes.get(at).is_none_or(|process| process.number != number) {
             return;
         }
-        let ticket = self.now as RequestId;
+        let request_id = self.now as RequestId;
         let id = uid.to_owned();
-        let call = if out { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
-        self.input(at, Input::Operator { request: ticket, call });
+        let call =
+            if ejected { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
+        self.input(at, Input::Operator { request: request_id, call });
         let process = self.processes.get(at).filter(|process| process.number == number);
-        if process.is_some_and(|p| matches!(p.replies.get(&ticket), Some(console::ConsoleReply::Done(_)))) {
-            if out {
-                self.out.entry(uid.to_owned()).or_insert(self.now);
+        if process.is_some_and(|p| matches!(p.replies.get(&request_id), Some(console::ConsoleReply::Done(_))))
+        {
+            if ejected {
+                self.ejected.entry(uid.to_owned()).or_insert(self.now);
             } else {
-                self.out.remove(uid);
+                self.ejected.remove(uid);
             }
         } else {
-            // Killed before the reply: it may be either way.
-            self.out.remove(uid);
+            // The process was killed before its reply, so the endpoint may be ejected or not.
+            self.ejected.remove(uid);
         }
     }
 
@@ -494,7 +535,7 @@
             self.now += S / 2;
             self.start();
         }
-        // Who takes clients; after a kill there may be none until the next start.
+        // The processes that accept clients. After a kill there may be none until the next start.
         let open: Vec<usize> =
             (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
         match step {
@@ -502,16 +543,18 @@
                 self.submit(open[at % open.len()], format!("m{number}"), orders, dest, size);
             }
             Step::Resubmit { at, which } => {
-                let known = self.fates.iter().filter(|(_, fate)| fate.taken_on);
+                let known = self.messages.iter().filter(|(_, message_state)| message_state.accepted);
                 let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
-                if let Some((txn, orders, dest)) = known.map(|(txn, f)| (txn.clone(), f.orders, f.dest)) {
-                    self.submit(at % self.processes.len(), txn, orders, dest, 10);
+                if let Some((message_id, orders, dest)) =
+                    known.map(|(message_id, f)| (message_id.clone(), f.orders, f.dest))
+                {
+                    self.submit(at % self.processes.len(), message_id, orders, dest, 10);
                 }
             }
             Step::Connect { which, up } => {
                 if let Some((at, id)) = self.pick(which, |link| !link.up) {
                     if up {
-                        self.processes[at].links.get_mut(&id).expect("there").up = true;
+                        self.processes[at].links.get_mut(&id).expect("is in the model").up = true;
                         self.input(at, Input::ConnectionUp { connection: id });
                     } else {
                         let input = self.close(at, id, Cause::ConnectionFailed("refused".to_owned()));
@@ -519,7 +562,7 @@
                     }
                 }
             }
-            Step::Answer { which, how } => self.answer(which, how),
+            Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
             Step::Break(which) => {
                 if let Some((at, id)) = self.pick(which, |link| link.up) {
                     let input = self.close(at, id, Cause::ConnectionFailed("reset".to_owned()));
@@ -527,19 +570,19 @@
                 }
             }
             Step::Wait(span) => self.wait(span),
-            Step::Operator { at, which, out } => {
+            Step::Operator { at, which, ejected } => {
                 let uid = super::endpoint_entries()[which % 4].uid.clone();
-                self.operate(at % self.processes.len(), &uid, out);
+                self.operate(at % self.processes.len(), &uid, ejected);
             }
             Step::Upgrade if self.processes.len() < 3 => {
                 self.upgrades += 1;
                 self.start();
             }
             Step::Terminate => {
-                // The platform waits for the newcomer's yes, and looks at the eldest that still runs.
-                let elder =
+                // The platform waits until the new process is ready, and then shuts down the oldest that still runs.
+                let oldest =
                     (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
-                if let Some(at) = elder {
+                if let Some(at) = oldest {
                     let number = self.processes[at].number;
                     self.look(at);
                     if self.processes.get(at).is_some_and(|process| process.number == number) {
@@ -550,7 +593,7 @@
             }
             Step::Kill { at, after } => {
                 let at = at % self.processes.len();
-                self.processes[at].dies_after = Some(after);
+                self.processes[at].kill_after = Some(after);
             }
             _ => {}
         }
@@ -564,8 +607,11 @@
             }
             self.wait(S);
         }
-        for (txn, fate) in &self.fates {
-            assert!(!fate.taken_on || fate.delivered || !fate.notices.is_empty(), "{txn} has no end");
+        for (message_id, message_state) in &self.messages {
+            assert!(
+                !message_state.accepted || message_state.delivered || !message_state.final_answers.is_empty(),
+                "{message_id} has no final answer"
+            );
         }
     }
 }
