--- a/crates/leases/src/fencing.rs
+++ b/crates/leases/src/fencing.rs
@@ -1,7 +1,8 @@
-//! Rejects results of earlier lease holders, by their fencing tokens.
+//! Rejects results of earlier lease holders by their fencing tokens.
 //!
-//! A holder that was suspended in the middle of an action finishes it after its lease has passed to another. Whoever
-//! stores or uses results of actions keeps a [`FencingGuard`] and asks it before each.
+//! A holder that was suspended in the middle of an action completes the action after its lease has passed to another
+//! holder. A component that stores or uses the results of actions keeps a [`FencingGuard`] and calls
+//! [`FencingGuard::accept`] before it uses each result.
 
 use crate::{FencingToken, LeaseId};
 use std::collections::BTreeMap;
@@ -13,7 +14,8 @@
 }
 
 impl FencingGuard {
-    /// Whether a result under this token is accepted. An accepted token bars all lower ones of its lease.
+    /// Returns whether a result under this token is accepted. After a token was accepted, all lower tokens of its lease
+    /// are rejected.
     pub fn accept(&mut self, lease: LeaseId, token: FencingToken) -> bool {
         let highest = self.highest.entry(lease).or_insert(token);
         let accepted = token >= *highest;
@@ -21,7 +23,7 @@
         accepted
     }
 
-    /// The highest token seen of a lease, if any was.
+    /// Returns the highest token seen of a lease, or `None` if no token of it was seen.
     pub fn highest(&self, lease: LeaseId) -> Option<FencingToken> {
         self.highest.get(&lease).copied()
     }
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -1,8 +1,9 @@
-//! The leases of one forwarder on Consul: carries out the effects of the [`LeaseStateMachine`] and feeds it their answers.
+//! Manages the leases of one forwarder on Consul. The manager carries out the effects of the [`LeaseStateMachine`] and
+//! passes Consul's answers back to it as inputs.
 //!
-//! Each member holds its own key among the members ([`LeaseKeys`]), which to the state machine is one more lease that is
-//! always assigned to it. One blocking query on all keys tells which members are alive and who holds which lease; the
-//! placement is computed from that. One more connection carries the writes, one at a time.
+//! Each member holds its own member key ([`LeaseKeys`]). The state machine handles that key as one more lease, which is
+//! always assigned to the member. One blocking query on all keys returns which members are alive and which member holds
+//! which lease; the placement is computed from its answer. A second connection carries the writes, one at a time.
 
 use crate::config::LeaseConfig;
 use crate::keys::{LeaseKey, LeaseKeys};
@@ -22,36 +23,36 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// The lease that stands for the forwarder's own key among the members.
+/// The lease id that stands for the forwarder's own member key.
 const MEMBERSHIP: LeaseId = LeaseId::MAX;
-/// Shortest and longest sleep between two steps, in microseconds.
+/// The shortest and the longest sleep between two steps, in microseconds.
 const MIN_SLEEP_US: Micros = 1_000;
 const MAX_SLEEP_US: Micros = 3_600_000_000;
 
-/// One forwarder as a member of the fleet that shares the leases.
+/// The configuration of one forwarder as a member of the fleet that shares the leases.
 #[derive(Clone, Debug)]
 pub struct ManagerConfig {
-    /// Its name, unique below the prefix, and the same over restarts.
+    /// The member's name, unique below the prefix and the same after restarts.
     pub name: MemberName,
-    /// Its weight: its share of the leases is its share of the sum of weights.
+    /// The member's weight. Its share of the leases is its share of the sum of all weights.
     pub weight: f64,
     /// The prefix of the keys, without a slash at its end.
     pub key_prefix: String,
-    /// The leases that are shared, the same for all members. [`LeaseId::MAX`] is reserved.
+    /// The leases that the members share. All members have the same list. [`LeaseId::MAX`] is reserved.
     pub leases: BTreeSet<LeaseId>,
-    /// How long Consul keeps a lock closed after its session has ended.
+    /// How long Consul lets nobody acquire a lock after the session that held it has ended.
     pub lock_delay: Duration,
-    /// Times and limits of the protocol.
+    /// The times and limits of the protocol.
     pub protocol: LeaseConfig,
 }
 
-/// An effect of the state machine, with the time at which it was asked for.
+/// An effect of the state machine, with the time at which the state machine returned it.
 struct Request {
     effect: Effect,
     sent_at: Micros,
 }
 
-/// The leases of one forwarder, for as long as [`LeaseManager::run`] is polled.
+/// The leases of one forwarder. They are acquired and renewed only while [`LeaseManager::run`] is polled.
 pub struct LeaseManager {
     config: ManagerConfig,
     keys: LeaseKeys,
@@ -62,7 +63,7 @@
 }
 
 impl LeaseManager {
-    /// For the Consul of these settings. Nothing is opened yet.
+    /// Creates a manager for the Consul of these settings. Opens no connection yet.
     pub fn new(mut config: ManagerConfig, consul: Rc<Settings>) -> Self {
         config.leases.remove(&MEMBERSHIP);
         let keys = LeaseKeys::new(&config.key_prefix);
@@ -74,24 +75,24 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// The token to act under, if an action may start now. To be asked right before each action.
+    /// Returns the token to act under, or `None` if no action may start now. Callers call it right before each action.
     pub fn may_act(&self, lease: LeaseId) -> Option<FencingToken> {
         self.state.borrow().may_act(&self.config.protocol, self.now(), lease)
     }
 
-    /// The leases held, with their tokens.
+    /// Returns the leases held, with their tokens.
     pub fn held(&self) -> BTreeMap<LeaseId, FencingToken> {
         self.state.borrow().held().filter(|(lease, _)| *lease != MEMBERSHIP).collect()
     }
 
-    /// Releases all leases; [`LeaseManager::run`] ends when that is done. It has no time limit of its own while Consul
-    /// does not answer: the caller sets one.
+    /// Starts the release of all leases. [`LeaseManager::run`] returns when they are released. While Consul does not
+    /// answer, there is no time limit, so the caller sets one.
     pub fn shut_down(&self) {
         self.shutdown.notify_one();
     }
 
-    /// Acquires, renews and releases leases until it is shut down. Dropped, it releases nothing, as a process that is
-    /// killed.
+    /// Acquires, renews and releases leases until [`LeaseManager::shut_down`] is called. If the future is dropped, no
+    /// lease is released, as when the process is killed.
     pub async fn run(&self) {
         let (inputs, received_inputs) = unbounded_channel();
         let (requests, received_requests) = unbounded_channel();
@@ -117,13 +118,14 @@
             let now = self.now();
             let effects = self.state.borrow_mut().step(&self.config.protocol, now, input);
             for effect in effects {
-                // The blocking query of `watch_locks` is always in flight, and answered as soon as a lock changes.
+                // `ReadLocks` needs no request. The blocking query of `watch_locks` is always in flight, and Consul
+                // answers it as soon as a lock changes.
                 if effect != Effect::ReadLocks {
                     drop(requests.send(Request { effect, sent_at: now }));
                 }
             }
             if self.state.borrow().is_shut_down() {
-                // Ends `carry_out_requests` too, after the requests that are queued.
+                // Returning drops the sender, so `carry_out_requests` ends too, after the queued requests.
                 return;
             }
             let next_tick = self.state.borrow().next_tick_at(&self.config.protocol);
@@ -142,7 +144,7 @@
         inputs: &UnboundedSender<Input>,
     ) {
         let mut locks = LockClient::new(self.consul.clone());
-        // A request that is not answered leaves time for another within the TTL.
+        // With this time-out, a request that is not answered leaves time for another one within the TTL.
         let request_timeout = Duration::from_micros(self.config.protocol.renewal_interval() as u64);
         while let Some(request) = requests.recv().await {
             let without_answer = input_without_answer(&request.effect);
@@ -163,7 +165,8 @@
         }
     }
 
-    /// Carries out one request; the input that its answer is, if it is one.
+    /// Carries out one request. Returns the input for the state machine that follows from the answer, or `None` if none
+    /// does.
     async fn carry_out(&self, locks: &mut LockClient, request: Request) -> Result<Option<Input>, LockError> {
         let sent_at = request.sent_at;
         let input = match request.effect {
@@ -184,7 +187,7 @@
                 None
             }
             Effect::Acquire { lease, session } => {
-                // Only the value of a member's key is read.
+                // All keys get this value, but only that of a member's key is read.
                 let value = Bytes::from(self.config.weight.to_string());
                 locks.acquire(&self.key(lease), &session, value).await?;
                 Some(Input::AcquireFinished(lease))
@@ -211,7 +214,7 @@
         let folder = self.keys.folder();
         let retry_interval = Duration::from_micros(self.config.protocol.retry_interval as u64);
         loop {
-            // The answer of a blocking query may be no newer than its request.
+            // The time is taken before the request because the data in the answer may be as old as the request.
             let sent_at = self.now();
             match locks.read_keys(&folder, index, self.consul.wait).await {
                 Ok((at, rows)) => {
@@ -232,7 +235,7 @@
     }
 }
 
-/// What the state machine is told of a request that failed or was not answered in time.
+/// Returns the input for the state machine after a request that failed or was not answered in time.
 fn input_without_answer(effect: &Effect) -> Option<Input> {
     match effect {
         Effect::CreateSession | Effect::RenewSession(_) => Some(Input::SessionRequestFailed),
@@ -242,13 +245,13 @@
     }
 }
 
-/// The members and locks at one read of the keys.
+/// The members and locks as of one read of the keys.
 #[derive(Default)]
 struct Picture {
-    /// The members whose key a session holds, with their weights.
+    /// The weights of the members whose key is held by a session.
     weights: BTreeMap<MemberName, f64>,
     member_of_session: BTreeMap<SessionId, MemberName>,
-    /// The locks of the leases, that of the own member's key among them.
+    /// The locks of the leases, and that of the own member key as `MEMBERSHIP`.
     locks: BTreeMap<LeaseId, Lock>,
 }
 
@@ -274,7 +277,7 @@
         picture
     }
 
-    /// The leases that placement assigns to a member, and its membership.
+    /// Returns the leases that the placement assigns to a member, and `MEMBERSHIP`.
     fn assigned_to(&self, name: &str, leases: &BTreeSet<LeaseId>) -> BTreeSet<LeaseId> {
         let mut holders = BTreeMap::new();
         for (lease, lock) in &self.locks {
--- a/crates/leases/src/placement.rs
+++ b/crates/leases/src/placement.rs
@@ -1,24 +1,24 @@
-//! Assigns leases to members: an even share by weight for each, with as few migrations as that allows.
+//! Assigns leases to members in proportion to their weights, with as few migrations as that allows.
 //!
-//! Each member has a quota, its exact share rounded down or up, and keeps the leases that it holds up to that. Leases that
-//! are left over go to the members with free capacity, each to the one that weighted rendezvous hashing ranks first
-//! ([`rendezvous`]). Hashing alone would need no knowledge of the holders, but its shares are uneven.
+//! Each member has a quota, which is its exact share rounded down or up, and keeps the leases that it holds up to that
+//! quota. Each remaining lease goes to the member with free capacity that weighted rendezvous hashing ranks first
+//! ([`rendezvous`]). Hashing alone would not need to know the holders, but its shares are uneven.
 //!
-//! Members that see the same state come to the same assignment. Where they don't, the locks decide, and the next read of
-//! the locks corrects the assignment.
+//! Members that see the same state compute the same assignment. If members see different states, the locks decide who
+//! holds a lease, and the next read of the locks corrects the assignment.
 
 use crate::{LeaseId, rendezvous};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member's name. It stays the same over restarts.
+/// A member's name, which stays the same after restarts.
 pub type MemberName = String;
 
-/// Shares that differ from a whole number by less were whole before rounding errors.
+/// Shares that differ from a whole number by less than this were whole numbers before rounding errors.
 const ROUNDING_ERROR: f64 = 1e-9;
 
 /// Assigns each lease to a member, given the members' weights and the present holders. Members whose weight is not a
-/// finite number above 0 get none; without members nothing is assigned.
+/// finite number above 0 get no lease. If there are no members, the assignment is empty.
 pub fn assign_leases(
     weights: &BTreeMap<MemberName, f64>,
     leases: &BTreeSet<LeaseId>,
@@ -30,7 +30,7 @@
     let mut capacity = quotas(&weights, leases.len(), &held);
     let mut assignment = BTreeMap::new();
     for (name, mut keeps) in held {
-        // Beyond the quota, a member gives up the leases that rank it lowest.
+        // Above its quota, a member gives up the leases for which it has the lowest scores.
         keeps.sort_by(|a, b| score(*b, name, 1.0).total_cmp(&score(*a, name, 1.0)));
         keeps.truncate(capacity[name]);
         capacity.entry(name.to_owned()).and_modify(|capacity| *capacity -= keeps.len());
@@ -49,12 +49,12 @@
     assignment
 }
 
-/// How well a lease suits a member: the highest score gets it.
+/// Returns the score of a member for a lease. The lease goes to the member with the highest score.
 fn score(lease: LeaseId, name: &str, weight: f64) -> f64 {
     rendezvous::score(&lease.to_le_bytes(), name, weight)
 }
 
-/// The leases that each of these members holds, as far as they are to be assigned.
+/// Returns the leases to be assigned that each of these members holds.
 fn held_by_member<'a>(
     weights: &BTreeMap<MemberName, f64>,
     leases: &BTreeSet<LeaseId>,
@@ -72,15 +72,15 @@
 /// A member's share of all leases, before rounding.
 struct Share<'a> {
     name: &'a MemberName,
-    /// What rounding down takes away, in leases.
+    /// The part of the share, in leases, that rounding down removes.
     fraction: f64,
-    /// It holds more leases than its share rounded down.
+    /// Whether the member holds more leases than its share rounded down.
     exceeds_floor: bool,
 }
 
 impl Share<'_> {
-    /// Whether the share is to be rounded up before another. Members that hold more than their rounded share come first:
-    /// that saves a migration.
+    /// Orders shares by which is rounded up first. Members that hold more than their share rounded down come first,
+    /// because that saves a migration.
     fn rounding_order(&self, other: &Share<'_>) -> Ordering {
         let priority = |share: &Share<'_>| (share.fraction > ROUNDING_ERROR, share.exceeds_floor);
         priority(other)
@@ -90,7 +90,7 @@
     }
 }
 
-/// The exact shares, rounded so that they sum to the number of leases.
+/// Returns the members' quotas, which are their exact shares rounded so that they sum to the number of leases.
 fn quotas(
     weights: &BTreeMap<MemberName, f64>,
     lease_count: usize,
--- a/crates/leases/src/rendezvous.rs
+++ b/crates/leases/src/rendezvous.rs
@@ -1,24 +1,24 @@
-//! Weighted rendezvous hashing: each key ranks all members, independently of which others there are, and the first ranked
-//! gets it.
+//! Weighted rendezvous hashing. Each key ranks all members, and goes to the member that it ranks first. The order of
+//! two members does not depend on which other members there are.
 //!
-//! After Thaler and Ravishankar (1998); the weighted form is Schindelhauer and Schomaker's logarithmic method (2005).
-//! When a member leaves, only its keys move, each to the member that it ranks next; a member that joins takes a key
-//! only where it ranks first.
+//! The method is from Thaler and Ravishankar (1998); the weighted form is the logarithmic method of Schindelhauer and
+//! Schomaker (2005). When a member leaves, only its keys move, each to the member that it ranks next. When a member
+//! joins, only the keys that rank it first move.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Keys and names that together have up to this many bytes are hashed without an allocation.
+/// The highest total length of key and name, in bytes, that is hashed without an allocation.
 const INLINE_BYTES: usize = 128;
 
-/// How well a member suits a key: the highest score gets it. `weight` has to be finite and above 0; a member ranks first
-/// for a share of all keys that is its share of the sum of weights.
+/// Returns the score of a member for a key. The key goes to the member with the highest score. `weight` has to be
+/// finite and above 0. A member's share of all keys is its share of the sum of weights.
 pub fn score(key: &[u8], name: &str, weight: f64) -> f64 {
-    // Uniform in (0, 1), both ends excluded.
+    // The value is uniform in (0, 1), without both ends.
     let uniform = ((hash(key, name.as_bytes()) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -weight / uniform.ln()
 }
 
-/// The hash of the key's bytes followed by the name's.
+/// Returns the hash of the key's bytes followed by the name's bytes.
 fn hash(key: &[u8], name: &[u8]) -> u64 {
     let length = key.len() + name.len();
     if length > INLINE_BYTES {
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -1,119 +1,123 @@
-//! The leases of one member: its session, the locks that it holds, and until when it may act under them.
+//! Keeps the leases of one member: its session, the locks that it holds, and until when it may act under them.
 //!
-//! A state machine without I/O or clock: [`LeaseStateMachine::step`] takes one input and returns the effects to carry
-//! out. Times are microseconds on a monotonic clock; only differences between them count.
+//! The state machine has no I/O and no clock. [`LeaseStateMachine::step`] takes one input and returns the effects to
+//! carry out. Times are in microseconds on a monotonic clock, whose start does not matter.
 //!
-//! Consul promises that a session lasts at least its TTL after the last renewal has reached it, and that the lock of an
-//! ended session is given to nobody during the lock-delay. The holder counts the TTL from the time at which it *sent* the
-//! renewal, on its own clock, shortened by the clock drift, and starts no action that may not end before. So it has
-//! stopped before Consul may give the lock to another, whatever is lost or late. A holder that was suspended in the middle
-//! of an action is the one case left; its token is rejected ([`crate::fencing`]).
+//! Consul guarantees that a session lasts at least its TTL after the last renewal has reached Consul, and that nobody
+//! acquires the lock of an ended session during the lock-delay. The holder counts the TTL from the time at which it
+//! *sent* the renewal, on its own clock, shortened by the clock drift. It starts no action that may end after that
+//! time. Therefore the holder has stopped before Consul may give the lock to another member, whichever messages are
+//! lost or late. The only exception is a holder that was suspended in the middle of an action; its token is rejected
+//! ([`crate::fencing`]).
 
 use crate::config::LeaseConfig;
 use crate::{FencingToken, LeaseId};
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The id of a session, as Consul gave it.
+/// The id of a session, as Consul assigned it.
 pub type SessionId = String;
 
-/// The lock of a lease, as Consul has it.
+/// The lock of a lease, as stored in Consul.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lock {
-    /// The session that holds it.
+    /// The session that holds the lock, or `None` if the lock is free.
     pub session: Option<SessionId>,
-    /// Consul's index of the write that last changed it.
+    /// Consul's index of the write that last changed the lock.
     pub modify_index: FencingToken,
 }
 
-/// What has happened.
+/// An event that the state machine handles.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// Placement assigns these leases, and no others, to this member.
+    /// The placement assigns these leases, and no others, to this member.
     AssignmentChanged(BTreeSet<LeaseId>),
-    /// The member shuts down: all leases are released, and none is acquired.
+    /// The member shuts down. It releases all leases and acquires none.
     Shutdown,
     /// A session was created.
     SessionCreated {
-        /// Its id.
+        /// The session's id.
         session: SessionId,
-        /// When the request was sent.
+        /// The time at which the request was sent.
         sent_at: Micros,
     },
     /// A session was renewed.
     SessionRenewed {
-        /// Its id.
+        /// The session's id.
         session: SessionId,
-        /// When the request was sent.
+        /// The time at which the request was sent.
         sent_at: Micros,
     },
-    /// Consul does not have this session any more.
+    /// Consul no longer has this session.
     SessionNotFound(SessionId),
     /// The request to create or renew a session failed, or was not answered in time.
     SessionRequestFailed,
-    /// The request for a lock has ended: granted, rejected, or not answered. The next read of the locks tells which.
+    /// The request for a lock has ended: it was granted, rejected, or not answered. The next read of the locks shows
+    /// which.
     AcquireFinished(LeaseId),
-    /// A lock was released, and Consul has confirmed it.
+    /// Consul has confirmed that a lock was released.
     Released(LeaseId),
-    /// The request to release a lock was not answered: it may take effect now, or later.
+    /// The request to release a lock failed or was not answered, so it may take effect now or later.
     ReleaseInDoubt(LeaseId),
     /// The locks of all leases, as Consul had them at some time after the request was sent.
     LocksRead {
         /// The locks.
         locks: BTreeMap<LeaseId, Lock>,
-        /// When the request was sent.
+        /// The time at which the request was sent.
         sent_at: Micros,
     },
 }
 
-/// What is to be done. Each answer, or the lack of one, comes back as an input.
+/// An action that the caller carries out. Its answer, or the lack of one, is passed to the state machine as an input.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Create a session.
     CreateSession,
-    /// Renew it.
+    /// Renew the session.
     RenewSession(SessionId),
-    /// End it, if Consul still has it. No answer is needed.
+    /// End the session, if Consul still has it. No answer is needed.
     DestroySession(SessionId),
     /// Acquire the lock of a lease.
     Acquire {
         /// The lease.
         lease: LeaseId,
-        /// The session that acquires it.
+        /// The session that acquires the lock.
         session: SessionId,
     },
     /// Release the lock of a lease.
     Release {
         /// The lease.
         lease: LeaseId,
-        /// The session that holds it.
+        /// The session that holds the lock.
         session: SessionId,
     },
     /// Read the locks.
     ReadLocks,
 }
 
-/// What is known of a lease's lock under the present session.
+/// The state of a lease's lock under the present session, as far as the member knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum LockState {
-    /// A request to acquire it is in flight.
+    /// A request to acquire the lock is in flight.
     Acquiring,
-    /// It is held under this token.
+    /// The session holds the lock under this token.
     Held(FencingToken),
-    /// A request to release it is in flight.
+    /// A request to release the lock is in flight.
     Releasing,
-    /// The release was confirmed at this time; locks that were requested before may still show it as held.
+    /// The release was confirmed at this time. An answer to a read that was sent earlier may still show the lock as
+    /// held.
     Released(Micros),
-    /// The release was not answered: a late one would free the lock again, so it is left alone under this session.
+    /// The release was not answered and may still take effect. If this session acquired the lock again, the late
+    /// release would free it, so this session does not use the lock any more.
     InDoubt,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Session {
     id: SessionId,
-    /// When the last renewal that took effect was sent.
+    /// The time at which the last successful renewal was sent.
     renewed_at: Micros,
     locks: BTreeMap<LeaseId, LockState>,
 }
@@ -123,21 +127,21 @@
         self.renewed_at + config.lease_duration()
     }
 
-    /// Whether an action that starts now ends before the session expires.
+    /// Returns whether an action that starts now ends before the session expires.
     fn allows_action(&self, config: &LeaseConfig, now: Micros) -> bool {
         now + config.max_action_time < self.expires_at(config)
     }
 
-    /// Whether these locks show a lock as held by this session.
+    /// Returns whether these locks show that this session holds the lock of a lease.
     fn holds(&self, locks: &BTreeMap<LeaseId, Lock>, lease: LeaseId) -> bool {
         locks.get(&lease).is_some_and(|lock| lock.session.as_ref() == Some(&self.id))
     }
 
-    /// Takes over what a read of the locks, sent at this time, says of those of this session.
+    /// Updates the states of this session's locks from a read of the locks that was sent at `sent_at`.
     fn apply_locks(&mut self, locks: &BTreeMap<LeaseId, Lock>, sent_at: Micros) {
         let mut lost = BTreeSet::new();
         for (lease, state) in &self.locks {
-            // Somebody else has ended the session or deleted the key.
+            // Another process has ended the session or deleted the key.
             if matches!(state, LockState::Held(_)) && !self.holds(locks, *lease) {
                 lost.insert(*lease);
             }
@@ -162,25 +166,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseStateMachine {
     session: Option<Session>,
-    /// A request to create or renew a session is in flight.
+    /// Whether a request to create or renew a session is in flight.
     session_request_in_flight: bool,
     next_session_request_at: Micros,
-    /// The leases that placement assigns to this member.
+    /// The leases that the placement assigns to this member.
     assigned: BTreeSet<LeaseId>,
     shutting_down: bool,
-    /// Assigned leases that nobody held when the locks were last read.
+    /// The assigned leases that nobody held when the locks were last read.
     unheld: BTreeSet<LeaseId>,
-    /// When a lock that was requested before may be requested again.
+    /// The time from which a lock that was requested before may be requested again.
     next_acquire_at: BTreeMap<LeaseId, Micros>,
-    /// When the newest read of the locks was sent; one that was sent before is out of date.
+    /// The time at which the newest read of the locks was sent. Answers to reads that were sent earlier are out of
+    /// date.
     last_read_sent_at: Micros,
 }
 
 impl LeaseStateMachine {
-    /// Takes one input and returns the effects to carry out, in order. `now` never goes back.
+    /// Handles one input and returns the effects to carry out, in order. `now` never decreases.
     pub fn step(&mut self, config: &LeaseConfig, now: Micros, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // Before the input is read: a late wake-up must find its session expired.
+        // The session expires before the input is handled, so that after a late wake-up an expired session is not used.
         self.expire_session(config, now, &mut effects);
         self.next_acquire_at.retain(|_, at| *at > now);
         self.apply(config, now, input, &mut effects);
@@ -239,8 +244,8 @@
         }
     }
 
-    /// The token to act under, if an action that starts now ends before the lease does. To be asked right before each
-    /// action.
+    /// Returns the token to act under if an action that starts now ends before the lease expires, `None` otherwise.
+    /// Callers call it right before each action.
     pub fn may_act(&self, config: &LeaseConfig, now: Micros, lease: LeaseId) -> Option<FencingToken> {
         let session = self.session.as_ref().filter(|session| session.allows_action(config, now))?;
         match session.locks.get(&lease) {
@@ -249,7 +254,7 @@
         }
     }
 
-    /// The leases held, with their tokens.
+    /// Returns the leases held, with their tokens.
     pub fn held(&self) -> impl Iterator<Item = (LeaseId, FencingToken)> {
         let locks = self.session.iter().flat_map(|session| &session.locks);
         locks.filter_map(|(lease, state)| match state {
@@ -258,17 +263,17 @@
         })
     }
 
-    /// The id of the session, if there is one.
+    /// Returns the id of the session, or `None` if there is no session.
     pub fn session(&self) -> Option<&str> {
         self.session.as_ref().map(|session| session.id.as_str())
     }
 
-    /// Whether all leases have been released after [`Input::Shutdown`].
+    /// Returns whether all leases have been released after [`Input::Shutdown`].
     pub fn is_shut_down(&self) -> bool {
         self.shutting_down && self.session.is_none()
     }
 
-    /// When the next [`Input::Tick`] is due at the latest.
+    /// Returns the latest time for the next [`Input::Tick`].
     pub fn next_tick_at(&self, config: &LeaseConfig) -> Micros {
         let expiry = self.session.as_ref().map(|session| session.expires_at(config));
         let session_request = (!self.session_request_in_flight).then(|| self.session_request_at(config));
@@ -284,7 +289,7 @@
         }
     }
 
-    /// Gives up the session once Consul may have ended it, by the member's own clock.
+    /// Drops the session once Consul may have ended it, measured on the member's own clock.
     fn expire_session(&mut self, config: &LeaseConfig, now: Micros, effects: &mut Vec<Effect>) {
         if let Some(session) = self.session.take_if(|session| now >= session.expires_at(config)) {
             effects.push(Effect::DestroySession(session.id));
@@ -292,7 +297,8 @@
         }
     }
 
-    /// Ends the request for a lock that is in this state; one that is not was overtaken.
+    /// Ends the request for a lock that is in the state `pending`. If the lock is in another state, a later event has
+    /// replaced the request, and nothing changes.
     fn end_request(&mut self, lease: LeaseId, pending: &LockState, outcome: Option<LockState>) {
         let Some(session) = &mut self.session else { return };
         if session.locks.get(&lease) != Some(pending) {
@@ -328,10 +334,10 @@
         });
     }
 
-    /// Releases locks that are no longer assigned here and requests assigned ones that nobody holds.
+    /// Releases locks that are no longer assigned to this member, and requests assigned locks that nobody holds.
     fn maintain_locks(&mut self, config: &LeaseConfig, now: Micros, effects: &mut Vec<Effect>) {
         let Some(session) = &mut self.session else { return };
-        // Released rather than left to expire, so that the next holder need not wait for the lock-delay.
+        // The locks are released and not left to expire, so that the next holder does not wait for the lock-delay.
         for (lease, state) in &mut session.locks {
             if matches!(state, LockState::Held(_)) && !self.assigned.contains(lease) {
                 *state = LockState::Releasing;
@@ -353,7 +359,7 @@
         }
     }
 
-    /// Ends the session during shutdown once no lock is left to release. The next holders then need not wait for the
+    /// Ends the session during shutdown once no lock is left to release. The next holders then do not wait for the
     /// lock-delay, except for a lock whose release is in doubt.
     fn finish_shutdown(&mut self, effects: &mut Vec<Effect>) {
         if !self.shutting_down {
