--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -1,4 +1,4 @@
-//! Compares ways to place destinations on forwarders, at the size of the target: one of three regions with 150
+//! Compares methods of placing destinations on forwarders, at the target size: one of three regions, with 150
 //! forwarders in two zones and 100,000 destinations. Prints the tables of `docs/ownership.md`.
 //!
 //!     cargo run --release -p orchidyoke-ownership --example compare_placements
@@ -12,22 +12,22 @@
 
 const MEMBERS: usize = 150;
 const DESTINATIONS: u64 = 100_000;
-/// Points of each member on the ring of consistent hashing.
+/// The number of points of each member on the ring of consistent hashing.
 const RING_POINTS: u32 = 100;
-/// A member's load on that ring is bounded by so many times the mean.
+/// The upper bounds of a member's load on that ring, each as a multiple of the mean load.
 const LOAD_BOUNDS: [f64; 2] = [1.25, 1.1];
 const SLOTS: u32 = 4096;
 
-/// The members' numbers; every other one stands in the second zone.
+/// The members' numbers. Members with an odd number are in the second zone.
 type Members = BTreeSet<usize>;
-/// The owner of each destination.
+/// The number of each destination's owner.
 type Owners = Vec<usize>;
 
 fn name(member: usize) -> String {
     format!("f{member:03}")
 }
 
-/// A fraction in (0, 1) that follows from two numbers and a salt.
+/// Returns a fraction in (0, 1) that is a hash of a number and a salt.
 fn chance(key: u64, salt: &str) -> f64 {
     (-1.0 / score(&key.to_le_bytes(), salt, 1.0)).exp()
 }
@@ -51,7 +51,8 @@
     (0..DESTINATIONS).map(|destination| number(view.owner(destination).expect("there is one"))).collect()
 }
 
-/// Mirrokni, Thorup and Zadimoghaddam (2018): clockwise from its point, a destination goes to the first with room.
+/// Assigns owners by consistent hashing with bounded loads, after Mirrokni, Thorup and Zadimoghaddam (2018). A
+/// destination goes to the first member with free capacity, clockwise from the destination's point.
 fn by_bounded_ring(members: &Members, bound: f64) -> Owners {
     let points = members.iter().flat_map(|member| {
         (0..RING_POINTS).map(|point| (chance(u64::from(point), &name(*member)).to_bits(), *member))
@@ -70,7 +71,7 @@
     (0..DESTINATIONS).map(&mut owner_of).collect()
 }
 
-/// Slots assigned evenly by one writer in Consul; a member keeps the slots that it has.
+/// Assigns slots evenly, as one writer in Consul would. A member keeps the slots that it has.
 fn by_slots(members: &Members, before: Option<&Owners>) -> Owners {
     let slot = |destination: u64| (chance(destination, "slot") * f64::from(SLOTS)) as u32;
     let held = before.into_iter().flat_map(|owners| {
@@ -86,7 +87,7 @@
     before.iter().zip(after).filter(|(before, after)| before != after).count()
 }
 
-/// The largest and the least load as parts of the mean, for weights of destinations.
+/// Returns the highest and the lowest load as multiples of the mean load, with a weight for each destination.
 fn skew(members: &Members, owners: &Owners, weight: impl Fn(u64) -> f64) -> (f64, f64) {
     let mut load: BTreeMap<usize, f64> = members.iter().map(|member| (*member, 0.0)).collect();
     for (destination, owner) in owners.iter().enumerate() {
@@ -97,8 +98,8 @@
     (extreme(f64::max), extreme(f64::min))
 }
 
-/// The rank of each destination by traffic, after Zipf's law with exponent 1; drawn by another hash, so that no way depends
-/// on it.
+/// Returns the rank of each destination by traffic, which follows Zipf's law with exponent 1. The ranks come from
+/// another hash than the placements, so that no method depends on them.
 fn ranks() -> Vec<usize> {
     let mut order: Vec<u64> = (0..DESTINATIONS).collect();
     order.sort_by(|left, right| chance(*left, "rank").total_cmp(&chance(*right, "rank")));
@@ -130,14 +131,14 @@
     );
 }
 
-/// Runs some work; the time that it took, in microseconds, and its result.
+/// Runs `work`. Returns the time that it took, in microseconds, and its result.
 fn micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let start = Instant::now();
     let result = black_box(work());
     (start.elapsed().as_secs_f64() * 1e6, result)
 }
 
-/// What the owners cost in `orchidyoke-ownership` itself.
+/// Prints the cost of lookups and updates in `orchidyoke-ownership` itself.
 fn costs() {
     let all: Members = (0..MEMBERS).collect();
     let without_one: Members = all.iter().copied().filter(|member| *member != 77).collect();
@@ -166,7 +167,8 @@
     }
 }
 
-/// The bytes of Consul's answers to a read of all members, and their rate while all forwarders of a region are restarted.
+/// Prints the size of Consul's answers to a read of all members, in bytes, and their rate while all forwarders of a
+/// region are restarted.
 fn control() {
     let all: Members = (0..MEMBERS).collect();
     let row = |member: &Member| {
--- a/crates/ownership/src/config.rs
+++ b/crates/ownership/src/config.rs
@@ -1,52 +1,54 @@
-//! The times of the ownership protocol, the same for all members of a region.
+//! The times of the ownership protocol. All members of a region use the same ones.
 
 use orchidyoke_core::interface::Micros;
 use thiserror::Error;
 
-/// Times of the ownership protocol, in microseconds.
+/// Times of the ownership protocol, in microseconds, and the clock drift.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnershipConfig {
-    /// The TTL of a registration's session.
+    /// The TTL of the session that holds a forwarder's registration.
     pub session_ttl: Micros,
-    /// How long a view counts after the read that gave it was sent.
+    /// How long a view is valid, counted from the time at which the read that returned it was sent.
     pub view_lifetime: Micros,
-    /// How long a new owner keeps to the slow-start rate; no shorter than `view_lifetime`.
+    /// How long a new owner keeps to the slow-start rate. It is at least `view_lifetime`.
     pub warm_up_time: Micros,
-    /// The highest relative difference between the rates of two clocks: 0.001 is a millisecond in a second.
+    /// The highest relative difference between the rates of two clocks. For example, 0.001 is a millisecond in a
+    /// second.
     pub clock_drift: f64,
 }
 
-/// Why the protocol does not hold with these times.
+/// The reason why the protocol's guarantees do not hold with these times.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum OwnershipConfigError {
     /// A time is not above 0.
     #[error("the {name} has to be longer than 0")]
     NotPositive {
-        /// Which time.
+        /// The name of the time, for example "session TTL".
         name: &'static str,
     },
-    /// The clock drift is out of range.
+    /// The clock drift is below 0, or is 1 or more.
     #[error("the clock drift is {clock_drift}: it has to be at least 0 and less than 1")]
     ClockDrift {
-        /// The drift given.
+        /// The given drift.
         clock_drift: f64,
     },
-    /// A new owner would send at the full rate while the old one may still do so by its view.
+    /// The warm-up time is shorter than the view lifetime. A new owner would send at the full rate while the old owner
+    /// may still do so, because the old owner's view is still valid.
     #[error("the warm-up time ({warm_up_time} us) is shorter than the view lifetime ({view_lifetime} us)")]
     WarmUpTime {
-        /// The warm-up time given, in microseconds.
+        /// The given warm-up time, in microseconds.
         warm_up_time: Micros,
-        /// The view lifetime given, in microseconds.
+        /// The given view lifetime, in microseconds.
         view_lifetime: Micros,
     },
 }
 
 impl OwnershipConfig {
-    /// Whether the protocol holds with these times.
+    /// Checks that the protocol's guarantees hold with these times.
     ///
     /// # Errors
     ///
-    /// The first time that is out of range.
+    /// Returns an error for the first time that is out of range.
     pub fn validate(&self) -> Result<(), OwnershipConfigError> {
         let times = [
             ("session TTL", self.session_ttl),
@@ -68,17 +70,20 @@
         Ok(())
     }
 
-    /// How long this forwarder's session counts after the last renewal was sent, on a clock that may run slow.
+    /// Returns how long this forwarder's session is valid after its last renewal was sent, in microseconds on the local
+    /// clock, which may run slow.
     pub(crate) fn local_session_ttl(&self) -> Micros {
         self.shorten(self.session_ttl)
     }
 
-    /// How long a view counts after the read was sent, on a clock that may run slow.
+    /// Returns how long a view is valid after its read was sent, in microseconds on the local clock, which may run
+    /// slow.
     pub(crate) fn local_view_lifetime(&self) -> Micros {
         self.shorten(self.view_lifetime)
     }
 
-    /// How long a new owner keeps to the slow-start rate, on a clock that may run fast.
+    /// Returns how long a new owner keeps to the slow-start rate, in microseconds on the local clock, which may run
+    /// fast.
     pub(crate) fn local_warm_up_time(&self) -> Micros {
         (self.warm_up_time as f64 * (1.0 + self.clock_drift)).ceil() as Micros
     }
--- a/crates/ownership/src/delivery.rs
+++ b/crates/ownership/src/delivery.rs
@@ -1,34 +1,34 @@
-//! What a forwarder does with a message for a destination, and how fast it may send there.
+//! The decision of a forwarder on a message, and the rate at which it may send to the message's destination.
 
 use crate::member::Member;
 
-/// How fast a forwarder may send to a destination.
+/// The rate at which a forwarder may send to a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rate {
-    /// As its owner: the region's whole share of the destination's limit.
+    /// The owner's rate, which is the region's whole share of the destination's limit.
     Full,
-    /// Half of a cold destination's budget, so that an old owner and a new one stay within it together.
+    /// Half of a cold destination's budget, so that the old owner and the new owner together stay within that budget.
     SlowStart(SlowStartReason),
 }
 
-/// Why a forwarder keeps to the slow-start rate.
+/// The reason why a forwarder keeps to the slow-start rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowStartReason {
-    /// It has owned the destination for less than the warm-up time.
+    /// The forwarder has owned the destination for less than the warm-up time.
     NewOwner,
-    /// It owns the destination by its view, but its session or its view may have expired.
+    /// The forwarder owns the destination in its view, but its session or its view may have expired.
     Unconfirmed,
-    /// Another member owns the destination, or none does.
+    /// Another member owns the destination, or no member does.
     NotOwner,
-    /// It owns the destination and is draining.
+    /// The forwarder owns the destination and is draining.
     Draining,
 }
 
-/// What a forwarder does with a message.
+/// The decision of a forwarder on a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DeliveryDecision<'a> {
-    /// Delivers it, at this rate.
+    /// The forwarder delivers the message at this rate.
     Deliver(Rate),
-    /// Hands it over to this member.
+    /// The forwarder hands the message over to this member.
     HandOver(&'a Member),
 }
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which forwarder of a region delivers a destination's messages: its owner.
+//! Determines which forwarder of a region delivers a destination's messages. That forwarder is the destination's owner.
 //!
-//! No I/O, no clock, no threads. [`member`] is one forwarder as its region's registry has it; [`view`] the members at one
-//! version, with the owner of each destination; [`ownership_table`] the owners of a list of destinations, updated from
-//! view to view; [`member_state`] decides for one forwarder whether it delivers a message, at which rate ([`delivery`]),
-//! or hands it over. `docs/ownership.md` has the protocol and its bounds.
+//! The crate has no I/O, no clock and no threads. [`member`] describes one forwarder as stored in its region's
+//! registry. [`view`] has the members at one version, and computes the owner of each destination. [`ownership_table`]
+//! keeps the owners of a list of destinations and updates them from view to view. [`member_state`] decides for one
+//! forwarder whether it delivers a message, at which rate ([`delivery`]), or hands the message over.
+//! `docs/ownership.md` describes the protocol and its bounds.
 
 #![deny(missing_docs)]
 
--- a/crates/ownership/src/member.rs
+++ b/crates/ownership/src/member.rs
@@ -1,4 +1,4 @@
-//! One forwarder as its region's registry has it: an entry below its name, written by the forwarder itself.
+//! One forwarder as stored in its region's registry. Each forwarder writes its own entry, under its name.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -8,31 +8,31 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A region, as a forwarder's settings have it.
+/// A region, as in a forwarder's settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Region {
-    /// Its name.
+    /// The region's name.
     pub name: String,
-    /// The names of its zones.
+    /// The names of the region's zones.
     pub zones: BTreeSet<String>,
 }
 
 /// One forwarder of a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, unique in its region, and the same over restarts.
+    /// The member's name, unique in its region and the same after restarts.
     pub name: String,
-    /// The region that it reports.
+    /// The region that the member reports.
     pub region: String,
-    /// The zone that it reports.
+    /// The zone that the member reports.
     pub zone: String,
-    /// Where it accepts messages of clients and of other forwarders.
+    /// The address at which the member accepts messages from clients and from other forwarders.
     pub address: SocketAddr,
-    /// Its share of the destinations is its share of the sum of weights. Finite and above 0.
+    /// The member's weight, finite and above 0. Its share of the destinations is its share of the sum of all weights.
     pub weight: f64,
 }
 
-// The weight of a valid member is a number.
+// The weight of a valid member is not NaN, so equality is reflexive.
 impl Eq for Member {}
 
 impl Hash for Member {
@@ -41,54 +41,54 @@
     }
 }
 
-/// Why an entry is not one of a member.
+/// The reason why an entry is not a valid member.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EntryError {
-    /// It is not in form.
+    /// The entry is not valid JSON, or lacks a field.
     #[error("the entry of {name} cannot be read: {reason}")]
     Unreadable {
-        /// The name that it is stored under.
+        /// The name under which the entry is stored.
         name: String,
-        /// What is wrong with it.
+        /// The parser's error.
         reason: String,
     },
-    /// It has no name.
+    /// The member's name is empty.
     #[error("the forwarder at {address} has no name")]
     NoName {
-        /// Its address.
+        /// The member's address.
         address: SocketAddr,
     },
-    /// Its weight is not valid.
+    /// The weight is not a finite number above 0.
     #[error("the weight of {name} is {weight}: it has to be a finite number above 0")]
     Weight {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// The weight given.
+        /// The given weight.
         weight: f64,
     },
-    /// It reports another region.
+    /// The member reports another region than this registry's.
     #[error("{name} is of region {region}, here is {here}")]
     Region {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// Its region.
+        /// The region that the member reports.
         region: String,
         /// The region of this registry.
         here: String,
     },
-    /// It reports a zone that its region does not have.
+    /// The member reports a zone that its region does not have.
     #[error("{name} is of zone {zone}, which region {region} does not have")]
     Zone {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// Its zone.
+        /// The zone that the member reports.
         zone: String,
-        /// Its region.
+        /// The member's region.
         region: String,
     },
 }
 
-/// A member's entry as it is stored; its key has the name.
+/// A member's entry as it is stored. The name is in its key.
 #[derive(Deserialize, Serialize)]
 struct Entry {
     region: String,
@@ -98,7 +98,7 @@
     weight: f64,
 }
 
-/// Reads a number to the last bit: serde_json's own reading of floating-point numbers may round differently.
+/// Parses a number exactly. The floating-point parser of serde_json may round the last bit differently.
 fn exact_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let text: Box<RawValue> = Deserialize::deserialize(deserializer)?;
     text.get().parse().map_err(D::Error::custom)
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// The entry is not in form, or not valid in the region.
+    /// Returns an error if the entry cannot be parsed or is not valid in the region.
     pub fn parse_entry(name: &str, entry: &str, region: &Region) -> Result<Member, EntryError> {
         let unreadable = |error: serde_json::Error| EntryError::Unreadable {
             name: name.to_owned(),
@@ -127,7 +127,7 @@
         Ok(member)
     }
 
-    /// The entry that [`Member::parse_entry`] parses.
+    /// Returns the entry in the form that [`Member::parse_entry`] parses.
     pub fn to_entry(&self) -> String {
         let entry = Entry {
             region: self.region.clone(),
@@ -138,11 +138,11 @@
         serde_json::to_string(&entry).expect("plain fields can be written as JSON")
     }
 
-    /// Whether it is valid in this region.
+    /// Checks that the member is valid in this region.
     ///
     /// # Errors
     ///
-    /// The first field that is not.
+    /// Returns an error for the first field that is not valid.
     pub fn validate(&self, region: &Region) -> Result<(), EntryError> {
         let name = self.name.clone();
         if name.is_empty() {
--- a/crates/ownership/src/member_state.rs
+++ b/crates/ownership/src/member_state.rs
@@ -1,18 +1,19 @@
-//! Decides for one forwarder what it does with a message: deliver it, at which rate, or hand it over. Not wired into
-//! `orchidyoke serve`, which takes the owners from its settings and uses no more than [`View::owner`].
+//! Decides for one forwarder whether it delivers a message, at which rate, or hands it over. `orchidyoke serve` does
+//! not use this module. It takes the owners from its settings and uses only [`View::owner`].
 //!
-//! A state machine without I/O or clock. Times are microseconds on a monotonic clock; only differences between them count.
-//! Three rules keep two owners from sending at the full rate at once:
+//! The state machine has no I/O and no clock. Times are in microseconds on a monotonic clock, whose start does not
+//! matter. Three rules keep two owners from sending at the full rate at once:
 //!
-//! 1. An owner is confirmed while its session lasts, counted from when the last renewal that took effect was *sent*, and
-//!    its view counts, counted from when the last read was *sent*, both on its own clock and shortened by the clock
-//!    drift. An owner that is not confirmed, because it was suspended or is disconnected from the registry, delivers at
-//!    the slow-start rate.
-//! 2. A new owner keeps to the slow-start rate for the warm-up time, which is no shorter than a view counts: by then the
-//!    old owner has seen the change, or is not confirmed any more. After a new session a forwarder is a new owner of all
-//!    that it owns.
-//! 3. A forwarder that delivers a message without owning its destination, because the message was handed over to it or
-//!    the region has no other member, keeps to the slow-start rate.
+//! 1. An owner is confirmed while its session and its view are valid. Its session is valid for the TTL, counted from the
+//!    time at which the last successful renewal was *sent*. Its view is valid for the view lifetime, counted from the time
+//!    at which the last read was *sent*. Both are measured on the owner's clock and shortened by the clock drift. An owner
+//!    that is not confirmed, because it was suspended or is disconnected from the registry, delivers at the slow-start
+//!    rate.
+//! 2. A new owner keeps to the slow-start rate for the warm-up time, which is at least the view lifetime. After that time,
+//!    the old owner has either seen the change or is no longer confirmed. After it gets a new session, a forwarder is a
+//!    new owner of all destinations that it owns.
+//! 3. A forwarder keeps to the slow-start rate if it delivers a message without owning the destination. It does so if the
+//!    message was handed over to it, or if the region has no other member.
 
 use crate::config::OwnershipConfig;
 use crate::delivery::{DeliveryDecision, Rate, SlowStartReason};
@@ -25,22 +26,23 @@
 /// The ownership state of one forwarder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberState {
-    /// Its name among the members.
+    /// The forwarder's name among the members.
     name: String,
     owners: OwnershipTable,
-    /// Since when it knows of its present session.
+    /// The time at which the forwarder learned of its present session, or `None` if it has no session.
     registered_at: Option<Micros>,
-    /// When the last renewal of the session that took effect was sent.
+    /// The time at which the last successful renewal of the session was sent.
     renewed_at: Option<Micros>,
-    /// When the read that gave the view was sent.
+    /// The time at which the read that returned the view was sent.
     view_read_at: Option<Micros>,
-    /// Since when it owns the destinations that it has not owned for the warm-up time yet.
+    /// The times at which the forwarder became the owner of destinations that are warming up. A destination stays in
+    /// the map for at least the warm-up time.
     warming_up_since: BTreeMap<DestinationId, Micros>,
     draining: bool,
 }
 
 impl MemberState {
-    /// The forwarder of this name, before its first view.
+    /// Creates the state of the forwarder of this name, without a view.
     pub fn new(name: impl Into<String>) -> MemberState {
         MemberState {
             name: name.into(),
@@ -53,37 +55,38 @@
         }
     }
 
-    /// The owners of the destinations by its view.
+    /// Returns the owners of the destinations in the forwarder's view.
     pub fn owners(&self) -> &OwnershipTable {
         &self.owners
     }
 
-    /// It was registered under a new session; the request was sent then. It is a new owner of all that it owns: between
-    /// two sessions another member may have owned it, though no view that was read here shows that.
+    /// Handles the registration of the forwarder under a new session, whose request was sent at `sent_at`. The
+    /// forwarder becomes a new owner of all destinations that it owns. Between the two sessions another member may have
+    /// owned them, even if no view that this forwarder read shows that.
     pub fn on_registered(&mut self, now: Micros, sent_at: Micros) {
         self.registered_at = Some(now);
         self.renewed_at = Some(sent_at);
     }
 
-    /// Its session was renewed; the request was sent then.
+    /// Handles the renewal of the forwarder's session, whose request was sent at `sent_at`.
     pub fn on_renewed(&mut self, sent_at: Micros) {
         if self.registered_at.is_some() {
             self.renewed_at = self.renewed_at.max(Some(sent_at));
         }
     }
 
-    /// The registry does not have its session any more.
+    /// Handles the loss of the session, which the registry no longer has.
     pub fn on_session_lost(&mut self) {
         self.registered_at = None;
         self.renewed_at = None;
     }
 
-    /// Starts its graceful shutdown: it accepts no hand-over, and hands over what it has.
+    /// Starts the graceful shutdown. The forwarder accepts no handover and hands over the messages that it has.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Replaces the list of destinations. It is a new owner of those that are new and its own.
+    /// Replaces the list of destinations. The forwarder becomes a new owner of those added destinations that it owns.
     pub fn set_destinations(&mut self, now: Micros, destinations: impl IntoIterator<Item = DestinationId>) {
         let added = self.owners.set_destinations(destinations);
         let owners = &self.owners;
@@ -91,14 +94,15 @@
         self.start_warm_up(now, added);
     }
 
-    /// A read that was sent then has given this view; returns the destinations whose owner has changed by it.
+    /// Handles the view that a read, sent at `sent_at`, returned. Returns the destinations whose owner has changed.
     ///
-    /// While the view held counts, an older one is rejected. Afterwards any is taken: a registry that was set up anew
-    /// counts its versions from the start, and by then no forwarder relies on the earlier ones.
+    /// While the held view is valid, an older view is rejected. After the held view has expired, any view is accepted.
+    /// A registry that was set up again counts its versions from the start, and after that time no forwarder relies on
+    /// the earlier versions.
     ///
     /// # Errors
     ///
-    /// The view is older than the one held, which still counts.
+    /// Returns an error if the view is older than the one held, which is still valid.
     pub fn on_view(
         &mut self,
         config: &OwnershipConfig,
@@ -125,8 +129,9 @@
         Ok(changes)
     }
 
-    /// What it does with a message for a destination. A message that was handed over to it, it delivers whoever owns the
-    /// destination by its view: so a message is handed over once at most.
+    /// Decides what the forwarder does with a message for a destination. If the message was handed over to the
+    /// forwarder, the forwarder delivers it whichever member owns the destination. Therefore a message is handed over
+    /// at most once.
     pub fn decide(
         &self,
         config: &OwnershipConfig,
@@ -143,12 +148,12 @@
         }
     }
 
-    /// Whether it accepts messages that other members hand over.
+    /// Returns whether the forwarder accepts messages that other members hand over.
     pub fn accepts_handover(&self) -> bool {
         !self.draining
     }
 
-    /// Whether it can know that it still owns what it owns by its view.
+    /// Returns whether the forwarder's session and view are valid, so that it still owns what it owns in its view.
     pub fn is_confirmed(&self, config: &OwnershipConfig, now: Micros) -> bool {
         let has_session = self.renewed_at.is_some_and(|sent_at| now < sent_at + config.local_session_ttl());
         has_session && self.view_counts(config, now)
@@ -181,13 +186,13 @@
         DeliveryDecision::Deliver(Rate::Full)
     }
 
-    /// The owner of a destination once this forwarder has left.
+    /// Returns the owner of a destination after this forwarder has left.
     fn successor(&self, destination: DestinationId) -> Option<&Member> {
         let ranked = self.owners.view().ranking(destination);
         ranked.into_iter().find(|member| member.name != self.name)
     }
 
-    /// Starts the warm-up of those of the destinations that it owns.
+    /// Starts the warm-up of those given destinations that the forwarder owns.
     fn start_warm_up(&mut self, now: Micros, destinations: Vec<DestinationId>) {
         for destination in destinations {
             let owner = self.owners.view().owner(destination);
--- a/crates/ownership/src/ownership_table.rs
+++ b/crates/ownership/src/ownership_table.rs
@@ -1,8 +1,8 @@
-//! The owners of a list of destinations, updated from one view to the next.
+//! Keeps the owners of a list of destinations and updates them from one view to the next.
 //!
-//! A lookup in a [`View`] costs one hash for each member. This table keeps the results. A new view costs it only what has
-//! changed: a member that has left, a lookup for each of its destinations; one that has joined, a hash for each
-//! destination.
+//! A lookup in a [`View`] costs one hash for each member, so this table keeps the results. Updating the table to a new
+//! view costs only what has changed. A member that has left costs a lookup for each of its destinations. A member that
+//! has joined costs a hash for each destination.
 
 use crate::member::Member;
 use crate::view::{Ranked, StaleView, View, score};
@@ -11,14 +11,14 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// An owner, by its index among the view's members, with its score for the destination.
+/// The index of an owner among the view's members, and its score for the destination.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     index: usize,
     score: f64,
 }
 
-// In one view the score follows from the index and the destination.
+// In one view, the index and the destination determine the score.
 impl PartialEq for Owner {
     fn eq(&self, other: &Owner) -> bool {
         self.index == other.index
@@ -45,26 +45,26 @@
 pub struct OwnershipChange {
     /// The destination.
     pub destination: DestinationId,
-    /// The name of the owner before.
+    /// The name of the previous owner, or `None` if there was no owner.
     pub from: Option<String>,
-    /// The name of the owner now.
+    /// The name of the new owner, or `None` if there is no owner.
     pub to: Option<String>,
 }
 
 impl OwnershipTable {
-    /// The owners of these destinations in a view.
+    /// Creates a table of the owners of these destinations in a view.
     pub fn new(view: View, destinations: impl IntoIterator<Item = DestinationId>) -> OwnershipTable {
         let mut table = OwnershipTable { view: Arc::new(view), owners: BTreeMap::new() };
         table.set_destinations(destinations);
         table
     }
 
-    /// The view that the owners are of.
+    /// Returns the view from which the owners are computed.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The owner of a destination, listed or not.
+    /// Returns the owner of a destination, whether it is listed or not. Returns `None` if the view has no members.
     pub fn owner(&self, destination: DestinationId) -> Option<&Member> {
         match self.owners.get(&destination) {
             Some(owner) => owner.map(|owner| &self.view.members()[owner.index]),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The listed destinations that a member owns.
+    /// Returns the listed destinations that a member owns.
     pub fn owned_by(&self, name: &str) -> impl Iterator<Item = DestinationId> {
         let is_owner = move |owner: &Owner| self.view.members()[owner.index].name == name;
         self.owners
@@ -81,12 +81,12 @@
             .map(|(destination, _)| *destination)
     }
 
-    /// Whether a destination is listed.
+    /// Returns whether a destination is listed.
     pub fn is_listed(&self, destination: DestinationId) -> bool {
         self.owners.contains_key(&destination)
     }
 
-    /// Replaces the list of destinations, and returns those that are new.
+    /// Replaces the list of destinations. Returns the destinations that were not listed before.
     pub fn set_destinations(
         &mut self,
         destinations: impl IntoIterator<Item = DestinationId>,
@@ -101,11 +101,11 @@
         added
     }
 
-    /// Replaces the view, unless it is older, and returns the destinations whose owner has changed.
+    /// Replaces the view unless the new view is older. Returns the destinations whose owner has changed.
     ///
     /// # Errors
     ///
-    /// The view is older than the one held, which stays.
+    /// Returns an error if the new view is older than the one held. The table keeps the one held.
     pub fn replace_view(&mut self, view: View) -> Result<Vec<OwnershipChange>, StaleView> {
         if view.version() < self.view.version() {
             return Err(StaleView { offered: view.version(), held: self.view.version() });
@@ -113,7 +113,7 @@
         Ok(self.reset_view(view))
     }
 
-    /// Replaces the view whatever its version, and returns the destinations whose owner has changed.
+    /// Replaces the view, even if the new view is older. Returns the destinations whose owner has changed.
     pub fn reset_view(&mut self, view: View) -> Vec<OwnershipChange> {
         let before = std::mem::replace(&mut self.view, Arc::new(view));
         let difference = ViewDifference::new(&before, &self.view);
@@ -134,11 +134,11 @@
     }
 }
 
-/// The difference between a view and the next. A member with another weight has left and joined.
+/// The difference between a view and the next one. A member whose weight has changed counts as left and joined.
 struct ViewDifference {
-    /// The index in the new view of each member of the old one, if it has stayed.
+    /// For each member of the old view, its index in the new view, or `None` if the member has left.
     stayed: Vec<Option<usize>>,
-    /// The indices in the new view of members that have joined.
+    /// The indices in the new view of the members that have joined.
     joined: Vec<usize>,
 }
 
@@ -157,13 +157,13 @@
         ViewDifference { stayed, joined }
     }
 
-    /// The owner in the new view, given the one in the old.
+    /// Returns the owner in the new view, given the owner in the old view.
     fn new_owner(&self, view: &View, destination: DestinationId, old: Option<Owner>) -> Option<Owner> {
         let stayed = old.and_then(|owner| Some(Owner { index: self.stayed[owner.index]?, ..owner }));
         let Some(mut owner) = stayed else { return find_owner(view, destination) };
         for index in &self.joined {
             let score = score(destination, &view.members()[*index]);
-            // Of equal scores that of the first name wins, as in a lookup.
+            // Of equal scores, the one of the first name wins, as in a lookup in the view.
             let is_better = score > owner.score || score == owner.score && *index < owner.index;
             if is_better {
                 owner = Owner { index: *index, score };
--- a/crates/ownership/src/view.rs
+++ b/crates/ownership/src/view.rs
@@ -1,4 +1,4 @@
-//! The members of a region at one version of its registry, and by that the owner of each destination.
+//! The members of a region at one version of its registry. They determine the owner of each destination.
 
 use crate::member::{EntryError, Member, Region};
 use orchidyoke_core::interface::DestinationId;
@@ -6,24 +6,24 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The version of a view: the registry's index at the read that gave it.
+/// The version of a view, which is the registry's index at the read that returned it.
 pub type ViewVersion = u64;
 
-/// Why there is no view of these members.
+/// The reason why members or entries are not accepted into a view.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ViewError {
-    /// An entry is not one of a member.
+    /// An entry is not a valid member.
     #[error(transparent)]
     Entry(#[from] EntryError),
-    /// Two members have one name.
+    /// Two members have the same name.
     #[error("two forwarders are called {name}")]
     DuplicateName {
-        /// The name.
+        /// The name that both members have.
         name: String,
     },
 }
 
-/// A view that is older than the one held.
+/// An error for a view that is older than the one held.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("a view of version {offered} is older than the one held, {held}")]
 pub struct StaleView {
@@ -42,21 +42,21 @@
     members: Vec<Member>,
 }
 
-/// A member that ranks first for a destination.
+/// The member that ranks first for a destination.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ranked {
-    /// Its index among the view's members.
+    /// The member's index among the view's members.
     pub index: usize,
-    /// Its score.
+    /// The member's score for the destination.
     pub score: f64,
 }
 
 impl View {
-    /// A view of these members.
+    /// Creates a view of these members.
     ///
     /// # Errors
     ///
-    /// A member is not valid in the region, or two have one name.
+    /// Returns an error if a member is not valid in the region or if two members have the same name.
     pub fn new(version: ViewVersion, region: &Region, members: Vec<Member>) -> Result<View, ViewError> {
         let mut by_name: BTreeMap<String, Member> = BTreeMap::new();
         for member in members {
@@ -68,8 +68,9 @@
         Ok(View { version, members: by_name.into_values().collect() })
     }
 
-    /// A view of the valid ones of these entries, each given with the name that it is stored under, and the errors of the
-    /// others. All forwarders leave out the same entries, so one bad entry neither stops a region nor splits it.
+    /// Creates a view of the valid entries. Each entry is given with the name under which it is stored. Returns the
+    /// errors of the other entries too. All forwarders leave out the same entries, so an invalid entry does not stop a
+    /// region, and does not give its forwarders different views.
     pub fn from_entries<'a>(
         version: ViewVersion,
         region: &Region,
@@ -89,46 +90,47 @@
         (View { version, members: members.into_values().collect() }, errors)
     }
 
-    /// The version of the registry that it was read at.
+    /// Returns the version of the registry at which the view was read.
     pub fn version(&self) -> ViewVersion {
         self.version
     }
 
-    /// The members, sorted by name.
+    /// Returns the members, sorted by name.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The member of this name.
+    /// Returns the member of this name, or `None` if there is no such member.
     pub fn member(&self, name: &str) -> Option<&Member> {
         let index = self.members.binary_search_by(|member| member.name.as_str().cmp(name)).ok()?;
         self.members.get(index)
     }
 
-    /// The owner of a destination; none where there are no members. Costs one hash for each member.
+    /// Returns the owner of a destination, or `None` if there are no members. Costs one hash for each member.
     pub fn owner(&self, destination: DestinationId) -> Option<&Member> {
         self.first_ranked(destination).map(|first| &self.members[first.index])
     }
 
-    /// All members, the owner first, and after each the one that owns the destination once it has left as well.
+    /// Returns all members in the order of their rank for a destination. The first is the owner. Each of the others
+    /// becomes the owner after all members before it have left.
     pub fn ranking(&self, destination: DestinationId) -> Vec<&Member> {
         let scored = self.members.iter().map(|member| (score(destination, member), member));
         let mut ranked: Vec<(f64, &Member)> = scored.collect();
-        // The sort is stable, so of equal scores the first name comes first.
+        // The sort is stable, so of equal scores the one of the first name comes first.
         ranked.sort_by(|left, right| right.0.total_cmp(&left.0));
         ranked.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// The member that ranks first for a destination.
+    /// Returns the member that ranks first for a destination, or `None` if there are no members.
     pub(crate) fn first_ranked(&self, destination: DestinationId) -> Option<Ranked> {
         let members = self.members.iter().enumerate();
         let ranked = members.map(|(index, member)| Ranked { index, score: score(destination, member) });
-        // Of equal scores that of the first name wins.
+        // Of equal scores, the one of the first name wins.
         ranked.reduce(|first, next| if next.score > first.score { next } else { first })
     }
 }
 
-/// How well a member suits a destination: the highest score owns it.
+/// Returns the score of a member for a destination. The member with the highest score owns the destination.
 pub(crate) fn score(destination: DestinationId, member: &Member) -> f64 {
     rendezvous::score(&destination.to_le_bytes(), &member.name, member.weight)
 }
