--- a/crates/ownership/src/member_state.rs
+++ b/crates/ownership/src/member_state.rs
@@ -4,16 +4,16 @@
 //! The state machine has no I/O and no clock. Times are in microseconds on a monotonic clock, whose start does not
 //! matter. Three rules keep two owners from sending at the full rate at once:
 //!
-//! 1. An owner is confirmed while its session and its view are valid. Its session is valid for the TTL, counted from the
-//!    time at which the last successful renewal was *sent*. Its view is valid for the view lifetime, counted from the time
-//!    at which the last read was *sent*. Both are measured on the owner's clock and shortened by the clock drift. An owner
-//!    that is not confirmed, because it was suspended or is disconnected from the registry, delivers at the slow-start
-//!    rate.
-//! 2. A new owner keeps to the slow-start rate for the warm-up time, which is at least the view lifetime. After that time,
-//!    the old owner has either seen the change or is no longer confirmed. After it gets a new session, a forwarder is a
-//!    new owner of all destinations that it owns.
-//! 3. A forwarder keeps to the slow-start rate if it delivers a message without owning the destination. It does so if the
-//!    message was handed over to it, or if the region has no other member.
+//! 1. An owner is confirmed while its session and its view are valid. Its session is valid for the TTL, counted from
+//!    the time at which the last successful renewal was *sent*. Its view is valid for the view lifetime, counted from
+//!    the time at which the last read was *sent*. Both are measured on the owner's clock and shortened by the clock
+//!    drift. An owner that is not confirmed, because it was suspended or is disconnected from the registry, delivers at
+//!    the slow-start rate.
+//! 2. A new owner keeps to the slow-start rate for the warm-up time, which is at least the view lifetime. After that
+//!    time, the old owner has either seen the change or is no longer confirmed. After it gets a new session, a
+//!    forwarder is a new owner of all destinations that it owns.
+//! 3. A forwarder keeps to the slow-start rate if it delivers a message without owning the destination. It does so if
+//!    the message was handed over to it, or if the region has no other member.
 
 use crate::config::OwnershipConfig;
 use crate::delivery::{DeliveryDecision, Rate, SlowStartReason};
@@ -35,8 +35,8 @@
     renewed_at: Option<Micros>,
     /// The time at which the read that returned the view was sent.
     view_read_at: Option<Micros>,
-    /// The times at which the forwarder became the owner of destinations that are warming up. A destination stays in
-    /// the map for at least the warm-up time.
+    /// The time since which the forwarder owns each destination that it has not owned for the warm-up time yet. An
+    /// entry that is older may stay until the next view.
     warming_up_since: BTreeMap<DestinationId, Micros>,
     draining: bool,
 }
--- a/crates/policy-commit/src/commit_decision.rs
+++ b/crates/policy-commit/src/commit_decision.rs
@@ -1,4 +1,4 @@
-//! When a coordinator may commit its proposal. No I/O.
+//! Decides when a coordinator may commit its proposal. No I/O.
 
 use crate::commit_point::{CommitPoint, Member};
 use crate::policy::VersionedPolicy;
@@ -8,34 +8,36 @@
 pub struct Rejection {
     /// The participant's id.
     pub member: String,
-    /// Why it cannot use the policy.
+    /// The reason why the participant cannot use the policy.
     pub reason: String,
 }
 
-/// The indices that a commit is conditional on.
+/// The Consul indices on which a commit is conditional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CommitCondition {
-    /// The proposal is the one written at this index.
+    /// The index of the write that proposed the policy. The commit fails if the proposal was written at another index.
     pub proposal_index: u64,
-    /// The committed policy is the one written at this index; 0: none is committed.
+    /// The index of the write that committed the present policy, or 0 if no policy is committed. The commit fails if
+    /// the committed policy was written at another index.
     pub committed_index: u64,
 }
 
-/// What the coordinator is to do next.
+/// The coordinator's next step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitDecision {
-    /// Wait: these participants have not voted yet.
+    /// Wait, because these participants have not voted yet.
     Wait(Vec<String>),
-    /// Withdraw the proposal: these participants voted against it.
+    /// Withdraw the proposal, because these participants voted against it.
     Rejected(Vec<Rejection>),
-    /// Give up: the proposal is gone, or another policy was committed first.
+    /// Give up, because the proposal no longer exists or another policy was committed first.
     Superseded,
-    /// Commit it under this condition: all participants voted for it.
+    /// Commit the proposal under this condition, because all participants voted for it.
     Commit(CommitCondition),
 }
 
-/// Decides on a proposal. The members have to be read after the proposal became visible. A forwarder that registers after
-/// that reading need not vote: it reads the committed policy before it reports that it is ready.
+/// Decides the coordinator's next step for a proposal. The members have to be read after the proposal became visible. A
+/// forwarder that registers after that read does not have to vote, because it reads the committed policy before it
+/// reports that it is ready.
 pub fn decide(proposed: &VersionedPolicy, point: &CommitPoint, members: &[Member]) -> CommitDecision {
     let proposal_index = match &point.proposal {
         Some(proposal) if proposal.policy.id == proposed.id => proposal.modify_index,
--- a/crates/policy-commit/src/commit_point.rs
+++ b/crates/policy-commit/src/commit_point.rs
@@ -1,7 +1,9 @@
-//! The commit point on Consul: the committed and the proposed policy, and the participants with their votes.
+//! The commit point on Consul, which has the committed policy, the proposed policy, and the participants with their
+//! votes.
 //!
-//! Below a prefix there are two folders ([`Settings`]). Every forwarder watches the one with the committed and the
-//! proposed policy. The other has a key for each participant, held by its session, and is watched by coordinators alone.
+//! Below a prefix there are two folders ([`Settings`]). One has the committed and the proposed policy, and every
+//! forwarder watches it. The other has a key for each participant, which the participant's session holds, and only
+//! coordinators watch it.
 
 use crate::policy::{PolicyVersion, VersionedPolicy};
 use crate::settings::Settings;
@@ -14,20 +16,20 @@
     /// The id of the proposal.
     #[serde(rename = "proposal")]
     pub proposal_id: String,
-    /// Why the participant rejects it; none: it is checked and staged.
+    /// The reason why the participant rejects the proposal. `None` if the participant has checked and staged it.
     #[serde(rename = "no")]
     pub rejection: Option<String>,
 }
 
-/// What a participant publishes in its key.
+/// The status that a participant publishes in its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The version in force on it.
+    /// The version of the policy in force on the participant.
     #[serde(rename = "epoch")]
     pub version: PolicyVersion,
-    /// Its last vote.
+    /// The participant's last vote, or `None` if it has not voted or no proposal is open.
     pub vote: Option<Vote>,
-    /// Why it cannot use the committed policy, if it cannot.
+    /// The reason why the participant cannot use the committed policy, or `None` if it can.
     #[serde(rename = "refuses")]
     pub unusable_reason: Option<String>,
 }
@@ -55,14 +57,15 @@
 /// The committed and the proposed policy at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CommitPoint {
-    /// The committed policy, if one was committed.
+    /// The committed policy, or `None` before the first commit.
     pub committed: Option<Committed>,
-    /// The proposed policy, while a proposal is open.
+    /// The proposed policy, or `None` if no proposal is open.
     pub proposal: Option<Proposal>,
 }
 
 impl CommitPoint {
-    /// Reads it from the rows of its folder. A value that is not in form, or does not match its digest, is left out.
+    /// Parses the commit point from the rows of its folder. A value that cannot be parsed, or does not match its
+    /// digest, is treated as absent.
     pub fn from_rows(settings: &Settings, rows: &[KeyEntry]) -> CommitPoint {
         let find = |key: String| {
             let row = rows.iter().find(|row| row.key == key)?;
@@ -79,12 +82,13 @@
         CommitPoint { committed, proposal }
     }
 
-    /// The committed version.
+    /// Returns the committed version, or 0 before the first commit.
     pub fn version(&self) -> PolicyVersion {
         self.committed.as_ref().map_or(0, |committed| committed.policy.version)
     }
 
-    /// Consul's index of the last commit; 0 before the first, as a check-and-set of a new key has it.
+    /// Returns Consul's index of the last commit, or 0 before the first commit. Consul's check-and-set takes the index
+    /// 0 for a key that does not exist yet.
     pub fn committed_index(&self) -> u64 {
         self.committed.as_ref().map_or(0, |committed| committed.modify_index)
     }
@@ -93,21 +97,21 @@
 /// A participant whose session is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// The forwarder's name and the id of its process.
+    /// The forwarder's name and its process id, as `NAME.PID`.
     pub id: String,
-    /// What it publishes; none where that is not in form.
+    /// The status that the participant publishes, or `None` if it cannot be parsed.
     pub status: Option<MemberStatus>,
 }
 
 impl Member {
-    /// Its vote on a proposal, if it has voted.
+    /// Returns the participant's vote on a proposal, or `None` if it has not voted on it.
     pub fn vote_on(&self, proposal_id: &str) -> Option<&Vote> {
         let vote = self.status.as_ref()?.vote.as_ref()?;
         (vote.proposal_id == proposal_id).then_some(vote)
     }
 }
 
-/// The participants whose key a session holds, from the rows of their folder.
+/// Returns the participants whose key is held by a session, from the rows of the participants' folder.
 pub fn members_from_rows(settings: &Settings, rows: &[KeyEntry]) -> Vec<Member> {
     let folder = settings.members_folder();
     let member = |row: &KeyEntry| {
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -1,5 +1,5 @@
-//! The participant of a forwarder on Consul: watches the commit point with one blocking query, keeps the forwarder's key
-//! with one session, and puts committed policies in force.
+//! Runs the participant of a forwarder on Consul. It watches the commit point with one blocking query, keeps the
+//! forwarder's key with one session, and puts committed policies in force.
 
 use crate::commit_point::{CommitPoint, MemberStatus};
 use crate::participant::{Effect, Input, Participant};
@@ -23,31 +23,32 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long a start waits for the commit point before it serves by the policy on disk.
+/// How long a starting forwarder tries to read the commit point before it starts with the policy on disk.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a read or a write that failed.
+/// The pause after a read or a write that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// The participant of one forwarder.
 pub struct ConsulParticipant {
     settings: Settings,
-    /// The forwarder's name and the id of its process: during an upgrade there are two.
+    /// The forwarder's name and its process id. The process id tells the two processes apart that run during an
+    /// upgrade.
     id: String,
     files: PolicyFiles,
     start: Instant,
     state: RefCell<Participant>,
-    /// The session that holds the participant's key.
+    /// The session that holds the participant's key, or `None` before the first registration.
     session: RefCell<Option<String>>,
-    /// What the key holds, as far as it is known.
+    /// The last status that was written to the key, or `None` if none was.
     published: RefCell<Option<MemberStatus>>,
-    /// Consul's index of the last read of the commit point; 0: the next read is answered at once.
+    /// Consul's index of the last read of the commit point. With 0, Consul answers the next read at once.
     index: Cell<u64>,
     publish: Notify,
     state_changed: Notify,
 }
 
 impl ConsulParticipant {
-    /// A participant of this name with its files in this folder. Nothing is opened yet.
+    /// Creates a participant of this name with its files in this folder. Opens no connection yet.
     pub fn new(settings: Settings, name: &str, folder: &Path) -> Rc<Self> {
         let files = PolicyFiles::new(folder);
         let state = Participant::new(files.read_in_force(), files.read_staged());
@@ -69,8 +70,8 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// How long a read counts as contact. Shorter than a session's TTL, so that a forwarder says that it is out of
-    /// contact before the others may commit without it.
+    /// Returns how long a read counts as contact, in microseconds. The time is shorter than a session's TTL, so that a
+    /// forwarder that is cut off reports that it is not ready before the other participants may commit without it.
     fn contact_time(&self) -> Micros {
         (self.settings.ttl * 2 / 3).as_micros() as Micros
     }
@@ -83,7 +84,7 @@
         LockClient::new(Rc::new(self.settings.consul.clone()))
     }
 
-    /// Reads the commit point once it has changed, or after `wait`; the effects to carry out.
+    /// Reads the commit point once it has changed, or after `wait`. Returns the effects to carry out.
     async fn read_commit_point(
         &self,
         locks: &mut LockClient,
@@ -103,8 +104,8 @@
         effects
     }
 
-    /// Carries out effects, and those that follow from them. A new configuration goes to `inputs`; before the start there
-    /// are none.
+    /// Carries out effects, and the effects that follow from their outcomes. Sends a new configuration to `inputs`,
+    /// which is `None` before the forwarder has started.
     async fn carry_out(
         &self,
         source: &ConfigSource,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Checks a proposed policy and keeps it on disk.
+    /// Checks a proposed policy and writes it to disk as staged.
     async fn stage(&self, source: &ConfigSource, policy: &VersionedPolicy) -> Result<(), String> {
         let outcome = match self.check(source, policy).await {
             Ok(_) => self.files.write_staged(policy).map_err(|error| error.to_string()),
@@ -139,7 +140,7 @@
         outcome
     }
 
-    /// Puts a committed policy in force and keeps it on disk.
+    /// Puts a committed policy in force and writes it to disk.
     async fn apply(
         &self,
         source: &ConfigSource,
@@ -147,8 +148,8 @@
         policy: &VersionedPolicy,
     ) -> Result<(), String> {
         let config = match inputs {
-            // No await from here until the configuration is sent: no attempt may start by the policy before, once a newer
-            // one is known.
+            // There is no await from here until the configuration is sent. Once a newer policy is known, no attempt may
+            // start under the previous one.
             Some(_) => source.reread_with(overlay(policy)).map_err(|error| error.to_string()),
             None => self.check(source, policy).await,
         };
@@ -156,18 +157,19 @@
             tracing::error!(version = policy.version, reason, "cannot use the committed policy");
         })?;
         if let Err(error) = self.files.write_in_force(policy) {
-            // It is in force all the same; a restart reads it from the commit point before it is ready.
+            // The policy is in force in spite of the error. After a restart, the forwarder reads it from the commit
+            // point before it is ready.
             tracing::error!(version = policy.version, %error, "policy in force not kept on disk");
         }
         if let Some(inputs) = inputs {
-            // The receiver is gone only when the forwarder ends.
+            // The receiver is dropped only when the forwarder ends.
             let _ = inputs.send(input::Input::ConfigReloaded(Box::new(config)));
         }
         tracing::info!(version = policy.version, id = %policy.id, "policy in force");
         Ok(())
     }
 
-    /// The configuration with this policy, checked with all that it refers to.
+    /// Returns the configuration with this policy, after checking it together with all files that it refers to.
     async fn check(&self, source: &ConfigSource, policy: &VersionedPolicy) -> Result<Config, String> {
         source.load_with(overlay(policy)).await.map_err(|error| error.to_string())
     }
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Keeps the participant's key: renews its session and publishes its status.
+    /// Keeps the participant's key. Renews the session that holds it, and publishes the participant's status in it.
     async fn maintain_registration(&self) {
         let mut locks = self.locks();
         let key = self.settings.member_key(&self.id);
@@ -215,7 +217,8 @@
         };
         *self.session.borrow_mut() = Some(session.clone());
         let status = self.state.borrow().member_status();
-        // Written only when it has changed: unlike a renewal, a write goes through the log of Consul's leader.
+        // The status is written only when it has changed, because a write, unlike a renewal, goes through the log of
+        // Consul's leader.
         if !is_new && self.published.borrow().as_ref() == Some(&status) {
             return Ok(());
         }
@@ -228,7 +231,8 @@
         Ok(())
     }
 
-    /// Reports the status to the forwarder whenever it changes, also when contact lapses.
+    /// Reports the status to the forwarder whenever it changes, including when the contact with the commit point
+    /// lapses.
     async fn report_status(&self, inputs: &UnboundedSender<input::Input>) {
         let mut last = self.status();
         loop {
@@ -240,13 +244,13 @@
             if status != last {
                 self.log_readiness(&last, &status);
                 last = status.clone();
-                // The receiver is gone only when the forwarder ends.
+                // The receiver is dropped only when the forwarder ends.
                 let _ = inputs.send(input::Input::PolicyStatus(status));
             }
         }
     }
 
-    /// Ends when contact with the commit point lapses; never, if it has already.
+    /// Returns when contact with the commit point lapses. If it has already lapsed, the future never completes.
     async fn contact_lapse(&self) {
         match self.contact_until().filter(|until| *until > self.now()) {
             Some(until) => sleep_until(self.start + Duration::from_micros(until as u64)).await,
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -1,9 +1,10 @@
-//! The coordinator of a policy change on Consul, for operators: propose a policy, wait for the participants' votes, and
-//! commit or withdraw it; read the state of the fleet; abort an open proposal.
+//! The coordinator of a policy change on Consul, for operators. It proposes a policy, waits for the participants'
+//! votes, and commits or withdraws the policy. It also reads the state of the fleet, and aborts an open proposal.
 //!
-//! The proposal is a key that the coordinator's session holds and that is deleted with it: a coordinator that dies leaves
-//! none. The commit is one transaction: the proposal is still this one and held by this session, the committed policy is
-//! still the one before, and both keys change together or not at all.
+//! The proposal is a key that the coordinator's session holds. Consul deletes the key when the session ends, so a
+//! coordinator that crashes leaves no proposal. The commit is one transaction. It checks that the proposal is unchanged
+//! and held by the coordinator's session, and that the committed policy is still the previous one. Both keys change
+//! together, or neither changes.
 
 use crate::commit_decision::{CommitCondition, CommitDecision, Rejection, decide};
 use crate::commit_point::{CommitPoint, Member, Proposal, members_from_rows};
@@ -15,21 +16,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The largest policy, in bytes. Consul takes values of up to 512 KiB, and the policy stands in JSON in base 64.
+/// The largest length of a policy's text, in bytes. Consul accepts values of up to 512 KiB, and the policy is sent to
+/// Consul as JSON in base 64.
 pub const MAX_POLICY_BYTES: usize = 128 << 10;
-/// Pause after a request to Consul that failed.
+/// The pause after a request to Consul that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Why a policy was not committed. Except for [`CommitError::OutcomeUnknown`] it is in force nowhere.
+/// The reason why a policy was not committed. Except after [`CommitError::OutcomeUnknown`], the policy is in force on
+/// no forwarder.
 #[derive(Debug, thiserror::Error)]
 pub enum CommitError {
     /// The text is not a policy.
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    /// The text is too large.
+    /// The text is longer than [`MAX_POLICY_BYTES`].
     #[error("the policy has {bytes} bytes; {MAX_POLICY_BYTES} are the most")]
     TooLarge {
-        /// Its length.
+        /// The length of the text, in bytes.
         bytes: usize,
     },
     /// A request to Consul failed.
@@ -38,31 +41,31 @@
     /// Another proposal is open.
     #[error("{by} proposes epoch {version} at this moment: wait for its end, or withdraw it (policy abort)")]
     ProposalOpen {
-        /// Who proposed it.
+        /// The name of the other proposal's coordinator.
         by: String,
-        /// Its version.
+        /// The version of the other proposal.
         version: PolicyVersion,
     },
-    /// Participants voted against it.
+    /// Participants voted against the proposal.
     #[error("not committed, refused by {}", list(.0))]
     Rejected(Vec<Rejection>),
     /// Participants did not vote in time.
     #[error("not committed, no answer within {patience:?} from {members}", members = members.join(", "))]
     VotesMissing {
-        /// How long the coordinator waited.
+        /// How long the coordinator waited for votes.
         patience: Duration,
-        /// The participants.
+        /// The participants that did not vote.
         members: Vec<String>,
     },
     /// Another policy was committed first, or this proposal was withdrawn.
     #[error("not committed: it was withdrawn, or another was committed first")]
     Superseded,
-    /// The commit was sent and not answered, and the commit point could not be read since.
+    /// The commit was sent but not answered, and no later read of the commit point has shown its outcome.
     #[error("it is not known whether epoch {version} was committed ({source}): see policy status")]
     OutcomeUnknown {
-        /// The version.
+        /// The version of the policy.
         version: PolicyVersion,
-        /// Why the last request failed.
+        /// The error of the last request.
         source: LockError,
     },
 }
@@ -72,14 +75,15 @@
     texts.collect::<Vec<_>>().join("; ")
 }
 
-/// A committed policy, and how it reached the fleet.
+/// The result of a commit, and how the policy reached the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommitReport {
-    /// Its version.
+    /// The version of the committed policy.
     pub version: PolicyVersion,
-    /// From the answer to the commit until the last participant reported it in force; none where one did not in time.
+    /// The time from the answer to the commit until the last participant reported the policy in force. `None` if not
+    /// all participants reported in time.
     pub in_force_everywhere_after: Option<Duration>,
-    /// Participants that had not reported it in force.
+    /// The participants that had not reported the policy in force.
     pub not_in_force: Vec<String>,
 }
 
@@ -92,7 +96,7 @@
     pub members: Vec<Member>,
 }
 
-/// A proposal on its way to the commit.
+/// An open proposal of this coordinator.
 struct OpenProposal<'a> {
     policy: VersionedPolicy,
     session: &'a str,
@@ -100,13 +104,13 @@
     deadline: Instant,
 }
 
-/// A read of the participants, with Consul's index of it.
+/// A read of the participants, with Consul's index of that read.
 struct MembersRead {
     index: u64,
     members: Vec<Member>,
 }
 
-/// Proposes policies at one commit point, and reads its state.
+/// Proposes policies at one commit point, and reads the state of the commit point.
 pub struct Coordinator {
     settings: Settings,
     locks: LockClient,
@@ -114,58 +118,61 @@
 }
 
 impl Coordinator {
-    /// For the commit point of these settings. Nothing is opened yet.
+    /// Creates a coordinator for the commit point of these settings. Opens no connection yet.
     pub fn new(settings: Settings) -> Self {
         let locks = LockClient::new(Rc::new(settings.consul.clone()));
         Coordinator { settings, locks, committed_at: None }
     }
 
-    /// When the commit of the last policy proposed here was answered, if it was committed.
+    /// Returns when the commit of the last policy that was proposed here was answered, or `None` if the policy was not
+    /// committed.
     pub fn last_commit(&self) -> Option<Instant> {
         self.committed_at
     }
 
-    /// The committed and the proposed policy.
+    /// Returns the committed and the proposed policy.
     ///
     /// # Errors
     ///
-    /// Consul did not answer, or rejected the request.
+    /// Returns an error if Consul did not answer or rejected the request.
     pub async fn commit_point(&mut self) -> Result<CommitPoint, LockError> {
         let folder = self.settings.commit_point_folder();
         let (_, rows) = self.locks.read_keys(&folder, 0, Duration::ZERO).await?;
         Ok(CommitPoint::from_rows(&self.settings, &rows))
     }
 
-    /// The participants; with an index above 0, once they have changed since or a quarter of the TTL is over.
+    /// Returns the participants. If `index` is above 0, waits until they have changed since that index, for up to a
+    /// quarter of the TTL.
     async fn members(&mut self, index: u64) -> Result<MembersRead, LockError> {
         let folder = self.settings.members_folder();
         let (index, rows) = self.locks.read_keys(&folder, index, self.settings.ttl / 4).await?;
         Ok(MembersRead { index, members: members_from_rows(&self.settings, &rows) })
     }
 
-    /// The commit point and the participants.
+    /// Returns the commit point and the participants.
     ///
     /// # Errors
     ///
-    /// Consul did not answer, or rejected a request.
+    /// Returns an error if Consul did not answer or rejected a request.
     pub async fn status(&mut self) -> Result<FleetStatus, LockError> {
         let point = self.commit_point().await?;
         let members = self.members(0).await?.members;
         Ok(FleetStatus { point, members })
     }
 
-    /// Withdraws the open proposal, if there is one, and returns it. Its coordinator then cannot commit it.
+    /// Withdraws the open proposal and returns it, or returns `None` if no proposal is open. After the withdrawal, the
+    /// proposal's coordinator cannot commit it.
     ///
     /// # Errors
     ///
-    /// Consul did not answer, or rejected a request.
+    /// Returns an error if Consul did not answer or rejected a request.
     pub async fn abort(&mut self) -> Result<Option<VersionedPolicy>, LockError> {
         let Some(proposal) = self.commit_point().await?.proposal else { return Ok(None) };
         let is_withdrawn = self.withdraw(proposal.modify_index).await?;
         Ok(is_withdrawn.then_some(proposal.policy))
     }
 
-    /// Deletes the proposal that was written at this index; false where it is another by now.
+    /// Deletes the proposal that was written at this index. Returns `false` if that proposal no longer exists.
     async fn withdraw(&mut self, proposal_index: u64) -> Result<bool, LockError> {
         let key = self.settings.proposal_key();
         self.locks
@@ -173,12 +180,12 @@
             .await
     }
 
-    /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on all.
-    /// Waits up to `patience` for the votes, and up to `patience` again for the latter.
+    /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on
+    /// all participants. Waits up to `patience` for the votes, and again up to `patience` until the policy is in force.
     ///
     /// # Errors
     ///
-    /// The policy was not committed, or that is not known.
+    /// Returns an error if the policy was not committed, or if it is not known whether it was.
     pub async fn propose(
         &mut self,
         policy: &str,
@@ -193,7 +200,7 @@
         let session = self.locks.create_session(by, ttl, Duration::ZERO, SessionBehavior::Delete).await?;
         let outcome = self.propose_under(&session, policy, by, patience).await;
         self.committed_at = outcome.is_ok().then(Instant::now);
-        // Deletes the proposal too, if it is still there.
+        // Ending the session also deletes the proposal, if it still exists.
         self.locks.destroy_session(&session).await;
         let committed = outcome?;
         tracing::info!(version = committed.version, id = %committed.id, "policy committed");
@@ -212,7 +219,7 @@
         if let Some(other) = point.proposal {
             return Err(proposal_open(other));
         }
-        // A session's id is used once, so it tells this proposal from all others.
+        // Consul never reuses the id of a session, so the id distinguishes this proposal from all others.
         let id = session.to_owned();
         let policy = VersionedPolicy::new(id, point.version() + 1, policy.to_owned(), by.to_owned());
         self.write_proposal(&policy, session).await?;
@@ -233,7 +240,7 @@
         })
     }
 
-    /// Waits until all participants have voted for the proposal; the condition of its commit.
+    /// Waits until all participants have voted for the proposal. Returns the condition of its commit.
     async fn collect_votes(&mut self, proposal: &OpenProposal<'_>) -> Result<CommitCondition, CommitError> {
         let mut index = 0;
         let mut renewed_at = Instant::now();
@@ -294,8 +301,8 @@
         }
     }
 
-    /// Finds out whether a commit that was not answered took effect. While the proposal is there the commit may still be
-    /// carried out, so it is withdrawn first: then the commit's checks fail whenever it arrives.
+    /// Finds out whether a commit that was not answered took effect. While the proposal exists, Consul may still carry
+    /// out the commit. Therefore the proposal is withdrawn first, so that the commit's checks fail whenever it arrives.
     async fn resolve_commit(
         &mut self,
         proposal: OpenProposal<'_>,
@@ -322,7 +329,7 @@
         }
     }
 
-    /// Waits until all participants report this version in force.
+    /// Waits until all participants report this version in force, for up to `patience` after the commit.
     async fn await_in_force(&mut self, version: PolicyVersion, patience: Duration) -> CommitReport {
         let committed_at = self.committed_at.unwrap_or_else(Instant::now);
         let mut index = 0;
@@ -360,7 +367,7 @@
     point.proposal.as_ref().is_some_and(|proposal| proposal.policy.id == policy.id)
 }
 
-/// The ids of the participants that do not report at least this version in force.
+/// Returns the ids of the participants that do not report at least this version in force.
 fn members_below(version: PolicyVersion, members: &[Member]) -> Vec<String> {
     let is_below = |member: &&Member| member.status.as_ref().is_none_or(|status| status.version < version);
     members.iter().filter(is_below).map(|member| member.id.clone()).collect()
--- a/crates/policy-commit/src/lib.rs
+++ b/crates/policy-commit/src/lib.rs
@@ -1,17 +1,17 @@
-//! Atomic commit of a policy over a fleet: a change is in force on every forwarder or on none, also while some are down
-//! or disconnected ([docs/policy-commit.md](../../../docs/policy-commit.md)).
+//! Atomic commit of a policy over a fleet. A change is in force on every forwarder or on none, even while some
+//! forwarders are down or disconnected ([docs/policy-commit.md](../../../docs/policy-commit.md)).
 //!
 //! A coordinator proposes a policy, the forwarders vote as participants, and one transaction on Consul commits it.
 //!
-//! - [`policy`]: a policy, its version, and how it changes a forwarder's configuration.
-//! - [`commit_point`]: the keys on Consul and their values.
-//! - [`participant`]: what a forwarder does as the commit point changes; no I/O, no clock.
-//! - [`consul_participant`]: runs the participant against Consul, inside a forwarder.
-//! - [`staging`]: the policies that a participant keeps on disk.
-//! - [`commit_decision`]: when the coordinator may commit; no I/O.
-//! - [`coordinator`]: proposes, commits and aborts on Consul, for operators.
+//! - [`policy`] defines a policy, its version, and how it changes a forwarder's configuration.
+//! - [`commit_point`] defines the keys on Consul and their values.
+//! - [`participant`] decides what a forwarder does when the commit point changes. It has no I/O and no clock.
+//! - [`consul_participant`] runs the participant against Consul, inside a forwarder.
+//! - [`staging`] keeps a participant's policies on disk.
+//! - [`commit_decision`] decides when the coordinator may commit. It has no I/O.
+//! - [`coordinator`] proposes, commits and aborts policies on Consul, for operators.
 //!
-//! A forwarder whose settings do not ask for it starts none of this.
+//! A forwarder runs this code only if its settings enable it.
 
 #![deny(missing_docs)]
 
--- a/crates/policy-commit/src/participant.rs
+++ b/crates/policy-commit/src/participant.rs
@@ -1,75 +1,76 @@
-//! What a forwarder does as the commit point changes. No I/O and no clock: times are microseconds on a monotonic clock.
+//! Decides what a forwarder does when the commit point changes. The participant has no I/O and no clock. Times are in
+//! microseconds on a monotonic clock.
 //!
-//! It applies a committed policy at once, stages a proposed one after checking it, and never applies one that is only
-//! staged. It is in contact with the commit point for a fixed time after it sent the last read that was answered:
-//! everything that was committed before that, it has seen. Out of contact it serves on by the policy in force, and
-//! reports that it is not ready.
+//! The participant applies a committed policy at once. It checks and stages a proposed policy, and never applies a
+//! policy that is only staged. It counts as in contact with the commit point for a fixed time after it sent the last
+//! read that was answered, because it has seen every policy that was committed before it sent that read. When that time
+//! is over, it continues to serve with the policy in force and reports that it is not ready.
 
 use crate::commit_point::{CommitPoint, MemberStatus, Vote};
 use crate::policy::{PolicyVersion, VersionedPolicy};
 use orchidyoke_core::interface::Micros;
 
-/// What has happened.
+/// An event that the participant handles.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// The commit point was read.
     CommitPointRead {
-        /// When the request was sent.
+        /// The time at which the request was sent.
         sent_at: Micros,
-        /// What it holds.
+        /// The committed and the proposed policy that were read.
         point: Box<CommitPoint>,
     },
-    /// A proposal was checked and staged on disk, or could not be.
+    /// A proposal was checked and staged on disk, or was rejected.
     Staged {
         /// The id of the proposal.
         id: String,
-        /// The reason, if it could not be.
+        /// The reason for the rejection, if the proposal was rejected.
         outcome: Result<(), String>,
     },
     /// A committed policy was put in force, or could not be.
     Applied {
         /// The id of the policy.
         id: String,
-        /// The reason, if it could not be.
+        /// The reason why the policy could not be put in force, if it could not.
         outcome: Result<(), String>,
     },
 }
 
-/// What is to be done, in order.
+/// An action that the caller carries out, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Check this policy and keep it on disk as staged; the answer is [`Input::Staged`].
+    /// Check this policy and write it to disk as staged. The answer is [`Input::Staged`].
     Stage(VersionedPolicy),
-    /// Remove the staged policy.
+    /// Remove the staged policy from disk.
     Unstage,
-    /// Keep this policy on disk as committed and put it in force before any new attempt starts; the answer is
+    /// Write this policy to disk as committed, and put it in force before any new attempt starts. The answer is
     /// [`Input::Applied`].
     Apply(VersionedPolicy),
     /// Publish this status in the participant's key.
     Publish(MemberStatus),
 }
 
-/// A committed policy that cannot be used here.
+/// A committed policy that cannot be used on this forwarder, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnusablePolicy {
     policy: VersionedPolicy,
     reason: String,
 }
 
-/// A forwarder as a participant of its fleet's policy.
+/// A forwarder as a participant in the commits of its fleet's policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Participant {
     in_force: Option<VersionedPolicy>,
-    /// Committed, and being put in force.
+    /// The committed policy that is being put in force.
     applying: Option<VersionedPolicy>,
-    /// Committed, and not usable here.
+    /// The committed policy that cannot be used on this forwarder.
     unusable: Option<UnusablePolicy>,
-    /// Proposed, and being checked.
+    /// The proposed policy that is being checked.
     checking: Option<VersionedPolicy>,
-    /// Proposed, checked, and on disk.
+    /// The proposed policy that was checked and is on disk.
     staged: Option<VersionedPolicy>,
     vote: Option<Vote>,
-    /// When the last read that was answered was sent.
+    /// The time at which the last read that was answered was sent.
     last_read_sent_at: Option<Micros>,
 }
 
@@ -78,32 +79,35 @@
 }
 
 impl Participant {
-    /// Starts with the policies that are on disk: the one last in force, and the staged one.
+    /// Creates a participant from the policies on disk: the one that was last in force and the one that was last
+    /// staged.
     pub fn new(in_force: Option<VersionedPolicy>, staged: Option<VersionedPolicy>) -> Self {
         Participant { in_force, staged, ..Participant::default() }
     }
 
-    /// The version in force.
+    /// Returns the version in force, or 0 if no policy is in force.
     pub fn version(&self) -> PolicyVersion {
         self.in_force.as_ref().map_or(0, |policy| policy.version)
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     pub fn in_force(&self) -> Option<&VersionedPolicy> {
         self.in_force.as_ref()
     }
 
-    /// The staged policy.
+    /// Returns the staged policy.
     pub fn staged(&self) -> Option<&VersionedPolicy> {
         self.staged.as_ref()
     }
 
-    /// Until when it is in contact with the commit point, if it has been; `contact_time` is how long a read counts.
+    /// Returns until when the participant is in contact with the commit point, or `None` if no read was answered yet.
+    /// `contact_time` is how long a read counts as contact, in microseconds.
     pub fn contact_until(&self, contact_time: Micros) -> Option<Micros> {
         self.last_read_sent_at.map(|sent_at| sent_at + contact_time)
     }
 
-    /// Why this forwarder may not have the fleet's policy in force, if so.
+    /// Returns the reason why this forwarder may not have the fleet's policy in force, or `None` if it is in contact
+    /// with the commit point and has the committed policy in force.
     pub fn unready_reason(&self, now: Micros, contact_time: Micros) -> Option<String> {
         if let Some(policy) = &self.applying {
             return Some(format!("policy epoch {} is being put in force", policy.version));
@@ -118,13 +122,13 @@
         }
     }
 
-    /// What it publishes.
+    /// Returns the status that the participant publishes.
     pub fn member_status(&self) -> MemberStatus {
         let unusable_reason = self.unusable.as_ref().map(|unusable| unusable.reason.clone());
         MemberStatus { version: self.version(), vote: self.vote.clone(), unusable_reason }
     }
 
-    /// Takes one input and returns the effects to carry out, in order.
+    /// Handles one input and returns the effects to carry out, in order.
     pub fn step(&mut self, input: Input) -> Vec<Effect> {
         let status_before = self.member_status();
         let mut effects = Vec::new();
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Applies a committed policy that is newer than the one in force, once.
+    /// Applies a committed policy if it is newer than the one in force and was not applied before.
     fn apply_committed(&mut self, policy: VersionedPolicy, effects: &mut Vec<Effect>) {
         let is_newer = policy.version > self.version();
         let is_applying = has_id(&self.applying, &policy.id);
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Drops what is staged or being checked and is no longer proposed.
+    /// Discards a staged policy, and a policy that is being checked, if it is no longer proposed.
     fn discard_other_proposals(&mut self, proposed: Option<&VersionedPolicy>, effects: &mut Vec<Effect>) {
         let proposed_id = proposed.map_or("", |proposed| &proposed.id);
         if self.staged.is_some() && !has_id(&self.staged, proposed_id) {
@@ -178,10 +182,10 @@
         }
     }
 
-    /// Stages a proposal, or votes against it, if neither was done yet.
+    /// Stages a proposal or votes against it, unless either was done already.
     fn vote_on(&mut self, proposed: VersionedPolicy, effects: &mut Vec<Effect>) {
         let has_voted = self.vote.as_ref().is_some_and(|vote| vote.proposal_id == proposed.id);
-        // While a committed policy is being applied the proposal waits for the next read.
+        // While a committed policy is being applied, the proposal waits for the next read of the commit point.
         if has_voted || self.checking.is_some() || self.applying.is_some() {
             return;
         }
--- a/crates/policy-commit/src/policy.rs
+++ b/crates/policy-commit/src/policy.rs
@@ -3,28 +3,28 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The version of a committed policy; 0: none was committed. Each commit raises it by 1.
+/// The version of a committed policy, or 0 if no policy was committed. Each commit raises the version by 1.
 pub type PolicyVersion = u64;
 
-/// The configuration's field for the endpoints that the policy excludes.
+/// The configuration's field for the ids of the endpoints that the policy excludes.
 const EXCLUDED_ENDPOINTS_FIELD: &str = "policy_out";
 
-/// Why a text is not a policy, or cannot be applied to a configuration.
+/// The reason why a text is not a policy, or why a policy cannot be applied to a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
-    /// It is not JSON, or not of the form.
+    /// The text is not JSON, or its fields are not those of a policy.
     #[error("the policy is not in form: {0}")]
     Form(#[from] serde_json::Error),
 }
 
-/// A policy: what the forwarders of a fleet agree on.
+/// A policy on which the forwarders of a fleet agree.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// A JSON merge patch (RFC 7396) for the configuration's `settings`.
+    /// A JSON merge patch (RFC 7396) for the configuration's `settings`, or null for no change.
     #[serde(default, skip_serializing_if = "Value::is_null")]
     pub settings: Value,
-    /// Ids of endpoints that get no messages.
+    /// The ids of endpoints to which no messages are delivered.
     #[serde(default, rename = "out", skip_serializing_if = "Vec::is_empty")]
     pub excluded_endpoints: Vec<String>,
 }
@@ -34,16 +34,16 @@
     ///
     /// # Errors
     ///
-    /// The text is not JSON, or has fields that a policy does not have.
+    /// Returns an error if the text is not JSON or has fields that a policy does not have.
     pub fn parse(text: &str) -> Result<Policy, PolicyError> {
         Ok(serde_json::from_str(text)?)
     }
 
-    /// Applies it to the text of a configuration.
+    /// Returns the text of a configuration with the policy applied to it.
     ///
     /// # Errors
     ///
-    /// The configuration is not JSON.
+    /// Returns an error if the configuration is not JSON.
     pub fn apply_to(&self, configuration: &str) -> Result<String, PolicyError> {
         let mut document: Value = serde_json::from_str(configuration)?;
         if !self.settings.is_null() {
@@ -54,38 +54,38 @@
     }
 }
 
-/// A policy with its version: proposed, or committed. Stored as JSON on Consul and in the forwarder's folder.
+/// A proposed or committed policy with its version. It is stored as JSON on Consul and in the forwarder's folder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedPolicy {
-    /// The id of its proposal, unique also among proposals of one version.
+    /// The id of the policy's proposal. It is unique even among proposals of the same version.
     pub id: String,
-    /// Its version, once it is committed.
+    /// The version that the policy has once it is committed.
     #[serde(rename = "epoch")]
     pub version: PolicyVersion,
-    /// The digest of its text.
+    /// The digest of the text ([`digest`]).
     pub digest: String,
     /// The policy as JSON text.
     #[serde(rename = "policy")]
     pub text: String,
-    /// Who proposed it.
+    /// The name of the proposal's coordinator.
     #[serde(rename = "by")]
     pub proposed_by: String,
 }
 
 impl VersionedPolicy {
-    /// A policy with its version and digest.
+    /// Creates a versioned policy and computes its digest.
     pub fn new(id: String, version: PolicyVersion, text: String, proposed_by: String) -> Self {
         let digest = digest(&text);
         VersionedPolicy { id, version, digest, text, proposed_by }
     }
 
-    /// Whether the text has the digest that it was written with.
+    /// Returns whether the text matches the stored digest.
     pub fn is_intact(&self) -> bool {
         digest(&self.text) == self.digest
     }
 }
 
-/// The digest of a policy's text: XXH3 with 64 bits, as 16 hexadecimal digits.
+/// Returns the digest of a policy's text: XXH3 with 64 bits, as 16 hexadecimal digits.
 pub fn digest(text: &str) -> String {
     format!("{:016x}", xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
 }
--- a/crates/policy-commit/src/staging.rs
+++ b/crates/policy-commit/src/staging.rs
@@ -1,21 +1,21 @@
-//! The policies that a participant keeps on disk, in the forwarder's folder: the one in force and the staged one.
+//! Keeps a participant's policies on disk, in the forwarder's folder: the one in force and the staged one.
 
 use crate::policy::VersionedPolicy;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// File of the policy in force.
+/// The file of the policy in force.
 const IN_FORCE_FILE: &str = "policy-held.json";
-/// File of the staged policy.
+/// The file of the staged policy.
 const STAGED_FILE: &str = "policy-staged.json";
 
-/// A policy that could not be written to disk.
+/// An error for a policy that could not be written to disk.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot write the policy to {path}: {source}", path = path.display())]
 pub struct StagingError {
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The cause.
+    /// The error of the file system.
     pub source: io::Error,
 }
 
@@ -26,40 +26,41 @@
 }
 
 impl PolicyFiles {
-    /// The files in this folder.
+    /// Creates the policy files in this folder. Opens no file yet.
     pub fn new(folder: &Path) -> Self {
         PolicyFiles { folder: folder.to_owned() }
     }
 
-    /// The policy that was last in force; none where the file is absent or damaged.
+    /// Returns the policy that was last in force, or `None` if its file is absent or damaged.
     pub fn read_in_force(&self) -> Option<VersionedPolicy> {
         self.read(IN_FORCE_FILE)
     }
 
-    /// The policy that was last staged; none where the file is absent or damaged.
+    /// Returns the policy that was last staged, or `None` if its file is absent or damaged.
     pub fn read_staged(&self) -> Option<VersionedPolicy> {
         self.read(STAGED_FILE)
     }
 
-    /// Keeps the policy in force.
+    /// Writes the policy in force to its file.
     ///
     /// # Errors
     ///
-    /// The file cannot be written; the one before stays.
+    /// Returns an error if the file cannot be written. The previous file stays.
     pub fn write_in_force(&self, policy: &VersionedPolicy) -> Result<(), StagingError> {
         self.write(IN_FORCE_FILE, policy)
     }
 
-    /// Keeps the staged policy.
+    /// Writes the staged policy to its file.
     ///
     /// # Errors
     ///
-    /// The file cannot be written; the one before stays.
+    /// Returns an error if the file cannot be written. The previous file stays.
     pub fn write_staged(&self, policy: &VersionedPolicy) -> Result<(), StagingError> {
         self.write(STAGED_FILE, policy)
     }
 
-    /// Removes the staged policy, if there is one. A file that stays is discarded at the next start.
+    /// Removes the file of the staged policy, if there is one. If the file cannot be removed, it is discarded after the
+    /// next start.
     pub fn remove_staged(&self) {
         drop(std::fs::remove_file(self.folder.join(STAGED_FILE)));
     }
@@ -75,7 +76,8 @@
     }
 }
 
-/// Writes the policy beside the file and renames it: a crash leaves the old file or the new one.
+/// Writes the policy to a temporary file beside the file and renames it, so that a crash leaves the old file or the new
+/// one.
 fn replace_file(path: &Path, policy: &VersionedPolicy) -> io::Result<()> {
     let temporary = path.with_extension("new");
     let mut file = std::fs::File::create(&temporary)?;
