--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -151,7 +151,7 @@
             let input = match timeout(request_timeout, self.carry_out(&mut locks, request)).await {
                 Ok(Ok(input)) => input,
                 Ok(Err(error)) => {
-                    log!("request for leases failed: member={} error={error}", self.config.name);
+                    log!("lease request to Consul failed: member={} error={error}", self.config.name);
                     without_answer
                 }
                 Err(_) => {
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -42,13 +42,15 @@
         address: ([127, 0, 0, 1], 1000 + *number as u16).into(),
         weight: 1.0,
     };
-    View::new(version, &region, members.iter().map(member).collect()).expect("valid members")
+    View::new(version, &region, members.iter().map(member).collect()).expect("the members are valid")
 }
 
 fn by_rendezvous(members: &Members, _before: Option<&Owners>) -> Owners {
     let view = view(1, members);
     let number = |member: &Member| member.address.port() as usize - 1000;
-    (0..DESTINATIONS).map(|destination| number(view.owner(destination).expect("there is one"))).collect()
+    (0..DESTINATIONS)
+        .map(|destination| number(view.owner(destination).expect("a view with members has an owner")))
+        .collect()
 }
 
 /// Assigns owners by consistent hashing with bounded loads, after Mirrokni, Thorup and Zadimoghaddam (2018). A
@@ -64,7 +66,7 @@
         let from = chance(destination, "destination").to_bits();
         let clockwise = ring.range(from..).chain(ring.range(..from)).map(|(_, member)| *member);
         let owner = clockwise.into_iter().find(|member| load.get(member).copied().unwrap_or(0) < room);
-        let owner = owner.expect("there is room for all");
+        let owner = owner.expect("the bounds leave capacity for all destinations");
         *load.entry(owner).or_default() += 1;
         owner
     };
@@ -79,7 +81,7 @@
     });
     let weights = members.iter().map(|member| (name(*member), 1.0)).collect();
     let placed = assign_leases(&weights, &(0..SLOTS).collect(), &held.collect());
-    let number = |name: &str| name[1..].parse().expect("it is a number");
+    let number = |name: &str| name[1..].parse().expect("a member's name ends in its number");
     (0..DESTINATIONS).map(|destination| number(&placed[&slot(destination)])).collect()
 }
 
@@ -153,8 +155,8 @@
         let (made, mut table) = micros(|| OwnershipTable::new(whole.clone(), 0..destinations));
         let (at_hand, _) =
             micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
-        let (left, _) = micros(|| table.replace_view(rest.clone()).expect("a newer view").len());
-        let (joined, _) = micros(|| table.replace_view(view(3, &all)).expect("a newer view").len());
+        let (left, _) = micros(|| table.replace_view(rest.clone()).expect("the view is newer").len());
+        let (joined, _) = micros(|| table.replace_view(view(3, &all)).expect("the view is newer").len());
         let each = |time: f64| 1e3 * time / destinations as f64;
         println!(
             "| {destinations} | {:.0} | {:.0} | {:.2} | {:.2} | {:.2} |",
--- a/crates/ownership/src/member.rs
+++ b/crates/ownership/src/member.rs
@@ -67,7 +67,7 @@
         weight: f64,
     },
     /// The member reports another region than this registry's.
-    #[error("{name} is of region {region}, here is {here}")]
+    #[error("{name} reports region {region}, but this registry is of region {here}")]
     Region {
         /// The member's name.
         name: String,
@@ -77,7 +77,7 @@
         here: String,
     },
     /// The member reports a zone that its region does not have.
-    #[error("{name} is of zone {zone}, which region {region} does not have")]
+    #[error("{name} reports zone {zone}, which region {region} does not have")]
     Zone {
         /// The member's name.
         name: String,
--- a/crates/ownership/src/view.rs
+++ b/crates/ownership/src/view.rs
@@ -25,7 +25,7 @@
 
 /// An error for a view that is older than the one held.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("a view of version {offered} is older than the one held, {held}")]
+#[error("the view of version {offered} is older than the held view of version {held}")]
 pub struct StaleView {
     /// The version of the view that was rejected.
     pub offered: ViewVersion,
--- a/crates/ownership/tests/ownership_table.rs
+++ b/crates/ownership/tests/ownership_table.rs
@@ -50,7 +50,7 @@
     let mut table = OwnershipTable::new(view(5, members(4)), 0..LISTED);
     let held = table.clone();
     let older = table.replace_view(view(4, members(3))).expect_err("it is older");
-    assert_eq!(older.to_string(), "a view of version 4 is older than the one held, 5");
+    assert_eq!(older.to_string(), "the view of version 4 is older than the held view of version 5");
     assert_eq!(table, held);
     assert_eq!(table.replace_view(view(5, members(4))), Ok(Vec::new()));
     assert_eq!(table, held);
--- a/crates/ownership/tests/view.rs
+++ b/crates/ownership/tests/view.rs
@@ -119,10 +119,13 @@
         change(&mut one);
         View::new(1, &region(), vec![member(0, 1.0), one]).expect_err("an invalid member").to_string()
     };
-    assert_eq!(changed(|one| one.region = "r9".to_owned()), "f001 is of region r9, here is r0");
+    assert_eq!(
+        changed(|one| one.region = "r9".to_owned()),
+        "f001 reports region r9, but this registry is of region r0"
+    );
     assert_eq!(
         changed(|one| one.zone = "z9".to_owned()),
-        "f001 is of zone z9, which region r0 does not have"
+        "f001 reports zone z9, which region r0 does not have"
     );
     assert_eq!(changed(|one| one.name = "f000".to_owned()), "two forwarders are called f000");
     assert_eq!(changed(|one| one.name = String::new()), "the forwarder at 127.0.0.1:1001 has no name");
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -159,7 +159,7 @@
         if let Err(error) = self.files.write_in_force(policy) {
             // The policy is in force in spite of the error. After a restart, the forwarder reads it from the commit
             // point before it is ready.
-            tracing::error!(version = policy.version, %error, "policy in force not kept on disk");
+            tracing::error!(version = policy.version, %error, "cannot write the policy in force to disk");
         }
         if let Some(inputs) = inputs {
             // The receiver is dropped only when the forwarder ends.
@@ -308,7 +308,7 @@
                 Err(_) => {
                     let version = self.version();
                     tracing::warn!(version, timeout = ?JOIN_TIMEOUT,
-                        "cannot read the policy commit point: starts by the policy on disk");
+                        "cannot read the policy commit point, starting with the policy on disk");
                 }
             }
         })
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -30,7 +30,7 @@
     #[error(transparent)]
     Policy(#[from] PolicyError),
     /// The text is longer than [`MAX_POLICY_BYTES`].
-    #[error("the policy has {bytes} bytes; {MAX_POLICY_BYTES} are the most")]
+    #[error("the policy has {bytes} bytes, more than the limit of {MAX_POLICY_BYTES}")]
     TooLarge {
         /// The length of the text, in bytes.
         bytes: usize,
@@ -58,7 +58,7 @@
         members: Vec<String>,
     },
     /// Another policy was committed first, or this proposal was withdrawn.
-    #[error("not committed: it was withdrawn, or another was committed first")]
+    #[error("not committed: the proposal was withdrawn, or another policy was committed first")]
     Superseded,
     /// The commit was sent but not answered, and no later read of the commit point has shown its outcome.
     #[error("it is not known whether epoch {version} was committed ({source}): see policy status")]
--- a/crates/policy-commit/src/policy.rs
+++ b/crates/policy-commit/src/policy.rs
@@ -12,8 +12,8 @@
 /// The reason why a text is not a policy, or why a policy cannot be applied to a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
-    /// The text is not JSON, or its fields are not those of a policy.
-    #[error("the policy is not in form: {0}")]
+    /// The text of the policy or of the configuration is not JSON, or the policy has an unknown field.
+    #[error("malformed policy or configuration: {0}")]
     Form(#[from] serde_json::Error),
 }
 
