--- a/crates/leases/src/keys.rs
+++ b/crates/leases/src/keys.rs
@@ -48,8 +48,8 @@
 
     /// Returns the meaning of this row's key, or `None` if it is neither the key of a member nor the lock of a lease.
     pub fn parse(&self, row: &KeyEntry) -> Option<LeaseKey> {
-        let below = row.key.strip_prefix(&self.prefix)?.strip_prefix('/')?;
-        match below.split_once('/')? {
+        let relative_name = row.key.strip_prefix(&self.prefix)?.strip_prefix('/')?;
+        match relative_name.split_once('/')? {
             (MEMBERS_FOLDER, member) => Some(LeaseKey::Member(member.to_owned())),
             (LEASES_FOLDER, lease) => lease.parse().ok().map(LeaseKey::Lease),
             _ => None,
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -147,16 +147,16 @@
         // With this time-out, a request that is not answered leaves time for another one within the TTL.
         let request_timeout = Duration::from_micros(self.config.protocol.renewal_interval() as u64);
         while let Some(request) = requests.recv().await {
-            let without_answer = input_without_answer(&request.effect);
+            let failure_input = input_after_failure(&request.effect);
             let input = match timeout(request_timeout, self.carry_out(&mut locks, request)).await {
                 Ok(Ok(input)) => input,
                 Ok(Err(error)) => {
                     log!("lease request to Consul failed: member={} error={error}", self.config.name);
-                    without_answer
+                    failure_input
                 }
                 Err(_) => {
                     locks = LockClient::new(self.consul.clone());
-                    without_answer
+                    failure_input
                 }
             };
             if let Some(input) = input {
@@ -217,12 +217,12 @@
             // The time is taken before the request because the data in the answer may be as old as the request.
             let sent_at = self.now();
             match locks.read_keys(&folder, index, self.consul.wait).await {
-                Ok((at, rows)) => {
-                    index = at;
-                    let picture = Picture::new(&self.keys, &self.config.name, &rows);
-                    let assigned = picture.assigned_to(&self.config.name, &self.config.leases);
+                Ok((next_index, rows)) => {
+                    index = next_index;
+                    let snapshot = LockSnapshot::new(&self.keys, &self.config.name, &rows);
+                    let assigned = snapshot.assigned_to(&self.config.name, &self.config.leases);
                     drop(inputs.send(Input::AssignmentChanged(assigned)));
-                    drop(inputs.send(Input::LocksRead { locks: picture.locks, sent_at }));
+                    drop(inputs.send(Input::LocksRead { locks: snapshot.locks, sent_at }));
                 }
                 Err(error) => {
                     log!("cannot read the locks of leases: folder={folder} error={error}");
@@ -236,7 +236,7 @@
 }
 
 /// Returns the input for the state machine after a request that failed or was not answered in time.
-fn input_without_answer(effect: &Effect) -> Option<Input> {
+fn input_after_failure(effect: &Effect) -> Option<Input> {
     match effect {
         Effect::CreateSession | Effect::RenewSession(_) => Some(Input::SessionRequestFailed),
         Effect::Acquire { lease, .. } => Some(Input::AcquireFinished(*lease)),
@@ -247,7 +247,7 @@
 
 /// The members and locks as of one read of the keys.
 #[derive(Default)]
-struct Picture {
+struct LockSnapshot {
     /// The weights of the members whose key is held by a session.
     weights: BTreeMap<MemberName, f64>,
     member_of_session: BTreeMap<SessionId, MemberName>,
@@ -255,26 +255,26 @@
     locks: BTreeMap<LeaseId, Lock>,
 }
 
-impl Picture {
+impl LockSnapshot {
     fn new(keys: &LeaseKeys, own_name: &str, rows: &[KeyEntry]) -> Self {
-        let mut picture = Picture::default();
+        let mut snapshot = LockSnapshot::default();
         for row in rows {
             let lock = Lock { session: row.session.clone(), modify_index: row.modify_index };
             match keys.parse(row) {
                 Some(LeaseKey::Member(name)) => {
                     if name == own_name {
-                        picture.locks.insert(MEMBERSHIP, lock);
+                        snapshot.locks.insert(MEMBERSHIP, lock);
                     }
                     if let Some(session) = &row.session {
-                        picture.member_of_session.insert(session.clone(), name.clone());
-                        picture.weights.insert(name, row.value_text().parse().unwrap_or(0.0));
+                        snapshot.member_of_session.insert(session.clone(), name.clone());
+                        snapshot.weights.insert(name, row.value_text().parse().unwrap_or(0.0));
                     }
                 }
-                Some(LeaseKey::Lease(lease)) => drop(picture.locks.insert(lease, lock)),
+                Some(LeaseKey::Lease(lease)) => drop(snapshot.locks.insert(lease, lock)),
                 None => {}
             }
         }
-        picture
+        snapshot
     }
 
     /// Returns the leases that the placement assigns to a member, and `MEMBERSHIP`.
--- a/crates/leases/src/placement.rs
+++ b/crates/leases/src/placement.rs
@@ -29,19 +29,19 @@
     let held = held_by_member(&weights, leases, holders);
     let mut capacity = quotas(&weights, leases.len(), &held);
     let mut assignment = BTreeMap::new();
-    for (name, mut keeps) in held {
+    for (name, mut kept) in held {
         // Above its quota, a member gives up the leases for which it has the lowest scores.
-        keeps.sort_by(|a, b| score(*b, name, 1.0).total_cmp(&score(*a, name, 1.0)));
-        keeps.truncate(capacity[name]);
-        capacity.entry(name.to_owned()).and_modify(|capacity| *capacity -= keeps.len());
-        assignment.extend(keeps.into_iter().map(|lease| (lease, name.to_owned())));
+        kept.sort_by(|a, b| score(*b, name, 1.0).total_cmp(&score(*a, name, 1.0)));
+        kept.truncate(capacity[name]);
+        capacity.entry(name.to_owned()).and_modify(|capacity| *capacity -= kept.len());
+        assignment.extend(kept.into_iter().map(|lease| (lease, name.to_owned())));
     }
     for lease in leases {
         if assignment.contains_key(lease) {
             continue;
         }
-        let open = weights.iter().filter(|(name, _)| capacity[*name] > 0);
-        let best = open.max_by(|a, b| score(*lease, a.0, *a.1).total_cmp(&score(*lease, b.0, *b.1)));
+        let candidates = weights.iter().filter(|(name, _)| capacity[*name] > 0);
+        let best = candidates.max_by(|a, b| score(*lease, a.0, *a.1).total_cmp(&score(*lease, b.0, *b.1)));
         let Some((name, _)) = best else { break };
         capacity.entry(name.clone()).and_modify(|capacity| *capacity -= 1);
         assignment.insert(*lease, name.clone());
@@ -107,8 +107,8 @@
         shares.push(Share { name, fraction: share.fract(), exceeds_floor });
     }
     shares.sort_by(Share::rounding_order);
-    let left_over = lease_count.saturating_sub(quotas.values().sum());
-    for share in shares.iter().cycle().take(left_over) {
+    let remainder = lease_count.saturating_sub(quotas.values().sum());
+    for share in shares.iter().cycle().take(remainder) {
         quotas.entry(share.name.clone()).and_modify(|quota| *quota += 1);
     }
     quotas
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -214,13 +214,13 @@
             }
             Input::SessionRenewed { session, sent_at } => {
                 self.session_request_in_flight = false;
-                if let Some(held) = self.session.as_mut().filter(|held| held.id == session) {
-                    held.renewed_at = held.renewed_at.max(sent_at);
+                if let Some(current) = self.session.as_mut().filter(|current| current.id == session) {
+                    current.renewed_at = current.renewed_at.max(sent_at);
                 }
             }
             Input::SessionNotFound(session) => {
                 self.session_request_in_flight = false;
-                if self.session.take_if(|held| held.id == session).is_some() {
+                if self.session.take_if(|current| current.id == session).is_some() {
                     self.next_session_request_at = now;
                 }
             }
@@ -365,10 +365,10 @@
         if !self.shutting_down {
             return;
         }
-        let is_open = |state: &LockState| {
+        let is_unreleased = |state: &LockState| {
             matches!(state, LockState::Acquiring | LockState::Held(_) | LockState::Releasing)
         };
-        if let Some(session) = self.session.take_if(|session| !session.locks.values().any(is_open)) {
+        if let Some(session) = self.session.take_if(|session| !session.locks.values().any(is_unreleased)) {
             effects.push(Effect::DestroySession(session.id));
         }
     }
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns a fraction in (0, 1) that is a hash of a number and a salt.
-fn chance(key: u64, salt: &str) -> f64 {
+fn uniform_fraction(key: u64, salt: &str) -> f64 {
     (-1.0 / score(&key.to_le_bytes(), salt, 1.0)).exp()
 }
 
@@ -57,15 +57,15 @@
 /// destination goes to the first member with free capacity, clockwise from the destination's point.
 fn by_bounded_ring(members: &Members, bound: f64) -> Owners {
     let points = members.iter().flat_map(|member| {
-        (0..RING_POINTS).map(|point| (chance(u64::from(point), &name(*member)).to_bits(), *member))
+        (0..RING_POINTS).map(|point| (uniform_fraction(u64::from(point), &name(*member)).to_bits(), *member))
     });
     let ring: BTreeMap<u64, usize> = points.collect();
-    let room = (bound * DESTINATIONS as f64 / members.len() as f64).ceil() as usize;
+    let capacity = (bound * DESTINATIONS as f64 / members.len() as f64).ceil() as usize;
     let mut load: BTreeMap<usize, usize> = BTreeMap::new();
     let mut owner_of = |destination: u64| {
-        let from = chance(destination, "destination").to_bits();
+        let from = uniform_fraction(destination, "destination").to_bits();
         let clockwise = ring.range(from..).chain(ring.range(..from)).map(|(_, member)| *member);
-        let owner = clockwise.into_iter().find(|member| load.get(member).copied().unwrap_or(0) < room);
+        let owner = clockwise.into_iter().find(|member| load.get(member).copied().unwrap_or(0) < capacity);
         let owner = owner.expect("the bounds leave capacity for all destinations");
         *load.entry(owner).or_default() += 1;
         owner
@@ -75,7 +75,7 @@
 
 /// Assigns slots evenly, as one writer in Consul would. A member keeps the slots that it has.
 fn by_slots(members: &Members, before: Option<&Owners>) -> Owners {
-    let slot = |destination: u64| (chance(destination, "slot") * f64::from(SLOTS)) as u32;
+    let slot = |destination: u64| (uniform_fraction(destination, "slot") * f64::from(SLOTS)) as u32;
     let held = before.into_iter().flat_map(|owners| {
         owners.iter().enumerate().map(|(destination, owner)| (slot(destination as u64), name(*owner)))
     });
@@ -85,12 +85,12 @@
     (0..DESTINATIONS).map(|destination| number(&placed[&slot(destination)])).collect()
 }
 
-fn moves(before: &Owners, after: &Owners) -> usize {
+fn count_moves(before: &Owners, after: &Owners) -> usize {
     before.iter().zip(after).filter(|(before, after)| before != after).count()
 }
 
 /// Returns the highest and the lowest load as multiples of the mean load, with a weight for each destination.
-fn skew(members: &Members, owners: &Owners, weight: impl Fn(u64) -> f64) -> (f64, f64) {
+fn load_extremes(members: &Members, owners: &Owners, weight: impl Fn(u64) -> f64) -> (f64, f64) {
     let mut load: BTreeMap<usize, f64> = members.iter().map(|member| (*member, 0.0)).collect();
     for (destination, owner) in owners.iter().enumerate() {
         *load.entry(*owner).or_default() += weight(destination as u64);
@@ -104,7 +104,7 @@
 /// another hash than the placements, so that no method depends on them.
 fn ranks() -> Vec<usize> {
     let mut order: Vec<u64> = (0..DESTINATIONS).collect();
-    order.sort_by(|left, right| chance(*left, "rank").total_cmp(&chance(*right, "rank")));
+    order.sort_by(|left, right| uniform_fraction(*left, "rank").total_cmp(&uniform_fraction(*right, "rank")));
     let mut ranks = vec![0; order.len()];
     for (place, destination) in order.into_iter().enumerate() {
         ranks[destination as usize] = place + 1;
@@ -112,68 +112,71 @@
     ranks
 }
 
-fn compare(way: &str, owners: impl Fn(&Members, Option<&Owners>) -> Owners) {
+fn compare_method(method: &str, owners: impl Fn(&Members, Option<&Owners>) -> Owners) {
     let all: Members = (0..MEMBERS).collect();
     let without_one: Members = all.iter().copied().filter(|member| *member != 77).collect();
     let one_zone: Members = all.iter().copied().filter(|member| member % 2 == 0).collect();
-    let whole = owners(&all, None);
-    let left = owners(&without_one, Some(&whole));
-    let back = owners(&all, Some(&left));
-    let zone = owners(&one_zone, Some(&whole));
-    let needless = whole.iter().zip(&zone).filter(|(from, to)| from != to && *from % 2 == 0).count();
-    let (most, least) = skew(&all, &whole, |_| 1.0);
-    let (zone_most, _) = skew(&one_zone, &zone, |_| 1.0);
+    let initial = owners(&all, None);
+    let after_leave = owners(&without_one, Some(&initial));
+    let after_return = owners(&all, Some(&after_leave));
+    let after_zone_loss = owners(&one_zone, Some(&initial));
+    let needless_moves =
+        initial.iter().zip(&after_zone_loss).filter(|(from, to)| from != to && *from % 2 == 0).count();
+    let (highest, lowest) = load_extremes(&all, &initial, |_| 1.0);
+    let (zone_highest, _) = load_extremes(&one_zone, &after_zone_loss, |_| 1.0);
     let ranks = ranks();
-    let (traffic, _) = skew(&all, &whole, |destination| 1.0 / ranks[destination as usize] as f64);
+    let (traffic, _) = load_extremes(&all, &initial, |destination| 1.0 / ranks[destination as usize] as f64);
     println!(
-        "| {way} | {most:.3} | {least:.3} | {} | {} | {} | {needless} | {zone_most:.3} | {traffic:.2} |",
-        moves(&whole, &left),
-        moves(&left, &back),
-        moves(&whole, &zone),
+        "| {method} | {highest:.3} | {lowest:.3} | {} | {} | {} | {needless_moves} | {zone_highest:.3} | {traffic:.2} |",
+        count_moves(&initial, &after_leave),
+        count_moves(&after_leave, &after_return),
+        count_moves(&initial, &after_zone_loss),
     );
 }
 
 /// Runs `work`. Returns the time that it took, in microseconds, and its result.
-fn micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
+fn time_in_micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let start = Instant::now();
     let result = black_box(work());
     (start.elapsed().as_secs_f64() * 1e6, result)
 }
 
 /// Prints the cost of lookups and updates in `orchidyoke-ownership` itself.
-fn costs() {
+fn print_lookup_costs() {
     let all: Members = (0..MEMBERS).collect();
     let without_one: Members = all.iter().copied().filter(|member| *member != 77).collect();
-    let (whole, rest) = (view(1, &all), view(2, &without_one));
+    let (initial, rest) = (view(1, &all), view(2, &without_one));
     println!(
         "\n| destinations | a lookup in the view, ns | in the table, ns | table made, ms | one leaves, ms | one joins, ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for destinations in [667, 10_000, DESTINATIONS] {
-        let (lookups, _) =
-            micros(|| (0..destinations).filter(|d| black_box(whole.owner(*d)).is_some()).count());
-        let (made, mut table) = micros(|| OwnershipTable::new(whole.clone(), 0..destinations));
-        let (at_hand, _) =
-            micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
-        let (left, _) = micros(|| table.replace_view(rest.clone()).expect("the view is newer").len());
-        let (joined, _) = micros(|| table.replace_view(view(3, &all)).expect("the view is newer").len());
-        let each = |time: f64| 1e3 * time / destinations as f64;
+        let (view_lookups, _) =
+            time_in_micros(|| (0..destinations).filter(|d| black_box(initial.owner(*d)).is_some()).count());
+        let (creation, mut table) = time_in_micros(|| OwnershipTable::new(initial.clone(), 0..destinations));
+        let (table_lookups, _) =
+            time_in_micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
+        let (leave, _) =
+            time_in_micros(|| table.replace_view(rest.clone()).expect("the view is newer").len());
+        let (join, _) =
+            time_in_micros(|| table.replace_view(view(3, &all)).expect("the view is newer").len());
+        let ns_per_destination = |time: f64| 1e3 * time / destinations as f64;
         println!(
             "| {destinations} | {:.0} | {:.0} | {:.2} | {:.2} | {:.2} |",
-            each(lookups),
-            each(at_hand),
-            made / 1e3,
-            left / 1e3,
-            joined / 1e3
+            ns_per_destination(view_lookups),
+            ns_per_destination(table_lookups),
+            creation / 1e3,
+            leave / 1e3,
+            join / 1e3
         );
     }
 }
 
 /// Prints the size of Consul's answers to a read of all members, in bytes, and their rate while all forwarders of a
 /// region are restarted.
-fn control() {
+fn print_registry_traffic() {
     let all: Members = (0..MEMBERS).collect();
-    let row = |member: &Member| {
+    let entry_row = |member: &Member| {
         let value = "=".repeat(member.to_entry().len().div_ceil(3) * 4);
         let key = format!("orchidyoke/ownership/{}/members/{}", member.region, member.name);
         let session = "adf4238a-882b-9ddc-4a9d-5b6758e4159e";
@@ -181,19 +184,22 @@
             r#"{{"LockIndex":1,"Key":"{key}","Flags":0,"Value":"{value}","Session":"{session}","CreateIndex":1234567,"ModifyIndex":2345678}},"#
         )
     };
-    let entries: usize = view(1, &all).members().iter().map(|member| row(member).len()).sum();
-    let key = |member: &Member| {
+    let entries: usize = view(1, &all).members().iter().map(|member| entry_row(member).len()).sum();
+    let key_with_entry = |member: &Member| {
         format!(r#""orchidyoke/o/{};{};{};{}","#, member.name, member.zone, member.address, member.weight)
     };
-    let keys: usize = view(1, &all).members().iter().map(|member| key(member).len()).sum();
+    let keys: usize = view(1, &all).members().iter().map(|member| key_with_entry(member).len()).sum();
     println!(
         "\n| a read of {MEMBERS} members | bytes | of 6 KB/s, reads at most every 5 s | a read for each change, 300 changes in 10 min |"
     );
     println!("| --- | --- | --- | --- |");
     for (what, bytes) in [("rows with entries", entries), ("keys alone, the entry in the key", keys)] {
         let bytes = bytes + 250;
-        let (coalesced, each) = (bytes as f64 / 5.0, bytes as f64 * 300.0 / 600.0);
-        println!("| {what} | {bytes} | {coalesced:.0} B/s ({:.0}%) | {each:.0} B/s |", coalesced / 60.0);
+        let (coalesced, per_change) = (bytes as f64 / 5.0, bytes as f64 * 300.0 / 600.0);
+        println!(
+            "| {what} | {bytes} | {coalesced:.0} B/s ({:.0}%) | {per_change:.0} B/s |",
+            coalesced / 60.0
+        );
     }
 }
 
@@ -202,12 +208,12 @@
         "| way | most / mean | least / mean | moves, one leaves | moves, it is back | moves, a zone is lost | of them needless | most / mean then | most traffic / mean |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    compare("weighted rendezvous", by_rendezvous);
+    compare_method("weighted rendezvous", by_rendezvous);
     for bound in LOAD_BOUNDS {
-        let way = format!("consistent hashing, loads up to {bound}");
-        compare(&way, |members, _| by_bounded_ring(members, bound));
+        let method = format!("consistent hashing, loads up to {bound}");
+        compare_method(&method, |members, _| by_bounded_ring(members, bound));
     }
-    compare(&format!("{SLOTS} assigned slots"), by_slots);
-    costs();
-    control();
+    compare_method(&format!("{SLOTS} assigned slots"), by_slots);
+    print_lookup_costs();
+    print_registry_traffic();
 }
--- a/crates/ownership/src/config.rs
+++ b/crates/ownership/src/config.rs
@@ -73,13 +73,13 @@
     /// Returns how long this forwarder's session is valid after its last renewal was sent, in microseconds on the local
     /// clock, which may run slow.
     pub(crate) fn local_session_ttl(&self) -> Micros {
-        self.shorten(self.session_ttl)
+        self.shorten_by_clock_drift(self.session_ttl)
     }
 
     /// Returns how long a view is valid after its read was sent, in microseconds on the local clock, which may run
     /// slow.
     pub(crate) fn local_view_lifetime(&self) -> Micros {
-        self.shorten(self.view_lifetime)
+        self.shorten_by_clock_drift(self.view_lifetime)
     }
 
     /// Returns how long a new owner keeps to the slow-start rate, in microseconds on the local clock, which may run
@@ -88,7 +88,7 @@
         (self.warm_up_time as f64 * (1.0 + self.clock_drift)).ceil() as Micros
     }
 
-    fn shorten(&self, time: Micros) -> Micros {
+    fn shorten_by_clock_drift(&self, time: Micros) -> Micros {
         (time as f64 / (1.0 + self.clock_drift)) as Micros
     }
 }
--- a/crates/ownership/src/member.rs
+++ b/crates/ownership/src/member.rs
@@ -67,14 +67,14 @@
         weight: f64,
     },
     /// The member reports another region than this registry's.
-    #[error("{name} reports region {region}, but this registry is of region {here}")]
+    #[error("{name} reports region {region}, but this registry is of region {registry_region}")]
     Region {
         /// The member's name.
         name: String,
         /// The region that the member reports.
         region: String,
         /// The region of this registry.
-        here: String,
+        registry_region: String,
     },
     /// The member reports a zone that its region does not have.
     #[error("{name} reports zone {zone}, which region {region} does not have")]
@@ -152,8 +152,8 @@
             return Err(EntryError::Weight { name, weight: self.weight });
         }
         if self.region != region.name {
-            let here = region.name.clone();
-            return Err(EntryError::Region { name, region: self.region.clone(), here });
+            let registry_region = region.name.clone();
+            return Err(EntryError::Region { name, region: self.region.clone(), registry_region });
         }
         if !region.zones.contains(&self.zone) {
             return Err(EntryError::Zone { name, zone: self.zone.clone(), region: region.name.clone() });
--- a/crates/ownership/src/member_state.rs
+++ b/crates/ownership/src/member_state.rs
@@ -112,7 +112,7 @@
     ) -> Result<Vec<OwnershipChange>, StaleView> {
         let changes = match self.owners.replace_view(view.clone()) {
             Ok(changes) => changes,
-            Err(stale) if self.view_counts(config, now) => return Err(stale),
+            Err(stale) if self.is_view_valid(config, now) => return Err(stale),
             Err(_) => self.owners.reset_view(view),
         };
         self.view_read_at = self.view_read_at.max(Some(sent_at));
@@ -144,7 +144,7 @@
                 self.decide_as_owner(config, now, destination, was_handed_over)
             }
             Some(owner) if !was_handed_over => DeliveryDecision::HandOver(owner),
-            _ => slow_start(SlowStartReason::NotOwner),
+            _ => deliver_at_slow_start(SlowStartReason::NotOwner),
         }
     }
 
@@ -156,10 +156,10 @@
     /// Returns whether the forwarder's session and view are valid, so that it still owns what it owns in its view.
     pub fn is_confirmed(&self, config: &OwnershipConfig, now: Micros) -> bool {
         let has_session = self.renewed_at.is_some_and(|sent_at| now < sent_at + config.local_session_ttl());
-        has_session && self.view_counts(config, now)
+        has_session && self.is_view_valid(config, now)
     }
 
-    fn view_counts(&self, config: &OwnershipConfig, now: Micros) -> bool {
+    fn is_view_valid(&self, config: &OwnershipConfig, now: Micros) -> bool {
         self.view_read_at.is_some_and(|sent_at| now < sent_at + config.local_view_lifetime())
     }
 
@@ -173,15 +173,15 @@
         if self.draining {
             return match self.successor(destination) {
                 Some(successor) if !was_handed_over => DeliveryDecision::HandOver(successor),
-                _ => slow_start(SlowStartReason::Draining),
+                _ => deliver_at_slow_start(SlowStartReason::Draining),
             };
         }
         if !self.is_confirmed(config, now) {
-            return slow_start(SlowStartReason::Unconfirmed);
+            return deliver_at_slow_start(SlowStartReason::Unconfirmed);
         }
         let owned_since = self.warming_up_since.get(&destination).copied().max(self.registered_at);
         if owned_since.is_some_and(|since| now < since + config.local_warm_up_time()) {
-            return slow_start(SlowStartReason::NewOwner);
+            return deliver_at_slow_start(SlowStartReason::NewOwner);
         }
         DeliveryDecision::Deliver(Rate::Full)
     }
@@ -203,6 +203,6 @@
     }
 }
 
-fn slow_start(reason: SlowStartReason) -> DeliveryDecision<'static> {
+fn deliver_at_slow_start(reason: SlowStartReason) -> DeliveryDecision<'static> {
     DeliveryDecision::Deliver(Rate::SlowStart(reason))
 }
--- a/crates/policy-commit/src/commit_point.rs
+++ b/crates/policy-commit/src/commit_point.rs
@@ -67,14 +67,14 @@
     /// Parses the commit point from the rows of its folder. A value that cannot be parsed, or does not match its
     /// digest, is treated as absent.
     pub fn from_rows(settings: &Settings, rows: &[KeyEntry]) -> CommitPoint {
-        let find = |key: String| {
+        let find_policy = |key: String| {
             let row = rows.iter().find(|row| row.key == key)?;
             let policy: VersionedPolicy = serde_json::from_str(&row.value_text()).ok()?;
             policy.is_intact().then_some((row, policy))
         };
-        let committed = find(settings.committed_key())
+        let committed = find_policy(settings.committed_key())
             .map(|(row, policy)| Committed { policy, modify_index: row.modify_index });
-        let proposal = find(settings.proposal_key()).map(|(row, policy)| Proposal {
+        let proposal = find_policy(settings.proposal_key()).map(|(row, policy)| Proposal {
             policy,
             modify_index: row.modify_index,
             session: row.session.clone(),
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -204,9 +204,9 @@
     }
 
     async fn register(&self, locks: &mut LockClient, key: &str) -> Result<(), LockError> {
-        let known = self.session.borrow().clone();
+        let present_session = self.session.borrow().clone();
         let mut is_new = false;
-        let session = match known {
+        let session = match present_session {
             Some(session) if locks.renew_session(&session).await? => session,
             _ => {
                 is_new = true;
@@ -234,16 +234,16 @@
     /// Reports the status to the forwarder whenever it changes, including when the contact with the commit point
     /// lapses.
     async fn report_status(&self, inputs: &UnboundedSender<input::Input>) {
-        let mut last = self.status();
+        let mut last_status = self.status();
         loop {
             tokio::select! {
                 () = self.state_changed.notified() => {}
-                () = self.contact_lapse() => {}
+                () = self.wait_for_contact_lapse() => {}
             }
             let status = self.status();
-            if status != last {
-                self.log_readiness(&last, &status);
-                last = status.clone();
+            if status != last_status {
+                self.log_readiness(&last_status, &status);
+                last_status = status.clone();
                 // The receiver is dropped only when the forwarder ends.
                 let _ = inputs.send(input::Input::PolicyStatus(status));
             }
@@ -251,7 +251,7 @@
     }
 
     /// Returns when contact with the commit point lapses. If it has already lapsed, the future never completes.
-    async fn contact_lapse(&self) {
+    async fn wait_for_contact_lapse(&self) {
         match self.contact_until().filter(|until| *until > self.now()) {
             Some(until) => sleep_until(self.start + Duration::from_micros(until as u64)).await,
             None => std::future::pending().await,
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -47,13 +47,13 @@
         version: PolicyVersion,
     },
     /// Participants voted against the proposal.
-    #[error("not committed, refused by {}", list(.0))]
+    #[error("not committed, refused by {}", format_rejections(.0))]
     Rejected(Vec<Rejection>),
     /// Participants did not vote in time.
-    #[error("not committed, no answer within {patience:?} from {members}", members = members.join(", "))]
+    #[error("not committed, no answer within {timeout:?} from {members}", members = members.join(", "))]
     VotesMissing {
         /// How long the coordinator waited for votes.
-        patience: Duration,
+        timeout: Duration,
         /// The participants that did not vote.
         members: Vec<String>,
     },
@@ -70,7 +70,7 @@
     },
 }
 
-fn list(rejections: &[Rejection]) -> String {
+fn format_rejections(rejections: &[Rejection]) -> String {
     let texts = rejections.iter().map(|rejection| format!("{}: {}", rejection.member, rejection.reason));
     texts.collect::<Vec<_>>().join("; ")
 }
@@ -100,7 +100,7 @@
 struct OpenProposal<'a> {
     policy: VersionedPolicy,
     session: &'a str,
-    patience: Duration,
+    timeout: Duration,
     deadline: Instant,
 }
 
@@ -181,7 +181,7 @@
     }
 
     /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on
-    /// all participants. Waits up to `patience` for the votes, and again up to `patience` until the policy is in force.
+    /// all participants. Waits up to `timeout` for the votes, and again up to `timeout` until the policy is in force.
     ///
     /// # Errors
     ///
@@ -190,7 +190,7 @@
         &mut self,
         policy: &str,
         by: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<CommitReport, CommitError> {
         Policy::parse(policy)?;
         if policy.len() > MAX_POLICY_BYTES {
@@ -198,13 +198,13 @@
         }
         let ttl = self.settings.ttl;
         let session = self.locks.create_session(by, ttl, Duration::ZERO, SessionBehavior::Delete).await?;
-        let outcome = self.propose_under(&session, policy, by, patience).await;
+        let outcome = self.propose_under(&session, policy, by, timeout).await;
         self.committed_at = outcome.is_ok().then(Instant::now);
         // Ending the session also deletes the proposal, if it still exists.
         self.locks.destroy_session(&session).await;
         let committed = outcome?;
         tracing::info!(version = committed.version, id = %committed.id, "policy committed");
-        Ok(self.await_in_force(committed.version, patience).await)
+        Ok(self.await_in_force(committed.version, timeout).await)
     }
 
     async fn propose_under(
@@ -212,19 +212,19 @@
         session: &str,
         policy: &str,
         by: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<VersionedPolicy, CommitError> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let point = self.commit_point().await?;
         if let Some(other) = point.proposal {
-            return Err(proposal_open(other));
+            return Err(proposal_open_error(other));
         }
         // Consul never reuses the id of a session, so the id distinguishes this proposal from all others.
         let id = session.to_owned();
         let policy = VersionedPolicy::new(id, point.version() + 1, policy.to_owned(), by.to_owned());
         self.write_proposal(&policy, session).await?;
         tracing::info!(version = policy.version, id = %policy.id, digest = %policy.digest, "policy proposed");
-        let proposal = OpenProposal { policy, session, patience, deadline };
+        let proposal = OpenProposal { policy, session, timeout, deadline };
         let condition = self.collect_votes(&proposal).await?;
         self.commit(proposal, condition).await
     }
@@ -235,7 +235,7 @@
             return Ok(());
         }
         Err(match self.commit_point().await?.proposal {
-            Some(other) => proposal_open(other),
+            Some(other) => proposal_open_error(other),
             None => CommitError::ProposalOpen { by: "somebody".to_owned(), version: policy.version },
         })
     }
@@ -263,7 +263,7 @@
                 CommitDecision::Commit(condition) => return Ok(condition),
             }
         }
-        Err(CommitError::VotesMissing { patience: proposal.patience, members: missing })
+        Err(CommitError::VotesMissing { timeout: proposal.timeout, members: missing })
     }
 
     /// Commits the proposal in one transaction.
@@ -329,16 +329,16 @@
         }
     }
 
-    /// Waits until all participants report this version in force, for up to `patience` after the commit.
-    async fn await_in_force(&mut self, version: PolicyVersion, patience: Duration) -> CommitReport {
+    /// Waits until all participants report this version in force, for up to `timeout` after the commit.
+    async fn await_in_force(&mut self, version: PolicyVersion, timeout: Duration) -> CommitReport {
         let committed_at = self.committed_at.unwrap_or_else(Instant::now);
         let mut index = 0;
         let mut not_in_force = Vec::new();
-        while committed_at.elapsed() < patience {
-            match timeout_at(committed_at + patience, self.members(index)).await {
+        while committed_at.elapsed() < timeout {
+            match timeout_at(committed_at + timeout, self.members(index)).await {
                 Ok(Ok(read)) => {
                     index = read.index;
-                    not_in_force = members_below(version, &read.members);
+                    not_in_force = members_below_version(version, &read.members);
                     if not_in_force.is_empty() {
                         let in_force_everywhere_after = Some(committed_at.elapsed());
                         return CommitReport { version, in_force_everywhere_after, not_in_force };
@@ -355,7 +355,7 @@
     }
 }
 
-fn proposal_open(other: Proposal) -> CommitError {
+fn proposal_open_error(other: Proposal) -> CommitError {
     CommitError::ProposalOpen { by: other.policy.proposed_by, version: other.policy.version }
 }
 
@@ -368,7 +368,7 @@
 }
 
 /// Returns the ids of the participants that do not report at least this version in force.
-fn members_below(version: PolicyVersion, members: &[Member]) -> Vec<String> {
+fn members_below_version(version: PolicyVersion, members: &[Member]) -> Vec<String> {
     let is_below = |member: &&Member| member.status.as_ref().is_none_or(|status| status.version < version);
     members.iter().filter(is_below).map(|member| member.id.clone()).collect()
 }
--- a/crates/policy-commit/src/policy.rs
+++ b/crates/policy-commit/src/policy.rs
@@ -14,7 +14,7 @@
 pub enum PolicyError {
     /// The text of the policy or of the configuration is not JSON, or the policy has an unknown field.
     #[error("malformed policy or configuration: {0}")]
-    Form(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
 }
 
 /// A policy on which the forwarders of a fleet agree.
