--- a/crates/leases/src/placement/tests.rs
+++ b/crates/leases/src/placement/tests.rs
@@ -15,7 +15,7 @@
     after.iter().filter(|(lease, name)| before.get(lease) != Some(name)).count()
 }
 
-// 25 of 50 members leave and come back; 1,000 leases.
+// 25 of 50 members leave and return, with 1,000 leases.
 #[test]
 fn fleet_halved_and_restored_migrates_only_the_leases_that_must_move() {
     let leases: BTreeSet<LeaseId> = (0..1000).collect();
@@ -24,7 +24,7 @@
     assert!(lease_counts(&first).values().all(|count| *count == 20));
     let half: BTreeMap<MemberName, f64> = all.clone().into_iter().step_by(2).collect();
     let second = assign_leases(&half, &leases, &first);
-    assert_eq!(migrations(&first, &second), 500, "those of the members that left, no others");
+    assert_eq!(migrations(&first, &second), 500, "only the leases of the members that left migrate");
     assert!(lease_counts(&second).values().all(|count| *count == 40));
     let third = assign_leases(&all, &leases, &second);
     assert_eq!(migrations(&second, &third), 500);
@@ -44,8 +44,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..Default::default() })]
 
-    // Guards against unassigned leases, uneven shares, and migrations beyond the leases of members that left and those
-    // above a quota, whichever leases were held by which member before.
+    // Guards against unassigned leases, uneven shares and needless migrations, whichever member held which lease
+    // before. A migration is needed only for the leases of members that have left and for leases above a quota.
     #[test]
     fn shares_are_even_and_stable_assignment_does_not_migrate(
         weights in prop::collection::vec(1u32..5, 1..20),
@@ -66,7 +66,8 @@
             least += has.min(share.ceil() as usize);
         }
         let kept = assignment.iter().filter(|(lease, name)| held.get(lease) == Some(name)).count();
-        // Members that exceed their floor are rounded up first, so at most one lease a member is lost.
+        // Members that hold more than their share rounded down are rounded up first, so each member loses at most one
+        // lease.
         prop_assert!(kept + members.len() >= least, "{kept} kept of {least}");
         prop_assert_eq!(migrations(&assignment, &assign_leases(&members, &leases, &assignment)), 0, "a stable assignment does not migrate");
     }
--- a/crates/leases/src/state_machine/tests.rs
+++ b/crates/leases/src/state_machine/tests.rs
@@ -37,7 +37,11 @@
     let asked = leases.step(&config(), S, Input::LocksRead { locks: locks(&[(1, None, 4)]), sent_at: S });
     assert_eq!(asked, [Effect::Acquire { lease: 1, session: "s".to_owned() }]);
     assert_eq!(leases.step(&config(), S, Input::AcquireFinished(1)), [Effect::ReadLocks]);
-    assert_eq!(leases.may_act(&config(), S, 1), None, "not before a read of the locks shows it");
+    assert_eq!(
+        leases.may_act(&config(), S, 1),
+        None,
+        "no action before a read of the locks shows the lock as held"
+    );
     leases.step(&config(), S, Input::LocksRead { locks: locks(&[(1, Some("s"), 5)]), sent_at: S });
     leases
 }
@@ -47,14 +51,18 @@
     let mut leases = holder();
     assert_eq!(leases.may_act(&config(), S, 1), Some(5));
     assert_eq!(leases.step(&config(), 4 * S, Input::Tick), [Effect::RenewSession("s".to_owned())]);
-    // Its answer takes 5 s.
+    // The answer to the renewal takes 5 s.
     assert_eq!(
         leases.step(&config(), 9 * S, Input::SessionRenewed { session: "s".to_owned(), sent_at: 4 * S }),
         [Effect::RenewSession("s".to_owned())]
     );
     let end = 4 * S + config().lease_duration();
     assert_eq!(leases.may_act(&config(), end - S - 1, 1), Some(5));
-    assert_eq!(leases.may_act(&config(), end - S, 1), None, "it might not end in time");
+    assert_eq!(
+        leases.may_act(&config(), end - S, 1),
+        None,
+        "the action might not end before the lease expires"
+    );
     assert!(leases.step(&config(), end, Input::Tick).contains(&Effect::DestroySession("s".to_owned())));
     leases.step(&config(), end, Input::SessionRenewed { session: "s".to_owned(), sent_at: 9 * S });
     assert_eq!(
@@ -64,7 +72,7 @@
     );
 }
 
-// Guards against a holder that was suspended past its lease and acts when it wakes.
+// Guards against a holder that was suspended until its lease expired and acts after it resumes.
 #[test]
 fn late_wake_up_finds_the_lease_expired() {
     let leases = holder();
@@ -74,7 +82,7 @@
     assert_eq!(woken.may_act(&config(), 60 * S, 1), None);
 }
 
-// Guards against a lock that is held and never used, because the answer to its request was lost.
+// Guards against a lock that is held but never used, because the answer to the request for it was lost.
 #[test]
 fn lock_acquired_without_an_answer_is_used_or_released() {
     let mut leases = with_session(&[1]);
@@ -89,8 +97,8 @@
     assert_eq!(effects, [Effect::Release { lease: 1, session: "s".to_owned() }]);
 }
 
-// Guards against a lock believed held after its release, because a read that was sent before came late; and against a
-// lock acquired again while its release may still be in flight.
+// Guards against two failures. A released lock counts as held because the answer to an earlier read arrives late. A
+// lock is acquired again while its release may still be in flight.
 #[test]
 fn released_lock_is_not_held() {
     for in_doubt in [false, true] {
@@ -121,7 +129,7 @@
 fn session_or_lock_ended_by_others_is_no_longer_used() {
     let mut leases = holder();
     leases.step(&config(), 2 * S, Input::LocksRead { locks: locks(&[(1, None, 8)]), sent_at: 2 * S });
-    assert_eq!(leases.may_act(&config(), 2 * S, 1), None, "released by hand");
+    assert_eq!(leases.may_act(&config(), 2 * S, 1), None, "the lock was released by an operator");
     for end in
         [Input::LocksRead { locks: BTreeMap::new(), sent_at: 2 * S }, Input::SessionNotFound("s".to_owned())]
     {
@@ -132,7 +140,7 @@
     }
 }
 
-// Guards against leases that nobody may acquire for a lock-delay, or a TTL, after a graceful shutdown.
+// Guards against leases that nobody may acquire for a lock-delay or a TTL after a graceful shutdown.
 #[test]
 fn shutdown_releases_all_locks_and_acquires_none() {
     for answered in [true, false] {
@@ -145,7 +153,7 @@
         assert_eq!(
             leases.step(&config(), 5 * S, Input::AssignmentChanged(BTreeSet::from([1]))),
             [],
-            "no renewal either"
+            "no lock is requested and no session is renewed"
         );
         let end = leases.step(
             &config(),
@@ -181,7 +189,11 @@
     let all = locks(&[(1, None, 1), (2, None, 1), (3, None, 1), (4, None, 1)]);
     assert_eq!(leases.step(&config(), S, Input::LocksRead { locks: all.clone(), sent_at: S }).len(), 2);
     assert_eq!(leases.step(&config(), S, Input::LocksRead { locks: all, sent_at: S }).len(), 0);
-    assert_eq!(leases.step(&config(), S, Input::AcquireFinished(1)).len(), 2, "a read, and one more request");
+    assert_eq!(
+        leases.step(&config(), S, Input::AcquireFinished(1)).len(),
+        2,
+        "one read of the locks and one more request"
+    );
     let mut unanswered = LeaseStateMachine::default();
     let mut asked = 0;
     for tenth in 0..300 {
--- a/crates/leases/tests/keys.rs
+++ b/crates/leases/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The Consul keys of leases: pinned, since members of two versions share one fleet.
+//! Pins the Consul keys of leases, because members of two versions share one fleet.
 
 use orchidyoke_consul::locks::KeyEntry;
 use orchidyoke_leases::keys::{LeaseKey, LeaseKeys};
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -1,4 +1,4 @@
-//! Several lease managers against the fake Consul, over sockets.
+//! Runs several lease managers against the fake Consul, over sockets.
 
 use orchidyoke_consul::Settings;
 use orchidyoke_fakes::ConsulServer;
@@ -45,23 +45,26 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let patience = Duration::from_secs(90);
-    runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
+    runtime.block_on(
+        LocalSet::new().run_until(async { timeout(patience, test).await.expect("the test ends in time") }),
+    );
 }
 
-/// The tokens under which members may act now; fails where two members may act under one lease.
+/// Returns the tokens under which members may act now. Fails if two members may act under one lease.
 fn holders(members: &[&Running]) -> BTreeMap<LeaseId, FencingToken> {
     let mut holders = BTreeMap::new();
     for member in members {
         for lease in 0..LEASES {
             if let Some(token) = member.manager.may_act(lease) {
-                assert!(holders.insert(lease, token).is_none(), "two may act under lease {lease}");
+                assert!(holders.insert(lease, token).is_none(), "two members may act under lease {lease}");
             }
         }
     }
     holders
 }
 
-/// Waits until each of these members may act under so many leases; fails where two may act under one meanwhile.
+/// Waits until each of these members may act under `each` leases. Fails if two members may act under one lease
+/// meanwhile.
 async fn settle(members: &[&Running], each: usize) {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
@@ -78,7 +81,7 @@
     }
 }
 
-/// Two members that have settled.
+/// Starts two members and waits until they share the leases evenly.
 async fn two() -> (ConsulServer, Running, Running) {
     let consul = ConsulServer::start();
     let (a, b) = (start(&consul, "a"), start(&consul, "b"));
@@ -96,11 +99,11 @@
         c.task.abort();
         let died = Instant::now();
         settle(&[&a, &b], 6).await;
-        // A session ends one to two TTLs after its last renewal, then the lock-delay starts.
+        // Consul ends a session one to two TTLs after its last renewal. Then the lock-delay starts.
         assert!(died.elapsed() >= LOCK_DELAY, "{:?}", died.elapsed());
         let after = holders(&[&a, &b]);
         let moved = after.iter().filter(|(lease, token)| before[lease] != **token).count();
-        assert_eq!(moved, 4, "those of the member that died, and no others");
+        assert_eq!(moved, 4, "only the leases of the dead member move");
     });
 }
 
@@ -112,30 +115,34 @@
         b.manager.shut_down();
         let left = Instant::now();
         settle(&[&a], 12).await;
-        assert!(left.elapsed() < TTL, "{:?}: a killed one takes more than a TTL", left.elapsed());
-        b.task.await.expect("the manager ends by itself");
+        assert!(
+            left.elapsed() < TTL,
+            "{:?}: the leases of a killed member take more than a TTL",
+            left.elapsed()
+        );
+        b.task.await.expect("the manager returns after its shutdown");
         let b = start(&consul, "b");
         settle(&[&a, &b], 6).await;
-        assert!(left.elapsed() < 2 * TTL, "its name is free again");
+        assert!(left.elapsed() < 2 * TTL, "the member can register under its name again");
     });
 }
 
-// Guards against a holder that goes on while Consul may have given its lease away, and against one that does not
-// reacquire.
+// Guards against a holder that continues to act while Consul may have given its lease to another member, and against a
+// member that does not acquire its leases again.
 #[test]
 fn unresponsive_consul_suspends_all_leases_until_it_answers() {
     run(async {
         let (consul, a, b) = two().await;
         consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
-        assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "no act without a lease");
+        assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "nobody may act without a lease");
         consul.set_fault(ConsulFault::None);
         settle(&[&a, &b], 6).await;
     });
 }
 
-// Guards against a member that its fleet forgets when its key is deleted, and against a holder that goes on under the
-// old token when the key of its lock is deleted.
+// Guards against a member that is no longer in its fleet after its key is deleted, and against a holder that continues
+// under the old token after the key of its lock is deleted.
 #[test]
 fn deleted_keys_are_reacquired_under_higher_tokens() {
     run(async {
@@ -145,7 +152,8 @@
         consul.delete_keys("orchidyoke/one/duties/");
         let end = Instant::now() + Duration::from_secs(40);
         loop {
-            // The earlier holder may act until it reads the locks again: the tokens guard against that.
+            // The earlier holder may act until it reads the locks again. The tokens protect against results from that
+            // time.
             let held: BTreeMap<LeaseId, FencingToken> =
                 [&a, &b].iter().flat_map(|member| member.manager.held()).collect();
             let counts = [&a, &b].map(|member| member.manager.held().len());
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,5 +1,6 @@
-//! Model checking of the lease protocol: the state machine that members run, against a store that keeps its promises and
-//! nothing more, over every order of answers, losses, crashes, suspensions and expiries within the bounds given.
+//! Model checking of the lease protocol. The members run the real state machine against a store that gives only the
+//! guarantees that the protocol requires. The check covers every order of answers, losses, crashes, suspensions and
+//! expiries within the bounds.
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_leases::fencing::FencingGuard;
@@ -8,17 +9,18 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The TTL of sessions, in units of the store's clock. There is no lock-delay: safety must not rest on it.
+/// The TTL of sessions, in units of the store's clock. The lock-delay is 0, because safety must not depend on it.
 const TTL: Micros = 3;
 const LOCK_DELAY: Micros = 0;
 
-/// The part of the protocol that is left out, so that the check must find the property that it guards.
+/// The part of the protocol that is disabled. The check must then find a violation of the property that the part
+/// protects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// Results are accepted whatever their token.
+    /// The receiver accepts results whatever their token.
     NoFence,
-    /// A holder assumes that all clocks run alike.
+    /// A holder assumes that all clocks run at the same rate.
     NoDrift,
     /// A holder counts its lease from the answer to the renewal.
     FromAnswer,
@@ -29,10 +31,10 @@
     leases: LeaseId,
     /// The last time of the store's clock.
     until: Micros,
-    /// Requests and answers that are lost.
+    /// How many requests and answers are lost.
     losses: u8,
     crashes: u8,
-    /// Actions that end late, because their member was suspended in the middle.
+    /// How many actions end late because their member was suspended in the middle.
     suspensions: u8,
     mutant: Mutant,
 }
@@ -40,12 +42,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Member {
     state: LeaseStateMachine,
-    /// Requests on their way to the store, each with the time at which it was sent, by the member's own clock. Reads of
-    /// the locks are not among them: they may happen any time.
+    /// The requests on their way to the store, each with the time at which it was sent, on the member's own clock.
+    /// Reads of the locks are not among them, because they may happen at any time.
     requests: Vec<(Effect, Micros)>,
-    /// Answers about the session; those about locks tell nothing that a read of the locks does not.
+    /// The answers about the session. Answers about locks are left out, because a read of the locks gives the same
+    /// information.
     answers: Vec<Input>,
-    /// An action in the middle of which the member was suspended.
+    /// The action in the middle of which the member was suspended.
     suspended: Option<(LeaseId, FencingToken)>,
 }
 
@@ -61,7 +64,7 @@
     guard: FencingGuard,
     highest: BTreeMap<LeaseId, FencingToken>,
     holders: BTreeSet<(LeaseId, usize)>,
-    /// A result of an earlier holder was accepted after one of a later holder.
+    /// Whether a result of an earlier holder was accepted after one of a later holder.
     fencing_violated: bool,
     losses: u8,
     crashes: u8,
@@ -84,7 +87,7 @@
     Crash(usize),
 }
 
-/// The input of a member whose request is not answered in time.
+/// Returns the input of a member whose request is not answered in time.
 fn input_without_answer(effect: &Effect) -> Option<Input> {
     match effect {
         Effect::CreateSession | Effect::RenewSession(_) => Some(Input::SessionRequestFailed),
@@ -106,7 +109,8 @@
         }
     }
 
-    /// The first member's clock is slow by a third: the others are faster by a half of its rate.
+    /// Returns the time on a member's own clock. The first member's clock runs at two thirds of the rate of the others'
+    /// clocks, so their rate is higher than its rate by a half.
     fn local(&self, member: usize, clock: Micros) -> Micros {
         if member == 0 { clock * 2 / 3 } else { clock }
     }
@@ -115,7 +119,7 @@
         world.members[member].state.may_act(&self.config(), self.local(member, world.clock), lease)
     }
 
-    /// Answers about locks are received at once, those about the session any time later.
+    /// Delivers an answer. Answers about locks are received at once, those about the session at any later time.
     fn answer(&self, world: &mut World, member: usize, answer: Option<Input>) {
         match answer {
             Some(Input::AcquireFinished(_) | Input::Released(_) | Input::ReleaseInDoubt(_)) => {
@@ -156,7 +160,7 @@
         }
     }
 
-    /// The result of an action reaches its receiver.
+    /// Passes the result of an action to its receiver.
     fn result(&mut self, mutant: Mutant, member: usize, lease: LeaseId, token: FencingToken) {
         if self.guard.accept(lease, token) || mutant == Mutant::NoFence {
             let highest = self.highest.entry(lease).or_insert(token);
@@ -231,7 +235,7 @@
             suspensions: self.suspensions,
         };
         for member in 0..self.members {
-            // Each member is assigned all leases: safety must not rest on placement.
+            // Each member is assigned all leases, because safety must not depend on the placement.
             self.step(&mut world, member, Input::AssignmentChanged((0..self.leases).collect()));
         }
         vec![world]
@@ -300,7 +304,8 @@
             }
             Step::Expire(id) => next.end(&id),
             Step::ReadLocks(member) => {
-                // No lock is released here, so the time of a read does not matter, and all may have the same.
+                // No lock is released in this model, so the time of a read does not matter, and all reads may have the
+                // same time.
                 let seen = Input::LocksRead { locks: next.locks.clone(), sent_at: 0 };
                 self.step(&mut next, member, seen);
             }
@@ -334,10 +339,10 @@
                 })
             }),
             Property::<Self>::always(
-                "no result of an earlier holder is accepted after one of a later",
+                "no result of an earlier holder is accepted after one of a later holder",
                 |_, world| !world.fencing_violated,
             ),
-            Property::<Self>::sometimes("a lease passes from one to another", |_, world| {
+            Property::<Self>::sometimes("a lease passes from one member to another", |_, world| {
                 let holders = |lease| world.holders.iter().filter(|(other, _)| *other == lease).count();
                 world.highest.keys().any(|lease| holders(*lease) > 1)
             }),
@@ -350,14 +355,10 @@
     bounds.checker().threads(threads).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join()
 }
 
-/// Fails where a state within the bounds violates a property; prints the number of states.
+/// Fails if a state within the bounds violates a property. Prints the number of states.
 fn assert_holds(what: &str, bounds: Bounds) {
     let checked = check(bounds);
-    println!(
-        "{what}: {} states, the longest path {} steps",
-        checked.unique_state_count(),
-        checked.max_depth()
-    );
+    println!("{what}: {} states, longest path: {} steps", checked.unique_state_count(), checked.max_depth());
     checked.assert_properties();
 }
 
@@ -366,7 +367,7 @@
 
 #[test]
 fn one_holder_under_any_delay() {
-    assert_holds("late", Bounds { until: 4, ..SMALL });
+    assert_holds("late answers", Bounds { until: 4, ..SMALL });
 }
 
 #[test]
@@ -386,20 +387,21 @@
     assert_holds("two leases", Bounds { leases: 2, ..SMALL });
 }
 
-// The check has to find a violation when a part of the protocol is left out.
+// The check must find a violation when a part of the protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     let cases = [
         (Mutant::NoDrift, "one holder at a time"),
         (Mutant::FromAnswer, "one holder at a time"),
-        (Mutant::NoFence, "no result of an earlier holder is accepted after one of a later"),
+        (Mutant::NoFence, "no result of an earlier holder is accepted after one of a later holder"),
     ];
     for (mutant, property) in cases {
         let suspensions = u8::from(mutant == Mutant::NoFence);
         let checked = check(Bounds { mutant, suspensions, until: 4, ..SMALL });
-        let path = checked.discovery(property).unwrap_or_else(|| panic!("{mutant:?}: {property}"));
+        let path =
+            checked.discovery(property).unwrap_or_else(|| panic!("{mutant:?} does not violate: {property}"));
         println!(
-            "{mutant:?}: found after {} states, by {} steps",
+            "{mutant:?}: violation found after {} states, by {} steps",
             checked.unique_state_count(),
             path.into_actions().len()
         );
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -1,9 +1,9 @@
-//! The hash by which leases and destinations are placed: pinned, since members of two versions share one fleet.
+//! Pins the hash that places leases and destinations, because members of two versions share one fleet.
 
 use orchidyoke_leases::rendezvous::score;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The score, computed without the inline buffer.
+/// Returns the score, computed without the inline buffer.
 fn reference(lease: u32, name: &str, weight: f64) -> f64 {
     let mut text = lease.to_le_bytes().to_vec();
     text.extend_from_slice(name.as_bytes());
@@ -11,7 +11,8 @@
     -weight / chance.ln()
 }
 
-// Guards against leases that all migrate during an upgrade of the fleet, for names within the inline buffer and beyond.
+// Guards against the migration of all leases during an upgrade of the fleet, for names that fit into the inline buffer
+// and for longer ones.
 #[test]
 fn scores_of_leases_are_pinned() {
     for length in [0, 1, 2, 60, 123, 124, 125, 300] {
@@ -31,7 +32,7 @@
         let names = ["a", "b", "c", "d"];
         let key = key.to_le_bytes();
         let rank = |left: &&&str, right: &&&str| score(&key, left, 1.0).total_cmp(&score(&key, right, 1.0));
-        *names.iter().max_by(rank).expect("there are names")
+        *names.iter().max_by(rank).expect("the list of names is not empty")
     };
     let ranked: String = (0..24).map(first).collect();
     assert_eq!(ranked, "bdaacdbaccbbadbadbadabbc");
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The stored form of the keys of leases in Consul: those of an earlier version are read, and a lease manager writes the
-//! same keys with the same values. Forwarders of two versions share one folder of keys.
+//! Pins the stored form of the keys of leases in Consul. Keys of an earlier version are read, and a lease manager
+//! writes the same keys with the same values, because forwarders of two versions share one folder of keys.
 
 use bytes::Bytes;
 use orchidyoke_consul::Settings;
@@ -14,9 +14,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Keys and values, one a line, of a forwarder without other members.
+/// The keys and values of a forwarder without other members, one pair a line.
 const ALONE: &str = include_str!("fixtures/keys-alone");
-/// Those of a forwarder that holds two leases before another joins.
+/// The keys and values of a forwarder that holds two leases before another forwarder joins, one pair a line.
 const EARLIER: &str = include_str!("fixtures/keys-earlier");
 
 const TTL: Duration = Duration::from_secs(10);
@@ -24,7 +24,9 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let patience = Duration::from_secs(60);
-    runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
+    runtime.block_on(
+        LocalSet::new().run_until(async { timeout(patience, test).await.expect("the test ends in time") }),
+    );
 }
 
 fn settings(consul: &ConsulServer) -> Rc<Settings> {
@@ -61,17 +63,19 @@
     }
 }
 
-/// All keys that are held, with their values, one a line.
+/// Returns all keys that are held, with their values, one pair a line.
 async fn keys(consul: &ConsulServer) -> String {
-    let (_, rows) =
-        LockClient::new(settings(consul)).read_keys("fleet/", 0, Duration::ZERO).await.expect("looked");
+    let (_, rows) = LockClient::new(settings(consul))
+        .read_keys("fleet/", 0, Duration::ZERO)
+        .await
+        .expect("the keys are read");
     rows.iter()
         .filter(|r| r.session.is_some())
         .map(|row| format!("{} {}\n", row.key, row.value_text()))
         .collect()
 }
 
-/// The keys that a forwarder writes without other members.
+/// Returns the keys that a forwarder writes without other members.
 async fn written_alone() -> String {
     let (consul, leases) = (ConsulServer::start(), BTreeSet::from([0, 7, LeaseId::MAX - 1]));
     let manager = start(&consul, "f-1", 1.5, &leases);
@@ -79,7 +83,7 @@
     keys(&consul).await
 }
 
-/// The keys of a forwarder that holds two leases.
+/// Returns the keys of a forwarder that holds two leases.
 async fn written_before_a_join() -> String {
     let (consul, leases) = (ConsulServer::start(), BTreeSet::from([2, 5]));
     let manager = start(&consul, "f-2", 3.0, &leases);
@@ -103,11 +107,11 @@
         let session = locks
             .create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Release)
             .await
-            .expect("made");
+            .expect("the session is created");
         for line in EARLIER.lines() {
             let (key, value) = line.split_once(' ').expect("a key and its value");
             let value = Bytes::from_static(value.as_bytes());
-            assert!(locks.acquire(key, &session, value).await.expect("asked"), "{key}");
+            assert!(locks.acquire(key, &session, value).await.expect("the request is answered"), "{key}");
         }
         let manager = start(&consul, "f-1", 1.0, &leases);
         let (weights, held) = ([("f-1", 1.0), ("f-2", 3.0)], [(2, "f-2"), (5, "f-2")]);
@@ -116,6 +120,6 @@
         let assignment = assign_leases(&members, &leases, &held);
         let own = assignment.into_iter().filter(|(_, name)| name == "f-1").map(|(lease, _)| lease).collect();
         await_held(&manager, &own).await;
-        assert_eq!(own, BTreeSet::from([0, 1, 8]), "its share by weight, and none that is held");
+        assert_eq!(own, BTreeSet::from([0, 1, 8]), "its share by weight, without the leases that are held");
     });
 }
