--- a/crates/leases/src/placement/tests.rs
+++ b/crates/leases/src/placement/tests.rs
@@ -6,9 +6,9 @@
 }
 
 fn lease_counts(assignment: &BTreeMap<LeaseId, MemberName>) -> BTreeMap<MemberName, usize> {
-    let mut load = BTreeMap::new();
-    assignment.values().for_each(|name| *load.entry(name.clone()).or_default() += 1);
-    load
+    let mut counts = BTreeMap::new();
+    assignment.values().for_each(|name| *counts.entry(name.clone()).or_default() += 1);
+    counts
 }
 
 fn migrations(before: &BTreeMap<LeaseId, MemberName>, after: &BTreeMap<LeaseId, MemberName>) -> usize {
@@ -56,19 +56,19 @@
         let held: BTreeMap<LeaseId, MemberName> = held.into_iter().map(|(lease, n)| (lease, format!("f{n}"))).collect();
         let assignment = assign_leases(&members, &leases, &held);
         prop_assert!(assignment.keys().eq(leases.iter()), "each lease has a holder");
-        let (load, total) = (lease_counts(&assignment), members.values().sum::<f64>());
-        let mut least = 0;
+        let (counts, total) = (lease_counts(&assignment), members.values().sum::<f64>());
+        let mut expected_kept = 0;
         for (name, weight) in &members {
             let share = leases.len() as f64 * weight / total;
-            let count = load.get(name).copied().unwrap_or(0);
+            let count = counts.get(name).copied().unwrap_or(0);
             prop_assert!((count as f64 - share).abs() < 1.0, "{name}: {count} of {share}");
-            let has = held.iter().filter(|(lease, other)| leases.contains(lease) && *other == name).count();
-            least += has.min(share.ceil() as usize);
+            let held_count = held.iter().filter(|(lease, other)| leases.contains(lease) && *other == name).count();
+            expected_kept += held_count.min(share.ceil() as usize);
         }
         let kept = assignment.iter().filter(|(lease, name)| held.get(lease) == Some(name)).count();
         // Members that hold more than their share rounded down are rounded up first, so each member loses at most one
         // lease.
-        prop_assert!(kept + members.len() >= least, "{kept} kept of {least}");
+        prop_assert!(kept + members.len() >= expected_kept, "{kept} kept of {expected_kept}");
         prop_assert_eq!(migrations(&assignment, &assign_leases(&members, &leases, &assignment)), 0, "a stable assignment does not migrate");
     }
 }
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -15,12 +15,12 @@
 const TTL: Duration = Duration::from_secs(4);
 const LOCK_DELAY: Duration = Duration::from_millis(500);
 
-struct Running {
+struct RunningMember {
     manager: Rc<LeaseManager>,
     task: JoinHandle<()>,
 }
 
-fn start(consul: &ConsulServer, name: &str) -> Running {
+fn start(consul: &ConsulServer, name: &str) -> RunningMember {
     let protocol = LeaseConfig {
         ttl: TTL.as_micros() as i64,
         clock_drift: 0.01,
@@ -39,19 +39,19 @@
     let settings = Settings { addresses: vec![consul.address()], ..Settings::default() };
     let manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
     let running = manager.clone();
-    Running { task: spawn_local(async move { running.run().await }), manager }
+    RunningMember { task: spawn_local(async move { running.run().await }), manager }
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let patience = Duration::from_secs(90);
+    let time_limit = Duration::from_secs(90);
     runtime.block_on(
-        LocalSet::new().run_until(async { timeout(patience, test).await.expect("the test ends in time") }),
+        LocalSet::new().run_until(async { timeout(time_limit, test).await.expect("the test ends in time") }),
     );
 }
 
 /// Returns the tokens under which members may act now. Fails if two members may act under one lease.
-fn holders(members: &[&Running]) -> BTreeMap<LeaseId, FencingToken> {
+fn holders(members: &[&RunningMember]) -> BTreeMap<LeaseId, FencingToken> {
     let mut holders = BTreeMap::new();
     for member in members {
         for lease in 0..LEASES {
@@ -65,7 +65,7 @@
 
 /// Waits until each of these members may act under `each` leases. Fails if two members may act under one lease
 /// meanwhile.
-async fn settle(members: &[&Running], each: usize) {
+async fn await_lease_counts(members: &[&RunningMember], each: usize) {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         holders(members);
@@ -82,25 +82,25 @@
 }
 
 /// Starts two members and waits until they share the leases evenly.
-async fn two() -> (ConsulServer, Running, Running) {
+async fn start_two_members() -> (ConsulServer, RunningMember, RunningMember) {
     let consul = ConsulServer::start();
     let (a, b) = (start(&consul, "a"), start(&consul, "b"));
-    settle(&[&a, &b], 6).await;
+    await_lease_counts(&[&a, &b], 6).await;
     (consul, a, b)
 }
 
 #[test]
 fn leases_are_shared_evenly_and_taken_over_from_a_dead_member() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         let c = start(&consul, "c");
-        settle(&[&a, &b, &c], 4).await;
+        await_lease_counts(&[&a, &b, &c], 4).await;
         let before = holders(&[&a, &b, &c]);
         c.task.abort();
-        let died = Instant::now();
-        settle(&[&a, &b], 6).await;
+        let aborted_at = Instant::now();
+        await_lease_counts(&[&a, &b], 6).await;
         // Consul ends a session one to two TTLs after its last renewal. Then the lock-delay starts.
-        assert!(died.elapsed() >= LOCK_DELAY, "{:?}", died.elapsed());
+        assert!(aborted_at.elapsed() >= LOCK_DELAY, "{:?}", aborted_at.elapsed());
         let after = holders(&[&a, &b]);
         let moved = after.iter().filter(|(lease, token)| before[lease] != **token).count();
         assert_eq!(moved, 4, "only the leases of the dead member move");
@@ -110,20 +110,20 @@
 // Guards against a rolling deployment in which each stop leaves leases without a holder for a TTL and a lock-delay.
 #[test]
 fn graceful_shutdown_passes_leases_at_once_and_the_member_may_return() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         b.manager.shut_down();
-        let left = Instant::now();
-        settle(&[&a], 12).await;
+        let shutdown_at = Instant::now();
+        await_lease_counts(&[&a], 12).await;
         assert!(
-            left.elapsed() < TTL,
+            shutdown_at.elapsed() < TTL,
             "{:?}: the leases of a killed member take more than a TTL",
-            left.elapsed()
+            shutdown_at.elapsed()
         );
         b.task.await.expect("the manager returns after its shutdown");
         let b = start(&consul, "b");
-        settle(&[&a, &b], 6).await;
-        assert!(left.elapsed() < 2 * TTL, "the member can register under its name again");
+        await_lease_counts(&[&a, &b], 6).await;
+        assert!(shutdown_at.elapsed() < 2 * TTL, "the member can register under its name again");
     });
 }
 
@@ -131,13 +131,13 @@
 // member that does not acquire its leases again.
 #[test]
 fn unresponsive_consul_suspends_all_leases_until_it_answers() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
         assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "nobody may act without a lease");
         consul.set_fault(ConsulFault::None);
-        settle(&[&a, &b], 6).await;
+        await_lease_counts(&[&a, &b], 6).await;
     });
 }
 
@@ -145,8 +145,8 @@
 // under the old token after the key of its lock is deleted.
 #[test]
 fn deleted_keys_are_reacquired_under_higher_tokens() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         let before = holders(&[&a, &b]);
         consul.delete_keys("orchidyoke/one/members/a");
         consul.delete_keys("orchidyoke/one/duties/");
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -19,18 +19,18 @@
 enum Mutant {
     None,
     /// The receiver accepts results whatever their token.
-    NoFence,
+    NoFencing,
     /// A holder assumes that all clocks run at the same rate.
-    NoDrift,
+    NoClockDrift,
     /// A holder counts its lease from the answer to the renewal.
-    FromAnswer,
+    CountsFromAnswer,
 }
 
 struct Bounds {
     members: usize,
     leases: LeaseId,
     /// The last time of the store's clock.
-    until: Micros,
+    last_time: Micros,
     /// How many requests and answers are lost.
     losses: u8,
     crashes: u8,
@@ -58,11 +58,11 @@
     members: Vec<Member>,
     sessions: BTreeMap<SessionId, Micros>,
     locks: BTreeMap<LeaseId, Lock>,
-    closed_until: BTreeMap<LeaseId, Micros>,
+    lock_delay_until: BTreeMap<LeaseId, Micros>,
     index: FencingToken,
     sessions_created: u32,
     guard: FencingGuard,
-    highest: BTreeMap<LeaseId, FencingToken>,
+    highest_tokens: BTreeMap<LeaseId, FencingToken>,
     holders: BTreeSet<(LeaseId, usize)>,
     /// Whether a result of an earlier holder was accepted after one of a later holder.
     fencing_violated: bool,
@@ -88,7 +88,7 @@
 }
 
 /// Returns the input of a member whose request is not answered in time.
-fn input_without_answer(effect: &Effect) -> Option<Input> {
+fn input_after_failure(effect: &Effect) -> Option<Input> {
     match effect {
         Effect::CreateSession | Effect::RenewSession(_) => Some(Input::SessionRequestFailed),
         Effect::Acquire { lease, .. } => Some(Input::AcquireFinished(*lease)),
@@ -99,7 +99,7 @@
 
 impl Bounds {
     fn config(&self) -> LeaseConfig {
-        let clock_drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 1.0 / 2.0 };
+        let clock_drift = if self.mutant == Mutant::NoClockDrift { 0.0 } else { 1.0 / 2.0 };
         LeaseConfig {
             ttl: TTL,
             clock_drift,
@@ -111,12 +111,12 @@
 
     /// Returns the time on a member's own clock. The first member's clock runs at two thirds of the rate of the others'
     /// clocks, so their rate is higher than its rate by a half.
-    fn local(&self, member: usize, clock: Micros) -> Micros {
+    fn local_time(&self, member: usize, clock: Micros) -> Micros {
         if member == 0 { clock * 2 / 3 } else { clock }
     }
 
     fn may_act(&self, world: &World, member: usize, lease: LeaseId) -> Option<FencingToken> {
-        world.members[member].state.may_act(&self.config(), self.local(member, world.clock), lease)
+        world.members[member].state.may_act(&self.config(), self.local_time(member, world.clock), lease)
     }
 
     /// Delivers an answer. Answers about locks are received at once, those about the session at any later time.
@@ -130,12 +130,12 @@
     }
 
     fn step(&self, world: &mut World, member: usize, input: Input) {
-        let now = self.local(member, world.clock);
+        let now = self.local_time(member, world.clock);
         let input = match (self.mutant, input) {
-            (Mutant::FromAnswer, Input::SessionCreated { session, .. }) => {
+            (Mutant::CountsFromAnswer, Input::SessionCreated { session, .. }) => {
                 Input::SessionCreated { session, sent_at: now }
             }
-            (Mutant::FromAnswer, Input::SessionRenewed { session, .. }) => {
+            (Mutant::CountsFromAnswer, Input::SessionRenewed { session, .. }) => {
                 Input::SessionRenewed { session, sent_at: now }
             }
             (_, input) => input,
@@ -150,22 +150,22 @@
 }
 
 impl World {
-    fn end(&mut self, session: &SessionId) {
+    fn end_session(&mut self, session: &SessionId) {
         self.sessions.remove(session);
         for (lease, lock) in self.locks.iter_mut().filter(|(_, lock)| lock.session.as_ref() == Some(session))
         {
             self.index += 1;
             *lock = Lock { session: None, modify_index: self.index };
-            self.closed_until.insert(*lease, self.clock + LOCK_DELAY);
+            self.lock_delay_until.insert(*lease, self.clock + LOCK_DELAY);
         }
     }
 
     /// Passes the result of an action to its receiver.
-    fn result(&mut self, mutant: Mutant, member: usize, lease: LeaseId, token: FencingToken) {
-        if self.guard.accept(lease, token) || mutant == Mutant::NoFence {
-            let highest = self.highest.entry(lease).or_insert(token);
-            self.fencing_violated |= token < *highest;
-            *highest = token.max(*highest);
+    fn receive_result(&mut self, mutant: Mutant, member: usize, lease: LeaseId, token: FencingToken) {
+        if self.guard.accept(lease, token) || mutant == Mutant::NoFencing {
+            let highest_token = self.highest_tokens.entry(lease).or_insert(token);
+            self.fencing_violated |= token < *highest_token;
+            *highest_token = token.max(*highest_token);
             self.holders.insert((lease, member));
         }
     }
@@ -186,13 +186,14 @@
                 None => Input::SessionNotFound(id),
             },
             Effect::DestroySession(id) => {
-                self.end(&id);
+                self.end_session(&id);
                 return None;
             }
             Effect::Acquire { lease, session: id } => {
-                let open = self.locks.get(&lease).is_none_or(|lock| lock.session.is_none());
-                let free = self.closed_until.get(&lease).is_none_or(|from| self.clock >= *from);
-                if open && free && self.sessions.contains_key(&id) {
+                let is_unheld = self.locks.get(&lease).is_none_or(|lock| lock.session.is_none());
+                let is_past_lock_delay =
+                    self.lock_delay_until.get(&lease).is_none_or(|from| self.clock >= *from);
+                if is_unheld && is_past_lock_delay && self.sessions.contains_key(&id) {
                     self.index += 1;
                     self.locks.insert(lease, Lock { session: Some(id), modify_index: self.index });
                 }
@@ -223,11 +224,11 @@
             members: vec![member; self.members],
             sessions: BTreeMap::new(),
             locks: locks.collect(),
-            closed_until: BTreeMap::new(),
+            lock_delay_until: BTreeMap::new(),
             index: 0,
             sessions_created: 0,
             guard: FencingGuard::default(),
-            highest: BTreeMap::new(),
+            highest_tokens: BTreeMap::new(),
             holders: BTreeSet::new(),
             fencing_violated: false,
             losses: self.losses,
@@ -242,11 +243,11 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.clock < self.until {
+        if world.clock < self.last_time {
             steps.push(Step::Tick);
         }
         for (number, member) in world.members.iter().enumerate() {
-            if member.state.next_tick_at(&self.config()) <= self.local(number, world.clock) {
+            if member.state.next_tick_at(&self.config()) <= self.local_time(number, world.clock) {
                 steps.push(Step::Wake(number));
             }
             if !member.requests.is_empty() {
@@ -274,8 +275,8 @@
                 steps.extend((world.suspensions > 0).then_some(Step::Suspend(number, lease)));
             }
         }
-        let over = world.sessions.iter().filter(|(_, renewed)| world.clock >= *renewed + TTL);
-        steps.extend(over.map(|(id, _)| Step::Expire(id.clone())));
+        let expired = world.sessions.iter().filter(|(_, renewed)| world.clock >= *renewed + TTL);
+        steps.extend(expired.map(|(id, _)| Step::Expire(id.clone())));
     }
 
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
@@ -291,7 +292,7 @@
             Step::LoseRequest(member) => {
                 next.losses -= 1;
                 let (effect, _) = next.members[member].requests.remove(0);
-                self.answer(&mut next, member, input_without_answer(&effect));
+                self.answer(&mut next, member, input_after_failure(&effect));
             }
             Step::Receive(member) => {
                 let answer = next.members[member].answers.remove(0);
@@ -302,16 +303,16 @@
                 next.members[member].answers.remove(0);
                 self.step(&mut next, member, Input::SessionRequestFailed);
             }
-            Step::Expire(id) => next.end(&id),
+            Step::Expire(id) => next.end_session(&id),
             Step::ReadLocks(member) => {
                 // No lock is released in this model, so the time of a read does not matter, and all reads may have the
                 // same time.
-                let seen = Input::LocksRead { locks: next.locks.clone(), sent_at: 0 };
-                self.step(&mut next, member, seen);
+                let read = Input::LocksRead { locks: next.locks.clone(), sent_at: 0 };
+                self.step(&mut next, member, read);
             }
             Step::Act(member, lease) => {
                 let token = self.may_act(world, member, lease)?;
-                next.result(self.mutant, member, lease, token);
+                next.receive_result(self.mutant, member, lease, token);
             }
             Step::Suspend(member, lease) => {
                 next.suspensions -= 1;
@@ -319,7 +320,7 @@
             }
             Step::Resume(member) => {
                 let (lease, token) = next.members[member].suspended.take()?;
-                next.result(self.mutant, member, lease, token);
+                next.receive_result(self.mutant, member, lease, token);
             }
             Step::Crash(member) => {
                 next.crashes -= 1;
@@ -344,7 +345,7 @@
             ),
             Property::<Self>::sometimes("a lease passes from one member to another", |_, world| {
                 let holders = |lease| world.holders.iter().filter(|(other, _)| *other == lease).count();
-                world.highest.keys().any(|lease| holders(*lease) > 1)
+                world.highest_tokens.keys().any(|lease| holders(*lease) > 1)
             }),
         ]
     }
@@ -356,48 +357,55 @@
 }
 
 /// Fails if a state within the bounds violates a property. Prints the number of states.
-fn assert_holds(what: &str, bounds: Bounds) {
+fn assert_holds(label: &str, bounds: Bounds) {
     let checked = check(bounds);
-    println!("{what}: {} states, longest path: {} steps", checked.unique_state_count(), checked.max_depth());
+    println!("{label}: {} states, longest path: {} steps", checked.unique_state_count(), checked.max_depth());
     checked.assert_properties();
 }
 
-const SMALL: Bounds =
-    Bounds { members: 2, leases: 1, until: 3, losses: 0, crashes: 0, suspensions: 0, mutant: Mutant::None };
+const SMALL_BOUNDS: Bounds = Bounds {
+    members: 2,
+    leases: 1,
+    last_time: 3,
+    losses: 0,
+    crashes: 0,
+    suspensions: 0,
+    mutant: Mutant::None,
+};
 
 #[test]
 fn one_holder_under_any_delay() {
-    assert_holds("late answers", Bounds { until: 4, ..SMALL });
+    assert_holds("late answers", Bounds { last_time: 4, ..SMALL_BOUNDS });
 }
 
 #[test]
 fn one_holder_when_a_request_or_answer_is_lost() {
-    assert_holds("a loss", Bounds { losses: 1, ..SMALL });
+    assert_holds("a loss", Bounds { losses: 1, ..SMALL_BOUNDS });
 }
 
 #[test]
 fn one_holder_across_a_crash_and_a_suspension_during_an_action() {
-    assert_holds("a crash", Bounds { crashes: 1, ..SMALL });
-    assert_holds("a suspension", Bounds { suspensions: 1, ..SMALL });
+    assert_holds("a crash", Bounds { crashes: 1, ..SMALL_BOUNDS });
+    assert_holds("a suspension", Bounds { suspensions: 1, ..SMALL_BOUNDS });
 }
 
 #[test]
 #[ignore = "a minute on four cores: cargo test -p orchidyoke-leases --test model -- --ignored"]
 fn two_leases_have_one_holder_each() {
-    assert_holds("two leases", Bounds { leases: 2, ..SMALL });
+    assert_holds("two leases", Bounds { leases: 2, ..SMALL_BOUNDS });
 }
 
 // The check must find a violation when a part of the protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     let cases = [
-        (Mutant::NoDrift, "one holder at a time"),
-        (Mutant::FromAnswer, "one holder at a time"),
-        (Mutant::NoFence, "no result of an earlier holder is accepted after one of a later holder"),
+        (Mutant::NoClockDrift, "one holder at a time"),
+        (Mutant::CountsFromAnswer, "one holder at a time"),
+        (Mutant::NoFencing, "no result of an earlier holder is accepted after one of a later holder"),
     ];
     for (mutant, property) in cases {
-        let suspensions = u8::from(mutant == Mutant::NoFence);
-        let checked = check(Bounds { mutant, suspensions, until: 4, ..SMALL });
+        let suspensions = u8::from(mutant == Mutant::NoFencing);
+        let checked = check(Bounds { mutant, suspensions, last_time: 4, ..SMALL_BOUNDS });
         let path =
             checked.discovery(property).unwrap_or_else(|| panic!("{mutant:?} does not violate: {property}"));
         println!(
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -4,11 +4,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Returns the score, computed without the inline buffer.
-fn reference(lease: u32, name: &str, weight: f64) -> f64 {
+fn reference_score(lease: u32, name: &str, weight: f64) -> f64 {
     let mut text = lease.to_le_bytes().to_vec();
     text.extend_from_slice(name.as_bytes());
-    let chance = ((xxh3_64(&text) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
-    -weight / chance.ln()
+    let uniform = ((xxh3_64(&text) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
+    -weight / uniform.ln()
 }
 
 // Guards against the migration of all leases during an upgrade of the fleet, for names that fit into the inline buffer
@@ -19,7 +19,7 @@
         let name = "f".repeat(length);
         for lease in 0_u32..200 {
             for weight in [0.5, 1.0, 3.0] {
-                assert_eq!(score(&lease.to_le_bytes(), &name, weight), reference(lease, &name, weight));
+                assert_eq!(score(&lease.to_le_bytes(), &name, weight), reference_score(lease, &name, weight));
             }
         }
     }
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -15,17 +15,17 @@
 use tokio::time::{sleep, timeout};
 
 /// The keys and values of a forwarder without other members, one pair a line.
-const ALONE: &str = include_str!("fixtures/keys-alone");
+const KEYS_ALONE: &str = include_str!("fixtures/keys-alone");
 /// The keys and values of a forwarder that holds two leases before another forwarder joins, one pair a line.
-const EARLIER: &str = include_str!("fixtures/keys-earlier");
+const KEYS_BEFORE_JOIN: &str = include_str!("fixtures/keys-earlier");
 
 const TTL: Duration = Duration::from_secs(10);
 
-fn run(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let patience = Duration::from_secs(60);
+    let time_limit = Duration::from_secs(60);
     runtime.block_on(
-        LocalSet::new().run_until(async { timeout(patience, test).await.expect("the test ends in time") }),
+        LocalSet::new().run_until(async { timeout(time_limit, test).await.expect("the test ends in time") }),
     );
 }
 
@@ -57,14 +57,14 @@
 }
 
 /// Waits until a lease manager holds these leases and no others.
-async fn await_held(manager: &LeaseManager, wanted: &BTreeSet<LeaseId>) {
-    while manager.held().into_keys().collect::<BTreeSet<_>>() != *wanted {
+async fn await_held(manager: &LeaseManager, expected: &BTreeSet<LeaseId>) {
+    while manager.held().into_keys().collect::<BTreeSet<_>>() != *expected {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
 /// Returns all keys that are held, with their values, one pair a line.
-async fn keys(consul: &ConsulServer) -> String {
+async fn read_held_keys(consul: &ConsulServer) -> String {
     let (_, rows) = LockClient::new(settings(consul))
         .read_keys("fleet/", 0, Duration::ZERO)
         .await
@@ -80,7 +80,7 @@
     let (consul, leases) = (ConsulServer::start(), BTreeSet::from([0, 7, LeaseId::MAX - 1]));
     let manager = start(&consul, "f-1", 1.5, &leases);
     await_held(&manager, &leases).await;
-    keys(&consul).await
+    read_held_keys(&consul).await
 }
 
 /// Returns the keys of a forwarder that holds two leases.
@@ -88,27 +88,27 @@
     let (consul, leases) = (ConsulServer::start(), BTreeSet::from([2, 5]));
     let manager = start(&consul, "f-2", 3.0, &leases);
     await_held(&manager, &leases).await;
-    keys(&consul).await
+    read_held_keys(&consul).await
 }
 
 #[test]
 fn lease_manager_writes_the_same_keys_with_the_same_values() {
-    run(async {
-        assert_eq!(written_alone().await, ALONE);
-        assert_eq!(written_before_a_join().await, EARLIER);
+    run_test(async {
+        assert_eq!(written_alone().await, KEYS_ALONE);
+        assert_eq!(written_before_a_join().await, KEYS_BEFORE_JOIN);
     });
 }
 
 #[test]
 fn keys_of_the_previous_version_are_read_as_membership_weight_and_leases() {
-    run(async {
+    run_test(async {
         let (consul, leases) = (ConsulServer::start(), (0..12).collect());
         let mut locks = LockClient::new(settings(&consul));
         let session = locks
             .create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Release)
             .await
             .expect("the session is created");
-        for line in EARLIER.lines() {
+        for line in KEYS_BEFORE_JOIN.lines() {
             let (key, value) = line.split_once(' ').expect("a key and its value");
             let value = Bytes::from_static(value.as_bytes());
             assert!(locks.acquire(key, &session, value).await.expect("the request is answered"), "{key}");
