--- a/crates/ownership/tests/common/mod.rs
+++ b/crates/ownership/tests/common/mod.rs
@@ -4,13 +4,13 @@
 
 use orchidyoke_ownership::{Member, Region, View};
 
-/// The region of the tests.
+/// Returns the region of the tests.
 pub fn region() -> Region {
     let zones = ["z0", "z1"].map(str::to_owned).into_iter().collect();
     Region { name: "r0".to_owned(), zones }
 }
 
-/// A member, every other one in the second zone.
+/// Returns a member. Members with an odd number are in the second zone.
 pub fn member(number: usize, weight: f64) -> Member {
     Member {
         name: format!("f{number:03}"),
@@ -21,12 +21,12 @@
     }
 }
 
-/// This many members of weight 1.
+/// Returns members of weight 1.
 pub fn members(count: usize) -> Vec<Member> {
     (0..count).map(|number| member(number, 1.0)).collect()
 }
 
-/// A view of these members.
+/// Returns a view of these members.
 pub fn view(version: u64, members: Vec<Member>) -> View {
-    View::new(version, &region(), members).expect("valid members")
+    View::new(version, &region(), members).expect("the members are valid")
 }
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -1,8 +1,9 @@
-//! Model checking of the handover of one message between forwarders (`docs/ownership.md`): the holder, which accepted it
-//! from a client, its owner, and a third; every order of answers, losses, crashes, restarts and views received late, within
-//! the bounds given. A forwarder that is suspended or disconnected is one that takes no step for a while.
+//! Model checking of the handover of one message between forwarders (`docs/ownership.md`). The forwarders are the
+//! holder, which accepted the message from a client, the message's owner, and a third forwarder. The check covers every
+//! order of answers, losses, crashes, restarts and late views within the bounds. A suspended or disconnected forwarder
+//! is modelled as one that takes no step for a while.
 //!
-//! The members, the views and the owners by them are the package's own.
+//! The members, the views and the owners come from the crate itself.
 
 mod common;
 
@@ -15,31 +16,33 @@
 const HOLDER: usize = 0;
 
 const ONE_ANSWER: &str =
-    "one forwarder has it or one final answer, until the holder stops asking who may have it";
+    "exactly one forwarder has the message or its final answer, until the holder stops asking";
 const NO_REPEAT: &str = "a non-idempotent message is delivered at most once";
 const TRUE_ANSWERS: &str = "each final answer is true";
-const ONE_HANDOVER: &str = "only the holder hands it over";
+const ONE_HANDOVER: &str = "only the holder hands the message over";
 const NEVER_BACK: &str = "no forwarder goes back to an older view";
 
-/// The part of the protocol that is left out, so that the check must find the property that it guards.
+/// The part of the protocol that is disabled. The check must then find a violation of the property that the part
+/// protects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// The holder's record ends with the offer, not with its 202.
+    /// The holder's record ends with the offer, and not with the answer 202 to the offer.
     EndsBeforeAnswer,
-    /// An offer without an answer counts as rejected.
+    /// The holder treats an offer without an answer as rejected.
     LostIsRejected,
-    /// A rejection also counts for the offers before it.
+    /// The holder treats a rejection as one of the earlier offers too.
     RejectionSettlesDoubt,
-    /// A forwarder hands a marked message on to the owner by its own view.
+    /// A forwarder hands over a message that was handed over to it, if its own view has another owner.
     MarkIgnored,
-    /// When the forwarder that may have it has left, the message goes to the next owner whatever its idempotency.
+    /// When the forwarder that may have the message has left, the holder gives a non-idempotent message to the next
+    /// owner too.
     IdempotencyIgnored,
-    /// Ids of finished messages are forgotten while they may still be offered again.
+    /// Forwarders forget the ids of finished messages while these messages may still be offered again.
     ForgetsEarly,
-    /// An offer is accepted however late it is read.
+    /// A forwarder accepts an offer however late it reads the offer.
     LateOffers,
-    /// Views are applied in whatever order they arrive.
+    /// Forwarders apply views in the order in which the views arrive, even an older one after a newer one.
     OlderViews,
 }
 
@@ -47,32 +50,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum FinalAnswer {
     Delivered,
-    /// It may have been delivered.
+    /// The message may have been delivered.
     Failed,
-    /// It was never sent, and may be submitted again.
+    /// The message was never sent to the endpoint, and the client may submit it again.
     Rejected,
 }
 
-/// The message in one forwarder's journal, as a restart finds it.
+/// The state of the message in one forwarder's journal, as a restart reads it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Record {
-    /// Not known, or forgotten.
+    /// The forwarder has never had the message, or has forgotten it.
     Unknown,
-    /// Accepted, and to be delivered or handed over.
+    /// The forwarder has accepted the message, and will deliver it or hand it over.
     Queued {
-        /// It was handed over by another forwarder.
+        /// Whether another forwarder handed the message over to this one.
         marked: bool,
-        /// An attempt, or an offer that is not repeated any more, may have delivered it.
+        /// Whether the message may have been delivered by an attempt, or by an offer that is no longer repeated.
         possible_delivery: bool,
     },
-    /// Offered to this forwarder, which may have it.
+    /// The message was offered to the forwarder `to`, which may have it.
     Offered {
         to: usize,
-        /// An offer has had no answer.
+        /// Whether an offer has had no answer.
         in_doubt: bool,
         possible_delivery: bool,
     },
-    /// An attempt is in flight; `delivered`: the partner has processed it.
+    /// An attempt is in flight. `delivered` is `true` once the endpoint has processed the message.
     InFlight {
         marked: bool,
         possible_delivery: bool,
@@ -85,9 +88,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     up: bool,
-    /// The version of its view.
+    /// The version of the forwarder's view.
     version: usize,
-    /// The latest version that it has received.
+    /// The latest version that the forwarder has received.
     latest_received: usize,
     record: Record,
 }
@@ -97,7 +100,7 @@
 struct Request {
     from: usize,
     to: usize,
-    /// Its sender waits for the answer.
+    /// Whether the sender still waits for the answer.
     awaited: bool,
 }
 
@@ -105,22 +108,22 @@
 struct World {
     nodes: Vec<Node>,
     requests: Vec<Request>,
-    /// An answer in flight to the holder: whether the owner has accepted the message.
+    /// An answer in flight to the holder, which is `true` if the owner has accepted the message.
     answer: Option<bool>,
-    /// The version of the registry.
+    /// The latest version of the registry.
     latest: usize,
-    /// The time is over in which the message may be offered again under its id.
+    /// Whether the time is over in which the message may be offered again under its id.
     offers_expired: bool,
-    /// How often the holder has stopped asking who may have the message.
+    /// How often the holder has stopped asking which forwarder has the message.
     abandoned_doubts: usize,
-    /// How often the partner has processed it.
+    /// How often the endpoint has processed the message, at most 2.
     deliveries: u8,
-    /// Finished messages that forwarders have forgotten.
+    /// How many forwarders have forgotten the message after they finished it.
     forgotten: usize,
-    /// A forwarder other than the holder has handed it over.
+    /// Whether a forwarder other than the holder has handed the message over.
     handed_over_twice: bool,
     crashes: u8,
-    /// Offers that may still be sent.
+    /// How many more offers may be sent.
     offers: u8,
 }
 
@@ -150,7 +153,7 @@
     /// The views of the registry, in order.
     views: Vec<View>,
     destination: u64,
-    /// The owner while all are members, and the one after it has left.
+    /// The destination's owner while all forwarders are members, and its owner after that one has left.
     first_owner: usize,
     next_owner: usize,
     idempotent: bool,
@@ -177,7 +180,7 @@
         &mut self.nodes[HOLDER].record
     }
 
-    /// The holder does not wait for an answer any more; its offer may still be read.
+    /// Ends the holder's wait for an answer. The receiver may still read the holder's offer.
     fn stop_waiting(&mut self) {
         self.answer = None;
         self.requests.iter_mut().for_each(|request| request.awaited = false);
@@ -191,7 +194,7 @@
         self.requests.sort();
     }
 
-    /// Whether the holder waits for an answer.
+    /// Returns whether the holder waits for an answer.
     fn is_waiting(&self) -> bool {
         self.answer.is_some() || self.requests.iter().any(|request| request.awaited)
     }
@@ -203,11 +206,14 @@
     }
 
     fn owner(&self, world: &World, node: usize) -> usize {
-        let owner = self.views[world.nodes[node].version].owner(self.destination).expect("there are members");
-        (0..FORWARDERS).find(|place| member(*place, 1.0).name == owner.name).expect("it is one of them")
+        let owner =
+            self.views[world.nodes[node].version].owner(self.destination).expect("the view has members");
+        (0..FORWARDERS)
+            .find(|place| member(*place, 1.0).name == owner.name)
+            .expect("the owner is one of the forwarders")
     }
 
-    /// The message goes to its owner: an attempt, or an offer.
+    /// Starts an attempt, or offers the message to its owner.
     fn dispatch(&self, world: &mut World, node: usize) -> Option<()> {
         let Record::Queued { marked, possible_delivery } = world.nodes[node].record else { return None };
         let owner = self.owner(world, node);
@@ -227,7 +233,7 @@
         Some(())
     }
 
-    /// An offer is read by its receiver.
+    /// Lets the receiver of an offer read it.
     fn read(&self, world: &mut World, place: usize, accepts: bool) -> Option<()> {
         let request = world.requests.remove(place);
         let node = world.nodes.get_mut(request.to).filter(|node| node.up)?;
@@ -270,7 +276,7 @@
         Some(())
     }
 
-    /// The owner was not reached: it has not seen this offer.
+    /// Handles an owner that was not reached, and therefore has not seen this offer.
     fn unreached(&self, world: &mut World) -> Option<()> {
         let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else { return None };
         if world.nodes[to].up {
@@ -284,7 +290,8 @@
         Some(())
     }
 
-    /// The forwarder that may have it has left, or the time to offer it again is over.
+    /// Ends the holder's doubt if the forwarder that may have the message has left, or if the time to offer it again is
+    /// over.
     fn stop_asking(&self, world: &mut World) -> Option<()> {
         let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
         let gone = !self.member(world, HOLDER, to);
@@ -301,7 +308,7 @@
         Some(())
     }
 
-    /// The partner's answer to an attempt, or the lack of one.
+    /// Handles the endpoint's answer to an attempt, or the loss of that answer.
     fn receive_partner_answer(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
         let Record::InFlight { marked, delivered: true, .. } = world.nodes[node].record else { return None };
         world.nodes[node].record = match answered {
@@ -311,7 +318,7 @@
         Some(())
     }
 
-    /// After an attempt that may have delivered it.
+    /// Returns the record after an attempt that may have delivered the message.
     fn after_possible_delivery(&self, marked: bool) -> Record {
         if self.idempotent {
             Record::Queued { marked, possible_delivery: true }
@@ -399,7 +406,7 @@
         Some(())
     }
 
-    /// What the holder may do while it waits for an answer, and when it does not.
+    /// Adds the steps of the holder while it waits for an answer, and while it does not.
     fn holder_steps(&self, world: &World, steps: &mut Vec<Step>) {
         let may_offer = world.offers > 0 && !world.offers_expired;
         match world.nodes[HOLDER].record {
@@ -519,17 +526,18 @@
             Property::always(NEVER_BACK, |_, world: &World| {
                 world.nodes.iter().all(|node| node.version >= node.latest_received)
             }),
-            Property::sometimes("the first owner delivers it", |bounds: &Bounds, world: &World| {
+            Property::sometimes("the first owner delivers the message", |bounds: &Bounds, world: &World| {
                 world.nodes[bounds.first_owner].record == Record::Finished(FinalAnswer::Delivered)
             }),
-            Property::sometimes("the next owner delivers it", |bounds: &Bounds, world: &World| {
+            Property::sometimes("the next owner delivers the message", |bounds: &Bounds, world: &World| {
                 world.nodes[bounds.next_owner].record == Record::Finished(FinalAnswer::Delivered)
             }),
         ]
     }
 }
 
-/// A region in which the owner of a destination, the second forwarder, leaves and returns. Meanwhile the given one owns it.
+/// Returns bounds in which the destination's owner, the second forwarder, leaves and returns. `next_owner` owns the
+/// destination meanwhile.
 fn bounds(next_owner: usize) -> Bounds {
     let first_owner = 1;
     let all = || (0..FORWARDERS).map(|number| member(number, 1.0)).collect::<Vec<_>>();
@@ -539,7 +547,7 @@
         let ranked = first.ranking(*destination);
         ranked[0].name == name(first_owner) && ranked[1].name == name(next_owner)
     };
-    let destination = (0..).find(fits).expect("there is one");
+    let destination = (0..).find(fits).expect("some destination is ranked in this order");
     let rest = all().into_iter().filter(|member| member.name != name(first_owner)).collect();
     let views = vec![first, view(2, rest), view(3, all())];
     Bounds {
@@ -560,27 +568,27 @@
 
 fn assert_holds(what: &str, bounds: Bounds) {
     let checker = check(bounds);
-    println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
+    println!("{what}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_a_third_forwarder_takes_over() {
-    assert_holds("not idempotent, a third is next", bounds(2));
+    assert_holds("not idempotent, a third forwarder takes over", bounds(2));
 }
 
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_the_holder_takes_over() {
-    assert_holds("not idempotent, the holder is next", bounds(HOLDER));
+    assert_holds("not idempotent, the holder takes over", bounds(HOLDER));
 }
 
 #[test]
 fn idempotent_message_is_never_lost() {
-    assert_holds("idempotent, a third is next", Bounds { idempotent: true, ..bounds(2) });
-    assert_holds("idempotent, the holder is next", Bounds { idempotent: true, ..bounds(HOLDER) });
+    assert_holds("idempotent, a third forwarder takes over", Bounds { idempotent: true, ..bounds(2) });
+    assert_holds("idempotent, the holder takes over", Bounds { idempotent: true, ..bounds(HOLDER) });
 }
 
-// The check has to find a violation when a part of the protocol is left out.
+// The check must find a violation when a part of the protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, property, next_owner) in [
@@ -596,10 +604,11 @@
         let model = Bounds { mutant, ..bounds(next_owner) }.checker().threads(4);
         let found = HasDiscoveries::AnyOf([property].into_iter().collect());
         let checker = model.finish_when(found).spawn_bfs().join();
-        let path = checker.discovery(property).unwrap_or_else(|| panic!("{mutant:?} is not found"));
+        let path =
+            checker.discovery(property).unwrap_or_else(|| panic!("{mutant:?} does not violate: {property}"));
         let steps = path.into_actions();
         println!(
-            "{mutant:?}: found after {} states, by {} steps: {steps:?}",
+            "{mutant:?}: violation found after {} states, by {} steps: {steps:?}",
             checker.unique_state_count(),
             steps.len()
         );
--- a/crates/ownership/tests/member_state.rs
+++ b/crates/ownership/tests/member_state.rs
@@ -13,31 +13,31 @@
     OwnershipConfig { session_ttl: 10 * S, view_lifetime: 10 * S, warm_up_time: 12 * S, clock_drift: 0.01 }
 }
 
-/// The state of the first of these members, which has read its view and renewed its session at 0.
+/// Returns the state of the first of these members, which has read its view and renewed its session at 0.
 fn confirmed(members: Vec<Member>) -> MemberState {
     let mut state = MemberState::new("f000");
     state.set_destinations(0, 0..LISTED);
-    state.on_view(&config(), 0, 0, view(5, members)).expect("the first view");
+    state.on_view(&config(), 0, 0, view(5, members)).expect("the first view is accepted");
     state.on_registered(0, 0);
     state
 }
 
-/// The same after its warm-up time, with its view read and its session renewed then.
+/// Returns the same state after its warm-up time, with its view read and its session renewed at `now`.
 fn warmed_up(members: Vec<Member>, now: Micros) -> MemberState {
     let mut state = confirmed(members.clone());
-    state.on_view(&config(), now, now, view(5, members)).expect("the same version");
+    state.on_view(&config(), now, now, view(5, members)).expect("a view of the same version is accepted");
     state.on_renewed(now);
     state
 }
 
 fn own(state: &MemberState) -> u64 {
     let owned = state.owners().owned_by("f000").next();
-    owned.expect("it owns some")
+    owned.expect("the member owns a destination")
 }
 
 fn owned_by_other(state: &MemberState) -> u64 {
     let owned = state.owners().owned_by("f001").next();
-    owned.expect("it owns some")
+    owned.expect("the member owns a destination")
 }
 
 fn rate(state: &MemberState, now: Micros, destination: u64) -> Rate {
@@ -70,14 +70,14 @@
         assert_eq!(
             rate(&state, counts, own(&state)),
             Rate::SlowStart(SlowStartReason::Unconfirmed),
-            "session and view both have to count"
+            "session and view both have to be valid"
         );
     }
     // A forwarder that was suspended is not confirmed when it resumes.
     assert_eq!(rate(&state, 90 * S, own(&state)), Rate::SlowStart(SlowStartReason::Unconfirmed));
 }
 
-// Guards against an owner that did not see that another owned its destinations between its two sessions.
+// Guards against an owner that did not see that another member owned its destinations between its two sessions.
 #[test]
 fn lost_session_ends_the_full_rate_and_a_new_one_restarts_slow_start() {
     let mut state = warmed_up(members(3), 20 * S);
@@ -87,11 +87,13 @@
     assert_eq!(
         rate(&state, 21 * S, own(&state)),
         Rate::SlowStart(SlowStartReason::Unconfirmed),
-        "a late answer"
+        "a late answer to a renewal does not restore the session"
     );
     state.on_registered(22 * S, 21 * S);
     assert_eq!(rate(&state, 22 * S, own(&state)), Rate::SlowStart(SlowStartReason::NewOwner));
-    state.on_view(&config(), 34 * S, 34 * S, view(5, members(3))).expect("the same version");
+    state
+        .on_view(&config(), 34 * S, 34 * S, view(5, members(3)))
+        .expect("a view of the same version is accepted");
     state.on_renewed(34 * S);
     assert_eq!(rate(&state, 35 * S, own(&state)), Rate::Full);
 }
@@ -108,21 +110,22 @@
     assert_eq!(state.decide(&config(), 20 * S, destination, true), delivers);
     let handed_over_own = state.decide(&config(), 20 * S, own(&state), true);
     assert_eq!(handed_over_own, DeliveryDecision::Deliver(Rate::Full));
-    assert_eq!(MemberState::new("f000").decide(&config(), 0, 1, false), delivers, "no members");
+    assert_eq!(MemberState::new("f000").decide(&config(), 0, 1, false), delivers, "the view has no members");
 }
 
 #[test]
 fn reacquired_destination_restarts_slow_start() {
     let mut state = warmed_up(members(1), 20 * S);
     let two = vec![member(0, 1.0), member(1, 1.0)];
-    let changes = state.on_view(&config(), 21 * S, 21 * S, view(6, two.clone())).expect("a newer view");
-    let lost = changes.first().expect("some change").destination;
+    let changes =
+        state.on_view(&config(), 21 * S, 21 * S, view(6, two.clone())).expect("a newer view is accepted");
+    let lost = changes.first().expect("some destination has changed its owner").destination;
     assert!(changes.iter().all(|change| change.to.as_deref() == Some("f001")));
     assert_eq!(state.decide(&config(), 21 * S, lost, false), DeliveryDecision::HandOver(&two[1]));
-    state.on_view(&config(), 23 * S, 23 * S, view(7, members(1))).expect("a newer view");
+    state.on_view(&config(), 23 * S, 23 * S, view(7, members(1))).expect("a newer view is accepted");
     assert_eq!(rate(&state, 23 * S, lost), Rate::SlowStart(SlowStartReason::NewOwner));
     let kept = (0..LISTED).find(|listed| changes.iter().all(|change| change.destination != *listed));
-    assert_eq!(rate(&state, 23 * S, kept.expect("some stay")), Rate::Full);
+    assert_eq!(rate(&state, 23 * S, kept.expect("some destination has kept its owner")), Rate::Full);
 }
 
 #[test]
@@ -139,14 +142,14 @@
     let destination = own(&state);
     state.start_draining();
     let rest = view(6, members(3)[1..].to_vec());
-    let next = rest.owner(destination).expect("there is one");
+    let next = rest.owner(destination).expect("the view has members");
     assert_eq!(state.decide(&config(), 20 * S, destination, false), DeliveryDecision::HandOver(next));
     let delivers = DeliveryDecision::Deliver(Rate::SlowStart(SlowStartReason::Draining));
     assert_eq!(state.decide(&config(), 20 * S, destination, true), delivers);
     assert!(!state.accepts_handover());
     let mut alone = warmed_up(members(1), 20 * S);
     alone.start_draining();
-    assert_eq!(alone.decide(&config(), 20 * S, 1, false), delivers, "no other member");
+    assert_eq!(alone.decide(&config(), 20 * S, 1, false), delivers, "there is no other member");
 }
 
 #[test]
@@ -155,9 +158,7 @@
     let held = state.clone();
     assert!(state.on_view(&config(), 21 * S, 21 * S, view(4, members(2))).is_err());
     assert_eq!(state, held);
-    state
-        .on_view(&config(), 31 * S, 31 * S, view(4, members(2)))
-        .expect("the one held does not count any more");
+    state.on_view(&config(), 31 * S, 31 * S, view(4, members(2))).expect("the held view has expired");
     assert_eq!(state.owners().view().version(), 4);
 }
 
--- a/crates/ownership/tests/ownership_table.rs
+++ b/crates/ownership/tests/ownership_table.rs
@@ -1,4 +1,4 @@
-//! The ownership table agrees with lookups in its view, whatever happened before.
+//! Checks that the ownership table agrees with lookups in its view after any sequence of changes.
 
 mod common;
 
@@ -30,7 +30,7 @@
                 table.owner(destination).map(|owner| owner.name.clone())
             };
             let before: BTreeMap<u64, _> = (0..listed).map(|d| (d, name(&table, d))).collect();
-            let changes = table.replace_view(next.clone()).expect("it is newer");
+            let changes = table.replace_view(next.clone()).expect("the view is newer");
             let changed: BTreeSet<u64> = changes.iter().map(|change| change.destination).collect();
             for destination in 0..LISTED {
                 let now = name(&table, destination);
@@ -49,10 +49,10 @@
 fn older_view_is_rejected_and_the_same_version_changes_nothing() {
     let mut table = OwnershipTable::new(view(5, members(4)), 0..LISTED);
     let held = table.clone();
-    let older = table.replace_view(view(4, members(3))).expect_err("it is older");
+    let older = table.replace_view(view(4, members(3))).expect_err("the view is older");
     assert_eq!(older.to_string(), "the view of version 4 is older than the held view of version 5");
     assert_eq!(table, held);
     assert_eq!(table.replace_view(view(5, members(4))), Ok(Vec::new()));
     assert_eq!(table, held);
-    assert!(!table.replace_view(view(6, members(3))).expect("it is newer").is_empty());
+    assert!(!table.replace_view(view(6, members(3))).expect("the view is newer").is_empty());
 }
--- a/crates/ownership/tests/rate_model.rs
+++ b/crates/ownership/tests/rate_model.rs
@@ -1,6 +1,6 @@
-//! Model checking of the rates of owners: the state machine that forwarders run, against a registry that keeps its promises
-//! and nothing more, over every order of renewals, reads, answers that are late or lost and sessions that expire within the
-//! bounds given, with one clock that is slow by the whole drift.
+//! Model checking of the rates of owners. The forwarders run the real state machine against a registry that gives only
+//! the guarantees that the protocol requires. The check covers every order of renewals, reads, late or lost answers and
+//! expiring sessions within the bounds. One clock is slow by the whole clock drift.
 
 mod common;
 
@@ -10,48 +10,51 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 2;
-/// In units of the clock.
+/// The times of the protocol, in units of the clock.
 const TTL: Micros = 2;
 const VIEW_LIFETIME: Micros = 2;
 const WARM_UP_TIME: Micros = 2;
-/// Before anything that the model does.
+/// A time before the first step of the model.
 const LONG_AGO: Micros = -1000;
 
-const ONE_FULL: &str = "at most one sends at the full rate";
+const ONE_FULL: &str = "at most one member sends at the full rate";
 
-/// The part of the protocol that is left out, so that the check must find the property that it guards.
+/// The part of the protocol that is disabled. The check must then find a violation of the property that the part
+/// protects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// A new owner sends at the full rate at once.
     NoWarmUp,
-    /// Reads and renewals count from their answers.
+    /// Reads and renewals are valid from the time of their answers.
     FromAnswer,
-    /// Clocks are assumed to run alike.
+    /// Forwarders assume that all clocks run at the same rate.
     NoDrift,
     /// Views never expire.
     ViewsNeverExpire,
-    /// A new session counts as a renewal of the last.
+    /// A forwarder treats a new session as a renewal of the previous one.
     NewSessionIsRenewal,
 }
 
 struct Bounds {
-    /// Both are members at the start, and the first owns the destination. Otherwise the second joins, and then owns it.
+    /// Whether both forwarders are members at the start. If so, the first owns the destination. Otherwise the second
+    /// joins, and then owns the destination.
     both_present: bool,
-    /// The first member's renewals are late or lost, so its session may expire. All others take effect at once.
+    /// Whether the first member's renewals may be late or lost, so that its session may expire. All other renewals take
+    /// effect at once.
     renewals_late: bool,
     until: Micros,
     restarts: u8,
     mutant: Mutant,
 }
 
-/// An answer of the registry in flight, with the time at which its request was sent. That the request takes time is not a
-/// step of its own: an answer that comes later counts for a shorter time.
+/// An answer of the registry in flight, with the time at which its request was sent. The delay of the request is not a
+/// separate step, because an answer that arrives later is valid for a shorter time.
 type Answer<T> = Option<(Micros, T)>;
-/// Sessions are numbered as they are created.
+/// The number of a session, in the order of creation.
 type SessionId = u8;
 
-/// A member's session as the registry has it.
+/// A member's session as stored in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Session {
     id: SessionId,
@@ -62,9 +65,9 @@
 struct Participant {
     state: MemberState,
     view_read: Answer<View>,
-    /// The session that it knows.
+    /// The session that the member knows.
     session: Option<SessionId>,
-    /// The answer to its renewal: the session that was renewed, or a new one.
+    /// The answer to the member's renewal, which has the id of the renewed session or of a new one.
     renewal: Answer<SessionId>,
 }
 
@@ -73,7 +76,7 @@
     clock: Micros,
     participants: Vec<Participant>,
     sessions: Vec<Option<Session>>,
-    /// Sessions created so far.
+    /// The number of sessions created so far.
     sessions_created: SessionId,
     version: u64,
     restarts: u8,
@@ -90,13 +93,13 @@
     Restart(usize),
 }
 
-/// A destination that this member owns where both are members.
+/// Returns a destination that this member owns if both are members.
 fn destination(owner: usize) -> u64 {
     let both = view(1, (0..MEMBERS).map(|number| member(number, 1.0)).collect());
     let owns = |destination: &u64| {
         both.owner(*destination).map(|owner| &owner.name) == Some(&member(owner, 1.0).name)
     };
-    (0..).find(owns).expect("there is one")
+    (0..).find(owns).expect("the member owns a destination")
 }
 
 impl Bounds {
@@ -111,7 +114,8 @@
         destination(if self.both_present { 0 } else { 1 })
     }
 
-    /// The first member's clock is slow by a third: the other is faster by a half of its rate.
+    /// Returns the time on a member's own clock. The first member's clock runs at two thirds of the rate of the other
+    /// member's clock, whose rate is therefore higher by a half.
     fn local(&self, member: usize, clock: Micros) -> Micros {
         if member == 0 { clock * 2 / 3 } else { clock }
     }
@@ -124,7 +128,7 @@
         }
     }
 
-    /// How many send at the full rate.
+    /// Returns how many members send at the full rate.
     fn count_at_full_rate(&self, world: &World) -> usize {
         (0..MEMBERS).filter(|member| self.rate(world, *member) == Some(Rate::Full)).count()
     }
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Renews the session that a member knows, or creates a new one.
+    /// Renews the session that a member knows, or creates a new session.
     fn renew(&self, world: &mut World, member: usize) -> SessionId {
         let known = world.participants[member].session;
         let present = world.sessions[member].filter(|session| Some(session.id) == known);
@@ -187,7 +191,7 @@
                 let now = self.local(member, world.clock);
                 let (sent_at, view) = world.participants[member].view_read.take()?;
                 let sent_at = self.counts_from(sent_at, now);
-                // Rejected where it is older.
+                // An older view is rejected.
                 let _ = world.participants[member].state.on_view(&self.config(), now, sent_at, view);
             }
             Step::Renew(member) => {
@@ -250,7 +254,7 @@
             let state = &mut world.participants[member].state;
             state.on_registered(LONG_AGO, LONG_AGO);
             for at in [LONG_AGO, 0] {
-                state.on_view(&self.config(), at, at, view.clone()).expect("not older");
+                state.on_view(&self.config(), at, at, view.clone()).expect("the view is not older");
             }
             state.on_renewed(0);
         }
@@ -301,9 +305,10 @@
             Property::always(ONE_FULL, |bounds: &Bounds, world: &World| {
                 bounds.count_at_full_rate(world) <= 1
             }),
-            Property::sometimes("the second sends at the full rate", |bounds: &Bounds, world: &World| {
-                bounds.rate(world, 1) == Some(Rate::Full)
-            }),
+            Property::sometimes(
+                "the second member sends at the full rate",
+                |bounds: &Bounds, world: &World| bounds.rate(world, 1) == Some(Rate::Full),
+            ),
             Property::sometimes("an owner is not confirmed", |bounds: &Bounds, world: &World| {
                 bounds.rate(world, 0) == Some(Rate::SlowStart(SlowStartReason::Unconfirmed))
             }),
@@ -311,14 +316,14 @@
     }
 }
 
-/// Checks all states within the bounds, or until a property is violated.
+/// Checks all states within the bounds, until a property is violated.
 fn check(bounds: Bounds) -> impl Checker<Bounds> {
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
 fn assert_holds(what: &str, bounds: Bounds) {
     let checker = check(bounds);
-    println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
+    println!("{what}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
@@ -329,12 +334,12 @@
 
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_member_joins() {
-    assert_holds("a join", JOIN);
+    assert_holds("a member joins", JOIN);
 }
 
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_session_expires() {
-    assert_holds("a session's end", SESSION_EXPIRES);
+    assert_holds("a session expires", SESSION_EXPIRES);
 }
 
 #[test]
@@ -347,9 +352,10 @@
         (Mutant::NewSessionIsRenewal, SESSION_EXPIRES),
     ] {
         let checker = check(Bounds { mutant, ..bounds });
-        let path = checker.discovery(ONE_FULL).unwrap_or_else(|| panic!("{mutant:?} is not found"));
+        let path =
+            checker.discovery(ONE_FULL).unwrap_or_else(|| panic!("{mutant:?} does not violate: {ONE_FULL}"));
         println!(
-            "{mutant:?}: found after {} states, by {} steps",
+            "{mutant:?}: violation found after {} states, by {} steps",
             checker.unique_state_count(),
             path.into_actions().len()
         );
--- a/crates/ownership/tests/stored_format.rs
+++ b/crates/ownership/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The stored form of the entries of a region's registry: one of an earlier version is read with every field, and the same
-//! member is written as the same text.
+//! Pins the stored form of the entries in a region's registry. An entry of an earlier version is read with every field,
+//! and the same member is written as the same text.
 
 use orchidyoke_ownership::{Member, Region};
 
@@ -34,7 +34,7 @@
 #[test]
 fn entry_of_the_previous_version_is_read_field_by_field_and_written_back() {
     for (text, member) in [(PLAIN, plain()), (OTHER, other())] {
-        assert_eq!(Member::parse_entry(&member.name, text, &region()).expect("read"), member);
+        assert_eq!(Member::parse_entry(&member.name, text, &region()).expect("the entry is read"), member);
         assert_eq!(member.to_entry(), text);
     }
 }
--- a/crates/ownership/tests/view.rs
+++ b/crates/ownership/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views: which members are valid, and that a change of members moves the destinations that it has to, and no others.
+//! Checks which members are valid in a view, and that a change of members moves only the destinations that must move.
 
 mod common;
 
@@ -23,7 +23,7 @@
     (0..DESTINATIONS).map(|destination| view.owner(destination).map(|owner| owner.name.clone())).collect()
 }
 
-/// How many destinations each member owns.
+/// Returns how many destinations each member owns.
 fn counts(view: &View) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for owner in owners(view).into_iter().flatten() {
@@ -32,7 +32,7 @@
     counts
 }
 
-/// Whether a count is within six standard deviations of a share of all destinations.
+/// Returns whether a count is within six standard deviations of a share of all destinations.
 fn is_share(count: u64, share: f64) -> bool {
     let expected = DESTINATIONS as f64 * share;
     (count as f64 - expected).abs() < 6.0 * (expected * (1.0 - share)).sqrt() + 1.0
@@ -66,7 +66,7 @@
         let moved = whole.iter().zip(&rest).filter(|(with, without)| with != without);
         let moved: Vec<_> = moved.collect();
         prop_assert!(moved.iter().all(|(with, _)| with.as_deref() == Some(&gone)), "only its own destinations move");
-        prop_assert!(is_share(moved.len() as u64, share), "{} of a share of {share}", moved.len());
+        prop_assert!(is_share(moved.len() as u64, share), "{} destinations moved, expected a share of {share}", moved.len());
     }
 
     #[test]
@@ -87,9 +87,9 @@
         let mut taken: BTreeMap<String, u64> = BTreeMap::new();
         for (with, without) in owners(&whole).into_iter().zip(owners(&rest)) {
             if with != without {
-                let lost = with.and_then(|name| whole.member(&name)).expect("it had an owner");
+                let lost = with.and_then(|name| whole.member(&name)).expect("the destination had an owner");
                 prop_assert_eq!(&lost.zone, "z1");
-                *taken.entry(without.expect("it has an owner")).or_default() += 1;
+                *taken.entry(without.expect("the destination has an owner")).or_default() += 1;
             }
         }
         let lost = (count - left.len()) as f64 / count as f64;
@@ -137,7 +137,7 @@
     }
 }
 
-// Guards against one bad entry that stops a region, and against members that leave out different entries.
+// Guards against an invalid entry that stops a region, and against members that leave out different entries.
 #[test]
 fn unreadable_entries_are_left_out_and_reported() {
     let good = member(0, 1.0);
