--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -17,10 +17,10 @@
 
 const ONE_ANSWER: &str =
     "exactly one forwarder has the message or its final answer, until the holder stops asking";
-const NO_REPEAT: &str = "a non-idempotent message is delivered at most once";
-const TRUE_ANSWERS: &str = "each final answer is true";
+const DELIVERED_AT_MOST_ONCE: &str = "a non-idempotent message is delivered at most once";
+const ANSWERS_ARE_TRUE: &str = "each final answer is true";
 const ONE_HANDOVER: &str = "only the holder hands the message over";
-const NEVER_BACK: &str = "no forwarder goes back to an older view";
+const NO_OLDER_VIEW: &str = "no forwarder goes back to an older view";
 
 /// The part of the protocol that is disabled. The check must then find a violation of the property that the part
 /// protects.
@@ -32,18 +32,18 @@
     /// The holder treats an offer without an answer as rejected.
     LostIsRejected,
     /// The holder treats a rejection as one of the earlier offers too.
-    RejectionSettlesDoubt,
+    RejectionEndsDoubt,
     /// A forwarder hands over a message that was handed over to it, if its own view has another owner.
-    MarkIgnored,
+    HandsOverAgain,
     /// When the forwarder that may have the message has left, the holder gives a non-idempotent message to the next
     /// owner too.
     IdempotencyIgnored,
     /// Forwarders forget the ids of finished messages while these messages may still be offered again.
     ForgetsEarly,
     /// A forwarder accepts an offer however late it reads the offer.
-    LateOffers,
+    AcceptsLateOffers,
     /// Forwarders apply views in the order in which the views arrive, even an older one after a newer one.
-    OlderViews,
+    AppliesOlderViews,
 }
 
 /// The final answer of a message.
@@ -64,7 +64,7 @@
     /// The forwarder has accepted the message, and will deliver it or hand it over.
     Queued {
         /// Whether another forwarder handed the message over to this one.
-        marked: bool,
+        handed_over: bool,
         /// Whether the message may have been delivered by an attempt, or by an offer that is no longer repeated.
         possible_delivery: bool,
     },
@@ -77,7 +77,7 @@
     },
     /// An attempt is in flight. `delivered` is `true` once the endpoint has processed the message.
     InFlight {
-        marked: bool,
+        handed_over: bool,
         possible_delivery: bool,
         delivered: bool,
     },
@@ -87,7 +87,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    up: bool,
+    is_up: bool,
     /// The version of the forwarder's view.
     version: usize,
     /// The latest version that the forwarder has received.
@@ -97,7 +97,7 @@
 
 /// An offer in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Request {
+struct Offer {
     from: usize,
     to: usize,
     /// Whether the sender still waits for the answer.
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: Vec<Node>,
-    requests: Vec<Request>,
+    offers_in_flight: Vec<Offer>,
     /// An answer in flight to the holder, which is `true` if the owner has accepted the message.
     answer: Option<bool>,
     /// The latest version of the registry.
@@ -132,18 +132,18 @@
     ViewChanges,
     ReceiveView(usize, usize),
     Dispatch(usize),
-    Read(usize, bool),
-    LoseRequest(usize),
+    ReadOffer(usize, bool),
+    LoseOffer(usize),
     ReceiveAnswer,
-    Unreached,
+    ReceiverNotReached,
     TimeOut,
     OfferAgain,
     StopAsking,
     ExpireOffers,
-    GiveUp,
+    Reject,
     Deliver(usize),
-    ReceivePartnerAnswer(usize),
-    LosePartnerAnswer(usize),
+    ReceiveEndpointAnswer(usize),
+    LoseEndpointAnswer(usize),
     Forget(usize),
     Crash(usize),
     Restart(usize),
@@ -183,43 +183,45 @@
     /// Ends the holder's wait for an answer. The receiver may still read the holder's offer.
     fn stop_waiting(&mut self) {
         self.answer = None;
-        self.requests.iter_mut().for_each(|request| request.awaited = false);
-        self.requests.sort();
+        self.offers_in_flight.iter_mut().for_each(|offer| offer.awaited = false);
+        self.offers_in_flight.sort();
     }
 
     fn send(&mut self, from: usize, to: usize) {
         self.offers -= 1;
         self.handed_over_twice |= from != HOLDER;
-        self.requests.push(Request { from, to, awaited: true });
-        self.requests.sort();
+        self.offers_in_flight.push(Offer { from, to, awaited: true });
+        self.offers_in_flight.sort();
     }
 
     /// Returns whether the holder waits for an answer.
     fn is_waiting(&self) -> bool {
-        self.answer.is_some() || self.requests.iter().any(|request| request.awaited)
+        self.answer.is_some() || self.offers_in_flight.iter().any(|offer| offer.awaited)
     }
 }
 
 impl Bounds {
-    fn member(&self, world: &World, node: usize, of: usize) -> bool {
-        self.views[world.nodes[node].version].member(&member(of, 1.0).name).is_some()
+    fn member(&self, world: &World, node: usize, other: usize) -> bool {
+        self.views[world.nodes[node].version].member(&member(other, 1.0).name).is_some()
     }
 
     fn owner(&self, world: &World, node: usize) -> usize {
         let owner =
             self.views[world.nodes[node].version].owner(self.destination).expect("the view has members");
         (0..FORWARDERS)
-            .find(|place| member(*place, 1.0).name == owner.name)
+            .find(|index| member(*index, 1.0).name == owner.name)
             .expect("the owner is one of the forwarders")
     }
 
     /// Starts an attempt, or offers the message to its owner.
     fn dispatch(&self, world: &mut World, node: usize) -> Option<()> {
-        let Record::Queued { marked, possible_delivery } = world.nodes[node].record else { return None };
+        let Record::Queued { handed_over, possible_delivery } = world.nodes[node].record else {
+            return None;
+        };
         let owner = self.owner(world, node);
-        let stays = marked && self.mutant != Mutant::MarkIgnored;
-        if owner == node || stays {
-            world.nodes[node].record = Record::InFlight { marked, possible_delivery, delivered: false };
+        let stays_here = handed_over && self.mutant != Mutant::HandsOverAgain;
+        if owner == node || stays_here {
+            world.nodes[node].record = Record::InFlight { handed_over, possible_delivery, delivered: false };
             return Some(());
         }
         if world.offers == 0 || world.offers_expired {
@@ -234,19 +236,19 @@
     }
 
     /// Lets the receiver of an offer read it.
-    fn read(&self, world: &mut World, place: usize, accepts: bool) -> Option<()> {
-        let request = world.requests.remove(place);
-        let node = world.nodes.get_mut(request.to).filter(|node| node.up)?;
+    fn read_offer(&self, world: &mut World, index: usize, accepts: bool) -> Option<()> {
+        let offer = world.offers_in_flight.remove(index);
+        let node = world.nodes.get_mut(offer.to).filter(|node| node.is_up)?;
         let known = node.record != Record::Unknown;
-        let in_time = !world.offers_expired || self.mutant == Mutant::LateOffers;
+        let in_time = !world.offers_expired || self.mutant == Mutant::AcceptsLateOffers;
         let accepted = known || accepts && in_time;
         if known && !accepts {
             return None;
         }
         if accepted && !known {
-            node.record = Record::Queued { marked: true, possible_delivery: false };
+            node.record = Record::Queued { handed_over: true, possible_delivery: false };
         }
-        if request.awaited {
+        if offer.awaited {
             world.answer = Some(accepted);
         }
         Some(())
@@ -257,10 +259,10 @@
         let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else {
             return Some(());
         };
-        let settles = !in_doubt || self.mutant == Mutant::RejectionSettlesDoubt;
+        let ends_doubt = !in_doubt || self.mutant == Mutant::RejectionEndsDoubt;
         *world.holder_record() = match accepted {
             true => Record::HandedOver,
-            false if settles => Record::Queued { marked: false, possible_delivery },
+            false if ends_doubt => Record::Queued { handed_over: false, possible_delivery },
             false => Record::Offered { to, in_doubt, possible_delivery },
         };
         Some(())
@@ -270,22 +272,22 @@
         let Record::Offered { to, possible_delivery, .. } = *world.holder_record() else { return None };
         world.stop_waiting();
         *world.holder_record() = match self.mutant {
-            Mutant::LostIsRejected => Record::Queued { marked: false, possible_delivery },
+            Mutant::LostIsRejected => Record::Queued { handed_over: false, possible_delivery },
             _ => Record::Offered { to, in_doubt: true, possible_delivery },
         };
         Some(())
     }
 
     /// Handles an owner that was not reached, and therefore has not seen this offer.
-    fn unreached(&self, world: &mut World) -> Option<()> {
+    fn receiver_not_reached(&self, world: &mut World) -> Option<()> {
         let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else { return None };
-        if world.nodes[to].up {
+        if world.nodes[to].is_up {
             return None;
         }
-        let awaited = world.requests.iter().position(|request| request.awaited)?;
-        world.requests.remove(awaited);
+        let awaited = world.offers_in_flight.iter().position(|offer| offer.awaited)?;
+        world.offers_in_flight.remove(awaited);
         if !in_doubt {
-            *world.holder_record() = Record::Queued { marked: false, possible_delivery };
+            *world.holder_record() = Record::Queued { handed_over: false, possible_delivery };
         }
         Some(())
     }
@@ -294,14 +296,14 @@
     /// over.
     fn stop_asking(&self, world: &mut World) -> Option<()> {
         let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
-        let gone = !self.member(world, HOLDER, to);
-        if !gone && !world.offers_expired {
+        let has_left = !self.member(world, HOLDER, to);
+        if !has_left && !world.offers_expired {
             return None;
         }
         world.abandoned_doubts += 1;
-        let again = self.idempotent || self.mutant == Mutant::IdempotencyIgnored;
-        *world.holder_record() = if again && !world.offers_expired {
-            Record::Queued { marked: false, possible_delivery: true }
+        let may_repeat = self.idempotent || self.mutant == Mutant::IdempotencyIgnored;
+        *world.holder_record() = if may_repeat && !world.offers_expired {
+            Record::Queued { handed_over: false, possible_delivery: true }
         } else {
             Record::Finished(FinalAnswer::Failed)
         };
@@ -309,28 +311,30 @@
     }
 
     /// Handles the endpoint's answer to an attempt, or the loss of that answer.
-    fn receive_partner_answer(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
-        let Record::InFlight { marked, delivered: true, .. } = world.nodes[node].record else { return None };
+    fn receive_endpoint_answer(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
+        let Record::InFlight { handed_over, delivered: true, .. } = world.nodes[node].record else {
+            return None;
+        };
         world.nodes[node].record = match answered {
             true => Record::Finished(FinalAnswer::Delivered),
-            false => self.after_possible_delivery(marked),
+            false => self.after_possible_delivery(handed_over),
         };
         Some(())
     }
 
     /// Returns the record after an attempt that may have delivered the message.
-    fn after_possible_delivery(&self, marked: bool) -> Record {
+    fn after_possible_delivery(&self, handed_over: bool) -> Record {
         if self.idempotent {
-            Record::Queued { marked, possible_delivery: true }
+            Record::Queued { handed_over, possible_delivery: true }
         } else {
             Record::Finished(FinalAnswer::Failed)
         }
     }
 
     fn restart(&self, world: &mut World, node: usize) -> Option<()> {
-        world.nodes[node].up = true;
+        world.nodes[node].is_up = true;
         world.nodes[node].record = match world.nodes[node].record {
-            Record::InFlight { marked, .. } => self.after_possible_delivery(marked),
+            Record::InFlight { handed_over, .. } => self.after_possible_delivery(handed_over),
             Record::Offered { to, possible_delivery, .. } => {
                 Record::Offered { to, in_doubt: true, possible_delivery }
             }
@@ -340,15 +344,15 @@
     }
 
     fn may_forget(&self, world: &World, node: usize) -> bool {
-        let ended = matches!(world.nodes[node].record, Record::Finished(_));
+        let is_finished = matches!(world.nodes[node].record, Record::Finished(_));
         let may_be_offered = !world.offers_expired;
-        node != HOLDER && ended && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
+        node != HOLDER && is_finished && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
     }
 
     fn receive_view(&self, world: &mut World, node: usize, version: usize) -> Option<()> {
         let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
-        let refused = table.replace_view(self.views[version].clone()).is_err();
-        if refused && self.mutant != Mutant::OlderViews {
+        let is_rejected = table.replace_view(self.views[version].clone()).is_err();
+        if is_rejected && self.mutant != Mutant::AppliesOlderViews {
             return None;
         }
         let node = &mut world.nodes[node];
@@ -362,10 +366,10 @@
             Step::ViewChanges => world.latest += 1,
             Step::ReceiveView(node, version) => self.receive_view(world, node, version)?,
             Step::Dispatch(node) => self.dispatch(world, node)?,
-            Step::Read(request, accepts) => self.read(world, request, accepts)?,
-            Step::LoseRequest(request) => drop(world.requests.remove(request)),
+            Step::ReadOffer(offer, accepts) => self.read_offer(world, offer, accepts)?,
+            Step::LoseOffer(offer) => drop(world.offers_in_flight.remove(offer)),
             Step::ReceiveAnswer => self.receive_answer(world)?,
-            Step::Unreached => self.unreached(world)?,
+            Step::ReceiverNotReached => self.receiver_not_reached(world)?,
             Step::TimeOut => self.time_out(world)?,
             Step::OfferAgain => {
                 let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
@@ -373,30 +377,31 @@
             }
             Step::StopAsking => self.stop_asking(world)?,
             Step::ExpireOffers => world.offers_expired = true,
-            Step::GiveUp => {
+            Step::Reject => {
                 let Record::Queued { possible_delivery: false, .. } = *world.holder_record() else {
                     return None;
                 };
                 *world.holder_record() = Record::Finished(FinalAnswer::Rejected);
             }
             Step::Deliver(node) => {
-                let Record::InFlight { marked, possible_delivery, delivered: false } =
+                let Record::InFlight { handed_over, possible_delivery, delivered: false } =
                     world.nodes[node].record
                 else {
                     return None;
                 };
-                world.nodes[node].record = Record::InFlight { marked, possible_delivery, delivered: true };
+                world.nodes[node].record =
+                    Record::InFlight { handed_over, possible_delivery, delivered: true };
                 world.deliveries = (world.deliveries + 1).min(2);
             }
-            Step::ReceivePartnerAnswer(node) => self.receive_partner_answer(world, node, true)?,
-            Step::LosePartnerAnswer(node) => self.receive_partner_answer(world, node, false)?,
+            Step::ReceiveEndpointAnswer(node) => self.receive_endpoint_answer(world, node, true)?,
+            Step::LoseEndpointAnswer(node) => self.receive_endpoint_answer(world, node, false)?,
             Step::Forget(node) => {
                 world.nodes[node].record = Record::Unknown;
                 world.forgotten += 1;
             }
             Step::Crash(node) => {
                 world.crashes -= 1;
-                world.nodes[node].up = false;
+                world.nodes[node].is_up = false;
                 if node == HOLDER || world.answer.is_some() {
                     world.stop_waiting();
                 }
@@ -415,7 +420,7 @@
                     steps.push(Step::ReceiveAnswer);
                 }
                 if world.is_waiting() || !in_doubt {
-                    steps.extend([Step::TimeOut, Step::Unreached]);
+                    steps.extend([Step::TimeOut, Step::ReceiverNotReached]);
                     return;
                 }
                 if may_offer && self.member(world, HOLDER, to) {
@@ -423,28 +428,28 @@
                 }
                 steps.push(Step::StopAsking);
             }
-            Record::Queued { .. } => steps.push(Step::GiveUp),
+            Record::Queued { .. } => steps.push(Step::Reject),
             _ => {}
         }
     }
 
-    fn node_steps(&self, world: &World, place: usize, steps: &mut Vec<Step>) {
-        let node = &world.nodes[place];
-        if !node.up {
-            return steps.push(Step::Restart(place));
+    fn node_steps(&self, world: &World, index: usize, steps: &mut Vec<Step>) {
+        let node = &world.nodes[index];
+        if !node.is_up {
+            return steps.push(Step::Restart(index));
         }
         let versions = (0..=world.latest).filter(|version| *version != node.version);
-        steps.extend(versions.map(|version| Step::ReceiveView(place, version)));
+        steps.extend(versions.map(|version| Step::ReceiveView(index, version)));
         if world.crashes > 0 {
-            steps.push(Step::Crash(place));
+            steps.push(Step::Crash(index));
         }
         match node.record {
-            Record::Queued { .. } => steps.push(Step::Dispatch(place)),
-            Record::InFlight { delivered: false, .. } => steps.push(Step::Deliver(place)),
+            Record::Queued { .. } => steps.push(Step::Dispatch(index)),
+            Record::InFlight { delivered: false, .. } => steps.push(Step::Deliver(index)),
             Record::InFlight { delivered: true, .. } => {
-                steps.extend([Step::ReceivePartnerAnswer(place), Step::LosePartnerAnswer(place)]);
+                steps.extend([Step::ReceiveEndpointAnswer(index), Step::LoseEndpointAnswer(index)]);
             }
-            _ if self.may_forget(world, place) => steps.push(Step::Forget(place)),
+            _ if self.may_forget(world, index) => steps.push(Step::Forget(index)),
             _ => {}
         }
     }
@@ -455,12 +460,12 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node { up: true, version: 0, latest_received: 0, record: Record::Unknown };
+        let node = Node { is_up: true, version: 0, latest_received: 0, record: Record::Unknown };
         let mut nodes = vec![node; FORWARDERS];
-        nodes[HOLDER].record = Record::Queued { marked: false, possible_delivery: false };
+        nodes[HOLDER].record = Record::Queued { handed_over: false, possible_delivery: false };
         vec![World {
             nodes,
-            requests: Vec::new(),
+            offers_in_flight: Vec::new(),
             answer: None,
             latest: 0,
             offers_expired: false,
@@ -480,16 +485,16 @@
         if !world.offers_expired {
             steps.push(Step::ExpireOffers);
         }
-        if world.nodes[HOLDER].up {
+        if world.nodes[HOLDER].is_up {
             self.holder_steps(world, steps);
         }
         for node in 0..FORWARDERS {
             self.node_steps(world, node, steps);
         }
-        for (place, request) in world.requests.iter().enumerate() {
-            steps.push(Step::LoseRequest(place));
-            if world.nodes[request.to].up {
-                steps.extend([Step::Read(place, true), Step::Read(place, false)]);
+        for (index, offer) in world.offers_in_flight.iter().enumerate() {
+            steps.push(Step::LoseOffer(index));
+            if world.nodes[offer.to].is_up {
+                steps.extend([Step::ReadOffer(index, true), Step::ReadOffer(index, false)]);
             }
         }
     }
@@ -510,10 +515,10 @@
                 let offered = records().any(|record| matches!(record, Record::Offered { .. }));
                 (1..=1 + world.abandoned_doubts).contains(&count) || count == 0 && offered
             }),
-            Property::always(NO_REPEAT, |bounds: &Bounds, world: &World| {
+            Property::always(DELIVERED_AT_MOST_ONCE, |bounds: &Bounds, world: &World| {
                 bounds.idempotent || world.deliveries < 2
             }),
-            Property::always(TRUE_ANSWERS, |_, world: &World| {
+            Property::always(ANSWERS_ARE_TRUE, |_, world: &World| {
                 world.nodes.iter().all(|node| match node.record.final_answer() {
                     Some(FinalAnswer::Delivered) => world.deliveries > 0,
                     Some(FinalAnswer::Rejected) => {
@@ -523,7 +528,7 @@
                 })
             }),
             Property::always(ONE_HANDOVER, |_, world: &World| !world.handed_over_twice),
-            Property::always(NEVER_BACK, |_, world: &World| {
+            Property::always(NO_OLDER_VIEW, |_, world: &World| {
                 world.nodes.iter().all(|node| node.version >= node.latest_received)
             }),
             Property::sometimes("the first owner delivers the message", |bounds: &Bounds, world: &World| {
@@ -538,16 +543,16 @@
 
 /// Returns bounds in which the destination's owner, the second forwarder, leaves and returns. `next_owner` owns the
 /// destination meanwhile.
-fn bounds(next_owner: usize) -> Bounds {
+fn new_bounds(next_owner: usize) -> Bounds {
     let first_owner = 1;
     let all = || (0..FORWARDERS).map(|number| member(number, 1.0)).collect::<Vec<_>>();
     let name = |number| member(number, 1.0).name;
     let first = view(1, all());
-    let fits = |destination: &u64| {
+    let has_this_ranking = |destination: &u64| {
         let ranked = first.ranking(*destination);
         ranked[0].name == name(first_owner) && ranked[1].name == name(next_owner)
     };
-    let destination = (0..).find(fits).expect("some destination is ranked in this order");
+    let destination = (0..).find(has_this_ranking).expect("some destination is ranked in this order");
     let rest = all().into_iter().filter(|member| member.name != name(first_owner)).collect();
     let views = vec![first, view(2, rest), view(3, all())];
     Bounds {
@@ -566,26 +571,26 @@
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-fn assert_holds(what: &str, bounds: Bounds) {
+fn assert_holds(label: &str, bounds: Bounds) {
     let checker = check(bounds);
-    println!("{what}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
+    println!("{label}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_a_third_forwarder_takes_over() {
-    assert_holds("not idempotent, a third forwarder takes over", bounds(2));
+    assert_holds("not idempotent, a third forwarder takes over", new_bounds(2));
 }
 
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_the_holder_takes_over() {
-    assert_holds("not idempotent, the holder takes over", bounds(HOLDER));
+    assert_holds("not idempotent, the holder takes over", new_bounds(HOLDER));
 }
 
 #[test]
 fn idempotent_message_is_never_lost() {
-    assert_holds("idempotent, a third forwarder takes over", Bounds { idempotent: true, ..bounds(2) });
-    assert_holds("idempotent, the holder takes over", Bounds { idempotent: true, ..bounds(HOLDER) });
+    assert_holds("idempotent, a third forwarder takes over", Bounds { idempotent: true, ..new_bounds(2) });
+    assert_holds("idempotent, the holder takes over", Bounds { idempotent: true, ..new_bounds(HOLDER) });
 }
 
 // The check must find a violation when a part of the protocol is disabled.
@@ -593,15 +598,15 @@
 fn each_mutant_violates_its_property() {
     for (mutant, property, next_owner) in [
         (Mutant::EndsBeforeAnswer, ONE_ANSWER, 2),
-        (Mutant::LostIsRejected, NO_REPEAT, 2),
-        (Mutant::RejectionSettlesDoubt, NO_REPEAT, HOLDER),
-        (Mutant::MarkIgnored, ONE_HANDOVER, 2),
-        (Mutant::IdempotencyIgnored, NO_REPEAT, 2),
-        (Mutant::ForgetsEarly, NO_REPEAT, 2),
-        (Mutant::LateOffers, NO_REPEAT, 2),
-        (Mutant::OlderViews, NEVER_BACK, 2),
+        (Mutant::LostIsRejected, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::RejectionEndsDoubt, DELIVERED_AT_MOST_ONCE, HOLDER),
+        (Mutant::HandsOverAgain, ONE_HANDOVER, 2),
+        (Mutant::IdempotencyIgnored, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::ForgetsEarly, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::AcceptsLateOffers, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::AppliesOlderViews, NO_OLDER_VIEW, 2),
     ] {
-        let model = Bounds { mutant, ..bounds(next_owner) }.checker().threads(4);
+        let model = Bounds { mutant, ..new_bounds(next_owner) }.checker().threads(4);
         let found = HasDiscoveries::AnyOf([property].into_iter().collect());
         let checker = model.finish_when(found).spawn_bfs().join();
         let path =
--- a/crates/ownership/tests/rate_model.rs
+++ b/crates/ownership/tests/rate_model.rs
@@ -27,9 +27,9 @@
     /// A new owner sends at the full rate at once.
     NoWarmUp,
     /// Reads and renewals are valid from the time of their answers.
-    FromAnswer,
+    ValidFromAnswer,
     /// Forwarders assume that all clocks run at the same rate.
-    NoDrift,
+    NoClockDrift,
     /// Views never expire.
     ViewsNeverExpire,
     /// A forwarder treats a new session as a renewal of the previous one.
@@ -43,7 +43,7 @@
     /// Whether the first member's renewals may be late or lost, so that its session may expire. All other renewals take
     /// effect at once.
     renewals_late: bool,
-    until: Micros,
+    last_time: Micros,
     restarts: u8,
     mutant: Mutant,
 }
@@ -104,7 +104,7 @@
 
 impl Bounds {
     fn config(&self) -> OwnershipConfig {
-        let clock_drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 0.5 };
+        let clock_drift = if self.mutant == Mutant::NoClockDrift { 0.0 } else { 0.5 };
         let warm_up_time = if self.mutant == Mutant::NoWarmUp { 0 } else { WARM_UP_TIME };
         let view_lifetime = if self.mutant == Mutant::ViewsNeverExpire { 1000 } else { VIEW_LIFETIME };
         OwnershipConfig { session_ttl: TTL, view_lifetime, warm_up_time, clock_drift }
@@ -116,12 +116,12 @@
 
     /// Returns the time on a member's own clock. The first member's clock runs at two thirds of the rate of the other
     /// member's clock, whose rate is therefore higher by a half.
-    fn local(&self, member: usize, clock: Micros) -> Micros {
+    fn local_time(&self, member: usize, clock: Micros) -> Micros {
         if member == 0 { clock * 2 / 3 } else { clock }
     }
 
     fn rate(&self, world: &World, member: usize) -> Option<Rate> {
-        let now = self.local(member, world.clock);
+        let now = self.local_time(member, world.clock);
         match world.participants[member].state.decide(&self.config(), now, self.destination(), true) {
             DeliveryDecision::Deliver(rate) => Some(rate),
             DeliveryDecision::HandOver(_) => None,
@@ -133,13 +133,13 @@
         (0..MEMBERS).filter(|member| self.rate(world, *member) == Some(Rate::Full)).count()
     }
 
-    fn registry(&self, world: &World) -> View {
+    fn registry_view(&self, world: &World) -> View {
         let present = (0..MEMBERS).filter(|member| world.sessions[*member].is_some());
         view(world.version, present.map(|member| common::member(member, 1.0)).collect())
     }
 
-    fn counts_from(&self, sent_at: Micros, now: Micros) -> Micros {
-        if self.mutant == Mutant::FromAnswer { now } else { sent_at }
+    fn valid_from(&self, sent_at: Micros, now: Micros) -> Micros {
+        if self.mutant == Mutant::ValidFromAnswer { now } else { sent_at }
     }
 
     fn new_state(&self, member: usize) -> MemberState {
@@ -148,26 +148,26 @@
         state
     }
 
-    fn is_late(&self, member: usize) -> bool {
+    fn has_late_renewals(&self, member: usize) -> bool {
         self.renewals_late && member == 0
     }
 
     fn renew_others(&self, world: &mut World) {
-        for member in (0..MEMBERS).filter(|member| !self.is_late(*member)) {
-            let known = world.participants[member].session;
+        for member in (0..MEMBERS).filter(|member| !self.has_late_renewals(*member)) {
+            let known_session = world.participants[member].session;
             if let Some(session) = &mut world.sessions[member]
-                && known == Some(session.id)
+                && known_session == Some(session.id)
             {
                 session.renewed = world.clock;
-                world.participants[member].state.on_renewed(self.local(member, world.clock));
+                world.participants[member].state.on_renewed(self.local_time(member, world.clock));
             }
         }
     }
 
     /// Renews the session that a member knows, or creates a new session.
     fn renew(&self, world: &mut World, member: usize) -> SessionId {
-        let known = world.participants[member].session;
-        let present = world.sessions[member].filter(|session| Some(session.id) == known);
+        let known_session = world.participants[member].session;
+        let present = world.sessions[member].filter(|session| Some(session.id) == known_session);
         let id = present.map_or(world.sessions_created, |session| session.id);
         if present.is_none() {
             world.sessions_created += 1;
@@ -184,25 +184,25 @@
                 self.renew_others(world);
             }
             Step::ReadView(member) => {
-                let view = self.registry(world);
-                world.participants[member].view_read = Some((self.local(member, world.clock), view));
+                let view = self.registry_view(world);
+                world.participants[member].view_read = Some((self.local_time(member, world.clock), view));
             }
             Step::ReceiveView(member) => {
-                let now = self.local(member, world.clock);
+                let now = self.local_time(member, world.clock);
                 let (sent_at, view) = world.participants[member].view_read.take()?;
-                let sent_at = self.counts_from(sent_at, now);
+                let sent_at = self.valid_from(sent_at, now);
                 // An older view is rejected.
                 let _ = world.participants[member].state.on_view(&self.config(), now, sent_at, view);
             }
             Step::Renew(member) => {
                 let id = self.renew(world, member);
-                world.participants[member].renewal = Some((self.local(member, world.clock), id));
+                world.participants[member].renewal = Some((self.local_time(member, world.clock), id));
             }
             Step::ReceiveRenewal(member) => {
-                let now = self.local(member, world.clock);
+                let now = self.local_time(member, world.clock);
                 let receiver = &mut world.participants[member];
                 let (sent_at, id) = receiver.renewal.take()?;
-                let sent_at = self.counts_from(sent_at, now);
+                let sent_at = self.valid_from(sent_at, now);
                 if receiver.session == Some(id) || self.mutant == Mutant::NewSessionIsRenewal {
                     receiver.state.on_renewed(sent_at);
                 } else {
@@ -249,12 +249,12 @@
             version: 1,
             restarts: self.restarts,
         };
-        let view = self.registry(&world);
+        let view = self.registry_view(&world);
         for member in (0..MEMBERS).filter(is_present) {
             let state = &mut world.participants[member].state;
             state.on_registered(LONG_AGO, LONG_AGO);
-            for at in [LONG_AGO, 0] {
-                state.on_view(&self.config(), at, at, view.clone()).expect("the view is not older");
+            for read_at in [LONG_AGO, 0] {
+                state.on_view(&self.config(), read_at, read_at, view.clone()).expect("the view is not older");
             }
             state.on_renewed(0);
         }
@@ -262,34 +262,35 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.clock < self.until {
+        if world.clock < self.last_time {
             steps.push(Step::Tick);
         }
-        for (place, member) in world.participants.iter().enumerate() {
-            let now = self.local(place, world.clock);
+        for (index, member) in world.participants.iter().enumerate() {
+            let now = self.local_time(index, world.clock);
             // A request whose answer is lost is sent again.
             if member.view_read.as_ref().is_none_or(|(sent_at, _)| *sent_at < now) {
-                steps.push(Step::ReadView(place));
+                steps.push(Step::ReadView(index));
             }
             let is_registered =
-                world.sessions[place].is_some_and(|session| Some(session.id) == member.session);
-            if (self.is_late(place) || !is_registered)
+                world.sessions[index].is_some_and(|session| Some(session.id) == member.session);
+            if (self.has_late_renewals(index) || !is_registered)
                 && member.renewal.is_none_or(|(sent_at, _)| sent_at < now)
             {
-                steps.push(Step::Renew(place));
+                steps.push(Step::Renew(index));
             }
             if member.view_read.is_some() {
-                steps.push(Step::ReceiveView(place));
+                steps.push(Step::ReceiveView(index));
             }
             if member.renewal.is_some() {
-                steps.push(Step::ReceiveRenewal(place));
+                steps.push(Step::ReceiveRenewal(index));
             }
-            let may_end = |session: Session| self.is_late(place) && world.clock >= session.renewed + TTL;
-            if world.sessions[place].is_some_and(may_end) {
-                steps.push(Step::Expire(place));
+            let may_expire =
+                |session: Session| self.has_late_renewals(index) && world.clock >= session.renewed + TTL;
+            if world.sessions[index].is_some_and(may_expire) {
+                steps.push(Step::Expire(index));
             }
             if world.restarts > 0 {
-                steps.push(Step::Restart(place));
+                steps.push(Step::Restart(index));
             }
         }
     }
@@ -321,20 +322,20 @@
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-fn assert_holds(what: &str, bounds: Bounds) {
+fn assert_holds(label: &str, bounds: Bounds) {
     let checker = check(bounds);
-    println!("{what}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
+    println!("{label}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
-const JOIN: Bounds =
-    Bounds { both_present: false, renewals_late: false, until: 5, restarts: 0, mutant: Mutant::None };
+const MEMBER_JOINS: Bounds =
+    Bounds { both_present: false, renewals_late: false, last_time: 5, restarts: 0, mutant: Mutant::None };
 const SESSION_EXPIRES: Bounds =
-    Bounds { both_present: true, renewals_late: true, until: 5, restarts: 0, mutant: Mutant::None };
+    Bounds { both_present: true, renewals_late: true, last_time: 5, restarts: 0, mutant: Mutant::None };
 
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_member_joins() {
-    assert_holds("a member joins", JOIN);
+    assert_holds("a member joins", MEMBER_JOINS);
 }
 
 #[test]
@@ -345,10 +346,10 @@
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, bounds) in [
-        (Mutant::NoWarmUp, JOIN),
-        (Mutant::FromAnswer, JOIN),
-        (Mutant::NoDrift, JOIN),
-        (Mutant::ViewsNeverExpire, JOIN),
+        (Mutant::NoWarmUp, MEMBER_JOINS),
+        (Mutant::ValidFromAnswer, MEMBER_JOINS),
+        (Mutant::NoClockDrift, MEMBER_JOINS),
+        (Mutant::ViewsNeverExpire, MEMBER_JOINS),
         (Mutant::NewSessionIsRenewal, SESSION_EXPIRES),
     ] {
         let checker = check(Bounds { mutant, ..bounds });
--- a/crates/ownership/tests/view.rs
+++ b/crates/ownership/tests/view.rs
@@ -55,15 +55,15 @@
     #[test]
     fn leaving_member_moves_only_its_own_destinations_by_its_share(
         weights in prop::collection::vec(0.5_f64..4.0, 2..40),
-        place in any::<prop::sample::Index>(),
+        leaving_index in any::<prop::sample::Index>(),
     ) {
         let all: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
-        let gone = place.index(all.len());
+        let gone = leaving_index.index(all.len());
         let share = weights[gone] / weights.iter().sum::<f64>();
         let mut rest = all.clone();
         let gone = rest.remove(gone).name;
-        let (whole, rest) = (owners(&view(1, all)), owners(&view(2, rest)));
-        let moved = whole.iter().zip(&rest).filter(|(with, without)| with != without);
+        let (owners_before, owners_after) = (owners(&view(1, all)), owners(&view(2, rest)));
+        let moved = owners_before.iter().zip(&owners_after).filter(|(with, without)| with != without);
         let moved: Vec<_> = moved.collect();
         prop_assert!(moved.iter().all(|(with, _)| with.as_deref() == Some(&gone)), "only its own destinations move");
         prop_assert!(is_share(moved.len() as u64, share), "{} destinations moved, expected a share of {share}", moved.len());
@@ -81,21 +81,21 @@
 
     #[test]
     fn lost_zone_moves_its_destinations_spread_by_weight(count in 4_usize..40) {
-        let whole = view(1, members(count));
-        let left: Vec<Member> = members(count).into_iter().filter(|member| member.zone == "z0").collect();
-        let rest = view(2, left.clone());
-        let mut taken: BTreeMap<String, u64> = BTreeMap::new();
-        for (with, without) in owners(&whole).into_iter().zip(owners(&rest)) {
+        let full_view = view(1, members(count));
+        let remaining: Vec<Member> = members(count).into_iter().filter(|member| member.zone == "z0").collect();
+        let rest = view(2, remaining.clone());
+        let mut gained: BTreeMap<String, u64> = BTreeMap::new();
+        for (with, without) in owners(&full_view).into_iter().zip(owners(&rest)) {
             if with != without {
-                let lost = with.and_then(|name| whole.member(&name)).expect("the destination had an owner");
+                let lost = with.and_then(|name| full_view.member(&name)).expect("the destination had an owner");
                 prop_assert_eq!(&lost.zone, "z1");
-                *taken.entry(without.expect("the destination has an owner")).or_default() += 1;
+                *gained.entry(without.expect("the destination has an owner")).or_default() += 1;
             }
         }
-        let lost = (count - left.len()) as f64 / count as f64;
-        for member in left {
-            let part = lost / (count as f64 - count as f64 * lost);
-            prop_assert!(is_share(taken[&member.name], part), "{}: {}", member.name, taken[&member.name]);
+        let lost = (count - remaining.len()) as f64 / count as f64;
+        for member in remaining {
+            let expected_share = lost / (count as f64 - count as f64 * lost);
+            prop_assert!(is_share(gained[&member.name], expected_share), "{}: {}", member.name, gained[&member.name]);
         }
     }
 
@@ -143,9 +143,14 @@
     let good = member(0, 1.0);
     let foreign = member(2, 1.0).to_entry().replace("r0", "r9");
     let text = good.to_entry();
-    let cut = &text[..text.len() / 2];
-    let entries =
-        [("f000", text.as_str()), ("f001", cut), ("f002", foreign.as_str()), ("f003", ""), ("f000", &text)];
+    let truncated = &text[..text.len() / 2];
+    let entries = [
+        ("f000", text.as_str()),
+        ("f001", truncated),
+        ("f002", foreign.as_str()),
+        ("f003", ""),
+        ("f000", &text),
+    ];
     let (view, errors) = View::from_entries(7, &region(), entries);
     assert_eq!((view.version(), view.members()), (7, &[good][..]));
     assert!(matches!(
@@ -170,12 +175,12 @@
 #[test]
 fn ranking_is_the_order_of_owners_as_members_leave() {
     for destination in 0..50 {
-        let whole = view(1, members(12));
-        let ranked: Vec<&Member> = whole.ranking(destination);
-        let mut left = members(12);
+        let full_view = view(1, members(12));
+        let ranked: Vec<&Member> = full_view.ranking(destination);
+        let mut remaining = members(12);
         for member in ranked {
-            assert_eq!(view(2, left.clone()).owner(destination), Some(member));
-            left.retain(|other| other.name != member.name);
+            assert_eq!(view(2, remaining.clone()).owner(destination), Some(member));
+            remaining.retain(|other| other.name != member.name);
         }
     }
 }
