--- a/crates/policy-commit/tests/commit_decision.rs
+++ b/crates/policy-commit/tests/commit_decision.rs
@@ -30,7 +30,7 @@
         decide_with(&[]),
         CommitDecision::Commit(CommitCondition { proposal_index: 9, committed_index: 5 })
     );
-    // A vote on another proposal does not count, nor does a status that cannot be read.
+    // The coordinator counts neither a vote on another proposal nor a status that cannot be read.
     let unreadable = Member { id: "f3".into(), status: None };
     assert_eq!(
         decide_with(&[member("f2", Some(("b", None))), unreadable]),
@@ -40,7 +40,7 @@
         decide_with(&[member("f2", None), member("f3", Some(("a", Some("slots"))))]),
         CommitDecision::Rejected(vec![Rejection { member: "f3".into(), reason: "slots".into() }])
     );
-    // Another policy was committed first, or the proposal was withdrawn.
+    // The proposal is superseded if another policy was committed first or if the proposal was withdrawn.
     let committed = Some(Committed { policy: policy("b", 2), modify_index: 11 });
     let other_committed = CommitPoint { committed, ..point.clone() };
     assert_eq!(decide(&proposed, &other_committed, &[]), CommitDecision::Superseded);
--- a/crates/policy-commit/tests/commit_point.rs
+++ b/crates/policy-commit/tests/commit_point.rs
@@ -7,7 +7,8 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-// Guards against a policy that changes what belongs to one forwarder alone, such as its addresses.
+// Guards against a policy that changes a part of the configuration that belongs to one forwarder, such as its
+// addresses.
 #[test]
 fn policy_changes_settings_and_excluded_endpoints_alone() {
     let own =
@@ -18,7 +19,7 @@
         "settings": {"limits": {"max_open": 5, "try_limit": 8}}});
     assert_eq!(applied, expected);
     assert!(Policy::parse(r#"{"listen": "127.0.0.1:2"}"#).is_err());
-    // A policy replaces the one before, and does not add to it.
+    // A policy replaces the previous one. It does not add to it.
     assert_eq!(Policy::default().apply_to(&own).unwrap(), {
         let mut own: Value = serde_json::from_str(&own).unwrap();
         own["policy_out"] = json!([]);
@@ -26,7 +27,7 @@
     });
 }
 
-// Guards against using a text that was truncated or changed.
+// Guards against the use of a text that was truncated or changed.
 #[test]
 fn policy_that_does_not_match_its_digest_is_ignored() {
     let settings = Settings {
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model checking of the commit protocol: the participant that forwarders run and the decision of coordinators, against a
-//! store that keeps its promises and nothing more, over every order of reads, writes, losses, crashes and expiries within
-//! the bounds given.
+//! Model checking of the commit protocol. The real participant of forwarders and the real decision of coordinators run
+//! against a store that gives only the guarantees that the protocol requires. The check covers every order of reads,
+//! writes, losses, crashes and expiries within the bounds.
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_policy_commit::commit_decision::{CommitCondition, CommitDecision, decide};
@@ -11,9 +11,9 @@
 
 /// The TTL of sessions, in units of the store's clock.
 const TTL: Micros = 3;
-/// How long a read counts as contact: less than the TTL.
+/// How long a read counts as contact, in units of the store's clock. It is shorter than the TTL.
 const CONTACT_TIME: Micros = 2;
-/// A policy that the second participant cannot use.
+/// The text of a policy that the second participant cannot use.
 const UNUSABLE: &str = "bad";
 
 const COMMITTED: &str = "participants act on committed policies only";
@@ -21,11 +21,12 @@
 const BOUND: &str = "a participant in contact lags by less than the contact time";
 const USABLE: &str = "no policy is committed that a present participant cannot use";
 
-/// The part of the protocol that is left out, so that the check must find the property that it guards.
+/// The part of the protocol that is disabled. The check must then find a violation of the property that the part
+/// protects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// The commit is a plain write.
+    /// The commit is a plain write without conditions.
     NoCheckAndSet,
     /// A coordinator does not wait for votes.
     NoVotes,
@@ -37,12 +38,12 @@
 
 struct Bounds {
     coordinators: usize,
-    /// The second participant cannot use the last coordinator's policy.
+    /// Whether the second participant cannot use the last coordinator's policy.
     bad: bool,
     until: Micros,
-    /// Participants that crash.
+    /// How many crashes of participants may happen.
     crashes: u8,
-    /// Proposals that are withdrawn, or deleted with their coordinator's session.
+    /// How many proposals may be withdrawn, or deleted with their coordinator's session.
     losses: u8,
     mutant: Mutant,
 }
@@ -50,25 +51,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     state: Participant,
-    /// The policies on its disk.
+    /// The policy in force that is on the participant's disk.
     held: Option<VersionedPolicy>,
     staged: Option<VersionedPolicy>,
     /// The answer to a read that is in flight, with the time at which the read was sent.
     read: Option<(Micros, CommitPoint)>,
-    /// It has a status to publish.
+    /// Whether the participant has a status to publish.
     publishes: bool,
-    /// The policy that it acts on.
+    /// The policy that the participant acts on.
     acts_by: Option<VersionedPolicy>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Coordinator {
     Idle,
-    /// Has read the commit point.
+    /// The coordinator has read the commit point.
     Read(CommitPoint),
-    /// Holds the proposal; the members as it last read them.
+    /// The coordinator has written its proposal. The second value is the members as it last read them.
     Proposed(VersionedPolicy, Option<Vec<Member>>),
-    /// Its commit is in flight.
+    /// The coordinator's commit is in flight.
     Sent {
         proposed: VersionedPolicy,
         condition: CommitCondition,
@@ -81,13 +82,13 @@
     clock: Micros,
     point: CommitPoint,
     index: u64,
-    /// The participants' keys, with the time at which each was renewed.
+    /// The status in each participant's key, with the time at which the key was renewed.
     keys: Vec<Option<(MemberStatus, Micros)>>,
     participants: Vec<Node>,
     coordinators: Vec<Coordinator>,
-    /// All policies that were committed, and when.
+    /// All policies that were committed, each with the time of its commit.
     history: Vec<(VersionedPolicy, Micros)>,
-    /// A participant has crashed, or its session has expired.
+    /// Whether a participant has crashed, or its session has expired.
     any_absent: bool,
     crashes: u8,
     losses: u8,
@@ -106,7 +107,7 @@
     ReadMembers(usize),
     Decide(usize),
     Commit(usize),
-    /// The coordinator dies, its session expires, or an operator withdraws its proposal.
+    /// The coordinator crashes, its session expires, or an operator withdraws its proposal.
     Withdrawn(usize),
 }
 
@@ -158,7 +159,7 @@
             .is_some_and(|proposal| proposal.policy.id == proposed.id && proposal.modify_index == index)
     }
 
-    /// A participant restarts with what is on its disk.
+    /// Restarts a participant with the policies on its disk.
     fn crash(&mut self, place: usize) {
         self.crashes += 1;
         self.any_absent = true;
@@ -178,7 +179,7 @@
 }
 
 impl Bounds {
-    /// A coordinator writes its proposal, unless there is one.
+    /// Lets a coordinator write its proposal, unless a proposal is open.
     fn acquire(&self, world: &mut World, place: usize) -> Option<()> {
         let Coordinator::Read(point) = &world.coordinators[place] else { return None };
         let text = if self.bad && place + 1 == self.coordinators { UNUSABLE } else { "good" };
@@ -198,7 +199,7 @@
         Some(())
     }
 
-    /// A coordinator decides on the members that it has read.
+    /// Lets a coordinator decide on the members that it has read.
     fn decide(&self, world: &mut World, place: usize) -> Option<()> {
         let Coordinator::Proposed(proposed, Some(members)) = world.coordinators[place].clone() else {
             return None;
@@ -215,7 +216,7 @@
         Some(())
     }
 
-    /// The store carries out a commit, if its condition holds.
+    /// Lets the store carry out a commit if the commit's condition holds.
     fn commit(&self, world: &mut World, place: usize) -> Option<()> {
         let Coordinator::Sent { proposed, condition } = world.coordinators[place].clone() else {
             return None;
@@ -265,7 +266,7 @@
             steps.push(Step::Tick);
         }
         for (place, participant) in world.participants.iter().enumerate() {
-            // A look that is sent again takes the place of one whose answer is lost.
+            // A read that is sent again replaces one whose answer is lost.
             let fresh = participant
                 .read
                 .as_ref()
@@ -370,13 +371,13 @@
             Property::always(USABLE, |_, world: &World| {
                 world.any_absent || world.history.iter().all(|(policy, _)| policy.text != UNUSABLE)
             }),
-            Property::sometimes("a policy is in force everywhere", |_, world: &World| {
+            Property::sometimes("a policy is in force on all participants", |_, world: &World| {
                 world
                     .participants
                     .iter()
                     .all(|participant| participant.acts_by.as_ref().is_some_and(|by| by.text == "good"))
             }),
-            Property::sometimes("two policies, one after the other", |_, world: &World| {
+            Property::sometimes("two policies are committed one after the other", |_, world: &World| {
                 world.history.len() == 2
             }),
         ]
@@ -387,7 +388,7 @@
     bounds.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-// Two coordinators, a withdrawal or a death among them, a crash; the clock stands still.
+// There are two coordinators, a withdrawal or a coordinator's crash, and a participant's crash. The clock stands still.
 #[test]
 fn policy_is_in_force_everywhere_or_nowhere_in_every_order() {
     let checker =
@@ -400,14 +401,14 @@
     assert_safe(&checker);
 }
 
-// One coordinator, and the clock runs: sessions expire, reads are late.
+// There is one coordinator and the clock runs, so sessions expire and reads are late.
 #[test]
 fn participant_in_contact_lags_less_than_the_contact_time_in_every_order() {
     let checker =
         check(Bounds { coordinators: 1, bad: false, until: 3, crashes: 0, losses: 0, mutant: Mutant::None });
     println!("{} states", checker.unique_state_count());
     assert_safe(&checker);
-    checker.assert_any_discovery("a policy is in force everywhere");
+    checker.assert_any_discovery("a policy is in force on all participants");
 }
 
 fn assert_safe(checker: &impl Checker<Bounds>) {
@@ -416,7 +417,7 @@
     }
 }
 
-/// The check has to find a violation when a part of the protocol is left out.
+/// The check must find a violation when a part of the protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, property, coordinators, bad, until, losses) in [
@@ -426,6 +427,6 @@
         (Mutant::FromAnswer, BOUND, 1, false, 3, 0),
     ] {
         let checker = check(Bounds { coordinators, bad, until, crashes: 0, losses, mutant });
-        assert!(checker.discovery(property).is_some(), "{mutant:?} is not found");
+        assert!(checker.discovery(property).is_some(), "{mutant:?} does not violate: {property}");
     }
 }
--- a/crates/policy-commit/tests/participant.rs
+++ b/crates/policy-commit/tests/participant.rs
@@ -24,7 +24,7 @@
     Effect::Publish(MemberStatus { version, vote, unusable_reason: None })
 }
 
-// Guards against applying a policy that is only proposed, and against a vote before it is on disk.
+// Guards against the use of a policy that is only proposed, and against a vote before the policy is on disk.
 #[test]
 fn proposal_is_staged_then_voted_on_and_applied_only_once_committed() {
     let (mut participant, one) = (Participant::default(), policy("a", 1));
@@ -39,7 +39,10 @@
     assert_eq!(participant.version(), 0);
     let effects = participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&one), None) });
     assert_eq!(effects[..2], [Effect::Apply(one.clone()), Effect::Unstage]);
-    assert!(participant.unready_reason(3, 100).is_some(), "not ready before it is in force");
+    assert!(
+        participant.unready_reason(3, 100).is_some(),
+        "the participant is not ready before the policy is in force"
+    );
     participant.step(Input::Applied { id: "a".into(), outcome: Ok(()) });
     assert_eq!(
         (participant.version(), participant.unready_reason(3, 100), participant.staged()),
@@ -47,7 +50,7 @@
     );
 }
 
-// Guards against a staged policy that outlasts the withdrawal of its proposal.
+// Guards against a staged policy that remains after the withdrawal of its proposal.
 #[test]
 fn withdrawn_proposal_leaves_no_vote_and_nothing_staged() {
     let (mut participant, one) = (Participant::new(None, Some(policy("old", 1))), policy("a", 1));
@@ -55,9 +58,9 @@
     assert_eq!(
         effects,
         [Effect::Unstage, Effect::Stage(one.clone())],
-        "staged before the start, and no longer proposed"
+        "a policy that was staged before the start is removed if it is no longer proposed"
     );
-    // Withdrawn while it was being checked.
+    // The proposal is withdrawn while it is being checked.
     assert_eq!(participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, None) }), []);
     assert_eq!(participant.step(Input::Staged { id: "a".into(), outcome: Ok(()) }), [Effect::Unstage]);
     assert_eq!(participant.member_status(), MemberStatus::default());
@@ -79,7 +82,7 @@
     );
 }
 
-// Guards against a forwarder that was down during a commit and goes on by the policy before.
+// Guards against a forwarder that was down during a commit and continues with the previous policy.
 #[test]
 fn participant_that_missed_the_vote_applies_the_committed_policy() {
     let (mut participant, three) = (Participant::new(Some(policy("b", 2)), None), policy("c", 3));
@@ -95,7 +98,7 @@
     assert_eq!(participant.step(Input::CommitPointRead { sent_at: 6, point: point(Some(&three), None) }), []);
     participant.step(Input::Applied { id: "c".into(), outcome: Ok(()) });
     assert_eq!((participant.version(), participant.unready_reason(105, 100)), (3, None));
-    // Contact counts from when the read was sent.
+    // Contact counts from the time at which the read was sent.
     assert!(participant.unready_reason(106, 100).is_some());
 }
 
@@ -112,7 +115,7 @@
     assert_eq!(
         participant.step(Input::CommitPointRead { sent_at: 1, point: point(Some(&one), None) }),
         [],
-        "applied once"
+        "a committed policy is applied once"
     );
     assert_eq!(
         participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&two), None) }),
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The stored form of the commit point in Consul and of the files in a forwarder's folder: values of an earlier version are
-//! read with every field, and the same values are written as the same text under the same names.
+//! Pins the stored form of the commit point in Consul and of the files in a forwarder's folder. Values of an earlier
+//! version are read with every field, and the same values are written as the same text under the same names.
 
 use bytes::Bytes;
 use orchidyoke_consul::locks::{KeyEntry, LockClient, SessionBehavior};
@@ -28,7 +28,7 @@
 const NOT_VOTED: &str = include_str!("fixtures/not-voted.json");
 const VOTED_FOR: &str = include_str!("fixtures/voted-for.json");
 const VOTED_AGAINST: &str = include_str!("fixtures/voted-against.json");
-/// What a commit wrote, with a word in the place of its id, which is that of a session.
+/// The value that a commit wrote, with a word in the place of its id, because the id is that of a session.
 const FIRST: &str = include_str!("fixtures/first-commit.json");
 
 const TTL: Duration = Duration::from_secs(10);
@@ -71,16 +71,18 @@
     MemberStatus { version: u64::MAX, vote, unusable_reason }
 }
 
-/// The value is what the text says, and the text is what the value is written as.
+/// Checks that the text is read as the value and that the value is written as the text.
 fn assert_stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str, value: &T) {
-    assert_eq!(serde_json::from_str::<T>(text).expect("read"), *value);
-    assert_eq!(serde_json::to_string(value).expect("written"), text);
+    assert_eq!(serde_json::from_str::<T>(text).expect("the text is read"), *value);
+    assert_eq!(serde_json::to_string(value).expect("the value is written"), text);
 }
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let patience = Duration::from_secs(60);
-    runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
+    runtime.block_on(
+        LocalSet::new().run_until(async { timeout(patience, test).await.expect("the test ends in time") }),
+    );
 }
 
 fn settings(consul: &ConsulServer) -> Settings {
@@ -95,21 +97,28 @@
     LockClient::new(Rc::new(settings(consul).consul))
 }
 
-/// Writes a key as its holder, and gives the session.
+/// Writes a key as its holder. Returns the session that holds the key.
 async fn hold(consul: &ConsulServer, key: &str, value: &'static str) -> String {
     let mut locks = locks(consul);
-    let session =
-        locks.create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Delete).await.expect("made");
-    assert!(locks.acquire(key, &session, Bytes::from_static(value.as_bytes())).await.expect("asked"));
+    let session = locks
+        .create_session("earlier", TTL, Duration::ZERO, SessionBehavior::Delete)
+        .await
+        .expect("the session is created");
+    assert!(
+        locks
+            .acquire(key, &session, Bytes::from_static(value.as_bytes()))
+            .await
+            .expect("the request is answered")
+    );
     session
 }
 
-/// All keys and values.
+/// Returns all keys and values.
 async fn rows(consul: &ConsulServer) -> Vec<KeyEntry> {
-    locks(consul).read_keys("", 0, Duration::ZERO).await.expect("looked").1
+    locks(consul).read_keys("", 0, Duration::ZERO).await.expect("the keys are read").1
 }
 
-/// A forwarder's configuration in a folder of its own.
+/// Returns a folder with a forwarder's configuration in it, and the source that reads the configuration.
 fn forwarder(name: &str) -> (TemporaryFolder, Rc<ConfigSource>) {
     let folder = TemporaryFolder::new(name);
     let setup = ForwarderConfig::new("127.0.0.1:1".parse().expect("an address"));
@@ -122,7 +131,7 @@
     assert_stored(COMMITTED, &committed());
     assert_stored(PROPOSED, &proposed());
     for policy in [committed(), proposed()] {
-        assert!(policy.is_intact(), "the digest is that of the text");
+        assert!(policy.is_intact(), "the digest matches the text");
         let VersionedPolicy { id, version, text, proposed_by, .. } = policy.clone();
         assert_eq!(VersionedPolicy::new(id, version, text, proposed_by), policy);
     }
@@ -142,10 +151,10 @@
     let settings = serde_json::json!({"limits": {"max_open": 5}});
     assert_eq!(policy, Policy { settings, excluded_endpoints: vec!["s-1".to_owned()] });
     assert_eq!(
-        serde_json::to_string(&policy).expect("written"),
+        serde_json::to_string(&policy).expect("the policy is written"),
         r#"{"settings":{"limits":{"max_open":5}},"out":["s-1"]}"#
     );
-    assert_eq!(serde_json::to_string(&Policy::default()).expect("written"), "{}");
+    assert_eq!(serde_json::to_string(&Policy::default()).expect("the policy is written"), "{}");
 }
 
 #[test]
@@ -157,9 +166,9 @@
         hold(&consul, "fleet/one/members/f1.77", VOTED_FOR).await;
         hold(&consul, "fleet/one/members/f2.78", VOTED_AGAINST).await;
         hold(&consul, "fleet/one/members/f3.79", "not in form").await;
-        let status = Coordinator::new(settings(&consul)).status().await.expect("read");
+        let status = Coordinator::new(settings(&consul)).status().await.expect("the status is read");
         assert_eq!(status.point.committed.map(|committed| committed.policy), Some(committed()));
-        let proposal = status.point.proposal.expect("proposed");
+        let proposal = status.point.proposal.expect("a proposal is open");
         assert_eq!((proposal.policy, proposal.session), (proposed(), Some(coordinator)));
         let known = [("f1.77", Some(voted_for())), ("f2.78", Some(voted_against())), ("f3.79", None)];
         assert_eq!(status.members, known.map(|(id, status)| Member { id: id.to_owned(), status }));
@@ -171,13 +180,17 @@
     run(async {
         let consul = ConsulServer::start();
         let mut coordinator = Coordinator::new(settings(&consul));
-        let report =
-            coordinator.propose(FIRST_POLICY, "o-1", Duration::from_secs(5)).await.expect("committed");
+        let report = coordinator
+            .propose(FIRST_POLICY, "o-1", Duration::from_secs(5))
+            .await
+            .expect("the policy is committed");
         assert_eq!(report.version, 1);
         let rows = rows(&consul).await;
         let [row] = &rows[..] else { panic!("{rows:?}") };
         assert_eq!(row.key, "fleet/one/epoch/committed");
-        let id = serde_json::from_str::<VersionedPolicy>(&row.value_text()).expect("in form").id;
+        let id = serde_json::from_str::<VersionedPolicy>(&row.value_text())
+            .expect("the value is a versioned policy")
+            .id;
         assert_eq!(row.value_text().replace(&id, "SESSION"), FIRST);
     });
 }
@@ -224,8 +237,8 @@
         assert_eq!(participant.version(), 3);
         let own = r#"{"listen":"l","settings":{"limits":{"max_open":9}}}"#;
         let applied = r#"{"listen":"l","policy_out":["s-1"],"settings":{"limits":{"max_open":5}}}"#;
-        assert_eq!(participant.apply(own).expect("applied"), applied);
-        // No proposal is open any more: the staged policy is removed.
+        assert_eq!(participant.apply(own).expect("the policy is applied"), applied);
+        // No proposal is open any more, so the staged policy is removed.
         participant.join(&source).await;
         assert!(folder.path().join("policy-held.json").exists());
         assert!(!folder.path().join("policy-staged.json").exists());
--- a/crates/policy-commit/tests/wire_policy.rs
+++ b/crates/policy-commit/tests/wire_policy.rs
@@ -1,5 +1,5 @@
-//! The form of the commit point, of the files in forwarders' folders, of the policy that an operator writes, and the names of
-//! the metrics: forwarders of two releases read each other's.
+//! Pins the form of the commit point, of the files in forwarders' folders and of the policy that an operator writes,
+//! and the names of the metrics, because forwarders of two releases read each other's values.
 
 use orchidyoke_consul::locks::KeyEntry;
 use orchidyoke_forwarder::policy_participant::PolicyParticipant;
@@ -44,9 +44,9 @@
 
 #[test]
 fn values_of_the_commit_point_are_written_and_read_as_before() {
-    assert_eq!(serde_json::to_string(&policy()).expect("JSON") + "\n", VERSIONED);
+    assert_eq!(serde_json::to_string(&policy()).expect("the value is written as JSON") + "\n", VERSIONED);
     assert_eq!(serde_json::from_str::<VersionedPolicy>(VERSIONED).expect("read"), policy());
-    assert_eq!(serde_json::to_string(&status()).expect("JSON") + "\n", STATUS);
+    assert_eq!(serde_json::to_string(&status()).expect("the value is written as JSON") + "\n", STATUS);
     assert_eq!(serde_json::from_str::<MemberStatus>(STATUS).expect("read"), status());
     assert_eq!(digest("{}"), include_str!("fixtures/wire/digest.txt").trim());
 }
@@ -59,22 +59,22 @@
     let applied = policy.apply_to(r#"{"name":"n1","settings":{"limits":{"try_limit":8,"multiplex":1}}}"#);
     let expected =
         r#"{"name":"n1","policy_out":["s-1","s-2"],"settings":{"limits":{"multiplex":1,"try_limit":3}}}"#;
-    assert_eq!(applied.expect("applied"), expected);
-    assert_eq!(serde_json::to_string(&policy).expect("JSON") + "\n", POLICY);
-    assert!(Policy::parse(r#"{"output":[]}"#).is_err(), "an unknown field");
+    assert_eq!(applied.expect("the policy is applied"), expected);
+    assert_eq!(serde_json::to_string(&policy).expect("the value is written as JSON") + "\n", POLICY);
+    assert!(Policy::parse(r#"{"output":[]}"#).is_err(), "a policy with an unknown field is rejected");
 }
 
 #[test]
 fn metric_names_of_a_policy_stay_the_same() {
     let folder = std::env::temp_dir().join(format!("policy-figures-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    std::fs::write(folder.join("policy-held.json"), VERSIONED).expect("written");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
+    std::fs::write(folder.join("policy-held.json"), VERSIONED).expect("the file is written");
     let metrics = ConsulParticipant::new(settings(), "n1", &folder).status().metrics;
-    std::fs::remove_dir_all(&folder).expect("cleans up");
+    std::fs::remove_dir_all(&folder).expect("the folder is removed");
     assert_eq!(metrics, "app_policy_epoch 7\napp_policy_contact 0\napp_policy_refused 0\n");
 }
 
-/// A key held by a session, as Consul returns it.
+/// Returns a key that is held by a session, as Consul returns it.
 fn row(value: &str) -> KeyEntry {
     let row = serde_json::json!({
         "Key": "", "Value": base64(value.as_bytes()), "Session": "adf4238a", "ModifyIndex": 9, "Flags": 0,
