--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -16,10 +16,10 @@
 /// The text of a policy that the second participant cannot use.
 const UNUSABLE: &str = "bad";
 
-const COMMITTED: &str = "participants act on committed policies only";
-const ONCE: &str = "each version is committed once, in order";
-const BOUND: &str = "a participant in contact lags by less than the contact time";
-const USABLE: &str = "no policy is committed that a present participant cannot use";
+const ACTS_ON_COMMITTED: &str = "participants act on committed policies only";
+const COMMITTED_ONCE_IN_ORDER: &str = "each version is committed once, in order";
+const LAG_IS_BOUNDED: &str = "a participant in contact lags by less than the contact time";
+const COMMITTED_IS_USABLE: &str = "no policy is committed that a present participant cannot use";
 
 /// The part of the protocol that is disabled. The check must then find a violation of the property that the part
 /// protects.
@@ -33,14 +33,14 @@
     /// A participant acts on a staged policy.
     ActsOnStaged,
     /// A participant counts its contact from the answer to the read.
-    FromAnswer,
+    ContactFromAnswer,
 }
 
 struct Bounds {
     coordinators: usize,
     /// Whether the second participant cannot use the last coordinator's policy.
-    bad: bool,
-    until: Micros,
+    last_is_unusable: bool,
+    last_time: Micros,
     /// How many crashes of participants may happen.
     crashes: u8,
     /// How many proposals may be withdrawn, or deleted with their coordinator's session.
@@ -52,14 +52,14 @@
 struct Node {
     state: Participant,
     /// The policy in force that is on the participant's disk.
-    held: Option<VersionedPolicy>,
+    in_force_on_disk: Option<VersionedPolicy>,
     staged: Option<VersionedPolicy>,
     /// The answer to a read that is in flight, with the time at which the read was sent.
     read: Option<(Micros, CommitPoint)>,
     /// Whether the participant has a status to publish.
-    publishes: bool,
+    has_unpublished_status: bool,
     /// The policy that the participant acts on.
-    acts_by: Option<VersionedPolicy>,
+    acts_on: Option<VersionedPolicy>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -74,7 +74,7 @@
         proposed: VersionedPolicy,
         condition: CommitCondition,
     },
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -108,16 +108,16 @@
     Decide(usize),
     Commit(usize),
     /// The coordinator crashes, its session expires, or an operator withdraws its proposal.
-    Withdrawn(usize),
+    Withdraw(usize),
 }
 
 impl World {
-    fn step(&mut self, mutant: Mutant, place: usize, input: Input) {
-        let participant = &mut self.participants[place];
+    fn step(&mut self, mutant: Mutant, number: usize, input: Input) {
+        let participant = &mut self.participants[number];
         let mut effects: std::collections::VecDeque<_> = participant.state.step(input).into();
         while let Some(effect) = effects.pop_front() {
             let usable = |policy: &VersionedPolicy| {
-                if place == 1 && policy.text == UNUSABLE { Err("not here".to_owned()) } else { Ok(()) }
+                if number == 1 && policy.text == UNUSABLE { Err("not here".to_owned()) } else { Ok(()) }
             };
             match effect {
                 Effect::Stage(policy) => {
@@ -125,7 +125,7 @@
                     if outcome.is_ok() {
                         participant.staged = Some(policy.clone());
                         if mutant == Mutant::ActsOnStaged {
-                            participant.acts_by = Some(policy.clone());
+                            participant.acts_on = Some(policy.clone());
                         }
                     }
                     effects.extend(participant.state.step(Input::Staged { id: policy.id, outcome }));
@@ -134,20 +134,20 @@
                 Effect::Apply(policy) => {
                     let outcome = usable(&policy);
                     if outcome.is_ok() {
-                        participant.held = Some(policy.clone());
-                        participant.acts_by = Some(policy.clone());
+                        participant.in_force_on_disk = Some(policy.clone());
+                        participant.acts_on = Some(policy.clone());
                     }
                     effects.extend(participant.state.step(Input::Applied { id: policy.id, outcome }));
                 }
-                Effect::Publish(_) => participant.publishes = true,
+                Effect::Publish(_) => participant.has_unpublished_status = true,
             }
         }
     }
 
     fn members(&self) -> Vec<Member> {
-        let member = |(place, key): (usize, &Option<(MemberStatus, Micros)>)| {
+        let member = |(number, key): (usize, &Option<(MemberStatus, Micros)>)| {
             let (status, _) = key.clone()?;
-            Some(Member { id: place.to_string(), status: Some(status) })
+            Some(Member { id: number.to_string(), status: Some(status) })
         };
         self.keys.iter().enumerate().filter_map(member).collect()
     }
@@ -160,14 +160,15 @@
     }
 
     /// Restarts a participant with the policies on its disk.
-    fn crash(&mut self, place: usize) {
+    fn crash(&mut self, number: usize) {
         self.crashes += 1;
         self.any_absent = true;
-        let participant = &mut self.participants[place];
-        participant.state = Participant::new(participant.held.clone(), participant.staged.clone());
+        let participant = &mut self.participants[number];
+        participant.state =
+            Participant::new(participant.in_force_on_disk.clone(), participant.staged.clone());
         participant.read = None;
-        participant.acts_by = participant.held.clone();
-        participant.publishes = true;
+        participant.acts_on = participant.in_force_on_disk.clone();
+        participant.has_unpublished_status = true;
     }
 
     fn withdraw(&mut self, proposed: &VersionedPolicy) {
@@ -180,56 +181,56 @@
 
 impl Bounds {
     /// Lets a coordinator write its proposal, unless a proposal is open.
-    fn acquire(&self, world: &mut World, place: usize) -> Option<()> {
-        let Coordinator::Read(point) = &world.coordinators[place] else { return None };
-        let text = if self.bad && place + 1 == self.coordinators { UNUSABLE } else { "good" };
+    fn acquire(&self, world: &mut World, number: usize) -> Option<()> {
+        let Coordinator::Read(point) = &world.coordinators[number] else { return None };
+        let text = if self.last_is_unusable && number + 1 == self.coordinators { UNUSABLE } else { "good" };
         let version = point.version() + 1;
-        let proposed = VersionedPolicy::new(place.to_string(), version, text.to_owned(), String::new());
+        let proposed = VersionedPolicy::new(number.to_string(), version, text.to_owned(), String::new());
         if world.point.proposal.is_some() {
-            world.coordinators[place] = Coordinator::Over;
+            world.coordinators[number] = Coordinator::Finished;
             return Some(());
         }
         world.index += 1;
         world.point.proposal = Some(Proposal {
             policy: proposed.clone(),
             modify_index: world.index,
-            session: Some(place.to_string()),
+            session: Some(number.to_string()),
         });
-        world.coordinators[place] = Coordinator::Proposed(proposed, None);
+        world.coordinators[number] = Coordinator::Proposed(proposed, None);
         Some(())
     }
 
     /// Lets a coordinator decide on the members that it has read.
-    fn decide(&self, world: &mut World, place: usize) -> Option<()> {
-        let Coordinator::Proposed(proposed, Some(members)) = world.coordinators[place].clone() else {
+    fn decide(&self, world: &mut World, number: usize) -> Option<()> {
+        let Coordinator::Proposed(proposed, Some(members)) = world.coordinators[number].clone() else {
             return None;
         };
         let members = if self.mutant == Mutant::NoVotes { &[][..] } else { &members };
-        world.coordinators[place] = match decide(&proposed, &world.point, members) {
+        world.coordinators[number] = match decide(&proposed, &world.point, members) {
             CommitDecision::Wait(_) => Coordinator::Proposed(proposed, None),
             CommitDecision::Commit(condition) => Coordinator::Sent { proposed, condition },
             CommitDecision::Rejected(_) | CommitDecision::Superseded => {
                 world.withdraw(&proposed);
-                Coordinator::Over
+                Coordinator::Finished
             }
         };
         Some(())
     }
 
     /// Lets the store carry out a commit if the commit's condition holds.
-    fn commit(&self, world: &mut World, place: usize) -> Option<()> {
-        let Coordinator::Sent { proposed, condition } = world.coordinators[place].clone() else {
+    fn commit(&self, world: &mut World, number: usize) -> Option<()> {
+        let Coordinator::Sent { proposed, condition } = world.coordinators[number].clone() else {
             return None;
         };
         let is_unchanged = world.point.committed_index() == condition.committed_index;
-        let checked = world.holds(&proposed, condition.proposal_index) && is_unchanged;
-        if checked || self.mutant == Mutant::NoCheckAndSet {
+        let condition_holds = world.holds(&proposed, condition.proposal_index) && is_unchanged;
+        if condition_holds || self.mutant == Mutant::NoCheckAndSet {
             world.withdraw(&proposed);
             world.index += 1;
             world.point.committed = Some(Committed { policy: proposed.clone(), modify_index: world.index });
             world.history.push((proposed, world.clock));
         }
-        world.coordinators[place] = Coordinator::Over;
+        world.coordinators[number] = Coordinator::Finished;
         Some(())
     }
 }
@@ -241,11 +242,11 @@
     fn init_states(&self) -> Vec<World> {
         let participant = Node {
             state: Participant::default(),
-            held: None,
+            in_force_on_disk: None,
             staged: None,
             read: None,
-            publishes: true,
-            acts_by: None,
+            has_unpublished_status: true,
+            acts_on: None,
         };
         vec![World {
             clock: 0,
@@ -262,82 +263,86 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.clock < self.until {
+        if world.clock < self.last_time {
             steps.push(Step::Tick);
         }
-        for (place, participant) in world.participants.iter().enumerate() {
+        for (number, participant) in world.participants.iter().enumerate() {
             // A read that is sent again replaces one whose answer is lost.
-            let fresh = participant
+            let differs_from_pending_read = participant
                 .read
                 .as_ref()
                 .is_none_or(|(sent_at, point)| (*sent_at, point) != (world.clock, &world.point));
-            if fresh {
-                steps.push(Step::ReadCommitPoint(place));
+            if differs_from_pending_read {
+                steps.push(Step::ReadCommitPoint(number));
             }
             if participant.read.is_some() {
-                steps.push(Step::Receive(place));
+                steps.push(Step::Receive(number));
             }
-            if participant.publishes || world.keys[place].as_ref().is_none_or(|(_, at)| *at < world.clock) {
-                steps.push(Step::Publish(place));
+            if participant.has_unpublished_status
+                || world.keys[number].as_ref().is_none_or(|(_, at)| *at < world.clock)
+            {
+                steps.push(Step::Publish(number));
             }
-            if world.keys[place].as_ref().is_some_and(|(_, at)| world.clock >= at + TTL) {
-                steps.push(Step::Expire(place));
+            if world.keys[number].as_ref().is_some_and(|(_, at)| world.clock >= at + TTL) {
+                steps.push(Step::Expire(number));
             }
             if world.crashes < self.crashes {
-                steps.push(Step::Crash(place));
+                steps.push(Step::Crash(number));
             }
         }
-        for (place, coordinator) in world.coordinators.iter().enumerate() {
+        for (number, coordinator) in world.coordinators.iter().enumerate() {
             match coordinator {
-                Coordinator::Idle => steps.push(Step::StartProposal(place)),
-                Coordinator::Read(_) => steps.push(Step::Acquire(place)),
-                Coordinator::Proposed(_, None) => steps.push(Step::ReadMembers(place)),
-                Coordinator::Proposed(_, Some(_)) => steps.push(Step::Decide(place)),
-                Coordinator::Sent { .. } => steps.push(Step::Commit(place)),
-                Coordinator::Over => {}
+                Coordinator::Idle => steps.push(Step::StartProposal(number)),
+                Coordinator::Read(_) => steps.push(Step::Acquire(number)),
+                Coordinator::Proposed(_, None) => steps.push(Step::ReadMembers(number)),
+                Coordinator::Proposed(_, Some(_)) => steps.push(Step::Decide(number)),
+                Coordinator::Sent { .. } => steps.push(Step::Commit(number)),
+                Coordinator::Finished => {}
             }
             let proposed = matches!(coordinator, Coordinator::Proposed(..) | Coordinator::Sent { .. });
             if proposed && world.losses < self.losses {
-                steps.push(Step::Withdrawn(place));
+                steps.push(Step::Withdraw(number));
             }
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous: &World, step: Step) -> Option<World> {
+        let mut world = previous.clone();
         match step {
             Step::Tick => world.clock += 1,
-            Step::ReadCommitPoint(place) => {
-                world.participants[place].read = Some((world.clock, world.point.clone()))
+            Step::ReadCommitPoint(number) => {
+                world.participants[number].read = Some((world.clock, world.point.clone()))
             }
-            Step::Receive(place) => {
-                let (sent_at, point) = world.participants[place].read.take()?;
-                let sent_at = if self.mutant == Mutant::FromAnswer { world.clock } else { sent_at };
-                world.step(self.mutant, place, Input::CommitPointRead { sent_at, point: Box::new(point) });
+            Step::Receive(number) => {
+                let (sent_at, point) = world.participants[number].read.take()?;
+                let sent_at = if self.mutant == Mutant::ContactFromAnswer { world.clock } else { sent_at };
+                world.step(self.mutant, number, Input::CommitPointRead { sent_at, point: Box::new(point) });
             }
-            Step::Publish(place) => {
-                world.participants[place].publishes = false;
-                world.keys[place] = Some((world.participants[place].state.member_status(), world.clock));
+            Step::Publish(number) => {
+                world.participants[number].has_unpublished_status = false;
+                world.keys[number] = Some((world.participants[number].state.member_status(), world.clock));
             }
-            Step::Expire(place) => {
+            Step::Expire(number) => {
                 world.any_absent = true;
-                world.keys[place] = None;
+                world.keys[number] = None;
             }
-            Step::Crash(place) => world.crash(place),
-            Step::StartProposal(place) => world.coordinators[place] = Coordinator::Read(world.point.clone()),
-            Step::Acquire(place) => self.acquire(&mut world, place)?,
-            Step::ReadMembers(place) => {
+            Step::Crash(number) => world.crash(number),
+            Step::StartProposal(number) => {
+                world.coordinators[number] = Coordinator::Read(world.point.clone())
+            }
+            Step::Acquire(number) => self.acquire(&mut world, number)?,
+            Step::ReadMembers(number) => {
                 let members = world.members();
-                if let Coordinator::Proposed(_, seen) = &mut world.coordinators[place] {
-                    *seen = Some(members);
+                if let Coordinator::Proposed(_, members_read) = &mut world.coordinators[number] {
+                    *members_read = Some(members);
                 }
             }
-            Step::Decide(place) => self.decide(&mut world, place)?,
-            Step::Commit(place) => self.commit(&mut world, place)?,
-            Step::Withdrawn(place) => {
+            Step::Decide(number) => self.decide(&mut world, number)?,
+            Step::Commit(number) => self.commit(&mut world, number)?,
+            Step::Withdraw(number) => {
                 world.losses += 1;
                 if let Coordinator::Proposed(proposed, _) | Coordinator::Sent { proposed, .. } =
-                    &last.coordinators[place]
+                    &previous.coordinators[number]
                 {
                     world.withdraw(proposed);
                 }
@@ -348,34 +353,37 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(COMMITTED, |_, world: &World| {
+            Property::always(ACTS_ON_COMMITTED, |_, world: &World| {
                 let committed =
-                    |policy: &VersionedPolicy| world.history.iter().any(|(there, _)| there == policy);
+                    |policy: &VersionedPolicy| world.history.iter().any(|(other, _)| other == policy);
                 world
                     .participants
                     .iter()
-                    .all(|participant| participant.acts_by.as_ref().is_none_or(committed))
+                    .all(|participant| participant.acts_on.as_ref().is_none_or(committed))
             }),
-            Property::always(ONCE, |_, world: &World| {
-                world.history.iter().enumerate().all(|(place, (there, _))| there.version == place as u64 + 1)
+            Property::always(COMMITTED_ONCE_IN_ORDER, |_, world: &World| {
+                world
+                    .history
+                    .iter()
+                    .enumerate()
+                    .all(|(number, (other, _))| other.version == number as u64 + 1)
             }),
-            Property::always(BOUND, |_, world: &World| {
+            Property::always(LAG_IS_BOUNDED, |_, world: &World| {
                 world.participants.iter().all(|participant| {
-                    let behind = |(policy, at): &(VersionedPolicy, Micros)| {
+                    let is_missed = |(policy, at): &(VersionedPolicy, Micros)| {
                         policy.version > participant.state.version() && world.clock >= at + CONTACT_TIME
                     };
                     participant.state.unready_reason(world.clock, CONTACT_TIME).is_some()
-                        || !world.history.iter().any(behind)
+                        || !world.history.iter().any(is_missed)
                 })
             }),
-            Property::always(USABLE, |_, world: &World| {
+            Property::always(COMMITTED_IS_USABLE, |_, world: &World| {
                 world.any_absent || world.history.iter().all(|(policy, _)| policy.text != UNUSABLE)
             }),
             Property::sometimes("a policy is in force on all participants", |_, world: &World| {
-                world
-                    .participants
-                    .iter()
-                    .all(|participant| participant.acts_by.as_ref().is_some_and(|by| by.text == "good"))
+                world.participants.iter().all(|participant| {
+                    participant.acts_on.as_ref().is_some_and(|policy| policy.text == "good")
+                })
             }),
             Property::sometimes("two policies are committed one after the other", |_, world: &World| {
                 world.history.len() == 2
@@ -391,12 +399,24 @@
 // There are two coordinators, a withdrawal or a coordinator's crash, and a participant's crash. The clock stands still.
 #[test]
 fn policy_is_in_force_everywhere_or_nowhere_in_every_order() {
-    let checker =
-        check(Bounds { coordinators: 2, bad: false, until: 0, crashes: 1, losses: 1, mutant: Mutant::None });
+    let checker = check(Bounds {
+        coordinators: 2,
+        last_is_unusable: false,
+        last_time: 0,
+        crashes: 1,
+        losses: 1,
+        mutant: Mutant::None,
+    });
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
-    let checker =
-        check(Bounds { coordinators: 2, bad: true, until: 0, crashes: 1, losses: 1, mutant: Mutant::None });
+    let checker = check(Bounds {
+        coordinators: 2,
+        last_is_unusable: true,
+        last_time: 0,
+        crashes: 1,
+        losses: 1,
+        mutant: Mutant::None,
+    });
     println!("{} states", checker.unique_state_count());
     assert_safe(&checker);
 }
@@ -404,15 +424,21 @@
 // There is one coordinator and the clock runs, so sessions expire and reads are late.
 #[test]
 fn participant_in_contact_lags_less_than_the_contact_time_in_every_order() {
-    let checker =
-        check(Bounds { coordinators: 1, bad: false, until: 3, crashes: 0, losses: 0, mutant: Mutant::None });
+    let checker = check(Bounds {
+        coordinators: 1,
+        last_is_unusable: false,
+        last_time: 3,
+        crashes: 0,
+        losses: 0,
+        mutant: Mutant::None,
+    });
     println!("{} states", checker.unique_state_count());
     assert_safe(&checker);
     checker.assert_any_discovery("a policy is in force on all participants");
 }
 
 fn assert_safe(checker: &impl Checker<Bounds>) {
-    for property in [COMMITTED, ONCE, BOUND, USABLE] {
+    for property in [ACTS_ON_COMMITTED, COMMITTED_ONCE_IN_ORDER, LAG_IS_BOUNDED, COMMITTED_IS_USABLE] {
         checker.assert_no_discovery(property);
     }
 }
@@ -420,13 +446,13 @@
 /// The check must find a violation when a part of the protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
-    for (mutant, property, coordinators, bad, until, losses) in [
-        (Mutant::NoCheckAndSet, ONCE, 2, false, 0, 1),
-        (Mutant::NoVotes, USABLE, 2, true, 0, 0),
-        (Mutant::ActsOnStaged, COMMITTED, 1, false, 0, 0),
-        (Mutant::FromAnswer, BOUND, 1, false, 3, 0),
+    for (mutant, property, coordinators, last_is_unusable, last_time, losses) in [
+        (Mutant::NoCheckAndSet, COMMITTED_ONCE_IN_ORDER, 2, false, 0, 1),
+        (Mutant::NoVotes, COMMITTED_IS_USABLE, 2, true, 0, 0),
+        (Mutant::ActsOnStaged, ACTS_ON_COMMITTED, 1, false, 0, 0),
+        (Mutant::ContactFromAnswer, LAG_IS_BOUNDED, 1, false, 3, 0),
     ] {
-        let checker = check(Bounds { coordinators, bad, until, crashes: 0, losses, mutant });
+        let checker = check(Bounds { coordinators, last_is_unusable, last_time, crashes: 0, losses, mutant });
         assert!(checker.discovery(property).is_some(), "{mutant:?} does not violate: {property}");
     }
 }
--- a/crates/policy-commit/tests/participant.rs
+++ b/crates/policy-commit/tests/participant.rs
@@ -89,7 +89,7 @@
     assert!(
         participant
             .unready_reason(0, 100)
-            .is_some_and(|why| why.contains("cut off") && why.contains("epoch 2"))
+            .is_some_and(|reason| reason.contains("cut off") && reason.contains("epoch 2"))
     );
     assert_eq!(
         participant.step(Input::CommitPointRead { sent_at: 5, point: point(Some(&three), None) }),
@@ -111,7 +111,7 @@
         participant.step(Input::Applied { id: "a".into(), outcome: Err("its file is broken".into()) });
     let unusable_reason = Some("its file is broken".to_owned());
     assert_eq!(effects, [Effect::Publish(MemberStatus { version: 0, vote: None, unusable_reason })]);
-    assert!(participant.unready_reason(1, 100).is_some_and(|why| why.contains("file is broken")));
+    assert!(participant.unready_reason(1, 100).is_some_and(|reason| reason.contains("file is broken")));
     assert_eq!(
         participant.step(Input::CommitPointRead { sent_at: 1, point: point(Some(&one), None) }),
         [],
--- a/crates/policy-commit/tests/stored_format.rs
+++ b/crates/policy-commit/tests/stored_format.rs
@@ -29,7 +29,7 @@
 const VOTED_FOR: &str = include_str!("fixtures/voted-for.json");
 const VOTED_AGAINST: &str = include_str!("fixtures/voted-against.json");
 /// The value that a commit wrote, with a word in the place of its id, because the id is that of a session.
-const FIRST: &str = include_str!("fixtures/first-commit.json");
+const FIRST_COMMIT: &str = include_str!("fixtures/first-commit.json");
 
 const TTL: Duration = Duration::from_secs(10);
 
@@ -77,11 +77,11 @@
     assert_eq!(serde_json::to_string(value).expect("the value is written"), text);
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let patience = Duration::from_secs(60);
+    let time_limit = Duration::from_secs(60);
     runtime.block_on(
-        LocalSet::new().run_until(async { timeout(patience, test).await.expect("the test ends in time") }),
+        LocalSet::new().run_until(async { timeout(time_limit, test).await.expect("the test ends in time") }),
     );
 }
 
@@ -119,10 +119,10 @@
 }
 
 /// Returns a folder with a forwarder's configuration in it, and the source that reads the configuration.
-fn forwarder(name: &str) -> (TemporaryFolder, Rc<ConfigSource>) {
+fn forwarder_config(name: &str) -> (TemporaryFolder, Rc<ConfigSource>) {
     let folder = TemporaryFolder::new(name);
-    let setup = ForwarderConfig::new("127.0.0.1:1".parse().expect("an address"));
-    let path = folder.write("config.json", &setup.text());
+    let config = ForwarderConfig::new("127.0.0.1:1".parse().expect("an address"));
+    let path = folder.write("config.json", &config.text());
     (folder, Rc::new(ConfigSource { path, ..ConfigSource::default() }))
 }
 
@@ -159,7 +159,7 @@
 
 #[test]
 fn commit_point_of_the_previous_version_is_found_under_its_keys() {
-    run(async {
+    run_test(async {
         let consul = ConsulServer::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
         let coordinator = hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
@@ -170,14 +170,14 @@
         assert_eq!(status.point.committed.map(|committed| committed.policy), Some(committed()));
         let proposal = status.point.proposal.expect("a proposal is open");
         assert_eq!((proposal.policy, proposal.session), (proposed(), Some(coordinator)));
-        let known = [("f1.77", Some(voted_for())), ("f2.78", Some(voted_against())), ("f3.79", None)];
-        assert_eq!(status.members, known.map(|(id, status)| Member { id: id.to_owned(), status }));
+        let expected = [("f1.77", Some(voted_for())), ("f2.78", Some(voted_against())), ("f3.79", None)];
+        assert_eq!(status.members, expected.map(|(id, status)| Member { id: id.to_owned(), status }));
     });
 }
 
 #[test]
 fn commit_is_written_as_the_same_text_under_the_same_key() {
-    run(async {
+    run_test(async {
         let consul = ConsulServer::start();
         let mut coordinator = Coordinator::new(settings(&consul));
         let report = coordinator
@@ -191,16 +191,16 @@
         let id = serde_json::from_str::<VersionedPolicy>(&row.value_text())
             .expect("the value is a versioned policy")
             .id;
-        assert_eq!(row.value_text().replace(&id, "SESSION"), FIRST);
+        assert_eq!(row.value_text().replace(&id, "SESSION"), FIRST_COMMIT);
     });
 }
 
 #[test]
 fn participant_writes_the_same_files_and_the_same_status() {
-    run(async {
+    run_test(async {
         let consul = ConsulServer::start();
         hold(&consul, "fleet/one/epoch/committed", COMMITTED).await;
-        let (folder, source) = forwarder("policy-written");
+        let (folder, source) = forwarder_config("policy-written");
         let participant = ConsulParticipant::new(settings(&consul), "f1", folder.path());
         participant.join(&source).await;
         let file = |name: &str| fs::read_to_string(folder.path().join(name)).ok();
@@ -209,8 +209,8 @@
             (Some(COMMITTED), None)
         );
         hold(&consul, "fleet/one/epoch/proposal", PROPOSED).await;
-        let (inputs, _came) = unbounded_channel();
-        let following = spawn_local(participant.clone().follow(source, inputs));
+        let (inputs, _received_inputs) = unbounded_channel();
+        let follow_task = spawn_local(participant.clone().follow(source, inputs));
         let key = format!("fleet/one/members/f1.{}", std::process::id());
         loop {
             let rows = rows(&consul).await;
@@ -222,14 +222,14 @@
         }
         assert_eq!(file("policy-held.json").as_deref(), Some(COMMITTED));
         assert_eq!(file("policy-staged.json").as_deref(), Some(PROPOSED));
-        following.abort();
+        follow_task.abort();
     });
 }
 
 #[test]
-fn participant_starts_by_the_files_of_the_previous_version() {
-    run(async {
-        let (folder, source) = forwarder("policy-read");
+fn participant_starts_from_the_files_of_the_previous_version() {
+    run_test(async {
+        let (folder, source) = forwarder_config("policy-read");
         folder.write("policy-held.json", COMMITTED);
         folder.write("policy-staged.json", PROPOSED);
         let consul = ConsulServer::start();
