--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Carries out one request. Returns the input for the state machine that follows from the answer, or `None` if none
-    /// does.
+    /// Carries out one request. Returns the input for the state machine that follows from the answer, or `None` if
+    /// there is no such input.
     async fn carry_out(&self, locks: &mut LockClient, request: Request) -> Result<Option<Input>, LockError> {
         let sent_at = request.sent_at;
         let input = match request.effect {
--- a/crates/ownership/src/member.rs
+++ b/crates/ownership/src/member.rs
@@ -44,7 +44,7 @@
 /// The reason why an entry is not a valid member.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EntryError {
-    /// The entry is not valid JSON, or lacks a field.
+    /// The entry is not valid JSON, or a field is missing or malformed.
     #[error("the entry of {name} cannot be read: {reason}")]
     Unreadable {
         /// The name under which the entry is stored.
--- a/crates/policy-commit/src/commit_decision.rs
+++ b/crates/policy-commit/src/commit_decision.rs
@@ -1,4 +1,4 @@
-//! Decides when a coordinator may commit its proposal. No I/O.
+//! Decides when a coordinator may commit its proposal. The module has no I/O.
 
 use crate::commit_point::{CommitPoint, Member};
 use crate::policy::VersionedPolicy;
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -37,9 +37,9 @@
     files: PolicyFiles,
     start: Instant,
     state: RefCell<Participant>,
-    /// The session that holds the participant's key, or `None` before the first registration.
+    /// The session that holds the participant's key, or `None` before the registration and after the deregistration.
     session: RefCell<Option<String>>,
-    /// The last status that was written to the key, or `None` if none was.
+    /// The last status that was written to the key, or `None` before the first write.
     published: RefCell<Option<MemberStatus>>,
     /// Consul's index of the last read of the commit point. With 0, Consul answers the next read at once.
     index: Cell<u64>,
