--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -1,4 +1,4 @@
-//! Several lease managers against the fake Consul, over sockets.
+//! Runs several lease managers against the fake Consul, over sockets.
 
 use orchidyoke_consul::Settings;
 use orchidyoke_fakes::ConsulServer;
@@ -15,12 +15,12 @@
 const TTL: Duration = Duration::from_secs(4);
 const LOCK_DELAY: Duration = Duration::from_millis(500);
 
-struct Running {
+struct RunningMember {
     manager: Rc<LeaseManager>,
     task: JoinHandle<()>,
 }
 
-fn start(consul: &ConsulServer, name: &str) -> Running {
+fn start(consul: &ConsulServer, name: &str) -> RunningMember {
     let protocol = LeaseConfig {
         ttl: TTL.as_micros() as i64,
         clock_drift: 0.01,
@@ -39,30 +39,33 @@
     let settings = Settings { addresses: vec![consul.address()], ..Settings::default() };
     let manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
     let running = manager.clone();
-    Running { task: spawn_local(async move { running.run().await }), manager }
+    RunningMember { task: spawn_local(async move { running.run().await }), manager }
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let patience = Duration::from_secs(90);
-    runtime.block_on(LocalSet::new().run_until(async { timeout(patience, test).await.expect("in time") }));
+    let time_limit = Duration::from_secs(90);
+    runtime.block_on(
+        LocalSet::new().run_until(async { timeout(time_limit, test).await.expect("the test ends in time") }),
+    );
 }
 
-/// The tokens under which members may act now; fails where two members may act under one lease.
-fn holders(members: &[&Running]) -> BTreeMap<LeaseId, FencingToken> {
+/// Returns the tokens under which members may act now. Fails if two members may act under one lease.
+fn holders(members: &[&RunningMember]) -> BTreeMap<LeaseId, FencingToken> {
     let mut holders = BTreeMap::new();
     for member in members {
         for lease in 0..LEASES {
             if let Some(token) = member.manager.may_act(lease) {
-                assert!(holders.insert(lease, token).is_none(), "two may act under lease {lease}");
+                assert!(holders.insert(lease, token).is_none(), "two members may act under lease {lease}");
             }
         }
     }
     holders
 }
 
-/// Waits until each of these members may act under so many leases; fails where two may act under one meanwhile.
-async fn settle(members: &[&Running], each: usize) {
+/// Waits until each of these members may act under `each` leases. Fails if two members may act under one lease
+/// meanwhile.
+async fn await_lease_counts(members: &[&RunningMember], each: usize) {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         holders(members);
@@ -78,74 +81,79 @@
     }
 }
 
-/// Two members that have settled.
-async fn two() -> (ConsulServer, Running, Running) {
+/// Starts two members and waits until they share the leases evenly.
+async fn start_two_members() -> (ConsulServer, RunningMember, RunningMember) {
     let consul = ConsulServer::start();
     let (a, b) = (start(&consul, "a"), start(&consul, "b"));
-    settle(&[&a, &b], 6).await;
+    await_lease_counts(&[&a, &b], 6).await;
     (consul, a, b)
 }
 
 #[test]
 fn leases_are_shared_evenly_and_taken_over_from_a_dead_member() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         let c = start(&consul, "c");
-        settle(&[&a, &b, &c], 4).await;
+        await_lease_counts(&[&a, &b, &c], 4).await;
         let before = holders(&[&a, &b, &c]);
         c.task.abort();
-        let died = Instant::now();
-        settle(&[&a, &b], 6).await;
-        // A session ends one to two TTLs after its last renewal, then the lock-delay starts.
-        assert!(died.elapsed() >= LOCK_DELAY, "{:?}", died.elapsed());
+        let aborted_at = Instant::now();
+        await_lease_counts(&[&a, &b], 6).await;
+        // Consul ends a session one to two TTLs after its last renewal. Then the lock-delay starts.
+        assert!(aborted_at.elapsed() >= LOCK_DELAY, "{:?}", aborted_at.elapsed());
         let after = holders(&[&a, &b]);
         let moved = after.iter().filter(|(lease, token)| before[lease] != **token).count();
-        assert_eq!(moved, 4, "those of the member that died, and no others");
+        assert_eq!(moved, 4, "only the leases of the dead member move");
     });
 }
 
 // Guards against a rolling deployment in which each stop leaves leases without a holder for a TTL and a lock-delay.
 #[test]
 fn graceful_shutdown_passes_leases_at_once_and_the_member_may_return() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         b.manager.shut_down();
-        let left = Instant::now();
-        settle(&[&a], 12).await;
-        assert!(left.elapsed() < TTL, "{:?}: a killed one takes more than a TTL", left.elapsed());
-        b.task.await.expect("the manager ends by itself");
+        let shutdown_at = Instant::now();
+        await_lease_counts(&[&a], 12).await;
+        assert!(
+            shutdown_at.elapsed() < TTL,
+            "{:?}: the leases of a killed member take more than a TTL",
+            shutdown_at.elapsed()
+        );
+        b.task.await.expect("the manager returns after its shutdown");
         let b = start(&consul, "b");
-        settle(&[&a, &b], 6).await;
-        assert!(left.elapsed() < 2 * TTL, "its name is free again");
+        await_lease_counts(&[&a, &b], 6).await;
+        assert!(shutdown_at.elapsed() < 2 * TTL, "the member can register under its name again");
     });
 }
 
-// Guards against a holder that goes on while Consul may have given its lease away, and against one that does not
-// reacquire.
+// Guards against a holder that continues to act while Consul may have given its lease to another member, and against a
+// member that does not acquire its leases again.
 #[test]
 fn unresponsive_consul_suspends_all_leases_until_it_answers() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
-        assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "no act without a lease");
+        assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "nobody may act without a lease");
         consul.set_fault(ConsulFault::None);
-        settle(&[&a, &b], 6).await;
+        await_lease_counts(&[&a, &b], 6).await;
     });
 }
 
-// Guards against a member that its fleet forgets when its key is deleted, and against a holder that goes on under the
-// old token when the key of its lock is deleted.
+// Guards against a member that is no longer in its fleet after its key is deleted, and against a holder that continues
+// under the old token after the key of its lock is deleted.
 #[test]
 fn deleted_keys_are_reacquired_under_higher_tokens() {
-    run(async {
-        let (consul, a, b) = two().await;
+    run_test(async {
+        let (consul, a, b) = start_two_members().await;
         let before = holders(&[&a, &b]);
         consul.delete_keys("orchidyoke/one/members/a");
         consul.delete_keys("orchidyoke/one/duties/");
         let end = Instant::now() + Duration::from_secs(40);
         loop {
-            // The earlier holder may act until it reads the locks again: the tokens guard against that.
+            // The earlier holder may act until it reads the locks again. The tokens protect against results from that
+            // time.
             let held: BTreeMap<LeaseId, FencingToken> =
                 [&a, &b].iter().flat_map(|member| member.manager.held()).collect();
             let counts = [&a, &b].map(|member| member.manager.held().len());
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -1,8 +1,9 @@
-//! Model checking of the handover of one message between forwarders (`docs/ownership.md`): the holder, which accepted it
-//! from a client, its owner, and a third; every order of answers, losses, crashes, restarts and views received late, within
-//! the bounds given. A forwarder that is suspended or disconnected is one that takes no step for a while.
+//! Model checking of the handover of one message between forwarders (`docs/ownership.md`). The forwarders are the
+//! holder, which accepted the message from a client, the message's owner, and a third forwarder. The check covers every
+//! order of answers, losses, crashes, restarts and late views within the bounds. A suspended or disconnected forwarder
+//! is modelled as one that takes no step for a while.
 //!
-//! The members, the views and the owners by them are the package's own.
+//! The members, the views and the owners come from the crate itself.
 
 mod common;
 
@@ -15,66 +16,68 @@
 const HOLDER: usize = 0;
 
 const ONE_ANSWER: &str =
-    "one forwarder has it or one final answer, until the holder stops asking who may have it";
-const NO_REPEAT: &str = "a non-idempotent message is delivered at most once";
-const TRUE_ANSWERS: &str = "each final answer is true";
-const ONE_HANDOVER: &str = "only the holder hands it over";
-const NEVER_BACK: &str = "no forwarder goes back to an older view";
-
-/// The part of the protocol that is left out, so that the check must find the property that it guards.
+    "exactly one forwarder has the message or its final answer, until the holder stops asking";
+const DELIVERED_AT_MOST_ONCE: &str = "a non-idempotent message is delivered at most once";
+const ANSWERS_ARE_TRUE: &str = "each final answer is true";
+const ONE_HANDOVER: &str = "only the holder hands the message over";
+const NO_OLDER_VIEW: &str = "no forwarder goes back to an older view";
+
+/// The part of the protocol that is disabled. The check must then find a violation of the property that the part
+/// protects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// The holder's record ends with the offer, not with its 202.
+    /// The holder's record ends with the offer, and not with the answer 202 to the offer.
     EndsBeforeAnswer,
-    /// An offer without an answer counts as rejected.
+    /// The holder treats an offer without an answer as rejected.
     LostIsRejected,
-    /// A rejection also counts for the offers before it.
-    RejectionSettlesDoubt,
-    /// A forwarder hands a marked message on to the owner by its own view.
-    MarkIgnored,
-    /// When the forwarder that may have it has left, the message goes to the next owner whatever its idempotency.
+    /// The holder treats a rejection as one of the earlier offers too.
+    RejectionEndsDoubt,
+    /// A forwarder hands over a message that was handed over to it, if its own view has another owner.
+    HandsOverAgain,
+    /// When the forwarder that may have the message has left, the holder gives a non-idempotent message to the next
+    /// owner too.
     IdempotencyIgnored,
-    /// Ids of finished messages are forgotten while they may still be offered again.
+    /// Forwarders forget the ids of finished messages while these messages may still be offered again.
     ForgetsEarly,
-    /// An offer is accepted however late it is read.
-    LateOffers,
-    /// Views are applied in whatever order they arrive.
-    OlderViews,
+    /// A forwarder accepts an offer however late it reads the offer.
+    AcceptsLateOffers,
+    /// Forwarders apply views in the order in which the views arrive, even an older one after a newer one.
+    AppliesOlderViews,
 }
 
 /// The final answer of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum FinalAnswer {
     Delivered,
-    /// It may have been delivered.
+    /// The message may have been delivered.
     Failed,
-    /// It was never sent, and may be submitted again.
+    /// The message was never sent to the endpoint, and the client may submit it again.
     Rejected,
 }
 
-/// The message in one forwarder's journal, as a restart finds it.
+/// The state of the message in one forwarder's journal, as a restart reads it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Record {
-    /// Not known, or forgotten.
+    /// The forwarder has never had the message, or has forgotten it.
     Unknown,
-    /// Accepted, and to be delivered or handed over.
+    /// The forwarder has accepted the message, and will deliver it or hand it over.
     Queued {
-        /// It was handed over by another forwarder.
-        marked: bool,
-        /// An attempt, or an offer that is not repeated any more, may have delivered it.
+        /// Whether another forwarder handed the message over to this one.
+        handed_over: bool,
+        /// Whether the message may have been delivered by an attempt, or by an offer that is no longer repeated.
         possible_delivery: bool,
     },
-    /// Offered to this forwarder, which may have it.
+    /// The message was offered to the forwarder `to`, which may have it.
     Offered {
         to: usize,
-        /// An offer has had no answer.
+        /// Whether an offer has had no answer.
         in_doubt: bool,
         possible_delivery: bool,
     },
-    /// An attempt is in flight; `delivered`: the partner has processed it.
+    /// An attempt is in flight. `delivered` is `true` once the endpoint has processed the message.
     InFlight {
-        marked: bool,
+        handed_over: bool,
         possible_delivery: bool,
         delivered: bool,
     },
@@ -84,43 +87,43 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    up: bool,
-    /// The version of its view.
+    is_up: bool,
+    /// The version of the forwarder's view.
     version: usize,
-    /// The latest version that it has received.
+    /// The latest version that the forwarder has received.
     latest_received: usize,
     record: Record,
 }
 
 /// An offer in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Request {
+struct Offer {
     from: usize,
     to: usize,
-    /// Its sender waits for the answer.
+    /// Whether the sender still waits for the answer.
     awaited: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: Vec<Node>,
-    requests: Vec<Request>,
-    /// An answer in flight to the holder: whether the owner has accepted the message.
+    offers_in_flight: Vec<Offer>,
+    /// An answer in flight to the holder, which is `true` if the owner has accepted the message.
     answer: Option<bool>,
-    /// The version of the registry.
+    /// The latest version of the registry.
     latest: usize,
-    /// The time is over in which the message may be offered again under its id.
+    /// Whether the time is over in which the message may be offered again under its id.
     offers_expired: bool,
-    /// How often the holder has stopped asking who may have the message.
+    /// How often the holder has stopped asking which forwarder has the message.
     abandoned_doubts: usize,
-    /// How often the partner has processed it.
+    /// How often the endpoint has processed the message, at most 2.
     deliveries: u8,
-    /// Finished messages that forwarders have forgotten.
+    /// How many forwarders have forgotten the message after they finished it.
     forgotten: usize,
-    /// A forwarder other than the holder has handed it over.
+    /// Whether a forwarder other than the holder has handed the message over.
     handed_over_twice: bool,
     crashes: u8,
-    /// Offers that may still be sent.
+    /// How many more offers may be sent.
     offers: u8,
 }
 
@@ -129,18 +132,18 @@
     ViewChanges,
     ReceiveView(usize, usize),
     Dispatch(usize),
-    Read(usize, bool),
-    LoseRequest(usize),
+    ReadOffer(usize, bool),
+    LoseOffer(usize),
     ReceiveAnswer,
-    Unreached,
+    ReceiverNotReached,
     TimeOut,
     OfferAgain,
     StopAsking,
     ExpireOffers,
-    GiveUp,
+    Reject,
     Deliver(usize),
-    ReceivePartnerAnswer(usize),
-    LosePartnerAnswer(usize),
+    ReceiveEndpointAnswer(usize),
+    LoseEndpointAnswer(usize),
     Forget(usize),
     Crash(usize),
     Restart(usize),
@@ -150,7 +153,7 @@
     /// The views of the registry, in order.
     views: Vec<View>,
     destination: u64,
-    /// The owner while all are members, and the one after it has left.
+    /// The destination's owner while all forwarders are members, and its owner after that one has left.
     first_owner: usize,
     next_owner: usize,
     idempotent: bool,
@@ -177,43 +180,48 @@
         &mut self.nodes[HOLDER].record
     }
 
-    /// The holder does not wait for an answer any more; its offer may still be read.
+    /// Ends the holder's wait for an answer. The receiver may still read the holder's offer.
     fn stop_waiting(&mut self) {
         self.answer = None;
-        self.requests.iter_mut().for_each(|request| request.awaited = false);
-        self.requests.sort();
+        self.offers_in_flight.iter_mut().for_each(|offer| offer.awaited = false);
+        self.offers_in_flight.sort();
     }
 
     fn send(&mut self, from: usize, to: usize) {
         self.offers -= 1;
         self.handed_over_twice |= from != HOLDER;
-        self.requests.push(Request { from, to, awaited: true });
-        self.requests.sort();
+        self.offers_in_flight.push(Offer { from, to, awaited: true });
+        self.offers_in_flight.sort();
     }
 
-    /// Whether the holder waits for an answer.
+    /// Returns whether the holder waits for an answer.
     fn is_waiting(&self) -> bool {
-        self.answer.is_some() || self.requests.iter().any(|request| request.awaited)
+        self.answer.is_some() || self.offers_in_flight.iter().any(|offer| offer.awaited)
     }
 }
 
 impl Bounds {
-    fn member(&self, world: &World, node: usize, of: usize) -> bool {
-        self.views[world.nodes[node].version].member(&member(of, 1.0).name).is_some()
+    fn member(&self, world: &World, node: usize, other: usize) -> bool {
+        self.views[world.nodes[node].version].member(&member(other, 1.0).name).is_some()
     }
 
     fn owner(&self, world: &World, node: usize) -> usize {
-        let owner = self.views[world.nodes[node].version].owner(self.destination).expect("there are members");
-        (0..FORWARDERS).find(|place| member(*place, 1.0).name == owner.name).expect("it is one of them")
+        let owner =
+            self.views[world.nodes[node].version].owner(self.destination).expect("the view has members");
+        (0..FORWARDERS)
+            .find(|index| member(*index, 1.0).name == owner.name)
+            .expect("the owner is one of the forwarders")
     }
 
-    /// The message goes to its owner: an attempt, or an offer.
+    /// Starts an attempt, or offers the message to its owner.
     fn dispatch(&self, world: &mut World, node: usize) -> Option<()> {
-        let Record::Queued { marked, possible_delivery } = world.nodes[node].record else { return None };
+        let Record::Queued { handed_over, possible_delivery } = world.nodes[node].record else {
+            return None;
+        };
         let owner = self.owner(world, node);
-        let stays = marked && self.mutant != Mutant::MarkIgnored;
-        if owner == node || stays {
-            world.nodes[node].record = Record::InFlight { marked, possible_delivery, delivered: false };
+        let stays_here = handed_over && self.mutant != Mutant::HandsOverAgain;
+        if owner == node || stays_here {
+            world.nodes[node].record = Record::InFlight { handed_over, possible_delivery, delivered: false };
             return Some(());
         }
         if world.offers == 0 || world.offers_expired {
@@ -227,20 +235,20 @@
         Some(())
     }
 
-    /// An offer is read by its receiver.
-    fn read(&self, world: &mut World, place: usize, accepts: bool) -> Option<()> {
-        let request = world.requests.remove(place);
-        let node = world.nodes.get_mut(request.to).filter(|node| node.up)?;
+    /// Lets the receiver of an offer read it.
+    fn read_offer(&self, world: &mut World, index: usize, accepts: bool) -> Option<()> {
+        let offer = world.offers_in_flight.remove(index);
+        let node = world.nodes.get_mut(offer.to).filter(|node| node.is_up)?;
         let known = node.record != Record::Unknown;
-        let in_time = !world.offers_expired || self.mutant == Mutant::LateOffers;
+        let in_time = !world.offers_expired || self.mutant == Mutant::AcceptsLateOffers;
         let accepted = known || accepts && in_time;
         if known && !accepts {
             return None;
         }
         if accepted && !known {
-            node.record = Record::Queued { marked: true, possible_delivery: false };
+            node.record = Record::Queued { handed_over: true, possible_delivery: false };
         }
-        if request.awaited {
+        if offer.awaited {
             world.answer = Some(accepted);
         }
         Some(())
@@ -251,10 +259,10 @@
         let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else {
             return Some(());
         };
-        let settles = !in_doubt || self.mutant == Mutant::RejectionSettlesDoubt;
+        let ends_doubt = !in_doubt || self.mutant == Mutant::RejectionEndsDoubt;
         *world.holder_record() = match accepted {
             true => Record::HandedOver,
-            false if settles => Record::Queued { marked: false, possible_delivery },
+            false if ends_doubt => Record::Queued { handed_over: false, possible_delivery },
             false => Record::Offered { to, in_doubt, possible_delivery },
         };
         Some(())
@@ -264,66 +272,69 @@
         let Record::Offered { to, possible_delivery, .. } = *world.holder_record() else { return None };
         world.stop_waiting();
         *world.holder_record() = match self.mutant {
-            Mutant::LostIsRejected => Record::Queued { marked: false, possible_delivery },
+            Mutant::LostIsRejected => Record::Queued { handed_over: false, possible_delivery },
             _ => Record::Offered { to, in_doubt: true, possible_delivery },
         };
         Some(())
     }
 
-    /// The owner was not reached: it has not seen this offer.
-    fn unreached(&self, world: &mut World) -> Option<()> {
+    /// Handles an owner that was not reached, and therefore has not seen this offer.
+    fn receiver_not_reached(&self, world: &mut World) -> Option<()> {
         let Record::Offered { to, in_doubt, possible_delivery } = *world.holder_record() else { return None };
-        if world.nodes[to].up {
+        if world.nodes[to].is_up {
             return None;
         }
-        let awaited = world.requests.iter().position(|request| request.awaited)?;
-        world.requests.remove(awaited);
+        let awaited = world.offers_in_flight.iter().position(|offer| offer.awaited)?;
+        world.offers_in_flight.remove(awaited);
         if !in_doubt {
-            *world.holder_record() = Record::Queued { marked: false, possible_delivery };
+            *world.holder_record() = Record::Queued { handed_over: false, possible_delivery };
         }
         Some(())
     }
 
-    /// The forwarder that may have it has left, or the time to offer it again is over.
+    /// Ends the holder's doubt if the forwarder that may have the message has left, or if the time to offer it again is
+    /// over.
     fn stop_asking(&self, world: &mut World) -> Option<()> {
         let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
-        let gone = !self.member(world, HOLDER, to);
-        if !gone && !world.offers_expired {
+        let has_left = !self.member(world, HOLDER, to);
+        if !has_left && !world.offers_expired {
             return None;
         }
         world.abandoned_doubts += 1;
-        let again = self.idempotent || self.mutant == Mutant::IdempotencyIgnored;
-        *world.holder_record() = if again && !world.offers_expired {
-            Record::Queued { marked: false, possible_delivery: true }
+        let may_repeat = self.idempotent || self.mutant == Mutant::IdempotencyIgnored;
+        *world.holder_record() = if may_repeat && !world.offers_expired {
+            Record::Queued { handed_over: false, possible_delivery: true }
         } else {
             Record::Finished(FinalAnswer::Failed)
         };
         Some(())
     }
 
-    /// The partner's answer to an attempt, or the lack of one.
-    fn receive_partner_answer(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
-        let Record::InFlight { marked, delivered: true, .. } = world.nodes[node].record else { return None };
+    /// Handles the endpoint's answer to an attempt, or the loss of that answer.
+    fn receive_endpoint_answer(&self, world: &mut World, node: usize, answered: bool) -> Option<()> {
+        let Record::InFlight { handed_over, delivered: true, .. } = world.nodes[node].record else {
+            return None;
+        };
         world.nodes[node].record = match answered {
             true => Record::Finished(FinalAnswer::Delivered),
-            false => self.after_possible_delivery(marked),
+            false => self.after_possible_delivery(handed_over),
         };
         Some(())
     }
 
-    /// After an attempt that may have delivered it.
-    fn after_possible_delivery(&self, marked: bool) -> Record {
+    /// Returns the record after an attempt that may have delivered the message.
+    fn after_possible_delivery(&self, handed_over: bool) -> Record {
         if self.idempotent {
-            Record::Queued { marked, possible_delivery: true }
+            Record::Queued { handed_over, possible_delivery: true }
         } else {
             Record::Finished(FinalAnswer::Failed)
         }
     }
 
     fn restart(&self, world: &mut World, node: usize) -> Option<()> {
-        world.nodes[node].up = true;
+        world.nodes[node].is_up = true;
         world.nodes[node].record = match world.nodes[node].record {
-            Record::InFlight { marked, .. } => self.after_possible_delivery(marked),
+            Record::InFlight { handed_over, .. } => self.after_possible_delivery(handed_over),
             Record::Offered { to, possible_delivery, .. } => {
                 Record::Offered { to, in_doubt: true, possible_delivery }
             }
@@ -333,15 +344,15 @@
     }
 
     fn may_forget(&self, world: &World, node: usize) -> bool {
-        let ended = matches!(world.nodes[node].record, Record::Finished(_));
+        let is_finished = matches!(world.nodes[node].record, Record::Finished(_));
         let may_be_offered = !world.offers_expired;
-        node != HOLDER && ended && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
+        node != HOLDER && is_finished && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
     }
 
     fn receive_view(&self, world: &mut World, node: usize, version: usize) -> Option<()> {
         let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
-        let refused = table.replace_view(self.views[version].clone()).is_err();
-        if refused && self.mutant != Mutant::OlderViews {
+        let is_rejected = table.replace_view(self.views[version].clone()).is_err();
+        if is_rejected && self.mutant != Mutant::AppliesOlderViews {
             return None;
         }
         let node = &mut world.nodes[node];
@@ -355,10 +366,10 @@
             Step::ViewChanges => world.latest += 1,
             Step::ReceiveView(node, version) => self.receive_view(world, node, version)?,
             Step::Dispatch(node) => self.dispatch(world, node)?,
-            Step::Read(request, accepts) => self.read(world, request, accepts)?,
-            Step::LoseRequest(request) => drop(world.requests.remove(request)),
+            Step::ReadOffer(offer, accepts) => self.read_offer(world, offer, accepts)?,
+            Step::LoseOffer(offer) => drop(world.offers_in_flight.remove(offer)),
             Step::ReceiveAnswer => self.receive_answer(world)?,
-            Step::Unreached => self.unreached(world)?,
+            Step::ReceiverNotReached => self.receiver_not_reached(world)?,
             Step::TimeOut => self.time_out(world)?,
             Step::OfferAgain => {
                 let Record::Offered { to, in_doubt: true, .. } = *world.holder_record() else { return None };
@@ -366,30 +377,31 @@
             }
             Step::StopAsking => self.stop_asking(world)?,
             Step::ExpireOffers => world.offers_expired = true,
-            Step::GiveUp => {
+            Step::Reject => {
                 let Record::Queued { possible_delivery: false, .. } = *world.holder_record() else {
                     return None;
                 };
                 *world.holder_record() = Record::Finished(FinalAnswer::Rejected);
             }
             Step::Deliver(node) => {
-                let Record::InFlight { marked, possible_delivery, delivered: false } =
+                let Record::InFlight { handed_over, possible_delivery, delivered: false } =
                     world.nodes[node].record
                 else {
                     return None;
                 };
-                world.nodes[node].record = Record::InFlight { marked, possible_delivery, delivered: true };
+                world.nodes[node].record =
+                    Record::InFlight { handed_over, possible_delivery, delivered: true };
                 world.deliveries = (world.deliveries + 1).min(2);
             }
-            Step::ReceivePartnerAnswer(node) => self.receive_partner_answer(world, node, true)?,
-            Step::LosePartnerAnswer(node) => self.receive_partner_answer(world, node, false)?,
+            Step::ReceiveEndpointAnswer(node) => self.receive_endpoint_answer(world, node, true)?,
+            Step::LoseEndpointAnswer(node) => self.receive_endpoint_answer(world, node, false)?,
             Step::Forget(node) => {
                 world.nodes[node].record = Record::Unknown;
                 world.forgotten += 1;
             }
             Step::Crash(node) => {
                 world.crashes -= 1;
-                world.nodes[node].up = false;
+                world.nodes[node].is_up = false;
                 if node == HOLDER || world.answer.is_some() {
                     world.stop_waiting();
                 }
@@ -399,7 +411,7 @@
         Some(())
     }
 
-    /// What the holder may do while it waits for an answer, and when it does not.
+    /// Adds the steps of the holder while it waits for an answer, and while it does not.
     fn holder_steps(&self, world: &World, steps: &mut Vec<Step>) {
         let may_offer = world.offers > 0 && !world.offers_expired;
         match world.nodes[HOLDER].record {
@@ -408,7 +420,7 @@
                     steps.push(Step::ReceiveAnswer);
                 }
                 if world.is_waiting() || !in_doubt {
-                    steps.extend([Step::TimeOut, Step::Unreached]);
+                    steps.extend([Step::TimeOut, Step::ReceiverNotReached]);
                     return;
                 }
                 if may_offer && self.member(world, HOLDER, to) {
@@ -416,28 +428,28 @@
                 }
                 steps.push(Step::StopAsking);
             }
-            Record::Queued { .. } => steps.push(Step::GiveUp),
+            Record::Queued { .. } => steps.push(Step::Reject),
             _ => {}
         }
     }
 
-    fn node_steps(&self, world: &World, place: usize, steps: &mut Vec<Step>) {
-        let node = &world.nodes[place];
-        if !node.up {
-            return steps.push(Step::Restart(place));
+    fn node_steps(&self, world: &World, index: usize, steps: &mut Vec<Step>) {
+        let node = &world.nodes[index];
+        if !node.is_up {
+            return steps.push(Step::Restart(index));
         }
         let versions = (0..=world.latest).filter(|version| *version != node.version);
-        steps.extend(versions.map(|version| Step::ReceiveView(place, version)));
+        steps.extend(versions.map(|version| Step::ReceiveView(index, version)));
         if world.crashes > 0 {
-            steps.push(Step::Crash(place));
+            steps.push(Step::Crash(index));
         }
         match node.record {
-            Record::Queued { .. } => steps.push(Step::Dispatch(place)),
-            Record::InFlight { delivered: false, .. } => steps.push(Step::Deliver(place)),
+            Record::Queued { .. } => steps.push(Step::Dispatch(index)),
+            Record::InFlight { delivered: false, .. } => steps.push(Step::Deliver(index)),
             Record::InFlight { delivered: true, .. } => {
-                steps.extend([Step::ReceivePartnerAnswer(place), Step::LosePartnerAnswer(place)]);
+                steps.extend([Step::ReceiveEndpointAnswer(index), Step::LoseEndpointAnswer(index)]);
             }
-            _ if self.may_forget(world, place) => steps.push(Step::Forget(place)),
+            _ if self.may_forget(world, index) => steps.push(Step::Forget(index)),
             _ => {}
         }
     }
@@ -448,12 +460,12 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node { up: true, version: 0, latest_received: 0, record: Record::Unknown };
+        let node = Node { is_up: true, version: 0, latest_received: 0, record: Record::Unknown };
         let mut nodes = vec![node; FORWARDERS];
-        nodes[HOLDER].record = Record::Queued { marked: false, possible_delivery: false };
+        nodes[HOLDER].record = Record::Queued { handed_over: false, possible_delivery: false };
         vec![World {
             nodes,
-            requests: Vec::new(),
+            offers_in_flight: Vec::new(),
             answer: None,
             latest: 0,
             offers_expired: false,
@@ -473,16 +485,16 @@
         if !world.offers_expired {
             steps.push(Step::ExpireOffers);
         }
-        if world.nodes[HOLDER].up {
+        if world.nodes[HOLDER].is_up {
             self.holder_steps(world, steps);
         }
         for node in 0..FORWARDERS {
             self.node_steps(world, node, steps);
         }
-        for (place, request) in world.requests.iter().enumerate() {
-            steps.push(Step::LoseRequest(place));
-            if world.nodes[request.to].up {
-                steps.extend([Step::Read(place, true), Step::Read(place, false)]);
+        for (index, offer) in world.offers_in_flight.iter().enumerate() {
+            steps.push(Step::LoseOffer(index));
+            if world.nodes[offer.to].is_up {
+                steps.extend([Step::ReadOffer(index, true), Step::ReadOffer(index, false)]);
             }
         }
     }
@@ -503,10 +515,10 @@
                 let offered = records().any(|record| matches!(record, Record::Offered { .. }));
                 (1..=1 + world.abandoned_doubts).contains(&count) || count == 0 && offered
             }),
-            Property::always(NO_REPEAT, |bounds: &Bounds, world: &World| {
+            Property::always(DELIVERED_AT_MOST_ONCE, |bounds: &Bounds, world: &World| {
                 bounds.idempotent || world.deliveries < 2
             }),
-            Property::always(TRUE_ANSWERS, |_, world: &World| {
+            Property::always(ANSWERS_ARE_TRUE, |_, world: &World| {
                 world.nodes.iter().all(|node| match node.record.final_answer() {
                     Some(FinalAnswer::Delivered) => world.deliveries > 0,
                     Some(FinalAnswer::Rejected) => {
@@ -516,30 +528,31 @@
                 })
             }),
             Property::always(ONE_HANDOVER, |_, world: &World| !world.handed_over_twice),
-            Property::always(NEVER_BACK, |_, world: &World| {
+            Property::always(NO_OLDER_VIEW, |_, world: &World| {
                 world.nodes.iter().all(|node| node.version >= node.latest_received)
             }),
-            Property::sometimes("the first owner delivers it", |bounds: &Bounds, world: &World| {
+            Property::sometimes("the first owner delivers the message", |bounds: &Bounds, world: &World| {
                 world.nodes[bounds.first_owner].record == Record::Finished(FinalAnswer::Delivered)
             }),
-            Property::sometimes("the next owner delivers it", |bounds: &Bounds, world: &World| {
+            Property::sometimes("the next owner delivers the message", |bounds: &Bounds, world: &World| {
                 world.nodes[bounds.next_owner].record == Record::Finished(FinalAnswer::Delivered)
             }),
         ]
     }
 }
 
-/// A region in which the owner of a destination, the second forwarder, leaves and returns. Meanwhile the given one owns it.
-fn bounds(next_owner: usize) -> Bounds {
+/// Returns bounds in which the destination's owner, the second forwarder, leaves and returns. `next_owner` owns the
+/// destination meanwhile.
+fn new_bounds(next_owner: usize) -> Bounds {
     let first_owner = 1;
     let all = || (0..FORWARDERS).map(|number| member(number, 1.0)).collect::<Vec<_>>();
     let name = |number| member(number, 1.0).name;
     let first = view(1, all());
-    let fits = |destination: &u64| {
+    let has_this_ranking = |destination: &u64| {
         let ranked = first.ranking(*destination);
         ranked[0].name == name(first_owner) && ranked[1].name == name(next_owner)
     };
-    let destination = (0..).find(fits).expect("there is one");
+    let destination = (0..).find(has_this_ranking).expect("some destination is ranked in this order");
     let rest = all().into_iter().filter(|member| member.name != name(first_owner)).collect();
     let views = vec![first, view(2, rest), view(3, all())];
     Bounds {
@@ -558,48 +571,49 @@
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-fn assert_holds(what: &str, bounds: Bounds) {
+fn assert_holds(label: &str, bounds: Bounds) {
     let checker = check(bounds);
-    println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
+    println!("{label}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_a_third_forwarder_takes_over() {
-    assert_holds("not idempotent, a third is next", bounds(2));
+    assert_holds("not idempotent, a third forwarder takes over", new_bounds(2));
 }
 
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_the_holder_takes_over() {
-    assert_holds("not idempotent, the holder is next", bounds(HOLDER));
+    assert_holds("not idempotent, the holder takes over", new_bounds(HOLDER));
 }
 
 #[test]
 fn idempotent_message_is_never_lost() {
-    assert_holds("idempotent, a third is next", Bounds { idempotent: true, ..bounds(2) });
-    assert_holds("idempotent, the holder is next", Bounds { idempotent: true, ..bounds(HOLDER) });
+    assert_holds("idempotent, a third forwarder takes over", Bounds { idempotent: true, ..new_bounds(2) });
+    assert_holds("idempotent, the holder takes over", Bounds { idempotent: true, ..new_bounds(HOLDER) });
 }
 
-// The check has to find a violation when a part of the protocol is left out.
+// The check must find a violation when a part of the protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, property, next_owner) in [
         (Mutant::EndsBeforeAnswer, ONE_ANSWER, 2),
-        (Mutant::LostIsRejected, NO_REPEAT, 2),
-        (Mutant::RejectionSettlesDoubt, NO_REPEAT, HOLDER),
-        (Mutant::MarkIgnored, ONE_HANDOVER, 2),
-        (Mutant::IdempotencyIgnored, NO_REPEAT, 2),
-        (Mutant::ForgetsEarly, NO_REPEAT, 2),
-        (Mutant::LateOffers, NO_REPEAT, 2),
-        (Mutant::OlderViews, NEVER_BACK, 2),
+        (Mutant::LostIsRejected, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::RejectionEndsDoubt, DELIVERED_AT_MOST_ONCE, HOLDER),
+        (Mutant::HandsOverAgain, ONE_HANDOVER, 2),
+        (Mutant::IdempotencyIgnored, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::ForgetsEarly, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::AcceptsLateOffers, DELIVERED_AT_MOST_ONCE, 2),
+        (Mutant::AppliesOlderViews, NO_OLDER_VIEW, 2),
     ] {
-        let model = Bounds { mutant, ..bounds(next_owner) }.checker().threads(4);
+        let model = Bounds { mutant, ..new_bounds(next_owner) }.checker().threads(4);
         let found = HasDiscoveries::AnyOf([property].into_iter().collect());
         let checker = model.finish_when(found).spawn_bfs().join();
-        let path = checker.discovery(property).unwrap_or_else(|| panic!("{mutant:?} is not found"));
+        let path =
+            checker.discovery(property).unwrap_or_else(|| panic!("{mutant:?} does not violate: {property}"));
         let steps = path.into_actions();
         println!(
-            "{mutant:?}: found after {} states, by {} steps: {steps:?}",
+            "{mutant:?}: violation found after {} states, by {} steps: {steps:?}",
             checker.unique_state_count(),
             steps.len()
         );
--- a/crates/ownership/tests/rate_model.rs
+++ b/crates/ownership/tests/rate_model.rs
@@ -1,6 +1,6 @@
-//! Model checking of the rates of owners: the state machine that forwarders run, against a registry that keeps its promises
-//! and nothing more, over every order of renewals, reads, answers that are late or lost and sessions that expire within the
-//! bounds given, with one clock that is slow by the whole drift.
+//! Model checking of the rates of owners. The forwarders run the real state machine against a registry that gives only
+//! the guarantees that the protocol requires. The check covers every order of renewals, reads, late or lost answers and
+//! expiring sessions within the bounds. One clock is slow by the whole clock drift.
 
 mod common;
 
@@ -10,48 +10,51 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 2;
-/// In units of the clock.
+/// The times of the protocol, in units of the clock.
 const TTL: Micros = 2;
 const VIEW_LIFETIME: Micros = 2;
 const WARM_UP_TIME: Micros = 2;
-/// Before anything that the model does.
+/// A time before the first step of the model.
 const LONG_AGO: Micros = -1000;
 
-const ONE_FULL: &str = "at most one sends at the full rate";
+const ONE_FULL: &str = "at most one member sends at the full rate";
 
-/// The part of the protocol that is left out, so that the check must find the property that it guards.
+/// The part of the protocol that is disabled. The check must then find a violation of the property that the part
+/// protects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// A new owner sends at the full rate at once.
     NoWarmUp,
-    /// Reads and renewals count from their answers.
-    FromAnswer,
-    /// Clocks are assumed to run alike.
-    NoDrift,
+    /// Reads and renewals are valid from the time of their answers.
+    ValidFromAnswer,
+    /// Forwarders assume that all clocks run at the same rate.
+    NoClockDrift,
     /// Views never expire.
     ViewsNeverExpire,
-    /// A new session counts as a renewal of the last.
+    /// A forwarder treats a new session as a renewal of the previous one.
     NewSessionIsRenewal,
 }
 
 struct Bounds {
-    /// Both are members at the start, and the first owns the destination. Otherwise the second joins, and then owns it.
+    /// Whether both forwarders are members at the start. If so, the first owns the destination. Otherwise the second
+    /// joins, and then owns the destination.
     both_present: bool,
-    /// The first member's renewals are late or lost, so its session may expire. All others take effect at once.
+    /// Whether the first member's renewals may be late or lost, so that its session may expire. All other renewals take
+    /// effect at once.
     renewals_late: bool,
-    until: Micros,
+    last_time: Micros,
     restarts: u8,
     mutant: Mutant,
 }
 
-/// An answer of the registry in flight, with the time at which its request was sent. That the request takes time is not a
-/// step of its own: an answer that comes later counts for a shorter time.
+/// An answer of the registry in flight, with the time at which its request was sent. The delay of the request is not a
+/// separate step, because an answer that arrives later is valid for a shorter time.
 type Answer<T> = Option<(Micros, T)>;
-/// Sessions are numbered as they are created.
+/// The number of a session, in the order of creation.
 type SessionId = u8;
 
-/// A member's session as the registry has it.
+/// A member's session as stored in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Session {
     id: SessionId,
@@ -62,9 +65,9 @@
 struct Participant {
     state: MemberState,
     view_read: Answer<View>,
-    /// The session that it knows.
+    /// The session that the member knows.
     session: Option<SessionId>,
-    /// The answer to its renewal: the session that was renewed, or a new one.
+    /// The answer to the member's renewal, which has the id of the renewed session or of a new one.
     renewal: Answer<SessionId>,
 }
 
@@ -73,7 +76,7 @@
     clock: Micros,
     participants: Vec<Participant>,
     sessions: Vec<Option<Session>>,
-    /// Sessions created so far.
+    /// The number of sessions created so far.
     sessions_created: SessionId,
     version: u64,
     restarts: u8,
@@ -90,18 +93,18 @@
     Restart(usize),
 }
 
-/// A destination that this member owns where both are members.
+/// Returns a destination that this member owns if both are members.
 fn destination(owner: usize) -> u64 {
     let both = view(1, (0..MEMBERS).map(|number| member(number, 1.0)).collect());
     let owns = |destination: &u64| {
         both.owner(*destination).map(|owner| &owner.name) == Some(&member(owner, 1.0).name)
     };
-    (0..).find(owns).expect("there is one")
+    (0..).find(owns).expect("the member owns a destination")
 }
 
 impl Bounds {
     fn config(&self) -> OwnershipConfig {
-        let clock_drift = if self.mutant == Mutant::NoDrift { 0.0 } else { 0.5 };
+        let clock_drift = if self.mutant == Mutant::NoClockDrift { 0.0 } else { 0.5 };
         let warm_up_time = if self.mutant == Mutant::NoWarmUp { 0 } else { WARM_UP_TIME };
         let view_lifetime = if self.mutant == Mutant::ViewsNeverExpire { 1000 } else { VIEW_LIFETIME };
         OwnershipConfig { session_ttl: TTL, view_lifetime, warm_up_time, clock_drift }
@@ -111,31 +114,32 @@
         destination(if self.both_present { 0 } else { 1 })
     }
 
-    /// The first member's clock is slow by a third: the other is faster by a half of its rate.
-    fn local(&self, member: usize, clock: Micros) -> Micros {
+    /// Returns the time on a member's own clock. The first member's clock runs at two thirds of the rate of the other
+    /// member's clock, whose rate is therefore higher by a half.
+    fn local_time(&self, member: usize, clock: Micros) -> Micros {
         if member == 0 { clock * 2 / 3 } else { clock }
     }
 
     fn rate(&self, world: &World, member: usize) -> Option<Rate> {
-        let now = self.local(member, world.clock);
+        let now = self.local_time(member, world.clock);
         match world.participants[member].state.decide(&self.config(), now, self.destination(), true) {
             DeliveryDecision::Deliver(rate) => Some(rate),
             DeliveryDecision::HandOver(_) => None,
         }
     }
 
-    /// How many send at the full rate.
+    /// Returns how many members send at the full rate.
     fn count_at_full_rate(&self, world: &World) -> usize {
         (0..MEMBERS).filter(|member| self.rate(world, *member) == Some(Rate::Full)).count()
     }
 
-    fn registry(&self, world: &World) -> View {
+    fn registry_view(&self, world: &World) -> View {
         let present = (0..MEMBERS).filter(|member| world.sessions[*member].is_some());
         view(world.version, present.map(|member| common::member(member, 1.0)).collect())
     }
 
-    fn counts_from(&self, sent_at: Micros, now: Micros) -> Micros {
-        if self.mutant == Mutant::FromAnswer { now } else { sent_at }
+    fn valid_from(&self, sent_at: Micros, now: Micros) -> Micros {
+        if self.mutant == Mutant::ValidFromAnswer { now } else { sent_at }
     }
 
     fn new_state(&self, member: usize) -> MemberState {
@@ -144,26 +148,26 @@
         state
     }
 
-    fn is_late(&self, member: usize) -> bool {
+    fn has_late_renewals(&self, member: usize) -> bool {
         self.renewals_late && member == 0
     }
 
     fn renew_others(&self, world: &mut World) {
-        for member in (0..MEMBERS).filter(|member| !self.is_late(*member)) {
-            let known = world.participants[member].session;
+        for member in (0..MEMBERS).filter(|member| !self.has_late_renewals(*member)) {
+            let known_session = world.participants[member].session;
             if let Some(session) = &mut world.sessions[member]
-                && known == Some(session.id)
+                && known_session == Some(session.id)
             {
                 session.renewed = world.clock;
-                world.participants[member].state.on_renewed(self.local(member, world.clock));
+                world.participants[member].state.on_renewed(self.local_time(member, world.clock));
             }
         }
     }
 
-    /// Renews the session that a member knows, or creates a new one.
+    /// Renews the session that a member knows, or creates a new session.
     fn renew(&self, world: &mut World, member: usize) -> SessionId {
-        let known = world.participants[member].session;
-        let present = world.sessions[member].filter(|session| Some(session.id) == known);
+        let known_session = world.participants[member].session;
+        let present = world.sessions[member].filter(|session| Some(session.id) == known_session);
         let id = present.map_or(world.sessions_created, |session| session.id);
         if present.is_none() {
             world.sessions_created += 1;
@@ -180,25 +184,25 @@
                 self.renew_others(world);
             }
             Step::ReadView(member) => {
-                let view = self.registry(world);
-                world.participants[member].view_read = Some((self.local(member, world.clock), view));
+                let view = self.registry_view(world);
+                world.participants[member].view_read = Some((self.local_time(member, world.clock), view));
             }
             Step::ReceiveView(member) => {
-                let now = self.local(member, world.clock);
+                let now = self.local_time(member, world.clock);
                 let (sent_at, view) = world.participants[member].view_read.take()?;
-                let sent_at = self.counts_from(sent_at, now);
-                // Rejected where it is older.
+                let sent_at = self.valid_from(sent_at, now);
+                // An older view is rejected.
                 let _ = world.participants[member].state.on_view(&self.config(), now, sent_at, view);
             }
             Step::Renew(member) => {
                 let id = self.renew(world, member);
-                world.participants[member].renewal = Some((self.local(member, world.clock), id));
+                world.participants[member].renewal = Some((self.local_time(member, world.clock), id));
             }
             Step::ReceiveRenewal(member) => {
-                let now = self.local(member, world.clock);
+                let now = self.local_time(member, world.clock);
                 let receiver = &mut world.participants[member];
                 let (sent_at, id) = receiver.renewal.take()?;
-                let sent_at = self.counts_from(sent_at, now);
+                let sent_at = self.valid_from(sent_at, now);
                 if receiver.session == Some(id) || self.mutant == Mutant::NewSessionIsRenewal {
                     receiver.state.on_renewed(sent_at);
                 } else {
@@ -245,12 +249,12 @@
             version: 1,
             restarts: self.restarts,
         };
-        let view = self.registry(&world);
+        let view = self.registry_view(&world);
         for member in (0..MEMBERS).filter(is_present) {
             let state = &mut world.participants[member].state;
             state.on_registered(LONG_AGO, LONG_AGO);
-            for at in [LONG_AGO, 0] {
-                state.on_view(&self.config(), at, at, view.clone()).expect("not older");
+            for read_at in [LONG_AGO, 0] {
+                state.on_view(&self.config(), read_at, read_at, view.clone()).expect("the view is not older");
             }
             state.on_renewed(0);
         }
@@ -258,34 +262,35 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.clock < self.until {
+        if world.clock < self.last_time {
             steps.push(Step::Tick);
         }
-        for (place, member) in world.participants.iter().enumerate() {
-            let now = self.local(place, world.clock);
+        for (index, member) in world.participants.iter().enumerate() {
+            let now = self.local_time(index, world.clock);
             // A request whose answer is lost is sent again.
             if member.view_read.as_ref().is_none_or(|(sent_at, _)| *sent_at < now) {
-                steps.push(Step::ReadView(place));
+                steps.push(Step::ReadView(index));
             }
             let is_registered =
-                world.sessions[place].is_some_and(|session| Some(session.id) == member.session);
-            if (self.is_late(place) || !is_registered)
+                world.sessions[index].is_some_and(|session| Some(session.id) == member.session);
+            if (self.has_late_renewals(index) || !is_registered)
                 && member.renewal.is_none_or(|(sent_at, _)| sent_at < now)
             {
-                steps.push(Step::Renew(place));
+                steps.push(Step::Renew(index));
             }
             if member.view_read.is_some() {
-                steps.push(Step::ReceiveView(place));
+                steps.push(Step::ReceiveView(index));
             }
             if member.renewal.is_some() {
-                steps.push(Step::ReceiveRenewal(place));
+                steps.push(Step::ReceiveRenewal(index));
             }
-            let may_end = |session: Session| self.is_late(place) && world.clock >= session.renewed + TTL;
-            if world.sessions[place].is_some_and(may_end) {
-                steps.push(Step::Expire(place));
+            let may_expire =
+                |session: Session| self.has_late_renewals(index) && world.clock >= session.renewed + TTL;
+            if world.sessions[index].is_some_and(may_expire) {
+                steps.push(Step::Expire(index));
             }
             if world.restarts > 0 {
-                steps.push(Step::Restart(place));
+                steps.push(Step::Restart(index));
             }
         }
     }
@@ -301,9 +306,10 @@
             Property::always(ONE_FULL, |bounds: &Bounds, world: &World| {
                 bounds.count_at_full_rate(world) <= 1
             }),
-            Property::sometimes("the second sends at the full rate", |bounds: &Bounds, world: &World| {
-                bounds.rate(world, 1) == Some(Rate::Full)
-            }),
+            Property::sometimes(
+                "the second member sends at the full rate",
+                |bounds: &Bounds, world: &World| bounds.rate(world, 1) == Some(Rate::Full),
+            ),
             Property::sometimes("an owner is not confirmed", |bounds: &Bounds, world: &World| {
                 bounds.rate(world, 0) == Some(Rate::SlowStart(SlowStartReason::Unconfirmed))
             }),
@@ -311,45 +317,46 @@
     }
 }
 
-/// Checks all states within the bounds, or until a property is violated.
+/// Checks all states within the bounds, until a property is violated.
 fn check(bounds: Bounds) -> impl Checker<Bounds> {
     bounds.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-fn assert_holds(what: &str, bounds: Bounds) {
+fn assert_holds(label: &str, bounds: Bounds) {
     let checker = check(bounds);
-    println!("{what}: {} states, the longest path {}", checker.unique_state_count(), checker.max_depth());
+    println!("{label}: {} states, longest path: {} steps", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
-const JOIN: Bounds =
-    Bounds { both_present: false, renewals_late: false, until: 5, restarts: 0, mutant: Mutant::None };
+const MEMBER_JOINS: Bounds =
+    Bounds { both_present: false, renewals_late: false, last_time: 5, restarts: 0, mutant: Mutant::None };
 const SESSION_EXPIRES: Bounds =
-    Bounds { both_present: true, renewals_late: true, until: 5, restarts: 0, mutant: Mutant::None };
+    Bounds { both_present: true, renewals_late: true, last_time: 5, restarts: 0, mutant: Mutant::None };
 
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_member_joins() {
-    assert_holds("a join", JOIN);
+    assert_holds("a member joins", MEMBER_JOINS);
 }
 
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_session_expires() {
-    assert_holds("a session's end", SESSION_EXPIRES);
+    assert_holds("a session expires", SESSION_EXPIRES);
 }
 
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, bounds) in [
-        (Mutant::NoWarmUp, JOIN),
-        (Mutant::FromAnswer, JOIN),
-        (Mutant::NoDrift, JOIN),
-        (Mutant::ViewsNeverExpire, JOIN),
+        (Mutant::NoWarmUp, MEMBER_JOINS),
+        (Mutant::ValidFromAnswer, MEMBER_JOINS),
+        (Mutant::NoClockDrift, MEMBER_JOINS),
+        (Mutant::ViewsNeverExpire, MEMBER_JOINS),
         (Mutant::NewSessionIsRenewal, SESSION_EXPIRES),
     ] {
         let checker = check(Bounds { mutant, ..bounds });
-        let path = checker.discovery(ONE_FULL).unwrap_or_else(|| panic!("{mutant:?} is not found"));
+        let path =
+            checker.discovery(ONE_FULL).unwrap_or_else(|| panic!("{mutant:?} does not violate: {ONE_FULL}"));
         println!(
-            "{mutant:?}: found after {} states, by {} steps",
+            "{mutant:?}: violation found after {} states, by {} steps",
             checker.unique_state_count(),
             path.into_actions().len()
         );
