--- a/crates/config/src/builtins.rs
+++ b/crates/config/src/builtins.rs
@@ -1,8 +1,8 @@
-//! The functions that a script has besides Starlark's own: `consul`, `ownership`, `policy`, `member`, `service` and `tls`.
-//! All their arguments are named.
+//! Defines the functions that a script can call besides Starlark's own: `consul`, `ownership`, `policy`, `member`,
+//! `service` and `tls`. Their arguments are passed by name.
 //!
-//! `service(...)`, `tls(...)` and `member(...)` return a value for one of the others. `consul(...)`, `ownership(...)` and
-//! `policy(...)` request settings, each at most once.
+//! `service(...)`, `tls(...)` and `member(...)` return a value that is passed to one of the other functions.
+//! `consul(...)`, `ownership(...)` and `policy(...)` request settings; a script calls each of them at most once.
 
 use crate::forms::{ConsulForm, Form, PolicyForm, ServiceForm, TlsForm, unknown};
 use crate::ownership::{MemberForm, OwnershipForm};
@@ -18,19 +18,19 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// What a script has requested so far: the forms as JSON by their function, and the script's folder by [`FOLDER_KEY`]. A
-/// type of its own would need an unsafe implementation of the trait by which the evaluator passes it to functions; the
-/// standard library's types have one.
+/// The settings that a script has requested so far. Each key is a function's name, and its value is the function's form
+/// as JSON; the value of [`FOLDER_KEY`] is the script's folder. This is a standard type because the evaluator passes it
+/// to functions through a trait that a type of this crate could implement only with `unsafe`.
 pub(crate) type Requests = RefCell<BTreeMap<String, String>>;
 
-/// The key of the script's folder among its requests.
+/// The key of the script's folder in [`Requests`].
 pub(crate) const FOLDER_KEY: &str = "";
-/// The functions that request settings.
+/// Names of the functions that request settings.
 pub(crate) const CONSUL: &str = "consul";
 pub(crate) const OWNERSHIP: &str = "ownership";
 pub(crate) const POLICY: &str = "policy";
 
-/// The arguments of a function.
+/// The arguments of a function by their names.
 type Arguments<'v> = SmallMap<String, Value<'v>>;
 
 fn requests_of<'a>(evaluator: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Requests> {
@@ -38,7 +38,7 @@
     extra.ok_or_else(|| anyhow!("this function is not available here"))
 }
 
-/// Reads the arguments of a function into its form and checks it.
+/// Reads the arguments of a function into its form and checks the form.
 fn read_form<F: Form>(function: &str, arguments: &Arguments<'_>, requests: &Requests) -> anyhow::Result<F> {
     let arguments = arguments_to_json::<F>(function, arguments)?;
     let mut form: F =
@@ -68,7 +68,7 @@
     Ok(json)
 }
 
-/// Returns a checked form as a value of the script.
+/// Reads and checks the arguments of a function, and returns its form as a Starlark value.
 fn form_value<'v, F: Form>(
     function: &str,
     arguments: &Arguments<'v>,
@@ -78,7 +78,8 @@
     Ok(evaluator.heap().alloc(serde_json::to_value(form)?))
 }
 
-/// Requests settings by a checked form, once a script; `only_one` says why.
+/// Stores a checked form as the request of `function`. Returns an error if the script has called the function before;
+/// `only_one` is the reason in that error.
 fn request<F: Form>(
     function: &str,
     arguments: &Arguments<'_>,
@@ -89,12 +90,12 @@
     let form: F = read_form(function, arguments, requests)?;
     let earlier = requests.borrow_mut().insert(function.to_owned(), serde_json::to_string(&form)?);
     if earlier.is_some() {
-        return Err(anyhow!("{function}: is asked for twice: {only_one}"));
+        return Err(anyhow!("{function}: is called more than once: {only_one}"));
     }
     Ok(NoneType)
 }
 
-/// Adds the functions of this module.
+/// Adds the functions of this module to the globals of a script.
 pub(crate) fn builtins(builder: &mut GlobalsBuilder) {
     value_functions(builder);
     request_functions(builder);
@@ -102,7 +103,7 @@
 
 #[starlark_module]
 fn value_functions(builder: &mut GlobalsBuilder) {
-    /// TLS towards a server: `ca`, and optionally `cert` with `key`, and `server_name`.
+    /// Describes TLS towards a server: `ca`, and optionally `cert` with `key`, and `server_name`.
     fn tls<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -110,8 +111,8 @@
         form_value::<TlsForm>("tls", &fields, eval)
     }
 
-    /// A service of the catalogue: `name`, `destination`, `kind`, `zone`, and optionally `zone_meta`, `capacity` and
-    /// `filter`.
+    /// Describes a service of the catalogue: `name`, `destination`, `kind`, `zone`, and optionally `zone_meta`,
+    /// `capacity` and `filter`.
     fn service<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -119,7 +120,7 @@
         form_value::<ServiceForm>("service", &fields, eval)
     }
 
-    /// A forwarder of the fleet: `name`, `zone`, `address`, and optionally `region` and `weight`.
+    /// Describes a forwarder of the fleet: `name`, `zone`, `address`, and optionally `region` and `weight`.
     fn member<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -130,8 +131,8 @@
 
 #[starlark_module]
 fn request_functions(builder: &mut GlobalsBuilder) {
-    /// Consul as the source of endpoints: `addresses`, `services`, `networks`, and optionally `tls`, `token_file`,
-    /// `datacenter`, `namespace`, `consistency`, `max_stale`, `wait` and `connections`.
+    /// Requests Consul as the source of endpoints: `addresses`, `services`, `networks`, and optionally `tls`,
+    /// `token_file`, `datacenter`, `namespace`, `consistency`, `max_stale`, `wait` and `connections`.
     fn consul<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -139,16 +140,17 @@
         request::<ConsulForm>(CONSUL, &fields, eval, "the endpoint list has one source")
     }
 
-    /// The owners of destinations: `name` and `region` of this forwarder, `regions` with the zones of each, and `members`.
+    /// Requests owners of destinations: `name` and `region` of this forwarder, `regions` with the zones of each, and
+    /// `members`.
     fn ownership<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        request::<OwnershipForm>(OWNERSHIP, &fields, eval, "a forwarder stands in one region")
+        request::<OwnershipForm>(OWNERSHIP, &fields, eval, "a forwarder belongs to one region")
     }
 
-    /// The policy commit point of the fleet, in Consul: `addresses`, and optionally `prefix`, `name`, `ttl`, `tls`,
-    /// `token_file`, `datacenter` and `namespace`.
+    /// Requests the policy commit point of the fleet, in Consul: `addresses`, and optionally `prefix`, `name`, `ttl`,
+    /// `tls`, `token_file`, `datacenter` and `namespace`.
     fn policy<'v>(
         #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
--- a/crates/config/src/forms/consul.rs
+++ b/crates/config/src/forms/consul.rs
@@ -1,4 +1,5 @@
-//! The forms of `consul(...)` and `service(...)`: Consul as the source of endpoints, and the services to follow.
+//! Checks the arguments of `consul(...)` and `service(...)`: Consul as the source of endpoints, and the services to
+//! follow.
 
 use super::fields::{
     DurationLimits, check_not_empty, check_token_file, parse_addresses, parse_duration, parse_network,
@@ -10,14 +11,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The longest is the longest that Consul grants.
+/// Limits of `wait`. The maximum is the longest wait that Consul grants.
 const WAIT_LIMITS: DurationLimits =
     DurationLimits { min: Duration::from_secs(1), max: Duration::from_secs(600) };
-/// A leader's heartbeats are about a second apart.
+/// Limits of `max_stale`. A leader sends a heartbeat about once a second.
 const MAX_STALE_LIMITS: DurationLimits =
     DurationLimits { min: Duration::from_millis(100), max: Duration::from_secs(3600) };
 
-/// `service(...)`.
+/// Arguments of `service(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ServiceForm {
@@ -41,7 +42,7 @@
         }
         if !self.capacity.is_finite() || self.capacity < 0.0 {
             return Err(format!(
-                "capacity: {} cannot be: give calls a second, or leave it out where it is not known",
+                "capacity: {} is not valid: give calls a second, or omit it if it is not known",
                 self.capacity
             ));
         }
@@ -56,7 +57,7 @@
     }
 }
 
-/// `consul(...)`.
+/// Arguments of `consul(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ConsulForm {
@@ -95,7 +96,7 @@
 }
 
 impl ConsulForm {
-    /// The settings, if all fields can be used together.
+    /// Returns the settings, or the reason why the fields cannot be used together.
     pub(crate) fn settings(&self) -> Result<Settings, String> {
         let default = Settings::default();
         let addresses = parse_addresses(&self.addresses)?;
@@ -125,19 +126,19 @@
     }
 
     fn check_lists(&self) -> Result<(), String> {
-        check_not_empty("addresses", &self.addresses, "where a Consul agent or server answers")?;
-        check_not_empty("services", &self.services, "which services of the catalogue are followed")?;
-        let remedy = "in which networks endpoints may lie; any other is never dialled";
+        check_not_empty("addresses", &self.addresses, "the address of a Consul agent or server")?;
+        check_not_empty("services", &self.services, "the services of the catalogue to follow")?;
+        let remedy = "the networks of the endpoints; an address elsewhere is never dialled";
         check_not_empty("networks", &self.networks, remedy)
     }
 
-    /// Rejects a service that stands for one destination twice, and a destination of two kinds.
+    /// Returns an error if a service is listed twice for one destination, or if a destination has two kinds.
     fn check_services(&self) -> Result<(), String> {
         let mut seen = BTreeSet::new();
         let mut kinds = BTreeMap::new();
         for ServiceForm { name, destination, kind, .. } in &self.services {
             if !seen.insert((name, destination)) {
-                return Err(format!("services: {name:?} stands for destination {destination} twice"));
+                return Err(format!("services: {name:?} is listed twice for destination {destination}"));
             }
             let first = *kinds.entry(destination).or_insert(kind);
             if first != kind {
@@ -163,7 +164,10 @@
 
     fn max_stale(&self, consistency: Consistency, default: Duration) -> Result<Duration, String> {
         if self.max_stale.is_some() && consistency != Consistency::Stale {
-            return Err("max_stale: goes with consistency = \"stale\"; else the leader answers".to_owned());
+            return Err(
+                "max_stale: is valid only with consistency = \"stale\"; otherwise the leader answers"
+                    .to_owned(),
+            );
         }
         parse_duration("max_stale", self.max_stale.as_ref(), default, MAX_STALE_LIMITS)
     }
--- a/crates/config/src/forms/policy.rs
+++ b/crates/config/src/forms/policy.rs
@@ -1,4 +1,4 @@
-//! The form of `policy(...)`: the policy commit point of the fleet, in Consul.
+//! Checks the arguments of `policy(...)`: the policy commit point of the fleet, in Consul.
 
 use super::fields::{DurationLimits, check_not_empty, check_token_file, parse_addresses, parse_duration};
 use super::{Form, TlsForm};
@@ -8,14 +8,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The time without a renewal after which a forwarder counts as gone. Consul's own minimum is 10 s unless its
-/// `session_ttl_min` says otherwise.
+/// Limits of `ttl`, the time without a renewal after which a forwarder is considered gone. Consul's own minimum is 10 s
+/// unless its `session_ttl_min` sets another.
 const TTL_LIMITS: DurationLimits =
     DurationLimits { min: Duration::from_secs(1), max: Duration::from_secs(3600) };
 const DEFAULT_TTL: Duration = Duration::from_secs(10);
 const DEFAULT_PREFIX: &str = "orchidyoke/policy";
 
-/// `policy(...)`.
+/// Arguments of `policy(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PolicyForm {
@@ -40,10 +40,10 @@
 }
 
 impl PolicyForm {
-    /// The settings, if all fields can be used.
+    /// Returns the settings, or the reason why a field cannot be used.
     pub(crate) fn settings(&self) -> Result<PolicySettings, String> {
         let addresses = parse_addresses(&self.addresses)?;
-        check_not_empty("addresses", &addresses, "where a Consul agent or server answers")?;
+        check_not_empty("addresses", &addresses, "the address of a Consul agent or server")?;
         let prefix = self.prefix()?;
         self.check_name()?;
         let ttl = parse_duration("ttl", self.ttl.as_ref(), DEFAULT_TTL, TTL_LIMITS)?;
@@ -61,14 +61,16 @@
     fn prefix(&self) -> Result<String, String> {
         let prefix = self.prefix.as_deref().unwrap_or(DEFAULT_PREFIX);
         if prefix.is_empty() || prefix.starts_with('/') || prefix.ends_with('/') {
-            return Err(format!("prefix: {prefix:?}: give the keys' folder, without a slash at either end"));
+            return Err(format!(
+                "prefix: {prefix:?} is not valid: give the folder of the keys, without a slash at either end"
+            ));
         }
         Ok(prefix.to_owned())
     }
 
     fn check_name(&self) -> Result<(), String> {
         if self.name.as_ref().is_some_and(|name| name.is_empty() || name.contains('/')) {
-            let reason = "is empty or has a slash: give the forwarder's own, the only one in the fleet";
+            let reason = "is empty or contains a slash: give this forwarder's name, unique in the fleet";
             return Err(format!("name: {reason}"));
         }
         Ok(())
--- a/crates/config/src/forms/tls.rs
+++ b/crates/config/src/forms/tls.rs
@@ -1,4 +1,4 @@
-//! The form of `tls(...)`: TLS towards Consul.
+//! Checks the arguments of `tls(...)`: TLS towards Consul.
 
 use super::Form;
 use orchidyoke_consul::settings::Tls;
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// `tls(...)`.
+/// Arguments of `tls(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TlsForm {
@@ -25,7 +25,7 @@
             *path = folder.join(&path);
         }
         let tls = self.clone().into_settings();
-        // Which address is expected is known with the connection only; here the name is checked.
+        // The expected address is known only when a connection is opened, so only the name is checked here.
         let any_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         tls.expected_server_name(any_address).map_err(|error| error.to_string())?;
         tls.load().map(drop).map_err(|error| error.to_string())
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! The settings of an installation: a Starlark script, evaluated within limits on steps, memory and depth, and checked as
-//! a whole. The platform's JSON configuration is another file.
+//! Reads the settings of an installation from a Starlark script. The script is evaluated within limits on steps, memory
+//! and call depth, and its settings are checked as a whole. The platform's JSON configuration is a separate file.
 //!
-//! [`load`] evaluates a script in a process of its own: one that runs away, in time or memory, does no harm to the
-//! forwarder.
+//! [`load`] evaluates a script in a separate process, so that a script that takes too much time or memory does not harm
+//! the forwarder.
 //!
-//! The language is <https://github.com/bazelbuild/starlark/blob/master/spec.md>; a script has functions for Consul, the
-//! policy commit point and ownership besides the language's own.
+//! The language is specified in <https://github.com/bazelbuild/starlark/blob/master/spec.md>. Besides the functions of
+//! the language, a script has functions for Consul, the policy commit point and ownership.
 
 #![deny(missing_docs)]
 
@@ -22,16 +22,17 @@
 use orchidyoke_core::settings::Names;
 use serde::{Deserialize, Serialize};
 
-/// Half the descriptors are for clients and a quarter for partners; this part is left for Consul.
+/// Divides the number of descriptors to give the most connections to Consul. Half of the descriptors are for clients
+/// and a quarter is for endpoints.
 const CONSUL_DESCRIPTOR_DIVISOR: usize = 8;
 
-/// What an installation requests beyond the platform's configuration. The evaluating process, which may be of another
-/// version, writes it as JSON.
+/// Settings that an installation requests in addition to the platform's configuration. The evaluating process, which
+/// may be of another version, writes them as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Installation {
-    /// Consul as the source of endpoints.
+    /// Consul as the source of endpoints; `None` if the script doesn't request it.
     pub consul: Option<orchidyoke_consul::Settings>,
-    /// The policy commit point of the fleet, whose policy is laid over the platform's configuration.
+    /// The policy commit point of the fleet, whose policy is applied on top of the platform's configuration.
     #[serde(default)]
     pub policy: Option<orchidyoke_policy_commit::Settings>,
     /// The owners of destinations: the forwarders of the fleet.
@@ -40,8 +41,9 @@
 }
 
 impl Installation {
-    /// Checks these settings against the platform's: the names of kinds and zones, and that `max_descriptors` leave enough
-    /// for the connections to Consul. Returns every error found, one line each.
+    /// Checks these settings against the platform's. Each kind and zone must be known to the platform, and
+    /// `max_descriptors` must leave enough descriptors for the connections to Consul. Returns all errors, one line
+    /// each.
     pub fn check(&self, names: &Names, max_descriptors: usize) -> Vec<String> {
         let mut errors = self.check_zones(names);
         let Some(consul) = &self.consul else { return errors };
@@ -59,7 +61,7 @@
         let max_connections = max_descriptors / CONSUL_DESCRIPTOR_DIVISOR;
         if consul.connections > max_connections {
             errors.push(format!(
-                "consul: connections: {} are too many: with {max_descriptors} descriptors (limits.sockets) at most \
+                "consul: connections: {} is too many: with {max_descriptors} descriptors (limits.sockets) at most \
                  {max_connections} are left for Consul",
                 consul.connections
             ));
@@ -67,7 +69,7 @@
         errors
     }
 
-    /// The zones of the own region must be zones of the platform, since endpoints are in them as well.
+    /// Checks that the platform knows the zones of this forwarder's region, because endpoints are in these zones too.
     fn check_zones(&self, names: &Names) -> Vec<String> {
         let zones = self.ownership.iter().flat_map(|ownership| &ownership.zones);
         let missing = zones.filter(|zone| !names.zones.contains(zone));
--- a/crates/config/src/ownership.rs
+++ b/crates/config/src/ownership.rs
@@ -1,5 +1,5 @@
-//! `ownership(...)` and `member(...)` of the settings script: the forwarders of a fleet by region, each of which owns a
-//! share of the destinations.
+//! Checks the arguments of `ownership(...)` and `member(...)` in the settings script. They list the forwarders of a
+//! fleet by region; each forwarder owns a share of the destinations.
 
 use crate::forms::{Form, unknown};
 use orchidyoke_ownership::{Member, Region, View, ViewError};
@@ -11,37 +11,38 @@
 /// The owners of destinations: this forwarder, its region, and the fixed list of the region's members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OwnershipSettings {
-    /// This forwarder's name.
+    /// Name of this forwarder, which is also in `members`.
     pub name: String,
-    /// Its region.
+    /// Region of this forwarder.
     pub region: String,
-    /// The zones of its region.
+    /// Zones of that region.
     pub zones: BTreeSet<String>,
-    /// The number of regions: each has an owner for each destination.
+    /// Number of regions. Each region has an owner for each destination.
     pub regions: usize,
-    /// The forwarders of its region.
+    /// Forwarders of that region, including this one.
     pub members: Vec<MemberSettings>,
 }
 
-/// A forwarder of the region.
+/// A forwarder of this forwarder's region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberSettings {
-    /// Its name.
+    /// Name, unique in the region.
     pub name: String,
-    /// Its zone.
+    /// Zone of the region that it runs in.
     pub zone: String,
-    /// Where it accepts messages.
+    /// Address at which it accepts messages.
     pub address: SocketAddr,
-    /// Its share of the destinations is its share of the sum of weights.
+    /// Weight; its share of the destinations is its weight divided by the sum of all weights. 1 if the script sets
+    /// none.
     pub weight: f64,
 }
 
 impl OwnershipSettings {
-    /// The view of these members.
+    /// Returns the view with these members.
     ///
     /// # Errors
     ///
-    /// A member is not valid in the region, or two have one name.
+    /// Returns an error if a member is not valid in the region, or if two members have the same name.
     pub fn view(&self) -> Result<View, ViewError> {
         let region = Region { name: self.region.clone(), zones: self.zones.clone() };
         let member = |member: &MemberSettings| Member {
@@ -59,7 +60,7 @@
     1.0
 }
 
-/// The form of `member(...)`.
+/// Arguments of `member(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct MemberForm {
@@ -83,7 +84,7 @@
     fn settings(&self) -> Result<MemberSettings, String> {
         let address = self.address.parse().map_err(|_| {
             format!(
-                "address: {:?} is no IP address with a port, as 10.2.0.1:8080; names are not looked up",
+                "address: {:?} is not an IP address with a port, such as 10.2.0.1:8080; names are not looked up",
                 self.address
             )
         })?;
@@ -91,7 +92,7 @@
     }
 }
 
-/// The form of `ownership(...)`.
+/// Arguments of `ownership(...)`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct OwnershipForm {
@@ -110,7 +111,7 @@
 }
 
 impl OwnershipForm {
-    /// The settings, if all can be used together.
+    /// Returns the settings, or the reason why the fields cannot be used together.
     pub(crate) fn settings(&self) -> Result<OwnershipSettings, String> {
         let zones = self.zones_of(&self.region).map_err(|reason| format!("region: {reason}"))?;
         let mut members = Vec::new();
@@ -134,7 +135,8 @@
         Ok(ownership)
     }
 
-    /// The settings of a member; none for one of another region, which owns no destination of this one.
+    /// Returns the settings of a member, or `None` if the member is in another region. Such a member owns no
+    /// destination in this region.
     fn member(&self, member: &MemberForm) -> Result<Option<MemberSettings>, String> {
         let settings = member.settings()?;
         let region = member.region.as_ref().unwrap_or(&self.region);
@@ -147,7 +149,7 @@
             return Ok(Some(settings));
         }
         if member.name == self.name {
-            return Err(format!("{:?}, the own name, is of region {region:?}", self.name));
+            return Err(format!("{:?}, the name of this forwarder, is in region {region:?}", self.name));
         }
         Ok(None)
     }
@@ -158,13 +160,13 @@
     }
 }
 
-/// Rejects two members with one address.
+/// Returns an error if two members have the same address.
 fn check_addresses(members: &[MemberSettings]) -> Result<(), String> {
     let mut seen = BTreeMap::new();
     for member in members {
         if let Some(other) = seen.insert(member.address, &member.name) {
             return Err(format!(
-                "members: {other:?} and {:?} have one address, {}",
+                "members: {other:?} and {:?} have the same address, {}",
                 member.name, member.address
             ));
         }
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -1,7 +1,7 @@
-//! Settings scripts: read, parsed and evaluated within limits on steps, memory and depth.
+//! Reads, parses and evaluates settings scripts within limits on steps, memory and call depth.
 //!
-//! This runs in a process of its own ([`subprocess`](crate::subprocess)), and directly in tests. The functions of the
-//! script leave checked forms behind; when it has ended, the forms become an [`Installation`].
+//! This code runs in a separate process ([`subprocess`](crate::subprocess)); tests call it directly. The functions of a
+//! script store checked forms. When the script has ended, the forms are converted into an [`Installation`].
 
 use crate::Installation;
 use crate::builtins::{CONSUL, FOLDER_KEY, OWNERSHIP, POLICY, Requests, builtins};
@@ -17,17 +17,17 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The largest script that is read.
+/// Largest size of a script.
 const SCRIPT_MAX_BYTES: u64 = 1 << 20;
 
-/// How much a script may use.
+/// Limits on the evaluation of one script.
 #[derive(Clone, Copy, Debug)]
 pub struct EvaluationLimits {
-    /// Steps of the evaluator: calls and iterations of loops.
+    /// Limit on the evaluator's steps, which are calls and iterations of loops.
     pub max_ticks: u64,
-    /// Bytes of values.
+    /// Limit on the memory for values, in bytes.
     pub max_heap_bytes: usize,
-    /// Nested calls.
+    /// Limit on nested calls.
     pub max_call_depth: usize,
 }
 
@@ -37,13 +37,13 @@
     }
 }
 
-/// A place in a script. It is stored as the pair of line and column.
+/// A location in a script. It is serialized as a pair of line and column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, usize)", into = "(usize, usize)")]
 pub struct Location {
-    /// The line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// Column, counted from 1.
     pub column: usize,
 }
 
@@ -66,13 +66,13 @@
     }
 }
 
-/// Why a script cannot be used, in one line. Its JSON goes from the evaluating process, which may be of another version,
-/// to the forwarder.
+/// The reason why a script cannot be used, in one line. The evaluating process, which may be of another version, sends
+/// it to the forwarder as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScriptError {
-    /// The script.
+    /// Path of the script.
     pub file: PathBuf,
-    /// Where the error is, if it is at one place.
+    /// Location of the error; `None` if the error concerns the whole file.
     #[serde(rename = "place")]
     pub location: Option<Location>,
     /// What is wrong, and what to write instead.
@@ -81,7 +81,7 @@
 }
 
 impl ScriptError {
-    /// An error of the whole file.
+    /// Returns an error that concerns the whole file.
     pub(crate) fn of_file(file: &Path, reason: impl fmt::Display) -> ScriptError {
         ScriptError { file: file.to_owned(), location: None, reason: reason.to_string() }
     }
@@ -110,23 +110,24 @@
 ///
 /// # Errors
 ///
-/// The script cannot be read, is larger than 1 MiB, or fails as in [`evaluate`].
+/// Returns an error if the script cannot be read, is larger than 1 MiB, or fails as in [`evaluate`].
 pub fn evaluate_file(path: &Path) -> Result<Installation, ScriptError> {
     let unreadable = |error: std::io::Error| ScriptError::of_file(path, error);
     let size = std::fs::metadata(path).map_err(unreadable)?.len();
     if size > SCRIPT_MAX_BYTES {
-        let reason = format!("{size} bytes are too many: a script has at most {SCRIPT_MAX_BYTES}");
+        let reason = format!("the script has {size} bytes, the limit is {SCRIPT_MAX_BYTES}");
         return Err(ScriptError::of_file(path, reason));
     }
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     evaluate(path, text, EvaluationLimits::default())
 }
 
-/// Evaluates the text of a script; `path` is its name, and relative paths in it start from that folder.
+/// Evaluates the text of a script. Error messages name the script by `path`, and relative paths in the script are
+/// resolved against the folder of `path`.
 ///
 /// # Errors
 ///
-/// The script is not valid, exceeds a limit, or a function rejects its arguments.
+/// Returns an error if the script is not valid or exceeds a limit, or if a function rejects its arguments.
 pub fn evaluate(path: &Path, text: String, limits: EvaluationLimits) -> Result<Installation, ScriptError> {
     let folder = path.parent().map(|folder| folder.display().to_string()).unwrap_or_default();
     let requests = Requests::new(BTreeMap::from([(FOLDER_KEY.to_owned(), folder)]));
@@ -139,7 +140,7 @@
     })
 }
 
-/// Runs a script, whose functions leave their forms in `requests`.
+/// Runs a script. Its functions store their forms in `requests`.
 fn run(path: &Path, text: String, limits: EvaluationLimits, requests: &Requests) -> Result<(), ScriptError> {
     let failed = |error: starlark::Error| ScriptError::from_starlark(path, &error);
     let dialect = Dialect { enable_f_strings: true, enable_top_level_stmt: true, ..Dialect::Standard };
@@ -157,7 +158,7 @@
     })
 }
 
-/// The settings that a function of the script has requested, if the script calls it.
+/// Returns the settings that the script has requested by `function`, or `None` if it has not called that function.
 fn requested<F: DeserializeOwned, S>(
     requests: &Requests,
     function: &str,
--- a/crates/config/src/subprocess.rs
+++ b/crates/config/src/subprocess.rs
@@ -1,8 +1,9 @@
-//! A script evaluated in a process of its own, so that the limits hold whatever it does: the evaluator checks its steps and
-//! its memory only now and then, and a list doubled thirty times between two checks would take the machine's memory.
+//! Evaluates a script in a separate process, so that the limits hold for every script. The evaluator checks steps and
+//! memory only from time to time, and a list that is doubled thirty times between two checks would use up the machine's
+//! memory.
 //!
-//! The forwarder calls [`load`] at the start and at each reload; the other process calls [`run_evaluator`] and writes the
-//! outcome to its standard output as JSON.
+//! The forwarder calls [`load`] at its start and at each reload. The separate process calls [`run_evaluator`], which
+//! writes the outcome to standard output as JSON.
 
 use crate::Installation;
 use crate::script::{ScriptError, evaluate_file};
@@ -17,12 +18,12 @@
 
 const MEMORY_LIMIT_MIB: u64 = 512;
 const CPU_LIMIT_S: u64 = 5;
-/// Time that the process has by the clock.
+/// Wall-clock time after which the process is killed.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is checked for its end.
+/// Time between two checks whether the process has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the evaluating process, which may be of another version, writes.
+/// Output of the evaluating process, which may be of another version.
 #[derive(Serialize, Deserialize)]
 enum Outcome {
     #[serde(rename = "Good")]
@@ -31,7 +32,7 @@
     Rejected(ScriptError),
 }
 
-/// Why the evaluating process cannot do its work.
+/// The reason why the evaluating process cannot deliver an outcome.
 #[derive(Debug, Error)]
 pub enum EvaluatorError {
     /// The limits of the process cannot be set.
@@ -42,12 +43,12 @@
     Write(#[source] serde_json::Error),
 }
 
-/// The evaluating process: evaluates the script in `path` and writes the outcome, a rejected script included, to standard
-/// output.
+/// Limits the resources of this process, evaluates the script in `path` and writes the outcome to standard output. The
+/// rejection of a script is an outcome too, not an error.
 ///
 /// # Errors
 ///
-/// The resources cannot be limited, or standard output cannot be written.
+/// Returns an error if the resources cannot be limited, or if standard output cannot be written.
 pub fn run_evaluator(path: &Path) -> Result<(), EvaluatorError> {
     let memory_limit_bytes = MEMORY_LIMIT_MIB << 20;
     Resource::AS.set(memory_limit_bytes, memory_limit_bytes).map_err(EvaluatorError::Limits)?;
@@ -60,20 +61,21 @@
     serde_json::to_writer(io::stdout(), &outcome).map_err(EvaluatorError::Write)
 }
 
-/// Has a script evaluated by `command`, which must call [`run_evaluator`] with its path. Blocks for 10 s at most.
+/// Runs `command`, which must call [`run_evaluator`] with `path`, and returns the settings that it writes. Blocks for
+/// 10 s at most.
 ///
 /// # Errors
 ///
-/// The script is rejected, exceeds the limits of the process, or the process does not start.
+/// Returns an error if the script is rejected or exceeds the limits of the process, or if the process does not start.
 pub fn load(path: &Path, mut command: Command) -> Result<Installation, ScriptError> {
     let started = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn();
     let mut child = started
-        .map_err(|error| ScriptError::of_file(path, format!("the evaluator does not start: {error}")))?;
-    // Read in a thread of its own: the process does not end before its output has room.
+        .map_err(|error| ScriptError::of_file(path, format!("cannot start the evaluator: {error}")))?;
+    // A separate thread reads the output, because the process cannot end while the pipe has no room for it.
     let reader = child.stdout.take().map(|mut stdout| {
         thread::spawn(move || {
             let mut output = Vec::new();
-            // Output that cannot be read is incomplete, and fails to parse.
+            // After a read error the output is incomplete and fails to parse.
             drop(stdout.read_to_end(&mut output));
             output
         })
@@ -90,13 +92,14 @@
 fn limits_exceeded(ending: Option<&str>) -> String {
     format!(
         "the script was ended ({}): it may use {MEMORY_LIMIT_MIB} MiB of memory, {CPU_LIMIT_S} s of processor time and \
-         {} s in all",
+         {} s in total",
         ending.unwrap_or("out of time"),
         TIMEOUT.as_secs()
     )
 }
 
-/// How the process ended; kills it and returns `None` if it has not within its time.
+/// Waits for the process and returns how it ended. Kills the process and returns `None` if it has not ended within
+/// [`TIMEOUT`].
 fn wait(child: &mut Child) -> Option<String> {
     let deadline = Instant::now() + TIMEOUT;
     while Instant::now() < deadline {
--- a/crates/config/tests/ownership.rs
+++ b/crates/config/tests/ownership.rs
@@ -53,7 +53,7 @@
         (
             "    name = \"f2\",\n    region",
             "    name = \"f3\",\n    region",
-            "\"f3\", the own name, is of region \"south\"",
+            "\"f3\", the name of this forwarder, is in region \"south\"",
         ),
         ("weight = 2.5", "weight = \"heavy\"", "member: weight: "),
         ("weight = 2.5", "weight = None", "member: weight: "),
@@ -62,7 +62,7 @@
         ("weight = 2.5", "weight = 0", "the weight of f2 is 0: it has to be a finite number above 0"),
         ("weight = 2.5", "weight = -1.0", "the weight of f2 is -1"),
         ("10.0.0.1:8080", "f1.example:8080", "names are not looked up"),
-        ("10.0.0.1:8080", "10.0.0.2:8080", "have one address, 10.0.0.2:8080"),
+        ("10.0.0.1:8080", "10.0.0.2:8080", "have the same address, 10.0.0.2:8080"),
         ("weight = 2.5", "wieght = 2.5", "is \"weight\" meant?"),
     ] {
         let text = GOOD.replacen(part, instead, 1);
