--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -30,7 +30,7 @@
 /// may be of another version, writes them as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Installation {
-    /// Consul as the source of endpoints; `None` if the script doesn't request it.
+    /// Consul as the source of endpoints; `None` if the script does not request it.
     pub consul: Option<orchidyoke_consul::Settings>,
     /// The policy commit point of the fleet, whose policy is applied on top of the platform's configuration.
     #[serde(default)]
--- a/crates/consul/src/allowed_networks.rs
+++ b/crates/consul/src/allowed_networks.rs
@@ -1,4 +1,5 @@
-//! The networks in which endpoints may lie. Guards against dialling an address that somebody registered elsewhere.
+//! Checks that the address of an endpoint is in an allowed network. The check guards against dialling an address in
+//! another network that somebody registered in Consul.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
@@ -25,7 +26,7 @@
         allowed
     }
 
-    /// Whether an address is allowed. An IPv4-mapped IPv6 address counts as the IPv4 address that it leads to.
+    /// Returns whether an address is allowed. An IPv4-mapped IPv6 address counts as the IPv4 address that it contains.
     pub(crate) fn contains(&self, address: IpAddr) -> bool {
         match address.to_canonical() {
             IpAddr::V4(address) => self.v4.contains(&address),
--- a/crates/consul/src/api.rs
+++ b/crates/consul/src/api.rs
@@ -1,9 +1,9 @@
-//! The responses of Consul's HTTP API, as far as they are read here.
+//! Types for the fields that this package reads from the responses of Consul's HTTP API.
 
 use serde::{Deserialize, Deserializer};
 use std::collections::BTreeMap;
 
-/// Go writes an empty list or map as `null`.
+/// Reads `null` as the default value, because Go writes an empty list or map as `null`.
 fn null_as_default<'de, D: Deserializer<'de>, T: Default + Deserialize<'de>>(from: D) -> Result<T, D::Error> {
     Ok(Option::deserialize(from)?.unwrap_or_default())
 }
@@ -42,30 +42,30 @@
     /// Its id, unique on its node.
     #[serde(rename = "ID")]
     pub id: String,
-    /// Its address where that is not the node's.
+    /// Its address; empty if it has the address of its node.
     #[serde(rename = "Address", default)]
     pub address: String,
-    /// Its port; 0 where it has none.
+    /// Its port; 0 if it has none.
     #[serde(rename = "Port", default)]
     pub port: i64,
-    /// Tags.
+    /// Tags that its operators set.
     #[serde(rename = "Tags", default, deserialize_with = "null_as_default")]
     pub tags: Vec<String>,
     /// Metadata that its operators set.
     #[serde(rename = "Meta", default, deserialize_with = "null_as_default")]
     pub meta: BTreeMap<String, String>,
-    /// Its weights, by the status of its checks.
+    /// Its weights for each status of its checks.
     #[serde(rename = "Weights", default, deserialize_with = "null_as_default")]
     pub weights: Weights,
 }
 
-/// The weights of an instance; 0 or less takes it out.
+/// The weights of an instance. With a weight of 0 or less the instance is draining.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Weights {
-    /// While all checks are passing.
+    /// The weight while all checks are passing.
     pub passing: i64,
-    /// While one check is at warning.
+    /// The weight while the worst check is at warning.
     pub warning: i64,
 }
 
@@ -78,21 +78,21 @@
 /// A health check, of an instance or of a whole node.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct Check {
-    /// Its id; maintenance mode is a check with an id of its own.
+    /// Its id. Consul represents maintenance mode as a check with a reserved id.
     #[serde(rename = "CheckID", default)]
     pub id: String,
     /// `passing`, `warning`, `critical`, or `maintenance` in a summary.
     #[serde(rename = "Status", default)]
     pub status: String,
-    /// The node.
+    /// The name of the node.
     #[serde(rename = "Node", default)]
     pub node: String,
-    /// The service; empty for a check of the whole node.
+    /// The name of the service; empty for a check of the whole node.
     #[serde(rename = "ServiceName", default)]
     pub service: String,
 }
 
 /// The id of the check that puts a node in maintenance mode.
 pub const NODE_MAINTENANCE: &str = "_node_maintenance";
-/// What the id of a check begins with that puts an instance in maintenance mode.
+/// The prefix of the id of a check that puts an instance in maintenance mode.
 pub const SERVICE_MAINTENANCE: &str = "_service_maintenance:";
--- a/crates/consul/src/blocking_query.rs
+++ b/crates/consul/src/blocking_query.rs
@@ -1,9 +1,9 @@
-//! One blocking query: its index, when it is sent again, and whether its response is used. No I/O, no clock.
+//! Decides for one blocking query which index it sends, when it is sent again, and whether its response is used. This
+//! module does no I/O and reads no clock. Times are in microseconds of the caller's clock.
 //!
 //! The rules for the index are those of
-//! <https://developer.hashicorp.com/consul/api-docs/features/blocking#implementation-details>: an index that goes
-//! backwards starts over, 0 is no index to wait with, and the rate of requests is limited. Times are in microseconds of
-//! the caller's clock.
+//! <https://developer.hashicorp.com/consul/api-docs/features/blocking#implementation-details>. If the index goes
+//! backwards, the query starts over without an index. An index of 0 is never sent. The rate of requests is limited.
 
 use crate::backoff::{exponential_backoff, with_jitter};
 use crate::response::{ResponseError, ResponseHead};
@@ -11,23 +11,23 @@
 
 const MILLISECOND_US: Micros = 1_000;
 const SECOND_US: Micros = 1_000_000;
-/// Least time from one request to the next for a service that changes all the time.
+/// Shortest time from one request to the next for a service that changes all the time.
 const MIN_QUERY_INTERVAL_US: Micros = 50 * MILLISECOND_US;
-/// Backoff after the first failure; it doubles with each further one.
+/// Backoff after the first failure. It doubles with each further failure.
 const BACKOFF_MIN_US: Micros = 250 * MILLISECOND_US;
 /// Longest backoff after failures.
 const BACKOFF_MAX_US: Micros = 8 * SECOND_US;
 /// Longest `Retry-After` that is honoured.
 const RETRY_AFTER_MAX_US: Micros = 60 * SECOND_US;
-/// Longest pause between requests whose index cannot be waited with.
+/// Longest pause between requests while Consul sends no index that a blocking query can use.
 const IDLE_BACKOFF_MAX_US: Micros = 2 * SECOND_US;
-/// A blocking query that ends sooner than this without a change comes from an agent that does not block.
+/// If a blocking query without a change ends sooner than this, the agent does not support blocking.
 const BLOCKED_AT_LEAST_US: Micros = SECOND_US;
 
-/// What follows from a response.
+/// How the caller must handle a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// The body has to be read: it may hold a change.
+    /// The body must be read, because it may hold a change.
     Changed,
     /// Nothing has changed.
     Unchanged,
@@ -35,16 +35,17 @@
     Rejected(ResponseError),
 }
 
-/// One blocking query on one service.
+/// The state of one blocking query.
 #[derive(Clone, Debug, Default)]
 pub struct BlockingQuery {
     index: u64,
     consecutive_failures: u32,
-    /// Responses in a row that came at once though nothing had changed.
+    /// Consecutive responses that arrived without a wait although nothing had changed, or without a usable index.
     idle_responses: u32,
     last_success: Option<Micros>,
     started_at: Micros,
-    /// The request out asks for an immediate response: the same index again only says that nothing has changed.
+    /// Whether the request in flight asks for an immediate response. For such a request, an early response with the
+    /// same index does not mean that the agent does not support blocking.
     is_immediate: bool,
 }
 
@@ -63,18 +64,18 @@
         0
     }
 
-    /// When the last response that counts arrived.
+    /// Returns when the last valid response arrived; `None` if there was none.
     pub fn last_success(&self) -> Option<Micros> {
         self.last_success
     }
 
-    /// Failures since then.
+    /// Returns the number of failures since the last valid response.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// A response has arrived. Returns what follows from it and the earliest time of the next request. `jitter` is
-    /// random, from 0 to 1.
+    /// Handles a response. Returns its outcome and the earliest time of the next request. `jitter` is a random number
+    /// from 0 to 1.
     pub fn on_response(&mut self, now: Micros, head: &ResponseHead, jitter: f64) -> (QueryOutcome, Micros) {
         let Some(error) = head.error() else { return self.on_valid_response(now, head) };
         let after_backoff = self.on_failure(now, jitter);
@@ -84,8 +85,9 @@
         (QueryOutcome::Rejected(error), after_backoff.max(after_pause))
     }
 
-    /// No response, or a body that cannot be read; returns the earliest time of the next request. Also to be called
-    /// after [`on_response`](Self::on_response) when the body proves unreadable: its index must not be waited with.
+    /// Handles a missing response or a body that cannot be parsed. Returns the earliest time of the next request. The
+    /// caller must also call this after [`on_response`](Self::on_response) if it cannot parse the body, because the
+    /// index of such a response must not be used for a blocking query.
     pub fn on_failure(&mut self, now: Micros, jitter: f64) -> Micros {
         self.index = 0;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -98,9 +100,10 @@
         self.last_success = Some(now);
         let previous = std::mem::take(&mut self.index);
         match head.parsed_index() {
-            // There is no index to wait with, so each response comes at once.
+            // Without an index the next request is not blocking, so its response arrives at once.
             None | Some(0) => (QueryOutcome::Changed, now + self.next_idle_backoff()),
-            // Consul was restored or has lost its state. This response counts; the next request starts over.
+            // Consul was restored from a backup or has lost its state. This response is valid; the next request is sent
+            // without an index.
             Some(index) if index < previous => (QueryOutcome::Changed, now + self.next_idle_backoff()),
             Some(index) if index == previous => {
                 self.index = index;
@@ -114,8 +117,8 @@
         }
     }
 
-    /// No pause after a wait to its end, which is how a blocking query without a change ends; a backoff for an agent that
-    /// does not block.
+    /// Returns the pause after a response without a change. It is 0 after an immediate request and after a blocking
+    /// query that has waited, and a backoff if the agent does not support blocking.
     fn pause_after_unchanged(&mut self, now: Micros) -> Micros {
         let blocked = self.is_immediate || now - self.started_at >= BLOCKED_AT_LEAST_US;
         if blocked {
@@ -125,7 +128,8 @@
         self.next_idle_backoff()
     }
 
-    /// The pause where the index cannot be waited with. It doubles, so that neither end is kept busy.
+    /// Returns the pause before the next request if a blocking query is not possible. The pause doubles each time, so
+    /// that neither the forwarder nor Consul is kept busy.
     fn next_idle_backoff(&mut self) -> Micros {
         self.idle_responses = self.idle_responses.saturating_add(1);
         exponential_backoff(MIN_QUERY_INTERVAL_US, IDLE_BACKOFF_MAX_US, self.idle_responses - 1)
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -1,7 +1,7 @@
-//! HTTP towards Consul: one connection, one request at a time, with bounds on time and size.
+//! An HTTP client for Consul. A connection carries one request at a time, with limits on time and size.
 //!
-//! A [`Client`] knows the addresses and opens connections to the current one; it moves on to the next address when a
-//! connection fails or its server proves unable to answer.
+//! A [`Client`] has a list of addresses and opens connections to the current address. It fails over to the next address
+//! when a connection fails or when a response shows that the server cannot answer.
 
 use crate::request::ApiRequest;
 use crate::response::ResponseHead;
@@ -28,18 +28,18 @@
 use tokio::time::timeout;
 use tokio_rustls::TlsConnector;
 
-/// Time for a connection, its TLS handshake included.
+/// Time-out for opening a connection, including its TLS handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for a body from its first byte to its last.
+/// Time-out for a response body, from its first byte to its last.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 const BODY_MAX_MIB: usize = 16;
 const BODY_MAX_BYTES: usize = BODY_MAX_MIB << 20;
 const TOKEN_HEADER: &str = "X-Consul-Token";
 
-/// Why there is no response, in one line.
+/// The reason why there is no response, in one line.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// TCP refused the connection, or it ended.
+    /// The TCP connection was refused, or it ended.
     #[error("cannot connect to Consul at {address}: {source}")]
     Connect {
         /// The address tried.
@@ -47,7 +47,7 @@
         /// What went wrong.
         source: io::Error,
     },
-    /// The connection, or its TLS handshake, took too long.
+    /// The connection, including its TLS handshake, was not open within the time-out.
     #[error("cannot connect to Consul at {address}: no connection within {} s", CONNECT_TIMEOUT.as_secs())]
     ConnectTimeout {
         /// The address tried.
@@ -63,7 +63,7 @@
         /// What the TLS library reports.
         source: io::Error,
     },
-    /// TLS cannot be set up from its files.
+    /// TLS cannot be set up from the files in the settings.
     #[error("cannot set up TLS towards Consul: {0}")]
     Tls(#[from] TlsError),
     /// The token cannot be read.
@@ -91,21 +91,21 @@
         /// What the HTTP library reports.
         source: hyper::Error,
     },
-    /// No head of a response arrived in time.
+    /// The head of the response did not arrive within the time-out.
     #[error("no response from Consul at {address} within {} s", .limit.as_secs())]
     ResponseTimeout {
         /// The address of the connection.
         address: SocketAddr,
-        /// The time that was allowed.
+        /// The time-out.
         limit: Duration,
     },
-    /// The body did not end in time.
+    /// The body did not end within the time-out.
     #[error("the response body from Consul at {address} did not end within {} s", BODY_TIMEOUT.as_secs())]
     BodyTimeout {
         /// The address of the connection.
         address: SocketAddr,
     },
-    /// The body exceeds its bound.
+    /// The body is larger than 16 MiB.
     #[error("the response body from Consul at {address} is larger than {BODY_MAX_MIB} MiB")]
     BodyTooLarge {
         /// The address of the connection.
@@ -113,7 +113,7 @@
     },
 }
 
-/// Opens connections, to the next address when one fails.
+/// Opens connections to Consul, and fails over to the next address when one fails.
 #[derive(Debug)]
 pub struct Client {
     settings: Rc<Settings>,
@@ -138,7 +138,7 @@
 }
 
 impl Client {
-    /// A client for settings with at least one address.
+    /// Creates a client. The settings must have at least one address.
     pub fn new(settings: Rc<Settings>) -> Self {
         Client { settings, address_index: Cell::new(0) }
     }
@@ -151,19 +151,19 @@
         self.settings.tls.as_ref().map(Tls::file_versions)
     }
 
-    /// Makes the address after this one the current one, unless another connection has moved on already.
+    /// Makes the address after `address` the current one, unless another connection has failed over already.
     pub fn fail_over_from(&self, address: SocketAddr) {
         if self.address() == address {
             self.address_index.set(self.address_index.get() + 1);
         }
     }
 
-    /// Opens a connection to the current address; a failure makes the next address current.
+    /// Opens a connection to the current address. Fails over to the next address after an error.
     ///
     /// # Errors
     ///
-    /// [`ClientError::Connect`], [`ClientError::ConnectTimeout`], [`ClientError::Handshake`], [`ClientError::Tls`] and
-    /// [`ClientError::Transport`]; nothing was sent.
+    /// Returns [`ClientError::Connect`], [`ClientError::ConnectTimeout`], [`ClientError::Handshake`],
+    /// [`ClientError::Tls`] or [`ClientError::Transport`]. After any of these errors, no request was sent.
     pub async fn connect(&self) -> Result<Connection, ClientError> {
         let address = self.address();
         let late = ClientError::ConnectTimeout { address };
@@ -175,7 +175,8 @@
         let failed = |source| ClientError::Connect { address, source };
         let stream = TcpStream::connect(address).await.map_err(failed)?;
         stream.set_nodelay(true).map_err(failed)?;
-        // Taken before the files are read: files replaced meanwhile make the connection outdated, never fresh.
+        // The versions are read before the files. If a file is replaced in between, the connection counts as outdated
+        // and is not reused.
         let tls_file_versions = self.tls_file_versions();
         let stream: Box<dyn Stream> = match &self.settings.tls {
             None => Box::new(stream),
@@ -183,25 +184,26 @@
         };
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|source| ClientError::Transport { address, source })?;
-        // An error of the connection shows in the request that is in flight.
+        // The request in flight returns the error of the connection.
         let driver = spawn_local(async { drop(connection.await) }).abort_handle();
         Ok(Connection { sender, driver, address, tls_file_versions })
     }
 
-    /// Whether a connection can carry another request: it is open, leads to the current address, and was made with the
-    /// certificates that are on disk.
+    /// Returns whether a connection can carry another request. It must be open, lead to the current address, and have
+    /// been opened with the certificates that are on disk now.
     pub fn is_reusable(&self, connection: &Connection) -> bool {
         !connection.sender.is_closed()
             && connection.address == self.address()
             && connection.tls_file_versions == self.tls_file_versions()
     }
 
-    /// Sends a request. After an error the connection must not be used again; after an error, and after a response that
-    /// shows that its server is cut off, the next address becomes current.
+    /// Sends a request and returns its response. After an error the connection must not be used again. Fails over to
+    /// the next address after an error, and after a response that shows a fault of the server.
     ///
     /// # Errors
     ///
-    /// All of [`ClientError`] except those of [`connect`](Self::connect). A write may have taken effect all the same.
+    /// Returns the errors of [`ClientError`] that [`connect`](Self::connect) does not return, and
+    /// [`ClientError::Transport`]. A write may have taken effect despite the error.
     pub async fn send(
         &self,
         connection: &mut Connection,
@@ -253,7 +255,7 @@
         Ok(request.body(Full::new(api_request.body.clone().unwrap_or_default()))?)
     }
 
-    /// Reads the token anew for each request, so that a replaced file counts at once.
+    /// Reads the token from its file. It is read for each request, so that a replaced file takes effect at once.
     fn read_token(&self) -> Result<Option<HeaderValue>, ClientError> {
         let Some(path) = &self.settings.token_file else { return Ok(None) };
         let text = std::fs::read_to_string(path)
--- a/crates/consul/src/endpoint.rs
+++ b/crates/consul/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! An instance of the catalogue as an endpoint: its uid, address, zone and health, or why it cannot be one.
+//! Converts an instance of the catalogue into an endpoint with a uid, an address, a zone and its health. An instance
+//! that cannot be an endpoint is rejected with a reason.
 
 use crate::allowed_networks::AllowedNetworks;
 use crate::api::ServiceEntry;
@@ -8,10 +9,10 @@
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// Why an instance of the catalogue cannot be an endpoint.
+/// The reason why an instance of the catalogue cannot be an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum UnusableInstance {
-    /// Its address is not an IP address. Names are not looked up: DNS may name another host with each answer.
+    /// Its address is not an IP address. Names are not looked up, because DNS may return another host each time.
     #[error("address {0:?} is not an IP address, and names are not looked up")]
     NotAnIpAddress(String),
     /// Its port is outside 1 to 65,535.
@@ -22,18 +23,19 @@
     OutsideNetworks(SocketAddr),
 }
 
-/// What the uids of a service's endpoints begin with. It is stored with the endpoint list, so its form never changes.
+/// Returns the prefix of the uids of a service's endpoints. The uids are stored with the endpoint list, so the format
+/// of the prefix must not change.
 pub(crate) fn uid_prefix(service: &Service) -> String {
     format!("{}.{}/", service.name, service.destination)
 }
 
-/// The node in the uid of an endpoint.
+/// Returns the name of the node in the uid of an endpoint.
 pub(crate) fn node_of_uid(uid: &str) -> Option<&str> {
     uid.split('/').nth(1)
 }
 
-/// An instance as an endpoint. Its uid holds all that identifies it, so the same id on another node or at another address
-/// is another endpoint and inherits nothing.
+/// Converts an instance into an endpoint. The uid contains the service, the destination, the node, the instance id and
+/// the address. So the same id on another node or at another address is another endpoint, and it inherits no state.
 pub(crate) fn endpoint_entry(
     service: &Service,
     networks: &AllowedNetworks,
@@ -56,7 +58,7 @@
     })
 }
 
-/// The instance's own address and port; the address of its node where it has none.
+/// Returns the address and port of an instance. An instance without an address has the address of its node.
 fn instance_address(entry: &ServiceEntry) -> Result<SocketAddr, UnusableInstance> {
     let instance = &entry.service;
     let text = if instance.address.is_empty() { &entry.node.address } else { &instance.address };
@@ -65,7 +67,8 @@
     Ok(SocketAddr::new(address, port.ok_or(UnusableInstance::InvalidPort(instance.port))?))
 }
 
-/// The zone in the metadata of the instance, or else of its node; the service's zone where neither has one.
+/// Returns the zone from the metadata of the instance, or else from the metadata of its node, or else the zone of the
+/// service.
 fn zone(service: &Service, entry: &ServiceEntry) -> String {
     let metadata = |key: &String| entry.service.meta.get(key).or_else(|| entry.node.meta.get(key));
     service.zone_meta.as_ref().and_then(metadata).unwrap_or(&service.zone).clone()
--- a/crates/consul/src/instance_health.rs
+++ b/crates/consul/src/instance_health.rs
@@ -1,11 +1,11 @@
-//! Whether an instance is active or draining, and what its health checks come to: one table, one function.
+//! Decides whether an instance is active or draining, and combines its health checks into one status.
 //!
-//! Applied to each instance of a response before it becomes an endpoint.
+//! Each instance of a response goes through [`instance_health`] when it is converted into an endpoint.
 
 use crate::api::{Check, NODE_MAINTENANCE, SERVICE_MAINTENANCE, ServiceEntry};
 use orchidyoke_core::endpoint_list::{EndpointState, HealthStatus};
 
-/// A tag, or a metadata key with the value `true`, by which operators drain an instance.
+/// The tag by which operators drain an instance. A metadata key of this name with the value `true` does the same.
 pub const DRAINING: &str = "draining";
 
 /// The state and the health of an instance.
@@ -13,11 +13,11 @@
 pub struct InstanceHealth {
     /// Whether it takes new messages.
     pub state: EndpointState,
-    /// The worst of its checks and those of its node.
+    /// The worst status of its checks and of its node's checks.
     pub checks: HealthStatus,
 }
 
-/// One check. An unknown status counts as critical.
+/// Returns the status of one check. An unknown status counts as critical.
 fn check_status(check: &Check) -> HealthStatus {
     match check.status.as_str() {
         "passing" => HealthStatus::Passing,
@@ -31,8 +31,8 @@
     check.status != "passing" && (id == NODE_MAINTENANCE || id.starts_with(SERVICE_MAINTENANCE))
 }
 
-/// The state and health of an instance. The worst check counts, those of the node among them; no check at all counts as
-/// passing.
+/// Returns the state and health of an instance. Its health is the worst status of its checks and of its node's checks.
+/// An instance without checks counts as passing.
 ///
 /// | checks | drained by maintenance, tag, metadata or weight | state | health |
 /// |---|---|---|---|
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,13 +1,13 @@
-//! Consul's catalogue and health checks as a source of endpoints, and its sessions and locks.
+//! Reads endpoints from Consul's catalogue and health checks, and uses Consul's sessions and locks.
 //!
-//! What to request, when to request it again and what a response means is decided in modules that open no connection and
-//! read no clock: [`blocking_query`] (one blocking query and its index), [`query_schedule`] (many services over few
-//! connections), [`instance_health`] (what the checks of an instance come to) and [`snapshot`] (all services, and the
-//! delta from one response to the next). [`request`], [`response`], [`client`] and [`tls`] are the HTTP client, and
-//! [`source`] puts both together as a [`Catalogue`](orchidyoke_forwarder::catalogue::Catalogue). [`locks`] has sessions,
-//! locks and transactions for leases and for the policy commit point.
+//! The modules that decide what to request, when to request it again and how to interpret a response open no connection
+//! and read no clock: [`blocking_query`] (one blocking query and its index), [`query_schedule`] (many services over few
+//! connections), [`instance_health`] (the checks of an instance as one status) and [`snapshot`] (the endpoints of all
+//! services, and the delta from one response to the next). [`request`], [`response`], [`client`] and [`tls`] are the
+//! HTTP client. [`source`] combines both parts into a [`Catalogue`](orchidyoke_forwarder::catalogue::Catalogue).
+//! [`locks`] has sessions, locks and transactions for leases and for the policy commit point.
 //!
-//! The HTTP API is the published one: <https://developer.hashicorp.com/consul/api-docs/health> and
+//! Consul's HTTP API is documented at <https://developer.hashicorp.com/consul/api-docs/health> and
 //! <https://developer.hashicorp.com/consul/api-docs/features/blocking>.
 
 #![deny(missing_docs)]
--- a/crates/consul/src/locks.rs
+++ b/crates/consul/src/locks.rs
@@ -1,8 +1,9 @@
-//! Sessions, locks and transactions on Consul's keys, for leases and for the policy commit point.
+//! A client for sessions, locks and transactions on Consul's keys, for leases and for the policy commit point.
 //!
-//! After <https://developer.hashicorp.com/consul/api-docs/session>, <https://developer.hashicorp.com/consul/api-docs/kv> and
-//! <https://developer.hashicorp.com/consul/api-docs/txn>. A write without a response may have taken effect, or may do so
-//! later: [`LockError::OutcomeUnknown`] says so, and no write is retried here.
+//! The API is documented at <https://developer.hashicorp.com/consul/api-docs/session>,
+//! <https://developer.hashicorp.com/consul/api-docs/kv> and <https://developer.hashicorp.com/consul/api-docs/txn>. A
+//! write without a response may have taken effect, or may take effect later. It returns [`LockError::OutcomeUnknown`],
+//! and this module retries no write.
 
 use crate::client::{Client, ClientError, Connection};
 use crate::request::{ApiRequest, Parameter, escape_key_path};
@@ -18,18 +19,18 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Consul's status for a session that does not exist, and for a prefix without keys.
+/// The HTTP status for a session that does not exist, and for a prefix without keys.
 const NOT_FOUND: u16 = 404;
-/// Consul's status for a transaction that was rolled back.
+/// The HTTP status for a transaction that was rolled back.
 const CONFLICT: u16 = 409;
 
-/// Why a request for a session or a key has failed.
+/// The reason why a request for a session or a key has failed.
 #[derive(Debug, Error)]
 pub enum LockError {
-    /// There was no connection: nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[error("request not sent: {0}")]
     NotSent(#[source] ClientError),
-    /// The request was sent and had no response: a write may have taken effect, or may do so later.
+    /// The request was sent and had no response. A write may have taken effect, or may take effect later.
     #[error("outcome unknown: {0}")]
     OutcomeUnknown(#[source] ClientError),
     /// Consul has rejected the request, or its response cannot be used.
@@ -41,26 +42,26 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeyEntry {
-    /// Its full path.
+    /// The full path of the key.
     pub key: String,
-    /// Its value in base 64 (RFC 4648, section 4), as Consul sends it; `None` where it is empty.
+    /// The value in base 64 (RFC 4648, section 4), as Consul sends it; `None` if it is empty.
     #[serde(default)]
     pub value: Option<String>,
-    /// The session that holds its lock.
+    /// The session that holds the key's lock; `None` if no session holds it.
     pub session: Option<String>,
-    /// The index of the last write to it.
+    /// The index of the last write to the key.
     pub modify_index: u64,
 }
 
 impl KeyEntry {
-    /// The value as text; empty where it is not UTF-8.
+    /// Returns the value as text; empty if it is not UTF-8.
     pub fn value_text(&self) -> String {
         let bytes = self.value.as_ref().and_then(|value| STANDARD.decode(value).ok()).unwrap_or_default();
         String::from_utf8(bytes).unwrap_or_default()
     }
 }
 
-/// What happens to the keys that a session has locked when it ends.
+/// What Consul does with the keys that a session has locked when the session ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionBehavior {
     /// Their locks are released.
@@ -81,7 +82,7 @@
 /// One operation of a transaction, on the key with this full path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOperation {
-    /// Writes the key if its last write had this index.
+    /// Writes the key. Fails the transaction unless the key's last write had this index.
     CheckAndSet {
         /// The key.
         key: String,
@@ -90,14 +91,15 @@
         /// Its new value.
         value: Bytes,
     },
-    /// Deletes the key if its last write had this index.
+    /// Deletes the key. Fails the transaction unless the key's last write had this index.
     CheckAndDelete {
         /// The key.
         key: String,
         /// The index of its last write.
         modify_index: u64,
     },
-    /// Changes nothing; fails the transaction unless the key's last write had this index and this session holds its lock.
+    /// Changes nothing; fails the transaction unless the key's last write had this index and this session holds its
+    /// lock.
     CheckHeld {
         /// The key.
         key: String,
@@ -109,7 +111,7 @@
 }
 
 impl TransactionOperation {
-    /// In the form of the API, where an operation makes one check at most.
+    /// Returns the operations of the API for this one. An operation of the API makes at most one check.
     fn to_json(&self) -> Vec<serde_json::Value> {
         match self {
             TransactionOperation::CheckAndSet { key, modify_index, value } => {
@@ -141,7 +143,7 @@
 }
 
 impl LockClient {
-    /// A client for the Consul of these settings. No connection is opened yet.
+    /// Creates a client for the Consul of these settings. No connection is opened yet.
     pub fn new(settings: Rc<Settings>) -> Self {
         LockClient { client: Client::new(settings), idle_connection: None }
     }
@@ -166,12 +168,12 @@
         self.send(&ApiRequest::write(path, parameters, body)).await
     }
 
-    /// Creates a session that ends when it is not renewed within `ttl`; the locks that it held then stay closed for
-    /// `lock_delay`. Returns its id.
+    /// Creates a session and returns its id. The session ends when it is not renewed within `ttl`. After that, nobody
+    /// can acquire the locks that it held for `lock_delay`.
     ///
     /// # Errors
     ///
-    /// All of [`LockError`].
+    /// Returns any error of [`LockError`].
     pub async fn create_session(
         &mut self,
         name: &str,
@@ -193,11 +195,11 @@
         Ok(created.id)
     }
 
-    /// Renews a session; returns whether it still exists.
+    /// Renews a session. Returns whether it still exists.
     ///
     /// # Errors
     ///
-    /// All of [`LockError`].
+    /// Returns any error of [`LockError`].
     pub async fn renew_session(&mut self, session: &str) -> Result<bool, LockError> {
         let path = format!("/v1/session/renew/{}", escape_key_path(session));
         let (head, _) = self.write(path, Vec::new(), Bytes::new()).await?;
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Ends a session, if it still exists. A failure is only logged: the session expires by itself.
+    /// Ends a session if it still exists. A failure is only logged, because the session expires by itself.
     pub async fn destroy_session(&mut self, session: &str) {
         let path = format!("/v1/session/destroy/{}", escape_key_path(session));
         let response = self.write(path, Vec::new(), Bytes::new()).await;
@@ -222,20 +224,20 @@
         }
     }
 
-    /// Acquires a key's lock for a session and writes its value; returns whether the session holds the lock.
+    /// Acquires a key's lock for a session and writes the key's value. Returns whether the session holds the lock.
     ///
     /// # Errors
     ///
-    /// All of [`LockError`].
+    /// Returns any error of [`LockError`].
     pub async fn acquire(&mut self, key: &str, session: &str, value: Bytes) -> Result<bool, LockError> {
         self.update_lock(key, "acquire", session, value).await
     }
 
-    /// Releases a key's lock and empties its value; returns whether the session held the lock.
+    /// Releases a key's lock and empties the key's value. Returns whether the session held the lock.
     ///
     /// # Errors
     ///
-    /// All of [`LockError`].
+    /// Returns any error of [`LockError`].
     pub async fn release(&mut self, key: &str, session: &str) -> Result<bool, LockError> {
         self.update_lock(key, "release", session, Bytes::new()).await
     }
@@ -254,11 +256,12 @@
         Ok(parse_body(&body)?)
     }
 
-    /// Carries out all of these operations or none; returns whether they were carried out.
+    /// Carries out all of these operations or none of them. Returns whether they were carried out.
     ///
     /// # Errors
     ///
-    /// All of [`LockError`]; after [`LockError::OutcomeUnknown`] either may be the case, and may still change.
+    /// Returns any error of [`LockError`]. After [`LockError::OutcomeUnknown`] the operations may have been carried
+    /// out, or may be carried out later.
     pub async fn transact(&mut self, operations: &[TransactionOperation]) -> Result<bool, LockError> {
         let body: Vec<_> = operations.iter().flat_map(TransactionOperation::to_json).collect();
         let body = Bytes::from(serde_json::Value::Array(body).to_string());
@@ -270,12 +273,12 @@
         }
     }
 
-    /// Reads the keys that begin with `prefix` from the leader; returns the index of this read and the keys. With the
-    /// index of the last read it is a blocking query that waits for a change, for `wait` at most.
+    /// Reads the keys that begin with `prefix` from the leader. Returns the index of this read and the keys. If `index`
+    /// is that of the last read, the request is a blocking query that waits for a change, for `wait` at most.
     ///
     /// # Errors
     ///
-    /// All of [`LockError`].
+    /// Returns any error of [`LockError`].
     pub async fn read_keys(
         &mut self,
         prefix: &str,
@@ -286,7 +289,7 @@
         let index = head.parsed_index().unwrap_or(0);
         match head.error() {
             None => Ok((index, parse_body(&body)?)),
-            // No key has the prefix, and a server with a leader says so.
+            // No key has the prefix. The response is valid only if the server knows a leader.
             Some(ResponseError::Status(NOT_FOUND)) if index > 0 && !head.leaderless => {
                 Ok((index, Vec::new()))
             }
--- a/crates/consul/src/query_schedule.rs
+++ b/crates/consul/src/query_schedule.rs
@@ -1,36 +1,37 @@
-//! Many services over few connections: which service is read next, and whether with a blocking query. No I/O, no clock.
+//! Decides which of many services is read next over few connections, and whether with a blocking query. This module
+//! does no I/O and reads no clock. Times are in microseconds of the caller's clock.
 //!
-//! As long as there are no more services than connections, each service has a blocking query in flight, and Consul responds
-//! the moment that something changes. Beyond that the services take turns: the one that has waited longest is read next,
-//! without a wait, so that none is starved; services named by a hint come first. Times are in microseconds of the caller's
-//! clock.
+//! If there are at most as many services as connections, each service has a blocking query in flight, and Consul
+//! responds as soon as something changes. Otherwise the services take turns with immediate requests. The service that
+//! has been due longest is read next, so that no service starves. A service that a hint names is read before the
+//! others.
 
 use orchidyoke_core::interface::Micros;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Least time from one read of a service to the next.
+/// Shortest time from one read of a service to the next.
 const ROUND_MIN_US: Micros = 1_000_000;
-/// The same in an expedited round.
+/// Shortest time from one read of a service to the next in an expedited round.
 const EXPEDITED_ROUND_MIN_US: Micros = 150_000;
 /// Processor time of one read on the forwarder's thread, rounded up.
 const QUERY_COST_US: Micros = 100;
-/// Reads take at most this part of the thread's time.
+/// Reads take at most one part in this many of the thread's time.
 const ROUND_COST_DIVISOR: Micros = 20;
-/// The same in an expedited round.
+/// Reads take at most one part in this many of the thread's time in an expedited round.
 const EXPEDITED_ROUND_COST_DIVISOR: Micros = 3;
 
-/// What a connection is to do next.
+/// The next action of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextQuery {
     /// Read this service with a blocking query.
     Blocking(usize),
-    /// Read this service, without a wait.
+    /// Read this service with an immediate request.
     Immediate(usize),
-    /// Nothing before this time.
+    /// Read no service before this time.
     NotBefore(Micros),
 }
 
-/// A service and when it is due; the earliest is the least.
+/// A service and the time when it is due. The order is by that time, earliest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueService {
     due_at: Micros,
@@ -40,17 +41,18 @@
 /// The order in which services are read.
 #[derive(Debug)]
 pub struct QuerySchedule {
-    /// Services by when they are due, without those in flight.
+    /// Services in the order in which they are due, except those with a read in flight.
     due: BTreeSet<DueService>,
-    /// When each is due, unless it is in flight.
+    /// When each service is due; `None` while its read is in flight.
     due_at: Vec<Option<Micros>>,
-    /// How early each may be read in an expedited round.
+    /// The earliest time at which each service may be read in an expedited round.
     expedited_at: Vec<Micros>,
-    /// In the order of their hints.
+    /// Services that a hint has named, in the order of their hints.
     hinted_services: VecDeque<usize>,
-    /// The last turn went to a hint.
+    /// Whether the last read was of a hinted service.
     last_was_hint: bool,
-    /// Hinted at while in flight: the response may be older than the hint.
+    /// Services that a hint has named while their read was in flight. The response may be older than the hint, so these
+    /// services are read again without waiting for their next round.
     hinted_in_flight: BTreeSet<usize>,
     is_blocking: bool,
     round_us: Micros,
@@ -58,7 +60,7 @@
 }
 
 impl QuerySchedule {
-    /// A schedule of so many services over so many connections (at least one).
+    /// Creates a schedule for this number of services and connections. 0 connections count as 1.
     pub fn new(services: usize, connections: usize) -> Self {
         QuerySchedule {
             due: (0..services).map(|service| DueService { due_at: 0, service }).collect(),
@@ -74,19 +76,19 @@
         }
     }
 
-    /// Whether each service has a connection of its own.
+    /// Returns whether each service has its own connection.
     pub fn is_blocking(&self) -> bool {
         self.is_blocking
     }
 
-    /// Time in microseconds from one read of a service to the next, where they take turns.
+    /// Returns the time in microseconds from one read of a service to the next while services take turns.
     pub fn round_us(&self) -> Micros {
         self.round_us
     }
 
-    /// The next read for a connection that is free.
+    /// Returns the next read for a connection that is free.
     pub fn next(&mut self, now: Micros) -> NextQuery {
-        // Every other turn goes to the services that are due, so that hints without a pause starve none of them.
+        // At least every other read is of a service that is due, so that continuous hints starve no service.
         let is_due = self.due.first().is_some_and(|next| next.due_at <= now);
         if (!self.last_was_hint || !is_due)
             && let Some(service) = self.hinted_services.pop_front()
@@ -111,8 +113,8 @@
         if self.is_blocking { NextQuery::Blocking(service) } else { NextQuery::Immediate(service) }
     }
 
-    /// A read has ended; the service may be read again, not before this time. `failed`: there was no response, so it does
-    /// not wait for its next round.
+    /// Handles the end of a read. The service may be read again, but not before `not_before`. `failed` says that there
+    /// was no response; the service then does not wait for its next round.
     pub fn answered(&mut self, now: Micros, service: usize, not_before: Micros, failed: bool) {
         let was_hinted = self.hinted_in_flight.remove(&service);
         let waits_a_round = !self.is_blocking && !failed && !was_hinted;
@@ -122,8 +124,8 @@
         self.due.insert(DueService { due_at, service });
     }
 
-    /// Something has changed in an unknown service: all are read sooner, though not within an expedited round of their
-    /// last read.
+    /// Reads all services sooner, because one of them has changed and it is not known which one. No service is read
+    /// again within an expedited round of its last read.
     pub fn expedite(&mut self) {
         if self.is_blocking {
             return;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// This service may have changed: it is read next.
+    /// Schedules a service before the others, because it may have changed.
     pub fn hint(&mut self, service: usize) {
         if self.due_at[service].is_none() {
             self.hinted_in_flight.insert(service);
--- a/crates/consul/src/request.rs
+++ b/crates/consul/src/request.rs
@@ -1,16 +1,16 @@
-//! A request to Consul's HTTP API as data: its path, its query parameters and how long to wait for the response.
+//! Represents a request to Consul's HTTP API by its path, its query parameters and the time-out of its response.
 //!
-//! Whoever talks to Consul builds one of these and gives it to [`Client::send`](crate::client::Client::send), which adds
-//! the address and the token.
+//! Callers pass an [`ApiRequest`] to [`Client::send`](crate::client::Client::send), which adds the address and the
+//! token.
 
 use crate::settings::{Consistency, Settings};
 use bytes::Bytes;
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 use std::time::Duration;
 
-/// Time for the head of a response, beyond the time that Consul may hold the request.
+/// Time-out for the head of a response, in addition to the time that Consul may hold the request.
 const RESPONSE_GRACE: Duration = Duration::from_secs(5);
-/// Consul adds up to this part of the wait to it
+/// Consul lengthens the wait by up to one part in this many
 /// (<https://developer.hashicorp.com/consul/api-docs/features/blocking>).
 const WAIT_JITTER_DIVISOR: u32 = 16;
 /// The unreserved characters of RFC 3986, section 2.3.
@@ -32,14 +32,15 @@
     pub wait: Duration,
     /// Further query parameters.
     pub parameters: Vec<Parameter>,
-    /// Only the leader may answer, whatever the settings allow: a stale read of a lock would name a former holder.
+    /// Whether only the leader may answer, even if the settings allow other servers. A stale read of a lock could
+    /// return a former holder.
     pub leader_only: bool,
     /// The body of a write (PUT); a request without one is a read (GET).
     pub body: Option<Bytes>,
 }
 
 impl ApiRequest {
-    /// Reads the instances of a service with their health checks.
+    /// Creates a request that reads the instances of a service with their health checks.
     pub fn service(name: &str, filter: Option<&String>, index: u64, wait: Duration) -> Self {
         ApiRequest {
             path: format!("/v1/health/service/{}", percent_encode(name)),
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Reads a fixed path that supports blocking queries.
+    /// Creates a request that reads a fixed path. The path must support blocking queries.
     pub fn read(path: &str, index: u64, wait: Duration) -> Self {
         ApiRequest { path: path.to_owned(), index, wait, ..ApiRequest::default() }
     }
 
-    /// Reads all keys that begin with `prefix`, from the leader.
+    /// Creates a request that reads all keys that begin with `prefix`, from the leader.
     pub fn read_keys(prefix: &str, index: u64, wait: Duration) -> Self {
         ApiRequest {
             path: format!("/v1/kv/{}", escape_key_path(prefix)),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Writes a session, a key or a transaction.
+    /// Creates a request that writes a session, a key or a transaction.
     pub fn write(path: String, parameters: Vec<Parameter>, body: Bytes) -> Self {
         ApiRequest { path, parameters, leader_only: true, body: Some(body), ..ApiRequest::default() }
     }
@@ -76,7 +77,7 @@
         self.index > 0 && !self.wait.is_zero()
     }
 
-    /// The path with all query parameters that the request and the settings ask for.
+    /// Returns the path with all query parameters that the request and the settings require.
     pub fn uri(&self, settings: &Settings) -> String {
         let mut query = Vec::new();
         if self.is_blocking() {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// How long to wait for the head of the response.
+    /// Returns the time-out for the head of the response.
     pub(crate) fn timeout(&self) -> Duration {
         if self.is_blocking() {
             self.wait + self.wait / WAIT_JITTER_DIVISOR + RESPONSE_GRACE
@@ -115,7 +116,7 @@
     }
 }
 
-/// A key as part of a path: percent-encoded except for its slashes.
+/// Percent-encodes a key for use in a path. Its slashes stay as they are.
 pub(crate) fn escape_key_path(key: &str) -> String {
     key.split('/').map(percent_encode).collect::<Vec<_>>().join("/")
 }
--- a/crates/consul/src/response.rs
+++ b/crates/consul/src/response.rs
@@ -1,7 +1,7 @@
-//! The head of a Consul response, and whether its body may be believed.
+//! Parses the head of a Consul response and decides whether the response is valid.
 //!
-//! A response that fails this check changes nothing: the endpoint list stays as it is and the request is repeated after a
-//! backoff ([`blocking_query`](crate::blocking_query)).
+//! The endpoint list stays as it is after an invalid response, and the request is repeated after a backoff
+//! ([`blocking_query`](crate::blocking_query)).
 
 use crate::settings::{Consistency, Settings};
 use hyper::header::HeaderMap;
@@ -14,18 +14,20 @@
 const KNOWN_LEADER_HEADER: &str = "X-Consul-KnownLeader";
 const LAST_CONTACT_HEADER: &str = "X-Consul-LastContact";
 
-/// What a response says besides its body.
+/// The status and the headers of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The HTTP status.
     pub status: u16,
-    /// `X-Consul-Index` as it was sent, which need not be a number.
+    /// `X-Consul-Index` as Consul sent it; it may not be a number. `None` if it is absent.
     pub index: Option<String>,
-    /// `X-Consul-KnownLeader: false`. A response without the header counts as one from a server with a leader.
+    /// Whether the server knows no leader (`X-Consul-KnownLeader: false`). Without the header, the server counts as one
+    /// that knows a leader.
     pub leaderless: bool,
-    /// `X-Consul-LastContact`, the age of the server's data, where it exceeds `max_stale` of the settings.
+    /// `X-Consul-LastContact`, the age of the server's data, if stale reads are allowed and it exceeds `max_stale` of
+    /// the settings; otherwise `None`.
     pub stale_for: Option<Duration>,
-    /// `Retry-After`, in whole seconds; its other forms count as absent.
+    /// `Retry-After`, in whole seconds. Other forms of the header count as absent.
     pub retry_after: Option<u64>,
 }
 
@@ -34,7 +36,7 @@
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let last_contact_ms = text(LAST_CONTACT_HEADER).and_then(|milliseconds| milliseconds.parse().ok());
         let last_contact = last_contact_ms.map(Duration::from_millis);
-        // Only servers other than the leader may answer with old data, and only if they were allowed to.
+        // Only servers other than the leader may answer with old data, and only if the settings allow stale reads.
         let allows_stale_reads = settings.consistency == Consistency::Stale;
         ResponseHead {
             status,
@@ -45,12 +47,12 @@
         }
     }
 
-    /// `X-Consul-Index` as a number, if it is one.
+    /// Returns `X-Consul-Index` as a number; `None` if it is absent or not a number.
     pub(crate) fn parsed_index(&self) -> Option<u64> {
         self.index.as_deref().and_then(|text| text.trim().parse().ok())
     }
 
-    /// Why the body must not be believed; `None` if it may.
+    /// Returns the reason why the response is invalid; `None` if it is valid.
     pub fn error(&self) -> Option<ResponseError> {
         match (self.status, self.stale_for) {
             (200, _) if self.leaderless => Some(ResponseError::NoLeader),
@@ -63,33 +65,33 @@
     }
 }
 
-/// Why a response is not used.
+/// The reason why a response is not used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
-    /// The server knows no leader: its data may be old, or missing.
+    /// The server knows no leader, so its data may be old or missing.
     #[error("the agent knows no leader")]
     NoLeader,
-    /// The server's last contact with the leader was so long ago: its data may be that old.
+    /// The server's data may be as old as its last contact with the leader, whose age this holds.
     #[error("stale read: the server's last contact with the leader was {} s ago (max_stale)", .0.as_secs())]
     StaleRead(Duration),
-    /// The token may not read what was requested.
+    /// The token is missing, has expired, or does not allow the request.
     #[error(
         "HTTP 403: the token is missing, has expired, or may not read the service and its nodes (service:read, node:read)"
     )]
     Forbidden,
-    /// Consul limits the request rate.
+    /// Consul has rejected the request because of a rate limit.
     #[error("HTTP 429: too many requests")]
     RateLimited,
-    /// Any other status than 200.
+    /// Any other HTTP status except 200.
     #[error("HTTP {0}")]
     Status(u16),
-    /// The body is not of the form that the API documents; holds the parser's message.
+    /// The body does not have the documented format. This holds the parser's message.
     #[error("cannot parse the response body: {0}")]
     Malformed(String),
 }
 
 impl ResponseError {
-    /// Whether another server may well have the answer, since this one is cut off or faulty.
+    /// Returns whether another server may be able to answer, because this one is isolated from the leader or faulty.
     pub fn is_server_fault(&self) -> bool {
         match self {
             ResponseError::NoLeader | ResponseError::StaleRead(_) => true,
@@ -103,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// [`ResponseError::Malformed`]
+/// Returns [`ResponseError::Malformed`] if the body does not have the documented format.
 pub(crate) fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, ResponseError> {
     serde_json::from_slice(body).map_err(|error| ResponseError::Malformed(error.to_string()))
 }
--- a/crates/consul/src/settings.rs
+++ b/crates/consul/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of an installation's Consul: plain data, checked by whoever reads it from a file.
+//! The settings of an installation's Consul. They are plain data; the code that reads them from a file checks them.
 //!
-//! [`Settings::id`] is a checksum over their JSON and is stored with the endpoint list, so the names of the fields here are
-//! a stored form.
+//! [`Settings::id`] is a checksum of their JSON and is stored with the endpoint list. So the names of the fields here
+//! are part of a stored format and must not change.
 
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
@@ -9,76 +9,79 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Which servers may answer, and how fresh they have to be
+/// Which servers may answer, and how fresh their data must be
 /// (<https://developer.hashicorp.com/consul/api-docs/features/consistency>).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Consistency {
-    /// The leader answers, as long as its lease runs.
+    /// The leader answers as long as its lease is valid.
     #[default]
     Default,
-    /// Any server answers (stale reads), as long as its data is no older than `max_stale`.
+    /// Any server answers (stale reads). A response is used only if its data is no older than `max_stale`.
     Stale,
-    /// The leader answers after a quorum has confirmed it.
+    /// The leader answers after a quorum has confirmed that it is the leader.
     Consistent,
 }
 
-/// TLS towards Consul. Files are PEM and are read again when they change.
+/// TLS towards Consul. The files are in PEM format and are read again when they change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tls {
-    /// The authorities' certificates that Consul's own is verified with.
+    /// Certificates of the authorities that may have signed Consul's certificate.
     pub ca: PathBuf,
-    /// This forwarder's certificate chain, where Consul requires one.
+    /// This forwarder's certificate chain; `None` if Consul requires no client certificate.
     pub cert: Option<PathBuf>,
-    /// The key of that certificate.
+    /// Private key of this forwarder's certificate.
     pub key: Option<PathBuf>,
-    /// The name that Consul's certificate has to bear, such as `server.dc1.consul`; the IP address where it is `None`.
+    /// The name that Consul's certificate must contain, such as `server.dc1.consul`. If it is `None`, the certificate
+    /// must contain the IP address.
     pub server_name: Option<String>,
 }
 
-/// One service of the catalogue, and the destination that it stands for.
+/// One service of the catalogue, and the destination whose endpoints are its instances.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name in the catalogue.
+    /// The service's name in the catalogue.
     pub name: String,
     /// The destination that its instances are endpoints of.
     pub destination: u64,
     /// The kind of that destination, by its name in the platform's settings.
     pub kind: String,
-    /// The zone of instances without one in their metadata.
+    /// The zone of instances that have no zone in their metadata.
     pub zone: String,
-    /// The metadata key of the zone, in the instance's or else in its node's.
+    /// The metadata key of the zone. It is looked up in the metadata of the instance, then in that of its node. If it
+    /// is `None`, all instances are in `zone`.
     pub zone_meta: Option<String>,
-    /// The capacity of the destination, in calls a second; 0 where it is unknown.
+    /// The capacity of the destination, in calls a second; 0 if it is unknown.
     pub capacity: f64,
-    /// A filter expression that Consul applies.
+    /// A filter expression that Consul applies to the instances.
     pub filter: Option<String>,
 }
 
 /// Consul as the source of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Agents or servers; the next one is used when one fails.
+    /// Addresses of agents or servers. If one fails, the next one is used.
     pub addresses: Vec<SocketAddr>,
-    /// TLS; plain HTTP where it is `None`.
+    /// TLS settings; plain HTTP if `None`.
     pub tls: Option<Tls>,
-    /// The file with the token, read for each request.
+    /// The file with the token, which is read for each request. Requests carry no token if it is `None`.
     pub token_file: Option<PathBuf>,
-    /// The datacentre; the agent's own where it is `None`.
+    /// The datacentre; that of the agent if `None`.
     pub datacenter: Option<String>,
-    /// The namespace, where Consul has namespaces.
+    /// The namespace; requests name no namespace if `None`.
     pub namespace: Option<String>,
-    /// Which servers may answer.
+    /// Which servers may answer, and how fresh their data must be.
     pub consistency: Consistency,
-    /// The oldest data that counts under [`Consistency::Stale`]: the time since the server's last contact with the leader.
+    /// The greatest age of data that is used with [`Consistency::Stale`]. The age is the time since the server's last
+    /// contact with the leader.
     pub max_stale: Duration,
     /// How long Consul may hold a blocking query.
     pub wait: Duration,
-    /// Most connections at once.
+    /// The most connections that may be open at once for the endpoint list.
     pub connections: usize,
     /// The services to follow.
     pub services: Vec<Service>,
-    /// Where endpoints may lie; an address elsewhere is never dialled.
+    /// Networks in which endpoints may lie. An address in any other network is never dialled.
     pub networks: Vec<IpNet>,
 }
 
@@ -101,7 +104,7 @@
 }
 
 impl Settings {
-    /// A name for these settings, which changes when any of them does.
+    /// Returns an identifier of these settings, which changes when any of them changes.
     pub fn id(&self) -> String {
         // Serializing plain data does not fail.
         let text = serde_json::to_vec(self).unwrap_or_default();
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -1,7 +1,8 @@
-//! The endpoints of all followed services, and the delta from one response to the next. No I/O, no clock.
+//! Holds the endpoints of all followed services, and computes the delta from one response to the next. This module does
+//! no I/O and reads no clock.
 //!
-//! Each response that counts replaces what is known of its service; the difference becomes watch events for the
-//! forwarder's endpoint list.
+//! Each valid response replaces the endpoints of its service. The difference becomes watch events for the forwarder's
+//! endpoint list.
 
 use crate::allowed_networks::AllowedNetworks;
 use crate::api::ServiceEntry;
@@ -10,43 +11,43 @@
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of one service.
+/// The endpoints of one service by its last valid response.
 #[derive(Debug)]
 struct ServiceState {
     service: Service,
-    /// A response that counts has arrived since the start.
+    /// Whether a valid response has arrived since the start.
     is_known: bool,
-    /// By uid.
+    /// Endpoints by their uid.
     endpoints: BTreeMap<String, EndpointEntry>,
     /// Instances of the last response that cannot be endpoints, each with its reason.
     unusable: BTreeSet<String>,
 }
 
-/// What one response has changed.
+/// The changes that one response makes.
 #[derive(Debug, Default, PartialEq)]
 pub struct SnapshotDelta {
-    /// For the endpoint list, in this order.
+    /// Events for the endpoint list, to be applied in this order.
     pub events: Vec<WatchEvent>,
     /// Instances that cannot be endpoints and were not reported with the last response, each with its reason.
     pub unusable: Vec<String>,
 }
 
-/// The endpoints of all services, by their last responses.
+/// The endpoints of all services by their last valid responses.
 #[derive(Debug)]
 pub struct CatalogueSnapshot {
     origin: String,
     version: u64,
     networks: AllowedNetworks,
     services: Vec<ServiceState>,
-    /// Endpoints of the list at the start that no service has claimed: they stay in use until all services of their
-    /// destination are known.
+    /// Endpoints of the list at the start that belong to no service by their uid. They stay in use until all services
+    /// of their destination have had a valid response.
     unclaimed: BTreeMap<String, EndpointEntry>,
     /// Destinations that have had an endpoint.
     seen_destinations: BTreeSet<u64>,
 }
 
 impl CatalogueSnapshot {
-    /// A snapshot that continues from the current endpoint list, whichever source that came from.
+    /// Creates a snapshot that continues from the current endpoint list. The list may come from another source.
     pub fn new(settings: &Settings, current: &WatchEvent) -> Self {
         let by_uid = |endpoint: &EndpointEntry| (endpoint.uid.clone(), endpoint.clone());
         let mut unclaimed: BTreeMap<_, _> = current.endpoints.iter().map(by_uid).collect();
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Endpoints of a service.
+    /// Returns the number of endpoints of a service.
     pub fn endpoint_count(&self, service: usize) -> usize {
         self.services[service].endpoints.len()
     }
 
-    /// Services that have an instance on this node.
+    /// Returns the services that have an instance on this node.
     pub fn services_on_node<'a>(&'a self, node: &'a str) -> impl Iterator<Item = usize> + 'a {
         let is_on_node =
             move |state: &ServiceState| state.endpoints.keys().any(|uid| node_of_uid(uid) == Some(node));
@@ -82,7 +83,8 @@
         services.filter(move |(_, state)| is_on_node(state)).map(|(index, _)| index)
     }
 
-    /// Applies a complete response that counts, for one service. Endpoints that it leaves out are removed.
+    /// Applies a valid response for one service, which lists all of its instances. Endpoints that are not in the
+    /// response are removed.
     pub fn apply(&mut self, service: usize, entries: &[ServiceEntry]) -> SnapshotDelta {
         let mut endpoints = BTreeMap::new();
         let mut unusable = BTreeSet::new();
@@ -106,12 +108,12 @@
         SnapshotDelta { events, unusable: newly_unusable }
     }
 
-    /// Replaces the endpoints of a service; returns the events that lead from the old ones to the new ones. Removals come
-    /// first: an address may have a new owner.
+    /// Replaces the endpoints of a service. Returns the events that lead from the old endpoints to the new ones.
+    /// Removals come first, because an address may belong to a new endpoint.
     ///
-    /// A destination without endpoints was away, though no call has failed. So its last endpoints are removed as
-    /// critical, and when it returns its endpoints are first listed as critical: their passing health checks alone must
-    /// not give them full load.
+    /// A destination without endpoints was unavailable, even if no call has failed. So its last endpoints are removed
+    /// with critical health. When the destination has endpoints again, they are first listed with critical health,
+    /// because passing health checks alone must not give them full load.
     fn replace_endpoints(
         &mut self,
         service: usize,
@@ -140,7 +142,7 @@
         self.events([first, changed])
     }
 
-    /// One event for each list that is not empty.
+    /// Returns one event for each list that is not empty.
     fn events<const COUNT: usize>(&mut self, lists: [Vec<EndpointEntry>; COUNT]) -> Vec<WatchEvent> {
         let not_empty = lists.into_iter().filter(|endpoints| !endpoints.is_empty());
         not_empty.map(|endpoints| self.next_event(endpoints)).collect()
@@ -157,8 +159,8 @@
             || self.unclaimed.values().any(|endpoint| endpoint.destination == destination)
     }
 
-    /// Takes the unclaimed endpoints whose time is over: those of a destination whose services are all known, and, with
-    /// the first response, those of destinations that no service stands for.
+    /// Removes and returns the unclaimed endpoints that are obsolete. These are the endpoints of `destination` once all
+    /// of its services have had a valid response, and the endpoints of destinations that no service follows.
     fn take_obsolete_unclaimed(&mut self, destination: u64) -> Vec<EndpointEntry> {
         if self.unclaimed.is_empty() {
             return Vec::new();
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -1,8 +1,8 @@
-//! Consul's catalogue and health checks as the source of the endpoint list.
+//! Provides the endpoint list from Consul's catalogue and health checks.
 //!
-//! [`EndpointSource`] runs while an installation's settings name Consul. Its tasks share one state: query workers read the
-//! services (`query_worker`), two more tasks may say which service to read next (`hints`), and one reports in the log
-//! which services fail (`failure_report`). All of them run on the forwarder's thread.
+//! [`EndpointSource`] runs while an installation's settings name Consul. Its tasks share one state. Query workers read
+//! the services (`query_worker`). Two more tasks find services to read next if services take turns (`hints`). One task
+//! logs which services fail (`failure_report`). All tasks run on the forwarder's thread.
 
 mod failure_report;
 mod hints;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use tokio::task::JoinSet;
 
-/// Connections kept for the hints, where services take turns.
+/// Connections that are reserved for the hints if services take turns.
 const HINT_CONNECTIONS: usize = 2;
 
 /// A source of endpoints that follows the services of its settings.
@@ -29,7 +29,7 @@
 }
 
 impl EndpointSource {
-    /// A source for settings that have been checked: at least one address and one service.
+    /// Creates a source. The settings must have been checked and have at least one address and one service.
     pub fn new(settings: Settings) -> Self {
         EndpointSource { id: settings.id(), settings: Rc::new(settings) }
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// How the connections are shared out.
+/// How the connections are divided between queries and hints.
 struct Workers {
     queries: usize,
     follow_hints: bool,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs until a task panics; returns the reason. Dropping it closes all its connections.
+/// Runs the tasks until one of them panics, and returns the reason. Dropping the future closes all connections.
 async fn follow(settings: Rc<Settings>, current: WatchEvent, updates: UpdateSender) -> String {
     let workers = Workers::for_settings(&settings);
     let shared = Rc::new(Shared::new(settings, &current, workers.queries, updates));
--- a/crates/consul/src/source/failure_report.rs
+++ b/crates/consul/src/source/failure_report.rs
@@ -1,4 +1,4 @@
-//! Reports in the log that services have no valid response, why, and how old their endpoints are; and their recovery.
+//! Logs that services have no valid response, the last error, and how old their endpoints are. Logs their recovery too.
 
 use super::shared::{Shared, State};
 use crate::settings::Settings;
@@ -10,11 +10,11 @@
 
 /// How often the services are checked for failures.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// While services fail, the log says so this often.
+/// Time between two log lines while services fail.
 const REPORT_INTERVAL_US: Micros = 30_000_000;
 const SECOND_US: Micros = 1_000_000;
 
-/// Checks and reports, without end.
+/// Checks the services and logs failures in an endless loop.
 pub(super) async fn run(shared: Rc<Shared>) {
     let mut reported_at = None;
     loop {
--- a/crates/consul/src/source/hints.rs
+++ b/crates/consul/src/source/hints.rs
@@ -1,8 +1,8 @@
-//! Two lists that say which services have changed, where services take turns: each follows one list with a blocking query
-//! and moves the services that it names to the front of the schedule.
+//! Follows two lists of Consul that show which services have changed. Used while services take turns. Each list is read
+//! with a blocking query, and the services that have changed move to the front of the schedule.
 //!
-//! A hint changes no endpoint; the service itself is read next. What the lists fail with is not reported: the services
-//! fail for the same reason.
+//! A hint changes no endpoint; it only makes its service the next one to be read. Errors of the lists are not logged,
+//! because the services fail for the same reason.
 
 use super::shared::{Shared, State};
 use crate::api::Check;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::time::sleep_until;
 
-/// A critical check, by what identifies it.
+/// The fields that identify a critical check.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CriticalCheck {
     service: String,
@@ -23,8 +23,9 @@
 /// Service names with their tags.
 type ServiceTags = BTreeMap<String, Vec<String>>;
 
-/// Follows the critical checks of all services, a short list as long as all is well. A service whose check enters or
-/// leaves it is read next; a check of a whole node concerns all services with an instance there.
+/// Follows the critical checks of all services; the list is short while most services are healthy. If a check enters or
+/// leaves the list, its service is read next. If it is a check of a whole node, all services with an instance on the
+/// node are read next.
 pub(super) async fn follow_critical_checks(shared: Rc<Shared>) {
     let mut before = BTreeSet::new();
     follow_list(&shared, "/v1/health/state/critical", |body| {
@@ -47,8 +48,8 @@
     .await;
 }
 
-/// Follows the names of all services with their tags. A service whose tags have changed is read next. A change that the
-/// list does not show makes its index move as well, so all services are read sooner.
+/// Follows the names of all services with their tags. A service whose tags have changed is read next. The index of the
+/// list also moves with changes that the list does not show, so all services are read sooner after each response.
 pub(super) async fn follow_service_names(shared: Rc<Shared>) {
     let mut before = ServiceTags::new();
     follow_list(&shared, "/v1/catalog/services", |body| {
@@ -68,7 +69,7 @@
     .await;
 }
 
-/// Follows one list without end; gives each body that may hold a change to `on_change`.
+/// Follows one list in an endless loop, and passes each body that may hold a change to `on_change`.
 async fn follow_list(shared: &Shared, path: &str, mut on_change: impl FnMut(&[u8])) {
     let mut idle_connection = None;
     let mut query = BlockingQuery::default();
--- a/crates/consul/src/source/query_worker.rs
+++ b/crates/consul/src/source/query_worker.rs
@@ -1,4 +1,4 @@
-//! One connection that reads the services whose turn it is. As many run as there are connections for queries.
+//! Reads services that are due over one connection. One worker runs for each connection for queries.
 
 use super::shared::Shared;
 use crate::query_schedule::NextQuery;
@@ -7,15 +7,15 @@
 use std::time::Duration;
 use tokio::time::sleep_until;
 
-/// A request that is due.
+/// A request for a service that is due.
 struct DueQuery {
     service: usize,
     index: u64,
-    /// Zero for an immediate response.
+    /// How long Consul may hold the request; zero for an immediate response.
     wait: Duration,
 }
 
-/// Reads one service after another, without end.
+/// Reads one service after another in an endless loop.
 pub(super) async fn run(shared: Rc<Shared>) {
     let mut idle_connection = None;
     loop {
@@ -26,7 +26,7 @@
         let failed = response.is_err();
         let not_before = shared.handle_response(service, response);
         shared.state.borrow_mut().schedule.answered(shared.now(), service, not_before, failed);
-        // A sleeping worker may have to wait for this service now.
+        // A sleeping worker may have to wake up earlier for this service.
         shared.schedule_changed.notify_one();
     }
 }
--- a/crates/consul/src/source/shared.rs
+++ b/crates/consul/src/source/shared.rs
@@ -1,4 +1,5 @@
-//! What the tasks of one endpoint source share: the schedule, the queries, the snapshot, and when to reconnect.
+//! The state that the tasks of one endpoint source share: the schedule, the queries, the snapshot, and the time of the
+//! next connection attempt.
 
 use crate::backoff::{exponential_backoff, with_jitter};
 use crate::blocking_query::{BlockingQuery, QueryOutcome};
@@ -22,41 +23,42 @@
 
 const RECONNECT_BACKOFF_MIN_US: Micros = 100_000;
 const RECONNECT_BACKOFF_MAX_US: Micros = 4_000_000;
-/// Bounds a sleep without an end, which a notification ends: a later instant may not exist.
+/// Limits a sleep that only a notification ends, because a later instant may not be representable.
 const LONGEST_SLEEP_US: Micros = 3_600_000_000_000;
 
-/// The state of one endpoint source, and its connections' client.
+/// The shared state of one endpoint source, and the client for its connections.
 pub(super) struct Shared {
     pub(super) settings: Rc<Settings>,
     pub(super) state: RefCell<State>,
-    /// A service may be due earlier than a sleeping worker expects.
+    /// Wakes up workers when a service may be due earlier than they expect.
     pub(super) schedule_changed: Notify,
     client: Client,
     started_at: Instant,
     updates: UpdateSender,
 }
 
-/// What the tasks read and change. No borrow of it is held over an `await`.
+/// The state that the tasks read and change. No borrow of it is held across an `await`.
 pub(super) struct State {
     pub(super) schedule: QuerySchedule,
     pub(super) queries: Vec<BlockingQuery>,
     pub(super) snapshot: CatalogueSnapshot,
-    /// Services by name: one name may stand for several destinations.
+    /// Indices of the services by name. A name may occur several times, for several destinations.
     pub(super) services_by_name: BTreeMap<String, Vec<usize>>,
-    /// Services whose last request had no response that counts.
+    /// Services whose last request had no valid response.
     pub(super) failing_services: BTreeSet<usize>,
     /// The service that failed last, and its error.
     pub(super) last_error: Option<ServiceError>,
     reconnect: Reconnect,
 }
 
-/// Why a service has no response that counts.
+/// The reason why a service has no valid response.
 pub(super) struct ServiceError {
     pub(super) service: usize,
     pub(super) error: String,
 }
 
-/// When a connection may be tried again. All tasks wait together, so that a recovering Consul is not met by all of them.
+/// The time of the next connection attempt. All tasks share one backoff, so that they do not retry separately while
+/// Consul recovers.
 #[derive(Default)]
 struct Reconnect {
     not_before: Micros,
@@ -64,7 +66,8 @@
 }
 
 impl Reconnect {
-    /// A connection failed. Failures within a backoff are those of tasks that tried at the same time: they count once.
+    /// Handles a failed connection attempt. A failure within the backoff is that of a task that tried at the same time,
+    /// so it is not counted again.
     fn on_failure(&mut self, now: Micros, jitter: f64) {
         if now < self.not_before {
             return;
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Microseconds since the start of this source.
+    /// Returns the microseconds since the start of this source.
     pub(super) fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
@@ -119,7 +122,7 @@
         self.started_at + Duration::from_micros(at.clamp(0, LONGEST_SLEEP_US) as u64)
     }
 
-    /// The idle connection if it can be used, or else a new one.
+    /// Returns the idle connection if it can be used, or else opens a new one.
     async fn connection(&self, idle: Option<Connection>) -> Result<Connection, ClientError> {
         if let Some(connection) = idle.filter(|connection| self.client.is_reusable(connection)) {
             return Ok(connection);
@@ -135,7 +138,8 @@
         connected
     }
 
-    /// Sends a request on the idle connection or a new one. Only after a whole response is there an idle one again.
+    /// Sends a request on the idle connection or on a new one. The connection becomes idle again only after a complete
+    /// response.
     pub(super) async fn send(
         &self,
         idle: &mut Option<Connection>,
@@ -147,7 +151,7 @@
         Ok(response)
     }
 
-    /// Handles the response of a service, or its absence; returns the earliest time of its next request.
+    /// Handles the response of a service, or the error instead of one. Returns the earliest time of its next request.
     pub(super) fn handle_response(
         &self,
         service: usize,
@@ -172,7 +176,7 @@
         not_before
     }
 
-    /// Applies the body of a response that counts, and passes the changes on.
+    /// Applies the body of a valid response to the snapshot, and sends the changes to the endpoint list.
     fn apply_body(&self, service: usize, body: &[u8]) -> Result<(), ResponseError> {
         let entries: Vec<_> = parse_body(body)?;
         let mut state = self.state.borrow_mut();
--- a/crates/consul/src/tls.rs
+++ b/crates/consul/src/tls.rs
@@ -1,6 +1,7 @@
-//! TLS towards Consul: PEM files into a rustls configuration, and handshake errors into advice.
+//! Creates a rustls configuration for Consul from PEM files, and explains handshake errors.
 //!
-//! Used for each new connection, so that replaced files count from the next one on, and by the settings checker.
+//! The files are read for each new connection, so that replaced files take effect with the next connection. The check
+//! of the settings reads them too.
 
 use crate::settings::Tls;
 use rustls_pki_types::pem::{self, PemObject};
@@ -13,7 +14,7 @@
 use thiserror::Error;
 use tokio_rustls::rustls::{self, CertificateError, ClientConfig, RootCertStore, crypto::ring};
 
-/// Why TLS cannot be set up, in one line.
+/// The reason why TLS cannot be set up, in one line.
 #[derive(Debug, Error)]
 pub enum TlsError {
     /// A PEM file cannot be read.
@@ -25,13 +26,13 @@
         source: pem::Error,
     },
     /// A PEM file holds no certificate.
-    #[error("{path}: there is no certificate in it")]
+    #[error("{path}: the file contains no certificate")]
     NoCertificate {
         /// The file.
         path: PathBuf,
     },
     /// A certificate of an authority cannot be used as one.
-    #[error("{path}: not the certificate of an authority: {source}")]
+    #[error("{path}: not a certificate of an authority: {source}")]
     InvalidAuthority {
         /// The file.
         path: PathBuf,
@@ -39,7 +40,7 @@
         source: rustls::Error,
     },
     /// The key does not belong to the client's certificate.
-    #[error("the key in {key} does not fit the certificate in {cert}: {source}")]
+    #[error("the key in {key} does not belong to the certificate in {cert}: {source}")]
     KeyMismatch {
         /// The file with the certificate.
         cert: PathBuf,
@@ -49,7 +50,7 @@
         source: rustls::Error,
     },
     /// Only one of certificate and key is given.
-    #[error("cert and key are given together or not at all")]
+    #[error("cert and key must be given together or not at all")]
     IncompleteIdentity,
     /// The TLS library offers no protocol version.
     #[error("no TLS version can be used: {0}")]
@@ -59,7 +60,7 @@
     ServerName(#[from] InvalidDnsNameError),
 }
 
-/// Modification time and length of each TLS file. Other versions mean that a file was replaced.
+/// Modification time and length of each TLS file. If they differ, a file was replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileVersions(Vec<Option<FileVersion>>);
 
@@ -81,16 +82,16 @@
         [Some(&self.ca), self.cert.as_ref(), self.key.as_ref()].into_iter().flatten().map(PathBuf::as_path)
     }
 
-    /// The versions of the files that are on disk now.
+    /// Returns the versions of the files that are on disk now.
     pub fn file_versions(&self) -> FileVersions {
         FileVersions(self.files().map(|path| FileVersion::of(path).ok()).collect())
     }
 
-    /// Reads the files.
+    /// Reads the files and returns the client configuration.
     ///
     /// # Errors
     ///
-    /// All of [`TlsError`] except [`TlsError::ServerName`].
+    /// Returns any error of [`TlsError`] except [`TlsError::ServerName`].
     pub fn load(&self) -> Result<Arc<ClientConfig>, TlsError> {
         let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
             .with_safe_default_protocol_versions()
@@ -119,11 +120,11 @@
         Ok(roots)
     }
 
-    /// The name that the certificate of the server at this address has to bear.
+    /// Returns the name that the certificate of the server at this address must contain.
     ///
     /// # Errors
     ///
-    /// [`TlsError::ServerName`]
+    /// Returns [`TlsError::ServerName`] if `server_name` is not a DNS name.
     pub fn expected_server_name(&self, address: SocketAddr) -> Result<ServerName<'static>, TlsError> {
         match &self.server_name {
             Some(name) => Ok(ServerName::try_from(name.clone())?),
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A failed handshake in one line, with what to do about it.
+    /// Returns the reason of a failed handshake in one line, and what to do about it.
     pub fn describe_handshake_error(&self, error: &io::Error, address: SocketAddr) -> String {
         let inner = error.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>());
         let Some(rustls::Error::InvalidCertificate(reason)) = inner else { return error.to_string() };
@@ -144,7 +145,9 @@
             }
             CertificateError::NotValidForName | CertificateError::NotValidForNameContext { .. } => {
                 let name = self.server_name.clone().unwrap_or_else(|| address.ip().to_string());
-                format!("Consul's certificate is not for {name}: set server_name to a name that it bears")
+                format!(
+                    "Consul's certificate is not for {name}: set server_name to a name in the certificate"
+                )
             }
             CertificateError::UnknownIssuer => {
                 let ca = self.ca.display();
