--- a/crates/consul/src/blocking_query.rs
+++ b/crates/consul/src/blocking_query.rs
@@ -22,7 +22,7 @@
 /// Longest pause between requests while Consul sends no index that a blocking query can use.
 const IDLE_BACKOFF_MAX_US: Micros = 2 * SECOND_US;
 /// If a blocking query without a change ends sooner than this, the agent does not support blocking.
-const BLOCKED_AT_LEAST_US: Micros = SECOND_US;
+const BLOCKING_MIN_US: Micros = SECOND_US;
 
 /// How the caller must handle a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -120,7 +120,7 @@
     /// Returns the pause after a response without a change. It is 0 after an immediate request and after a blocking
     /// query that has waited, and a backoff if the agent does not support blocking.
     fn pause_after_unchanged(&mut self, now: Micros) -> Micros {
-        let blocked = self.is_immediate || now - self.started_at >= BLOCKED_AT_LEAST_US;
+        let blocked = self.is_immediate || now - self.started_at >= BLOCKING_MIN_US;
         if blocked {
             self.idle_responses = 0;
             return 0;
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -166,8 +166,8 @@
     /// [`ClientError::Tls`] or [`ClientError::Transport`]. After any of these errors, no request was sent.
     pub async fn connect(&self) -> Result<Connection, ClientError> {
         let address = self.address();
-        let late = ClientError::ConnectTimeout { address };
-        let connected = with_timeout(CONNECT_TIMEOUT, late, self.open(address)).await;
+        let timeout_error = ClientError::ConnectTimeout { address };
+        let connected = with_timeout(CONNECT_TIMEOUT, timeout_error, self.open(address)).await;
         connected.inspect_err(|_| self.fail_over_from(address))
     }
 
@@ -180,7 +180,7 @@
         let tls_file_versions = self.tls_file_versions();
         let stream: Box<dyn Stream> = match &self.settings.tls {
             None => Box::new(stream),
-            Some(tls) => Box::new(shake_hands(tls, address, stream).await?),
+            Some(tls) => Box::new(tls_handshake(tls, address, stream).await?),
         };
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|source| ClientError::Transport { address, source })?;
@@ -229,13 +229,13 @@
         let request = self.http_request(address, api_request)?;
         let failed = |source| ClientError::Transport { address, source };
         let limit = api_request.timeout();
-        let late = || ClientError::ResponseTimeout { address, limit };
+        let timeout_error = || ClientError::ResponseTimeout { address, limit };
         let sender = &mut connection.sender;
-        with_timeout(limit, late(), async { sender.ready().await.map_err(failed) }).await?;
+        with_timeout(limit, timeout_error(), async { sender.ready().await.map_err(failed) }).await?;
         let sent = async { sender.send_request(request).await.map_err(failed) };
-        let (parts, body) = with_timeout(limit, late(), sent).await?.into_parts();
-        let late = ClientError::BodyTimeout { address };
-        let body = with_timeout(BODY_TIMEOUT, late, read_body(address, body)).await?;
+        let (parts, body) = with_timeout(limit, timeout_error(), sent).await?.into_parts();
+        let timeout_error = ClientError::BodyTimeout { address };
+        let body = with_timeout(BODY_TIMEOUT, timeout_error, read_body(address, body)).await?;
         Ok((ResponseHead::parse(parts.status.as_u16(), &parts.headers, &self.settings), body))
     }
 
@@ -267,7 +267,7 @@
     }
 }
 
-async fn shake_hands(
+async fn tls_handshake(
     tls: &Tls,
     address: SocketAddr,
     stream: TcpStream,
@@ -282,10 +282,10 @@
 
 async fn with_timeout<T>(
     limit: Duration,
-    late: ClientError,
+    timeout_error: ClientError,
     work: impl Future<Output = Result<T, ClientError>>,
 ) -> Result<T, ClientError> {
-    timeout(limit, work).await.unwrap_or(Err(late))
+    timeout(limit, work).await.unwrap_or(Err(timeout_error))
 }
 
 async fn read_body(address: SocketAddr, mut body: Incoming) -> Result<Bytes, ClientError> {
--- a/crates/consul/src/snapshot.rs
+++ b/crates/consul/src/snapshot.rs
@@ -120,26 +120,26 @@
         after: BTreeMap<String, EndpointEntry>,
     ) -> Vec<WatchEvent> {
         let destination = self.services[service].service.destination;
-        let returns = !self.has_endpoints(destination) && self.seen_destinations.contains(&destination);
+        let has_returned = !self.has_endpoints(destination) && self.seen_destinations.contains(&destination);
         let state = &mut self.services[service];
         state.is_known = true;
         let before = std::mem::replace(&mut state.endpoints, after);
         let after = &state.endpoints;
-        let mut gone: Vec<EndpointEntry> =
+        let mut removed_endpoints: Vec<EndpointEntry> =
             before.values().filter(|endpoint| !after.contains_key(&endpoint.uid)).cloned().collect();
         let changed: Vec<EndpointEntry> =
             after.values().filter(|endpoint| before.get(&endpoint.uid) != Some(endpoint)).cloned().collect();
-        gone.extend(self.take_obsolete_unclaimed(destination));
+        removed_endpoints.extend(self.take_obsolete_unclaimed(destination));
         if !changed.is_empty() {
             self.seen_destinations.insert(destination);
         }
-        let mut first: Vec<EndpointEntry> = gone.into_iter().map(removed).collect();
-        if !returns {
-            first.extend(changed);
-            return self.events([first]);
+        let mut first_event: Vec<EndpointEntry> = removed_endpoints.into_iter().map(removed).collect();
+        if !has_returned {
+            first_event.extend(changed);
+            return self.events([first_event]);
         }
-        first.extend(changed.iter().cloned().map(critical));
-        self.events([first, changed])
+        first_event.extend(changed.iter().cloned().map(critical));
+        self.events([first_event, changed])
     }
 
     /// Returns one event for each list that is not empty.
--- a/crates/consul/src/source/shared.rs
+++ b/crates/consul/src/source/shared.rs
@@ -24,7 +24,7 @@
 const RECONNECT_BACKOFF_MIN_US: Micros = 100_000;
 const RECONNECT_BACKOFF_MAX_US: Micros = 4_000_000;
 /// Limits a sleep that only a notification ends, because a later instant may not be representable.
-const LONGEST_SLEEP_US: Micros = 3_600_000_000_000;
+const SLEEP_MAX_US: Micros = 3_600_000_000_000;
 
 /// The shared state of one endpoint source, and the client for its connections.
 pub(super) struct Shared {
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn instant(&self, at: Micros) -> Instant {
-        self.started_at + Duration::from_micros(at.clamp(0, LONGEST_SLEEP_US) as u64)
+        self.started_at + Duration::from_micros(at.clamp(0, SLEEP_MAX_US) as u64)
     }
 
     /// Returns the idle connection if it can be used, or else opens a new one.
