--- a/crates/fakes/src/certificates.rs
+++ b/crates/fakes/src/certificates.rs
@@ -1,4 +1,4 @@
-//! Certificates for tests: an authority and the certificates that it signs, as PEM files in a folder.
+//! Creates certificates for tests: an authority and the certificates that it signs, as PEM files in a folder.
 
 use crate::temporary_folder::write_atomically;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair, SanType};
@@ -6,28 +6,28 @@
 use std::path::{Path, PathBuf};
 use time::{Duration, OffsetDateTime};
 
-/// Certificates are valid from this long before they are signed.
+/// Time before its signature from which a certificate is valid.
 const VALID_BEFORE_NOW: Duration = Duration::days(30);
 
 /// A certificate authority, whose own certificate is `NAME-ca.pem`.
 pub struct CertificateAuthority {
     issuer: CertifiedIssuer<'static, KeyPair>,
     folder: PathBuf,
-    /// The file of its certificate.
+    /// The PEM file with its certificate.
     pub certificate: PathBuf,
 }
 
 /// The files of a certificate and its key.
 #[derive(Clone, Debug)]
 pub struct CertificateFiles {
-    /// The certificate.
+    /// The PEM file with the certificate.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The PEM file with the private key of the certificate.
     pub key: PathBuf,
 }
 
 impl CertificateAuthority {
-    /// A new authority with its files in this folder.
+    /// Creates an authority. Its files are written to `folder`.
     pub fn new(folder: &Path, name: &str) -> Self {
         let mut params = CertificateParams::default();
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -38,8 +38,8 @@
         CertificateAuthority { issuer, folder: folder.to_owned(), certificate }
     }
 
-    /// Signs a certificate for this name and address, valid for this long from now on; a negative time makes an expired
-    /// one. The files are `NAME.pem` and `NAME.key`.
+    /// Signs a certificate for a name and an address. It is valid for `valid_for` from now on; with a negative value it
+    /// has already expired. The files are `NAME.pem` and `NAME.key`.
     pub fn sign(&self, name: &str, address: IpAddr, valid_for: Duration) -> CertificateFiles {
         let mut params = CertificateParams::new(vec![name.to_owned()]).expect("a name");
         params.subject_alt_names.push(SanType::IpAddress(address));
--- a/crates/fakes/src/consul/bodies.rs
+++ b/crates/fakes/src/consul/bodies.rs
@@ -1,4 +1,4 @@
-//! Response bodies that break HTTP on purpose.
+//! Response bodies that are faulty on purpose: one is truncated, one is endless.
 
 use crate::runtime::Never;
 use bytes::Bytes;
@@ -17,7 +17,7 @@
     announced_length: u64,
 }
 
-/// A body of these bytes that announces twice as many.
+/// Returns a body of these bytes that announces twice their length.
 pub(super) fn truncated(bytes: Vec<u8>) -> BoxBody<Bytes, Never> {
     let announced_length = 2 * bytes.len() as u64;
     TruncatedBody { bytes: Some(bytes.into()), announced_length }.boxed()
@@ -39,7 +39,7 @@
     }
 }
 
-/// White space without an end, which is allowed before a JSON list.
+/// An endless body of white space, which is allowed before a JSON list.
 pub(super) struct EndlessBody;
 
 impl Body for EndlessBody {
--- a/crates/fakes/src/consul/connection.rs
+++ b/crates/fakes/src/consul/connection.rs
@@ -1,12 +1,12 @@
-//! The server's connections: accepted and served as its fault allows.
+//! Accepts and serves the server's connections, as far as the fault in force allows.
 
 use super::{ConsulFault, Inner};
 use crate::runtime::{self, serve};
 use std::sync::{Arc, PoisonError};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts connections for as long as the server lives; stops listening while the fault is [`ConsulFault::Down`].
-/// `listen_again` opens the same address again, or gives nothing once the runtime has ended.
+/// Accepts connections until the runtime ends. Stops listening while the fault is [`ConsulFault::Down`]. `listen_again`
+/// listens at the same address again, or returns `None` if the runtime has ended.
 pub(super) async fn accept(
     inner: Arc<Inner>,
     listener: TcpListener,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Counts an open connection for as long as it lives.
+/// Counts a connection as open until this is dropped.
 struct OpenConnection(Arc<Inner>);
 
 impl OpenConnection {
--- a/crates/fakes/src/consul/fault.rs
+++ b/crates/fakes/src/consul/fault.rs
@@ -1,14 +1,14 @@
-//! Faults that the server can have.
+//! Defines the faults of the server.
 
 use std::time::Duration;
 
-/// The fault in force.
+/// A fault of the server. One fault is in force at a time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ConsulFault {
-    /// None: requests are answered.
+    /// No fault: requests are answered.
     #[default]
     None,
-    /// Connections and requests are accepted and never answered, those already open included.
+    /// Connections and requests are accepted, but no request is answered. This includes requests that are waiting.
     Unresponsive,
     /// Nothing listens, and open connections are closed.
     Down,
@@ -23,29 +23,30 @@
         /// `Retry-After`, in seconds.
         retry_after_s: Option<u64>,
     },
-    /// The cluster has no leader: answers say so in `X-Consul-KnownLeader`.
+    /// The cluster has no leader. Answers have `X-Consul-KnownLeader: false`.
     NoLeader {
-        /// Whether answers hold the complete list or an empty one.
+        /// Whether answers contain the complete list; otherwise they contain an empty list.
         complete: bool,
     },
-    /// The server last heard from its leader this long ago: answers are empty, and say so in `X-Consul-LastContact`.
+    /// The server's last contact with its leader was this long ago. Answers contain an empty list and have this time in
+    /// `X-Consul-LastContact`.
     Stale(Duration),
-    /// Writes of sessions and keys take effect, and their answers are lost.
+    /// Writes of sessions and keys take effect, but their connections are closed without an answer.
     LostWriteAnswers,
-    /// Writes of sessions and keys take this long.
+    /// Writes of sessions and keys are delayed by this time.
     SlowWrites(Duration),
     /// The body ends before its announced length.
     TruncatedBody,
     /// The body never ends.
     EndlessBody,
-    /// The body is JSON of another form.
+    /// The body is JSON, but not in the documented format.
     MalformedBody,
-    /// Every answer comes at once with this `X-Consul-Index`; `None` leaves the header out.
+    /// Every request is answered at once with this `X-Consul-Index`. `None` omits the header.
     FixedIndex(Option<&'static str>),
 }
 
 impl ConsulFault {
-    /// The faults under which no answer says anything about the list: a client has to keep the list that it has.
+    /// Returns the faults with which no answer is usable. A client must keep its list while one of them is in force.
     pub fn without_usable_answer() -> Vec<ConsulFault> {
         let status = |status, text, retry_after_s| ConsulFault::Status { status, text, retry_after_s };
         vec![
--- a/crates/fakes/src/consul/http.rs
+++ b/crates/fakes/src/consul/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP API: answers each request from the state, at once or, for a blocking query, when the state has changed.
+//! Answers requests of the HTTP API from the state. A blocking query is answered when the state has changed, any other
+//! request at once.
 
 use super::bodies::{EndlessBody, truncated};
 use super::kv::{Store, Write};
@@ -17,11 +18,11 @@
 
 type Answer = Response<BoxBody<Bytes, Never>>;
 
-/// What becomes of a request at one look at the state.
+/// The result of handling a request with the present state.
 enum Step {
-    /// It is answered; `None` closes the connection without an answer.
+    /// The request is answered. `None` closes the connection without an answer.
     Done(Option<Answer>),
-    /// It is looked at again after a change of the state, or at this moment at the latest.
+    /// The request is handled again after the next change of the state, and at `until` at the latest.
     Wait { until: Option<Instant> },
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// A write that is not carried out.
+/// The reason why a write is not carried out, and the status of its answer.
 struct Rejection {
     status: u16,
     reason: String,
@@ -40,14 +41,14 @@
 /// An answer to a read of a session or of keys.
 struct StoreReading {
     answer: Answer,
-    /// Its `X-Consul-Index`.
+    /// `X-Consul-Index` of the answer.
     index: u64,
-    /// When a session expires next.
+    /// When the next session expires; `None` if no session expires.
     next_expiry: Option<Instant>,
 }
 
 impl Inner {
-    /// Answers a request; `None` closes the connection without an answer.
+    /// Returns the answer to a request. `None` closes the connection without an answer.
     pub(super) async fn respond(&self, request: Request<Incoming>) -> Option<Answer> {
         self.state().request_count += 1;
         let request = ApiRequest::read(request).await?;
@@ -78,7 +79,7 @@
         Step::Done(Some(answer).filter(|_| fault != ConsulFault::LostWriteAnswers))
     }
 
-    /// What a fault makes of any request; nothing where the request is handled as usual.
+    /// Returns the step that the fault in force causes for any request, or `None` if the request is handled as usual.
     fn step_under_fault(&self, fault: &ConsulFault, request: &ApiRequest) -> Option<Step> {
         let answer = match fault {
             ConsulFault::None
@@ -105,7 +106,7 @@
         request.token.as_ref().is_some_and(|given| given.as_bytes() == required.as_bytes())
     }
 
-    /// A blocking query of the catalogue or of health.
+    /// Handles a query of the catalogue or of health, which may be a blocking query.
     fn query_catalog(&self, request: &ApiRequest, fault: &ConsulFault) -> Step {
         let Some((body, index)) = self.state().answer(&request.path) else {
             return Step::answer(text_answer(404, "Invalid path", None));
@@ -123,7 +124,7 @@
         Step::answer(json_answer(body, Some(index.to_string()), true))
     }
 
-    /// A blocking query of a session or of keys.
+    /// Handles a query of a session or of keys, which may be a blocking query.
     fn query_store(&self, request: &ApiRequest) -> Step {
         let reading = self.read(&request.path, request.has("recurse"));
         if reading.index != request.index || Instant::now() >= request.deadline {
@@ -133,7 +134,7 @@
         Step::Wait { until: Some(until) }
     }
 
-    /// Ends the sessions that have expired; gives when the next one does.
+    /// Ends the sessions that have expired. Returns when the next session expires.
     fn expire(&self) -> Option<Instant> {
         let mut state = self.state();
         let before = state.store.index;
@@ -173,7 +174,7 @@
         let mut state = self.state();
         let before = state.store.index;
         let written = apply_write(&mut state.store, Instant::now(), request);
-        // Renewing a session changes nothing that a blocking query waits for.
+        // A renewal of a session does not change the index, so no blocking query is woken.
         if state.store.index != before {
             self.changed.send_replace(state.store.index);
         }
@@ -250,7 +251,7 @@
     Rejection { status: 405, reason: "method not allowed".to_owned() }
 }
 
-/// The empty list of a server that last heard from its leader this long ago.
+/// Returns an empty list from a server whose last contact with its leader was this long ago.
 fn stale(last_contact: Duration) -> Answer {
     let mut answer = json_answer(b"[]".to_vec(), Some("1".to_owned()), true);
     let last_contact_ms = HeaderValue::from(last_contact.as_millis() as u64);
--- a/crates/fakes/src/consul/instance.rs
+++ b/crates/fakes/src/consul/instance.rs
@@ -1,27 +1,27 @@
-//! Instances of services, as they are registered in the catalogue.
+//! Instances of services that tests register in the catalogue.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The share of traffic that Consul advises for an instance, by its health.
+/// The weights of an instance, which Consul returns as advice on its share of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceWeights {
-    /// While all its checks pass.
+    /// The weight while all its checks are passing.
     pub passing: i64,
-    /// While a check warns.
+    /// The weight while a check is at warning.
     pub warning: i64,
 }
 
 /// An instance of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// The service.
+    /// The name of its service.
     pub service: String,
-    /// The node it runs on.
+    /// The node that it runs on.
     pub node: String,
     /// The id, unique on its node.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its tags.
     pub tags: Vec<String>,
@@ -29,12 +29,12 @@
     pub meta: BTreeMap<String, String>,
     /// Its weights.
     pub weights: InstanceWeights,
-    /// Its checks: status by id.
+    /// The statuses of its checks by their ids.
     pub checks: BTreeMap<String, String>,
 }
 
 impl Instance {
-    /// An instance with one passing check, named `service:ID`.
+    /// Creates an instance with one passing check, whose id is `service:ID`.
     pub fn new(service: &str, node: &str, id: &str, address: SocketAddr) -> Self {
         Instance {
             service: service.to_owned(),
--- a/crates/fakes/src/consul/kv.rs
+++ b/crates/fakes/src/consul/kv.rs
@@ -1,9 +1,11 @@
-//! Consul's sessions and key-value store. No I/O: every change is given its moment, so that tests can run it in virtual time.
+//! Implements Consul's sessions and key-value store. This module does no I/O. Each change takes the current time as an
+//! argument, so that tests can use virtual time.
 //!
-//! After <https://developer.hashicorp.com/consul/api-docs/session>, <https://developer.hashicorp.com/consul/api-docs/kv> and
-//! <https://developer.hashicorp.com/consul/docs/automate/session>. Consul ends a session that is not renewed at some moment
-//! between one and two times its TTL; here the factor can be set. After a session has ended, its locks cannot be
-//! acquired for the lock-delay; a lock that was released can be acquired at once.
+//! It is written from <https://developer.hashicorp.com/consul/api-docs/session>,
+//! <https://developer.hashicorp.com/consul/api-docs/kv> and
+//! <https://developer.hashicorp.com/consul/docs/automate/session>. Consul ends a session that is not renewed at some
+//! time between one and two times its TTL; here the factor can be set. After a session has ended, its locks cannot be
+//! acquired for the lock delay. A lock that was released can be acquired at once.
 
 mod transaction;
 
@@ -14,14 +16,15 @@
 use std::ops::Bound;
 use std::time::{Duration, Instant};
 
-/// Consul's default.
+/// Consul's default lock delay.
 const DEFAULT_LOCK_DELAY: Duration = Duration::from_secs(15);
 
 #[derive(Debug)]
 struct Session {
     ttl: Option<Duration>,
     lock_delay: Duration,
-    /// Its keys are deleted with it (`delete`), or stay without a holder (`release`).
+    /// Whether the keys that it has locked are deleted when it ends (`delete`). Otherwise their locks are released
+    /// (`release`).
     deletes_keys: bool,
     expires_at: Option<Instant>,
 }
@@ -31,24 +34,24 @@
     value: Vec<u8>,
     created_index: u64,
     modified_index: u64,
-    /// How often its lock was acquired.
+    /// How many times its lock has been acquired.
     lock_index: u64,
     session: Option<String>,
 }
 
-/// The condition under which a key is written, and what becomes of its lock.
+/// The condition under which a key is written, and the effect of the write on its lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Write {
     Unconditional,
-    /// Only if it was last modified at this index; 0: only if there is none.
+    /// The key is written only if it was last modified at this index. With 0 it is written only if it does not exist.
     Cas(u64),
-    /// Only if this session holds the lock or can acquire it.
+    /// The key is written only if this session holds its lock or can acquire it.
     Acquire(String),
-    /// Only if this session holds the lock, which it releases.
+    /// The key is written only if this session holds its lock. The lock is released.
     Release(String),
 }
 
-/// Sessions and keys.
+/// Sessions and keys of the server.
 #[derive(Debug)]
 pub(crate) struct Store {
     /// The index of the last write.
@@ -57,7 +60,7 @@
     keys: BTreeMap<String, Key>,
     /// The index at which each deleted key was deleted, so that blocking queries see the deletion.
     removed_at: BTreeMap<String, u64>,
-    /// When the lock-delay of each key ends.
+    /// When the lock delay of each key ends.
     lock_delay_until: BTreeMap<String, Instant>,
     sessions_created: u64,
     /// A session that is not renewed ends after its TTL times this factor.
@@ -78,7 +81,7 @@
     }
 }
 
-/// The entry with this key or, with `recurse`, all whose keys begin with it.
+/// Returns the entry with this key or, with `recurse`, all entries whose keys begin with it.
 fn matching<'a, T>(
     entries: &'a BTreeMap<String, T>,
     name: &'a str,
@@ -88,7 +91,8 @@
     from.take_while(move |(key, _)| if recurse { key.starts_with(name) } else { *key == name })
 }
 
-/// A duration from the body of a request; the error is the text of the answer.
+/// Parses a duration in the body of a request. Returns `None` if it is missing or empty. The error is the text of the
+/// answer.
 fn read_duration(body: &Value, name: &str) -> Result<Option<Duration>, String> {
     match body.get(name).and_then(Value::as_str) {
         None | Some("") => Ok(None),
@@ -99,7 +103,7 @@
 }
 
 impl Store {
-    /// Creates a session from the body of a request and gives its id; the error is the text of the answer.
+    /// Creates a session from the body of a request and returns its id. The error is the text of the answer.
     pub(crate) fn create_session(&mut self, now: Instant, body: &Value) -> Result<String, String> {
         let ttl = read_duration(body, "TTL")?;
         let lock_delay = read_duration(body, "LockDelay")?.unwrap_or(DEFAULT_LOCK_DELAY);
@@ -112,7 +116,7 @@
         Ok(id)
     }
 
-    /// Renews a session; false where there is none.
+    /// Renews a session. Returns `false` if it does not exist.
     pub(crate) fn renew_session(&mut self, now: Instant, id: &str) -> bool {
         let expiry_factor = self.expiry_factor;
         let Some(session) = self.sessions.get_mut(id) else { return false };
@@ -120,7 +124,7 @@
         true
     }
 
-    /// Ends a session, and takes its locks from it.
+    /// Ends a session and releases its locks or deletes its keys.
     pub(crate) fn destroy_session(&mut self, now: Instant, id: &str) {
         let Some(session) = self.sessions.remove(id) else { return };
         self.index += 1;
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Ends the sessions that have expired; gives when the next one does.
+    /// Ends the sessions that have expired. Returns when the next session expires.
     pub(crate) fn expire(&mut self, now: Instant) -> Option<Instant> {
         let has_expired = |session: &Session| session.expires_at.is_some_and(|at| at <= now);
         let expired: Vec<String> = self
@@ -151,7 +155,7 @@
         self.sessions.values().filter_map(|session| session.expires_at).min()
     }
 
-    /// Writes a key; false where the condition does not hold. An unknown session is an error.
+    /// Writes a key. Returns `false` if the condition does not hold, and an error if the session is unknown.
     pub(crate) fn put(
         &mut self,
         now: Instant,
@@ -195,8 +199,8 @@
         }
     }
 
-    /// Deletes a key or, with `recurse`, all that begin with it; where an index is given, only if the key was last
-    /// modified then. False where it was not.
+    /// Deletes a key or, with `recurse`, all keys that begin with it. If `expected_index` is given and the key was last
+    /// modified at another index, deletes nothing and returns `false`.
     pub(crate) fn delete(&mut self, name: &str, recurse: bool, expected_index: Option<u64>) -> bool {
         let modified_index = self.keys.get(name).map_or(0, |key| key.modified_index);
         if expected_index.is_some_and(|expected| expected != modified_index) {
@@ -215,21 +219,23 @@
         self.removed_at.insert(key.to_owned(), index);
     }
 
-    /// The index of the last write or deletion at this key or, with `recurse`, below it; 1 where there was none.
+    /// Returns the index of the last write or deletion of this key or, with `recurse`, of all keys that begin with it.
+    /// It is 1 if there was none.
     pub(crate) fn index_of(&self, name: &str, recurse: bool) -> u64 {
         let written = matching(&self.keys, name, recurse).map(|(_, key)| key.modified_index);
         let removed = matching(&self.removed_at, name, recurse).map(|(_, index)| *index);
         written.chain(removed).max().unwrap_or(1)
     }
 
-    /// A key or, with `recurse`, all that begin with it, in the API's form; nothing where there is none.
+    /// Returns a key or, with `recurse`, all keys that begin with it, in the format of the API; `None` if there is
+    /// none.
     pub(crate) fn read(&self, name: &str, recurse: bool) -> Option<Value> {
         let rows: Vec<Value> =
             matching(&self.keys, name, recurse).map(|(name, key)| key_row(name, key)).collect();
         (!rows.is_empty()).then_some(Value::Array(rows))
     }
 
-    /// A session in the API's form; an empty list where there is none.
+    /// Returns a session in the format of the API; an empty list if it does not exist.
     pub(crate) fn session_info(&self, id: &str) -> Value {
         let row = self.sessions.get(id).map(|session| session_row(id, session));
         Value::Array(row.into_iter().collect())
--- a/crates/fakes/src/consul/kv/transaction.rs
+++ b/crates/fakes/src/consul/kv/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions on keys, after <https://developer.hashicorp.com/consul/api-docs/txn>.
+//! Implements transactions on keys, as documented at <https://developer.hashicorp.com/consul/api-docs/txn>.
 
 use super::{Store, Write};
 use base64::Engine as _;
@@ -6,14 +6,14 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// Consul's limit.
+/// Consul's limit on the operations of one transaction.
 const MAX_OPERATIONS: usize = 128;
 
 /// One operation of a transaction.
 struct Operation {
     verb: String,
     key: String,
-    /// The index that `cas`, `delete-cas` and `check-index` compare; 0 where none was given.
+    /// The index that `cas`, `delete-cas` and `check-index` compare; 0 if none was given.
     index: u64,
     value: Vec<u8>,
     session: Option<String>,
@@ -33,7 +33,7 @@
 }
 
 impl Store {
-    /// Carries out all operations of a transaction or none; gives the answer's status and body.
+    /// Carries out all operations of a transaction or none of them. Returns the status and the body of the answer.
     pub(crate) fn transact(&mut self, now: Instant, operations: &Value) -> (u16, Value) {
         let Some(operations) = operations.as_array() else {
             return (400, json!("Failed to parse body"));
--- a/crates/fakes/src/consul/registration.rs
+++ b/crates/fakes/src/consul/registration.rs
@@ -1,4 +1,4 @@
-//! Changes to the catalogue: instances, their checks and their tags. Each call gives the index of its change.
+//! Changes the catalogue: instances, their checks and their tags. Each method returns the index after its change.
 
 use super::ConsulServer;
 use super::instance::Instance;
@@ -14,7 +14,7 @@
 }
 
 impl ConsulServer {
-    /// Registers an instance; replaces one with the same node and id.
+    /// Registers an instance. Replaces an instance with the same node and id.
     pub fn register(&self, instance: Instance) -> u64 {
         self.change(|state| {
             state.index += 1;
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Sets the status of a check of an instance; `None` removes the check.
+    /// Sets the status of a check of an instance. `None` removes the check.
     pub fn set_check(&self, node: &str, id: &str, check: &str, status: Option<&str>) -> u64 {
         self.change(|state| {
             state.index += 1;
@@ -55,7 +55,7 @@
         self.set_check(node, id, &format!("service:{id}"), Some(status))
     }
 
-    /// Sets the status of a check of a node, which applies to all its instances; `None` removes the check.
+    /// Sets the status of a check of a node, which applies to all instances on the node. `None` removes the check.
     pub fn set_node_check(&self, node: &str, check: &str, status: Option<&str>) -> u64 {
         self.change(|state| {
             state.index += 1;
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Puts an instance into maintenance, or takes it out.
+    /// Turns maintenance mode of an instance on or off.
     pub fn set_maintenance(&self, node: &str, id: &str, on: bool) -> u64 {
         self.set_check(node, id, &format!("_service_maintenance:{id}"), on.then_some("critical"))
     }
--- a/crates/fakes/src/consul/request.rs
+++ b/crates/fakes/src/consul/request.rs
@@ -1,4 +1,4 @@
-//! A request to the HTTP API, with the parameters that blocking queries and writes take.
+//! Parses a request to the HTTP API, with the parameters of blocking queries and writes.
 
 use super::duration::parse_duration;
 use bytes::Bytes;
@@ -11,7 +11,8 @@
 
 const MAX_WAIT: Duration = Duration::from_secs(600);
 const DEFAULT_WAIT: Duration = Duration::from_secs(300);
-/// Consul adds up to a sixteenth of the wait, so that queries do not end together; here it is always half of that.
+/// The wait divided by this is added to it. Consul adds a random time of up to a sixteenth of the wait, so that queries
+/// do not end at the same time; this server always adds half of that.
 const WAIT_JITTER_DIVISOR: u32 = 32;
 
 /// A request with its whole body.
@@ -21,15 +22,15 @@
     pub(super) body: Bytes,
     /// `X-Consul-Token`.
     pub(super) token: Option<HeaderValue>,
-    /// A blocking query waits for an index other than this one; 0 where none was given.
+    /// A blocking query waits until the index differs from this one. 0 if the request has none.
     pub(super) index: u64,
-    /// A blocking query is answered by then.
+    /// When a blocking query is answered at the latest.
     pub(super) deadline: Instant,
     query: String,
 }
 
 impl ApiRequest {
-    /// Reads the request to its end; nothing where the connection fails before.
+    /// Reads the whole request. Returns `None` if the connection fails before its end.
     pub(super) async fn read(request: Request<Incoming>) -> Option<Self> {
         let (parts, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
@@ -49,22 +50,22 @@
         })
     }
 
-    /// A parameter of the query string; empty where it has no value.
+    /// Returns a parameter of the query string; empty if it has no value, `None` if it is missing.
     pub(super) fn parameter(&self, name: &str) -> Option<String> {
         parameter(&self.query, name)
     }
 
-    /// Whether the query string has this parameter.
+    /// Returns whether the query string has this parameter.
     pub(super) fn has(&self, name: &str) -> bool {
         self.parameter(name).is_some()
     }
 
-    /// Whether it is about sessions or keys rather than the catalogue.
+    /// Returns whether the request is for sessions or keys, not for the catalogue.
     pub(super) fn is_for_store(&self) -> bool {
         self.path.starts_with("/v1/session/") || self.path.starts_with("/v1/kv/") || self.path == "/v1/txn"
     }
 
-    /// The body as JSON; null where it is none.
+    /// Returns the body as JSON; `null` if it is not valid JSON.
     pub(super) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
--- a/crates/fakes/src/consul/state.rs
+++ b/crates/fakes/src/consul/state.rs
@@ -1,11 +1,11 @@
-//! The server's state: the catalogue with its indexes, the store, the fault in force, and counts for tests.
+//! The state of the server: the catalogue with its indexes, the store, the fault in force, and counts for tests.
 
 use super::{ConnectionCounts, ConsulFault, Instance, kv};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// What identifies an instance.
+/// The fields that identify an instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct InstanceKey {
     pub(super) node: String,
@@ -18,7 +18,7 @@
     }
 }
 
-/// The first answer for a service that had this index.
+/// The first answer for a service with this index.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FirstAnswer {
     pub(super) index: u64,
@@ -30,7 +30,7 @@
     pub(super) index: u64,
     pub(super) instances: BTreeMap<InstanceKey, Instance>,
     pub(super) node_checks: BTreeMap<String, BTreeMap<String, String>>,
-    /// The index of the last change of each service, deregistered ones included.
+    /// The index of the last change of each service, including services that are deregistered.
     pub(super) service_index: BTreeMap<String, u64>,
     pub(super) catalog_index: u64,
     pub(super) checks_index: u64,
@@ -44,7 +44,7 @@
 }
 
 impl State {
-    /// Records a change of a service; `registered` where its instances changed and not only their checks.
+    /// Records a change of a service. `registered` says that its instances have changed, not only their checks.
     pub(super) fn touch(&mut self, service: &str, registered: bool) {
         self.service_index.insert(service.to_owned(), self.index);
         self.checks_index = self.index;
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Records that an answer for a service with this index is written now.
+    /// Records the time of an answer for a service, if it is the first answer with this index.
     pub(super) fn record_answer(&mut self, service: &str, index: u64) {
         let answers = self.first_answers.entry(service.to_owned()).or_default();
         if answers.last().is_none_or(|last| last.index < index) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The answer for a path of the catalogue or of health, and its index; nothing for an unknown path.
+    /// Returns the answer for a path of the catalogue or of health, and its index; `None` for an unknown path.
     pub(super) fn answer(&self, path: &str) -> Option<(Value, u64)> {
         if let Some(service) = path.strip_prefix("/v1/health/service/") {
             return Some(self.service_health(service));
@@ -106,7 +106,7 @@
     fn checks_with_status(&self, status: &str) -> (Value, u64) {
         let checks = self.instances.values().flat_map(|instance| self.checks_of(instance));
         let checks = checks.filter(|check| status == "any" || check["Status"] == status);
-        // A node's checks come with each of its instances.
+        // The checks of a node are listed once for each of its instances.
         let mut seen = BTreeSet::new();
         let distinct = checks.filter(|check| seen.insert(check.to_string()));
         (distinct.collect(), self.checks_index.max(1))
--- a/crates/fakes/src/consul/tls.rs
+++ b/crates/fakes/src/consul/tls.rs
@@ -1,4 +1,4 @@
-//! TLS of the server: its certificate, and the authority that it asks of clients.
+//! Creates the TLS configuration of the server from its certificate and the authority for client certificates.
 
 use crate::certificates::CertificateFiles;
 use rustls_pki_types::pem::PemObject;
@@ -11,7 +11,8 @@
 use tokio_rustls::rustls::server::danger::ClientCertVerifier;
 use tokio_rustls::rustls::{RootCertStore, ServerConfig};
 
-/// Serves with this certificate; with `client_authority`, clients need a certificate that it has signed.
+/// Returns an acceptor that serves with this certificate. With `client_authority`, clients need a certificate that this
+/// authority has signed.
 pub(super) fn acceptor(files: &CertificateFiles, client_authority: Option<&Path>) -> TlsAcceptor {
     let chain: Result<Vec<_>, _> =
         CertificateDer::pem_file_iter(&files.certificate).expect("a certificate").collect();
--- a/crates/fakes/src/destination.rs
+++ b/crates/fakes/src/destination.rs
@@ -1,8 +1,8 @@
-//! A scripted destination: endpoint servers that share one mode and one capacity, and record every call.
+//! A fake destination. Its endpoint servers share one mode and one capacity, and record every call.
 //!
-//! Calls above the capacity are rejected or queued. After an outage the destination is cold: it serves a share of its
-//! capacity, which rises as it warms up. Sustained overload while it warms up makes it collapse: it becomes unavailable
-//! again, and calls in its queue are dropped. A warm destination does not collapse.
+//! Calls above the capacity are rejected or queued. After an outage the destination is cold, and serves only a share of
+//! its capacity, which rises as it warms up. It collapses if it is overloaded for some time while it warms up. Then it
+//! is unavailable again, and calls in its queue are dropped. A warm destination does not collapse.
 
 mod capacity;
 
@@ -22,34 +22,34 @@
 /// Precision of the runtime's timers.
 const TIMER_SLACK: Duration = Duration::from_millis(5);
 
-/// What is done with a call.
+/// How the destination handles a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It is served, as far as the capacity allows.
+    /// The call is served, as far as the capacity allows.
     #[default]
     Serve,
-    /// It is answered 503: not executed.
+    /// The call is answered 503, which means that it was not executed.
     Unavailable,
-    /// It is answered 500: may have been executed.
+    /// The call is answered 500, which means that it may have been executed.
     InternalError,
-    /// It is never answered.
+    /// The call is never answered.
     Hang,
-    /// Its connection is closed.
+    /// The connection is closed without an answer.
     Disconnect,
 }
 
-/// A call as it was received.
+/// A call that the destination has received.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// When its last byte was received.
     pub received_at: Instant,
     /// The endpoint that received it.
     pub endpoint: SocketAddr,
-    /// The caller's address, which is another one for each connection.
+    /// The caller's address and port, which differ for each connection.
     pub peer: SocketAddr,
-    /// The message, as `X-Txn` names it; empty where the header is missing.
+    /// The id of the message, from `X-Txn`; empty if the header is missing.
     pub message_id: String,
-    /// `Idempotency-Key`, unchanged.
+    /// `Idempotency-Key`, unchanged; `None` if the header is missing.
     pub idempotency_key: Option<String>,
     /// Whether it was answered 200.
     pub served: bool,
@@ -58,7 +58,7 @@
 #[derive(Debug, Default)]
 struct State {
     mode: Mode,
-    /// Modes of single endpoints, in place of the common one.
+    /// Modes of single endpoints, which replace the mode of the destination.
     endpoint_modes: BTreeMap<SocketAddr, Mode>,
     capacity: CapacityState,
     collapses: Vec<Instant>,
@@ -66,7 +66,7 @@
 }
 
 impl State {
-    /// What is done with a call that arrives now.
+    /// Returns how a call that arrives now is handled.
     fn admit(&mut self, model: &CapacityModel, endpoint: SocketAddr, now: Instant) -> Mode {
         let mode = self.endpoint_modes.get(&endpoint).copied().unwrap_or(self.mode);
         if mode != Mode::Serve {
@@ -90,7 +90,8 @@
 struct Inner {
     model: CapacityModel,
     state: Mutex<State>,
-    /// The queue: whoever holds the lock is next; its content is when the call before is done.
+    /// The queue. The task that holds the lock serves the next call. The value is the time at which the previous call
+    /// ends.
     queue: tokio::sync::Mutex<Option<Instant>>,
 }
 
@@ -99,7 +100,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a call's turn and for its part of the capacity.
+    /// Waits until it is this call's turn and the capacity allows it.
     async fn wait_in_queue(&self) {
         let mut previous_done = self.queue.lock().await;
         let now = Instant::now();
@@ -107,14 +108,14 @@
         if current_rps <= 0.0 {
             return;
         }
-        // A timer that fires late costs the queue no capacity.
+        // Allows for a timer that fires late, so that it does not reduce the capacity of the queue.
         let begin = previous_done.map_or(now, |done| done.max(now - TIMER_SLACK));
         let done = begin + Duration::from_secs_f64(1.0 / current_rps);
         tokio::time::sleep_until(done.into()).await;
         *previous_done = Some(done);
     }
 
-    /// Records a call and gives its number among all calls, and what is done with it.
+    /// Records a call. Returns its number among all calls and how it is handled.
     fn receive(&self, endpoint: SocketAddr, peer: SocketAddr, headers: &HeaderMap) -> (usize, Mode) {
         let text = |name| Some(headers.get(name)?.to_str().ok()?.to_owned());
         let mut state = self.state();
@@ -131,7 +132,7 @@
         (state.calls.len() - 1, mode)
     }
 
-    /// Answers a call; `None` closes the connection without an answer.
+    /// Returns the answer to a call. `None` closes the connection without an answer.
     async fn respond(
         &self,
         endpoint: SocketAddr,
@@ -154,7 +155,7 @@
         Some(Response::builder().status(status).body(Full::default()).expect("an answer"))
     }
 
-    /// Serves a call; nothing where the destination has stopped serving while the call was queued.
+    /// Serves a call. Returns `None` if the destination has stopped serving while the call was queued.
     async fn serve(&self, number: usize) -> Option<()> {
         if self.model.overload_behavior == OverloadBehavior::Queue {
             self.wait_in_queue().await;
@@ -168,7 +169,7 @@
     }
 }
 
-/// The destination. Its endpoints accept one message in a call.
+/// The destination. Each call to its endpoints carries one message.
 #[derive(Clone, Debug)]
 pub struct DestinationServer {
     inner: Arc<Inner>,
@@ -176,18 +177,18 @@
 }
 
 impl DestinationServer {
-    /// A destination without endpoints, on a runtime of its own.
+    /// Creates a destination without endpoints, on its own runtime.
     pub fn new(model: CapacityModel) -> Self {
         DestinationServer::with_runtime(Arc::new(ServerRuntime::new()), model)
     }
 
-    /// A destination without endpoints, on a runtime that others share.
+    /// Creates a destination without endpoints, on a shared runtime.
     pub fn with_runtime(runtime: Arc<ServerRuntime>, model: CapacityModel) -> Self {
         let inner = Inner { model, state: Mutex::default(), queue: tokio::sync::Mutex::default() };
         DestinationServer { inner: Arc::new(inner), runtime }
     }
 
-    /// Opens one more endpoint, and gives its address.
+    /// Opens one more endpoint and returns its address.
     pub fn open_endpoint(&self) -> SocketAddr {
         let listener = self.runtime.listen(unused_loopback_address());
         let address = listener.local_addr().expect("a socket");
@@ -199,24 +200,24 @@
         address
     }
 
-    /// Sets the mode of all endpoints that have none of their own.
+    /// Sets the mode of all endpoints without a mode set by [`set_endpoint_mode`](Self::set_endpoint_mode).
     pub fn set_mode(&self, mode: Mode) {
         self.inner.state().mode = mode;
     }
 
-    /// Sets the mode of one endpoint, whatever the others do.
+    /// Sets the mode of one endpoint. It takes precedence over the mode of the destination.
     pub fn set_endpoint_mode(&self, endpoint: SocketAddr, mode: Mode) {
         self.inner.state().endpoint_modes.insert(endpoint, mode);
     }
 
-    /// Serves again, cold, from now on.
+    /// Serves calls again from now on. The destination is cold at first.
     pub fn recover(&self) {
         let mut state = self.inner.state();
         state.mode = Mode::Serve;
         state.capacity.recover(Instant::now());
     }
 
-    /// The capacity now, in calls a second; 0 while it does not serve.
+    /// Returns the present capacity, in calls a second; 0 while the destination does not serve.
     pub fn current_capacity(&self) -> f64 {
         let state = self.inner.state();
         if state.mode != Mode::Serve {
@@ -225,12 +226,12 @@
         state.capacity.current_rps(&self.inner.model, Instant::now())
     }
 
-    /// When it has collapsed.
+    /// Returns the times at which the destination has collapsed.
     pub fn collapses(&self) -> Vec<Instant> {
         self.inner.state().collapses.clone()
     }
 
-    /// All calls so far.
+    /// Returns all calls so far.
     pub fn calls(&self) -> Vec<Call> {
         self.inner.state().calls.clone()
     }
--- a/crates/fakes/src/destination/capacity.rs
+++ b/crates/fakes/src/destination/capacity.rs
@@ -1,35 +1,36 @@
-//! How much a destination can serve: its capacity while it warms up after an outage, admission above it, and the
-//! sustained overload under which a cold destination collapses.
+//! Models the capacity of a destination: its rise while the destination warms up after an outage, the admission of
+//! calls above the capacity, and the overload that makes a cold destination collapse.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// What a destination does with a call above its capacity.
+/// How a destination handles a call above its capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OverloadBehavior {
-    /// Answers 503 at once; admits bursts of up to one second's calls.
+    /// Answers 503 at once. Admits bursts of as many calls as the capacity allows in one second.
     #[default]
     Reject,
-    /// Queues it without a limit and serves it in its turn.
+    /// Queues the call and serves it in its turn. The queue has no limit.
     Queue,
 }
 
 /// The capacity of a destination, shared by its endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityModel {
-    /// Calls a second when warm; 0 means no limit.
+    /// The capacity of a warm destination, in calls a second; 0 means no limit.
     pub capacity_rps: f64,
-    /// Share of that capacity right after recovery, from which it rises linearly.
+    /// The share of that capacity right after a recovery. The capacity then rises linearly.
     pub cold_capacity_share: f64,
-    /// Time from recovery until it is warm.
+    /// The time from a recovery until the destination is warm.
     pub warm_up_time: Duration,
-    /// While warming up it collapses when calls arrive at more than this multiple of its capacity ...
+    /// A destination that warms up collapses when calls arrive at more than this multiple of its present capacity, on
+    /// average over `overload_window`.
     pub overload_factor: f64,
-    /// ... on average over this time.
+    /// The time over which arrivals are averaged.
     pub overload_window: Duration,
-    /// Time that a call takes.
+    /// The time that a call takes.
     pub service_time: Duration,
-    /// What happens to calls above the capacity.
+    /// How calls above the capacity are handled.
     pub overload_behavior: OverloadBehavior,
 }
 
@@ -47,14 +48,14 @@
     }
 }
 
-/// The capacity at present.
+/// The state from which the present capacity is computed.
 #[derive(Debug, Default)]
 pub(super) struct CapacityState {
-    /// When it last recovered; nothing where it is warm.
+    /// When the destination last recovered; `None` if it has not recovered since its start or its last collapse.
     recovered_at: Option<Instant>,
-    /// Arrivals within the overload window, while it warms up.
+    /// Times of arrivals within the overload window, while the destination warms up.
     recent_arrivals: VecDeque<Instant>,
-    /// Calls that it may still admit at once.
+    /// The number of calls that may be admitted at once.
     permits: f64,
     permits_updated_at: Option<Instant>,
 }
@@ -72,7 +73,7 @@
         self.recent_arrivals.clear();
     }
 
-    /// The capacity now, in calls a second.
+    /// Returns the present capacity, in calls a second.
     pub(super) fn current_rps(&self, model: &CapacityModel, now: Instant) -> f64 {
         let Some(recovered_at) = self.recovered_at else { return model.capacity_rps };
         let warm_up_s = model.warm_up_time.as_secs_f64().max(1e-9);
@@ -81,7 +82,7 @@
         model.capacity_rps * (cold + (1.0 - cold) * warmth.min(1.0))
     }
 
-    /// Takes a permit for a call; false where there is none.
+    /// Takes a permit for a call. Returns `false` if there is no permit.
     pub(super) fn try_admit(&mut self, model: &CapacityModel, now: Instant) -> bool {
         let current_rps = self.current_rps(model, now);
         if current_rps <= 0.0 {
@@ -97,7 +98,7 @@
         admitted
     }
 
-    /// Counts an arrival; true where it makes the destination collapse.
+    /// Counts an arrival. Returns whether it makes the destination collapse.
     pub(super) fn arrival_overloads(&mut self, model: &CapacityModel, now: Instant) -> bool {
         let warming_up =
             self.recovered_at.is_some_and(|recovered_at| now - recovered_at < model.warm_up_time);
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A scripted discovery server: a list that changes on demand, and the place where forwarders post their notifications.
+//! A fake discovery server. Its endpoint list changes on demand, and forwarders post their notifications to it.
 
 use crate::runtime::{Never, ServerRuntime, unused_loopback_address};
 use bytes::Bytes;
@@ -15,22 +15,22 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// An empty line goes to every watch this often, which shows that the connection is alive.
+/// Time between two empty lines on each watch, which show the forwarder that the connection is alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 type Answer = Response<BoxBody<Bytes, Never>>;
 
 #[derive(Debug, Default)]
 struct State {
-    /// The list, on one line.
+    /// The endpoint list, as one line of JSON.
     list: String,
     watchers: Vec<UnboundedSender<String>>,
     watch_count: u64,
-    /// States by message, in the order in which they were posted.
+    /// States in the notifications by message id, in the order in which they were posted.
     notifications: BTreeMap<String, Vec<String>>,
 }
 
-/// The server. It ends with its last handle.
+/// A handle to the server. The server ends when its last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct DiscoveryServer {
     address: SocketAddr,
@@ -38,7 +38,7 @@
     _runtime: Arc<ServerRuntime>,
 }
 
-/// A body that sends each line as it comes.
+/// A body that sends each line when it is received from the channel.
 struct LineStream(UnboundedReceiver<String>);
 
 impl Body for LineStream {
@@ -58,7 +58,8 @@
 }
 
 impl DiscoveryServer {
-    /// Starts it with a list (one line of JSON) that every watch gets first; an empty one sends nothing.
+    /// Starts the server with a list, as one line of JSON. Each watch first receives the list; if `list` is empty, it
+    /// receives none.
     pub fn start(list: &str) -> Self {
         let runtime = Arc::new(ServerRuntime::new());
         let listener = runtime.listen(unused_loopback_address());
@@ -69,24 +70,24 @@
         DiscoveryServer { address, state, _runtime: runtime }
     }
 
-    /// Where it listens.
+    /// Returns the address at which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Replaces the list, and sends it to every watch.
+    /// Replaces the list and sends it to every watch.
     pub fn publish(&self, list: &str) {
         let mut state = lock(&self.state);
         list.clone_into(&mut state.list);
         state.watchers.retain(|watcher| watcher.send(format!("{list}\n")).is_ok());
     }
 
-    /// Watches opened so far.
+    /// Returns the number of watches opened so far.
     pub fn watch_count(&self) -> u64 {
         lock(&self.state).watch_count
     }
 
-    /// Notifications by message: the states, in the order in which they were posted.
+    /// Returns the states in the notifications by message id, in the order in which they were posted.
     pub fn notifications(&self) -> BTreeMap<String, Vec<String>> {
         lock(&self.state).notifications.clone()
     }
--- a/crates/fakes/src/fault_proxy.rs
+++ b/crates/fakes/src/fault_proxy.rs
@@ -1,9 +1,8 @@
-//! A TCP proxy between two processes that injects network faults on command: it delays, closes, resets, black-holes and
-//! partitions, for new connections and for those already open.
+//! A TCP proxy between two processes that injects network faults on demand. It can delay, close, reset, black-hole and
+//! partition both new and open connections.
 //!
-//! One proxy stands for one network path, such as from a rollout tool to one forwarder's console; several together make
-//! a partition between groups. Faults act on bytes and never on their meaning: what arrives is what was sent, late or
-//! not at all.
+//! One proxy represents one network path, such as the path from a rollout tool to one forwarder's console. Several
+//! proxies together can partition groups of processes. A fault delays or discards bytes, but never changes them.
 
 mod connection;
 
@@ -15,27 +14,28 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What happens on the path, from the moment it is set.
+/// A fault of the path, which applies from the time at which it is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetworkFault {
     /// Bytes are forwarded as they arrive.
     None,
-    /// Every chunk of bytes, either way, is forwarded this much later; order is kept.
+    /// Each chunk of bytes is forwarded after this delay, in both directions. The order of bytes is kept.
     Delay(Duration),
-    /// New connections are closed at once, with no byte read and no connection to the upstream; open ones are closed
-    /// as well (an orderly close, FIN, both ways).
+    /// New connections are closed at once. No byte is read and no connection to the upstream is opened. Open
+    /// connections are closed with a FIN in both directions.
     Close,
-    /// New connections and open ones are reset (RST) both ways.
+    /// New and open connections are reset (RST) in both directions.
     Reset,
-    /// New connections are accepted but never reach the upstream; bytes either way are read and discarded, so that the
-    /// sender waits for an answer that never arrives. Lifting it lets new bytes through; discarded ones stay lost.
+    /// New connections are accepted but never reach the upstream. Bytes in both directions are read and discarded, so
+    /// that the sender waits for an answer that never arrives. After the fault is lifted, connections that were open
+    /// before the fault forward new bytes again. Discarded bytes stay lost.
     Blackhole,
-    /// Nothing crosses, either way, and new connections are accepted but wait: bytes sent meanwhile are held and
-    /// arrive once it is lifted, as they do after a network heals and TCP retransmits.
+    /// No byte is forwarded in either direction, and new connections are accepted but wait. Bytes that are sent
+    /// meanwhile arrive after the fault is lifted, as they do when a network recovers and TCP retransmits them.
     Partition,
 }
 
-/// What the proxy has done since it started.
+/// Counters of the proxy since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyCounters {
     /// Connections accepted from clients.
@@ -44,13 +44,13 @@
     pub connected: u64,
     /// Connections closed or reset by a fault.
     pub ended_by_fault: u64,
-    /// Bytes forwarded, either way.
+    /// Bytes forwarded in both directions.
     pub bytes_forwarded: u64,
     /// Bytes discarded by a black hole.
     pub bytes_discarded: u64,
 }
 
-/// The counters as the connections share them.
+/// The counters that all connections share.
 #[derive(Debug, Default)]
 struct SharedCounters {
     accepted: AtomicU64,
@@ -63,16 +63,16 @@
 /// A proxy that runs until its runtime ends.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub address: SocketAddr,
-    /// Where the proxy connects for each of them.
+    /// The address to which the proxy connects for each client.
     pub upstream: SocketAddr,
     fault: Arc<watch::Sender<NetworkFault>>,
     counters: Arc<SharedCounters>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy at a free port of this address, to `upstream`, without a fault.
+    /// Starts a proxy without a fault. It listens at a free port of `address` and connects to `upstream`.
     pub fn start(runtime: &ServerRuntime, address: IpAddr, upstream: SocketAddr) -> Self {
         let listener = runtime.listen(address);
         let address = listener.local_addr().expect("an address");
@@ -94,17 +94,17 @@
         proxy
     }
 
-    /// Sets the fault of the path from now on; it applies to open connections at once.
+    /// Sets the fault of the path from now on. It applies to open connections at once.
     pub fn set_fault(&self, fault: NetworkFault) {
         self.fault.send_replace(fault);
     }
 
-    /// The fault in force.
+    /// Returns the fault in force.
     pub fn fault(&self) -> NetworkFault {
         *self.fault.borrow()
     }
 
-    /// What it has done so far.
+    /// Returns the counters since the start of the proxy.
     pub fn counters(&self) -> ProxyCounters {
         let counters = &self.counters;
         ProxyCounters {
--- a/crates/fakes/src/fault_proxy/connection.rs
+++ b/crates/fakes/src/fault_proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection through the proxy, for as long as it lasts, under whichever fault is in force.
+//! Handles one connection through the proxy, according to the fault in force.
 
 use super::{NetworkFault, SharedCounters};
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     ending: Ending,
 }
 
-/// What becomes of bytes that were read.
+/// How bytes that were read are handled.
 enum Passage {
     Forward,
     Discard,
@@ -52,7 +52,7 @@
 }
 
 impl ProxiedConnection {
-    /// A connection to be made to `upstream`, under the faults that `fault` gives.
+    /// Creates a connection that will connect to `upstream`, with the faults from `fault`.
     pub(super) fn new(
         upstream: SocketAddr,
         fault: watch::Receiver<NetworkFault>,
@@ -61,7 +61,8 @@
         ProxiedConnection { upstream, fault, counters }
     }
 
-    /// Connects to the upstream once no fault prevents it, and forwards both ways until either side or a fault ends it.
+    /// Connects to the upstream when no fault prevents it, and forwards bytes in both directions until one side or a
+    /// fault ends the connection.
     pub(super) async fn run(self, client: TcpStream) {
         let mut fault = self.fault.clone();
         loop {
@@ -80,7 +81,7 @@
             }
         }
         let Ok(upstream) = TcpStream::connect(self.upstream).await else {
-            // The upstream refuses the connection: the client sees a reset, as on a path with nothing behind it.
+            // The upstream refuses the connection, so the client gets a reset, as on a path without a server.
             return self.end(client, Ending::Reset);
         };
         drop(upstream.set_nodelay(true));
@@ -94,7 +95,7 @@
         let to_upstream = self.forward(client_read, upstream_write);
         let to_client = self.forward(upstream_read, client_write);
         let (to_upstream, to_client) = tokio::join!(to_upstream, to_client);
-        // Both directions are kept until here, so that a fault ends both at once.
+        // Both directions stay open until here, so that a fault ends both at the same time.
         let ended: Vec<EndedDirection> = [to_upstream, to_client].into_iter().flatten().collect();
         if !ended.is_empty() {
             self.counters.ended_by_fault.fetch_add(1, Ordering::Relaxed);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Forwards one direction. Gives it back where a fault ends the connection, and nothing where it ended by itself.
+    /// Forwards one direction. Returns the direction if a fault ends the connection, and `None` if it ends by itself.
     async fn forward(&self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) -> Option<EndedDirection> {
         let mut fault = self.fault.clone();
         let mut buffer = vec![0u8; BUFFER_BYTES];
@@ -118,7 +119,7 @@
             if let Some(ending) = Ending::by(current) {
                 return Some(EndedDirection { read, write, ending });
             }
-            // Nothing is read during a partition: the sender's buffers fill, as they do on a real one.
+            // Nothing is read during a partition, so that the sender's buffers fill, as they do in a real partition.
             if current == NetworkFault::Partition {
                 fault.changed().await.ok()?;
                 continue;
@@ -147,8 +148,8 @@
         }
     }
 
-    /// Discards what the client sends until it closes or a fault ends the connection. Its first bytes are lost, so it
-    /// never reaches the upstream, also when the black hole is lifted.
+    /// Discards what the client sends until the client closes or a fault ends the connection. The first bytes of the
+    /// connection are lost, so it never reaches the upstream, even after the black hole is lifted.
     async fn discard(&self, mut client: TcpStream, mut fault: watch::Receiver<NetworkFault>) {
         let mut buffer = vec![0u8; BUFFER_BYTES];
         loop {
@@ -184,8 +185,8 @@
     }
 }
 
-/// Holds bytes that were read for as long as the fault says, and gives what becomes of them; nothing once the proxy is
-/// gone.
+/// Waits as long as the fault holds bytes that were read, and returns how they are handled. Returns `None` if the proxy
+/// has ended.
 async fn passage(fault: &mut watch::Receiver<NetworkFault>) -> Option<Passage> {
     let at_arrival = *fault.borrow();
     match at_arrival {
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real forwarders under client load: one destination, one discovery server, a fault proxy before each
-//! console and control address, and clients whose every message is followed to its final state.
+//! Runs a fleet of real forwarders under client load. The fleet has one destination, one discovery server, and a fault
+//! proxy in front of each console and control address. Every message of its clients is followed to its final state.
 
 mod client_load;
 mod member;
@@ -23,52 +23,53 @@
 /// The destination of every message.
 pub const DESTINATION: u64 = 3;
 
-/// How long a silent member counts as present at the policy's commit point.
+/// The time after which a member that does not renew its session is absent at the policy commit point.
 pub const MEMBER_TTL: Duration = Duration::from_secs(3);
 
-/// Time that the destination takes for a message.
+/// The time that the destination takes for a message.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// A fleet that runs. Its processes end when it is dropped.
+/// A running fleet. Its processes end when it is dropped.
 pub struct Fleet {
-    /// Discovery, which also takes notifications.
+    /// The discovery server, which also receives notifications.
     pub discovery: DiscoveryServer,
-    /// The one destination.
+    /// The only destination.
     pub destination: DestinationServer,
-    /// The commit point of the fleet's policy, where it has one.
+    /// The Consul with the policy commit point; `None` if the fleet has none.
     pub consul: Option<ConsulServer>,
     program: PathBuf,
     runtime: ServerRuntime,
-    /// Releases for supervisors, and files for operators.
+    /// The folder with releases for supervisors and files for operators.
     releases: TemporaryFolder,
     members: Vec<Member>,
     clients: Clients,
 }
 
-/// Settings with this Consul as the policy's commit point.
+/// Returns a settings script with the policy commit point in this Consul.
 fn policy_settings(consul: SocketAddr, name: &str) -> String {
     let ttl_s = MEMBER_TTL.as_secs();
     format!("policy(addresses = [\"{consul}\"], name = \"{name}\", ttl = \"{ttl_s}s\")\n")
 }
 
-/// An address and port that no other server uses.
+/// Returns an address and port that no other server uses.
 fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((unused_loopback_address(), 0)).expect("a port");
     listener.local_addr().expect("an address")
 }
 
 impl Fleet {
-    /// Forwarders without supervisors, each with its process id in the file `pid` of its folder.
+    /// Starts forwarders without supervisors. The process id of each is in the file `pid` of its folder.
     pub fn standalone(program: &Path, name: &str, size: usize, load: ClientLoad) -> Fleet {
         Fleet::start(program, name, size, load, Fleet::add_standalone)
     }
 
-    /// Forwarders of the release `v1`, each under a supervisor.
+    /// Starts forwarders of the release `v1`, each under a supervisor.
     pub fn supervised(program: &Path, name: &str, size: usize, load: ClientLoad) -> Fleet {
         Fleet::start(program, name, size, load, Fleet::add_supervised)
     }
 
-    /// Forwarders as in [`Fleet::standalone`] that commit their policy in a Consul, each over a proxy of its own.
+    /// Starts forwarders as [`Fleet::standalone`] does, with a policy commit point in a Consul. Each forwarder reaches
+    /// Consul through its own proxy.
     pub fn with_policy_commit(program: &Path, name: &str, size: usize, load: ClientLoad) -> Fleet {
         Fleet::start(program, name, size, load, Fleet::add_with_policy_commit)
     }
@@ -146,13 +147,14 @@
         self.members[number].start_supervisor(&self.program, releases, control);
     }
 
-    /// The status that a member's supervisor gives, asked past the proxies; nothing where it does not answer.
+    /// Returns the status of a member's supervisor, requested directly and not through a proxy; `None` if it does not
+    /// answer.
     pub fn supervisor_status(&self, number: usize) -> Option<Value> {
         self.members[number].supervisor_status()
     }
 
-    /// Kills a member's forwarder. A standalone one is started again on its folder and console, as a supervisor does,
-    /// and listens for clients at another address from then on.
+    /// Kills a member's forwarder. A standalone forwarder is started again with its folder and console, as a supervisor
+    /// does. It then listens for clients at another address.
     pub fn kill(&mut self, number: usize) {
         if let Some(status) = self.supervisor_status(number) {
             let pid = status["pid"].as_u64().and_then(|pid| u32::try_from(pid).ok());
@@ -162,14 +164,14 @@
         self.restart(number);
     }
 
-    /// Kills a standalone forwarder, and does not start it again.
+    /// Kills a standalone forwarder and does not start it again.
     pub fn kill_standalone(&mut self, number: usize) {
         if let Some(Process::Standalone(forwarder)) = self.members[number].process.take() {
             forwarder.kill();
         }
     }
 
-    /// Starts a standalone forwarder that was killed, on its folder and console.
+    /// Starts a standalone forwarder that was killed, with its folder and console.
     pub fn restart(&mut self, number: usize) {
         let member = &mut self.members[number];
         let console = member.consoles[0].to_string();
@@ -178,7 +180,7 @@
         member.process = Some(Process::Standalone(forwarder));
     }
 
-    /// Kills a member's supervisor, which leaves its forwarder running, and starts another one in its place.
+    /// Kills a member's supervisor and starts another one in its place. The forwarder keeps running.
     pub fn kill_supervisor(&mut self, number: usize) {
         let process = self.members[number].process.take();
         let Some(Process::Supervised(SupervisorProcess { mut child, control })) = process else {
@@ -188,49 +190,51 @@
         self.supervise(number, control);
     }
 
-    /// The proxy between a member and Consul. Panics in a fleet without a Consul.
+    /// Returns the proxy between a member and Consul. Panics if the fleet has no Consul.
     pub fn consul_link(&self, number: usize) -> &FaultProxy {
         self.members[number].consul_link.as_ref().expect("a fleet with a Consul")
     }
 
-    /// Sets a fault on all paths from outside to a member's consoles and control address.
+    /// Sets a fault on all proxies in front of a member's consoles and control address.
     pub fn set_fault(&self, number: usize, fault: NetworkFault) {
         self.members[number].proxies.iter().for_each(|proxy| proxy.set_fault(fault));
     }
 
-    /// The proxies of those paths, to set faults from another thread.
+    /// Returns the proxies in front of a member's consoles and control address, to set faults from another thread.
     pub fn external_links(&self, number: usize) -> Vec<FaultProxy> {
         self.members[number].proxies.clone()
     }
 
-    /// Writes settings by which operators reach the commit point, past the members' proxies.
+    /// Writes settings with which operators reach the policy commit point directly, and returns their path. Panics if
+    /// the fleet has no Consul.
     pub fn operator_settings(&self) -> PathBuf {
         let consul = self.consul.as_ref().expect("a fleet with a Consul").address();
         self.releases.write("operators.star", &policy_settings(consul, "operator"))
     }
 
-    /// Writes a file for operators.
+    /// Writes a file for operators and returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         self.releases.write(name, text)
     }
 
-    /// The reply to a command at a member's console, past the proxy; nothing where it does not answer.
+    /// Returns the reply to a command at a member's console, sent directly and not through the proxy; `None` if there
+    /// is no reply.
     pub fn console_command(&self, number: usize, command: &str) -> Option<String> {
         self.members[number].console_command(command)
     }
 
-    /// A metric of a member, from `show-stat`.
+    /// Returns a metric of a member from `show-stat`; `None` if it is missing or the console does not answer.
     pub fn metric(&self, number: usize, name: &str) -> Option<u64> {
         let metrics = self.console_command(number, "show-stat")?;
         metrics.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
-    /// What a member's supervisor and its forwarders have logged.
+    /// Returns the log of a member's supervisor and its forwarders.
     pub fn log(&self, number: usize) -> String {
         std::fs::read_to_string(self.members[number].supervisor_log()).unwrap_or_default()
     }
 
-    /// Adds a release that is this shell script.
+    /// Adds a release that consists of this shell script.
     pub fn add_script(&self, release: &str, script: &str) {
         use std::os::unix::fs::PermissionsExt;
         let path = self.releases.write(release, script);
@@ -242,30 +246,32 @@
         std::fs::copy(&self.program, self.releases.path().join(release)).expect("a copy");
     }
 
-    /// The members as a rollout's plan names them, `f0` and on, reached through the proxies.
+    /// Returns the members in the format of a rollout's plan, with the addresses of the proxies. Their names are `f0`,
+    /// `f1` and so on.
     pub fn plan(&self) -> Vec<Value> {
         self.members.iter().enumerate().map(|(number, member)| member.plan_entry(number)).collect()
     }
 
-    /// A member's folder.
+    /// Returns a member's folder.
     pub fn folder(&self, number: usize) -> &TemporaryFolder {
         &self.members[number].folder
     }
 
-    /// A member's configuration file as it is now.
+    /// Reads a member's configuration file.
     pub fn config(&self, number: usize) -> Value {
         let text = std::fs::read(self.folder(number).path().join("config.json")).expect("a configuration");
         serde_json::from_slice(&text).expect("JSON")
     }
 
-    /// The console of a member's forwarder, past the proxy.
+    /// Returns the console address of a member's forwarder, which is not that of the proxy.
     pub fn console(&self, number: usize) -> SocketAddr {
         self.members[number].console()
     }
 
-    /// Stops the clients, waits until every accepted message has its final state, and checks that each has exactly
-    /// one; gives how many there were. After a kill a message of an idempotent class may have been delivered twice: one
-    /// that was in flight when its forwarder was killed is sent again by the one started in its place.
+    /// Stops the clients, waits until every accepted message has its final state, and checks that each message has
+    /// exactly one. Returns the number of accepted messages. `killed` says that a forwarder was killed. Then a message
+    /// of an idempotent class may have been delivered twice, because the new forwarder sends a message again that was
+    /// in flight.
     pub fn stop_and_verify(mut self, killed: bool) -> usize {
         let accepted = self.clients.stop_with_enough_messages();
         verification::wait_for_final_states(&accepted, &self.destination, &self.discovery, killed);
@@ -276,7 +282,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.clients.stop();
-        // All are signalled before any is waited for, since a supervisor first shuts its forwarder down.
+        // All supervisors are signalled before any is waited for, because each first shuts its forwarder down.
         let supervisors: Vec<Child> = self
             .members
             .iter_mut()
--- a/crates/fakes/src/fleet/client_load.rs
+++ b/crates/fakes/src/fleet/client_load.rs
@@ -1,4 +1,5 @@
-//! Clients that submit messages to the fleet until they are stopped, and what the fleet has accepted from them.
+//! Clients that submit messages to the fleet until they are stopped, and record the messages that the fleet has
+//! accepted.
 
 use super::DESTINATION;
 use crate::forwarder::submit_message;
@@ -8,20 +9,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// A fleet is judged by more accepted messages than this.
+/// A test of a fleet needs more accepted messages than this.
 const MIN_MESSAGES: usize = 200;
-/// How long the clients may go on to reach them.
+/// How long the clients continue in order to exceed [`MIN_MESSAGES`].
 const MIN_MESSAGES_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the clients of each forwarder do.
+/// The load that the clients put on each forwarder.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLoad {
     /// The class of their messages.
     pub class: &'static str,
-    /// Clients for each forwarder.
+    /// Number of clients for each forwarder.
     pub clients: usize,
-    /// Pause of a client after each answer.
+    /// Time that a client pauses after each answer.
     pub pause: Duration,
 }
 
@@ -31,10 +32,10 @@
     }
 }
 
-/// What the client threads share.
+/// The state that the client threads share.
 #[derive(Debug, Default)]
 struct Shared {
-    /// Ids of messages that were answered 202.
+    /// Ids of the messages that were answered 202.
     accepted: Mutex<Vec<String>>,
     stop: AtomicBool,
 }
@@ -47,7 +48,7 @@
 }
 
 impl Clients {
-    /// Starts the clients of these forwarders.
+    /// Starts the clients for these forwarders.
     pub(super) fn start(&mut self, fleet_name: &str, forwarders: &[SocketAddr], load: ClientLoad) {
         for number in 0..forwarders.len() * load.clients {
             let forwarder = forwarders[number / load.clients];
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Stops the clients once enough messages were accepted; gives their ids. Panics where there are too few.
+    /// Stops the clients when enough messages have been accepted, and returns the ids of the messages. Panics if too
+    /// few are accepted within [`MIN_MESSAGES_TIMEOUT`].
     pub(super) fn stop_with_enough_messages(&mut self) -> Vec<String> {
         let deadline = Instant::now() + MIN_MESSAGES_TIMEOUT;
         while self.accepted().len() <= MIN_MESSAGES && Instant::now() < deadline {
@@ -66,7 +68,7 @@
         self.shared.stop.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|client| client.join().expect("a client"));
         let accepted = self.accepted();
-        assert!(accepted.len() > MIN_MESSAGES, "too little load to judge by: {}", accepted.len());
+        assert!(accepted.len() > MIN_MESSAGES, "too few accepted messages: {}", accepted.len());
         accepted
     }
 
--- a/crates/fakes/src/fleet/member.rs
+++ b/crates/fakes/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One forwarder of a fleet, standalone or under a supervisor, and the paths to it.
+//! One forwarder of a fleet, standalone or under a supervisor, and the proxies in front of it.
 
 use crate::TemporaryFolder;
 use crate::fault_proxy::FaultProxy;
@@ -16,7 +16,7 @@
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 const CONSOLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A supervisor that runs.
+/// A running supervisor.
 #[derive(Debug)]
 pub(super) struct SupervisorProcess {
     pub(super) child: Child,
@@ -27,9 +27,9 @@
 /// The process of a member.
 #[derive(Debug)]
 pub(super) enum Process {
-    /// The forwarder itself.
+    /// The process of the forwarder itself.
     Standalone(ForwarderProcess),
-    /// Its supervisor.
+    /// The process of the forwarder's supervisor.
     Supervised(SupervisorProcess),
 }
 
@@ -38,17 +38,18 @@
 pub(super) struct Member {
     pub(super) folder: TemporaryFolder,
     pub(super) process: Option<Process>,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub(super) address: SocketAddr,
-    /// Its consoles: one, or under a supervisor one for each of its two slots.
+    /// The addresses of its consoles. A standalone forwarder has one; a supervisor has one for each of its two slots.
     pub(super) consoles: Vec<SocketAddr>,
-    /// One before each console, and one before the supervisor's control address.
+    /// The proxies in front of each console, and then the one in front of the supervisor's control address.
     pub(super) proxies: Vec<FaultProxy>,
-    /// From the forwarder to Consul, where the fleet has one.
+    /// The proxy from the forwarder to Consul; `None` if the fleet has no Consul.
     pub(super) consul_link: Option<FaultProxy>,
 }
 
-/// Starts a standalone forwarder; `has_settings` where its folder has a `settings.star`. Gives its console too.
+/// Starts a standalone forwarder, and returns it with the address of its console. `has_settings` says that its folder
+/// has a `settings.star`.
 pub(super) fn start_standalone(
     program: &Path,
     folder: &TemporaryFolder,
@@ -61,7 +62,7 @@
 }
 
 impl Member {
-    /// Starts a supervisor of the release `v1`, and waits until its forwarder alone serves.
+    /// Starts a supervisor of the release `v1`, and waits until its forwarder is the only one that serves.
     pub(super) fn start_supervisor(&mut self, program: &Path, releases: &Path, control: SocketAddr) {
         let folder = self.folder.path();
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.supervisor_log());
@@ -89,30 +90,30 @@
         }
     }
 
-    /// Where the supervisor and its forwarders log.
+    /// Returns the path of the log of the supervisor and its forwarders.
     pub(super) fn supervisor_log(&self) -> PathBuf {
         self.folder.path().join("supervisor.log")
     }
 
-    /// The supervisor's status; nothing where it does not answer.
+    /// Returns the supervisor's status; `None` if there is no supervisor or it does not answer.
     pub(super) fn supervisor_status(&self) -> Option<Value> {
         let Some(Process::Supervised(supervisor)) = &self.process else { return None };
         let reply = exchange(supervisor.control, "show", STATUS_TIMEOUT)?;
         serde_json::from_str(reply.strip_prefix("200 ")?).ok()
     }
 
-    /// The console of the forwarder that serves.
+    /// Returns the console address of the forwarder that serves.
     pub(super) fn console(&self) -> SocketAddr {
         let slot = self.supervisor_status().and_then(|status| status["place"].as_u64()).unwrap_or_default();
         self.consoles[usize::try_from(slot).unwrap_or_default()]
     }
 
-    /// The reply to a console command; nothing where there is none.
+    /// Returns the reply to a console command; `None` if there is none.
     pub(super) fn console_command(&self, command: &str) -> Option<String> {
         exchange(self.console(), command, CONSOLE_TIMEOUT).filter(|reply| !reply.is_empty())
     }
 
-    /// The member in the form of a rollout's plan, as `fNUMBER`.
+    /// Returns the member in the format of a rollout's plan. Its name is `fNUMBER`.
     pub(super) fn plan_entry(&self, number: usize) -> Value {
         let proxied = |place: usize| self.proxies[place].address.to_string();
         let mut entry =
--- a/crates/fakes/src/fleet/verification.rs
+++ b/crates/fakes/src/fleet/verification.rs
@@ -1,4 +1,4 @@
-//! Whether every accepted message reached exactly one final state: delivered, or reported by a notification.
+//! Checks that every accepted message has reached exactly one final state: delivered, or reported by a notification.
 
 use crate::{DestinationServer, DiscoveryServer};
 use std::collections::BTreeMap;
@@ -8,8 +8,9 @@
 const FINAL_STATE_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Waits until each message is delivered or reported, and checks that none has two final states; after a kill one may
-/// have been delivered more than once. Panics otherwise.
+/// Waits until each message is delivered or reported, and checks that no message has two final states. If a forwarder
+/// was killed, a message may have been delivered more than once. Panics if a check fails or after
+/// [`FINAL_STATE_TIMEOUT`].
 pub(super) fn wait_for_final_states(
     accepted: &[String],
     destination: &DestinationServer,
@@ -43,7 +44,7 @@
 ) {
     let repeated: Vec<_> = deliveries.iter().filter(|(_, count)| **count > 1).collect();
     assert!(killed || repeated.is_empty(), "delivered more than once: {repeated:?}");
-    // A message that is reported as failed may have been executed; one that is reported as returned has not.
+    // A message that is reported as failed may have been executed; a message that is reported as returned has not been.
     let is_returned = |id: &&String| {
         notifications.get(*id).is_some_and(|states| states.iter().any(|state| state == "returned"))
     };
@@ -52,7 +53,7 @@
     assert!(contradictory.is_empty(), "delivered and also reported as returned: {contradictory:?}");
 }
 
-/// How often the destination answered 200, by message.
+/// Returns how many times the destination has answered 200, by message id.
 fn delivery_counts(destination: &DestinationServer) -> BTreeMap<String, usize> {
     let mut deliveries = BTreeMap::new();
     for call in destination.calls().into_iter().filter(|call| call.served) {
--- a/crates/fakes/src/forwarder.rs
+++ b/crates/fakes/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The forwarder itself as a child process: its configuration, its clients' requests, its log and signals.
+//! Runs the forwarder as a child process: its configuration, the requests of its clients, its log and signals.
 
 mod client;
 mod config;
--- a/crates/fakes/src/forwarder/client.rs
+++ b/crates/fakes/src/forwarder/client.rs
@@ -1,4 +1,4 @@
-//! A client of the forwarder.
+//! A client that submits messages to the forwarder.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,8 +6,8 @@
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Submits a message of the tenant `acme` on a connection of its own, with the idempotency key `key of ID`. Gives the
-/// status, 0 where there is no answer.
+/// Submits a message of the tenant `acme` on a new connection, with the idempotency key `key of ID`. Returns the status
+/// of the answer, or 0 if there is none.
 pub fn submit_message(forwarder: SocketAddr, class: &str, message_id: &str, destination: u64) -> u16 {
     exchange(forwarder, class, message_id, destination).unwrap_or(0)
 }
--- a/crates/fakes/src/forwarder/config.rs
+++ b/crates/fakes/src/forwarder/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a forwarder under test, in the platform's JSON.
+//! Writes the configuration of a forwarder under test, in the platform's JSON.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -6,24 +6,24 @@
 /// The values in which tests and experiments differ.
 #[derive(Clone, Debug)]
 pub struct ForwarderConfig {
-    /// The discovery server, which also takes notifications.
+    /// Address of the discovery server, which also receives notifications.
     pub discovery: SocketAddr,
     /// The endpoint list at the start; see [`endpoint_entry`].
     pub endpoints: Vec<Value>,
-    /// Calls in flight at once.
+    /// Limit on calls in flight at once.
     pub max_in_flight: usize,
-    /// Messages accepted and not yet finished at once.
+    /// Limit on messages that are accepted and have no final answer yet.
     pub max_open: usize,
-    /// File descriptors.
+    /// Limit on file descriptors.
     pub sockets: usize,
-    /// Limit of the state folder, in MB.
+    /// Limit on the size of the state folder, in MB.
     pub disk_mb: f64,
-    /// Forwarders that share the destinations.
+    /// Number of forwarders that share the destinations.
     pub fleet_size: usize,
 }
 
 impl ForwarderConfig {
-    /// One forwarder with an empty endpoint list and limits that tests do not reach.
+    /// Creates the configuration of a single forwarder with an empty endpoint list and limits that tests do not reach.
     pub fn new(discovery: SocketAddr) -> Self {
         ForwarderConfig {
             discovery,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The text of the configuration. Classes are `status` (idempotent), `refund` (with an idempotency key) and `orders`
-    /// (not idempotent); destination kinds `one` and `many`, zones `a` and `b`, tenant `acme`.
+    /// Returns the configuration as JSON. The classes are `status` (idempotent), `refund` (with an idempotency key) and
+    /// `orders` (not idempotent). The destination kinds are `one` and `many`, the zones `a` and `b`, the tenant `acme`.
     pub fn text(&self) -> String {
         json!({
             "name": "f0",
@@ -90,7 +90,7 @@
     })
 }
 
-/// An endpoint in the form of discovery's list.
+/// Returns an endpoint in the format of discovery's list.
 pub fn endpoint_entry(uid: &str, endpoint: SocketAddr, destination: u64) -> Value {
     json!({"uid": uid, "endpoint": endpoint.to_string(), "az": "a", "model": "one", "pod_group": destination,
         "state": "in_service", "capacity_hint": 100.0, "boot_ms": 0})
--- a/crates/fakes/src/forwarder/process.rs
+++ b/crates/fakes/src/forwarder/process.rs
@@ -1,4 +1,4 @@
-//! A forwarder that runs as a child process.
+//! Starts, signals and stops a forwarder as a child process.
 
 use super::submit_message;
 use crate::TemporaryFolder;
@@ -11,22 +11,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long after its start a forwarder may take until its console listens.
+/// Time-out from the start of a forwarder until its console listens.
 const CONSOLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A forwarder that runs. It is killed when it is dropped.
+/// A running forwarder. It is killed when it is dropped.
 #[derive(Debug)]
 pub struct ForwarderProcess {
     child: Child,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub address: SocketAddr,
-    /// Its log after the line that says where it listens, line by line.
+    /// The lines of its log after the line with the address at which it listens.
     pub log: Receiver<String>,
 }
 
 impl ForwarderProcess {
-    /// Starts it with `config.json` of a folder, its state in the folder's `state`, and these options; waits until it
-    /// listens, and panics with its log where it ends before.
+    /// Starts a forwarder with `config.json` of a folder, its state in `state` of the folder, and these options. Waits
+    /// until it listens. Panics with its log if it ends before that.
     pub fn start(program: &Path, folder: &TemporaryFolder, options: &[&str]) -> Self {
         let mut command = Command::new(program);
         command
@@ -38,8 +38,9 @@
         ForwarderProcess::spawn(command)
     }
 
-    /// Starts it as [`ForwarderProcess::start`] does, beside others on the same folder: the caller holds the clients'
-    /// socket and passes it on as descriptor 4. Gives the console's address too.
+    /// Starts a forwarder as [`ForwarderProcess::start`] does, so that several can run with the same folder. The caller
+    /// holds the socket for clients, which the forwarder inherits as descriptor 4. Returns the address of its console
+    /// too.
     pub fn start_beside(
         program: &Path,
         folder: &TemporaryFolder,
@@ -56,8 +57,9 @@
         (forwarder, console)
     }
 
-    /// Starts it as [`ForwarderProcess::start`] does, with its console at `console` (`127.0.0.1:0`: a free port), and
-    /// writes its process id to the folder's `pid`, as a supervisor does. Gives the console's address too.
+    /// Starts a forwarder as [`ForwarderProcess::start`] does, with its console at `console` (`127.0.0.1:0` for a free
+    /// port). Writes its process id to `pid` in the folder, as a supervisor does. Returns the address of its console
+    /// too.
     pub fn start_supervised(
         program: &Path,
         folder: &TemporaryFolder,
@@ -82,47 +84,47 @@
         });
         let address =
             address.unwrap_or_else(|| panic!("the forwarder does not listen; its log: {earlier_lines:?}"));
-        // In a JSON log the line goes on after the address.
+        // In a JSON log the line continues after the address.
         let address = address.split('"').next().and_then(|text| text.parse().ok()).expect("an address");
         let (sender, log) = channel();
         thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
         ForwarderProcess { child, address, log }
     }
 
-    /// The console's address, from the log.
+    /// Returns the address of the console, which it reads from the log.
     fn console(&self) -> SocketAddr {
         let line = self.wait_for_log("console at ", CONSOLE_TIMEOUT).expect("a console");
         let address = line.rsplit_once("console at ").and_then(|(_, address)| address.split('"').next());
         address.and_then(|address| address.trim().parse().ok()).expect("an address")
     }
 
-    /// Its process id.
+    /// Returns its process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Submits a message; see [`submit_message`].
+    /// Submits a message to the forwarder; see [`submit_message`].
     pub fn submit_message(&self, class: &str, message_id: &str, destination: u64) -> u16 {
         submit_message(self.address, class, message_id, destination)
     }
 
-    /// Sends it a signal by name, such as `HUP`.
+    /// Sends a signal to the forwarder by its name, such as `HUP`.
     pub fn signal(&self, name: &str) {
         send_signal(self.child.id(), name);
     }
 
-    /// Waits until it exits.
+    /// Waits until the forwarder exits.
     pub fn wait(mut self) -> ExitStatus {
         self.child.wait().expect("it ends")
     }
 
-    /// Kills it, and waits until it has ended.
+    /// Kills the forwarder and waits until it has ended.
     pub fn kill(mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// Waits for a line of the log that contains this; nothing after the time-out or the end of the log.
+    /// Waits for a line of the log that contains `text`. Returns `None` after the time-out or at the end of the log.
     pub fn wait_for_log(&self, text: &str, timeout: Duration) -> Option<String> {
         let deadline = Instant::now() + timeout;
         loop {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scripted peers of the forwarder on loopback: Consul, destinations, discovery and a fault proxy, written from their public
-//! specifications; and the forwarder itself as a child process, alone or as a fleet under client load.
+//! Fakes of the servers that the forwarder talks to, on loopback addresses: Consul, destinations, discovery and a fault
+//! proxy. They are written from the public specifications. This package also runs the forwarder itself as a child
+//! process, alone or as a fleet under client load.
 //!
-//! For tests and experiments only. The servers run on threads of their own ([`ServerRuntime`]) and are controlled by
-//! plain calls. What cannot be set up panics, since a test cannot go on without it.
+//! It is for tests and experiments only. The servers run on their own threads ([`ServerRuntime`]) and are controlled by
+//! method calls. A function that cannot set something up panics, because a test cannot continue without it.
 
 #![deny(missing_docs)]
 
--- a/crates/fakes/src/line_protocol.rs
+++ b/crates/fakes/src/line_protocol.rs
@@ -1,10 +1,10 @@
-//! Requests of one line over TCP, as consoles and supervisors answer them.
+//! A client for the line protocol of consoles and supervisors, which answer one line over TCP.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Sends one line and reads the reply to its end; nothing where nobody answers within the time-out.
+/// Sends one line and reads the whole reply. Returns `None` if there is no reply within the time-out.
 pub(crate) fn exchange(address: SocketAddr, line: &str, timeout: Duration) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(timeout)).ok()?;
--- a/crates/fakes/src/runtime.rs
+++ b/crates/fakes/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The thread on which the servers run, and loopback addresses for them.
+//! Provides the thread on which the fake servers run, and loopback addresses for them.
 
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
@@ -17,13 +17,13 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// Values that an octet of such an address takes.
+/// Number of values of an octet in an address from [`unused_loopback_address`].
 const OCTET_VALUES: u32 = 250;
-/// Pause after a connection could not be accepted, such as with too many open files.
+/// Pause after a connection could not be accepted, for example because of too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A loopback address that no other server uses, in this process or another one: a port there that is closed for a
-/// while is not taken by another process.
+/// Returns a loopback address that no other server uses, in this process or another one. So no other process can take a
+/// port of this address while its server does not listen.
 pub fn unused_loopback_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = (std::process::id() << 10).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
@@ -50,13 +50,13 @@
         ServerRuntime { handle, shutdown: Some(shutdown), thread: Some(thread) }
     }
 
-    /// Runs a task on it.
+    /// Runs a task on the thread.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.handle.spawn(task);
     }
 
-    /// Serves HTTP on this listener until the runtime ends; `answer` gets the client's address with each request, and
-    /// closes the connection with `None`.
+    /// Serves HTTP on this listener until the runtime ends. `answer` receives the client's address with each request;
+    /// if it returns `None`, the connection is closed.
     pub(crate) fn serve_http<B, F>(
         &self,
         listener: TcpListener,
@@ -82,7 +82,7 @@
         self.listen_at(SocketAddr::new(address, 0))
     }
 
-    /// Listens at this address and port. Panics where it is in use.
+    /// Listens at this address and port. Panics if the port is in use.
     pub fn listen_at(&self, address: SocketAddr) -> TcpListener {
         let _inside = self.handle.enter();
         let listener = std::net::TcpListener::bind(address).expect("the address is free");
@@ -104,8 +104,8 @@
     }
 }
 
-/// The next connection. An error, such as too many open files, is logged and retried: a server that stopped accepting
-/// would look like one that is down.
+/// Accepts the next connection. Logs an error, such as too many open files, and tries again, because a server that
+/// stops accepting would look as if it were down.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Serves HTTP/1.1 on one connection; `None` for an answer closes it, as a server that goes away does.
+/// Serves HTTP/1.1 on one connection. If `answer` returns `None`, the connection is closed, as by a server that ends.
 pub(crate) async fn serve<S, B, F>(stream: S, answer: impl Fn(Request<Incoming>) -> F + Send)
 where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
@@ -139,7 +139,7 @@
     drop(connection.await);
 }
 
-/// The server closes the connection in the middle of an exchange.
+/// The error with which the server closes a connection without an answer.
 #[derive(Debug)]
 struct ConnectionClosed;
 
