--- a/crates/fakes/src/consul/http.rs
+++ b/crates/fakes/src/consul/http.rs
@@ -39,7 +39,7 @@
 }
 
 /// An answer to a read of a session or of keys.
-struct StoreReading {
+struct StoreResponse {
     answer: Answer,
     /// `X-Consul-Index` of the answer.
     index: u64,
@@ -63,7 +63,7 @@
 
     async fn step(&self, request: &ApiRequest) -> Step {
         let fault = self.state().fault.clone();
-        if let Some(step) = self.step_under_fault(&fault, request) {
+        if let Some(step) = self.step_for_fault(&fault, request) {
             return step;
         }
         if !self.accepts_token(request) {
@@ -80,7 +80,7 @@
     }
 
     /// Returns the step that the fault in force causes for any request, or `None` if the request is handled as usual.
-    fn step_under_fault(&self, fault: &ConsulFault, request: &ApiRequest) -> Option<Step> {
+    fn step_for_fault(&self, fault: &ConsulFault, request: &ApiRequest) -> Option<Step> {
         let answer = match fault {
             ConsulFault::None
             | ConsulFault::FixedIndex(_)
@@ -89,8 +89,8 @@
             ConsulFault::Unresponsive => return Some(Step::Wait { until: None }),
             ConsulFault::Down | ConsulFault::CloseOnRequest => return Some(Step::Done(None)),
             ConsulFault::Status { status, text, retry_after_s } => text_answer(*status, text, *retry_after_s),
-            ConsulFault::NoLeader { complete } => self.leaderless(&request.path, *complete),
-            ConsulFault::Stale(last_contact) => stale(*last_contact),
+            ConsulFault::NoLeader { complete } => self.leaderless_answer(&request.path, *complete),
+            ConsulFault::Stale(last_contact) => stale_answer(*last_contact),
             ConsulFault::TruncatedBody => Response::new(truncated(b"[{\"Node\":{\"Node\":\"n1\"".repeat(8))),
             ConsulFault::EndlessBody => Response::new(EndlessBody.boxed()),
             ConsulFault::MalformedBody => {
@@ -126,11 +126,11 @@
 
     /// Handles a query of a session or of keys, which may be a blocking query.
     fn query_store(&self, request: &ApiRequest) -> Step {
-        let reading = self.read(&request.path, request.has("recurse"));
-        if reading.index != request.index || Instant::now() >= request.deadline {
-            return Step::answer(reading.answer);
+        let response = self.read(&request.path, request.has("recurse"));
+        if response.index != request.index || Instant::now() >= request.deadline {
+            return Step::answer(response.answer);
         }
-        let until = reading.next_expiry.map_or(request.deadline, |next| next.min(request.deadline));
+        let until = response.next_expiry.map_or(request.deadline, |next| next.min(request.deadline));
         Step::Wait { until: Some(until) }
     }
 
@@ -145,7 +145,7 @@
         next
     }
 
-    fn read(&self, path: &str, recurse: bool) -> StoreReading {
+    fn read(&self, path: &str, recurse: bool) -> StoreResponse {
         let next_expiry = self.expire();
         let state = self.state();
         let found = match (path.strip_prefix("/v1/kv/"), path.strip_prefix("/v1/session/info/")) {
@@ -163,7 +163,7 @@
         if missing {
             *answer.status_mut() = StatusCode::NOT_FOUND;
         }
-        StoreReading { answer, index, next_expiry }
+        StoreResponse { answer, index, next_expiry }
     }
 
     async fn write(&self, request: &ApiRequest, fault: &ConsulFault) -> Answer {
@@ -184,7 +184,7 @@
         }
     }
 
-    fn leaderless(&self, path: &str, complete: bool) -> Answer {
+    fn leaderless_answer(&self, path: &str, complete: bool) -> Answer {
         let (body, index) = self.state().answer(path).unwrap_or((json!([]), 1));
         let body = if complete { body } else { json!([]) };
         json_answer(body.to_string().into_bytes(), Some(index.to_string()), false)
@@ -252,7 +252,7 @@
 }
 
 /// Returns an empty list from a server whose last contact with its leader was this long ago.
-fn stale(last_contact: Duration) -> Answer {
+fn stale_answer(last_contact: Duration) -> Answer {
     let mut answer = json_answer(b"[]".to_vec(), Some("1".to_owned()), true);
     let last_contact_ms = HeaderValue::from(last_contact.as_millis() as u64);
     answer.headers_mut().insert("X-Consul-LastContact", last_contact_ms);
--- a/crates/fakes/src/consul/registration.rs
+++ b/crates/fakes/src/consul/registration.rs
@@ -21,7 +21,7 @@
             let key = InstanceKey::new(&instance.node, &instance.id);
             let replaced = state.instances.insert(key, instance.clone());
             let services = replaced.map(|replaced| replaced.service).into_iter().chain([instance.service]);
-            services.for_each(|service| state.touch(&service, true));
+            services.for_each(|service| state.record_change(&service, true));
             state.index
         })
     }
@@ -31,7 +31,7 @@
         self.change(|state| {
             if let Some(removed) = state.instances.remove(&InstanceKey::new(node, id)) {
                 state.index += 1;
-                state.touch(&removed.service, true);
+                state.record_change(&removed.service, true);
             }
             state.index
         })
@@ -44,7 +44,7 @@
             if let Some(instance) = state.instances.get_mut(&InstanceKey::new(node, id)) {
                 set_or_remove(&mut instance.checks, check, status);
                 let service = instance.service.clone();
-                state.touch(&service, false);
+                state.record_change(&service, false);
             }
             state.index
         })
@@ -62,7 +62,7 @@
             set_or_remove(state.node_checks.entry(node.to_owned()).or_default(), check, status);
             let on_node = state.instances.values().filter(|instance| instance.node == node);
             let services: BTreeSet<_> = on_node.map(|instance| instance.service.clone()).collect();
-            services.iter().for_each(|service| state.touch(service, false));
+            services.iter().for_each(|service| state.record_change(service, false));
             state.index
         })
     }
--- a/crates/fakes/src/consul/state.rs
+++ b/crates/fakes/src/consul/state.rs
@@ -45,7 +45,7 @@
 
 impl State {
     /// Records a change of a service. `registered` says that its instances have changed, not only their checks.
-    pub(super) fn touch(&mut self, service: &str, registered: bool) {
+    pub(super) fn record_change(&mut self, service: &str, registered: bool) {
         self.service_index.insert(service.to_owned(), self.index);
         self.checks_index = self.index;
         if registered {
--- a/crates/fakes/src/destination/capacity.rs
+++ b/crates/fakes/src/destination/capacity.rs
@@ -77,9 +77,9 @@
     pub(super) fn current_rps(&self, model: &CapacityModel, now: Instant) -> f64 {
         let Some(recovered_at) = self.recovered_at else { return model.capacity_rps };
         let warm_up_s = model.warm_up_time.as_secs_f64().max(1e-9);
-        let warmth = (now - recovered_at).as_secs_f64() / warm_up_s;
-        let cold = model.cold_capacity_share;
-        model.capacity_rps * (cold + (1.0 - cold) * warmth.min(1.0))
+        let warm_up_progress = (now - recovered_at).as_secs_f64() / warm_up_s;
+        let cold_share = model.cold_capacity_share;
+        model.capacity_rps * (cold_share + (1.0 - cold_share) * warm_up_progress.min(1.0))
     }
 
     /// Takes a permit for a call. Returns `false` if there is no permit.
@@ -110,7 +110,7 @@
             self.recent_arrivals.pop_front();
         }
         let window_s = model.overload_window.as_secs_f64();
-        let most_arrivals = model.overload_factor * self.current_rps(model, now) * window_s;
-        self.recent_arrivals.len() as f64 > most_arrivals
+        let max_arrivals = model.overload_factor * self.current_rps(model, now) * window_s;
+        self.recent_arrivals.len() as f64 > max_arrivals
     }
 }
--- a/crates/fakes/src/fault_proxy/connection.rs
+++ b/crates/fakes/src/fault_proxy/connection.rs
@@ -38,7 +38,7 @@
 }
 
 /// How bytes that were read are handled.
-enum Passage {
+enum ChunkAction {
     Forward,
     Discard,
     End(Ending),
@@ -137,10 +137,10 @@
                     continue;
                 }
             };
-            match passage(&mut fault).await? {
-                Passage::End(ending) => return Some(EndedDirection { read, write, ending }),
-                Passage::Discard => self.count_discarded(count),
-                Passage::Forward => {
+            match chunk_action(&mut fault).await? {
+                ChunkAction::End(ending) => return Some(EndedDirection { read, write, ending }),
+                ChunkAction::Discard => self.count_discarded(count),
+                ChunkAction::Forward => {
                     write.write_all(&buffer[..count]).await.ok()?;
                     self.counters.bytes_forwarded.fetch_add(count as u64, Ordering::Relaxed);
                 }
@@ -187,10 +187,10 @@
 
 /// Waits as long as the fault holds bytes that were read, and returns how they are handled. Returns `None` if the proxy
 /// has ended.
-async fn passage(fault: &mut watch::Receiver<NetworkFault>) -> Option<Passage> {
+async fn chunk_action(fault: &mut watch::Receiver<NetworkFault>) -> Option<ChunkAction> {
     let at_arrival = *fault.borrow();
     match at_arrival {
-        NetworkFault::Blackhole => return Some(Passage::Discard),
+        NetworkFault::Blackhole => return Some(ChunkAction::Discard),
         NetworkFault::Delay(delay) => tokio::time::sleep(delay).await,
         _ => {}
     }
@@ -199,10 +199,10 @@
     }
     let current = *fault.borrow();
     if let Some(ending) = Ending::by(current) {
-        return Some(Passage::End(ending));
+        return Some(ChunkAction::End(ending));
     }
     if current == NetworkFault::Blackhole {
-        return Some(Passage::Discard);
+        return Some(ChunkAction::Discard);
     }
-    Some(Passage::Forward)
+    Some(ChunkAction::Forward)
 }
--- a/crates/fakes/src/fleet/member.rs
+++ b/crates/fakes/src/fleet/member.rs
@@ -115,15 +115,15 @@
 
     /// Returns the member in the format of a rollout's plan. Its name is `fNUMBER`.
     pub(super) fn plan_entry(&self, number: usize) -> Value {
-        let proxied = |place: usize| self.proxies[place].address.to_string();
+        let proxy_address = |index: usize| self.proxies[index].address.to_string();
         let mut entry =
             json!({"name": format!("f{number}"), "config": self.folder.path().join("config.json")});
         if self.consoles.len() == 1 {
-            entry["console"] = json!(proxied(0));
+            entry["console"] = json!(proxy_address(0));
             entry["pid_file"] = json!(self.folder.path().join("pid"));
         } else {
-            entry["console"] = json!([proxied(0), proxied(1)]);
-            entry["control"] = json!(proxied(2));
+            entry["console"] = json!([proxy_address(0), proxy_address(1)]);
+            entry["control"] = json!(proxy_address(2));
         }
         entry
     }
