--- a/crates/config/src/subprocess/tests.rs
+++ b/crates/config/src/subprocess/tests.rs
@@ -1,5 +1,5 @@
-//! Protects the JSON between the evaluating process and the forwarder: after an upgrade on disk, a running forwarder has
-//! its script evaluated by the new program.
+//! Protects the JSON that the evaluating process sends to the forwarder. After an upgrade on disk, the new program
+//! evaluates the script for a forwarder that still runs the old one.
 
 use super::*;
 use crate::script::Location;
--- a/crates/config/tests/ownership.rs
+++ b/crates/config/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! `ownership(...)` in a script: valid, and each way in which it is not.
+//! Tests of `ownership(...)` in a script with valid settings, and with each kind of invalid settings.
 
 use orchidyoke_config::{EvaluationLimits, Installation, evaluate};
 use orchidyoke_core::settings::Names;
@@ -24,7 +24,7 @@
 
 #[test]
 fn script_gives_the_members_of_the_own_region() {
-    let ownership = run(GOOD).expect("good").ownership.expect("asked for");
+    let ownership = run(GOOD).expect("the script is valid").ownership.expect("the script requests ownership");
     let members: Vec<_> = ownership.members.iter().map(|m| (m.name.as_str(), m.weight)).collect();
     assert_eq!(members, [("f1", 1.0), ("f2", 2.5)]);
     assert_eq!((ownership.name.as_str(), ownership.region.as_str(), ownership.regions), ("f2", "north", 2));
@@ -32,7 +32,7 @@
     assert!((1..100).any(|destination| view.owner(destination).is_some_and(|member| member.name == "f1")));
 }
 
-// Guards against settings that are applied in part, or guessed.
+// Guards against invalid settings that are applied in part, or replaced by a guess.
 #[test]
 fn invalid_settings_are_rejected_with_their_place() {
     for (part, instead, why) in [
@@ -76,7 +76,7 @@
 
 #[test]
 fn zones_unknown_to_the_platform_are_rejected() {
-    let good = run(GOOD).expect("good");
+    let good = run(GOOD).expect("the script is valid");
     let names = |zones: &[&str]| Names {
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
         ..Names::default()
--- a/crates/config/tests/scripts.rs
+++ b/crates/config/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Scripts, good and bad, each error with its place.
+//! Tests of valid and invalid scripts. Each error must have its location.
 
 use orchidyoke_config::{EvaluationLimits, Installation, evaluate};
 use orchidyoke_core::settings::Names;
@@ -27,22 +27,23 @@
 
 #[test]
 fn script_yields_the_services_to_follow() {
-    let consul = run(GOOD).expect("good").consul.expect("asked for");
+    let consul = run(GOOD).expect("the script is valid").consul.expect("the script requests Consul");
     let services: Vec<_> =
         consul.services.iter().map(|s| (s.name.as_str(), s.destination, s.capacity)).collect();
     assert_eq!(services, [("refunds", 7, 20.0), ("pickups", 9, 20.0)]);
     assert_eq!((consul.wait.as_secs(), consul.connections, consul.networks.len()), (10, 16, 2));
-    assert_eq!(run("x = 1"), Ok(Installation::default()), "nothing asked for");
+    assert_eq!(run("x = 1"), Ok(Installation::default()), "the script requests nothing");
 }
 
 #[test]
 fn settings_id_changes_only_with_the_script() {
-    let id = |text: &str| run(text).expect("good").consul.expect("asked for").id();
+    let id =
+        |text: &str| run(text).expect("the script is valid").consul.expect("the script requests Consul").id();
     assert_eq!(id(GOOD), id(GOOD));
     assert_ne!(id(GOOD), id(&GOOD.replace("10s", "11s")));
 }
 
-// Guards against a script that is applied in part, and against an error without its location or a remedy.
+// Guards against an invalid script that is applied in part, and against an error without its location or a remedy.
 #[test]
 fn each_script_error_has_its_location_and_a_remedy() {
     let cases = [
@@ -113,7 +114,7 @@
     assert!(run(&twice).expect_err("twice").contains("the endpoint list has one source"));
 }
 
-// Guards against a script that keeps the forwarder busy, or uses up its memory.
+// Guards against a script that keeps the evaluator busy or uses up its memory.
 #[test]
 fn runaway_script_is_stopped() {
     let cases = [
@@ -129,7 +130,7 @@
 
 #[test]
 fn kinds_and_zones_must_exist_in_the_platform_settings() {
-    let good = run(GOOD).expect("good");
+    let good = run(GOOD).expect("the script is valid");
     let names = |kinds: &[&str], zones: &[&str]| Names {
         kinds: kinds.iter().map(|k| (*k).to_owned()).collect(),
         zones: zones.iter().map(|z| (*z).to_owned()).collect(),
@@ -137,6 +138,10 @@
     };
     assert_eq!(good.check(&names(&["one"], &["a"]), 1024), Vec::<String>::new());
     let errors = good.check(&names(&["ones"], &["b"]), 64);
-    assert_eq!(errors.len(), 5, "two services with two errors each, and the connections: {errors:?}");
+    assert_eq!(
+        errors.len(),
+        5,
+        "two services have two errors each, and the connections have one: {errors:?}"
+    );
     assert!(errors[0].contains("is \"ones\" meant?") && errors[4].contains("at most 8"), "{errors:?}");
 }
--- a/crates/config/tests/wire_forms.rs
+++ b/crates/config/tests/wire_forms.rs
@@ -1,5 +1,5 @@
-//! Protects the scripts of installations: the name of each function that a script may call and of each of its parameters,
-//! and what becomes of them.
+//! Protects the scripts of installations: the names of the functions that a script may call, the names of their
+//! parameters, and the settings that result from them.
 
 use orchidyoke_config::{EvaluationLimits, Installation, MemberSettings, OwnershipSettings, evaluate};
 use orchidyoke_consul::Settings as Consul;
@@ -14,7 +14,7 @@
 const FULL: &str = include_str!("fixtures/wire/full.star");
 const LEAST: &str = include_str!("fixtures/wire/least.star");
 
-/// A folder with the files that the scripts name.
+/// A folder with the files that the scripts refer to. It is removed when it is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -85,7 +85,7 @@
 #[test]
 fn each_script_parameter_is_read_by_its_name() {
     let folder = Folder::new("full");
-    let installation = folder.evaluate(FULL).expect("good");
+    let installation = folder.evaluate(FULL).expect("the script is valid");
     assert_eq!(installation.consul, Some(full_consul(&folder.0)));
     let policy = Policy {
         consul: Consul {
@@ -120,19 +120,20 @@
 #[test]
 fn omitted_parameters_keep_their_defaults() {
     let folder = Folder::new("least");
-    let installation = folder.evaluate(LEAST).expect("good");
-    let consul = installation.consul.expect("asked for");
+    let installation = folder.evaluate(LEAST).expect("the script is valid");
+    let consul = installation.consul.expect("the script requests Consul");
     let ca = folder.0.join("east-ca.pem");
     assert_eq!(consul.tls, Some(Tls { ca, cert: None, key: None, server_name: None }));
     assert_eq!((&consul.token_file, &consul.datacenter, &consul.namespace), (&None, &None, &None));
     assert_eq!(consul.consistency, Consistency::Default);
     assert_eq!((consul.max_stale.as_secs(), consul.wait.as_secs(), consul.connections), (10, 30, 64));
-    let policy = installation.policy.expect("asked for");
+    let policy = installation.policy.expect("the script requests a policy commit point");
     assert_eq!((&policy.prefix[..], policy.name, policy.ttl.as_secs()), ("orchidyoke/policy", None, 10));
     assert_eq!(installation.ownership, None);
     for (word, expected) in [("default", Consistency::Default), ("consistent", Consistency::Consistent)] {
         let text = LEAST.replace("    tls =", &format!("    consistency = \"{word}\",\n    tls ="));
-        let consul = folder.evaluate(&text).expect("good").consul.expect("asked for");
+        let consul =
+            folder.evaluate(&text).expect("the script is valid").consul.expect("the script requests Consul");
         assert_eq!(consul.consistency, expected);
     }
 }
@@ -161,7 +162,8 @@
     }
 }
 
-/// The list that a forwarder holds is kept with the id of the Consul that told it; with another id it is not taken up.
+// Guards against a changed id of the Consul settings. A forwarder stores its endpoint list with this id, and does not
+// use the stored list if the id differs.
 #[test]
 fn consul_settings_id_is_unchanged() {
     let consul = full_consul(Path::new("/etc/edge"));
--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -44,7 +44,7 @@
             requests += 1;
             let head = ResponseHead { index: index.map(str::to_owned), ..ok("") };
             let (outcome, next) = query.on_response(now + MILLISECOND_US, &head, 0.5);
-            assert_eq!(outcome, QueryOutcome::Changed, "{index:?}: an authoritative response counts");
+            assert_eq!(outcome, QueryOutcome::Changed, "{index:?}: the response is valid");
             now = next;
         }
         assert!(requests <= 20, "{index:?}: {requests} requests in 20 s");
@@ -94,12 +94,12 @@
         ),
         (ResponseHead { status: 500, ..ResponseHead::default() }, ResponseError::Status(500)),
     ];
-    for (head, refusal) in cases {
+    for (head, expected_error) in cases {
         let mut query = BlockingQuery::default();
         query.on_response(0, &ok("4"), 0.5);
         let has_retry_after = head.retry_after.is_some();
         let (outcome, next) = query.on_response(SECOND_US, &head, 0.5);
-        assert_eq!(outcome, QueryOutcome::Rejected(refusal));
+        assert_eq!(outcome, QueryOutcome::Rejected(expected_error));
         assert_eq!(next, SECOND_US + if has_retry_after { 3 * SECOND_US } else { BACKOFF_MIN_US });
         assert_eq!(
             (query.last_success(), query.consecutive_failures(), query.start_blocking(next)),
@@ -111,8 +111,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..Default::default() })]
 
-    // Guards against a busy loop on any sequence of responses: never more than one request in MIN_QUERY_INTERVAL_US in the
-    // long run, but for those whose index moves on, and never a pause without an end.
+    // Guards against a busy loop and against an endless pause, for any sequence of responses. In the long run there is
+    // at most one request in MIN_QUERY_INTERVAL_US, except for requests whose index has moved on.
     #[test]
     fn no_sequence_of_responses_causes_a_busy_loop_or_a_stall(
         responses in prop::collection::vec((0u16..6, "[0-9]{0,3}|x|-1", 0i64..40_000, any::<bool>()), 1..120)
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -50,10 +50,14 @@
         ]
     );
     let change = snapshot.apply(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
-    assert_eq!(change.events[0].endpoints.len(), 2, "the same id on another node");
+    assert_eq!(change.events[0].endpoints.len(), 2, "the same id on another node is another endpoint");
     let both =
         [entry("n1", "web-1", "", 8001, "passing"), entry("n2", "web-1", "127.0.0.2", 8001, "passing")];
-    assert_eq!(snapshot.apply(0, &both).events[0].endpoints.len(), 1, "one id on two nodes is two endpoints");
+    assert_eq!(
+        snapshot.apply(0, &both).events[0].endpoints.len(),
+        1,
+        "an id on two nodes belongs to two endpoints"
+    );
 }
 
 #[test]
@@ -84,15 +88,19 @@
         ("b", EndpointState::Active, HealthStatus::Warning)
     );
     one.service.meta.insert("zone".to_owned(), "c".to_owned());
-    assert_eq!(snapshot.apply(0, &[one]).events[0].endpoints[0].zone, "c", "the instance's own comes first");
+    assert_eq!(
+        snapshot.apply(0, &[one]).events[0].endpoints[0].zone,
+        "c",
+        "the zone of the instance takes precedence"
+    );
 }
 
-// Guards against full load for a returning partner whose absence only the catalogue has seen.
+// Guards against full load for a destination that has endpoints again, when only the catalogue showed that it had none.
 #[test]
 fn returning_destination_is_listed_as_critical_first() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
-    assert_eq!(snapshot.apply(0, &all).events.len(), 1, "new, not back");
+    assert_eq!(snapshot.apply(0, &all).events.len(), 1, "the destination is new, it has not returned");
     let gone = snapshot.apply(0, &[]).events;
     assert!(
         gone[0]
@@ -125,12 +133,16 @@
         all.filter(|t| t.state == EndpointState::Removed).map(|t| t.uid.clone()).collect()
     };
     assert_eq!(gone(&snapshot.apply(0, &[entry("n1", "w", "", 80, "passing")]).events), ["s3"]);
-    assert_eq!(gone(&snapshot.apply(1, &[]).events), ["s1"], "both services of destination 3 are known now");
+    assert_eq!(
+        gone(&snapshot.apply(1, &[]).events),
+        ["s1"],
+        "both services of destination 3 have had a response"
+    );
     let last = snapshot.apply(2, &[]).events;
     assert_eq!(
         (gone(&last), last[0].version),
         (vec!["s2".to_owned()], 10),
-        "an authoritative nothing is obeyed"
+        "a valid empty response removes the endpoints"
     );
 }
 
@@ -153,8 +165,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: prop::test_runner::RngSeed::Fixed(3), ..Default::default() })]
 
-    // Guards against a list that drifts from the catalogue: after any responses in any order it equals the last
-    // response of each service, with versions that only grow.
+    // Guards against a list that differs from the catalogue. After any responses in any order, the list equals the last
+    // response of each service, and its versions have only increased.
     #[test]
     fn endpoint_list_equals_the_last_response_of_each_service(
         responses in prop::collection::vec((0usize..3, prop::collection::vec((0u8..3, 0u8..4, 0u8..3), 0..6)), 1..40)
--- a/crates/consul/tests/instance_health.rs
+++ b/crates/consul/tests/instance_health.rs
@@ -13,7 +13,7 @@
     ServiceEntry { checks: checks.iter().map(check).collect(), ..ServiceEntry::default() }
 }
 
-// Guards against a line of the table that the code reads otherwise.
+// Guards against code that differs from a line of the documented table.
 #[test]
 fn each_combination_of_checks_has_the_documented_state() {
     use EndpointState::{Active, Draining};
@@ -56,7 +56,7 @@
     assert_eq!(
         instance_health(&weightless).state,
         EndpointState::Active,
-        "the weight for passing does not count"
+        "the weight for passing is not used at warning"
     );
     weightless.service.weights = Weights { passing: 1, warning: 0 };
     assert_eq!(instance_health(&weightless).state, EndpointState::Draining);
--- a/crates/consul/tests/locks.rs
+++ b/crates/consul/tests/locks.rs
@@ -1,4 +1,4 @@
-//! Sessions, locks and transactions against the fake Consul, and the error of a lost response.
+//! Tests of sessions, locks and transactions against the fake Consul, and of the error after a lost response.
 
 mod common;
 
@@ -48,18 +48,21 @@
         assert!(released.expect("answered") && read.expect("read").1[0].session.is_none());
         assert!(
             b.acquire("duties/a b", &second, Bytes::new()).await.expect("answered"),
-            "free at once after its release"
+            "a released lock can be acquired at once"
         );
         let (_, keys) = a.read_keys("duties/", 0, TTL).await.expect("read");
         assert!(keys[0].modify_index > first_index, "a later holder has a higher index");
         assert!(a.renew_session(&first).await.expect("answered"));
         b.destroy_session(&second).await;
         assert!(!b.renew_session(&second).await.expect("answered"));
-        assert!(!a.acquire("duties/a b", &first, Bytes::new()).await.expect("answered"), "the lock-delay");
+        assert!(
+            !a.acquire("duties/a b", &first, Bytes::new()).await.expect("answered"),
+            "the lock delay has not ended"
+        );
     });
 }
 
-// Guards against a write without a response that is taken for one that has failed, or is retried.
+// Guards against a write without a response that is treated as failed, or is retried.
 #[test]
 fn lock_error_distinguishes_unsent_lost_and_rejected_requests() {
     run(async {
@@ -71,12 +74,12 @@
         let requests_before = consul.request_count();
         let lost = locks.acquire("duties/1", &session, Bytes::new()).await;
         assert!(matches!(lost, Err(LockError::OutcomeUnknown(_))), "{lost:?}");
-        assert_eq!(consul.request_count() - requests_before, 1, "sent once");
+        assert_eq!(consul.request_count() - requests_before, 1, "the write is sent once");
         let (_, keys) = locks.read_keys("duties/", 0, TTL).await.expect("read");
-        assert_eq!(keys[0].session.as_deref(), Some(session.as_str()), "and it took effect");
+        assert_eq!(keys[0].session.as_deref(), Some(session.as_str()), "the write took effect");
         consul.set_fault(ConsulFault::NoLeader { complete: true });
-        let refused = locks.read_keys("duties/", 0, TTL).await;
-        assert!(matches!(refused, Err(LockError::Rejected(ResponseError::NoLeader))), "{refused:?}");
+        let rejected = locks.read_keys("duties/", 0, TTL).await;
+        assert!(matches!(rejected, Err(LockError::Rejected(ResponseError::NoLeader))), "{rejected:?}");
         consul.set_fault(ConsulFault::Down);
         // The fake takes a moment to stop listening, and to listen again.
         while !matches!(locks.renew_session(&session).await, Err(LockError::NotSent(_))) {
@@ -89,11 +92,12 @@
                 renewed => break renewed,
             }
         };
-        assert!(renewed.expect("answered"), "a session survives its connections");
+        assert!(renewed.expect("answered"), "a session still exists after its connections were closed");
     });
 }
 
-// Guards against a transaction applied in part, and against one applied though a key that it checks has changed.
+// Guards against a transaction that is applied in part, and against one that is applied although a key that it checks
+// has changed.
 #[test]
 fn transaction_applies_all_operations_or_none() {
     run(async {
@@ -119,7 +123,7 @@
             modify_index: keys[0].modify_index,
         };
         let stale = [held.clone(), commit(7), delete_proposal.clone()];
-        assert!(!a.transact(&stale).await.expect("answered"), "there is nothing that was written at 7");
+        assert!(!a.transact(&stale).await.expect("answered"), "no key was last written at index 7");
         assert_eq!(b.read_keys("p/", 0, TTL).await.expect("read").1, keys, "nothing has changed");
         assert!(a.transact(&[held.clone(), commit(0), delete_proposal]).await.expect("answered"));
         let (_, keys) = b.read_keys("p/", index, TTL).await.expect("read");
@@ -127,7 +131,7 @@
             keys.iter().map(|key| (key.key.as_str(), key.value_text())).collect::<Vec<_>>(),
             [("p/committed", "y".into())]
         );
-        assert!(!a.transact(&[held]).await.expect("answered"), "its lock is held no longer");
+        assert!(!a.transact(&[held]).await.expect("answered"), "the lock is no longer held");
         // The session deletes its keys when it ends.
         assert!(a.acquire("p/proposal", &first, Bytes::new()).await.expect("answered"));
         a.destroy_session(&first).await;
--- a/crates/consul/tests/query_schedule.rs
+++ b/crates/consul/tests/query_schedule.rs
@@ -5,8 +5,9 @@
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
+/// A millisecond, in microseconds.
 const MS: Micros = 1_000;
-/// The least time between two visits of one service.
+/// Shortest time between two reads of one service, in microseconds.
 const ROUND_MIN: Micros = 1_000_000;
 
 #[test]
@@ -40,7 +41,7 @@
     assert_eq!(
         (schedule.next(MS), schedule.next(MS)),
         (NextQuery::Immediate(2), NextQuery::Immediate(0)),
-        "once more: it was out"
+        "service 0 is read again, because it was in flight when it was hinted"
     );
 }
 
@@ -61,8 +62,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, rng_seed: prop::test_runner::RngSeed::Fixed(11), ..Default::default() })]
 
-    // Guards against a service that is starved, or out twice: however many there are, however often hints name
-    // the same few, each is visited within two rounds.
+    // Guards against a service that is starved or read twice at once. Each service is read within two rounds, for any
+    // number of services and even if hints name the same few services all the time.
     #[test]
     fn every_service_is_read_within_two_rounds(services in 2usize..300, connections in 1usize..8, hinted in 0usize..3, took in 1i64..4) {
         let mut schedule = QuerySchedule::new(services, connections);
@@ -75,7 +76,7 @@
             (0..hinted.min(services)).for_each(|service| schedule.hint(service));
             while out.len() < connections {
                 let (NextQuery::Blocking(service) | NextQuery::Immediate(service)) = schedule.next(now) else { break };
-                prop_assert!(!out.contains(&service), "read twice at once");
+                prop_assert!(!out.contains(&service), "service {service} is read twice at once");
                 last[service] = now;
                 out.push_back(service);
             }
@@ -83,7 +84,7 @@
                 schedule.answered(now, service, now, false);
             }
             let bound = 2 * schedule.round_us() + (services as Micros + 1) * 2 * took * MS;
-            prop_assert!(last.iter().all(|at| now - at <= bound), "starved");
+            prop_assert!(last.iter().all(|at| now - at <= bound), "a service is starved");
         }
     }
 }
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -1,4 +1,5 @@
-//! The endpoint source against the fake Consul: which watch events it sends, and what it does while Consul fails.
+//! Tests of the endpoint source against the fake Consul: the watch events that it sends, and its behavior while Consul
+//! fails.
 
 mod common;
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// The endpoint list as the source's watch events make it.
+/// The endpoint list that results from the source's watch events.
 struct Follower {
     list: EndpointList,
     inputs: UnboundedReceiver<Input>,
@@ -72,11 +73,12 @@
         self.list.apply(&event);
     }
 
-    /// Waits until the list has so many endpoints.
+    /// Waits until the list has `count` endpoints.
     async fn wait_for_count(&mut self, count: usize) {
         while self.list.len() != count {
             let input = timeout(PATIENCE, self.inputs.recv()).await;
-            let input = input.unwrap_or_else(|_| panic!("{count} are due: {:?}", self.states()));
+            let input =
+                input.unwrap_or_else(|_| panic!("{count} endpoints are expected: {:?}", self.states()));
             self.apply(input.expect("the source runs"));
         }
     }
@@ -90,14 +92,15 @@
         }
     }
 
-    /// Checks that no event arrives in this time.
+    /// Checks that no event arrives within this time.
     async fn assert_no_event(&mut self, span: Duration) {
         let input = timeout(span, self.inputs.recv()).await;
         assert!(input.is_err(), "no event is expected: {input:?}");
     }
 }
 
-/// A Consul with so many instances, `w1` and on at ports from 8001, and a follower that has follower all of them.
+/// Starts a Consul with `count` instances, `w1` and so on at ports from 8001, and a follower that has received all of
+/// them.
 async fn follow_instances(count: u16) -> (ConsulServer, Follower) {
     let consul = ConsulServer::start();
     for number in 1..=count {
@@ -108,11 +111,11 @@
     (consul, follower)
 }
 
-/// Waits until this is so.
+/// Waits until `holds` returns `true`. Panics with `what` after [`PATIENCE`].
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < end, "{what} has to come");
+        assert!(Instant::now() < end, "{what} is expected");
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -143,7 +146,8 @@
     });
 }
 
-// Guards against a list emptied because Consul has nothing sensible to say, and against missing what changed meanwhile.
+// Guards against a list that is emptied because Consul sends no usable answer, and against missing the changes that
+// happen meanwhile.
 #[test]
 fn fault_keeps_the_list_and_recovery_applies_missed_changes() {
     for fault in ConsulFault::without_usable_answer() {
@@ -167,8 +171,9 @@
     }
 }
 
-// Guards against a list taken from a server that has lost contact with its leader, and against staying with it: the next
-// address is used. Within the limit its responses count, an empty list too.
+// Guards against using the list of a server that has lost contact with its leader, and against staying with that server
+// instead of using the next address. While its last contact is within the limit, its responses are valid, including an
+// empty list.
 #[test]
 fn stale_read_counts_only_within_max_stale() {
     for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
@@ -192,18 +197,22 @@
                 follower.wait_for_count(0).await;
                 assert_eq!(other.request_count(), 0);
             } else {
-                wait_until("a request to the other", || other.request_count() > 0).await;
+                wait_until("a request to the other server", || other.request_count() > 0).await;
                 let requests_before = cut_off.request_count();
                 other.register(web_instance("w3", 8003));
                 follower.wait_for_count(3).await;
                 follower.assert_no_event(Duration::from_millis(500)).await;
-                assert_eq!(cut_off.request_count(), requests_before, "it stays with the other");
+                assert_eq!(
+                    cut_off.request_count(),
+                    requests_before,
+                    "the source stays with the other server"
+                );
             }
         });
     }
 }
 
-// Guards against a last contact that is checked where the leader answers: there it says nothing.
+// Guards against checking the last contact when the leader must answer, because it has no meaning then.
 #[test]
 fn last_contact_is_ignored_without_stale_consistency() {
     run(async {
@@ -213,7 +222,7 @@
     });
 }
 
-// Guards against an agent without a leader that is queried on and on while another has one.
+// Guards against querying an agent without a leader again and again while another agent has a leader.
 #[test]
 fn agent_without_a_leader_causes_failover() {
     for fault in [
@@ -236,8 +245,8 @@
     }
 }
 
-// Guards against a silence that is never noticed: the request times out after its wait and a grace, and is sent
-// on another connection; changes during the silence are applied then.
+// Guards against an agent that stops answering without being noticed. The request must time out after its wait and a
+// grace period, and must be sent on another connection. Changes that happened meanwhile are then applied.
 #[test]
 fn silent_agent_times_out_and_causes_failover() {
     run(async {
@@ -265,7 +274,7 @@
             let (consul, mut follower) = follow_instances(1).await;
             consul.set_fault(ConsulFault::FixedIndex(index));
             consul.register(web_instance("w2", 8002));
-            // An index that does not move hides the change; without an index every body is read.
+            // An index that does not move hides the change. Without a usable index every body is read.
             if index != Some("7") {
                 follower.wait_for_count(2).await;
             }
@@ -291,8 +300,9 @@
     });
 }
 
-// Guards against an endpoint inherited: by an id that moves, an id on two nodes, an address with a new owner, and an
-// agent that takes all out and puts it back within a second.
+// Guards against an endpoint that inherits the state of another one: when an id moves to another address, when an id is
+// on two nodes, and when an address belongs to a new instance. Also guards against a changed list after an agent
+// removes all instances and adds them again within a second.
 #[test]
 fn new_instance_at_a_known_address_is_a_new_endpoint() {
     run(async {
@@ -339,13 +349,13 @@
         follower.wait_for_state("w1", EndpointState::Active, HealthStatus::Warning).await;
         assert!(
             consul.request_count() - requests_before <= 30,
-            "bounded: {}",
+            "too many requests: {}",
             consul.request_count() - requests_before
         );
     });
 }
 
-// Guards against a token or certificate that has to wait for a restart, and against an unclear refusal.
+// Guards against a token or certificate that takes effect only after a restart, and against an unclear rejection.
 #[test]
 fn replaced_token_and_certificates_take_effect_without_restart() {
     let folder = TemporaryFolder::new("consul-tls");
@@ -373,7 +383,7 @@
         follower.assert_no_event(Duration::from_millis(300)).await;
         folder.write("token", "second");
         follower.wait_for_count(2).await;
-        // Another authority signs for both ends; the old certificates are worth nothing from now on.
+        // Another authority signs the certificates of both sides. The old certificates are not trusted from now on.
         let other = CertificateAuthority::new(folder.path(), "dc1");
         let server = other.sign("server.dc1.consul", consul.address().ip(), day);
         other.sign("edge.dc1.consul", consul.address().ip(), day);
@@ -381,8 +391,7 @@
         let open = consul.connections().open;
         consul.register(web_instance("w3", 8003));
         follower.wait_for_count(3).await;
-        wait_until("the connection under the old certificates closes", || consul.connections().open <= open)
-            .await;
+        wait_until("the close of the old connection", || consul.connections().open <= open).await;
     });
 }
 
@@ -414,16 +423,16 @@
                     let line = error.to_string();
                     assert!(line.contains(why) && line.lines().count() == 1, "{line}");
                 }
-                (Ok(_), Some(why)) => panic!("{why}: it was trusted"),
+                (Ok(_), Some(why)) => panic!("the certificate was trusted: {why}"),
                 (Err(error), None) => panic!("{error}"),
             }
         });
     }
 }
 
-// Guards against more connections than were allowed, and against a service that is starved: 2,500 services over six
-// connections, of which 40 have an instance. All of them are found, all that leave too, and a critical check shows long
-// before the turn of its service, which comes round every 5 s.
+// Guards against more connections than the settings allow, and against a service that is starved. There are 2,500
+// services over six connections, and 40 of the services have an instance. All instances are found, all removals too,
+// and a critical check is found long before the next turn of its service; each service has a turn every 5 s.
 #[test]
 fn many_services_are_followed_over_few_connections() {
     run(async {
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -1,5 +1,6 @@
-//! Protects what Consul's catalogue leaves in a forwarder's journal: the id of a list's source, and the uids of
-//! its endpoints. A start with other ones would take the stored list for that of another source, and its endpoints for new ones.
+//! Protects what is stored in a forwarder's journal from Consul's catalogue: the id of the list's source and the uids
+//! of its endpoints. If they changed, a forwarder that starts would treat the stored list as that of another source,
+//! and the endpoints of Consul as new ones.
 
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::api::ServiceEntry;
@@ -8,7 +9,7 @@
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::time::Duration;
 
-/// The ids of the settings below, one a line.
+/// The ids of the settings below, one on each line.
 const IDS: &str = include_str!("fixtures/ids");
 
 fn service() -> Service {
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -1,5 +1,5 @@
-//! Protects the HTTP requests to Consul and what is read from its responses: the requests of the catalogue, of sessions and
-//! of keys, and the endpoints of a response.
+//! Protects the HTTP requests to Consul and the data that is read from its responses: the requests for the catalogue,
+//! for sessions and for keys, and the endpoints of a response.
 
 #[path = "../../forwarder/tests/common/golden.rs"]
 mod golden;
@@ -25,7 +25,8 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const HEALTH: &str = include_str!("fixtures/wire/health.json");
 
-/// Sends these responses in turn on one connection, which stays open; returns the requests, and the result of `client`.
+/// Runs `client` against a server that sends these responses in turn on one connection. The connection stays open until
+/// the client has ended. Returns the requests and the result of `client`.
 fn exchange<T>(responses: &[String], client: impl AsyncFnOnce(SocketAddr) -> T) -> (String, T) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -50,7 +51,7 @@
                 stream,
             )
         };
-        // A client that cannot read a response retries without end.
+        // A client that cannot read a response would retry forever.
         let both = timeout(PATIENCE, async { tokio::join!(server, client(address)) }).await;
         let ((requests, _), result) = both.expect("in time");
         (requests, result)
--- a/crates/fakes/src/consul/kv/tests.rs
+++ b/crates/fakes/src/consul/kv/tests.rs
@@ -1,4 +1,4 @@
-//! Locks, sessions, check-and-set and transactions of the store, in virtual time.
+//! Tests of the locks, sessions, check-and-set operations and transactions of the store, in virtual time.
 
 use super::*;
 
@@ -17,17 +17,17 @@
         |store: &mut Store, at, id: &String| store.put(at, "k", Vec::new(), &Write::Acquire(id.clone()));
     assert_eq!(acquire(&mut store, start, &a), Ok(true));
     assert_eq!(acquire(&mut store, start, &b), Ok(false));
-    assert_eq!(acquire(&mut store, start, &a), Ok(true), "a lock is acquired once by its holder");
+    assert_eq!(acquire(&mut store, start, &a), Ok(true), "the holder can acquire its lock again");
     let row = store.read("k", false).expect("there")[0].clone();
     assert_eq!((row["LockIndex"].as_u64(), row["Session"].as_str()), (Some(1), Some(a.as_str())));
-    // b is renewed, a is not.
+    // Session b is renewed, session a is not.
     assert!(store.renew_session(start + 12 * SECOND, &b));
     store.expire(start + 15 * SECOND);
     assert!(
         !store.renew_session(start + 15 * SECOND, &a)
             && acquire(&mut store, start + 15 * SECOND, &a).is_err()
     );
-    assert_eq!(acquire(&mut store, start + 19 * SECOND, &b), Ok(false), "the lock-delay");
+    assert_eq!(acquire(&mut store, start + 19 * SECOND, &b), Ok(false), "the lock delay has not ended");
     assert_eq!(acquire(&mut store, start + 20 * SECOND, &b), Ok(true));
     let later = store.read("k", false).expect("there")[0].clone();
     assert!(later["ModifyIndex"].as_u64() > row["ModifyIndex"].as_u64());
@@ -63,16 +63,17 @@
     let (status, body) =
         store.transact(now, &json!([held, kv("set", "k", 0), kv("check-index", "lock", at + 1)]));
     assert_eq!((status, body["Errors"][0]["OpIndex"].as_u64()), (409, Some(2)));
-    assert_eq!((store.index, store.read("k", false)), (at, None), "nothing of it is applied");
+    assert_eq!((store.index, store.read("k", false)), (at, None), "no operation is applied");
     let (status, _) = store.transact(
         now,
         &json!([held, kv("check-index", "lock", at), kv("cas", "k", 0), kv("delete", "lock", 0)]),
     );
     assert_eq!(status, 200);
     assert!(store.read("k", false).is_some() && store.read("lock", false).is_none());
-    assert_eq!(store.transact(now, &json!([held])).0, 409, "nobody holds it any more");
-    assert_eq!(store.transact(now, &json!([kv("cas", "k", 0)])).0, 409, "it is there already");
-    // The index of a key does not move with another key; that of a prefix moves with both, also at a deletion.
+    assert_eq!(store.transact(now, &json!([held])).0, 409, "no session holds the lock any more");
+    assert_eq!(store.transact(now, &json!([kv("cas", "k", 0)])).0, 409, "the key exists already");
+    // The index of a key does not change with another key. The index of a prefix changes with each key below it, also
+    // when a key is deleted.
     assert!(store.index_of("k", false) > 1 && store.index_of("other", true) == 1);
     assert!(store.index_of("lock", false) >= store.index_of("k", false));
 }
--- a/crates/fakes/tests/consul.rs
+++ b/crates/fakes/tests/consul.rs
@@ -1,4 +1,4 @@
-//! Sessions and keys of the Consul server over HTTP, and the faults that writes can have.
+//! Tests of the sessions and keys of the fake Consul over HTTP, and of the faults of writes.
 
 use orchidyoke_fakes::ConsulServer;
 use orchidyoke_fakes::consul::ConsulFault;
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Status, `X-Consul-Index` and body; nothing where the connection was closed without an answer.
+/// Sends a request and returns status, `X-Consul-Index` and body; `None` if the connection is closed without an answer.
 fn request(consul: &ConsulServer, method: &str, path: &str, body: &str) -> Option<(u16, u64, Value)> {
     let mut stream = TcpStream::connect(consul.address()).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a socket");
@@ -40,7 +40,8 @@
         .map(|(status, _, done)| (status, done))
 }
 
-// Guards against a blocking query that sleeps through the end of a session: whoever waits for a lock is woken then.
+// Guards against a blocking query that misses the end of a session. It must end then, because its client may wait for a
+// lock.
 #[test]
 fn expired_session_ends_a_blocking_query_and_frees_its_lock() {
     let consul = ConsulServer::start();
@@ -58,7 +59,7 @@
     assert!(later > index && rows[0]["Session"].is_null(), "{rows}");
     assert!(took >= Duration::from_millis(1950) && took < Duration::from_secs(9), "{took:?}");
     assert_eq!(request(&consul, "PUT", &format!("/v1/session/renew/{short}"), "").map(|a| a.0), Some(404));
-    assert_eq!(acquire(&consul, &short).map(|a| a.0), Some(500), "an unknown session");
+    assert_eq!(acquire(&consul, &short).map(|a| a.0), Some(500), "the session is unknown");
     let end = Instant::now() + Duration::from_secs(10);
     while acquire(&consul, &long) != Some((200, Value::Bool(true))) {
         assert!(Instant::now() < end, "the lock-delay ends");
--- a/crates/fakes/tests/fault_proxy.rs
+++ b/crates/fakes/tests/fault_proxy.rs
@@ -1,5 +1,7 @@
-//! Each fault of the proxy, on new connections and on open ones.
-//! Guards against a fault that is set and has no effect: each test fails where the proxy forwards bytes unchanged.
+//! Tests of each fault of the proxy, on new and open connections.
+//!
+//! They guard against a fault that is set but has no effect: each test fails if the proxy forwards bytes as without a
+//! fault.
 
 use orchidyoke_fakes::{FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::io::{ErrorKind, Read, Write};
@@ -7,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// An upstream that sends back what it is sent.
+/// Starts an upstream that sends back all bytes that it receives.
 fn start_echo_server(runtime: &ServerRuntime) -> SocketAddr {
     let listener = runtime.listen(unused_loopback_address());
     let address = listener.local_addr().expect("an address");
@@ -32,7 +34,7 @@
     stream
 }
 
-/// Sends a word and reads as much back: the word, or the error or end that came instead.
+/// Sends a word and reads as many bytes back. Returns these bytes, or an error if the connection fails or ends before.
 fn echo_round_trip(stream: &mut TcpStream, word: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(word)?;
     let mut back = vec![0u8; word.len()];
@@ -61,9 +63,9 @@
     proxy.set_fault(NetworkFault::Delay(Duration::from_millis(150)));
     let began = Instant::now();
     assert_eq!(echo_round_trip(&mut stream, b"two").expect("an answer"), b"two");
-    // Held 150 ms there and 150 ms back, on a connection that was through before the fault.
+    // The bytes are delayed by 150 ms in each direction, on a connection that was open before the fault.
     assert!(began.elapsed() >= Duration::from_millis(300), "{:?}", began.elapsed());
-    // The last bytes are counted once they are through, and may be read before.
+    // The last bytes may be read before they are counted.
     let until = Instant::now() + Duration::from_secs(5);
     while proxy.counters().bytes_forwarded < 12 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(1));
@@ -105,12 +107,12 @@
     let mut old = connect(&proxy, Duration::from_millis(400));
     echo_round_trip(&mut old, b"hello").expect("an answer");
     proxy.set_fault(NetworkFault::Blackhole);
-    let error = echo_round_trip(&mut old, b"lost").expect_err("no answer");
+    let error = echo_round_trip(&mut old, b"lost").expect_err("the request has no answer");
     assert_eq!(error.kind(), ErrorKind::WouldBlock, "{error}");
     let mut new = connect(&proxy, Duration::from_millis(400));
     assert!(echo_round_trip(&mut new, b"lost too").is_err());
     proxy.set_fault(NetworkFault::None);
-    // What was thrown away does not come later; new bytes go through again.
+    // Discarded bytes do not arrive later; new bytes are forwarded again.
     assert_eq!(echo_round_trip(&mut old, b"back").expect("an answer"), b"back");
     let mut third = connect(&proxy, Duration::from_secs(5));
     assert_eq!(echo_round_trip(&mut third, b"fine").expect("an answer"), b"fine");
@@ -123,7 +125,7 @@
     let mut old = connect(&proxy, Duration::from_millis(400));
     echo_round_trip(&mut old, b"hello").expect("an answer");
     proxy.set_fault(NetworkFault::Partition);
-    let error = echo_round_trip(&mut old, b"held").expect_err("nothing crosses");
+    let error = echo_round_trip(&mut old, b"held").expect_err("no byte is forwarded");
     assert_eq!(error.kind(), ErrorKind::WouldBlock, "{error}");
     let mut new = connect(&proxy, Duration::from_millis(400));
     assert!(echo_round_trip(&mut new, b"waits").is_err());
@@ -136,10 +138,10 @@
     old.set_read_timeout(Some(Duration::from_secs(5))).expect("a socket");
     new.set_read_timeout(Some(Duration::from_secs(5))).expect("a socket");
     let mut buffer = [0u8; 4];
-    old.read_exact(&mut buffer).expect("what was held arrives");
+    old.read_exact(&mut buffer).expect("the held bytes arrive");
     assert_eq!(&buffer, b"held");
     let mut buffer = [0u8; 5];
-    new.read_exact(&mut buffer).expect("what was held arrives");
+    new.read_exact(&mut buffer).expect("the held bytes arrive");
     assert_eq!(&buffer, b"waits");
     assert_eq!(proxy.counters().bytes_discarded, 0);
 }
--- a/deploy/consul.star
+++ b/deploy/consul.star
@@ -1,5 +1,5 @@
-# An installation that takes its endpoints from Consul. Not for the platform, where they come from discovery.
-# orchidyoke check --settings deploy/consul.star
+# Settings of an installation that reads its endpoints from Consul. Do not use them on the platform, where endpoints
+# come from discovery. Check them with: orchidyoke check --settings deploy/consul.star
 
 partners = {
     "refunds": 7,
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,4 +1,4 @@
-//! A toy server for trying the forwarder: two endpoints and the platform, on the addresses of `config.json`.
+//! Runs toy servers for trying out the forwarder: two endpoints and the platform, at the addresses in `config.json`.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Full};
@@ -14,10 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::time::{Interval, interval};
 
-/// Between two lines of an idle watch; the forwarder gives a silent one up after 3 s.
+/// Time between two lines of an idle watch. The forwarder closes a watch that sends nothing for 3 s.
 const WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A watch on an endpoint list that never changes: an empty line at each tick.
+/// The response body of a watch on an endpoint list that never changes. It sends an empty line at each tick.
 struct IdleWatch(Interval);
 
 impl Body for IdleWatch {
@@ -34,12 +34,12 @@
 
 type ToyResponse = Response<Either<Full<Bytes>, IdleWatch>>;
 
-/// What a server stands for.
+/// The role of a toy server.
 #[derive(Clone, Copy)]
 enum Role {
-    /// An endpoint that accepts all messages, or fails all.
+    /// An endpoint that accepts all messages if it is healthy, and fails all messages otherwise.
     Endpoint { healthy: bool },
-    /// Discovery, and the receiver of notifications.
+    /// Discovery, which also receives notifications.
     Platform,
 }
 
