--- a/crates/config/tests/ownership.rs
+++ b/crates/config/tests/ownership.rs
@@ -4,7 +4,7 @@
 use orchidyoke_core::settings::Names;
 use std::path::Path;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 ownership(
     name = "f2",
     region = "north",
@@ -19,13 +19,15 @@
 
 fn run(text: &str) -> Result<Installation, String> {
     evaluate(Path::new("site/edge.star"), text.to_owned(), EvaluationLimits::default())
-        .map_err(|fault| fault.to_string())
+        .map_err(|error| error.to_string())
 }
 
 #[test]
-fn script_gives_the_members_of_the_own_region() {
-    let ownership = run(GOOD).expect("the script is valid").ownership.expect("the script requests ownership");
-    let members: Vec<_> = ownership.members.iter().map(|m| (m.name.as_str(), m.weight)).collect();
+fn script_returns_the_members_of_this_forwarders_region() {
+    let ownership =
+        run(VALID).expect("the script is valid").ownership.expect("the script requests ownership");
+    let members: Vec<_> =
+        ownership.members.iter().map(|member| (member.name.as_str(), member.weight)).collect();
     assert_eq!(members, [("f1", 1.0), ("f2", 2.5)]);
     assert_eq!((ownership.name.as_str(), ownership.region.as_str(), ownership.regions), ("f2", "north", 2));
     let view = ownership.view().expect("a view");
@@ -34,8 +36,8 @@
 
 // Guards against invalid settings that are applied in part, or replaced by a guess.
 #[test]
-fn invalid_settings_are_rejected_with_their_place() {
-    for (part, instead, why) in [
+fn invalid_settings_are_rejected_with_their_location() {
+    for (original, replacement, expected_reason) in [
         (
             "region = \"north\"",
             "region = \"norht\"",
@@ -65,26 +67,26 @@
         ("10.0.0.1:8080", "10.0.0.2:8080", "have the same address, 10.0.0.2:8080"),
         ("weight = 2.5", "wieght = 2.5", "is \"weight\" meant?"),
     ] {
-        let text = GOOD.replacen(part, instead, 1);
-        assert_ne!(text, GOOD, "{part}");
-        let fault = run(&text).expect_err(instead);
-        assert!(fault.contains(why) && fault.contains("edge.star:"), "{instead}: {fault}");
-        assert_eq!(fault.lines().count(), 1, "{fault}");
+        let text = VALID.replacen(original, replacement, 1);
+        assert_ne!(text, VALID, "{original}");
+        let error = run(&text).expect_err(replacement);
+        assert!(error.contains(expected_reason) && error.contains("edge.star:"), "{replacement}: {error}");
+        assert_eq!(error.lines().count(), 1, "{error}");
     }
-    assert!(run(&format!("{GOOD}{GOOD}")).expect_err("twice").contains("one region"));
+    assert!(run(&format!("{VALID}{VALID}")).expect_err("twice").contains("one region"));
 }
 
 #[test]
 fn zones_unknown_to_the_platform_are_rejected() {
-    let good = run(GOOD).expect("the script is valid");
+    let installation = run(VALID).expect("the script is valid");
     let names = |zones: &[&str]| Names {
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
         ..Names::default()
     };
-    assert_eq!(good.check(&names(&["a", "b"]), 1024), Vec::<String>::new());
-    let faults = good.check(&names(&["a"]), 1024);
+    assert_eq!(installation.check(&names(&["a", "b"]), 1024), Vec::<String>::new());
+    let errors = installation.check(&names(&["a"]), 1024);
     assert!(
-        faults.len() == 1 && faults[0].contains("ownership: regions: there is no zone \"b\""),
-        "{faults:?}"
+        errors.len() == 1 && errors[0].contains("ownership: regions: there is no zone \"b\""),
+        "{errors:?}"
     );
 }
--- a/crates/config/tests/scripts.rs
+++ b/crates/config/tests/scripts.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 
 fn run(text: &str) -> Result<Installation, String> {
-    let bounds = EvaluationLimits { max_ticks: 100_000, max_heap_bytes: 4 << 20, max_call_depth: 50 };
-    evaluate(Path::new("site/edge.star"), text.to_owned(), bounds).map_err(|error| error.to_string())
+    let limits = EvaluationLimits { max_ticks: 100_000, max_heap_bytes: 4 << 20, max_call_depth: 50 };
+    evaluate(Path::new("site/edge.star"), text.to_owned(), limits).map_err(|error| error.to_string())
 }
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 shops = {"refunds": 7, "pickups": 9}
 
 def follow(name):
@@ -27,9 +27,12 @@
 
 #[test]
 fn script_yields_the_services_to_follow() {
-    let consul = run(GOOD).expect("the script is valid").consul.expect("the script requests Consul");
-    let services: Vec<_> =
-        consul.services.iter().map(|s| (s.name.as_str(), s.destination, s.capacity)).collect();
+    let consul = run(VALID).expect("the script is valid").consul.expect("the script requests Consul");
+    let services: Vec<_> = consul
+        .services
+        .iter()
+        .map(|service| (service.name.as_str(), service.destination, service.capacity))
+        .collect();
     assert_eq!(services, [("refunds", 7, 20.0), ("pickups", 9, 20.0)]);
     assert_eq!((consul.wait.as_secs(), consul.connections, consul.networks.len()), (10, 16, 2));
     assert_eq!(run("x = 1"), Ok(Installation::default()), "the script requests nothing");
@@ -39,8 +42,8 @@
 fn settings_id_changes_only_with_the_script() {
     let id =
         |text: &str| run(text).expect("the script is valid").consul.expect("the script requests Consul").id();
-    assert_eq!(id(GOOD), id(GOOD));
-    assert_ne!(id(GOOD), id(&GOOD.replace("10s", "11s")));
+    assert_eq!(id(VALID), id(VALID));
+    assert_ne!(id(VALID), id(&VALID.replace("10s", "11s")));
 }
 
 // Guards against an invalid script that is applied in part, and against an error without its location or a remedy.
@@ -62,10 +65,12 @@
         ("tls(ca = \"none.pem\")", ":1:1: ", "site/none.pem"),
         ("load(\"//other.star\", \"x\")", ":1:", "load"),
     ];
-    for (text, place, why) in cases {
+    for (text, location, expected_reason) in cases {
         let error = run(text).expect_err(text);
         assert!(
-            error.starts_with("site/edge.star:") && error.contains(place) && error.contains(why),
+            error.starts_with("site/edge.star:")
+                && error.contains(location)
+                && error.contains(expected_reason),
             "{error}"
         );
         assert_eq!(error.lines().count(), 1, "{error}");
@@ -92,13 +97,18 @@
         ("\"pickups\": 9", "\"pickups\": 7", ""),
         ("connections = 16,", "token_file = \"none\",", "token_file: site/none"),
     ];
-    for (part, instead, why) in cases {
-        let text = GOOD.replace(part, instead);
-        assert_ne!(text, GOOD);
+    for (original, replacement, expected_reason) in cases {
+        let text = VALID.replace(original, replacement);
+        assert_ne!(text, VALID);
         match run(&text) {
-            Ok(_) => assert_eq!(why, "", "{instead}"),
+            Ok(_) => assert_eq!(expected_reason, "", "{replacement}"),
             Err(error) => {
-                assert!(!why.is_empty() && error.contains(why) && error.contains("star:7:1: "), "{error}")
+                assert!(
+                    !expected_reason.is_empty()
+                        && error.contains(expected_reason)
+                        && error.contains("star:7:1: "),
+                    "{error}"
+                )
             }
         }
     }
@@ -106,11 +116,11 @@
 
 #[test]
 fn destination_of_two_kinds_and_a_second_consul_call_are_rejected() {
-    let mixed = GOOD.replace("kind = \"one\"", "kind = name").replace("\"pickups\": 9", "\"pickups\": 7");
+    let mixed = VALID.replace("kind = \"one\"", "kind = name").replace("\"pickups\": 9", "\"pickups\": 7");
     assert!(
         run(&mixed).expect_err("mixed").contains("destination 7 is of kind \"refunds\" and of \"pickups\"")
     );
-    let twice = format!("{GOOD}\n{}", &GOOD[GOOD.find("consul(").expect("there")..]);
+    let twice = format!("{VALID}\n{}", &VALID[VALID.find("consul(").expect("there")..]);
     assert!(run(&twice).expect_err("twice").contains("the endpoint list has one source"));
 }
 
@@ -130,14 +140,14 @@
 
 #[test]
 fn kinds_and_zones_must_exist_in_the_platform_settings() {
-    let good = run(GOOD).expect("the script is valid");
+    let installation = run(VALID).expect("the script is valid");
     let names = |kinds: &[&str], zones: &[&str]| Names {
-        kinds: kinds.iter().map(|k| (*k).to_owned()).collect(),
-        zones: zones.iter().map(|z| (*z).to_owned()).collect(),
+        kinds: kinds.iter().map(|kind| (*kind).to_owned()).collect(),
+        zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
         ..Names::default()
     };
-    assert_eq!(good.check(&names(&["one"], &["a"]), 1024), Vec::<String>::new());
-    let errors = good.check(&names(&["ones"], &["b"]), 64);
+    assert_eq!(installation.check(&names(&["one"], &["a"]), 1024), Vec::<String>::new());
+    let errors = installation.check(&names(&["ones"], &["b"]), 64);
     assert_eq!(
         errors.len(),
         5,
--- a/crates/config/tests/wire_forms.rs
+++ b/crates/config/tests/wire_forms.rs
@@ -29,7 +29,7 @@
 
     fn evaluate(&self, text: &str) -> Result<Installation, String> {
         let script = self.0.join("edge.star");
-        evaluate(&script, text.to_owned(), EvaluationLimits::default()).map_err(|fault| fault.to_string())
+        evaluate(&script, text.to_owned(), EvaluationLimits::default()).map_err(|error| error.to_string())
     }
 }
 
@@ -157,8 +157,8 @@
         ", address = \"10.2.0.1:8080\"",
     ] {
         assert_eq!(FULL.matches(line).count(), 1, "{line}");
-        let instead = if line.starts_with("zone") { "address" } else { "" };
-        assert!(folder.evaluate(&FULL.replace(line, instead)).is_err(), "without {line}");
+        let replacement = if line.starts_with("zone") { "address" } else { "" };
+        assert!(folder.evaluate(&FULL.replace(line, replacement)).is_err(), "without {line}");
     }
 }
 
--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn lower_index_counts_and_restarts_the_query() {
+fn response_with_lower_index_is_valid_and_restarts_the_query() {
     let mut query = BlockingQuery::default();
     query.on_response(0, &ok("100"), 0.5);
     query.start_blocking(SECOND_US);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn unusable_index_counts_with_backoff() {
+fn response_with_unusable_index_is_valid_and_followed_by_backoff() {
     for index in [Some("0"), Some("many"), Some("-1"), Some("99999999999999999999999"), None] {
         let mut query = BlockingQuery::default();
         let mut now = 0;
@@ -121,14 +121,14 @@
         let mut now = 0;
         let count = responses.len() as Micros;
         let mut waited = 0;
-        for (status, index, took, leaderless) in responses {
+        for (status, index, duration, leaderless) in responses {
             let before = query.start_blocking(now);
             let status = [200, 200, 200, 403, 429, 500][usize::from(status)];
             let head = ResponseHead { status, leaderless, ..ok(&index) };
-            let (outcome, next) = query.on_response(now + took, &head, 0.5);
-            prop_assert!(next >= now + took && next <= now + took + RETRY_AFTER_MAX_US);
+            let (outcome, next) = query.on_response(now + duration, &head, 0.5);
+            prop_assert!(next >= now + duration && next <= now + duration + RETRY_AFTER_MAX_US);
             prop_assert!(outcome != QueryOutcome::Unchanged || before == query.index);
-            waited += took;
+            waited += duration;
             now = next;
         }
         prop_assert!(now - waited + MIN_QUERY_INTERVAL_US >= 0 && now + MIN_QUERY_INTERVAL_US >= MIN_QUERY_INTERVAL_US * count / 2);
--- a/crates/consul/src/snapshot/tests.rs
+++ b/crates/consul/src/snapshot/tests.rs
@@ -41,16 +41,16 @@
 fn moved_instance_is_a_new_endpoint_after_removal_of_the_old() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     snapshot.apply(0, &[entry("n1", "web-1", "", 8001, "passing")]);
-    let change = snapshot.apply(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
+    let delta = snapshot.apply(0, &[entry("n1", "web-1", "127.0.0.2", 8001, "passing")]);
     assert_eq!(
-        uids(&change.events[0]),
+        uids(&delta.events[0]),
         [
             ("web.3/n1/web-1@127.0.0.1:8001".to_owned(), EndpointState::Removed),
             ("web.3/n1/web-1@127.0.0.2:8001".to_owned(), EndpointState::Active),
         ]
     );
-    let change = snapshot.apply(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
-    assert_eq!(change.events[0].endpoints.len(), 2, "the same id on another node is another endpoint");
+    let delta = snapshot.apply(0, &[entry("n2", "web-1", "127.0.0.2", 8001, "passing")]);
+    assert_eq!(delta.events[0].endpoints.len(), 2, "the same id on another node is another endpoint");
     let both =
         [entry("n1", "web-1", "", 8001, "passing"), entry("n2", "web-1", "127.0.0.2", 8001, "passing")];
     assert_eq!(
@@ -63,16 +63,16 @@
 #[test]
 fn unusable_instance_is_no_endpoint_and_reported_once() {
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
-    let bad = [
+    let unusable = [
         entry("n1", "out", "10.0.0.1", 80, "passing"),
         entry("n1", "name", "web.example", 80, "passing"),
         entry("n1", "mapped", "::ffff:10.0.0.1", 80, "passing"),
         entry("n1", "portless", "127.0.0.1", 0, "passing"),
         entry("n1", "high", "127.0.0.1", 65_536, "passing"),
     ];
-    let change = snapshot.apply(0, &bad);
-    assert_eq!((change.events.len(), change.unusable.len()), (0, 5), "{:?}", change.unusable);
-    assert_eq!(snapshot.apply(0, &bad), SnapshotDelta::default());
+    let delta = snapshot.apply(0, &unusable);
+    assert_eq!((delta.events.len(), delta.unusable.len()), (0, 5), "{:?}", delta.unusable);
+    assert_eq!(snapshot.apply(0, &unusable), SnapshotDelta::default());
     let mapped = entry("n1", "in", "::ffff:127.0.0.1", 80, "passing");
     assert_eq!(snapshot.apply(0, &[mapped]).events.len(), 1);
 }
@@ -82,9 +82,9 @@
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     let mut one = entry("n1", "w", "", 80, "warning");
     one.node.meta.insert("zone".to_owned(), "b".to_owned());
-    let target = snapshot.apply(0, &[one.clone()]).events[0].endpoints[0].clone();
+    let endpoint = snapshot.apply(0, &[one.clone()]).events[0].endpoints[0].clone();
     assert_eq!(
-        (target.zone.as_str(), target.state, target.health),
+        (endpoint.zone.as_str(), endpoint.state, endpoint.health),
         ("b", EndpointState::Active, HealthStatus::Warning)
     );
     one.service.meta.insert("zone".to_owned(), "c".to_owned());
@@ -101,17 +101,16 @@
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3)]), &current(vec![]));
     let all = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
     assert_eq!(snapshot.apply(0, &all).events.len(), 1, "the destination is new, it has not returned");
-    let gone = snapshot.apply(0, &[]).events;
+    let removals = snapshot.apply(0, &[]).events;
+    assert!(removals[0].endpoints.iter().all(
+        |endpoint| (endpoint.state, endpoint.health) == (EndpointState::Removed, HealthStatus::Critical)
+    ));
+    let returned = snapshot.apply(0, &all).events;
+    let checks: Vec<_> = returned.iter().map(|event| event.endpoints[0].health).collect();
+    assert_eq!(checks, [HealthStatus::Critical, HealthStatus::Passing]);
     assert!(
-        gone[0]
-            .endpoints
-            .iter()
-            .all(|t| (t.state, t.health) == (EndpointState::Removed, HealthStatus::Critical))
+        returned[0].version < returned[1].version && returned.iter().all(|event| event.endpoints.len() == 2)
     );
-    let back = snapshot.apply(0, &all).events;
-    let checks: Vec<_> = back.iter().map(|n| n.endpoints[0].health).collect();
-    assert_eq!(checks, [HealthStatus::Critical, HealthStatus::Passing]);
-    assert!(back[0].version < back[1].version && back.iter().all(|n| n.endpoints.len() == 2));
 }
 
 #[test]
@@ -128,19 +127,21 @@
     };
     let current = current(vec![old("s1", 3), old("s2", 4), old("s3", 5)]);
     let mut snapshot = CatalogueSnapshot::new(&settings(&[("web", 3), ("web-2", 3), ("api", 4)]), &current);
-    let gone = |events: &[WatchEvent]| -> Vec<String> {
+    let removed_uids = |events: &[WatchEvent]| -> Vec<String> {
         let all = events.iter().flat_map(|event| &event.endpoints);
-        all.filter(|t| t.state == EndpointState::Removed).map(|t| t.uid.clone()).collect()
+        all.filter(|endpoint| endpoint.state == EndpointState::Removed)
+            .map(|endpoint| endpoint.uid.clone())
+            .collect()
     };
-    assert_eq!(gone(&snapshot.apply(0, &[entry("n1", "w", "", 80, "passing")]).events), ["s3"]);
+    assert_eq!(removed_uids(&snapshot.apply(0, &[entry("n1", "w", "", 80, "passing")]).events), ["s3"]);
     assert_eq!(
-        gone(&snapshot.apply(1, &[]).events),
+        removed_uids(&snapshot.apply(1, &[]).events),
         ["s1"],
         "both services of destination 3 have had a response"
     );
     let last = snapshot.apply(2, &[]).events;
     assert_eq!(
-        (gone(&last), last[0].version),
+        (removed_uids(&last), last[0].version),
         (vec!["s2".to_owned()], 10),
         "a valid empty response removes the endpoints"
     );
@@ -153,11 +154,15 @@
     let both = [entry("n1", "w", "", 80, "passing"), entry("n2", "w", "", 81, "passing")];
     let mut snapshot = CatalogueSnapshot::new(&settings, &current(vec![]));
     snapshot.apply(0, &both).events.iter().for_each(|event| list.apply(event));
-    let mut again = CatalogueSnapshot::new(&settings, &list.snapshot());
-    assert!(again.apply(0, &both).events.is_empty(), "nothing has changed");
-    assert_eq!(again.apply(0, &both[1..]).events[0].endpoints.len(), 1);
+    let mut restarted = CatalogueSnapshot::new(&settings, &list.snapshot());
+    assert!(restarted.apply(0, &both).events.is_empty(), "nothing has changed");
+    assert_eq!(restarted.apply(0, &both[1..]).events[0].endpoints.len(), 1);
     assert_eq!(
-        (again.endpoint_count(0), again.services_on_node("n2").count(), again.services_on_node("n1").count()),
+        (
+            restarted.endpoint_count(0),
+            restarted.services_on_node("n2").count(),
+            restarted.services_on_node("n1").count()
+        ),
         (1, 1, 0)
     );
 }
@@ -194,7 +199,8 @@
                     expected.insert(endpoint.uid.clone(), endpoint);
                 }
             }
-            let listed: BTreeMap<_, _> = list.snapshot().endpoints.into_iter().map(|t| (t.uid.clone(), t)).collect();
+            let listed: BTreeMap<_, _> =
+                list.snapshot().endpoints.into_iter().map(|endpoint| (endpoint.uid.clone(), endpoint)).collect();
             prop_assert_eq!(listed, expected);
         }
     }
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -76,7 +76,7 @@
     /// Waits until the list has `count` endpoints.
     async fn wait_for_count(&mut self, count: usize) {
         while self.list.len() != count {
-            let input = timeout(PATIENCE, self.inputs.recv()).await;
+            let input = timeout(EVENT_TIMEOUT, self.inputs.recv()).await;
             let input =
                 input.unwrap_or_else(|_| panic!("{count} endpoints are expected: {:?}", self.states()));
             self.apply(input.expect("the source runs"));
@@ -86,7 +86,7 @@
     /// Waits until an endpoint has this state and health.
     async fn wait_for_state(&mut self, id: &str, state: EndpointState, health: HealthStatus) {
         while !self.states().contains(&(id.to_owned(), state, health)) {
-            let input = timeout(PATIENCE, self.inputs.recv()).await;
+            let input = timeout(EVENT_TIMEOUT, self.inputs.recv()).await;
             let input = input.unwrap_or_else(|_| panic!("{id}: {:?}", self.states()));
             self.apply(input.expect("the source runs"));
         }
@@ -111,9 +111,9 @@
     (consul, follower)
 }
 
-/// Waits until `holds` returns `true`. Panics with `what` after [`PATIENCE`].
+/// Waits until `holds` returns `true`. Panics with `what` after [`EVENT_TIMEOUT`].
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + EVENT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what} is expected");
         sleep(Duration::from_millis(5)).await;
@@ -175,35 +175,35 @@
 // instead of using the next address. While its last contact is within the limit, its responses are valid, including an
 // empty list.
 #[test]
-fn stale_read_counts_only_within_max_stale() {
-    for (behind, counts) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
+fn stale_read_is_used_only_within_max_stale() {
+    for (last_contact, is_used) in [(Duration::from_secs(3), false), (Duration::from_millis(900), true)] {
         run(async {
-            let cut_off = ConsulServer::start();
+            let isolated = ConsulServer::start();
             let other = ConsulServer::start();
-            for consul in [&cut_off, &other] {
+            for consul in [&isolated, &other] {
                 consul.register(web_instance("w1", 8001));
                 consul.register(web_instance("w2", 8002));
             }
             let settings = Settings {
-                addresses: vec![cut_off.address(), other.address()],
+                addresses: vec![isolated.address(), other.address()],
                 consistency: Consistency::Stale,
                 max_stale: Duration::from_secs(1),
-                ..settings(&cut_off)
+                ..settings(&isolated)
             };
             let mut follower = Follower::follow(settings, EndpointList::default());
             follower.wait_for_count(2).await;
-            cut_off.set_fault(ConsulFault::Stale(behind));
-            if counts {
+            isolated.set_fault(ConsulFault::Stale(last_contact));
+            if is_used {
                 follower.wait_for_count(0).await;
                 assert_eq!(other.request_count(), 0);
             } else {
                 wait_until("a request to the other server", || other.request_count() > 0).await;
-                let requests_before = cut_off.request_count();
+                let requests_before = isolated.request_count();
                 other.register(web_instance("w3", 8003));
                 follower.wait_for_count(3).await;
                 follower.assert_no_event(Duration::from_millis(500)).await;
                 assert_eq!(
-                    cut_off.request_count(),
+                    isolated.request_count(),
                     requests_before,
                     "the source stays with the other server"
                 );
@@ -230,14 +230,14 @@
         ConsulFault::Status { status: 500, text: "No cluster leader", retry_after_s: None },
     ] {
         run(async {
-            let cut_off = ConsulServer::start();
+            let isolated = ConsulServer::start();
             let other = ConsulServer::start();
-            let addresses = vec![cut_off.address(), other.address()];
+            let addresses = vec![isolated.address(), other.address()];
             let mut follower =
-                Follower::follow(Settings { addresses, ..settings(&cut_off) }, EndpointList::default());
-            cut_off.register(web_instance("w1", 8001));
+                Follower::follow(Settings { addresses, ..settings(&isolated) }, EndpointList::default());
+            isolated.register(web_instance("w1", 8001));
             follower.wait_for_count(1).await;
-            cut_off.set_fault(fault.clone());
+            isolated.set_fault(fault.clone());
             other.register(web_instance("w1", 8001));
             other.register(web_instance("w2", 8002));
             follower.wait_for_count(2).await;
@@ -399,7 +399,7 @@
 fn untrusted_certificate_is_rejected_with_one_line() {
     let folder = TemporaryFolder::new("consul-bad-tls");
     let authority = CertificateAuthority::new(folder.path(), "dc1");
-    let stranger = CertificateAuthority::new(folder.path(), "dc2");
+    let other_authority = CertificateAuthority::new(folder.path(), "dc2");
     let consul = ConsulServer::start();
     let ip = consul.address().ip();
     let good = authority.sign("server.dc1.consul", ip, time::Duration::days(1));
@@ -408,7 +408,7 @@
         (&good, &authority, Some("server.dc1.consul"), None),
         (&good, &authority, None, None),
         (&good, &authority, Some("other.dc1.consul"), Some("is not for other.dc1.consul")),
-        (&good, &stranger, None, Some("signed by none of the authorities in")),
+        (&good, &other_authority, None, Some("signed by none of the authorities in")),
         (&old, &authority, None, Some("has expired")),
     ];
     for (pair, ca, name, why) in cases {
@@ -454,14 +454,14 @@
         let mut follower = Follower::follow(settings, EndpointList::default());
         follower.wait_for_count(all.len()).await;
         assert!(consul.connections().peak <= 6, "{:?}", consul.connections());
-        let began = Instant::now();
+        let start = Instant::now();
         for number in &all[10..16] {
             consul.set_status("n1", &format!("i{number}"), "critical");
             follower
                 .wait_for_state(&format!("i{number}"), EndpointState::Active, HealthStatus::Critical)
                 .await;
         }
-        assert!(began.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
+        assert!(start.elapsed() < Duration::from_secs(5), "six turns would have taken 15 s on average");
         for number in &all {
             consul.deregister("n1", &format!("i{number}"));
         }
@@ -475,11 +475,11 @@
     run(async {
         let (consul, follower) = follow_instances(1).await;
         consul.set_fault(ConsulFault::Down);
-        let mut again = Follower::follow(settings(&consul), follower.list.clone());
-        again.assert_no_event(Duration::from_millis(300)).await;
+        let mut restarted = Follower::follow(settings(&consul), follower.list.clone());
+        restarted.assert_no_event(Duration::from_millis(300)).await;
         consul.deregister("n1", "w1");
         consul.set_fault(ConsulFault::None);
-        again.wait_for_count(0).await;
+        restarted.wait_for_count(0).await;
         let other =
             WatchEvent { version: 4, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
         let mut list = EndpointList::default();
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -61,8 +61,8 @@
     let text = r#"[{"Node": {"Node": "n-1", "Address": "10.0.0.1", "Meta": {"where": "z-2"}},
         "Service": {"ID": "web-1", "Port": 8001}, "Checks": []}]"#;
     let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
-    let held = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-    let change = CatalogueSnapshot::new(&full(), &held).apply(0, &entries);
+    let current = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
+    let delta = CatalogueSnapshot::new(&full(), &current).apply(0, &entries);
     let endpoint = EndpointEntry {
         uid: "web.11/n-1/web-1@10.0.0.1:8001".to_owned(),
         address: "10.0.0.1:8001".parse().expect("an address"),
@@ -75,7 +75,7 @@
     };
     let origin = IDS.lines().nth(1).expect("an id").to_owned();
     assert_eq!(
-        change.events,
+        delta.events,
         [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![endpoint], origin }]
     );
 }
--- a/crates/consul/tests/wire_api.rs
+++ b/crates/consul/tests/wire_api.rs
@@ -22,7 +22,7 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 const HEALTH: &str = include_str!("fixtures/wire/health.json");
 
 /// Runs `client` against a server that sends these responses in turn on one connection. The connection stays open until
@@ -52,7 +52,7 @@
             )
         };
         // A client that cannot read a response would retry forever.
-        let both = timeout(PATIENCE, async { tokio::join!(server, client(address)) }).await;
+        let both = timeout(EXCHANGE_TIMEOUT, async { tokio::join!(server, client(address)) }).await;
         let ((requests, _), result) = both.expect("in time");
         (requests, result)
     })
--- a/crates/fakes/src/consul/kv/tests.rs
+++ b/crates/fakes/src/consul/kv/tests.rs
@@ -57,16 +57,16 @@
     let (mut store, now) = (Store::default(), Instant::now());
     let a = session(&mut store, now);
     assert_eq!(store.put(now, "lock", Vec::new(), &Write::Acquire(a.clone())), Ok(true));
-    let at = store.index;
+    let index = store.index;
     let kv = |verb: &str, key: &str, index: u64| json!({"KV": {"Verb": verb, "Key": key, "Index": index, "Value": "eA=="}});
     let held = json!({"KV": {"Verb": "check-session", "Key": "lock", "Session": a}});
     let (status, body) =
-        store.transact(now, &json!([held, kv("set", "k", 0), kv("check-index", "lock", at + 1)]));
+        store.transact(now, &json!([held, kv("set", "k", 0), kv("check-index", "lock", index + 1)]));
     assert_eq!((status, body["Errors"][0]["OpIndex"].as_u64()), (409, Some(2)));
-    assert_eq!((store.index, store.read("k", false)), (at, None), "no operation is applied");
+    assert_eq!((store.index, store.read("k", false)), (index, None), "no operation is applied");
     let (status, _) = store.transact(
         now,
-        &json!([held, kv("check-index", "lock", at), kv("cas", "k", 0), kv("delete", "lock", 0)]),
+        &json!([held, kv("check-index", "lock", index), kv("cas", "k", 0), kv("delete", "lock", 0)]),
     );
     assert_eq!(status, 200);
     assert!(store.read("k", false).is_some() && store.read("lock", false).is_none());
--- a/crates/fakes/tests/consul.rs
+++ b/crates/fakes/tests/consul.rs
@@ -24,15 +24,15 @@
     let index = head
         .lines()
         .find_map(|line| line.strip_prefix("x-consul-index: "))
-        .map_or(0, |i| i.parse().unwrap_or(0));
+        .map_or(0, |index| index.parse().unwrap_or(0));
     Some((status, index, serde_json::from_str(body).unwrap_or(Value::Null)))
 }
 
 fn session(consul: &ConsulServer, ttl: &str) -> String {
     let body = format!("{{\"TTL\":\"{ttl}\",\"LockDelay\":\"200ms\",\"Behavior\":\"release\"}}");
-    let (status, _, made) = request(consul, "PUT", "/v1/session/create", &body).expect("answered");
-    assert_eq!(status, 200, "{made}");
-    made["ID"].as_str().expect("an id").to_owned()
+    let (status, _, created) = request(consul, "PUT", "/v1/session/create", &body).expect("answered");
+    assert_eq!(status, 200, "{created}");
+    created["ID"].as_str().expect("an id").to_owned()
 }
 
 fn acquire(consul: &ConsulServer, session: &str) -> Option<(u16, Value)> {
@@ -60,9 +60,9 @@
     assert!(took >= Duration::from_millis(1950) && took < Duration::from_secs(9), "{took:?}");
     assert_eq!(request(&consul, "PUT", &format!("/v1/session/renew/{short}"), "").map(|a| a.0), Some(404));
     assert_eq!(acquire(&consul, &short).map(|a| a.0), Some(500), "the session is unknown");
-    let end = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while acquire(&consul, &long) != Some((200, Value::Bool(true))) {
-        assert!(Instant::now() < end, "the lock-delay ends");
+        assert!(Instant::now() < deadline, "the lock delay ends");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/fakes/tests/fault_proxy.rs
+++ b/crates/fakes/tests/fault_proxy.rs
@@ -38,11 +38,11 @@
 fn echo_round_trip(stream: &mut TcpStream, word: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(word)?;
     let mut back = vec![0u8; word.len()];
-    let mut got = 0;
-    while got < word.len() {
-        match stream.read(&mut back[got..])? {
+    let mut received = 0;
+    while received < word.len() {
+        match stream.read(&mut back[received..])? {
             0 => return Err(ErrorKind::UnexpectedEof.into()),
-            count => got += count,
+            count => received += count,
         }
     }
     Ok(back)
@@ -61,13 +61,13 @@
     let mut stream = connect(&proxy, Duration::from_secs(5));
     assert_eq!(echo_round_trip(&mut stream, b"one").expect("an answer"), b"one");
     proxy.set_fault(NetworkFault::Delay(Duration::from_millis(150)));
-    let began = Instant::now();
+    let start = Instant::now();
     assert_eq!(echo_round_trip(&mut stream, b"two").expect("an answer"), b"two");
     // The bytes are delayed by 150 ms in each direction, on a connection that was open before the fault.
-    assert!(began.elapsed() >= Duration::from_millis(300), "{:?}", began.elapsed());
+    assert!(start.elapsed() >= Duration::from_millis(300), "{:?}", start.elapsed());
     // The last bytes may be read before they are counted.
-    let until = Instant::now() + Duration::from_secs(5);
-    while proxy.counters().bytes_forwarded < 12 && Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(5);
+    while proxy.counters().bytes_forwarded < 12 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(1));
     }
     let counts = proxy.counters();
