--- a/crates/fakes/src/fleet/member.rs
+++ b/crates/fakes/src/fleet/member.rs
@@ -58,7 +58,7 @@
 ) -> (ForwarderProcess, SocketAddr) {
     let settings = folder.path().join("settings.star").display().to_string();
     let options = if has_settings { vec!["--settings", &settings] } else { Vec::new() };
-    ForwarderProcess::start_supervised(program, folder, console, &options)
+    ForwarderProcess::start_with_console(program, folder, console, &options)
 }
 
 impl Member {
--- a/crates/fakes/src/forwarder/process.rs
+++ b/crates/fakes/src/forwarder/process.rs
@@ -60,7 +60,7 @@
     /// Starts a forwarder as [`ForwarderProcess::start`] does, with its console at `console` (`127.0.0.1:0` for a free
     /// port). Writes its process id to `pid` in the folder, as a supervisor does. Returns the address of its console
     /// too.
-    pub fn start_supervised(
+    pub fn start_with_console(
         program: &Path,
         folder: &TemporaryFolder,
         console: &str,
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -107,7 +107,8 @@
         let member = &mut self.members[number];
         let settings = member.folder.path().join("settings.star").display().to_string();
         let options = ["--settings", &settings, "--listen", &member.address.to_string()];
-        let started = ForwarderProcess::start_supervised(program(), &member.folder, "127.0.0.1:0", &options);
+        let started =
+            ForwarderProcess::start_with_console(program(), &member.folder, "127.0.0.1:0", &options);
         member.process = Some(started);
     }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -74,7 +74,7 @@
     let settings = folder.write("settings.star", &single_member_settings()).display().to_string();
     let options = ["--settings", &settings[..]];
     let (forwarder, console) =
-        ForwarderProcess::start_supervised(program(), &folder, "127.0.0.1:0", &options);
+        ForwarderProcess::start_with_console(program(), &folder, "127.0.0.1:0", &options);
     let mut transcript = String::new();
     for line in [
         "ready",
