--- a/crates/fakes/src/forwarder/process.rs
+++ b/crates/fakes/src/forwarder/process.rs
@@ -41,7 +41,7 @@
     /// Starts a forwarder as [`ForwarderProcess::start`] does, so that several can run with the same folder. The caller
     /// holds the socket for clients, which the forwarder inherits as descriptor 4. Returns the address of its console
     /// too.
-    pub fn start_beside(
+    pub fn start_with_listener(
         program: &Path,
         folder: &TemporaryFolder,
         listener: &TcpListener,
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -234,14 +234,15 @@
 fn upgrade_hands_over_key_and_zone() {
     let deployment = Deployment::new("second-upgrade", Duration::from_secs(15));
     let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
-    let (predecessor, _) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
+    let (predecessor, _) = ForwarderProcess::start_with_listener(program(), &deployment.folder, &listener);
     deployment.set_mode(Mode::Hang);
     assert_eq!(submit(&predecessor, "bread", "out", &["k-out"]), 202);
     let zone = deployment.called_zone("out");
     deployment.set_mode(Mode::Unavailable);
     assert_eq!(submit(&predecessor, "bread", "waiting", &["k-waiting"]), 202);
     deployment.called_zone("waiting");
-    let (successor, console) = ForwarderProcess::start_beside(program(), &deployment.folder, &listener);
+    let (successor, console) =
+        ForwarderProcess::start_with_listener(program(), &deployment.folder, &listener);
     wait_until("the successor is ready", || {
         ask_console(console, "ready").is_some_and(|reply| reply.starts_with("200"))
     });
