--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -75,7 +75,7 @@
     /// Location of the error; `None` if the error concerns the whole file.
     #[serde(rename = "place")]
     pub location: Option<Location>,
-    /// What is wrong, and what to write instead.
+    /// The error, and what to write instead.
     #[serde(rename = "why")]
     pub reason: String,
 }
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -44,7 +44,7 @@
     Connect {
         /// The address tried.
         address: SocketAddr,
-        /// What went wrong.
+        /// The I/O error.
         source: io::Error,
     },
     /// The connection, including its TLS handshake, was not open within the time-out.
@@ -58,9 +58,9 @@
     Handshake {
         /// The address tried.
         address: SocketAddr,
-        /// What is wrong, and what to do about it.
+        /// The reason of the failure, and what to do about it.
         explanation: String,
-        /// What the TLS library reports.
+        /// The error of the TLS library.
         source: io::Error,
     },
     /// TLS cannot be set up from the files in the settings.
@@ -71,7 +71,7 @@
     ReadToken {
         /// The token file.
         path: PathBuf,
-        /// What went wrong.
+        /// The I/O error.
         source: io::Error,
     },
     /// The token cannot be sent in a header.
@@ -88,7 +88,7 @@
     Transport {
         /// The address of the connection.
         address: SocketAddr,
-        /// What the HTTP library reports.
+        /// The error of the HTTP library.
         source: hyper::Error,
     },
     /// The head of the response did not arrive within the time-out.
--- a/crates/consul/src/request.rs
+++ b/crates/consul/src/request.rs
@@ -28,7 +28,7 @@
     pub filter: Option<String>,
     /// The index of a blocking query; 0 asks for an immediate response.
     pub index: u64,
-    /// How long Consul may hold a blocking query.
+    /// The longest time that Consul may hold a blocking query.
     pub wait: Duration,
     /// Further query parameters.
     pub parameters: Vec<Parameter>,
--- a/crates/consul/src/settings.rs
+++ b/crates/consul/src/settings.rs
@@ -75,7 +75,7 @@
     /// The greatest age of data that is used with [`Consistency::Stale`]. The age is the time since the server's last
     /// contact with the leader.
     pub max_stale: Duration,
-    /// How long Consul may hold a blocking query.
+    /// The longest time that Consul may hold a blocking query.
     pub wait: Duration,
     /// The most connections that may be open at once for the endpoint list.
     pub connections: usize,
--- a/crates/consul/src/source/failure_report.rs
+++ b/crates/consul/src/source/failure_report.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the services are checked for failures.
+/// Time between two checks for failing services.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two log lines while services fail.
 const REPORT_INTERVAL_US: Micros = 30_000_000;
--- a/crates/consul/src/tls.rs
+++ b/crates/consul/src/tls.rs
@@ -22,7 +22,7 @@
     ReadPem {
         /// The file.
         path: PathBuf,
-        /// What went wrong.
+        /// The error of reading or parsing the file.
         source: pem::Error,
     },
     /// A PEM file holds no certificate.
@@ -36,7 +36,7 @@
     InvalidAuthority {
         /// The file.
         path: PathBuf,
-        /// What the TLS library reports.
+        /// The error of the TLS library.
         source: rustls::Error,
     },
     /// The key does not belong to the client's certificate.
@@ -46,7 +46,7 @@
         cert: PathBuf,
         /// The file with the key.
         key: PathBuf,
-        /// What the TLS library reports.
+        /// The error of the TLS library.
         source: rustls::Error,
     },
     /// Only one of certificate and key is given.
