--- a/crates/consul/src/blocking_query/tests.rs
+++ b/crates/consul/src/blocking_query/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn lower_index_counts_and_restarts_the_query() {
+fn response_with_lower_index_is_valid_and_restarts_the_query() {
     let mut query = BlockingQuery::default();
     query.on_response(0, &ok("100"), 0.5);
     query.start_blocking(SECOND_US);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn unusable_index_counts_with_backoff() {
+fn response_with_unusable_index_is_valid_and_followed_by_backoff() {
     for index in [Some("0"), Some("many"), Some("-1"), Some("99999999999999999999999"), None] {
         let mut query = BlockingQuery::default();
         let mut now = 0;
@@ -44,7 +44,7 @@
             requests += 1;
             let head = ResponseHead { index: index.map(str::to_owned), ..ok("") };
             let (outcome, next) = query.on_response(now + MILLISECOND_US, &head, 0.5);
-            assert_eq!(outcome, QueryOutcome::Changed, "{index:?}: an authoritative response counts");
+            assert_eq!(outcome, QueryOutcome::Changed, "{index:?}: the response is valid");
             now = next;
         }
         assert!(requests <= 20, "{index:?}: {requests} requests in 20 s");
@@ -94,12 +94,12 @@
         ),
         (ResponseHead { status: 500, ..ResponseHead::default() }, ResponseError::Status(500)),
     ];
-    for (head, refusal) in cases {
+    for (head, expected_error) in cases {
         let mut query = BlockingQuery::default();
         query.on_response(0, &ok("4"), 0.5);
         let has_retry_after = head.retry_after.is_some();
         let (outcome, next) = query.on_response(SECOND_US, &head, 0.5);
-        assert_eq!(outcome, QueryOutcome::Rejected(refusal));
+        assert_eq!(outcome, QueryOutcome::Rejected(expected_error));
         assert_eq!(next, SECOND_US + if has_retry_after { 3 * SECOND_US } else { BACKOFF_MIN_US });
         assert_eq!(
             (query.last_success(), query.consecutive_failures(), query.start_blocking(next)),
@@ -111,8 +111,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..Default::default() })]
 
-    // Guards against a busy loop on any sequence of responses: never more than one request in MIN_QUERY_INTERVAL_US in the
-    // long run, but for those whose index moves on, and never a pause without an end.
+    // Guards against a busy loop and against an endless pause, for any sequence of responses. In the long run there is
+    // at most one request in MIN_QUERY_INTERVAL_US, except for requests whose index has moved on.
     #[test]
     fn no_sequence_of_responses_causes_a_busy_loop_or_a_stall(
         responses in prop::collection::vec((0u16..6, "[0-9]{0,3}|x|-1", 0i64..40_000, any::<bool>()), 1..120)
@@ -121,14 +121,14 @@
         let mut now = 0;
         let count = responses.len() as Micros;
         let mut waited = 0;
-        for (status, index, took, leaderless) in responses {
+        for (status, index, duration, leaderless) in responses {
             let before = query.start_blocking(now);
             let status = [200, 200, 200, 403, 429, 500][usize::from(status)];
             let head = ResponseHead { status, leaderless, ..ok(&index) };
-            let (outcome, next) = query.on_response(now + took, &head, 0.5);
-            prop_assert!(next >= now + took && next <= now + took + RETRY_AFTER_MAX_US);
+            let (outcome, next) = query.on_response(now + duration, &head, 0.5);
+            prop_assert!(next >= now + duration && next <= now + duration + RETRY_AFTER_MAX_US);
             prop_assert!(outcome != QueryOutcome::Unchanged || before == query.index);
-            waited += took;
+            waited += duration;
             now = next;
         }
         prop_assert!(now - waited + MIN_QUERY_INTERVAL_US >= 0 && now + MIN_QUERY_INTERVAL_US >= MIN_QUERY_INTERVAL_US * count / 2);
--- a/crates/consul/tests/stored_format.rs
+++ b/crates/consul/tests/stored_format.rs
@@ -1,5 +1,6 @@
-//! Protects what Consul's catalogue leaves in a forwarder's journal: the id of a list's source, and the uids of
-//! its endpoints. A start with other ones would take the stored list for that of another source, and its endpoints for new ones.
+//! Protects what is stored in a forwarder's journal from Consul's catalogue: the id of the list's source and the uids
+//! of its endpoints. If they changed, a forwarder that starts would treat the stored list as that of another source,
+//! and the endpoints of Consul as new ones.
 
 use orchidyoke_consul::Settings;
 use orchidyoke_consul::api::ServiceEntry;
@@ -8,7 +9,7 @@
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent};
 use std::time::Duration;
 
-/// The ids of the settings below, one a line.
+/// The ids of the settings below, one on each line.
 const IDS: &str = include_str!("fixtures/ids");
 
 fn service() -> Service {
@@ -60,8 +61,8 @@
     let text = r#"[{"Node": {"Node": "n-1", "Address": "10.0.0.1", "Meta": {"where": "z-2"}},
         "Service": {"ID": "web-1", "Port": 8001}, "Checks": []}]"#;
     let entries: Vec<ServiceEntry> = serde_json::from_str(text).expect("an answer");
-    let held = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
-    let change = CatalogueSnapshot::new(&full(), &held).apply(0, &entries);
+    let current = WatchEvent { version: 3, is_snapshot: true, endpoints: Vec::new(), origin: String::new() };
+    let delta = CatalogueSnapshot::new(&full(), &current).apply(0, &entries);
     let endpoint = EndpointEntry {
         uid: "web.11/n-1/web-1@10.0.0.1:8001".to_owned(),
         address: "10.0.0.1:8001".parse().expect("an address"),
@@ -74,7 +75,7 @@
     };
     let origin = IDS.lines().nth(1).expect("an id").to_owned();
     assert_eq!(
-        change.events,
+        delta.events,
         [WatchEvent { version: 4, is_snapshot: false, endpoints: vec![endpoint], origin }]
     );
 }
--- a/crates/fakes/src/consul/registration.rs
+++ b/crates/fakes/src/consul/registration.rs
@@ -1,4 +1,4 @@
-//! Changes to the catalogue: instances, their checks and their tags. Each call gives the index of its change.
+//! Changes the catalogue: instances, their checks and their tags. Each method returns the index after its change.
 
 use super::ConsulServer;
 use super::instance::Instance;
@@ -14,14 +14,14 @@
 }
 
 impl ConsulServer {
-    /// Registers an instance; replaces one with the same node and id.
+    /// Registers an instance. Replaces an instance with the same node and id.
     pub fn register(&self, instance: Instance) -> u64 {
         self.change(|state| {
             state.index += 1;
             let key = InstanceKey::new(&instance.node, &instance.id);
             let replaced = state.instances.insert(key, instance.clone());
             let services = replaced.map(|replaced| replaced.service).into_iter().chain([instance.service]);
-            services.for_each(|service| state.touch(&service, true));
+            services.for_each(|service| state.record_change(&service, true));
             state.index
         })
     }
@@ -31,20 +31,20 @@
         self.change(|state| {
             if let Some(removed) = state.instances.remove(&InstanceKey::new(node, id)) {
                 state.index += 1;
-                state.touch(&removed.service, true);
+                state.record_change(&removed.service, true);
             }
             state.index
         })
     }
 
-    /// Sets the status of a check of an instance; `None` removes the check.
+    /// Sets the status of a check of an instance. `None` removes the check.
     pub fn set_check(&self, node: &str, id: &str, check: &str, status: Option<&str>) -> u64 {
         self.change(|state| {
             state.index += 1;
             if let Some(instance) = state.instances.get_mut(&InstanceKey::new(node, id)) {
                 set_or_remove(&mut instance.checks, check, status);
                 let service = instance.service.clone();
-                state.touch(&service, false);
+                state.record_change(&service, false);
             }
             state.index
         })
@@ -55,19 +55,19 @@
         self.set_check(node, id, &format!("service:{id}"), Some(status))
     }
 
-    /// Sets the status of a check of a node, which applies to all its instances; `None` removes the check.
+    /// Sets the status of a check of a node, which applies to all instances on the node. `None` removes the check.
     pub fn set_node_check(&self, node: &str, check: &str, status: Option<&str>) -> u64 {
         self.change(|state| {
             state.index += 1;
             set_or_remove(state.node_checks.entry(node.to_owned()).or_default(), check, status);
             let on_node = state.instances.values().filter(|instance| instance.node == node);
             let services: BTreeSet<_> = on_node.map(|instance| instance.service.clone()).collect();
-            services.iter().for_each(|service| state.touch(service, false));
+            services.iter().for_each(|service| state.record_change(service, false));
             state.index
         })
     }
 
-    /// Puts an instance into maintenance, or takes it out.
+    /// Turns maintenance mode of an instance on or off.
     pub fn set_maintenance(&self, node: &str, id: &str, on: bool) -> u64 {
         self.set_check(node, id, &format!("_service_maintenance:{id}"), on.then_some("critical"))
     }
--- a/crates/fakes/tests/consul.rs
+++ b/crates/fakes/tests/consul.rs
@@ -1,4 +1,4 @@
-//! Sessions and keys of the Consul server over HTTP, and the faults that writes can have.
+//! Tests of the sessions and keys of the fake Consul over HTTP, and of the faults of writes.
 
 use orchidyoke_fakes::ConsulServer;
 use orchidyoke_fakes::consul::ConsulFault;
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Status, `X-Consul-Index` and body; nothing where the connection was closed without an answer.
+/// Sends a request and returns status, `X-Consul-Index` and body; `None` if the connection is closed without an answer.
 fn request(consul: &ConsulServer, method: &str, path: &str, body: &str) -> Option<(u16, u64, Value)> {
     let mut stream = TcpStream::connect(consul.address()).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a socket");
@@ -24,15 +24,15 @@
     let index = head
         .lines()
         .find_map(|line| line.strip_prefix("x-consul-index: "))
-        .map_or(0, |i| i.parse().unwrap_or(0));
+        .map_or(0, |index| index.parse().unwrap_or(0));
     Some((status, index, serde_json::from_str(body).unwrap_or(Value::Null)))
 }
 
 fn session(consul: &ConsulServer, ttl: &str) -> String {
     let body = format!("{{\"TTL\":\"{ttl}\",\"LockDelay\":\"200ms\",\"Behavior\":\"release\"}}");
-    let (status, _, made) = request(consul, "PUT", "/v1/session/create", &body).expect("answered");
-    assert_eq!(status, 200, "{made}");
-    made["ID"].as_str().expect("an id").to_owned()
+    let (status, _, created) = request(consul, "PUT", "/v1/session/create", &body).expect("answered");
+    assert_eq!(status, 200, "{created}");
+    created["ID"].as_str().expect("an id").to_owned()
 }
 
 fn acquire(consul: &ConsulServer, session: &str) -> Option<(u16, Value)> {
@@ -40,7 +40,8 @@
         .map(|(status, _, done)| (status, done))
 }
 
-// Guards against a blocking query that sleeps through the end of a session: whoever waits for a lock is woken then.
+// Guards against a blocking query that misses the end of a session. It must end then, because its client may wait for a
+// lock.
 #[test]
 fn expired_session_ends_a_blocking_query_and_frees_its_lock() {
     let consul = ConsulServer::start();
@@ -58,10 +59,10 @@
     assert!(later > index && rows[0]["Session"].is_null(), "{rows}");
     assert!(took >= Duration::from_millis(1950) && took < Duration::from_secs(9), "{took:?}");
     assert_eq!(request(&consul, "PUT", &format!("/v1/session/renew/{short}"), "").map(|a| a.0), Some(404));
-    assert_eq!(acquire(&consul, &short).map(|a| a.0), Some(500), "an unknown session");
-    let end = Instant::now() + Duration::from_secs(10);
+    assert_eq!(acquire(&consul, &short).map(|a| a.0), Some(500), "the session is unknown");
+    let deadline = Instant::now() + Duration::from_secs(10);
     while acquire(&consul, &long) != Some((200, Value::Bool(true))) {
-        assert!(Instant::now() < end, "the lock-delay ends");
+        assert!(Instant::now() < deadline, "the lock delay ends");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
