--- a/crates/experiments/src/capacity/budget.rs
+++ b/crates/experiments/src/capacity/budget.rs
@@ -1,63 +1,63 @@
-//! The part of the machine that an experiment may use, held against what it and its children use.
+//! Limits on memory, processes and descriptors for an experiment, and the check of its current use against them.
 
 use super::process::{self, ProcessId};
 use std::fmt;
 use std::io;
 
-/// An experiment may use the machine's memory divided by this.
+/// Divisor of the machine's memory that gives the limit of an experiment.
 const PART_OF_MEMORY: u64 = 2;
-/// An experiment may have so many processes, itself included.
+/// Maximum number of processes of an experiment, itself included.
 const PROCESSES: usize = 300;
-/// Each process may use its limit on descriptors but for this many, which the runtime and log files need.
+/// Descriptors below each process's limit that stay free, because the runtime and log files need them.
 const SPARE_DESCRIPTORS: usize = 64;
 
-/// The most that an experiment may use.
+/// The resources that an experiment may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Resident bytes of all its processes together.
+    /// Maximum resident memory of all its processes together, in bytes.
     pub resident: u64,
-    /// Processes.
+    /// Maximum number of processes, the experiment itself included.
     pub processes: usize,
 }
 
-/// What an experiment uses.
+/// The resources that an experiment uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Used {
-    /// Resident bytes of all its processes together; pages that they share count for each.
+    /// Resident bytes of all its processes together. A page that several processes share counts once for each.
     pub resident: u64,
-    /// Processes, itself included.
+    /// Number of processes, the experiment itself included.
     pub processes: usize,
-    /// Descriptors that they have open together.
+    /// Open descriptors of all its processes together.
     pub descriptors: usize,
 }
 
-/// Why an experiment has to stop.
+/// The reason why an experiment has to stop.
 #[derive(Debug)]
 pub enum BudgetError {
-    /// More memory than it may use.
+    /// The experiment uses more memory than its budget allows.
     Memory {
         /// Bytes used, or needed by the next step.
         bytes: u64,
         /// Bytes allowed.
         most: u64,
     },
-    /// More processes than it may have.
+    /// The experiment has more processes than its budget allows.
     Processes {
-        /// Processes that there are, or that the next step needs.
+        /// Number of processes that run, plus those that the next step needs.
         count: usize,
         /// Processes allowed.
         most: usize,
     },
-    /// One process has more descriptors open than its limit lets it have in safety.
+    /// One process has more descriptors open than its limit allows after the reserve is subtracted.
     Descriptors {
-        /// The process.
+        /// Id of the process.
         process: ProcessId,
-        /// Descriptors open, or needed by the next step.
+        /// Descriptors that are open, plus those that the next step needs.
         count: usize,
         /// Descriptors allowed.
         most: usize,
     },
-    /// The system does not say what is used.
+    /// The current use cannot be read from the system.
     Unknown(io::Error),
 }
 
@@ -74,7 +74,7 @@
             BudgetError::Descriptors { process, count, most } => {
                 write!(f, "over the budget: {count} descriptors in process {process}, {most} are allowed")
             }
-            BudgetError::Unknown(error) => write!(f, "what the experiment uses cannot be read: {error}"),
+            BudgetError::Unknown(error) => write!(f, "cannot read the experiment's resource usage: {error}"),
         }
     }
 }
@@ -94,22 +94,24 @@
 }
 
 impl Budget {
-    /// Half of this machine's memory, and [`PROCESSES`].
+    /// Returns half of this machine's memory and [`PROCESSES`].
     pub fn of_this_machine() -> Result<Self, BudgetError> {
         Ok(Budget { resident: process::machine_memory()? / PART_OF_MEMORY, processes: PROCESSES })
     }
 
-    /// Measures what this process and its children use; an error where it is over the budget.
+    /// Measures what this process and its children use. Returns an error if that exceeds the budget.
     pub fn check(&self) -> Result<Used, BudgetError> {
         self.check_with(&Used::default())
     }
 
-    /// The same with what a next step will need on top, its descriptors in this process.
+    /// Does the same as [`Budget::check`] with the needs of the next step added. The descriptors of the next step are
+    /// counted for this process.
     pub fn check_with(&self, needed: &Used) -> Result<Used, BudgetError> {
         let own = std::process::id();
         let mut used = Used::default();
         for process in process::family(own)? {
-            // A child may end between being listed and being measured; this process does not.
+            // A child may exit between the listing and the measurement, so an error of a child is skipped. This process
+            // still runs.
             let measured = process::usage(process).and_then(|usage| {
                 Ok((usage.resident, process::descriptors(process)?, process::descriptor_limit(process)?))
             });
--- a/crates/experiments/src/capacity/client.rs
+++ b/crates/experiments/src/capacity/client.rs
@@ -1,37 +1,37 @@
-//! Clients that hand in messages one after another on connections that stay open.
+//! Clients that send messages one after another on persistent connections.
 
 use super::error::CapacityError;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Bytes in the body of each message.
+/// Body size of each message, in bytes.
 pub const BODY: usize = 200;
-/// The class of all messages: it may be delivered twice, so nothing but its time ends it.
+/// The class of all messages. Messages of this class may be delivered twice, so only the deadline ends one.
 pub const CLASS: &str = "status";
-/// The tenant of all messages.
+/// The tenant that all messages belong to.
 pub const TENANT: &str = "acme";
-/// Time that each message has, in seconds: the longest that a forwarder takes.
+/// Time until the deadline of each message, in seconds. It is the maximum that a forwarder accepts.
 pub const LIFE_SECONDS: u32 = 86_400;
 
 const ACCEPTED: u16 = 202;
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// A message that is to be handed in.
+/// A message to send.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its id.
+    /// Id of the message, sent in `X-Txn`.
     pub id: String,
-    /// Its destination.
+    /// Number of the destination, sent in `X-Consignee`.
     pub destination: u64,
 }
 
-/// One connection to a forwarder.
+/// A client with one connection to a forwarder.
 #[derive(Debug)]
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects.
+    /// Connects to a forwarder.
     pub fn connect(forwarder: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(forwarder)?;
         stream.set_nodelay(true)?;
@@ -39,12 +39,12 @@
         Ok(Client(BufReader::new(stream)))
     }
 
-    /// Connects so many times.
+    /// Opens `count` connections to a forwarder.
     pub fn connect_many(forwarder: SocketAddr, count: usize) -> io::Result<Vec<Self>> {
         (0..count).map(|_| Client::connect(forwarder)).collect()
     }
 
-    /// Hands in one message; gives the status of the answer.
+    /// Sends one message and returns the status code of the response.
     pub fn hand_in(&mut self, message: &Message) -> io::Result<u16> {
         self.send(message)?;
         self.receive()
@@ -63,7 +63,7 @@
     fn receive(&mut self) -> io::Result<u16> {
         let status = self.line()?;
         let status = status.split(' ').nth(1).and_then(|number| number.parse().ok());
-        let status = status.ok_or_else(|| malformed("no status"))?;
+        let status = status.ok_or_else(|| malformed("response without a status code"))?;
         let mut length = 0;
         loop {
             let line = self.line()?.to_ascii_lowercase();
@@ -71,7 +71,7 @@
                 break;
             }
             if let Some(number) = line.strip_prefix("content-length:") {
-                length = number.trim().parse().map_err(|_| malformed("no length"))?;
+                length = number.trim().parse().map_err(|_| malformed("malformed Content-Length"))?;
             }
         }
         self.0.read_exact(&mut vec![0; length])?;
@@ -91,8 +91,8 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-/// Hands in messages on all connections at once, one on each, until there are no more or the time is up; gives how many
-/// were taken on. One that is turned away is an error.
+/// Sends messages on all connections in parallel, one on each, until no message is left or `limit` has passed. Returns
+/// the number of accepted messages, or an error if a message is refused.
 pub fn hand_in_all(
     clients: &mut [Client],
     messages: &mut dyn Iterator<Item = Message>,
--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -1,12 +1,15 @@
-//! `capacity-control`: what control costs, measured on fleets of 50, 150 and 450 hollow forwarders.
+//! `capacity-control`: measures the cost of the control plane on fleets of 50, 150 and 450 hollow forwarders.
 //!
-//! Each has the policy agent, the membership and the duties' keeper of the real one, with their sockets and codecs; it
-//! takes no traffic. Some dozens share a process. There are three regions with two zones each, and one control stand-in
-//! a zone, in six processes. The stand-in does not replicate, so what is modelled is this: each region has one store of
-//! its duties, in its first zone, and the fleet has one commit point, in the first zone of the first region. A forwarder
-//! connects to the stand-in of its own zone, and a fault proxy there carries it on to the store, as a follower hands on
-//! to its leader what only the leader may answer. The election of another leader is not modelled, so the zone that is
-//! lost is one without a store.
+//! A hollow forwarder runs the policy participant, the membership and the lease manager of a real forwarder, with their
+//! sockets and codecs, and takes no traffic. Up to 25 of them share a process. There are three regions with two zones
+//! each, and each zone has one control stand-in, a process that plays the part of its Consul servers. Leases are called
+//! duties in tables and in stored keys.
+//!
+//! The stand-in does not replicate. Instead, each region has one store for its leases, in the region's first zone, and
+//! the fleet has one commit point, in the first zone of the first region. A forwarder connects to the stand-in of its
+//! own zone, and a fault proxy there forwards the connection to the store, as a Consul follower forwards to its leader
+//! the requests that only the leader may answer. The election of another leader is not modelled, so the experiment
+//! only kills a zone that has no store.
 
 pub mod child;
 mod fleet;
@@ -33,7 +36,7 @@
 
 pub use process::CHILD_COMMAND;
 
-/// A size of the fleet, with its column.
+/// Returns a fleet size with the name of its column.
 const fn size(members: usize, column: &'static str) -> FleetSize {
     FleetSize { members, column }
 }
@@ -42,12 +45,12 @@
     [size(50, "50 forwarders"), size(150, "150 forwarders"), size(450, "450 forwarders")];
 const QUICK_SIZES: [FleetSize; 2] = [size(10, "10 forwarders"), size(30, "30 forwarders")];
 
-/// 2,500 changes within eight hours of work, and three times as many at their peak: one in 3.84 s.
+/// Time between changes at the peak rate: 2,500 changes within eight hours, times three, is one change in 3.84 s.
 const PEAK_CHANGE_EVERY: Duration = Duration::from_millis(3_840);
 
 const FULL_SPANS: Spans = Spans {
     ttl: Duration::from_secs(10),
-    // Consul holds a look for 30 s, and a thirty-second part more.
+    // Consul holds a blocking query for 30 s plus 1/32 of that.
     rest: Duration::from_secs(31),
     changes: 3,
     change_every: PEAK_CHANGE_EVERY,
@@ -60,7 +63,8 @@
 };
 
 const QUICK_SPANS: Spans = Spans {
-    // Several looks and renewals of each fall into the span at rest, so that one more or less is no great part.
+    // With this TTL the span at rest has several queries and renewals of each forwarder, so that one more or less
+    // changes the result little.
     ttl: Duration::from_secs(3),
     rest: Duration::from_secs(5),
     changes: 3,
@@ -73,16 +77,16 @@
     after_join: Duration::ZERO,
 };
 
-/// What each size goes through. Sabotage shows at rest and in a change what it would show at all.
+/// Returns the phases of each fleet size. Under sabotage only rest and changes run, because its effect shows there.
 fn course(run: &RunOptions) -> Course {
     let spans = if run.quick { QUICK_SPANS } else { FULL_SPANS };
     Course { spans, losses: !run.quick && !run.sabotage, restarts: !run.sabotage }
 }
 
-/// Runs it.
+/// Runs the experiment and returns its report.
 pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let sizes: &[FleetSize] = if run.quick { &QUICK_SIZES } else { &FULL_SIZES };
-    // The largest fleet would only take longer to show it.
+    // Two sizes are enough to show the effect of the sabotage.
     let sizes = if run.sabotage { &sizes[..2] } else { sizes };
     let mut results: Vec<FleetResult> = Vec::new();
     for size in sizes {
--- a/crates/experiments/src/capacity/control/child.rs
+++ b/crates/experiments/src/capacity/control/child.rs
@@ -1,4 +1,5 @@
-//! A child process of the experiment: reads its role and its requests, and reports.
+//! A child process of the experiment. It reads its role and its requests from standard input and writes reports to
+//! standard output.
 
 use super::messages::{Request, Role};
 use super::{hollow, stand_in};
@@ -8,11 +9,11 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// Runs the role that standard input begins with, until standard input ends.
+/// Reads the role from the first line of standard input and runs it until standard input ends.
 ///
 /// # Errors
 ///
-/// The role is missing or not of the form, or the process cannot do its work.
+/// Returns an error if the role is missing or malformed, or if the runtime cannot be built.
 pub fn run() -> Result<(), String> {
     let mut first = String::new();
     stdin().lock().read_line(&mut first).map_err(|error| format!("standard input: {error}"))?;
@@ -28,15 +29,16 @@
     Ok(())
 }
 
-/// The requests, in order; they end with standard input.
+/// Starts a thread that reads requests. Returns the channel of requests, in order, which closes when standard input
+/// ends.
 fn requests() -> UnboundedReceiver<Request> {
     let (sender, requests) = unbounded_channel();
     thread::spawn(move || {
         for line in stdin().lock().lines().map_while(Result::ok) {
             match serde_json::from_str(&line) {
-                // The receiver is gone only when the process ends.
+                // The receiver is dropped only when the process exits.
                 Ok(request) => drop(sender.send(request)),
-                Err(error) => eprintln!("not a request: {error}: {line}"),
+                Err(error) => eprintln!("malformed request: {error}: {line}"),
             }
         }
     });
--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet under measurement: six control stand-ins, the processes with hollow forwarders, and what they report.
+//! The fleet under measurement: six control stand-ins, the processes with hollow forwarders, and their reports.
 
 use super::hollow::DUTIES_PREFIX;
 use super::messages::{ControlRole, Counts, InForce, Listens, MembersRole, Report, Request, Role, Store};
@@ -14,60 +14,60 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, timeout_at};
 
-/// Regions.
+/// Number of regions.
 pub const REGIONS: usize = 3;
-/// Zones of a region.
+/// Number of zones in each region.
 pub const ZONES_PER_REGION: usize = 2;
-/// Zones, each with one control stand-in.
+/// Number of zones in the fleet. Each zone has one control stand-in.
 pub const ZONES: usize = REGIONS * ZONES_PER_REGION;
-/// The zone with the commit point of the policy.
+/// The zone that has the commit point of the policy.
 pub const COMMIT_POINT_ZONE: usize = 0;
-/// Hollow forwarders in one process, at most.
+/// Maximum number of hollow forwarders in one process.
 const MEMBERS_PER_PROCESS: usize = 25;
-/// Memory that a process may come to, for the plan: a good deal above what is measured.
+/// Expected memory of one process, in bytes, for the budget check at the start. It is well above the measured values.
 const PROCESS_RESIDENT: u64 = 96 << 20;
-/// How long a child may take to come up or to answer.
+/// Maximum time for a child process to start or to answer.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// How a fleet is set up.
+/// The setup of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlan {
-    /// Hollow forwarders.
+    /// Number of hollow forwarders.
     pub members: usize,
-    /// The TTL of all sessions.
+    /// TTL of all sessions.
     pub ttl: Duration,
-    /// Each also reads all members at each change: sabotage.
+    /// Whether each forwarder also reads all members at each change. Set only under sabotage.
     pub reads_all_members: bool,
 }
 
-/// A process with hollow forwarders; none where it was killed.
+/// A process with hollow forwarders.
 pub struct Host {
-    /// Its zone.
+    /// Zone of the process.
     pub zone: usize,
-    /// Its forwarders that run.
+    /// Names of its forwarders that run.
     pub members: BTreeSet<String>,
-    /// The process.
+    /// The process, or `None` after it was killed.
     pub process: Option<Process>,
 }
 
-/// The control stand-in of a zone; none where it was killed.
+/// The control stand-in of a zone.
 pub struct ControlProcess {
-    /// Where it is reached.
+    /// Its addresses.
     pub listens: Listens,
-    /// The process.
+    /// The process, or `None` after it was killed.
     pub process: Option<Process>,
 }
 
-/// All of it. The processes end when it is dropped.
+/// The processes of the fleet and the state that they have reported. Dropping it kills the processes.
 pub struct Fleet {
     plan: FleetPlan,
-    /// The control stand-ins, zone by zone; those of a region follow each other.
+    /// The control stand-ins, indexed by zone. Those of one region are adjacent.
     pub controls: Vec<ControlProcess>,
     /// The processes with hollow forwarders.
     pub hosts: Vec<Host>,
-    /// Which policies came in force on whom, as reported so far.
+    /// Policies that came into force on members, as reported so far.
     pub in_force: Vec<InForce>,
-    /// Members that have restarted so far.
+    /// Number of restarts that members have reported so far.
     pub restarted: usize,
     up: BTreeSet<ChildNumber>,
     listening: BTreeMap<ChildNumber, Listens>,
@@ -83,17 +83,18 @@
     folder: TemporaryFolder,
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub fn region_of(zone: usize) -> usize {
     zone / ZONES_PER_REGION
 }
 
 impl Fleet {
-    /// Starts the control stand-ins and the processes of the forwarders, none of which runs yet.
+    /// Starts the control stand-ins and the processes for the forwarders. The forwarders themselves start in
+    /// [`Fleet::begin`].
     ///
     /// # Errors
     ///
-    /// It would go over the budget of the machine, or a process does not come up.
+    /// Returns an error if the fleet would exceed the budget, or if a process does not start in time.
     pub async fn start(plan: FleetPlan, budget: Budget) -> Result<Self, String> {
         let processes = ZONES + host_members(plan.members).len();
         budget.check_with(&Used {
@@ -131,7 +132,7 @@
             let process = fleet.start_members(zone, &names)?;
             fleet.hosts.push(Host { zone, members: names, process: Some(process) });
         }
-        fleet.wait_until(PATIENCE, "processes that are up", Fleet::all_up).await?;
+        fleet.wait_until(PATIENCE, "start of the member processes", Fleet::all_up).await?;
         Ok(fleet)
     }
 
@@ -141,44 +142,44 @@
         processes.into_iter().try_for_each(|process| process.ask(&Request::Begin))
     }
 
-    /// Where the commit point of the policy is.
+    /// Returns the address of the store with the policy's commit point.
     pub fn commit_point(&self) -> Option<SocketAddr> {
         self.controls[COMMIT_POINT_ZONE].listens.policy_store
     }
 
-    /// Where a region's duties are.
+    /// Returns the address of the store with a region's leases.
     pub fn duties_store(&self, region: usize) -> Option<SocketAddr> {
         self.controls[region * ZONES_PER_REGION].listens.duties_store
     }
 
-    /// Where the keys of the duties are.
+    /// Returns the folder of the lease keys.
     pub fn duties_prefix(&self) -> String {
         format!("{DUTIES_PREFIX}/")
     }
 
-    /// How many duties a region shares: one for each of its forwarders at the start.
+    /// Returns the number of leases in a region, which is the number of its forwarders at the start.
     pub fn duty_count(&self, region: usize) -> usize {
         let zones = (0..self.plan.members).map(|member| member % ZONES);
         zones.filter(|zone| region_of(*zone) == region).count()
     }
 
-    /// Forwarders that run.
+    /// Returns the names of the forwarders that run.
     pub fn members(&self) -> impl Iterator<Item = &String> {
         self.hosts.iter().flat_map(|host| &host.members)
     }
 
-    /// How many forwarders run in a region.
+    /// Returns the number of forwarders that run in a region.
     pub fn members_in(&self, region: usize) -> usize {
         let hosts = self.hosts.iter().filter(|host| region_of(host.zone) == region);
         hosts.map(|host| host.members.len()).sum()
     }
 
-    /// Has a forwarder stop in good order and start again.
+    /// Asks the process of a forwarder to stop it gracefully and to start it again.
     pub fn restart_member(&mut self, name: &str) -> Result<(), String> {
         self.ask_host_of(name, &Request::Restart(name.to_owned()))
     }
 
-    /// Ends a forwarder without a word.
+    /// Stops a forwarder abruptly, without deregistration.
     pub fn kill_member(&mut self, name: &str) -> Result<(), String> {
         self.ask_host_of(name, &Request::Kill(name.to_owned()))?;
         for host in &mut self.hosts {
@@ -187,21 +188,21 @@
         Ok(())
     }
 
-    /// Kills a process with all its forwarders.
+    /// Kills a process and thereby all its forwarders.
     pub fn kill_host(&mut self, number: usize) {
         let host = &mut self.hosts[number];
         host.members.clear();
         host.process = None;
     }
 
-    /// Kills all processes of a zone, its control stand-in included. That must be one without a store.
+    /// Kills all processes of a zone, its control stand-in included. The zone must not have a store.
     pub fn kill_zone(&mut self, zone: usize) {
         let hosts: Vec<usize> = (0..self.hosts.len()).filter(|host| self.hosts[*host].zone == zone).collect();
         hosts.into_iter().for_each(|host| self.kill_host(host));
         self.controls[zone].process = None;
     }
 
-    /// Cuts all links of a region to its stores, or joins them again.
+    /// Cuts all links of a region's zones to the stores if `cut` is `true`; otherwise restores them.
     pub fn cut_region(&mut self, region: usize, cut: bool) -> Result<(), String> {
         if cut {
             self.cut.insert(region);
@@ -213,18 +214,18 @@
         processes.into_iter().try_for_each(|process| process.ask(&Request::Cut(cut)))
     }
 
-    /// Whether a region is cut off from its stores.
+    /// Returns whether a region is cut off from the stores.
     pub fn is_cut(&self, region: usize) -> bool {
         self.cut.contains(&region)
     }
 
-    /// From now on sessions that are not renewed end after so many times their TTL.
+    /// Sets the time after which a session that is not renewed expires, as a multiple of its TTL.
     pub fn sessions_end_after(&mut self, ttls: f64) -> Result<(), String> {
         let processes = self.controls.iter_mut().filter_map(|control| control.process.as_mut());
         processes.into_iter().try_for_each(|process| process.ask(&Request::SessionsEndAfter(ttls)))
     }
 
-    /// What the control stand-ins that run have counted, by zone.
+    /// Returns the counts of the running control stand-ins, by zone.
     pub async fn counts(&mut self) -> Result<BTreeMap<usize, Counts>, String> {
         self.counts_asked += 1;
         let asked = self.counts_asked;
@@ -243,7 +244,7 @@
         Ok(counts.collect())
     }
 
-    /// Takes in what the children report until a moment.
+    /// Processes reports of the children until `until`.
     pub async fn receive_until(&mut self, until: Instant) -> Result<(), String> {
         while let Ok(event) = timeout_at(until, self.events.recv()).await {
             self.note(event);
@@ -251,13 +252,13 @@
         self.check()
     }
 
-    /// Takes in one report.
+    /// Waits for one report and processes it.
     pub async fn receive(&mut self) {
         let event = self.events.recv().await;
         self.note(event);
     }
 
-    /// Takes in reports until this holds.
+    /// Processes reports until `holds` returns `true`. Returns an error, with `what` in its text, after `patience`.
     pub async fn wait_until(
         &mut self,
         patience: Duration,
@@ -273,25 +274,25 @@
         Ok(())
     }
 
-    /// Whether all children that should run do, within the budget of the machine.
+    /// Checks that every child process that should run does so.
     ///
     /// # Errors
     ///
-    /// One has ended, or they use more than an experiment may.
+    /// Returns an error with the last line of the child's log if a child has exited.
     pub fn check(&self) -> Result<(), String> {
         let hosts = self.hosts.iter().filter_map(|host| host.process.as_ref());
         let controls = self.controls.iter().filter_map(|control| control.process.as_ref());
         match hosts.chain(controls).find(|process| self.ended.contains(&process.number)) {
-            Some(process) => Err(format!("a child process has ended: {}", process.last_words())),
+            Some(process) => Err(format!("a child process has exited: {}", process.last_words())),
             None => Ok(()),
         }
     }
 
-    /// Whether the children use no more than an experiment may.
+    /// Checks that the experiment and its children are within the budget, and returns what they use.
     ///
     /// # Errors
     ///
-    /// They use more.
+    /// Returns an error if the budget is exceeded.
     pub fn check_budget(&self) -> Result<Used, String> {
         Ok(self.budget.check()?)
     }
@@ -309,8 +310,10 @@
         let role = Role::Control(ControlRole { policy: place(commit_point), duties: place(duties) });
         let process = self.start_process(&role)?;
         let number = process.number;
-        self.wait_until(PATIENCE, "a control stand-in", |fleet| fleet.listening.contains_key(&number))
-            .await?;
+        self.wait_until(PATIENCE, "start of a control stand-in", |fleet| {
+            fleet.listening.contains_key(&number)
+        })
+        .await?;
         let listens = self.listening[&number];
         self.controls.push(ControlProcess { listens, process: Some(process) });
         Ok(())
@@ -338,12 +341,12 @@
     fn ask_host_of(&mut self, name: &str, request: &Request) -> Result<(), String> {
         let host = self.hosts.iter_mut().find(|host| host.members.contains(name));
         let process = host.and_then(|host| host.process.as_mut());
-        process.ok_or_else(|| format!("{name} does not run"))?.ask(request)
+        process.ok_or_else(|| format!("{name} is not running"))?.ask(request)
     }
 
     fn note(&mut self, event: Option<Event>) {
         match event {
-            // This fleet has a sender itself.
+            // The fleet holds a sender itself, so the channel never closes.
             None => {}
             Some(Event::Ended(number)) => {
                 self.ended.insert(number);
@@ -365,7 +368,7 @@
     }
 }
 
-/// The members of each process, with its zone: zones are as large as each other but for one.
+/// Returns the zone and the member names of each process. The sizes of two zones differ by at most one member.
 fn host_members(members: usize) -> Vec<(usize, BTreeSet<String>)> {
     let zone_members = |zone: usize| (zone..members).step_by(ZONES).collect::<Vec<_>>();
     let name = |number: &usize| format!("f{number}");
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow forwarders: the policy agent, the membership and the lease manager of several, with their own sockets and
-//! files, and no traffic.
+//! Hollow forwarders. Each runs the policy participant, the membership and the lease manager of a forwarder with its
+//! own sockets and files, and takes no traffic. Several of them share a process.
 
 use super::messages::{InForce, MembersRole, Report, Request, clock};
 use super::reporting::report;
@@ -19,36 +19,36 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Where the policy's keys are.
+/// Prefix of the policy's keys.
 pub const POLICY_PREFIX: &str = "lab/policy";
-/// Where the duties' keys are, in each region's store.
+/// Prefix of the lease keys in each region's store.
 pub const DUTIES_PREFIX: &str = "lab/duties";
-/// How long a duty's lock stays closed after its session has ended.
+/// Time for which a lease cannot be acquired after the session of its last holder has ended.
 pub const LOCK_DELAY: Duration = Duration::from_secs(1);
-/// How much faster or slower than another any clock may run.
+/// Maximum relative difference in rate between two clocks.
 const DRIFT: f64 = 0.001;
-/// The longest that an act of a duty takes.
+/// Maximum duration of an action that a lease protects.
 const ACT: Duration = Duration::from_millis(500);
-/// Time to the next attempt after one that failed.
+/// Time from a failed attempt to the next one.
 const RETRY: Duration = Duration::from_secs(1);
-/// Locks that are asked for at once, at most.
+/// Maximum number of concurrent lease acquisitions.
 const LOCKS_AT_ONCE: usize = 4;
-/// How long a member that leaves in good order may take; then it ends all the same.
+/// Maximum time for a member to release its leases at a graceful stop. After that the member is dropped regardless.
 const LEAVE: Duration = Duration::from_secs(5);
 
-/// The settings of the policy at this address.
+/// Returns the policy settings for a commit point at this address.
 pub fn policy_settings(address: SocketAddr, ttl: Duration) -> PolicySettings {
     let consul = ConsulSettings { addresses: vec![address], ..ConsulSettings::default() };
     PolicySettings { consul, prefix: POLICY_PREFIX.to_owned(), name: None, ttl }
 }
 
-/// One hollow forwarder that runs.
+/// A running hollow forwarder.
 struct Hollow {
     participant: Rc<ConsulParticipant>,
     following: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
     managing: JoinHandle<()>,
-    /// Only under sabotage.
+    /// Task that reads all members again and again. `None` except under sabotage.
     reading_all: Option<JoinHandle<()>>,
 }
 
@@ -61,14 +61,14 @@
         Hollow { participant, following, lease_manager, managing, reading_all }
     }
 
-    /// Gives back what it holds, and ends.
+    /// Deregisters the participant, releases the leases and stops.
     async fn leave(mut self) {
-        // What still runs would open another session.
+        // The task would open another session if it still ran.
         self.following.abort();
         self.participant.deregister().await;
         self.lease_manager.shut_down();
         if timeout(LEAVE, &mut self.managing).await.is_err() {
-            eprintln!("a member has not left within {LEAVE:?}");
+            eprintln!("a member did not stop within {LEAVE:?}");
         }
     }
 }
@@ -128,7 +128,7 @@
     (lease_manager, spawn_local(async move { running.run().await }))
 }
 
-/// Reads all members of the fleet at each change to one of them, one look after another without a pause.
+/// Reads all members of the fleet at each change to one of them, with one blocking query after another and no pause.
 async fn read_all_members(settings: PolicySettings) {
     let mut locks = LockClient::new(Rc::new(settings.consul.clone()));
     let mut index = 0;
@@ -140,12 +140,12 @@
     }
 }
 
-/// Runs them until the requests end.
+/// Runs the hollow forwarders of one process until the request channel closes.
 pub async fn run(role: MembersRole, mut requests: UnboundedReceiver<Request>) {
     report(&Report::Up);
     let role = Rc::new(role);
     let mut members: BTreeMap<String, Hollow> = BTreeMap::new();
-    // Members that leave in good order, and come back.
+    // Members that were stopped gracefully and have started again.
     let (returned, mut returning) = unbounded_channel();
     loop {
         let request = tokio::select! {
@@ -167,12 +167,12 @@
                     member.leave().await;
                     report(&Report::Restarted(name.clone()));
                     let member = Hollow::start(&role, &name);
-                    // The receiver is gone only when the process ends.
+                    // The receiver is dropped only when the process exits.
                     drop(returned.send((name, member)));
                 });
             }
             Some(Request::Kill(name)) => drop(members.remove(&name)),
-            Some(request) => eprintln!("members are not asked for this: {request:?}"),
+            Some(request) => eprintln!("not a request for a members process: {request:?}"),
         }
     }
 }
--- a/crates/experiments/src/capacity/control/load.rs
+++ b/crates/experiments/src/capacity/control/load.rs
@@ -1,4 +1,4 @@
-//! What control costs: snapshots of what the processes have used and counted, and the load between two of them.
+//! The cost of the control plane: snapshots of the processes' usage and counts, and the load between two snapshots.
 
 use super::fleet::{COMMIT_POINT_ZONE, Fleet, ZONES, ZONES_PER_REGION};
 use super::messages::Counts;
@@ -6,48 +6,48 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// The operators' budget of control for a forwarder: bytes a second, percent of a core, and megabytes.
+/// The operators' control budget for one forwarder: bytes per second, percent of a core, and megabytes.
 const BYTES_BUDGET: f64 = 6_000.0;
 const CORE_BUDGET: f64 = 2.6;
 const RESIDENT_BUDGET: f64 = 32.0;
-/// One percent of a core for a second.
+/// Milliseconds of processor time per second that are one percent of a core.
 const MILLISECONDS_A_PERCENT: f64 = 10.0;
 
-/// What is measured.
+/// A measured quantity. Unless it says otherwise, a quantity of a forwarder is the mean over all forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Quantity {
-    /// Bytes a second of a forwarder with the commit point, both ways.
+    /// Bytes per second between a forwarder and the commit point, both directions.
     PolicyBytes,
-    /// Bytes a second of a forwarder with its region's duties, both ways.
+    /// Bytes per second between a forwarder and its region's lease store, both directions.
     DutiesBytes,
-    /// The sum of both.
+    /// Sum of [`Quantity::PolicyBytes`] and [`Quantity::DutiesBytes`].
     Bytes,
-    /// The same in the busiest second.
+    /// Same as [`Quantity::Bytes`], in the busiest second.
     BusiestBytes,
-    /// Requests a second of a forwarder to the commit point; those of the proposer are among them.
+    /// Requests per second and forwarder to the commit point. The requests of the proposer are included.
     PolicyRequests,
-    /// Requests a second of a forwarder for its duties.
+    /// Requests per second and forwarder to the lease store.
     DutiesRequests,
-    /// Percent of a core for a forwarder.
+    /// Percent of a core that a forwarder uses.
     Core,
-    /// Megabytes of a forwarder that has its process for itself.
+    /// Resident megabytes of a forwarder that is alone in its process, estimated from the shared processes.
     Resident,
-    /// Bytes a second through the control stand-in with the commit point, on its behalf.
+    /// Bytes per second of policy traffic through the control stand-in that has the commit point.
     CommitPointBytes,
-    /// Bytes a second through the busiest control stand-in on behalf of duties.
+    /// Bytes per second of lease traffic through the busiest control stand-in.
     DutiesStoreBytes,
-    /// Bytes a second through the busiest control stand-in.
+    /// Bytes per second of all traffic through the busiest control stand-in.
     ControlBytes,
-    /// Requests a second to the busiest control stand-in.
+    /// Requests per second to the busiest control stand-in.
     ControlRequests,
-    /// Percent of a core for the busiest control stand-in.
+    /// Percent of a core that the busiest control stand-in uses.
     ControlCore,
-    /// Megabytes of the largest control stand-in.
+    /// Resident megabytes of the largest control stand-in.
     ControlResident,
 }
 
 impl Quantity {
-    /// All of them.
+    /// All quantities, in the order of the table.
     pub const ALL: [Quantity; 14] = [
         Quantity::PolicyBytes,
         Quantity::DutiesBytes,
@@ -65,7 +65,7 @@
         Quantity::ControlResident,
     ];
 
-    /// What it is called in a table.
+    /// Returns the label in tables.
     pub fn label(self) -> &'static str {
         match self {
             Quantity::PolicyBytes => "policy B/s a forwarder",
@@ -85,7 +85,8 @@
         }
     }
 
-    /// What it is called for one event, where that has a meaning, and how many of that unit one of this is for a second.
+    /// Returns the label for the cost of one event, and the factor from this quantity times one second to that label's
+    /// unit. Returns `None` if a cost per event has no meaning.
     pub fn of_one_event(self) -> Option<(&'static str, f64)> {
         match self {
             Quantity::PolicyBytes => Some(("policy B a forwarder", 1.0)),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The most that the operators allow, where they say.
+    /// Returns the limit that the operators set, or `None` if they set none.
     pub fn budget(self) -> Option<f64> {
         match self {
             Quantity::Bytes => Some(BYTES_BUDGET),
@@ -113,31 +114,31 @@
         }
     }
 
-    /// Whether the cost of one event times their rate comes on top of what it is at rest.
+    /// Returns whether events add their cost times their rate to the value at rest.
     fn adds_up(self) -> bool {
         self.of_one_event().is_some()
     }
 }
 
-/// The load of a span, by quantity.
+/// Values by quantity, for a span of time or for one event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load(BTreeMap<Quantity, f64>);
 
 impl Load {
-    /// A quantity of it; 0 where it was not measured.
+    /// Returns the value of a quantity, or 0 if it was not measured.
     pub fn get(&self, quantity: Quantity) -> f64 {
         self.0.get(&quantity).copied().unwrap_or(0.0)
     }
 
-    /// What one event costs on top of `rest`, of `events` in a span of so many seconds with this load.
+    /// Returns the cost of one event on top of `rest`, if this load was measured over `seconds` with `events` events.
     pub fn cost_of_event(&self, rest: &Load, seconds: f64, events: usize) -> Load {
         let cost = |quantity: Quantity| {
             let extra = (self.get(quantity) - rest.get(quantity)).max(0.0);
             (quantity, extra * seconds / events.max(1) as f64)
         };
         let mut costs = Load(Quantity::ALL.into_iter().filter(|q| q.adds_up()).map(cost).collect());
-        // All forwarders of a region look at their duties in the same second, so a short span has more or less than its
-        // part of that: what is extra is told for each part, before it is summed.
+        // All forwarders of a region query their leases in the same second, so a short span has more or less than its
+        // share of these queries. The extra cost is therefore computed for each part before the parts are summed.
         costs.sum_of(Quantity::Bytes, [Quantity::PolicyBytes, Quantity::DutiesBytes]);
         costs.sum_of(Quantity::ControlBytes, [Quantity::CommitPointBytes, Quantity::DutiesStoreBytes]);
         costs
@@ -148,8 +149,8 @@
         self.0.insert(whole, sum);
     }
 
-    /// This load, at rest, with events that cost so much at a rate a second. Memory is that of `busy`, in which they were
-    /// measured.
+    /// Returns this load at rest plus events that cost `cost` each at `rate` events per second. Memory is taken from
+    /// `busy`, the load during which the events were measured.
     pub fn with_events(&self, cost: &Load, rate: f64, busy: &Load) -> Load {
         let value = |quantity: Quantity| match quantity {
             Quantity::BusiestBytes => None,
@@ -161,13 +162,13 @@
         Load(Quantity::ALL.into_iter().filter_map(value).collect())
     }
 
-    /// Whether a quantity was measured or worked out.
+    /// Returns whether a quantity was measured or computed.
     pub fn has(&self, quantity: Quantity) -> bool {
         self.0.contains_key(&quantity)
     }
 }
 
-/// What all processes have used and counted by a moment.
+/// The usage and the counts of all processes at one moment.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     at: Instant,
@@ -178,7 +179,7 @@
     proposer_bytes: u64,
 }
 
-/// A process with forwarders.
+/// The usage of a process with forwarders.
 #[derive(Clone, Copy, Debug)]
 struct HostUsage {
     usage: Usage,
@@ -186,7 +187,7 @@
 }
 
 impl Snapshot {
-    /// Takes one. The experiment ends where the processes use more than they may.
+    /// Takes a snapshot. Returns an error if the experiment exceeds its budget.
     pub async fn take(fleet: &mut Fleet, proposer_bytes: u64) -> Result<Snapshot, String> {
         fleet.check_budget()?;
         let counts = fleet.counts().await?;
@@ -208,23 +209,24 @@
         Ok(Snapshot { at: Instant::now(), counts, controls, hosts, members, proposer_bytes })
     }
 
-    /// Seconds since an earlier one.
+    /// Returns the seconds since an earlier snapshot, at least 0.001.
     pub fn seconds_since(&self, before: &Snapshot) -> f64 {
         (self.at - before.at).as_secs_f64().max(1e-3)
     }
 
-    /// Resident memory of each process with forwarders.
+    /// Returns the resident memory of each process with forwarders, in bytes.
     pub fn host_resident(&self) -> BTreeMap<usize, u64> {
         self.hosts.iter().map(|(number, host)| (*number, host.usage.resident)).collect()
     }
 
-    /// Bytes that a forwarder had a second since an earlier one.
+    /// Returns the bytes per second and forwarder since an earlier snapshot.
     pub fn bytes_since(&self, before: &Snapshot) -> f64 {
         let (policy, duties) = (self.sum(before, |c| c.policy_bytes), self.sum(before, |c| c.duties_bytes));
         (policy + duties) / self.members.max(1) as f64 / self.seconds_since(before)
     }
 
-    /// The load since an earlier one. `base` is the memory of each process before its forwarders were started.
+    /// Returns the load since an earlier snapshot. `base` is the resident memory of each process before its forwarders
+    /// started, in bytes.
     pub fn load_since(&self, before: &Snapshot, base: &BTreeMap<usize, u64>, busiest: f64) -> Load {
         let each = |sum: f64| sum / self.members.max(1) as f64 / self.seconds_since(before);
         let policy_bytes = each(self.sum(before, |counts| counts.policy_bytes));
@@ -249,7 +251,7 @@
         ]))
     }
 
-    /// The sum of a count's growth over the control stand-ins that ran all the time.
+    /// Returns the growth of a count, summed over the control stand-ins that are in both snapshots.
     fn sum(&self, before: &Snapshot, count: fn(&Counts) -> u64) -> f64 {
         self.counts.keys().map(|zone| self.growth(before, *zone, count)).sum()
     }
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Percent of a core that a forwarder used.
+    /// Returns the percent of a core that a forwarder used.
     fn core_since(&self, before: &Snapshot) -> f64 {
         let (mut used, mut members) = (0.0, 0);
         for (number, host) in &self.hosts {
@@ -273,7 +275,8 @@
         100.0 * used / members.max(1) as f64 / self.seconds_since(before)
     }
 
-    /// Megabytes of a forwarder that has its process for itself: the process, and its part of what they added.
+    /// Returns the megabytes of a forwarder that is alone in its process: the process without forwarders, plus one
+    /// forwarder's share of the memory that the forwarders added. The largest process decides.
     fn resident_alone(&self, base: &BTreeMap<usize, u64>) -> f64 {
         let alone = self.hosts.iter().filter(|(_, host)| host.members > 0).filter_map(|(number, host)| {
             let base = *base.get(number)? as f64;
@@ -299,8 +302,8 @@
         loads.collect()
     }
 
-    /// Bytes of policy through a control stand-in: those of its zone's link, and for the one with the commit point those
-    /// of all others and of the proposer.
+    /// Returns the bytes of policy traffic through a control stand-in, which is the traffic of its zone's link. The
+    /// stand-in with the commit point also has the traffic of all other zones and of the proposer.
     fn policy_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
         let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.policy_bytes);
         if zone != COMMIT_POINT_ZONE {
@@ -310,8 +313,8 @@
         (0..ZONES).map(of_zone).sum::<f64>() + proposer as f64
     }
 
-    /// Bytes of duties through a control stand-in: those of its zone's link, and for one with a store those of the other
-    /// zones of its region.
+    /// Returns the bytes of lease traffic through a control stand-in, which is the traffic of its zone's link. A
+    /// stand-in with a lease store also has the traffic of the other zones of its region.
     fn duties_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
         let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.duties_bytes);
         if !zone.is_multiple_of(ZONES_PER_REGION) {
--- a/crates/experiments/src/capacity/control/messages.rs
+++ b/crates/experiments/src/capacity/control/messages.rs
@@ -1,129 +1,130 @@
-//! What the experiment and its child processes tell each other: one JSON object a line, on the child's standard input
-//! and output.
+//! Messages between the experiment and its child processes: one JSON object per line, on the child's standard input and
+//! output.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What a child process is to be: the first line on its standard input.
+/// The role of a child process, sent as the first line on its standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Role {
-    /// Hollow forwarders of one zone.
+    /// Runs hollow forwarders of one zone.
     Members(MembersRole),
-    /// The control stand-in of one zone.
+    /// Runs the control stand-in of one zone.
     Control(ControlRole),
 }
 
-/// A process with the control parts of several forwarders.
+/// The role of a process with several hollow forwarders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembersRole {
-    /// The forwarders' names, the only ones in the fleet.
+    /// Names of the forwarders, unique in the fleet.
     pub names: Vec<String>,
-    /// Where the commit point of the fleet's policy is reached.
+    /// Address of the zone's link to the commit point of the policy.
     pub policy: SocketAddr,
-    /// Where the region's duties are reached.
+    /// Address of the zone's link to the region's lease store.
     pub duties: SocketAddr,
-    /// How many duties the region shares.
+    /// Number of leases in the region.
     pub duty_count: u32,
-    /// The TTL of all sessions.
+    /// TTL of all sessions.
     pub ttl: Duration,
-    /// A configuration that all of them have, whole and checked.
+    /// Path of a complete and valid configuration that all the forwarders share.
     pub configuration: PathBuf,
-    /// Where each keeps its files, in a folder of its name.
+    /// Folder in which each forwarder has a folder of its own name for its files.
     pub folder: PathBuf,
-    /// Each also reads all members of the fleet again at every change to one of them. Only sabotage asks for this.
+    /// Whether each forwarder also reads all members of the fleet again at each change to one of them. Set only under
+    /// sabotage.
     pub reads_all_members: bool,
 }
 
-/// The control stand-in of a zone: what its forwarders connect to.
+/// The role of a zone's control stand-in, which the zone's forwarders connect to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlRole {
-    /// The store with the commit point of the fleet's policy.
+    /// Location of the store with the commit point of the policy.
     pub policy: Store,
-    /// The store with the region's duties.
+    /// Location of the region's lease store.
     pub duties: Store,
 }
 
-/// Where a store is kept.
+/// The location of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Store {
-    /// In this process.
+    /// The process that gets the role runs the store.
     Here,
-    /// In another, at this address.
+    /// Another process runs the store, at this address.
     At(SocketAddr),
 }
 
-/// What a child is asked for.
+/// A request to a child process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// Members: start all of them.
+    /// Members: starts all forwarders of the process.
     Begin,
-    /// Members: this one stops in good order and starts again.
+    /// Members: stops this forwarder gracefully and starts it again.
     Restart(String),
-    /// Members: this one ends without a word, as a process does that is killed.
+    /// Members: stops this forwarder abruptly, as if its process were killed.
     Kill(String),
-    /// Control: report the counts, under this number.
+    /// Control: asks for a report of the counts, with this number.
     Count(u64),
-    /// Control: the links of its zone are cut, or joined again.
+    /// Control: cuts the links of the zone if `true`; otherwise restores them.
     Cut(bool),
-    /// Control: sessions that are not renewed end after so many times their TTL.
+    /// Control: sets the time after which a session that is not renewed expires, as a multiple of its TTL.
     SessionsEndAfter(f64),
 }
 
-/// What a child reports.
+/// A report of a child process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Report {
-    /// Members: the process is up, and has started none of them.
+    /// Members: the process has started. None of its forwarders runs yet.
     Up,
-    /// Control: it listens.
+    /// Control: the stand-in listens at these addresses.
     Listens(Listens),
-    /// A policy is in force on a member.
+    /// Members: a policy is in force on a member.
     InForce(InForce),
-    /// A member has left in good order and is starting again.
+    /// Members: the named member has stopped gracefully and is about to start again.
     Restarted(String),
-    /// Control: the counts that were asked for under this number.
+    /// Control: the counts that the request with this number asked for.
     Counted(u64, Counts),
 }
 
-/// Where a control stand-in is reached.
+/// The addresses of a control stand-in.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Listens {
-    /// Its forwarders' link to the commit point.
+    /// The zone's link to the commit point.
     pub policy_link: SocketAddr,
-    /// Its forwarders' link to the duties.
+    /// The zone's link to the lease store.
     pub duties_link: SocketAddr,
-    /// The store with the commit point, where it is here.
+    /// The store with the commit point, or `None` if another process runs it.
     pub policy_store: Option<SocketAddr>,
-    /// The store with the duties, where it is here.
+    /// The lease store, or `None` if another process runs it.
     pub duties_store: Option<SocketAddr>,
 }
 
-/// A policy that is in force on a member: it is on its way to the decisions.
+/// A policy that is in force on a member: the configuration with it is loaded and on its way to the reducer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
-    /// The member.
+    /// Name of the member.
     pub name: String,
-    /// The policy's number.
+    /// Version of the policy.
     pub epoch: u64,
-    /// When, in microseconds of the machine's clock.
+    /// Time at which it came into force, in microseconds of [`clock`].
     pub at: u64,
 }
 
-/// What a control stand-in has counted since its start.
+/// The counts of a control stand-in since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Bytes over its zone's link to the commit point, both ways.
+    /// Bytes over the zone's link to the commit point, both directions.
     pub policy_bytes: u64,
-    /// Bytes over its zone's link to the duties, both ways.
+    /// Bytes over the zone's link to the lease store, both directions.
     pub duties_bytes: u64,
-    /// Requests to the store with the commit point; 0 where that is elsewhere.
+    /// Requests to the store with the commit point, or 0 if another process runs it.
     pub policy_requests: u64,
-    /// Requests to the store with the duties; 0 where that is elsewhere.
+    /// Requests to the lease store, or 0 if another process runs it.
     pub duties_requests: u64,
 }
 
-/// The machine's clock in microseconds, the same for all processes.
+/// Returns the machine's wall clock in microseconds since the Unix epoch, which is the same for all processes.
 pub fn clock() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -1,4 +1,4 @@
-//! The phases that a fleet of one size goes through, and what each of them showed.
+//! The phases of the experiment on a fleet of one size, and the results of each phase.
 
 use super::fleet::{Fleet, FleetPlan, REGIONS, ZONES_PER_REGION};
 use super::hollow::policy_settings;
@@ -16,129 +16,130 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A second is the shortest span that is told apart.
+/// The span over which the busiest second is determined.
 const SECOND: Duration = Duration::from_secs(1);
-/// How long a fleet may take until all are members and all duties are held.
+/// Maximum time until all forwarders are members and all leases are held.
 const SETTLE: Duration = Duration::from_secs(120);
-/// How often that is looked at.
+/// Interval between two checks whether the fleet has settled.
 const SETTLE_LOOK: Duration = Duration::from_millis(250);
-/// How long after a proposal is done its last report may come.
+/// Maximum time from the end of a proposal to the last report that the policy is in force.
 const LATE_REPORT: Duration = Duration::from_secs(10);
-/// Sessions that are not renewed end after one to two times their TTL, as Consul promises: at first after the most, for a
-/// death, and then after the least, for the losses.
+/// Expiry of sessions that are not renewed, as a multiple of their TTL. Consul promises one to two times the TTL. The
+/// death of a forwarder is measured with the longest expiry, the losses after it with the shortest.
 const DEATH_SESSION_END: f64 = 2.0;
 const LOSSES_SESSION_END: f64 = 1.0;
-/// The zone of the process that is killed, and the zone that is lost, which has no store.
+/// The zone in which one process is killed, and the zone that is killed whole. The second has no store.
 const LOST_MACHINE_ZONE: usize = 1;
 const LOST_ZONE: usize = 3;
-/// The region that is cut off.
+/// The region that is cut off from the stores.
 const CUT_REGION: usize = 2;
 
-/// How long the phases are.
+/// The lengths of the phases, and the number of events in them.
 #[derive(Clone, Copy, Debug)]
 pub struct Spans {
-    /// The TTL of all sessions.
+    /// TTL of all sessions.
     pub ttl: Duration,
-    /// At rest: as long as Consul holds a look, so that each forwarder looks once.
+    /// Length of the phase at rest: as long as Consul holds a blocking query, so that each forwarder sends one.
     pub rest: Duration,
-    /// Changes of policy, one after another.
+    /// Number of policy changes, one after another.
     pub changes: u32,
-    /// The time from one change to the next.
+    /// Time from one change to the next.
     pub change_every: Duration,
-    /// Changes with a large policy, one after another.
+    /// Number of changes of a large policy, one after another.
     pub large_changes: u32,
-    /// The time from one of them to the next.
+    /// Time from one change of a large policy to the next.
     pub large_change_every: Duration,
-    /// Restarts, one after another.
+    /// Number of restarts, one after another.
     pub restarts: u32,
-    /// The time from one restart to the next.
+    /// Time from one restart to the next.
     pub restart_every: Duration,
-    /// What follows a loss, beyond the time after which sessions end.
+    /// Time that is measured after a loss, beyond the TTL.
     pub after_loss: Duration,
-    /// What follows the joining of a region.
+    /// Time that is measured after a region is joined again.
     pub after_join: Duration,
 }
 
-/// What a fleet goes through.
+/// The phases that run on a fleet.
 #[derive(Clone, Debug)]
 pub struct Course {
-    /// How long the phases are.
+    /// Lengths of the phases.
     pub spans: Spans,
-    /// Whether a forwarder dies before a change, and a machine, a zone and a region are lost.
+    /// Whether to kill a forwarder before a change, then a machine and a zone, and to cut off a region.
     pub losses: bool,
-    /// Whether forwarders are restarted.
+    /// Whether to restart forwarders.
     pub restarts: bool,
 }
 
-/// A phase.
+/// A phase of the experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Nothing happens.
     Rest,
-    /// Changes at the peak rate.
+    /// Policy changes at the peak rate.
     Changes,
-    /// Changes with a large policy.
+    /// Changes of a large policy.
     LargeChanges,
-    /// Nothing happens, with a large policy in force.
+    /// Nothing happens while a large policy is in force.
     LargeRest,
-    /// Restarts, one after another.
+    /// Forwarders restart one after another.
     Restarts,
-    /// A process with its forwarders is killed, and a policy proposed at once.
+    /// A process with its forwarders is killed, and a policy is proposed immediately.
     MachineLost,
-    /// The same with a zone.
+    /// A zone is killed, and a policy is proposed immediately.
     ZoneLost,
-    /// The same with a region that is cut off from its stores.
+    /// A region is cut off from the stores, and a policy is proposed immediately.
     RegionCut,
-    /// The region is joined again.
+    /// The links of the region are restored.
     RegionJoined,
 }
 
-/// When a policy was in force.
+/// The times at which a policy was committed and in force.
 #[derive(Clone, Debug)]
 pub struct PolicyTime {
-    /// What had just happened.
+    /// Description of the event before the proposal, used as part of a row's label.
     pub after: String,
     /// Seconds from the proposal to the commit.
     pub committed: f64,
-    /// Seconds from the proposal until it was in force, of the middle and of the last forwarder.
+    /// Seconds from the proposal until the policy was in force on the median forwarder.
     pub middle: f64,
-    /// The same of the last forwarder.
+    /// Seconds from the proposal until the policy was in force on the last forwarder.
     pub last: f64,
 }
 
-/// What a phase showed.
+/// The load that was measured in a phase.
 #[derive(Clone, Debug)]
 pub struct PhaseLoad {
-    /// The load.
+    /// Load by quantity.
     pub load: Load,
-    /// How long it was measured.
+    /// Length of the measurement, in seconds.
     pub seconds: f64,
-    /// Changes or restarts in it.
+    /// Number of changes or restarts in the phase.
     pub events: usize,
 }
 
-/// What a fleet of one size showed.
+/// The results of a fleet of one size.
 #[derive(Clone, Debug)]
 pub struct FleetResult {
-    /// Forwarders at the start.
+    /// Number of forwarders at the start.
     pub members: usize,
-    /// Seconds from the start of all until all were members and all duties were held.
+    /// Seconds from the start of all forwarders until all were members and all leases were held.
     pub settled: f64,
-    /// The phases.
+    /// Load of each phase that ran.
     pub phases: BTreeMap<Phase, PhaseLoad>,
-    /// When policies were in force.
+    /// Times of the policies that were measured.
     pub times: Vec<PolicyTime>,
-    /// Seconds from the joining of a region until its last forwarder had the policy in force; none where none was cut.
+    /// Seconds from the moment when a region's links are restored until its last forwarder had the policy in force.
+    /// `None` if no region was cut off.
     pub caught_up: Option<f64>,
 }
 
-/// What happens at a moment of a window.
+/// An event at a moment of a measured window.
 enum Happening {
     Propose(PolicySize),
     Restart(String),
 }
 
-/// A fleet on its course.
+/// A run of the phases on one fleet.
 struct Journey {
     fleet: Fleet,
     proposer: Proposer,
@@ -148,11 +149,11 @@
     result: FleetResult,
 }
 
-/// Takes a fleet of this size through its course.
+/// Runs the phases of `course` on a fleet and returns the results.
 ///
 /// # Errors
 ///
-/// It does not settle, a child ends, or the experiment would use more than it may.
+/// Returns an error if the fleet does not settle, a child process exits, or the experiment exceeds its budget.
 pub async fn measure(plan: FleetPlan, course: &Course, seed: u64) -> Result<FleetResult, String> {
     let mut journey = Journey::start(plan, course.spans, seed).await?;
     journey.rest().await?;
@@ -201,10 +202,10 @@
         let size = PolicySize::Large;
         self.changes_of(Phase::LargeChanges, large_changes, large_change_every, size, "a change of 17 KB")
             .await?;
-        // A look at the commit point is held for a fourth of the TTL and a thirty-second part more, and then answered with
-        // the whole policy: this is two of them.
+        // The commit point holds a blocking query for a quarter of the TTL plus 1/32 of that, and then answers with the
+        // whole policy. This span has two such queries.
         self.window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
-        // What follows is measured with a small policy in force, as the rest was.
+        // The phases after this one are measured with a small policy in force, as the phase at rest was.
         self.proposer.propose(PolicySize::Small);
         self.policy_time("a change back").await
     }
@@ -240,7 +241,7 @@
         self.settle().await
     }
 
-    /// A forwarder dies, and a policy is proposed at once.
+    /// Kills a forwarder and immediately proposes a policy.
     async fn death(&mut self) -> Result<(), String> {
         let names: Vec<String> = self.fleet.members().cloned().collect();
         let name = names[self.chance.random_range(0..names.len())].clone();
@@ -273,13 +274,14 @@
         Ok(())
     }
 
-    /// What follows a loss, with a policy that is proposed at once.
+    /// Measures the time after a loss, with a policy that is proposed immediately.
     async fn loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
         self.window(phase, span, vec![(Duration::ZERO, Happening::Propose(PolicySize::Small))], 1).await?;
         self.policy_time(&format!("{what}, sessions end after {LOSSES_SESSION_END} TTL")).await
     }
 
-    /// Measures for this long, second by second, while these things happen.
+    /// Measures the load during `span`, with a snapshot each second for the busiest one, and starts the happenings at
+    /// their times.
     async fn window(
         &mut self,
         phase: Phase,
@@ -315,7 +317,7 @@
         Ok(())
     }
 
-    /// Waits until the next proposal is in force on all that can be reached; notes how long that took.
+    /// Waits until the next proposal is in force on all forwarders that can be reached, and records the times.
     async fn policy_time(&mut self, after: &str) -> Result<(), String> {
         let proposal = loop {
             tokio::select! {
@@ -336,21 +338,22 @@
         Ok(())
     }
 
-    /// The forwarders that run and are not cut off.
+    /// Returns the forwarders that run and are not cut off.
     fn reachable(&self) -> BTreeSet<String> {
         let cut_off = |zone: usize| self.fleet.is_cut(zone / ZONES_PER_REGION);
         let hosts = self.fleet.hosts.iter().filter(|host| !cut_off(host.zone));
         hosts.flat_map(|host| host.members.iter().cloned()).collect()
     }
 
-    /// From now on sessions end after so many times their TTL, those too that were renewed before.
+    /// Sets the expiry of sessions to a multiple of their TTL, and waits until it also applies to the sessions that
+    /// were renewed before.
     async fn sessions_end_after(&mut self, ttls: f64) -> Result<(), String> {
         self.fleet.sessions_end_after(ttls)?;
-        // All are renewed at a third of the TTL; a fourth is for what is late.
+        // Each session is renewed after a third of its TTL. Another quarter allows for late renewals.
         self.fleet.receive_until(Instant::now() + self.spans.ttl / 3 + self.spans.ttl / 4).await
     }
 
-    /// Waits until all forwarders are members at the commit point and in their region, and all duties are held.
+    /// Waits until all forwarders are members at the commit point and in their region, and all leases are held.
     async fn settle(&mut self) -> Result<(), String> {
         let until = Instant::now() + SETTLE;
         let mut commit_point = LockClient::new(consul_settings(self.fleet.commit_point())?);
@@ -370,7 +373,7 @@
         }
     }
 
-    /// What keeps the fleet from being settled; none: it is.
+    /// Returns the reason why the fleet has not settled, or `None` if it has.
     async fn unsettled(
         &self,
         commit_point: &mut LockClient,
@@ -394,7 +397,7 @@
     }
 }
 
-/// How many keys below a folder are held by a session.
+/// Returns the number of keys below a folder that a session holds.
 async fn held(store: &mut LockClient, folder: &str) -> Result<usize, String> {
     let (_, rows) = store.read_keys(folder, 0, Duration::ZERO).await.map_err(|error| error.to_string())?;
     Ok(rows.iter().filter(|row| row.session.is_some()).count())
@@ -405,7 +408,8 @@
     Ok(Rc::new(ConsulSettings { addresses: vec![address], ..ConsulSettings::default() }))
 }
 
-/// Seconds from a proposal until it was in force, of each of these on which it is, in order.
+/// Returns the seconds from a proposal until it was in force, for each of the members on which it is in force, in
+/// ascending order.
 fn times(fleet: &Fleet, proposal: &Proposal, members: &BTreeSet<String>) -> Vec<f64> {
     let mut first: BTreeMap<&str, u64> = BTreeMap::new();
     for in_force in fleet.in_force.iter().filter(|in_force| in_force.epoch >= proposal.epoch) {
--- a/crates/experiments/src/capacity/control/process.rs
+++ b/crates/experiments/src/capacity/control/process.rs
@@ -1,5 +1,5 @@
-//! A child process as the experiment has it: its requests go to its standard input, its reports come from its standard
-//! output, and what it says beside that stands in a file.
+//! The parent's side of a child process. Requests go to the child's standard input, reports come from its standard
+//! output, and its standard error goes to a log file.
 
 use super::messages::{Report, Request, Role};
 use serde::Serialize;
@@ -10,24 +10,24 @@
 use std::thread;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The hidden sub-command that a child process is started with.
+/// The hidden sub-command that starts a child process.
 pub const CHILD_COMMAND: &str = "capacity-child";
 
-/// The number of a child in the order of their starts.
+/// Number of a child process, ascending in the order of the starts.
 pub type ChildNumber = usize;
 
-/// What comes from a child.
+/// An event from a child process.
 #[derive(Debug)]
 pub enum Event {
-    /// A report.
+    /// The child has sent a report.
     Report(ChildNumber, Report),
-    /// Its output has ended, so it has.
+    /// The standard output of the child has ended, so the child has exited.
     Ended(ChildNumber),
 }
 
-/// A child process. It is killed when it is dropped.
+/// A child process. Dropping it kills the process.
 pub struct Process {
-    /// Its number among the children.
+    /// Number of the child.
     pub number: ChildNumber,
     child: Child,
     input: ChildStdin,
@@ -35,11 +35,11 @@
 }
 
 impl Process {
-    /// Starts this program again in this role; what it reports goes to `events`.
+    /// Starts this program as a child process with a role. Its reports go to `events`, its log to a file in `folder`.
     ///
     /// # Errors
     ///
-    /// It cannot be started.
+    /// Returns an error if the process cannot be started or does not take its role.
     pub fn start(
         number: ChildNumber,
         role: &Role,
@@ -62,7 +62,7 @@
         thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 if let Ok(report) = serde_json::from_str(&line) {
-                    // The receiver is gone only when the experiment ends.
+                    // The receiver is dropped only when the experiment ends.
                     drop(events.send(Event::Report(number, report)));
                 }
             }
@@ -73,24 +73,24 @@
         Ok(process)
     }
 
-    /// Its process's number.
+    /// Returns the operating system's process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks it for something.
+    /// Sends a request to the child.
     ///
     /// # Errors
     ///
-    /// It has ended.
+    /// Returns an error if the child has exited.
     pub fn ask(&mut self, request: &Request) -> Result<(), String> {
         self.write(request)
     }
 
-    /// The end of what it said beside its reports.
+    /// Returns the last line of the child's log.
     pub fn last_words(&self) -> String {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
-        text.lines().last().unwrap_or("nothing in its log").to_owned()
+        text.lines().last().unwrap_or("its log is empty").to_owned()
     }
 
     fn write(&mut self, message: &impl Serialize) -> Result<(), String> {
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -1,4 +1,4 @@
-//! Proposes policies at the commit point, one after another, as the operators' tool does.
+//! Proposes policies at the commit point, one after another, as `orchidyoke policy` does.
 
 use super::hollow::policy_settings;
 use super::messages::clock;
@@ -10,19 +10,19 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::spawn_local;
 
-/// How long a policy may take to be committed, and then to be in force on all.
+/// Maximum time for a policy to be committed and then to be in force on all members.
 const PATIENCE: Duration = Duration::from_secs(60);
-/// The policies differ in this setting, by a microsecond.
+/// Base value of the setting in which the policies differ, in microseconds. Each policy adds its number.
 const FIRST_IDLE_CLOSE_US: u64 = 8_000_000;
-/// Endpoints that a large policy leaves out; each takes 17 bytes of it.
+/// Number of endpoints that a large policy excludes. Each takes 17 bytes of the policy.
 const LARGE_POLICY_ENDPOINTS: usize = 1_000;
 
-/// How large a policy is.
+/// The size of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicySize {
-    /// One setting: some 60 bytes.
+    /// One setting, about 60 bytes.
     Small,
-    /// A thousand endpoints left out: 17 KB.
+    /// One setting and [`LARGE_POLICY_ENDPOINTS`] excluded endpoints, about 17 KB.
     Large,
 }
 
@@ -36,18 +36,18 @@
     }
 }
 
-/// A policy that was committed.
+/// A committed policy.
 #[derive(Clone, Copy, Debug)]
 pub struct Proposal {
-    /// Its number.
+    /// Version of the policy.
     pub epoch: u64,
-    /// When it was proposed, in microseconds of the machine's clock.
+    /// Time of the proposal, in microseconds of [`clock`].
     pub began: u64,
-    /// When the answer came that it is committed.
+    /// Time at which the commit was confirmed, in microseconds of [`clock`].
     pub committed: u64,
 }
 
-/// Who proposes. Proposals wait for each other.
+/// A task that proposes policies, one at a time.
 pub struct Proposer {
     asked: UnboundedSender<PolicySize>,
     done: UnboundedReceiver<Result<Proposal, String>>,
@@ -56,7 +56,7 @@
 }
 
 impl Proposer {
-    /// One for the commit point at this address.
+    /// Starts the task for the commit point at this address.
     pub fn start(commit_point: SocketAddr, ttl: Duration) -> Self {
         let stage = ServerRuntime::new();
         let link = FaultProxy::start(&stage, unused_loopback_address(), commit_point);
@@ -68,25 +68,25 @@
             while let Some(size) = requests.recv().await {
                 number += 1;
                 let proposed = propose(&mut coordinator, number, size).await;
-                // The receiver is gone only when the experiment ends.
+                // The receiver is dropped only when the experiment ends.
                 drop(sender.send(proposed));
             }
         });
         Proposer { asked, done, link, _stage: stage }
     }
 
-    /// Proposes a policy once those before it are done.
+    /// Queues a proposal, which starts when the earlier ones are done.
     pub fn propose(&self, size: PolicySize) {
-        // The receiver lives as long as this.
+        // The task keeps the receiver for as long as this sender exists.
         let _ = self.asked.send(size);
     }
 
-    /// The next policy that is committed and in force on all that are there.
+    /// Waits for the next policy that is committed and in force on all members.
     pub async fn next(&mut self) -> Result<Proposal, String> {
-        self.done.recv().await.unwrap_or_else(|| Err("nobody proposes any more".to_owned()))
+        self.done.recv().await.unwrap_or_else(|| Err("the proposer's task has ended".to_owned()))
     }
 
-    /// Bytes with the commit point, both ways.
+    /// Returns the bytes exchanged with the commit point, both directions.
     pub fn bytes(&self) -> u64 {
         self.link.counters().bytes_forwarded
     }
--- a/crates/experiments/src/capacity/control/rules.rs
+++ b/crates/experiments/src/capacity/control/rules.rs
@@ -1,17 +1,17 @@
-//! The rules that a run has to keep. They are about counts of work and about the operators' budget; none is about a time.
+//! The rules that a run is checked against. They limit counts of work and the operators' budgets, and no durations.
 
 use super::scenario::{ONE_CHANGE, ONE_RESTART, ORDINARY_DAY, REST, Row};
 
-/// What must not grow with the fleet may do so by this factor from the smallest to the largest, for what chance does.
+/// Allowed factor from the smallest to the largest fleet for a quantity that must not grow. It leaves room for chance.
 const LEVEL: f64 = 1.6;
-/// What may grow in proportion to the fleet may do so by this factor more.
+/// Allowed factor beyond proportional growth for a quantity that may grow with the fleet.
 const PROPORTIONAL: f64 = 1.5;
 
-/// A bound on how a quantity grows from the smallest fleet to the largest.
+/// A limit on the growth of a quantity from the smallest fleet to the largest.
 struct GrowthRule {
     scenario: &'static str,
     quantity: &'static str,
-    /// Whether it may grow in proportion to the fleet.
+    /// Whether the quantity may grow in proportion to the fleet.
     proportional: bool,
 }
 
@@ -21,25 +21,26 @@
     GrowthRule { scenario: ONE_CHANGE, quantity: "policy B a forwarder", proportional: false },
     GrowthRule { scenario: ONE_CHANGE, quantity: "policy requests a forwarder", proportional: false },
     GrowthRule { scenario: ONE_RESTART, quantity: "duties requests a forwarder", proportional: false },
-    // Each change is read by all members of a region, with all of them in it.
+    // All members of a region read each change of the membership, and the answer lists all members.
     GrowthRule { scenario: ONE_RESTART, quantity: "duties B a forwarder", proportional: true },
 ];
 
-/// A bound on a quantity, whatever the size of the fleet.
+/// A limit on a quantity that is the same for all fleet sizes.
 struct CeilingRule {
     scenario: &'static str,
     quantity: &'static str,
     most: f64,
 }
 
-/// A change of a policy of some 60 bytes costs a forwarder 3,200 to 3,500 bytes: its looks, its vote, what it has in force.
+/// A change of a policy of about 60 bytes costs a forwarder 3,200 to 3,500 bytes: its blocking queries, its vote and
+/// its report of the policy in force.
 const CEILING_RULES: [CeilingRule; 1] =
     [CeilingRule { scenario: ONE_CHANGE, quantity: "policy B a forwarder", most: 6_000.0 }];
 
-/// Scenarios in which the operators' budget is held, and has to stay so.
+/// The scenarios that have to stay within the operators' budget.
 const BUDGETED: [&str; 2] = [REST, ORDINARY_DAY];
 
-/// The rules that these rows break, each in a sentence.
+/// Returns one sentence for each rule that the rows violate.
 pub fn broken(rows: &[Row]) -> Vec<String> {
     let grown = GROWTH_RULES.iter().filter_map(|rule| grows_too_much(rule, rows));
     let budgeted = rows.iter().filter(|row| BUDGETED.contains(&row.scenario.as_str()));
--- a/crates/experiments/src/capacity/control/scenario.rs
+++ b/crates/experiments/src/capacity/control/scenario.rs
@@ -1,36 +1,37 @@
-//! What the operators ask of control, worked out from the phases that were measured: what it costs in each scenario, and
-//! how that grows with the fleet.
+//! Scenarios computed from the measured phases: the cost of the control plane in each scenario, and its growth with the
+//! fleet.
 
 use super::load::{Load, Quantity};
 use super::phases::{FleetResult, Phase, PolicyTime};
 use crate::capacity::fit::{Fit, Point, growth_exponent, line};
 
-/// Changes of configuration a day.
+/// Configuration changes per day.
 const CHANGES_A_DAY: f64 = 2_500.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
-/// All of them within eight hours, and three times as many at the peak of these.
+/// Configuration changes per second at the peak. All changes of a day fall within eight hours, and the peak rate is
+/// three times the mean rate of these hours.
 const PEAK_CHANGES_A_SECOND: f64 = 3.0 * CHANGES_A_DAY / 28_800.0;
-/// A rolling restart of all takes so long.
+/// Duration of a rolling restart of all forwarders, in seconds.
 const ROLLING_RESTART_SECONDS: f64 = 3_600.0;
-/// A policy is to be in force everywhere within so many seconds of its proposal.
+/// Maximum time from a proposal until the policy is in force everywhere, in seconds.
 const POLICY_BUDGET: f64 = 10.0;
-/// A power below this is no growth, and one above the other is by the square.
+/// A growth exponent below `NO_GROWTH` counts as no growth, and one of at least `BY_THE_SQUARE` as quadratic growth.
 const NO_GROWTH: f64 = 0.25;
 const BY_THE_SQUARE: f64 = 1.4;
 
-/// How a row came about.
+/// The way in which a row's values were obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// Measured as it stands.
+    /// The values were measured.
     Measured,
-    /// What one event costs, measured, times the rate at which they are reckoned.
+    /// The values are the load at rest plus the measured cost of one event times an assumed rate.
     CostTimesRate,
-    /// What one event costs, on top of what it is at rest.
+    /// The values are the cost of one event on top of the load at rest.
     CostOfOne,
 }
 
 impl Basis {
-    /// What it is called in a table.
+    /// Returns the label in tables.
     pub fn label(self) -> &'static str {
         match self {
             Basis::Measured => "measured",
@@ -40,19 +41,19 @@
     }
 }
 
-/// How a quantity grows with the fleet.
+/// The growth of a quantity with the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Growth {
-    /// It does not.
+    /// The quantity does not grow.
     Level,
-    /// In proportion.
+    /// The quantity grows in proportion to the number of forwarders.
     Proportional,
-    /// By the square.
+    /// The quantity grows with the square of the number of forwarders.
     Square,
 }
 
 impl Growth {
-    /// What it is called in a table.
+    /// Returns the label in tables.
     pub fn label(self) -> &'static str {
         match self {
             Growth::Level => "level",
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The place on the axis of a fit: the forwarders, or their square.
+    /// Returns the x value for the fit: the number of forwarders, or its square.
     fn place(self, forwarders: f64) -> f64 {
         if self == Growth::Square { forwarders.powi(2) } else { forwarders }
     }
@@ -77,64 +78,64 @@
     }
 }
 
-/// A quantity in a scenario, for each size of the fleet.
+/// The values of a quantity in a scenario, for each fleet size.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// How it came about.
+    /// The way in which the values were obtained.
     pub basis: Basis,
-    /// What was measured, with its unit.
+    /// Label of the quantity, with its unit.
     pub quantity: &'static str,
-    /// The most that is allowed.
+    /// Maximum allowed value, or `None` if there is no limit.
     pub budget: Option<f64>,
-    /// Forwarders, and the quantity.
+    /// Number of forwarders and value, in ascending order of the forwarders.
     pub points: Vec<Point>,
 }
 
-/// A row's growth, and the line through it: over the forwarders, or over their square.
+/// The growth of a row, and the line fitted over the number of forwarders or over its square.
 #[derive(Clone, Copy, Debug)]
 pub struct Trend {
-    /// How it grows.
+    /// Kind of growth.
     pub growth: Growth,
-    /// The power with which it does.
+    /// Growth exponent, or `None` if fewer than two points are positive.
     pub power: Option<f64>,
-    /// The line.
+    /// The fitted line.
     pub fit: Fit,
 }
 
 impl Trend {
-    /// The line at so many forwarders.
+    /// Returns the value of the line for a number of forwarders.
     pub fn at(&self, forwarders: f64) -> f64 {
         self.fit.at(self.growth.place(forwarders))
     }
 }
 
 impl Row {
-    /// The quantity at the largest size.
+    /// Returns the value at the largest fleet size, or 0 if there is none.
     pub fn last(&self) -> f64 {
         self.points.last().map_or(0.0, |(_, value)| *value)
     }
 
-    /// How many times its budget it takes at the largest size.
+    /// Returns the value at the largest fleet size as a multiple of the budget, or `None` without a budget.
     pub fn factor(&self) -> Option<f64> {
         self.budget.map(|budget| self.last() / budget)
     }
 
-    /// How many times the value at the smallest size it is at the largest.
+    /// Returns the value at the largest fleet size as a multiple of that at the smallest, or 1 if that is 0.
     pub fn ratio(&self) -> f64 {
         let first = self.points.first().map_or(0.0, |(_, value)| *value);
         if first > 0.0 { self.last() / first } else { 1.0 }
     }
 
-    /// How it grows; none where there is one size alone.
+    /// Returns the growth, or `None` if there is only one fleet size.
     pub fn trend(&self) -> Option<Trend> {
         let (growth, power) = Growth::of(&self.points);
         let points: Vec<Point> = self.points.iter().map(|(x, y)| (growth.place(*x), *y)).collect();
         Some(Trend { growth, power, fit: line(&points)? })
     }
 
-    /// From how many forwarders on its budget does not hold, by the line; none where it always does.
+    /// Returns the number of forwarders from which the line exceeds the budget, or `None` if it never does.
     pub fn fails_from(&self) -> Option<f64> {
         let (budget, trend) = (self.budget?, self.trend()?);
         if trend.growth == Growth::Level {
@@ -146,19 +147,19 @@
     }
 }
 
-/// What one event of a phase costs on top of what it is at rest.
+/// Returns the cost of one event of a phase on top of the load at rest.
 fn cost(result: &FleetResult, phase: Phase) -> Option<Load> {
     let (rest, busy) = (result.phases.get(&Phase::Rest)?, result.phases.get(&phase)?);
     Some(busy.load.cost_of_event(&rest.load, busy.seconds, busy.events))
 }
 
-/// The load at rest with events of a phase at a rate a second.
+/// Returns the load at rest with the events of a phase added at `rate` events per second.
 fn at_rate(result: &FleetResult, phase: Phase, rate: f64) -> Option<Load> {
     let (rest, busy) = (result.phases.get(&Phase::Rest)?, result.phases.get(&phase)?);
     Some(rest.load.with_events(&cost(result, phase)?, rate, &busy.load))
 }
 
-/// The rows of a scenario, one for each quantity; none where it was not played.
+/// Returns the rows of a scenario, one for each quantity. Returns no rows if a fleet did not run the scenario.
 fn rows(
     results: &[FleetResult],
     scenario: &str,
@@ -188,12 +189,12 @@
 pub const REST: &str = "at rest";
 /// The scenario of an ordinary day.
 pub const ORDINARY_DAY: &str = "2500 changes a day";
-/// What one change costs.
+/// The scenario with the cost of one change.
 pub const ONE_CHANGE: &str = "one change";
-/// What one restart costs.
+/// The scenario with the cost of one restart.
 pub const ONE_RESTART: &str = "one restart";
 
-/// All rows, scenario by scenario.
+/// Returns all rows, grouped by scenario.
 pub fn all(results: &[FleetResult]) -> Vec<Row> {
     let by_day = |result: &FleetResult| at_rate(result, Phase::Changes, CHANGES_A_DAY / SECONDS_A_DAY);
     let rolling = |result: &FleetResult| {
@@ -223,7 +224,7 @@
     .concat()
 }
 
-/// When policies were in force, after each thing that may have happened before.
+/// Returns the rows with the times until policies were in force, for each event before the proposal.
 fn policy_rows(results: &[FleetResult]) -> Vec<Row> {
     let mut kinds: Vec<&str> = Vec::new();
     for time in results.iter().flat_map(|result| &result.times) {
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -1,7 +1,7 @@
-//! A control stand-in: the process that the forwarders of one zone connect to.
+//! The control stand-in, a process that the forwarders of one zone connect to as to their Consul servers.
 //!
-//! It has two links, to the commit point and to the duties of its region, each a fault proxy that counts bytes, and the
-//! stores that are kept in its zone.
+//! It has a link to the commit point and a link to the lease store of its region, and it runs the stores of its zone.
+//! Each link is a fault proxy that counts bytes.
 
 use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
 use super::reporting::report;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A link of the zone, and the store behind it where that is kept here.
+/// A link of the zone, with the store behind it if this process runs that store.
 struct Link {
     proxy: FaultProxy,
     store: Option<ConsulServer>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs until the requests end.
+/// Runs the control stand-in until the request channel closes.
 pub async fn run(role: &ControlRole, mut requests: UnboundedReceiver<Request>) {
     let stage = ServerRuntime::new();
     let policy = Link::new(&stage, role.policy);
@@ -82,7 +82,7 @@
                 duties.sessions_end_after(ttls);
             }
             Request::Begin | Request::Restart(_) | Request::Kill(_) => {
-                eprintln!("a control stand-in has no members: {request:?}");
+                eprintln!("not a request for a control stand-in: {request:?}");
             }
         }
     }
--- a/crates/experiments/src/capacity/control/table.rs
+++ b/crates/experiments/src/capacity/control/table.rs
@@ -1,4 +1,4 @@
-//! The table, the chart and the JSON line of the experiment.
+//! The table, the chart and the JSON line of the experiment `capacity-control`.
 
 use super::load::Quantity;
 use super::scenario::{Growth, Row};
@@ -6,16 +6,16 @@
 use crate::report::{Chart, ChartSeries, ExperimentReport};
 use serde_json::{Value, json};
 
-/// A size of the fleet, and the name of its column.
+/// A fleet size with the name of its column.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Forwarders.
+    /// Number of forwarders.
     pub members: usize,
-    /// The column.
+    /// Heading of the column.
     pub column: &'static str,
 }
 
-/// All that the experiment has shown.
+/// Returns the report of the experiment.
 pub fn outcome(run: &RunOptions, sizes: &[FleetSize], rows: &[Row], broken: Vec<String>) -> ExperimentReport {
     ExperimentReport {
         columns: columns(sizes),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Three digits that count.
+/// Formats a value with three significant digits.
 fn figure(value: f64) -> String {
     let digits = match value.abs() {
         0.0 => return "0".to_owned(),
@@ -82,7 +82,7 @@
     format!("{value:.digits$}")
 }
 
-/// The budgets that the largest fleet misses, the furthest first.
+/// Returns the budgets that the largest fleet exceeds, in descending order of the factor.
 fn missed(rows: &[Row]) -> Vec<Value> {
     let mut missed: Vec<(&Row, f64)> =
         rows.iter().filter_map(|row| Some((row, row.factor().filter(|factor| *factor > 1.0)?))).collect();
@@ -96,7 +96,8 @@
     json!({"scenario": row.scenario, "what": row.quantity, "values": values.collect::<Vec<_>>()})
 }
 
-/// Bytes a second of a forwarder in the scenarios in which they grow with the fleet, and the lines fitted to them.
+/// Returns a chart of the bytes per second and forwarder in the scenarios in which they grow with the fleet, with the
+/// fitted lines.
 fn chart(rows: &[Row]) -> Chart {
     let label = Quantity::Bytes.label();
     let mut lines = Vec::new();
--- a/crates/experiments/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -1,4 +1,5 @@
-//! The destinations that a forwarder is told of: some served by a partner, some down, which refuse connections.
+//! The destinations on a forwarder's endpoint list. The endpoints of some serve, and those of the others are down: they
+//! refuse connections.
 
 use super::client::{LIFE_SECONDS, TENANT};
 use orchidyoke_fakes::DestinationServer;
@@ -12,25 +13,27 @@
 use std::net::SocketAddr;
 use tokio::net::TcpSocket;
 
-/// Addresses that serve; destinations share them, because each has a socket that listens.
+/// Number of addresses that serve. Destinations share them, because each address needs a listening socket.
 const SERVING: usize = 50;
-/// Limit of the folder: journals of a million messages have room to be rewritten.
+/// Disk limit of the state folder, in megabytes. It leaves room to compact a journal of a million messages.
 const DISK_MB: f64 = 4096.0;
-/// Nobody's worth sinks for going over a quota.
+/// Quota of the tenant, in messages per second. No run exceeds it, so no message gets the lower weight that applies
+/// above a quota.
 const QUOTA: f64 = 1e6;
 
-/// Addresses of endpoints: those of a partner, and one that refuses connections.
+/// Addresses for endpoints: those of a fake server, and one that refuses connections.
 #[derive(Debug)]
 pub struct Endpoints {
     _partner: DestinationServer,
     serving: Vec<SocketAddr>,
     refusing: SocketAddr,
-    /// Bound and not listening: the system refuses whoever connects, and gives the port to nobody else.
+    /// A socket that is bound but does not listen, so that the system refuses connections to its port and gives the
+    /// port to no other process.
     _bound: TcpSocket,
 }
 
 impl Endpoints {
-    /// Opens them.
+    /// Opens the addresses.
     pub fn open() -> io::Result<Self> {
         let partner = DestinationServer::new(CapacityModel::default());
         let serving = (0..SERVING).map(|_| partner.open_endpoint()).collect();
@@ -43,16 +46,16 @@
 /// Destinations 1 to `count` with one endpoint each.
 #[derive(Clone, Debug)]
 pub struct Destinations {
-    /// Those whose endpoint serves.
+    /// Destinations whose endpoint serves.
     pub up: Vec<u64>,
-    /// Those whose endpoint refuses connections.
+    /// Destinations whose endpoint refuses connections.
     pub down: Vec<u64>,
-    /// One entry each, in discovery's form.
+    /// One entry per destination, in the format of the endpoint list.
     pub targets: Vec<Value>,
 }
 
 impl Destinations {
-    /// Draws which are down.
+    /// Chooses at random the destinations that are down: the share `part_down` of all.
     pub fn new(endpoints: &Endpoints, count: usize, part_down: f64, rng: &mut StdRng) -> Self {
         let mut drawn: Vec<u64> = (1..=count as u64).collect();
         drawn.shuffle(rng);
@@ -67,7 +70,7 @@
         Destinations { up, down: drawn, targets }
     }
 
-    /// Adds one more that serves; gives its number.
+    /// Adds a destination that serves, and returns its number.
     pub fn add(&mut self, endpoints: &Endpoints) -> u64 {
         let destination = self.targets.len() as u64 + 1;
         self.targets.push(entry(destination, endpoints.serving[0]));
@@ -75,7 +78,7 @@
         destination
     }
 
-    /// The configuration of a forwarder that knows them from its start.
+    /// Returns the configuration of a forwarder that knows the destinations from its start.
     pub fn config(&self, discovery: SocketAddr, seed: u64) -> String {
         let mut setup = ForwarderConfig::new(discovery);
         setup.max_open = 0;
@@ -94,12 +97,12 @@
         config.to_string()
     }
 
-    /// The whole list, as discovery tells it.
+    /// Returns a snapshot of the list, as discovery sends it.
     pub fn whole_list(&self, version: u64) -> String {
         json!({"rev": version, "all": true, "targets": self.targets}).to_string()
     }
 
-    /// The last entry alone, as discovery tells a change.
+    /// Returns a delta with the last entry, as discovery sends it.
     pub fn last_entry(&self, version: u64) -> String {
         json!({"rev": version, "all": false, "targets": [self.targets.last()]}).to_string()
     }
--- a/crates/experiments/src/capacity/error.rs
+++ b/crates/experiments/src/capacity/error.rs
@@ -1,30 +1,30 @@
-//! Why a capacity experiment cannot go on.
+//! Errors of the capacity experiments.
 
 use super::budget::BudgetError;
 use std::fmt;
 use std::io;
 use std::time::Duration;
 
-/// Why a measurement was not taken.
+/// The reason why a measurement failed.
 #[derive(Debug)]
 pub enum CapacityError {
-    /// It was not done within its time limit.
+    /// An operation exceeded its time limit.
     TooSlow {
-        /// What was waited for.
+        /// The awaited condition, as text for the message.
         what: &'static str,
-        /// The time limit.
+        /// The time limit that was exceeded.
         limit: Duration,
     },
-    /// The forwarder has ended; its last lines.
+    /// The forwarder has exited. Holds the last lines of its log.
     Ended(Vec<String>),
-    /// The forwarder turned a message away that it should have taken on.
+    /// The forwarder refused a message that it should have accepted.
     TurnedAway {
-        /// The status that it answered.
+        /// Status code of the response.
         status: u16,
     },
-    /// The experiment uses more of the machine than it may.
+    /// The experiment exceeds its budget, or its use cannot be read.
     Budget(BudgetError),
-    /// A file or a socket failed.
+    /// An operation on a file, a socket or a process failed.
     Io(io::Error),
 }
 
@@ -32,8 +32,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CapacityError::TooSlow { what, limit } => write!(f, "{what}: not within {} s", limit.as_secs()),
-            CapacityError::Ended(lines) => write!(f, "the forwarder has ended: {}", lines.join(" / ")),
-            CapacityError::TurnedAway { status } => write!(f, "a message was answered {status}"),
+            CapacityError::Ended(lines) => write!(f, "the forwarder has exited: {}", lines.join(" / ")),
+            CapacityError::TurnedAway { status } => write!(f, "a message was refused with status {status}"),
             CapacityError::Budget(error) => error.fmt(f),
             CapacityError::Io(error) => error.fmt(f),
         }
--- a/crates/experiments/src/capacity/fit.rs
+++ b/crates/experiments/src/capacity/fit.rs
@@ -1,32 +1,32 @@
-//! Straight lines through measured points, by ordinary least squares.
+//! Linear regression of measured points, by ordinary least squares.
 
-/// A measured point: what was set, and what was measured.
+/// A measured point: the size that was set (x) and the value that was measured (y).
 pub type Point = (f64, f64);
 
-/// A line through points, and how well it fits them.
+/// A fitted line, and the quality of the fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Growth of the measured quantity with each one more of what was set.
+    /// Growth of the measured value per unit of the size.
     pub slope: f64,
-    /// The line's value at 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Part of the variance that the line explains: 1 where all points lie on it. It is 1 too where all points are
-    /// level, for a level line misses none of them.
+    /// Share of the variance that the line explains: 1 if all points lie on it. It is also 1 if all values are equal,
+    /// because the horizontal line then passes through every point.
     pub r_squared: f64,
-    /// Root of the mean square of the distances from the line, in the unit of what was measured.
+    /// Root mean square of the vertical distances from the line, in the unit of the value.
     pub residual: f64,
-    /// Points that it was fitted to.
+    /// Number of points that the line was fitted to.
     pub points: usize,
 }
 
 impl Fit {
-    /// The line at a place.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// Fits a line; none where there are fewer than two places to fit it to.
+/// Fits a line to the points. Returns `None` if there are fewer than two different x values.
 pub fn line(points: &[Point]) -> Option<Fit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -44,8 +44,9 @@
     Some(Fit { slope, intercept, r_squared, residual: (missed / count).sqrt(), points: points.len() })
 }
 
-/// The power with which the measured quantity grows: 1 where it is in proportion, 2 where it is by the square, 0 where
-/// it does not grow. It is the slope of the line through the logarithms; points that have none are left out.
+/// Returns the exponent with which the value grows: 1 for linear growth, 2 for quadratic growth, 0 for no growth. It is
+/// the slope of the line through the logarithms. Points that are not positive have no logarithm and are left out.
+/// Returns `None` if fewer than two different x values remain.
 pub fn growth_exponent(points: &[Point]) -> Option<f64> {
     let positive = points.iter().filter(|(x, y)| *x > 0.0 && *y > 0.0);
     let logarithms: Vec<Point> = positive.map(|(x, y)| (x.ln(), y.ln())).collect();
--- a/crates/experiments/src/capacity/forwarder.rs
+++ b/crates/experiments/src/capacity/forwarder.rs
@@ -1,5 +1,5 @@
-//! `capacity-forwarder`: what one forwarder costs by destinations listed and by messages waiting, as lines through
-//! measured points, held against the aims for 100,000 destinations.
+//! `capacity-forwarder`: measures the cost of one forwarder by the number of destinations listed and of messages
+//! waiting. It fits lines to the measured points and checks the aims for 100,000 destinations.
 
 mod aims;
 mod listed;
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// Quantities that get a chart of their own beside the main one.
+/// Quantities that get a chart of their own beside the main one, with the file name's suffix.
 const CHARTS: [(&str, Quantity); 4] = [
     ("ready", quantities::READY),
     ("resident", quantities::RESIDENT),
@@ -27,8 +27,8 @@
     ("waiting-ready", quantities::WAITING_READY),
 ];
 
-/// Measures, and holds the aims against what was measured. Sabotage has the list read again along with every message, so
-/// that a message costs in proportion to it; only the ratio of costs is measured then.
+/// Runs the measurements and checks the aims. Under sabotage the forwarder reloads its configuration with the list
+/// before every message, so that the cost of a message grows with the list, and only the ratio of costs is measured.
 pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let plan = if run.quick { Plan::quick() } else { Plan::full() };
     let mut rig = Rig::new(run, plan)?;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Writes every point, and a chart each for the quantities that the main one does not show.
+/// Writes a CSV file with every point, and one chart for each quantity in [`CHARTS`].
 fn write_more(rig: &Rig, folder: &Path) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("capacity-forwarder-points.csv"), rig.measurements.points_csv())?;
--- a/crates/experiments/src/capacity/forwarder/aims.rs
+++ b/crates/experiments/src/capacity/forwarder/aims.rs
@@ -1,4 +1,5 @@
-//! The aims for 100,000 destinations, each held or missed with its figure. The short form holds them at its own sizes.
+//! The aims for 100,000 destinations, each held or missed with its measured value. The quick run checks them at its own
+//! sizes.
 
 use super::quantities;
 use super::ratio::Ratio;
@@ -7,48 +8,49 @@
 use serde_json::{Value, json};
 use std::fmt;
 
-/// A message at the largest list costs at most so many times what it costs at the smallest.
+/// Maximum cost of a message with the largest list, as a multiple of the cost with the smallest.
 const MESSAGE_GROWTH: f64 = 1.5;
-/// The same in the short form, whose few messages leave more to chance: four runs on a busy machine gave 0.84 to 1.34.
+/// The same limit for the quick run, whose few messages make the ratio less exact: 0.84 to 1.34 on a busy machine.
 const MESSAGE_GROWTH_SHORT: f64 = 2.0;
-/// Ten times as many destinations take at most so many times as long to be ready with.
+/// Maximum time to be ready as a multiple of the time with [`READY_APART`] times fewer destinations.
 const READY_GROWTH: f64 = 13.0;
-/// Lists whose times to be ready are compared are so many times apart.
+/// Ratio of the sizes of the two lists whose times to be ready are compared.
 const READY_APART: usize = 10;
-/// Time to be ready with the largest list, in milliseconds.
+/// Maximum time to be ready with the largest list, in milliseconds.
 const READY_MOST: f64 = 5_000.0;
-/// Memory for a destination listed, in bytes: a third of what it was.
+/// Maximum memory per destination listed, in bytes.
 const MEMORY_MOST: f64 = MEMORY_BEFORE / 3.0;
-/// What it was. The short form holds it: lists as short as its own show the allocator's reserves as much as the list.
+/// Memory per destination listed before it was reduced to a third, in bytes. The quick run uses it as its limit,
+/// because with its short lists the allocator's reserves weigh as much as the list.
 const MEMORY_BEFORE: f64 = 1_600.0;
 
-/// What was measured beside the series.
+/// Results that are not part of the series.
 #[derive(Debug, Default)]
 pub struct Gathered {
-    /// The cost of a message at two sizes with a part down, where it could be measured.
+    /// Cost of a message at two list sizes with a part down, or `None` if it could not be measured.
     pub part_down: Option<Ratio>,
-    /// The same with all down.
+    /// Cost of a message at two list sizes with all down, or `None` if it was not or could not be measured.
     pub all_down: Option<Ratio>,
-    /// What could not be played, in a sentence each.
+    /// One sentence for each part that could not be run.
     pub unplayed: Vec<String>,
 }
 
-/// An aim, and what was measured.
+/// An aim with its limit and the measured value.
 #[derive(Clone, Debug)]
 pub struct Aim {
     what: String,
-    /// What was measured; none where it could not be.
+    /// Measured value, or `None` if it could not be measured.
     measured: Option<f64>,
     most: f64,
 }
 
 impl Aim {
-    /// Whether it was measured and lies within its bound.
+    /// Returns whether the value was measured and is within its limit.
     pub fn is_held(&self) -> bool {
         self.measured.is_some_and(|measured| measured <= self.most)
     }
 
-    /// As JSON.
+    /// Returns the aim as JSON.
     pub fn json(&self) -> Value {
         json!({"aim": self.what, "measured": self.measured, "most": self.most, "held": self.is_held()})
     }
@@ -62,7 +64,7 @@
     }
 }
 
-/// All aims that this run has to hold.
+/// Returns all aims that apply to this run.
 pub fn all(rig: &Rig, gathered: &Gathered) -> Vec<Aim> {
     let mut aims = vec![message(rig, "2.9% down and waiting", gathered.part_down)];
     if !rig.sabotage {
@@ -93,7 +95,7 @@
 fn ready_growth(rig: &Rig) -> Aim {
     let large = rig.plan.largest();
     let small = large / READY_APART;
-    // The short form goes by processor time, which does not tell how busy the machine is.
+    // The quick run compares processor time, which does not depend on the load of the machine.
     let quantity = if rig.quick { quantities::READY_PROCESSOR } else { quantities::READY };
     let at = |listed| rig.measurements.least(quantity, listed);
     Aim {
@@ -112,7 +114,8 @@
     }
 }
 
-/// The steepest of the lines: memory does not depend on what is down.
+/// Returns the aim for memory, with the largest slope of all settings, because memory does not depend on the
+/// destinations that are down.
 fn memory(rig: &Rig) -> Aim {
     let slopes = rig.measurements.of(quantities::RESIDENT).filter_map(|series| Some(series.fit()?.slope));
     Aim {
--- a/crates/experiments/src/capacity/forwarder/listed.rs
+++ b/crates/experiments/src/capacity/forwarder/listed.rs
@@ -1,4 +1,5 @@
-//! Costs by destinations listed: a start, rest, messages, changes of the list, a reload, and a start on the journal.
+//! Costs by the number of destinations listed: of a start, at rest, of a message, of a change of the list, of a reload,
+//! and of a start on an existing journal.
 
 use super::plan::PARTS_DOWN;
 use super::quantities::{self, milliseconds};
@@ -11,8 +12,8 @@
 const POLL: Duration = Duration::from_millis(2);
 const ACCEPTED: u16 = 202;
 
-/// Plays every size with each part of the destinations down; gives what could not be played. Where a size fails, larger
-/// ones are left out.
+/// Measures every list size with each share of the destinations down. If a size is too slow, the larger ones are left
+/// out. Returns one sentence for each part that could not be run.
 pub fn measure(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
     for listed in rig.plan.listed.clone() {
         for part_down in PARTS_DOWN {
@@ -56,8 +57,8 @@
     rig.add_listed(quantities::RESIDENT, setting, listed, cost.usage.resident as f64);
 }
 
-/// A message waits for each destination that is down, up to a number; others are handed in one by one then, to
-/// destinations that serve if there are any.
+/// Has one message wait for each destination that is down, up to `most_down_given` of the plan. Then sends messages one
+/// by one, to destinations that serve if there are any, and measures their cost.
 fn measure_messages(
     rig: &mut Rig,
     started: &Started,
@@ -89,8 +90,8 @@
     Ok(())
 }
 
-/// One entry is added by a change, another by the whole list; a reload reads the configuration as it was at the start;
-/// and a start on the journal finds all of it.
+/// Measures a delta that adds one entry, a snapshot that adds another, a reload of the unchanged configuration, and a
+/// start on the journal that holds all of it.
 fn measure_changes(
     rig: &mut Rig,
     mut started: Started,
@@ -125,21 +126,22 @@
     Ok(())
 }
 
-/// Has discovery tell this, and waits until the destination that is new in it is known.
+/// Publishes a list through discovery, and waits until the forwarder knows the destination that the list adds.
 fn take_list(rig: &mut Rig, started: &Started, list: &str, added: u64) -> Result<Cost, CapacityError> {
     let Started { process, platform, .. } = started;
     let limit = rig.plan.change_limit;
     let journal = process.journal_size()?;
     let ((), cost) = cost_of(process, || {
         platform.publish(list);
-        // What it has taken in is journaled before it is used: until then it is not disturbed by questions.
+        // The forwarder journals a list before it uses it. Until then no message is sent, because a message would add
+        // to the measured cost.
         wait_until("a change of the list", limit, || Ok(process.journal_size()? != journal))?;
         wait_for_destination(rig, process, added, limit)
     })?;
     Ok(cost)
 }
 
-/// Waits until a message to a destination is taken on.
+/// Sends messages to a destination until one is accepted.
 fn wait_for_destination(
     rig: &mut Rig,
     process: &ForwarderProcess,
--- a/crates/experiments/src/capacity/forwarder/plan.rs
+++ b/crates/experiments/src/capacity/forwarder/plan.rs
@@ -1,46 +1,46 @@
-//! What is played: sizes, and how long each part may take.
+//! The sizes and time limits of a run.
 
 use std::time::Duration;
 
-/// Parts of the destinations that are down.
+/// Shares of the destinations that are down, each measured in turn.
 pub const PARTS_DOWN: [f64; 3] = [0.0, PART_DOWN, 1.0];
-/// The part that is down on an ordinary day.
+/// Share of the destinations that is down on an ordinary day.
 pub const PART_DOWN: f64 = 0.029;
 
-/// Sizes and times of a run.
+/// The sizes and time limits of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Destinations listed, rising.
+    /// Numbers of destinations listed, ascending.
     pub listed: Vec<usize>,
-    /// Messages taken on one after another, rising; each is measured.
+    /// Numbers of accepted messages at which the cost is measured, ascending.
     pub taken: Vec<usize>,
-    /// Messages in a journal that is read at a start, rising.
+    /// Numbers of messages in a journal that is read at a start, ascending.
     pub journaled: Vec<usize>,
-    /// Destinations listed while messages wait.
+    /// Number of destinations listed in the measurements by waiting messages.
     pub listed_while_waiting: usize,
-    /// Destinations that are given a message each, at most, where they are down.
+    /// Maximum number of destinations that are down and get one waiting message each.
     pub most_down_given: usize,
-    /// Messages handed in on one connection to measure what one costs.
+    /// Number of messages sent on one connection to measure the cost of one.
     pub messages: usize,
-    /// Turns by which the costs at the smallest and the largest list are compared, and messages in each.
+    /// Number of turns in which the costs with the smallest and the largest list are compared.
     pub turns: usize,
-    /// Messages in a turn.
+    /// Number of messages in a turn.
     pub messages_in_turn: usize,
-    /// Time from the messages that come to wait until anything is measured: trial calls at destinations that are down
-    /// are most frequent at first.
+    /// Pause between the sending of the waiting messages and the measurement. Trial calls to destinations that are
+    /// down are most frequent at first.
     pub settle: Duration,
-    /// Time for which a forwarder at rest is watched.
+    /// Length of a measurement at rest.
     pub rest: Duration,
-    /// A start that takes longer ends the rising of its sizes.
+    /// Maximum time of a start. If a start takes longer, larger sizes are left out.
     pub start_limit: Duration,
-    /// Time for messages of one part of a play.
+    /// Maximum time for sending the messages of one measurement.
     pub hand_in_limit: Duration,
-    /// Time for a change of the list, or a reload.
+    /// Maximum time for a change of the list or a reload.
     pub change_limit: Duration,
 }
 
 impl Plan {
-    /// The whole: minutes.
+    /// Returns the sizes and limits of the full run, which takes minutes.
     pub fn full() -> Self {
         Plan {
             listed: vec![1_000, 3_000, 10_000, 30_000, 100_000],
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Seconds, for a look and for tests.
+    /// Returns the sizes and limits of the quick run, which takes seconds and is for tests and a first impression.
     pub fn quick() -> Self {
         Plan {
             listed: vec![300, 1_000, 3_000],
@@ -76,12 +76,12 @@
         }
     }
 
-    /// The least of the lists.
+    /// Returns the smallest number of destinations listed.
     pub fn smallest(&self) -> usize {
         self.listed.first().copied().unwrap_or_default()
     }
 
-    /// The largest of the lists.
+    /// Returns the largest number of destinations listed.
     pub fn largest(&self) -> usize {
         self.listed.last().copied().unwrap_or_default()
     }
--- a/crates/experiments/src/capacity/forwarder/quantities.rs
+++ b/crates/experiments/src/capacity/forwarder/quantities.rs
@@ -1,4 +1,4 @@
-//! What is measured, with names and units.
+//! The measured quantities, with their names in tables and their units.
 
 use crate::capacity::series::Quantity;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 quantity!(WAITING_DISK, "journal with messages in it", "bytes");
 quantity!(WAITING_REST, "processor a second with messages from the journal", "ms");
 
-/// A time in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn milliseconds(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
--- a/crates/experiments/src/capacity/forwarder/ratio.rs
+++ b/crates/experiments/src/capacity/forwarder/ratio.rs
@@ -1,5 +1,5 @@
-//! The cost of a message at the smallest and the largest list, side by side and by turns, so that what else the machine
-//! does weighs on both alike.
+//! Comparison of the cost of a message with the smallest and the largest list. Two forwarders run side by side and are
+//! measured in turns, so that other load on the machine affects both alike.
 
 use super::plan::{PART_DOWN, Plan};
 use super::quantities::milliseconds;
@@ -10,23 +10,25 @@
 use crate::capacity::forwarder_process::ForwarderProcess;
 use std::time::{Duration, Instant};
 
-/// One side of the comparison.
+/// One forwarder of the comparison.
 struct Side {
     started: Started,
-    /// Destinations that messages are handed in to.
+    /// Destinations that the measured messages are sent to.
     to: Vec<u64>,
-    /// Milliseconds of processor time a second with the waiting messages alone.
+    /// Processor time per second with only the waiting messages, in milliseconds.
     rest: f64,
-    /// The least cost of a message in a turn, in milliseconds.
+    /// Lowest cost of a message over the turns so far, in milliseconds.
     least: f64,
 }
 
-/// What one more message does at both lists.
+/// The situation in which messages are sent with both lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// An ordinary day: a part is down, with a message waiting for each, and messages go to the others.
+    /// An ordinary day: a share of the destinations is down, each with one waiting message, and the measured messages
+    /// go to the other destinations.
     PartDown,
-    /// All are down, with the same number of messages waiting at both lists, and messages join them.
+    /// All destinations are down, the same number of messages wait with both lists, and the measured messages join
+    /// them.
     AllDown,
 }
 
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Destinations of a list that get a message to wait with.
+    /// Returns the number of destinations that get a waiting message.
     fn given(self, plan: &Plan, destinations: &Destinations) -> usize {
         match self {
             Case::PartDown => destinations.down.len(),
@@ -47,23 +49,23 @@
     }
 }
 
-/// Costs at the smallest list and at the largest.
+/// Costs with the smallest list and with the largest.
 #[derive(Clone, Copy, Debug)]
 pub struct Ratio {
-    /// Processor time a message, in milliseconds: the least turn.
+    /// Processor time per message in the cheapest turn, in milliseconds.
     pub costs: [f64; 2],
-    /// Processor time a second before the messages, in milliseconds: with those waiting alone.
+    /// Processor time per second before the measured messages, with only the waiting ones, in milliseconds.
     pub rest: [f64; 2],
 }
 
 impl Ratio {
-    /// How many times as much a message costs at the large list.
+    /// Returns the cost of a message with the large list as a multiple of the cost with the small list.
     pub fn growth(&self) -> f64 {
         self.costs[1] / self.costs[0]
     }
 }
 
-/// Compares them; none where a forwarder with the large list cannot be had.
+/// Measures the costs with both lists. Returns `None` if a forwarder cannot be prepared within the time limits.
 pub fn measure(rig: &mut Rig, case: Case) -> Result<Option<Ratio>, CapacityError> {
     let (small, large) = (rig.plan.smallest(), rig.plan.largest());
     eprintln!("capacity-forwarder: a message with {small} listed against {large}, {case:?}");
@@ -87,7 +89,7 @@
     Ok(Some(Ratio { costs, rest }))
 }
 
-/// Starts one side, and has the messages wait that its case asks for.
+/// Starts the forwarder of one side and sends it the messages that have to wait.
 fn begin(rig: &mut Rig, case: Case, listed: usize) -> Result<Side, CapacityError> {
     let started = rig.start(listed, case.part_down())?;
     let destinations = &started.destinations;
@@ -103,7 +105,7 @@
     let messages = rig.messages_to_some(&side.to, rig.plan.messages_in_turn);
     let (limit, reloads) = (rig.plan.hand_in_limit, rig.sabotage);
     let process = &side.started.process;
-    // An idle connection is closed by the forwarder while the other side has its turn.
+    // The forwarder closes an idle connection while the other side has its turn, so each turn opens a new one.
     let mut client = [Client::connect(process.clients)?];
     let (taken, cost) = cost_of(process, || hand_in(process, &mut client, messages, reloads, limit))?;
     if taken == 0 {
@@ -113,7 +115,7 @@
     Ok(())
 }
 
-/// Hands them in one by one; `reloads` has the configuration with its list read again before each.
+/// Sends messages one by one. If `reloads` is `true`, the forwarder reloads its configuration before each message.
 fn hand_in(
     process: &ForwarderProcess,
     client: &mut [Client],
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -1,4 +1,5 @@
-//! What all parts of the experiment share: the program, the stand-ins, the budget, and what was measured so far.
+//! The state that all parts of the experiment share: the program, the fake endpoints, the budget, and the measurements
+//! so far.
 
 use super::plan::Plan;
 use super::quantities::milliseconds;
@@ -18,49 +19,50 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Memory set aside for a start, in the forwarder and in the experiment together: for one destination, and for a message.
+/// Memory that the budget check reserves per destination and per message of a start, in the forwarder and in the
+/// experiment together, in bytes.
 const MEMORY_FOR_ONE: u64 = 8 << 10;
-/// Connections that hand in at once where many messages are wanted.
+/// Number of parallel connections for sending many messages.
 pub const MANY_CLIENTS: usize = 64;
 
-/// The experiment's surroundings.
+/// The environment and the results of the experiment.
 pub struct Rig {
     program: PathBuf,
-    /// What is played.
+    /// Sizes and time limits of the run.
     pub plan: Plan,
-    /// Where all chance comes from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The short form is played.
+    /// Whether this is the quick run.
     pub quick: bool,
-    /// A message is made to cost in proportion to the list.
+    /// Whether the cost of a message is made to grow with the list.
     pub sabotage: bool,
-    /// Keeps the experiment within its budget.
+    /// Guard that keeps the experiment within its budget.
     pub guard: Guard,
-    /// Addresses of endpoints.
+    /// Addresses for endpoints.
     pub endpoints: Endpoints,
-    /// What was measured so far.
+    /// Measurements so far.
     pub measurements: Measurements,
     rng: StdRng,
     next_message: u64,
     next_folder: u64,
 }
 
-/// A forwarder that has started, with what it knows and what it follows.
+/// A started forwarder with its endpoint list, its discovery server and its folder.
 pub struct Started {
-    /// It.
+    /// The process of the forwarder.
     pub process: ForwarderProcess,
-    /// What its start has cost.
+    /// Cost of the start.
     pub cost: StartCost,
-    /// Its list.
+    /// Destinations on its list.
     pub destinations: Destinations,
-    /// Discovery, which tells nothing by itself.
+    /// Discovery server, which publishes a list only when asked to.
     pub platform: DiscoveryServer,
-    /// Its configuration and its state.
+    /// Folder with the configuration and the state.
     pub folder: TemporaryFolder,
 }
 
 impl Rig {
-    /// Opens the stand-ins, and checks that there is room to begin.
+    /// Opens the endpoints and checks that the experiment is within its budget.
     pub fn new(run: &RunOptions, plan: Plan) -> Result<Self, CapacityError> {
         let guard = Guard::start(budget(run)?);
         guard.check(&Used::default())?;
@@ -79,7 +81,8 @@
         })
     }
 
-    /// A folder with the configuration of a forwarder that knows so many destinations, a part of them down.
+    /// Creates a folder with the configuration of a forwarder that knows `listed` destinations, of which the share
+    /// `part_down` is down.
     pub fn prepare(
         &mut self,
         listed: usize,
@@ -93,7 +96,7 @@
         (folder, destinations, platform)
     }
 
-    /// Starts a forwarder on a folder, if the budget has room for what it will hold.
+    /// Starts a forwarder on a folder, if the budget has room for `held` destinations and messages.
     pub fn start_on(
         &self,
         folder: &TemporaryFolder,
@@ -102,37 +105,38 @@
         let resident = held as u64 * MEMORY_FOR_ONE;
         self.guard.check(&Used { resident, processes: 1, descriptors: MANY_CLIENTS })?;
         let started = ForwarderProcess::start(&self.program, folder, self.plan.start_limit);
-        // Where the guard has ended it, that is why.
+        // If the guard has killed the forwarder, its error is the cause.
         self.guard.check(&Used::default())?;
         started
     }
 
-    /// Starts a forwarder that knows so many destinations, a part of them down.
+    /// Starts a forwarder that knows `listed` destinations, of which the share `part_down` is down.
     pub fn start(&mut self, listed: usize, part_down: f64) -> Result<Started, CapacityError> {
         let (folder, destinations, platform) = self.prepare(listed, part_down);
         let (process, cost) = self.start_on(&folder, listed)?;
         Ok(Started { process, cost, destinations, platform, folder })
     }
 
-    /// Adds a point by destinations listed.
+    /// Adds a point to a series by destinations listed.
     pub fn add_listed(&mut self, quantity: Quantity, setting: &str, listed: usize, value: f64) {
         self.measurements.add(quantity, setting, Size::Listed, listed, value);
     }
 
-    /// A new message to a destination.
+    /// Returns a new message to a destination.
     pub fn message_to(&mut self, destination: u64) -> Message {
         self.next_message += 1;
         Message { id: format!("m{:09}", self.next_message), destination }
     }
 
-    /// New messages to destinations drawn from these.
+    /// Returns `count` new messages to destinations chosen at random from these.
     pub fn messages_to_some(&mut self, destinations: &[u64], count: usize) -> Vec<Message> {
         let drawn: Vec<u64> =
             (0..count).map(|_| destinations[self.rng.random_range(0..destinations.len())]).collect();
         drawn.into_iter().map(|destination| self.message_to(destination)).collect()
     }
 
-    /// Hands in a message for each destination on many connections, as far as the time goes; gives how many were taken.
+    /// Sends one message to each destination over [`MANY_CLIENTS`] connections, within the time limit of the plan.
+    /// Returns the number of accepted messages.
     pub fn give_each(
         &mut self,
         process: &ForwarderProcess,
@@ -144,7 +148,7 @@
         hand_in_all(&mut clients, &mut messages, limit)
     }
 
-    /// Processor time a second while nothing is handed in, in milliseconds.
+    /// Measures the processor time per second while no messages are sent, in milliseconds.
     pub fn at_rest(&self, process: &ForwarderProcess) -> Result<f64, CapacityError> {
         let (before, begin) = (process.processor()?, Instant::now());
         std::thread::sleep(self.plan.rest);
@@ -153,7 +157,7 @@
     }
 }
 
-/// Half of the machine, or less where the command line says so.
+/// Returns the default budget, with less memory if the command line asks for less.
 fn budget(run: &RunOptions) -> Result<Budget, CapacityError> {
     let mut budget = Budget::of_this_machine()?;
     if let Some(mb) = run.memory_mb {
@@ -162,18 +166,18 @@
     Ok(budget)
 }
 
-/// What a part of a play has cost.
+/// The cost of an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Processor time that the forwarder has used.
+    /// Processor time that the forwarder used.
     pub processor: Duration,
-    /// Time that it took.
+    /// Elapsed time.
     pub elapsed: Duration,
-    /// Bytes by which the journal has grown.
+    /// Growth of the journal, in bytes.
     pub journal: u64,
 }
 
-/// Measures what this costs a forwarder.
+/// Runs an operation and measures its cost in a forwarder.
 pub fn cost_of<T>(
     process: &ForwarderProcess,
     part: impl FnOnce() -> Result<T, CapacityError>,
--- a/crates/experiments/src/capacity/forwarder/waiting.rs
+++ b/crates/experiments/src/capacity/forwarder/waiting.rs
@@ -1,5 +1,5 @@
-//! Costs by messages waiting, for destinations that are all down: taken on one after another, and read from a journal at
-//! a start.
+//! Costs by the number of messages waiting for destinations that are all down: messages that are accepted one after
+//! another, and messages that are read from a journal at a start.
 
 use super::quantities::{self, milliseconds};
 use super::rig::{MANY_CLIENTS, Rig, cost_of};
@@ -11,11 +11,12 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Bytes of records that are written at once.
+/// Size of one write to the journal, in bytes.
 const WRITE_BYTES: usize = 4 << 20;
 const SETTING: &str = "all down";
 
-/// Takes messages on until there are as many as planned, and measures at each step; gives what could not be played.
+/// Sends messages until the planned numbers are waiting, and measures at each number. Returns one sentence for each
+/// part that could not be run.
 pub fn measure_taking(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
     let listed = rig.plan.listed_while_waiting;
     let started = rig.start(listed, 1.0)?;
@@ -44,7 +45,7 @@
     Ok(Vec::new())
 }
 
-/// Starts a forwarder on journals of rising sizes; gives what could not be played.
+/// Starts a forwarder on journals of ascending sizes. Returns one sentence for each part that could not be run.
 pub fn measure_starts(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
     let listed = rig.plan.listed_while_waiting;
     for count in rig.plan.journaled.clone() {
@@ -72,7 +73,7 @@
     rig.measurements.add(quantity, SETTING, Size::Waiting, waiting, value);
 }
 
-/// Writes the journal of a forwarder that has taken on so many messages and died; gives its size.
+/// Writes the journal of a forwarder that crashed after it had accepted `count` messages. Returns its size in bytes.
 fn write_journal(state: &Path, destinations: &[u64], count: usize) -> Result<usize, CapacityError> {
     let mut journal = Journal::open(state).map_err(std::io::Error::from)?.journal;
     let deadline = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
--- a/crates/experiments/src/capacity/forwarder_process.rs
+++ b/crates/experiments/src/capacity/forwarder_process.rs
@@ -1,4 +1,4 @@
-//! One forwarder as a child process that is measured: a start with a time limit, its console, and its journal.
+//! A forwarder as a child process under measurement: its start with a time limit, its console, and its journal.
 
 use super::error::CapacityError;
 use super::process::{self, Usage};
@@ -13,31 +13,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two questions whether something is done.
+/// Interval between two calls of the console while the forwarder starts.
 const POLL: Duration = Duration::from_millis(1);
 
-/// A forwarder that runs. It is killed when it is dropped.
+/// A running forwarder. Dropping it kills the process.
 #[derive(Debug)]
 pub struct ForwarderProcess {
     child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub clients: SocketAddr,
     console: SocketAddr,
     journal: PathBuf,
     log: Receiver<String>,
 }
 
-/// What a start has cost.
+/// The cost of a start.
 #[derive(Clone, Copy, Debug)]
 pub struct StartCost {
-    /// From the start of the process until its console said that it is ready.
+    /// Time from the start of the process until its console reports that it is ready.
     pub elapsed: Duration,
-    /// What it had used by then.
+    /// Resources that the process had used by then.
     pub usage: Usage,
 }
 
 impl ForwarderProcess {
-    /// Starts it with `config.json` of a folder and its state in the folder's `state`, and waits until it is ready.
+    /// Starts a forwarder with the configuration `config.json` and the state folder `state` of `folder`, and waits
+    /// until it is ready.
     pub fn start(
         program: &Path,
         folder: &TemporaryFolder,
@@ -53,7 +54,7 @@
         let log = follow(child.stderr.take());
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let journal = state.join("journal");
-        // From here on an error ends the child.
+        // From here on an error drops `started` and thereby kills the child.
         let mut started = ForwarderProcess { child, clients: nowhere, console: nowhere, journal, log };
         started.clients = started.address_after("listens on ", begin, limit)?;
         started.console = started.address_after("console at ", begin, limit)?;
@@ -67,22 +68,22 @@
         Ok((started, StartCost { elapsed: begin.elapsed(), usage }))
     }
 
-    /// What it has used so far, and holds now.
+    /// Returns the resources of the process: those used so far, and those held now.
     pub fn usage(&self) -> io::Result<Usage> {
         process::usage(self.child.id())
     }
 
-    /// Processor time that it has used so far.
+    /// Returns the processor time that the process has used so far.
     pub fn processor(&self) -> io::Result<Duration> {
         process::processor_time(self.child.id())
     }
 
-    /// Bytes in its journal.
+    /// Returns the size of the journal, in bytes.
     pub fn journal_size(&self) -> io::Result<u64> {
         Ok(std::fs::metadata(&self.journal)?.len())
     }
 
-    /// The reply of its console to one call.
+    /// Sends one call to the console and returns the reply.
     pub fn ask(&self, call: &str) -> io::Result<String> {
         let mut stream = TcpStream::connect(self.console)?;
         stream.set_read_timeout(Some(Duration::from_secs(60)))?;
@@ -92,13 +93,13 @@
         Ok(reply)
     }
 
-    /// Tells it to read its configuration again.
+    /// Sends `SIGHUP`, at which the forwarder reloads its configuration.
     pub fn signal_reload(&self) -> io::Result<()> {
         let process = i32::try_from(self.child.id()).map_err(io::Error::other)?;
         Ok(kill(Pid::from_raw(process), Signal::SIGHUP)?)
     }
 
-    /// Waits until its log says that it has read its configuration again.
+    /// Waits for the log line that says that the configuration is reloaded.
     pub fn wait_for_reload(&self, limit: Duration) -> Result<(), CapacityError> {
         self.logged("configuration: reloaded", "a reload", Instant::now(), limit).map(|_| ())
     }
@@ -114,7 +115,7 @@
         address.ok_or(CapacityError::Ended(vec![line]))
     }
 
-    /// Waits for a line of the log with these words in it.
+    /// Waits for a line of the log that contains `words`.
     fn logged(
         &self,
         words: &str,
@@ -142,7 +143,7 @@
     }
 }
 
-/// The lines of a log as they come.
+/// Starts a thread that reads a log. Returns the channel of its lines.
 fn follow(log: Option<ChildStderr>) -> Receiver<String> {
     let (sender, lines) = channel();
     if let Some(log) = log {
--- a/crates/experiments/src/capacity/guard.rs
+++ b/crates/experiments/src/capacity/guard.rs
@@ -1,4 +1,4 @@
-//! A watch over the budget while an experiment waits for something: what goes over it is ended at once.
+//! A background check of the budget while an experiment waits. It kills the children as soon as the budget is exceeded.
 
 use super::budget::{Budget, BudgetError, Used};
 use super::process;
@@ -9,7 +9,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the budget is checked.
+/// Interval between two checks of the budget.
 const EVERY: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
@@ -18,8 +18,8 @@
     over: Option<BudgetError>,
 }
 
-/// Checks the budget on a thread of its own until it is dropped. Once something is over it, all children are killed and
-/// [`Guard::check`] says why.
+/// Checks the budget on its own thread until it is dropped. Once the budget is exceeded, the thread kills all children
+/// and stops, and [`Guard::check`] returns the reason.
 #[derive(Debug)]
 pub struct Guard {
     budget: Budget,
@@ -29,7 +29,7 @@
 }
 
 impl Guard {
-    /// Starts to watch.
+    /// Starts the thread.
     pub fn start(budget: Budget) -> Self {
         let watched = Arc::new(Mutex::new(Watched::default()));
         let (stop, stopped) = channel::<()>();
@@ -45,8 +45,8 @@
         Guard { budget, watched, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// An error where the experiment is over its budget, was so at any moment before, or would be so with what the next
-    /// step needs.
+    /// Returns an error if the experiment exceeds its budget, has exceeded it before, or would exceed it with the needs
+    /// of the next step.
     pub fn check(&self, needed: &Used) -> Result<(), BudgetError> {
         if let Some(error) = lock(&self.watched).over.take() {
             return Err(error);
@@ -54,7 +54,7 @@
         self.budget.check_with(needed).map(|_| ())
     }
 
-    /// The most that was used so far, each figure for itself.
+    /// Returns the maximum of each resource over all checks so far.
     pub fn highest(&self) -> Used {
         lock(&self.watched).highest
     }
@@ -71,7 +71,7 @@
     watched.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Checks once; false where the experiment is over its budget.
+/// Checks the budget once. Returns `false` if it is exceeded or the use cannot be read.
 fn look(budget: &Budget, watched: &Mutex<Watched>) -> bool {
     let checked = budget.check();
     let mut watched = lock(watched);
@@ -95,7 +95,7 @@
     let family = process::family(own).unwrap_or_default();
     for child in family.into_iter().filter(|process| *process != own) {
         let Ok(child) = i32::try_from(child) else { continue };
-        // One that has ended meanwhile needs no signal.
+        // A child that has exited in the meantime needs no signal.
         let _ = kill(Pid::from_raw(child), Signal::SIGKILL);
     }
 }
--- a/crates/experiments/src/capacity/mod.rs
+++ b/crates/experiments/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments that measure how a cost grows with a size: what they share, and one module for each.
+//! Experiments that measure how a cost grows with a size. One module per experiment, and the modules that they share.
 
 pub mod budget;
 pub mod client;
--- a/crates/experiments/src/capacity/process.rs
+++ b/crates/experiments/src/capacity/process.rs
@@ -1,4 +1,4 @@
-//! What the system counts of a process: processor time, resident memory, threads and descriptors.
+//! Resource usage of processes, read from the system: processor time, resident memory, threads and descriptors.
 
 use nix::time::clock_getcpuclockid;
 use nix::unistd::Pid;
@@ -7,21 +7,21 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// The number of a process.
+/// The id of a process.
 pub type ProcessId = u32;
 
-/// A process as the system counts it at one moment.
+/// The resource usage of a process at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time that it has used since its start, in user and kernel mode, threads that have ended included.
+    /// Processor time since the start, in user and kernel mode, threads that have ended included.
     pub processor: Duration,
-    /// Bytes of its memory that are resident.
+    /// Resident memory, in bytes.
     pub resident: u64,
-    /// Its threads.
+    /// Number of threads.
     pub threads: usize,
 }
 
-/// What a process uses now; an error where it has ended.
+/// Returns the current usage of a process, or an error if the process has exited.
 pub fn usage(process: ProcessId) -> io::Result<Usage> {
     let status = fs::read_to_string(format!("/proc/{process}/status"))?;
     Ok(Usage {
@@ -31,18 +31,19 @@
     })
 }
 
-/// Processor time of a process, by its own clock: to the nanosecond, where `/proc/PID/stat` counts in ticks.
+/// Returns the processor time of a process. Reads the process's CPU clock, which has nanosecond resolution, because
+/// `/proc/PID/stat` counts in ticks.
 pub fn processor_time(process: ProcessId) -> io::Result<Duration> {
     let process = i32::try_from(process).map_err(|_| missing("process number"))?;
     Ok(clock_getcpuclockid(Pid::from_raw(process))?.now()?.into())
 }
 
-/// Descriptors that a process has open.
+/// Returns the number of open descriptors of a process.
 pub fn descriptors(process: ProcessId) -> io::Result<usize> {
     Ok(fs::read_dir(format!("/proc/{process}/fd"))?.count())
 }
 
-/// Most descriptors that a process may have open.
+/// Returns the soft limit on the open descriptors of a process.
 pub fn descriptor_limit(process: ProcessId) -> io::Result<usize> {
     let limits = fs::read_to_string(format!("/proc/{process}/limits"))?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
@@ -50,7 +51,7 @@
     soft.and_then(|number| number.parse().ok()).ok_or_else(|| missing("Max open files"))
 }
 
-/// A process and all below it: its children, theirs, and so on. Those that end meanwhile are left out.
+/// Returns a process and all its descendants. Descendants that exit in the meantime are left out.
 pub fn family(root: ProcessId) -> io::Result<Vec<ProcessId>> {
     let mut children: BTreeMap<ProcessId, Vec<ProcessId>> = BTreeMap::new();
     for entry in fs::read_dir("/proc")? {
@@ -70,18 +71,18 @@
     Ok(family)
 }
 
-/// Bytes of memory that the machine has.
+/// Returns the memory of the machine, in bytes.
 pub fn machine_memory() -> io::Result<u64> {
     Ok(status_field(&fs::read_to_string("/proc/meminfo")?, "MemTotal:")? << 10)
 }
 
 fn parent(process: ProcessId) -> Option<ProcessId> {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // The name stands in brackets and may hold anything; the state and the parent's number follow it.
+    // The name is in parentheses and may contain any character. The state and the parent's id follow it.
     stat.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// The number behind a name, as in `VmRSS:  1024 kB`.
+/// Returns the number after a name, as in `VmRSS:  1024 kB`.
 fn status_field(text: &str, name: &str) -> io::Result<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     let number = line.and_then(|line| line.split_whitespace().next());
--- a/crates/experiments/src/capacity/series.rs
+++ b/crates/experiments/src/capacity/series.rs
@@ -1,20 +1,21 @@
-//! Measured points by quantity and setting, with the line through each; as a table, as charts and as JSON.
+//! Series of measured points by quantity and setting, with a fitted line for each, and their output as a table, as
+//! charts and as JSON.
 
 use super::fit::{self, Fit, Point};
 use crate::report::{Chart, ChartSeries};
 use serde_json::{Value, json};
 
-/// The size that a quantity is measured against.
+/// The kind of size that a quantity is measured against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Size {
-    /// Destinations on the list.
+    /// Number of destinations listed.
     Listed,
-    /// Messages that wait.
+    /// Number of messages waiting.
     Waiting,
 }
 
 impl Size {
-    /// In words.
+    /// Returns the name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Size::Listed => "destinations listed",
@@ -23,35 +24,35 @@
     }
 }
 
-/// What is measured, and its unit.
+/// A measured quantity and its unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quantity {
-    /// In words.
+    /// Name in tables.
     pub name: &'static str,
-    /// Of the value; the slope is in this unit for one more of the size.
+    /// Unit of the value. The slope is in this unit per unit of the size.
     pub unit: &'static str,
 }
 
-/// One quantity under one setting, at several sizes.
+/// The points of one quantity under one setting, at several sizes.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// What was measured.
+    /// The measured quantity.
     pub quantity: Quantity,
-    /// What was not varied.
+    /// Conditions that are the same for all points.
     pub setting: String,
-    /// What was varied.
+    /// Kind of size that is varied.
     pub size: Size,
-    /// Size and value, as they were measured.
+    /// Size and value, in the order of measurement.
     pub points: Vec<Point>,
 }
 
 impl Series {
-    /// The line through the points.
+    /// Returns the line fitted to the points, or `None` if there are fewer than two different sizes.
     pub fn fit(&self) -> Option<Fit> {
         fit::line(&self.points)
     }
 
-    /// The value at a size; the least where it was measured more than once.
+    /// Returns the lowest value that was measured at a size, or `None` if none was.
     pub fn least_at(&self, size: usize) -> Option<f64> {
         let at_size = self.points.iter().filter(|(x, _)| *x == size as f64);
         at_size.map(|(_, y)| *y).min_by(f64::total_cmp)
@@ -90,7 +91,7 @@
     }
 }
 
-/// Heads of the table of lines.
+/// Headings of the table.
 pub const COLUMNS: [&str; 11] = [
     "quantity",
     "setting",
@@ -105,12 +106,12 @@
     "exponent",
 ];
 
-/// All series of a run, in the order in which they were begun.
+/// All series of a run, in the order of their first points.
 #[derive(Clone, Debug, Default)]
 pub struct Measurements(Vec<Series>);
 
 impl Measurements {
-    /// Adds a point.
+    /// Adds a point to the series of this quantity, setting and kind of size.
     pub fn add(&mut self, quantity: Quantity, setting: &str, size: Size, x: usize, value: f64) {
         let point = (x as f64, value);
         let known = |series: &&mut Series| {
@@ -125,22 +126,22 @@
         }
     }
 
-    /// All series of a quantity.
+    /// Returns all series of a quantity.
     pub fn of(&self, quantity: Quantity) -> impl Iterator<Item = &Series> {
         self.0.iter().filter(move |series| series.quantity == quantity)
     }
 
-    /// The least value of a quantity at a size, over all settings.
+    /// Returns the lowest value of a quantity at a size, over all settings, or `None` if there is none.
     pub fn least(&self, quantity: Quantity, size: usize) -> Option<f64> {
         self.of(quantity).filter_map(|series| series.least_at(size)).min_by(f64::total_cmp)
     }
 
-    /// The lines as a table, with [`COLUMNS`].
+    /// Returns one table row per series, with the columns [`COLUMNS`].
     pub fn rows(&self) -> Vec<Vec<String>> {
         self.0.iter().map(Series::row).collect()
     }
 
-    /// Every point, as CSV.
+    /// Returns every point as CSV.
     pub fn points_csv(&self) -> String {
         let mut text = "quantity,unit,setting,size,at,value\n".to_owned();
         for series in &self.0 {
@@ -152,7 +153,7 @@
         text
     }
 
-    /// A chart of a quantity: its points and the line through them, for each setting.
+    /// Returns a chart of a quantity with the points and the fitted line of each setting.
     pub fn chart(&self, quantity: Quantity) -> Chart {
         let size = self.of(quantity).next().map_or(Size::Listed, |series| series.size);
         let mut lines = Vec::new();
@@ -171,13 +172,13 @@
         Chart { title, x_label: size.name().to_owned(), y_label: y, series: lines }
     }
 
-    /// All series.
+    /// Returns all series as JSON.
     pub fn json(&self) -> Value {
         self.0.iter().map(Series::json).collect()
     }
 }
 
-/// A value to four figures, without an exponent where it needs none.
+/// Formats a value with four significant digits. Only values below 0.001 have an exponent.
 pub fn figure(value: f64) -> String {
     let digits = match value.abs() {
         zero if zero < 1e-12 => 0,
--- a/crates/experiments/src/consul_cold.rs
+++ b/crates/experiments/src/consul_cold.rs
@@ -1,5 +1,5 @@
-//! `consul-cold`: a destination recovers cold, and Consul reports all its endpoints as healthy at once. Several seeds run
-//! beside each other, each on a test bed of its own.
+//! `consul-cold`: a destination recovers cold, and Consul reports all its endpoints as healthy at the same moment.
+//! Several seeds run in parallel, each on its own test bed.
 
 use crate::error::ExperimentError;
 use crate::load::{Load, LoadResult, poisson_plan};
@@ -15,29 +15,30 @@
 const RUN_LENGTH: Duration = Duration::from_secs(26);
 const OUTAGE_FROM: Duration = Duration::from_secs(4);
 const RECOVERY_AT: Duration = Duration::from_secs(10);
-/// Seconds after the recovery for which the table gives the most calls in one second.
+/// Number of seconds after the recovery over which the table gives the maximum of calls in one second.
 const EARLY_RECOVERY_S: usize = 4;
-/// Calls a second that the destination serves when warm.
+/// Calls per second that the destination serves when warm.
 const CAPACITY_RPS: f64 = 400.0;
-/// Messages a second that all forwarders of a test bed accept together.
+/// Messages per second that clients send to all forwarders of a test bed together.
 const MESSAGE_RATE: f64 = 160.0;
 const FORWARDERS: usize = 2;
 const ENDPOINTS: usize = 3;
-/// More calls in flight than would overload the destination, so that the concurrency limit alone does not protect it.
+/// Limit on calls in flight. It is above what overloads the destination, so that the concurrency limit alone does not
+/// protect the destination.
 const MAX_IN_FLIGHT: usize = 512;
 
-/// A test bed of one seed.
+/// The test bed of one seed.
 struct SeedRun {
     seed: u64,
     bed: TestBed,
     forwarders: Vec<RunningForwarder>,
 }
 
-/// What one seed showed.
+/// The results of one seed.
 struct SeedOutcome {
     seed: u64,
     submitted: usize,
-    /// When the destination collapsed, in seconds from the start.
+    /// Times at which the destination collapsed, in seconds from the start.
     collapses_s: Vec<f64>,
     calls_per_second: Vec<f64>,
     delivered_after_recovery: usize,
@@ -45,7 +46,8 @@
     duplicated: usize,
 }
 
-/// Runs it. Sabotage: the forwarders are told that nothing overloads the destination, and that it is warm at once.
+/// Runs the experiment. Under sabotage the forwarders' settings say that no load overloads the destination and that it
+/// is warm immediately.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let seeds = options.seed..options.seed + options.seeds.max(1);
     let runs = seeds.map(|seed| SeedRun::start(seed, options)).collect::<Result<Vec<_>, _>>()?;
@@ -64,7 +66,7 @@
     CapacityModel {
         capacity_rps: CAPACITY_RPS,
         service_time: Duration::from_millis(20),
-        // Queued calls give the forwarders no rejection from which to learn the capacity.
+        // A queue sends no rejections, so the forwarders cannot learn the capacity from them.
         overload_behavior: OverloadBehavior::Queue,
         ..CapacityModel::default()
     }
@@ -127,7 +129,8 @@
     }
 }
 
-/// Plays the outage and the recovery on all test beds; gives the capacity of the first one in the middle of each second.
+/// Runs the outage and the recovery on all test beds. Returns the capacity of the first one in the middle of each
+/// second.
 fn play_outage(runs: &[SeedRun], start: Instant) -> Vec<f64> {
     let progress = Progress::new("consul-cold", RUN_LENGTH, start);
     let mut capacity_per_second = Vec::new();
@@ -136,7 +139,7 @@
         progress.wait_until(elapsed);
         for run in runs {
             if elapsed == OUTAGE_FROM {
-                // Consul reports it before a call can fail.
+                // Consul reports the outage before a call can fail.
                 run.set_health("critical");
                 run.bed.destination.set_mode(Mode::Unavailable);
             } else if elapsed == RECOVERY_AT {
@@ -181,7 +184,7 @@
             violations.push(format!("seed {seed}: nothing was delivered after the return"));
         }
     }
-    // Duplicates are no violation: a call that outlives its time-out in the destination's queue is retried, which an
+    // Duplicates are no violation. A call that exceeds its time-out in the destination's queue is retried, which an
     // idempotent class allows.
     let lost: usize = outcomes.iter().map(|outcome| outcome.lost).sum();
     if lost > 0 {
@@ -190,7 +193,7 @@
     violations
 }
 
-/// The value that `combine` makes of all seeds' calls, for each second.
+/// Returns, for each second, the value that `combine` computes from the calls of all seeds.
 fn over_seeds(outcomes: &[SeedOutcome], combine: impl Fn(&mut dyn Iterator<Item = f64>) -> f64) -> Vec<f64> {
     (0..RUN_LENGTH.as_secs() as usize)
         .map(|second| combine(&mut outcomes.iter().map(|outcome| outcome.calls_per_second[second])))
--- a/crates/experiments/src/consul_drain.rs
+++ b/crates/experiments/src/consul_drain.rs
@@ -1,5 +1,5 @@
-//! `consul-drain`: endpoints flap, drain and vanish in Consul under load; how soon after Consul's answer the forwarder
-//! sends its last new call to each.
+//! `consul-drain`: endpoints flap, drain and disappear in Consul under load. The experiment measures the time from
+//! Consul's answer to the forwarder's last new call to each such endpoint.
 
 use crate::error::ExperimentError;
 use crate::load::{Load, LoadResult, poisson_plan};
@@ -18,25 +18,25 @@
 use std::time::{Duration, Instant};
 
 const RUN_LENGTH: Duration = Duration::from_secs(20);
-/// No endpoint is removed so near to the start or the end.
+/// Time after the start and before the end of the run in which no endpoint is removed.
 const MARGIN: Duration = Duration::from_secs(1);
-/// Messages a second.
+/// Messages per second.
 const MESSAGE_RATE: f64 = 500.0;
-/// Calls a second that the settings give for the destination.
+/// Capacity of the destination in the settings, in calls per second.
 const CAPACITY_RPS: f64 = 400.0;
 const ENDPOINTS: usize = 6;
-/// Endpoints removed at once; the others can carry the load.
+/// Maximum number of endpoints that are removed at the same time. The others can carry the load.
 const MAX_REMOVED: usize = 2;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(150);
-/// How long an endpoint is removed.
+/// Time from the removal of an endpoint to its restoration.
 const REMOVAL_LENGTH: Duration = Duration::from_millis(600);
-/// No new call may be sent to a removed endpoint later than this after Consul's answer.
+/// Maximum time from Consul's answer to the last new call to a removed endpoint.
 const DRAIN_BOUND: Duration = Duration::from_millis(250);
-/// With fewer removals or accepted messages the run shows nothing.
+/// A run with fewer removals or fewer accepted messages counts as a violation, because it proves nothing.
 const MIN_REMOVALS: usize = 20;
 const MIN_ACCEPTED: usize = 1000;
 
-/// How an endpoint is removed.
+/// The way in which an endpoint is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Method {
     DrainingTag,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Removes an endpoint; gives the index of the change.
+    /// Removes an endpoint and returns the index of the change in Consul.
     fn remove(self, bed: &TestBed, id: &str) -> u64 {
         match self {
             Method::DrainingTag => bed.consul.set_tag("n1", id, "draining", true),
@@ -81,26 +81,26 @@
 /// An endpoint that was removed.
 #[derive(Clone, Copy, Debug)]
 struct Removal {
-    /// The endpoint's number.
+    /// Number of the endpoint.
     number: usize,
     endpoint: SocketAddr,
     method: Method,
-    /// The index of the change in Consul.
+    /// Index of the change in Consul.
     index: u64,
-    /// When it is restored.
+    /// Time at which the endpoint is restored.
     until: Instant,
 }
 
-/// How long new calls went to a removed endpoint.
+/// The time for which new calls went to a removed endpoint.
 struct DrainTime {
     method: Method,
-    /// From Consul's answer to the last new call; 0 where there was none.
+    /// Time from Consul's answer to the last new call, or 0 if there was none, in milliseconds.
     last_call_ms: f64,
-    /// Calls after the bound.
+    /// Number of new calls after [`DRAIN_BOUND`].
     late_calls: usize,
 }
 
-/// Runs it. Sabotage: the forwarder has a fixed list in the place of Consul.
+/// Runs the experiment. Under sabotage the forwarder has a fixed list instead of Consul.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let bed = TestBed::new("drain", CapacityModel::default());
     let endpoints = bed.register_endpoints(ENDPOINTS);
@@ -126,7 +126,7 @@
     Ok(report(options, &drain_times, &result, &outcomes))
 }
 
-/// Removes endpoints by chance and restores them, until the run is over.
+/// Removes endpoints at random and restores them until the run is over. Returns all removals.
 fn play_removals(bed: &TestBed, endpoints: &[SocketAddr], seed: u64, start: Instant) -> Vec<Removal> {
     let progress = Progress::new("consul-drain", RUN_LENGTH, start);
     let mut rng = StdRng::seed_from_u64(seed ^ 0xd7a1);
@@ -158,7 +158,8 @@
     removals
 }
 
-/// Measured from the moment at which Consul wrote its answer; for a forwarder that never asked, from the change.
+/// Returns the drain time of a removal. It is measured from the moment at which Consul wrote its answer, or from the
+/// change if the forwarder never asked.
 fn drain_time(removal: &Removal, bed: &TestBed, outcomes: &MessageOutcomes) -> DrainTime {
     let answered = bed.consul.first_answered_at("web", removal.index);
     let answered = answered.unwrap_or(removal.until - REMOVAL_LENGTH);
@@ -174,7 +175,7 @@
     }
 }
 
-/// The times of these removals, sorted, in milliseconds.
+/// Returns the times of these removals in milliseconds, in ascending order.
 fn sorted_ms<'a>(drain_times: impl Iterator<Item = &'a DrainTime>) -> Vec<f64> {
     let mut times: Vec<f64> = drain_times.map(|time| time.last_call_ms).collect();
     times.sort_by(f64::total_cmp);
--- a/crates/experiments/src/consul_scale.rs
+++ b/crates/experiments/src/consul_scale.rs
@@ -1,5 +1,5 @@
-//! `consul-scale`: many endpoints in Consul, and changes all the time. The journal shows when a change is decided on: the
-//! forwarder stores an update of the list there before it uses it.
+//! `consul-scale`: Consul has many endpoints, and they change continuously. The journal shows the time of each
+//! decision, because the forwarder stores an update of the endpoint list there before it uses the update.
 
 mod journal_tail;
 
@@ -25,38 +25,38 @@
 const SIZES: [usize; 3] = [100, 1_000, 10_000];
 const INSTANCES_PER_SERVICE: usize = 5;
 const INSTANCES_PER_NODE: usize = 20;
-/// Calls a second that the settings give for each service.
+/// Capacity of each service in the settings, in calls per second.
 const CAPACITY_RPS: f64 = 100.0;
-/// State folder, large enough for the largest list.
+/// Disk limit of the state folder, in megabytes. It is large enough for the largest list.
 const DISK_MB: f64 = 64.0;
 const CHANGES_FOR: Duration = Duration::from_secs(6);
 const IDLE_FOR: Duration = Duration::from_secs(2);
 const CHANGES_PER_SECOND: u32 = 50;
-/// Every change has to be decided on within this time.
+/// Maximum time from a change in Consul to its decision.
 const DECISION_BOUND: Duration = Duration::from_secs(3);
 const MAX_CONNECTIONS: usize = 64;
 const LEARN_TIMEOUT: Duration = Duration::from_secs(30);
 const LEARN_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Resolution of the decision times.
+/// Interval between two reads of the journal, which is the resolution of the decision times.
 const DECISION_POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// What one size showed.
+/// The results of one size.
 struct SizeOutcome {
     endpoints: usize,
-    /// From the start of the forwarder until its journal has all endpoints.
+    /// Time from the start of the forwarder until its journal has all endpoints.
     learn_time: Duration,
-    /// Processor time, in percent of a core.
+    /// Processor time while nothing changes, in percent of a core.
     idle_cpu_percent: f64,
     busy_cpu_percent: f64,
     resident_bytes: u64,
-    /// From each change in Consul to its decision, sorted.
+    /// Time from each change in Consul to its decision, in milliseconds, in ascending order.
     decision_times_ms: Vec<f64>,
-    /// Changes without a decision.
+    /// Number of changes without a decision.
     missed: usize,
     peak_connections: usize,
 }
 
-/// Runs it. Sabotage: Consul stops answering before the changes; only the smallest size is run.
+/// Runs the experiment. Under sabotage Consul stops answering before the changes, and only the smallest size is run.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let sizes = if options.sabotage { &SIZES[..1] } else { &SIZES[..] };
     let outcomes =
@@ -72,7 +72,7 @@
     )
 }
 
-/// An instance of the catalogue, by its number.
+/// An instance in Consul's catalogue, identified by its number.
 #[derive(Clone, Copy)]
 struct InstanceNumber {
     number: usize,
@@ -92,13 +92,13 @@
         format!("i{}", self.number)
     }
 
-    /// An address of its own; nothing listens there, since no message is sent.
+    /// Returns the instance's own address. Nothing listens there, because no message is sent.
     fn address(self) -> SocketAddr {
         let [_, high, middle, low] = (self.number as u32).to_be_bytes();
         SocketAddr::from(([127, 200 + high, middle, low], 9_000))
     }
 
-    /// The uid that the forwarder gives its endpoint.
+    /// Returns the uid that the forwarder gives the instance's endpoint.
     fn uid(self) -> String {
         let service = self.service();
         let destination = self.number % self.services;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Waits until the forwarder's journal has all endpoints; gives how long that took.
+/// Waits until the forwarder's journal has all endpoints. Returns the time since `start`.
 fn wait_until_learnt(
     tail: &mut JournalTail,
     expected: usize,
@@ -176,23 +176,24 @@
     })
 }
 
-/// A change in Consul whose decision has not been seen.
+/// A change in Consul whose decision is not in the journal yet.
 struct PendingChange {
     made_at: Instant,
     expected: EndpointState,
 }
 
-/// Changes to the catalogue: a draining tag is set on an instance, or removed.
+/// Changes to the catalogue. Each sets or removes the draining tag of an instance.
 struct Changes<'a> {
     bed: &'a TestBed,
     instances: &'a [InstanceNumber],
     rng: StdRng,
-    /// By uid.
+    /// Pending changes by the uid of the endpoint.
     pending: BTreeMap<String, PendingChange>,
 }
 
 impl Changes<'_> {
-    /// Makes changes at their rate, and waits for the decisions; gives the times to them in milliseconds.
+    /// Makes changes at [`CHANGES_PER_SECOND`] and waits for the decisions. Returns the times to the decisions in
+    /// milliseconds.
     fn play(&mut self, tail: &mut JournalTail, progress: &Progress) -> Vec<f64> {
         let start = Instant::now();
         let mut decision_times_ms = Vec::new();
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Changes an instance by chance, unless a change of it is pending.
+    /// Changes an instance that is chosen at random, unless a change of it is pending.
     fn make(&mut self, tail: &JournalTail) {
         let instance = self.instances[self.rng.random_range(0..self.instances.len())];
         let uid = instance.uid();
--- a/crates/experiments/src/consul_scale/journal_tail.rs
+++ b/crates/experiments/src/consul_scale/journal_tail.rs
@@ -1,4 +1,4 @@
-//! Follows a forwarder's journal as it grows and is compacted, for the updates of the endpoint list in it.
+//! Reads updates of the endpoint list from a forwarder's journal while it grows and is compacted.
 
 use orchidyoke_core::endpoint_list::{EndpointList, EndpointState};
 use orchidyoke_journal::{Record, replay};
@@ -9,36 +9,36 @@
 
 /// An update of an endpoint.
 pub struct EndpointUpdate {
-    /// Its uid.
+    /// Uid of the endpoint.
     pub uid: String,
-    /// Its new state.
+    /// New state of the endpoint.
     pub state: EndpointState,
 }
 
-/// The file under the journal's name when it was opened; a compaction puts another one in its place.
+/// The open journal file. A compaction replaces the file under the journal's name by another one.
 struct OpenFile {
     inode: u64,
     file: File,
 }
 
-/// A journal that is followed.
+/// A reader that follows a journal.
 pub struct JournalTail {
     path: PathBuf,
     open: Option<OpenFile>,
-    /// The beginning of a record that is not complete.
+    /// Bytes of an incomplete record at the end.
     rest: Vec<u8>,
     /// The list after all updates so far.
     pub list: EndpointList,
 }
 
 impl JournalTail {
-    /// Follows the journal at this path, which need not exist yet.
+    /// Creates a reader for the journal at this path. The file need not exist yet.
     pub fn new(path: PathBuf) -> Self {
         JournalTail { path, open: None, rest: Vec::new(), list: EndpointList::default() }
     }
 
-    /// Reads what was written since the last call, and applies it to the list; gives the updates in it. What cannot be
-    /// read now is read by a later call.
+    /// Reads what was written since the last call, applies it to the list and returns the updates. A later call reads
+    /// what this one cannot read.
     pub fn read_new(&mut self) -> Vec<EndpointUpdate> {
         self.reopen_if_replaced();
         let Some(open) = &mut self.open else { return Vec::new() };
--- a/crates/experiments/src/consul_silent.rs
+++ b/crates/experiments/src/consul_silent.rs
@@ -1,5 +1,5 @@
-//! `consul-silent`: 20 s in which Consul gives no usable answer, in several forms, beside the same load undisturbed. Each
-//! form has a test bed of its own; all run at the same time.
+//! `consul-silent`: for 20 s Consul gives no usable answer. Several forms of this fault are compared with the same load
+//! without a fault. Each form has its own test bed, and all run at the same time.
 
 use crate::error::ExperimentError;
 use crate::load::{Load, LoadResult, poisson_plan};
@@ -16,21 +16,21 @@
 const RUN_LENGTH: Duration = Duration::from_secs(25);
 const FAULT_FROM: Duration = Duration::from_secs(3);
 const FAULT_TO: Duration = Duration::from_secs(23);
-/// Messages a second.
+/// Messages per second.
 const MESSAGE_RATE: f64 = 60.0;
-/// Calls a second that the settings give for the destination.
+/// Capacity of the destination in the settings, in calls per second.
 const CAPACITY_RPS: f64 = 200.0;
 const ENDPOINTS: usize = 3;
-/// Least share delivered, against the same load undisturbed.
+/// Minimum share of messages delivered, relative to the share of the undisturbed form.
 const MIN_RELATIVE_SHARE: f64 = 0.99;
 
-/// A form of silence.
+/// A form of the fault.
 struct Form {
     name: &'static str,
     fault: ConsulFault,
 }
 
-/// The form that the others are compared with; it comes first.
+/// Name of the form that the others are compared with. It has to be the first one.
 const UNDISTURBED: &str = "undisturbed";
 
 fn forms() -> Vec<Form> {
@@ -55,13 +55,13 @@
     forwarder: RunningForwarder,
 }
 
-/// What one form showed.
+/// The results of one form.
 struct FormOutcome {
     name: &'static str,
     submitted: usize,
-    /// Delivered messages among those submitted.
+    /// Share of the submitted messages that were delivered.
     share: f64,
-    /// That share, divided by the undisturbed one.
+    /// [`FormOutcome::share`] divided by that of the undisturbed form.
     relative_share: f64,
     deliveries_per_second: Vec<f64>,
     lost: usize,
@@ -69,7 +69,8 @@
     consul_requests: u64,
 }
 
-/// Runs it. Sabotage: in the place of its fault, Consul truthfully says that there are no endpoints.
+/// Runs the experiment. Under sabotage all endpoints are deregistered instead of the fault, so that Consul correctly
+/// answers that there are none.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let runs = forms()
         .into_iter()
@@ -113,7 +114,7 @@
         }
     }
 
-    /// `undisturbed_share` is missing for the undisturbed form itself.
+    /// Returns the results. `undisturbed_share` is `None` for the undisturbed form itself.
     fn outcome(&self, result: &LoadResult, start: Instant, undisturbed_share: Option<f64>) -> FormOutcome {
         let outcomes = self.bed.wait_for_outcomes(std::slice::from_ref(result));
         let share = outcomes.delivered as f64 / outcomes.submitted.max(1) as f64;
@@ -144,7 +145,7 @@
 }
 
 impl FormOutcome {
-    /// The fewest deliveries in one second of the fault, without its first second.
+    /// Returns the minimum of deliveries in one second during the fault, without the fault's first second.
     fn least_per_second(&self) -> f64 {
         let during_fault = FAULT_FROM.as_secs() as usize + 1..FAULT_TO.as_secs() as usize;
         self.deliveries_per_second[during_fault].iter().copied().fold(f64::MAX, f64::min)
--- a/crates/experiments/src/fleet_limit.rs
+++ b/crates/experiments/src/fleet_limit.rs
@@ -1,5 +1,5 @@
-//! `fleet-limit`: a hundred forwarders that share nothing but a destination with a limit, on a virtual clock. Shows what is
-//! harmless for one forwarder and harmful for a fleet, in seconds and without processes.
+//! `fleet-limit`: a hundred forwarders that share only a destination with a rate limit, on a virtual clock. It shows
+//! behaviour that is harmless for one forwarder and harmful for a fleet, in seconds and without processes.
 
 mod scenarios;
 mod virtual_fleet;
@@ -14,15 +14,15 @@
 use serde_json::json;
 use virtual_fleet::{SECOND, settings};
 
-/// Messages accepted in an overload, as a multiple of the limit.
+/// Rate of accepted messages in an overload, as a multiple of the destination's limit.
 const OVERLOAD_FACTOR: f64 = 1.3;
 
-/// A figure of a fleet, and the most that it may be.
+/// A measured value of a fleet, with its limit.
 struct Case {
-    /// The row's name.
+    /// Label of the row.
     label: &'static str,
     most: f64,
-    /// The figure with these settings and this seed.
+    /// Measures the value with these settings and this seed.
     measure: fn(&Settings, u64) -> f64,
 }
 
@@ -72,13 +72,13 @@
     },
 ];
 
-/// A case over all seeds.
+/// The values of a case over all seeds.
 struct OverSeeds {
     mean: f64,
     worst: f64,
 }
 
-/// Runs it. Sabotage: each forwarder is told that it is the only one.
+/// Runs the experiment. Under sabotage the settings of each forwarder say that the fleet has only one.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let fleet = settings(if options.sabotage { 1 } else { FORWARDERS });
     let alone = settings(1);
@@ -112,7 +112,7 @@
     })
 }
 
-/// Measures a case with each seed, on a thread of its own.
+/// Measures a case with all seeds, each on its own thread.
 fn measure(case: &Case, settings: &Settings, seeds: &[u64]) -> Result<OverSeeds, ExperimentError> {
     let figures = std::thread::scope(|threads| {
         let started: Vec<_> =
@@ -126,7 +126,7 @@
     })
 }
 
-/// Calls sent and served in each second of an overload.
+/// Returns the calls sent and the calls served in each second of an overload.
 fn overload_series(name: &str, settings: &Settings, seed: u64) -> Vec<ChartSeries> {
     let fleet = overload(settings, OVERLOAD_FACTOR, seed);
     let sent: Vec<Micros> = fleet.calls.iter().map(|call| call.at).collect();
@@ -138,7 +138,7 @@
     ]
 }
 
-/// How many of these moments lie in each second of an overload, which begins a second after the clock's zero.
+/// Counts the moments in each second of an overload. An overload begins one second after the clock's zero.
 fn counts_per_second(moments: &[Micros]) -> Vec<f64> {
     let count = |second| moments.iter().filter(|at| (**at - SECOND) / SECOND == second).count() as f64;
     (0..OVERLOAD_LENGTH / SECOND).map(count).collect()
--- a/crates/experiments/src/fleet_limit/scenarios.rs
+++ b/crates/experiments/src/fleet_limit/scenarios.rs
@@ -1,30 +1,31 @@
-//! What a fleet goes through: an overload, a burst after a start or a pause, a common `Retry-After`, and the recovery of a
-//! cold destination.
+//! Scenarios for a fleet: an overload, a burst after a start or a pause, a `Retry-After` that all forwarders get at the
+//! same moment, and the recovery of a cold destination.
 
 use super::virtual_fleet::{CallResult, MILLISECOND, PENDING, SECOND, SERVED, STEP, VirtualFleet};
 use orchidyoke_core::interface::{Micros, Outcome, Settings};
 
-/// Forwarders of the fleet.
+/// Number of forwarders in the fleet.
 pub const FORWARDERS: u32 = 100;
-/// Calls a second that the destination of an overload serves.
+/// Calls per second that the destination of an overload serves.
 pub const LIMIT_RPS: f64 = 40.0;
-/// Calls a second that the destination of a recovery serves when warm.
+/// Calls per second that the destination of a recovery serves when warm.
 pub const RECOVERY_RPS: f64 = 60.0;
-/// How long an overload lasts.
+/// Length of an overload.
 pub const OVERLOAD_LENGTH: Micros = 20 * SECOND;
-/// Of the recovery, the time in which its use of the cold capacity is judged.
+/// Time after the start of a recovery in which the use of the cold capacity is measured.
 const JUDGED_RECOVERY: Micros = 8 * SECOND;
-/// Calls before a common `Retry-After`, so that each forwarder may have several in flight.
+/// Calls of each forwarder before a common `Retry-After`. They widen its concurrency window, so that it may have
+/// several calls in flight.
 const WARM_UP_CALLS: usize = 17;
 
-/// A destination that serves [`LIMIT_RPS`] calls a second, as a leaky bucket; rejected calls count too.
+/// A destination that serves [`LIMIT_RPS`] calls per second, as a leaky bucket. Rejected calls also fill the bucket.
 struct LimitedDestination {
     level: f64,
     updated_at: Micros,
 }
 
 impl LimitedDestination {
-    /// Seconds of its limit that it serves at once.
+    /// Size of a burst that is served at once, in seconds at [`LIMIT_RPS`].
     const BURST_S: f64 = 0.7;
 
     fn call(&mut self, now: Micros) -> CallResult {
@@ -39,7 +40,7 @@
     }
 }
 
-/// A fleet that accepts `load` times the limit.
+/// Runs a fleet that accepts messages at `load` times the limit, and returns it.
 pub fn overload(settings: &Settings, load: f64, seed: u64) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(FORWARDERS, settings, LIMIT_RPS, |number| seed * 1000 + number);
     let mut destination = LimitedDestination { level: 0.0, updated_at: fleet.now };
@@ -47,12 +48,13 @@
     fleet
 }
 
-/// Calls a second that ended with this outcome in an overload.
+/// Returns the calls per second that ended with this outcome in an overload.
 pub fn rate_of(fleet: &VirtualFleet, outcome: Outcome) -> f64 {
     fleet.count_ended(outcome) as f64 * SECOND as f64 / OVERLOAD_LENGTH as f64
 }
 
-/// Calls in the second in which each forwarder accepts two messages, after a start or a pause.
+/// Returns the number of calls in the second after each forwarder has accepted two messages, which follows a start or a
+/// pause.
 pub fn calls_of_first_second(settings: &Settings, pause: Micros, seed: impl Fn(u64) -> u64) -> usize {
     let mut fleet = VirtualFleet::new(FORWARDERS, settings, LIMIT_RPS, seed);
     fleet.now += pause;
@@ -61,20 +63,20 @@
     fleet.calls.len()
 }
 
-/// Calls round the end of a common `Retry-After`.
+/// Numbers of calls around the end of a common `Retry-After`.
 pub struct CallsAroundRetry {
-    /// Before it ends.
+    /// Calls before it ends.
     #[cfg_attr(not(test), expect(dead_code, reason = "read by the tests"))]
     pub before: usize,
-    /// In the step in which it ends and the next.
+    /// Calls in the step in which it ends and in the next one.
     pub at_end: usize,
-    /// In the second after it ends.
+    /// Calls in the second after it ends.
     #[cfg_attr(not(test), expect(dead_code, reason = "read by the tests"))]
     pub second_after: usize,
 }
 
-/// One call of each forwarder is rejected in the same moment, with a `Retry-After` of 0.7 s. Each may have several calls
-/// in flight.
+/// Rejects one call of each forwarder at the same moment, with a `Retry-After` of 0.7 s, and counts the calls around
+/// its end. Each forwarder may have several calls in flight.
 pub fn common_retry_after(size: u32, settings: &Settings, seed: u64) -> CallsAroundRetry {
     let unlimited_rps = 100.0 * f64::from(size);
     let mut fleet = VirtualFleet::new(size, settings, unlimited_rps, |number| seed * 1000 + number);
@@ -94,16 +96,17 @@
     }
 }
 
-/// How a fleet used a destination that recovered cold.
+/// A fleet's use of a destination that recovered cold.
 pub struct Recovery {
-    /// The largest share of the calls that a cold destination bears that were made in one overload window.
+    /// Highest use in one overload window: the calls made, divided by the calls that the cold destination can bear.
     pub peak_use: f64,
-    /// Calls served in ten seconds once it was warm.
+    /// Calls served in the ten seconds after the destination became warm.
     #[cfg_attr(not(test), expect(dead_code, reason = "read by the tests"))]
     pub served_when_warm: usize,
 }
 
-/// The destination fails with this outcome for a while and recovers cold, while nine tenths of its limit are accepted.
+/// Makes the destination fail with the outcome `fault` for the time `outage` and then recover cold, while the fleet
+/// accepts messages at nine tenths of the destination's limit.
 pub fn cold_recovery(settings: &Settings, fault: Outcome, outage: Micros, seed: u64) -> Recovery {
     let rate = 0.9 * RECOVERY_RPS;
     let mut fleet = VirtualFleet::new(FORWARDERS, settings, RECOVERY_RPS, |number| seed * 1000 + number);
@@ -122,13 +125,14 @@
     }
 }
 
-/// The share that the calls of the overload window from `from` on are of those that the destination bears.
+/// Returns the calls in the overload window that starts at `from`, divided by the calls that the destination can bear
+/// in that window.
 fn window_use(fleet: &VirtualFleet, settings: &Settings, recovered_at: Micros, from: Micros) -> f64 {
     let window = settings.overload_window;
     let cold = settings.cold_capacity_share;
     let warmth = (from + window - recovered_at) as f64 / settings.warm_up_time as f64;
     let capacity_rps = RECOVERY_RPS * (cold + (1.0 - cold) * warmth.min(1.0));
     let bearable = settings.overload_factor * capacity_rps * window as f64 / SECOND as f64;
-    // Arrivals are random: three standard deviations are allowed.
+    // Arrivals are random, so three standard deviations are allowed.
     fleet.calls_in(from, window) as f64 / (bearable + 3.0 * bearable.sqrt())
 }
--- a/crates/experiments/src/fleet_limit/tests.rs
+++ b/crates/experiments/src/fleet_limit/tests.rs
@@ -1,11 +1,11 @@
-//! The limits that a fleet keeps to, and that it does not keep to them by sending nothing.
+//! Tests that a fleet keeps to shared limits, and that it does so without leaving the capacity unused.
 
 use super::scenarios::*;
 use super::virtual_fleet::{CallResult, SECOND, STEP, VirtualFleet, settings};
 use super::*;
 use orchidyoke_core::interface::{CapacityHints, Micros};
 
-/// The pauses of sixty forwarders after four and five refused connections in a row.
+/// Returns the backoffs of sixty forwarders after four and after five refused connections in a row.
 fn backoffs(settings: &Settings, seed: u64) -> Vec<Micros> {
     let settings = Settings { connect_timeout: SECOND, ..settings.clone() };
     let mut fleet = VirtualFleet::new(60, &settings, RECOVERY_RPS, |number| seed * 1000 + number);
@@ -19,9 +19,10 @@
     (0..60).flat_map(of).collect()
 }
 
-// Guards against what is harmless for one forwarder and harmful for a hundred: concurrency limits at their floor that keep
-// a limit exceeded, permits saved up, retries in the same moment, backoffs that double beyond what the limit needs, a cold
-// destination overloaded. A fleet in which each knows only of itself must do worse.
+// Guards against behaviour that is harmless for one forwarder and harmful for a hundred: concurrency limits at their
+// minimum that still exceed a shared limit, permits that accumulate, retries at the same moment, backoffs that double
+// beyond what the limit needs, and the overload of a cold destination. A fleet whose forwarders know nothing of each
+// other must exceed each limit.
 #[test]
 fn fleet_keeps_to_a_shared_limit_that_single_forwarders_exceed() {
     for (case, seed) in CASES.iter().zip(1..) {
@@ -31,11 +32,11 @@
             assert!(figure <= case.most, "{}: {figure:.2}, seed {seed}", case.label);
         }
         let worse = (case.measure)(&alone, seed);
-        assert!(worse > case.most, "{}: {worse:.2} each for itself", case.label);
+        assert!(worse > case.most, "{}: {worse:.2} with a fleet size of 1", case.label);
     }
 }
 
-// Guards against a fleet that keeps to a limit by sending nothing.
+// Guards against a fleet that keeps to a limit by sending too little.
 #[test]
 fn fleet_uses_the_capacity_that_a_shared_limit_leaves() {
     let set = settings(FORWARDERS);
@@ -43,25 +44,25 @@
         assert!(rate_of(&overload(&set, 1.3, seed), Outcome::Success) > 0.75 * LIMIT_RPS);
         let calm = overload(&set, 0.6, seed);
         let served = calm.count_ended(Outcome::Success);
-        assert!(served as f64 > 0.92 * calm.accepted() as f64, "nothing is short");
+        assert!(served as f64 > 0.92 * calm.accepted() as f64, "the capacity is sufficient");
         let unknown = overload(&Settings { capacity_hints: CapacityHints::None, ..set.clone() }, 1.3, seed);
         assert!(
             rate_of(&unknown, Outcome::Rejected) > 0.4 * LIMIT_RPS,
-            "without a capacity there is no share to keep to"
+            "without a capacity hint no forwarder has a share to keep to"
         );
         let started = calls_of_first_second(&set, 0, |number| seed * 1000 + number);
         assert!(started >= LIMIT_RPS as usize / 2);
         let paused = calls_of_first_second(&set, 60 * SECOND, |number| seed * 1000 + number);
-        assert!((100..=110).contains(&paused), "{paused}: each its first, few a second one");
+        assert!((100..=110).contains(&paused), "{paused}: each makes one call, and few make a second one");
         let wide = Settings { max_calls: 8, ..set.clone() };
         let calls = common_retry_after(FORWARDERS, &wide, seed);
         assert_eq!(
             (calls.before, calls.second_after),
             (0, 100),
-            "Retry-After is kept, and nobody stays away"
+            "all forwarders observe Retry-After and call again after it"
         );
         let backoffs = backoffs(&set, seed);
-        assert!(backoffs.iter().all(|backoff| *backoff <= 21 * SECOND), "as long as the limit needs");
+        assert!(backoffs.iter().all(|backoff| *backoff <= 21 * SECOND), "no longer than the limit needs");
         assert!(
             backoffs.iter().any(|backoff| *backoff < 3 * SECOND)
                 && backoffs.iter().any(|backoff| *backoff > 8 * SECOND)
@@ -71,10 +72,10 @@
         let Recovery { peak_use, served_when_warm } = cold_recovery(&set, fault, outage_s * SECOND, 4);
         assert!(
             peak_use <= 1.0 && served_when_warm >= 400,
-            "{fault:?}: {peak_use:.2}, {served_when_warm} of 540 once it is warm"
+            "{fault:?}: peak use {peak_use:.2}, {served_when_warm} of 540 served when warm"
         );
     }
-    // A lone forwarder retries at the end of Retry-After; with the same seed everywhere all stay in step.
+    // A single forwarder retries at the end of Retry-After. With the same seed, all forwarders act at the same moment.
     let alone = common_retry_after(1, &Settings { max_calls: 8, ..settings(1) }, 0);
     assert_eq!([alone.before, alone.at_end, alone.second_after], [0, 1, 1]);
     let in_step: Vec<_> = (0..20).map(|seed| calls_of_first_second(&set, 0, |_| seed)).collect();
--- a/crates/experiments/src/fleet_limit/virtual_fleet.rs
+++ b/crates/experiments/src/fleet_limit/virtual_fleet.rs
@@ -1,5 +1,5 @@
-//! Forwarders that send to one destination, on a virtual clock that advances in steps. The decisions are the program's
-//! own controller, one for each forwarder; the clock, the destination and the messages are simulated.
+//! Forwarders that send to one destination, on a virtual clock that advances in steps. Each forwarder runs the
+//! program's own controller. The clock, the destination and the messages are simulated.
 
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
@@ -8,17 +8,17 @@
 
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// How far one step advances the clock.
+/// Time by which one step advances the clock.
 pub const STEP: Micros = 20 * MILLISECOND;
 const MESSAGE_DEADLINE: Micros = 16 * SECOND;
 
-/// How a call that is made now ends.
+/// The result of a call.
 #[derive(Clone, Copy)]
 pub struct CallResult {
     pub outcome: Outcome,
-    /// From the call to its end.
+    /// Time from the start of the call to its end.
     pub latency: Micros,
-    /// `Retry-After`; 0 where there is none.
+    /// Value of `Retry-After`, or 0 if the response has none.
     pub retry_after: Micros,
 }
 
@@ -29,7 +29,7 @@
 pub const PENDING: CallResult =
     CallResult { outcome: Outcome::Success, latency: 60 * SECOND, retry_after: 0 };
 
-/// The settings of a forwarder that is told of a fleet of this size.
+/// Returns the settings of a forwarder for a fleet of this size.
 pub fn settings(fleet_size: u32) -> Settings {
     let class = Class {
         latency_objective: 2500 * MILLISECOND,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sends an attempt of a message, which ends with this result.
+    /// Records an attempt of a message that ends with the result `call`.
     fn send(&mut self, now: Micros, id: MessageId, call: CallResult) {
         let attempts = self.attempts.entry(id).or_default();
         let result = AttemptResult {
@@ -120,7 +120,7 @@
 /// A call that was made.
 pub struct MadeCall {
     pub at: Micros,
-    /// The forwarder's number.
+    /// Number of the forwarder.
     #[cfg_attr(not(test), expect(dead_code, reason = "read by the tests"))]
     pub forwarder: usize,
 }
@@ -131,7 +131,7 @@
     pub outcome: Outcome,
 }
 
-/// The forwarders, and all their calls.
+/// The forwarders and all their calls.
 pub struct VirtualFleet {
     pub now: Micros,
     pub calls: Vec<MadeCall>,
@@ -141,8 +141,8 @@
 }
 
 impl VirtualFleet {
-    /// A fleet of `size`, whatever size its settings say, whose endpoint is listed with a capacity in calls a second.
-    /// `seed` gives the seed of each forwarder by its number.
+    /// Creates a fleet of `size` forwarders, regardless of the fleet size in `settings`. `capacity_rps` is the listed
+    /// capacity of the endpoint, in calls per second. `seed` returns the seed of a forwarder from its number.
     pub fn new(size: u32, settings: &Settings, capacity_rps: f64, seed: impl Fn(u64) -> u64) -> Self {
         let endpoint = EndpointUpdate {
             endpoint: 1,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// One step, in which each forwarder accepts as many messages as `messages` draws.
+    /// Runs one step. Each forwarder accepts the number of messages that `messages` returns.
     fn step(
         &mut self,
         mut messages: impl FnMut(&mut SeededRng) -> usize,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Advances by `length`; all forwarders together accept `rate` messages a second, at random.
+    /// Advances the clock by `length`. All forwarders together accept `rate` messages per second, at random times.
     pub fn run(&mut self, length: Micros, rate: f64, mut destination: impl FnMut(Micros) -> CallResult) {
         let probability = rate / self.forwarders.len() as f64 * STEP as f64 / SECOND as f64;
         for _ in 0..length / STEP {
@@ -198,23 +198,23 @@
         }
     }
 
-    /// Each forwarder accepts this many messages in one step.
+    /// Runs one step in which each forwarder accepts `messages` messages and every call ends with `result`.
     pub fn burst(&mut self, messages: usize, result: CallResult) {
         self.step(|_| messages, &mut |_| result);
     }
 
-    /// Messages that all forwarders have accepted.
+    /// Returns the number of messages that all forwarders have accepted.
     #[cfg_attr(not(test), expect(dead_code, reason = "read by the tests"))]
     pub fn accepted(&self) -> u64 {
         self.forwarders.iter().map(|forwarder| forwarder.accepted).sum()
     }
 
-    /// Calls that have ended with this outcome.
+    /// Returns the number of calls that have ended with this outcome.
     pub fn count_ended(&self, outcome: Outcome) -> usize {
         self.ended.iter().filter(|call| call.outcome == outcome).count()
     }
 
-    /// Calls made from `from` on, within `length`.
+    /// Returns the number of calls made within `length` from `from` on.
     pub fn calls_in(&self, from: Micros, length: Micros) -> usize {
         self.calls.iter().filter(|call| (from..from + length).contains(&call.at)).count()
     }
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop client load: every message has its time, whatever became of those before it, and its latency counts from
-//! then, so that a slow forwarder does not slow its clients down.
+//! Open-loop client load. Every message has a planned send time that does not depend on the answers to earlier
+//! messages, and its latency is measured from that time. A slow forwarder therefore does not slow its clients down.
 
 use crate::error::ExperimentError;
 use bytes::Bytes;
@@ -22,26 +22,26 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::{sleep_until, timeout};
 
-/// A client gives up after this time without an answer.
+/// Time after which a client gives up waiting for an answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Digits to which latencies are recorded.
+/// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// A message to be submitted.
+/// A message to send.
 #[derive(Clone, Debug)]
 pub struct PlannedMessage {
-    /// When, from the start of the load.
+    /// Send time, counted from the start of the load.
     pub send_at: Duration,
-    /// Its class.
+    /// Class of the message.
     pub class: &'static str,
-    /// Its id.
+    /// Id of the message, sent in `X-Txn`.
     pub message_id: String,
-    /// Its destination.
+    /// Number of the destination, sent in `X-Consignee`.
     pub destination: u64,
 }
 
-/// Messages of a Poisson process of `rate` a second over `length`, of the classes in turn.
+/// Returns the messages of a Poisson process with `rate` messages per second over `length`. The classes take turns.
 pub fn poisson_plan(
     seed: u64,
     rate: f64,
@@ -64,16 +64,16 @@
     }
 }
 
-/// What the forwarder answered.
+/// The forwarder's answers to a load.
 #[derive(Debug)]
 pub struct LoadResult {
     /// Ids of messages answered 200 or 202.
     pub accepted: BTreeSet<String>,
-    /// Messages answered 429 or 503.
+    /// Number of messages answered 429 or 503.
     pub rejected: usize,
-    /// Messages with another answer, or none in time.
+    /// Number of messages with another answer, or without an answer in time.
     pub failed: usize,
-    /// From a message's time to its answer, in microseconds.
+    /// Time from the planned send time of a message to its answer or time-out, in microseconds.
     pub latency: Histogram<u64>,
 }
 
@@ -83,7 +83,7 @@
         LoadResult { accepted: BTreeSet::new(), rejected: 0, failed: 0, latency }
     }
 
-    /// All messages, whatever the answer.
+    /// Returns the number of all messages, regardless of the answer.
     pub fn submitted(&self) -> usize {
         self.accepted.len() + self.rejected + self.failed
     }
@@ -98,15 +98,15 @@
     }
 }
 
-/// A message after its answer or its time-out.
+/// A message that was answered or timed out.
 struct Answered {
     message_id: String,
-    /// 0 where there was no answer.
+    /// Status code, or 0 if there was no answer.
     status: u16,
     latency: Duration,
 }
 
-/// Connections that no message uses at the moment.
+/// Open connections that no message uses.
 type IdleConnections = Rc<RefCell<Vec<SendRequest<Full<Bytes>>>>>;
 
 async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, Box<dyn Error>> {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Submits a message on an idle connection or a new one, and gives the status.
+/// Sends a message on an idle connection or a new one, and returns the status code.
 async fn submit(
     address: SocketAddr,
     idle: IdleConnections,
@@ -177,11 +177,11 @@
     result
 }
 
-/// Clients that submit messages on a thread of their own.
+/// Clients that send messages on a separate thread.
 pub struct Load(JoinHandle<LoadResult>);
 
 impl Load {
-    /// Submits all messages to a forwarder, their times counted from `start`.
+    /// Starts a thread that sends all messages to a forwarder. Their send times count from `start`.
     pub fn start(forwarder: SocketAddr, start: Instant, messages: Vec<PlannedMessage>) -> Self {
         Load(thread::spawn(move || {
             let runtime =
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,8 +1,8 @@
-//! Experiments on the forwarder: real processes on loopback under client load, against scripted peers, and their decisions
-//! in virtual time. Results are tables and charts.
+//! Experiments on the forwarder. Most run real forwarder processes on loopback under client load, against fake peers;
+//! one simulates the controllers of a fleet on a virtual clock. Results are tables and charts.
 //!
-//! The last line on standard output is one JSON object. The exit status says whether all rules were kept: 0 they were,
-//! 1 one was violated, 2 the experiment could not be run.
+//! The last line on standard output is one JSON object. The exit status is 0 if no rule was violated, 1 if a rule was
+//! violated, and 2 if the experiment could not be run.
 
 #![deny(missing_docs)]
 
@@ -38,11 +38,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Name the experiments.
+    /// List the experiments.
     List,
-    /// Run one.
+    /// Run an experiment.
     Run {
-        /// Which; see `list`.
+        /// Name of the experiment; see `list`.
         name: String,
         #[command(flatten)]
         run: RunOptions,
@@ -52,7 +52,7 @@
     CapacityChild,
 }
 
-/// An experiment: its name, what it shows, what sabotage takes away, and how it is run.
+/// An experiment: its name, descriptions of its result and of its sabotage for `list`, and its entry function.
 struct Experiment {
     name: &'static str,
     shows: &'static str,
@@ -117,7 +117,7 @@
     },
 ];
 
-/// Runs an experiment and prints its report; true where no rule was violated.
+/// Runs an experiment and prints its report. Returns `true` if no rule was violated.
 fn run(name: &str, options: &RunOptions) -> Result<bool, ExperimentError> {
     let experiment = EXPERIMENTS.iter().find(|experiment| experiment.name == name);
     let experiment = experiment.ok_or_else(|| ExperimentError::UnknownExperiment {
--- a/crates/experiments/src/options.rs
+++ b/crates/experiments/src/options.rs
@@ -1,38 +1,39 @@
-//! How an experiment is run: the options of `run`.
+//! Options of the command `run`.
 
 use crate::error::ExperimentError;
 use clap::Args;
 use std::path::PathBuf;
 
-/// How an experiment is run.
+/// Options of an experiment's run.
 #[derive(Args, Clone, Debug)]
 #[group(id = "options")]
 pub struct RunOptions {
-    /// Where all chance comes from.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Where the table (CSV and Markdown) and the chart (SVG) go.
+    /// Folder for the table (CSV and Markdown) and the chart (SVG).
     #[arg(long, value_name = "FOLDER")]
     pub out: Option<PathBuf>,
-    /// The forwarder; the one beside this program where it is left out.
+    /// Program of the forwarder; by default `orchidyoke` in the folder of this program.
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
-    /// Seeds run beside each other, from `seed` on (consul-cold, fleet-limit); one after another (rollout-stop).
+    /// Number of seeds, from `seed` on. They run in parallel (consul-cold, fleet-limit) or one after another
+    /// (rollout-stop).
     #[arg(long, default_value_t = 20)]
     pub seeds: u64,
-    /// Take away what the experiment is to prove: the run must fail.
+    /// Break what the experiment proves, so that the run must fail.
     #[arg(long, alias = "unrestrained")]
     pub sabotage: bool,
-    /// Smaller sizes, in seconds (capacity-forwarder, capacity-control).
+    /// Run smaller sizes, which takes seconds (capacity-forwarder, capacity-control).
     #[arg(long)]
     pub quick: bool,
-    /// Memory that the experiment may use, in MB, where half of the machine's is too much (capacity-forwarder).
+    /// Maximum memory of the experiment in MB, if half of the machine's is too much (capacity-forwarder).
     #[arg(long, value_name = "MB")]
     pub memory_mb: Option<u64>,
 }
 
 impl RunOptions {
-    /// The forwarder's program.
+    /// Returns the forwarder's program: the one from `--program`, or else `orchidyoke` beside this program.
     pub fn program(&self) -> Result<PathBuf, ExperimentError> {
         let beside = || std::env::current_exe().ok().map(|path| path.with_file_name("orchidyoke"));
         let program = self.program.clone().or_else(beside);
