--- a/crates/experiments/src/policy_epochs.rs
+++ b/crates/experiments/src/policy_epochs.rs
@@ -1,6 +1,6 @@
-//! `policy-epochs`: how long a committed policy takes to be in force on fleets of 10, 100 and 1,000 forwarders, and what
-//! that asks of Consul. The participants are those of the real forwarder, all in one process, each with connections of its
-//! own to one Consul server.
+//! `policy-epochs`: measures the time until a committed policy is in force on fleets of 10, 100 and 1,000 forwarders,
+//! and the load on Consul. The participants are those of the real forwarder. All run in one process, each with its own
+//! connections to one Consul server.
 
 use crate::error::ExperimentError;
 use crate::options::RunOptions;
@@ -21,39 +21,41 @@
 use tokio::time::sleep;
 
 const SIZES: [usize; 3] = [10, 100, 1_000];
-/// Changes made at each size.
+/// Number of changes at each fleet size.
 const CHANGES: usize = 5;
 const MEMBER_TTL: Duration = Duration::from_secs(10);
-/// A forwarder that has not heard of a commit by then reports that it is disconnected.
+/// Maximum time from a commit until it is in force everywhere. A forwarder that has not heard of a commit by then
+/// reports that it is disconnected.
 const IN_FORCE_BOUND: Duration = Duration::from_millis(6_667);
-/// How long a change may take to be in force on all forwarders.
+/// Time after which the wait for a change to be in force on all forwarders is given up.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long all forwarders may take to appear at the commit point.
+/// Maximum time until all forwarders have appeared at the commit point.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long requests are counted while nothing changes.
+/// Time for which requests are counted while nothing changes.
 const IDLE_FOR: Duration = Duration::from_secs(5);
 
-/// What one change showed.
+/// The results of one change.
 struct ChangeOutcome {
-    /// From the proposal until all have voted and it is committed.
+    /// Time from the proposal until all participants have voted and the policy is committed.
     prepared_ms: f64,
-    /// From the commit until it is in force on the first forwarder.
+    /// Time from the commit until the policy is in force on the first forwarder.
     first_ms: f64,
-    /// From the commit until it is in force on the last forwarder.
+    /// Time from the commit until the policy is in force on the last forwarder.
     last_ms: f64,
     consul_requests: u64,
 }
 
-/// What one size of the fleet showed.
+/// The results of one fleet size.
 struct SizeOutcome {
     forwarders: usize,
-    /// Requests to Consul a second while nothing changes.
+    /// Requests per second to Consul while nothing changes.
     idle_requests_per_second: f64,
     changes: Vec<ChangeOutcome>,
 }
 
-/// Runs it. Sabotage: one forwarder is disconnected from Consul before the change; only the smallest size is run.
+/// Runs the experiment. Under sabotage one forwarder is disconnected from Consul before the change, and only the
+/// smallest size is run.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let changes = usize::try_from(options.seeds).unwrap_or(CHANGES).min(CHANGES);
     let sizes = if options.sabotage { &SIZES[..1] } else { &SIZES[..] };
@@ -68,16 +70,16 @@
     Ok(report(&outcomes))
 }
 
-/// Participants of a fleet, and the coordinator, with a Consul of their own.
+/// The participants of a fleet and the coordinator, with their own Consul server.
 struct PolicyFleet {
     consul: ConsulServer,
     coordinator: Coordinator,
-    /// The proxy between the first forwarder and Consul under sabotage.
+    /// Proxy that is between the first forwarder and Consul under sabotage.
     link: FaultProxy,
-    /// When each forwarder put a policy in force.
+    /// Times at which forwarders put a policy in force.
     in_force: UnboundedReceiver<Instant>,
     size: usize,
-    /// The configuration that all read.
+    /// Folder with the configuration that all participants read.
     _base: TemporaryFolder,
     _runtime: ServerRuntime,
 }
@@ -88,7 +90,7 @@
     Settings { consul, prefix: "experiment".to_owned(), name: None, ttl: MEMBER_TTL }
 }
 
-/// Runs a participant until the runtime ends, and reports each policy that it puts in force.
+/// Runs a participant until the runtime ends, and reports the time of each policy that it puts in force.
 async fn participate(
     commit_point: Settings,
     name: String,
@@ -102,7 +104,7 @@
     let follow = spawn_local(participant.clone().follow(source, inputs));
     while let Some(input) = received.recv().await {
         if matches!(input, Input::ConfigReloaded(_)) {
-            // The receiver is gone only when the experiment ends.
+            // The receiver is dropped only when the experiment ends.
             let _ = in_force.send(Instant::now());
         }
     }
@@ -110,7 +112,8 @@
 }
 
 impl PolicyFleet {
-    /// Starts the participants, and waits until all have joined. With `sabotage` the first one is behind the link.
+    /// Starts the participants and waits until all have joined. If `sabotage` is `true`, the first one connects through
+    /// the proxy.
     async fn start(size: usize, sabotage: bool) -> Result<Self, ExperimentError> {
         let consul = ConsulServer::start();
         let runtime = ServerRuntime::new();
@@ -147,7 +150,7 @@
         (self.consul.request_count() - before) as f64 / IDLE_FOR.as_secs_f64()
     }
 
-    /// Proposes a policy that differs from others by its number, and waits until it is in force on all.
+    /// Proposes a policy that differs from the others by `number`, and waits until it is in force on all forwarders.
     async fn change(&mut self, number: usize) -> Result<ChangeOutcome, ExperimentError> {
         let policy = json!({"settings": {"limits": {"idle_close_us": 8_000_000 + number}}}).to_string();
         let requests_before = self.consul.request_count();
@@ -160,7 +163,7 @@
             .coordinator
             .last_commit()
             .ok_or_else(|| ExperimentError::NotCommitted("the coordinator has seen no commit".to_owned()))?;
-        // A forwarder that has not put it in force by then counts with the whole time-out.
+        // A forwarder that has not put the policy in force by then counts with the full time-out.
         let deadline = committed + CHANGE_TIMEOUT;
         let mut times = Vec::new();
         while times.len() < self.size {
@@ -186,7 +189,7 @@
     for number in 0..changes {
         if sabotage {
             fleet.link.set_fault(NetworkFault::Partition);
-            // The change begins once Consul has removed the disconnected member.
+            // The change starts after Consul has removed the disconnected member.
             fleet.wait_for_members(|members| members < forwarders).await;
         }
         outcomes.push(fleet.change(number).await?);
@@ -194,7 +197,7 @@
     Ok(SizeOutcome { forwarders, idle_requests_per_second, changes: outcomes })
 }
 
-/// An address at which nothing listens: these participants do not ask discovery.
+/// Returns an address at which nothing listens, because these participants send no request to discovery.
 fn unused_discovery() -> SocketAddr {
     (unused_loopback_address(), 9).into()
 }
--- a/crates/experiments/src/progress.rs
+++ b/crates/experiments/src/progress.rs
@@ -1,18 +1,18 @@
-//! A progress bar on the terminal, and waits until a moment of a run.
+//! A progress bar on the terminal, and waits for given times of a run.
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::time::{Duration, Instant};
 
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The progress of a run in time.
+/// The elapsed time of a run, shown as a progress bar.
 pub struct Progress {
     bar: ProgressBar,
     start: Instant,
 }
 
 impl Progress {
-    /// A run of this length that began at `start`.
+    /// Creates the progress bar of a run with this length that began at `start`.
     pub fn new(name: &str, length: Duration, start: Instant) -> Self {
         let bar = ProgressBar::with_draw_target(Some(length.as_secs()), ProgressDrawTarget::stderr());
         let style = ProgressStyle::with_template("{msg} [{bar:40}] {pos}/{len} s");
@@ -21,7 +21,7 @@
         Progress { bar, start }
     }
 
-    /// Waits until this long after the start.
+    /// Waits until `elapsed` has passed since the start.
     pub fn wait_until(&self, elapsed: Duration) {
         while self.start.elapsed() < elapsed {
             self.update();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Shows the time that has passed.
+    /// Shows the elapsed time.
     pub fn update(&self) {
         self.bar.set_position(self.start.elapsed().as_secs());
     }
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -11,20 +11,20 @@
 
 /// A line of a chart.
 pub struct ChartSeries {
-    /// What the legend calls it.
+    /// Name in the legend.
     pub name: String,
     /// Points as x and y.
     pub points: Vec<(f64, f64)>,
 }
 
 impl ChartSeries {
-    /// One value a second, from second 0 on.
+    /// Returns a series with one value per second, from second 0 on.
     pub fn per_second(name: &str, values: &[f64]) -> Self {
         let points = values.iter().enumerate().map(|(second, value)| (second as f64, *value));
         ChartSeries { name: name.to_owned(), points: points.collect() }
     }
 
-    /// The cumulative distribution of sorted samples, in percent.
+    /// Returns the cumulative distribution of samples in ascending order, in percent.
     pub fn cumulative(name: String, sorted: &[f64]) -> Self {
         let percent = |number: usize| (number + 1) as f64 / sorted.len() as f64 * 100.0;
         let points = sorted.iter().enumerate().map(|(number, sample)| (*sample, percent(number)));
@@ -32,34 +32,34 @@
     }
 }
 
-/// A chart of lines over one axis.
+/// A line chart.
 pub struct Chart {
-    /// What stands above it.
+    /// Caption above the chart.
     pub title: String,
     /// Label of the horizontal axis, with the unit.
     pub x_label: String,
     /// Label of the vertical axis, with the unit.
     pub y_label: String,
-    /// Its lines.
+    /// Lines of the chart.
     pub series: Vec<ChartSeries>,
 }
 
-/// What an experiment has shown.
+/// The results of an experiment.
 pub struct ExperimentReport {
-    /// The table's header.
+    /// Headings of the table.
     pub columns: Vec<&'static str>,
-    /// The table's rows, each with as many cells as there are columns.
+    /// Rows of the table, each with as many cells as there are columns.
     pub rows: Vec<Vec<String>>,
-    /// The chart.
+    /// Chart, written as an SVG file.
     pub chart: Chart,
-    /// Rules that were violated, each in a sentence.
+    /// One sentence for each violated rule.
     pub violations: Vec<String>,
-    /// The JSON object of the last line.
+    /// JSON object for the last line of the output.
     pub json: Value,
 }
 
 impl ExperimentReport {
-    /// The table as Markdown.
+    /// Returns the table as Markdown.
     pub fn markdown(&self) -> String {
         let line = |cells: Vec<&str>| format!("| {} |\n", cells.join(" | "));
         let mut text = line(self.columns.clone()) + &line(vec!["---"; self.columns.len()]);
@@ -69,7 +69,7 @@
         text
     }
 
-    /// Writes `NAME.csv`, `NAME.md` and `NAME.svg` into the folder, which is created where it is missing.
+    /// Writes `NAME.csv`, `NAME.md` and `NAME.svg` into the folder. Creates the folder if it is missing.
     pub fn write(&self, folder: &Path, name: &str) -> Result<(), Box<dyn Error + Send + Sync>> {
         std::fs::create_dir_all(folder)?;
         let mut csv = self.columns.join(",") + "\n";
@@ -83,12 +83,12 @@
 }
 
 impl Chart {
-    /// Draws it into an SVG file.
+    /// Draws the chart into an SVG file.
     pub fn draw(&self, path: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
         let points = || self.series.iter().flat_map(|line| &line.points);
         let most = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max).max(1e-6);
         let right = most(&mut points().map(|point| point.0));
-        // A tenth above the highest point is left for the legend.
+        // Leaves a tenth of the height above the highest point for the legend.
         let top = most(&mut points().map(|point| point.1)) * 1.1;
         let left = points().map(|point| point.0).fold(right, f64::min);
         let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
--- a/crates/experiments/src/rollout_stop.rs
+++ b/crates/experiments/src/rollout_stop.rs
@@ -1,9 +1,9 @@
-//! `rollout-stop`: a bad change is rolled out over six forwarders under load; how long from the first stage's start to
-//! the stop, and how many messages the changed forwarder finished meanwhile, over seeds.
+//! `rollout-stop`: rolls a bad change out over six forwarders under load. For each seed it measures the time from the
+//! start of the first stage to the stop, and the number of messages that the changed forwarder finished in that time.
 //!
-//! Four kinds of change in turn: one that rejects much, one that rejects little, one that is only slower, and a release
-//! that rejects much. Each seed draws how bad it is and the clients' pace. The tool is the program's own `rollout`; its
-//! log is read as it comes.
+//! Four kinds of change take turns: one that rejects many messages, one that rejects few, one that is only slower, and
+//! a release that rejects many. Each seed determines how bad the change is and the clients' pace. The rollout is run by
+//! the program's own command `rollout`, whose log is read line by line.
 
 use crate::error::ExperimentError;
 use crate::options::RunOptions;
@@ -19,20 +19,21 @@
 use std::time::{Duration, Instant};
 
 const FLEET_SIZE: usize = 6;
-/// How much worse a changed forwarder may be; sabotage takes one that nothing exceeds.
+/// Share by which a changed forwarder may be worse than the unchanged ones. No difference can exceed the margin that is
+/// used under sabotage.
 const MARGIN: f64 = 0.02;
 const SABOTAGE_MARGIN: f64 = 1.0;
 
-/// What is wrong with a change.
+/// The fault of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ChangeKind {
-    /// Settings with a capacity of one to three open messages.
+    /// Settings that allow only one to three open messages.
     RejectsMuch,
-    /// Settings with a capacity of about as many open messages as there usually are.
+    /// Settings that allow about as many open messages as there usually are.
     RejectsLittle,
-    /// Settings with one or two calls in flight.
+    /// Settings that allow only one or two calls in flight.
     Slower,
-    /// A release that serves with a capacity of one open message.
+    /// A release that allows only one open message.
     Release,
 }
 
@@ -40,7 +41,7 @@
     const ALL: [ChangeKind; 4] =
         [ChangeKind::RejectsMuch, ChangeKind::RejectsLittle, ChangeKind::Slower, ChangeKind::Release];
 
-    /// The name in the table, the chart and the JSON.
+    /// Returns the name in the table, the chart and the JSON.
     fn label(self) -> &'static str {
         match self {
             ChangeKind::RejectsMuch => "refuses much",
@@ -50,29 +51,29 @@
         }
     }
 
-    /// The longest pause of a client that a seed may draw. Under `Slower` more messages come than two calls at a time
-    /// can carry, so that it is slower.
+    /// Returns the maximum of the random pause between two messages of a client. It is shorter for `Slower`, so that
+    /// more messages arrive than two concurrent calls can carry.
     fn max_pause_ms(self) -> u64 {
         if self == ChangeKind::Slower { 4 } else { 8 }
     }
 }
 
-/// What one seed showed.
+/// The results of one seed.
 struct SeedOutcome {
     seed: u64,
     kind: ChangeKind,
-    /// The limit that the change sets.
+    /// Limit that the change sets, on open messages or on calls in flight.
     limit: u64,
     pause_ms: u64,
     stopped: bool,
     to_stop_ms: f64,
-    /// Messages that the changed forwarder finished before the stop.
+    /// Number of messages that the changed forwarder finished before the stop.
     finished_by_changed: u64,
-    /// The measure that stopped the rollout, as its log names it; `-` where there is none.
+    /// Name in the log of the measure that stopped the rollout, or `-` if there is none.
     measure: String,
 }
 
-/// Runs it. Sabotage: the rollout's margin is one whole, so that nothing counts as worse.
+/// Runs the experiment. Under sabotage the margin is [`SABOTAGE_MARGIN`], so that no change counts as worse.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let program = options.program()?;
     let mut outcomes = Vec::new();
@@ -83,7 +84,7 @@
     Ok(report(&outcomes))
 }
 
-/// A change, and its part of the plan.
+/// A change, with its part of the rollout's plan.
 struct Change {
     limit: u64,
     plan: Value,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Adds the release `small`: the program with a configuration of its own, whatever it is started with.
+/// Adds the release `small`, which runs the program with its own configuration instead of the one on its command line.
 fn add_small_release(fleet: &Fleet, program: &Path) {
     let mut config = fleet.config(0);
     config["settings"]["limits"]["max_open"] = json!(1);
@@ -159,7 +160,7 @@
     })
 }
 
-/// The plan of a rollout, with the change's part in it.
+/// Returns the plan of a rollout that makes the change.
 fn plan(fleet: &Fleet, margin: f64, change: &Value) -> Value {
     let mut plan = json!({"forwarders": fleet.plan(), "stages": ["1", "50%", "all"], "bake_ms": 1500,
         "max_bake_ms": 20000, "poll_ms": 250,
@@ -183,7 +184,7 @@
         .map_err(ExperimentError::RolloutTool)
 }
 
-/// What the rollout's log shows, with times and the changed forwarder's count of finished messages.
+/// Data from the rollout's log: times, the reason of the stop, and the changed forwarder's counts of finished messages.
 struct RolloutWatch<'a> {
     fleet: &'a Fleet,
     kind: ChangeKind,
@@ -210,7 +211,7 @@
     fn read(&mut self, line: &str) {
         let ends = line.contains("rollout stops") || line.contains("rollout done");
         if line.contains("forwarder changed") && self.finished_before.is_none() {
-            // A release's process counts from its own start.
+            // A new release runs in a new process, whose counts start at 0.
             let is_release = self.kind == ChangeKind::Release;
             self.finished_before = if is_release { Some(0) } else { self.finished() };
         } else if line.contains("stage begins") && self.began.is_none() {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Messages that the changed forwarder has finished so far.
+    /// Returns the number of messages that the changed forwarder has finished so far.
     fn finished(&self) -> Option<u64> {
         let reply = ask(self.fleet.console(0), "show-stat").ok()?;
         Some(parse_outcome_counts(&reply)?.total())
--- a/crates/experiments/src/statistics.rs
+++ b/crates/experiments/src/statistics.rs
@@ -2,13 +2,15 @@
 
 use std::time::{Duration, Instant};
 
-/// The nearest-rank percentile of sorted samples, for a share from 0 to 1; 0 where there are none.
+/// Returns the nearest-rank percentile of samples in ascending order, for a share from 0 to 1. Returns 0 if there are
+/// no samples.
 pub fn percentile(sorted: &[f64], share: f64) -> f64 {
     let rank = (share * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or(0.0)
 }
 
-/// How many of these moments lie in each second of a run; those before its start count in the first second.
+/// Counts the moments in each second of a run. Moments before the start count in the first second, and moments after
+/// the end do not count.
 pub fn counts_per_second(
     moments: impl IntoIterator<Item = Instant>,
     start: Instant,
--- a/crates/experiments/src/test_bed.rs
+++ b/crates/experiments/src/test_bed.rs
@@ -1,5 +1,5 @@
-//! A test bed: a destination, Consul and discovery as scripted servers, forwarders as processes; and what became of the
-//! messages, counted at the servers.
+//! A test bed with a fake destination, a fake Consul and a fake discovery, and with forwarders as processes. It counts
+//! the outcomes of the messages at the fakes.
 
 use crate::error::ExperimentError;
 use crate::load::LoadResult;
@@ -13,15 +13,15 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The destination of the service `web`.
+/// Number of the destination that the service `web` serves.
 pub const DESTINATION: u64 = 3;
-/// Longer than a message's deadline and the notification after it.
+/// Maximum wait for the outcomes of all messages. It is longer than a message's deadline and the notification after it.
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(16);
 const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(10);
 const ENDPOINT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Settings that discover the service `web` in this Consul, with a capacity in calls a second.
+/// Returns settings that discover the service `web` in this Consul, with a capacity in calls per second.
 pub fn consul_settings(consul: SocketAddr, capacity_rps: f64) -> String {
     format!(
         "consul(\n    addresses = [\"{consul}\"],\n    networks = [\"127.0.0.0/8\"],\n    wait = \"10s\",\n    \
@@ -32,26 +32,26 @@
 
 /// The servers of a test bed.
 pub struct TestBed {
-    /// Tells test beds of one run apart.
+    /// Name of the test bed, unique within a run.
     pub name: String,
-    /// Discovery, which also takes notifications.
+    /// Fake discovery, which also receives notifications.
     pub discovery: DiscoveryServer,
-    /// Consul.
+    /// Fake Consul.
     pub consul: ConsulServer,
-    /// The destination behind the service `web`.
+    /// Fake destination behind the service `web`.
     pub destination: DestinationServer,
 }
 
 /// A forwarder of a test bed.
 pub struct RunningForwarder {
-    /// The process; it ends before its folder is removed.
+    /// The process. It is declared before the folder, so that it ends before its folder is removed.
     pub process: ForwarderProcess,
-    /// Its folder.
+    /// Folder of the forwarder.
     pub folder: TemporaryFolder,
 }
 
 impl TestBed {
-    /// Starts the servers, without endpoints.
+    /// Starts the servers without endpoints.
     pub fn new(name: &str, model: CapacityModel) -> Self {
         TestBed {
             name: name.to_owned(),
@@ -61,19 +61,19 @@
         }
     }
 
-    /// Opens an endpoint of the destination, and registers it in Consul as an instance of `web`.
+    /// Opens an endpoint of the destination and registers it in Consul as an instance of `web`.
     pub fn register_endpoint(&self, id: &str) -> SocketAddr {
         let endpoint = self.destination.open_endpoint();
         self.consul.register(Instance::new("web", "n1", id, endpoint));
         endpoint
     }
 
-    /// Opens and registers endpoints with the ids `w0` and on.
+    /// Opens and registers `count` endpoints with the ids `w0`, `w1` and so on.
     pub fn register_endpoints(&self, count: usize) -> Vec<SocketAddr> {
         (0..count).map(|number| self.register_endpoint(&format!("w{number}"))).collect()
     }
 
-    /// Starts a forwarder with this configuration, and with these settings where there are any.
+    /// Starts a forwarder with this configuration, and with these settings if there are any.
     pub fn start_forwarder(
         &self,
         program: &Path,
@@ -89,12 +89,12 @@
         RunningForwarder { process, folder }
     }
 
-    /// The configuration of a forwarder in this test bed.
+    /// Returns the configuration of a forwarder in this test bed.
     pub fn config(&self) -> ForwarderConfig {
         ForwarderConfig::new(self.discovery.address())
     }
 
-    /// Waits until the forwarder accepts a message for the destination, which it does once it knows an endpoint.
+    /// Waits until the forwarder accepts a message for the destination, which it does when it knows an endpoint.
     pub fn wait_for_list(&self, forwarder: &ForwarderProcess) -> Result<(), ExperimentError> {
         let deadline = Instant::now() + ENDPOINT_TIMEOUT;
         let pid = forwarder.pid();
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Waits until each accepted message has its outcome, or all deadlines are over.
+    /// Waits until each accepted message has its outcome, or until [`OUTCOME_TIMEOUT`] has passed.
     pub fn wait_for_outcomes(&self, results: &[LoadResult]) -> MessageOutcomes {
         let deadline = Instant::now() + OUTCOME_TIMEOUT;
         loop {
@@ -127,16 +127,16 @@
     }
 }
 
-/// What became of messages.
+/// The outcomes of messages.
 #[derive(Debug)]
 pub struct MessageOutcomes {
-    /// Submitted by clients, whatever the answer.
+    /// Number of messages that clients sent, regardless of the answer.
     pub submitted: usize,
-    /// Accepted, and answered 200 by the destination.
+    /// Number of messages that were accepted and answered 200 by the destination.
     pub delivered: usize,
-    /// Accepted, and neither delivered nor reported by a notification.
+    /// Number of messages that were accepted and neither delivered nor reported by a notification.
     pub lost: usize,
-    /// Answered 200 by the destination more than once.
+    /// Number of messages that the destination answered 200 more than once.
     pub duplicated: usize,
     /// All calls that the destination received.
     pub calls: Vec<Call>,
--- a/crates/experiments/tests/budget.rs
+++ b/crates/experiments/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of an experiment: measured over its processes, and plain about what is over it.
+//! Tests of an experiment's budget: the measurement over all its processes, and the errors for exceeded limits.
 
 #[path = "../src/capacity"]
 mod capacity {
@@ -11,7 +11,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A child that waits, and a child of its own.
+/// A shell that waits for the end of its input, with one child of its own.
 struct Waiting(Child);
 
 impl Waiting {
@@ -24,7 +24,7 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        // The end of its input ends both.
+        // The shell kills its child and exits when its input ends.
         drop(self.0.stdin.take());
         drop(self.0.wait());
     }
@@ -41,7 +41,7 @@
     false
 }
 
-// Guards against an experiment whose children, or theirs, go uncounted.
+// Guards against a measurement that misses children of the experiment or their descendants.
 #[test]
 fn usage_includes_all_descendants() {
     let waiting = Waiting::start();
@@ -51,15 +51,17 @@
         family().contains(&waiting.0.id()) && process::family(waiting.0.id()).is_ok_and(|all| all.len() == 2)
     }));
     let tight = Budget { processes: 2, ..Budget::of_this_machine().expect("a machine") };
-    let Err(BudgetError::Processes { count, most: 2 }) = tight.check() else { panic!("two are below it") };
+    let Err(BudgetError::Processes { count, most: 2 }) = tight.check() else {
+        panic!("3 exceed a limit of 2")
+    };
     assert!(count >= 3, "{count}");
 }
 
-// Guards against a stop that comes only after the step that goes over.
+// Guards against a check that fails only after the step that exceeds the budget.
 #[test]
 fn budget_check_includes_the_next_step() {
     let budget = Budget::of_this_machine().expect("a machine");
-    let used = budget.check().expect("within it");
+    let used = budget.check().expect("within the budget");
     assert!(used.resident > 0 && used.processes >= 1 && used.descriptors >= 3, "{used:?}");
     let memory = Used { resident: budget.resident, ..Used::default() };
     let error = budget.check_with(&memory).expect_err("more than half of the machine");
@@ -72,7 +74,7 @@
     assert!(matches!(error, BudgetError::Descriptors { .. }), "{error}");
 }
 
-// Guards against a clock that counts ticks, or another process's time.
+// Guards against a processor clock that counts in ticks, or that counts the time of another process.
 #[test]
 fn processor_time_is_of_the_named_process() {
     let waiting = Waiting::start();
@@ -81,9 +83,9 @@
     let mut sum = 0u64;
     while own() - before < Duration::from_millis(30) {
         sum = std::hint::black_box(sum.wrapping_add(1));
-        assert!(begin.elapsed() < Duration::from_secs(30), "its clock stands still");
+        assert!(begin.elapsed() < Duration::from_secs(30), "the processor time does not increase");
     }
-    let child = process::usage(waiting.0.id()).expect("it waits");
+    let child = process::usage(waiting.0.id()).expect("usage of a running child");
     assert!(
         child.processor < Duration::from_secs(1) && child.resident > 0 && child.threads == 1,
         "{child:?}"
--- a/crates/experiments/tests/capacity.rs
+++ b/crates/experiments/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The short form of `capacity-forwarder`, with real processes: the aims are held, and a cost that grows with the list is
-//! found. It goes by ratios, counts of bytes and processor time only; no time on the clock decides.
+//! Tests of the quick run of `capacity-forwarder` with real processes: it holds the aims, and it detects a cost that
+//! grows with the list. The checks use only ratios, byte counts and processor time, and no elapsed time.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -7,8 +7,8 @@
 
 const EXPERIMENTS: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
 
-/// The forwarder that was built beside the experiments. A test of the whole workspace builds it; a test of this package alone
-/// takes the last one that was built.
+/// Returns the forwarder program beside the experiments' program. Tests of the whole workspace build it. Tests of this
+/// package alone use the one that was built last.
 fn forwarder() -> PathBuf {
     let program = Path::new(EXPERIMENTS).with_file_name("orchidyoke");
     assert!(program.is_file(), "{}: build it first (cargo build)", program.display());
@@ -21,7 +21,7 @@
     command.args(options).output().expect("the experiments run")
 }
 
-/// The JSON line, which is the last.
+/// Returns the JSON object on the last line of the output.
 fn told(output: &Output) -> Value {
     let text = String::from_utf8_lossy(&output.stdout);
     let last = text.lines().last().unwrap_or_default();
@@ -33,8 +33,8 @@
     aims.iter().map(|aim| (aim.to_string(), aim["held"] == true)).collect()
 }
 
-// Guards against a cost that grows by the square of a list, or with the list where it should not, and against figures
-// that are left out.
+// Guards against a cost that grows with the square of the list, or with the list although it should not, and against
+// results that are missing.
 #[test]
 fn cost_objectives_hold_at_small_sizes() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-test-{}", std::process::id()));
@@ -52,10 +52,11 @@
     }
     let points = std::fs::read_to_string(folder.join("capacity-forwarder-points.csv")).expect("points");
     assert!(points.contains("\ntime to be ready,ms,0% down,destinations listed,3000,"), "{points}");
-    std::fs::remove_dir_all(folder).expect("cleans up");
+    std::fs::remove_dir_all(folder).expect("the folder is removed");
 }
 
-// Guards against a check that nothing fails: the list is read again with every message.
+// Guards against a check that always passes. Under sabotage the forwarder reloads the list before every message, so the
+// aim must be missed.
 #[test]
 fn message_cost_that_grows_with_the_list_misses_its_objective() {
     let output = run(&["--sabotage"]);
@@ -64,7 +65,7 @@
     assert!(matches!(&aims[..], [(_, false)]), "{aims:?}");
 }
 
-// Guards against an experiment that goes on where it may not, or ends without a word.
+// Guards against an experiment that continues beyond its budget, or that stops without an error.
 #[test]
 fn too_small_memory_budget_stops_the_run_with_one_error() {
     let output = run(&["--memory-mb", "10"]);
--- a/crates/experiments/tests/capacity_control.rs
+++ b/crates/experiments/tests/capacity_control.rs
@@ -1,4 +1,4 @@
-//! The experiment `capacity-control` in its short form: the counts of its work, its sabotage, and where it stops.
+//! Tests of the quick run of `capacity-control`: its counts of work, its sabotage, and its stop at the budget.
 
 use serde_json::Value;
 use std::io::Write;
@@ -16,14 +16,14 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The JSON object on the last line of the output.
+/// Returns the JSON object on the last line of the output.
 fn result(output: &Output) -> Value {
     let text = text(&output.stdout);
     let last = text.lines().last().expect("a line");
     serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {last}"))
 }
 
-/// A quantity of a scenario with the smaller fleet and with the larger one.
+/// Returns the values of a quantity in a scenario with the smaller fleet and with the larger one.
 fn values(result: &Value, scenario: &str, what: &str) -> [f64; 2] {
     let rows = result["rows"].as_array().expect("rows");
     let row = rows.iter().find(|row| row["scenario"] == scenario && row["what"] == what);
@@ -31,7 +31,8 @@
     [0, 1].map(|size| row["values"][size][1].as_f64().expect("a number"))
 }
 
-// Guards against control whose work for a change or at rest grows with the fleet, and against a run that measures nothing.
+// Guards against control work per forwarder that grows with the fleet, for a change or at rest, and against a run that
+// measures nothing.
 #[test]
 fn work_of_a_forwarder_is_independent_of_the_fleet_size() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-control-{}", std::process::id()));
@@ -43,11 +44,12 @@
         assert!(small >= least && large >= least, "{scenario}, {what}: {small} and {large}");
         assert!(large <= 1.6 * small, "{scenario}, {what}: {small} with 10 and {large} with 30");
     };
-    // A renewal and a look within the TTL; for a change two looks, a vote and what is in force, each with a renewal.
+    // At rest each TTL has a renewal and a blocking query. A change has two blocking queries, a vote and a report of
+    // the policy in force, each with a renewal.
     level("at rest", "policy requests/s a forwarder", 0.5);
     level("one change", "policy requests a forwarder", 4.0);
     level("one change", "policy B a forwarder", 1_000.0);
-    // Each restart is read by all members of its region, with all of them in it.
+    // All members of the region read each restart, and each answer lists all members.
     let [small, large] = values(&result, "one restart", "duties B a forwarder");
     assert!(small > 0.0 && large <= 3.0 * 1.5 * small, "{small} with 10 and {large} with 30");
     for kind in ["csv", "md", "svg"] {
@@ -56,7 +58,7 @@
     drop(std::fs::remove_dir_all(&folder));
 }
 
-// Guards against rules that hold whatever is done: each forwarder that reads all of the others must break one.
+// Guards against rules that always hold. Under sabotage each forwarder reads all members, which must break a rule.
 #[test]
 fn fleet_whose_members_read_each_other_violates_a_rule() {
     let output = quick(&["--sabotage"]);
@@ -66,7 +68,7 @@
     assert!(!broken.is_empty(), "{text}");
 }
 
-// Guards against an experiment that takes more of the machine than it may, or fails halfway for want of it.
+// Guards against an experiment that exceeds its budget, or that fails halfway because of a limit of the machine.
 #[test]
 fn run_stops_before_it_exceeds_its_budget() {
     let script = "ulimit -n 80; exec \"$0\" run capacity-control --quick";
@@ -85,7 +87,7 @@
         .spawn()
         .expect("the experiments start");
     writeln!(child.stdin.as_ref().expect("a pipe"), "{{}}").expect("written");
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the child exits");
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stderr).contains("no role"), "{}", text(&output.stderr));
 }
--- a/crates/experiments/tests/fit.rs
+++ b/crates/experiments/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Lines by least squares: exact where the points lie on one, and telling where they do not.
+//! Tests of the linear regression: an exact line for points on a line, and a lower R² for points beside it.
 
 #[path = "../src/capacity/fit.rs"]
 mod fit;
@@ -15,35 +15,36 @@
     (left - right).abs() <= 1e-6 * right.abs().max(1.0)
 }
 
-// Guards against a slope that depends on where the line begins, or on the sign of either.
+// Guards against a fit that is wrong for some intercepts or for negative slopes or intercepts.
 #[test]
 fn points_on_a_line_fit_that_line() {
     for (slope, intercept) in [(0.002, 7.0), (-3.0, 1e6), (1600.0, -5.0), (0.0, 4.0)] {
-        let fit = line(&points(|x| intercept + slope * x)).expect("five places");
+        let fit = line(&points(|x| intercept + slope * x)).expect("a line through five points");
         assert!(close(fit.slope, slope) && close(fit.intercept, intercept), "{fit:?}");
         assert!(close(fit.r_squared, 1.0) && fit.points == SIZES.len(), "{fit:?}");
         assert!(fit.residual < 1e-6 * fit.at(1e5).abs().max(1.0), "{fit:?}");
     }
 }
 
-// Guards against a fit that calls anything a line. The figures are those of a fit done by hand: x 0 to 3, y 0, 2, 1, 3.
+// Guards against an R² that does not show the distance from the line. The expected values were computed by hand, for
+// x = 0 to 3 and y = 0, 2, 1, 3.
 #[test]
 fn points_beside_a_line_lower_r_squared() {
-    let fit = line(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]).expect("four places");
+    let fit = line(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]).expect("a line");
     assert!(close(fit.slope, 0.8) && close(fit.intercept, 0.3), "{fit:?}");
     assert!(close(fit.r_squared, 0.64) && close(fit.residual, 0.45f64.sqrt()), "{fit:?}");
 }
 
-// Guards against a cost by the square that passes for one in proportion.
+// Guards against quadratic growth that is reported as linear.
 #[test]
 fn growth_exponent_separates_quadratic_from_linear() {
-    let exponent = |of: fn(f64) -> f64| growth_exponent(&points(of)).expect("five places");
+    let exponent = |of: fn(f64) -> f64| growth_exponent(&points(of)).expect("an exponent");
     assert!(close(exponent(|x| 5.0 * x), 1.0));
     assert!(close(exponent(|x| 1e-7 * x * x), 2.0));
     assert!(close(exponent(|_| 3.0), 0.0));
 }
 
-// Guards against a line drawn through one point.
+// Guards against a line fitted to points that all have the same x value.
 #[test]
 fn points_at_one_x_have_no_line() {
     assert_eq!(line(&[]), None);
--- a/crates/experiments/tests/guard.rs
+++ b/crates/experiments/tests/guard.rs
@@ -1,4 +1,5 @@
-//! The watch over the budget, in a process of its own: it ends all children of the process that it is in.
+//! Tests of the background check of the budget. They have a test program of their own, because the guard kills all
+//! children of its process.
 
 #[path = "../src/capacity"]
 mod capacity {
@@ -15,30 +16,30 @@
 
 const SIGKILL: i32 = 9;
 
-// Guards against an experiment that goes on over its budget while it waits for something.
+// Guards against an experiment that exceeds its budget while it waits.
 #[test]
 fn guard_kills_children_over_the_budget() {
     let machine = Budget::of_this_machine().expect("a machine");
     let mut child = Command::new("sleep").arg("60").spawn().expect("a child");
     let guard = Guard::start(machine);
-    guard.check(&Used::default()).expect("within it");
+    guard.check(&Used::default()).expect("within the budget");
     drop(guard);
-    assert!(child.try_wait().expect("a child").is_none(), "it waits");
+    assert!(child.try_wait().expect("a child").is_none(), "the child still runs");
 
     let guard = Guard::start(Budget { resident: 1 << 10, ..machine });
-    let ended = child.wait().expect("it ends");
+    let ended = child.wait().expect("the child exits");
     assert_eq!(ended.signal(), Some(SIGKILL), "{ended}");
     assert!(matches!(guard.check(&Used::default()), Err(BudgetError::Memory { most: 1024, .. })));
-    assert_eq!(guard.highest(), Used::default(), "what was over it is not counted as used");
+    assert_eq!(guard.highest(), Used::default(), "a usage over the budget is not recorded");
 }
 
-// Guards against a figure of what was used that stays at nothing.
+// Guards against a highest usage that stays at 0.
 #[test]
 fn guard_reports_the_highest_usage() {
     let guard = Guard::start(Budget::of_this_machine().expect("a machine"));
     let until = Instant::now() + Duration::from_secs(30);
     while guard.highest().resident == 0 {
-        assert!(Instant::now() < until, "it never looked");
+        assert!(Instant::now() < until, "the guard did not check the budget");
         std::thread::sleep(Duration::from_millis(10));
     }
     assert!(guard.highest().processes >= 1);
