--- a/crates/experiments/src/capacity/budget.rs
+++ b/crates/experiments/src/capacity/budget.rs
@@ -5,9 +5,9 @@
 use std::io;
 
 /// Divisor of the machine's memory that gives the limit of an experiment.
-const PART_OF_MEMORY: u64 = 2;
+const MEMORY_DIVISOR: u64 = 2;
 /// Maximum number of processes of an experiment, itself included.
-const PROCESSES: usize = 300;
+const MAX_PROCESSES: usize = 300;
 /// Descriptors below each process's limit that stay free, because the runtime and log files need them.
 const SPARE_DESCRIPTORS: usize = 64;
 
@@ -22,7 +22,7 @@
 
 /// The resources that an experiment uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Used {
+pub struct BudgetUsage {
     /// Resident bytes of all its processes together. A page that several processes share counts once for each.
     pub resident: u64,
     /// Number of processes, the experiment itself included.
@@ -39,14 +39,14 @@
         /// Bytes used, or needed by the next step.
         bytes: u64,
         /// Bytes allowed.
-        most: u64,
+        allowed: u64,
     },
     /// The experiment has more processes than its budget allows.
     Processes {
         /// Number of processes that run, plus those that the next step needs.
         count: usize,
         /// Processes allowed.
-        most: usize,
+        allowed: usize,
     },
     /// One process has more descriptors open than its limit allows after the reserve is subtracted.
     Descriptors {
@@ -55,26 +55,28 @@
         /// Descriptors that are open, plus those that the next step needs.
         count: usize,
         /// Descriptors allowed.
-        most: usize,
+        allowed: usize,
     },
     /// The current use cannot be read from the system.
-    Unknown(io::Error),
+    Unreadable(io::Error),
 }
 
 impl fmt::Display for BudgetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BudgetError::Memory { bytes, most } => {
-                let (mib, most) = (bytes >> 20, most >> 20);
-                write!(f, "over the budget: {mib} MiB of memory, {most} MiB are allowed")
+            BudgetError::Memory { bytes, allowed } => {
+                let (mib, allowed) = (bytes >> 20, allowed >> 20);
+                write!(f, "over the budget: {mib} MiB of memory, {allowed} MiB are allowed")
             }
-            BudgetError::Processes { count, most } => {
-                write!(f, "over the budget: {count} processes, {most} are allowed")
+            BudgetError::Processes { count, allowed } => {
+                write!(f, "over the budget: {count} processes, {allowed} are allowed")
             }
-            BudgetError::Descriptors { process, count, most } => {
-                write!(f, "over the budget: {count} descriptors in process {process}, {most} are allowed")
+            BudgetError::Descriptors { process, count, allowed } => {
+                write!(f, "over the budget: {count} descriptors in process {process}, {allowed} are allowed")
+            }
+            BudgetError::Unreadable(error) => {
+                write!(f, "cannot read the experiment's resource usage: {error}")
             }
-            BudgetError::Unknown(error) => write!(f, "cannot read the experiment's resource usage: {error}"),
         }
     }
 }
@@ -83,7 +85,7 @@
 
 impl From<io::Error> for BudgetError {
     fn from(error: io::Error) -> Self {
-        BudgetError::Unknown(error)
+        BudgetError::Unreadable(error)
     }
 }
 
@@ -94,22 +96,22 @@
 }
 
 impl Budget {
-    /// Returns half of this machine's memory and [`PROCESSES`].
-    pub fn of_this_machine() -> Result<Self, BudgetError> {
-        Ok(Budget { resident: process::machine_memory()? / PART_OF_MEMORY, processes: PROCESSES })
+    /// Returns half of this machine's memory and [`MAX_PROCESSES`].
+    pub fn for_this_machine() -> Result<Self, BudgetError> {
+        Ok(Budget { resident: process::machine_memory()? / MEMORY_DIVISOR, processes: MAX_PROCESSES })
     }
 
     /// Measures what this process and its children use. Returns an error if that exceeds the budget.
-    pub fn check(&self) -> Result<Used, BudgetError> {
-        self.check_with(&Used::default())
+    pub fn check(&self) -> Result<BudgetUsage, BudgetError> {
+        self.check_with(&BudgetUsage::default())
     }
 
     /// Does the same as [`Budget::check`] with the needs of the next step added. The descriptors of the next step are
     /// counted for this process.
-    pub fn check_with(&self, needed: &Used) -> Result<Used, BudgetError> {
+    pub fn check_with(&self, needed: &BudgetUsage) -> Result<BudgetUsage, BudgetError> {
         let own = std::process::id();
-        let mut used = Used::default();
-        for process in process::family(own)? {
+        let mut used = BudgetUsage::default();
+        for process in process::process_tree(own)? {
             // A child may exit between the listing and the measurement, so an error of a child is skipped. This process
             // still runs.
             let measured = process::usage(process).and_then(|usage| {
@@ -126,25 +128,25 @@
             used.processes += 1;
             used.descriptors += descriptors;
         }
-        self.check_sums(used.resident + needed.resident, used.processes + needed.processes)?;
+        self.check_totals(used.resident + needed.resident, used.processes + needed.processes)?;
         Ok(used)
     }
 
-    fn check_sums(&self, bytes: u64, count: usize) -> Result<(), BudgetError> {
+    fn check_totals(&self, bytes: u64, count: usize) -> Result<(), BudgetError> {
         if bytes > self.resident {
-            return Err(BudgetError::Memory { bytes, most: self.resident });
+            return Err(BudgetError::Memory { bytes, allowed: self.resident });
         }
         if count > self.processes {
-            return Err(BudgetError::Processes { count, most: self.processes });
+            return Err(BudgetError::Processes { count, allowed: self.processes });
         }
         Ok(())
     }
 }
 
 fn check_descriptors(process: ProcessId, count: usize, limit: usize) -> Result<(), BudgetError> {
-    let most = limit.saturating_sub(SPARE_DESCRIPTORS);
-    if count > most {
-        return Err(BudgetError::Descriptors { process, count, most });
+    let allowed = limit.saturating_sub(SPARE_DESCRIPTORS);
+    if count > allowed {
+        return Err(BudgetError::Descriptors { process, count, allowed });
     }
     Ok(())
 }
--- a/crates/experiments/src/capacity/client.rs
+++ b/crates/experiments/src/capacity/client.rs
@@ -6,16 +6,16 @@
 use std::time::{Duration, Instant};
 
 /// Body size of each message, in bytes.
-pub const BODY: usize = 200;
+pub const BODY_BYTES: usize = 200;
 /// The class of all messages. Messages of this class may be delivered twice, so only the deadline ends one.
 pub const CLASS: &str = "status";
 /// The tenant that all messages belong to.
 pub const TENANT: &str = "acme";
 /// Time until the deadline of each message, in seconds. It is the maximum that a forwarder accepts.
-pub const LIFE_SECONDS: u32 = 86_400;
+pub const TIME_LEFT_SECONDS: u32 = 86_400;
 
 const ACCEPTED: u16 = 202;
-const PATIENCE: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A message to send.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     pub fn connect(forwarder: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(forwarder)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         Ok(Client(BufReader::new(stream)))
     }
 
@@ -45,17 +45,18 @@
     }
 
     /// Sends one message and returns the status code of the response.
-    pub fn hand_in(&mut self, message: &Message) -> io::Result<u16> {
+    pub fn submit(&mut self, message: &Message) -> io::Result<u16> {
         self.send(message)?;
         self.receive()
     }
 
     fn send(&mut self, message: &Message) -> io::Result<()> {
         let Message { id, destination } = message;
-        let body = "x".repeat(BODY);
+        let body = "x".repeat(BODY_BYTES);
         let request = format!(
             "POST /{CLASS} HTTP/1.1\r\nHost: forwarder\r\nX-Txn: {id}\r\nX-Org: {TENANT}\r\n\
-             X-Remaining: {LIFE_SECONDS}\r\nX-Consignee: dest={destination}\r\nContent-Length: {BODY}\r\n\r\n{body}"
+             X-Remaining: {TIME_LEFT_SECONDS}\r\nX-Consignee: dest={destination}\r\n\
+             Content-Length: {BODY_BYTES}\r\n\r\n{body}"
         );
         self.0.get_mut().write_all(request.as_bytes())
     }
@@ -93,13 +94,13 @@
 
 /// Sends messages on all connections in parallel, one on each, until no message is left or `limit` has passed. Returns
 /// the number of accepted messages, or an error if a message is refused.
-pub fn hand_in_all(
+pub fn submit_all(
     clients: &mut [Client],
     messages: &mut dyn Iterator<Item = Message>,
     limit: Duration,
 ) -> Result<usize, CapacityError> {
     let begin = Instant::now();
-    let mut taken = 0;
+    let mut accepted = 0;
     while begin.elapsed() < limit {
         let mut sent = 0;
         for (client, message) in clients.iter_mut().zip(&mut *messages) {
@@ -112,10 +113,10 @@
         for client in &mut clients[..sent] {
             let status = client.receive()?;
             if status != ACCEPTED {
-                return Err(CapacityError::TurnedAway { status });
+                return Err(CapacityError::Refused { status });
             }
         }
-        taken += sent;
+        accepted += sent;
     }
-    Ok(taken)
+    Ok(accepted)
 }
--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -28,7 +28,7 @@
 use crate::options::RunOptions;
 use crate::report::ExperimentReport;
 use fleet::FleetPlan;
-use phases::{Course, FleetResult, Spans};
+use phases::{FleetResult, PhasePlan, Spans};
 use std::time::Duration;
 use table::FleetSize;
 use tokio::runtime::Builder;
@@ -78,9 +78,9 @@
 };
 
 /// Returns the phases of each fleet size. Under sabotage only rest and changes run, because its effect shows there.
-fn course(run: &RunOptions) -> Course {
+fn phase_plan(run: &RunOptions) -> PhasePlan {
     let spans = if run.quick { QUICK_SPANS } else { FULL_SPANS };
-    Course { spans, losses: !run.quick && !run.sabotage, restarts: !run.sabotage }
+    PhasePlan { spans, losses: !run.quick && !run.sabotage, restarts: !run.sabotage }
 }
 
 /// Runs the experiment and returns its report.
@@ -90,16 +90,16 @@
     let sizes = if run.sabotage { &sizes[..2] } else { sizes };
     let mut results: Vec<FleetResult> = Vec::new();
     for size in sizes {
-        let course = course(run);
+        let phase_plan = phase_plan(run);
         let plan =
-            FleetPlan { members: size.members, ttl: course.spans.ttl, reads_all_members: run.sabotage };
+            FleetPlan { members: size.members, ttl: phase_plan.spans.ttl, reads_all_members: run.sabotage };
         let runtime =
             Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
-        let measured = LocalSet::new().block_on(&runtime, phases::measure(plan, &course, run.seed));
+        let measured = LocalSet::new().block_on(&runtime, phases::measure(plan, &phase_plan, run.seed));
         results.push(measured.map_err(|error| format!("{} forwarders: {error}", size.members))?);
         eprintln!("capacity-control: {} forwarders done", size.members);
     }
     let rows = scenario::all(&results);
-    let broken = rules::broken(&rows);
-    Ok(table::outcome(run, sizes, &rows, broken))
+    let violations = rules::violations(&rows);
+    Ok(table::report(run, sizes, &rows, violations))
 }
--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -1,9 +1,9 @@
 //! The fleet under measurement: six control stand-ins, the processes with hollow forwarders, and their reports.
 
-use super::hollow::DUTIES_PREFIX;
+use super::hollow::LEASES_PREFIX;
 use super::messages::{ControlRole, Counts, InForce, Listens, MembersRole, Report, Request, Role, Store};
 use super::process::{ChildNumber, Event, Process};
-use crate::capacity::budget::{Budget, Used};
+use crate::capacity::budget::{Budget, BudgetUsage};
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::forwarder::ForwarderConfig;
 use orchidyoke_fakes::unused_loopback_address;
@@ -27,7 +27,7 @@
 /// Expected memory of one process, in bytes, for the budget check at the start. It is well above the measured values.
 const PROCESS_RESIDENT: u64 = 96 << 20;
 /// Maximum time for a child process to start or to answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+const CHILD_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The setup of a fleet.
 #[derive(Clone, Copy, Debug)]
@@ -69,15 +69,15 @@
     pub in_force: Vec<InForce>,
     /// Number of restarts that members have reported so far.
     pub restarted: usize,
-    up: BTreeSet<ChildNumber>,
+    ready: BTreeSet<ChildNumber>,
     listening: BTreeMap<ChildNumber, Listens>,
     counted: BTreeMap<ChildNumber, (u64, Counts)>,
-    ended: BTreeSet<ChildNumber>,
+    exited: BTreeSet<ChildNumber>,
     cut: BTreeSet<usize>,
     events: UnboundedReceiver<Event>,
     sender: UnboundedSender<Event>,
     started: ChildNumber,
-    counts_asked: u64,
+    counts_requested: u64,
     budget: Budget,
     configuration: PathBuf,
     folder: TemporaryFolder,
@@ -90,21 +90,21 @@
 
 impl Fleet {
     /// Starts the control stand-ins and the processes for the forwarders. The forwarders themselves start in
-    /// [`Fleet::begin`].
+    /// [`Fleet::start_forwarders`].
     ///
     /// # Errors
     ///
     /// Returns an error if the fleet would exceed the budget, or if a process does not start in time.
     pub async fn start(plan: FleetPlan, budget: Budget) -> Result<Self, String> {
         let processes = ZONES + host_members(plan.members).len();
-        budget.check_with(&Used {
+        budget.check_with(&BudgetUsage {
             resident: PROCESS_RESIDENT * processes as u64,
             processes,
             descriptors: 3 * processes,
         })?;
         let folder = TemporaryFolder::new(&format!("lab-capacity-control-{}", plan.members));
-        let nowhere = SocketAddr::from((unused_loopback_address(), 9));
-        let configuration = folder.write("config.json", &ForwarderConfig::new(nowhere).text());
+        let unused_discovery = SocketAddr::from((unused_loopback_address(), 9));
+        let configuration = folder.write("config.json", &ForwarderConfig::new(unused_discovery).text());
         let (sender, events) = unbounded_channel();
         let mut fleet = Fleet {
             plan,
@@ -112,15 +112,15 @@
             hosts: Vec::new(),
             in_force: Vec::new(),
             restarted: 0,
-            up: BTreeSet::new(),
+            ready: BTreeSet::new(),
             listening: BTreeMap::new(),
             counted: BTreeMap::new(),
-            ended: BTreeSet::new(),
+            exited: BTreeSet::new(),
             cut: BTreeSet::new(),
             events,
             sender,
             started: 0,
-            counts_asked: 0,
+            counts_requested: 0,
             budget,
             configuration,
             folder,
@@ -132,14 +132,14 @@
             let process = fleet.start_members(zone, &names)?;
             fleet.hosts.push(Host { zone, members: names, process: Some(process) });
         }
-        fleet.wait_until(PATIENCE, "start of the member processes", Fleet::all_up).await?;
+        fleet.wait_until(CHILD_TIMEOUT, "start of the member processes", Fleet::all_ready).await?;
         Ok(fleet)
     }
 
     /// Starts all forwarders.
-    pub fn begin(&mut self) -> Result<(), String> {
+    pub fn start_forwarders(&mut self) -> Result<(), String> {
         let processes = self.hosts.iter_mut().filter_map(|host| host.process.as_mut());
-        processes.into_iter().try_for_each(|process| process.ask(&Request::Begin))
+        processes.into_iter().try_for_each(|process| process.send_request(&Request::Begin))
     }
 
     /// Returns the address of the store with the policy's commit point.
@@ -148,17 +148,17 @@
     }
 
     /// Returns the address of the store with a region's leases.
-    pub fn duties_store(&self, region: usize) -> Option<SocketAddr> {
-        self.controls[region * ZONES_PER_REGION].listens.duties_store
+    pub fn lease_store(&self, region: usize) -> Option<SocketAddr> {
+        self.controls[region * ZONES_PER_REGION].listens.lease_store
     }
 
     /// Returns the folder of the lease keys.
-    pub fn duties_prefix(&self) -> String {
-        format!("{DUTIES_PREFIX}/")
+    pub fn lease_prefix(&self) -> String {
+        format!("{LEASES_PREFIX}/")
     }
 
     /// Returns the number of leases in a region, which is the number of its forwarders at the start.
-    pub fn duty_count(&self, region: usize) -> usize {
+    pub fn lease_count(&self, region: usize) -> usize {
         let zones = (0..self.plan.members).map(|member| member % ZONES);
         zones.filter(|zone| region_of(*zone) == region).count()
     }
@@ -176,12 +176,12 @@
 
     /// Asks the process of a forwarder to stop it gracefully and to start it again.
     pub fn restart_member(&mut self, name: &str) -> Result<(), String> {
-        self.ask_host_of(name, &Request::Restart(name.to_owned()))
+        self.send_to_host_of(name, &Request::Restart(name.to_owned()))
     }
 
     /// Stops a forwarder abruptly, without deregistration.
     pub fn kill_member(&mut self, name: &str) -> Result<(), String> {
-        self.ask_host_of(name, &Request::Kill(name.to_owned()))?;
+        self.send_to_host_of(name, &Request::Kill(name.to_owned()))?;
         for host in &mut self.hosts {
             host.members.remove(name);
         }
@@ -211,7 +211,7 @@
         }
         let zones = region * ZONES_PER_REGION..(region + 1) * ZONES_PER_REGION;
         let processes = self.controls[zones].iter_mut().filter_map(|control| control.process.as_mut());
-        processes.into_iter().try_for_each(|process| process.ask(&Request::Cut(cut)))
+        processes.into_iter().try_for_each(|process| process.send_request(&Request::Cut(cut)))
     }
 
     /// Returns whether a region is cut off from the stores.
@@ -222,19 +222,23 @@
     /// Sets the time after which a session that is not renewed expires, as a multiple of its TTL.
     pub fn sessions_end_after(&mut self, ttls: f64) -> Result<(), String> {
         let processes = self.controls.iter_mut().filter_map(|control| control.process.as_mut());
-        processes.into_iter().try_for_each(|process| process.ask(&Request::SessionsEndAfter(ttls)))
+        processes.into_iter().try_for_each(|process| process.send_request(&Request::SessionsEndAfter(ttls)))
     }
 
     /// Returns the counts of the running control stand-ins, by zone.
     pub async fn counts(&mut self) -> Result<BTreeMap<usize, Counts>, String> {
-        self.counts_asked += 1;
-        let asked = self.counts_asked;
+        self.counts_requested += 1;
+        let request_number = self.counts_requested;
         let processes = self.controls.iter_mut().filter_map(|control| control.process.as_mut());
-        processes.into_iter().try_for_each(|process| process.ask(&Request::Count(asked)))?;
+        processes
+            .into_iter()
+            .try_for_each(|process| process.send_request(&Request::Count(request_number)))?;
         let number = |control: &ControlProcess| control.process.as_ref().map(|process| process.number);
-        self.wait_until(PATIENCE, "counts", |fleet| {
+        self.wait_until(CHILD_TIMEOUT, "counts", |fleet| {
             let numbers = fleet.controls.iter().filter_map(number);
-            numbers.into_iter().all(|number| fleet.counted.get(&number).is_some_and(|(of, _)| *of == asked))
+            numbers
+                .into_iter()
+                .all(|number| fleet.counted.get(&number).is_some_and(|(of, _)| *of == request_number))
         })
         .await?;
         let counts = self.controls.iter().enumerate().filter_map(|(zone, control)| {
@@ -247,7 +251,7 @@
     /// Processes reports of the children until `until`.
     pub async fn receive_until(&mut self, until: Instant) -> Result<(), String> {
         while let Ok(event) = timeout_at(until, self.events.recv()).await {
-            self.note(event);
+            self.record(event);
         }
         self.check()
     }
@@ -255,21 +259,21 @@
     /// Waits for one report and processes it.
     pub async fn receive(&mut self) {
         let event = self.events.recv().await;
-        self.note(event);
+        self.record(event);
     }
 
     /// Processes reports until `holds` returns `true`. Returns an error, with `what` in its text, after `patience`.
     pub async fn wait_until(
         &mut self,
-        patience: Duration,
+        time_limit: Duration,
         what: &str,
         holds: impl Fn(&Fleet) -> bool,
     ) -> Result<(), String> {
-        let until = Instant::now() + patience;
+        let until = Instant::now() + time_limit;
         while !holds(self) {
             self.check()?;
             let event = timeout_at(until, self.events.recv()).await;
-            self.note(event.map_err(|_| format!("{what}: not within {} s", patience.as_secs()))?);
+            self.record(event.map_err(|_| format!("{what}: not within {} s", time_limit.as_secs()))?);
         }
         Ok(())
     }
@@ -282,8 +286,8 @@
     pub fn check(&self) -> Result<(), String> {
         let hosts = self.hosts.iter().filter_map(|host| host.process.as_ref());
         let controls = self.controls.iter().filter_map(|control| control.process.as_ref());
-        match hosts.chain(controls).find(|process| self.ended.contains(&process.number)) {
-            Some(process) => Err(format!("a child process has exited: {}", process.last_words())),
+        match hosts.chain(controls).find(|process| self.exited.contains(&process.number)) {
+            Some(process) => Err(format!("a child process has exited: {}", process.last_log_line())),
             None => Ok(()),
         }
     }
@@ -293,24 +297,24 @@
     /// # Errors
     ///
     /// Returns an error if the budget is exceeded.
-    pub fn check_budget(&self) -> Result<Used, String> {
+    pub fn check_budget(&self) -> Result<BudgetUsage, String> {
         Ok(self.budget.check()?)
     }
 
-    fn all_up(&self) -> bool {
+    fn all_ready(&self) -> bool {
         let processes = self.hosts.iter().filter_map(|host| host.process.as_ref());
-        processes.into_iter().all(|process| self.up.contains(&process.number))
+        processes.into_iter().all(|process| self.ready.contains(&process.number))
     }
 
     async fn start_control(&mut self, zone: usize) -> Result<(), String> {
         let region = region_of(zone);
         let commit_point = self.controls.first().and_then(|control| control.listens.policy_store);
-        let duties = self.controls.get(region * ZONES_PER_REGION).and_then(|c| c.listens.duties_store);
-        let place = |address: Option<SocketAddr>| address.map_or(Store::Here, Store::At);
-        let role = Role::Control(ControlRole { policy: place(commit_point), duties: place(duties) });
+        let leases = self.controls.get(region * ZONES_PER_REGION).and_then(|c| c.listens.lease_store);
+        let location = |address: Option<SocketAddr>| address.map_or(Store::Here, Store::At);
+        let role = Role::Control(ControlRole { policy: location(commit_point), leases: location(leases) });
         let process = self.start_process(&role)?;
         let number = process.number;
-        self.wait_until(PATIENCE, "start of a control stand-in", |fleet| {
+        self.wait_until(CHILD_TIMEOUT, "start of a control stand-in", |fleet| {
             fleet.listening.contains_key(&number)
         })
         .await?;
@@ -324,8 +328,8 @@
         self.start_process(&Role::Members(MembersRole {
             names: names.iter().cloned().collect(),
             policy: listens.policy_link,
-            duties: listens.duties_link,
-            duty_count: self.duty_count(region_of(zone)) as u32,
+            leases: listens.lease_link,
+            lease_count: self.lease_count(region_of(zone)) as u32,
             ttl: self.plan.ttl,
             configuration: self.configuration.clone(),
             folder: self.folder.path().to_owned(),
@@ -338,22 +342,22 @@
         Process::start(self.started, role, self.folder.path(), self.sender.clone())
     }
 
-    fn ask_host_of(&mut self, name: &str, request: &Request) -> Result<(), String> {
+    fn send_to_host_of(&mut self, name: &str, request: &Request) -> Result<(), String> {
         let host = self.hosts.iter_mut().find(|host| host.members.contains(name));
         let process = host.and_then(|host| host.process.as_mut());
-        process.ok_or_else(|| format!("{name} is not running"))?.ask(request)
+        process.ok_or_else(|| format!("{name} is not running"))?.send_request(request)
     }
 
-    fn note(&mut self, event: Option<Event>) {
+    fn record(&mut self, event: Option<Event>) {
         match event {
             // The fleet holds a sender itself, so the channel never closes.
             None => {}
-            Some(Event::Ended(number)) => {
-                self.ended.insert(number);
+            Some(Event::Exited(number)) => {
+                self.exited.insert(number);
             }
             Some(Event::Report(number, report)) => match report {
                 Report::Up => {
-                    self.up.insert(number);
+                    self.ready.insert(number);
                 }
                 Report::Listens(listens) => {
                     self.listening.insert(number, listens);
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -22,19 +22,19 @@
 /// Prefix of the policy's keys.
 pub const POLICY_PREFIX: &str = "lab/policy";
 /// Prefix of the lease keys in each region's store.
-pub const DUTIES_PREFIX: &str = "lab/duties";
+pub const LEASES_PREFIX: &str = "lab/duties";
 /// Time for which a lease cannot be acquired after the session of its last holder has ended.
 pub const LOCK_DELAY: Duration = Duration::from_secs(1);
 /// Maximum relative difference in rate between two clocks.
-const DRIFT: f64 = 0.001;
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Maximum duration of an action that a lease protects.
-const ACT: Duration = Duration::from_millis(500);
+const MAX_ACTION_TIME: Duration = Duration::from_millis(500);
 /// Time from a failed attempt to the next one.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of concurrent lease acquisitions.
-const LOCKS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_ACQUIRES: usize = 4;
 /// Maximum time for a member to release its leases at a graceful stop. After that the member is dropped regardless.
-const LEAVE: Duration = Duration::from_secs(5);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Returns the policy settings for a commit point at this address.
 pub fn policy_settings(address: SocketAddr, ttl: Duration) -> PolicySettings {
@@ -43,22 +43,22 @@
 }
 
 /// A running hollow forwarder.
-struct Hollow {
+struct HollowForwarder {
     participant: Rc<ConsulParticipant>,
     following: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
-    managing: JoinHandle<()>,
+    lease_task: JoinHandle<()>,
     /// Task that reads all members again and again. `None` except under sabotage.
-    reading_all: Option<JoinHandle<()>>,
+    read_task: Option<JoinHandle<()>>,
 }
 
-impl Hollow {
+impl HollowForwarder {
     fn start(role: &MembersRole, name: &str) -> Self {
         let (participant, following) = start_participant(role, name);
-        let (lease_manager, managing) = start_lease_manager(role, name);
+        let (lease_manager, lease_task) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
-        let reading_all = role.reads_all_members.then(read_all);
-        Hollow { participant, following, lease_manager, managing, reading_all }
+        let read_task = role.reads_all_members.then(read_all);
+        HollowForwarder { participant, following, lease_manager, lease_task, read_task }
     }
 
     /// Deregisters the participant, releases the leases and stops.
@@ -67,17 +67,17 @@
         self.following.abort();
         self.participant.deregister().await;
         self.lease_manager.shut_down();
-        if timeout(LEAVE, &mut self.managing).await.is_err() {
-            eprintln!("a member did not stop within {LEAVE:?}");
+        if timeout(LEAVE_TIMEOUT, &mut self.lease_task).await.is_err() {
+            eprintln!("a member did not stop within {LEAVE_TIMEOUT:?}");
         }
     }
 }
 
-impl Drop for Hollow {
+impl Drop for HollowForwarder {
     fn drop(&mut self) {
         self.following.abort();
-        self.managing.abort();
-        self.reading_all.iter().for_each(JoinHandle::abort);
+        self.lease_task.abort();
+        self.read_task.iter().for_each(JoinHandle::abort);
     }
 }
 
@@ -92,7 +92,7 @@
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
         following.join(&source).await;
-        let told = async {
+        let report_policies = async {
             while let Some(input) = received.recv().await {
                 if matches!(input, Input::ConfigReloaded(_)) {
                     let (name, epoch) = (name.clone(), following.version());
@@ -100,7 +100,7 @@
                 }
             }
         };
-        tokio::join!(following.clone().follow(source, inputs), told);
+        tokio::join!(following.clone().follow(source, inputs), report_policies);
     });
     (participant, task)
 }
@@ -109,20 +109,20 @@
     let micros = |span: Duration| span.as_micros() as i64;
     let protocol = LeaseConfig {
         ttl: micros(role.ttl),
-        clock_drift: DRIFT,
-        max_action_time: micros(ACT),
-        retry_interval: micros(RETRY),
-        max_concurrent_acquires: LOCKS_AT_ONCE,
+        clock_drift: MAX_CLOCK_DRIFT,
+        max_action_time: micros(MAX_ACTION_TIME),
+        retry_interval: micros(RETRY_INTERVAL),
+        max_concurrent_acquires: MAX_CONCURRENT_ACQUIRES,
     };
     let config = ManagerConfig {
         name: name.to_owned(),
         weight: 1.0,
-        key_prefix: DUTIES_PREFIX.to_owned(),
-        leases: (0..role.duty_count).collect(),
+        key_prefix: LEASES_PREFIX.to_owned(),
+        leases: (0..role.lease_count).collect(),
         lock_delay: LOCK_DELAY,
         protocol,
     };
-    let settings = ConsulSettings { addresses: vec![role.duties], ..ConsulSettings::default() };
+    let settings = ConsulSettings { addresses: vec![role.leases], ..ConsulSettings::default() };
     let lease_manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
     let running = lease_manager.clone();
     (lease_manager, spawn_local(async move { running.run().await }))
@@ -135,7 +135,7 @@
     loop {
         match locks.read_keys(&settings.members_folder(), index, settings.ttl).await {
             Ok((at, _)) => index = at,
-            Err(_) => sleep(RETRY).await,
+            Err(_) => sleep(RETRY_INTERVAL).await,
         }
     }
 }
@@ -144,13 +144,13 @@
 pub async fn run(role: MembersRole, mut requests: UnboundedReceiver<Request>) {
     report(&Report::Up);
     let role = Rc::new(role);
-    let mut members: BTreeMap<String, Hollow> = BTreeMap::new();
+    let mut members: BTreeMap<String, HollowForwarder> = BTreeMap::new();
     // Members that were stopped gracefully and have started again.
-    let (returned, mut returning) = unbounded_channel();
+    let (restarted_sender, mut restarted_receiver) = unbounded_channel();
     loop {
         let request = tokio::select! {
             request = requests.recv() => request,
-            Some((name, member)) = returning.recv() => {
+            Some((name, member)) = restarted_receiver.recv() => {
                 members.insert(name, member);
                 continue;
             }
@@ -158,17 +158,21 @@
         match request {
             None => return,
             Some(Request::Begin) => {
-                members = role.names.iter().map(|name| (name.clone(), Hollow::start(&role, name))).collect();
+                members = role
+                    .names
+                    .iter()
+                    .map(|name| (name.clone(), HollowForwarder::start(&role, name)))
+                    .collect();
             }
             Some(Request::Restart(name)) => {
                 let Some(member) = members.remove(&name) else { continue };
-                let (role, returned) = (role.clone(), returned.clone());
+                let (role, restarted_sender) = (role.clone(), restarted_sender.clone());
                 spawn_local(async move {
                     member.leave().await;
                     report(&Report::Restarted(name.clone()));
-                    let member = Hollow::start(&role, &name);
+                    let member = HollowForwarder::start(&role, &name);
                     // The receiver is dropped only when the process exits.
-                    drop(returned.send((name, member)));
+                    drop(restarted_sender.send((name, member)));
                 });
             }
             Some(Request::Kill(name)) => drop(members.remove(&name)),
--- a/crates/experiments/src/capacity/control/load.rs
+++ b/crates/experiments/src/capacity/control/load.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 
 /// The operators' control budget for one forwarder: bytes per second, percent of a core, and megabytes.
-const BYTES_BUDGET: f64 = 6_000.0;
-const CORE_BUDGET: f64 = 2.6;
-const RESIDENT_BUDGET: f64 = 32.0;
+const BYTES_PER_SECOND_BUDGET: f64 = 6_000.0;
+const CORE_PERCENT_BUDGET: f64 = 2.6;
+const RESIDENT_MB_BUDGET: f64 = 32.0;
 /// Milliseconds of processor time per second that are one percent of a core.
-const MILLISECONDS_A_PERCENT: f64 = 10.0;
+const MILLISECONDS_PER_PERCENT: f64 = 10.0;
 
 /// A measured quantity. Unless it says otherwise, a quantity of a forwarder is the mean over all forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,15 +19,15 @@
     /// Bytes per second between a forwarder and the commit point, both directions.
     PolicyBytes,
     /// Bytes per second between a forwarder and its region's lease store, both directions.
-    DutiesBytes,
-    /// Sum of [`Quantity::PolicyBytes`] and [`Quantity::DutiesBytes`].
+    LeaseBytes,
+    /// Sum of [`Quantity::PolicyBytes`] and [`Quantity::LeaseBytes`].
     Bytes,
     /// Same as [`Quantity::Bytes`], in the busiest second.
     BusiestBytes,
     /// Requests per second and forwarder to the commit point. The requests of the proposer are included.
     PolicyRequests,
     /// Requests per second and forwarder to the lease store.
-    DutiesRequests,
+    LeaseRequests,
     /// Percent of a core that a forwarder uses.
     Core,
     /// Resident megabytes of a forwarder that is alone in its process, estimated from the shared processes.
@@ -35,7 +35,7 @@
     /// Bytes per second of policy traffic through the control stand-in that has the commit point.
     CommitPointBytes,
     /// Bytes per second of lease traffic through the busiest control stand-in.
-    DutiesStoreBytes,
+    LeaseStoreBytes,
     /// Bytes per second of all traffic through the busiest control stand-in.
     ControlBytes,
     /// Requests per second to the busiest control stand-in.
@@ -50,15 +50,15 @@
     /// All quantities, in the order of the table.
     pub const ALL: [Quantity; 14] = [
         Quantity::PolicyBytes,
-        Quantity::DutiesBytes,
+        Quantity::LeaseBytes,
         Quantity::Bytes,
         Quantity::BusiestBytes,
         Quantity::PolicyRequests,
-        Quantity::DutiesRequests,
+        Quantity::LeaseRequests,
         Quantity::Core,
         Quantity::Resident,
         Quantity::CommitPointBytes,
-        Quantity::DutiesStoreBytes,
+        Quantity::LeaseStoreBytes,
         Quantity::ControlBytes,
         Quantity::ControlRequests,
         Quantity::ControlCore,
@@ -69,15 +69,15 @@
     pub fn label(self) -> &'static str {
         match self {
             Quantity::PolicyBytes => "policy B/s a forwarder",
-            Quantity::DutiesBytes => "duties B/s a forwarder",
+            Quantity::LeaseBytes => "duties B/s a forwarder",
             Quantity::Bytes => "B/s a forwarder",
             Quantity::BusiestBytes => "B/s a forwarder in the busiest second",
             Quantity::PolicyRequests => "policy requests/s a forwarder",
-            Quantity::DutiesRequests => "duties requests/s a forwarder",
+            Quantity::LeaseRequests => "duties requests/s a forwarder",
             Quantity::Core => "% of a core a forwarder",
             Quantity::Resident => "MB a forwarder",
             Quantity::CommitPointBytes => "policy B/s commit point",
-            Quantity::DutiesStoreBytes => "duties B/s busiest store",
+            Quantity::LeaseStoreBytes => "duties B/s busiest store",
             Quantity::ControlBytes => "B/s busiest control process",
             Quantity::ControlRequests => "requests/s busiest control process",
             Quantity::ControlCore => "% of a core busiest control process",
@@ -90,16 +90,16 @@
     pub fn of_one_event(self) -> Option<(&'static str, f64)> {
         match self {
             Quantity::PolicyBytes => Some(("policy B a forwarder", 1.0)),
-            Quantity::DutiesBytes => Some(("duties B a forwarder", 1.0)),
+            Quantity::LeaseBytes => Some(("duties B a forwarder", 1.0)),
             Quantity::Bytes => Some(("B a forwarder", 1.0)),
             Quantity::PolicyRequests => Some(("policy requests a forwarder", 1.0)),
-            Quantity::DutiesRequests => Some(("duties requests a forwarder", 1.0)),
-            Quantity::Core => Some(("ms of a core a forwarder", MILLISECONDS_A_PERCENT)),
+            Quantity::LeaseRequests => Some(("duties requests a forwarder", 1.0)),
+            Quantity::Core => Some(("ms of a core a forwarder", MILLISECONDS_PER_PERCENT)),
             Quantity::CommitPointBytes => Some(("policy B commit point", 1.0)),
-            Quantity::DutiesStoreBytes => Some(("duties B busiest store", 1.0)),
+            Quantity::LeaseStoreBytes => Some(("duties B busiest store", 1.0)),
             Quantity::ControlBytes => Some(("B busiest control process", 1.0)),
             Quantity::ControlRequests => Some(("requests busiest control process", 1.0)),
-            Quantity::ControlCore => Some(("ms of a core busiest control process", MILLISECONDS_A_PERCENT)),
+            Quantity::ControlCore => Some(("ms of a core busiest control process", MILLISECONDS_PER_PERCENT)),
             Quantity::BusiestBytes | Quantity::Resident | Quantity::ControlResident => None,
         }
     }
@@ -107,15 +107,15 @@
     /// Returns the limit that the operators set, or `None` if they set none.
     pub fn budget(self) -> Option<f64> {
         match self {
-            Quantity::Bytes => Some(BYTES_BUDGET),
-            Quantity::Core => Some(CORE_BUDGET),
-            Quantity::Resident => Some(RESIDENT_BUDGET),
+            Quantity::Bytes => Some(BYTES_PER_SECOND_BUDGET),
+            Quantity::Core => Some(CORE_PERCENT_BUDGET),
+            Quantity::Resident => Some(RESIDENT_MB_BUDGET),
             _ => None,
         }
     }
 
     /// Returns whether events add their cost times their rate to the value at rest.
-    fn adds_up(self) -> bool {
+    fn grows_with_events(self) -> bool {
         self.of_one_event().is_some()
     }
 }
@@ -136,11 +136,11 @@
             let extra = (self.get(quantity) - rest.get(quantity)).max(0.0);
             (quantity, extra * seconds / events.max(1) as f64)
         };
-        let mut costs = Load(Quantity::ALL.into_iter().filter(|q| q.adds_up()).map(cost).collect());
+        let mut costs = Load(Quantity::ALL.into_iter().filter(|q| q.grows_with_events()).map(cost).collect());
         // All forwarders of a region query their leases in the same second, so a short span has more or less than its
         // share of these queries. The extra cost is therefore computed for each part before the parts are summed.
-        costs.sum_of(Quantity::Bytes, [Quantity::PolicyBytes, Quantity::DutiesBytes]);
-        costs.sum_of(Quantity::ControlBytes, [Quantity::CommitPointBytes, Quantity::DutiesStoreBytes]);
+        costs.sum_of(Quantity::Bytes, [Quantity::PolicyBytes, Quantity::LeaseBytes]);
+        costs.sum_of(Quantity::ControlBytes, [Quantity::CommitPointBytes, Quantity::LeaseStoreBytes]);
         costs
     }
 
@@ -154,7 +154,7 @@
     pub fn with_events(&self, cost: &Load, rate: f64, busy: &Load) -> Load {
         let value = |quantity: Quantity| match quantity {
             Quantity::BusiestBytes => None,
-            quantity if quantity.adds_up() => {
+            quantity if quantity.grows_with_events() => {
                 Some((quantity, self.get(quantity) + cost.get(quantity) * rate))
             }
             quantity => Some((quantity, busy.get(quantity))),
@@ -221,30 +221,30 @@
 
     /// Returns the bytes per second and forwarder since an earlier snapshot.
     pub fn bytes_since(&self, before: &Snapshot) -> f64 {
-        let (policy, duties) = (self.sum(before, |c| c.policy_bytes), self.sum(before, |c| c.duties_bytes));
-        (policy + duties) / self.members.max(1) as f64 / self.seconds_since(before)
+        let (policy, leases) = (self.sum(before, |c| c.policy_bytes), self.sum(before, |c| c.lease_bytes));
+        (policy + leases) / self.members.max(1) as f64 / self.seconds_since(before)
     }
 
     /// Returns the load since an earlier snapshot. `base` is the resident memory of each process before its forwarders
     /// started, in bytes.
-    pub fn load_since(&self, before: &Snapshot, base: &BTreeMap<usize, u64>, busiest: f64) -> Load {
+    pub fn load_since(&self, before: &Snapshot, base_resident: &BTreeMap<usize, u64>, busiest: f64) -> Load {
         let each = |sum: f64| sum / self.members.max(1) as f64 / self.seconds_since(before);
         let policy_bytes = each(self.sum(before, |counts| counts.policy_bytes));
-        let duties_bytes = each(self.sum(before, |counts| counts.duties_bytes));
+        let lease_bytes = each(self.sum(before, |counts| counts.lease_bytes));
         let controls = self.controls_since(before);
         let most = |value: fn(&ControlLoad) -> f64| controls.iter().map(value).fold(0.0, f64::max);
         Load(BTreeMap::from([
             (Quantity::PolicyBytes, policy_bytes),
-            (Quantity::DutiesBytes, duties_bytes),
-            (Quantity::Bytes, policy_bytes + duties_bytes),
+            (Quantity::LeaseBytes, lease_bytes),
+            (Quantity::Bytes, policy_bytes + lease_bytes),
             (Quantity::BusiestBytes, busiest),
             (Quantity::PolicyRequests, each(self.sum(before, |counts| counts.policy_requests))),
-            (Quantity::DutiesRequests, each(self.sum(before, |counts| counts.duties_requests))),
+            (Quantity::LeaseRequests, each(self.sum(before, |counts| counts.lease_requests))),
             (Quantity::Core, self.core_since(before)),
-            (Quantity::Resident, self.resident_alone(base)),
+            (Quantity::Resident, self.resident_alone(base_resident)),
             (Quantity::CommitPointBytes, most(|control| control.policy_bytes)),
-            (Quantity::DutiesStoreBytes, most(|control| control.duties_bytes)),
-            (Quantity::ControlBytes, most(|control| control.policy_bytes + control.duties_bytes)),
+            (Quantity::LeaseStoreBytes, most(|control| control.lease_bytes)),
+            (Quantity::ControlBytes, most(|control| control.policy_bytes + control.lease_bytes)),
             (Quantity::ControlRequests, most(|control| control.requests)),
             (Quantity::ControlCore, most(|control| control.core)),
             (Quantity::ControlResident, most(|control| control.resident)),
@@ -277,11 +277,11 @@
 
     /// Returns the megabytes of a forwarder that is alone in its process: the process without forwarders, plus one
     /// forwarder's share of the memory that the forwarders added. The largest process decides.
-    fn resident_alone(&self, base: &BTreeMap<usize, u64>) -> f64 {
+    fn resident_alone(&self, base_resident: &BTreeMap<usize, u64>) -> f64 {
         let alone = self.hosts.iter().filter(|(_, host)| host.members > 0).filter_map(|(number, host)| {
-            let base = *base.get(number)? as f64;
-            let added = (host.usage.resident as f64 - base).max(0.0);
-            Some((base + added / host.members as f64) / 1e6)
+            let base_resident = *base_resident.get(number)? as f64;
+            let added = (host.usage.resident as f64 - base_resident).max(0.0);
+            Some((base_resident + added / host.members as f64) / 1e6)
         });
         alone.fold(0.0, f64::max)
     }
@@ -290,10 +290,10 @@
         let seconds = self.seconds_since(before);
         let loads = self.controls.iter().filter_map(|(zone, usage)| {
             let then = before.controls.get(zone)?;
-            let requests = self.growth(before, *zone, |c| c.policy_requests + c.duties_requests);
+            let requests = self.growth(before, *zone, |c| c.policy_requests + c.lease_requests);
             Some(ControlLoad {
                 policy_bytes: self.policy_bytes_through(before, *zone) / seconds,
-                duties_bytes: self.duties_bytes_through(before, *zone) / seconds,
+                lease_bytes: self.lease_bytes_through(before, *zone) / seconds,
                 requests: requests / seconds,
                 core: 100.0 * (usage.processor - then.processor).as_secs_f64() / seconds,
                 resident: usage.resident as f64 / 1e6,
@@ -315,8 +315,8 @@
 
     /// Returns the bytes of lease traffic through a control stand-in, which is the traffic of its zone's link. A
     /// stand-in with a lease store also has the traffic of the other zones of its region.
-    fn duties_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
-        let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.duties_bytes);
+    fn lease_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
+        let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.lease_bytes);
         if !zone.is_multiple_of(ZONES_PER_REGION) {
             return of_zone(zone);
         }
@@ -327,7 +327,7 @@
 /// The load of one control stand-in.
 struct ControlLoad {
     policy_bytes: f64,
-    duties_bytes: f64,
+    lease_bytes: f64,
     requests: f64,
     core: f64,
     resident: f64,
--- a/crates/experiments/src/capacity/control/messages.rs
+++ b/crates/experiments/src/capacity/control/messages.rs
@@ -23,9 +23,11 @@
     /// Address of the zone's link to the commit point of the policy.
     pub policy: SocketAddr,
     /// Address of the zone's link to the region's lease store.
-    pub duties: SocketAddr,
+    #[serde(rename = "duties")]
+    pub leases: SocketAddr,
     /// Number of leases in the region.
-    pub duty_count: u32,
+    #[serde(rename = "duty_count")]
+    pub lease_count: u32,
     /// TTL of all sessions.
     pub ttl: Duration,
     /// Path of a complete and valid configuration that all the forwarders share.
@@ -43,7 +45,8 @@
     /// Location of the store with the commit point of the policy.
     pub policy: Store,
     /// Location of the region's lease store.
-    pub duties: Store,
+    #[serde(rename = "duties")]
+    pub leases: Store,
 }
 
 /// The location of a store.
@@ -93,11 +96,13 @@
     /// The zone's link to the commit point.
     pub policy_link: SocketAddr,
     /// The zone's link to the lease store.
-    pub duties_link: SocketAddr,
+    #[serde(rename = "duties_link")]
+    pub lease_link: SocketAddr,
     /// The store with the commit point, or `None` if another process runs it.
     pub policy_store: Option<SocketAddr>,
     /// The lease store, or `None` if another process runs it.
-    pub duties_store: Option<SocketAddr>,
+    #[serde(rename = "duties_store")]
+    pub lease_store: Option<SocketAddr>,
 }
 
 /// A policy that is in force on a member: the configuration with it is loaded and on its way to the reducer.
@@ -117,11 +122,13 @@
     /// Bytes over the zone's link to the commit point, both directions.
     pub policy_bytes: u64,
     /// Bytes over the zone's link to the lease store, both directions.
-    pub duties_bytes: u64,
+    #[serde(rename = "duties_bytes")]
+    pub lease_bytes: u64,
     /// Requests to the store with the commit point, or 0 if another process runs it.
     pub policy_requests: u64,
     /// Requests to the lease store, or 0 if another process runs it.
-    pub duties_requests: u64,
+    #[serde(rename = "duties_requests")]
+    pub lease_requests: u64,
 }
 
 /// Returns the machine's wall clock in microseconds since the Unix epoch, which is the same for all processes.
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -19,15 +19,15 @@
 /// The span over which the busiest second is determined.
 const SECOND: Duration = Duration::from_secs(1);
 /// Maximum time until all forwarders are members and all leases are held.
-const SETTLE: Duration = Duration::from_secs(120);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Interval between two checks whether the fleet has settled.
-const SETTLE_LOOK: Duration = Duration::from_millis(250);
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum time from the end of a proposal to the last report that the policy is in force.
-const LATE_REPORT: Duration = Duration::from_secs(10);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Expiry of sessions that are not renewed, as a multiple of their TTL. Consul promises one to two times the TTL. The
 /// death of a forwarder is measured with the longest expiry, the losses after it with the shortest.
-const DEATH_SESSION_END: f64 = 2.0;
-const LOSSES_SESSION_END: f64 = 1.0;
+const DEATH_EXPIRY_FACTOR: f64 = 2.0;
+const LOSSES_EXPIRY_FACTOR: f64 = 1.0;
 /// The zone in which one process is killed, and the zone that is killed whole. The second has no store.
 const LOST_MACHINE_ZONE: usize = 1;
 const LOST_ZONE: usize = 3;
@@ -61,7 +61,7 @@
 
 /// The phases that run on a fleet.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct PhasePlan {
     /// Lengths of the phases.
     pub spans: Spans,
     /// Whether to kill a forwarder before a change, then a machine and a zone, and to cut off a region.
@@ -101,7 +101,7 @@
     /// Seconds from the proposal to the commit.
     pub committed: f64,
     /// Seconds from the proposal until the policy was in force on the median forwarder.
-    pub middle: f64,
+    pub median: f64,
     /// Seconds from the proposal until the policy was in force on the last forwarder.
     pub last: f64,
 }
@@ -134,18 +134,18 @@
 }
 
 /// An event at a moment of a measured window.
-enum Happening {
+enum ScheduledAction {
     Propose(PolicySize),
     Restart(String),
 }
 
 /// A run of the phases on one fleet.
-struct Journey {
+struct PhaseRunner {
     fleet: Fleet,
     proposer: Proposer,
     spans: Spans,
-    base: BTreeMap<usize, u64>,
-    chance: StdRng,
+    base_resident: BTreeMap<usize, u64>,
+    rng: StdRng,
     result: FleetResult,
 }
 
@@ -154,26 +154,26 @@
 /// # Errors
 ///
 /// Returns an error if the fleet does not settle, a child process exits, or the experiment exceeds its budget.
-pub async fn measure(plan: FleetPlan, course: &Course, seed: u64) -> Result<FleetResult, String> {
-    let mut journey = Journey::start(plan, course.spans, seed).await?;
-    journey.rest().await?;
-    journey.changes().await?;
-    if course.restarts {
-        journey.restarts().await?;
+pub async fn measure(plan: FleetPlan, phase_plan: &PhasePlan, seed: u64) -> Result<FleetResult, String> {
+    let mut runner = PhaseRunner::start(plan, phase_plan.spans, seed).await?;
+    runner.rest().await?;
+    runner.changes().await?;
+    if phase_plan.restarts {
+        runner.restarts().await?;
     }
-    if course.losses {
-        journey.death().await?;
-        journey.losses().await?;
+    if phase_plan.losses {
+        runner.forwarder_death().await?;
+        runner.losses().await?;
     }
-    Ok(journey.result)
+    Ok(runner.result)
 }
 
-impl Journey {
+impl PhaseRunner {
     async fn start(plan: FleetPlan, spans: Spans, seed: u64) -> Result<Self, String> {
-        let mut fleet = Fleet::start(plan, Budget::of_this_machine()?).await?;
+        let mut fleet = Fleet::start(plan, Budget::for_this_machine()?).await?;
         let commit_point = fleet.commit_point().ok_or("there is no commit point")?;
         let proposer = Proposer::start(commit_point, plan.ttl);
-        let base = Snapshot::take(&mut fleet, 0).await?.host_resident();
+        let base_resident = Snapshot::take(&mut fleet, 0).await?.host_resident();
         let result = FleetResult {
             members: plan.members,
             settled: 0.0,
@@ -181,18 +181,18 @@
             times: Vec::new(),
             caught_up: None,
         };
-        let chance = StdRng::seed_from_u64(seed);
-        let mut journey = Journey { fleet, proposer, spans, base, chance, result };
+        let rng = StdRng::seed_from_u64(seed);
+        let mut runner = PhaseRunner { fleet, proposer, spans, base_resident, rng, result };
         let began = Instant::now();
-        journey.fleet.sessions_end_after(DEATH_SESSION_END)?;
-        journey.fleet.begin()?;
-        journey.settle().await?;
-        journey.result.settled = began.elapsed().as_secs_f64();
-        Ok(journey)
+        runner.fleet.sessions_end_after(DEATH_EXPIRY_FACTOR)?;
+        runner.fleet.start_forwarders()?;
+        runner.settle().await?;
+        runner.result.settled = began.elapsed().as_secs_f64();
+        Ok(runner)
     }
 
     async fn rest(&mut self) -> Result<(), String> {
-        self.window(Phase::Rest, self.spans.rest, Vec::new(), 0).await
+        self.measure_window(Phase::Rest, self.spans.rest, Vec::new(), 0).await
     }
 
     async fn changes(&mut self) -> Result<(), String> {
@@ -204,7 +204,7 @@
             .await?;
         // The commit point holds a blocking query for a quarter of the TTL plus 1/32 of that, and then answers with the
         // whole policy. This span has two such queries.
-        self.window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
+        self.measure_window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
         // The phases after this one are measured with a small policy in force, as the phase at rest was.
         self.proposer.propose(PolicySize::Small);
         self.policy_time("a change back").await
@@ -218,8 +218,8 @@
         size: PolicySize,
         what: &str,
     ) -> Result<(), String> {
-        let happenings = (0..count).map(|number| (every * number, Happening::Propose(size))).collect();
-        self.window(phase, every * count, happenings, count as usize).await?;
+        let actions = (0..count).map(|number| (every * number, ScheduledAction::Propose(size))).collect();
+        self.measure_window(phase, every * count, actions, count as usize).await?;
         for _ in 0..count {
             self.policy_time(what).await?;
         }
@@ -229,45 +229,45 @@
     async fn restarts(&mut self) -> Result<(), String> {
         let Spans { restarts, restart_every, .. } = self.spans;
         let mut names: Vec<String> = self.fleet.members().cloned().collect();
-        names.shuffle(&mut self.chance);
+        names.shuffle(&mut self.rng);
         names.truncate(restarts as usize);
         let count = names.len();
-        let place = |(number, name)| (restart_every * number as u32, Happening::Restart(name));
-        let happenings = names.into_iter().enumerate().map(place).collect();
+        let schedule = |(number, name)| (restart_every * number as u32, ScheduledAction::Restart(name));
+        let actions = names.into_iter().enumerate().map(schedule).collect();
         let span = restart_every * count as u32 + SECOND;
         let before = self.fleet.restarted;
-        self.window(Phase::Restarts, span, happenings, count).await?;
-        self.fleet.wait_until(SETTLE, "restarts", |fleet| fleet.restarted >= before + count).await?;
+        self.measure_window(Phase::Restarts, span, actions, count).await?;
+        self.fleet.wait_until(SETTLE_TIMEOUT, "restarts", |fleet| fleet.restarted >= before + count).await?;
         self.settle().await
     }
 
     /// Kills a forwarder and immediately proposes a policy.
-    async fn death(&mut self) -> Result<(), String> {
+    async fn forwarder_death(&mut self) -> Result<(), String> {
         let names: Vec<String> = self.fleet.members().cloned().collect();
-        let name = names[self.chance.random_range(0..names.len())].clone();
+        let name = names[self.rng.random_range(0..names.len())].clone();
         self.fleet.kill_member(&name)?;
         self.proposer.propose(PolicySize::Small);
-        self.policy_time(&format!("a forwarder's death, sessions end after {DEATH_SESSION_END} TTL")).await
+        self.policy_time(&format!("a forwarder's death, sessions end after {DEATH_EXPIRY_FACTOR} TTL")).await
     }
 
     async fn losses(&mut self) -> Result<(), String> {
-        self.sessions_end_after(LOSSES_SESSION_END).await?;
+        self.sessions_end_after(LOSSES_EXPIRY_FACTOR).await?;
         let span = self.spans.ttl + self.spans.after_loss;
         let machine = self.fleet.hosts.iter().position(|host| host.zone == LOST_MACHINE_ZONE);
         self.fleet.kill_host(machine.ok_or("no process to kill")?);
-        self.loss(Phase::MachineLost, span, "a machine's loss").await?;
+        self.measure_loss(Phase::MachineLost, span, "a machine's loss").await?;
         self.fleet.kill_zone(LOST_ZONE);
-        self.loss(Phase::ZoneLost, span, "a zone's loss").await?;
+        self.measure_loss(Phase::ZoneLost, span, "a zone's loss").await?;
         self.region(span).await
     }
 
     async fn region(&mut self, span: Duration) -> Result<(), String> {
         self.fleet.cut_region(CUT_REGION, true)?;
-        self.loss(Phase::RegionCut, span, "a region's cut").await?;
+        self.measure_loss(Phase::RegionCut, span, "a region's cut").await?;
         let policies = self.fleet.in_force.len();
         let joined = clock();
         self.fleet.cut_region(CUT_REGION, false)?;
-        self.window(Phase::RegionJoined, self.spans.after_join, Vec::new(), 1).await?;
+        self.measure_window(Phase::RegionJoined, self.spans.after_join, Vec::new(), 1).await?;
         self.settle().await?;
         let last = self.fleet.in_force[policies..].iter().map(|in_force| in_force.at).max();
         self.result.caught_up = last.map(|at| seconds(joined, at));
@@ -275,43 +275,49 @@
     }
 
     /// Measures the time after a loss, with a policy that is proposed immediately.
-    async fn loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
-        self.window(phase, span, vec![(Duration::ZERO, Happening::Propose(PolicySize::Small))], 1).await?;
-        self.policy_time(&format!("{what}, sessions end after {LOSSES_SESSION_END} TTL")).await
+    async fn measure_loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
+        self.measure_window(
+            phase,
+            span,
+            vec![(Duration::ZERO, ScheduledAction::Propose(PolicySize::Small))],
+            1,
+        )
+        .await?;
+        self.policy_time(&format!("{what}, sessions end after {LOSSES_EXPIRY_FACTOR} TTL")).await
     }
 
-    /// Measures the load during `span`, with a snapshot each second for the busiest one, and starts the happenings at
+    /// Measures the load during `span`, with a snapshot each second for the busiest one, and starts the actions at
     /// their times.
-    async fn window(
+    async fn measure_window(
         &mut self,
         phase: Phase,
         span: Duration,
-        happenings: Vec<(Duration, Happening)>,
+        actions: Vec<(Duration, ScheduledAction)>,
         events: usize,
     ) -> Result<(), String> {
-        let mut happenings = happenings.into_iter().peekable();
+        let mut actions = actions.into_iter().peekable();
         let first = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
         let start = Instant::now();
         let (mut busiest, mut last) = (0.0_f64, first.clone());
-        let mut look = start;
+        let mut last_snapshot_at = start;
         while start.elapsed() < span {
-            while let Some((_, happening)) = happenings.next_if(|(at, _)| start + *at <= Instant::now()) {
-                match happening {
-                    Happening::Propose(size) => self.proposer.propose(size),
-                    Happening::Restart(name) => self.fleet.restart_member(&name)?,
+            while let Some((_, action)) = actions.next_if(|(at, _)| start + *at <= Instant::now()) {
+                match action {
+                    ScheduledAction::Propose(size) => self.proposer.propose(size),
+                    ScheduledAction::Restart(name) => self.fleet.restart_member(&name)?,
                 }
             }
-            if Instant::now() >= look + SECOND {
-                look = Instant::now();
+            if Instant::now() >= last_snapshot_at + SECOND {
+                last_snapshot_at = Instant::now();
                 let now = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
                 busiest = busiest.max(now.bytes_since(&last));
                 last = now;
             }
-            let next = happenings.peek().map_or(start + span, |(at, _)| start + *at);
-            self.fleet.receive_until(next.min(look + SECOND).min(start + span)).await?;
+            let next = actions.peek().map_or(start + span, |(at, _)| start + *at);
+            self.fleet.receive_until(next.min(last_snapshot_at + SECOND).min(start + span)).await?;
         }
         let end = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
-        let load = end.load_since(&first, &self.base, busiest);
+        let load = end.load_since(&first, &self.base_resident, busiest);
         let measured = PhaseLoad { load, seconds: end.seconds_since(&first), events };
         self.result.phases.insert(phase, measured);
         Ok(())
@@ -327,12 +333,12 @@
         };
         let reachable = self.reachable();
         let has_it = |fleet: &Fleet| times(fleet, &proposal, &reachable).len() == reachable.len();
-        self.fleet.wait_until(LATE_REPORT, "a policy in force on all", has_it).await?;
+        self.fleet.wait_until(REPORT_TIMEOUT, "a policy in force on all", has_it).await?;
         let times = times(&self.fleet, &proposal, &reachable);
         self.result.times.push(PolicyTime {
             after: after.to_owned(),
-            committed: seconds(proposal.began, proposal.committed),
-            middle: times[times.len() / 2],
+            committed: seconds(proposal.proposed_at, proposal.committed_at),
+            median: times[times.len() / 2],
             last: times[times.len() - 1],
         });
         Ok(())
@@ -355,26 +361,26 @@
 
     /// Waits until all forwarders are members at the commit point and in their region, and all leases are held.
     async fn settle(&mut self) -> Result<(), String> {
-        let until = Instant::now() + SETTLE;
+        let until = Instant::now() + SETTLE_TIMEOUT;
         let mut commit_point = LockClient::new(consul_settings(self.fleet.commit_point())?);
         let mut stores = Vec::new();
         for region in 0..REGIONS {
-            stores.push(LockClient::new(consul_settings(self.fleet.duties_store(region))?));
+            stores.push(LockClient::new(consul_settings(self.fleet.lease_store(region))?));
         }
         loop {
-            let what = match self.unsettled(&mut commit_point, &mut stores).await? {
+            let what = match self.unsettled_reason(&mut commit_point, &mut stores).await? {
                 None => return Ok(()),
                 Some(what) => what,
             };
             if Instant::now() > until {
-                return Err(format!("not settled within {} s: {what}", SETTLE.as_secs()));
+                return Err(format!("not settled within {} s: {what}", SETTLE_TIMEOUT.as_secs()));
             }
-            self.fleet.receive_until(Instant::now() + SETTLE_LOOK).await?;
+            self.fleet.receive_until(Instant::now() + SETTLE_POLL_INTERVAL).await?;
         }
     }
 
     /// Returns the reason why the fleet has not settled, or `None` if it has.
-    async fn unsettled(
+    async fn unsettled_reason(
         &self,
         commit_point: &mut LockClient,
         stores: &mut [LockClient],
@@ -387,8 +393,8 @@
             return Ok(Some(format!("{members} of {expected} are members at the commit point")));
         }
         for (region, store) in stores.iter_mut().enumerate() {
-            let held = held(store, &self.fleet.duties_prefix()).await?;
-            let expected = self.fleet.members_in(region) + self.fleet.duty_count(region);
+            let held = held(store, &self.fleet.lease_prefix()).await?;
+            let expected = self.fleet.members_in(region) + self.fleet.lease_count(region);
             if held != expected {
                 return Ok(Some(format!("region {region} has {held} of {expected} memberships and duties")));
             }
@@ -418,7 +424,7 @@
             *at = in_force.at.min(*at);
         }
     }
-    let mut times: Vec<f64> = first.values().map(|at| seconds(proposal.began, *at)).collect();
+    let mut times: Vec<f64> = first.values().map(|at| seconds(proposal.proposed_at, *at)).collect();
     times.sort_by(f64::total_cmp);
     times
 }
--- a/crates/experiments/src/capacity/control/process.rs
+++ b/crates/experiments/src/capacity/control/process.rs
@@ -22,7 +22,7 @@
     /// The child has sent a report.
     Report(ChildNumber, Report),
     /// The standard output of the child has ended, so the child has exited.
-    Ended(ChildNumber),
+    Exited(ChildNumber),
 }
 
 /// A child process. Dropping it kills the process.
@@ -66,7 +66,7 @@
                     drop(events.send(Event::Report(number, report)));
                 }
             }
-            drop(events.send(Event::Ended(number)));
+            drop(events.send(Event::Exited(number)));
         });
         let mut process = Process { number, child, input, log };
         process.write(role)?;
@@ -83,12 +83,12 @@
     /// # Errors
     ///
     /// Returns an error if the child has exited.
-    pub fn ask(&mut self, request: &Request) -> Result<(), String> {
+    pub fn send_request(&mut self, request: &Request) -> Result<(), String> {
         self.write(request)
     }
 
     /// Returns the last line of the child's log.
-    pub fn last_words(&self) -> String {
+    pub fn last_log_line(&self) -> String {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines().last().unwrap_or("its log is empty").to_owned()
     }
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 
 /// Maximum time for a policy to be committed and then to be in force on all members.
-const PATIENCE: Duration = Duration::from_secs(60);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Base value of the setting in which the policies differ, in microseconds. Each policy adds its number.
 const FIRST_IDLE_CLOSE_US: u64 = 8_000_000;
 /// Number of endpoints that a large policy excludes. Each takes 17 bytes of the policy.
@@ -27,7 +27,7 @@
 }
 
 impl PolicySize {
-    fn endpoints_left_out(self) -> Vec<String> {
+    fn excluded_endpoints(self) -> Vec<String> {
         let count = match self {
             PolicySize::Small => 0,
             PolicySize::Large => LARGE_POLICY_ENDPOINTS,
@@ -42,26 +42,26 @@
     /// Version of the policy.
     pub epoch: u64,
     /// Time of the proposal, in microseconds of [`clock`].
-    pub began: u64,
+    pub proposed_at: u64,
     /// Time at which the commit was confirmed, in microseconds of [`clock`].
-    pub committed: u64,
+    pub committed_at: u64,
 }
 
 /// A task that proposes policies, one at a time.
 pub struct Proposer {
-    asked: UnboundedSender<PolicySize>,
+    request_sender: UnboundedSender<PolicySize>,
     done: UnboundedReceiver<Result<Proposal, String>>,
     link: FaultProxy,
-    _stage: ServerRuntime,
+    _runtime: ServerRuntime,
 }
 
 impl Proposer {
     /// Starts the task for the commit point at this address.
     pub fn start(commit_point: SocketAddr, ttl: Duration) -> Self {
-        let stage = ServerRuntime::new();
-        let link = FaultProxy::start(&stage, unused_loopback_address(), commit_point);
+        let runtime = ServerRuntime::new();
+        let link = FaultProxy::start(&runtime, unused_loopback_address(), commit_point);
         let mut coordinator = Coordinator::new(policy_settings(link.address, ttl));
-        let (asked, mut requests) = unbounded_channel();
+        let (request_sender, mut requests) = unbounded_channel();
         let (sender, done) = unbounded_channel();
         spawn_local(async move {
             let mut number = 0;
@@ -72,13 +72,13 @@
                 drop(sender.send(proposed));
             }
         });
-        Proposer { asked, done, link, _stage: stage }
+        Proposer { request_sender, done, link, _runtime: runtime }
     }
 
     /// Queues a proposal, which starts when the earlier ones are done.
     pub fn propose(&self, size: PolicySize) {
         // The task keeps the receiver for as long as this sender exists.
-        let _ = self.asked.send(size);
+        let _ = self.request_sender.send(size);
     }
 
     /// Waits for the next policy that is committed and in force on all members.
@@ -95,10 +95,11 @@
 async fn propose(coordinator: &mut Coordinator, number: u64, size: PolicySize) -> Result<Proposal, String> {
     let idle_close = FIRST_IDLE_CLOSE_US + number;
     let settings = json!({"limits": {"idle_close_us": idle_close}});
-    let policy = json!({"settings": settings, "out": size.endpoints_left_out()}).to_string();
-    let began = clock();
-    let report = coordinator.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
+    let policy = json!({"settings": settings, "out": size.excluded_endpoints()}).to_string();
+    let proposed_at = clock();
+    let report =
+        coordinator.propose(&policy, "lab", PROPOSAL_TIMEOUT).await.map_err(|error| error.to_string())?;
     let since_commit = coordinator.last_commit().map_or(Duration::ZERO, |at| at.elapsed());
-    let committed = clock() - since_commit.as_micros() as u64;
-    Ok(Proposal { epoch: report.version, began, committed })
+    let committed_at = clock() - since_commit.as_micros() as u64;
+    Ok(Proposal { epoch: report.version, proposed_at, committed_at })
 }
--- a/crates/experiments/src/capacity/control/rules.rs
+++ b/crates/experiments/src/capacity/control/rules.rs
@@ -3,9 +3,9 @@
 use super::scenario::{ONE_CHANGE, ONE_RESTART, ORDINARY_DAY, REST, Row};
 
 /// Allowed factor from the smallest to the largest fleet for a quantity that must not grow. It leaves room for chance.
-const LEVEL: f64 = 1.6;
+const MAX_LEVEL_GROWTH: f64 = 1.6;
 /// Allowed factor beyond proportional growth for a quantity that may grow with the fleet.
-const PROPORTIONAL: f64 = 1.5;
+const MAX_EXCESS_GROWTH: f64 = 1.5;
 
 /// A limit on the growth of a quantity from the smallest fleet to the largest.
 struct GrowthRule {
@@ -29,46 +29,46 @@
 struct CeilingRule {
     scenario: &'static str,
     quantity: &'static str,
-    most: f64,
+    limit: f64,
 }
 
 /// A change of a policy of about 60 bytes costs a forwarder 3,200 to 3,500 bytes: its blocking queries, its vote and
 /// its report of the policy in force.
 const CEILING_RULES: [CeilingRule; 1] =
-    [CeilingRule { scenario: ONE_CHANGE, quantity: "policy B a forwarder", most: 6_000.0 }];
+    [CeilingRule { scenario: ONE_CHANGE, quantity: "policy B a forwarder", limit: 6_000.0 }];
 
 /// The scenarios that have to stay within the operators' budget.
-const BUDGETED: [&str; 2] = [REST, ORDINARY_DAY];
+const BUDGETED_SCENARIOS: [&str; 2] = [REST, ORDINARY_DAY];
 
 /// Returns one sentence for each rule that the rows violate.
-pub fn broken(rows: &[Row]) -> Vec<String> {
-    let grown = GROWTH_RULES.iter().filter_map(|rule| grows_too_much(rule, rows));
-    let budgeted = rows.iter().filter(|row| BUDGETED.contains(&row.scenario.as_str()));
-    let high = CEILING_RULES.iter().filter_map(|rule| goes_too_high(rule, rows));
-    grown.chain(high).chain(budgeted.filter_map(over_budget)).collect()
+pub fn violations(rows: &[Row]) -> Vec<String> {
+    let grown = GROWTH_RULES.iter().filter_map(|rule| exceeds_growth(rule, rows));
+    let budgeted = rows.iter().filter(|row| BUDGETED_SCENARIOS.contains(&row.scenario.as_str()));
+    let high = CEILING_RULES.iter().filter_map(|rule| exceeds_ceiling(rule, rows));
+    grown.chain(high).chain(budgeted.filter_map(exceeds_budget)).collect()
 }
 
-fn goes_too_high(rule: &CeilingRule, rows: &[Row]) -> Option<String> {
+fn exceeds_ceiling(rule: &CeilingRule, rows: &[Row]) -> Option<String> {
     let row = rows.iter().find(|row| row.scenario == rule.scenario && row.quantity == rule.quantity)?;
-    let (forwarders, value) = row.points.iter().find(|(_, value)| *value > rule.most)?;
-    let CeilingRule { scenario, quantity, most } = rule;
-    Some(format!("{scenario}, {quantity}: {value:.0} with {forwarders} forwarders, {most} at most"))
+    let (forwarders, value) = row.points.iter().find(|(_, value)| *value > rule.limit)?;
+    let CeilingRule { scenario, quantity, limit } = rule;
+    Some(format!("{scenario}, {quantity}: {value:.0} with {forwarders} forwarders, {limit} at most"))
 }
 
-fn grows_too_much(rule: &GrowthRule, rows: &[Row]) -> Option<String> {
+fn exceeds_growth(rule: &GrowthRule, rows: &[Row]) -> Option<String> {
     let row = rows.iter().find(|row| row.scenario == rule.scenario && row.quantity == rule.quantity)?;
     let ((smallest, _), (largest, _)) = (row.points.first()?, row.points.last()?);
-    let most = if rule.proportional { PROPORTIONAL * largest / smallest } else { LEVEL };
+    let limit = if rule.proportional { MAX_EXCESS_GROWTH * largest / smallest } else { MAX_LEVEL_GROWTH };
     let ratio = row.ratio();
-    (ratio > most).then(|| {
+    (ratio > limit).then(|| {
         format!(
-            "{}, {}: {ratio:.2} times as much with {largest} forwarders as with {smallest}, {most:.2} at most",
+            "{}, {}: {ratio:.2} times as much with {largest} forwarders as with {smallest}, {limit:.2} at most",
             rule.scenario, rule.quantity
         )
     })
 }
 
-fn over_budget(row: &Row) -> Option<String> {
+fn exceeds_budget(row: &Row) -> Option<String> {
     let budget = row.budget?;
     let (forwarders, value) = row.points.iter().find(|(_, value)| *value > budget)?;
     Some(format!(
--- a/crates/experiments/src/capacity/control/scenario.rs
+++ b/crates/experiments/src/capacity/control/scenario.rs
@@ -6,18 +6,19 @@
 use crate::capacity::fit::{Fit, Point, growth_exponent, line};
 
 /// Configuration changes per day.
-const CHANGES_A_DAY: f64 = 2_500.0;
-const SECONDS_A_DAY: f64 = 86_400.0;
+const CHANGES_PER_DAY: f64 = 2_500.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 /// Configuration changes per second at the peak. All changes of a day fall within eight hours, and the peak rate is
 /// three times the mean rate of these hours.
-const PEAK_CHANGES_A_SECOND: f64 = 3.0 * CHANGES_A_DAY / 28_800.0;
+const PEAK_CHANGES_PER_SECOND: f64 = 3.0 * CHANGES_PER_DAY / 28_800.0;
 /// Duration of a rolling restart of all forwarders, in seconds.
 const ROLLING_RESTART_SECONDS: f64 = 3_600.0;
 /// Maximum time from a proposal until the policy is in force everywhere, in seconds.
-const POLICY_BUDGET: f64 = 10.0;
-/// A growth exponent below `NO_GROWTH` counts as no growth, and one of at least `BY_THE_SQUARE` as quadratic growth.
-const NO_GROWTH: f64 = 0.25;
-const BY_THE_SQUARE: f64 = 1.4;
+const POLICY_BUDGET_SECONDS: f64 = 10.0;
+/// A growth exponent below `MIN_PROPORTIONAL_EXPONENT` counts as no growth, and one of at least `MIN_SQUARE_EXPONENT`
+/// as quadratic growth.
+const MIN_PROPORTIONAL_EXPONENT: f64 = 0.25;
+const MIN_SQUARE_EXPONENT: f64 = 1.4;
 
 /// The way in which a row's values were obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +28,7 @@
     /// The values are the load at rest plus the measured cost of one event times an assumed rate.
     CostTimesRate,
     /// The values are the cost of one event on top of the load at rest.
-    CostOfOne,
+    CostOfOneEvent,
 }
 
 impl Basis {
@@ -36,7 +37,7 @@
         match self {
             Basis::Measured => "measured",
             Basis::CostTimesRate => "cost times rate",
-            Basis::CostOfOne => "cost of one",
+            Basis::CostOfOneEvent => "cost of one",
         }
     }
 }
@@ -63,18 +64,18 @@
     }
 
     /// Returns the x value for the fit: the number of forwarders, or its square.
-    fn place(self, forwarders: f64) -> f64 {
+    fn x_value(self, forwarders: f64) -> f64 {
         if self == Growth::Square { forwarders.powi(2) } else { forwarders }
     }
 
     fn of(points: &[Point]) -> (Growth, Option<f64>) {
-        let power = growth_exponent(points);
-        let growth = match power {
-            Some(power) if power >= BY_THE_SQUARE => Growth::Square,
-            Some(power) if power >= NO_GROWTH => Growth::Proportional,
+        let exponent = growth_exponent(points);
+        let growth = match exponent {
+            Some(exponent) if exponent >= MIN_SQUARE_EXPONENT => Growth::Square,
+            Some(exponent) if exponent >= MIN_PROPORTIONAL_EXPONENT => Growth::Proportional,
             _ => Growth::Level,
         };
-        (growth, power)
+        (growth, exponent)
     }
 }
 
@@ -99,7 +100,7 @@
     /// Kind of growth.
     pub growth: Growth,
     /// Growth exponent, or `None` if fewer than two points are positive.
-    pub power: Option<f64>,
+    pub exponent: Option<f64>,
     /// The fitted line.
     pub fit: Fit,
 }
@@ -107,7 +108,7 @@
 impl Trend {
     /// Returns the value of the line for a number of forwarders.
     pub fn at(&self, forwarders: f64) -> f64 {
-        self.fit.at(self.growth.place(forwarders))
+        self.fit.at(self.growth.x_value(forwarders))
     }
 }
 
@@ -118,7 +119,7 @@
     }
 
     /// Returns the value at the largest fleet size as a multiple of the budget, or `None` without a budget.
-    pub fn factor(&self) -> Option<f64> {
+    pub fn budget_factor(&self) -> Option<f64> {
         self.budget.map(|budget| self.last() / budget)
     }
 
@@ -130,19 +131,19 @@
 
     /// Returns the growth, or `None` if there is only one fleet size.
     pub fn trend(&self) -> Option<Trend> {
-        let (growth, power) = Growth::of(&self.points);
-        let points: Vec<Point> = self.points.iter().map(|(x, y)| (growth.place(*x), *y)).collect();
-        Some(Trend { growth, power, fit: line(&points)? })
+        let (growth, exponent) = Growth::of(&self.points);
+        let points: Vec<Point> = self.points.iter().map(|(x, y)| (growth.x_value(*x), *y)).collect();
+        Some(Trend { growth, exponent, fit: line(&points)? })
     }
 
     /// Returns the number of forwarders from which the line exceeds the budget, or `None` if it never does.
-    pub fn fails_from(&self) -> Option<f64> {
+    pub fn exceeds_budget_from(&self) -> Option<f64> {
         let (budget, trend) = (self.budget?, self.trend()?);
         if trend.growth == Growth::Level {
             return (self.last() > budget).then(|| self.points.first().map_or(0.0, |(x, _)| *x));
         }
-        let place = ((budget - trend.fit.intercept) / trend.fit.slope).max(1.0);
-        let forwarders = if trend.growth == Growth::Square { place.sqrt() } else { place };
+        let x_value = ((budget - trend.fit.intercept) / trend.fit.slope).max(1.0);
+        let forwarders = if trend.growth == Growth::Square { x_value.sqrt() } else { x_value };
         (trend.fit.slope > 0.0).then_some(forwarders.ceil())
     }
 }
@@ -172,7 +173,7 @@
     let known = |quantity: &Quantity| loads.iter().any(|(_, load)| load.has(*quantity));
     let row = |quantity: Quantity| {
         let (label, budget, unit) = match basis {
-            Basis::CostOfOne => quantity.of_one_event().map(|(label, unit)| (label, None, unit))?,
+            Basis::CostOfOneEvent => quantity.of_one_event().map(|(label, unit)| (label, None, unit))?,
             Basis::Measured | Basis::CostTimesRate => (quantity.label(), quantity.budget(), 1.0),
         };
         let points = loads.iter().map(|(members, load)| (*members, unit * load.get(quantity))).collect();
@@ -196,7 +197,7 @@
 
 /// Returns all rows, grouped by scenario.
 pub fn all(results: &[FleetResult]) -> Vec<Row> {
-    let by_day = |result: &FleetResult| at_rate(result, Phase::Changes, CHANGES_A_DAY / SECONDS_A_DAY);
+    let by_day = |result: &FleetResult| at_rate(result, Phase::Changes, CHANGES_PER_DAY / SECONDS_PER_DAY);
     let rolling = |result: &FleetResult| {
         at_rate(result, Phase::Restarts, result.members as f64 / ROLLING_RESTART_SECONDS)
     };
@@ -204,16 +205,18 @@
         measured(results, REST, Phase::Rest),
         rows(results, ORDINARY_DAY, Basis::CostTimesRate, by_day),
         rows(results, "changes at the peak rate", Basis::CostTimesRate, |result| {
-            at_rate(result, Phase::Changes, PEAK_CHANGES_A_SECOND)
+            at_rate(result, Phase::Changes, PEAK_CHANGES_PER_SECOND)
         }),
-        rows(results, ONE_CHANGE, Basis::CostOfOne, |result| cost(result, Phase::Changes)),
+        rows(results, ONE_CHANGE, Basis::CostOfOneEvent, |result| cost(result, Phase::Changes)),
         measured(results, "at rest with 17 KB in force", Phase::LargeRest),
-        rows(results, "one change of 17 KB", Basis::CostOfOne, |result| cost(result, Phase::LargeChanges)),
+        rows(results, "one change of 17 KB", Basis::CostOfOneEvent, |result| {
+            cost(result, Phase::LargeChanges)
+        }),
         rows(results, "changes of 17 KB at the peak rate", Basis::CostTimesRate, |result| {
-            at_rate(result, Phase::LargeChanges, PEAK_CHANGES_A_SECOND)
+            at_rate(result, Phase::LargeChanges, PEAK_CHANGES_PER_SECOND)
         }),
         rows(results, "rolling restart of all in an hour", Basis::CostTimesRate, rolling),
-        rows(results, ONE_RESTART, Basis::CostOfOne, |result| cost(result, Phase::Restarts)),
+        rows(results, ONE_RESTART, Basis::CostOfOneEvent, |result| cost(result, Phase::Restarts)),
         measured(results, "a machine lost and one change", Phase::MachineLost),
         measured(results, "a zone lost and one change", Phase::ZoneLost),
         measured(results, "a region cut off and one change", Phase::RegionCut),
@@ -240,14 +243,14 @@
         let points = results.iter().filter_map(point).collect();
         Row { scenario: format!("a policy after {kind}"), basis: Basis::Measured, quantity, budget, points }
     };
-    let mean = |times: &[&PolicyTime]| times.iter().map(|t| t.middle).sum::<f64>() / times.len() as f64;
+    let mean = |times: &[&PolicyTime]| times.iter().map(|t| t.median).sum::<f64>() / times.len() as f64;
     let last = |times: &[&PolicyTime]| times.iter().map(|time| time.last).fold(0.0, f64::max);
     let committed = |times: &[&PolicyTime]| times.iter().map(|time| time.committed).fold(0.0, f64::max);
     let rows = kinds.into_iter().flat_map(|kind| {
         [
             of(kind, "s to the commit, most", None, committed),
             of(kind, "s until in force, p50", None, mean),
-            of(kind, "s until in force, max", Some(POLICY_BUDGET), last),
+            of(kind, "s until in force, max", Some(POLICY_BUDGET_SECONDS), last),
         ]
     });
     rows.collect()
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -16,7 +16,7 @@
 }
 
 impl Link {
-    fn new(stage: &ServerRuntime, store: Store) -> Self {
+    fn new(runtime: &ServerRuntime, store: Store) -> Self {
         let (store, upstream) = match store {
             Store::At(address) => (None, address),
             Store::Here => {
@@ -25,7 +25,7 @@
                 (Some(store), address)
             }
         };
-        Link { proxy: FaultProxy::start(stage, unused_loopback_address(), upstream), store }
+        Link { proxy: FaultProxy::start(runtime, unused_loopback_address(), upstream), store }
     }
 
     fn store_address(&self) -> Option<SocketAddr> {
@@ -53,33 +53,33 @@
 
 /// Runs the control stand-in until the request channel closes.
 pub async fn run(role: &ControlRole, mut requests: UnboundedReceiver<Request>) {
-    let stage = ServerRuntime::new();
-    let policy = Link::new(&stage, role.policy);
-    let duties = Link::new(&stage, role.duties);
+    let runtime = ServerRuntime::new();
+    let policy = Link::new(&runtime, role.policy);
+    let leases = Link::new(&runtime, role.leases);
     report(&Report::Listens(Listens {
         policy_link: policy.proxy.address,
-        duties_link: duties.proxy.address,
+        lease_link: leases.proxy.address,
         policy_store: policy.store_address(),
-        duties_store: duties.store_address(),
+        lease_store: leases.store_address(),
     }));
     while let Some(request) = requests.recv().await {
         match request {
             Request::Count(number) => {
                 let counts = Counts {
                     policy_bytes: policy.bytes(),
-                    duties_bytes: duties.bytes(),
+                    lease_bytes: leases.bytes(),
                     policy_requests: policy.requests(),
-                    duties_requests: duties.requests(),
+                    lease_requests: leases.requests(),
                 };
                 report(&Report::Counted(number, counts));
             }
             Request::Cut(cut) => {
                 policy.cut(cut);
-                duties.cut(cut);
+                leases.cut(cut);
             }
             Request::SessionsEndAfter(ttls) => {
                 policy.sessions_end_after(ttls);
-                duties.sessions_end_after(ttls);
+                leases.sessions_end_after(ttls);
             }
             Request::Begin | Request::Restart(_) | Request::Kill(_) => {
                 eprintln!("not a request for a control stand-in: {request:?}");
--- a/crates/experiments/src/capacity/control/table.rs
+++ b/crates/experiments/src/capacity/control/table.rs
@@ -16,7 +16,12 @@
 }
 
 /// Returns the report of the experiment.
-pub fn outcome(run: &RunOptions, sizes: &[FleetSize], rows: &[Row], broken: Vec<String>) -> ExperimentReport {
+pub fn report(
+    run: &RunOptions,
+    sizes: &[FleetSize],
+    rows: &[Row],
+    broken_rules: Vec<String>,
+) -> ExperimentReport {
     ExperimentReport {
         columns: columns(sizes),
         rows: rows.iter().map(|row| cells(sizes, row)).collect(),
@@ -26,11 +31,11 @@
             "seed": run.seed,
             "sabotage": run.sabotage,
             "sizes": sizes.iter().map(|size| size.members).collect::<Vec<_>>(),
-            "missed": missed(rows),
-            "broken": broken.len(),
+            "missed": exceeded_budgets(rows),
+            "broken": broken_rules.len(),
             "rows": rows.iter().map(row_json).collect::<Vec<_>>(),
         }),
-        violations: broken,
+        violations: broken_rules,
     }
 }
 
@@ -44,37 +49,37 @@
 fn cells(sizes: &[FleetSize], row: &Row) -> Vec<String> {
     let value = |size: &FleetSize| {
         let point = row.points.iter().find(|(members, _)| *members == size.members as f64);
-        point.map_or("-".to_owned(), |(_, value)| figure(*value))
+        point.map_or("-".to_owned(), |(_, value)| three_digits(*value))
     };
-    let optional = |value: Option<f64>| value.map_or("-".to_owned(), figure);
+    let optional = |value: Option<f64>| value.map_or("-".to_owned(), three_digits);
     let trend = row.trend();
     let scenario = row.scenario.replace(',', ";");
     let mut cells = vec![scenario, row.basis.label().to_owned(), row.quantity.replace(',', ";")];
     cells.extend(sizes.iter().map(value));
     cells.extend([
         optional(row.budget),
-        optional(row.factor()),
+        optional(row.budget_factor()),
         verdict(row).to_owned(),
         trend.map_or("-", |trend| trend.growth.label()).to_owned(),
-        optional(trend.and_then(|trend| trend.power)),
+        optional(trend.and_then(|trend| trend.exponent)),
         optional(trend.map(|trend| trend.fit.slope)),
         optional(trend.map(|trend| trend.fit.intercept)),
         trend.map_or("-".to_owned(), |trend| format!("{:.3}", trend.fit.r_squared)),
-        optional(row.fails_from()),
+        optional(row.exceeds_budget_from()),
     ]);
     cells
 }
 
 fn verdict(row: &Row) -> &'static str {
-    match row.factor() {
+    match row.budget_factor() {
         None => "-",
-        Some(factor) if factor > 1.0 => "missed",
+        Some(budget_factor) if budget_factor > 1.0 => "missed",
         Some(_) => "held",
     }
 }
 
 /// Formats a value with three significant digits.
-fn figure(value: f64) -> String {
+fn three_digits(value: f64) -> String {
     let digits = match value.abs() {
         0.0 => return "0".to_owned(),
         size => (2 - size.log10().floor() as i32).clamp(0, 6) as usize,
@@ -83,12 +88,17 @@
 }
 
 /// Returns the budgets that the largest fleet exceeds, in descending order of the factor.
-fn missed(rows: &[Row]) -> Vec<Value> {
-    let mut missed: Vec<(&Row, f64)> =
-        rows.iter().filter_map(|row| Some((row, row.factor().filter(|factor| *factor > 1.0)?))).collect();
-    missed.sort_by(|a, b| b.1.total_cmp(&a.1));
-    let value = |(row, factor): (&Row, f64)| json!({"scenario": row.scenario, "what": row.quantity, "factor": factor, "from": row.fails_from()});
-    missed.into_iter().map(value).collect()
+fn exceeded_budgets(rows: &[Row]) -> Vec<Value> {
+    let mut exceeded_budgets: Vec<(&Row, f64)> = rows
+        .iter()
+        .filter_map(|row| Some((row, row.budget_factor().filter(|budget_factor| *budget_factor > 1.0)?)))
+        .collect();
+    exceeded_budgets.sort_by(|a, b| b.1.total_cmp(&a.1));
+    let value = |(row, budget_factor): (&Row, f64)| {
+        json!({"scenario": row.scenario, "what": row.quantity, "factor": budget_factor,
+            "from": row.exceeds_budget_from()})
+    };
+    exceeded_budgets.into_iter().map(value).collect()
 }
 
 fn row_json(row: &Row) -> Value {
--- a/crates/experiments/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -1,7 +1,7 @@
 //! The destinations on a forwarder's endpoint list. The endpoints of some serve, and those of the others are down: they
 //! refuse connections.
 
-use super::client::{LIFE_SECONDS, TENANT};
+use super::client::{TENANT, TIME_LEFT_SECONDS};
 use orchidyoke_fakes::DestinationServer;
 use orchidyoke_fakes::destination::CapacityModel;
 use orchidyoke_fakes::forwarder::{ForwarderConfig, endpoint_entry};
@@ -14,12 +14,12 @@
 use tokio::net::TcpSocket;
 
 /// Number of addresses that serve. Destinations share them, because each address needs a listening socket.
-const SERVING: usize = 50;
+const SERVING_ADDRESSES: usize = 50;
 /// Disk limit of the state folder, in megabytes. It leaves room to compact a journal of a million messages.
 const DISK_MB: f64 = 4096.0;
 /// Quota of the tenant, in messages per second. No run exceeds it, so no message gets the lower weight that applies
 /// above a quota.
-const QUOTA: f64 = 1e6;
+const TENANT_QUOTA_RPS: f64 = 1e6;
 
 /// Addresses for endpoints: those of a fake server, and one that refuses connections.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// Opens the addresses.
     pub fn open() -> io::Result<Self> {
         let partner = DestinationServer::new(CapacityModel::default());
-        let serving = (0..SERVING).map(|_| partner.open_endpoint()).collect();
+        let serving = (0..SERVING_ADDRESSES).map(|_| partner.open_endpoint()).collect();
         let bound = TcpSocket::new_v4()?;
         bound.bind(SocketAddr::new(unused_loopback_address(), 0))?;
         Ok(Endpoints { _partner: partner, serving, refusing: bound.local_addr()?, _bound: bound })
@@ -56,18 +56,18 @@
 
 impl Destinations {
     /// Chooses at random the destinations that are down: the share `part_down` of all.
-    pub fn new(endpoints: &Endpoints, count: usize, part_down: f64, rng: &mut StdRng) -> Self {
-        let mut drawn: Vec<u64> = (1..=count as u64).collect();
-        drawn.shuffle(rng);
-        let up = drawn.split_off((count as f64 * part_down).round() as usize);
+    pub fn new(endpoints: &Endpoints, count: usize, share_down: f64, rng: &mut StdRng) -> Self {
+        let mut shuffled: Vec<u64> = (1..=count as u64).collect();
+        shuffled.shuffle(rng);
+        let up = shuffled.split_off((count as f64 * share_down).round() as usize);
         let mut addresses = vec![endpoints.refusing; count];
         for destination in &up {
-            let place = *destination as usize;
-            addresses[place - 1] = endpoints.serving[place % SERVING];
+            let number = *destination as usize;
+            addresses[number - 1] = endpoints.serving[number % SERVING_ADDRESSES];
         }
-        let entry = |(place, address): (usize, &SocketAddr)| entry(place as u64 + 1, *address);
+        let entry = |(number, address): (usize, &SocketAddr)| entry(number as u64 + 1, *address);
         let targets = addresses.iter().enumerate().map(entry).collect();
-        Destinations { up, down: drawn, targets }
+        Destinations { up, down: shuffled, targets }
     }
 
     /// Adds a destination that serves, and returns its number.
@@ -88,11 +88,11 @@
         config["known"]["targets"] = json!(self.targets);
         let settings = &mut config["settings"];
         settings["limits"]["try_limit"] = json!(0);
-        settings["tenants"] = json!([{"name": TENANT, "quota_rps": QUOTA}]);
-        let life = u64::from(LIFE_SECONDS) * 1_000_000;
+        settings["tenants"] = json!([{"name": TENANT, "quota_rps": TENANT_QUOTA_RPS}]);
+        let time_left_us = u64::from(TIME_LEFT_SECONDS) * 1_000_000;
         for class in settings["classes"].as_array_mut().into_iter().flatten() {
-            class["hard_limit_us"] = json!(life);
-            class["on_time_us"] = json!(life / 2);
+            class["hard_limit_us"] = json!(time_left_us);
+            class["on_time_us"] = json!(time_left_us / 2);
         }
         config.to_string()
     }
--- a/crates/experiments/src/capacity/error.rs
+++ b/crates/experiments/src/capacity/error.rs
@@ -18,7 +18,7 @@
     /// The forwarder has exited. Holds the last lines of its log.
     Ended(Vec<String>),
     /// The forwarder refused a message that it should have accepted.
-    TurnedAway {
+    Refused {
         /// Status code of the response.
         status: u16,
     },
@@ -33,7 +33,7 @@
         match self {
             CapacityError::TooSlow { what, limit } => write!(f, "{what}: not within {} s", limit.as_secs()),
             CapacityError::Ended(lines) => write!(f, "the forwarder has exited: {}", lines.join(" / ")),
-            CapacityError::TurnedAway { status } => write!(f, "a message was refused with status {status}"),
+            CapacityError::Refused { status } => write!(f, "a message was refused with status {status}"),
             CapacityError::Budget(error) => error.fmt(f),
             CapacityError::Io(error) => error.fmt(f),
         }
--- a/crates/experiments/src/capacity/fit.rs
+++ b/crates/experiments/src/capacity/fit.rs
@@ -31,17 +31,17 @@
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
-    if points.len() < 2 || spread <= 0.0 {
+    let sum_xx = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
+    if points.len() < 2 || sum_xx <= 0.0 {
         return None;
     }
-    let covered = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
-    let slope = covered / spread;
+    let sum_xy = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
+    let slope = sum_xy / sum_xx;
     let intercept = mean_y - slope * mean_x;
-    let missed = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum::<f64>();
-    let variance = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum::<f64>();
-    let r_squared = if variance > 0.0 { 1.0 - missed / variance } else { 1.0 };
-    Some(Fit { slope, intercept, r_squared, residual: (missed / count).sqrt(), points: points.len() })
+    let residual_sum = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum::<f64>();
+    let total_sum = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum::<f64>();
+    let r_squared = if total_sum > 0.0 { 1.0 - residual_sum / total_sum } else { 1.0 };
+    Some(Fit { slope, intercept, r_squared, residual: (residual_sum / count).sqrt(), points: points.len() })
 }
 
 /// Returns the exponent with which the value grows: 1 for linear growth, 2 for quadratic growth, 0 for no growth. It is
--- a/crates/experiments/src/capacity/forwarder.rs
+++ b/crates/experiments/src/capacity/forwarder.rs
@@ -12,7 +12,7 @@
 use crate::capacity::series::{COLUMNS, Quantity};
 use crate::options::RunOptions;
 use crate::report::ExperimentReport;
-use aims::{Aim, Gathered};
+use aims::{Aim, OtherResults};
 use plan::Plan;
 use ratio::Case;
 use rig::Rig;
@@ -32,37 +32,37 @@
 pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let plan = if run.quick { Plan::quick() } else { Plan::full() };
     let mut rig = Rig::new(run, plan)?;
-    let mut gathered = Gathered::default();
+    let mut other_results = OtherResults::default();
     if !run.sabotage {
-        gathered.unplayed.extend(listed::measure(&mut rig)?);
-        gathered.unplayed.extend(waiting::measure_taking(&mut rig)?);
-        gathered.unplayed.extend(waiting::measure_starts(&mut rig)?);
+        other_results.not_run.extend(listed::measure(&mut rig)?);
+        other_results.not_run.extend(waiting::measure_taking(&mut rig)?);
+        other_results.not_run.extend(waiting::measure_starts(&mut rig)?);
     }
-    gathered.part_down = ratio::measure(&mut rig, Case::PartDown)?;
+    other_results.share_down = ratio::measure(&mut rig, Case::PartDown)?;
     if !run.sabotage {
-        gathered.all_down = ratio::measure(&mut rig, Case::AllDown)?;
+        other_results.all_down = ratio::measure(&mut rig, Case::AllDown)?;
     }
-    let aims = aims::all(&rig, &gathered);
-    let outcome = outcome(&rig, &gathered, &aims);
+    let aims = aims::all(&rig, &other_results);
+    let report = report(&rig, &other_results, &aims);
     if let Some(folder) = &run.out {
-        write_more(&rig, folder).map_err(|error| format!("{}: {error}", folder.display()))?;
+        write_points_and_charts(&rig, folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     }
     aims.iter().for_each(|aim| println!("{aim}"));
-    Ok(outcome)
+    Ok(report)
 }
 
-fn outcome(rig: &Rig, gathered: &Gathered, aims: &[Aim]) -> ExperimentReport {
+fn report(rig: &Rig, other_results: &OtherResults, aims: &[Aim]) -> ExperimentReport {
     let missed = aims.iter().filter(|aim| !aim.is_held()).map(ToString::to_string);
     let highest = rig.guard.highest();
     ExperimentReport {
         columns: COLUMNS.to_vec(),
         rows: rig.measurements.rows(),
         chart: rig.measurements.chart(quantities::MESSAGE),
-        violations: missed.chain(gathered.unplayed.iter().cloned()).collect(),
+        violations: missed.chain(other_results.not_run.iter().cloned()).collect(),
         json: json!({
             "experiment": "capacity-forwarder", "seed": rig.seed, "quick": rig.quick, "sabotage": rig.sabotage,
             "aims": aims.iter().map(Aim::json).collect::<Value>(),
-            "unplayed": gathered.unplayed, "series": rig.measurements.json(),
+            "unplayed": other_results.not_run, "series": rig.measurements.json(),
             "highest": {"resident_mib": highest.resident >> 20, "processes": highest.processes,
                 "descriptors": highest.descriptors},
         }),
@@ -70,7 +70,7 @@
 }
 
 /// Writes a CSV file with every point, and one chart for each quantity in [`CHARTS`].
-fn write_more(rig: &Rig, folder: &Path) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+fn write_points_and_charts(rig: &Rig, folder: &Path) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("capacity-forwarder-points.csv"), rig.measurements.points_csv())?;
     for (name, quantity) in CHARTS {
--- a/crates/experiments/src/capacity/forwarder/aims.rs
+++ b/crates/experiments/src/capacity/forwarder/aims.rs
@@ -4,35 +4,35 @@
 use super::quantities;
 use super::ratio::Ratio;
 use super::rig::Rig;
-use crate::capacity::series::figure;
+use crate::capacity::series::four_digits;
 use serde_json::{Value, json};
 use std::fmt;
 
 /// Maximum cost of a message with the largest list, as a multiple of the cost with the smallest.
-const MESSAGE_GROWTH: f64 = 1.5;
+const MAX_MESSAGE_GROWTH: f64 = 1.5;
 /// The same limit for the quick run, whose few messages make the ratio less exact: 0.84 to 1.34 on a busy machine.
-const MESSAGE_GROWTH_SHORT: f64 = 2.0;
-/// Maximum time to be ready as a multiple of the time with [`READY_APART`] times fewer destinations.
-const READY_GROWTH: f64 = 13.0;
+const QUICK_MAX_MESSAGE_GROWTH: f64 = 2.0;
+/// Maximum time to be ready as a multiple of the time with [`READY_SIZE_RATIO`] times fewer destinations.
+const MAX_READY_GROWTH: f64 = 13.0;
 /// Ratio of the sizes of the two lists whose times to be ready are compared.
-const READY_APART: usize = 10;
+const READY_SIZE_RATIO: usize = 10;
 /// Maximum time to be ready with the largest list, in milliseconds.
-const READY_MOST: f64 = 5_000.0;
+const MAX_READY_MS: f64 = 5_000.0;
 /// Maximum memory per destination listed, in bytes.
-const MEMORY_MOST: f64 = MEMORY_BEFORE / 3.0;
+const MAX_MEMORY_BYTES: f64 = QUICK_MAX_MEMORY_BYTES / 3.0;
 /// Memory per destination listed before it was reduced to a third, in bytes. The quick run uses it as its limit,
 /// because with its short lists the allocator's reserves weigh as much as the list.
-const MEMORY_BEFORE: f64 = 1_600.0;
+const QUICK_MAX_MEMORY_BYTES: f64 = 1_600.0;
 
 /// Results that are not part of the series.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct OtherResults {
     /// Cost of a message at two list sizes with a part down, or `None` if it could not be measured.
-    pub part_down: Option<Ratio>,
+    pub share_down: Option<Ratio>,
     /// Cost of a message at two list sizes with all down, or `None` if it was not or could not be measured.
     pub all_down: Option<Ratio>,
     /// One sentence for each part that could not be run.
-    pub unplayed: Vec<String>,
+    pub not_run: Vec<String>,
 }
 
 /// An aim with its limit and the measured value.
@@ -41,86 +41,86 @@
     what: String,
     /// Measured value, or `None` if it could not be measured.
     measured: Option<f64>,
-    most: f64,
+    limit: f64,
 }
 
 impl Aim {
     /// Returns whether the value was measured and is within its limit.
     pub fn is_held(&self) -> bool {
-        self.measured.is_some_and(|measured| measured <= self.most)
+        self.measured.is_some_and(|measured| measured <= self.limit)
     }
 
     /// Returns the aim as JSON.
     pub fn json(&self) -> Value {
-        json!({"aim": self.what, "measured": self.measured, "most": self.most, "held": self.is_held()})
+        json!({"aim": self.what, "measured": self.measured, "most": self.limit, "held": self.is_held()})
     }
 }
 
 impl fmt::Display for Aim {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = if self.is_held() { "held" } else { "missed" };
-        let measured = self.measured.map_or_else(|| "not measured".to_owned(), figure);
-        write!(f, "{word}: {}: {measured}, {} at most", self.what, figure(self.most))
+        let measured = self.measured.map_or_else(|| "not measured".to_owned(), four_digits);
+        write!(f, "{word}: {}: {measured}, {} at most", self.what, four_digits(self.limit))
     }
 }
 
 /// Returns all aims that apply to this run.
-pub fn all(rig: &Rig, gathered: &Gathered) -> Vec<Aim> {
-    let mut aims = vec![message(rig, "2.9% down and waiting", gathered.part_down)];
+pub fn all(rig: &Rig, other_results: &OtherResults) -> Vec<Aim> {
+    let mut aims = vec![message_aim(rig, "2.9% down and waiting", other_results.share_down)];
     if !rig.sabotage {
-        aims.push(message(rig, "all down, as many waiting", gathered.all_down));
-        aims.extend([ready_growth(rig), memory(rig)]);
+        aims.push(message_aim(rig, "all down, as many waiting", other_results.all_down));
+        aims.extend([ready_growth_aim(rig), memory_aim(rig)]);
     }
     if !rig.sabotage && !rig.quick {
-        aims.push(ready(rig));
+        aims.push(ready_aim(rig));
     }
     aims
 }
 
-fn message(rig: &Rig, setting: &str, ratio: Option<Ratio>) -> Aim {
+fn message_aim(rig: &Rig, setting: &str, ratio: Option<Ratio>) -> Aim {
     let (small, large) = (rig.plan.smallest(), rig.plan.largest());
     let costs = ratio.map(|Ratio { costs, rest }| {
-        let [small, large] = costs.map(figure);
-        let [small_rest, large_rest] = rest.map(figure);
+        let [small, large] = costs.map(four_digits);
+        let [small_rest, large_rest] = rest.map(four_digits);
         format!(" ({large} ms against {small} ms; at rest {large_rest} against {small_rest} ms a second)")
     });
     let costs = costs.unwrap_or_default();
     Aim {
         what: format!("processor a message, {setting}: {large} listed as a multiple of {small}{costs}"),
         measured: ratio.map(|ratio| ratio.growth()),
-        most: if rig.quick { MESSAGE_GROWTH_SHORT } else { MESSAGE_GROWTH },
+        limit: if rig.quick { QUICK_MAX_MESSAGE_GROWTH } else { MAX_MESSAGE_GROWTH },
     }
 }
 
-fn ready_growth(rig: &Rig) -> Aim {
+fn ready_growth_aim(rig: &Rig) -> Aim {
     let large = rig.plan.largest();
-    let small = large / READY_APART;
+    let small = large / READY_SIZE_RATIO;
     // The quick run compares processor time, which does not depend on the load of the machine.
     let quantity = if rig.quick { quantities::READY_PROCESSOR } else { quantities::READY };
-    let at = |listed| rig.measurements.least(quantity, listed);
+    let at = |listed| rig.measurements.lowest(quantity, listed);
     Aim {
         what: format!("{} with {large} listed, as a multiple of that with {small}", quantity.name),
         measured: at(large).zip(at(small)).map(|(large, small)| large / small),
-        most: READY_GROWTH,
+        limit: MAX_READY_GROWTH,
     }
 }
 
-fn ready(rig: &Rig) -> Aim {
+fn ready_aim(rig: &Rig) -> Aim {
     let large = rig.plan.largest();
     Aim {
         what: format!("milliseconds to be ready with {large} listed"),
-        measured: rig.measurements.least(quantities::READY, large),
-        most: READY_MOST,
+        measured: rig.measurements.lowest(quantities::READY, large),
+        limit: MAX_READY_MS,
     }
 }
 
 /// Returns the aim for memory, with the largest slope of all settings, because memory does not depend on the
 /// destinations that are down.
-fn memory(rig: &Rig) -> Aim {
+fn memory_aim(rig: &Rig) -> Aim {
     let slopes = rig.measurements.of(quantities::RESIDENT).filter_map(|series| Some(series.fit()?.slope));
     Aim {
         what: "bytes of memory for one more destination listed".to_owned(),
         measured: slopes.max_by(f64::total_cmp),
-        most: if rig.quick { MEMORY_BEFORE } else { MEMORY_MOST },
+        limit: if rig.quick { QUICK_MAX_MEMORY_BYTES } else { MAX_MEMORY_BYTES },
     }
 }
--- a/crates/experiments/src/capacity/forwarder/listed.rs
+++ b/crates/experiments/src/capacity/forwarder/listed.rs
@@ -1,29 +1,29 @@
 //! Costs by the number of destinations listed: of a start, at rest, of a message, of a change of the list, of a reload,
 //! and of a start on an existing journal.
 
-use super::plan::PARTS_DOWN;
+use super::plan::SHARES_DOWN;
 use super::quantities::{self, milliseconds};
 use super::rig::{Cost, Rig, Started, cost_of};
-use crate::capacity::client::{Client, hand_in_all};
+use crate::capacity::client::{Client, submit_all};
 use crate::capacity::error::CapacityError;
 use crate::capacity::forwarder_process::ForwarderProcess;
 use std::time::{Duration, Instant};
 
-const POLL: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const ACCEPTED: u16 = 202;
 
 /// Measures every list size with each share of the destinations down. If a size is too slow, the larger ones are left
 /// out. Returns one sentence for each part that could not be run.
 pub fn measure(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
     for listed in rig.plan.listed.clone() {
-        for part_down in PARTS_DOWN {
-            eprintln!("capacity-forwarder: {listed} listed, {} down", percent(part_down));
-            match play(rig, listed, part_down) {
+        for share_down in SHARES_DOWN {
+            eprintln!("capacity-forwarder: {listed} listed, {} down", percent(share_down));
+            match measure_list(rig, listed, share_down) {
                 Ok(()) => {}
                 Err(error @ CapacityError::TooSlow { .. }) => {
                     return Ok(vec![format!(
                         "{listed} listed, {} down: {error}; larger lists were not played",
-                        percent(part_down)
+                        percent(share_down)
                     )]);
                 }
                 Err(error) => return Err(error),
@@ -37,11 +37,11 @@
     format!("{}%", (part * 1000.0).round() / 10.0)
 }
 
-fn play(rig: &mut Rig, listed: usize, part_down: f64) -> Result<(), CapacityError> {
-    let setting = format!("{} down", percent(part_down));
-    let started = rig.start(listed, part_down)?;
+fn measure_list(rig: &mut Rig, listed: usize, share_down: f64) -> Result<(), CapacityError> {
+    let setting = format!("{} down", percent(share_down));
+    let started = rig.start(listed, share_down)?;
     add_start(rig, &started, &setting, listed);
-    let rest = rig.at_rest(&started.process)?;
+    let rest = rig.measure_rest(&started.process)?;
     rig.add_listed(quantities::REST, &setting, listed, rest);
     measure_messages(rig, &started, &setting, listed)?;
     if started.destinations.down.is_empty() {
@@ -66,23 +66,24 @@
     listed: usize,
 ) -> Result<(), CapacityError> {
     let Started { process, destinations, .. } = started;
-    let given = destinations.down.len().min(rig.plan.most_down_given);
+    let waiting_count = destinations.down.len().min(rig.plan.max_waiting_destinations);
     let mut rest = 0.0;
-    if given > 0 {
-        rig.give_each(process, &destinations.down[..given])?;
+    if waiting_count > 0 {
+        rig.submit_to_each(process, &destinations.down[..waiting_count])?;
         std::thread::sleep(rig.plan.settle);
-        rest = rig.at_rest(process)?;
+        rest = rig.measure_rest(process)?;
         rig.add_listed(quantities::REST_WAITING, setting, listed, rest);
     }
-    let to = if destinations.up.is_empty() { &destinations.down[..given] } else { &destinations.up[..] };
-    let messages = rig.messages_to_some(to, rig.plan.messages);
+    let recipients =
+        if destinations.up.is_empty() { &destinations.down[..waiting_count] } else { &destinations.up[..] };
+    let messages = rig.messages_to_random(recipients, rig.plan.messages);
     let mut client = [Client::connect(process.clients)?];
-    let limit = rig.plan.hand_in_limit;
-    let (taken, cost) = cost_of(process, || hand_in_all(&mut client, &mut messages.into_iter(), limit))?;
-    if taken == 0 {
+    let limit = rig.plan.submit_limit;
+    let (accepted, cost) = cost_of(process, || submit_all(&mut client, &mut messages.into_iter(), limit))?;
+    if accepted == 0 {
         return Err(CapacityError::TooSlow { what: "a message", limit });
     }
-    let each = |used: f64| used / taken as f64;
+    let each = |used: f64| used / accepted as f64;
     let used = milliseconds(cost.processor);
     rig.add_listed(quantities::MESSAGE, setting, listed, each(used));
     let without_rest = used - rest * cost.elapsed.as_secs_f64();
@@ -99,14 +100,14 @@
     listed: usize,
 ) -> Result<(), CapacityError> {
     let limit = rig.plan.change_limit;
-    wait_until("a watch on the list", limit, || Ok(started.platform.watch_count() > 0))?;
+    wait_until("a watch on the list", limit, || Ok(started.discovery.watch_count() > 0))?;
     let added = started.destinations.add(&rig.endpoints);
-    let cost = take_list(rig, &started, &started.destinations.last_entry(2), added)?;
+    let cost = publish_list(rig, &started, &started.destinations.last_entry(2), added)?;
     rig.add_listed(quantities::CHANGE, setting, listed, milliseconds(cost.elapsed));
     rig.add_listed(quantities::CHANGE_PROCESSOR, setting, listed, milliseconds(cost.processor));
     rig.add_listed(quantities::CHANGE_DISK, setting, listed, cost.journal as f64);
     let added = started.destinations.add(&rig.endpoints);
-    let cost = take_list(rig, &started, &started.destinations.whole_list(3), added)?;
+    let cost = publish_list(rig, &started, &started.destinations.whole_list(3), added)?;
     rig.add_listed(quantities::LIST, setting, listed, milliseconds(cost.elapsed));
     rig.add_listed(quantities::LIST_PROCESSOR, setting, listed, milliseconds(cost.processor));
     rig.add_listed(quantities::LIST_DISK, setting, listed, cost.journal as f64);
@@ -127,12 +128,12 @@
 }
 
 /// Publishes a list through discovery, and waits until the forwarder knows the destination that the list adds.
-fn take_list(rig: &mut Rig, started: &Started, list: &str, added: u64) -> Result<Cost, CapacityError> {
-    let Started { process, platform, .. } = started;
+fn publish_list(rig: &mut Rig, started: &Started, list: &str, added: u64) -> Result<Cost, CapacityError> {
+    let Started { process, discovery, .. } = started;
     let limit = rig.plan.change_limit;
     let journal = process.journal_size()?;
     let ((), cost) = cost_of(process, || {
-        platform.publish(list);
+        discovery.publish(list);
         // The forwarder journals a list before it uses it. Until then no message is sent, because a message would add
         // to the measured cost.
         wait_until("a change of the list", limit, || Ok(process.journal_size()? != journal))?;
@@ -149,11 +150,7 @@
     limit: Duration,
 ) -> Result<(), CapacityError> {
     let mut client = Client::connect(process.clients)?;
-    wait_until(
-        "a change of the list",
-        limit,
-        || Ok(client.hand_in(&rig.message_to(destination))? == ACCEPTED),
-    )
+    wait_until("a change of the list", limit, || Ok(client.submit(&rig.message_to(destination))? == ACCEPTED))
 }
 
 fn wait_until(
@@ -166,7 +163,7 @@
         if begin.elapsed() > limit {
             return Err(CapacityError::TooSlow { what, limit });
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/experiments/src/capacity/forwarder/ratio.rs
+++ b/crates/experiments/src/capacity/forwarder/ratio.rs
@@ -1,10 +1,10 @@
 //! Comparison of the cost of a message with the smallest and the largest list. Two forwarders run side by side and are
 //! measured in turns, so that other load on the machine affects both alike.
 
-use super::plan::{PART_DOWN, Plan};
+use super::plan::{Plan, SHARE_DOWN};
 use super::quantities::milliseconds;
 use super::rig::{Rig, Started, cost_of};
-use crate::capacity::client::{Client, Message, hand_in_all};
+use crate::capacity::client::{Client, Message, submit_all};
 use crate::capacity::destinations::Destinations;
 use crate::capacity::error::CapacityError;
 use crate::capacity::forwarder_process::ForwarderProcess;
@@ -14,11 +14,11 @@
 struct Side {
     started: Started,
     /// Destinations that the measured messages are sent to.
-    to: Vec<u64>,
+    recipients: Vec<u64>,
     /// Processor time per second with only the waiting messages, in milliseconds.
     rest: f64,
     /// Lowest cost of a message over the turns so far, in milliseconds.
-    least: f64,
+    lowest_cost: f64,
 }
 
 /// The situation in which messages are sent with both lists.
@@ -33,15 +33,15 @@
 }
 
 impl Case {
-    fn part_down(self) -> f64 {
+    fn share_down(self) -> f64 {
         match self {
-            Case::PartDown => PART_DOWN,
+            Case::PartDown => SHARE_DOWN,
             Case::AllDown => 1.0,
         }
     }
 
     /// Returns the number of destinations that get a waiting message.
-    fn given(self, plan: &Plan, destinations: &Destinations) -> usize {
+    fn waiting_count(self, plan: &Plan, destinations: &Destinations) -> usize {
         match self {
             Case::PartDown => destinations.down.len(),
             Case::AllDown => plan.smallest().min(destinations.down.len()),
@@ -69,54 +69,54 @@
 pub fn measure(rig: &mut Rig, case: Case) -> Result<Option<Ratio>, CapacityError> {
     let (small, large) = (rig.plan.smallest(), rig.plan.largest());
     eprintln!("capacity-forwarder: a message with {small} listed against {large}, {case:?}");
-    let begun = begin(rig, case, small).and_then(|small| Ok([small, begin(rig, case, large)?]));
-    let mut sides = match begun {
+    let prepared = prepare(rig, case, small).and_then(|small| Ok([small, prepare(rig, case, large)?]));
+    let mut sides = match prepared {
         Ok(sides) => sides,
         Err(CapacityError::TooSlow { .. }) => return Ok(None),
         Err(error) => return Err(error),
     };
     std::thread::sleep(rig.plan.settle);
     for side in &mut sides {
-        side.rest = rig.at_rest(&side.started.process)?;
+        side.rest = rig.measure_rest(&side.started.process)?;
     }
     for _ in 0..rig.plan.turns {
         for side in &mut sides {
-            take_turn(rig, side)?;
+            measure_turn(rig, side)?;
         }
     }
-    let costs = sides.each_ref().map(|side| side.least);
+    let costs = sides.each_ref().map(|side| side.lowest_cost);
     let rest = sides.each_ref().map(|side| side.rest);
     Ok(Some(Ratio { costs, rest }))
 }
 
 /// Starts the forwarder of one side and sends it the messages that have to wait.
-fn begin(rig: &mut Rig, case: Case, listed: usize) -> Result<Side, CapacityError> {
-    let started = rig.start(listed, case.part_down())?;
+fn prepare(rig: &mut Rig, case: Case, listed: usize) -> Result<Side, CapacityError> {
+    let started = rig.start(listed, case.share_down())?;
     let destinations = &started.destinations;
-    let waiting = &destinations.down[..case.given(&rig.plan, destinations)];
-    if rig.give_each(&started.process, waiting)? < waiting.len() {
-        return Err(CapacityError::TooSlow { what: "messages to wait", limit: rig.plan.hand_in_limit });
+    let waiting = &destinations.down[..case.waiting_count(&rig.plan, destinations)];
+    if rig.submit_to_each(&started.process, waiting)? < waiting.len() {
+        return Err(CapacityError::TooSlow { what: "messages to wait", limit: rig.plan.submit_limit });
     }
-    let to = if destinations.up.is_empty() { waiting.to_vec() } else { destinations.up.clone() };
-    Ok(Side { started, to, rest: 0.0, least: f64::INFINITY })
+    let recipients = if destinations.up.is_empty() { waiting.to_vec() } else { destinations.up.clone() };
+    Ok(Side { started, recipients, rest: 0.0, lowest_cost: f64::INFINITY })
 }
 
-fn take_turn(rig: &mut Rig, side: &mut Side) -> Result<(), CapacityError> {
-    let messages = rig.messages_to_some(&side.to, rig.plan.messages_in_turn);
-    let (limit, reloads) = (rig.plan.hand_in_limit, rig.sabotage);
+fn measure_turn(rig: &mut Rig, side: &mut Side) -> Result<(), CapacityError> {
+    let messages = rig.messages_to_random(&side.recipients, rig.plan.messages_in_turn);
+    let (limit, reloads) = (rig.plan.submit_limit, rig.sabotage);
     let process = &side.started.process;
     // The forwarder closes an idle connection while the other side has its turn, so each turn opens a new one.
     let mut client = [Client::connect(process.clients)?];
-    let (taken, cost) = cost_of(process, || hand_in(process, &mut client, messages, reloads, limit))?;
-    if taken == 0 {
+    let (accepted, cost) = cost_of(process, || submit(process, &mut client, messages, reloads, limit))?;
+    if accepted == 0 {
         return Err(CapacityError::TooSlow { what: "a message", limit });
     }
-    side.least = side.least.min(milliseconds(cost.processor) / taken as f64);
+    side.lowest_cost = side.lowest_cost.min(milliseconds(cost.processor) / accepted as f64);
     Ok(())
 }
 
 /// Sends messages one by one. If `reloads` is `true`, the forwarder reloads its configuration before each message.
-fn hand_in(
+fn submit(
     process: &ForwarderProcess,
     client: &mut [Client],
     messages: Vec<Message>,
@@ -124,16 +124,16 @@
     limit: Duration,
 ) -> Result<usize, CapacityError> {
     if !reloads {
-        return hand_in_all(client, &mut messages.into_iter(), limit);
+        return submit_all(client, &mut messages.into_iter(), limit);
     }
     let begin = Instant::now();
-    let mut taken = 0;
+    let mut accepted = 0;
     for message in messages {
         if begin.elapsed() > limit {
             break;
         }
         process.signal_reload()?;
-        taken += hand_in_all(client, &mut std::iter::once(message), limit)?;
+        accepted += submit_all(client, &mut std::iter::once(message), limit)?;
     }
-    Ok(taken)
+    Ok(accepted)
 }
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -3,8 +3,8 @@
 
 use super::plan::Plan;
 use super::quantities::milliseconds;
-use crate::capacity::budget::{Budget, Used};
-use crate::capacity::client::{Client, Message, hand_in_all};
+use crate::capacity::budget::{Budget, BudgetUsage};
+use crate::capacity::client::{Client, Message, submit_all};
 use crate::capacity::destinations::{Destinations, Endpoints};
 use crate::capacity::error::CapacityError;
 use crate::capacity::forwarder_process::{ForwarderProcess, StartCost};
@@ -21,9 +21,9 @@
 
 /// Memory that the budget check reserves per destination and per message of a start, in the forwarder and in the
 /// experiment together, in bytes.
-const MEMORY_FOR_ONE: u64 = 8 << 10;
+const MEMORY_PER_ITEM: u64 = 8 << 10;
 /// Number of parallel connections for sending many messages.
-pub const MANY_CLIENTS: usize = 64;
+pub const PARALLEL_CLIENTS: usize = 64;
 
 /// The environment and the results of the experiment.
 pub struct Rig {
@@ -56,7 +56,7 @@
     /// Destinations on its list.
     pub destinations: Destinations,
     /// Discovery server, which publishes a list only when asked to.
-    pub platform: DiscoveryServer,
+    pub discovery: DiscoveryServer,
     /// Folder with the configuration and the state.
     pub folder: TemporaryFolder,
 }
@@ -65,7 +65,7 @@
     /// Opens the endpoints and checks that the experiment is within its budget.
     pub fn new(run: &RunOptions, plan: Plan) -> Result<Self, CapacityError> {
         let guard = Guard::start(budget(run)?);
-        guard.check(&Used::default())?;
+        guard.check(&BudgetUsage::default())?;
         Ok(Rig {
             program: run.program().map_err(std::io::Error::other)?,
             plan,
@@ -86,35 +86,35 @@
     pub fn prepare(
         &mut self,
         listed: usize,
-        part_down: f64,
+        share_down: f64,
     ) -> (TemporaryFolder, Destinations, DiscoveryServer) {
-        let destinations = Destinations::new(&self.endpoints, listed, part_down, &mut self.rng);
-        let platform = DiscoveryServer::start("");
+        let destinations = Destinations::new(&self.endpoints, listed, share_down, &mut self.rng);
+        let discovery = DiscoveryServer::start("");
         self.next_folder += 1;
         let folder = TemporaryFolder::new(&format!("capacity-{}", self.next_folder));
-        folder.write("config.json", &destinations.config(platform.address(), self.seed));
-        (folder, destinations, platform)
+        folder.write("config.json", &destinations.config(discovery.address(), self.seed));
+        (folder, destinations, discovery)
     }
 
     /// Starts a forwarder on a folder, if the budget has room for `held` destinations and messages.
     pub fn start_on(
         &self,
         folder: &TemporaryFolder,
-        held: usize,
+        expected_items: usize,
     ) -> Result<(ForwarderProcess, StartCost), CapacityError> {
-        let resident = held as u64 * MEMORY_FOR_ONE;
-        self.guard.check(&Used { resident, processes: 1, descriptors: MANY_CLIENTS })?;
+        let resident = expected_items as u64 * MEMORY_PER_ITEM;
+        self.guard.check(&BudgetUsage { resident, processes: 1, descriptors: PARALLEL_CLIENTS })?;
         let started = ForwarderProcess::start(&self.program, folder, self.plan.start_limit);
         // If the guard has killed the forwarder, its error is the cause.
-        self.guard.check(&Used::default())?;
+        self.guard.check(&BudgetUsage::default())?;
         started
     }
 
     /// Starts a forwarder that knows `listed` destinations, of which the share `part_down` is down.
-    pub fn start(&mut self, listed: usize, part_down: f64) -> Result<Started, CapacityError> {
-        let (folder, destinations, platform) = self.prepare(listed, part_down);
+    pub fn start(&mut self, listed: usize, share_down: f64) -> Result<Started, CapacityError> {
+        let (folder, destinations, discovery) = self.prepare(listed, share_down);
         let (process, cost) = self.start_on(&folder, listed)?;
-        Ok(Started { process, cost, destinations, platform, folder })
+        Ok(Started { process, cost, destinations, discovery, folder })
     }
 
     /// Adds a point to a series by destinations listed.
@@ -129,27 +129,27 @@
     }
 
     /// Returns `count` new messages to destinations chosen at random from these.
-    pub fn messages_to_some(&mut self, destinations: &[u64], count: usize) -> Vec<Message> {
+    pub fn messages_to_random(&mut self, destinations: &[u64], count: usize) -> Vec<Message> {
         let drawn: Vec<u64> =
             (0..count).map(|_| destinations[self.rng.random_range(0..destinations.len())]).collect();
         drawn.into_iter().map(|destination| self.message_to(destination)).collect()
     }
 
-    /// Sends one message to each destination over [`MANY_CLIENTS`] connections, within the time limit of the plan.
+    /// Sends one message to each destination over [`PARALLEL_CLIENTS`] connections, within the time limit of the plan.
     /// Returns the number of accepted messages.
-    pub fn give_each(
+    pub fn submit_to_each(
         &mut self,
         process: &ForwarderProcess,
         destinations: &[u64],
     ) -> Result<usize, CapacityError> {
-        let mut clients = Client::connect_many(process.clients, MANY_CLIENTS)?;
-        let limit = self.plan.hand_in_limit;
+        let mut clients = Client::connect_many(process.clients, PARALLEL_CLIENTS)?;
+        let limit = self.plan.submit_limit;
         let mut messages = destinations.iter().map(|destination| self.message_to(*destination));
-        hand_in_all(&mut clients, &mut messages, limit)
+        submit_all(&mut clients, &mut messages, limit)
     }
 
     /// Measures the processor time per second while no messages are sent, in milliseconds.
-    pub fn at_rest(&self, process: &ForwarderProcess) -> Result<f64, CapacityError> {
+    pub fn measure_rest(&self, process: &ForwarderProcess) -> Result<f64, CapacityError> {
         let (before, begin) = (process.processor()?, Instant::now());
         std::thread::sleep(self.plan.rest);
         let used = process.processor()? - before;
@@ -159,7 +159,7 @@
 
 /// Returns the default budget, with less memory if the command line asks for less.
 fn budget(run: &RunOptions) -> Result<Budget, CapacityError> {
-    let mut budget = Budget::of_this_machine()?;
+    let mut budget = Budget::for_this_machine()?;
     if let Some(mb) = run.memory_mb {
         budget.resident = budget.resident.min(mb << 20);
     }
@@ -180,10 +180,10 @@
 /// Runs an operation and measures its cost in a forwarder.
 pub fn cost_of<T>(
     process: &ForwarderProcess,
-    part: impl FnOnce() -> Result<T, CapacityError>,
+    operation: impl FnOnce() -> Result<T, CapacityError>,
 ) -> Result<(T, Cost), CapacityError> {
     let (processor, journal, begin) = (process.processor()?, process.journal_size()?, Instant::now());
-    let done = part()?;
+    let done = operation()?;
     let elapsed = begin.elapsed();
     let processor = process.processor()? - processor;
     Ok((done, Cost { processor, elapsed, journal: process.journal_size()?.saturating_sub(journal) }))
--- a/crates/experiments/src/capacity/forwarder/waiting.rs
+++ b/crates/experiments/src/capacity/forwarder/waiting.rs
@@ -2,8 +2,8 @@
 //! another, and messages that are read from a journal at a start.
 
 use super::quantities::{self, milliseconds};
-use super::rig::{MANY_CLIENTS, Rig, cost_of};
-use crate::capacity::client::{BODY, CLASS, Client, LIFE_SECONDS, TENANT, hand_in_all};
+use super::rig::{PARALLEL_CLIENTS, Rig, cost_of};
+use crate::capacity::client::{BODY_BYTES, CLASS, Client, TENANT, TIME_LEFT_SECONDS, submit_all};
 use crate::capacity::error::CapacityError;
 use crate::capacity::series::{Quantity, Size};
 use bytes::BytesMut;
@@ -21,25 +21,26 @@
     let listed = rig.plan.listed_while_waiting;
     let started = rig.start(listed, 1.0)?;
     let process = &started.process;
-    let mut held = 0;
-    for wanted in rig.plan.taken.clone() {
+    let mut waiting = 0;
+    for wanted in rig.plan.accepted.clone() {
         eprintln!("capacity-forwarder: {wanted} messages taken on");
-        let messages = rig.messages_to_some(&started.destinations.down, wanted - held);
-        let limit = rig.plan.hand_in_limit * 2;
-        let mut clients = Client::connect_many(process.clients, MANY_CLIENTS)?;
-        let (taken, cost) = cost_of(process, || hand_in_all(&mut clients, &mut messages.into_iter(), limit))?;
-        held += taken;
-        if taken > 0 {
-            let each = milliseconds(cost.processor) / taken as f64;
-            add(rig, quantities::TAKING, held, each);
-            add(rig, quantities::TAKING_RESIDENT, held, process.usage()?.resident as f64);
-            add(rig, quantities::TAKING_DISK, held, process.journal_size()? as f64);
-            let rest = rig.at_rest(process)?;
-            add(rig, quantities::TAKING_REST, held, rest);
+        let messages = rig.messages_to_random(&started.destinations.down, wanted - waiting);
+        let limit = rig.plan.submit_limit * 2;
+        let mut clients = Client::connect_many(process.clients, PARALLEL_CLIENTS)?;
+        let (accepted, cost) =
+            cost_of(process, || submit_all(&mut clients, &mut messages.into_iter(), limit))?;
+        waiting += accepted;
+        if accepted > 0 {
+            let each = milliseconds(cost.processor) / accepted as f64;
+            add(rig, quantities::TAKING, waiting, each);
+            add(rig, quantities::TAKING_RESIDENT, waiting, process.usage()?.resident as f64);
+            add(rig, quantities::TAKING_DISK, waiting, process.journal_size()? as f64);
+            let rest = rig.measure_rest(process)?;
+            add(rig, quantities::TAKING_REST, waiting, rest);
         }
-        if held < wanted {
+        if waiting < wanted {
             let seconds = limit.as_secs();
-            return Ok(vec![format!("{held} of {wanted} messages were taken on; a step has {seconds} s")]);
+            return Ok(vec![format!("{waiting} of {wanted} messages were taken on; a step has {seconds} s")]);
         }
     }
     Ok(Vec::new())
@@ -50,7 +51,7 @@
     let listed = rig.plan.listed_while_waiting;
     for count in rig.plan.journaled.clone() {
         eprintln!("capacity-forwarder: {count} messages in the journal");
-        let (folder, destinations, _platform) = rig.prepare(listed, 1.0);
+        let (folder, destinations, _discovery) = rig.prepare(listed, 1.0);
         let size = write_journal(&folder.path().join("state"), &destinations.down, count)?;
         let (process, cost) = match rig.start_on(&folder, listed + count) {
             Ok(started) => started,
@@ -63,7 +64,7 @@
         add(rig, quantities::WAITING_READY_PROCESSOR, count, milliseconds(cost.usage.processor));
         add(rig, quantities::WAITING_RESIDENT, count, cost.usage.resident as f64);
         add(rig, quantities::WAITING_DISK, count, size as f64);
-        let rest = rig.at_rest(&process)?;
+        let rest = rig.measure_rest(&process)?;
         add(rig, quantities::WAITING_REST, count, rest);
     }
     Ok(Vec::new())
@@ -77,12 +78,12 @@
 fn write_journal(state: &Path, destinations: &[u64], count: usize) -> Result<usize, CapacityError> {
     let mut journal = Journal::open(state).map_err(std::io::Error::from)?.journal;
     let deadline = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
-        + Duration::from_secs(LIFE_SECONDS.into());
+        + Duration::from_secs(TIME_LEFT_SECONDS.into());
     let deadline = i64::try_from(deadline.as_micros()).unwrap_or(i64::MAX);
-    let body = [b'x'; BODY];
+    let body = [b'x'; BODY_BYTES];
     let mut bytes = BytesMut::new();
     for (number, destination) in (0..count).zip(destinations.iter().cycle()) {
-        let taken = AcceptedMessage {
+        let accepted = AcceptedMessage {
             id: format!("j{number:09}"),
             class: CLASS.to_owned(),
             tenant: TENANT.to_owned(),
@@ -94,7 +95,7 @@
             in_flight: None,
             handover: HandoverState::default(),
         };
-        Record::Accepted(taken).encode(&body, &mut bytes);
+        Record::Accepted(accepted).encode(&body, &mut bytes);
         if bytes.len() >= WRITE_BYTES {
             journal.append(&bytes).map_err(std::io::Error::from)?;
             bytes.clear();
--- a/crates/experiments/src/capacity/forwarder_process.rs
+++ b/crates/experiments/src/capacity/forwarder_process.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Interval between two calls of the console while the forwarder starts.
-const POLL: Duration = Duration::from_millis(1);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A running forwarder. Dropping it kills the process.
 #[derive(Debug)]
@@ -51,18 +51,18 @@
         command.arg("--state").arg(&state).args(["--console", "127.0.0.1:0"]);
         command.env("NO_COLOR", "1").stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn()?;
-        let log = follow(child.stderr.take());
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let log = read_lines(child.stderr.take());
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let journal = state.join("journal");
         // From here on an error drops `started` and thereby kills the child.
-        let mut started = ForwarderProcess { child, clients: nowhere, console: nowhere, journal, log };
+        let mut started = ForwarderProcess { child, clients: unset, console: unset, journal, log };
         started.clients = started.address_after("listens on ", begin, limit)?;
         started.console = started.address_after("console at ", begin, limit)?;
-        while !started.ask("ready")?.starts_with("200") {
+        while !started.call_console("ready")?.starts_with("200") {
             if begin.elapsed() > limit {
                 return Err(CapacityError::TooSlow { what: "ready", limit });
             }
-            thread::sleep(POLL);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         let usage = started.usage()?;
         Ok((started, StartCost { elapsed: begin.elapsed(), usage }))
@@ -84,7 +84,7 @@
     }
 
     /// Sends one call to the console and returns the reply.
-    pub fn ask(&self, call: &str) -> io::Result<String> {
+    pub fn call_console(&self, call: &str) -> io::Result<String> {
         let mut stream = TcpStream::connect(self.console)?;
         stream.set_read_timeout(Some(Duration::from_secs(60)))?;
         stream.write_all(format!("{call}\n").as_bytes())?;
@@ -101,7 +101,7 @@
 
     /// Waits for the log line that says that the configuration is reloaded.
     pub fn wait_for_reload(&self, limit: Duration) -> Result<(), CapacityError> {
-        self.logged("configuration: reloaded", "a reload", Instant::now(), limit).map(|_| ())
+        self.wait_for_line("configuration: reloaded", "a reload", Instant::now(), limit).map(|_| ())
     }
 
     fn address_after(
@@ -110,13 +110,13 @@
         begin: Instant,
         limit: Duration,
     ) -> Result<SocketAddr, CapacityError> {
-        let line = self.logged(words, "ready", begin, limit)?;
+        let line = self.wait_for_line(words, "ready", begin, limit)?;
         let address = line.split_once(words).and_then(|(_, address)| address.trim().parse().ok());
         address.ok_or(CapacityError::Ended(vec![line]))
     }
 
     /// Waits for a line of the log that contains `words`.
-    fn logged(
+    fn wait_for_line(
         &self,
         words: &str,
         what: &'static str,
@@ -144,7 +144,7 @@
 }
 
 /// Starts a thread that reads a log. Returns the channel of its lines.
-fn follow(log: Option<ChildStderr>) -> Receiver<String> {
+fn read_lines(log: Option<ChildStderr>) -> Receiver<String> {
     let (sender, lines) = channel();
     if let Some(log) = log {
         thread::spawn(move || {
--- a/crates/experiments/src/capacity/guard.rs
+++ b/crates/experiments/src/capacity/guard.rs
@@ -1,6 +1,6 @@
 //! A background check of the budget while an experiment waits. It kills the children as soon as the budget is exceeded.
 
-use super::budget::{Budget, BudgetError, Used};
+use super::budget::{Budget, BudgetError, BudgetUsage};
 use super::process;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 /// Interval between two checks of the budget.
-const EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
-struct Watched {
-    highest: Used,
-    over: Option<BudgetError>,
+struct GuardState {
+    highest: BudgetUsage,
+    exceeded: Option<BudgetError>,
 }
 
 /// Checks the budget on its own thread until it is dropped. Once the budget is exceeded, the thread kills all children
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Guard {
     budget: Budget,
-    watched: Arc<Mutex<Watched>>,
+    state: Arc<Mutex<GuardState>>,
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -31,32 +31,32 @@
 impl Guard {
     /// Starts the thread.
     pub fn start(budget: Budget) -> Self {
-        let watched = Arc::new(Mutex::new(Watched::default()));
+        let state = Arc::new(Mutex::new(GuardState::default()));
         let (stop, stopped) = channel::<()>();
-        let inner = watched.clone();
+        let thread_state = state.clone();
         let thread = thread::spawn(move || {
-            while stopped.recv_timeout(EVERY) == Err(RecvTimeoutError::Timeout) {
-                if !look(&budget, &inner) {
-                    end_children();
+            while stopped.recv_timeout(CHECK_INTERVAL) == Err(RecvTimeoutError::Timeout) {
+                if !check_once(&budget, &thread_state) {
+                    kill_children();
                     return;
                 }
             }
         });
-        Guard { budget, watched, stop: Some(stop), thread: Some(thread) }
+        Guard { budget, state, stop: Some(stop), thread: Some(thread) }
     }
 
     /// Returns an error if the experiment exceeds its budget, has exceeded it before, or would exceed it with the needs
     /// of the next step.
-    pub fn check(&self, needed: &Used) -> Result<(), BudgetError> {
-        if let Some(error) = lock(&self.watched).over.take() {
+    pub fn check(&self, needed: &BudgetUsage) -> Result<(), BudgetError> {
+        if let Some(error) = lock(&self.state).exceeded.take() {
             return Err(error);
         }
         self.budget.check_with(needed).map(|_| ())
     }
 
     /// Returns the maximum of each resource over all checks so far.
-    pub fn highest(&self) -> Used {
-        lock(&self.watched).highest
+    pub fn highest(&self) -> BudgetUsage {
+        lock(&self.state).highest
     }
 }
 
@@ -67,33 +67,33 @@
     }
 }
 
-fn lock(watched: &Mutex<Watched>) -> MutexGuard<'_, Watched> {
-    watched.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<GuardState>) -> MutexGuard<'_, GuardState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Checks the budget once. Returns `false` if it is exceeded or the use cannot be read.
-fn look(budget: &Budget, watched: &Mutex<Watched>) -> bool {
+fn check_once(budget: &Budget, state: &Mutex<GuardState>) -> bool {
     let checked = budget.check();
-    let mut watched = lock(watched);
+    let mut state = lock(state);
     match checked {
         Ok(used) => {
-            let highest = &mut watched.highest;
+            let highest = &mut state.highest;
             highest.resident = highest.resident.max(used.resident);
             highest.processes = highest.processes.max(used.processes);
             highest.descriptors = highest.descriptors.max(used.descriptors);
             true
         }
         Err(error) => {
-            watched.over = Some(error);
+            state.exceeded = Some(error);
             false
         }
     }
 }
 
-fn end_children() {
+fn kill_children() {
     let own = std::process::id();
-    let family = process::family(own).unwrap_or_default();
-    for child in family.into_iter().filter(|process| *process != own) {
+    let process_tree = process::process_tree(own).unwrap_or_default();
+    for child in process_tree.into_iter().filter(|process| *process != own) {
         let Ok(child) = i32::try_from(child) else { continue };
         // A child that has exited in the meantime needs no signal.
         let _ = kill(Pid::from_raw(child), Signal::SIGKILL);
--- a/crates/experiments/src/capacity/process.rs
+++ b/crates/experiments/src/capacity/process.rs
@@ -34,7 +34,7 @@
 /// Returns the processor time of a process. Reads the process's CPU clock, which has nanosecond resolution, because
 /// `/proc/PID/stat` counts in ticks.
 pub fn processor_time(process: ProcessId) -> io::Result<Duration> {
-    let process = i32::try_from(process).map_err(|_| missing("process number"))?;
+    let process = i32::try_from(process).map_err(|_| invalid_field("process number"))?;
     Ok(clock_getcpuclockid(Pid::from_raw(process))?.now()?.into())
 }
 
@@ -48,11 +48,11 @@
     let limits = fs::read_to_string(format!("/proc/{process}/limits"))?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
     let soft = line.and_then(|line| line.split_whitespace().next());
-    soft.and_then(|number| number.parse().ok()).ok_or_else(|| missing("Max open files"))
+    soft.and_then(|number| number.parse().ok()).ok_or_else(|| invalid_field("Max open files"))
 }
 
 /// Returns a process and all its descendants. Descendants that exit in the meantime are left out.
-pub fn family(root: ProcessId) -> io::Result<Vec<ProcessId>> {
+pub fn process_tree(root: ProcessId) -> io::Result<Vec<ProcessId>> {
     let mut children: BTreeMap<ProcessId, Vec<ProcessId>> = BTreeMap::new();
     for entry in fs::read_dir("/proc")? {
         let name = entry?.file_name();
@@ -61,14 +61,14 @@
             children.entry(parent).or_default().push(process);
         }
     }
-    let mut family = vec![root];
+    let mut process_tree = vec![root];
     let mut next = 0;
-    while let Some(process) = family.get(next) {
+    while let Some(process) = process_tree.get(next) {
         let below = children.remove(process).unwrap_or_default();
-        family.extend(below);
+        process_tree.extend(below);
         next += 1;
     }
-    Ok(family)
+    Ok(process_tree)
 }
 
 /// Returns the memory of the machine, in bytes.
@@ -86,9 +86,9 @@
 fn status_field(text: &str, name: &str) -> io::Result<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     let number = line.and_then(|line| line.split_whitespace().next());
-    number.and_then(|number| number.parse().ok()).ok_or_else(|| missing(name))
+    number.and_then(|number| number.parse().ok()).ok_or_else(|| invalid_field(name))
 }
 
-fn missing(what: &str) -> io::Error {
+fn invalid_field(what: &str) -> io::Error {
     io::Error::new(ErrorKind::InvalidData, format!("{what}: missing or not a number"))
 }
--- a/crates/experiments/src/capacity/series.rs
+++ b/crates/experiments/src/capacity/series.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the lowest value that was measured at a size, or `None` if none was.
-    pub fn least_at(&self, size: usize) -> Option<f64> {
+    pub fn lowest_at(&self, size: usize) -> Option<f64> {
         let at_size = self.points.iter().filter(|(x, _)| *x == size as f64);
         at_size.map(|(_, y)| *y).min_by(f64::total_cmp)
     }
@@ -63,7 +63,7 @@
     }
 
     fn row(&self) -> Vec<String> {
-        let cell = |value: Option<f64>| value.map_or_else(|| "-".to_owned(), figure);
+        let cell = |value: Option<f64>| value.map_or_else(|| "-".to_owned(), four_digits);
         let (fit, largest) = (self.fit(), self.largest());
         vec![
             self.quantity.name.to_owned(),
@@ -132,8 +132,8 @@
     }
 
     /// Returns the lowest value of a quantity at a size, over all settings, or `None` if there is none.
-    pub fn least(&self, quantity: Quantity, size: usize) -> Option<f64> {
-        self.of(quantity).filter_map(|series| series.least_at(size)).min_by(f64::total_cmp)
+    pub fn lowest(&self, quantity: Quantity, size: usize) -> Option<f64> {
+        self.of(quantity).filter_map(|series| series.lowest_at(size)).min_by(f64::total_cmp)
     }
 
     /// Returns one table row per series, with the columns [`COLUMNS`].
@@ -179,7 +179,7 @@
 }
 
 /// Formats a value with four significant digits. Only values below 0.001 have an exponent.
-pub fn figure(value: f64) -> String {
+pub fn four_digits(value: f64) -> String {
     let digits = match value.abs() {
         zero if zero < 1e-12 => 0,
         size if size < 1e-3 => return format!("{value:.3e}"),
--- a/crates/experiments/src/consul_cold.rs
+++ b/crates/experiments/src/consul_cold.rs
@@ -53,7 +53,7 @@
     let runs = seeds.map(|seed| SeedRun::start(seed, options)).collect::<Result<Vec<_>, _>>()?;
     let start = Instant::now();
     let loads: Vec<Vec<Load>> = runs.iter().map(|run| run.start_loads(start)).collect();
-    let capacity_per_second = play_outage(&runs, start);
+    let capacity_per_second = run_outage(&runs, start);
     let mut outcomes = Vec::new();
     for (run, loads) in runs.iter().zip(loads) {
         let results = loads.into_iter().map(Load::join).collect::<Result<Vec<_>, _>>()?;
@@ -131,7 +131,7 @@
 
 /// Runs the outage and the recovery on all test beds. Returns the capacity of the first one in the middle of each
 /// second.
-fn play_outage(runs: &[SeedRun], start: Instant) -> Vec<f64> {
+fn run_outage(runs: &[SeedRun], start: Instant) -> Vec<f64> {
     let progress = Progress::new("consul-cold", RUN_LENGTH, start);
     let mut capacity_per_second = Vec::new();
     for second in 0..RUN_LENGTH.as_secs() {
--- a/crates/experiments/src/consul_drain.rs
+++ b/crates/experiments/src/consul_drain.rs
@@ -118,7 +118,7 @@
     let classes = ["orders", "status", "refund"];
     let plan = poisson_plan(options.seed, MESSAGE_RATE, RUN_LENGTH, &classes, DESTINATION);
     let load = Load::start(forwarder.process.address, start, plan);
-    let removals = play_removals(&bed, &endpoints, options.seed, start);
+    let removals = run_removals(&bed, &endpoints, options.seed, start);
     let result = load.join()?;
     let outcomes = bed.wait_for_outcomes(std::slice::from_ref(&result));
     let drain_times: Vec<DrainTime> =
@@ -127,7 +127,7 @@
 }
 
 /// Removes endpoints at random and restores them until the run is over. Returns all removals.
-fn play_removals(bed: &TestBed, endpoints: &[SocketAddr], seed: u64, start: Instant) -> Vec<Removal> {
+fn run_removals(bed: &TestBed, endpoints: &[SocketAddr], seed: u64, start: Instant) -> Vec<Removal> {
     let progress = Progress::new("consul-drain", RUN_LENGTH, start);
     let mut rng = StdRng::seed_from_u64(seed ^ 0xd7a1);
     let mut removals: Vec<Removal> = Vec::new();
--- a/crates/experiments/src/consul_scale.rs
+++ b/crates/experiments/src/consul_scale.rs
@@ -107,7 +107,7 @@
 }
 
 /// Waits until the forwarder's journal has all endpoints. Returns the time since `start`.
-fn wait_until_learnt(
+fn wait_for_endpoints(
     tail: &mut JournalTail,
     expected: usize,
     start: Instant,
@@ -146,7 +146,7 @@
     let started = Instant::now();
     let forwarder = bed.start_forwarder(&options.program()?, 0, &config.text(), Some(&settings));
     let mut tail = JournalTail::new(forwarder.folder.path().join("state").join("journal"));
-    let learn_time = wait_until_learnt(&mut tail, endpoints, started)?;
+    let learn_time = wait_for_endpoints(&mut tail, endpoints, started)?;
     let start = Instant::now();
     let progress =
         Progress::new(&format!("consul-scale, {endpoints} endpoints"), IDLE_FOR + CHANGES_FOR, start);
@@ -159,7 +159,7 @@
     let changes_start = Instant::now();
     let rng = StdRng::seed_from_u64(options.seed);
     let mut changes = Changes { bed: &bed, instances: &instances, rng, pending: BTreeMap::new() };
-    let mut decision_times_ms = changes.play(&mut tail, &progress);
+    let mut decision_times_ms = changes.run(&mut tail, &progress);
     let after_changes = usage(&forwarder)?;
     let changes_elapsed = changes_start.elapsed();
     progress.finish();
@@ -194,7 +194,7 @@
 impl Changes<'_> {
     /// Makes changes at [`CHANGES_PER_SECOND`] and waits for the decisions. Returns the times to the decisions in
     /// milliseconds.
-    fn play(&mut self, tail: &mut JournalTail, progress: &Progress) -> Vec<f64> {
+    fn run(&mut self, tail: &mut JournalTail, progress: &Progress) -> Vec<f64> {
         let start = Instant::now();
         let mut decision_times_ms = Vec::new();
         let mut made = 0;
--- a/crates/experiments/src/consul_silent.rs
+++ b/crates/experiments/src/consul_silent.rs
@@ -79,7 +79,7 @@
         .collect::<Result<Vec<_>, _>>()?;
     let start = Instant::now();
     let loads: Vec<Load> = runs.iter().map(|run| run.start_load(options.seed, start)).collect();
-    play_faults(&runs, start, options.sabotage);
+    run_faults(&runs, start, options.sabotage);
     let results = loads.into_iter().map(Load::join).collect::<Result<Vec<_>, _>>()?;
     let mut outcomes: Vec<FormOutcome> = Vec::new();
     for (run, result) in runs.iter().zip(&results) {
@@ -134,7 +134,7 @@
     }
 }
 
-fn play_faults(runs: &[FormRun], start: Instant, sabotage: bool) {
+fn run_faults(runs: &[FormRun], start: Instant, sabotage: bool) {
     let progress = Progress::new("consul-silent", RUN_LENGTH, start);
     progress.wait_until(FAULT_FROM);
     runs.iter().for_each(|run| run.begin_fault(sabotage));
@@ -146,7 +146,7 @@
 
 impl FormOutcome {
     /// Returns the minimum of deliveries in one second during the fault, without the fault's first second.
-    fn least_per_second(&self) -> f64 {
+    fn min_per_second(&self) -> f64 {
         let during_fault = FAULT_FROM.as_secs() as usize + 1..FAULT_TO.as_secs() as usize;
         self.deliveries_per_second[during_fault].iter().copied().fold(f64::MAX, f64::min)
     }
@@ -159,7 +159,7 @@
                 "{name}: {relative_share:.3} of the undisturbed share was delivered, {MIN_RELATIVE_SHARE} is the aim"
             ));
         }
-        if self.least_per_second() < 1.0 {
+        if self.min_per_second() < 1.0 {
             violations.push(format!(
                 "{name}: a second passed in the silence without a delivery: the list was empty"
             ));
@@ -176,7 +176,7 @@
             self.submitted.to_string(),
             format!("{:.4}", self.share),
             format!("{:.4}", self.relative_share),
-            format!("{:.0}", self.least_per_second()),
+            format!("{:.0}", self.min_per_second()),
             self.lost.to_string(),
             self.duplicated.to_string(),
             self.consul_requests.to_string(),
@@ -185,7 +185,7 @@
 
     fn json(&self) -> Value {
         json!({"form": self.name, "share": self.share, "against_undisturbed": self.relative_share,
-            "lost": self.lost, "duplicated": self.duplicated, "least_per_second": self.least_per_second()})
+            "lost": self.lost, "duplicated": self.duplicated, "least_per_second": self.min_per_second()})
     }
 }
 
--- a/crates/experiments/src/fleet_limit.rs
+++ b/crates/experiments/src/fleet_limit.rs
@@ -21,7 +21,7 @@
 struct Case {
     /// Label of the row.
     label: &'static str,
-    most: f64,
+    limit: f64,
     /// Measures the value with these settings and this seed.
     measure: fn(&Settings, u64) -> f64,
 }
@@ -29,17 +29,17 @@
 const CASES: [Case; 8] = [
     Case {
         label: "refused a second, of 52 to a limit of 40",
-        most: 8.0,
+        limit: 8.0,
         measure: |settings, seed| rate_of(&overload(settings, OVERLOAD_FACTOR, seed), Outcome::Rejected),
     },
     Case {
         label: "calls in the first second after a start, two messages each, limit 40",
-        most: 64.0,
+        limit: 64.0,
         measure: |settings, seed| calls_of_first_second(settings, 0, |number| seed * 1000 + number) as f64,
     },
     Case {
         label: "calls in the first 40 ms after a told wait",
-        most: 35.0,
+        limit: 35.0,
         measure: |settings, seed| {
             let settings = Settings { max_calls: 8, ..settings.clone() };
             common_retry_after(FORWARDERS, &settings, seed).at_end as f64
@@ -47,27 +47,27 @@
     },
     Case {
         label: "part of the cold budget used, 5 s without an answer",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::ConnectFailed, 5 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same after 12 s",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::ConnectFailed, 12 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same, 5 s of errors",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::Error, 5 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same, 5 s of refusals",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::Rejected, 5 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same, 15 s of refusals",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::Rejected, 15 * SECOND, seed).peak_use,
     },
 ];
@@ -89,10 +89,10 @@
         let OverSeeds { mean, worst } = measure(case, &fleet, &seeds)?;
         let mean_alone = measure(case, &alone, &seeds)?.mean;
         let mut row = vec![case.label.to_owned()];
-        row.extend([mean, worst, case.most, mean_alone].map(|figure| format!("{figure:.2}")));
+        row.extend([mean, worst, case.limit, mean_alone].map(|figure| format!("{figure:.2}")));
         rows.push(row);
-        if worst > case.most {
-            violations.push(format!("{}: {worst:.2}, {} at most", case.label, case.most));
+        if worst > case.limit {
+            violations.push(format!("{}: {worst:.2}, {} at most", case.label, case.limit));
         }
     }
     let mut series = overload_series("a hundred that know it", &fleet, options.seed);
--- a/crates/experiments/src/fleet_limit/scenarios.rs
+++ b/crates/experiments/src/fleet_limit/scenarios.rs
@@ -13,7 +13,7 @@
 /// Length of an overload.
 pub const OVERLOAD_LENGTH: Micros = 20 * SECOND;
 /// Time after the start of a recovery in which the use of the cold capacity is measured.
-const JUDGED_RECOVERY: Micros = 8 * SECOND;
+const MEASURED_RECOVERY: Micros = 8 * SECOND;
 /// Calls of each forwarder before a common `Retry-After`. They widen its concurrency window, so that it may have
 /// several calls in flight.
 const WARM_UP_CALLS: usize = 17;
@@ -117,8 +117,8 @@
     fleet.run(settings.warm_up_time, rate, |_| SERVED);
     let served_before = fleet.count_ended(Outcome::Success);
     fleet.run(10 * SECOND, rate, |_| SERVED);
-    let judged = recovered_at..recovered_at + JUDGED_RECOVERY;
-    let windows = fleet.calls.iter().map(|call| call.at).filter(|at| judged.contains(at));
+    let measured = recovered_at..recovered_at + MEASURED_RECOVERY;
+    let windows = fleet.calls.iter().map(|call| call.at).filter(|at| measured.contains(at));
     Recovery {
         peak_use: windows.map(|from| window_use(&fleet, settings, recovered_at, from)).fold(0.0, f64::max),
         served_when_warm: fleet.count_ended(Outcome::Success) - served_before,
--- a/crates/experiments/src/fleet_limit/tests.rs
+++ b/crates/experiments/src/fleet_limit/tests.rs
@@ -29,10 +29,10 @@
         let (all, alone) = (settings(FORWARDERS), settings(1));
         for seed in [seed, seed + 10] {
             let figure = (case.measure)(&all, seed);
-            assert!(figure <= case.most, "{}: {figure:.2}, seed {seed}", case.label);
+            assert!(figure <= case.limit, "{}: {figure:.2}, seed {seed}", case.label);
         }
         let worse = (case.measure)(&alone, seed);
-        assert!(worse > case.most, "{}: {worse:.2} with a fleet size of 1", case.label);
+        assert!(worse > case.limit, "{}: {worse:.2} with a fleet size of 1", case.label);
     }
 }
 
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -151,7 +151,7 @@
     Ok(status)
 }
 
-async fn submit_at_its_time(
+async fn submit_when_due(
     address: SocketAddr,
     idle: IdleConnections,
     start: Instant,
@@ -168,7 +168,7 @@
     let idle = IdleConnections::default();
     let mut submissions = JoinSet::new();
     for message in messages {
-        submissions.spawn_local(submit_at_its_time(address, idle.clone(), start, message));
+        submissions.spawn_local(submit_when_due(address, idle.clone(), start, message));
     }
     let mut result = LoadResult::new();
     while let Some(Ok(answered)) = submissions.join_next().await {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -143,7 +143,7 @@
 }
 
 fn main() -> ExitCode {
-    let kept = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::List => {
             list();
             Ok(true)
@@ -151,7 +151,7 @@
         Command::CapacityChild => capacity::control::child::run().map(|()| true),
         Command::Run { name, run: options } => run(&name, &options).map_err(|error| error.to_string()),
     };
-    match kept {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/experiments/src/rollout_stop.rs
+++ b/crates/experiments/src/rollout_stop.rs
@@ -78,7 +78,7 @@
     let program = options.program()?;
     let mut outcomes = Vec::new();
     for seed in options.seed..options.seed + options.seeds {
-        outcomes.push(play(&program, seed, options.sabotage)?);
+        outcomes.push(run_seed(&program, seed, options.sabotage)?);
         eprintln!("rollout-stop: seed {seed} done");
     }
     Ok(report(&outcomes))
@@ -91,7 +91,7 @@
 }
 
 impl Change {
-    fn draw(fleet: &Fleet, program: &Path, kind: ChangeKind, rng: &mut StdRng) -> Self {
+    fn choose(fleet: &Fleet, program: &Path, kind: ChangeKind, rng: &mut StdRng) -> Self {
         match kind {
             ChangeKind::RejectsMuch => Change::max_open(rng.random_range(1..=3)),
             ChangeKind::RejectsLittle => Change::max_open(rng.random_range(6..=8)),
@@ -126,7 +126,7 @@
     fleet.add_script("small", &script);
 }
 
-fn play(program: &Path, seed: u64, sabotage: bool) -> Result<SeedOutcome, ExperimentError> {
+fn run_seed(program: &Path, seed: u64, sabotage: bool) -> Result<SeedOutcome, ExperimentError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let kind = ChangeKind::ALL[seed as usize % ChangeKind::ALL.len()];
     let pause_ms = rng.random_range(2..=kind.max_pause_ms());
@@ -136,7 +136,7 @@
         ChangeKind::Release => Fleet::supervised(program, &name, FLEET_SIZE, load),
         _ => Fleet::standalone(program, &name, FLEET_SIZE, load),
     };
-    let Change { limit, plan: change } = Change::draw(&fleet, program, kind, &mut rng);
+    let Change { limit, plan: change } = Change::choose(&fleet, program, kind, &mut rng);
     let margin = if sabotage { SABOTAGE_MARGIN } else { MARGIN };
     let mut tool = start_rollout(program, &fleet, &plan(&fleet, margin, &change))?;
     let log = tool.stderr.take().ok_or_else(|| ExperimentError::RolloutTool(Error::other("no log")))?;
--- a/crates/experiments/tests/budget.rs
+++ b/crates/experiments/tests/budget.rs
@@ -6,7 +6,7 @@
     pub mod process;
 }
 
-use capacity::budget::{Budget, BudgetError, Used};
+use capacity::budget::{Budget, BudgetError, BudgetUsage};
 use capacity::process;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -46,12 +46,13 @@
 fn usage_includes_all_descendants() {
     let waiting = Waiting::start();
     let own = std::process::id();
-    let family = || process::family(own).expect("a list of processes");
+    let process_tree = || process::process_tree(own).expect("a list of processes");
     assert!(within(Duration::from_secs(10), || {
-        family().contains(&waiting.0.id()) && process::family(waiting.0.id()).is_ok_and(|all| all.len() == 2)
+        process_tree().contains(&waiting.0.id())
+            && process::process_tree(waiting.0.id()).is_ok_and(|all| all.len() == 2)
     }));
-    let tight = Budget { processes: 2, ..Budget::of_this_machine().expect("a machine") };
-    let Err(BudgetError::Processes { count, most: 2 }) = tight.check() else {
+    let tight = Budget { processes: 2, ..Budget::for_this_machine().expect("a machine") };
+    let Err(BudgetError::Processes { count, allowed: 2 }) = tight.check() else {
         panic!("3 exceed a limit of 2")
     };
     assert!(count >= 3, "{count}");
@@ -60,17 +61,19 @@
 // Guards against a check that fails only after the step that exceeds the budget.
 #[test]
 fn budget_check_includes_the_next_step() {
-    let budget = Budget::of_this_machine().expect("a machine");
+    let budget = Budget::for_this_machine().expect("a machine");
     let used = budget.check().expect("within the budget");
     assert!(used.resident > 0 && used.processes >= 1 && used.descriptors >= 3, "{used:?}");
-    let memory = Used { resident: budget.resident, ..Used::default() };
+    let memory = BudgetUsage { resident: budget.resident, ..BudgetUsage::default() };
     let error = budget.check_with(&memory).expect_err("more than half of the machine");
     assert!(matches!(error, BudgetError::Memory { .. }) && error.to_string().contains("MiB are allowed"));
-    let processes = Used { processes: budget.processes, ..Used::default() };
+    let processes = BudgetUsage { processes: budget.processes, ..BudgetUsage::default() };
     let error = budget.check_with(&processes).expect_err("too many processes");
     assert!(error.to_string().contains("processes, 300 are allowed"), "{error}");
     let limit = process::descriptor_limit(std::process::id()).expect("a limit");
-    let error = budget.check_with(&Used { descriptors: limit, ..Used::default() }).expect_err("too many");
+    let error = budget
+        .check_with(&BudgetUsage { descriptors: limit, ..BudgetUsage::default() })
+        .expect_err("too many");
     assert!(matches!(error, BudgetError::Descriptors { .. }), "{error}");
 }
 
--- a/crates/experiments/tests/capacity.rs
+++ b/crates/experiments/tests/capacity.rs
@@ -22,14 +22,14 @@
 }
 
 /// Returns the JSON object on the last line of the output.
-fn told(output: &Output) -> Value {
+fn result(output: &Output) -> Value {
     let text = String::from_utf8_lossy(&output.stdout);
     let last = text.lines().last().unwrap_or_default();
     serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {output:?}"))
 }
 
-fn aims(told: &Value) -> Vec<(String, bool)> {
-    let aims = told["aims"].as_array().expect("aims");
+fn aims(result: &Value) -> Vec<(String, bool)> {
+    let aims = result["aims"].as_array().expect("aims");
     aims.iter().map(|aim| (aim.to_string(), aim["held"] == true)).collect()
 }
 
@@ -39,11 +39,11 @@
 fn cost_objectives_hold_at_small_sizes() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-test-{}", std::process::id()));
     let output = run(&["--out", &folder.display().to_string()]);
-    let told = told(&output);
-    let missed: Vec<_> = aims(&told).into_iter().filter(|(_, held)| !held).collect();
-    assert!(missed.is_empty() && output.status.success(), "{missed:#?}, {:?}", told["unplayed"]);
-    assert_eq!(aims(&told).len(), 4);
-    for series in told["series"].as_array().expect("series") {
+    let result = result(&output);
+    let missed: Vec<_> = aims(&result).into_iter().filter(|(_, held)| !held).collect();
+    assert!(missed.is_empty() && output.status.success(), "{missed:#?}, {:?}", result["unplayed"]);
+    assert_eq!(aims(&result).len(), 4);
+    for series in result["series"].as_array().expect("series") {
         let points = series["points"].as_array().expect("points").len();
         assert!(points >= 3 && series["r_squared"].is_number(), "{series}");
     }
@@ -61,7 +61,7 @@
 fn message_cost_that_grows_with_the_list_misses_its_objective() {
     let output = run(&["--sabotage"]);
     assert_eq!(output.status.code(), Some(1), "{output:?}");
-    let aims = aims(&told(&output));
+    let aims = aims(&result(&output));
     assert!(matches!(&aims[..], [(_, false)]), "{aims:?}");
 }
 
--- a/crates/experiments/tests/capacity_control.rs
+++ b/crates/experiments/tests/capacity_control.rs
@@ -7,7 +7,7 @@
 
 const EXPERIMENTS: &str = env!("CARGO_BIN_EXE_orchidyoke-experiments");
 
-fn quick(more: &[&str]) -> Output {
+fn run_quick(more: &[&str]) -> Output {
     let arguments = ["run", "capacity-control", "--quick"];
     Command::new(EXPERIMENTS).args(arguments).args(more).output().expect("the experiments start")
 }
@@ -36,19 +36,19 @@
 #[test]
 fn work_of_a_forwarder_is_independent_of_the_fleet_size() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-control-{}", std::process::id()));
-    let output = quick(&["--seed", "7", "--out", folder.to_str().expect("a path")]);
+    let output = run_quick(&["--seed", "7", "--out", folder.to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(0), "{}{}", text(&output.stdout), text(&output.stderr));
     let result = result(&output);
-    let level = |scenario: &str, what: &str, least: f64| {
+    let assert_level = |scenario: &str, what: &str, least: f64| {
         let [small, large] = values(&result, scenario, what);
         assert!(small >= least && large >= least, "{scenario}, {what}: {small} and {large}");
         assert!(large <= 1.6 * small, "{scenario}, {what}: {small} with 10 and {large} with 30");
     };
     // At rest each TTL has a renewal and a blocking query. A change has two blocking queries, a vote and a report of
     // the policy in force, each with a renewal.
-    level("at rest", "policy requests/s a forwarder", 0.5);
-    level("one change", "policy requests a forwarder", 4.0);
-    level("one change", "policy B a forwarder", 1_000.0);
+    assert_level("at rest", "policy requests/s a forwarder", 0.5);
+    assert_level("one change", "policy requests a forwarder", 4.0);
+    assert_level("one change", "policy B a forwarder", 1_000.0);
     // All members of the region read each restart, and each answer lists all members.
     let [small, large] = values(&result, "one restart", "duties B a forwarder");
     assert!(small > 0.0 && large <= 3.0 * 1.5 * small, "{small} with 10 and {large} with 30");
@@ -61,7 +61,7 @@
 // Guards against rules that always hold. Under sabotage each forwarder reads all members, which must break a rule.
 #[test]
 fn fleet_whose_members_read_each_other_violates_a_rule() {
-    let output = quick(&["--sabotage"]);
+    let output = run_quick(&["--sabotage"]);
     assert_eq!(output.status.code(), Some(1), "{}{}", text(&output.stdout), text(&output.stderr));
     let text = text(&output.stdout);
     let broken: Vec<&str> = text.lines().filter(|line| line.starts_with("broken: one change")).collect();
--- a/crates/experiments/tests/guard.rs
+++ b/crates/experiments/tests/guard.rs
@@ -8,7 +8,7 @@
     pub mod process;
 }
 
-use capacity::budget::{Budget, BudgetError, Used};
+use capacity::budget::{Budget, BudgetError, BudgetUsage};
 use capacity::guard::Guard;
 use std::os::unix::process::ExitStatusExt;
 use std::process::Command;
@@ -19,24 +19,24 @@
 // Guards against an experiment that exceeds its budget while it waits.
 #[test]
 fn guard_kills_children_over_the_budget() {
-    let machine = Budget::of_this_machine().expect("a machine");
+    let machine = Budget::for_this_machine().expect("a machine");
     let mut child = Command::new("sleep").arg("60").spawn().expect("a child");
     let guard = Guard::start(machine);
-    guard.check(&Used::default()).expect("within the budget");
+    guard.check(&BudgetUsage::default()).expect("within the budget");
     drop(guard);
     assert!(child.try_wait().expect("a child").is_none(), "the child still runs");
 
     let guard = Guard::start(Budget { resident: 1 << 10, ..machine });
     let ended = child.wait().expect("the child exits");
     assert_eq!(ended.signal(), Some(SIGKILL), "{ended}");
-    assert!(matches!(guard.check(&Used::default()), Err(BudgetError::Memory { most: 1024, .. })));
-    assert_eq!(guard.highest(), Used::default(), "a usage over the budget is not recorded");
+    assert!(matches!(guard.check(&BudgetUsage::default()), Err(BudgetError::Memory { allowed: 1024, .. })));
+    assert_eq!(guard.highest(), BudgetUsage::default(), "a usage over the budget is not recorded");
 }
 
 // Guards against a highest usage that stays at 0.
 #[test]
 fn guard_reports_the_highest_usage() {
-    let guard = Guard::start(Budget::of_this_machine().expect("a machine"));
+    let guard = Guard::start(Budget::for_this_machine().expect("a machine"));
     let until = Instant::now() + Duration::from_secs(30);
     while guard.highest().resident == 0 {
         assert!(Instant::now() < until, "the guard did not check the budget");
