--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -69,14 +69,21 @@
     pub in_force: Vec<InForce>,
     /// Number of restarts that members have reported so far.
     pub restarted: usize,
+    /// Processes with forwarders that have reported that they are up.
     ready: BTreeSet<ChildNumber>,
+    /// Addresses that control stand-ins have reported.
     listening: BTreeMap<ChildNumber, Listens>,
+    /// Last counts of each control stand-in, with the number of the request for them.
     counted: BTreeMap<ChildNumber, (u64, Counts)>,
+    /// Children that have exited, those that were killed included.
     exited: BTreeSet<ChildNumber>,
+    /// Regions that are cut off from the stores.
     cut: BTreeSet<usize>,
     events: UnboundedReceiver<Event>,
     sender: UnboundedSender<Event>,
+    /// Number of the child that was started last.
     started: ChildNumber,
+    /// Number of the last request for counts.
     counts_requested: u64,
     budget: Budget,
     configuration: PathBuf,
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The span over which the busiest second is determined.
+/// Interval between two snapshots of a measurement, over which the busiest second is found.
 const SECOND: Duration = Duration::from_secs(1);
 /// Maximum time until all forwarders are members and all leases are held.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -133,7 +133,7 @@
     pub caught_up: Option<f64>,
 }
 
-/// An event at a moment of a measured window.
+/// An action at a given time of a measured window.
 enum ScheduledAction {
     Propose(PolicySize),
     Restart(String),
@@ -144,12 +144,13 @@
     fleet: Fleet,
     proposer: Proposer,
     spans: Spans,
+    /// Resident memory of each process before its forwarders started, in bytes.
     base_resident: BTreeMap<usize, u64>,
     rng: StdRng,
     result: FleetResult,
 }
 
-/// Runs the phases of `course` on a fleet and returns the results.
+/// Runs the phases of `phase_plan` on a fleet and returns the results.
 ///
 /// # Errors
 ///
@@ -396,7 +397,7 @@
             let held = held(store, &self.fleet.lease_prefix()).await?;
             let expected = self.fleet.members_in(region) + self.fleet.lease_count(region);
             if held != expected {
-                return Ok(Some(format!("region {region} has {held} of {expected} memberships and duties")));
+                return Ok(Some(format!("region {region} has {held} of {expected} memberships and leases")));
             }
         }
         Ok(None)
