--- a/crates/experiments/src/capacity/control/child.rs
+++ b/crates/experiments/src/capacity/control/child.rs
@@ -18,7 +18,7 @@
     let mut first = String::new();
     stdin().lock().read_line(&mut first).map_err(|error| format!("standard input: {error}"))?;
     let role: Role = serde_json::from_str(&first).map_err(|error| format!("no role: {error}"))?;
-    let requests = requests();
+    let requests = read_requests();
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
     LocalSet::new().block_on(&runtime, async {
         match role {
@@ -31,7 +31,7 @@
 
 /// Starts a thread that reads requests. Returns the channel of requests, in order, which closes when standard input
 /// ends.
-fn requests() -> UnboundedReceiver<Request> {
+fn read_requests() -> UnboundedReceiver<Request> {
     let (sender, requests) = unbounded_channel();
     thread::spawn(move || {
         for line in stdin().lock().lines().map_while(Result::ok) {
--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -1,7 +1,9 @@
 //! The fleet under measurement: six control stand-ins, the processes with hollow forwarders, and their reports.
 
 use super::hollow::LEASES_PREFIX;
-use super::messages::{ControlRole, Counts, InForce, Listens, MembersRole, Report, Request, Role, Store};
+use super::messages::{
+    ControlAddresses, ControlRole, Counts, InForce, MembersRole, Report, Request, Role, Store,
+};
 use super::process::{ChildNumber, Event, Process};
 use crate::capacity::budget::{Budget, BudgetUsage};
 use orchidyoke_fakes::TemporaryFolder;
@@ -53,7 +55,7 @@
 /// The control stand-in of a zone.
 pub struct ControlProcess {
     /// Its addresses.
-    pub listens: Listens,
+    pub addresses: ControlAddresses,
     /// The process, or `None` after it was killed.
     pub process: Option<Process>,
 }
@@ -72,7 +74,7 @@
     /// Processes with forwarders that have reported that they are up.
     ready: BTreeSet<ChildNumber>,
     /// Addresses that control stand-ins have reported.
-    listening: BTreeMap<ChildNumber, Listens>,
+    listening: BTreeMap<ChildNumber, ControlAddresses>,
     /// Last counts of each control stand-in, with the number of the request for them.
     counted: BTreeMap<ChildNumber, (u64, Counts)>,
     /// Children that have exited, those that were killed included.
@@ -151,12 +153,12 @@
 
     /// Returns the address of the store with the policy's commit point.
     pub fn commit_point(&self) -> Option<SocketAddr> {
-        self.controls[COMMIT_POINT_ZONE].listens.policy_store
+        self.controls[COMMIT_POINT_ZONE].addresses.policy_store
     }
 
     /// Returns the address of the store with a region's leases.
     pub fn lease_store(&self, region: usize) -> Option<SocketAddr> {
-        self.controls[region * ZONES_PER_REGION].listens.lease_store
+        self.controls[region * ZONES_PER_REGION].addresses.lease_store
     }
 
     /// Returns the folder of the lease keys.
@@ -315,8 +317,8 @@
 
     async fn start_control(&mut self, zone: usize) -> Result<(), String> {
         let region = region_of(zone);
-        let commit_point = self.controls.first().and_then(|control| control.listens.policy_store);
-        let leases = self.controls.get(region * ZONES_PER_REGION).and_then(|c| c.listens.lease_store);
+        let commit_point = self.controls.first().and_then(|control| control.addresses.policy_store);
+        let leases = self.controls.get(region * ZONES_PER_REGION).and_then(|c| c.addresses.lease_store);
         let location = |address: Option<SocketAddr>| address.map_or(Store::Here, Store::At);
         let role = Role::Control(ControlRole { policy: location(commit_point), leases: location(leases) });
         let process = self.start_process(&role)?;
@@ -325,17 +327,17 @@
             fleet.listening.contains_key(&number)
         })
         .await?;
-        let listens = self.listening[&number];
-        self.controls.push(ControlProcess { listens, process: Some(process) });
+        let addresses = self.listening[&number];
+        self.controls.push(ControlProcess { addresses, process: Some(process) });
         Ok(())
     }
 
     fn start_members(&mut self, zone: usize, names: &BTreeSet<String>) -> Result<Process, String> {
-        let listens = self.controls[zone].listens;
+        let addresses = self.controls[zone].addresses;
         self.start_process(&Role::Members(MembersRole {
             names: names.iter().cloned().collect(),
-            policy: listens.policy_link,
-            leases: listens.lease_link,
+            policy: addresses.policy_link,
+            leases: addresses.lease_link,
             lease_count: self.lease_count(region_of(zone)) as u32,
             ttl: self.plan.ttl,
             configuration: self.configuration.clone(),
@@ -366,8 +368,8 @@
                 Report::Up => {
                     self.ready.insert(number);
                 }
-                Report::Listens(listens) => {
-                    self.listening.insert(number, listens);
+                Report::Listens(addresses) => {
+                    self.listening.insert(number, addresses);
                 }
                 Report::InForce(in_force) => self.in_force.push(in_force),
                 Report::Restarted(_) => self.restarted += 1,
--- a/crates/experiments/src/capacity/control/messages.rs
+++ b/crates/experiments/src/capacity/control/messages.rs
@@ -81,7 +81,7 @@
     /// Members: the process has started. None of its forwarders runs yet.
     Up,
     /// Control: the stand-in listens at these addresses.
-    Listens(Listens),
+    Listens(ControlAddresses),
     /// Members: a policy is in force on a member.
     InForce(InForce),
     /// Members: the named member has stopped gracefully and is about to start again.
@@ -92,7 +92,7 @@
 
 /// The addresses of a control stand-in.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Listens {
+pub struct ControlAddresses {
     /// The zone's link to the commit point.
     pub policy_link: SocketAddr,
     /// The zone's link to the lease store.
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -157,14 +157,14 @@
 /// Returns an error if the fleet does not settle, a child process exits, or the experiment exceeds its budget.
 pub async fn measure(plan: FleetPlan, phase_plan: &PhasePlan, seed: u64) -> Result<FleetResult, String> {
     let mut runner = PhaseRunner::start(plan, phase_plan.spans, seed).await?;
-    runner.rest().await?;
-    runner.changes().await?;
+    runner.measure_rest().await?;
+    runner.measure_changes().await?;
     if phase_plan.restarts {
-        runner.restarts().await?;
+        runner.measure_restarts().await?;
     }
     if phase_plan.losses {
-        runner.forwarder_death().await?;
-        runner.losses().await?;
+        runner.measure_forwarder_death().await?;
+        runner.measure_losses().await?;
     }
     Ok(runner.result)
 }
@@ -192,26 +192,33 @@
         Ok(runner)
     }
 
-    async fn rest(&mut self) -> Result<(), String> {
+    async fn measure_rest(&mut self) -> Result<(), String> {
         self.measure_window(Phase::Rest, self.spans.rest, Vec::new(), 0).await
     }
 
-    async fn changes(&mut self) -> Result<(), String> {
+    async fn measure_changes(&mut self) -> Result<(), String> {
         let Spans { changes, change_every, .. } = self.spans;
-        self.changes_of(Phase::Changes, changes, change_every, PolicySize::Small, "a change").await?;
+        self.measure_changes_of_size(Phase::Changes, changes, change_every, PolicySize::Small, "a change")
+            .await?;
         let Spans { large_changes, large_change_every, .. } = self.spans;
         let size = PolicySize::Large;
-        self.changes_of(Phase::LargeChanges, large_changes, large_change_every, size, "a change of 17 KB")
-            .await?;
+        self.measure_changes_of_size(
+            Phase::LargeChanges,
+            large_changes,
+            large_change_every,
+            size,
+            "a change of 17 KB",
+        )
+        .await?;
         // The commit point holds a blocking query for a quarter of the TTL plus 1/32 of that, and then answers with the
         // whole policy. This span has two such queries.
         self.measure_window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
         // The phases after this one are measured with a small policy in force, as the phase at rest was.
         self.proposer.propose(PolicySize::Small);
-        self.policy_time("a change back").await
+        self.record_policy_time("a change back").await
     }
 
-    async fn changes_of(
+    async fn measure_changes_of_size(
         &mut self,
         phase: Phase,
         count: u32,
@@ -222,12 +229,12 @@
         let actions = (0..count).map(|number| (every * number, ScheduledAction::Propose(size))).collect();
         self.measure_window(phase, every * count, actions, count as usize).await?;
         for _ in 0..count {
-            self.policy_time(what).await?;
+            self.record_policy_time(what).await?;
         }
         Ok(())
     }
 
-    async fn restarts(&mut self) -> Result<(), String> {
+    async fn measure_restarts(&mut self) -> Result<(), String> {
         let Spans { restarts, restart_every, .. } = self.spans;
         let mut names: Vec<String> = self.fleet.members().cloned().collect();
         names.shuffle(&mut self.rng);
@@ -243,15 +250,16 @@
     }
 
     /// Kills a forwarder and immediately proposes a policy.
-    async fn forwarder_death(&mut self) -> Result<(), String> {
+    async fn measure_forwarder_death(&mut self) -> Result<(), String> {
         let names: Vec<String> = self.fleet.members().cloned().collect();
         let name = names[self.rng.random_range(0..names.len())].clone();
         self.fleet.kill_member(&name)?;
         self.proposer.propose(PolicySize::Small);
-        self.policy_time(&format!("a forwarder's death, sessions end after {DEATH_EXPIRY_FACTOR} TTL")).await
+        self.record_policy_time(&format!("a forwarder's death, sessions end after {DEATH_EXPIRY_FACTOR} TTL"))
+            .await
     }
 
-    async fn losses(&mut self) -> Result<(), String> {
+    async fn measure_losses(&mut self) -> Result<(), String> {
         self.sessions_end_after(LOSSES_EXPIRY_FACTOR).await?;
         let span = self.spans.ttl + self.spans.after_loss;
         let machine = self.fleet.hosts.iter().position(|host| host.zone == LOST_MACHINE_ZONE);
@@ -259,10 +267,10 @@
         self.measure_loss(Phase::MachineLost, span, "a machine's loss").await?;
         self.fleet.kill_zone(LOST_ZONE);
         self.measure_loss(Phase::ZoneLost, span, "a zone's loss").await?;
-        self.region(span).await
+        self.measure_region_cut(span).await
     }
 
-    async fn region(&mut self, span: Duration) -> Result<(), String> {
+    async fn measure_region_cut(&mut self, span: Duration) -> Result<(), String> {
         self.fleet.cut_region(CUT_REGION, true)?;
         self.measure_loss(Phase::RegionCut, span, "a region's cut").await?;
         let policies = self.fleet.in_force.len();
@@ -284,7 +292,7 @@
             1,
         )
         .await?;
-        self.policy_time(&format!("{what}, sessions end after {LOSSES_EXPIRY_FACTOR} TTL")).await
+        self.record_policy_time(&format!("{what}, sessions end after {LOSSES_EXPIRY_FACTOR} TTL")).await
     }
 
     /// Measures the load during `span`, with a snapshot each second for the busiest one, and starts the actions at
@@ -325,7 +333,7 @@
     }
 
     /// Waits until the next proposal is in force on all forwarders that can be reached, and records the times.
-    async fn policy_time(&mut self, after: &str) -> Result<(), String> {
+    async fn record_policy_time(&mut self, after: &str) -> Result<(), String> {
         let proposal = loop {
             tokio::select! {
                 proposal = self.proposer.next() => break proposal?,
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -3,7 +3,7 @@
 //! It has a link to the commit point and a link to the lease store of its region, and it runs the stores of its zone.
 //! Each link is a fault proxy that counts bytes.
 
-use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
+use super::messages::{ControlAddresses, ControlRole, Counts, Report, Request, Store};
 use super::reporting::report;
 use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     let runtime = ServerRuntime::new();
     let policy = Link::new(&runtime, role.policy);
     let leases = Link::new(&runtime, role.leases);
-    report(&Report::Listens(Listens {
+    report(&Report::Listens(ControlAddresses {
         policy_link: policy.proxy.address,
         lease_link: leases.proxy.address,
         policy_store: policy.store_address(),
--- a/crates/experiments/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -98,12 +98,12 @@
     }
 
     /// Returns a snapshot of the list, as discovery sends it.
-    pub fn whole_list(&self, version: u64) -> String {
+    pub fn snapshot(&self, version: u64) -> String {
         json!({"rev": version, "all": true, "targets": self.targets}).to_string()
     }
 
     /// Returns a delta with the last entry, as discovery sends it.
-    pub fn last_entry(&self, version: u64) -> String {
+    pub fn delta(&self, version: u64) -> String {
         json!({"rev": version, "all": false, "targets": [self.targets.last()]}).to_string()
     }
 }
--- a/crates/experiments/src/capacity/forwarder.rs
+++ b/crates/experiments/src/capacity/forwarder.rs
@@ -35,7 +35,7 @@
     let mut other_results = OtherResults::default();
     if !run.sabotage {
         other_results.not_run.extend(listed::measure(&mut rig)?);
-        other_results.not_run.extend(waiting::measure_taking(&mut rig)?);
+        other_results.not_run.extend(waiting::measure_accepting(&mut rig)?);
         other_results.not_run.extend(waiting::measure_starts(&mut rig)?);
     }
     other_results.share_down = ratio::measure(&mut rig, Case::PartDown)?;
--- a/crates/experiments/src/capacity/forwarder/listed.rs
+++ b/crates/experiments/src/capacity/forwarder/listed.rs
@@ -3,7 +3,7 @@
 
 use super::plan::SHARES_DOWN;
 use super::quantities::{self, milliseconds};
-use super::rig::{Cost, Rig, Started, cost_of};
+use super::rig::{Cost, Rig, StartedForwarder, cost_of};
 use crate::capacity::client::{Client, submit_all};
 use crate::capacity::error::CapacityError;
 use crate::capacity::forwarder_process::ForwarderProcess;
@@ -50,22 +50,22 @@
     Ok(())
 }
 
-fn add_start(rig: &mut Rig, started: &Started, setting: &str, listed: usize) {
+fn add_start(rig: &mut Rig, started: &StartedForwarder, setting: &str, listed: usize) {
     let cost = started.cost;
     rig.add_listed(quantities::READY, setting, listed, milliseconds(cost.elapsed));
     rig.add_listed(quantities::READY_PROCESSOR, setting, listed, milliseconds(cost.usage.processor));
     rig.add_listed(quantities::RESIDENT, setting, listed, cost.usage.resident as f64);
 }
 
-/// Has one message wait for each destination that is down, up to `most_down_given` of the plan. Then sends messages one
-/// by one, to destinations that serve if there are any, and measures their cost.
+/// Has one message wait for each destination that is down, up to `max_waiting_destinations` of the plan. Then sends
+/// messages one by one, to destinations that serve if there are any, and measures their cost.
 fn measure_messages(
     rig: &mut Rig,
-    started: &Started,
+    started: &StartedForwarder,
     setting: &str,
     listed: usize,
 ) -> Result<(), CapacityError> {
-    let Started { process, destinations, .. } = started;
+    let StartedForwarder { process, destinations, .. } = started;
     let waiting_count = destinations.down.len().min(rig.plan.max_waiting_destinations);
     let mut rest = 0.0;
     if waiting_count > 0 {
@@ -95,22 +95,22 @@
 /// start on the journal that holds all of it.
 fn measure_changes(
     rig: &mut Rig,
-    mut started: Started,
+    mut started: StartedForwarder,
     setting: &str,
     listed: usize,
 ) -> Result<(), CapacityError> {
     let limit = rig.plan.change_limit;
     wait_until("a watch on the list", limit, || Ok(started.discovery.watch_count() > 0))?;
     let added = started.destinations.add(&rig.endpoints);
-    let cost = publish_list(rig, &started, &started.destinations.last_entry(2), added)?;
-    rig.add_listed(quantities::CHANGE, setting, listed, milliseconds(cost.elapsed));
-    rig.add_listed(quantities::CHANGE_PROCESSOR, setting, listed, milliseconds(cost.processor));
-    rig.add_listed(quantities::CHANGE_DISK, setting, listed, cost.journal as f64);
+    let cost = publish_list(rig, &started, &started.destinations.delta(2), added)?;
+    rig.add_listed(quantities::DELTA, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::DELTA_PROCESSOR, setting, listed, milliseconds(cost.processor));
+    rig.add_listed(quantities::DELTA_JOURNAL, setting, listed, cost.journal as f64);
     let added = started.destinations.add(&rig.endpoints);
-    let cost = publish_list(rig, &started, &started.destinations.whole_list(3), added)?;
-    rig.add_listed(quantities::LIST, setting, listed, milliseconds(cost.elapsed));
-    rig.add_listed(quantities::LIST_PROCESSOR, setting, listed, milliseconds(cost.processor));
-    rig.add_listed(quantities::LIST_DISK, setting, listed, cost.journal as f64);
+    let cost = publish_list(rig, &started, &started.destinations.snapshot(3), added)?;
+    rig.add_listed(quantities::SNAPSHOT, setting, listed, milliseconds(cost.elapsed));
+    rig.add_listed(quantities::SNAPSHOT_PROCESSOR, setting, listed, milliseconds(cost.processor));
+    rig.add_listed(quantities::SNAPSHOT_JOURNAL, setting, listed, cost.journal as f64);
     let process = &started.process;
     let ((), cost) = cost_of(process, || {
         process.signal_reload()?;
@@ -119,7 +119,7 @@
     })?;
     rig.add_listed(quantities::RELOAD, setting, listed, milliseconds(cost.elapsed));
     rig.add_listed(quantities::RELOAD_PROCESSOR, setting, listed, milliseconds(cost.processor));
-    let Started { process, folder, .. } = started;
+    let StartedForwarder { process, folder, .. } = started;
     drop(process);
     let (_, cost) = rig.start_on(&folder, listed)?;
     rig.add_listed(quantities::RESTART, setting, listed, milliseconds(cost.elapsed));
@@ -128,8 +128,13 @@
 }
 
 /// Publishes a list through discovery, and waits until the forwarder knows the destination that the list adds.
-fn publish_list(rig: &mut Rig, started: &Started, list: &str, added: u64) -> Result<Cost, CapacityError> {
-    let Started { process, discovery, .. } = started;
+fn publish_list(
+    rig: &mut Rig,
+    started: &StartedForwarder,
+    list: &str,
+    added: u64,
+) -> Result<Cost, CapacityError> {
+    let StartedForwarder { process, discovery, .. } = started;
     let limit = rig.plan.change_limit;
     let journal = process.journal_size()?;
     let ((), cost) = cost_of(process, || {
--- a/crates/experiments/src/capacity/forwarder/ratio.rs
+++ b/crates/experiments/src/capacity/forwarder/ratio.rs
@@ -3,7 +3,7 @@
 
 use super::plan::{Plan, SHARE_DOWN};
 use super::quantities::milliseconds;
-use super::rig::{Rig, Started, cost_of};
+use super::rig::{Rig, StartedForwarder, cost_of};
 use crate::capacity::client::{Client, Message, submit_all};
 use crate::capacity::destinations::Destinations;
 use crate::capacity::error::CapacityError;
@@ -12,7 +12,7 @@
 
 /// One forwarder of the comparison.
 struct Side {
-    started: Started,
+    started: StartedForwarder,
     /// Destinations that the measured messages are sent to.
     recipients: Vec<u64>,
     /// Processor time per second with only the waiting messages, in milliseconds.
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -48,7 +48,7 @@
 }
 
 /// A started forwarder with its endpoint list, its discovery server and its folder.
-pub struct Started {
+pub struct StartedForwarder {
     /// The process of the forwarder.
     pub process: ForwarderProcess,
     /// Cost of the start.
@@ -111,10 +111,10 @@
     }
 
     /// Starts a forwarder that knows `listed` destinations, of which the share `part_down` is down.
-    pub fn start(&mut self, listed: usize, share_down: f64) -> Result<Started, CapacityError> {
+    pub fn start(&mut self, listed: usize, share_down: f64) -> Result<StartedForwarder, CapacityError> {
         let (folder, destinations, discovery) = self.prepare(listed, share_down);
         let (process, cost) = self.start_on(&folder, listed)?;
-        Ok(Started { process, cost, destinations, discovery, folder })
+        Ok(StartedForwarder { process, cost, destinations, discovery, folder })
     }
 
     /// Adds a point to a series by destinations listed.
--- a/crates/experiments/src/capacity/forwarder/waiting.rs
+++ b/crates/experiments/src/capacity/forwarder/waiting.rs
@@ -17,7 +17,7 @@
 
 /// Sends messages until the planned numbers are waiting, and measures at each number. Returns one sentence for each
 /// part that could not be run.
-pub fn measure_taking(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
+pub fn measure_accepting(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
     let listed = rig.plan.listed_while_waiting;
     let started = rig.start(listed, 1.0)?;
     let process = &started.process;
@@ -32,11 +32,11 @@
         waiting += accepted;
         if accepted > 0 {
             let each = milliseconds(cost.processor) / accepted as f64;
-            add(rig, quantities::TAKING, waiting, each);
-            add(rig, quantities::TAKING_RESIDENT, waiting, process.usage()?.resident as f64);
-            add(rig, quantities::TAKING_DISK, waiting, process.journal_size()? as f64);
+            add(rig, quantities::ACCEPTING, waiting, each);
+            add(rig, quantities::ACCEPTING_RESIDENT, waiting, process.usage()?.resident as f64);
+            add(rig, quantities::ACCEPTING_JOURNAL, waiting, process.journal_size()? as f64);
             let rest = rig.measure_rest(process)?;
-            add(rig, quantities::TAKING_REST, waiting, rest);
+            add(rig, quantities::ACCEPTING_REST, waiting, rest);
         }
         if waiting < wanted {
             let seconds = limit.as_secs();
@@ -63,7 +63,7 @@
         add(rig, quantities::WAITING_READY, count, milliseconds(cost.elapsed));
         add(rig, quantities::WAITING_READY_PROCESSOR, count, milliseconds(cost.usage.processor));
         add(rig, quantities::WAITING_RESIDENT, count, cost.usage.resident as f64);
-        add(rig, quantities::WAITING_DISK, count, size as f64);
+        add(rig, quantities::WAITING_JOURNAL, count, size as f64);
         let rest = rig.measure_rest(&process)?;
         add(rig, quantities::WAITING_REST, count, rest);
     }
--- a/crates/experiments/src/fleet_limit/tests.rs
+++ b/crates/experiments/src/fleet_limit/tests.rs
@@ -39,29 +39,30 @@
 // Guards against a fleet that keeps to a limit by sending too little.
 #[test]
 fn fleet_uses_the_capacity_that_a_shared_limit_leaves() {
-    let set = settings(FORWARDERS);
+    let fleet_settings = settings(FORWARDERS);
     for seed in 0..3 {
-        assert!(rate_of(&overload(&set, 1.3, seed), Outcome::Success) > 0.75 * LIMIT_RPS);
-        let calm = overload(&set, 0.6, seed);
-        let served = calm.count_ended(Outcome::Success);
-        assert!(served as f64 > 0.92 * calm.accepted() as f64, "the capacity is sufficient");
-        let unknown = overload(&Settings { capacity_hints: CapacityHints::None, ..set.clone() }, 1.3, seed);
+        assert!(rate_of(&overload(&fleet_settings, 1.3, seed), Outcome::Success) > 0.75 * LIMIT_RPS);
+        let underloaded = overload(&fleet_settings, 0.6, seed);
+        let served = underloaded.count_ended(Outcome::Success);
+        assert!(served as f64 > 0.92 * underloaded.accepted() as f64, "the capacity is sufficient");
+        let unknown =
+            overload(&Settings { capacity_hints: CapacityHints::None, ..fleet_settings.clone() }, 1.3, seed);
         assert!(
             rate_of(&unknown, Outcome::Rejected) > 0.4 * LIMIT_RPS,
             "without a capacity hint no forwarder has a share to keep to"
         );
-        let started = calls_of_first_second(&set, 0, |number| seed * 1000 + number);
+        let started = calls_of_first_second(&fleet_settings, 0, |number| seed * 1000 + number);
         assert!(started >= LIMIT_RPS as usize / 2);
-        let paused = calls_of_first_second(&set, 60 * SECOND, |number| seed * 1000 + number);
+        let paused = calls_of_first_second(&fleet_settings, 60 * SECOND, |number| seed * 1000 + number);
         assert!((100..=110).contains(&paused), "{paused}: each makes one call, and few make a second one");
-        let wide = Settings { max_calls: 8, ..set.clone() };
-        let calls = common_retry_after(FORWARDERS, &wide, seed);
+        let wide_settings = Settings { max_calls: 8, ..fleet_settings.clone() };
+        let calls = common_retry_after(FORWARDERS, &wide_settings, seed);
         assert_eq!(
             (calls.before, calls.second_after),
             (0, 100),
             "all forwarders observe Retry-After and call again after it"
         );
-        let backoffs = backoffs(&set, seed);
+        let backoffs = backoffs(&fleet_settings, seed);
         assert!(backoffs.iter().all(|backoff| *backoff <= 21 * SECOND), "no longer than the limit needs");
         assert!(
             backoffs.iter().any(|backoff| *backoff < 3 * SECOND)
@@ -69,7 +70,8 @@
         );
     }
     for (fault, outage_s) in [(Outcome::ConnectFailed, 12), (Outcome::Reset, 12), (Outcome::Rejected, 15)] {
-        let Recovery { peak_use, served_when_warm } = cold_recovery(&set, fault, outage_s * SECOND, 4);
+        let Recovery { peak_use, served_when_warm } =
+            cold_recovery(&fleet_settings, fault, outage_s * SECOND, 4);
         assert!(
             peak_use <= 1.0 && served_when_warm >= 400,
             "{fault:?}: peak use {peak_use:.2}, {served_when_warm} of 540 served when warm"
@@ -78,6 +80,6 @@
     // A single forwarder retries at the end of Retry-After. With the same seed, all forwarders act at the same moment.
     let alone = common_retry_after(1, &Settings { max_calls: 8, ..settings(1) }, 0);
     assert_eq!([alone.before, alone.at_end, alone.second_after], [0, 1, 1]);
-    let in_step: Vec<_> = (0..20).map(|seed| calls_of_first_second(&set, 0, |_| seed)).collect();
+    let in_step: Vec<_> = (0..20).map(|seed| calls_of_first_second(&fleet_settings, 0, |_| seed)).collect();
     assert!(in_step.iter().any(|calls| *calls >= 100) && in_step.contains(&0));
 }
--- a/crates/experiments/src/policy_epochs.rs
+++ b/crates/experiments/src/policy_epochs.rs
@@ -203,7 +203,7 @@
 }
 
 impl SizeOutcome {
-    fn most(&self, value: impl Fn(&ChangeOutcome) -> f64) -> f64 {
+    fn max_over_changes(&self, value: impl Fn(&ChangeOutcome) -> f64) -> f64 {
         self.changes.iter().map(value).fold(0.0, f64::max)
     }
 
@@ -239,13 +239,14 @@
 
     fn json(&self) -> Value {
         json!({"forwarders": self.forwarders, "idle_questions_a_second": self.idle_requests_per_second,
-            "last_ms_most": self.most(|change| change.last_ms),
-            "prepared_ms_most": self.most(|change| change.prepared_ms)})
+            "last_ms_most": self.max_over_changes(|change| change.last_ms),
+            "prepared_ms_most": self.max_over_changes(|change| change.prepared_ms)})
     }
 }
 
 fn series(name: &str, outcomes: &[SizeOutcome], value: fn(&ChangeOutcome) -> f64) -> ChartSeries {
-    let point = |outcome: &SizeOutcome| ((outcome.forwarders as f64).log10(), outcome.most(value));
+    let point =
+        |outcome: &SizeOutcome| ((outcome.forwarders as f64).log10(), outcome.max_over_changes(value));
     ChartSeries { name: name.to_owned(), points: outcomes.iter().map(point).collect() }
 }
 
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -86,10 +86,10 @@
     /// Draws the chart into an SVG file.
     pub fn draw(&self, path: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
         let points = || self.series.iter().flat_map(|line| &line.points);
-        let most = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max).max(1e-6);
-        let right = most(&mut points().map(|point| point.0));
+        let axis_end = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max).max(1e-6);
+        let right = axis_end(&mut points().map(|point| point.0));
         // Leaves a tenth of the height above the highest point for the legend.
-        let top = most(&mut points().map(|point| point.1)) * 1.1;
+        let top = axis_end(&mut points().map(|point| point.1)) * 1.1;
         let left = points().map(|point| point.0).fold(right, f64::min);
         let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
--- a/crates/experiments/tests/budget.rs
+++ b/crates/experiments/tests/budget.rs
@@ -12,17 +12,17 @@
 use std::time::{Duration, Instant};
 
 /// A shell that waits for the end of its input, with one child of its own.
-struct Waiting(Child);
+struct WaitingShell(Child);
 
-impl Waiting {
+impl WaitingShell {
     fn start() -> Self {
         let script = "sleep 60 & read line; kill $!";
         let child = Command::new("sh").args(["-c", script]).stdin(Stdio::piped()).spawn();
-        Waiting(child.expect("a shell"))
+        WaitingShell(child.expect("a shell"))
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingShell {
     fn drop(&mut self) {
         // The shell kills its child and exits when its input ends.
         drop(self.0.stdin.take());
@@ -30,8 +30,8 @@
     }
 }
 
-fn within(patience: Duration, mut holds: impl FnMut() -> bool) -> bool {
-    let until = Instant::now() + patience;
+fn wait_until(timeout: Duration, mut holds: impl FnMut() -> bool) -> bool {
+    let until = Instant::now() + timeout;
     while Instant::now() < until {
         if holds() {
             return true;
@@ -44,12 +44,12 @@
 // Guards against a measurement that misses children of the experiment or their descendants.
 #[test]
 fn usage_includes_all_descendants() {
-    let waiting = Waiting::start();
+    let shell = WaitingShell::start();
     let own = std::process::id();
     let process_tree = || process::process_tree(own).expect("a list of processes");
-    assert!(within(Duration::from_secs(10), || {
-        process_tree().contains(&waiting.0.id())
-            && process::process_tree(waiting.0.id()).is_ok_and(|all| all.len() == 2)
+    assert!(wait_until(Duration::from_secs(10), || {
+        process_tree().contains(&shell.0.id())
+            && process::process_tree(shell.0.id()).is_ok_and(|all| all.len() == 2)
     }));
     let tight = Budget { processes: 2, ..Budget::for_this_machine().expect("a machine") };
     let Err(BudgetError::Processes { count, allowed: 2 }) = tight.check() else {
@@ -80,7 +80,7 @@
 // Guards against a processor clock that counts in ticks, or that counts the time of another process.
 #[test]
 fn processor_time_is_of_the_named_process() {
-    let waiting = Waiting::start();
+    let shell = WaitingShell::start();
     let own = || process::processor_time(std::process::id()).expect("this process");
     let (before, begin) = (own(), Instant::now());
     let mut sum = 0u64;
@@ -88,7 +88,7 @@
         sum = std::hint::black_box(sum.wrapping_add(1));
         assert!(begin.elapsed() < Duration::from_secs(30), "the processor time does not increase");
     }
-    let child = process::usage(waiting.0.id()).expect("usage of a running child");
+    let child = process::usage(shell.0.id()).expect("usage of a running child");
     assert!(
         child.processor < Duration::from_secs(1) && child.resident > 0 && child.threads == 1,
         "{child:?}"
--- a/crates/experiments/tests/fit.rs
+++ b/crates/experiments/tests/fit.rs
@@ -11,7 +11,7 @@
     SIZES.iter().map(|size| (*size, of(*size))).collect()
 }
 
-fn close(left: f64, right: f64) -> bool {
+fn nearly_equal(left: f64, right: f64) -> bool {
     (left - right).abs() <= 1e-6 * right.abs().max(1.0)
 }
 
@@ -20,8 +20,8 @@
 fn points_on_a_line_fit_that_line() {
     for (slope, intercept) in [(0.002, 7.0), (-3.0, 1e6), (1600.0, -5.0), (0.0, 4.0)] {
         let fit = line(&points(|x| intercept + slope * x)).expect("a line through five points");
-        assert!(close(fit.slope, slope) && close(fit.intercept, intercept), "{fit:?}");
-        assert!(close(fit.r_squared, 1.0) && fit.points == SIZES.len(), "{fit:?}");
+        assert!(nearly_equal(fit.slope, slope) && nearly_equal(fit.intercept, intercept), "{fit:?}");
+        assert!(nearly_equal(fit.r_squared, 1.0) && fit.points == SIZES.len(), "{fit:?}");
         assert!(fit.residual < 1e-6 * fit.at(1e5).abs().max(1.0), "{fit:?}");
     }
 }
@@ -31,17 +31,17 @@
 #[test]
 fn points_beside_a_line_lower_r_squared() {
     let fit = line(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]).expect("a line");
-    assert!(close(fit.slope, 0.8) && close(fit.intercept, 0.3), "{fit:?}");
-    assert!(close(fit.r_squared, 0.64) && close(fit.residual, 0.45f64.sqrt()), "{fit:?}");
+    assert!(nearly_equal(fit.slope, 0.8) && nearly_equal(fit.intercept, 0.3), "{fit:?}");
+    assert!(nearly_equal(fit.r_squared, 0.64) && nearly_equal(fit.residual, 0.45f64.sqrt()), "{fit:?}");
 }
 
 // Guards against quadratic growth that is reported as linear.
 #[test]
 fn growth_exponent_separates_quadratic_from_linear() {
     let exponent = |of: fn(f64) -> f64| growth_exponent(&points(of)).expect("an exponent");
-    assert!(close(exponent(|x| 5.0 * x), 1.0));
-    assert!(close(exponent(|x| 1e-7 * x * x), 2.0));
-    assert!(close(exponent(|_| 3.0), 0.0));
+    assert!(nearly_equal(exponent(|x| 5.0 * x), 1.0));
+    assert!(nearly_equal(exponent(|x| 1e-7 * x * x), 2.0));
+    assert!(nearly_equal(exponent(|_| 3.0), 0.0));
 }
 
 // Guards against a line fitted to points that all have the same x value.
