--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -86,7 +86,7 @@
 /// Runs the experiment and returns its report.
 pub fn run(run: &RunOptions) -> Result<ExperimentReport, String> {
     let sizes: &[FleetSize] = if run.quick { &QUICK_SIZES } else { &FULL_SIZES };
-    // Two sizes are enough to show the effect of the sabotage.
+    // Two sizes are enough to show the effect of the sabotage. The largest fleet would only take longer.
     let sizes = if run.sabotage { &sizes[..2] } else { sizes };
     let mut results: Vec<FleetResult> = Vec::new();
     for size in sizes {
--- a/crates/experiments/src/capacity/control/rules.rs
+++ b/crates/experiments/src/capacity/control/rules.rs
@@ -1,4 +1,5 @@
-//! The rules that a run is checked against. They limit counts of work and the operators' budgets, and no durations.
+//! The rules that a run is checked against. They bound counts of work, and the use of resources by the operators'
+//! budgets. No rule is about a duration.
 
 use super::scenario::{ONE_CHANGE, ONE_RESTART, ORDINARY_DAY, REST, Row};
 
--- a/crates/experiments/src/capacity/forwarder/aims.rs
+++ b/crates/experiments/src/capacity/forwarder/aims.rs
@@ -10,7 +10,8 @@
 
 /// Maximum cost of a message with the largest list, as a multiple of the cost with the smallest.
 const MAX_MESSAGE_GROWTH: f64 = 1.5;
-/// The same limit for the quick run, whose few messages make the ratio less exact: 0.84 to 1.34 on a busy machine.
+/// The same limit for the quick run. Its few messages make the ratio less exact, which was 0.84 to 1.34 in four runs on
+/// a busy machine.
 const QUICK_MAX_MESSAGE_GROWTH: f64 = 2.0;
 /// Maximum time to be ready as a multiple of the time with [`READY_SIZE_RATIO`] times fewer destinations.
 const MAX_READY_GROWTH: f64 = 13.0;
@@ -27,7 +28,8 @@
 /// Results that are not part of the series.
 #[derive(Debug, Default)]
 pub struct OtherResults {
-    /// Cost of a message at two list sizes with a part down, or `None` if it could not be measured.
+    /// Cost of a message at two list sizes with [`PartDown`](super::ratio::Case::PartDown), or `None` if it could not
+    /// be measured.
     pub share_down: Option<Ratio>,
     /// Cost of a message at two list sizes with all down, or `None` if it was not or could not be measured.
     pub all_down: Option<Ratio>,
--- a/crates/experiments/src/fleet_limit/scenarios.rs
+++ b/crates/experiments/src/fleet_limit/scenarios.rs
@@ -53,8 +53,8 @@
     fleet.count_ended(outcome) as f64 * SECOND as f64 / OVERLOAD_LENGTH as f64
 }
 
-/// Returns the number of calls in the second after each forwarder has accepted two messages, which follows a start or a
-/// pause.
+/// Returns the number of calls when each forwarder accepts two messages in one step, after a start or a pause. Counts
+/// the calls until one second after that step.
 pub fn calls_of_first_second(settings: &Settings, pause: Micros, seed: impl Fn(u64) -> u64) -> usize {
     let mut fleet = VirtualFleet::new(FORWARDERS, settings, LIMIT_RPS, seed);
     fleet.now += pause;
