--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -45,7 +45,7 @@
 /// A running hollow forwarder.
 struct HollowForwarder {
     participant: Rc<ConsulParticipant>,
-    following: JoinHandle<()>,
+    participant_task: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
     lease_task: JoinHandle<()>,
     /// Task that reads all members again and again. `None` except under sabotage.
@@ -54,17 +54,17 @@
 
 impl HollowForwarder {
     fn start(role: &MembersRole, name: &str) -> Self {
-        let (participant, following) = start_participant(role, name);
+        let (participant, participant_task) = start_participant(role, name);
         let (lease_manager, lease_task) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
         let read_task = role.reads_all_members.then(read_all);
-        HollowForwarder { participant, following, lease_manager, lease_task, read_task }
+        HollowForwarder { participant, participant_task, lease_manager, lease_task, read_task }
     }
 
     /// Deregisters the participant, releases the leases and stops.
     async fn leave(mut self) {
         // The task would open another session if it still ran.
-        self.following.abort();
+        self.participant_task.abort();
         self.participant.deregister().await;
         self.lease_manager.shut_down();
         if timeout(LEAVE_TIMEOUT, &mut self.lease_task).await.is_err() {
@@ -75,7 +75,7 @@
 
 impl Drop for HollowForwarder {
     fn drop(&mut self) {
-        self.following.abort();
+        self.participant_task.abort();
         self.lease_task.abort();
         self.read_task.iter().for_each(JoinHandle::abort);
     }
@@ -88,19 +88,19 @@
     }
     let participant = ConsulParticipant::new(policy_settings(role.policy, role.ttl), name, &folder);
     let source = Rc::new(ConfigSource { path: role.configuration.clone(), ..ConfigSource::default() });
-    let (following, name) = (participant.clone(), name.to_owned());
+    let (running, name) = (participant.clone(), name.to_owned());
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
-        following.join(&source).await;
+        running.join(&source).await;
         let report_policies = async {
             while let Some(input) = received.recv().await {
                 if matches!(input, Input::ConfigReloaded(_)) {
-                    let (name, epoch) = (name.clone(), following.version());
+                    let (name, epoch) = (name.clone(), running.version());
                     report(&Report::InForce(InForce { name, epoch, at: clock() }));
                 }
             }
         };
-        tokio::join!(following.clone().follow(source, inputs), report_policies);
+        tokio::join!(running.clone().follow(source, inputs), report_policies);
     });
     (participant, task)
 }
