--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow forwarders: the policy agent, the membership and the lease manager of several, with their own sockets and
-//! files, and no traffic.
+//! Hollow forwarders. Each runs the policy participant, the membership and the lease manager of a forwarder with its
+//! own sockets and files, and takes no traffic. Several of them share a process.
 
 use super::messages::{InForce, MembersRole, Report, Request, clock};
 use super::reporting::report;
@@ -19,65 +19,65 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Where the policy's keys are.
+/// Prefix of the policy's keys.
 pub const POLICY_PREFIX: &str = "lab/policy";
-/// Where the duties' keys are, in each region's store.
-pub const DUTIES_PREFIX: &str = "lab/duties";
-/// How long a duty's lock stays closed after its session has ended.
+/// Prefix of the lease keys in each region's store.
+pub const LEASES_PREFIX: &str = "lab/duties";
+/// Time for which a lease cannot be acquired after the session of its last holder has ended.
 pub const LOCK_DELAY: Duration = Duration::from_secs(1);
-/// How much faster or slower than another any clock may run.
-const DRIFT: f64 = 0.001;
-/// The longest that an act of a duty takes.
-const ACT: Duration = Duration::from_millis(500);
-/// Time to the next attempt after one that failed.
-const RETRY: Duration = Duration::from_secs(1);
-/// Locks that are asked for at once, at most.
-const LOCKS_AT_ONCE: usize = 4;
-/// How long a member that leaves in good order may take; then it ends all the same.
-const LEAVE: Duration = Duration::from_secs(5);
+/// Maximum relative difference in rate between two clocks.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
+/// Maximum duration of an action that a lease protects.
+const MAX_ACTION_TIME: Duration = Duration::from_millis(500);
+/// Time from a failed attempt to the next one.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent lease acquisitions.
+const MAX_CONCURRENT_ACQUIRES: usize = 4;
+/// Maximum time for a member to release its leases at a graceful stop. After that the member is dropped regardless.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The settings of the policy at this address.
+/// Returns the policy settings for a commit point at this address.
 pub fn policy_settings(address: SocketAddr, ttl: Duration) -> PolicySettings {
     let consul = ConsulSettings { addresses: vec![address], ..ConsulSettings::default() };
     PolicySettings { consul, prefix: POLICY_PREFIX.to_owned(), name: None, ttl }
 }
 
-/// One hollow forwarder that runs.
-struct Hollow {
+/// A running hollow forwarder.
+struct HollowForwarder {
     participant: Rc<ConsulParticipant>,
-    following: JoinHandle<()>,
+    participant_task: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
-    managing: JoinHandle<()>,
-    /// Only under sabotage.
-    reading_all: Option<JoinHandle<()>>,
+    lease_task: JoinHandle<()>,
+    /// Task that reads all members again and again. `None` except under sabotage.
+    read_task: Option<JoinHandle<()>>,
 }
 
-impl Hollow {
+impl HollowForwarder {
     fn start(role: &MembersRole, name: &str) -> Self {
-        let (participant, following) = start_participant(role, name);
-        let (lease_manager, managing) = start_lease_manager(role, name);
+        let (participant, participant_task) = start_participant(role, name);
+        let (lease_manager, lease_task) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
-        let reading_all = role.reads_all_members.then(read_all);
-        Hollow { participant, following, lease_manager, managing, reading_all }
+        let read_task = role.reads_all_members.then(read_all);
+        HollowForwarder { participant, participant_task, lease_manager, lease_task, read_task }
     }
 
-    /// Gives back what it holds, and ends.
+    /// Deregisters the participant, releases the leases and stops.
     async fn leave(mut self) {
-        // What still runs would open another session.
-        self.following.abort();
+        // The task would open another session if it still ran.
+        self.participant_task.abort();
         self.participant.deregister().await;
         self.lease_manager.shut_down();
-        if timeout(LEAVE, &mut self.managing).await.is_err() {
-            eprintln!("a member has not left within {LEAVE:?}");
+        if timeout(LEAVE_TIMEOUT, &mut self.lease_task).await.is_err() {
+            eprintln!("a member did not stop within {LEAVE_TIMEOUT:?}");
         }
     }
 }
 
-impl Drop for Hollow {
+impl Drop for HollowForwarder {
     fn drop(&mut self) {
-        self.following.abort();
-        self.managing.abort();
-        self.reading_all.iter().for_each(JoinHandle::abort);
+        self.participant_task.abort();
+        self.lease_task.abort();
+        self.read_task.iter().for_each(JoinHandle::abort);
     }
 }
 
@@ -88,19 +88,19 @@
     }
     let participant = ConsulParticipant::new(policy_settings(role.policy, role.ttl), name, &folder);
     let source = Rc::new(ConfigSource { path: role.configuration.clone(), ..ConfigSource::default() });
-    let (following, name) = (participant.clone(), name.to_owned());
+    let (running, name) = (participant.clone(), name.to_owned());
     let task = spawn_local(async move {
         let (inputs, mut received) = unbounded_channel();
-        following.join(&source).await;
-        let told = async {
+        running.join(&source).await;
+        let report_policies = async {
             while let Some(input) = received.recv().await {
                 if matches!(input, Input::ConfigReloaded(_)) {
-                    let (name, epoch) = (name.clone(), following.version());
+                    let (name, epoch) = (name.clone(), running.version());
                     report(&Report::InForce(InForce { name, epoch, at: clock() }));
                 }
             }
         };
-        tokio::join!(following.clone().follow(source, inputs), told);
+        tokio::join!(running.clone().follow(source, inputs), report_policies);
     });
     (participant, task)
 }
@@ -109,48 +109,48 @@
     let micros = |span: Duration| span.as_micros() as i64;
     let protocol = LeaseConfig {
         ttl: micros(role.ttl),
-        clock_drift: DRIFT,
-        max_action_time: micros(ACT),
-        retry_interval: micros(RETRY),
-        max_concurrent_acquires: LOCKS_AT_ONCE,
+        clock_drift: MAX_CLOCK_DRIFT,
+        max_action_time: micros(MAX_ACTION_TIME),
+        retry_interval: micros(RETRY_INTERVAL),
+        max_concurrent_acquires: MAX_CONCURRENT_ACQUIRES,
     };
     let config = ManagerConfig {
         name: name.to_owned(),
         weight: 1.0,
-        key_prefix: DUTIES_PREFIX.to_owned(),
-        leases: (0..role.duty_count).collect(),
+        key_prefix: LEASES_PREFIX.to_owned(),
+        leases: (0..role.lease_count).collect(),
         lock_delay: LOCK_DELAY,
         protocol,
     };
-    let settings = ConsulSettings { addresses: vec![role.duties], ..ConsulSettings::default() };
+    let settings = ConsulSettings { addresses: vec![role.leases], ..ConsulSettings::default() };
     let lease_manager = Rc::new(LeaseManager::new(config, Rc::new(settings)));
     let running = lease_manager.clone();
     (lease_manager, spawn_local(async move { running.run().await }))
 }
 
-/// Reads all members of the fleet at each change to one of them, one look after another without a pause.
+/// Reads all members of the fleet at each change to one of them, with one blocking query after another and no pause.
 async fn read_all_members(settings: PolicySettings) {
     let mut locks = LockClient::new(Rc::new(settings.consul.clone()));
     let mut index = 0;
     loop {
         match locks.read_keys(&settings.members_folder(), index, settings.ttl).await {
             Ok((at, _)) => index = at,
-            Err(_) => sleep(RETRY).await,
+            Err(_) => sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-/// Runs them until the requests end.
+/// Runs the hollow forwarders of one process until the request channel closes.
 pub async fn run(role: MembersRole, mut requests: UnboundedReceiver<Request>) {
     report(&Report::Up);
     let role = Rc::new(role);
-    let mut members: BTreeMap<String, Hollow> = BTreeMap::new();
-    // Members that leave in good order, and come back.
-    let (returned, mut returning) = unbounded_channel();
+    let mut members: BTreeMap<String, HollowForwarder> = BTreeMap::new();
+    // Members that were stopped gracefully and have started again.
+    let (restarted_sender, mut restarted_receiver) = unbounded_channel();
     loop {
         let request = tokio::select! {
             request = requests.recv() => request,
-            Some((name, member)) = returning.recv() => {
+            Some((name, member)) = restarted_receiver.recv() => {
                 members.insert(name, member);
                 continue;
             }
@@ -158,21 +158,25 @@
         match request {
             None => return,
             Some(Request::Begin) => {
-                members = role.names.iter().map(|name| (name.clone(), Hollow::start(&role, name))).collect();
+                members = role
+                    .names
+                    .iter()
+                    .map(|name| (name.clone(), HollowForwarder::start(&role, name)))
+                    .collect();
             }
             Some(Request::Restart(name)) => {
                 let Some(member) = members.remove(&name) else { continue };
-                let (role, returned) = (role.clone(), returned.clone());
+                let (role, restarted_sender) = (role.clone(), restarted_sender.clone());
                 spawn_local(async move {
                     member.leave().await;
                     report(&Report::Restarted(name.clone()));
-                    let member = Hollow::start(&role, &name);
-                    // The receiver is gone only when the process ends.
-                    drop(returned.send((name, member)));
+                    let member = HollowForwarder::start(&role, &name);
+                    // The receiver is dropped only when the process exits.
+                    drop(restarted_sender.send((name, member)));
                 });
             }
             Some(Request::Kill(name)) => drop(members.remove(&name)),
-            Some(request) => eprintln!("members are not asked for this: {request:?}"),
+            Some(request) => eprintln!("not a request for a members process: {request:?}"),
         }
     }
 }
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -1,4 +1,4 @@
-//! The phases that a fleet of one size goes through, and what each of them showed.
+//! The phases of the experiment on a fleet of one size, and the results of each phase.
 
 use super::fleet::{Fleet, FleetPlan, REGIONS, ZONES_PER_REGION};
 use super::hollow::policy_settings;
@@ -16,163 +16,165 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A second is the shortest span that is told apart.
+/// Interval between two snapshots of a measurement, over which the busiest second is found.
 const SECOND: Duration = Duration::from_secs(1);
-/// How long a fleet may take until all are members and all duties are held.
-const SETTLE: Duration = Duration::from_secs(120);
-/// How often that is looked at.
-const SETTLE_LOOK: Duration = Duration::from_millis(250);
-/// How long after a proposal is done its last report may come.
-const LATE_REPORT: Duration = Duration::from_secs(10);
-/// Sessions that are not renewed end after one to two times their TTL, as Consul promises: at first after the most, for a
-/// death, and then after the least, for the losses.
-const DEATH_SESSION_END: f64 = 2.0;
-const LOSSES_SESSION_END: f64 = 1.0;
-/// The zone of the process that is killed, and the zone that is lost, which has no store.
+/// Maximum time until all forwarders are members and all leases are held.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval between two checks whether the fleet has settled.
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time from the end of a proposal to the last report that the policy is in force.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Expiry of sessions that are not renewed, as a multiple of their TTL. Consul promises one to two times the TTL. The
+/// death of a forwarder is measured with the longest expiry, the losses after it with the shortest.
+const DEATH_EXPIRY_FACTOR: f64 = 2.0;
+const LOSSES_EXPIRY_FACTOR: f64 = 1.0;
+/// The zone in which one process is killed, and the zone that is killed whole. The second has no store.
 const LOST_MACHINE_ZONE: usize = 1;
 const LOST_ZONE: usize = 3;
-/// The region that is cut off.
+/// The region that is cut off from the stores.
 const CUT_REGION: usize = 2;
 
-/// How long the phases are.
+/// The lengths of the phases, and the number of events in them.
 #[derive(Clone, Copy, Debug)]
 pub struct Spans {
-    /// The TTL of all sessions.
+    /// TTL of all sessions.
     pub ttl: Duration,
-    /// At rest: as long as Consul holds a look, so that each forwarder looks once.
+    /// Length of the phase at rest: as long as Consul holds a blocking query, so that each forwarder sends one.
     pub rest: Duration,
-    /// Changes of policy, one after another.
+    /// Number of policy changes, one after another.
     pub changes: u32,
-    /// The time from one change to the next.
+    /// Time from one change to the next.
     pub change_every: Duration,
-    /// Changes with a large policy, one after another.
+    /// Number of changes of a large policy, one after another.
     pub large_changes: u32,
-    /// The time from one of them to the next.
+    /// Time from one change of a large policy to the next.
     pub large_change_every: Duration,
-    /// Restarts, one after another.
+    /// Number of restarts, one after another.
     pub restarts: u32,
-    /// The time from one restart to the next.
+    /// Time from one restart to the next.
     pub restart_every: Duration,
-    /// What follows a loss, beyond the time after which sessions end.
+    /// Time that is measured after a loss, beyond the TTL.
     pub after_loss: Duration,
-    /// What follows the joining of a region.
+    /// Time that is measured after a region is joined again.
     pub after_join: Duration,
 }
 
-/// What a fleet goes through.
+/// The phases that run on a fleet.
 #[derive(Clone, Debug)]
-pub struct Course {
-    /// How long the phases are.
+pub struct PhasePlan {
+    /// Lengths of the phases.
     pub spans: Spans,
-    /// Whether a forwarder dies before a change, and a machine, a zone and a region are lost.
+    /// Whether to kill a forwarder before a change, then a machine and a zone, and to cut off a region.
     pub losses: bool,
-    /// Whether forwarders are restarted.
+    /// Whether to restart forwarders.
     pub restarts: bool,
 }
 
-/// A phase.
+/// A phase of the experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Nothing happens.
     Rest,
-    /// Changes at the peak rate.
+    /// Policy changes at the peak rate.
     Changes,
-    /// Changes with a large policy.
+    /// Changes of a large policy.
     LargeChanges,
-    /// Nothing happens, with a large policy in force.
+    /// Nothing happens while a large policy is in force.
     LargeRest,
-    /// Restarts, one after another.
+    /// Forwarders restart one after another.
     Restarts,
-    /// A process with its forwarders is killed, and a policy proposed at once.
+    /// A process with its forwarders is killed, and a policy is proposed immediately.
     MachineLost,
-    /// The same with a zone.
+    /// A zone is killed, and a policy is proposed immediately.
     ZoneLost,
-    /// The same with a region that is cut off from its stores.
+    /// A region is cut off from the stores, and a policy is proposed immediately.
     RegionCut,
-    /// The region is joined again.
+    /// The links of the region are restored.
     RegionJoined,
 }
 
-/// When a policy was in force.
+/// The times at which a policy was committed and in force.
 #[derive(Clone, Debug)]
 pub struct PolicyTime {
-    /// What had just happened.
+    /// Description of the event before the proposal, used as part of a row's label.
     pub after: String,
     /// Seconds from the proposal to the commit.
     pub committed: f64,
-    /// Seconds from the proposal until it was in force, of the middle and of the last forwarder.
-    pub middle: f64,
-    /// The same of the last forwarder.
+    /// Seconds from the proposal until the policy was in force on the median forwarder.
+    pub median: f64,
+    /// Seconds from the proposal until the policy was in force on the last forwarder.
     pub last: f64,
 }
 
-/// What a phase showed.
+/// The load that was measured in a phase.
 #[derive(Clone, Debug)]
 pub struct PhaseLoad {
-    /// The load.
+    /// Load by quantity.
     pub load: Load,
-    /// How long it was measured.
+    /// Length of the measurement, in seconds.
     pub seconds: f64,
-    /// Changes or restarts in it.
+    /// Number of changes or restarts in the phase.
     pub events: usize,
 }
 
-/// What a fleet of one size showed.
+/// The results of a fleet of one size.
 #[derive(Clone, Debug)]
 pub struct FleetResult {
-    /// Forwarders at the start.
+    /// Number of forwarders at the start.
     pub members: usize,
-    /// Seconds from the start of all until all were members and all duties were held.
+    /// Seconds from the start of all forwarders until all were members and all leases were held.
     pub settled: f64,
-    /// The phases.
+    /// Load of each phase that ran.
     pub phases: BTreeMap<Phase, PhaseLoad>,
-    /// When policies were in force.
+    /// Times of the policies that were measured.
     pub times: Vec<PolicyTime>,
-    /// Seconds from the joining of a region until its last forwarder had the policy in force; none where none was cut.
+    /// Seconds from the moment when a region's links are restored until its last forwarder had the policy in force.
+    /// `None` if no region was cut off.
     pub caught_up: Option<f64>,
 }
 
-/// What happens at a moment of a window.
-enum Happening {
+/// An action at a given time of a measured window.
+enum ScheduledAction {
     Propose(PolicySize),
     Restart(String),
 }
 
-/// A fleet on its course.
-struct Journey {
+/// A run of the phases on one fleet.
+struct PhaseRunner {
     fleet: Fleet,
     proposer: Proposer,
     spans: Spans,
-    base: BTreeMap<usize, u64>,
-    chance: StdRng,
+    /// Resident memory of each process before its forwarders started, in bytes.
+    base_resident: BTreeMap<usize, u64>,
+    rng: StdRng,
     result: FleetResult,
 }
 
-/// Takes a fleet of this size through its course.
+/// Runs the phases of `phase_plan` on a fleet and returns the results.
 ///
 /// # Errors
 ///
-/// It does not settle, a child ends, or the experiment would use more than it may.
-pub async fn measure(plan: FleetPlan, course: &Course, seed: u64) -> Result<FleetResult, String> {
-    let mut journey = Journey::start(plan, course.spans, seed).await?;
-    journey.rest().await?;
-    journey.changes().await?;
-    if course.restarts {
-        journey.restarts().await?;
+/// Returns an error if the fleet does not settle, a child process exits, or the experiment exceeds its budget.
+pub async fn measure(plan: FleetPlan, phase_plan: &PhasePlan, seed: u64) -> Result<FleetResult, String> {
+    let mut runner = PhaseRunner::start(plan, phase_plan.spans, seed).await?;
+    runner.measure_rest().await?;
+    runner.measure_changes().await?;
+    if phase_plan.restarts {
+        runner.measure_restarts().await?;
     }
-    if course.losses {
-        journey.death().await?;
-        journey.losses().await?;
+    if phase_plan.losses {
+        runner.measure_forwarder_death().await?;
+        runner.measure_losses().await?;
     }
-    Ok(journey.result)
+    Ok(runner.result)
 }
 
-impl Journey {
+impl PhaseRunner {
     async fn start(plan: FleetPlan, spans: Spans, seed: u64) -> Result<Self, String> {
-        let mut fleet = Fleet::start(plan, Budget::of_this_machine()?).await?;
+        let mut fleet = Fleet::start(plan, Budget::for_this_machine()?).await?;
         let commit_point = fleet.commit_point().ok_or("there is no commit point")?;
         let proposer = Proposer::start(commit_point, plan.ttl);
-        let base = Snapshot::take(&mut fleet, 0).await?.host_resident();
+        let base_resident = Snapshot::take(&mut fleet, 0).await?.host_resident();
         let result = FleetResult {
             members: plan.members,
             settled: 0.0,
@@ -180,36 +182,43 @@
             times: Vec::new(),
             caught_up: None,
         };
-        let chance = StdRng::seed_from_u64(seed);
-        let mut journey = Journey { fleet, proposer, spans, base, chance, result };
+        let rng = StdRng::seed_from_u64(seed);
+        let mut runner = PhaseRunner { fleet, proposer, spans, base_resident, rng, result };
         let began = Instant::now();
-        journey.fleet.sessions_end_after(DEATH_SESSION_END)?;
-        journey.fleet.begin()?;
-        journey.settle().await?;
-        journey.result.settled = began.elapsed().as_secs_f64();
-        Ok(journey)
+        runner.fleet.sessions_end_after(DEATH_EXPIRY_FACTOR)?;
+        runner.fleet.start_forwarders()?;
+        runner.settle().await?;
+        runner.result.settled = began.elapsed().as_secs_f64();
+        Ok(runner)
     }
 
-    async fn rest(&mut self) -> Result<(), String> {
-        self.window(Phase::Rest, self.spans.rest, Vec::new(), 0).await
+    async fn measure_rest(&mut self) -> Result<(), String> {
+        self.measure_window(Phase::Rest, self.spans.rest, Vec::new(), 0).await
     }
 
-    async fn changes(&mut self) -> Result<(), String> {
+    async fn measure_changes(&mut self) -> Result<(), String> {
         let Spans { changes, change_every, .. } = self.spans;
-        self.changes_of(Phase::Changes, changes, change_every, PolicySize::Small, "a change").await?;
+        self.measure_changes_of_size(Phase::Changes, changes, change_every, PolicySize::Small, "a change")
+            .await?;
         let Spans { large_changes, large_change_every, .. } = self.spans;
         let size = PolicySize::Large;
-        self.changes_of(Phase::LargeChanges, large_changes, large_change_every, size, "a change of 17 KB")
-            .await?;
-        // A look at the commit point is held for a fourth of the TTL and a thirty-second part more, and then answered with
-        // the whole policy: this is two of them.
-        self.window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
-        // What follows is measured with a small policy in force, as the rest was.
+        self.measure_changes_of_size(
+            Phase::LargeChanges,
+            large_changes,
+            large_change_every,
+            size,
+            "a change of 17 KB",
+        )
+        .await?;
+        // The commit point holds a blocking query for a quarter of the TTL plus 1/32 of that, and then answers with the
+        // whole policy. This span has two such queries.
+        self.measure_window(Phase::LargeRest, self.spans.ttl * 33 / 64, Vec::new(), 0).await?;
+        // The phases after this one are measured with a small policy in force, as the phase at rest was.
         self.proposer.propose(PolicySize::Small);
-        self.policy_time("a change back").await
+        self.record_policy_time("a change back").await
     }
 
-    async fn changes_of(
+    async fn measure_changes_of_size(
         &mut self,
         phase: Phase,
         count: u32,
@@ -217,106 +226,114 @@
         size: PolicySize,
         what: &str,
     ) -> Result<(), String> {
-        let happenings = (0..count).map(|number| (every * number, Happening::Propose(size))).collect();
-        self.window(phase, every * count, happenings, count as usize).await?;
+        let actions = (0..count).map(|number| (every * number, ScheduledAction::Propose(size))).collect();
+        self.measure_window(phase, every * count, actions, count as usize).await?;
         for _ in 0..count {
-            self.policy_time(what).await?;
+            self.record_policy_time(what).await?;
         }
         Ok(())
     }
 
-    async fn restarts(&mut self) -> Result<(), String> {
+    async fn measure_restarts(&mut self) -> Result<(), String> {
         let Spans { restarts, restart_every, .. } = self.spans;
         let mut names: Vec<String> = self.fleet.members().cloned().collect();
-        names.shuffle(&mut self.chance);
+        names.shuffle(&mut self.rng);
         names.truncate(restarts as usize);
         let count = names.len();
-        let place = |(number, name)| (restart_every * number as u32, Happening::Restart(name));
-        let happenings = names.into_iter().enumerate().map(place).collect();
+        let schedule = |(number, name)| (restart_every * number as u32, ScheduledAction::Restart(name));
+        let actions = names.into_iter().enumerate().map(schedule).collect();
         let span = restart_every * count as u32 + SECOND;
         let before = self.fleet.restarted;
-        self.window(Phase::Restarts, span, happenings, count).await?;
-        self.fleet.wait_until(SETTLE, "restarts", |fleet| fleet.restarted >= before + count).await?;
+        self.measure_window(Phase::Restarts, span, actions, count).await?;
+        self.fleet.wait_until(SETTLE_TIMEOUT, "restarts", |fleet| fleet.restarted >= before + count).await?;
         self.settle().await
     }
 
-    /// A forwarder dies, and a policy is proposed at once.
-    async fn death(&mut self) -> Result<(), String> {
+    /// Kills a forwarder and immediately proposes a policy.
+    async fn measure_forwarder_death(&mut self) -> Result<(), String> {
         let names: Vec<String> = self.fleet.members().cloned().collect();
-        let name = names[self.chance.random_range(0..names.len())].clone();
+        let name = names[self.rng.random_range(0..names.len())].clone();
         self.fleet.kill_member(&name)?;
         self.proposer.propose(PolicySize::Small);
-        self.policy_time(&format!("a forwarder's death, sessions end after {DEATH_SESSION_END} TTL")).await
+        self.record_policy_time(&format!("a forwarder's death, sessions end after {DEATH_EXPIRY_FACTOR} TTL"))
+            .await
     }
 
-    async fn losses(&mut self) -> Result<(), String> {
-        self.sessions_end_after(LOSSES_SESSION_END).await?;
+    async fn measure_losses(&mut self) -> Result<(), String> {
+        self.sessions_end_after(LOSSES_EXPIRY_FACTOR).await?;
         let span = self.spans.ttl + self.spans.after_loss;
         let machine = self.fleet.hosts.iter().position(|host| host.zone == LOST_MACHINE_ZONE);
         self.fleet.kill_host(machine.ok_or("no process to kill")?);
-        self.loss(Phase::MachineLost, span, "a machine's loss").await?;
+        self.measure_loss(Phase::MachineLost, span, "a machine's loss").await?;
         self.fleet.kill_zone(LOST_ZONE);
-        self.loss(Phase::ZoneLost, span, "a zone's loss").await?;
-        self.region(span).await
+        self.measure_loss(Phase::ZoneLost, span, "a zone's loss").await?;
+        self.measure_region_cut(span).await
     }
 
-    async fn region(&mut self, span: Duration) -> Result<(), String> {
+    async fn measure_region_cut(&mut self, span: Duration) -> Result<(), String> {
         self.fleet.cut_region(CUT_REGION, true)?;
-        self.loss(Phase::RegionCut, span, "a region's cut").await?;
+        self.measure_loss(Phase::RegionCut, span, "a region's cut").await?;
         let policies = self.fleet.in_force.len();
         let joined = clock();
         self.fleet.cut_region(CUT_REGION, false)?;
-        self.window(Phase::RegionJoined, self.spans.after_join, Vec::new(), 1).await?;
+        self.measure_window(Phase::RegionJoined, self.spans.after_join, Vec::new(), 1).await?;
         self.settle().await?;
         let last = self.fleet.in_force[policies..].iter().map(|in_force| in_force.at).max();
         self.result.caught_up = last.map(|at| seconds(joined, at));
         Ok(())
     }
 
-    /// What follows a loss, with a policy that is proposed at once.
-    async fn loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
-        self.window(phase, span, vec![(Duration::ZERO, Happening::Propose(PolicySize::Small))], 1).await?;
-        self.policy_time(&format!("{what}, sessions end after {LOSSES_SESSION_END} TTL")).await
+    /// Measures the time after a loss, with a policy that is proposed immediately.
+    async fn measure_loss(&mut self, phase: Phase, span: Duration, what: &str) -> Result<(), String> {
+        self.measure_window(
+            phase,
+            span,
+            vec![(Duration::ZERO, ScheduledAction::Propose(PolicySize::Small))],
+            1,
+        )
+        .await?;
+        self.record_policy_time(&format!("{what}, sessions end after {LOSSES_EXPIRY_FACTOR} TTL")).await
     }
 
-    /// Measures for this long, second by second, while these things happen.
-    async fn window(
+    /// Measures the load during `span`, with a snapshot each second for the busiest one, and starts the actions at
+    /// their times.
+    async fn measure_window(
         &mut self,
         phase: Phase,
         span: Duration,
-        happenings: Vec<(Duration, Happening)>,
+        actions: Vec<(Duration, ScheduledAction)>,
         events: usize,
     ) -> Result<(), String> {
-        let mut happenings = happenings.into_iter().peekable();
+        let mut actions = actions.into_iter().peekable();
         let first = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
         let start = Instant::now();
         let (mut busiest, mut last) = (0.0_f64, first.clone());
-        let mut look = start;
+        let mut last_snapshot_at = start;
         while start.elapsed() < span {
-            while let Some((_, happening)) = happenings.next_if(|(at, _)| start + *at <= Instant::now()) {
-                match happening {
-                    Happening::Propose(size) => self.proposer.propose(size),
-                    Happening::Restart(name) => self.fleet.restart_member(&name)?,
+            while let Some((_, action)) = actions.next_if(|(at, _)| start + *at <= Instant::now()) {
+                match action {
+                    ScheduledAction::Propose(size) => self.proposer.propose(size),
+                    ScheduledAction::Restart(name) => self.fleet.restart_member(&name)?,
                 }
             }
-            if Instant::now() >= look + SECOND {
-                look = Instant::now();
+            if Instant::now() >= last_snapshot_at + SECOND {
+                last_snapshot_at = Instant::now();
                 let now = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
                 busiest = busiest.max(now.bytes_since(&last));
                 last = now;
             }
-            let next = happenings.peek().map_or(start + span, |(at, _)| start + *at);
-            self.fleet.receive_until(next.min(look + SECOND).min(start + span)).await?;
+            let next = actions.peek().map_or(start + span, |(at, _)| start + *at);
+            self.fleet.receive_until(next.min(last_snapshot_at + SECOND).min(start + span)).await?;
         }
         let end = Snapshot::take(&mut self.fleet, self.proposer.bytes()).await?;
-        let load = end.load_since(&first, &self.base, busiest);
+        let load = end.load_since(&first, &self.base_resident, busiest);
         let measured = PhaseLoad { load, seconds: end.seconds_since(&first), events };
         self.result.phases.insert(phase, measured);
         Ok(())
     }
 
-    /// Waits until the next proposal is in force on all that can be reached; notes how long that took.
-    async fn policy_time(&mut self, after: &str) -> Result<(), String> {
+    /// Waits until the next proposal is in force on all forwarders that can be reached, and records the times.
+    async fn record_policy_time(&mut self, after: &str) -> Result<(), String> {
         let proposal = loop {
             tokio::select! {
                 proposal = self.proposer.next() => break proposal?,
@@ -325,53 +342,54 @@
         };
         let reachable = self.reachable();
         let has_it = |fleet: &Fleet| times(fleet, &proposal, &reachable).len() == reachable.len();
-        self.fleet.wait_until(LATE_REPORT, "a policy in force on all", has_it).await?;
+        self.fleet.wait_until(REPORT_TIMEOUT, "a policy in force on all", has_it).await?;
         let times = times(&self.fleet, &proposal, &reachable);
         self.result.times.push(PolicyTime {
             after: after.to_owned(),
-            committed: seconds(proposal.began, proposal.committed),
-            middle: times[times.len() / 2],
+            committed: seconds(proposal.proposed_at, proposal.committed_at),
+            median: times[times.len() / 2],
             last: times[times.len() - 1],
         });
         Ok(())
     }
 
-    /// The forwarders that run and are not cut off.
+    /// Returns the forwarders that run and are not cut off.
     fn reachable(&self) -> BTreeSet<String> {
         let cut_off = |zone: usize| self.fleet.is_cut(zone / ZONES_PER_REGION);
         let hosts = self.fleet.hosts.iter().filter(|host| !cut_off(host.zone));
         hosts.flat_map(|host| host.members.iter().cloned()).collect()
     }
 
-    /// From now on sessions end after so many times their TTL, those too that were renewed before.
+    /// Sets the expiry of sessions to a multiple of their TTL, and waits until it also applies to the sessions that
+    /// were renewed before.
     async fn sessions_end_after(&mut self, ttls: f64) -> Result<(), String> {
         self.fleet.sessions_end_after(ttls)?;
-        // All are renewed at a third of the TTL; a fourth is for what is late.
+        // Each session is renewed after a third of its TTL. Another quarter allows for late renewals.
         self.fleet.receive_until(Instant::now() + self.spans.ttl / 3 + self.spans.ttl / 4).await
     }
 
-    /// Waits until all forwarders are members at the commit point and in their region, and all duties are held.
+    /// Waits until all forwarders are members at the commit point and in their region, and all leases are held.
     async fn settle(&mut self) -> Result<(), String> {
-        let until = Instant::now() + SETTLE;
+        let until = Instant::now() + SETTLE_TIMEOUT;
         let mut commit_point = LockClient::new(consul_settings(self.fleet.commit_point())?);
         let mut stores = Vec::new();
         for region in 0..REGIONS {
-            stores.push(LockClient::new(consul_settings(self.fleet.duties_store(region))?));
+            stores.push(LockClient::new(consul_settings(self.fleet.lease_store(region))?));
         }
         loop {
-            let what = match self.unsettled(&mut commit_point, &mut stores).await? {
+            let what = match self.unsettled_reason(&mut commit_point, &mut stores).await? {
                 None => return Ok(()),
                 Some(what) => what,
             };
             if Instant::now() > until {
-                return Err(format!("not settled within {} s: {what}", SETTLE.as_secs()));
+                return Err(format!("not settled within {} s: {what}", SETTLE_TIMEOUT.as_secs()));
             }
-            self.fleet.receive_until(Instant::now() + SETTLE_LOOK).await?;
+            self.fleet.receive_until(Instant::now() + SETTLE_POLL_INTERVAL).await?;
         }
     }
 
-    /// What keeps the fleet from being settled; none: it is.
-    async fn unsettled(
+    /// Returns the reason why the fleet has not settled, or `None` if it has.
+    async fn unsettled_reason(
         &self,
         commit_point: &mut LockClient,
         stores: &mut [LockClient],
@@ -384,17 +402,17 @@
             return Ok(Some(format!("{members} of {expected} are members at the commit point")));
         }
         for (region, store) in stores.iter_mut().enumerate() {
-            let held = held(store, &self.fleet.duties_prefix()).await?;
-            let expected = self.fleet.members_in(region) + self.fleet.duty_count(region);
+            let held = held(store, &self.fleet.lease_prefix()).await?;
+            let expected = self.fleet.members_in(region) + self.fleet.lease_count(region);
             if held != expected {
-                return Ok(Some(format!("region {region} has {held} of {expected} memberships and duties")));
+                return Ok(Some(format!("region {region} has {held} of {expected} memberships and leases")));
             }
         }
         Ok(None)
     }
 }
 
-/// How many keys below a folder are held by a session.
+/// Returns the number of keys below a folder that a session holds.
 async fn held(store: &mut LockClient, folder: &str) -> Result<usize, String> {
     let (_, rows) = store.read_keys(folder, 0, Duration::ZERO).await.map_err(|error| error.to_string())?;
     Ok(rows.iter().filter(|row| row.session.is_some()).count())
@@ -405,7 +423,8 @@
     Ok(Rc::new(ConsulSettings { addresses: vec![address], ..ConsulSettings::default() }))
 }
 
-/// Seconds from a proposal until it was in force, of each of these on which it is, in order.
+/// Returns the seconds from a proposal until it was in force, for each of the members on which it is in force, in
+/// ascending order.
 fn times(fleet: &Fleet, proposal: &Proposal, members: &BTreeSet<String>) -> Vec<f64> {
     let mut first: BTreeMap<&str, u64> = BTreeMap::new();
     for in_force in fleet.in_force.iter().filter(|in_force| in_force.epoch >= proposal.epoch) {
@@ -414,7 +433,7 @@
             *at = in_force.at.min(*at);
         }
     }
-    let mut times: Vec<f64> = first.values().map(|at| seconds(proposal.began, *at)).collect();
+    let mut times: Vec<f64> = first.values().map(|at| seconds(proposal.proposed_at, *at)).collect();
     times.sort_by(f64::total_cmp);
     times
 }
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -1,4 +1,4 @@
-//! Proposes policies at the commit point, one after another, as the operators' tool does.
+//! Proposes policies at the commit point, one after another, as `orchidyoke policy` does.
 
 use super::hollow::policy_settings;
 use super::messages::clock;
@@ -10,24 +10,24 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::spawn_local;
 
-/// How long a policy may take to be committed, and then to be in force on all.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// The policies differ in this setting, by a microsecond.
+/// Maximum time for a policy to be committed and then to be in force on all members.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Base value of the setting in which the policies differ, in microseconds. Each policy adds its number.
 const FIRST_IDLE_CLOSE_US: u64 = 8_000_000;
-/// Endpoints that a large policy leaves out; each takes 17 bytes of it.
+/// Number of endpoints that a large policy excludes. Each takes 17 bytes of the policy.
 const LARGE_POLICY_ENDPOINTS: usize = 1_000;
 
-/// How large a policy is.
+/// The size of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicySize {
-    /// One setting: some 60 bytes.
+    /// One setting, about 60 bytes.
     Small,
-    /// A thousand endpoints left out: 17 KB.
+    /// One setting and [`LARGE_POLICY_ENDPOINTS`] excluded endpoints, about 17 KB.
     Large,
 }
 
 impl PolicySize {
-    fn endpoints_left_out(self) -> Vec<String> {
+    fn excluded_endpoints(self) -> Vec<String> {
         let count = match self {
             PolicySize::Small => 0,
             PolicySize::Large => LARGE_POLICY_ENDPOINTS,
@@ -36,57 +36,57 @@
     }
 }
 
-/// A policy that was committed.
+/// A committed policy.
 #[derive(Clone, Copy, Debug)]
 pub struct Proposal {
-    /// Its number.
+    /// Version of the policy.
     pub epoch: u64,
-    /// When it was proposed, in microseconds of the machine's clock.
-    pub began: u64,
-    /// When the answer came that it is committed.
-    pub committed: u64,
+    /// Time of the proposal, in microseconds of [`clock`].
+    pub proposed_at: u64,
+    /// Time at which the commit was confirmed, in microseconds of [`clock`].
+    pub committed_at: u64,
 }
 
-/// Who proposes. Proposals wait for each other.
+/// A task that proposes policies, one at a time.
 pub struct Proposer {
-    asked: UnboundedSender<PolicySize>,
+    request_sender: UnboundedSender<PolicySize>,
     done: UnboundedReceiver<Result<Proposal, String>>,
     link: FaultProxy,
-    _stage: ServerRuntime,
+    _runtime: ServerRuntime,
 }
 
 impl Proposer {
-    /// One for the commit point at this address.
+    /// Starts the task for the commit point at this address.
     pub fn start(commit_point: SocketAddr, ttl: Duration) -> Self {
-        let stage = ServerRuntime::new();
-        let link = FaultProxy::start(&stage, unused_loopback_address(), commit_point);
+        let runtime = ServerRuntime::new();
+        let link = FaultProxy::start(&runtime, unused_loopback_address(), commit_point);
         let mut coordinator = Coordinator::new(policy_settings(link.address, ttl));
-        let (asked, mut requests) = unbounded_channel();
+        let (request_sender, mut requests) = unbounded_channel();
         let (sender, done) = unbounded_channel();
         spawn_local(async move {
             let mut number = 0;
             while let Some(size) = requests.recv().await {
                 number += 1;
                 let proposed = propose(&mut coordinator, number, size).await;
-                // The receiver is gone only when the experiment ends.
+                // The receiver is dropped only when the experiment ends.
                 drop(sender.send(proposed));
             }
         });
-        Proposer { asked, done, link, _stage: stage }
+        Proposer { request_sender, done, link, _runtime: runtime }
     }
 
-    /// Proposes a policy once those before it are done.
+    /// Queues a proposal, which starts when the earlier ones are done.
     pub fn propose(&self, size: PolicySize) {
-        // The receiver lives as long as this.
-        let _ = self.asked.send(size);
+        // The task keeps the receiver for as long as this sender exists.
+        let _ = self.request_sender.send(size);
     }
 
-    /// The next policy that is committed and in force on all that are there.
+    /// Waits for the next policy that is committed and in force on all members.
     pub async fn next(&mut self) -> Result<Proposal, String> {
-        self.done.recv().await.unwrap_or_else(|| Err("nobody proposes any more".to_owned()))
+        self.done.recv().await.unwrap_or_else(|| Err("the proposer's task has ended".to_owned()))
     }
 
-    /// Bytes with the commit point, both ways.
+    /// Returns the bytes exchanged with the commit point, both directions.
     pub fn bytes(&self) -> u64 {
         self.link.counters().bytes_forwarded
     }
@@ -95,10 +95,11 @@
 async fn propose(coordinator: &mut Coordinator, number: u64, size: PolicySize) -> Result<Proposal, String> {
     let idle_close = FIRST_IDLE_CLOSE_US + number;
     let settings = json!({"limits": {"idle_close_us": idle_close}});
-    let policy = json!({"settings": settings, "out": size.endpoints_left_out()}).to_string();
-    let began = clock();
-    let report = coordinator.propose(&policy, "lab", PATIENCE).await.map_err(|error| error.to_string())?;
+    let policy = json!({"settings": settings, "out": size.excluded_endpoints()}).to_string();
+    let proposed_at = clock();
+    let report =
+        coordinator.propose(&policy, "lab", PROPOSAL_TIMEOUT).await.map_err(|error| error.to_string())?;
     let since_commit = coordinator.last_commit().map_or(Duration::ZERO, |at| at.elapsed());
-    let committed = clock() - since_commit.as_micros() as u64;
-    Ok(Proposal { epoch: report.version, began, committed })
+    let committed_at = clock() - since_commit.as_micros() as u64;
+    Ok(Proposal { epoch: report.version, proposed_at, committed_at })
 }
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/stand_in.rs
@@ -1,22 +1,22 @@
-//! A control stand-in: the process that the forwarders of one zone connect to.
+//! The control stand-in, a process that the forwarders of one zone connect to as to their Consul servers.
 //!
-//! It has two links, to the commit point and to the duties of its region, each a fault proxy that counts bytes, and the
-//! stores that are kept in its zone.
+//! It has a link to the commit point and a link to the lease store of its region, and it runs the stores of its zone.
+//! Each link is a fault proxy that counts bytes.
 
-use super::messages::{ControlRole, Counts, Listens, Report, Request, Store};
+use super::messages::{ControlAddresses, ControlRole, Counts, Report, Request, Store};
 use super::reporting::report;
 use orchidyoke_fakes::{ConsulServer, FaultProxy, NetworkFault, ServerRuntime, unused_loopback_address};
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A link of the zone, and the store behind it where that is kept here.
+/// A link of the zone, with the store behind it if this process runs that store.
 struct Link {
     proxy: FaultProxy,
     store: Option<ConsulServer>,
 }
 
 impl Link {
-    fn new(stage: &ServerRuntime, store: Store) -> Self {
+    fn new(runtime: &ServerRuntime, store: Store) -> Self {
         let (store, upstream) = match store {
             Store::At(address) => (None, address),
             Store::Here => {
@@ -25,7 +25,7 @@
                 (Some(store), address)
             }
         };
-        Link { proxy: FaultProxy::start(stage, unused_loopback_address(), upstream), store }
+        Link { proxy: FaultProxy::start(runtime, unused_loopback_address(), upstream), store }
     }
 
     fn store_address(&self) -> Option<SocketAddr> {
@@ -51,38 +51,38 @@
     }
 }
 
-/// Runs until the requests end.
+/// Runs the control stand-in until the request channel closes.
 pub async fn run(role: &ControlRole, mut requests: UnboundedReceiver<Request>) {
-    let stage = ServerRuntime::new();
-    let policy = Link::new(&stage, role.policy);
-    let duties = Link::new(&stage, role.duties);
-    report(&Report::Listens(Listens {
+    let runtime = ServerRuntime::new();
+    let policy = Link::new(&runtime, role.policy);
+    let leases = Link::new(&runtime, role.leases);
+    report(&Report::Listens(ControlAddresses {
         policy_link: policy.proxy.address,
-        duties_link: duties.proxy.address,
+        lease_link: leases.proxy.address,
         policy_store: policy.store_address(),
-        duties_store: duties.store_address(),
+        lease_store: leases.store_address(),
     }));
     while let Some(request) = requests.recv().await {
         match request {
             Request::Count(number) => {
                 let counts = Counts {
                     policy_bytes: policy.bytes(),
-                    duties_bytes: duties.bytes(),
+                    lease_bytes: leases.bytes(),
                     policy_requests: policy.requests(),
-                    duties_requests: duties.requests(),
+                    lease_requests: leases.requests(),
                 };
                 report(&Report::Counted(number, counts));
             }
             Request::Cut(cut) => {
                 policy.cut(cut);
-                duties.cut(cut);
+                leases.cut(cut);
             }
             Request::SessionsEndAfter(ttls) => {
                 policy.sessions_end_after(ttls);
-                duties.sessions_end_after(ttls);
+                leases.sessions_end_after(ttls);
             }
             Request::Begin | Request::Restart(_) | Request::Kill(_) => {
-                eprintln!("a control stand-in has no members: {request:?}");
+                eprintln!("not a request for a control stand-in: {request:?}");
             }
         }
     }
--- a/crates/experiments/src/capacity/control/table.rs
+++ b/crates/experiments/src/capacity/control/table.rs
@@ -1,4 +1,4 @@
-//! The table, the chart and the JSON line of the experiment.
+//! The table, the chart and the JSON line of the experiment `capacity-control`.
 
 use super::load::Quantity;
 use super::scenario::{Growth, Row};
@@ -6,17 +6,22 @@
 use crate::report::{Chart, ChartSeries, ExperimentReport};
 use serde_json::{Value, json};
 
-/// A size of the fleet, and the name of its column.
+/// A fleet size with the name of its column.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Forwarders.
+    /// Number of forwarders.
     pub members: usize,
-    /// The column.
+    /// Heading of the column.
     pub column: &'static str,
 }
 
-/// All that the experiment has shown.
-pub fn outcome(run: &RunOptions, sizes: &[FleetSize], rows: &[Row], broken: Vec<String>) -> ExperimentReport {
+/// Returns the report of the experiment.
+pub fn report(
+    run: &RunOptions,
+    sizes: &[FleetSize],
+    rows: &[Row],
+    broken_rules: Vec<String>,
+) -> ExperimentReport {
     ExperimentReport {
         columns: columns(sizes),
         rows: rows.iter().map(|row| cells(sizes, row)).collect(),
@@ -26,11 +31,11 @@
             "seed": run.seed,
             "sabotage": run.sabotage,
             "sizes": sizes.iter().map(|size| size.members).collect::<Vec<_>>(),
-            "missed": missed(rows),
-            "broken": broken.len(),
+            "missed": exceeded_budgets(rows),
+            "broken": broken_rules.len(),
             "rows": rows.iter().map(row_json).collect::<Vec<_>>(),
         }),
-        violations: broken,
+        violations: broken_rules,
     }
 }
 
@@ -44,37 +49,37 @@
 fn cells(sizes: &[FleetSize], row: &Row) -> Vec<String> {
     let value = |size: &FleetSize| {
         let point = row.points.iter().find(|(members, _)| *members == size.members as f64);
-        point.map_or("-".to_owned(), |(_, value)| figure(*value))
+        point.map_or("-".to_owned(), |(_, value)| three_digits(*value))
     };
-    let optional = |value: Option<f64>| value.map_or("-".to_owned(), figure);
+    let optional = |value: Option<f64>| value.map_or("-".to_owned(), three_digits);
     let trend = row.trend();
     let scenario = row.scenario.replace(',', ";");
     let mut cells = vec![scenario, row.basis.label().to_owned(), row.quantity.replace(',', ";")];
     cells.extend(sizes.iter().map(value));
     cells.extend([
         optional(row.budget),
-        optional(row.factor()),
+        optional(row.budget_factor()),
         verdict(row).to_owned(),
         trend.map_or("-", |trend| trend.growth.label()).to_owned(),
-        optional(trend.and_then(|trend| trend.power)),
+        optional(trend.and_then(|trend| trend.exponent)),
         optional(trend.map(|trend| trend.fit.slope)),
         optional(trend.map(|trend| trend.fit.intercept)),
         trend.map_or("-".to_owned(), |trend| format!("{:.3}", trend.fit.r_squared)),
-        optional(row.fails_from()),
+        optional(row.exceeds_budget_from()),
     ]);
     cells
 }
 
 fn verdict(row: &Row) -> &'static str {
-    match row.factor() {
+    match row.budget_factor() {
         None => "-",
-        Some(factor) if factor > 1.0 => "missed",
+        Some(budget_factor) if budget_factor > 1.0 => "missed",
         Some(_) => "held",
     }
 }
 
-/// Three digits that count.
-fn figure(value: f64) -> String {
+/// Formats a value with three significant digits.
+fn three_digits(value: f64) -> String {
     let digits = match value.abs() {
         0.0 => return "0".to_owned(),
         size => (2 - size.log10().floor() as i32).clamp(0, 6) as usize,
@@ -82,13 +87,18 @@
     format!("{value:.digits$}")
 }
 
-/// The budgets that the largest fleet misses, the furthest first.
-fn missed(rows: &[Row]) -> Vec<Value> {
-    let mut missed: Vec<(&Row, f64)> =
-        rows.iter().filter_map(|row| Some((row, row.factor().filter(|factor| *factor > 1.0)?))).collect();
-    missed.sort_by(|a, b| b.1.total_cmp(&a.1));
-    let value = |(row, factor): (&Row, f64)| json!({"scenario": row.scenario, "what": row.quantity, "factor": factor, "from": row.fails_from()});
-    missed.into_iter().map(value).collect()
+/// Returns the budgets that the largest fleet exceeds, in descending order of the factor.
+fn exceeded_budgets(rows: &[Row]) -> Vec<Value> {
+    let mut exceeded_budgets: Vec<(&Row, f64)> = rows
+        .iter()
+        .filter_map(|row| Some((row, row.budget_factor().filter(|budget_factor| *budget_factor > 1.0)?)))
+        .collect();
+    exceeded_budgets.sort_by(|a, b| b.1.total_cmp(&a.1));
+    let value = |(row, budget_factor): (&Row, f64)| {
+        json!({"scenario": row.scenario, "what": row.quantity, "factor": budget_factor,
+            "from": row.exceeds_budget_from()})
+    };
+    exceeded_budgets.into_iter().map(value).collect()
 }
 
 fn row_json(row: &Row) -> Value {
@@ -96,7 +106,8 @@
     json!({"scenario": row.scenario, "what": row.quantity, "values": values.collect::<Vec<_>>()})
 }
 
-/// Bytes a second of a forwarder in the scenarios in which they grow with the fleet, and the lines fitted to them.
+/// Returns a chart of the bytes per second and forwarder in the scenarios in which they grow with the fleet, with the
+/// fitted lines.
 fn chart(rows: &[Row]) -> Chart {
     let label = Quantity::Bytes.label();
     let mut lines = Vec::new();
--- a/crates/experiments/src/capacity/forwarder_process.rs
+++ b/crates/experiments/src/capacity/forwarder_process.rs
@@ -1,4 +1,4 @@
-//! One forwarder as a child process that is measured: a start with a time limit, its console, and its journal.
+//! A forwarder as a child process under measurement: its start with a time limit, its console, and its journal.
 
 use super::error::CapacityError;
 use super::process::{self, Usage};
@@ -13,31 +13,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two questions whether something is done.
-const POLL: Duration = Duration::from_millis(1);
+/// Interval between two calls of the console while the forwarder starts.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A forwarder that runs. It is killed when it is dropped.
+/// A running forwarder. Dropping it kills the process.
 #[derive(Debug)]
 pub struct ForwarderProcess {
     child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub clients: SocketAddr,
     console: SocketAddr,
     journal: PathBuf,
     log: Receiver<String>,
 }
 
-/// What a start has cost.
+/// The cost of a start.
 #[derive(Clone, Copy, Debug)]
 pub struct StartCost {
-    /// From the start of the process until its console said that it is ready.
+    /// Time from the start of the process until its console reports that it is ready.
     pub elapsed: Duration,
-    /// What it had used by then.
+    /// Resources that the process had used by then.
     pub usage: Usage,
 }
 
 impl ForwarderProcess {
-    /// Starts it with `config.json` of a folder and its state in the folder's `state`, and waits until it is ready.
+    /// Starts a forwarder with the configuration `config.json` and the state folder `state` of `folder`, and waits
+    /// until it is ready.
     pub fn start(
         program: &Path,
         folder: &TemporaryFolder,
@@ -50,40 +51,40 @@
         command.arg("--state").arg(&state).args(["--console", "127.0.0.1:0"]);
         command.env("NO_COLOR", "1").stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn()?;
-        let log = follow(child.stderr.take());
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let log = read_lines(child.stderr.take());
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let journal = state.join("journal");
-        // From here on an error ends the child.
-        let mut started = ForwarderProcess { child, clients: nowhere, console: nowhere, journal, log };
+        // From here on an error drops `started` and thereby kills the child.
+        let mut started = ForwarderProcess { child, clients: unset, console: unset, journal, log };
         started.clients = started.address_after("listens on ", begin, limit)?;
         started.console = started.address_after("console at ", begin, limit)?;
-        while !started.ask("ready")?.starts_with("200") {
+        while !started.call_console("ready")?.starts_with("200") {
             if begin.elapsed() > limit {
                 return Err(CapacityError::TooSlow { what: "ready", limit });
             }
-            thread::sleep(POLL);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         let usage = started.usage()?;
         Ok((started, StartCost { elapsed: begin.elapsed(), usage }))
     }
 
-    /// What it has used so far, and holds now.
+    /// Returns the resources of the process: those used so far, and those held now.
     pub fn usage(&self) -> io::Result<Usage> {
         process::usage(self.child.id())
     }
 
-    /// Processor time that it has used so far.
+    /// Returns the processor time that the process has used so far.
     pub fn processor(&self) -> io::Result<Duration> {
         process::processor_time(self.child.id())
     }
 
-    /// Bytes in its journal.
+    /// Returns the size of the journal, in bytes.
     pub fn journal_size(&self) -> io::Result<u64> {
         Ok(std::fs::metadata(&self.journal)?.len())
     }
 
-    /// The reply of its console to one call.
-    pub fn ask(&self, call: &str) -> io::Result<String> {
+    /// Sends one call to the console and returns the reply.
+    pub fn call_console(&self, call: &str) -> io::Result<String> {
         let mut stream = TcpStream::connect(self.console)?;
         stream.set_read_timeout(Some(Duration::from_secs(60)))?;
         stream.write_all(format!("{call}\n").as_bytes())?;
@@ -92,15 +93,15 @@
         Ok(reply)
     }
 
-    /// Tells it to read its configuration again.
+    /// Sends `SIGHUP`, at which the forwarder reloads its configuration.
     pub fn signal_reload(&self) -> io::Result<()> {
         let process = i32::try_from(self.child.id()).map_err(io::Error::other)?;
         Ok(kill(Pid::from_raw(process), Signal::SIGHUP)?)
     }
 
-    /// Waits until its log says that it has read its configuration again.
+    /// Waits for the log line that says that the configuration is reloaded.
     pub fn wait_for_reload(&self, limit: Duration) -> Result<(), CapacityError> {
-        self.logged("configuration: reloaded", "a reload", Instant::now(), limit).map(|_| ())
+        self.wait_for_line("configuration: reloaded", "a reload", Instant::now(), limit).map(|_| ())
     }
 
     fn address_after(
@@ -109,13 +110,13 @@
         begin: Instant,
         limit: Duration,
     ) -> Result<SocketAddr, CapacityError> {
-        let line = self.logged(words, "ready", begin, limit)?;
+        let line = self.wait_for_line(words, "ready", begin, limit)?;
         let address = line.split_once(words).and_then(|(_, address)| address.trim().parse().ok());
         address.ok_or(CapacityError::Ended(vec![line]))
     }
 
-    /// Waits for a line of the log with these words in it.
-    fn logged(
+    /// Waits for a line of the log that contains `words`.
+    fn wait_for_line(
         &self,
         words: &str,
         what: &'static str,
@@ -142,8 +143,8 @@
     }
 }
 
-/// The lines of a log as they come.
-fn follow(log: Option<ChildStderr>) -> Receiver<String> {
+/// Starts a thread that reads a log. Returns the channel of its lines.
+fn read_lines(log: Option<ChildStderr>) -> Receiver<String> {
     let (sender, lines) = channel();
     if let Some(log) = log {
         thread::spawn(move || {
--- a/crates/experiments/src/capacity/guard.rs
+++ b/crates/experiments/src/capacity/guard.rs
@@ -1,6 +1,6 @@
-//! A watch over the budget while an experiment waits for something: what goes over it is ended at once.
+//! A background check of the budget while an experiment waits. It kills the children as soon as the budget is exceeded.
 
-use super::budget::{Budget, BudgetError, Used};
+use super::budget::{Budget, BudgetError, BudgetUsage};
 use super::process;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -9,54 +9,54 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the budget is checked.
-const EVERY: Duration = Duration::from_millis(250);
+/// Interval between two checks of the budget.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
-struct Watched {
-    highest: Used,
-    over: Option<BudgetError>,
+struct GuardState {
+    highest: BudgetUsage,
+    exceeded: Option<BudgetError>,
 }
 
-/// Checks the budget on a thread of its own until it is dropped. Once something is over it, all children are killed and
-/// [`Guard::check`] says why.
+/// Checks the budget on its own thread until it is dropped. Once the budget is exceeded, the thread kills all children
+/// and stops, and [`Guard::check`] returns the reason.
 #[derive(Debug)]
 pub struct Guard {
     budget: Budget,
-    watched: Arc<Mutex<Watched>>,
+    state: Arc<Mutex<GuardState>>,
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Guard {
-    /// Starts to watch.
+    /// Starts the thread.
     pub fn start(budget: Budget) -> Self {
-        let watched = Arc::new(Mutex::new(Watched::default()));
+        let state = Arc::new(Mutex::new(GuardState::default()));
         let (stop, stopped) = channel::<()>();
-        let inner = watched.clone();
+        let thread_state = state.clone();
         let thread = thread::spawn(move || {
-            while stopped.recv_timeout(EVERY) == Err(RecvTimeoutError::Timeout) {
-                if !look(&budget, &inner) {
-                    end_children();
+            while stopped.recv_timeout(CHECK_INTERVAL) == Err(RecvTimeoutError::Timeout) {
+                if !check_once(&budget, &thread_state) {
+                    kill_children();
                     return;
                 }
             }
         });
-        Guard { budget, watched, stop: Some(stop), thread: Some(thread) }
+        Guard { budget, state, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// An error where the experiment is over its budget, was so at any moment before, or would be so with what the next
-    /// step needs.
-    pub fn check(&self, needed: &Used) -> Result<(), BudgetError> {
-        if let Some(error) = lock(&self.watched).over.take() {
+    /// Returns an error if the experiment exceeds its budget, has exceeded it before, or would exceed it with the needs
+    /// of the next step.
+    pub fn check(&self, needed: &BudgetUsage) -> Result<(), BudgetError> {
+        if let Some(error) = lock(&self.state).exceeded.take() {
             return Err(error);
         }
         self.budget.check_with(needed).map(|_| ())
     }
 
-    /// The most that was used so far, each figure for itself.
-    pub fn highest(&self) -> Used {
-        lock(&self.watched).highest
+    /// Returns the maximum of each resource over all checks so far.
+    pub fn highest(&self) -> BudgetUsage {
+        lock(&self.state).highest
     }
 }
 
@@ -67,35 +67,35 @@
     }
 }
 
-fn lock(watched: &Mutex<Watched>) -> MutexGuard<'_, Watched> {
-    watched.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<GuardState>) -> MutexGuard<'_, GuardState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Checks once; false where the experiment is over its budget.
-fn look(budget: &Budget, watched: &Mutex<Watched>) -> bool {
+/// Checks the budget once. Returns `false` if it is exceeded or the use cannot be read.
+fn check_once(budget: &Budget, state: &Mutex<GuardState>) -> bool {
     let checked = budget.check();
-    let mut watched = lock(watched);
+    let mut state = lock(state);
     match checked {
         Ok(used) => {
-            let highest = &mut watched.highest;
+            let highest = &mut state.highest;
             highest.resident = highest.resident.max(used.resident);
             highest.processes = highest.processes.max(used.processes);
             highest.descriptors = highest.descriptors.max(used.descriptors);
             true
         }
         Err(error) => {
-            watched.over = Some(error);
+            state.exceeded = Some(error);
             false
         }
     }
 }
 
-fn end_children() {
+fn kill_children() {
     let own = std::process::id();
-    let family = process::family(own).unwrap_or_default();
-    for child in family.into_iter().filter(|process| *process != own) {
+    let process_tree = process::process_tree(own).unwrap_or_default();
+    for child in process_tree.into_iter().filter(|process| *process != own) {
         let Ok(child) = i32::try_from(child) else { continue };
-        // One that has ended meanwhile needs no signal.
+        // A child that has exited in the meantime needs no signal.
         let _ = kill(Pid::from_raw(child), Signal::SIGKILL);
     }
 }
--- a/crates/experiments/src/fleet_limit.rs
+++ b/crates/experiments/src/fleet_limit.rs
@@ -1,5 +1,5 @@
-//! `fleet-limit`: a hundred forwarders that share nothing but a destination with a limit, on a virtual clock. Shows what is
-//! harmless for one forwarder and harmful for a fleet, in seconds and without processes.
+//! `fleet-limit`: a hundred forwarders that share only a destination with a rate limit, on a virtual clock. It shows
+//! behaviour that is harmless for one forwarder and harmful for a fleet, in seconds and without processes.
 
 mod scenarios;
 mod virtual_fleet;
@@ -14,32 +14,32 @@
 use serde_json::json;
 use virtual_fleet::{SECOND, settings};
 
-/// Messages accepted in an overload, as a multiple of the limit.
+/// Rate of accepted messages in an overload, as a multiple of the destination's limit.
 const OVERLOAD_FACTOR: f64 = 1.3;
 
-/// A figure of a fleet, and the most that it may be.
+/// A measured value of a fleet, with its limit.
 struct Case {
-    /// The row's name.
+    /// Label of the row.
     label: &'static str,
-    most: f64,
-    /// The figure with these settings and this seed.
+    limit: f64,
+    /// Measures the value with these settings and this seed.
     measure: fn(&Settings, u64) -> f64,
 }
 
 const CASES: [Case; 8] = [
     Case {
         label: "refused a second, of 52 to a limit of 40",
-        most: 8.0,
+        limit: 8.0,
         measure: |settings, seed| rate_of(&overload(settings, OVERLOAD_FACTOR, seed), Outcome::Rejected),
     },
     Case {
         label: "calls in the first second after a start, two messages each, limit 40",
-        most: 64.0,
+        limit: 64.0,
         measure: |settings, seed| calls_of_first_second(settings, 0, |number| seed * 1000 + number) as f64,
     },
     Case {
         label: "calls in the first 40 ms after a told wait",
-        most: 35.0,
+        limit: 35.0,
         measure: |settings, seed| {
             let settings = Settings { max_calls: 8, ..settings.clone() };
             common_retry_after(FORWARDERS, &settings, seed).at_end as f64
@@ -47,38 +47,38 @@
     },
     Case {
         label: "part of the cold budget used, 5 s without an answer",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::ConnectFailed, 5 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same after 12 s",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::ConnectFailed, 12 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same, 5 s of errors",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::Error, 5 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same, 5 s of refusals",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::Rejected, 5 * SECOND, seed).peak_use,
     },
     Case {
         label: "the same, 15 s of refusals",
-        most: 1.0,
+        limit: 1.0,
         measure: |settings, seed| cold_recovery(settings, Outcome::Rejected, 15 * SECOND, seed).peak_use,
     },
 ];
 
-/// A case over all seeds.
+/// The values of a case over all seeds.
 struct OverSeeds {
     mean: f64,
     worst: f64,
 }
 
-/// Runs it. Sabotage: each forwarder is told that it is the only one.
+/// Runs the experiment. Under sabotage the settings of each forwarder say that the fleet has only one.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let fleet = settings(if options.sabotage { 1 } else { FORWARDERS });
     let alone = settings(1);
@@ -89,10 +89,10 @@
         let OverSeeds { mean, worst } = measure(case, &fleet, &seeds)?;
         let mean_alone = measure(case, &alone, &seeds)?.mean;
         let mut row = vec![case.label.to_owned()];
-        row.extend([mean, worst, case.most, mean_alone].map(|figure| format!("{figure:.2}")));
+        row.extend([mean, worst, case.limit, mean_alone].map(|figure| format!("{figure:.2}")));
         rows.push(row);
-        if worst > case.most {
-            violations.push(format!("{}: {worst:.2}, {} at most", case.label, case.most));
+        if worst > case.limit {
+            violations.push(format!("{}: {worst:.2}, {} at most", case.label, case.limit));
         }
     }
     let mut series = overload_series("a hundred that know it", &fleet, options.seed);
@@ -112,7 +112,7 @@
     })
 }
 
-/// Measures a case with each seed, on a thread of its own.
+/// Measures a case with all seeds, each on its own thread.
 fn measure(case: &Case, settings: &Settings, seeds: &[u64]) -> Result<OverSeeds, ExperimentError> {
     let figures = std::thread::scope(|threads| {
         let started: Vec<_> =
@@ -126,7 +126,7 @@
     })
 }
 
-/// Calls sent and served in each second of an overload.
+/// Returns the calls sent and the calls served in each second of an overload.
 fn overload_series(name: &str, settings: &Settings, seed: u64) -> Vec<ChartSeries> {
     let fleet = overload(settings, OVERLOAD_FACTOR, seed);
     let sent: Vec<Micros> = fleet.calls.iter().map(|call| call.at).collect();
@@ -138,7 +138,7 @@
     ]
 }
 
-/// How many of these moments lie in each second of an overload, which begins a second after the clock's zero.
+/// Counts the moments in each second of an overload. An overload begins one second after the clock's zero.
 fn counts_per_second(moments: &[Micros]) -> Vec<f64> {
     let count = |second| moments.iter().filter(|at| (**at - SECOND) / SECOND == second).count() as f64;
     (0..OVERLOAD_LENGTH / SECOND).map(count).collect()
