--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,18 +1,19 @@
 //! Decides when queued messages are shed because capacity runs out, and which Retry-After a rejected client gets.
 //!
 //! The controller rejects a message, or fails it if `retry` does not allow a rejection, for one of three reasons: it is
-//! shed (this module), its time is up (`timeouts`), or it may not be attempted again (`retry`: attempts, idempotency
-//! key). The forwarder rejects other messages before the controller sees them, for example when its journal has no
-//! room.
+//! shed (this module), the latest time for its final answer has come (`timeouts`), or it may not be attempted again
+//! (`retry`: attempts, idempotency key). The forwarder rejects other messages before the controller sees them, for
+//! example when its journal has no room.
 //!
 //! Inputs are the limit on open messages and their number, and for the Retry-After the state of the destination's
-//! routes. At the limit, new messages are rejected regardless of their priority. To keep a part of the limit free for
-//! them, the message with the lowest priority is shed first: the last message of the longest queue. Times are in
-//! microseconds.
+//! routes and the length of its queue. At the limit, the forwarder rejects new messages regardless of their priority.
+//! To keep a part of the limit free for new messages, the controller sheds queued ones before the limit is reached. It
+//! sheds the last message of the longest queue, because this message has the lowest priority in that queue. Times are
+//! in microseconds.
 
 use crate::interface::{Micros, Settings};
 
-/// Divisor of the limit on open messages that gives the number kept free.
+/// The limit on open messages, divided by this, is the number of messages for which room is kept free.
 const RESERVE_DIVISOR: usize = 16;
 
 /// Returns how many messages may be open before the lowest-priority ones are shed; `None` if there is no limit.
@@ -42,7 +43,7 @@
 }
 
 /// Returns the Retry-After for a rejected message: the time until its destination accepts calls again and has served
-/// the messages that are queued now.
+/// the messages that are queued now, up to `max_retry_after`. Returns 0 if rejections carry no Retry-After.
 pub(crate) fn retry_after(backlog: DestinationBacklog, settings: &Settings) -> Micros {
     let max_retry_after = Micros::from(settings.send_retry_after) * settings.max_retry_after.max(0);
     let queue_time = (backlog.queued as f64 * backlog.time_per_message_us) as Micros;
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -39,7 +39,7 @@
     pub is_overdue: bool,
     /// The message if the call has only one.
     pub only_message: Option<MessageId>,
-    /// Whether its endpoint has answered calls that were sent later.
+    /// Whether the latest check found it stalled; see [`is_stalled`](crate::timeouts::is_stalled).
     pub is_stalled: bool,
     /// Whether it was in flight when its route recovered from an outage; then it takes no room in the concurrency
     /// window.
--- a/crates/core/src/capacity_share.rs
+++ b/crates/core/src/capacity_share.rs
@@ -9,12 +9,12 @@
 /// A rough hint may be half too high, so the capacity is at least this fraction of it.
 const ROUGH_HINT_FACTOR: f64 = 0.67;
 
-/// What is known of a route's capacity, in calls a second; 0 where nothing is known.
+/// The two sources of a route's capacity, each in calls a second; 0 if the source gives none.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KnownCapacity {
-    /// From the endpoint list.
+    /// Capacity hint of the endpoint list.
     pub hint: f64,
-    /// From the answers of the route.
+    /// Limit that the answers of the route report.
     pub reported_limit: f64,
 }
 
--- a/crates/core/src/concurrency_limit.rs
+++ b/crates/core/src/concurrency_limit.rs
@@ -4,7 +4,7 @@
 //! outcomes of calls; the unit is calls in flight. In addition to the window, each destination may hold only a share of
 //! all call slots, and a faulty destination a smaller share, so that a hanging destination leaves slots to the others.
 
-/// Factor by which a success at the first attempt increases the window.
+/// Factor by which a first-try success increases the window.
 const WINDOW_GROWTH: f64 = 1.1;
 /// Factor by which a failure or rejection decreases the window.
 const WINDOW_DECREASE: f64 = 0.5;
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -32,7 +32,8 @@
     rng: SeededRng,
     now: Micros,
     messages: BTreeMap<MessageId, Message>,
-    /// Messages with an attempt that ended in this step and about which no decision has been made yet.
+    /// Messages whose attempt ended or whose attempt history arrived in this step, and about which no decision has been
+    /// made yet.
     ended_attempt_messages: Vec<MessageId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     calls: BTreeMap<CallId, Call>,
@@ -49,13 +50,14 @@
 }
 
 impl Controller {
-    /// Creates a controller without any state; `seed` determines all its random draws.
+    /// Creates a controller without messages, endpoints or calls; `seed` determines all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Controller { settings, rng: SeededRng::new(seed), ..Controller::default() }
     }
 
-    /// Returns the routes that are ejected, failing with errors or warming up. After a restart they are restored by
-    /// [`Event::RouteState`], because the messages that waited for them would otherwise overload a cold destination.
+    /// Returns the routes whose state a later process has to know: those that are ejected, failing repeatedly with
+    /// errors, or warming up. After a restart [`Event::RouteState`] restores their state, because the messages that
+    /// waited for them would otherwise overload a cold destination.
     /// The limit on calls to faulty routes follows another rule: a route that is only warming up is in this set and not
     /// limited, and a route that is only slow or rejecting is limited and not in this set.
     pub fn faulty_routes(&self) -> BTreeSet<RouteRef> {
@@ -86,7 +88,8 @@
         !endpoint.accepts_calls || endpoint.is_excluded || is_ejected
     }
 
-    /// Applies all events of a step, then decides once. `now` must not decrease from one step to the next.
+    /// Applies all events of a step, then decides once and appends the resulting actions to `actions`. `now` must not
+    /// decrease from one step to the next.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         events.iter().for_each(|event| self.on_event(event));
--- a/crates/core/src/controller/calls.rs
+++ b/crates/core/src/controller/calls.rs
@@ -24,7 +24,7 @@
             let faulty_at_limit = self.faulty_calls_at_limit();
             let Some(ready) = self.schedule.waiting.first_ready(faulty_at_limit) else { return };
             if ready.found_at < self.now {
-                // This was found in an earlier step, and the routes may have closed since.
+                // An earlier step found this message ready, and its routes may have stopped taking calls since.
                 self.schedule.changed_destinations.push(ready.destination);
             } else {
                 let id = ready.rank.message;
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Draws for each route whose slow-start budget is below one call and whose draw is due.
+    /// Draws for each route that has a slow-start budget and whose draw is due. The result has an effect only while the
+    /// budget is below one call.
     fn draw_slow_start_calls(&mut self) {
         self.schedule.changed_destinations.extend(self.schedule.waiting.pop_draws(self.now));
         let due: BTreeSet<DestinationId> = self.schedule.changed_destinations.iter().copied().collect();
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Returns the first message of a queue that can be sent now.
+    /// Returns the first message of a queue that can be sent now, among its first `QUEUE_SCAN_MESSAGES`.
     pub(super) fn first_sendable(
         &self,
         destination: &Destination,
@@ -149,7 +150,7 @@
         selection::cost(&inputs, pressure, &self.settings)
     }
 
-    /// Sends one call to an endpoint: the given message, and others of its queue up to the greatest batch of a call.
+    /// Sends the given message to an endpoint, in one call with others of its queue up to the greatest batch.
     fn send_call(&mut self, first: MessageId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get(&endpoint_id) else { return };
         let batch = self.batch(first, endpoint_id, endpoint);
@@ -204,7 +205,7 @@
     }
 
     /// Sends a message with the call opened last. A message that must not be sent twice has a time-out too, because a
-    /// hanging call would occupy its slot.
+    /// hanging call would otherwise occupy its slot.
     fn send_attempt(&mut self, id: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         self.unqueue(id);
         let Some(route) = self.endpoints.get(&endpoint).map(|endpoint| endpoint.route) else { return };
--- a/crates/core/src/controller/endpoints.rs
+++ b/crates/core/src/controller/endpoints.rs
@@ -76,9 +76,9 @@
         self.route_changed(route);
     }
 
-    /// Creates a route. An endpoint that is added to a destination without others starts with a new route. Two
-    /// properties belong to the destination and are copied from its earlier route `before`: its Retry-After, and that
-    /// it returns cold.
+    /// Creates a route, for example for an endpoint that is added to a destination without other endpoints. Two
+    /// properties belong to the destination and are copied from its earlier route `before`: the Retry-After, and the
+    /// need to warm up if that route was ejected or warming up.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
         let bucket = pacing::initial_bucket(self.now, &self.settings, &mut self.rng);
         let mut route = Route::new(self.now, bucket);
@@ -111,8 +111,8 @@
         self.schedule.changed_destinations.push(id);
     }
 
-    /// Applies what an earlier process or an operator knows of a destination. A destination that has no endpoints now
-    /// keeps it for endpoints that are added later.
+    /// Applies [`Event::RouteState`] to the routes of a destination. If the state is for all endpoints and there are
+    /// none, a new shared route keeps the state for endpoints that are added later.
     pub(super) fn on_route_state(
         &mut self,
         id: DestinationId,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Applies the health checks of a destination. A route without a passing endpoint is ejected until a call succeeds.
+    /// Applies the health checks of a destination. A route that becomes critical is ejected until a call succeeds.
     /// A successful call overrules a failing health check, and a passing health check alone ends no ejection.
     fn apply_health_checks(&mut self, destination: DestinationId) {
         let Some(ids) = self.destinations.get(&destination).map(|d| d.endpoints.clone()) else { return };
@@ -159,7 +159,7 @@
             endpoint.is_excluded = result.excludes_endpoint;
             if result.route_is_critical && !route.is_critical {
                 route.health = RouteHealth::Ejected;
-                // This counts as a failure, so the success of a call sent before it proves nothing.
+                // The ejection is recorded as a failure, so the success of a call sent before does not end it.
                 route.traffic_mut().failures.extend_span(self.now);
             }
             route.is_critical = result.route_is_critical;
--- a/crates/core/src/controller/final_answers.rs
+++ b/crates/core/src/controller/final_answers.rs
@@ -6,7 +6,8 @@
 use crate::queue::QUEUE_SCAN_MESSAGES;
 
 impl Controller {
-    /// Decides on each message whose attempt has ended without success: it returns to its queue or gets a final answer.
+    /// Returns each message whose attempt has ended without success to its queue, or gives it its final answer. Does
+    /// the same for each message whose attempt history has arrived.
     pub(super) fn requeue_or_give_up_messages(&mut self, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.ended_attempt_messages) {
             self.requeue_or_give_up(id, actions);
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -1,4 +1,5 @@
-//! Updates the schedule's indexes for what has changed or is due. This module has no rules.
+//! Updates the schedule's indexes for the destinations that have changed or whose timer is due. This module has no
+//! rules.
 
 use super::Controller;
 use crate::endpoint::Destination;
@@ -7,7 +8,7 @@
 use crate::route::RouteId;
 use crate::waiting_index::Wait;
 
-/// A route of a destination, with its number for the forwarder and its index in the table of routes.
+/// The route that a [`RouteRef`] names, as its index in the table of routes; `None` if there is no such route.
 struct NamedRoute {
     id: RouteRef,
     route: Option<RouteId>,
@@ -27,7 +28,7 @@
         self.schedule.changed_destinations.extend(self.schedule.route_users.destinations(id));
     }
 
-    /// Updates the index of waiting destinations for what has changed or is due.
+    /// Updates the index of waiting destinations for those that have changed or whose time of change is due.
     pub(super) fn update_waiting_index(&mut self) {
         self.schedule.changed_destinations.extend(self.schedule.waiting.pop_changed(self.now));
         let mut changed = std::mem::take(&mut self.schedule.changed_destinations);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Updates the set of faulty routes for what has changed or is due.
+    /// Updates the set of faulty routes for the destinations that have changed or have warmed up.
     pub(super) fn update_faulty_routes(&mut self) {
         let due = std::iter::from_fn(|| self.schedule.warm_up_timers.pop_due(self.now));
         self.schedule.stale_faulty_routes.extend(due);
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Returns the separate routes of a destination's endpoints, and its shared route, which it may have without
-    /// endpoints.
+    /// Returns one entry for each endpoint of a destination and one for its shared route, which it may have without
+    /// endpoints. The entry of an endpoint has a route only if the endpoint is a separate route.
     fn named_routes(&self, id: DestinationId, destination: &Destination) -> Vec<NamedRoute> {
         let endpoints = destination.endpoints.iter().map(|id| (*id, &self.endpoints[id]));
         let separate = endpoints.map(|(endpoint_id, endpoint)| NamedRoute {
@@ -87,7 +88,8 @@
         separate.chain([shared]).collect()
     }
 
-    /// Adds a route to the faulty routes or removes it. Returns the time at which it has warmed up.
+    /// Adds a route to the faulty routes or removes it. Returns the time at which the route has warmed up; `None` if it
+    /// is not warming up.
     fn update_faulty_route(&mut self, named: &NamedRoute) -> Option<Micros> {
         let route = named.route.map(|id| &self.routes[id]);
         let faulty = route.filter(|route| route.needs_recovery(self.now, &self.settings));
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! Queues messages when it is their turn, and removes them after their final answer.
+//! Queues messages when it is their turn within their order key, and removes them after their final answer.
 
 use super::Controller;
 use crate::interface::*;
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -45,16 +45,15 @@
         }
     }
 
-    /// Records whether a stalled call was a slow message. Only a success or a time-out shows this: that of the stalled
-    /// call itself, or that of the attempt after a cancelled one.
+    /// Records whether a stalled call turned out to be a slow message. Only a success or a time-out shows this, either
+    /// of the stalled call itself or of the further attempt that replaces a cancelled call.
     fn record_stall_result(&mut self, call: &Call, result: &AttemptResult) {
         let is_further_attempt = self.messages.get(&result.id).is_some_and(|m| m.stall_cancelled);
         let is_conclusive = matches!(result.outcome, Outcome::Success | Outcome::Timeout);
         if !is_conclusive || !(is_further_attempt || call.is_stalled) {
             return;
         }
-        // If the further attempt is overdue as well, its message takes long. The same holds for a stalled call that
-        // succeeds in the end.
+        // A message is slow if its further attempt is overdue as well, or if its stalled call succeeds in the end.
         let was_slow_message =
             if is_further_attempt { call.is_overdue } else { result.outcome == Outcome::Success };
         self.stalls.record(was_slow_message);
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Ends the failures of a route after a success; after an outage the success also starts the ramp.
+    /// Ends the failures of a route after a success, and starts its ramp if [`slow_start::starts_ramp`] returns `true`.
     fn end_failures(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let is_capacity_reduced = route.present_capacity(self.now, &self.settings).is_some();
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Starts the ramp at the first success after an outage. Calls still in flight are presumed lost.
+    /// Starts the ramp of a route. Its calls in flight that have not been counted are presumed lost.
     fn start_warm_up(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         route.health = RouteHealth::WarmingUp(self.now);
@@ -164,8 +163,8 @@
         self.routes[id].update_outage_state(self.now, &self.settings);
     }
 
-    /// Slows the pace after a rejection. Discards the saved-up calls and a random part of one more call, so that
-    /// forwarders that are rejected together do not return together.
+    /// Slows the pace after a rejection. Discards the tokens saved up in the bucket and a random part of one more, so
+    /// that forwarders that are rejected together do not return together.
     fn slow_pace(&mut self, id: RouteId) {
         let route = &mut self.routes[id];
         let depth = pacing::max_multiple(&self.settings);
--- a/crates/core/src/controller/timers.rs
+++ b/crates/core/src/controller/timers.rs
@@ -1,4 +1,4 @@
-//! Handles what is due by time: deadlines and reviews of messages, overdue and stalled calls, and the next timer.
+//! Handles due timers: deadlines and reviews of messages, and overdue and stalled calls. Requests the next timer.
 
 use super::Controller;
 use crate::call::CallId;
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Requests a timer for the next time at which something is due, unless an earlier timer is set.
+    /// Requests a timer for the next time at which a message, a call or a route has to be examined, unless an earlier
+    /// timer is set.
     pub(super) fn set_timer(&mut self, actions: &mut Vec<Action>) {
         self.update_waiting_index();
         let mut next = self.schedule.first_timer();
--- a/crates/core/src/draining.rs
+++ b/crates/core/src/draining.rs
@@ -1,8 +1,9 @@
 //! Decides whether a draining or removed endpoint gets calls, and whether a call may start while the forwarder shuts
 //! down.
 //!
-//! Inputs are the endpoint's state in the list, the calls in flight, and the time of the shutdown, in microseconds. An
-//! endpoint gets no new calls once it drains; calls in flight end by themselves.
+//! Inputs are the endpoint's state in the list, the end of its Retry-After, the time after which a call is overdue, and
+//! the time of the shutdown, all times in microseconds. An endpoint gets no new calls once it drains; calls in flight
+//! end by themselves.
 
 use crate::interface::{EndpointState, Micros};
 
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -28,12 +28,12 @@
     traffic: Option<Box<EndpointTraffic>>,
 }
 
-/// What the calls to an endpoint have shown.
+/// The record of the calls to an endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointTraffic {
     /// Calls in flight.
     pub in_flight: usize,
-    /// For each idle connection the time since which it is idle, the latest last.
+    /// For each idle connection, the time since which it is idle, in ascending order.
     idle_connections: Vec<Micros>,
     /// Number of errors since the last success.
     pub consecutive_errors: u32,
@@ -104,12 +104,12 @@
         self.health = entry.health;
     }
 
-    /// Returns what its calls have shown so far.
+    /// Returns the record of its calls.
     pub fn traffic(&self) -> &EndpointTraffic {
         self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
     }
 
-    /// Returns what its calls have shown so far, as a mutable reference.
+    /// Returns the record of its calls as a mutable reference.
     pub fn traffic_mut(&mut self) -> &mut EndpointTraffic {
         self.traffic.get_or_insert_with(|| Box::new(EndpointTraffic::initial()))
     }
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Maximum size of an entry in bytes, without its names and its address: all its numbers at their longest.
+/// Maximum size of an entry in bytes, without its names and its address, if all its numbers are at their longest.
 const ENTRY_BYTES: usize = 160;
 /// Maximum size of an address in bytes.
 const IPV4_BYTES: usize = "255.255.255.255:65535".len();
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -104,6 +104,7 @@
     entries: BTreeSet<ByUid>,
     /// Zones and kinds.
     names: SharedNames,
+    /// Sum of the entries' sizes as JSON, in bytes; an upper bound.
     size: usize,
 }
 
@@ -134,7 +135,7 @@
         self.entries = BTreeSet::new();
         // Drops names that no entry uses any more.
         self.names = SharedNames::default();
-        // A tree that is built in one go is packed full. Of two entries for one endpoint the later one counts.
+        // A tree that is built in one go has full nodes. Of two entries for one endpoint the later one is kept.
         let mut entries: BTreeSet<ByUid> =
             entries.iter().map(|entry| ByUid(self.share_names(entry, &uid_of))).collect();
         entries.retain(|entry| entry.0.state != EndpointState::Removed);
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -18,8 +18,8 @@
 pub type EndpointId = u32;
 /// The number of a destination.
 pub type DestinationId = u64;
-/// A route, named by the numbers of this interface: a destination, or one endpoint of a destination whose endpoints are
-/// separate routes.
+/// A route, identified by the numbers of this interface: a destination, or one endpoint of a destination whose
+/// endpoints are separate routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteRef {
     /// The destination.
@@ -177,8 +177,8 @@
     pub discovery_mode: DiscoveryMode,
     /// Shortest time between two steps.
     pub tick: Micros,
-    /// Time after the deadline within which a final answer still counts. Has no effect: the controller answers before
-    /// the deadline.
+    /// Time after the deadline within which a final answer is still accepted as in time. Has no effect, because the
+    /// controller answers before the deadline.
     pub final_answer_grace: Micros,
     /// Longest time between two requests for the endpoint list while there is no subscription; 0 means no limit. Used
     /// by [`poll_schedule`](crate::poll_schedule), not by the controller.
@@ -327,7 +327,8 @@
         class: usize,
         /// Its tenant; has no effect.
         tenant: usize,
-        /// Its order key, which counts only if its class keeps an order. The controller does not know idempotency keys.
+        /// Its order key, which has an effect only if its class keeps an order. The controller does not know
+        /// idempotency keys.
         order_key: Option<u64>,
         /// Time left until its deadline.
         time_left: Micros,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a forwarder of outbound messages, and the data that they depend on.
 //!
-//! A forwarder passes [`Event`](interface::Event)s to [`Controller::step`] and carries out the
-//! [`Action`](interface::Action)s that it returns: what to send, where and when, what to reject, what to fail. Each
+//! A forwarder passes [`Event`](interface::Event)s to [`Controller::step`] and carries out the resulting
+//! [`Action`](interface::Action)s: what to send, where and when, what to reject, what to fail. Each
 //! rule has its own module, which does no I/O and reads no clock:
 //!
 //! | module | decides |
@@ -20,21 +20,22 @@
 //!
 //! Terms for a route or an endpoint that gets fewer calls:
 //!
-//! - Ejected (route): set by an outage, by health checks none of which passes, or by `RouteState`. The route gets trial
-//!   calls, one at a time, within a budget. Ends with a success that ends the failures (`is_ended_by`).
+//! - Ejected (route): set by an outage, by health checks when the route becomes critical, or by `RouteState`. The route
+//!   gets trial calls, one at a time, within a budget. Ends with a success that ends the failures (`is_ended_by`).
 //! - Warming up (route): set by the success that ends an ejection. The route gets a budget of calls that grows. Ends
 //!   after `warm_up_time`.
-//! - Critical (route): set by health checks if no endpoint passes and one fails. The route is ejected when this starts.
-//!   Ends with an endpoint that passes.
+//! - Critical (route): set by health checks if no endpoint of the route passes and one fails. The route is ejected when
+//!   it becomes critical. Ends when an endpoint of the route passes.
 //! - Faulty (route): set by an ejection, consecutive failures or an overdue call. The route gets fewer calls in flight
-//!   and a higher cost. Ends with its causes.
+//!   and a higher cost. Ends when none of these causes is left.
 //! - Excluded (endpoint): set by a failing health check while another endpoint passes. The endpoint gets no calls. Ends
 //!   when the health check no longer fails or no other endpoint passes.
 //! - Suspect (endpoint): set by recent errors (the endpoint is avoided) or by a health check that warns. The endpoint
-//!   gets a higher cost, so other endpoints are preferred. After errors it ends with a success or after some seconds,
-//!   after a warning with the health check.
-//! - Does not accept calls (endpoint): set by the endpoint list if the endpoint drains or is removed. The endpoint gets
-//!   no calls. Ends with the endpoint list.
+//!   gets a higher cost, so other endpoints are preferred. After errors, ends with a success or after some seconds;
+//!   after a warning, ends when the health check no longer warns.
+//! - Does not accept calls (endpoint): set by the endpoint list if the endpoint drains, is removed, or is listed under
+//!   another destination. The endpoint gets no calls. Ends when the endpoint list shows it as active again under its
+//!   destination.
 
 #![deny(missing_docs)]
 
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -6,19 +6,19 @@
 
 use crate::interface::{HealthStatus, Micros, Outcome};
 
-/// The failures from which a route counts as down.
+/// The condition under which the failures of a route are an outage.
 #[derive(Clone, Copy, Debug)]
 struct OutageThreshold {
     /// Number of failures without a success between them.
     consecutive_failures: u32,
-    /// Time since the last success. It counts as exceeded if the route has never succeeded.
+    /// Time since the last success. A route that has never succeeded is treated as if its last success were at time 0.
     no_success_for_us: Micros,
 }
 
 /// Threshold if at least one failure was more than a rejection.
 const OUTAGE_AFTER_ERRORS: OutageThreshold =
     OutageThreshold { consecutive_failures: 3, no_success_for_us: 1_500_000 };
-/// Threshold if all calls were rejected and no limit is known.
+/// Threshold if all calls were rejected and the route is not paced.
 const OUTAGE_AFTER_REJECTIONS: OutageThreshold =
     OutageThreshold { consecutive_failures: 3, no_success_for_us: 4_000_000 };
 /// Threshold if a paced route rejected all calls. It is higher because a paced route that is over its limit rejects
@@ -37,7 +37,7 @@
 /// The health of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum RouteHealth {
-    /// No fault is known.
+    /// The route is neither ejected nor warming up. Its calls may still fail.
     #[default]
     Healthy,
     /// The route gets only trial calls.
@@ -49,20 +49,20 @@
 /// The time span of the failures since the last success.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FailureSpan {
-    /// Time of the first.
+    /// Time of the first failure.
     pub first_at: Micros,
-    /// Time of the latest.
+    /// Time of the latest failure.
     pub last_at: Micros,
 }
 
-/// What the outcomes of a route's calls say about its health.
+/// The failures of a route since its last success.
 #[derive(Debug)]
 pub(crate) struct FailureHistory {
     /// Failures and rejections since the last success.
     pub consecutive_failures: u32,
     /// Whether one of these failures was more than a rejection.
     pub has_errors: bool,
-    /// Time of the last success that counted; 0 if there was none.
+    /// Time of the last success that ended the failures; 0 if there was none.
     pub last_success_at: Micros,
     /// The time span of these failures; `None` if there was no failure since the last success.
     pub span: Option<FailureSpan>,
@@ -90,8 +90,8 @@
         self.span.map(|span| span.first_at)
     }
 
-    /// Counts a failure. An overdue call has been counted before. A failed connection is no error if the route is
-    /// paced, because the pace already limits the calls of the fleet.
+    /// Counts a failure. A call that was overdue has already been counted. A failed connection is no error if the route
+    /// is paced, because the pace already limits the calls of the fleet.
     pub fn record_failure(&mut self, outcome: Outcome, was_overdue: bool, is_paced: bool) {
         self.has_errors |= match outcome {
             Outcome::Rejected => false,
@@ -163,13 +163,13 @@
     is_invalid && *consecutive < INVALID_RESPONSES_AS_FAILURE
 }
 
-/// What a destination's health checks say about one of its endpoints and its route.
+/// The effect of a destination's health checks on one of its endpoints and on the endpoint's route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct HealthCheckResult {
     /// Whether the endpoint gets no calls because it fails while another endpoint of the destination passes.
     pub excludes_endpoint: bool,
-    /// Whether the route has no endpoint that passes. Only a critical health check starts this, and only a passing one
-    /// ends it.
+    /// Whether the route is critical, because none of its endpoints passes. Only a critical health check starts this
+    /// state, and only a passing one ends it.
     pub route_is_critical: bool,
 }
 
--- a/crates/core/src/pacing.rs
+++ b/crates/core/src/pacing.rs
@@ -15,7 +15,7 @@
 const MIN_MULTIPLE: f64 = 0.25;
 /// Factor by which the multiple grows in each second between two calls.
 const MULTIPLE_GROWTH_PER_SECOND: f64 = 1.5;
-/// Number of even shares, divided by the size of the fleet, that a forwarder may use beyond its own. In a small fleet
+/// A forwarder may use this number of even shares, divided by the fleet size, in addition to its own. In a small fleet
 /// one forwarder may have nearly all of the traffic.
 const EXTRA_SHARES: f64 = 8.0;
 
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,6 +1,6 @@
-//! Decides when to request the endpoint list if it has to be polled: a subscription at the start, and another one after
-//! a failure, with exponential backoff. The program that runs the controller sends the requests; the controller only
-//! receives the list.
+//! Decides when to request the endpoint list if it has to be polled. The first request is due at the start. Further
+//! ones follow with exponential backoff until the list arrives, and again after a failure. The program that runs the
+//! controller sends the requests; the controller only receives the list.
 
 use crate::interface::{DiscoveryMode, ListEventKind, Micros, Settings};
 use crate::rng::SeededRng;
@@ -56,7 +56,7 @@
         is_due
     }
 
-    /// Returns when the next request is due; `Micros::MAX` if none is.
+    /// Returns when the next request is due; `Micros::MAX` if no request is due until a failure.
     pub fn next_poll_at(&self) -> Micros {
         self.poll_at
     }
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -39,7 +39,7 @@
 /// The times of a message that determine its rank.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MessageTimes {
-    /// The time until which a delivery earns the full weight.
+    /// The time until which a delivery has the full weight.
     pub objective_at: Micros,
     /// The time at which the message is given up.
     pub deadline: Micros,
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -34,9 +34,9 @@
 const MAX_PACED_SPAN_FACTOR: f64 = 4.0;
 /// Longest span as a multiple of the longest message lifetime, if the route is not paced.
 const MAX_SPAN_LIFETIMES: f64 = 2.0;
-/// Time for which an endpoint with errors is avoided, before it is doubled once for each consecutive error.
+/// Time for which an endpoint with errors is avoided. The time doubles once for each consecutive error.
 const MIN_AVOIDANCE_US: Micros = 1_000_000;
-/// Maximum number of doublings of that time.
+/// Maximum number of doublings of the avoidance time.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 4;
 
 /// The first attempt of a message that may have been executed.
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,7 +1,8 @@
 //! The controller's record of a route. Combines the rules that decide whether and when the route takes a call.
 //!
 //! A route is a destination, or one endpoint of it if the endpoints are separate routes. It takes a call if its
-//! Retry-After, its backoff, its pace and its slow-start budget allow it and its window has room.
+//! Retry-After, its backoff, its pace and its slow-start budget allow it and its window has room. If the route is
+//! ejected, the window has no effect, and the route takes one trial call at a time.
 
 use crate::capacity_share::{self, KnownCapacity};
 use crate::concurrency_limit::ConcurrencyWindow;
@@ -27,7 +28,7 @@
     /// End of the Retry-After that its answers set.
     pub retry_after_until: Micros,
     pub health: RouteHealth,
-    /// Whether no endpoint of it passes its health checks.
+    /// Whether it is critical; see [`HealthCheckResult`](crate::outlier_detection::HealthCheckResult).
     pub is_critical: bool,
     /// Token bucket of the calls that may be sent now; used only while the route is paced.
     pub pace_bucket: TokenBucket,
@@ -37,7 +38,7 @@
     traffic: Option<Box<RouteTraffic>>,
 }
 
-/// What the calls to a route have shown.
+/// The record of the calls to a route.
 #[derive(Debug)]
 pub(crate) struct RouteTraffic {
     pub window: ConcurrencyWindow,
@@ -91,12 +92,12 @@
         Route { pace_bucket, served, ..Route::default() }
     }
 
-    /// Returns what its calls have shown so far.
+    /// Returns the record of its calls.
     pub fn traffic(&self) -> &RouteTraffic {
         self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
     }
 
-    /// Returns what its calls have shown so far, as a mutable reference.
+    /// Returns the record of its calls as a mutable reference.
     pub fn traffic_mut(&mut self) -> &mut RouteTraffic {
         self.traffic.get_or_insert_with(|| Box::new(RouteTraffic::initial()))
     }
@@ -118,13 +119,13 @@
         }
     }
 
-    /// Returns its capacity divided evenly among the fleet, in calls a second; `None` if no capacity is known.
+    /// Returns the route's capacity divided evenly among the fleet, in calls a second; `None` if no capacity is known.
     pub fn even_share(&self, settings: &Settings) -> Option<f64> {
         let reported_limit = self.traffic().reported_limit;
         KnownCapacity { hint: self.capacity_hint, reported_limit }.even_share(settings)
     }
 
-    /// Returns this forwarder's share of its capacity, in calls a second. Failures do not lower it.
+    /// Returns this forwarder's share of the route's capacity, in calls a second. Failures do not lower it.
     pub fn own_share(&self, now: Micros, settings: &Settings) -> f64 {
         let served_until = self.traffic().failures.first_failure_at().unwrap_or(now);
         capacity_share::own_share(self.served.rate(served_until), self.even_share(settings))
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Returns its present capacity as a share of the full one; `None` if slow start does not limit it.
+    /// Returns the route's present capacity as a share of the full one; `None` if slow start does not limit it.
     pub fn present_capacity(&self, now: Micros, settings: &Settings) -> Option<f64> {
         let is_failing = self.traffic().failures.span.is_some();
         slow_start::present_capacity(self.health, is_failing, now, settings)
@@ -207,8 +208,8 @@
         traffic.recent_call_budget.changes_at(budget, !is_failing, grows_at, now, settings)
     }
 
-    /// Returns whether it takes a call now: it is open and its window has room, or it is ejected and no trial call is
-    /// in flight.
+    /// Returns whether the route takes a call now: the time [`Self::opens_at`] has come, and the window has room or, if
+    /// the route is ejected, all calls in flight are overdue.
     pub fn takes_call(&self, now: Micros, settings: &Settings) -> bool {
         if self.opens_at(now, settings) > now {
             return false;
--- a/crates/core/src/route_users.rs
+++ b/crates/core/src/route_users.rs
@@ -15,7 +15,8 @@
 }
 
 impl RouteUsers {
-    /// Returns the lowest free index for a route. `before` counts as free if its destination alone keeps it.
+    /// Returns the lowest free index for a route. `before` is regarded as free if its only user is the destination that
+    /// keeps it.
     pub fn lowest_free(&mut self, before: Option<RouteId>) -> RouteId {
         let kept = before.filter(|route| self.counts[*route] == 1);
         let lowest = self.free.first().copied().into_iter().chain(kept).min();
@@ -48,13 +49,13 @@
         self.release(route);
     }
 
-    /// Counts one more user, such as a call.
+    /// Adds one user, such as a call.
     pub fn hold(&mut self, route: RouteId) {
         self.counts[route] += 1;
         self.free.remove(&route);
     }
 
-    /// Counts one user less.
+    /// Removes one user.
     pub fn release(&mut self, route: RouteId) {
         self.counts[route] -= 1;
         if self.counts[route] == 0 {
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -1,7 +1,7 @@
 //! Decides which of the eligible endpoints gets a call: the one with the lowest cost.
 //!
-//! Inputs are the settings' costs, the state of the endpoint's connections, the latency and health of its route, and
-//! chance in proportion to its capacity. The unit is points, as in the costs of the settings.
+//! Inputs are the settings' costs, the state of the endpoint's connections, the latency and health of its route, and a
+//! random cost that depends on the route's capacity. The unit is points, as in the costs of the settings.
 
 use crate::interface::{SECOND_US, Settings};
 
@@ -12,9 +12,10 @@
 const LAST_SLOT_COST_PER_SECOND: f64 = 0.25;
 /// Cost of each call in flight at the endpoint, in points.
 const IN_FLIGHT_COST: f64 = 0.01;
-/// Weight of chance in a large fleet, in points; without it all forwarders would choose the same cheap endpoint.
+/// Scale of the random cost in a large fleet, in points. Without the random cost, all forwarders would choose the same
+/// cheap endpoint.
 const SPREAD_COST: f64 = 0.05;
-/// Fleet size at which chance has half of that weight. The windows alone spread the calls of a few forwarders.
+/// Fleet size at which the random cost has half of that scale. The windows alone spread the calls of a few forwarders.
 const HALF_SPREAD_FLEET_SIZE: f64 = 16.0;
 /// Lower bounds of the logarithms' arguments and of the capacity, because an endpoint may have no capacity hint.
 const MIN_UNIFORM: f64 = 1e-9;
@@ -29,7 +30,7 @@
     pub is_cross_zone: bool,
     /// The endpoint's zone.
     pub zone: usize,
-    /// Whether the endpoint is a separate route; then the call costs its zone's price and its latency.
+    /// Whether the endpoint is a separate route; then the cost includes the cost of its zone and of its latency.
     pub is_separate_route: bool,
     /// Latency of the route, in microseconds; 0 if unknown.
     pub latency_us: f64,
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -3,8 +3,8 @@
 //! A cold destination has `cold_capacity_share` of its capacity, has all of it after `warm_up_time`, and fails under
 //! more than `overload_factor` times its present capacity over `overload_window`. Each forwarder sends at most its own
 //! share of that in any such window. The shares of a fleet add up to no more than the capacity, so the rule holds
-//! without any coordination, for first attempts and retries alike. If the budget is below one call, a draw twice in a
-//! window decides whether one call is sent. The unit is calls in `overload_window`; times are in microseconds.
+//! without any coordination, for first attempts and retries alike. If the budget is below one call, two draws in each
+//! window decide whether a call is sent. The unit is calls in `overload_window`; times are in microseconds.
 
 use crate::interface::{Micros, SECOND_US, Settings};
 use crate::outlier_detection::RouteHealth;
@@ -60,7 +60,7 @@
     health == RouteHealth::Ejected || (is_capacity_reduced && has_failed) || was_rejection_outage
 }
 
-/// The calls of a route within its budget.
+/// The recent calls of a route and its draws, from which follows when its budget allows the next call.
 #[derive(Debug)]
 pub(crate) struct RecentCallBudget {
     /// Times of the calls in the last `overload_window`, oldest first.
@@ -118,8 +118,8 @@
     /// - the time at which a recent call leaves the window, for a budget of one call or more;
     /// - `grows_at`, when the ramp allows a further call.
     ///
-    /// `budget_varies` says that the budget may cross one call at any time, so that both of the first two count. It
-    /// does while there is no failure, because the forwarder's share then changes with time.
+    /// `budget_varies` says that the budget may cross one call at any time, so that both of the first two apply. The
+    /// budget varies while there is no failure, because the forwarder's share then changes with time.
     pub fn changes_at(
         &self,
         budget: f64,
--- a/crates/core/src/timeouts.rs
+++ b/crates/core/src/timeouts.rs
@@ -108,8 +108,9 @@
     deadline.saturating_sub(2 * step_interval + SCHEDULING_MARGIN_US)
 }
 
-/// Returns whether an overdue call is stalled alone: its endpoint has answered a call that was sent in the later half
-/// of the time since its own send. Then its connection is dead or its message takes long.
+/// Returns whether an overdue call is stalled while its endpoint serves other calls. It is stalled if the endpoint has
+/// answered a call that was sent in the later half of the time since the overdue call was sent. Then the connection of
+/// the overdue call is dead, or its message takes long.
 pub(crate) fn is_stalled(sent_at: Micros, now: Micros, latest_answered_sent_at: Micros) -> bool {
     let halfway = sent_at + (now - sent_at) / 2;
     latest_answered_sent_at > halfway
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,15 +1,15 @@
-//! Counts calls over time, with a rate estimate that halves old counts and a token bucket. Used for this forwarder's
-//! share of a route's capacity and for pacing.
+//! Provides a rate estimate that halves old counts, and a token bucket. They are used for this forwarder's share of a
+//! route's capacity and for pacing.
 
 use crate::interface::{Micros, SECOND_US};
 
-/// Time span whose events count in full; after it half of the events is dropped.
+/// Time span after which half of the counted events is dropped.
 const RATE_WINDOW_US: Micros = 60_000_000;
 /// Shortest time over which a rate is taken, because a single event is not a rate.
 const MIN_RATE_SPAN_US: f64 = 5_000_000.0;
 /// Part of a token that may be lost by rounding and does not count as missing.
 const TOKEN_TOLERANCE: f64 = 1e-6;
-/// Lowest fill rate in tokens a second: even with a rate near zero a bucket fills in days, not never.
+/// Lowest fill rate in tokens a second, so that even with a rate near zero the bucket fills within days.
 const MIN_FILL_RATE: f64 = 1e-6;
 /// Subtracted from a time that must not be later than the result of a computation that rounds differently.
 pub(crate) const ROUNDING_US: Micros = 2;
--- a/crates/core/src/waiting_index.rs
+++ b/crates/core/src/waiting_index.rs
@@ -9,7 +9,7 @@
 /// What a destination waits for, as determined at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Wait {
-    /// When this was determined; a ready destination may have closed since.
+    /// When this was determined. The routes of a ready destination may have stopped taking calls since.
     pub found_at: Micros,
     /// The first message that can be sent now, on any route.
     pub ready: Option<QueueRank>,
