--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn only_rejectable_messages_of_this_process_are_shed() {
+fn only_rejectable_messages_not_recovered_unsent_are_shed() {
     assert!(may_be_shed(false, true));
     assert!(!may_be_shed(true, true));
     assert!(!may_be_shed(false, false));
--- a/crates/core/src/capacity_share/tests.rs
+++ b/crates/core/src/capacity_share/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn rough_hint_counts_for_two_thirds() {
+fn rough_hint_is_reduced_to_two_thirds() {
     assert_eq!(KNOWN.even_share(&settings(CapacityHints::Rough, 1)), Some(67.0));
 }
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -34,7 +34,7 @@
     messages: BTreeMap<MessageId, Message>,
     /// Messages whose attempt ended or whose attempt history arrived in this step, and about which no decision has been
     /// made yet.
-    ended_attempt_messages: Vec<MessageId>,
+    undecided_messages: Vec<MessageId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     calls: BTreeMap<CallId, Call>,
     /// Number of the latest call or timer. Both are numbered in one sequence.
--- a/crates/core/src/controller/final_answers.rs
+++ b/crates/core/src/controller/final_answers.rs
@@ -9,7 +9,7 @@
     /// Returns each message whose attempt has ended without success to its queue, or gives it its final answer. Does
     /// the same for each message whose attempt history has arrived.
     pub(super) fn requeue_or_give_up_messages(&mut self, actions: &mut Vec<Action>) {
-        for id in std::mem::take(&mut self.ended_attempt_messages) {
+        for id in std::mem::take(&mut self.undecided_messages) {
             self.requeue_or_give_up(id, actions);
         }
     }
--- a/crates/core/src/controller/indexing.rs
+++ b/crates/core/src/controller/indexing.rs
@@ -40,7 +40,7 @@
             self.schedule.destinations_examined += u64::from(wait.is_some());
             self.schedule.waiting.set(*id, wait);
         }
-        self.schedule.stale_faulty_routes.append(&mut changed);
+        self.schedule.destinations_to_recheck.append(&mut changed);
     }
 
     /// Returns what a destination with a queue waits for.
@@ -62,11 +62,11 @@
     /// Updates the set of faulty routes for the destinations that have changed or have warmed up.
     pub(super) fn update_faulty_routes(&mut self) {
         let due = std::iter::from_fn(|| self.schedule.warm_up_timers.pop_due(self.now));
-        self.schedule.stale_faulty_routes.extend(due);
-        let mut stale_faulty_routes = std::mem::take(&mut self.schedule.stale_faulty_routes);
-        stale_faulty_routes.sort_unstable();
-        stale_faulty_routes.dedup();
-        for id in stale_faulty_routes {
+        self.schedule.destinations_to_recheck.extend(due);
+        let mut destinations_to_recheck = std::mem::take(&mut self.schedule.destinations_to_recheck);
+        destinations_to_recheck.sort_unstable();
+        destinations_to_recheck.dedup();
+        for id in destinations_to_recheck {
             let Some(destination) = self.destinations.get(&id) else { continue };
             let routes = self.named_routes(id, destination);
             let warm_at = routes.iter().filter_map(|route| self.update_faulty_route(route)).min();
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -56,7 +56,7 @@
             zone: prior.zone,
         });
         self.schedule.changed_destinations.push(message.destination);
-        self.ended_attempt_messages.push(id);
+        self.undecided_messages.push(id);
     }
 
     /// Returns when a message must have its final answer; see [`timeouts::answer_by`].
--- a/crates/core/src/controller/outcomes.rs
+++ b/crates/core/src/controller/outcomes.rs
@@ -17,7 +17,7 @@
         if result.message_finished || result.outcome == Outcome::Success {
             self.remove_message(result.id);
         } else {
-            self.ended_attempt_messages.push(result.id);
+            self.undecided_messages.push(result.id);
         }
     }
 
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -189,7 +189,7 @@
     /// drained or was removed since must not get calls again because of this event.
     pub fn without_activations(&self, mut event: WatchEvent) -> WatchEvent {
         for entry in &mut event.endpoints {
-            let is_active = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
+            let is_active = self.get(&entry.uid).is_some_and(|listed| listed.state == EndpointState::Active);
             if entry.state == EndpointState::Active && !is_active {
                 entry.state = EndpointState::Draining;
             }
--- a/crates/core/src/outlier_detection/tests.rs
+++ b/crates/core/src/outlier_detection/tests.rs
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn failed_connection_is_an_error_only_where_route_is_not_paced() {
+fn failed_connection_is_an_error_only_if_route_is_not_paced() {
     assert!(after(Outcome::ConnectFailed, 1, false).has_errors);
     assert!(!after(Outcome::ConnectFailed, 1, true).has_errors);
 }
 
 #[test]
-fn overdue_call_counts_once() {
+fn overdue_call_is_counted_once() {
     let mut history = FailureHistory::initial();
     history.record_overdue();
     history.record_failure(Outcome::Timeout, true, false);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn success_of_a_call_sent_before_the_latest_failure_counts_after_the_overload_window() {
+fn success_of_a_call_sent_before_the_latest_failure_ends_failures_after_the_overload_window() {
     let mut history = FailureHistory::initial();
     history.extend_span(4 * SECOND);
     history.extend_span(5 * SECOND);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn third_invalid_response_in_a_row_counts() {
+fn third_invalid_response_in_a_row_is_a_failure() {
     let mut consecutive = 0;
     assert!(ignores_invalid_response(&mut consecutive, Outcome::InvalidResponse));
     assert!(ignores_invalid_response(&mut consecutive, Outcome::InvalidResponse));
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -21,7 +21,7 @@
     /// Destinations whose state has changed since the index of waiting destinations was updated.
     pub changed_destinations: Vec<DestinationId>,
     /// Destinations whose state has changed since the set of faulty routes was updated.
-    pub stale_faulty_routes: Vec<DestinationId>,
+    pub destinations_to_recheck: Vec<DestinationId>,
     pub waiting: WaitingIndex,
     /// Routes whose state a later process has to know.
     pub faulty_routes: BTreeSet<RouteRef>,
@@ -48,7 +48,7 @@
             faulty_calls: 0,
             route_calls: BTreeSet::new(),
             changed_destinations: Vec::new(),
-            stale_faulty_routes: Vec::new(),
+            destinations_to_recheck: Vec::new(),
             waiting: WaitingIndex::default(),
             faulty_routes: BTreeSet::new(),
             faulty_routes_changed: true,
--- a/crates/core/src/selection/tests.rs
+++ b/crates/core/src/selection/tests.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn chance_is_finite_without_draw_or_capacity() {
+fn random_cost_is_finite_at_the_bounds_of_draw_and_capacity() {
     for uniform in [0.0, 1.0 - f64::EPSILON] {
         assert!(random_cost(uniform, 0.0, 0).is_finite());
     }
--- a/crates/core/src/slow_start/tests.rs
+++ b/crates/core/src/slow_start/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn ejected_route_counts_as_cold() {
+fn ejected_route_has_cold_capacity() {
     assert_eq!(present_capacity(RouteHealth::Ejected, true, 9 * SECOND, &settings()), Some(0.25));
 }
 
--- a/src/bin/orchidyoke-simulator/instance.rs
+++ b/src/bin/orchidyoke-simulator/instance.rs
@@ -224,41 +224,41 @@
         }
     }
 
-    /// Writes an action of the instance with number `me` as a line.
-    fn write_action(&self, me: u64, action: &Action, out: &mut impl Write) -> io::Result<()> {
+    /// Writes an action of the instance with number `forwarder` as a line.
+    fn write_action(&self, forwarder: u64, action: &Action, out: &mut impl Write) -> io::Result<()> {
         let message_name = |id: &MessageId| &self.messages.names[*id as usize];
         let endpoint_name = |endpoint: &EndpointId| &self.endpoints.names[*endpoint as usize];
         match action {
             Action::Send { id, endpoint, timeout } => {
                 let id = message_name(id);
                 let target = endpoint_name(endpoint);
-                writeln!(out, "ATTEMPT forwarder_id={me} id={id} limit_us={timeout} target={target}")
+                writeln!(out, "ATTEMPT forwarder_id={forwarder} id={id} limit_us={timeout} target={target}")
             }
             Action::Reject { id, retry_after } => {
-                writeln!(out, "SHED forwarder_id={me} id={} pause_us={retry_after}", message_name(id))
+                writeln!(out, "SHED forwarder_id={forwarder} id={} pause_us={retry_after}", message_name(id))
             }
-            Action::Fail { id } => writeln!(out, "ABORT forwarder_id={me} id={}", message_name(id)),
+            Action::Fail { id } => writeln!(out, "ABORT forwarder_id={forwarder} id={}", message_name(id)),
             Action::Cancel { id, attempt } => {
-                writeln!(out, "RETRACT forwarder_id={me} id={} copy={attempt}", message_name(id))
+                writeln!(out, "RETRACT forwarder_id={forwarder} id={} copy={attempt}", message_name(id))
             }
             Action::Timer { delay, token } => {
-                writeln!(out, "AFTER forwarder_id={me} delay_us={delay} handle={token}")
+                writeln!(out, "AFTER forwarder_id={forwarder} delay_us={delay} handle={token}")
             }
-            Action::Watch { on } => writeln!(out, "WATCH forwarder_id={me} on={}", u8::from(*on)),
-            Action::PollList => writeln!(out, "RELOAD forwarder_id={me}"),
+            Action::Watch { on } => writeln!(out, "WATCH forwarder_id={forwarder} on={}", u8::from(*on)),
+            Action::PollList => writeln!(out, "RELOAD forwarder_id={forwarder}"),
             Action::HealthCheck { endpoint } => {
-                writeln!(out, "POLL forwarder_id={me} target={}", endpoint_name(endpoint))
+                writeln!(out, "POLL forwarder_id={forwarder} target={}", endpoint_name(endpoint))
             }
             Action::CloseIdle { endpoint } => {
-                writeln!(out, "HANG_UP forwarder_id={me} target={}", endpoint_name(endpoint))
+                writeln!(out, "HANG_UP forwarder_id={forwarder} target={}", endpoint_name(endpoint))
             }
             Action::Gossip { to, bytes } => {
                 let recipient = to.map_or("*".to_owned(), |number| number.to_string());
                 let payload = values::encode_bytes(bytes);
-                writeln!(out, "TELL forwarder_id={me} recipient={recipient} payload={payload}")
+                writeln!(out, "TELL forwarder_id={forwarder} recipient={recipient} payload={payload}")
             }
             Action::Log { text } => {
-                writeln!(out, "REMARK forwarder_id={me} what={}", text.replace(['\n', '\r'], " "))
+                writeln!(out, "REMARK forwarder_id={forwarder} what={}", text.replace(['\n', '\r'], " "))
             }
         }
     }
