--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -3,7 +3,7 @@
 use crate::interface::{EndpointId, MessageId, Micros};
 use crate::route::RouteId;
 
-/// Number of a call. Calls and timers are numbered in one sequence.
+/// The number that identifies a call. Calls and timers are numbered in one sequence.
 pub(crate) type CallId = u64;
 
 /// Identifies an attempt: a message and the number of the attempt, from 0.
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -37,7 +37,7 @@
     undecided_messages: Vec<MessageId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     calls: BTreeMap<CallId, Call>,
-    /// Number of the latest call or timer. Both are numbered in one sequence.
+    /// The number given to the latest call or timer. Both are numbered in one sequence.
     last_number: u64,
     order_keys: BTreeMap<u64, OrderKeyQueue>,
     destinations: BTreeMap<DestinationId, Destination>,
@@ -58,8 +58,9 @@
     /// Returns the routes whose state a later process has to know: those that are ejected, failing repeatedly with
     /// errors, or warming up. After a restart [`Event::RouteState`] restores their state, because the messages that
     /// waited for them would otherwise overload a cold destination.
-    /// The limit on calls to faulty routes follows another rule: a route that is only warming up is in this set and not
-    /// limited, and a route that is only slow or rejecting is limited and not in this set.
+    ///
+    /// The limit on calls to faulty routes uses another condition. A route that is only warming up is in this set but
+    /// is not limited, and a route that is only slow or rejecting is limited but is not in this set.
     pub fn faulty_routes(&self) -> BTreeSet<RouteRef> {
         self.schedule.faulty_routes.clone()
     }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -266,7 +266,7 @@
     Failed,
 }
 
-/// Number of every zone that the settings do not name. Each of these zones is a separate zone.
+/// The zone number shared by all zones that the settings do not name. Each of these zones is a separate zone.
 pub const UNKNOWN_ZONE: usize = usize::MAX;
 
 /// How an attempt ended.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,7 +27,8 @@
 //! - Critical (route): set by health checks if no endpoint of the route passes and one fails. The route is ejected when
 //!   it becomes critical. Ends when an endpoint of the route passes.
 //! - Faulty (route): set by an ejection, consecutive failures or an overdue call. The route gets fewer calls in flight
-//!   and a higher cost. Ends when none of these causes is left.
+//!   and a higher cost. Ends when none of these causes is left. The routes of [`Controller::faulty_routes`]
+//!   meet another condition.
 //! - Excluded (endpoint): set by a failing health check while another endpoint passes. The endpoint gets no calls. Ends
 //!   when the health check no longer fails or no other endpoint passes.
 //! - Suspect (endpoint): set by recent errors (the endpoint is avoided) or by a health check that warns. The endpoint
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -14,13 +14,13 @@
 #[derive(Debug)]
 pub(crate) struct Schedule {
     pub route_users: RouteUsers,
-    /// Number of calls in flight on faulty routes.
+    /// Number of calls in flight on routes for which `Route::is_faulty` returns `true`.
     pub faulty_calls: usize,
     /// Calls in flight, by their routes.
     pub route_calls: BTreeSet<(RouteId, CallId)>,
     /// Destinations whose state has changed since the index of waiting destinations was updated.
     pub changed_destinations: Vec<DestinationId>,
-    /// Destinations whose state has changed since the set of faulty routes was updated.
+    /// Destinations whose state has changed since `faulty_routes` was updated, so that their routes have to be checked.
     pub destinations_to_recheck: Vec<DestinationId>,
     pub waiting: WaitingIndex,
     /// Routes whose state a later process has to know.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -7,8 +7,8 @@
 };
 use serde::Deserialize;
 
-/// The settings JSON. Each field is named as in [`Settings`] or [`Class`], and `rename` gives its name in the JSON.
-/// Times are in microseconds.
+/// The settings JSON. A field that holds a value of [`Settings`] or [`Class`] mostly has the name used there, and
+/// `rename` gives its name in the JSON. Times are in microseconds.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct SettingsJson {
--- a/crates/core/src/timeouts.rs
+++ b/crates/core/src/timeouts.rs
@@ -72,7 +72,7 @@
         self.consecutive_timeouts += 1;
     }
 
-    /// Resets the time-out to its length without consecutive time-outs.
+    /// Ends the sequence of consecutive time-outs, so that the time-out is no longer lengthened.
     pub fn reset_timeouts(&mut self) {
         self.consecutive_timeouts = 0;
     }
--- a/src/bin/orchidyoke-simulator/instance.rs
+++ b/src/bin/orchidyoke-simulator/instance.rs
@@ -42,6 +42,7 @@
 }
 
 impl ListedEndpoint {
+    /// Reads the fields of a `TARGET` line.
     pub fn parse(fields: &Fields) -> Result<Self, LineError> {
         Ok(ListedEndpoint {
             name: fields.text("target")?.to_owned(),
@@ -89,6 +90,7 @@
 }
 
 impl Instance {
+    /// Starts an instance with the seed and the settings in the fields of a `HELLO` line.
     pub fn start(fields: &Fields) -> Result<Self, LineError> {
         let seed: u64 = fields.number("nonce64")?;
         let text = fields.text("options")?;
--- a/src/bin/orchidyoke-simulator/line.rs
+++ b/src/bin/orchidyoke-simulator/line.rs
@@ -18,6 +18,7 @@
 }
 
 impl LineError {
+    /// Creates the error for the field or word `subject`, which is missing or not valid because of `reason`.
     pub fn invalid(subject: &str, reason: &str) -> Self {
         LineError::Invalid { subject: subject.to_owned(), reason: reason.to_owned() }
     }
@@ -50,6 +51,7 @@
 pub struct Fields<'a>(Vec<Field<'a>>);
 
 impl<'a> Fields<'a> {
+    /// Parses the part of a line after its word.
     pub fn parse(mut rest: &'a str) -> Result<Self, LineError> {
         let mut fields = Vec::new();
         while !rest.is_empty() {
--- a/src/bin/orchidyoke-simulator/session.rs
+++ b/src/bin/orchidyoke-simulator/session.rs
@@ -8,7 +8,9 @@
 
 /// A batch that has started and not ended.
 struct Batch {
+    /// The simulated time, in microseconds.
     now: i64,
+    /// The id of the batch, which the reply repeats.
     serial: String,
 }
 
