--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -3,7 +3,7 @@
 use crate::interface::{EndpointId, MessageId, Micros};
 use crate::route::RouteId;
 
-/// Number of a call. Calls and timers are numbered in one sequence.
+/// The number that identifies a call. Calls and timers are numbered in one sequence.
 pub(crate) type CallId = u64;
 
 /// Identifies an attempt: a message and the number of the attempt, from 0.
@@ -39,7 +39,7 @@
     pub is_overdue: bool,
     /// The message if the call has only one.
     pub only_message: Option<MessageId>,
-    /// Whether its endpoint has answered calls that were sent later.
+    /// Whether the latest check found it stalled; see [`is_stalled`](crate::timeouts::is_stalled).
     pub is_stalled: bool,
     /// Whether it was in flight when its route recovered from an outage; then it takes no room in the concurrency
     /// window.
--- a/crates/core/src/endpoint_list/list.rs
+++ b/crates/core/src/endpoint_list/list.rs
@@ -104,6 +104,7 @@
     entries: BTreeSet<ByUid>,
     /// Zones and kinds.
     names: SharedNames,
+    /// Sum of the entries' sizes as JSON, in bytes; an upper bound.
     size: usize,
 }
 
@@ -134,7 +135,7 @@
         self.entries = BTreeSet::new();
         // Drops names that no entry uses any more.
         self.names = SharedNames::default();
-        // A tree that is built in one go is packed full. Of two entries for one endpoint the later one counts.
+        // A tree that is built in one go has full nodes. Of two entries for one endpoint the later one is kept.
         let mut entries: BTreeSet<ByUid> =
             entries.iter().map(|entry| ByUid(self.share_names(entry, &uid_of))).collect();
         entries.retain(|entry| entry.0.state != EndpointState::Removed);
@@ -188,7 +189,7 @@
     /// drained or was removed since must not get calls again because of this event.
     pub fn without_activations(&self, mut event: WatchEvent) -> WatchEvent {
         for entry in &mut event.endpoints {
-            let is_active = self.get(&entry.uid).is_some_and(|held| held.state == EndpointState::Active);
+            let is_active = self.get(&entry.uid).is_some_and(|listed| listed.state == EndpointState::Active);
             if entry.state == EndpointState::Active && !is_active {
                 entry.state = EndpointState::Draining;
             }
--- a/crates/core/src/schedule.rs
+++ b/crates/core/src/schedule.rs
@@ -14,14 +14,14 @@
 #[derive(Debug)]
 pub(crate) struct Schedule {
     pub route_users: RouteUsers,
-    /// Number of calls in flight on faulty routes.
+    /// Number of calls in flight on routes for which `Route::is_faulty` returns `true`.
     pub faulty_calls: usize,
     /// Calls in flight, by their routes.
     pub route_calls: BTreeSet<(RouteId, CallId)>,
     /// Destinations whose state has changed since the index of waiting destinations was updated.
     pub changed_destinations: Vec<DestinationId>,
-    /// Destinations whose state has changed since the set of faulty routes was updated.
-    pub stale_faulty_routes: Vec<DestinationId>,
+    /// Destinations whose state has changed since `faulty_routes` was updated, so that their routes have to be checked.
+    pub destinations_to_recheck: Vec<DestinationId>,
     pub waiting: WaitingIndex,
     /// Routes whose state a later process has to know.
     pub faulty_routes: BTreeSet<RouteRef>,
@@ -48,7 +48,7 @@
             faulty_calls: 0,
             route_calls: BTreeSet::new(),
             changed_destinations: Vec::new(),
-            stale_faulty_routes: Vec::new(),
+            destinations_to_recheck: Vec::new(),
             waiting: WaitingIndex::default(),
             faulty_routes: BTreeSet::new(),
             faulty_routes_changed: true,
