--- a/crates/forwarder/src/effects.rs
+++ b/crates/forwarder/src/effects.rs
@@ -144,13 +144,13 @@
         self.watch = Some(task.abort_handle());
     }
 
-    /// Has the reducer process an input. Carries out the effects of this input and of the inputs that result from those
+    /// Passes an input to the reducer. Carries out the effects of this input and of the inputs that result from those
     /// effects.
     pub(crate) fn process(&mut self, reducer: &mut Reducer, input: Input) {
         if let Input::ConnectionClosed { connection, .. } = &input {
             self.endpoint_connections.remove(connection);
         }
-        // Some decisions depend on what another process holds and need the current content of its journal.
+        // Some decisions depend on the messages of another process and need the current content of its journal.
         let mut inputs = VecDeque::from_iter(match input {
             Input::Shutdown => self.other_journals.scan_and_poll(),
             Input::Submitted { .. } | Input::Operator { .. } => self.other_journals.poll(),
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -88,7 +88,7 @@
     Accepted,
     /// Rejected. The client may safely submit it again after this time, in microseconds.
     Rejected(Micros),
-    /// Failed: the message will not be delivered.
+    /// Failed: the forwarder makes no further attempt to deliver the message.
     Failed,
     /// The request lacks something that the settings require, or cannot be read. Holds the text of the answer.
     Incomplete(&'static str),
@@ -166,7 +166,7 @@
     ConnectionClosed {
         /// The connection.
         connection: EndpointConnectionId,
-        /// Why it closed, and how far its call had got if it had one.
+        /// Why it closed, and how much of its call was written if it had one.
         error: EndpointCallError,
     },
     /// A watch on the endpoint list has an event.
@@ -225,7 +225,7 @@
     },
     /// Follows a catalogue. Its events are changes to the list in force.
     Catalogue {
-        /// The connection.
+        /// The catalogue.
         catalogue: Rc<dyn Catalogue>,
         /// The list in force, from any source.
         list: WatchEvent,
@@ -298,7 +298,7 @@
         /// The call.
         call: EndpointCall,
     },
-    /// Close a connection and abandon the call on it.
+    /// Close a connection, which ends the call on it if there is one.
     CloseConnection {
         /// The connection.
         connection: EndpointConnectionId,
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -13,8 +13,8 @@
 use orchidyoke_core::interface::{EndpointId, EndpointState, MessageId, Micros, Outcome};
 use orchidyoke_journal::{AttemptStart, Record};
 
-/// Extra time for a connection attempt beyond the limit in the settings, so that a connection that is established at
-/// the last moment counts.
+/// Extra time for a connection attempt beyond the limit in the settings, so that a connection that is established just
+/// before that limit is still used.
 const CONNECT_MARGIN_US: Micros = 1_000;
 
 /// One [`Action::Send`](orchidyoke_core::interface::Action::Send) of the controller.
@@ -27,7 +27,7 @@
 
 impl Reducer {
     /// Starts the calls for the sends of one round. Sends to the same endpoint share calls, up to the batch size that
-    /// its kind allows.
+    /// the endpoint's kind allows.
     pub(super) fn start_calls(&mut self, now: Micros, sends: Vec<Send>) {
         let mut calls: Vec<Call> = Vec::new();
         for Send { message: number, endpoint, timeout } in sends {
@@ -173,13 +173,14 @@
         self.effects.push(Effect::SendCall { connection, call });
     }
 
-    /// Handles a call whose last byte has been written.
+    /// Counts the messages of a call whose last byte has been written.
     pub(super) fn on_call_written(&mut self, connection: EndpointConnectionId) {
         let call = self.pool.call_of(connection).and_then(|id| self.calls.get(id));
         self.metrics.on_dispatched(call.map_or(0, |call| call.message_ids.len()));
     }
 
-    /// Ends a call of which nothing was written: no endpoint has processed or seen any of its messages.
+    /// Ends a call of which nothing was written. No endpoint has processed or seen any of the call's messages, so their
+    /// attempts end as not sent.
     pub(super) fn abandon_call(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.remove(id) else { return };
         for attempt in call.attempts {
--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -17,7 +17,7 @@
     retry_after: Micros,
     reported_limit: Option<f64>,
     reported_remaining: Option<f64>,
-    /// Whether the reply arrived after the deadline of a message in its call.
+    /// Whether the reply arrived after the deadline of a message in its call, or after such a message was finished.
     late: bool,
 }
 
@@ -44,8 +44,8 @@
         self.on_retry_after(now, call.endpoint, info.retry_after);
         let results = endpoint_call::message_results(reply, &call.message_ids);
         let mut results: Vec<_> = call.attempts.iter().zip(results).collect();
-        // The controller evaluates a call by the first of its outcomes, so rejections come before successes and
-        // messages that were not sent come last.
+        // The controller evaluates a call by the first of its outcomes, so rejections and other failures come before
+        // successes, and messages that were not sent come last.
         results.sort_by_key(|(_, result)| match result.outcome {
             Outcome::Success => 1,
             Outcome::NotSent => 2,
@@ -53,9 +53,9 @@
         });
         for (attempt, result) in results {
             if result.message_finished {
-                // The endpoint counts the message as finished, for example because its client has gone. This process
-                // cannot know whether the platform still waits for a final answer, and a superfluous notification does
-                // no harm.
+                // The endpoint reports that the message has expired, for example because the message's client has
+                // disconnected. This process cannot know whether the platform still waits for a final answer, and a
+                // superfluous notification does no harm.
                 self.finish(now, attempt.message, FinalAnswer::Failed);
             }
             self.finish_attempt(now, *attempt, result.outcome, call.sent_at, info);
@@ -76,8 +76,8 @@
         let Some(id) = self.pool.on_closed(connection) else { return };
         let Some(call) = self.calls.get_mut(id) else { return };
         // An idle connection may close just when it is chosen. No complete call was written, so the same attempt is
-        // repeated once, on a new connection. If that connection cannot be established, the failure counts against the
-        // endpoint.
+        // repeated once, on a new connection. If that connection cannot be established, the failure is reported to the
+        // controller as a failure of the endpoint.
         let may_reconnect = !self.upgrade.has_handed_off() && error.not_delivered() && !error.ended_locally();
         if may_reconnect && std::mem::take(&mut call.reused_connection) {
             let connection = self.pool.connect(call.endpoint, id);
@@ -89,7 +89,8 @@
     }
 
     fn fail_call(&mut self, now: Micros, call: Call, error: &EndpointCallError) {
-        // The endpoint may close a kept connection at any time, so such a close does not count as a rejection.
+        // The endpoint may close an idle connection at any time, so such a close says little about the endpoint's
+        // health and is not reported as a reset.
         let was_idle_close = call.reused_connection && error.outcome() == Outcome::Reset;
         let outcome = if was_idle_close { Outcome::InvalidResponse } else { error.outcome() };
         if let Some(endpoint) = self.endpoints.get(call.endpoint) {
@@ -121,8 +122,8 @@
         let number = attempt.message;
         if outcome == Outcome::Success && info.late {
             // The reply arrived, or was read, after the deadline of this message or of another one in its call. This
-            // process cannot know whether the delivery still counts, and a superfluous notification does no harm. The
-            // metrics count a success because the endpoint reported that it was delivered.
+            // process cannot know whether the platform still accepts the delivery, and a superfluous notification does
+            // no harm. The metrics count a success because the endpoint reported the delivery.
             self.finish_counted_as(now, number, FinalAnswer::Failed, MessageEnd::Success);
         } else if outcome == Outcome::Success {
             self.finish_delivered(now, number);
@@ -141,7 +142,7 @@
         }));
     }
 
-    /// Records an attempt that did not deliver its message, or of which it is unknown whether it did.
+    /// Records an attempt that did not deliver its message, or that may have delivered it.
     fn record_undelivered(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(message) = self.messages.get(attempt.message) else { return };
         let id = message.accepted.id.clone();
--- a/crates/forwarder/src/reducer/call_table.rs
+++ b/crates/forwarder/src/reducer/call_table.rs
@@ -20,6 +20,8 @@
     /// The ids of the call's messages, copied when the call starts because a message may be finished before the call
     /// ends.
     pub message_ids: Vec<String>,
+    /// When the controller decided to send the messages. Latencies are measured from this time, so they include the
+    /// time until a connection is established.
     pub sent_at: Micros,
     pub times_out_at: Micros,
     /// Whether the call uses a connection that had been idle.
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -23,16 +23,16 @@
 const MIN_FIRST_BACKOFF_US: Micros = 250_000;
 const MAX_FIRST_BACKOFF_US: Micros = 4 * SECOND_US;
 /// Maximum time from when discovery has a change of the list and is reachable until the change is in force, regardless
-/// of failed watches and of their Retry-After. The platform counts a change as known after this time.
+/// of failed watches and of their Retry-After. The platform assumes that a change is known after this time.
 const MAX_LIST_AGE_US: Micros = 6 * SECOND_US;
 /// Part of [`MAX_LIST_AGE_US`] that is reserved for the watch that delivers the change: its connection, its answer and
 /// a stall.
 const WATCH_SETUP_TIME_US: Micros = SECOND_US;
-/// A watch that has lasted this long was accepted by discovery, because one that waits in vain for discovery is closed
-/// earlier.
+/// A watch that has lasted this long was accepted by discovery, because a watch that gets no answer from discovery is
+/// closed earlier.
 const ESTABLISHED_WATCH_AGE_US: Micros = 4 * SECOND_US;
-/// Delay before a new watch after discovery sent an older version. By then an instance that lags has caught up, and a
-/// change is still in force in time.
+/// Delay before a new watch after discovery sent an older version. After this delay, an instance of discovery that lags
+/// has caught up, and a change is still in force within [`MAX_LIST_AGE_US`].
 const REGRESSION_RETRY_US: Micros = 2 * SECOND_US;
 /// Bound of the delay before a list with too many entries is requested again.
 const OVERSIZED_LIST_BACKOFF_US: Micros = 10 * SECOND_US;
@@ -52,7 +52,8 @@
 #[derive(Debug)]
 pub(super) struct EndpointDiscovery {
     address: SocketAddr,
-    /// The address given on the command line that a reload has superseded by the file's; `None` if there is none.
+    /// The address given on the command line that a reload has superseded by the address in the configuration file;
+    /// `None` if there is none.
     superseded: Option<SocketAddr>,
     /// The catalogue to watch instead of discovery; `None` if discovery is watched.
     catalogue: Option<Rc<dyn Catalogue>>,
@@ -102,7 +103,8 @@
         self.address
     }
 
-    /// The address given on the command line that a reload has superseded by the file's; `None` if there is none.
+    /// Returns the address given on the command line that a reload has superseded by the address in the configuration
+    /// file; `None` if there is none.
     pub fn superseded(&self) -> Option<SocketAddr> {
         self.superseded
     }
@@ -122,7 +124,7 @@
         (!self.watching).then_some(self.watch_at)
     }
 
-    /// Sets the newest version; lower versions count as older.
+    /// Sets the newest version. A later event of the same origin with a lower version is a regression.
     pub fn set_newest_version(&mut self, version: u64) {
         self.newest_version = version;
     }
@@ -246,7 +248,7 @@
         self.effects.extend(next);
     }
 
-    /// Handles the end of a watch, for this reason.
+    /// Handles the end of a watch. `reason` is written to the log.
     pub(super) fn on_watch_ended(&mut self, now: Micros, reason: &str, retry_after_ms: u64, silence: Micros) {
         self.log(format!("endpoint list: watch ended, the last list stays in use reason={reason:?}"));
         let retry_after = retry_after::to_micros(retry_after_ms);
@@ -254,8 +256,9 @@
     }
 
     /// Handles an event of a watch. An event older than the list in force comes from a discovery that lags or that
-    /// restarted its version count. It is applied as far as that is safe, and a snapshot is requested; that snapshot is
-    /// then applied whatever its version.
+    /// restarted its version count. The event is applied without its activations, because an endpoint that has drained
+    /// or was removed since must not get calls again. A snapshot is requested, and that snapshot is then applied
+    /// regardless of its version.
     pub(super) fn on_watch_event(&mut self, now: Micros, mut event: WatchEvent) {
         if !self.endpoints.list().has_room_for(&event) {
             let version = event.version;
--- a/crates/forwarder/src/reducer/final_answers.rs
+++ b/crates/forwarder/src/reducer/final_answers.rs
@@ -9,8 +9,8 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// How long the id of a finished message is remembered, if there is disk space for it. Until then a client may submit
-/// the message again, or another forwarder may offer it again.
+/// How long the id of a finished message is remembered, if there is disk space for it. Within this time, a message that
+/// a client submits again, or that another forwarder offers again, is recognized as finished.
 pub(super) const FINISHED_ID_LIFETIME_US: Micros = 30 * SECOND_US;
 /// An upper estimate of the bytes of the record of a finished message or of a final answer, without the id.
 pub(super) const SHORT_RECORD_BYTES: usize = 160;
@@ -216,7 +216,8 @@
         self.finish_counted_as(now, number, answer, end);
     }
 
-    /// Finishes a message as [`Reducer::finish`] does, and counts `end` in the metrics.
+    /// Finishes a message as [`Reducer::finish`] does, but counts `end` in the metrics instead of the end that follows
+    /// from the answer.
     pub(super) fn finish_counted_as(
         &mut self,
         now: Micros,
--- a/crates/forwarder/src/reducer/handover.rs
+++ b/crates/forwarder/src/reducer/handover.rs
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Delivers a message here instead of at its failing owner.
+    /// Delivers a message here instead of handing it over to its failing owner.
     fn deliver_for_owner(&mut self, now: Micros, number: MessageId) {
         let Some(message) = self.messages.get(number) else { return };
         if !self.may_repeat(now, &message.accepted) {
@@ -246,8 +246,8 @@
     /// is still ahead, [`Reducer::resolve_in_doubt`] decides by its class.
     fn on_handover_time_up(&mut self, now: Micros, number: MessageId) {
         if self.handovers.is_offer_in_flight(number) {
-            // The offer ends at its time-out at the latest and may still be answered. If it is not, the end of the
-            // offer schedules the message again.
+            // The offer ends at its time-out at the latest and may still be accepted. If the owner does not accept it,
+            // the end of the offer schedules the message again.
             return;
         }
         let Some(message) = self.messages.get(number) else { return };
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -2,8 +2,9 @@
 //! are delivered here while their owner fails. This module does no I/O and does not write to the journal; see
 //! `docs/handover.md`.
 //!
-//! The work of a call is proportional to what is due in it. Owners for which something is due are kept in an ordered
-//! set, and so are the times at which messages stop waiting.
+//! The work of each function call is proportional to the number of decisions that are due. Owners are kept in a set
+//! that is ordered by the time of their next offer, and messages in a set that is ordered by the time at which they
+//! stop waiting.
 
 use super::SECOND_US;
 use super::final_answers::FINISHED_ID_LIFETIME_US;
@@ -13,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Time-out of an offer. After it, the owner may have accepted the message.
+/// Time-out of an offer. The owner may have accepted the message of an offer that timed out.
 pub(super) const OFFER_TIMEOUT_US: Micros = SECOND_US;
 /// How long a message in doubt is offered again, from its first offer. The owner remembers the ids of finished messages
 /// for longer than this ([`FINISHED_ID_LIFETIME_US`]), unless its disk has room for fewer ids.
@@ -22,8 +23,8 @@
     MAX_IN_DOUBT_US < FINISHED_ID_LIFETIME_US,
     "an offer must not be repeated after the owner may have forgotten the message's id"
 );
-/// How long after the end of the first failed offer to an owner its messages are delivered here, until an offer is
-/// answered.
+/// Time from the end of the first failed offer to an owner until messages for this owner may be delivered here. They
+/// may be delivered here until the owner answers an offer.
 const OWNER_FAILING_LIMIT_US: Micros = 2 * SECOND_US;
 /// Maximum number of offers in flight to one owner.
 const MAX_OFFERS_PER_OWNER: usize = 16;
@@ -135,7 +136,7 @@
 pub(super) struct HandoverSchedule {
     waiting: BTreeMap<MessageId, WaitingMessage>,
     owner_queues: BTreeMap<String, OwnerQueue>,
-    /// Owners, in the order of the time at which something may be offered to them.
+    /// Owners, in the order of the time at which a message may be offered to them.
     timers: BTreeSet<(Micros, String)>,
     wait_ends: BTreeSet<(Micros, MessageId)>,
     /// Offers in flight, with their owners. The message of an offer may already be finished.
@@ -204,8 +205,8 @@
         self.queue(id, now);
     }
 
-    /// Removes a message that no longer waits for its owner or is no longer held here. Everything about it is removed,
-    /// except an offer in flight.
+    /// Removes a message that no longer waits for its owner or that was removed from this process. An offer of the
+    /// message that is in flight stays in the schedule until the offer ends.
     pub fn remove(&mut self, id: MessageId) {
         if let Some(destination) = self.local_delivery_ids.remove(&id) {
             self.local_deliveries.remove(&destination);
@@ -247,7 +248,8 @@
         }
     }
 
-    /// Handles the end of an offer for its owner. The message is due again unless the caller removes it.
+    /// Handles the end of an offer, and updates whether the owner counts as failing. The message is due again unless
+    /// the caller removes it.
     pub fn on_offer_ended(&mut self, now: Micros, id: MessageId, outcome: &OfferOutcome) {
         let Some(owner) = self.remove_offer(id) else { return };
         let Some(queue) = self.owner_queues.get_mut(&owner) else { return };
--- a/crates/forwarder/src/reducer/listed_endpoints.rs
+++ b/crates/forwarder/src/reducer/listed_endpoints.rs
@@ -74,7 +74,7 @@
             zone: self.zone_number(listed.zone),
             kind: self.names.kinds.iter().position(|kind| kind == listed.kind).unwrap_or(usize::MAX),
             state: if is_ejected { EndpointState::Draining } else { listed.state },
-            // The controller prefers warm endpoints to it.
+            // The controller prefers warm endpoints to an endpoint that is warming up.
             health: if is_warming_up { HealthStatus::Warning } else { listed.health },
             capacity_hint: listed.capacity_hint,
         }
@@ -96,8 +96,8 @@
         self.controller.push(Event::EndpointList { kind, entries: updates });
     }
 
-    /// Closes the idle connections to unlisted endpoints, and forgets those that have no call in flight. If the list
-    /// later names an endpoint at the same address, that is another endpoint.
+    /// Closes the idle connections to unlisted endpoints, and forgets the unlisted endpoints that have no call in
+    /// flight. If the list later names an endpoint at the same address, that is another endpoint.
     pub(super) fn forget_unlisted(&mut self) {
         if self.endpoints.unlisted().is_empty() {
             return;
--- a/crates/forwarder/src/reducer/message_table.rs
+++ b/crates/forwarder/src/reducer/message_table.rs
@@ -48,7 +48,7 @@
     messages: BTreeMap<MessageId, Message>,
     numbers_by_id: HashMap<String, MessageId>,
     next_number: MessageId,
-    /// Messages that the controller admits or rejects in its next round.
+    /// Messages to record after the controller's next round, unless the controller rejects them in that round.
     awaiting_decision: Vec<MessageId>,
     /// An upper estimate of the bytes of all messages in a snapshot.
     live_bytes: usize,
@@ -70,7 +70,7 @@
         self.numbers_by_id.get(id).copied()
     }
 
-    /// Returns whether a message is held, that is, not finished.
+    /// Returns whether the table contains a message. A finished message is no longer in the table.
     pub fn contains(&self, number: MessageId) -> bool {
         self.messages.contains_key(&number)
     }
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -11,7 +11,7 @@
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of overrides of endpoints that the list does not name. Beyond it, the oldest is forgotten.
+/// Maximum number of overrides of endpoints that the list does not name. Beyond this number, the oldest is forgotten.
 const MAX_UNLISTED_OVERRIDES: usize = 256;
 /// An upper estimate of the bytes of the record of an override, without the endpoint's uid.
 const OVERRIDE_RECORD_BYTES: usize = 96;
@@ -87,7 +87,8 @@
         self.changes.iter()
     }
 
-    /// Forgets restored endpoints that are warm, and the oldest overrides of unlisted endpoints beyond the maximum.
+    /// Forgets the overrides of restored endpoints that are warm, and the oldest overrides of unlisted endpoints beyond
+    /// the maximum.
     fn prune(&mut self, warm_since: Micros, is_listed: impl Fn(&str) -> bool) {
         self.changes.retain(|_, change| change.ejected || change.at > warm_since);
         self.restored.retain(|(at, _)| *at > warm_since);
@@ -128,8 +129,8 @@
             let reply = ConsoleReply::Rejected(format!("no endpoint {endpoint} is listed"));
             return self.effects.push(Effect::Reply { request, reply });
         }
-        // Written even if it changes nothing here, because another process may have received an opposite override
-        // since.
+        // The override is recorded even if it changes nothing here, because another process may have received an
+        // opposite override since.
         let record = Record::OperatorOverride { endpoint: endpoint.clone(), at: now, ejected };
         let change = OverrideChange { at: now, ejected };
         let next_step = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -8,7 +8,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// An upper estimate of the bytes of a message's handover records, without its id and the longest name of an owner.
+/// An upper estimate of the bytes of a message's handover records. It includes the longest name of an owner, but not
+/// the message's id.
 const HANDOVER_RECORDS_BYTES: usize = 320;
 /// Maximum number of destinations whose owners are looked up for the metrics. Each lookup computes a hash per member.
 const MAX_OWNER_LOOKUPS: usize = 1000;
@@ -38,7 +39,7 @@
     taken_over: u64,
     /// Messages handed over by forwarders that are not members.
     from_non_members: u64,
-    /// Messages delivered here instead of at a failing owner.
+    /// Messages delivered here instead of being handed over to a failing owner.
     delivered_for_owner: u64,
     /// Offers without an answer.
     unanswered: u64,
@@ -126,7 +127,7 @@
         self.counts.handed_over += 1;
     }
 
-    /// Counts a message that is delivered here instead of at a failing owner.
+    /// Counts a message that is delivered here instead of being handed over to a failing owner.
     pub fn count_delivered_for_owner(&mut self) {
         self.counts.delivered_for_owner += 1;
     }
@@ -136,8 +137,8 @@
         self.counts.unanswered += 1;
     }
 
-    /// Counts a message that this forwarder hands over if it is not a member. Returns whether to log it, which is the
-    /// case if it is not a member and not yet logged in this view.
+    /// Counts a message that `forwarder` hands over to this one, if `forwarder` is not a member. Returns whether to log
+    /// `forwarder`, which is the case if it is not a member and not yet logged in this view.
     fn count_handover_from(&mut self, forwarder: &str) -> bool {
         let is_member = self.view.as_ref().is_some_and(|view| view.member_address(forwarder).is_some());
         if is_member {
@@ -147,8 +148,8 @@
         self.non_members.len() < MAX_LOGGED_NON_MEMBERS && self.non_members.insert(forwarder.to_owned())
     }
 
-    /// Returns whether to slow-start a destination, and notes that it is. This is the case for the first message of a
-    /// destination that this forwarder does not own or has not owned for long.
+    /// Returns whether to slow-start a destination, and if so, remembers that it was slow-started. This is the case for
+    /// the first message of a destination that this forwarder does not own or has not owned for long.
     fn take_slow_start(&mut self, now: Micros, destination: DestinationId, warm_up_time: Micros) -> bool {
         self.is_not_established_owner(now, destination, warm_up_time) && self.slow_started.insert(destination)
     }
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Notes a message that another forwarder hands over. A message from a non-member is accepted as well, because that
-    /// forwarder may know a later view, and a message that is handed on could circulate.
+    /// Counts and logs a message that a non-member hands over. Such a message is accepted as well, because the
+    /// non-member may know a later view, and a message that is handed on could circulate between forwarders.
     pub(super) fn note_handover_from(&mut self, forwarder: &str) {
         if self.ownership.count_handover_from(forwarder) {
             self.log(format!(
@@ -211,7 +212,7 @@
     }
 
     /// Slow-starts a destination at the first message for it, if this forwarder does not own it or has not owned it for
-    /// long. The controller then begins as after an outage, with a trial call and a ramp.
+    /// long. The controller then begins as after an outage, with a trial call and a slow start.
     pub(super) fn slow_start_destination(&mut self, now: Micros, destination: DestinationId) {
         if self.ownership.take_slow_start(now, destination, self.settings.warm_up_time) {
             self.controller.push(Event::RouteState {
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -1,7 +1,7 @@
 //! The state that a journal describes, which results from applying its records in the order of the file.
 //!
-//! Used at the start for this process's own file, and for the file of another process while that process shares the
-//! folder.
+//! The state is built at the start from this process's own file, and from the file of another process while that
+//! process shares the folder.
 
 use super::final_answers::{DecidedAnswer, FinishedId};
 use super::operator_overrides::{OperatorOverrides, OverrideChange};
@@ -37,7 +37,7 @@
     pub operator_overrides: OperatorOverrides,
     /// The stage of the process.
     pub stage: ProcessStage,
-    /// Until when the Retry-After of each route lasts, as far as it was recorded for another process.
+    /// The end of the Retry-After of each route, if it was recorded for another process.
     pub retry_after: BTreeMap<RouteKey, Micros>,
 }
 
--- a/crates/forwarder/src/reducer/repeat_rules.rs
+++ b/crates/forwarder/src/reducer/repeat_rules.rs
@@ -5,7 +5,7 @@
 //! - `IdempotencyKey`: within the window since the first attempt, and only to endpoints that share their memory of keys
 //!   with the endpoint of that attempt: all endpoints, those of the same zone, or only that endpoint.
 //!
-//! In each case its deadline must not have passed.
+//! In each case the message's deadline must not have passed.
 
 use super::Reducer;
 use super::message_table::Message;
@@ -75,8 +75,8 @@
     }
 
     /// Returns whether a message that waited for its owner and is not delivered may be rejected, which allows its
-    /// client to submit it again. Otherwise it fails. For its own messages the controller applies a rule of its own,
-    /// which considers attempts in flight and no offers.
+    /// client to submit it again. Otherwise it fails. To messages that were passed to the controller, the controller
+    /// applies a different rule, which considers attempts in flight and no offers.
     pub(super) fn may_be_rejected_after_offer(&self, accepted: &AcceptedMessage) -> bool {
         if accepted.handover.offered.is_none() && accepted.possible_delivery.is_none() {
             return true;
@@ -87,8 +87,9 @@
         )
     }
 
-    /// Returns where an attempt was made. The zone is stored with the attempt, because the endpoint may since be
-    /// unlisted or listed in another zone. Only records of an earlier version lack the zone.
+    /// Returns when and where an attempt was made. The zone is stored with the attempt, because the endpoint may since
+    /// be unlisted or listed in another zone. The zone is empty only in records of an earlier version and for an offer
+    /// that counts as an attempt.
     pub(super) fn prior_attempt(&self, now: Micros, start: &AttemptStart) -> PriorAttempt {
         let listed = || self.endpoints.listed(&start.endpoint).map_or("", |listed| &*listed.zone);
         let zone = if start.zone.is_empty() { listed() } else { &start.zone };
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -91,7 +91,8 @@
         self.retry_after.is_in_force(now, &whole) || self.retry_after.is_in_force(now, &separate)
     }
 
-    /// Applies a Retry-After from another process of this forwarder.
+    /// Applies a Retry-After from a journal, either that of another process of this forwarder or, at the start, this
+    /// process's own.
     pub(super) fn adopt_retry_after(&mut self, now: Micros, route: RouteKey, until: Micros) {
         if until > now {
             self.controller.extend(self.route_state_event(&route, false, until - now));
--- a/crates/forwarder/src/reducer/shutdown.rs
+++ b/crates/forwarder/src/reducer/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: from SIGTERM to the exit.
 //!
-//! The supervisor (`TERMINATION_GRACE_MS` of its `machine`) or the platform kills the process 3.7 s after SIGTERM.
-//! Clients are accepted until [`ACCEPT_PERIOD_US`] has passed, or until there has been nothing to do for
+//! The supervisor (`TERMINATION_GRACE_MS` in its module `machine`) or the platform kills the process 3.7 s after
+//! SIGTERM. Clients are accepted until [`ACCEPT_PERIOD_US`] has passed, or until there has been nothing to do for
 //! [`IDLE_EXIT_AFTER_US`]. After that the last answers are sent, and the process exits.
 
 use super::Reducer;
@@ -10,14 +10,14 @@
 
 /// Time from SIGTERM until clients are no longer accepted.
 const ACCEPT_PERIOD_US: Micros = 3_250_000;
-/// Accepting clients ends earlier than [`ACCEPT_PERIOD_US`] after this time without a message, a pending final answer
-/// or a connected client.
+/// Time without a message, a pending final answer or a connected client after which clients are no longer accepted,
+/// even if [`ACCEPT_PERIOD_US`] has not passed.
 const IDLE_EXIT_AFTER_US: Micros = 500_000;
 /// Time for the last answers to clients once no client is accepted, and for their connections to linger when closed.
 /// The rest of the 3.7 s is a reserve for a stall.
 const LAST_ANSWERS_US: Micros = 250_000;
-/// The corresponding time if no client is connected. It is not 0 because connections that waited to be accepted have to
-/// be counted first.
+/// Time from the end of accepting clients until the exit if no client is connected. It is not 0 because connections
+/// that waited to be accepted have to be counted first.
 const LAST_CONNECTIONS_US: Micros = 50_000;
 
 /// Progress of a shutdown.
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -125,7 +125,7 @@
     fn record_start(&mut self, is_list_recorded: bool) {
         if is_list_recorded {
             // The list is not written again. A file that would have no room for it is compacted nevertheless, because
-            // at the start nobody waits for that.
+            // no client waits for a compaction at the start.
             self.compact_if_needed(self.endpoints.list().size());
         }
         self.append_record(&Record::ProcessStage { stage: ProcessStage::Started });
--- a/crates/forwarder/src/reducer/submission.rs
+++ b/crates/forwarder/src/reducer/submission.rs
@@ -213,7 +213,7 @@
             destination,
             class: position(&self.names.classes, &accepted.class),
             tenant: position(&self.names.tenants, &accepted.tenant),
-            // Clients cannot set an order key; only the simulator does.
+            // Clients cannot set an order key; only the simulator sets one.
             order_key: None,
             time_left: accepted.deadline.saturating_sub(now),
             is_retry,
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -84,8 +84,9 @@
         Some(takeover)
     }
 
-    /// Handles the report on the records of a takeover. If they are not `stored`, everything stays with the other
-    /// process for now. But if that process has ended, each message for which there is no room is finished immediately.
+    /// Handles the report on the records of a takeover. If they are not `stored` and the other process still runs,
+    /// everything stays with that process for now. If they are not `stored` and that process has ended, its messages
+    /// are finished immediately, because there is no room for them.
     pub(super) fn on_takeover_recorded(&mut self, now: Micros, mut takeover: Takeover, stored: bool) {
         let generation = takeover.generation;
         let count = takeover.messages.len();
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -1,5 +1,5 @@
-//! An upgrade: two processes use one folder, and the older one hands its messages over to the process that was started
-//! to replace it.
+//! An upgrade: two processes use one folder, and the older one hands off its messages to its successor, the process
+//! that was started to replace it.
 //!
 //! Each process writes its own file and reads those of the others. A message belongs to the process whose file has it,
 //! until that file says that the process has handed off, or until the process has ended. Only then does another process
@@ -133,7 +133,8 @@
         !self.others.is_empty()
     }
 
-    /// Returns whether another process runs, which has to learn of the changes that reach this one.
+    /// Returns whether another process runs. While one runs, this process has to record for it the changes that the
+    /// other process does not receive itself, such as a Retry-After.
     pub fn other_process_runs(&self) -> bool {
         self.others.values().any(|other| !other.ended)
     }
@@ -160,7 +161,8 @@
     }
 
     /// Returns whether this process may take over from another process. It may take over everything if that process has
-    /// ended, and what is not in flight if that process is older and has stopped.
+    /// ended, and the messages that are not in flight if that process is older and no older process begins attempts any
+    /// more. A process that has handed off takes over nothing.
     pub fn may_take_over(&self, generation: Generation) -> bool {
         let Some(other) = self.others.get(&generation) else { return false };
         let from_older =
@@ -205,8 +207,8 @@
 }
 
 impl Reducer {
-    /// Applies the changes in the files of other processes. `gone` names the files that a third process has taken over.
-    /// Decisions follow after all changes are known.
+    /// Applies the changes in the files of other processes. `gone` names the files that a third process has taken over
+    /// and removed. Hand-off and takeover are decided only after all changes are applied.
     pub(super) fn on_other_processes(
         &mut self,
         now: Micros,
@@ -234,7 +236,7 @@
     fn apply_process_update(&mut self, now: Micros, update: OtherProcessUpdate) {
         let OtherProcessUpdate { generation, rewritten, records, size, ended } = update;
         if !self.upgrade.others.contains_key(&generation) && !ended {
-            // The other process was not there when this process received its Retry-After values.
+            // The other process did not run when this process received its Retry-After values.
             self.append_all(&self.running_retry_afters(now), None);
         }
         let other = self.upgrade.others.entry(generation).or_default();
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -12,7 +12,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// This process's own journal file. The operating system holds its lock until the process has ended in any way.
+/// This process's own journal file. The operating system keeps it locked until the process has ended in any way.
 #[derive(Debug)]
 pub struct Journal {
     generation: Generation,
@@ -52,7 +52,7 @@
         let bytes = fs::read(&path).map_err(JournalError::io("read", &path))?;
         let RecoveredRecords { records, complete_bytes, unreadable } = read(bytes.into());
         reject_unreadable(&path, unreadable)?;
-        // Left by a compaction that a kill interrupted. The journal itself is still complete.
+        // This file exists if a kill interrupted a compaction. The journal itself is still complete.
         remove(&compaction_path(&path))?;
         file.set_len(complete_bytes as u64).map_err(JournalError::io("truncate", &path))?;
         let others = generations.into_iter().filter(|other| *other != generation);
@@ -75,8 +75,8 @@
     ///
     /// # Errors
     ///
-    /// The bytes could not be written. The earlier content stays complete. If the file cannot be truncated to it
-    /// either, part of a record stays at the end, and readers stop before that part.
+    /// The bytes could not be written. The earlier content stays complete. If the file cannot be truncated to the
+    /// earlier content either, part of a record stays at the end, and readers stop before that part.
     pub fn append(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
         if let Err(error) = self.file.write_all(bytes) {
             // An incomplete record would hide all records after it.
@@ -109,7 +109,8 @@
         let failed = || JournalError::io("write", compacted);
         let mut file = OpenOptions::new().create(true).append(true).open(compacted).map_err(failed())?;
         file.set_len(0).map_err(failed())?;
-        // Locked before it is renamed to the journal's name, so that the file never looks as if its process had ended.
+        // The file is locked before it is renamed to the journal's name, so that the file never looks as if its process
+        // had ended.
         lock(&file, compacted)?;
         file.write_all(bytes).map_err(failed())?;
         fs::rename(compacted, &self.path).map_err(failed())?;
--- a/crates/journal/src/folder/making_tests.rs
+++ b/crates/journal/src/folder/making_tests.rs
@@ -1,5 +1,5 @@
 //! Protects a process that creates its file while another process scans the folder. Whatever the other process does to
-//! the file before it is locked, the first process ends up with a file that has its name in the folder.
+//! the file before it is locked, the first process ends up with a file whose name is still in the folder.
 
 use super::*;
 use crate::other::{OtherJournal, find_other_journals};
--- a/crates/journal/src/other.rs
+++ b/crates/journal/src/other.rs
@@ -55,13 +55,15 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(JournalError::io("open", &self.path)(error)),
         };
-        // The lock comes first, because a process that no longer holds it has written its last byte.
+        // The lock is tried before the file is read, because a process that no longer holds the lock has written its
+        // last byte.
         self.lock_if_ended()?;
         let (rewritten, bytes) = self.read_rest(&mut file).map_err(JournalError::io("read", &self.path))?;
         let size = self.read_bytes + bytes.len();
         let RecoveredRecords { records, complete_bytes, unreadable } = read(bytes.into());
-        // A record that only a later version knows ends the reading. The records before it are returned. It is an error
-        // if no record comes before it, or if the process has ended, so that the file of an ended process is kept.
+        // Reading ends at a record that only a later version knows. The records before it are returned. Such a record
+        // is reported as an error if no record comes before it, or if the process has ended, so that the file of an
+        // ended process is kept.
         if records.is_empty() || self.lock.is_some() {
             let lock = self.lock.take();
             folder::reject_unreadable(&self.path, unreadable)?;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -115,7 +115,7 @@
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum Record {
     /// A message was accepted. A message with an idempotency key is written under a tag of its own, because versions
-    /// without support for keys must not read it: they would send it without its key.
+    /// without support for keys must not read it. They would send it without its key.
     #[serde(rename = "taken")]
     Accepted(AcceptedMessage),
     /// A call is about to be written.
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -7,7 +7,7 @@
 /// The result of reading a file.
 #[derive(Debug, Default)]
 pub struct RecoveredRecords {
-    /// The records before the first record that is incomplete or unknown.
+    /// The records before the first record that is incomplete or cannot be decoded.
     pub records: RecordsWithBodies,
     /// Size of these records in the file, in bytes.
     pub complete_bytes: usize,
@@ -16,8 +16,8 @@
     pub unreadable: Option<DecodeError>,
 }
 
-/// Reads the records of a file. An incomplete record at the end was left by a kill. A record that is complete and
-/// unknown was not.
+/// Reads the records of a file. An incomplete record at the end was left by a kill and is ignored. A complete record
+/// that cannot be decoded was not left by a kill, and is reported in [`RecoveredRecords::unreadable`].
 pub fn read(mut file: Bytes) -> RecoveredRecords {
     let mut reading = RecoveredRecords::default();
     let all = file.len();
--- a/crates/journal/src/space.rs
+++ b/crates/journal/src/space.rs
@@ -6,7 +6,7 @@
 /// together, but none for a compacted file to grow before the next compaction.
 const MAX_LIVE_SHARE: f64 = 0.42;
 
-/// The limit and the current use of the folder. It only decides; [`Journal`](crate::Journal) writes.
+/// The limit and the current use of the folder. It does no I/O; [`Journal`](crate::Journal) writes the file.
 #[derive(Debug)]
 pub struct DiskSpace {
     limit_bytes: usize,
@@ -37,7 +37,7 @@
         self.file_bytes + live_bytes + RESERVED_BYTES / 2 <= self.limit_bytes
     }
 
-    /// Returns whether there is room for an optional append of `more_bytes`. The other half of the reserve is for
+    /// Returns whether there is room for an optional append of `more_bytes`. Half of `RESERVED_BYTES` stays free for
     /// appends that must be made.
     pub fn has_room_for(&self, more_bytes: usize) -> bool {
         self.file_bytes + more_bytes + RESERVED_BYTES / 2 <= self.limit_bytes
