--- a/crates/forwarder/src/effects.rs
+++ b/crates/forwarder/src/effects.rs
@@ -43,7 +43,7 @@
     /// The task that accepts clients.
     pub(crate) listener: Option<AbortHandle>,
     /// Set by [`Effect::Exit`]: the reducer has nothing left to do and the process ends.
-    pub(crate) has_exited: bool,
+    pub(crate) exit_requested: bool,
 }
 
 impl EffectRunner {
@@ -69,9 +69,9 @@
             Effect::StartWatch { watch, source } => self.start_watch(watch, source),
             Effect::Log { line } => log!("{line}"),
             Effect::RemoveJournal { generation } => self.other_journals.remove(generation),
-            Effect::HandOverClients => self.hand_over_clients(),
+            Effect::HandOffClients => self.hand_off_clients(),
             Effect::StopAccepting => self.client_connections.shut_down(),
-            Effect::Exit => self.has_exited = true,
+            Effect::Exit => self.exit_requested = true,
         }
         None
     }
@@ -113,7 +113,7 @@
         spawn_local(self.peers.clone().offer(offer, times, self.inputs.clone()));
     }
 
-    fn hand_over_clients(&mut self) {
+    fn hand_off_clients(&mut self) {
         self.listener.take().iter().for_each(AbortHandle::abort);
         self.other_journals.stop();
         self.client_connections.hand_over();
--- a/crates/forwarder/src/input.rs
+++ b/crates/forwarder/src/input.rs
@@ -125,7 +125,7 @@
         /// The changed files.
         updates: Vec<OtherProcessUpdate>,
         /// Generations of the files that no longer exist.
-        gone: Vec<Generation>,
+        removed: Vec<Generation>,
     },
     /// An operator made a call on the console.
     Operator {
@@ -329,9 +329,9 @@
         /// Generation of the file.
         generation: Generation,
     },
-    /// Hand the clients over to the successor: accept no new connections, stop reading the files of other processes,
-    /// and end each client connection with its next answer.
-    HandOverClients,
+    /// Hand the clients off to the successor: accept no new connections, stop reading the files of other processes, and
+    /// end each client connection with its next answer.
+    HandOffClients,
     /// Accept no new connections, and close each client connection once its requests are answered.
     StopAccepting,
     /// End the process.
--- a/crates/forwarder/src/other_journals.rs
+++ b/crates/forwarder/src/other_journals.rs
@@ -101,20 +101,20 @@
         }
         self.next_poll = Instant::now() + POLL_INTERVAL;
         let mut updates = Vec::new();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         self.known.retain_mut(|known| {
             match poll_journal(known) {
                 PollResult::Unchanged => {}
                 PollResult::Changed(update) => updates.push(update),
                 PollResult::Removed => {
-                    gone.push(known.journal.generation());
+                    removed.push(known.journal.generation());
                     return false;
                 }
             }
             true
         });
-        let has_changes = !updates.is_empty() || !gone.is_empty();
-        has_changes.then_some(Input::OtherProcessesUpdated { updates, gone })
+        let has_changes = !updates.is_empty() || !removed.is_empty();
+        has_changes.then_some(Input::OtherProcessesUpdated { updates, removed })
     }
 
     fn scan(&mut self) {
--- a/crates/forwarder/src/reducer/attempts.rs
+++ b/crates/forwarder/src/reducer/attempts.rs
@@ -122,7 +122,7 @@
     /// reached its deadline, or the list may have moved the endpoint.
     fn drop_unsendable_attempts(&mut self, now: Micros, id: CallId, start: &AttemptStart) {
         let Some(call) = self.calls.get(id) else { return };
-        let sent_at = call.sent_at;
+        let created_at = call.created_at;
         let is_sendable = |attempt: &AttemptId| {
             let message = self.messages.get(attempt.message);
             message.is_some_and(|message| self.may_send_to(now, message, start))
@@ -134,7 +134,7 @@
         call.attempts = sendable;
         call.message_ids = message_ids;
         for attempt in dropped {
-            self.finish_attempt(now, attempt, Outcome::NotSent, sent_at, ReplyInfo::default());
+            self.finish_attempt(now, attempt, Outcome::NotSent, created_at, ReplyInfo::default());
         }
     }
 
@@ -184,7 +184,7 @@
     pub(super) fn abandon_call(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.remove(id) else { return };
         for attempt in call.attempts {
-            self.finish_attempt(now, attempt, Outcome::NotSent, call.sent_at, ReplyInfo::default());
+            self.finish_attempt(now, attempt, Outcome::NotSent, call.created_at, ReplyInfo::default());
         }
     }
 
--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -58,7 +58,7 @@
                 // superfluous notification does no harm.
                 self.finish(now, attempt.message, FinalAnswer::Failed);
             }
-            self.finish_attempt(now, *attempt, result.outcome, call.sent_at, info);
+            self.finish_attempt(now, *attempt, result.outcome, call.created_at, info);
         }
     }
 
@@ -97,7 +97,7 @@
             self.log(format!("call failed endpoint={} error={:?}", endpoint.uid, error.to_string()));
         }
         for attempt in call.attempts {
-            self.finish_attempt(now, attempt, outcome, call.sent_at, ReplyInfo::default());
+            self.finish_attempt(now, attempt, outcome, call.created_at, ReplyInfo::default());
         }
     }
 
@@ -116,7 +116,7 @@
         now: Micros,
         attempt: AttemptId,
         outcome: Outcome,
-        sent_at: Micros,
+        created_at: Micros,
         info: ReplyInfo,
     ) {
         let number = attempt.message;
@@ -134,7 +134,7 @@
             id: number,
             attempt: attempt.attempt,
             outcome,
-            latency: now - sent_at,
+            latency: now - created_at,
             message_finished: !self.messages.contains(number),
             retry_after: info.retry_after,
             reported_limit: info.reported_limit,
--- a/crates/forwarder/src/reducer/call_table.rs
+++ b/crates/forwarder/src/reducer/call_table.rs
@@ -22,7 +22,7 @@
     pub message_ids: Vec<String>,
     /// When the controller decided to send the messages. Latencies are measured from this time, so they include the
     /// time until a connection is established.
-    pub sent_at: Micros,
+    pub created_at: Micros,
     pub times_out_at: Micros,
     /// Whether the call uses a connection that had been idle.
     pub reused_connection: bool,
@@ -33,12 +33,12 @@
 
 impl Call {
     /// Creates a call with one attempt.
-    pub fn new(endpoint: EndpointId, attempt: AttemptId, sent_at: Micros, times_out_at: Micros) -> Self {
+    pub fn new(endpoint: EndpointId, attempt: AttemptId, created_at: Micros, times_out_at: Micros) -> Self {
         Call {
             endpoint,
             attempts: vec![attempt],
             message_ids: Vec::new(),
-            sent_at,
+            created_at,
             times_out_at,
             reused_connection: false,
             record_requested: false,
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -230,7 +230,7 @@
             + self.finished.bytes()
             + self.operator_overrides.bytes()
             + self.endpoints.list().size()
-            + self.known_routes_size()
+            + self.route_records_bytes()
             + SINGLE_RECORDS_BYTES
     }
 
@@ -246,8 +246,8 @@
         if let Some(discovery) = self.discovery.superseded() {
             Record::DiscoverySuperseded { discovery }.encode(b"", &mut bytes);
         }
-        for (uid, call) in self.operator_overrides.iter() {
-            Record::OperatorOverride { endpoint: uid.clone(), at: call.at, ejected: call.ejected }
+        for (uid, change) in self.operator_overrides.iter() {
+            Record::OperatorOverride { endpoint: uid.clone(), at: change.at, ejected: change.ejected }
                 .encode(b"", &mut bytes);
         }
         for finished in self.finished.iter() {
--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -171,8 +171,8 @@
             Some(catalogue) => WatchSource::Catalogue { catalogue: catalogue.clone(), list: list.snapshot() },
             None => {
                 // A version from a catalogue has no meaning for discovery.
-                let is_known = list.origin().is_empty() && self.regressed_watch.is_none();
-                let since = if is_known { list.version() } else { 0 };
+                let can_resume = list.origin().is_empty() && self.regressed_watch.is_none();
+                let since = if can_resume { list.version() } else { 0 };
                 WatchSource::Discovery { address: self.address, since }
             }
         };
@@ -205,8 +205,9 @@
     /// the list.
     fn observe_version(&mut self, now: Micros, event: &WatchEvent, list_origin: &str) -> VersionOrder {
         let older = event.origin == *list_origin && event.version < self.newest_version;
-        let settles = event.is_snapshot && self.regressed_watch.is_some_and(|watch| watch != self.watch);
-        if !older || settles {
+        let settles_regression =
+            event.is_snapshot && self.regressed_watch.is_some_and(|watch| watch != self.watch);
+        if !older || settles_regression {
             self.newest_version = event.version;
             self.regressed_watch = None;
             return VersionOrder::InOrder;
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -111,9 +111,9 @@
     /// Returns when the next message may be offered to the owner, or `None` if none waits or the maximum number of
     /// offers is in flight.
     fn wake_at(&self) -> Option<Micros> {
-        let most = if self.failing_since.is_some() { 1 } else { MAX_OFFERS_PER_OWNER };
+        let max_offers = if self.failing_since.is_some() { 1 } else { MAX_OFFERS_PER_OWNER };
         let (first, _) = self.due.first()?;
-        (self.offers_in_flight < most).then_some((*first).max(self.not_before))
+        (self.offers_in_flight < max_offers).then_some((*first).max(self.not_before))
     }
 
     /// Returns the next message to offer. A failing owner is offered messages in doubt first, if there are any.
--- a/crates/forwarder/src/reducer/message_table.rs
+++ b/crates/forwarder/src/reducer/message_table.rs
@@ -138,12 +138,12 @@
 
     /// Returns the messages that waited for a decision and were not dropped, each with the requests that wait for it.
     pub fn take_decided(&mut self) -> Vec<DecidedMessage> {
-        let numbers_by_id = std::mem::take(&mut self.awaiting_decision);
+        let awaiting = std::mem::take(&mut self.awaiting_decision);
         let decided = |number: MessageId| {
             let message = self.messages.get_mut(&number)?;
             Some(DecidedMessage { number, requests: std::mem::take(&mut message.waiting_requests) })
         };
-        numbers_by_id.into_iter().filter_map(decided).collect()
+        awaiting.into_iter().filter_map(decided).collect()
     }
 
     /// Returns an upper estimate of the bytes of all messages in a snapshot.
--- a/crates/forwarder/src/reducer/mod.rs
+++ b/crates/forwarder/src/reducer/mod.rs
@@ -114,7 +114,9 @@
             Input::Appended { append, stored, size } => self.on_appended(now, append, stored, size),
             Input::ConnectionUp { connection } => self.on_connection_up(now, connection),
             Input::AcceptingClients => self.accept_clients(),
-            Input::OtherProcessesUpdated { updates, gone } => self.on_other_processes(now, updates, &gone),
+            Input::OtherProcessesUpdated { updates, removed } => {
+                self.on_other_processes(now, updates, &removed)
+            }
             Input::Operator { request, call } => self.on_operator_call(now, request, call),
             Input::CallWritten { connection } => self.on_call_written(connection),
             Input::CallAnswered { connection, reply, reusable } => {
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -138,8 +138,13 @@
     }
 
     /// Handles the report on an override's record. Applies the override if it is `stored`, and replies to the operator.
-    pub(super) fn on_override_recorded(&mut self, now: Micros, call: OverrideRequest, stored: bool) {
-        let OverrideRequest { request, endpoint, change } = call;
+    pub(super) fn on_override_recorded(
+        &mut self,
+        now: Micros,
+        override_request: OverrideRequest,
+        stored: bool,
+    ) {
+        let OverrideRequest { request, endpoint, change } = override_request;
         let reply = if stored {
             self.apply_override(now, &endpoint, change);
             self.prune_overrides(now);
@@ -222,9 +227,9 @@
         if self.next_warm_at().is_none_or(|at| at > now) {
             return;
         }
-        let known: Vec<String> = self.operator_overrides.iter().map(|(uid, _)| uid.clone()).collect();
+        let uids_before: Vec<String> = self.operator_overrides.iter().map(|(uid, _)| uid.clone()).collect();
         self.prune_overrides(now);
-        for uid in known {
+        for uid in uids_before {
             if !self.operator_overrides.changes.contains_key(&uid) {
                 self.report_endpoint(now, &uid);
             }
@@ -244,11 +249,11 @@
     /// Returns the current values of the gauges.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen = self
+            let only_trial_calls = self
                 .endpoints
                 .id_of(uid)
                 .is_some_and(|endpoint| self.controller.gets_no_regular_calls(endpoint));
-            chosen || self.state_of(uid) != Some(EndpointState::Active)
+            only_trial_calls || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
             open_messages: self.messages.values().filter(|message| message.stored).count(),
--- a/crates/forwarder/src/reducer/ownership.rs
+++ b/crates/forwarder/src/reducer/ownership.rs
@@ -36,7 +36,7 @@
     /// Messages handed over to their owners, which have accepted them.
     handed_over: u64,
     /// Messages that other forwarders have handed over to this one.
-    taken_over: u64,
+    received_by_handover: u64,
     /// Messages handed over by forwarders that are not members.
     from_non_members: u64,
     /// Messages delivered here instead of being handed over to a failing owner.
@@ -119,7 +119,7 @@
 
     /// Counts an accepted message if its handover state says that another forwarder handed it over.
     pub fn count_received_by_handover(&mut self, accepted: &AcceptedMessage) {
-        self.counts.taken_over += u64::from(accepted.handover.kept_local);
+        self.counts.received_by_handover += u64::from(accepted.handover.kept_local);
     }
 
     /// Counts a message that its owner has accepted.
@@ -234,7 +234,7 @@
         for (name, value) in [
             ("owned", self.ownership.count_owned(&self.endpoints.destinations().with_endpoints())),
             ("handed_over", counts.handed_over),
-            ("taken_over", counts.taken_over),
+            ("taken_over", counts.received_by_handover),
             ("taken_over_from_strangers", counts.from_non_members),
             ("delivered_for_lack_of_owner", counts.delivered_for_owner),
             ("delivering_for_lack_of_owner", local_deliveries as u64),
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -24,7 +24,7 @@
     /// Messages that are not finished, by id, with their bodies.
     pub accepted: BTreeMap<String, (AcceptedMessage, Bytes)>,
     /// Final answers for which the platform has not yet accepted a notification.
-    pub undelivered_answers: Vec<DecidedAnswer>,
+    pub pending_answers: Vec<DecidedAnswer>,
     /// Ids of finished messages.
     pub finished: Vec<FinishedId>,
     /// The endpoint list.
@@ -65,7 +65,7 @@
             Record::AttemptNotSent { message } => self.change(&message, |accepted| accepted.attempts += 1),
             Record::AnswerDecided { message, at, answer } => {
                 self.accepted.remove(&message);
-                self.undelivered_answers.push(DecidedAnswer { id: message, answer, decided_at: at });
+                self.pending_answers.push(DecidedAnswer { id: message, answer, decided_at: at });
             }
             Record::Finished { message, at } | Record::HandedOver { message, at, .. } => {
                 self.finish(message, at);
@@ -130,7 +130,7 @@
     /// Marks a message as finished, so that it needs no notification.
     fn finish(&mut self, id: String, at: Micros) {
         self.accepted.remove(&id);
-        self.undelivered_answers.retain(|other| other.id != id);
+        self.pending_answers.retain(|other| other.id != id);
         self.finished.push(FinishedId { id, at });
         if self.finished.len() > 2 * MIN_FINISHED_IDS_KEPT {
             self.finished.drain(..MIN_FINISHED_IDS_KEPT);
--- a/crates/forwarder/src/reducer/route_state.rs
+++ b/crates/forwarder/src/reducer/route_state.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns an upper estimate of the bytes of the records of routes.
-    pub(super) fn known_routes_size(&self) -> usize {
+    pub(super) fn route_records_bytes(&self) -> usize {
         self.faulty_routes.record_bytes + self.retry_after.record_bytes()
     }
 
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -69,7 +69,7 @@
         let bounds = Bounds::new(&settings, config.limits);
         let ownership = Ownership::new(config.owners, now);
         let fleet_size = ownership.owners_per_destination().unwrap_or(settings.fleet_size);
-        let answers = std::mem::take(&mut recovered.undelivered_answers);
+        let answers = std::mem::take(&mut recovered.pending_answers);
         Reducer {
             controller: ControllerDriver::new(Settings { fleet_size, ..settings.clone() }, seed, now),
             discovery: EndpointDiscovery::new(
--- a/crates/forwarder/src/reducer/takeover.rs
+++ b/crates/forwarder/src/reducer/takeover.rs
@@ -17,7 +17,7 @@
 pub(super) struct Takeover {
     generation: Generation,
     messages: Vec<(AcceptedMessage, Bytes)>,
-    undelivered_answers: Vec<DecidedAnswer>,
+    pending_answers: Vec<DecidedAnswer>,
     finished: Vec<FinishedId>,
     /// Whether the process has ended, so that this is everything it left.
     is_complete: bool,
@@ -28,7 +28,7 @@
     fn records(&self) -> RecordsWithBodies {
         let mut records = RecordsWithBodies::new();
         let finished = self.finished.iter().map(FinishedId::record);
-        let answers = self.undelivered_answers.iter().map(DecidedAnswer::record);
+        let answers = self.pending_answers.iter().map(DecidedAnswer::record);
         records.extend(finished.chain(answers).map(|record| (record, Bytes::new())));
         for (accepted, body) in &self.messages {
             records.push((Record::Accepted(accepted.clone()), body.clone()));
@@ -71,13 +71,13 @@
         let mut takeover = Takeover {
             generation,
             messages: messages.filter_map(|(accepted, body)| self.merged_with_own(accepted, body)).collect(),
-            undelivered_answers: Vec::new(),
+            pending_answers: Vec::new(),
             finished: Vec::new(),
             is_complete,
         };
         if is_complete {
-            let answers = state.undelivered_answers.iter();
-            takeover.undelivered_answers = answers.filter(|answer| !is_known(&answer.id)).cloned().collect();
+            let answers = state.pending_answers.iter();
+            takeover.pending_answers = answers.filter(|answer| !is_known(&answer.id)).cloned().collect();
             let finished = state.finished.iter();
             takeover.finished = finished.filter(|finished| !is_known(&finished.id)).cloned().collect();
         }
@@ -104,7 +104,7 @@
         for FinishedId { id, at } in takeover.finished {
             self.finished.remember(id, at);
         }
-        for answer in takeover.undelivered_answers {
+        for answer in takeover.pending_answers {
             self.final_answers.push(answer);
         }
         let count = takeover.messages.len();
@@ -133,16 +133,16 @@
     fn finish_without_room(&mut self, now: Micros, takeover: &mut Takeover) {
         let retry_after_ms = self.no_room_retry_after() / 1000;
         for (accepted, _) in std::mem::take(&mut takeover.messages) {
-            let may_have_run = accepted.possible_delivery.is_some() || accepted.in_flight.is_some();
-            let (answer, end) = if may_have_run {
+            let may_be_delivered = accepted.possible_delivery.is_some() || accepted.in_flight.is_some();
+            let (answer, end) = if may_be_delivered {
                 (FinalAnswer::Failed, MessageEnd::Error)
             } else {
                 (FinalAnswer::Rejected { retry_after_ms }, MessageEnd::Overload)
             };
             self.metrics.on_ended_before_accepted(&accepted.class, end);
-            takeover.undelivered_answers.push(DecidedAnswer { id: accepted.id, answer, decided_at: now });
+            takeover.pending_answers.push(DecidedAnswer { id: accepted.id, answer, decided_at: now });
         }
-        let records: Vec<_> = takeover.undelivered_answers.iter().map(DecidedAnswer::record).collect();
+        let records: Vec<_> = takeover.pending_answers.iter().map(DecidedAnswer::record).collect();
         self.append_all(&records, None);
     }
 
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -46,7 +46,7 @@
     /// Returns whether the process holds or held the message.
     pub fn knows(&self, id: &str) -> bool {
         self.state.accepted.contains_key(id)
-            || self.state.undelivered_answers.iter().any(|other| other.id == id)
+            || self.state.pending_answers.iter().any(|other| other.id == id)
             || self.state.finished.iter().any(|other| other.id == id)
     }
 
@@ -59,7 +59,7 @@
             self.state.accepted.values().map(|(accepted, body)| {
                 message_size(&accepted.id, accepted.idempotency_key.as_deref(), body)
             });
-        let answers = self.state.undelivered_answers.iter().map(|answer| id_size(&answer.id));
+        let answers = self.state.pending_answers.iter().map(|answer| id_size(&answer.id));
         let finished = self.state.finished.iter().map(|finished| id_size(&finished.id));
         messages.chain(answers).chain(finished).sum::<usize>() + self.state.endpoint_list.size()
     }
@@ -140,7 +140,7 @@
     }
 
     /// Returns whether an older process still begins attempts. Until that process has stopped, this one begins none.
-    pub fn older_process_runs(&self) -> bool {
+    pub fn older_process_begins_attempts(&self) -> bool {
         self.older().any(|older| !older.begins_no_attempts())
     }
 
@@ -165,8 +165,9 @@
     /// more. A process that has handed off takes over nothing.
     pub fn may_take_over(&self, generation: Generation) -> bool {
         let Some(other) = self.others.get(&generation) else { return false };
-        let from_older =
-            generation < self.generation && other.begins_no_attempts() && !self.older_process_runs();
+        let from_older = generation < self.generation
+            && other.begins_no_attempts()
+            && !self.older_process_begins_attempts();
         !self.has_handed_off() && (other.ended || from_older)
     }
 
@@ -207,16 +208,16 @@
 }
 
 impl Reducer {
-    /// Applies the changes in the files of other processes. `gone` names the files that a third process has taken over
-    /// and removed. Hand-off and takeover are decided only after all changes are applied.
+    /// Applies the changes in the files of other processes. `removed` names the files that a third process has taken
+    /// over and removed. Hand-off and takeover are decided only after all changes are applied.
     pub(super) fn on_other_processes(
         &mut self,
         now: Micros,
         updates: Vec<OtherProcessUpdate>,
-        gone: &[Generation],
+        removed: &[Generation],
     ) {
-        let older_ran = self.upgrade.older_process_runs();
-        self.upgrade.others.retain(|generation, _| !gone.contains(generation));
+        let older_began_attempts = self.upgrade.older_process_begins_attempts();
+        self.upgrade.others.retain(|generation, _| !removed.contains(generation));
         for update in updates {
             self.apply_process_update(now, update);
         }
@@ -224,7 +225,7 @@
             self.hand_off(now);
         }
         self.update_own_share();
-        if older_ran && !self.upgrade.older_process_runs() {
+        if older_began_attempts && !self.upgrade.older_process_begins_attempts() {
             self.begin_attempts();
         }
         for generation in self.upgrade.generations() {
@@ -294,7 +295,7 @@
 
     /// Returns the settings for the controller. Their limit on calls applies to the calls of all processes together.
     pub(super) fn controller_settings(&self) -> Settings {
-        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_process_runs();
+        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_process_begins_attempts();
         let of_older = self.upgrade.older_calls_in_flight();
         let max_calls = if stopped { 0 } else { self.settings.max_calls.saturating_sub(of_older).max(1) };
         let fleet_size = self.ownership.owners_per_destination().unwrap_or(self.settings.fleet_size);
@@ -338,7 +339,7 @@
         }
         self.upgrade.stage = ProcessStage::HandedOff;
         self.clients.set_accepted(false);
-        self.effects.push(Effect::HandOverClients);
+        self.effects.push(Effect::HandOffClients);
         self.drop_unrecorded_calls();
         let endpoints: Vec<_> = self.endpoints.ids().collect();
         endpoints.into_iter().for_each(|endpoint| self.close_idle(endpoint));
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -123,7 +123,7 @@
         spawn_local(policy.clone().follow(source.clone(), inputs.clone()));
     }
     spawn_local(reloads.report(source.clone(), inputs));
-    while !runner.has_exited {
+    while !runner.exit_requested {
         step(&mut runner, &mut reducer, &mut received).await;
     }
     if let Some(policy) = &policy {
@@ -161,7 +161,7 @@
         other_journals: OtherJournals::new(state, generation, other_journals, expects_others),
         watch: None,
         listener: None,
-        has_exited: false,
+        exit_requested: false,
     };
     Ok((runner, reducer))
 }
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -238,7 +238,7 @@
                 );
                 self.processes[at].read.remove(&generation);
             }
-            Effect::HandOverClients => {
+            Effect::HandOffClients => {
                 self.processes[at].handed_over = true;
                 self.unlock(self.processes[at].number, generation);
             }
@@ -346,11 +346,11 @@
         let (number, own) = (self.processes[at].number, self.processes[at].generation);
         let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
         let others: BTreeSet<Generation> = self.files.keys().copied().filter(|g| *g != own).collect();
-        let (mut found_updates, mut gone) = (Vec::new(), Vec::new());
+        let (mut found_updates, mut removed) = (Vec::new(), Vec::new());
         for generation in known.union(&others).copied() {
             let Some(file) = self.files.get_mut(&generation) else {
                 self.processes[at].read.remove(&generation);
-                gone.push(generation);
+                removed.push(generation);
                 continue;
             };
             file.lock = file.lock.or(Some(number));
@@ -371,8 +371,8 @@
                 });
             }
         }
-        if !found_updates.is_empty() || !gone.is_empty() {
-            self.input(at, Input::OtherProcessesUpdated { updates: found_updates, gone });
+        if !found_updates.is_empty() || !removed.is_empty() {
+            self.input(at, Input::OtherProcessesUpdated { updates: found_updates, removed });
         }
     }
 
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -262,7 +262,7 @@
                 return (self.shape == Shape::Second).then_some(Input::WatchEvent { watch, event: update });
             }
             Effect::Log { .. } => {}
-            Effect::RemoveJournal { .. } | Effect::HandOverClients | Effect::ReportJournalFull { .. } => {
+            Effect::RemoveJournal { .. } | Effect::HandOffClients | Effect::ReportJournalFull { .. } => {
                 unreachable!("there is no other process in these tests")
             }
             Effect::StopAccepting => assert!(!std::mem::replace(&mut self.stopped_accepting, true)),
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -183,7 +183,7 @@
     let records = received.into_iter().map(|update| (Record::EndpointList(update), Bytes::new())).collect();
     let process_updates =
         vec![OtherProcessUpdate { generation: 1, rewritten: true, records, size: 20_000_000, ended: false }];
-    let written = world.input(Input::OtherProcessesUpdated { updates: process_updates, gone: Vec::new() });
+    let written = world.input(Input::OtherProcessesUpdated { updates: process_updates, removed: Vec::new() });
     assert!(written < 2 * SMALL_RECORD, "{written} bytes");
     let list = world.journaled_list();
     assert_eq!((list.version(), list.len(), world.endpoint_count()), (3, LISTED + 1, LISTED + 1));
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -524,7 +524,7 @@
         vec![OtherProcessUpdate { generation: 0, rewritten: true, records, size, ended: true }];
     let requested = drive_from(
         &mut reducer,
-        Input::OtherProcessesUpdated { updates: process_updates, gone: Vec::new() },
+        Input::OtherProcessesUpdated { updates: process_updates, removed: Vec::new() },
         8 * S,
     );
     assert_eq!((requested.removed_journals, requested.watches), (vec![0], vec![(3, 9)]));
--- a/crates/journal/src/codec.rs
+++ b/crates/journal/src/codec.rs
@@ -99,17 +99,17 @@
     let decoded = match tag {
         tags::ACCEPTED | tags::ACCEPTED_WITH_KEY => fields(text, Record::Accepted),
         tags::ATTEMPT_STARTED => fields::<AttemptStarted>(text, Record::from),
-        tags::ATTEMPT_IN_DOUBT => of_message(text, |message| Record::AttemptInDoubt { message }),
-        tags::ATTEMPT_NOT_DELIVERED => of_message(text, |message| Record::AttemptNotDelivered { message }),
-        tags::ATTEMPT_NOT_SENT => of_message(text, |message| Record::AttemptNotSent { message }),
+        tags::ATTEMPT_IN_DOUBT => decode_id(text, |message| Record::AttemptInDoubt { message }),
+        tags::ATTEMPT_NOT_DELIVERED => decode_id(text, |message| Record::AttemptNotDelivered { message }),
+        tags::ATTEMPT_NOT_SENT => decode_id(text, |message| Record::AttemptNotSent { message }),
         tags::ANSWER_DECIDED => fields::<AnswerDecided>(text, Record::from),
         tags::FINISHED => fields::<Finished>(text, Record::from),
         tags::HANDOVER_OFFERED => {
             fields(text, |HandoverTo { message, owner, at }| Record::HandoverOffered { message, owner, at })
         }
-        tags::HANDOVER_DECLINED => of_message(text, |message| Record::HandoverDeclined { message }),
-        tags::HANDOVER_IN_DOUBT => of_message(text, |message| Record::HandoverInDoubt { message }),
-        tags::KEPT_LOCAL => of_message(text, |message| Record::KeptLocal { message }),
+        tags::HANDOVER_DECLINED => decode_id(text, |message| Record::HandoverDeclined { message }),
+        tags::HANDOVER_IN_DOUBT => decode_id(text, |message| Record::HandoverInDoubt { message }),
+        tags::KEPT_LOCAL => decode_id(text, |message| Record::KeptLocal { message }),
         tags::HANDED_OVER => {
             fields(text, |HandoverTo { message, owner, at }| Record::HandedOver { message, owner, at })
         }
@@ -130,8 +130,8 @@
 }
 
 /// Decodes a record whose only field is the message's id.
-fn of_message(text: &[u8], into: impl FnOnce(String) -> Record) -> serde_json::Result<Record> {
-    fields(text, |OfMessage { message }| into(message))
+fn decode_id(text: &[u8], into: impl FnOnce(String) -> Record) -> serde_json::Result<Record> {
+    fields(text, |MessageField { message }| into(message))
 }
 
 #[derive(Deserialize)]
@@ -140,7 +140,7 @@
 }
 
 #[derive(Deserialize)]
-struct OfMessage {
+struct MessageField {
     #[serde(rename = "txn")]
     message: String,
 }
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -2,8 +2,8 @@
 
 use crate::error::JournalError;
 use crate::folder::{
-    Generation, compaction_path, create, generations, lock, make, path_of, reject_unreadable, remove,
-    take_over_ended,
+    Generation, compaction_path, create_locked, create_new_file, generations, lock, path_of,
+    reject_unreadable, remove, take_over_ended,
 };
 use crate::other::OtherJournal;
 use crate::record::RecordsWithBodies;
@@ -46,7 +46,7 @@
         let ended = newest.map(|generation| take_over_ended(folder, generation)).transpose()?.flatten();
         let (generation, file) = match ended {
             Some(file) => (newest.unwrap_or_default(), file),
-            None => create(folder, newest.map_or(0, |newest| newest + 1), make)?,
+            None => create_locked(folder, newest.map_or(0, |newest| newest + 1), create_new_file)?,
         };
         let path = path_of(folder, generation);
         let bytes = fs::read(&path).map_err(JournalError::io("read", &path))?;
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -76,14 +76,14 @@
 
 /// Creates and locks a file of generation `first`, or of the next higher one that no other process creates or removes
 /// at the same time.
-pub(crate) fn create(
+pub(crate) fn create_locked(
     folder: &Path,
     first: Generation,
-    make: impl Fn(&Path) -> io::Result<File>,
+    create_new_file: impl Fn(&Path) -> io::Result<File>,
 ) -> Result<(Generation, File), JournalError> {
     for generation in first.. {
         let path = path_of(folder, generation);
-        match make(&path) {
+        match create_new_file(&path) {
             // Before the lock was taken, another process may have taken the file for that of an ended process, and
             // removed it.
             Ok(file) if lock(&file, &path)? && is_still_named(&file, &path) => return Ok((generation, file)),
@@ -96,7 +96,7 @@
 }
 
 /// Creates a file that must not exist yet.
-pub(crate) fn make(path: &Path) -> io::Result<File> {
+pub(crate) fn create_new_file(path: &Path) -> io::Result<File> {
     OpenOptions::new().create_new(true).append(true).open(path)
 }
 
--- a/crates/journal/src/folder/making_tests.rs
+++ b/crates/journal/src/folder/making_tests.rs
@@ -37,7 +37,7 @@
 fn make_with_interference<'a>(meanwhile: impl Fn() + 'a) -> impl Fn(&Path) -> io::Result<File> + 'a {
     let first = Cell::new(true);
     move |path| {
-        let file = make(path)?;
+        let file = create_new_file(path)?;
         if first.take() {
             meanwhile();
         }
@@ -50,7 +50,7 @@
 #[test]
 fn file_removed_before_its_lock_is_not_kept() {
     let folder = Folder::new("removed");
-    let made = create(&folder.0, 3, make_with_interference(|| drop(scan_and_remove(&folder.0, 3))));
+    let made = create_locked(&folder.0, 3, make_with_interference(|| drop(scan_and_remove(&folder.0, 3))));
     let (generation, file) = made.expect("the file is created");
     let path = path_of(&folder.0, generation);
     assert!(is_still_named(&file, &path), "{} must be the locked file", path.display());
@@ -70,7 +70,8 @@
 fn file_removed_and_still_locked_by_another_process_is_not_kept() {
     let folder = Folder::new("held");
     let held = Cell::new(None);
-    let made = create(&folder.0, 0, make_with_interference(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
+    let made =
+        create_locked(&folder.0, 0, make_with_interference(|| held.set(Some(scan_and_remove(&folder.0, 0)))));
     let (generation, file) = made.expect("the file is created");
     assert!(is_still_named(&file, &path_of(&folder.0, generation)));
     assert!(held.take().is_some(), "the other process must have removed a file");
