--- a/crates/forwarder/src/reducer/call_results.rs
+++ b/crates/forwarder/src/reducer/call_results.rs
@@ -14,8 +14,11 @@
 /// The parts of a reply that are not outcomes of single messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReplyInfo {
+    /// Retry-After of the reply; 0 if it has none.
     retry_after: Micros,
+    /// Limit that the reply reported, in calls a second; `None` if it reported none.
     reported_limit: Option<f64>,
+    /// Remaining part of that limit as the reply reported it; `None` if it reported none.
     reported_remaining: Option<f64>,
     /// Whether the reply arrived after the deadline of a message in its call, or after such a message was finished.
     late: bool,
--- a/crates/forwarder/src/reducer/durability.rs
+++ b/crates/forwarder/src/reducer/durability.rs
@@ -66,8 +66,8 @@
 }
 
 impl AfterAppend {
-    /// Returns whether the append may be refused for lack of space while other processes run. All other appends have to
-    /// be written.
+    /// Returns whether the append may be refused for lack of space while files of other processes are in the folder.
+    /// All other appends have to be written.
     fn may_be_denied_space(&self) -> bool {
         matches!(
             self,
