--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -2,8 +2,8 @@
 
 use crate::error::JournalError;
 use crate::folder::{
-    Generation, compaction_path, create_locked, create_new_file, generations, lock, path_of,
-    reject_unreadable, remove, take_over_ended,
+    Generation, compaction_path, create_locked, create_new_file, generations, lock, open_if_ended, path_of,
+    reject_unreadable, remove,
 };
 use crate::other::OtherJournal;
 use crate::record::RecordsWithBodies;
@@ -43,7 +43,7 @@
     pub fn open(folder: &Path) -> Result<OpenedJournal, JournalError> {
         let generations = generations(folder)?;
         let newest = generations.last().copied();
-        let ended = newest.map(|generation| take_over_ended(folder, generation)).transpose()?.flatten();
+        let ended = newest.map(|generation| open_if_ended(folder, generation)).transpose()?.flatten();
         let (generation, file) = match ended {
             Some(file) => (newest.unwrap_or_default(), file),
             None => create_locked(folder, newest.map_or(0, |newest| newest + 1), create_new_file)?,
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -63,7 +63,7 @@
 }
 
 /// Opens and locks the file of a process that has ended. Returns `None` if the process still runs.
-pub(crate) fn take_over_ended(folder: &Path, generation: Generation) -> Result<Option<File>, JournalError> {
+pub(crate) fn open_if_ended(folder: &Path, generation: Generation) -> Result<Option<File>, JournalError> {
     let path = path_of(folder, generation);
     let file = OpenOptions::new().append(true).open(&path).map_err(JournalError::io("open", &path))?;
     Ok((lock(&file, &path)? && is_still_named(&file, &path)).then_some(file))
