--- a/crates/forwarder/src/reducer/endpoint_discovery.rs
+++ b/crates/forwarder/src/reducer/endpoint_discovery.rs
@@ -57,7 +57,10 @@
     superseded: Option<SocketAddr>,
     /// The catalogue to watch instead of discovery; `None` if discovery is watched.
     catalogue: Option<Rc<dyn Catalogue>>,
+    /// The last watch that was started, or the next higher id if that watch was abandoned. Inputs from a watch with
+    /// another id are ignored.
     watch: WatchId,
+    /// Whether a watch is in force. If `false`, the next watch starts at `watch_at`.
     watching: bool,
     watch_at: Micros,
     watch_started_at: Micros,
@@ -114,7 +117,7 @@
         self.catalogue.is_some()
     }
 
-    /// Returns whether this watch is the last one that was started.
+    /// Returns whether this watch is the last one that was started and was not abandoned.
     pub fn is_current(&self, watch: WatchId) -> bool {
         watch == self.watch
     }
--- a/crates/forwarder/src/reducer/handover_schedule.rs
+++ b/crates/forwarder/src/reducer/handover_schedule.rs
@@ -85,7 +85,9 @@
     local_delivery_allowed: BTreeSet<(DestinationId, MessageId)>,
     waiting: usize,
     offers_in_flight: usize,
+    /// When the first offer since the last answered one failed; `None` if none has failed.
     failing_since: Option<Micros>,
+    /// Earliest time of the next offer; 0 if no offer has failed since the last answered one.
     not_before: Micros,
     backoff: Backoff,
     /// The time of this owner's entry in [`HandoverSchedule::timers`], if it has one.
@@ -138,6 +140,7 @@
     owner_queues: BTreeMap<String, OwnerQueue>,
     /// Owners, in the order of the time at which a message may be offered to them.
     timers: BTreeSet<(Micros, String)>,
+    /// Waiting messages, in the order of the time at which they stop waiting.
     wait_ends: BTreeSet<(Micros, MessageId)>,
     /// Offers in flight, with their owners. The message of an offer may already be finished.
     offers_in_flight: BTreeMap<MessageId, String>,
