--- a/crates/forwarder/src/reducer/message_table.rs
+++ b/crates/forwarder/src/reducer/message_table.rs
@@ -48,7 +48,7 @@
     messages: BTreeMap<MessageId, Message>,
     numbers_by_id: HashMap<String, MessageId>,
     next_number: MessageId,
-    /// Messages that the controller admits or rejects in its next round.
+    /// Messages to record after the controller's next round, unless the controller rejects them in that round.
     awaiting_decision: Vec<MessageId>,
     /// An upper estimate of the bytes of all messages in a snapshot.
     live_bytes: usize,
@@ -70,7 +70,7 @@
         self.numbers_by_id.get(id).copied()
     }
 
-    /// Returns whether a message is held, that is, not finished.
+    /// Returns whether the table contains a message. A finished message is no longer in the table.
     pub fn contains(&self, number: MessageId) -> bool {
         self.messages.contains_key(&number)
     }
@@ -138,12 +138,12 @@
 
     /// Returns the messages that waited for a decision and were not dropped, each with the requests that wait for it.
     pub fn take_decided(&mut self) -> Vec<DecidedMessage> {
-        let numbers_by_id = std::mem::take(&mut self.awaiting_decision);
+        let awaiting = std::mem::take(&mut self.awaiting_decision);
         let decided = |number: MessageId| {
             let message = self.messages.get_mut(&number)?;
             Some(DecidedMessage { number, requests: std::mem::take(&mut message.waiting_requests) })
         };
-        numbers_by_id.into_iter().filter_map(decided).collect()
+        awaiting.into_iter().filter_map(decided).collect()
     }
 
     /// Returns an upper estimate of the bytes of all messages in a snapshot.
--- a/crates/forwarder/src/reducer/operator_overrides.rs
+++ b/crates/forwarder/src/reducer/operator_overrides.rs
@@ -11,7 +11,7 @@
 use orchidyoke_journal::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of overrides of endpoints that the list does not name. Beyond it, the oldest is forgotten.
+/// Maximum number of overrides of endpoints that the list does not name. Beyond this number, the oldest is forgotten.
 const MAX_UNLISTED_OVERRIDES: usize = 256;
 /// An upper estimate of the bytes of the record of an override, without the endpoint's uid.
 const OVERRIDE_RECORD_BYTES: usize = 96;
@@ -87,7 +87,8 @@
         self.changes.iter()
     }
 
-    /// Forgets restored endpoints that are warm, and the oldest overrides of unlisted endpoints beyond the maximum.
+    /// Forgets the overrides of restored endpoints that are warm, and the oldest overrides of unlisted endpoints beyond
+    /// the maximum.
     fn prune(&mut self, warm_since: Micros, is_listed: impl Fn(&str) -> bool) {
         self.changes.retain(|_, change| change.ejected || change.at > warm_since);
         self.restored.retain(|(at, _)| *at > warm_since);
@@ -128,8 +129,8 @@
             let reply = ConsoleReply::Rejected(format!("no endpoint {endpoint} is listed"));
             return self.effects.push(Effect::Reply { request, reply });
         }
-        // Written even if it changes nothing here, because another process may have received an opposite override
-        // since.
+        // The override is recorded even if it changes nothing here, because another process may have received an
+        // opposite override since.
         let record = Record::OperatorOverride { endpoint: endpoint.clone(), at: now, ejected };
         let change = OverrideChange { at: now, ejected };
         let next_step = AfterAppend::ApplyOverride(OverrideRequest { request, endpoint, change });
@@ -137,8 +138,13 @@
     }
 
     /// Handles the report on an override's record. Applies the override if it is `stored`, and replies to the operator.
-    pub(super) fn on_override_recorded(&mut self, now: Micros, call: OverrideRequest, stored: bool) {
-        let OverrideRequest { request, endpoint, change } = call;
+    pub(super) fn on_override_recorded(
+        &mut self,
+        now: Micros,
+        override_request: OverrideRequest,
+        stored: bool,
+    ) {
+        let OverrideRequest { request, endpoint, change } = override_request;
         let reply = if stored {
             self.apply_override(now, &endpoint, change);
             self.prune_overrides(now);
@@ -221,9 +227,9 @@
         if self.next_warm_at().is_none_or(|at| at > now) {
             return;
         }
-        let known: Vec<String> = self.operator_overrides.iter().map(|(uid, _)| uid.clone()).collect();
+        let uids_before: Vec<String> = self.operator_overrides.iter().map(|(uid, _)| uid.clone()).collect();
         self.prune_overrides(now);
-        for uid in known {
+        for uid in uids_before {
             if !self.operator_overrides.changes.contains_key(&uid) {
                 self.report_endpoint(now, &uid);
             }
@@ -243,11 +249,11 @@
     /// Returns the current values of the gauges.
     pub fn gauges(&self) -> Gauges {
         let avoided = |uid: &str| {
-            let chosen = self
+            let only_trial_calls = self
                 .endpoints
                 .id_of(uid)
                 .is_some_and(|endpoint| self.controller.gets_no_regular_calls(endpoint));
-            chosen || self.state_of(uid) != Some(EndpointState::Active)
+            only_trial_calls || self.state_of(uid) != Some(EndpointState::Active)
         };
         Gauges {
             open_messages: self.messages.values().filter(|message| message.stored).count(),
--- a/crates/forwarder/src/reducer/recovered_state.rs
+++ b/crates/forwarder/src/reducer/recovered_state.rs
@@ -1,7 +1,7 @@
 //! The state that a journal describes, which results from applying its records in the order of the file.
 //!
-//! Used at the start for this process's own file, and for the file of another process while that process shares the
-//! folder.
+//! The state is built at the start from this process's own file, and from the file of another process while that
+//! process shares the folder.
 
 use super::final_answers::{DecidedAnswer, FinishedId};
 use super::operator_overrides::{OperatorOverrides, OverrideChange};
@@ -24,7 +24,7 @@
     /// Messages that are not finished, by id, with their bodies.
     pub accepted: BTreeMap<String, (AcceptedMessage, Bytes)>,
     /// Final answers for which the platform has not yet accepted a notification.
-    pub undelivered_answers: Vec<DecidedAnswer>,
+    pub pending_answers: Vec<DecidedAnswer>,
     /// Ids of finished messages.
     pub finished: Vec<FinishedId>,
     /// The endpoint list.
@@ -37,7 +37,7 @@
     pub operator_overrides: OperatorOverrides,
     /// The stage of the process.
     pub stage: ProcessStage,
-    /// Until when the Retry-After of each route lasts, as far as it was recorded for another process.
+    /// The end of the Retry-After of each route, if it was recorded for another process.
     pub retry_after: BTreeMap<RouteKey, Micros>,
 }
 
@@ -65,7 +65,7 @@
             Record::AttemptNotSent { message } => self.change(&message, |accepted| accepted.attempts += 1),
             Record::AnswerDecided { message, at, answer } => {
                 self.accepted.remove(&message);
-                self.undelivered_answers.push(DecidedAnswer { id: message, answer, decided_at: at });
+                self.pending_answers.push(DecidedAnswer { id: message, answer, decided_at: at });
             }
             Record::Finished { message, at } | Record::HandedOver { message, at, .. } => {
                 self.finish(message, at);
@@ -130,7 +130,7 @@
     /// Marks a message as finished, so that it needs no notification.
     fn finish(&mut self, id: String, at: Micros) {
         self.accepted.remove(&id);
-        self.undelivered_answers.retain(|other| other.id != id);
+        self.pending_answers.retain(|other| other.id != id);
         self.finished.push(FinishedId { id, at });
         if self.finished.len() > 2 * MIN_FINISHED_IDS_KEPT {
             self.finished.drain(..MIN_FINISHED_IDS_KEPT);
--- a/crates/forwarder/src/reducer/start.rs
+++ b/crates/forwarder/src/reducer/start.rs
@@ -69,7 +69,7 @@
         let bounds = Bounds::new(&settings, config.limits);
         let ownership = Ownership::new(config.owners, now);
         let fleet_size = ownership.owners_per_destination().unwrap_or(settings.fleet_size);
-        let answers = std::mem::take(&mut recovered.undelivered_answers);
+        let answers = std::mem::take(&mut recovered.pending_answers);
         Reducer {
             controller: ControllerDriver::new(Settings { fleet_size, ..settings.clone() }, seed, now),
             discovery: EndpointDiscovery::new(
@@ -125,7 +125,7 @@
     fn record_start(&mut self, is_list_recorded: bool) {
         if is_list_recorded {
             // The list is not written again. A file that would have no room for it is compacted nevertheless, because
-            // at the start nobody waits for that.
+            // no client waits for a compaction at the start.
             self.compact_if_needed(self.endpoints.list().size());
         }
         self.append_record(&Record::ProcessStage { stage: ProcessStage::Started });
--- a/crates/forwarder/src/reducer/upgrade.rs
+++ b/crates/forwarder/src/reducer/upgrade.rs
@@ -1,5 +1,5 @@
-//! An upgrade: two processes use one folder, and the older one hands its messages over to the process that was started
-//! to replace it.
+//! An upgrade: two processes use one folder, and the older one hands off its messages to its successor, the process
+//! that was started to replace it.
 //!
 //! Each process writes its own file and reads those of the others. A message belongs to the process whose file has it,
 //! until that file says that the process has handed off, or until the process has ended. Only then does another process
@@ -46,7 +46,7 @@
     /// Returns whether the process holds or held the message.
     pub fn knows(&self, id: &str) -> bool {
         self.state.accepted.contains_key(id)
-            || self.state.undelivered_answers.iter().any(|other| other.id == id)
+            || self.state.pending_answers.iter().any(|other| other.id == id)
             || self.state.finished.iter().any(|other| other.id == id)
     }
 
@@ -59,7 +59,7 @@
             self.state.accepted.values().map(|(accepted, body)| {
                 message_size(&accepted.id, accepted.idempotency_key.as_deref(), body)
             });
-        let answers = self.state.undelivered_answers.iter().map(|answer| id_size(&answer.id));
+        let answers = self.state.pending_answers.iter().map(|answer| id_size(&answer.id));
         let finished = self.state.finished.iter().map(|finished| id_size(&finished.id));
         messages.chain(answers).chain(finished).sum::<usize>() + self.state.endpoint_list.size()
     }
@@ -133,13 +133,14 @@
         !self.others.is_empty()
     }
 
-    /// Returns whether another process runs, which has to learn of the changes that reach this one.
+    /// Returns whether another process runs. While one runs, this process has to record for it the changes that the
+    /// other process does not receive itself, such as a Retry-After.
     pub fn other_process_runs(&self) -> bool {
         self.others.values().any(|other| !other.ended)
     }
 
     /// Returns whether an older process still begins attempts. Until that process has stopped, this one begins none.
-    pub fn older_process_runs(&self) -> bool {
+    pub fn older_process_begins_attempts(&self) -> bool {
         self.older().any(|older| !older.begins_no_attempts())
     }
 
@@ -160,11 +161,13 @@
     }
 
     /// Returns whether this process may take over from another process. It may take over everything if that process has
-    /// ended, and what is not in flight if that process is older and has stopped.
+    /// ended, and the messages that are not in flight if that process is older and no older process begins attempts any
+    /// more. A process that has handed off takes over nothing.
     pub fn may_take_over(&self, generation: Generation) -> bool {
         let Some(other) = self.others.get(&generation) else { return false };
-        let from_older =
-            generation < self.generation && other.begins_no_attempts() && !self.older_process_runs();
+        let from_older = generation < self.generation
+            && other.begins_no_attempts()
+            && !self.older_process_begins_attempts();
         !self.has_handed_off() && (other.ended || from_older)
     }
 
@@ -205,16 +208,16 @@
 }
 
 impl Reducer {
-    /// Applies the changes in the files of other processes. `gone` names the files that a third process has taken over.
-    /// Decisions follow after all changes are known.
+    /// Applies the changes in the files of other processes. `removed` names the files that a third process has taken
+    /// over and removed. Hand-off and takeover are decided only after all changes are applied.
     pub(super) fn on_other_processes(
         &mut self,
         now: Micros,
         updates: Vec<OtherProcessUpdate>,
-        gone: &[Generation],
+        removed: &[Generation],
     ) {
-        let older_ran = self.upgrade.older_process_runs();
-        self.upgrade.others.retain(|generation, _| !gone.contains(generation));
+        let older_began_attempts = self.upgrade.older_process_begins_attempts();
+        self.upgrade.others.retain(|generation, _| !removed.contains(generation));
         for update in updates {
             self.apply_process_update(now, update);
         }
@@ -222,7 +225,7 @@
             self.hand_off(now);
         }
         self.update_own_share();
-        if older_ran && !self.upgrade.older_process_runs() {
+        if older_began_attempts && !self.upgrade.older_process_begins_attempts() {
             self.begin_attempts();
         }
         for generation in self.upgrade.generations() {
@@ -234,7 +237,7 @@
     fn apply_process_update(&mut self, now: Micros, update: OtherProcessUpdate) {
         let OtherProcessUpdate { generation, rewritten, records, size, ended } = update;
         if !self.upgrade.others.contains_key(&generation) && !ended {
-            // The other process was not there when this process received its Retry-After values.
+            // The other process did not run when this process received its Retry-After values.
             self.append_all(&self.running_retry_afters(now), None);
         }
         let other = self.upgrade.others.entry(generation).or_default();
@@ -292,7 +295,7 @@
 
     /// Returns the settings for the controller. Their limit on calls applies to the calls of all processes together.
     pub(super) fn controller_settings(&self) -> Settings {
-        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_process_runs();
+        let stopped = self.upgrade.has_handed_off() || self.upgrade.older_process_begins_attempts();
         let of_older = self.upgrade.older_calls_in_flight();
         let max_calls = if stopped { 0 } else { self.settings.max_calls.saturating_sub(of_older).max(1) };
         let fleet_size = self.ownership.owners_per_destination().unwrap_or(self.settings.fleet_size);
@@ -336,7 +339,7 @@
         }
         self.upgrade.stage = ProcessStage::HandedOff;
         self.clients.set_accepted(false);
-        self.effects.push(Effect::HandOverClients);
+        self.effects.push(Effect::HandOffClients);
         self.drop_unrecorded_calls();
         let endpoints: Vec<_> = self.endpoints.ids().collect();
         endpoints.into_iter().for_each(|endpoint| self.close_idle(endpoint));
