--- a/crates/forwarder/src/catalogue.rs
+++ b/crates/forwarder/src/catalogue.rs
@@ -38,8 +38,8 @@
     /// has changed.
     fn id(&self) -> &str;
 
-    /// Follows the catalogue from the endpoint list `held` on. Sends the changes to that list, with versions that
-    /// continue from the version of `held`. A catalogue that does not answer must not empty the list. The future ends
-    /// with the reason, in one line; the caller may then call this again.
-    fn follow(&self, held: WatchEvent, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
+    /// Follows the catalogue from the endpoint list `list` on. Sends the changes to that list, with versions that
+    /// continue from the version of `list`. A catalogue that does not answer must not empty the list. The future
+    /// returns, in one line, the reason why it has ended; the caller may then call this method again.
+    fn follow(&self, list: WatchEvent, sender: UpdateSender) -> Pin<Box<dyn Future<Output = String>>>;
 }
--- a/crates/forwarder/src/client_connections.rs
+++ b/crates/forwarder/src/client_connections.rs
@@ -1,7 +1,7 @@
 //! The open client connections, shared by the listener and the connections' tasks.
 //!
-//! This module enforces the limit on open connections. It signals a connection to close so that another one fits in,
-//! in a graceful shutdown, and when a successor process takes over the clients.
+//! This module enforces the limit on open connections. It tells the tasks of connections to close them: to make room
+//! for another connection, in a graceful shutdown, and when a successor process takes over the clients.
 
 use crate::connection_limit::{ConnectionId, ConnectionLimit, Eviction};
 use std::cell::{Cell, RefCell, RefMut};
@@ -77,8 +77,8 @@
         self.discard_buffer.borrow_mut()
     }
 
-    /// Waits until another connection fits in. Evicts connections before the limit is reached, so that they have time
-    /// for a lingering close. At the limit, cuts the connections that have been lingering longest.
+    /// Waits until there is room for another connection. Evicts connections before the limit is reached, so that they
+    /// have time for a lingering close. At the limit, cuts the connections that have been lingering longest.
     pub(crate) async fn make_room(&self) {
         loop {
             while self.evict() {}
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Evicts a connection if one has to go and one can be evicted. Returns whether it has evicted one.
+    /// Evicts a connection if room is needed and a connection can be evicted. Returns whether it has evicted one.
     pub(crate) fn evict(&self) -> bool {
         let Some(eviction) = self.limit.borrow_mut().evict(Instant::now()) else { return false };
         let signals_of = |id: ConnectionId| self.signals.borrow().get(&id).cloned();
--- a/crates/forwarder/src/config.rs
+++ b/crates/forwarder/src/config.rs
@@ -53,8 +53,9 @@
 }
 
 impl Limits {
-    /// Returns the limit on open connections to endpoints, idle ones included. It is one for each of `max_calls`, and
-    /// for idle ones part of the other descriptors.
+    /// Returns the limit on open connections to endpoints, idle ones included. It allows one connection for each of
+    /// `max_calls`, and in addition a quarter of the descriptors for idle connections, or less so that both parts
+    /// together stay within a third of the descriptors.
     pub fn max_endpoint_connections(&self, max_calls: usize) -> usize {
         let idle_share = self.max_descriptors / 4;
         let idle_left = (self.max_descriptors / 3).saturating_sub(max_calls);
--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Has not yet sent a whole request.
+    /// Has not yet sent the whole head of its first request.
     New,
     /// Has a request that is being answered.
     Busy,
@@ -110,7 +110,7 @@
         self.connections.remove(&id);
     }
 
-    /// Evicts the next connection if one has to go and one can be evicted.
+    /// Evicts the next connection if room is needed and a connection can be evicted.
     ///
     /// At the limit, the connection that has been lingering longest is cut. Otherwise a connection is closed if
     /// serving connections use places that are reserved for lingering ones, or if the limit is reached and no
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -111,7 +111,7 @@
     tokio::select! {
         biased;
         ended = &mut lists => ended,
-        // The connection may end while its response arrives. The bytes that have arrived still count.
+        // The connection may end while its response arrives. The bytes that have arrived are still read.
         _ = connection => lists.await,
     }
 }
--- a/crates/forwarder/src/endpoint_call.rs
+++ b/crates/forwarder/src/endpoint_call.rs
@@ -28,7 +28,7 @@
 pub struct EndpointCall {
     /// The messages.
     pub messages: Vec<CallMessage>,
-    /// Whether the call has the form for several messages.
+    /// Whether the call has the bulk form, which may contain several messages.
     pub is_bulk: bool,
     /// Time for which the forwarder waits, in microseconds. The endpoint receives it in `X-Remaining`.
     pub time_left: Micros,
--- a/crates/forwarder/src/endpoint_connection.rs
+++ b/crates/forwarder/src/endpoint_connection.rs
@@ -23,10 +23,10 @@
 
 /// Longest head of a response, and most bytes that are read ahead.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Limit on the time from the first byte of a response to its last. Endpoints write a response in one go.
+/// Limit on the time from the first byte of a response to its last. Endpoints write a whole response at once.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Limit on the time to receive the rest of a response that has begun when its call times out or is cancelled. The
-/// response still counts: it may report a delivery or a delay before the next attempt.
+/// response is still used, because it may report a delivery or a delay before the next attempt.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A call for a connection.
@@ -238,7 +238,7 @@
             // The bytes that arrived before the close are still to be read.
             _ = &mut *driver, if is_open => is_open = false,
             _ = calls.recv() => break Cause::Cancelled,
-            // Polled last, so that bytes that the driver has just read count.
+            // The time-out is polled last, so that it takes account of bytes that the driver has just read.
             cause = poll_fn(|context| poll_time_out(context, time_out.as_mut(), deadline, exchange)) => {
                 break cause;
             }
--- a/crates/forwarder/src/metrics.rs
+++ b/crates/forwarder/src/metrics.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the number of owned messages that have neither ended nor been handed over. `app_concurrent` must equal
-    /// it.
+    /// this number.
     pub fn open_messages(&self) -> u64 {
         self.accepted - self.ended - self.handed_over
     }
--- a/crates/forwarder/src/other_journals.rs
+++ b/crates/forwarder/src/other_journals.rs
@@ -66,14 +66,15 @@
         }
     }
 
-    /// Returns the time at which [`OtherJournals::poll_due`] is next due; `None` if it is not.
+    /// Returns the time at which [`OtherJournals::poll_due`] next scans or polls; `None` if there is nothing to scan or
+    /// poll.
     pub fn wake_at(&self) -> Option<Instant> {
         let poll = (!self.known.is_empty()).then_some(self.next_poll);
         let scan = self.expects_others.then_some(self.next_scan);
         poll.into_iter().chain(scan).min().filter(|_| !self.is_stopped)
     }
 
-    /// Scans and polls if due, and returns what is new.
+    /// Scans and polls if due. Returns the changes as an input; `None` if there are none.
     pub fn poll_due(&mut self) -> Option<Input> {
         let now = Instant::now();
         if self.is_stopped || self.wake_at().is_none_or(|at| at > now) {
@@ -85,7 +86,7 @@
         self.poll()
     }
 
-    /// Scans and polls at once, and returns what is new.
+    /// Scans and polls at once. Returns the changes as an input; `None` if there are none.
     pub fn scan_and_poll(&mut self) -> Option<Input> {
         if self.is_stopped || !self.expects_others && self.known.is_empty() {
             return None;
@@ -94,7 +95,7 @@
         self.poll()
     }
 
-    /// Polls the known journals at once, and returns what is new.
+    /// Polls the known journals at once. Returns the changes as an input; `None` if there are none.
     pub fn poll(&mut self) -> Option<Input> {
         if self.is_stopped {
             return None;
--- a/crates/forwarder/src/retry_after.rs
+++ b/crates/forwarder/src/retry_after.rs
@@ -14,8 +14,9 @@
     header_text(headers, "X-Come-Back-Ms").map_or(0, |text| parse_rounded_up(text, 1.0))
 }
 
-/// Returns the longer of `Retry-After`, in seconds or as a date, and `X-Come-Back-Ms`, in milliseconds from `now` on,
-/// rounded up; 0 if neither is present and valid.
+/// Returns the longer of the delays in `Retry-After` (seconds, or a date compared with `now`) and `X-Come-Back-Ms`. The
+/// delay is in milliseconds: a number is rounded up, and the time until a date is rounded down. Returns 0 if neither
+/// header is present and valid.
 pub fn retry_after_ms(headers: &HeaderMap, now: SystemTime) -> u64 {
     let retry_after = header_text(headers, RETRY_AFTER.as_str())
         .map_or(0, |text| ms_until_date(text, now).unwrap_or_else(|| parse_rounded_up(text, 1000.0)));
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -67,7 +67,7 @@
 }
 
 // Guards against a fleet that loses discovery at one moment and overloads it during the outage, and against delays so
-// long that a forwarder misses a change that is already binding. At most 5 s may pass between two calls, and all
+// long that a forwarder applies a change of the list too late. At most 5 s may pass between two calls, and all
 // forwarders must be served within 12 s after the outage.
 #[test]
 fn fleet_recovers_in_time_after_losing_discovery() {
@@ -83,7 +83,8 @@
         );
         assert!(result.recovered_at <= OUTAGE + 12 * SECOND, "seed {seed}: {result:?}");
     }
-    // Backoffs without a part of the algorithm must do worse: a fixed delay, doubling without jitter, and no cap.
+    // Backoffs that lack a part of the algorithm must fail these bounds: a fixed delay, doubling without jitter, and no
+    // cap.
     let fixed_delay = simulate_fleet(|_, _, _| SECOND / 4);
     let without_jitter = simulate_fleet(|_, failures, duration| {
         ((SECOND / 4) << failures.min(7)).min(MAX_INTERVAL - duration)
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -15,7 +15,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Time limit for anything that the test waits for.
+/// Limit on each time for which a test waits.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longer than the time that a shutdown gives a connection for its last bytes (50 ms).
 const AFTER_LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(150);
@@ -312,8 +312,8 @@
         let mut client = client(forwarder.address, "");
         assert!(matches!(forwarder.inputs.recv().await, Some(Input::ClientConnection { connected: true })));
         forwarder.connections.shut_down();
-        // Within the time that the connection gets. If the test stalls for longer than both times, this sleep still
-        // ends first.
+        // The request arrives within the 50 ms that a shutdown gives a new connection. Even if the test stalls for
+        // longer than both times, this sleep ends before the 50 ms.
         sleep(Duration::from_millis(10)).await;
         client.write_all(request("a", "").as_bytes()).expect("the write succeeds");
         forwarder.accept_next("a").await;
@@ -329,7 +329,8 @@
     run(async {
         let mut forwarder = TestForwarder::new(64);
         let address = forwarder.address;
-        // These connect on their own thread, because they exceed the backlog and connect only as others are accepted.
+        // The clients connect on their own thread, because they are more than the backlog allows, so that some connect
+        // only after others have been accepted.
         let crowd = std::thread::spawn(move || (0..600).map(|_| client(address, "")).collect::<Vec<_>>());
         let all_connect = async {
             let mut connected_count = 0;
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -123,7 +123,7 @@
     pub inodes: u64,
     pub files: BTreeMap<Generation, File>,
     pub messages: BTreeMap<String, MessageState>,
-    /// The retry delays that endpoints asked for: the process that received it, the destination, and the end.
+    /// The Retry-Afters of endpoints: the generation of the process that received one, the destination, and the end.
     pub waits: Vec<(Generation, u64, Micros)>,
     /// Endpoints that an operator has ejected, and the time of the reply `200`.
     pub ejected: BTreeMap<String, Micros>,
@@ -137,8 +137,8 @@
         world
     }
 
-    /// Starts a process. As in `Journal::open`, it uses the newest file if the process of that file is gone, or else
-    /// a new file.
+    /// Starts a process. As in `Journal::open`, it uses the newest file if the process of that file has ended, or
+    /// else a new file.
     pub fn start(&mut self) {
         let newest = self.files.last_key_value().map(|(generation, file)| (*generation, file.lock.is_some()));
         let generation = match newest {
@@ -288,7 +288,10 @@
         );
         let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
         let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
-        assert!(until <= self.now + 100_000, "a retry delay received by one process binds all");
+        assert!(
+            until <= self.now + 100_000,
+            "a Retry-After received by one process must be respected by all"
+        );
         for message_id in ids(&call) {
             let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             assert!(
@@ -322,7 +325,7 @@
         }
         let file = self.files.get_mut(&process.generation).expect("the process has a journal");
         file.lock = None;
-        // A retry delay that no journal contains ends with the process that received it, because no other process
+        // A Retry-After that no journal contains ends with the process that received it, because no other process
         // knows it.
         let written = replay(Bytes::copy_from_slice(&file.bytes)).0;
         let written = written.into_iter().filter_map(|(record, _)| match record {
@@ -338,7 +341,7 @@
         }
     }
 
-    /// Polls the journals of the other processes, as `OtherJournals` does.
+    /// Polls the journals of the other processes as `OtherJournals` does, and passes the changes to the reducer.
     pub fn look(&mut self, at: usize) {
         if self.processes[at].handed_over {
             return;
@@ -535,7 +538,7 @@
             self.now += S / 2;
             self.start();
         }
-        // The processes that accept clients. After a kill there may be none until the next start.
+        // The list may be empty after a kill, because no process accepts clients until the next start.
         let open: Vec<usize> =
             (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
         match step {
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -24,6 +24,7 @@
 pub struct Link {
     pub address: String,
     pub up: bool,
+    /// Time until which the connection has to be established.
     pub until: Micros,
     pub call: Option<EndpointCall>,
     /// When the call was written, and the zone of the endpoint.
@@ -31,7 +32,7 @@
 }
 
 impl Link {
-    /// Returns how far the call had got if the connection closed now.
+    /// Returns the progress that is reported for the call if the connection closes now.
     pub fn progress(&self) -> Progress {
         match (&self.call, self.up) {
             (Some(_), _) => Progress::FullyWritten,
@@ -91,7 +92,7 @@
     Reducer::new(config, 0, records, whole, now)
 }
 
-/// Returns what a watch follows, as a port, and from which version on. A catalogue has port 0.
+/// Returns the port of discovery that a watch follows (0 for a catalogue), and the version after which it starts.
 pub fn watch_source(source: &WatchSource) -> (u16, u64) {
     match source {
         WatchSource::Discovery { address, since } => (address.port(), *since),
@@ -506,7 +507,7 @@
         self.input(Input::TimerDue);
     }
 
-    /// Makes an operator's call. Returns whether the reply confirmed it.
+    /// Passes an operator's command to the reducer. Returns whether the reply confirmed it.
     pub fn call_operator(&mut self, call: console::Command) -> bool {
         let request_id = self.replies.keys().last().map_or(0, |request_id| request_id + 1);
         self.input(Input::Operator { request: request_id, call });
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// Time from when discovery has a change until the change is binding.
+/// Time from when discovery has a change until the forwarder must have applied it.
 const CHANGE_BINDING_AFTER: Duration = Duration::from_secs(6);
 /// Allowance for a slow machine.
 const SLACK: Duration = Duration::from_millis(700);
@@ -151,7 +151,7 @@
 
 // Guards against following a silent watch forever: before its response, before its first list, after it, or while
 // single bytes arrive that never complete a list. Each time the watch must report how long discovery was silent, and
-// leave time for another watch before a change is binding.
+// end early enough for another watch to receive a change before it must be applied.
 #[tokio::test(flavor = "current_thread")]
 async fn silent_watch_times_out() {
     let first = format!("{CHUNKED}{}", chunk(&(list(1, true, "s1", "in_service") + "\n")));
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Handovers in the reducer: what is offered to which forwarder, what the journal holds before, and how a message
-//! continues after each outcome of an offer. The clock, the owners and the endpoints are simulated.
+//! Handovers in the reducer: what is offered to which forwarder, what the journal contains before an offer, and how a
+//! message continues after each outcome of an offer. The clock, the owners and the endpoints are simulated.
 
 mod common;
 
@@ -536,7 +536,8 @@
     assert!(world.written.is_empty() && world.notifications.is_empty());
 }
 
-// Guards against a doubt that is cleared by a later rejection, or by a later offer that does not reach the owner.
+// Guards against a message in doubt that no longer counts as in doubt after a later offer is rejected, or does not
+// reach the owner.
 #[test]
 fn doubt_survives_later_offer_outcomes() {
     for later in [OfferOutcome::Rejected(0), not_sent()] {
@@ -696,8 +697,8 @@
     let again = world.offer();
     assert_eq!((again.owner_address, &again.message.id), (first.owner_address, &first.message.id));
     world.end_offer(&again, not_sent());
-    // The message has been in doubt since before the restart. That the owner cannot be reached now does not clear the
-    // doubt.
+    // The message has been in doubt since before the restart. The message stays in doubt although
+    // the owner cannot be reached now.
     let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
     world.wait(S);
     assert!(world.written.is_empty() && world.offers.is_empty());
@@ -798,8 +799,8 @@
     assert_eq!(world.offers.len(), 16, "an owner that answers must get the maximum number of offers again");
 }
 
-// Guards against a doubt that is lost when the message is offered to another owner. The mark must carry the possible
-// delivery.
+// Guards against a possible delivery that is forgotten when the message is offered to another owner. The mark must
+// carry the possible delivery.
 #[test]
 fn possible_delivery_is_passed_to_the_next_owner() {
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
--- a/crates/forwarder/tests/handover_mark.rs
+++ b/crates/forwarder/tests/handover_mark.rs
@@ -34,6 +34,7 @@
     assert_eq!(String::from_utf8(mark.to_header()).expect("the text is UTF-8"), short);
 }
 
+// Guards against using a mark that cannot be parsed, occurs twice, is too long, or has a time out of range.
 #[test]
 fn unreadable_repeated_or_out_of_range_marks_are_malformed() {
     let valid = r#"{"from":"f1","deadline":7,"valid_until":6,"attempts":0}"#;
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -107,8 +107,8 @@
     );
 }
 
-// Guards against a message without a final answer. An endpoint reported the message as finished because its client had
-// gone, and the platform still waited for a notification.
+// Guards against a message without a final answer. An endpoint reported that the message had expired, and the platform
+// still waited for a notification.
 #[test]
 fn message_finished_at_the_endpoint_gets_a_final_answer() {
     let mut world = World::new();
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -29,7 +29,7 @@
     assert!(world.messages["x"].accepted && !world.links.is_empty());
 }
 
-// Guards against a reload that keeps the old discovery, forgets the held messages or the list, or watches two
+// Guards against a reload that keeps the old discovery, forgets the open messages or the list, or watches two
 // addresses. The old watch reports its end only after the reload.
 #[test]
 fn reload_watches_the_new_discovery_at_once() {
@@ -199,8 +199,8 @@
         (config.seed, config.settings.max_poll_interval) = (seed, 10 * S);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let mut now = START;
-        // Rejected at once, also with a Retry-After; a connection attempt that hangs; silence before the first line;
-        // silence, and slow partial data, after it.
+        // Duration, silence, and Retry-After (in ms) of each failed watch: rejected at once, also with a Retry-After; a
+        // connection attempt that hangs; silence before the first line; silence, and slow partial data, after it.
         let failures = [
             (0, 0, 0),
             (0, 0, 30_000),
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to the reducer.
+//! Operators' commands to the reducer.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use orchidyoke_forwarder::console;
 use orchidyoke_forwarder::input::Input;
 
-// Guards against an ejected endpoint that returns by itself. It must stay ejected if a list drops it and names it
-// again, and after a reload and a restart. One call that restores it undoes two that ejected it. A call for an endpoint
-// that no list has named is rejected.
+// Guards against an ejected endpoint that gets calls again without `enable-server`. The endpoint must stay ejected if a
+// list drops it and names it again, and after a reload and a restart. One `enable-server` reverts two
+// `disable-server`. A command for an endpoint that no list has named is rejected.
 #[test]
 fn ejected_endpoint_stays_ejected_until_restored() {
     let (eject, restore) =
@@ -44,7 +44,7 @@
     assert_eq!(
         world.links.len(),
         1,
-        "one call must restore the endpoint, and the waiting message must be sent"
+        "one command must restore the endpoint, and the waiting message must be sent"
     );
     assert!(
         !world.call_operator(console::Command::Ready),
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -77,7 +77,7 @@
 }
 
 // Guards against a restart that returns to the address from the command line that a reload has superseded, and against
-// one that keeps the address from the file although another address was given on the command line, which is newer.
+// one that keeps the address from the file although a newer address is given on the command line.
 #[test]
 fn restart_after_a_reload_keeps_the_files_discovery() {
     let config = |port: u16, given: Option<&str>| {
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions to the reducer: which are accepted, rejected or refused, and how a shutdown ends.
+//! Submissions to the reducer: which are accepted, rejected or incomplete, and how a shutdown ends.
 
 mod common;
 
@@ -26,7 +26,8 @@
     assert!(world.pending_requests.is_empty(), "every request must be answered");
 }
 
-// Guards against a forwarder that still runs when it is killed, and against a message lost at the end. Requests that
+// Guards against a shutdown that takes so long that the platform kills the forwarder, and against losing a message in
+// the shutdown. Requests that
 // clients have sent before the forwarder stops accepting are still accepted and answered.
 #[test]
 fn shutdown_ends_in_time_and_answers_every_request() {
@@ -54,7 +55,7 @@
 }
 
 // Guards against a deployment without tenants that accepts nothing, against a message that is accepted without a header
-// that its class or deployment requires, and against a refused request that counts as a final answer.
+// that its class or deployment requires, and against an incomplete request that counts as a final answer.
 #[test]
 fn settings_decide_the_required_headers() {
     for (shape, tenant_name, key, good) in [
--- a/crates/forwarder/tests/upgrade.rs
+++ b/crates/forwarder/tests/upgrade.rs
@@ -13,7 +13,7 @@
 
 // Guards against a message that an upgrade loses, that two processes send, or that ends twice. Also guards against a
 // Retry-After, an override or an attempt that one process knows and the other does not, and against a folder that
-// exceeds its limit. A kill takes place between any two effects, and at most three processes run.
+// exceeds its limit. A kill may take place between any two effects, and at most three processes run.
 #[test]
 fn invariants_hold_over_all_processes_of_a_folder() {
     fn holds(steps: Vec<Step>) -> bool {
@@ -30,7 +30,7 @@
     }
 }
 
-// Guards against a hand-off that takes as long as the calls of the older process. The successor must send the queued
+// Guards against a handover that takes as long as the calls of the older process. The successor must send the queued
 // messages immediately, and a call in flight stays with the older process until it ends.
 #[test]
 fn queued_messages_go_to_the_successor_and_calls_in_flight_stay() {
@@ -89,7 +89,7 @@
 }
 
 // Guards against an endpoint that one process has ejected and the other has not, regardless of which process received
-// the call.
+// the command.
 #[test]
 fn operator_override_reaches_both_processes() {
     for at in [0, 1] {
@@ -101,10 +101,10 @@
         world.input(0, Input::Shutdown);
         world.submit(1, "a".to_owned(), true, 2, 10);
         world.wait(3 * S);
-        assert!(world.processes.iter().all(|process| process.links.is_empty()), "call at process {at}");
+        assert!(world.processes.iter().all(|process| process.links.is_empty()), "command at process {at}");
         let last = world.processes.len() - 1;
         world.operate(last, "s-c", false);
         world.wait(S);
-        assert_eq!(world.processes[last].links.len(), 1, "call at process {at}");
+        assert_eq!(world.processes[last].links.len(), 1, "command at process {at}");
     }
 }
