--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -135,8 +135,9 @@
         if !self.is_full() || self.count(|state| state == ConnectionState::Cut) > 0 {
             return None;
         }
-        let lingering = self.connections.iter().filter(|(_, it)| it.state == ConnectionState::Lingering);
-        lingering.map(|(id, it)| (it.since, *id)).min().map(|(_, id)| id)
+        let lingering =
+            self.connections.iter().filter(|(_, connection)| connection.state == ConnectionState::Lingering);
+        lingering.map(|(id, connection)| (connection.since, *id)).min().map(|(_, id)| id)
     }
 
     fn must_close_one(&self) -> bool {
--- a/crates/forwarder/src/console_listener.rs
+++ b/crates/forwarder/src/console_listener.rs
@@ -101,8 +101,8 @@
 impl ConsoleConnection {
     /// Excludes the connection from those that may be closed to make room for others.
     fn on_line_complete(&self) {
-        let was_open = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
-        self.is_line_complete.set(was_open);
+        let was_incomplete = self.gateway.incomplete.borrow_mut().remove(&self.request).is_some();
+        self.is_line_complete.set(was_incomplete);
     }
 }
 
--- a/crates/forwarder/src/console_listener/tests.rs
+++ b/crates/forwarder/src/console_listener/tests.rs
@@ -13,7 +13,7 @@
 
 // Guards against clients that send nothing, or never end their line, and thereby block clients that send commands.
 #[tokio::test(flavor = "current_thread")]
-async fn silent_callers_do_not_block_others() {
+async fn silent_clients_do_not_block_others() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
     let address = listener.local_addr().expect("has a local address");
     let (inputs, mut received) = unbounded_channel();
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -119,8 +119,8 @@
         overlay: impl Fn(&str) -> Result<String, ConfigError>,
     ) -> Result<Config, ConfigError> {
         let config = self.read_file_with(overlay);
-        let mut config =
-            config.map_err(|e| ConfigError::InFile { path: self.path.clone(), source: Box::new(e) })?;
+        let mut config = config
+            .map_err(|error| ConfigError::InFile { path: self.path.clone(), source: Box::new(error) })?;
         if let Some(console) = &self.console {
             config.console = Some(parse_address("console", console.clone())?);
         }
--- a/crates/forwarder/tests/backoff.rs
+++ b/crates/forwarder/tests/backoff.rs
@@ -110,6 +110,6 @@
     }
     backoff.reset();
     assert!(backoff.next_delay(1000) <= 100);
-    let mut odd = Backoff::new(Micros::MAX, 1);
-    assert!((0..100).all(|_| odd.next_delay(0) == 0 && odd.next_delay(-5) == 0));
+    let mut longest_backoff = Backoff::new(Micros::MAX, 1);
+    assert!((0..100).all(|_| longest_backoff.next_delay(0) == 0 && longest_backoff.next_delay(-5) == 0));
 }
--- a/crates/forwarder/tests/closes.rs
+++ b/crates/forwarder/tests/closes.rs
@@ -27,7 +27,7 @@
     inputs: UnboundedReceiver<Input>,
 }
 
-fn socket() -> (tokio::net::TcpListener, SocketAddr) {
+fn bind_listener() -> (tokio::net::TcpListener, SocketAddr) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds to a port");
     listener.set_nonblocking(true).expect("the socket call succeeds");
     let address = listener.local_addr().expect("has a local address");
@@ -36,7 +36,7 @@
 
 impl TestForwarder {
     fn new(max_connections: usize) -> Self {
-        let (listener, address) = socket();
+        let (listener, address) = bind_listener();
         let (sender, inputs) = unbounded_channel();
         let forwarder = TestForwarder {
             address,
@@ -286,10 +286,11 @@
 #[test]
 fn connections_in_the_backlog_are_answered_in_shutdown() {
     run(async {
-        let (listener, address) = socket();
+        let (listener, address) = bind_listener();
         let (sender, inputs) = unbounded_channel();
         let (gateway, connections) = (ClientGateway::new(sender), ClientConnections::new(64));
-        let waiting: Vec<_> = (0..20).map(|n| client(address, &request(&n.to_string(), ""))).collect();
+        let waiting: Vec<_> =
+            (0..20).map(|number| client(address, &request(&number.to_string(), ""))).collect();
         connections.shut_down();
         spawn_local(listen(listener, gateway.clone(), connections.clone()));
         let mut forwarder = TestForwarder { address, gateway, connections, inputs };
@@ -331,7 +332,8 @@
         let address = forwarder.address;
         // The clients connect on their own thread, because they are more than the backlog allows, so that some connect
         // only after others have been accepted.
-        let crowd = std::thread::spawn(move || (0..600).map(|_| client(address, "")).collect::<Vec<_>>());
+        let idle_clients =
+            std::thread::spawn(move || (0..600).map(|_| client(address, "")).collect::<Vec<_>>());
         let all_connect = async {
             let mut connected_count = 0;
             while connected_count < 600 {
@@ -347,6 +349,6 @@
         assert!(served.is_ok(), "the request is not served in time");
         let response = read_to_close(last_client).await;
         assert!(response.as_ref().is_ok_and(|text| text.starts_with("HTTP/1.1 202")), "{response:?}");
-        drop(crowd.join().expect("the thread has not panicked"));
+        drop(idle_clients.join().expect("the thread has not panicked"));
     });
 }
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -12,9 +12,9 @@
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::endpoint_call::EndpointCall;
 
-pub const S: Micros = 1_000_000;
-pub const START: Micros = 1_800_000_000 * S;
-pub const DISK: usize = 200_000;
+pub const SECOND: Micros = 1_000_000;
+pub const START: Micros = 1_800_000_000 * SECOND;
+pub const MAX_FOLDER_BYTES: usize = 200_000;
 
 /// Returns the ids of the messages of a call.
 pub fn ids(call: &EndpointCall) -> impl Iterator<Item = &str> {
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -1,7 +1,7 @@
 //! Simulates several processes on one folder, in memory, with a kill between any two effects.
 
-use super::world::Link;
-use super::{DISK, S, START, ids};
+use super::world::SimulatedConnection;
+use super::{MAX_FOLDER_BYTES, SECOND, START, ids};
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::config::Config;
@@ -59,20 +59,21 @@
 }
 
 impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Self {
-        let (which, at, flag) = (usize::arbitrary(g), usize::arbitrary(g), bool::arbitrary(g));
-        match u8::arbitrary(g) % 48 {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        let (which, at, flag) =
+            (usize::arbitrary(generator), usize::arbitrary(generator), bool::arbitrary(generator));
+        match u8::arbitrary(generator) % 48 {
             0..=11 => Step::Submit { at, orders: flag, dest: 1 + which as u64 % 3, size: which % 2000 },
             12 => Step::Resubmit { at, which },
-            13..=20 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
-            21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(g) },
+            13..=20 => Step::Connect { which, up: u8::arbitrary(generator) % 5 > 0 },
+            21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(generator) },
             32 => Step::Break(which),
             33..=39 => Step::Wait(which as Micros % 200_000),
             40 | 41 => Step::Operator { at, which, ejected: flag },
             42 | 43 => Step::Upgrade,
             44 | 45 => Step::Terminate,
             46 => Step::Kill { at, after: which % 6 },
-            _ => Step::Wait(S),
+            _ => Step::Wait(SECOND),
         }
     }
 }
@@ -90,7 +91,7 @@
     pub number: usize,
     pub reducer: Reducer,
     pub generation: Generation,
-    pub links: BTreeMap<EndpointConnectionId, Link>,
+    pub connections: BTreeMap<EndpointConnectionId, SimulatedConnection>,
     /// The inode of each other file, and the number of bytes read from it.
     pub read: BTreeMap<Generation, (u64, usize)>,
     pub submitted_requests: BTreeMap<RequestId, String>,
@@ -110,7 +111,7 @@
     pub deadline: Micros,
     pub accepted: bool,
     pub calls: usize,
-    pub may_have_run: bool,
+    pub possibly_delivered: bool,
     pub delivered: bool,
     pub final_answers: BTreeSet<String>,
 }
@@ -124,7 +125,7 @@
     pub files: BTreeMap<Generation, File>,
     pub messages: BTreeMap<String, MessageState>,
     /// The Retry-Afters of endpoints: the generation of the process that received one, the destination, and the end.
-    pub waits: Vec<(Generation, u64, Micros)>,
+    pub retry_afters: Vec<(Generation, u64, Micros)>,
     /// Endpoints that an operator has ejected, and the time of the reply `200`.
     pub ejected: BTreeMap<String, Micros>,
     pub upgrades: usize,
@@ -160,7 +161,7 @@
             number,
             reducer,
             generation,
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             read: BTreeMap::new(),
             submitted_requests: BTreeMap::new(),
             replies: BTreeMap::new(),
@@ -170,7 +171,7 @@
             kill_after: None,
         });
         let at = self.processes.len() - 1;
-        self.look(at);
+        self.poll_other_journals(at);
         self.input(at, Input::TimerDue);
         if at < self.processes.len() {
             self.input(at, Input::AcceptingClients);
@@ -210,21 +211,24 @@
             Effect::Reply { request: request_id, reply } => {
                 drop(self.processes[at].replies.insert(request_id, reply))
             }
-            Effect::Append { append: receipt, bytes } => {
+            Effect::Append { append: append_id, bytes } => {
                 let file = self.files.get_mut(&generation).expect("the process has a journal");
                 file.bytes.extend_from_slice(&bytes);
                 let size = file.bytes.len();
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
-                assert!(all <= DISK, "the folder is over its limit");
-                return Some(Input::Appended { append: receipt, stored: true, size });
+                assert!(all <= MAX_FOLDER_BYTES, "the folder is over its limit");
+                return Some(Input::Appended { append: append_id, stored: true, size });
             }
-            Effect::ReportJournalFull { append: receipt } => {
+            Effect::ReportJournalFull { append: append_id } => {
                 let size = self.files[&generation].bytes.len();
-                return Some(Input::Appended { append: receipt, stored: false, size });
+                return Some(Input::Appended { append: append_id, stored: false, size });
             }
             Effect::CompactJournal { bytes } => {
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
-                assert!(all + bytes.len() <= DISK, "the old and the new journal exceed the limit");
+                assert!(
+                    all + bytes.len() <= MAX_FOLDER_BYTES,
+                    "the old and the new journal exceed the limit"
+                );
                 self.inodes += 1;
                 let file = self.files.get_mut(&generation).expect("the process has a journal");
                 (file.bytes, file.inode) = (bytes.to_vec(), self.inodes);
@@ -242,15 +246,21 @@
                 self.processes[at].handed_over = true;
                 self.unlock(self.processes[at].number, generation);
             }
-            Effect::Connect { connection: link, address, until } => {
-                let new = Link { address: address.to_string(), until, ..Link::default() };
-                assert!(self.processes[at].links.insert(link, new).is_none());
+            Effect::Connect { connection: connection_id, address, until } => {
+                let new = SimulatedConnection {
+                    address: address.to_string(),
+                    until,
+                    ..SimulatedConnection::default()
+                };
+                assert!(self.processes[at].connections.insert(connection_id, new).is_none());
+            }
+            Effect::SendCall { connection: connection_id, call } => {
+                self.write(at, connection_id, call);
+                return Some(Input::CallWritten { connection: connection_id });
             }
-            Effect::SendCall { connection: link, call } => {
-                self.write(at, link, call);
-                return Some(Input::CallWritten { connection: link });
+            Effect::CloseConnection { connection: connection_id } => {
+                return self.close(at, connection_id, Cause::Cancelled);
             }
-            Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::PostNotifications { notifications: final_answers, .. } => {
                 assert!(self.processes[at].posting.replace(final_answers).is_none());
@@ -262,32 +272,38 @@
 
     /// Releases the locks of a process on all files but its own.
     pub fn unlock(&mut self, number: usize, own: Generation) {
-        let held = self.files.iter_mut().filter(|(g, file)| **g != own && file.lock == Some(number));
-        held.for_each(|(_, file)| file.lock = None);
+        let locked = self
+            .files
+            .iter_mut()
+            .filter(|(generation, file)| **generation != own && file.lock == Some(number));
+        locked.for_each(|(_, file)| file.lock = None);
     }
 
-    pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
-        let links = || self.processes.iter().flat_map(|process| process.links.values());
-        let in_flight: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
+    pub fn write(&mut self, at: usize, connection_id: EndpointConnectionId, call: EndpointCall) {
+        let connections = || self.processes.iter().flat_map(|process| process.connections.values());
+        let in_flight: Vec<&str> =
+            connections().filter_map(|connection| connection.call.as_ref()).flat_map(ids).collect();
         assert!(
             ids(&call).all(|message_id| !in_flight.contains(&message_id)),
             "a message is in flight twice"
         );
         assert!(
-            links().filter(|link| link.call.is_some()).count() < MAX_CALLS,
+            connections().filter(|connection| connection.call.is_some()).count() < MAX_CALLS,
             "the processes together exceed the limit on calls"
         );
-        let address = &self.processes[at].links[&link].address;
-        let targets = super::endpoint_entries();
-        let target =
-            targets.iter().find(|t| t.address.to_string() == *address).expect("the endpoint is listed");
-        let ejected = self.ejected.get(&target.uid);
+        let address = &self.processes[at].connections[&connection_id].address;
+        let endpoints = super::endpoint_entries();
+        let endpoint = endpoints
+            .iter()
+            .find(|endpoint| endpoint.address.to_string() == *address)
+            .expect("the endpoint is listed");
+        let ejected = self.ejected.get(&endpoint.uid);
         assert!(
             ejected.is_none_or(|since| self.now - since <= DRAIN_GRACE),
             "the endpoint is ejected for all processes"
         );
-        let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
-        let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
+        let retry_afters = self.retry_afters.iter().filter(|(_, dest, _)| *dest == endpoint.destination);
+        let until = retry_afters.map(|(.., until)| *until).max().unwrap_or(0);
         assert!(
             until <= self.now + 100_000,
             "a Retry-After received by one process must be respected by all"
@@ -295,33 +311,37 @@
         for message_id in ids(&call) {
             let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             assert!(
-                !message_state.orders || !message_state.may_have_run,
+                !message_state.orders || !message_state.possibly_delivered,
                 "a message that may not be repeated is sent twice: {message_id}"
             );
             assert!(self.now < message_state.deadline);
             message_state.calls += 1;
             assert!(message_state.calls <= 8, "more than eight attempts over all processes");
         }
-        self.processes[at].links.get_mut(&link).expect("the connection is open").call = Some(call);
+        self.processes[at].connections.get_mut(&connection_id).expect("the connection is open").call =
+            Some(call);
     }
 
-    pub fn may_have_run(&mut self, link: &Link) {
-        for message_id in link.call.iter().flat_map(ids) {
-            self.messages.get_mut(message_id).expect("the message was submitted").may_have_run = true;
+    pub fn mark_possibly_delivered(&mut self, connection: &SimulatedConnection) {
+        for message_id in connection.call.iter().flat_map(ids) {
+            self.messages.get_mut(message_id).expect("the message was submitted").possibly_delivered = true;
         }
     }
 
-    pub fn close(&mut self, at: usize, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
-        let closed = self.processes[at].links.remove(&link)?;
+    pub fn close(&mut self, at: usize, connection_id: EndpointConnectionId, cause: Cause) -> Option<Input> {
+        let closed = self.processes[at].connections.remove(&connection_id)?;
         let progress = closed.progress();
-        self.may_have_run(&closed);
-        Some(Input::ConnectionClosed { connection: link, error: EndpointCallError { progress, cause } })
+        self.mark_possibly_delivered(&closed);
+        Some(Input::ConnectionClosed {
+            connection: connection_id,
+            error: EndpointCallError { progress, cause },
+        })
     }
 
     pub fn kill(&mut self, at: usize) {
         let mut process = self.processes.remove(at);
-        for link in std::mem::take(&mut process.links).into_values() {
-            self.may_have_run(&link);
+        for connection in std::mem::take(&mut process.connections).into_values() {
+            self.mark_possibly_delivered(&connection);
         }
         let file = self.files.get_mut(&process.generation).expect("the process has a journal");
         file.lock = None;
@@ -333,22 +353,23 @@
             _ => None,
         });
         let written: Vec<_> = written.collect();
-        self.waits
+        self.retry_afters
             .retain(|(by, dest, until)| *by != process.generation || written.contains(&(*dest, *until)));
         self.unlock(process.number, process.generation);
         if self.processes.is_empty() {
-            self.waits.clear();
+            self.retry_afters.clear();
         }
     }
 
     /// Polls the journals of the other processes as `OtherJournals` does, and passes the changes to the reducer.
-    pub fn look(&mut self, at: usize) {
+    pub fn poll_other_journals(&mut self, at: usize) {
         if self.processes[at].handed_over {
             return;
         }
         let (number, own) = (self.processes[at].number, self.processes[at].generation);
         let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
-        let others: BTreeSet<Generation> = self.files.keys().copied().filter(|g| *g != own).collect();
+        let others: BTreeSet<Generation> =
+            self.files.keys().copied().filter(|generation| *generation != own).collect();
         let (mut found_updates, mut gone) = (Vec::new(), Vec::new());
         for generation in known.union(&others).copied() {
             let Some(file) = self.files.get_mut(&generation) else {
@@ -379,18 +400,29 @@
         }
     }
 
-    /// Picks one of the connections of all processes for which `fit` returns `true`. Returns its process and its id.
-    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, EndpointConnectionId)> {
-        let links =
-            self.processes.iter().enumerate().flat_map(|(at, p)| p.links.iter().map(move |l| (at, l)));
-        let fit: Vec<_> = links.filter(|(_, (_, link))| fit(link)).map(|(at, (id, _))| (at, *id)).collect();
-        (!fit.is_empty()).then(|| fit[which % fit.len()])
+    /// Picks one of the connections of all processes for which `is_suitable` returns `true`. Returns the index of its
+    /// process, and its id.
+    pub fn pick_connection(
+        &self,
+        which: usize,
+        is_suitable: impl Fn(&SimulatedConnection) -> bool,
+    ) -> Option<(usize, EndpointConnectionId)> {
+        let connections = self
+            .processes
+            .iter()
+            .enumerate()
+            .flat_map(|(at, process)| process.connections.iter().map(move |connection| (at, connection)));
+        let suitable: Vec<_> = connections
+            .filter(|(_, (_, connection))| is_suitable(connection))
+            .map(|(at, (id, _))| (at, *id))
+            .collect();
+        (!suitable.is_empty()).then(|| suitable[which % suitable.len()])
     }
 
     pub fn submit(&mut self, at: usize, message_id: String, orders: bool, dest: u64, size: usize) {
         let request_id =
-            self.processes[at].submitted_requests.keys().last().map_or(self.now as u64, |t| t + 1);
-        let time_left = if orders { 28 * S } else { 8 * S };
+            self.processes[at].submitted_requests.keys().last().map_or(self.now as u64, |last| last + 1);
+        let time_left = if orders { 28 * SECOND } else { 8 * SECOND };
         let message_state =
             MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
         self.messages.entry(message_id.clone()).or_insert(message_state);
@@ -398,7 +430,7 @@
         let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
         // As in the forwarder, the other journals are polled before a submission.
         let number = self.processes[at].number;
-        self.look(at);
+        self.poll_other_journals(at);
         if self.processes.get(at).is_some_and(|process| process.number == number) {
             self.processes[at].submitted_requests.insert(request_id, message_id.clone());
             let message = Submission {
@@ -417,10 +449,15 @@
     }
 
     pub fn answer(&mut self, which: usize, answer_kind: u8) {
-        let Some((at, id)) = self.pick(which, |link| link.call.is_some()) else { return };
-        let call =
-            self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is in flight");
-        let (status, wait_ms) = match answer_kind % 10 {
+        let Some((at, id)) = self.pick_connection(which, |connection| connection.call.is_some()) else {
+            return;
+        };
+        let call = self.processes[at]
+            .connections
+            .get_mut(&id)
+            .and_then(|connection| connection.call.take())
+            .expect("a call is in flight");
+        let (status, delay_ms) = match answer_kind % 10 {
             0..=4 => (200, 0),
             5 => (429, 200 + u64::from(answer_kind)),
             6 => (503, 0),
@@ -433,19 +470,23 @@
         for (number, message_id) in ids(&call).enumerate() {
             let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             message_state.delivered |= status == 200;
-            message_state.may_have_run |= status == 500 || status == 200;
+            message_state.possibly_delivered |= status == 500 || status == 200;
             body += &format!(
                 "{}{{\"id\":\"{message_id}\",\"state\":\"accepted\"}}",
                 if number > 0 { "," } else { "[" }
             );
         }
-        if wait_ms > 0 {
-            self.waits.push((self.processes[at].generation, dest, self.now + wait_ms as Micros * 1000));
+        if delay_ms > 0 {
+            self.retry_afters.push((
+                self.processes[at].generation,
+                dest,
+                self.now + delay_ms as Micros * 1000,
+            ));
         }
         let body = Bytes::from(body + "]");
         let reply = EndpointReply {
             status,
-            retry_after_ms: wait_ms,
+            retry_after_ms: delay_ms,
             is_bulk: call.is_bulk,
             body,
             ..EndpointReply::default()
@@ -459,21 +500,25 @@
         while self.now < end {
             self.now = end.min(self.now + POLL_INTERVAL);
             for number in self.processes.iter().map(|process| process.number).collect::<Vec<_>>() {
-                let index_of = |world: &Processes| world.processes.iter().position(|p| p.number == number);
+                let index_of =
+                    |world: &Processes| world.processes.iter().position(|process| process.number == number);
                 if let Some(at) = index_of(self) {
-                    self.look(at);
+                    self.poll_other_journals(at);
                 }
                 while let Some(at) = index_of(self) {
-                    let is_expired = |link: &Link| match &link.call {
+                    let is_expired = |connection: &SimulatedConnection| match &connection.call {
                         Some(call) => call.deadline <= self.now,
-                        None => !link.up && link.until <= self.now,
+                        None => !connection.up && connection.until <= self.now,
                     };
-                    let Some(link) =
-                        self.processes[at].links.iter().find(|(_, l)| is_expired(l)).map(|(id, _)| *id)
+                    let Some(connection_id) = self.processes[at]
+                        .connections
+                        .iter()
+                        .find(|(_, connection)| is_expired(connection))
+                        .map(|(id, _)| *id)
                     else {
                         break;
                     };
-                    let input = self.close(at, link, Cause::TimedOut);
+                    let input = self.close(at, connection_id, Cause::TimedOut);
                     input.into_iter().for_each(|input| self.input(at, input));
                 }
                 if let Some(at) = index_of(self)
@@ -489,7 +534,7 @@
                             self.messages.get_mut(&message_id).expect("the message was submitted");
                         let is_allowed = !matches!(final_answer, FinalAnswer::Rejected { .. })
                             || !message_state.orders
-                            || !message_state.may_have_run;
+                            || !message_state.possibly_delivered;
                         assert!(
                             is_allowed,
                             "a message that may have been delivered is rejected as repeatable: {message_id}"
@@ -510,7 +555,7 @@
     pub fn operate(&mut self, at: usize, uid: &str, ejected: bool) {
         let number = self.processes[at].number;
         self.now += 1;
-        self.look(at);
+        self.poll_other_journals(at);
         if self.processes.get(at).is_none_or(|process| process.number != number) {
             return;
         }
@@ -520,8 +565,9 @@
             if ejected { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
         self.input(at, Input::Operator { request: request_id, call });
         let process = self.processes.get(at).filter(|process| process.number == number);
-        if process.is_some_and(|p| matches!(p.replies.get(&request_id), Some(console::ConsoleReply::Done(_))))
-        {
+        if process.is_some_and(|process| {
+            matches!(process.replies.get(&request_id), Some(console::ConsoleReply::Done(_)))
+        }) {
             if ejected {
                 self.ejected.entry(uid.to_owned()).or_insert(self.now);
             } else {
@@ -535,7 +581,7 @@
 
     pub fn step(&mut self, number: usize, step: Step) {
         if self.processes.is_empty() {
-            self.now += S / 2;
+            self.now += SECOND / 2;
             self.start();
         }
         // The list may be empty after a kill, because no process accepts clients until the next start.
@@ -547,17 +593,17 @@
             }
             Step::Resubmit { at, which } => {
                 let known = self.messages.iter().filter(|(_, message_state)| message_state.accepted);
-                let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
+                let known = known.max_by_key(|(_, message)| message.deadline + which as Micros % 2);
                 if let Some((message_id, orders, dest)) =
-                    known.map(|(message_id, f)| (message_id.clone(), f.orders, f.dest))
+                    known.map(|(message_id, message)| (message_id.clone(), message.orders, message.dest))
                 {
                     self.submit(at % self.processes.len(), message_id, orders, dest, 10);
                 }
             }
             Step::Connect { which, up } => {
-                if let Some((at, id)) = self.pick(which, |link| !link.up) {
+                if let Some((at, id)) = self.pick_connection(which, |connection| !connection.up) {
                     if up {
-                        self.processes[at].links.get_mut(&id).expect("is in the model").up = true;
+                        self.processes[at].connections.get_mut(&id).expect("is in the model").up = true;
                         self.input(at, Input::ConnectionUp { connection: id });
                     } else {
                         let input = self.close(at, id, Cause::ConnectionFailed("refused".to_owned()));
@@ -567,7 +613,7 @@
             }
             Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
             Step::Break(which) => {
-                if let Some((at, id)) = self.pick(which, |link| link.up) {
+                if let Some((at, id)) = self.pick_connection(which, |connection| connection.up) {
                     let input = self.close(at, id, Cause::ConnectionFailed("reset".to_owned()));
                     input.into_iter().for_each(|input| self.input(at, input));
                 }
@@ -587,7 +633,7 @@
                     (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
                 if let Some(at) = oldest {
                     let number = self.processes[at].number;
-                    self.look(at);
+                    self.poll_other_journals(at);
                     if self.processes.get(at).is_some_and(|process| process.number == number) {
                         self.processes[at].terminated = true;
                         self.input(at, Input::Shutdown);
@@ -608,7 +654,7 @@
             if self.processes.iter().all(|process| process.handed_over) {
                 self.start();
             }
-            self.wait(S);
+            self.wait(SECOND);
         }
         for (message_id, message_state) in &self.messages {
             assert!(
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -1,6 +1,6 @@
 //! The two deployments of the test configurations, with the properties that are visible from outside the forwarder.
 
-use super::S;
+use super::SECOND;
 use orchidyoke_core::endpoint_list::EndpointEntry;
 use orchidyoke_core::interface::Micros;
 
@@ -25,10 +25,10 @@
     /// may not be repeated freely, otherwise the class whose messages may.
     pub fn class(self, orders: bool) -> (&'static str, Micros) {
         match (self, orders) {
-            (Shape::First, true) => ("orders", 28 * S),
-            (Shape::First, false) => ("status", 8 * S),
-            (Shape::Second, true) => ("bread", 24 * S),
-            (Shape::Second, false) => ("state", 8 * S),
+            (Shape::First, true) => ("orders", 28 * SECOND),
+            (Shape::First, false) => ("status", 8 * SECOND),
+            (Shape::Second, true) => ("bread", 24 * SECOND),
+            (Shape::Second, false) => ("state", 8 * SECOND),
         }
     }
 
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -1,6 +1,6 @@
 //! Random steps for [`World`].
 
-use super::S;
+use super::SECOND;
 use super::world::World;
 use orchidyoke_core::endpoint_list::EndpointState;
 use orchidyoke_core::interface::Micros;
@@ -14,7 +14,7 @@
     Submit { orders: bool, dest: u64, size: usize },
     Resubmit(usize),
     Connect { which: usize, up: bool },
-    Answer { which: usize, how: u8 },
+    Answer { which: usize, answer_kind: u8 },
     Break(usize),
     Wait(Micros),
     Post(bool),
@@ -26,25 +26,25 @@
 }
 
 impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Self {
-        let (which, flag) = (usize::arbitrary(g), bool::arbitrary(g));
-        match u8::arbitrary(g) % 42 {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        let (which, flag) = (usize::arbitrary(generator), bool::arbitrary(generator));
+        match u8::arbitrary(generator) % 42 {
             0..=9 => Step::Submit { orders: flag, dest: 1 + which as u64 % 3, size: which % 6000 },
             10 => Step::Resubmit(which),
-            11..=17 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
-            18..=26 => Step::Answer { which, how: u8::arbitrary(g) },
+            11..=17 => Step::Connect { which, up: u8::arbitrary(generator) % 5 > 0 },
+            18..=26 => Step::Answer { which, answer_kind: u8::arbitrary(generator) },
             27 => Step::Break(which),
             28..=34 => Step::Wait(which as Micros % 400_000),
             35 | 36 => Step::Post(flag),
             37 => {
                 let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
-                Step::List { which, state: *g.choose(&states).expect("three states") }
+                Step::List { which, state: *generator.choose(&states).expect("three states") }
             }
             38 if flag => Step::Move(which),
             38 => Step::Kill,
             39 | 40 => Step::Operator { which, eject: flag },
             _ if which.is_multiple_of(4) => Step::Terminate,
-            _ => Step::Wait(3 * S),
+            _ => Step::Wait(3 * SECOND),
         }
     }
 }
@@ -55,7 +55,8 @@
             Step::Submit { orders, dest, size } => self.submit(format!("m{number}"), orders, dest, size),
             Step::Resubmit(which) => {
                 let known = self.messages.iter().filter(|(_, message)| message.accepted);
-                let Some((message_id, message)) = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2)
+                let Some((message_id, message)) =
+                    known.max_by_key(|(_, message)| message.deadline + which as Micros % 2)
                 else {
                     return;
                 };
@@ -63,17 +64,17 @@
                 self.submit(message_id, orders, dest, 10);
             }
             Step::Connect { which, up } => {
-                let Some(id) = self.pick_connection(which, |l| !l.up) else { return };
+                let Some(id) = self.pick_connection(which, |connection| !connection.up) else { return };
                 if up {
-                    self.links.get_mut(&id).expect("the connection exists").up = true;
+                    self.connections.get_mut(&id).expect("the connection exists").up = true;
                     self.input(Input::ConnectionUp { connection: id });
                 } else if let Some(input) = self.close(id, Cause::ConnectionFailed("refused".to_owned())) {
                     self.input(input);
                 }
             }
-            Step::Answer { which, how } => self.answer(which, how),
+            Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
             Step::Break(which) => {
-                let Some(id) = self.pick_connection(which, |l| l.up) else { return };
+                let Some(id) = self.pick_connection(which, |connection| connection.up) else { return };
                 let input = self.close(id, Cause::ConnectionFailed("reset".to_owned()));
                 input.into_iter().for_each(|input| self.input(input));
             }
@@ -96,7 +97,7 @@
             }
             Step::Operator { which, eject } => {
                 let uid = self.list[which % self.list.len()].uid.clone();
-                if self.call_operator(if eject {
+                if self.send_operator_command(if eject {
                     console::Command::DisableServer(uid.clone())
                 } else {
                     console::Command::EnableServer(uid.clone())
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -2,7 +2,7 @@
 //! journal's folder and the platform would see them. The clock, the network and kills are simulated.
 
 use super::shape::Shape;
-use super::{DISK, S, START, ids};
+use super::{MAX_FOLDER_BYTES, SECOND, START, ids};
 use bytes::Bytes;
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
@@ -21,7 +21,7 @@
 
 /// A connection as the endpoint sees it.
 #[derive(Default)]
-pub struct Link {
+pub struct SimulatedConnection {
     pub address: String,
     pub up: bool,
     /// Time until which the connection has to be established.
@@ -31,7 +31,7 @@
     pub sent: (Micros, String),
 }
 
-impl Link {
+impl SimulatedConnection {
     /// Returns the progress that is reported for the call if the connection closes now.
     pub fn progress(&self) -> Progress {
         match (&self.call, self.up) {
@@ -65,7 +65,7 @@
     pub file: Vec<u8>,
     pub started: BTreeSet<String>,
     pub recorded_messages: BTreeSet<String>,
-    pub links: BTreeMap<EndpointConnectionId, Link>,
+    pub connections: BTreeMap<EndpointConnectionId, SimulatedConnection>,
     pub messages: BTreeMap<String, TrackedMessage>,
     pub pending_requests: BTreeMap<RequestId, String>,
     pub posting: Option<Vec<(String, FinalAnswer)>>,
@@ -139,7 +139,7 @@
             file: Vec::new(),
             started: BTreeSet::new(),
             recorded_messages: BTreeSet::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             messages: BTreeMap::new(),
             pending_requests: BTreeMap::new(),
             posting: None,
@@ -173,25 +173,27 @@
 
     /// Asserts that every accepted message without a final answer is in the journal, also after a compaction.
     pub fn check_journal(&self) {
-        let mut there = BTreeSet::new();
+        let mut journaled_ids = BTreeSet::new();
         for (record, _) in replay(Bytes::copy_from_slice(&self.file)).0 {
             match record {
                 Record::Accepted(accepted) => {
-                    there.insert(accepted.id);
+                    journaled_ids.insert(accepted.id);
                 }
                 Record::AnswerDecided { message, .. } | Record::Finished { message, .. } => {
-                    there.insert(message);
+                    journaled_ids.insert(message);
                 }
                 _ => {}
             }
         }
-        let open =
-            self.messages.iter().filter(|(_, f)| f.accepted && !f.delivered && f.notification.is_none());
-        let lost: Vec<_> = open.filter(|(message_id, _)| !there.contains(*message_id)).collect();
+        let open = self
+            .messages
+            .iter()
+            .filter(|(_, message)| message.accepted && !message.delivered && message.notification.is_none());
+        let lost: Vec<_> = open.filter(|(message_id, _)| !journaled_ids.contains(*message_id)).collect();
         assert!(
             lost.is_empty(),
             "accepted messages that are not in the journal: {:?}",
-            lost.iter().map(|l| l.0).collect::<Vec<_>>()
+            lost.iter().map(|entry| entry.0).collect::<Vec<_>>()
         );
     }
 
@@ -216,7 +218,7 @@
             }
             Effect::Append { append: append_id, bytes } => {
                 self.file.extend_from_slice(&bytes);
-                assert!(self.file.len() <= DISK, "the folder must not exceed its limit");
+                assert!(self.file.len() <= MAX_FOLDER_BYTES, "the folder must not exceed its limit");
                 for (record, _) in replay(bytes).0 {
                     match record {
                         Record::Accepted(accepted) => drop(self.recorded_messages.insert(accepted.id)),
@@ -228,32 +230,42 @@
             }
             Effect::CompactJournal { bytes } => {
                 assert!(
-                    self.file.len() + bytes.len() <= DISK,
+                    self.file.len() + bytes.len() <= MAX_FOLDER_BYTES,
                     "the old and the new file together must not exceed the limit"
                 );
                 self.file = bytes.to_vec();
                 self.compacted = true;
             }
-            Effect::Connect { connection: link, address, until } => {
-                let new = Link { address: address.to_string(), until, ..Link::default() };
-                assert!(self.links.insert(link, new).is_none());
+            Effect::Connect { connection: connection_id, address, until } => {
+                let new = SimulatedConnection {
+                    address: address.to_string(),
+                    until,
+                    ..SimulatedConnection::default()
+                };
+                assert!(self.connections.insert(connection_id, new).is_none());
             }
-            Effect::SendCall { connection: link, call } => {
+            Effect::SendCall { connection: connection_id, call } => {
                 self.written_messages += call.messages.len() as u64;
-                self.write(link, call);
-                return Some(Input::CallWritten { connection: link });
+                self.write(connection_id, call);
+                return Some(Input::CallWritten { connection: connection_id });
+            }
+            Effect::CloseConnection { connection: connection_id } => {
+                return self.close(connection_id, Cause::Cancelled);
             }
-            Effect::CloseConnection { connection: link } => return self.close(link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner in these tests"),
-            Effect::PostNotifications { notifications: batch, .. } => {
-                assert!(self.posting.replace(batch).is_none())
+            Effect::PostNotifications { notifications: final_answers, .. } => {
+                assert!(self.posting.replace(final_answers).is_none())
             }
             Effect::StartWatch { watch, source } => {
                 let (port, since) = watch_source(&source);
                 self.watches.push((watch, port, since));
                 // A new watch immediately gets a snapshot with everything that the process has missed.
-                let entries =
-                    self.list.iter().filter(|t| t.state != EndpointState::Removed).cloned().collect();
+                let entries = self
+                    .list
+                    .iter()
+                    .filter(|endpoint| endpoint.state != EndpointState::Removed)
+                    .cloned()
+                    .collect();
                 let update = WatchEvent {
                     version: self.list_version,
                     is_snapshot: true,
@@ -272,20 +284,27 @@
         None
     }
 
-    pub fn write(&mut self, link: EndpointConnectionId, call: EndpointCall) {
-        let in_flight: Vec<&str> =
-            self.links.values().filter_map(|l| l.call.as_ref()).flat_map(ids).collect();
+    pub fn write(&mut self, connection_id: EndpointConnectionId, call: EndpointCall) {
+        let in_flight: Vec<&str> = self
+            .connections
+            .values()
+            .filter_map(|connection| connection.call.as_ref())
+            .flat_map(ids)
+            .collect();
         assert!(
             ids(&call).all(|message_id| !in_flight.contains(&message_id)),
             "a message must not be in two calls at the same time"
         );
-        let link = self.links.get_mut(&link).expect("the connection is open");
+        let connection = self.connections.get_mut(&connection_id).expect("the connection is open");
         assert!(
-            link.up && link.call.is_none(),
+            connection.up && connection.call.is_none(),
             "a connection must be established and carry one call at a time"
         );
-        let endpoint =
-            self.list.iter().find(|t| t.address.to_string() == link.address).expect("the endpoint is listed");
+        let endpoint = self
+            .list
+            .iter()
+            .find(|endpoint| endpoint.address.to_string() == connection.address)
+            .expect("the endpoint is listed");
         assert_eq!(
             endpoint.state,
             EndpointState::Active,
@@ -300,7 +319,7 @@
             self.retry_after_until.get(&route).is_none_or(|until| *until <= self.now),
             "no call may go to a route before its Retry-After has ended"
         );
-        link.sent = (self.now, endpoint.zone.clone());
+        connection.sent = (self.now, endpoint.zone.clone());
         for message_id in ids(&call) {
             let message = self.messages.get_mut(message_id).expect("the message was submitted");
             assert_eq!(message.dest, endpoint.destination);
@@ -318,7 +337,7 @@
                 }
                 (Shape::Second, Some((first, zone))) if message.orders => {
                     assert_eq!(*zone, endpoint.zone, "a repeat must go to the zone that drops it");
-                    assert!(self.now < first + 2 * S, "a repeat must not be sent after its window");
+                    assert!(self.now < first + 2 * SECOND, "a repeat must not be sent after its window");
                 }
                 (Shape::Second, _) => {}
             }
@@ -337,32 +356,39 @@
                 "the idempotency key must be sent unchanged"
             );
         }
-        link.call = Some(call);
+        connection.call = Some(call);
     }
 
     /// Closes a connection. The call on it may have been processed.
-    pub fn close(&mut self, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
-        let link_state = self.links.remove(&link)?;
-        let progress = link_state.progress();
-        self.mark_possibly_delivered(&link_state);
-        Some(Input::ConnectionClosed { connection: link, error: EndpointCallError { progress, cause } })
+    pub fn close(&mut self, connection_id: EndpointConnectionId, cause: Cause) -> Option<Input> {
+        let closed = self.connections.remove(&connection_id)?;
+        let progress = closed.progress();
+        self.mark_possibly_delivered(&closed);
+        Some(Input::ConnectionClosed {
+            connection: connection_id,
+            error: EndpointCallError { progress, cause },
+        })
     }
 
-    pub fn mark_possibly_delivered(&mut self, link: &Link) {
-        for message_id in link.call.iter().flat_map(ids) {
+    pub fn mark_possibly_delivered(&mut self, connection: &SimulatedConnection) {
+        for message_id in connection.call.iter().flat_map(ids) {
             let message = self.messages.get_mut(message_id).expect("the message was submitted");
             message.possibly_delivered = true;
-            message.first_possible_delivery.get_or_insert_with(|| link.sent.clone());
+            message.first_possible_delivery.get_or_insert_with(|| connection.sent.clone());
         }
     }
 
     pub fn pick_connection(
         &self,
         which: usize,
-        is_suitable: impl Fn(&Link) -> bool,
+        is_suitable: impl Fn(&SimulatedConnection) -> bool,
     ) -> Option<EndpointConnectionId> {
-        let suitable: Vec<EndpointConnectionId> =
-            self.links.iter().filter(|(_, l)| is_suitable(l)).map(|(id, _)| *id).collect();
+        let suitable: Vec<EndpointConnectionId> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| is_suitable(connection))
+            .map(|(id, _)| *id)
+            .collect();
         (!suitable.is_empty()).then(|| suitable[which % suitable.len()])
     }
 
@@ -378,7 +404,7 @@
         size: usize,
         time_left: Micros,
     ) {
-        let request_id = self.pending_requests.keys().last().map_or(self.now as u64, |t| t + 1);
+        let request_id = self.pending_requests.keys().last().map_or(self.now as u64, |last| last + 1);
         self.pending_requests.insert(request_id, message_id.clone());
         let message =
             TrackedMessage { orders, dest, deadline: self.now + time_left, ..TrackedMessage::default() };
@@ -399,13 +425,13 @@
         self.input(Input::Submitted { request: request_id, message });
     }
 
-    pub fn answer(&mut self, which: usize, how: u8) {
-        let Some(id) = self.pick_connection(which, |l| l.call.is_some()) else { return };
-        let link = self.links.get_mut(&id).expect("the connection is open");
-        let (call, sent) = (link.call.take().expect("a call is in flight"), link.sent.clone());
-        let (status, delay_ms) = match how % 10 {
-            0..=4 => (200, if how > 240 { 300 } else { 0 }),
-            5 => (429, 200 + u64::from(how)),
+    pub fn answer(&mut self, which: usize, answer_kind: u8) {
+        let Some(id) = self.pick_connection(which, |connection| connection.call.is_some()) else { return };
+        let connection = self.connections.get_mut(&id).expect("the connection is open");
+        let (call, sent) = (connection.call.take().expect("a call is in flight"), connection.sent.clone());
+        let (status, delay_ms) = match answer_kind % 10 {
+            0..=4 => (200, if answer_kind > 240 { 300 } else { 0 }),
+            5 => (429, 200 + u64::from(answer_kind)),
             6 => (503, 0),
             7 => (500, 0),
             8 => (504, 0),
@@ -426,8 +452,8 @@
                 if number > 0 { "," } else { "[" }
             );
         }
-        let address = &self.links[&id].address;
-        let endpoint = self.list.iter().find(|t| t.address.to_string() == *address);
+        let address = &self.connections[&id].address;
+        let endpoint = self.list.iter().find(|endpoint| endpoint.address.to_string() == *address);
         if let Some(endpoint) = endpoint.filter(|_| delay_ms > 0) {
             let until = self.now + delay_ms as Micros * 1000;
             let wait = self.retry_after_until.entry(self.shape.route(endpoint)).or_default();
@@ -441,9 +467,9 @@
             body,
             ..EndpointReply::default()
         };
-        let reusable = how < 200;
+        let reusable = answer_kind < 200;
         if !reusable {
-            self.links.remove(&id);
+            self.connections.remove(&id);
         }
         self.input(Input::CallAnswered { connection: id, reply, reusable });
     }
@@ -452,19 +478,25 @@
     pub fn wait(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
-            let dials = self.links.iter().filter(|(_, l)| !l.up).map(|(id, l)| (l.until, *id));
-            let calls =
-                self.links.iter().filter_map(|(id, l)| l.call.as_ref().map(|call| (call.deadline, *id)));
-            let timeout = dials.chain(calls).min();
+            let connecting = self
+                .connections
+                .iter()
+                .filter(|(_, connection)| !connection.up)
+                .map(|(id, connection)| (connection.until, *id));
+            let calls = self
+                .connections
+                .iter()
+                .filter_map(|(id, connection)| connection.call.as_ref().map(|call| (call.deadline, *id)));
+            let timeout = connecting.chain(calls).min();
             let wake = self.reducer.wake_at().unwrap_or(Micros::MAX);
             let next = timeout.map_or(wake, |(at, _)| at.min(wake));
             if next > end || self.exited {
                 break;
             }
             self.now = self.now.max(next);
-            if let Some((at, link)) = timeout
+            if let Some((at, connection_id)) = timeout
                 && at <= self.now
-                && let Some(input) = self.close(link, Cause::TimedOut)
+                && let Some(input) = self.close(connection_id, Cause::TimedOut)
             {
                 self.input(input);
             } else {
@@ -475,14 +507,14 @@
     }
 
     pub fn post(&mut self, accepted: bool) {
-        let Some(batch) = self.posting.take() else { return };
-        for (message_id, answer) in batch.into_iter().filter(|_| accepted) {
+        let Some(final_answers) = self.posting.take() else { return };
+        for (message_id, answer) in final_answers.into_iter().filter(|_| accepted) {
             let message = self.messages.get_mut(&message_id).expect("the message was submitted");
-            let kept = !matches!(answer, FinalAnswer::Rejected { .. })
+            let is_allowed = !matches!(answer, FinalAnswer::Rejected { .. })
                 || !message.orders
                 || !message.possibly_delivered;
             assert!(
-                kept,
+                is_allowed,
                 "a message that may have been delivered and may not be repeated must not be rejected"
             );
             assert!(message.notification.replace(answer).is_none(), "each message must get one notification");
@@ -492,13 +524,13 @@
 
     /// Kills the process and starts it again with the content of the folder.
     pub fn restart(&mut self) {
-        for link in std::mem::take(&mut self.links).into_values() {
-            self.mark_possibly_delivered(&link);
+        for connection in std::mem::take(&mut self.connections).into_values() {
+            self.mark_possibly_delivered(&connection);
         }
         self.pending_requests.clear();
         (self.written_messages, self.rejected_requests) = (0, 0);
         (self.posting, self.stopped_accepting, self.exited) = (None, false, false);
-        self.now += S;
+        self.now += SECOND;
         self.retry_after_until.clear();
         if self.shape == Shape::Second {
             self.watches.clear();
@@ -508,7 +540,7 @@
     }
 
     /// Passes an operator's command to the reducer. Returns whether the reply confirmed it.
-    pub fn call_operator(&mut self, call: console::Command) -> bool {
+    pub fn send_operator_command(&mut self, call: console::Command) -> bool {
         let request_id = self.replies.keys().last().map_or(0, |request_id| request_id + 1);
         self.input(Input::Operator { request: request_id, call });
         matches!(self.replies[&request_id], ConsoleReply::Done(_))
@@ -525,9 +557,11 @@
         let ends: u64 = metrics.ends().values().map(|ends| ends.total()).sum();
         assert_eq!(ends, metrics.accepted() - metrics.open_messages() + self.rejected_requests);
         assert_eq!(metrics.dispatches(), self.written_messages);
-        let (is_ejected, listed) =
-            (|t: &&EndpointEntry| self.ejected.contains(&t.uid), self.reducer.gauges().endpoints);
-        let in_list = self.list.iter().filter(|t| t.state != EndpointState::Removed);
+        let (is_ejected, listed) = (
+            |endpoint: &&EndpointEntry| self.ejected.contains(&endpoint.uid),
+            self.reducer.gauges().endpoints,
+        );
+        let in_list = self.list.iter().filter(|endpoint| endpoint.state != EndpointState::Removed);
         assert_eq!(in_list.clone().count(), listed);
         assert!(
             in_list.filter(is_ejected).count() <= gauges.avoided_endpoints
@@ -538,7 +572,7 @@
     /// Lets all deadlines pass and asserts that every accepted message has been delivered or got a final answer.
     pub fn finish(&mut self) {
         for _ in 0..40 {
-            self.wait(S);
+            self.wait(SECOND);
             if self.exited {
                 self.restart();
             }
--- a/crates/forwarder/tests/connection_limit.rs
+++ b/crates/forwarder/tests/connection_limit.rs
@@ -64,7 +64,7 @@
             assert!(
                 state == State::Idle
                     || is_overdue(state, since)
-                    || earliest_start(model, |d, _| d == State::Idle).is_none()
+                    || earliest_start(model, |other, _| other == State::Idle).is_none()
             );
             model.insert(id, (State::Closing, now));
         }
--- a/crates/forwarder/tests/connection_pool.rs
+++ b/crates/forwarder/tests/connection_pool.rs
@@ -42,7 +42,9 @@
                                 !model.retired.contains(&connection),
                                 "the endpoint's address has changed"
                             );
-                            assert!(since.is_some_and(|s| now - s < ENDPOINT_IDLE_TIMEOUT * 95 / 100));
+                            assert!(
+                                since.is_some_and(|since| now - since < ENDPOINT_IDLE_TIMEOUT * 95 / 100)
+                            );
                             (connection, true)
                         }
                         Claim::Connect(connection) => {
--- a/crates/forwarder/tests/discovery.rs
+++ b/crates/forwarder/tests/discovery.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Time from when discovery has a change until the forwarder must have applied it.
-const CHANGE_BINDING_AFTER: Duration = Duration::from_secs(6);
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 /// Allowance for a slow machine.
 const SLACK: Duration = Duration::from_millis(700);
 
@@ -181,7 +181,7 @@
             "{phase}: after {duration:?}"
         );
         assert!(
-            watch_end.silence >= expected_duration && watch_end.silence + SLACK < CHANGE_BINDING_AFTER,
+            watch_end.silence >= expected_duration && watch_end.silence + SLACK < MAX_CHANGE_DELAY,
             "{phase}: {watch_end:?}"
         );
     }
--- a/crates/forwarder/tests/endpoint_connection.rs
+++ b/crates/forwarder/tests/endpoint_connection.rs
@@ -241,7 +241,7 @@
 // just before. The runtime has not yet noticed. If the call were written, its delivery would be in doubt, and the
 // earlier bytes would be read as its answer.
 #[test]
-fn nothing_is_written_on_a_connection_that_closed_or_spoke_when_chosen() {
+fn nothing_is_written_on_a_connection_that_closed_or_sent_bytes_when_chosen() {
     for (case, bytes) in
         [("closed", &b""[..]), ("reset", b""), ("half a line", b"HTTP/1.1 2"), ("an answer", OK)]
     {
@@ -286,10 +286,10 @@
 // arrives. A delay that the response asks for is binding, and a delivery counts.
 #[test]
 fn response_arriving_with_its_time_out_or_cancellation_counts() {
-    const WAIT: &[u8] =
+    const REJECTION: &[u8] =
         b"HTTP/1.1 429 Too Many Requests\r\nX-Come-Back-Ms: 900\r\nContent-Length: 4\r\n\r\nlate";
     for is_cancelled in [false, true] {
-        for (answer, status, wait) in [(WAIT, 429, 900), (OK, 200, 0)] {
+        for (answer, status, wait) in [(REJECTION, 429, 900), (OK, 200, 0)] {
             run_test(async {
                 let mut connection = TestConnection::connect().await;
                 let time_limit = Duration::from_millis(300);
@@ -407,7 +407,7 @@
             let ((calls, call_receiver), (inputs, mut reports)) = (unbounded_channel(), unbounded_channel());
             let call_deadline = Duration::from_millis(if is_cancelled { 20_000 } else { 200 });
             spawn_local(run(1, address, Instant::now() + call_deadline, call_receiver, inputs));
-            let _orders = (!is_cancelled).then_some(calls);
+            let _open_calls = (!is_cancelled).then_some(calls);
             let end = timeout(Duration::from_secs(5), reports.recv()).await.expect("in time");
             let Some(Input::ConnectionClosed { error, .. }) = end else { panic!("{end:?}") };
             assert!(error.progress == Progress::NotConnected && error.ended_locally(), "{error}");
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{S, START};
+use common::{SECOND, START};
 use orchidyoke_core::endpoint_list::EndpointEntry;
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
 /// A view of a fleet in which this forwarder is `f0`. It gives the owner of each destination of the test
 /// configurations.
@@ -200,16 +200,16 @@
                 self.assert_journaled(&offer);
                 self.offers.push_back(*offer);
             }
-            Effect::Connect { connection: link, .. } if self.endpoints_reachable => {
-                return Some(Input::ConnectionUp { connection: link });
+            Effect::Connect { connection: connection_id, .. } if self.endpoints_reachable => {
+                return Some(Input::ConnectionUp { connection: connection_id });
             }
-            Effect::SendCall { connection: link, call } => {
+            Effect::SendCall { connection: connection_id, call } => {
                 self.written.extend(call.messages.into_iter().map(|part| part.id));
                 let reply = EndpointReply { status: 200, is_bulk: call.is_bulk, ..EndpointReply::default() };
-                return Some(Input::CallAnswered { connection: link, reply, reusable: false });
+                return Some(Input::CallAnswered { connection: connection_id, reply, reusable: false });
             }
-            Effect::PostNotifications { notifications: batch, .. } => {
-                self.notifications.extend(batch);
+            Effect::PostNotifications { notifications: final_answers, .. } => {
+                self.notifications.extend(final_answers);
                 return Some(Input::NotificationsPosted { accepted: true });
             }
             Effect::Reply { reply: ConsoleReply::Metrics(text), .. } => self.metrics_text = text,
@@ -255,7 +255,7 @@
             tenant: (!self.class.is_keyed()).then(|| "acme".to_owned()),
             idempotency_key: self.class.is_keyed().then(|| format!("key of {message_id}")),
             destination: dest,
-            time_left: 8 * S,
+            time_left: 8 * SECOND,
             is_retry: false,
             handover_mark: ReceivedMark::Absent,
             body: Bytes::from_static(b"body"),
@@ -264,7 +264,7 @@
 
     fn submit(&mut self, message: Submission) -> SubmitAnswer {
         self.input(Input::Submitted { request: 1, message });
-        self.wait(20 * MS);
+        self.wait(20 * MILLISECOND);
         self.answers.pop().expect("the submission was answered")
     }
 
@@ -290,7 +290,7 @@
                 self.end_offer(&offer, result.clone());
                 ended += 1;
             }
-            self.wait(10 * MS);
+            self.wait(10 * MILLISECOND);
         }
         ended
     }
@@ -315,7 +315,7 @@
 }
 
 fn valid_mark(from: &str, now: Micros) -> ReceivedMark {
-    let (deadline, valid_until) = (now + 8 * S, now + 20 * S);
+    let (deadline, valid_until) = (now + 8 * SECOND, now + 20 * SECOND);
     ReceivedMark::Valid(HandoverMark {
         from: from.to_owned(),
         deadline,
@@ -340,21 +340,24 @@
     );
     assert_eq!(offer.message.idempotency_key.as_deref(), Some("key of a"));
     assert_eq!(offer.body, Bytes::from_static(b"body"));
-    let (deadline, valid_until) = (START + 8 * S, offer.mark.valid_until);
+    let (deadline, valid_until) = (START + 8 * SECOND, offer.mark.valid_until);
     let mark =
         HandoverMark { from: "f0".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
     assert_eq!(offer.mark, mark);
     assert!(
-        (START + 20 * S..=START + 21 * S).contains(&valid_until),
+        (START + 20 * SECOND..=START + 21 * SECOND).contains(&valid_until),
         "the mark must be valid until 20 s after the first offer"
     );
     assert!(world.offers.is_empty(), "a message for an own destination must not be offered");
     assert_eq!(world.written, ["own"]);
     world.end_offer(&offer, OfferOutcome::Accepted);
-    world.wait(10 * S);
+    world.wait(10 * SECOND);
     assert_eq!(world.written, ["own"]);
     assert!(world.notifications.is_empty() && world.offers.is_empty());
-    let handed_over = |r: &Record| matches!(r, Record::HandedOver { message, owner, .. } if message == "a" && owner == "f1");
+    let handed_over = |record: &Record| {
+        matches!(record, Record::HandedOver { message, owner, .. }
+        if message == "a" && owner == "f1")
+    };
     assert!(world.records().iter().any(handed_over));
     assert_eq!(world.metric("handed_over"), 1);
     assert_eq!(world.metric("owned"), 1);
@@ -389,7 +392,7 @@
     world.endpoints_reachable = false;
     assert_eq!(world.submit(message), SubmitAnswer::Accepted);
     let mut world = world.restarted(fleet());
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
 }
 
@@ -401,7 +404,7 @@
     for _ in 0..3 {
         let message = Submission { handover_mark: valid_mark("f1", world.now), ..world.submission("a", 1) };
         assert_eq!(world.submit(message), SubmitAnswer::Accepted);
-        world.wait(2 * S);
+        world.wait(2 * SECOND);
     }
     assert_eq!(world.written, ["a"]);
     assert_eq!(world.metric("taken_over"), 1);
@@ -413,10 +416,13 @@
 fn possible_delivery_in_the_mark_restricts_the_owner() {
     for (class, is_sent) in [(Class::Unsafe, false), (Class::Safe, true)] {
         let mut world = World::new(class, Some(Fleet::of(1, ["f0", "f0", "f0"])));
-        let prior_attempt =
-            Some(AttemptStart { started_at: START - S, endpoint: "s-a".to_owned(), zone: "a".to_owned() });
-        let deadline = world.now + 4 * S;
-        let valid_until = world.now + 20 * S;
+        let prior_attempt = Some(AttemptStart {
+            started_at: START - SECOND,
+            endpoint: "s-a".to_owned(),
+            zone: "a".to_owned(),
+        });
+        let deadline = world.now + 4 * SECOND;
+        let valid_until = world.now + 20 * SECOND;
         let mark = HandoverMark {
             from: "f1".to_owned(),
             deadline,
@@ -435,8 +441,8 @@
 #[test]
 fn owner_keeps_the_deadline_of_the_mark() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
-    let deadline = world.now - S;
-    let valid_until = world.now + 20 * S;
+    let deadline = world.now - SECOND;
+    let valid_until = world.now + 20 * SECOND;
     let mark =
         HandoverMark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
     let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.submission("a", 1) };
@@ -449,13 +455,13 @@
 #[test]
 fn expired_offer_is_rejected() {
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f0", "f0", "f0"])));
-    let (deadline, valid_until) = (world.now + 8 * S, world.now - 1);
+    let (deadline, valid_until) = (world.now + 8 * SECOND, world.now - 1);
     let mark =
         HandoverMark { from: "f1".to_owned(), deadline, valid_until, attempts: 0, possible_delivery: None };
     let message = Submission { handover_mark: ReceivedMark::Valid(mark), ..world.submission("a", 1) };
     let answer = world.submit(message);
     assert!(matches!(answer, SubmitAnswer::Rejected(_)), "{answer:?}");
-    world.wait(S);
+    world.wait(SECOND);
     assert!(world.written.is_empty());
     let message = Submission { handover_mark: valid_mark("f1", world.now), ..world.submission("b", 1) };
     assert_eq!(world.submit(message), SubmitAnswer::Accepted);
@@ -501,11 +507,11 @@
     let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
     world.submit_accepted("a", 1);
     let offer = world.offer();
-    world.end_offer(&offer, OfferOutcome::Rejected(3 * S));
-    world.wait(2_900 * MS);
+    world.end_offer(&offer, OfferOutcome::Rejected(3 * SECOND));
+    world.wait(2_900 * MILLISECOND);
     assert!(world.offers.is_empty(), "no offer may be sent before the Retry-After has ended");
-    world.wait(400 * MS);
-    let offers = world.wait_ending_offers(7 * S, &OfferOutcome::Rejected(0));
+    world.wait(400 * MILLISECOND);
+    let offers = world.wait_ending_offers(7 * SECOND, &OfferOutcome::Rejected(0));
     assert!((2..40).contains(&offers), "{offers} offers");
     assert!(world.written.is_empty());
     // The owner never accepted it, so the client may submit it again.
@@ -527,25 +533,25 @@
         members: vec!["f0", "f1", "f2"],
         port_offset: 0,
     })));
-    world.wait(3 * S);
+    world.wait(3 * SECOND);
     let again = world.offer();
     assert_eq!((again.owner_address, again.message.id.as_str()), (address("f1"), "a"));
     assert!(world.written.is_empty() && world.offers.is_empty());
     world.end_offer(&again, OfferOutcome::Accepted);
-    world.wait(10 * S);
+    world.wait(10 * SECOND);
     assert!(world.written.is_empty() && world.notifications.is_empty());
 }
 
 // Guards against a message in doubt that no longer counts as in doubt after a later offer is rejected, or does not
 // reach the owner.
 #[test]
-fn doubt_survives_later_offer_outcomes() {
+fn message_stays_in_doubt_after_later_offer_outcomes() {
     for later in [OfferOutcome::Rejected(0), not_sent()] {
         let mut world = World::new(Class::Unsafe, Some(Fleet::of(1, ["f1", "f0", "f2"])));
         world.submit_accepted("a", 1);
         let offer = world.offer();
         world.end_offer(&offer, in_doubt());
-        world.wait_ending_offers(9 * S, &later);
+        world.wait_ending_offers(9 * SECOND, &later);
         assert!(world.written.is_empty(), "{later:?}");
         assert_eq!(world.notifications, [("a".to_owned(), FinalAnswer::Failed)], "{later:?}");
     }
@@ -554,7 +560,7 @@
 // Guards against a forbidden repeat after the owner has left the fleet, and against a message that is not delivered
 // although it may be repeated.
 #[test]
-fn removed_owner_in_doubt_is_resolved_by_idempotency() {
+fn message_in_doubt_at_a_removed_owner_follows_its_idempotency() {
     let without_f1 = |version| Fleet::of(version, ["f0", "f0", "f2"]);
     for (class, is_sent) in [
         (Class::Safe, true),
@@ -567,7 +573,7 @@
         let offer = world.offer();
         world.end_offer(&offer, in_doubt());
         world.input(Input::OwnersChanged(without_f1(2)));
-        world.wait(S);
+        world.wait(SECOND);
         assert_eq!(world.written == ["a"], is_sent, "{class:?}");
         let failed = world.notifications == [("a".to_owned(), FinalAnswer::Failed)];
         assert_eq!(failed, !is_sent, "{class:?}: {:?}", world.notifications);
@@ -577,12 +583,12 @@
     world.submit_accepted("a", 1);
     let offer = world.offer();
     world.end_offer(&offer, in_doubt());
-    world.wait_ending_offers(2_100 * MS, &in_doubt());
+    world.wait_ending_offers(2_100 * MILLISECOND, &in_doubt());
     world.written.clear();
-    let was_substituted = world.metric("delivered_for_lack_of_owner") == 1;
+    let was_delivered_here = world.metric("delivered_for_lack_of_owner") == 1;
     world.input(Input::OwnersChanged(without_f1(2)));
-    world.wait(S);
-    assert!(!was_substituted && world.written.is_empty(), "{:?}", world.written);
+    world.wait(SECOND);
+    assert!(!was_delivered_here && world.written.is_empty(), "{:?}", world.written);
 }
 
 // Guards against a message that waits for an owner that has left the fleet, and against an offer that counts as a
@@ -606,7 +612,7 @@
     );
     world.end_offer(&offers[0], not_sent());
     world.input(Input::OwnersChanged(Fleet::of(3, ["f0", "f0", "f2"])));
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!(
         world.written.len(),
         1,
@@ -621,10 +627,10 @@
     world.submit_accepted("a", 1);
     let offer = world.offer();
     world.input(Input::OwnersChanged(Fleet::of(2, ["f0", "f0", "f2"])));
-    world.wait(900 * MS);
+    world.wait(900 * MILLISECOND);
     assert!(world.written.is_empty());
     world.end_offer(&offer, OfferOutcome::Accepted);
-    world.wait(S);
+    world.wait(SECOND);
     assert!(world.written.is_empty() && world.notifications.is_empty());
 }
 
@@ -637,7 +643,7 @@
     world.end_offer(&offer, in_doubt());
     let (owners, members) = (BTreeMap::from([(1, "f1")]), vec!["f0", "f1"]);
     world.input(Input::OwnersChanged(Rc::new(Fleet { version: 2, owners, members, port_offset: 500 })));
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!(world.offer().owner_address.port(), address("f1").port() + 500);
 }
 
@@ -662,12 +668,12 @@
     );
     assert!(!is_cold([own(), own()], 0, ReceivedMark::Absent), "this forwarder owned the destination before");
     assert!(
-        !is_cold([others(1), own()], 10 * S, ReceivedMark::Absent),
+        !is_cold([others(1), own()], 10 * SECOND, ReceivedMark::Absent),
         "this forwarder has owned the destination for long"
     );
-    let handed_over = valid_mark("f2", START + 10 * S);
+    let handed_over = valid_mark("f2", START + 10 * SECOND);
     assert!(
-        is_cold([others(1), others(2)], 10 * S, handed_over),
+        is_cold([others(1), others(2)], 10 * SECOND, handed_over),
         "only the offering forwarder takes this one for the owner"
     );
 }
@@ -700,7 +706,7 @@
     // The message has been in doubt since before the restart. The message stays in doubt although
     // the owner cannot be reached now.
     let mut world = world.restarted(Some(Fleet::of(1, ["f2", "f0", "f2"])));
-    world.wait(S);
+    world.wait(SECOND);
     assert!(world.written.is_empty() && world.offers.is_empty());
     assert_eq!(world.notifications, [("a".to_owned(), FinalAnswer::Failed)]);
 }
@@ -740,7 +746,7 @@
         }
     }
     let mut world = world.restarted(None);
-    world.wait(S);
+    world.wait(SECOND);
     assert!(
         world.notifications.contains(&("a".to_owned(), FinalAnswer::Failed)),
         "{:?}",
@@ -758,16 +764,16 @@
     world.submit_accepted("a2", 1);
     world.submit_accepted("c1", 3);
     // The endpoints are slow, so deliveries stay in progress for a while.
-    world.wait_ending_offers(1_900 * MS, &not_sent());
+    world.wait_ending_offers(1_900 * MILLISECOND, &not_sent());
     assert!(world.written.is_empty(), "the first failure must not cause local deliveries");
-    world.wait_ending_offers(S, &not_sent());
+    world.wait_ending_offers(SECOND, &not_sent());
     world.written.sort();
     assert_eq!(world.written, ["a1", "a2", "c1"], "the messages must be delivered one after the other");
     assert_eq!(world.metric("delivered_for_lack_of_owner"), 3);
     // An owner that rejects offers is running, so it must not be bypassed.
     let mut world = World::new(Class::Safe, Some(Fleet::of(1, ["f1", "f0", "f1"])));
     world.submit_accepted("a1", 1);
-    world.wait_ending_offers(5 * S, &OfferOutcome::Rejected(0));
+    world.wait_ending_offers(5 * SECOND, &OfferOutcome::Rejected(0));
     assert!(world.written.is_empty());
 }
 
@@ -785,7 +791,7 @@
     }
     let mut offers = 0;
     for _ in 0..300 {
-        world.wait(10 * MS);
+        world.wait(10 * MILLISECOND);
         assert!(world.offers.len() <= 1);
         if let Some(offer) = world.offers.pop_front() {
             world.end_offer(&offer, in_doubt());
@@ -793,7 +799,7 @@
         }
     }
     assert!((2..20).contains(&offers), "{offers} offers in 3 s");
-    world.wait(2 * S);
+    world.wait(2 * SECOND);
     let offer = world.offer();
     world.end_offer(&offer, OfferOutcome::Accepted);
     assert_eq!(world.offers.len(), 16, "an owner that answers must get the maximum number of offers again");
@@ -809,7 +815,7 @@
     let offered_at = world.now;
     world.end_offer(&offer, in_doubt());
     world.input(Input::OwnersChanged(Fleet::of(2, ["f2", "f0", "f2"])));
-    world.wait(MS);
+    world.wait(MILLISECOND);
     let next = world.offer();
     let prior_attempt = next.mark.possible_delivery.expect("the mark has the possible delivery");
     assert_eq!((next.owner_address, prior_attempt.endpoint.as_str()), (address("f2"), ""));
@@ -826,10 +832,10 @@
     let mut world = World::new(Class::Safe, fleet());
     world.endpoints_reachable = false;
     world.submit_accepted("a", 1);
-    world.wait_ending_offers(3 * S, &in_doubt());
+    world.wait_ending_offers(3 * SECOND, &in_doubt());
     assert_eq!(world.metric("delivering_for_lack_of_owner"), 1);
     let mut world = world.restarted(fleet());
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!((world.written, world.offers.len()), (vec!["a".to_owned()], 0));
 }
 
@@ -859,7 +865,7 @@
         for number in 0..2 * destinations {
             world.submit_accepted(&format!("m{number}"), 1 + number % destinations);
         }
-        world.wait_ending_offers(3 * S, &not_sent());
+        world.wait_ending_offers(3 * SECOND, &not_sent());
         assert_eq!(world.metric("delivering_for_lack_of_owner"), expected);
         assert_eq!(world.metric("handover_waiting"), 2 * destinations - expected);
     }
@@ -872,9 +878,9 @@
     let messages: Vec<_> = (0..1_020).map(|number| world.submission(&format!("m{number}"), 1)).collect();
     for message in messages {
         world.input(Input::Submitted { request: 1, message });
-        world.wait(5 * MS);
+        world.wait(5 * MILLISECOND);
     }
-    world.wait(20 * MS);
+    world.wait(20 * MILLISECOND);
     let rejected = world.answers.iter().filter(|answer| matches!(answer, SubmitAnswer::Rejected(_))).count();
     assert_eq!(rejected, 20);
     world.submit_accepted("another destination", 2);
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -213,15 +213,15 @@
     let good = config_text(entries(LISTED));
     let last = format!("\"uid\":\"{}\"", entry(LISTED - 1).uid);
     let too_large = " ".repeat(64 << 20);
-    for (what, text, why) in [
+    for (case, text, expected_reason) in [
         ("cut off", good[..good.len() / 2].to_owned(), "EOF"),
         ("malformed in its last entry", good.replace(&last, "\"uid\":7"), "invalid type"),
         ("too many entries", config_text(entries(MAX_ENTRIES + 1)), "more than 200000 entries"),
         ("too many bytes", too_large + &good, "more than 52 MiB"),
     ] {
         let folder = Folder::new("bad-list");
-        let error = folder.source(&text).load().await.expect_err(what).to_string();
-        assert!(error.contains(why) && error.lines().count() == 1, "{what}: {error}");
+        let error = folder.source(&text).load().await.expect_err(case).to_string();
+        assert!(error.contains(expected_reason) && error.lines().count() == 1, "{case}: {error}");
     }
 }
 
@@ -267,10 +267,15 @@
 fn truncated_watch_is_logged_once_and_changes_nothing() {
     let mut world = World::start(config(entries(4)), Vec::new());
     let (size, lines) = (world.file.len(), world.log.len());
-    let why = "it ended in the middle of a list, after 9000000 bytes".to_owned();
+    let end_reason = "it ended in the middle of a list, after 9000000 bytes".to_owned();
     let (watch, delay_ms, silent_for) = (world.watch, 0, 0);
     assert_eq!(
-        world.input(Input::WatchEnded { watch, reason: why, retry_after_ms: delay_ms, silence: silent_for }),
+        world.input(Input::WatchEnded {
+            watch,
+            reason: end_reason,
+            retry_after_ms: delay_ms,
+            silence: silent_for
+        }),
         0
     );
     assert_eq!((world.endpoint_count(), world.file.len()), (4, size));
@@ -305,8 +310,8 @@
 /// Returns the events, how the watch ended, and how long it took.
 async fn follow_chunks(chunks: Vec<String>, pause: Duration) -> (Vec<WatchEvent>, WatchEnd, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let at = listener.local_addr().expect("the listener has an address");
-    let far_end = async {
+    let address = listener.local_addr().expect("the listener has an address");
+    let server = async {
         let (mut stream, _) = listener.accept().await.expect("a watch connects");
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
@@ -331,9 +336,9 @@
         let events = events.clone();
         move |update| events.borrow_mut().push(update)
     });
-    let began = Instant::now();
-    let (ended, ()) = tokio::join!(follow(at, 0, updates), far_end);
-    (events.take(), ended, began.elapsed())
+    let started_at = Instant::now();
+    let (ended, ()) = tokio::join!(follow(address, 0, updates), server);
+    (events.take(), ended, started_at.elapsed())
 }
 
 async fn until_closed(mut stream: TcpStream) {
@@ -353,13 +358,13 @@
     let (events, ended, _) = follow_chunks(in_chunks(&text, 20_000), Duration::ZERO).await;
     assert_eq!(events.iter().map(|update| update.endpoints.len()).collect::<Vec<_>>(), [LISTED], "{ended:?}");
     let last = format!("\"uid\":\"{}\"", entry(LISTED - 1).uid);
-    for (what, text, why) in [
+    for (case, text, expected_reason) in [
         ("cut off", text[..text.len() / 2].to_owned(), "in the middle of a list"),
         ("malformed in its last entry", text.replace(&last, "\"uid\":7"), "no list"),
     ] {
         let (events, ended, _) = follow_chunks(in_chunks(&text, 200_000), Duration::ZERO).await;
-        assert!(events.is_empty() && ended.reason.contains(why), "{what}: {ended:?}");
-        assert_eq!(ended.reason.lines().count(), 1, "{what}: {ended:?}");
+        assert!(events.is_empty() && ended.reason.contains(expected_reason), "{case}: {ended:?}");
+        assert_eq!(ended.reason.lines().count(), 1, "{case}: {ended:?}");
     }
 }
 
@@ -370,7 +375,7 @@
     let text = serde_json::to_string(&watch_event(7, true, entries(LISTED)))
         .expect("the list can be written as JSON");
     let chunks = in_chunks(&text, text.len() / 25);
-    let (events, ended, took) = follow_chunks(chunks, Duration::from_millis(210)).await;
-    assert!(took > Duration::from_millis(4_800), "after {took:?}");
-    assert_eq!(events.len(), 1, "after {took:?}: {ended:?}");
+    let (events, ended, duration) = follow_chunks(chunks, Duration::from_millis(210)).await;
+    assert!(duration > Duration::from_millis(4_800), "after {duration:?}");
+    assert_eq!(events.len(), 1, "after {duration:?}: {ended:?}");
 }
--- a/crates/forwarder/tests/list_reader.rs
+++ b/crates/forwarder/tests/list_reader.rs
@@ -125,5 +125,5 @@
     let (lists, error) = read(&mut ListReader::default(), text.as_bytes(), FRAME_BYTES);
     assert!(error.is_none(), "{error:?}");
     assert_eq!(lists[0].endpoints.len(), MAX_ENTRIES);
-    assert!(lists[0].endpoints.iter().all(|target| target.state == EndpointState::Active));
+    assert!(lists[0].endpoints.iter().all(|endpoint| endpoint.state == EndpointState::Active));
 }
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::S;
+use common::SECOND;
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
@@ -55,10 +55,10 @@
         world.update_list(entries);
         world.wait(100_000);
         assert!(
-            world.links.values().all(|link| link.call.is_some() || !link.up),
+            world.connections.values().all(|connection| connection.call.is_some() || !connection.up),
             "no idle connection to a removed endpoint may be kept"
         );
-        world.wait(4 * S);
+        world.wait(4 * SECOND);
         while world.posting.is_some() {
             world.post(true);
         }
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::S;
+use common::SECOND;
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
@@ -21,16 +21,26 @@
     world.answer(0, 0);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    let link = world.pick_connection(0, |l| l.call.is_some()).expect("the call uses the same connection");
-    let call = world.links.remove(&link).and_then(|l| l.call).expect("a call is in flight");
+    let connection_id = world
+        .pick_connection(0, |connection| connection.call.is_some())
+        .expect("the call uses the same connection");
+    let call = world
+        .connections
+        .remove(&connection_id)
+        .and_then(|connection| connection.call)
+        .expect("a call is in flight");
     world.messages.get_mut("b").expect("the message was submitted").calls -= 1;
     let error = EndpointCallError {
         progress: Progress::NotFullyWritten,
         cause: Cause::ConnectionFailed("closed".to_owned()),
     };
-    world.input(Input::ConnectionClosed { connection: link, error });
+    world.input(Input::ConnectionClosed { connection: connection_id, error });
     world.step(1, Step::Connect { which: 0, up: true });
-    let again = world.links.values().find_map(|l| l.call.as_ref()).expect("the call is written again");
+    let again = world
+        .connections
+        .values()
+        .find_map(|connection| connection.call.as_ref())
+        .expect("the call is written again");
     assert_eq!(again.messages, call.messages);
 }
 
@@ -51,19 +61,21 @@
     // The connection that is established now goes to the old address.
     world.step(0, Step::Connect { which: 0, up: true });
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick_connection(0, |l| l.call.is_some()).expect("the call is written");
-    assert_eq!(world.links[&link].address, "127.0.0.1:41");
+    let connection_id =
+        world.pick_connection(0, |connection| connection.call.is_some()).expect("the call is written");
+    assert_eq!(world.connections[&connection_id].address, "127.0.0.1:41");
     moves(&mut world, 42);
     world.answer(0, 0);
     world.submit("b".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.pick_connection(0, |l| l.up && l.address.ends_with(":41")).is_none(),
+        world.pick_connection(0, |connection| connection.up && connection.address.ends_with(":41")).is_none(),
         "the connection to the old address must be closed"
     );
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick_connection(0, |l| l.call.is_some()).expect("the call is written");
-    assert_eq!(world.links[&link].address, "127.0.0.1:42");
+    let connection_id =
+        world.pick_connection(0, |connection| connection.call.is_some()).expect("the call is written");
+    assert_eq!(world.connections[&connection_id].address, "127.0.0.1:42");
 }
 
 // Guards against a delivery that counts as a failure of its endpoint. One message of the call had reached its deadline
@@ -72,10 +84,10 @@
 fn expired_message_is_left_out_of_its_call() {
     let mut world = World::new();
     world.submit("order".to_owned(), true, 1, 10);
-    world.submit_for("status".to_owned(), false, 1, 10, 2 * S);
+    world.submit_for("status".to_owned(), false, 1, 10, 2 * SECOND);
     world.wait(10_000);
     world.step(1, Step::Connect { which: 0, up: true });
-    world.wait(2 * S);
+    world.wait(2 * SECOND);
     world.post(true);
     assert!(
         world.messages["status"].notification.is_some() && world.messages["order"].notification.is_none()
@@ -86,7 +98,7 @@
     // The call may go to either endpoint of the destination.
     world.step(0, Step::Connect { which: 0, up: true });
     assert!(
-        world.pick_connection(0, |l| l.call.is_some()).is_some(),
+        world.pick_connection(0, |connection| connection.call.is_some()).is_some(),
         "the message must be sent immediately, because the destination is healthy"
     );
 }
@@ -99,7 +111,7 @@
     world.submit("late".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
-    world.now += 28 * S;
+    world.now += 28 * SECOND;
     world.answer(0, 0);
     assert_eq!(
         world.posting.clone().expect("a notification is posted"),
@@ -115,9 +127,10 @@
     world.submit("gone".to_owned(), true, 2, 10);
     world.wait(10_000);
     world.step(0, Step::Connect { which: 0, up: true });
-    let link = world.pick_connection(0, |l| l.call.is_some()).expect("a call is in flight");
+    let connection_id =
+        world.pick_connection(0, |connection| connection.call.is_some()).expect("a call is in flight");
     let reply = EndpointReply { status: 410, ..EndpointReply::default() };
-    world.input(Input::CallAnswered { connection: link, reply, reusable: true });
+    world.input(Input::CallAnswered { connection: connection_id, reply, reusable: true });
     assert_eq!(
         world.posting.clone().expect("a notification is posted"),
         [("gone".to_owned(), FinalAnswer::Failed)]
@@ -130,10 +143,10 @@
 fn late_batch_answer_gives_every_message_a_final_answer() {
     let mut world = World::new();
     world.submit("order".to_owned(), true, 1, 10);
-    world.submit_for("status".to_owned(), false, 1, 10, 2 * S);
+    world.submit_for("status".to_owned(), false, 1, 10, 2 * SECOND);
     world.wait(10_000);
     world.step(1, Step::Connect { which: 0, up: true });
-    world.wait(2 * S + 100_000);
+    world.wait(2 * SECOND + 100_000);
     world.post(true);
     world.answer(0, 0);
     assert_eq!(
@@ -152,7 +165,8 @@
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
     }
-    let calls_in_flight = |world: &World| world.links.values().filter(|l| l.call.is_some()).count();
+    let calls_in_flight =
+        |world: &World| world.connections.values().filter(|connection| connection.call.is_some()).count();
     assert_eq!(calls_in_flight(&world), 2, "one call must be in flight on each route");
     world.answer(0, 255 / 10 * 10 + 5);
     world.wait(20_000);
@@ -176,13 +190,13 @@
     world.step(1, Step::Break(0));
     world.wait(300_000);
     assert!(
-        world.pick_connection(0, |l| !l.up).is_some(),
+        world.pick_connection(0, |connection| !connection.up).is_some(),
         "a connection for the repeat must have been requested"
     );
     world.wait(300_000);
     world.step(1, Step::Connect { which: 0, up: true });
     assert_eq!(world.messages["held"].calls, 1);
-    world.wait(S);
+    world.wait(SECOND);
     world.post(true);
     assert_eq!(world.messages["held"].notification, Some(FinalAnswer::Failed));
 }
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -4,7 +4,7 @@
 
 use common::steps::Step;
 use common::world::{SilentCatalogue, World};
-use common::{S, START};
+use common::{SECOND, START};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::Catalogue;
@@ -20,13 +20,13 @@
     world.step(0, Step::List { which: 3, state: EndpointState::Draining });
     world.input(Input::WatchEnded { watch: 1, reason: "silent".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("x".to_owned(), false, 2, 10);
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!(
         world.watches,
         [(1, 2, 1), (2, 2, 2)],
         "one new watch must start from the version of the list in force"
     );
-    assert!(world.messages["x"].accepted && !world.links.is_empty());
+    assert!(world.messages["x"].accepted && !world.connections.is_empty());
 }
 
 // Guards against a reload that keeps the old discovery, forgets the open messages or the list, or watches two
@@ -43,14 +43,17 @@
     )));
     assert_eq!(world.watches, [(1, 2, 1), (2, 3, 1)]);
     world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
-    world.wait(S / 2);
+    world.wait(SECOND / 2);
     assert_eq!(world.watches.len(), 2, "the end of the old watch must not start another watch");
     world.step(0, Step::Connect { which: 0, up: true });
     world.answer(0, 0);
     assert!(world.messages["a"].delivered);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
-    assert!(world.pick_connection(0, |l| l.call.is_some()).is_some(), "the list must stay in use");
+    assert!(
+        world.pick_connection(0, |connection| connection.call.is_some()).is_some(),
+        "the list must stay in use"
+    );
 }
 
 // Guards against a list that is taken from two sources at the same time. After a change from discovery to a catalogue
@@ -66,13 +69,13 @@
     let mut world = World::new();
     let (first, ..) = world.watches[0];
     world.input(Input::ConfigReloaded(config(Some("c1"))));
-    let (second, port, held) = *world.watches.last().expect("a watch was started");
+    let (second, port, list_version) = *world.watches.last().expect("a watch was started");
     assert_eq!(
-        (world.watches.len(), port, held),
+        (world.watches.len(), port, list_version),
         (2, 0, 1),
         "the catalogue must be followed from the list that discovery sent"
     );
-    let gone = |origin: &str| WatchEvent {
+    let removal = |origin: &str| WatchEvent {
         version: 2,
         is_snapshot: false,
         endpoints: vec![EndpointEntry {
@@ -81,17 +84,17 @@
         }],
         origin: origin.to_owned(),
     };
-    world.input(Input::WatchEvent { watch: first, event: gone("") });
+    world.input(Input::WatchEvent { watch: first, event: removal("") });
     world.input(Input::WatchEnded { watch: first, reason: "left".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.pick_connection(0, |l| !l.up).is_some(),
+        world.pick_connection(0, |connection| !connection.up).is_some(),
         "events of the old source must not change the list"
     );
     world.input(Input::ConfigReloaded(config(Some("c1"))));
     assert_eq!(world.watches.len(), 2, "the same catalogue must not be watched again");
-    world.input(Input::WatchEvent { watch: second, event: gone("c1") });
+    world.input(Input::WatchEvent { watch: second, event: removal("c1") });
     world.input(Input::ConfigReloaded(config(None)));
     let (_, port, since) = *world.watches.last().expect("a watch was started");
     assert_eq!(
@@ -105,7 +108,7 @@
 /// watch has lasted `lasted` seconds and ends with a Retry-After of `delay_ms`.
 fn fleet_watch_starts(size: u32, lasted: Micros, delay_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
     let watch_starts = |reducer: &mut Reducer, from: Micros| {
-        let at = (0..20_000).map(|n| from + n * S / 100).find(|now| {
+        let at = (0..20_000).map(|step| from + step * SECOND / 100).find(|now| {
             let effects = reducer.step(*now, Input::TimerDue);
             effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }))
         });
@@ -116,10 +119,10 @@
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
         let mut config = Config::read(&text, None, None).expect("the configuration is valid");
         assert_eq!(config.settings.fleet_size, size);
-        (config.seed, config.settings.max_poll_interval) = (u64::from(seed), 10 * S);
+        (config.seed, config.settings.max_poll_interval) = (u64::from(seed), 10 * SECOND);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let first = watch_starts(&mut reducer, START);
-        let lost = START + first + lasted * S;
+        let lost = START + first + lasted * SECOND;
         let effects = reducer.step(
             lost,
             Input::WatchEnded {
@@ -145,11 +148,12 @@
         let (starts, restarts) = fleet_watch_starts(size, 60, 0);
         for (what, watch_starts) in [("at the start", starts), ("after an established watch", restarts)] {
             assert!(
-                watch_starts.iter().all(|at| *at <= S / 4 + S / 100),
+                watch_starts.iter().all(|at| *at <= SECOND / 4 + SECOND / 100),
                 "{size} {what}: each watch must start within 250 ms"
             );
-            let together =
-                (0..26).map(|part| watch_starts.iter().filter(|at| **at / (S / 100) == part).count()).max();
+            let together = (0..26)
+                .map(|part| watch_starts.iter().filter(|at| **at / (SECOND / 100) == part).count())
+                .max();
             assert!(together <= Some(2 + size as usize / 10), "{size} {what}: {together:?} within 10 ms");
         }
     }
@@ -162,12 +166,15 @@
 fn rejected_fleet_spreads_its_watches() {
     for (size, most) in [(100, 45), (300, 105)] {
         let (_, restarts) = fleet_watch_starts(size, 1, 0);
-        let busiest = (0..5).map(|second| restarts.iter().filter(|at| **at / S == second).count()).max();
+        let busiest = (0..5).map(|second| restarts.iter().filter(|at| **at / SECOND == second).count()).max();
         assert!(busiest <= Some(most), "{size}: {busiest:?} in one second");
-        assert!(restarts.iter().all(|at| *at <= 4 * S + S / 10), "{size}: each watch must start within 4 s");
+        assert!(
+            restarts.iter().all(|at| *at <= 4 * SECOND + SECOND / 10),
+            "{size}: each watch must start within 4 s"
+        );
     }
     assert!(
-        fleet_watch_starts(3, 1, 0).1.iter().all(|at| *at <= 7 * S / 10),
+        fleet_watch_starts(3, 1, 0).1.iter().all(|at| *at <= 7 * SECOND / 10),
         "the watches of a small fleet must start again within 0.7 s"
     );
 }
@@ -178,11 +185,14 @@
 #[test]
 fn fleet_with_retry_after_spreads_its_watches_within_the_list_age_limit() {
     let (_, restarts) = fleet_watch_starts(100, 60, 1000);
-    assert!(restarts.iter().all(|at| (S..=5 * S).contains(at)), "{restarts:?}");
+    assert!(restarts.iter().all(|at| (SECOND..=5 * SECOND).contains(at)), "{restarts:?}");
     for wait in [7000, u64::MAX, u64::MAX / 1000, 1 << 40] {
         let (_, restarts) = fleet_watch_starts(100, 60, wait);
-        assert!(restarts.iter().all(|at| (5 * S / 2..=5 * S + S / 100).contains(at)), "{wait}: {restarts:?}");
-        let busiest = (2..5).map(|second| restarts.iter().filter(|at| **at / S == second).count()).max();
+        assert!(
+            restarts.iter().all(|at| (5 * SECOND / 2..=5 * SECOND + SECOND / 100).contains(at)),
+            "{wait}: {restarts:?}"
+        );
+        let busiest = (2..5).map(|second| restarts.iter().filter(|at| **at / SECOND == second).count()).max();
         assert!(busiest <= Some(55), "{wait}: {busiest:?} in one second");
     }
 }
@@ -196,7 +206,7 @@
     for (seed, size) in [(1, 1), (2, 3), (3, 100), (4, 300)] {
         let text = text.replace("\"fleet_size\":1", &format!("\"fleet_size\":{size}"));
         let mut config = Config::read(&text, None, None).expect("the configuration is valid");
-        (config.seed, config.settings.max_poll_interval) = (seed, 10 * S);
+        (config.seed, config.settings.max_poll_interval) = (seed, 10 * SECOND);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let mut now = START;
         // Duration, silence, and Retry-After (in ms) of each failed watch: rejected at once, also with a Retry-After; a
@@ -205,15 +215,15 @@
             (0, 0, 0),
             (0, 0, 30_000),
             (0, 0, 1500),
-            (S, S, 0),
-            (3 * S, 3 * S, 0),
-            (9 * S, 3 * S, 0),
-            (9 * S, 9 * S / 2, 0),
+            (SECOND, SECOND, 0),
+            (3 * SECOND, 3 * SECOND, 0),
+            (9 * SECOND, 3 * SECOND, 0),
+            (9 * SECOND, 9 * SECOND / 2, 0),
         ];
         let watch_starts =
             |effects: Vec<Effect>| effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }));
         while !watch_starts(reducer.step(now, Input::TimerDue)) {
-            now += S / 100;
+            now += SECOND / 100;
         }
         for (watch, (duration, silent_for, delay_ms)) in (1..).zip(failures.into_iter().cycle().take(70)) {
             now += duration;
@@ -226,9 +236,9 @@
             };
             let mut started = watch_starts(reducer.step(now, lost));
             while !started {
-                now += S / 100;
+                now += SECOND / 100;
                 assert!(
-                    now - last_event_at <= 5 * S + S / 100,
+                    now - last_event_at <= 5 * SECOND + SECOND / 100,
                     "{size}: no watch started in time after watch {watch}"
                 );
                 started = watch_starts(reducer.step(now, Input::TimerDue));
@@ -261,12 +271,12 @@
         world.submit(format!("m{list_version}"), false, 2, 10);
         world.wait(10_000);
         assert!(
-            world.links.is_empty(),
+            world.connections.is_empty(),
             "version {list_version}: no connection may be opened to a draining endpoint"
         );
     }
     let watch_count = world.watches.len();
-    world.wait(2 * S);
+    world.wait(2 * SECOND);
     let (_, _, since) = *world.watches.last().expect("a watch was started");
     assert_eq!(
         (world.watches.len(), since),
@@ -275,5 +285,8 @@
     );
     send_list(&mut world, 42, false);
     world.wait(10_000);
-    assert!(!world.links.is_empty(), "the older list must be in force once a second watch has confirmed it");
+    assert!(
+        !world.connections.is_empty(),
+        "the older list must be in force once a second watch has confirmed it"
+    );
 }
--- a/crates/forwarder/tests/reducer_operators.rs
+++ b/crates/forwarder/tests/reducer_operators.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::S;
+use common::SECOND;
 use common::world::World;
 use orchidyoke_core::endpoint_list::EndpointState;
 use orchidyoke_forwarder::config::Config;
@@ -18,10 +18,10 @@
         (console::Command::DisableServer("s-c".to_owned()), console::Command::EnableServer("s-c".to_owned()));
     let mut world = World::new();
     assert!(
-        !world.call_operator(console::Command::DisableServer("s-x".to_owned()))
-            && !world.call_operator(console::Command::EnableServer("s-x".to_owned()))
+        !world.send_operator_command(console::Command::DisableServer("s-x".to_owned()))
+            && !world.send_operator_command(console::Command::EnableServer("s-x".to_owned()))
     );
-    assert!(world.call_operator(eject.clone()) && world.call_operator(eject.clone()));
+    assert!(world.send_operator_command(eject.clone()) && world.send_operator_command(eject.clone()));
     world.ejected.insert("s-c".to_owned());
     for state in [EndpointState::Removed, EndpointState::Active] {
         world.list_version += 1;
@@ -35,19 +35,19 @@
     )));
     world.restart();
     world.submit("m".to_owned(), true, 2, 10);
-    world.wait(2 * S);
-    assert!(world.links.is_empty(), "no connection may be opened to an ejected endpoint");
+    world.wait(2 * SECOND);
+    assert!(world.connections.is_empty(), "no connection may be opened to an ejected endpoint");
     assert_eq!(world.reducer.gauges().avoided_endpoints, 1);
-    assert!(world.call_operator(restore.clone()) && world.call_operator(restore));
+    assert!(world.send_operator_command(restore.clone()) && world.send_operator_command(restore));
     world.ejected.clear();
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!(
-        world.links.len(),
+        world.connections.len(),
         1,
         "one command must restore the endpoint, and the waiting message must be sent"
     );
     assert!(
-        !world.call_operator(console::Command::Ready),
+        !world.send_operator_command(console::Command::Ready),
         "the process must not be ready, because it accepts no clients"
     );
 }
@@ -57,13 +57,13 @@
 #[test]
 fn restored_endpoint_warms_up() {
     let mut world = World::new();
-    assert!(world.call_operator(console::Command::DisableServer("s-c".to_owned())));
+    assert!(world.send_operator_command(console::Command::DisableServer("s-c".to_owned())));
     for number in 0..10 {
         world.submit(format!("m{number}"), true, 2, 10);
     }
-    world.wait(S);
-    assert!(world.call_operator(console::Command::EnableServer("s-c".to_owned())));
-    world.wait(4 * S);
-    assert!(world.links.len() <= 1, "only a trial call may be sent");
+    world.wait(SECOND);
+    assert!(world.send_operator_command(console::Command::EnableServer("s-c".to_owned())));
+    world.wait(4 * SECOND);
+    assert!(world.connections.len() <= 1, "only a trial call may be sent");
     assert_eq!(world.reducer.faulty_destinations().count(), 1);
 }
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::{SilentCatalogue, World, reducer, watch_source};
-use common::{S, START};
+use common::{SECOND, START};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::catalogue::Catalogue;
@@ -28,7 +28,7 @@
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.messages["x"].accepted && !world.links.is_empty(),
+        world.messages["x"].accepted && !world.connections.is_empty(),
         "destination 2 must still be known, and a connection to it requested"
     );
 }
@@ -41,7 +41,7 @@
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
-    assert!(world.messages["x"].accepted && world.links.is_empty());
+    assert!(world.messages["x"].accepted && world.connections.is_empty());
 }
 
 // Guards against a restart whose first append causes a compaction. If it takes place before the messages are restored,
@@ -123,7 +123,7 @@
         Config { catalogue, ..Config::read(&text, None, None).expect("the configuration is valid") }
     };
     let mut file = Vec::new();
-    let mut held = Vec::new();
+    let mut watched_lists = Vec::new();
     for start in 0..2 {
         let (records, whole) = replay(Bytes::copy_from_slice(&file));
         let mut reducer = Reducer::new(config(), 0, records, whole, START);
@@ -139,14 +139,14 @@
             match effect {
                 Effect::Append { bytes, .. } => file.extend_from_slice(&bytes),
                 Effect::StartWatch { source: WatchSource::Catalogue { list: sent, .. }, .. } => {
-                    held.push(sent)
+                    watched_lists.push(sent)
                 }
                 _ => {}
             }
         }
     }
-    let uids: Vec<_> = held[1].endpoints.iter().map(|t| t.uid.as_str()).collect();
-    assert_eq!((held[0].endpoints.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
+    let uids: Vec<_> = watched_lists[1].endpoints.iter().map(|endpoint| endpoint.uid.as_str()).collect();
+    assert_eq!((watched_lists[0].endpoints.len(), uids), (4, vec!["n1/web-0", "s-a", "s-b", "s-c"]));
 }
 
 // Guards against an accepted message that is in no file. If the journal was compacted in the same step in which the
@@ -158,9 +158,9 @@
         for number in 0..400 {
             world.submit(format!("m{number}"), true, 2, size);
             world.wait(5_000);
-            while let Some(link) = world.pick_connection(0, |link| !link.up) {
-                world.links.get_mut(&link).expect("the connection exists").up = true;
-                world.input(Input::ConnectionUp { connection: link });
+            while let Some(connection_id) = world.pick_connection(0, |connection| !connection.up) {
+                world.connections.get_mut(&connection_id).expect("the connection exists").up = true;
+                world.input(Input::ConnectionUp { connection: connection_id });
             }
             world.answer(0, 0);
         }
@@ -172,17 +172,17 @@
 // it, and against a deduplication window that starts again with the process.
 #[test]
 fn kill_keeps_idempotency_key_zone_and_window() {
-    for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * S, false, 1)] {
+    for (pause, moves, calls) in [(0, false, 2), (0, true, 1), (3 * SECOND, false, 1)] {
         let mut world = World::of(Shape::Second);
         world.submit("held".to_owned(), true, 2, 10);
         world.wait(10_000);
         world.step(1, Step::Connect { which: 0, up: true });
         assert_eq!(world.messages["held"].calls, 1);
         let first = world
-            .links
+            .connections
             .values()
-            .find(|l| l.call.is_some())
-            .map(|l| l.sent.1.clone())
+            .find(|connection| connection.call.is_some())
+            .map(|connection| connection.sent.1.clone())
             .expect("a call is in flight");
         world.now += pause;
         if moves {
@@ -190,7 +190,7 @@
             let index = world
                 .list
                 .iter()
-                .position(|t| t.destination == 2 && t.zone == first)
+                .position(|endpoint| endpoint.destination == 2 && endpoint.zone == first)
                 .expect("the endpoint is listed");
             world.list_version += 1;
             world.list[index].zone = if first == "a" { "b" } else { "a" }.to_owned();
@@ -204,7 +204,7 @@
             world.messages["held"].calls, calls,
             "the message must be repeated only in its zone and window, with its key"
         );
-        world.wait(5 * S);
+        world.wait(5 * SECOND);
         world.post(true);
         assert_eq!(
             world.messages["held"].notification,
@@ -219,7 +219,7 @@
 /// final answers were posted.
 fn with_a_short_window(
     file: &mut Vec<u8>,
-    handed: Option<Submission>,
+    submission: Option<Submission>,
     from: Micros,
     span: Micros,
 ) -> (Vec<Micros>, Vec<(Micros, FinalAnswer)>) {
@@ -230,7 +230,7 @@
     let mut reducer = Reducer::new(config, 0, records, whole, from);
     let (mut written, mut posted) = (Vec::new(), Vec::new());
     let mut inputs = VecDeque::from([Input::TimerDue]);
-    inputs.extend(handed.map(|message| Input::Submitted { request: 1, message }));
+    inputs.extend(submission.map(|message| Input::Submitted { request: 1, message }));
     let mut now = from;
     while now < from + span {
         while let Some(input) = inputs.pop_front() {
@@ -244,12 +244,12 @@
                             size: file.len(),
                         });
                     }
-                    Effect::Connect { connection: link, .. } => {
-                        inputs.push_back(Input::ConnectionUp { connection: link })
+                    Effect::Connect { connection: connection_id, .. } => {
+                        inputs.push_back(Input::ConnectionUp { connection: connection_id })
                     }
                     Effect::SendCall { .. } => written.push(now),
-                    Effect::PostNotifications { notifications: batch, .. } => {
-                        posted.extend(batch.into_iter().map(|(_, answer)| (now, answer)));
+                    Effect::PostNotifications { notifications: final_answers, .. } => {
+                        posted.extend(final_answers.into_iter().map(|(_, answer)| (now, answer)));
                         inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
                     _ => {}
@@ -267,24 +267,24 @@
 // after the window the final answer is posted immediately.
 #[test]
 fn one_second_window_is_counted_across_a_restart() {
-    for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * S, false)] {
-        let handed = Submission {
+    for (gap, repeats) in [(600_000, true), (900_000, true), (1_100_000, false), (5 * SECOND, false)] {
+        let submission = Submission {
             id: "a".to_owned(),
             class: "bread".to_owned(),
             tenant: None,
             idempotency_key: Some("k".to_owned()),
             destination: 2,
-            time_left: 20 * S,
+            time_left: 20 * SECOND,
             is_retry: false,
             handover_mark: ReceivedMark::Absent,
             body: Bytes::from_static(b"x"),
         };
         let mut file = Vec::new();
-        let (written, _) = with_a_short_window(&mut file, Some(handed), START, 20_000);
+        let (written, _) = with_a_short_window(&mut file, Some(submission), START, 20_000);
         assert_eq!(written.len(), 1, "the first attempt must be in flight");
         let first = written[0];
-        let (written, posted) = with_a_short_window(&mut file, None, first + gap, 4 * S);
-        assert!(written.iter().all(|at| *at < first + S), "{gap}: {written:?} after {first}");
+        let (written, posted) = with_a_short_window(&mut file, None, first + gap, 4 * SECOND);
+        assert!(written.iter().all(|at| *at < first + SECOND), "{gap}: {written:?} after {first}");
         assert!(
             !written.is_empty() || !repeats || gap > 850_000,
             "{gap}: a repeat must be sent, because there was time for it"
@@ -292,7 +292,7 @@
         if written.is_empty() {
             let (at, _) = posted[0];
             assert!(
-                at <= first + gap.max(S) + 100_000,
+                at <= first + gap.max(SECOND) + 100_000,
                 "{gap}: the final answer was posted at {at}, {} us after the start",
                 at - first - gap
             );
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::{World, reducer};
-use common::{S, START};
+use common::{SECOND, START};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::ReceivedMark;
@@ -75,7 +75,7 @@
             tenant: tenant_name,
             idempotency_key: key,
             destination: 2,
-            time_left: S,
+            time_left: SECOND,
             is_retry: false,
             handover_mark: ReceivedMark::Absent,
             body,
@@ -95,7 +95,7 @@
 #[test]
 fn rejection_at_the_message_limit_has_retry_after_as_the_settings_say() {
     for (change, expected) in [
-        (("\"retry_after\":true", "\"retry_after\":true"), S),
+        (("\"retry_after\":true", "\"retry_after\":true"), SECOND),
         (("\"retry_after\":true", "\"retry_after\":false"), 0),
         (("\"max_retry_after_us\":2000000", "\"max_retry_after_us\":300000"), 300_000),
     ] {
@@ -113,7 +113,7 @@
                 tenant: None,
                 idempotency_key: None,
                 destination: 2,
-                time_left: S,
+                time_left: SECOND,
                 is_retry: false,
                 handover_mark: ReceivedMark::Absent,
                 body,
@@ -144,6 +144,9 @@
     world.submit("left".to_owned(), true, 2, 10);
     let request_id = *world.pending_requests.keys().last().expect("a request waits");
     world.input(Input::Withdrawn { request: request_id });
-    world.wait(S);
-    assert!(!world.messages["left"].accepted && world.pick_connection(0, |l| l.call.is_some()).is_none());
+    world.wait(SECOND);
+    assert!(
+        !world.messages["left"].accepted
+            && world.pick_connection(0, |connection| connection.call.is_some()).is_none()
+    );
 }
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use bytes::{Bytes, BytesMut};
-use common::{DISK, S, START, second_config, second_endpoint_entries};
+use common::{MAX_FOLDER_BYTES, SECOND, START, second_config, second_endpoint_entries};
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, WatchEvent};
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::config::Config;
@@ -26,7 +26,7 @@
 /// The compacted file that an earlier version wrote at a start from this journal when the folder was nearly full.
 const COMPACTED: &[u8] = include_bytes!("fixtures/journal-rewritten");
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
 /// The ids of the messages that are still to be delivered, in ascending order.
 const PENDING: [&str; 9] =
@@ -46,7 +46,7 @@
         tenant: String::new(),
         idempotency_key: None,
         destination: dest,
-        deadline: START + 7 * S,
+        deadline: START + 7 * SECOND,
         attempts: 0,
         possible_delivery: None,
         in_flight: None,
@@ -83,7 +83,7 @@
 
 /// Returns the expected records of the journal.
 fn stored_records() -> Vec<Record> {
-    let (message_id, at) = (string, START - 300 * MS);
+    let (message_id, at) = (string, START - 300 * MILLISECOND);
     let attempt_started = |message_id: &str, ago: Micros| Record::AttemptStarted {
         messages: vec![string(message_id)],
         attempt: attempt_start(ago),
@@ -115,12 +115,12 @@
         Record::ProcessStage { stage: ProcessStage::Started },
         Record::ProcessStage { stage: ProcessStage::Ready },
         Record::FaultyRoutes { destinations: vec![4], routes: vec![(2, string("s-d"))] },
-        Record::RetryAfter { destination: 1, endpoint: None, until: START + 3 * S },
-        Record::RetryAfter { destination: 2, endpoint: Some(string("s-c")), until: START + S },
+        Record::RetryAfter { destination: 1, endpoint: None, until: START + 3 * SECOND },
+        Record::RetryAfter { destination: 2, endpoint: Some(string("s-c")), until: START + SECOND },
         Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("the address is valid") },
-        Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * S, ejected: true },
-        Record::OperatorOverride { endpoint: string("s-a"), at: START - 7 * S, ejected: true },
-        Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * S, ejected: false },
+        Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * SECOND, ejected: true },
+        Record::OperatorOverride { endpoint: string("s-a"), at: START - 7 * SECOND, ejected: true },
+        Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * SECOND, ejected: false },
     ];
     let dest = |message_id: &str| if matches!(message_id, "m-out" | "m-unseen" | "m-missed") { 2 } else { 1 };
     records.extend(
@@ -132,10 +132,10 @@
     records.push(Record::Accepted(accepted_with_key()));
     records.extend(ENDED.map(|message_id| Record::Accepted(accepted(message_id, 1))));
     records.extend([
-        attempt_started("m-ran", 500 * MS),
+        attempt_started("m-ran", 500 * MILLISECOND),
         Record::AttemptInDoubt { message: message_id("m-ran") },
-        attempt_started("m-out", 200 * MS),
-        attempt_started("m-unseen", 400 * MS),
+        attempt_started("m-out", 200 * MILLISECOND),
+        attempt_started("m-unseen", 400 * MILLISECOND),
         Record::AttemptNotDelivered { message: message_id("m-unseen") },
         Record::AttemptNotSent { message: message_id("m-missed") },
         Record::AttemptNotSent { message: message_id("m-missed") },
@@ -158,7 +158,7 @@
 
 /// Returns the expected records after a compaction at the start.
 fn compacted_records() -> Vec<Record> {
-    let at = START - 300 * MS;
+    let at = START - 300 * MILLISECOND;
     let finished = |message_id: &str, at: Micros| Record::Finished { message: string(message_id), at };
     let pending_answer = |message_id: &str, final_answer: FinalAnswer| Record::AnswerDecided {
         message: string(message_id),
@@ -172,12 +172,14 @@
         Record::Accepted(match message_id {
             "m-missed" => AcceptedMessage { attempts: 2, ..plain },
             "m-unseen" => AcceptedMessage { attempts: 1, ..plain },
-            "m-out" => {
-                AcceptedMessage { attempts: 1, possible_delivery: Some(attempt_start(200 * MS)), ..plain }
-            }
+            "m-out" => AcceptedMessage {
+                attempts: 1,
+                possible_delivery: Some(attempt_start(200 * MILLISECOND)),
+                ..plain
+            },
             "m-ran" => AcceptedMessage {
                 attempts: 1,
-                possible_delivery: Some(attempt_start(500 * MS)),
+                possible_delivery: Some(attempt_start(500 * MILLISECOND)),
                 ..accepted_with_key()
             },
             "m-unresolved" => AcceptedMessage { possible_delivery: Some(unknown), ..plain },
@@ -194,8 +196,8 @@
         Record::ProcessStage { stage: ProcessStage::Started },
         Record::FaultyRoutes { destinations: vec![4], routes: vec![(2, string("s-d"))] },
         Record::DiscoverySuperseded { discovery: "127.0.0.1:2".parse().expect("the address is valid") },
-        Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * S, ejected: false },
-        Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * S, ejected: true },
+        Record::OperatorOverride { endpoint: string("s-a"), at: START - 6 * SECOND, ejected: false },
+        Record::OperatorOverride { endpoint: string("s-d"), at: START - 60 * SECOND, ejected: true },
         finished("m-over", at),
         finished("m-told", at + 1),
         finished("m-handed", at + 2),
@@ -297,7 +299,7 @@
 
 /// Runs a reducer as [`drive`] does, with this input first.
 fn drive_from(reducer: &mut Reducer, first: Input, span: Micros) -> RequestedEffects {
-    let (mut requested, mut links, mut inputs) =
+    let (mut requested, mut connection_ports, mut inputs) =
         (RequestedEffects::default(), BTreeMap::new(), VecDeque::from([first]));
     let mut size = STORED.len();
     for now in (START..START + span).step_by(5_000) {
@@ -309,16 +311,21 @@
                         size += bytes.len();
                         inputs.push_back(Input::Appended { append: append_id, stored: true, size });
                     }
-                    Effect::Connect { connection: link, address, .. } => {
-                        links.insert(link, address.port());
-                        inputs.push_back(Input::ConnectionUp { connection: link });
+                    Effect::Connect { connection: connection_id, address, .. } => {
+                        connection_ports.insert(connection_id, address.port());
+                        inputs.push_back(Input::ConnectionUp { connection: connection_id });
                     }
-                    Effect::SendCall { connection: link, call } => {
+                    Effect::SendCall { connection: connection_id, call } => {
                         let state =
                             |message_id: &str| format!(r#"{{"id":"{message_id}","state":"accepted"}}"#);
                         let states: Vec<_> = call.messages.iter().map(|part| state(&part.id)).collect();
                         for part in call.messages {
-                            let sent = (now - START, links[&link], part.idempotency_key, part.body);
+                            let sent = (
+                                now - START,
+                                connection_ports[&connection_id],
+                                part.idempotency_key,
+                                part.body,
+                            );
                             assert!(
                                 requested.written.insert(part.id, sent).is_none(),
                                 "a message must be written once"
@@ -331,10 +338,14 @@
                             body,
                             ..EndpointReply::default()
                         };
-                        inputs.push_back(Input::CallAnswered { connection: link, reply, reusable: false });
+                        inputs.push_back(Input::CallAnswered {
+                            connection: connection_id,
+                            reply,
+                            reusable: false,
+                        });
                     }
-                    Effect::PostNotifications { notifications: batch, .. } => {
-                        requested.notifications.extend(batch);
+                    Effect::PostNotifications { notifications: final_answers, .. } => {
+                        requested.notifications.extend(final_answers);
                         inputs.push_back(Input::NotificationsPosted { accepted: true });
                     }
                     Effect::StartWatch { source: WatchSource::Discovery { address, since }, .. } => {
@@ -357,7 +368,7 @@
         tenant: None,
         idempotency_key: None,
         destination: 1,
-        time_left: S,
+        time_left: SECOND,
         is_retry: false,
         handover_mark: ReceivedMark::Absent,
         body: Bytes::from_static(b"again"),
@@ -375,7 +386,7 @@
 
 #[test]
 fn start_in_a_full_folder_compacts_to_the_same_records() {
-    let mut reducer = start(Some(Rc::new(TwoForwarders)), DISK - 15_000);
+    let mut reducer = start(Some(Rc::new(TwoForwarders)), MAX_FOLDER_BYTES - 15_000);
     let effects = reducer.step(START, Input::TimerDue);
     let compactions: Vec<_> = effects
         .into_iter()
@@ -415,7 +426,7 @@
 
 #[test]
 fn stored_final_answers_are_posted_in_order() {
-    let requested = drive(&mut start(None, STORED.len()), 20 * MS);
+    let requested = drive(&mut start(None, STORED.len()), 20 * MILLISECOND);
     let pending_answer =
         [("m-failed", FinalAnswer::Failed), ("m-returned", FinalAnswer::Rejected { retry_after_ms: 1500 })];
     assert_eq!(
@@ -426,7 +437,7 @@
 
 #[test]
 fn stored_list_is_watched_from_its_version_at_the_reloaded_address() {
-    let requested = drive(&mut start(None, STORED.len()), 20 * MS);
+    let requested = drive(&mut start(None, STORED.len()), 20 * MILLISECOND);
     assert_eq!(requested.watches, [(3, 9)]);
 }
 
@@ -436,7 +447,7 @@
     assert_eq!(reducer.faulty_destinations().collect::<Vec<_>>(), [2, 4]);
     let avoided = |left_out: fn(&Record) -> bool| {
         let mut reducer = start_without(left_out, None, STORED.len());
-        drive(&mut reducer, 20 * MS);
+        drive(&mut reducer, 20 * MILLISECOND);
         reducer.gauges().avoided_endpoints
     };
     assert_eq!(
@@ -454,19 +465,19 @@
 #[test]
 fn stored_retry_after_keys_and_attempts_stay_in_force() {
     let mut reducer = start(None, STORED.len());
-    let requested = drive(&mut reducer, 8 * S);
+    let requested = drive(&mut reducer, 8 * SECOND);
     let written: BTreeSet<_> = requested.written.keys().map(String::as_str).collect();
     assert_eq!(written, BTreeSet::from(PENDING));
     for (message_id, (at, port, key, sent)) in &requested.written {
         // One endpoint of destination 2 has a Retry-After and the other is ejected by an operator. The whole of
         // destination 1 has a Retry-After.
         let to_second = matches!(&message_id[..], "m-out" | "m-unseen" | "m-missed" | "m-ran");
-        let (from, endpoint) = if to_second { (S, 11) } else { (3 * S, 9) };
+        let (from, endpoint) = if to_second { (SECOND, 11) } else { (3 * SECOND, 9) };
         assert!(*at >= from && *port == endpoint, "{message_id}: at {at}, to {port}");
         assert_eq!(*sent, body(message_id));
         assert_eq!(*key, (message_id == "m-ran").then(|| string("k \"1\"")), "{message_id}");
     }
-    let window_end = 1500 * MS;
+    let window_end = 1500 * MILLISECOND;
     assert!(requested.written["m-ran"].0 < window_end, "the window must start with the first attempt");
     assert_eq!((reducer.metrics().open_messages(), requested.notifications.len()), (0, 2));
 }
@@ -474,18 +485,18 @@
 #[test]
 fn stored_offer_goes_to_the_same_owner_and_kept_message_stays() {
     let mut reducer = start(Some(Rc::new(TwoForwarders)), STORED.len());
-    let requested = drive(&mut reducer, 800 * MS);
+    let requested = drive(&mut reducer, 800 * MILLISECOND);
     let offer = |message_id: &str| {
         requested.offers.iter().find(|offer| offer.message.id == message_id).expect("the message is offered")
     };
     let message_ids: BTreeSet<_> = requested.offers.iter().map(|offer| &offer.message.id[..]).collect();
     assert_eq!(message_ids, BTreeSet::from(["m-declined", "m-free", "m-offered", "m-unresolved"]));
-    let (first, repeated_offer) = (START - 300 * MS, offer("m-offered"));
-    let deadline = START + 7 * S;
+    let (first, repeated_offer) = (START - 300 * MILLISECOND, offer("m-offered"));
+    let deadline = START + 7 * SECOND;
     let mark = HandoverMark {
         from: string("f1"),
         deadline,
-        valid_until: first + 20 * S,
+        valid_until: first + 20 * SECOND,
         attempts: 0,
         possible_delivery: None,
     };
@@ -525,7 +536,7 @@
     let requested = drive_from(
         &mut reducer,
         Input::OtherProcessesUpdated { updates: process_updates, gone: Vec::new() },
-        8 * S,
+        8 * SECOND,
     );
     assert_eq!((requested.removed_journals, requested.watches), (vec![0], vec![(3, 9)]));
     assert_eq!((reducer.metrics().accepted(), reducer.metrics().open_messages()), (9, 0));
@@ -545,7 +556,7 @@
     for message_id in ["m-out", "m-unseen", "m-missed", "m-ran"] {
         let (at, port, key, sent) = &requested.written[message_id];
         assert!(
-            *at >= S && *port == 11,
+            *at >= SECOND && *port == 11,
             "{message_id}: at {at}, to {port}: the Retry-After must stay in force"
         );
         assert_eq!((key, sent), (&(message_id == "m-ran").then(|| string("k \"1\"")), &body(message_id)));
--- a/crates/forwarder/tests/upgrade.rs
+++ b/crates/forwarder/tests/upgrade.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::S;
+use common::SECOND;
 use common::processes::{Processes, Step};
 use orchidyoke_forwarder::endpoint_call::EndpointReply;
 use orchidyoke_forwarder::input::Input;
@@ -38,36 +38,37 @@
     for number in 0..3 {
         world.submit(0, format!("m{number}"), true, 2, 10);
     }
-    world.wait(S / 10);
-    let (_, first) = world.pick(0, |link| !link.up).expect("a connection is requested");
-    world.processes[0].links.get_mut(&first).expect("the connection exists").up = true;
+    world.wait(SECOND / 10);
+    let (_, first) =
+        world.pick_connection(0, |connection| !connection.up).expect("a connection is requested");
+    world.processes[0].connections.get_mut(&first).expect("the connection exists").up = true;
     world.input(0, Input::ConnectionUp { connection: first });
     world.start();
     world.submit(1, "m3".to_owned(), true, 2, 10);
-    world.wait(S);
+    world.wait(SECOND);
     assert!(
-        world.processes[1].links.is_empty(),
+        world.processes[1].connections.is_empty(),
         "the newer process must not begin attempts while the older one does"
     );
-    world.look(0);
+    world.poll_other_journals(0);
     world.input(0, Input::Shutdown);
     assert!(world.processes[0].handed_over);
-    world.wait(S / 20);
-    assert_eq!(world.processes[0].links.len(), 1, "the call of the older process must continue");
-    assert_eq!(world.processes[1].links.len(), 1, "the successor must begin attempts");
+    world.wait(SECOND / 20);
+    assert_eq!(world.processes[0].connections.len(), 1, "the call of the older process must continue");
+    assert_eq!(world.processes[1].connections.len(), 1, "the successor must begin attempts");
     let open_messages = |world: &Processes, at: usize| world.processes[at].reducer.gauges().open_messages;
     assert_eq!((open_messages(&world, 0), open_messages(&world, 1)), (1, 3));
     // The call ends without delivery, so its message then belongs to the successor.
     let call = world.processes[0]
-        .links
+        .connections
         .get_mut(&first)
-        .and_then(|link| link.call.take())
+        .and_then(|connection| connection.call.take())
         .expect("a call is in flight");
     let reply = EndpointReply { status: 503, is_bulk: call.is_bulk, ..EndpointReply::default() };
     world.input(0, Input::CallAnswered { connection: first, reply, reusable: true });
-    world.wait(S / 20);
+    world.wait(SECOND / 20);
     assert_eq!(open_messages(&world, world.processes.len() - 1), 4);
-    world.wait(S);
+    world.wait(SECOND);
     assert_eq!(world.processes.len(), 1, "the older process must exit once it has nothing left to do");
     assert_eq!(world.files.len(), 1, "the file of the older process must be taken over");
     let (records, _) = replay(Bytes::copy_from_slice(&world.files[&1].bytes));
@@ -81,11 +82,11 @@
     let mut world = Processes::new();
     world.start();
     world.submit(1, "a".to_owned(), true, 2, 10);
-    world.wait(S / 50);
+    world.wait(SECOND / 50);
     assert!(world.messages["a"].accepted);
     world.kill(1);
-    world.wait(S / 50);
-    assert_eq!((world.processes[0].links.len(), world.files.len()), (1, 1));
+    world.wait(SECOND / 50);
+    assert_eq!((world.processes[0].connections.len(), world.files.len()), (1, 1));
 }
 
 // Guards against an endpoint that one process has ejected and the other has not, regardless of which process received
@@ -96,15 +97,18 @@
         let mut world = Processes::new();
         world.start();
         world.operate(at, "s-c", true);
-        world.wait(S / 50);
+        world.wait(SECOND / 50);
         assert!(world.processes.iter().all(|process| process.reducer.gauges().avoided_endpoints >= 1));
         world.input(0, Input::Shutdown);
         world.submit(1, "a".to_owned(), true, 2, 10);
-        world.wait(3 * S);
-        assert!(world.processes.iter().all(|process| process.links.is_empty()), "command at process {at}");
+        world.wait(3 * SECOND);
+        assert!(
+            world.processes.iter().all(|process| process.connections.is_empty()),
+            "command at process {at}"
+        );
         let last = world.processes.len() - 1;
         world.operate(last, "s-c", false);
-        world.wait(S);
-        assert_eq!(world.processes[last].links.len(), 1, "command at process {at}");
+        world.wait(SECOND);
+        assert_eq!(world.processes[last].connections.len(), 1, "command at process {at}");
     }
 }
--- a/crates/forwarder/tests/wire_config.rs
+++ b/crates/forwarder/tests/wire_config.rs
@@ -20,7 +20,7 @@
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!((config.limits.max_descriptors, config.limits.disk_mb), (1025, 3.5));
     assert!(config.policy_ejected.iter().map(String::as_str).eq(["s-1", "s-9"]));
-    let targets = vec![EndpointEntry {
+    let expected_endpoints = vec![EndpointEntry {
         uid: "s-1".to_owned(),
         address: "127.0.0.1:8600".parse().expect("a valid address"),
         zone: "a".to_owned(),
@@ -32,7 +32,12 @@
     }];
     assert_eq!(
         config.initial_list,
-        WatchEvent { version: 3, is_snapshot: true, endpoints: targets, origin: "consul:5be2".to_owned() }
+        WatchEvent {
+            version: 3,
+            is_snapshot: true,
+            endpoints: expected_endpoints,
+            origin: "consul:5be2".to_owned()
+        }
     );
     assert_eq!(config.settings.max_calls, 14);
     assert_eq!(config.names.classes, ["status"]);
@@ -48,27 +53,27 @@
     assert_eq!(config.discovery.configured.port(), 8500);
     assert!(config.console.is_none() && config.policy_ejected.is_empty());
     assert_eq!((config.limits.max_descriptors, config.limits.disk_mb), (1024, 3.0));
-    let target = |uid: &str, port: u16, pod_group| EndpointEntry {
+    let endpoint = |uid: &str, port: u16, destination_id| EndpointEntry {
         uid: uid.to_owned(),
         address: ([127, 0, 0, 1], port).into(),
         zone: "a".to_owned(),
         kind: "shops".to_owned(),
-        destination: pod_group,
+        destination: destination_id,
         state: EndpointState::Active,
         capacity_hint: 10.0,
         health: HealthStatus::Passing,
     };
-    let targets = vec![target("s-good", 8600, 7), target("s-bad", 8601, 8)];
+    let expected_endpoints = vec![endpoint("s-good", 8600, 7), endpoint("s-bad", 8601, 8)];
     assert_eq!(
         config.initial_list,
-        WatchEvent { version: 1, is_snapshot: true, endpoints: targets, origin: String::new() }
+        WatchEvent { version: 1, is_snapshot: true, endpoints: expected_endpoints, origin: String::new() }
     );
-    let class = |aim, deadline, late_share, effect| Class {
-        latency_objective: aim,
+    let class = |objective, deadline, late_share, class_idempotency| Class {
+        latency_objective: objective,
         deadline,
         priority_weight: 1.0,
         late_weight_share: late_share,
-        idempotency: effect,
+        idempotency: class_idempotency,
         keep_order: false,
     };
     let settings = Settings {
--- a/crates/forwarder/tests/wire_console.rs
+++ b/crates/forwarder/tests/wire_console.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use common::world::reducer;
-use common::{S, START, shape::Shape};
+use common::{SECOND, START, shape::Shape};
 use golden::assert_golden;
 use orchidyoke_core::interface::{DestinationId, Micros};
 use orchidyoke_forwarder::console::{Command, ConsoleReply, MAX_LINE_BYTES, parse_input};
@@ -117,14 +117,14 @@
             tenant: tenant_name.map(str::to_owned),
             idempotency_key: None,
             destination: dest,
-            time_left: 7 * S,
+            time_left: 7 * SECOND,
             is_retry: false,
             handover_mark: mark,
             body: Bytes::from_static(b"hello"),
         };
         self.input(Input::Submitted { request: self.last_request, message });
         // The reducer accepts messages that arrive together as one batch, shortly afterwards.
-        self.now += S / 100;
+        self.now += SECOND / 100;
         self.input(Input::TimerDue);
     }
 
@@ -219,7 +219,7 @@
 fn names_of_owner_metrics_stay_the_same() {
     let mut forwarder = Forwarder::new(Shape::First);
     forwarder.input(Input::OwnersChanged(Rc::new(Fleet)));
-    let deadline = forwarder.now + 6 * S;
+    let deadline = forwarder.now + 6 * SECOND;
     let mark = |from: &str| {
         ReceivedMark::Valid(HandoverMark {
             from: from.to_owned(),
@@ -240,7 +240,7 @@
         while !forwarder.offers.is_empty() {
             forwarder.end_offer(OfferOutcome::NotSent("nobody there".to_owned()));
         }
-        forwarder.now += S / 10;
+        forwarder.now += SECOND / 10;
         forwarder.input(Input::TimerDue);
     }
     assert_golden("metrics_of_owners.txt", &forwarder.send_line("show-stat"));
@@ -260,14 +260,14 @@
         tenant: None,
         idempotency_key: None,
         destination: 1,
-        time_left: S,
+        time_left: SECOND,
         is_retry: false,
         handover_mark: ReceivedMark::Absent,
         body: Bytes::new(),
     };
     second_deployment.input(Input::Submitted { request: second_deployment.last_request, message });
     let text_of = |answer: &SubmitAnswer| match answer {
-        SubmitAnswer::Incomplete(text_of) => *text_of,
+        SubmitAnswer::Incomplete(text) => *text,
         other => panic!("{other:?}"),
     };
     let conversation: Vec<_> =
--- a/crates/forwarder/tests/wire_outbound.rs
+++ b/crates/forwarder/tests/wire_outbound.rs
@@ -74,9 +74,9 @@
     })
 }
 
-fn message(txn: &str, key: Option<&str>, body: &'static [u8]) -> CallMessage {
+fn message(message_id: &str, key: Option<&str>, body: &'static [u8]) -> CallMessage {
     CallMessage {
-        id: txn.to_owned(),
+        id: message_id.to_owned(),
         idempotency_key: key.map(str::to_owned),
         body: Bytes::from_static(body),
     }
@@ -108,7 +108,7 @@
         (bulk_call(), bulk_answer),
         (bulk_call_of_one, bulk_answer),
     ]
-    .map(|(it, answer)| side("> ", &call(it, answer).0));
+    .map(|(endpoint_call, answer)| side("> ", &call(endpoint_call, answer).0));
     assert_golden("calls.txt", &request_text.join("\n"));
 }
 
@@ -153,7 +153,7 @@
 
 #[test]
 fn notifications_stay_the_same() {
-    let notices = vec![
+    let notifications = vec![
         ("9b1f".to_owned(), FinalAnswer::Failed),
         ("9b\"20".to_owned(), FinalAnswer::Rejected { retry_after_ms: 500 }),
         ("9b21".to_owned(), FinalAnswer::Rejected { retry_after_ms: 0 }),
@@ -164,7 +164,7 @@
     ] {
         let (request_text, inputs) = serve_once(answer, async |address| {
             let (sender, inputs) = unbounded_channel();
-            post(address, notices.clone(), sender).await;
+            post(address, notifications.clone(), sender).await;
             inputs
         });
         assert_golden("notices.txt", &side("> ", &request_text));
@@ -187,7 +187,7 @@
         events.take()
     });
     assert_golden("watch.txt", &side("> ", &request_text));
-    let target = |uid: &str, state, capacity_hint, checks| EndpointEntry {
+    let endpoint = |uid: &str, state, capacity_hint, health_status| EndpointEntry {
         uid: uid.to_owned(),
         address: "10.1.0.18:8000".parse().expect("a valid address"),
         zone: "a".to_owned(),
@@ -195,27 +195,27 @@
         destination: 3,
         state,
         capacity_hint,
-        health: checks,
+        health: health_status,
     };
     let bare = EndpointEntry {
         zone: String::new(),
         kind: String::new(),
-        ..target("s-3", EndpointState::Removed, 0.0, HealthStatus::Passing)
+        ..endpoint("s-3", EndpointState::Removed, 0.0, HealthStatus::Passing)
     };
     let expected = [
         WatchEvent {
             version: 41,
             is_snapshot: true,
             endpoints: vec![
-                target("s-1", EndpointState::Active, 1.5, HealthStatus::Passing),
-                target("s-2", EndpointState::Active, 2.5, HealthStatus::Warning),
+                endpoint("s-1", EndpointState::Active, 1.5, HealthStatus::Passing),
+                endpoint("s-2", EndpointState::Active, 2.5, HealthStatus::Warning),
             ],
             origin: String::new(),
         },
         WatchEvent {
             version: 43,
             is_snapshot: false,
-            endpoints: vec![target("s-1", EndpointState::Draining, 1.5, HealthStatus::Critical), bare],
+            endpoints: vec![endpoint("s-1", EndpointState::Draining, 1.5, HealthStatus::Critical), bare],
             origin: "consul:5be2".to_owned(),
         },
     ];
--- a/crates/journal/tests/large_lists.rs
+++ b/crates/journal/tests/large_lists.rs
@@ -120,7 +120,7 @@
     check(
         (0..1000).map(|number| EndpointEntry { state: EndpointState::Removed, ..longest(number) }).collect(),
     );
-    let gone = |number| EndpointEntry { state: EndpointState::Removed, ..entry(number) };
-    check((0..100).map(gone).collect());
+    let removed = |number| EndpointEntry { state: EndpointState::Removed, ..entry(number) };
+    check((0..100).map(removed).collect());
     assert_eq!(list.len(), 0);
 }
