--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -23,28 +23,28 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Submit {
-        at: usize,
+        process_index: usize,
         orders: bool,
         dest: u64,
         size: usize,
     },
     Resubmit {
-        at: usize,
-        which: usize,
+        process_index: usize,
+        selector: usize,
     },
     Connect {
-        which: usize,
+        selector: usize,
         up: bool,
     },
     Answer {
-        which: usize,
+        selector: usize,
         answer_kind: u8,
     },
     Break(usize),
     Wait(Micros),
     Operator {
-        at: usize,
-        which: usize,
+        process_index: usize,
+        selector: usize,
         ejected: bool,
     },
     /// Starts another process while the others run.
@@ -53,26 +53,31 @@
     Terminate,
     /// Kills a process after its next `after` effects.
     Kill {
-        at: usize,
+        process_index: usize,
         after: usize,
     },
 }
 
 impl Arbitrary for Step {
     fn arbitrary(generator: &mut Gen) -> Self {
-        let (which, at, flag) =
+        let (selector, process_index, flag) =
             (usize::arbitrary(generator), usize::arbitrary(generator), bool::arbitrary(generator));
         match u8::arbitrary(generator) % 48 {
-            0..=11 => Step::Submit { at, orders: flag, dest: 1 + which as u64 % 3, size: which % 2000 },
-            12 => Step::Resubmit { at, which },
-            13..=20 => Step::Connect { which, up: u8::arbitrary(generator) % 5 > 0 },
-            21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(generator) },
-            32 => Step::Break(which),
-            33..=39 => Step::Wait(which as Micros % 200_000),
-            40 | 41 => Step::Operator { at, which, ejected: flag },
+            0..=11 => Step::Submit {
+                process_index,
+                orders: flag,
+                dest: 1 + selector as u64 % 3,
+                size: selector % 2000,
+            },
+            12 => Step::Resubmit { process_index, selector },
+            13..=20 => Step::Connect { selector, up: u8::arbitrary(generator) % 5 > 0 },
+            21..=31 => Step::Answer { selector, answer_kind: u8::arbitrary(generator) },
+            32 => Step::Break(selector),
+            33..=39 => Step::Wait(selector as Micros % 200_000),
+            40 | 41 => Step::Operator { process_index, selector, ejected: flag },
             42 | 43 => Step::Upgrade,
             44 | 45 => Step::Terminate,
-            46 => Step::Kill { at, after: which % 6 },
+            46 => Step::Kill { process_index, after: selector % 6 },
             _ => Step::Wait(SECOND),
         }
     }
@@ -170,37 +175,38 @@
             terminated: false,
             kill_after: None,
         });
-        let at = self.processes.len() - 1;
-        self.poll_other_journals(at);
-        self.input(at, Input::TimerDue);
-        if at < self.processes.len() {
-            self.input(at, Input::AcceptingClients);
+        let process_index = self.processes.len() - 1;
+        self.poll_other_journals(process_index);
+        self.input(process_index, Input::TimerDue);
+        if process_index < self.processes.len() {
+            self.input(process_index, Input::AcceptingClients);
         }
     }
 
-    pub fn input(&mut self, at: usize, input: Input) {
+    pub fn input(&mut self, process_index: usize, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            for effect in self.processes[at].reducer.step(self.now, input) {
-                if self.processes[at].kill_after == Some(0) {
-                    return self.kill(at);
+            for effect in self.processes[process_index].reducer.step(self.now, input) {
+                if self.processes[process_index].kill_after == Some(0) {
+                    return self.kill(process_index);
                 }
-                self.processes[at].kill_after = self.processes[at].kill_after.map(|left| left - 1);
+                self.processes[process_index].kill_after =
+                    self.processes[process_index].kill_after.map(|left| left - 1);
                 if matches!(effect, Effect::Exit) {
-                    return self.kill(at);
+                    return self.kill(process_index);
                 }
-                inputs.extend(self.carry_out(at, effect));
+                inputs.extend(self.carry_out(process_index, effect));
             }
         }
-        let process = &self.processes[at];
+        let process = &self.processes[process_index];
         assert_eq!(process.reducer.metrics().open_messages(), process.reducer.gauges().open_messages as u64);
     }
 
-    pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
-        let generation = self.processes[at].generation;
+    pub fn carry_out(&mut self, process_index: usize, effect: Effect) -> Option<Input> {
+        let generation = self.processes[process_index].generation;
         match effect {
             Effect::Answer { request: request_id, answer } => {
-                let message_id = self.processes[at]
+                let message_id = self.processes[process_index]
                     .submitted_requests
                     .remove(&request_id)
                     .expect("each request is answered once");
@@ -209,7 +215,7 @@
                 }
             }
             Effect::Reply { request: request_id, reply } => {
-                drop(self.processes[at].replies.insert(request_id, reply))
+                drop(self.processes[process_index].replies.insert(request_id, reply))
             }
             Effect::Append { append: append_id, bytes } => {
                 let file = self.files.get_mut(&generation).expect("the process has a journal");
@@ -237,14 +243,14 @@
                 let file = self.files.remove(&generation).expect("is in the model");
                 assert_eq!(
                     file.lock,
-                    Some(self.processes[at].number),
+                    Some(self.processes[process_index].number),
                     "a process removes only a journal whose lock it holds"
                 );
-                self.processes[at].read.remove(&generation);
+                self.processes[process_index].read.remove(&generation);
             }
             Effect::HandOverClients => {
-                self.processes[at].handed_over = true;
-                self.unlock(self.processes[at].number, generation);
+                self.processes[process_index].handed_over = true;
+                self.unlock(self.processes[process_index].number, generation);
             }
             Effect::Connect { connection: connection_id, address, until } => {
                 let new = SimulatedConnection {
@@ -252,18 +258,18 @@
                     until,
                     ..SimulatedConnection::default()
                 };
-                assert!(self.processes[at].connections.insert(connection_id, new).is_none());
+                assert!(self.processes[process_index].connections.insert(connection_id, new).is_none());
             }
             Effect::SendCall { connection: connection_id, call } => {
-                self.write(at, connection_id, call);
+                self.write(process_index, connection_id, call);
                 return Some(Input::CallWritten { connection: connection_id });
             }
             Effect::CloseConnection { connection: connection_id } => {
-                return self.close(at, connection_id, Cause::Cancelled);
+                return self.close(process_index, connection_id, Cause::Cancelled);
             }
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::PostNotifications { notifications: final_answers, .. } => {
-                assert!(self.processes[at].posting.replace(final_answers).is_none());
+                assert!(self.processes[process_index].posting.replace(final_answers).is_none());
             }
             Effect::StartWatch { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
         }
@@ -279,7 +285,7 @@
         locked.for_each(|(_, file)| file.lock = None);
     }
 
-    pub fn write(&mut self, at: usize, connection_id: EndpointConnectionId, call: EndpointCall) {
+    pub fn write(&mut self, process_index: usize, connection_id: EndpointConnectionId, call: EndpointCall) {
         let connections = || self.processes.iter().flat_map(|process| process.connections.values());
         let in_flight: Vec<&str> =
             connections().filter_map(|connection| connection.call.as_ref()).flat_map(ids).collect();
@@ -291,7 +297,7 @@
             connections().filter(|connection| connection.call.is_some()).count() < MAX_CALLS,
             "the processes together exceed the limit on calls"
         );
-        let address = &self.processes[at].connections[&connection_id].address;
+        let address = &self.processes[process_index].connections[&connection_id].address;
         let endpoints = super::endpoint_entries();
         let endpoint = endpoints
             .iter()
@@ -318,8 +324,11 @@
             message_state.calls += 1;
             assert!(message_state.calls <= 8, "more than eight attempts over all processes");
         }
-        self.processes[at].connections.get_mut(&connection_id).expect("the connection is open").call =
-            Some(call);
+        self.processes[process_index]
+            .connections
+            .get_mut(&connection_id)
+            .expect("the connection is open")
+            .call = Some(call);
     }
 
     pub fn mark_possibly_delivered(&mut self, connection: &SimulatedConnection) {
@@ -328,8 +337,13 @@
         }
     }
 
-    pub fn close(&mut self, at: usize, connection_id: EndpointConnectionId, cause: Cause) -> Option<Input> {
-        let closed = self.processes[at].connections.remove(&connection_id)?;
+    pub fn close(
+        &mut self,
+        process_index: usize,
+        connection_id: EndpointConnectionId,
+        cause: Cause,
+    ) -> Option<Input> {
+        let closed = self.processes[process_index].connections.remove(&connection_id)?;
         let progress = closed.progress();
         self.mark_possibly_delivered(&closed);
         Some(Input::ConnectionClosed {
@@ -338,8 +352,8 @@
         })
     }
 
-    pub fn kill(&mut self, at: usize) {
-        let mut process = self.processes.remove(at);
+    pub fn kill(&mut self, process_index: usize) {
+        let mut process = self.processes.remove(process_index);
         for connection in std::mem::take(&mut process.connections).into_values() {
             self.mark_possibly_delivered(&connection);
         }
@@ -362,28 +376,29 @@
     }
 
     /// Polls the journals of the other processes as `OtherJournals` does, and passes the changes to the reducer.
-    pub fn poll_other_journals(&mut self, at: usize) {
-        if self.processes[at].handed_over {
+    pub fn poll_other_journals(&mut self, process_index: usize) {
+        if self.processes[process_index].handed_over {
             return;
         }
-        let (number, own) = (self.processes[at].number, self.processes[at].generation);
-        let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
+        let (number, own) = (self.processes[process_index].number, self.processes[process_index].generation);
+        let known: BTreeSet<Generation> = self.processes[process_index].read.keys().copied().collect();
         let others: BTreeSet<Generation> =
             self.files.keys().copied().filter(|generation| *generation != own).collect();
         let (mut found_updates, mut gone) = (Vec::new(), Vec::new());
         for generation in known.union(&others).copied() {
             let Some(file) = self.files.get_mut(&generation) else {
-                self.processes[at].read.remove(&generation);
+                self.processes[process_index].read.remove(&generation);
                 gone.push(generation);
                 continue;
             };
             file.lock = file.lock.or(Some(number));
             let ended = file.lock == Some(number);
-            let (inode, read) = self.processes[at].read.get(&generation).copied().unwrap_or_default();
+            let (inode, read) =
+                self.processes[process_index].read.get(&generation).copied().unwrap_or_default();
             let is_rewritten = inode != file.inode || file.bytes.len() < read;
             let from = if is_rewritten { 0 } else { read };
             let (records, valid_bytes) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
-            self.processes[at].read.insert(generation, (file.inode, from + valid_bytes));
+            self.processes[process_index].read.insert(generation, (file.inode, from + valid_bytes));
             if is_rewritten || ended || !records.is_empty() {
                 let size = file.bytes.len();
                 found_updates.push(OtherProcessUpdate {
@@ -396,7 +411,7 @@
             }
         }
         if !found_updates.is_empty() || !gone.is_empty() {
-            self.input(at, Input::OtherProcessesUpdated { updates: found_updates, gone });
+            self.input(process_index, Input::OtherProcessesUpdated { updates: found_updates, gone });
         }
     }
 
@@ -404,24 +419,25 @@
     /// process, and its id.
     pub fn pick_connection(
         &self,
-        which: usize,
+        selector: usize,
         is_suitable: impl Fn(&SimulatedConnection) -> bool,
     ) -> Option<(usize, EndpointConnectionId)> {
-        let connections = self
-            .processes
-            .iter()
-            .enumerate()
-            .flat_map(|(at, process)| process.connections.iter().map(move |connection| (at, connection)));
+        let connections = self.processes.iter().enumerate().flat_map(|(process_index, process)| {
+            process.connections.iter().map(move |connection| (process_index, connection))
+        });
         let suitable: Vec<_> = connections
             .filter(|(_, (_, connection))| is_suitable(connection))
-            .map(|(at, (id, _))| (at, *id))
+            .map(|(process_index, (id, _))| (process_index, *id))
             .collect();
-        (!suitable.is_empty()).then(|| suitable[which % suitable.len()])
+        (!suitable.is_empty()).then(|| suitable[selector % suitable.len()])
     }
 
-    pub fn submit(&mut self, at: usize, message_id: String, orders: bool, dest: u64, size: usize) {
-        let request_id =
-            self.processes[at].submitted_requests.keys().last().map_or(self.now as u64, |last| last + 1);
+    pub fn submit(&mut self, process_index: usize, message_id: String, orders: bool, dest: u64, size: usize) {
+        let request_id = self.processes[process_index]
+            .submitted_requests
+            .keys()
+            .last()
+            .map_or(self.now as u64, |last| last + 1);
         let time_left = if orders { 28 * SECOND } else { 8 * SECOND };
         let message_state =
             MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
@@ -429,10 +445,10 @@
         let class = if orders { "orders" } else { "status" }.to_owned();
         let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
         // As in the forwarder, the other journals are polled before a submission.
-        let number = self.processes[at].number;
-        self.poll_other_journals(at);
-        if self.processes.get(at).is_some_and(|process| process.number == number) {
-            self.processes[at].submitted_requests.insert(request_id, message_id.clone());
+        let number = self.processes[process_index].number;
+        self.poll_other_journals(process_index);
+        if self.processes.get(process_index).is_some_and(|process| process.number == number) {
+            self.processes[process_index].submitted_requests.insert(request_id, message_id.clone());
             let message = Submission {
                 id: message_id,
                 class,
@@ -444,15 +460,17 @@
                 handover_mark: ReceivedMark::Absent,
                 body,
             };
-            self.input(at, Input::Submitted { request: request_id, message });
+            self.input(process_index, Input::Submitted { request: request_id, message });
         }
     }
 
-    pub fn answer(&mut self, which: usize, answer_kind: u8) {
-        let Some((at, id)) = self.pick_connection(which, |connection| connection.call.is_some()) else {
+    pub fn answer(&mut self, selector: usize, answer_kind: u8) {
+        let Some((process_index, id)) =
+            self.pick_connection(selector, |connection| connection.call.is_some())
+        else {
             return;
         };
-        let call = self.processes[at]
+        let call = self.processes[process_index]
             .connections
             .get_mut(&id)
             .and_then(|connection| connection.call.take())
@@ -478,7 +496,7 @@
         }
         if delay_ms > 0 {
             self.retry_afters.push((
-                self.processes[at].generation,
+                self.processes[process_index].generation,
                 dest,
                 self.now + delay_ms as Micros * 1000,
             ));
@@ -491,26 +509,26 @@
             body,
             ..EndpointReply::default()
         };
-        self.input(at, Input::CallAnswered { connection: id, reply, reusable: true });
+        self.input(process_index, Input::CallAnswered { connection: id, reply, reusable: true });
     }
 
     /// Advances the time of all processes.
-    pub fn wait(&mut self, span: Micros) {
-        let end = self.now + span;
+    pub fn wait(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = end.min(self.now + POLL_INTERVAL);
             for number in self.processes.iter().map(|process| process.number).collect::<Vec<_>>() {
                 let index_of =
                     |world: &Processes| world.processes.iter().position(|process| process.number == number);
-                if let Some(at) = index_of(self) {
-                    self.poll_other_journals(at);
+                if let Some(process_index) = index_of(self) {
+                    self.poll_other_journals(process_index);
                 }
-                while let Some(at) = index_of(self) {
+                while let Some(process_index) = index_of(self) {
                     let is_expired = |connection: &SimulatedConnection| match &connection.call {
                         Some(call) => call.deadline <= self.now,
                         None => !connection.up && connection.until <= self.now,
                     };
-                    let Some(connection_id) = self.processes[at]
+                    let Some(connection_id) = self.processes[process_index]
                         .connections
                         .iter()
                         .find(|(_, connection)| is_expired(connection))
@@ -518,16 +536,16 @@
                     else {
                         break;
                     };
-                    let input = self.close(at, connection_id, Cause::TimedOut);
-                    input.into_iter().for_each(|input| self.input(at, input));
+                    let input = self.close(process_index, connection_id, Cause::TimedOut);
+                    input.into_iter().for_each(|input| self.input(process_index, input));
                 }
-                if let Some(at) = index_of(self)
-                    && self.processes[at].reducer.wake_at().is_some_and(|wake| wake <= self.now)
+                if let Some(process_index) = index_of(self)
+                    && self.processes[process_index].reducer.wake_at().is_some_and(|wake| wake <= self.now)
                 {
-                    self.input(at, Input::TimerDue);
+                    self.input(process_index, Input::TimerDue);
                 }
-                if let Some(at) = index_of(self)
-                    && let Some(final_answers) = self.processes[at].posting.take()
+                if let Some(process_index) = index_of(self)
+                    && let Some(final_answers) = self.processes[process_index].posting.take()
                 {
                     for (message_id, final_answer) in final_answers {
                         let message_state =
@@ -546,25 +564,25 @@
                             message_state.final_answers
                         );
                     }
-                    self.input(at, Input::NotificationsPosted { accepted: true });
+                    self.input(process_index, Input::NotificationsPosted { accepted: true });
                 }
             }
         }
     }
 
-    pub fn operate(&mut self, at: usize, uid: &str, ejected: bool) {
-        let number = self.processes[at].number;
+    pub fn operate(&mut self, process_index: usize, uid: &str, ejected: bool) {
+        let number = self.processes[process_index].number;
         self.now += 1;
-        self.poll_other_journals(at);
-        if self.processes.get(at).is_none_or(|process| process.number != number) {
+        self.poll_other_journals(process_index);
+        if self.processes.get(process_index).is_none_or(|process| process.number != number) {
             return;
         }
         let request_id = self.now as RequestId;
         let id = uid.to_owned();
         let call =
             if ejected { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
-        self.input(at, Input::Operator { request: request_id, call });
-        let process = self.processes.get(at).filter(|process| process.number == number);
+        self.input(process_index, Input::Operator { request: request_id, call });
+        let process = self.processes.get(process_index).filter(|process| process.number == number);
         if process.is_some_and(|process| {
             matches!(process.replies.get(&request_id), Some(console::ConsoleReply::Done(_)))
         }) {
@@ -585,43 +603,48 @@
             self.start();
         }
         // The list may be empty after a kill, because no process accepts clients until the next start.
-        let open: Vec<usize> =
-            (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
+        let open: Vec<usize> = (0..self.processes.len())
+            .filter(|process_index| !self.processes[*process_index].handed_over)
+            .collect();
         match step {
-            Step::Submit { at, orders, dest, size } if !open.is_empty() => {
-                self.submit(open[at % open.len()], format!("m{number}"), orders, dest, size);
+            Step::Submit { process_index, orders, dest, size } if !open.is_empty() => {
+                self.submit(open[process_index % open.len()], format!("m{number}"), orders, dest, size);
             }
-            Step::Resubmit { at, which } => {
+            Step::Resubmit { process_index, selector } => {
                 let known = self.messages.iter().filter(|(_, message_state)| message_state.accepted);
-                let known = known.max_by_key(|(_, message)| message.deadline + which as Micros % 2);
+                let known = known.max_by_key(|(_, message)| message.deadline + selector as Micros % 2);
                 if let Some((message_id, orders, dest)) =
                     known.map(|(message_id, message)| (message_id.clone(), message.orders, message.dest))
                 {
-                    self.submit(at % self.processes.len(), message_id, orders, dest, 10);
+                    self.submit(process_index % self.processes.len(), message_id, orders, dest, 10);
                 }
             }
-            Step::Connect { which, up } => {
-                if let Some((at, id)) = self.pick_connection(which, |connection| !connection.up) {
+            Step::Connect { selector, up } => {
+                if let Some((process_index, id)) = self.pick_connection(selector, |connection| !connection.up)
+                {
                     if up {
-                        self.processes[at].connections.get_mut(&id).expect("is in the model").up = true;
-                        self.input(at, Input::ConnectionUp { connection: id });
+                        self.processes[process_index].connections.get_mut(&id).expect("is in the model").up =
+                            true;
+                        self.input(process_index, Input::ConnectionUp { connection: id });
                     } else {
-                        let input = self.close(at, id, Cause::ConnectionFailed("refused".to_owned()));
-                        input.into_iter().for_each(|input| self.input(at, input));
+                        let input =
+                            self.close(process_index, id, Cause::ConnectionFailed("refused".to_owned()));
+                        input.into_iter().for_each(|input| self.input(process_index, input));
                     }
                 }
             }
-            Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
-            Step::Break(which) => {
-                if let Some((at, id)) = self.pick_connection(which, |connection| connection.up) {
-                    let input = self.close(at, id, Cause::ConnectionFailed("reset".to_owned()));
-                    input.into_iter().for_each(|input| self.input(at, input));
+            Step::Answer { selector, answer_kind } => self.answer(selector, answer_kind),
+            Step::Break(selector) => {
+                if let Some((process_index, id)) = self.pick_connection(selector, |connection| connection.up)
+                {
+                    let input = self.close(process_index, id, Cause::ConnectionFailed("reset".to_owned()));
+                    input.into_iter().for_each(|input| self.input(process_index, input));
                 }
             }
-            Step::Wait(span) => self.wait(span),
-            Step::Operator { at, which, ejected } => {
-                let uid = super::endpoint_entries()[which % 4].uid.clone();
-                self.operate(at % self.processes.len(), &uid, ejected);
+            Step::Wait(duration) => self.wait(duration),
+            Step::Operator { process_index, selector, ejected } => {
+                let uid = super::endpoint_entries()[selector % 4].uid.clone();
+                self.operate(process_index % self.processes.len(), &uid, ejected);
             }
             Step::Upgrade if self.processes.len() < 3 => {
                 self.upgrades += 1;
@@ -629,20 +652,20 @@
             }
             Step::Terminate => {
                 // The platform waits until the new process is ready, and then shuts down the oldest that still runs.
-                let oldest =
-                    (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
-                if let Some(at) = oldest {
-                    let number = self.processes[at].number;
-                    self.poll_other_journals(at);
-                    if self.processes.get(at).is_some_and(|process| process.number == number) {
-                        self.processes[at].terminated = true;
-                        self.input(at, Input::Shutdown);
+                let oldest = (0..self.processes.len().saturating_sub(1))
+                    .find(|process_index| !self.processes[*process_index].terminated);
+                if let Some(process_index) = oldest {
+                    let number = self.processes[process_index].number;
+                    self.poll_other_journals(process_index);
+                    if self.processes.get(process_index).is_some_and(|process| process.number == number) {
+                        self.processes[process_index].terminated = true;
+                        self.input(process_index, Input::Shutdown);
                     }
                 }
             }
-            Step::Kill { at, after } => {
-                let at = at % self.processes.len();
-                self.processes[at].kill_after = Some(after);
+            Step::Kill { process_index, after } => {
+                let process_index = process_index % self.processes.len();
+                self.processes[process_index].kill_after = Some(after);
             }
             _ => {}
         }
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -13,37 +13,37 @@
 pub enum Step {
     Submit { orders: bool, dest: u64, size: usize },
     Resubmit(usize),
-    Connect { which: usize, up: bool },
-    Answer { which: usize, answer_kind: u8 },
+    Connect { selector: usize, up: bool },
+    Answer { selector: usize, answer_kind: u8 },
     Break(usize),
     Wait(Micros),
     Post(bool),
-    List { which: usize, state: EndpointState },
+    List { selector: usize, state: EndpointState },
     Move(usize),
-    Operator { which: usize, eject: bool },
+    Operator { selector: usize, eject: bool },
     Kill,
     Terminate,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(generator: &mut Gen) -> Self {
-        let (which, flag) = (usize::arbitrary(generator), bool::arbitrary(generator));
+        let (selector, flag) = (usize::arbitrary(generator), bool::arbitrary(generator));
         match u8::arbitrary(generator) % 42 {
-            0..=9 => Step::Submit { orders: flag, dest: 1 + which as u64 % 3, size: which % 6000 },
-            10 => Step::Resubmit(which),
-            11..=17 => Step::Connect { which, up: u8::arbitrary(generator) % 5 > 0 },
-            18..=26 => Step::Answer { which, answer_kind: u8::arbitrary(generator) },
-            27 => Step::Break(which),
-            28..=34 => Step::Wait(which as Micros % 400_000),
+            0..=9 => Step::Submit { orders: flag, dest: 1 + selector as u64 % 3, size: selector % 6000 },
+            10 => Step::Resubmit(selector),
+            11..=17 => Step::Connect { selector, up: u8::arbitrary(generator) % 5 > 0 },
+            18..=26 => Step::Answer { selector, answer_kind: u8::arbitrary(generator) },
+            27 => Step::Break(selector),
+            28..=34 => Step::Wait(selector as Micros % 400_000),
             35 | 36 => Step::Post(flag),
             37 => {
                 let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
-                Step::List { which, state: *generator.choose(&states).expect("three states") }
+                Step::List { selector, state: *generator.choose(&states).expect("three states") }
             }
-            38 if flag => Step::Move(which),
+            38 if flag => Step::Move(selector),
             38 => Step::Kill,
-            39 | 40 => Step::Operator { which, eject: flag },
-            _ if which.is_multiple_of(4) => Step::Terminate,
+            39 | 40 => Step::Operator { selector, eject: flag },
+            _ if selector.is_multiple_of(4) => Step::Terminate,
             _ => Step::Wait(3 * SECOND),
         }
     }
@@ -53,18 +53,18 @@
     pub fn step(&mut self, number: usize, step: Step) {
         match step {
             Step::Submit { orders, dest, size } => self.submit(format!("m{number}"), orders, dest, size),
-            Step::Resubmit(which) => {
+            Step::Resubmit(selector) => {
                 let known = self.messages.iter().filter(|(_, message)| message.accepted);
                 let Some((message_id, message)) =
-                    known.max_by_key(|(_, message)| message.deadline + which as Micros % 2)
+                    known.max_by_key(|(_, message)| message.deadline + selector as Micros % 2)
                 else {
                     return;
                 };
                 let (message_id, orders, dest) = (message_id.clone(), message.orders, message.dest);
                 self.submit(message_id, orders, dest, 10);
             }
-            Step::Connect { which, up } => {
-                let Some(id) = self.pick_connection(which, |connection| !connection.up) else { return };
+            Step::Connect { selector, up } => {
+                let Some(id) = self.pick_connection(selector, |connection| !connection.up) else { return };
                 if up {
                     self.connections.get_mut(&id).expect("the connection exists").up = true;
                     self.input(Input::ConnectionUp { connection: id });
@@ -72,31 +72,31 @@
                     self.input(input);
                 }
             }
-            Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
-            Step::Break(which) => {
-                let Some(id) = self.pick_connection(which, |connection| connection.up) else { return };
+            Step::Answer { selector, answer_kind } => self.answer(selector, answer_kind),
+            Step::Break(selector) => {
+                let Some(id) = self.pick_connection(selector, |connection| connection.up) else { return };
                 let input = self.close(id, Cause::ConnectionFailed("reset".to_owned()));
                 input.into_iter().for_each(|input| self.input(input));
             }
-            Step::Wait(span) => self.wait(span),
+            Step::Wait(duration) => self.wait(duration),
             Step::Post(accepted) => self.post(accepted),
-            Step::List { which, state } => {
+            Step::List { selector, state } => {
                 self.list_version += 1;
-                let index = which % self.list.len();
+                let index = selector % self.list.len();
                 self.list[index].state = state;
                 let entries = vec![self.list[index].clone()];
                 self.update_list(entries);
             }
-            Step::Move(which) => {
+            Step::Move(selector) => {
                 // The endpoint moves to the other zone and keeps its uid and address.
                 self.list_version += 1;
-                let index = which % self.list.len();
+                let index = selector % self.list.len();
                 self.list[index].zone = if self.list[index].zone == "a" { "b" } else { "a" }.to_owned();
                 let entries = vec![self.list[index].clone()];
                 self.update_list(entries);
             }
-            Step::Operator { which, eject } => {
-                let uid = self.list[which % self.list.len()].uid.clone();
+            Step::Operator { selector, eject } => {
+                let uid = self.list[selector % self.list.len()].uid.clone();
                 if self.send_operator_command(if eject {
                     console::Command::DisableServer(uid.clone())
                 } else {
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -87,9 +87,9 @@
 
 pub fn reducer(shape: Shape, file: &[u8], now: Micros) -> Reducer {
     let config = Config::read(&shape.config(), None, None).expect("the configuration is valid");
-    let (records, whole) = replay(Bytes::copy_from_slice(file));
-    assert_eq!(whole, file.len());
-    Reducer::new(config, 0, records, whole, now)
+    let (records, complete_bytes) = replay(Bytes::copy_from_slice(file));
+    assert_eq!(complete_bytes, file.len());
+    Reducer::new(config, 0, records, complete_bytes, now)
 }
 
 /// Returns the port of discovery that a watch follows (0 for a catalogue), and the version after which it starts.
@@ -380,7 +380,7 @@
 
     pub fn pick_connection(
         &self,
-        which: usize,
+        selector: usize,
         is_suitable: impl Fn(&SimulatedConnection) -> bool,
     ) -> Option<EndpointConnectionId> {
         let suitable: Vec<EndpointConnectionId> = self
@@ -389,7 +389,7 @@
             .filter(|(_, connection)| is_suitable(connection))
             .map(|(id, _)| *id)
             .collect();
-        (!suitable.is_empty()).then(|| suitable[which % suitable.len()])
+        (!suitable.is_empty()).then(|| suitable[selector % suitable.len()])
     }
 
     pub fn submit(&mut self, message_id: String, orders: bool, dest: u64, size: usize) {
@@ -425,8 +425,8 @@
         self.input(Input::Submitted { request: request_id, message });
     }
 
-    pub fn answer(&mut self, which: usize, answer_kind: u8) {
-        let Some(id) = self.pick_connection(which, |connection| connection.call.is_some()) else { return };
+    pub fn answer(&mut self, selector: usize, answer_kind: u8) {
+        let Some(id) = self.pick_connection(selector, |connection| connection.call.is_some()) else { return };
         let connection = self.connections.get_mut(&id).expect("the connection is open");
         let (call, sent) = (connection.call.take().expect("a call is in flight"), connection.sent.clone());
         let (status, delay_ms) = match answer_kind % 10 {
@@ -475,8 +475,8 @@
     }
 
     /// Lets time pass. Time-outs and timers that are due take place in their order.
-    pub fn wait(&mut self, span: Micros) {
-        let end = self.now + span;
+    pub fn wait(&mut self, duration: Micros) {
+        let end = self.now + duration;
         loop {
             let connecting = self
                 .connections
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -153,9 +153,9 @@
 
     fn start(class: Class, config: &str, owners: Option<Rc<dyn Owners>>, file: &[u8], now: Micros) -> Self {
         let config = Config::read(config, None, None).expect("the configuration is valid");
-        let (records, whole) = replay(Bytes::copy_from_slice(file));
-        assert_eq!(whole, file.len());
-        let reducer = Reducer::new(Config { owners, ..config }, 0, records, whole, now);
+        let (records, complete_bytes) = replay(Bytes::copy_from_slice(file));
+        assert_eq!(complete_bytes, file.len());
+        let reducer = Reducer::new(Config { owners, ..config }, 0, records, complete_bytes, now);
         let mut world = World {
             class,
             reducer,
@@ -236,8 +236,8 @@
     }
 
     /// Lets time pass, with every timer that is due.
-    fn wait(&mut self, span: Micros) {
-        let until = self.now + span;
+    fn wait(&mut self, duration: Micros) {
+        let until = self.now + duration;
         let mut timers = 0;
         while let Some(at) = self.reducer.wake_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
@@ -283,8 +283,8 @@
     }
 
     /// Lets time pass and ends each offer with this outcome. Returns how many offers ended.
-    fn wait_ending_offers(&mut self, span: Micros, result: &OfferOutcome) -> usize {
-        let (until, mut ended) = (self.now + span, 0);
+    fn wait_ending_offers(&mut self, duration: Micros, result: &OfferOutcome) -> usize {
+        let (until, mut ended) = (self.now + duration, 0);
         while self.now < until {
             while let Some(offer) = self.offers.pop_front() {
                 self.end_offer(&offer, result.clone());
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -74,9 +74,9 @@
 impl World {
     /// Starts a forwarder from the content of the file.
     fn start(config: Config, file: Vec<u8>) -> Self {
-        let (records, whole) = replay(Bytes::copy_from_slice(&file));
-        assert_eq!(whole, file.len());
-        let reducer = Reducer::new(config, 0, records, whole, START);
+        let (records, complete_bytes) = replay(Bytes::copy_from_slice(&file));
+        assert_eq!(complete_bytes, file.len());
+        let reducer = Reducer::new(config, 0, records, complete_bytes, START);
         let mut world = World { reducer, file, now: START, watch: 0, log: Vec::new() };
         // This input runs no controller round, which would process the whole list and is not part of these tests.
         world.input(Input::Withdrawn { request: 0 });
@@ -121,8 +121,8 @@
     /// Returns the list that a start would read from the journal.
     fn journaled_list(&self) -> EndpointList {
         let mut list = EndpointList::default();
-        let (records, whole) = replay(Bytes::copy_from_slice(&self.file));
-        assert_eq!(whole, self.file.len());
+        let (records, complete_bytes) = replay(Bytes::copy_from_slice(&self.file));
+        assert_eq!(complete_bytes, self.file.len());
         for (record, _) in records {
             if let Record::EndpointList(update) = record {
                 list.apply(&update);
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -17,7 +17,7 @@
 #[test]
 fn lost_watch_is_restarted_and_the_list_stays_in_use() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 3, state: EndpointState::Draining });
+    world.step(0, Step::List { selector: 3, state: EndpointState::Draining });
     world.input(Input::WatchEnded { watch: 1, reason: "silent".to_owned(), retry_after_ms: 0, silence: 0 });
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(SECOND);
@@ -45,7 +45,7 @@
     world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
     world.wait(SECOND / 2);
     assert_eq!(world.watches.len(), 2, "the end of the old watch must not start another watch");
-    world.step(0, Step::Connect { which: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, up: true });
     world.answer(0, 0);
     assert!(world.messages["a"].delivered);
     world.submit("b".to_owned(), true, 2, 10);
@@ -105,8 +105,8 @@
 }
 
 /// Returns when each forwarder of a fleet starts its watch: after its start, and after its first watch ended. The first
-/// watch has lasted `lasted` seconds and ends with a Retry-After of `delay_ms`.
-fn fleet_watch_starts(size: u32, lasted: Micros, delay_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
+/// watch has lasted `lasted_seconds` and ends with a Retry-After of `delay_ms`.
+fn fleet_watch_starts(size: u32, lasted_seconds: Micros, delay_ms: u64) -> (Vec<Micros>, Vec<Micros>) {
     let watch_starts = |reducer: &mut Reducer, from: Micros| {
         let at = (0..20_000).map(|step| from + step * SECOND / 100).find(|now| {
             let effects = reducer.step(*now, Input::TimerDue);
@@ -122,9 +122,9 @@
         (config.seed, config.settings.max_poll_interval) = (u64::from(seed), 10 * SECOND);
         let mut reducer = Reducer::new(config, 0, Vec::new(), 0, START);
         let first = watch_starts(&mut reducer, START);
-        let lost = START + first + lasted * SECOND;
+        let ended_at = START + first + lasted_seconds * SECOND;
         let effects = reducer.step(
-            lost,
+            ended_at,
             Input::WatchEnded {
                 watch: 1,
                 reason: "it ended".to_owned(),
@@ -133,7 +133,7 @@
             },
         );
         let at_once = effects.iter().any(|effect| matches!(effect, Effect::StartWatch { .. }));
-        (first, if at_once { 0 } else { watch_starts(&mut reducer, lost) })
+        (first, if at_once { 0 } else { watch_starts(&mut reducer, ended_at) })
     };
     (0..size).map(one_forwarder).unzip()
 }
@@ -146,15 +146,15 @@
 fn fleet_starts_its_watches_within_the_drain_grace() {
     for size in [3, 100, 300] {
         let (starts, restarts) = fleet_watch_starts(size, 60, 0);
-        for (what, watch_starts) in [("at the start", starts), ("after an established watch", restarts)] {
+        for (case, watch_starts) in [("at the start", starts), ("after an established watch", restarts)] {
             assert!(
                 watch_starts.iter().all(|at| *at <= SECOND / 4 + SECOND / 100),
-                "{size} {what}: each watch must start within 250 ms"
+                "{size} {case}: each watch must start within 250 ms"
             );
             let together = (0..26)
                 .map(|part| watch_starts.iter().filter(|at| **at / (SECOND / 100) == part).count())
                 .max();
-            assert!(together <= Some(2 + size as usize / 10), "{size} {what}: {together:?} within 10 ms");
+            assert!(together <= Some(2 + size as usize / 10), "{size} {case}: {together:?} within 10 ms");
         }
     }
     assert_eq!(fleet_watch_starts(1, 60, 0).0, [0]);
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -23,7 +23,7 @@
 #[test]
 fn restart_keeps_unchanged_endpoints() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 3, state: EndpointState::Draining });
+    world.step(0, Step::List { selector: 3, state: EndpointState::Draining });
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -37,7 +37,7 @@
 #[test]
 fn restart_keeps_draining_endpoints() {
     let mut world = World::new();
-    world.step(0, Step::List { which: 2, state: EndpointState::Draining });
+    world.step(0, Step::List { selector: 2, state: EndpointState::Draining });
     world.restart();
     world.submit("x".to_owned(), false, 2, 10);
     world.wait(10_000);
@@ -50,14 +50,14 @@
 fn restart_with_a_full_journal_loses_no_message() {
     let mut world = World::new();
     // The endpoint drains, so the message stays undelivered.
-    world.step(0, Step::List { which: 2, state: EndpointState::Draining });
+    world.step(0, Step::List { selector: 2, state: EndpointState::Draining });
     world.submit("kept".to_owned(), true, 2, 10);
     world.wait(10_000);
     let mut compactions = 0;
     for number in 0..2000 {
         world.submit(format!("m{number}"), false, 3, 10);
         world.wait(10_000);
-        world.step(number, Step::Connect { which: number, up: true });
+        world.step(number, Step::Connect { selector: number, up: true });
         world.answer(0, 0);
         if world.file.len() > 160_000 {
             let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::TimerDue);
@@ -85,8 +85,8 @@
         Config::read(&text, None, given).expect("the configuration is valid")
     };
     let watched_port = |file: &mut Vec<u8>, config: Config, reload: Option<Config>| {
-        let (records, whole) = replay(Bytes::copy_from_slice(file));
-        let mut reducer = Reducer::new(config, 0, records, whole, START);
+        let (records, complete_bytes) = replay(Bytes::copy_from_slice(file));
+        let mut reducer = Reducer::new(config, 0, records, complete_bytes, START);
         let inputs = [Some(Input::TimerDue), reload.map(|config| Input::ConfigReloaded(Box::new(config)))];
         let mut port = 0;
         for effect in inputs.into_iter().flatten().flat_map(|input| reducer.step(START, input)) {
@@ -125,8 +125,8 @@
     let mut file = Vec::new();
     let mut watched_lists = Vec::new();
     for start in 0..2 {
-        let (records, whole) = replay(Bytes::copy_from_slice(&file));
-        let mut reducer = Reducer::new(config(), 0, records, whole, START);
+        let (records, complete_bytes) = replay(Bytes::copy_from_slice(&file));
+        let mut reducer = Reducer::new(config(), 0, records, complete_bytes, START);
         let added = EndpointEntry { uid: format!("n1/web-{start}"), ..common::endpoint_entries()[0].clone() };
         let entries = vec![
             EndpointEntry { state: EndpointState::Removed, ..common::endpoint_entries()[3].clone() },
@@ -176,7 +176,7 @@
         let mut world = World::of(Shape::Second);
         world.submit("held".to_owned(), true, 2, 10);
         world.wait(10_000);
-        world.step(1, Step::Connect { which: 0, up: true });
+        world.step(1, Step::Connect { selector: 0, up: true });
         assert_eq!(world.messages["held"].calls, 1);
         let first = world
             .connections
@@ -198,7 +198,7 @@
         world.restart();
         for _ in 0..40 {
             world.wait(50_000);
-            world.step(1, Step::Connect { which: 0, up: true });
+            world.step(1, Step::Connect { selector: 0, up: true });
         }
         assert_eq!(
             world.messages["held"].calls, calls,
@@ -217,22 +217,22 @@
 /// Runs a reducer of the second deployment with a deduplication window of one second on the content of a file. Every
 /// connection is established immediately, and no endpoint replies. Returns when calls were written, and when which
 /// final answers were posted.
-fn with_a_short_window(
+fn run_with_one_second_window(
     file: &mut Vec<u8>,
     submission: Option<Submission>,
     from: Micros,
-    span: Micros,
+    duration: Micros,
 ) -> (Vec<Micros>, Vec<(Micros, FinalAnswer)>) {
     let text = common::second_config("127.0.0.1:1", "127.0.0.1:2", common::second_endpoint_entries());
     let text = text.replace("\"window_us\":2000000", "\"window_us\":1000000");
     let config = Config::read(&text, None, None).expect("the configuration is valid");
-    let (records, whole) = replay(Bytes::copy_from_slice(file));
-    let mut reducer = Reducer::new(config, 0, records, whole, from);
+    let (records, complete_bytes) = replay(Bytes::copy_from_slice(file));
+    let mut reducer = Reducer::new(config, 0, records, complete_bytes, from);
     let (mut written, mut posted) = (Vec::new(), Vec::new());
     let mut inputs = VecDeque::from([Input::TimerDue]);
     inputs.extend(submission.map(|message| Input::Submitted { request: 1, message }));
     let mut now = from;
-    while now < from + span {
+    while now < from + duration {
         while let Some(input) = inputs.pop_front() {
             for effect in reducer.step(now, input) {
                 match effect {
@@ -280,10 +280,10 @@
             body: Bytes::from_static(b"x"),
         };
         let mut file = Vec::new();
-        let (written, _) = with_a_short_window(&mut file, Some(submission), START, 20_000);
+        let (written, _) = run_with_one_second_window(&mut file, Some(submission), START, 20_000);
         assert_eq!(written.len(), 1, "the first attempt must be in flight");
         let first = written[0];
-        let (written, posted) = with_a_short_window(&mut file, None, first + gap, 4 * SECOND);
+        let (written, posted) = run_with_one_second_window(&mut file, None, first + gap, 4 * SECOND);
         assert!(written.iter().all(|at| *at < first + SECOND), "{gap}: {written:?} after {first}");
         assert!(
             !written.is_empty() || !repeats || gap > 850_000,
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -271,8 +271,8 @@
 fn start_without(left_out: fn(&Record) -> bool, owners: Option<Rc<dyn Owners>>, size: usize) -> Reducer {
     let text = second_config("127.0.0.1:1", "127.0.0.1:3", second_endpoint_entries());
     let config = Config::read(&text, None, Some("127.0.0.1:2")).expect("the configuration is valid");
-    let (mut records, whole) = replay(Bytes::from_static(STORED));
-    assert_eq!(whole, STORED.len());
+    let (mut records, complete_bytes) = replay(Bytes::from_static(STORED));
+    assert_eq!(complete_bytes, STORED.len());
     records.retain(|(record, _)| !left_out(record));
     Reducer::new(Config { owners, ..config }, 0, records, size, START)
 }
@@ -293,16 +293,16 @@
 
 /// Runs a reducer for a while. Connections are established, endpoints deliver, notifications are accepted, and offers
 /// are not answered.
-fn drive(reducer: &mut Reducer, span: Micros) -> RequestedEffects {
-    drive_from(reducer, Input::TimerDue, span)
+fn drive(reducer: &mut Reducer, duration: Micros) -> RequestedEffects {
+    drive_from(reducer, Input::TimerDue, duration)
 }
 
 /// Runs a reducer as [`drive`] does, with this input first.
-fn drive_from(reducer: &mut Reducer, first: Input, span: Micros) -> RequestedEffects {
+fn drive_from(reducer: &mut Reducer, first: Input, duration: Micros) -> RequestedEffects {
     let (mut requested, mut connection_ports, mut inputs) =
         (RequestedEffects::default(), BTreeMap::new(), VecDeque::from([first]));
     let mut size = STORED.len();
-    for now in (START..START + span).step_by(5_000) {
+    for now in (START..START + duration).step_by(5_000) {
         inputs.push_back(Input::TimerDue);
         while let Some(input) = inputs.pop_front() {
             for effect in reducer.step(now, input) {
@@ -377,8 +377,8 @@
 
 #[test]
 fn stored_journal_decodes_to_the_same_records() {
-    let (records, whole) = replay(Bytes::from_static(STORED));
-    assert_eq!(whole, STORED.len());
+    let (records, complete_bytes) = replay(Bytes::from_static(STORED));
+    assert_eq!(complete_bytes, STORED.len());
     let read: Vec<_> = records.into_iter().map(|(record, _)| record).collect();
     assert_eq!(read, stored_records());
     assert!(written(&stored_records()) == STORED);
@@ -393,12 +393,12 @@
         .filter_map(|effect| if let Effect::CompactJournal { bytes } = effect { Some(bytes) } else { None })
         .collect();
     let [bytes] = &compactions[..] else { panic!("{} compactions", compactions.len()) };
-    let (records, whole) = replay(bytes.clone());
+    let (records, complete_bytes) = replay(bytes.clone());
     let expected = compacted_records();
     for (index, ((read, _), expected)) in records.iter().zip(&expected).enumerate() {
         assert_eq!(read, expected, "record {index}");
     }
-    assert_eq!((records.len(), whole), (expected.len(), bytes.len()));
+    assert_eq!((records.len(), complete_bytes), (expected.len(), bytes.len()));
     assert!(*bytes == COMPACTED && written(&expected) == COMPACTED);
 }
 
