--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -15,16 +15,19 @@
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// Most calls in flight, over all processes (`slots` of the configuration).
 const MAX_CALLS: usize = 6;
 /// Interval at which each process polls the journals of the others.
 const POLL_INTERVAL: Micros = 10_000;
+/// Time during which calls may still go to an ejected endpoint, in microseconds (`drain_grace_us` of the
+/// configuration).
 const DRAIN_GRACE: Micros = 250_000;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Submit {
         process_index: usize,
-        orders: bool,
+        restricts_repeats: bool,
         dest: u64,
         size: usize,
     },
@@ -65,7 +68,7 @@
         match u8::arbitrary(generator) % 48 {
             0..=11 => Step::Submit {
                 process_index,
-                orders: flag,
+                restricts_repeats: flag,
                 dest: 1 + selector as u64 % 3,
                 size: selector % 2000,
             },
@@ -111,7 +114,7 @@
 
 #[derive(Default)]
 pub struct MessageState {
-    pub orders: bool,
+    pub restricts_repeats: bool,
     pub dest: u64,
     pub deadline: Micros,
     pub accepted: bool,
@@ -317,7 +320,7 @@
         for message_id in ids(&call) {
             let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             assert!(
-                !message_state.orders || !message_state.possibly_delivered,
+                !message_state.restricts_repeats || !message_state.possibly_delivered,
                 "a message that may not be repeated is sent twice: {message_id}"
             );
             assert!(self.now < message_state.deadline);
@@ -432,17 +435,28 @@
         (!suitable.is_empty()).then(|| suitable[selector % suitable.len()])
     }
 
-    pub fn submit(&mut self, process_index: usize, message_id: String, orders: bool, dest: u64, size: usize) {
+    pub fn submit(
+        &mut self,
+        process_index: usize,
+        message_id: String,
+        restricts_repeats: bool,
+        dest: u64,
+        size: usize,
+    ) {
         let request_id = self.processes[process_index]
             .submitted_requests
             .keys()
             .last()
             .map_or(self.now as u64, |last| last + 1);
-        let time_left = if orders { 28 * SECOND } else { 8 * SECOND };
-        let message_state =
-            MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
+        let time_left = if restricts_repeats { 28 * SECOND } else { 8 * SECOND };
+        let message_state = MessageState {
+            restricts_repeats,
+            dest,
+            deadline: self.now + time_left,
+            ..MessageState::default()
+        };
         self.messages.entry(message_id.clone()).or_insert(message_state);
-        let class = if orders { "orders" } else { "status" }.to_owned();
+        let class = if restricts_repeats { "orders" } else { "status" }.to_owned();
         let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
         // As in the forwarder, the other journals are polled before a submission.
         let number = self.processes[process_index].number;
@@ -551,7 +565,7 @@
                         let message_state =
                             self.messages.get_mut(&message_id).expect("the message was submitted");
                         let is_allowed = !matches!(final_answer, FinalAnswer::Rejected { .. })
-                            || !message_state.orders
+                            || !message_state.restricts_repeats
                             || !message_state.possibly_delivered;
                         assert!(
                             is_allowed,
@@ -607,16 +621,28 @@
             .filter(|process_index| !self.processes[*process_index].handed_over)
             .collect();
         match step {
-            Step::Submit { process_index, orders, dest, size } if !open.is_empty() => {
-                self.submit(open[process_index % open.len()], format!("m{number}"), orders, dest, size);
+            Step::Submit { process_index, restricts_repeats, dest, size } if !open.is_empty() => {
+                self.submit(
+                    open[process_index % open.len()],
+                    format!("m{number}"),
+                    restricts_repeats,
+                    dest,
+                    size,
+                );
             }
             Step::Resubmit { process_index, selector } => {
                 let known = self.messages.iter().filter(|(_, message_state)| message_state.accepted);
                 let known = known.max_by_key(|(_, message)| message.deadline + selector as Micros % 2);
-                if let Some((message_id, orders, dest)) =
-                    known.map(|(message_id, message)| (message_id.clone(), message.orders, message.dest))
-                {
-                    self.submit(process_index % self.processes.len(), message_id, orders, dest, 10);
+                if let Some((message_id, restricts_repeats, dest)) = known.map(|(message_id, message)| {
+                    (message_id.clone(), message.restricts_repeats, message.dest)
+                }) {
+                    self.submit(
+                        process_index % self.processes.len(),
+                        message_id,
+                        restricts_repeats,
+                        dest,
+                        10,
+                    );
                 }
             }
             Step::Connect { selector, up } => {
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -21,10 +21,10 @@
         write("127.0.0.1:1", "127.0.0.1:2", self.endpoint_entries())
     }
 
-    /// Returns the name and the longest time to the deadline of a class. With `orders`, it is the class whose messages
-    /// may not be repeated freely, otherwise the class whose messages may.
-    pub fn class(self, orders: bool) -> (&'static str, Micros) {
-        match (self, orders) {
+    /// Returns the name of a class and the longest time to its deadline. With `restricts_repeats`, it is the class whose
+    /// messages may not be repeated freely, otherwise the class whose messages may.
+    pub fn class(self, restricts_repeats: bool) -> (&'static str, Micros) {
+        match (self, restricts_repeats) {
             (Shape::First, true) => ("orders", 28 * SECOND),
             (Shape::First, false) => ("status", 8 * SECOND),
             (Shape::Second, true) => ("bread", 24 * SECOND),
@@ -41,8 +41,8 @@
         (self == Shape::First).then(|| "acme".to_owned())
     }
 
-    pub fn key(self, message_id: &str, orders: bool) -> Option<String> {
-        (self == Shape::Second && orders).then(|| format!("\"key of {message_id}\""))
+    pub fn key(self, message_id: &str, restricts_repeats: bool) -> Option<String> {
+        (self == Shape::Second && restricts_repeats).then(|| format!("\"key of {message_id}\""))
     }
 
     /// Returns the route to which a Retry-After of this endpoint applies: the destination, and the endpoint's uid if it
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    Submit { orders: bool, dest: u64, size: usize },
+    Submit { restricts_repeats: bool, dest: u64, size: usize },
     Resubmit(usize),
     Connect { selector: usize, up: bool },
     Answer { selector: usize, answer_kind: u8 },
@@ -29,7 +29,9 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let (selector, flag) = (usize::arbitrary(generator), bool::arbitrary(generator));
         match u8::arbitrary(generator) % 42 {
-            0..=9 => Step::Submit { orders: flag, dest: 1 + selector as u64 % 3, size: selector % 6000 },
+            0..=9 => {
+                Step::Submit { restricts_repeats: flag, dest: 1 + selector as u64 % 3, size: selector % 6000 }
+            }
             10 => Step::Resubmit(selector),
             11..=17 => Step::Connect { selector, up: u8::arbitrary(generator) % 5 > 0 },
             18..=26 => Step::Answer { selector, answer_kind: u8::arbitrary(generator) },
@@ -52,7 +54,9 @@
 impl World {
     pub fn step(&mut self, number: usize, step: Step) {
         match step {
-            Step::Submit { orders, dest, size } => self.submit(format!("m{number}"), orders, dest, size),
+            Step::Submit { restricts_repeats, dest, size } => {
+                self.submit(format!("m{number}"), restricts_repeats, dest, size)
+            }
             Step::Resubmit(selector) => {
                 let known = self.messages.iter().filter(|(_, message)| message.accepted);
                 let Some((message_id, message)) =
@@ -60,8 +64,9 @@
                 else {
                     return;
                 };
-                let (message_id, orders, dest) = (message_id.clone(), message.orders, message.dest);
-                self.submit(message_id, orders, dest, 10);
+                let (message_id, restricts_repeats, dest) =
+                    (message_id.clone(), message.restricts_repeats, message.dest);
+                self.submit(message_id, restricts_repeats, dest, 10);
             }
             Step::Connect { selector, up } => {
                 let Some(id) = self.pick_connection(selector, |connection| !connection.up) else { return };
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -45,7 +45,7 @@
 /// A message as its client and the endpoints see it.
 #[derive(Default)]
 pub struct TrackedMessage {
-    pub orders: bool,
+    pub restricts_repeats: bool,
     pub dest: u64,
     pub deadline: Micros,
     pub accepted: bool,
@@ -331,11 +331,11 @@
             match (self.shape, &message.first_possible_delivery) {
                 (Shape::First, _) => {
                     assert!(
-                        !message.orders || !message.possibly_delivered,
+                        !message.restricts_repeats || !message.possibly_delivered,
                         "a message that may not be repeated must not be sent twice"
                     )
                 }
-                (Shape::Second, Some((first, zone))) if message.orders => {
+                (Shape::Second, Some((first, zone))) if message.restricts_repeats => {
                     assert_eq!(*zone, endpoint.zone, "a repeat must go to the zone that drops it");
                     assert!(self.now < first + 2 * SECOND, "a repeat must not be sent after its window");
                 }
@@ -349,10 +349,10 @@
             );
         }
         for part in &call.messages {
-            let orders = self.messages[&part.id].orders;
+            let restricts_repeats = self.messages[&part.id].restricts_repeats;
             assert_eq!(
                 part.idempotency_key,
-                self.shape.key(&part.id, orders),
+                self.shape.key(&part.id, restricts_repeats),
                 "the idempotency key must be sent unchanged"
             );
         }
@@ -392,25 +392,29 @@
         (!suitable.is_empty()).then(|| suitable[selector % suitable.len()])
     }
 
-    pub fn submit(&mut self, message_id: String, orders: bool, dest: u64, size: usize) {
-        self.submit_for(message_id, orders, dest, size, self.shape.class(orders).1);
+    pub fn submit(&mut self, message_id: String, restricts_repeats: bool, dest: u64, size: usize) {
+        self.submit_for(message_id, restricts_repeats, dest, size, self.shape.class(restricts_repeats).1);
     }
 
     pub fn submit_for(
         &mut self,
         message_id: String,
-        orders: bool,
+        restricts_repeats: bool,
         dest: u64,
         size: usize,
         time_left: Micros,
     ) {
         let request_id = self.pending_requests.keys().last().map_or(self.now as u64, |last| last + 1);
         self.pending_requests.insert(request_id, message_id.clone());
-        let message =
-            TrackedMessage { orders, dest, deadline: self.now + time_left, ..TrackedMessage::default() };
+        let message = TrackedMessage {
+            restricts_repeats,
+            dest,
+            deadline: self.now + time_left,
+            ..TrackedMessage::default()
+        };
         self.messages.entry(message_id.clone()).or_insert(message);
-        let (tenant_name, key) = (self.shape.tenant_name(), self.shape.key(&message_id, orders));
-        let (class, body) = (self.shape.class(orders).0.to_owned(), Bytes::from(vec![7; size]));
+        let (tenant_name, key) = (self.shape.tenant_name(), self.shape.key(&message_id, restricts_repeats));
+        let (class, body) = (self.shape.class(restricts_repeats).0.to_owned(), Bytes::from(vec![7; size]));
         let message = Submission {
             id: message_id,
             class,
@@ -511,7 +515,7 @@
         for (message_id, answer) in final_answers.into_iter().filter(|_| accepted) {
             let message = self.messages.get_mut(&message_id).expect("the message was submitted");
             let is_allowed = !matches!(answer, FinalAnswer::Rejected { .. })
-                || !message.orders
+                || !message.restricts_repeats
                 || !message.possibly_delivered;
             assert!(
                 is_allowed,
