--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -7,7 +7,9 @@
 /// Unix time in microseconds that never goes back while the process runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
+    /// The start of the process, as Unix time in microseconds.
     started_at: Micros,
+    /// The start of the process, as an instant of the runtime.
     start: Instant,
 }
 
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -12,8 +12,11 @@
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::endpoint_call::EndpointCall;
 
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
+/// Time at which the tests start, as Unix time in microseconds.
 pub const START: Micros = 1_800_000_000 * SECOND;
+/// Largest size of the journal's folder, in bytes, as `disk_mb` of the configurations sets it.
 pub const MAX_FOLDER_BYTES: usize = 200_000;
 
 /// Returns the ids of the messages of a call.
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -19,32 +19,38 @@
 const MAX_CALLS: usize = 6;
 /// Interval at which each process polls the journals of the others.
 const POLL_INTERVAL: Micros = 10_000;
-/// Time during which calls may still go to an ejected endpoint, in microseconds (`drain_grace_us` of the
+/// Time after an ejection during which calls may still be written to the endpoint, in microseconds (`drain_grace_us` of the
 /// configuration).
 const DRAIN_GRACE: Micros = 250_000;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
+    /// A client submits a new message.
     Submit {
         process_index: usize,
         restricts_repeats: bool,
         dest: u64,
         size: usize,
     },
+    /// A client submits a message again that a process has accepted.
     Resubmit {
         process_index: usize,
         selector: usize,
     },
+    /// A requested connection is established or refused.
     Connect {
         selector: usize,
         up: bool,
     },
+    /// An endpoint answers a call.
     Answer {
         selector: usize,
         answer_kind: u8,
     },
+    /// An established connection fails.
     Break(usize),
     Wait(Micros),
+    /// An operator ejects or restores an endpoint.
     Operator {
         process_index: usize,
         selector: usize,
@@ -112,8 +118,10 @@
     pub kill_after: Option<usize>,
 }
 
+/// A message as its client and the endpoints see it.
 #[derive(Default)]
 pub struct MessageState {
+    /// Whether the class of the message restricts repeats.
     pub restricts_repeats: bool,
     pub dest: u64,
     pub deadline: Micros,
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -11,17 +11,44 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    Submit { restricts_repeats: bool, dest: u64, size: usize },
+    /// A client submits a new message.
+    Submit {
+        restricts_repeats: bool,
+        dest: u64,
+        size: usize,
+    },
+    /// A client submits a message again that the forwarder has accepted.
     Resubmit(usize),
-    Connect { selector: usize, up: bool },
-    Answer { selector: usize, answer_kind: u8 },
+    /// A requested connection is established or refused.
+    Connect {
+        selector: usize,
+        up: bool,
+    },
+    /// An endpoint answers a call.
+    Answer {
+        selector: usize,
+        answer_kind: u8,
+    },
+    /// An established connection fails.
     Break(usize),
     Wait(Micros),
+    /// The platform answers posted notifications; `true` if it accepts them.
     Post(bool),
-    List { selector: usize, state: EndpointState },
+    /// The list changes the state of one endpoint.
+    List {
+        selector: usize,
+        state: EndpointState,
+    },
+    /// The list moves one endpoint to the other zone.
     Move(usize),
-    Operator { selector: usize, eject: bool },
+    /// An operator ejects or restores an endpoint.
+    Operator {
+        selector: usize,
+        eject: bool,
+    },
+    /// Kills the process and starts it again.
     Kill,
+    /// Asks the process to shut down.
     Terminate,
 }
 
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -45,6 +45,7 @@
 /// A message as its client and the endpoints see it.
 #[derive(Default)]
 pub struct TrackedMessage {
+    /// Whether the class of the message restricts repeats.
     pub restricts_repeats: bool,
     pub dest: u64,
     pub deadline: Micros,
@@ -58,21 +59,27 @@
     pub notification: Option<FinalAnswer>,
 }
 
+/// A process with its journal, and what clients, endpoints, operators and the platform have seen of it.
 pub struct World {
     pub shape: Shape,
     pub reducer: Reducer,
     pub now: Micros,
+    /// The content of the journal's file.
     pub file: Vec<u8>,
+    /// Ids of the messages of which the journal contains the start of an attempt.
     pub started: BTreeSet<String>,
+    /// Ids of the messages whose acceptance the journal contains.
     pub recorded_messages: BTreeSet<String>,
     pub connections: BTreeMap<EndpointConnectionId, SimulatedConnection>,
     pub messages: BTreeMap<String, TrackedMessage>,
     pub pending_requests: BTreeMap<RequestId, String>,
+    /// The notifications that were posted and that the platform has not yet answered.
     pub posting: Option<Vec<(String, FinalAnswer)>>,
     pub list: Vec<EndpointEntry>,
     pub list_version: u64,
     /// Watches that were started: id, port of discovery, and version of the list in force.
     pub watches: Vec<(u64, u16, u64)>,
+    /// Times when the Retry-Afters of routes end.
     pub retry_after_until: BTreeMap<(u64, String), Micros>,
     /// Endpoints that an operator has ejected, which the forwarder has confirmed.
     pub ejected: BTreeSet<String>,
@@ -82,6 +89,7 @@
     pub rejected_requests: u64,
     pub stopped_accepting: bool,
     pub exited: bool,
+    /// Whether the journal was compacted since it was last checked.
     pub compacted: bool,
 }
 
--- a/crates/forwarder/tests/handover.rs
+++ b/crates/forwarder/tests/handover.rs
@@ -20,6 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// One millisecond, in microseconds.
 const MILLISECOND: Micros = 1_000;
 
 /// A view of a fleet in which this forwarder is `f0`. It gives the owner of each destination of the test
--- a/crates/forwarder/tests/stored_format.rs
+++ b/crates/forwarder/tests/stored_format.rs
@@ -26,6 +26,7 @@
 /// The compacted file that an earlier version wrote at a start from this journal when the folder was nearly full.
 const COMPACTED: &[u8] = include_bytes!("fixtures/journal-rewritten");
 
+/// One millisecond, in microseconds.
 const MILLISECOND: Micros = 1_000;
 
 /// The ids of the messages that are still to be delivered, in ascending order.
