--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -19,8 +19,8 @@
 const MAX_CALLS: usize = 6;
 /// Interval at which each process polls the journals of the others.
 const POLL_INTERVAL: Micros = 10_000;
-/// Time after an ejection during which calls may still be written to the endpoint, in microseconds (`drain_grace_us` of the
-/// configuration).
+/// Time after an ejection during which calls may still be written to the endpoint, in microseconds (`drain_grace_us` of
+/// the configuration).
 const DRAIN_GRACE: Micros = 250_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     /// A requested connection is established or refused.
     Connect {
         selector: usize,
-        up: bool,
+        established: bool,
     },
     /// An endpoint answers a call.
     Answer {
@@ -79,7 +79,7 @@
                 size: selector % 2000,
             },
             12 => Step::Resubmit { process_index, selector },
-            13..=20 => Step::Connect { selector, up: u8::arbitrary(generator) % 5 > 0 },
+            13..=20 => Step::Connect { selector, established: u8::arbitrary(generator) % 5 > 0 },
             21..=31 => Step::Answer { selector, answer_kind: u8::arbitrary(generator) },
             32 => Step::Break(selector),
             33..=39 => Step::Wait(selector as Micros % 200_000),
@@ -548,7 +548,7 @@
                 while let Some(process_index) = index_of(self) {
                     let is_expired = |connection: &SimulatedConnection| match &connection.call {
                         Some(call) => call.deadline <= self.now,
-                        None => !connection.up && connection.until <= self.now,
+                        None => !connection.established && connection.until <= self.now,
                     };
                     let Some(connection_id) = self.processes[process_index]
                         .connections
@@ -653,12 +653,16 @@
                     );
                 }
             }
-            Step::Connect { selector, up } => {
-                if let Some((process_index, id)) = self.pick_connection(selector, |connection| !connection.up)
+            Step::Connect { selector, established } => {
+                if let Some((process_index, id)) =
+                    self.pick_connection(selector, |connection| !connection.established)
                 {
-                    if up {
-                        self.processes[process_index].connections.get_mut(&id).expect("is in the model").up =
-                            true;
+                    if established {
+                        self.processes[process_index]
+                            .connections
+                            .get_mut(&id)
+                            .expect("is in the model")
+                            .established = true;
                         self.input(process_index, Input::ConnectionUp { connection: id });
                     } else {
                         let input =
@@ -669,7 +673,8 @@
             }
             Step::Answer { selector, answer_kind } => self.answer(selector, answer_kind),
             Step::Break(selector) => {
-                if let Some((process_index, id)) = self.pick_connection(selector, |connection| connection.up)
+                if let Some((process_index, id)) =
+                    self.pick_connection(selector, |connection| connection.established)
                 {
                     let input = self.close(process_index, id, Cause::ConnectionFailed("reset".to_owned()));
                     input.into_iter().for_each(|input| self.input(process_index, input));
--- a/crates/forwarder/tests/common/shape.rs
+++ b/crates/forwarder/tests/common/shape.rs
@@ -21,8 +21,8 @@
         write("127.0.0.1:1", "127.0.0.1:2", self.endpoint_entries())
     }
 
-    /// Returns the name of a class and the longest time to its deadline. With `restricts_repeats`, it is the class whose
-    /// messages may not be repeated freely, otherwise the class whose messages may.
+    /// Returns the name of a class and the longest time to its deadline. With `restricts_repeats`, it is the class
+    /// whose messages may not be repeated freely, otherwise the class whose messages may.
     pub fn class(self, restricts_repeats: bool) -> (&'static str, Micros) {
         match (self, restricts_repeats) {
             (Shape::First, true) => ("orders", 28 * SECOND),
--- a/crates/forwarder/tests/common/steps.rs
+++ b/crates/forwarder/tests/common/steps.rs
@@ -22,7 +22,7 @@
     /// A requested connection is established or refused.
     Connect {
         selector: usize,
-        up: bool,
+        established: bool,
     },
     /// An endpoint answers a call.
     Answer {
@@ -60,7 +60,7 @@
                 Step::Submit { restricts_repeats: flag, dest: 1 + selector as u64 % 3, size: selector % 6000 }
             }
             10 => Step::Resubmit(selector),
-            11..=17 => Step::Connect { selector, up: u8::arbitrary(generator) % 5 > 0 },
+            11..=17 => Step::Connect { selector, established: u8::arbitrary(generator) % 5 > 0 },
             18..=26 => Step::Answer { selector, answer_kind: u8::arbitrary(generator) },
             27 => Step::Break(selector),
             28..=34 => Step::Wait(selector as Micros % 400_000),
@@ -95,10 +95,12 @@
                     (message_id.clone(), message.restricts_repeats, message.dest);
                 self.submit(message_id, restricts_repeats, dest, 10);
             }
-            Step::Connect { selector, up } => {
-                let Some(id) = self.pick_connection(selector, |connection| !connection.up) else { return };
-                if up {
-                    self.connections.get_mut(&id).expect("the connection exists").up = true;
+            Step::Connect { selector, established } => {
+                let Some(id) = self.pick_connection(selector, |connection| !connection.established) else {
+                    return;
+                };
+                if established {
+                    self.connections.get_mut(&id).expect("the connection exists").established = true;
                     self.input(Input::ConnectionUp { connection: id });
                 } else if let Some(input) = self.close(id, Cause::ConnectionFailed("refused".to_owned())) {
                     self.input(input);
@@ -106,7 +108,9 @@
             }
             Step::Answer { selector, answer_kind } => self.answer(selector, answer_kind),
             Step::Break(selector) => {
-                let Some(id) = self.pick_connection(selector, |connection| connection.up) else { return };
+                let Some(id) = self.pick_connection(selector, |connection| connection.established) else {
+                    return;
+                };
                 let input = self.close(id, Cause::ConnectionFailed("reset".to_owned()));
                 input.into_iter().for_each(|input| self.input(input));
             }
--- a/crates/forwarder/tests/common/world.rs
+++ b/crates/forwarder/tests/common/world.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct SimulatedConnection {
     pub address: String,
-    pub up: bool,
+    pub established: bool,
     /// Time until which the connection has to be established.
     pub until: Micros,
     pub call: Option<EndpointCall>,
@@ -34,7 +34,7 @@
 impl SimulatedConnection {
     /// Returns the progress that is reported for the call if the connection closes now.
     pub fn progress(&self) -> Progress {
-        match (&self.call, self.up) {
+        match (&self.call, self.established) {
             (Some(_), _) => Progress::FullyWritten,
             (None, true) => Progress::NotFullyWritten,
             (None, false) => Progress::NotConnected,
@@ -305,7 +305,7 @@
         );
         let connection = self.connections.get_mut(&connection_id).expect("the connection is open");
         assert!(
-            connection.up && connection.call.is_none(),
+            connection.established && connection.call.is_none(),
             "a connection must be established and carry one call at a time"
         );
         let endpoint = self
@@ -493,7 +493,7 @@
             let connecting = self
                 .connections
                 .iter()
-                .filter(|(_, connection)| !connection.up)
+                .filter(|(_, connection)| !connection.established)
                 .map(|(id, connection)| (connection.until, *id));
             let calls = self
                 .connections
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -45,7 +45,7 @@
         world.submit(format!("m{number}"), true, 2, 10);
         world.wait(10_000);
         if number % 2 == 0 {
-            world.step(0, Step::Connect { selector: number, up: true });
+            world.step(0, Step::Connect { selector: number, established: true });
             world.answer(0, 0);
         }
         let old = EndpointEntry { state: EndpointState::Removed, ..world.list[2].clone() };
@@ -55,7 +55,7 @@
         world.update_list(entries);
         world.wait(100_000);
         assert!(
-            world.connections.values().all(|connection| connection.call.is_some() || !connection.up),
+            world.connections.values().all(|connection| connection.call.is_some() || !connection.established),
             "no idle connection to a removed endpoint may be kept"
         );
         world.wait(4 * SECOND);
--- a/crates/forwarder/tests/reducer_calls.rs
+++ b/crates/forwarder/tests/reducer_calls.rs
@@ -17,7 +17,7 @@
     let mut world = World::new();
     world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.answer(0, 0);
     world.submit("b".to_owned(), true, 2, 10);
     world.wait(10_000);
@@ -35,7 +35,7 @@
         cause: Cause::ConnectionFailed("closed".to_owned()),
     };
     world.input(Input::ConnectionClosed { connection: connection_id, error });
-    world.step(1, Step::Connect { selector: 0, up: true });
+    world.step(1, Step::Connect { selector: 0, established: true });
     let again = world
         .connections
         .values()
@@ -59,8 +59,8 @@
     world.wait(10_000);
     moves(&mut world, 41);
     // The connection that is established now goes to the old address.
-    world.step(0, Step::Connect { selector: 0, up: true });
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     let connection_id =
         world.pick_connection(0, |connection| connection.call.is_some()).expect("the call is written");
     assert_eq!(world.connections[&connection_id].address, "127.0.0.1:41");
@@ -69,10 +69,12 @@
     world.submit("b".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.pick_connection(0, |connection| connection.up && connection.address.ends_with(":41")).is_none(),
+        world
+            .pick_connection(0, |connection| connection.established && connection.address.ends_with(":41"))
+            .is_none(),
         "the connection to the old address must be closed"
     );
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     let connection_id =
         world.pick_connection(0, |connection| connection.call.is_some()).expect("the call is written");
     assert_eq!(world.connections[&connection_id].address, "127.0.0.1:42");
@@ -86,7 +88,7 @@
     world.submit("order".to_owned(), true, 1, 10);
     world.submit_for("status".to_owned(), false, 1, 10, 2 * SECOND);
     world.wait(10_000);
-    world.step(1, Step::Connect { selector: 0, up: true });
+    world.step(1, Step::Connect { selector: 0, established: true });
     world.wait(2 * SECOND);
     world.post(true);
     assert!(
@@ -96,7 +98,7 @@
     world.submit("next".to_owned(), true, 1, 10);
     world.wait(10_000);
     // The call may go to either endpoint of the destination.
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     assert!(
         world.pick_connection(0, |connection| connection.call.is_some()).is_some(),
         "the message must be sent immediately, because the destination is healthy"
@@ -110,7 +112,7 @@
     let mut world = World::new();
     world.submit("late".to_owned(), true, 2, 10);
     world.wait(10_000);
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.now += 28 * SECOND;
     world.answer(0, 0);
     assert_eq!(
@@ -126,7 +128,7 @@
     let mut world = World::new();
     world.submit("gone".to_owned(), true, 2, 10);
     world.wait(10_000);
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     let connection_id =
         world.pick_connection(0, |connection| connection.call.is_some()).expect("a call is in flight");
     let reply = EndpointReply { status: 410, ..EndpointReply::default() };
@@ -145,7 +147,7 @@
     world.submit("order".to_owned(), true, 1, 10);
     world.submit_for("status".to_owned(), false, 1, 10, 2 * SECOND);
     world.wait(10_000);
-    world.step(1, Step::Connect { selector: 0, up: true });
+    world.step(1, Step::Connect { selector: 0, established: true });
     world.wait(2 * SECOND + 100_000);
     world.post(true);
     world.answer(0, 0);
@@ -163,7 +165,7 @@
     for number in 0..2 {
         world.submit(format!("m{number}"), false, 2, 10);
         world.wait(10_000);
-        world.step(1, Step::Connect { selector: 0, up: true });
+        world.step(1, Step::Connect { selector: 0, established: true });
     }
     let calls_in_flight =
         |world: &World| world.connections.values().filter(|connection| connection.call.is_some()).count();
@@ -172,7 +174,7 @@
     world.wait(20_000);
     world.answer(0, 0);
     world.wait(20_000);
-    world.step(1, Step::Connect { selector: 0, up: true });
+    world.step(1, Step::Connect { selector: 0, established: true });
     assert_eq!(calls_in_flight(&world), 1, "a message rejected on one route must be sent on the other");
     let sent = world.messages.values().map(|message| message.calls).sum::<usize>();
     assert_eq!(sent, 3);
@@ -185,16 +187,16 @@
     let mut world = World::of(Shape::Second);
     world.submit("held".to_owned(), true, 3, 10);
     world.wait(10_000);
-    world.step(1, Step::Connect { selector: 0, up: true });
+    world.step(1, Step::Connect { selector: 0, established: true });
     world.wait(1_500_000);
     world.step(1, Step::Break(0));
     world.wait(300_000);
     assert!(
-        world.pick_connection(0, |connection| !connection.up).is_some(),
+        world.pick_connection(0, |connection| !connection.established).is_some(),
         "a connection for the repeat must have been requested"
     );
     world.wait(300_000);
-    world.step(1, Step::Connect { selector: 0, up: true });
+    world.step(1, Step::Connect { selector: 0, established: true });
     assert_eq!(world.messages["held"].calls, 1);
     world.wait(SECOND);
     world.post(true);
--- a/crates/forwarder/tests/reducer_discovery.rs
+++ b/crates/forwarder/tests/reducer_discovery.rs
@@ -45,7 +45,7 @@
     world.input(Input::WatchEnded { watch: 1, reason: "it ended".to_owned(), retry_after_ms: 0, silence: 0 });
     world.wait(SECOND / 2);
     assert_eq!(world.watches.len(), 2, "the end of the old watch must not start another watch");
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.answer(0, 0);
     assert!(world.messages["a"].delivered);
     world.submit("b".to_owned(), true, 2, 10);
@@ -89,7 +89,7 @@
     world.submit("a".to_owned(), false, 2, 10);
     world.wait(10_000);
     assert!(
-        world.pick_connection(0, |connection| !connection.up).is_some(),
+        world.pick_connection(0, |connection| !connection.established).is_some(),
         "events of the old source must not change the list"
     );
     world.input(Input::ConfigReloaded(config(Some("c1"))));
--- a/crates/forwarder/tests/reducer_restarts.rs
+++ b/crates/forwarder/tests/reducer_restarts.rs
@@ -57,7 +57,7 @@
     for number in 0..2000 {
         world.submit(format!("m{number}"), false, 3, 10);
         world.wait(10_000);
-        world.step(number, Step::Connect { selector: number, up: true });
+        world.step(number, Step::Connect { selector: number, established: true });
         world.answer(0, 0);
         if world.file.len() > 160_000 {
             let first = reducer(world.shape, &world.file, world.now).step(world.now, Input::TimerDue);
@@ -158,8 +158,8 @@
         for number in 0..400 {
             world.submit(format!("m{number}"), true, 2, size);
             world.wait(5_000);
-            while let Some(connection_id) = world.pick_connection(0, |connection| !connection.up) {
-                world.connections.get_mut(&connection_id).expect("the connection exists").up = true;
+            while let Some(connection_id) = world.pick_connection(0, |connection| !connection.established) {
+                world.connections.get_mut(&connection_id).expect("the connection exists").established = true;
                 world.input(Input::ConnectionUp { connection: connection_id });
             }
             world.answer(0, 0);
@@ -176,7 +176,7 @@
         let mut world = World::of(Shape::Second);
         world.submit("held".to_owned(), true, 2, 10);
         world.wait(10_000);
-        world.step(1, Step::Connect { selector: 0, up: true });
+        world.step(1, Step::Connect { selector: 0, established: true });
         assert_eq!(world.messages["held"].calls, 1);
         let first = world
             .connections
@@ -198,7 +198,7 @@
         world.restart();
         for _ in 0..40 {
             world.wait(50_000);
-            world.step(1, Step::Connect { selector: 0, up: true });
+            world.step(1, Step::Connect { selector: 0, established: true });
         }
         assert_eq!(
             world.messages["held"].calls, calls,
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -35,7 +35,7 @@
     world.input(Input::ClientConnection { connected: true });
     world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.step(1, Step::Terminate);
     world.wait(3_360_000);
     assert!(
@@ -138,7 +138,7 @@
     world.wait(10_000);
     assert!(world.messages["kept"].accepted, "the message must be accepted");
     world.input(Input::Withdrawn { request: request_id });
-    world.step(0, Step::Connect { selector: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.answer(0, 0);
     assert!(world.messages["kept"].delivered);
     world.submit("left".to_owned(), true, 2, 10);
--- a/crates/forwarder/tests/upgrade.rs
+++ b/crates/forwarder/tests/upgrade.rs
@@ -40,8 +40,8 @@
     }
     world.wait(SECOND / 10);
     let (_, first) =
-        world.pick_connection(0, |connection| !connection.up).expect("a connection is requested");
-    world.processes[0].connections.get_mut(&first).expect("the connection exists").up = true;
+        world.pick_connection(0, |connection| !connection.established).expect("a connection is requested");
+    world.processes[0].connections.get_mut(&first).expect("the connection exists").established = true;
     world.input(0, Input::ConnectionUp { connection: first });
     world.start();
     world.submit(1, "m3".to_owned(), true, 2, 10);
