--- a/crates/forwarder/src/connection_limit.rs
+++ b/crates/forwarder/src/connection_limit.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Has not yet sent a whole request.
+    /// Has not yet sent the whole head of its first request.
     New,
     /// Has a request that is being answered.
     Busy,
@@ -110,7 +110,7 @@
         self.connections.remove(&id);
     }
 
-    /// Evicts the next connection if one has to go and one can be evicted.
+    /// Evicts the next connection if room is needed and a connection can be evicted.
     ///
     /// At the limit, the connection that has been lingering longest is cut. Otherwise a connection is closed if
     /// serving connections use places that are reserved for lingering ones, or if the limit is reached and no
@@ -135,8 +135,9 @@
         if !self.is_full() || self.count(|state| state == ConnectionState::Cut) > 0 {
             return None;
         }
-        let lingering = self.connections.iter().filter(|(_, it)| it.state == ConnectionState::Lingering);
-        lingering.map(|(id, it)| (it.since, *id)).min().map(|(_, id)| id)
+        let lingering =
+            self.connections.iter().filter(|(_, connection)| connection.state == ConnectionState::Lingering);
+        lingering.map(|(id, connection)| (connection.since, *id)).min().map(|(_, id)| id)
     }
 
     fn must_close_one(&self) -> bool {
--- a/crates/forwarder/tests/common/processes.rs
+++ b/crates/forwarder/tests/common/processes.rs
@@ -1,7 +1,7 @@
 //! Simulates several processes on one folder, in memory, with a kill between any two effects.
 
-use super::world::Link;
-use super::{DISK, S, START, ids};
+use super::world::SimulatedConnection;
+use super::{MAX_FOLDER_BYTES, SECOND, START, ids};
 use bytes::Bytes;
 use orchidyoke_core::interface::Micros;
 use orchidyoke_forwarder::config::Config;
@@ -15,36 +15,45 @@
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// Most calls in flight, over all processes (`slots` of the configuration).
 const MAX_CALLS: usize = 6;
 /// Interval at which each process polls the journals of the others.
 const POLL_INTERVAL: Micros = 10_000;
+/// Time after an ejection during which calls may still be written to the endpoint, in microseconds (`drain_grace_us` of
+/// the configuration).
 const DRAIN_GRACE: Micros = 250_000;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
+    /// A client submits a new message.
     Submit {
-        at: usize,
-        orders: bool,
+        process_index: usize,
+        restricts_repeats: bool,
         dest: u64,
         size: usize,
     },
+    /// A client submits a message again that a process has accepted.
     Resubmit {
-        at: usize,
-        which: usize,
+        process_index: usize,
+        selector: usize,
     },
+    /// A requested connection is established or refused.
     Connect {
-        which: usize,
-        up: bool,
+        selector: usize,
+        established: bool,
     },
+    /// An endpoint answers a call.
     Answer {
-        which: usize,
+        selector: usize,
         answer_kind: u8,
     },
+    /// An established connection fails.
     Break(usize),
     Wait(Micros),
+    /// An operator ejects or restores an endpoint.
     Operator {
-        at: usize,
-        which: usize,
+        process_index: usize,
+        selector: usize,
         ejected: bool,
     },
     /// Starts another process while the others run.
@@ -53,26 +62,32 @@
     Terminate,
     /// Kills a process after its next `after` effects.
     Kill {
-        at: usize,
+        process_index: usize,
         after: usize,
     },
 }
 
 impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Self {
-        let (which, at, flag) = (usize::arbitrary(g), usize::arbitrary(g), bool::arbitrary(g));
-        match u8::arbitrary(g) % 48 {
-            0..=11 => Step::Submit { at, orders: flag, dest: 1 + which as u64 % 3, size: which % 2000 },
-            12 => Step::Resubmit { at, which },
-            13..=20 => Step::Connect { which, up: u8::arbitrary(g) % 5 > 0 },
-            21..=31 => Step::Answer { which, answer_kind: u8::arbitrary(g) },
-            32 => Step::Break(which),
-            33..=39 => Step::Wait(which as Micros % 200_000),
-            40 | 41 => Step::Operator { at, which, ejected: flag },
+    fn arbitrary(generator: &mut Gen) -> Self {
+        let (selector, process_index, flag) =
+            (usize::arbitrary(generator), usize::arbitrary(generator), bool::arbitrary(generator));
+        match u8::arbitrary(generator) % 48 {
+            0..=11 => Step::Submit {
+                process_index,
+                restricts_repeats: flag,
+                dest: 1 + selector as u64 % 3,
+                size: selector % 2000,
+            },
+            12 => Step::Resubmit { process_index, selector },
+            13..=20 => Step::Connect { selector, established: u8::arbitrary(generator) % 5 > 0 },
+            21..=31 => Step::Answer { selector, answer_kind: u8::arbitrary(generator) },
+            32 => Step::Break(selector),
+            33..=39 => Step::Wait(selector as Micros % 200_000),
+            40 | 41 => Step::Operator { process_index, selector, ejected: flag },
             42 | 43 => Step::Upgrade,
             44 | 45 => Step::Terminate,
-            46 => Step::Kill { at, after: which % 6 },
-            _ => Step::Wait(S),
+            46 => Step::Kill { process_index, after: selector % 6 },
+            _ => Step::Wait(SECOND),
         }
     }
 }
@@ -90,7 +105,7 @@
     pub number: usize,
     pub reducer: Reducer,
     pub generation: Generation,
-    pub links: BTreeMap<EndpointConnectionId, Link>,
+    pub connections: BTreeMap<EndpointConnectionId, SimulatedConnection>,
     /// The inode of each other file, and the number of bytes read from it.
     pub read: BTreeMap<Generation, (u64, usize)>,
     pub submitted_requests: BTreeMap<RequestId, String>,
@@ -103,14 +118,16 @@
     pub kill_after: Option<usize>,
 }
 
+/// A message as its client and the endpoints see it.
 #[derive(Default)]
 pub struct MessageState {
-    pub orders: bool,
+    /// Whether the class of the message restricts repeats.
+    pub restricts_repeats: bool,
     pub dest: u64,
     pub deadline: Micros,
     pub accepted: bool,
     pub calls: usize,
-    pub may_have_run: bool,
+    pub possibly_delivered: bool,
     pub delivered: bool,
     pub final_answers: BTreeSet<String>,
 }
@@ -123,8 +140,8 @@
     pub inodes: u64,
     pub files: BTreeMap<Generation, File>,
     pub messages: BTreeMap<String, MessageState>,
-    /// The retry delays that endpoints asked for: the process that received it, the destination, and the end.
-    pub waits: Vec<(Generation, u64, Micros)>,
+    /// The Retry-Afters of endpoints: the generation of the process that received one, the destination, and the end.
+    pub retry_afters: Vec<(Generation, u64, Micros)>,
     /// Endpoints that an operator has ejected, and the time of the reply `200`.
     pub ejected: BTreeMap<String, Micros>,
     pub upgrades: usize,
@@ -137,8 +154,8 @@
         world
     }
 
-    /// Starts a process. As in `Journal::open`, it uses the newest file if the process of that file is gone, or else
-    /// a new file.
+    /// Starts a process. As in `Journal::open`, it uses the newest file if the process of that file has ended, or
+    /// else a new file.
     pub fn start(&mut self) {
         let newest = self.files.last_key_value().map(|(generation, file)| (*generation, file.lock.is_some()));
         let generation = match newest {
@@ -160,7 +177,7 @@
             number,
             reducer,
             generation,
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             read: BTreeMap::new(),
             submitted_requests: BTreeMap::new(),
             replies: BTreeMap::new(),
@@ -169,37 +186,38 @@
             terminated: false,
             kill_after: None,
         });
-        let at = self.processes.len() - 1;
-        self.look(at);
-        self.input(at, Input::TimerDue);
-        if at < self.processes.len() {
-            self.input(at, Input::AcceptingClients);
+        let process_index = self.processes.len() - 1;
+        self.poll_other_journals(process_index);
+        self.input(process_index, Input::TimerDue);
+        if process_index < self.processes.len() {
+            self.input(process_index, Input::AcceptingClients);
         }
     }
 
-    pub fn input(&mut self, at: usize, input: Input) {
+    pub fn input(&mut self, process_index: usize, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            for effect in self.processes[at].reducer.step(self.now, input) {
-                if self.processes[at].kill_after == Some(0) {
-                    return self.kill(at);
+            for effect in self.processes[process_index].reducer.step(self.now, input) {
+                if self.processes[process_index].kill_after == Some(0) {
+                    return self.kill(process_index);
                 }
-                self.processes[at].kill_after = self.processes[at].kill_after.map(|left| left - 1);
+                self.processes[process_index].kill_after =
+                    self.processes[process_index].kill_after.map(|left| left - 1);
                 if matches!(effect, Effect::Exit) {
-                    return self.kill(at);
+                    return self.kill(process_index);
                 }
-                inputs.extend(self.carry_out(at, effect));
+                inputs.extend(self.carry_out(process_index, effect));
             }
         }
-        let process = &self.processes[at];
+        let process = &self.processes[process_index];
         assert_eq!(process.reducer.metrics().open_messages(), process.reducer.gauges().open_messages as u64);
     }
 
-    pub fn carry_out(&mut self, at: usize, effect: Effect) -> Option<Input> {
-        let generation = self.processes[at].generation;
+    pub fn carry_out(&mut self, process_index: usize, effect: Effect) -> Option<Input> {
+        let generation = self.processes[process_index].generation;
         match effect {
             Effect::Answer { request: request_id, answer } => {
-                let message_id = self.processes[at]
+                let message_id = self.processes[process_index]
                     .submitted_requests
                     .remove(&request_id)
                     .expect("each request is answered once");
@@ -208,23 +226,26 @@
                 }
             }
             Effect::Reply { request: request_id, reply } => {
-                drop(self.processes[at].replies.insert(request_id, reply))
+                drop(self.processes[process_index].replies.insert(request_id, reply))
             }
-            Effect::Append { append: receipt, bytes } => {
+            Effect::Append { append: append_id, bytes } => {
                 let file = self.files.get_mut(&generation).expect("the process has a journal");
                 file.bytes.extend_from_slice(&bytes);
                 let size = file.bytes.len();
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
-                assert!(all <= DISK, "the folder is over its limit");
-                return Some(Input::Appended { append: receipt, stored: true, size });
+                assert!(all <= MAX_FOLDER_BYTES, "the folder is over its limit");
+                return Some(Input::Appended { append: append_id, stored: true, size });
             }
-            Effect::ReportJournalFull { append: receipt } => {
+            Effect::ReportJournalFull { append: append_id } => {
                 let size = self.files[&generation].bytes.len();
-                return Some(Input::Appended { append: receipt, stored: false, size });
+                return Some(Input::Appended { append: append_id, stored: false, size });
             }
             Effect::CompactJournal { bytes } => {
                 let all: usize = self.files.values().map(|file| file.bytes.len()).sum();
-                assert!(all + bytes.len() <= DISK, "the old and the new journal exceed the limit");
+                assert!(
+                    all + bytes.len() <= MAX_FOLDER_BYTES,
+                    "the old and the new journal exceed the limit"
+                );
                 self.inodes += 1;
                 let file = self.files.get_mut(&generation).expect("the process has a journal");
                 (file.bytes, file.inode) = (bytes.to_vec(), self.inodes);
@@ -233,27 +254,33 @@
                 let file = self.files.remove(&generation).expect("is in the model");
                 assert_eq!(
                     file.lock,
-                    Some(self.processes[at].number),
+                    Some(self.processes[process_index].number),
                     "a process removes only a journal whose lock it holds"
                 );
-                self.processes[at].read.remove(&generation);
+                self.processes[process_index].read.remove(&generation);
             }
             Effect::HandOffClients => {
-                self.processes[at].handed_over = true;
-                self.unlock(self.processes[at].number, generation);
+                self.processes[process_index].handed_over = true;
+                self.unlock(self.processes[process_index].number, generation);
+            }
+            Effect::Connect { connection: connection_id, address, until } => {
+                let new = SimulatedConnection {
+                    address: address.to_string(),
+                    until,
+                    ..SimulatedConnection::default()
+                };
+                assert!(self.processes[process_index].connections.insert(connection_id, new).is_none());
             }
-            Effect::Connect { connection: link, address, until } => {
-                let new = Link { address: address.to_string(), until, ..Link::default() };
-                assert!(self.processes[at].links.insert(link, new).is_none());
+            Effect::SendCall { connection: connection_id, call } => {
+                self.write(process_index, connection_id, call);
+                return Some(Input::CallWritten { connection: connection_id });
             }
-            Effect::SendCall { connection: link, call } => {
-                self.write(at, link, call);
-                return Some(Input::CallWritten { connection: link });
+            Effect::CloseConnection { connection: connection_id } => {
+                return self.close(process_index, connection_id, Cause::Cancelled);
             }
-            Effect::CloseConnection { connection: link } => return self.close(at, link, Cause::Cancelled),
             Effect::Offer(_) => unreachable!("no destination has an owner here"),
             Effect::PostNotifications { notifications: final_answers, .. } => {
-                assert!(self.processes[at].posting.replace(final_answers).is_none());
+                assert!(self.processes[process_index].posting.replace(final_answers).is_none());
             }
             Effect::StartWatch { .. } | Effect::Log { .. } | Effect::StopAccepting | Effect::Exit => {}
         }
@@ -262,67 +289,88 @@
 
     /// Releases the locks of a process on all files but its own.
     pub fn unlock(&mut self, number: usize, own: Generation) {
-        let held = self.files.iter_mut().filter(|(g, file)| **g != own && file.lock == Some(number));
-        held.for_each(|(_, file)| file.lock = None);
+        let locked = self
+            .files
+            .iter_mut()
+            .filter(|(generation, file)| **generation != own && file.lock == Some(number));
+        locked.for_each(|(_, file)| file.lock = None);
     }
 
-    pub fn write(&mut self, at: usize, link: EndpointConnectionId, call: EndpointCall) {
-        let links = || self.processes.iter().flat_map(|process| process.links.values());
-        let in_flight: Vec<&str> = links().filter_map(|link| link.call.as_ref()).flat_map(ids).collect();
+    pub fn write(&mut self, process_index: usize, connection_id: EndpointConnectionId, call: EndpointCall) {
+        let connections = || self.processes.iter().flat_map(|process| process.connections.values());
+        let in_flight: Vec<&str> =
+            connections().filter_map(|connection| connection.call.as_ref()).flat_map(ids).collect();
         assert!(
             ids(&call).all(|message_id| !in_flight.contains(&message_id)),
             "a message is in flight twice"
         );
         assert!(
-            links().filter(|link| link.call.is_some()).count() < MAX_CALLS,
+            connections().filter(|connection| connection.call.is_some()).count() < MAX_CALLS,
             "the processes together exceed the limit on calls"
         );
-        let address = &self.processes[at].links[&link].address;
-        let targets = super::endpoint_entries();
-        let target =
-            targets.iter().find(|t| t.address.to_string() == *address).expect("the endpoint is listed");
-        let ejected = self.ejected.get(&target.uid);
+        let address = &self.processes[process_index].connections[&connection_id].address;
+        let endpoints = super::endpoint_entries();
+        let endpoint = endpoints
+            .iter()
+            .find(|endpoint| endpoint.address.to_string() == *address)
+            .expect("the endpoint is listed");
+        let ejected = self.ejected.get(&endpoint.uid);
         assert!(
             ejected.is_none_or(|since| self.now - since <= DRAIN_GRACE),
             "the endpoint is ejected for all processes"
         );
-        let waits = self.waits.iter().filter(|(_, dest, _)| *dest == target.destination);
-        let until = waits.map(|(.., until)| *until).max().unwrap_or(0);
-        assert!(until <= self.now + 100_000, "a retry delay received by one process binds all");
+        let retry_afters = self.retry_afters.iter().filter(|(_, dest, _)| *dest == endpoint.destination);
+        let until = retry_afters.map(|(.., until)| *until).max().unwrap_or(0);
+        assert!(
+            until <= self.now + 100_000,
+            "a Retry-After received by one process must be respected by all"
+        );
         for message_id in ids(&call) {
             let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             assert!(
-                !message_state.orders || !message_state.may_have_run,
+                !message_state.restricts_repeats || !message_state.possibly_delivered,
                 "a message that may not be repeated is sent twice: {message_id}"
             );
             assert!(self.now < message_state.deadline);
             message_state.calls += 1;
             assert!(message_state.calls <= 8, "more than eight attempts over all processes");
         }
-        self.processes[at].links.get_mut(&link).expect("the connection is open").call = Some(call);
+        self.processes[process_index]
+            .connections
+            .get_mut(&connection_id)
+            .expect("the connection is open")
+            .call = Some(call);
     }
 
-    pub fn may_have_run(&mut self, link: &Link) {
-        for message_id in link.call.iter().flat_map(ids) {
-            self.messages.get_mut(message_id).expect("the message was submitted").may_have_run = true;
+    pub fn mark_possibly_delivered(&mut self, connection: &SimulatedConnection) {
+        for message_id in connection.call.iter().flat_map(ids) {
+            self.messages.get_mut(message_id).expect("the message was submitted").possibly_delivered = true;
         }
     }
 
-    pub fn close(&mut self, at: usize, link: EndpointConnectionId, cause: Cause) -> Option<Input> {
-        let closed = self.processes[at].links.remove(&link)?;
+    pub fn close(
+        &mut self,
+        process_index: usize,
+        connection_id: EndpointConnectionId,
+        cause: Cause,
+    ) -> Option<Input> {
+        let closed = self.processes[process_index].connections.remove(&connection_id)?;
         let progress = closed.progress();
-        self.may_have_run(&closed);
-        Some(Input::ConnectionClosed { connection: link, error: EndpointCallError { progress, cause } })
+        self.mark_possibly_delivered(&closed);
+        Some(Input::ConnectionClosed {
+            connection: connection_id,
+            error: EndpointCallError { progress, cause },
+        })
     }
 
-    pub fn kill(&mut self, at: usize) {
-        let mut process = self.processes.remove(at);
-        for link in std::mem::take(&mut process.links).into_values() {
-            self.may_have_run(&link);
+    pub fn kill(&mut self, process_index: usize) {
+        let mut process = self.processes.remove(process_index);
+        for connection in std::mem::take(&mut process.connections).into_values() {
+            self.mark_possibly_delivered(&connection);
         }
         let file = self.files.get_mut(&process.generation).expect("the process has a journal");
         file.lock = None;
-        // A retry delay that no journal contains ends with the process that received it, because no other process
+        // A Retry-After that no journal contains ends with the process that received it, because no other process
         // knows it.
         let written = replay(Bytes::copy_from_slice(&file.bytes)).0;
         let written = written.into_iter().filter_map(|(record, _)| match record {
@@ -330,36 +378,38 @@
             _ => None,
         });
         let written: Vec<_> = written.collect();
-        self.waits
+        self.retry_afters
             .retain(|(by, dest, until)| *by != process.generation || written.contains(&(*dest, *until)));
         self.unlock(process.number, process.generation);
         if self.processes.is_empty() {
-            self.waits.clear();
+            self.retry_afters.clear();
         }
     }
 
-    /// Polls the journals of the other processes, as `OtherJournals` does.
-    pub fn look(&mut self, at: usize) {
-        if self.processes[at].handed_over {
+    /// Polls the journals of the other processes as `OtherJournals` does, and passes the changes to the reducer.
+    pub fn poll_other_journals(&mut self, process_index: usize) {
+        if self.processes[process_index].handed_over {
             return;
         }
-        let (number, own) = (self.processes[at].number, self.processes[at].generation);
-        let known: BTreeSet<Generation> = self.processes[at].read.keys().copied().collect();
-        let others: BTreeSet<Generation> = self.files.keys().copied().filter(|g| *g != own).collect();
+        let (number, own) = (self.processes[process_index].number, self.processes[process_index].generation);
+        let known: BTreeSet<Generation> = self.processes[process_index].read.keys().copied().collect();
+        let others: BTreeSet<Generation> =
+            self.files.keys().copied().filter(|generation| *generation != own).collect();
         let (mut found_updates, mut removed) = (Vec::new(), Vec::new());
         for generation in known.union(&others).copied() {
             let Some(file) = self.files.get_mut(&generation) else {
-                self.processes[at].read.remove(&generation);
+                self.processes[process_index].read.remove(&generation);
                 removed.push(generation);
                 continue;
             };
             file.lock = file.lock.or(Some(number));
             let ended = file.lock == Some(number);
-            let (inode, read) = self.processes[at].read.get(&generation).copied().unwrap_or_default();
+            let (inode, read) =
+                self.processes[process_index].read.get(&generation).copied().unwrap_or_default();
             let is_rewritten = inode != file.inode || file.bytes.len() < read;
             let from = if is_rewritten { 0 } else { read };
             let (records, valid_bytes) = replay(Bytes::copy_from_slice(&file.bytes[from..]));
-            self.processes[at].read.insert(generation, (file.inode, from + valid_bytes));
+            self.processes[process_index].read.insert(generation, (file.inode, from + valid_bytes));
             if is_rewritten || ended || !records.is_empty() {
                 let size = file.bytes.len();
                 found_updates.push(OtherProcessUpdate {
@@ -372,32 +422,55 @@
             }
         }
         if !found_updates.is_empty() || !removed.is_empty() {
-            self.input(at, Input::OtherProcessesUpdated { updates: found_updates, removed });
+            self.input(process_index, Input::OtherProcessesUpdated { updates: found_updates, removed });
         }
     }
 
-    /// Picks one of the connections of all processes for which `fit` returns `true`. Returns its process and its id.
-    pub fn pick(&self, which: usize, fit: impl Fn(&Link) -> bool) -> Option<(usize, EndpointConnectionId)> {
-        let links =
-            self.processes.iter().enumerate().flat_map(|(at, p)| p.links.iter().map(move |l| (at, l)));
-        let fit: Vec<_> = links.filter(|(_, (_, link))| fit(link)).map(|(at, (id, _))| (at, *id)).collect();
-        (!fit.is_empty()).then(|| fit[which % fit.len()])
+    /// Picks one of the connections of all processes for which `is_suitable` returns `true`. Returns the index of its
+    /// process, and its id.
+    pub fn pick_connection(
+        &self,
+        selector: usize,
+        is_suitable: impl Fn(&SimulatedConnection) -> bool,
+    ) -> Option<(usize, EndpointConnectionId)> {
+        let connections = self.processes.iter().enumerate().flat_map(|(process_index, process)| {
+            process.connections.iter().map(move |connection| (process_index, connection))
+        });
+        let suitable: Vec<_> = connections
+            .filter(|(_, (_, connection))| is_suitable(connection))
+            .map(|(process_index, (id, _))| (process_index, *id))
+            .collect();
+        (!suitable.is_empty()).then(|| suitable[selector % suitable.len()])
     }
 
-    pub fn submit(&mut self, at: usize, message_id: String, orders: bool, dest: u64, size: usize) {
-        let request_id =
-            self.processes[at].submitted_requests.keys().last().map_or(self.now as u64, |t| t + 1);
-        let time_left = if orders { 28 * S } else { 8 * S };
-        let message_state =
-            MessageState { orders, dest, deadline: self.now + time_left, ..MessageState::default() };
+    pub fn submit(
+        &mut self,
+        process_index: usize,
+        message_id: String,
+        restricts_repeats: bool,
+        dest: u64,
+        size: usize,
+    ) {
+        let request_id = self.processes[process_index]
+            .submitted_requests
+            .keys()
+            .last()
+            .map_or(self.now as u64, |last| last + 1);
+        let time_left = if restricts_repeats { 28 * SECOND } else { 8 * SECOND };
+        let message_state = MessageState {
+            restricts_repeats,
+            dest,
+            deadline: self.now + time_left,
+            ..MessageState::default()
+        };
         self.messages.entry(message_id.clone()).or_insert(message_state);
-        let class = if orders { "orders" } else { "status" }.to_owned();
+        let class = if restricts_repeats { "orders" } else { "status" }.to_owned();
         let (tenant_name, body) = (Some("acme".to_owned()), Bytes::from(vec![7; size]));
         // As in the forwarder, the other journals are polled before a submission.
-        let number = self.processes[at].number;
-        self.look(at);
-        if self.processes.get(at).is_some_and(|process| process.number == number) {
-            self.processes[at].submitted_requests.insert(request_id, message_id.clone());
+        let number = self.processes[process_index].number;
+        self.poll_other_journals(process_index);
+        if self.processes.get(process_index).is_some_and(|process| process.number == number) {
+            self.processes[process_index].submitted_requests.insert(request_id, message_id.clone());
             let message = Submission {
                 id: message_id,
                 class,
@@ -409,15 +482,22 @@
                 handover_mark: ReceivedMark::Absent,
                 body,
             };
-            self.input(at, Input::Submitted { request: request_id, message });
+            self.input(process_index, Input::Submitted { request: request_id, message });
         }
     }
 
-    pub fn answer(&mut self, which: usize, answer_kind: u8) {
-        let Some((at, id)) = self.pick(which, |link| link.call.is_some()) else { return };
-        let call =
-            self.processes[at].links.get_mut(&id).and_then(|l| l.call.take()).expect("a call is in flight");
-        let (status, wait_ms) = match answer_kind % 10 {
+    pub fn answer(&mut self, selector: usize, answer_kind: u8) {
+        let Some((process_index, id)) =
+            self.pick_connection(selector, |connection| connection.call.is_some())
+        else {
+            return;
+        };
+        let call = self.processes[process_index]
+            .connections
+            .get_mut(&id)
+            .and_then(|connection| connection.call.take())
+            .expect("a call is in flight");
+        let (status, delay_ms) = match answer_kind % 10 {
             0..=4 => (200, 0),
             5 => (429, 200 + u64::from(answer_kind)),
             6 => (503, 0),
@@ -430,63 +510,71 @@
         for (number, message_id) in ids(&call).enumerate() {
             let message_state = self.messages.get_mut(message_id).expect("the message was submitted");
             message_state.delivered |= status == 200;
-            message_state.may_have_run |= status == 500 || status == 200;
+            message_state.possibly_delivered |= status == 500 || status == 200;
             body += &format!(
                 "{}{{\"id\":\"{message_id}\",\"state\":\"accepted\"}}",
                 if number > 0 { "," } else { "[" }
             );
         }
-        if wait_ms > 0 {
-            self.waits.push((self.processes[at].generation, dest, self.now + wait_ms as Micros * 1000));
+        if delay_ms > 0 {
+            self.retry_afters.push((
+                self.processes[process_index].generation,
+                dest,
+                self.now + delay_ms as Micros * 1000,
+            ));
         }
         let body = Bytes::from(body + "]");
         let reply = EndpointReply {
             status,
-            retry_after_ms: wait_ms,
+            retry_after_ms: delay_ms,
             is_bulk: call.is_bulk,
             body,
             ..EndpointReply::default()
         };
-        self.input(at, Input::CallAnswered { connection: id, reply, reusable: true });
+        self.input(process_index, Input::CallAnswered { connection: id, reply, reusable: true });
     }
 
     /// Advances the time of all processes.
-    pub fn wait(&mut self, span: Micros) {
-        let end = self.now + span;
+    pub fn wait(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = end.min(self.now + POLL_INTERVAL);
             for number in self.processes.iter().map(|process| process.number).collect::<Vec<_>>() {
-                let index_of = |world: &Processes| world.processes.iter().position(|p| p.number == number);
-                if let Some(at) = index_of(self) {
-                    self.look(at);
+                let index_of =
+                    |world: &Processes| world.processes.iter().position(|process| process.number == number);
+                if let Some(process_index) = index_of(self) {
+                    self.poll_other_journals(process_index);
                 }
-                while let Some(at) = index_of(self) {
-                    let is_expired = |link: &Link| match &link.call {
+                while let Some(process_index) = index_of(self) {
+                    let is_expired = |connection: &SimulatedConnection| match &connection.call {
                         Some(call) => call.deadline <= self.now,
-                        None => !link.up && link.until <= self.now,
+                        None => !connection.established && connection.until <= self.now,
                     };
-                    let Some(link) =
-                        self.processes[at].links.iter().find(|(_, l)| is_expired(l)).map(|(id, _)| *id)
+                    let Some(connection_id) = self.processes[process_index]
+                        .connections
+                        .iter()
+                        .find(|(_, connection)| is_expired(connection))
+                        .map(|(id, _)| *id)
                     else {
                         break;
                     };
-                    let input = self.close(at, link, Cause::TimedOut);
-                    input.into_iter().for_each(|input| self.input(at, input));
+                    let input = self.close(process_index, connection_id, Cause::TimedOut);
+                    input.into_iter().for_each(|input| self.input(process_index, input));
                 }
-                if let Some(at) = index_of(self)
-                    && self.processes[at].reducer.wake_at().is_some_and(|wake| wake <= self.now)
+                if let Some(process_index) = index_of(self)
+                    && self.processes[process_index].reducer.wake_at().is_some_and(|wake| wake <= self.now)
                 {
-                    self.input(at, Input::TimerDue);
+                    self.input(process_index, Input::TimerDue);
                 }
-                if let Some(at) = index_of(self)
-                    && let Some(final_answers) = self.processes[at].posting.take()
+                if let Some(process_index) = index_of(self)
+                    && let Some(final_answers) = self.processes[process_index].posting.take()
                 {
                     for (message_id, final_answer) in final_answers {
                         let message_state =
                             self.messages.get_mut(&message_id).expect("the message was submitted");
                         let is_allowed = !matches!(final_answer, FinalAnswer::Rejected { .. })
-                            || !message_state.orders
-                            || !message_state.may_have_run;
+                            || !message_state.restricts_repeats
+                            || !message_state.possibly_delivered;
                         assert!(
                             is_allowed,
                             "a message that may have been delivered is rejected as repeatable: {message_id}"
@@ -498,27 +586,28 @@
                             message_state.final_answers
                         );
                     }
-                    self.input(at, Input::NotificationsPosted { accepted: true });
+                    self.input(process_index, Input::NotificationsPosted { accepted: true });
                 }
             }
         }
     }
 
-    pub fn operate(&mut self, at: usize, uid: &str, ejected: bool) {
-        let number = self.processes[at].number;
+    pub fn operate(&mut self, process_index: usize, uid: &str, ejected: bool) {
+        let number = self.processes[process_index].number;
         self.now += 1;
-        self.look(at);
-        if self.processes.get(at).is_none_or(|process| process.number != number) {
+        self.poll_other_journals(process_index);
+        if self.processes.get(process_index).is_none_or(|process| process.number != number) {
             return;
         }
         let request_id = self.now as RequestId;
         let id = uid.to_owned();
         let call =
             if ejected { console::Command::DisableServer(id) } else { console::Command::EnableServer(id) };
-        self.input(at, Input::Operator { request: request_id, call });
-        let process = self.processes.get(at).filter(|process| process.number == number);
-        if process.is_some_and(|p| matches!(p.replies.get(&request_id), Some(console::ConsoleReply::Done(_))))
-        {
+        self.input(process_index, Input::Operator { request: request_id, call });
+        let process = self.processes.get(process_index).filter(|process| process.number == number);
+        if process.is_some_and(|process| {
+            matches!(process.replies.get(&request_id), Some(console::ConsoleReply::Done(_)))
+        }) {
             if ejected {
                 self.ejected.entry(uid.to_owned()).or_insert(self.now);
             } else {
@@ -532,47 +621,69 @@
 
     pub fn step(&mut self, number: usize, step: Step) {
         if self.processes.is_empty() {
-            self.now += S / 2;
+            self.now += SECOND / 2;
             self.start();
         }
-        // The processes that accept clients. After a kill there may be none until the next start.
-        let open: Vec<usize> =
-            (0..self.processes.len()).filter(|at| !self.processes[*at].handed_over).collect();
+        // The list may be empty after a kill, because no process accepts clients until the next start.
+        let open: Vec<usize> = (0..self.processes.len())
+            .filter(|process_index| !self.processes[*process_index].handed_over)
+            .collect();
         match step {
-            Step::Submit { at, orders, dest, size } if !open.is_empty() => {
-                self.submit(open[at % open.len()], format!("m{number}"), orders, dest, size);
+            Step::Submit { process_index, restricts_repeats, dest, size } if !open.is_empty() => {
+                self.submit(
+                    open[process_index % open.len()],
+                    format!("m{number}"),
+                    restricts_repeats,
+                    dest,
+                    size,
+                );
             }
-            Step::Resubmit { at, which } => {
+            Step::Resubmit { process_index, selector } => {
                 let known = self.messages.iter().filter(|(_, message_state)| message_state.accepted);
-                let known = known.max_by_key(|(_, f)| f.deadline + which as Micros % 2);
-                if let Some((message_id, orders, dest)) =
-                    known.map(|(message_id, f)| (message_id.clone(), f.orders, f.dest))
-                {
-                    self.submit(at % self.processes.len(), message_id, orders, dest, 10);
+                let known = known.max_by_key(|(_, message)| message.deadline + selector as Micros % 2);
+                if let Some((message_id, restricts_repeats, dest)) = known.map(|(message_id, message)| {
+                    (message_id.clone(), message.restricts_repeats, message.dest)
+                }) {
+                    self.submit(
+                        process_index % self.processes.len(),
+                        message_id,
+                        restricts_repeats,
+                        dest,
+                        10,
+                    );
                 }
             }
-            Step::Connect { which, up } => {
-                if let Some((at, id)) = self.pick(which, |link| !link.up) {
-                    if up {
-                        self.processes[at].links.get_mut(&id).expect("is in the model").up = true;
-                        self.input(at, Input::ConnectionUp { connection: id });
+            Step::Connect { selector, established } => {
+                if let Some((process_index, id)) =
+                    self.pick_connection(selector, |connection| !connection.established)
+                {
+                    if established {
+                        self.processes[process_index]
+                            .connections
+                            .get_mut(&id)
+                            .expect("is in the model")
+                            .established = true;
+                        self.input(process_index, Input::ConnectionUp { connection: id });
                     } else {
-                        let input = self.close(at, id, Cause::ConnectionFailed("refused".to_owned()));
-                        input.into_iter().for_each(|input| self.input(at, input));
+                        let input =
+                            self.close(process_index, id, Cause::ConnectionFailed("refused".to_owned()));
+                        input.into_iter().for_each(|input| self.input(process_index, input));
                     }
                 }
             }
-            Step::Answer { which, answer_kind } => self.answer(which, answer_kind),
-            Step::Break(which) => {
-                if let Some((at, id)) = self.pick(which, |link| link.up) {
-                    let input = self.close(at, id, Cause::ConnectionFailed("reset".to_owned()));
-                    input.into_iter().for_each(|input| self.input(at, input));
+            Step::Answer { selector, answer_kind } => self.answer(selector, answer_kind),
+            Step::Break(selector) => {
+                if let Some((process_index, id)) =
+                    self.pick_connection(selector, |connection| connection.established)
+                {
+                    let input = self.close(process_index, id, Cause::ConnectionFailed("reset".to_owned()));
+                    input.into_iter().for_each(|input| self.input(process_index, input));
                 }
             }
-            Step::Wait(span) => self.wait(span),
-            Step::Operator { at, which, ejected } => {
-                let uid = super::endpoint_entries()[which % 4].uid.clone();
-                self.operate(at % self.processes.len(), &uid, ejected);
+            Step::Wait(duration) => self.wait(duration),
+            Step::Operator { process_index, selector, ejected } => {
+                let uid = super::endpoint_entries()[selector % 4].uid.clone();
+                self.operate(process_index % self.processes.len(), &uid, ejected);
             }
             Step::Upgrade if self.processes.len() < 3 => {
                 self.upgrades += 1;
@@ -580,20 +691,20 @@
             }
             Step::Terminate => {
                 // The platform waits until the new process is ready, and then shuts down the oldest that still runs.
-                let oldest =
-                    (0..self.processes.len().saturating_sub(1)).find(|at| !self.processes[*at].terminated);
-                if let Some(at) = oldest {
-                    let number = self.processes[at].number;
-                    self.look(at);
-                    if self.processes.get(at).is_some_and(|process| process.number == number) {
-                        self.processes[at].terminated = true;
-                        self.input(at, Input::Shutdown);
+                let oldest = (0..self.processes.len().saturating_sub(1))
+                    .find(|process_index| !self.processes[*process_index].terminated);
+                if let Some(process_index) = oldest {
+                    let number = self.processes[process_index].number;
+                    self.poll_other_journals(process_index);
+                    if self.processes.get(process_index).is_some_and(|process| process.number == number) {
+                        self.processes[process_index].terminated = true;
+                        self.input(process_index, Input::Shutdown);
                     }
                 }
             }
-            Step::Kill { at, after } => {
-                let at = at % self.processes.len();
-                self.processes[at].kill_after = Some(after);
+            Step::Kill { process_index, after } => {
+                let process_index = process_index % self.processes.len();
+                self.processes[process_index].kill_after = Some(after);
             }
             _ => {}
         }
@@ -605,7 +716,7 @@
             if self.processes.iter().all(|process| process.handed_over) {
                 self.start();
             }
-            self.wait(S);
+            self.wait(SECOND);
         }
         for (message_id, message_state) in &self.messages {
             assert!(
--- a/crates/forwarder/tests/reducer.rs
+++ b/crates/forwarder/tests/reducer.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::S;
+use common::SECOND;
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::World;
@@ -45,7 +45,7 @@
         world.submit(format!("m{number}"), true, 2, 10);
         world.wait(10_000);
         if number % 2 == 0 {
-            world.step(0, Step::Connect { which: number, up: true });
+            world.step(0, Step::Connect { selector: number, established: true });
             world.answer(0, 0);
         }
         let old = EndpointEntry { state: EndpointState::Removed, ..world.list[2].clone() };
@@ -55,10 +55,10 @@
         world.update_list(entries);
         world.wait(100_000);
         assert!(
-            world.links.values().all(|link| link.call.is_some() || !link.up),
+            world.connections.values().all(|connection| connection.call.is_some() || !connection.established),
             "no idle connection to a removed endpoint may be kept"
         );
-        world.wait(4 * S);
+        world.wait(4 * SECOND);
         while world.posting.is_some() {
             world.post(true);
         }
--- a/crates/forwarder/tests/reducer_submissions.rs
+++ b/crates/forwarder/tests/reducer_submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions to the reducer: which are accepted, rejected or refused, and how a shutdown ends.
+//! Submissions to the reducer: which are accepted, rejected or incomplete, and how a shutdown ends.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::shape::Shape;
 use common::steps::Step;
 use common::world::{World, reducer};
-use common::{S, START};
+use common::{SECOND, START};
 use orchidyoke_forwarder::config::Config;
 use orchidyoke_forwarder::input::{Effect, Input, Submission, SubmitAnswer};
 use orchidyoke_forwarder::ownership::ReceivedMark;
@@ -26,7 +26,8 @@
     assert!(world.pending_requests.is_empty(), "every request must be answered");
 }
 
-// Guards against a forwarder that still runs when it is killed, and against a message lost at the end. Requests that
+// Guards against a shutdown that takes so long that the platform kills the forwarder, and against losing a message in
+// the shutdown. Requests that
 // clients have sent before the forwarder stops accepting are still accepted and answered.
 #[test]
 fn shutdown_ends_in_time_and_answers_every_request() {
@@ -34,7 +35,7 @@
     world.input(Input::ClientConnection { connected: true });
     world.submit("a".to_owned(), true, 2, 10);
     world.wait(10_000);
-    world.step(0, Step::Connect { which: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.step(1, Step::Terminate);
     world.wait(3_360_000);
     assert!(
@@ -54,7 +55,7 @@
 }
 
 // Guards against a deployment without tenants that accepts nothing, against a message that is accepted without a header
-// that its class or deployment requires, and against a refused request that counts as a final answer.
+// that its class or deployment requires, and against an incomplete request that counts as a final answer.
 #[test]
 fn settings_decide_the_required_headers() {
     for (shape, tenant_name, key, good) in [
@@ -74,7 +75,7 @@
             tenant: tenant_name,
             idempotency_key: key,
             destination: 2,
-            time_left: S,
+            time_left: SECOND,
             is_retry: false,
             handover_mark: ReceivedMark::Absent,
             body,
@@ -94,7 +95,7 @@
 #[test]
 fn rejection_at_the_message_limit_has_retry_after_as_the_settings_say() {
     for (change, expected) in [
-        (("\"retry_after\":true", "\"retry_after\":true"), S),
+        (("\"retry_after\":true", "\"retry_after\":true"), SECOND),
         (("\"retry_after\":true", "\"retry_after\":false"), 0),
         (("\"max_retry_after_us\":2000000", "\"max_retry_after_us\":300000"), 300_000),
     ] {
@@ -112,7 +113,7 @@
                 tenant: None,
                 idempotency_key: None,
                 destination: 2,
-                time_left: S,
+                time_left: SECOND,
                 is_retry: false,
                 handover_mark: ReceivedMark::Absent,
                 body,
@@ -137,12 +138,15 @@
     world.wait(10_000);
     assert!(world.messages["kept"].accepted, "the message must be accepted");
     world.input(Input::Withdrawn { request: request_id });
-    world.step(0, Step::Connect { which: 0, up: true });
+    world.step(0, Step::Connect { selector: 0, established: true });
     world.answer(0, 0);
     assert!(world.messages["kept"].delivered);
     world.submit("left".to_owned(), true, 2, 10);
     let request_id = *world.pending_requests.keys().last().expect("a request waits");
     world.input(Input::Withdrawn { request: request_id });
-    world.wait(S);
-    assert!(!world.messages["left"].accepted && world.pick_connection(0, |l| l.call.is_some()).is_none());
+    world.wait(SECOND);
+    assert!(
+        !world.messages["left"].accepted
+            && world.pick_connection(0, |connection| connection.call.is_some()).is_none()
+    );
 }
