--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -4,7 +4,9 @@
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
 
+/// One millisecond, in microseconds.
 pub const MS: Micros = 1000;
+/// One second, in microseconds.
 pub const S: Micros = 1_000_000;
 
 pub fn class(class_idempotency: Idempotency) -> Class {
@@ -70,7 +72,7 @@
     }
 }
 
-/// A controller with a clock, and the number of attempts of each message.
+/// A controller with a clock, and the number of attempts of each message. Attempts are counted when they are sent.
 pub struct Harness {
     pub controller: Controller,
     pub now: Micros,
--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -133,13 +133,16 @@
     let sent = sends(&harness.submit(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window allows two calls");
     let actions = harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
-    assert_eq!(failed(&actions), [sent[0].0], "it may have been executed");
+    assert_eq!(failed(&actions), [sent[0].0], "the message may have been executed");
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
     let sent = sends(&harness.submit(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window still allows two calls");
     harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
-    assert!(sends(&harness.submit(7, 2, 2)).is_empty(), "the third and fourth in a row count as failures");
+    assert!(
+        sends(&harness.submit(7, 2, 2)).is_empty(),
+        "the third and fourth invalid response in a row count as failures"
+    );
 }
 
 // Guards against two failures when the only endpoint of a destination is replaced: the new endpoint is limited by the
@@ -155,7 +158,7 @@
     assert_eq!(
         sent.iter().map(|sent| sent.1).collect::<Vec<_>>(),
         [2],
-        "one call, although two are still in flight at the old endpoint"
+        "one call to the new endpoint, although two are still in flight at the old one"
     );
     let mut answer = harness.answer(sent[0].0, Outcome::Rejected);
     answer.retry_after = S;
@@ -197,6 +200,6 @@
     assert_eq!(
         sends(&harness.end_attempt(sent[0].0, Outcome::NotSent)).len(),
         1,
-        "the window still allows two"
+        "the window still allows two calls"
     );
 }
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -20,11 +20,11 @@
         controller.step(world.now, &events, &mut actions);
         let context = format!("seed {seed}, step {step}, at {}: {events:?}", world.now);
         assert_eq!(actions, expected, "actions of {context}");
-        assert_eq!(controller.rng(), reference_controller.rng(), "draws of {context}");
+        assert_eq!(controller.rng(), reference_controller.rng(), "random draws of {context}");
         assert_eq!(
             controller.faulty_routes(),
             reference_controller.faulty_routes(),
-            "faulty after {context}"
+            "faulty routes after {context}"
         );
         if step % 20 == 0 {
             let differs = world.endpoints().find(|id| {
--- a/crates/core/tests/health_checks.rs
+++ b/crates/core/tests/health_checks.rs
@@ -54,7 +54,7 @@
             }
         }
         harness.end_attempt(calls[0].0, Outcome::Success);
-        // A ramp that started now would have ended after this.
+        // A ramp takes 12 s. If the success started one, the ramp ends within these 13 s.
         harness.advance(13 * S);
         assert_eq!(
             harness.controller.faulty_routes().is_empty(),
@@ -94,8 +94,8 @@
     assert!(harness.controller.faulty_routes().is_empty());
 }
 
-// Guards against a destination that only health checks showed as down: it got all queued messages at once when the
-// checks passed again.
+// Guards against a recovering destination that gets all queued messages at once as soon as its health checks pass
+// again, because no failed call, only the health checks, had shown that the destination was down.
 #[test]
 fn passing_health_check_alone_does_not_end_ejection() {
     for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
@@ -141,8 +141,9 @@
     );
 }
 
-// Guards against a budget that is exceeded because it is larger than the number of recent calls kept: a destination
-// with a capacity of 400 calls a second got all queued messages once its budget reached 64 calls in 2 s.
+// Guards against a budget that is exceeded because it is larger than the number of recent calls that are kept to check
+// it: a destination with a capacity of 400 calls a second got all queued messages once its budget reached 64 calls in
+// 2 s.
 #[test]
 fn large_slow_start_budget_is_kept() {
     let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -1,5 +1,6 @@
-//! Generates random event sequences from fixed seeds and checks the rules on every action of the controller. Outcomes
-//! are drawn at random; no endpoint is simulated.
+//! Generates random event sequences from fixed seeds and checks that no action of the controller breaks a rule: on
+//! final answers, repeats, order, Retry-After, endpoints or call slots. Outcomes are drawn at random; no endpoint is
+//! simulated.
 
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
@@ -74,6 +75,7 @@
     deadline: Micros,
     attempts: u32,
     in_flight: BTreeSet<u32>,
+    /// Time and zone of the first attempt after which the message may have been executed.
     possible_delivery: Option<(Micros, usize)>,
     is_finished: bool,
 }
@@ -85,8 +87,10 @@
     now: Micros,
     entries: BTreeMap<EndpointId, EndpointUpdate>,
     messages: BTreeMap<MessageId, MessageState>,
+    /// Endpoint, time sent and time of the time-out of each attempt in flight.
     in_flight: BTreeMap<(MessageId, u32), (EndpointId, Micros, Micros)>,
     retry_after_ends: BTreeMap<u64, Micros>,
+    /// For each order key, the end of its cooldown and the message that caused it.
     cooldowns: BTreeMap<u64, (Micros, MessageId)>,
     timers: BTreeSet<Micros>,
     trace: Vec<String>,
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -95,7 +95,7 @@
     assert_eq!(
         rejected(&actions).iter().map(|r| r.0).collect::<Vec<_>>(),
         [3, 1],
-        "messages whose time is up"
+        "messages past their deadline"
     );
 }
 
@@ -142,7 +142,11 @@
     }
     harness.advance(3 * S);
     let next = sends(&harness.end_attempt(first, Outcome::Success));
-    assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [first + 3], "the last submitted");
+    assert_eq!(
+        next.iter().map(|s| s.0).collect::<Vec<_>>(),
+        [first + 3],
+        "the message that was submitted last"
+    );
 }
 
 #[test]
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -11,7 +11,7 @@
     harness.submit(9, 2, 1);
     assert!(harness.advance(16 * S - 80 * MS).iter().all(|a| matches!(a, Action::Timer { .. })));
     let actions = harness.advance(20 * MS);
-    assert_eq!(rejected(&actions).len(), 1, "never sent: a rejection is harmless");
+    assert_eq!(rejected(&actions).len(), 1, "a message that was never sent may be rejected");
     assert!(rejected(&harness.advance(S)).is_empty() && failed(&harness.advance(S)).is_empty());
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-// Guards against a hanging call that occupies its slot for the lifetime of its message. With one such call at each of
+// Guards against a hanging call that occupies its slot until the deadline of its message. With one such call at each of
 // nine destinations all slots for faulty destinations were occupied, and no message was sent for up to 12 s.
 #[test]
 fn hanging_non_idempotent_call_times_out_as_soon_as_any_other() {
@@ -68,7 +68,7 @@
         sends(&harness.submit(1, class, 1))[0].2
     };
     assert_eq!(timeout(2), timeout(0));
-    assert!(timeout(2) <= 6 * S, "its message lives for 16 s");
+    assert!(timeout(2) <= 6 * S, "the time-out is well before the deadline of 16 s");
 }
 
 #[test]
@@ -92,7 +92,7 @@
     harness.end_attempt(id, Outcome::Timeout);
     assert!(sends(&harness.advance(5 * S)).is_empty(), "the other zone would not drop the repeat");
     let actions = harness.advance(5 * S);
-    assert_eq!(failed(&actions), [id], "after its window it can be neither sent nor rejected");
+    assert_eq!(failed(&actions), [id], "after its key window the message can be neither sent nor rejected");
 }
 
 #[test]
@@ -186,7 +186,10 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..2).map(|_| harness.message_with_key(1, 3, Some(5))).collect();
     harness.step(&events);
-    assert!(sends(&harness.step(&[Event::Withdrawn { id: 1 }])).is_empty(), "its attempt is still in flight");
+    assert!(
+        sends(&harness.step(&[Event::Withdrawn { id: 1 }])).is_empty(),
+        "the attempt of the withdrawn message is in flight"
+    );
     let mut answer = harness.answer(1, Outcome::Success);
     answer.message_finished = true;
     assert_eq!(sends(&harness.step(&[Event::AttemptEnded(answer)])).len(), 1);
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -31,8 +31,8 @@
         arrivals.extend(sent.iter().map(|_| harness.now));
         in_flight.extend(sent.iter().map(|s| s.0));
     }
-    // The capacity is 7 calls a second and starts at a fifth of that. Twice the present capacity is too much, so no
-    // span of two seconds may have more.
+    // The capacity is 7 calls a second and starts at a fifth of that. More than twice the present capacity overloads
+    // the destination, so no span of two seconds may have more calls than that.
     for at in (10..20).map(|s| start + s * S) {
         let count = arrivals.iter().filter(|a| (at..at + 2 * S).contains(*a)).count();
         let part = 0.2 + 0.8 * ((at - start - 9 * S) as f64 / (12 * S) as f64).min(1.0);
@@ -60,7 +60,8 @@
 
 #[test]
 fn rejections_at_the_window_floor_back_off_over_a_doubling_span() {
-    // Guards against a fleet that returns at once or in step to a limit, which rejected calls then use up.
+    // Guards against forwarders that call again at once, or all at the same time, after rejections by a limit. Their
+    // rejected calls would use up the limit.
     let mut gaps: [Vec<Micros>; 2] = [Vec::new(), Vec::new()];
     for seed in 0..100 {
         let mut harness = Harness::new(Settings { capacity_hints: CapacityHints::None, ..settings() }, &[]);
@@ -88,7 +89,11 @@
     let mean = |gaps: &[Micros]| gaps.iter().sum::<Micros>() / gaps.len() as Micros;
     // The route served 6 calls in 10 s. 0.64 of that is twice the rate that a cold destination of this size accepts:
     // one call in 2.6 s.
-    assert!((S..1800 * MS).contains(&mean(&gaps[0])), "{}", mean(&gaps[0]));
+    assert!(
+        (S..1800 * MS).contains(&mean(&gaps[0])),
+        "mean pause after the first rejection: {}",
+        mean(&gaps[0])
+    );
     assert!(
         (15..30).contains(&(mean(&gaps[1]) * 10 / mean(&gaps[0]))),
         "the mean pause doubles after the second rejection"
@@ -195,7 +200,7 @@
         let mut sent = sends(&harness.submit(1, 0, 1));
         for _ in 0..3 {
             for _ in 0..20 {
-                // Its share is one call a second.
+                // The share of this forwarder is one call a second.
                 sent.extend(sends(&harness.advance(if sent.is_empty() { 50 * MS } else { 0 })));
             }
             assert_eq!(sent.len(), 1);
@@ -207,8 +212,8 @@
             calls += sends(&harness.advance(50 * MS)).len();
         }
     }
-    // The present capacity is a fifth of 200 calls a second and twice that is too much: 160 calls in the 2 s that were
-    // counted.
+    // The present capacity is a fifth of 200 calls a second, and more than twice the present capacity overloads the
+    // destination. Twice the present capacity is 160 calls in the 2 s in which calls were counted.
     assert!((1..=160).contains(&calls), "{calls} calls in two seconds");
 }
 
--- a/crates/core/tests/reference/control.rs
+++ b/crates/core/tests/reference/control.rs
@@ -23,7 +23,8 @@
 /// Number of failures without a success, and time without a success, that mean an outage. A route that fails or rejects
 /// only some of its calls is not down.
 const OUTAGE_AFTER_ERRORS: (u32, Micros) = (3, 1_500_000);
-/// The same if all calls were rejected: without and with a known limit. A route over its limit rejects many calls too.
+/// The same values for a route whose failures are all rejections: first if no limit is known, then if one is known. A
+/// route over its limit rejects many calls too.
 const OUTAGE_AFTER_REJECTIONS: [(u32, Micros); 2] = [(3, 4 * SECOND), (8, 6 * SECOND)];
 /// A call is overdue after the mean latency plus this many mean deviations (four, as in TCP's RTO).
 const OVERDUE_DEVIATIONS: f64 = 4.0;
@@ -35,7 +36,8 @@
 /// message takes long. The ends of such calls and of their retries show which. Stalled calls are cancelled while less
 /// than this share of them are slow messages.
 const MAX_SLOW_SHARE: f64 = 0.3;
-/// Gain of that share: one slow message stops the cancelling until a connection turns out to be dead.
+/// Gain of the moving average of that share: one slow message stops the cancelling until a connection turns out to be
+/// dead.
 const SLOW_SHARE_GAIN: f64 = 0.4;
 /// Time for which a forwarder with part of a core may be descheduled. Everything with a deadline ends earlier by this
 /// time.
@@ -59,11 +61,11 @@
 const RESERVE_DIVISOR: usize = 16;
 /// Number of queued messages that are examined for one that can be sent now; bounds the work of a step.
 const QUEUE_SCAN_MESSAGES: usize = 24;
-/// Costs in points of a second of a route's mean latency, and of a call in flight, in the comparison of endpoints.
+/// Cost, in points, of each second of a route's mean latency, and of each call in flight, when endpoints are compared.
 const LATENCY_COST_PER_SECOND: f64 = 0.05;
 const IN_FLIGHT_COST: f64 = 0.01;
-/// Cost of that second if the call takes the last slot, for each open message per slot, because all of them wait
-/// longer.
+/// Additional cost, in points, of each second of mean latency if the call takes the last slot. It is multiplied by the
+/// number of open messages per slot, because all of them wait longer.
 const LAST_SLOT_COST_PER_SECOND: f64 = 0.25;
 /// Weight of chance in a large fleet, in points, and the fleet size at which it has half of that weight. Otherwise
 /// hundreds of forwarders that see the same costs would choose the same endpoint while others are idle. In a small
@@ -105,8 +107,8 @@
 }
 
 impl Message {
-    /// Returns until when the message may be sent, which depends on its idempotency and on the first attempt that may
-    /// have been executed.
+    /// Returns the time until which the message may be sent, which depends on its idempotency and on the first attempt
+    /// that may have been executed.
     fn resendable_until(&self) -> Micros {
         match (self.possible_delivery, self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => Micros::MAX,
@@ -135,7 +137,7 @@
 }
 
 /// The messages of one order key that have no final answer, in order of arrival, and the number of attempts in flight
-/// of the others.
+/// of messages that already have one.
 #[derive(Debug, Default)]
 struct OrderKeyQueue {
     waiting: VecDeque<MessageId>,
@@ -151,9 +153,9 @@
     zone: usize,
     kind: DestinationKind,
     accepts_calls: bool,
-    /// Whether it is no longer in the list.
+    /// Whether the endpoint is no longer in the list.
     is_removed: bool,
-    /// Result of its health checks, and whether they exclude it because another endpoint passes.
+    /// Result of the endpoint's health checks, and whether they exclude the endpoint because another one passes.
     status: HealthStatus,
     is_excluded: bool,
     in_flight: usize,
@@ -217,7 +219,7 @@
     /// that step.
     draw_at: Micros,
     won_at: Option<Micros>,
-    /// Whether no endpoint of it passes its health checks.
+    /// Whether no endpoint of the route passes its health checks.
     is_critical: bool,
 }
 
@@ -549,8 +551,9 @@
         self.endpoints.insert(entry.endpoint, listed);
     }
 
-    /// Creates a route. A new endpoint without others does not inherit what the endpoints before it have shown. Two
-    /// properties belong to the destination and are copied: its Retry-After, and that it returns cold.
+    /// Creates a route. If a destination has no other endpoint, the route of a new endpoint does not inherit the window
+    /// and the measurements of earlier endpoints. Two properties belong to the destination and are copied: its
+    /// Retry-After, and that it returns cold.
     fn new_route(&mut self, before: Option<RouteId>) -> RouteId {
         // The random part keeps a large fleet that starts together from sending its first calls together.
         let mut route = Route::new(self.now, max_multiple(&self.settings) - self.rng.uniform());
@@ -931,7 +934,8 @@
             self.message_timers.pop_first();
             let Some(message) = self.messages.get(&id) else { continue };
             if self.now >= self.answer_by(message) {
-                // Time is up. Attempts in flight have time-outs limited by the deadline and end by themselves.
+                // The final answer is due. Attempts in flight end by themselves, because their time-outs are limited by
+                // the deadline.
                 self.give_up(id, actions);
             } else if message.rank.is_some() {
                 if self.may_be_sent(message) { self.rank(id) } else { self.give_up(id, actions) }
@@ -1016,8 +1020,8 @@
         Some(BUDGET_FRACTION * rate * settings.overload_window as f64 / SECOND as f64)
     }
 
-    /// Draws twice in `overload_window` whether a call may be sent if the budget is below one call. A pause saves up
-    /// nothing.
+    /// Draws twice in `overload_window` whether a call may be sent if the budget is below one call. Draws that a pause
+    /// leaves out are not made later.
     fn draw_slow_start_calls(&mut self) {
         let waiting = self.destinations.values().filter(|d| !d.queue.is_empty());
         for id in waiting.flat_map(|d| &d.endpoints).map(|e| self.endpoints[e].route).collect::<Vec<_>>() {
@@ -1056,7 +1060,7 @@
 
     /// Returns whether an endpoint takes a call now. A draining or removed endpoint gets no new calls from the time of
     /// the event. A partial batch waits while a call is in flight (as in Nagle's algorithm), because many small calls
-    /// use up a limit that other forwarders share. Where nothing is scarce this may cost one service time.
+    /// use up a limit that other forwarders share. If no limit is reached, the wait may cost one service time.
     fn takes_call(&self, listed: &Endpoint, destination: &Destination) -> bool {
         let route = &self.routes[listed.route];
         let is_idle = route.in_flight <= route.overdue.max(route.presumed_lost);
@@ -1215,7 +1219,8 @@
         let Some(route) = self.endpoints.get(&endpoint).map(|e| e.route) else { return };
         let Some(message) = self.messages.get_mut(&id) else { return };
         let time_left = (message.deadline - self.now - self.settings.tick - SCHEDULING_MARGIN_US).max(1);
-        // A non-idempotent message has a time-out too. It fails by it, but a hanging call would occupy its slot.
+        // The call of a non-idempotent message has a time-out too. The time-out makes the message fail, but without it
+        // a hanging call would occupy its slot.
         let timeout = self.routes[route].timeout().min(time_left);
         self.attempts.insert((id, message.attempts), (self.last_number, message.key));
         message.attempts += 1;
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -107,7 +107,7 @@
     outcome: Outcome,
 }
 
-/// The forwarder around the controller, which generates its events and carries out its actions.
+/// A simulated forwarder around the controller. It generates the controller's events and carries out its actions.
 pub struct World {
     pub now: Micros,
     pub settings: Settings,
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -129,7 +129,7 @@
         else {
             unreachable!()
         };
-        // Half of its time is left, and its latency objective has passed.
+        // Half of the message's time is left, and its latency objective has passed.
         let time_left = 8 * S;
         events.push(Event::Message {
             id,
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -57,13 +57,15 @@
     listed: u64,
     destinations_down: u64,
     next: MessageId,
+    /// The calls that end at each time: message, attempt number, and whether the call succeeds.
     ends: BTreeMap<Micros, Vec<(MessageId, u32, bool)>>,
     attempts: BTreeMap<MessageId, u32>,
     timers: BTreeSet<(Micros, u64)>,
-    /// Number of events in the steps in which no timer was due, destinations examined in these steps, and in the other
-    /// steps.
+    /// Number of events in the steps in which no timer was due.
     events: u64,
+    /// Number of destinations examined in the steps in which no timer was due.
     examined: u64,
+    /// Number of destinations examined in the other steps.
     examined_with_timers: u64,
 }
 
@@ -186,8 +188,8 @@
     }
 }
 
-/// A destination that is down draws twice in `overload_window` for a trial call. This work is proportional to the
-/// number of destinations that are down. No other work may be.
+/// For a destination that is down, the controller draws twice in `overload_window` whether to send a trial call. Only
+/// this work may grow with the number of destinations that are down.
 #[test]
 fn step_cost_does_not_grow_with_listed_or_waiting_destinations() {
     let few = Forwarder::new(1_000, 29).examined_per_event_and_draw();
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -52,7 +52,7 @@
     next: MessageId,
     attempts: BTreeMap<MessageId, u32>,
     out: Vec<(Micros, AttemptResult)>,
-    /// Whether one of its calls failed or was rejected during the outage.
+    /// Whether a call of this forwarder failed or was rejected during the outage.
     has_seen_outage: bool,
 }
 
@@ -80,7 +80,7 @@
             capacity_hint: hint,
         };
         let mut rng = SeededRng::new(seed);
-        // Some get several times the mean.
+        // Some forwarders get several times the mean load.
         let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + rng.uniform().powi(3) * 4.0).collect();
         let all: f64 = shares.iter().sum();
         let forwarder = |(number, share): (u64, f64)| {
@@ -195,8 +195,8 @@
     fleet.run(10 * S, load, false, (Outcome::Success, SERVICE));
     let mut recovery = Recovery { served: fleet.served as f64 / (10.0 * load), ..Recovery::default() };
     for (first, (from, _)) in calls.iter().enumerate() {
-        // The capacity is that at the end of the span, where it is highest: a span with more calls exceeds the budget
-        // of each of its moments.
+        // Uses the capacity at the end of the span, where it is highest, so that a span with more calls exceeds the
+        // budget whichever moment of the span the capacity is taken from.
         let ramp_part = (from + set.overload_window - recovered_at) as f64 / set.warm_up_time as f64;
         if ramp_part >= 1.0 {
             break;
@@ -250,8 +250,8 @@
     })
 }
 
-// Guards against a fleet that overloads a cold destination although each forwarder keeps to its own share: after
-// rejected connections, hanging calls, errors, and rejections if a limit is known.
+// Guards against a fleet that overloads a cold destination although each forwarder keeps to its own share. The outage
+// before consists of rejected connections, hanging calls, errors, or rejections with a known limit.
 #[test]
 fn fleet_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
@@ -270,8 +270,9 @@
     }
 }
 
-// Guards against the same failure if no limit is known and all calls are rejected. The rejections of one forwarder show
-// neither an outage nor the other forwarders, because a limit causes rejections too.
+// Guards against a fleet that overloads a cold destination if no limit is known and all calls are rejected. From its
+// own rejections a forwarder can detect neither an outage nor the load of the other forwarders, because a limit causes
+// rejections too.
 #[test]
 fn rejected_fleet_without_known_limit_keeps_within_the_capacity_of_a_cold_destination() {
     for case in cases()
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -6,8 +6,7 @@
 use common::*;
 use orchidyoke_core::interface::*;
 
-/// Returns settings with these classes: 0 idempotent, 1 idempotency key with the scope `Zone`, 2 non-idempotent. Kind 1
-/// has separate routes.
+/// Returns the settings of `common::settings`, which document the classes and kinds, with cancelling allowed.
 fn settings_with_cancelling() -> Settings {
     Settings { allow_cancel: true, ..settings() }
 }
@@ -17,8 +16,8 @@
     actions.iter().filter_map(cancelled).collect()
 }
 
-/// Has two calls in flight at a warm endpoint: a message of `class`, and one that is sent later and answered. Returns
-/// the messages whose calls are cancelled then, and the first message.
+/// Sends a message of `class` to a warm endpoint, then a second message, whose call succeeds while the first call is
+/// still in flight. Returns the messages whose calls the controller then cancels, and the first message.
 fn stall_call(harness: &mut Harness, class: usize) -> (Vec<MessageId>, MessageId) {
     let first = sends(&harness.submit(1, class, 1))[0].0;
     harness.advance(400 * MS);
@@ -39,7 +38,7 @@
     assert_eq!(
         again.iter().map(|send| send.0).collect::<Vec<_>>(),
         [id],
-        "its slot and its place in the window are free"
+        "the slot of the cancelled call and its place in the window are free"
     );
     harness.now += 100 * MS;
     harness.end_attempt(id, Outcome::Success);
@@ -154,9 +153,9 @@
         if failed(&actions) == [id] {
             break;
         }
-        assert!(harness.now < sent + 10 * S, "the message fails by the end of its window");
+        assert!(harness.now < sent + 10 * S, "the message fails by the end of its key window");
     }
-    assert!(harness.now >= sent + 9 * S + 900 * MS, "the message does not fail before its window ends");
+    assert!(harness.now >= sent + 9 * S + 900 * MS, "the message does not fail before its key window ends");
 }
 
 // Guards against a fault or Retry-After of one route, known from an earlier process, that affects the other routes.
@@ -191,8 +190,8 @@
     );
 }
 
-// Guards against an absurd reported limit that overflows a time, blocks a route for good, or leaves a message without a
-// final answer. Calls continue as soon as a sensible limit is reported.
+// Guards against an invalid or extreme reported limit that overflows a time, blocks a route for good, or leaves a
+// message without a final answer. Calls continue as soon as a usable limit is reported.
 #[test]
 fn absurd_reported_values_are_bounded() {
     for limit in [0.0, 1e-300, 1e-9, 1e300, f64::MAX, f64::NAN, f64::INFINITY, -5.0] {
@@ -223,7 +222,7 @@
         }
         assert!(sent + ended >= 3, "{limit}: {sent} sent and {ended} ended");
         let next = harness.submit(1, 0, 1);
-        assert!(!sends(&next).is_empty(), "{limit}: no call after a sensible limit was reported");
+        assert!(!sends(&next).is_empty(), "{limit}: no call after a usable limit was reported");
     }
 }
 
--- a/crates/core/tests/wire_settings.rs
+++ b/crates/core/tests/wire_settings.rs
@@ -1,5 +1,5 @@
 //! Guards the settings JSON that the platform and the simulator write: the name of each field and of each choice, and
-//! the setting that it becomes. Also guards the form in which the endpoint list is written.
+//! the setting that it becomes. Also guards the JSON in which the endpoint list is written and read.
 
 use orchidyoke_core::endpoint_list::{EndpointEntry, EndpointState, HealthStatus, WatchEvent, parse_list};
 use orchidyoke_core::interface::{
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -102,14 +102,14 @@
     assert_eq!(site.deliver(&forwarder, "a").endpoint, first);
     let second = site.register("w2");
     let index = site.consul.set_tag("n1", "w1", "draining", true);
-    wait_until("the change", || site.consul.first_answered_at("web", index).is_some());
+    wait_until("Consul's answer with the change", || site.consul.first_answered_at("web", index).is_some());
     std::thread::sleep(Duration::from_millis(250));
     for number in 0..20 {
         let txn = format!("m{number}");
         assert_eq!(site.deliver(&forwarder, &txn).endpoint, second);
     }
     assert_eq!(forwarder.submit_message("status", "x", 4), 422, "no service has this destination");
-    assert_eq!(site.discovery.watch_count(), 0, "discovery is not watched too");
+    assert_eq!(site.discovery.watch_count(), 0, "discovery is not watched while Consul is the source");
 }
 
 // Guards against connections to an endpoint outside the allowed networks.
@@ -306,7 +306,11 @@
                     !site.destination.collapses().is_empty()
                         || calls.iter().filter(|call| call.served).count() > 600
                 });
-                assert_eq!(site.destination.collapses().is_empty(), restrained, "restrained: {restrained}");
+                assert_eq!(
+                    site.destination.collapses().is_empty(),
+                    restrained,
+                    "recovery ramp enabled: {restrained}"
+                );
             });
         }
     });
@@ -407,7 +411,7 @@
                 site.consul.set_fault(ConsulFault::None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
-                wait_until("the change", || {
+                wait_until("a call at the new endpoint", || {
                     site.deliver(&forwarder, &format!("c{}", site.destination.calls().len())).endpoint
                         == second
                 });
@@ -421,7 +425,7 @@
 #[test]
 fn invalid_certificate_is_logged_in_one_line_and_the_list_stays() {
     let cases = [
-        ("run-out", "has expired"),
+        ("expired", "has expired"),
         ("other-name", "is not for server.dc1.consul"),
         ("other-authority", "signed by none of the authorities in"),
     ];
@@ -445,7 +449,7 @@
                 assert_eq!(site.deliver(&forwarder, "a").endpoint, first);
                 forwarder.kill();
                 let bad = match what {
-                    "run-out" => authority.sign("old.dc1.consul", ip, -day),
+                    "expired" => authority.sign("old.dc1.consul", ip, -day),
                     "other-name" => authority.sign("other.dc1.consul", ip, day),
                     _ => other_authority.sign("server2.dc1.consul", ip, day),
                 };
@@ -457,7 +461,7 @@
                 site.consul.use_tls(&good, None);
                 let second = site.register("w2");
                 site.consul.deregister("n1", "w1");
-                wait_until("the change", || {
+                wait_until("a call at the new endpoint", || {
                     site.deliver(&forwarder, &format!("c{}", site.destination.calls().len())).endpoint
                         == second
                 });
@@ -507,7 +511,9 @@
                         site.consul.set_status("n1", "w1", "critical")
                     }
                 };
-                wait_until("the change", || site.consul.first_answered_at("web", index).is_some());
+                wait_until("Consul's answer with the change", || {
+                    site.consul.first_answered_at("web", index).is_some()
+                });
                 std::thread::sleep(Duration::from_millis(250));
                 forwarder.kill();
                 site.consul.set_fault(ConsulFault::Down);
@@ -527,7 +533,7 @@
 // Guards against a new instance at an old address that inherits the old instance's connection or backoff.
 #[test]
 fn new_instance_at_an_old_address_inherits_no_connection_and_no_faults() {
-    let site = Site::new("consul-heir");
+    let site = Site::new("consul-new-instance");
     let address = site.register("w1");
     let forwarder = site.start();
     let before = site.deliver(&forwarder, "a").peer;
@@ -547,7 +553,9 @@
         }
         site.consul.deregister("n1", old);
         let index = site.consul.register(Instance::new("web", "n1", new, address));
-        wait_until("the change", || site.consul.first_answered_at("web", index).is_some());
+        wait_until("Consul's answer with the change", || {
+            site.consul.first_answered_at("web", index).is_some()
+        });
         std::thread::sleep(Duration::from_millis(250));
         let call = site.deliver(&forwarder, &format!("d-{new}"));
         assert!(call.peer != before && call.endpoint == address, "{call:?}");
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -135,11 +135,11 @@
     let folder = folder_with_config("around-stop", &discovery, destination.open_endpoint(), |_| {});
     let forwarder = ForwarderProcess::start(program(), &folder, &[]);
     let address = forwarder.address;
-    let text = request("orders", "halved");
+    let text = request("orders", "split");
     let mut split = connect(address);
     split.write_all(&text.as_bytes()[..60]).expect("bytes sent");
     let mut idle = connect(address);
-    idle.write_all(request("orders", "rested").as_bytes()).expect("bytes sent");
+    idle.write_all(request("orders", "idle").as_bytes()).expect("bytes sent");
     assert_eq!(read_status(&mut idle), Some(202));
     let terminated_at = Instant::now();
     forwarder.signal("TERM");
@@ -149,7 +149,7 @@
     forwarder.signal("TERM");
     split.write_all(&text.as_bytes()[60..]).expect("bytes sent");
     assert_eq!(read_status(&mut split), Some(202));
-    let mut accepted = vec!["halved".to_owned(), "rested".to_owned()];
+    let mut accepted = vec!["split".to_owned(), "idle".to_owned()];
     let mut unanswered = Vec::new();
     for client in clients {
         let report = client.join().expect("no reset and no unexpected status");
@@ -157,15 +157,19 @@
         unanswered.extend(report.unanswered);
     }
     assert!(forwarder.wait().success());
-    assert!(terminated_at.elapsed() < Duration::from_millis(3_700), "{:?}", terminated_at.elapsed());
-    assert!(accepted.len() > 20, "{accepted:?}");
+    assert!(
+        terminated_at.elapsed() < Duration::from_millis(3_700),
+        "the shutdown took {:?}",
+        terminated_at.elapsed()
+    );
+    assert!(accepted.len() > 20, "too few messages were accepted: {accepted:?}");
     let next = ForwarderProcess::start(program(), &folder, &[]);
     let calls = wait_for_final_answers(&destination, &discovery, &accepted);
     assert!(calls.values().all(|count| *count <= 1), "an order was sent more than once: {calls:?}");
     let all = destination.calls();
     assert!(
         unanswered.iter().all(|txn| !all.iter().any(|call| call.message_id == *txn)),
-        "{unanswered:?} were accepted without an answer"
+        "some of these requests were accepted without an answer: {unanswered:?}"
     );
     drop(next);
 }
@@ -205,7 +209,7 @@
     let mut ready = connect(second.address);
     ready.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("bytes sent");
     assert_eq!(read_status(&mut ready), Some(200));
-    assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(10), "the start took {:?}", started_at.elapsed());
     let deadline = Instant::now() + TIMEOUT;
     loop {
         let calls = destination.calls();
@@ -288,8 +292,8 @@
         assert!(Instant::now() < deadline, "discovery is not watched");
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(forwarder.submit_message("status", "asks", 2), 202);
-    wait_for_final_answers(&destination, &discovery, &["asks".to_owned()]);
+    assert_eq!(forwarder.submit_message("status", "after-reload", 2), 202);
+    wait_for_final_answers(&destination, &discovery, &["after-reload".to_owned()]);
     let lines: Vec<String> =
         forwarder.log.try_iter().filter(|line| line.contains("cannot accept a connection")).collect();
     assert!(lines.is_empty(), "{lines:?}");
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -45,6 +45,7 @@
 struct Member {
     folder: TemporaryFolder,
     address: SocketAddr,
+    /// The running process and the address of its console. `None` while the member is not running.
     process: Option<(ForwarderProcess, SocketAddr)>,
     /// The links to the members, by index. `None` for this member itself.
     links: Vec<Option<FaultProxy>>,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -230,7 +230,7 @@
 #[test]
 fn concurrent_proposals_are_committed_one_at_a_time_on_all_forwarders() {
     let fleet = fleet("race");
-    // Votes take a while, so that the second coordinator finds an open proposal.
+    // Delays the votes of one forwarder, so that the second coordinator finds an open proposal.
     fleet.consul_link(0).set_fault(NetworkFault::Delay(Duration::from_millis(150)));
     let processes: Vec<_> =
         (0..4).map(|n| start_proposing(&fleet, &harmless_policy(7_000_000 + n), &format!("op{n}"))).collect();
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -582,7 +582,7 @@
 
 // Guards against a request that is misread, rejected or lost because it arrives in pieces. Requests are split at each
 // of their bytes and at pairs of bytes. Also guards against connections that stop in the middle of a request and keep
-// out others.
+// other clients out.
 #[test]
 fn request_split_at_any_byte_is_accepted() {
     let (endpoint, calls) = scripted_server(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -189,8 +189,8 @@
         ClientLoad { class: "orders", ..ClientLoad::default() },
     );
     // Half of the stage's bake time is spent in the outage, so that the stage sees the failures.
-    // The margin is wide and the latency ratio excludes latency, because forwarders recover from an outage one by one
-    // at random moments.
+    // The margin is wide, and the latency ratio is too high to be exceeded, because forwarders recover from an outage
+    // one by one at random moments.
     let criteria = json!({"margin": 0.5, "z": 2.33, "min_ended": 60, "latency_ratio": 1000.0});
     let overrides = json!({"bake_ms": 3000, "max_bake_ms": 60000, "criteria": criteria});
     let plan = write_plan(&fleet, harmless_change(), overrides);
