--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,14 +5,14 @@
 use orchidyoke_core::interface::*;
 
 /// One millisecond, in microseconds.
-pub const MS: Micros = 1000;
+pub const MILLISECOND: Micros = 1000;
 /// One second, in microseconds.
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 
 pub fn class(class_idempotency: Idempotency) -> Class {
     Class {
-        latency_objective: 2500 * MS,
-        deadline: 16 * S,
+        latency_objective: 2500 * MILLISECOND,
+        deadline: 16 * SECOND,
         priority_weight: 1.0,
         late_weight_share: 0.5,
         idempotency: class_idempotency,
@@ -28,10 +28,10 @@
         fleet_size: 1,
         classes: vec![
             class(Idempotency::Idempotent),
-            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 10 * S }),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 10 * SECOND }),
             class(Idempotency::NonIdempotent),
             Class { keep_order: true, ..class(Idempotency::NonIdempotent) },
-            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 10 * S }),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 10 * SECOND }),
         ],
         kinds: vec![
             DestinationKind { max_batch: 1, separate_routes: false },
@@ -42,20 +42,20 @@
         max_open_messages: 100,
         max_attempts: 8,
         send_retry_after: true,
-        max_retry_after: 3 * S,
+        max_retry_after: 3 * SECOND,
         streams_per_connection: 1,
-        idle_timeout: 5 * S,
+        idle_timeout: 5 * SECOND,
         handshake_cost: 0.06,
         capacity_hints: CapacityHints::Nominal,
-        tick: 5 * MS,
-        final_answer_grace: 20 * MS,
-        max_poll_interval: 10 * S,
-        drain_grace: 500 * MS,
+        tick: 5 * MILLISECOND,
+        final_answer_grace: 20 * MILLISECOND,
+        max_poll_interval: 10 * SECOND,
+        drain_grace: 500 * MILLISECOND,
         overload_factor: 2.0,
-        overload_window: 2 * S,
+        overload_window: 2 * SECOND,
         cold_capacity_share: 0.2,
-        warm_up_time: 12 * S,
-        key_cooldown: 300 * MS,
+        warm_up_time: 12 * SECOND,
+        key_cooldown: 300 * MILLISECOND,
         ..Settings::default()
     }
 }
@@ -84,7 +84,7 @@
     pub fn new(settings: Settings, entries: &[EndpointUpdate]) -> Self {
         let mut harness = Harness {
             controller: Controller::new(settings, 7),
-            now: S,
+            now: SECOND,
             last_message_id: 0,
             attempts: std::collections::BTreeMap::new(),
         };
@@ -113,7 +113,7 @@
 
     pub fn message_with_key(&mut self, destination: DestinationId, class: usize, key: Option<u64>) -> Event {
         self.last_message_id += 1;
-        let (id, time_left) = (self.last_message_id, 16 * S);
+        let (id, time_left) = (self.last_message_id, 16 * SECOND);
         Event::Message { id, destination, class, tenant: 0, order_key: key, time_left, is_retry: false }
     }
 
@@ -129,7 +129,7 @@
             id,
             attempt,
             outcome,
-            latency: 100 * MS,
+            latency: 100 * MILLISECOND,
             message_finished: finished,
             retry_after: 0,
             reported_limit: None,
@@ -153,7 +153,7 @@
         for _ in 0..count {
             let sent = sends(&self.submit(destination, 0, 1));
             assert_eq!(sent.len(), 1, "an idle destination gets a message at once");
-            self.now += 100 * MS;
+            self.now += 100 * MILLISECOND;
             self.end_attempt(sent[0].0, Outcome::Success);
         }
     }
--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -35,7 +35,7 @@
             sent_after.extend(sends(&harness.end_attempt(*id, outcome)));
         }
         sent_after.extend(sends(&harness.end_attempt(sent[0].0, Outcome::Success)));
-        sent_after.extend(sends(&harness.advance(2 * S)));
+        sent_after.extend(sends(&harness.advance(2 * SECOND)));
         assert_eq!(sent_after.len(), 1, "{outcome:?}: three failures reduce the window to its floor");
     }
 }
@@ -47,7 +47,7 @@
     let id = sends(&harness.submit(1, 0, 1))[0].0;
     // One rejection halves the window down to its floor. Ten successes of retried messages leave it there.
     harness.end_attempt(id, Outcome::Rejected);
-    harness.now += 3 * S;
+    harness.now += 3 * SECOND;
     assert_eq!(sends(&harness.advance(0)).len(), 1);
     harness.end_attempt(id, Outcome::Success);
     for _ in 0..10 {
@@ -74,7 +74,7 @@
     harness.warm_up(1, 40);
     harness.warm_up(2, 40);
     assert_eq!(sends(&harness.submit(1, 0, 4)).len(), 4);
-    harness.advance(S);
+    harness.advance(SECOND);
     assert_eq!(
         sends(&harness.submit(1, 0, 9)).len(),
         0,
@@ -93,7 +93,7 @@
     for destination in 1..=2 {
         assert_eq!(sends(&harness.submit(destination, 0, 2)).len(), 2);
     }
-    harness.advance(S);
+    harness.advance(SECOND);
     for destination in 1..=2 {
         assert_eq!(
             sends(&harness.submit(destination, 0, 2)).len(),
@@ -161,14 +161,14 @@
         "one call to the new endpoint, although two are still in flight at the old one"
     );
     let mut answer = harness.answer(sent[0].0, Outcome::Rejected);
-    answer.retry_after = S;
+    answer.retry_after = SECOND;
     harness.step(&[Event::AttemptEnded(answer)]);
     harness.list(ListEventKind::Delta, &[removed(2)]);
     assert!(
         sends(&harness.list(ListEventKind::Delta, &[entry(3, 7, 0, 0)])).is_empty(),
         "the Retry-After still applies"
     );
-    assert_eq!(sends(&harness.advance(S)).len(), 1);
+    assert_eq!(sends(&harness.advance(SECOND)).len(), 1);
 }
 
 // Guards against memory that grows with the number of endpoints that have ever been listed.
@@ -177,10 +177,12 @@
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0), entry(2, 8, 0, 1)]);
     let mut sizes = Vec::new();
     for id in 1..200 {
-        harness.now += S;
+        harness.now += SECOND;
         let sent = sends(&harness.submit(7, 0, 1));
-        let removed =
-            |id, dest, kind| EndpointUpdate { state: EndpointState::Removed, ..entry(id, dest, 0, kind) };
+        let removed = |id, destination, kind| EndpointUpdate {
+            state: EndpointState::Removed,
+            ..entry(id, destination, 0, kind)
+        };
         let (old, new) = (2 * id - 1, 2 * id + 1);
         harness.list(ListEventKind::Delta, &[entry(new, 7, 0, 0), entry(new + 1, 8, 0, 1)]);
         harness.list(ListEventKind::Delta, &[removed(old, 7, 0), removed(old + 1, 8, 1)]);
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -20,7 +20,7 @@
     assert!(list.get("s1").is_some() && list.get("s2").is_some());
     list.apply(&event(&event_json(3, true, "s2", "terminating")));
     assert!(list.get("s1").is_none());
-    assert_eq!(list.get("s2").map(|t| t.state), Some(EndpointState::Draining));
+    assert_eq!(list.get("s2").map(|endpoint| endpoint.state), Some(EndpointState::Draining));
     list.apply(&event(&event_json(4, false, "s2", "terminated")));
     assert!(list.get("s2").is_none() && list.version() == 4);
 }
--- a/crates/core/tests/health_checks.rs
+++ b/crates/core/tests/health_checks.rs
@@ -17,20 +17,20 @@
     outcome: Outcome,
     endpoint: EndpointId,
 ) -> (usize, usize) {
-    let (mut all, mut to_endpoint, mut calls) = (0, 0, Vec::new());
+    let (mut total, mut to_endpoint, mut calls) = (0, 0, Vec::new());
     let until = harness.now + span;
     while harness.now < until || !calls.is_empty() {
         if harness.now < until {
             calls.extend(sends(&harness.submit(1, 0, 1)));
         }
-        harness.now += 50 * MS;
+        harness.now += 50 * MILLISECOND;
         for (id, to, _) in std::mem::take(&mut calls) {
-            (all, to_endpoint) = (all + 1, to_endpoint + usize::from(to == endpoint));
+            (total, to_endpoint) = (total + 1, to_endpoint + usize::from(to == endpoint));
             calls.extend(sends(&harness.end_attempt(id, outcome)));
         }
         calls.extend(sends(&harness.advance(0)));
     }
-    (all, to_endpoint)
+    (total, to_endpoint)
 }
 
 // Guards against a call that was in flight when the health check became critical: its success started the ramp, which
@@ -39,23 +39,23 @@
 fn success_sent_before_a_critical_health_check_does_not_start_recovery() {
     for sent_before in [true, false] {
         let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Passing)]);
-        count_calls(&mut harness, 5 * S, Outcome::Success, 1);
+        count_calls(&mut harness, 5 * SECOND, Outcome::Success, 1);
         let mut calls = Vec::new();
         if sent_before {
             calls = sends(&harness.submit(1, 0, 1));
         }
-        harness.now += 10 * MS;
+        harness.now += 10 * MILLISECOND;
         harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
-        harness.now += 10 * MS;
+        harness.now += 10 * MILLISECOND;
         if !sent_before {
             while calls.is_empty() {
                 calls = sends(&harness.submit(1, 0, 1));
-                harness.now += 50 * MS;
+                harness.now += 50 * MILLISECOND;
             }
         }
         harness.end_attempt(calls[0].0, Outcome::Success);
         // A ramp takes 12 s. If the success started one, the ramp ends within these 13 s.
-        harness.advance(13 * S);
+        harness.advance(13 * SECOND);
         assert_eq!(
             harness.controller.faulty_routes().is_empty(),
             !sent_before,
@@ -72,10 +72,10 @@
             &[listed(1, kind, HealthStatus::Passing), listed(2, kind, HealthStatus::Passing)],
         );
         harness.list(ListEventKind::Delta, &[listed(2, kind, HealthStatus::Critical)]);
-        let (all, to_endpoint) = count_calls(&mut harness, 5 * S, Outcome::Success, 2);
+        let (total, to_endpoint) = count_calls(&mut harness, 5 * SECOND, Outcome::Success, 2);
         assert!(
-            all >= 90 && to_endpoint == 0,
-            "kind {kind}: {all} calls, {to_endpoint} to the critical endpoint"
+            total >= 90 && to_endpoint == 0,
+            "kind {kind}: {total} calls, {to_endpoint} to the critical endpoint"
         );
         assert_eq!(harness.controller.faulty_routes().is_empty(), kind == 0, "a separate route is faulty");
     }
@@ -85,12 +85,12 @@
 fn endpoint_with_warning_is_chosen_last() {
     let mut harness =
         Harness::new(settings(), &[listed(1, 0, HealthStatus::Warning), listed(2, 0, HealthStatus::Passing)]);
-    assert_eq!(count_calls(&mut harness, 2 * S, Outcome::Success, 1).1, 0);
+    assert_eq!(count_calls(&mut harness, 2 * SECOND, Outcome::Success, 1).1, 0);
     harness.list(
         ListEventKind::Delta,
         &[EndpointUpdate { state: EndpointState::Draining, ..listed(2, 0, HealthStatus::Passing) }],
     );
-    assert!(count_calls(&mut harness, 2 * S, Outcome::Success, 1).1 >= 30);
+    assert!(count_calls(&mut harness, 2 * SECOND, Outcome::Success, 1).1 >= 30);
     assert!(harness.controller.faulty_routes().is_empty());
 }
 
@@ -100,10 +100,10 @@
 fn passing_health_check_alone_does_not_end_ejection() {
     for state in [EndpointState::Active, EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Passing)]);
-        count_calls(&mut harness, 5 * S, Outcome::Success, 1);
+        count_calls(&mut harness, 5 * SECOND, Outcome::Success, 1);
         harness
             .list(ListEventKind::Delta, &[EndpointUpdate { state, ..listed(1, 0, HealthStatus::Critical) }]);
-        harness.advance(5 * S);
+        harness.advance(5 * SECOND);
         // Trial calls in the meantime do not belong to this test. They have ended before the endpoint returns.
         for (id, ..) in sends(&harness.submit(1, 0, 30)) {
             harness.end_attempt(id, Outcome::Timeout);
@@ -113,7 +113,7 @@
         let (mut sent, mut calls) = (0, sends(&harness.list(ListEventKind::Delta, &[listed_again])));
         assert!(!harness.controller.faulty_routes().is_empty(), "{state:?}: the route is still faulty");
         for _ in 0..20 {
-            calls.extend(sends(&harness.advance(100 * MS)));
+            calls.extend(sends(&harness.advance(100 * MILLISECOND)));
             sent += calls.len();
             for (id, ..) in std::mem::take(&mut calls) {
                 calls.extend(sends(&harness.end_attempt(id, Outcome::Success)));
@@ -128,12 +128,12 @@
 fn call_outcomes_overrule_health_checks() {
     let mut harness = Harness::new(settings(), &[listed(1, 0, HealthStatus::Critical)]);
     assert!(!harness.controller.faulty_routes().is_empty());
-    count_calls(&mut harness, 14 * S, Outcome::Success, 1);
+    count_calls(&mut harness, 14 * SECOND, Outcome::Success, 1);
     assert!(harness.controller.faulty_routes().is_empty(), "successful calls end the fault");
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Critical)]);
     assert!(harness.controller.faulty_routes().is_empty(), "an unchanged health check changes nothing");
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
-    count_calls(&mut harness, 5 * S, Outcome::Reset, 1);
+    count_calls(&mut harness, 5 * SECOND, Outcome::Reset, 1);
     harness.list(ListEventKind::Delta, &[listed(1, 0, HealthStatus::Passing)]);
     assert!(
         !harness.controller.faulty_routes().is_empty(),
@@ -145,17 +145,17 @@
 // it: a destination with a capacity of 400 calls a second got all queued messages once its budget reached 64 calls in
 // 2 s.
 #[test]
-fn large_slow_start_budget_is_kept() {
-    let set = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
+fn calls_stay_within_a_large_slow_start_budget() {
+    let custom_settings = Settings { max_calls: 400, max_open_messages: 4000, ..settings() };
     let large = |status| EndpointUpdate { capacity_hint: 400.0, ..listed(1, 0, status) };
-    let mut harness = Harness::new(set, &[large(HealthStatus::Passing)]);
+    let mut harness = Harness::new(custom_settings, &[large(HealthStatus::Passing)]);
     harness.list(ListEventKind::Delta, &[large(HealthStatus::Critical)]);
     let mut calls = sends(&harness.list(ListEventKind::Delta, &[large(HealthStatus::Passing)]));
     calls.extend(sends(&harness.submit(1, 0, 3000)));
     let mut call_times = Vec::new();
     for _ in 0..400 {
         call_times.extend(calls.iter().map(|_| harness.now));
-        harness.now += 20 * MS;
+        harness.now += 20 * MILLISECOND;
         for (id, ..) in std::mem::take(&mut calls) {
             calls.extend(sends(&harness.end_attempt(id, Outcome::Success)));
         }
@@ -163,13 +163,13 @@
     }
     let recovered_at = call_times[0];
     for (index, at) in call_times.iter().enumerate() {
-        let span = call_times[index..].iter().take_while(|other| **other - at < 2 * S).count();
-        let warm = (at + 2 * S - recovered_at) as f64 / (12 * S) as f64;
-        let limit = 2.0 * 2.0 * 400.0 * (0.2 + 0.8 * warm.min(1.0));
+        let calls_in_span = call_times[index..].iter().take_while(|other| **other - at < 2 * SECOND).count();
+        let ramp_part = (at + 2 * SECOND - recovered_at) as f64 / (12 * SECOND) as f64;
+        let limit = 2.0 * 2.0 * 400.0 * (0.2 + 0.8 * ramp_part.min(1.0));
         assert!(
-            span as f64 <= limit,
-            "{span} calls in 2 s at {} s, more than {limit}",
-            (at - recovered_at) / S
+            calls_in_span as f64 <= limit,
+            "{calls_in_span} calls in 2 s at {} s, more than {limit}",
+            (at - recovered_at) / SECOND
         );
     }
     assert!(call_times.len() > 1000, "most of the budget is unused: {} calls", call_times.len());
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -6,8 +6,8 @@
 use orchidyoke_core::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: Micros = 1000;
-const S: Micros = 1_000_000;
+const MILLISECOND: Micros = 1000;
+const SECOND: Micros = 1_000_000;
 /// Outcomes to draw from. Repeated ones are drawn more often.
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Success,
@@ -24,8 +24,8 @@
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
     let class = |class_idempotency, keep_order| Class {
-        latency_objective: 2 * S,
-        deadline: 8 * S,
+        latency_objective: 2 * SECOND,
+        deadline: 8 * SECOND,
         priority_weight: 1.0,
         late_weight_share: 0.3,
         idempotency: class_idempotency,
@@ -35,8 +35,8 @@
         fleet_size: rng.u32(1..4),
         classes: vec![
             class(Idempotency::Idempotent, false),
-            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 3 * S }, false),
-            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 3 * S }, false),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 3 * SECOND }, false),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 3 * SECOND }, false),
             class(Idempotency::NonIdempotent, false),
             class(Idempotency::NonIdempotent, true),
             class(Idempotency::Idempotent, true),
@@ -51,19 +51,19 @@
         max_open_messages: rng.usize(1..60),
         max_attempts: rng.u32(1..6),
         send_retry_after: rng.bool(),
-        max_retry_after: 3 * S,
+        max_retry_after: 3 * SECOND,
         streams_per_connection: rng.usize(0..3),
-        idle_timeout: 5 * S,
+        idle_timeout: 5 * SECOND,
         capacity_hints: CapacityHints::Rough,
         discovery_mode: if rng.bool() { DiscoveryMode::Push } else { DiscoveryMode::Poll },
-        tick: 5 * MS,
-        final_answer_grace: 20 * MS,
-        max_poll_interval: 10 * S,
+        tick: 5 * MILLISECOND,
+        final_answer_grace: 20 * MILLISECOND,
+        max_poll_interval: 10 * SECOND,
         overload_factor: 2.0,
-        overload_window: 2 * S,
+        overload_window: 2 * SECOND,
         cold_capacity_share: 0.2,
-        warm_up_time: 10 * S,
-        key_cooldown: 300 * MS,
+        warm_up_time: 10 * SECOND,
+        key_cooldown: 300 * MILLISECOND,
         ..Settings::default()
     }
 }
@@ -104,7 +104,7 @@
             controller: Controller::new(settings.clone(), seed),
             settings,
             rng,
-            now: 77 * S,
+            now: 77 * SECOND,
             entries: BTreeMap::new(),
             messages: BTreeMap::new(),
             in_flight: BTreeMap::new(),
@@ -163,7 +163,7 @@
         let id = self.messages.len() as MessageId;
         let (class, destination) = (self.rng.usize(0..6), self.rng.u64(0..5));
         let key = (class >= 4).then(|| self.rng.u64(0..3));
-        let time_left = self.rng.i64(-10 * MS..8 * S);
+        let time_left = self.rng.i64(-10 * MILLISECOND..8 * SECOND);
         let deadline = self.now + time_left;
         let (in_flight, possible_delivery) = (BTreeSet::new(), None);
         let state = MessageState {
@@ -183,8 +183,11 @@
 
     fn outcome(&mut self, attempt: (MessageId, u32), outcome: Outcome) -> Event {
         let (endpoint, sent, _) = self.in_flight.remove(&attempt).expect("an attempt in flight");
-        let pause =
-            if outcome == Outcome::Rejected && self.rng.bool() { self.rng.i64(1..900) * MS } else { 0 };
+        let pause = if outcome == Outcome::Rejected && self.rng.bool() {
+            self.rng.i64(1..900) * MILLISECOND
+        } else {
+            0
+        };
         if pause > 0 {
             let until = self.retry_after_ends.entry(self.route(endpoint)).or_default();
             *until = (*until).max(self.now + pause);
@@ -363,7 +366,7 @@
     let mut world = World::new(seed);
     for _ in 0..1500 {
         world.step();
-        world.now += 5 * MS * world.rng.i64(1..4);
+        world.now += 5 * MILLISECOND * world.rng.i64(1..4);
     }
     world.trace
 }
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -13,7 +13,7 @@
     harness.submit(1, 0, 1);
     for attempt in 1..=3 {
         let mut actions = harness.end_attempt(1, Outcome::ConnectFailed);
-        actions.extend(harness.advance(4 * S));
+        actions.extend(harness.advance(4 * SECOND));
         assert_eq!(sends(&actions).len(), usize::from(attempt < 3));
         assert_eq!(rejected(&actions).len(), usize::from(attempt == 3));
     }
@@ -27,7 +27,7 @@
     let rejections = rejected(&actions);
     assert_eq!(rejections.len(), 3);
     assert!(
-        rejections.iter().all(|r| r.1 > 0 && r.1 <= 3 * S),
+        rejections.iter().all(|r| r.1 > 0 && r.1 <= 3 * SECOND),
         "the Retry-After is positive and within its maximum"
     );
     assert!(rejections.iter().all(|r| r.0 > 4), "the last messages are shed");
@@ -128,7 +128,7 @@
     assert!(sends(&harness.submit(1, 0, 4)).is_empty(), "a batch of four of five waits");
     assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 5, "a full batch is sent");
     assert!(sends(&harness.submit(1, 0, 2)).is_empty());
-    assert_eq!(sends(&harness.advance(2 * S)).len(), 2, "hanging calls do not delay a batch");
+    assert_eq!(sends(&harness.advance(2 * SECOND)).len(), 2, "hanging calls do not delay a batch");
 }
 
 #[test]
@@ -138,9 +138,9 @@
     let first = sends(&harness.submit(1, 0, 1))[0].0;
     for _ in 0..3 {
         harness.submit(1, 0, 1);
-        harness.advance(500 * MS);
+        harness.advance(500 * MILLISECOND);
     }
-    harness.advance(3 * S);
+    harness.advance(3 * SECOND);
     let next = sends(&harness.end_attempt(first, Outcome::Success));
     assert_eq!(
         next.iter().map(|s| s.0).collect::<Vec<_>>(),
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn invalid_reported_limit_does_not_pace() {
+fn invalid_capacity_hint_or_unusual_fleet_size_does_not_stop_calls() {
     // Guards against a missing or invalid capacity hint, or an unusual fleet size, that stops deliveries.
     for hint in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         for fleet_size in [0, 1, 100, u32::MAX] {
@@ -168,7 +168,7 @@
         for _ in 0..10 {
             if let Some(call) = sends(&harness.submit(1, 0, 1)).first() {
                 sent += 1;
-                harness.now += 100 * MS;
+                harness.now += 100 * MILLISECOND;
                 harness.step(&[Event::Withdrawn { id: call.0 }]);
                 harness.end_attempt(call.0, Outcome::Success);
             }
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -9,10 +9,12 @@
 fn unsendable_message_is_rejected_once_before_its_deadline() {
     let mut harness = Harness::new(settings(), &[]);
     harness.submit(9, 2, 1);
-    assert!(harness.advance(16 * S - 80 * MS).iter().all(|a| matches!(a, Action::Timer { .. })));
-    let actions = harness.advance(20 * MS);
+    assert!(
+        harness.advance(16 * SECOND - 80 * MILLISECOND).iter().all(|a| matches!(a, Action::Timer { .. }))
+    );
+    let actions = harness.advance(20 * MILLISECOND);
     assert_eq!(rejected(&actions).len(), 1, "a message that was never sent may be rejected");
-    assert!(rejected(&harness.advance(S)).is_empty() && failed(&harness.advance(S)).is_empty());
+    assert!(rejected(&harness.advance(SECOND)).is_empty() && failed(&harness.advance(SECOND)).is_empty());
 }
 
 #[test]
@@ -20,7 +22,7 @@
     // Guards against a final answer that is decided so late that it is given after the deadline if the forwarder, which
     // has only part of a core, is descheduled for a short time (28 ms or more occur). Checks queued messages and calls
     // in flight.
-    let (pause, set) = (50 * MS, settings());
+    let (pause, used_settings) = (50 * MILLISECOND, settings());
     let timer = |actions: &[Action]| {
         let delay = |a: &Action| if let Action::Timer { delay, .. } = a { Some(*delay) } else { None };
         actions.iter().find_map(delay)
@@ -30,12 +32,16 @@
     while let actions = queued.advance(timer_delay)
         && rejected(&actions).is_empty()
     {
-        timer_delay = timer(&actions).unwrap_or(MS);
+        timer_delay = timer(&actions).unwrap_or(MILLISECOND);
     }
-    assert!(queued.now + pause <= 17 * S, "final answer at {}", queued.now);
+    assert!(queued.now + pause <= 17 * SECOND, "final answer at {}", queued.now);
     let mut in_flight = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     let sent = sends(&in_flight.submit(1, 2, 1));
-    assert!(sent[0].2 + pause + set.tick <= 16 * S, "a non-idempotent call ends after {}", sent[0].2);
+    assert!(
+        sent[0].2 + pause + used_settings.tick <= 16 * SECOND,
+        "a non-idempotent call ends after {}",
+        sent[0].2
+    );
 }
 
 #[test]
@@ -44,7 +50,7 @@
     harness.submit(1, 0, 2);
     harness.step(&[Event::Withdrawn { id: 2 }]);
     assert!(sends(&harness.end_attempt(1, Outcome::Success)).is_empty());
-    assert!(rejected(&harness.advance(20 * S)).is_empty());
+    assert!(rejected(&harness.advance(20 * SECOND)).is_empty());
 }
 
 #[test]
@@ -54,7 +60,7 @@
         let id = sends(&harness.submit(1, 2, 1))[0].0;
         let actions = harness.end_attempt(id, outcome);
         assert_eq!(failed(&actions), [id], "{outcome:?}");
-        assert!(rejected(&actions).is_empty() && sends(&harness.advance(5 * S)).is_empty());
+        assert!(rejected(&actions).is_empty() && sends(&harness.advance(5 * SECOND)).is_empty());
     }
 }
 
@@ -68,7 +74,7 @@
         sends(&harness.submit(1, class, 1))[0].2
     };
     assert_eq!(timeout(2), timeout(0));
-    assert!(timeout(2) <= 6 * S, "the time-out is well before the deadline of 16 s");
+    assert!(timeout(2) <= 6 * SECOND, "the time-out is well before the deadline of 16 s");
 }
 
 #[test]
@@ -77,7 +83,7 @@
         let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
         let id = sends(&harness.submit(1, 2, 1))[0].0;
         let mut retries = sends(&harness.end_attempt(id, outcome));
-        retries.extend(sends(&harness.advance(7 * S)));
+        retries.extend(sends(&harness.advance(7 * SECOND)));
         assert_eq!(retries.len(), 1, "{outcome:?}");
     }
 }
@@ -90,8 +96,8 @@
     assert_eq!(first, 1, "the forwarder's own zone is preferred");
     harness.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Removed, ..zones[0] }]);
     harness.end_attempt(id, Outcome::Timeout);
-    assert!(sends(&harness.advance(5 * S)).is_empty(), "the other zone would not drop the repeat");
-    let actions = harness.advance(5 * S);
+    assert!(sends(&harness.advance(5 * SECOND)).is_empty(), "the other zone would not drop the repeat");
+    let actions = harness.advance(5 * SECOND);
     assert_eq!(failed(&actions), [id], "after its key window the message can be neither sent nor rejected");
 }
 
@@ -104,7 +110,7 @@
     assert_eq!(retries.iter().map(|s| s.1).collect::<Vec<_>>(), [2]);
     harness.end_attempt(id, Outcome::Error);
     harness.list(ListEventKind::Snapshot, &[]);
-    assert_eq!(rejected(&harness.advance(15 * S)).len(), 1);
+    assert_eq!(rejected(&harness.advance(15 * SECOND)).len(), 1);
 }
 
 #[test]
@@ -122,16 +128,17 @@
 
 #[test]
 fn retry_after_holds_for_the_destination_or_its_separate_route() {
-    for (kind, others) in [(0, 0), (1, 1)] {
+    for (kind, calls_to_others) in [(0, 0), (1, 1)] {
         let mut harness = Harness::new(settings(), &[entry(1, 1, 0, kind), entry(2, 1, 0, kind)]);
         let id = sends(&harness.submit(1, 0, 1))[0].0;
-        let answer = AttemptResult { retry_after: 700 * MS, ..harness.answer(id, Outcome::Rejected) };
-        let now = sends(&harness.step(&[Event::AttemptEnded(answer)]));
-        assert_eq!(now.len(), others, "kind {kind}");
+        let answer =
+            AttemptResult { retry_after: 700 * MILLISECOND, ..harness.answer(id, Outcome::Rejected) };
+        let sent = sends(&harness.step(&[Event::AttemptEnded(answer)]));
+        assert_eq!(sent.len(), calls_to_others, "kind {kind}");
         assert!(sends(&harness.submit(1, 0, 1)).is_empty());
-        assert!(sends(&harness.advance(699 * MS)).is_empty());
+        assert!(sends(&harness.advance(699 * MILLISECOND)).is_empty());
         assert!(
-            !sends(&harness.advance(7 * S)).is_empty(),
+            !sends(&harness.advance(7 * SECOND)).is_empty(),
             "calls continue after the Retry-After and a pause"
         );
     }
@@ -147,10 +154,10 @@
             ..harness.answer(sent[n].0, Outcome::Rejected)
         })
     };
-    let answers = [answer(0, 300 * MS), answer(1, 900 * MS)];
+    let answers = [answer(0, 300 * MILLISECOND), answer(1, 900 * MILLISECOND)];
     harness.step(&answers);
-    assert!(sends(&harness.advance(899 * MS)).is_empty());
-    assert_eq!(sends(&harness.advance(7 * S)).len(), 2);
+    assert!(sends(&harness.advance(899 * MILLISECOND)).is_empty());
+    assert_eq!(sends(&harness.advance(7 * SECOND)).len(), 2);
 }
 
 // Guards against a Retry-After that is ignored because the answer was a success.
@@ -158,10 +165,10 @@
 fn retry_after_holds_whatever_the_outcome() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.submit(1, 0, 1);
-    let answer = AttemptResult { retry_after: 500 * MS, ..harness.answer(1, Outcome::Success) };
+    let answer = AttemptResult { retry_after: 500 * MILLISECOND, ..harness.answer(1, Outcome::Success) };
     harness.step(&[Event::AttemptEnded(answer)]);
     assert!(sends(&harness.submit(1, 0, 1)).is_empty());
-    harness.now += 500 * MS;
+    harness.now += 500 * MILLISECOND;
     assert_eq!(sends(&harness.step(&[Event::Timer { token: 0 }])).len(), 1);
 }
 
@@ -175,10 +182,10 @@
     let after = harness.end_attempt(2, Outcome::Timeout);
     assert_eq!(failed(&after), [2]);
     assert!(
-        sends(&after).is_empty() && sends(&harness.advance(299 * MS)).is_empty(),
+        sends(&after).is_empty() && sends(&harness.advance(299 * MILLISECOND)).is_empty(),
         "the key is in its cooldown"
     );
-    assert_eq!(sends(&harness.advance(MS)).iter().map(|s| s.0).collect::<Vec<_>>(), [3]);
+    assert_eq!(sends(&harness.advance(MILLISECOND)).iter().map(|s| s.0).collect::<Vec<_>>(), [3]);
 }
 
 #[test]
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -15,8 +15,8 @@
     let mut has_recovered = false;
     let mut in_flight: Vec<MessageId> = Vec::new();
     let start = harness.now;
-    while harness.now < start + 30 * S {
-        has_recovered |= harness.now > start + 10 * S;
+    while harness.now < start + 30 * SECOND {
+        has_recovered |= harness.now > start + 10 * SECOND;
         let mut events: Vec<Event> = in_flight
             .drain(..)
             .map(|id| {
@@ -26,21 +26,23 @@
             })
             .collect();
         events.push(harness.message(1, 0));
-        harness.now += 50 * MS;
+        harness.now += 50 * MILLISECOND;
         let sent = sends(&harness.step(&events));
         arrivals.extend(sent.iter().map(|_| harness.now));
         in_flight.extend(sent.iter().map(|s| s.0));
     }
     // The capacity is 7 calls a second and starts at a fifth of that. More than twice the present capacity overloads
     // the destination, so no span of two seconds may have more calls than that.
-    for at in (10..20).map(|s| start + s * S) {
-        let count = arrivals.iter().filter(|a| (at..at + 2 * S).contains(*a)).count();
-        let part = 0.2 + 0.8 * ((at - start - 9 * S) as f64 / (12 * S) as f64).min(1.0);
+    for at in (10..20).map(|s| start + s * SECOND) {
+        let count = arrivals.iter().filter(|a| (at..at + 2 * SECOND).contains(*a)).count();
+        let part = 0.2 + 0.8 * ((at - start - 9 * SECOND) as f64 / (12 * SECOND) as f64).min(1.0);
         assert!(count as f64 <= 2.0 * 7.0 * part * 2.0, "{count} calls in the span from {at}");
     }
-    let during_outage = arrivals.iter().filter(|a| (start + 4 * S..start + 10 * S).contains(*a)).count();
+    let during_outage =
+        arrivals.iter().filter(|a| (start + 4 * SECOND..start + 10 * SECOND).contains(*a)).count();
     assert!((1..=20).contains(&during_outage), "a few trial calls during the outage: {during_outage}");
-    let after_ramp = arrivals.iter().filter(|a| (start + 24 * S..start + 28 * S).contains(*a)).count();
+    let after_ramp =
+        arrivals.iter().filter(|a| (start + 24 * SECOND..start + 28 * SECOND).contains(*a)).count();
     assert!(after_ramp >= 60, "full load after the ramp: {after_ramp} calls");
 }
 
@@ -52,7 +54,7 @@
     for round in 0..30 {
         let sent = sends(&harness.submit(1, 0, 1));
         let Some((id, ..)) = sent.first().copied() else { panic!("round {round}: nothing is sent") };
-        harness.now += 300 * MS;
+        harness.now += 300 * MILLISECOND;
         harness.step(&[Event::Withdrawn { id }]);
         harness.end_attempt(id, if round % 4 == 3 { Outcome::Success } else { Outcome::Timeout });
     }
@@ -70,17 +72,18 @@
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         for _ in 0..5 {
             harness.warm_up(1, 1);
-            harness.now += 1900 * MS;
+            harness.now += 1900 * MILLISECOND;
         }
         let id = sends(&harness.submit(1, 0, 1))[0].0;
         for gaps in &mut gaps {
             let rejected_at = harness.now;
-            let answer = AttemptResult { retry_after: 10 * MS, ..harness.answer(id, Outcome::Rejected) };
+            let answer =
+                AttemptResult { retry_after: 10 * MILLISECOND, ..harness.answer(id, Outcome::Rejected) };
             assert!(
                 sends(&harness.step(&[Event::AttemptEnded(answer)])).is_empty(),
                 "no call directly after a rejection"
             );
-            while sends(&harness.advance(20 * MS)).is_empty() {}
+            while sends(&harness.advance(20 * MILLISECOND)).is_empty() {}
             gaps.push(harness.now - rejected_at);
         }
         assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 0);
@@ -90,7 +93,7 @@
     // The route served 6 calls in 10 s. 0.64 of that is twice the rate that a cold destination of this size accepts:
     // one call in 2.6 s.
     assert!(
-        (S..1800 * MS).contains(&mean(&gaps[0])),
+        (SECOND..1800 * MILLISECOND).contains(&mean(&gaps[0])),
         "mean pause after the first rejection: {}",
         mean(&gaps[0])
     );
@@ -101,7 +104,7 @@
     let spread = |gaps: &[Micros]| (*gaps.iter().min().unwrap(), *gaps.iter().max().unwrap());
     let (soonest, latest) = spread(&gaps[0]);
     assert!(
-        soonest < 300 * MS && latest > 2 * S && latest < 3 * S,
+        soonest < 300 * MILLISECOND && latest > 2 * SECOND && latest < 3 * SECOND,
         "pauses are not spread out: {soonest} to {latest}"
     );
 }
@@ -109,18 +112,18 @@
 /// Simulates forwarders with one destination that serves, rejects all calls from 30 s to 45 s, and serves again.
 /// Returns the most calls in any span of two seconds after the recovery, and the number of calls served by 75 s.
 fn calls_after_recovery(forwarders: u32, seed: u64) -> (usize, usize) {
-    let set = Settings {
+    let custom_settings = Settings {
         fleet_size: forwarders,
         capacity_hints: CapacityHints::None,
         max_calls: 4,
         max_open_messages: 28,
         ..settings()
     };
-    let (start, mut rng) = (100 * S, fastrand::Rng::with_seed(seed));
+    let (start, mut rng) = (100 * SECOND, fastrand::Rng::with_seed(seed));
     let mut fleet: Vec<Harness> = Vec::new();
     for n in 0..forwarders {
-        let mut harness = Harness::new(set.clone(), &[]);
-        harness.controller = Controller::new(set.clone(), seed * 1000 + u64::from(n));
+        let mut harness = Harness::new(custom_settings.clone(), &[]);
+        harness.controller = Controller::new(custom_settings.clone(), seed * 1000 + u64::from(n));
         harness.now = start;
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         fleet.push(harness);
@@ -128,13 +131,13 @@
     let mut in_flight: Vec<Vec<(Micros, MessageId, Outcome)>> = vec![Vec::new(); fleet.len()];
     let (mut calls, mut served) = (Vec::new(), 0);
     for tick in 1..1500 {
-        let at = tick * 50 * MS;
+        let at = tick * 50 * MILLISECOND;
         for (harness, in_flight) in fleet.iter_mut().zip(&mut in_flight) {
             harness.now = start + at;
             let mut events = vec![Event::Timer { token: u64::MAX }];
             // All forwarders together get two messages a second. At 41 s every second forwarder on average gets one
             // more.
-            let extra_message = at == 41 * S && rng.bool();
+            let extra_message = at == 41 * SECOND && rng.bool();
             if extra_message || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
                 events.push(harness.message(1, 0));
             }
@@ -144,9 +147,9 @@
             served += in_flight.iter().filter(|o| o.0 <= at && o.2 == Outcome::Success).count();
             in_flight.retain(|o| o.0 > at);
             for (id, ..) in sends(&harness.step(&events)) {
-                let rejected = (30 * S..45 * S).contains(&at);
+                let rejected = (30 * SECOND..45 * SECOND).contains(&at);
                 in_flight.push((
-                    at + 150 * MS,
+                    at + 150 * MILLISECOND,
                     id,
                     if rejected { Outcome::Rejected } else { Outcome::Success },
                 ));
@@ -154,8 +157,8 @@
             }
         }
     }
-    let in_span = |from: Micros| calls.iter().filter(|at| (from..from + 2 * S).contains(*at)).count();
-    let max_calls_in_span = (0..40).map(|n| in_span(45 * S + n * 50 * MS)).max().unwrap_or(0);
+    let in_span = |from: Micros| calls.iter().filter(|at| (from..from + 2 * SECOND).contains(*at)).count();
+    let max_calls_in_span = (0..40).map(|n| in_span(45 * SECOND + n * 50 * MILLISECOND)).max().unwrap_or(0);
     (max_calls_in_span, served)
 }
 
@@ -182,34 +185,34 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 9);
     let id = sends(&harness.submit(1, 0, 1))[0].0;
-    let answer = AttemptResult { retry_after: 400 * MS, ..harness.answer(id, Outcome::Rejected) };
+    let answer = AttemptResult { retry_after: 400 * MILLISECOND, ..harness.answer(id, Outcome::Rejected) };
     assert!(sends(&harness.step(&[Event::AttemptEnded(answer)])).is_empty());
-    assert_eq!(sends(&harness.advance(400 * MS)).len(), 1);
+    assert_eq!(sends(&harness.advance(400 * MILLISECOND)).len(), 1);
 }
 
 #[test]
 fn trial_calls_of_a_fleet_are_spread_by_chance() {
     // Guards against one call (a budget rounded up) from each of hundreds of forwarders that saw a call fail.
-    let set = Settings { fleet_size: 200, ..settings() };
+    let custom_settings = Settings { fleet_size: 200, ..settings() };
     let mut calls = 0;
     for seed in 0..100 {
         let fast = EndpointUpdate { capacity_hint: 200.0, ..entry(1, 1, 0, 0) };
-        let mut harness = Harness::new(set.clone(), &[fast]);
-        harness.controller = Controller::new(set.clone(), seed);
+        let mut harness = Harness::new(custom_settings.clone(), &[fast]);
+        harness.controller = Controller::new(custom_settings.clone(), seed);
         harness.list(ListEventKind::Snapshot, &[fast]);
         let mut sent = sends(&harness.submit(1, 0, 1));
         for _ in 0..3 {
             for _ in 0..20 {
                 // The share of this forwarder is one call a second.
-                sent.extend(sends(&harness.advance(if sent.is_empty() { 50 * MS } else { 0 })));
+                sent.extend(sends(&harness.advance(if sent.is_empty() { 50 * MILLISECOND } else { 0 })));
             }
             assert_eq!(sent.len(), 1);
-            harness.now += 800 * MS;
+            harness.now += 800 * MILLISECOND;
             sent = sends(&harness.end_attempt(1, Outcome::Timeout));
         }
         calls += sent.len();
         for _ in 0..40 {
-            calls += sends(&harness.advance(50 * MS)).len();
+            calls += sends(&harness.advance(50 * MILLISECOND)).len();
         }
     }
     // The present capacity is a fifth of 200 calls a second, and more than twice the present capacity overloads the
@@ -220,9 +223,11 @@
 #[test]
 fn two_failed_connections_do_not_eject() {
     // Guards against a ramp that starts because a connection table was full for a moment.
-    let set = Settings { connect_timeout: S, ..settings() };
-    let mut harness =
-        Harness::new(set, &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }, entry(2, 2, 0, 0)]);
+    let custom_settings = Settings { connect_timeout: SECOND, ..settings() };
+    let mut harness = Harness::new(
+        custom_settings,
+        &[EndpointUpdate { capacity_hint: 1.0, ..entry(1, 1, 0, 0) }, entry(2, 2, 0, 0)],
+    );
     let id = sends(&harness.submit(2, 0, 1))[0].0;
     assert!(
         !harness.end_attempt(id, Outcome::Success).contains(&Action::CloseIdle { endpoint: 2 }),
@@ -234,11 +239,11 @@
         let failed_at = harness.now;
         id = loop {
             let mut next = sends(&harness.submit(1, 0, 1));
-            next.extend(sends(&harness.advance(50 * MS)));
+            next.extend(sends(&harness.advance(50 * MILLISECOND)));
             if let Some(sent) = next.first() {
                 break sent.0;
             }
-            assert!(harness.now - failed_at < 32 * S, "the route is not ejected and opens again");
+            assert!(harness.now - failed_at < 32 * SECOND, "the route is not ejected and opens again");
         };
     }
     let id = sends(&harness.submit(2, 0, 1))[0].0;
@@ -250,7 +255,7 @@
 fn brief_rejections_neither_eject_nor_start_a_ramp() {
     // Guards against a ramp of twelve seconds that starts after one or two seconds over the limit, or after a few
     // seconds more if this forwarder's calls are rare anyway.
-    let rate_after = |outcome: Outcome, success_interval: Micros, failure_interval: Micros| {
+    let served_after = |outcome: Outcome, success_interval: Micros, failure_interval: Micros| {
         let mut harness =
             Harness::new(settings(), &[EndpointUpdate { capacity_hint: 3.0, ..entry(1, 1, 0, 0) }]);
         for _ in 0..30 {
@@ -265,9 +270,9 @@
         }
         let mut served = 0;
         let mut sent = sends(&harness.submit(1, 0, 60));
-        let end = harness.now + 4 * S;
+        let end = harness.now + 4 * SECOND;
         while harness.now < end {
-            harness.now += 50 * MS;
+            harness.now += 50 * MILLISECOND;
             let mut next = Vec::new();
             for (id, ..) in sent.drain(..) {
                 served += 1;
@@ -278,10 +283,12 @@
         }
         served
     };
-    for (success_interval, failure_interval) in [(0, 800 * MS), (1400 * MS, 1200 * MS)] {
+    for (success_interval, failure_interval) in
+        [(0, 800 * MILLISECOND), (1400 * MILLISECOND, 1200 * MILLISECOND)]
+    {
         let (rejected, broken) = (
-            rate_after(Outcome::Rejected, success_interval, failure_interval),
-            rate_after(Outcome::Reset, success_interval, failure_interval),
+            served_after(Outcome::Rejected, success_interval, failure_interval),
+            served_after(Outcome::Reset, success_interval, failure_interval),
         );
         assert!(rejected > 2 * broken, "{rejected} served after rejections, {broken} after resets");
     }
--- a/crates/core/tests/reference/world.rs
+++ b/crates/core/tests/reference/world.rs
@@ -5,8 +5,8 @@
 use orchidyoke_core::rng::SeededRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: Micros = 1000;
-const S: Micros = 1_000_000;
+const MILLISECOND: Micros = 1000;
+const SECOND: Micros = 1_000_000;
 const CLASSES: usize = 6;
 const KINDS: usize = 4;
 
@@ -23,18 +23,18 @@
 
 /// Returns settings that are drawn from several variants.
 pub fn settings(draws: &mut Draws) -> Settings {
-    let keyed = |key_scope| Idempotency::IdempotencyKey { scope: key_scope, window: 4 * S };
-    let window = draws.choose(&[500 * MS, 2 * S, 5 * S]);
+    let keyed = |key_scope| Idempotency::IdempotencyKey { scope: key_scope, window: 4 * SECOND };
+    let window = draws.choose(&[500 * MILLISECOND, 2 * SECOND, 5 * SECOND]);
     Settings {
         fleet_size: draws.choose(&[1, 2, 10, 100, 450]),
         zone: 0,
         classes: vec![
-            class(Idempotency::Idempotent, draws.choose(&[S, 2500 * MS, 10 * S]), 1.0),
-            class(keyed(DeduplicationScope::Zone), 2 * S, 3.0),
-            class(Idempotency::NonIdempotent, S, 0.5),
-            Class { keep_order: true, ..class(Idempotency::NonIdempotent, 2 * S, 1.0) },
-            Class { keep_order: true, ..class(keyed(DeduplicationScope::All), 2 * S, 8.0) },
-            class(keyed(DeduplicationScope::Endpoint), 3 * S, 2.0),
+            class(Idempotency::Idempotent, draws.choose(&[SECOND, 2500 * MILLISECOND, 10 * SECOND]), 1.0),
+            class(keyed(DeduplicationScope::Zone), 2 * SECOND, 3.0),
+            class(Idempotency::NonIdempotent, SECOND, 0.5),
+            Class { keep_order: true, ..class(Idempotency::NonIdempotent, 2 * SECOND, 1.0) },
+            Class { keep_order: true, ..class(keyed(DeduplicationScope::All), 2 * SECOND, 8.0) },
+            class(keyed(DeduplicationScope::Endpoint), 3 * SECOND, 2.0),
         ],
         kinds: vec![
             DestinationKind { max_batch: 1, separate_routes: false },
@@ -47,19 +47,19 @@
         max_attempts: draws.choose(&[0, 1, 3, 8]),
         allow_cancel: draws.one_in(2),
         send_retry_after: draws.one_in(2),
-        max_retry_after: 3 * S,
+        max_retry_after: 3 * SECOND,
         streams_per_connection: draws.choose(&[1, 4]),
-        idle_timeout: 5 * S,
+        idle_timeout: 5 * SECOND,
         handshake_cost: 0.06,
         cross_zone_cost: 0.02,
         zone_costs: vec![0.0, 0.1, 0.3],
         capacity_hints: draws.choose(&[CapacityHints::None, CapacityHints::Nominal, CapacityHints::Rough]),
-        tick: 5 * MS,
+        tick: 5 * MILLISECOND,
         overload_factor: draws.choose(&[1.2, 2.0, 6.0]),
         overload_window: window,
         cold_capacity_share: draws.choose(&[0.02, 0.2, 1.0]),
-        warm_up_time: draws.choose(&[0, 3 * S, 12 * S]),
-        key_cooldown: 300 * MS,
+        warm_up_time: draws.choose(&[0, 3 * SECOND, 12 * SECOND]),
+        key_cooldown: 300 * MILLISECOND,
         ..Settings::default()
     }
 }
@@ -151,7 +151,7 @@
         let settings = settings(&mut draws);
         let destinations = draws.choose(&[3, 20, 60, 200]);
         let mut world = World {
-            now: S,
+            now: SECOND,
             settings,
             draws,
             destinations,
@@ -219,9 +219,9 @@
             4 => timer.into_iter().chain(end).min(),
             _ => Some(self.now),
         };
-        let span = self.draws.choose(&[MS, 50 * MS, 700 * MS]);
+        let span = self.draws.choose(&[MILLISECOND, 50 * MILLISECOND, 700 * MILLISECOND]);
         let next = next.unwrap_or(self.now + self.draws.span(span));
-        self.now = self.now.max(next.min(self.now + 3 * S));
+        self.now = self.now.max(next.min(self.now + 3 * SECOND));
     }
 
     /// Returns the events of the next step.
@@ -263,7 +263,7 @@
         let unlisted = u64::from(self.draws.one_in(30));
         let destination = 1 + self.draws.below(self.destinations + unlisted);
         let class = self.draws.below(CLASSES as u64 + 1) as usize;
-        let time_left = self.settings.classes.get(class).map_or(S, |c| c.deadline);
+        let time_left = self.settings.classes.get(class).map_or(SECOND, |c| c.deadline);
         let time_left = if self.draws.one_in(10) { self.draws.span(time_left) } else { time_left };
         let key = Some(self.draws.below(3 * self.destinations)).filter(|_| !self.draws.one_in(3));
         let marked_as_retry = self.draws.one_in(10);
@@ -285,7 +285,7 @@
     fn history(&mut self, id: MessageId, destination: DestinationId) -> Event {
         let attempts = self.draws.below(3) as u32;
         let endpoint = self.draws.below(u64::from(self.next_endpoint)) as EndpointId;
-        let sent_ago = self.draws.span(5 * S);
+        let sent_ago = self.draws.span(5 * SECOND);
         let zone = self.draws.choose(&[0, 1, UNKNOWN_ZONE]);
         let prior = PriorAttempt { sent_ago, endpoint, zone };
         let delivery = Some(prior).filter(|_| attempts > 0);
@@ -311,7 +311,7 @@
                     destination,
                     endpoint: Some(endpoint).filter(|_| self.draws.one_in(2)),
                     begins_cold: self.draws.one_in(2),
-                    retry_after: self.draws.choose(&[0, 0, 300 * MS, 3 * S]),
+                    retry_after: self.draws.choose(&[0, 0, 300 * MILLISECOND, 3 * SECOND]),
                 })
             }
             7 if self.draws.one_in(12) => {
@@ -321,7 +321,9 @@
                 Some(Event::Settings(Box::new(self.settings.clone())))
             }
             // After a shutdown event most calls stop, unless a later event sets another time. So it is rare.
-            8 if self.draws.one_in(200) => Some(Event::ShuttingDown { time_left: self.draws.span(20 * S) }),
+            8 if self.draws.one_in(200) => {
+                Some(Event::ShuttingDown { time_left: self.draws.span(20 * SECOND) })
+            }
             9 | 10 => {
                 let place = self.draws.below(self.open_messages.len() as u64) as usize;
                 let id = *self.open_messages.keys().nth(place)?;
@@ -397,7 +399,8 @@
             self.open_messages.remove(&id);
         }
         let has_retry_after = outcome == Outcome::Rejected && self.draws.one_in(2) || self.draws.one_in(30);
-        let pause = if has_retry_after { self.draws.choose(&[200 * MS, S, 4 * S]) } else { 0 };
+        let pause =
+            if has_retry_after { self.draws.choose(&[200 * MILLISECOND, SECOND, 4 * SECOND]) } else { 0 };
         let limit = Some(self.draws.choose(&[0.2, 3.0, 50.0])).filter(|_| self.draws.one_in(10));
         let elapsed = self.now - sent;
         Some(Event::AttemptEnded(AttemptResult {
@@ -433,7 +436,7 @@
                         attempt.outcome = Outcome::Cancelled;
                     }
                     self.attempt_ends.retain(|(_, other)| *other != number);
-                    self.attempt_ends.insert((self.now + MS, number));
+                    self.attempt_ends.insert((self.now + MILLISECOND, number));
                 }
                 Action::Timer { delay, token } => {
                     self.timers.insert((self.now + delay, *token));
@@ -449,15 +452,15 @@
         let number_in_message = *next;
         *next += 1;
         let mode = self.modes.get(destination).copied().unwrap_or(Mode::Serves);
-        let short_latency = self.draws.choose(&[5 * MS, 60 * MS, 500 * MS]);
+        let short_latency = self.draws.choose(&[5 * MILLISECOND, 60 * MILLISECOND, 500 * MILLISECOND]);
         let (outcome, elapsed) = match (mode, self.draws.below(12)) {
             (_, 0) => (
                 self.draws.choose(&[Outcome::InvalidResponse, Outcome::NotSent, Outcome::Reset]),
                 short_latency,
             ),
             (_, 1) | (Mode::Serves, _) => (Outcome::Success, short_latency),
-            (Mode::RefusesConnections, _) => (Outcome::ConnectFailed, MS),
-            (Mode::RejectsCalls, _) => (Outcome::Rejected, 10 * MS),
+            (Mode::RefusesConnections, _) => (Outcome::ConnectFailed, MILLISECOND),
+            (Mode::RejectsCalls, _) => (Outcome::Rejected, 10 * MILLISECOND),
             (Mode::Fails, _) => (Outcome::Error, short_latency),
             (Mode::Hangs, _) => (Outcome::Timeout, timeout),
         };
--- a/crates/core/tests/restarts.rs
+++ b/crates/core/tests/restarts.rs
@@ -15,7 +15,7 @@
     let history = Event::AttemptHistory {
         id: 1,
         attempts: 1,
-        possible_delivery: Some(PriorAttempt { sent_ago: S, endpoint: 1, zone: 0 }),
+        possible_delivery: Some(PriorAttempt { sent_ago: SECOND, endpoint: 1, zone: 0 }),
     };
     let actions = harness.step(&[message, history]);
     assert_eq!((failed(&actions), sends(&actions).len()), (vec![1], 0));
@@ -42,9 +42,9 @@
 #[test]
 fn call_that_would_outlast_the_shutdown_is_not_started() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 0), entry(2, 2, 0, 0)]);
-    harness.step(&[Event::ShuttingDown { time_left: 4 * S }]);
+    harness.step(&[Event::ShuttingDown { time_left: 4 * SECOND }]);
     assert_eq!(sends(&harness.submit(1, 2, 1)).len(), 1, "the call can end before the shutdown");
-    harness.now += 3 * S;
+    harness.now += 3 * SECOND;
     let actions = harness.submit(2, 2, 1);
     assert!(sends(&actions).is_empty() && rejected(&actions).is_empty() && failed(&actions).is_empty());
 }
@@ -72,7 +72,7 @@
         for (id, _, _) in std::mem::take(&mut calls) {
             calls.extend(sends(&harness.end_attempt(id, Outcome::Rejected)));
         }
-        calls.extend(sends(&harness.advance(50 * MS)));
+        calls.extend(sends(&harness.advance(50 * MILLISECOND)));
     }
     let tried: u32 = (2..=21).filter_map(|id| harness.attempts.get(&id)).sum();
     // The budget is twice a fifth of its 20 calls a second, for the 2 s that have passed.
@@ -93,7 +93,7 @@
                 retry_after: 0,
             }));
         }
-        harness.advance(5 * S);
+        harness.advance(5 * SECOND);
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         assert_eq!(
             harness.controller.faulty_routes().contains(&RouteRef { destination: 1, endpoint: None }),
@@ -102,7 +102,7 @@
         let (mut calls, mut sent) = (sends(&harness.submit(1, 0, 80)), 0);
         for _ in 0..20 {
             sent += calls.len();
-            harness.now += 100 * MS;
+            harness.now += 100 * MILLISECOND;
             for (id, ..) in std::mem::take(&mut calls) {
                 calls.extend(sends(&harness.end_attempt(id, Outcome::Success)));
             }
@@ -119,9 +119,9 @@
 // first.
 #[test]
 fn message_recovered_unsent_is_not_shed() {
-    let mut set = settings();
-    set.max_open_messages = 10;
-    let mut harness = Harness::new(set, &[entry(1, 7, 0, 0)]);
+    let mut custom_settings = settings();
+    custom_settings.max_open_messages = 10;
+    let mut harness = Harness::new(custom_settings, &[entry(1, 7, 0, 0)]);
     let mut events = Vec::new();
     for _ in 0..4 {
         let Event::Message { id, destination, class, tenant, order_key: key, is_retry: repeat, .. } =
@@ -130,7 +130,7 @@
             unreachable!()
         };
         // Half of the message's time is left, and its latency objective has passed.
-        let time_left = 8 * S;
+        let time_left = 8 * SECOND;
         events.push(Event::Message {
             id,
             destination,
@@ -150,7 +150,7 @@
     let mut order: Vec<_> = sends(&actions).into_iter().map(|(id, ..)| id).collect();
     while order.len() < 10 - given_up.len().saturating_sub(6) {
         let id = *order.last().expect("at least one message was sent");
-        harness.now += 100 * MS;
+        harness.now += 100 * MILLISECOND;
         let actions = harness.end_attempt(id, Outcome::Success);
         let next = sends(&actions);
         if next.is_empty() {
--- a/crates/core/tests/scale.rs
+++ b/crates/core/tests/scale.rs
@@ -5,17 +5,17 @@
 use orchidyoke_core::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: Micros = 1000;
-const S: Micros = 1_000_000;
+const MILLISECOND: Micros = 1000;
+const SECOND: Micros = 1_000_000;
 const MESSAGES: u64 = 2_000;
 /// Time between two messages: 109 a second, for one of 450 forwarders that together get 49,000 a second.
-const MESSAGE_INTERVAL: Micros = S / 109;
+const MESSAGE_INTERVAL: Micros = SECOND / 109;
 const MAX_COST_RATIO: f64 = 1.5;
 
 fn settings() -> Settings {
     let class = Class {
-        latency_objective: 600 * S,
-        deadline: 3600 * S,
+        latency_objective: 600 * SECOND,
+        deadline: 3600 * SECOND,
         priority_weight: 1.0,
         late_weight_share: 0.5,
         ..Class::default()
@@ -26,13 +26,13 @@
         kinds: vec![DestinationKind { max_batch: 1, separate_routes: false }],
         max_calls: 400,
         streams_per_connection: 1,
-        idle_timeout: 5 * S,
+        idle_timeout: 5 * SECOND,
         capacity_hints: CapacityHints::Nominal,
-        tick: MS,
+        tick: MILLISECOND,
         overload_factor: 2.0,
-        overload_window: 2 * S,
+        overload_window: 2 * SECOND,
         cold_capacity_share: 0.2,
-        warm_up_time: 60 * S,
+        warm_up_time: 60 * SECOND,
         ..Settings::default()
     }
 }
@@ -56,9 +56,9 @@
     now: Micros,
     listed: u64,
     destinations_down: u64,
-    next: MessageId,
+    last_message_id: MessageId,
     /// The calls that end at each time: message, attempt number, and whether the call succeeds.
-    ends: BTreeMap<Micros, Vec<(MessageId, u32, bool)>>,
+    call_ends: BTreeMap<Micros, Vec<(MessageId, u32, bool)>>,
     attempts: BTreeMap<MessageId, u32>,
     timers: BTreeSet<(Micros, u64)>,
     /// Number of events in the steps in which no timer was due.
@@ -73,11 +73,11 @@
     fn new(listed: u32, destinations_down: u64) -> Self {
         let mut forwarder = Forwarder {
             controller: Controller::new(settings(), 7),
-            now: S,
+            now: SECOND,
             listed: listed.into(),
             destinations_down,
-            next: 0,
-            ends: BTreeMap::new(),
+            last_message_id: 0,
+            call_ends: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
             events: 0,
@@ -87,24 +87,25 @@
         let entries = (1..=listed).map(entry).collect();
         forwarder.step(vec![Event::EndpointList { kind: ListEventKind::Snapshot, entries }]);
         for destination in 1..=destinations_down {
-            let known = Event::RouteState { destination, endpoint: None, begins_cold: true, retry_after: 0 };
+            let route_state =
+                Event::RouteState { destination, endpoint: None, begins_cold: true, retry_after: 0 };
             let message = forwarder.message(destination);
-            forwarder.step(vec![known, message]);
+            forwarder.step(vec![route_state, message]);
         }
-        forwarder.run_until(30 * S);
+        forwarder.run_until(30 * SECOND);
         forwarder
     }
 
     fn message(&mut self, destination: DestinationId) -> Event {
-        self.next += 1;
-        let id = self.next;
+        self.last_message_id += 1;
+        let id = self.last_message_id;
         Event::Message {
             id,
             destination,
             class: 0,
             tenant: 0,
             order_key: None,
-            time_left: 3600 * S,
+            time_left: 3600 * SECOND,
             is_retry: false,
         }
     }
@@ -125,7 +126,11 @@
                 Action::Send { id, endpoint, .. } => {
                     let attempt_number = self.attempts.entry(id).or_default();
                     let serves = u64::from(endpoint) > self.destinations_down;
-                    self.ends.entry(self.now + 20 * MS).or_default().push((id, *attempt_number, serves));
+                    self.call_ends.entry(self.now + 20 * MILLISECOND).or_default().push((
+                        id,
+                        *attempt_number,
+                        serves,
+                    ));
                     *attempt_number += 1;
                 }
                 Action::Timer { delay, token } => {
@@ -140,7 +145,7 @@
     fn run_until(&mut self, until: Micros) {
         loop {
             let timer = self.timers.first().map(|(at, _)| *at);
-            let end = self.ends.keys().next().copied();
+            let end = self.call_ends.keys().next().copied();
             let Some(next) = timer.into_iter().chain(end).min().filter(|at| *at <= until) else { break };
             self.now = next;
             let mut events = Vec::new();
@@ -148,10 +153,10 @@
                 self.timers.pop_first();
                 events.push(Event::Timer { token });
             }
-            events.extend(self.ends.remove(&next).into_iter().flatten().map(
+            events.extend(self.call_ends.remove(&next).into_iter().flatten().map(
                 |(id, attempt_number, serves)| {
                     let outcome = if serves { Outcome::Success } else { Outcome::ConnectFailed };
-                    let (elapsed, finished) = (20 * MS, serves);
+                    let (elapsed, finished) = (20 * MILLISECOND, serves);
                     Event::AttemptEnded(AttemptResult {
                         id,
                         attempt: attempt_number,
@@ -205,7 +210,7 @@
         let mut controller = Controller::new(settings(), 7);
         let entries = (1..=listed).map(entry).collect();
         controller.step(
-            S,
+            SECOND,
             &[Event::EndpointList { kind: ListEventKind::Snapshot, entries }],
             &mut Vec::new(),
         );
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -4,15 +4,15 @@
 
 mod common;
 
-use common::{MS, S};
+use common::{MILLISECOND, SECOND};
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
 use orchidyoke_core::rng::SeededRng;
 use std::collections::BTreeMap;
 
-const STEP: Micros = 20 * MS;
-const DEADLINE: Micros = 16 * S;
-const SERVICE: Micros = 100 * MS;
+const STEP: Micros = 20 * MILLISECOND;
+const DEADLINE: Micros = 16 * SECOND;
+const SERVICE: Micros = 100 * MILLISECOND;
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
@@ -27,7 +27,7 @@
 
 fn settings(case: &Case) -> Settings {
     let class = Class {
-        latency_objective: 2500 * MS,
+        latency_objective: 2500 * MILLISECOND,
         deadline: DEADLINE,
         priority_weight: 1.0,
         late_weight_share: 0.5,
@@ -40,7 +40,7 @@
         kinds: vec![DestinationKind { max_batch: 1, separate_routes: false }],
         max_calls: 12,
         max_open_messages: 200,
-        connect_timeout: S,
+        connect_timeout: SECOND,
         capacity_hints: case.capacity_hints,
         ..common::settings()
     }
@@ -49,9 +49,9 @@
 struct Forwarder {
     controller: Controller,
     share: f64,
-    next: MessageId,
+    last_message_id: MessageId,
     attempts: BTreeMap<MessageId, u32>,
-    out: Vec<(Micros, AttemptResult)>,
+    in_flight: Vec<(Micros, AttemptResult)>,
     /// Whether a call of this forwarder failed or was rejected during the outage.
     has_seen_outage: bool,
 }
@@ -67,8 +67,8 @@
 
 impl Fleet {
     fn new(case: &Case, assumed_fleet_size: u32, seed: u64) -> Self {
-        let set = Settings { fleet_size: assumed_fleet_size, ..settings(case) };
-        let (state, report) = (EndpointState::Active, HealthStatus::Passing);
+        let fleet_settings = Settings { fleet_size: assumed_fleet_size, ..settings(case) };
+        let (state, status) = (EndpointState::Active, HealthStatus::Passing);
         let hint = case.capacity;
         let listed = EndpointUpdate {
             endpoint: 1,
@@ -76,25 +76,32 @@
             zone: 0,
             kind: 0,
             state,
-            health: report,
+            health: status,
             capacity_hint: hint,
         };
         let mut rng = SeededRng::new(seed);
         // Some forwarders get several times the mean load.
         let shares: Vec<f64> = (0..case.size).map(|_| 0.1 + rng.uniform().powi(3) * 4.0).collect();
-        let all: f64 = shares.iter().sum();
+        let total_share: f64 = shares.iter().sum();
         let forwarder = |(number, share): (u64, f64)| {
-            let mut controller = Controller::new(set.clone(), seed * 1000 + number);
+            let mut controller = Controller::new(fleet_settings.clone(), seed * 1000 + number);
             controller.step(
-                S,
+                SECOND,
                 &[Event::EndpointList { kind: ListEventKind::Snapshot, entries: vec![listed] }],
                 &mut Vec::new(),
             );
-            let (attempts, out) = (BTreeMap::new(), Vec::new());
-            Forwarder { controller, share: share / all, next: 0, attempts, out, has_seen_outage: false }
+            let (attempts, in_flight) = (BTreeMap::new(), Vec::new());
+            Forwarder {
+                controller,
+                share: share / total_share,
+                last_message_id: 0,
+                attempts,
+                in_flight,
+                has_seen_outage: false,
+            }
         };
         let forwarders = (0..).zip(shares).map(forwarder).collect();
-        Fleet { now: S, forwarders, rng, calls: Vec::new(), served: 0 }
+        Fleet { now: SECOND, forwarders, rng, calls: Vec::new(), served: 0 }
     }
 
     /// Runs the fleet for the time `span`. Each call that starts in it ends with the given outcome after the given
@@ -111,7 +118,7 @@
                 forwarder.has_seen_outage |= outage && successes < ended.len();
                 let mut events = vec![Event::Timer { token: u64::MAX }];
                 events.extend(ended.into_iter().map(Event::AttemptEnded));
-                if self.rng.uniform() < load * forwarder.share * STEP as f64 / S as f64 {
+                if self.rng.uniform() < load * forwarder.share * STEP as f64 / SECOND as f64 {
                     events.push(forwarder.message());
                 }
                 let mut actions = Vec::new();
@@ -129,13 +136,13 @@
 impl Forwarder {
     /// Removes and returns the results of the calls that have ended by now.
     fn end_calls(&mut self, now: Micros) -> Vec<AttemptResult> {
-        self.out.extract_if(.., |(ends, _)| *ends <= now).map(|(_, result)| result).collect()
+        self.in_flight.extract_if(.., |(ends, _)| *ends <= now).map(|(_, result)| result).collect()
     }
 
     fn message(&mut self) -> Event {
-        self.next += 1;
+        self.last_message_id += 1;
         Event::Message {
-            id: self.next,
+            id: self.last_message_id,
             destination: 1,
             class: 0,
             tenant: 0,
@@ -159,7 +166,7 @@
             reported_remaining: None,
         };
         *attempt += 1;
-        self.out.push((now + latency, result));
+        self.in_flight.push((now + latency, result));
     }
 }
 
@@ -177,10 +184,10 @@
 }
 
 fn simulate_recovery(case: &Case, assumed_fleet_size: u32, seed: u64) -> Recovery {
-    let set = settings(case);
+    let settings = settings(case);
     let load = case.load * case.capacity;
     let mut fleet = Fleet::new(case, assumed_fleet_size, seed);
-    fleet.run(15 * S, load, false, (Outcome::Success, SERVICE));
+    fleet.run(15 * SECOND, load, false, (Outcome::Success, SERVICE));
     let latency = match case.fault {
         Outcome::Timeout => DEADLINE,
         Outcome::ConnectFailed | Outcome::Rejected => STEP,
@@ -189,30 +196,34 @@
     fleet.run(case.outage_time, load, true, (case.fault, latency));
     let recovered_at = fleet.now;
     fleet.calls.clear();
-    fleet.run(set.warm_up_time, load, false, (Outcome::Success, SERVICE));
+    fleet.run(settings.warm_up_time, load, false, (Outcome::Success, SERVICE));
     let calls = std::mem::take(&mut fleet.calls);
     fleet.served = 0;
-    fleet.run(10 * S, load, false, (Outcome::Success, SERVICE));
+    fleet.run(10 * SECOND, load, false, (Outcome::Success, SERVICE));
     let mut recovery = Recovery { served: fleet.served as f64 / (10.0 * load), ..Recovery::default() };
     for (first, (from, _)) in calls.iter().enumerate() {
         // Uses the capacity at the end of the span, where it is highest, so that a span with more calls exceeds the
         // budget whichever moment of the span the capacity is taken from.
-        let ramp_part = (from + set.overload_window - recovered_at) as f64 / set.warm_up_time as f64;
+        let ramp_part =
+            (from + settings.overload_window - recovered_at) as f64 / settings.warm_up_time as f64;
         if ramp_part >= 1.0 {
             break;
         }
-        let present = case.capacity * (set.cold_capacity_share + (1.0 - set.cold_capacity_share) * ramp_part);
-        let limit = set.overload_factor * present * set.overload_window as f64 / S as f64;
+        let present_capacity =
+            case.capacity * (settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * ramp_part);
+        let limit =
+            settings.overload_factor * present_capacity * settings.overload_window as f64 / SECOND as f64;
         let allowed = limit + 2.0 * limit.sqrt() + 2.0;
-        let span = calls[first..].iter().take_while(|(at, _)| *at < from + set.overload_window);
-        let mut all = 0;
-        let mut informed = 0;
+        let span = calls[first..].iter().take_while(|(at, _)| *at < from + settings.overload_window);
+        let mut all_calls = 0;
+        let mut informed_calls = 0;
         span.for_each(|(_, has_seen_outage)| {
-            all += 1;
-            informed += usize::from(*has_seen_outage);
+            all_calls += 1;
+            informed_calls += usize::from(*has_seen_outage);
         });
-        recovery.max_budget_share = recovery.max_budget_share.max(f64::from(informed as u32) / allowed);
-        recovery.overloads += usize::from(f64::from(all as u32) > allowed && 3 * informed > 2 * all);
+        recovery.max_budget_share = recovery.max_budget_share.max(f64::from(informed_calls as u32) / allowed);
+        recovery.overloads +=
+            usize::from(f64::from(all_calls as u32) > allowed && 3 * informed_calls > 2 * all_calls);
     }
     recovery
 }
@@ -222,10 +233,10 @@
     for (size, capacity) in [(20, 12.0), (30, 60.0)] {
         for capacity_hints in [CapacityHints::None, CapacityHints::Nominal] {
             for (fault, outage_time) in [
-                (Outcome::ConnectFailed, 6 * S),
-                (Outcome::Timeout, 14 * S),
-                (Outcome::Error, 6 * S),
-                (Outcome::Rejected, 12 * S),
+                (Outcome::ConnectFailed, 6 * SECOND),
+                (Outcome::Timeout, 14 * SECOND),
+                (Outcome::Error, 6 * SECOND),
+                (Outcome::Rejected, 12 * SECOND),
             ] {
                 cases.push(Case { size, capacity_hints, capacity, load: 0.9, fault, outage_time });
             }
@@ -242,7 +253,9 @@
         let parts: Vec<_> = parts
             .map(|part| {
                 scope.spawn(|| {
-                    part.iter().map(|s| simulate_recovery(case, assumed_fleet_size, *s)).collect::<Vec<_>>()
+                    part.iter()
+                        .map(|seed| simulate_recovery(case, assumed_fleet_size, *seed))
+                        .collect::<Vec<_>>()
                 })
             })
             .collect();
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -20,11 +20,11 @@
 /// still in flight. Returns the messages whose calls the controller then cancels, and the first message.
 fn stall_call(harness: &mut Harness, class: usize) -> (Vec<MessageId>, MessageId) {
     let first = sends(&harness.submit(1, class, 1))[0].0;
-    harness.advance(400 * MS);
+    harness.advance(400 * MILLISECOND);
     let second = sends(&harness.submit(1, 0, 1));
-    harness.now += 100 * MS;
+    harness.now += 100 * MILLISECOND;
     harness.end_attempt(second[0].0, Outcome::Success);
-    (cancelled(&harness.advance(150 * MS)), first)
+    (cancelled(&harness.advance(150 * MILLISECOND)), first)
 }
 
 // Guards against a dead connection that occupies a slot until its time-out while its endpoint serves.
@@ -40,7 +40,7 @@
         [id],
         "the slot of the cancelled call and its place in the window are free"
     );
-    harness.now += 100 * MS;
+    harness.now += 100 * MILLISECOND;
     harness.end_attempt(id, Outcome::Success);
     assert!(
         harness.controller.faulty_routes().is_empty(),
@@ -62,16 +62,16 @@
     let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     harness.submit(1, 0, 2);
-    assert!(cancelled(&harness.advance(700 * MS)).is_empty(), "no call sent later was answered");
+    assert!(cancelled(&harness.advance(700 * MILLISECOND)).is_empty(), "no call sent later was answered");
     let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 0)]);
     harness.warm_up(1, 16);
     let (_, id) = stall_call(&mut harness, 0);
     harness.end_attempt(id, Outcome::Cancelled);
-    harness.advance(400 * MS);
+    harness.advance(400 * MILLISECOND);
     let second = sends(&harness.submit(1, 0, 1))[0].0;
-    harness.now += 100 * MS;
+    harness.now += 100 * MILLISECOND;
     harness.end_attempt(second, Outcome::Success);
-    assert!(cancelled(&harness.advance(300 * MS)).is_empty(), "a message is cancelled only once");
+    assert!(cancelled(&harness.advance(300 * MILLISECOND)).is_empty(), "a message is cancelled only once");
 }
 
 // Guards against slow messages that are executed twice in vain. If stalled calls turn out to be slow messages, no more
@@ -83,15 +83,15 @@
     let (cancelled_ids, id) = stall_call(&mut harness, 0);
     assert_eq!(cancelled_ids, [id]);
     harness.end_attempt(id, Outcome::Cancelled);
-    harness.advance(900 * MS);
+    harness.advance(900 * MILLISECOND);
     harness.end_attempt(id, Outcome::Success);
-    let (cancelled_ids, long) = stall_call(&mut harness, 0);
+    let (cancelled_ids, slow_id) = stall_call(&mut harness, 0);
     assert!(cancelled_ids.is_empty(), "the retry was slow too");
-    harness.now += 900 * MS;
-    let mut again = sends(&harness.end_attempt(long, Outcome::Timeout));
-    again.extend(sends(&harness.advance(5 * S)));
-    assert_eq!(again[0].0, long);
-    harness.end_attempt(long, Outcome::Success);
+    harness.now += 900 * MILLISECOND;
+    let mut again = sends(&harness.end_attempt(slow_id, Outcome::Timeout));
+    again.extend(sends(&harness.advance(5 * SECOND)));
+    assert_eq!(again[0].0, slow_id);
+    harness.end_attempt(slow_id, Outcome::Success);
     harness.warm_up(1, 16);
     let (cancelled_ids, id) = stall_call(&mut harness, 0);
     assert_eq!(cancelled_ids, [id], "a stalled call that was not cancelled timed out");
@@ -109,7 +109,7 @@
         harness.list(ListEventKind::Snapshot, &places);
         let mut sent_again = sends(&harness.end_attempt(id, Outcome::Error));
         for _ in 0..40 {
-            sent_again.extend(sends(&harness.advance(100 * MS)));
+            sent_again.extend(sends(&harness.advance(100 * MILLISECOND)));
         }
         assert_eq!(sent_again.iter().map(|send| send.1).collect::<Vec<_>>(), [3], "moved: {moved:?}");
     }
@@ -125,7 +125,7 @@
     let (id, first, _) = sends(&harness.submit(1, 1, 1))[0];
     let mut sent_again = sends(&harness.end_attempt(id, Outcome::Error));
     for _ in 0..60 {
-        sent_again.extend(sends(&harness.advance(100 * MS)));
+        sent_again.extend(sends(&harness.advance(100 * MILLISECOND)));
     }
     assert!(
         !sent_again.is_empty() && sent_again.iter().all(|send| send.1 == first),
@@ -142,20 +142,23 @@
     let zone = entry(endpoint, 1, endpoint as usize - 1, 0);
     harness.list(ListEventKind::Delta, &[EndpointUpdate { state: EndpointState::Draining, ..zone }]);
     let sent = harness.now;
-    harness.now += 100 * MS;
+    harness.now += 100 * MILLISECOND;
     assert!(
         sends(&harness.end_attempt(id, Outcome::Error)).is_empty(),
         "the other zone does not drop the repeat"
     );
     loop {
-        let actions = harness.advance(50 * MS);
+        let actions = harness.advance(50 * MILLISECOND);
         assert!(sends(&actions).is_empty() && rejected(&actions).is_empty());
         if failed(&actions) == [id] {
             break;
         }
-        assert!(harness.now < sent + 10 * S, "the message fails by the end of its key window");
+        assert!(harness.now < sent + 10 * SECOND, "the message fails by the end of its key window");
     }
-    assert!(harness.now >= sent + 9 * S + 900 * MS, "the message does not fail before its key window ends");
+    assert!(
+        harness.now >= sent + 9 * SECOND + 900 * MILLISECOND,
+        "the message does not fail before its key window ends"
+    );
 }
 
 // Guards against a fault or Retry-After of one route, known from an earlier process, that affects the other routes.
@@ -174,10 +177,14 @@
         [RouteRef { destination: 1, endpoint: Some(1) }]
     );
     let mut harness = Harness::new(settings_with_cancelling(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
-    harness.step(&[route_state(false, S)]);
+    harness.step(&[route_state(false, SECOND)]);
     assert_eq!(sends(&harness.submit(1, 0, 1))[0].1, 2, "the other route gets the call at once");
     assert!(sends(&harness.submit(1, 0, 1)).is_empty());
-    assert_eq!(sends(&harness.advance(S + 100 * MS))[0].1, 1, "the route gets calls after its Retry-After");
+    assert_eq!(
+        sends(&harness.advance(SECOND + 100 * MILLISECOND))[0].1,
+        1,
+        "the route gets calls after its Retry-After"
+    );
     harness.step(&[Event::RouteState {
         destination: 1,
         endpoint: Some(9),
@@ -193,7 +200,7 @@
 // Guards against an invalid or extreme reported limit that overflows a time, blocks a route for good, or leaves a
 // message without a final answer. Calls continue as soon as a usable limit is reported.
 #[test]
-fn absurd_reported_values_are_bounded() {
+fn invalid_or_extreme_reported_limits_are_bounded() {
     for limit in [0.0, 1e-300, 1e-9, 1e300, f64::MAX, f64::NAN, f64::INFINITY, -5.0] {
         let settings =
             Settings { fleet_size: 3, capacity_hints: CapacityHints::None, ..settings_with_cancelling() };
@@ -215,7 +222,7 @@
             for (id, ..) in in_flight {
                 actions.extend(report(&mut harness, id, 30.0));
             }
-            actions.extend(harness.advance(50 * MS));
+            actions.extend(harness.advance(50 * MILLISECOND));
             ended += rejected(&actions).len() + failed(&actions).len();
             in_flight = sends(&actions);
             sent += in_flight.len();
@@ -240,7 +247,7 @@
             harness.list(ListEventKind::Delta, &[slow_and_quick[place], others]);
             for _ in 0..8 {
                 let id = sends(&harness.submit(1, 0, 1))[0].0;
-                let took = [400, 50][place] * MS;
+                let took = [400, 50][place] * MILLISECOND;
                 harness.now += took;
                 let answer = AttemptResult { latency: took, ..harness.answer(id, Outcome::Success) };
                 harness.step(&[Event::AttemptEnded(answer)]);
--- a/crates/core/tests/wire_settings.rs
+++ b/crates/core/tests/wire_settings.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn empty_settings_have_the_same_defaults_as_before() {
+fn empty_settings_have_the_default_values() {
     let (settings, names) = read("{}").expect("settings");
     assert_eq!(settings, Settings::default());
     assert_eq!(names.zones, [""], "the forwarder's own zone, which has no name");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn endpoint_list_is_written_and_read_as_before() {
+fn endpoint_list_json_matches_the_fixture() {
     let target = |uid: &str, endpoint: &str, state, status| EndpointEntry {
         uid: uid.to_owned(),
         address: endpoint.parse().expect("an address"),
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -267,9 +267,9 @@
 #[test]
 fn end_of_maintenance_starts_the_recovery_ramp() {
     std::thread::scope(|scope| {
-        for restrained in [true, false] {
+        for ramp_enabled in [true, false] {
             scope.spawn(move || {
-                let mut site = Site::new(&format!("consul-maintenance-{restrained}"));
+                let mut site = Site::new(&format!("consul-maintenance-{ramp_enabled}"));
                 let capacity = 400.0;
                 let behavior = OverloadBehavior::Queue;
                 site.destination = DestinationServer::new(CapacityModel {
@@ -280,14 +280,14 @@
                 site.folder.write("edge.star", &script(site.consul.address()).replace("100.0", "400.0"));
                 let config =
                     ForwarderConfig { max_in_flight: 512, ..ForwarderConfig::new(site.discovery.address()) };
-                let unrestrained_settings = [
+                let settings_without_ramp = [
                     ("\"fall_multiple\":2", "\"fall_multiple\":1000000"),
                     ("\"cold_from\":0.18", "\"cold_from\":1.0"),
                 ];
-                let text = unrestrained_settings
+                let text = settings_without_ramp
                     .iter()
-                    .filter(|_| !restrained)
-                    .fold(config.text(), |t, (a, b)| t.replace(a, b));
+                    .filter(|_| !ramp_enabled)
+                    .fold(config.text(), |text, (old, new)| text.replace(old, new));
                 site.folder.write("config.json", &text);
                 site.register("w1");
                 let forwarder = site.start();
@@ -308,8 +308,8 @@
                 });
                 assert_eq!(
                     site.destination.collapses().is_empty(),
-                    restrained,
-                    "recovery ramp enabled: {restrained}"
+                    ramp_enabled,
+                    "recovery ramp enabled: {ramp_enabled}"
                 );
             });
         }
@@ -547,7 +547,7 @@
                 assert_eq!(forwarder.submit_message("status", &format!("f{number}"), 3), 202)
             });
             wait_until("failed calls", || {
-                site.destination.calls().iter().filter(|c| c.message_id.starts_with('f')).count() >= 4
+                site.destination.calls().iter().filter(|call| call.message_id.starts_with('f')).count() >= 4
             });
             site.destination.set_mode(Mode::Serve);
         }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -166,9 +166,9 @@
     let next = ForwarderProcess::start(program(), &folder, &[]);
     let calls = wait_for_final_answers(&destination, &discovery, &accepted);
     assert!(calls.values().all(|count| *count <= 1), "an order was sent more than once: {calls:?}");
-    let all = destination.calls();
+    let all_calls = destination.calls();
     assert!(
-        unanswered.iter().all(|txn| !all.iter().any(|call| call.message_id == *txn)),
+        unanswered.iter().all(|txn| !all_calls.iter().any(|call| call.message_id == *txn)),
         "some of these requests were accepted without an answer: {unanswered:?}"
     );
     drop(next);
@@ -269,7 +269,7 @@
 fn idle_clients_leave_descriptors_for_discovery_and_new_clients() {
     let destination = DestinationServer::new(CapacityModel::default());
     let discovery = DiscoveryServer::start("");
-    let other = DiscoveryServer::start("");
+    let new_discovery = DiscoveryServer::start("");
     let endpoint = destination.open_endpoint();
     let folder = folder_with_config("idle", &discovery, endpoint, |config| {
         config.sockets = 64;
@@ -281,14 +281,14 @@
     assert!(std::process::Command::new("sh").args(["-c", &chmod]).status().expect("shell ran").success());
     let forwarder = ForwarderProcess::start(&limited, &folder, &[]);
     let idle: Vec<_> = (0..120).map(|_| connect(forwarder.address)).collect();
-    let mut config = ForwarderConfig::new(other.address());
+    let mut config = ForwarderConfig::new(new_discovery.address());
     config.sockets = 64;
     config.max_in_flight = 6;
     config.endpoints = vec![endpoint_entry("s-1", endpoint, 2)];
     folder.write("config.json", &config.text());
     forwarder.signal("HUP");
     let deadline = Instant::now() + Duration::from_secs(6);
-    while other.watch_count() == 0 {
+    while new_discovery.watch_count() == 0 {
         assert!(Instant::now() < deadline, "discovery is not watched");
         std::thread::sleep(Duration::from_millis(10));
     }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -250,8 +250,9 @@
         let repeated: Vec<_> =
             calls.iter().filter(|(txn, count)| txn.starts_with("orders") && **count > 1).collect();
         assert!(repeated.is_empty(), "non-idempotent messages with more than one call: {repeated:?}");
-        let returned =
-            |txn: &str| notifications.get(txn).is_some_and(|states| states.iter().any(|s| s == "returned"));
+        let returned = |txn: &str| {
+            notifications.get(txn).is_some_and(|states| states.iter().any(|state| state == "returned"))
+        };
         let wrongly_returned: Vec<_> =
             calls.keys().filter(|txn| txn.starts_with("orders") && returned(txn)).collect();
         assert!(
@@ -293,11 +294,13 @@
     let mut region = Region::start("plain", 5);
     region.start_load(&[0, 1, 2, 3, 4]);
     wait_until("all members hand over and take over", || {
-        (0..5).all(|n| region.metric(n, "handed_over") > 30 && region.metric(n, "taken_over") > 30)
+        (0..5).all(|number| {
+            region.metric(number, "handed_over") > 30 && region.metric(number, "taken_over") > 30
+        })
     });
     let owned: u64 = (0..5).map(|number| region.metric(number, "owned")).sum();
     assert_eq!(owned, DESTINATIONS);
-    assert_eq!((0..5).map(|n| region.metric(n, "delivered_for_lack_of_owner")).sum::<u64>(), 0);
+    assert_eq!((0..5).map(|number| region.metric(number, "delivered_for_lack_of_owner")).sum::<u64>(), 0);
     assert!(region.stop_and_verify() > 300);
 }
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -135,7 +135,7 @@
 // Guards against a forwarder disconnected from Consul that stops serving, does not report the disconnection, or blocks
 // the others. Also guards against one that reports ready with the old policy once it is connected again.
 #[test]
-fn disconnected_forwarder_serves_on_reports_it_and_catches_up() {
+fn disconnected_forwarder_reports_its_state_keeps_serving_and_catches_up() {
     let fleet = fleet("cut");
     let disconnected_at = Instant::now();
     fleet.consul_link(2).set_fault(NetworkFault::Partition);
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -100,7 +100,8 @@
             .expect("program started");
         let mut lines =
             BufReader::new(child.stderr.take().expect("piped standard error")).lines().map_while(Result::ok);
-        let address = lines.find_map(|line| line.split_once("listens on ").map(|(_, a)| a.to_owned()));
+        let address =
+            lines.find_map(|line| line.split_once("listens on ").map(|(_, address)| address.to_owned()));
         let address = address.expect("log line with the listening address").parse().expect("valid address");
         let (sender, log) = channel();
         thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
@@ -375,11 +376,12 @@
         "POST /status HTTP/1.1\r\nX-Txn: bad\r\nX-Org: acme\r\nX-Remaining: 5\r\nX-Consignee: dest=2\r\n";
     let hidden = "POST /status HTTP/1.1\r\nX-Txn: hidden\r\nX-Org: acme\r\nX-Remaining: 5\r\n\
         X-Consignee: dest=2\r\nContent-Length: 0\r\n\r\n";
-    let both = format!(
+    let length_and_chunked = format!(
         "Content-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}",
         hidden.len() + 5
     );
-    let other = format!("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n{hidden}");
+    let chunked_and_length =
+        format!("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n{hidden}");
     let cases = [
         (String::new(), 0, ""),
         ("POST /sta".to_owned(), 0, ""),
@@ -388,9 +390,9 @@
         (format!("{head}Content-Length: 99999999999999999999999\r\n\r\n"), 0, "400"),
         (format!("{head}Content-Length: 60000000\r\n\r\n"), 60_000_000, "413"),
         (format!("{head}X-Fill: "), 600_000, "431"),
-        (format!("{head}{both}"), 0, "411"),
-        (format!("{head}{other}"), 0, "411"),
-        (format!("GET /healthz HTTP/1.1\r\n{both}"), 0, "411"),
+        (format!("{head}{length_and_chunked}"), 0, "411"),
+        (format!("{head}{chunked_and_length}"), 0, "411"),
+        (format!("GET /healthz HTTP/1.1\r\n{length_and_chunked}"), 0, "411"),
         ("\u{1}\u{2} noise\r\n\r\n".to_owned(), 0, "400"),
         (format!("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\nnoise\r\n\r\n{hidden}"), 0, "200"),
     ];
@@ -526,9 +528,9 @@
     }
     running.store(false, Ordering::SeqCst);
     let count = load.join().expect("every request was accepted");
-    let all = count + 4;
+    let expected_count = count + 4;
     let mut delivered = std::collections::BTreeMap::<String, usize>::new();
-    while delivered.len() < all {
+    while delivered.len() < expected_count {
         let call = wait_for(&calls, "x-txn: ");
         let txn = call.lines().find_map(|line| line.strip_prefix("x-txn: ")).expect("x-txn header");
         *delivered.entry(txn.to_owned()).or_default() += 1;
@@ -600,7 +602,7 @@
     let pairs = (1..length)
         .step_by(7)
         .flat_map(|offset| (offset + 1..length).step_by(31).map(move |to| vec![offset, to]));
-    let all: Vec<Vec<usize>> = single.chain(pairs).collect();
+    let all_splits: Vec<Vec<usize>> = single.chain(pairs).collect();
     let stalled: Vec<TcpStream> = (1..60)
         .map(|offset| {
             let mut stream = TcpStream::connect(forwarder.address).expect("connected");
@@ -610,8 +612,8 @@
         .collect();
     let address = forwarder.address;
     thread::scope(|scope| {
-        for (part, split_offsets) in all.chunks(all.len().div_ceil(8)).enumerate() {
-            let first = part * all.len().div_ceil(8);
+        for (part, split_offsets) in all_splits.chunks(all_splits.len().div_ceil(8)).enumerate() {
+            let first = part * all_splits.len().div_ceil(8);
             scope.spawn(move || {
                 for (number, split_offsets) in split_offsets.iter().enumerate() {
                     let text = request(first + number);
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -36,9 +36,9 @@
 
 #[test]
 fn empty_batch_is_acknowledged_and_end_of_input_is_no_error() {
-    let out = run("BATCH sim_time_us=8412250 serial=1\nEND\n");
-    assert_eq!(text(&out.stdout), "ACK serial=1\n");
-    assert!(out.status.success() && out.stderr.is_empty());
+    let output = run("BATCH sim_time_us=8412250 serial=1\nEND\n");
+    assert_eq!(text(&output.stdout), "ACK serial=1\n");
+    assert!(output.status.success() && output.stderr.is_empty());
 }
 
 #[test]
@@ -50,14 +50,14 @@
         hello(3),
         work_item(3, "m1").replace("6000000", "20000000")
     );
-    let out = run(&input);
-    let lines: Vec<&str> = text(&out.stdout).lines().collect();
-    let sends: Vec<usize> = (0..lines.len()).filter(|n| lines[*n].starts_with("ATTEMPT ")).collect();
+    let output = run(&input);
+    let lines: Vec<&str> = text(&output.stdout).lines().collect();
+    let sends: Vec<usize> = (0..lines.len()).filter(|index| lines[*index].starts_with("ATTEMPT ")).collect();
     assert_eq!(sends.len(), 2, "{lines:?}");
     assert!(
         lines[sends[0]].contains("forwarder_id=3 id=m1") && lines[sends[0]].contains("target=10.0.0.1:80")
     );
-    let second = lines.iter().position(|l| *l == "ACK serial=2").expect("the second reply");
+    let second = lines.iter().position(|line| *line == "ACK serial=2").expect("the second reply");
     assert!(sends[0] < second && second < sends[1], "the second attempt waits for the Retry-After of 400 ms");
 }
 
@@ -72,8 +72,8 @@
         hello(1),
         work_item(1, "new")
     );
-    let out = run(&input);
-    let reply = text(&out.stdout);
+    let output = run(&input);
+    let reply = text(&output.stdout);
     assert!(!reply.contains("id=old"), "a message of the retired instance is sent: {reply}");
     assert!(reply.contains("id=new") && reply.contains("target=10.0.0.1:80"), "{reply}");
     let input = input.replace("RETIRE forwarder_id=1\n", "");
@@ -83,13 +83,13 @@
 #[test]
 fn large_batch_gets_one_reply() {
     let mut input = format!("BATCH sim_time_us=1000 serial=1\n{}", hello(1));
-    for n in 0..5000 {
-        input.push_str(&work_item(1, &format!("m{n}")));
+    for number in 0..5000 {
+        input.push_str(&work_item(1, &format!("m{number}")));
     }
     input.push_str("END\n");
-    let out = run(&input);
-    assert!(out.status.success());
-    let reply = text(&out.stdout);
+    let output = run(&input);
+    assert!(output.status.success());
+    let reply = text(&output.stdout);
     assert_eq!(reply.matches("ACK").count(), 1);
     assert!(reply.matches("SHED").count() >= 4950, "at most max_open messages are queued");
 }
@@ -130,13 +130,13 @@
         ("BATCH sim_time_us=1 serial=1\n".to_owned(), "END is missing"),
     ];
     for (input, expected) in cases {
-        let out = run(&input);
-        let error = text(&out.stderr);
-        assert!(!out.status.success(), "{expected}");
+        let output = run(&input);
+        let error = text(&output.stderr);
+        assert!(!output.status.success(), "{expected}");
         assert!(
             error.contains(expected) && error.lines().count() == 1,
             "expected {expected:?}, got {error:?}"
         );
-        assert!(out.stdout.is_empty(), "standard output has a line for malformed input");
+        assert!(output.stdout.is_empty(), "standard output has a line for malformed input");
     }
 }
