--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -160,7 +160,7 @@
 }
 
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId, Micros)> {
-    let send = |a: &Action| match a {
+    let send = |action: &Action| match action {
         Action::Send { id, endpoint, timeout } => Some((*id, *endpoint, *timeout)),
         _ => None,
     };
@@ -168,7 +168,7 @@
 }
 
 pub fn rejected(actions: &[Action]) -> Vec<(MessageId, Micros)> {
-    let reject = |a: &Action| match a {
+    let reject = |action: &Action| match action {
         Action::Reject { id, retry_after: pause } => Some((*id, *pause)),
         _ => None,
     };
@@ -176,7 +176,7 @@
 }
 
 pub fn failed(actions: &[Action]) -> Vec<MessageId> {
-    let fail = |a: &Action| match a {
+    let fail = |action: &Action| match action {
         Action::Fail { id } => Some(*id),
         _ => None,
     };
--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -85,7 +85,7 @@
 
 #[test]
 fn faulty_destinations_together_hold_half_the_slots() {
-    let all: Vec<EndpointUpdate> = (1..=6).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let all: Vec<EndpointUpdate> = (1..=6).map(|number| entry(number, u64::from(number), 0, 0)).collect();
     let mut harness = Harness::new(settings(), &all);
     for destination in 1..=6 {
         harness.warm_up(destination, 16);
@@ -110,7 +110,7 @@
     let sent = sends(&harness.submit(1, 0, 12));
     assert_eq!(sent.len(), 5, "one call of five messages fits a window of one");
     let answers: Vec<Event> =
-        sent.iter().map(|s| Event::AttemptEnded(harness.answer(s.0, Outcome::Success))).collect();
+        sent.iter().map(|send| Event::AttemptEnded(harness.answer(send.0, Outcome::Success))).collect();
     assert_eq!(
         sends(&harness.step(&answers)).len(),
         5,
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -151,7 +151,7 @@
         let event_kind =
             [ListEventKind::Delta, ListEventKind::Delta, ListEventKind::Snapshot][self.rng.usize(0..3)];
         if event_kind == ListEventKind::Snapshot {
-            self.entries.values_mut().for_each(|e| e.state = EndpointState::Removed);
+            self.entries.values_mut().for_each(|entry| entry.state = EndpointState::Removed);
         }
         for entry in &entries {
             self.entries.insert(entry.endpoint, *entry);
@@ -232,14 +232,15 @@
             let late = self.now > state.deadline + self.settings.final_answer_grace && state.deadline > 0;
             assert!(state.is_finished || !late, "message {id} has no final answer in time");
         }
-        let calls: BTreeSet<_> = self.in_flight.values().map(|(e, sent, _)| (*e, *sent)).collect();
+        let calls: BTreeSet<_> =
+            self.in_flight.values().map(|(endpoint, sent, _)| (*endpoint, *sent)).collect();
         assert!(calls.len() <= self.settings.max_calls, "more calls in flight than slots");
     }
 
     fn next_events(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
-        if self.timers.first().is_some_and(|t| *t <= self.now) {
-            self.timers.retain(|t| *t > self.now);
+        if self.timers.first().is_some_and(|time| *time <= self.now) {
+            self.timers.retain(|time| *time > self.now);
             events.push(Event::Timer { token: self.rng.u64(..) });
         }
         if self.rng.u8(0..20) == 0 || self.entries.is_empty() {
@@ -262,7 +263,7 @@
 
     /// Ends the attempts that have reached their time-out, and some others with a random outcome.
     fn end_attempts(&mut self, events: &mut Vec<Event>) {
-        let in_flight: Vec<_> = self.in_flight.iter().map(|(a, o)| (*a, o.2)).collect();
+        let in_flight: Vec<_> = self.in_flight.iter().map(|(attempt, call)| (*attempt, call.2)).collect();
         for (attempt, ends) in in_flight {
             if ends <= self.now {
                 events.push(self.outcome(attempt, Outcome::Timeout));
@@ -317,9 +318,9 @@
         assert!(!state.is_finished, "message {id} sent after its final answer");
         assert_eq!(entry.destination, state.destination);
         assert_eq!(entry.state, EndpointState::Active, "sent to a draining or removed endpoint");
-        let mut others = self.entries.values().filter(|e| e.destination == entry.destination);
-        let has_passing =
-            others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
+        let mut others = self.entries.values().filter(|other| other.destination == entry.destination);
+        let has_passing = others
+            .any(|other| other.state == EndpointState::Active && other.health != HealthStatus::Critical);
         assert!(
             !has_passing || entry.health != HealthStatus::Critical,
             "sent to a critical endpoint while another passes"
@@ -343,14 +344,14 @@
             }
         }
         if let Some(key) = state.key {
-            let mut earlier = self.messages.range(..id).filter(|(_, m)| m.key == Some(key));
+            let mut earlier = self.messages.range(..id).filter(|(_, message)| message.key == Some(key));
             assert!(
-                earlier.all(|(_, m)| m.is_finished && m.in_flight.is_empty()),
+                earlier.all(|(_, message)| message.is_finished && message.in_flight.is_empty()),
                 "message {id} sent out of order"
             );
             let cooldown = self.cooldowns.get(&key);
             assert!(
-                cooldown.is_none_or(|(until, by)| *by == id || self.now >= *until),
+                cooldown.is_none_or(|(until, cause)| *cause == id || self.now >= *until),
                 "message {id} sent during the cooldown of key {key}"
             );
         }
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -27,17 +27,17 @@
     let rejections = rejected(&actions);
     assert_eq!(rejections.len(), 3);
     assert!(
-        rejections.iter().all(|r| r.1 > 0 && r.1 <= 3 * SECOND),
+        rejections.iter().all(|rejection| rejection.1 > 0 && rejection.1 <= 3 * SECOND),
         "the Retry-After is positive and within its maximum"
     );
-    assert!(rejections.iter().all(|r| r.0 > 4), "the last messages are shed");
+    assert!(rejections.iter().all(|rejection| rejection.0 > 4), "the last messages are shed");
 }
 
 #[test]
 fn calls_in_flight_stay_within_the_slots_and_none_go_without_slots() {
-    let all: Vec<EndpointUpdate> = (1..=30).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let all: Vec<EndpointUpdate> = (1..=30).map(|number| entry(number, u64::from(number), 0, 0)).collect();
     let mut harness = Harness::new(settings(), &all);
-    let events: Vec<Event> = (1..=30).map(|d| harness.message(d, 0)).collect();
+    let events: Vec<Event> = (1..=30).map(|destination| harness.message(destination, 0)).collect();
     assert_eq!(sends(&harness.step(&events)).len(), 8);
     let mut harness = Harness::new(Settings { max_calls: 0, ..settings() }, &all);
     assert!(sends(&harness.submit(1, 0, 3)).is_empty());
@@ -93,7 +93,7 @@
     ];
     controller.step(5, &events, &mut actions);
     assert_eq!(
-        rejected(&actions).iter().map(|r| r.0).collect::<Vec<_>>(),
+        rejected(&actions).iter().map(|rejection| rejection.0).collect::<Vec<_>>(),
         [3, 1],
         "messages past their deadline"
     );
@@ -143,7 +143,7 @@
     harness.advance(3 * SECOND);
     let next = sends(&harness.end_attempt(first, Outcome::Success));
     assert_eq!(
-        next.iter().map(|s| s.0).collect::<Vec<_>>(),
+        next.iter().map(|send| send.0).collect::<Vec<_>>(),
         [first + 3],
         "the message that was submitted last"
     );
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -10,7 +10,10 @@
     let mut harness = Harness::new(settings(), &[]);
     harness.submit(9, 2, 1);
     assert!(
-        harness.advance(16 * SECOND - 80 * MILLISECOND).iter().all(|a| matches!(a, Action::Timer { .. }))
+        harness
+            .advance(16 * SECOND - 80 * MILLISECOND)
+            .iter()
+            .all(|action| matches!(action, Action::Timer { .. }))
     );
     let actions = harness.advance(20 * MILLISECOND);
     assert_eq!(rejected(&actions).len(), 1, "a message that was never sent may be rejected");
@@ -24,7 +27,8 @@
     // in flight.
     let (pause, used_settings) = (50 * MILLISECOND, settings());
     let timer = |actions: &[Action]| {
-        let delay = |a: &Action| if let Action::Timer { delay, .. } = a { Some(*delay) } else { None };
+        let delay =
+            |action: &Action| if let Action::Timer { delay, .. } = action { Some(*delay) } else { None };
         actions.iter().find_map(delay)
     };
     let mut queued = Harness::new(settings(), &[]);
@@ -107,7 +111,7 @@
     let mut harness = Harness::new(settings(), &zones);
     let (id, ..) = sends(&harness.submit(1, 4, 1))[0];
     let retries = sends(&harness.end_attempt(id, Outcome::Error));
-    assert_eq!(retries.iter().map(|s| s.1).collect::<Vec<_>>(), [2]);
+    assert_eq!(retries.iter().map(|send| send.1).collect::<Vec<_>>(), [2]);
     harness.end_attempt(id, Outcome::Error);
     harness.list(ListEventKind::Snapshot, &[]);
     assert_eq!(rejected(&harness.advance(15 * SECOND)).len(), 1);
@@ -148,10 +152,10 @@
 fn each_message_of_a_batch_may_set_a_retry_after() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 2)]);
     let sent = sends(&harness.submit(1, 0, 2));
-    let answer = |n: usize, wait| {
+    let answer = |number: usize, wait| {
         Event::AttemptEnded(AttemptResult {
             retry_after: wait,
-            ..harness.answer(sent[n].0, Outcome::Rejected)
+            ..harness.answer(sent[number].0, Outcome::Rejected)
         })
     };
     let answers = [answer(0, 300 * MILLISECOND), answer(1, 900 * MILLISECOND)];
@@ -176,16 +180,16 @@
 fn messages_of_an_order_key_go_one_at_a_time_and_cool_down_after_a_timeout() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0, 1), entry(2, 1, 0, 1)]);
     let events: Vec<Event> = (0..3).map(|_| harness.message_with_key(1, 3, Some(5))).collect();
-    assert_eq!(sends(&harness.step(&events)).iter().map(|s| s.0).collect::<Vec<_>>(), [1]);
+    assert_eq!(sends(&harness.step(&events)).iter().map(|send| send.0).collect::<Vec<_>>(), [1]);
     let next = harness.end_attempt(1, Outcome::Success);
-    assert_eq!(sends(&next).iter().map(|s| s.0).collect::<Vec<_>>(), [2]);
+    assert_eq!(sends(&next).iter().map(|send| send.0).collect::<Vec<_>>(), [2]);
     let after = harness.end_attempt(2, Outcome::Timeout);
     assert_eq!(failed(&after), [2]);
     assert!(
         sends(&after).is_empty() && sends(&harness.advance(299 * MILLISECOND)).is_empty(),
         "the key is in its cooldown"
     );
-    assert_eq!(sends(&harness.advance(MILLISECOND)).iter().map(|s| s.0).collect::<Vec<_>>(), [3]);
+    assert_eq!(sends(&harness.advance(MILLISECOND)).iter().map(|send| send.0).collect::<Vec<_>>(), [3]);
 }
 
 #[test]
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -29,20 +29,24 @@
         harness.now += 50 * MILLISECOND;
         let sent = sends(&harness.step(&events));
         arrivals.extend(sent.iter().map(|_| harness.now));
-        in_flight.extend(sent.iter().map(|s| s.0));
+        in_flight.extend(sent.iter().map(|send| send.0));
     }
     // The capacity is 7 calls a second and starts at a fifth of that. More than twice the present capacity overloads
     // the destination, so no span of two seconds may have more calls than that.
-    for at in (10..20).map(|s| start + s * SECOND) {
-        let count = arrivals.iter().filter(|a| (at..at + 2 * SECOND).contains(*a)).count();
+    for at in (10..20).map(|seconds| start + seconds * SECOND) {
+        let count = arrivals.iter().filter(|arrival| (at..at + 2 * SECOND).contains(*arrival)).count();
         let part = 0.2 + 0.8 * ((at - start - 9 * SECOND) as f64 / (12 * SECOND) as f64).min(1.0);
         assert!(count as f64 <= 2.0 * 7.0 * part * 2.0, "{count} calls in the span from {at}");
     }
-    let during_outage =
-        arrivals.iter().filter(|a| (start + 4 * SECOND..start + 10 * SECOND).contains(*a)).count();
+    let during_outage = arrivals
+        .iter()
+        .filter(|arrival| (start + 4 * SECOND..start + 10 * SECOND).contains(*arrival))
+        .count();
     assert!((1..=20).contains(&during_outage), "a few trial calls during the outage: {during_outage}");
-    let after_ramp =
-        arrivals.iter().filter(|a| (start + 24 * SECOND..start + 28 * SECOND).contains(*a)).count();
+    let after_ramp = arrivals
+        .iter()
+        .filter(|arrival| (start + 24 * SECOND..start + 28 * SECOND).contains(*arrival))
+        .count();
     assert!(after_ramp >= 60, "full load after the ramp: {after_ramp} calls");
 }
 
@@ -121,9 +125,9 @@
     };
     let (start, mut rng) = (100 * SECOND, fastrand::Rng::with_seed(seed));
     let mut fleet: Vec<Harness> = Vec::new();
-    for n in 0..forwarders {
+    for number in 0..forwarders {
         let mut harness = Harness::new(custom_settings.clone(), &[]);
-        harness.controller = Controller::new(custom_settings.clone(), seed * 1000 + u64::from(n));
+        harness.controller = Controller::new(custom_settings.clone(), seed * 1000 + u64::from(number));
         harness.now = start;
         harness.list(ListEventKind::Snapshot, &[entry(1, 1, 0, 0)]);
         fleet.push(harness);
@@ -141,11 +145,13 @@
             if extra_message || rng.f64() < 2.0 * 0.05 / f64::from(forwarders) {
                 events.push(harness.message(1, 0));
             }
-            let ended =
-                in_flight.iter().filter(|o| o.0 <= at).map(|o| Event::AttemptEnded(harness.answer(o.1, o.2)));
+            let ended = in_flight
+                .iter()
+                .filter(|call| call.0 <= at)
+                .map(|call| Event::AttemptEnded(harness.answer(call.1, call.2)));
             events.extend(ended);
-            served += in_flight.iter().filter(|o| o.0 <= at && o.2 == Outcome::Success).count();
-            in_flight.retain(|o| o.0 > at);
+            served += in_flight.iter().filter(|call| call.0 <= at && call.2 == Outcome::Success).count();
+            in_flight.retain(|call| call.0 > at);
             for (id, ..) in sends(&harness.step(&events)) {
                 let rejected = (30 * SECOND..45 * SECOND).contains(&at);
                 in_flight.push((
@@ -158,7 +164,8 @@
         }
     }
     let in_span = |from: Micros| calls.iter().filter(|at| (from..from + 2 * SECOND).contains(*at)).count();
-    let max_calls_in_span = (0..40).map(|n| in_span(45 * SECOND + n * 50 * MILLISECOND)).max().unwrap_or(0);
+    let max_calls_in_span =
+        (0..40).map(|step| in_span(45 * SECOND + step * 50 * MILLISECOND)).max().unwrap_or(0);
     (max_calls_in_span, served)
 }
 
--- a/crates/core/tests/stalls_and_zones.rs
+++ b/crates/core/tests/stalls_and_zones.rs
@@ -12,7 +12,8 @@
 }
 
 fn cancelled(actions: &[Action]) -> Vec<MessageId> {
-    let cancelled = |a: &Action| if let Action::Cancel { id, attempt: 0 } = a { Some(*id) } else { None };
+    let cancelled =
+        |action: &Action| if let Action::Cancel { id, attempt: 0 } = action { Some(*id) } else { None };
     actions.iter().filter_map(cancelled).collect()
 }
 
