--- a/crates/core/tests/concurrency_window.rs
+++ b/crates/core/tests/concurrency_window.rs
@@ -35,7 +35,7 @@
             sent_after.extend(sends(&harness.end_attempt(*id, outcome)));
         }
         sent_after.extend(sends(&harness.end_attempt(sent[0].0, Outcome::Success)));
-        sent_after.extend(sends(&harness.advance(2 * S)));
+        sent_after.extend(sends(&harness.advance(2 * SECOND)));
         assert_eq!(sent_after.len(), 1, "{outcome:?}: three failures reduce the window to its floor");
     }
 }
@@ -47,7 +47,7 @@
     let id = sends(&harness.submit(1, 0, 1))[0].0;
     // One rejection halves the window down to its floor. Ten successes of retried messages leave it there.
     harness.end_attempt(id, Outcome::Rejected);
-    harness.now += 3 * S;
+    harness.now += 3 * SECOND;
     assert_eq!(sends(&harness.advance(0)).len(), 1);
     harness.end_attempt(id, Outcome::Success);
     for _ in 0..10 {
@@ -74,7 +74,7 @@
     harness.warm_up(1, 40);
     harness.warm_up(2, 40);
     assert_eq!(sends(&harness.submit(1, 0, 4)).len(), 4);
-    harness.advance(S);
+    harness.advance(SECOND);
     assert_eq!(
         sends(&harness.submit(1, 0, 9)).len(),
         0,
@@ -85,7 +85,7 @@
 
 #[test]
 fn faulty_destinations_together_hold_half_the_slots() {
-    let all: Vec<EndpointUpdate> = (1..=6).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let all: Vec<EndpointUpdate> = (1..=6).map(|number| entry(number, u64::from(number), 0, 0)).collect();
     let mut harness = Harness::new(settings(), &all);
     for destination in 1..=6 {
         harness.warm_up(destination, 16);
@@ -93,7 +93,7 @@
     for destination in 1..=2 {
         assert_eq!(sends(&harness.submit(destination, 0, 2)).len(), 2);
     }
-    harness.advance(S);
+    harness.advance(SECOND);
     for destination in 1..=2 {
         assert_eq!(
             sends(&harness.submit(destination, 0, 2)).len(),
@@ -110,7 +110,7 @@
     let sent = sends(&harness.submit(1, 0, 12));
     assert_eq!(sent.len(), 5, "one call of five messages fits a window of one");
     let answers: Vec<Event> =
-        sent.iter().map(|s| Event::AttemptEnded(harness.answer(s.0, Outcome::Success))).collect();
+        sent.iter().map(|send| Event::AttemptEnded(harness.answer(send.0, Outcome::Success))).collect();
     assert_eq!(
         sends(&harness.step(&answers)).len(),
         5,
@@ -133,13 +133,16 @@
     let sent = sends(&harness.submit(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window allows two calls");
     let actions = harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
-    assert_eq!(failed(&actions), [sent[0].0], "it may have been executed");
+    assert_eq!(failed(&actions), [sent[0].0], "the message may have been executed");
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
     let sent = sends(&harness.submit(7, 2, 2));
     assert_eq!(sent.len(), 2, "the window still allows two calls");
     harness.end_attempt(sent[0].0, Outcome::InvalidResponse);
     harness.end_attempt(sent[1].0, Outcome::InvalidResponse);
-    assert!(sends(&harness.submit(7, 2, 2)).is_empty(), "the third and fourth in a row count as failures");
+    assert!(
+        sends(&harness.submit(7, 2, 2)).is_empty(),
+        "the third and fourth invalid response in a row count as failures"
+    );
 }
 
 // Guards against two failures when the only endpoint of a destination is replaced: the new endpoint is limited by the
@@ -155,17 +158,17 @@
     assert_eq!(
         sent.iter().map(|sent| sent.1).collect::<Vec<_>>(),
         [2],
-        "one call, although two are still in flight at the old endpoint"
+        "one call to the new endpoint, although two are still in flight at the old one"
     );
     let mut answer = harness.answer(sent[0].0, Outcome::Rejected);
-    answer.retry_after = S;
+    answer.retry_after = SECOND;
     harness.step(&[Event::AttemptEnded(answer)]);
     harness.list(ListEventKind::Delta, &[removed(2)]);
     assert!(
         sends(&harness.list(ListEventKind::Delta, &[entry(3, 7, 0, 0)])).is_empty(),
         "the Retry-After still applies"
     );
-    assert_eq!(sends(&harness.advance(S)).len(), 1);
+    assert_eq!(sends(&harness.advance(SECOND)).len(), 1);
 }
 
 // Guards against memory that grows with the number of endpoints that have ever been listed.
@@ -174,10 +177,12 @@
     let mut harness = Harness::new(settings(), &[entry(1, 7, 0, 0), entry(2, 8, 0, 1)]);
     let mut sizes = Vec::new();
     for id in 1..200 {
-        harness.now += S;
+        harness.now += SECOND;
         let sent = sends(&harness.submit(7, 0, 1));
-        let removed =
-            |id, dest, kind| EndpointUpdate { state: EndpointState::Removed, ..entry(id, dest, 0, kind) };
+        let removed = |id, destination, kind| EndpointUpdate {
+            state: EndpointState::Removed,
+            ..entry(id, destination, 0, kind)
+        };
         let (old, new) = (2 * id - 1, 2 * id + 1);
         harness.list(ListEventKind::Delta, &[entry(new, 7, 0, 0), entry(new + 1, 8, 0, 1)]);
         harness.list(ListEventKind::Delta, &[removed(old, 7, 0), removed(old + 1, 8, 1)]);
@@ -197,6 +202,6 @@
     assert_eq!(
         sends(&harness.end_attempt(sent[0].0, Outcome::NotSent)).len(),
         1,
-        "the window still allows two"
+        "the window still allows two calls"
     );
 }
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -1,12 +1,13 @@
-//! Generates random event sequences from fixed seeds and checks the rules on every action of the controller. Outcomes
-//! are drawn at random; no endpoint is simulated.
+//! Generates random event sequences from fixed seeds and checks that no action of the controller breaks a rule: on
+//! final answers, repeats, order, Retry-After, endpoints or call slots. Outcomes are drawn at random; no endpoint is
+//! simulated.
 
 use orchidyoke_core::Controller;
 use orchidyoke_core::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: Micros = 1000;
-const S: Micros = 1_000_000;
+const MILLISECOND: Micros = 1000;
+const SECOND: Micros = 1_000_000;
 /// Outcomes to draw from. Repeated ones are drawn more often.
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Success,
@@ -23,8 +24,8 @@
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
     let class = |class_idempotency, keep_order| Class {
-        latency_objective: 2 * S,
-        deadline: 8 * S,
+        latency_objective: 2 * SECOND,
+        deadline: 8 * SECOND,
         priority_weight: 1.0,
         late_weight_share: 0.3,
         idempotency: class_idempotency,
@@ -34,8 +35,8 @@
         fleet_size: rng.u32(1..4),
         classes: vec![
             class(Idempotency::Idempotent, false),
-            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 3 * S }, false),
-            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 3 * S }, false),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 3 * SECOND }, false),
+            class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: 3 * SECOND }, false),
             class(Idempotency::NonIdempotent, false),
             class(Idempotency::NonIdempotent, true),
             class(Idempotency::Idempotent, true),
@@ -50,19 +51,19 @@
         max_open_messages: rng.usize(1..60),
         max_attempts: rng.u32(1..6),
         send_retry_after: rng.bool(),
-        max_retry_after: 3 * S,
+        max_retry_after: 3 * SECOND,
         streams_per_connection: rng.usize(0..3),
-        idle_timeout: 5 * S,
+        idle_timeout: 5 * SECOND,
         capacity_hints: CapacityHints::Rough,
         discovery_mode: if rng.bool() { DiscoveryMode::Push } else { DiscoveryMode::Poll },
-        tick: 5 * MS,
-        final_answer_grace: 20 * MS,
-        max_poll_interval: 10 * S,
+        tick: 5 * MILLISECOND,
+        final_answer_grace: 20 * MILLISECOND,
+        max_poll_interval: 10 * SECOND,
         overload_factor: 2.0,
-        overload_window: 2 * S,
+        overload_window: 2 * SECOND,
         cold_capacity_share: 0.2,
-        warm_up_time: 10 * S,
-        key_cooldown: 300 * MS,
+        warm_up_time: 10 * SECOND,
+        key_cooldown: 300 * MILLISECOND,
         ..Settings::default()
     }
 }
@@ -74,6 +75,7 @@
     deadline: Micros,
     attempts: u32,
     in_flight: BTreeSet<u32>,
+    /// Time and zone of the first attempt after which the message may have been executed.
     possible_delivery: Option<(Micros, usize)>,
     is_finished: bool,
 }
@@ -85,8 +87,10 @@
     now: Micros,
     entries: BTreeMap<EndpointId, EndpointUpdate>,
     messages: BTreeMap<MessageId, MessageState>,
+    /// Endpoint, time sent and time of the time-out of each attempt in flight.
     in_flight: BTreeMap<(MessageId, u32), (EndpointId, Micros, Micros)>,
     retry_after_ends: BTreeMap<u64, Micros>,
+    /// For each order key, the end of its cooldown and the message that caused it.
     cooldowns: BTreeMap<u64, (Micros, MessageId)>,
     timers: BTreeSet<Micros>,
     trace: Vec<String>,
@@ -100,7 +104,7 @@
             controller: Controller::new(settings.clone(), seed),
             settings,
             rng,
-            now: 77 * S,
+            now: 77 * SECOND,
             entries: BTreeMap::new(),
             messages: BTreeMap::new(),
             in_flight: BTreeMap::new(),
@@ -147,7 +151,7 @@
         let event_kind =
             [ListEventKind::Delta, ListEventKind::Delta, ListEventKind::Snapshot][self.rng.usize(0..3)];
         if event_kind == ListEventKind::Snapshot {
-            self.entries.values_mut().for_each(|e| e.state = EndpointState::Removed);
+            self.entries.values_mut().for_each(|entry| entry.state = EndpointState::Removed);
         }
         for entry in &entries {
             self.entries.insert(entry.endpoint, *entry);
@@ -159,7 +163,7 @@
         let id = self.messages.len() as MessageId;
         let (class, destination) = (self.rng.usize(0..6), self.rng.u64(0..5));
         let key = (class >= 4).then(|| self.rng.u64(0..3));
-        let time_left = self.rng.i64(-10 * MS..8 * S);
+        let time_left = self.rng.i64(-10 * MILLISECOND..8 * SECOND);
         let deadline = self.now + time_left;
         let (in_flight, possible_delivery) = (BTreeSet::new(), None);
         let state = MessageState {
@@ -179,8 +183,11 @@
 
     fn outcome(&mut self, attempt: (MessageId, u32), outcome: Outcome) -> Event {
         let (endpoint, sent, _) = self.in_flight.remove(&attempt).expect("an attempt in flight");
-        let pause =
-            if outcome == Outcome::Rejected && self.rng.bool() { self.rng.i64(1..900) * MS } else { 0 };
+        let pause = if outcome == Outcome::Rejected && self.rng.bool() {
+            self.rng.i64(1..900) * MILLISECOND
+        } else {
+            0
+        };
         if pause > 0 {
             let until = self.retry_after_ends.entry(self.route(endpoint)).or_default();
             *until = (*until).max(self.now + pause);
@@ -225,14 +232,15 @@
             let late = self.now > state.deadline + self.settings.final_answer_grace && state.deadline > 0;
             assert!(state.is_finished || !late, "message {id} has no final answer in time");
         }
-        let calls: BTreeSet<_> = self.in_flight.values().map(|(e, sent, _)| (*e, *sent)).collect();
+        let calls: BTreeSet<_> =
+            self.in_flight.values().map(|(endpoint, sent, _)| (*endpoint, *sent)).collect();
         assert!(calls.len() <= self.settings.max_calls, "more calls in flight than slots");
     }
 
     fn next_events(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
-        if self.timers.first().is_some_and(|t| *t <= self.now) {
-            self.timers.retain(|t| *t > self.now);
+        if self.timers.first().is_some_and(|time| *time <= self.now) {
+            self.timers.retain(|time| *time > self.now);
             events.push(Event::Timer { token: self.rng.u64(..) });
         }
         if self.rng.u8(0..20) == 0 || self.entries.is_empty() {
@@ -255,7 +263,7 @@
 
     /// Ends the attempts that have reached their time-out, and some others with a random outcome.
     fn end_attempts(&mut self, events: &mut Vec<Event>) {
-        let in_flight: Vec<_> = self.in_flight.iter().map(|(a, o)| (*a, o.2)).collect();
+        let in_flight: Vec<_> = self.in_flight.iter().map(|(attempt, call)| (*attempt, call.2)).collect();
         for (attempt, ends) in in_flight {
             if ends <= self.now {
                 events.push(self.outcome(attempt, Outcome::Timeout));
@@ -310,9 +318,9 @@
         assert!(!state.is_finished, "message {id} sent after its final answer");
         assert_eq!(entry.destination, state.destination);
         assert_eq!(entry.state, EndpointState::Active, "sent to a draining or removed endpoint");
-        let mut others = self.entries.values().filter(|e| e.destination == entry.destination);
-        let has_passing =
-            others.any(|e| e.state == EndpointState::Active && e.health != HealthStatus::Critical);
+        let mut others = self.entries.values().filter(|other| other.destination == entry.destination);
+        let has_passing = others
+            .any(|other| other.state == EndpointState::Active && other.health != HealthStatus::Critical);
         assert!(
             !has_passing || entry.health != HealthStatus::Critical,
             "sent to a critical endpoint while another passes"
@@ -336,14 +344,14 @@
             }
         }
         if let Some(key) = state.key {
-            let mut earlier = self.messages.range(..id).filter(|(_, m)| m.key == Some(key));
+            let mut earlier = self.messages.range(..id).filter(|(_, message)| message.key == Some(key));
             assert!(
-                earlier.all(|(_, m)| m.is_finished && m.in_flight.is_empty()),
+                earlier.all(|(_, message)| message.is_finished && message.in_flight.is_empty()),
                 "message {id} sent out of order"
             );
             let cooldown = self.cooldowns.get(&key);
             assert!(
-                cooldown.is_none_or(|(until, by)| *by == id || self.now >= *until),
+                cooldown.is_none_or(|(until, cause)| *cause == id || self.now >= *until),
                 "message {id} sent during the cooldown of key {key}"
             );
         }
@@ -359,7 +367,7 @@
     let mut world = World::new(seed);
     for _ in 0..1500 {
         world.step();
-        world.now += 5 * MS * world.rng.i64(1..4);
+        world.now += 5 * MILLISECOND * world.rng.i64(1..4);
     }
     world.trace
 }
--- a/crates/core/tests/limits_and_order.rs
+++ b/crates/core/tests/limits_and_order.rs
@@ -13,7 +13,7 @@
     harness.submit(1, 0, 1);
     for attempt in 1..=3 {
         let mut actions = harness.end_attempt(1, Outcome::ConnectFailed);
-        actions.extend(harness.advance(4 * S));
+        actions.extend(harness.advance(4 * SECOND));
         assert_eq!(sends(&actions).len(), usize::from(attempt < 3));
         assert_eq!(rejected(&actions).len(), usize::from(attempt == 3));
     }
@@ -27,17 +27,17 @@
     let rejections = rejected(&actions);
     assert_eq!(rejections.len(), 3);
     assert!(
-        rejections.iter().all(|r| r.1 > 0 && r.1 <= 3 * S),
+        rejections.iter().all(|rejection| rejection.1 > 0 && rejection.1 <= 3 * SECOND),
         "the Retry-After is positive and within its maximum"
     );
-    assert!(rejections.iter().all(|r| r.0 > 4), "the last messages are shed");
+    assert!(rejections.iter().all(|rejection| rejection.0 > 4), "the last messages are shed");
 }
 
 #[test]
 fn calls_in_flight_stay_within_the_slots_and_none_go_without_slots() {
-    let all: Vec<EndpointUpdate> = (1..=30).map(|n| entry(n, u64::from(n), 0, 0)).collect();
+    let all: Vec<EndpointUpdate> = (1..=30).map(|number| entry(number, u64::from(number), 0, 0)).collect();
     let mut harness = Harness::new(settings(), &all);
-    let events: Vec<Event> = (1..=30).map(|d| harness.message(d, 0)).collect();
+    let events: Vec<Event> = (1..=30).map(|destination| harness.message(destination, 0)).collect();
     assert_eq!(sends(&harness.step(&events)).len(), 8);
     let mut harness = Harness::new(Settings { max_calls: 0, ..settings() }, &all);
     assert!(sends(&harness.submit(1, 0, 3)).is_empty());
@@ -93,9 +93,9 @@
     ];
     controller.step(5, &events, &mut actions);
     assert_eq!(
-        rejected(&actions).iter().map(|r| r.0).collect::<Vec<_>>(),
+        rejected(&actions).iter().map(|rejection| rejection.0).collect::<Vec<_>>(),
         [3, 1],
-        "messages whose time is up"
+        "messages past their deadline"
     );
 }
 
@@ -128,7 +128,7 @@
     assert!(sends(&harness.submit(1, 0, 4)).is_empty(), "a batch of four of five waits");
     assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 5, "a full batch is sent");
     assert!(sends(&harness.submit(1, 0, 2)).is_empty());
-    assert_eq!(sends(&harness.advance(2 * S)).len(), 2, "hanging calls do not delay a batch");
+    assert_eq!(sends(&harness.advance(2 * SECOND)).len(), 2, "hanging calls do not delay a batch");
 }
 
 #[test]
@@ -138,15 +138,19 @@
     let first = sends(&harness.submit(1, 0, 1))[0].0;
     for _ in 0..3 {
         harness.submit(1, 0, 1);
-        harness.advance(500 * MS);
+        harness.advance(500 * MILLISECOND);
     }
-    harness.advance(3 * S);
+    harness.advance(3 * SECOND);
     let next = sends(&harness.end_attempt(first, Outcome::Success));
-    assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [first + 3], "the last submitted");
+    assert_eq!(
+        next.iter().map(|send| send.0).collect::<Vec<_>>(),
+        [first + 3],
+        "the message that was submitted last"
+    );
 }
 
 #[test]
-fn invalid_reported_limit_does_not_pace() {
+fn invalid_capacity_hint_or_unusual_fleet_size_does_not_stop_calls() {
     // Guards against a missing or invalid capacity hint, or an unusual fleet size, that stops deliveries.
     for hint in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         for fleet_size in [0, 1, 100, u32::MAX] {
@@ -164,7 +168,7 @@
         for _ in 0..10 {
             if let Some(call) = sends(&harness.submit(1, 0, 1)).first() {
                 sent += 1;
-                harness.now += 100 * MS;
+                harness.now += 100 * MILLISECOND;
                 harness.step(&[Event::Withdrawn { id: call.0 }]);
                 harness.end_attempt(call.0, Outcome::Success);
             }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -135,7 +135,7 @@
 // Guards against a forwarder disconnected from Consul that stops serving, does not report the disconnection, or blocks
 // the others. Also guards against one that reports ready with the old policy once it is connected again.
 #[test]
-fn disconnected_forwarder_serves_on_reports_it_and_catches_up() {
+fn disconnected_forwarder_reports_its_state_keeps_serving_and_catches_up() {
     let fleet = fleet("cut");
     let disconnected_at = Instant::now();
     fleet.consul_link(2).set_fault(NetworkFault::Partition);
@@ -230,7 +230,7 @@
 #[test]
 fn concurrent_proposals_are_committed_one_at_a_time_on_all_forwarders() {
     let fleet = fleet("race");
-    // Votes take a while, so that the second coordinator finds an open proposal.
+    // Delays the votes of one forwarder, so that the second coordinator finds an open proposal.
     fleet.consul_link(0).set_fault(NetworkFault::Delay(Duration::from_millis(150)));
     let processes: Vec<_> =
         (0..4).map(|n| start_proposing(&fleet, &harmless_policy(7_000_000 + n), &format!("op{n}"))).collect();
