--- a/crates/experiments/src/capacity/forwarder/aims.rs
+++ b/crates/experiments/src/capacity/forwarder/aims.rs
@@ -1,5 +1,5 @@
-//! The aims for 100,000 destinations, each held or missed with its measured value. The quick run checks them at its own
-//! sizes.
+//! The targets for 100,000 destinations, and whether each was met, with its measured value. The quick run checks them at
+//! its own sizes.
 
 use super::quantities;
 use super::ratio::Ratio;
@@ -10,8 +10,8 @@
 
 /// Maximum cost of a message with the largest list, as a multiple of the cost with the smallest.
 const MAX_MESSAGE_GROWTH: f64 = 1.5;
-/// The same limit for the quick run. Its few messages make the ratio less exact, which was 0.84 to 1.34 in four runs on
-/// a busy machine.
+/// The same limit for the quick run. It is wider because the quick run sends few messages, which makes the measured
+/// ratio less exact.
 const QUICK_MAX_MESSAGE_GROWTH: f64 = 2.0;
 /// Maximum time to be ready as a multiple of the time with [`READY_SIZE_RATIO`] times fewer destinations.
 const MAX_READY_GROWTH: f64 = 13.0;
