--- a/crates/experiments/src/capacity/client.rs
+++ b/crates/experiments/src/capacity/client.rs
@@ -7,7 +7,8 @@
 
 /// Body size of each message, in bytes.
 pub const BODY_BYTES: usize = 200;
-/// The class of all messages. Messages of this class may be delivered twice, so only the deadline ends one.
+/// The class of all messages. Messages of this class may be delivered twice, so that the forwarder retries one until
+/// its deadline.
 pub const CLASS: &str = "status";
 /// The tenant that all messages belong to.
 pub const TENANT: &str = "acme";
--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -77,7 +77,8 @@
     after_join: Duration::ZERO,
 };
 
-/// Returns the phases of each fleet size. Under sabotage only rest and changes run, because its effect shows there.
+/// Returns the phases of each fleet size. Under sabotage only rest and changes run, because the effect of the
+/// sabotage shows there.
 fn phase_plan(run: &RunOptions) -> PhasePlan {
     let spans = if run.quick { QUICK_SPANS } else { FULL_SPANS };
     PhasePlan { spans, losses: !run.quick && !run.sabotage, restarts: !run.sabotage }
--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -26,7 +26,8 @@
 pub const COMMIT_POINT_ZONE: usize = 0;
 /// Maximum number of hollow forwarders in one process.
 const MEMBERS_PER_PROCESS: usize = 25;
-/// Expected memory of one process, in bytes, for the budget check at the start. It is well above the measured values.
+/// Expected memory of one process, in bytes, for the budget check at the start. It is well above what a
+/// process uses.
 const PROCESS_RESIDENT: u64 = 96 << 20;
 /// Maximum time for a child process to start or to answer.
 const CHILD_TIMEOUT: Duration = Duration::from_secs(30);
@@ -71,7 +72,7 @@
     pub in_force: Vec<InForce>,
     /// Number of restarts that members have reported so far.
     pub restarted: usize,
-    /// Processes with forwarders that have reported that they are up.
+    /// Processes with forwarders that have reported their start.
     ready: BTreeSet<ChildNumber>,
     /// Addresses that control stand-ins have reported.
     listening: BTreeMap<ChildNumber, ControlAddresses>,
@@ -271,7 +272,8 @@
         self.record(event);
     }
 
-    /// Processes reports until `holds` returns `true`. Returns an error, with `what` in its text, after `patience`.
+    /// Processes reports until `holds` returns `true`. Returns an error, with `what` in its text, after
+    /// `time_limit`.
     pub async fn wait_until(
         &mut self,
         time_limit: Duration,
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/hollow.rs
@@ -29,7 +29,7 @@
 const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Maximum duration of an action that a lease protects.
 const MAX_ACTION_TIME: Duration = Duration::from_millis(500);
-/// Time from a failed attempt to the next one.
+/// Time from a failed acquisition of a lease, or a failed read of all members, to the next one.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of concurrent lease acquisitions.
 const MAX_CONCURRENT_ACQUIRES: usize = 4;
@@ -48,7 +48,7 @@
     participant_task: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
     lease_task: JoinHandle<()>,
-    /// Task that reads all members again and again. `None` except under sabotage.
+    /// Task that reads all members repeatedly. `None` except under sabotage.
     read_task: Option<JoinHandle<()>>,
 }
 
@@ -63,7 +63,7 @@
 
     /// Deregisters the participant, releases the leases and stops.
     async fn leave(mut self) {
-        // The task would open another session if it still ran.
+        // The participant's task would open another session if it still ran.
         self.participant_task.abort();
         self.participant.deregister().await;
         self.lease_manager.shut_down();
--- a/crates/experiments/src/capacity/control/load.rs
+++ b/crates/experiments/src/capacity/control/load.rs
@@ -13,7 +13,8 @@
 /// Milliseconds of processor time per second that are one percent of a core.
 const MILLISECONDS_PER_PERCENT: f64 = 10.0;
 
-/// A measured quantity. Unless it says otherwise, a quantity of a forwarder is the mean over all forwarders.
+/// A measured quantity. Unless its comment says otherwise, a quantity of a forwarder is the mean over all
+/// forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Quantity {
     /// Bytes per second between a forwarder and the commit point, both directions.
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Returns the label for the cost of one event, and the factor from this quantity times one second to that label's
-    /// unit. Returns `None` if a cost per event has no meaning.
+    /// Returns the label for the cost of one event, and the factor that converts this quantity, multiplied by seconds,
+    /// to the unit of that label. Returns `None` if a cost per event has no meaning.
     pub fn of_one_event(self) -> Option<(&'static str, f64)> {
         match self {
             Quantity::PolicyBytes => Some(("policy B a forwarder", 1.0)),
@@ -225,8 +226,8 @@
         (policy + leases) / self.members.max(1) as f64 / self.seconds_since(before)
     }
 
-    /// Returns the load since an earlier snapshot. `base` is the resident memory of each process before its forwarders
-    /// started, in bytes.
+    /// Returns the load since an earlier snapshot. `base_resident` is the resident memory of each process before its
+    /// forwarders started, in bytes. `busiest` is the value of [`Quantity::BusiestBytes`].
     pub fn load_since(&self, before: &Snapshot, base_resident: &BTreeMap<usize, u64>, busiest: f64) -> Load {
         let each = |sum: f64| sum / self.members.max(1) as f64 / self.seconds_since(before);
         let policy_bytes = each(self.sum(before, |counts| counts.policy_bytes));
@@ -276,7 +277,7 @@
     }
 
     /// Returns the megabytes of a forwarder that is alone in its process: the process without forwarders, plus one
-    /// forwarder's share of the memory that the forwarders added. The largest process decides.
+    /// forwarder's share of the memory that the forwarders added. Takes the maximum over all processes.
     fn resident_alone(&self, base_resident: &BTreeMap<usize, u64>) -> f64 {
         let alone = self.hosts.iter().filter(|(_, host)| host.members > 0).filter_map(|(number, host)| {
             let base_resident = *base_resident.get(number)? as f64;
--- a/crates/experiments/src/capacity/control/messages.rs
+++ b/crates/experiments/src/capacity/control/messages.rs
@@ -58,7 +58,7 @@
     At(SocketAddr),
 }
 
-/// A request to a child process.
+/// A request to a child process. The description of each variant begins with the role that the request is for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
     /// Members: starts all forwarders of the process.
@@ -75,7 +75,7 @@
     SessionsEndAfter(f64),
 }
 
-/// A report of a child process.
+/// A report of a child process. The description of each variant begins with the role that sends the report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Report {
     /// Members: the process has started. None of its forwarders runs yet.
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -55,7 +55,7 @@
     pub restart_every: Duration,
     /// Time that is measured after a loss, beyond the TTL.
     pub after_loss: Duration,
-    /// Time that is measured after a region is joined again.
+    /// Time that is measured after the links of a region are restored.
     pub after_join: Duration,
 }
 
@@ -64,9 +64,10 @@
 pub struct PhasePlan {
     /// Lengths of the phases.
     pub spans: Spans,
-    /// Whether to kill a forwarder before a change, then a machine and a zone, and to cut off a region.
+    /// Whether to kill a forwarder before a change, then a process, which models a machine, and a zone, and to cut off
+    /// a region.
     pub losses: bool,
-    /// Whether to restart forwarders.
+    /// Whether the phase with restarts runs.
     pub restarts: bool,
 }
 
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A committed policy.
+/// A proposal that was committed.
 #[derive(Clone, Copy, Debug)]
 pub struct Proposal {
     /// Version of the policy.
--- a/crates/experiments/src/capacity/control/rules.rs
+++ b/crates/experiments/src/capacity/control/rules.rs
@@ -3,7 +3,8 @@
 
 use super::scenario::{ONE_CHANGE, ONE_RESTART, ORDINARY_DAY, REST, Row};
 
-/// Allowed factor from the smallest to the largest fleet for a quantity that must not grow. It leaves room for chance.
+/// Allowed factor from the smallest to the largest fleet for a quantity that must not grow. It allows for
+/// random variation.
 const MAX_LEVEL_GROWTH: f64 = 1.6;
 /// Allowed factor beyond proportional growth for a quantity that may grow with the fleet.
 const MAX_EXCESS_GROWTH: f64 = 1.5;
--- a/crates/experiments/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -55,7 +55,7 @@
 }
 
 impl Destinations {
-    /// Chooses at random the destinations that are down: the share `part_down` of all.
+    /// Chooses at random the destinations that are down: the share `share_down` of all.
     pub fn new(endpoints: &Endpoints, count: usize, share_down: f64, rng: &mut StdRng) -> Self {
         let mut shuffled: Vec<u64> = (1..=count as u64).collect();
         shuffled.shuffle(rng);
--- a/crates/experiments/src/capacity/forwarder/aims.rs
+++ b/crates/experiments/src/capacity/forwarder/aims.rs
@@ -1,5 +1,5 @@
-//! The targets for 100,000 destinations, and whether each was met, with its measured value. The quick run checks them at
-//! its own sizes.
+//! The targets for 100,000 destinations, and whether each was met, with its measured value. The quick run checks them
+//! at its own sizes.
 
 use super::quantities;
 use super::ratio::Ratio;
@@ -21,8 +21,8 @@
 const MAX_READY_MS: f64 = 5_000.0;
 /// Maximum memory per destination listed, in bytes.
 const MAX_MEMORY_BYTES: f64 = QUICK_MAX_MEMORY_BYTES / 3.0;
-/// Memory per destination listed before it was reduced to a third, in bytes. The quick run uses it as its limit,
-/// because with its short lists the allocator's reserves weigh as much as the list.
+/// The same limit for the quick run, in bytes. It is three times as high, because with the quick run's short lists the
+/// allocator's reserves are as large as the list.
 const QUICK_MAX_MEMORY_BYTES: f64 = 1_600.0;
 
 /// Results that are not part of the series.
@@ -31,7 +31,8 @@
     /// Cost of a message at two list sizes with [`PartDown`](super::ratio::Case::PartDown), or `None` if it could not
     /// be measured.
     pub share_down: Option<Ratio>,
-    /// Cost of a message at two list sizes with all down, or `None` if it was not or could not be measured.
+    /// Cost of a message at two list sizes with [`AllDown`](super::ratio::Case::AllDown), or `None` if it was not or
+    /// could not be measured.
     pub all_down: Option<Ratio>,
     /// One sentence for each part that could not be run.
     pub not_run: Vec<String>,
--- a/crates/experiments/src/capacity/forwarder/listed.rs
+++ b/crates/experiments/src/capacity/forwarder/listed.rs
@@ -12,8 +12,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const ACCEPTED: u16 = 202;
 
-/// Measures every list size with each share of the destinations down. If a size is too slow, the larger ones are left
-/// out. Returns one sentence for each part that could not be run.
+/// Measures every list size with each share of the destinations down. If a measurement exceeds a time limit, all later
+/// ones are left out. Returns one sentence for each part that could not be run.
 pub fn measure(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
     for listed in rig.plan.listed.clone() {
         for share_down in SHARES_DOWN {
@@ -57,8 +57,8 @@
     rig.add_listed(quantities::RESIDENT, setting, listed, cost.usage.resident as f64);
 }
 
-/// Has one message wait for each destination that is down, up to `max_waiting_destinations` of the plan. Then sends
-/// messages one by one, to destinations that serve if there are any, and measures their cost.
+/// Submits one message, which then waits, to each destination that is down, up to `max_waiting_destinations` of the
+/// plan. Then sends messages one by one, to destinations that serve if there are any, and measures their cost.
 fn measure_messages(
     rig: &mut Rig,
     started: &StartedForwarder,
@@ -92,7 +92,7 @@
 }
 
 /// Measures a delta that adds one entry, a snapshot that adds another, a reload of the unchanged configuration, and a
-/// start on the journal that holds all of it.
+/// start on the journal that results.
 fn measure_changes(
     rig: &mut Rig,
     mut started: StartedForwarder,
--- a/crates/experiments/src/capacity/forwarder/plan.rs
+++ b/crates/experiments/src/capacity/forwarder/plan.rs
@@ -20,14 +20,14 @@
     pub listed_while_waiting: usize,
     /// Maximum number of destinations that are down and get one waiting message each.
     pub max_waiting_destinations: usize,
-    /// Number of messages sent on one connection to measure the cost of one.
+    /// Number of messages sent on one connection to measure the mean cost of a message.
     pub messages: usize,
     /// Number of turns in which the costs with the smallest and the largest list are compared.
     pub turns: usize,
     /// Number of messages in a turn.
     pub messages_in_turn: usize,
-    /// Pause between the sending of the waiting messages and the measurement. Trial calls to destinations that are
-    /// down are most frequent at first.
+    /// Pause between the sending of the waiting messages and the measurement, because trial calls to destinations that
+    /// are down are most frequent at first.
     pub settle: Duration,
     /// Length of a measurement at rest.
     pub rest: Duration,
--- a/crates/experiments/src/capacity/forwarder/ratio.rs
+++ b/crates/experiments/src/capacity/forwarder/ratio.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Costs with the smallest list and with the largest.
+/// Costs with the smallest list and with the largest, in this order.
 #[derive(Clone, Copy, Debug)]
 pub struct Ratio {
     /// Processor time per message in the cheapest turn, in milliseconds.
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/rig.rs
@@ -82,7 +82,7 @@
     }
 
     /// Creates a folder with the configuration of a forwarder that knows `listed` destinations, of which the share
-    /// `part_down` is down.
+    /// `share_down` is down.
     pub fn prepare(
         &mut self,
         listed: usize,
@@ -96,7 +96,7 @@
         (folder, destinations, discovery)
     }
 
-    /// Starts a forwarder on a folder, if the budget has room for `held` destinations and messages.
+    /// Starts a forwarder on a folder, if the budget has room for `expected_items` destinations and messages together.
     pub fn start_on(
         &self,
         folder: &TemporaryFolder,
@@ -105,12 +105,12 @@
         let resident = expected_items as u64 * MEMORY_PER_ITEM;
         self.guard.check(&BudgetUsage { resident, processes: 1, descriptors: PARALLEL_CLIENTS })?;
         let started = ForwarderProcess::start(&self.program, folder, self.plan.start_limit);
-        // If the guard has killed the forwarder, its error is the cause.
+        // If the guard has killed the forwarder, the guard's error is the cause and is returned instead.
         self.guard.check(&BudgetUsage::default())?;
         started
     }
 
-    /// Starts a forwarder that knows `listed` destinations, of which the share `part_down` is down.
+    /// Starts a forwarder that knows `listed` destinations, of which the share `share_down` is down.
     pub fn start(&mut self, listed: usize, share_down: f64) -> Result<StartedForwarder, CapacityError> {
         let (folder, destinations, discovery) = self.prepare(listed, share_down);
         let (process, cost) = self.start_on(&folder, listed)?;
@@ -177,7 +177,7 @@
     pub journal: u64,
 }
 
-/// Runs an operation and measures its cost in a forwarder.
+/// Runs an operation and measures what it costs a forwarder.
 pub fn cost_of<T>(
     process: &ForwarderProcess,
     operation: impl FnOnce() -> Result<T, CapacityError>,
--- a/crates/experiments/src/capacity/forwarder/waiting.rs
+++ b/crates/experiments/src/capacity/forwarder/waiting.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Size of one write to the journal, in bytes.
+/// Minimum size of each write to the journal except the last, in bytes.
 const WRITE_BYTES: usize = 4 << 20;
 const SETTING: &str = "all down";
 
--- a/crates/experiments/src/capacity/guard.rs
+++ b/crates/experiments/src/capacity/guard.rs
@@ -1,4 +1,5 @@
-//! A background check of the budget while an experiment waits. It kills the children as soon as the budget is exceeded.
+//! A background check of the budget while an experiment waits. It kills all child processes when it finds the budget
+//! exceeded.
 
 use super::budget::{Budget, BudgetError, BudgetUsage};
 use super::process;
@@ -18,8 +19,8 @@
     exceeded: Option<BudgetError>,
 }
 
-/// Checks the budget on its own thread until it is dropped. Once the budget is exceeded, the thread kills all children
-/// and stops, and [`Guard::check`] returns the reason.
+/// Checks the budget on its own thread until it is dropped. If the budget is exceeded or the use cannot be read, the
+/// thread kills all children and stops, and the next call of [`Guard::check`] returns the reason.
 #[derive(Debug)]
 pub struct Guard {
     budget: Budget,
@@ -45,8 +46,8 @@
         Guard { budget, state, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Returns an error if the experiment exceeds its budget, has exceeded it before, or would exceed it with the needs
-    /// of the next step.
+    /// Returns an error if the experiment exceeds its budget or would exceed it with the needs of the next step. The
+    /// first call after the thread has stopped for one of its reasons returns that reason.
     pub fn check(&self, needed: &BudgetUsage) -> Result<(), BudgetError> {
         if let Some(error) = lock(&self.state).exceeded.take() {
             return Err(error);
@@ -54,7 +55,7 @@
         self.budget.check_with(needed).map(|_| ())
     }
 
-    /// Returns the maximum of each resource over all checks so far.
+    /// Returns the maximum of each resource over all checks of the thread so far that found the budget kept.
     pub fn highest(&self) -> BudgetUsage {
         lock(&self.state).highest
     }
--- a/crates/experiments/src/capacity/series.rs
+++ b/crates/experiments/src/capacity/series.rs
@@ -178,7 +178,8 @@
     }
 }
 
-/// Formats a value with four significant digits. Only values below 0.001 have an exponent.
+/// Formats a value with four significant digits. Values whose magnitude is below 0.001 have an exponent, but those
+/// below 1e-12 are written as 0.
 pub fn four_digits(value: f64) -> String {
     let digits = match value.abs() {
         zero if zero < 1e-12 => 0,
--- a/crates/experiments/src/consul_scale/journal_tail.rs
+++ b/crates/experiments/src/consul_scale/journal_tail.rs
@@ -37,8 +37,8 @@
         JournalTail { path, open: None, rest: Vec::new(), list: EndpointList::default() }
     }
 
-    /// Reads what was written since the last call, applies it to the list and returns the updates. A later call reads
-    /// what this one cannot read.
+    /// Reads the records written since the last call, applies their updates to the list and returns the updates.
+    /// Returns no updates if the file cannot be read. A later call reads what this call cannot read.
     pub fn read_new(&mut self) -> Vec<EndpointUpdate> {
         self.reopen_if_replaced();
         let Some(open) = &mut self.open else { return Vec::new() };
--- a/crates/experiments/src/consul_silent.rs
+++ b/crates/experiments/src/consul_silent.rs
@@ -69,8 +69,8 @@
     consul_requests: u64,
 }
 
-/// Runs the experiment. Under sabotage all endpoints are deregistered instead of the fault, so that Consul correctly
-/// answers that there are none.
+/// Runs the experiment. Under sabotage each form except the undisturbed one deregisters all endpoints instead of
+/// causing its fault, so that Consul correctly answers that there are no endpoints.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let runs = forms()
         .into_iter()
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -3,7 +3,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The reason why an experiment could not be run. It is no result for the rules that the experiment checks.
+/// The reason why an experiment could not be run. An experiment that violates its rules has
+/// run, and is not an error.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// No experiment has this name.
--- a/crates/experiments/src/fleet_limit.rs
+++ b/crates/experiments/src/fleet_limit.rs
@@ -1,5 +1,6 @@
-//! `fleet-limit`: a hundred forwarders that share only a destination with a rate limit, on a virtual clock. It shows
-//! behaviour that is harmless for one forwarder and harmful for a fleet, in seconds and without processes.
+//! `fleet-limit`: a hundred forwarders that send to one destination with a rate limit and do not communicate with each
+//! other, on a virtual clock. The experiment shows behaviour that is harmless for one forwarder and harmful for a
+//! fleet, in seconds and without processes.
 
 mod scenarios;
 mod virtual_fleet;
--- a/crates/experiments/src/policy_epochs.rs
+++ b/crates/experiments/src/policy_epochs.rs
@@ -24,7 +24,7 @@
 /// Number of changes at each fleet size.
 const CHANGES: usize = 5;
 const MEMBER_TTL: Duration = Duration::from_secs(10);
-/// Maximum time from a commit until it is in force everywhere. A forwarder that has not heard of a commit by then
+/// Maximum time from a commit until it is in force everywhere. A forwarder that has not learnt of a commit by then
 /// reports that it is disconnected.
 const IN_FORCE_BOUND: Duration = Duration::from_millis(6_667);
 /// Time after which the wait for a change to be in force on all forwarders is given up.
--- a/crates/experiments/tests/capacity.rs
+++ b/crates/experiments/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Tests of the quick run of `capacity-forwarder` with real processes: it holds the aims, and it detects a cost that
+//! Tests of the quick run of `capacity-forwarder` with real processes: it meets the targets, and it detects a cost that
 //! grows with the list. The checks use only ratios, byte counts and processor time, and no elapsed time.
 
 use serde_json::Value;
@@ -56,7 +56,7 @@
 }
 
 // Guards against a check that always passes. Under sabotage the forwarder reloads the list before every message, so the
-// aim must be missed.
+// target for the cost of a message must be missed.
 #[test]
 fn message_cost_that_grows_with_the_list_misses_its_objective() {
     let output = run(&["--sabotage"]);
--- a/crates/experiments/tests/capacity_control.rs
+++ b/crates/experiments/tests/capacity_control.rs
@@ -58,7 +58,8 @@
     drop(std::fs::remove_dir_all(&folder));
 }
 
-// Guards against rules that always hold. Under sabotage each forwarder reads all members, which must break a rule.
+// Guards against rules that no run can violate. Under sabotage each forwarder reads all members, which must violate a
+// rule.
 #[test]
 fn fleet_whose_members_read_each_other_violates_a_rule() {
     let output = run_quick(&["--sabotage"]);
--- a/crates/experiments/tests/guard.rs
+++ b/crates/experiments/tests/guard.rs
@@ -33,7 +33,7 @@
     assert_eq!(guard.highest(), BudgetUsage::default(), "a usage over the budget is not recorded");
 }
 
-// Guards against a highest usage that stays at 0.
+// Guards against a guard that reports a highest usage of 0.
 #[test]
 fn guard_reports_the_highest_usage() {
     let guard = Guard::start(Budget::for_this_machine().expect("a machine"));
