--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -1,19 +1,19 @@
-//! `capacity-control`: measures the cost of the control plane on fleets of 50, 150 and 450 hollow forwarders.
+//! `capacity-control`: measures the cost of the control plane on fleets of 50, 150 and 450 simulated forwarders.
 //!
-//! A hollow forwarder runs the policy participant, the membership and the lease manager of a real forwarder, with their
-//! sockets and codecs, and takes no traffic. Up to 25 of them share a process. There are three regions with two zones
-//! each, and each zone has one control stand-in, a process that plays the part of its Consul servers. Leases are called
+//! A simulated forwarder runs the policy participant, the membership and the lease manager of a real forwarder, with
+//! their sockets and codecs, and takes no traffic. Up to 25 of them share a process. There are three regions with two
+//! zones each, and each zone has one control process, which replaces the zone's Consul servers. Leases are called
 //! duties in tables and in stored keys.
 //!
-//! The stand-in does not replicate. Instead, each region has one store for its leases, in the region's first zone, and
-//! the fleet has one commit point, in the first zone of the first region. A forwarder connects to the stand-in of its
-//! own zone, and a fault proxy there forwards the connection to the store, as a Consul follower forwards to its leader
-//! the requests that only the leader may answer. The election of another leader is not modelled, so the experiment
-//! only kills a zone that has no store.
+//! The control processes do not replicate. Instead, each region has one store for its leases, in the region's first
+//! zone, and the fleet has one commit point, in the first zone of the first region. A forwarder connects to the control
+//! process of its own zone, and a fault proxy there forwards the connection to the store, as a Consul follower forwards
+//! to its leader the requests that only the leader may answer. The election of another leader is not modelled, so the
+//! experiment only kills a zone that has no store.
 
 pub mod child;
+mod control_process;
 mod fleet;
-mod hollow;
 mod load;
 mod messages;
 mod phases;
@@ -22,7 +22,7 @@
 mod reporting;
 mod rules;
 mod scenario;
-mod stand_in;
+mod simulated_forwarder;
 mod table;
 
 use crate::options::RunOptions;
--- a/crates/experiments/src/capacity/control/child.rs
+++ b/crates/experiments/src/capacity/control/child.rs
@@ -2,7 +2,7 @@
 //! standard output.
 
 use super::messages::{Request, Role};
-use super::{hollow, stand_in};
+use super::{control_process, simulated_forwarder};
 use std::io::{BufRead, stdin};
 use std::thread;
 use tokio::runtime::Builder;
@@ -22,8 +22,8 @@
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
     LocalSet::new().block_on(&runtime, async {
         match role {
-            Role::Members(role) => hollow::run(role, requests).await,
-            Role::Control(role) => stand_in::run(&role, requests).await,
+            Role::Members(role) => simulated_forwarder::run(role, requests).await,
+            Role::Control(role) => control_process::run(&role, requests).await,
         }
     });
     Ok(())
--- a/crates/experiments/src/capacity/control/stand_in.rs
+++ b/crates/experiments/src/capacity/control/control_process.rs
@@ -1,7 +1,7 @@
-//! The control stand-in, a process that the forwarders of one zone connect to as to their Consul servers.
+//! The control process of a zone, which the forwarders of the zone connect to in place of Consul servers.
 //!
-//! It has a link to the commit point and a link to the lease store of its region, and it runs the stores of its zone.
-//! Each link is a fault proxy that counts bytes.
+//! The process has a link to the commit point and a link to the lease store of its region, and it runs the stores of
+//! its zone. Each link is a fault proxy that counts bytes.
 
 use super::messages::{ControlAddresses, ControlRole, Counts, Report, Request, Store};
 use super::reporting::report;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs the control stand-in until the request channel closes.
+/// Runs the control process until the request channel closes.
 pub async fn run(role: &ControlRole, mut requests: UnboundedReceiver<Request>) {
     let runtime = ServerRuntime::new();
     let policy = Link::new(&runtime, role.policy);
--- a/crates/experiments/src/capacity/control/fleet.rs
+++ b/crates/experiments/src/capacity/control/fleet.rs
@@ -1,10 +1,10 @@
-//! The fleet under measurement: six control stand-ins, the processes with hollow forwarders, and their reports.
+//! The fleet under measurement: six control processes, the processes with simulated forwarders, and their reports.
 
-use super::hollow::LEASES_PREFIX;
 use super::messages::{
     ControlAddresses, ControlRole, Counts, InForce, MembersRole, Report, Request, Role, Store,
 };
 use super::process::{ChildNumber, Event, Process};
+use super::simulated_forwarder::LEASES_PREFIX;
 use crate::capacity::budget::{Budget, BudgetUsage};
 use orchidyoke_fakes::TemporaryFolder;
 use orchidyoke_fakes::forwarder::ForwarderConfig;
@@ -20,11 +20,11 @@
 pub const REGIONS: usize = 3;
 /// Number of zones in each region.
 pub const ZONES_PER_REGION: usize = 2;
-/// Number of zones in the fleet. Each zone has one control stand-in.
+/// Number of zones in the fleet. Each zone has one control process.
 pub const ZONES: usize = REGIONS * ZONES_PER_REGION;
 /// The zone that has the commit point of the policy.
 pub const COMMIT_POINT_ZONE: usize = 0;
-/// Maximum number of hollow forwarders in one process.
+/// Maximum number of simulated forwarders in one process.
 const MEMBERS_PER_PROCESS: usize = 25;
 /// Expected memory of one process, in bytes, for the budget check at the start. It is well above what a
 /// process uses.
@@ -35,7 +35,7 @@
 /// The setup of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlan {
-    /// Number of hollow forwarders.
+    /// Number of simulated forwarders.
     pub members: usize,
     /// TTL of all sessions.
     pub ttl: Duration,
@@ -43,7 +43,7 @@
     pub reads_all_members: bool,
 }
 
-/// A process with hollow forwarders.
+/// A process with simulated forwarders.
 pub struct Host {
     /// Zone of the process.
     pub zone: usize,
@@ -53,7 +53,7 @@
     pub process: Option<Process>,
 }
 
-/// The control stand-in of a zone.
+/// The control process of a zone.
 pub struct ControlProcess {
     /// Its addresses.
     pub addresses: ControlAddresses,
@@ -64,9 +64,9 @@
 /// The processes of the fleet and the state that they have reported. Dropping it kills the processes.
 pub struct Fleet {
     plan: FleetPlan,
-    /// The control stand-ins, indexed by zone. Those of one region are adjacent.
+    /// The control processes, indexed by zone. Those of one region are adjacent.
     pub controls: Vec<ControlProcess>,
-    /// The processes with hollow forwarders.
+    /// The processes with simulated forwarders.
     pub hosts: Vec<Host>,
     /// Policies that came into force on members, as reported so far.
     pub in_force: Vec<InForce>,
@@ -74,9 +74,9 @@
     pub restarted: usize,
     /// Processes with forwarders that have reported their start.
     ready: BTreeSet<ChildNumber>,
-    /// Addresses that control stand-ins have reported.
+    /// Addresses that control processes have reported.
     listening: BTreeMap<ChildNumber, ControlAddresses>,
-    /// Last counts of each control stand-in, with the number of the request for them.
+    /// Last counts of each control process, with the number of the request for them.
     counted: BTreeMap<ChildNumber, (u64, Counts)>,
     /// Children that have exited, those that were killed included.
     exited: BTreeSet<ChildNumber>,
@@ -99,7 +99,7 @@
 }
 
 impl Fleet {
-    /// Starts the control stand-ins and the processes for the forwarders. The forwarders themselves start in
+    /// Starts the control processes and the processes for the forwarders. The forwarders themselves start in
     /// [`Fleet::start_forwarders`].
     ///
     /// # Errors
@@ -205,7 +205,7 @@
         host.process = None;
     }
 
-    /// Kills all processes of a zone, its control stand-in included. The zone must not have a store.
+    /// Kills all processes of a zone, its control process included. The zone must not have a store.
     pub fn kill_zone(&mut self, zone: usize) {
         let hosts: Vec<usize> = (0..self.hosts.len()).filter(|host| self.hosts[*host].zone == zone).collect();
         hosts.into_iter().for_each(|host| self.kill_host(host));
@@ -235,7 +235,7 @@
         processes.into_iter().try_for_each(|process| process.send_request(&Request::SessionsEndAfter(ttls)))
     }
 
-    /// Returns the counts of the running control stand-ins, by zone.
+    /// Returns the counts of the running control processes, by zone.
     pub async fn counts(&mut self) -> Result<BTreeMap<usize, Counts>, String> {
         self.counts_requested += 1;
         let request_number = self.counts_requested;
--- a/crates/experiments/src/capacity/control/load.rs
+++ b/crates/experiments/src/capacity/control/load.rs
@@ -33,17 +33,17 @@
     Core,
     /// Resident megabytes of a forwarder that is alone in its process, estimated from the shared processes.
     Resident,
-    /// Bytes per second of policy traffic through the control stand-in that has the commit point.
+    /// Bytes per second of policy traffic through the control process that has the commit point.
     CommitPointBytes,
-    /// Bytes per second of lease traffic through the busiest control stand-in.
+    /// Bytes per second of lease traffic through the busiest control process.
     LeaseStoreBytes,
-    /// Bytes per second of all traffic through the busiest control stand-in.
+    /// Bytes per second of all traffic through the busiest control process.
     ControlBytes,
-    /// Requests per second to the busiest control stand-in.
+    /// Requests per second to the busiest control process.
     ControlRequests,
-    /// Percent of a core that the busiest control stand-in uses.
+    /// Percent of a core that the busiest control process uses.
     ControlCore,
-    /// Resident megabytes of the largest control stand-in.
+    /// Resident megabytes of the largest control process.
     ControlResident,
 }
 
@@ -252,7 +252,7 @@
         ]))
     }
 
-    /// Returns the growth of a count, summed over the control stand-ins that are in both snapshots.
+    /// Returns the growth of a count, summed over the control processes that are in both snapshots.
     fn sum(&self, before: &Snapshot, count: fn(&Counts) -> u64) -> f64 {
         self.counts.keys().map(|zone| self.growth(before, *zone, count)).sum()
     }
@@ -303,8 +303,8 @@
         loads.collect()
     }
 
-    /// Returns the bytes of policy traffic through a control stand-in, which is the traffic of its zone's link. The
-    /// stand-in with the commit point also has the traffic of all other zones and of the proposer.
+    /// Returns the bytes of policy traffic through a control process, which is the traffic of its zone's link. The
+    /// control process with the commit point also has the traffic of all other zones and of the proposer.
     fn policy_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
         let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.policy_bytes);
         if zone != COMMIT_POINT_ZONE {
@@ -314,8 +314,8 @@
         (0..ZONES).map(of_zone).sum::<f64>() + proposer as f64
     }
 
-    /// Returns the bytes of lease traffic through a control stand-in, which is the traffic of its zone's link. A
-    /// stand-in with a lease store also has the traffic of the other zones of its region.
+    /// Returns the bytes of lease traffic through a control process, which is the traffic of its zone's link. A
+    /// control process with a lease store also has the traffic of the other zones of its region.
     fn lease_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
         let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.lease_bytes);
         if !zone.is_multiple_of(ZONES_PER_REGION) {
@@ -325,7 +325,7 @@
     }
 }
 
-/// The load of one control stand-in.
+/// The load of one control process.
 struct ControlLoad {
     policy_bytes: f64,
     lease_bytes: f64,
--- a/crates/experiments/src/capacity/control/messages.rs
+++ b/crates/experiments/src/capacity/control/messages.rs
@@ -9,13 +9,13 @@
 /// The role of a child process, sent as the first line on its standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Role {
-    /// Runs hollow forwarders of one zone.
+    /// Runs simulated forwarders of one zone.
     Members(MembersRole),
-    /// Runs the control stand-in of one zone.
+    /// Runs the control process of one zone.
     Control(ControlRole),
 }
 
-/// The role of a process with several hollow forwarders.
+/// The role of a process with several simulated forwarders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembersRole {
     /// Names of the forwarders, unique in the fleet.
@@ -39,7 +39,7 @@
     pub reads_all_members: bool,
 }
 
-/// The role of a zone's control stand-in, which the zone's forwarders connect to.
+/// The role of a zone's control process, which the zone's forwarders connect to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlRole {
     /// Location of the store with the commit point of the policy.
@@ -80,7 +80,7 @@
 pub enum Report {
     /// Members: the process has started. None of its forwarders runs yet.
     Up,
-    /// Control: the stand-in listens at these addresses.
+    /// Control: the control process listens at these addresses.
     Listens(ControlAddresses),
     /// Members: a policy is in force on a member.
     InForce(InForce),
@@ -90,7 +90,7 @@
     Counted(u64, Counts),
 }
 
-/// The addresses of a control stand-in.
+/// The addresses of a control process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ControlAddresses {
     /// The zone's link to the commit point.
@@ -116,7 +116,7 @@
     pub at: u64,
 }
 
-/// The counts of a control stand-in since its start.
+/// The counts of a control process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Bytes over the zone's link to the commit point, both directions.
--- a/crates/experiments/src/capacity/control/phases.rs
+++ b/crates/experiments/src/capacity/control/phases.rs
@@ -1,10 +1,10 @@
 //! The phases of the experiment on a fleet of one size, and the results of each phase.
 
 use super::fleet::{Fleet, FleetPlan, REGIONS, ZONES_PER_REGION};
-use super::hollow::policy_settings;
 use super::load::{Load, Snapshot};
 use super::messages::clock;
 use super::proposer::{PolicySize, Proposal, Proposer};
+use super::simulated_forwarder::policy_settings;
 use crate::capacity::budget::Budget;
 use orchidyoke_consul::Settings as ConsulSettings;
 use orchidyoke_consul::locks::LockClient;
--- a/crates/experiments/src/capacity/control/proposer.rs
+++ b/crates/experiments/src/capacity/control/proposer.rs
@@ -1,7 +1,7 @@
 //! Proposes policies at the commit point, one after another, as `orchidyoke policy` does.
 
-use super::hollow::policy_settings;
 use super::messages::clock;
+use super::simulated_forwarder::policy_settings;
 use orchidyoke_fakes::{FaultProxy, ServerRuntime, unused_loopback_address};
 use orchidyoke_policy_commit::Coordinator;
 use serde_json::json;
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/simulated_forwarder.rs
@@ -1,4 +1,4 @@
-//! Hollow forwarders. Each runs the policy participant, the membership and the lease manager of a forwarder with its
+//! Simulated forwarders. Each runs the policy participant, the membership and the lease manager of a forwarder with its
 //! own sockets and files, and takes no traffic. Several of them share a process.
 
 use super::messages::{InForce, MembersRole, Report, Request, clock};
@@ -42,8 +42,8 @@
     PolicySettings { consul, prefix: POLICY_PREFIX.to_owned(), name: None, ttl }
 }
 
-/// A running hollow forwarder.
-struct HollowForwarder {
+/// A running simulated forwarder.
+struct SimulatedForwarder {
     participant: Rc<ConsulParticipant>,
     participant_task: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
@@ -52,13 +52,13 @@
     read_task: Option<JoinHandle<()>>,
 }
 
-impl HollowForwarder {
+impl SimulatedForwarder {
     fn start(role: &MembersRole, name: &str) -> Self {
         let (participant, participant_task) = start_participant(role, name);
         let (lease_manager, lease_task) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
         let read_task = role.reads_all_members.then(read_all);
-        HollowForwarder { participant, participant_task, lease_manager, lease_task, read_task }
+        SimulatedForwarder { participant, participant_task, lease_manager, lease_task, read_task }
     }
 
     /// Deregisters the participant, releases the leases and stops.
@@ -73,7 +73,7 @@
     }
 }
 
-impl Drop for HollowForwarder {
+impl Drop for SimulatedForwarder {
     fn drop(&mut self) {
         self.participant_task.abort();
         self.lease_task.abort();
@@ -140,11 +140,11 @@
     }
 }
 
-/// Runs the hollow forwarders of one process until the request channel closes.
+/// Runs the simulated forwarders of one process until the request channel closes.
 pub async fn run(role: MembersRole, mut requests: UnboundedReceiver<Request>) {
     report(&Report::Up);
     let role = Rc::new(role);
-    let mut members: BTreeMap<String, HollowForwarder> = BTreeMap::new();
+    let mut members: BTreeMap<String, SimulatedForwarder> = BTreeMap::new();
     // Members that were stopped gracefully and have started again.
     let (restarted_sender, mut restarted_receiver) = unbounded_channel();
     loop {
@@ -161,7 +161,7 @@
                 members = role
                     .names
                     .iter()
-                    .map(|name| (name.clone(), HollowForwarder::start(&role, name)))
+                    .map(|name| (name.clone(), SimulatedForwarder::start(&role, name)))
                     .collect();
             }
             Some(Request::Restart(name)) => {
@@ -170,7 +170,7 @@
                 spawn_local(async move {
                     member.leave().await;
                     report(&Report::Restarted(name.clone()));
-                    let member = HollowForwarder::start(&role, &name);
+                    let member = SimulatedForwarder::start(&role, &name);
                     // The receiver is dropped only when the process exits.
                     drop(restarted_sender.send((name, member)));
                 });
--- a/crates/experiments/src/capacity/destinations.rs
+++ b/crates/experiments/src/capacity/destinations.rs
@@ -24,7 +24,7 @@
 /// Addresses for endpoints: those of a fake server, and one that refuses connections.
 #[derive(Debug)]
 pub struct Endpoints {
-    _partner: DestinationServer,
+    _server: DestinationServer,
     serving: Vec<SocketAddr>,
     refusing: SocketAddr,
     /// A socket that is bound but does not listen, so that the system refuses connections to its port and gives the
@@ -35,11 +35,11 @@
 impl Endpoints {
     /// Opens the addresses.
     pub fn open() -> io::Result<Self> {
-        let partner = DestinationServer::new(CapacityModel::default());
-        let serving = (0..SERVING_ADDRESSES).map(|_| partner.open_endpoint()).collect();
+        let server = DestinationServer::new(CapacityModel::default());
+        let serving = (0..SERVING_ADDRESSES).map(|_| server.open_endpoint()).collect();
         let bound = TcpSocket::new_v4()?;
         bound.bind(SocketAddr::new(unused_loopback_address(), 0))?;
-        Ok(Endpoints { _partner: partner, serving, refusing: bound.local_addr()?, _bound: bound })
+        Ok(Endpoints { _server: server, serving, refusing: bound.local_addr()?, _bound: bound })
     }
 }
 
@@ -51,7 +51,7 @@
     /// Destinations whose endpoint refuses connections.
     pub down: Vec<u64>,
     /// One entry per destination, in the format of the endpoint list.
-    pub targets: Vec<Value>,
+    pub entries: Vec<Value>,
 }
 
 impl Destinations {
@@ -66,14 +66,14 @@
             addresses[number - 1] = endpoints.serving[number % SERVING_ADDRESSES];
         }
         let entry = |(number, address): (usize, &SocketAddr)| entry(number as u64 + 1, *address);
-        let targets = addresses.iter().enumerate().map(entry).collect();
-        Destinations { up, down: shuffled, targets }
+        let entries = addresses.iter().enumerate().map(entry).collect();
+        Destinations { up, down: shuffled, entries }
     }
 
     /// Adds a destination that serves, and returns its number.
     pub fn add(&mut self, endpoints: &Endpoints) -> u64 {
-        let destination = self.targets.len() as u64 + 1;
-        self.targets.push(entry(destination, endpoints.serving[0]));
+        let destination = self.entries.len() as u64 + 1;
+        self.entries.push(entry(destination, endpoints.serving[0]));
         self.up.push(destination);
         destination
     }
@@ -85,7 +85,7 @@
         setup.disk_mb = DISK_MB;
         let mut config: Value = serde_json::from_str(&setup.text()).unwrap_or_default();
         config["seed"] = json!(format!("{seed:016x}"));
-        config["known"]["targets"] = json!(self.targets);
+        config["known"]["targets"] = json!(self.entries);
         let settings = &mut config["settings"];
         settings["limits"]["try_limit"] = json!(0);
         settings["tenants"] = json!([{"name": TENANT, "quota_rps": TENANT_QUOTA_RPS}]);
@@ -99,12 +99,12 @@
 
     /// Returns a snapshot of the list, as discovery sends it.
     pub fn snapshot(&self, version: u64) -> String {
-        json!({"rev": version, "all": true, "targets": self.targets}).to_string()
+        json!({"rev": version, "all": true, "targets": self.entries}).to_string()
     }
 
     /// Returns a delta with the last entry, as discovery sends it.
     pub fn delta(&self, version: u64) -> String {
-        json!({"rev": version, "all": false, "targets": [self.targets.last()]}).to_string()
+        json!({"rev": version, "all": false, "targets": [self.entries.last()]}).to_string()
     }
 }
 
--- a/crates/experiments/src/capacity/forwarder/rig.rs
+++ b/crates/experiments/src/capacity/forwarder/fixture.rs
@@ -26,7 +26,7 @@
 pub const PARALLEL_CLIENTS: usize = 64;
 
 /// The environment and the results of the experiment.
-pub struct Rig {
+pub struct Fixture {
     program: PathBuf,
     /// Sizes and time limits of the run.
     pub plan: Plan,
@@ -61,12 +61,12 @@
     pub folder: TemporaryFolder,
 }
 
-impl Rig {
+impl Fixture {
     /// Opens the endpoints and checks that the experiment is within its budget.
     pub fn new(run: &RunOptions, plan: Plan) -> Result<Self, CapacityError> {
         let guard = Guard::start(budget(run)?);
         guard.check(&BudgetUsage::default())?;
-        Ok(Rig {
+        Ok(Fixture {
             program: run.program().map_err(std::io::Error::other)?,
             plan,
             seed: run.seed,
--- a/crates/experiments/src/capacity/forwarder/ratio.rs
+++ b/crates/experiments/src/capacity/forwarder/ratio.rs
@@ -1,9 +1,9 @@
 //! Comparison of the cost of a message with the smallest and the largest list. Two forwarders run side by side and are
 //! measured in turns, so that other load on the machine affects both alike.
 
+use super::fixture::{Fixture, StartedForwarder, cost_of};
 use super::plan::{Plan, SHARE_DOWN};
 use super::quantities::milliseconds;
-use super::rig::{Rig, StartedForwarder, cost_of};
 use crate::capacity::client::{Client, Message, submit_all};
 use crate::capacity::destinations::Destinations;
 use crate::capacity::error::CapacityError;
@@ -66,22 +66,23 @@
 }
 
 /// Measures the costs with both lists. Returns `None` if a forwarder cannot be prepared within the time limits.
-pub fn measure(rig: &mut Rig, case: Case) -> Result<Option<Ratio>, CapacityError> {
-    let (small, large) = (rig.plan.smallest(), rig.plan.largest());
+pub fn measure(fixture: &mut Fixture, case: Case) -> Result<Option<Ratio>, CapacityError> {
+    let (small, large) = (fixture.plan.smallest(), fixture.plan.largest());
     eprintln!("capacity-forwarder: a message with {small} listed against {large}, {case:?}");
-    let prepared = prepare(rig, case, small).and_then(|small| Ok([small, prepare(rig, case, large)?]));
+    let prepared =
+        prepare(fixture, case, small).and_then(|small| Ok([small, prepare(fixture, case, large)?]));
     let mut sides = match prepared {
         Ok(sides) => sides,
         Err(CapacityError::TooSlow { .. }) => return Ok(None),
         Err(error) => return Err(error),
     };
-    std::thread::sleep(rig.plan.settle);
+    std::thread::sleep(fixture.plan.settle);
     for side in &mut sides {
-        side.rest = rig.measure_rest(&side.started.process)?;
+        side.rest = fixture.measure_rest(&side.started.process)?;
     }
-    for _ in 0..rig.plan.turns {
+    for _ in 0..fixture.plan.turns {
         for side in &mut sides {
-            measure_turn(rig, side)?;
+            measure_turn(fixture, side)?;
         }
     }
     let costs = sides.each_ref().map(|side| side.lowest_cost);
@@ -90,20 +91,20 @@
 }
 
 /// Starts the forwarder of one side and sends it the messages that have to wait.
-fn prepare(rig: &mut Rig, case: Case, listed: usize) -> Result<Side, CapacityError> {
-    let started = rig.start(listed, case.share_down())?;
+fn prepare(fixture: &mut Fixture, case: Case, listed: usize) -> Result<Side, CapacityError> {
+    let started = fixture.start(listed, case.share_down())?;
     let destinations = &started.destinations;
-    let waiting = &destinations.down[..case.waiting_count(&rig.plan, destinations)];
-    if rig.submit_to_each(&started.process, waiting)? < waiting.len() {
-        return Err(CapacityError::TooSlow { what: "messages to wait", limit: rig.plan.submit_limit });
+    let waiting = &destinations.down[..case.waiting_count(&fixture.plan, destinations)];
+    if fixture.submit_to_each(&started.process, waiting)? < waiting.len() {
+        return Err(CapacityError::TooSlow { what: "messages to wait", limit: fixture.plan.submit_limit });
     }
     let recipients = if destinations.up.is_empty() { waiting.to_vec() } else { destinations.up.clone() };
     Ok(Side { started, recipients, rest: 0.0, lowest_cost: f64::INFINITY })
 }
 
-fn measure_turn(rig: &mut Rig, side: &mut Side) -> Result<(), CapacityError> {
-    let messages = rig.messages_to_random(&side.recipients, rig.plan.messages_in_turn);
-    let (limit, reloads) = (rig.plan.submit_limit, rig.sabotage);
+fn measure_turn(fixture: &mut Fixture, side: &mut Side) -> Result<(), CapacityError> {
+    let messages = fixture.messages_to_random(&side.recipients, fixture.plan.messages_in_turn);
+    let (limit, reloads) = (fixture.plan.submit_limit, fixture.sabotage);
     let process = &side.started.process;
     // The forwarder closes an idle connection while the other side has its turn, so each turn opens a new one.
     let mut client = [Client::connect(process.clients)?];
--- a/crates/experiments/src/capacity/forwarder/waiting.rs
+++ b/crates/experiments/src/capacity/forwarder/waiting.rs
@@ -1,8 +1,8 @@
 //! Costs by the number of messages waiting for destinations that are all down: messages that are accepted one after
 //! another, and messages that are read from a journal at a start.
 
+use super::fixture::{Fixture, PARALLEL_CLIENTS, cost_of};
 use super::quantities::{self, milliseconds};
-use super::rig::{PARALLEL_CLIENTS, Rig, cost_of};
 use crate::capacity::client::{BODY_BYTES, CLASS, Client, TENANT, TIME_LEFT_SECONDS, submit_all};
 use crate::capacity::error::CapacityError;
 use crate::capacity::series::{Quantity, Size};
@@ -17,26 +17,26 @@
 
 /// Sends messages until the planned numbers are waiting, and measures at each number. Returns one sentence for each
 /// part that could not be run.
-pub fn measure_accepting(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
-    let listed = rig.plan.listed_while_waiting;
-    let started = rig.start(listed, 1.0)?;
+pub fn measure_accepting(fixture: &mut Fixture) -> Result<Vec<String>, CapacityError> {
+    let listed = fixture.plan.listed_while_waiting;
+    let started = fixture.start(listed, 1.0)?;
     let process = &started.process;
     let mut waiting = 0;
-    for wanted in rig.plan.accepted.clone() {
+    for wanted in fixture.plan.accepted.clone() {
         eprintln!("capacity-forwarder: {wanted} messages taken on");
-        let messages = rig.messages_to_random(&started.destinations.down, wanted - waiting);
-        let limit = rig.plan.submit_limit * 2;
+        let messages = fixture.messages_to_random(&started.destinations.down, wanted - waiting);
+        let limit = fixture.plan.submit_limit * 2;
         let mut clients = Client::connect_many(process.clients, PARALLEL_CLIENTS)?;
         let (accepted, cost) =
             cost_of(process, || submit_all(&mut clients, &mut messages.into_iter(), limit))?;
         waiting += accepted;
         if accepted > 0 {
             let each = milliseconds(cost.processor) / accepted as f64;
-            add(rig, quantities::ACCEPTING, waiting, each);
-            add(rig, quantities::ACCEPTING_RESIDENT, waiting, process.usage()?.resident as f64);
-            add(rig, quantities::ACCEPTING_JOURNAL, waiting, process.journal_size()? as f64);
-            let rest = rig.measure_rest(process)?;
-            add(rig, quantities::ACCEPTING_REST, waiting, rest);
+            add(fixture, quantities::ACCEPTING, waiting, each);
+            add(fixture, quantities::ACCEPTING_RESIDENT, waiting, process.usage()?.resident as f64);
+            add(fixture, quantities::ACCEPTING_JOURNAL, waiting, process.journal_size()? as f64);
+            let rest = fixture.measure_rest(process)?;
+            add(fixture, quantities::ACCEPTING_REST, waiting, rest);
         }
         if waiting < wanted {
             let seconds = limit.as_secs();
@@ -47,31 +47,31 @@
 }
 
 /// Starts a forwarder on journals of ascending sizes. Returns one sentence for each part that could not be run.
-pub fn measure_starts(rig: &mut Rig) -> Result<Vec<String>, CapacityError> {
-    let listed = rig.plan.listed_while_waiting;
-    for count in rig.plan.journaled.clone() {
+pub fn measure_starts(fixture: &mut Fixture) -> Result<Vec<String>, CapacityError> {
+    let listed = fixture.plan.listed_while_waiting;
+    for count in fixture.plan.journaled.clone() {
         eprintln!("capacity-forwarder: {count} messages in the journal");
-        let (folder, destinations, _discovery) = rig.prepare(listed, 1.0);
+        let (folder, destinations, _discovery) = fixture.prepare(listed, 1.0);
         let size = write_journal(&folder.path().join("state"), &destinations.down, count)?;
-        let (process, cost) = match rig.start_on(&folder, listed + count) {
+        let (process, cost) = match fixture.start_on(&folder, listed + count) {
             Ok(started) => started,
             Err(error @ CapacityError::TooSlow { .. }) => {
                 return Ok(vec![format!("{count} messages in the journal: {error}; larger were not played")]);
             }
             Err(error) => return Err(error),
         };
-        add(rig, quantities::WAITING_READY, count, milliseconds(cost.elapsed));
-        add(rig, quantities::WAITING_READY_PROCESSOR, count, milliseconds(cost.usage.processor));
-        add(rig, quantities::WAITING_RESIDENT, count, cost.usage.resident as f64);
-        add(rig, quantities::WAITING_JOURNAL, count, size as f64);
-        let rest = rig.measure_rest(&process)?;
-        add(rig, quantities::WAITING_REST, count, rest);
+        add(fixture, quantities::WAITING_READY, count, milliseconds(cost.elapsed));
+        add(fixture, quantities::WAITING_READY_PROCESSOR, count, milliseconds(cost.usage.processor));
+        add(fixture, quantities::WAITING_RESIDENT, count, cost.usage.resident as f64);
+        add(fixture, quantities::WAITING_JOURNAL, count, size as f64);
+        let rest = fixture.measure_rest(&process)?;
+        add(fixture, quantities::WAITING_REST, count, rest);
     }
     Ok(Vec::new())
 }
 
-fn add(rig: &mut Rig, quantity: Quantity, waiting: usize, value: f64) {
-    rig.measurements.add(quantity, SETTING, Size::Waiting, waiting, value);
+fn add(fixture: &mut Fixture, quantity: Quantity, waiting: usize, value: f64) {
+    fixture.measurements.add(quantity, SETTING, Size::Waiting, waiting, value);
 }
 
 /// Writes the journal of a forwarder that crashed after it had accepted `count` messages. Returns its size in bytes.
--- a/crates/experiments/src/consul_cold.rs
+++ b/crates/experiments/src/consul_cold.rs
@@ -90,7 +90,7 @@
             .map(|number| bed.start_forwarder(&program, number, &config, Some(&settings)))
             .collect();
         for forwarder in &forwarders {
-            bed.wait_for_list(&forwarder.process)?;
+            bed.wait_for_endpoint(&forwarder.process)?;
         }
         Ok(SeedRun { seed, bed, forwarders })
     }
--- a/crates/experiments/src/consul_drain.rs
+++ b/crates/experiments/src/consul_drain.rs
@@ -113,7 +113,7 @@
     }
     let settings = (!options.sabotage).then(|| consul_settings(bed.consul.address(), CAPACITY_RPS));
     let forwarder = bed.start_forwarder(&options.program()?, 0, &config.text(), settings.as_deref());
-    bed.wait_for_list(&forwarder.process)?;
+    bed.wait_for_endpoint(&forwarder.process)?;
     let start = Instant::now();
     let classes = ["orders", "status", "refund"];
     let plan = poisson_plan(options.seed, MESSAGE_RATE, RUN_LENGTH, &classes, DESTINATION);
--- a/crates/experiments/src/consul_silent.rs
+++ b/crates/experiments/src/consul_silent.rs
@@ -96,7 +96,7 @@
         let settings = consul_settings(bed.consul.address(), CAPACITY_RPS);
         let config = bed.config().text();
         let forwarder = bed.start_forwarder(&options.program()?, 0, &config, Some(&settings));
-        bed.wait_for_list(&forwarder.process)?;
+        bed.wait_for_endpoint(&forwarder.process)?;
         Ok(FormRun { form, bed, forwarder })
     }
 
--- a/crates/experiments/src/test_bed.rs
+++ b/crates/experiments/src/test_bed.rs
@@ -95,7 +95,7 @@
     }
 
     /// Waits until the forwarder accepts a message for the destination, which it does when it knows an endpoint.
-    pub fn wait_for_list(&self, forwarder: &ForwarderProcess) -> Result<(), ExperimentError> {
+    pub fn wait_for_endpoint(&self, forwarder: &ForwarderProcess) -> Result<(), ExperimentError> {
         let deadline = Instant::now() + ENDPOINT_TIMEOUT;
         let pid = forwarder.pid();
         for number in 0.. {
--- a/crates/experiments/tests/capacity.rs
+++ b/crates/experiments/tests/capacity.rs
@@ -28,21 +28,21 @@
     serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {output:?}"))
 }
 
-fn aims(result: &Value) -> Vec<(String, bool)> {
-    let aims = result["aims"].as_array().expect("aims");
-    aims.iter().map(|aim| (aim.to_string(), aim["held"] == true)).collect()
+fn targets(result: &Value) -> Vec<(String, bool)> {
+    let targets = result["aims"].as_array().expect("aims");
+    targets.iter().map(|target| (target.to_string(), target["held"] == true)).collect()
 }
 
 // Guards against a cost that grows with the square of the list, or with the list although it should not, and against
 // results that are missing.
 #[test]
-fn cost_objectives_hold_at_small_sizes() {
+fn cost_targets_are_met_at_small_sizes() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-capacity-test-{}", std::process::id()));
     let output = run(&["--out", &folder.display().to_string()]);
     let result = result(&output);
-    let missed: Vec<_> = aims(&result).into_iter().filter(|(_, held)| !held).collect();
+    let missed: Vec<_> = targets(&result).into_iter().filter(|(_, held)| !held).collect();
     assert!(missed.is_empty() && output.status.success(), "{missed:#?}, {:?}", result["unplayed"]);
-    assert_eq!(aims(&result).len(), 4);
+    assert_eq!(targets(&result).len(), 4);
     for series in result["series"].as_array().expect("series") {
         let points = series["points"].as_array().expect("points").len();
         assert!(points >= 3 && series["r_squared"].is_number(), "{series}");
@@ -58,11 +58,11 @@
 // Guards against a check that always passes. Under sabotage the forwarder reloads the list before every message, so the
 // target for the cost of a message must be missed.
 #[test]
-fn message_cost_that_grows_with_the_list_misses_its_objective() {
+fn message_cost_that_grows_with_the_list_misses_its_target() {
     let output = run(&["--sabotage"]);
     assert_eq!(output.status.code(), Some(1), "{output:?}");
-    let aims = aims(&result(&output));
-    assert!(matches!(&aims[..], [(_, false)]), "{aims:?}");
+    let targets = targets(&result(&output));
+    assert!(matches!(&targets[..], [(_, false)]), "{targets:?}");
 }
 
 // Guards against an experiment that continues beyond its budget, or that stops without an error.
