--- a/crates/experiments/src/capacity/control/load.rs
+++ b/crates/experiments/src/capacity/control/load.rs
@@ -13,7 +13,8 @@
 /// Milliseconds of processor time per second that are one percent of a core.
 const MILLISECONDS_PER_PERCENT: f64 = 10.0;
 
-/// A measured quantity. Unless it says otherwise, a quantity of a forwarder is the mean over all forwarders.
+/// A measured quantity. Unless its comment says otherwise, a quantity of a forwarder is the mean over all
+/// forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Quantity {
     /// Bytes per second between a forwarder and the commit point, both directions.
@@ -32,17 +33,17 @@
     Core,
     /// Resident megabytes of a forwarder that is alone in its process, estimated from the shared processes.
     Resident,
-    /// Bytes per second of policy traffic through the control stand-in that has the commit point.
+    /// Bytes per second of policy traffic through the control process that has the commit point.
     CommitPointBytes,
-    /// Bytes per second of lease traffic through the busiest control stand-in.
+    /// Bytes per second of lease traffic through the busiest control process.
     LeaseStoreBytes,
-    /// Bytes per second of all traffic through the busiest control stand-in.
+    /// Bytes per second of all traffic through the busiest control process.
     ControlBytes,
-    /// Requests per second to the busiest control stand-in.
+    /// Requests per second to the busiest control process.
     ControlRequests,
-    /// Percent of a core that the busiest control stand-in uses.
+    /// Percent of a core that the busiest control process uses.
     ControlCore,
-    /// Resident megabytes of the largest control stand-in.
+    /// Resident megabytes of the largest control process.
     ControlResident,
 }
 
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Returns the label for the cost of one event, and the factor from this quantity times one second to that label's
-    /// unit. Returns `None` if a cost per event has no meaning.
+    /// Returns the label for the cost of one event, and the factor that converts this quantity, multiplied by seconds,
+    /// to the unit of that label. Returns `None` if a cost per event has no meaning.
     pub fn of_one_event(self) -> Option<(&'static str, f64)> {
         match self {
             Quantity::PolicyBytes => Some(("policy B a forwarder", 1.0)),
@@ -225,8 +226,8 @@
         (policy + leases) / self.members.max(1) as f64 / self.seconds_since(before)
     }
 
-    /// Returns the load since an earlier snapshot. `base` is the resident memory of each process before its forwarders
-    /// started, in bytes.
+    /// Returns the load since an earlier snapshot. `base_resident` is the resident memory of each process before its
+    /// forwarders started, in bytes. `busiest` is the value of [`Quantity::BusiestBytes`].
     pub fn load_since(&self, before: &Snapshot, base_resident: &BTreeMap<usize, u64>, busiest: f64) -> Load {
         let each = |sum: f64| sum / self.members.max(1) as f64 / self.seconds_since(before);
         let policy_bytes = each(self.sum(before, |counts| counts.policy_bytes));
@@ -251,7 +252,7 @@
         ]))
     }
 
-    /// Returns the growth of a count, summed over the control stand-ins that are in both snapshots.
+    /// Returns the growth of a count, summed over the control processes that are in both snapshots.
     fn sum(&self, before: &Snapshot, count: fn(&Counts) -> u64) -> f64 {
         self.counts.keys().map(|zone| self.growth(before, *zone, count)).sum()
     }
@@ -276,7 +277,7 @@
     }
 
     /// Returns the megabytes of a forwarder that is alone in its process: the process without forwarders, plus one
-    /// forwarder's share of the memory that the forwarders added. The largest process decides.
+    /// forwarder's share of the memory that the forwarders added. Takes the maximum over all processes.
     fn resident_alone(&self, base_resident: &BTreeMap<usize, u64>) -> f64 {
         let alone = self.hosts.iter().filter(|(_, host)| host.members > 0).filter_map(|(number, host)| {
             let base_resident = *base_resident.get(number)? as f64;
@@ -302,8 +303,8 @@
         loads.collect()
     }
 
-    /// Returns the bytes of policy traffic through a control stand-in, which is the traffic of its zone's link. The
-    /// stand-in with the commit point also has the traffic of all other zones and of the proposer.
+    /// Returns the bytes of policy traffic through a control process, which is the traffic of its zone's link. The
+    /// control process with the commit point also has the traffic of all other zones and of the proposer.
     fn policy_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
         let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.policy_bytes);
         if zone != COMMIT_POINT_ZONE {
@@ -313,8 +314,8 @@
         (0..ZONES).map(of_zone).sum::<f64>() + proposer as f64
     }
 
-    /// Returns the bytes of lease traffic through a control stand-in, which is the traffic of its zone's link. A
-    /// stand-in with a lease store also has the traffic of the other zones of its region.
+    /// Returns the bytes of lease traffic through a control process, which is the traffic of its zone's link. A
+    /// control process with a lease store also has the traffic of the other zones of its region.
     fn lease_bytes_through(&self, before: &Snapshot, zone: usize) -> f64 {
         let of_zone = |zone: usize| self.growth(before, zone, |counts| counts.lease_bytes);
         if !zone.is_multiple_of(ZONES_PER_REGION) {
@@ -324,7 +325,7 @@
     }
 }
 
-/// The load of one control stand-in.
+/// The load of one control process.
 struct ControlLoad {
     policy_bytes: f64,
     lease_bytes: f64,
--- a/crates/experiments/src/capacity/control/hollow.rs
+++ b/crates/experiments/src/capacity/control/simulated_forwarder.rs
@@ -1,4 +1,4 @@
-//! Hollow forwarders. Each runs the policy participant, the membership and the lease manager of a forwarder with its
+//! Simulated forwarders. Each runs the policy participant, the membership and the lease manager of a forwarder with its
 //! own sockets and files, and takes no traffic. Several of them share a process.
 
 use super::messages::{InForce, MembersRole, Report, Request, clock};
@@ -29,7 +29,7 @@
 const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Maximum duration of an action that a lease protects.
 const MAX_ACTION_TIME: Duration = Duration::from_millis(500);
-/// Time from a failed attempt to the next one.
+/// Time from a failed acquisition of a lease, or a failed read of all members, to the next one.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of concurrent lease acquisitions.
 const MAX_CONCURRENT_ACQUIRES: usize = 4;
@@ -42,28 +42,28 @@
     PolicySettings { consul, prefix: POLICY_PREFIX.to_owned(), name: None, ttl }
 }
 
-/// A running hollow forwarder.
-struct HollowForwarder {
+/// A running simulated forwarder.
+struct SimulatedForwarder {
     participant: Rc<ConsulParticipant>,
     participant_task: JoinHandle<()>,
     lease_manager: Rc<LeaseManager>,
     lease_task: JoinHandle<()>,
-    /// Task that reads all members again and again. `None` except under sabotage.
+    /// Task that reads all members repeatedly. `None` except under sabotage.
     read_task: Option<JoinHandle<()>>,
 }
 
-impl HollowForwarder {
+impl SimulatedForwarder {
     fn start(role: &MembersRole, name: &str) -> Self {
         let (participant, participant_task) = start_participant(role, name);
         let (lease_manager, lease_task) = start_lease_manager(role, name);
         let read_all = || spawn_local(read_all_members(policy_settings(role.policy, role.ttl)));
         let read_task = role.reads_all_members.then(read_all);
-        HollowForwarder { participant, participant_task, lease_manager, lease_task, read_task }
+        SimulatedForwarder { participant, participant_task, lease_manager, lease_task, read_task }
     }
 
     /// Deregisters the participant, releases the leases and stops.
     async fn leave(mut self) {
-        // The task would open another session if it still ran.
+        // The participant's task would open another session if it still ran.
         self.participant_task.abort();
         self.participant.deregister().await;
         self.lease_manager.shut_down();
@@ -73,7 +73,7 @@
     }
 }
 
-impl Drop for HollowForwarder {
+impl Drop for SimulatedForwarder {
     fn drop(&mut self) {
         self.participant_task.abort();
         self.lease_task.abort();
@@ -140,11 +140,11 @@
     }
 }
 
-/// Runs the hollow forwarders of one process until the request channel closes.
+/// Runs the simulated forwarders of one process until the request channel closes.
 pub async fn run(role: MembersRole, mut requests: UnboundedReceiver<Request>) {
     report(&Report::Up);
     let role = Rc::new(role);
-    let mut members: BTreeMap<String, HollowForwarder> = BTreeMap::new();
+    let mut members: BTreeMap<String, SimulatedForwarder> = BTreeMap::new();
     // Members that were stopped gracefully and have started again.
     let (restarted_sender, mut restarted_receiver) = unbounded_channel();
     loop {
@@ -161,7 +161,7 @@
                 members = role
                     .names
                     .iter()
-                    .map(|name| (name.clone(), HollowForwarder::start(&role, name)))
+                    .map(|name| (name.clone(), SimulatedForwarder::start(&role, name)))
                     .collect();
             }
             Some(Request::Restart(name)) => {
@@ -170,7 +170,7 @@
                 spawn_local(async move {
                     member.leave().await;
                     report(&Report::Restarted(name.clone()));
-                    let member = HollowForwarder::start(&role, &name);
+                    let member = SimulatedForwarder::start(&role, &name);
                     // The receiver is dropped only when the process exits.
                     drop(restarted_sender.send((name, member)));
                 });
--- a/crates/experiments/src/consul_silent.rs
+++ b/crates/experiments/src/consul_silent.rs
@@ -69,8 +69,8 @@
     consul_requests: u64,
 }
 
-/// Runs the experiment. Under sabotage all endpoints are deregistered instead of the fault, so that Consul correctly
-/// answers that there are none.
+/// Runs the experiment. Under sabotage each form except the undisturbed one deregisters all endpoints instead of
+/// causing its fault, so that Consul correctly answers that there are no endpoints.
 pub fn run(options: &RunOptions) -> Result<ExperimentReport, ExperimentError> {
     let runs = forms()
         .into_iter()
@@ -96,7 +96,7 @@
         let settings = consul_settings(bed.consul.address(), CAPACITY_RPS);
         let config = bed.config().text();
         let forwarder = bed.start_forwarder(&options.program()?, 0, &config, Some(&settings));
-        bed.wait_for_list(&forwarder.process)?;
+        bed.wait_for_endpoint(&forwarder.process)?;
         Ok(FormRun { form, bed, forwarder })
     }
 
