--- a/crates/leases/src/config.rs
+++ b/crates/leases/src/config.rs
@@ -7,8 +7,8 @@
 pub struct LeaseConfig {
     /// The TTL of sessions, in microseconds.
     pub ttl: Micros,
-    /// The highest relative difference between the rates of two clocks. For example, 0.001 is a millisecond in a
-    /// second.
+    /// The highest relative difference between the rates of two clocks. For example, 0.001 is a difference of one
+    /// millisecond per second.
     pub clock_drift: f64,
     /// The longest time that one action under a lease takes, in microseconds.
     pub max_action_time: Micros,
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -40,7 +40,7 @@
     pub key_prefix: String,
     /// The leases that the members share. All members have the same list. [`LeaseId::MAX`] is reserved.
     pub leases: BTreeSet<LeaseId>,
-    /// How long Consul lets nobody acquire a lock after the session that held it has ended.
+    /// How long Consul rejects every request to acquire a lock after the session that held the lock has ended.
     pub lock_delay: Duration,
     /// The times and limits of the protocol.
     pub protocol: LeaseConfig,
@@ -85,8 +85,8 @@
         self.state.borrow().held().filter(|(lease, _)| *lease != MEMBERSHIP).collect()
     }
 
-    /// Starts the release of all leases. [`LeaseManager::run`] returns when they are released. While Consul does not
-    /// answer, there is no time limit, so the caller sets one.
+    /// Starts the release of all leases. [`LeaseManager::run`] returns when they are released. If Consul does not
+    /// answer, `run` waits without a time limit, so the caller has to set one.
     pub fn shut_down(&self) {
         self.shutdown.notify_one();
     }
--- a/crates/leases/src/placement.rs
+++ b/crates/leases/src/placement.rs
@@ -14,7 +14,8 @@
 /// A member's name, which stays the same after restarts.
 pub type MemberName = String;
 
-/// Shares that differ from a whole number by less than this were whole numbers before rounding errors.
+/// Shares that exceed a whole number by no more than this are treated as that whole number, because the excess is a
+/// rounding error.
 const ROUNDING_ERROR: f64 = 1e-9;
 
 /// Assigns each lease to a member, given the members' weights and the present holders. Members whose weight is not a
@@ -79,8 +80,9 @@
 }
 
 impl Share<'_> {
-    /// Orders shares by which is rounded up first. Members that hold more than their share rounded down come first,
-    /// because that saves a migration.
+    /// Orders shares by which is rounded up first. Shares with a fraction come before whole shares. Among those with a
+    /// fraction, the members that hold more than their share rounded down come first, because rounding them up saves a
+    /// migration.
     fn rounding_order(&self, other: &Share<'_>) -> Ordering {
         let priority = |share: &Share<'_>| (share.fraction > ROUNDING_ERROR, share.exceeds_floor);
         priority(other)
--- a/crates/leases/src/placement/tests.rs
+++ b/crates/leases/src/placement/tests.rs
@@ -15,7 +15,7 @@
     after.iter().filter(|(lease, name)| before.get(lease) != Some(name)).count()
 }
 
-// 25 of 50 members leave and return, with 1,000 leases.
+// Guards against needless migrations when 25 of 50 members leave and return, with 1,000 leases.
 #[test]
 fn fleet_halved_and_restored_migrates_only_the_leases_that_must_move() {
     let leases: BTreeSet<LeaseId> = (0..1000).collect();
--- a/crates/ownership/src/config.rs
+++ b/crates/ownership/src/config.rs
@@ -12,8 +12,8 @@
     pub view_lifetime: Micros,
     /// How long a new owner keeps to the slow-start rate. It is at least `view_lifetime`.
     pub warm_up_time: Micros,
-    /// The highest relative difference between the rates of two clocks. For example, 0.001 is a millisecond in a
-    /// second.
+    /// The highest relative difference between the rates of two clocks. For example, 0.001 is a difference of one
+    /// millisecond per second.
     pub clock_drift: f64,
 }
 
--- a/crates/ownership/src/member_state.rs
+++ b/crates/ownership/src/member_state.rs
@@ -10,8 +10,8 @@
 //!    drift. An owner that is not confirmed, because it was suspended or is disconnected from the registry, delivers at
 //!    the slow-start rate.
 //! 2. A new owner keeps to the slow-start rate for the warm-up time, which is at least the view lifetime. After that
-//!    time, the old owner has either seen the change or is no longer confirmed. After it gets a new session, a
-//!    forwarder is a new owner of all destinations that it owns.
+//!    time, the old owner has either seen the change or is no longer confirmed. A forwarder that gets a new session is
+//!    a new owner of all destinations that it owns.
 //! 3. A forwarder keeps to the slow-start rate if it delivers a message without owning the destination. It does so if
 //!    the message was handed over to it, or if the region has no other member.
 
@@ -35,8 +35,8 @@
     renewed_at: Option<Micros>,
     /// The time at which the read that returned the view was sent.
     view_read_at: Option<Micros>,
-    /// The time since which the forwarder owns each destination that it has not owned for the warm-up time yet. An
-    /// entry that is older may stay until the next view.
+    /// For each destination that the forwarder has owned for less than the warm-up time, the time at which it became
+    /// the owner. An entry that is older than the warm-up time may stay until the next view.
     warming_up_since: BTreeMap<DestinationId, Micros>,
     draining: bool,
 }
@@ -96,13 +96,13 @@
 
     /// Handles the view that a read, sent at `sent_at`, returned. Returns the destinations whose owner has changed.
     ///
-    /// While the held view is valid, an older view is rejected. After the held view has expired, any view is accepted.
-    /// A registry that was set up again counts its versions from the start, and after that time no forwarder relies on
-    /// the earlier versions.
+    /// While the present view is valid, an older view is rejected. After the present view has expired, any view is
+    /// accepted, because a registry that was set up again counts its versions from the start. No forwarder relies on
+    /// the earlier versions once its view has expired.
     ///
     /// # Errors
     ///
-    /// Returns an error if the view is older than the one held, which is still valid.
+    /// Returns an error if the view is older than the present view and the present view is still valid.
     pub fn on_view(
         &mut self,
         config: &OwnershipConfig,
--- a/crates/ownership/src/ownership_table.rs
+++ b/crates/ownership/src/ownership_table.rs
@@ -18,7 +18,7 @@
     score: f64,
 }
 
-// In one view, the index and the destination determine the score.
+// In one view, the index and the destination determine the score, so equality compares the index alone.
 impl PartialEq for Owner {
     fn eq(&self, other: &Owner) -> bool {
         self.index == other.index
@@ -163,7 +163,7 @@
         let Some(mut owner) = stayed else { return find_owner(view, destination) };
         for index in &self.joined {
             let score = score(destination, &view.members()[*index]);
-            // Of equal scores, the one of the first name wins, as in a lookup in the view.
+            // Among members with equal scores, the one whose name sorts first wins, as in a lookup in the view.
             let is_better = score > owner.score || score == owner.score && *index < owner.index;
             if is_better {
                 owner = Owner { index: *index, score };
--- a/crates/ownership/src/view.rs
+++ b/crates/ownership/src/view.rs
@@ -69,8 +69,8 @@
     }
 
     /// Creates a view of the valid entries. Each entry is given with the name under which it is stored. Returns the
-    /// errors of the other entries too. All forwarders leave out the same entries, so an invalid entry does not stop a
-    /// region, and does not give its forwarders different views.
+    /// errors of the other entries too. All forwarders leave out the same entries, so an invalid entry neither stops
+    /// the forwarders of a region nor gives them different views.
     pub fn from_entries<'a>(
         version: ViewVersion,
         region: &Region,
@@ -116,7 +116,7 @@
     pub fn ranking(&self, destination: DestinationId) -> Vec<&Member> {
         let scored = self.members.iter().map(|member| (score(destination, member), member));
         let mut ranked: Vec<(f64, &Member)> = scored.collect();
-        // The sort is stable, so of equal scores the one of the first name comes first.
+        // The sort is stable, so among members with equal scores the one whose name sorts first comes first.
         ranked.sort_by(|left, right| right.0.total_cmp(&left.0));
         ranked.into_iter().map(|(_, member)| member).collect()
     }
@@ -125,7 +125,7 @@
     pub(crate) fn first_ranked(&self, destination: DestinationId) -> Option<Ranked> {
         let members = self.members.iter().enumerate();
         let ranked = members.map(|(index, member)| Ranked { index, score: score(destination, member) });
-        // Of equal scores, the one of the first name wins.
+        // Among members with equal scores, the one whose name sorts first wins.
         ranked.reduce(|first, next| if next.score > first.score { next } else { first })
     }
 }
--- a/crates/policy-commit/src/consul_participant.rs
+++ b/crates/policy-commit/src/consul_participant.rs
@@ -1,4 +1,4 @@
-//! Runs the participant of a forwarder on Consul. It watches the commit point with one blocking query, keeps the
+//! Runs the participant of a forwarder on Consul. It watches the commit point with one blocking query, holds the
 //! forwarder's key with one session, and puts committed policies in force.
 
 use crate::commit_point::{CommitPoint, MemberStatus};
@@ -70,8 +70,9 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// Returns how long a read counts as contact, in microseconds. The time is shorter than a session's TTL, so that a
-    /// forwarder that is cut off reports that it is not ready before the other participants may commit without it.
+    /// Returns how long the participant counts as in contact after it sent a read that was answered, in microseconds.
+    /// The time is shorter than a session's TTL, so that a forwarder that is cut off reports that it is not ready
+    /// before the other participants may commit without it.
     fn contact_time(&self) -> Micros {
         (self.settings.ttl * 2 / 3).as_micros() as Micros
     }
--- a/crates/policy-commit/src/coordinator.rs
+++ b/crates/policy-commit/src/coordinator.rs
@@ -83,7 +83,8 @@
     /// The time from the answer to the commit until the last participant reported the policy in force. `None` if not
     /// all participants reported in time.
     pub in_force_everywhere_after: Option<Duration>,
-    /// The participants that had not reported the policy in force.
+    /// The participants that had not reported the policy in force at the last read. Empty if all had reported, or if no
+    /// read was answered.
     pub not_in_force: Vec<String>,
 }
 
@@ -124,8 +125,8 @@
         Coordinator { settings, locks, committed_at: None }
     }
 
-    /// Returns when the commit of the last policy that was proposed here was answered, or `None` if the policy was not
-    /// committed.
+    /// Returns when the last proposal of this coordinator was found to be committed, or `None` if it was not committed.
+    /// A call of [`Coordinator::propose`] that fails before it creates a session does not change this time.
     pub fn last_commit(&self) -> Option<Instant> {
         self.committed_at
     }
@@ -182,6 +183,7 @@
 
     /// Proposes a policy, commits it once all participants have voted for it, and then waits until it is in force on
     /// all participants. Waits up to `timeout` for the votes, and again up to `timeout` until the policy is in force.
+    /// `by` is the name of the coordinator that the proposal shows.
     ///
     /// # Errors
     ///
--- a/crates/policy-commit/src/participant.rs
+++ b/crates/policy-commit/src/participant.rs
@@ -90,18 +90,19 @@
         self.in_force.as_ref().map_or(0, |policy| policy.version)
     }
 
-    /// Returns the policy in force.
+    /// Returns the policy in force, or `None` if no policy is in force.
     pub fn in_force(&self) -> Option<&VersionedPolicy> {
         self.in_force.as_ref()
     }
 
-    /// Returns the staged policy.
+    /// Returns the staged policy, or `None` if no policy is staged.
     pub fn staged(&self) -> Option<&VersionedPolicy> {
         self.staged.as_ref()
     }
 
-    /// Returns until when the participant is in contact with the commit point, or `None` if no read was answered yet.
-    /// `contact_time` is how long a read counts as contact, in microseconds.
+    /// Returns the time until which the participant is in contact with the commit point, or `None` if no read was
+    /// answered yet. `contact_time` is how long the participant counts as in contact after it sent a read that was
+    /// answered, in microseconds.
     pub fn contact_until(&self, contact_time: Micros) -> Option<Micros> {
         self.last_read_sent_at.map(|sent_at| sent_at + contact_time)
     }
--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -3,12 +3,12 @@
 //!
 //! Three shares are compared. Two are shares of the finished messages: those rejected (overload) and those failed
 //! (error). The third is the share of the deliveries that took longer than `latency_ratio` times the baseline's 99th
-//! percentile (slow). For each share, the Agresti–Caffo interval of the difference of two proportions is calculated,
-//! `z` standard errors to either side. The interval alone is not enough, because the outcomes of one forwarder's
-//! messages are correlated. The verdict is:
+//! percentile (slow). For each share, the Agresti–Caffo interval of the difference of two proportions is calculated.
+//! The interval extends `z` standard errors to either side of the difference. The interval alone is not enough, because
+//! the outcomes of one forwarder's messages are correlated. The verdict is:
 //!
 //! - worse if, for any share, the interval lies above `margin` and the canaries' share is higher by more than `margin`
-//!   than the share of each of at least nine in ten baseline forwarders;
+//!   than the share of each of at least nine in ten baseline forwarders that have messages;
 //! - pass if every interval lies at or below `margin`, the bake time is over, and each group has finished at least
 //!   `min_finished` messages;
 //! - undecided otherwise, so that a stage with too little traffic never passes.
@@ -17,7 +17,8 @@
 use serde::Deserialize;
 use std::fmt::{Display, Formatter};
 
-/// Smallest fraction of the baseline forwarders that the canaries have to be worse than individually.
+/// Smallest fraction of the baseline forwarders with messages whose individual shares the canaries' share has to exceed
+/// by more than the margin.
 const BASELINE_MAJORITY: f64 = 0.9;
 /// Quantile of the baseline's times to delivery. The bound for slow deliveries is a multiple of the time at this
 /// quantile.
@@ -91,7 +92,8 @@
 
 impl ConfidenceInterval {
     /// Returns the Agresti–Caffo interval of `canary - baseline`, `z_score` standard errors to either side. The method
-    /// adds one message of each kind to each group (Agresti and Caffo, The American Statistician 54, 2000).
+    /// adds one counted and one uncounted message to each group (Agresti and Caffo, The American Statistician 54,
+    /// 2000).
     fn of_difference(canary: Proportion, baseline: Proportion, z_score: f64) -> Self {
         let canary_total = canary.total as f64 + 2.0;
         let baseline_total = baseline.total as f64 + 2.0;
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -10,7 +10,8 @@
     /// The forwarder's process, and its counts at the start of the interval that is compared, or at the start of the
     /// process if that was later. `None` before the first successful read.
     base: Option<ProcessMetrics>,
-    /// Metrics of the forwarder's earlier processes in this stage, up to their last successful reads.
+    /// Metrics of the forwarder's earlier processes since the start of the interval that is compared, up to their last
+    /// successful reads. `None` if the forwarder was not restarted in that interval.
     earlier_processes: Option<Metrics>,
     /// The counts of the last successful read.
     last: Option<Metrics>,
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Returns the forwarder's metrics in this stage, up to the last successful read.
+    /// Returns the forwarder's metrics since the start of the stage, or since [`Observation::reset_metrics`] was
+    /// called, up to the last successful read.
     pub fn since_start(&self) -> Metrics {
         let current = match (&self.base, &self.last) {
             (Some(base), Some(last)) => last.since(&base.metrics),
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -159,7 +159,7 @@
     /// A forwarder lacks keys that the change needs.
     #[error("forwarder {forwarder} needs {needs}")]
     MissingForChange {
-        /// Its name.
+        /// The forwarder's name.
         forwarder: String,
         /// The keys that the change needs.
         needs: &'static str,
@@ -191,7 +191,8 @@
     ///
     /// # Errors
     ///
-    /// The plan contains no change or two, or a forwarder lacks a key that the change needs.
+    /// The plan contains no change or two changes, the name of its release is not valid, or a forwarder lacks a key
+    /// that the change needs.
     pub fn change(&self) -> Result<Change, PlanError> {
         let change = match (&self.settings_patch, &self.release) {
             (Some(patch), None) => Change::Settings(patch.clone()),
@@ -205,8 +206,8 @@
         Ok(change)
     }
 
-    /// Returns a digest of the fleet's names, the change and the stages. A progress record is resumed only by a plan
-    /// with the digest that began it.
+    /// Returns a digest of the fleet's names, the change and the stages. A rollout continues from a progress record
+    /// only if its plan has the same digest as the plan that began the record.
     pub fn digest(&self) -> String {
         let names: Vec<&str> = self.forwarders.iter().map(|forwarder| forwarder.name.as_str()).collect();
         let text = serde_json::json!([names, self.settings_patch, self.release, self.stages]).to_string();
--- a/crates/rollout/src/plan/stage_size.rs
+++ b/crates/rollout/src/plan/stage_size.rs
@@ -1,4 +1,4 @@
-//! The size of a stage as written in a plan: a count, a share of the fleet, or all of it.
+//! The size of a stage as written in a plan: a count, a share of the fleet, or the whole fleet.
 
 use super::PlanFault;
 
--- a/crates/rollout/src/process_metrics.rs
+++ b/crates/rollout/src/process_metrics.rs
@@ -7,7 +7,8 @@
 use crate::plan::PlannedForwarder;
 use orchidyoke_supervisor::client;
 
-/// Number of forwarders read at once. A forwarder that does not answer delays at most the others of its batch.
+/// Number of forwarders in a batch, which are read at once. The next batch begins when every forwarder of the batch has
+/// answered or failed, so a batch takes as long as its slowest forwarder.
 const MAX_CONCURRENT_READS: usize = 32;
 /// Number of characters of an invalid reply that its error quotes.
 const QUOTED_REPLY_CHARS: usize = 80;
--- a/crates/rollout/src/run.rs
+++ b/crates/rollout/src/run.rs
@@ -162,9 +162,9 @@
         }
     }
 
-    /// Rolls back in rounds, each in the plan's order, until no forwarder needs a rollback. Rounds are repeated for as
-    /// long as a stage may bake (`max_bake_ms`). After that the first failure of the last round is returned, and a new
-    /// start continues.
+    /// Rolls back in rounds, each in the plan's order, until no forwarder needs a rollback. Repeats rounds for up to
+    /// the plan's `max_bake_ms`, the longest bake time of a stage. After that time, returns the first failure of the
+    /// last round. A new start of the rollout continues the rollback.
     fn roll_back(&mut self) -> Result<(), RolloutError> {
         let deadline = Instant::now() + Duration::from_millis(self.plan.max_bake_ms);
         while let Some(failure) = self.roll_back_round()? {
--- a/crates/supervisor/src/client.rs
+++ b/crates/supervisor/src/client.rs
@@ -6,7 +6,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest reply that is read. The longest replies are a console's latency histograms of many classes.
+/// Longest reply that is read, in bytes. A longer reply is truncated. The longest replies are a console's latency
+/// histograms of many classes.
 const MAX_REPLY_BYTES: u64 = 8 << 20;
 /// Characters of an invalid reply that its error quotes.
 const QUOTED_REPLY_CHARS: usize = 80;
@@ -53,12 +54,12 @@
     }
 }
 
-/// Sends one line on a new connection and returns everything received until the peer closes the connection.
-/// `timeout` limits the connection attempt and each single read and write.
+/// Sends one line on a new connection and returns everything received until the peer closes the connection, up to 8
+/// MiB. `timeout` limits the connection attempt and each single read and write.
 ///
 /// # Errors
 ///
-/// The address cannot be reached, or sends nothing for longer than `timeout`.
+/// The address cannot be reached, the peer sends nothing for longer than `timeout`, or the reply is not UTF-8.
 pub fn exchange_line(address: SocketAddr, line: &str, timeout: Duration) -> std::io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -28,7 +28,8 @@
 const MAX_RESTART_BACKOFF_MS: u64 = 5_000;
 /// If a forwarder served for this long before it died, the backoff starts again at [`INITIAL_RESTART_BACKOFF_MS`].
 const BACKOFF_RESET_AFTER_MS: u64 = 10_000;
-/// Most doublings of the backoff. They exceed [`MAX_RESTART_BACKOFF_MS`] but cannot overflow.
+/// Highest number of doublings of the backoff. With that many doublings, the backoff would exceed
+/// [`MAX_RESTART_BACKOFF_MS`] but does not overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 /// An event that the supervisor reacts to.
@@ -288,7 +289,8 @@
         }
     }
 
-    /// Makes this release the one to start when no forwarder serves. It need not wait for a successor to be ready.
+    /// Makes this release the one to start. Called when no forwarder serves, so there is no predecessor to keep until a
+    /// successor is ready.
     fn replace_unready(&mut self, now_ms: u64, release: &str) -> Vec<Effect> {
         self.target_release = release.to_owned();
         self.failed_upgrade = None;
--- a/crates/supervisor/src/protocol.rs
+++ b/crates/supervisor/src/protocol.rs
@@ -1,10 +1,12 @@
 //! The control protocol. Each connection carries one request line and one reply line that begins with `200` or `400`,
-//! as at the forwarder's console. The supervisor reads requests with it, and [`crate::client`] writes them.
+//! as at the forwarder's console. The supervisor parses requests with this module, and [`crate::client`] formats them
+//! with it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::{Display, Formatter};
 
-/// Longest request line that the supervisor reads, without its line feed.
+/// Longest request line that the supervisor always accepts, in bytes without its line feed. A longer line is rejected,
+/// unless its line feed arrives in the same read that exceeds this length.
 pub const MAX_LINE_BYTES: usize = 256;
 
 /// An upgrade that failed. The previous release continues to serve.
--- a/src/owners.rs
+++ b/src/owners.rs
@@ -27,7 +27,8 @@
         Ok(StaticOwners { view: settings.view()?, own_name: settings.name, region_count })
     }
 
-    /// Returns the owner that this member is, as seen from this forwarder. Without a member the owner is unknown.
+    /// Returns the owner that stands for a member: this forwarder itself, a peer, or an unknown owner if there is no
+    /// member.
     fn owner_for_member(&self, member: Option<&Member>) -> Owner {
         match member {
             None => Owner::Unknown,
