--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -190,7 +190,7 @@
     /// forwarders by more than the margin. The second condition is there because an outage affects many messages of one
     /// forwarder at once, and affects forwarders to different degrees. A share that baseline forwarders show too is not
     /// caused by the change.
-    fn worse(&self, interval: ConfidenceInterval, margin: f64) -> Option<WorseShare> {
+    fn find_worse(&self, interval: ConfidenceInterval, margin: f64) -> Option<WorseShare> {
         let with_messages: Vec<&Proportion> = self.baseline.iter().filter(|share| share.total > 0).collect();
         let exceeded =
             with_messages.iter().filter(|share| self.canary.rate() - share.rate() > margin).count();
@@ -216,7 +216,7 @@
     let mut all_within_margin = true;
     for share in [overload, error].into_iter().chain(slow) {
         let interval = share.interval(criteria.z_score);
-        if let Some(worse) = share.worse(interval, criteria.margin) {
+        if let Some(worse) = share.find_worse(interval, criteria.margin) {
             return Verdict::Worse(worse);
         }
         all_within_margin &= interval.upper <= criteria.margin;
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -35,7 +35,7 @@
         if self.base.as_ref().is_some_and(|base| !self.is_same_process(base, &read)) {
             tracing::warn!(forwarder, pid = read.pid, "forwarder has started again");
             self.restarts += 1;
-            self.earlier_processes = Some(self.since_start());
+            self.earlier_processes = Some(self.since_base());
             self.base = Some(ProcessMetrics { pid: read.pid, metrics: zero_like(&read.metrics) });
         }
         self.last = Some(read.metrics.clone());
@@ -58,7 +58,7 @@
 
     /// Returns the forwarder's metrics since the start of the stage, or since [`Observation::reset_metrics`] was
     /// called, up to the last successful read.
-    pub fn since_start(&self) -> Metrics {
+    pub fn since_base(&self) -> Metrics {
         let current = match (&self.base, &self.last) {
             (Some(base), Some(last)) => last.since(&base.metrics),
             _ => None,
--- a/crates/rollout/src/observation/tests.rs
+++ b/crates/rollout/src/observation/tests.rs
@@ -18,12 +18,12 @@
         [read(7, 0), read(7, 12), read(8, after)]
             .into_iter()
             .for_each(|result| observation.on_read("f", result));
-        assert_eq!((observation.restarts, observation.since_start().outcomes.success), (1, 12 + after));
+        assert_eq!((observation.restarts, observation.since_base().outcomes.success), (1, 12 + after));
     }
     // The system may reuse the id.
     let mut observation = Observation::default();
     [read(7, 10), read(7, 12), read(7, 11)].into_iter().for_each(|result| observation.on_read("f", result));
-    assert_eq!((observation.restarts, observation.since_start().outcomes.success), (1, 2 + 11));
+    assert_eq!((observation.restarts, observation.since_base().outcomes.success), (1, 2 + 11));
     observation.on_read("f", read(7, 15));
-    assert_eq!((observation.restarts, observation.since_start().outcomes.success), (1, 2 + 15));
+    assert_eq!((observation.restarts, observation.since_base().outcomes.success), (1, 2 + 15));
 }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -228,7 +228,7 @@
         let fleet_size = self.forwarders.len();
         let mut sizes = Vec::new();
         for stage in &self.stages {
-            let size = StageSize::parse(stage, fleet_size)?.of(fleet_size);
+            let size = StageSize::parse(stage, fleet_size)?.forwarder_count(fleet_size);
             if sizes.last().is_some_and(|last| *last >= size) {
                 return Err(PlanFault::StageNotLarger(stage.clone()).into());
             }
--- a/crates/rollout/src/plan/stage_size.rs
+++ b/crates/rollout/src/plan/stage_size.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the number of forwarders of the stage in a fleet of this size.
-    pub fn of(self, fleet_size: usize) -> usize {
+    pub fn forwarder_count(self, fleet_size: usize) -> usize {
         match self {
             StageSize::Count(count) => count,
             StageSize::Percent(percent) => ((percent / 100.0) * fleet_size as f64).ceil() as usize,
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -97,10 +97,10 @@
         let canary = Metrics::sum(&canaries.metrics);
         match self.warm_up {
             Some(warm_up) => {
-                self.judge_warm_up(warm_up, &canary, &baseline.metrics)?;
+                self.evaluate_warm_up(warm_up, &canary, &baseline.metrics)?;
                 Ok(false)
             }
-            None => self.judge_bake(&canary, &baseline.metrics),
+            None => self.evaluate_bake(&canary, &baseline.metrics),
         }
     }
 
@@ -108,7 +108,7 @@
         let members =
             || self.observations.iter().filter(move |(name, _)| self.canaries.contains(**name) == is_canary);
         Group {
-            metrics: members().map(|(_, observation)| observation.since_start()).collect(),
+            metrics: members().map(|(_, observation)| observation.since_base()).collect(),
             down: members()
                 .filter(|(_, observation)| observation.went_down())
                 .map(|(name, _)| (*name).to_owned())
@@ -117,7 +117,7 @@
     }
 
     /// Evaluates the outcomes during the warm-up, and ends the warm-up when its time is over.
-    fn judge_warm_up(
+    fn evaluate_warm_up(
         &mut self,
         warm_up: Duration,
         canary: &Metrics,
@@ -137,7 +137,7 @@
     }
 
     /// Evaluates the metrics during the bake. Returns whether the stage passes.
-    fn judge_bake(&self, canary: &Metrics, baseline: &[Metrics]) -> Result<bool, StageFailure> {
+    fn evaluate_bake(&self, canary: &Metrics, baseline: &[Metrics]) -> Result<bool, StageFailure> {
         let elapsed = self.phase_started_at.elapsed();
         let bake_time_over = elapsed >= Duration::from_millis(self.plan.bake_ms);
         let baseline_outcomes = Metrics::sum(baseline).outcomes;
