--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -20,7 +20,7 @@
         self.success + self.overload + self.error
     }
 
-    /// Returns the sum of both.
+    /// Returns the sum of these counts and `other`.
     pub fn plus(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             success: self.success + other.success,
@@ -74,7 +74,7 @@
 }
 
 impl Metrics {
-    /// Returns the sum of both, with latencies only if both have them.
+    /// Returns the sum of these metrics and `other`, with latencies only if both have latencies.
     pub fn plus(&self, other: &Metrics) -> Metrics {
         let both = self.latencies.clone().zip(other.latencies.as_ref());
         let latencies = both.and_then(|(mut sum, other)| sum.add(other).ok().map(|()| sum));
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -5,7 +5,7 @@
 //! - Bake: after the warm-up the counts start again at zero. The bake lasts at least the bake time and at most the
 //!   longest bake time. A stage that is undecided after that stops the rollout.
 //! - Down: a canary that does not answer or is restarted stops the stage, unless a baseline forwarder went down too. If
-//!   both groups lose forwarders, the change is assumed not to be the cause.
+//!   forwarders of both groups went down, the change is assumed not to be the cause.
 
 use crate::analysis::{Verdict, WorseShare, compare};
 use crate::metrics::Metrics;
--- a/crates/supervisor/src/control_server.rs
+++ b/crates/supervisor/src/control_server.rs
@@ -32,7 +32,7 @@
         };
         let events = events.clone();
         spawn_local(async move {
-            // After a time-out or a closed connection there is no caller left to reply to.
+            // The result is ignored, because after a time-out or a closed connection no caller receives a reply.
             drop(timeout(CONNECTION_TIMEOUT, serve_connection(stream, events)).await);
             drop(permit);
         });
@@ -64,7 +64,7 @@
 enum Line {
     Complete(String),
     TooLong,
-    /// Closed before its first line was complete.
+    /// The connection was closed before its first line was complete.
     Closed,
 }
 
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -4,8 +4,8 @@
 //! supervisor began.
 //!
 //! - Upgrade: the successor starts beside the active forwarder. Once it is ready it becomes active, its release is
-//!   persisted, and the predecessor is terminated. If the successor exits or is not ready in
-//!   time, the upgrade has failed.
+//!   persisted, and the predecessor is terminated. If the successor exits or is not ready in time, the upgrade has
+//!   failed.
 //! - Restart: an active forwarder that dies is started again after a backoff that doubles at each death. If a successor
 //!   is starting, it becomes active instead, because there is no predecessor left to go back to.
 //! - Shutdown: all processes are terminated and none is started.
