--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -14,7 +14,7 @@
 enum PolicyCommandError {
     #[error("the settings have no policy(...)")]
     NoCommitPoint,
-    #[error("{}: {source}", .file.display())]
+    #[error("cannot read the policy {}: {source}", .file.display())]
     ReadPolicy { file: PathBuf, source: std::io::Error },
 }
 
