--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -10,7 +10,8 @@
     /// The forwarder's process, and its counts at the start of the interval that is compared, or at the start of the
     /// process if that was later. `None` before the first successful read.
     base: Option<ProcessMetrics>,
-    /// Metrics of the forwarder's earlier processes in this stage, up to their last successful reads.
+    /// Metrics of the forwarder's earlier processes since the start of the interval that is compared, up to their last
+    /// successful reads. `None` if the forwarder was not restarted in that interval.
     earlier_processes: Option<Metrics>,
     /// The counts of the last successful read.
     last: Option<Metrics>,
@@ -34,7 +35,7 @@
         if self.base.as_ref().is_some_and(|base| !self.is_same_process(base, &read)) {
             tracing::warn!(forwarder, pid = read.pid, "forwarder has started again");
             self.restarts += 1;
-            self.earlier_processes = Some(self.since_start());
+            self.earlier_processes = Some(self.since_base());
             self.base = Some(ProcessMetrics { pid: read.pid, metrics: zero_like(&read.metrics) });
         }
         self.last = Some(read.metrics.clone());
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Returns the forwarder's metrics in this stage, up to the last successful read.
-    pub fn since_start(&self) -> Metrics {
+    /// Returns the forwarder's metrics since the start of the stage, or since [`Observation::reset_metrics`] was
+    /// called, up to the last successful read.
+    pub fn since_base(&self) -> Metrics {
         let current = match (&self.base, &self.last) {
             (Some(base), Some(last)) => last.since(&base.metrics),
             _ => None,
