--- a/crates/leases/tests/keys.rs
+++ b/crates/leases/tests/keys.rs
@@ -7,6 +7,7 @@
     KeyEntry { key: key.to_owned(), value: None, session: None, modify_index: 1 }
 }
 
+// Guards against a renamed key, under which members of another version do not find a member or a lease.
 #[test]
 fn key_names_are_pinned_and_parse_back() {
     let keys = LeaseKeys::new("orchidyoke/one");
@@ -19,6 +20,7 @@
     }
 }
 
+// Guards against a key of another fleet, or of no lease, that is read as a lease of this fleet.
 #[test]
 fn keys_of_others_are_ignored() {
     let keys = LeaseKeys::new("orchidyoke/one");
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -89,6 +89,8 @@
     (consul, a, b)
 }
 
+// Guards against a dead member whose leases stay without a holder, and against a takeover that also moves leases of the
+// other members.
 #[test]
 fn leases_are_shared_evenly_and_taken_over_from_a_dead_member() {
     run_test(async {
@@ -135,7 +137,11 @@
         let (consul, a, b) = start_two_members().await;
         consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
-        assert_eq!(holders(&[&a, &b]), BTreeMap::new(), "nobody may act without a lease");
+        assert_eq!(
+            holders(&[&a, &b]),
+            BTreeMap::new(),
+            "no member may act once Consul has not answered for a TTL"
+        );
         consul.set_fault(ConsulFault::None);
         await_lease_counts(&[&a, &b], 6).await;
     });
@@ -152,8 +158,8 @@
         consul.delete_keys("orchidyoke/one/duties/");
         let end = Instant::now() + Duration::from_secs(40);
         loop {
-            // The earlier holder may act until it reads the locks again. The tokens protect against results from that
-            // time.
+            // The earlier holder may act until it reads the locks again. Receivers reject a result
+            // from that time by its lower token.
             let held: BTreeMap<LeaseId, FencingToken> =
                 [&a, &b].iter().flat_map(|member| member.manager.held()).collect();
             let counts = [&a, &b].map(|member| member.manager.held().len());
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,6 +1,7 @@
 //! Model checking of the lease protocol. The members run the real state machine against a store that gives only the
 //! guarantees that the protocol requires. The check covers every order of answers, losses, crashes, suspensions and
-//! expiries within the bounds.
+//! expiries within the bounds. The check guards against two members that may act under one lease at the same time, and
+//! against a result of an earlier holder that is accepted after one of a later holder.
 
 use orchidyoke_core::interface::Micros;
 use orchidyoke_leases::fencing::FencingGuard;
@@ -22,7 +23,8 @@
     NoFencing,
     /// A holder assumes that all clocks run at the same rate.
     NoClockDrift,
-    /// A holder counts its lease from the answer to the renewal.
+    /// A lease is valid from the time of the answer to its renewal, instead of from the time at which the renewal was
+    /// sent.
     CountsFromAnswer,
 }
 
@@ -31,10 +33,10 @@
     leases: LeaseId,
     /// The last time of the store's clock.
     last_time: Micros,
-    /// How many requests and answers are lost.
+    /// How many requests and answers may be lost.
     losses: u8,
     crashes: u8,
-    /// How many actions end late because their member was suspended in the middle.
+    /// How many actions may end late because their member is suspended in the middle.
     suspensions: u8,
     mutant: Mutant,
 }
@@ -54,23 +56,32 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
+    /// The time on the store's clock.
     clock: Micros,
     members: Vec<Member>,
+    /// The time of each session's last renewal, on the store's clock.
     sessions: BTreeMap<SessionId, Micros>,
     locks: BTreeMap<LeaseId, Lock>,
     lock_delay_until: BTreeMap<LeaseId, Micros>,
+    /// The modify index of the store's last change of a lock.
     index: FencingToken,
     sessions_created: u32,
     guard: FencingGuard,
+    /// The highest token under which a result was accepted, for each lease.
     highest_tokens: BTreeMap<LeaseId, FencingToken>,
+    /// The members of which a result was accepted, with the lease of that result.
     holders: BTreeSet<(LeaseId, usize)>,
     /// Whether a result of an earlier holder was accepted after one of a later holder.
     fencing_violated: bool,
+    /// How many more requests and answers may be lost.
     losses: u8,
+    /// How many more crashes may happen.
     crashes: u8,
+    /// How many more suspensions may happen.
     suspensions: u8,
 }
 
+/// A step of the model. A `usize` is the number of a member.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Tick,
@@ -170,6 +181,7 @@
         }
     }
 
+    /// Carries out a request in the store. Returns the answer, or `None` if the member does not wait for one.
     fn serve(&mut self, effect: Effect, sent_at: Micros) -> Option<Input> {
         Some(match effect {
             Effect::CreateSession => {
@@ -305,8 +317,8 @@
             }
             Step::Expire(id) => next.end_session(&id),
             Step::ReadLocks(member) => {
-                // No lock is released in this model, so the time of a read does not matter, and all reads may have the
-                // same time.
+                // All reads have the same time, because the time of a read does not matter. Each read is received at
+                // once, and no member requests the release of a lock, because all leases stay assigned to each member.
                 let read = Input::LocksRead { locks: next.locks.clone(), sent_at: 0 };
                 self.step(&mut next, member, read);
             }
@@ -373,29 +385,35 @@
     mutant: Mutant::None,
 };
 
+// Guards against two holders after an answer that arrives late.
 #[test]
 fn one_holder_under_any_delay() {
     assert_holds("late answers", Bounds { last_time: 4, ..SMALL_BOUNDS });
 }
 
+// Guards against two holders after a request or an answer that is lost.
 #[test]
 fn one_holder_when_a_request_or_answer_is_lost() {
     assert_holds("a loss", Bounds { losses: 1, ..SMALL_BOUNDS });
 }
 
+// Guards against two holders after a crash, and against a result that is accepted although its sender was suspended
+// during the action while another member acted under the lease.
 #[test]
 fn one_holder_across_a_crash_and_a_suspension_during_an_action() {
     assert_holds("a crash", Bounds { crashes: 1, ..SMALL_BOUNDS });
     assert_holds("a suspension", Bounds { suspensions: 1, ..SMALL_BOUNDS });
 }
 
+// Guards against a change of one lease that affects another lease.
 #[test]
 #[ignore = "a minute on four cores: cargo test -p orchidyoke-leases --test model -- --ignored"]
 fn two_leases_have_one_holder_each() {
     assert_holds("two leases", Bounds { leases: 2, ..SMALL_BOUNDS });
 }
 
-// The check must find a violation when a part of the protocol is disabled.
+// Guards against a model or bounds in which no violation can occur. The check must find a violation when a part of the
+// protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     let cases = [
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -11,8 +11,8 @@
     -weight / uniform.ln()
 }
 
-// Guards against the migration of all leases during an upgrade of the fleet, for names that fit into the inline buffer
-// and for longer ones.
+// Guards against a changed score, which would move all leases during an upgrade of the fleet. The test covers names
+// that fit into the inline buffer and longer ones.
 #[test]
 fn scores_of_leases_are_pinned() {
     for length in [0, 1, 2, 60, 123, 124, 125, 300] {
@@ -25,7 +25,8 @@
     }
 }
 
-// Guards against a change of the hash function itself.
+// Guards against a change of the hash function itself, which the test above does not notice because its reference score
+// uses the same function.
 #[test]
 fn first_ranks_are_pinned() {
     let first = |key: u64| {
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns all keys that are held, with their values, one pair a line.
+/// Returns all keys that a session holds, with their values, one pair a line.
 async fn read_held_keys(consul: &ConsulServer) -> String {
     let (_, rows) = LockClient::new(settings(consul))
         .read_keys("fleet/", 0, Duration::ZERO)
@@ -120,6 +120,10 @@
         let assignment = assign_leases(&members, &leases, &held);
         let own = assignment.into_iter().filter(|(_, name)| name == "f-1").map(|(lease, _)| lease).collect();
         await_held(&manager, &own).await;
-        assert_eq!(own, BTreeSet::from([0, 1, 8]), "its share by weight, without the leases that are held");
+        assert_eq!(
+            own,
+            BTreeSet::from([0, 1, 8]),
+            "the share of f-1 by weight, without the leases that f-2 holds"
+        );
     });
 }
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -16,6 +16,7 @@
 const RING_POINTS: u32 = 100;
 /// The upper bounds of a member's load on that ring, each as a multiple of the mean load.
 const LOAD_BOUNDS: [f64; 2] = [1.25, 1.1];
+/// The number of slots into which destinations are hashed. Each slot is assigned to one member.
 const SLOTS: u32 = 4096;
 
 /// The members' numbers. Members with an odd number are in the second zone.
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -1,7 +1,8 @@
 //! Model checking of the handover of one message between forwarders (`docs/ownership.md`). The forwarders are the
 //! holder, which accepted the message from a client, the message's owner, and a third forwarder. The check covers every
 //! order of answers, losses, crashes, restarts and late views within the bounds. A suspended or disconnected forwarder
-//! is modelled as one that takes no step for a while.
+//! is modelled as one that takes no step for a while. The check guards against a lost message, a non-idempotent message
+//! that is delivered twice, a wrong final answer, a second handover and a return to an older view.
 //!
 //! The members, the views and the owners come from the crate itself.
 
@@ -88,9 +89,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     is_up: bool,
-    /// The version of the forwarder's view.
+    /// The index of the forwarder's view in the registry's views.
     version: usize,
-    /// The latest version that the forwarder has received.
+    /// The index of the latest view that the forwarder has received.
     latest_received: usize,
     record: Record,
 }
@@ -110,7 +111,7 @@
     offers_in_flight: Vec<Offer>,
     /// An answer in flight to the holder, which is `true` if the owner has accepted the message.
     answer: Option<bool>,
-    /// The latest version of the registry.
+    /// The index of the registry's latest view.
     latest: usize,
     /// Whether the time is over in which the message may be offered again under its id.
     offers_expired: bool,
@@ -122,11 +123,15 @@
     forgotten: usize,
     /// Whether a forwarder other than the holder has handed the message over.
     handed_over_twice: bool,
+    /// How many more crashes may happen.
     crashes: u8,
     /// How many more offers may be sent.
     offers: u8,
 }
 
+/// A step of the model. A `usize` is the number of a forwarder, except that the second one of `ReceiveView` is the
+/// index of the view and that those of `ReadOffer` and `LoseOffer` are indexes of `offers_in_flight`. The `bool` of
+/// `ReadOffer` says whether the receiver accepts the offer.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     ViewChanges,
@@ -157,12 +162,15 @@
     first_owner: usize,
     next_owner: usize,
     idempotent: bool,
+    /// How many crashes may happen.
     crashes: u8,
+    /// How many offers may be sent.
     offers: u8,
     mutant: Mutant,
 }
 
 impl Record {
+    /// Returns whether the forwarder has the message and has no final answer of it yet.
     fn is_held(self) -> bool {
         matches!(self, Record::Queued { .. } | Record::InFlight { .. })
     }
@@ -361,6 +369,7 @@
         Some(())
     }
 
+    /// Applies a step. Returns `None` if the step is not possible.
     fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
             Step::ViewChanges => world.latest += 1,
@@ -577,23 +586,28 @@
     checker.assert_properties();
 }
 
+// Guards against a non-idempotent message that is lost or delivered twice because its owner leaves during the handover
+// and the third forwarder becomes the owner.
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_a_third_forwarder_takes_over() {
     assert_holds("not idempotent, a third forwarder takes over", new_bounds(2));
 }
 
+// Guards against the same failure if the holder itself becomes the owner.
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_the_holder_takes_over() {
     assert_holds("not idempotent, the holder takes over", new_bounds(HOLDER));
 }
 
+// Guards against an idempotent message that no forwarder has any more after its owner left during the handover.
 #[test]
 fn idempotent_message_is_never_lost() {
     assert_holds("idempotent, a third forwarder takes over", Bounds { idempotent: true, ..new_bounds(2) });
     assert_holds("idempotent, the holder takes over", Bounds { idempotent: true, ..new_bounds(HOLDER) });
 }
 
-// The check must find a violation when a part of the protocol is disabled.
+// Guards against a model or bounds in which no violation can occur. The check must find a violation when a part of the
+// protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, property, next_owner) in [
--- a/crates/ownership/tests/member_state.rs
+++ b/crates/ownership/tests/member_state.rs
@@ -1,4 +1,5 @@
-//! The decisions of one forwarder, step by step.
+//! Tests of [`orchidyoke_ownership::MemberState`], which decides whether one forwarder delivers a message itself, at
+//! which rate, or hands the message over.
 
 mod common;
 
@@ -7,6 +8,7 @@
 use orchidyoke_ownership::{DeliveryDecision, Member, MemberState, OwnershipConfig, Rate, SlowStartReason};
 
 const SECOND: Micros = 1_000_000;
+/// The number of destinations that the forwarder lists.
 const LISTED: u64 = 40;
 
 fn config() -> OwnershipConfig {
@@ -18,7 +20,8 @@
     }
 }
 
-/// Returns the state of the first of these members, which has read its view and renewed its session at 0.
+/// Returns the state of the member `f000`. Its view has these members and was read at 0, and its session was created at
+/// 0.
 fn confirmed(members: Vec<Member>) -> MemberState {
     let mut state = MemberState::new("f000");
     state.set_destinations(0, 0..LISTED);
@@ -27,7 +30,7 @@
     state
 }
 
-/// Returns the same state after its warm-up time, with its view read and its session renewed at `now`.
+/// Returns the same state after the member has read its view again and renewed its session, both at `now`.
 fn warmed_up(members: Vec<Member>, now: Micros) -> MemberState {
     let mut state = confirmed(members.clone());
     state.on_view(&config(), now, now, view(5, members)).expect("a view of the same version is accepted");
@@ -52,6 +55,7 @@
     }
 }
 
+// Guards against a new owner that sends at the full rate while the previous owner, whose clock may be slow, still does.
 #[test]
 fn new_owner_keeps_to_slow_start_until_the_warm_up_time_is_over_by_any_clock() {
     let state = warmed_up(members(3), 12 * SECOND);
@@ -63,6 +67,8 @@
     assert_eq!(rate(&state, warm_up_end, owned_destination(&state)), Rate::Full);
 }
 
+// Guards against an owner that sends at the full rate while the registry may already name another owner, because its
+// session or its view is too old.
 #[test]
 fn session_and_view_are_valid_from_the_time_their_requests_were_sent() {
     let state = warmed_up(members(3), 20 * SECOND);
@@ -91,7 +97,8 @@
     );
 }
 
-// Guards against an owner that did not see that another member owned its destinations between its two sessions.
+// Guards against an owner that sends at the full rate as soon as it has a new session, although another member may have
+// owned its destinations between its two sessions.
 #[test]
 fn lost_session_ends_the_full_rate_and_a_new_one_restarts_slow_start() {
     let mut state = warmed_up(members(3), 20 * SECOND);
@@ -118,6 +125,7 @@
     assert_eq!(rate(&state, 35 * SECOND, owned_destination(&state)), Rate::Full);
 }
 
+// Guards against a message that is handed over again and again between forwarders whose views differ.
 #[test]
 fn message_for_another_owner_is_handed_over_once() {
     let state = warmed_up(members(3), 20 * SECOND);
@@ -133,6 +141,7 @@
     assert_eq!(MemberState::new("f000").decide(&config(), 0, 1, false), deliver, "the view has no members");
 }
 
+// Guards against an owner that sends at the full rate to a destination that another member owned in between.
 #[test]
 fn reacquired_destination_restarts_slow_start() {
     let mut state = warmed_up(members(1), 20 * SECOND);
--- a/crates/ownership/tests/ownership_table.rs
+++ b/crates/ownership/tests/ownership_table.rs
@@ -8,6 +8,7 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The highest number of destinations that a table lists.
 const LISTED: u64 = 300;
 
 proptest! {
--- a/crates/ownership/tests/rate_model.rs
+++ b/crates/ownership/tests/rate_model.rs
@@ -1,6 +1,7 @@
 //! Model checking of the rates of owners. The forwarders run the real state machine against a registry that gives only
 //! the guarantees that the protocol requires. The check covers every order of renewals, reads, late or lost answers and
-//! expiring sessions within the bounds. One clock is slow by the whole clock drift.
+//! expiring sessions within the bounds. One clock is slow by the whole clock drift. The check guards against two
+//! members that send to one destination at the full rate at the same time.
 
 mod common;
 
@@ -14,7 +15,7 @@
 const TTL: Micros = 2;
 const VIEW_LIFETIME: Micros = 2;
 const WARM_UP_TIME: Micros = 2;
-/// A time before the first step of the model.
+/// A time so long before the first step of the model that the warm-up time is over at that step.
 const LONG_AGO: Micros = -1000;
 
 const ONE_FULL: &str = "at most one member sends at the full rate";
@@ -43,7 +44,9 @@
     /// Whether the first member's renewals may be late or lost, so that its session may expire. All other renewals take
     /// effect at once.
     renewals_late: bool,
+    /// The last time of the clock.
     last_time: Micros,
+    /// How many restarts of members may happen.
     restarts: u8,
     mutant: Mutant,
 }
@@ -64,6 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Participant {
     state: MemberState,
+    /// The answer to the member's read of the view.
     view_read: Answer<View>,
     /// The session that the member knows.
     session: Option<SessionId>,
@@ -78,10 +82,13 @@
     sessions: Vec<Option<Session>>,
     /// The number of sessions created so far.
     sessions_created: SessionId,
+    /// The version of the registry's view.
     version: u64,
+    /// How many more restarts may happen.
     restarts: u8,
 }
 
+/// A step of the model. A `usize` is the number of a member.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Tick,
@@ -177,6 +184,7 @@
         id
     }
 
+    /// Applies a step. Returns `None` if the step is not possible.
     fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
             Step::Tick => {
@@ -333,16 +341,21 @@
 const SESSION_EXPIRES: Bounds =
     Bounds { both_present: true, renewals_late: true, last_time: 5, restarts: 0, mutant: Mutant::None };
 
+// Guards against a new owner that sends at the full rate before the previous owner has read the new view.
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_member_joins() {
     assert_holds("a member joins", MEMBER_JOINS);
 }
 
+// Guards against an owner that continues at the full rate after its session has expired, or directly after it has
+// created a new session.
 #[test]
 fn at_most_one_sends_at_full_rate_while_a_session_expires() {
     assert_holds("a session expires", SESSION_EXPIRES);
 }
 
+// Guards against a model or bounds in which no violation can occur. The check must find a violation when a part of the
+// protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, bounds) in [
--- a/crates/ownership/tests/stored_format.rs
+++ b/crates/ownership/tests/stored_format.rs
@@ -4,6 +4,7 @@
 use orchidyoke_ownership::{Member, Region};
 
 const PLAIN: &str = include_str!("fixtures/member.json");
+/// The entry of a member that has a quoted zone, a name beyond ASCII, an IPv6 address and a weight of 17 digits.
 const OTHER: &str = include_str!("fixtures/member-other.json");
 
 fn region() -> Region {
--- a/crates/ownership/tests/view.rs
+++ b/crates/ownership/tests/view.rs
@@ -137,7 +137,8 @@
     }
 }
 
-// Guards against an invalid entry that stops a region, and against members that leave out different entries.
+// Guards against an invalid entry that stops a region, and against members that leave out different entries
+// and therefore find different owners.
 #[test]
 fn unreadable_entries_are_left_out_and_reported() {
     let good = member(0, 1.0);
--- a/crates/policy-commit/tests/commit_decision.rs
+++ b/crates/policy-commit/tests/commit_decision.rs
@@ -16,6 +16,7 @@
     VersionedPolicy::new(id.into(), version, "{}".into(), "op".into())
 }
 
+// Guards against a commit of a proposal that a member has not voted for, or that another policy has superseded.
 #[test]
 fn proposal_is_committed_only_when_all_members_have_voted_for_it() {
     let proposed = policy("a", 2);
--- a/crates/policy-commit/tests/commit_point.rs
+++ b/crates/policy-commit/tests/commit_point.rs
@@ -19,7 +19,7 @@
         "settings": {"limits": {"max_open": 5, "try_limit": 8}}});
     assert_eq!(applied, expected);
     assert!(Policy::parse(r#"{"listen": "127.0.0.1:2"}"#).is_err());
-    // A policy replaces the previous one. It does not add to it.
+    // A policy replaces the previous one instead of adding to it, so an empty policy excludes no endpoints.
     assert_eq!(Policy::default().apply_to(&own).unwrap(), {
         let mut own: Value = serde_json::from_str(&own).unwrap();
         own["policy_out"] = json!([]);
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -11,7 +11,8 @@
 
 /// The TTL of sessions, in units of the store's clock.
 const TTL: Micros = 3;
-/// How long a read counts as contact, in units of the store's clock. It is shorter than the TTL.
+/// How long a participant is in contact after it sent a read, in units of the store's clock. This time is shorter than
+/// the TTL.
 const CONTACT_TIME: Micros = 2;
 /// The text of a policy that the second participant cannot use.
 const UNUSABLE: &str = "bad";
@@ -32,7 +33,7 @@
     NoVotes,
     /// A participant acts on a staged policy.
     ActsOnStaged,
-    /// A participant counts its contact from the answer to the read.
+    /// A participant's contact time starts at the answer to the read, instead of when the read is sent.
     ContactFromAnswer,
 }
 
@@ -40,6 +41,7 @@
     coordinators: usize,
     /// Whether the second participant cannot use the last coordinator's policy.
     last_is_unusable: bool,
+    /// The last time of the store's clock.
     last_time: Micros,
     /// How many crashes of participants may happen.
     crashes: u8,
@@ -81,6 +83,7 @@
 struct World {
     clock: Micros,
     point: CommitPoint,
+    /// The modify index of the last change of the commit point.
     index: u64,
     /// The status in each participant's key, with the time at which the key was renewed.
     keys: Vec<Option<(MemberStatus, Micros)>>,
@@ -90,10 +93,13 @@
     history: Vec<(VersionedPolicy, Micros)>,
     /// Whether a participant has crashed, or its session has expired.
     any_absent: bool,
+    /// How many crashes of participants have happened.
     crashes: u8,
+    /// How many proposals have been withdrawn, or deleted with their coordinator's session.
     losses: u8,
 }
 
+/// A step of the model. A `usize` is the number of a participant or of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Tick,
@@ -152,6 +158,7 @@
         self.keys.iter().enumerate().filter_map(member).collect()
     }
 
+    /// Returns whether this proposal is the open one and has not changed since `index`.
     fn holds(&self, proposed: &VersionedPolicy, index: u64) -> bool {
         self.point
             .proposal
@@ -396,7 +403,8 @@
     bounds.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-// There are two coordinators, a withdrawal or a coordinator's crash, and a participant's crash. The clock stands still.
+// Guards against a policy that only some participants use. There are two coordinators, a withdrawal or a coordinator's
+// crash, and a participant's crash. The clock does not advance.
 #[test]
 fn policy_is_in_force_everywhere_or_nowhere_in_every_order() {
     let checker = check(Bounds {
@@ -421,7 +429,8 @@
     assert_safe(&checker);
 }
 
-// There is one coordinator and the clock runs, so sessions expire and reads are late.
+// Guards against a participant that reports itself ready on an outdated policy. There is one coordinator, and the clock
+// advances, so sessions expire and reads are late.
 #[test]
 fn participant_in_contact_lags_less_than_the_contact_time_in_every_order() {
     let checker = check(Bounds {
@@ -443,7 +452,8 @@
     }
 }
 
-/// The check must find a violation when a part of the protocol is disabled.
+// Guards against a model or bounds in which no violation can occur. The check must find a violation when a part of the
+// protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, property, coordinators, last_is_unusable, last_time, losses) in [
--- a/crates/policy-commit/tests/participant.rs
+++ b/crates/policy-commit/tests/participant.rs
@@ -66,6 +66,7 @@
     assert_eq!(participant.member_status(), MemberStatus::default());
 }
 
+// Guards against a vote for a policy that the forwarder cannot use, or whose version does not follow the one in force.
 #[test]
 fn unusable_proposal_is_rejected_with_the_reason() {
     let (mut participant, one, two) = (Participant::default(), policy("a", 1), policy("b", 2));
@@ -98,7 +99,7 @@
     assert_eq!(participant.step(Input::CommitPointRead { sent_at: 6, point: point(Some(&three), None) }), []);
     participant.step(Input::Applied { id: "c".into(), outcome: Ok(()) });
     assert_eq!((participant.version(), participant.unready_reason(105, 100)), (3, None));
-    // Contact counts from the time at which the read was sent.
+    // The contact time starts when the read is sent, which is at 5.
     assert!(participant.unready_reason(106, 100).is_some());
 }
 
--- a/crates/policy-commit/tests/wire_policy.rs
+++ b/crates/policy-commit/tests/wire_policy.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn metric_names_of_a_policy_stay_the_same() {
-    let folder = std::env::temp_dir().join(format!("policy-figures-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("policy-metrics-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("the folder is created");
     std::fs::write(folder.join("policy-held.json"), VERSIONED).expect("the file is written");
     let metrics = ConsulParticipant::new(settings(), "n1", &folder).status().metrics;
--- a/crates/rollout/tests/analysis.rs
+++ b/crates/rollout/tests/analysis.rs
@@ -74,7 +74,8 @@
     assert_eq!(compare_outcomes(canary, baseline, &criteria, true), Verdict::Pass);
 }
 
-// Guards against blaming the change for a fault that all forwarders see.
+// Guards against a stage that is stopped because of a fault that affects all forwarders, and that the change therefore
+// did not cause.
 #[test]
 fn fault_seen_by_both_groups_passes() {
     let criteria = Criteria::default();
@@ -101,16 +102,16 @@
     );
 }
 
-// Guards against blaming the change for an outage from which the forwarders recover one by one. The figures are from a
-// trace in which one baseline forwarder of five had recovered before the others.
+// Guards against a stage that is stopped because of an outage from which the forwarders recover one by one. The counts
+// are from a trace in which one baseline forwarder of five had recovered before the others.
 #[test]
 fn share_that_some_baseline_forwarders_show_is_undecided() {
     let metrics = |success, error| Metrics { outcomes: counts(success, 0, error), latencies: None };
     let baseline = [metrics(63, 48), metrics(63, 48), metrics(410, 47), metrics(63, 48), metrics(111, 15)];
     let criteria = Criteria::default();
     assert_eq!(compare(&metrics(63, 48), &baseline, &criteria, true), Verdict::Undecided);
-    // Canaries that are far worse than each baseline forwarder are worse. So are canaries that are worse than nine of
-    // ten baseline forwarders.
+    // The verdict is `Worse` if the canaries are far worse than each baseline forwarder, or worse than nine of ten
+    // baseline forwarders.
     let verdict = compare(&metrics(30, 81), &baseline, &criteria, true);
     assert!(
         matches!(&verdict, Verdict::Worse(share) if share.to_string().contains("5 of 5 unchanged")),
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -56,7 +56,7 @@
     assert!(release.change().is_err());
     release.release = Some("v2".into());
     release.settings_patch = Some(json!({}));
-    assert!(release.change().is_err(), "a plan must not give two changes");
+    assert!(release.change().is_err(), "a plan has either a settings patch or a release");
 }
 
 #[test]
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -46,7 +46,7 @@
     assert_eq!(next(&records), Step::RunStage(1));
 }
 
-// Guards against a stop that leaves a changed forwarder, or one half-changed, as it is.
+// Guards against a stopped rollout that does not roll back a forwarder that is changed or partly changed.
 #[test]
 fn stop_rolls_back_every_forwarder_whose_change_started() {
     let records = [
@@ -123,6 +123,7 @@
     }
 }
 
+// Guards against a line that a kill truncated and that makes the progress file unreadable or damages the next record.
 #[test]
 fn progress_file_keeps_complete_lines_and_removes_a_truncated_one() {
     let folder = std::env::temp_dir().join(format!("orchidyoke-rollout-log-{}", std::process::id()));
