--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -63,9 +63,9 @@
     holders
 }
 
-/// Waits until each of these members may act under `each` leases. Fails if two members may act under one lease
-/// meanwhile.
-async fn await_lease_counts(members: &[&RunningMember], each: usize) {
+/// Waits until each of these members may act under `leases_per_member` leases. Fails if two members may act under one
+/// lease meanwhile.
+async fn await_lease_counts(members: &[&RunningMember], leases_per_member: usize) {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         holders(members);
@@ -73,7 +73,7 @@
             .iter()
             .map(|member| (0..LEASES).filter(|lease| member.manager.may_act(*lease).is_some()).count())
             .collect();
-        if counts.iter().all(|count| *count == each) {
+        if counts.iter().all(|count| *count == leases_per_member) {
             return;
         }
         assert!(Instant::now() < end, "{counts:?}");
@@ -84,9 +84,9 @@
 /// Starts two members and waits until they share the leases evenly.
 async fn start_two_members() -> (ConsulServer, RunningMember, RunningMember) {
     let consul = ConsulServer::start();
-    let (a, b) = (start(&consul, "a"), start(&consul, "b"));
-    await_lease_counts(&[&a, &b], 6).await;
-    (consul, a, b)
+    let (member_a, member_b) = (start(&consul, "a"), start(&consul, "b"));
+    await_lease_counts(&[&member_a, &member_b], 6).await;
+    (consul, member_a, member_b)
 }
 
 // Guards against a dead member whose leases stay without a holder, and against a takeover that also moves leases of the
@@ -94,16 +94,16 @@
 #[test]
 fn leases_are_shared_evenly_and_taken_over_from_a_dead_member() {
     run_test(async {
-        let (consul, a, b) = start_two_members().await;
-        let c = start(&consul, "c");
-        await_lease_counts(&[&a, &b, &c], 4).await;
-        let before = holders(&[&a, &b, &c]);
-        c.task.abort();
+        let (consul, member_a, member_b) = start_two_members().await;
+        let member_c = start(&consul, "c");
+        await_lease_counts(&[&member_a, &member_b, &member_c], 4).await;
+        let before = holders(&[&member_a, &member_b, &member_c]);
+        member_c.task.abort();
         let aborted_at = Instant::now();
-        await_lease_counts(&[&a, &b], 6).await;
+        await_lease_counts(&[&member_a, &member_b], 6).await;
         // Consul ends a session one to two TTLs after its last renewal. Then the lock-delay starts.
         assert!(aborted_at.elapsed() >= LOCK_DELAY, "{:?}", aborted_at.elapsed());
-        let after = holders(&[&a, &b]);
+        let after = holders(&[&member_a, &member_b]);
         let moved = after.iter().filter(|(lease, token)| before[lease] != **token).count();
         assert_eq!(moved, 4, "only the leases of the dead member move");
     });
@@ -113,18 +113,18 @@
 #[test]
 fn graceful_shutdown_passes_leases_at_once_and_the_member_may_return() {
     run_test(async {
-        let (consul, a, b) = start_two_members().await;
-        b.manager.shut_down();
+        let (consul, member_a, member_b) = start_two_members().await;
+        member_b.manager.shut_down();
         let shutdown_at = Instant::now();
-        await_lease_counts(&[&a], 12).await;
+        await_lease_counts(&[&member_a], 12).await;
         assert!(
             shutdown_at.elapsed() < TTL,
             "{:?}: the leases of a killed member take more than a TTL",
             shutdown_at.elapsed()
         );
-        b.task.await.expect("the manager returns after its shutdown");
-        let b = start(&consul, "b");
-        await_lease_counts(&[&a, &b], 6).await;
+        member_b.task.await.expect("the manager returns after its shutdown");
+        let member_b = start(&consul, "b");
+        await_lease_counts(&[&member_a, &member_b], 6).await;
         assert!(shutdown_at.elapsed() < 2 * TTL, "the member can register under its name again");
     });
 }
@@ -134,16 +134,16 @@
 #[test]
 fn unresponsive_consul_suspends_all_leases_until_it_answers() {
     run_test(async {
-        let (consul, a, b) = start_two_members().await;
+        let (consul, member_a, member_b) = start_two_members().await;
         consul.set_fault(ConsulFault::Unresponsive);
         sleep(TTL).await;
         assert_eq!(
-            holders(&[&a, &b]),
+            holders(&[&member_a, &member_b]),
             BTreeMap::new(),
             "no member may act once Consul has not answered for a TTL"
         );
         consul.set_fault(ConsulFault::None);
-        await_lease_counts(&[&a, &b], 6).await;
+        await_lease_counts(&[&member_a, &member_b], 6).await;
     });
 }
 
@@ -152,17 +152,17 @@
 #[test]
 fn deleted_keys_are_reacquired_under_higher_tokens() {
     run_test(async {
-        let (consul, a, b) = start_two_members().await;
-        let before = holders(&[&a, &b]);
+        let (consul, member_a, member_b) = start_two_members().await;
+        let before = holders(&[&member_a, &member_b]);
         consul.delete_keys("orchidyoke/one/members/a");
         consul.delete_keys("orchidyoke/one/duties/");
         let end = Instant::now() + Duration::from_secs(40);
         loop {
-            // The earlier holder may act until it reads the locks again. Receivers reject a result
-            // from that time by its lower token.
+            // The earlier holder may act until it reads the locks again. Receivers reject a result from that time by
+            // its lower token.
             let held: BTreeMap<LeaseId, FencingToken> =
-                [&a, &b].iter().flat_map(|member| member.manager.held()).collect();
-            let counts = [&a, &b].map(|member| member.manager.held().len());
+                [&member_a, &member_b].iter().flat_map(|member| member.manager.held()).collect();
+            let counts = [&member_a, &member_b].map(|member| member.manager.held().len());
             if counts == [6, 6] && held.iter().all(|(lease, token)| *token > before[lease]) {
                 break;
             }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -25,7 +25,7 @@
     NoClockDrift,
     /// A lease is valid from the time of the answer to its renewal, instead of from the time at which the renewal was
     /// sent.
-    CountsFromAnswer,
+    ValidFromAnswer,
 }
 
 struct Bounds {
@@ -143,10 +143,10 @@
     fn step(&self, world: &mut World, member: usize, input: Input) {
         let now = self.local_time(member, world.clock);
         let input = match (self.mutant, input) {
-            (Mutant::CountsFromAnswer, Input::SessionCreated { session, .. }) => {
+            (Mutant::ValidFromAnswer, Input::SessionCreated { session, .. }) => {
                 Input::SessionCreated { session, sent_at: now }
             }
-            (Mutant::CountsFromAnswer, Input::SessionRenewed { session, .. }) => {
+            (Mutant::ValidFromAnswer, Input::SessionRenewed { session, .. }) => {
                 Input::SessionRenewed { session, sent_at: now }
             }
             (_, input) => input,
@@ -191,8 +191,8 @@
                 Input::SessionCreated { session: id, sent_at }
             }
             Effect::RenewSession(id) => match self.sessions.get_mut(&id) {
-                Some(renewed) => {
-                    *renewed = self.clock;
+                Some(renewed_at) => {
+                    *renewed_at = self.clock;
                     Input::SessionRenewed { session: id, sent_at }
                 }
                 None => Input::SessionNotFound(id),
@@ -204,7 +204,7 @@
             Effect::Acquire { lease, session: id } => {
                 let is_unheld = self.locks.get(&lease).is_none_or(|lock| lock.session.is_none());
                 let is_past_lock_delay =
-                    self.lock_delay_until.get(&lease).is_none_or(|from| self.clock >= *from);
+                    self.lock_delay_until.get(&lease).is_none_or(|until| self.clock >= *until);
                 if is_unheld && is_past_lock_delay && self.sessions.contains_key(&id) {
                     self.index += 1;
                     self.locks.insert(lease, Lock { session: Some(id), modify_index: self.index });
@@ -287,7 +287,7 @@
                 steps.extend((world.suspensions > 0).then_some(Step::Suspend(number, lease)));
             }
         }
-        let expired = world.sessions.iter().filter(|(_, renewed)| world.clock >= *renewed + TTL);
+        let expired = world.sessions.iter().filter(|(_, renewed_at)| world.clock >= *renewed_at + TTL);
         steps.extend(expired.map(|(id, _)| Step::Expire(id.clone())));
     }
 
@@ -418,7 +418,7 @@
 fn each_mutant_violates_its_property() {
     let cases = [
         (Mutant::NoClockDrift, "one holder at a time"),
-        (Mutant::CountsFromAnswer, "one holder at a time"),
+        (Mutant::ValidFromAnswer, "one holder at a time"),
         (Mutant::NoFencing, "no result of an earlier holder is accepted after one of a later holder"),
     ];
     for (mutant, property) in cases {
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -32,8 +32,9 @@
     let first = |key: u64| {
         let names = ["a", "b", "c", "d"];
         let key = key.to_le_bytes();
-        let rank = |left: &&&str, right: &&&str| score(&key, left, 1.0).total_cmp(&score(&key, right, 1.0));
-        *names.iter().max_by(rank).expect("the list of names is not empty")
+        let by_score =
+            |left: &&&str, right: &&&str| score(&key, left, 1.0).total_cmp(&score(&key, right, 1.0));
+        *names.iter().max_by(by_score).expect("the list of names is not empty")
     };
     let ranked: String = (0..24).map(first).collect();
     assert_eq!(ranked, "bdaacdbaccbbadbadbadabbc");
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -70,7 +70,7 @@
         .await
         .expect("the keys are read");
     rows.iter()
-        .filter(|r| r.session.is_some())
+        .filter(|row| row.session.is_some())
         .map(|row| format!("{} {}\n", row.key, row.value_text()))
         .collect()
 }
@@ -118,10 +118,11 @@
         let members: BTreeMap<_, _> = weights.map(|(name, weight)| (name.to_owned(), weight)).into();
         let held: BTreeMap<_, _> = held.map(|(lease, name)| (lease, name.to_owned())).into();
         let assignment = assign_leases(&members, &leases, &held);
-        let own = assignment.into_iter().filter(|(_, name)| name == "f-1").map(|(lease, _)| lease).collect();
-        await_held(&manager, &own).await;
+        let own_leases =
+            assignment.into_iter().filter(|(_, name)| name == "f-1").map(|(lease, _)| lease).collect();
+        await_held(&manager, &own_leases).await;
         assert_eq!(
-            own,
+            own_leases,
             BTreeSet::from([0, 1, 8]),
             "the share of f-1 by weight, without the leases that f-2 holds"
         );
--- a/crates/ownership/examples/compare_placements.rs
+++ b/crates/ownership/examples/compare_placements.rs
@@ -152,11 +152,13 @@
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for destinations in [667, 10_000, DESTINATIONS] {
-        let (view_lookups, _) =
-            time_in_micros(|| (0..destinations).filter(|d| black_box(initial.owner(*d)).is_some()).count());
+        let (view_lookups, _) = time_in_micros(|| {
+            (0..destinations).filter(|destination| black_box(initial.owner(*destination)).is_some()).count()
+        });
         let (creation, mut table) = time_in_micros(|| OwnershipTable::new(initial.clone(), 0..destinations));
-        let (table_lookups, _) =
-            time_in_micros(|| (0..destinations).filter(|d| black_box(table.owner(*d)).is_some()).count());
+        let (table_lookups, _) = time_in_micros(|| {
+            (0..destinations).filter(|destination| black_box(table.owner(*destination)).is_some()).count()
+        });
         let (leave, _) =
             time_in_micros(|| table.replace_view(rest.clone()).expect("the view is newer").len());
         let (join, _) =
@@ -194,11 +196,11 @@
         "\n| a read of {MEMBERS} members | bytes | of 6 KB/s, reads at most every 5 s | a read for each change, 300 changes in 10 min |"
     );
     println!("| --- | --- | --- | --- |");
-    for (what, bytes) in [("rows with entries", entries), ("keys alone, the entry in the key", keys)] {
+    for (label, bytes) in [("rows with entries", entries), ("keys alone, the entry in the key", keys)] {
         let bytes = bytes + 250;
         let (coalesced, per_change) = (bytes as f64 / 5.0, bytes as f64 * 300.0 / 600.0);
         println!(
-            "| {what} | {bytes} | {coalesced:.0} B/s ({:.0}%) | {per_change:.0} B/s |",
+            "| {label} | {bytes} | {coalesced:.0} B/s ({:.0}%) | {per_change:.0} B/s |",
             coalesced / 60.0
         );
     }
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -90,9 +90,9 @@
 struct Node {
     is_up: bool,
     /// The index of the forwarder's view in the registry's views.
-    version: usize,
+    view_index: usize,
     /// The index of the latest view that the forwarder has received.
-    latest_received: usize,
+    latest_view_received: usize,
     record: Record,
 }
 
@@ -112,7 +112,7 @@
     /// An answer in flight to the holder, which is `true` if the owner has accepted the message.
     answer: Option<bool>,
     /// The index of the registry's latest view.
-    latest: usize,
+    latest_view: usize,
     /// Whether the time is over in which the message may be offered again under its id.
     offers_expired: bool,
     /// How often the holder has stopped asking which forwarder has the message.
@@ -210,12 +210,12 @@
 
 impl Bounds {
     fn member(&self, world: &World, node: usize, other: usize) -> bool {
-        self.views[world.nodes[node].version].member(&member(other, 1.0).name).is_some()
+        self.views[world.nodes[node].view_index].member(&member(other, 1.0).name).is_some()
     }
 
     fn owner(&self, world: &World, node: usize) -> usize {
         let owner =
-            self.views[world.nodes[node].version].owner(self.destination).expect("the view has members");
+            self.views[world.nodes[node].view_index].owner(self.destination).expect("the view has members");
         (0..FORWARDERS)
             .find(|index| member(*index, 1.0).name == owner.name)
             .expect("the owner is one of the forwarders")
@@ -357,23 +357,23 @@
         node != HOLDER && is_finished && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
     }
 
-    fn receive_view(&self, world: &mut World, node: usize, version: usize) -> Option<()> {
-        let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
-        let is_rejected = table.replace_view(self.views[version].clone()).is_err();
+    fn receive_view(&self, world: &mut World, node: usize, view_index: usize) -> Option<()> {
+        let mut table = OwnershipTable::new(self.views[world.nodes[node].view_index].clone(), []);
+        let is_rejected = table.replace_view(self.views[view_index].clone()).is_err();
         if is_rejected && self.mutant != Mutant::AppliesOlderViews {
             return None;
         }
         let node = &mut world.nodes[node];
-        node.version = version;
-        node.latest_received = node.latest_received.max(version);
+        node.view_index = view_index;
+        node.latest_view_received = node.latest_view_received.max(view_index);
         Some(())
     }
 
     /// Applies a step. Returns `None` if the step is not possible.
     fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
-            Step::ViewChanges => world.latest += 1,
-            Step::ReceiveView(node, version) => self.receive_view(world, node, version)?,
+            Step::ViewChanges => world.latest_view += 1,
+            Step::ReceiveView(node, view_index) => self.receive_view(world, node, view_index)?,
             Step::Dispatch(node) => self.dispatch(world, node)?,
             Step::ReadOffer(offer, accepts) => self.read_offer(world, offer, accepts)?,
             Step::LoseOffer(offer) => drop(world.offers_in_flight.remove(offer)),
@@ -447,8 +447,8 @@
         if !node.is_up {
             return steps.push(Step::Restart(index));
         }
-        let versions = (0..=world.latest).filter(|version| *version != node.version);
-        steps.extend(versions.map(|version| Step::ReceiveView(index, version)));
+        let view_indexes = (0..=world.latest_view).filter(|view_index| *view_index != node.view_index);
+        steps.extend(view_indexes.map(|view_index| Step::ReceiveView(index, view_index)));
         if world.crashes > 0 {
             steps.push(Step::Crash(index));
         }
@@ -469,14 +469,14 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node { is_up: true, version: 0, latest_received: 0, record: Record::Unknown };
+        let node = Node { is_up: true, view_index: 0, latest_view_received: 0, record: Record::Unknown };
         let mut nodes = vec![node; FORWARDERS];
         nodes[HOLDER].record = Record::Queued { handed_over: false, possible_delivery: false };
         vec![World {
             nodes,
             offers_in_flight: Vec::new(),
             answer: None,
-            latest: 0,
+            latest_view: 0,
             offers_expired: false,
             abandoned_doubts: 0,
             deliveries: 0,
@@ -488,7 +488,7 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.latest + 1 < self.views.len() {
+        if world.latest_view + 1 < self.views.len() {
             steps.push(Step::ViewChanges);
         }
         if !world.offers_expired {
@@ -538,7 +538,7 @@
             }),
             Property::always(ONE_HANDOVER, |_, world: &World| !world.handed_over_twice),
             Property::always(NO_OLDER_VIEW, |_, world: &World| {
-                world.nodes.iter().all(|node| node.version >= node.latest_received)
+                world.nodes.iter().all(|node| node.view_index >= node.latest_view_received)
             }),
             Property::sometimes("the first owner delivers the message", |bounds: &Bounds, world: &World| {
                 world.nodes[bounds.first_owner].record == Record::Finished(FinalAnswer::Delivered)
--- a/crates/ownership/tests/member_state.rs
+++ b/crates/ownership/tests/member_state.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns the same state after the member has read its view again and renewed its session, both at `now`.
-fn warmed_up(members: Vec<Member>, now: Micros) -> MemberState {
+fn reconfirmed_at(members: Vec<Member>, now: Micros) -> MemberState {
     let mut state = confirmed(members.clone());
     state.on_view(&config(), now, now, view(5, members)).expect("a view of the same version is accepted");
     state.on_renewed(now);
@@ -57,8 +57,8 @@
 
 // Guards against a new owner that sends at the full rate while the previous owner, whose clock may be slow, still does.
 #[test]
-fn new_owner_keeps_to_slow_start_until_the_warm_up_time_is_over_by_any_clock() {
-    let state = warmed_up(members(3), 12 * SECOND);
+fn new_owner_stays_in_slow_start_for_the_warm_up_time_and_the_clock_drift() {
+    let state = reconfirmed_at(members(3), 12 * SECOND);
     let warm_up_end = 12 * SECOND + 12 * SECOND / 100;
     assert_eq!(
         rate(&state, warm_up_end - 1, owned_destination(&state)),
@@ -71,16 +71,16 @@
 // session or its view is too old.
 #[test]
 fn session_and_view_are_valid_from_the_time_their_requests_were_sent() {
-    let state = warmed_up(members(3), 20 * SECOND);
+    let state = reconfirmed_at(members(3), 20 * SECOND);
     let valid_until = 20 * SECOND + (10.0 * SECOND as f64 / 1.01) as Micros;
     assert_eq!(rate(&state, valid_until - 1, owned_destination(&state)), Rate::Full);
     assert_eq!(
         rate(&state, valid_until, owned_destination(&state)),
         Rate::SlowStart(SlowStartReason::Unconfirmed)
     );
-    for renewed in [true, false] {
+    for renews_session in [true, false] {
         let mut state = state.clone();
-        match renewed {
+        match renews_session {
             true => state.on_renewed(25 * SECOND),
             false => drop(state.on_view(&config(), 25 * SECOND, 25 * SECOND, view(5, members(3)))),
         }
@@ -101,7 +101,7 @@
 // owned its destinations between its two sessions.
 #[test]
 fn lost_session_ends_the_full_rate_and_a_new_one_restarts_slow_start() {
-    let mut state = warmed_up(members(3), 20 * SECOND);
+    let mut state = reconfirmed_at(members(3), 20 * SECOND);
     state.on_session_lost();
     assert_eq!(
         rate(&state, 20 * SECOND, owned_destination(&state)),
@@ -128,7 +128,7 @@
 // Guards against a message that is handed over again and again between forwarders whose views differ.
 #[test]
 fn message_for_another_owner_is_handed_over_once() {
-    let state = warmed_up(members(3), 20 * SECOND);
+    let state = reconfirmed_at(members(3), 20 * SECOND);
     let destination = destination_of_other(&state);
     assert_eq!(
         state.decide(&config(), 20 * SECOND, destination, false),
@@ -144,7 +144,7 @@
 // Guards against an owner that sends at the full rate to a destination that another member owned in between.
 #[test]
 fn reacquired_destination_restarts_slow_start() {
-    let mut state = warmed_up(members(1), 20 * SECOND);
+    let mut state = reconfirmed_at(members(1), 20 * SECOND);
     let two = vec![member(0, 1.0), member(1, 1.0)];
     let changes = state
         .on_view(&config(), 21 * SECOND, 21 * SECOND, view(6, two.clone()))
@@ -162,7 +162,7 @@
 
 #[test]
 fn newly_listed_destination_starts_slow_and_the_others_keep_their_rate() {
-    let mut state = warmed_up(members(1), 20 * SECOND);
+    let mut state = reconfirmed_at(members(1), 20 * SECOND);
     state.set_destinations(20 * SECOND, 1..LISTED + 1);
     assert_eq!(rate(&state, 20 * SECOND, LISTED), Rate::SlowStart(SlowStartReason::NewOwner));
     assert_eq!(rate(&state, 20 * SECOND, 1), Rate::Full);
@@ -170,7 +170,7 @@
 
 #[test]
 fn draining_forwarder_hands_over_to_the_next_owner_and_accepts_no_handover() {
-    let mut state = warmed_up(members(3), 20 * SECOND);
+    let mut state = reconfirmed_at(members(3), 20 * SECOND);
     let destination = owned_destination(&state);
     state.start_draining();
     let rest = view(6, members(3)[1..].to_vec());
@@ -179,14 +179,14 @@
     let deliver = DeliveryDecision::Deliver(Rate::SlowStart(SlowStartReason::Draining));
     assert_eq!(state.decide(&config(), 20 * SECOND, destination, true), deliver);
     assert!(!state.accepts_handover());
-    let mut alone = warmed_up(members(1), 20 * SECOND);
+    let mut alone = reconfirmed_at(members(1), 20 * SECOND);
     alone.start_draining();
     assert_eq!(alone.decide(&config(), 20 * SECOND, 1, false), deliver, "there is no other member");
 }
 
 #[test]
 fn older_view_is_rejected_while_the_held_view_is_valid() {
-    let mut state = warmed_up(members(3), 20 * SECOND);
+    let mut state = reconfirmed_at(members(3), 20 * SECOND);
     let held = state.clone();
     assert!(state.on_view(&config(), 21 * SECOND, 21 * SECOND, view(4, members(2))).is_err());
     assert_eq!(state, held);
--- a/crates/ownership/tests/ownership_table.rs
+++ b/crates/ownership/tests/ownership_table.rs
@@ -30,7 +30,8 @@
             let name = |table: &OwnershipTable, destination| {
                 table.owner(destination).map(|owner| owner.name.clone())
             };
-            let before: BTreeMap<u64, _> = (0..listed).map(|d| (d, name(&table, d))).collect();
+            let before: BTreeMap<u64, _> =
+                (0..listed).map(|destination| (destination, name(&table, destination))).collect();
             let changes = table.replace_view(next.clone()).expect("the view is newer");
             let changed: BTreeSet<u64> = changes.iter().map(|change| change.destination).collect();
             for destination in 0..LISTED {
--- a/crates/ownership/tests/rate_model.rs
+++ b/crates/ownership/tests/rate_model.rs
@@ -61,11 +61,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Session {
     id: SessionId,
-    renewed: Micros,
+    renewed_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Participant {
+struct Node {
     state: MemberState,
     /// The answer to the member's read of the view.
     view_read: Answer<View>,
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     clock: Micros,
-    participants: Vec<Participant>,
+    nodes: Vec<Node>,
     sessions: Vec<Option<Session>>,
     /// The number of sessions created so far.
     sessions_created: SessionId,
@@ -129,7 +129,7 @@
 
     fn rate(&self, world: &World, member: usize) -> Option<Rate> {
         let now = self.local_time(member, world.clock);
-        match world.participants[member].state.decide(&self.config(), now, self.destination(), true) {
+        match world.nodes[member].state.decide(&self.config(), now, self.destination(), true) {
             DeliveryDecision::Deliver(rate) => Some(rate),
             DeliveryDecision::HandOver(_) => None,
         }
@@ -161,26 +161,26 @@
 
     fn renew_others(&self, world: &mut World) {
         for member in (0..MEMBERS).filter(|member| !self.has_late_renewals(*member)) {
-            let known_session = world.participants[member].session;
+            let known_session = world.nodes[member].session;
             if let Some(session) = &mut world.sessions[member]
                 && known_session == Some(session.id)
             {
-                session.renewed = world.clock;
-                world.participants[member].state.on_renewed(self.local_time(member, world.clock));
+                session.renewed_at = world.clock;
+                world.nodes[member].state.on_renewed(self.local_time(member, world.clock));
             }
         }
     }
 
     /// Renews the session that a member knows, or creates a new session.
     fn renew(&self, world: &mut World, member: usize) -> SessionId {
-        let known_session = world.participants[member].session;
+        let known_session = world.nodes[member].session;
         let present = world.sessions[member].filter(|session| Some(session.id) == known_session);
         let id = present.map_or(world.sessions_created, |session| session.id);
         if present.is_none() {
             world.sessions_created += 1;
             world.version += 1;
         }
-        world.sessions[member] = Some(Session { id, renewed: world.clock });
+        world.sessions[member] = Some(Session { id, renewed_at: world.clock });
         id
     }
 
@@ -193,22 +193,22 @@
             }
             Step::ReadView(member) => {
                 let view = self.registry_view(world);
-                world.participants[member].view_read = Some((self.local_time(member, world.clock), view));
+                world.nodes[member].view_read = Some((self.local_time(member, world.clock), view));
             }
             Step::ReceiveView(member) => {
                 let now = self.local_time(member, world.clock);
-                let (sent_at, view) = world.participants[member].view_read.take()?;
+                let (sent_at, view) = world.nodes[member].view_read.take()?;
                 let sent_at = self.valid_from(sent_at, now);
                 // An older view is rejected.
-                let _ = world.participants[member].state.on_view(&self.config(), now, sent_at, view);
+                let _ = world.nodes[member].state.on_view(&self.config(), now, sent_at, view);
             }
             Step::Renew(member) => {
                 let id = self.renew(world, member);
-                world.participants[member].renewal = Some((self.local_time(member, world.clock), id));
+                world.nodes[member].renewal = Some((self.local_time(member, world.clock), id));
             }
             Step::ReceiveRenewal(member) => {
                 let now = self.local_time(member, world.clock);
-                let receiver = &mut world.participants[member];
+                let receiver = &mut world.nodes[member];
                 let (sent_at, id) = receiver.renewal.take()?;
                 let sent_at = self.valid_from(sent_at, now);
                 if receiver.session == Some(id) || self.mutant == Mutant::NewSessionIsRenewal {
@@ -225,8 +225,7 @@
             Step::Restart(member) => {
                 world.restarts -= 1;
                 let state = self.new_state(member);
-                world.participants[member] =
-                    Participant { state, view_read: None, session: None, renewal: None };
+                world.nodes[member] = Node { state, view_read: None, session: None, renewal: None };
             }
         }
         Some(())
@@ -239,19 +238,19 @@
 
     fn init_states(&self) -> Vec<World> {
         let is_present = |member: &usize| *member == 0 || self.both_present;
-        let session = |member: usize| Session { id: member as SessionId, renewed: 0 };
+        let session = |member: usize| Session { id: member as SessionId, renewed_at: 0 };
         let sessions: Vec<Option<Session>> =
             (0..MEMBERS).map(|member| is_present(&member).then(|| session(member))).collect();
-        let member = |member: usize| Participant {
+        let member = |member: usize| Node {
             state: self.new_state(member),
             view_read: None,
             session: sessions[member].map(|session| session.id),
             renewal: None,
         };
-        let participants = (0..MEMBERS).map(member).collect();
+        let nodes = (0..MEMBERS).map(member).collect();
         let mut world = World {
             clock: 0,
-            participants,
+            nodes,
             sessions,
             sessions_created: MEMBERS as SessionId,
             version: 1,
@@ -259,7 +258,7 @@
         };
         let view = self.registry_view(&world);
         for member in (0..MEMBERS).filter(is_present) {
-            let state = &mut world.participants[member].state;
+            let state = &mut world.nodes[member].state;
             state.on_registered(LONG_AGO, LONG_AGO);
             for read_at in [LONG_AGO, 0] {
                 state.on_view(&self.config(), read_at, read_at, view.clone()).expect("the view is not older");
@@ -273,7 +272,7 @@
         if world.clock < self.last_time {
             steps.push(Step::Tick);
         }
-        for (index, member) in world.participants.iter().enumerate() {
+        for (index, member) in world.nodes.iter().enumerate() {
             let now = self.local_time(index, world.clock);
             // A request whose answer is lost is sent again.
             if member.view_read.as_ref().is_none_or(|(sent_at, _)| *sent_at < now) {
@@ -293,7 +292,7 @@
                 steps.push(Step::ReceiveRenewal(index));
             }
             let may_expire =
-                |session: Session| self.has_late_renewals(index) && world.clock >= session.renewed + TTL;
+                |session: Session| self.has_late_renewals(index) && world.clock >= session.renewed_at + TTL;
             if world.sessions[index].is_some_and(may_expire) {
                 steps.push(Step::Expire(index));
             }
--- a/crates/ownership/tests/stored_format.rs
+++ b/crates/ownership/tests/stored_format.rs
@@ -5,7 +5,7 @@
 
 const PLAIN: &str = include_str!("fixtures/member.json");
 /// The entry of a member that has a quoted zone, a name beyond ASCII, an IPv6 address and a weight of 17 digits.
-const OTHER: &str = include_str!("fixtures/member-other.json");
+const UNUSUAL: &str = include_str!("fixtures/member-other.json");
 
 fn region() -> Region {
     let zones = ["z-1", "z \"2\""].map(str::to_owned).into_iter().collect();
@@ -22,7 +22,7 @@
     }
 }
 
-fn other() -> Member {
+fn unusual() -> Member {
     Member {
         name: "f \u{e9}".to_owned(),
         region: "r-1".to_owned(),
@@ -34,7 +34,7 @@
 
 #[test]
 fn entry_of_the_previous_version_is_read_field_by_field_and_written_back() {
-    for (text, member) in [(PLAIN, plain()), (OTHER, other())] {
+    for (text, member) in [(PLAIN, plain()), (UNUSUAL, unusual())] {
         assert_eq!(Member::parse_entry(&member.name, text, &region()).expect("the entry is read"), member);
         assert_eq!(member.to_entry(), text);
     }
--- a/crates/ownership/tests/view.rs
+++ b/crates/ownership/tests/view.rs
@@ -46,7 +46,8 @@
         weights in prop::collection::vec(0.1_f64..8.0, 1..30),
         seed in any::<u64>(),
     ) {
-        let ordered: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
+        let ordered: Vec<Member> =
+            weights.iter().enumerate().map(|(number, weight)| member(number, *weight)).collect();
         let mut shuffled = ordered.clone();
         shuffled.sort_by_key(|member| (member.address.port() as u64).wrapping_mul(seed | 1));
         prop_assert_eq!(view(1, ordered), view(1, shuffled));
@@ -57,21 +58,26 @@
         weights in prop::collection::vec(0.5_f64..4.0, 2..40),
         leaving_index in any::<prop::sample::Index>(),
     ) {
-        let all: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
-        let gone = leaving_index.index(all.len());
-        let share = weights[gone] / weights.iter().sum::<f64>();
+        let all: Vec<Member> =
+            weights.iter().enumerate().map(|(number, weight)| member(number, *weight)).collect();
+        let leaving = leaving_index.index(all.len());
+        let share = weights[leaving] / weights.iter().sum::<f64>();
         let mut rest = all.clone();
-        let gone = rest.remove(gone).name;
+        let leaving_name = rest.remove(leaving).name;
         let (owners_before, owners_after) = (owners(&view(1, all)), owners(&view(2, rest)));
         let moved = owners_before.iter().zip(&owners_after).filter(|(with, without)| with != without);
         let moved: Vec<_> = moved.collect();
-        prop_assert!(moved.iter().all(|(with, _)| with.as_deref() == Some(&gone)), "only its own destinations move");
+        prop_assert!(
+            moved.iter().all(|(with, _)| with.as_deref() == Some(&leaving_name)),
+            "only its own destinations move"
+        );
         prop_assert!(is_share(moved.len() as u64, share), "{} destinations moved, expected a share of {share}", moved.len());
     }
 
     #[test]
     fn each_member_owns_the_share_of_its_weight(weights in prop::collection::vec(0.5_f64..4.0, 1..20)) {
-        let all: Vec<Member> = weights.iter().enumerate().map(|(n, weight)| member(n, *weight)).collect();
+        let all: Vec<Member> =
+            weights.iter().enumerate().map(|(number, weight)| member(number, *weight)).collect();
         let (counts, sum) = (counts(&view(1, all.clone())), weights.iter().sum::<f64>());
         for member in all {
             let count = counts.get(&member.name).copied().unwrap_or(0);
@@ -114,25 +120,28 @@
 
 #[test]
 fn invalid_members_are_rejected_with_the_reason() {
-    let changed = |change: fn(&mut Member)| {
-        let mut one = member(1, 1.0);
-        change(&mut one);
-        View::new(1, &region(), vec![member(0, 1.0), one]).expect_err("an invalid member").to_string()
+    let rejection = |change: fn(&mut Member)| {
+        let mut changed = member(1, 1.0);
+        change(&mut changed);
+        View::new(1, &region(), vec![member(0, 1.0), changed]).expect_err("an invalid member").to_string()
     };
     assert_eq!(
-        changed(|one| one.region = "r9".to_owned()),
+        rejection(|member| member.region = "r9".to_owned()),
         "f001 reports region r9, but this registry is of region r0"
     );
     assert_eq!(
-        changed(|one| one.zone = "z9".to_owned()),
+        rejection(|member| member.zone = "z9".to_owned()),
         "f001 reports zone z9, which region r0 does not have"
     );
-    assert_eq!(changed(|one| one.name = "f000".to_owned()), "two forwarders are called f000");
-    assert_eq!(changed(|one| one.name = String::new()), "the forwarder at 127.0.0.1:1001 has no name");
+    assert_eq!(rejection(|member| member.name = "f000".to_owned()), "two forwarders are called f000");
+    assert_eq!(
+        rejection(|member| member.name = String::new()),
+        "the forwarder at 127.0.0.1:1001 has no name"
+    );
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, -f64::INFINITY] {
-        let mut one = member(1, weight);
-        one.weight = weight;
-        let error = View::new(1, &region(), vec![one]).expect_err("an invalid weight").to_string();
+        let mut changed = member(1, weight);
+        changed.weight = weight;
+        let error = View::new(1, &region(), vec![changed]).expect_err("an invalid weight").to_string();
         assert_eq!(error, format!("the weight of f001 is {weight}: it has to be a finite number above 0"));
     }
 }
@@ -163,8 +172,8 @@
             ViewError::DuplicateName { .. },
         ]
     ));
-    let no_number = text.replace("1.0", "1e999");
-    assert!(Member::parse_entry("f000", &no_number, &region()).is_err(), "{no_number}");
+    let infinite_weight = text.replace("1.0", "1e999");
+    assert!(Member::parse_entry("f000", &infinite_weight, &region()).is_err(), "{infinite_weight}");
 }
 
 #[test]
--- a/crates/policy-commit/tests/commit_decision.rs
+++ b/crates/policy-commit/tests/commit_decision.rs
@@ -24,9 +24,9 @@
         committed: Some(Committed { policy: policy("z", 1), modify_index: 5 }),
         proposal: Some(Proposal { policy: proposed.clone(), modify_index: 9, session: Some("s".into()) }),
     };
-    let yes = member("f1", Some(("a", None)));
+    let in_favor = member("f1", Some(("a", None)));
     let decide_with =
-        |others: &[Member]| decide(&proposed, &point, &[std::slice::from_ref(&yes), others].concat());
+        |others: &[Member]| decide(&proposed, &point, &[std::slice::from_ref(&in_favor), others].concat());
     assert_eq!(
         decide_with(&[]),
         CommitDecision::Commit(CommitCondition { proposal_index: 9, committed_index: 5 })
--- a/crates/policy-commit/tests/commit_point.rs
+++ b/crates/policy-commit/tests/commit_point.rs
@@ -65,14 +65,14 @@
 
 fn base64(text: &str) -> String {
     let digits = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-    let mut out = String::new();
+    let mut encoded = String::new();
     for chunk in text.as_bytes().chunks(3) {
         let bits =
             chunk.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * (3 - chunk.len()));
         for place in 0..4 {
             let digit = digits[(bits >> (18 - 6 * place)) as usize & 63] as char;
-            out.push(if place <= chunk.len() { digit } else { '=' });
+            encoded.push(if place <= chunk.len() { digit } else { '=' });
         }
     }
-    out
+    encoded
 }
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -46,7 +46,7 @@
     /// How many crashes of participants may happen.
     crashes: u8,
     /// How many proposals may be withdrawn, or deleted with their coordinator's session.
-    losses: u8,
+    withdrawals: u8,
     mutant: Mutant,
 }
 
@@ -96,7 +96,7 @@
     /// How many crashes of participants have happened.
     crashes: u8,
     /// How many proposals have been withdrawn, or deleted with their coordinator's session.
-    losses: u8,
+    withdrawals: u8,
 }
 
 /// A step of the model. A `usize` is the number of a participant or of a coordinator.
@@ -122,12 +122,12 @@
         let participant = &mut self.participants[number];
         let mut effects: std::collections::VecDeque<_> = participant.state.step(input).into();
         while let Some(effect) = effects.pop_front() {
-            let usable = |policy: &VersionedPolicy| {
+            let check_usable = |policy: &VersionedPolicy| {
                 if number == 1 && policy.text == UNUSABLE { Err("not here".to_owned()) } else { Ok(()) }
             };
             match effect {
                 Effect::Stage(policy) => {
-                    let outcome = usable(&policy);
+                    let outcome = check_usable(&policy);
                     if outcome.is_ok() {
                         participant.staged = Some(policy.clone());
                         if mutant == Mutant::ActsOnStaged {
@@ -138,7 +138,7 @@
                 }
                 Effect::Unstage => participant.staged = None,
                 Effect::Apply(policy) => {
-                    let outcome = usable(&policy);
+                    let outcome = check_usable(&policy);
                     if outcome.is_ok() {
                         participant.in_force_on_disk = Some(policy.clone());
                         participant.acts_on = Some(policy.clone());
@@ -159,7 +159,7 @@
     }
 
     /// Returns whether this proposal is the open one and has not changed since `index`.
-    fn holds(&self, proposed: &VersionedPolicy, index: u64) -> bool {
+    fn is_open(&self, proposed: &VersionedPolicy, index: u64) -> bool {
         self.point
             .proposal
             .as_ref()
@@ -230,7 +230,7 @@
             return None;
         };
         let is_unchanged = world.point.committed_index() == condition.committed_index;
-        let condition_holds = world.holds(&proposed, condition.proposal_index) && is_unchanged;
+        let condition_holds = world.is_open(&proposed, condition.proposal_index) && is_unchanged;
         if condition_holds || self.mutant == Mutant::NoCheckAndSet {
             world.withdraw(&proposed);
             world.index += 1;
@@ -265,7 +265,7 @@
             history: Vec::new(),
             any_absent: false,
             crashes: 0,
-            losses: 0,
+            withdrawals: 0,
         }]
     }
 
@@ -286,11 +286,11 @@
                 steps.push(Step::Receive(number));
             }
             if participant.has_unpublished_status
-                || world.keys[number].as_ref().is_none_or(|(_, at)| *at < world.clock)
+                || world.keys[number].as_ref().is_none_or(|(_, renewed_at)| *renewed_at < world.clock)
             {
                 steps.push(Step::Publish(number));
             }
-            if world.keys[number].as_ref().is_some_and(|(_, at)| world.clock >= at + TTL) {
+            if world.keys[number].as_ref().is_some_and(|(_, renewed_at)| world.clock >= renewed_at + TTL) {
                 steps.push(Step::Expire(number));
             }
             if world.crashes < self.crashes {
@@ -307,7 +307,7 @@
                 Coordinator::Finished => {}
             }
             let proposed = matches!(coordinator, Coordinator::Proposed(..) | Coordinator::Sent { .. });
-            if proposed && world.losses < self.losses {
+            if proposed && world.withdrawals < self.withdrawals {
                 steps.push(Step::Withdraw(number));
             }
         }
@@ -347,7 +347,7 @@
             Step::Decide(number) => self.decide(&mut world, number)?,
             Step::Commit(number) => self.commit(&mut world, number)?,
             Step::Withdraw(number) => {
-                world.losses += 1;
+                world.withdrawals += 1;
                 if let Coordinator::Proposed(proposed, _) | Coordinator::Sent { proposed, .. } =
                     &previous.coordinators[number]
                 {
@@ -377,8 +377,9 @@
             }),
             Property::always(LAG_IS_BOUNDED, |_, world: &World| {
                 world.participants.iter().all(|participant| {
-                    let is_missed = |(policy, at): &(VersionedPolicy, Micros)| {
-                        policy.version > participant.state.version() && world.clock >= at + CONTACT_TIME
+                    let is_missed = |(policy, committed_at): &(VersionedPolicy, Micros)| {
+                        policy.version > participant.state.version()
+                            && world.clock >= committed_at + CONTACT_TIME
                     };
                     participant.state.unready_reason(world.clock, CONTACT_TIME).is_some()
                         || !world.history.iter().any(is_missed)
@@ -412,7 +413,7 @@
         last_is_unusable: false,
         last_time: 0,
         crashes: 1,
-        losses: 1,
+        withdrawals: 1,
         mutant: Mutant::None,
     });
     println!("{} states", checker.unique_state_count());
@@ -422,7 +423,7 @@
         last_is_unusable: true,
         last_time: 0,
         crashes: 1,
-        losses: 1,
+        withdrawals: 1,
         mutant: Mutant::None,
     });
     println!("{} states", checker.unique_state_count());
@@ -438,7 +439,7 @@
         last_is_unusable: false,
         last_time: 3,
         crashes: 0,
-        losses: 0,
+        withdrawals: 0,
         mutant: Mutant::None,
     });
     println!("{} states", checker.unique_state_count());
@@ -456,13 +457,14 @@
 // protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
-    for (mutant, property, coordinators, last_is_unusable, last_time, losses) in [
+    for (mutant, property, coordinators, last_is_unusable, last_time, withdrawals) in [
         (Mutant::NoCheckAndSet, COMMITTED_ONCE_IN_ORDER, 2, false, 0, 1),
         (Mutant::NoVotes, COMMITTED_IS_USABLE, 2, true, 0, 0),
         (Mutant::ActsOnStaged, ACTS_ON_COMMITTED, 1, false, 0, 0),
         (Mutant::ContactFromAnswer, LAG_IS_BOUNDED, 1, false, 3, 0),
     ] {
-        let checker = check(Bounds { coordinators, last_is_unusable, last_time, crashes: 0, losses, mutant });
+        let checker =
+            check(Bounds { coordinators, last_is_unusable, last_time, crashes: 0, withdrawals, mutant });
         assert!(checker.discovery(property).is_some(), "{mutant:?} does not violate: {property}");
     }
 }
--- a/crates/policy-commit/tests/participant.rs
+++ b/crates/policy-commit/tests/participant.rs
@@ -27,18 +27,18 @@
 // Guards against the use of a policy that is only proposed, and against a vote before the policy is on disk.
 #[test]
 fn proposal_is_staged_then_voted_on_and_applied_only_once_committed() {
-    let (mut participant, one) = (Participant::default(), policy("a", 1));
-    let effects = participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&one)) });
-    assert_eq!(effects, [Effect::Stage(one.clone())]);
+    let (mut participant, first) = (Participant::default(), policy("a", 1));
+    let effects = participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&first)) });
+    assert_eq!(effects, [Effect::Stage(first.clone())]);
     assert_eq!(
-        participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, Some(&one)) }),
+        participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, Some(&first)) }),
         [],
         "a proposal is staged once"
     );
     assert_eq!(participant.step(Input::Staged { id: "a".into(), outcome: Ok(()) }), [publish(0, "a", None)]);
     assert_eq!(participant.version(), 0);
-    let effects = participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&one), None) });
-    assert_eq!(effects[..2], [Effect::Apply(one.clone()), Effect::Unstage]);
+    let effects = participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&first), None) });
+    assert_eq!(effects[..2], [Effect::Apply(first.clone()), Effect::Unstage]);
     assert!(
         participant.unready_reason(3, 100).is_some(),
         "the participant is not ready before the policy is in force"
@@ -53,11 +53,11 @@
 // Guards against a staged policy that remains after the withdrawal of its proposal.
 #[test]
 fn withdrawn_proposal_leaves_no_vote_and_nothing_staged() {
-    let (mut participant, one) = (Participant::new(None, Some(policy("old", 1))), policy("a", 1));
-    let effects = participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&one)) });
+    let (mut participant, first) = (Participant::new(None, Some(policy("old", 1))), policy("a", 1));
+    let effects = participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&first)) });
     assert_eq!(
         effects,
-        [Effect::Unstage, Effect::Stage(one.clone())],
+        [Effect::Unstage, Effect::Stage(first.clone())],
         "a policy that was staged before the start is removed if it is no longer proposed"
     );
     // The proposal is withdrawn while it is being checked.
@@ -69,11 +69,11 @@
 // Guards against a vote for a policy that the forwarder cannot use, or whose version does not follow the one in force.
 #[test]
 fn unusable_proposal_is_rejected_with_the_reason() {
-    let (mut participant, one, two) = (Participant::default(), policy("a", 1), policy("b", 2));
-    participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&one)) });
+    let (mut participant, first, second) = (Participant::default(), policy("a", 1), policy("b", 2));
+    participant.step(Input::CommitPointRead { sent_at: 0, point: point(None, Some(&first)) });
     let effects = participant.step(Input::Staged { id: "a".into(), outcome: Err("slots: missing".into()) });
     assert_eq!(effects, [publish(0, "a", Some("slots: missing"))]);
-    let effects = participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, Some(&two)) });
+    let effects = participant.step(Input::CommitPointRead { sent_at: 1, point: point(None, Some(&second)) });
     assert!(
         matches!(
             &effects[..],
@@ -86,17 +86,20 @@
 // Guards against a forwarder that was down during a commit and continues with the previous policy.
 #[test]
 fn participant_that_missed_the_vote_applies_the_committed_policy() {
-    let (mut participant, three) = (Participant::new(Some(policy("b", 2)), None), policy("c", 3));
+    let (mut participant, committed) = (Participant::new(Some(policy("b", 2)), None), policy("c", 3));
     assert!(
         participant
             .unready_reason(0, 100)
             .is_some_and(|reason| reason.contains("cut off") && reason.contains("epoch 2"))
     );
     assert_eq!(
-        participant.step(Input::CommitPointRead { sent_at: 5, point: point(Some(&three), None) }),
-        [Effect::Apply(three.clone())]
+        participant.step(Input::CommitPointRead { sent_at: 5, point: point(Some(&committed), None) }),
+        [Effect::Apply(committed.clone())]
+    );
+    assert_eq!(
+        participant.step(Input::CommitPointRead { sent_at: 6, point: point(Some(&committed), None) }),
+        []
     );
-    assert_eq!(participant.step(Input::CommitPointRead { sent_at: 6, point: point(Some(&three), None) }), []);
     participant.step(Input::Applied { id: "c".into(), outcome: Ok(()) });
     assert_eq!((participant.version(), participant.unready_reason(105, 100)), (3, None));
     // The contact time starts when the read is sent, which is at 5.
@@ -106,21 +109,21 @@
 // Guards against a forwarder that cannot use the committed policy and does not report it.
 #[test]
 fn unusable_committed_policy_keeps_the_one_in_force_and_is_reported() {
-    let (mut participant, one, two) = (Participant::default(), policy("a", 1), policy("b", 2));
-    participant.step(Input::CommitPointRead { sent_at: 0, point: point(Some(&one), None) });
+    let (mut participant, first, second) = (Participant::default(), policy("a", 1), policy("b", 2));
+    participant.step(Input::CommitPointRead { sent_at: 0, point: point(Some(&first), None) });
     let effects =
         participant.step(Input::Applied { id: "a".into(), outcome: Err("its file is broken".into()) });
     let unusable_reason = Some("its file is broken".to_owned());
     assert_eq!(effects, [Effect::Publish(MemberStatus { version: 0, vote: None, unusable_reason })]);
     assert!(participant.unready_reason(1, 100).is_some_and(|reason| reason.contains("file is broken")));
     assert_eq!(
-        participant.step(Input::CommitPointRead { sent_at: 1, point: point(Some(&one), None) }),
+        participant.step(Input::CommitPointRead { sent_at: 1, point: point(Some(&first), None) }),
         [],
         "a committed policy is applied once"
     );
     assert_eq!(
-        participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&two), None) }),
-        [Effect::Apply(two.clone())]
+        participant.step(Input::CommitPointRead { sent_at: 2, point: point(Some(&second), None) }),
+        [Effect::Apply(second.clone())]
     );
     participant.step(Input::Applied { id: "b".into(), outcome: Ok(()) });
     assert_eq!(participant.unready_reason(3, 100), None);
--- a/crates/rollout/tests/analysis.rs
+++ b/crates/rollout/tests/analysis.rs
@@ -17,12 +17,12 @@
     compare(&metrics(canary), &[metrics(baseline)], criteria, bake_time_over)
 }
 
-/// Returns the metrics of a thousand deliveries of 20 to 29 ms and `count` deliveries of `late_ms`.
-fn deliveries(late_ms: u64, count: u64) -> Metrics {
-    let mut metrics = Metrics { outcomes: counts(1000 + count, 0, 0), ..Metrics::default() };
+/// Returns the metrics of a thousand deliveries of 20 to 29 ms and `slow_count` deliveries of `slow_ms`.
+fn deliveries(slow_ms: u64, slow_count: u64) -> Metrics {
+    let mut metrics = Metrics { outcomes: counts(1000 + slow_count, 0, 0), ..Metrics::default() };
     let latencies = metrics.latencies.as_mut().unwrap();
-    (0..1000).for_each(|n| latencies.record(20_000 + n % 10 * 1000).unwrap());
-    latencies.record_n(late_ms * 1000, count).unwrap();
+    (0..1000).for_each(|number| latencies.record(20_000 + number % 10 * 1000).unwrap());
+    latencies.record_n(slow_ms * 1000, slow_count).unwrap();
     metrics
 }
 
@@ -117,9 +117,9 @@
         matches!(&verdict, Verdict::Worse(share) if share.to_string().contains("5 of 5 unchanged")),
         "{verdict:?}"
     );
-    let mut ten = vec![metrics(500, 2); 9];
-    ten.push(metrics(100, 400));
-    assert!(matches!(compare(&metrics(300, 100), &ten, &criteria, true), Verdict::Worse(_)));
+    let mut ten_forwarders = vec![metrics(500, 2); 9];
+    ten_forwarders.push(metrics(100, 400));
+    assert!(matches!(compare(&metrics(300, 100), &ten_forwarders, &criteria, true), Verdict::Worse(_)));
 }
 
 // Guards against a stage that passes while the upper end of the interval is still above the margin.
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -6,11 +6,11 @@
 
 fn plan(size: usize, stages: &[&str]) -> Plan {
     let forwarders = (0..size)
-        .map(|i| PlannedForwarder {
-            name: format!("f{i}"),
+        .map(|index| PlannedForwarder {
+            name: format!("f{index}"),
             consoles: ConsoleAddresses::Single("127.0.0.1:1".parse().unwrap()),
-            config_file: Some(format!("f{i}.json").into()),
-            pid_file: Some(format!("f{i}.pid").into()),
+            config_file: Some(format!("f{index}.json").into()),
+            pid_file: Some(format!("f{index}.pid").into()),
             supervisor: None,
         })
         .collect();
@@ -18,7 +18,7 @@
         forwarders,
         settings_patch: Some(json!({})),
         release: None,
-        stages: stages.iter().map(|s| s.to_string()).collect(),
+        stages: stages.iter().map(|stage| stage.to_string()).collect(),
         warm_up_ms: None,
         bake_ms: 1,
         max_bake_ms: 2,
@@ -40,23 +40,24 @@
 // Guards against a missing key that is found only after some forwarders have the change.
 #[test]
 fn change_needs_its_keys_on_every_forwarder() {
-    let mut settings = plan(3, &["1", "all"]);
-    assert_eq!(settings.change().unwrap(), Change::Settings(json!({})));
-    settings.forwarders[2].pid_file = None;
-    assert!(settings.change().unwrap_err().to_string().contains("f2"));
-    let mut release = Plan { settings_patch: None, release: Some("v2".into()), ..plan(3, &["1", "all"]) };
-    assert!(release.change().unwrap_err().to_string().contains("f0"));
-    for forwarder in &mut release.forwarders {
+    let mut settings_plan = plan(3, &["1", "all"]);
+    assert_eq!(settings_plan.change().unwrap(), Change::Settings(json!({})));
+    settings_plan.forwarders[2].pid_file = None;
+    assert!(settings_plan.change().unwrap_err().to_string().contains("f2"));
+    let mut release_plan =
+        Plan { settings_patch: None, release: Some("v2".into()), ..plan(3, &["1", "all"]) };
+    assert!(release_plan.change().unwrap_err().to_string().contains("f0"));
+    for forwarder in &mut release_plan.forwarders {
         let address = "127.0.0.1:1".parse().unwrap();
         forwarder.supervisor = Some(address);
         forwarder.consoles = ConsoleAddresses::PerSlot([address; 2]);
     }
-    assert_eq!(release.change().unwrap(), Change::Release("v2".into()));
-    release.release = Some("../v2".into());
-    assert!(release.change().is_err());
-    release.release = Some("v2".into());
-    release.settings_patch = Some(json!({}));
-    assert!(release.change().is_err(), "a plan has either a settings patch or a release");
+    assert_eq!(release_plan.change().unwrap(), Change::Release("v2".into()));
+    release_plan.release = Some("../v2".into());
+    assert!(release_plan.change().is_err());
+    release_plan.release = Some("v2".into());
+    release_plan.settings_patch = Some(json!({}));
+    assert!(release_plan.change().is_err(), "a plan has either a settings patch or a release");
 }
 
 #[test]
--- a/crates/rollout/tests/progress.rs
+++ b/crates/rollout/tests/progress.rs
@@ -35,7 +35,7 @@
 // Guards against a forwarder that stays partly changed after a kill between the two records, and against changing a
 // forwarder twice.
 #[test]
-fn unfinished_change_is_repeated_first_and_a_finished_one_never() {
+fn unfinished_change_is_repeated_first_and_a_finished_change_is_not_repeated() {
     let records = [
         changed("a").to_vec(),
         vec![ProgressRecord::StagePassed(0), ProgressRecord::ChangeStarted("b".into())],
@@ -104,7 +104,7 @@
             let resumed = run_all_steps(all_records[..kill_index].to_vec(), stop_at);
             let progress = Progress::of(&resumed);
             for name in NAMES {
-                let changed = count(&resumed, |r| *r == ProgressRecord::ChangeApplied(name.into()));
+                let changed = count(&resumed, |record| *record == ProgressRecord::ChangeApplied(name.into()));
                 assert!(
                     changed <= 1,
                     "{name} changed twice after a kill at record {kill_index}: {resumed:?}"
--- a/crates/supervisor/tests/wire_control.rs
+++ b/crates/supervisor/tests/wire_control.rs
@@ -45,9 +45,9 @@
 fn request_lines_keep_their_wire_format() {
     assert_eq!(parse("show"), Ok(Request::Status));
     assert_eq!(parse("upgrade v1.2_rc3+a"), Ok(Request::Upgrade("v1.2_rc3+a".to_owned())));
-    let no_name = Err("a release is the name of a file in the folder of releases".to_owned());
-    assert_eq!(parse("upgrade ../v1"), no_name);
-    assert_eq!(parse("upgrade .v1"), no_name);
+    let invalid_name = Err("a release is the name of a file in the folder of releases".to_owned());
+    assert_eq!(parse("upgrade ../v1"), invalid_name);
+    assert_eq!(parse("upgrade .v1"), invalid_name);
     for line in ["", "SHOW", "show all", "upgrade", "upgrade a b", "ready"] {
         assert_eq!(parse(line), Err("unknown: show, or upgrade RELEASE".to_owned()), "{line}");
     }
