--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -1,7 +1,8 @@
 //! Model checking of the handover of one message between forwarders (`docs/ownership.md`). The forwarders are the
 //! holder, which accepted the message from a client, the message's owner, and a third forwarder. The check covers every
 //! order of answers, losses, crashes, restarts and late views within the bounds. A suspended or disconnected forwarder
-//! is modelled as one that takes no step for a while.
+//! is modelled as one that takes no step for a while. The check guards against a lost message, a non-idempotent message
+//! that is delivered twice, a wrong final answer, a second handover and a return to an older view.
 //!
 //! The members, the views and the owners come from the crate itself.
 
@@ -88,10 +89,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     is_up: bool,
-    /// The version of the forwarder's view.
-    version: usize,
-    /// The latest version that the forwarder has received.
-    latest_received: usize,
+    /// The index of the forwarder's view in the registry's views.
+    view_index: usize,
+    /// The index of the latest view that the forwarder has received.
+    latest_view_received: usize,
     record: Record,
 }
 
@@ -110,8 +111,8 @@
     offers_in_flight: Vec<Offer>,
     /// An answer in flight to the holder, which is `true` if the owner has accepted the message.
     answer: Option<bool>,
-    /// The latest version of the registry.
-    latest: usize,
+    /// The index of the registry's latest view.
+    latest_view: usize,
     /// Whether the time is over in which the message may be offered again under its id.
     offers_expired: bool,
     /// How often the holder has stopped asking which forwarder has the message.
@@ -122,11 +123,15 @@
     forgotten: usize,
     /// Whether a forwarder other than the holder has handed the message over.
     handed_over_twice: bool,
+    /// How many more crashes may happen.
     crashes: u8,
     /// How many more offers may be sent.
     offers: u8,
 }
 
+/// A step of the model. A `usize` is the number of a forwarder, except that the second one of `ReceiveView` is the
+/// index of the view and that those of `ReadOffer` and `LoseOffer` are indexes of `offers_in_flight`. The `bool` of
+/// `ReadOffer` says whether the receiver accepts the offer.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     ViewChanges,
@@ -157,12 +162,15 @@
     first_owner: usize,
     next_owner: usize,
     idempotent: bool,
+    /// How many crashes may happen.
     crashes: u8,
+    /// How many offers may be sent.
     offers: u8,
     mutant: Mutant,
 }
 
 impl Record {
+    /// Returns whether the forwarder has the message and has no final answer of it yet.
     fn is_held(self) -> bool {
         matches!(self, Record::Queued { .. } | Record::InFlight { .. })
     }
@@ -202,12 +210,12 @@
 
 impl Bounds {
     fn member(&self, world: &World, node: usize, other: usize) -> bool {
-        self.views[world.nodes[node].version].member(&member(other, 1.0).name).is_some()
+        self.views[world.nodes[node].view_index].member(&member(other, 1.0).name).is_some()
     }
 
     fn owner(&self, world: &World, node: usize) -> usize {
         let owner =
-            self.views[world.nodes[node].version].owner(self.destination).expect("the view has members");
+            self.views[world.nodes[node].view_index].owner(self.destination).expect("the view has members");
         (0..FORWARDERS)
             .find(|index| member(*index, 1.0).name == owner.name)
             .expect("the owner is one of the forwarders")
@@ -349,22 +357,23 @@
         node != HOLDER && is_finished && (!may_be_offered || self.mutant == Mutant::ForgetsEarly)
     }
 
-    fn receive_view(&self, world: &mut World, node: usize, version: usize) -> Option<()> {
-        let mut table = OwnershipTable::new(self.views[world.nodes[node].version].clone(), []);
-        let is_rejected = table.replace_view(self.views[version].clone()).is_err();
+    fn receive_view(&self, world: &mut World, node: usize, view_index: usize) -> Option<()> {
+        let mut table = OwnershipTable::new(self.views[world.nodes[node].view_index].clone(), []);
+        let is_rejected = table.replace_view(self.views[view_index].clone()).is_err();
         if is_rejected && self.mutant != Mutant::AppliesOlderViews {
             return None;
         }
         let node = &mut world.nodes[node];
-        node.version = version;
-        node.latest_received = node.latest_received.max(version);
+        node.view_index = view_index;
+        node.latest_view_received = node.latest_view_received.max(view_index);
         Some(())
     }
 
+    /// Applies a step. Returns `None` if the step is not possible.
     fn apply(&self, world: &mut World, step: &Step) -> Option<()> {
         match *step {
-            Step::ViewChanges => world.latest += 1,
-            Step::ReceiveView(node, version) => self.receive_view(world, node, version)?,
+            Step::ViewChanges => world.latest_view += 1,
+            Step::ReceiveView(node, view_index) => self.receive_view(world, node, view_index)?,
             Step::Dispatch(node) => self.dispatch(world, node)?,
             Step::ReadOffer(offer, accepts) => self.read_offer(world, offer, accepts)?,
             Step::LoseOffer(offer) => drop(world.offers_in_flight.remove(offer)),
@@ -438,8 +447,8 @@
         if !node.is_up {
             return steps.push(Step::Restart(index));
         }
-        let versions = (0..=world.latest).filter(|version| *version != node.version);
-        steps.extend(versions.map(|version| Step::ReceiveView(index, version)));
+        let view_indexes = (0..=world.latest_view).filter(|view_index| *view_index != node.view_index);
+        steps.extend(view_indexes.map(|view_index| Step::ReceiveView(index, view_index)));
         if world.crashes > 0 {
             steps.push(Step::Crash(index));
         }
@@ -460,14 +469,14 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = Node { is_up: true, version: 0, latest_received: 0, record: Record::Unknown };
+        let node = Node { is_up: true, view_index: 0, latest_view_received: 0, record: Record::Unknown };
         let mut nodes = vec![node; FORWARDERS];
         nodes[HOLDER].record = Record::Queued { handed_over: false, possible_delivery: false };
         vec![World {
             nodes,
             offers_in_flight: Vec::new(),
             answer: None,
-            latest: 0,
+            latest_view: 0,
             offers_expired: false,
             abandoned_doubts: 0,
             deliveries: 0,
@@ -479,7 +488,7 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.latest + 1 < self.views.len() {
+        if world.latest_view + 1 < self.views.len() {
             steps.push(Step::ViewChanges);
         }
         if !world.offers_expired {
@@ -529,7 +538,7 @@
             }),
             Property::always(ONE_HANDOVER, |_, world: &World| !world.handed_over_twice),
             Property::always(NO_OLDER_VIEW, |_, world: &World| {
-                world.nodes.iter().all(|node| node.version >= node.latest_received)
+                world.nodes.iter().all(|node| node.view_index >= node.latest_view_received)
             }),
             Property::sometimes("the first owner delivers the message", |bounds: &Bounds, world: &World| {
                 world.nodes[bounds.first_owner].record == Record::Finished(FinalAnswer::Delivered)
@@ -577,23 +586,28 @@
     checker.assert_properties();
 }
 
+// Guards against a non-idempotent message that is lost or delivered twice because its owner leaves during the handover
+// and the third forwarder becomes the owner.
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_a_third_forwarder_takes_over() {
     assert_holds("not idempotent, a third forwarder takes over", new_bounds(2));
 }
 
+// Guards against the same failure if the holder itself becomes the owner.
 #[test]
 fn non_idempotent_message_has_one_final_answer_when_the_holder_takes_over() {
     assert_holds("not idempotent, the holder takes over", new_bounds(HOLDER));
 }
 
+// Guards against an idempotent message that no forwarder has any more after its owner left during the handover.
 #[test]
 fn idempotent_message_is_never_lost() {
     assert_holds("idempotent, a third forwarder takes over", Bounds { idempotent: true, ..new_bounds(2) });
     assert_holds("idempotent, the holder takes over", Bounds { idempotent: true, ..new_bounds(HOLDER) });
 }
 
-// The check must find a violation when a part of the protocol is disabled.
+// Guards against a model or bounds in which no violation can occur. The check must find a violation when a part of the
+// protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
     for (mutant, property, next_owner) in [
--- a/crates/ownership/tests/member_state.rs
+++ b/crates/ownership/tests/member_state.rs
@@ -1,4 +1,5 @@
-//! The decisions of one forwarder, step by step.
+//! Tests of [`orchidyoke_ownership::MemberState`], which decides whether one forwarder delivers a message itself, at
+//! which rate, or hands the message over.
 
 mod common;
 
@@ -7,6 +8,7 @@
 use orchidyoke_ownership::{DeliveryDecision, Member, MemberState, OwnershipConfig, Rate, SlowStartReason};
 
 const SECOND: Micros = 1_000_000;
+/// The number of destinations that the forwarder lists.
 const LISTED: u64 = 40;
 
 fn config() -> OwnershipConfig {
@@ -18,7 +20,8 @@
     }
 }
 
-/// Returns the state of the first of these members, which has read its view and renewed its session at 0.
+/// Returns the state of the member `f000`. Its view has these members and was read at 0, and its session was created at
+/// 0.
 fn confirmed(members: Vec<Member>) -> MemberState {
     let mut state = MemberState::new("f000");
     state.set_destinations(0, 0..LISTED);
@@ -27,8 +30,8 @@
     state
 }
 
-/// Returns the same state after its warm-up time, with its view read and its session renewed at `now`.
-fn warmed_up(members: Vec<Member>, now: Micros) -> MemberState {
+/// Returns the same state after the member has read its view again and renewed its session, both at `now`.
+fn reconfirmed_at(members: Vec<Member>, now: Micros) -> MemberState {
     let mut state = confirmed(members.clone());
     state.on_view(&config(), now, now, view(5, members)).expect("a view of the same version is accepted");
     state.on_renewed(now);
@@ -52,9 +55,10 @@
     }
 }
 
+// Guards against a new owner that sends at the full rate while the previous owner, whose clock may be slow, still does.
 #[test]
-fn new_owner_keeps_to_slow_start_until_the_warm_up_time_is_over_by_any_clock() {
-    let state = warmed_up(members(3), 12 * SECOND);
+fn new_owner_stays_in_slow_start_for_the_warm_up_time_and_the_clock_drift() {
+    let state = reconfirmed_at(members(3), 12 * SECOND);
     let warm_up_end = 12 * SECOND + 12 * SECOND / 100;
     assert_eq!(
         rate(&state, warm_up_end - 1, owned_destination(&state)),
@@ -63,18 +67,20 @@
     assert_eq!(rate(&state, warm_up_end, owned_destination(&state)), Rate::Full);
 }
 
+// Guards against an owner that sends at the full rate while the registry may already name another owner, because its
+// session or its view is too old.
 #[test]
 fn session_and_view_are_valid_from_the_time_their_requests_were_sent() {
-    let state = warmed_up(members(3), 20 * SECOND);
+    let state = reconfirmed_at(members(3), 20 * SECOND);
     let valid_until = 20 * SECOND + (10.0 * SECOND as f64 / 1.01) as Micros;
     assert_eq!(rate(&state, valid_until - 1, owned_destination(&state)), Rate::Full);
     assert_eq!(
         rate(&state, valid_until, owned_destination(&state)),
         Rate::SlowStart(SlowStartReason::Unconfirmed)
     );
-    for renewed in [true, false] {
+    for renews_session in [true, false] {
         let mut state = state.clone();
-        match renewed {
+        match renews_session {
             true => state.on_renewed(25 * SECOND),
             false => drop(state.on_view(&config(), 25 * SECOND, 25 * SECOND, view(5, members(3)))),
         }
@@ -91,10 +97,11 @@
     );
 }
 
-// Guards against an owner that did not see that another member owned its destinations between its two sessions.
+// Guards against an owner that sends at the full rate as soon as it has a new session, although another member may have
+// owned its destinations between its two sessions.
 #[test]
 fn lost_session_ends_the_full_rate_and_a_new_one_restarts_slow_start() {
-    let mut state = warmed_up(members(3), 20 * SECOND);
+    let mut state = reconfirmed_at(members(3), 20 * SECOND);
     state.on_session_lost();
     assert_eq!(
         rate(&state, 20 * SECOND, owned_destination(&state)),
@@ -118,9 +125,10 @@
     assert_eq!(rate(&state, 35 * SECOND, owned_destination(&state)), Rate::Full);
 }
 
+// Guards against a message that is handed over again and again between forwarders whose views differ.
 #[test]
 fn message_for_another_owner_is_handed_over_once() {
-    let state = warmed_up(members(3), 20 * SECOND);
+    let state = reconfirmed_at(members(3), 20 * SECOND);
     let destination = destination_of_other(&state);
     assert_eq!(
         state.decide(&config(), 20 * SECOND, destination, false),
@@ -133,9 +141,10 @@
     assert_eq!(MemberState::new("f000").decide(&config(), 0, 1, false), deliver, "the view has no members");
 }
 
+// Guards against an owner that sends at the full rate to a destination that another member owned in between.
 #[test]
 fn reacquired_destination_restarts_slow_start() {
-    let mut state = warmed_up(members(1), 20 * SECOND);
+    let mut state = reconfirmed_at(members(1), 20 * SECOND);
     let two = vec![member(0, 1.0), member(1, 1.0)];
     let changes = state
         .on_view(&config(), 21 * SECOND, 21 * SECOND, view(6, two.clone()))
@@ -153,7 +162,7 @@
 
 #[test]
 fn newly_listed_destination_starts_slow_and_the_others_keep_their_rate() {
-    let mut state = warmed_up(members(1), 20 * SECOND);
+    let mut state = reconfirmed_at(members(1), 20 * SECOND);
     state.set_destinations(20 * SECOND, 1..LISTED + 1);
     assert_eq!(rate(&state, 20 * SECOND, LISTED), Rate::SlowStart(SlowStartReason::NewOwner));
     assert_eq!(rate(&state, 20 * SECOND, 1), Rate::Full);
@@ -161,7 +170,7 @@
 
 #[test]
 fn draining_forwarder_hands_over_to_the_next_owner_and_accepts_no_handover() {
-    let mut state = warmed_up(members(3), 20 * SECOND);
+    let mut state = reconfirmed_at(members(3), 20 * SECOND);
     let destination = owned_destination(&state);
     state.start_draining();
     let rest = view(6, members(3)[1..].to_vec());
@@ -170,14 +179,14 @@
     let deliver = DeliveryDecision::Deliver(Rate::SlowStart(SlowStartReason::Draining));
     assert_eq!(state.decide(&config(), 20 * SECOND, destination, true), deliver);
     assert!(!state.accepts_handover());
-    let mut alone = warmed_up(members(1), 20 * SECOND);
+    let mut alone = reconfirmed_at(members(1), 20 * SECOND);
     alone.start_draining();
     assert_eq!(alone.decide(&config(), 20 * SECOND, 1, false), deliver, "there is no other member");
 }
 
 #[test]
 fn older_view_is_rejected_while_the_held_view_is_valid() {
-    let mut state = warmed_up(members(3), 20 * SECOND);
+    let mut state = reconfirmed_at(members(3), 20 * SECOND);
     let held = state.clone();
     assert!(state.on_view(&config(), 21 * SECOND, 21 * SECOND, view(4, members(2))).is_err());
     assert_eq!(state, held);
--- a/crates/policy-commit/tests/model.rs
+++ b/crates/policy-commit/tests/model.rs
@@ -11,7 +11,8 @@
 
 /// The TTL of sessions, in units of the store's clock.
 const TTL: Micros = 3;
-/// How long a read counts as contact, in units of the store's clock. It is shorter than the TTL.
+/// How long a participant is in contact after it sent a read, in units of the store's clock. This time is shorter than
+/// the TTL.
 const CONTACT_TIME: Micros = 2;
 /// The text of a policy that the second participant cannot use.
 const UNUSABLE: &str = "bad";
@@ -32,7 +33,7 @@
     NoVotes,
     /// A participant acts on a staged policy.
     ActsOnStaged,
-    /// A participant counts its contact from the answer to the read.
+    /// A participant's contact time starts at the answer to the read, instead of when the read is sent.
     ContactFromAnswer,
 }
 
@@ -40,11 +41,12 @@
     coordinators: usize,
     /// Whether the second participant cannot use the last coordinator's policy.
     last_is_unusable: bool,
+    /// The last time of the store's clock.
     last_time: Micros,
     /// How many crashes of participants may happen.
     crashes: u8,
     /// How many proposals may be withdrawn, or deleted with their coordinator's session.
-    losses: u8,
+    withdrawals: u8,
     mutant: Mutant,
 }
 
@@ -81,6 +83,7 @@
 struct World {
     clock: Micros,
     point: CommitPoint,
+    /// The modify index of the last change of the commit point.
     index: u64,
     /// The status in each participant's key, with the time at which the key was renewed.
     keys: Vec<Option<(MemberStatus, Micros)>>,
@@ -90,10 +93,13 @@
     history: Vec<(VersionedPolicy, Micros)>,
     /// Whether a participant has crashed, or its session has expired.
     any_absent: bool,
+    /// How many crashes of participants have happened.
     crashes: u8,
-    losses: u8,
+    /// How many proposals have been withdrawn, or deleted with their coordinator's session.
+    withdrawals: u8,
 }
 
+/// A step of the model. A `usize` is the number of a participant or of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Tick,
@@ -116,12 +122,12 @@
         let participant = &mut self.participants[number];
         let mut effects: std::collections::VecDeque<_> = participant.state.step(input).into();
         while let Some(effect) = effects.pop_front() {
-            let usable = |policy: &VersionedPolicy| {
+            let check_usable = |policy: &VersionedPolicy| {
                 if number == 1 && policy.text == UNUSABLE { Err("not here".to_owned()) } else { Ok(()) }
             };
             match effect {
                 Effect::Stage(policy) => {
-                    let outcome = usable(&policy);
+                    let outcome = check_usable(&policy);
                     if outcome.is_ok() {
                         participant.staged = Some(policy.clone());
                         if mutant == Mutant::ActsOnStaged {
@@ -132,7 +138,7 @@
                 }
                 Effect::Unstage => participant.staged = None,
                 Effect::Apply(policy) => {
-                    let outcome = usable(&policy);
+                    let outcome = check_usable(&policy);
                     if outcome.is_ok() {
                         participant.in_force_on_disk = Some(policy.clone());
                         participant.acts_on = Some(policy.clone());
@@ -152,7 +158,8 @@
         self.keys.iter().enumerate().filter_map(member).collect()
     }
 
-    fn holds(&self, proposed: &VersionedPolicy, index: u64) -> bool {
+    /// Returns whether this proposal is the open one and has not changed since `index`.
+    fn is_open(&self, proposed: &VersionedPolicy, index: u64) -> bool {
         self.point
             .proposal
             .as_ref()
@@ -223,7 +230,7 @@
             return None;
         };
         let is_unchanged = world.point.committed_index() == condition.committed_index;
-        let condition_holds = world.holds(&proposed, condition.proposal_index) && is_unchanged;
+        let condition_holds = world.is_open(&proposed, condition.proposal_index) && is_unchanged;
         if condition_holds || self.mutant == Mutant::NoCheckAndSet {
             world.withdraw(&proposed);
             world.index += 1;
@@ -258,7 +265,7 @@
             history: Vec::new(),
             any_absent: false,
             crashes: 0,
-            losses: 0,
+            withdrawals: 0,
         }]
     }
 
@@ -279,11 +286,11 @@
                 steps.push(Step::Receive(number));
             }
             if participant.has_unpublished_status
-                || world.keys[number].as_ref().is_none_or(|(_, at)| *at < world.clock)
+                || world.keys[number].as_ref().is_none_or(|(_, renewed_at)| *renewed_at < world.clock)
             {
                 steps.push(Step::Publish(number));
             }
-            if world.keys[number].as_ref().is_some_and(|(_, at)| world.clock >= at + TTL) {
+            if world.keys[number].as_ref().is_some_and(|(_, renewed_at)| world.clock >= renewed_at + TTL) {
                 steps.push(Step::Expire(number));
             }
             if world.crashes < self.crashes {
@@ -300,7 +307,7 @@
                 Coordinator::Finished => {}
             }
             let proposed = matches!(coordinator, Coordinator::Proposed(..) | Coordinator::Sent { .. });
-            if proposed && world.losses < self.losses {
+            if proposed && world.withdrawals < self.withdrawals {
                 steps.push(Step::Withdraw(number));
             }
         }
@@ -340,7 +347,7 @@
             Step::Decide(number) => self.decide(&mut world, number)?,
             Step::Commit(number) => self.commit(&mut world, number)?,
             Step::Withdraw(number) => {
-                world.losses += 1;
+                world.withdrawals += 1;
                 if let Coordinator::Proposed(proposed, _) | Coordinator::Sent { proposed, .. } =
                     &previous.coordinators[number]
                 {
@@ -370,8 +377,9 @@
             }),
             Property::always(LAG_IS_BOUNDED, |_, world: &World| {
                 world.participants.iter().all(|participant| {
-                    let is_missed = |(policy, at): &(VersionedPolicy, Micros)| {
-                        policy.version > participant.state.version() && world.clock >= at + CONTACT_TIME
+                    let is_missed = |(policy, committed_at): &(VersionedPolicy, Micros)| {
+                        policy.version > participant.state.version()
+                            && world.clock >= committed_at + CONTACT_TIME
                     };
                     participant.state.unready_reason(world.clock, CONTACT_TIME).is_some()
                         || !world.history.iter().any(is_missed)
@@ -396,7 +404,8 @@
     bounds.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
-// There are two coordinators, a withdrawal or a coordinator's crash, and a participant's crash. The clock stands still.
+// Guards against a policy that only some participants use. There are two coordinators, a withdrawal or a coordinator's
+// crash, and a participant's crash. The clock does not advance.
 #[test]
 fn policy_is_in_force_everywhere_or_nowhere_in_every_order() {
     let checker = check(Bounds {
@@ -404,7 +413,7 @@
         last_is_unusable: false,
         last_time: 0,
         crashes: 1,
-        losses: 1,
+        withdrawals: 1,
         mutant: Mutant::None,
     });
     println!("{} states", checker.unique_state_count());
@@ -414,14 +423,15 @@
         last_is_unusable: true,
         last_time: 0,
         crashes: 1,
-        losses: 1,
+        withdrawals: 1,
         mutant: Mutant::None,
     });
     println!("{} states", checker.unique_state_count());
     assert_safe(&checker);
 }
 
-// There is one coordinator and the clock runs, so sessions expire and reads are late.
+// Guards against a participant that reports itself ready on an outdated policy. There is one coordinator, and the clock
+// advances, so sessions expire and reads are late.
 #[test]
 fn participant_in_contact_lags_less_than_the_contact_time_in_every_order() {
     let checker = check(Bounds {
@@ -429,7 +439,7 @@
         last_is_unusable: false,
         last_time: 3,
         crashes: 0,
-        losses: 0,
+        withdrawals: 0,
         mutant: Mutant::None,
     });
     println!("{} states", checker.unique_state_count());
@@ -443,16 +453,18 @@
     }
 }
 
-/// The check must find a violation when a part of the protocol is disabled.
+// Guards against a model or bounds in which no violation can occur. The check must find a violation when a part of the
+// protocol is disabled.
 #[test]
 fn each_mutant_violates_its_property() {
-    for (mutant, property, coordinators, last_is_unusable, last_time, losses) in [
+    for (mutant, property, coordinators, last_is_unusable, last_time, withdrawals) in [
         (Mutant::NoCheckAndSet, COMMITTED_ONCE_IN_ORDER, 2, false, 0, 1),
         (Mutant::NoVotes, COMMITTED_IS_USABLE, 2, true, 0, 0),
         (Mutant::ActsOnStaged, ACTS_ON_COMMITTED, 1, false, 0, 0),
         (Mutant::ContactFromAnswer, LAG_IS_BOUNDED, 1, false, 3, 0),
     ] {
-        let checker = check(Bounds { coordinators, last_is_unusable, last_time, crashes: 0, losses, mutant });
+        let checker =
+            check(Bounds { coordinators, last_is_unusable, last_time, crashes: 0, withdrawals, mutant });
         assert!(checker.discovery(property).is_some(), "{mutant:?} does not violate: {property}");
     }
 }
--- a/crates/rollout/tests/analysis.rs
+++ b/crates/rollout/tests/analysis.rs
@@ -17,12 +17,12 @@
     compare(&metrics(canary), &[metrics(baseline)], criteria, bake_time_over)
 }
 
-/// Returns the metrics of a thousand deliveries of 20 to 29 ms and `count` deliveries of `late_ms`.
-fn deliveries(late_ms: u64, count: u64) -> Metrics {
-    let mut metrics = Metrics { outcomes: counts(1000 + count, 0, 0), ..Metrics::default() };
+/// Returns the metrics of a thousand deliveries of 20 to 29 ms and `slow_count` deliveries of `slow_ms`.
+fn deliveries(slow_ms: u64, slow_count: u64) -> Metrics {
+    let mut metrics = Metrics { outcomes: counts(1000 + slow_count, 0, 0), ..Metrics::default() };
     let latencies = metrics.latencies.as_mut().unwrap();
-    (0..1000).for_each(|n| latencies.record(20_000 + n % 10 * 1000).unwrap());
-    latencies.record_n(late_ms * 1000, count).unwrap();
+    (0..1000).for_each(|number| latencies.record(20_000 + number % 10 * 1000).unwrap());
+    latencies.record_n(slow_ms * 1000, slow_count).unwrap();
     metrics
 }
 
@@ -74,7 +74,8 @@
     assert_eq!(compare_outcomes(canary, baseline, &criteria, true), Verdict::Pass);
 }
 
-// Guards against blaming the change for a fault that all forwarders see.
+// Guards against a stage that is stopped because of a fault that affects all forwarders, and that the change therefore
+// did not cause.
 #[test]
 fn fault_seen_by_both_groups_passes() {
     let criteria = Criteria::default();
@@ -101,24 +102,24 @@
     );
 }
 
-// Guards against blaming the change for an outage from which the forwarders recover one by one. The figures are from a
-// trace in which one baseline forwarder of five had recovered before the others.
+// Guards against a stage that is stopped because of an outage from which the forwarders recover one by one. The counts
+// are from a trace in which one baseline forwarder of five had recovered before the others.
 #[test]
 fn share_that_some_baseline_forwarders_show_is_undecided() {
     let metrics = |success, error| Metrics { outcomes: counts(success, 0, error), latencies: None };
     let baseline = [metrics(63, 48), metrics(63, 48), metrics(410, 47), metrics(63, 48), metrics(111, 15)];
     let criteria = Criteria::default();
     assert_eq!(compare(&metrics(63, 48), &baseline, &criteria, true), Verdict::Undecided);
-    // Canaries that are far worse than each baseline forwarder are worse. So are canaries that are worse than nine of
-    // ten baseline forwarders.
+    // The verdict is `Worse` if the canaries are far worse than each baseline forwarder, or worse than nine of ten
+    // baseline forwarders.
     let verdict = compare(&metrics(30, 81), &baseline, &criteria, true);
     assert!(
         matches!(&verdict, Verdict::Worse(share) if share.to_string().contains("5 of 5 unchanged")),
         "{verdict:?}"
     );
-    let mut ten = vec![metrics(500, 2); 9];
-    ten.push(metrics(100, 400));
-    assert!(matches!(compare(&metrics(300, 100), &ten, &criteria, true), Verdict::Worse(_)));
+    let mut ten_forwarders = vec![metrics(500, 2); 9];
+    ten_forwarders.push(metrics(100, 400));
+    assert!(matches!(compare(&metrics(300, 100), &ten_forwarders, &criteria, true), Verdict::Worse(_)));
 }
 
 // Guards against a stage that passes while the upper end of the interval is still above the margin.
